--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -11,32 +11,32 @@
 )
 
 // sizes are the pool sizes from the brief's services to the whole fleet.
-var sizes = []int{6, 22, 100, 1700}
+var poolSizes = []int{6, 22, 100, 1700}
 
 // decide makes one decision and takes in its reply.
-func decide(r *Router, now model.Instant, load model.Load) {
+func placeAndReply(r *Router, now model.Instant, load model.Load) {
 	c, ok := r.Place(now, model.Request{}, nil, 0)
 	if ok {
-		r.Done(now, c.Upstream.ID, answered(load))
+		r.Done(now, c.Upstream.ID, answeredReply(load))
 	}
 }
 
-func warm(r *Router, load model.Load) model.Load {
+func warmUp(r *Router, load model.Load) model.Load {
 	for i := range 10_000 {
 		load.Seq++
-		decide(r, model.Instant(i)*1000, load)
+		placeAndReply(r, model.Instant(i)*1000, load)
 	}
 	return load
 }
 
 func TestDecisionsDoNotAllocate(t *testing.T) {
 	for _, name := range Names() {
-		for _, n := range sizes {
-			r := router(t, name, n)
-			load := warm(r, model.Load{Running: 3, Limit: 6, Service: 2 * time.Millisecond})
+		for _, n := range poolSizes {
+			r := newRouter(t, name, n)
+			load := warmUp(r, model.Load{Running: 3, Limit: 6, Service: 2 * time.Millisecond})
 			allocs := testing.AllocsPerRun(1000, func() {
 				load.Seq++
-				decide(r, 10*ms, load)
+				placeAndReply(r, 10*ms, load)
 			})
 			assert.Zero(t, allocs, "%s over %d upstreams", name, n)
 		}
@@ -45,16 +45,16 @@
 
 func BenchmarkDecision(b *testing.B) {
 	for _, name := range Names() {
-		for _, n := range sizes {
+		for _, n := range poolSizes {
 			b.Run(fmt.Sprintf("%s/upstreams=%d", name, n), func(b *testing.B) {
-				r := router(b, name, n)
-				load := warm(r, model.Load{Running: 3, Limit: 6, Service: 2 * time.Millisecond})
+				r := newRouter(b, name, n)
+				load := warmUp(r, model.Load{Running: 3, Limit: 6, Service: 2 * time.Millisecond})
 				b.ReportAllocs()
 				now := 10 * ms
 				for b.Loop() {
 					now += 1000
 					load.Seq++
-					decide(r, now, load)
+					placeAndReply(r, now, load)
 				}
 			})
 		}
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -8,64 +8,64 @@
 
 // candidate is what one entry knows of one upstream.
 type candidate struct {
-	upstream model.Upstream
-	delay    time.Duration
-	load     model.Load
-	loadAt   model.Instant
-	known    bool
+	upstream    model.Upstream
+	oneWayDelay time.Duration
+	load        model.Load
+	loadAt      model.Instant
+	hasLoad     bool
 	// inFlight counts this entry's requests there, inFlightAt how many there
 	// were when load came.
-	inFlight   int32
-	inFlightAt int32
+	inFlight       int32
+	inFlightAtLoad int32
 	// unanswered counts the requests sent since the last reply, silentSince is
 	// when the first of them went out.
 	unanswered  int32
 	silentSince model.Instant
-	// heardAt is when the last reply came that the upstream's daemon sent.
-	heardAt model.Instant
-	rampEnd model.Instant
-	views   views
+	// lastReplyAt is when the last reply came that the upstream's daemon sent.
+	lastReplyAt model.Instant
+	rampEnd     model.Instant
+	queueShares queueShares
 	health
 }
 
-// never is before every instant that matters.
-const never = model.Instant(-1 << 62)
+// longAgo is before every instant that matters.
+const longAgo = model.Instant(-1 << 62)
 
 // pool is what the candidates have in common.
 type pool struct {
-	// service is near the median of the mean slot times, in nanoseconds.
-	service float64
-	// others is the mean number of requests per slot that other entries have at
+	// medianService is near the median of the mean slot times, in nanoseconds.
+	medianService float64
+	// meanOthersPerSlot is the mean number of requests per slot that other entries have at
 	// an upstream.
-	others float64
+	meanOthersPerSlot float64
 	// ejected counts the upstreams ejected because they fail, unreachable those
 	// ejected because no connection could be made, well those that do not fail.
 	ejected     int
 	unreachable int
-	well        int
-	// placing is the group whose request is being placed, empty for none.
-	placing model.GroupName
+	healthy     int
+	// placingGroup is the group whose request is being placed, empty for none.
+	placingGroup model.GroupName
 }
 
 const (
-	poolWeight = 1.0 / 64
+	othersWeight = 1.0 / 64
 	// medianStep is the relative step with which the median follows.
 	medianStep = 0.01
 )
 
 // observe takes in the candidate's new load.
 func (p *pool) observe(c *candidate) {
-	perSlot := c.others() / float64(c.limit())
-	p.others += (perSlot - p.others) * poolWeight
+	perSlot := c.otherRequests() / float64(c.limit())
+	p.meanOthersPerSlot += (perSlot - p.meanOthersPerSlot) * othersWeight
 	service := float64(c.load.Service)
 	switch {
 	case service == 0:
-	case p.service == 0:
-		p.service = service
-	case service > p.service:
-		p.service *= 1 + medianStep
+	case p.medianService == 0:
+		p.medianService = service
+	case service > p.medianService:
+		p.medianService *= 1 + medianStep
 	default:
-		p.service /= 1 + medianStep
+		p.medianService /= 1 + medianStep
 	}
 }
 
@@ -77,34 +77,34 @@
 	return int32(max(c.upstream.Slots, 1))
 }
 
-// others returns the requests of other entries in the newest load.
-func (c *candidate) others() float64 {
-	return float64(max(c.load.Running+c.load.Waiting-c.inFlightAt, 0))
+// otherRequests returns the requests of other entries in the newest load.
+func (c *candidate) otherRequests() float64 {
+	return float64(max(c.load.Running+c.load.Waiting-c.inFlightAtLoad, 0))
 }
 
-// memory is the number of mean slot times after which a load figure of other
+// loadHalfLife is the number of mean slot times after which a load figure of other
 // entries counts half.
-const memory = 2
+const loadHalfLife = 2
 
-// occupied estimates how many requests are at the upstream now: this entry's
+// estimatedRequests estimates how many requests are at the upstream now: this entry's
 // own are known, those of others fade from the last figure to the pool's mean,
 // but never beyond a full upstream without a queue: one that every entry has
 // left is likely idle, and only a try can tell.
-func (c *candidate) occupied(now model.Instant, p *pool) float64 {
-	mean := min(p.others, 1) * float64(c.limit())
-	if !c.known {
-		return mean + float64(c.inFlight)
+func (c *candidate) estimatedRequests(now model.Instant, p *pool) float64 {
+	meanOthers := min(p.meanOthersPerSlot, 1) * float64(c.limit())
+	if !c.hasLoad {
+		return meanOthers + float64(c.inFlight)
 	}
 	age := float64(max(now.Sub(c.loadAt), 0))
 	keep := 1.0
-	if p.service > 0 {
-		keep = 1 / (1 + age/(memory*p.service))
+	if p.medianService > 0 {
+		keep = 1 / (1 + age/(loadHalfLife*p.medianService))
 	}
-	return c.discounted(float64(c.inFlight)+mean+(c.others()-mean)*keep, p.placing)
+	return c.requestsAheadOf(float64(c.inFlight)+meanOthers+(c.otherRequests()-meanOthers)*keep, p.placingGroup)
 }
 
-// sent counts a request that goes out.
-func (c *candidate) sent(now model.Instant) {
+// recordSent counts a request that goes out.
+func (c *candidate) recordSent(now model.Instant) {
 	c.inFlight++
 	if c.unanswered == 0 {
 		c.silentSince = now
@@ -112,8 +112,8 @@
 	c.unanswered++
 }
 
-// answered counts a reply.
-func (c *candidate) answered(now model.Instant) {
+// recordReply counts a reply.
+func (c *candidate) recordReply(now model.Instant) {
 	c.inFlight = max(c.inFlight-1, 0)
 	c.unanswered = 0
 	c.silentSince = now
@@ -123,52 +123,52 @@
 }
 
 const (
-	// silentFrom is the number of unanswered requests, silentFor the silence in
+	// stuckUnanswered is the number of unanswered requests, silentFor the silence in
 	// mean slot times beyond the way there and back, from which an upstream is
 	// held to be stuck.
-	silentFrom = 2
-	silentFor  = 4
+	stuckUnanswered = 2
+	stuckSilence    = 4
 )
 
-// silence returns how long an upstream has been silent beyond what is usual,
+// excessSilence returns how long an upstream has been silent beyond what is usual,
 // in nanoseconds. It tells of a straggler, a paused daemon or a cut link before
 // any reply can.
-func (c *candidate) silence(now model.Instant, p *pool) float64 {
-	if c.unanswered < silentFrom {
+func (c *candidate) excessSilence(now model.Instant, p *pool) float64 {
+	if c.unanswered < stuckUnanswered {
 		return 0
 	}
-	usual := 2*float64(c.delay) + silentFor*p.meanService()
-	return max(float64(now.Sub(c.silentSince))-usual, 0)
+	expected := 2*float64(c.oneWayDelay) + stuckSilence*p.meanService()
+	return max(float64(now.Sub(c.silentSince))-expected, 0)
 }
 
-// slowLimit is the ratio to the median slot time from which an upstream counts
+// stragglerRatio is the ratio to the median slot time from which an upstream counts
 // as a straggler; below it the ratio is put down to the mix of requests.
-const slowLimit = 2
+const stragglerRatio = 2
 
-// slowFade is the age of a load figure at which a straggler's excess counts
+// stragglerHalfLife is the age of a load figure at which a straggler's excess counts
 // half, so that an upstream left alone is tried again.
-const slowFade = 250 * time.Millisecond
+const stragglerHalfLife = 250 * time.Millisecond
 
-// slowness returns how many times slower than its peers the upstream is.
-func (c *candidate) slowness(now model.Instant, p *pool) float64 {
-	if p.service == 0 {
+// slowdown returns how many times slower than its peers the upstream is.
+func (c *candidate) slowdown(now model.Instant, p *pool) float64 {
+	if p.medianService == 0 {
 		return 1
 	}
-	ratio := float64(c.load.Service) / p.service
-	if ratio < slowLimit {
+	ratio := float64(c.load.Service) / p.medianService
+	if ratio < stragglerRatio {
 		return 1
 	}
 	age := float64(max(now.Sub(c.loadAt), 0))
-	return 1 + (ratio-1)/(1+age/float64(slowFade))
+	return 1 + (ratio-1)/(1+age/float64(stragglerHalfLife))
 }
 
-// ramped returns the part of its capacity that a joining upstream may use now.
-func (c *candidate) ramped(now model.Instant, ramp time.Duration) float64 {
+// rampFraction returns the part of its capacity that a joining upstream may use now.
+func (c *candidate) rampFraction(now model.Instant, ramp time.Duration) float64 {
 	if now >= c.rampEnd {
 		return 1
 	}
-	left := float64(c.rampEnd.Sub(now)) / float64(ramp)
-	return max(1-left, minRamp)
+	remaining := float64(c.rampEnd.Sub(now)) / float64(ramp)
+	return max(1-remaining, minRampFraction)
 }
 
-const minRamp = 0.1
+const minRampFraction = 0.1
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -13,9 +13,9 @@
 type expectedCompletion struct{}
 
 const (
-	// scanAll is the pool size up to which every candidate is scored; of a
+	// maxFullScan is the pool size up to which every candidate is scored; of a
 	// larger pool a sample is.
-	scanAll      = 16
+	maxFullScan  = 16
 	sampleLocal  = 8
 	sampleRemote = 4
 	// occupancyCost is the cost of a fully occupied upstream in mean slot
@@ -24,21 +24,21 @@
 	// jitter spreads entries that see the same upstream idle, in mean slot
 	// times.
 	jitter = 0.05
-	// bounceShare is the largest round trip, as a share of the mean slot time,
+	// maxRejectionRTT is the largest round trip, as a share of the mean slot time,
 	// for which being given back is cheap.
-	bounceShare = 0.25
-	// saturated is the occupancy, in limits, from which the best upstream is so
+	maxRejectionRTT = 0.25
+	// saturation is the occupancy, in limits, from which the best upstream is so
 	// full that a request queues there at once: bounces would cost hops and find
 	// nothing.
-	saturated = 2
-	// fallbackService stands in for the mean slot time before any is known, in
+	saturation = 2
+	// defaultService stands in for the mean slot time before any is known, in
 	// nanoseconds.
-	fallbackService = 2e6
+	defaultService = 2e6
 )
 
 func (p *expectedCompletion) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
 	s := search{r: r, now: now, exclude: exclude, panicking: panicking}
-	if len(r.candidates) <= scanAll {
+	if len(r.candidates) <= maxFullScan {
 		for _, c := range r.candidates {
 			s.consider(c)
 		}
@@ -52,11 +52,11 @@
 	return s.best
 }
 
-func (p *expectedCompletion) patience(r *Router, now model.Instant, c *candidate, bounced int) time.Duration {
-	if 2*float64(c.delay) > bounceShare*r.pool.meanService() {
+func (p *expectedCompletion) queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration {
+	if 2*float64(c.oneWayDelay) > maxRejectionRTT*r.pool.meanService() {
 		return WaitForDeadline
 	}
-	if c.occupied(now, &r.pool) >= saturated*float64(c.limit()) {
+	if c.estimatedRequests(now, &r.pool) >= saturation*float64(c.limit()) {
 		return WaitForDeadline
 	}
 	return 0
@@ -65,10 +65,10 @@
 func (p *expectedCompletion) hedges() bool { return true }
 
 func (p *pool) meanService() float64 {
-	if p.service == 0 {
-		return fallbackService
+	if p.medianService == 0 {
+		return defaultService
 	}
-	return p.service
+	return p.medianService
 }
 
 // search finds the candidate with the lowest score.
@@ -97,21 +97,21 @@
 	if !c.usable(s.now, s.exclude, s.panicking) {
 		return
 	}
-	score := s.r.completion(s.now, c)
+	score := s.r.score(s.now, c)
 	if s.best == nil || score < s.score {
 		s.best, s.score = c, score
 	}
 }
 
-// completion scores a candidate: the expected time until the request completes
+// score scores a candidate: the expected time until the request completes
 // beyond the mean slot time of an undisturbed upstream, in nanoseconds.
-func (r *Router) completion(now model.Instant, c *candidate) float64 {
+func (r *Router) score(now model.Instant, c *candidate) float64 {
 	service := r.pool.meanService()
-	slow := c.slowness(now, &r.pool)
-	limit := float64(c.limit()) * c.ramped(now, r.opts.Ramp)
-	occupied := c.occupied(now, &r.pool)
-	wait := max(occupied-limit+1, 0) / limit * slow
-	crowd := occupancyCost * min(occupied/limit, 1)
-	silence := c.silence(now, &r.pool)
-	return 2*float64(c.delay) + silence + service*(wait+crowd+slow-1+jitter*r.rng.Float64())
+	slowdown := c.slowdown(now, &r.pool)
+	limit := float64(c.limit()) * c.rampFraction(now, r.opts.Ramp)
+	requests := c.estimatedRequests(now, &r.pool)
+	wait := max(requests-limit+1, 0) / limit * slowdown
+	occupancy := occupancyCost * min(requests/limit, 1)
+	silence := c.excessSilence(now, &r.pool)
+	return 2*float64(c.oneWayDelay) + silence + service*(wait+occupancy+slowdown-1+jitter*r.rng.Float64())
 }
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	failWeight = 1.0 / 4
-	// ejectAbove is the failing share from which an upstream is ejected, when
+	failureWeight = 1.0 / 4
+	// ejectThreshold is the failing share from which an upstream is ejected, when
 	// at least wellShare of the pool fails less than wellBelow. A request that
 	// fails everywhere leaves none well and so ejects nobody.
-	ejectAbove = 0.5
-	wellBelow  = 0.25
-	wellShare  = 1.0 / 3
-	// firstEjection is doubled with each ejection in a row up to lastEjection.
-	firstEjection = 200 * time.Millisecond
-	lastEjection  = 10 * time.Second
-	// firstUnreachable is the first ejection of an upstream that cannot be
+	ejectThreshold  = 0.5
+	healthyBelow    = 0.25
+	minHealthyShare = 1.0 / 3
+	// baseEjectionTime is doubled with each ejection in a row up to lastEjection.
+	baseEjectionTime = 200 * time.Millisecond
+	maxEjectionTime  = 10 * time.Second
+	// baseUnreachableTime is the first ejection of an upstream that cannot be
 	// reached.
-	firstUnreachable = 500 * time.Millisecond
-	// panicShare is the share of ejected upstreams above which ejections are
+	baseUnreachableTime = 500 * time.Millisecond
+	// panicThreshold is the share of ejected upstreams above which ejections are
 	// ignored.
-	panicShare = 0.5
+	panicThreshold = 0.5
 )
 
 // health is how recent attempts at an upstream ended.
 type health struct {
-	failing  float64
-	sick     bool
-	ejected  bool
-	ejection time.Duration
-	retryAt  model.Instant
+	failureRate  float64
+	unhealthy    bool
+	ejected      bool
+	ejectionTime time.Duration
+	retryAt      model.Instant
 	// unreachable is set on ejected upstreams to which no connection could be
 	// made. They are no help to a drowning pool, so they count for no panic.
 	unreachable bool
@@ -59,33 +59,33 @@
 }
 
 // judged reports whether a reply says anything about the upstream.
-func (reply Reply) judged() bool {
+func (reply Reply) conclusive() bool {
 	return reply.failed() || reply.Outcome.Kind == outcome.Answered
 }
 
 // judge ejects an upstream that fails where others do not, and takes it back
 // after an attempt that went well.
-func (r *Router) judge(now model.Instant, c *candidate, reply Reply) {
+func (r *Router) updateHealth(now model.Instant, c *candidate, reply Reply) {
 	if reply.HasLoad {
-		c.heardAt = now
+		c.lastReplyAt = now
 	}
-	if !reply.judged() {
+	if !reply.conclusive() {
 		return
 	}
-	x := 0.0
+	failure := 0.0
 	if reply.failed() {
-		x = 1
+		failure = 1
 	}
-	c.failing += (x - c.failing) * failWeight
-	r.countWell(c)
+	c.failureRate += (failure - c.failureRate) * failureWeight
+	r.updateHealthy(c)
 	switch {
 	case reply.Outcome.Reason == outcome.ReasonConnect:
 		r.ejectUnreachable(now, c)
-	case c.ejected && x == 0:
+	case c.ejected && failure == 0:
 		r.restore(c)
 	case c.ejected:
 		r.eject(now, c)
-	case c.failing > ejectAbove && float64(r.pool.well) >= wellShare*float64(len(r.candidates)):
+	case c.failureRate > ejectThreshold && float64(r.pool.healthy) >= minHealthyShare*float64(len(r.candidates)):
 		r.eject(now, c)
 	}
 }
@@ -96,8 +96,8 @@
 		return
 	}
 	r.setEjected(c, true, false)
-	c.ejection = min(max(2*c.ejection, firstEjection), lastEjection)
-	c.retryAt = now.Add(c.ejection)
+	c.ejectionTime = min(max(2*c.ejectionTime, baseEjectionTime), maxEjectionTime)
+	c.retryAt = now.Add(c.ejectionTime)
 }
 
 // ejectUnreachable leaves out an upstream to which no connection could be made
@@ -106,27 +106,27 @@
 	if c.ejected && now < c.retryAt {
 		return
 	}
-	length := min(max(2*c.ejection, firstUnreachable), lastEjection)
-	alone := r.zoneHeard(now, c)
+	duration := min(max(2*c.ejectionTime, baseUnreachableTime), maxEjectionTime)
+	zoneReachable := r.zoneReplied(now, c)
 	for _, other := range r.candidates {
 		sameZone := other.upstream.Zone == c.upstream.Zone
-		if other != c && (alone || !sameZone) {
+		if other != c && (zoneReachable || !sameZone) {
 			continue
 		}
 		r.setEjected(other, true, true)
-		other.ejection = length
-		other.retryAt = now.Add(length)
+		other.ejectionTime = duration
+		other.retryAt = now.Add(duration)
 	}
 }
 
 // zoneHeard reports whether another upstream of the candidate's zone has
 // replied lately; the own zone is always taken to be there.
-func (r *Router) zoneHeard(now model.Instant, c *candidate) bool {
+func (r *Router) zoneReplied(now model.Instant, c *candidate) bool {
 	if c.upstream.Zone == r.opts.Zone {
 		return true
 	}
 	for _, other := range r.candidates {
-		if other != c && other.upstream.Zone == c.upstream.Zone && now.Sub(other.heardAt) < zoneSilence {
+		if other != c && other.upstream.Zone == c.upstream.Zone && now.Sub(other.lastReplyAt) < zoneReplyTimeout {
 			return true
 		}
 	}
@@ -135,7 +135,7 @@
 
 // zoneSilence is the time without a reply after which one failed connection
 // speaks against a whole zone.
-const zoneSilence = 40 * time.Millisecond
+const zoneReplyTimeout = 40 * time.Millisecond
 
 // setEjected keeps the pool's counts true.
 func (r *Router) setEjected(c *candidate, ejected, unreachable bool) {
@@ -158,22 +158,22 @@
 
 func (r *Router) restore(c *candidate) {
 	r.setEjected(c, false, false)
-	c.ejection = 0
-	c.failing = 0
-	r.countWell(c)
+	c.ejectionTime = 0
+	c.failureRate = 0
+	r.updateHealthy(c)
 }
 
 // countWell keeps the pool's number of upstreams that do not fail.
-func (r *Router) countWell(c *candidate) {
-	sick := c.failing >= wellBelow
-	if sick == c.sick {
+func (r *Router) updateHealthy(c *candidate) {
+	unhealthy := c.failureRate >= healthyBelow
+	if unhealthy == c.unhealthy {
 		return
 	}
-	c.sick = sick
-	if sick {
-		r.pool.well--
+	c.unhealthy = unhealthy
+	if unhealthy {
+		r.pool.healthy--
 	} else {
-		r.pool.well++
+		r.pool.healthy++
 	}
 }
 
@@ -181,7 +181,7 @@
 // drown; then ejections are ignored.
 func (r *Router) panicking() bool {
 	reachable := len(r.candidates) - r.pool.unreachable
-	if r.pool.ejected == 0 || float64(r.pool.ejected) <= panicShare*float64(reachable) {
+	if r.pool.ejected == 0 || float64(r.pool.ejected) <= panicThreshold*float64(reachable) {
 		return false
 	}
 	r.stats.Panics++
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -22,7 +22,7 @@
 	// hedgeBurst is the number of hedges that may be saved up.
 	hedgeBurst = 20
 	// hedgeFloor is the least delay in mean slot times.
-	hedgeFloor = 2
+	minHedgeDelay = 2
 )
 
 // defaultHedgeBudget is the number of hedges allowed for each request.
@@ -30,18 +30,18 @@
 
 // hedging holds when requests are hedged and how many still may be.
 type hedging struct {
-	groups map[model.GroupName]*quantile
-	rest   quantile
+	groups map[model.GroupName]*quantileEstimate
+	shared quantileEstimate
 	tokens float64
 }
 
 // quantile follows a quantile of latencies, in nanoseconds.
-type quantile struct {
+type quantileEstimate struct {
 	value float64
 	n     int
 }
 
-func (q *quantile) add(x float64) {
+func (q *quantileEstimate) add(x float64) {
 	q.n++
 	switch {
 	case q.value == 0:
@@ -60,11 +60,11 @@
 	if !req.Idempotent || !r.policy.hedges() || r.opts.HedgeBudget <= 0 {
 		return 0, false
 	}
-	q := r.hedging.of(req.Group)
+	q := r.hedging.estimate(req.Group)
 	if q.n < hedgeSamples {
 		return 0, false
 	}
-	return time.Duration(max(q.value, hedgeFloor*r.pool.meanService())), true
+	return time.Duration(max(q.value, minHedgeDelay*r.pool.meanService())), true
 }
 
 // Hedge chooses the second upstream for a request that was sent to the first at
@@ -72,8 +72,8 @@
 // it. The choice has no patience: a hedge only uses a slot that is free. It
 // reports false when the first upstream looks well, so that only the request is
 // long, when the budget is spent, or when no other upstream may take it.
-func (r *Router) Hedge(now model.Instant, at model.UpstreamID, sent model.Instant, exclude []model.UpstreamID) (Choice, bool) {
-	if !r.suspect(now, at, sent) {
+func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sent model.Instant, exclude []model.UpstreamID) (Choice, bool) {
+	if !r.upstreamSlow(now, first, sent) {
 		return Choice{}, false
 	}
 	if r.hedging.tokens < 1 {
@@ -86,53 +86,53 @@
 	}
 	r.hedging.tokens--
 	r.stats.Hedges++
-	c.sent(now)
+	c.recordSent(now)
 	return Choice{Upstream: c.upstream, Patience: 0}, true
 }
 
 // suspect reports whether the upstream itself, not just the request sent at the
 // given instant, is slow: it has answered nothing since.
-func (r *Router) suspect(now model.Instant, id model.UpstreamID, sent model.Instant) bool {
+func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sent model.Instant) bool {
 	c := r.byID[id]
 	if c == nil {
 		return true
 	}
-	return c.ejected || c.slowness(now, &r.pool) > 1 || c.heardAt < sent
+	return c.ejected || c.slowdown(now, &r.pool) > 1 || c.lastReplyAt < sent
 }
 
 // earn adds a request's part to the budget.
-func (r *Router) earn() {
+func (r *Router) addHedgeTokens() {
 	r.hedging.tokens = min(r.hedging.tokens+r.opts.HedgeBudget, hedgeBurst)
 }
 
 // learn takes in the latency of a request. One that was cancelled because its
 // hedge answered first counts with the time it had taken by then.
-func (r *Router) learn(reply Reply) {
+func (r *Router) recordLatency(reply Reply) {
 	cancelled := reply.Outcome.Reason == outcome.ReasonCancelled
 	if reply.Hedge || reply.Failed || reply.Outcome.Kind != outcome.Answered && !cancelled {
 		return
 	}
-	r.hedging.keep(reply.Group).add(float64(reply.Latency))
+	r.hedging.estimateToUpdate(reply.Group).add(float64(reply.Latency))
 }
 
 // of returns the estimate that counts for a group.
-func (h *hedging) of(g model.GroupName) *quantile {
+func (h *hedging) estimate(g model.GroupName) *quantileEstimate {
 	if q := h.groups[g]; q != nil {
 		return q
 	}
-	return &h.rest
+	return &h.shared
 }
 
 // keep returns the group's own estimate, or the shared one when there are too
 // many groups.
-func (h *hedging) keep(g model.GroupName) *quantile {
+func (h *hedging) estimateToUpdate(g model.GroupName) *quantileEstimate {
 	if q := h.groups[g]; q != nil {
 		return q
 	}
 	if len(h.groups) >= maxHedgeGroups {
-		return &h.rest
+		return &h.shared
 	}
-	q := &quantile{}
+	q := &quantileEstimate{}
 	h.groups[g] = q
 	return q
 }
--- a/core/routing/least_outstanding.go
+++ b/core/routing/least_outstanding.go
@@ -4,7 +4,7 @@
 
 // leastOutstanding chooses the upstream where this entry has the fewest
 // requests in flight; among equals, the first from a random start.
-type leastOutstanding struct{ queues }
+type leastOutstanding struct{ waitsAtUpstream }
 
 func (leastOutstanding) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
 	n := len(r.candidates)
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -62,9 +62,9 @@
 	// choose returns a candidate that is usable, or nil when there is none.
 	// panicking takes ejected candidates for usable.
 	choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate
-	// patience tells how long a request may wait at the chosen candidate.
+	// queueTimeout tells how long a request may wait at the chosen candidate.
 	// bounced counts how often the request has been given back.
-	patience(r *Router, now model.Instant, c *candidate, bounced int) time.Duration
+	queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration
 	// hedges reports whether slow idempotent requests are sent a second time.
 	hedges() bool
 }
@@ -88,8 +88,10 @@
 
 // queues is embedded by policies that let every request wait where it was sent
 // first, and send it once.
-type queues struct{}
+type waitsAtUpstream struct{}
 
-func (queues) patience(*Router, model.Instant, *candidate, int) time.Duration { return WaitForDeadline }
+func (waitsAtUpstream) queueTimeout(*Router, model.Instant, *candidate, int) time.Duration {
+	return WaitForDeadline
+}
 
-func (queues) hedges() bool { return false }
+func (waitsAtUpstream) hedges() bool { return false }
--- a/core/routing/round_robin.go
+++ b/core/routing/round_robin.go
@@ -4,7 +4,7 @@
 
 // roundRobin takes the usable upstreams of this entry in turn.
 type roundRobin struct {
-	queues
+	waitsAtUpstream
 	next int
 }
 
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -60,17 +60,17 @@
 // Router chooses upstreams of one service for one entry. It is not safe for
 // concurrent use.
 type Router struct {
-	opts       Options
-	policy     policy
-	rng        *rand.Rand
-	candidates []*candidate
-	local      []*candidate
-	remote     []*candidate
-	byID       map[model.UpstreamID]*candidate
-	pool       pool
-	hedging    hedging
-	stats      Stats
-	filled     bool
+	opts         Options
+	policy       policy
+	rng          *rand.Rand
+	candidates   []*candidate
+	local        []*candidate
+	remote       []*candidate
+	byID         map[model.UpstreamID]*candidate
+	pool         pool
+	hedging      hedging
+	stats        Stats
+	hadUpstreams bool
 }
 
 // New returns a Router without upstreams. The error is an *UnknownPolicyError.
@@ -90,7 +90,7 @@
 		policy:  p,
 		rng:     rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
 		byID:    make(map[model.UpstreamID]*candidate),
-		hedging: hedging{groups: make(map[model.GroupName]*quantile)},
+		hedging: hedging{groups: make(map[model.GroupName]*quantileEstimate)},
 	}, nil
 }
 
@@ -102,9 +102,9 @@
 func (r *Router) SetUpstreams(now model.Instant, ups []model.Upstream) {
 	byID := make(map[model.UpstreamID]*candidate, len(ups))
 	r.candidates, r.local, r.remote = r.candidates[:0], r.local[:0], r.remote[:0]
-	r.pool.ejected, r.pool.unreachable, r.pool.well = 0, 0, 0
+	r.pool.ejected, r.pool.unreachable, r.pool.healthy = 0, 0, 0
 	for _, u := range ups {
-		c := r.keep(now, u)
+		c := r.candidateFor(now, u)
 		byID[u.ID] = c
 		r.candidates = append(r.candidates, c)
 		if u.Zone == r.opts.Zone {
@@ -113,26 +113,26 @@
 			r.remote = append(r.remote, c)
 		}
 		r.countEjected(c, 1)
-		if !c.sick {
-			r.pool.well++
+		if !c.unhealthy {
+			r.pool.healthy++
 		}
 	}
 	r.byID = byID
-	r.filled = r.filled || len(ups) > 0
+	r.hadUpstreams = r.hadUpstreams || len(ups) > 0
 }
 
 // keep returns what is known of the upstream, or a new candidate for a new
 // incarnation. One that joins a running pool ramps up.
-func (r *Router) keep(now model.Instant, u model.Upstream) *candidate {
+func (r *Router) candidateFor(now model.Instant, u model.Upstream) *candidate {
 	c := r.byID[u.ID]
 	if c == nil || c.upstream.Incarnation != u.Incarnation {
-		c = &candidate{heardAt: never}
-		if r.filled && r.opts.Ramp > 0 {
+		c = &candidate{lastReplyAt: longAgo}
+		if r.hadUpstreams && r.opts.Ramp > 0 {
 			c.rampEnd = now.Add(r.opts.Ramp)
 		}
 	}
 	c.upstream = u
-	c.delay = r.delay(u)
+	c.oneWayDelay = r.delay(u)
 	return c
 }
 
@@ -164,27 +164,27 @@
 // exclude are left out. bounced counts how often guards have given the request
 // back (see Choice.Bounced). It reports false when no upstream may take the
 // request. Every Place that reports true is followed by one Done.
-func (r *Router) Place(now model.Instant, req model.Request, exclude []model.UpstreamID, bounced int) (Choice, bool) {
-	r.pool.placing = req.Group
-	defer func() { r.pool.placing = "" }()
+func (r *Router) Place(now model.Instant, req model.Request, exclude []model.UpstreamID, rejections int) (Choice, bool) {
+	r.pool.placingGroup = req.Group
+	defer func() { r.pool.placingGroup = "" }()
 	c := r.choose(now, exclude)
 	if c == nil {
 		r.stats.NoUpstream++
 		return Choice{}, false
 	}
-	patience := WaitForDeadline
-	if bounced < MaxBounces {
-		patience = r.policy.patience(r, now, c, bounced)
+	queueTimeout := WaitForDeadline
+	if rejections < MaxBounces {
+		queueTimeout = r.policy.queueTimeout(r, now, c, rejections)
 	}
 	r.stats.Picks++
-	if bounced == 0 {
-		r.earn()
+	if rejections == 0 {
+		r.addHedgeTokens()
 	}
 	if c.upstream.Zone != r.opts.Zone {
 		r.stats.Spills++
 	}
-	c.sent(now)
-	return Choice{Upstream: c.upstream, Patience: patience}, true
+	c.recordSent(now)
+	return Choice{Upstream: c.upstream, Patience: queueTimeout}, true
 }
 
 // choose takes ejected candidates too when too many are ejected, or when there
@@ -206,14 +206,14 @@
 	if c == nil {
 		return
 	}
-	c.answered(now)
+	c.recordReply(now)
 	if reply.Outcome.Kind == outcome.NotRun && reply.Outcome.Reason == outcome.ReasonWithdrawn {
 		r.stats.Bounces++
 	}
-	r.judge(now, c, reply)
-	r.learn(reply)
+	r.updateHealth(now, c, reply)
+	r.recordLatency(reply)
 	if reply.HasLoad {
-		c.sees(reply.Group, reply.Load)
+		c.recordQueueShare(reply.Group, reply.Load)
 		r.Observe(now, id, reply.Load)
 	}
 }
@@ -227,8 +227,8 @@
 	}
 	c.load = load
 	c.loadAt = now
-	c.inFlightAt = c.inFlight
-	c.known = true
+	c.inFlightAtLoad = c.inFlight
+	c.hasLoad = true
 	r.pool.observe(c)
 }
 
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -15,7 +15,7 @@
 const ms = model.Instant(time.Millisecond)
 
 // upstreams returns n upstreams of 6 slots spread over three zones.
-func upstreams(n int) []model.Upstream {
+func newUpstreams(n int) []model.Upstream {
 	zones := []model.AvailabilityZone{"a", "b", "c"}
 	ups := make([]model.Upstream, n)
 	for i := range ups {
@@ -30,25 +30,25 @@
 	return ups
 }
 
-func router(t testing.TB, name string, n int) *Router {
+func newRouter(t testing.TB, name string, n int) *Router {
 	t.Helper()
 	r, err := New(Options{Policy: name, Zone: "a", Seed: 1})
 	require.NoError(t, err)
-	r.SetUpstreams(0, upstreams(n))
+	r.SetUpstreams(0, newUpstreams(n))
 	return r
 }
 
-func answered(load model.Load) Reply {
+func answeredReply(load model.Load) Reply {
 	return Reply{Outcome: outcome.Done(), Load: load, HasLoad: true}
 }
 
-func refused() Reply {
+func refusedReply() Reply {
 	return Reply{Outcome: outcome.NotRunBecause(outcome.ReasonUpstreamRefused), Failed: true}
 }
 
 // spreadOf places n requests that are answered at once and counts them by
 // upstream.
-func spreadOf(r *Router, now model.Instant, n int, reply func(model.UpstreamID) Reply) map[model.UpstreamID]int {
+func countPlacements(r *Router, now model.Instant, n int, reply func(model.UpstreamID) Reply) map[model.UpstreamID]int {
 	got := make(map[model.UpstreamID]int)
 	for range n {
 		c, ok := r.Place(now, model.Request{}, nil, 0)
@@ -61,17 +61,17 @@
 	return got
 }
 
-func TestEveryPolicy(t *testing.T) {
+func TestEveryPolicySkipsExcludedAndDraining(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
-			r := router(t, name, 3)
+			r := newRouter(t, name, 3)
 			_, ok := r.Pick(0, model.Request{}, []model.UpstreamID{"s-1", "s-2", "s-3"})
 			assert.False(t, ok, "all excluded")
 			up, ok := r.Pick(0, model.Request{}, []model.UpstreamID{"s-1", "s-3"})
 			assert.True(t, ok)
 			assert.Equal(t, model.UpstreamID("s-2"), up.ID)
 
-			ups := upstreams(3)
+			ups := newUpstreams(3)
 			ups[0].Draining = true
 			r.SetUpstreams(0, ups)
 			r.Observe(0, "s-3", model.Load{Draining: true, Seq: 1})
@@ -84,20 +84,20 @@
 			r.SetUpstreams(0, nil)
 			_, ok = r.Pick(0, model.Request{}, nil)
 			assert.False(t, ok, "empty")
-			r.Done(0, "s-2", answered(model.Load{}))
+			r.Done(0, "s-2", answeredReply(model.Load{}))
 		})
 	}
 }
 
-func TestFailFastIsNoSink(t *testing.T) {
+func TestFastFailingUpstreamIsEjected(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
-			r := router(t, name, 6)
-			got := spreadOf(r, 0, 2000, func(id model.UpstreamID) Reply {
+			r := newRouter(t, name, 6)
+			got := countPlacements(r, 0, 2000, func(id model.UpstreamID) Reply {
 				if id == "s-1" {
-					return refused()
+					return refusedReply()
 				}
-				return answered(model.Load{Limit: 6, Running: 1})
+				return answeredReply(model.Load{Limit: 6, Running: 1})
 			})
 			assert.Less(t, got["s-1"], 20, "%v", got)
 			assert.EqualValues(t, 1, r.Stats().Ejections)
@@ -105,73 +105,73 @@
 	}
 }
 
-func TestEjectedUpstreamComesBack(t *testing.T) {
-	r := router(t, RoundRobin, 3)
+func TestEjectedUpstreamIsRetriedAndRestored(t *testing.T) {
+	r := newRouter(t, RoundRobin, 3)
 	fail := func(id model.UpstreamID) Reply {
 		if id == "s-1" {
-			return refused()
+			return refusedReply()
 		}
-		return answered(model.Load{})
+		return answeredReply(model.Load{})
 	}
-	spreadOf(r, 0, 100, fail)
-	assert.Zero(t, spreadOf(r, 100*ms, 30, fail)["s-1"], "left out at first")
-	assert.Equal(t, 1, spreadOf(r, 300*ms, 30, fail)["s-1"], "one trial, which fails")
-	assert.Zero(t, spreadOf(r, 600*ms, 30, fail)["s-1"], "left out for longer")
-	well := func(model.UpstreamID) Reply { return answered(model.Load{}) }
-	assert.Equal(t, 10, spreadOf(r, 1000*ms, 30, well)["s-1"], "the trial goes well")
+	countPlacements(r, 0, 100, fail)
+	assert.Zero(t, countPlacements(r, 100*ms, 30, fail)["s-1"], "left out at first")
+	assert.Equal(t, 1, countPlacements(r, 300*ms, 30, fail)["s-1"], "one trial, which fails")
+	assert.Zero(t, countPlacements(r, 600*ms, 30, fail)["s-1"], "left out for longer")
+	succeed := func(model.UpstreamID) Reply { return answeredReply(model.Load{}) }
+	assert.Equal(t, 10, countPlacements(r, 1000*ms, 30, succeed)["s-1"], "the trial goes well")
 }
 
-func TestRequestThatFailsEverywhereEjectsNobody(t *testing.T) {
-	r := router(t, RoundRobin, 6)
-	spreadOf(r, 0, 600, func(model.UpstreamID) Reply { return Reply{Outcome: outcome.Done(), Failed: true} })
-	got := spreadOf(r, 0, 60, func(model.UpstreamID) Reply { return answered(model.Load{}) })
+func TestFailuresOnAllUpstreamsEjectNone(t *testing.T) {
+	r := newRouter(t, RoundRobin, 6)
+	countPlacements(r, 0, 600, func(model.UpstreamID) Reply { return Reply{Outcome: outcome.Done(), Failed: true} })
+	got := countPlacements(r, 0, 60, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
 	assert.Len(t, got, 6)
 }
 
-func TestPanicIgnoresEjections(t *testing.T) {
-	r := router(t, RoundRobin, 6)
+func TestPanicModeIgnoresEjections(t *testing.T) {
+	r := newRouter(t, RoundRobin, 6)
 	bad := map[model.UpstreamID]bool{"s-1": true, "s-2": true, "s-3": true, "s-4": true}
 	reply := func(id model.UpstreamID) Reply {
 		if bad[id] {
-			return refused()
+			return refusedReply()
 		}
-		return answered(model.Load{})
+		return answeredReply(model.Load{})
 	}
-	got := spreadOf(r, 0, 600, reply)
+	got := countPlacements(r, 0, 600, reply)
 	assert.Positive(t, r.Stats().Panics)
 	assert.Greater(t, got["s-4"], 50, "never so many ejected that the rest drown")
 }
 
-func TestOlderLoadChangesNothing(t *testing.T) {
-	r := router(t, TwoChoices, 1)
+func TestObserveIgnoresOlderLoad(t *testing.T) {
+	r := newRouter(t, TwoChoices, 1)
 	r.Observe(0, "s-1", model.Load{Running: 5, Seq: 7})
 	r.Observe(0, "s-1", model.Load{Running: 1, Seq: 6})
 	assert.EqualValues(t, 5, r.byID["s-1"].load.Running)
 }
 
-func TestNewIncarnationForgetsAndRamps(t *testing.T) {
-	r := router(t, ExpectedCompletion, 3)
+func TestNewIncarnationResetsStateAndRampsUp(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 3)
 	r.Observe(0, "s-1", model.Load{Draining: true, Seq: 9})
-	ups := upstreams(3)
+	ups := newUpstreams(3)
 	ups[0].Incarnation = 2
 	r.SetUpstreams(0, ups)
 	assert.True(t, r.byID["s-1"].usable(0, nil, false))
-	assert.InDelta(t, minRamp, r.byID["s-1"].ramped(0, r.opts.Ramp), 1e-9)
-	assert.InDelta(t, 0.5, r.byID["s-1"].ramped(1000*ms, r.opts.Ramp), 1e-9)
-	assert.InDelta(t, 1, r.byID["s-1"].ramped(2000*ms, r.opts.Ramp), 1e-9)
-	assert.InDelta(t, 1, r.byID["s-2"].ramped(0, r.opts.Ramp), 1e-9, "it was there before")
+	assert.InDelta(t, minRampFraction, r.byID["s-1"].rampFraction(0, r.opts.Ramp), 1e-9)
+	assert.InDelta(t, 0.5, r.byID["s-1"].rampFraction(1000*ms, r.opts.Ramp), 1e-9)
+	assert.InDelta(t, 1, r.byID["s-1"].rampFraction(2000*ms, r.opts.Ramp), 1e-9)
+	assert.InDelta(t, 1, r.byID["s-2"].rampFraction(0, r.opts.Ramp), 1e-9, "it was there before")
 }
 
-func TestBouncesEndInAQueue(t *testing.T) {
-	r := router(t, ExpectedCompletion, 3)
+func TestRequestWaitsAfterMaxRejections(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 3)
 	for bounced := range MaxBounces {
 		c, ok := r.Place(0, model.Request{}, nil, bounced)
 		require.True(t, ok)
 		assert.Equal(t, model.AvailabilityZone("a"), c.Upstream.Zone)
 		assert.Zero(t, c.Patience)
-		gaveBack := outcome.NotRunBecause(outcome.ReasonWithdrawn)
-		assert.True(t, c.Bounced(gaveBack))
-		r.Done(0, c.Upstream.ID, Reply{Outcome: gaveBack})
+		rejected := outcome.NotRunBecause(outcome.ReasonWithdrawn)
+		assert.True(t, c.Bounced(rejected))
+		r.Done(0, c.Upstream.ID, Reply{Outcome: rejected})
 	}
 	c, ok := r.Place(0, model.Request{}, nil, MaxBounces)
 	require.True(t, ok)
@@ -180,8 +180,8 @@
 	assert.EqualValues(t, MaxBounces, r.Stats().Bounces)
 }
 
-func TestSpillsWhenTheWaitIsWorthTheWay(t *testing.T) {
-	r := router(t, ExpectedCompletion, 3)
+func TestCrossesZonesWhenTheLocalQueueIsLong(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 3)
 	full := model.Load{Running: 6, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
 	r.Observe(0, "s-1", full)
 	c, _ := r.Place(0, model.Request{}, nil, MaxBounces)
@@ -195,12 +195,12 @@
 	assert.EqualValues(t, 1, r.Stats().Spills)
 }
 
-func TestManyEntriesDoNotHerd(t *testing.T) {
+func TestEntriesWithEqualKnowledgeSpreadRequests(t *testing.T) {
 	counts := make(map[model.UpstreamID]int)
 	for seed := range uint64(1000) {
 		r, err := New(Options{Zone: "a", Seed: seed})
 		require.NoError(t, err)
-		ups := upstreams(4)
+		ups := newUpstreams(4)
 		for i := range ups {
 			ups[i].Zone = "a"
 		}
@@ -216,21 +216,21 @@
 	}
 }
 
-func TestUnknownPolicyNamesTheKnown(t *testing.T) {
+func TestUnknownPolicyErrorListsPolicies(t *testing.T) {
 	_, err := New(Options{Policy: "fastest"})
 	var unknown *UnknownPolicyError
 	require.ErrorAs(t, err, &unknown)
 	assert.Contains(t, err.Error(), ExpectedCompletion)
 }
 
-func TestSilentUpstreamIsAvoidedAndTakenBack(t *testing.T) {
-	r := router(t, ExpectedCompletion, 2)
+func TestSilentUpstreamIsAvoidedUntilItReplies(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 2)
 	load := model.Load{Running: 1, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
 	r.Observe(0, "s-1", load)
 	r.Observe(0, "s-2", load)
-	both := []model.UpstreamID{"s-2"}
-	for range silentFrom {
-		_, ok := r.Place(0, model.Request{}, both, MaxBounces)
+	exclude := []model.UpstreamID{"s-2"}
+	for range stuckUnanswered {
+		_, ok := r.Place(0, model.Request{}, exclude, MaxBounces)
 		require.True(t, ok)
 	}
 	place := func(at model.Instant) model.UpstreamID {
@@ -241,35 +241,35 @@
 	assert.Equal(t, model.UpstreamID("s-1"), place(7*ms), "not yet unusual")
 	assert.Equal(t, model.UpstreamID("s-2"), place(50*ms), "stuck")
 	load.Seq++
-	r.Done(51*ms, "s-1", answered(load))
+	r.Done(51*ms, "s-1", answeredReply(load))
 	assert.Equal(t, model.UpstreamID("s-1"), place(52*ms), "it replied")
 }
 
-func TestUnreachableZoneIsLeftOutWithoutPanic(t *testing.T) {
-	r := router(t, RoundRobin, 6)
-	lost := Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)}
+func TestUnreachableZoneIsEjectedWithoutPanicMode(t *testing.T) {
+	r := newRouter(t, RoundRobin, 6)
+	connectFailed := Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)}
 	c, ok := r.Place(0, model.Request{}, []model.UpstreamID{"s-1", "s-4"}, 0)
 	require.True(t, ok)
-	r.Done(0, c.Upstream.ID, lost)
-	got := spreadOf(r, 0, 40, func(model.UpstreamID) Reply { return answered(model.Load{}) })
+	r.Done(0, c.Upstream.ID, connectFailed)
+	got := countPlacements(r, 0, 40, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
 	assert.Len(t, got, 4, "one failed connection speaks for its silent zone")
 	assert.Zero(t, r.Stats().Panics)
 }
 
-func TestOneCrashLeavesItsZoneAlone(t *testing.T) {
-	r := router(t, RoundRobin, 6)
-	spreadOf(r, 0, 6, func(model.UpstreamID) Reply { return answered(model.Load{}) })
+func TestOneUnreachableUpstreamDoesNotEjectItsZone(t *testing.T) {
+	r := newRouter(t, RoundRobin, 6)
+	countPlacements(r, 0, 6, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
 	c, ok := r.Place(0, model.Request{}, []model.UpstreamID{"s-1", "s-4", "s-2", "s-5", "s-6"}, 0)
 	require.True(t, ok)
 	r.Done(0, c.Upstream.ID, Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)})
-	got := spreadOf(r, 0, 50, func(model.UpstreamID) Reply { return answered(model.Load{}) })
+	got := countPlacements(r, 0, 50, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
 	assert.Len(t, got, 5)
 }
 
-func TestAllUnreachableAreStillTried(t *testing.T) {
+func TestUnreachableUpstreamsAreTriedWhenNoneIsLeft(t *testing.T) {
 	for _, name := range Names() {
-		r := router(t, name, 3)
-		for _, up := range upstreams(3) {
+		r := newRouter(t, name, 3)
+		for _, up := range newUpstreams(3) {
 			r.Done(0, up.ID, Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)})
 		}
 		_, ok := r.Pick(0, model.Request{}, nil)
@@ -277,8 +277,8 @@
 	}
 }
 
-func TestHedgeOnlyWhenTheUpstreamIsSilentAndTheBudgetAllows(t *testing.T) {
-	r := router(t, ExpectedCompletion, 3)
+func TestHedgeNeedsSlowUpstreamAndBudget(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 3)
 	req := model.Request{Group: "g", Idempotent: true}
 	_, ok := r.HedgeDelay(req)
 	assert.False(t, ok, "nothing known yet")
@@ -286,7 +286,7 @@
 	for i := range 2000 {
 		now += ms
 		c, _ := r.Place(now, req, nil, 0)
-		reply := answered(model.Load{Limit: 6, Service: 2 * time.Millisecond, Seq: uint64(i)})
+		reply := answeredReply(model.Load{Limit: 6, Service: 2 * time.Millisecond, Seq: uint64(i)})
 		reply.Group, reply.Latency = "g", time.Duration(1+i%100)*time.Millisecond
 		r.Done(now, c.Upstream.ID, reply)
 	}
@@ -296,7 +296,7 @@
 	_, ok = r.HedgeDelay(model.Request{Group: "g"})
 	assert.False(t, ok, "not idempotent")
 
-	r.Done(now, "s-1", answered(model.Load{Limit: 6, Seq: 1 << 20}))
+	r.Done(now, "s-1", answeredReply(model.Load{Limit: 6, Seq: 1 << 20}))
 	_, ok = r.Hedge(now, "s-1", now-ms, nil)
 	assert.False(t, ok, "it answered since, so only the request is long")
 	hedged := 0
@@ -314,18 +314,18 @@
 }
 
 func TestHedgeGroupsAreBounded(t *testing.T) {
-	r := router(t, ExpectedCompletion, 1)
+	r := newRouter(t, ExpectedCompletion, 1)
 	for i := range 1000 {
-		reply := answered(model.Load{})
+		reply := answeredReply(model.Load{})
 		reply.Group = model.GroupName(fmt.Sprint("g", i))
 		r.Done(0, "s-1", reply)
 	}
 	assert.Len(t, r.hedging.groups, maxHedgeGroups)
 }
 
-func TestUpstreamThatLookedSlowIsTriedAgain(t *testing.T) {
-	r := router(t, ExpectedCompletion, 6)
-	for _, up := range upstreams(6) {
+func TestStragglerIsTriedAgainAfterItsLoadAges(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 6)
+	for _, up := range newUpstreams(6) {
 		load := model.Load{Running: 6, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
 		if up.ID == "s-1" {
 			load.Service = 5 * time.Millisecond
@@ -334,7 +334,7 @@
 	}
 	now := 2000 * ms
 	for seq := range uint64(100) {
-		for _, up := range upstreams(6)[1:] {
+		for _, up := range newUpstreams(6)[1:] {
 			r.Observe(now, up.ID, model.Load{Running: 6, Waiting: 30, Limit: 6, Service: 2 * time.Millisecond, Seq: seq})
 		}
 	}
