--- a/core/placement/failing_test.go
+++ b/core/placement/failing_test.go
@@ -8,26 +8,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFailingFades(t *testing.T) {
+func TestFailureRateDecays(t *testing.T) {
 	var f Failing
 	require.Zero(t, f.Share(at(0)))
 	for range 40 {
 		f.Count(at(0), true)
 	}
 	require.InDelta(t, 1, f.Share(at(0)), 0.01)
-	require.InDelta(t, 0.5, f.Share(at(0).Add(failTrust)), 0.01)
-	require.Less(t, f.Share(at(0).Add(4*failTrust)), jitter, "it is tried again")
-	f.Count(at(0).Add(4*failTrust), true)
-	require.Greater(t, f.Share(at(0).Add(4*failTrust)), jitter, "and left again")
+	require.InDelta(t, 0.5, f.Share(at(0).Add(failureHalfLife)), 0.01)
+	require.Less(t, f.Share(at(0).Add(4*failureHalfLife)), jitter, "it is tried again")
+	f.Count(at(0).Add(4*failureHalfLife), true)
+	require.Greater(t, f.Share(at(0).Add(4*failureHalfLife)), jitter, "and left again")
 	for range 40 {
-		f.Count(at(0).Add(5*failTrust), false)
+		f.Count(at(0).Add(5*failureHalfLife), false)
 	}
-	require.Less(t, f.Share(at(0).Add(5*failTrust)), 0.01)
+	require.Less(t, f.Share(at(0).Add(5*failureHalfLife)), 0.01)
 }
 
 // TestFailedOnceIsChosenAgain answers an upstream that failed one request while others
 // were idle: it was expected to take an eighth longer for good, and never chosen.
-func TestFailedOnceIsChosenAgain(t *testing.T) {
+func TestUpstreamIsChosenAgainAfterOneFailure(t *testing.T) {
 	p := New(Options{Zone: "own", Rand: rand.New(rand.NewPCG(1, 1)).Float64})
 	p.Set([]Upstream{{Key: "a", Zone: "own", Slots: 6}, {Key: "b", Zone: "own", Slots: 6}})
 	var f Failing
--- a/core/placement/figures.go
+++ b/core/placement/figures.go
@@ -23,5 +23,5 @@
 	MaxFull = 2
 	// surelyFull is the age from which knowledge refuses no request: older, and nobody
 	// would learn that there is room again.
-	surelyFull = 30 * time.Millisecond
+	maxRefusalAge = 30 * time.Millisecond
 )
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -23,26 +23,26 @@
 }
 
 const (
-	// fade is the time in which a figure of slowness or load loses half of its
+	// loadHalfLife is the time in which a figure of slowness or load loses half of its
 	// meaning. Neighbours on shared VMs come and go a few times a second.
-	fade = 150 * time.Millisecond
-	// usualSlow is assumed of upstreams nothing is known of.
-	usualSlow = 1.5
-	// meanWeight makes the mean slowness of a service cover about 64 answers.
-	meanWeight = 1.0 / 64
-	// coldSlow is the slowness assumed of upstreams that say that they have just
+	loadHalfLife = 150 * time.Millisecond
+	// initialSlowdown is assumed of upstreams nothing is known of.
+	initialSlowdown = 1.5
+	// meanSlowdownWeight makes the mean slowness of a service cover about 64 answers.
+	meanSlowdownWeight = 1.0 / 64
+	// coldSlowdown is the slowness assumed of upstreams that say that they have just
 	// started, as caches and compiled code fill up.
-	coldSlow = 2.0
-	// maxFailing bounds how far failures count against an upstream, so that a
+	coldSlowdown = 2.0
+	// maxFailureRate bounds how far failures count against an upstream, so that a
 	// trial now and then finds out when they have ended.
-	maxFailing = 0.95
-	// spareShare is the share of the slots that is filled: servers slow down near
+	maxFailureRate = 0.95
+	// maxUtilization is the share of the slots that is filled: servers slow down near
 	// saturation.
-	spareShare = 0.8
-	// saturatedSlow is how many times longer requests take on all slots of an
+	maxUtilization = 0.8
+	// saturatedSlowdown is how many times longer requests take on all slots of an
 	// upstream that slows down near saturation, as recorded of services with 6 of
 	// them: 1.7 times.
-	saturatedSlow = 1.7
+	saturatedSlowdown = 1.7
 )
 
 // LimitOf returns how many requests may run at once in an upstream with the
@@ -50,80 +50,80 @@
 // With 2 slots an upstream gets more done when both are busy than when it stays clear
 // of saturation, with 3 and more it does not.
 func LimitOf(slots int) int {
-	spare := int(math.Ceil(float64(slots)*spareShare)) - 1
-	if float64(slots)/saturatedSlow > float64(spare) {
+	reduced := int(math.Ceil(float64(slots)*maxUtilization)) - 1
+	if float64(slots)/saturatedSlowdown > float64(reduced) {
 		return max(slots, 1)
 	}
-	return spare
+	return reduced
 }
 
 // Expected returns the time until a request of the given work ends at an upstream
 // with this load, when ahead others are there. Slow is the slowness to assume.
-func Expected(work time.Duration, slow float64, ahead, limit int, failing float64) time.Duration {
-	run := float64(work) * slow
+func Expected(work time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
+	run := float64(work) * slowdown
 	wait := 0.0
 	if over := ahead + 1 - limit; over > 0 {
 		wait = float64(over) * run / float64(limit)
 	}
-	return time.Duration((run + wait) / (1 - min(failing, maxFailing)))
+	return time.Duration((run + wait) / (1 - min(failureRate, maxFailureRate)))
 }
 
-// faded returns the share of a figure that is left after an age.
-func faded(age time.Duration) float64 {
-	return math.Exp2(-float64(max(age, 0)) / float64(fade))
+// loadDecay returns the share of a figure that is left after an age.
+func loadDecay(age time.Duration) float64 {
+	return math.Exp2(-float64(max(age, 0)) / float64(loadHalfLife))
 }
 
 // view is what an entry holds of one upstream.
 type view struct {
-	up Upstream
+	upstream Upstream
 	// load was taken at loadAt; known tells whether there is any.
-	load   Load
-	loadAt model.Instant
-	known  bool
-	// mine counts the requests this entry has there now, and mineThen those it
+	load    Load
+	loadAt  model.Instant
+	hasLoad bool
+	// inFlight counts the requests this entry has there now, and mineThen those it
 	// had when load was taken.
-	mine     int
-	mineThen int
-	// others is the mean number of requests that others have there.
-	others float64
-	// avoidUntil is until when it is passed over after it could not be reached.
-	avoidUntil model.Instant
+	inFlight       int
+	inFlightAtLoad int
+	// meanOthers is the mean number of requests that meanOthers have there.
+	meanOthers float64
+	// unreachableUntil is until when it is passed over after it could not be reached.
+	unreachableUntil model.Instant
 }
 
-// slow returns the slowness to expect now.
-func (v *view) slow(now model.Instant, mean float64) float64 {
-	slow := mean
-	if v.known && v.load.Slow > 0 {
-		keep := faded(now.Sub(v.loadAt) + v.load.SlowAge)
-		slow = mean + (v.load.Slow-mean)*keep
+// slowdown returns the slowness to expect now.
+func (v *view) slowdown(now model.Instant, mean float64) float64 {
+	slowdown := mean
+	if v.hasLoad && v.load.Slow > 0 {
+		keep := loadDecay(now.Sub(v.loadAt) + v.load.SlowAge)
+		slowdown = mean + (v.load.Slow-mean)*keep
 	}
-	if v.up.ColdUntil > now {
-		slow = max(slow, coldSlow)
+	if v.upstream.ColdUntil > now {
+		slowdown = max(slowdown, coldSlowdown)
 	}
-	return slow
+	return slowdown
 }
 
-// ahead returns how many requests are expected there now.
-func (v *view) ahead(now model.Instant) int {
-	if !v.known {
-		return v.mine
+// expectedRequests returns how many requests are expected there now.
+func (v *view) expectedRequests(now model.Instant) int {
+	if !v.hasLoad {
+		return v.inFlight
 	}
-	keep := faded(now.Sub(v.loadAt))
-	then := max(float64(v.load.Running+v.load.Waiting-v.mineThen), 0)
-	return v.mine + int(math.Round(v.others+(then-v.others)*keep))
+	keep := loadDecay(now.Sub(v.loadAt))
+	othersAtLoad := max(float64(v.load.Running+v.load.Waiting-v.inFlightAtLoad), 0)
+	return v.inFlight + int(math.Round(v.meanOthers+(othersAtLoad-v.meanOthers)*keep))
 }
 
 func (v *view) limit() int {
-	if v.known && v.load.Limit > 0 {
+	if v.hasLoad && v.load.Limit > 0 {
 		return v.load.Limit
 	}
-	return LimitOf(v.up.Slots)
+	return LimitOf(v.upstream.Slots)
 }
 
-// failing returns the share of failures to expect.
-func (v *view) failing(now model.Instant) float64 {
-	if !v.known {
+// failureRate returns the share of failures to expect.
+func (v *view) failureRate(now model.Instant) float64 {
+	if !v.hasLoad {
 		return 0
 	}
-	return v.load.Failing * trusted(now.Sub(v.loadAt))
+	return v.load.Failing * failureDecay(now.Sub(v.loadAt))
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -17,10 +17,10 @@
 func at(ms int) model.Instant { return model.Instant(0).Add(time.Duration(ms) * time.Millisecond) }
 
 // fixed draws the middle, so that choices are the same every time.
-func fixed() float64 { return 0.5 }
+func midpoint() float64 { return 0.5 }
 
 func newPlacer(zones ...model.AvailabilityZone) *Placer {
-	p := New(Options{Zone: "own", Rand: fixed})
+	p := New(Options{Zone: "own", Rand: midpoint})
 	var ups []Upstream
 	for i, z := range zones {
 		ups = append(ups, Upstream{Key: string(rune('a' + i)), Zone: z, Slots: 6})
@@ -48,7 +48,7 @@
 
 // TestSlowNowIsLeft answers upstreams that share their VM: four times slower for
 // some hundred milliseconds, a quarter of them at any moment.
-func TestSlowNowIsLeft(t *testing.T) {
+func TestSlowUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", idle(4))
 	p.Learn(at(0), "b", idle(1))
@@ -57,7 +57,7 @@
 
 // TestSlownessFades answers the same load a second later: what was known then is
 // worth nothing, so the one with fewer requests wins.
-func TestSlownessFades(t *testing.T) {
+func TestOldSlowdownIsForgotten(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", idle(4))
 	p.Learn(at(0), "b", idle(1))
@@ -70,7 +70,7 @@
 }
 
 // TestFullIsLeft counts what this entry has sent since it last heard.
-func TestFullIsLeft(t *testing.T) {
+func TestFullUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", idle(1))
 	p.Learn(at(0), "b", idle(1.2))
@@ -81,7 +81,7 @@
 	require.Equal(t, map[string]int{"a": 4, "b": 4}, got)
 }
 
-func TestZones(t *testing.T) {
+func TestLocalZoneIsPreferred(t *testing.T) {
 	for name, c := range map[string]struct {
 		own, other Load
 		want       string
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestCrossingMustGain(t *testing.T) {
+func TestSmallGainDoesNotCrossZones(t *testing.T) {
 	p := newPlacer("own", "other")
 	p.Learn(at(0), "a", idle(1.2))
 	p.Learn(at(0), "b", idle(1))
@@ -112,7 +112,7 @@
 // TestWayThereCounts answers deployments over regions: of two zones that would do, the
 // one in the own region gets the request, though its upstream is a little slower, and a
 // guard hears how long going elsewhere takes with the way there.
-func TestWayThereCounts(t *testing.T) {
+func TestRoundTripTimeCounts(t *testing.T) {
 	const near, far = 3 * time.Millisecond, 45 * time.Millisecond
 	p := newPlacer("own", "region", "abroad")
 	p.Learn(at(0), "a", Load{Running: 4, Waiting: 30, Limit: 4, Slow: 1})
@@ -134,23 +134,23 @@
 
 // TestShortestTripCounts keeps out the answers that waited for a processor, and still
 // learns of a way that has become longer.
-func TestShortestTripCounts(t *testing.T) {
+func TestShortestRoundTripCounts(t *testing.T) {
 	p := newPlacer("own")
 	p.Learn(at(0), "a", idle(1))
 	for _, took := range []time.Duration{40, 20, 30} {
 		p.Trip("a", took*time.Millisecond)
 	}
-	require.InDelta(t, 20, trip(t, p), 0.5)
+	require.InDelta(t, 20, roundTripMS(t, p), 0.5)
 	for range 500 {
 		p.Trip("a", 40*time.Millisecond)
 	}
-	require.InDelta(t, 40, trip(t, p), 0.5)
+	require.InDelta(t, 40, roundTripMS(t, p), 0.5)
 	p.Trip("gone", time.Second)
-	require.InDelta(t, 40, trip(t, p), 0.5)
+	require.InDelta(t, 40, roundTripMS(t, p), 0.5)
 }
 
 // trip returns the milliseconds of the way to the only upstream, which is idle.
-func trip(t *testing.T, p *Placer) float64 {
+func roundTripMS(t *testing.T, p *Placer) float64 {
 	c := choose(t, p, at(0))
 	p.Done(at(0), "a", nil)
 	return float64(c.Expected-work) / float64(time.Millisecond)
@@ -158,14 +158,14 @@
 
 // TestFailingFastDoesNotLookIdle answers an upstream that fails every request at
 // once and so never has any.
-func TestFailingFastDoesNotLookIdle(t *testing.T) {
+func TestFastFailingUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", Load{Limit: 4, Slow: 1, Failing: 0.9})
 	p.Learn(at(0), "b", Load{Running: 4, Waiting: 2, Limit: 4, Slow: 1})
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
-func TestFailingIsTriedAgain(t *testing.T) {
+func TestFailingUpstreamIsTriedAgain(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", Load{Limit: 4, Slow: 1, Failing: 1})
 	p.Learn(at(0), "b", Load{Running: 4, Waiting: 4, Limit: 4, Slow: 1})
@@ -173,13 +173,13 @@
 	require.Equal(t, "a", choose(t, p, at(20_001)).Upstream.Key)
 }
 
-func TestColdIsLeft(t *testing.T) {
+func TestColdUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Set([]Upstream{{Key: "a", Zone: "own", Slots: 6, ColdUntil: at(3000)}, {Key: "b", Zone: "own", Slots: 6}})
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
-func TestUnreachableUnlessLast(t *testing.T) {
+func TestUnreachableUpstreamIsLastResort(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Unreachable(at(0), "a")
 	for range 5 {
@@ -192,13 +192,13 @@
 	require.Equal(t, "a", choose(t, p, at(5)).Upstream.Key)
 }
 
-func TestExcludeAll(t *testing.T) {
+func TestChooseWithAllExcluded(t *testing.T) {
 	p := newPlacer("own")
 	_, ok := p.Choose(at(0), Ask{Work: work, Exclude: func(Upstream) bool { return true }})
 	require.False(t, ok)
 }
 
-func TestToAsk(t *testing.T) {
+func TestProbeTargets(t *testing.T) {
 	p := newPlacer("own", "own", "own", "other", "other")
 	p.Learn(at(0), "a", idle(1))
 	near := p.ToAsk(at(1), Ask{Work: work}, true, 15*time.Millisecond, 4)
@@ -211,7 +211,7 @@
 	require.Len(t, p.ToAsk(at(101), Ask{Work: work}, true, 15*time.Millisecond, 4), 2)
 }
 
-func TestKnowledgeOutlivesMembership(t *testing.T) {
+func TestLoadsSurviveMembershipChange(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", idle(4))
 	p.Set([]Upstream{{Key: "a", Zone: "own", Slots: 6}, {Key: "c", Zone: "own", Slots: 6}})
@@ -220,7 +220,7 @@
 	require.Equal(t, 2, p.Len())
 }
 
-func TestComfortable(t *testing.T) {
+func TestLocalMeetsTarget(t *testing.T) {
 	p := newPlacer("own", "other")
 	p.Learn(at(0), "a", idle(1))
 	require.True(t, p.Comfortable(at(1), Ask{Work: work, Target: target}))
@@ -230,8 +230,8 @@
 
 // TestStoppingServeWhereNoOtherCan answers a service whose last upstream has a daemon that
 // is about to stop: refusing its requests meanwhile would help nobody.
-func TestStoppingServeWhereNoOtherCan(t *testing.T) {
-	p := New(Options{Zone: "own", Rand: fixed})
+func TestStoppingUpstreamIsLastResort(t *testing.T) {
+	p := New(Options{Zone: "own", Rand: midpoint})
 	stopping := Upstream{Key: "a", Zone: "own", Slots: 6, Stopping: true}
 	busy := Upstream{Key: "b", Zone: "far", Slots: 6}
 	p.Set([]Upstream{stopping, busy})
@@ -250,7 +250,7 @@
 
 // TestFullServiceIsNotAskedOnAndOn answers a burst that fills a service: a guard had no
 // room, and the next choice would be late too.
-func TestFullServiceIsNotAskedOnAndOn(t *testing.T) {
+func TestMissesTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		full             int
 		expected, target time.Duration
@@ -271,7 +271,7 @@
 
 // TestUnservable has a request known to end past its deadline wherever it goes, although
 // slots are free, refused by the entry: no guard would.
-func TestUnservable(t *testing.T) {
+func TestMissesDeadline(t *testing.T) {
 	const slow, left = 20, time.Second
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", idle(slow))
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -29,30 +29,30 @@
 type Options struct {
 	// Zone is the own availability zone.
 	Zone model.AvailabilityZone
-	// Crossing is the price of crossing into another zone as the time that an
+	// CrossZonePenalty is the price of crossing into another zone as the time that an
 	// upstream there must be faster. Default: DefaultCrossing.
-	Crossing time.Duration
+	CrossZonePenalty time.Duration
 	// Rand draws from 0 to 1. Default: rand.Float64.
 	Rand func() float64
 }
 
 const (
-	// DefaultCrossing is a few round trips between zones: below that a crossing
+	// DefaultCrossZonePenalty is a few round trips between zones: below that a crossing
 	// gains callers nothing.
-	DefaultCrossing = 40 * time.Millisecond
-	// comfort is the share of the target latency within which an upstream of the
+	DefaultCrossZonePenalty = 40 * time.Millisecond
+	// targetShare is the share of the target latency within which an upstream of the
 	// own zone is good enough.
-	comfort = 0.85
+	targetShare = 0.85
 	// jitter spreads the choices of entries that know the same.
 	jitter = 0.1
-	// avoidance is how long an upstream is passed over after it could not be
+	// unreachablePause is how long an upstream is passed over after it could not be
 	// reached. Its daemon is usually back within a second or two.
-	avoidance = 300 * time.Millisecond
-	// askJitter spreads whom entries ask that know the same.
-	askJitter = 0.5
-	// tripForgets makes a way that has become longer known within a few hundred
+	unreachablePause = 300 * time.Millisecond
+	// queryJitter spreads whom entries ask that know the same.
+	queryJitter = 0.5
+	// rttSmoothing makes a way that has become longer known within a few hundred
 	// questions, less than a second of a loaded entry.
-	tripForgets = 64
+	rttSmoothing = 64
 	// othersWeight makes the mean load by others cover about 8 answers.
 	othersWeight = 1.0 / 8
 )
@@ -82,37 +82,37 @@
 // than sent where it was chosen to go: it would miss the target, of which so much time is
 // left, and take room there from others that would not. Its caller does better to come
 // back. Zero means that there is no target.
-func (c *Choice) OutOfReach(full int, target time.Duration) bool {
-	return full > 0 && target != 0 && c.Expected > target
+func (c *Choice) OutOfReach(fullGuards int, left time.Duration) bool {
+	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
 // Unservable reports whether a request is known to end past its deadline, of which so much
 // time is left, wherever it is sent. A guard with a free slot would run it all the same and
 // keep its caller waiting.
 func (c *Choice) Unservable(left time.Duration) bool {
-	return c.Age < surelyFull && c.Expected > left
+	return c.Age < maxRefusalAge && c.Expected > left
 }
 
 // Placer chooses among the upstreams of one service. It is not safe for
 // concurrent use.
 type Placer struct {
-	opts  Options
-	views map[string]*view
-	order []*view
-	mean  float64
-	// trips are the times to the guards of each zone and back.
-	trips map[model.AvailabilityZone]time.Duration
+	opts         Options
+	views        map[string]*view
+	order        []*view
+	meanSlowdown float64
+	// roundTrips are the times to the guards of each zone and back.
+	roundTrips map[model.AvailabilityZone]time.Duration
 }
 
 // New returns a Placer without upstreams.
 func New(opts Options) *Placer {
-	if opts.Crossing <= 0 {
-		opts.Crossing = DefaultCrossing
+	if opts.CrossZonePenalty <= 0 {
+		opts.CrossZonePenalty = DefaultCrossZonePenalty
 	}
 	if opts.Rand == nil {
 		opts.Rand = rand.Float64
 	}
-	return &Placer{opts: opts, views: make(map[string]*view), mean: usualSlow, trips: make(map[model.AvailabilityZone]time.Duration)}
+	return &Placer{opts: opts, views: make(map[string]*view), meanSlowdown: initialSlowdown, roundTrips: make(map[model.AvailabilityZone]time.Duration)}
 }
 
 // Set replaces the candidates. What is known of those that stay is kept.
@@ -124,7 +124,7 @@
 		if v == nil {
 			v = &view{}
 		}
-		v.up = up
+		v.upstream = up
 		views[up.Key] = v
 		p.order = append(p.order, v)
 	}
@@ -138,50 +138,50 @@
 func (p *Placer) Outstanding() int {
 	n := 0
 	for _, v := range p.order {
-		n += v.mine
+		n += v.inFlight
 	}
 	return n
 }
 
 // Mean returns the mean slowness of the service.
-func (p *Placer) Mean() float64 { return p.mean }
+func (p *Placer) Mean() float64 { return p.meanSlowdown }
 
 // ToAsk returns up to most upstreams, of the own zone or of the others, whose
 // load is not known from within the last maxAge. Those are first that are expected
 // to be fastest, but for one that is drawn.
-func (p *Placer) ToAsk(now model.Instant, ask Ask, near bool, maxAge time.Duration, most int) []Upstream {
+func (p *Placer) ToAsk(now model.Instant, req Ask, local bool, maxAge time.Duration, n int) []Upstream {
 	var stale []rated
 	for _, v := range p.order {
-		if (v.up.Zone == p.opts.Zone) != near || !readily.takes(v, now) {
+		if (v.upstream.Zone == p.opts.Zone) != local || !preferredOnly.allows(v, now) {
 			continue
 		}
-		if ask.Exclude != nil && ask.Exclude(v.up) || v.known && now.Sub(v.loadAt) < maxAge {
+		if req.Exclude != nil && req.Exclude(v.upstream) || v.hasLoad && now.Sub(v.loadAt) < maxAge {
 			continue
 		}
-		t := p.expected(now, ask, v)
-		stale = append(stale, rated{view: v, time: t, score: time.Duration(float64(t) * (1 + askJitter*p.opts.Rand()))})
+		t := p.expected(now, req, v)
+		stale = append(stale, rated{view: v, time: t, score: time.Duration(float64(t) * (1 + queryJitter*p.opts.Rand()))})
 	}
 	slices.SortFunc(stale, func(a, b rated) int { return cmp.Compare(a.score, b.score) })
-	if len(stale) > most {
-		drawn := most - 1 + int(p.opts.Rand()*float64(len(stale)-most+1))
-		stale[most-1] = stale[min(drawn, len(stale)-1)]
-		stale = stale[:most]
+	if len(stale) > n {
+		drawn := n - 1 + int(p.opts.Rand()*float64(len(stale)-n+1))
+		stale[n-1] = stale[min(drawn, len(stale)-1)]
+		stale = stale[:n]
 	}
 	ups := make([]Upstream, len(stale))
 	for i := range stale {
-		ups[i] = stale[i].view.up
+		ups[i] = stale[i].view.upstream
 	}
 	return ups
 }
 
 // Comfortable reports whether an upstream of the own zone is expected to answer
 // well inside the target.
-func (p *Placer) Comfortable(now model.Instant, ask Ask) bool {
-	_, _, near := p.rank(now, ask, readily)
-	if near.view == nil {
+func (p *Placer) Comfortable(now model.Instant, req Ask) bool {
+	_, _, bestLocal := p.rank(now, req, preferredOnly)
+	if bestLocal.view == nil {
 		return false
 	}
-	return ask.Target <= 0 || near.time < time.Duration(comfort*float64(ask.Target))
+	return req.Target <= 0 || bestLocal.time < time.Duration(targetShare*float64(req.Target))
 }
 
 // Learn takes in the load of an upstream.
@@ -193,24 +193,24 @@
 
 // Choose returns the upstream for a request and counts it as sent there; Done
 // must follow. It reports false when every candidate is excluded.
-func (p *Placer) Choose(now model.Instant, ask Ask) (Choice, bool) {
-	var best, second, near rated
-	for r := readily; r <= evenAvoided && best.view == nil; r++ {
-		best, second, near = p.rank(now, ask, r)
+func (p *Placer) Choose(now model.Instant, req Ask) (Choice, bool) {
+	var best, second, bestLocal rated
+	for e := preferredOnly; e <= includeUnreachable && best.view == nil; e++ {
+		best, second, bestLocal = p.rank(now, req, e)
 	}
 	if best.view == nil {
 		return Choice{}, false
 	}
 	pick, other := best, second
-	if near.view != nil && near.view != best.view && ask.Target > 0 && near.time < time.Duration(comfort*float64(ask.Target)) {
-		pick, other = near, best
+	if bestLocal.view != nil && bestLocal.view != best.view && req.Target > 0 && bestLocal.time < time.Duration(targetShare*float64(req.Target)) {
+		pick, other = bestLocal, best
 	}
-	pick.view.mine++
+	pick.view.inFlight++
 	age := now.Sub(pick.view.loadAt)
-	if !pick.view.known {
+	if !pick.view.hasLoad {
 		age = math.MaxInt64
 	}
-	return Choice{Upstream: pick.view.up, Expected: pick.time, Alternative: other.time, Age: age}, true
+	return Choice{Upstream: pick.view.upstream, Expected: pick.time, Alternative: other.time, Age: age}, true
 }
 
 // rated is a candidate with its expected time.
@@ -221,44 +221,44 @@
 }
 
 // reluctance orders the candidates that are taken only where there is no better one.
-type reluctance uint8
+type eligibility uint8
 
 const (
 	// readily takes those that can be reached and are to stay.
-	readily reluctance = iota
+	preferredOnly eligibility = iota
 	// evenStopping takes those too whose daemons are about to stop: they serve until
 	// they refuse.
-	evenStopping
+	includeStopping
 	// evenAvoided takes all, also those that could not be reached of late.
-	evenAvoided
+	includeUnreachable
 )
 
 // takes reports whether a candidate is taken.
-func (r reluctance) takes(v *view, now model.Instant) bool {
+func (r eligibility) allows(v *view, now model.Instant) bool {
 	switch r {
-	case readily:
-		return v.avoidUntil <= now && !v.up.Stopping
-	case evenStopping:
-		return v.avoidUntil <= now
+	case preferredOnly:
+		return v.unreachableUntil <= now && !v.upstream.Stopping
+	case includeStopping:
+		return v.unreachableUntil <= now
 	default:
 		return true
 	}
 }
 
 // rank returns the best candidate, the second best, and the best of the own zone.
-func (p *Placer) rank(now model.Instant, ask Ask, r reluctance) (best, second, near rated) {
+func (p *Placer) rank(now model.Instant, req Ask, r eligibility) (best, second, bestLocal rated) {
 	for _, v := range p.order {
-		if !r.takes(v, now) {
+		if !r.allows(v, now) {
 			continue
 		}
-		if ask.Exclude != nil && ask.Exclude(v.up) {
+		if req.Exclude != nil && req.Exclude(v.upstream) {
 			continue
 		}
-		t := p.expected(now, ask, v)
+		t := p.expected(now, req, v)
 		r := rated{view: v, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
-		local := v.up.Zone == p.opts.Zone
+		local := v.upstream.Zone == p.opts.Zone
 		if !local {
-			r.score += p.opts.Crossing
+			r.score += p.opts.CrossZonePenalty
 		}
 		switch {
 		case best.view == nil || r.score < best.score:
@@ -266,17 +266,17 @@
 		case second.view == nil || r.score < second.score:
 			second = r
 		}
-		if local && (near.view == nil || r.score < near.score) {
-			near = r
+		if local && (bestLocal.view == nil || r.score < bestLocal.score) {
+			bestLocal = r
 		}
 	}
-	return best, second, near
+	return best, second, bestLocal
 }
 
 // expected returns the time until the request would end at an upstream, with the way
 // there and back.
-func (p *Placer) expected(now model.Instant, ask Ask, v *view) time.Duration {
-	return p.trips[v.up.Zone] + Expected(ask.Work, v.slow(now, p.mean), v.ahead(now), v.limit(), v.failing(now))
+func (p *Placer) expected(now model.Instant, req Ask, v *view) time.Duration {
+	return p.roundTrips[v.upstream.Zone] + Expected(req.Work, v.slowdown(now, p.meanSlowdown), v.expectedRequests(now), v.limit(), v.failureRate(now))
 }
 
 // Trip takes in how long a question to the guard of an upstream and its answer took.
@@ -286,19 +286,19 @@
 	if v == nil {
 		return
 	}
-	trip, known := p.trips[v.up.Zone]
-	if known && took > trip {
-		took = trip + (took-trip)/tripForgets
+	rtt, exists := p.roundTrips[v.upstream.Zone]
+	if exists && took > rtt {
+		took = rtt + (took-rtt)/rttSmoothing
 	}
-	p.trips[v.up.Zone] = took
+	p.roundTrips[v.upstream.Zone] = took
 }
 
 // Beyond returns the zones whose guards are known to answer only after a wait. Usually
 // there is none, and the result is nil.
-func (p *Placer) Beyond(wait time.Duration) map[model.AvailabilityZone]bool {
+func (p *Placer) Beyond(rtt time.Duration) map[model.AvailabilityZone]bool {
 	var far map[model.AvailabilityZone]bool
-	for z, trip := range p.trips {
-		if trip <= wait {
+	for z, known := range p.roundTrips {
+		if known <= rtt {
 			continue
 		}
 		if far == nil {
@@ -315,7 +315,7 @@
 	if v == nil {
 		return
 	}
-	v.mine = max(v.mine-1, 0)
+	v.inFlight = max(v.inFlight-1, 0)
 	if load == nil {
 		return
 	}
@@ -323,18 +323,18 @@
 }
 
 func (p *Placer) learn(now model.Instant, v *view, load Load) {
-	v.load, v.loadAt, v.known, v.mineThen = load, now, true, v.mine
-	v.avoidUntil = 0
-	others := max(float64(load.Running+load.Waiting-v.mine), 0)
-	v.others += (others - v.others) * othersWeight
+	v.load, v.loadAt, v.hasLoad, v.inFlightAtLoad = load, now, true, v.inFlight
+	v.unreachableUntil = 0
+	others := max(float64(load.Running+load.Waiting-v.inFlight), 0)
+	v.meanOthers += (others - v.meanOthers) * othersWeight
 	if load.Slow > 0 {
-		p.mean += (load.Slow - p.mean) * meanWeight
+		p.meanSlowdown += (load.Slow - p.meanSlowdown) * meanSlowdownWeight
 	}
 }
 
 // Unreachable passes an upstream over for a while, unless it is the last.
 func (p *Placer) Unreachable(now model.Instant, key string) {
 	if v := p.views[key]; v != nil {
-		v.avoidUntil = now.Add(avoidance)
+		v.unreachableUntil = now.Add(unreachablePause)
 	}
 }
