--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -9,15 +9,15 @@
 
 const (
 	// reserve is the number of tokens that a new Budget holds.
-	reserve = 10
+	initialTokens = 10
 	// saved is the largest number of tokens.
-	saved = 50
+	maxTokens = 50
 	// halfLife is the age at which an attempt counts half.
 	halfLife = time.Second
 	// stormShare is the share of failed attempts above which retrying is off,
 	// stormAttempts the number of recent attempts needed to tell.
-	stormShare    = 0.5
-	stormAttempts = 20
+	maxFailureRate = 0.5
+	minAttempts    = 20
 )
 
 // Verdict is the answer to a wish to retry.
@@ -57,15 +57,15 @@
 	share  float64
 	tokens float64
 	// attempts and failures are recent counts that halve every halfLife.
-	attempts float64
-	failures float64
-	at       model.Instant
+	attempts  float64
+	failures  float64
+	decayedAt model.Instant
 }
 
 // NewBudget returns a Budget that allows the share of requests, 0 to 1, to be
 // followed by a retry.
 func NewBudget(share float64) *Budget {
-	b := &Budget{tokens: reserve}
+	b := &Budget{tokens: initialTokens}
 	b.SetShare(share)
 	return b
 }
@@ -79,7 +79,7 @@
 }
 
 // Request counts a request, not its retries.
-func (b *Budget) Request() { b.tokens = min(b.tokens+b.share, saved) }
+func (b *Budget) Request() { b.tokens = min(b.tokens+b.share, maxTokens) }
 
 // Attempt counts how an attempt ended, retries among them.
 func (b *Budget) Attempt(now model.Instant, failed bool) {
@@ -93,7 +93,7 @@
 // Allow takes a token for a retry, if there is one.
 func (b *Budget) Allow(now model.Instant) Verdict {
 	b.decay(now)
-	if b.attempts >= stormAttempts && b.failures > stormShare*b.attempts {
+	if b.attempts >= minAttempts && b.failures > maxFailureRate*b.attempts {
 		return Storm
 	}
 	if b.tokens < 1 {
@@ -104,11 +104,11 @@
 }
 
 func (b *Budget) decay(now model.Instant) {
-	if now <= b.at {
+	if now <= b.decayedAt {
 		return
 	}
-	left := math.Exp2(-float64(now.Sub(b.at)) / float64(halfLife))
-	b.attempts *= left
-	b.failures *= left
-	b.at = now
+	remaining := math.Exp2(-float64(now.Sub(b.decayedAt)) / float64(halfLife))
+	b.attempts *= remaining
+	b.failures *= remaining
+	b.decayedAt = now
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,17 +11,17 @@
 )
 
 // TestRetriesStayWithinTheShare plays any mix of requests and failures.
-func TestRetriesStayWithinTheShare(t *testing.T) {
+func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
-		failing := rapid.Float64Range(0, 1).Draw(t, "failing")
+		failureRate := rapid.Float64Range(0, 1).Draw(t, "failing")
 		b := NewBudget(share)
 		requests, retries := 0.0, 0.0
 		for i := range rapid.IntRange(1, 2000).Draw(t, "requests") {
 			now := model.Instant(i) * model.Instant(time.Millisecond)
 			b.Request()
 			requests++
-			failed := rapid.Float64Range(0, 1).Draw(t, "luck") < failing
+			failed := rapid.Float64Range(0, 1).Draw(t, "luck") < failureRate
 			b.Attempt(now, failed)
 			for failed && b.Allow(now) == Allowed {
 				retries++
@@ -29,14 +29,14 @@
 				b.Attempt(now, failed)
 			}
 		}
-		require.LessOrEqual(t, retries, share*requests+reserve)
+		require.LessOrEqual(t, retries, share*requests+initialTokens)
 	})
 }
 
-func TestBudgetIsOffInAStorm(t *testing.T) {
+func TestNoRetriesWhileMostAttemptsFail(t *testing.T) {
 	b := NewBudget(1)
 	now := model.Instant(0)
-	for range stormAttempts - 1 {
+	for range minAttempts - 1 {
 		b.Request()
 		b.Attempt(now, true)
 		require.Equal(t, Allowed, b.Allow(now), "too few attempts to tell")
@@ -86,7 +86,7 @@
 }
 
 // TestAdviceIsSpread has callers that are refused together told times around the one meant.
-func TestAdviceIsSpread(t *testing.T) {
+func TestRetryAfterIsJittered(t *testing.T) {
 	const after = 100 * time.Millisecond
 	first, last := Advice(after, 0), Advice(after, 0.999)
 	require.Less(t, first, after*4/5)
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-func TestWindowLeft(t *testing.T) {
+func TestWindowRemaining(t *testing.T) {
 	w := NewWindow(10*time.Second, 0.2, 5)
 	now := model.Instant(0).Add(time.Minute)
 	require.InDelta(t, 5, w.Left(now), 1e-9)
@@ -28,7 +28,7 @@
 
 // TestWindowKeepsTheSharedBudget has some daemons take re-sends as they can, at
 // any times, and holds every span of all of them together to the whole budget.
-func TestWindowKeepsTheSharedBudget(t *testing.T) {
+func TestWindowsTogetherStayWithinTheBudget(t *testing.T) {
 	const (
 		span  = 10 * time.Second
 		ratio = 0.2
@@ -52,7 +52,7 @@
 				resends = append(resends, now)
 			}
 		}
-		within := func(at []model.Instant, from, to model.Instant) (n float64) {
+		countBetween := func(at []model.Instant, from, to model.Instant) (n float64) {
 			for _, i := range at {
 				if i >= from && i <= to {
 					n++
@@ -63,8 +63,8 @@
 		for _, end := range resends {
 			from := end.Add(-span)
 			// Requests may count from up to one part of the span earlier.
-			allowed := ratio*within(requests, from.Add(-span/windowParts), end) + slack
-			require.LessOrEqual(t, within(resends, from, end), allowed+1e-6)
+			allowed := ratio*countBetween(requests, from.Add(-span/windowBuckets), end) + slack
+			require.LessOrEqual(t, countBetween(resends, from, end), allowed+1e-6)
 		}
 	})
 }
