--- a/core/measure/measure_test.go
+++ b/core/measure/measure_test.go
@@ -14,10 +14,10 @@
 const ms = time.Millisecond
 
 // booking is what one measurement cost in the end, at the instant it began.
-type booking struct {
-	at     model.Instant
-	price  time.Duration
-	settle *Reservation
+type charge struct {
+	at          model.Instant
+	slotTime    time.Duration
+	reservation *Reservation
 }
 
 func drawCost(t *rapid.T) Cost {
@@ -34,36 +34,36 @@
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 0.2).Draw(t, "share")
 		slots := rapid.IntRange(1, 12).Draw(t, "slots")
-		l := NewLedger(0, Options{Share: share, Slots: slots})
+		l := NewBudget(0, Options{Share: share, Slots: slots})
 		now := model.Instant(0)
-		var booked []*booking
+		var charges []*charge
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(50*ms)).Draw(t, "wait")))
-			if len(booked) > 0 && rapid.Bool().Draw(t, "settle") {
-				b := booked[rapid.IntRange(0, len(booked)-1).Draw(t, "which")]
+			if len(charges) > 0 && rapid.Bool().Draw(t, "settle") {
+				b := charges[rapid.IntRange(0, len(charges)-1).Draw(t, "which")]
 				before := l.Spent()
-				l.Settle(now, b.settle, drawCost(t))
-				b.price -= before - l.Spent()
+				l.Settle(now, b.reservation, drawCost(t))
+				b.slotTime -= before - l.Spent()
 				continue
 			}
-			most := drawCost(t)
-			if r, ok := l.Reserve(now, most); ok {
-				booked = append(booked, &booking{now, l.price(most), &r})
+			maxCost := drawCost(t)
+			if r, ok := l.Reserve(now, maxCost); ok {
+				charges = append(charges, &charge{now, l.slotTime(maxCost), &r})
 			}
 		}
-		for i := range booked {
+		for i := range charges {
 			sum := time.Duration(0)
-			for _, b := range booked[i:] {
-				sum += b.price
-				budget := float64(b.at.Sub(booked[i].at)) * share * float64(slots)
+			for _, b := range charges[i:] {
+				sum += b.slotTime
+				budget := float64(b.at.Sub(charges[i].at)) * share * float64(slots)
 				require.LessOrEqual(t, float64(sum), budget+float64(l.Burst())+1)
 			}
 		}
 	})
 }
 
-func TestLedger(t *testing.T) {
-	l := NewLedger(0, Options{Share: 0.01, Slots: 6, Burst: 11 * ms})
+func TestBudget(t *testing.T) {
+	l := NewBudget(0, Options{Share: 0.01, Slots: 6, Burst: 11 * ms})
 	r, ok := l.Reserve(0, Cost{SlotTime: 9 * ms, Connections: 1, Bytes: 1000})
 	require.True(t, ok, "9 ms, a connection of 1 ms and 10 µs of bytes fit into the burst")
 	_, ok = l.Reserve(0, Cost{SlotTime: ms})
@@ -85,30 +85,30 @@
 
 func TestTrust(t *testing.T) {
 	cases := map[string]struct {
-		report Report
-		seen   Seen
-		extra  int
-		counts Counts
+		report   Report
+		observed Observation
+		external int
+		counts   Counts
 	}{
-		"late but true":            {Report{Running: 3}, Seen{Fewest: 2, Most: 5}, 0, Counts{Agreed: 100}},
-		"lies low":                 {Report{Running: 0}, Seen{Fewest: 4, Most: 6}, 0, Counts{Contradicted: 100}},
-		"lies high":                {Report{Running: 60}, Seen{Fewest: 4, Most: 6}, 0, Counts{Unsupported: 100}},
-		"other work, and it shows": {Report{Running: 8}, Seen{Fewest: 4, Most: 6, Slowed: true}, 2, Counts{Agreed: 100}},
-		"never takes itself out":   {Report{Running: 60}, Seen{Fewest: 4, Most: 6, Slowed: true}, 3, Counts{Agreed: 100}},
+		"late but true":            {Report{Running: 3}, Observation{MinRunning: 2, MaxRunning: 5}, 0, Counts{Agreed: 100}},
+		"lies low":                 {Report{Running: 0}, Observation{MinRunning: 4, MaxRunning: 6}, 0, Counts{Contradicted: 100}},
+		"lies high":                {Report{Running: 60}, Observation{MinRunning: 4, MaxRunning: 6}, 0, Counts{Unsupported: 100}},
+		"other work, and it shows": {Report{Running: 8}, Observation{MinRunning: 4, MaxRunning: 6, Slowed: true}, 2, Counts{Agreed: 100}},
+		"never takes itself out":   {Report{Running: 60}, Observation{MinRunning: 4, MaxRunning: 6, Slowed: true}, 3, Counts{Agreed: 100}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			trust := NewTrust()
 			for range 100 {
-				trust.Observe(tc.report, tc.seen)
+				trust.Observe(tc.report, tc.observed)
 			}
-			assert.Equal(t, tc.extra, trust.Extra(6))
+			assert.Equal(t, tc.external, trust.External(6))
 			assert.Equal(t, tc.counts, trust.Counts())
 		})
 	}
 }
 
-func TestScheduleSpendsWhereItInforms(t *testing.T) {
+func TestSchedulePollsMoreOftenOnDiscrepancy(t *testing.T) {
 	var s Schedule
 	assert.Equal(t, 2*time.Second, s.Next(0, false))
 	assert.Equal(t, time.Second, s.Next(0, true))
--- a/core/measure/schedule.go
+++ b/core/measure/schedule.go
@@ -5,28 +5,28 @@
 // Schedule spaces the polls of one upstream.
 type Schedule struct {
 	// Rarely is the interval while nothing surprises. Default: 2s.
-	Rarely time.Duration
+	MaxInterval time.Duration
 	// Often is the shortest interval. Default: 100ms.
-	Often time.Duration
+	MinInterval time.Duration
 }
 
 const (
-	defaultRarely = 2 * time.Second
-	defaultOften  = 100 * time.Millisecond
+	defaultMaxInterval = 2 * time.Second
+	defaultMinInterval = 100 * time.Millisecond
 )
 
 // Next returns the time to the next poll. surprise is Trust.Surprise; slowed is
 // set when requests take clearly longer than usual, which a report may explain.
-func (s Schedule) Next(surprise float64, slowed bool) time.Duration {
-	rarely, often := s.Rarely, s.Often
-	if rarely <= 0 {
-		rarely = defaultRarely
+func (s Schedule) Next(discrepancy float64, slowed bool) time.Duration {
+	longest, shortest := s.MaxInterval, s.MinInterval
+	if longest <= 0 {
+		longest = defaultMaxInterval
 	}
-	if often <= 0 {
-		often = defaultOften
+	if shortest <= 0 {
+		shortest = defaultMinInterval
 	}
 	if slowed {
-		surprise++
+		discrepancy++
 	}
-	return max(time.Duration(float64(rarely)/(1+surprise*surprise)), often)
+	return max(time.Duration(float64(longest)/(1+discrepancy*discrepancy)), shortest)
 }
