--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -21,11 +21,11 @@
 	// busyWindow is the number of requests at the limit that one decision
 	// weighs, quietWindow the number of undisturbed ones remembered, and
 	// quietEnough how many of these a decision needs.
-	busyWindow  = 256
-	quietWindow = 128
-	quietEnough = 64
+	windowSize      = 256
+	uncontendedSize = 128
+	minUncontended  = 64
 	// quantile is compared between the two.
-	quantile = 0.1
+	comparedQuantile = 0.1
 	// shrinkRatio is the ratio of slot times (at the limit to undisturbed) above
 	// which the limit falls, growRatio the one below which it rises.
 	shrinkRatio = 1.5
@@ -33,17 +33,17 @@
 	// crowdedFor is the number of windows in a row above shrinkRatio that lower
 	// the limit, holdFor the number between the two ratios that raise it, so
 	// that a limit lowered by mistake comes back.
-	crowdedFor = 2
-	holdFor    = 8
+	shrinkAfter = 2
+	growAfter   = 8
 	// meanWeight makes the mean slot time cover about 32 requests.
 	meanWeight = 1.0 / 32
 	// usualWeight makes the usual slot time cover about 2048 requests, and
 	// slowedRatio is the ratio of the mean to it from which requests count as
 	// slowed.
-	usualWeight = 1.0 / 2048
-	slowedRatio = 1.5
+	longTermWeight = 1.0 / 2048
+	slowedRatio    = 1.5
 	// failWeight makes the failing share cover about 8 requests.
-	failWeight = 1.0 / 8
+	failureWeight = 1.0 / 8
 	// probeEvery is the number of busy windows without an undisturbed request
 	// after which probeLength requests run at half the limit.
 	probeEvery  = 32
@@ -53,20 +53,20 @@
 // Limiter holds the concurrency limit of one incarnation of an upstream. It is
 // not safe for concurrent use.
 type Limiter struct {
-	opts    Options
-	limit   int
-	quiet   ring
-	busy    [busyWindow]float64
-	nBusy   int
-	service mean
-	usual   mean
-	failing float64
+	opts         Options
+	limit        int
+	uncontended  ring
+	atLimit      [windowSize]float64
+	atLimitCount int
+	recentMean   mean
+	longTermMean mean
+	failureRate  float64
 	// dull counts busy windows since the last undisturbed request, probe the
 	// requests left of a probe.
-	dull  int
-	probe int
+	windowsWithoutUncontended int
+	probeRemaining            int
 	// crowded and held count windows; see move.
-	crowded, held int
+	contendedWindows, stableWindows int
 }
 
 // New returns a Limiter at the announced slots.
@@ -80,7 +80,7 @@
 
 // Limit returns the number of requests that may run at once, at least 1.
 func (l *Limiter) Limit() int {
-	if l.probe > 0 {
+	if l.probeRemaining > 0 {
 		return max(l.limit/2, 1)
 	}
 	return l.limit
@@ -88,101 +88,101 @@
 
 // Observe takes in a request that held a slot for used while running requests,
 // itself among them, ran when it ended.
-func (l *Limiter) Observe(now model.Instant, used time.Duration, running int, failed bool) {
+func (l *Limiter) Observe(now model.Instant, slotTime time.Duration, running int, failed bool) {
 	l.observeFailure(failed)
-	if failed || used <= 0 {
+	if failed || slotTime <= 0 {
 		return
 	}
-	l.service.add(float64(used), meanWeight)
-	l.usual.add(float64(used), usualWeight)
+	l.recentMean.add(float64(slotTime), meanWeight)
+	l.longTermMean.add(float64(slotTime), longTermWeight)
 	if running <= (l.limit+1)/2 {
-		l.quiet.add(float64(used))
-		l.dull = 0
-		l.probe = max(l.probe-1, 0)
+		l.uncontended.add(float64(slotTime))
+		l.windowsWithoutUncontended = 0
+		l.probeRemaining = max(l.probeRemaining-1, 0)
 		return
 	}
-	if running < l.limit || l.probe > 0 {
+	if running < l.limit || l.probeRemaining > 0 {
 		return
 	}
-	l.busy[l.nBusy] = float64(used)
-	l.nBusy++
-	if l.nBusy == busyWindow {
-		l.decide()
+	l.atLimit[l.atLimitCount] = float64(slotTime)
+	l.atLimitCount++
+	if l.atLimitCount == windowSize {
+		l.evaluateWindow()
 	}
 }
 
 // Annotate returns the load with the mean slot time and the failing share
 // filled in.
 func (l *Limiter) Annotate(load model.Load) model.Load {
-	load.Service = time.Duration(l.service.value)
-	load.Failing = float32(l.failing)
+	load.Service = time.Duration(l.recentMean.value)
+	load.Failing = float32(l.failureRate)
 	return load
 }
 
 // Slowed reports whether requests lately take clearly longer than usual.
-func (l *Limiter) Slowed() bool { return l.service.value > slowedRatio*l.usual.value }
+func (l *Limiter) Slowed() bool { return l.recentMean.value > slowedRatio*l.longTermMean.value }
 
 func (l *Limiter) observeFailure(failed bool) {
-	x := 0.0
+	failure := 0.0
 	if failed {
-		x = 1
+		failure = 1
 	}
-	l.failing += (x - l.failing) * failWeight
+	l.failureRate += (failure - l.failureRate) * failureWeight
 }
 
 // decide moves the limit by the busy window just filled.
-func (l *Limiter) decide() {
-	busy := lowQuantile(l.busy[:])
-	l.nBusy = 0
-	l.dull++
-	if l.dull >= probeEvery && l.limit > 1 {
-		l.dull, l.probe = 0, probeLength
+func (l *Limiter) evaluateWindow() {
+	atLimit := lowQuantile(l.atLimit[:])
+	l.atLimitCount = 0
+	l.windowsWithoutUncontended++
+	if l.windowsWithoutUncontended >= probeEvery && l.limit > 1 {
+		l.windowsWithoutUncontended, l.probeRemaining = 0, probeLength
 	}
-	if l.quiet.n < quietEnough {
+	if l.uncontended.n < minUncontended {
 		return
 	}
-	ratio := busy / l.quiet.lowQuantile()
+	ratio := atLimit / l.uncontended.lowQuantile()
 	switch {
 	case ratio > shrinkRatio:
-		l.crowded++
+		l.contendedWindows++
 	case ratio < growRatio:
-		l.crowded, l.held = 0, holdFor
+		l.contendedWindows, l.stableWindows = 0, growAfter
 	default:
-		l.crowded = 0
-		l.held++
+		l.contendedWindows = 0
+		l.stableWindows++
 	}
-	l.move()
+	l.adjustLimit()
 }
 
 // move shrinks the limit after crowded windows in a row, and grows it after
 // a clear one or when it has been held for a while.
-func (l *Limiter) move() {
+func (l *Limiter) adjustLimit() {
 	switch {
-	case l.crowded >= crowdedFor:
+	case l.contendedWindows >= shrinkAfter:
 		l.limit = max(l.limit-1, 1)
-		l.crowded, l.held = 0, 0
-	case l.held >= holdFor:
+		l.contendedWindows, l.stableWindows = 0, 0
+	case l.stableWindows >= growAfter:
 		l.limit = min(l.limit+1, l.opts.Max)
-		l.held = 0
+		l.stableWindows = 0
 	}
 }
 
 // lowQuantile sorts the samples.
 func lowQuantile(samples []float64) float64 {
 	slices.Sort(samples)
-	return samples[int(quantile*float64(len(samples)))]
+	return samples[int(comparedQuantile*float64(len(samples)))]
 }
 
 // ring remembers the last undisturbed slot times.
 type ring struct {
-	samples [quietWindow]float64
+	samples [uncontendedSize]float64
 	next, n int
 }
 
 func (r *ring) add(x float64) {
 	r.samples[r.next] = x
-	r.next = (r.next + 1) % quietWindow
-	r.n = min(r.n+1, quietWindow)
+	r.next = (r.next + 1) % uncontendedSize
+	r.n = min(r.n+1, uncontendedSize)
 }
 
 func (r *ring) lowQuantile() float64 {
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -13,43 +13,43 @@
 
 // shared is an upstream that runs real requests at full speed and slows all
 // down in proportion when more run at once.
-type shared struct {
-	real  float64
-	speed float64
+type sharedUpstream struct {
+	capacity float64
+	slowdown float64
 }
 
 // drive lets the limiter's upstream run n requests at a utilisation that moves
 // between quiet and full, with log-normal costs.
-func drive(l *Limiter, u shared, n int, rng *rand.Rand) {
+func simulate(l *Limiter, u sharedUpstream, n int, rng *rand.Rand) {
 	for i := range n {
 		running := l.Limit()
 		if i%8 == 0 {
 			running = max(running/2, 1)
 		}
-		used := 2e6 * math.Exp(0.6*rng.NormFloat64()) * u.speed * max(1, float64(running)/u.real)
-		l.Observe(model.Instant(i), time.Duration(used), running, false)
+		slotTime := 2e6 * math.Exp(0.6*rng.NormFloat64()) * u.slowdown * max(1, float64(running)/u.capacity)
+		l.Observe(model.Instant(i), time.Duration(slotTime), running, false)
 	}
 }
 
-func TestLimiterFindsWhatTheUpstreamRuns(t *testing.T) {
+func TestLimiterFindsTheUpstreamsCapacity(t *testing.T) {
 	cases := map[string]struct {
-		u        shared
+		u        sharedUpstream
 		max      int
 		low, top int
 	}{
-		"announcement true":        {u: shared{real: 6, speed: 1}, low: 6, top: 6},
-		"announces twice its real": {u: shared{real: 3, speed: 1}, low: 2, top: 5},
-		"straggler keeps its own":  {u: shared{real: 6, speed: 8}, low: 6, top: 6},
-		"announces too few":        {u: shared{real: 12, speed: 1}, max: 12, low: 10, top: 12},
-		"one slot":                 {u: shared{real: 1, speed: 1}, low: 1, top: 4},
+		"announcement true":        {u: sharedUpstream{capacity: 6, slowdown: 1}, low: 6, top: 6},
+		"announces twice its real": {u: sharedUpstream{capacity: 3, slowdown: 1}, low: 2, top: 5},
+		"straggler keeps its own":  {u: sharedUpstream{capacity: 6, slowdown: 8}, low: 6, top: 6},
+		"announces too few":        {u: sharedUpstream{capacity: 12, slowdown: 1}, max: 12, low: 10, top: 12},
+		"one slot":                 {u: sharedUpstream{capacity: 1, slowdown: 1}, low: 1, top: 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			l := New(Options{Slots: 6, Max: tc.max})
-			drive(l, tc.u, 50_000, rng)
+			simulate(l, tc.u, 50_000, rng)
 			for range 100 {
-				drive(l, tc.u, 64, rng)
+				simulate(l, tc.u, 64, rng)
 				assert.LessOrEqual(t, l.limit, tc.top)
 				assert.GreaterOrEqual(t, l.limit, tc.low)
 			}
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestLimiterIgnoresASurgeOfCostlyRequests(t *testing.T) {
+func TestSurgeOfCostlyRequestsKeepsTheLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	l := New(Options{Slots: 6})
 	lowest := 6
@@ -66,11 +66,11 @@
 		if i%64 >= 16 {
 			running, costly = l.Limit(), 0.4
 		}
-		used := 2e6 * math.Exp(0.6*rng.NormFloat64())
+		slotTime := 2e6 * math.Exp(0.6*rng.NormFloat64())
 		if rng.Float64() < costly {
-			used *= 10
+			slotTime *= 10
 		}
-		l.Observe(model.Instant(i), time.Duration(used), running, false)
+		l.Observe(model.Instant(i), time.Duration(slotTime), running, false)
 		lowest = min(lowest, l.limit)
 	}
 	assert.GreaterOrEqual(t, lowest, 5)
@@ -80,24 +80,24 @@
 	rng := rand.New(rand.NewPCG(7, 8))
 	l := New(Options{Slots: 6})
 	const requests = 200_000
-	held := 0
+	probing := 0
 	for i := range requests {
 		if l.Limit() < 6 {
-			held++
+			probing++
 		}
-		used := 2e6 * math.Exp(0.6*rng.NormFloat64())
-		l.Observe(model.Instant(i), time.Duration(used), l.Limit(), false)
+		slotTime := 2e6 * math.Exp(0.6*rng.NormFloat64())
+		l.Observe(model.Instant(i), time.Duration(slotTime), l.Limit(), false)
 	}
-	assert.Positive(t, held)
-	assert.Less(t, held, requests/100)
+	assert.Positive(t, probing)
+	assert.Less(t, probing, requests/100)
 }
 
-func TestLimiterRecoversWhenTheUpstreamDoes(t *testing.T) {
+func TestLimitRisesWhenTheUpstreamRecovers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	l := New(Options{Slots: 6})
-	drive(l, shared{real: 2, speed: 1}, 20_000, rng)
+	simulate(l, sharedUpstream{capacity: 2, slowdown: 1}, 20_000, rng)
 	assert.Less(t, l.limit, 6)
-	drive(l, shared{real: 6, speed: 1}, 20_000, rng)
+	simulate(l, sharedUpstream{capacity: 6, slowdown: 1}, 20_000, rng)
 	assert.Equal(t, 6, l.limit)
 }
 
