--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -11,16 +11,16 @@
 	// worseFactor and worseBy are how much later than elsewhere a request must be
 	// expected to end before it is given back: the way back costs a round trip
 	// and the figures from elsewhere are older.
-	worseFactor = 1.25
-	worseBy     = 10 * time.Millisecond
+	slowerFactor = 1.25
+	slowerMargin = 10 * time.Millisecond
 	// usefulShare is the share of its time that a request may take where its
 	// target is out of reach: past that its caller does better to come back. One
 	// that comes before the last rank, such as a nested call whose parent fails
 	// without it, may take urgentShare: refused, it wastes the run of its parent.
 	// On a mesh whose nested calls were short of room, with parents of 60 ms and
 	// calls of 15 ms, that earned a tenth more of what the requests were worth.
-	usefulShare = 0.5
-	urgentShare = 0.85
+	usefulShare       = 0.5
+	urgentUsefulShare = 0.85
 )
 
 // Arrival is a request that comes to an upstream.
@@ -65,23 +65,23 @@
 // the time until it is expected to end.
 func (q *Queue) Admit(now model.Instant, a Arrival, s Speed) (Item, Admission, time.Duration) {
 	expected := placement.Expected(a.Work, s.Slow, q.Ahead(a.Rank, a.Kind), q.limit, s.Failing)
-	if a.Alternative > 0 && expected > time.Duration(worseFactor*float64(a.Alternative))+worseBy {
+	if a.Alternative > 0 && expected > time.Duration(slowerFactor*float64(a.Alternative))+slowerMargin {
 		return Item{}, SlowerHere, expected
 	}
 	share := usefulShare
 	if a.Urgent {
-		share = urgentShare
+		share = urgentUsefulShare
 	}
-	useful := max(a.Within, time.Duration(share*float64(a.Deadline)))
-	if q.running >= q.limit && expected > useful {
+	usefulTime := max(a.Within, time.Duration(share*float64(a.Deadline)))
+	if q.running >= q.limit && expected > usefulTime {
 		return Item{}, Full, expected
 	}
-	i := Item{Rank: a.Rank, Kind: a.Kind, Work: a.Work, Arrived: now, Deadline: now.Add(a.Deadline), Useful: now.Add(useful)}
+	i := Item{Rank: a.Rank, Kind: a.Kind, Work: a.Work, Arrived: now, Deadline: now.Add(a.Deadline), UsefulUntil: now.Add(usefulTime)}
 	if a.Within != 0 {
 		i.Target = now.Add(a.Within)
 	}
 	if a.Alternative > 0 {
-		i.GiveUp = now.Add(a.Alternative/2 + worseBy)
+		i.WaitUntil = now.Add(a.Alternative/2 + slowerMargin)
 	}
 	return i, Admitted, expected
 }
--- a/core/slots/admit_test.go
+++ b/core/slots/admit_test.go
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			q := New(4)
 			for i := range c.running + c.waiting {
-				q.Add(item(uint64(i+1), 1, 100, 300))
+				q.Add(newItem(uint64(i+1), 1, 100, 300))
 			}
 			for range c.running {
 				q.Next(0, 1)
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -35,10 +35,10 @@
 	Deadline model.Instant
 	// Useful is when the request should have ended to be worth a wait; past that
 	// it runs only where nothing else has to wait for it. Zero means its Deadline.
-	Useful model.Instant
+	UsefulUntil model.Instant
 	// GiveUp is when the request is handed back if it has not started. Zero
 	// means never.
-	GiveUp model.Instant
+	WaitUntil model.Instant
 }
 
 // Exit tells why a request left the queue.
@@ -66,21 +66,21 @@
 const (
 	// lastRankEvery is how often the last rank has its turn: one start in eight
 	// leaves seven eighths of the capacity to the order of ranks.
-	lastRankEvery = 8
+	lastRankInterval = 8
 )
 
 // Queue holds the requests that wait for one upstream, and counts those that
 // run. It is not safe for concurrent use.
 type Queue struct {
-	limit   int
-	running int
-	starts  int
-	items   []Item
-	shares  map[int]*shares
+	limit        int
+	running      int
+	starts       int
+	items        []Item
+	sharesByRank map[int]*fairShares
 }
 
 // New returns a Queue that lets limit requests run at once.
-func New(limit int) *Queue { return &Queue{limit: max(limit, 1), shares: map[int]*shares{}} }
+func New(limit int) *Queue { return &Queue{limit: max(limit, 1), sharesByRank: map[int]*fairShares{}} }
 
 // Running returns the number of requests that run.
 func (q *Queue) Running() int { return q.running }
@@ -121,7 +121,7 @@
 func (q *Queue) Remove(id uint64) bool {
 	for i := range q.items {
 		if q.items[i].ID == id {
-			q.drop(i)
+			q.removeAt(i)
 			return true
 		}
 	}
@@ -133,72 +133,72 @@
 
 // Next returns a request that leaves the queue now, if any, when work takes slow
 // times as long as usual.
-func (q *Queue) Next(now model.Instant, slow float64) (Decision, bool) {
+func (q *Queue) Next(now model.Instant, slowdown float64) (Decision, bool) {
 	for i := range q.items {
 		it := &q.items[i]
-		if now.Add(scaled(it.Work, slow)/2) >= it.Deadline {
-			return q.leave(i, Hopeless), true
+		if now.Add(scaled(it.Work, slowdown)/2) >= it.Deadline {
+			return q.dequeue(i, Hopeless), true
 		}
-		if q.running >= q.limit && it.Useful != 0 && now.Add(scaled(it.Work, slow)) > it.Useful {
-			return q.leave(i, Overdue), true
+		if q.running >= q.limit && it.UsefulUntil != 0 && now.Add(scaled(it.Work, slowdown)) > it.UsefulUntil {
+			return q.dequeue(i, Overdue), true
 		}
-		if it.GiveUp != 0 && now >= it.GiveUp && q.running >= q.limit {
-			return q.leave(i, Returned), true
+		if it.WaitUntil != 0 && now >= it.WaitUntil && q.running >= q.limit {
+			return q.dequeue(i, Returned), true
 		}
 	}
 	if q.running >= q.limit || len(q.items) == 0 {
 		return Decision{}, false
 	}
-	best := q.first(now, slow)
+	best := q.nextIndex(now, slowdown)
 	q.running++
 	q.starts++
-	q.share(q.items[best].Rank).charge(q.items[best].Kind, q.items[best].Work)
-	return q.leave(best, Start), true
+	q.sharesOf(q.items[best].Rank).charge(q.items[best].Kind, q.items[best].Work)
+	return q.dequeue(best, Start), true
 }
 
 // Wake returns when Next may have a decision without anything else happening.
 // Zero means never.
-func (q *Queue) Wake(slow float64) model.Instant {
-	var at model.Instant
+func (q *Queue) Wake(slowdown float64) model.Instant {
+	var wakeup model.Instant
 	for i := range q.items {
 		it := &q.items[i]
-		end := it.Deadline.Add(-scaled(it.Work, slow) / 2)
-		if it.GiveUp != 0 {
-			end = min(end, it.GiveUp)
+		leaveBy := it.Deadline.Add(-scaled(it.Work, slowdown) / 2)
+		if it.WaitUntil != 0 {
+			leaveBy = min(leaveBy, it.WaitUntil)
 		}
-		if it.Useful != 0 {
-			end = min(end, it.Useful.Add(-scaled(it.Work, slow)))
+		if it.UsefulUntil != 0 {
+			leaveBy = min(leaveBy, it.UsefulUntil.Add(-scaled(it.Work, slowdown)))
 		}
-		if at == 0 || end < at {
-			at = end
+		if wakeup == 0 || leaveBy < wakeup {
+			wakeup = leaveBy
 		}
 	}
-	return at
+	return wakeup
 }
 
-func (q *Queue) share(rank int) *shares {
-	s, ok := q.shares[rank]
+func (q *Queue) sharesOf(rank int) *fairShares {
+	shares, ok := q.sharesByRank[rank]
 	if !ok {
-		s = &shares{}
-		q.shares[rank] = s
+		shares = &fairShares{}
+		q.sharesByRank[rank] = shares
 	}
-	return s
+	return shares
 }
 
-func scaled(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+func scaled(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
 
 // first returns the index of the request to start.
-func (q *Queue) first(now model.Instant, slow float64) int {
-	lastRank := q.starts%lastRankEvery == lastRankEvery-1
+func (q *Queue) nextIndex(now model.Instant, slowdown float64) int {
+	lastRankFirst := q.starts%lastRankInterval == lastRankInterval-1
 	best := 0
 	for i := 1; i < len(q.items); i++ {
 		a, b := &q.items[i], &q.items[best]
 		switch {
 		case a.Rank != b.Rank:
-			if a.Rank > b.Rank == lastRank {
+			if a.Rank > b.Rank == lastRankFirst {
 				best = i
 			}
-		case q.before(a, b, now, slow):
+		case q.before(a, b, now, slowdown):
 			best = i
 		}
 	}
@@ -206,16 +206,16 @@
 }
 
 // before reports whether a starts ahead of b of the same rank.
-func (q *Queue) before(a, b *Item, now model.Instant, slow float64) bool {
-	aStart, bStart := a.startBy(slow), b.startBy(slow)
+func (q *Queue) before(a, b *Item, now model.Instant, slowdown float64) bool {
+	aStart, bStart := a.latestStart(slowdown), b.latestStart(slowdown)
 	aLate, bLate := aStart < now, bStart < now
-	rank := q.share(a.Rank)
-	aTurn, bTurn := rank.of(a.Kind), rank.of(b.Kind)
+	shares := q.sharesOf(a.Rank)
+	aTag, bTag := shares.startTag(a.Kind), shares.startTag(b.Kind)
 	switch {
 	case aLate != bLate:
 		return bLate
-	case aTurn != bTurn:
-		return aTurn < bTurn
+	case aTag != bTag:
+		return aTag < bTag
 	case !aLate && a.Arrived != b.Arrived:
 		return a.Arrived > b.Arrived
 	default:
@@ -224,20 +224,20 @@
 }
 
 // startBy is the last instant at which the request must start to make its target.
-func (i *Item) startBy(slow float64) model.Instant {
+func (i *Item) latestStart(slowdown float64) model.Instant {
 	end := i.Target
 	if end == 0 {
 		end = i.Deadline
 	}
-	return end.Add(-scaled(i.Work, slow))
+	return end.Add(-scaled(i.Work, slowdown))
 }
 
-func (q *Queue) leave(i int, e Exit) Decision {
+func (q *Queue) dequeue(i int, e Exit) Decision {
 	d := Decision{ID: q.items[i].ID, Exit: e}
-	q.drop(i)
+	q.removeAt(i)
 	return d
 }
 
-func (q *Queue) drop(i int) {
+func (q *Queue) removeAt(i int) {
 	q.items = append(q.items[:i], q.items[i+1:]...)
 }
