--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -16,8 +16,8 @@
 	step = 20 * time.Millisecond
 	// pollWait and readLimit are how long a read of the store waits, and after which it is
 	// given up.
-	pollWait  = 1500 * time.Millisecond
-	readLimit = 2900 * time.Millisecond
+	pollWait    = 1500 * time.Millisecond
+	readTimeout = 2900 * time.Millisecond
 	// minRetry and maxRetry bound the pause after a call that failed.
 	minRetry = 100 * time.Millisecond
 	maxRetry = time.Second
@@ -32,11 +32,11 @@
 	byName  map[string]*daemon
 	version int
 	// serves tells whether the store serves a daemon; hangs whether it answers nothing.
-	serves func(*daemon) bool
-	hangs  func(*daemon) bool
-	calls  int
+	storeServes func(*daemon) bool
+	storeHangs  func(*daemon) bool
+	storeCalls  int
 	// queue holds the messages of the last step.
-	queue []func()
+	inTransit []func()
 }
 
 type daemon struct {
@@ -47,20 +47,20 @@
 	version int
 	down    bool
 	// cut daemons hear no others.
-	cut bool
+	partitioned bool
 	// free is when the next call may be made, until when a read waits, hung whether it
 	// gets no answer, and pause that after the next failure.
-	free, until model.Instant
-	reading     bool
-	hung        bool
-	pause       time.Duration
-	sent        int
+	nextReadAt, readUntil model.Instant
+	reading               bool
+	hung                  bool
+	retryDelay            time.Duration
+	heartbeatsSent        int
 }
 
 func newFleet(n int) *fleet {
 	f := &fleet{
 		now: 1, rng: rand.New(rand.NewPCG(7, uint64(n))), byName: make(map[string]*daemon),
-		serves: func(*daemon) bool { return true }, hangs: func(*daemon) bool { return false },
+		storeServes: func(*daemon) bool { return true }, storeHangs: func(*daemon) bool { return false },
 	}
 	for i := range n {
 		d := &daemon{f: f, name: fmt.Sprintf("d%04d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
@@ -68,20 +68,20 @@
 		f.daemons = append(f.daemons, d)
 		f.byName[d.name] = d
 	}
-	f.meet()
+	f.updateMembers()
 	return f
 }
 
 func (d *daemon) start() {
-	*d = daemon{f: d.f, name: d.name, zone: d.zone, roster: New(d.name, d.f.now, d.f.rng.Float64), pause: minRetry}
+	*d = daemon{f: d.f, name: d.name, zone: d.zone, roster: New(d.name, d.f.now, d.f.rng.Float64), retryDelay: minRetry}
 }
 
 // meet has all daemons know who is there.
-func (f *fleet) meet() {
+func (f *fleet) updateMembers() {
 	for _, d := range f.daemons {
 		var zone []string
 		for _, o := range f.daemons {
-			if o.zone == d.zone && (o == d || !o.down && !d.cut) {
+			if o.zone == d.zone && (o == d || !o.down && !d.partitioned) {
 				zone = append(zone, o.name)
 			}
 		}
@@ -90,8 +90,8 @@
 }
 
 func (f *fleet) send(from, to *daemon, deliver func()) {
-	if !from.down && !from.cut && !to.cut {
-		f.queue = append(f.queue, func() {
+	if !from.down && !from.partitioned && !to.partitioned {
+		f.inTransit = append(f.inTransit, func() {
 			if !to.down {
 				deliver()
 			}
@@ -99,11 +99,11 @@
 	}
 }
 
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now < end; {
 		f.now = f.now.Add(step)
-		due := f.queue
-		f.queue = nil
+		due := f.inTransit
+		f.inTransit = nil
 		for _, deliver := range due {
 			deliver()
 		}
@@ -118,83 +118,83 @@
 func (d *daemon) tick() {
 	now := d.f.now
 	if d.reading {
-		d.read()
+		d.checkRead()
 	}
 	if !d.roster.Watching(now) {
 		return
 	}
-	if !d.reading && now >= d.free {
-		d.call()
+	if !d.reading && now >= d.nextReadAt {
+		d.startRead()
 	}
-	d.beat()
+	d.sendHeartbeat()
 }
 
 // beat sends a heartbeat if one is due.
-func (d *daemon) beat() {
+func (d *daemon) sendHeartbeat() {
 	if !d.roster.HeartbeatDue(d.f.now) {
 		return
 	}
 	reaches := d.roster.Reaches()
 	for _, other := range d.roster.Others() {
 		to := d.f.byName[other]
-		d.sent++
+		d.heartbeatsSent++
 		d.f.send(d, to, func() {
 			to.roster.Heard(to.f.now, d.name, reaches)
-			to.take(d.version)
+			to.applyVersion(d.version)
 		})
 	}
 }
 
 // call begins a read of the store.
-func (d *daemon) call() {
-	d.f.calls++
-	d.hung = d.f.hangs(d)
-	if !d.hung && !d.f.serves(d) {
-		d.fail()
+func (d *daemon) startRead() {
+	d.f.storeCalls++
+	d.hung = d.f.storeHangs(d)
+	if !d.hung && !d.f.storeServes(d) {
+		d.failRead()
 		return
 	}
-	d.reading, d.until = true, d.f.now.Add(pollWait)
+	d.reading, d.readUntil = true, d.f.now.Add(pollWait)
 	if d.hung {
-		d.until = d.f.now.Add(readLimit)
+		d.readUntil = d.f.now.Add(readTimeout)
 	}
 }
 
-func (d *daemon) fail() {
-	d.free = d.f.now.Add(d.pause)
-	d.pause = min(2*d.pause, maxRetry)
-	d.called(false)
+func (d *daemon) failRead() {
+	d.nextReadAt = d.f.now.Add(d.retryDelay)
+	d.retryDelay = min(2*d.retryDelay, maxRetry)
+	d.recordStoreCall(false)
 }
 
-func (d *daemon) called(ok bool) {
+func (d *daemon) recordStoreCall(ok bool) {
 	d.roster.Called(d.f.now, ok)
-	d.beat()
+	d.sendHeartbeat()
 }
 
 // read looks whether a read that waits has come to its end.
-func (d *daemon) read() {
+func (d *daemon) checkRead() {
 	switch {
-	case d.hung && d.f.now >= d.until:
+	case d.hung && d.f.now >= d.readUntil:
 		d.reading = false
-		d.fail()
+		d.failRead()
 	case d.hung:
-	case !d.f.serves(d):
+	case !d.f.storeServes(d):
 		d.reading = false
-		d.fail()
-	case d.f.version > d.version || d.f.now >= d.until:
-		d.reading, d.pause = false, minRetry
-		d.take(d.f.version)
-		d.called(true)
+		d.failRead()
+	case d.f.version > d.version || d.f.now >= d.readUntil:
+		d.reading, d.retryDelay = false, minRetry
+		d.applyVersion(d.f.version)
+		d.recordStoreCall(true)
 	}
 }
 
 // take brings a version into force and hands it on.
-func (d *daemon) take(version int) {
+func (d *daemon) applyVersion(version int) {
 	if version <= d.version {
 		return
 	}
 	d.version = version
 	d.roster.News()
-	d.beat()
+	d.sendHeartbeat()
 	var members []gossip.Member
 	for _, o := range d.f.daemons {
 		if o != d && !o.down {
@@ -203,7 +203,7 @@
 	}
 	for _, m := range (gossip.Targets{Zone: d.zone, Draw: d.f.rng.IntN}).Push(members, false) {
 		to := d.f.byName[m.Address]
-		d.f.send(d, to, func() { to.take(version) })
+		d.f.send(d, to, func() { to.applyVersion(version) })
 	}
 }
 
@@ -218,10 +218,10 @@
 }
 
 // behind returns how many daemons that run and are not cut off lack the last version.
-func (f *fleet) behind() int {
+func (f *fleet) countOutdated() int {
 	n := 0
 	for _, d := range f.daemons {
-		if !d.down && !d.cut && d.version < f.version {
+		if !d.down && !d.partitioned && d.version < f.version {
 			n++
 		}
 	}
@@ -229,13 +229,13 @@
 }
 
 // inForce publishes a version and returns how long it takes to be in force everywhere.
-func (f *fleet) inForce(t *testing.T) time.Duration {
+func (f *fleet) publishAndWait(t *testing.T) time.Duration {
 	t.Helper()
 	f.version++
-	began := f.now
-	for f.behind() > 0 {
-		f.pass(step)
-		require.Less(t, f.now.Sub(began), time.Minute, "%d daemons lack the version", f.behind())
+	start := f.now
+	for f.countOutdated() > 0 {
+		f.advance(step)
+		require.Less(t, f.now.Sub(start), time.Minute, "%d daemons lack the version", f.countOutdated())
 	}
-	return f.now.Sub(began)
+	return f.now.Sub(start)
 }
--- a/core/watch/roster.go
+++ b/core/watch/roster.go
@@ -9,30 +9,30 @@
 
 const (
 	// HeartbeatEvery is the time between two heartbeats of a watcher that has no news.
-	HeartbeatEvery = 400 * time.Millisecond
+	HeartbeatInterval = 400 * time.Millisecond
 	// silence is how long a watcher that is not heard counts as one that watches.
-	silence = 3 * HeartbeatEvery
+	heartbeatTimeout = 3 * HeartbeatInterval
 	// stepIns is how many daemons of a cell step in on average each time that all look
 	// whether to, while there are too few watchers.
-	stepIns = 2
+	meanVolunteers = 2
 	// minWatchers is the least number of watchers in all zones.
 	minWatchers = 3
 	// maxTrying is how many daemons of a cell try at once to reach a store that they do
 	// not reach.
-	maxTrying = 2
+	maxConcurrentTries = 2
 	// yieldAfter is how long a daemon tries before it leaves the turn to others, and
 	// longestYield bounds the time until it tries again.
-	yieldAfter   = 2 * time.Second
-	longestYield = 10 * time.Second
+	yieldAfter = 2 * time.Second
+	maxYield   = 10 * time.Second
 	// cellSize bounds the daemons that one watcher sends heartbeats to.
-	cellSize = 64
+	maxCellSize = 64
 )
 
 // heartbeat is the last one of another daemon.
 type heartbeat struct {
 	at model.Instant
 	// reaches tells that it reaches the store.
-	reaches bool
+	reachesStore bool
 }
 
 // Roster is what a daemon knows of the watchers of its cell. It is not safe for concurrent
@@ -40,54 +40,54 @@
 type Roster struct {
 	self string
 	// draw draws from 0 to 1.
-	draw func() float64
+	randFloat func() float64
 	// cell are the addresses of the cell in order, the own among them; wanted is how many
 	// of it watch.
-	cell   []string
-	wanted int
-	heard  map[string]heartbeat
+	cell           []string
+	wantedWatchers int
+	heartbeats     map[string]heartbeat
 	// from is when others count that have not been heard: a daemon that starts leaves them
 	// the time of a heartbeat.
-	from model.Instant
+	volunteerFrom model.Instant
 
 	watching bool
 	// reaches tells that the own last call to the store succeeded, triedSince since when
 	// none has while watching.
-	reaches    bool
-	triedSince model.Instant
-	yieldUntil model.Instant
+	reaches      bool
+	failingSince model.Instant
+	yieldUntil   model.Instant
 	// beaten is when the last heartbeat was sent. Zero means that the next one is due.
-	beaten model.Instant
+	lastHeartbeat model.Instant
 }
 
 // New returns the Roster of the daemon at an address, which starts now. Draw draws from 0
 // to 1.
-func New(self string, now model.Instant, draw func() float64) *Roster {
+func New(self string, now model.Instant, randFloat func() float64) *Roster {
 	return &Roster{
-		self: self, draw: draw, cell: []string{self}, wanted: 1,
-		heard: make(map[string]heartbeat), from: now.Add(silence),
+		self: self, randFloat: randFloat, cell: []string{self}, wantedWatchers: 1,
+		heartbeats: make(map[string]heartbeat), volunteerFrom: now.Add(heartbeatTimeout),
 	}
 }
 
 // SetMembers takes in the daemons of the own zone that can be reached and go on running,
 // this one among them, and the number of zones.
-func (r *Roster) SetMembers(zone []string, zones int) {
-	ordered := slices.Clone(zone)
+func (r *Roster) SetMembers(zoneMembers []string, zones int) {
+	ordered := slices.Clone(zoneMembers)
 	slices.Sort(ordered)
-	cells := max((len(ordered)+cellSize-1)/cellSize, 1)
-	place, ok := slices.BinarySearch(ordered, r.self)
+	cells := max((len(ordered)+maxCellSize-1)/maxCellSize, 1)
+	position, ok := slices.BinarySearch(ordered, r.self)
 	if !ok {
-		r.cell, r.wanted = []string{r.self}, 1
+		r.cell, r.wantedWatchers = []string{r.self}, 1
 		return
 	}
 	size := (len(ordered) + cells - 1) / cells
-	from := place / size * size
-	r.cell = ordered[from:min(from+size, len(ordered))]
-	all := cells * max(zones, 1)
-	r.wanted = (minWatchers + all - 1) / all
-	for address := range r.heard {
+	first := position / size * size
+	r.cell = ordered[first:min(first+size, len(ordered))]
+	totalCells := cells * max(zones, 1)
+	r.wantedWatchers = (minWatchers + totalCells - 1) / totalCells
+	for address := range r.heartbeats {
 		if !slices.Contains(r.cell, address) {
-			delete(r.heard, address)
+			delete(r.heartbeats, address)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 // Heard takes in a heartbeat.
 func (r *Roster) Heard(now model.Instant, from string, reaches bool) {
 	if from != r.self && slices.Contains(r.cell, from) {
-		r.heard[from] = heartbeat{at: now, reaches: reaches}
+		r.heartbeats[from] = heartbeat{at: now, reachesStore: reaches}
 	}
 }
 
@@ -103,7 +103,7 @@
 // that has changed.
 func (r *Roster) Called(now model.Instant, ok bool) {
 	if r.reaches && !ok {
-		r.triedSince = now
+		r.failingSince = now
 	}
 	if ok != r.reaches {
 		r.reaches = ok
@@ -113,14 +113,14 @@
 
 // News has the next heartbeat due at once: there is a new version, or the store has come
 // or gone.
-func (r *Roster) News() { r.beaten = 0 }
+func (r *Roster) News() { r.lastHeartbeat = 0 }
 
 // HeartbeatDue reports whether to send a heartbeat now, and takes in that it is sent.
 func (r *Roster) HeartbeatDue(now model.Instant) bool {
-	if !r.watching || r.beaten != 0 && now.Sub(r.beaten) < HeartbeatEvery {
+	if !r.watching || r.lastHeartbeat != 0 && now.Sub(r.lastHeartbeat) < HeartbeatInterval {
 		return false
 	}
-	r.beaten = now
+	r.lastHeartbeat = now
 	return true
 }
 
@@ -128,57 +128,57 @@
 // second.
 func (r *Roster) Watching(now model.Instant) bool {
 	was := r.watching
-	r.watching = r.decide(now)
+	r.watching = r.shouldWatch(now)
 	if r.watching && !was {
-		r.reaches, r.triedSince, r.beaten = false, now, 0
+		r.reaches, r.failingSince, r.lastHeartbeat = false, now, 0
 	}
 	return r.watching
 }
 
-func (r *Roster) decide(now model.Instant) bool {
+func (r *Roster) shouldWatch(now model.Instant) bool {
 	if now < r.yieldUntil {
 		return false
 	}
-	if r.watching && r.yields(now) {
-		turns := (len(r.cell) + maxTrying - 1) / maxTrying
-		r.yieldUntil = now.Add(min(time.Duration(turns-1)*yieldAfter, longestYield))
+	if r.watching && r.shouldYield(now) {
+		turns := (len(r.cell) + maxConcurrentTries - 1) / maxConcurrentTries
+		r.yieldUntil = now.Add(min(time.Duration(turns-1)*yieldAfter, maxYield))
 		return false
 	}
-	ahead, others, trying := r.count(now)
-	place := slices.Index(r.cell, r.self)
+	earlier, others, trying := r.countWatchers(now)
+	position := slices.Index(r.cell, r.self)
 	switch {
-	case ahead >= r.wanted:
+	case earlier >= r.wantedWatchers:
 		return false
-	case place < r.wanted || r.watching:
+	case position < r.wantedWatchers || r.watching:
 		return true
-	case others >= r.wanted || trying >= maxTrying || now < r.from:
+	case others >= r.wantedWatchers || trying >= maxConcurrentTries || now < r.volunteerFrom:
 		return false
 	default:
-		return r.draw()*float64(len(r.cell)) < stepIns
+		return r.randFloat()*float64(len(r.cell)) < meanVolunteers
 	}
 }
 
 // yields reports whether this daemon has tried for long enough, and others can.
-func (r *Roster) yields(now model.Instant) bool {
-	return !r.reaches && now.Sub(r.triedSince) >= yieldAfter && len(r.cell) > maxTrying
+func (r *Roster) shouldYield(now model.Instant) bool {
+	return !r.reaches && now.Sub(r.failingSince) >= yieldAfter && len(r.cell) > maxConcurrentTries
 }
 
 // count returns how many others reach the store, those before this daemon and all, and
 // how many try to.
-func (r *Roster) count(now model.Instant) (ahead, others, trying int) {
-	for address, b := range r.heard {
+func (r *Roster) countWatchers(now model.Instant) (earlier, others, trying int) {
+	for address, b := range r.heartbeats {
 		switch {
-		case now.Sub(b.at) >= silence:
-		case !b.reaches:
+		case now.Sub(b.at) >= heartbeatTimeout:
+		case !b.reachesStore:
 			trying++
 		default:
 			others++
 			if address < r.self {
-				ahead++
+				earlier++
 			}
 		}
 	}
-	return ahead, others, trying
+	return earlier, others, trying
 }
 
 // Blind reports whether no daemon of the cell, this one included, is known to reach the
@@ -187,7 +187,7 @@
 	if r.watching && r.reaches {
 		return false
 	}
-	_, others, _ := r.count(now)
+	_, others, _ := r.countWatchers(now)
 	return others == 0
 }
 
