--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -12,7 +12,7 @@
 )
 
 // members returns so many daemons in each of some zones, z0 first.
-func members(zones, each int) []Member {
+func newMembers(zones, each int) []Member {
 	var out []Member
 	for z := range zones {
 		for i := range each {
@@ -26,31 +26,31 @@
 	targets := Targets{Zone: "z0", Draw: rand.New(rand.NewPCG(1, 1)).IntN}
 	for name, c := range map[string]struct {
 		members []Member
-		first   bool
+		origin  bool
 		// near is how many of the own zone are told, far the least and the most of others.
-		near, least, most int
+		local, minRemote, maxRemote int
 	}{
-		"handed on":              {members(5, 30), false, fanOut, 0, 1},
-		"began here":             {members(5, 30), true, fanOut, 4, 4},
-		"began here, many zones": {members(20, 30), true, fanOut, maxZones, maxZones},
-		"small zones":            {members(3, 1), false, 1, 2, 2},
-		"small zones, began":     {members(3, 1), true, 1, 2, 2},
-		"only the own zone":      {members(1, 30), true, fanOut, 0, 0},
+		"handed on":              {newMembers(5, 30), false, fanOut, 0, 1},
+		"began here":             {newMembers(5, 30), true, fanOut, 4, 4},
+		"began here, many zones": {newMembers(20, 30), true, fanOut, maxPushZones, maxPushZones},
+		"small zones":            {newMembers(3, 1), false, 1, 2, 2},
+		"small zones, began":     {newMembers(3, 1), true, 1, 2, 2},
+		"only the own zone":      {newMembers(1, 30), true, fanOut, 0, 0},
 		"nobody":                 {nil, true, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 100 {
-				near, seen := 0, make(map[Member]bool)
-				for _, m := range targets.Push(c.members, c.first) {
+				local, seen := 0, make(map[Member]bool)
+				for _, m := range targets.Push(c.members, c.origin) {
 					require.False(t, seen[m], "told once")
 					seen[m] = true
 					if m.Zone == targets.Zone {
-						near++
+						local++
 					}
 				}
-				require.Equal(t, c.near, near)
-				require.GreaterOrEqual(t, len(seen)-near, c.least)
-				require.LessOrEqual(t, len(seen)-near, c.most)
+				require.Equal(t, c.local, local)
+				require.GreaterOrEqual(t, len(seen)-local, c.minRemote)
+				require.LessOrEqual(t, len(seen)-local, c.maxRemote)
 			}
 		})
 	}
@@ -64,26 +64,26 @@
 	require.True(t, ok)
 	require.Equal(t, "x", alone.Address)
 	const draws = 8000
-	all, far := members(5, 30), 0
+	all, remote := newMembers(5, 30), 0
 	for range draws {
 		if m, _ := targets.Partner(all); m.Zone != targets.Zone {
-			far++
+			remote++
 		}
 	}
-	require.InDelta(t, crossings, float64(far)/draws, 0.02)
+	require.InDelta(t, crossZoneShare, float64(remote)/draws, 0.02)
 }
 
 func TestPace(t *testing.T) {
 	var p Pace
 	now := model.Instant(0).Add(time.Second)
 	require.True(t, p.Due(now))
-	require.False(t, p.Due(now.Add(fastPause-1)))
-	require.True(t, p.Due(now.Add(fastPause)))
-	for range agreements {
+	require.False(t, p.Due(now.Add(shortInterval-1)))
+	require.True(t, p.Due(now.Add(shortInterval)))
+	for range requiredAgreements {
 		p.Agreed()
 	}
-	require.False(t, p.Due(now.Add(2*fastPause)))
-	require.True(t, p.Due(now.Add(fastPause+slowPause)))
+	require.False(t, p.Due(now.Add(2*shortInterval)))
+	require.True(t, p.Due(now.Add(shortInterval+longInterval)))
 	p.Changed()
-	require.True(t, p.Due(now.Add(2*fastPause+slowPause)))
+	require.True(t, p.Due(now.Add(2*shortInterval+longInterval)))
 }
--- a/core/gossip/pace.go
+++ b/core/gossip/pace.go
@@ -9,25 +9,25 @@
 const (
 	// fastPause is the time between two comparisons while something may be unknown to
 	// somebody, slowPause that while all seem to agree.
-	fastPause = time.Second
-	slowPause = 10 * time.Second
+	shortInterval = time.Second
+	longInterval  = 10 * time.Second
 	// agreements is how many comparisons in a row must find no difference.
-	agreements = 3
+	requiredAgreements = 3
 )
 
 // Pace tells when to compare next. It is not safe for concurrent use.
 type Pace struct {
-	agreed int
-	last   model.Instant
+	agreements int
+	last       model.Instant
 }
 
 // Due reports whether to compare now, and takes in that it is done.
 func (p *Pace) Due(now model.Instant) bool {
-	pause := fastPause
-	if p.agreed >= agreements {
-		pause = slowPause
+	interval := shortInterval
+	if p.agreements >= requiredAgreements {
+		interval = longInterval
 	}
-	if p.last != 0 && now.Sub(p.last) < pause {
+	if p.last != 0 && now.Sub(p.last) < interval {
 		return false
 	}
 	p.last = now
@@ -35,7 +35,7 @@
 }
 
 // Agreed takes in that a comparison found no difference.
-func (p *Pace) Agreed() { p.agreed++ }
+func (p *Pace) Agreed() { p.agreements++ }
 
 // Changed takes in that something has changed, or that others may have missed something.
-func (p *Pace) Changed() { p.agreed = 0 }
+func (p *Pace) Changed() { p.agreements = 0 }
--- a/core/gossip/targets.go
+++ b/core/gossip/targets.go
@@ -11,10 +11,10 @@
 	// reaches all but two in a hundred.
 	fanOut = 4
 	// maxZones bounds the zones that the first daemon tells.
-	maxZones = 8
+	maxPushZones = 8
 	// crossings is the part of the daemons that tell one of another zone, and of the
 	// comparisons that are made with one.
-	crossings = 1.0 / 8
+	crossZoneShare = 1.0 / 8
 )
 
 // Member is a daemon that can be told.
@@ -32,50 +32,50 @@
 }
 
 // Push returns whom to tell of news. First tells that the news began at this daemon.
-func (t Targets) Push(members []Member, first bool) []Member {
-	near, far := t.split(members)
-	out := t.some(near, fanOut)
+func (t Targets) Push(members []Member, origin bool) []Member {
+	local, remote := t.splitByZone(members)
+	out := t.sample(local, fanOut)
 	switch {
-	case first:
-		out = append(out, onePerZone(t.some(far, len(far)))...)
-	case t.crosses():
-		out = append(out, t.some(far, 1)...)
+	case origin:
+		out = append(out, onePerZone(t.sample(remote, len(remote)))...)
+	case t.drawCrossZone():
+		out = append(out, t.sample(remote, 1)...)
 	}
 	if len(out) < fanOut {
 		// A small zone has too few daemons for the news to be sure of its way.
-		out = appendNew(out, t.some(far, fanOut-len(out)))
+		out = appendNew(out, t.sample(remote, fanOut-len(out)))
 	}
 	return out
 }
 
 // Partner returns with whom to compare. It reports false where there is nobody.
 func (t Targets) Partner(members []Member) (Member, bool) {
-	near, far := t.split(members)
-	if len(near) == 0 || len(far) > 0 && t.crosses() {
-		near = far
+	local, remote := t.splitByZone(members)
+	if len(local) == 0 || len(remote) > 0 && t.drawCrossZone() {
+		local = remote
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		return Member{}, false
 	}
-	return near[t.Draw(len(near))], true
+	return local[t.Draw(len(local))], true
 }
 
 // crosses draws whether to leave the own zone.
-func (t Targets) crosses() bool { return t.Draw(int(1/crossings)) == 0 }
+func (t Targets) drawCrossZone() bool { return t.Draw(int(1/crossZoneShare)) == 0 }
 
-func (t Targets) split(members []Member) (near, far []Member) {
+func (t Targets) splitByZone(members []Member) (local, remote []Member) {
 	for _, m := range members {
 		if m.Zone == t.Zone {
-			near = append(near, m)
+			local = append(local, m)
 		} else {
-			far = append(far, m)
+			remote = append(remote, m)
 		}
 	}
-	return near, far
+	return local, remote
 }
 
 // some draws up to n of the members.
-func (t Targets) some(members []Member, n int) []Member {
+func (t Targets) sample(members []Member, n int) []Member {
 	n = min(n, len(members))
 	for i := range n {
 		j := i + t.Draw(len(members)-i)
@@ -88,7 +88,7 @@
 	var out []Member
 	seen := make(map[model.AvailabilityZone]bool)
 	for _, m := range members {
-		if !seen[m.Zone] && len(out) < maxZones {
+		if !seen[m.Zone] && len(out) < maxPushZones {
 			seen[m.Zone] = true
 			out = append(out, m)
 		}
