--- a/core/outcome/after_test.go
+++ b/core/outcome/after_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestNotRunProvesNothingAfterAnUnknownAttempt(t *testing.T) {
+func TestNotRunAfterUnknownStaysUnknown(t *testing.T) {
 	lost := UnknownBecause(ReasonConnectionLost)
 	refused := NotRunBecause(ReasonQueueFull)
 	assert.Equal(t, lost, refused.After(lost))
--- a/core/outcome/reason.go
+++ b/core/outcome/reason.go
@@ -6,7 +6,7 @@
 )
 
 // details says for each reason what happened, in a sentence for the caller.
-var details = map[Reason]string{
+var detailTexts = map[Reason]string{
 	ReasonNoService:        "No service has this name or host.",
 	ReasonNoUpstream:       "No upstream of the service may take the request now.",
 	ReasonUnauthenticated:  "The credentials or the call token are not valid.",
@@ -42,7 +42,7 @@
 }
 
 // Detail says in a sentence what the reason means. It is empty for ReasonNone.
-func (r Reason) Detail() string { return details[r] }
+func (r Reason) Detail() string { return detailTexts[r] }
 
 // Reasons returns all reasons but ReasonNone, sorted.
-func Reasons() []Reason { return slices.Sorted(maps.Keys(details)) }
+func Reasons() []Reason { return slices.Sorted(maps.Keys(detailTexts)) }
--- a/core/outcome/reason_test.go
+++ b/core/outcome/reason_test.go
@@ -55,7 +55,7 @@
 
 // TestNoRetryForWhatNobodyElseCanMend guards against storms of hopeless
 // attempts.
-func TestNoRetryForWhatNobodyElseCanMend(t *testing.T) {
+func TestNoRetryWhereAnotherUpstreamCannotHelp(t *testing.T) {
 	for _, r := range []Reason{
 		ReasonDeadline, ReasonCancelled, ReasonQuarantined, ReasonCeiling, ReasonForbidden,
 		ReasonBadRequest, ReasonKeyMismatch, ReasonDepth, ReasonNone,
