--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -10,10 +10,11 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// sizes are the pool sizes from the brief's services to the whole fleet.
+// poolSizes are the numbers of upstreams to test, from a small service to a large
+// fleet.
 var poolSizes = []int{6, 22, 100, 1700}
 
-// decide makes one decision and takes in its reply.
+// placeAndReply places one request and records a successful reply.
 func placeAndReply(r *Router, now model.Instant, load model.Load) {
 	c, ok := r.Place(now, model.Request{}, nil, 0)
 	if ok {
@@ -21,6 +22,7 @@
 	}
 }
 
+// warmUp places 10,000 requests, so that all state of the Router is allocated.
 func warmUp(r *Router, load model.Load) model.Load {
 	for i := range 10_000 {
 		load.Seq++
@@ -29,7 +31,7 @@
 	return load
 }
 
-func TestDecisionsDoNotAllocate(t *testing.T) {
+func TestPlacementDoesNotAllocate(t *testing.T) {
 	for _, name := range Names() {
 		for _, n := range poolSizes {
 			r := newRouter(t, name, n)
@@ -43,7 +45,7 @@
 	}
 }
 
-func BenchmarkDecision(b *testing.B) {
+func BenchmarkPlacement(b *testing.B) {
 	for _, name := range Names() {
 		for _, n := range poolSizes {
 			b.Run(fmt.Sprintf("%s/upstreams=%d", name, n), func(b *testing.B) {
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -6,70 +6,77 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// candidate is what one entry knows of one upstream.
+// candidate is what one entry knows about one upstream.
 type candidate struct {
 	upstream    model.Upstream
 	oneWayDelay time.Duration
 	load        model.Load
 	loadAt      model.Instant
 	hasLoad     bool
-	// inFlight counts this entry's requests there, inFlightAt how many there
-	// were when load came.
+	// inFlight counts this entry's unfinished requests at the upstream. inFlightAtLoad
+	// is the value that inFlight had when load was received.
 	inFlight       int32
 	inFlightAtLoad int32
-	// unanswered counts the requests sent since the last reply, silentSince is
-	// when the first of them went out.
+	// unanswered counts the requests sent since the last reply, plus one if older ones
+	// are still in flight. silentSince is the time of the last reply or, if no request
+	// was in flight then, of the next request.
 	unanswered  int32
 	silentSince model.Instant
-	// lastReplyAt is when the last reply came that the upstream's daemon sent.
+	// lastReplyAt is when the last reply that carried a load was received. Only the
+	// upstream's daemon sends loads, so its zone was reachable then.
 	lastReplyAt model.Instant
+	// rampEnd is when the upstream may use its full capacity. See rampFraction.
 	rampEnd     model.Instant
 	queueShares queueShares
 	health
 }
 
-// longAgo is before every instant that matters.
+// longAgo is earlier than any instant that the Router compares with it.
 const longAgo = model.Instant(-1 << 62)
 
-// pool is what the candidates have in common.
+// pool holds the statistics over all candidates.
 type pool struct {
-	// medianService is near the median of the mean slot times, in nanoseconds.
-	medianService float64
-	// meanOthersPerSlot is the mean number of requests per slot that other entries have at
-	// an upstream.
+	// medianService estimates the median over the upstreams of the mean service time,
+	// in nanoseconds.
+	medianServiceTime float64
+	// meanOthersPerSlot is the mean number of requests per slot that other entries have
+	// at an upstream.
 	meanOthersPerSlot float64
-	// ejected counts the upstreams ejected because they fail, unreachable those
-	// ejected because no connection could be made, well those that do not fail.
+	// ejected counts the upstreams that are ejected because of failed requests,
+	// unreachable those that are ejected because a connection attempt failed, and
+	// healthy those whose failure rate is below healthyBelow.
 	ejected     int
 	unreachable int
 	healthy     int
-	// placingGroup is the group whose request is being placed, empty for none.
+	// placingGroup is the group of the request that is being placed, or empty.
 	placingGroup model.GroupName
 }
 
 const (
+	// othersWeight is the weight of a new value in the moving average
+	// meanOthersPerSlot.
 	othersWeight = 1.0 / 64
-	// medianStep is the relative step with which the median follows.
+	// medianStep is the relative change of the median estimate for each new value.
 	medianStep = 0.01
 )
 
-// observe takes in the candidate's new load.
+// observe updates the statistics with the new load of a candidate.
 func (p *pool) observe(c *candidate) {
 	perSlot := c.otherRequests() / float64(c.limit())
 	p.meanOthersPerSlot += (perSlot - p.meanOthersPerSlot) * othersWeight
-	service := float64(c.load.Service)
+	serviceTime := float64(c.load.Service)
 	switch {
-	case service == 0:
-	case p.medianService == 0:
-		p.medianService = service
-	case service > p.medianService:
-		p.medianService *= 1 + medianStep
+	case serviceTime == 0:
+	case p.medianServiceTime == 0:
+		p.medianServiceTime = serviceTime
+	case serviceTime > p.medianServiceTime:
+		p.medianServiceTime *= 1 + medianStep
 	default:
-		p.medianService /= 1 + medianStep
+		p.medianServiceTime /= 1 + medianStep
 	}
 }
 
-// limit returns the number of requests the upstream runs at once.
+// limit returns how many requests the upstream may run concurrently.
 func (c *candidate) limit() int32 {
 	if c.load.Limit > 0 {
 		return c.load.Limit
@@ -77,33 +84,35 @@
 	return int32(max(c.upstream.Slots, 1))
 }
 
-// otherRequests returns the requests of other entries in the newest load.
+// otherRequests returns how many requests of other entries were at the upstream
+// according to the latest load.
 func (c *candidate) otherRequests() float64 {
 	return float64(max(c.load.Running+c.load.Waiting-c.inFlightAtLoad, 0))
 }
 
-// loadHalfLife is the number of mean slot times after which a load figure of other
-// entries counts half.
+// loadHalfLife is the age, in typical service times, at which the requests of other
+// entries in a load count half.
 const loadHalfLife = 2
 
-// estimatedRequests estimates how many requests are at the upstream now: this entry's
-// own are known, those of others fade from the last figure to the pool's mean,
-// but never beyond a full upstream without a queue: one that every entry has
-// left is likely idle, and only a try can tell.
+// estimatedRequests estimates how many requests are at the upstream now. This entry's
+// own requests are known exactly. The number of requests of other entries decays from
+// the last reported value towards the mean over all upstreams. That mean is capped at a
+// full upstream without a queue: an upstream that all entries have stopped using is
+// probably idle, and only a request sent there can confirm it.
 func (c *candidate) estimatedRequests(now model.Instant, p *pool) float64 {
 	meanOthers := min(p.meanOthersPerSlot, 1) * float64(c.limit())
 	if !c.hasLoad {
 		return meanOthers + float64(c.inFlight)
 	}
 	age := float64(max(now.Sub(c.loadAt), 0))
-	keep := 1.0
-	if p.medianService > 0 {
-		keep = 1 / (1 + age/(loadHalfLife*p.medianService))
+	weight := 1.0
+	if p.medianServiceTime > 0 {
+		weight = 1 / (1 + age/(loadHalfLife*p.medianServiceTime))
 	}
-	return c.requestsAheadOf(float64(c.inFlight)+meanOthers+(c.otherRequests()-meanOthers)*keep, p.placingGroup)
+	return c.requestsAheadOf(float64(c.inFlight)+meanOthers+(c.otherRequests()-meanOthers)*weight, p.placingGroup)
 }
 
-// recordSent counts a request that goes out.
+// recordSent counts a request that is sent to the upstream.
 func (c *candidate) recordSent(now model.Instant) {
 	c.inFlight++
 	if c.unanswered == 0 {
@@ -112,7 +121,7 @@
 	c.unanswered++
 }
 
-// recordReply counts a reply.
+// recordReply counts a reply from the upstream.
 func (c *candidate) recordReply(now model.Instant) {
 	c.inFlight = max(c.inFlight-1, 0)
 	c.unanswered = 0
@@ -123,38 +132,40 @@
 }
 
 const (
-	// stuckUnanswered is the number of unanswered requests, silentFor the silence in
-	// mean slot times beyond the way there and back, from which an upstream is
-	// held to be stuck.
+	// An upstream is considered stuck when at least stuckUnanswered requests are
+	// unanswered and the silence has lasted longer than stuckSilence typical service
+	// times plus the round trip.
 	stuckUnanswered = 2
 	stuckSilence    = 4
 )
 
-// excessSilence returns how long an upstream has been silent beyond what is usual,
-// in nanoseconds. It tells of a straggler, a paused daemon or a cut link before
-// any reply can.
+// excessSilence returns for how many nanoseconds the upstream has been silent beyond
+// the expected time. It detects a slow upstream, a paused daemon or a broken link
+// before any reply can show the problem.
 func (c *candidate) excessSilence(now model.Instant, p *pool) float64 {
 	if c.unanswered < stuckUnanswered {
 		return 0
 	}
-	expected := 2*float64(c.oneWayDelay) + stuckSilence*p.meanService()
+	expected := 2*float64(c.oneWayDelay) + stuckSilence*p.typicalServiceTime()
 	return max(float64(now.Sub(c.silentSince))-expected, 0)
 }
 
-// stragglerRatio is the ratio to the median slot time from which an upstream counts
-// as a straggler; below it the ratio is put down to the mix of requests.
+// stragglerRatio is the ratio of an upstream's service time to the median from which
+// the upstream counts as a straggler. A lower ratio is attributed to the mix of
+// requests.
 const stragglerRatio = 2
 
-// stragglerHalfLife is the age of a load figure at which a straggler's excess counts
-// half, so that an upstream left alone is tried again.
+// stragglerHalfLife is the age of a load at which the excess service time of a
+// straggler counts half, so that an upstream that gets no requests is tried again.
 const stragglerHalfLife = 250 * time.Millisecond
 
-// slowdown returns how many times slower than its peers the upstream is.
+// slowdown returns the ratio of the upstream's service time to the median. It is 1 for
+// an upstream that is not a straggler.
 func (c *candidate) slowdown(now model.Instant, p *pool) float64 {
-	if p.medianService == 0 {
+	if p.medianServiceTime == 0 {
 		return 1
 	}
-	ratio := float64(c.load.Service) / p.medianService
+	ratio := float64(c.load.Service) / p.medianServiceTime
 	if ratio < stragglerRatio {
 		return 1
 	}
@@ -162,7 +173,8 @@
 	return 1 + (ratio-1)/(1+age/float64(stragglerHalfLife))
 }
 
-// rampFraction returns the part of its capacity that a joining upstream may use now.
+// rampFraction returns the fraction of its capacity that a newly joined upstream may
+// use now.
 func (c *candidate) rampFraction(now model.Instant, ramp time.Duration) float64 {
 	if now >= c.rampEnd {
 		return 1
@@ -171,4 +183,5 @@
 	return max(1-remaining, minRampFraction)
 }
 
+// minRampFraction is the fraction of the capacity that a new upstream may use at once.
 const minRampFraction = 0.1
--- a/core/routing/doc.go
+++ b/core/routing/doc.go
@@ -1,21 +1,22 @@
-// Package routing chooses the upstream for a request.
+// Package routing chooses the upstream for each request.
 //
-// A Router belongs to one entry and one service. It keeps for each upstream
-// what this entry knows: the newest exact load that rode on a reply, the
-// requests this entry has in flight there, and how recent attempts ended. A
-// policy ranks the candidates. The Router leaves out those that drain, those
-// the caller excludes, and those ejected because they fail where others do
-// not; it never ejects so many that the rest would drown.
+// A Router belongs to one entry (the proxy that receives requests from callers) and one
+// service. For each upstream it stores the latest load reported in a reply, the number
+// of requests this entry has in flight there, and the results of recent attempts. A
+// policy picks among the upstreams. The Router skips upstreams that are draining, that
+// the caller excludes, or that are ejected because they fail while others do not
+// (outlier ejection). When more than half of the reachable upstreams are ejected, it
+// ignores the ejections, so that the remaining upstreams are not overloaded.
 //
-// # Late binding by bouncing
+// # Late binding through rejections
 //
-// What an entry knows is always a little old. The default policy,
-// expected-completion, therefore sends a request to the upstream that looks
-// best with no patience: its guard starts the request at once or gives it back
-// at once, with proof that it did not run and with its exact load. Only when a
-// few guards have given it back does the request queue, at the upstream where
-// it is expected to complete first. A bounce is a probe that carries the work,
-// so it costs no measuring. See Choice.Patience.
+// The load that an entry knows is always slightly out of date. The default policy,
+// expected-completion, therefore sends a request to the best-ranked upstream with a
+// queue timeout of zero. The guard (the proxy in front of the upstream) either starts
+// the request at once or rejects it at once; the rejection proves that the request did
+// not run and carries the current load. After MaxBounces rejections the request waits
+// in the queue of the upstream where it is expected to complete first. A rejection thus
+// serves as a load query and needs no extra message. See Choice.Patience.
 //
-// Nothing here does I/O, starts goroutines or reads a clock.
+// The package does no I/O, starts no goroutines and reads no clock.
 package routing
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -6,34 +6,36 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// expectedCompletion sends a request where it is expected to complete first:
-// the way there and back, the wait for a slot, how much slower than its peers
-// the upstream is, and how long it has been silent. While the request may still be given back, it is sent
-// with no patience (see the package comment).
+// expectedCompletion picks the upstream where the request is expected to complete
+// first. The estimate adds the round trip, the wait for a slot, the slowdown of the
+// upstream and the time for which it has been unexpectedly silent. While the request
+// may still be rejected, its queue timeout is zero (see the package comment).
 type expectedCompletion struct{}
 
 const (
-	// maxFullScan is the pool size up to which every candidate is scored; of a
-	// larger pool a sample is.
+	// maxFullScan is the largest pool in which every candidate is scored. In a larger
+	// pool only a random sample is scored: sampleLocal candidates of the own zone and
+	// sampleRemote of other zones.
 	maxFullScan  = 16
 	sampleLocal  = 8
 	sampleRemote = 4
-	// occupancyCost is the cost of a fully occupied upstream in mean slot
-	// times: a fuller one is likelier to be taken when the request arrives.
+	// occupancyCost is the penalty, in typical service times, of an upstream whose slots
+	// are all occupied: the fuller an upstream, the likelier its last slot is taken
+	// before the request arrives.
 	occupancyCost = 0.2
-	// jitter spreads entries that see the same upstream idle, in mean slot
-	// times.
+	// jitter bounds the random part of a score, in typical service times. It spreads
+	// the requests of entries that see the same upstream idle.
 	jitter = 0.05
-	// maxRejectionRTT is the largest round trip, as a share of the mean slot time,
-	// for which being given back is cheap.
+	// maxRejectionRTT is the longest round trip, as a share of the typical service
+	// time, at which a rejection is cheap.
 	maxRejectionRTT = 0.25
-	// saturation is the occupancy, in limits, from which the best upstream is so
-	// full that a request queues there at once: bounces would cost hops and find
-	// nothing.
+	// saturation is the number of requests at the best upstream, as a multiple of its
+	// limit, from which a request queues there immediately. All upstreams are then so
+	// full that rejections would only cost round trips.
 	saturation = 2
-	// defaultService stands in for the mean slot time before any is known, in
+	// defaultServiceTime is the typical service time assumed until one is known, in
 	// nanoseconds.
-	defaultService = 2e6
+	defaultServiceTime = 2e6
 )
 
 func (p *expectedCompletion) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
@@ -52,8 +54,10 @@
 	return s.best
 }
 
+// queueTimeout returns zero while a rejection is cheap and another upstream may have a
+// free slot.
 func (p *expectedCompletion) queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration {
-	if 2*float64(c.oneWayDelay) > maxRejectionRTT*r.pool.meanService() {
+	if 2*float64(c.oneWayDelay) > maxRejectionRTT*r.pool.typicalServiceTime() {
 		return WaitForDeadline
 	}
 	if c.estimatedRequests(now, &r.pool) >= saturation*float64(c.limit()) {
@@ -64,11 +68,13 @@
 
 func (p *expectedCompletion) hedges() bool { return true }
 
-func (p *pool) meanService() float64 {
-	if p.medianService == 0 {
-		return defaultService
+// typicalServiceTime returns the median over the upstreams of the mean service time, in
+// nanoseconds.
+func (p *pool) typicalServiceTime() float64 {
+	if p.medianServiceTime == 0 {
+		return defaultServiceTime
 	}
-	return p.medianService
+	return p.medianServiceTime
 }
 
 // search finds the candidate with the lowest score.
@@ -81,6 +87,8 @@
 	score     float64
 }
 
+// sample scores n random candidates, with replacement, or all of them if there are no
+// more than n.
 func (s *search) sample(from []*candidate, n int) {
 	if len(from) <= n {
 		for _, c := range from {
@@ -93,6 +101,7 @@
 	}
 }
 
+// consider keeps the candidate if it is usable and its score is the lowest so far.
 func (s *search) consider(c *candidate) {
 	if !c.usable(s.now, s.exclude, s.panicking) {
 		return
@@ -103,15 +112,15 @@
 	}
 }
 
-// score scores a candidate: the expected time until the request completes
-// beyond the mean slot time of an undisturbed upstream, in nanoseconds.
+// score returns the expected time until the request completes at the candidate, less
+// the typical service time, in nanoseconds. Lower is better.
 func (r *Router) score(now model.Instant, c *candidate) float64 {
-	service := r.pool.meanService()
+	serviceTime := r.pool.typicalServiceTime()
 	slowdown := c.slowdown(now, &r.pool)
 	limit := float64(c.limit()) * c.rampFraction(now, r.opts.Ramp)
 	requests := c.estimatedRequests(now, &r.pool)
 	wait := max(requests-limit+1, 0) / limit * slowdown
-	occupancy := occupancyCost * min(requests/limit, 1)
+	occupancyPenalty := occupancyCost * min(requests/limit, 1)
 	silence := c.excessSilence(now, &r.pool)
-	return 2*float64(c.oneWayDelay) + silence + service*(wait+occupancy+slowdown-1+jitter*r.rng.Float64())
+	return 2*float64(c.oneWayDelay) + silence + serviceTime*(wait+occupancyPenalty+slowdown-1+jitter*r.rng.Float64())
 }
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -8,43 +8,50 @@
 )
 
 const (
+	// failureWeight is the weight of a new result in the moving average of failures.
 	failureWeight = 1.0 / 4
-	// ejectThreshold is the failing share from which an upstream is ejected, when
-	// at least wellShare of the pool fails less than wellBelow. A request that
-	// fails everywhere leaves none well and so ejects nobody.
+	// An upstream is ejected when its failure rate is above ejectThreshold and at least
+	// minHealthyShare of the pool has a failure rate below healthyBelow. A kind of
+	// request that fails on every upstream leaves none of them healthy and therefore
+	// ejects none.
 	ejectThreshold  = 0.5
 	healthyBelow    = 0.25
 	minHealthyShare = 1.0 / 3
-	// baseEjectionTime is doubled with each ejection in a row up to lastEjection.
+	// baseEjectionTime is doubled with each consecutive ejection, up to
+	// maxEjectionTime.
 	baseEjectionTime = 200 * time.Millisecond
 	maxEjectionTime  = 10 * time.Second
-	// baseUnreachableTime is the first ejection of an upstream that cannot be
-	// reached.
+	// baseUnreachableTime is the first ejection time of an upstream to which no
+	// connection can be made.
 	baseUnreachableTime = 500 * time.Millisecond
 	// panicThreshold is the share of ejected upstreams above which ejections are
-	// ignored.
+	// ignored (panic mode).
 	panicThreshold = 0.5
 )
 
-// health is how recent attempts at an upstream ended.
+// health tracks the results of recent attempts at one upstream.
 type health struct {
-	failureRate  float64
-	unhealthy    bool
-	ejected      bool
+	failureRate float64
+	// unhealthy is set if failureRate is at least healthyBelow.
+	unhealthy bool
+	ejected   bool
+	// ejectionTime is the duration of the last ejection, or 0 after a successful
+	// attempt. retryAt is when a trial request is allowed.
 	ejectionTime time.Duration
 	retryAt      model.Instant
-	// unreachable is set on ejected upstreams to which no connection could be
-	// made. They are no help to a drowning pool, so they count for no panic.
+	// unreachable is set on upstreams that are ejected because a connection attempt
+	// failed. Sending requests to them would not relieve an overloaded pool, so they do
+	// not count towards panic mode.
 	unreachable bool
 }
 
-// mayRetry reports whether an ejected upstream may be tried with one request.
+// mayRetry reports whether one trial request may be sent to an ejected upstream.
 func (c *candidate) mayRetry(now model.Instant) bool {
 	return now >= c.retryAt && c.inFlight == 0
 }
 
-// failed reports whether a reply speaks against the upstream. Refusals by the
-// guard's own policy do not.
+// failed reports whether the reply shows a failure of the upstream. Rejections that are
+// the guard's own decision, such as load shedding, are not failures of the upstream.
 func (reply Reply) failed() bool {
 	if reply.Failed {
 		return true
@@ -58,13 +65,13 @@
 	}
 }
 
-// judged reports whether a reply says anything about the upstream.
+// conclusive reports whether the reply shows that the upstream works or that it fails.
 func (reply Reply) conclusive() bool {
 	return reply.failed() || reply.Outcome.Kind == outcome.Answered
 }
 
-// judge ejects an upstream that fails where others do not, and takes it back
-// after an attempt that went well.
+// updateHealth ejects an upstream that fails while others do not, and restores it after
+// a successful attempt.
 func (r *Router) updateHealth(now model.Instant, c *candidate, reply Reply) {
 	if reply.HasLoad {
 		c.lastReplyAt = now
@@ -77,7 +84,7 @@
 		failure = 1
 	}
 	c.failureRate += (failure - c.failureRate) * failureWeight
-	r.updateHealthy(c)
+	r.updateHealthyCount(c)
 	switch {
 	case reply.Outcome.Reason == outcome.ReasonConnect:
 		r.ejectUnreachable(now, c)
@@ -90,7 +97,7 @@
 	}
 }
 
-// eject leaves the upstream out for longer each time in a row.
+// eject ejects the upstream. Each consecutive ejection lasts twice as long.
 func (r *Router) eject(now model.Instant, c *candidate) {
 	if c.ejected && now < c.retryAt {
 		return
@@ -100,8 +107,8 @@
 	c.retryAt = now.Add(c.ejectionTime)
 }
 
-// ejectUnreachable leaves out an upstream to which no connection could be made
-// and, when nothing has been heard from its zone since, the rest of the zone.
+// ejectUnreachable ejects an upstream after a failed connection attempt. If no other
+// upstream of its zone has replied within zoneReplyTimeout, the whole zone is ejected.
 func (r *Router) ejectUnreachable(now model.Instant, c *candidate) {
 	if c.ejected && now < c.retryAt {
 		return
@@ -119,8 +126,8 @@
 	}
 }
 
-// zoneHeard reports whether another upstream of the candidate's zone has
-// replied lately; the own zone is always taken to be there.
+// zoneReplied reports whether another upstream of the candidate's zone has replied
+// recently. The entry's own zone always counts as reachable.
 func (r *Router) zoneReplied(now model.Instant, c *candidate) bool {
 	if c.upstream.Zone == r.opts.Zone {
 		return true
@@ -133,11 +140,11 @@
 	return false
 }
 
-// zoneSilence is the time without a reply after which one failed connection
-// speaks against a whole zone.
+// zoneReplyTimeout is how long a zone may send no reply before one failed connection
+// attempt ejects all of its upstreams.
 const zoneReplyTimeout = 40 * time.Millisecond
 
-// setEjected keeps the pool's counts true.
+// setEjected changes the ejection state of a candidate and updates the pool's counters.
 func (r *Router) setEjected(c *candidate, ejected, unreachable bool) {
 	if ejected && !c.ejected {
 		r.stats.Ejections++
@@ -147,6 +154,8 @@
 	r.countEjected(c, 1)
 }
 
+// countEjected adds n to the pool counter that the candidate belongs to, if it is
+// ejected.
 func (r *Router) countEjected(c *candidate, n int) {
 	switch {
 	case c.unreachable:
@@ -156,15 +165,17 @@
 	}
 }
 
+// restore ends the ejection of a candidate and clears its failure rate.
 func (r *Router) restore(c *candidate) {
 	r.setEjected(c, false, false)
 	c.ejectionTime = 0
 	c.failureRate = 0
-	r.updateHealthy(c)
+	r.updateHealthyCount(c)
 }
 
-// countWell keeps the pool's number of upstreams that do not fail.
-func (r *Router) updateHealthy(c *candidate) {
+// updateHealthyCount updates the candidate's unhealthy field and the pool's number of
+// healthy upstreams.
+func (r *Router) updateHealthyCount(c *candidate) {
 	unhealthy := c.failureRate >= healthyBelow
 	if unhealthy == c.unhealthy {
 		return
@@ -177,8 +188,8 @@
 	}
 }
 
-// panicking reports whether so many upstreams are ejected that the rest would
-// drown; then ejections are ignored.
+// panicking reports whether so many upstreams are ejected that the others would be
+// overloaded. Ejections are then ignored.
 func (r *Router) panicking() bool {
 	reachable := len(r.candidates) - r.pool.unreachable
 	if r.pool.ejected == 0 || float64(r.pool.ejected) <= panicThreshold*float64(reachable) {
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -8,39 +8,44 @@
 )
 
 const (
-	// hedgeQuantile is the quantile of its group's latency that a request must
-	// outlast to be hedged.
+	// hedgeQuantile is the latency quantile of its group that a request must exceed to
+	// be hedged.
 	hedgeQuantile = 0.98
-	// quantileStep is the relative step down of the quantile's estimate; the
-	// step up is larger in proportion.
+	// quantileStep is the relative step by which the quantile estimate falls. The step
+	// up is larger by hedgeQuantile/(1-hedgeQuantile), so that the estimate settles at
+	// the quantile.
 	quantileStep = 0.001
-	// hedgeSamples is the number of latencies seen before a group is hedged.
+	// hedgeSamples is the number of latencies needed before requests of a group are
+	// hedged.
 	hedgeSamples = 200
-	// maxHedgeGroups bounds the groups with an estimate of their own; the rest
-	// share one.
+	// maxHedgeGroups bounds the number of groups with their own latency estimate. All
+	// other groups share one estimate.
 	maxHedgeGroups = 64
-	// hedgeBurst is the number of hedges that may be saved up.
+	// hedgeBurst is the largest number of hedges that can be saved up in the budget.
 	hedgeBurst = 20
-	// hedgeFloor is the least delay in mean slot times.
+	// minHedgeDelay is the shortest hedge delay, in typical service times.
 	minHedgeDelay = 2
 )
 
-// defaultHedgeBudget is the number of hedges allowed for each request.
+// defaultHedgeBudget is the number of hedges allowed per request.
 const defaultHedgeBudget = 0.02
 
-// hedging holds when requests are hedged and how many still may be.
+// hedging holds the latency estimates and the hedge budget.
 type hedging struct {
 	groups map[model.GroupName]*quantileEstimate
+	// shared is the estimate of the groups that have none of their own.
 	shared quantileEstimate
 	tokens float64
 }
 
-// quantile follows a quantile of latencies, in nanoseconds.
+// quantileEstimate follows the hedgeQuantile of a stream of latencies, in nanoseconds.
 type quantileEstimate struct {
 	value float64
-	n     int
+	// n is the number of latencies added so far.
+	n int
 }
 
+// add updates the estimate with a latency.
 func (q *quantileEstimate) add(x float64) {
 	q.n++
 	switch {
@@ -53,9 +58,10 @@
 	}
 }
 
-// HedgeDelay returns how long to wait for an answer before the request is sent
-// to a second upstream. It reports false when the request must not be hedged:
-// it is not idempotent, the policy does not hedge, or too little is known.
+// HedgeDelay returns how long to wait for a response before a second copy of the
+// request is sent to another upstream. It returns false if the request must not be
+// hedged: it is not idempotent, the policy does not hedge, or too few latencies are
+// known.
 func (r *Router) HedgeDelay(req model.Request) (time.Duration, bool) {
 	if !req.Idempotent || !r.policy.hedges() || r.opts.HedgeBudget <= 0 {
 		return 0, false
@@ -64,14 +70,15 @@
 	if q.n < hedgeSamples {
 		return 0, false
 	}
-	return time.Duration(max(q.value, minHedgeDelay*r.pool.meanService())), true
+	return time.Duration(max(q.value, minHedgeDelay*r.pool.typicalServiceTime())), true
 }
 
-// Hedge chooses the second upstream for a request that was sent to the first at
-// the given instant and outlasted HedgeDelay there, and counts it as sent. exclude names the upstreams that have had
-// it. The choice has no patience: a hedge only uses a slot that is free. It
-// reports false when the first upstream looks well, so that only the request is
-// long, when the budget is spent, or when no other upstream may take it.
+// Hedge chooses the upstream for the second copy of a request, and counts that copy as
+// sent. The first copy has been outstanding for longer than HedgeDelay; first is the
+// upstream to which it was sent, and sent is when. Upstreams in exclude already have the
+// request. The queue timeout of the second copy is zero, so it only uses a free slot.
+// Hedge returns false if the first upstream is not slow (then only this request takes
+// long), if the budget is used up, or if no other upstream is usable.
 func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sent model.Instant, exclude []model.UpstreamID) (Choice, bool) {
 	if !r.upstreamSlow(now, first, sent) {
 		return Choice{}, false
@@ -90,8 +97,9 @@
 	return Choice{Upstream: c.upstream, Patience: 0}, true
 }
 
-// suspect reports whether the upstream itself, not just the request sent at the
-// given instant, is slow: it has answered nothing since.
+// upstreamSlow reports whether the upstream itself is slow or failing, and not only the
+// request that was sent to it at the given instant. An upstream that has replied to
+// nothing since then counts as slow.
 func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sent model.Instant) bool {
 	c := r.byID[id]
 	if c == nil {
@@ -100,13 +108,14 @@
 	return c.ejected || c.slowdown(now, &r.pool) > 1 || c.lastReplyAt < sent
 }
 
-// earn adds a request's part to the budget.
+// addHedgeTokens credits the hedge budget for one request.
 func (r *Router) addHedgeTokens() {
 	r.hedging.tokens = min(r.hedging.tokens+r.opts.HedgeBudget, hedgeBurst)
 }
 
-// learn takes in the latency of a request. One that was cancelled because its
-// hedge answered first counts with the time it had taken by then.
+// recordLatency updates the latency estimate of the request's group. A request that was
+// cancelled because its hedge completed first counts with the time it had taken by
+// then.
 func (r *Router) recordLatency(reply Reply) {
 	cancelled := reply.Outcome.Reason == outcome.ReasonCancelled
 	if reply.Hedge || reply.Failed || reply.Outcome.Kind != outcome.Answered && !cancelled {
@@ -115,7 +124,7 @@
 	r.hedging.estimateToUpdate(reply.Group).add(float64(reply.Latency))
 }
 
-// of returns the estimate that counts for a group.
+// estimate returns the latency estimate to use for a group.
 func (h *hedging) estimate(g model.GroupName) *quantileEstimate {
 	if q := h.groups[g]; q != nil {
 		return q
@@ -123,8 +132,8 @@
 	return &h.shared
 }
 
-// keep returns the group's own estimate, or the shared one when there are too
-// many groups.
+// estimateToUpdate returns the group's own estimate, creating it if necessary. It
+// returns the shared one if there are too many groups.
 func (h *hedging) estimateToUpdate(g model.GroupName) *quantileEstimate {
 	if q := h.groups[g]; q != nil {
 		return q
--- a/core/routing/least_outstanding.go
+++ b/core/routing/least_outstanding.go
@@ -2,8 +2,8 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// leastOutstanding chooses the upstream where this entry has the fewest
-// requests in flight; among equals, the first from a random start.
+// leastOutstanding picks the upstream with the fewest in-flight requests of this entry.
+// The scan starts at a random candidate, and ties go to the first one scanned.
 type leastOutstanding struct{ waitsAtUpstream }
 
 func (leastOutstanding) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
@@ -28,5 +28,5 @@
 	return best
 }
 
-// maxScan bounds the candidates that one decision looks at.
+// maxScan bounds the number of candidates that are compared for one request.
 const maxScan = 64
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -8,7 +8,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// The names of the policies.
+// The names of the routing policies.
 const (
 	ExpectedCompletion = "expected-completion"
 	TwoChoices         = "two-choices"
@@ -17,58 +17,62 @@
 	Random             = "random"
 )
 
-// Names returns the names of all policies, the default first.
+// Names returns the names of all policies. The default is first.
 func Names() []string {
 	return []string{ExpectedCompletion, TwoChoices, LeastOutstanding, RoundRobin, Random}
 }
 
 // Options configure a Router.
 type Options struct {
-	// Policy is the name of the selection policy. Default: ExpectedCompletion.
+	// Policy is the name of the routing policy. Default: ExpectedCompletion.
 	Policy string
 	// Zone is the availability zone of the entry.
 	Zone model.AvailabilityZone
-	// Self is the daemon of the entry; its own upstreams are reached without
-	// delay. Empty means that no upstream is its own.
+	// Self is the ID of the daemon that the entry belongs to. The delay to upstreams of
+	// that daemon is 0. If Self is empty, no upstream belongs to it.
 	Self model.DaemonID
-	// ZoneDelay gives the one-way delay to a zone. A zone that is not in it
-	// counts as DefaultZoneDelay away, the own zone as 0.
+	// ZoneDelay holds the one-way delay to each zone. For zones that are not in the map
+	// it is 0 (own zone) or DefaultZoneDelay (other zones).
 	ZoneDelay map[model.AvailabilityZone]time.Duration
-	// Ramp is the time over which an upstream that joins a running pool takes
-	// up its full part. Default: 2s. Negative: none.
+	// Ramp is how long an upstream that joins a running pool takes to reach its full
+	// share of requests. Default: 2s. A negative value disables ramping.
 	Ramp time.Duration
-	// HedgeBudget is the number of hedges allowed for each request. Default:
-	// 0.02. Negative: none.
+	// HedgeBudget is the number of hedges allowed per request. Default: 0.02. A
+	// negative value disables hedging.
 	HedgeBudget float64
-	// Seed seeds the random choices.
+	// Seed seeds the random number generator.
 	Seed uint64
 }
 
-// DefaultZoneDelay is the one-way delay assumed to a zone without a figure.
+// DefaultZoneDelay is the one-way delay assumed for zones that Options.ZoneDelay omits.
 const DefaultZoneDelay = time.Millisecond
 
+// defaultRamp is the default of Options.Ramp.
 const defaultRamp = 2 * time.Second
 
-// UnknownPolicyError names a policy that does not exist.
+// UnknownPolicyError is returned by New for a policy name that does not exist.
 type UnknownPolicyError struct{ Name string }
 
-// Error lists the policies that exist.
+// Error names the unknown policy and lists the existing ones.
 func (e *UnknownPolicyError) Error() string {
 	return fmt.Sprintf("unknown routing policy %q, want one of %s", e.Name, strings.Join(Names(), ", "))
 }
 
-// policy ranks candidates.
+// policy picks the upstream for a request and decides how long the request may wait
+// there.
 type policy interface {
-	// choose returns a candidate that is usable, or nil when there is none.
-	// panicking takes ejected candidates for usable.
+	// choose returns a usable candidate, or nil if there is none. If panicking is set,
+	// ejected candidates are usable too.
 	choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate
-	// queueTimeout tells how long a request may wait at the chosen candidate.
-	// bounced counts how often the request has been given back.
+	// queueTimeout returns how long a request may wait at the chosen candidate.
+	// rejections is the number of times that guards have rejected the request so far.
 	queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration
-	// hedges reports whether slow idempotent requests are sent a second time.
+	// hedges reports whether the policy sends slow idempotent requests to a second
+	// upstream.
 	hedges() bool
 }
 
+// newPolicy returns the policy with the given name.
 func newPolicy(name string) (policy, error) {
 	switch name {
 	case "", ExpectedCompletion:
@@ -86,8 +90,8 @@
 	}
 }
 
-// queues is embedded by policies that let every request wait where it was sent
-// first, and send it once.
+// waitsAtUpstream is embedded by policies whose requests wait at the first chosen
+// upstream until their deadline and are never hedged.
 type waitsAtUpstream struct{}
 
 func (waitsAtUpstream) queueTimeout(*Router, model.Instant, *candidate, int) time.Duration {
--- /dev/null
+++ b/core/routing/queue_share.go
@@ -0,0 +1,44 @@
+package routing
+
+import "github.com/dottereltiller/dottereltiller/core/model"
+
+// maxQueueShares bounds the number of groups whose queue share is stored per upstream.
+// For other groups all waiting requests count.
+const maxQueueShares = 64
+
+// queueShares holds, for each group, the share of the requests waiting at an upstream
+// that would start before the group's next request. With fair queueing, the long queue
+// of a group that exceeds its share hardly delays the other groups, so they need not
+// avoid the upstream.
+type queueShares map[model.GroupName]float64
+
+// recordQueueShare stores the share from a load that was reported to the group. A short
+// queue says little about the share, so the previous value is kept then.
+func (c *candidate) recordQueueShare(g model.GroupName, load model.Load) {
+	if g == "" || load.Waiting <= load.Limit {
+		return
+	}
+	if _, known := c.queueShares[g]; !known && len(c.queueShares) >= maxQueueShares {
+		return
+	}
+	if c.queueShares == nil {
+		c.queueShares = make(queueShares)
+	}
+	c.queueShares[g] = min(float64(load.Ahead)/float64(load.Waiting), 1)
+}
+
+// requestsAheadOf returns how many of the requests at the upstream count against it
+// when a request of the given group is placed. Up to saturation all of them count,
+// since routing should avoid queueing altogether. Of the requests beyond saturation,
+// only those that would start before the group's next request count.
+func (c *candidate) requestsAheadOf(requests float64, g model.GroupName) float64 {
+	full := saturation * float64(c.limit())
+	if requests <= full {
+		return requests
+	}
+	share, known := c.queueShares[g]
+	if !known {
+		return requests
+	}
+	return full + share*(requests-full)
+}
--- a/core/routing/random.go
+++ b/core/routing/random.go
@@ -2,7 +2,7 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// random chooses any usable upstream.
+// random picks a usable upstream at random.
 type random struct{ waitsAtUpstream }
 
 func (random) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
--- a/core/routing/round_robin.go
+++ b/core/routing/round_robin.go
@@ -2,7 +2,7 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// roundRobin takes the usable upstreams of this entry in turn.
+// roundRobin picks the usable upstreams in turn.
 type roundRobin struct {
 	waitsAtUpstream
 	next int
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -8,72 +8,76 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// WaitForDeadline is the patience of a request that waits at the guard until
+// WaitForDeadline is the Choice.Patience of a request that may wait at the guard until
 // its deadline.
 const WaitForDeadline time.Duration = -1
 
-// Choice is where a request goes.
+// Choice is the upstream chosen for a request.
 type Choice struct {
 	Upstream model.Upstream
-	// Patience is how long the request may wait at the guard. When it has not
-	// started by then the guard gives it back as "not run". Zero: start at once
-	// or give back at once. WaitForDeadline: no limit but the deadline.
+	// Patience is the longest time for which the request may wait at the guard. If it
+	// has not started by then, the guard rejects it as "not run". Zero means that the
+	// guard either starts or rejects the request at once. WaitForDeadline means that
+	// only the deadline bounds the wait.
 	Patience time.Duration
 }
 
-// Reply is what came back from one attempt.
+// Reply is the result of one attempt.
 type Reply struct {
 	Outcome outcome.Outcome
-	// Failed is set when the upstream answered with a server error.
+	// Failed is set if the upstream responded with a server error.
 	Failed bool
-	// Load is what the guard said; HasLoad tells whether it said anything.
+	// Load is the load that the guard reported. HasLoad is false if it reported none.
 	Load    model.Load
 	HasLoad bool
-	// Latency is the time from sending to the head of the answer.
+	// Latency is the time from sending the request to receiving the response headers.
 	Latency time.Duration
-	// Group is the group of the request; Hedge is set on the reply to a hedge.
+	// Group is the group of the request. Hedge is set on the reply to a hedge.
 	Group model.GroupName
 	Hedge bool
 }
 
-// Bounced reports whether the guard gave the request back unrun because its
-// patience had ended.
+// Bounced reports whether o means that the guard rejected the request, without running
+// it, because its queue timeout had expired.
 func (c Choice) Bounced(o outcome.Outcome) bool {
 	return c.Patience >= 0 && o.Kind == outcome.NotRun && o.Reason == outcome.ReasonWithdrawn
 }
 
-// Stats counts decisions since the Router was made.
+// Stats counts events since the Router was created.
 type Stats struct {
-	// Picks counts placements, Bounces requests given back, Spills placements
-	// in another zone.
+	// Picks counts placed requests, Bounces rejected requests, and Spills requests
+	// placed in another zone.
 	Picks, Bounces, Spills uint64
-	// Ejections counts upstreams left out because they fail, Panics picks that
-	// ignored ejections because too many were ejected.
+	// Ejections counts ejections of upstreams. Panics counts placements for which
+	// ejections were ignored because too many upstreams were ejected.
 	Ejections, Panics uint64
-	// Hedges counts requests sent a second time, HedgesRefused those that the
-	// budget forbade.
+	// Hedges counts hedged requests. HedgesRefused counts hedges that the budget did
+	// not allow.
 	Hedges, HedgesRefused uint64
 	// NoUpstream counts requests for which no upstream was usable.
 	NoUpstream uint64
 }
 
-// Router chooses upstreams of one service for one entry. It is not safe for
-// concurrent use.
+// Router chooses among the upstreams of one service on behalf of one entry. It is not
+// safe for concurrent use.
 type Router struct {
-	opts         Options
-	policy       policy
-	rng          *rand.Rand
-	candidates   []*candidate
-	local        []*candidate
-	remote       []*candidate
-	byID         map[model.UpstreamID]*candidate
-	pool         pool
-	hedging      hedging
-	stats        Stats
+	opts       Options
+	policy     policy
+	rng        *rand.Rand
+	candidates []*candidate
+	// local are the candidates in the entry's own zone, remote all others.
+	local   []*candidate
+	remote  []*candidate
+	byID    map[model.UpstreamID]*candidate
+	pool    pool
+	hedging hedging
+	stats   Stats
+	// hadUpstreams is set once SetUpstreams has been called with at least one upstream.
+	// Upstreams that join later ramp up.
 	hadUpstreams bool
 }
 
-// New returns a Router without upstreams. The error is an *UnknownPolicyError.
+// New returns a Router without upstreams. The only error is *UnknownPolicyError.
 func New(opts Options) (*Router, error) {
 	p, err := newPolicy(opts.Policy)
 	if err != nil {
@@ -94,11 +98,11 @@
 	}, nil
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (r *Router) Stats() Stats { return r.stats }
 
-// SetUpstreams replaces the candidates. What is known of an upstream stays as
-// long as its incarnation does.
+// SetUpstreams replaces the candidates. The state of an upstream is kept as long as its
+// incarnation stays the same.
 func (r *Router) SetUpstreams(now model.Instant, ups []model.Upstream) {
 	byID := make(map[model.UpstreamID]*candidate, len(ups))
 	r.candidates, r.local, r.remote = r.candidates[:0], r.local[:0], r.remote[:0]
@@ -121,8 +125,8 @@
 	r.hadUpstreams = r.hadUpstreams || len(ups) > 0
 }
 
-// keep returns what is known of the upstream, or a new candidate for a new
-// incarnation. One that joins a running pool ramps up.
+// candidateFor returns the existing candidate of the upstream's incarnation, or a new
+// one. A new candidate ramps up if the pool has been in use before.
 func (r *Router) candidateFor(now model.Instant, u model.Upstream) *candidate {
 	c := r.byID[u.ID]
 	if c == nil || c.upstream.Incarnation != u.Incarnation {
@@ -136,6 +140,7 @@
 	return c
 }
 
+// delay returns the one-way delay to the upstream.
 func (r *Router) delay(u model.Upstream) time.Duration {
 	if u.Daemon == r.opts.Self && u.Daemon != "" {
 		return 0
@@ -149,21 +154,20 @@
 	return DefaultZoneDelay
 }
 
-// Pick chooses the upstream for a request that waits there until its deadline,
-// and counts it as sent. See Place.
+// Pick is like Place, but the request waits at the chosen upstream until its deadline.
 func (r *Router) Pick(now model.Instant, req model.Request, exclude []model.UpstreamID) (model.Upstream, bool) {
 	c, ok := r.Place(now, req, exclude, MaxBounces)
 	return c.Upstream, ok
 }
 
-// MaxBounces is the number of times that a request may be given back before it
-// waits wherever it is sent.
+// MaxBounces is how many times guards may reject a request. After that it waits in the
+// queue of the upstream to which it is sent.
 const MaxBounces = 3
 
-// Place chooses the upstream for a request and counts it as sent. Upstreams in
-// exclude are left out. bounced counts how often guards have given the request
-// back (see Choice.Bounced). It reports false when no upstream may take the
-// request. Every Place that reports true is followed by one Done.
+// Place chooses the upstream for a request and counts the request as sent. Upstreams in
+// exclude are not chosen. rejections is the number of times that guards have rejected
+// the request so far (see Choice.Bounced). Place returns false if no upstream is
+// usable. Every call that returns true must be followed by one call of Done.
 func (r *Router) Place(now model.Instant, req model.Request, exclude []model.UpstreamID, rejections int) (Choice, bool) {
 	r.pool.placingGroup = req.Group
 	defer func() { r.pool.placingGroup = "" }()
@@ -187,8 +191,8 @@
 	return Choice{Upstream: c.upstream, Patience: queueTimeout}, true
 }
 
-// choose takes ejected candidates too when too many are ejected, or when there
-// are no others.
+// choose asks the policy for a candidate. Ejected candidates are considered too if too
+// many are ejected or no other candidate is usable.
 func (r *Router) choose(now model.Instant, exclude []model.UpstreamID) *candidate {
 	if r.panicking() {
 		return r.policy.choose(r, now, exclude, true)
@@ -200,7 +204,7 @@
 	return c
 }
 
-// Done tells how the attempt at an upstream went.
+// Done records the result of an attempt at an upstream.
 func (r *Router) Done(now model.Instant, id model.UpstreamID, reply Reply) {
 	c := r.byID[id]
 	if c == nil {
@@ -218,8 +222,8 @@
 	}
 }
 
-// Observe takes in a load figure that came outside a reply, from a probe or
-// from a peer. An older figure than the one known changes nothing.
+// Observe records a load that was received from a probe or a peer rather than with a
+// reply. A load older than the known one is ignored.
 func (r *Router) Observe(now model.Instant, id model.UpstreamID, load model.Load) {
 	c := r.byID[id]
 	if c == nil || load.Seq < c.load.Seq {
@@ -232,8 +236,8 @@
 	r.pool.observe(c)
 }
 
-// usable reports whether the candidate may take a request. panicking ignores
-// ejections.
+// usable reports whether the candidate may be sent a request. If panicking is set,
+// ejections are ignored.
 func (c *candidate) usable(now model.Instant, exclude []model.UpstreamID, panicking bool) bool {
 	if c.upstream.Draining || c.load.Draining {
 		return false
@@ -249,10 +253,10 @@
 	return true
 }
 
-// randomTries is the number of random candidates looked at before a scan.
+// randomTries is the number of random candidates that are tried before a scan of all.
 const randomTries = 8
 
-// random returns a random usable candidate, or nil.
+// random returns a random usable candidate, or nil if there is none.
 func (r *Router) random(now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
 	n := len(r.candidates)
 	if n == 0 {
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -12,9 +12,10 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
+// ms is one millisecond.
 const ms = model.Instant(time.Millisecond)
 
-// upstreams returns n upstreams of 6 slots spread over three zones.
+// newUpstreams returns n upstreams of 6 slots each, spread over the zones a, b and c.
 func newUpstreams(n int) []model.Upstream {
 	zones := []model.AvailabilityZone{"a", "b", "c"}
 	ups := make([]model.Upstream, n)
@@ -30,6 +31,7 @@
 	return ups
 }
 
+// newRouter returns a Router in zone a over n upstreams.
 func newRouter(t testing.TB, name string, n int) *Router {
 	t.Helper()
 	r, err := New(Options{Policy: name, Zone: "a", Seed: 1})
@@ -38,16 +40,18 @@
 	return r
 }
 
+// answeredReply returns the reply to a successful request.
 func answeredReply(load model.Load) Reply {
 	return Reply{Outcome: outcome.Done(), Load: load, HasLoad: true}
 }
 
+// refusedReply returns the reply to a request that the upstream refused.
 func refusedReply() Reply {
 	return Reply{Outcome: outcome.NotRunBecause(outcome.ReasonUpstreamRefused), Failed: true}
 }
 
-// spreadOf places n requests that are answered at once and counts them by
-// upstream.
+// countPlacements places n requests, each of which is replied to before the next one,
+// and returns how many requests each upstream received.
 func countPlacements(r *Router, now model.Instant, n int, reply func(model.UpstreamID) Reply) map[model.UpstreamID]int {
 	got := make(map[model.UpstreamID]int)
 	for range n {
@@ -66,7 +70,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRouter(t, name, 3)
 			_, ok := r.Pick(0, model.Request{}, []model.UpstreamID{"s-1", "s-2", "s-3"})
-			assert.False(t, ok, "all excluded")
+			assert.False(t, ok, "all upstreams are excluded")
 			up, ok := r.Pick(0, model.Request{}, []model.UpstreamID{"s-1", "s-3"})
 			assert.True(t, ok)
 			assert.Equal(t, model.UpstreamID("s-2"), up.ID)
@@ -78,17 +82,19 @@
 			for range 50 {
 				up, ok = r.Pick(0, model.Request{}, nil)
 				assert.True(t, ok)
-				assert.Equal(t, model.UpstreamID("s-2"), up.ID, "the others drain")
+				assert.Equal(t, model.UpstreamID("s-2"), up.ID, "the other upstreams are draining")
 			}
 
 			r.SetUpstreams(0, nil)
 			_, ok = r.Pick(0, model.Request{}, nil)
-			assert.False(t, ok, "empty")
+			assert.False(t, ok, "there are no upstreams")
 			r.Done(0, "s-2", answeredReply(model.Load{}))
 		})
 	}
 }
 
+// A failing upstream that replies faster than the others looks idle. Without ejection
+// it would attract most of the requests.
 func TestFastFailingUpstreamIsEjected(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -107,18 +113,18 @@
 
 func TestEjectedUpstreamIsRetriedAndRestored(t *testing.T) {
 	r := newRouter(t, RoundRobin, 3)
-	fail := func(id model.UpstreamID) Reply {
+	failFirst := func(id model.UpstreamID) Reply {
 		if id == "s-1" {
 			return refusedReply()
 		}
 		return answeredReply(model.Load{})
 	}
-	countPlacements(r, 0, 100, fail)
-	assert.Zero(t, countPlacements(r, 100*ms, 30, fail)["s-1"], "left out at first")
-	assert.Equal(t, 1, countPlacements(r, 300*ms, 30, fail)["s-1"], "one trial, which fails")
-	assert.Zero(t, countPlacements(r, 600*ms, 30, fail)["s-1"], "left out for longer")
+	countPlacements(r, 0, 100, failFirst)
+	assert.Zero(t, countPlacements(r, 100*ms, 30, failFirst)["s-1"], "ejected for 200 ms")
+	assert.Equal(t, 1, countPlacements(r, 300*ms, 30, failFirst)["s-1"], "one trial request, which fails")
+	assert.Zero(t, countPlacements(r, 600*ms, 30, failFirst)["s-1"], "ejected for 400 ms")
 	succeed := func(model.UpstreamID) Reply { return answeredReply(model.Load{}) }
-	assert.Equal(t, 10, countPlacements(r, 1000*ms, 30, succeed)["s-1"], "the trial goes well")
+	assert.Equal(t, 10, countPlacements(r, 1000*ms, 30, succeed)["s-1"], "the trial request succeeds")
 }
 
 func TestFailuresOnAllUpstreamsEjectNone(t *testing.T) {
@@ -130,16 +136,16 @@
 
 func TestPanicModeIgnoresEjections(t *testing.T) {
 	r := newRouter(t, RoundRobin, 6)
-	bad := map[model.UpstreamID]bool{"s-1": true, "s-2": true, "s-3": true, "s-4": true}
+	failing := map[model.UpstreamID]bool{"s-1": true, "s-2": true, "s-3": true, "s-4": true}
 	reply := func(id model.UpstreamID) Reply {
-		if bad[id] {
+		if failing[id] {
 			return refusedReply()
 		}
 		return answeredReply(model.Load{})
 	}
 	got := countPlacements(r, 0, 600, reply)
 	assert.Positive(t, r.Stats().Panics)
-	assert.Greater(t, got["s-4"], 50, "never so many ejected that the rest drown")
+	assert.Greater(t, got["s-4"], 50, "with four of six upstreams ejected, ejections are ignored")
 }
 
 func TestObserveIgnoresOlderLoad(t *testing.T) {
@@ -159,13 +165,13 @@
 	assert.InDelta(t, minRampFraction, r.byID["s-1"].rampFraction(0, r.opts.Ramp), 1e-9)
 	assert.InDelta(t, 0.5, r.byID["s-1"].rampFraction(1000*ms, r.opts.Ramp), 1e-9)
 	assert.InDelta(t, 1, r.byID["s-1"].rampFraction(2000*ms, r.opts.Ramp), 1e-9)
-	assert.InDelta(t, 1, r.byID["s-2"].rampFraction(0, r.opts.Ramp), 1e-9, "it was there before")
+	assert.InDelta(t, 1, r.byID["s-2"].rampFraction(0, r.opts.Ramp), 1e-9, "s-2 is not new")
 }
 
 func TestRequestWaitsAfterMaxRejections(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 3)
-	for bounced := range MaxBounces {
-		c, ok := r.Place(0, model.Request{}, nil, bounced)
+	for rejections := range MaxBounces {
+		c, ok := r.Place(0, model.Request{}, nil, rejections)
 		require.True(t, ok)
 		assert.Equal(t, model.AvailabilityZone("a"), c.Upstream.Zone)
 		assert.Zero(t, c.Patience)
@@ -185,16 +191,17 @@
 	full := model.Load{Running: 6, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
 	r.Observe(0, "s-1", full)
 	c, _ := r.Place(0, model.Request{}, nil, MaxBounces)
-	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "a third of a millisecond's wait is shorter")
+	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "a wait of 0.33 ms is shorter than the round trip to another zone")
 	r.Done(0, c.Upstream.ID, Reply{})
 	full.Waiting, full.Seq = 20, 2
 	r.Observe(0, "s-1", full)
 	c, _ = r.Place(0, model.Request{}, nil, MaxBounces)
 	assert.NotEqual(t, model.UpstreamID("s-1"), c.Upstream.ID)
-	assert.Equal(t, WaitForDeadline, c.Patience, "a bounce would cost two ways")
+	assert.Equal(t, WaitForDeadline, c.Patience, "a rejection would cost a round trip between zones")
 	assert.EqualValues(t, 1, r.Stats().Spills)
 }
 
+// Entries that all know the same loads must not all choose the same upstream.
 func TestEntriesWithEqualKnowledgeSpreadRequests(t *testing.T) {
 	counts := make(map[model.UpstreamID]int)
 	for seed := range uint64(1000) {
@@ -238,11 +245,11 @@
 		require.True(t, ok)
 		return c.Upstream.ID
 	}
-	assert.Equal(t, model.UpstreamID("s-1"), place(7*ms), "not yet unusual")
-	assert.Equal(t, model.UpstreamID("s-2"), place(50*ms), "stuck")
+	assert.Equal(t, model.UpstreamID("s-1"), place(7*ms), "the silence is not unusual yet")
+	assert.Equal(t, model.UpstreamID("s-2"), place(50*ms), "s-1 counts as stuck")
 	load.Seq++
 	r.Done(51*ms, "s-1", answeredReply(load))
-	assert.Equal(t, model.UpstreamID("s-1"), place(52*ms), "it replied")
+	assert.Equal(t, model.UpstreamID("s-1"), place(52*ms), "s-1 has replied")
 }
 
 func TestUnreachableZoneIsEjectedWithoutPanicMode(t *testing.T) {
@@ -252,7 +259,7 @@
 	require.True(t, ok)
 	r.Done(0, c.Upstream.ID, connectFailed)
 	got := countPlacements(r, 0, 40, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
-	assert.Len(t, got, 4, "one failed connection speaks for its silent zone")
+	assert.Len(t, got, 4, "one failed connection ejects its whole zone, which has not replied")
 	assert.Zero(t, r.Stats().Panics)
 }
 
@@ -281,7 +288,7 @@
 	r := newRouter(t, ExpectedCompletion, 3)
 	req := model.Request{Group: "g", Idempotent: true}
 	_, ok := r.HedgeDelay(req)
-	assert.False(t, ok, "nothing known yet")
+	assert.False(t, ok, "no latencies are known yet")
 	now := model.Instant(0)
 	for i := range 2000 {
 		now += ms
@@ -292,13 +299,13 @@
 	}
 	delay, ok := r.HedgeDelay(req)
 	assert.True(t, ok)
-	assert.InDelta(t, 98, float64(delay)/float64(time.Millisecond), 7, "a step up is 5%")
+	assert.InDelta(t, 98, float64(delay)/float64(time.Millisecond), 7, "the estimate rises in steps of 5%")
 	_, ok = r.HedgeDelay(model.Request{Group: "g"})
 	assert.False(t, ok, "not idempotent")
 
 	r.Done(now, "s-1", answeredReply(model.Load{Limit: 6, Seq: 1 << 20}))
 	_, ok = r.Hedge(now, "s-1", now-ms, nil)
-	assert.False(t, ok, "it answered since, so only the request is long")
+	assert.False(t, ok, "s-1 has replied since, so only the request takes long")
 	hedged := 0
 	for range 100 {
 		c, ok := r.Hedge(now, "s-1", now+ms, []model.UpstreamID{"s-1"})
@@ -307,7 +314,7 @@
 		}
 		hedged++
 		assert.NotEqual(t, model.UpstreamID("s-1"), c.Upstream.ID)
-		assert.Zero(t, c.Patience, "a hedge takes a free slot only")
+		assert.Zero(t, c.Patience, "a hedge only uses a free slot")
 	}
 	assert.Equal(t, hedgeBurst, hedged)
 	assert.EqualValues(t, 1, r.Stats().HedgesRefused)
@@ -339,5 +346,5 @@
 		}
 	}
 	c, _ := r.Place(now, model.Request{}, nil, MaxBounces)
-	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "nobody has used it for 2 s, the others queue")
+	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "s-1 has not been used for 2 s, and the others have long queues")
 }
--- a/core/routing/two_choices.go
+++ b/core/routing/two_choices.go
@@ -2,8 +2,8 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// twoChoices takes the less loaded of two random upstreams, by the load that
-// rode on the last reply or this entry's own requests, whichever is more.
+// twoChoices picks the less loaded of two random upstreams. The load is the larger of
+// the latest reported number of requests and this entry's own requests in flight.
 type twoChoices struct{ waitsAtUpstream }
 
 func (twoChoices) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
@@ -17,4 +17,6 @@
 	return a
 }
 
+// knownRequests returns the number of requests at the upstream, as far as this entry
+// knows.
 func (c *candidate) knownRequests() int32 { return max(c.load.Running+c.load.Waiting, c.inFlight) }
