--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -1,12 +1,14 @@
-// Package placement chooses the upstream that would finish a request first.
+// Package placement chooses the upstream that is expected to complete a request first.
 //
-// Upstreams share their VMs with others and change their speed several times a
-// second, so a mean says little: what counts is how slow an upstream is now, and
-// how long ago that was known. A Load carries both. The expected time of a
-// request is its usual work times the slowness, which fades towards the service's
-// mean as it ages, plus the wait behind what is there already.
+// Upstreams share their VMs with other processes, so their speed changes several times
+// a second and its mean says little. What counts is how slow an upstream is now and how
+// old that information is. A Load contains both: the slowdown (service time relative to
+// the usual one) and its age. The expected time of a request is its usual service time
+// multiplied by the slowdown, plus the wait for the requests that are already there. As
+// the information ages, the slowdown decays towards the mean of the service.
 //
-// A crossing between availability zones costs latency and money. An upstream of
-// the own zone is kept to as long as it is expected to answer well inside the
-// target latency; past that the fastest wins, wherever it is.
+// A request to another availability zone costs latency and money. A Placer therefore
+// stays in its own zone as long as an upstream there is expected to respond well within
+// the target latency. Otherwise it chooses the fastest upstream of any zone, after
+// adding CrossZonePenalty to the expected times in other zones.
 package placement
--- a/core/placement/failing.go
+++ b/core/placement/failing.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// failureWeight makes the share cover about 8 requests.
+	// failureWeight makes the failure rate cover about 8 requests.
 	failureWeight = 1.0 / 8
-	// failureHalfLife is the time in which a share of failures loses half of its meaning.
-	// An upstream that fails everything is tried again after three of these, and
-	// then every one or two of them for as long as it goes on: well under one in a
-	// hundred requests.
+	// failureHalfLife is the time in which a failure rate halves. An upstream that
+	// fails every request is tried again after three half-lives, and then after every
+	// one or two of them for as long as it keeps failing. That affects well under 1% of
+	// requests.
 	failureHalfLife = 2 * time.Second
 )
 
-// Failing is the recent share of requests that an upstream failed. It fades with time:
-// an upstream that nobody tries, because it has failed, would otherwise never be
-// tried again. The zero value has seen none.
+// Failing is the recent failure rate of an upstream. It decays with time, as an
+// upstream that gets no requests because it has failed would otherwise never be tried
+// again. The zero value is a failure rate of 0.
 type Failing struct {
 	rate float64
 	at   model.Instant
 }
 
-// Count takes in how a request ended.
+// Count records the result of a request.
 func (f *Failing) Count(now model.Instant, failed bool) {
 	f.rate = f.Share(now)
 	f.at = now
@@ -36,10 +36,10 @@
 	f.rate += (sample - f.rate) * failureWeight
 }
 
-// Share returns the share to expect, 0 to 1.
+// Share returns the failure rate at the given instant, from 0 to 1.
 func (f *Failing) Share(now model.Instant) float64 { return f.rate * failureDecay(now.Sub(f.at)) }
 
-// failureDecay returns how much of a share of failures is left after an age.
+// failureDecay returns the fraction of a failure rate that is left at an age.
 func failureDecay(age time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(failureHalfLife))
 }
--- a/core/placement/failing_test.go
+++ b/core/placement/failing_test.go
@@ -16,17 +16,18 @@
 	}
 	require.InDelta(t, 1, f.Share(at(0)), 0.01)
 	require.InDelta(t, 0.5, f.Share(at(0).Add(failureHalfLife)), 0.01)
-	require.Less(t, f.Share(at(0).Add(4*failureHalfLife)), jitter, "it is tried again")
+	require.Less(t, f.Share(at(0).Add(4*failureHalfLife)), jitter, "low enough to be tried again")
 	f.Count(at(0).Add(4*failureHalfLife), true)
-	require.Greater(t, f.Share(at(0).Add(4*failureHalfLife)), jitter, "and left again")
+	require.Greater(t, f.Share(at(0).Add(4*failureHalfLife)), jitter, "one more failure makes it avoided again")
 	for range 40 {
 		f.Count(at(0).Add(5*failureHalfLife), false)
 	}
 	require.Less(t, f.Share(at(0).Add(5*failureHalfLife)), 0.01)
 }
 
-// TestFailedOnceIsChosenAgain answers an upstream that failed one request while others
-// were idle: it was expected to take an eighth longer for good, and never chosen.
+// TestUpstreamIsChosenAgainAfterOneFailure guards against a failure rate that does not
+// decay. An upstream that had failed one request while others were idle was expected to
+// take an eighth longer forever, and was never chosen again.
 func TestUpstreamIsChosenAgainAfterOneFailure(t *testing.T) {
 	p := New(Options{Zone: "own", Rand: rand.New(rand.NewPCG(1, 1)).Float64})
 	p.Set([]Upstream{{Key: "a", Zone: "own", Slots: 6}, {Key: "b", Zone: "own", Slots: 6}})
--- a/core/placement/figures.go
+++ b/core/placement/figures.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// The figures by which entries and guards use a Placer. Package sidecar goes by them,
-// and so does the model of package replay.
+// Parameters for the users of a Placer: the entries and guards of package sidecar, and
+// their simulation in package replay.
 const (
-	// AskNear and AskFar are how many guards of the own zone, and of others where
-	// that does not do, are asked for their loads before a request is sent.
+	// AskNear is how many guards of the own zone are sent a load query before a request
+	// is sent. AskFar is how many of other zones are queried if the own zone is not
+	// good enough.
 	AskNear = 4
 	AskFar  = 3
-	// AskAge is how old the knowledge of a load may be to do without asking.
+	// AskAge is the age up to which a known load is used without a load query.
 	AskAge = 15 * time.Millisecond
-	// FreshFor is how old a guard's figure of slowness may be when a call is taken
-	// that could go elsewhere. Shared VMs change their speed every few hundred
-	// milliseconds, so an older figure is wrong one time in four.
+	// FreshFor is the largest age of the last reported slowdown at which a guard accepts
+	// a request that could also go to another upstream. Shared VMs change their speed
+	// every few hundred milliseconds, so an older value is wrong one time in four.
 	FreshFor = 80 * time.Millisecond
-	// MaxGivenBack is how often a request may be given back before a guard must
-	// keep it: each time costs a round trip.
+	// MaxGivenBack is how often guards may reject a request before the next one must
+	// keep it. Each rejection costs a round trip.
 	MaxGivenBack = 2
-	// MaxFull is how many guards without room make a request be refused, whatever is
-	// expected of others.
+	// MaxFull is the number of rejections for lack of capacity after which a request is
+	// refused, whatever is expected of other guards.
 	MaxFull = 2
-	// surelyFull is the age from which knowledge refuses no request: older, and nobody
-	// would learn that there is room again.
+	// maxRefusalAge is the largest age of a load that may cause a request to be refused
+	// without asking a guard. If older loads could, the entry would not notice when an
+	// upstream has capacity again.
 	maxRefusalAge = 30 * time.Millisecond
 )
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -7,48 +7,49 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Load is what the guard of an upstream knows of it.
+// Load is the state of an upstream as its guard reports it.
 type Load struct {
-	// Running and Waiting count requests in the upstream and at its guard.
+	// Running counts requests in the upstream, Waiting those queued at its guard.
 	Running int
 	Waiting int
-	// Limit is how many the guard lets run at once.
+	// Limit is how many requests the guard lets run concurrently.
 	Limit int
-	// Slow is how long work takes there, 1 being as usual. Zero means unknown.
+	// Slow is the service time relative to the usual one, which is 1. Zero means
+	// unknown.
 	Slow float64
-	// SlowAge is how long before the Load was taken Slow was told.
+	// SlowAge is how old Slow already was when the guard reported the Load.
 	SlowAge time.Duration
-	// Failing is the recent share of failed requests, 0 to 1.
+	// Failing is the recent failure rate, from 0 to 1.
 	Failing float64
 }
 
 const (
-	// loadHalfLife is the time in which a figure of slowness or load loses half of its
-	// meaning. Neighbours on shared VMs come and go a few times a second.
+	// loadHalfLife is the age at which a reported slowdown or load counts half. The
+	// other processes on a shared VM start and stop working a few times a second.
 	loadHalfLife = 150 * time.Millisecond
-	// initialSlowdown is assumed of upstreams nothing is known of.
+	// initialSlowdown is the mean slowdown assumed before any has been reported.
 	initialSlowdown = 1.5
-	// meanSlowdownWeight makes the mean slowness of a service cover about 64 answers.
+	// meanSlowdownWeight makes the mean slowdown of a service cover about 64 responses.
 	meanSlowdownWeight = 1.0 / 64
-	// coldSlowdown is the slowness assumed of upstreams that say that they have just
-	// started, as caches and compiled code fill up.
+	// coldSlowdown is the lowest slowdown assumed of an upstream that reports that it
+	// has just started, since its caches are still filling and its code is still being
+	// compiled.
 	coldSlowdown = 2.0
-	// maxFailureRate bounds how far failures count against an upstream, so that a
-	// trial now and then finds out when they have ended.
+	// maxFailureRate bounds the effect of failures on the expected time. An upstream
+	// that fails every request still gets a trial request now and then, which shows
+	// when it has recovered.
 	maxFailureRate = 0.95
-	// maxUtilization is the share of the slots that is filled: servers slow down near
-	// saturation.
+	// maxUtilization is the share of its slots that an upstream may fill, because
+	// servers slow down near saturation.
 	maxUtilization = 0.8
-	// saturatedSlowdown is how many times longer requests take on all slots of an
-	// upstream that slows down near saturation, as recorded of services with 6 of
-	// them: 1.7 times.
+	// saturatedSlowdown is the slowdown of an upstream whose slots are all busy: 1.7,
+	// as recorded of services with 6 slots.
 	saturatedSlowdown = 1.7
 )
 
-// LimitOf returns how many requests may run at once in an upstream with the
-// given number of slots for it to get most done, as long as nothing else is known.
-// With 2 slots an upstream gets more done when both are busy than when it stays clear
-// of saturation, with 3 and more it does not.
+// LimitOf returns the concurrency limit with which an upstream has the highest
+// throughput, given only its number of slots. With 2 slots, filling both gives more
+// throughput than staying below saturation; with 3 or more slots it does not.
 func LimitOf(slots int) int {
 	reduced := int(math.Ceil(float64(slots)*maxUtilization)) - 1
 	if float64(slots)/saturatedSlowdown > float64(reduced) {
@@ -57,45 +58,49 @@
 	return reduced
 }
 
-// Expected returns the time until a request of the given work ends at an upstream
-// with this load, when ahead others are there. Slow is the slowness to assume.
-func Expected(work time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
-	run := float64(work) * slowdown
+// Expected returns the time until a request is expected to complete at an upstream.
+// serviceTime is the usual service time of the request, ahead the number of requests
+// that are already there, and limit the concurrency limit of the upstream.
+func Expected(serviceTime time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
+	runTime := float64(serviceTime) * slowdown
 	wait := 0.0
 	if over := ahead + 1 - limit; over > 0 {
-		wait = float64(over) * run / float64(limit)
+		wait = float64(over) * runTime / float64(limit)
 	}
-	return time.Duration((run + wait) / (1 - min(failureRate, maxFailureRate)))
+	return time.Duration((runTime + wait) / (1 - min(failureRate, maxFailureRate)))
 }
 
-// loadDecay returns the share of a figure that is left after an age.
+// loadDecay returns the weight that a load of the given age still has, from 0 to 1.
 func loadDecay(age time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(loadHalfLife))
 }
 
-// view is what an entry holds of one upstream.
+// view holds what this entry knows about one upstream.
 type view struct {
 	upstream Upstream
-	// load was taken at loadAt; known tells whether there is any.
+	// load was reported at loadAt. hasLoad is false if no load has been reported yet.
 	load    Load
 	loadAt  model.Instant
 	hasLoad bool
-	// inFlight counts the requests this entry has there now, and mineThen those it
-	// had when load was taken.
+	// inFlight counts this entry's unfinished requests at the upstream. inFlightAtLoad
+	// is the value that inFlight had when load was reported.
 	inFlight       int
 	inFlightAtLoad int
-	// meanOthers is the mean number of requests that meanOthers have there.
+	// meanOthers is the moving average of the number of requests of other entries
+	// there.
 	meanOthers float64
-	// unreachableUntil is until when it is passed over after it could not be reached.
+	// unreachableUntil is the end of the period in which the upstream is avoided
+	// because it could not be reached.
 	unreachableUntil model.Instant
 }
 
-// slowdown returns the slowness to expect now.
+// slowdown returns the slowdown to expect now. mean is the mean slowdown of the
+// service.
 func (v *view) slowdown(now model.Instant, mean float64) float64 {
 	slowdown := mean
 	if v.hasLoad && v.load.Slow > 0 {
-		keep := loadDecay(now.Sub(v.loadAt) + v.load.SlowAge)
-		slowdown = mean + (v.load.Slow-mean)*keep
+		weight := loadDecay(now.Sub(v.loadAt) + v.load.SlowAge)
+		slowdown = mean + (v.load.Slow-mean)*weight
 	}
 	if v.upstream.ColdUntil > now {
 		slowdown = max(slowdown, coldSlowdown)
@@ -103,16 +108,17 @@
 	return slowdown
 }
 
-// expectedRequests returns how many requests are expected there now.
+// expectedRequests estimates how many requests are at the upstream now.
 func (v *view) expectedRequests(now model.Instant) int {
 	if !v.hasLoad {
 		return v.inFlight
 	}
-	keep := loadDecay(now.Sub(v.loadAt))
+	weight := loadDecay(now.Sub(v.loadAt))
 	othersAtLoad := max(float64(v.load.Running+v.load.Waiting-v.inFlightAtLoad), 0)
-	return v.inFlight + int(math.Round(v.meanOthers+(othersAtLoad-v.meanOthers)*keep))
+	return v.inFlight + int(math.Round(v.meanOthers+(othersAtLoad-v.meanOthers)*weight))
 }
 
+// limit returns the concurrency limit of the upstream.
 func (v *view) limit() int {
 	if v.hasLoad && v.load.Limit > 0 {
 		return v.load.Limit
@@ -120,7 +126,7 @@
 	return LimitOf(v.upstream.Slots)
 }
 
-// failureRate returns the share of failures to expect.
+// failureRate returns the failure rate to expect now.
 func (v *view) failureRate(now model.Instant) float64 {
 	if !v.hasLoad {
 		return 0
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -10,15 +10,20 @@
 )
 
 const (
-	work   = 100 * time.Millisecond
-	target = 400 * time.Millisecond
+	// serviceTime is the usual service time of the test requests, target their target
+	// latency.
+	serviceTime = 100 * time.Millisecond
+	target      = 400 * time.Millisecond
 )
 
+// at returns the instant ms milliseconds after the origin.
 func at(ms int) model.Instant { return model.Instant(0).Add(time.Duration(ms) * time.Millisecond) }
 
-// fixed draws the middle, so that choices are the same every time.
+// midpoint replaces the random number generator, so that choices are reproducible.
 func midpoint() float64 { return 0.5 }
 
+// newPlacer returns a Placer in zone "own" with one upstream for each given zone, named
+// "a", "b" and so on.
 func newPlacer(zones ...model.AvailabilityZone) *Placer {
 	p := New(Options{Zone: "own", Rand: midpoint})
 	var ups []Upstream
@@ -29,25 +34,28 @@
 	return p
 }
 
-func idle(slow float64) Load { return Load{Limit: 4, Slow: slow} }
+// idle returns the load of an idle upstream with the given slowdown.
+func idle(slowdown float64) Load { return Load{Limit: 4, Slow: slowdown} }
 
+// choose places a request with the usual service time and target, and fails the test if
+// no upstream is usable.
 func choose(t *testing.T, p *Placer, now model.Instant) Choice {
 	t.Helper()
-	c, ok := p.Choose(now, Ask{Work: work, Target: target})
+	c, ok := p.Choose(now, Ask{Work: serviceTime, Target: target})
 	require.True(t, ok)
 	return c
 }
 
-// TestLimitStaysBelowSaturation also answers upstreams with two slots, which get more
-// done on both of them, slowed down, than on one.
+// TestLimitStaysBelowSaturation includes upstreams with 2 slots, the exception: they
+// have more throughput with both slots busy, in spite of the slowdown, than with one.
 func TestLimitStaysBelowSaturation(t *testing.T) {
 	for slots, want := range map[int]int{0: 1, 1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 6: 4, 10: 7, 100: 79} {
 		require.Equal(t, want, LimitOf(slots), "%d slots", slots)
 	}
 }
 
-// TestSlowNowIsLeft answers upstreams that share their VM: four times slower for
-// some hundred milliseconds, a quarter of them at any moment.
+// TestSlowUpstreamIsAvoided covers upstreams that share a VM: at any moment a quarter
+// of them are four times slower than usual, each for some hundred milliseconds.
 func TestSlowUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", idle(4))
@@ -55,8 +63,8 @@
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
-// TestSlownessFades answers the same load a second later: what was known then is
-// worth nothing, so the one with fewer requests wins.
+// TestOldSlowdownIsForgotten has loads that are 3 seconds old. They must no longer
+// count, so the upstream with fewer requests is chosen.
 func TestOldSlowdownIsForgotten(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", idle(4))
@@ -69,7 +77,8 @@
 	require.Less(t, max(first.Expected, second.Expected), 2*min(first.Expected, second.Expected))
 }
 
-// TestFullIsLeft counts what this entry has sent since it last heard.
+// TestFullUpstreamIsAvoided counts the requests that this entry itself has sent since
+// the loads were reported.
 func TestFullUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", idle(1))
@@ -83,18 +92,18 @@
 
 func TestLocalZoneIsPreferred(t *testing.T) {
 	for name, c := range map[string]struct {
-		own, other Load
-		want       string
+		local, remote Load
+		want          string
 	}{
-		"own is good enough":           {idle(2), idle(1), "a"},
-		"own would miss the target":    {idle(4), idle(1), "b"},
-		"both would miss, other worse": {idle(4), idle(5), "a"},
-		"own is full":                  {Load{Running: 4, Waiting: 12, Limit: 4, Slow: 1}, idle(1), "b"},
+		"local upstream is fast enough":                      {idle(2), idle(1), "a"},
+		"local upstream would miss the target":               {idle(4), idle(1), "b"},
+		"both would miss the target, the remote one by more": {idle(4), idle(5), "a"},
+		"local upstream is full":                             {Load{Running: 4, Waiting: 12, Limit: 4, Slow: 1}, idle(1), "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPlacer("own", "other")
-			p.Learn(at(0), "a", c.own)
-			p.Learn(at(0), "b", c.other)
+			p.Learn(at(0), "a", c.local)
+			p.Learn(at(0), "b", c.remote)
 			require.Equal(t, c.want, choose(t, p, at(1)).Upstream.Key)
 		})
 	}
@@ -104,21 +113,22 @@
 	p := newPlacer("own", "other")
 	p.Learn(at(0), "a", idle(1.2))
 	p.Learn(at(0), "b", idle(1))
-	c, ok := p.Choose(at(1), Ask{Work: work})
+	c, ok := p.Choose(at(1), Ask{Work: serviceTime})
 	require.True(t, ok)
-	require.Equal(t, "a", c.Upstream.Key, "20 ms do not pay for a crossing")
+	require.Equal(t, "a", c.Upstream.Key, "a gain of 20 ms is less than the cross-zone penalty")
 }
 
-// TestWayThereCounts answers deployments over regions: of two zones that would do, the
-// one in the own region gets the request, though its upstream is a little slower, and a
-// guard hears how long going elsewhere takes with the way there.
+// TestRoundTripTimeCounts covers deployments over several regions. Of two remote zones
+// that would meet the target, the one in the own region is chosen, although its
+// upstream is a little slower. The alternative time that a guard is sent includes the
+// round trip.
 func TestRoundTripTimeCounts(t *testing.T) {
 	const near, far = 3 * time.Millisecond, 45 * time.Millisecond
 	p := newPlacer("own", "region", "abroad")
 	p.Learn(at(0), "a", Load{Running: 4, Waiting: 30, Limit: 4, Slow: 1})
 	p.Learn(at(0), "b", idle(1.25))
 	p.Learn(at(0), "c", idle(1))
-	require.Equal(t, "c", choose(t, p, at(0)).Upstream.Key, "before the ways are known")
+	require.Equal(t, "c", choose(t, p, at(0)).Upstream.Key, "before the round-trip times are known")
 	p.Done(at(0), "c", nil)
 	p.Trip("b", near)
 	p.Trip("c", far)
@@ -128,12 +138,12 @@
 	require.True(t, beyond["abroad"])
 	c := choose(t, p, at(0))
 	require.Equal(t, "b", c.Upstream.Key)
-	require.Equal(t, time.Duration(1.25*float64(work))+near, c.Expected)
-	require.Equal(t, work+far, c.Alternative)
+	require.Equal(t, time.Duration(1.25*float64(serviceTime))+near, c.Expected)
+	require.Equal(t, serviceTime+far, c.Alternative)
 }
 
-// TestShortestTripCounts keeps out the answers that waited for a processor, and still
-// learns of a way that has become longer.
+// TestShortestRoundTripCounts checks that load replies delayed by a busy processor do
+// not raise the round-trip time, but that a lasting increase is learned.
 func TestShortestRoundTripCounts(t *testing.T) {
 	p := newPlacer("own")
 	p.Learn(at(0), "a", idle(1))
@@ -149,15 +159,16 @@
 	require.InDelta(t, 40, roundTripMS(t, p), 0.5)
 }
 
-// trip returns the milliseconds of the way to the only upstream, which is idle.
+// roundTripMS returns the round-trip time, in milliseconds, to the only upstream, which
+// is idle.
 func roundTripMS(t *testing.T, p *Placer) float64 {
 	c := choose(t, p, at(0))
 	p.Done(at(0), "a", nil)
-	return float64(c.Expected-work) / float64(time.Millisecond)
+	return float64(c.Expected-serviceTime) / float64(time.Millisecond)
 }
 
-// TestFailingFastDoesNotLookIdle answers an upstream that fails every request at
-// once and so never has any.
+// TestFastFailingUpstreamIsAvoided has an upstream that fails every request at once. It
+// never has any requests running, and must not be preferred as idle.
 func TestFastFailingUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("own", "own")
 	p.Learn(at(0), "a", Load{Limit: 4, Slow: 1, Failing: 0.9})
@@ -186,29 +197,29 @@
 		require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 	}
 	p.Unreachable(at(2), "b")
-	_, ok := p.Choose(at(3), Ask{Work: work})
-	require.True(t, ok, "all are out of reach, one is tried")
+	_, ok := p.Choose(at(3), Ask{Work: serviceTime})
+	require.True(t, ok, "one is tried although none is reachable")
 	p.Learn(at(4), "a", idle(1))
 	require.Equal(t, "a", choose(t, p, at(5)).Upstream.Key)
 }
 
 func TestChooseWithAllExcluded(t *testing.T) {
 	p := newPlacer("own")
-	_, ok := p.Choose(at(0), Ask{Work: work, Exclude: func(Upstream) bool { return true }})
+	_, ok := p.Choose(at(0), Ask{Work: serviceTime, Exclude: func(Upstream) bool { return true }})
 	require.False(t, ok)
 }
 
-func TestProbeTargets(t *testing.T) {
+func TestQueryTargets(t *testing.T) {
 	p := newPlacer("own", "own", "own", "other", "other")
 	p.Learn(at(0), "a", idle(1))
-	near := p.ToAsk(at(1), Ask{Work: work}, true, 15*time.Millisecond, 4)
-	require.Len(t, near, 2, "a is known")
-	far := p.ToAsk(at(1), Ask{Work: work}, false, 15*time.Millisecond, 1)
-	require.Len(t, far, 1)
-	require.Equal(t, model.AvailabilityZone("other"), far[0].Zone)
-	require.Len(t, p.ToAsk(at(100), Ask{Work: work}, true, 15*time.Millisecond, 4), 3, "what was known is old")
+	local := p.ToAsk(at(1), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4)
+	require.Len(t, local, 2, "the load of a is known")
+	remote := p.ToAsk(at(1), Ask{Work: serviceTime}, false, 15*time.Millisecond, 1)
+	require.Len(t, remote, 1)
+	require.Equal(t, model.AvailabilityZone("other"), remote[0].Zone)
+	require.Len(t, p.ToAsk(at(100), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4), 3, "the load of a is too old")
 	p.Unreachable(at(100), "b")
-	require.Len(t, p.ToAsk(at(101), Ask{Work: work}, true, 15*time.Millisecond, 4), 2)
+	require.Len(t, p.ToAsk(at(101), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4), 2)
 }
 
 func TestLoadsSurviveMembershipChange(t *testing.T) {
@@ -223,68 +234,68 @@
 func TestLocalMeetsTarget(t *testing.T) {
 	p := newPlacer("own", "other")
 	p.Learn(at(0), "a", idle(1))
-	require.True(t, p.Comfortable(at(1), Ask{Work: work, Target: target}))
+	require.True(t, p.Comfortable(at(1), Ask{Work: serviceTime, Target: target}))
 	p.Learn(at(1), "a", idle(4))
-	require.False(t, p.Comfortable(at(2), Ask{Work: work, Target: target}))
+	require.False(t, p.Comfortable(at(2), Ask{Work: serviceTime, Target: target}))
 }
 
-// TestStoppingServeWhereNoOtherCan answers a service whose last upstream has a daemon that
-// is about to stop: refusing its requests meanwhile would help nobody.
+// TestStoppingUpstreamIsLastResort covers a service whose last upstream belongs to a
+// daemon that is about to stop. Refusing its requests until then would help nobody.
 func TestStoppingUpstreamIsLastResort(t *testing.T) {
 	p := New(Options{Zone: "own", Rand: midpoint})
 	stopping := Upstream{Key: "a", Zone: "own", Slots: 6, Stopping: true}
 	busy := Upstream{Key: "b", Zone: "far", Slots: 6}
 	p.Set([]Upstream{stopping, busy})
 	p.Learn(at(0), "b", Load{Running: 4, Waiting: 20, Limit: 4, Slow: 5})
-	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key, "however busy")
-	for _, near := range []bool{true, false} {
-		for _, up := range p.ToAsk(at(100), Ask{Work: work}, near, 0, 4) {
-			require.NotEqual(t, "a", up.Key, "nobody is asked in vain")
+	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key, "however busy b is")
+	for _, local := range []bool{true, false} {
+		for _, up := range p.ToAsk(at(100), Ask{Work: serviceTime}, local, 0, 4) {
+			require.NotEqual(t, "a", up.Key, "an upstream of a stopping daemon is not queried")
 		}
 	}
 	p.Unreachable(at(2), "b")
-	require.Equal(t, "a", choose(t, p, at(3)).Upstream.Key, "the other cannot be reached")
+	require.Equal(t, "a", choose(t, p, at(3)).Upstream.Key, "b cannot be reached")
 	p.Set([]Upstream{stopping})
-	require.Equal(t, "a", choose(t, p, at(4)).Upstream.Key, "there is no other")
+	require.Equal(t, "a", choose(t, p, at(4)).Upstream.Key, "there is no other upstream")
 }
 
-// TestFullServiceIsNotAskedOnAndOn answers a burst that fills a service: a guard had no
-// room, and the next choice would be late too.
+// TestMissesTarget covers a burst that fills a service: guards have rejected the request
+// for lack of capacity, and at the next upstream it might complete too late as well.
 func TestMissesTarget(t *testing.T) {
 	for name, c := range map[string]struct {
-		full             int
+		fullGuards       int
 		expected, target time.Duration
 		want             bool
 	}{
-		"nobody was full":            {0, time.Second, 100 * time.Millisecond, false},
-		"another has room":           {1, 50 * time.Millisecond, 100 * time.Millisecond, false},
-		"none has room":              {1, time.Second, 100 * time.Millisecond, true},
-		"the target is over already": {1, time.Millisecond, -time.Millisecond, true},
-		"there is no target":         {1, time.Second, 0, false},
+		"no guard was full":                  {0, time.Second, 100 * time.Millisecond, false},
+		"another upstream is fast enough":    {1, 50 * time.Millisecond, 100 * time.Millisecond, false},
+		"no upstream is fast enough":         {1, time.Second, 100 * time.Millisecond, true},
+		"the target has already been missed": {1, time.Millisecond, -time.Millisecond, true},
+		"no target":                          {1, time.Second, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			choice := Choice{Expected: c.expected}
-			require.Equal(t, c.want, choice.OutOfReach(c.full, c.target))
+			require.Equal(t, c.want, choice.OutOfReach(c.fullGuards, c.target))
 		})
 	}
 }
 
-// TestUnservable has a request known to end past its deadline wherever it goes, although
-// slots are free, refused by the entry: no guard would.
+// TestMissesDeadline has the entry refuse a request that is known to miss its deadline
+// on every upstream although slots are free. A guard would accept it.
 func TestMissesDeadline(t *testing.T) {
-	const slow, left = 20, time.Second
+	const slowdown, left = 20, time.Second
 	p := newPlacer("own", "own")
-	p.Learn(at(0), "a", idle(slow))
-	p.Learn(at(0), "b", idle(slow))
+	p.Learn(at(0), "a", idle(slowdown))
+	p.Learn(at(0), "b", idle(slowdown))
 	c := choose(t, p, at(1))
 	require.True(t, c.Unservable(left))
-	require.False(t, c.Unservable(slow*2*work))
+	require.False(t, c.Unservable(slowdown*2*serviceTime))
 
 	c = choose(t, p, at(100))
-	require.False(t, c.Unservable(left), "old knowledge")
+	require.False(t, c.Unservable(left), "the loads are too old")
 
-	p.Learn(at(200), "a", idle(slow))
+	p.Learn(at(200), "a", idle(slowdown))
 	p.Learn(at(200), "b", idle(1))
 	c = choose(t, p, at(201))
-	require.False(t, c.Unservable(left), "one is fast")
+	require.False(t, c.Unservable(left), "one upstream is fast")
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -10,97 +10,101 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Upstream is a candidate.
+// Upstream describes a candidate.
 type Upstream struct {
-	// Key names the incarnation of the upstream.
+	// Key identifies the incarnation of the upstream.
 	Key string
-	// Daemon guards it.
+	// Daemon is the daemon whose guard is in front of the upstream.
 	Daemon model.DaemonID
 	Zone   model.AvailabilityZone
 	Slots  int
-	// ColdUntil is when it stops being slow after its start.
+	// ColdUntil is the expected end of the slow phase after the upstream's start.
 	ColdUntil model.Instant
-	// Stopping tells that its daemon is about to stop. It serves while it can, but
-	// is chosen only where no other can be.
+	// Stopping is set if the upstream's daemon is about to stop. The upstream still
+	// serves requests, but is chosen only if no other can be.
 	Stopping bool
 }
 
 // Options configure a Placer.
 type Options struct {
-	// Zone is the own availability zone.
+	// Zone is the availability zone of this entry.
 	Zone model.AvailabilityZone
-	// CrossZonePenalty is the price of crossing into another zone as the time that an
-	// upstream there must be faster. Default: DefaultCrossing.
+	// CrossZonePenalty is the time by which an upstream in another zone must be faster
+	// to be chosen. Default: DefaultCrossZonePenalty.
 	CrossZonePenalty time.Duration
-	// Rand draws from 0 to 1. Default: rand.Float64.
+	// Rand returns random numbers from 0 to below 1. Default: rand.Float64.
 	Rand func() float64
 }
 
 const (
-	// DefaultCrossZonePenalty is a few round trips between zones: below that a crossing
-	// gains callers nothing.
+	// DefaultCrossZonePenalty is a few round trips between zones. Callers gain nothing
+	// from a request to another zone that saves less.
 	DefaultCrossZonePenalty = 40 * time.Millisecond
 	// targetShare is the share of the target latency within which an upstream of the
 	// own zone is good enough.
 	targetShare = 0.85
-	// jitter spreads the choices of entries that know the same.
+	// jitter spreads the requests of entries that know the same loads.
 	jitter = 0.1
-	// unreachablePause is how long an upstream is passed over after it could not be
+	// unreachablePause is how long an upstream is avoided after it could not be
 	// reached. Its daemon is usually back within a second or two.
 	unreachablePause = 300 * time.Millisecond
-	// queryJitter spreads whom entries ask that know the same.
+	// queryJitter spreads the load queries of entries that know the same loads.
 	queryJitter = 0.5
-	// rttSmoothing makes a way that has become longer known within a few hundred
-	// questions, less than a second of a loaded entry.
+	// rttSmoothing is the divisor with which a round-trip time rises. A lasting
+	// increase is learned within a few hundred load queries, which a loaded entry sends
+	// in less than a second.
 	rttSmoothing = 64
-	// othersWeight makes the mean load by others cover about 8 answers.
+	// othersWeight makes the mean number of requests of other entries cover about 8
+	// loads.
 	othersWeight = 1.0 / 8
 )
 
-// Ask is what is to be placed.
+// Ask describes a request that needs an upstream.
 type Ask struct {
-	// Work is the time that the request usually runs where nothing slows it.
+	// Work is the usual service time of the request.
 	Work time.Duration
-	// Target is the latency that is aimed at. Zero means none.
+	// Target is the target latency. Zero means none.
 	Target time.Duration
-	// Exclude reports whether an upstream is out of the question.
+	// Exclude reports whether the upstream must not be used.
 	Exclude func(Upstream) bool
 }
 
-// Choice is a chosen upstream.
+// Choice is the result of Placer.Choose.
 type Choice struct {
 	Upstream Upstream
-	// Expected is the time until the request ends there, Alternative until it
-	// ends at the best of the others. Alternative is zero when there is none.
+	// Expected is the time until the request is expected to complete at Upstream.
+	// Alternative is that time for the best other upstream, or zero if there is none.
 	Expected    time.Duration
 	Alternative time.Duration
-	// Age is how old the knowledge is that Expected rests on.
+	// Age is the age of the load from which Expected was calculated.
 	Age time.Duration
 }
 
-// OutOfReach reports whether a request that some guards had no room for is better refused
-// than sent where it was chosen to go: it would miss the target, of which so much time is
-// left, and take room there from others that would not. Its caller does better to come
-// back. Zero means that there is no target.
+// OutOfReach reports whether a request should be refused rather than sent to the chosen
+// upstream: fullGuards guards, at least one, have rejected it for lack of capacity, and it
+// would miss its target there. It would then take a slot from requests that can still meet
+// theirs, and its caller is better off retrying later. left is the time until the target,
+// or zero if there is none.
 func (c *Choice) OutOfReach(fullGuards int, left time.Duration) bool {
 	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
-// Unservable reports whether a request is known to end past its deadline, of which so much
-// time is left, wherever it is sent. A guard with a free slot would run it all the same and
-// keep its caller waiting.
+// Unservable reports whether the request is known to miss its deadline on every upstream.
+// A guard with a free slot would accept it all the same and keep its caller waiting in
+// vain. left is the time until the deadline.
 func (c *Choice) Unservable(left time.Duration) bool {
 	return c.Age < maxRefusalAge && c.Expected > left
 }
 
-// Placer chooses among the upstreams of one service. It is not safe for
-// concurrent use.
+// Placer chooses among the upstreams of one service. It is not safe for concurrent use.
 type Placer struct {
-	opts         Options
-	views        map[string]*view
-	order        []*view
+	opts Options
+	// views holds the candidates by key, order in the order in which they were given.
+	views map[string]*view
+	order []*view
+	// meanSlowdown is the mean slowdown of the service.
 	meanSlowdown float64
-	// roundTrips are the times to the guards of each zone and back.
+	// roundTrips holds the round-trip time to the guards of each zone.
 	roundTrips map[model.AvailabilityZone]time.Duration
 }
 
@@ -115,7 +119,7 @@
 	return &Placer{opts: opts, views: make(map[string]*view), meanSlowdown: initialSlowdown, roundTrips: make(map[model.AvailabilityZone]time.Duration)}
 }
 
-// Set replaces the candidates. What is known of those that stay is kept.
+// Set replaces the candidates. What is known about candidates that remain is kept.
 func (p *Placer) Set(ups []Upstream) {
 	views := make(map[string]*view, len(ups))
 	p.order = p.order[:0]
@@ -134,7 +138,8 @@
 // Len returns the number of candidates.
 func (p *Placer) Len() int { return len(p.order) }
 
-// Outstanding returns how many requests Choose has counted that Done has not ended.
+// Outstanding returns the number of requests that Choose has placed and for which Done
+// has not been called yet.
 func (p *Placer) Outstanding() int {
 	n := 0
 	for _, v := range p.order {
@@ -143,12 +148,13 @@
 	return n
 }
 
-// Mean returns the mean slowness of the service.
+// Mean returns the mean slowdown of the service.
 func (p *Placer) Mean() float64 { return p.meanSlowdown }
 
-// ToAsk returns up to most upstreams, of the own zone or of the others, whose
-// load is not known from within the last maxAge. Those are first that are expected
-// to be fastest, but for one that is drawn.
+// ToAsk returns up to n upstreams to which to send a load query: those of the own zone if
+// local is set, otherwise those of other zones. Upstreams whose load is younger than
+// maxAge are left out. The upstreams with the shortest expected times are returned, except
+// that the last of the n is drawn at random from the remaining ones.
 func (p *Placer) ToAsk(now model.Instant, req Ask, local bool, maxAge time.Duration, n int) []Upstream {
 	var stale []rated
 	for _, v := range p.order {
@@ -174,8 +180,8 @@
 	return ups
 }
 
-// Comfortable reports whether an upstream of the own zone is expected to answer
-// well inside the target.
+// Comfortable reports whether an upstream of the own zone is expected to respond well
+// within the target latency.
 func (p *Placer) Comfortable(now model.Instant, req Ask) bool {
 	_, _, bestLocal := p.rank(now, req, preferredOnly)
 	if bestLocal.view == nil {
@@ -184,15 +190,16 @@
 	return req.Target <= 0 || bestLocal.time < time.Duration(targetShare*float64(req.Target))
 }
 
-// Learn takes in the load of an upstream.
+// Learn records the load of an upstream.
 func (p *Placer) Learn(now model.Instant, key string, load Load) {
 	if v := p.views[key]; v != nil {
-		p.learn(now, v, load)
+		p.updateLoad(now, v, load)
 	}
 }
 
-// Choose returns the upstream for a request and counts it as sent there; Done
-// must follow. It reports false when every candidate is excluded.
+// Choose returns the upstream for a request and counts the request as sent. Every call
+// that returns true must be followed by one call of Done. Choose returns false if every
+// candidate is excluded.
 func (p *Placer) Choose(now model.Instant, req Ask) (Choice, bool) {
 	var best, second, bestLocal rated
 	for e := preferredOnly; e <= includeUnreachable && best.view == nil; e++ {
@@ -213,29 +220,32 @@
 	return Choice{Upstream: pick.view.upstream, Expected: pick.time, Alternative: other.time, Age: age}, true
 }
 
-// rated is a candidate with its expected time.
+// rated is a candidate with the expected time of the request and a score, which adds
+// jitter and the cross-zone penalty.
 type rated struct {
 	view  *view
 	score time.Duration
 	time  time.Duration
 }
 
-// reluctance orders the candidates that are taken only where there is no better one.
+// eligibility says which candidates may be chosen. Higher values allow more of them and
+// are used only if the lower ones leave no candidate.
 type eligibility uint8
 
 const (
-	// readily takes those that can be reached and are to stay.
+	// preferredOnly allows upstreams that are reachable and whose daemons keep running.
 	preferredOnly eligibility = iota
-	// evenStopping takes those too whose daemons are about to stop: they serve until
-	// they refuse.
+	// includeStopping also allows upstreams whose daemons are about to stop. They serve
+	// requests until the daemon refuses them.
 	includeStopping
-	// evenAvoided takes all, also those that could not be reached of late.
+	// includeUnreachable allows all upstreams, also those that recently could not be
+	// reached.
 	includeUnreachable
 )
 
-// takes reports whether a candidate is taken.
-func (r eligibility) allows(v *view, now model.Instant) bool {
-	switch r {
+// allows reports whether the candidate may be chosen.
+func (e eligibility) allows(v *view, now model.Instant) bool {
+	switch e {
 	case preferredOnly:
 		return v.unreachableUntil <= now && !v.upstream.Stopping
 	case includeStopping:
@@ -245,10 +255,10 @@
 	}
 }
 
-// rank returns the best candidate, the second best, and the best of the own zone.
-func (p *Placer) rank(now model.Instant, req Ask, r eligibility) (best, second, bestLocal rated) {
+// rank returns the best candidate, the second best, and the best one of the own zone.
+func (p *Placer) rank(now model.Instant, req Ask, e eligibility) (best, second, bestLocal rated) {
 	for _, v := range p.order {
-		if !r.allows(v, now) {
+		if !e.allows(v, now) {
 			continue
 		}
 		if req.Exclude != nil && req.Exclude(v.upstream) {
@@ -273,14 +283,14 @@
 	return best, second, bestLocal
 }
 
-// expected returns the time until the request would end at an upstream, with the way
-// there and back.
+// expected returns the time until the request would complete at an upstream, including
+// the round trip to its zone.
 func (p *Placer) expected(now model.Instant, req Ask, v *view) time.Duration {
 	return p.roundTrips[v.upstream.Zone] + Expected(req.Work, v.slowdown(now, p.meanSlowdown), v.expectedRequests(now), v.limit(), v.failureRate(now))
 }
 
-// Trip takes in how long a question to the guard of an upstream and its answer took.
-// The shortest counts, as others waited for a processor somewhere.
+// Trip records the round-trip time of a load query to the guard of an upstream. Longer
+// times than the known one count little, as they may include a wait for a CPU.
 func (p *Placer) Trip(key string, took time.Duration) {
 	v := p.views[key]
 	if v == nil {
@@ -293,8 +303,8 @@
 	p.roundTrips[v.upstream.Zone] = took
 }
 
-// Beyond returns the zones whose guards are known to answer only after a wait. Usually
-// there is none, and the result is nil.
+// Beyond returns the zones whose round-trip time is longer than rtt. It returns nil if
+// there are none, which is the usual case.
 func (p *Placer) Beyond(rtt time.Duration) map[model.AvailabilityZone]bool {
 	var far map[model.AvailabilityZone]bool
 	for z, known := range p.roundTrips {
@@ -309,7 +319,8 @@
 	return far
 }
 
-// Done ends what Choose began. Load is nil where the guard told none.
+// Done records the end of a request that Choose has placed. load is nil if the guard
+// reported none.
 func (p *Placer) Done(now model.Instant, key string, load *Load) {
 	v := p.views[key]
 	if v == nil {
@@ -319,10 +330,11 @@
 	if load == nil {
 		return
 	}
-	p.learn(now, v, *load)
+	p.updateLoad(now, v, *load)
 }
 
-func (p *Placer) learn(now model.Instant, v *view, load Load) {
+// learn records the load of an upstream. An upstream that reports a load is reachable.
+func (p *Placer) updateLoad(now model.Instant, v *view, load Load) {
 	v.load, v.loadAt, v.hasLoad, v.inFlightAtLoad = load, now, true, v.inFlight
 	v.unreachableUntil = 0
 	others := max(float64(load.Running+load.Waiting-v.inFlight), 0)
@@ -332,7 +344,8 @@
 	}
 }
 
-// Unreachable passes an upstream over for a while, unless it is the last.
+// Unreachable records that an upstream could not be reached. It is avoided for a while
+// unless no other candidate is left.
 func (p *Placer) Unreachable(now model.Instant, key string) {
 	if v := p.views[key]; v != nil {
 		v.unreachableUntil = now.Add(unreachablePause)
