--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -8,61 +8,63 @@
 )
 
 const (
-	// worseFactor and worseBy are how much later than elsewhere a request must be
-	// expected to end before it is given back: the way back costs a round trip
-	// and the figures from elsewhere are older.
+	// A request is rejected if its expected time here is more than slowerFactor times
+	// the time at another upstream, plus slowerMargin. The rejection costs a round
+	// trip, and the load of the other upstream is older than the load known here.
 	slowerFactor = 1.25
 	slowerMargin = 10 * time.Millisecond
-	// usefulShare is the share of its time that a request may take where its
-	// target is out of reach: past that its caller does better to come back. One
-	// that comes before the last rank, such as a nested call whose parent fails
-	// without it, may take urgentShare: refused, it wastes the run of its parent.
-	// On a mesh whose nested calls were short of room, with parents of 60 ms and
-	// calls of 15 ms, that earned a tenth more of what the requests were worth.
+	// usefulShare is the share of its remaining time that a request may take if it
+	// cannot meet its target. Beyond that, its caller is better off retrying later.
+	// urgentUsefulShare applies to requests before the last rank, such as nested calls
+	// whose parent fails without them: refusing one wastes the work already done for
+	// its parent. In a mesh whose nested calls were short of slots, with parents of 60
+	// ms and calls of 15 ms, the larger share increased the value of the completed
+	// requests by a tenth.
 	usefulShare       = 0.5
 	urgentUsefulShare = 0.85
 )
 
-// Arrival is a request that comes to an upstream.
+// Arrival is a request that arrives at an upstream's guard.
 type Arrival struct {
+	// Rank and Kind are those of the Item.
 	Rank int
 	Kind Kind
-	// Urgent tells that its rank comes before the last one.
+	// Urgent is set if the request's rank comes before the last one.
 	Urgent bool
-	// Work is the time it usually runs where nothing slows it.
+	// Work is the usual service time of the request.
 	Work time.Duration
-	// Within is what is left until its target, zero where it has none, Deadline
-	// what is left until its deadline.
+	// Within is the time left until the target of the request, or zero if it has none.
+	// Deadline is the time left until its deadline.
 	Within   time.Duration
 	Deadline time.Duration
-	// Alternative is the time until it would end at another upstream. Zero means
-	// that it cannot go elsewhere.
+	// Alternative is the expected time until the request would complete at another
+	// upstream. Zero means that no other upstream can take it.
 	Alternative time.Duration
 }
 
-// Speed is how fast the upstream works now.
+// Speed is the current speed and reliability of the upstream.
 type Speed struct {
-	// Slow is how long work takes, 1 being as usual, Failing the share of requests
-	// that fail.
+	// Slow is the service time relative to the usual one, which is 1. Failing is the
+	// recent failure rate, from 0 to 1.
 	Slow    float64
 	Failing float64
 }
 
-// Admission is what becomes of an arrival.
+// Admission is the result of Queue.Admit.
 type Admission uint8
 
-// The admissions.
+// The possible values of an Admission.
 const (
-	// Admitted means that it may wait and run.
+	// Admitted means that the request may enter the queue.
 	Admitted Admission = iota
-	// SlowerHere means that it would end sooner elsewhere.
+	// SlowerHere means that the request would complete sooner at another upstream.
 	SlowerHere
-	// Full means that it would end too late to be worth its wait.
+	// Full means that the request would complete too late to be worth the wait.
 	Full
 )
 
-// Admit decides whether an arrival may wait. It returns the item to add if so, and
-// the time until it is expected to end.
+// Admit decides whether a request may enter the queue. It returns the Item to add if
+// so, and the expected time until the request completes.
 func (q *Queue) Admit(now model.Instant, a Arrival, s Speed) (Item, Admission, time.Duration) {
 	expected := placement.Expected(a.Work, s.Slow, q.Ahead(a.Rank, a.Kind), q.limit, s.Failing)
 	if a.Alternative > 0 && expected > time.Duration(slowerFactor*float64(a.Alternative))+slowerMargin {
@@ -76,12 +78,12 @@
 	if q.running >= q.limit && expected > usefulTime {
 		return Item{}, Full, expected
 	}
-	i := Item{Rank: a.Rank, Kind: a.Kind, Work: a.Work, Arrived: now, Deadline: now.Add(a.Deadline), UsefulUntil: now.Add(usefulTime)}
+	item := Item{Rank: a.Rank, Kind: a.Kind, Work: a.Work, Arrived: now, Deadline: now.Add(a.Deadline), UsefulUntil: now.Add(usefulTime)}
 	if a.Within != 0 {
-		i.Target = now.Add(a.Within)
+		item.Target = now.Add(a.Within)
 	}
 	if a.Alternative > 0 {
-		i.WaitUntil = now.Add(a.Alternative/2 + slowerMargin)
+		item.WaitUntil = now.Add(a.Alternative/2 + slowerMargin)
 	}
-	return i, Admitted, expected
+	return item, Admitted, expected
 }
--- a/core/slots/admit_test.go
+++ b/core/slots/admit_test.go
@@ -24,7 +24,7 @@
 		"no worse than elsewhere":     {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 1}, Admitted, 100 * ms},
 		"slower than elsewhere":       {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 2}, SlowerHere, 200 * ms},
 		"failing more than elsewhere": {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 1, Failing: 0.5}, SlowerHere, 200 * ms},
-		"full, still useful":          {4, 4, arrival(func(*Arrival) {}), Speed{Slow: 1}, Admitted, 225 * ms},
+		"full, soon enough":           {4, 4, arrival(func(*Arrival) {}), Speed{Slow: 1}, Admitted, 225 * ms},
 		"full, too late":              {4, 20, arrival(func(*Arrival) {}), Speed{Slow: 1}, Full, 625 * ms},
 		"full, late but urgent":       {4, 20, arrival(func(a *Arrival) { a.Urgent = true }), Speed{Slow: 1}, Admitted, 625 * ms},
 		"slow with room":              {0, 0, arrival(func(*Arrival) {}), Speed{Slow: 7}, Admitted, 700 * ms},
--- a/core/slots/shares.go
+++ b/core/slots/shares.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Kind tells requests that go the same way from others. Its value has no order.
+// Kind identifies the requests of one route. Its numeric value has no meaning.
 type Kind uint16
 
-// shares keeps the kinds of one rank at equal shares of the work, by start-time fair
-// queueing: each start advances its kind by the work, and the kind that is furthest
-// back has the next turn. A kind that had nothing to do gets no credit for it.
+// fairShares gives all kinds of requests of one rank equal shares of the work by
+// start-time fair queueing (SFQ). Starting a request advances the tag of its kind by
+// the request's work. The kind with the lowest tag starts next. A kind earns no credit
+// while it has no waiting requests.
 type fairShares struct {
-	// now is where the kind that last had its turn stood.
+	// virtualTime is the start tag of the last request that was started.
 	virtualTime time.Duration
-	// ends tells where each kind stands that is ahead of now.
+	// finishTags holds the tags of the kinds that are ahead of virtualTime.
 	finishTags map[Kind]time.Duration
 }
 
-// of returns where a kind stands.
+// startTag returns the tag with which the next request of a kind would start.
 func (s *fairShares) startTag(k Kind) time.Duration { return max(s.virtualTime, s.finishTags[k]) }
 
-// charge advances a kind by the work of a start.
+// charge advances the tag of a kind when one of its requests starts.
 func (s *fairShares) charge(k Kind, work time.Duration) {
 	s.virtualTime = s.startTag(k)
 	if s.finishTags == nil {
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -1,17 +1,19 @@
-// Package slots decides which of the requests that wait for an upstream runs
-// next, and which need not wait any longer.
+// Package slots decides which of the requests that wait for an upstream starts next,
+// and which of them need not wait any longer.
 //
-// A lower rank goes first. Within a rank those go first that can still make their
-// target latency, the kinds of requests by turns of equal work, so that a flood of one
-// does not starve the others, and the newest of a kind. While there is room the order
-// does not matter, as all of them do. When there is not, most of what waits will be
-// late whatever is done, and the oldest first would serve each just after its target;
-// the newest first serves those that it does serve in time, and lets the others know
-// soon. Those that have missed their target come last, the most urgent first.
+// Requests with a lower rank start first. Within a rank, requests that can still meet
+// their target latency start first. Among these, the kinds of requests get equal shares
+// of the work, so that many requests of one kind do not starve the others, and within a
+// kind the newest request starts first. While the upstream has enough capacity, the
+// order hardly matters, since all requests meet their targets. Under overload, most
+// waiting requests will miss their targets in any order. Oldest first would complete
+// each request shortly after its target. Newest first completes in time those that it
+// starts, and the others are refused early. Requests that have missed their target
+// start last, those with the earliest deadline first.
 //
-// So that no rank starves, every so often the last one has its turn. A request that
-// can no longer end before its deadline is refused at once: running it would help
-// nobody.
+// To prevent starvation, every eighth start goes to the last rank. A request that can
+// no longer complete before its deadline is refused at once, because running it would
+// help nobody.
 package slots
 
 import (
@@ -23,101 +25,107 @@
 // Item is a waiting request.
 type Item struct {
 	ID uint64
-	// Rank orders requests; 0 comes first.
+	// Rank is the priority of the request; 0 starts first.
 	Rank int
-	// Kind tells requests apart that share their rank's part.
+	// Kind identifies the route of the request. The kinds of one rank share the work
+	// equally.
 	Kind Kind
-	// Work is the time it usually runs where nothing slows it.
+	// Work is the usual service time of the request.
 	Work time.Duration
-	// Arrived, Target and Deadline are instants. A zero Target means none.
+	// Arrived, Target and Deadline are instants. A zero Target means that there is
+	// none.
 	Arrived  model.Instant
 	Target   model.Instant
 	Deadline model.Instant
-	// Useful is when the request should have ended to be worth a wait; past that
-	// it runs only where nothing else has to wait for it. Zero means its Deadline.
+	// UsefulUntil is when the request must complete to be worth waiting for. After that
+	// it runs only if a slot is free at once. Zero means that only Deadline counts.
 	UsefulUntil model.Instant
-	// GiveUp is when the request is handed back if it has not started. Zero
-	// means never.
+	// WaitUntil is when the queue timeout of the request expires. If it has not started
+	// by then, it is rejected, so that its entry can choose another upstream. Zero means
+	// that there is no timeout.
 	WaitUntil model.Instant
 }
 
-// Exit tells why a request left the queue.
+// Exit is the reason why a request left the queue.
 type Exit uint8
 
-// The exits.
+// The possible values of an Exit.
 const (
-	// Start means that the request is to run now.
+	// Start means that the request starts now.
 	Start Exit = iota + 1
-	// Hopeless means that it cannot end before its deadline.
+	// Hopeless means that the request cannot complete before its deadline, even in half
+	// of its expected service time.
 	Hopeless
-	// Returned means that it has waited as long as its sender allowed.
+	// Returned means that the queue timeout of the request has expired.
 	Returned
-	// Overdue means that it would end too late to be worth its wait: the time is
-	// better spent on others, and its sender is better off knowing.
+	// Overdue means that the request would complete too late to be worth the wait.
+	// Other requests make better use of the slot, and the sender can react sooner.
 	Overdue
 )
 
-// Decision is one request that leaves the queue.
+// Decision is one request that leaves the queue, and the reason.
 type Decision struct {
 	ID   uint64
 	Exit Exit
 }
 
 const (
-	// lastRankEvery is how often the last rank has its turn: one start in eight
-	// leaves seven eighths of the capacity to the order of ranks.
+	// lastRankInterval is how often the last rank has its turn: one start in eight
+	// leaves seven eighths of the capacity to the regular order of ranks.
 	lastRankInterval = 8
 )
 
-// Queue holds the requests that wait for one upstream, and counts those that
-// run. It is not safe for concurrent use.
+// Queue holds the requests that wait for one upstream, and counts those that are
+// running. It is not safe for concurrent use.
 type Queue struct {
-	limit        int
-	running      int
+	limit   int
+	running int
+	// starts counts the requests started so far.
 	starts       int
 	items        []Item
 	sharesByRank map[int]*fairShares
 }
 
-// New returns a Queue that lets limit requests run at once.
+// New returns a Queue that lets up to limit requests run concurrently.
 func New(limit int) *Queue { return &Queue{limit: max(limit, 1), sharesByRank: map[int]*fairShares{}} }
 
-// Running returns the number of requests that run.
+// Running returns the number of running requests.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return len(q.items) }
 
-// Limit returns how many may run at once.
+// Limit returns how many requests may run concurrently.
 func (q *Queue) Limit() int { return q.limit }
 
-// SetLimit changes how many may run at once.
+// SetLimit changes how many requests may run concurrently.
 func (q *Queue) SetLimit(n int) { q.limit = max(n, 1) }
 
-// Ahead returns how many requests would run or start before a new one of a rank and a
-// kind: of its own rank all of its kind, and as many of each other one, as they take
-// turns.
+// Ahead returns how many requests run now or would start before a new request of the
+// given rank and kind. Of its own rank, those are all waiting requests of its kind and
+// at most as many plus one of each other kind, since the kinds take turns.
 func (q *Queue) Ahead(rank int, kind Kind) int {
 	n := q.running
-	same := map[Kind]int{}
+	waitingByKind := map[Kind]int{}
 	for i := range q.items {
 		switch it := &q.items[i]; {
 		case it.Rank < rank:
 			n++
 		case it.Rank == rank:
-			same[it.Kind]++
+			waitingByKind[it.Kind]++
 		}
 	}
-	for _, waiting := range same {
-		n += min(waiting, same[kind]+1)
+	for _, waiting := range waitingByKind {
+		n += min(waiting, waitingByKind[kind]+1)
 	}
 	return n
 }
 
-// Add lets a request wait. Next decides when it leaves.
+// Add adds a request to the queue. Next decides when it leaves.
 func (q *Queue) Add(i Item) { q.items = append(q.items, i) }
 
-// Remove takes a waiting request out and reports whether it was there.
+// Remove removes a waiting request. It returns false if the request is not in the
+// queue.
 func (q *Queue) Remove(id uint64) bool {
 	for i := range q.items {
 		if q.items[i].ID == id {
@@ -128,11 +136,11 @@
 	return false
 }
 
-// Finish ends a request that runs.
+// Finish records that a running request has ended.
 func (q *Queue) Finish() { q.running = max(q.running-1, 0) }
 
-// Next returns a request that leaves the queue now, if any, when work takes slow
-// times as long as usual.
+// Next returns a request that leaves the queue now, if any, and the reason. slowdown is
+// the current service time relative to the usual one.
 func (q *Queue) Next(now model.Instant, slowdown float64) (Decision, bool) {
 	for i := range q.items {
 		it := &q.items[i]
@@ -156,8 +164,8 @@
 	return q.dequeue(best, Start), true
 }
 
-// Wake returns when Next may have a decision without anything else happening.
-// Zero means never.
+// Wake returns the next instant at which Next may return a request although no other
+// event has occurred. Zero means never.
 func (q *Queue) Wake(slowdown float64) model.Instant {
 	var wakeup model.Instant
 	for i := range q.items {
@@ -176,6 +184,7 @@
 	return wakeup
 }
 
+// sharesOf returns the fair shares of a rank.
 func (q *Queue) sharesOf(rank int) *fairShares {
 	shares, ok := q.sharesByRank[rank]
 	if !ok {
@@ -185,9 +194,10 @@
 	return shares
 }
 
+// scaled multiplies a duration by a factor.
 func scaled(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
 
-// first returns the index of the request to start.
+// nextIndex returns the index of the request to start next.
 func (q *Queue) nextIndex(now model.Instant, slowdown float64) int {
 	lastRankFirst := q.starts%lastRankInterval == lastRankInterval-1
 	best := 0
@@ -205,7 +215,7 @@
 	return best
 }
 
-// before reports whether a starts ahead of b of the same rank.
+// before reports whether a starts before b, which has the same rank.
 func (q *Queue) before(a, b *Item, now model.Instant, slowdown float64) bool {
 	aStart, bStart := a.latestStart(slowdown), b.latestStart(slowdown)
 	aLate, bLate := aStart < now, bStart < now
@@ -223,7 +233,8 @@
 	}
 }
 
-// startBy is the last instant at which the request must start to make its target.
+// latestStart returns the last instant at which the request can start and still meet
+// its target, or its deadline if it has no target.
 func (i *Item) latestStart(slowdown float64) model.Instant {
 	end := i.Target
 	if end == 0 {
@@ -232,12 +243,14 @@
 	return end.Add(-scaled(i.Work, slowdown))
 }
 
+// dequeue removes the i-th waiting request and returns the decision about it.
 func (q *Queue) dequeue(i int, e Exit) Decision {
 	d := Decision{ID: q.items[i].ID, Exit: e}
 	q.removeAt(i)
 	return d
 }
 
+// removeAt removes the i-th waiting request.
 func (q *Queue) removeAt(i int) {
 	q.items = append(q.items[:i], q.items[i+1:]...)
 }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -10,16 +10,20 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// at returns the instant ms milliseconds after the origin.
 func at(ms int) model.Instant { return model.Instant(0).Add(time.Duration(ms) * time.Millisecond) }
 
+// ms is one millisecond.
 const ms = time.Millisecond
 
-// item returns a request that arrived at 0 and has a second.
-func newItem(id uint64, rank int, work, target int) Item {
-	return Item{ID: id, Rank: rank, Work: time.Duration(work) * ms, Target: at(target), Deadline: at(1000), UsefulUntil: at(1000)}
+// newItem returns a request that arrived at 0 and has a deadline of one second. Its
+// service time and target are in milliseconds.
+func newItem(id uint64, rank int, serviceTime, target int) Item {
+	return Item{ID: id, Rank: rank, Work: time.Duration(serviceTime) * ms, Target: at(target), Deadline: at(1000), UsefulUntil: at(1000)}
 }
 
-// starts drains the queue one at a time and returns the order of the starts.
+// startOrder starts all waiting requests, one at a time, and returns their IDs in
+// order.
 func startOrder(t *testing.T, q *Queue, now model.Instant) []uint64 {
 	t.Helper()
 	var out []uint64
@@ -38,9 +42,9 @@
 		items []Item
 		want  []uint64
 	}{
-		"rank first":                            {[]Item{newItem(1, 2, 10, 50), newItem(2, 1, 10, 500)}, []uint64{2, 1}},
-		"short nested call before long ones":    {[]Item{newItem(1, 1, 150, 400), newItem(2, 1, 15, 80)}, []uint64{2, 1}},
-		"who can still make it before the late": {[]Item{newItem(1, 1, 100, 50), newItem(2, 1, 100, 400)}, []uint64{2, 1}},
+		"lower rank first":           {[]Item{newItem(1, 2, 10, 50), newItem(2, 1, 10, 500)}, []uint64{2, 1}},
+		"earlier latest start first": {[]Item{newItem(1, 1, 150, 400), newItem(2, 1, 15, 80)}, []uint64{2, 1}},
+		"late request last":          {[]Item{newItem(1, 1, 100, 50), newItem(2, 1, 100, 400)}, []uint64{2, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := New(1)
@@ -52,8 +56,9 @@
 	}
 }
 
-// TestNoRankStarves answers a flood of urgent requests: every eighth start is of the
-// last rank, and of its newest that can still make its target.
+// TestNoRankStarves checks that during a flood of urgent requests every eighth start
+// goes to the last rank, and there to the newest request that can still meet its
+// target.
 func TestNoRankStarves(t *testing.T) {
 	q := New(1)
 	late := newItem(1, 9, 10, 5)
@@ -74,31 +79,32 @@
 	}
 }
 
-// TestKindsTakeTurns answers a flood of one kind of requests beside a few of another of
-// the same rank: the other has half of the work for as long as it has any, whichever
-// is newer, and a kind that has more work in a request has fewer turns.
+// TestKindsShareWorkEqually has many requests of one kind and a few older ones of another
+// kind of the same rank. The second kind gets half of the work until its requests run out,
+// although newer requests usually start first. A kind whose requests take longer has fewer
+// turns.
 func TestKindsShareWorkEqually(t *testing.T) {
-	const flood, quiet = 1, 2
+	const frequent, rare = 1, 2
 	for name, c := range map[string]struct {
-		work  int
-		turns []int
+		serviceTime int
+		turns       []int
 	}{
-		"equal work":                        {10, []int{1, 3, 5}},
-		"three times the work of the flood": {30, []int{1, 5, 9}},
+		"equal work":                         {10, []int{1, 3, 5}},
+		"three times the work of the others": {30, []int{1, 5, 9}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := New(1)
 			for i := range uint64(30) {
 				it := newItem(100+i, 1, 10, 900)
-				it.Kind, it.Arrived = flood, at(1)
+				it.Kind, it.Arrived = frequent, at(1)
 				q.Add(it)
 			}
 			for i := range uint64(3) {
-				it := newItem(i, 1, c.work, 900)
-				it.Kind = quiet
+				it := newItem(i, 1, c.serviceTime, 900)
+				it.Kind = rare
 				q.Add(it)
 			}
-			require.Equal(t, 2, q.Ahead(1, 9), "one of each kind, for a third that has none waiting")
+			require.Equal(t, 2, q.Ahead(1, 9), "one of each kind runs before a third kind that has none waiting")
 			var got []int
 			for turn, id := range startOrder(t, q, at(2)) {
 				if id < 100 {
@@ -110,8 +116,8 @@
 	}
 }
 
-// TestNoCreditForIdleKinds answers a kind that comes after a long time: it does not
-// hold all slots until it has made up for that.
+// TestIdleKindEarnsNoCredit has a kind arrive that was idle for a long time. It must
+// not occupy all slots until it has caught up with the others.
 func TestIdleKindEarnsNoCredit(t *testing.T) {
 	q := New(1)
 	for i := range uint64(50) {
@@ -127,22 +133,23 @@
 	}
 	order := startOrder(t, q, at(0))
 	for turn := 0; turn < len(order); turn += 2 {
-		require.NotEqual(t, order[turn]%2, order[turn+1]%2, "turns alternate: %v", order)
+		require.NotEqual(t, order[turn]%2, order[turn+1]%2, "the kinds alternate: %v", order)
 	}
-	require.LessOrEqual(t, len(q.sharesOf(1).finishTags), 2, "only kinds that are ahead are kept")
+	require.LessOrEqual(t, len(q.sharesOf(1).finishTags), 2, "only kinds ahead of the virtual time are stored")
 }
 
-// TestNewestFirst answers more requests than there is room for: each that is served
-// makes its target, where the oldest first would serve each just after it.
+// TestNewestFirstMeetsTargetsUnderOverload has twice as many requests as there is
+// capacity for. Each request that is started meets its target; oldest first would start
+// each request too late.
 func TestNewestFirstMeetsTargetsUnderOverload(t *testing.T) {
-	const every, work, target, requests = 10, 20, 100, 200
+	const interval, serviceTime, target, requests = 10, 20, 100, 200
 	q := New(1)
 	inTime, served := 0, 0
 	busyUntil := at(0)
 	arrived := map[uint64]model.Instant{}
 	for n := range requests {
-		now := at(n * every)
-		i := newItem(uint64(n+1), 0, work, n*every+target)
+		now := at(n * interval)
+		i := newItem(uint64(n+1), 0, serviceTime, n*interval+target)
 		i.Arrived, i.Deadline, i.UsefulUntil = now, now.Add(3*target*ms), now.Add(3*target*ms)
 		q.Add(i)
 		arrived[i.ID] = now
@@ -158,17 +165,17 @@
 				break
 			}
 			served++
-			busyUntil = now.Add(work * ms)
+			busyUntil = now.Add(serviceTime * ms)
 			if busyUntil.Sub(arrived[d.ID]) <= target*ms {
 				inTime++
 			}
 		}
 	}
-	require.Equal(t, requests/2, served, "half of them fit")
+	require.Equal(t, requests/2, served, "there is capacity for half of the requests")
 	require.Equal(t, served, inTime)
 }
 
-func TestLimit(t *testing.T) {
+func TestLimitBoundsRunningRequests(t *testing.T) {
 	q := New(2)
 	for i := range uint64(3) {
 		q.Add(newItem(i, 0, 10, 500))
@@ -189,7 +196,7 @@
 }
 
 func TestDequeueReasons(t *testing.T) {
-	busy := func(i Item) *Queue {
+	newBusyQueue := func(i Item) *Queue {
 		q := New(1)
 		q.Add(newItem(99, 0, 10, 500))
 		_, _ = q.Next(at(0), 1)
@@ -197,33 +204,33 @@
 		return q
 	}
 	for name, c := range map[string]struct {
-		change func(*Item)
-		slow   float64
-		now    int
-		want   Exit
+		change   func(*Item)
+		slowdown float64
+		now      int
+		want     Exit
 	}{
-		"cannot end before its deadline": {func(*Item) {}, 1, 960, Hopeless},
-		"nor where work takes longer":    {func(*Item) {}, 4, 850, Hopeless},
-		"has waited as long as allowed":  {func(i *Item) { i.WaitUntil = at(30) }, 1, 30, Returned},
-		"would end too late":             {func(i *Item) { i.UsefulUntil = at(500) }, 1, 401, Overdue},
+		"cannot complete before its deadline":                {func(*Item) {}, 1, 960, Hopeless},
+		"cannot complete before its deadline, slow upstream": {func(*Item) {}, 4, 850, Hopeless},
+		"queue timeout has expired":                          {func(i *Item) { i.WaitUntil = at(30) }, 1, 30, Returned},
+		"would complete too late to be useful":               {func(i *Item) { i.UsefulUntil = at(500) }, 1, 401, Overdue},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := newItem(1, 0, 100, 500)
 			c.change(&i)
-			q := busy(i)
-			wake := q.Wake(c.slow)
-			require.LessOrEqual(t, wake, at(c.now), "it is looked at in time")
-			_, early := q.Next(wake.Add(-2*ms), c.slow)
+			q := newBusyQueue(i)
+			wakeup := q.Wake(c.slowdown)
+			require.LessOrEqual(t, wakeup, at(c.now), "the queue wakes up in time")
+			_, early := q.Next(wakeup.Add(-2*ms), c.slowdown)
 			require.False(t, early)
-			d, ok := q.Next(at(c.now), c.slow)
+			d, ok := q.Next(at(c.now), c.slowdown)
 			require.True(t, ok)
 			require.Equal(t, Decision{ID: 1, Exit: c.want}, d)
 		})
 	}
 }
 
-// TestIdleSlotsServeTheLate answers requests whose target is lost while there is
-// room: they run, as nobody has to wait for them.
+// TestFreeSlotRunsLateRequest has a request that cannot meet its target, and a free
+// slot. The request runs, as no other request has to wait for it.
 func TestFreeSlotRunsLateRequest(t *testing.T) {
 	q := New(1)
 	late := newItem(1, 0, 100, 50)
@@ -244,12 +251,13 @@
 	require.Zero(t, q.Wake(1))
 }
 
-// TestEveryRequestLeavesOnce plays random arrivals, ends and removals: nobody
-// leaves twice, never more run than the limit, and nobody is left at the end.
+// TestEveryRequestLeavesOnce plays random arrivals, ends and removals. No request
+// leaves the queue twice, the limit is never exceeded, and the queue is empty at the
+// end.
 func TestEveryRequestLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(rapid.IntRange(1, 5).Draw(t, "limit"))
-		left := map[uint64]bool{}
+		departed := map[uint64]bool{}
 		waiting := map[uint64]bool{}
 		now, id := at(0), uint64(0)
 		dequeueAll := func() {
@@ -258,9 +266,9 @@
 				if !ok {
 					return
 				}
-				require.False(t, left[d.ID])
+				require.False(t, departed[d.ID])
 				require.True(t, waiting[d.ID])
-				left[d.ID] = true
+				departed[d.ID] = true
 				delete(waiting, d.ID)
 				require.LessOrEqual(t, q.Running(), q.Limit())
 			}
@@ -270,8 +278,8 @@
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				id++
-				work := rapid.IntRange(1, 200).Draw(t, "work")
-				q.Add(Item{ID: id, Rank: rapid.IntRange(0, 2).Draw(t, "rank"), Work: time.Duration(work) * ms,
+				serviceTime := rapid.IntRange(1, 200).Draw(t, "work")
+				q.Add(Item{ID: id, Rank: rapid.IntRange(0, 2).Draw(t, "rank"), Work: time.Duration(serviceTime) * ms,
 					Arrived: now, Target: now.Add(100 * ms), UsefulUntil: now.Add(200 * ms), Deadline: now.Add(500 * ms)})
 				waiting[id] = true
 			case 1:
