--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// reserve is the number of tokens that a new Budget holds.
+	// initialTokens is the number of tokens in a new Budget.
 	initialTokens = 10
-	// saved is the largest number of tokens.
+	// maxTokens is the capacity of the token bucket.
 	maxTokens = 50
 	// halfLife is the age at which an attempt counts half.
 	halfLife = time.Second
-	// stormShare is the share of failed attempts above which retrying is off,
-	// stormAttempts the number of recent attempts needed to tell.
+	// Retries are disabled while more than maxFailureRate of the recent attempts
+	// failed. minAttempts is the number of recent attempts needed to decide that.
 	maxFailureRate = 0.5
 	minAttempts    = 20
 )
 
-// Verdict is the answer to a wish to retry.
+// Verdict is the result of Budget.Allow, or the reason why a retry was not attempted.
 type Verdict uint8
 
-// The verdicts.
+// The possible values of a Verdict.
 const (
-	// Allowed means that a token was taken.
+	// Allowed means that the retry may be sent; it has taken a token.
 	Allowed Verdict = iota + 1
-	// Spent means that the budget holds no token.
+	// Spent means that the budget has no token left.
 	Spent
 	// Storm means that too many of the recent attempts failed.
 	Storm
-	// TooLate means that too little time is left.
+	// TooLate means that too little time remains until the deadline.
 	TooLate
 )
 
-// String returns the word used as a metric tag.
+// String returns the value that metric labels use.
 func (v Verdict) String() string {
 	switch v {
 	case Allowed:
@@ -51,26 +51,27 @@
 	}
 }
 
-// Budget rations the retries of one service at one entry. It is not safe for
-// concurrent use.
+// Budget limits the retries of one service at one entry with a token bucket. It is not
+// safe for concurrent use.
 type Budget struct {
 	share  float64
 	tokens float64
-	// attempts and failures are recent counts that halve every halfLife.
-	attempts  float64
-	failures  float64
+	// attempts and failures are recent counts, halved every halfLife.
+	attempts float64
+	failures float64
+	// decayedAt is the instant up to which attempts and failures have been decayed.
 	decayedAt model.Instant
 }
 
-// NewBudget returns a Budget that allows the share of requests, 0 to 1, to be
-// followed by a retry.
+// NewBudget returns a Budget that allows retries for the given share of requests, from
+// 0 to 1.
 func NewBudget(share float64) *Budget {
 	b := &Budget{tokens: initialTokens}
 	b.SetShare(share)
 	return b
 }
 
-// SetShare changes the share. A share of 0 forbids retries.
+// SetShare changes the share of requests that may be retried. Zero forbids retries.
 func (b *Budget) SetShare(share float64) {
 	b.share = share
 	if share <= 0 {
@@ -78,10 +79,10 @@
 	}
 }
 
-// Request counts a request, not its retries.
+// Request counts a new request. Retries must not be counted here.
 func (b *Budget) Request() { b.tokens = min(b.tokens+b.share, maxTokens) }
 
-// Attempt counts how an attempt ended, retries among them.
+// Attempt counts an attempt, which may be a retry, and whether it failed.
 func (b *Budget) Attempt(now model.Instant, failed bool) {
 	b.decay(now)
 	b.attempts++
@@ -90,7 +91,7 @@
 	}
 }
 
-// Allow takes a token for a retry, if there is one.
+// Allow takes a token for a retry if retries are allowed now.
 func (b *Budget) Allow(now model.Instant) Verdict {
 	b.decay(now)
 	if b.attempts >= minAttempts && b.failures > maxFailureRate*b.attempts {
@@ -103,6 +104,7 @@
 	return Allowed
 }
 
+// decay reduces the counts of attempts and failures according to their age.
 func (b *Budget) decay(now model.Instant) {
 	if now <= b.decayedAt {
 		return
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -1,13 +1,13 @@
-// Package retry decides whether a failed attempt may be followed by another.
+// Package retry decides whether a failed attempt may be retried.
 //
 // # Concept
 //
-// A retry adds load where something has just failed, so it is rationed. Each
-// service has a Budget at each entry: every request adds a share of a token,
-// every retry takes a whole one, and a few tokens may be saved up. While more
-// than half of the recent attempts fail, retrying is off altogether: the trouble
-// is not one upstream's.
+// A retry adds load to a service that has just failed a request, so retries are limited
+// by a Budget for each service at each entry. Each request adds a fraction of a token,
+// each retry takes a whole token, and a limited number of tokens can be saved up. While
+// more than half of the recent attempts fail, retries are disabled, because the problem
+// is then not limited to one upstream.
 //
-// Backoff spreads the retries that are left over time, and gives up when too
-// little of the deadline remains.
+// Backoff delays the remaining retries by random times, and rejects a retry if too
+// little time remains until the deadline.
 package retry
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -6,56 +6,60 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// windowParts is the number of steps in which a Window forgets. Old counts leave
-// a step late, never early, so that the budget errs to the safe side by one part.
+// windowBuckets is the number of buckets that the span of a Window is divided into. A
+// retry counts until its whole bucket has left the span, at most one bucket width too
+// long, so the budget is never exceeded.
 const windowBuckets = 10
 
-// Window is one daemon's share of a re-send budget that all daemons have in
-// common: over any span, re-sends stay within ratio times the requests of the
-// span plus a slack. Each daemon counts its own requests and takes an equal part
-// of the slack, so the sum keeps the whole budget without a word between them.
-// It is not safe for concurrent use.
+// Window is one daemon's part of a retry budget that all daemons share: within any
+// span, the number of retries is at most ratio times the number of requests in that
+// span plus a slack. Each daemon counts its own requests and gets an equal part of the
+// slack, so the daemons together stay within the budget without communicating. A Window
+// is not safe for concurrent use.
 type Window struct {
-	ratio       float64
-	slack       float64
+	ratio float64
+	slack float64
+	// share is the part of the budget that may be used.
 	share       float64
 	bucketWidth time.Duration
-	bucket      int64
-	requests    [windowBuckets + 1]float64
-	resends     [windowBuckets + 1]float64
+	// bucket is the number of the current bucket, counted from the origin of time.
+	bucket   int64
+	requests [windowBuckets + 1]float64
+	retries  [windowBuckets + 1]float64
 }
 
-// NewWindow returns a Window over a span.
+// NewWindow returns a Window over the given span. slack is this daemon's part of the
+// slack.
 func NewWindow(span time.Duration, ratio, slack float64) *Window {
 	return &Window{ratio: ratio, slack: slack, share: 1, bucketWidth: max(span/windowBuckets, time.Millisecond)}
 }
 
-// SetSlack changes the slack.
+// SetSlack changes this daemon's part of the slack.
 func (w *Window) SetSlack(slack float64) { w.slack = slack }
 
-// SetShare changes the share of the budget that may be used. It is 1 at first.
+// SetShare changes the part of the budget that may be used, which is initially 1.
 func (w *Window) SetShare(share float64) { w.share = share }
 
-// Request counts a first send.
+// Request counts the first attempt at a request.
 func (w *Window) Request(now model.Instant) {
 	w.advance(now)
 	w.requests[w.index()]++
 }
 
-// Left returns how many re-sends the budget still holds.
+// Left returns how many retries the budget still allows.
 func (w *Window) Left(now model.Instant) float64 {
 	w.advance(now)
-	requests, resends := 0.0, 0.0
+	requests, retries := 0.0, 0.0
 	for i := range w.requests {
 		requests += w.requests[i]
-		resends += w.resends[i]
+		retries += w.retries[i]
 	}
-	// The oldest part has partly left the span; its requests no longer count.
+	// The oldest bucket is partly outside the span, so its requests no longer count.
 	requests -= w.requests[(w.index()+1)%(windowBuckets+1)]
-	return w.share*(w.ratio*requests+w.slack) - resends
+	return w.share*(w.ratio*requests+w.slack) - retries
 }
 
-// Take counts n re-sends if the budget holds them.
+// Take counts n retries if the budget allows them, and returns false otherwise.
 func (w *Window) Take(now model.Instant, n float64) bool {
 	if w.Left(now) < n {
 		return false
@@ -64,15 +68,17 @@
 	return true
 }
 
-// Charge counts n re-sends that were made without asking.
+// Charge counts n retries whether or not the budget allows them. A negative n returns
+// retries to the budget.
 func (w *Window) Charge(now model.Instant, n float64) {
 	w.advance(now)
-	w.resends[w.index()] += n
+	w.retries[w.index()] += n
 }
 
+// index returns the position of the current bucket in the arrays.
 func (w *Window) index() int { return int(w.bucket % (windowBuckets + 1)) }
 
-// turn moves on to the part that holds now.
+// advance moves on to the bucket that contains now, and clears the buckets in between.
 func (w *Window) advance(now model.Instant) {
 	current := int64(now) / int64(w.bucketWidth)
 	if current <= w.bucket {
@@ -80,7 +86,7 @@
 	}
 	for i := max(w.bucket+1, current-windowBuckets); i <= current; i++ {
 		w.requests[i%(windowBuckets+1)] = 0
-		w.resends[i%(windowBuckets+1)] = 0
+		w.retries[i%(windowBuckets+1)] = 0
 	}
 	w.bucket = current
 }
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -21,13 +21,14 @@
 	require.True(t, w.Take(now, 7))
 	require.False(t, w.Take(now, 1))
 	w.Charge(now, -1)
-	require.True(t, w.Take(now, 1), "a send that reached nobody is given back")
+	require.True(t, w.Take(now, 1), "a retry that reached no upstream is returned to the budget")
 	require.False(t, w.Take(now.Add(9*time.Second), 1))
 	require.True(t, w.Take(now.Add(12*time.Second), 5), "the span has passed")
 }
 
-// TestWindowKeepsTheSharedBudget has some daemons take re-sends as they can, at
-// any times, and holds every span of all of them together to the whole budget.
+// TestWindowsTogetherStayWithinTheBudget has several daemons take retries at random
+// times, and checks that all of them together stay within the whole budget in every
+// span.
 func TestWindowsTogetherStayWithinTheBudget(t *testing.T) {
 	const (
 		span  = 10 * time.Second
@@ -40,7 +41,7 @@
 		for i := range windows {
 			windows[i] = NewWindow(span, ratio, slack/float64(daemons))
 		}
-		var requests, resends []model.Instant
+		var requests, retries []model.Instant
 		now := model.Instant(0)
 		for range 400 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
@@ -49,7 +50,7 @@
 				w.Request(now)
 				requests = append(requests, now)
 			} else if w.Take(now, 1) {
-				resends = append(resends, now)
+				retries = append(retries, now)
 			}
 		}
 		countBetween := func(at []model.Instant, from, to model.Instant) (n float64) {
@@ -60,11 +61,11 @@
 			}
 			return n
 		}
-		for _, end := range resends {
+		for _, end := range retries {
 			from := end.Add(-span)
-			// Requests may count from up to one part of the span earlier.
+			// A request may count up to one bucket width longer than the span.
 			allowed := ratio*countBetween(requests, from.Add(-span/windowBuckets), end) + slack
-			require.LessOrEqual(t, countBetween(resends, from, end), allowed+1e-6)
+			require.LessOrEqual(t, countBetween(retries, from, end), allowed+1e-6)
 		}
 	})
 }
