--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -1,20 +1,20 @@
-// Package limit finds how many requests an upstream can really run at once.
+// Package limit estimates how many requests an upstream can really run concurrently.
 //
-// An upstream announces its slots, and the announcement may mislead: when it
-// runs fewer than it says, the rest queue inside it, where nothing can be
-// withdrawn or reordered. A Limiter compares the slot time of requests that
-// ran beside few others with that of requests that ran at the limit. When the
-// second is clearly longer the requests disturb each other, and the limit
-// falls; when it is not, the limit rises again, a step at a time.
+// An upstream announces its number of slots, and that number may be too high. The
+// excess requests then queue inside the upstream, where they can be neither withdrawn
+// nor reordered. A Limiter compares the slot times (how long a request occupies a slot)
+// of requests that ran at the limit with those of uncontended requests, which ran
+// beside few others. If requests at the limit take clearly longer, they contend for
+// resources and the limit is lowered. Otherwise it is raised again, one step at a time.
 //
-// It compares a low quantile, not the mean: crowding stretches every request
-// alike, while a surge of costly requests lifts the mean and leaves the low
-// quantile nearly where it was. Only the ratio counts: an upstream that
-// becomes slow for every request (a straggler) keeps its limit.
+// The comparison uses a low quantile instead of the mean. Contention slows down all
+// requests alike, whereas a surge of costly requests raises the mean but hardly affects
+// the low quantile. Only the ratio of the two counts: an upstream that becomes slow for
+// all requests (a straggler) keeps its limit.
 //
-// Under load that never leaves the limit nothing runs undisturbed. Then the
-// limit is halved for a few requests once in a long while, to learn.
+// Under constant load at the limit, no request runs uncontended. A Limiter then
+// occasionally halves the limit for a few requests to obtain uncontended samples.
 //
-// A Limiter also keeps the recent mean slot time and the share of failures,
-// which ride on replies as part of model.Load.
+// A Limiter also tracks the recent mean slot time and the failure rate, which replies
+// carry as part of model.Load.
 package limit
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -9,67 +9,70 @@
 
 // Options configure a Limiter.
 type Options struct {
-	// Slots is the announced number of slots, at least 1. The limit starts
-	// there.
+	// Slots is the announced number of slots, at least 1. It is the initial limit.
 	Slots int
-	// Max is the largest limit. Default: Slots, so that an upstream never runs
-	// more than it announced.
+	// Max is the largest allowed limit. Default: Slots, so that an upstream never runs
+	// more requests than it announced.
 	Max int
 }
 
 const (
-	// busyWindow is the number of requests at the limit that one decision
-	// weighs, quietWindow the number of undisturbed ones remembered, and
-	// quietEnough how many of these a decision needs.
+	// windowSize is the number of samples at the limit that one decision is based on,
+	// uncontendedSize the number of uncontended samples that are kept, and
+	// minUncontended the number of those that a decision needs.
 	windowSize      = 256
 	uncontendedSize = 128
 	minUncontended  = 64
-	// quantile is compared between the two.
+	// comparedQuantile is the quantile that is compared between the two kinds of
+	// samples.
 	comparedQuantile = 0.1
-	// shrinkRatio is the ratio of slot times (at the limit to undisturbed) above
-	// which the limit falls, growRatio the one below which it rises.
+	// The slot time at the limit is divided by the uncontended slot time. The limit is
+	// lowered if this ratio is above shrinkRatio, and raised if it is below growRatio.
 	shrinkRatio = 1.5
 	growRatio   = 1.2
-	// crowdedFor is the number of windows in a row above shrinkRatio that lower
-	// the limit, holdFor the number between the two ratios that raise it, so
-	// that a limit lowered by mistake comes back.
+	// shrinkAfter is the number of consecutive windows above shrinkRatio that lower the
+	// limit. growAfter is the number of windows between the two ratios that raise it,
+	// so that a limit lowered by mistake rises again.
 	shrinkAfter = 2
 	growAfter   = 8
-	// meanWeight makes the mean slot time cover about 32 requests.
+	// meanWeight makes the recent mean slot time cover about 32 requests.
 	meanWeight = 1.0 / 32
-	// usualWeight makes the usual slot time cover about 2048 requests, and
-	// slowedRatio is the ratio of the mean to it from which requests count as
-	// slowed.
+	// longTermWeight makes the long-term mean slot time cover about 2048 requests.
+	// Requests count as slowed if the recent mean is more than slowedRatio times the
+	// long-term mean.
 	longTermWeight = 1.0 / 2048
 	slowedRatio    = 1.5
-	// failWeight makes the failing share cover about 8 requests.
+	// failureWeight makes the failure rate cover about 8 requests.
 	failureWeight = 1.0 / 8
-	// probeEvery is the number of busy windows without an undisturbed request
-	// after which probeLength requests run at half the limit.
+	// After probeEvery windows without an uncontended sample, probeLength requests run
+	// at half the limit.
 	probeEvery  = 32
 	probeLength = 32
 )
 
-// Limiter holds the concurrency limit of one incarnation of an upstream. It is
-// not safe for concurrent use.
+// Limiter holds the concurrency limit for one incarnation of an upstream. It is not
+// safe for concurrent use.
 type Limiter struct {
-	opts         Options
-	limit        int
-	uncontended  ring
+	opts        Options
+	limit       int
+	uncontended ring
+	// atLimit[:atLimitCount] are the slot times of the current window, in nanoseconds.
 	atLimit      [windowSize]float64
 	atLimitCount int
 	recentMean   mean
 	longTermMean mean
 	failureRate  float64
-	// dull counts busy windows since the last undisturbed request, probe the
-	// requests left of a probe.
+	// windowsWithoutUncontended counts the windows since the last uncontended sample.
+	// probeRemaining counts the samples that the current probe still needs.
 	windowsWithoutUncontended int
 	probeRemaining            int
-	// crowded and held count windows; see move.
+	// contendedWindows counts consecutive windows above shrinkRatio. stableWindows
+	// counts windows between the two ratios; a window below growRatio sets it to
+	// growAfter.
 	contendedWindows, stableWindows int
 }
 
-// New returns a Limiter at the announced slots.
+// New returns a Limiter whose initial limit is the announced number of slots.
 func New(opts Options) *Limiter {
 	opts.Slots = max(opts.Slots, 1)
 	if opts.Max <= 0 {
@@ -78,7 +81,7 @@
 	return &Limiter{opts: opts, limit: min(opts.Slots, opts.Max)}
 }
 
-// Limit returns the number of requests that may run at once, at least 1.
+// Limit returns the number of requests that may run concurrently, at least 1.
 func (l *Limiter) Limit() int {
 	if l.probeRemaining > 0 {
 		return max(l.limit/2, 1)
@@ -86,8 +89,8 @@
 	return l.limit
 }
 
-// Observe takes in a request that held a slot for used while running requests,
-// itself among them, ran when it ended.
+// Observe records a request that held a slot for slotTime. running is the number of
+// requests that were running when it ended, including itself.
 func (l *Limiter) Observe(now model.Instant, slotTime time.Duration, running int, failed bool) {
 	l.observeFailure(failed)
 	if failed || slotTime <= 0 {
@@ -111,17 +114,18 @@
 	}
 }
 
-// Annotate returns the load with the mean slot time and the failing share
-// filled in.
+// Annotate returns the load with the mean slot time and the failure rate filled in.
 func (l *Limiter) Annotate(load model.Load) model.Load {
 	load.Service = time.Duration(l.recentMean.value)
 	load.Failing = float32(l.failureRate)
 	return load
 }
 
-// Slowed reports whether requests lately take clearly longer than usual.
+// Slowed reports whether recent requests have taken clearly longer than the long-term
+// mean.
 func (l *Limiter) Slowed() bool { return l.recentMean.value > slowedRatio*l.longTermMean.value }
 
+// observeFailure updates the failure rate.
 func (l *Limiter) observeFailure(failed bool) {
 	failure := 0.0
 	if failed {
@@ -130,7 +134,7 @@
 	l.failureRate += (failure - l.failureRate) * failureWeight
 }
 
-// decide moves the limit by the busy window just filled.
+// evaluateWindow adjusts the limit after a full window of samples at the limit.
 func (l *Limiter) evaluateWindow() {
 	atLimit := lowQuantile(l.atLimit[:])
 	l.atLimitCount = 0
@@ -154,8 +158,8 @@
 	l.adjustLimit()
 }
 
-// move shrinks the limit after crowded windows in a row, and grows it after
-// a clear one or when it has been held for a while.
+// adjustLimit lowers the limit after consecutive contended windows. It raises the limit
+// after one window below growRatio or several between the two ratios.
 func (l *Limiter) adjustLimit() {
 	switch {
 	case l.contendedWindows >= shrinkAfter:
@@ -167,35 +171,38 @@
 	}
 }
 
-// lowQuantile sorts the samples.
+// lowQuantile returns the comparedQuantile of the samples. It sorts them in place.
 func lowQuantile(samples []float64) float64 {
 	slices.Sort(samples)
 	return samples[int(comparedQuantile*float64(len(samples)))]
 }
 
-// ring remembers the last undisturbed slot times.
+// ring holds the latest uncontended slot times, in nanoseconds.
 type ring struct {
 	samples [uncontendedSize]float64
 	next, n int
 }
 
+// add stores a slot time in place of the oldest one.
 func (r *ring) add(x float64) {
 	r.samples[r.next] = x
 	r.next = (r.next + 1) % uncontendedSize
 	r.n = min(r.n+1, uncontendedSize)
 }
 
+// lowQuantile returns the comparedQuantile of the stored slot times.
 func (r *ring) lowQuantile() float64 {
 	sorted := r.samples
 	return lowQuantile(sorted[:r.n])
 }
 
-// mean is an exponentially weighted mean that starts as a plain one.
+// mean is an exponentially weighted mean. The first values have equal weights.
 type mean struct {
 	value float64
 	n     int
 }
 
+// add updates the mean with a value.
 func (m *mean) add(x, weight float64) {
 	m.n++
 	m.value += (x - m.value) * max(1/float64(m.n), weight)
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -11,15 +11,15 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// shared is an upstream that runs real requests at full speed and slows all
-// down in proportion when more run at once.
+// sharedUpstream runs up to capacity requests at full speed. With more, it slows all of
+// them down in proportion.
 type sharedUpstream struct {
 	capacity float64
 	slowdown float64
 }
 
-// drive lets the limiter's upstream run n requests at a utilisation that moves
-// between quiet and full, with log-normal costs.
+// simulate feeds n requests with log-normal costs to the limiter. Most run at the
+// limit, and every eighth at half of it.
 func simulate(l *Limiter, u sharedUpstream, n int, rng *rand.Rand) {
 	for i := range n {
 		running := l.Limit()
@@ -33,15 +33,15 @@
 
 func TestLimiterFindsTheUpstreamsCapacity(t *testing.T) {
 	cases := map[string]struct {
-		u        sharedUpstream
-		max      int
-		low, top int
+		u         sharedUpstream
+		max       int
+		low, high int
 	}{
-		"announcement true":        {u: sharedUpstream{capacity: 6, slowdown: 1}, low: 6, top: 6},
-		"announces twice its real": {u: sharedUpstream{capacity: 3, slowdown: 1}, low: 2, top: 5},
-		"straggler keeps its own":  {u: sharedUpstream{capacity: 6, slowdown: 8}, low: 6, top: 6},
-		"announces too few":        {u: sharedUpstream{capacity: 12, slowdown: 1}, max: 12, low: 10, top: 12},
-		"one slot":                 {u: sharedUpstream{capacity: 1, slowdown: 1}, low: 1, top: 4},
+		"announced slots are correct":  {u: sharedUpstream{capacity: 6, slowdown: 1}, low: 6, high: 6},
+		"announces twice its capacity": {u: sharedUpstream{capacity: 3, slowdown: 1}, low: 2, high: 5},
+		"straggler keeps its limit":    {u: sharedUpstream{capacity: 6, slowdown: 8}, low: 6, high: 6},
+		"announces too few slots":      {u: sharedUpstream{capacity: 12, slowdown: 1}, max: 12, low: 10, high: 12},
+		"one slot":                     {u: sharedUpstream{capacity: 1, slowdown: 1}, low: 1, high: 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			simulate(l, tc.u, 50_000, rng)
 			for range 100 {
 				simulate(l, tc.u, 64, rng)
-				assert.LessOrEqual(t, l.limit, tc.top)
+				assert.LessOrEqual(t, l.limit, tc.high)
 				assert.GreaterOrEqual(t, l.limit, tc.low)
 			}
 		})
@@ -62,12 +62,12 @@
 	l := New(Options{Slots: 6})
 	lowest := 6
 	for i := range 200_000 {
-		running, costly := 1+i%3, 0.05
+		running, costlyShare := 1+i%3, 0.05
 		if i%64 >= 16 {
-			running, costly = l.Limit(), 0.4
+			running, costlyShare = l.Limit(), 0.4
 		}
 		slotTime := 2e6 * math.Exp(0.6*rng.NormFloat64())
-		if rng.Float64() < costly {
+		if rng.Float64() < costlyShare {
 			slotTime *= 10
 		}
 		l.Observe(model.Instant(i), time.Duration(slotTime), running, false)
@@ -115,7 +115,7 @@
 	load := l.Annotate(model.Load{})
 	assert.Greater(t, load.Failing, float32(0.9))
 	assert.False(t, l.Slowed())
-	assert.Equal(t, 3*time.Millisecond, load.Service, "a quick failure is no service time")
+	assert.Equal(t, 3*time.Millisecond, load.Service, "failed requests do not count towards the service time")
 	for range 20 {
 		l.Observe(0, 24*time.Millisecond, 1, false)
 	}
