--- a/core/measure/budget.go
+++ b/core/measure/budget.go
@@ -6,32 +6,32 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Cost is what measuring takes from an upstream.
+// Cost is the load that a measurement puts on an upstream.
 type Cost struct {
-	// SlotTime is the time that polls and probes hold.
+	// SlotTime is the time for which polls and probes occupy the upstream.
 	SlotTime time.Duration
-	// Connections counts connections opened for measuring.
+	// Connections counts the connections opened for measuring.
 	Connections int
-	// Bytes counts the bytes carried in both directions.
+	// Bytes counts the bytes transferred in both directions.
 	Bytes int
 }
 
 // Prices convert connections and bytes to slot time.
 type Prices struct {
-	// Connection is the slot time of a new connection. Default: 1ms.
+	// Connection is the slot time charged for a new connection. Default: 1ms.
 	Connection time.Duration
-	// Byte is the slot time of one byte. Default: 10ns.
+	// Byte is the slot time charged for one byte. Default: 10ns.
 	Byte time.Duration
 }
 
-// Options configure a Ledger.
+// Options configure a Budget.
 type Options struct {
-	// Share is the part of the upstream's slot time that measuring may take, 0
-	// to 1. Zero forbids measuring.
+	// Share is the share of the upstream's slot time that measuring may take, from 0 to
+	// 1. Zero forbids measuring.
 	Share float64
 	// Slots is the announced number of slots, at least 1.
 	Slots int
-	// Burst is the slot time that may be spent at once. Default: 20ms.
+	// Burst is the slot time that may be charged at once. Default: 20ms.
 	Burst  time.Duration
 	Prices Prices
 }
@@ -42,27 +42,28 @@
 	defaultByteTime       = 10 * time.Nanosecond
 )
 
-// Ledger is the measuring budget of one upstream for one service. It is not
-// safe for concurrent use.
+// Budget is the measuring budget of one upstream for one service: a token bucket of
+// slot time. It is not safe for concurrent use.
 type Budget struct {
 	opts   Options
 	tokens time.Duration
-	// open is the sum of the reservations not settled yet. Tokens and open
-	// together never exceed the burst, so that what is given back late cannot
-	// be spent on top of a full burst.
+	// reserved is the sum of the pending reservations. tokens plus reserved never
+	// exceed the burst. Otherwise slot time returned by a late Settle could be spent in
+	// addition to a full burst.
 	reserved   time.Duration
 	refilledAt model.Instant
-	spent      time.Duration
+	charged    time.Duration
 	refused    uint64
 }
 
-// Reservation is a cost set aside before measuring.
+// Reservation is the slot time reserved for a measurement.
 type Reservation struct {
 	slotTime time.Duration
-	pending  bool
+	// pending is set until the reservation is settled.
+	pending bool
 }
 
-// NewLedger returns a Ledger that can spend one burst at once.
+// NewBudget returns a Budget from which one burst can be charged immediately.
 func NewBudget(now model.Instant, opts Options) *Budget {
 	opts.Slots = max(opts.Slots, 1)
 	opts.Share = min(max(opts.Share, 0), 1)
@@ -75,71 +76,72 @@
 	if opts.Prices.Byte <= 0 {
 		opts.Prices.Byte = defaultByteTime
 	}
-	l := &Budget{opts: opts, refilledAt: now, tokens: opts.Burst}
+	b := &Budget{opts: opts, refilledAt: now, tokens: opts.Burst}
 	if opts.Share == 0 {
-		l.tokens = 0
+		b.tokens = 0
 	}
-	return l
+	return b
 }
 
-// Reserve sets aside the most that a measurement can cost. It reports false,
-// and counts a refusal, when the budget does not allow it now.
-func (l *Budget) Reserve(now model.Instant, maxCost Cost) (Reservation, bool) {
-	l.refill(now)
-	slotTime := l.slotTime(maxCost)
-	if slotTime > l.tokens || l.opts.Share == 0 {
-		l.refused++
+// Reserve reserves the largest possible cost of a measurement. It returns false, and
+// counts a refusal, if the budget does not allow that cost now.
+func (b *Budget) Reserve(now model.Instant, maxCost Cost) (Reservation, bool) {
+	b.refill(now)
+	slotTime := b.slotTime(maxCost)
+	if slotTime > b.tokens || b.opts.Share == 0 {
+		b.refused++
 		return Reservation{}, false
 	}
-	l.tokens -= slotTime
-	l.reserved += slotTime
-	l.spent += slotTime
+	b.tokens -= slotTime
+	b.reserved += slotTime
+	b.charged += slotTime
 	return Reservation{slotTime: slotTime, pending: true}, true
 }
 
-// Settle replaces a reservation by what the measurement cost. More than was
-// reserved counts as what was reserved: the caller bounds the measurement by
-// its reservation. Settling twice changes nothing.
-func (l *Budget) Settle(now model.Instant, r *Reservation, cost Cost) {
+// Settle replaces a reservation by the actual cost of the measurement. A cost above the
+// reservation counts as the reserved cost, since the caller bounds the measurement by
+// its reservation. Settling a reservation again has no effect.
+func (b *Budget) Settle(now model.Instant, r *Reservation, cost Cost) {
 	if !r.pending {
 		return
 	}
 	r.pending = false
-	l.refill(now)
-	unused := r.slotTime - min(l.slotTime(cost), r.slotTime)
-	l.spent -= unused
-	l.reserved -= r.slotTime
-	l.tokens += unused
+	b.refill(now)
+	unused := r.slotTime - min(b.slotTime(cost), r.slotTime)
+	b.charged -= unused
+	b.reserved -= r.slotTime
+	b.tokens += unused
 }
 
-// SetShare changes the budget from now on.
-func (l *Budget) SetShare(now model.Instant, share float64) {
-	l.refill(now)
-	l.opts.Share = min(max(share, 0), 1)
+// SetShare changes Options.Share from now on.
+func (b *Budget) SetShare(now model.Instant, share float64) {
+	b.refill(now)
+	b.opts.Share = min(max(share, 0), 1)
 }
 
-// Spent returns the slot time booked so far, open reservations included.
-func (l *Budget) Spent() time.Duration { return l.spent }
+// Spent returns the slot time charged so far, including pending reservations.
+func (b *Budget) Spent() time.Duration { return b.charged }
 
-// Refused returns the number of measurements that the budget forbade.
-func (l *Budget) Refused() uint64 { return l.refused }
+// Refused returns the number of measurements that the budget did not allow.
+func (b *Budget) Refused() uint64 { return b.refused }
 
-// Burst returns the slot time that may be spent at once.
-func (l *Budget) Burst() time.Duration { return l.opts.Burst }
+// Burst returns the slot time that may be charged at once.
+func (b *Budget) Burst() time.Duration { return b.opts.Burst }
 
-func (l *Budget) slotTime(c Cost) time.Duration {
+// slotTime converts a cost to slot time.
+func (b *Budget) slotTime(c Cost) time.Duration {
 	return max(c.SlotTime, 0) +
-		time.Duration(max(c.Connections, 0))*l.opts.Prices.Connection +
-		time.Duration(max(c.Bytes, 0))*l.opts.Prices.Byte
+		time.Duration(max(c.Connections, 0))*b.opts.Prices.Connection +
+		time.Duration(max(c.Bytes, 0))*b.opts.Prices.Byte
 }
 
-// refill adds the share of the slot time since the last call.
-func (l *Budget) refill(now model.Instant) {
-	if now <= l.refilledAt {
+// refill adds the tokens earned since the last call.
+func (b *Budget) refill(now model.Instant) {
+	if now <= b.refilledAt {
 		return
 	}
-	earned := float64(now.Sub(l.refilledAt)) * l.opts.Share * float64(l.opts.Slots)
-	l.refilledAt = now
-	room := float64(l.opts.Burst - l.reserved)
-	l.tokens = time.Duration(min(float64(l.tokens)+earned, room))
+	earned := float64(now.Sub(b.refilledAt)) * b.opts.Share * float64(b.opts.Slots)
+	b.refilledAt = now
+	capacity := float64(b.opts.Burst - b.reserved)
+	b.tokens = time.Duration(min(float64(b.tokens)+earned, capacity))
 }
--- a/core/measure/doc.go
+++ b/core/measure/doc.go
@@ -1,28 +1,29 @@
-// Package measure keeps what measuring an upstream costs inside its budget,
-// and decides how far an upstream's own load report is believed.
+// Package measure keeps the cost of measuring an upstream within a budget, and decides
+// how far the load that an upstream reports about itself is trusted.
 //
-// # Ledger
+// # Budget
 //
-// A Ledger belongs to one upstream and one service. Everything that measuring
-// takes from the upstream is converted to slot time and booked there: the time
-// a poll or probe holds, connections opened for it, bytes carried. Before
-// measuring its whole possible cost is reserved, so that a slow answer cannot
-// overdraw; what was not used is given back. The budget is a share of the
-// upstream's capacity and is hard: over any window the ledger books at most
-// the share of the window's slot time plus one burst.
+// Each upstream of a service has a Budget. Everything that measuring takes from the
+// upstream is converted to slot time and charged to it: the time for which a poll or
+// probe occupies the upstream, the connections opened, and the bytes transferred. The
+// largest possible cost is reserved before a measurement, so that a slow response
+// cannot exceed the budget, and the unused part is returned afterwards. The budget is a
+// share of the upstream's capacity and a hard limit: within any time window, the
+// charges are at most that share of the window's slot time plus one burst.
 //
 // # Trust
 //
-// The guard knows exactly what it has running; a report lags or misleads. A
-// Trust compares each report with what the guard saw over the report's window.
-// A report below what certainly ran is contradicted; one that claims other
-// work is believed, in part, only when requests do take longer. What is
-// believed only ever adds to the load that entries see.
+// The guard knows exactly how many requests it has running. A report of the upstream
+// may be late or false. A Trust compares each report with what the guard observed
+// during the time that the report may refer to. A report of fewer requests than were
+// certainly running is contradicted. A report of additional requests from elsewhere is
+// trusted, in part, only if requests are really slowed down. Trusted reports can only
+// increase the load that entries see.
 //
 // # Schedule
 //
-// A Schedule spends the budget where it informs most: it polls rarely while
-// reports and observations agree, and often when they part.
+// A Schedule polls seldom while reports and observations agree, and often while they
+// differ, so that the budget is spent where a report is most informative.
 //
-// A Monitor puts the three together for one upstream.
+// A Monitor combines the three for one upstream.
 package measure
--- a/core/measure/measure_test.go
+++ b/core/measure/measure_test.go
@@ -11,15 +11,18 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// ms is one millisecond.
 const ms = time.Millisecond
 
-// booking is what one measurement cost in the end, at the instant it began.
+// charge is the slot time that one measurement was finally charged, and the instant at
+// which the measurement began.
 type charge struct {
 	at          model.Instant
 	slotTime    time.Duration
 	reservation *Reservation
 }
 
+// drawCost returns a random cost.
 func drawCost(t *rapid.T) Cost {
 	return Cost{
 		SlotTime:    time.Duration(rapid.Int64Range(0, int64(30*ms)).Draw(t, "slot time")),
@@ -28,58 +31,58 @@
 	}
 }
 
-// TestNoWindowExceedsTheBudget draws sequences of reservations that are settled
-// at any later time, and checks every window between two of them.
+// TestNoWindowExceedsTheBudget draws random sequences of reservations and settlements,
+// and checks the charges of every time window that begins and ends with a reservation.
 func TestNoWindowExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 0.2).Draw(t, "share")
 		slots := rapid.IntRange(1, 12).Draw(t, "slots")
-		l := NewBudget(0, Options{Share: share, Slots: slots})
+		b := NewBudget(0, Options{Share: share, Slots: slots})
 		now := model.Instant(0)
 		var charges []*charge
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(50*ms)).Draw(t, "wait")))
 			if len(charges) > 0 && rapid.Bool().Draw(t, "settle") {
-				b := charges[rapid.IntRange(0, len(charges)-1).Draw(t, "which")]
-				before := l.Spent()
-				l.Settle(now, b.reservation, drawCost(t))
-				b.slotTime -= before - l.Spent()
+				c := charges[rapid.IntRange(0, len(charges)-1).Draw(t, "which")]
+				before := b.Spent()
+				b.Settle(now, c.reservation, drawCost(t))
+				c.slotTime -= before - b.Spent()
 				continue
 			}
 			maxCost := drawCost(t)
-			if r, ok := l.Reserve(now, maxCost); ok {
-				charges = append(charges, &charge{now, l.slotTime(maxCost), &r})
+			if r, ok := b.Reserve(now, maxCost); ok {
+				charges = append(charges, &charge{now, b.slotTime(maxCost), &r})
 			}
 		}
 		for i := range charges {
 			sum := time.Duration(0)
-			for _, b := range charges[i:] {
-				sum += b.slotTime
-				budget := float64(b.at.Sub(charges[i].at)) * share * float64(slots)
-				require.LessOrEqual(t, float64(sum), budget+float64(l.Burst())+1)
+			for _, c := range charges[i:] {
+				sum += c.slotTime
+				budget := float64(c.at.Sub(charges[i].at)) * share * float64(slots)
+				require.LessOrEqual(t, float64(sum), budget+float64(b.Burst())+1)
 			}
 		}
 	})
 }
 
 func TestBudget(t *testing.T) {
-	l := NewBudget(0, Options{Share: 0.01, Slots: 6, Burst: 11 * ms})
-	r, ok := l.Reserve(0, Cost{SlotTime: 9 * ms, Connections: 1, Bytes: 1000})
+	b := NewBudget(0, Options{Share: 0.01, Slots: 6, Burst: 11 * ms})
+	r, ok := b.Reserve(0, Cost{SlotTime: 9 * ms, Connections: 1, Bytes: 1000})
 	require.True(t, ok, "9 ms, a connection of 1 ms and 10 µs of bytes fit into the burst")
-	_, ok = l.Reserve(0, Cost{SlotTime: ms})
+	_, ok = b.Reserve(0, Cost{SlotTime: ms})
 	assert.False(t, ok)
-	assert.EqualValues(t, 1, l.Refused())
-	l.Settle(0, &r, Cost{SlotTime: 2 * ms})
-	l.Settle(0, &r, Cost{})
-	assert.Equal(t, 2*ms, l.Spent(), "what was not used is given back, once")
-	_, ok = l.Reserve(0, Cost{SlotTime: 9 * ms})
+	assert.EqualValues(t, 1, b.Refused())
+	b.Settle(0, &r, Cost{SlotTime: 2 * ms})
+	b.Settle(0, &r, Cost{})
+	assert.Equal(t, 2*ms, b.Spent(), "the unused part is returned once")
+	_, ok = b.Reserve(0, Cost{SlotTime: 9 * ms})
 	assert.True(t, ok)
-	_, ok = l.Reserve(model.Instant(10*ms), Cost{SlotTime: ms})
-	assert.False(t, ok, "10 ms earn 0.6 ms")
-	_, ok = l.Reserve(model.Instant(17*ms), Cost{SlotTime: ms})
+	_, ok = b.Reserve(model.Instant(10*ms), Cost{SlotTime: ms})
+	assert.False(t, ok, "10 ms earn 0.6 ms of slot time")
+	_, ok = b.Reserve(model.Instant(17*ms), Cost{SlotTime: ms})
 	assert.True(t, ok)
-	l.SetShare(model.Instant(17*ms), 0)
-	_, ok = l.Reserve(model.Instant(time.Hour), Cost{SlotTime: 1})
+	b.SetShare(model.Instant(17*ms), 0)
+	_, ok = b.Reserve(model.Instant(time.Hour), Cost{SlotTime: 1})
 	assert.False(t, ok, "a budget of 0 forbids measuring")
 }
 
@@ -90,11 +93,11 @@
 		external int
 		counts   Counts
 	}{
-		"late but true":            {Report{Running: 3}, Observation{MinRunning: 2, MaxRunning: 5}, 0, Counts{Agreed: 100}},
-		"lies low":                 {Report{Running: 0}, Observation{MinRunning: 4, MaxRunning: 6}, 0, Counts{Contradicted: 100}},
-		"lies high":                {Report{Running: 60}, Observation{MinRunning: 4, MaxRunning: 6}, 0, Counts{Unsupported: 100}},
-		"other work, and it shows": {Report{Running: 8}, Observation{MinRunning: 4, MaxRunning: 6, Slowed: true}, 2, Counts{Agreed: 100}},
-		"never takes itself out":   {Report{Running: 60}, Observation{MinRunning: 4, MaxRunning: 6, Slowed: true}, 3, Counts{Agreed: 100}},
+		"late but correct":                     {Report{Running: 3}, Observation{MinRunning: 2, MaxRunning: 5}, 0, Counts{Agreed: 100}},
+		"reports too few":                      {Report{Running: 0}, Observation{MinRunning: 4, MaxRunning: 6}, 0, Counts{Contradicted: 100}},
+		"reports too many":                     {Report{Running: 60}, Observation{MinRunning: 4, MaxRunning: 6}, 0, Counts{Unsupported: 100}},
+		"requests from elsewhere slow it down": {Report{Running: 8}, Observation{MinRunning: 4, MaxRunning: 6, Slowed: true}, 2, Counts{Agreed: 100}},
+		"external requests are bounded":        {Report{Running: 60}, Observation{MinRunning: 4, MaxRunning: 6, Slowed: true}, 3, Counts{Agreed: 100}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +121,7 @@
 func TestMonitor(t *testing.T) {
 	m := NewMonitor(0, Options{Share: 0.01, Slots: 6})
 	_, ok := m.Poll(0, Cost{SlotTime: ms})
-	assert.False(t, ok, "not due")
+	assert.False(t, ok, "no poll is due yet")
 	at := m.Next()
 	m.Running(2)
 	m.Running(5)
@@ -127,8 +130,8 @@
 	m.Reported(at, &r, Cost{SlotTime: ms}, Report{Running: 7}, true)
 	assert.Equal(t, ms, m.Spent())
 	load := m.Annotate(model.Load{Running: 5, Limit: 6})
-	assert.EqualValues(t, 6, load.Running, "two more claimed, 0.6 trusted")
-	assert.Less(t, m.Next().Sub(at), time.Second, "what it says is news")
+	assert.EqualValues(t, 6, load.Running, "two requests from elsewhere, weighted by a trust of 0.6")
+	assert.Less(t, m.Next().Sub(at), time.Second, "a report that differs shortens the interval")
 
 	at = m.Next()
 	r, _ = m.Poll(at, Cost{SlotTime: 2 * ms})
--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -6,43 +6,45 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Monitor measures one upstream for one service: it says when to poll its load
-// report within the budget, and what the report adds to the exact load. It is
-// not safe for concurrent use.
+// Monitor measures one upstream for one service. It decides when to poll the upstream's
+// load report within the budget, and how much the report adds to the load that the
+// guard knows exactly. It is not safe for concurrent use.
 type Monitor struct {
 	budget   *Budget
 	trust    *Trust
 	schedule Schedule
 	nextPoll model.Instant
-	// window is the present one, last the one before: a report lags, so what it
-	// says is compared with both.
+	// currentWindow began with the last report, previousWindow with the one before. A
+	// report may be late, so it is compared with both.
 	currentWindow, previousWindow runningRange
-	running                       int
+	// running is the current number of running requests.
+	running int
 }
 
-// span is the fewest and most requests running over a time.
+// runningRange is the lowest and highest number of requests running during a window.
 type runningRange struct{ lowest, highest int }
 
-// NewMonitor returns a Monitor that polls for the first time after the
-// schedule's longest interval.
+// NewMonitor returns a Monitor whose first poll is due after the longest interval of
+// the schedule.
 func NewMonitor(now model.Instant, opts Options) *Monitor {
 	m := &Monitor{budget: NewBudget(now, opts), trust: NewTrust()}
 	m.nextPoll = now.Add(m.schedule.Next(0, false))
 	return m
 }
 
-// Running takes in the number of requests that the guard has running.
+// Running records the current number of requests that the guard has running.
 func (m *Monitor) Running(n int) {
 	m.running = n
 	m.currentWindow.lowest = min(m.currentWindow.lowest, n)
 	m.currentWindow.highest = max(m.currentWindow.highest, n)
 }
 
-// Next returns the instant of the next poll.
+// Next returns the instant at which the next poll is due.
 func (m *Monitor) Next() model.Instant { return m.nextPoll }
 
-// Poll reserves the most that a poll can cost. It reports false when none is
-// due or the budget forbids it; then it is tried again after an interval.
+// Poll reserves the largest possible cost of a poll. It returns false if no poll is due
+// yet, or if the budget does not allow one; in the second case the next poll is due one
+// interval later.
 func (m *Monitor) Poll(now model.Instant, maxCost Cost) (Reservation, bool) {
 	if now < m.nextPoll {
 		return Reservation{}, false
@@ -51,8 +53,8 @@
 	return m.budget.Reserve(now, maxCost)
 }
 
-// Reported takes in the report that a poll brought and what it cost. slowed is
-// set when requests lately take clearly longer than usual.
+// Reported records the report that a poll returned and the actual cost of the poll.
+// slowed is set if recent requests have taken clearly longer than usual.
 func (m *Monitor) Reported(now model.Instant, r *Reservation, cost Cost, report Report, slowed bool) {
 	m.budget.Settle(now, r, cost)
 	m.trust.Observe(report, Observation{
@@ -65,26 +67,26 @@
 	m.nextPoll = now.Add(m.schedule.Next(m.trust.Discrepancy(), slowed))
 }
 
-// Failed books a poll that brought no report.
+// Failed charges the cost of a poll that returned no report.
 func (m *Monitor) Failed(now model.Instant, r *Reservation, cost Cost) {
 	m.budget.Settle(now, r, cost)
 }
 
-// SetShare changes the budget from now on.
+// SetShare changes the share of slot time that measuring may take from now on.
 func (m *Monitor) SetShare(now model.Instant, share float64) { m.budget.SetShare(now, share) }
 
-// Annotate returns the load with the requests from elsewhere that are believed
-// to run at the upstream.
+// Annotate returns the load with the requests from elsewhere added that the upstream is
+// trusted to be running.
 func (m *Monitor) Annotate(load model.Load) model.Load {
 	load.Running += int32(m.trust.External(int(load.Limit)))
 	return load
 }
 
-// Spent returns the slot time that measuring has taken.
+// Spent returns the slot time that measuring has been charged.
 func (m *Monitor) Spent() time.Duration { return m.budget.Spent() }
 
-// Refused returns the number of polls that the budget forbade.
+// Refused returns the number of polls that the budget did not allow.
 func (m *Monitor) Refused() uint64 { return m.budget.Refused() }
 
-// Counts returns how reports compared with what was seen.
+// Counts returns the results of comparing reports with observations.
 func (m *Monitor) Counts() Counts { return m.trust.Counts() }
--- a/core/measure/schedule.go
+++ b/core/measure/schedule.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Schedule spaces the polls of one upstream.
+// Schedule determines the intervals between the polls of one upstream.
 type Schedule struct {
-	// Rarely is the interval while nothing surprises. Default: 2s.
+	// MaxInterval is the interval while reports and observations agree. Default: 2s.
 	MaxInterval time.Duration
-	// Often is the shortest interval. Default: 100ms.
+	// MinInterval is the shortest interval. Default: 100ms.
 	MinInterval time.Duration
 }
 
@@ -15,8 +15,9 @@
 	defaultMinInterval = 100 * time.Millisecond
 )
 
-// Next returns the time to the next poll. surprise is Trust.Surprise; slowed is
-// set when requests take clearly longer than usual, which a report may explain.
+// Next returns the time until the next poll. discrepancy is the value of
+// Trust.Discrepancy. slowed is set if requests take clearly longer than usual, which a
+// report may explain.
 func (s Schedule) Next(discrepancy float64, slowed bool) time.Duration {
 	longest, shortest := s.MaxInterval, s.MinInterval
 	if longest <= 0 {
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -1,58 +1,64 @@
 package measure
 
-// Report is what an upstream says of itself.
+// Report is the load that an upstream reports about itself.
 type Report struct {
-	// Running is the number of requests that it says it runs.
+	// Running is the number of requests that the upstream reports to be running.
 	Running int
 }
 
-// Seen is what the guard knows for certain of the window a report may speak
-// of: the fewest and the most requests that it had running there.
+// Observation is what the guard knows for certain about the time that a report may
+// refer to: the lowest and the highest number of its requests that were running.
 type Observation struct {
 	MinRunning int
 	MaxRunning int
-	// Slowed is set when requests took clearly longer than usual.
+	// Slowed is set if requests took clearly longer than usual.
 	Slowed bool
 }
 
-// Counts tell how reports compared with what was seen.
+// Counts are the results of comparing reports with observations.
 type Counts struct {
-	// Agreed counts reports that fit, Contradicted those below what certainly
-	// ran, Unsupported those that claim other work of which nothing shows.
+	// Agreed counts reports that are consistent with the observation, Contradicted
+	// those with fewer requests than were certainly running, and Unsupported those with
+	// additional requests although nothing was slowed down.
 	Agreed, Contradicted, Unsupported uint64
 }
 
 const (
-	initialTrust  = 0.5
+	initialTrust = 0.5
+	// agreementGain is added to the trust after a report that agrees.
 	agreementGain = 0.1
-	// contradictKeep and unsupportedKeep are the parts of trust that remain.
+	// contradictedFactor and unsupportedFactor are the factors by which trust is
+	// reduced.
 	contradictedFactor = 0.5
 	unsupportedFactor  = 0.8
-	// mostBelieved is the largest part of the slots that a report can take up:
-	// a lying upstream never takes itself out.
+	// maxExternalShare is the largest share of the slots that can count as occupied by
+	// requests from elsewhere. A false report thus never makes an upstream look full.
 	maxExternalShare = 0.5
 )
 
-// Trust weighs the load reports of one upstream. The zero value is not usable;
-// see NewTrust. It is not safe for concurrent use.
+// Trust weights the load reports of one upstream. Use NewTrust to create one. It is not
+// safe for concurrent use.
 type Trust struct {
-	trust    float64
+	// trust is the weight of a report, from 0 to 1.
+	trust float64
+	// external is the number of requests from elsewhere in the last report, or 0 if
+	// that report was not credible.
 	external float64
 	counts   Counts
 }
 
-// NewTrust returns a Trust that half believes.
+// NewTrust returns a Trust with a weight of one half.
 func NewTrust() *Trust { return &Trust{trust: initialTrust} }
 
-// Observe takes in a report.
-func (t *Trust) Observe(r Report, s Observation) {
-	external := max(r.Running-s.MaxRunning, 0)
+// Observe compares a report with an observation and updates the weight.
+func (t *Trust) Observe(r Report, observed Observation) {
+	external := max(r.Running-observed.MaxRunning, 0)
 	t.external = 0
 	switch {
-	case r.Running < s.MinRunning:
+	case r.Running < observed.MinRunning:
 		t.counts.Contradicted++
 		t.trust *= contradictedFactor
-	case external > 0 && !s.Slowed:
+	case external > 0 && !observed.Slowed:
 		t.counts.Unsupported++
 		t.trust *= unsupportedFactor
 	default:
@@ -62,15 +68,15 @@
 	}
 }
 
-// Extra returns the number of requests from elsewhere that are believed to run
-// at an upstream of the given slots.
+// External returns the number of requests from elsewhere that an upstream with the
+// given number of slots is trusted to be running.
 func (t *Trust) External(slots int) int {
 	return int(min(t.Discrepancy(), maxExternalShare*float64(slots)))
 }
 
-// Counts returns how reports compared so far.
+// Counts returns the results of the comparisons so far.
 func (t *Trust) Counts() Counts { return t.counts }
 
-// Surprise returns how far the last report parted from what was seen, in
-// requests, weighed by trust.
+// Discrepancy returns by how many requests the last report exceeded the observation,
+// weighted by trust.
 func (t *Trust) Discrepancy() float64 { return t.external * t.trust }
