--- a/core/gossip/doc.go
+++ b/core/gossip/doc.go
@@ -1,14 +1,16 @@
-// Package gossip decides whom a daemon tells of news, and how often it compares what it
-// knows with others.
+// Package gossip decides to which daemons an update is sent, and how often daemons
+// compare their states.
 //
 // # Concept
 //
-// News are pushed: whoever learns of some tells a few daemons of its own availability
-// zone, and seldom one of another zone; the daemon where the news began tells one of
-// each zone. So the bytes between zones grow with the zones and hardly with the daemons
-// of each. What a push does not reach is found by comparing digests with one daemon at a
-// time. Daemons that have agreed a few times in a row compare seldom.
+// Updates are pushed (rumor mongering): a daemon that receives a new update sends it to
+// a few daemons of its own availability zone and, with a small probability, to one of
+// another zone. The daemon where the update originates sends it to one daemon of each
+// zone. The traffic between zones therefore grows with the number of zones and hardly
+// with the number of daemons. Updates lost by the push are found by anti-entropy: a
+// daemon compares digests of the state with one other daemon at a time. After several
+// comparisons without a difference, it compares less often.
 //
-// Both are known as rumor mongering and anti-entropy (Demers et al., Epidemic Algorithms
-// for Replicated Database Maintenance, PODC 1987).
+// Both algorithms are described in Demers et al., Epidemic Algorithms for Replicated
+// Database Maintenance, PODC 1987.
 package gossip
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -11,7 +11,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// members returns so many daemons in each of some zones, z0 first.
+// newMembers returns the given number of daemons in each of the zones z0, z1 and so on.
 func newMembers(zones, each int) []Member {
 	var out []Member
 	for z := range zones {
@@ -22,29 +22,30 @@
 	return out
 }
 
-func TestPush(t *testing.T) {
-	targets := Targets{Zone: "z0", Draw: rand.New(rand.NewPCG(1, 1)).IntN}
+func TestPushTargets(t *testing.T) {
+	selector := Targets{Zone: "z0", Draw: rand.New(rand.NewPCG(1, 1)).IntN}
 	for name, c := range map[string]struct {
 		members []Member
 		origin  bool
-		// near is how many of the own zone are told, far the least and the most of others.
+		// local is the number of selected daemons in the own zone. The number in other
+		// zones is between minRemote and maxRemote.
 		local, minRemote, maxRemote int
 	}{
-		"handed on":              {newMembers(5, 30), false, fanOut, 0, 1},
-		"began here":             {newMembers(5, 30), true, fanOut, 4, 4},
-		"began here, many zones": {newMembers(20, 30), true, fanOut, maxPushZones, maxPushZones},
-		"small zones":            {newMembers(3, 1), false, 1, 2, 2},
-		"small zones, began":     {newMembers(3, 1), true, 1, 2, 2},
-		"only the own zone":      {newMembers(1, 30), true, fanOut, 0, 0},
-		"nobody":                 {nil, true, 0, 0, 0},
+		"forwarded":           {newMembers(5, 30), false, fanOut, 0, 1},
+		"origin":              {newMembers(5, 30), true, fanOut, 4, 4},
+		"origin, many zones":  {newMembers(20, 30), true, fanOut, maxPushZones, maxPushZones},
+		"small zones":         {newMembers(3, 1), false, 1, 2, 2},
+		"small zones, origin": {newMembers(3, 1), true, 1, 2, 2},
+		"one zone":            {newMembers(1, 30), true, fanOut, 0, 0},
+		"no members":          {nil, true, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 100 {
 				local, seen := 0, make(map[Member]bool)
-				for _, m := range targets.Push(c.members, c.origin) {
-					require.False(t, seen[m], "told once")
+				for _, m := range selector.Push(c.members, c.origin) {
+					require.False(t, seen[m], "each member is selected at most once")
 					seen[m] = true
-					if m.Zone == targets.Zone {
+					if m.Zone == selector.Zone {
 						local++
 					}
 				}
@@ -56,24 +57,24 @@
 	}
 }
 
-func TestPartner(t *testing.T) {
-	targets := Targets{Zone: "z0", Draw: rand.New(rand.NewPCG(1, 1)).IntN}
-	_, ok := targets.Partner(nil)
+func TestAntiEntropyPeer(t *testing.T) {
+	selector := Targets{Zone: "z0", Draw: rand.New(rand.NewPCG(1, 1)).IntN}
+	_, ok := selector.Partner(nil)
 	require.False(t, ok)
-	alone, ok := targets.Partner([]Member{{Address: "x", Zone: "z1"}})
+	only, ok := selector.Partner([]Member{{Address: "x", Zone: "z1"}})
 	require.True(t, ok)
-	require.Equal(t, "x", alone.Address)
+	require.Equal(t, "x", only.Address)
 	const draws = 8000
 	all, remote := newMembers(5, 30), 0
 	for range draws {
-		if m, _ := targets.Partner(all); m.Zone != targets.Zone {
+		if m, _ := selector.Partner(all); m.Zone != selector.Zone {
 			remote++
 		}
 	}
 	require.InDelta(t, crossZoneShare, float64(remote)/draws, 0.02)
 }
 
-func TestPace(t *testing.T) {
+func TestAntiEntropyTimer(t *testing.T) {
 	var p Pace
 	now := model.Instant(0).Add(time.Second)
 	require.True(t, p.Due(now))
--- a/core/gossip/pace.go
+++ b/core/gossip/pace.go
@@ -7,35 +7,38 @@
 )
 
 const (
-	// fastPause is the time between two comparisons while something may be unknown to
-	// somebody, slowPause that while all seem to agree.
+	// shortInterval is the time between two comparisons while some daemon may lack an
+	// update, longInterval that while all daemons seem to agree.
 	shortInterval = time.Second
 	longInterval  = 10 * time.Second
-	// agreements is how many comparisons in a row must find no difference.
+	// requiredAgreements is the number of consecutive comparisons without a difference
+	// after which longInterval is used.
 	requiredAgreements = 3
 )
 
-// Pace tells when to compare next. It is not safe for concurrent use.
+// Pace determines when to compare digests with another daemon. It is not safe for
+// concurrent use.
 type Pace struct {
-	agreements int
-	last       model.Instant
+	agreements     int
+	lastComparison model.Instant
 }
 
-// Due reports whether to compare now, and takes in that it is done.
+// Due reports whether a comparison is due, and if so records that it takes place now.
 func (p *Pace) Due(now model.Instant) bool {
 	interval := shortInterval
 	if p.agreements >= requiredAgreements {
 		interval = longInterval
 	}
-	if p.last != 0 && now.Sub(p.last) < interval {
+	if p.lastComparison != 0 && now.Sub(p.lastComparison) < interval {
 		return false
 	}
-	p.last = now
+	p.lastComparison = now
 	return true
 }
 
-// Agreed takes in that a comparison found no difference.
+// Agreed records a comparison that found no difference.
 func (p *Pace) Agreed() { p.agreements++ }
 
-// Changed takes in that something has changed, or that others may have missed something.
+// Changed restores the short interval after a change of the state, or if other daemons
+// may have missed an update.
 func (p *Pace) Changed() { p.agreements = 0 }
--- a/core/gossip/targets.go
+++ b/core/gossip/targets.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// fanOut is how many daemons are told of news by each that learns of it. It
-	// reaches all but two in a hundred.
+	// fanOut is the number of daemons to which each daemon sends a new update. The push
+	// then reaches all but 2% of the daemons.
 	fanOut = 4
-	// maxZones bounds the zones that the first daemon tells.
+	// maxPushZones bounds the number of other zones to which the origin of an update
+	// sends it.
 	maxPushZones = 8
-	// crossings is the part of the daemons that tell one of another zone, and of the
-	// comparisons that are made with one.
+	// crossZoneShare is the probability that a daemon sends an update to another zone,
+	// and that it compares digests with a daemon of another zone.
 	crossZoneShare = 1.0 / 8
 )
 
-// Member is a daemon that can be told.
+// Member is a daemon to which updates can be sent.
 type Member struct {
 	Address string
 	Zone    model.AvailabilityZone
 }
 
-// Targets draws the daemons that one daemon tells.
+// Targets selects the daemons with which one daemon communicates.
 type Targets struct {
-	// Zone is that of the daemon.
+	// Zone is the zone of the selecting daemon.
 	Zone model.AvailabilityZone
-	// Draw returns a number from 0 to n-1, each as likely.
+	// Draw returns a uniformly distributed random number from 0 to n-1.
 	Draw func(n int) int
 }
 
-// Push returns whom to tell of news. First tells that the news began at this daemon.
+// Push returns the daemons to which to send an update. origin is set if the update
+// originates at this daemon.
 func (t Targets) Push(members []Member, origin bool) []Member {
 	local, remote := t.splitByZone(members)
 	out := t.sample(local, fanOut)
@@ -42,27 +44,29 @@
 		out = append(out, t.sample(remote, 1)...)
 	}
 	if len(out) < fanOut {
-		// A small zone has too few daemons for the news to be sure of its way.
+		// The own zone has too few daemons for the update to spread reliably.
 		out = appendNew(out, t.sample(remote, fanOut-len(out)))
 	}
 	return out
 }
 
-// Partner returns with whom to compare. It reports false where there is nobody.
+// Partner returns the daemon with which to compare digests. It returns false if there
+// is none.
 func (t Targets) Partner(members []Member) (Member, bool) {
-	local, remote := t.splitByZone(members)
-	if len(local) == 0 || len(remote) > 0 && t.drawCrossZone() {
-		local = remote
+	candidates, remote := t.splitByZone(members)
+	if len(candidates) == 0 || len(remote) > 0 && t.drawCrossZone() {
+		candidates = remote
 	}
-	if len(local) == 0 {
+	if len(candidates) == 0 {
 		return Member{}, false
 	}
-	return local[t.Draw(len(local))], true
+	return candidates[t.Draw(len(candidates))], true
 }
 
-// crosses draws whether to leave the own zone.
+// drawCrossZone decides at random whether to select a daemon of another zone.
 func (t Targets) drawCrossZone() bool { return t.Draw(int(1/crossZoneShare)) == 0 }
 
+// splitByZone separates the members of the own zone from the others.
 func (t Targets) splitByZone(members []Member) (local, remote []Member) {
 	for _, m := range members {
 		if m.Zone == t.Zone {
@@ -74,7 +78,7 @@
 	return local, remote
 }
 
-// some draws up to n of the members.
+// sample returns up to n random members. It reorders the given slice.
 func (t Targets) sample(members []Member, n int) []Member {
 	n = min(n, len(members))
 	for i := range n {
@@ -84,6 +88,7 @@
 	return members[:n:n]
 }
 
+// onePerZone returns the first member of each zone, for at most maxPushZones zones.
 func onePerZone(members []Member) []Member {
 	var out []Member
 	seen := make(map[model.AvailabilityZone]bool)
@@ -96,6 +101,7 @@
 	return out
 }
 
+// appendNew appends the members that out does not contain yet.
 func appendNew(out, more []Member) []Member {
 	for _, m := range more {
 		if !slices.Contains(out, m) {
