--- a/core/model/doc.go
+++ b/core/model/doc.go
@@ -1,9 +1,9 @@
-// Package model holds the vocabulary shared by every decision package: the
-// names of services, groups, upstreams and availability zones, and the load
-// figures that travel with replies.
+// Package model defines the types shared by all decision packages: the names of
+// services, groups, upstreams and availability zones, and the load values that replies
+// carry.
 //
-// The package has no behaviour beyond formatting and comparison. Times in the
-// decision packages are handed in by the caller: an Instant is a reading of a
-// monotonic clock and is used for every interval; a wall-clock time.Time is
-// used only where a time stamp leaves the process.
+// The package has no behavior beyond formatting and comparison. The decision packages
+// read no clock: callers pass the time as an Instant, a reading of a monotonic clock
+// that is used for all intervals. A wall-clock time.Time is used only where a timestamp
+// leaves the process.
 package model
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -5,97 +5,98 @@
 	"time"
 )
 
-// Instant is a reading of a monotonic clock in nanoseconds since an arbitrary
-// origin chosen by the process. The zero value is the origin.
+// Instant is a reading of a monotonic clock, in nanoseconds since an arbitrary origin
+// that the process has chosen. The zero value is the origin.
 type Instant int64
 
-// Add returns the instant d later.
+// Add returns the instant that is d later than i.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
 // Sub returns the duration from j to i.
 func (i Instant) Sub(j Instant) time.Duration { return time.Duration(i - j) }
 
-// ServiceName names a service, for example "returdesk". Names are DNS labels.
+// ServiceName is the name of a service, for example "returdesk". It is a DNS label.
 type ServiceName string
 
-// GroupName names a group of callers, unique within one sharing policy.
+// GroupName is the name of a group of callers, unique within one sharing policy.
 type GroupName string
 
-// CallerName names a caller as declared in the configuration.
+// CallerName is the name of a caller as declared in the configuration.
 type CallerName string
 
-// AvailabilityZone names an availability zone, for example "odense-hal-a".
+// AvailabilityZone is the name of an availability zone, for example "odense-hal-a".
 type AvailabilityZone string
 
-// UpstreamID names one upstream over its whole life on one VM, for example
-// "returdesk-3". It stays the same over restarts; the incarnation does not.
+// UpstreamID identifies one upstream on one VM, for example "returdesk-3". It stays the
+// same when the upstream restarts, while its Incarnation changes.
 type UpstreamID string
 
-// Incarnation counts the lives of one upstream or daemon. A larger number is a
-// later life. Zero means unknown.
+// Incarnation is the incarnation number of an upstream or daemon. It rises with every
+// restart. Zero means unknown.
 type Incarnation uint64
 
-// DaemonID names a daemon. It is the peer address (host:port) of its VM, so
-// that a new life on the same VM carries the same name.
+// DaemonID identifies a daemon. It is the peer address (host:port) of the daemon's VM,
+// so it stays the same when the daemon restarts on that VM.
 type DaemonID string
 
-// Version is the number of an accepted configuration. Versions only rise.
-// Zero means that no configuration has been accepted.
+// Version is the number of an accepted configuration. Later versions have larger
+// numbers. Zero means that no configuration has been accepted.
 type Version uint64
 
 // String returns the version in decimal.
 func (v Version) String() string { return strconv.FormatUint(uint64(v), 10) }
 
-// Upstream describes one upstream as the membership view holds it.
+// Upstream describes one upstream as listed in the membership view.
 type Upstream struct {
 	ID          UpstreamID
 	Service     ServiceName
 	Incarnation Incarnation
 	Zone        AvailabilityZone
-	// Daemon is the daemon that guards the upstream; requests go there.
+	// Daemon is the daemon whose guard is in front of the upstream. Requests to the
+	// upstream are sent to that daemon.
 	Daemon DaemonID
-	// Slots is the announced number of requests it runs at once, at least 1.
+	// Slots is the announced number of concurrent requests, at least 1.
 	Slots  int
 	Labels Labels
-	// Draining is set once the upstream has announced that it leaves.
+	// Draining is set once the upstream has announced that it is about to leave.
 	Draining bool
 }
 
-// Labels are the key and value pairs carried by callers and upstreams.
+// Labels are the key-value pairs of callers and upstreams.
 type Labels map[string]string
 
-// Load is what a guard knows exactly about its upstream at one moment. It
-// rides on every reply and on probe answers.
+// Load is what a guard knows exactly about its upstream at one moment. All replies and
+// probe responses carry it.
 type Load struct {
-	// Running counts requests now running in the upstream.
+	// Running counts requests that are running in the upstream.
 	Running int32
-	// Waiting counts requests queued at the guard.
+	// Waiting counts requests that are queued at the guard.
 	Waiting int32
-	// Ahead is how many of the waiting requests would start before a new one
-	// of the group that the figure was given to. It is Waiting where the figure
-	// is given to no group.
+	// Ahead is how many of the waiting requests would start before a new request of the
+	// group to which the load is reported. If it is reported to no group, Ahead equals
+	// Waiting.
 	Ahead int32
-	// Limit is the number of requests the guard lets run at once.
+	// Limit is the number of requests that the guard lets run concurrently.
 	Limit int32
 	// Service is the recent mean service time of a request in the upstream.
 	Service time.Duration
-	// Failing is the recent share of failed requests, 0 to 1.
+	// Failing is the recent failure rate, from 0 to 1.
 	Failing float32
-	// Draining tells that the upstream takes no new work.
+	// Draining is set if the upstream accepts no new requests.
 	Draining bool
-	// Seq rises with every change at the guard within one incarnation, so that
-	// a reordered reply never replaces a newer figure.
+	// Seq rises with every change at the guard within one incarnation, so that a load
+	// from a reordered reply never replaces a newer one.
 	Seq uint64
 }
 
-// Request is what the decision packages need to know of a request.
+// Request holds the properties of a request that the decision packages use.
 type Request struct {
 	Service    ServiceName
 	Group      GroupName
 	Caller     CallerName
 	Idempotent bool
-	// Deadline is the instant after which the answer is of no use.
+	// Deadline is the instant after which the response is useless to the caller.
 	Deadline Instant
-	// Attempt counts from 0.
+	// Attempt is the number of the attempt, starting at 0.
 	Attempt int
 }
