--- a/core/outcome/doc.go
+++ b/core/outcome/doc.go
@@ -1,12 +1,12 @@
-// Package outcome defines the three outcomes that a request or one attempt of
-// it can have, and the reasons for them.
+// Package outcome defines the three possible outcomes of a request or of one attempt,
+// and the reasons for them.
 //
-// Answered means that the upstream's whole answer reached this process. NotRun
-// means that the request provably did not start: no byte of it reached an
-// upstream, or the guard withdrew it while it still waited, or the upstream
-// refused it by a documented signal. Everything else is Unknown: the request
-// may or may not have run. Without proof an outcome is Unknown, never NotRun.
+// Answered means that this process has received the upstream's complete response.
+// NotRun means that the request provably did not start: no byte of it reached an
+// upstream, the guard withdrew it while it was still queued, or the upstream refused it
+// with a documented signal. Unknown covers everything else: the request may or may not
+// have run. Without proof an outcome is Unknown, never NotRun.
 //
-// An Outcome is a value, not an error: an overloaded or failing upstream is an
-// ordinary event for a load balancer.
+// An Outcome is a value and not an error, because an overloaded or failing upstream is
+// an ordinary event for a load balancer.
 package outcome
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Kind is one of the three outcomes. The zero value is Unknown, so that an
-// outcome nobody has settled never claims more than is proved.
+// Kind is one of the three outcomes. The zero value is Unknown, so that an Outcome that
+// has not been set claims nothing that is not proved.
 type Kind uint8
 
-// The outcomes.
+// The possible outcomes. The package comment defines them.
 const (
 	Unknown Kind = iota
 	NotRun
 	Answered
 )
 
-// String returns the word used in the response header and in reports.
+// String returns the name used in the response header and in reports.
 func (k Kind) String() string {
 	switch k {
 	case NotRun:
@@ -25,7 +25,8 @@
 	}
 }
 
-// ParseKind is the inverse of Kind.String. Any other word is Unknown, false.
+// ParseKind is the inverse of Kind.String. For any other text it returns Unknown and
+// false.
 func ParseKind(s string) (Kind, bool) {
 	switch s {
 	case "not-run":
@@ -39,11 +40,11 @@
 	}
 }
 
-// Reason tells why an outcome came about. It is part of the caller interface:
-// values are stable, documented in docs/CALLERS.md and used as a metric tag.
+// Reason explains an outcome. It is part of the interface to callers: the values are
+// stable, documented in docs/CALLERS.md, and used as metric labels.
 type Reason string
 
-// The reasons.
+// The possible reasons.
 const (
 	ReasonNone             Reason = ""
 	ReasonNoService        Reason = "no-such-service"
@@ -84,22 +85,22 @@
 type Outcome struct {
 	Kind   Kind
 	Reason Reason
-	// RetryAfter tells the caller when to come back. Zero means no advice.
+	// RetryAfter tells the caller when to retry. Zero means that no time is given.
 	RetryAfter time.Duration
 }
 
-// NotRunBecause returns a proved "not run" outcome.
+// NotRunBecause returns an outcome that proves that the request did not run.
 func NotRunBecause(r Reason) Outcome { return Outcome{Kind: NotRun, Reason: r} }
 
-// UnknownBecause returns an outcome for which neither running nor not running
-// is proved.
+// UnknownBecause returns an outcome that proves neither that the request ran nor that
+// it did not run.
 func UnknownBecause(r Reason) Outcome { return Outcome{Kind: Unknown, Reason: r} }
 
-// Done returns the outcome of a whole answer.
+// Done returns the outcome of a complete response.
 func Done() Outcome { return Outcome{Kind: Answered} }
 
-// Elsewhere reports whether another upstream may do better at once. It does not
-// say that sending the request again is safe; MayRetry does.
+// Elsewhere reports whether an immediate attempt at another upstream may succeed. It
+// does not say whether such an attempt is safe; see MayRetry.
 func (o Outcome) Elsewhere() bool {
 	switch o.Reason {
 	case ReasonNoUpstream, ReasonQueueFull, ReasonShed, ReasonDraining, ReasonWithdrawn,
@@ -111,8 +112,8 @@
 	}
 }
 
-// Costless reports whether the attempt put no load on any upstream and failed
-// only because the choice of upstream was out of date.
+// Costless reports whether the attempt put no load on any upstream and failed only
+// because the upstream was chosen from outdated information.
 func (o Outcome) Costless() bool {
 	return o.Kind == NotRun && (o.Reason == ReasonDraining || o.Reason == ReasonWithdrawn)
 }
@@ -129,9 +130,9 @@
 	}
 }
 
-// After returns the outcome of a request whose attempt before this one ended as
-// earlier: once an attempt is unknown, a later "not run" proves nothing about
-// the request.
+// After returns the outcome of a request whose previous attempts had the outcome
+// earlier and whose last attempt had the outcome o. If an earlier attempt is Unknown, a
+// later NotRun proves nothing about the request.
 func (o Outcome) After(earlier Outcome) Outcome {
 	if o.Kind == NotRun && earlier.Kind == Unknown {
 		return earlier
--- a/core/outcome/reason.go
+++ b/core/outcome/reason.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// details says for each reason what happened, in a sentence for the caller.
+// detailTexts describes each reason in a sentence for the caller.
 var detailTexts = map[Reason]string{
 	ReasonNoService:        "No service has this name or host.",
 	ReasonNoUpstream:       "No upstream of the service may take the request now.",
@@ -41,8 +41,8 @@
 	ReasonUpgradeForbidden: "Changing to another protocol is not supported.",
 }
 
-// Detail says in a sentence what the reason means. It is empty for ReasonNone.
+// Detail describes the reason in a sentence. It is empty for ReasonNone.
 func (r Reason) Detail() string { return detailTexts[r] }
 
-// Reasons returns all reasons but ReasonNone, sorted.
+// Reasons returns all reasons except ReasonNone, sorted.
 func Reasons() []Reason { return slices.Sorted(maps.Keys(detailTexts)) }
--- a/core/outcome/reason_test.go
+++ b/core/outcome/reason_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEveryReasonHasADetail reads the constants from the source, so that a new
-// one cannot be forgotten.
+// TestEveryReasonHasADetail reads the constants from the source code, so that it also
+// covers constants added later.
 func TestEveryReasonHasADetail(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "outcome.go", nil, 0)
 	require.NoError(t, err)
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestNoRetryForWhatNobodyElseCanMend guards against storms of hopeless
-// attempts.
+// TestNoRetryWhereAnotherUpstreamCannotHelp guards against retry storms: a request that
+// would fail on every upstream must not be retried.
 func TestNoRetryWhereAnotherUpstreamCannotHelp(t *testing.T) {
 	for _, r := range []Reason{
 		ReasonDeadline, ReasonCancelled, ReasonQuarantined, ReasonCeiling, ReasonForbidden,
@@ -62,5 +62,5 @@
 	} {
 		require.False(t, NotRunBecause(r).Elsewhere(), r)
 	}
-	require.False(t, UnknownBecause(ReasonDraining).Costless(), "only what provably did not run")
+	require.False(t, UnknownBecause(ReasonDraining).Costless(), "an attempt that may have run is not free")
 }
