--- a/core/invariant/doc.go
+++ b/core/invariant/doc.go
@@ -1,7 +1,7 @@
 // Package invariant reports broken invariants.
 //
-// An ordinary failure is a value: an outcome or an error. An invariant is
-// something that the program itself guarantees; once one is broken its state
-// cannot be trusted any more. Violated panics with a *Broken, which no
-// supervisor restarts: the process stops and its dump names the invariant.
+// An ordinary failure is a value: an outcome or an error. An invariant is a condition
+// that the program itself guarantees; once one is broken, the program's state can no
+// longer be trusted. Violated panics with a *Broken, after which no supervisor restarts
+// anything: the process exits and its panic message names the invariant.
 package invariant
