--- a/core/watch/doc.go
+++ b/core/watch/doc.go
@@ -1,16 +1,18 @@
-// Package watch decides which daemons watch the store of the configuration.
+// Package watch decides which daemons watch the store that holds the configuration.
 //
 // # Concept
 //
-// A few daemons of each availability zone hold a reading of the store that waits for the
-// next version, and hand versions on. They send heartbeats to the others, which say
-// whether they reach the store. The others read nothing while they hear enough of them.
+// A few daemons of each availability zone, the watchers, keep a long poll open to the
+// store that returns when there is a new version, and forward new versions to other
+// daemons. They also send heartbeats, which say whether the watcher reaches the store.
+// Daemons that receive enough heartbeats from watchers do not read the store.
 //
-// The daemons of a zone are put in order, and large zones are divided into cells. The
-// first of a cell watch it. When heartbeats stay away, or say that the store is out of
-// reach, others step in by chance, but only a few at once: a store that is away for all is
-// not to be called by all. A daemon that does not reach the store
-// gives up after a while, so that all take turns where the store serves only some. Daemons
-// that disagree on who is there, or do not hear each other, have more watchers than are
-// needed, never fewer.
+// The daemons of a zone are sorted by address and divided into cells of limited size.
+// The first daemons of each cell watch the store. If their heartbeats stop, or say that
+// the store cannot be reached, other daemons volunteer at random, but only a few at
+// once, so that an unreachable store does not receive calls from all daemons. A daemon
+// that does not reach the store gives up after a while, so that all daemons get a turn
+// if the store serves only some of them. If daemons disagree about the members of the
+// cell or do not receive each other's heartbeats, there are more watchers than needed,
+// never fewer.
 package watch
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -13,43 +13,48 @@
 )
 
 const (
+	// step is the time step of the simulation.
 	step = 20 * time.Millisecond
-	// pollWait and readLimit are how long a read of the store waits, and after which it is
-	// given up.
+	// pollWait is how long a read of the store waits for a new version. readTimeout is
+	// when a read without a response is given up.
 	pollWait    = 1500 * time.Millisecond
 	readTimeout = 2900 * time.Millisecond
-	// minRetry and maxRetry bound the pause after a call that failed.
+	// minRetry and maxRetry bound the delay after a failed read.
 	minRetry = 100 * time.Millisecond
 	maxRetry = time.Second
 	zones    = 5
 )
 
-// fleet is daemons that follow a store in virtual time. A message takes one step.
+// fleet simulates daemons that watch a store, in virtual time. A message arrives in the
+// step after the one in which it was sent.
 type fleet struct {
 	now     model.Instant
 	rng     *rand.Rand
 	daemons []*daemon
 	byName  map[string]*daemon
 	version int
-	// serves tells whether the store serves a daemon; hangs whether it answers nothing.
+	// storeServes tells whether the store serves a daemon. storeHangs tells whether it
+	// accepts the daemon's reads but never responds.
 	storeServes func(*daemon) bool
 	storeHangs  func(*daemon) bool
 	storeCalls  int
-	// queue holds the messages of the last step.
+	// inTransit holds the messages sent in the last step.
 	inTransit []func()
 }
 
+// daemon is a simulated daemon.
 type daemon struct {
-	f       *fleet
+	fleet   *fleet
 	name    string
 	zone    model.AvailabilityZone
-	roster  *Roster
+	elector *Roster
 	version int
 	down    bool
-	// cut daemons hear no others.
+	// A partitioned daemon exchanges no messages with others.
 	partitioned bool
-	// free is when the next call may be made, until when a read waits, hung whether it
-	// gets no answer, and pause that after the next failure.
+	// nextReadAt is when the next read may start. readUntil is when the pending read
+	// ends, and hung tells whether it gets no response. retryDelay is the delay after
+	// the next failed read.
 	nextReadAt, readUntil model.Instant
 	reading               bool
 	hung                  bool
@@ -57,13 +62,14 @@
 	heartbeatsSent        int
 }
 
+// newFleet returns n running daemons, spread over all zones.
 func newFleet(n int) *fleet {
 	f := &fleet{
 		now: 1, rng: rand.New(rand.NewPCG(7, uint64(n))), byName: make(map[string]*daemon),
 		storeServes: func(*daemon) bool { return true }, storeHangs: func(*daemon) bool { return false },
 	}
 	for i := range n {
-		d := &daemon{f: f, name: fmt.Sprintf("d%04d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
+		d := &daemon{fleet: f, name: fmt.Sprintf("d%04d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
 		d.start()
 		f.daemons = append(f.daemons, d)
 		f.byName[d.name] = d
@@ -72,11 +78,12 @@
 	return f
 }
 
+// start starts or restarts the daemon without any state.
 func (d *daemon) start() {
-	*d = daemon{f: d.f, name: d.name, zone: d.zone, roster: New(d.name, d.f.now, d.f.rng.Float64), retryDelay: minRetry}
+	*d = daemon{fleet: d.fleet, name: d.name, zone: d.zone, elector: New(d.name, d.fleet.now, d.fleet.rng.Float64), retryDelay: minRetry}
 }
 
-// meet has all daemons know who is there.
+// updateMembers tells all daemons the current members of their zones.
 func (f *fleet) updateMembers() {
 	for _, d := range f.daemons {
 		var zone []string
@@ -85,10 +92,12 @@
 				zone = append(zone, o.name)
 			}
 		}
-		d.roster.SetMembers(zone, zones)
+		d.elector.SetMembers(zone, zones)
 	}
 }
 
+// send delivers a message in the next step, unless one of the daemons is down or
+// partitioned.
 func (f *fleet) send(from, to *daemon, deliver func()) {
 	if !from.down && !from.partitioned && !to.partitioned {
 		f.inTransit = append(f.inTransit, func() {
@@ -99,6 +108,7 @@
 	}
 }
 
+// advance runs the simulation for the given time.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now < end; {
 		f.now = f.now.Add(step)
@@ -115,12 +125,13 @@
 	}
 }
 
+// tick does what a daemon does in each step.
 func (d *daemon) tick() {
-	now := d.f.now
+	now := d.fleet.now
 	if d.reading {
 		d.checkRead()
 	}
-	if !d.roster.Watching(now) {
+	if !d.elector.Watching(now) {
 		return
 	}
 	if !d.reading && now >= d.nextReadAt {
@@ -129,95 +140,99 @@
 	d.sendHeartbeat()
 }
 
-// beat sends a heartbeat if one is due.
+// sendHeartbeat sends a heartbeat if one is due.
 func (d *daemon) sendHeartbeat() {
-	if !d.roster.HeartbeatDue(d.f.now) {
+	if !d.elector.HeartbeatDue(d.fleet.now) {
 		return
 	}
-	reaches := d.roster.Reaches()
-	for _, other := range d.roster.Others() {
-		to := d.f.byName[other]
+	reaches := d.elector.Reaches()
+	for _, other := range d.elector.Others() {
+		to := d.fleet.byName[other]
 		d.heartbeatsSent++
-		d.f.send(d, to, func() {
-			to.roster.Heard(to.f.now, d.name, reaches)
+		d.fleet.send(d, to, func() {
+			to.elector.Heard(to.fleet.now, d.name, reaches)
 			to.applyVersion(d.version)
 		})
 	}
 }
 
-// call begins a read of the store.
+// startRead starts a read of the store.
 func (d *daemon) startRead() {
-	d.f.storeCalls++
-	d.hung = d.f.storeHangs(d)
-	if !d.hung && !d.f.storeServes(d) {
+	d.fleet.storeCalls++
+	d.hung = d.fleet.storeHangs(d)
+	if !d.hung && !d.fleet.storeServes(d) {
 		d.failRead()
 		return
 	}
-	d.reading, d.readUntil = true, d.f.now.Add(pollWait)
+	d.reading, d.readUntil = true, d.fleet.now.Add(pollWait)
 	if d.hung {
-		d.readUntil = d.f.now.Add(readTimeout)
+		d.readUntil = d.fleet.now.Add(readTimeout)
 	}
 }
 
+// failRead records a failed read and schedules the next one.
 func (d *daemon) failRead() {
-	d.nextReadAt = d.f.now.Add(d.retryDelay)
+	d.nextReadAt = d.fleet.now.Add(d.retryDelay)
 	d.retryDelay = min(2*d.retryDelay, maxRetry)
 	d.recordStoreCall(false)
 }
 
+// recordStoreCall passes the result of a read to the elector.
 func (d *daemon) recordStoreCall(ok bool) {
-	d.roster.Called(d.f.now, ok)
+	d.elector.Called(d.fleet.now, ok)
 	d.sendHeartbeat()
 }
 
-// read looks whether a read that waits has come to its end.
+// checkRead ends the pending read if it has failed, timed out or found a new version.
 func (d *daemon) checkRead() {
 	switch {
-	case d.hung && d.f.now >= d.readUntil:
+	case d.hung && d.fleet.now >= d.readUntil:
 		d.reading = false
 		d.failRead()
 	case d.hung:
-	case !d.f.storeServes(d):
+	case !d.fleet.storeServes(d):
 		d.reading = false
 		d.failRead()
-	case d.f.version > d.version || d.f.now >= d.readUntil:
+	case d.fleet.version > d.version || d.fleet.now >= d.readUntil:
 		d.reading, d.retryDelay = false, minRetry
-		d.applyVersion(d.f.version)
+		d.applyVersion(d.fleet.version)
 		d.recordStoreCall(true)
 	}
 }
 
-// take brings a version into force and hands it on.
+// applyVersion puts a version into force and forwards it.
 func (d *daemon) applyVersion(version int) {
 	if version <= d.version {
 		return
 	}
 	d.version = version
-	d.roster.News()
+	d.elector.News()
 	d.sendHeartbeat()
 	var members []gossip.Member
-	for _, o := range d.f.daemons {
+	for _, o := range d.fleet.daemons {
 		if o != d && !o.down {
 			members = append(members, gossip.Member{Address: o.name, Zone: o.zone})
 		}
 	}
-	for _, m := range (gossip.Targets{Zone: d.zone, Draw: d.f.rng.IntN}).Push(members, false) {
-		to := d.f.byName[m.Address]
-		d.f.send(d, to, func() { to.applyVersion(version) })
+	for _, m := range (gossip.Targets{Zone: d.zone, Draw: d.fleet.rng.IntN}).Push(members, false) {
+		to := d.fleet.byName[m.Address]
+		d.fleet.send(d, to, func() { to.applyVersion(version) })
 	}
 }
 
+// watchers returns the running daemons that watch the store.
 func (f *fleet) watchers() []*daemon {
 	var out []*daemon
 	for _, d := range f.daemons {
-		if !d.down && d.roster.watching {
+		if !d.down && d.elector.watching {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// behind returns how many daemons that run and are not cut off lack the last version.
+// countOutdated returns the number of daemons that run, are not partitioned and do not
+// have the latest version.
 func (f *fleet) countOutdated() int {
 	n := 0
 	for _, d := range f.daemons {
@@ -228,7 +243,7 @@
 	return n
 }
 
-// inForce publishes a version and returns how long it takes to be in force everywhere.
+// publishAndWait publishes a version and returns the time until all daemons have it.
 func (f *fleet) publishAndWait(t *testing.T) time.Duration {
 	t.Helper()
 	f.version++
--- a/core/watch/roster.go
+++ b/core/watch/roster.go
@@ -8,60 +8,63 @@
 )
 
 const (
-	// HeartbeatEvery is the time between two heartbeats of a watcher that has no news.
+	// HeartbeatInterval is the time between two heartbeats of a watcher if nothing
+	// changes.
 	HeartbeatInterval = 400 * time.Millisecond
-	// silence is how long a watcher that is not heard counts as one that watches.
+	// heartbeatTimeout is the time after the last heartbeat at which a daemon no longer
+	// counts as a watcher.
 	heartbeatTimeout = 3 * HeartbeatInterval
-	// stepIns is how many daemons of a cell step in on average each time that all look
-	// whether to, while there are too few watchers.
+	// meanVolunteers is the mean number of daemons of a cell that volunteer each time
+	// the daemons check whether there are too few watchers.
 	meanVolunteers = 2
-	// minWatchers is the least number of watchers in all zones.
+	// minWatchers is the lowest number of watchers in all zones together.
 	minWatchers = 3
-	// maxTrying is how many daemons of a cell try at once to reach a store that they do
-	// not reach.
+	// maxConcurrentTries is how many daemons of a cell may keep trying at the same time
+	// while they cannot reach the store.
 	maxConcurrentTries = 2
-	// yieldAfter is how long a daemon tries before it leaves the turn to others, and
-	// longestYield bounds the time until it tries again.
+	// yieldAfter is how long a daemon tries to reach the store before it lets other
+	// daemons try. maxYield bounds the time until its next try.
 	yieldAfter = 2 * time.Second
 	maxYield   = 10 * time.Second
-	// cellSize bounds the daemons that one watcher sends heartbeats to.
+	// maxCellSize bounds the number of daemons to which one watcher sends heartbeats.
 	maxCellSize = 64
 )
 
-// heartbeat is the last one of another daemon.
+// heartbeat is the last heartbeat received from another daemon.
 type heartbeat struct {
 	at model.Instant
-	// reaches tells that it reaches the store.
+	// reachesStore is set if that daemon reaches the store.
 	reachesStore bool
 }
 
-// Roster is what a daemon knows of the watchers of its cell. It is not safe for concurrent
-// use.
+// Roster decides whether a daemon watches the store, from what it knows about the other
+// watchers of its cell. It is not safe for concurrent use.
 type Roster struct {
 	self string
-	// draw draws from 0 to 1.
+	// randFloat returns random numbers from 0 to below 1.
 	randFloat func() float64
-	// cell are the addresses of the cell in order, the own among them; wanted is how many
-	// of it watch.
+	// cell holds the sorted addresses of the daemons in the cell, including this one.
+	// wantedWatchers is how many of them should watch.
 	cell           []string
 	wantedWatchers int
 	heartbeats     map[string]heartbeat
-	// from is when others count that have not been heard: a daemon that starts leaves them
-	// the time of a heartbeat.
+	// volunteerFrom is when this daemon may first volunteer. After its start it first
+	// waits for heartbeats of the existing watchers.
 	volunteerFrom model.Instant
 
 	watching bool
-	// reaches tells that the own last call to the store succeeded, triedSince since when
-	// none has while watching.
+	// reaches is set if this daemon's last call to the store succeeded. failingSince is
+	// when its calls began to fail, or when it began to watch.
 	reaches      bool
 	failingSince model.Instant
 	yieldUntil   model.Instant
-	// beaten is when the last heartbeat was sent. Zero means that the next one is due.
+	// lastHeartbeat is when the last heartbeat was sent. Zero means that one is due
+	// now.
 	lastHeartbeat model.Instant
 }
 
-// New returns the Roster of the daemon at an address, which starts now. Draw draws from 0
-// to 1.
+// New returns the Roster of the daemon with the address self, which starts now.
+// randFloat returns random numbers from 0 to below 1.
 func New(self string, now model.Instant, randFloat func() float64) *Roster {
 	return &Roster{
 		self: self, randFloat: randFloat, cell: []string{self}, wantedWatchers: 1,
@@ -69,8 +72,8 @@
 	}
 }
 
-// SetMembers takes in the daemons of the own zone that can be reached and go on running,
-// this one among them, and the number of zones.
+// SetMembers sets the daemons of the own zone that are reachable and not about to stop,
+// including this one, and the number of zones.
 func (r *Roster) SetMembers(zoneMembers []string, zones int) {
 	ordered := slices.Clone(zoneMembers)
 	slices.Sort(ordered)
@@ -92,15 +95,16 @@
 	}
 }
 
-// Heard takes in a heartbeat.
+// Heard records a heartbeat received from another daemon. reaches tells whether that
+// daemon reaches the store.
 func (r *Roster) Heard(now model.Instant, from string, reaches bool) {
 	if from != r.self && slices.Contains(r.cell, from) {
 		r.heartbeats[from] = heartbeat{at: now, reachesStore: reaches}
 	}
 }
 
-// Called takes in whether a call to the store succeeded. The others are told at once when
-// that has changed.
+// Called records whether a call to the store succeeded. If the result differs from the
+// last one, the next heartbeat is due at once.
 func (r *Roster) Called(now model.Instant, ok bool) {
 	if r.reaches && !ok {
 		r.failingSince = now
@@ -111,11 +115,12 @@
 	}
 }
 
-// News has the next heartbeat due at once: there is a new version, or the store has come
-// or gone.
+// News makes the next heartbeat due at once. It is called when there is a new version,
+// or when the store has become reachable or unreachable.
 func (r *Roster) News() { r.lastHeartbeat = 0 }
 
-// HeartbeatDue reports whether to send a heartbeat now, and takes in that it is sent.
+// HeartbeatDue reports whether a heartbeat is due, and if so records that it is sent
+// now.
 func (r *Roster) HeartbeatDue(now model.Instant) bool {
 	if !r.watching || r.lastHeartbeat != 0 && now.Sub(r.lastHeartbeat) < HeartbeatInterval {
 		return false
@@ -124,17 +129,20 @@
 	return true
 }
 
-// Watching reports whether this daemon is to watch now. It is asked several times a
-// second.
+// Watching decides whether this daemon watches now, and returns the decision. It must
+// be called several times a second.
 func (r *Roster) Watching(now model.Instant) bool {
-	was := r.watching
+	wasWatching := r.watching
 	r.watching = r.shouldWatch(now)
-	if r.watching && !was {
+	if r.watching && !wasWatching {
 		r.reaches, r.failingSince, r.lastHeartbeat = false, now, 0
 	}
 	return r.watching
 }
 
+// shouldWatch decides whether this daemon watches the store. A watcher stops when enough
+// daemons before it in the cell reach the store, or when it yields. Apart from the first
+// daemons of the cell, daemons volunteer at random while there are too few watchers.
 func (r *Roster) shouldWatch(now model.Instant) bool {
 	if now < r.yieldUntil {
 		return false
@@ -158,13 +166,15 @@
 	}
 }
 
-// yields reports whether this daemon has tried for long enough, and others can.
+// shouldYield reports whether this daemon has tried to reach the store for long enough
+// and there are other daemons that could try.
 func (r *Roster) shouldYield(now model.Instant) bool {
 	return !r.reaches && now.Sub(r.failingSince) >= yieldAfter && len(r.cell) > maxConcurrentTries
 }
 
-// count returns how many others reach the store, those before this daemon and all, and
-// how many try to.
+// countWatchers counts other daemons by their latest heartbeats: others reach the
+// store, of which earlier come before this daemon in the cell, and trying do not reach
+// it.
 func (r *Roster) countWatchers(now model.Instant) (earlier, others, trying int) {
 	for address, b := range r.heartbeats {
 		switch {
@@ -181,8 +191,8 @@
 	return earlier, others, trying
 }
 
-// Blind reports whether no daemon of the cell, this one included, is known to reach the
-// store.
+// Blind reports whether no daemon of the cell, including this one, is known to reach
+// the store.
 func (r *Roster) Blind(now model.Instant) bool {
 	if r.watching && r.reaches {
 		return false
@@ -191,10 +201,10 @@
 	return others == 0
 }
 
-// Reaches reports whether this daemon watches and reaches the store.
+// Reaches reports whether this daemon watches the store and reaches it.
 func (r *Roster) Reaches() bool { return r.watching && r.reaches }
 
-// Others returns the other daemons of the cell, which the heartbeats go to.
+// Others returns the other daemons of the cell, to which heartbeats are sent.
 func (r *Roster) Others() []string {
 	out := make([]string, 0, len(r.cell))
 	for _, address := range r.cell {
--- a/core/watch/roster_test.go
+++ b/core/watch/roster_test.go
@@ -8,27 +8,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sizes are small, as today, and as expected within two years.
+// fleetSizes are a small fleet, the size today, and the size expected within two years.
 var fleetSizes = []int{10, 300, 1700}
 
-// inTime is how long a version may take to be in force everywhere.
+// maxPropagation is the longest time allowed until all daemons have a new version.
 const maxPropagation = 2 * time.Second
 
-// TestVersionsInForce has versions published in different trouble.
+// TestVersionsReachAllDaemons publishes a version after each of several disturbances.
 func TestVersionsReachAllDaemons(t *testing.T) {
 	for name, disturb := range map[string]func(f *fleet){
-		"calm": func(*fleet) {},
-		"all watchers die": func(f *fleet) {
+		"no disturbance": func(*fleet) {},
+		"all watchers crash": func(f *fleet) {
 			for _, d := range f.watchers() {
 				d.down = true
 			}
 		},
-		"all watchers are cut off from their zones": func(f *fleet) {
+		"all watchers are partitioned from their zones": func(f *fleet) {
 			for _, d := range f.watchers() {
 				d.partitioned = true
 			}
 		},
-		"the store turns all watchers away": func(f *fleet) {
+		"the store rejects all watchers": func(f *fleet) {
 			rejected := f.watchers()
 			f.storeServes = func(d *daemon) bool {
 				for _, w := range rejected {
@@ -39,24 +39,24 @@
 				return true
 			}
 		},
-		"the store turns a third away": func(f *fleet) {
+		"the store rejects a third of the daemons": func(f *fleet) {
 			f.storeServes = func(d *daemon) bool { return d.name[len(d.name)-1]%3 != 0 }
 		},
-		"a zone does not reach the store": func(f *fleet) {
+		"one zone cannot reach the store": func(f *fleet) {
 			f.storeServes = func(d *daemon) bool { return d.zone != "z1" }
 		},
-		"the store was away": func(f *fleet) {
+		"the store was unavailable": func(f *fleet) {
 			f.storeServes = func(*daemon) bool { return false }
 			f.advance(10 * time.Second)
 			f.storeServes = func(*daemon) bool { return true }
 		},
-		"all start anew": func(f *fleet) {
+		"all daemons restart": func(f *fleet) {
 			for _, d := range f.daemons {
 				d.start()
 			}
 			f.updateMembers()
 		},
-		"a daemon hears nobody": func(f *fleet) {
+		"one daemon is partitioned": func(f *fleet) {
 			f.daemons[len(f.daemons)-1].partitioned = true
 			f.updateMembers()
 		},
@@ -72,13 +72,14 @@
 	}
 }
 
-// TestVersionsAreHandedOnAtOnce has versions published at different times between
-// heartbeats: none waits for the next one.
+// TestVersionsAreForwardedImmediately publishes versions at various times between two
+// heartbeats. None of them is delayed until the next heartbeat.
 func TestVersionsAreForwardedImmediately(t *testing.T) {
 	const (
 		versions = 20
 		pause    = 3 * time.Second / 7
-		// prompt is a read, a heartbeat, and a fetch with what is left of the way.
+		// maxDelay covers a read of the store, a heartbeat, a fetch and the remaining
+		// hops.
 		maxDelay = 5 * step
 	)
 	for _, n := range fleetSizes {
@@ -91,8 +92,8 @@
 	}
 }
 
-// TestReadsThatHang has the store answer nothing to whoever reads, and be well again.
-// Versions are in force in time once the reads from before have been given up.
+// TestVersionsAfterHungReads has the store accept reads without responding, and then
+// recover. Versions reach all daemons in time once the hung reads have timed out.
 func TestVersionsAfterHungReads(t *testing.T) {
 	for _, n := range fleetSizes {
 		f := newFleet(n)
@@ -104,31 +105,33 @@
 	}
 }
 
-// TestDaemonAloneWatches has one that hears no other daemon, and reaches the store.
+// TestIsolatedDaemonWatches has a daemon that is partitioned from all others but
+// reaches the store.
 func TestIsolatedDaemonWatches(t *testing.T) {
 	f := newFleet(10)
 	f.advance(5 * time.Second)
 	isolated := f.daemons[9]
-	require.False(t, isolated.roster.watching)
+	require.False(t, isolated.elector.watching)
 	isolated.partitioned = true
 	f.updateMembers()
 	f.advance(maxPropagation)
-	require.True(t, isolated.roster.watching)
-	require.False(t, isolated.roster.Blind(f.now))
+	require.True(t, isolated.elector.watching)
+	require.False(t, isolated.elector.Blind(f.now))
 	f.version++
 	f.advance(step)
 	require.Equal(t, f.version, isolated.version)
 }
 
-// TestCallsToTheStore bounds them for each cell, calm and while the store is away.
+// TestStoreCallsAreBounded bounds the calls per cell, both normally and while the store
+// is unavailable.
 func TestStoreCallsAreBounded(t *testing.T) {
 	const (
 		seconds = 30
-		// calmCalls are those of one watcher in that time, with room for one more at the
-		// start.
+		// normalCalls is the number of calls of one watcher in that time, allowing one
+		// more at the start.
 		normalCalls = int(seconds*time.Second/pollWait) + 2
-		// awayCalls are those of the daemons of a cell that try at once, with the shorter
-		// pauses of those whose turn begins.
+		// unavailableCalls covers the daemons of a cell that may try at the same time,
+		// including the shorter delays at the beginning of each daemon's turn.
 		unavailableCalls = 4 * maxConcurrentTries * seconds
 	)
 	for _, n := range fleetSizes {
@@ -142,42 +145,43 @@
 		f.storeServes = func(*daemon) bool { return false }
 		f.storeCalls = 0
 		f.advance(seconds * time.Second)
-		require.LessOrEqual(t, f.storeCalls, cells*unavailableCalls, "%d daemons, store away", n)
-		t.Logf("%d daemons: %d cells, %d calls while the store is away", n, cells, f.storeCalls)
+		require.LessOrEqual(t, f.storeCalls, cells*unavailableCalls, "%d daemons, store unavailable", n)
+		t.Logf("%d daemons: %d cells, %d calls while the store is unavailable", n, cells, f.storeCalls)
 	}
 }
 
-// TestHeartbeatsAreBounded holds the messages of a watcher whatever the size.
+// TestHeartbeatsAreBounded bounds the heartbeats of a watcher for all fleet sizes.
 func TestHeartbeatsAreBounded(t *testing.T) {
 	const seconds = 10
 	for _, n := range fleetSizes {
 		f := newFleet(n)
 		f.advance(seconds * time.Second)
 		for _, d := range f.daemons {
-			most := maxCellSize * (int(seconds*time.Second/HeartbeatInterval) + 3)
-			require.LessOrEqual(t, d.heartbeatsSent, most, "%d daemons", n)
+			maxSent := maxCellSize * (int(seconds*time.Second/HeartbeatInterval) + 3)
+			require.LessOrEqual(t, d.heartbeatsSent, maxSent, "%d daemons", n)
 		}
 	}
 }
 
-// TestTurns has the store serve one daemon of a cell only: it comes to its turn.
+// TestDaemonsTakeTurnsTryingTheStore has the store serve only one daemon of a cell.
+// That daemon must get its turn.
 func TestDaemonsTakeTurnsTryingTheStore(t *testing.T) {
 	f := newFleet(300)
 	f.advance(5 * time.Second)
 	served := f.daemons[len(f.daemons)-1]
 	f.storeServes = func(d *daemon) bool { return d == served }
-	began := f.now
-	for !served.roster.Reaches() {
+	start := f.now
+	for !served.elector.Reaches() {
 		f.advance(step)
-		require.Less(t, f.now.Sub(began), time.Minute)
+		require.Less(t, f.now.Sub(start), time.Minute)
 	}
 	f.version++
 	f.advance(maxPropagation)
 	require.Zero(t, f.countOutdated())
 }
 
-// TestFirstComesBack has the daemon that is first in order return: it watches again, and
-// the one that stood in for it rests.
+// TestReturningDaemonReplacesItsSubstitute restarts the first daemon of a cell. It
+// watches again, and the daemon that had replaced it stops watching.
 func TestReturningDaemonReplacesItsSubstitute(t *testing.T) {
 	f := newFleet(300)
 	f.advance(5 * time.Second)
@@ -188,6 +192,6 @@
 	first.start()
 	f.updateMembers()
 	f.advance(5 * time.Second)
-	require.True(t, first.roster.watching)
+	require.True(t, first.elector.watching)
 	require.Len(t, f.watchers(), zones)
 }
