--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -14,7 +14,7 @@
 
 const (
 	// maxFullScan is the largest pool in which every candidate is scored. In a larger
-	// pool only a random sample is scored: sampleLocal candidates of the own zone and
+	// pool only a random sample is scored: sampleLocal candidates of the local zone and
 	// sampleRemote of other zones.
 	maxFullScan  = 16
 	sampleLocal  = 8
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -127,7 +127,7 @@
 }
 
 // zoneReplied reports whether another upstream of the candidate's zone has replied
-// recently. The entry's own zone always counts as reachable.
+// recently. The entry's local zone always counts as reachable.
 func (r *Router) zoneReplied(now model.Instant, c *candidate) bool {
 	if c.upstream.Zone == r.opts.Zone {
 		return true
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -32,7 +32,7 @@
 	// that daemon is 0. If Self is empty, no upstream belongs to it.
 	Self model.DaemonID
 	// ZoneDelay holds the one-way delay to each zone. For zones that are not in the map
-	// it is 0 (own zone) or DefaultZoneDelay (other zones).
+	// it is 0 (local zone) or DefaultZoneDelay (other zones).
 	ZoneDelay map[model.AvailabilityZone]time.Duration
 	// Ramp is how long an upstream that joins a running pool takes to reach its full
 	// share of requests. Default: 2s. A negative value disables ramping.
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -65,7 +65,7 @@
 	policy     policy
 	rng        *rand.Rand
 	candidates []*candidate
-	// local are the candidates in the entry's own zone, remote all others.
+	// local are the candidates in the entry's zone, remote all others.
 	local   []*candidate
 	remote  []*candidate
 	byID    map[model.UpstreamID]*candidate
