--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -1,5 +1,9 @@
 // Package placement chooses the upstream that is expected to complete a request first.
 //
+// An entry, which accepts the requests of callers, has a Placer for each service. The
+// guard of an upstream, the proxy in front of it, enforces its concurrency limit and
+// reports its Load.
+//
 // Upstreams share their VMs with other processes, so their speed changes several times
 // a second and its mean says little. What counts is how slow an upstream is now and how
 // old that information is. A Load contains both: the slowdown (service time relative to
@@ -8,7 +12,7 @@
 // the information ages, the slowdown decays towards the mean of the service.
 //
 // A request to another availability zone costs latency and money. A Placer therefore
-// stays in its own zone as long as an upstream there is expected to respond well within
+// stays in the local zone as long as an upstream there is expected to respond well within
 // the target latency. Otherwise it chooses the fastest upstream of any zone, after
 // adding CrossZonePenalty to the expected times in other zones.
 package placement
--- a/core/placement/failing_test.go
+++ b/core/placement/failing_test.go
@@ -29,8 +29,8 @@
 // decay. An upstream that had failed one request while others were idle was expected to
 // take an eighth longer forever, and was never chosen again.
 func TestUpstreamIsChosenAgainAfterOneFailure(t *testing.T) {
-	p := New(Options{Zone: "own", Rand: rand.New(rand.NewPCG(1, 1)).Float64})
-	p.Set([]Upstream{{Key: "a", Zone: "own", Slots: 6}, {Key: "b", Zone: "own", Slots: 6}})
+	p := New(Options{Zone: "local", Rand: rand.New(rand.NewPCG(1, 1)).Float64})
+	p.Set([]Upstream{{Key: "a", Zone: "local", Slots: 6}, {Key: "b", Zone: "local", Slots: 6}})
 	var f Failing
 	f.Count(at(0), true)
 	chosen := 0
--- a/core/placement/figures.go
+++ b/core/placement/figures.go
@@ -5,8 +5,8 @@
 // Parameters for the users of a Placer: the entries and guards of package sidecar, and
 // their simulation in package replay.
 const (
-	// AskNear is how many guards of the own zone are sent a load query before a request
-	// is sent. AskFar is how many of other zones are queried if the own zone is not
+	// AskNear is how many guards of the local zone are sent a load query before a request
+	// is sent. AskFar is how many of other zones are queried if the local zone is not
 	// good enough.
 	AskNear = 4
 	AskFar  = 3
@@ -16,8 +16,8 @@
 	// a request that could also go to another upstream. Shared VMs change their speed
 	// every few hundred milliseconds, so an older value is wrong one time in four.
 	FreshFor = 80 * time.Millisecond
-	// MaxGivenBack is how often guards may reject a request before the next one must
-	// keep it. Each rejection costs a round trip.
+	// MaxGivenBack is how often guards may reject a request before the next guard must
+	// accept it. Each rejection costs a round trip.
 	MaxGivenBack = 2
 	// MaxFull is the number of rejections for lack of capacity after which a request is
 	// refused, whatever is expected of other guards.
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -22,10 +22,10 @@
 // midpoint replaces the random number generator, so that choices are reproducible.
 func midpoint() float64 { return 0.5 }
 
-// newPlacer returns a Placer in zone "own" with one upstream for each given zone, named
+// newPlacer returns a Placer in zone "local" with one upstream for each given zone, named
 // "a", "b" and so on.
 func newPlacer(zones ...model.AvailabilityZone) *Placer {
-	p := New(Options{Zone: "own", Rand: midpoint})
+	p := New(Options{Zone: "local", Rand: midpoint})
 	var ups []Upstream
 	for i, z := range zones {
 		ups = append(ups, Upstream{Key: string(rune('a' + i)), Zone: z, Slots: 6})
@@ -57,7 +57,7 @@
 // TestSlowUpstreamIsAvoided covers upstreams that share a VM: at any moment a quarter
 // of them are four times slower than usual, each for some hundred milliseconds.
 func TestSlowUpstreamIsAvoided(t *testing.T) {
-	p := newPlacer("own", "own")
+	p := newPlacer("local", "local")
 	p.Learn(at(0), "a", idle(4))
 	p.Learn(at(0), "b", idle(1))
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
@@ -66,7 +66,7 @@
 // TestOldSlowdownIsForgotten has loads that are 3 seconds old. They must no longer
 // count, so the upstream with fewer requests is chosen.
 func TestOldSlowdownIsForgotten(t *testing.T) {
-	p := newPlacer("own", "own")
+	p := newPlacer("local", "local")
 	p.Learn(at(0), "a", idle(4))
 	p.Learn(at(0), "b", idle(1))
 	for range 4 {
@@ -80,7 +80,7 @@
 // TestFullUpstreamIsAvoided counts the requests that this entry itself has sent since
 // the loads were reported.
 func TestFullUpstreamIsAvoided(t *testing.T) {
-	p := newPlacer("own", "own")
+	p := newPlacer("local", "local")
 	p.Learn(at(0), "a", idle(1))
 	p.Learn(at(0), "b", idle(1.2))
 	got := map[string]int{}
@@ -101,7 +101,7 @@
 		"local upstream is full":                             {Load{Running: 4, Waiting: 12, Limit: 4, Slow: 1}, idle(1), "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlacer("own", "other")
+			p := newPlacer("local", "remote")
 			p.Learn(at(0), "a", c.local)
 			p.Learn(at(0), "b", c.remote)
 			require.Equal(t, c.want, choose(t, p, at(1)).Upstream.Key)
@@ -110,7 +110,7 @@
 }
 
 func TestSmallGainDoesNotCrossZones(t *testing.T) {
-	p := newPlacer("own", "other")
+	p := newPlacer("local", "remote")
 	p.Learn(at(0), "a", idle(1.2))
 	p.Learn(at(0), "b", idle(1))
 	c, ok := p.Choose(at(1), Ask{Work: serviceTime})
@@ -119,12 +119,12 @@
 }
 
 // TestRoundTripTimeCounts covers deployments over several regions. Of two remote zones
-// that would meet the target, the one in the own region is chosen, although its
+// that would meet the target, the one in the local region is chosen, although its
 // upstream is a little slower. The alternative time that a guard is sent includes the
 // round trip.
 func TestRoundTripTimeCounts(t *testing.T) {
 	const near, far = 3 * time.Millisecond, 45 * time.Millisecond
-	p := newPlacer("own", "region", "abroad")
+	p := newPlacer("local", "region", "abroad")
 	p.Learn(at(0), "a", Load{Running: 4, Waiting: 30, Limit: 4, Slow: 1})
 	p.Learn(at(0), "b", idle(1.25))
 	p.Learn(at(0), "c", idle(1))
@@ -133,7 +133,7 @@
 	p.Trip("b", near)
 	p.Trip("c", far)
 	beyond := p.Beyond(10 * time.Millisecond)
-	require.False(t, beyond["own"])
+	require.False(t, beyond["local"])
 	require.False(t, beyond["region"])
 	require.True(t, beyond["abroad"])
 	c := choose(t, p, at(0))
@@ -145,7 +145,7 @@
 // TestShortestRoundTripCounts checks that load replies delayed by a busy processor do
 // not raise the round-trip time, but that a lasting increase is learned.
 func TestShortestRoundTripCounts(t *testing.T) {
-	p := newPlacer("own")
+	p := newPlacer("local")
 	p.Learn(at(0), "a", idle(1))
 	for _, took := range []time.Duration{40, 20, 30} {
 		p.Trip("a", took*time.Millisecond)
@@ -170,14 +170,14 @@
 // TestFastFailingUpstreamIsAvoided has an upstream that fails every request at once. It
 // never has any requests running, and must not be preferred as idle.
 func TestFastFailingUpstreamIsAvoided(t *testing.T) {
-	p := newPlacer("own", "own")
+	p := newPlacer("local", "local")
 	p.Learn(at(0), "a", Load{Limit: 4, Slow: 1, Failing: 0.9})
 	p.Learn(at(0), "b", Load{Running: 4, Waiting: 2, Limit: 4, Slow: 1})
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
 func TestFailingUpstreamIsTriedAgain(t *testing.T) {
-	p := newPlacer("own", "own")
+	p := newPlacer("local", "local")
 	p.Learn(at(0), "a", Load{Limit: 4, Slow: 1, Failing: 1})
 	p.Learn(at(0), "b", Load{Running: 4, Waiting: 4, Limit: 4, Slow: 1})
 	p.Learn(at(20_000), "b", Load{Running: 4, Waiting: 4, Limit: 4, Slow: 1})
@@ -185,13 +185,13 @@
 }
 
 func TestColdUpstreamIsAvoided(t *testing.T) {
-	p := newPlacer("own", "own")
-	p.Set([]Upstream{{Key: "a", Zone: "own", Slots: 6, ColdUntil: at(3000)}, {Key: "b", Zone: "own", Slots: 6}})
+	p := newPlacer("local", "local")
+	p.Set([]Upstream{{Key: "a", Zone: "local", Slots: 6, ColdUntil: at(3000)}, {Key: "b", Zone: "local", Slots: 6}})
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
 func TestUnreachableUpstreamIsLastResort(t *testing.T) {
-	p := newPlacer("own", "own")
+	p := newPlacer("local", "local")
 	p.Unreachable(at(0), "a")
 	for range 5 {
 		require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
@@ -204,35 +204,35 @@
 }
 
 func TestChooseWithAllExcluded(t *testing.T) {
-	p := newPlacer("own")
+	p := newPlacer("local")
 	_, ok := p.Choose(at(0), Ask{Work: serviceTime, Exclude: func(Upstream) bool { return true }})
 	require.False(t, ok)
 }
 
 func TestQueryTargets(t *testing.T) {
-	p := newPlacer("own", "own", "own", "other", "other")
+	p := newPlacer("local", "local", "local", "remote", "remote")
 	p.Learn(at(0), "a", idle(1))
 	local := p.ToAsk(at(1), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4)
 	require.Len(t, local, 2, "the load of a is known")
 	remote := p.ToAsk(at(1), Ask{Work: serviceTime}, false, 15*time.Millisecond, 1)
 	require.Len(t, remote, 1)
-	require.Equal(t, model.AvailabilityZone("other"), remote[0].Zone)
+	require.Equal(t, model.AvailabilityZone("remote"), remote[0].Zone)
 	require.Len(t, p.ToAsk(at(100), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4), 3, "the load of a is too old")
 	p.Unreachable(at(100), "b")
 	require.Len(t, p.ToAsk(at(101), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4), 2)
 }
 
 func TestLoadsSurviveMembershipChange(t *testing.T) {
-	p := newPlacer("own", "own")
+	p := newPlacer("local", "local")
 	p.Learn(at(0), "a", idle(4))
-	p.Set([]Upstream{{Key: "a", Zone: "own", Slots: 6}, {Key: "c", Zone: "own", Slots: 6}})
+	p.Set([]Upstream{{Key: "a", Zone: "local", Slots: 6}, {Key: "c", Zone: "local", Slots: 6}})
 	p.Learn(at(0), "c", idle(1))
 	require.Equal(t, "c", choose(t, p, at(1)).Upstream.Key)
 	require.Equal(t, 2, p.Len())
 }
 
 func TestLocalMeetsTarget(t *testing.T) {
-	p := newPlacer("own", "other")
+	p := newPlacer("local", "remote")
 	p.Learn(at(0), "a", idle(1))
 	require.True(t, p.Comfortable(at(1), Ask{Work: serviceTime, Target: target}))
 	p.Learn(at(1), "a", idle(4))
@@ -242,8 +242,8 @@
 // TestStoppingUpstreamIsLastResort covers a service whose last upstream belongs to a
 // daemon that is about to stop. Refusing its requests until then would help nobody.
 func TestStoppingUpstreamIsLastResort(t *testing.T) {
-	p := New(Options{Zone: "own", Rand: midpoint})
-	stopping := Upstream{Key: "a", Zone: "own", Slots: 6, Stopping: true}
+	p := New(Options{Zone: "local", Rand: midpoint})
+	stopping := Upstream{Key: "a", Zone: "local", Slots: 6, Stopping: true}
 	busy := Upstream{Key: "b", Zone: "far", Slots: 6}
 	p.Set([]Upstream{stopping, busy})
 	p.Learn(at(0), "b", Load{Running: 4, Waiting: 20, Limit: 4, Slow: 5})
@@ -284,7 +284,7 @@
 // on every upstream although slots are free. A guard would accept it.
 func TestMissesDeadline(t *testing.T) {
 	const slowdown, left = 20, time.Second
-	p := newPlacer("own", "own")
+	p := newPlacer("local", "local")
 	p.Learn(at(0), "a", idle(slowdown))
 	p.Learn(at(0), "b", idle(slowdown))
 	c := choose(t, p, at(1))
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -41,7 +41,7 @@
 	// from a request to another zone that saves less.
 	DefaultCrossZonePenalty = 40 * time.Millisecond
 	// targetShare is the share of the target latency within which an upstream of the
-	// own zone is good enough.
+	// local zone is good enough.
 	targetShare = 0.85
 	// jitter spreads the requests of entries that know the same loads.
 	jitter = 0.1
@@ -151,12 +151,12 @@
 // Mean returns the mean slowdown of the service.
 func (p *Placer) Mean() float64 { return p.meanSlowdown }
 
-// ToAsk returns up to n upstreams to which to send a load query: those of the own zone if
+// ToAsk returns up to n upstreams to which to send a load query: those of the local zone if
 // local is set, otherwise those of other zones. Upstreams whose load is younger than
 // maxAge are left out. The upstreams with the shortest expected times are returned, except
 // that the last of the n is drawn at random from the remaining ones.
 func (p *Placer) ToAsk(now model.Instant, req Ask, local bool, maxAge time.Duration, n int) []Upstream {
-	var stale []rated
+	var stale []scoredCandidate
 	for _, v := range p.order {
 		if (v.upstream.Zone == p.opts.Zone) != local || !preferredOnly.allows(v, now) {
 			continue
@@ -165,12 +165,12 @@
 			continue
 		}
 		t := p.expected(now, req, v)
-		stale = append(stale, rated{view: v, time: t, score: time.Duration(float64(t) * (1 + queryJitter*p.opts.Rand()))})
+		stale = append(stale, scoredCandidate{view: v, time: t, score: time.Duration(float64(t) * (1 + queryJitter*p.opts.Rand()))})
 	}
-	slices.SortFunc(stale, func(a, b rated) int { return cmp.Compare(a.score, b.score) })
+	slices.SortFunc(stale, func(a, b scoredCandidate) int { return cmp.Compare(a.score, b.score) })
 	if len(stale) > n {
-		drawn := n - 1 + int(p.opts.Rand()*float64(len(stale)-n+1))
-		stale[n-1] = stale[min(drawn, len(stale)-1)]
+		randomIndex := n - 1 + int(p.opts.Rand()*float64(len(stale)-n+1))
+		stale[n-1] = stale[min(randomIndex, len(stale)-1)]
 		stale = stale[:n]
 	}
 	ups := make([]Upstream, len(stale))
@@ -180,7 +180,7 @@
 	return ups
 }
 
-// Comfortable reports whether an upstream of the own zone is expected to respond well
+// Comfortable reports whether an upstream of the local zone is expected to respond well
 // within the target latency.
 func (p *Placer) Comfortable(now model.Instant, req Ask) bool {
 	_, _, bestLocal := p.rank(now, req, preferredOnly)
@@ -201,28 +201,28 @@
 // that returns true must be followed by one call of Done. Choose returns false if every
 // candidate is excluded.
 func (p *Placer) Choose(now model.Instant, req Ask) (Choice, bool) {
-	var best, second, bestLocal rated
+	var best, second, bestLocal scoredCandidate
 	for e := preferredOnly; e <= includeUnreachable && best.view == nil; e++ {
 		best, second, bestLocal = p.rank(now, req, e)
 	}
 	if best.view == nil {
 		return Choice{}, false
 	}
-	pick, other := best, second
+	chosen, alternative := best, second
 	if bestLocal.view != nil && bestLocal.view != best.view && req.Target > 0 && bestLocal.time < time.Duration(targetShare*float64(req.Target)) {
-		pick, other = bestLocal, best
+		chosen, alternative = bestLocal, best
 	}
-	pick.view.inFlight++
-	age := now.Sub(pick.view.loadAt)
-	if !pick.view.hasLoad {
+	chosen.view.inFlight++
+	age := now.Sub(chosen.view.loadAt)
+	if !chosen.view.hasLoad {
 		age = math.MaxInt64
 	}
-	return Choice{Upstream: pick.view.upstream, Expected: pick.time, Alternative: other.time, Age: age}, true
+	return Choice{Upstream: chosen.view.upstream, Expected: chosen.time, Alternative: alternative.time, Age: age}, true
 }
 
 // rated is a candidate with the expected time of the request and a score, which adds
 // jitter and the cross-zone penalty.
-type rated struct {
+type scoredCandidate struct {
 	view  *view
 	score time.Duration
 	time  time.Duration
@@ -255,8 +255,8 @@
 	}
 }
 
-// rank returns the best candidate, the second best, and the best one of the own zone.
-func (p *Placer) rank(now model.Instant, req Ask, e eligibility) (best, second, bestLocal rated) {
+// rank returns the best candidate, the second best, and the best one of the local zone.
+func (p *Placer) rank(now model.Instant, req Ask, e eligibility) (best, second, bestLocal scoredCandidate) {
 	for _, v := range p.order {
 		if !e.allows(v, now) {
 			continue
@@ -265,7 +265,7 @@
 			continue
 		}
 		t := p.expected(now, req, v)
-		r := rated{view: v, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
+		r := scoredCandidate{view: v, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
 		local := v.upstream.Zone == p.opts.Zone
 		if !local {
 			r.score += p.opts.CrossZonePenalty
