--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -54,6 +54,7 @@
 // Budget limits the retries of one service at one entry with a token bucket. It is not
 // safe for concurrent use.
 type Budget struct {
+	// share is the number of tokens that each request adds.
 	share  float64
 	tokens float64
 	// attempts and failures are recent counts, halved every halfLife.
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -3,10 +3,11 @@
 // # Concept
 //
 // A retry adds load to a service that has just failed a request, so retries are limited
-// by a Budget for each service at each entry. Each request adds a fraction of a token,
-// each retry takes a whole token, and a limited number of tokens can be saved up. While
-// more than half of the recent attempts fail, retries are disabled, because the problem
-// is then not limited to one upstream.
+// by a Budget. Each entry (the proxy that accepts the requests of callers) has one for
+// each service. Each request adds a fraction of a token, each retry takes a whole token,
+// and a limited number of tokens can be saved up. While more than half of the recent
+// attempts fail, retries are disabled, because the problem is then not limited to one
+// upstream.
 //
 // Backoff delays the remaining retries by random times, and rejects a retry if too
 // little time remains until the deadline.
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -14,7 +14,7 @@
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
-		failureRate := rapid.Float64Range(0, 1).Draw(t, "failure rate")
+		failureRate := rapid.Float64Range(0, 1).Draw(t, "failing")
 		b := NewBudget(share)
 		requests, retries := 0.0, 0.0
 		for i := range rapid.IntRange(1, 2000).Draw(t, "requests") {
