--- a/core/measure/doc.go
+++ b/core/measure/doc.go
@@ -4,8 +4,8 @@
 // # Budget
 //
 // Each upstream of a service has a Budget. Everything that measuring takes from the
-// upstream is converted to slot time and charged to it: the time for which a poll or
-// probe occupies the upstream, the connections opened, and the bytes transferred. The
+// upstream is converted to slot time and charged to the Budget: the time for which a poll
+// or probe occupies the upstream, the connections opened, and the bytes transferred. The
 // largest possible cost is reserved before a measurement, so that a slow response
 // cannot exceed the budget, and the unused part is returned afterwards. The budget is a
 // share of the upstream's capacity and a hard limit: within any time window, the
@@ -13,12 +13,13 @@
 //
 // # Trust
 //
-// The guard knows exactly how many requests it has running. A report of the upstream
-// may be late or false. A Trust compares each report with what the guard observed
-// during the time that the report may refer to. A report of fewer requests than were
-// certainly running is contradicted. A report of additional requests from elsewhere is
-// trusted, in part, only if requests are really slowed down. Trusted reports can only
-// increase the load that entries see.
+// The guard, the proxy in front of the upstream, knows exactly how many requests it has
+// running there. A report of the upstream may be late or false. A Trust compares each
+// report with what the guard observed during the time that the report may refer to. A
+// report of fewer requests than were certainly running is contradicted. A report of
+// additional requests from elsewhere is trusted, in part, only if requests are really
+// slowed down. Trusted reports can only increase the load that is reported to entries,
+// which choose the upstreams.
 //
 // # Schedule
 //
