--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -17,8 +17,8 @@
 	// cannot meet its target. Beyond that, its caller is better off retrying later.
 	// urgentUsefulShare applies to requests before the last rank, such as nested calls
 	// whose parent fails without them: refusing one wastes the work already done for
-	// its parent. In a mesh whose nested calls were short of slots, with parents of 60
-	// ms and calls of 15 ms, the larger share increased the value of the completed
+	// its parent. In a mesh whose nested calls were short of slots, with parents of
+	// 60 ms and calls of 15 ms, the larger share increased the value of the completed
 	// requests by a tenth.
 	usefulShare       = 0.5
 	urgentUsefulShare = 0.85
--- a/core/slots/admit_test.go
+++ b/core/slots/admit_test.go
@@ -27,7 +27,7 @@
 		"full, soon enough":           {4, 4, arrival(func(*Arrival) {}), Speed{Slow: 1}, Admitted, 225 * ms},
 		"full, too late":              {4, 20, arrival(func(*Arrival) {}), Speed{Slow: 1}, Full, 625 * ms},
 		"full, late but urgent":       {4, 20, arrival(func(a *Arrival) { a.Urgent = true }), Speed{Slow: 1}, Admitted, 625 * ms},
-		"slow with room":              {0, 0, arrival(func(*Arrival) {}), Speed{Slow: 7}, Admitted, 700 * ms},
+		"slow, free slots":            {0, 0, arrival(func(*Arrival) {}), Speed{Slow: 7}, Admitted, 700 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := New(4)
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -1,5 +1,6 @@
 // Package slots decides which of the requests that wait for an upstream starts next,
-// and which of them need not wait any longer.
+// and which of them need not wait any longer. They wait at the upstream's guard, the
+// proxy in front of it.
 //
 // Requests with a lower rank start first. Within a rank, requests that can still meet
 // their target latency start first. Among these, the kinds of requests get equal shares
