--- a/core/outcome/doc.go
+++ b/core/outcome/doc.go
@@ -3,9 +3,10 @@
 //
 // Answered means that this process has received the upstream's complete response.
 // NotRun means that the request provably did not start: no byte of it reached an
-// upstream, the guard withdrew it while it was still queued, or the upstream refused it
-// with a documented signal. Unknown covers everything else: the request may or may not
-// have run. Without proof an outcome is Unknown, never NotRun.
+// upstream, the guard (the proxy in front of the upstream) withdrew it while it was
+// still queued, or the upstream refused it with a documented signal. Unknown covers
+// everything else: the request may or may not have run. Without proof an outcome is
+// Unknown, never NotRun.
 //
 // An Outcome is a value and not an error, because an overloaded or failing upstream is
 // an ordinary event for a load balancer.
