--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -12,10 +12,10 @@
 )
 
 // newMembers returns the given number of daemons in each of the zones z0, z1 and so on.
-func newMembers(zones, each int) []Member {
+func newMembers(zones, perZone int) []Member {
 	var out []Member
 	for z := range zones {
-		for i := range each {
+		for i := range perZone {
 			out = append(out, Member{Address: fmt.Sprint(z, "-", i), Zone: model.AvailabilityZone(fmt.Sprint("z", z))})
 		}
 	}
@@ -27,7 +27,7 @@
 	for name, c := range map[string]struct {
 		members []Member
 		origin  bool
-		// local is the number of selected daemons in the own zone. The number in other
+		// local is the number of selected daemons in the local zone. The number in other
 		// zones is between minRemote and maxRemote.
 		local, minRemote, maxRemote int
 	}{
--- a/core/gossip/targets.go
+++ b/core/gossip/targets.go
@@ -44,7 +44,7 @@
 		out = append(out, t.sample(remote, 1)...)
 	}
 	if len(out) < fanOut {
-		// The own zone has too few daemons for the update to spread reliably.
+		// The local zone has too few daemons for the update to spread reliably.
 		out = appendNew(out, t.sample(remote, fanOut-len(out)))
 	}
 	return out
@@ -66,7 +66,7 @@
 // drawCrossZone decides at random whether to select a daemon of another zone.
 func (t Targets) drawCrossZone() bool { return t.Draw(int(1/crossZoneShare)) == 0 }
 
-// splitByZone separates the members of the own zone from the others.
+// splitByZone separates the members of the local zone from the others.
 func (t Targets) splitByZone(members []Member) (local, remote []Member) {
 	for _, m := range members {
 		if m.Zone == t.Zone {
