--- a/core/watch/roster.go
+++ b/core/watch/roster.go
@@ -57,7 +57,8 @@
 	// when its calls began to fail, or when it began to watch.
 	reaches      bool
 	failingSince model.Instant
-	yieldUntil   model.Instant
+	// yieldUntil is when this daemon may watch again after it has yielded.
+	yieldUntil model.Instant
 	// lastHeartbeat is when the last heartbeat was sent. Zero means that one is due
 	// now.
 	lastHeartbeat model.Instant
@@ -72,7 +73,7 @@
 	}
 }
 
-// SetMembers sets the daemons of the own zone that are reachable and not about to stop,
+// SetMembers sets the daemons of the local zone that are reachable and not about to stop,
 // including this one, and the number of zones.
 func (r *Roster) SetMembers(zoneMembers []string, zones int) {
 	ordered := slices.Clone(zoneMembers)
