--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -64,8 +64,8 @@
 func Expected(serviceTime time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
 	runTime := float64(serviceTime) * slowdown
 	wait := 0.0
-	if over := ahead + 1 - limit; over > 0 {
-		wait = float64(over) * runTime / float64(limit)
+	if excess := ahead + 1 - limit; excess > 0 {
+		wait = float64(excess) * runTime / float64(limit)
 	}
 	return time.Duration((runTime + wait) / (1 - min(failureRate, maxFailureRate)))
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -296,8 +296,8 @@
 	if v == nil {
 		return
 	}
-	rtt, exists := p.roundTrips[v.upstream.Zone]
-	if exists && took > rtt {
+	rtt, known := p.roundTrips[v.upstream.Zone]
+	if known && took > rtt {
 		took = rtt + (took-rtt)/rttSmoothing
 	}
 	p.roundTrips[v.upstream.Zone] = took
@@ -307,8 +307,8 @@
 // there are none, which is the usual case.
 func (p *Placer) Beyond(rtt time.Duration) map[model.AvailabilityZone]bool {
 	var far map[model.AvailabilityZone]bool
-	for z, known := range p.roundTrips {
-		if known <= rtt {
+	for z, zoneRTT := range p.roundTrips {
+		if zoneRTT <= rtt {
 			continue
 		}
 		if far == nil {
