--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -61,9 +61,9 @@
 	selector := Targets{Zone: "z0", Draw: rand.New(rand.NewPCG(1, 1)).IntN}
 	_, ok := selector.Partner(nil)
 	require.False(t, ok)
-	only, ok := selector.Partner([]Member{{Address: "x", Zone: "z1"}})
+	single, ok := selector.Partner([]Member{{Address: "x", Zone: "z1"}})
 	require.True(t, ok)
-	require.Equal(t, "x", only.Address)
+	require.Equal(t, "x", single.Address)
 	const draws = 8000
 	all, remote := newMembers(5, 30), 0
 	for range draws {
--- a/core/gossip/targets.go
+++ b/core/gossip/targets.go
@@ -40,7 +40,7 @@
 	switch {
 	case origin:
 		out = append(out, onePerZone(t.sample(remote, len(remote)))...)
-	case t.drawCrossZone():
+	case t.chooseCrossZone():
 		out = append(out, t.sample(remote, 1)...)
 	}
 	if len(out) < fanOut {
@@ -54,7 +54,7 @@
 // is none.
 func (t Targets) Partner(members []Member) (Member, bool) {
 	candidates, remote := t.splitByZone(members)
-	if len(candidates) == 0 || len(remote) > 0 && t.drawCrossZone() {
+	if len(candidates) == 0 || len(remote) > 0 && t.chooseCrossZone() {
 		candidates = remote
 	}
 	if len(candidates) == 0 {
@@ -63,8 +63,8 @@
 	return candidates[t.Draw(len(candidates))], true
 }
 
-// drawCrossZone decides at random whether to select a daemon of another zone.
-func (t Targets) drawCrossZone() bool { return t.Draw(int(1/crossZoneShare)) == 0 }
+// chooseCrossZone decides at random whether to select a daemon of another zone.
+func (t Targets) chooseCrossZone() bool { return t.Draw(int(1/crossZoneShare)) == 0 }
 
 // splitByZone separates the members of the local zone from the others.
 func (t Targets) splitByZone(members []Member) (local, remote []Member) {
