--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -101,7 +101,7 @@
 		"local upstream is full":                             {Load{Running: 4, Waiting: 12, Limit: 4, Slow: 1}, idle(1), "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlacer("local", "remote")
+			p := newPlacer("local", "other")
 			p.Learn(at(0), "a", c.local)
 			p.Learn(at(0), "b", c.remote)
 			require.Equal(t, c.want, choose(t, p, at(1)).Upstream.Key)
@@ -110,7 +110,7 @@
 }
 
 func TestSmallGainDoesNotCrossZones(t *testing.T) {
-	p := newPlacer("local", "remote")
+	p := newPlacer("local", "other")
 	p.Learn(at(0), "a", idle(1.2))
 	p.Learn(at(0), "b", idle(1))
 	c, ok := p.Choose(at(1), Ask{Work: serviceTime})
@@ -210,13 +210,13 @@
 }
 
 func TestQueryTargets(t *testing.T) {
-	p := newPlacer("local", "local", "local", "remote", "remote")
+	p := newPlacer("local", "local", "local", "other", "other")
 	p.Learn(at(0), "a", idle(1))
 	local := p.ToAsk(at(1), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4)
 	require.Len(t, local, 2, "the load of a is known")
 	remote := p.ToAsk(at(1), Ask{Work: serviceTime}, false, 15*time.Millisecond, 1)
 	require.Len(t, remote, 1)
-	require.Equal(t, model.AvailabilityZone("remote"), remote[0].Zone)
+	require.Equal(t, model.AvailabilityZone("other"), remote[0].Zone)
 	require.Len(t, p.ToAsk(at(100), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4), 3, "the load of a is too old")
 	p.Unreachable(at(100), "b")
 	require.Len(t, p.ToAsk(at(101), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4), 2)
@@ -232,7 +232,7 @@
 }
 
 func TestLocalMeetsTarget(t *testing.T) {
-	p := newPlacer("local", "remote")
+	p := newPlacer("local", "other")
 	p.Learn(at(0), "a", idle(1))
 	require.True(t, p.Comfortable(at(1), Ask{Work: serviceTime, Target: target}))
 	p.Learn(at(1), "a", idle(4))
