--- a/core/slots/shares.go
+++ b/core/slots/shares.go
@@ -5,10 +5,10 @@
 // Kind identifies the requests of one route. Its numeric value has no meaning.
 type Kind uint16
 
-// fairShares gives all kinds of requests of one rank equal shares of the work by
-// start-time fair queueing (SFQ). Starting a request advances the tag of its kind by
-// the request's work. The kind with the lowest tag starts next. A kind earns no credit
-// while it has no waiting requests.
+// fairShares gives all kinds of requests of one rank equal shares of the service time by
+// start-time fair queueing (SFQ). Starting a request advances the tag of its kind by the
+// request's usual service time. The kind with the lowest tag starts next. A kind earns no
+// credit while it has no waiting requests.
 type fairShares struct {
 	// virtualTime is the start tag of the last request that was started.
 	virtualTime time.Duration
@@ -20,12 +20,12 @@
 func (s *fairShares) startTag(k Kind) time.Duration { return max(s.virtualTime, s.finishTags[k]) }
 
 // charge advances the tag of a kind when one of its requests starts.
-func (s *fairShares) charge(k Kind, work time.Duration) {
+func (s *fairShares) charge(k Kind, serviceTime time.Duration) {
 	s.virtualTime = s.startTag(k)
 	if s.finishTags == nil {
 		s.finishTags = make(map[Kind]time.Duration)
 	}
-	s.finishTags[k] = s.virtualTime + work
+	s.finishTags[k] = s.virtualTime + serviceTime
 	for other, finishTag := range s.finishTags {
 		if finishTag <= s.virtualTime {
 			delete(s.finishTags, other)
