--- a/core/outcome/reason.go
+++ b/core/outcome/reason.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// details says for each reason what happened, in a sentence for the caller.
-var details = map[Reason]string{
+// detailTexts describes each reason in a sentence for the caller.
+var detailTexts = map[Reason]string{
 	ReasonNoService:        "No service has this name or host.",
 	ReasonNoUpstream:       "No upstream of the service may take the request now.",
 	ReasonUnauthenticated:  "The credentials or the call token are not valid.",
@@ -41,8 +41,8 @@
 	ReasonUpgradeForbidden: "Changing to another protocol is not supported.",
 }
 
-// Detail says in a sentence what the reason means. It is empty for ReasonNone.
-func (r Reason) Detail() string { return details[r] }
+// Detail describes the reason in a sentence. It is empty for ReasonNone.
+func (r Reason) Detail() string { return detailTexts[r] }
 
-// Reasons returns all reasons but ReasonNone, sorted.
-func Reasons() []Reason { return slices.Sorted(maps.Keys(details)) }
+// Reasons returns all reasons except ReasonNone, sorted.
+func Reasons() []Reason { return slices.Sorted(maps.Keys(detailTexts)) }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -10,112 +10,116 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Upstream is a candidate.
+// Upstream describes a candidate.
 type Upstream struct {
-	// Key names the incarnation of the upstream.
+	// Key identifies the incarnation of the upstream.
 	Key string
-	// Daemon guards it.
+	// Daemon is the daemon whose guard is in front of the upstream.
 	Daemon model.DaemonID
 	Zone   model.AvailabilityZone
 	Slots  int
-	// ColdUntil is when it stops being slow after its start.
+	// ColdUntil is the expected end of the slow phase after the upstream's start.
 	ColdUntil model.Instant
-	// Stopping tells that its daemon is about to stop. It serves while it can, but
-	// is chosen only where no other can be.
+	// Stopping is set if the upstream's daemon is about to stop. The upstream still
+	// serves requests, but is chosen only if no other can be.
 	Stopping bool
 }
 
 // Options configure a Placer.
 type Options struct {
-	// Zone is the own availability zone.
+	// Zone is the availability zone of this entry.
 	Zone model.AvailabilityZone
-	// Crossing is the price of crossing into another zone as the time that an
-	// upstream there must be faster. Default: DefaultCrossing.
-	Crossing time.Duration
-	// Rand draws from 0 to 1. Default: rand.Float64.
+	// CrossZonePenalty is the time by which an upstream in another zone must be faster
+	// to be chosen. Default: DefaultCrossZonePenalty.
+	CrossZonePenalty time.Duration
+	// Rand returns random numbers from 0 to below 1. Default: rand.Float64.
 	Rand func() float64
 }
 
 const (
-	// DefaultCrossing is a few round trips between zones: below that a crossing
-	// gains callers nothing.
-	DefaultCrossing = 40 * time.Millisecond
-	// comfort is the share of the target latency within which an upstream of the
-	// own zone is good enough.
-	comfort = 0.85
-	// jitter spreads the choices of entries that know the same.
+	// DefaultCrossZonePenalty is a few round trips between zones. Callers gain nothing
+	// from a request to another zone that saves less.
+	DefaultCrossZonePenalty = 40 * time.Millisecond
+	// targetShare is the share of the target latency within which an upstream of the
+	// local zone is good enough.
+	targetShare = 0.85
+	// jitter spreads the requests of entries that know the same loads.
 	jitter = 0.1
-	// avoidance is how long an upstream is passed over after it could not be
+	// unreachablePause is how long an upstream is avoided after it could not be
 	// reached. Its daemon is usually back within a second or two.
-	avoidance = 300 * time.Millisecond
-	// askJitter spreads whom entries ask that know the same.
-	askJitter = 0.5
-	// tripForgets makes a way that has become longer known within a few hundred
-	// questions, less than a second of a loaded entry.
-	tripForgets = 64
-	// othersWeight makes the mean load by others cover about 8 answers.
+	unreachablePause = 300 * time.Millisecond
+	// queryJitter spreads the load queries of entries that know the same loads.
+	queryJitter = 0.5
+	// rttSmoothing is the divisor with which a round-trip time rises. A lasting
+	// increase is learned within a few hundred load queries, which a loaded entry sends
+	// in less than a second.
+	rttSmoothing = 64
+	// othersWeight makes the mean number of requests of other entries cover about 8
+	// loads.
 	othersWeight = 1.0 / 8
 )
 
-// Ask is what is to be placed.
+// Ask describes a request that needs an upstream.
 type Ask struct {
-	// Work is the time that the request usually runs where nothing slows it.
+	// Work is the usual service time of the request.
 	Work time.Duration
-	// Target is the latency that is aimed at. Zero means none.
+	// Target is the target latency. Zero means none.
 	Target time.Duration
-	// Exclude reports whether an upstream is out of the question.
+	// Exclude reports whether the upstream must not be used.
 	Exclude func(Upstream) bool
 }
 
-// Choice is a chosen upstream.
+// Choice is the result of Placer.Choose.
 type Choice struct {
 	Upstream Upstream
-	// Expected is the time until the request ends there, Alternative until it
-	// ends at the best of the others. Alternative is zero when there is none.
+	// Expected is the time until the request is expected to complete at Upstream.
+	// Alternative is that time for the best other upstream, or zero if there is none.
 	Expected    time.Duration
 	Alternative time.Duration
-	// Age is how old the knowledge is that Expected rests on.
+	// Age is the age of the load from which Expected was calculated.
 	Age time.Duration
 }
 
-// OutOfReach reports whether a request that some guards had no room for is better refused
-// than sent where it was chosen to go: it would miss the target, of which so much time is
-// left, and take room there from others that would not. Its caller does better to come
-// back. Zero means that there is no target.
-func (c *Choice) OutOfReach(full int, target time.Duration) bool {
-	return full > 0 && target != 0 && c.Expected > target
+// OutOfReach reports whether a request should be refused rather than sent to the chosen
+// upstream: fullGuards guards, at least one, have rejected it for lack of capacity, and it
+// would miss its target there. It would then take a slot from requests that can still meet
+// theirs, and its caller is better off retrying later. left is the time until the target,
+// or zero if there is none.
+func (c *Choice) OutOfReach(fullGuards int, left time.Duration) bool {
+	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
-// Unservable reports whether a request is known to end past its deadline, of which so much
-// time is left, wherever it is sent. A guard with a free slot would run it all the same and
-// keep its caller waiting.
+// Unservable reports whether the request is known to miss its deadline on every upstream.
+// A guard with a free slot would accept it all the same and keep its caller waiting in
+// vain. left is the time until the deadline.
 func (c *Choice) Unservable(left time.Duration) bool {
-	return c.Age < surelyFull && c.Expected > left
+	return c.Age < maxRefusalAge && c.Expected > left
 }
 
-// Placer chooses among the upstreams of one service. It is not safe for
-// concurrent use.
+// Placer chooses among the upstreams of one service. It is not safe for concurrent use.
 type Placer struct {
-	opts  Options
+	opts Options
+	// views holds the candidates by key, order in the order in which they were given.
 	views map[string]*view
 	order []*view
-	mean  float64
-	// trips are the times to the guards of each zone and back.
-	trips map[model.AvailabilityZone]time.Duration
+	// meanSlowdown is the mean slowdown of the service.
+	meanSlowdown float64
+	// roundTrips holds the round-trip time to the guards of each zone.
+	roundTrips map[model.AvailabilityZone]time.Duration
 }
 
 // New returns a Placer without upstreams.
 func New(opts Options) *Placer {
-	if opts.Crossing <= 0 {
-		opts.Crossing = DefaultCrossing
+	if opts.CrossZonePenalty <= 0 {
+		opts.CrossZonePenalty = DefaultCrossZonePenalty
 	}
 	if opts.Rand == nil {
 		opts.Rand = rand.Float64
 	}
-	return &Placer{opts: opts, views: make(map[string]*view), mean: usualSlow, trips: make(map[model.AvailabilityZone]time.Duration)}
+	return &Placer{opts: opts, views: make(map[string]*view), meanSlowdown: initialSlowdown, roundTrips: make(map[model.AvailabilityZone]time.Duration)}
 }
 
-// Set replaces the candidates. What is known of those that stay is kept.
+// Set replaces the candidates. What is known about candidates that remain is kept.
 func (p *Placer) Set(ups []Upstream) {
 	views := make(map[string]*view, len(ups))
 	p.order = p.order[:0]
@@ -124,7 +128,7 @@
 		if v == nil {
 			v = &view{}
 		}
-		v.up = up
+		v.upstream = up
 		views[up.Key] = v
 		p.order = append(p.order, v)
 	}
@@ -134,131 +138,137 @@
 // Len returns the number of candidates.
 func (p *Placer) Len() int { return len(p.order) }
 
-// Outstanding returns how many requests Choose has counted that Done has not ended.
+// Outstanding returns the number of requests that Choose has placed and for which Done
+// has not been called yet.
 func (p *Placer) Outstanding() int {
 	n := 0
 	for _, v := range p.order {
-		n += v.mine
+		n += v.inFlight
 	}
 	return n
 }
 
-// Mean returns the mean slowness of the service.
-func (p *Placer) Mean() float64 { return p.mean }
+// Mean returns the mean slowdown of the service.
+func (p *Placer) Mean() float64 { return p.meanSlowdown }
 
-// ToAsk returns up to most upstreams, of the own zone or of the others, whose
-// load is not known from within the last maxAge. Those are first that are expected
-// to be fastest, but for one that is drawn.
-func (p *Placer) ToAsk(now model.Instant, ask Ask, near bool, maxAge time.Duration, most int) []Upstream {
-	var stale []rated
+// ToAsk returns up to n upstreams to which to send a load query: those of the local zone if
+// local is set, otherwise those of other zones. Upstreams whose load is younger than
+// maxAge are left out. The upstreams with the shortest expected times are returned, except
+// that the last of the n is drawn at random from the remaining ones.
+func (p *Placer) ToAsk(now model.Instant, req Ask, local bool, maxAge time.Duration, n int) []Upstream {
+	var stale []scoredCandidate
 	for _, v := range p.order {
-		if (v.up.Zone == p.opts.Zone) != near || !readily.takes(v, now) {
+		if (v.upstream.Zone == p.opts.Zone) != local || !preferredOnly.allows(v, now) {
 			continue
 		}
-		if ask.Exclude != nil && ask.Exclude(v.up) || v.known && now.Sub(v.loadAt) < maxAge {
+		if req.Exclude != nil && req.Exclude(v.upstream) || v.hasLoad && now.Sub(v.loadAt) < maxAge {
 			continue
 		}
-		t := p.expected(now, ask, v)
-		stale = append(stale, rated{view: v, time: t, score: time.Duration(float64(t) * (1 + askJitter*p.opts.Rand()))})
+		t := p.expected(now, req, v)
+		stale = append(stale, scoredCandidate{view: v, time: t, score: time.Duration(float64(t) * (1 + queryJitter*p.opts.Rand()))})
 	}
-	slices.SortFunc(stale, func(a, b rated) int { return cmp.Compare(a.score, b.score) })
-	if len(stale) > most {
-		drawn := most - 1 + int(p.opts.Rand()*float64(len(stale)-most+1))
-		stale[most-1] = stale[min(drawn, len(stale)-1)]
-		stale = stale[:most]
+	slices.SortFunc(stale, func(a, b scoredCandidate) int { return cmp.Compare(a.score, b.score) })
+	if len(stale) > n {
+		randomIndex := n - 1 + int(p.opts.Rand()*float64(len(stale)-n+1))
+		stale[n-1] = stale[min(randomIndex, len(stale)-1)]
+		stale = stale[:n]
 	}
 	ups := make([]Upstream, len(stale))
 	for i := range stale {
-		ups[i] = stale[i].view.up
+		ups[i] = stale[i].view.upstream
 	}
 	return ups
 }
 
-// Comfortable reports whether an upstream of the own zone is expected to answer
-// well inside the target.
-func (p *Placer) Comfortable(now model.Instant, ask Ask) bool {
-	_, _, near := p.rank(now, ask, readily)
-	if near.view == nil {
+// Comfortable reports whether an upstream of the local zone is expected to respond well
+// within the target latency.
+func (p *Placer) Comfortable(now model.Instant, req Ask) bool {
+	_, _, bestLocal := p.rank(now, req, preferredOnly)
+	if bestLocal.view == nil {
 		return false
 	}
-	return ask.Target <= 0 || near.time < time.Duration(comfort*float64(ask.Target))
+	return req.Target <= 0 || bestLocal.time < time.Duration(targetShare*float64(req.Target))
 }
 
-// Learn takes in the load of an upstream.
+// Learn records the load of an upstream.
 func (p *Placer) Learn(now model.Instant, key string, load Load) {
 	if v := p.views[key]; v != nil {
-		p.learn(now, v, load)
+		p.updateLoad(now, v, load)
 	}
 }
 
-// Choose returns the upstream for a request and counts it as sent there; Done
-// must follow. It reports false when every candidate is excluded.
-func (p *Placer) Choose(now model.Instant, ask Ask) (Choice, bool) {
-	var best, second, near rated
-	for r := readily; r <= evenAvoided && best.view == nil; r++ {
-		best, second, near = p.rank(now, ask, r)
+// Choose returns the upstream for a request and counts the request as sent. Every call
+// that returns true must be followed by one call of Done. Choose returns false if every
+// candidate is excluded.
+func (p *Placer) Choose(now model.Instant, req Ask) (Choice, bool) {
+	var best, second, bestLocal scoredCandidate
+	for e := preferredOnly; e <= includeUnreachable && best.view == nil; e++ {
+		best, second, bestLocal = p.rank(now, req, e)
 	}
 	if best.view == nil {
 		return Choice{}, false
 	}
-	pick, other := best, second
-	if near.view != nil && near.view != best.view && ask.Target > 0 && near.time < time.Duration(comfort*float64(ask.Target)) {
-		pick, other = near, best
+	chosen, alternative := best, second
+	if bestLocal.view != nil && bestLocal.view != best.view && req.Target > 0 && bestLocal.time < time.Duration(targetShare*float64(req.Target)) {
+		chosen, alternative = bestLocal, best
 	}
-	pick.view.mine++
-	age := now.Sub(pick.view.loadAt)
-	if !pick.view.known {
+	chosen.view.inFlight++
+	age := now.Sub(chosen.view.loadAt)
+	if !chosen.view.hasLoad {
 		age = math.MaxInt64
 	}
-	return Choice{Upstream: pick.view.up, Expected: pick.time, Alternative: other.time, Age: age}, true
+	return Choice{Upstream: chosen.view.upstream, Expected: chosen.time, Alternative: alternative.time, Age: age}, true
 }
 
-// rated is a candidate with its expected time.
-type rated struct {
+// rated is a candidate with the expected time of the request and a score, which adds
+// jitter and the cross-zone penalty.
+type scoredCandidate struct {
 	view  *view
 	score time.Duration
 	time  time.Duration
 }
 
-// reluctance orders the candidates that are taken only where there is no better one.
-type reluctance uint8
+// eligibility says which candidates may be chosen. Higher values allow more of them and
+// are used only if the lower ones leave no candidate.
+type eligibility uint8
 
 const (
-	// readily takes those that can be reached and are to stay.
-	readily reluctance = iota
-	// evenStopping takes those too whose daemons are about to stop: they serve until
-	// they refuse.
-	evenStopping
-	// evenAvoided takes all, also those that could not be reached of late.
-	evenAvoided
+	// preferredOnly allows upstreams that are reachable and whose daemons keep running.
+	preferredOnly eligibility = iota
+	// includeStopping also allows upstreams whose daemons are about to stop. They serve
+	// requests until the daemon refuses them.
+	includeStopping
+	// includeUnreachable allows all upstreams, also those that recently could not be
+	// reached.
+	includeUnreachable
 )
 
-// takes reports whether a candidate is taken.
-func (r reluctance) takes(v *view, now model.Instant) bool {
-	switch r {
-	case readily:
-		return v.avoidUntil <= now && !v.up.Stopping
-	case evenStopping:
-		return v.avoidUntil <= now
+// allows reports whether the candidate may be chosen.
+func (e eligibility) allows(v *view, now model.Instant) bool {
+	switch e {
+	case preferredOnly:
+		return v.unreachableUntil <= now && !v.upstream.Stopping
+	case includeStopping:
+		return v.unreachableUntil <= now
 	default:
 		return true
 	}
 }
 
-// rank returns the best candidate, the second best, and the best of the own zone.
-func (p *Placer) rank(now model.Instant, ask Ask, r reluctance) (best, second, near rated) {
+// rank returns the best candidate, the second best, and the best one of the local zone.
+func (p *Placer) rank(now model.Instant, req Ask, e eligibility) (best, second, bestLocal scoredCandidate) {
 	for _, v := range p.order {
-		if !r.takes(v, now) {
+		if !e.allows(v, now) {
 			continue
 		}
-		if ask.Exclude != nil && ask.Exclude(v.up) {
+		if req.Exclude != nil && req.Exclude(v.upstream) {
 			continue
 		}
-		t := p.expected(now, ask, v)
-		r := rated{view: v, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
-		local := v.up.Zone == p.opts.Zone
+		t := p.expected(now, req, v)
+		r := scoredCandidate{view: v, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
+		local := v.upstream.Zone == p.opts.Zone
 		if !local {
-			r.score += p.opts.Crossing
+			r.score += p.opts.CrossZonePenalty
 		}
 		switch {
 		case best.view == nil || r.score < best.score:
@@ -266,39 +276,39 @@
 		case second.view == nil || r.score < second.score:
 			second = r
 		}
-		if local && (near.view == nil || r.score < near.score) {
-			near = r
+		if local && (bestLocal.view == nil || r.score < bestLocal.score) {
+			bestLocal = r
 		}
 	}
-	return best, second, near
+	return best, second, bestLocal
 }
 
-// expected returns the time until the request would end at an upstream, with the way
-// there and back.
-func (p *Placer) expected(now model.Instant, ask Ask, v *view) time.Duration {
-	return p.trips[v.up.Zone] + Expected(ask.Work, v.slow(now, p.mean), v.ahead(now), v.limit(), v.failing(now))
+// expected returns the time until the request would complete at an upstream, including
+// the round trip to its zone.
+func (p *Placer) expected(now model.Instant, req Ask, v *view) time.Duration {
+	return p.roundTrips[v.upstream.Zone] + Expected(req.Work, v.slowdown(now, p.meanSlowdown), v.expectedRequests(now), v.limit(), v.failureRate(now))
 }
 
-// Trip takes in how long a question to the guard of an upstream and its answer took.
-// The shortest counts, as others waited for a processor somewhere.
+// Trip records the round-trip time of a load query to the guard of an upstream. Longer
+// times than the known one count little, as they may include a wait for a CPU.
 func (p *Placer) Trip(key string, took time.Duration) {
 	v := p.views[key]
 	if v == nil {
 		return
 	}
-	trip, known := p.trips[v.up.Zone]
-	if known && took > trip {
-		took = trip + (took-trip)/tripForgets
+	rtt, known := p.roundTrips[v.upstream.Zone]
+	if known && took > rtt {
+		took = rtt + (took-rtt)/rttSmoothing
 	}
-	p.trips[v.up.Zone] = took
+	p.roundTrips[v.upstream.Zone] = took
 }
 
-// Beyond returns the zones whose guards are known to answer only after a wait. Usually
-// there is none, and the result is nil.
-func (p *Placer) Beyond(wait time.Duration) map[model.AvailabilityZone]bool {
+// Beyond returns the zones whose round-trip time is longer than rtt. It returns nil if
+// there are none, which is the usual case.
+func (p *Placer) Beyond(rtt time.Duration) map[model.AvailabilityZone]bool {
 	var far map[model.AvailabilityZone]bool
-	for z, trip := range p.trips {
-		if trip <= wait {
+	for z, zoneRTT := range p.roundTrips {
+		if zoneRTT <= rtt {
 			continue
 		}
 		if far == nil {
@@ -309,32 +319,35 @@
 	return far
 }
 
-// Done ends what Choose began. Load is nil where the guard told none.
+// Done records the end of a request that Choose has placed. load is nil if the guard
+// reported none.
 func (p *Placer) Done(now model.Instant, key string, load *Load) {
 	v := p.views[key]
 	if v == nil {
 		return
 	}
-	v.mine = max(v.mine-1, 0)
+	v.inFlight = max(v.inFlight-1, 0)
 	if load == nil {
 		return
 	}
-	p.learn(now, v, *load)
+	p.updateLoad(now, v, *load)
 }
 
-func (p *Placer) learn(now model.Instant, v *view, load Load) {
-	v.load, v.loadAt, v.known, v.mineThen = load, now, true, v.mine
-	v.avoidUntil = 0
-	others := max(float64(load.Running+load.Waiting-v.mine), 0)
-	v.others += (others - v.others) * othersWeight
+// learn records the load of an upstream. An upstream that reports a load is reachable.
+func (p *Placer) updateLoad(now model.Instant, v *view, load Load) {
+	v.load, v.loadAt, v.hasLoad, v.inFlightAtLoad = load, now, true, v.inFlight
+	v.unreachableUntil = 0
+	others := max(float64(load.Running+load.Waiting-v.inFlight), 0)
+	v.meanOthers += (others - v.meanOthers) * othersWeight
 	if load.Slow > 0 {
-		p.mean += (load.Slow - p.mean) * meanWeight
+		p.meanSlowdown += (load.Slow - p.meanSlowdown) * meanSlowdownWeight
 	}
 }
 
-// Unreachable passes an upstream over for a while, unless it is the last.
+// Unreachable records that an upstream could not be reached. It is avoided for a while
+// unless no other candidate is left.
 func (p *Placer) Unreachable(now model.Instant, key string) {
 	if v := p.views[key]; v != nil {
-		v.avoidUntil = now.Add(avoidance)
+		v.unreachableUntil = now.Add(unreachablePause)
 	}
 }
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -6,39 +6,41 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// expectedCompletion sends a request where it is expected to complete first:
-// the way there and back, the wait for a slot, how much slower than its peers
-// the upstream is, and how long it has been silent. While the request may still be given back, it is sent
-// with no patience (see the package comment).
+// expectedCompletion picks the upstream where the request is expected to complete
+// first. The estimate adds the round trip, the wait for a slot, the slowdown of the
+// upstream and the time for which it has been unexpectedly silent. While the request
+// may still be rejected, its queue timeout is zero (see the package comment).
 type expectedCompletion struct{}
 
 const (
-	// scanAll is the pool size up to which every candidate is scored; of a
-	// larger pool a sample is.
-	scanAll      = 16
+	// maxFullScan is the largest pool in which every candidate is scored. In a larger
+	// pool only a random sample is scored: sampleLocal candidates of the local zone and
+	// sampleRemote of other zones.
+	maxFullScan  = 16
 	sampleLocal  = 8
 	sampleRemote = 4
-	// occupancyCost is the cost of a fully occupied upstream in mean slot
-	// times: a fuller one is likelier to be taken when the request arrives.
+	// occupancyCost is the penalty, in typical service times, of an upstream whose slots
+	// are all occupied: the fuller an upstream, the likelier its last slot is taken
+	// before the request arrives.
 	occupancyCost = 0.2
-	// jitter spreads entries that see the same upstream idle, in mean slot
-	// times.
+	// jitter bounds the random part of a score, in typical service times. It spreads
+	// the requests of entries that see the same upstream idle.
 	jitter = 0.05
-	// bounceShare is the largest round trip, as a share of the mean slot time,
-	// for which being given back is cheap.
-	bounceShare = 0.25
-	// saturated is the occupancy, in limits, from which the best upstream is so
-	// full that a request queues there at once: bounces would cost hops and find
-	// nothing.
-	saturated = 2
-	// fallbackService stands in for the mean slot time before any is known, in
+	// maxRejectionRTT is the longest round trip, as a share of the typical service
+	// time, at which a rejection is cheap.
+	maxRejectionRTT = 0.25
+	// saturation is the number of requests at the best upstream, as a multiple of its
+	// limit, from which a request queues there immediately. All upstreams are then so
+	// full that rejections would only cost round trips.
+	saturation = 2
+	// defaultServiceTime is the typical service time assumed until one is known, in
 	// nanoseconds.
-	fallbackService = 2e6
+	defaultServiceTime = 2e6
 )
 
 func (p *expectedCompletion) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
 	s := search{r: r, now: now, exclude: exclude, panicking: panicking}
-	if len(r.candidates) <= scanAll {
+	if len(r.candidates) <= maxFullScan {
 		for _, c := range r.candidates {
 			s.consider(c)
 		}
@@ -52,11 +54,13 @@
 	return s.best
 }
 
-func (p *expectedCompletion) patience(r *Router, now model.Instant, c *candidate, bounced int) time.Duration {
-	if 2*float64(c.delay) > bounceShare*r.pool.meanService() {
+// queueTimeout returns zero while a rejection is cheap and another upstream may have a
+// free slot.
+func (p *expectedCompletion) queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration {
+	if 2*float64(c.oneWayDelay) > maxRejectionRTT*r.pool.typicalServiceTime() {
 		return WaitForDeadline
 	}
-	if c.occupied(now, &r.pool) >= saturated*float64(c.limit()) {
+	if c.estimatedRequests(now, &r.pool) >= saturation*float64(c.limit()) {
 		return WaitForDeadline
 	}
 	return 0
@@ -64,11 +68,13 @@
 
 func (p *expectedCompletion) hedges() bool { return true }
 
-func (p *pool) meanService() float64 {
-	if p.service == 0 {
-		return fallbackService
+// typicalServiceTime returns the median over the upstreams of the mean service time, in
+// nanoseconds.
+func (p *pool) typicalServiceTime() float64 {
+	if p.medianServiceTime == 0 {
+		return defaultServiceTime
 	}
-	return p.service
+	return p.medianServiceTime
 }
 
 // search finds the candidate with the lowest score.
@@ -81,6 +87,8 @@
 	score     float64
 }
 
+// sample scores n random candidates, with replacement, or all of them if there are no
+// more than n.
 func (s *search) sample(from []*candidate, n int) {
 	if len(from) <= n {
 		for _, c := range from {
@@ -93,25 +101,26 @@
 	}
 }
 
+// consider keeps the candidate if it is usable and its score is the lowest so far.
 func (s *search) consider(c *candidate) {
 	if !c.usable(s.now, s.exclude, s.panicking) {
 		return
 	}
-	score := s.r.completion(s.now, c)
+	score := s.r.score(s.now, c)
 	if s.best == nil || score < s.score {
 		s.best, s.score = c, score
 	}
 }
 
-// completion scores a candidate: the expected time until the request completes
-// beyond the mean slot time of an undisturbed upstream, in nanoseconds.
-func (r *Router) completion(now model.Instant, c *candidate) float64 {
-	service := r.pool.meanService()
-	slow := c.slowness(now, &r.pool)
-	limit := float64(c.limit()) * c.ramped(now, r.opts.Ramp)
-	occupied := c.occupied(now, &r.pool)
-	wait := max(occupied-limit+1, 0) / limit * slow
-	crowd := occupancyCost * min(occupied/limit, 1)
-	silence := c.silence(now, &r.pool)
-	return 2*float64(c.delay) + silence + service*(wait+crowd+slow-1+jitter*r.rng.Float64())
+// score returns the expected time until the request completes at the candidate, less
+// the typical service time, in nanoseconds. Lower is better.
+func (r *Router) score(now model.Instant, c *candidate) float64 {
+	serviceTime := r.pool.typicalServiceTime()
+	slowdown := c.slowdown(now, &r.pool)
+	limit := float64(c.limit()) * c.rampFraction(now, r.opts.Ramp)
+	requests := c.estimatedRequests(now, &r.pool)
+	wait := max(requests-limit+1, 0) / limit * slowdown
+	occupancyPenalty := occupancyCost * min(requests/limit, 1)
+	silence := c.excessSilence(now, &r.pool)
+	return 2*float64(c.oneWayDelay) + silence + serviceTime*(wait+occupancyPenalty+slowdown-1+jitter*r.rng.Float64())
 }
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -8,43 +8,50 @@
 )
 
 const (
-	failWeight = 1.0 / 4
-	// ejectAbove is the failing share from which an upstream is ejected, when
-	// at least wellShare of the pool fails less than wellBelow. A request that
-	// fails everywhere leaves none well and so ejects nobody.
-	ejectAbove = 0.5
-	wellBelow  = 0.25
-	wellShare  = 1.0 / 3
-	// firstEjection is doubled with each ejection in a row up to lastEjection.
-	firstEjection = 200 * time.Millisecond
-	lastEjection  = 10 * time.Second
-	// firstUnreachable is the first ejection of an upstream that cannot be
-	// reached.
-	firstUnreachable = 500 * time.Millisecond
-	// panicShare is the share of ejected upstreams above which ejections are
-	// ignored.
-	panicShare = 0.5
+	// failureWeight is the weight of a new result in the moving average of failures.
+	failureWeight = 1.0 / 4
+	// An upstream is ejected when its failure rate is above ejectThreshold and at least
+	// minHealthyShare of the pool has a failure rate below healthyBelow. A kind of
+	// request that fails on every upstream leaves none of them healthy and therefore
+	// ejects none.
+	ejectThreshold  = 0.5
+	healthyBelow    = 0.25
+	minHealthyShare = 1.0 / 3
+	// baseEjectionTime is doubled with each consecutive ejection, up to
+	// maxEjectionTime.
+	baseEjectionTime = 200 * time.Millisecond
+	maxEjectionTime  = 10 * time.Second
+	// baseUnreachableTime is the first ejection time of an upstream to which no
+	// connection can be made.
+	baseUnreachableTime = 500 * time.Millisecond
+	// panicThreshold is the share of ejected upstreams above which ejections are
+	// ignored (panic mode).
+	panicThreshold = 0.5
 )
 
-// health is how recent attempts at an upstream ended.
+// health tracks the results of recent attempts at one upstream.
 type health struct {
-	failing  float64
-	sick     bool
-	ejected  bool
-	ejection time.Duration
-	retryAt  model.Instant
-	// unreachable is set on ejected upstreams to which no connection could be
-	// made. They are no help to a drowning pool, so they count for no panic.
+	failureRate float64
+	// unhealthy is set if failureRate is at least healthyBelow.
+	unhealthy bool
+	ejected   bool
+	// ejectionTime is the duration of the last ejection, or 0 after a successful
+	// attempt. retryAt is when a trial request is allowed.
+	ejectionTime time.Duration
+	retryAt      model.Instant
+	// unreachable is set on upstreams that are ejected because a connection attempt
+	// failed. Sending requests to them would not relieve an overloaded pool, so they do
+	// not count towards panic mode.
 	unreachable bool
 }
 
-// mayRetry reports whether an ejected upstream may be tried with one request.
+// mayRetry reports whether one trial request may be sent to an ejected upstream.
 func (c *candidate) mayRetry(now model.Instant) bool {
 	return now >= c.retryAt && c.inFlight == 0
 }
 
-// failed reports whether a reply speaks against the upstream. Refusals by the
-// guard's own policy do not.
+// failed reports whether the reply shows a failure of the upstream. Rejections that are
+// the guard's own decision, such as load shedding, are not failures of the upstream.
 func (reply Reply) failed() bool {
 	if reply.Failed {
 		return true
@@ -58,86 +65,86 @@
 	}
 }
 
-// judged reports whether a reply says anything about the upstream.
-func (reply Reply) judged() bool {
+// conclusive reports whether the reply shows that the upstream works or that it fails.
+func (reply Reply) conclusive() bool {
 	return reply.failed() || reply.Outcome.Kind == outcome.Answered
 }
 
-// judge ejects an upstream that fails where others do not, and takes it back
-// after an attempt that went well.
-func (r *Router) judge(now model.Instant, c *candidate, reply Reply) {
+// updateHealth ejects an upstream that fails while others do not, and restores it after
+// a successful attempt.
+func (r *Router) updateHealth(now model.Instant, c *candidate, reply Reply) {
 	if reply.HasLoad {
-		c.heardAt = now
+		c.lastReplyAt = now
 	}
-	if !reply.judged() {
+	if !reply.conclusive() {
 		return
 	}
-	x := 0.0
+	failure := 0.0
 	if reply.failed() {
-		x = 1
+		failure = 1
 	}
-	c.failing += (x - c.failing) * failWeight
-	r.countWell(c)
+	c.failureRate += (failure - c.failureRate) * failureWeight
+	r.updateHealthyCount(c)
 	switch {
 	case reply.Outcome.Reason == outcome.ReasonConnect:
 		r.ejectUnreachable(now, c)
-	case c.ejected && x == 0:
+	case c.ejected && failure == 0:
 		r.restore(c)
 	case c.ejected:
 		r.eject(now, c)
-	case c.failing > ejectAbove && float64(r.pool.well) >= wellShare*float64(len(r.candidates)):
+	case c.failureRate > ejectThreshold && float64(r.pool.healthy) >= minHealthyShare*float64(len(r.candidates)):
 		r.eject(now, c)
 	}
 }
 
-// eject leaves the upstream out for longer each time in a row.
+// eject ejects the upstream. Each consecutive ejection lasts twice as long.
 func (r *Router) eject(now model.Instant, c *candidate) {
 	if c.ejected && now < c.retryAt {
 		return
 	}
 	r.setEjected(c, true, false)
-	c.ejection = min(max(2*c.ejection, firstEjection), lastEjection)
-	c.retryAt = now.Add(c.ejection)
+	c.ejectionTime = min(max(2*c.ejectionTime, baseEjectionTime), maxEjectionTime)
+	c.retryAt = now.Add(c.ejectionTime)
 }
 
-// ejectUnreachable leaves out an upstream to which no connection could be made
-// and, when nothing has been heard from its zone since, the rest of the zone.
+// ejectUnreachable ejects an upstream after a failed connection attempt. If no other
+// upstream of its zone has replied within zoneReplyTimeout, the whole zone is ejected.
 func (r *Router) ejectUnreachable(now model.Instant, c *candidate) {
 	if c.ejected && now < c.retryAt {
 		return
 	}
-	length := min(max(2*c.ejection, firstUnreachable), lastEjection)
-	alone := r.zoneHeard(now, c)
+	duration := min(max(2*c.ejectionTime, baseUnreachableTime), maxEjectionTime)
+	zoneReachable := r.zoneReplied(now, c)
 	for _, other := range r.candidates {
 		sameZone := other.upstream.Zone == c.upstream.Zone
-		if other != c && (alone || !sameZone) {
+		if other != c && (zoneReachable || !sameZone) {
 			continue
 		}
 		r.setEjected(other, true, true)
-		other.ejection = length
-		other.retryAt = now.Add(length)
+		other.ejectionTime = duration
+		other.retryAt = now.Add(duration)
 	}
 }
 
-// zoneHeard reports whether another upstream of the candidate's zone has
-// replied lately; the own zone is always taken to be there.
-func (r *Router) zoneHeard(now model.Instant, c *candidate) bool {
+// zoneReplied reports whether another upstream of the candidate's zone has replied
+// recently. The entry's local zone always counts as reachable.
+func (r *Router) zoneReplied(now model.Instant, c *candidate) bool {
 	if c.upstream.Zone == r.opts.Zone {
 		return true
 	}
 	for _, other := range r.candidates {
-		if other != c && other.upstream.Zone == c.upstream.Zone && now.Sub(other.heardAt) < zoneSilence {
+		if other != c && other.upstream.Zone == c.upstream.Zone && now.Sub(other.lastReplyAt) < zoneReplyTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// zoneSilence is the time without a reply after which one failed connection
-// speaks against a whole zone.
-const zoneSilence = 40 * time.Millisecond
+// zoneReplyTimeout is how long a zone may send no reply before one failed connection
+// attempt ejects all of its upstreams.
+const zoneReplyTimeout = 40 * time.Millisecond
 
-// setEjected keeps the pool's counts true.
+// setEjected changes the ejection state of a candidate and updates the pool's counters.
 func (r *Router) setEjected(c *candidate, ejected, unreachable bool) {
 	if ejected && !c.ejected {
 		r.stats.Ejections++
@@ -147,6 +154,8 @@
 	r.countEjected(c, 1)
 }
 
+// countEjected adds n to the pool counter that the candidate belongs to, if it is
+// ejected.
 func (r *Router) countEjected(c *candidate, n int) {
 	switch {
 	case c.unreachable:
@@ -156,32 +165,34 @@
 	}
 }
 
+// restore ends the ejection of a candidate and clears its failure rate.
 func (r *Router) restore(c *candidate) {
 	r.setEjected(c, false, false)
-	c.ejection = 0
-	c.failing = 0
-	r.countWell(c)
+	c.ejectionTime = 0
+	c.failureRate = 0
+	r.updateHealthyCount(c)
 }
 
-// countWell keeps the pool's number of upstreams that do not fail.
-func (r *Router) countWell(c *candidate) {
-	sick := c.failing >= wellBelow
-	if sick == c.sick {
+// updateHealthyCount updates the candidate's unhealthy field and the pool's number of
+// healthy upstreams.
+func (r *Router) updateHealthyCount(c *candidate) {
+	unhealthy := c.failureRate >= healthyBelow
+	if unhealthy == c.unhealthy {
 		return
 	}
-	c.sick = sick
-	if sick {
-		r.pool.well--
+	c.unhealthy = unhealthy
+	if unhealthy {
+		r.pool.healthy--
 	} else {
-		r.pool.well++
+		r.pool.healthy++
 	}
 }
 
-// panicking reports whether so many upstreams are ejected that the rest would
-// drown; then ejections are ignored.
+// panicking reports whether so many upstreams are ejected that the others would be
+// overloaded. Ejections are then ignored.
 func (r *Router) panicking() bool {
 	reachable := len(r.candidates) - r.pool.unreachable
-	if r.pool.ejected == 0 || float64(r.pool.ejected) <= panicShare*float64(reachable) {
+	if r.pool.ejected == 0 || float64(r.pool.ejected) <= panicThreshold*float64(reachable) {
 		return false
 	}
 	r.stats.Panics++
--- a/core/routing/round_robin.go
+++ b/core/routing/round_robin.go
@@ -2,9 +2,9 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// roundRobin takes the usable upstreams of this entry in turn.
+// roundRobin picks the usable upstreams in turn.
 type roundRobin struct {
-	queues
+	waitsAtUpstream
 	next int
 }
 
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -12,10 +12,11 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
+// ms is one millisecond.
 const ms = model.Instant(time.Millisecond)
 
-// upstreams returns n upstreams of 6 slots spread over three zones.
-func upstreams(n int) []model.Upstream {
+// newUpstreams returns n upstreams of 6 slots each, spread over the zones a, b and c.
+func newUpstreams(n int) []model.Upstream {
 	zones := []model.AvailabilityZone{"a", "b", "c"}
 	ups := make([]model.Upstream, n)
 	for i := range ups {
@@ -30,25 +31,28 @@
 	return ups
 }
 
-func router(t testing.TB, name string, n int) *Router {
+// newRouter returns a Router in zone a over n upstreams.
+func newRouter(t testing.TB, name string, n int) *Router {
 	t.Helper()
 	r, err := New(Options{Policy: name, Zone: "a", Seed: 1})
 	require.NoError(t, err)
-	r.SetUpstreams(0, upstreams(n))
+	r.SetUpstreams(0, newUpstreams(n))
 	return r
 }
 
-func answered(load model.Load) Reply {
+// answeredReply returns the reply to a successful request.
+func answeredReply(load model.Load) Reply {
 	return Reply{Outcome: outcome.Done(), Load: load, HasLoad: true}
 }
 
-func refused() Reply {
+// refusedReply returns the reply to a request that the upstream refused.
+func refusedReply() Reply {
 	return Reply{Outcome: outcome.NotRunBecause(outcome.ReasonUpstreamRefused), Failed: true}
 }
 
-// spreadOf places n requests that are answered at once and counts them by
-// upstream.
-func spreadOf(r *Router, now model.Instant, n int, reply func(model.UpstreamID) Reply) map[model.UpstreamID]int {
+// countPlacements places n requests, each of which is replied to before the next one,
+// and returns how many requests each upstream received.
+func countPlacements(r *Router, now model.Instant, n int, reply func(model.UpstreamID) Reply) map[model.UpstreamID]int {
 	got := make(map[model.UpstreamID]int)
 	for range n {
 		c, ok := r.Place(now, model.Request{}, nil, 0)
@@ -61,43 +65,45 @@
 	return got
 }
 
-func TestEveryPolicy(t *testing.T) {
+func TestEveryPolicySkipsExcludedAndDraining(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
-			r := router(t, name, 3)
+			r := newRouter(t, name, 3)
 			_, ok := r.Pick(0, model.Request{}, []model.UpstreamID{"s-1", "s-2", "s-3"})
-			assert.False(t, ok, "all excluded")
+			assert.False(t, ok, "all upstreams are excluded")
 			up, ok := r.Pick(0, model.Request{}, []model.UpstreamID{"s-1", "s-3"})
 			assert.True(t, ok)
 			assert.Equal(t, model.UpstreamID("s-2"), up.ID)
 
-			ups := upstreams(3)
+			ups := newUpstreams(3)
 			ups[0].Draining = true
 			r.SetUpstreams(0, ups)
 			r.Observe(0, "s-3", model.Load{Draining: true, Seq: 1})
 			for range 50 {
 				up, ok = r.Pick(0, model.Request{}, nil)
 				assert.True(t, ok)
-				assert.Equal(t, model.UpstreamID("s-2"), up.ID, "the others drain")
+				assert.Equal(t, model.UpstreamID("s-2"), up.ID, "the other upstreams are draining")
 			}
 
 			r.SetUpstreams(0, nil)
 			_, ok = r.Pick(0, model.Request{}, nil)
-			assert.False(t, ok, "empty")
-			r.Done(0, "s-2", answered(model.Load{}))
+			assert.False(t, ok, "there are no upstreams")
+			r.Done(0, "s-2", answeredReply(model.Load{}))
 		})
 	}
 }
 
-func TestFailFastIsNoSink(t *testing.T) {
+// A failing upstream that replies faster than the others looks idle. Without ejection
+// it would attract most of the requests.
+func TestFastFailingUpstreamIsEjected(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
-			r := router(t, name, 6)
-			got := spreadOf(r, 0, 2000, func(id model.UpstreamID) Reply {
+			r := newRouter(t, name, 6)
+			got := countPlacements(r, 0, 2000, func(id model.UpstreamID) Reply {
 				if id == "s-1" {
-					return refused()
+					return refusedReply()
 				}
-				return answered(model.Load{Limit: 6, Running: 1})
+				return answeredReply(model.Load{Limit: 6, Running: 1})
 			})
 			assert.Less(t, got["s-1"], 20, "%v", got)
 			assert.EqualValues(t, 1, r.Stats().Ejections)
@@ -105,73 +111,73 @@
 	}
 }
 
-func TestEjectedUpstreamComesBack(t *testing.T) {
-	r := router(t, RoundRobin, 3)
-	fail := func(id model.UpstreamID) Reply {
+func TestEjectedUpstreamIsRetriedAndRestored(t *testing.T) {
+	r := newRouter(t, RoundRobin, 3)
+	failS1 := func(id model.UpstreamID) Reply {
 		if id == "s-1" {
-			return refused()
+			return refusedReply()
 		}
-		return answered(model.Load{})
+		return answeredReply(model.Load{})
 	}
-	spreadOf(r, 0, 100, fail)
-	assert.Zero(t, spreadOf(r, 100*ms, 30, fail)["s-1"], "left out at first")
-	assert.Equal(t, 1, spreadOf(r, 300*ms, 30, fail)["s-1"], "one trial, which fails")
-	assert.Zero(t, spreadOf(r, 600*ms, 30, fail)["s-1"], "left out for longer")
-	well := func(model.UpstreamID) Reply { return answered(model.Load{}) }
-	assert.Equal(t, 10, spreadOf(r, 1000*ms, 30, well)["s-1"], "the trial goes well")
+	countPlacements(r, 0, 100, failS1)
+	assert.Zero(t, countPlacements(r, 100*ms, 30, failS1)["s-1"], "ejected for 200 ms")
+	assert.Equal(t, 1, countPlacements(r, 300*ms, 30, failS1)["s-1"], "one trial request, which fails")
+	assert.Zero(t, countPlacements(r, 600*ms, 30, failS1)["s-1"], "ejected for 400 ms")
+	succeed := func(model.UpstreamID) Reply { return answeredReply(model.Load{}) }
+	assert.Equal(t, 10, countPlacements(r, 1000*ms, 30, succeed)["s-1"], "the trial request succeeds")
 }
 
-func TestRequestThatFailsEverywhereEjectsNobody(t *testing.T) {
-	r := router(t, RoundRobin, 6)
-	spreadOf(r, 0, 600, func(model.UpstreamID) Reply { return Reply{Outcome: outcome.Done(), Failed: true} })
-	got := spreadOf(r, 0, 60, func(model.UpstreamID) Reply { return answered(model.Load{}) })
+func TestFailuresOnAllUpstreamsEjectNone(t *testing.T) {
+	r := newRouter(t, RoundRobin, 6)
+	countPlacements(r, 0, 600, func(model.UpstreamID) Reply { return Reply{Outcome: outcome.Done(), Failed: true} })
+	got := countPlacements(r, 0, 60, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
 	assert.Len(t, got, 6)
 }
 
-func TestPanicIgnoresEjections(t *testing.T) {
-	r := router(t, RoundRobin, 6)
-	bad := map[model.UpstreamID]bool{"s-1": true, "s-2": true, "s-3": true, "s-4": true}
+func TestPanicModeIgnoresEjections(t *testing.T) {
+	r := newRouter(t, RoundRobin, 6)
+	failing := map[model.UpstreamID]bool{"s-1": true, "s-2": true, "s-3": true, "s-4": true}
 	reply := func(id model.UpstreamID) Reply {
-		if bad[id] {
-			return refused()
+		if failing[id] {
+			return refusedReply()
 		}
-		return answered(model.Load{})
+		return answeredReply(model.Load{})
 	}
-	got := spreadOf(r, 0, 600, reply)
+	got := countPlacements(r, 0, 600, reply)
 	assert.Positive(t, r.Stats().Panics)
-	assert.Greater(t, got["s-4"], 50, "never so many ejected that the rest drown")
+	assert.Greater(t, got["s-4"], 50, "with four of six upstreams ejected, ejections are ignored")
 }
 
-func TestOlderLoadChangesNothing(t *testing.T) {
-	r := router(t, TwoChoices, 1)
+func TestObserveIgnoresOlderLoad(t *testing.T) {
+	r := newRouter(t, TwoChoices, 1)
 	r.Observe(0, "s-1", model.Load{Running: 5, Seq: 7})
 	r.Observe(0, "s-1", model.Load{Running: 1, Seq: 6})
 	assert.EqualValues(t, 5, r.byID["s-1"].load.Running)
 }
 
-func TestNewIncarnationForgetsAndRamps(t *testing.T) {
-	r := router(t, ExpectedCompletion, 3)
+func TestNewIncarnationResetsStateAndRampsUp(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 3)
 	r.Observe(0, "s-1", model.Load{Draining: true, Seq: 9})
-	ups := upstreams(3)
+	ups := newUpstreams(3)
 	ups[0].Incarnation = 2
 	r.SetUpstreams(0, ups)
 	assert.True(t, r.byID["s-1"].usable(0, nil, false))
-	assert.InDelta(t, minRamp, r.byID["s-1"].ramped(0, r.opts.Ramp), 1e-9)
-	assert.InDelta(t, 0.5, r.byID["s-1"].ramped(1000*ms, r.opts.Ramp), 1e-9)
-	assert.InDelta(t, 1, r.byID["s-1"].ramped(2000*ms, r.opts.Ramp), 1e-9)
-	assert.InDelta(t, 1, r.byID["s-2"].ramped(0, r.opts.Ramp), 1e-9, "it was there before")
+	assert.InDelta(t, minRampFraction, r.byID["s-1"].rampFraction(0, r.opts.Ramp), 1e-9)
+	assert.InDelta(t, 0.5, r.byID["s-1"].rampFraction(1000*ms, r.opts.Ramp), 1e-9)
+	assert.InDelta(t, 1, r.byID["s-1"].rampFraction(2000*ms, r.opts.Ramp), 1e-9)
+	assert.InDelta(t, 1, r.byID["s-2"].rampFraction(0, r.opts.Ramp), 1e-9, "s-2 is not new")
 }
 
-func TestBouncesEndInAQueue(t *testing.T) {
-	r := router(t, ExpectedCompletion, 3)
-	for bounced := range MaxBounces {
-		c, ok := r.Place(0, model.Request{}, nil, bounced)
+func TestRequestWaitsAfterMaxRejections(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 3)
+	for rejections := range MaxBounces {
+		c, ok := r.Place(0, model.Request{}, nil, rejections)
 		require.True(t, ok)
 		assert.Equal(t, model.AvailabilityZone("a"), c.Upstream.Zone)
 		assert.Zero(t, c.Patience)
-		gaveBack := outcome.NotRunBecause(outcome.ReasonWithdrawn)
-		assert.True(t, c.Bounced(gaveBack))
-		r.Done(0, c.Upstream.ID, Reply{Outcome: gaveBack})
+		rejected := outcome.NotRunBecause(outcome.ReasonWithdrawn)
+		assert.True(t, c.Bounced(rejected))
+		r.Done(0, c.Upstream.ID, Reply{Outcome: rejected})
 	}
 	c, ok := r.Place(0, model.Request{}, nil, MaxBounces)
 	require.True(t, ok)
@@ -180,27 +186,28 @@
 	assert.EqualValues(t, MaxBounces, r.Stats().Bounces)
 }
 
-func TestSpillsWhenTheWaitIsWorthTheWay(t *testing.T) {
-	r := router(t, ExpectedCompletion, 3)
+func TestCrossesZonesWhenTheLocalQueueIsLong(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 3)
 	full := model.Load{Running: 6, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
 	r.Observe(0, "s-1", full)
 	c, _ := r.Place(0, model.Request{}, nil, MaxBounces)
-	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "a third of a millisecond's wait is shorter")
+	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "a wait of 0.33 ms is shorter than the round trip to another zone")
 	r.Done(0, c.Upstream.ID, Reply{})
 	full.Waiting, full.Seq = 20, 2
 	r.Observe(0, "s-1", full)
 	c, _ = r.Place(0, model.Request{}, nil, MaxBounces)
 	assert.NotEqual(t, model.UpstreamID("s-1"), c.Upstream.ID)
-	assert.Equal(t, WaitForDeadline, c.Patience, "a bounce would cost two ways")
+	assert.Equal(t, WaitForDeadline, c.Patience, "a rejection would cost a round trip between zones")
 	assert.EqualValues(t, 1, r.Stats().Spills)
 }
 
-func TestManyEntriesDoNotHerd(t *testing.T) {
+// Entries that all know the same loads must not all choose the same upstream.
+func TestEntriesWithEqualKnowledgeSpreadRequests(t *testing.T) {
 	counts := make(map[model.UpstreamID]int)
 	for seed := range uint64(1000) {
 		r, err := New(Options{Zone: "a", Seed: seed})
 		require.NoError(t, err)
-		ups := upstreams(4)
+		ups := newUpstreams(4)
 		for i := range ups {
 			ups[i].Zone = "a"
 		}
@@ -216,21 +223,21 @@
 	}
 }
 
-func TestUnknownPolicyNamesTheKnown(t *testing.T) {
+func TestUnknownPolicyErrorListsPolicies(t *testing.T) {
 	_, err := New(Options{Policy: "fastest"})
 	var unknown *UnknownPolicyError
 	require.ErrorAs(t, err, &unknown)
 	assert.Contains(t, err.Error(), ExpectedCompletion)
 }
 
-func TestSilentUpstreamIsAvoidedAndTakenBack(t *testing.T) {
-	r := router(t, ExpectedCompletion, 2)
+func TestSilentUpstreamIsAvoidedUntilItReplies(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 2)
 	load := model.Load{Running: 1, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
 	r.Observe(0, "s-1", load)
 	r.Observe(0, "s-2", load)
-	both := []model.UpstreamID{"s-2"}
-	for range silentFrom {
-		_, ok := r.Place(0, model.Request{}, both, MaxBounces)
+	exclude := []model.UpstreamID{"s-2"}
+	for range stuckUnanswered {
+		_, ok := r.Place(0, model.Request{}, exclude, MaxBounces)
 		require.True(t, ok)
 	}
 	place := func(at model.Instant) model.UpstreamID {
@@ -238,38 +245,38 @@
 		require.True(t, ok)
 		return c.Upstream.ID
 	}
-	assert.Equal(t, model.UpstreamID("s-1"), place(7*ms), "not yet unusual")
-	assert.Equal(t, model.UpstreamID("s-2"), place(50*ms), "stuck")
+	assert.Equal(t, model.UpstreamID("s-1"), place(7*ms), "the silence is not unusual yet")
+	assert.Equal(t, model.UpstreamID("s-2"), place(50*ms), "s-1 counts as stuck")
 	load.Seq++
-	r.Done(51*ms, "s-1", answered(load))
-	assert.Equal(t, model.UpstreamID("s-1"), place(52*ms), "it replied")
+	r.Done(51*ms, "s-1", answeredReply(load))
+	assert.Equal(t, model.UpstreamID("s-1"), place(52*ms), "s-1 has replied")
 }
 
-func TestUnreachableZoneIsLeftOutWithoutPanic(t *testing.T) {
-	r := router(t, RoundRobin, 6)
-	lost := Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)}
+func TestUnreachableZoneIsEjectedWithoutPanicMode(t *testing.T) {
+	r := newRouter(t, RoundRobin, 6)
+	connectFailed := Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)}
 	c, ok := r.Place(0, model.Request{}, []model.UpstreamID{"s-1", "s-4"}, 0)
 	require.True(t, ok)
-	r.Done(0, c.Upstream.ID, lost)
-	got := spreadOf(r, 0, 40, func(model.UpstreamID) Reply { return answered(model.Load{}) })
-	assert.Len(t, got, 4, "one failed connection speaks for its silent zone")
+	r.Done(0, c.Upstream.ID, connectFailed)
+	got := countPlacements(r, 0, 40, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
+	assert.Len(t, got, 4, "one failed connection ejects its whole zone, which has not replied")
 	assert.Zero(t, r.Stats().Panics)
 }
 
-func TestOneCrashLeavesItsZoneAlone(t *testing.T) {
-	r := router(t, RoundRobin, 6)
-	spreadOf(r, 0, 6, func(model.UpstreamID) Reply { return answered(model.Load{}) })
+func TestOneUnreachableUpstreamDoesNotEjectItsZone(t *testing.T) {
+	r := newRouter(t, RoundRobin, 6)
+	countPlacements(r, 0, 6, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
 	c, ok := r.Place(0, model.Request{}, []model.UpstreamID{"s-1", "s-4", "s-2", "s-5", "s-6"}, 0)
 	require.True(t, ok)
 	r.Done(0, c.Upstream.ID, Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)})
-	got := spreadOf(r, 0, 50, func(model.UpstreamID) Reply { return answered(model.Load{}) })
+	got := countPlacements(r, 0, 50, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
 	assert.Len(t, got, 5)
 }
 
-func TestAllUnreachableAreStillTried(t *testing.T) {
+func TestUnreachableUpstreamsAreTriedWhenNoneIsLeft(t *testing.T) {
 	for _, name := range Names() {
-		r := router(t, name, 3)
-		for _, up := range upstreams(3) {
+		r := newRouter(t, name, 3)
+		for _, up := range newUpstreams(3) {
 			r.Done(0, up.ID, Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)})
 		}
 		_, ok := r.Pick(0, model.Request{}, nil)
@@ -277,28 +284,28 @@
 	}
 }
 
-func TestHedgeOnlyWhenTheUpstreamIsSilentAndTheBudgetAllows(t *testing.T) {
-	r := router(t, ExpectedCompletion, 3)
+func TestHedgeNeedsSlowUpstreamAndBudget(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 3)
 	req := model.Request{Group: "g", Idempotent: true}
 	_, ok := r.HedgeDelay(req)
-	assert.False(t, ok, "nothing known yet")
+	assert.False(t, ok, "no latencies are known yet")
 	now := model.Instant(0)
 	for i := range 2000 {
 		now += ms
 		c, _ := r.Place(now, req, nil, 0)
-		reply := answered(model.Load{Limit: 6, Service: 2 * time.Millisecond, Seq: uint64(i)})
+		reply := answeredReply(model.Load{Limit: 6, Service: 2 * time.Millisecond, Seq: uint64(i)})
 		reply.Group, reply.Latency = "g", time.Duration(1+i%100)*time.Millisecond
 		r.Done(now, c.Upstream.ID, reply)
 	}
 	delay, ok := r.HedgeDelay(req)
 	assert.True(t, ok)
-	assert.InDelta(t, 98, float64(delay)/float64(time.Millisecond), 7, "a step up is 5%")
+	assert.InDelta(t, 98, float64(delay)/float64(time.Millisecond), 7, "the estimate rises in steps of 5%")
 	_, ok = r.HedgeDelay(model.Request{Group: "g"})
 	assert.False(t, ok, "not idempotent")
 
-	r.Done(now, "s-1", answered(model.Load{Limit: 6, Seq: 1 << 20}))
+	r.Done(now, "s-1", answeredReply(model.Load{Limit: 6, Seq: 1 << 20}))
 	_, ok = r.Hedge(now, "s-1", now-ms, nil)
-	assert.False(t, ok, "it answered since, so only the request is long")
+	assert.False(t, ok, "s-1 has replied since, so only the request takes long")
 	hedged := 0
 	for range 100 {
 		c, ok := r.Hedge(now, "s-1", now+ms, []model.UpstreamID{"s-1"})
@@ -307,25 +314,25 @@
 		}
 		hedged++
 		assert.NotEqual(t, model.UpstreamID("s-1"), c.Upstream.ID)
-		assert.Zero(t, c.Patience, "a hedge takes a free slot only")
+		assert.Zero(t, c.Patience, "a hedge only uses a free slot")
 	}
 	assert.Equal(t, hedgeBurst, hedged)
 	assert.EqualValues(t, 1, r.Stats().HedgesRefused)
 }
 
 func TestHedgeGroupsAreBounded(t *testing.T) {
-	r := router(t, ExpectedCompletion, 1)
+	r := newRouter(t, ExpectedCompletion, 1)
 	for i := range 1000 {
-		reply := answered(model.Load{})
+		reply := answeredReply(model.Load{})
 		reply.Group = model.GroupName(fmt.Sprint("g", i))
 		r.Done(0, "s-1", reply)
 	}
 	assert.Len(t, r.hedging.groups, maxHedgeGroups)
 }
 
-func TestUpstreamThatLookedSlowIsTriedAgain(t *testing.T) {
-	r := router(t, ExpectedCompletion, 6)
-	for _, up := range upstreams(6) {
+func TestStragglerIsTriedAgainAfterItsLoadAges(t *testing.T) {
+	r := newRouter(t, ExpectedCompletion, 6)
+	for _, up := range newUpstreams(6) {
 		load := model.Load{Running: 6, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
 		if up.ID == "s-1" {
 			load.Service = 5 * time.Millisecond
@@ -334,10 +341,10 @@
 	}
 	now := 2000 * ms
 	for seq := range uint64(100) {
-		for _, up := range upstreams(6)[1:] {
+		for _, up := range newUpstreams(6)[1:] {
 			r.Observe(now, up.ID, model.Load{Running: 6, Waiting: 30, Limit: 6, Service: 2 * time.Millisecond, Seq: seq})
 		}
 	}
 	c, _ := r.Place(now, model.Request{}, nil, MaxBounces)
-	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "nobody has used it for 2 s, the others queue")
+	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "s-1 has not been used for 2 s, and the others have long queues")
 }
--- a/core/slots/admit_test.go
+++ b/core/slots/admit_test.go
@@ -24,15 +24,15 @@
 		"no worse than elsewhere":     {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 1}, Admitted, 100 * ms},
 		"slower than elsewhere":       {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 2}, SlowerHere, 200 * ms},
 		"failing more than elsewhere": {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 1, Failing: 0.5}, SlowerHere, 200 * ms},
-		"full, still useful":          {4, 4, arrival(func(*Arrival) {}), Speed{Slow: 1}, Admitted, 225 * ms},
+		"full, soon enough":           {4, 4, arrival(func(*Arrival) {}), Speed{Slow: 1}, Admitted, 225 * ms},
 		"full, too late":              {4, 20, arrival(func(*Arrival) {}), Speed{Slow: 1}, Full, 625 * ms},
 		"full, late but urgent":       {4, 20, arrival(func(a *Arrival) { a.Urgent = true }), Speed{Slow: 1}, Admitted, 625 * ms},
-		"slow with room":              {0, 0, arrival(func(*Arrival) {}), Speed{Slow: 7}, Admitted, 700 * ms},
+		"slow, free slots":            {0, 0, arrival(func(*Arrival) {}), Speed{Slow: 7}, Admitted, 700 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := New(4)
 			for i := range c.running + c.waiting {
-				q.Add(item(uint64(i+1), 1, 100, 300))
+				q.Add(newItem(uint64(i+1), 1, 100, 300))
 			}
 			for range c.running {
 				q.Next(0, 1)
--- a/core/watch/roster_test.go
+++ b/core/watch/roster_test.go
@@ -8,30 +8,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sizes are small, as today, and as expected within two years.
-var sizes = []int{10, 300, 1700}
+// fleetSizes are a small fleet, the size today, and the size expected within two years.
+var fleetSizes = []int{10, 300, 1700}
 
-// inTime is how long a version may take to be in force everywhere.
-const inTime = 2 * time.Second
+// maxPropagation is the longest time allowed until all daemons have a new version.
+const maxPropagation = 2 * time.Second
 
-// TestVersionsInForce has versions published in different trouble.
-func TestVersionsInForce(t *testing.T) {
-	for name, trouble := range map[string]func(f *fleet){
-		"calm": func(*fleet) {},
-		"all watchers die": func(f *fleet) {
+// TestVersionsReachAllDaemons publishes a version after each of several disturbances.
+func TestVersionsReachAllDaemons(t *testing.T) {
+	for name, disturb := range map[string]func(f *fleet){
+		"no disturbance": func(*fleet) {},
+		"all watchers crash": func(f *fleet) {
 			for _, d := range f.watchers() {
 				d.down = true
 			}
 		},
-		"all watchers are cut off from their zones": func(f *fleet) {
+		"all watchers are partitioned from their zones": func(f *fleet) {
 			for _, d := range f.watchers() {
-				d.cut = true
+				d.partitioned = true
 			}
 		},
-		"the store turns all watchers away": func(f *fleet) {
-			turned := f.watchers()
-			f.serves = func(d *daemon) bool {
-				for _, w := range turned {
+		"the store rejects all watchers": func(f *fleet) {
+			rejected := f.watchers()
+			f.storeServes = func(d *daemon) bool {
+				for _, w := range rejected {
 					if w == d {
 						return false
 					}
@@ -39,155 +39,159 @@
 				return true
 			}
 		},
-		"the store turns a third away": func(f *fleet) {
-			f.serves = func(d *daemon) bool { return d.name[len(d.name)-1]%3 != 0 }
+		"the store rejects a third of the daemons": func(f *fleet) {
+			f.storeServes = func(d *daemon) bool { return d.name[len(d.name)-1]%3 != 0 }
 		},
-		"a zone does not reach the store": func(f *fleet) {
-			f.serves = func(d *daemon) bool { return d.zone != "z1" }
+		"one zone cannot reach the store": func(f *fleet) {
+			f.storeServes = func(d *daemon) bool { return d.zone != "z1" }
 		},
-		"the store was away": func(f *fleet) {
-			f.serves = func(*daemon) bool { return false }
-			f.pass(10 * time.Second)
-			f.serves = func(*daemon) bool { return true }
+		"the store was unavailable": func(f *fleet) {
+			f.storeServes = func(*daemon) bool { return false }
+			f.advance(10 * time.Second)
+			f.storeServes = func(*daemon) bool { return true }
 		},
-		"all start anew": func(f *fleet) {
+		"all daemons restart": func(f *fleet) {
 			for _, d := range f.daemons {
 				d.start()
 			}
-			f.meet()
+			f.updateMembers()
 		},
-		"a daemon hears nobody": func(f *fleet) {
-			f.daemons[len(f.daemons)-1].cut = true
-			f.meet()
+		"one daemon is partitioned": func(f *fleet) {
+			f.daemons[len(f.daemons)-1].partitioned = true
+			f.updateMembers()
 		},
 	} {
-		for _, n := range sizes {
+		for _, n := range fleetSizes {
 			t.Run(fmt.Sprint(name, ", ", n, " daemons"), func(t *testing.T) {
 				f := newFleet(n)
-				f.pass(5 * time.Second)
-				trouble(f)
-				require.LessOrEqual(t, f.inForce(t), inTime)
+				f.advance(5 * time.Second)
+				disturb(f)
+				require.LessOrEqual(t, f.publishAndWait(t), maxPropagation)
 			})
 		}
 	}
 }
 
-// TestVersionsAreHandedOnAtOnce has versions published at different times between
-// heartbeats: none waits for the next one.
-func TestVersionsAreHandedOnAtOnce(t *testing.T) {
+// TestVersionsAreForwardedImmediately publishes versions at various times between two
+// heartbeats. None of them is delayed until the next heartbeat.
+func TestVersionsAreForwardedImmediately(t *testing.T) {
 	const (
 		versions = 20
 		pause    = 3 * time.Second / 7
-		// prompt is a read, a heartbeat, and a fetch with what is left of the way.
-		prompt = 5 * step
+		// maxDelay covers a read of the store, a heartbeat, a fetch and the remaining
+		// hops.
+		maxDelay = 5 * step
 	)
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		f := newFleet(n)
-		f.pass(5 * time.Second)
+		f.advance(5 * time.Second)
 		for range versions {
-			f.pass(pause)
-			require.LessOrEqual(t, f.inForce(t), prompt, "%d daemons", n)
+			f.advance(pause)
+			require.LessOrEqual(t, f.publishAndWait(t), maxDelay, "%d daemons", n)
 		}
 	}
 }
 
-// TestReadsThatHang has the store answer nothing to whoever reads, and be well again.
-// Versions are in force in time once the reads from before have been given up.
-func TestReadsThatHang(t *testing.T) {
-	for _, n := range sizes {
+// TestVersionsAfterHungReads has the store accept reads without responding, and then
+// recover. Versions reach all daemons in time once the hung reads have timed out.
+func TestVersionsAfterHungReads(t *testing.T) {
+	for _, n := range fleetSizes {
 		f := newFleet(n)
-		f.pass(5 * time.Second)
-		f.hangs = func(*daemon) bool { return true }
-		f.pass(5 * time.Second)
-		f.hangs = func(*daemon) bool { return false }
-		require.LessOrEqual(t, f.inForce(t), readLimit+inTime, "%d daemons", n)
+		f.advance(5 * time.Second)
+		f.storeHangs = func(*daemon) bool { return true }
+		f.advance(5 * time.Second)
+		f.storeHangs = func(*daemon) bool { return false }
+		require.LessOrEqual(t, f.publishAndWait(t), readTimeout+maxPropagation, "%d daemons", n)
 	}
 }
 
-// TestDaemonAloneWatches has one that hears no other daemon, and reaches the store.
-func TestDaemonAloneWatches(t *testing.T) {
+// TestIsolatedDaemonWatches has a daemon that is partitioned from all others but
+// reaches the store.
+func TestIsolatedDaemonWatches(t *testing.T) {
 	f := newFleet(10)
-	f.pass(5 * time.Second)
-	alone := f.daemons[9]
-	require.False(t, alone.roster.watching)
-	alone.cut = true
-	f.meet()
-	f.pass(inTime)
-	require.True(t, alone.roster.watching)
-	require.False(t, alone.roster.Blind(f.now))
+	f.advance(5 * time.Second)
+	isolated := f.daemons[9]
+	require.False(t, isolated.elector.watching)
+	isolated.partitioned = true
+	f.updateMembers()
+	f.advance(maxPropagation)
+	require.True(t, isolated.elector.watching)
+	require.False(t, isolated.elector.Blind(f.now))
 	f.version++
-	f.pass(step)
-	require.Equal(t, f.version, alone.version)
+	f.advance(step)
+	require.Equal(t, f.version, isolated.version)
 }
 
-// TestCallsToTheStore bounds them for each cell, calm and while the store is away.
-func TestCallsToTheStore(t *testing.T) {
+// TestStoreCallsAreBounded bounds the calls per cell, both normally and while the store
+// is unavailable.
+func TestStoreCallsAreBounded(t *testing.T) {
 	const (
 		seconds = 30
-		// calmCalls are those of one watcher in that time, with room for one more at the
-		// start.
-		calmCalls = int(seconds*time.Second/pollWait) + 2
-		// awayCalls are those of the daemons of a cell that try at once, with the shorter
-		// pauses of those whose turn begins.
-		awayCalls = 4 * maxTrying * seconds
+		// normalCalls is the number of calls of one watcher in that time, allowing one
+		// more at the start.
+		normalCalls = int(seconds*time.Second/pollWait) + 2
+		// unavailableCalls covers the daemons of a cell that may try at the same time,
+		// including the shorter delays at the beginning of each daemon's turn.
+		unavailableCalls = 4 * maxConcurrentTries * seconds
 	)
-	for _, n := range sizes {
-		cells := zones * ((n/zones + cellSize - 1) / cellSize)
+	for _, n := range fleetSizes {
+		cells := zones * ((n/zones + maxCellSize - 1) / maxCellSize)
 		f := newFleet(n)
-		f.pass(2 * time.Second)
-		f.calls = 0
-		f.pass(seconds * time.Second)
-		require.LessOrEqual(t, f.calls, cells*calmCalls, "%d daemons", n)
+		f.advance(2 * time.Second)
+		f.storeCalls = 0
+		f.advance(seconds * time.Second)
+		require.LessOrEqual(t, f.storeCalls, cells*normalCalls, "%d daemons", n)
 		require.Len(t, f.watchers(), cells, "%d daemons", n)
-		f.serves = func(*daemon) bool { return false }
-		f.calls = 0
-		f.pass(seconds * time.Second)
-		require.LessOrEqual(t, f.calls, cells*awayCalls, "%d daemons, store away", n)
-		t.Logf("%d daemons: %d cells, %d calls while the store is away", n, cells, f.calls)
+		f.storeServes = func(*daemon) bool { return false }
+		f.storeCalls = 0
+		f.advance(seconds * time.Second)
+		require.LessOrEqual(t, f.storeCalls, cells*unavailableCalls, "%d daemons, store unavailable", n)
+		t.Logf("%d daemons: %d cells, %d calls while the store is unavailable", n, cells, f.storeCalls)
 	}
 }
 
-// TestHeartbeatsAreBounded holds the messages of a watcher whatever the size.
+// TestHeartbeatsAreBounded bounds the heartbeats of a watcher for all fleet sizes.
 func TestHeartbeatsAreBounded(t *testing.T) {
 	const seconds = 10
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		f := newFleet(n)
-		f.pass(seconds * time.Second)
+		f.advance(seconds * time.Second)
 		for _, d := range f.daemons {
-			most := cellSize * (int(seconds*time.Second/HeartbeatEvery) + 3)
-			require.LessOrEqual(t, d.sent, most, "%d daemons", n)
+			maxSent := maxCellSize * (int(seconds*time.Second/HeartbeatInterval) + 3)
+			require.LessOrEqual(t, d.heartbeatsSent, maxSent, "%d daemons", n)
 		}
 	}
 }
 
-// TestTurns has the store serve one daemon of a cell only: it comes to its turn.
-func TestTurns(t *testing.T) {
+// TestDaemonsTakeTurnsTryingTheStore has the store serve only one daemon of a cell.
+// That daemon must get its turn.
+func TestDaemonsTakeTurnsTryingTheStore(t *testing.T) {
 	f := newFleet(300)
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	served := f.daemons[len(f.daemons)-1]
-	f.serves = func(d *daemon) bool { return d == served }
-	began := f.now
-	for !served.roster.Reaches() {
-		f.pass(step)
-		require.Less(t, f.now.Sub(began), time.Minute)
+	f.storeServes = func(d *daemon) bool { return d == served }
+	start := f.now
+	for !served.elector.Reaches() {
+		f.advance(step)
+		require.Less(t, f.now.Sub(start), time.Minute)
 	}
 	f.version++
-	f.pass(inTime)
-	require.Zero(t, f.behind())
+	f.advance(maxPropagation)
+	require.Zero(t, f.countOutdated())
 }
 
-// TestFirstComesBack has the daemon that is first in order return: it watches again, and
-// the one that stood in for it rests.
-func TestFirstComesBack(t *testing.T) {
+// TestReturningDaemonReplacesItsSubstitute restarts the first daemon of a cell. It
+// watches again, and the daemon that had replaced it stops watching.
+func TestReturningDaemonReplacesItsSubstitute(t *testing.T) {
 	f := newFleet(300)
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	first := f.daemons[0]
 	first.down = true
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	require.Len(t, f.watchers(), zones)
 	first.start()
-	f.meet()
-	f.pass(5 * time.Second)
-	require.True(t, first.roster.watching)
+	f.updateMembers()
+	f.advance(5 * time.Second)
+	require.True(t, first.elector.watching)
 	require.Len(t, f.watchers(), zones)
 }
