--- a/core/calltoken/doc.go
+++ b/core/calltoken/doc.go
@@ -1,16 +1,17 @@
-// Package calltoken makes and checks the tokens by which nested calls keep the
-// group, deadline and depth of the request that caused them.
+// Package calltoken signs and verifies the tokens that pass the group, deadline
+// and call depth of a request on to the calls that its upstream makes in turn
+// (nested calls).
 //
 // # Concept
 //
-// The daemon gives the upstream a token with each call. An upstream that calls
-// another service sends the token on; the daemon that takes the nested call
-// charges it to the caller named there and grants it no more time than is left.
-// Tokens are signed with a key derived from the secret that daemons share, so
-// an upstream can neither forge another group nor lengthen a deadline. A token
-// is of use until its deadline only.
+// The daemon sends a token to the upstream with each call. An upstream that
+// calls another service includes the token in that call. The daemon that
+// receives the nested call accounts it to the caller named in the token and
+// limits its timeout to the time remaining. Tokens are signed with a key
+// derived from the secret that all daemons share, so an upstream can neither
+// claim another group nor extend a deadline. A token expires at its deadline.
 //
-// The deadline is a wall-clock time, because it crosses machines. The time left
-// when the token was made travels beside it, so that a clock which is behind
-// never lengthens a deadline.
+// The deadline is a wall-clock time because it is read on other machines. The
+// token also holds the time that was left when it was signed, so that a daemon
+// whose clock is behind never extends the deadline.
 package calltoken
--- a/core/calltoken/token.go
+++ b/core/calltoken/token.go
@@ -11,77 +11,79 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// MaxDepth is the largest number of calls that may stand above one another.
+// MaxDepth is the maximum depth of nested calls.
 const MaxDepth = 16
 
-// Token is what a nested call inherits.
+// Token holds the properties that a nested call inherits from its parent call.
 type Token struct {
-	// Caller is the caller of the first call; empty when it had no credentials.
+	// Caller is the caller of the outermost call. It is empty when that caller
+	// presented no credentials.
 	Caller model.CallerName
-	// Group is the group that the call that carries the token was charged to.
+	// Group is the group to which the parent call was accounted.
 	Group model.GroupName
 	// Depth is the number of calls above the nested one, at least 1.
 	Depth int
-	// Deadline is the end of the call that carries the token, to the
-	// microsecond.
+	// Deadline is the deadline of the parent call, with microsecond precision.
 	Deadline time.Time
-	// Left was the time to the deadline when the token was made.
+	// Left is the time to the deadline at the moment the token was signed.
 	Left time.Duration
 }
 
-// Remaining returns the time that a nested call has at most. It is never more
-// than Left, however the clocks of the machines differ.
+// Remaining returns the longest timeout that a nested call may have. It never
+// exceeds Left, even if the clocks of the two machines differ.
 func (t Token) Remaining(now time.Time) time.Duration { return min(t.Deadline.Sub(now), t.Left) }
 
 const (
-	format = 1
-	// macBytes is the length of the signature in bytes.
+	formatVersion = 1
+	// macBytes is the length of the signature, an HMAC-SHA-256 cut to 16 bytes.
 	macBytes = 16
-	// maxLength bounds a token's text.
+	// maxLength is the maximum length of an encoded token in bytes.
 	maxLength = 1024
-	purpose   = "dottereltiller call token"
+	// keyLabel separates the signing key from other keys derived from the same
+	// secret.
+	keyLabel = "dottereltiller call token"
 )
 
-// Error tells why a token was refused.
+// Error is returned for a token that fails verification.
 type Error struct{ Reason string }
 
-// Error returns the reason.
+// Error returns the reason, prefixed with "call token: ".
 func (e *Error) Error() string { return "call token: " + e.Reason }
 
-// Signer makes and checks tokens. It is safe for concurrent use.
+// Signer signs and verifies tokens. It is safe for concurrent use.
 type Signer struct{ key []byte }
 
-// NewSigner returns a Signer whose key is derived from the secret that daemons
-// share. It returns nil, which signs nothing and accepts nothing, for an empty
-// secret.
+// NewSigner returns a Signer whose key is derived from the secret that all
+// daemons share. For an empty secret it returns nil. A nil Signer is valid: its
+// Sign returns an empty string and its Verify rejects every token.
 func NewSigner(secret string) *Signer {
 	if secret == "" {
 		return nil
 	}
 	mac := hmac.New(sha256.New, []byte(secret))
-	mac.Write([]byte(purpose))
+	mac.Write([]byte(keyLabel))
 	return &Signer{key: mac.Sum(nil)}
 }
 
-// Sign returns the text of a token; a nil Signer returns "".
+// Sign returns the signed token, base64url-encoded. A nil Signer returns "".
 func (s *Signer) Sign(t Token) string {
 	if s == nil {
 		return ""
 	}
 	b := make([]byte, 0, 128)
-	b = append(b, format, byte(t.Depth))
+	b = append(b, formatVersion, byte(t.Depth))
 	b = binary.AppendVarint(b, t.Deadline.UnixMicro())
 	b = binary.AppendVarint(b, t.Left.Microseconds())
 	b = appendText(b, string(t.Caller))
 	b = appendText(b, string(t.Group))
-	return base64.RawURLEncoding.EncodeToString(s.seal(b))
+	return base64.RawURLEncoding.EncodeToString(s.appendSignature(b))
 }
 
-// Verify returns the token of a text that this Signer, or one with the same
-// secret, has made. Its errors are of type *Error.
+// Verify decodes a token that was signed with the same secret. Its errors are
+// of type *Error.
 func (s *Signer) Verify(text string) (Token, error) {
 	if s == nil {
-		return Token{}, &Error{Reason: "not accepted here"}
+		return Token{}, &Error{Reason: "no shared secret configured"}
 	}
 	if len(text) > maxLength {
 		return Token{}, &Error{Reason: "too long"}
@@ -91,22 +93,22 @@
 		return Token{}, &Error{Reason: "not a token"}
 	}
 	body := b[:len(b)-macBytes]
-	if !hmac.Equal(s.seal(body[:len(body):len(body)])[len(body):], b[len(body):]) {
+	if !hmac.Equal(s.appendSignature(body[:len(body):len(body)])[len(body):], b[len(body):]) {
 		return Token{}, &Error{Reason: "wrong signature"}
 	}
 	return parse(body)
 }
 
-// seal appends the signature of b to b.
-func (s *Signer) seal(b []byte) []byte {
+// appendSignature returns b followed by its signature.
+func (s *Signer) appendSignature(b []byte) []byte {
 	mac := hmac.New(sha256.New, s.key)
 	mac.Write(b)
 	return append(b, mac.Sum(nil)[:macBytes]...)
 }
 
 func parse(b []byte) (Token, error) {
-	if len(b) < 2 || b[0] != format {
-		return Token{}, &Error{Reason: fmt.Sprintf("unknown format, want %d", format)}
+	if len(b) < 2 || b[0] != formatVersion {
+		return Token{}, &Error{Reason: fmt.Sprintf("unknown format, want %d", formatVersion)}
 	}
 	r := reader{rest: b[2:]}
 	t := Token{Depth: int(b[1])}
@@ -114,7 +116,7 @@
 	t.Left = time.Duration(r.number()) * time.Microsecond
 	t.Caller = model.CallerName(r.text())
 	t.Group = model.GroupName(r.text())
-	if r.bad || len(r.rest) > 0 {
+	if r.failed || len(r.rest) > 0 {
 		return Token{}, &Error{Reason: "damaged"}
 	}
 	return t, nil
@@ -125,16 +127,17 @@
 	return append(b, s...)
 }
 
-// reader reads the parts of a token's body.
+// reader decodes the fields of a token. After a malformed field, failed is set
+// and the remaining results must be discarded.
 type reader struct {
-	rest []byte
-	bad  bool
+	rest   []byte
+	failed bool
 }
 
 func (r *reader) number() int64 {
 	v, n := binary.Varint(r.rest)
 	if n <= 0 {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	r.rest = r.rest[n:]
@@ -144,7 +147,7 @@
 func (r *reader) text() string {
 	length, n := binary.Uvarint(r.rest)
 	if n <= 0 || length > uint64(len(r.rest)-n) {
-		r.bad = true
+		r.failed = true
 		return ""
 	}
 	s := string(r.rest[n : n+int(length)])
--- a/core/calltoken/token_test.go
+++ b/core/calltoken/token_test.go
@@ -12,11 +12,11 @@
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-func sample() Token {
+func sampleToken() Token {
 	return Token{Caller: "bench", Group: "sorters", Depth: 3, Deadline: noon, Left: time.Second}
 }
 
-func TestVerifyReturnsWhatWasSigned(t *testing.T) {
+func TestVerifyRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := Token{
 			Caller:   model.CallerName(rapid.StringN(0, 50, 100).Draw(t, "caller")),
@@ -31,9 +31,9 @@
 	})
 }
 
-func TestVerifyRefusesEveryChangedCharacter(t *testing.T) {
+func TestVerifyRejectsEveryAlteredCharacter(t *testing.T) {
 	s := NewSigner("secret")
-	text := s.Sign(sample())
+	text := s.Sign(sampleToken())
 	for i := range text {
 		changed := []byte(text)
 		changed[i] ^= 1
@@ -42,15 +42,15 @@
 	}
 }
 
-func TestVerifyRefuses(t *testing.T) {
+func TestVerifyRejects(t *testing.T) {
 	s := NewSigner("secret")
 	tests := []struct {
 		name, text, want string
 	}{
-		{"nothing", "", "call token: not a token"},
-		{"foreign", NewSigner("other").Sign(sample()), "call token: wrong signature"},
-		{"longer", s.Sign(sample()) + "AAAA", "call token: wrong signature"},
-		{"huge", string(make([]byte, 4096)), "call token: too long"},
+		{"empty", "", "call token: not a token"},
+		{"signed with another secret", NewSigner("other").Sign(sampleToken()), "call token: wrong signature"},
+		{"trailing data", s.Sign(sampleToken()) + "AAAA", "call token: wrong signature"},
+		{"over the length limit", string(make([]byte, 4096)), "call token: too long"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -59,14 +59,14 @@
 		})
 	}
 	var none *Signer
-	require.Empty(t, none.Sign(sample()))
-	_, err := none.Verify(s.Sign(sample()))
+	require.Empty(t, none.Sign(sampleToken()))
+	_, err := none.Verify(s.Sign(sampleToken()))
 	require.Error(t, err)
 	require.Nil(t, NewSigner(""), "no secret")
 }
 
-func TestRemainingNeverGrows(t *testing.T) {
-	token := sample()
+func TestRemainingNeverExceedsTimeLeft(t *testing.T) {
+	token := sampleToken()
 	require.Equal(t, 300*time.Millisecond, token.Remaining(noon.Add(-300*time.Millisecond)))
 	require.Equal(t, time.Second, token.Remaining(noon.Add(-time.Hour)), "a clock that is behind")
 	require.Negative(t, token.Remaining(noon.Add(time.Millisecond)))
@@ -74,7 +74,7 @@
 
 func BenchmarkSignVerify(b *testing.B) {
 	s := NewSigner("secret")
-	token := sample()
+	token := sampleToken()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := s.Verify(s.Sign(token)); err != nil {
