--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	tick  = 250 * time.Millisecond
-	round = time.Second
+	tickInterval   = 250 * time.Millisecond
+	gossipInterval = time.Second
 )
 
 // fleet is a number of daemons that hold one ceiling and gossip once a second
 // with one peer each, in virtual time.
 type fleet struct {
-	rng      *rand.Rand
-	now      model.Instant
-	daemons  []*Ceiling
-	demand   []float64
-	owed     []float64
-	hold     time.Duration
-	ends     []leave
-	admitted []int // by window of one second
-	most     int   // the largest concurrency of all daemons together
-	inFlight int
+	rng             *rand.Rand
+	now             model.Instant
+	daemons         []*Ceiling
+	demand          []float64
+	pendingArrivals []float64
+	holdTime        time.Duration
+	completions     []completion
+	admitted        []int // by window of one second
+	maxInFlight     int   // the largest concurrency of all daemons together
+	inFlight        int
 }
 
-type leave struct {
+type completion struct {
 	at     model.Instant
 	daemon *Ceiling
 }
 
 func newFleet(n int, limits Limits) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(5, 6)), demand: make([]float64, n), owed: make([]float64, n)}
+	f := &fleet{rng: rand.New(rand.NewPCG(5, 6)), demand: make([]float64, n), pendingArrivals: make([]float64, n)}
 	for i := range n {
 		f.daemons = append(f.daemons, New(0, 1, Daemon(i+1), limits))
 	}
@@ -49,24 +49,24 @@
 	const step = time.Millisecond
 	for range d / step {
 		f.now = f.now.Add(step)
-		f.leave()
+		f.complete()
 		for i, c := range f.daemons {
 			f.arrive(i, c, step)
 		}
-		f.most = max(f.most, f.inFlight)
-		if f.now%model.Instant(tick) == 0 {
+		f.maxInFlight = max(f.maxInFlight, f.inFlight)
+		if f.now%model.Instant(tickInterval) == 0 {
 			for _, c := range f.daemons {
 				c.Tick(f.now, uint64(f.now/1e6))
 			}
 		}
-		if f.now%model.Instant(round) == 0 {
+		if f.now%model.Instant(gossipInterval) == 0 {
 			f.gossip()
 		}
 	}
 }
 
 func (f *fleet) arrive(i int, c *Ceiling, step time.Duration) {
-	for f.owed[i] += f.demand[i] * step.Seconds(); f.owed[i] >= 1; f.owed[i]-- {
+	for f.pendingArrivals[i] += f.demand[i] * step.Seconds(); f.pendingArrivals[i] >= 1; f.pendingArrivals[i]-- {
 		if _, ok := c.Arrive(f.now); !ok {
 			continue
 		}
@@ -76,14 +76,14 @@
 		}
 		f.admitted[second]++
 		f.inFlight++
-		f.ends = append(f.ends, leave{at: f.now.Add(f.hold), daemon: c})
+		f.completions = append(f.completions, completion{at: f.now.Add(f.holdTime), daemon: c})
 	}
 }
 
-func (f *fleet) leave() {
-	for len(f.ends) > 0 && f.ends[0].at <= f.now {
-		f.ends[0].daemon.Leave()
-		f.ends = f.ends[1:]
+func (f *fleet) complete() {
+	for len(f.completions) > 0 && f.completions[0].at <= f.now {
+		f.completions[0].daemon.Leave()
+		f.completions = f.completions[1:]
 		f.inFlight--
 	}
 }
@@ -131,43 +131,43 @@
 func TestConcurrencyCeilingError(t *testing.T) {
 	const ceiling = 10
 	f := newFleet(12, Limits{Concurrency: ceiling})
-	f.hold = 50 * time.Millisecond
+	f.holdTime = 50 * time.Millisecond
 	for i := range 6 {
 		f.demand[i] = 200
 	}
 	f.run(8 * time.Second)
-	first := f.most
-	f.most = 0
+	maxBefore := f.maxInFlight
+	f.maxInFlight = 0
 	f.run(8 * time.Second)
-	t.Logf("most in flight of %d: %d in the first seconds, %d then", ceiling, first, f.most)
-	require.LessOrEqual(t, 2*first, 3*ceiling, "while the daemons learn of each other")
-	require.LessOrEqual(t, f.most, ceiling, "steady")
-	require.GreaterOrEqual(t, f.most, ceiling-1, "and used")
+	t.Logf("most in flight of %d: %d in the first seconds, %d then", ceiling, maxBefore, f.maxInFlight)
+	require.LessOrEqual(t, 2*maxBefore, 3*ceiling, "while the daemons learn of each other")
+	require.LessOrEqual(t, f.maxInFlight, ceiling, "steady")
+	require.GreaterOrEqual(t, f.maxInFlight, ceiling-1, "and used")
 }
 
-// TestSlotsAddUp divides any number of slots by any demand.
-func TestSlotsAddUp(t *testing.T) {
+// TestSlotSharesSumToTotal divides any number of slots by any demand.
+func TestSlotSharesSumToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 500).Draw(t, "slots")
 		demands := rapid.SliceOfN(rapid.Float32Range(0, 1e6), 1, 30).Draw(t, "demands")
-		l := ledger{reports: make(map[Daemon]heard)}
-		any := false
+		l := reportTable{byDaemon: make(map[Daemon]receivedReport)}
+		anyDemand := false
 		for i, d := range demands {
-			l.take(0, Report{Daemon: Daemon(i), Demand: d, Stamp: 1})
-			any = any || d > 0
+			l.merge(0, Report{Daemon: Daemon(i), Demand: d, Stamp: 1})
+			anyDemand = anyDemand || d > 0
 		}
 		sum := 0
 		for i := range demands {
-			sum += l.slots(Daemon(i), total)
+			sum += l.slotsOf(Daemon(i), total)
 		}
-		if !any {
+		if !anyDemand {
 			total = 0
 		}
 		require.Equal(t, total, sum)
 	})
 }
 
-func TestLostDaemonIsForgotten(t *testing.T) {
+func TestSilentDaemonIsExcluded(t *testing.T) {
 	f := newFleet(3, Limits{Rate: 300})
 	f.demand = []float64{300, 300, 300}
 	f.run(6 * time.Second)
@@ -179,7 +179,7 @@
 	require.InDelta(t, 150, rate, 5)
 }
 
-func TestReportsAreBoundedAndChecked(t *testing.T) {
+func TestMergeBoundsAndValidatesReports(t *testing.T) {
 	c := New(0, 1, 1, Limits{Rate: 1})
 	for i := range 2 * maxDaemons {
 		c.Merge(0, Report{Key: 1, Daemon: Daemon(i + 2), Demand: 1, Stamp: 1})
--- a/core/ceiling/reports.go
+++ b/core/ceiling/reports.go
@@ -27,96 +27,96 @@
 	// maxDaemons bounds the daemons remembered for one ceiling. Reports of
 	// further ones are not taken in.
 	maxDaemons = 4096
-	// forgetAfter is the age at which a daemon's last report counts no more.
-	forgetAfter = 10 * time.Second
+	// expireAfter is the age at which a daemon's last report counts no more.
+	expireAfter = 10 * time.Second
 	// deleteAfter is the age at which the report is dropped. Until then it is
 	// remembered, so that a peer that still holds it does not bring it back.
-	deleteAfter = 3 * forgetAfter
+	deleteAfter = 3 * expireAfter
 )
 
-// heard is a report and when it was heard here.
-type heard struct {
+// receivedReport is a report and when it was receivedReport here.
+type receivedReport struct {
 	Report
 	at model.Instant
-	// lost is set once the daemon has not reported for forgetAfter.
-	lost bool
+	// expired is set once the daemon has not reported for forgetAfter.
+	expired bool
 }
 
-// ledger holds the newest report of each daemon on one ceiling.
-type ledger struct {
-	reports map[Daemon]heard
+// reportTable holds the newest report of each daemon on one ceiling.
+type reportTable struct {
+	byDaemon map[Daemon]receivedReport
 }
 
-// take takes in a report and tells whether it was news.
-func (l *ledger) take(now model.Instant, r Report) bool {
-	old, known := l.reports[r.Daemon]
+// merge takes in a report and tells whether it was news.
+func (l *reportTable) merge(now model.Instant, r Report) bool {
+	old, known := l.byDaemon[r.Daemon]
 	if known && old.Stamp >= r.Stamp {
 		return false
 	}
-	if !known && len(l.reports) >= maxDaemons {
+	if !known && len(l.byDaemon) >= maxDaemons {
 		return false
 	}
-	l.reports[r.Daemon] = heard{Report: r, at: now}
+	l.byDaemon[r.Daemon] = receivedReport{Report: r, at: now}
 	return true
 }
 
-func (l *ledger) forget(now model.Instant, self Daemon) {
-	for d, h := range l.reports {
+func (l *reportTable) expire(now model.Instant, self Daemon) {
+	for d, h := range l.byDaemon {
 		age := now.Sub(h.at)
 		switch {
-		case d == self || age <= forgetAfter:
+		case d == self || age <= expireAfter:
 		case age > deleteAfter:
-			delete(l.reports, d)
+			delete(l.byDaemon, d)
 		default:
-			h.lost = true
-			l.reports[d] = h
+			h.expired = true
+			l.byDaemon[d] = h
 		}
 	}
 }
 
-// others returns the sum of the other daemons' demand.
-func (l *ledger) others(self Daemon) float64 {
+// demandOfOthers returns the sum of the other daemons' demand.
+func (l *reportTable) demandOfOthers(self Daemon) float64 {
 	sum := 0.0
-	for d, h := range l.reports {
-		if d != self && !h.lost {
+	for d, h := range l.byDaemon {
+		if d != self && !h.expired {
 			sum += float64(h.Demand)
 		}
 	}
 	return sum
 }
 
-// slots divides whole slots by demand: each daemon gets its part rounded down,
+// slotsOf divides whole slotsOf by demand: each daemon gets its part rounded down,
 // and what is left goes to the largest remainders, so that the parts of all
 // daemons with the same reports add up.
-func (l *ledger) slots(self Daemon, total int) int {
-	type part struct {
+func (l *reportTable) slotsOf(self Daemon, total int) int {
+	type share struct {
 		daemon    Daemon
 		whole     int
 		remainder float64
 	}
 	sum := 0.0
-	for _, h := range l.reports {
-		if !h.lost {
+	for _, h := range l.byDaemon {
+		if !h.expired {
 			sum += float64(h.Demand)
 		}
 	}
 	if sum <= 0 {
 		return 0
 	}
-	parts := make([]part, 0, len(l.reports))
+	shares := make([]share, 0, len(l.byDaemon))
 	left := total
-	for d, h := range l.reports {
-		if h.lost {
+	for d, h := range l.byDaemon {
+		if h.expired {
 			continue
 		}
 		exact := float64(total) * float64(h.Demand) / sum
-		parts = append(parts, part{daemon: d, whole: int(exact), remainder: exact - float64(int(exact))})
+		shares = append(shares, share{daemon: d, whole: int(exact), remainder: exact - float64(int(exact))})
 		left -= int(exact)
 	}
-	slices.SortFunc(parts, func(a, b part) int {
+	slices.SortFunc(shares, func(a, b share) int {
 		return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(a.daemon, b.daemon))
 	})
-	for i, p := range parts {
+	for i, p := range shares {
 		if p.daemon != self {
 			continue
 		}
