--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -7,43 +7,47 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Key names a ceiling.
+// Key identifies a ceiling.
 type Key struct {
 	Service model.ServiceName
 	Group   model.GroupName
 }
 
-// Limits are a group's ceilings over all daemons. Zero means none.
+// Limits are the limits of a group, summed over all daemons. Zero means
+// unlimited.
 type Limits struct {
-	// Rate is in requests a second.
+	// Rate is the maximum number of requests per second.
 	Rate float64
-	// Concurrency is the number of requests in flight.
+	// Concurrency is the maximum number of requests in flight.
 	Concurrency int
 }
 
 const (
-	// demandHalfLife is the age at which an arrival counts half.
+	// demandHalfLife is the half-life of the moving average of demand.
 	demandHalfLife = time.Second
-	// burstTime is the time for which unused rate is saved up.
+	// burstTime sets the capacity of the token bucket: the tokens that the
+	// daemon's share of the rate adds in this time, but at least one.
 	burstTime = 100 * time.Millisecond
-	// initialShare is the part of a ceiling that a daemon may use at least of a
-	// rate, and at most (of a concurrency: one slot at least) until it has had
-	// demand for newcomerTime, since the reports of others may be on their way.
+	// initialShare is the daemon's share of a ceiling during the first
+	// initialPeriod of its demand, because reports of other daemons may still
+	// be on their way. A concurrency share is at least one slot in that period.
+	// After it, initialShare remains the minimum share of a rate.
 	initialShare  = 1.0 / 32
 	initialPeriod = 3 * time.Second
-	// reportThreshold is the relative change of demand that is worth a report,
-	// reportEvery the longest time between two.
+	// A daemon sends a report when its demand has changed by more than
+	// reportThreshold, relative to the reported demand, and at least once per
+	// reportInterval.
 	reportThreshold = 0.1
 	reportInterval  = 3 * time.Second
-	// idleDemand is the demand in requests a second below which a daemon
-	// reports none.
+	// idleDemand is the demand in requests per second below which a daemon
+	// reports no demand.
 	idleDemand = 0.01
-	// retryAfter is what a refused caller is told to wait.
+	// retryAfter is the wait time returned with a refused request.
 	retryAfter = time.Second
 )
 
-// Ceiling is one daemon's part in one ceiling. It is not safe for concurrent
-// use.
+// Ceiling enforces one daemon's share of a ceiling. It is not safe for
+// concurrent use.
 type Ceiling struct {
 	key     uint64
 	self    Daemon
@@ -55,13 +59,13 @@
 	inFlight int
 	lastTick model.Instant
 
-	// rate and slots are this daemon's parts.
+	// rate and slots are this daemon's shares of the limits.
 	rate       float64
 	slots      int
 	tokens     float64
 	lastRefill model.Instant
 
-	// demandSince is when the present demand began.
+	// demandSince is when the reported demand last rose above zero.
 	demandSince    model.Instant
 	reportedDemand float64
 	reportedAt     model.Instant
@@ -76,14 +80,15 @@
 	return c
 }
 
-// SetLimits changes the limits.
+// SetLimits replaces the limits and recomputes this daemon's shares.
 func (c *Ceiling) SetLimits(l Limits) {
 	c.limits = l
 	c.updateShares()
 }
 
-// Arrive asks to let one request in. When it reports true the request counts as
-// in flight until Leave. Otherwise it returns what to tell the caller to wait.
+// Arrive admits or refuses one request. An admitted request counts as in flight
+// until Leave is called. For a refused request Arrive returns false and the time
+// after which the caller may retry.
 func (c *Ceiling) Arrive(now model.Instant) (time.Duration, bool) {
 	c.arrivals++
 	c.refill(now)
@@ -100,15 +105,15 @@
 	return 0, true
 }
 
-// Leave tells that a request that was let in has ended.
+// Leave ends a request that Arrive has admitted.
 func (c *Ceiling) Leave() { c.inFlight-- }
 
-// Part returns this daemon's part of the rate and of the concurrency.
+// Part returns this daemon's share of the rate and of the concurrency.
 func (c *Ceiling) Part() (rate float64, slots int) { return c.rate, c.slots }
 
-// Tick brings demand and parts up to date. It is called several times a second.
-// It returns a report when the others should hear of a change; stamp is the
-// wall clock in milliseconds.
+// Tick updates the demand and the shares. It must be called several times per
+// second. It returns a report and true when a report to the other daemons is
+// due. The stamp is the wall clock in milliseconds.
 func (c *Ceiling) Tick(now model.Instant, stamp uint64) (Report, bool) {
 	c.updateDemand(now)
 	c.reports.expire(now, c.self)
@@ -120,7 +125,8 @@
 	return r, due
 }
 
-// Merge takes in another daemon's report and tells whether it was news.
+// Merge stores the report of another daemon. It returns false when the report is
+// invalid, not newer than the stored one, or over the limit on daemons.
 func (c *Ceiling) Merge(now model.Instant, r Report) bool {
 	if r.Daemon == c.self || !(r.Demand >= 0) || math.IsInf(float64(r.Demand), 0) {
 		return false
@@ -128,7 +134,8 @@
 	return c.reports.merge(now, r)
 }
 
-// Reports returns the reports that count now, this daemon's own among them.
+// Reports returns the reports that have not expired, including this daemon's
+// own.
 func (c *Ceiling) Reports() []Report {
 	out := make([]Report, 0, len(c.reports.byDaemon))
 	for _, h := range c.reports.byDaemon {
@@ -139,6 +146,7 @@
 	return out
 }
 
+// updateDemand adds the arrivals since the last tick to the moving average.
 func (c *Ceiling) updateDemand(now model.Instant) {
 	passed := now.Sub(c.lastTick)
 	if passed <= 0 {
@@ -153,8 +161,9 @@
 	c.arrivals, c.lastTick = 0, now
 }
 
-// nextReport returns the daemon's nextReport when its demand has changed enough or the
-// last nextReport is old. A daemon without demand reports that once.
+// nextReport returns this daemon's report and true when its demand has changed
+// by more than reportThreshold or the last report is older than reportInterval.
+// A daemon whose demand has ended sends a single report of zero.
 func (c *Ceiling) nextReport(now model.Instant, stamp uint64) (Report, bool) {
 	changed := math.Abs(c.demand-c.reportedDemand) > reportThreshold*max(c.reportedDemand, idleDemand)
 	old := c.demand > 0 && now.Sub(c.reportedAt) >= reportInterval
@@ -165,15 +174,15 @@
 		c.demandSince = now
 	}
 	if changed {
-		// A refreshed report repeats the figure, so that parts stay put while
-		// demand is steady.
+		// A periodic report repeats the last reported demand, so that shares do
+		// not change while demand is steady.
 		c.reportedDemand = c.demand
 	}
 	c.reportedAt, c.hasReported = now, true
 	return Report{Key: c.key, Daemon: c.self, Demand: float32(c.reportedDemand), Stamp: stamp}, true
 }
 
-// updateShares works out this daemon's parts from the reports.
+// updateShares computes this daemon's shares from the reports.
 func (c *Ceiling) updateShares() {
 	own := 0.0
 	if h, ok := c.reports.byDaemon[c.self]; ok {
@@ -189,6 +198,7 @@
 	c.slots = c.reports.slotsOf(c.self, c.limits.Concurrency)
 }
 
+// refill adds the tokens for the time since the last refill.
 func (c *Ceiling) refill(now model.Instant) {
 	passed := now.Sub(c.lastRefill)
 	if passed <= 0 {
--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -16,8 +16,8 @@
 	gossipInterval = time.Second
 )
 
-// fleet is a number of daemons that hold one ceiling and gossip once a second
-// with one peer each, in virtual time.
+// fleet simulates several daemons that share one ceiling, in virtual time. Once
+// per second each daemon exchanges reports with one random peer.
 type fleet struct {
 	rng             *rand.Rand
 	now             model.Instant
@@ -26,8 +26,8 @@
 	pendingArrivals []float64
 	holdTime        time.Duration
 	completions     []completion
-	admitted        []int // by window of one second
-	maxInFlight     int   // the largest concurrency of all daemons together
+	admitted        []int // number of admitted requests in each second
+	maxInFlight     int   // maximum of inFlight
 	inFlight        int
 }
 
@@ -44,7 +44,7 @@
 	return f
 }
 
-// run plays a time in steps of one millisecond.
+// run simulates the given time in steps of one millisecond.
 func (f *fleet) run(d time.Duration) {
 	const step = time.Millisecond
 	for range d / step {
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestRateCeilingError measures how far the admitted rate of twelve daemons is
-// from the ceiling: in the steady state, and while all the demand moves to
-// other daemons.
+// TestRateCeilingError checks how far the admitted rate of twelve daemons is
+// from the ceiling in the steady state, and while all demand moves from three
+// daemons to six others.
 func TestRateCeilingError(t *testing.T) {
 	const ceiling = 600
 	f := newFleet(12, Limits{Rate: ceiling})
@@ -119,9 +119,9 @@
 	}
 	f.run(12 * time.Second)
 	moving := f.admitted[12:18]
-	t.Logf("admitted a second of %d, while demand moves: %v, then %v", ceiling, moving, f.admitted[18:])
+	t.Logf("admitted per second with a ceiling of %d: %v while demand moves, %v afterwards", ceiling, moving, f.admitted[18:])
 	for _, n := range moving {
-		require.LessOrEqual(t, float64(n), 1.25*ceiling, "while it moves")
+		require.LessOrEqual(t, float64(n), 1.25*ceiling, "while demand moves")
 	}
 	for _, n := range f.admitted[18:] {
 		require.InDelta(t, ceiling, n, 0.05*ceiling, "steady again")
@@ -139,13 +139,13 @@
 	maxBefore := f.maxInFlight
 	f.maxInFlight = 0
 	f.run(8 * time.Second)
-	t.Logf("most in flight of %d: %d in the first seconds, %d then", ceiling, maxBefore, f.maxInFlight)
-	require.LessOrEqual(t, 2*maxBefore, 3*ceiling, "while the daemons learn of each other")
-	require.LessOrEqual(t, f.maxInFlight, ceiling, "steady")
-	require.GreaterOrEqual(t, f.maxInFlight, ceiling-1, "and used")
+	t.Logf("maximum in flight with a ceiling of %d: %d in the first 8 seconds, %d afterwards", ceiling, maxBefore, f.maxInFlight)
+	require.LessOrEqual(t, 2*maxBefore, 3*ceiling, "before all reports have spread")
+	require.LessOrEqual(t, f.maxInFlight, ceiling, "steady: above the ceiling")
+	require.GreaterOrEqual(t, f.maxInFlight, ceiling-1, "steady: ceiling not used up")
 }
 
-// TestSlotSharesSumToTotal divides any number of slots by any demand.
+// TestSlotSharesSumToTotal divides random numbers of slots by random demand.
 func TestSlotSharesSumToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 500).Draw(t, "slots")
@@ -185,7 +185,7 @@
 		c.Merge(0, Report{Key: 1, Daemon: Daemon(i + 2), Demand: 1, Stamp: 1})
 	}
 	require.Len(t, c.Reports(), maxDaemons)
-	require.False(t, c.Merge(0, Report{Daemon: 1, Demand: 5, Stamp: 9}), "about itself")
+	require.False(t, c.Merge(0, Report{Daemon: 1, Demand: 5, Stamp: 9}), "report in this daemon's own name")
 	require.False(t, c.Merge(0, Report{Daemon: 2, Demand: -5, Stamp: 9}), "negative")
 	require.False(t, c.Merge(0, Report{Daemon: 2, Demand: 5, Stamp: 1}), "not newer")
 	require.True(t, c.Merge(0, Report{Daemon: 2, Demand: 5, Stamp: 2}))
--- a/core/ceiling/doc.go
+++ b/core/ceiling/doc.go
@@ -1,23 +1,24 @@
-// Package ceiling holds a group to a rate and a concurrency over all daemons
-// without a coordinator.
+// Package ceiling limits the request rate and the concurrency of a group across
+// all daemons without a coordinator. Such a limit is called a ceiling.
 //
 // # Concept
 //
-// Each daemon enforces a part of the ceiling on the requests that enter through
-// it. The parts follow the demand: a daemon reports how many requests a second
-// it sees, refused ones among them, and takes the part of the ceiling that its
-// demand has in the sum of all reports. Daemons that hold the same reports work
-// out parts that add up to exactly the ceiling.
+// Each daemon enforces a share of the ceiling on the requests that it receives
+// from callers. Shares are proportional to demand: each daemon reports how many
+// requests per second it receives, including refused ones, and its share is its
+// own demand divided by the sum of all reported demand. Daemons that hold the
+// same reports compute shares that add up to exactly the ceiling.
 //
-// Reports travel by gossip and are therefore late. While demand moves from some
-// daemons to others, those that gained do not know yet what they may take, and
-// those that lost still hold it: the group gets less than its ceiling until the
-// reports have spread. It gets more only where a daemon does not know of
-// another's demand: for new demand each daemon first takes a small part
-// (newcomerPart), and a daemon that stopped reporting is forgotten after
-// forgetAfter. docs/design/sharing.md gives the error measured.
+// Reports spread by gossip and therefore arrive late. While demand moves from
+// some daemons to others, the daemons that gained demand still have small
+// shares and those that lost demand still hold large ones, so the group gets
+// less than its ceiling until the reports have spread. The group exceeds its
+// ceiling only while some daemon does not know the demand of another. Two rules
+// limit this: a daemon with new demand starts with a small share
+// (initialShare), and a daemon whose last report is older than expireAfter no
+// longer counts. docs/design/sharing.md lists the measured error.
 //
-// Alternatives that were weighed: equal parts refuse most of a demand that
-// enters through few daemons; subtracting the others' reported use from the
-// ceiling lets every daemon take the same free part at once.
+// Rejected alternatives: equal shares refuse most requests when the demand
+// arrives at only a few daemons; subtracting the reported usage of the others
+// from the ceiling lets every daemon claim the same unused capacity at once.
 package ceiling
--- a/core/ceiling/reports.go
+++ b/core/ceiling/reports.go
@@ -8,46 +8,48 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Daemon is a daemon's name in reports: a hash of its id.
+// Daemon identifies a daemon in reports. It is a hash of the daemon's id.
 type Daemon uint64
 
-// Report is what one daemon sees of one ceiling.
+// Report is the demand that one daemon has measured for one ceiling.
 type Report struct {
 	// Key is the hash of the ceiling's Key.
 	Key    uint64
 	Daemon Daemon
-	// Demand is in requests a second.
+	// Demand is in requests per second.
 	Demand float32
-	// Stamp rises with every report of the daemon on this key. It is the
-	// daemon's wall clock in milliseconds.
+	// Stamp is the daemon's wall clock in milliseconds. Of two reports by one
+	// daemon for one key, the report with the larger Stamp is newer.
 	Stamp uint64
 }
 
 const (
-	// maxDaemons bounds the daemons remembered for one ceiling. Reports of
-	// further ones are not taken in.
+	// maxDaemons is the maximum number of daemons stored for one ceiling.
+	// Reports of additional daemons are ignored.
 	maxDaemons = 4096
-	// expireAfter is the age at which a daemon's last report counts no more.
+	// expireAfter is the age at which a daemon's last report stops counting.
 	expireAfter = 10 * time.Second
-	// deleteAfter is the age at which the report is dropped. Until then it is
-	// remembered, so that a peer that still holds it does not bring it back.
+	// deleteAfter is the age at which an expired report is deleted. Until then
+	// it is kept, so that the same report is recognized as old when a peer
+	// sends it again.
 	deleteAfter = 3 * expireAfter
 )
 
-// receivedReport is a report and when it was receivedReport here.
+// receivedReport is a report with the time at which this daemon received it.
 type receivedReport struct {
 	Report
 	at model.Instant
-	// expired is set once the daemon has not reported for forgetAfter.
+	// expired is set once the report is older than expireAfter.
 	expired bool
 }
 
-// reportTable holds the newest report of each daemon on one ceiling.
+// reportTable holds the newest report of each daemon for one ceiling.
 type reportTable struct {
 	byDaemon map[Daemon]receivedReport
 }
 
-// merge takes in a report and tells whether it was news.
+// merge stores a report. It returns false when the report is not newer than the
+// stored one, or when its daemon is unknown and the table is full.
 func (l *reportTable) merge(now model.Instant, r Report) bool {
 	old, known := l.byDaemon[r.Daemon]
 	if known && old.Stamp >= r.Stamp {
@@ -60,6 +62,7 @@
 	return true
 }
 
+// expire marks or deletes old reports. Reports of self never expire.
 func (l *reportTable) expire(now model.Instant, self Daemon) {
 	for d, h := range l.byDaemon {
 		age := now.Sub(h.at)
@@ -74,7 +77,7 @@
 	}
 }
 
-// demandOfOthers returns the sum of the other daemons' demand.
+// demandOfOthers returns the sum of the unexpired demand of all other daemons.
 func (l *reportTable) demandOfOthers(self Daemon) float64 {
 	sum := 0.0
 	for d, h := range l.byDaemon {
@@ -85,9 +88,11 @@
 	return sum
 }
 
-// slotsOf divides whole slotsOf by demand: each daemon gets its part rounded down,
-// and what is left goes to the largest remainders, so that the parts of all
-// daemons with the same reports add up.
+// slotsOf returns the slots of one daemon when total slots are divided in
+// proportion to demand by the largest-remainder method: each daemon gets its
+// exact share rounded down, and the remaining slots go to the daemons with the
+// largest remainders. Daemons that hold the same reports thus compute slots that
+// add up to total.
 func (l *reportTable) slotsOf(self Daemon, total int) int {
 	type share struct {
 		daemon    Daemon
