--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -113,7 +113,7 @@
 	if !t.supersedes(r) {
 		return Stale
 	}
-	t.depart(t.current.Incarnation)
+	t.markDeparted(t.current.Incarnation)
 	t.current = r
 	return Started
 }
@@ -124,7 +124,7 @@
 	if i.Born == 0 && i.ID == t.current.ID {
 		i.Born = t.current.Born
 	}
-	t.depart(i)
+	t.markDeparted(i)
 	if i != t.current.Incarnation || t.current.State == Gone {
 		return Stale
 	}
@@ -138,7 +138,7 @@
 // Restore takes in that incarnations have left, as others remember it.
 func (t *Tracker) Restore(departed []Incarnation) {
 	for _, i := range departed {
-		t.depart(i)
+		t.markDeparted(i)
 		if i == t.current.Incarnation && t.current.State == Ready {
 			t.current.State = Draining
 		}
@@ -154,7 +154,7 @@
 	t.current = r
 	t.current.State = state
 	if state > Ready {
-		t.depart(r.Incarnation)
+		t.markDeparted(r.Incarnation)
 	}
 	if changed {
 		return Changed
@@ -182,7 +182,7 @@
 	return false
 }
 
-func (t *Tracker) depart(i Incarnation) {
+func (t *Tracker) markDeparted(i Incarnation) {
 	if t.hasDeparted(i) {
 		return
 	}
