--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -1,10 +1,13 @@
-// Package lifecycle orders what an upstream says of itself.
+// Package lifecycle orders the status reports that an upstream sends about
+// itself.
 //
-// A process that starts anew is a new incarnation, told apart by its id and the
-// time of its start; it may carry the id of the one before. Reports of one
-// incarnation carry a rising sequence. They may arrive late and in any order, so
-// the newest wins by (start, sequence), an incarnation that has left never
-// returns, and one that drains never becomes ready again.
+// Each start of an upstream process is a new incarnation, identified by the
+// upstream's id and the start time of the process. A restarted process may reuse
+// the id of its predecessor. Reports of one incarnation carry an increasing
+// sequence number. Because reports may arrive late and out of order, the report
+// with the highest (start time, sequence number) wins. An incarnation that has
+// left never returns, and an incarnation that is draining never becomes ready
+// again.
 package lifecycle
 
 import (
@@ -13,22 +16,23 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// State is the stage of an incarnation. States only rise.
+// State is the lifecycle state of an incarnation. It only moves forward, in the
+// order of the constants.
 type State uint8
 
 // The states.
 const (
-	// Unknown means that nothing has been heard of an incarnation.
+	// Unknown means that no report has been received.
 	Unknown State = iota
-	// Ready upstreams take requests.
+	// Ready upstreams accept requests.
 	Ready
-	// Draining upstreams finish what they have.
+	// Draining upstreams finish their current requests and accept no new ones.
 	Draining
-	// Gone upstreams have said that they are leaving for good.
+	// Gone upstreams have announced that they leave permanently.
 	Gone
 )
 
-// String returns the word used in logs.
+// String returns the name of the state as used in logs.
 func (s State) String() string {
 	switch s {
 	case Ready:
@@ -42,59 +46,63 @@
 	}
 }
 
-// Incarnation names one life of an upstream.
+// Incarnation identifies one run of an upstream process.
 type Incarnation struct {
 	ID model.UpstreamID
-	// Born is the start of the process, in Unix milliseconds by the clock of its
-	// VM. Zero means that it was not told.
+	// Born is the start time of the process in Unix milliseconds, by the clock
+	// of its VM. Zero means unknown.
 	Born int64
 }
 
-// Report is what an upstream says of itself.
+// Report is a status report of an upstream about itself.
 type Report struct {
 	Incarnation
+	// Sequence increases with each report of an incarnation.
 	Sequence uint64
 	State    State
 	Service  model.ServiceName
 	Zone     model.AvailabilityZone
 	Address  string
-	// Slots is the number of requests that it runs at once. Zero means that it was not
-	// told.
+	// Slots is the number of requests that the upstream runs concurrently. Zero
+	// means unknown.
 	Slots int
-	// ColdFor is how much longer it is slow after its start.
+	// ColdFor is the remaining warm-up time, during which the upstream is slow
+	// after its start.
 	ColdFor time.Duration
 }
 
-// Verdict is what became of a report.
+// Verdict is the effect of a report on a Tracker.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Stale reports are older than what is known.
+	// Stale reports are out of date and were ignored.
 	Stale Verdict = iota
-	// Same reports change nothing but the sequence.
+	// Same reports changed neither the state nor the slots.
 	Same
-	// Changed reports change the state of the incarnation or its slots.
+	// Changed reports changed the state of the current incarnation or its slots.
 	Changed
-	// Started reports are the first of a newer incarnation.
+	// Started reports are the first report of a newer incarnation.
 	Started
 )
 
-// maxDeparted is the number of departed incarnations remembered. One address has
-// one upstream at a time and a report is late by seconds, so a few would do.
+// maxDeparted is the maximum number of departed incarnations that a Tracker
+// stores. An address has one upstream at a time and reports are late by seconds
+// at most, so even a few would be enough.
 const maxDeparted = 64
 
-// Tracker follows the upstream at one address. It is not safe for concurrent
-// use. The zero value knows nothing.
+// Tracker holds the lifecycle state of the upstream at one address. It is not
+// safe for concurrent use. The zero value is an empty Tracker, ready to use.
 type Tracker struct {
 	current  Report
 	departed []Incarnation
 }
 
-// Current returns the newest report. Its State is Unknown when there is none.
+// Current returns the newest report. Its State is Unknown when no report has
+// been received.
 func (t *Tracker) Current() Report { return t.current }
 
-// Observe takes in a report.
+// Observe applies a report unless it is stale.
 func (t *Tracker) Observe(r Report) Verdict {
 	if t.hasDeparted(r.Incarnation) && r.State < Gone {
 		return Stale
@@ -104,7 +112,8 @@
 		return Started
 	}
 	if r.ID == t.current.ID && t.current.Born == 0 {
-		// Known so far by an answer that does not tell the start.
+		// The current incarnation is known only from a health check response,
+		// which contains no start time.
 		t.current.Born = r.Born
 	}
 	if r.Incarnation == t.current.Incarnation {
@@ -118,8 +127,8 @@
 	return Started
 }
 
-// Leave takes in that an incarnation leaves for good. With a Born of zero it
-// means the one known under the id.
+// Leave records that an incarnation leaves permanently. If Born is zero, the
+// current incarnation with the same id is meant.
 func (t *Tracker) Leave(i Incarnation) Verdict {
 	if i.Born == 0 && i.ID == t.current.ID {
 		i.Born = t.current.Born
@@ -132,10 +141,11 @@
 	return Changed
 }
 
-// Departed returns the incarnations that are known to have left or drained.
+// Departed returns the incarnations that have left or started to drain.
 func (t *Tracker) Departed() []Incarnation { return t.departed }
 
-// Restore takes in that incarnations have left, as others remember it.
+// Restore adds departed incarnations that other daemons have stored. If the
+// current incarnation is among them and ready, it becomes draining.
 func (t *Tracker) Restore(departed []Incarnation) {
 	for _, i := range departed {
 		t.markDeparted(i)
@@ -145,6 +155,7 @@
 	}
 }
 
+// update applies a report of the current incarnation.
 func (t *Tracker) update(r Report) Verdict {
 	if r.Sequence <= t.current.Sequence {
 		return Stale
@@ -162,8 +173,8 @@
 	return Same
 }
 
-// supersedes reports whether a report of another incarnation is of a later one.
-// Where either start is not told, an id that has not been seen is taken as later.
+// supersedes reports whether a report comes from a newer incarnation than the
+// current one. If either start time is unknown, a different id counts as newer.
 func (t *Tracker) supersedes(r Report) bool {
 	if r.Born != 0 && t.current.Born != 0 {
 		return r.Born > t.current.Born
@@ -171,8 +182,8 @@
 	return r.ID != t.current.ID
 }
 
-// hasDeparted reports whether an incarnation has departed. One whose start is not
-// told may be any of its id.
+// hasDeparted reports whether an incarnation has departed. An incarnation with
+// an unknown start time matches every incarnation with the same id.
 func (t *Tracker) hasDeparted(i Incarnation) bool {
 	for _, d := range t.departed {
 		if d.ID == i.ID && (d.Born == i.Born || d.Born == 0 || i.Born == 0) {
@@ -182,6 +193,8 @@
 	return false
 }
 
+// markDeparted adds an incarnation to the departed ones. When maxDeparted are
+// stored, the one that was added first is removed.
 func (t *Tracker) markDeparted(i Incarnation) {
 	if t.hasDeparted(i) {
 		return
--- a/core/lifecycle/lifecycle_test.go
+++ b/core/lifecycle/lifecycle_test.go
@@ -27,28 +27,28 @@
 		"renewal": {[]step{
 			{report("a", 1, 1, Ready), Started}, {report("a", 1, 2, Ready), Same},
 		}, "a", Ready},
-		"late report of the same life": {[]step{
+		"late report of the same incarnation": {[]step{
 			{report("a", 1, 5, Ready), Started}, {report("a", 1, 4, Draining), Stale},
 		}, "a", Ready},
 		"draining never becomes ready": {[]step{
 			{report("a", 1, 1, Ready), Started}, {report("a", 1, 2, Draining), Changed}, {report("a", 1, 3, Ready), Stale},
 		}, "a", Draining},
-		"a new life under the same id counts anew": {[]step{
+		"new incarnation with the same id starts over": {[]step{
 			{report("a", 1, 9, Draining), Started}, {report("a", 2, 1, Ready), Started},
 		}, "a", Ready},
-		"a late report of an earlier life": {[]step{
+		"late report of an earlier incarnation": {[]step{
 			{report("a", 1, 9, Ready), Started}, {report("b", 2, 1, Ready), Started}, {report("a", 1, 10, Ready), Stale},
 		}, "b", Ready},
-		"a late report of an earlier life under the same id": {[]step{
+		"late report of an earlier incarnation with the same id": {[]step{
 			{report("a", 2, 1, Ready), Started}, {report("a", 1, 50, Draining), Stale},
 		}, "a", Ready},
-		"without starts a new id is later": {[]step{
+		"without start times a new id is newer": {[]step{
 			{report("a", 0, 9, Ready), Started}, {report("b", 0, 1, Ready), Started}, {report("a", 0, 10, Ready), Stale},
 		}, "b", Ready},
-		"known by its health answer, then by a report": {[]step{
+		"health check response, then a ready report": {[]step{
 			{report("a", 0, 0, Ready), Started}, {report("a", 7, 3, Ready), Same},
 		}, "a", Ready},
-		"known by its health answer, then draining": {[]step{
+		"health check response, then a draining report": {[]step{
 			{report("a", 0, 0, Ready), Started}, {report("a", 7, 3, Draining), Changed},
 		}, "a", Draining},
 	} {
@@ -68,29 +68,31 @@
 	tr.Observe(report("a", 1, 1, Ready))
 	require.Equal(t, Stale, tr.Leave(Incarnation{ID: "z", Born: 1}), "another upstream")
 	require.Equal(t, Ready, tr.Current().State)
-	require.Equal(t, Changed, tr.Leave(Incarnation{ID: "a"}), "the start may be left out")
+	require.Equal(t, Changed, tr.Leave(Incarnation{ID: "a"}), "the start time may be omitted")
 	require.Equal(t, Gone, tr.Current().State)
 	require.Equal(t, Stale, tr.Observe(report("a", 1, 2, Ready)))
 	require.Equal(t, Started, tr.Observe(report("a", 2, 1, Ready)))
-	require.Equal(t, Stale, tr.Leave(Incarnation{ID: "a", Born: 1}), "the life before")
+	require.Equal(t, Stale, tr.Leave(Incarnation{ID: "a", Born: 1}), "the previous incarnation")
 	require.Equal(t, Ready, tr.Current().State)
 }
 
-// TestRestore answers a daemon that is killed right after it has acknowledged
-// that its upstream leaves: the others remember it.
+// TestRestore guards against an upstream becoming ready again after it has left,
+// when its daemon is killed right after acknowledging the leave. The restarted
+// daemon restores the departed incarnations from other daemons.
 func TestRestore(t *testing.T) {
 	var tr Tracker
 	tr.Restore([]Incarnation{{ID: "a", Born: 1}})
 	require.Equal(t, Stale, tr.Observe(report("a", 1, 5, Ready)))
 	require.Equal(t, Unknown, tr.Current().State)
-	require.Equal(t, Stale, tr.Observe(report("a", 0, 0, Ready)), "nor by a health answer, which tells no start")
+	require.Equal(t, Stale, tr.Observe(report("a", 0, 0, Ready)), "a health check response, which contains no start time")
 	tr.Observe(report("b", 2, 1, Ready))
 	tr.Restore([]Incarnation{{ID: "b", Born: 2}})
 	require.Equal(t, Draining, tr.Current().State)
 }
 
-// TestOrderDoesNotMatter plays the reports of two lives in any order, some of
-// them twice, and expects the state of the newest.
+// TestOrderDoesNotMatter observes the reports of two incarnations in random
+// order, some of them twice, and expects the last state of the newer
+// incarnation.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Report
