--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -23,11 +23,11 @@
 	b = appendText(b, r.Request)
 	b = binary.AppendUvarint(b, uint64(len(r.Deaths)))
 	for _, d := range r.Deaths {
-		b = appendText(b, string(d.Death.Upstream))
-		b = binary.AppendUvarint(b, uint64(d.Death.Incarnation))
+		b = appendText(b, string(d.Crash.Upstream))
+		b = binary.AppendUvarint(b, uint64(d.Crash.Incarnation))
 		b = binary.AppendUvarint(b, uint64(d.At))
 	}
-	for _, at := range []int64{r.Cleared, r.Condemned, r.Until} {
+	for _, at := range []int64{r.ClearedAt, r.QuarantinedAt, r.Until} {
 		b = binary.AppendUvarint(b, uint64(at))
 	}
 	return b
@@ -47,7 +47,7 @@
 	for len(d.rest) > 0 {
 		out = append(out, d.record())
 	}
-	if d.bad {
+	if d.failed {
 		return nil, ErrRecord
 	}
 	return out, nil
@@ -56,13 +56,13 @@
 // decoder reads an encoding. After something that cannot be read it is bad, and
 // everything it returns is zero.
 type decoder struct {
-	rest []byte
-	bad  bool
+	rest   []byte
+	failed bool
 }
 
-func (d *decoder) take(n uint64) []byte {
+func (d *decoder) readBytes(n uint64) []byte {
 	if n > uint64(len(d.rest)) {
-		d.bad, d.rest = true, nil
+		d.failed, d.rest = true, nil
 		return nil
 	}
 	b := d.rest[:n]
@@ -73,40 +73,40 @@
 func (d *decoder) number() uint64 {
 	n, size := binary.Uvarint(d.rest)
 	if size <= 0 {
-		d.bad, d.rest = true, nil
+		d.failed, d.rest = true, nil
 		return 0
 	}
 	d.rest = d.rest[size:]
 	return n
 }
 
-func (d *decoder) text() string { return string(d.take(d.number())) }
+func (d *decoder) text() string { return string(d.readBytes(d.number())) }
 
 func (d *decoder) record() Record {
 	var r Record
-	copy(r.Fingerprint[:], d.take(uint64(len(r.Fingerprint))))
+	copy(r.Fingerprint[:], d.readBytes(uint64(len(r.Fingerprint))))
 	r.Service = model.ServiceName(d.text())
 	r.Caller = model.CallerName(d.text())
 	r.Request = d.text()
 	deaths := d.number()
-	if deaths > maxDeaths {
-		d.bad, d.rest = true, nil
+	if deaths > maxCrashes {
+		d.failed, d.rest = true, nil
 		return r
 	}
 	for range deaths {
-		s := Suspicion{Death: Death{Upstream: model.UpstreamID(d.text())}}
-		s.Death.Incarnation = model.Incarnation(d.number())
+		s := CrashReport{Crash: Death{Upstream: model.UpstreamID(d.text())}}
+		s.Crash.Incarnation = model.Incarnation(d.number())
 		s.At = int64(d.number())
 		r.Deaths = append(r.Deaths, s)
 	}
-	r.Cleared, r.Condemned, r.Until = int64(d.number()), int64(d.number()), int64(d.number())
+	r.ClearedAt, r.QuarantinedAt, r.Until = int64(d.number()), int64(d.number()), int64(d.number())
 	return r
 }
 
-// settleOrder brings the deaths into an order that does not depend on which became known
+// normalizeCrashes brings the deaths into an order that does not depend on which became known
 // first, and keeps the oldest: a request that goes on crashing upstreams must not put off
 // the time at which its deaths have settled.
-func (r *Record) settleOrder() {
-	slices.SortFunc(r.Deaths, Suspicion.compare)
-	r.Deaths = r.Deaths[:min(len(r.Deaths), maxDeaths)]
+func (r *Record) normalizeCrashes() {
+	slices.SortFunc(r.Deaths, CrashReport.compare)
+	r.Deaths = r.Deaths[:min(len(r.Deaths), maxCrashes)]
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -76,17 +76,17 @@
 	Duration time.Duration
 }
 
-// Suspicion is a death that a request ran in.
-type Suspicion struct {
-	Death Death `json:"death"`
+// CrashReport is a death that a request ran in.
+type CrashReport struct {
+	Crash Death `json:"death"`
 	// At is when it was seen, in Unix milliseconds.
 	At int64 `json:"at"`
 }
 
 // compare orders deaths by time, those of one time by name.
-func (s Suspicion) compare(o Suspicion) int {
-	return cmp.Or(cmp.Compare(s.At, o.At), cmp.Compare(s.Death.Upstream, o.Death.Upstream),
-		cmp.Compare(s.Death.Incarnation, o.Death.Incarnation))
+func (s CrashReport) compare(o CrashReport) int {
+	return cmp.Or(cmp.Compare(s.At, o.At), cmp.Compare(s.Crash.Upstream, o.Crash.Upstream),
+		cmp.Compare(s.Crash.Incarnation, o.Crash.Incarnation))
 }
 
 // Record is what daemons hold and exchange about one fingerprint.
@@ -97,24 +97,24 @@
 	// Request is method and target, cut to a bounded length.
 	Request string `json:"request"`
 	// Deaths are the oldest deaths that the request ran in since it was cleared.
-	Deaths []Suspicion `json:"deaths,omitempty"`
-	// Cleared is when the request was last answered in full or released, in
+	Deaths []CrashReport `json:"deaths,omitempty"`
+	// ClearedAt is when the request was last answered in full or released, in
 	// Unix milliseconds. Deaths up to then do not count.
-	Cleared int64 `json:"cleared,omitempty"`
-	// Condemned is when the request was condemned, Until when that ends, in
+	ClearedAt int64 `json:"cleared,omitempty"`
+	// QuarantinedAt is when the request was condemned, Until when that ends, in
 	// Unix milliseconds. It counts while it is later than Cleared.
-	Condemned int64 `json:"condemned,omitempty"`
-	Until     int64 `json:"until,omitempty"`
+	QuarantinedAt int64 `json:"condemned,omitempty"`
+	Until         int64 `json:"until,omitempty"`
 }
 
 // Refused reports whether the request is refused at a time.
-func (r *Record) Refused(now int64) bool { return r.Condemned > r.Cleared && now < r.Until }
+func (r *Record) Refused(now int64) bool { return r.QuarantinedAt > r.ClearedAt && now < r.Until }
 
-// counted returns the deaths that still count.
-func (r *Record) counted() []Suspicion {
+// pruneCleared returns the deaths that still count.
+func (r *Record) pruneCleared() []CrashReport {
 	n := 0
 	for _, d := range r.Deaths {
-		if d.At > r.Cleared {
+		if d.At > r.ClearedAt {
 			r.Deaths[n] = d
 			n++
 		}
@@ -123,20 +123,20 @@
 	return r.Deaths
 }
 
-func (r *Record) has(d Death) bool {
+func (r *Record) hasCrash(d Death) bool {
 	for _, s := range r.Deaths {
-		if s.Death == d {
+		if s.Crash == d {
 			return true
 		}
 	}
 	return false
 }
 
-// compare orders records by how much they matter: the refused ones, then those with
+// comparePriority orders records by how much they matter: the refused ones, then those with
 // the most deaths, then the newest.
-func (r *Record) compare(o *Record) int {
-	return cmp.Or(cmp.Compare(o.Condemned, r.Condemned), cmp.Compare(len(o.Deaths), len(r.Deaths)),
-		cmp.Compare(o.newest(), r.newest()), slices.Compare(r.Fingerprint[:], o.Fingerprint[:]))
+func (r *Record) comparePriority(o *Record) int {
+	return cmp.Or(cmp.Compare(o.QuarantinedAt, r.QuarantinedAt), cmp.Compare(len(o.Deaths), len(r.Deaths)),
+		cmp.Compare(o.lastUpdate(), r.lastUpdate()), slices.Compare(r.Fingerprint[:], o.Fingerprint[:]))
 }
 
 func (r *Record) clone() Record {
@@ -145,14 +145,14 @@
 	return c
 }
 
-// useless reports whether the record is too old to matter.
-func (r *Record) useless(now int64) bool {
-	return max(r.newest()+keep.Milliseconds(), r.Until) < now
+// expired reports whether the record is too old to matter.
+func (r *Record) expired(now int64) bool {
+	return max(r.lastUpdate()+retention.Milliseconds(), r.Until) < now
 }
 
-// newest is the time of the newest fact of the record.
-func (r *Record) newest() int64 {
-	t := max(r.Cleared, r.Condemned)
+// lastUpdate is the time of the lastUpdate fact of the record.
+func (r *Record) lastUpdate() int64 {
+	t := max(r.ClearedAt, r.QuarantinedAt)
 	for _, d := range r.Deaths {
 		t = max(t, d.At)
 	}
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -14,21 +14,21 @@
 	// the fewest deaths, the oldest first. A Table of refused records takes no
 	// others in.
 	maxRecords = 1024
-	// maxDeaths bounds the deaths remembered of one request.
-	maxDeaths = 4
-	// maxTogether is the largest number of requests that may be condemned for
+	// maxCrashes bounds the deaths remembered of one request.
+	maxCrashes = 4
+	// maxQuarantinedTogether is the largest number of requests that may be condemned for
 	// the same deaths.
-	maxTogether = 3
-	// maxRequest bounds Record.Request, in bytes.
-	maxRequest = 120
-	// keep is how long a record is kept after its newest fact, besides the time
+	maxQuarantinedTogether = 3
+	// maxRequestBytes bounds Record.Request, in bytes.
+	maxRequestBytes = 120
+	// retention is how long a record is kept after its newest fact, besides the time
 	// for which it is refused.
-	keep = 30 * time.Minute
-	// settle is how long after a death the reports of what else ran there may
+	retention = 30 * time.Minute
+	// reportDelay is how long after a death the reports of what else ran there may
 	// take to arrive. Nobody is condemned for a death before.
-	settle = 500 * time.Millisecond
-	// ahead is how far in the future a peer's record may lie.
-	ahead = time.Minute
+	reportDelay = 500 * time.Millisecond
+	// maxClockSkew is how far in the future a peer's record may lie.
+	maxClockSkew = time.Minute
 )
 
 // Options configure a Table.
@@ -42,15 +42,15 @@
 type Table struct {
 	opts    Options
 	records map[Fingerprint]*Record
-	// changed are the records that have changed since Told was called for them.
-	changed map[Fingerprint]struct{}
+	// unsent are the records that have unsent since Told was called for them.
+	unsent map[Fingerprint]struct{}
 	// version rises with every change.
 	version uint64
 }
 
 // NewTable returns an empty Table.
 func NewTable(opts Options) *Table {
-	return &Table{opts: opts, records: make(map[Fingerprint]*Record), changed: make(map[Fingerprint]struct{})}
+	return &Table{opts: opts, records: make(map[Fingerprint]*Record), unsent: make(map[Fingerprint]struct{})}
 }
 
 // Len returns the number of records.
@@ -70,11 +70,11 @@
 
 // Died tells that an upstream died while it ran a request. Settle decides what
 // follows from it.
-func (t *Table) Died(now int64, f Fingerprint, r Request, d Death) {
-	text := r.Method + " " + r.Target
+func (t *Table) Died(now int64, f Fingerprint, req Request, d Death) {
+	text := req.Method + " " + req.Target
 	t.Merge(now, Record{
-		Fingerprint: f, Service: r.Service, Caller: r.Caller, Request: text[:min(len(text), maxRequest)],
-		Deaths: []Suspicion{{Death: d, At: now}},
+		Fingerprint: f, Service: req.Service, Caller: req.Caller, Request: text[:min(len(text), maxRequestBytes)],
+		Deaths: []CrashReport{{Crash: d, At: now}},
 	})
 }
 
@@ -83,7 +83,7 @@
 func (t *Table) Settle(now int64) {
 	var candidates []*Record
 	for _, r := range t.records {
-		if t.due(now, r) {
+		if t.isDue(now, r) {
 			candidates = append(candidates, r)
 		}
 	}
@@ -91,22 +91,22 @@
 		return cmp.Or(cmp.Compare(len(b.Deaths), len(a.Deaths)), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	for _, r := range candidates {
-		if t.due(now, r) {
-			t.judge(r)
+		if t.isDue(now, r) {
+			t.quarantine(r)
 		}
 	}
 }
 
-// due reports whether a request ran in enough deaths that have settled.
-func (t *Table) due(now int64, r *Record) bool {
+// isDue reports whether a request ran in enough deaths that have settled.
+func (t *Table) isDue(now int64, r *Record) bool {
 	enough := len(r.Deaths) >= max(t.opts.Rule(r.Service).Deaths, 1)
-	return enough && !r.Refused(now) && now >= r.newest()+settle.Milliseconds()
+	return enough && !r.Refused(now) && now >= r.lastUpdate()+reportDelay.Milliseconds()
 }
 
 // Answered tells that a request was answered in full, which clears it of the
 // deaths so far. A request that is refused stays so.
 func (t *Table) Answered(now int64, f Fingerprint) {
-	if r := t.records[f]; r != nil && !r.Refused(now) && len(r.counted()) > 0 {
+	if r := t.records[f]; r != nil && !r.Refused(now) && len(r.pruneCleared()) > 0 {
 		t.clear(now, r)
 	}
 }
@@ -118,42 +118,42 @@
 	if r == nil {
 		return false
 	}
-	t.clear(max(now, r.Condemned), r)
+	t.clear(max(now, r.QuarantinedAt), r)
 	return true
 }
 
 func (t *Table) clear(at int64, r *Record) {
-	r.Cleared = at
-	r.counted()
-	t.change(r)
+	r.ClearedAt = at
+	r.pruneCleared()
+	t.markChanged(r)
 }
 
-// change notes that a record has changed.
-func (t *Table) change(r *Record) {
-	t.changed[r.Fingerprint] = struct{}{}
+// markChanged notes that a record has changed.
+func (t *Table) markChanged(r *Record) {
+	t.unsent[r.Fingerprint] = struct{}{}
 	t.version++
 }
 
-// drop takes a record out.
-func (t *Table) drop(f Fingerprint) {
+// remove takes a record out.
+func (t *Table) remove(f Fingerprint) {
 	delete(t.records, f)
-	delete(t.changed, f)
+	delete(t.unsent, f)
 	t.version++
 }
 
 // Changed returns the records that have changed since Told was called for them, those
 // that matter most first.
 func (t *Table) Changed() []Record {
-	out := make([]Record, 0, len(t.changed))
-	for f := range t.changed {
+	out := make([]Record, 0, len(t.unsent))
+	for f := range t.unsent {
 		out = append(out, t.records[f].clone())
 	}
-	slices.SortFunc(out, func(a, b Record) int { return a.compare(&b) })
+	slices.SortFunc(out, func(a, b Record) int { return a.comparePriority(&b) })
 	return out
 }
 
 // Told takes in that others have been told of a record's last change.
-func (t *Table) Told(f Fingerprint) { delete(t.changed, f) }
+func (t *Table) Told(f Fingerprint) { delete(t.unsent, f) }
 
 // List returns the records, newest first. The requests that are refused are
 // those whose Refused says so.
@@ -163,7 +163,7 @@
 		out = append(out, r.clone())
 	}
 	slices.SortFunc(out, func(a, b Record) int {
-		return cmp.Or(cmp.Compare(b.newest(), a.newest()), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
+		return cmp.Or(cmp.Compare(b.lastUpdate(), a.lastUpdate()), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return out
 }
@@ -171,8 +171,8 @@
 // Expire drops records that are of no use any more.
 func (t *Table) Expire(now int64) {
 	for f, r := range t.records {
-		if r.useless(now) {
-			t.drop(f)
+		if r.expired(now) {
+			t.remove(f)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 // Merge takes in a record of this daemon or another. It reports whether that
 // changed anything. Records from the future are not taken in.
 func (t *Table) Merge(now int64, in Record) bool {
-	if in.newest() > now+ahead.Milliseconds() {
+	if in.lastUpdate() > now+maxClockSkew.Milliseconds() {
 		return false
 	}
 	r := t.records[in.Fingerprint]
@@ -190,22 +190,22 @@
 		}
 	}
 	in.Deaths = t.unexplained(now, in)
-	if !r.take(in) {
+	if !r.mergeFrom(in) {
 		return false
 	}
-	t.change(r)
+	t.markChanged(r)
 	return true
 }
 
 // unexplained returns the deaths of a record that no other refused request of
 // the service explains.
-func (t *Table) unexplained(now int64, in Record) []Suspicion {
-	var out []Suspicion
+func (t *Table) unexplained(now int64, in Record) []CrashReport {
+	var out []CrashReport
 	for _, d := range in.Deaths {
 		explained := false
 		for _, r := range t.records {
 			other := r.Service == in.Service && r.Fingerprint != in.Fingerprint
-			explained = explained || other && r.Refused(now) && r.has(d.Death)
+			explained = explained || other && r.Refused(now) && r.hasCrash(d.Crash)
 		}
 		if !explained {
 			out = append(out, d)
@@ -214,39 +214,39 @@
 	return out
 }
 
-// take joins what another record of the same request says.
-func (r *Record) take(in Record) bool {
+// mergeFrom joins what another record of the same request says.
+func (r *Record) mergeFrom(in Record) bool {
 	changed := false
-	if in.Cleared > r.Cleared {
-		r.Cleared, changed = in.Cleared, true
+	if in.ClearedAt > r.ClearedAt {
+		r.ClearedAt, changed = in.ClearedAt, true
 	}
-	if in.Condemned > r.Condemned {
-		r.Condemned, r.Until, changed = in.Condemned, in.Until, true
+	if in.QuarantinedAt > r.QuarantinedAt {
+		r.QuarantinedAt, r.Until, changed = in.QuarantinedAt, in.Until, true
 	}
 	for _, d := range in.Deaths {
-		i := slices.IndexFunc(r.Deaths, func(s Suspicion) bool { return s.Death == d.Death })
+		i := slices.IndexFunc(r.Deaths, func(s CrashReport) bool { return s.Crash == d.Crash })
 		switch {
 		case i >= 0 && d.At > r.Deaths[i].At:
 			r.Deaths[i].At, changed = d.At, true
-		case i < 0 && d.At > r.Cleared && r.remembers(d):
+		case i < 0 && d.At > r.ClearedAt && r.shouldKeep(d):
 			r.Deaths, changed = append(r.Deaths, d), true
 		}
 	}
-	r.counted()
-	r.settleOrder()
+	r.pruneCleared()
+	r.normalizeCrashes()
 	return changed
 }
 
-// remembers reports whether a death is among the oldest that count.
-func (r *Record) remembers(d Suspicion) bool {
-	return len(r.Deaths) < maxDeaths || d.compare(slices.MaxFunc(r.Deaths, Suspicion.compare)) < 0
+// shouldKeep reports whether a death is among the oldest that count.
+func (r *Record) shouldKeep(d CrashReport) bool {
+	return len(r.Deaths) < maxCrashes || d.compare(slices.MaxFunc(r.Deaths, CrashReport.compare)) < 0
 }
 
 func (t *Table) add(now int64, in Record) *Record {
 	if len(t.records) >= maxRecords && !t.evict(now, &in) {
 		return nil
 	}
-	r := &Record{Fingerprint: in.Fingerprint, Service: in.Service, Caller: in.Caller, Request: in.Request[:min(len(in.Request), maxRequest)]}
+	r := &Record{Fingerprint: in.Fingerprint, Service: in.Service, Caller: in.Caller, Request: in.Request[:min(len(in.Request), maxRequestBytes)]}
 	t.records[in.Fingerprint] = r
 	return r
 }
@@ -256,59 +256,59 @@
 func (t *Table) evict(now int64, in *Record) bool {
 	var least *Record
 	for _, r := range t.records {
-		if !r.Refused(now) && (least == nil || r.compare(least) > 0) {
+		if !r.Refused(now) && (least == nil || r.comparePriority(least) > 0) {
 			least = r
 		}
 	}
-	if least == nil || in.compare(least) > 0 {
+	if least == nil || in.comparePriority(least) > 0 {
 		return false
 	}
-	t.drop(least.Fingerprint)
+	t.remove(least.Fingerprint)
 	return true
 }
 
-// judge condemns a request that ran in enough deaths, and those that ran in all
+// quarantine condemns a request that ran in enough deaths, and those that ran in all
 // of them beside it, unless they are too many to tell apart.
-func (t *Table) judge(r *Record) {
+func (t *Table) quarantine(r *Record) {
 	rule := t.opts.Rule(r.Service)
-	together := t.together(r)
-	if len(together) > maxTogether {
+	suspects := t.inSameCrashes(r)
+	if len(suspects) > maxQuarantinedTogether {
 		return
 	}
 	explained := slices.Clone(r.Deaths)
-	for _, guilty := range together {
-		for _, d := range guilty.Deaths {
-			guilty.Condemned = max(guilty.Condemned, d.At)
+	for _, s := range suspects {
+		for _, d := range s.Deaths {
+			s.QuarantinedAt = max(s.QuarantinedAt, d.At)
 		}
-		guilty.Until = guilty.Condemned + rule.Duration.Milliseconds()
-		t.change(guilty)
+		s.Until = s.QuarantinedAt + rule.Duration.Milliseconds()
+		t.markChanged(s)
 	}
-	t.free(r.Service, explained, together)
+	t.removeCrashes(r.Service, explained, suspects)
 }
 
-// together returns the requests of the service that ran in every death that r
+// inSameCrashes returns the requests of the service that ran in every death that r
 // ran in, r among them.
-func (t *Table) together(r *Record) []*Record {
+func (t *Table) inSameCrashes(r *Record) []*Record {
 	var out []*Record
 	for _, o := range t.records {
 		if o.Service != r.Service {
 			continue
 		}
-		if !slices.ContainsFunc(r.Deaths, func(d Suspicion) bool { return !o.has(d.Death) }) {
+		if !slices.ContainsFunc(r.Deaths, func(d CrashReport) bool { return !o.hasCrash(d.Crash) }) {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-// free strikes explained deaths off all but the guilty.
-func (t *Table) free(s model.ServiceName, explained []Suspicion, guilty []*Record) {
+// removeCrashes strikes explained deaths off all but the guilty.
+func (t *Table) removeCrashes(s model.ServiceName, explained []CrashReport, quarantined []*Record) {
 	for _, r := range t.records {
-		if r.Service != s || slices.Contains(guilty, r) {
+		if r.Service != s || slices.Contains(quarantined, r) {
 			continue
 		}
-		r.Deaths = slices.DeleteFunc(r.Deaths, func(d Suspicion) bool {
-			return slices.ContainsFunc(explained, func(e Suspicion) bool { return e.Death == d.Death })
+		r.Deaths = slices.DeleteFunc(r.Deaths, func(d CrashReport) bool {
+			return slices.ContainsFunc(explained, func(e CrashReport) bool { return e.Crash == d.Crash })
 		})
 	}
 }
