--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -10,12 +10,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// ErrRecord tells that encoded records cannot be read.
+// ErrRecord is returned for bytes that are not valid encoded records.
 var ErrRecord = errors.New("quarantine records cannot be read")
 
-// Append appends the encoding of a record: the fingerprint, service, caller and
-// request, the deaths, and the times. Numbers are varints; a text follows its length.
-// Equal records have equal encodings.
+// Append appends the encoding of the record to b: the fingerprint, service,
+// caller and request, the crashes, and the times. Numbers are encoded as varints
+// and strings with a length prefix. Equal records have equal encodings.
 func (r *Record) Append(b []byte) []byte {
 	b = append(b, r.Fingerprint[:]...)
 	b = appendText(b, string(r.Service))
@@ -33,14 +33,15 @@
 	return b
 }
 
-// Sum returns a number that tells two records of a request apart.
+// Sum returns a hash of the encoded record, for detecting changes.
 func (r *Record) Sum() uint64 { return xxhash.Sum64(r.Append(nil)) }
 
 func appendText(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Decode reads records that were appended to each other, or returns ErrRecord.
+// Decode reads a sequence of records that were encoded with Append. If any of
+// them is malformed it returns ErrRecord and no records.
 func Decode(b []byte) ([]Record, error) {
 	d := decoder{rest: b}
 	var out []Record
@@ -53,8 +54,8 @@
 	return out, nil
 }
 
-// decoder reads an encoding. After something that cannot be read it is bad, and
-// everything it returns is zero.
+// decoder decodes records. After malformed input, failed is set and all further
+// reads return zero values.
 type decoder struct {
 	rest   []byte
 	failed bool
@@ -103,9 +104,10 @@
 	return r
 }
 
-// normalizeCrashes brings the deaths into an order that does not depend on which became known
-// first, and keeps the oldest: a request that goes on crashing upstreams must not put off
-// the time at which its deaths have settled.
+// normalizeCrashes sorts the crashes, so that their order does not depend on the
+// order of arrival, and keeps the oldest maxCrashes. Newer crashes are dropped
+// because each of them would delay the quarantine by another reportDelay: a
+// request that keeps crashing upstreams would never be quarantined.
 func (r *Record) normalizeCrashes() {
 	slices.SortFunc(r.Deaths, CrashReport.compare)
 	r.Deaths = r.Deaths[:min(len(r.Deaths), maxCrashes)]
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -1,20 +1,24 @@
-// Package quarantine finds requests that kill the upstreams that run them.
+// Package quarantine detects requests that crash the upstreams that run them,
+// and refuses them for a limited time.
 //
 // # Concept
 //
-// A request is known by its Fingerprint: service, caller, method, target and
-// body. When an upstream dies, every request that ran there becomes a suspect
-// of that death. A suspect of enough distinct deaths is condemned: for a time
-// its fingerprint is refused everywhere.
+// A request is identified by its Fingerprint: a hash of service, caller, method,
+// target and body. When an upstream crashes, every request that was running on
+// it becomes a suspected request for that crash. A request that was running
+// during enough distinct crashes is quarantined: for a time, all daemons refuse
+// requests with its fingerprint.
 //
-// A shared crash must not condemn bystanders. A suspect that is answered in
-// full is cleared. Where one request is condemned the deaths that it explains
-// are struck off all other suspects, which frees those that ran beside it. And
-// when more than a few requests were together in every one of the deaths,
-// nobody is condemned until a further death tells them apart.
+// Requests that only happened to run beside the cause of a crash must not be
+// quarantined. Three rules protect them. A suspected request that later gets a
+// complete response is cleared. When a request is quarantined, its crashes are
+// removed from the records of all other requests. And when more than
+// maxQuarantinedTogether requests ran during the same crashes, none of them is
+// quarantined until another crash distinguishes them.
 //
-// A Table is a set of records that daemons exchange in any order: who saw which
-// death, who was cleared when, what is condemned until when, what an operator
-// released. The newest record about a fact counts, so all Tables that hold the
-// same records agree. Every kind of record is bounded; see the limits below.
+// A Table is a set of records that daemons exchange in any order: which requests
+// ran during which crash, when a request was cleared or released by an operator,
+// and until when it is quarantined. For each of these the newest value wins, so
+// Tables that have merged the same records agree. The size of a Table and of
+// each record is bounded.
 package quarantine
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -12,23 +12,24 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Fingerprint identifies a request by what was asked, not by who forwarded it.
+// Fingerprint identifies a request by its caller and content, regardless of the
+// daemon that forwarded it.
 type Fingerprint [16]byte
 
-// Request is what a fingerprint is taken of.
+// Request holds the properties of a request that its fingerprint covers.
 type Request struct {
 	Service model.ServiceName
 	Caller  model.CallerName
 	Method  string
 	Target  string
-	// Body is the whole body, or nil when it was streamed; then only its
-	// Length counts.
+	// Body is the complete body. It is nil for a streamed body, of which the
+	// fingerprint covers only the Length.
 	Body   []byte
 	Length int64
 }
 
-// Of returns the fingerprint of a request. Finding another request with the
-// same one is as hard as breaking SHA-256 cut to 128 bits.
+// Of returns the fingerprint of a request: SHA-256 truncated to 128 bits, so that
+// nobody can construct a different request with the same fingerprint.
 func Of(r Request) Fingerprint {
 	h := sha256.New()
 	part := func(b []byte) {
@@ -46,7 +47,7 @@
 	return Fingerprint(h.Sum(nil)[:16])
 }
 
-// String returns 32 hex digits.
+// String returns the fingerprint as 32 hex digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -62,55 +63,58 @@
 	return nil
 }
 
-// Death names the end of one life of one upstream.
+// Death identifies the crash of one incarnation of an upstream.
 type Death struct {
 	Upstream    model.UpstreamID  `json:"upstream"`
 	Incarnation model.Incarnation `json:"incarnation"`
 }
 
-// Rule tells when a request of a service is condemned.
+// Rule sets when and for how long a request of a service is quarantined.
 type Rule struct {
-	// Deaths is the number of distinct deaths, at least 1.
+	// Deaths is the number of distinct crashes that lead to a quarantine, at
+	// least 1.
 	Deaths int
-	// Duration is how long it is refused.
+	// Duration is how long the request is quarantined.
 	Duration time.Duration
 }
 
-// CrashReport is a death that a request ran in.
+// CrashReport is a crash during which a request was running.
 type CrashReport struct {
 	Crash Death `json:"death"`
-	// At is when it was seen, in Unix milliseconds.
+	// At is when the crash was detected, in Unix milliseconds.
 	At int64 `json:"at"`
 }
 
-// compare orders deaths by time, those of one time by name.
+// compare orders crash reports by time, then by upstream and incarnation.
 func (s CrashReport) compare(o CrashReport) int {
 	return cmp.Or(cmp.Compare(s.At, o.At), cmp.Compare(s.Crash.Upstream, o.Crash.Upstream),
 		cmp.Compare(s.Crash.Incarnation, o.Crash.Incarnation))
 }
 
-// Record is what daemons hold and exchange about one fingerprint.
+// Record is the state that daemons store and exchange for one fingerprint.
 type Record struct {
 	Fingerprint Fingerprint       `json:"fingerprint"`
 	Service     model.ServiceName `json:"service"`
 	Caller      model.CallerName  `json:"caller"`
-	// Request is method and target, cut to a bounded length.
+	// Request is method and target, truncated to maxRequestBytes.
 	Request string `json:"request"`
-	// Deaths are the oldest deaths that the request ran in since it was cleared.
+	// Deaths are the oldest crashes, at most maxCrashes, during which the
+	// request was running since it was cleared.
 	Deaths []CrashReport `json:"deaths,omitempty"`
-	// ClearedAt is when the request was last answered in full or released, in
-	// Unix milliseconds. Deaths up to then do not count.
+	// ClearedAt is when the request last got a complete response or was released
+	// by an operator, in Unix milliseconds. Crashes up to then do not count.
 	ClearedAt int64 `json:"cleared,omitempty"`
-	// QuarantinedAt is when the request was condemned, Until when that ends, in
-	// Unix milliseconds. It counts while it is later than Cleared.
+	// QuarantinedAt is when the request was quarantined and Until is the end of
+	// the quarantine, in Unix milliseconds. The quarantine is lifted when
+	// ClearedAt is not earlier than QuarantinedAt.
 	QuarantinedAt int64 `json:"condemned,omitempty"`
 	Until         int64 `json:"until,omitempty"`
 }
 
-// Refused reports whether the request is refused at a time.
+// Refused reports whether the request is under quarantine at the given time.
 func (r *Record) Refused(now int64) bool { return r.QuarantinedAt > r.ClearedAt && now < r.Until }
 
-// pruneCleared returns the deaths that still count.
+// pruneCleared removes the crashes up to ClearedAt and returns the others.
 func (r *Record) pruneCleared() []CrashReport {
 	n := 0
 	for _, d := range r.Deaths {
@@ -132,8 +136,9 @@
 	return false
 }
 
-// comparePriority orders records by how much they matter: the refused ones, then those with
-// the most deaths, then the newest.
+// comparePriority orders records from the most to the least important: first by
+// the latest quarantine, then by the number of crashes, then by the latest
+// update.
 func (r *Record) comparePriority(o *Record) int {
 	return cmp.Or(cmp.Compare(o.QuarantinedAt, r.QuarantinedAt), cmp.Compare(len(o.Deaths), len(r.Deaths)),
 		cmp.Compare(o.lastUpdate(), r.lastUpdate()), slices.Compare(r.Fingerprint[:], o.Fingerprint[:]))
@@ -145,12 +150,12 @@
 	return c
 }
 
-// expired reports whether the record is too old to matter.
+// expired reports whether the quarantine and the retention have both ended.
 func (r *Record) expired(now int64) bool {
 	return max(r.lastUpdate()+retention.Milliseconds(), r.Until) < now
 }
 
-// lastUpdate is the time of the lastUpdate fact of the record.
+// lastUpdate returns the newest time in the record, except Until.
 func (r *Record) lastUpdate() int64 {
 	t := max(r.ClearedAt, r.QuarantinedAt)
 	for _, d := range r.Deaths {
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -9,42 +9,44 @@
 )
 
 const (
-	// maxRecords bounds the records of a Table. When full, the record that
-	// matters least makes room: never one that is refused, else the one with
-	// the fewest deaths, the oldest first. A Table of refused records takes no
-	// others in.
+	// maxRecords is the maximum number of records in a Table. A full Table
+	// evicts the record with the fewest crashes, and of several such records
+	// the oldest. Records under quarantine are never evicted. A Table that
+	// contains only such records accepts no others.
 	maxRecords = 1024
-	// maxCrashes bounds the deaths remembered of one request.
+	// maxCrashes is the maximum number of crashes stored per request.
 	maxCrashes = 4
-	// maxQuarantinedTogether is the largest number of requests that may be condemned for
-	// the same deaths.
+	// maxQuarantinedTogether is the maximum number of requests that may be
+	// quarantined for the same crashes.
 	maxQuarantinedTogether = 3
-	// maxRequestBytes bounds Record.Request, in bytes.
+	// maxRequestBytes is the maximum length of Record.Request in bytes.
 	maxRequestBytes = 120
-	// retention is how long a record is kept after its newest fact, besides the time
-	// for which it is refused.
+	// retention is how long a record is kept after its last update. A record
+	// under quarantine is kept at least until the quarantine ends.
 	retention = 30 * time.Minute
-	// reportDelay is how long after a death the reports of what else ran there may
-	// take to arrive. Nobody is condemned for a death before.
+	// reportDelay is how long the reports of the other requests that ran during
+	// a crash may take to arrive. No request is quarantined until this time has
+	// passed since its last crash.
 	reportDelay = 500 * time.Millisecond
-	// maxClockSkew is how far in the future a peer's record may lie.
+	// maxClockSkew is how far in the future the times of a peer's record may be.
 	maxClockSkew = time.Minute
 )
 
 // Options configure a Table.
 type Options struct {
-	// Rule returns the rule of a service.
+	// Rule returns the quarantine rule of a service.
 	Rule func(model.ServiceName) Rule
 }
 
-// Table holds what is known of requests that kill. Times are Unix milliseconds.
-// It is not safe for concurrent use.
+// Table holds the records of suspected and quarantined requests. Times are Unix
+// milliseconds. It is not safe for concurrent use.
 type Table struct {
 	opts    Options
 	records map[Fingerprint]*Record
-	// unsent are the records that have unsent since Told was called for them.
+	// unsent contains the records that have changed since Told was last called
+	// for them.
 	unsent map[Fingerprint]struct{}
-	// version rises with every change.
+	// version increases with every change.
 	version uint64
 }
 
@@ -56,10 +58,10 @@
 // Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// Version rises with every change of the table.
+// Version returns a number that increases with every change of the table.
 func (t *Table) Version() uint64 { return t.version }
 
-// Refused reports until when a request is refused.
+// Refused reports whether a request is under quarantine, and until when.
 func (t *Table) Refused(now int64, f Fingerprint) (until int64, ok bool) {
 	r := t.records[f]
 	if r == nil || !r.Refused(now) {
@@ -68,8 +70,8 @@
 	return r.Until, true
 }
 
-// Died tells that an upstream died while it ran a request. Settle decides what
-// follows from it.
+// Died records that an upstream crashed while it was running a request. Whether
+// the request is quarantined is decided in Settle.
 func (t *Table) Died(now int64, f Fingerprint, req Request, d Death) {
 	text := req.Method + " " + req.Target
 	t.Merge(now, Record{
@@ -78,8 +80,9 @@
 	})
 }
 
-// Settle condemns the requests that ran in enough deaths, once these have
-// settled. It is called several times a second.
+// Settle quarantines the requests that were running during enough crashes, once
+// reportDelay has passed since the last of them. It must be called several times
+// per second.
 func (t *Table) Settle(now int64) {
 	var candidates []*Record
 	for _, r := range t.records {
@@ -97,22 +100,23 @@
 	}
 }
 
-// isDue reports whether a request ran in enough deaths that have settled.
+// isDue reports whether a request that is not yet quarantined ran during enough
+// crashes, and whether reportDelay has passed since its last update.
 func (t *Table) isDue(now int64, r *Record) bool {
 	enough := len(r.Deaths) >= max(t.opts.Rule(r.Service).Deaths, 1)
 	return enough && !r.Refused(now) && now >= r.lastUpdate()+reportDelay.Milliseconds()
 }
 
-// Answered tells that a request was answered in full, which clears it of the
-// deaths so far. A request that is refused stays so.
+// Answered records that a request got a complete response. This clears the
+// crashes recorded for it so far. It does not lift a quarantine.
 func (t *Table) Answered(now int64, f Fingerprint) {
 	if r := t.records[f]; r != nil && !r.Refused(now) && len(r.pruneCleared()) > 0 {
 		t.clear(now, r)
 	}
 }
 
-// Release frees a request by an operator's word. It reports false when the
-// request is not known.
+// Release lifts the quarantine of a request on behalf of an operator. It returns
+// false if there is no record of the request.
 func (t *Table) Release(now int64, f Fingerprint) bool {
 	r := t.records[f]
 	if r == nil {
@@ -122,27 +126,29 @@
 	return true
 }
 
+// clear removes the crashes of a record up to the given time and lifts a
+// quarantine that began no later.
 func (t *Table) clear(at int64, r *Record) {
 	r.ClearedAt = at
 	r.pruneCleared()
 	t.markChanged(r)
 }
 
-// markChanged notes that a record has changed.
+// markChanged must be called after each change of a record.
 func (t *Table) markChanged(r *Record) {
 	t.unsent[r.Fingerprint] = struct{}{}
 	t.version++
 }
 
-// remove takes a record out.
+// remove deletes a record.
 func (t *Table) remove(f Fingerprint) {
 	delete(t.records, f)
 	delete(t.unsent, f)
 	t.version++
 }
 
-// Changed returns the records that have changed since Told was called for them, those
-// that matter most first.
+// Changed returns the records that have changed since Told was last called for
+// them, the most important first.
 func (t *Table) Changed() []Record {
 	out := make([]Record, 0, len(t.unsent))
 	for f := range t.unsent {
@@ -152,11 +158,11 @@
 	return out
 }
 
-// Told takes in that others have been told of a record's last change.
+// Told records that the current state of a record was sent to the other daemons.
 func (t *Table) Told(f Fingerprint) { delete(t.unsent, f) }
 
-// List returns the records, newest first. The requests that are refused are
-// those whose Refused says so.
+// List returns all records, the most recently updated first. Record.Refused
+// reports which of them are under quarantine.
 func (t *Table) List() []Record {
 	out := make([]Record, 0, len(t.records))
 	for _, r := range t.records {
@@ -168,7 +174,7 @@
 	return out
 }
 
-// Expire drops records that are of no use any more.
+// Expire deletes expired records.
 func (t *Table) Expire(now int64) {
 	for f, r := range t.records {
 		if r.expired(now) {
@@ -177,8 +183,9 @@
 	}
 }
 
-// Merge takes in a record of this daemon or another. It reports whether that
-// changed anything. Records from the future are not taken in.
+// Merge merges a record, of this daemon or another, into the table and reports
+// whether anything changed. It ignores records whose times are more than
+// maxClockSkew in the future.
 func (t *Table) Merge(now int64, in Record) bool {
 	if in.lastUpdate() > now+maxClockSkew.Milliseconds() {
 		return false
@@ -189,7 +196,7 @@
 			return false
 		}
 	}
-	in.Deaths = t.unexplained(now, in)
+	in.Deaths = t.unattributed(now, in)
 	if !r.mergeFrom(in) {
 		return false
 	}
@@ -197,24 +204,25 @@
 	return true
 }
 
-// unexplained returns the deaths of a record that no other refused request of
-// the service explains.
-func (t *Table) unexplained(now int64, in Record) []CrashReport {
+// unattributed returns the crashes of a record that are not attributed to another
+// request of the service that is already under quarantine.
+func (t *Table) unattributed(now int64, in Record) []CrashReport {
 	var out []CrashReport
 	for _, d := range in.Deaths {
-		explained := false
+		attributed := false
 		for _, r := range t.records {
 			other := r.Service == in.Service && r.Fingerprint != in.Fingerprint
-			explained = explained || other && r.Refused(now) && r.hasCrash(d.Crash)
+			attributed = attributed || other && r.Refused(now) && r.hasCrash(d.Crash)
 		}
-		if !explained {
+		if !attributed {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// mergeFrom joins what another record of the same request says.
+// mergeFrom merges another record of the same request and reports whether
+// anything changed.
 func (r *Record) mergeFrom(in Record) bool {
 	changed := false
 	if in.ClearedAt > r.ClearedAt {
@@ -237,11 +245,13 @@
 	return changed
 }
 
-// shouldKeep reports whether a death is among the oldest that count.
+// shouldKeep reports whether a crash would be among the oldest maxCrashes.
 func (r *Record) shouldKeep(d CrashReport) bool {
 	return len(r.Deaths) < maxCrashes || d.compare(slices.MaxFunc(r.Deaths, CrashReport.compare)) < 0
 }
 
+// add adds an empty record for the request of another record. It returns nil if
+// there is no space.
 func (t *Table) add(now int64, in Record) *Record {
 	if len(t.records) >= maxRecords && !t.evict(now, &in) {
 		return nil
@@ -251,8 +261,9 @@
 	return r
 }
 
-// evict makes room for a record. It reports false where that one matters least, so that
-// full tables agree on what they hold.
+// evict deletes the least important record that is not under quarantine. If the
+// new record is even less important, evict deletes nothing and returns false, so
+// that the full tables of all daemons hold the same records.
 func (t *Table) evict(now int64, in *Record) bool {
 	var least *Record
 	for _, r := range t.records {
@@ -267,15 +278,16 @@
 	return true
 }
 
-// quarantine condemns a request that ran in enough deaths, and those that ran in all
-// of them beside it, unless they are too many to tell apart.
+// quarantine quarantines a request together with the other requests that ran
+// during all of its crashes. It does nothing if there are more than
+// maxQuarantinedTogether of them, because most would be refused by mistake.
 func (t *Table) quarantine(r *Record) {
 	rule := t.opts.Rule(r.Service)
 	suspects := t.inSameCrashes(r)
 	if len(suspects) > maxQuarantinedTogether {
 		return
 	}
-	explained := slices.Clone(r.Deaths)
+	crashes := slices.Clone(r.Deaths)
 	for _, s := range suspects {
 		for _, d := range s.Deaths {
 			s.QuarantinedAt = max(s.QuarantinedAt, d.At)
@@ -283,11 +295,11 @@
 		s.Until = s.QuarantinedAt + rule.Duration.Milliseconds()
 		t.markChanged(s)
 	}
-	t.removeCrashes(r.Service, explained, suspects)
+	t.removeCrashes(r.Service, crashes, suspects)
 }
 
-// inSameCrashes returns the requests of the service that ran in every death that r
-// ran in, r among them.
+// inSameCrashes returns the requests of the service, including r itself, that ran
+// during every crash of r.
 func (t *Table) inSameCrashes(r *Record) []*Record {
 	var out []*Record
 	for _, o := range t.records {
@@ -301,14 +313,15 @@
 	return out
 }
 
-// removeCrashes strikes explained deaths off all but the guilty.
-func (t *Table) removeCrashes(s model.ServiceName, explained []CrashReport, quarantined []*Record) {
+// removeCrashes removes the given crashes from all records of a service
+// except the quarantined ones.
+func (t *Table) removeCrashes(s model.ServiceName, crashes []CrashReport, quarantined []*Record) {
 	for _, r := range t.records {
 		if r.Service != s || slices.Contains(quarantined, r) {
 			continue
 		}
 		r.Deaths = slices.DeleteFunc(r.Deaths, func(d CrashReport) bool {
-			return slices.ContainsFunc(explained, func(e CrashReport) bool { return e.Crash == d.Crash })
+			return slices.ContainsFunc(crashes, func(e CrashReport) bool { return e.Crash == d.Crash })
 		})
 	}
 }
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -23,7 +23,8 @@
 	return Death{Upstream: model.UpstreamID(fmt.Sprint("s-", n)), Incarnation: 1}
 }
 
-// crashDuring lets an upstream crashDuring while it runs the targets.
+// crashDuring records that upstream n crashed while running the targets, and
+// evaluates the table just before and at the end of reportDelay.
 func crashDuring(t *Table, now int64, n int, targets ...string) {
 	for _, target := range targets {
 		t.Died(now, Of(request(target)), request(target), crash(n))
@@ -31,7 +32,7 @@
 	t.Settle(now + reportDelay.Milliseconds() - 1)
 	for _, r := range t.List() {
 		if r.QuarantinedAt == now {
-			panic("condemned before the reports have settled")
+			panic("quarantined before reportDelay has passed")
 		}
 	}
 	t.Settle(now + reportDelay.Milliseconds())
@@ -47,20 +48,20 @@
 	crashDuring(table, 1000, 1, "/crash", "/a")
 	require.False(t, refused(table, 1000, "/crash"))
 	crashDuring(table, 1001, 1, "/crash")
-	require.False(t, refused(table, 1001, "/crash"), "the same death seen twice")
+	require.False(t, refused(table, 1001, "/crash"), "the same crash recorded twice")
 	crashDuring(table, 2000, 2, "/crash", "/b")
 	require.True(t, refused(table, 2000, "/crash"))
 	require.False(t, refused(table, 2000, "/a"))
 	require.False(t, refused(table, 2000, "/b"))
 	for _, r := range table.List() {
-		require.Equal(t, r.Request == "GET /crash", len(r.Deaths) > 0, "bystander %s is freed", r.Request)
+		require.Equal(t, r.Request == "GET /crash", len(r.Deaths) > 0, "crashes of %s are removed", r.Request)
 	}
 	require.True(t, refused(table, 61_999, "/crash"))
-	require.False(t, refused(table, 62_000, "/crash"), "for a bounded time")
+	require.False(t, refused(table, 62_000, "/crash"), "after the quarantine has ended")
 }
 
-// TestRapidCrashesDoNotDelayQuarantine has a request crash one upstream after the other, faster than
-// its deaths settle.
+// TestRapidCrashesDoNotDelayQuarantine guards against a request that crashes
+// upstreams at intervals shorter than reportDelay and is never quarantined.
 func TestRapidCrashesDoNotDelayQuarantine(t *testing.T) {
 	table := newTable()
 	const every, crashes = 100, 30
@@ -70,7 +71,7 @@
 		table.Settle(now)
 	}
 	require.True(t, refused(table, 1000+(maxCrashes-1)*every+reportDelay.Milliseconds()+every, "/crash"))
-	require.EqualValues(t, 1000+(maxCrashes-1)*every, table.List()[0].QuarantinedAt, "by its first deaths")
+	require.EqualValues(t, 1000+(maxCrashes-1)*every, table.List()[0].QuarantinedAt, "quarantined for its oldest crashes")
 }
 
 func TestAnsweredRequestIsCleared(t *testing.T) {
@@ -81,7 +82,7 @@
 	require.True(t, refused(table, 2000, "/crash"))
 	require.False(t, refused(table, 2000, "/popular"))
 	table.Answered(2500, Of(request("/crash")))
-	require.True(t, refused(table, 2500, "/crash"), "a late answer does not free what is condemned")
+	require.True(t, refused(table, 2500, "/crash"), "a late response does not lift the quarantine")
 }
 
 func TestSharedCrashesQuarantineNothingUntilDistinguished(t *testing.T) {
@@ -109,7 +110,7 @@
 	for _, r := range other.List() {
 		table.Merge(3001, r)
 	}
-	require.False(t, refused(table, 3001, "/crash"), "an older record does not undo it")
+	require.False(t, refused(table, 3001, "/crash"), "an older record does not undo the release")
 	for _, r := range table.List() {
 		other.Merge(3002, r)
 	}
@@ -117,8 +118,8 @@
 	require.False(t, table.Release(3000, Of(request("/unknown"))))
 }
 
-// TestMergeOrderDoesNotMatter hands the same records to two tables in different
-// orders, some twice.
+// TestMergeOrderDoesNotMatter merges the same records into two tables in
+// different orders, into one of them twice.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 50 {
@@ -138,7 +139,7 @@
 		for _, r := range append(records, records...) {
 			b.Merge(2000, r)
 		}
-		// What each has come to believe is exchanged as well.
+		// The tables also exchange their own merged records.
 		for range 3 {
 			for _, r := range a.List() {
 				b.Merge(2000, r)
