--- a/core/member/codec.go
+++ b/core/member/codec.go
@@ -14,18 +14,18 @@
 	Lives  []Liveness
 }
 
-// The encoding is the codec's version, the number of events and the events, the
+// The encoding is the codecVersion's version, the number of events and the events, the
 // number of lives and the lives. Numbers are varints. A string is written in
 // full the first time, after a zero and its length, and by its place in the
 // order of first times, from 1, after that.
-const codec = 1
+const codecVersion = 1
 
 // maxStrings bounds the strings of one encoding.
 const maxStrings = 1 << 16
 
 // Encode returns the records in the form that Decode reads.
 func (r Records) Encode() []byte {
-	w := encoder{buf: []byte{codec}, places: make(map[string]uint64)}
+	w := encoder{buf: []byte{codecVersion}, indexes: make(map[string]uint64)}
 	w.number(uint64(len(r.Events)))
 	for _, e := range r.Events {
 		w.event(e)
@@ -40,18 +40,18 @@
 }
 
 type encoder struct {
-	buf    []byte
-	places map[string]uint64
+	buf     []byte
+	indexes map[string]uint64
 }
 
 func (w *encoder) number(n uint64) { w.buf = binary.AppendUvarint(w.buf, n) }
 
 func (w *encoder) text(s string) {
-	if place, ok := w.places[s]; ok {
-		w.number(place)
+	if index, ok := w.indexes[s]; ok {
+		w.number(index)
 		return
 	}
-	w.places[s] = uint64(len(w.places) + 1)
+	w.indexes[s] = uint64(len(w.indexes) + 1)
 	w.number(0)
 	w.number(uint64(len(s)))
 	w.buf = append(w.buf, s...)
@@ -85,7 +85,7 @@
 
 // Decode returns the records of an encoding, or ErrRecords.
 func Decode(data []byte) (Records, error) {
-	if len(data) == 0 || data[0] != codec {
+	if len(data) == 0 || data[0] != codecVersion {
 		return Records{}, ErrRecords
 	}
 	d := decoder{rest: data[1:]}
@@ -96,10 +96,10 @@
 	for range d.count() {
 		l := Liveness{Daemon: model.DaemonID(d.text())}
 		l.Life = model.Incarnation(d.number())
-		l.Health = Health(d.small())
+		l.Health = Health(d.uint8())
 		r.Lives = append(r.Lives, l)
 	}
-	if d.bad || len(d.rest) > 0 {
+	if d.failed || len(d.rest) > 0 {
 		return Records{}, ErrRecords
 	}
 	return r, nil
@@ -110,11 +110,11 @@
 type decoder struct {
 	rest    []byte
 	strings []string
-	bad     bool
+	failed  bool
 }
 
 func (d *decoder) fail() {
-	d.bad = true
+	d.failed = true
 	d.rest = nil
 }
 
@@ -138,8 +138,8 @@
 	return int(n)
 }
 
-// small reads a number of one byte.
-func (d *decoder) small() uint8 {
+// uint8 reads a number of one byte.
+func (d *decoder) uint8() uint8 {
 	n := d.number()
 	if n > 255 {
 		d.fail()
@@ -149,16 +149,16 @@
 }
 
 func (d *decoder) text() string {
-	place := d.number()
-	if d.bad || place > uint64(len(d.strings)) {
+	index := d.number()
+	if d.failed || index > uint64(len(d.strings)) {
 		d.fail()
 		return ""
 	}
-	if place > 0 {
-		return d.strings[place-1]
+	if index > 0 {
+		return d.strings[index-1]
 	}
 	n := d.count()
-	if d.bad || len(d.strings) >= maxStrings {
+	if d.failed || len(d.strings) >= maxStrings {
 		d.fail()
 		return ""
 	}
@@ -181,7 +181,7 @@
 		d.fail()
 	}
 	u.Slots = int(slots)
-	e.State = State(d.small())
+	e.State = State(d.uint8())
 	u.Draining = e.State != Joined
 	e.Epoch = d.number()
 	e.Unix = int64(d.number())
--- a/core/member/delta.go
+++ b/core/member/delta.go
@@ -1,8 +1,8 @@
 package member
 
-// perRecord is about what a record takes when encoded, in bytes. It decides
+// typicalRecordBytes is about what a record takes when encoded, in bytes. It decides
 // only how many are tried first.
-const perRecord = 32
+const typicalRecordBytes = 32
 
 // ApplyAll takes in records and returns how many won.
 func (d *Directory) ApplyAll(r Records) int {
@@ -22,7 +22,7 @@
 
 // Digest summarises the records.
 func (d *Directory) Digest() []byte {
-	b := d.events.appendDigest(make([]byte, 0, 2*tableDigest))
+	b := d.events.appendDigest(make([]byte, 0, 2*tableDigestSize))
 	return d.lives.appendDigest(b)
 }
 
@@ -31,24 +31,24 @@
 // the others in turn, from one call to the next: a bucket differs until its
 // last record is there, so the newest alone would be sent over and over.
 func (d *Directory) Delta(digest []byte, limit int) []byte {
-	if len(digest) != 2*tableDigest {
+	if len(digest) != 2*tableDigestSize {
 		return nil
 	}
-	events := d.events.differing(digest[:tableDigest])
-	lives := d.lives.differing(digest[tableDigest:])
-	for n := max(1, limit/perRecord); n > 0 && len(events)+len(lives) > 0; n /= 2 {
-		r := Records{Events: inTurn(events, n, d.turn), Lives: inTurn(lives, n, d.turn)}
+	events := d.events.differing(digest[:tableDigestSize])
+	lives := d.lives.differing(digest[tableDigestSize:])
+	for n := max(1, limit/typicalRecordBytes); n > 0 && len(events)+len(lives) > 0; n /= 2 {
+		r := Records{Events: selectRotating(events, n, d.deltaCursor), Lives: selectRotating(lives, n, d.deltaCursor)}
 		if data := r.Encode(); len(data) <= limit {
-			d.turn += n
+			d.deltaCursor += n
 			return data
 		}
 	}
 	return nil
 }
 
-// inTurn returns at most n records: the first quarter of them from the front,
+// selectRotating returns at most n records: the first quarter of them from the front,
 // the others from where turn points to.
-func inTurn[V any](all []V, n, turn int) []V {
+func selectRotating[V any](all []V, n, start int) []V {
 	if len(all) <= n {
 		return all
 	}
@@ -56,7 +56,7 @@
 	out := append([]V(nil), all[:front]...)
 	rest := all[front:]
 	for i := range n - front {
-		out = append(out, rest[(turn+i)%len(rest)])
+		out = append(out, rest[(start+i)%len(rest)])
 	}
 	return out
 }
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -17,12 +17,12 @@
 	// MaxUpstreams bounds the upstreams held, those that have left included,
 	// and the daemons. Default: 8192.
 	MaxUpstreams int
-	// SuspectTime is how long a daemon is suspect before it is dead. Default:
+	// SuspicionTimeout is how long a daemon is suspect before it is dead. Default:
 	// 3s.
-	SuspectTime time.Duration
-	// ForgetTime is how long the event of an upstream that has left is kept,
+	SuspicionTimeout time.Duration
+	// TombstoneRetention is how long the event of an upstream that has left is kept,
 	// and after how long the upstreams of a dead daemon have left. Default: 1h.
-	ForgetTime time.Duration
+	TombstoneRetention time.Duration
 	// Grace is how long after the start Self waits for its upstreams to
 	// announce themselves before it tells that those of its earlier life have
 	// left. Default: 30s.
@@ -30,10 +30,10 @@
 }
 
 const (
-	defaultMaxUpstreams = 8192
-	defaultSuspectTime  = 3 * time.Second
-	defaultForgetTime   = time.Hour
-	defaultGrace        = 30 * time.Second
+	defaultMaxUpstreams       = 8192
+	defaultSuspicionTimeout   = 3 * time.Second
+	defaultTombstoneRetention = time.Hour
+	defaultGrace              = 30 * time.Second
 )
 
 // Directory holds the winning records. The zero value is not usable; see
@@ -43,25 +43,25 @@
 	events   table[model.UpstreamID, Event]
 	lives    table[model.DaemonID, Liveness]
 	services map[model.ServiceName]*service
-	// suspects and dead say since when.
-	suspects map[model.DaemonID]model.Instant
-	dead     map[model.DaemonID]model.Instant
-	// own are the events that Self announced.
-	own map[model.UpstreamID]Event
-	// named counts the upstreams held of each daemon. Nothing is kept of
+	// suspectedSince and dead say since when.
+	suspectedSince map[model.DaemonID]model.Instant
+	deadSince      map[model.DaemonID]model.Instant
+	// announced are the events that Self announced.
+	announced map[model.UpstreamID]Event
+	// upstreamsPerDaemon counts the upstreams held of each daemon. Nothing is kept of
 	// daemons that no upstream names.
-	named map[model.DaemonID]int
+	upstreamsPerDaemon map[model.DaemonID]int
 	// unlogged are the events not yet seen on the log, by when they came.
-	unlogged map[model.UpstreamID]model.Instant
-	life     model.Incarnation
-	now      model.Instant
-	unix     int64
-	started  bool
-	origin   model.Instant
-	// swept is when all records were last walked through.
-	swept model.Instant
-	// turn is where the next Delta goes on among records that do not fit.
-	turn int
+	unlogged    map[model.UpstreamID]model.Instant
+	incarnation model.Incarnation
+	now         model.Instant
+	wallSeconds int64
+	started     bool
+	startedAt   model.Instant
+	// lastSweep is when all records were last walked through.
+	lastSweep model.Instant
+	// deltaCursor is where the next Delta goes on among records that do not fit.
+	deltaCursor int
 	// generation rises with every change of the view.
 	generation uint64
 }
@@ -69,8 +69,8 @@
 // service indexes the upstreams of one service that have not left.
 type service struct {
 	ids map[model.UpstreamID]bool
-	// list is the sorted view, nil when it has to be made anew.
-	list []model.Upstream
+	// sorted is the sorted view, nil when it has to be made anew.
+	sorted []model.Upstream
 }
 
 // NewDirectory returns an empty Directory with default options.
@@ -81,26 +81,26 @@
 	if o.MaxUpstreams <= 0 {
 		o.MaxUpstreams = defaultMaxUpstreams
 	}
-	if o.SuspectTime <= 0 {
-		o.SuspectTime = defaultSuspectTime
+	if o.SuspicionTimeout <= 0 {
+		o.SuspicionTimeout = defaultSuspicionTimeout
 	}
-	if o.ForgetTime <= 0 {
-		o.ForgetTime = defaultForgetTime
+	if o.TombstoneRetention <= 0 {
+		o.TombstoneRetention = defaultTombstoneRetention
 	}
 	if o.Grace <= 0 {
 		o.Grace = defaultGrace
 	}
 	return &Directory{
-		opts:     o,
-		events:   newTable[model.UpstreamID, Event](eventHash),
-		lives:    newTable[model.DaemonID, Liveness](livenessHash),
-		services: make(map[model.ServiceName]*service),
-		suspects: make(map[model.DaemonID]model.Instant),
-		dead:     make(map[model.DaemonID]model.Instant),
-		own:      make(map[model.UpstreamID]Event),
-		named:    make(map[model.DaemonID]int),
-		unlogged: make(map[model.UpstreamID]model.Instant),
-		life:     o.Life,
+		opts:               o,
+		events:             newTable[model.UpstreamID, Event](eventHash),
+		lives:              newTable[model.DaemonID, Liveness](livenessHash),
+		services:           make(map[model.ServiceName]*service),
+		suspectedSince:     make(map[model.DaemonID]model.Instant),
+		deadSince:          make(map[model.DaemonID]model.Instant),
+		announced:          make(map[model.UpstreamID]Event),
+		upstreamsPerDaemon: make(map[model.DaemonID]int),
+		unlogged:           make(map[model.UpstreamID]model.Instant),
+		incarnation:        o.Life,
 	}
 }
 
@@ -114,21 +114,21 @@
 // it changed the view. The event gets a higher epoch where others would not
 // believe it otherwise.
 func (d *Directory) Announce(e Event) bool {
-	e.Unix = d.unix
+	e.Unix = d.wallSeconds
 	if old, ok := d.events.get(e.Upstream.ID); ok && old.Upstream.Incarnation == e.Upstream.Incarnation {
 		e.Epoch = old.Epoch
-		if _, mine := d.own[e.Upstream.ID]; !mine && old.State > e.State {
+		if _, announced := d.announced[e.Upstream.ID]; !announced && old.State > e.State {
 			e.Epoch++
 		}
 	}
 	if e.State == Left {
-		delete(d.own, e.Upstream.ID)
+		delete(d.announced, e.Upstream.ID)
 	} else {
-		d.own[e.Upstream.ID] = e
+		d.announced[e.Upstream.ID] = e
 	}
 	won := d.Apply(e)
-	if d.opts.Self != "" && d.named[d.opts.Self] > 0 {
-		d.setLife(Liveness{Daemon: d.opts.Self, Life: d.life, Health: Alive})
+	if d.opts.Self != "" && d.upstreamsPerDaemon[d.opts.Self] > 0 {
+		d.setLiveness(Liveness{Daemon: d.opts.Self, Life: d.incarnation, Health: Alive})
 	}
 	return won
 }
@@ -142,7 +142,7 @@
 	if known && !e.newer(old) {
 		return false
 	}
-	if !known && (d.forgotten(e) || !d.makeRoom()) {
+	if !known && (d.isOldTombstone(e) || !d.ensureCapacity()) {
 		return false
 	}
 	e.Upstream.Draining = e.State != Joined
@@ -150,11 +150,11 @@
 		d.remove(old)
 	}
 	d.events.set(e.Upstream.ID, e)
-	d.named[e.Upstream.Daemon]++
+	d.upstreamsPerDaemon[e.Upstream.Daemon]++
 	d.unlogged[e.Upstream.ID] = d.now
 	d.index(e)
 	d.generation++
-	d.correct(e)
+	d.refute(e)
 	return true
 }
 
@@ -164,25 +164,25 @@
 	d.events.remove(u.ID)
 	d.unindex(e)
 	delete(d.unlogged, u.ID)
-	if d.named[u.Daemon]--; d.named[u.Daemon] > 0 {
+	if d.upstreamsPerDaemon[u.Daemon]--; d.upstreamsPerDaemon[u.Daemon] > 0 {
 		return
 	}
-	delete(d.named, u.Daemon)
+	delete(d.upstreamsPerDaemon, u.Daemon)
 	d.lives.remove(u.Daemon)
-	delete(d.suspects, u.Daemon)
-	delete(d.dead, u.Daemon)
+	delete(d.suspectedSince, u.Daemon)
+	delete(d.deadSince, u.Daemon)
 }
 
-// forgotten reports whether the event is one that others will forget soon, so
+// isOldTombstone reports whether the event is one that others will forget soon, so
 // that taking it in would only keep it alive.
-func (d *Directory) forgotten(e Event) bool {
-	return e.State == Left && d.unix > 0 && time.Duration(d.unix-e.Unix)*time.Second > d.opts.ForgetTime/2
+func (d *Directory) isOldTombstone(e Event) bool {
+	return e.State == Left && d.wallSeconds > 0 && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention/2
 }
 
-// makeRoom reports whether another upstream can be held. When the bound is
+// ensureCapacity reports whether another upstream can be held. When the bound is
 // reached the upstream that left longest ago gives way; without one, newcomers
 // are refused.
-func (d *Directory) makeRoom() bool {
+func (d *Directory) ensureCapacity() bool {
 	if d.events.len() < d.opts.MaxUpstreams {
 		return true
 	}
@@ -199,16 +199,16 @@
 	return true
 }
 
-// correct answers an event about Self's own upstream that Self did not
+// refute answers an event about Self's own upstream that Self did not
 // announce. An upstream that lives is announced anew under a higher epoch.
-func (d *Directory) correct(e Event) {
-	mine, ok := d.own[e.Upstream.ID]
+func (d *Directory) refute(e Event) {
+	mine, ok := d.announced[e.Upstream.ID]
 	if !ok || !e.newer(mine) || mine.Upstream.Incarnation != e.Upstream.Incarnation {
 		return
 	}
 	mine.Epoch = e.Epoch + 1
-	mine.Unix = d.unix
-	d.own[e.Upstream.ID] = mine
+	mine.Unix = d.wallSeconds
+	d.announced[e.Upstream.ID] = mine
 	d.Apply(mine)
 }
 
@@ -222,7 +222,7 @@
 		d.services[e.Upstream.Service] = s
 	}
 	s.ids[e.Upstream.ID] = true
-	s.list = nil
+	s.sorted = nil
 }
 
 func (d *Directory) unindex(e Event) {
@@ -231,7 +231,7 @@
 		return
 	}
 	delete(s.ids, e.Upstream.ID)
-	s.list = nil
+	s.sorted = nil
 	if len(s.ids) == 0 {
 		delete(d.services, e.Upstream.Service)
 	}
@@ -245,13 +245,13 @@
 	if s == nil {
 		return nil
 	}
-	if s.list == nil {
-		s.list = d.list(s)
+	if s.sorted == nil {
+		s.sorted = d.buildView(s)
 	}
-	return s.list
+	return s.sorted
 }
 
-func (d *Directory) list(s *service) []model.Upstream {
+func (d *Directory) buildView(s *service) []model.Upstream {
 	all := make([]model.Upstream, 0, len(s.ids))
 	for id := range s.ids {
 		e, _ := d.events.get(id)
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -7,7 +7,7 @@
 )
 
 // Life returns the life of Self as others are to know it.
-func (d *Directory) Life() model.Incarnation { return d.life }
+func (d *Directory) Life() model.Incarnation { return d.incarnation }
 
 // Health returns what is thought of a daemon. One that nobody spoke of is
 // alive.
@@ -45,49 +45,49 @@
 		return false
 	}
 	if l.Daemon == d.opts.Self && d.opts.Self != "" {
-		if l.Health == Alive || l.Life < d.life {
+		if l.Health == Alive || l.Life < d.incarnation {
 			return false
 		}
-		d.life = l.Life + 1
-		l = Liveness{Daemon: d.opts.Self, Life: d.life, Health: Alive}
+		d.incarnation = l.Life + 1
+		l = Liveness{Daemon: d.opts.Self, Life: d.incarnation, Health: Alive}
 	}
-	if d.named[l.Daemon] == 0 {
+	if d.upstreamsPerDaemon[l.Daemon] == 0 {
 		return false
 	}
-	return d.setLife(l)
+	return d.setLiveness(l)
 }
 
-func (d *Directory) setLife(l Liveness) bool {
+func (d *Directory) setLiveness(l Liveness) bool {
 	old, known := d.lives.get(l.Daemon)
 	if known && !l.newer(old) {
 		return false
 	}
 	d.lives.set(l.Daemon, l)
-	d.note(l)
+	d.trackHealth(l)
 	if (old.Health == Dead) != (l.Health == Dead) {
-		d.viewChanged(l.Daemon)
+		d.invalidateViews(l.Daemon)
 	}
 	return true
 }
 
-func (d *Directory) note(l Liveness) {
-	delete(d.suspects, l.Daemon)
-	delete(d.dead, l.Daemon)
+func (d *Directory) trackHealth(l Liveness) {
+	delete(d.suspectedSince, l.Daemon)
+	delete(d.deadSince, l.Daemon)
 	switch l.Health {
 	case Suspect:
-		d.suspects[l.Daemon] = d.now
+		d.suspectedSince[l.Daemon] = d.now
 	case Dead:
-		d.dead[l.Daemon] = d.now
+		d.deadSince[l.Daemon] = d.now
 	case Alive:
 	}
 }
 
-// viewChanged makes the lists anew of services with upstreams at a daemon.
-func (d *Directory) viewChanged(id model.DaemonID) {
+// invalidateViews makes the lists anew of services with upstreams at a daemon.
+func (d *Directory) invalidateViews(id model.DaemonID) {
 	for _, e := range d.events.all() {
 		if e.Upstream.Daemon == id {
 			if s := d.services[e.Upstream.Service]; s != nil {
-				s.list = nil
+				s.sorted = nil
 			}
 		}
 	}
@@ -101,23 +101,23 @@
 // record changed. It is called at least every second.
 func (d *Directory) Tick(now model.Instant, unix int64) bool {
 	if !d.started {
-		d.started, d.origin = true, now
+		d.started, d.startedAt = true, now
 	}
-	d.now, d.unix = now, unix
-	changed := d.endSuspicions()
-	if now.Sub(d.swept) >= sweepInterval {
-		d.swept = now
-		changed = d.endDead() || changed
-		changed = d.disown() || changed
-		d.forget()
+	d.now, d.wallSeconds = now, unix
+	changed := d.expireSuspicions()
+	if now.Sub(d.lastSweep) >= sweepInterval {
+		d.lastSweep = now
+		changed = d.expireDeadDaemons() || changed
+		changed = d.removeUnannounced() || changed
+		d.deleteOldTombstones()
 	}
 	return changed
 }
 
-func (d *Directory) endSuspicions() bool {
+func (d *Directory) expireSuspicions() bool {
 	changed := false
-	for id, since := range d.suspects {
-		if d.now.Sub(since) < d.opts.SuspectTime {
+	for id, since := range d.suspectedSince {
+		if d.now.Sub(since) < d.opts.SuspicionTimeout {
 			continue
 		}
 		l, _ := d.lives.get(id)
@@ -127,49 +127,49 @@
 	return changed
 }
 
-// endDead lets the upstreams of daemons leave that have long been dead.
-func (d *Directory) endDead() bool {
+// expireDeadDaemons lets the upstreams of daemons leave that have long been dead.
+func (d *Directory) expireDeadDaemons() bool {
 	changed := false
-	for id, since := range d.dead {
-		if d.now.Sub(since) < d.opts.ForgetTime {
+	for id, since := range d.deadSince {
+		if d.now.Sub(since) < d.opts.TombstoneRetention {
 			continue
 		}
 		for _, e := range d.events.all() {
 			if e.Upstream.Daemon == id && e.State != Left {
-				e.State, e.Unix = Left, d.unix
+				e.State, e.Unix = Left, d.wallSeconds
 				changed = d.Apply(e) || changed
 			}
 		}
-		delete(d.dead, id)
+		delete(d.deadSince, id)
 	}
 	return changed
 }
 
-// disown tells, once Self has run for a while, that upstreams have left that
+// removeUnannounced tells, once Self has run for a while, that upstreams have left that
 // name Self as their daemon and have not announced themselves.
-func (d *Directory) disown() bool {
-	if d.opts.Self == "" || d.now.Sub(d.origin) < d.opts.Grace {
+func (d *Directory) removeUnannounced() bool {
+	if d.opts.Self == "" || d.now.Sub(d.startedAt) < d.opts.Grace {
 		return false
 	}
 	changed := false
 	for _, e := range d.events.all() {
-		_, mine := d.own[e.Upstream.ID]
-		if e.Upstream.Daemon != d.opts.Self || mine || e.State == Left {
+		_, announced := d.announced[e.Upstream.ID]
+		if e.Upstream.Daemon != d.opts.Self || announced || e.State == Left {
 			continue
 		}
-		e.State, e.Unix = Left, d.unix
+		e.State, e.Unix = Left, d.wallSeconds
 		changed = d.Apply(e) || changed
 	}
 	return changed
 }
 
-// forget drops the events of upstreams that left long ago.
-func (d *Directory) forget() {
-	if d.unix <= 0 {
+// deleteOldTombstones drops the events of upstreams that left long ago.
+func (d *Directory) deleteOldTombstones() {
+	if d.wallSeconds <= 0 {
 		return
 	}
 	for _, e := range d.events.all() {
-		if e.State == Left && time.Duration(d.unix-e.Unix)*time.Second > d.opts.ForgetTime {
+		if e.State == Left && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention {
 			d.remove(e)
 		}
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -27,9 +27,9 @@
 	return out
 }
 
-func second(n int) model.Instant { return model.Instant(n) * model.Instant(time.Second) }
+func seconds(n int) model.Instant { return model.Instant(n) * model.Instant(time.Second) }
 
-func TestTheWinningEventDecides(t *testing.T) {
+func TestApplyKeepsWinningEvent(t *testing.T) {
 	epoch := event("a", "d", 1, Joined)
 	epoch.Epoch = 1
 	for name, c := range map[string]struct {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestDrainingUpstreamStaysInViewMarked(t *testing.T) {
+func TestDrainingUpstreamStaysInView(t *testing.T) {
 	d := NewDirectory()
 	d.Apply(event("a", "d", 1, Joined))
 	before := d.Generation()
@@ -65,11 +65,11 @@
 	require.False(t, d.Apply(event("a", "d", 1, Joined)))
 }
 
-func TestSuspectDaemonDiesUnlessItSpeaksUp(t *testing.T) {
+func TestSuspectDaemonIsDeadUnlessItRefutes(t *testing.T) {
 	observer := New(Options{Self: "o", Life: 1})
 	suspect := New(Options{Self: "d", Life: 7})
 	for _, d := range []*Directory{observer, suspect} {
-		d.Tick(second(0), 1000)
+		d.Tick(seconds(0), 1000)
 	}
 	suspect.Announce(event("a", "d", 1, Joined))
 	observer.ApplyAll(recordsOf(suspect))
@@ -86,9 +86,9 @@
 
 	// Silent for longer than the suspicion lasts, it is dead until it answers.
 	observer.Suspect("d")
-	observer.Tick(second(2), 1002)
+	observer.Tick(seconds(2), 1002)
 	require.Equal(t, Suspect, observer.Health("d"))
-	require.True(t, observer.Tick(second(3), 1003))
+	require.True(t, observer.Tick(seconds(3), 1003))
 	require.Equal(t, Dead, observer.Health("d"))
 	require.Equal(t, []string{"b"}, ids(observer.Upstreams("s")))
 	suspect.ApplyAll(recordsOf(observer))
@@ -104,22 +104,22 @@
 	return r
 }
 
-func TestMostOfAServiceIsNeverLeftOut(t *testing.T) {
+func TestViewNeverDropsMajorityOfService(t *testing.T) {
 	d := New(Options{Self: "o"})
 	d.Tick(0, 1)
 	for i := range 4 {
 		d.Apply(event(fmt.Sprint(i), fmt.Sprint("d", i), 1, Joined))
 	}
-	left := []int{4, 3, 2, 4, 4}
-	for dead, want := range left {
+	wantInView := []int{4, 3, 2, 4, 4}
+	for dead, want := range wantInView {
 		require.Len(t, d.Upstreams("s"), want, "%d dead", dead)
 		d.ApplyLiveness(Liveness{Daemon: model.DaemonID(fmt.Sprint("d", dead)), Life: 1, Health: Dead})
 	}
 }
 
-func TestADaemonAnswersForItsOwnUpstreams(t *testing.T) {
+func TestDaemonIsAuthoritativeForItsUpstreams(t *testing.T) {
 	d := New(Options{Self: "d", Life: 1})
-	d.Tick(second(0), 1000)
+	d.Tick(seconds(0), 1000)
 	d.Announce(event("a", "d", 3, Joined))
 	// Others took it for gone while this daemon was cut off.
 	d.Apply(event("a", "d", 3, Left))
@@ -128,9 +128,9 @@
 
 	// An upstream of an earlier life of this VM, which nobody announces.
 	d.Apply(event("old", "d", 1, Joined))
-	d.Tick(second(20), 1020)
+	d.Tick(seconds(20), 1020)
 	require.Len(t, d.Upstreams("s"), 2, "it may still announce itself")
-	require.True(t, d.Tick(second(31), 1031))
+	require.True(t, d.Tick(seconds(31), 1031))
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 
 	// A lease that lapsed, and the same incarnation back again.
@@ -140,43 +140,43 @@
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 }
 
-func TestWhatLeftIsForgottenForGood(t *testing.T) {
-	a, b := New(Options{ForgetTime: time.Minute}), New(Options{ForgetTime: time.Minute})
-	a.Tick(second(0), 1000)
-	b.Tick(second(0), 990)
-	gone := event("a", "d", 1, Left)
-	gone.Unix = 1000
-	a.Apply(gone)
-	b.Apply(gone)
-	a.Tick(second(61), 1061)
-	b.Tick(second(61), 1051)
+func TestDeletedTombstoneIsNotReintroduced(t *testing.T) {
+	a, b := New(Options{TombstoneRetention: time.Minute}), New(Options{TombstoneRetention: time.Minute})
+	a.Tick(seconds(0), 1000)
+	b.Tick(seconds(0), 990)
+	tombstone := event("a", "d", 1, Left)
+	tombstone.Unix = 1000
+	a.Apply(tombstone)
+	b.Apply(tombstone)
+	a.Tick(seconds(61), 1061)
+	b.Tick(seconds(61), 1051)
 	require.Zero(t, a.Len())
 	require.Equal(t, 1, b.Len(), "its clock is behind")
 	a.ApplyAll(recordsOf(b))
 	require.Zero(t, a.Len(), "it is not taken back from those who still hold it")
-	require.Empty(t, a.named)
+	require.Empty(t, a.upstreamsPerDaemon)
 }
 
-func TestUpstreamsOfALongDeadDaemonLeave(t *testing.T) {
-	d := New(Options{ForgetTime: time.Minute, SuspectTime: time.Second})
-	d.Tick(second(0), 1000)
+func TestUpstreamsOfDeadDaemonLeave(t *testing.T) {
+	d := New(Options{TombstoneRetention: time.Minute, SuspicionTimeout: time.Second})
+	d.Tick(seconds(0), 1000)
 	d.Apply(event("a", "d", 1, Joined))
 	d.Suspect("d")
-	d.Tick(second(1), 1001)
-	d.Tick(second(62), 1062)
+	d.Tick(seconds(1), 1001)
+	d.Tick(seconds(62), 1062)
 	require.Equal(t, Left, d.Events()[0].State)
-	d.Tick(second(130), 1130)
+	d.Tick(seconds(130), 1130)
 	require.Zero(t, d.Len())
-	require.Empty(t, d.rowsLeft())
+	require.Empty(t, d.remainingState())
 }
 
-// rowsLeft names what is still held of anything.
-func (d *Directory) rowsLeft() []string {
+// remainingState names what is still held of anything.
+func (d *Directory) remainingState() []string {
 	var out []string
-	for id := range d.suspects {
+	for id := range d.suspectedSince {
 		out = append(out, "suspect "+string(id))
 	}
-	for id := range d.dead {
+	for id := range d.deadSince {
 		out = append(out, "dead "+string(id))
 	}
 	for id := range d.lives.rows {
@@ -191,7 +191,7 @@
 	return out
 }
 
-func TestTheNumberOfUpstreamsIsBounded(t *testing.T) {
+func TestNumberOfUpstreamsIsBounded(t *testing.T) {
 	d := New(Options{MaxUpstreams: 3})
 	for i := range 3 {
 		require.True(t, d.Apply(event(fmt.Sprint(i), "d", 1, Joined)))
@@ -202,12 +202,12 @@
 	require.Equal(t, []string{"0", "2", "new"}, ids(d.Upstreams("s")))
 }
 
-func TestUnloggedEventsAreThoseNotReadBack(t *testing.T) {
+func TestUnloggedReturnsEventsNotReadFromLog(t *testing.T) {
 	d := NewDirectory()
-	d.Tick(second(0), 1)
+	d.Tick(seconds(0), 1)
 	d.Apply(event("a", "d", 1, Joined))
 	d.Apply(event("b", "d", 1, Joined))
-	d.Tick(second(5), 6)
+	d.Tick(seconds(5), 6)
 	d.Logged(event("a", "d", 1, Joined))
 	d.Apply(event("b", "d", 1, Draining))
 	d.Logged(event("b", "d", 1, Joined))
@@ -252,7 +252,7 @@
 	})
 }
 
-func TestRecordsSurviveEncoding(t *testing.T) {
+func TestEncodingRoundTrip(t *testing.T) {
 	e := event("a", "d", 1<<60, Draining)
 	e.Upstream.Draining = true
 	e.Upstream.Labels = model.Labels{"tier": "bench", "z": "tier"}
@@ -263,13 +263,13 @@
 	require.Equal(t, r, got)
 }
 
-func TestDamagedRecordsAreRefused(t *testing.T) {
+func TestDecodeRejectsDamagedRecords(t *testing.T) {
 	good := Records{Events: []Event{event("a", "d", 1, Joined)}}.Encode()
 	for n := range good {
 		_, err := Decode(good[:n])
 		require.ErrorIs(t, err, ErrRecords, "cut to %d bytes", n)
 	}
-	for _, data := range [][]byte{{9}, append(good, 0), {codec, 0xff, 0xff, 0xff, 0xff, 0x0f}, {codec, 1, 5}} {
+	for _, data := range [][]byte{{9}, append(good, 0), {codecVersion, 0xff, 0xff, 0xff, 0xff, 0x0f}, {codecVersion, 1, 5}} {
 		_, err := Decode(data)
 		require.ErrorIs(t, err, ErrRecords, "%x", data)
 	}
@@ -289,7 +289,7 @@
 	})
 }
 
-func TestSubsetIsStableAndEven(t *testing.T) {
+func TestSubsetIsStableAndBalanced(t *testing.T) {
 	var all []model.Upstream
 	for i := range 200 {
 		all = append(all, model.Upstream{ID: model.UpstreamID(fmt.Sprintf("u%03d", i))})
--- a/core/member/subset.go
+++ b/core/member/subset.go
@@ -17,12 +17,12 @@
 		return all
 	}
 	type ranked struct {
-		hash uint64
-		at   int
+		hash  uint64
+		index int
 	}
 	ranks := make([]ranked, len(all))
 	for i, u := range all {
-		ranks[i] = ranked{hash: xxhash.Sum64String(string(self) + "\x00" + string(u.ID)), at: i}
+		ranks[i] = ranked{hash: xxhash.Sum64String(string(self) + "\x00" + string(u.ID)), index: i}
 	}
 	slices.SortFunc(ranks, func(a, b ranked) int {
 		if a.hash < b.hash {
@@ -32,7 +32,7 @@
 	})
 	chosen := make([]int, n)
 	for i := range chosen {
-		chosen[i] = ranks[i].at
+		chosen[i] = ranks[i].index
 	}
 	slices.Sort(chosen)
 	out := make([]model.Upstream, n)
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -71,7 +71,7 @@
 	return b
 }
 
-const tableDigest = buckets * 8
+const tableDigestSize = buckets * 8
 
 // differing returns the records of the buckets whose hash is not the one in a
 // digest, the newest first.
