--- a/core/member/codec.go
+++ b/core/member/codec.go
@@ -8,22 +8,24 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Records is a number of records on their way to another daemon or to the log.
+// Records is a batch of records to send to another daemon or to write to the
+// log.
 type Records struct {
 	Events []Event
 	Lives  []Liveness
 }
 
-// The encoding is the codecVersion's version, the number of events and the events, the
-// number of lives and the lives. Numbers are varints. A string is written in
-// full the first time, after a zero and its length, and by its place in the
-// order of first times, from 1, after that.
+// codecVersion is the first byte of an encoding. After it come the number of
+// events, the events, the number of liveness records and the liveness records.
+// Numbers are encoded as varints. The first occurrence of a string is encoded as
+// a zero, its length and its bytes. Further occurrences are encoded as its
+// index, counted from 1, among the distinct strings.
 const codecVersion = 1
 
-// maxStrings bounds the strings of one encoding.
+// maxStrings is the maximum number of distinct strings in one encoding.
 const maxStrings = 1 << 16
 
-// Encode returns the records in the form that Decode reads.
+// Encode returns the binary encoding of the records.
 func (r Records) Encode() []byte {
 	w := encoder{buf: []byte{codecVersion}, indexes: make(map[string]uint64)}
 	w.number(uint64(len(r.Events)))
@@ -80,10 +82,11 @@
 	}
 }
 
-// ErrRecords tells that encoded records cannot be read.
+// ErrRecords is returned for bytes that are not a valid encoding.
 var ErrRecords = errors.New("membership records cannot be read")
 
-// Decode returns the records of an encoding, or ErrRecords.
+// Decode reads an encoding made by Encode. For a malformed encoding it returns
+// ErrRecords.
 func Decode(data []byte) (Records, error) {
 	if len(data) == 0 || data[0] != codecVersion {
 		return Records{}, ErrRecords
@@ -105,8 +108,8 @@
 	return r, nil
 }
 
-// decoder reads an encoding. After something that cannot be read it is bad, and
-// everything it returns is zero.
+// decoder decodes records. After malformed input, failed is set and all further
+// reads return zero values.
 type decoder struct {
 	rest    []byte
 	strings []string
@@ -128,7 +131,8 @@
 	return n
 }
 
-// count reads a number of things that take at least a byte each.
+// count reads the number of items that follow. Each item takes at least one
+// byte, so a count larger than the remaining input is malformed.
 func (d *decoder) count() int {
 	n := d.number()
 	if n > uint64(len(d.rest)) {
@@ -138,7 +142,7 @@
 	return int(n)
 }
 
-// uint8 reads a number of one byte.
+// uint8 reads a number that must fit in one byte.
 func (d *decoder) uint8() uint8 {
 	n := d.number()
 	if n > 255 {
--- a/core/member/delta.go
+++ b/core/member/delta.go
@@ -1,10 +1,11 @@
 package member
 
-// typicalRecordBytes is about what a record takes when encoded, in bytes. It decides
-// only how many are tried first.
+// typicalRecordBytes is the approximate encoded size of a record. Delta uses it
+// only for its first estimate of the number of records that fit.
 const typicalRecordBytes = 32
 
-// ApplyAll takes in records and returns how many won.
+// ApplyAll applies records and returns how many of them replaced an older record
+// or were new.
 func (d *Directory) ApplyAll(r Records) int {
 	won := 0
 	for _, e := range r.Events {
@@ -20,16 +21,18 @@
 	return won
 }
 
-// Digest summarises the records.
+// Digest returns the bucket hashes of all events and liveness records, for
+// comparison by Delta on another daemon.
 func (d *Directory) Digest() []byte {
 	b := d.events.appendDigest(make([]byte, 0, 2*tableDigestSize))
 	return d.lives.appendDigest(b)
 }
 
-// Delta returns what the holder of a digest may lack, in at most limit bytes,
-// or nil. A quarter of the room goes to the newest records. The rest goes to
-// the others in turn, from one call to the next: a bucket differs until its
-// last record is there, so the newest alone would be sent over and over.
+// Delta returns encoded records that the sender of a digest may lack, in at most
+// limit bytes. It returns nil if there are none. A quarter of the records are
+// the newest ones. The others rotate through the remaining records from call to
+// call, because a bucket differs until its last record has arrived: if only the
+// newest were chosen, every call would send the same records again.
 func (d *Directory) Delta(digest []byte, limit int) []byte {
 	if len(digest) != 2*tableDigestSize {
 		return nil
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -9,22 +9,25 @@
 
 // Options configure a Directory.
 type Options struct {
-	// Self is the daemon that holds the Directory. Empty means that it speaks
-	// for no daemon.
+	// Self is the daemon that holds the Directory. It is empty if the Directory
+	// does not belong to a daemon.
 	Self model.DaemonID
-	// Life is the life of Self, larger than in its earlier lives.
+	// Life is the incarnation number of Self. It must be larger than that of any
+	// earlier incarnation.
 	Life model.Incarnation
-	// MaxUpstreams bounds the upstreams held, those that have left included,
-	// and the daemons. Default: 8192.
+	// MaxUpstreams is the maximum number of upstreams held, including those that
+	// have left. It also bounds the number of daemons, since each daemon held has
+	// at least one upstream. Default: 8192.
 	MaxUpstreams int
-	// SuspicionTimeout is how long a daemon is suspect before it is dead. Default:
-	// 3s.
+	// SuspicionTimeout is how long a daemon is suspect before it is declared
+	// dead. Default: 3s.
 	SuspicionTimeout time.Duration
-	// TombstoneRetention is how long the event of an upstream that has left is kept,
-	// and after how long the upstreams of a dead daemon have left. Default: 1h.
+	// TombstoneRetention is how long the event of an upstream that has left is
+	// kept. It is also the time after which the upstreams of a dead daemon are
+	// marked as left. Default: 1h.
 	TombstoneRetention time.Duration
-	// Grace is how long after the start Self waits for its upstreams to
-	// announce themselves before it tells that those of its earlier life have
+	// Grace is how long after its start Self waits for its upstreams to announce
+	// themselves. After that it marks upstreams of its earlier incarnation as
 	// left. Default: 30s.
 	Grace time.Duration
 }
@@ -36,40 +39,44 @@
 	defaultGrace              = 30 * time.Second
 )
 
-// Directory holds the winning records. The zero value is not usable; see
-// NewDirectory. It is not safe for concurrent use.
+// Directory holds, for each upstream and each daemon, the record with the
+// highest precedence. It must be created with New or NewDirectory. It is not
+// safe for concurrent use.
 type Directory struct {
 	opts     Options
 	events   table[model.UpstreamID, Event]
 	lives    table[model.DaemonID, Liveness]
 	services map[model.ServiceName]*service
-	// suspectedSince and dead say since when.
+	// suspectedSince and deadSince hold the time at which a daemon became
+	// suspect or dead.
 	suspectedSince map[model.DaemonID]model.Instant
 	deadSince      map[model.DaemonID]model.Instant
-	// announced are the events that Self announced.
+	// announced holds the events that Self announced.
 	announced map[model.UpstreamID]Event
-	// upstreamsPerDaemon counts the upstreams held of each daemon. Nothing is kept of
-	// daemons that no upstream names.
+	// upstreamsPerDaemon counts the upstreams held for each daemon. No state is
+	// kept for daemons without upstreams.
 	upstreamsPerDaemon map[model.DaemonID]int
-	// unlogged are the events not yet seen on the log, by when they came.
+	// unlogged holds the events that have not yet been read from the log, with
+	// the time at which they arrived.
 	unlogged    map[model.UpstreamID]model.Instant
 	incarnation model.Incarnation
 	now         model.Instant
 	wallSeconds int64
 	started     bool
 	startedAt   model.Instant
-	// lastSweep is when all records were last walked through.
+	// lastSweep is when all records were last scanned.
 	lastSweep model.Instant
-	// deltaCursor is where the next Delta goes on among records that do not fit.
+	// deltaCursor is where the next Delta continues in its rotation through
+	// records that do not fit into one delta.
 	deltaCursor int
-	// generation rises with every change of the view.
+	// generation increases with every change of the view.
 	generation uint64
 }
 
 // service indexes the upstreams of one service that have not left.
 type service struct {
 	ids map[model.UpstreamID]bool
-	// sorted is the sorted view, nil when it has to be made anew.
+	// sorted caches the view, ordered by ID. It is nil when it must be rebuilt.
 	sorted []model.Upstream
 }
 
@@ -104,15 +111,16 @@
 	}
 }
 
-// Generation rises with every change of what Upstreams returns.
+// Generation returns a number that increases whenever the result of Upstreams may
+// have changed for any service.
 func (d *Directory) Generation() uint64 { return d.generation }
 
-// Len returns the number of upstreams held, those that have left included.
+// Len returns the number of upstreams held, including those that have left.
 func (d *Directory) Len() int { return d.events.len() }
 
-// Announce takes in an event of one of Self's own upstreams and reports whether
-// it changed the view. The event gets a higher epoch where others would not
-// believe it otherwise.
+// Announce applies an event of an upstream that belongs to Self, and reports
+// whether it took precedence. If other daemons already hold a later state for
+// the same incarnation, the event gets a higher epoch to override it.
 func (d *Directory) Announce(e Event) bool {
 	e.Unix = d.wallSeconds
 	if old, ok := d.events.get(e.Upstream.ID); ok && old.Upstream.Incarnation == e.Upstream.Incarnation {
@@ -133,7 +141,8 @@
 	return won
 }
 
-// Apply takes in an event and reports whether it won.
+// Apply applies an event and reports whether it took precedence over the stored
+// event.
 func (d *Directory) Apply(e Event) bool {
 	if !e.valid() {
 		return false
@@ -158,7 +167,7 @@
 	return true
 }
 
-// remove takes an event out of the table and of all that is derived from it.
+// remove deletes an event and the state derived from it.
 func (d *Directory) remove(e Event) {
 	u := e.Upstream
 	d.events.remove(u.ID)
@@ -173,15 +182,17 @@
 	delete(d.deadSince, u.Daemon)
 }
 
-// isOldTombstone reports whether the event is one that others will forget soon, so
-// that taking it in would only keep it alive.
+// isOldTombstone reports whether the event is a tombstone (the event of an
+// upstream that has left) older than half of TombstoneRetention. Other daemons
+// will delete such a tombstone soon. Accepting one that is not stored here would
+// only prolong its spread.
 func (d *Directory) isOldTombstone(e Event) bool {
 	return e.State == Left && d.wallSeconds > 0 && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention/2
 }
 
-// ensureCapacity reports whether another upstream can be held. When the bound is
-// reached the upstream that left longest ago gives way; without one, newcomers
-// are refused.
+// ensureCapacity reports whether another upstream can be added. At the limit it
+// deletes the upstream that left first. If no upstream has left, it returns
+// false.
 func (d *Directory) ensureCapacity() bool {
 	if d.events.len() < d.opts.MaxUpstreams {
 		return true
@@ -199,8 +210,8 @@
 	return true
 }
 
-// refute answers an event about Self's own upstream that Self did not
-// announce. An upstream that lives is announced anew under a higher epoch.
+// refute overrides an event that claims a state for an upstream of Self which
+// Self did not announce. It announces the upstream again with a higher epoch.
 func (d *Directory) refute(e Event) {
 	mine, ok := d.announced[e.Upstream.ID]
 	if !ok || !e.newer(mine) || mine.Upstream.Incarnation != e.Upstream.Incarnation {
@@ -238,8 +249,8 @@
 }
 
 // Upstreams returns the upstreams of a service that have not left, ordered by
-// ID, without those whose daemon is dead. When these are more than half of the
-// service, it returns all. The slice is shared and must not be modified.
+// ID. It omits those whose daemon is dead, unless they are more than half of the
+// service; then it returns all. The slice is shared and must not be modified.
 func (d *Directory) Upstreams(name model.ServiceName) []model.Upstream {
 	s := d.services[name]
 	if s == nil {
@@ -270,7 +281,8 @@
 	return live
 }
 
-// Logged records that an event was read from the log.
+// Logged records that an event was read from the log, so that Unlogged no longer
+// returns it.
 func (d *Directory) Logged(e Event) {
 	held, ok := d.events.get(e.Upstream.ID)
 	if ok && !held.newer(e) {
@@ -278,8 +290,8 @@
 	}
 }
 
-// Unlogged returns the events that have not been seen on the log for a time,
-// ordered by upstream ID.
+// Unlogged returns the events that arrived at least age ago and have not yet
+// been read from the log, ordered by upstream ID.
 func (d *Directory) Unlogged(age time.Duration) []Event {
 	var out []Event
 	for id, since := range d.unlogged {
@@ -291,7 +303,7 @@
 	return out
 }
 
-// Events returns every winning event, ordered by upstream ID.
+// Events returns the current event of every upstream, ordered by upstream ID.
 func (d *Directory) Events() []Event {
 	out := make([]Event, 0, d.events.len())
 	for _, e := range d.events.all() {
--- a/core/member/doc.go
+++ b/core/member/doc.go
@@ -1,21 +1,23 @@
-// Package member keeps the view of which upstreams exist and which daemons
-// live.
+// Package member maintains the membership view: which upstreams exist and which
+// daemons are alive.
 //
-// Joins, leaves and new incarnations reach a Directory as Events, from the
-// platform's log or from peers, in any order and any number of times. The
-// Directory keeps for each upstream the event that wins: a higher incarnation
-// beats a lower one, then a higher epoch, and within one epoch leaving beats
-// draining beats joining. So every daemon that has seen the same events holds
-// the same view.
+// Joins, leaves and new incarnations of upstreams reach a Directory as Events,
+// from the platform's log or from peers, in any order and any number of times.
+// For each upstream the Directory keeps the event with the highest precedence:
+// first by incarnation, then by epoch, then by state, where left precedes
+// draining and draining precedes joined. Daemons that have received the same
+// events therefore hold the same view.
 //
-// Liveness is kept apart from membership and never reaches the log. Of each
-// daemon the Directory keeps the winning Liveness: a higher life beats a lower
-// one, and within one life dead beats suspect beats alive. A daemon that learns
-// that it is thought dead raises its life, which brings it back. The upstreams
-// of a dead daemon are left out of the view, unless that would leave out more
-// than half of a service: then the fault is rather with the observer.
+// The liveness of daemons is separate from membership and is never written to
+// the log. It follows SWIM: for each daemon the Directory keeps the Liveness with
+// the highest precedence, first by incarnation number, then by health, where
+// dead precedes suspect and suspect precedes alive. A daemon that learns that
+// others consider it suspect or dead refutes this by increasing its incarnation
+// number. The view omits the upstreams of dead daemons, unless that would omit
+// more than half of a service: in that case the observer is more likely at fault
+// than all those daemons.
 //
-// For anti-entropy the records are spread over buckets by the hash of their
-// name. A digest is the hashes of all buckets; whoever holds another one is
-// sent the records of the buckets that differ, the newest first.
+// For anti-entropy, records are distributed over buckets by the hash of their
+// id. A digest consists of the hashes of all buckets. A daemon sends a peer the
+// records of the buckets in which their digests differ, the newest first.
 package member
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -6,11 +6,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Life returns the life of Self as others are to know it.
+// Life returns the current incarnation number of Self. It increases when Self
+// refutes a report that it is suspect or dead.
 func (d *Directory) Life() model.Incarnation { return d.incarnation }
 
-// Health returns what is thought of a daemon. One that nobody spoke of is
-// alive.
+// Health returns the health of a daemon. A daemon without a liveness record
+// counts as alive.
 func (d *Directory) Health(id model.DaemonID) Health {
 	if l, ok := d.lives.get(id); ok {
 		return l.Health
@@ -18,8 +19,8 @@
 	return Alive
 }
 
-// Suspect records that a daemon did not answer, and reports whether that is
-// news. A daemon that is suspect or dead already stays what it is.
+// Suspect marks a daemon as suspect because it did not respond. It returns false
+// if nothing changed. A daemon that is already suspect or dead is not changed.
 func (d *Directory) Suspect(id model.DaemonID) bool {
 	l, _ := d.lives.get(id)
 	if l.Health > Alive {
@@ -28,8 +29,9 @@
 	return d.ApplyLiveness(Liveness{Daemon: id, Life: l.Life, Health: Suspect})
 }
 
-// Answered records that a daemon answered with a life, and reports whether that
-// is news.
+// Answered records that a daemon responded and which incarnation number it
+// reported. It returns false if that number was already known or the daemon has
+// no liveness record.
 func (d *Directory) Answered(id model.DaemonID, life model.Incarnation) bool {
 	l, known := d.lives.get(id)
 	if !known || life <= l.Life {
@@ -38,8 +40,9 @@
 	return d.ApplyLiveness(Liveness{Daemon: id, Life: life, Health: Alive})
 }
 
-// ApplyLiveness takes in what others think of a daemon and reports whether it
-// won. Of Self it is answered by a higher life, unless Self is thought alive.
+// ApplyLiveness applies a liveness record and reports whether it took
+// precedence. A record that reports Self as suspect or dead is refuted: Self gets
+// a higher incarnation number.
 func (d *Directory) ApplyLiveness(l Liveness) bool {
 	if !l.valid() {
 		return false
@@ -70,6 +73,7 @@
 	return true
 }
 
+// trackHealth records when a daemon became suspect or dead.
 func (d *Directory) trackHealth(l Liveness) {
 	delete(d.suspectedSince, l.Daemon)
 	delete(d.deadSince, l.Daemon)
@@ -82,7 +86,8 @@
 	}
 }
 
-// invalidateViews makes the lists anew of services with upstreams at a daemon.
+// invalidateViews discards the cached views of all services that have upstreams
+// of a daemon.
 func (d *Directory) invalidateViews(id model.DaemonID) {
 	for _, e := range d.events.all() {
 		if e.Upstream.Daemon == id {
@@ -94,11 +99,12 @@
 	d.generation++
 }
 
-// sweepInterval is the time between two walks through all records.
+// sweepInterval is the interval between scans of all records.
 const sweepInterval = 5 * time.Second
 
-// Tick moves the time on and does what has become due. It reports whether any
-// record changed. It is called at least every second.
+// Tick sets the current time, as a monotonic clock reading and in Unix seconds,
+// and runs the timeouts that have expired. It reports whether any record
+// changed. It must be called at least once per second.
 func (d *Directory) Tick(now model.Instant, unix int64) bool {
 	if !d.started {
 		d.started, d.startedAt = true, now
@@ -114,6 +120,7 @@
 	return changed
 }
 
+// expireSuspicions declares daemons dead that were suspect for SuspicionTimeout.
 func (d *Directory) expireSuspicions() bool {
 	changed := false
 	for id, since := range d.suspectedSince {
@@ -127,7 +134,8 @@
 	return changed
 }
 
-// expireDeadDaemons lets the upstreams of daemons leave that have long been dead.
+// expireDeadDaemons marks the upstreams of daemons that were dead for
+// TombstoneRetention as left.
 func (d *Directory) expireDeadDaemons() bool {
 	changed := false
 	for id, since := range d.deadSince {
@@ -145,8 +153,9 @@
 	return changed
 }
 
-// removeUnannounced tells, once Self has run for a while, that upstreams have left that
-// name Self as their daemon and have not announced themselves.
+// removeUnannounced marks upstreams as left that name Self as their daemon but
+// have not been announced since Self started. It does nothing before Grace has
+// passed, because running upstreams need time to announce themselves again.
 func (d *Directory) removeUnannounced() bool {
 	if d.opts.Self == "" || d.now.Sub(d.startedAt) < d.opts.Grace {
 		return false
@@ -163,7 +172,8 @@
 	return changed
 }
 
-// deleteOldTombstones drops the events of upstreams that left long ago.
+// deleteOldTombstones deletes the events of upstreams that left more than
+// TombstoneRetention ago.
 func (d *Directory) deleteOldTombstones() {
 	if d.wallSeconds <= 0 {
 		return
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -4,8 +4,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// State is the stage of one incarnation of an upstream. States only rise
-// within an epoch.
+// State is the membership state of one incarnation of an upstream. Within an
+// epoch it only moves forward, in the order of the constants.
 type State uint8
 
 // The states.
@@ -19,15 +19,16 @@
 type Event struct {
 	Upstream model.Upstream `json:"upstream"`
 	State    State          `json:"state"`
-	// Epoch is raised by the upstream's daemon when others hold a state of the
-	// incarnation that the daemon did not announce. It starts at 0.
+	// Epoch starts at 0. The upstream's daemon increments it to override a state
+	// that other daemons hold for this incarnation and that it did not announce.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// Unix is the wall clock of the announcing daemon, in seconds. It decides
-	// only when the event of an upstream that has left is forgotten.
+	// Unix is the wall clock of the announcing daemon in Unix seconds. It is
+	// used only to decide when the event of an upstream that has left can be
+	// deleted.
 	Unix int64 `json:"unix,omitempty"`
 }
 
-// newer reports whether a wins over b.
+// newer reports whether a takes precedence over b.
 func (a Event) newer(b Event) bool {
 	if a.Upstream.Incarnation != b.Upstream.Incarnation {
 		return a.Upstream.Incarnation > b.Upstream.Incarnation
@@ -38,14 +39,15 @@
 	return a.State > b.State
 }
 
-// The bounds of an event.
+// Limits on the fields of an event.
 const (
 	maxName   = 253
 	maxLabels = 32
 	maxSlots  = 1 << 20
 )
 
-// valid reports whether an event that came from outside can be kept.
+// valid reports whether an event received from outside is complete and within
+// the limits.
 func (a Event) valid() bool {
 	u := a.Upstream
 	for _, name := range []string{string(u.ID), string(u.Service), string(u.Daemon)} {
@@ -61,25 +63,26 @@
 	return len(u.Zone) <= maxName && len(u.Labels) <= maxLabels && u.Slots > 0 && u.Slots <= maxSlots && a.State >= Joined && a.State <= Left
 }
 
-// Health is what is thought of a daemon.
+// Health is the state of a daemon as determined by failure detection.
 type Health uint8
 
-// The healths, from best to worst.
+// The health states, from best to worst.
 const (
 	Alive Health = iota + 1
-	// Suspect daemons did not answer, directly or through others.
+	// Suspect daemons did not respond, neither to this daemon nor to others.
 	Suspect
-	// Dead daemons stayed suspect for SuspectTime.
+	// Dead daemons stayed suspect for SuspicionTimeout.
 	Dead
 )
 
-// Liveness is what is thought of one life of a daemon.
+// Liveness is the health of one incarnation of a daemon.
 type Liveness struct {
 	Daemon model.DaemonID    `json:"daemon"`
 	Life   model.Incarnation `json:"life"`
 	Health Health            `json:"health"`
 }
 
+// newer reports whether a takes precedence over b.
 func (a Liveness) newer(b Liveness) bool {
 	if a.Life != b.Life {
 		return a.Life > b.Life
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -36,14 +36,14 @@
 		events []Event
 		view   []string
 	}{
-		"joined":              {[]Event{event("a", "d", 1, Joined)}, []string{"a"}},
-		"left":                {[]Event{event("a", "d", 1, Joined), event("a", "d", 1, Left)}, nil},
-		"left before joined":  {[]Event{event("a", "d", 1, Left), event("a", "d", 1, Joined)}, nil},
-		"next incarnation":    {[]Event{event("a", "d", 1, Left), event("a", "d", 2, Joined)}, []string{"a"}},
-		"late older life":     {[]Event{event("a", "d", 2, Joined), event("a", "d", 1, Left)}, []string{"a"}},
-		"higher epoch":        {[]Event{event("a", "d", 1, Left), epoch}, []string{"a"}},
-		"moved to a daemon":   {[]Event{event("a", "d", 1, Joined), event("a", "e", 2, Joined)}, []string{"a"}},
-		"no slots is refused": {[]Event{{State: Joined, Upstream: model.Upstream{ID: "a", Service: "s", Daemon: "d"}}}, nil},
+		"joined":                             {[]Event{event("a", "d", 1, Joined)}, []string{"a"}},
+		"left":                               {[]Event{event("a", "d", 1, Joined), event("a", "d", 1, Left)}, nil},
+		"left before joined":                 {[]Event{event("a", "d", 1, Left), event("a", "d", 1, Joined)}, nil},
+		"next incarnation":                   {[]Event{event("a", "d", 1, Left), event("a", "d", 2, Joined)}, []string{"a"}},
+		"late event of an older incarnation": {[]Event{event("a", "d", 2, Joined), event("a", "d", 1, Left)}, []string{"a"}},
+		"higher epoch":                       {[]Event{event("a", "d", 1, Left), epoch}, []string{"a"}},
+		"moved to another daemon":            {[]Event{event("a", "d", 1, Joined), event("a", "e", 2, Joined)}, []string{"a"}},
+		"no slots":                           {[]Event{{State: Joined, Upstream: model.Upstream{ID: "a", Service: "s", Daemon: "d"}}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := NewDirectory()
@@ -75,16 +75,17 @@
 	observer.ApplyAll(recordsOf(suspect))
 	observer.Apply(event("b", "other", 1, Joined))
 	require.True(t, observer.Suspect("d"))
-	require.False(t, observer.Suspect("d"), "no news")
-	require.Equal(t, []string{"a", "b"}, ids(observer.Upstreams("s")), "a suspect is still in view")
+	require.False(t, observer.Suspect("d"), "already suspect")
+	require.Equal(t, []string{"a", "b"}, ids(observer.Upstreams("s")), "the upstream of a suspect daemon is still in the view")
 
-	// It hears of it, raises its life and is believed.
+	// The suspect daemon learns of it and refutes it with a higher incarnation
+	// number.
 	suspect.ApplyAll(recordsOf(observer))
 	require.EqualValues(t, 8, suspect.Life())
 	observer.ApplyAll(recordsOf(suspect))
 	require.Equal(t, Alive, observer.Health("d"))
 
-	// Silent for longer than the suspicion lasts, it is dead until it answers.
+	// A daemon that stays suspect for SuspicionTimeout is dead until it refutes.
 	observer.Suspect("d")
 	observer.Tick(seconds(2), 1002)
 	require.Equal(t, Suspect, observer.Health("d"))
@@ -121,19 +122,19 @@
 	d := New(Options{Self: "d", Life: 1})
 	d.Tick(seconds(0), 1000)
 	d.Announce(event("a", "d", 3, Joined))
-	// Others took it for gone while this daemon was cut off.
+	// While this daemon was partitioned, others marked its upstream as left.
 	d.Apply(event("a", "d", 3, Left))
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 	require.EqualValues(t, 1, d.Events()[0].Epoch)
 
-	// An upstream of an earlier life of this VM, which nobody announces.
+	// An upstream of an earlier incarnation of this daemon is never announced.
 	d.Apply(event("old", "d", 1, Joined))
 	d.Tick(seconds(20), 1020)
 	require.Len(t, d.Upstreams("s"), 2, "it may still announce itself")
 	require.True(t, d.Tick(seconds(31), 1031))
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 
-	// A lease that lapsed, and the same incarnation back again.
+	// The lease of an upstream expires, then the same incarnation returns.
 	d.Announce(event("a", "d", 3, Left))
 	require.Empty(t, d.Upstreams("s"))
 	d.Announce(event("a", "d", 3, Joined))
@@ -153,7 +154,7 @@
 	require.Zero(t, a.Len())
 	require.Equal(t, 1, b.Len(), "its clock is behind")
 	a.ApplyAll(recordsOf(b))
-	require.Zero(t, a.Len(), "it is not taken back from those who still hold it")
+	require.Zero(t, a.Len(), "a peer that still holds the tombstone does not reintroduce it")
 	require.Empty(t, a.upstreamsPerDaemon)
 }
 
@@ -170,7 +171,7 @@
 	require.Empty(t, d.remainingState())
 }
 
-// remainingState names what is still held of anything.
+// remainingState lists the entries left in the directory's maps.
 func (d *Directory) remainingState() []string {
 	var out []string
 	for id := range d.suspectedSince {
@@ -196,9 +197,9 @@
 	for i := range 3 {
 		require.True(t, d.Apply(event(fmt.Sprint(i), "d", 1, Joined)))
 	}
-	require.False(t, d.Apply(event("new", "d", 1, Joined)), "refused, none has left")
+	require.False(t, d.Apply(event("new", "d", 1, Joined)), "rejected because no upstream has left")
 	d.Apply(event("1", "d", 1, Left))
-	require.True(t, d.Apply(event("new", "d", 1, Joined)), "in place of the one that left")
+	require.True(t, d.Apply(event("new", "d", 1, Joined)), "replaces the upstream that left")
 	require.Equal(t, []string{"0", "2", "new"}, ids(d.Upstreams("s")))
 }
 
@@ -211,12 +212,13 @@
 	d.Logged(event("a", "d", 1, Joined))
 	d.Apply(event("b", "d", 1, Draining))
 	d.Logged(event("b", "d", 1, Joined))
-	require.Empty(t, d.Unlogged(time.Second), "b's event has just come")
+	require.Empty(t, d.Unlogged(time.Second), "the latest event of b has just arrived")
 	require.Len(t, d.Unlogged(0), 1)
 }
 
-// TestOrderDoesNotMatter applies the same records in two orders and hands them
-// on in parts; all directories end equal.
+// TestOrderDoesNotMatter applies the same events to two directories in different
+// orders and replicates them to a third with small deltas. All three must end
+// with the same state.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := NewDirectory(), NewDirectory(), NewDirectory()
@@ -284,7 +286,7 @@
 		}
 		again, err := Decode(r.Encode())
 		if err != nil || len(again.Events) != len(r.Events) || len(again.Lives) != len(r.Lives) {
-			t.Fatalf("does not survive encoding again: %v", err)
+			t.Fatalf("decoding the re-encoded records: %v", err)
 		}
 	})
 }
--- a/core/member/subset.go
+++ b/core/member/subset.go
@@ -8,10 +8,10 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Subset returns at most n upstreams of a service for one daemon to call, in
-// the order given. They are chosen by rendezvous hashing: the choice of one
-// daemon is stable, an upstream that comes or goes changes it by one at most,
-// and over all daemons each upstream is chosen about as often.
+// Subset selects at most n upstreams of a service for one daemon to call, and
+// returns them in their original order. It uses rendezvous hashing: the subset of
+// a daemon is stable, an upstream that joins or leaves changes it by at most one
+// member, and across all daemons every upstream is selected about equally often.
 func Subset(self model.DaemonID, all []model.Upstream, n int) []model.Upstream {
 	if n <= 0 || len(all) <= n {
 		return all
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -8,10 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// buckets is the number of hashes in a digest of a table.
+// buckets is the number of hash buckets of a table.
 const buckets = 32
 
-// table holds records by name and keeps the hashes of its buckets.
+// table is a map of records that maintains a hash of each bucket of records. The
+// hash of a bucket is the XOR of the hashes of its records.
 type table[K ~string, V any] struct {
 	rows   map[K]row[V]
 	hashOf func(V) uint64
@@ -19,7 +20,7 @@
 	seq    uint64
 }
 
-// row is a record with the order in which it came.
+// row is a record with its insertion number.
 type row[V any] struct {
 	value V
 	seq   uint64
@@ -52,7 +53,8 @@
 	}
 }
 
-// all yields the records in no order. Records may be set and removed meanwhile.
+// all iterates over the records in random order. Records may be set and removed
+// during the iteration.
 func (t *table[K, V]) all() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for k, r := range t.rows {
@@ -63,7 +65,7 @@
 	}
 }
 
-// appendDigest appends the hashes of the buckets.
+// appendDigest appends the bucket hashes to b.
 func (t *table[K, V]) appendDigest(b []byte) []byte {
 	for _, h := range t.hashes {
 		b = binary.BigEndian.AppendUint64(b, h)
@@ -71,9 +73,10 @@
 	return b
 }
 
+// tableDigestSize is the length of a table's digest in bytes.
 const tableDigestSize = buckets * 8
 
-// differing returns the records of the buckets whose hash is not the one in a
+// differing returns the records of all buckets whose hash differs from the
 // digest, the newest first.
 func (t *table[K, V]) differing(digest []byte) []V {
 	var differ [buckets]bool
