--- a/core/config/change.go
+++ b/core/config/change.go
@@ -45,12 +45,12 @@
 	OutOfOrder
 )
 
-var verdictNames = [...]string{"none", "accepted", "superseded", "duplicate", "invalid", "ignored", "out of order"}
+var decisionNames = [...]string{"none", "accepted", "superseded", "duplicate", "invalid", "ignored", "out of order"}
 
 // String returns the verdict's name.
 func (v Verdict) String() string {
-	if int(v) < len(verdictNames) {
-		return verdictNames[v]
+	if int(v) < len(decisionNames) {
+		return decisionNames[v]
 	}
 	return "verdict " + strconv.Itoa(int(v))
 }
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -19,18 +19,18 @@
 // a checkpoint writer that may pause, and daemons that read, hand on and
 // restart.
 type world struct {
-	log     [][]byte
-	oldest  int
-	held    []byte
-	heldAs  State
-	daemons [2]*Folder
+	log              [][]byte
+	oldest           int
+	writerCheckpoint []byte
+	writerState      State
+	daemons          [2]*Folder
 	// spec is the accepted changes after each prefix of the log, by a plain
 	// reading of the rules.
-	spec  []specState
-	steps []string
+	expected []expectedState
+	steps    []string
 }
 
-type specState struct {
+type expectedState struct {
 	version model.Version
 	last    string
 	seen    string
@@ -38,7 +38,7 @@
 
 func (w *world) clone() *world {
 	c := *w
-	c.log, c.spec, c.steps = slices.Clone(w.log), slices.Clone(w.spec), slices.Clone(w.steps)
+	c.log, c.expected, c.steps = slices.Clone(w.log), slices.Clone(w.expected), slices.Clone(w.steps)
 	for i, d := range w.daemons {
 		f := *d
 		f.state = d.state.clone()
@@ -50,7 +50,7 @@
 }
 
 func (w *world) append(record []byte, id string, base model.Version) {
-	s := w.spec[len(w.spec)-1]
+	s := w.expected[len(w.expected)-1]
 	if id != "" && !strings.Contains(s.seen, id) {
 		s.seen += id
 		if base == s.version {
@@ -59,7 +59,7 @@
 		}
 	}
 	w.log = append(w.log, record)
-	w.spec = append(w.spec, s)
+	w.expected = append(w.expected, s)
 }
 
 func (w *world) write(id string, base model.Version) {
@@ -71,7 +71,7 @@
 }
 
 // read is what a daemon does with one answer of the log.
-func (w *world) read(f *Folder) {
+func (w *world) readLog(f *Folder) {
 	if f.Behind(uint64(w.oldest)) {
 		for o := w.oldest; o < len(w.log); o++ {
 			if f.Recover(uint64(o), uint64(w.oldest), w.log[o]) {
@@ -108,24 +108,24 @@
 	}
 	add("repeat the first record", func(w *world) {
 		if len(w.log) > 0 && w.oldest == 0 {
-			kind, payload, _, _ := open(w.log[0])
+			kind, payload, _, _ := parseRecord(w.log[0])
 			if c, err := decodeChange(payload); kind == kindChange && err == nil {
 				w.append(w.log[0], c.ID, c.Base)
 			}
 		}
 	})
 	add("writer takes a checkpoint and pauses", func(w *world) {
-		w.heldAs = w.daemons[0].State()
-		w.held = encoded(w.heldAs)
+		w.writerState = w.daemons[0].State()
+		w.writerCheckpoint = encoded(w.writerState)
 	})
 	add("writer resumes", func(w *world) {
-		if w.held != nil {
-			w.append(w.held, "", 0)
+		if w.writerCheckpoint != nil {
+			w.append(w.writerCheckpoint, "", 0)
 		}
 	})
 	add("log trims all but the last", func(w *world) { w.oldest = max(w.oldest, len(w.log)-1) })
 	for i := range 2 {
-		add(fmt.Sprint("read ", i), func(w *world) { w.read(w.daemons[i]) })
+		add(fmt.Sprint("read ", i), func(w *world) { w.readLog(w.daemons[i]) })
 		add(fmt.Sprint("hand on to ", i), func(w *world) {
 			to, from := w.daemons[i], w.daemons[1-i]
 			if d := from.Delta(to.Digest(), 400); d != nil {
@@ -133,8 +133,8 @@
 			}
 		})
 		add(fmt.Sprint("late checkpoint to ", i), func(w *world) {
-			if w.held != nil {
-				_ = w.daemons[i].Adopt(w.heldAs)
+			if w.writerCheckpoint != nil {
+				_ = w.daemons[i].Adopt(w.writerState)
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 		if d.Next() > uint64(len(w.log)) {
 			return fmt.Errorf("daemon %d has folded more than the log holds", i)
 		}
-		s := w.spec[d.Next()]
+		s := w.expected[d.Next()]
 		if d.Version() != s.version || d.state.ChangeID != s.last {
 			return fmt.Errorf("daemon %d at offset %d has version %d of %s, want %d of %s", i, d.Next(), d.Version(), d.state.ChangeID, s.version, s.last)
 		}
@@ -161,9 +161,9 @@
 
 func (w *world) key() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d|%d|%x|", len(w.log), w.oldest, idHash(string(w.held)))
+	fmt.Fprintf(&b, "%d|%d|%x|", len(w.log), w.oldest, hashID(string(w.writerCheckpoint)))
 	for _, r := range w.log {
-		fmt.Fprintf(&b, "%x,", idHash(string(r)))
+		fmt.Fprintf(&b, "%x,", hashID(string(r)))
 	}
 	for _, d := range w.daemons {
 		fmt.Fprintf(&b, "|%x %d", d.Digest(), d.recent.first)
@@ -173,8 +173,8 @@
 
 const modelDepth = 6
 
-func TestEveryShortHistoryAgreesWithTheRules(t *testing.T) {
-	first := &world{spec: make([]specState, 1), daemons: [2]*Folder{NewFolder(nil), NewFolder(nil)}}
+func TestShortHistoriesMatchSpecification(t *testing.T) {
+	first := &world{expected: make([]expectedState, 1), daemons: [2]*Folder{NewFolder(nil), NewFolder(nil)}}
 	seen := map[string]bool{first.key(): true}
 	level := []*world{first}
 	acts := actions()
@@ -202,13 +202,13 @@
 
 // TestModelCatchesAMissingCheck takes out one check at a time and runs the
 // exploration on the result, which has to fail.
-func TestModelCatchesAMissingCheck(t *testing.T) {
+func TestModelDetectsMissingChecks(t *testing.T) {
 	for name, m := range map[string]struct{ file, old, new string }{
-		"base not compared":         {"fold.go", "if c.Base < f.state.Version {", "if false {"},
-		"base ahead not refused":    {"fold.go", "if c.Base > f.state.Version {", "if false {"},
-		"duplicates not recognised": {"fold.go", "if slices.Contains(f.state.IDs, idHash(c.ID)) {", "if false {"},
-		"gap in the log folded":     {"fold.go", "if offset != f.state.Next {", "if false {"},
-		"older state adopted":       {"fold.go", "if s.Next <= f.state.Next {", "if false {"},
+		"base not compared":         {"statemachine.go", "if c.Base < m.state.Version {", "if false {"},
+		"base ahead not refused":    {"statemachine.go", "if c.Base > m.state.Version {", "if false {"},
+		"duplicates not recognised": {"statemachine.go", "if slices.Contains(m.state.IDs, hashID(c.ID)) {", "if false {"},
+		"gap in the log folded":     {"statemachine.go", "if offset != m.state.Next {", "if false {"},
+		"older state adopted":       {"statemachine.go", "if s.Next <= m.state.Next {", "if false {"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -224,7 +224,7 @@
 			require.NoError(t, err)
 			list := filepath.Join(dir, "overlay.json")
 			require.NoError(t, os.WriteFile(list, overlay, 0o600))
-			out, err := exec.Command("go", "test", "-vet=off", "-overlay", list, "-run", "TestEveryShortHistoryAgreesWithTheRules", ".").CombinedOutput()
+			out, err := exec.Command("go", "test", "-vet=off", "-overlay", list, "-run", "TestShortHistoriesMatchSpecification", ".").CombinedOutput()
 			require.Error(t, err, "the exploration passed")
 			require.Contains(t, string(out), "after [", "the exploration found a history: %s", out)
 		})
--- a/core/config/recent.go
+++ b/core/config/recent.go
@@ -10,21 +10,21 @@
 type recentRecord struct {
 	data []byte
 	// before is the chain before the record.
-	before Digest
+	chainBefore Digest
 }
 
 const (
-	maxRecent      = 256
-	maxRecentBytes = 512 << 10
+	maxRecentRecords = 256
+	maxRecentBytes   = 512 << 10
 )
 
-func (r *recent) add(offset uint64, data []byte, before Digest) {
+func (r *recent) add(offset uint64, data []byte, chainBefore Digest) {
 	if len(r.records) == 0 {
 		r.first = offset
 	}
-	r.records = append(r.records, recentRecord{data: data, before: before})
+	r.records = append(r.records, recentRecord{data: data, chainBefore: chainBefore})
 	r.bytes += len(data)
-	for len(r.records) > maxRecent || r.bytes > maxRecentBytes {
+	for len(r.records) > maxRecentRecords || r.bytes > maxRecentBytes {
 		r.bytes -= len(r.records[0].data)
 		r.records[0] = recentRecord{}
 		r.records = r.records[1:]
@@ -46,7 +46,7 @@
 }
 
 // anchor is a state kept to be handed on, encoded when first needed.
-type anchor struct {
+type cachedCheckpoint struct {
 	state   State
 	encoded []byte
 }
--- a/core/config/record.go
+++ b/core/config/record.go
@@ -11,8 +11,8 @@
 // version of the codec, the kind of the payload and the payload's SHA-256.
 const (
 	recordMagic  = 'd'
-	recordCodec  = 1
-	recordHead   = 3 + sha256.Size
+	codecVersion = 1
+	headerSize   = 3 + sha256.Size
 	kindChange   = 1
 	kindSnapshot = 2
 )
@@ -62,35 +62,35 @@
 	if len(payload) > MaxChange {
 		return nil, Digest{}, &LimitError{What: "change", Size: len(payload), Limit: MaxChange}
 	}
-	record, digest := seal(kindChange, payload)
+	record, digest := encodeRecord(kindChange, payload)
 	return record, digest, nil
 }
 
 // IsCheckpoint reports whether a record claims to be a checkpoint, without
 // reading it.
 func IsCheckpoint(record []byte) bool {
-	return len(record) >= recordHead && record[0] == recordMagic && record[2] == kindSnapshot
+	return len(record) >= headerSize && record[0] == recordMagic && record[2] == kindSnapshot
 }
 
-func seal(kind byte, payload []byte) ([]byte, Digest) {
+func encodeRecord(kind byte, payload []byte) ([]byte, Digest) {
 	digest := Digest(sha256.Sum256(payload))
-	record := make([]byte, 0, recordHead+len(payload))
-	record = append(record, recordMagic, recordCodec, kind)
+	record := make([]byte, 0, headerSize+len(payload))
+	record = append(record, recordMagic, codecVersion, kind)
 	record = append(record, digest[:]...)
 	return append(record, payload...), digest
 }
 
 // open checks a record's head and returns its payload.
-func open(record []byte) (kind byte, payload []byte, d Digest, err error) {
-	if len(record) < recordHead || record[0] != recordMagic {
+func parseRecord(record []byte) (kind byte, payload []byte, d Digest, err error) {
+	if len(record) < headerSize || record[0] != recordMagic {
 		return 0, nil, d, &RecordError{Problem: "not a config record"}
 	}
-	if record[1] != recordCodec {
+	if record[1] != codecVersion {
 		return 0, nil, d, &RecordError{Problem: fmt.Sprintf("unknown codec %d", record[1])}
 	}
-	payload = record[recordHead:]
+	payload = record[headerSize:]
 	d = Digest(sha256.Sum256(payload))
-	if !bytes.Equal(d[:], record[3:recordHead]) {
+	if !bytes.Equal(d[:], record[3:headerSize]) {
 		return 0, nil, d, &RecordError{Problem: "digest does not match"}
 	}
 	return record[2], payload, d, nil
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -46,42 +46,42 @@
 
 // Checkpoint returns the state as a record.
 func (s State) Checkpoint() ([]byte, error) {
-	plain, err := json.Marshal(s)
+	uncompressed, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.DefaultCompression)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := w.Write(plain); err != nil {
+	if _, err := w.Write(uncompressed); err != nil {
 		return nil, err
 	}
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	record, _ := seal(kindSnapshot, packed.Bytes())
+	record, _ := encodeRecord(kindSnapshot, compressed.Bytes())
 	return record, nil
 }
 
 // maxPlainCheckpoint bounds a checkpoint when unpacked: the documents with
 // escaping, the ids and the rest.
-const maxPlainCheckpoint = 4 * MaxState
+const maxUncompressedCheckpoint = 4 * MaxState
 
 // ReadCheckpoint returns the state of a checkpoint record, and false when the
 // record is none or cannot be read.
 func ReadCheckpoint(record []byte) (State, bool) {
-	kind, payload, _, err := open(record)
+	kind, payload, _, err := parseRecord(record)
 	if err != nil || kind != kindSnapshot {
 		return State{}, false
 	}
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(payload)), maxPlainCheckpoint+1))
-	if err != nil || len(plain) > maxPlainCheckpoint {
+	uncompressed, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(payload)), maxUncompressedCheckpoint+1))
+	if err != nil || len(uncompressed) > maxUncompressedCheckpoint {
 		return State{}, false
 	}
 	var s State
-	if json.Unmarshal(plain, &s) != nil || len(s.IDs) > maxIDs || s.size() > MaxState {
+	if json.Unmarshal(uncompressed, &s) != nil || len(s.IDs) > maxIDs || s.size() > MaxState {
 		return State{}, false
 	}
 	if s.Documents == nil {
--- a/core/config/fold.go
+++ b/core/config/statemachine.go
@@ -22,13 +22,13 @@
 	state    State
 	size     int
 	recent   recent
-	anchor   anchor
-	partial  partial
+	cached   cachedCheckpoint
+	partial  partialCheckpoint
 }
 
 // anchorEvery is the number of records between two states that are kept to be
 // handed on. It divides the offsets, so that daemons keep the same ones.
-const anchorEvery = 64
+const checkpointInterval = 64
 
 // NewFolder returns a Folder that has folded nothing. A nil Validate accepts
 // all documents.
@@ -40,89 +40,89 @@
 }
 
 // State returns a copy of the state.
-func (f *Folder) State() State { return f.state.clone() }
+func (m *Folder) State() State { return m.state.clone() }
 
 // Version returns the current version.
-func (f *Folder) Version() model.Version { return f.state.Version }
+func (m *Folder) Version() model.Version { return m.state.Version }
 
 // Next returns the offset of the next record to fold.
-func (f *Folder) Next() uint64 { return f.state.Next }
+func (m *Folder) Next() uint64 { return m.state.Next }
 
 // Fold takes in the record at an offset, which must be Next.
-func (f *Folder) Fold(offset uint64, record []byte) Result {
-	if offset != f.state.Next {
-		return f.result(OutOfOrder, nil, nil)
+func (m *Folder) Fold(offset uint64, record []byte) Result {
+	if offset != m.state.Next {
+		return m.result(OutOfOrder, nil, nil)
 	}
-	before := f.state.Chain
-	res := f.fold(record)
+	chainBefore := m.state.Chain
+	res := m.applyChange(record)
 	if res.Verdict == Ignored {
 		record = nil // it is handed on as a record that says nothing
 	}
-	f.recent.add(offset, record, before)
-	f.state.Next++
-	if f.state.Next%anchorEvery == 0 {
-		f.anchor = anchor{state: f.state.clone()}
+	m.recent.add(offset, record, chainBefore)
+	m.state.Next++
+	if m.state.Next%checkpointInterval == 0 {
+		m.cached = cachedCheckpoint{state: m.state.clone()}
 	}
 	return res
 }
 
-func (f *Folder) fold(record []byte) Result {
-	kind, payload, digest, err := open(record)
+func (m *Folder) applyChange(record []byte) Result {
+	kind, payload, digest, err := parseRecord(record)
 	if err != nil {
-		return f.result(Ignored, nil, err)
+		return m.result(Ignored, nil, err)
 	}
 	if kind != kindChange {
-		return f.result(Ignored, nil, nil)
+		return m.result(Ignored, nil, nil)
 	}
 	c, err := decodeChange(payload)
 	if err != nil {
-		return f.result(Ignored, nil, err)
+		return m.result(Ignored, nil, err)
 	}
-	verdict, problem := f.judge(c)
-	if verdict != Duplicate {
-		f.remember(c.ID)
+	decision, problem := m.decide(c)
+	if decision != Duplicate {
+		m.recordID(c.ID)
 	}
-	if verdict == Accepted {
-		f.accept(c, digest)
+	if decision == Accepted {
+		m.accept(c, digest)
 	}
-	return f.result(verdict, &c, problem)
+	return m.result(decision, &c, problem)
 }
 
 var errFutureBase = errors.New("the base version does not exist yet")
 
-func (f *Folder) judge(c Change) (Verdict, error) {
-	if slices.Contains(f.state.IDs, idHash(c.ID)) {
+func (m *Folder) decide(c Change) (Verdict, error) {
+	if slices.Contains(m.state.IDs, hashID(c.ID)) {
 		return Duplicate, nil
 	}
-	if c.Base > f.state.Version {
+	if c.Base > m.state.Version {
 		return Invalid, errFutureBase
 	}
-	if c.Base < f.state.Version {
+	if c.Base < m.state.Version {
 		return Superseded, nil
 	}
-	if n := f.size + f.growth(c); n > MaxState {
+	if n := m.size + m.sizeIncrease(c); n > MaxState {
 		return Invalid, &LimitError{What: "configuration", Size: n, Limit: MaxState}
 	}
-	if err := f.validate(c.Put); err != nil {
+	if err := m.validate(c.Put); err != nil {
 		return Invalid, err
 	}
 	return Accepted, nil
 }
 
 // growth returns by how many bytes the change makes the documents larger.
-func (f *Folder) growth(c Change) int {
+func (m *Folder) sizeIncrease(c Change) int {
 	n := 0
 	for k, d := range c.Put {
-		n += len(k) + len(d) - f.held(k)
+		n += len(k) + len(d) - m.storedSize(k)
 	}
-	for _, k := range deleted(c) {
-		n -= f.held(k)
+	for _, k := range keysToDelete(c) {
+		n -= m.storedSize(k)
 	}
 	return n
 }
 
-func (f *Folder) held(k DocumentKey) int {
-	if d, ok := f.state.Documents[k]; ok {
+func (m *Folder) storedSize(k DocumentKey) int {
+	if d, ok := m.state.Documents[k]; ok {
 		return len(k) + len(d)
 	}
 	return 0
@@ -130,7 +130,7 @@
 
 // deleted returns the keys that the change deletes, each once, without those
 // that it also puts.
-func deleted(c Change) []DocumentKey {
+func keysToDelete(c Change) []DocumentKey {
 	var keys []DocumentKey
 	for _, k := range c.Delete {
 		if _, put := c.Put[k]; !put && !slices.Contains(keys, k) {
@@ -140,42 +140,42 @@
 	return keys
 }
 
-func (f *Folder) accept(c Change, digest Digest) {
-	f.size += f.growth(c)
-	for _, k := range deleted(c) {
-		delete(f.state.Documents, k)
+func (m *Folder) accept(c Change, digest Digest) {
+	m.size += m.sizeIncrease(c)
+	for _, k := range keysToDelete(c) {
+		delete(m.state.Documents, k)
 	}
 	for k, d := range c.Put {
-		f.state.Documents[k] = d
+		m.state.Documents[k] = d
 	}
-	f.state.Version++
-	f.state.Chain = sha256.Sum256(append(f.state.Chain[:], digest[:]...))
-	f.state.ChangeID = c.ID
-	f.state.Author = c.Author
+	m.state.Version++
+	m.state.Chain = sha256.Sum256(append(m.state.Chain[:], digest[:]...))
+	m.state.ChangeID = c.ID
+	m.state.Author = c.Author
 }
 
-func (f *Folder) remember(id string) {
-	if len(f.state.IDs) >= maxIDs {
-		f.state.IDs = f.state.IDs[1:]
+func (m *Folder) recordID(id string) {
+	if len(m.state.IDs) >= maxIDs {
+		m.state.IDs = m.state.IDs[1:]
 	}
-	f.state.IDs = append(f.state.IDs, idHash(id))
+	m.state.IDs = append(m.state.IDs, hashID(id))
 }
 
-func idHash(id string) uint64 { return xxhash.Sum64String(id) }
+func hashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-func (f *Folder) result(v Verdict, c *Change, problem error) Result {
-	return Result{Verdict: v, Change: c, Version: f.state.Version, Problem: problem}
+func (m *Folder) result(v Verdict, c *Change, problem error) Result {
+	return Result{Verdict: v, Change: c, Version: m.state.Version, Problem: problem}
 }
 
 // Behind reports whether records that have not been folded are no longer kept
 // by a log whose oldest record is given. Recover finds the way back.
-func (f *Folder) Behind(oldest uint64) bool { return f.state.Next < oldest }
+func (m *Folder) Behind(oldest uint64) bool { return m.state.Next < oldest }
 
 // Recover takes in a record found on the log while Behind. It reports whether
 // the record is a checkpoint that the folder could adopt and fold on from.
-func (f *Folder) Recover(offset, oldest uint64, record []byte) bool {
+func (m *Folder) Recover(offset, oldest uint64, record []byte) bool {
 	s, ok := ReadCheckpoint(record)
-	return ok && s.Covers(offset, oldest) && f.Adopt(s) == nil
+	return ok && s.Covers(offset, oldest) && m.Adopt(s) == nil
 }
 
 // The reasons why a state is not adopted.
@@ -187,20 +187,20 @@
 )
 
 // Adopt replaces the state by one that has folded more records.
-func (f *Folder) Adopt(s State) error {
-	if s.Next <= f.state.Next {
+func (m *Folder) Adopt(s State) error {
+	if s.Next <= m.state.Next {
 		return ErrStale
 	}
-	if s.Version < f.state.Version {
+	if s.Version < m.state.Version {
 		return ErrConflict
 	}
-	if s.Version == f.state.Version && s.Chain != f.state.Chain {
+	if s.Version == m.state.Version && s.Chain != m.state.Chain {
 		return ErrConflict
 	}
-	f.state = s.clone()
-	f.size = s.size()
-	f.recent = recent{}
-	f.anchor = anchor{state: s.clone()}
-	f.partial = partial{}
+	m.state = s.clone()
+	m.size = s.size()
+	m.recent = recent{}
+	m.cached = cachedCheckpoint{state: s.clone()}
+	m.partial = partialCheckpoint{}
 	return nil
 }
--- a/core/config/fold_test.go
+++ b/core/config/statemachine_test.go
@@ -24,7 +24,7 @@
 	return map[DocumentKey]json.RawMessage{DocumentKey(key): json.RawMessage(text)}
 }
 
-func refuseBad(docs map[DocumentKey]json.RawMessage) error {
+func rejectBad(docs map[DocumentKey]json.RawMessage) error {
 	for _, d := range docs {
 		if string(d) == `"bad"` {
 			return errors.New("bad document")
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func TestFoldJudgesEachChange(t *testing.T) {
+func TestDecisionForEachChange(t *testing.T) {
 	first := Change{ID: "1", Put: put("Service/a", `"x"`)}
 	large := json.RawMessage(`"` + strings.Repeat("x", MaxChange-200) + `"`)
 	full := []Change{}
@@ -54,7 +54,7 @@
 		"too large":              {full, []Verdict{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := NewFolder(refuseBad)
+			f := NewFolder(rejectBad)
 			var got []Verdict
 			for i, change := range c.changes {
 				got = append(got, f.Fold(uint64(i), record(t, change)).Verdict)
@@ -112,7 +112,7 @@
 	require.EqualValues(t, 1, fresh.Version())
 }
 
-func TestCheckpointIsChecked(t *testing.T) {
+func TestReadCheckpointDetectsDamage(t *testing.T) {
 	f := NewFolder(nil)
 	f.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"x"`)}))
 	data, err := f.State().Checkpoint()
@@ -128,8 +128,8 @@
 	}
 }
 
-func TestConflictIsNoticedAndNothingHandedOn(t *testing.T) {
-	a, b := NewFolder(nil), NewFolder(refuseBad)
+func TestConflictIsDetectedAndNoDeltaSent(t *testing.T) {
+	a, b := NewFolder(nil), NewFolder(rejectBad)
 	for _, f := range []*Folder{a, b} {
 		f.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"bad"`)}))
 	}
@@ -140,7 +140,7 @@
 
 // TestHandOnConverges lets daemons with any gaps between them hand on in random
 // order with random limits and lost messages; all reach the state of the log.
-func TestHandOnConverges(t *testing.T) {
+func TestDeltasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*Folder{NewFolder(nil), NewFolder(nil), NewFolder(nil)}
 		n := rapid.IntRange(1, 400).Draw(t, "records")
@@ -152,15 +152,15 @@
 			require.NoError(t, err)
 			daemons[0].Fold(uint64(i), r)
 			if i%7 == 0 {
-				step(t, daemons)
+				exchangeRandomDelta(t, daemons)
 			}
 		}
 		for range 400 {
-			step(t, daemons)
+			exchangeRandomDelta(t, daemons)
 		}
 		for _, d := range daemons {
 			for range 2 * 250 {
-				_, err := d.Apply(orOne(daemons[0].Delta(d.Digest(), 2000)))
+				_, err := d.Apply(orEmptyDelta(daemons[0].Delta(d.Digest(), 2000)))
 				require.NoError(t, err)
 			}
 			require.Equal(t, daemons[0].State(), d.State())
@@ -169,14 +169,14 @@
 }
 
 // orOne stands in for a delta that says nothing.
-func orOne(delta []byte) []byte {
+func orEmptyDelta(delta []byte) []byte {
 	if delta == nil {
 		return append([]byte{deltaRecords}, make([]byte, 8)...)
 	}
 	return delta
 }
 
-func step(t *rapid.T, daemons []*Folder) {
+func exchangeRandomDelta(t *rapid.T, daemons []*Folder) {
 	from, to := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to")
 	limit := rapid.SampledFrom([]int{100, 1000, 3000}).Draw(t, "limit")
 	before := daemons[to].Version()
@@ -189,9 +189,9 @@
 }
 
 func FuzzApply(f *testing.F) {
-	giver := NewFolder(nil)
-	giver.Fold(0, record(f, Change{ID: "1"}))
-	f.Add(giver.Delta(NewFolder(nil).Digest(), 1<<20))
+	sender := NewFolder(nil)
+	sender.Fold(0, record(f, Change{ID: "1"}))
+	f.Add(sender.Delta(NewFolder(nil).Digest(), 1<<20))
 	f.Add([]byte{deltaChunk})
 	f.Fuzz(func(t *testing.T, delta []byte) {
 		d := NewFolder(nil)
@@ -214,7 +214,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f := NewFolder(refuseBad)
+		f := NewFolder(rejectBad)
 		for i, r := range records {
 			f.Fold(uint64(i), r)
 		}
