--- a/core/config/change.go
+++ b/core/config/change.go
@@ -7,17 +7,17 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// DocumentKey names a document within the configuration, as "kind/name".
+// DocumentKey identifies a document within the configuration, as "kind/name".
 type DocumentKey string
 
-// Change is one operator's proposed change.
+// Change is a configuration change proposed by an operator.
 type Change struct {
-	// ID is unique for ever; a change appended twice is folded once.
+	// ID is globally unique. A change that is appended twice is applied once.
 	ID string `json:"id"`
-	// Base is the version that the operator saw.
+	// Base is the version that the change modifies.
 	Base   model.Version `json:"base"`
 	Author string        `json:"author,omitempty"`
-	// Comment says why, for the history.
+	// Comment is the reason for the change, for the history.
 	Comment string `json:"comment,omitempty"`
 	// UnixMilli is the operator's wall clock, for the history only.
 	UnixMilli int64                           `json:"unix_ms,omitempty"`
@@ -25,29 +25,31 @@
 	Delete    []DocumentKey                   `json:"delete,omitempty"`
 }
 
-// Verdict is what the fold decided about a record.
+// Verdict is the decision on a log record.
 type Verdict uint8
 
-// The verdicts.
+// The decisions.
 const (
-	// Accepted changes are the current version from then on.
+	// Accepted means that the change created a new current version.
 	Accepted Verdict = iota + 1
-	// Superseded changes had a base that was no longer current.
+	// Superseded means that the base of the change is older than the current
+	// version.
 	Superseded
-	// Duplicate changes had been folded before.
+	// Duplicate means that a change with the same ID was applied before.
 	Duplicate
-	// Invalid changes carry documents that do not compile, a base that does
-	// not exist yet, or would make the configuration too large.
+	// Invalid means that the documents of the change do not compile, that its
+	// base does not exist yet, or that the configuration would become too large.
 	Invalid
-	// Ignored records are no change: checkpoints and what cannot be read.
+	// Ignored means that the record is a checkpoint or is unreadable.
 	Ignored
-	// OutOfOrder records do not continue the fold; nothing was taken in.
+	// OutOfOrder means that the offset of the record is not the next one. The
+	// record was not applied.
 	OutOfOrder
 )
 
 var decisionNames = [...]string{"none", "accepted", "superseded", "duplicate", "invalid", "ignored", "out of order"}
 
-// String returns the verdict's name.
+// String returns the name of the decision.
 func (v Verdict) String() string {
 	if int(v) < len(decisionNames) {
 		return decisionNames[v]
@@ -55,33 +57,34 @@
 	return "verdict " + strconv.Itoa(int(v))
 }
 
-// Result is what became of one record.
+// Result is the result of applying one record.
 type Result struct {
 	Verdict Verdict
-	// Change is nil when the record is none.
+	// Change is nil if the record does not contain a change.
 	Change *Change
-	// Version is the version after the record.
+	// Version is the current version after the record.
 	Version model.Version
-	// Problem says why a change is invalid or a record ignored.
+	// Problem is the reason why a change is invalid or a record was ignored.
 	Problem error
 }
 
-// The bounds of the configuration, in bytes.
+// Size limits of the configuration, in bytes.
 const (
-	// MaxChange bounds one encoded change.
+	// MaxChange is the maximum size of an encoded change.
 	MaxChange = 256 << 10
-	// MaxState bounds the documents and their keys together.
+	// MaxState is the maximum total size of all documents and their keys.
 	MaxState = 1 << 20
 )
 
-// LimitError tells that a bound would be exceeded.
+// LimitError is returned when a size limit would be exceeded.
 type LimitError struct {
+	// What names the object that is too large.
 	What  string
 	Size  int
 	Limit int
 }
 
-// Error names the bound.
+// Error returns the object with its size and the limit.
 func (e *LimitError) Error() string {
 	return e.What + ": " + strconv.Itoa(e.Size) + " bytes exceed the limit of " + strconv.Itoa(e.Limit)
 }
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -7,31 +7,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The kinds of delta.
+// The kinds of delta, encoded in its first byte.
 const (
+	// deltaRecords is a delta of consecutive log records.
 	deltaRecords = 1
-	deltaChunk   = 2
+	// deltaChunk is a delta with one chunk of a checkpoint.
+	deltaChunk = 2
 )
 
 const (
+	// chainPrefixSize is the number of bytes of the hash chain in a digest.
 	chainPrefixSize = 8
 	digestSize      = 8 + 8 + chainPrefixSize + 8 + 8
-	// chunkHead is the kind, the checkpoint's id, its size and the offset.
+	// chunkHeaderSize is the size of the header of a chunk: the kind of delta, the
+	// checkpoint's id and size, and the offset of the chunk in the checkpoint.
 	chunkHeaderSize = 1 + 8 + 8 + 8
-	// recordsHead is the kind and the first record's offset.
+	// recordsHeaderSize is the size of the header of a delta of records: the kind
+	// of delta and the offset of the first record.
 	recordsHeaderSize = 1 + 8
-	// perRecord is the length before each record.
+	// lengthPrefixSize is the size of the length before each record.
 	lengthPrefixSize = 4
 )
 
-// partial is a checkpoint of which some bytes have come.
+// partialCheckpoint is a checkpoint that has been received in part.
 type partialCheckpoint struct {
-	id   uint64
+	// id is the hash of the complete checkpoint.
+	id uint64
+	// size is the size of the complete checkpoint in bytes.
 	size uint64
 	data []byte
 }
 
-// digest is what a Folder tells others about itself.
+// digest summarizes the state of a Folder, so that another daemon can determine
+// which records it lacks.
 type digest struct {
 	next         uint64
 	version      uint64
@@ -40,7 +48,8 @@
 	partialBytes uint64
 }
 
-// Digest summarises the state, for Delta of another Folder.
+// Digest returns an encoded summary of the state. Another daemon passes it to
+// Delta and Conflicts.
 func (m *Folder) Digest() []byte {
 	b := make([]byte, 0, digestSize)
 	b = binary.BigEndian.AppendUint64(b, m.state.Next)
@@ -61,8 +70,8 @@
 	return d, true
 }
 
-// Conflicts reports whether the holder of the digest has folded the same
-// records to something else.
+// Conflicts reports whether the daemon that sent the digest has a different hash
+// chain at the same offset. It returns false if it cannot compare the two.
 func (m *Folder) Conflicts(peerDigest []byte) bool {
 	d, ok := parseDigest(peerDigest)
 	if !ok || d.next > m.state.Next {
@@ -75,8 +84,10 @@
 	return ok && d.chain != [chainPrefixSize]byte(records[0].chainBefore[:chainPrefixSize])
 }
 
-// Delta returns what the holder of a digest lacks, in at most limit bytes, or
-// nil: the records that follow its own, or a part of a checkpoint.
+// Delta returns an update for the daemon that sent the digest, in at most limit
+// bytes: the records that follow its own or, if these are no longer kept, a chunk
+// of a checkpoint. It returns nil if the daemon lacks nothing or its state
+// conflicts.
 func (m *Folder) Delta(peerDigest []byte, limit int) []byte {
 	d, ok := parseDigest(peerDigest)
 	if !ok || d.next >= m.state.Next || m.Conflicts(peerDigest) {
@@ -90,6 +101,10 @@
 	return m.chunk(d, limit)
 }
 
+// encodeRecords returns a delta with as many records as fit into limit bytes, or
+// nil if not even one fits.
+// encodeRecords returns a delta with as many records as fit into limit bytes, or
+// nil if not even one fits.
 func encodeRecords(first uint64, records []recentRecord, limit int) []byte {
 	b := append([]byte{deltaRecords}, binary.BigEndian.AppendUint64(nil, first)...)
 	for _, r := range records {
@@ -105,7 +120,8 @@
 	return b
 }
 
-// chunk returns the next part of the checkpoint that others are given.
+// chunk returns the next chunk of the checkpoint that the sender of the digest
+// needs, continuing after the bytes that it has already received.
 func (m *Folder) chunk(d digest, limit int) []byte {
 	data := m.checkpointFor(d.next)
 	if data == nil || limit <= chunkHeaderSize {
@@ -124,8 +140,10 @@
 	return append(b, part[:min(len(part), limit-chunkHeaderSize)]...)
 }
 
-// checkpointFor returns the kept checkpoint, or one of now when the kept one is
-// not ahead of the receiver or its records are no longer held.
+// checkpointFor returns the cached checkpoint in encoded form, for a daemon whose
+// next offset is given. It first replaces the cached checkpoint with one of the
+// current state if the cached one is not ahead of that daemon, or if the records
+// that follow it are no longer kept.
 func (m *Folder) checkpointFor(next uint64) []byte {
 	_, continuable := m.recent.from(m.cached.state.Next)
 	continuable = continuable || m.cached.state.Next == m.state.Next
@@ -147,8 +165,8 @@
 	errChunk = errors.New("config checkpoint cannot be read")
 )
 
-// Apply takes in a delta and returns the results of the records that it folded.
-// Records that do not continue the own prefix are passed over.
+// Apply applies a delta and returns the results of the records that it applied.
+// It skips records that do not follow the Folder's own prefix of the log.
 func (m *Folder) Apply(delta []byte) ([]Result, error) {
 	if len(delta) == 0 {
 		return nil, errDelta
@@ -197,8 +215,10 @@
 	return first, records, nil
 }
 
-// applyChunk adds a part of a checkpoint and adopts it when complete. A part of
-// another checkpoint takes the place of what had come, but only from its start.
+// applyChunk adds a chunk to the partial checkpoint and adopts the checkpoint
+// when it is complete. The first chunk of a different checkpoint discards the
+// partial one. Other chunks that do not continue the partial checkpoint are
+// ignored.
 func (m *Folder) applyChunk(delta []byte) error {
 	if len(delta) <= chunkHeaderSize {
 		return errDelta
--- a/core/config/doc.go
+++ b/core/config/doc.go
@@ -1,16 +1,17 @@
-// Package config folds the stream of configuration changes into one current
-// version that never goes back.
+// Package config is a replicated state machine that turns the log of
+// configuration changes into the current configuration, whose version never
+// decreases.
 //
-// A Change carries an id, the version it is based on and the documents it puts
-// and deletes. Folding in log order accepts a Change only when its base is the
-// current version, so of two racing operators exactly one is accepted, and
-// every daemon that folds the same records agrees which.
+// A Change has an id, the version it is based on, and the documents it puts and
+// deletes. Records are applied in log order, and a Change is accepted only if its
+// base is the current version. Of two concurrent changes by operators exactly
+// one is therefore accepted, and all daemons that apply the same records agree
+// which one.
 //
-// The State after a fold is a function of the records below its Next offset and
-// of nothing else. That makes monotony simple: a State may be replaced only by
-// one with a larger Next. A Folder takes in records and checkpoints only when
-// they continue its own prefix without a gap, and what it hands on to other
-// daemons are the records themselves, or a whole State as a checkpoint. Each
-// accepted change extends a chain of digests, so that two daemons that differ
-// about a version notice.
+// A State depends only on the records below its Next offset. A State may
+// therefore be replaced only by a State with a larger Next. A Folder applies
+// records only if they follow its own prefix of the log without a gap. It sends
+// other daemons either the records themselves or a complete State as a
+// checkpoint. Accepted changes form a hash chain, so that two daemons with
+// different contents for the same version detect the conflict.
 package config
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -15,17 +15,17 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// world is one state of a small deployment: a log with operators racing on it,
-// a checkpoint writer that may pause, and daemons that read, hand on and
-// restart.
+// world is one state of a model of a small deployment: a log to which operators
+// append concurrently, a checkpoint writer that may pause, and two daemons that
+// read the log, exchange deltas and restart.
 type world struct {
 	log              [][]byte
 	oldest           int
 	writerCheckpoint []byte
 	writerState      State
 	daemons          [2]*Folder
-	// spec is the accepted changes after each prefix of the log, by a plain
-	// reading of the rules.
+	// expected holds, for each prefix of the log, the state that the rules
+	// prescribe, computed without the code under test.
 	expected []expectedState
 	steps    []string
 }
@@ -70,7 +70,7 @@
 	w.append(record, id, base)
 }
 
-// read is what a daemon does with one answer of the log.
+// readLog applies all records on the log, restoring a checkpoint first if needed.
 func (w *world) readLog(f *Folder) {
 	if f.Behind(uint64(w.oldest)) {
 		for o := w.oldest; o < len(w.log); o++ {
@@ -84,7 +84,8 @@
 	}
 }
 
-// checkpoints remembers encoded states, which differ in a few ways only.
+// checkpoints caches encoded checkpoints. The exploration reaches only a few
+// different states.
 var checkpoints = map[string][]byte{}
 
 func encoded(s State) []byte {
@@ -126,7 +127,7 @@
 	add("log trims all but the last", func(w *world) { w.oldest = max(w.oldest, len(w.log)-1) })
 	for i := range 2 {
 		add(fmt.Sprint("read ", i), func(w *world) { w.readLog(w.daemons[i]) })
-		add(fmt.Sprint("hand on to ", i), func(w *world) {
+		add(fmt.Sprint("send delta to ", i), func(w *world) {
 			to, from := w.daemons[i], w.daemons[1-i]
 			if d := from.Delta(to.Digest(), 400); d != nil {
 				_, _ = to.Apply(d)
@@ -142,11 +143,12 @@
 	return out
 }
 
-// check compares each daemon with the plain rules and with its own past.
+// check compares each daemon with the expected state at its offset, and with its
+// own earlier state, which it must not fall behind unless it was restarted.
 func (w *world) check(before *world, restarted bool) error {
 	for i, d := range w.daemons {
 		if d.Next() > uint64(len(w.log)) {
-			return fmt.Errorf("daemon %d has folded more than the log holds", i)
+			return fmt.Errorf("daemon %d has applied more records than the log holds", i)
 		}
 		s := w.expected[d.Next()]
 		if d.Version() != s.version || d.state.ChangeID != s.last {
@@ -196,18 +198,18 @@
 		}
 		level = next
 	}
-	t.Logf("%d states", len(seen))
+	t.Logf("explored %d states", len(seen))
 	require.Len(t, versions, 4, "versions 0 to 3 are reached")
 }
 
-// TestModelCatchesAMissingCheck takes out one check at a time and runs the
-// exploration on the result, which has to fail.
+// TestModelDetectsMissingChecks removes one check at a time from the source and
+// runs TestShortHistoriesMatchSpecification on the result, which must fail.
 func TestModelDetectsMissingChecks(t *testing.T) {
 	for name, m := range map[string]struct{ file, old, new string }{
 		"base not compared":         {"statemachine.go", "if c.Base < m.state.Version {", "if false {"},
 		"base ahead not refused":    {"statemachine.go", "if c.Base > m.state.Version {", "if false {"},
 		"duplicates not recognised": {"statemachine.go", "if slices.Contains(m.state.IDs, hashID(c.ID)) {", "if false {"},
-		"gap in the log folded":     {"statemachine.go", "if offset != m.state.Next {", "if false {"},
+		"gap in the log ignored":    {"statemachine.go", "if offset != m.state.Next {", "if false {"},
 		"older state adopted":       {"statemachine.go", "if s.Next <= m.state.Next {", "if false {"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/core/config/recent.go
+++ b/core/config/recent.go
@@ -1,15 +1,18 @@
 package config
 
-// recent holds the last folded records so that they can be handed on.
+// recent is a bounded buffer of the last applied records, from which other
+// daemons are updated.
 type recent struct {
+	// first is the offset of records[0].
 	first   uint64
 	records []recentRecord
-	bytes   int
+	// bytes is the total size of the records.
+	bytes int
 }
 
 type recentRecord struct {
 	data []byte
-	// before is the chain before the record.
+	// chainBefore is the hash chain before the record was applied.
 	chainBefore Digest
 }
 
@@ -18,6 +21,8 @@
 	maxRecentBytes   = 512 << 10
 )
 
+// add appends a record and removes the oldest ones beyond the limits.
+// add appends a record and removes the oldest ones beyond the limits.
 func (r *recent) add(offset uint64, data []byte, chainBefore Digest) {
 	if len(r.records) == 0 {
 		r.first = offset
@@ -32,8 +37,8 @@
 	}
 }
 
-// from returns the records from an offset on, and whether it reaches back that
-// far.
+// from returns the records starting at an offset. It returns false if the buffer
+// does not contain the record at that offset.
 func (r *recent) from(offset uint64) ([]recentRecord, bool) {
 	if len(r.records) == 0 || offset < r.first {
 		return nil, false
@@ -45,8 +50,10 @@
 	return r.records[skip:], true
 }
 
-// anchor is a state kept to be handed on, encoded when first needed.
+// cachedCheckpoint is a state that is sent to other daemons in chunks. All chunks
+// must come from the same state, while the current state changes.
 type cachedCheckpoint struct {
-	state   State
+	state State
+	// encoded is the encoded checkpoint. It is nil until it is first needed.
 	encoded []byte
 }
--- a/core/config/record.go
+++ b/core/config/record.go
@@ -7,8 +7,9 @@
 	"fmt"
 )
 
-// A record on the log is a head and a payload. The head is a magic byte, the
-// version of the codec, the kind of the payload and the payload's SHA-256.
+// A record on the log consists of a header and a payload. The header contains a
+// magic byte, the version of the codec, the kind of the payload and the SHA-256
+// of the payload.
 const (
 	recordMagic  = 'd'
 	codecVersion = 1
@@ -17,10 +18,11 @@
 	kindSnapshot = 2
 )
 
-// Digest is the SHA-256 of a change as encoded, or of a chain of changes.
+// Digest is the SHA-256 of an encoded change, or the head of the hash chain over
+// all accepted changes.
 type Digest [sha256.Size]byte
 
-// String returns the first digits, enough to compare by eye.
+// String returns the first 12 hex digits, for display.
 func (d Digest) String() string { return fmt.Sprintf("%x", d[:6]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -36,13 +38,13 @@
 	return nil
 }
 
-// RecordError tells why a record cannot be read.
+// RecordError is returned for a record that cannot be decoded.
 type RecordError struct {
 	Problem string
 	Err     error
 }
 
-// Error names the problem.
+// Error returns the problem and the underlying error, if any.
 func (e *RecordError) Error() string {
 	if e.Err == nil {
 		return "config record: " + e.Problem
@@ -50,10 +52,11 @@
 	return "config record: " + e.Problem + ": " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// EncodeChange returns the change as a record, with its digest.
+// EncodeChange encodes a change as a log record and returns it with the digest of
+// the encoded change.
 func EncodeChange(c Change) ([]byte, Digest, error) {
 	payload, err := json.Marshal(c)
 	if err != nil {
@@ -66,12 +69,14 @@
 	return record, digest, nil
 }
 
-// IsCheckpoint reports whether a record claims to be a checkpoint, without
-// reading it.
+// IsCheckpoint reports whether a record has the header of a checkpoint. It does
+// not verify or decode the payload.
 func IsCheckpoint(record []byte) bool {
 	return len(record) >= headerSize && record[0] == recordMagic && record[2] == kindSnapshot
 }
 
+// encodeRecord returns the payload with a header, and the digest of the payload.
+// encodeRecord returns the payload with a header, and the digest of the payload.
 func encodeRecord(kind byte, payload []byte) ([]byte, Digest) {
 	digest := Digest(sha256.Sum256(payload))
 	record := make([]byte, 0, headerSize+len(payload))
@@ -80,7 +85,8 @@
 	return append(record, payload...), digest
 }
 
-// open checks a record's head and returns its payload.
+// parseRecord verifies the header of a record and returns the kind, the payload
+// and the digest of the payload.
 func parseRecord(record []byte) (kind byte, payload []byte, d Digest, err error) {
 	if len(record) < headerSize || record[0] != recordMagic {
 		return 0, nil, d, &RecordError{Problem: "not a config record"}
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -11,23 +11,24 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// State is the configuration after folding all records below Next.
+// State is the configuration after applying all records below Next.
 type State struct {
 	Version model.Version `json:"version"`
-	// Next is the offset of the first record that has not been folded.
+	// Next is the offset of the first record that has not been applied.
 	Next uint64 `json:"next"`
-	// Chain is the digest over all accepted changes.
+	// Chain is the head of the hash chain over all accepted changes.
 	Chain Digest `json:"chain"`
-	// ChangeID and Author are those of the change that made this version.
+	// ChangeID and Author identify the change that created this version.
 	ChangeID  string                          `json:"change_id"`
 	Author    string                          `json:"author"`
 	Documents map[DocumentKey]json.RawMessage `json:"documents"`
-	// IDs are hashes of the ids of the last changes, oldest first.
+	// IDs are the hashes of the ids of the last changes, oldest first.
 	IDs []uint64 `json:"ids"`
 }
 
-// maxIDs bounds State.IDs. A change that comes again after that many others is
-// still not accepted twice, because its base is no longer current.
+// maxIDs is the maximum length of State.IDs. A change that is repeated after more
+// than maxIDs other changes is no longer recognized as a duplicate, but is still
+// not accepted again, because its base is no longer current.
 const maxIDs = 128
 
 func (s State) clone() State {
@@ -36,6 +37,8 @@
 	return s
 }
 
+// size returns the total size of the documents and their keys.
+// size returns the total size of the documents and their keys.
 func (s State) size() int {
 	n := 0
 	for k, d := range s.Documents {
@@ -44,7 +47,7 @@
 	return n
 }
 
-// Checkpoint returns the state as a record.
+// Checkpoint encodes the state as a checkpoint record for the log.
 func (s State) Checkpoint() ([]byte, error) {
 	uncompressed, err := json.Marshal(s)
 	if err != nil {
@@ -65,12 +68,12 @@
 	return record, nil
 }
 
-// maxPlainCheckpoint bounds a checkpoint when unpacked: the documents with
-// escaping, the ids and the rest.
+// maxUncompressedCheckpoint is the maximum size of a decompressed checkpoint. It
+// allows for the escaping of the documents, the ids and the other fields.
 const maxUncompressedCheckpoint = 4 * MaxState
 
-// ReadCheckpoint returns the state of a checkpoint record, and false when the
-// record is none or cannot be read.
+// ReadCheckpoint decodes the state in a checkpoint record. It returns false if the
+// record is not a checkpoint or is malformed.
 func ReadCheckpoint(record []byte) (State, bool) {
 	kind, payload, _, err := parseRecord(record)
 	if err != nil || kind != kindSnapshot {
@@ -90,11 +93,12 @@
 	return s, true
 }
 
-// Covers reports whether a checkpoint found on the log at an offset can be
-// folded on from, given the oldest record that the log still keeps. A
-// checkpoint that was appended late, by a writer that had paused, leaves a gap
-// when the log has been trimmed beyond its state: what was accepted in the gap
-// is not known, so it must not be used.
+// Covers reports whether the log still keeps all records that follow the state,
+// given the offset of the checkpoint record that contains the state and the
+// offset of the oldest record on the log. It returns false for a checkpoint that
+// a paused writer appended so late that the log had already been trimmed beyond
+// its state. Such a checkpoint must not be used, because the changes accepted in
+// the gap are unknown.
 func (s State) Covers(offset, oldest uint64) bool {
 	return s.Next >= oldest && s.Next <= offset
 }
--- a/core/config/statemachine.go
+++ b/core/config/statemachine.go
@@ -11,12 +11,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Validate checks the documents that a change puts. It must be a function of
-// its argument only, because every daemon has to come to the same verdict.
+// Validate checks the documents that a change puts. Its result must depend only
+// on its argument, because all daemons must reach the same decision.
 type Validate func(put map[DocumentKey]json.RawMessage) error
 
-// Folder holds the state that records are folded into. It is not safe for
-// concurrent use.
+// Folder is the replicated state machine: it applies log records to a State and
+// exchanges state with other daemons. It is not safe for concurrent use.
 type Folder struct {
 	validate Validate
 	state    State
@@ -26,12 +26,13 @@
 	partial  partialCheckpoint
 }
 
-// anchorEvery is the number of records between two states that are kept to be
-// handed on. It divides the offsets, so that daemons keep the same ones.
+// checkpointInterval is the number of records between two states that are cached
+// as checkpoints for other daemons. States are cached at the offsets that are
+// multiples of it, so that all daemons cache the same ones.
 const checkpointInterval = 64
 
-// NewFolder returns a Folder that has folded nothing. A nil Validate accepts
-// all documents.
+// NewFolder returns a Folder that has not applied any record. A nil Validate
+// accepts all documents.
 func NewFolder(v Validate) *Folder {
 	if v == nil {
 		v = func(map[DocumentKey]json.RawMessage) error { return nil }
@@ -45,10 +46,10 @@
 // Version returns the current version.
 func (m *Folder) Version() model.Version { return m.state.Version }
 
-// Next returns the offset of the next record to fold.
+// Next returns the offset of the next record to apply.
 func (m *Folder) Next() uint64 { return m.state.Next }
 
-// Fold takes in the record at an offset, which must be Next.
+// Fold applies the record at an offset, which must be equal to Next.
 func (m *Folder) Fold(offset uint64, record []byte) Result {
 	if offset != m.state.Next {
 		return m.result(OutOfOrder, nil, nil)
@@ -56,7 +57,7 @@
 	chainBefore := m.state.Chain
 	res := m.applyChange(record)
 	if res.Verdict == Ignored {
-		record = nil // it is handed on as a record that says nothing
+		record = nil // an empty record is sent to other daemons in its place
 	}
 	m.recent.add(offset, record, chainBefore)
 	m.state.Next++
@@ -66,6 +67,10 @@
 	return res
 }
 
+// applyChange decodes the change in a record, decides on it, and applies it if it
+// is accepted.
+// applyChange decodes the change in a record, decides on it, and applies it if it
+// is accepted.
 func (m *Folder) applyChange(record []byte) Result {
 	kind, payload, digest, err := parseRecord(record)
 	if err != nil {
@@ -90,6 +95,8 @@
 
 var errFutureBase = errors.New("the base version does not exist yet")
 
+// decide returns the decision on a change, with the reason if it is Invalid.
+// decide returns the decision on a change, with the reason if it is Invalid.
 func (m *Folder) decide(c Change) (Verdict, error) {
 	if slices.Contains(m.state.IDs, hashID(c.ID)) {
 		return Duplicate, nil
@@ -109,7 +116,8 @@
 	return Accepted, nil
 }
 
-// growth returns by how many bytes the change makes the documents larger.
+// sizeIncrease returns by how many bytes a change increases the total size of the
+// documents and keys. It is negative if they become smaller.
 func (m *Folder) sizeIncrease(c Change) int {
 	n := 0
 	for k, d := range c.Put {
@@ -121,6 +129,10 @@
 	return n
 }
 
+// storedSize returns the size of a key and its document, or 0 if there is no such
+// document.
+// storedSize returns the size of a key and its document, or 0 if there is no such
+// document.
 func (m *Folder) storedSize(k DocumentKey) int {
 	if d, ok := m.state.Documents[k]; ok {
 		return len(k) + len(d)
@@ -128,8 +140,8 @@
 	return 0
 }
 
-// deleted returns the keys that the change deletes, each once, without those
-// that it also puts.
+// keysToDelete returns the keys that a change deletes, without duplicates and
+// without the keys that it also puts.
 func keysToDelete(c Change) []DocumentKey {
 	var keys []DocumentKey
 	for _, k := range c.Delete {
@@ -140,6 +152,8 @@
 	return keys
 }
 
+// accept applies an accepted change to the state.
+// accept applies an accepted change to the state.
 func (m *Folder) accept(c Change, digest Digest) {
 	m.size += m.sizeIncrease(c)
 	for _, k := range keysToDelete(c) {
@@ -154,6 +168,8 @@
 	m.state.Author = c.Author
 }
 
+// recordID stores the ID of a change for the detection of duplicates.
+// recordID stores the ID of a change for the detection of duplicates.
 func (m *Folder) recordID(id string) {
 	if len(m.state.IDs) >= maxIDs {
 		m.state.IDs = m.state.IDs[1:]
@@ -167,26 +183,30 @@
 	return Result{Verdict: v, Change: c, Version: m.state.Version, Problem: problem}
 }
 
-// Behind reports whether records that have not been folded are no longer kept
-// by a log whose oldest record is given. Recover finds the way back.
+// Behind reports whether the log no longer keeps the next record to apply, given
+// the offset of the oldest record that it keeps. In that case the Folder must be
+// restored from a checkpoint with Recover.
 func (m *Folder) Behind(oldest uint64) bool { return m.state.Next < oldest }
 
-// Recover takes in a record found on the log while Behind. It reports whether
-// the record is a checkpoint that the folder could adopt and fold on from.
+// Recover restores the Folder from the record at an offset, if that record is a
+// checkpoint from which all following records are still on the log. It reports
+// whether it did. The oldest argument is the offset of the oldest record that
+// the log keeps.
 func (m *Folder) Recover(offset, oldest uint64, record []byte) bool {
 	s, ok := ReadCheckpoint(record)
 	return ok && s.Covers(offset, oldest) && m.Adopt(s) == nil
 }
 
-// The reasons why a state is not adopted.
+// Errors returned by Adopt.
 var (
-	// ErrStale tells that the state is not ahead of the folder's own.
-	ErrStale = errors.New("state is not ahead")
-	// ErrConflict tells that the state contradicts the folder's own.
-	ErrConflict = errors.New("state contradicts the one held")
+	// ErrStale means that the given state is not newer than the current one.
+	ErrStale = errors.New("state is not newer than the current state")
+	// ErrConflict means that the given state has a lower version than the
+	// current one, or a different hash chain for the same version.
+	ErrConflict = errors.New("state conflicts with the current state")
 )
 
-// Adopt replaces the state by one that has folded more records.
+// Adopt replaces the current state with a state that has applied more records.
 func (m *Folder) Adopt(s State) error {
 	if s.Next <= m.state.Next {
 		return ErrStale
--- a/core/config/statemachine_test.go
+++ b/core/config/statemachine_test.go
@@ -45,13 +45,13 @@
 		want    []Verdict
 		version model.Version
 	}{
-		"first":                  {[]Change{first}, []Verdict{Accepted}, 1},
-		"racing":                 {[]Change{first, {ID: "2", Put: put("Service/a", `"y"`)}}, []Verdict{Accepted, Superseded}, 1},
-		"in turn":                {[]Change{first, {ID: "2", Base: 1}}, []Verdict{Accepted, Accepted}, 2},
-		"repeated":               {[]Change{first, first, {ID: "2", Base: 1}, first}, []Verdict{Accepted, Duplicate, Accepted, Duplicate}, 2},
-		"base ahead":             {[]Change{{ID: "2", Base: 1}, first, {ID: "2", Base: 1}}, []Verdict{Invalid, Accepted, Duplicate}, 1},
-		"documents do not parse": {[]Change{{ID: "1", Put: put("Service/a", `"bad"`)}, {ID: "2"}}, []Verdict{Invalid, Accepted}, 1},
-		"too large":              {full, []Verdict{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
+		"first":                   {[]Change{first}, []Verdict{Accepted}, 1},
+		"concurrent":              {[]Change{first, {ID: "2", Put: put("Service/a", `"y"`)}}, []Verdict{Accepted, Superseded}, 1},
+		"sequential":              {[]Change{first, {ID: "2", Base: 1}}, []Verdict{Accepted, Accepted}, 2},
+		"repeated":                {[]Change{first, first, {ID: "2", Base: 1}, first}, []Verdict{Accepted, Duplicate, Accepted, Duplicate}, 2},
+		"base does not exist yet": {[]Change{{ID: "2", Base: 1}, first, {ID: "2", Base: 1}}, []Verdict{Invalid, Accepted, Duplicate}, 1},
+		"documents do not parse":  {[]Change{{ID: "1", Put: put("Service/a", `"bad"`)}, {ID: "2"}}, []Verdict{Invalid, Accepted}, 1},
+		"too large":               {full, []Verdict{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := NewFolder(rejectBad)
@@ -82,7 +82,7 @@
 	require.Equal(t, Accepted, f.Fold(4, good).Verdict)
 }
 
-func TestStateIsAdoptedOnlyWhenAhead(t *testing.T) {
+func TestStateIsAdoptedOnlyIfNewer(t *testing.T) {
 	f := NewFolder(nil)
 	f.Fold(0, record(t, Change{ID: "1"}))
 	f.Fold(1, record(t, Change{ID: "2", Base: 1}))
@@ -106,8 +106,8 @@
 	require.NoError(t, err)
 	fresh := NewFolder(nil)
 	require.True(t, fresh.Behind(2))
-	require.False(t, fresh.Recover(5, 2, late), "record 1 is not kept")
-	require.False(t, fresh.Recover(0, 0, late), "its state lies ahead of its own place")
+	require.False(t, fresh.Recover(5, 2, late), "the log no longer keeps record 1")
+	require.False(t, fresh.Recover(0, 0, late), "its state is ahead of the offset of the checkpoint record")
 	require.True(t, fresh.Recover(5, 1, late))
 	require.EqualValues(t, 1, fresh.Version())
 }
@@ -138,8 +138,9 @@
 	require.Nil(t, a.Delta(b.Digest(), 1<<20))
 }
 
-// TestHandOnConverges lets daemons with any gaps between them hand on in random
-// order with random limits and lost messages; all reach the state of the log.
+// TestDeltasConverge exchanges deltas between three daemons in random order and
+// with random size limits, while the first daemon applies the log. At the end all
+// daemons must have the state of the first.
 func TestDeltasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*Folder{NewFolder(nil), NewFolder(nil), NewFolder(nil)}
@@ -168,7 +169,7 @@
 	})
 }
 
-// orOne stands in for a delta that says nothing.
+// orEmptyDelta returns delta, or a delta without records if delta is nil.
 func orEmptyDelta(delta []byte) []byte {
 	if delta == nil {
 		return append([]byte{deltaRecords}, make([]byte, 8)...)
@@ -197,13 +198,13 @@
 		d := NewFolder(nil)
 		_, err := d.Apply(delta)
 		if err != nil && d.Next() != 0 {
-			t.Fatal("a refused delta was taken in")
+			t.Fatal("a rejected delta changed the state")
 		}
 	})
 }
 
-// BenchmarkFold folds 10,000 changes over 77 services.
-func BenchmarkFold(b *testing.B) {
+// BenchmarkApplyRecord applies 10,000 changes to 77 services.
+func BenchmarkApplyRecord(b *testing.B) {
 	const changes, services = 10_000, 77
 	records := make([][]byte, changes)
 	bytes := 0
