--- a/core/claims/answer.go
+++ b/core/claims/answer.go
@@ -29,61 +29,61 @@
 
 // shelf holds the retained answers of one table, oldest first in each group,
 // within a bound on bytes for each group and for all.
-type shelf struct {
-	perGroup int
-	total    int
-	used     int
-	groups   map[model.GroupName]*groupShelf
+type answerCache struct {
+	groupLimit int
+	totalLimit int
+	usedBytes  int
+	groups     map[model.GroupName]*groupAnswers
 }
 
-type groupShelf struct {
-	used   int
-	claims []*claim
+type groupAnswers struct {
+	usedBytes int
+	claims    []*claim
 }
 
-func newShelf(perGroup, total int) *shelf {
-	return &shelf{perGroup: perGroup, total: total, groups: make(map[model.GroupName]*groupShelf)}
+func newAnswerCache(groupLimit, totalLimit int) *answerCache {
+	return &answerCache{groupLimit: groupLimit, totalLimit: totalLimit, groups: make(map[model.GroupName]*groupAnswers)}
 }
 
 // put retains the answer of a claim, and drops older ones to make room. It
 // reports whether the answer fits at all.
-func (s *shelf) put(c *claim, a *Answer) bool {
+func (ac *answerCache) put(c *claim, a *Answer) bool {
 	size := a.Size()
-	if size > s.perGroup || size > s.total {
+	if size > ac.groupLimit || size > ac.totalLimit {
 		return false
 	}
-	g := s.groups[c.group]
+	g := ac.groups[c.group]
 	if g == nil {
-		g = &groupShelf{}
-		s.groups[c.group] = g
+		g = &groupAnswers{}
+		ac.groups[c.group] = g
 	}
 	c.answer = a
 	c.size = size
 	g.claims = append(g.claims, c)
-	g.used += size
-	s.used += size
-	for g.used > s.perGroup {
-		s.dropOldest(c.group)
+	g.usedBytes += size
+	ac.usedBytes += size
+	for g.usedBytes > ac.groupLimit {
+		ac.evictOldest(c.group)
 	}
-	for s.used > s.total {
-		s.dropOldest(s.largest())
+	for ac.usedBytes > ac.totalLimit {
+		ac.evictOldest(ac.largestGroup())
 	}
 	return c.answer != nil
 }
 
 // forget drops the answer of a claim that leaves the table.
-func (s *shelf) forget(c *claim) {
+func (ac *answerCache) discard(c *claim) {
 	if c.answer == nil {
 		return
 	}
 	c.answer = nil
-	s.groups[c.group].used -= c.size
-	s.used -= c.size
-	s.prune(c.group)
+	ac.groups[c.group].usedBytes -= c.size
+	ac.usedBytes -= c.size
+	ac.prune(c.group)
 }
 
-func (s *shelf) dropOldest(name model.GroupName) {
-	g := s.groups[name]
+func (ac *answerCache) evictOldest(name model.GroupName) {
+	g := ac.groups[name]
 	for len(g.claims) > 0 {
 		c := g.claims[0]
 		g.claims = g.claims[1:]
@@ -91,30 +91,30 @@
 			continue
 		}
 		c.answer = nil
-		g.used -= c.size
-		s.used -= c.size
+		g.usedBytes -= c.size
+		ac.usedBytes -= c.size
 		break
 	}
-	s.prune(name)
+	ac.prune(name)
 }
 
 // prune removes the forgotten claims at the head, and an empty group.
-func (s *shelf) prune(name model.GroupName) {
-	g := s.groups[name]
+func (ac *answerCache) prune(name model.GroupName) {
+	g := ac.groups[name]
 	for len(g.claims) > 0 && g.claims[0].answer == nil {
 		g.claims = g.claims[1:]
 	}
 	if len(g.claims) == 0 {
-		delete(s.groups, name)
+		delete(ac.groups, name)
 	}
 }
 
-func (s *shelf) largest() model.GroupName {
+func (ac *answerCache) largestGroup() model.GroupName {
 	var name model.GroupName
 	most := -1
-	for n, g := range s.groups {
-		if g.used > most || g.used == most && n < name {
-			name, most = n, g.used
+	for n, g := range ac.groups {
+		if g.usedBytes > most || g.usedBytes == most && n < name {
+			name, most = n, g.usedBytes
 		}
 	}
 	return name
--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -23,7 +23,7 @@
 			for b.Loop() {
 				appends, bytes, plans = 0, 0, 0
 				l := NewLedger(DefaultRanges, 0)
-				planners := plannersOf(n)
+				planners := newPlanners(n)
 				offset := uint64(0)
 				start := Stamp(1_700_000_000_000)
 				for now := start; now < start+Stamp(virtual.Milliseconds()); now += Stamp(tick.Milliseconds()) {
@@ -46,7 +46,7 @@
 	}
 }
 
-func plannersOf(n int) []*Planner {
+func newPlanners(n int) []*Planner {
 	ids := make([]model.DaemonID, n)
 	for i := range ids {
 		ids[i] = model.DaemonID(fmt.Sprintf("10.%d.%d.%d:8081", i%2, i/200, i%200))
@@ -65,14 +65,14 @@
 	const claims = 50_000
 	for _, body := range []int{0, 200} {
 		b.Run(fmt.Sprintf("answer=%d", body), func(b *testing.B) {
-			l := owning(self, 1<<40)
+			l := ledgerOwnedBy(self, 1<<40)
 			var before, after runtime.MemStats
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				table := NewTable(self, Limits{Claims: claims, GroupClaims: claims, AnswerBytes: 1 << 30})
 				for i := range claims {
-					r := keyed(Stamp(i), i, "sorter-1")
+					r := newRequest(Stamp(i), i, "sorter-1")
 					table.Begin(l, r)
 					var a *Answer
 					if body > 0 {
@@ -92,7 +92,7 @@
 // BenchmarkCheckpoint reports the size of a checkpoint at 1,700 daemons.
 func BenchmarkCheckpoint(b *testing.B) {
 	l := NewLedger(DefaultRanges, 0)
-	for _, p := range plannersOf(1700) {
+	for _, p := range newPlanners(1700) {
 		if g := p.Plan(l, 1_700_000_000_000); g != nil {
 			l.Apply(l.Next(), Record{Grant: g})
 		}
--- a/core/claims/codec.go
+++ b/core/claims/codec.go
@@ -87,7 +87,7 @@
 }
 
 func (w *writer) checkpoint(c *Checkpoint) {
-	w.uint(c.At)
+	w.uint(c.Offset)
 	owners, index := ownersOf(c)
 	w.uint(uint64(len(owners)))
 	for _, o := range owners {
@@ -101,9 +101,9 @@
 			w.uint(uint64(i.From))
 			w.uint(uint64(i.Until))
 			w.uint(uint64(index[i.Owner]))
-			w.uint(uint64(len(i.Via)))
-			for _, life := range i.Via {
-				w.uint(life)
+			w.uint(uint64(len(i.PriorOwners)))
+			for _, incarnation := range i.PriorOwners {
+				w.uint(incarnation)
 			}
 		}
 	}
@@ -171,19 +171,19 @@
 	g := &Grant{Owner: r.owner(), Until: Stamp(r.uint())}
 	for range r.count() {
 		e := Extension{Range: Range(r.uint())}
-		reach := Stamp(r.uint())
-		if reach > g.Until {
+		span := Stamp(r.uint())
+		if span > g.Until {
 			r.failed = true
 			return g
 		}
-		e.Base = g.Until - reach
+		e.Base = g.Until - span
 		g.Extensions = append(g.Extensions, e)
 	}
 	return g
 }
 
 func (r *reader) checkpoint() *Checkpoint {
-	c := &Checkpoint{At: r.uint()}
+	c := &Checkpoint{Offset: r.uint()}
 	var owners []Owner
 	for range r.count() {
 		owners = append(owners, r.owner())
@@ -207,7 +207,7 @@
 	}
 	i.Owner = owners[owner]
 	for range r.count() {
-		i.Via = append(i.Via, r.uint())
+		i.PriorOwners = append(i.PriorOwners, r.uint())
 	}
 	return i
 }
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -62,10 +62,10 @@
 	h := handover{Version: handoverVersion}
 	size := 0
 	for _, c := range t.byStamp {
-		if c.state == running && t.mutation == mutateExport {
+		if c.state == running && t.mutation == omitRunningClaims {
 			continue
 		}
-		h.Claims = append(h.Claims, c.handed())
+		h.Claims = append(h.Claims, c.export())
 		size += claimBytes + c.size
 		if size < partBytes {
 			continue
@@ -77,12 +77,12 @@
 		parts = append(parts, part)
 		h.Claims, size = h.Claims[:0], 0
 	}
-	h.Lives = t.exportLives(l)
+	h.Lives = t.exportOwners(l)
 	last, err := h.encode()
 	return append(parts, last), err
 }
 
-func (c *claim) handed() handedClaim {
+func (c *claim) export() handedClaim {
 	return handedClaim{
 		Caller: c.id.Caller, Key: c.id.Key, Group: c.group, Digest: c.digest,
 		Answered: c.state == answered, Answer: c.answer,
@@ -97,20 +97,20 @@
 
 // exportLives tells about this owner and the earlier ones whose claims it hands
 // on.
-func (t *Table) exportLives(l *Ledger) map[uint64]earlier {
-	lives := make(map[uint64]earlier, len(t.imported)+1)
-	for life, e := range t.imported {
+func (t *Table) exportOwners(l *Ledger) map[uint64]earlier {
+	owners := make(map[uint64]earlier, len(t.priorOwners)+1)
+	for incarnation, e := range t.priorOwners {
 		e.Floor = max(e.Floor, t.exportFloor())
-		lives[life] = e
+		owners[incarnation] = e
 	}
-	lives[t.self.Life] = earlier{Floor: t.floor, Until: l.Reach(t.self.Life)}
-	return lives
+	owners[t.self.Life] = earlier{Floor: t.floor, Until: l.Reach(t.self.Life)}
+	return owners
 }
 
 // exportFloor is the least floor of the earlier owners' claims that it hands on:
 // it may have dropped some of those itself.
 func (t *Table) exportFloor() Stamp {
-	if t.mutation == mutateExportFloor {
+	if t.mutation == omitExportFloor {
 		return 0
 	}
 	return t.floor
@@ -124,32 +124,32 @@
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&h); err != nil {
 		return errors.Join(ErrHandover, err)
 	}
-	full := len(t.claims)+len(h.Claims) > t.limits.Claims || len(t.imported)+len(h.Lives) > maxImported
+	full := len(t.claims)+len(h.Claims) > t.limits.Claims || len(t.priorOwners)+len(h.Lives) > maxPriorOwners
 	if h.Version != handoverVersion || t.sealed || full {
 		return ErrHandover
 	}
 	for _, hc := range h.Claims {
-		t.take(hc)
+		t.importClaim(hc)
 	}
-	for life, e := range h.Lives {
-		known := t.imported[life]
-		t.imported[life] = earlier{Floor: max(e.Floor, known.Floor), Until: max(e.Until, known.Until)}
+	for incarnation, e := range h.Lives {
+		known := t.priorOwners[incarnation]
+		t.priorOwners[incarnation] = earlier{Floor: max(e.Floor, known.Floor), Until: max(e.Until, known.Until)}
 	}
 	return nil
 }
 
-func (t *Table) take(hc handedClaim) {
+func (t *Table) importClaim(hc handedClaim) {
 	id := ID{Caller: hc.Caller, Key: hc.Key}
 	if t.claims[id] != nil {
 		return
 	}
-	c := &claim{id: id, group: hc.Group, digest: hc.Digest, state: lost}
+	c := &claim{id: id, group: hc.Group, digest: hc.Digest, state: outcomeUnknown}
 	t.insert(c)
 	if !hc.Answered {
 		return
 	}
 	c.state = answered
 	if hc.Answer != nil {
-		t.shelf.put(c, hc.Answer)
+		t.answers.put(c, hc.Answer)
 	}
 }
--- a/core/claims/key.go
+++ b/core/claims/key.go
@@ -30,18 +30,18 @@
 var ErrKeyInvalid = errors.New("idempotency key is not a UUIDv7")
 
 const (
-	uuidText    = 36
-	uuidVersion = 7
-	uuidVariant = 0b10
-	stampBytes  = 6
+	uuidTextLength = 36
+	uuidVersion    = 7
+	uuidVariant    = 0b10
+	stampBytes     = 6
 )
 
 // ParseKey reads a key in the 36 character form, bare or as a quoted string.
 func ParseKey(s string) (Key, error) {
-	if len(s) == uuidText+2 && s[0] == '"' && s[len(s)-1] == '"' {
+	if len(s) == uuidTextLength+2 && s[0] == '"' && s[len(s)-1] == '"' {
 		s = s[1 : len(s)-1]
 	}
-	if len(s) != uuidText || s[8] != '-' || s[13] != '-' || s[18] != '-' || s[23] != '-' {
+	if len(s) != uuidTextLength || s[8] != '-' || s[13] != '-' || s[18] != '-' || s[23] != '-' {
 		return Key{}, ErrKeyInvalid
 	}
 	var k Key
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -24,16 +24,16 @@
 
 const (
 	noMutation mutation = iota
-	mutateBase
-	mutateProof
-	mutateVia
-	mutateLife
-	mutateFloor
-	mutateSeal
-	mutateRelease
-	mutateExport
-	mutateChain
-	mutateExportFloor
+	skipFrontierCheck
+	keepStateAfterTrim
+	skipPriorOwnerCheck
+	ignoreIncarnation
+	ignoreFloor
+	ignoreSeal
+	releaseUnknownOutcome
+	omitRunningClaims
+	checkLastPriorOwnerOnly
+	omitExportFloor
 )
 
 // Ledger folds the log of grants. Feed it every record from Next on, in order.
@@ -41,7 +41,7 @@
 type Ledger struct {
 	ranges   []RangeState
 	next     uint64
-	proven   bool
+	complete bool
 	mutation mutation
 }
 
@@ -57,13 +57,13 @@
 // Reset forgets everything and starts again at the oldest offset kept. It must
 // be called when the log no longer keeps the record at Next.
 func (l *Ledger) Reset(oldest uint64) {
-	if l.mutation == mutateProof && l.proven {
+	if l.mutation == keepStateAfterTrim && l.complete {
 		l.next = oldest
 		return
 	}
 	clear(l.ranges)
 	l.next = oldest
-	l.proven = oldest == 0
+	l.complete = oldest == 0
 }
 
 // Next is the offset of the record that the Ledger needs next. It goes back
@@ -71,7 +71,7 @@
 func (l *Ledger) Next() uint64 { return l.next }
 
 // Proven reports whether the Ledger's state is that of the log.
-func (l *Ledger) Proven() bool { return l.proven }
+func (l *Ledger) Proven() bool { return l.complete }
 
 // Ranges returns the number of ranges.
 func (l *Ledger) Ranges() int { return len(l.ranges) }
@@ -83,7 +83,7 @@
 		return
 	}
 	l.next++
-	if !l.proven {
+	if !l.complete {
 		l.restore(r.Checkpoint)
 		return
 	}
@@ -101,21 +101,21 @@
 // restore takes over a checkpoint. The records since it was taken are needed
 // again; if the log no longer keeps them the Ledger is reset.
 func (l *Ledger) restore(c *Checkpoint) {
-	if c == nil || len(c.Ranges) != len(l.ranges) || c.At >= l.next {
+	if c == nil || len(c.Ranges) != len(l.ranges) || c.Offset >= l.next {
 		return
 	}
 	for i, s := range c.Ranges {
 		l.ranges[i] = s.clone()
 	}
-	if l.mutation != mutateProof {
-		l.next = c.At
+	if l.mutation != keepStateAfterTrim {
+		l.next = c.Offset
 	}
-	l.proven = true
+	l.complete = true
 }
 
 // Checkpoint returns the state as a record for the log.
 func (l *Ledger) Checkpoint() *Checkpoint {
-	c := &Checkpoint{At: l.next, Ranges: make([]RangeState, len(l.ranges))}
+	c := &Checkpoint{Offset: l.next, Ranges: make([]RangeState, len(l.ranges))}
 	for i, s := range l.ranges {
 		c.Ranges[i] = s.clone()
 	}
@@ -128,7 +128,7 @@
 			continue
 		}
 		s := &l.ranges[e.Range]
-		if s.Frontier != e.Base && l.mutation != mutateBase {
+		if s.Frontier != e.Base && l.mutation != skipFrontierCheck {
 			continue
 		}
 		s.extend(e.Base, g.Until, g.Owner)
@@ -142,7 +142,7 @@
 	s.Frontier = until
 	if n := len(s.Intervals); n > 0 {
 		last := &s.Intervals[n-1]
-		if last.Owner == o && len(last.Via) == 0 && last.Until == base {
+		if last.Owner == o && len(last.PriorOwners) == 0 && last.Until == base {
 			last.Until = until
 			return
 		}
@@ -164,14 +164,14 @@
 				continue
 			}
 			in.Owner = t.To
-			in.Via = append(in.Via[:len(in.Via):len(in.Via)], t.From)
+			in.PriorOwners = append(in.PriorOwners[:len(in.PriorOwners):len(in.PriorOwners)], t.From)
 		}
 	}
 }
 
 // Lookup returns the interval of a stamp in a range, with its standing.
 func (l *Ledger) Lookup(r Range, stamp Stamp) (Interval, Standing) {
-	if !l.proven {
+	if !l.complete {
 		return Interval{}, Unproven
 	}
 	s := &l.ranges[r]
@@ -198,16 +198,16 @@
 
 // Reach returns the end of the last interval that a life owns, zero when it owns
 // none.
-func (l *Ledger) Reach(life uint64) Stamp {
-	var reach Stamp
+func (l *Ledger) Reach(incarnation uint64) Stamp {
+	var end Stamp
 	for i := range l.ranges {
 		for _, in := range l.ranges[i].Intervals {
-			if in.Owner.Life == life {
-				reach = max(reach, in.Until)
+			if in.Owner.Life == incarnation {
+				end = max(end, in.Until)
 			}
 		}
 	}
-	return reach
+	return end
 }
 
 func (s RangeState) clone() RangeState {
@@ -217,7 +217,7 @@
 	}
 	c.Intervals = make([]Interval, len(s.Intervals))
 	for i, in := range s.Intervals {
-		in.Via = append([]uint64(nil), in.Via...)
+		in.PriorOwners = append([]uint64(nil), in.PriorOwners...)
 		c.Intervals[i] = in
 	}
 	return c
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -13,16 +13,16 @@
 // that a pause fits between any two; appends, submissions and handovers are
 // delayed, lost and reordered at will.
 const (
-	modelDaemons = 4
-	modelRanges  = 2
-	modelKeys    = 10
-	modelSteps   = 160
-	modelReach   = 8
-	modelStamps  = 40
+	modelDaemons  = 4
+	modelRanges   = 2
+	modelKeys     = 10
+	modelSteps    = 160
+	modelMaxGrant = 8
+	modelStamps   = 40
 )
 
 // mutateProposal makes a daemon count a grant as soon as it asks for it.
-const mutateProposal mutation = 1 << 10
+const applyUnloggedGrants mutation = 1 << 10
 
 type node struct {
 	ledger *Ledger
@@ -47,34 +47,34 @@
 	node   *node
 }
 
-type passing struct {
+type pendingHandover struct {
 	from  *node
 	to    Owner
 	parts [][]byte
 }
 
 type world struct {
-	rng      *rand.Rand
-	profile  profile
-	mutation mutation
-	log      []Record
-	oldest   int
-	appends  []Record
-	nodes    [modelDaemons]*node
-	keys     [modelKeys]Key
-	runs     [modelKeys]int
-	subs     []submission
-	passing  []passing
-	lives    uint64
-	seen     map[string]int
-	broken   string
+	rng          *rand.Rand
+	profile      profile
+	mutation     mutation
+	log          []Record
+	oldest       int
+	appends      []Record
+	nodes        [modelDaemons]*node
+	keys         [modelKeys]Key
+	runs         [modelKeys]int
+	submissions  []submission
+	handovers    []pendingHandover
+	incarnations uint64
+	eventCounts  map[string]int
+	violation    string
 }
 
-func newWorld(seed uint64, m mutation, seen map[string]int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), mutation: m, seen: seen}
+func newWorld(seed uint64, m mutation, eventCounts map[string]int) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), mutation: m, eventCounts: eventCounts}
 	w.profile = profiles[seed%uint64(len(profiles))]
 	for i := range w.nodes {
-		w.boot(i)
+		w.start(i)
 	}
 	for i := range w.keys {
 		var random [10]byte
@@ -82,22 +82,22 @@
 		random[8] = byte(w.rng.IntN(256))
 		w.keys[i] = NewKey(Stamp(w.rng.IntN(modelStamps)), random)
 	}
-	w.begin(w.nodes[w.rng.IntN(modelDaemons)])
+	w.grantInitialStamps(w.nodes[w.rng.IntN(modelDaemons)])
 	return w
 }
 
 // explore runs one schedule and returns the invariant that it broke.
-func explore(seed uint64, m mutation, seen map[string]int) string {
-	w := newWorld(seed, m, seen)
-	for step := 0; step < modelSteps && w.broken == ""; step++ {
+func explore(seed uint64, m mutation, eventCounts map[string]int) string {
+	w := newWorld(seed, m, eventCounts)
+	for step := 0; step < modelSteps && w.violation == ""; step++ {
 		w.step()
 	}
-	return w.broken
+	return w.violation
 }
 
 // begin gives a first daemon half of the stamps, so that schedules start with
 // keys that can run.
-func (w *world) begin(n *node) {
+func (w *world) grantInitialStamps(n *node) {
 	g := &Grant{Owner: n.table.Self(), Until: modelStamps / 2}
 	for r := range Range(modelRanges) {
 		g.Extensions = append(g.Extensions, Extension{Range: r})
@@ -108,9 +108,9 @@
 	}
 }
 
-func (w *world) boot(i int) {
-	w.lives++
-	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Life: w.lives}
+func (w *world) start(i int) {
+	w.incarnations++
+	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Life: w.incarnations}
 	n := &node{ledger: NewLedger(modelRanges, uint64(w.oldest)), table: NewTable(self, Limits{Claims: 3, GroupClaims: 3})}
 	n.ledger.mutation = w.mutation
 	n.table.mutation = w.mutation
@@ -119,15 +119,15 @@
 
 // profile gives the share of each action in a schedule, in percent.
 type profile struct {
-	poll, propose, land, submit, advance, drain, handOver, sign, crash, checkpoint, trim int
-	keys                                                                                 int
+	poll, proposeGrant, deliverAppend, submit, advance, drain, deliverHandover, appendTransfer, crash, checkpoint, trim int
+	keys                                                                                                                int
 }
 
 // profiles stress different failures; the schedule's seed picks one.
 var profiles = [...]profile{
-	{poll: 22, propose: 8, land: 12, submit: 18, advance: 23, drain: 3, handOver: 5, sign: 2, crash: 1, checkpoint: 3, trim: 2, keys: modelKeys},
-	{poll: 28, propose: 6, land: 16, submit: 18, advance: 17, drain: 3, handOver: 6, sign: 4, crash: 1, keys: 2},
-	{poll: 30, propose: 8, land: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keys: 4},
+	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keys: modelKeys},
+	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keys: 2},
+	{poll: 30, proposeGrant: 8, deliverAppend: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keys: 4},
 }
 
 func (w *world) step() {
@@ -139,13 +139,13 @@
 		do    func(*node)
 	}{
 		{w.profile.poll, w.poll},
-		{w.profile.propose, w.propose},
-		{w.profile.land, w.land},
+		{w.profile.proposeGrant, w.proposeGrant},
+		{w.profile.deliverAppend, w.deliverAppend},
 		{w.profile.submit, w.submit},
 		{w.profile.advance, w.advance},
 		{w.profile.drain, w.drain},
-		{w.profile.handOver, w.handOver},
-		{w.profile.sign, w.sign},
+		{w.profile.deliverHandover, w.deliverHandover},
+		{w.profile.appendTransfer, w.appendTransfer},
 		{w.profile.crash, w.crash},
 		{w.profile.checkpoint, w.checkpoint},
 		{w.profile.trim, w.trim},
@@ -160,8 +160,8 @@
 }
 
 func (w *world) crash(n *node) {
-	w.boot(int(n.table.Self().Daemon[0] - 'a'))
-	w.seen["crash"]++
+	w.start(int(n.table.Self().Daemon[0] - 'a'))
+	w.eventCounts["crash"]++
 }
 
 // poll folds some records, after a reset when the log was trimmed beyond them.
@@ -170,22 +170,22 @@
 		next := int(n.ledger.Next())
 		if next < w.oldest {
 			n.ledger.Reset(uint64(w.oldest))
-			w.seen["reset"]++
+			w.eventCounts["reset"]++
 			continue
 		}
 		if next >= len(w.log) {
 			return
 		}
-		proven := n.ledger.Proven()
+		complete := n.ledger.Proven()
 		n.ledger.Apply(uint64(next), w.log[next])
-		if !proven && n.ledger.Proven() {
-			w.seen["restored"]++
+		if !complete && n.ledger.Proven() {
+			w.eventCounts["restored"]++
 		}
 	}
 }
 
 // propose asks for one or both ranges. The append may land much later or never.
-func (w *world) propose(n *node) {
+func (w *world) proposeGrant(n *node) {
 	if !n.ledger.Proven() || n.table.IsSealed() {
 		return
 	}
@@ -194,17 +194,17 @@
 		frontier, _ := n.ledger.Frontier(r)
 		if w.rng.IntN(3) > 0 {
 			g.Extensions = append(g.Extensions, Extension{Range: r, Base: frontier})
-			g.Until = max(g.Until, frontier+1+Stamp(w.rng.IntN(modelReach)))
+			g.Until = max(g.Until, frontier+1+Stamp(w.rng.IntN(modelMaxGrant)))
 		}
 	}
-	if w.mutation == mutateProposal {
+	if w.mutation == applyUnloggedGrants {
 		n.ledger.grant(g)
 	}
 	w.appends = append(w.appends, Record{Grant: g})
 }
 
 // land lets one append in flight take effect, or loses it.
-func (w *world) land(*node) {
+func (w *world) deliverAppend(*node) {
 	if len(w.appends) == 0 {
 		return
 	}
@@ -222,17 +222,17 @@
 	if standing != Owned {
 		return
 	}
-	w.subs = append(w.subs, submission{key: k, target: in.Owner.Daemon})
+	w.submissions = append(w.submissions, submission{key: k, target: in.Owner.Daemon})
 }
 
 // advance moves one submission by one step. Sending and arriving, deciding and
 // running, running and recording are separate steps.
 func (w *world) advance(*node) {
-	if len(w.subs) == 0 {
+	if len(w.submissions) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.subs))
-	s := &w.subs[i]
+	i := w.rng.IntN(len(w.submissions))
+	s := &w.submissions[i]
 	done := true
 	switch s.phase {
 	case toOwner:
@@ -243,23 +243,23 @@
 		w.finish(s)
 	}
 	if done {
-		w.subs = append(w.subs[:i], w.subs[i+1:]...)
+		w.submissions = append(w.submissions[:i], w.submissions[i+1:]...)
 	}
 }
 
 func (w *world) arrive(s *submission) bool {
 	s.node = w.nodes[s.target[0]-'a']
 	v, _ := s.node.table.Begin(s.node.ledger, Request{ID: ID{Key: w.keys[s.key]}})
-	w.seen[v.String()]++
+	w.eventCounts[v.String()]++
 	switch v {
 	case Run:
 		s.phase = beforeSend
 		return false
 	case Full:
-		w.notRun(s.key)
+		w.reportNotRun(s.key)
 	case Replay, AnswerGone:
 		if w.runs[s.key] != 1 {
-			w.broken = fmt.Sprintf("key %d replayed after %d runs", s.key, w.runs[s.key])
+			w.violation = fmt.Sprintf("key %d replayed after %d runs", s.key, w.runs[s.key])
 		}
 	}
 	return true
@@ -274,12 +274,12 @@
 	}
 	if w.rng.IntN(4) == 0 {
 		s.node.table.Finish(ID{Key: w.keys[s.key]}, outcome.NotRun, nil)
-		w.notRun(s.key)
+		w.reportNotRun(s.key)
 		return true
 	}
 	w.runs[s.key]++
 	if w.runs[s.key] > 1 {
-		w.broken = fmt.Sprintf("key %d ran %d times", s.key, w.runs[s.key])
+		w.violation = fmt.Sprintf("key %d ran %d times", s.key, w.runs[s.key])
 	}
 	s.phase = afterSend
 	return false
@@ -296,9 +296,9 @@
 	s.node.table.Finish(ID{Key: w.keys[s.key]}, kind, &Answer{Status: 200})
 }
 
-func (w *world) notRun(key int) {
+func (w *world) reportNotRun(key int) {
 	if w.runs[key] != 0 {
-		w.broken = fmt.Sprintf("key %d told not run after %d runs", key, w.runs[key])
+		w.violation = fmt.Sprintf("key %d told not run after %d runs", key, w.runs[key])
 	}
 }
 
@@ -307,24 +307,24 @@
 	n.table.Seal()
 	parts, err := n.table.Export(n.ledger)
 	if err != nil {
-		w.broken = err.Error()
+		w.violation = err.Error()
 		return
 	}
 	to := w.nodes[w.rng.IntN(modelDaemons)]
 	if to != n {
-		w.passing = append(w.passing, passing{from: n, to: to.table.Self(), parts: parts})
+		w.handovers = append(w.handovers, pendingHandover{from: n, to: to.table.Self(), parts: parts})
 	}
 }
 
 // handOver delivers a handover, perhaps twice, or loses it or its reply.
-func (w *world) handOver(*node) {
-	if len(w.passing) == 0 {
+func (w *world) deliverHandover(*node) {
+	if len(w.handovers) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.passing))
-	p := w.passing[i]
+	i := w.rng.IntN(len(w.handovers))
+	p := w.handovers[i]
 	if w.rng.IntN(4) > 0 {
-		w.passing = append(w.passing[:i], w.passing[i+1:]...)
+		w.handovers = append(w.handovers[:i], w.handovers[i+1:]...)
 	}
 	to := w.nodes[p.to.Daemon[0]-'a']
 	if w.rng.IntN(4) == 0 || to.table.Self() != p.to || to.table.Import(p.parts[0]) != nil {
@@ -337,7 +337,7 @@
 
 // sign appends the transfer to the successor that took in the claims. A faulty
 // daemon may name one that did not.
-func (w *world) sign(n *node) {
+func (w *world) appendTransfer(n *node) {
 	if !n.table.IsSealed() {
 		return
 	}
@@ -348,7 +348,7 @@
 	}
 	if to != nil && *to != n.table.Self() {
 		w.appends = append(w.appends, Record{Transfer: &Transfer{From: n.table.Self().Life, To: *to}})
-		w.seen["transfer"]++
+		w.eventCounts["transfer"]++
 	}
 }
 
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -21,29 +21,29 @@
 // sixteenth at a time. A daemon that starts first, and knows no other candidate
 // yet, would otherwise own every range for a whole grant.
 type Planner struct {
-	self  Owner
-	grant Stamp
-	ranks []uint16
+	self       Owner
+	fullLength Stamp
+	ranks      []uint16
 	// started is the clock at the first Plan, zero before it.
-	started Stamp
+	startedAt Stamp
 }
 
 const (
 	// renewParts and rankParts are the parts of the grant's length at which the
 	// first candidate renews, and by which each next one waits longer.
-	renewParts = 2
-	rankParts  = 8
+	renewDivisor     = 2
+	rankDelayDivisor = 8
 	// settleParts is the part of the grant's length for which a Planner asks
 	// after its start, and for how long it does so.
-	settleParts = 16
+	startupDivisor = 16
 	// maxRank is the rank of a daemon that is no candidate.
-	maxRank = 1<<16 - 1
+	notCandidate = 1<<16 - 1
 )
 
 // NewPlanner returns a Planner for an owner whose grants reach a duration
 // ahead. SetCandidates must be called before Plan.
 func NewPlanner(self Owner, ranges int, grant time.Duration) *Planner {
-	p := &Planner{self: self, grant: Stamp(grant.Milliseconds()), ranks: make([]uint16, ranges)}
+	p := &Planner{self: self, fullLength: Stamp(grant.Milliseconds()), ranks: make([]uint16, ranges)}
 	p.SetCandidates(nil)
 	return p
 }
@@ -58,7 +58,7 @@
 	}
 	own := xxhash.Sum64String(string(p.self.Daemon))
 	for r := range p.ranks {
-		p.ranks[r] = maxRank
+		p.ranks[r] = notCandidate
 		if isCandidate {
 			p.ranks[r] = rankOf(own, hashes, uint64(r))
 		}
@@ -67,14 +67,14 @@
 
 // rankOf counts the candidates that score higher on a range.
 func rankOf(own uint64, hashes []uint64, r uint64) uint16 {
-	mine := mix(own ^ mix(r))
+	score := mix(own ^ mix(r))
 	rank := 0
 	for _, h := range hashes {
-		if mix(h^mix(r)) > mine {
+		if mix(h^mix(r)) > score {
 			rank++
 		}
 	}
-	return uint16(min(rank, maxRank))
+	return uint16(min(rank, notCandidate))
 }
 
 // mix is the finalizer of SplitMix64.
@@ -90,20 +90,20 @@
 	if !l.Proven() {
 		return nil
 	}
-	if p.started == 0 {
-		p.started = now
+	if p.startedAt == 0 {
+		p.startedAt = now
 	}
-	reach := p.reach(now)
-	g := &Grant{Owner: p.self, Until: now + reach}
-	lapsed := min(p.started, now) + reach/renewParts - 1
+	length := p.lengthAt(now)
+	g := &Grant{Owner: p.self, Until: now + length}
+	lapsed := min(p.startedAt, now) + length/renewDivisor - 1
 	due := false
 	for r := range p.ranks {
 		frontier, _ := l.Frontier(Range(r))
 		end := max(frontier, lapsed)
-		if frontier >= g.Until || !wants(p.ranks[r], reach, end, now, true) {
+		if frontier >= g.Until || !isDue(p.ranks[r], length, end, now, true) {
 			continue
 		}
-		due = due || wants(p.ranks[r], reach, end, now, false)
+		due = due || isDue(p.ranks[r], length, end, now, false)
 		g.Extensions = append(g.Extensions, Extension{Range: Range(r), Base: frontier})
 	}
 	if !due {
@@ -113,24 +113,24 @@
 }
 
 // reach returns how far a grant that is asked for now reaches ahead.
-func (p *Planner) reach(now Stamp) Stamp {
-	if settle := p.grant / settleParts; now < p.started+settle {
-		return settle
+func (p *Planner) lengthAt(now Stamp) Stamp {
+	if startup := p.fullLength / startupDivisor; now < p.startedAt+startup {
+		return startup
 	}
-	return p.grant
+	return p.fullLength
 }
 
 // wants reports whether it is a candidate's turn to extend a range whose stamps
 // end at end by a grant of some reach. Soon looks an eighth of that ahead, so
 // that one record renews ranges that fall due close together.
-func wants(rank uint16, reach, end, now Stamp, soon bool) bool {
-	if rank == maxRank {
+func isDue(rank uint16, length, end, now Stamp, early bool) bool {
+	if rank == notCandidate {
 		return false
 	}
 	wait := int64(rank)
-	if soon && rank == 0 {
+	if early && rank == 0 {
 		wait = -1
 	}
-	lead := int64(reach)/renewParts - wait*int64(reach)/rankParts
+	lead := int64(length)/renewDivisor - wait*int64(length)/rankDelayDivisor
 	return int64(end)-int64(now) < lead
 }
--- a/core/claims/record.go
+++ b/core/claims/record.go
@@ -35,7 +35,7 @@
 
 // Checkpoint is the whole state of a Ledger before the record at offset At.
 type Checkpoint struct {
-	At     uint64
+	Offset uint64
 	Ranges []RangeState
 }
 
@@ -55,7 +55,7 @@
 	Owner Owner
 	// Via lists the lives that held the interval before, oldest first. The
 	// owner may use the interval only with the claims of them all.
-	Via []uint64
+	PriorOwners []uint64
 }
 
 // Record is a Grant, a Transfer or a Checkpoint. Exactly one is set.
--- a/core/claims/record_test.go
+++ b/core/claims/record_test.go
@@ -26,14 +26,14 @@
 	case 1:
 		return Record{Transfer: &Transfer{From: rapid.Uint64().Draw(t, "from"), To: drawOwner(t)}}
 	}
-	c := &Checkpoint{At: rapid.Uint64().Draw(t, "at")}
+	c := &Checkpoint{Offset: rapid.Uint64().Draw(t, "at")}
 	owners := []Owner{drawOwner(t), drawOwner(t)}
 	for range rapid.IntRange(0, 3).Draw(t, "ranges") {
 		s := RangeState{Frontier: Stamp(stamp.Draw(t, "frontier"))}
 		for range rapid.IntRange(0, 3).Draw(t, "intervals") {
 			in := Interval{From: Stamp(stamp.Draw(t, "from")), Until: Stamp(stamp.Draw(t, "until")), Owner: rapid.SampledFrom(owners).Draw(t, "owner")}
 			for range rapid.IntRange(0, 2).Draw(t, "via") {
-				in.Via = append(in.Via, rapid.Uint64().Draw(t, "life"))
+				in.PriorOwners = append(in.PriorOwners, rapid.Uint64().Draw(t, "life"))
 			}
 			s.Intervals = append(s.Intervals, in)
 		}
@@ -42,7 +42,7 @@
 	return Record{Checkpoint: c}
 }
 
-func TestRecordsSurviveTheCodec(t *testing.T) {
+func TestRecordCodecRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRecord(t)
 		data := r.Encode()
@@ -65,9 +65,9 @@
 		if err != nil {
 			return
 		}
-		again, err := DecodeRecord(r.Encode())
+		reencoded, err := DecodeRecord(r.Encode())
 		require.NoError(t, err)
-		require.Equal(t, r, again)
+		require.Equal(t, r, reencoded)
 		l := NewLedger(4, 0)
 		l.Apply(0, r)
 		require.EqualValues(t, 1, l.Next())
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestNewKeyKeepsItsStamp(t *testing.T) {
+func TestNewKeyPreservesStamp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stamp := Stamp(rapid.Uint64Range(0, uint64(MaxStamp)).Draw(t, "stamp"))
 		var random [10]byte
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -78,9 +78,9 @@
 const (
 	defaultClaims      = 1 << 16
 	defaultAnswerBytes = 4 << 20
-	groupPart          = 2
+	groupDivisor       = 2
 	// maxImported bounds the earlier owners whose claims a table holds.
-	maxImported = 1024
+	maxPriorOwners = 1024
 )
 
 func (l Limits) withDefaults() Limits {
@@ -88,13 +88,13 @@
 		l.Claims = defaultClaims
 	}
 	if l.GroupClaims <= 0 {
-		l.GroupClaims = max(1, l.Claims/groupPart)
+		l.GroupClaims = max(1, l.Claims/groupDivisor)
 	}
 	if l.AnswerBytes <= 0 {
 		l.AnswerBytes = defaultAnswerBytes
 	}
 	if l.GroupAnswerBytes <= 0 {
-		l.GroupAnswerBytes = l.AnswerBytes / groupPart
+		l.GroupAnswerBytes = l.AnswerBytes / groupDivisor
 	}
 	return l
 }
@@ -104,7 +104,7 @@
 const (
 	running state = iota
 	answered
-	lost
+	outcomeUnknown
 )
 
 // claim is what the owner remembers of one key.
@@ -116,33 +116,33 @@
 	answer *Answer
 	size   int
 	// place is the claim's index in the heap.
-	place int
+	heapIndex int
 }
 
 // Table holds the claims of one owner. It is not safe for concurrent use.
 type Table struct {
-	self     Owner
-	limits   Limits
-	claims   map[ID]*claim
-	byStamp  stampHeap
-	groups   map[model.GroupName]int
-	shelf    *shelf
-	sealed   bool
-	floor    Stamp
-	imported map[uint64]earlier
-	mutation mutation
+	self        Owner
+	limits      Limits
+	claims      map[ID]*claim
+	byStamp     stampHeap
+	groups      map[model.GroupName]int
+	answers     *answerCache
+	sealed      bool
+	floor       Stamp
+	priorOwners map[uint64]earlier
+	mutation    mutation
 }
 
 // NewTable returns the empty table of an owner.
 func NewTable(self Owner, limits Limits) *Table {
 	limits = limits.withDefaults()
 	return &Table{
-		self:     self,
-		limits:   limits,
-		claims:   make(map[ID]*claim),
-		groups:   make(map[model.GroupName]int),
-		shelf:    newShelf(limits.GroupAnswerBytes, limits.AnswerBytes),
-		imported: make(map[uint64]earlier),
+		self:        self,
+		limits:      limits,
+		claims:      make(map[ID]*claim),
+		groups:      make(map[model.GroupName]int),
+		answers:     newAnswerCache(limits.GroupAnswerBytes, limits.AnswerBytes),
+		priorOwners: make(map[uint64]earlier),
 	}
 }
 
@@ -153,12 +153,12 @@
 func (t *Table) Len() int { return len(t.claims) }
 
 // AnswerBytes returns the bytes of the retained answers.
-func (t *Table) AnswerBytes() int { return t.shelf.used }
+func (t *Table) AnswerBytes() int { return t.answers.usedBytes }
 
 // Begin decides on a submission. After Run the caller must call Finish once the
 // request has ended. The Answer is set with Replay only.
 func (t *Table) Begin(l *Ledger, r Request) (Verdict, *Answer) {
-	if t.sealed && t.mutation != mutateSeal {
+	if t.sealed && t.mutation != ignoreSeal {
 		return Sealed, nil
 	}
 	stamp := r.ID.Key.Stamp()
@@ -169,12 +169,12 @@
 	if standing != Owned || !t.owns(in.Owner) {
 		return NotOwner, nil
 	}
-	floor, ok := t.floorOf(in.Via)
+	floor, ok := t.floorOf(in.PriorOwners)
 	if !ok {
 		return OwnerLost, nil
 	}
 	if c := t.claims[r.ID]; c != nil {
-		return c.verdict(r.Digest)
+		return c.decisionFor(r.Digest)
 	}
 	if stamp < floor {
 		return Expired, nil
@@ -187,7 +187,7 @@
 }
 
 func (t *Table) owns(o Owner) bool {
-	if t.mutation == mutateLife {
+	if t.mutation == ignoreIncarnation {
 		return o.Daemon == t.self.Daemon
 	}
 	return o == t.self
@@ -196,17 +196,17 @@
 // floorOf returns the stamp below which claims of an interval may have been
 // dropped, by this owner or an earlier one. It returns false when the claims of
 // an earlier owner are missing.
-func (t *Table) floorOf(via []uint64) (Stamp, bool) {
+func (t *Table) floorOf(incarnations []uint64) (Stamp, bool) {
 	floor := t.floor
-	if t.mutation == mutateFloor {
+	if t.mutation == ignoreFloor {
 		return 0, true
 	}
-	if t.mutation == mutateChain && len(via) > 1 {
-		via = via[len(via)-1:]
+	if t.mutation == checkLastPriorOwnerOnly && len(incarnations) > 1 {
+		incarnations = incarnations[len(incarnations)-1:]
 	}
-	for _, life := range via {
-		e, ok := t.imported[life]
-		if !ok && t.mutation != mutateVia {
+	for _, incarnation := range incarnations {
+		e, ok := t.priorOwners[incarnation]
+		if !ok && t.mutation != skipPriorOwnerCheck {
 			return 0, false
 		}
 		floor = max(floor, e.Floor)
@@ -214,13 +214,13 @@
 	return floor, true
 }
 
-func (c *claim) verdict(d Digest) (Verdict, *Answer) {
+func (c *claim) decisionFor(d Digest) (Verdict, *Answer) {
 	switch {
 	case c.digest != d:
 		return Mismatch, nil
 	case c.state == running:
 		return InProgress, nil
-	case c.state == lost:
+	case c.state == outcomeUnknown:
 		return OutcomeUnknown, nil
 	case c.answer == nil:
 		return AnswerGone, nil
@@ -243,11 +243,11 @@
 	case outcome.Answered:
 		c.state = answered
 		if a != nil {
-			t.shelf.put(c, a)
+			t.answers.put(c, a)
 		}
 	default:
-		c.state = lost
-		if t.mutation == mutateRelease {
+		c.state = outcomeUnknown
+		if t.mutation == releaseUnknownOutcome {
 			t.remove(c)
 		}
 	}
@@ -263,9 +263,9 @@
 	for len(t.byStamp) > 0 && t.byStamp[0].id.Key.Stamp() < floor {
 		t.remove(t.byStamp[0])
 	}
-	for life, e := range t.imported {
+	for incarnation, e := range t.priorOwners {
 		if e.Until <= floor {
-			delete(t.imported, life)
+			delete(t.priorOwners, incarnation)
 		}
 	}
 }
@@ -278,8 +278,8 @@
 
 func (t *Table) remove(c *claim) {
 	delete(t.claims, c.id)
-	heap.Remove(&t.byStamp, c.place)
-	t.shelf.forget(c)
+	heap.Remove(&t.byStamp, c.heapIndex)
+	t.answers.discard(c)
 	t.groups[c.group]--
 	if t.groups[c.group] == 0 {
 		delete(t.groups, c.group)
@@ -298,14 +298,14 @@
 // Swap implements heap.Interface.
 func (h stampHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place = i
-	h[j].place = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *stampHeap) Push(x any) {
 	c := x.(*claim)
-	c.place = len(*h)
+	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
 
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -14,19 +14,19 @@
 var self = Owner{Daemon: "127.0.0.1:7001", Life: 11}
 
 // owning returns a Ledger in which an owner holds every stamp below until.
-func owning(o Owner, until Stamp) *Ledger {
+func ledgerOwnedBy(o Owner, until Stamp) *Ledger {
 	l := NewLedger(1, 0)
 	l.Apply(0, Record{Grant: &Grant{Owner: o, Until: until, Extensions: []Extension{{}}}})
 	return l
 }
 
-func keyed(stamp Stamp, n int, caller model.CallerName) Request {
+func newRequest(stamp Stamp, n int, caller model.CallerName) Request {
 	return Request{ID: ID{Caller: caller, Key: NewKey(stamp, [10]byte{9: byte(n), 8: byte(n >> 8)})}, Group: "sorters"}
 }
 
-func TestTableAnswersRetriesOfTheSameRequestOnly(t *testing.T) {
-	l, table := owning(self, 100), NewTable(self, Limits{})
-	r := keyed(50, 1, "sorter-1")
+func TestTableReplaysOnlyTheSameRequest(t *testing.T) {
+	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
+	r := newRequest(50, 1, "sorter-1")
 	begin := func(r Request) Verdict { v, _ := table.Begin(l, r); return v }
 
 	require.Equal(t, Run, begin(r))
@@ -39,17 +39,17 @@
 	changed := r
 	changed.Digest[0]++
 	require.Equal(t, Mismatch, begin(changed))
-	require.Equal(t, Run, begin(keyed(50, 1, "sorter-2")), "another caller's key is another key")
-	require.Equal(t, NotOwner, begin(keyed(100, 1, "sorter-1")), "beyond the grant")
+	require.Equal(t, Run, begin(newRequest(50, 1, "sorter-2")), "another caller's key is another key")
+	require.Equal(t, NotOwner, begin(newRequest(100, 1, "sorter-1")), "beyond the grant")
 	table.Expire(51)
 	require.Equal(t, Expired, begin(r))
 	require.Zero(t, table.Len())
 	require.Zero(t, table.AnswerBytes())
 }
 
-func TestTableGivesBackTheClaimOfARequestThatDidNotRun(t *testing.T) {
-	l, table := owning(self, 100), NewTable(self, Limits{})
-	r := keyed(50, 1, "")
+func TestTableReleasesClaimOfRequestThatDidNotRun(t *testing.T) {
+	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
+	r := newRequest(50, 1, "")
 	for range 2 {
 		v, _ := table.Begin(l, r)
 		require.Equal(t, Run, v)
@@ -62,24 +62,24 @@
 	require.Equal(t, OutcomeUnknown, v)
 }
 
-func TestTableBoundsClaimsOfEachGroup(t *testing.T) {
-	l, table := owning(self, 100), NewTable(self, Limits{Claims: 4, GroupClaims: 2})
+func TestTableLimitsClaimsPerGroup(t *testing.T) {
+	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{Claims: 4, GroupClaims: 2})
 	verdicts := map[Verdict]int{}
 	for i := range 5 {
-		v, _ := table.Begin(l, keyed(50, i, ""))
+		v, _ := table.Begin(l, newRequest(50, i, ""))
 		verdicts[v]++
 	}
 	require.Equal(t, map[Verdict]int{Run: 2, Full: 3}, verdicts)
-	other := keyed(50, 9, "")
+	other := newRequest(50, 9, "")
 	other.Group = "members"
 	v, _ := table.Begin(l, other)
 	require.Equal(t, Run, v, "a full group leaves room to the others")
 }
 
-func TestTableDropsAnswersOfTheGroupThatHoldsMost(t *testing.T) {
-	l, table := owning(self, 100), NewTable(self, Limits{AnswerBytes: 1000, GroupAnswerBytes: 800})
+func TestTableEvictsAnswersOfLargestGroup(t *testing.T) {
+	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{AnswerBytes: 1000, GroupAnswerBytes: 800})
 	run := func(n, size int, g model.GroupName) Request {
-		r := keyed(50, n, "")
+		r := newRequest(50, n, "")
 		r.Group = g
 		v, _ := table.Begin(l, r)
 		require.Equal(t, Run, v)
@@ -98,10 +98,10 @@
 	require.Equal(t, AnswerGone, v)
 }
 
-func TestHandoverCarriesClaimsAndAnswers(t *testing.T) {
+func TestHandoverTransfersClaimsAndAnswers(t *testing.T) {
 	next := Owner{Daemon: "127.0.0.1:7002", Life: 12}
-	l, from, to := owning(self, 100), NewTable(self, Limits{}), NewTable(next, Limits{})
-	done, inFlight, fresh := keyed(50, 1, "a"), keyed(51, 2, "a"), keyed(52, 3, "a")
+	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(next, Limits{})
+	done, inFlight, fresh := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
 	from.Begin(l, done)
 	from.Finish(done.ID, outcome.Answered, &Answer{Status: 200, Body: []byte("paid")})
 	from.Begin(l, inFlight)
@@ -122,17 +122,17 @@
 	require.Equal(t, "paid", string(a.Body))
 	v, _ = to.Begin(l, inFlight)
 	require.Equal(t, OutcomeUnknown, v)
-	v, _ = to.Begin(l, keyed(39, 4, "a"))
+	v, _ = to.Begin(l, newRequest(39, 4, "a"))
 	require.Equal(t, Expired, v, "the earlier owner may have dropped it")
 	v, _ = to.Begin(l, fresh)
 	require.Equal(t, Run, v)
 }
 
-func TestHandoverCountsOnceAllPartsAreIn(t *testing.T) {
+func TestHandoverTakesEffectAfterLastPart(t *testing.T) {
 	next := Owner{Daemon: "127.0.0.1:7002", Life: 12}
-	l, from, to := owning(self, 100), NewTable(self, Limits{}), NewTable(next, Limits{})
+	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(next, Limits{})
 	for i := range 5 {
-		r := keyed(50, i, "")
+		r := newRequest(50, i, "")
 		from.Begin(l, r)
 		from.Finish(r.ID, outcome.Answered, &Answer{Body: make([]byte, 300<<10)})
 	}
@@ -142,19 +142,19 @@
 	require.Greater(t, len(parts), 1)
 	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: next}})
 	for _, part := range parts {
-		v, _ := to.Begin(l, keyed(50, 9, ""))
+		v, _ := to.Begin(l, newRequest(50, 9, ""))
 		require.Equal(t, OwnerLost, v)
 		require.NoError(t, to.Import(part))
 	}
 	require.Equal(t, 5, to.Len())
-	v, _ := to.Begin(l, keyed(50, 9, ""))
+	v, _ := to.Begin(l, newRequest(50, 9, ""))
 	require.Equal(t, Run, v)
 }
 
-func TestHandoverIsRefusedWhole(t *testing.T) {
-	l, from := owning(self, 100), NewTable(self, Limits{})
+func TestHandoverIsRejectedAsAWhole(t *testing.T) {
+	l, from := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
 	for i := range 3 {
-		from.Begin(l, keyed(50, i, ""))
+		from.Begin(l, newRequest(50, i, ""))
 	}
 	from.Seal()
 	parts, err := from.Export(l)
@@ -176,7 +176,7 @@
 	require.Zero(t, open.Len())
 }
 
-func TestPlannerTakesTurnsWithoutADeathNotice(t *testing.T) {
+func TestPlannerCoversRangesOfSilentOwner(t *testing.T) {
 	const grant = 60 * time.Second
 	daemons := []model.DaemonID{"a:1", "b:1", "c:1"}
 	l := NewLedger(64, 0)
@@ -219,7 +219,7 @@
 
 // The daemon that starts first knows no other candidate. Before it asked for a
 // part of a grant only, it owned every range for a whole one.
-func TestPlannerThatStartsAloneLeavesTheOthersTheirRanges(t *testing.T) {
+func TestPlannerStartedFirstLeavesRangesToOthers(t *testing.T) {
 	const grant = 60 * time.Second
 	l := NewLedger(64, 0)
 	first := NewPlanner(Owner{Daemon: "a:1", Life: 1}, 64, grant)
@@ -248,7 +248,7 @@
 	require.Greater(t, owned["b:1"], 16, "%v", owned)
 }
 
-func TestPlannerOfNoCandidateAsksForNothing(t *testing.T) {
+func TestPlannerRequestsNothingWhenNotCandidate(t *testing.T) {
 	p := NewPlanner(self, 4, time.Minute)
 	l := NewLedger(4, 0)
 	require.Nil(t, p.Plan(l, 1000))
@@ -263,9 +263,9 @@
 func BenchmarkBegin(b *testing.B) {
 	for _, size := range []int{1_000, 60_000} {
 		b.Run(fmt.Sprintf("claims=%d", size), func(b *testing.B) {
-			l, table := owning(self, 1<<40), NewTable(self, Limits{GroupClaims: size + 1, Claims: size + 1})
+			l, table := ledgerOwnedBy(self, 1<<40), NewTable(self, Limits{GroupClaims: size + 1, Claims: size + 1})
 			for i := range size {
-				r := keyed(Stamp(i), i, "sorter-1")
+				r := newRequest(Stamp(i), i, "sorter-1")
 				table.Begin(l, r)
 				table.Finish(r.ID, outcome.Answered, nil)
 			}
@@ -273,7 +273,7 @@
 			i := 0
 			for b.Loop() {
 				i++
-				r := keyed(Stamp(size+i), i, "sorter-1")
+				r := newRequest(Stamp(size+i), i, "sorter-1")
 				table.Begin(l, r)
 				table.Finish(r.ID, outcome.NotRun, nil)
 			}
