--- a/core/claims/answer.go
+++ b/core/claims/answer.go
@@ -2,7 +2,8 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// Answer is an upstream's whole answer as it is retained for retries.
+// Answer is an upstream's complete response, retained so that it can be replayed
+// to retries.
 type Answer struct {
 	Status  int
 	Header  map[string][]string
@@ -10,10 +11,11 @@
 	Trailer map[string][]string
 }
 
-// headerOverhead is what one header line costs beside its text, in bytes.
+// headerOverhead is the approximate memory overhead of a header field in bytes,
+// in addition to its name and values.
 const headerOverhead = 64
 
-// Size returns about how many bytes the answer holds.
+// Size returns the approximate memory size of the answer in bytes.
 func (a *Answer) Size() int {
 	n := len(a.Body)
 	for _, h := range []map[string][]string{a.Header, a.Trailer} {
@@ -27,15 +29,18 @@
 	return n
 }
 
-// shelf holds the retained answers of one table, oldest first in each group,
-// within a bound on bytes for each group and for all.
+// answerCache holds the retained answers of one table. It limits the total size
+// per group and of all groups, and evicts the oldest answers of a group first.
 type answerCache struct {
+	// groupLimit and totalLimit are in bytes.
 	groupLimit int
 	totalLimit int
 	usedBytes  int
 	groups     map[model.GroupName]*groupAnswers
 }
 
+// groupAnswers holds the claims of one group that have retained answers, the
+// oldest first. It may also contain claims whose answer was discarded.
 type groupAnswers struct {
 	usedBytes int
 	claims    []*claim
@@ -45,8 +50,8 @@
 	return &answerCache{groupLimit: groupLimit, totalLimit: totalLimit, groups: make(map[model.GroupName]*groupAnswers)}
 }
 
-// put retains the answer of a claim, and drops older ones to make room. It
-// reports whether the answer fits at all.
+// put retains the answer of a claim and evicts older answers as needed. It
+// reports whether the answer was retained.
 func (ac *answerCache) put(c *claim, a *Answer) bool {
 	size := a.Size()
 	if size > ac.groupLimit || size > ac.totalLimit {
@@ -71,7 +76,7 @@
 	return c.answer != nil
 }
 
-// forget drops the answer of a claim that leaves the table.
+// discard removes the answer of a claim that is being deleted from the table.
 func (ac *answerCache) discard(c *claim) {
 	if c.answer == nil {
 		return
@@ -82,6 +87,7 @@
 	ac.prune(c.group)
 }
 
+// evictOldest removes the oldest answer of a group.
 func (ac *answerCache) evictOldest(name model.GroupName) {
 	g := ac.groups[name]
 	for len(g.claims) > 0 {
@@ -98,7 +104,8 @@
 	ac.prune(name)
 }
 
-// prune removes the forgotten claims at the head, and an empty group.
+// prune removes claims without an answer from the head of a group's list, and
+// removes the group if its list becomes empty.
 func (ac *answerCache) prune(name model.GroupName) {
 	g := ac.groups[name]
 	for len(g.claims) > 0 && g.claims[0].answer == nil {
@@ -109,6 +116,8 @@
 	}
 }
 
+// largestGroup returns the group whose answers use the most bytes. Ties go to the
+// group that is first by name.
 func (ac *answerCache) largestGroup() model.GroupName {
 	var name model.GroupName
 	most := -1
--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// BenchmarkGrants renews the grants of many daemons for ten minutes of virtual
-// time and reports the load on the log.
+// BenchmarkGrants simulates the grant renewals of many daemons for ten minutes of
+// virtual time and reports the resulting load on the log.
 func BenchmarkGrants(b *testing.B) {
 	const (
 		virtual = 10 * time.Minute
@@ -59,8 +59,8 @@
 	return planners
 }
 
-// BenchmarkMemory reports the memory of a claim without a retained answer and
-// with one of 200 bytes.
+// BenchmarkMemory reports the memory per claim without a retained answer and with
+// an answer of 200 bytes.
 func BenchmarkMemory(b *testing.B) {
 	const claims = 50_000
 	for _, body := range []int{0, 200} {
@@ -89,7 +89,7 @@
 	}
 }
 
-// BenchmarkCheckpoint reports the size of a checkpoint at 1,700 daemons.
+// BenchmarkCheckpoint reports the size of a checkpoint with 1,700 daemons.
 func BenchmarkCheckpoint(b *testing.B) {
 	l := NewLedger(DefaultRanges, 0)
 	for _, p := range newPlanners(1700) {
--- a/core/claims/codec.go
+++ b/core/claims/codec.go
@@ -7,8 +7,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// ErrRecord is returned for bytes that are not a record of a known version.
-var ErrRecord = errors.New("grant record cannot be read")
+// ErrRecord is returned for bytes that are not a valid record of a known version.
+var ErrRecord = errors.New("claims record cannot be read")
 
 const (
 	recordVersion = 1
@@ -17,11 +17,11 @@
 	kindTransfer   = 2
 	kindCheckpoint = 3
 
-	// maxItems bounds every count that is read from a record.
+	// maxItems is the maximum length of each list in a record.
 	maxItems = 1 << 16
 )
 
-// Encode writes a record in its versioned binary form.
+// Encode returns the versioned binary encoding of the record.
 func (r Record) Encode() []byte {
 	var w writer
 	w.byte(recordVersion)
@@ -42,7 +42,7 @@
 	return w.b
 }
 
-// DecodeRecord reads what Encode wrote.
+// DecodeRecord decodes a record encoded by Encode.
 func DecodeRecord(b []byte) (Record, error) {
 	r := reader{b: b}
 	if r.byte() != recordVersion {
@@ -109,7 +109,8 @@
 	}
 }
 
-// ownersOf lists the distinct owners of a checkpoint in order of appearance.
+// ownersOf returns the distinct owners of a checkpoint in order of appearance,
+// and the index of each in that list.
 func ownersOf(c *Checkpoint) ([]Owner, map[Owner]int) {
 	var owners []Owner
 	index := make(map[Owner]int)
@@ -124,6 +125,8 @@
 	return owners, index
 }
 
+// reader decodes the fields of a record. After malformed input, failed is set and
+// the decoded values must be discarded.
 type reader struct {
 	b      []byte
 	failed bool
@@ -150,7 +153,8 @@
 	return v
 }
 
-// count reads the number of items that follow; each takes at least one byte.
+// count reads the length of the list that follows. Each item takes at least one
+// byte, so a length beyond the remaining input is malformed.
 func (r *reader) count() int {
 	n := r.uint()
 	if n > maxItems || n > uint64(len(r.b)) {
--- a/core/claims/doc.go
+++ b/core/claims/doc.go
@@ -1,21 +1,23 @@
-// Package claims decides which daemon may run a keyed non-idempotent request,
-// and remembers which keys have run.
+// Package claims decides which daemon may run a non-idempotent request that has
+// an idempotency key, and stores which keys have been run.
 //
-// A key is a UUIDv7, so its time stamp is fixed for ever. It hashes to a Range.
-// For each Range, the order of Grant records on the platform's log divides the
-// stamps into intervals with exactly one owner each: a Grant extends a Range
-// from its frontier, which is the end of the last interval, and is accepted
-// only when it names that frontier. So of two daemons that claim one Range the
-// first on the log wins, and everybody who folds the log agrees which.
+// A key is a UUIDv7, so it contains a fixed timestamp. The hash of the key
+// assigns it to a Range. For each Range, the order of Grant records on the
+// platform's log divides the timestamps into intervals, each with exactly one
+// owner. A Grant extends a Range from its frontier, which is the end of the last
+// interval, and is accepted only if it names the current frontier. Of two
+// daemons that request the same Range, the one whose Grant is first on the log
+// gets it, and all daemons that apply the log agree on the owner.
 //
-// An owner is one life of a daemon. It accepts a key when its Ledger, folded
-// from the log, says that it owns the interval of the key's stamp. No clock is
-// read for that, so a pause, a late packet or a lost reply cannot make two
-// owners accept one key. An interval is never taken from its owner; it ends
-// with the owner's life, and its keys are then answered "unknown", unless the
-// owner seals its Table, gives it to a successor and appends a Transfer.
+// An owner is one incarnation of a daemon. It accepts a key if its Ledger, built
+// from the log, shows that it owns the interval of the key's timestamp. This
+// check reads no clock, so a pause, a delayed packet or a lost reply cannot lead
+// to two owners that accept the same key. An interval is never reassigned while
+// its owner is running. When the owner's process ends, the outcome of the keys
+// in its intervals is unknown, unless the owner sealed its Table, handed it over
+// to a successor and appended a Transfer.
 //
-// The Ledger folds the log, the Planner decides when to append a Grant, and the
-// Table holds the claims of one owner. Nothing here does I/O, starts goroutines
-// or reads a clock.
+// The Ledger applies the log, the Planner decides when to append a Grant, and the
+// Table holds the claims of one owner. This package does no I/O, starts no
+// goroutines and reads no clock.
 package claims
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -8,35 +8,39 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// ErrHandover is returned for a handover that cannot be taken in.
+// ErrHandover is returned for a handover that cannot be imported.
 var ErrHandover = errors.New("handover refused")
 
 const (
 	handoverVersion = 1
-	// partBytes is about the size of one part, claimBytes that of a claim
-	// without its answer.
-	partBytes  = 1 << 20
+	// partBytes is the approximate maximum size of one part of a handover.
+	partBytes = 1 << 20
+	// claimBytes is the approximate size of a claim without its answer.
 	claimBytes = 128
 )
 
-// handover is a part of the table of a sealed owner on its way to the successor.
+// handover is one part of the table that a sealed owner sends to its successor.
+// It is encoded with gob, which writes out the names of the types and fields:
+// they must not be changed.
 type handover struct {
 	Version int
-	// Lives tells about the owner, and each earlier one whose claims it holds.
-	// It is set in the last part only, so that claims never count in part.
+	// Lives holds, by incarnation, the sending owner and the earlier owners whose
+	// claims it holds. It is set only in the last part, so that the successor
+	// does not use the claims before it has all of them.
 	Lives  map[uint64]earlier
 	Claims []handedClaim
 }
 
-// earlier is what a table knows of an earlier owner whose claims it holds.
+// earlier describes an earlier owner whose claims a table holds.
 type earlier struct {
-	// Floor is the stamp below which claims may have been dropped.
+	// Floor is the timestamp below which claims may have been deleted.
 	Floor Stamp
-	// Until is the end of the earlier owner's last interval. When the table's
-	// own floor has reached it the earlier owner need not be known any more.
+	// Until is the end of the earlier owner's last interval. Once the table's own
+	// floor has reached it, the entry for the earlier owner can be deleted.
 	Until Stamp
 }
 
+// handedClaim is a claim in a handover.
 type handedClaim struct {
 	Caller   model.CallerName
 	Key      Key
@@ -46,14 +50,15 @@
 	Answer   *Answer
 }
 
-// Seal stops the table from taking submissions, for ever.
+// Seal permanently stops the table from accepting submissions.
 func (t *Table) Seal() { t.sealed = true }
 
 // IsSealed reports whether Seal has been called.
 func (t *Table) IsSealed() bool { return t.sealed }
 
-// Export returns the sealed table for a successor, in parts that must be
-// imported in order. A claim that is still being run is handed over as unknown.
+// Export returns the contents of the sealed table for a successor, in parts that
+// must be imported in order. The outcome of a claim whose request is still
+// running is exported as unknown.
 func (t *Table) Export(l *Ledger) ([][]byte, error) {
 	if !t.sealed {
 		panic("claims: export of a table that is not sealed")
@@ -82,6 +87,7 @@
 	return append(parts, last), err
 }
 
+// export returns the claim in the form used by a handover.
 func (c *claim) export() handedClaim {
 	return handedClaim{
 		Caller: c.id.Caller, Key: c.id.Key, Group: c.group, Digest: c.digest,
@@ -95,8 +101,8 @@
 	return b.Bytes(), err
 }
 
-// exportLives tells about this owner and the earlier ones whose claims it hands
-// on.
+// exportOwners returns the entries for this owner and for the earlier owners whose
+// claims are part of the handover.
 func (t *Table) exportOwners(l *Ledger) map[uint64]earlier {
 	owners := make(map[uint64]earlier, len(t.priorOwners)+1)
 	for incarnation, e := range t.priorOwners {
@@ -107,8 +113,9 @@
 	return owners
 }
 
-// exportFloor is the least floor of the earlier owners' claims that it hands on:
-// it may have dropped some of those itself.
+// exportFloor returns the minimum floor for the exported entries of earlier
+// owners. It is this table's own floor, because this table may have deleted
+// claims of the earlier owners itself.
 func (t *Table) exportFloor() Stamp {
 	if t.mutation == omitExportFloor {
 		return 0
@@ -116,9 +123,10 @@
 	return t.floor
 }
 
-// Import takes in one part of the table of a sealed owner. The claims count once
-// all parts are in and the log has the Transfer. A table that is sealed itself,
-// or has no room for the claims, refuses the part whole.
+// Import adds one part of a sealed owner's table. The claims take effect once all
+// parts are imported and the Transfer is on the log. If the importing table is
+// itself sealed, or has no capacity for all claims of the part, Import returns
+// ErrHandover and adds none of them.
 func (t *Table) Import(data []byte) error {
 	var h handover
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&h); err != nil {
@@ -138,6 +146,7 @@
 	return nil
 }
 
+// importClaim adds a claim from a handover unless the key already has a claim.
 func (t *Table) importClaim(hc handedClaim) {
 	id := ID{Caller: hc.Caller, Key: hc.Key}
 	if t.claims[id] != nil {
--- a/core/claims/key.go
+++ b/core/claims/key.go
@@ -12,18 +12,18 @@
 // Key is an idempotency key: the 16 bytes of a UUIDv7.
 type Key [16]byte
 
-// Stamp is the time stamp of a key in milliseconds of the Unix epoch. It has 48
-// bits.
+// Stamp is the timestamp of a key in Unix milliseconds. It has 48 bits.
 type Stamp uint64
 
-// MaxStamp is the largest stamp that a key can carry.
+// MaxStamp is the largest timestamp that a key can contain.
 const MaxStamp Stamp = 1<<48 - 1
 
-// Range is one of the parts into which the hashes of keys are divided.
+// Range is the index of a hash partition of the key space. The hash of a key
+// determines its Range.
 type Range int
 
-// DefaultRanges is the number of ranges of a deployment. All its daemons must
-// use the same number.
+// DefaultRanges is the number of ranges. All daemons of a deployment must use the
+// same number.
 const DefaultRanges = 1024
 
 // ErrKeyInvalid is returned for a key that is not a UUIDv7.
@@ -36,7 +36,8 @@
 	stampBytes     = 6
 )
 
-// ParseKey reads a key in the 36 character form, bare or as a quoted string.
+// ParseKey parses a key in the 36-character UUID form, with or without double
+// quotes around it.
 func ParseKey(s string) (Key, error) {
 	if len(s) == uuidTextLength+2 && s[0] == '"' && s[len(s)-1] == '"' {
 		s = s[1 : len(s)-1]
@@ -55,7 +56,7 @@
 	return k, nil
 }
 
-// NewKey returns the key of a stamp and 10 random bytes.
+// NewKey returns the UUIDv7 made of a timestamp and 10 random bytes.
 func NewKey(stamp Stamp, random [10]byte) Key {
 	var k Key
 	var b [8]byte
@@ -67,17 +68,17 @@
 	return k
 }
 
-// Stamp returns the key's time stamp.
+// Stamp returns the timestamp of the key.
 func (k Key) Stamp() Stamp {
 	var b [8]byte
 	copy(b[8-stampBytes:], k[:stampBytes])
 	return Stamp(binary.BigEndian.Uint64(b[:]))
 }
 
-// Range returns the range of the key among n.
+// Range returns the range of the key when there are n ranges.
 func (k Key) Range(n int) Range { return Range(xxhash.Sum64(k[:]) % uint64(n)) }
 
-// String returns the key in the 36 character form.
+// String returns the key in the 36-character UUID form.
 func (k Key) String() string {
 	h := hex.EncodeToString(k[:])
 	return h[:8] + "-" + h[8:12] + "-" + h[12:16] + "-" + h[16:20] + "-" + h[20:]
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -1,61 +1,78 @@
 package claims
 
-// Standing is what a Ledger knows of one stamp in one range.
+// Standing is the ownership status of a timestamp in a range.
 type Standing uint8
 
-// The standings.
+// The ownership statuses.
 const (
-	// Unproven means that the Ledger has not yet seen enough of the log.
+	// Unproven means that the status is unknown because the Ledger has not yet
+	// read a Checkpoint or the log from its start.
 	Unproven Standing = iota
-	// Owned means that the stamp lies in an owner's interval.
+	// Owned means that the timestamp is in an interval that has an owner.
 	Owned
-	// Ahead means that the stamp lies at or beyond the range's frontier.
+	// Ahead means that the timestamp is at or beyond the range's frontier and has
+	// not been granted yet.
 	Ahead
-	// Forgotten means that the stamp lies below the intervals that are kept.
+	// Forgotten means that the timestamp is below the oldest interval that the
+	// Ledger keeps.
 	Forgotten
 )
 
-// maxIntervals bounds the intervals kept of one range.
+// maxIntervals is the maximum number of intervals kept per range.
 const maxIntervals = 16
 
-// mutation switches off one safety check, so that tests can show that the model
-// notices. Zero in every build.
+// mutation disables one safety check, so that tests can verify that the model
+// detects the missing check. It is always zero outside tests.
 type mutation uint16
 
 const (
 	noMutation mutation = iota
+	// skipFrontierCheck accepts a Grant whose Base is not the frontier.
 	skipFrontierCheck
+	// keepStateAfterTrim keeps the state when the log was trimmed beyond Next, and
+	// does not apply the records since a Checkpoint again.
 	keepStateAfterTrim
+	// skipPriorOwnerCheck accepts keys although claims of an earlier owner are
+	// missing.
 	skipPriorOwnerCheck
+	// ignoreIncarnation takes every incarnation of a daemon for the same owner.
 	ignoreIncarnation
+	// ignoreFloor accepts keys whose claims may have been deleted.
 	ignoreFloor
+	// ignoreSeal accepts submissions to a sealed table.
 	ignoreSeal
+	// releaseUnknownOutcome deletes the claim of a request with unknown outcome.
 	releaseUnknownOutcome
+	// omitRunningClaims leaves claims of running requests out of a handover.
 	omitRunningClaims
+	// checkLastPriorOwnerOnly requires only the claims of the last earlier owner.
 	checkLastPriorOwnerOnly
+	// omitExportFloor leaves the table's own floor out of a handover.
 	omitExportFloor
 )
 
-// Ledger folds the log of grants. Feed it every record from Next on, in order.
-// It is not safe for concurrent use.
+// Ledger is the state machine that computes interval ownership from the log of
+// grants. Apply must be called with every record from Next on, in log order. A
+// Ledger is not safe for concurrent use.
 type Ledger struct {
-	ranges   []RangeState
-	next     uint64
+	ranges []RangeState
+	next   uint64
+	// complete reports whether the state includes all records below next.
 	complete bool
 	mutation mutation
 }
 
-// NewLedger returns a Ledger over a number of ranges that starts at the oldest
-// offset that the log keeps. When that is 0 it starts from nothing; otherwise
-// it needs a Checkpoint first.
+// NewLedger returns a Ledger for a number of ranges. The argument oldest is the
+// offset of the oldest record that the log keeps. If it is 0, the Ledger starts
+// with empty ranges. Otherwise it is usable only after it has read a Checkpoint.
 func NewLedger(ranges int, oldest uint64) *Ledger {
 	l := &Ledger{ranges: make([]RangeState, ranges)}
 	l.Reset(oldest)
 	return l
 }
 
-// Reset forgets everything and starts again at the oldest offset kept. It must
-// be called when the log no longer keeps the record at Next.
+// Reset discards the state and starts again at the oldest offset that the log
+// keeps. It must be called when the log no longer keeps the record at Next.
 func (l *Ledger) Reset(oldest uint64) {
 	if l.mutation == keepStateAfterTrim && l.complete {
 		l.next = oldest
@@ -66,18 +83,19 @@
 	l.complete = oldest == 0
 }
 
-// Next is the offset of the record that the Ledger needs next. It goes back
-// when a Checkpoint has been taken over.
+// Next returns the offset of the next record to apply. It decreases when a
+// Checkpoint is restored.
 func (l *Ledger) Next() uint64 { return l.next }
 
-// Proven reports whether the Ledger's state is that of the log.
+// Proven reports whether the state includes all records below Next. It is false
+// while the Ledger waits for a Checkpoint.
 func (l *Ledger) Proven() bool { return l.complete }
 
 // Ranges returns the number of ranges.
 func (l *Ledger) Ranges() int { return len(l.ranges) }
 
-// Apply folds the record at an offset. Records before Next are ignored, and so
-// is a record beyond it, which would leave a gap.
+// Apply applies the record at an offset. It ignores records at any offset other
+// than Next: earlier ones are already applied, and later ones would leave a gap.
 func (l *Ledger) Apply(offset uint64, r Record) {
 	if offset != l.next {
 		return
@@ -95,11 +113,12 @@
 	}
 }
 
-// Skip passes over a record that cannot be read.
+// Skip advances past an unreadable record.
 func (l *Ledger) Skip(offset uint64) { l.Apply(offset, Record{}) }
 
-// restore takes over a checkpoint. The records since it was taken are needed
-// again; if the log no longer keeps them the Ledger is reset.
+// restore replaces the state with a checkpoint and sets Next back to the offset at
+// which it was taken. If the log no longer keeps that record, the caller must call
+// Reset. Unusable checkpoints are ignored.
 func (l *Ledger) restore(c *Checkpoint) {
 	if c == nil || len(c.Ranges) != len(l.ranges) || c.Offset >= l.next {
 		return
@@ -113,7 +132,7 @@
 	l.complete = true
 }
 
-// Checkpoint returns the state as a record for the log.
+// Checkpoint returns a copy of the state, to be appended to the log.
 func (l *Ledger) Checkpoint() *Checkpoint {
 	c := &Checkpoint{Offset: l.next, Ranges: make([]RangeState, len(l.ranges))}
 	for i, s := range l.ranges {
@@ -122,6 +141,7 @@
 	return c
 }
 
+// grant applies each extension of a Grant whose Base is the range's frontier.
 func (l *Ledger) grant(g *Grant) {
 	for _, e := range g.Extensions {
 		if int(e.Range) >= len(l.ranges) || e.Range < 0 {
@@ -135,6 +155,8 @@
 	}
 }
 
+// extend assigns the timestamps from base up to until to an owner, by extending
+// the last interval if that owner already holds it.
 func (s *RangeState) extend(base, until Stamp, o Owner) {
 	if until <= base || until > MaxStamp {
 		return
@@ -153,6 +175,7 @@
 	}
 }
 
+// transfer assigns all intervals of one owner to its successor.
 func (l *Ledger) transfer(t *Transfer) {
 	if t.From == t.To.Life {
 		return
@@ -169,7 +192,8 @@
 	}
 }
 
-// Lookup returns the interval of a stamp in a range, with its standing.
+// Lookup returns the ownership status of a timestamp in a range. If the status is
+// Owned, it also returns the interval that contains the timestamp.
 func (l *Ledger) Lookup(r Range, stamp Stamp) (Interval, Standing) {
 	if !l.complete {
 		return Interval{}, Unproven
@@ -187,7 +211,8 @@
 	return Interval{}, Forgotten
 }
 
-// Frontier returns the end of a range's last interval and its owner.
+// Frontier returns the end of a range's last interval, and the owner of that
+// interval.
 func (l *Ledger) Frontier(r Range) (Stamp, Owner) {
 	s := &l.ranges[r]
 	if n := len(s.Intervals); n > 0 {
@@ -196,8 +221,8 @@
 	return s.Frontier, Owner{}
 }
 
-// Reach returns the end of the last interval that a life owns, zero when it owns
-// none.
+// Reach returns the end of the last interval that an incarnation owns, or zero if
+// it owns none.
 func (l *Ledger) Reach(incarnation uint64) Stamp {
 	var end Stamp
 	for i := range l.ranges {
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -8,10 +8,12 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// The model drives real Ledgers and Tables of a few daemons through one random
-// schedule. Every step of an entry and of an owner is a separate action, so
-// that a pause fits between any two; appends, submissions and handovers are
-// delayed, lost and reordered at will.
+// The model runs the real Ledgers and Tables of a few daemons through a random
+// schedule. A submission goes from an entry, the daemon that accepted the
+// caller's request, to the owner of its key. Each step of an entry and of an
+// owner is a separate action, so that a pause can occur between any two steps.
+// Log appends, submissions and handovers are delayed, lost and reordered at
+// random.
 const (
 	modelDaemons  = 4
 	modelRanges   = 2
@@ -21,25 +23,32 @@
 	modelStamps   = 40
 )
 
-// mutateProposal makes a daemon count a grant as soon as it asks for it.
+// applyUnloggedGrants makes a daemon apply a grant when it requests it, before the
+// grant is on the log.
 const applyUnloggedGrants mutation = 1 << 10
 
+// node is one incarnation of a daemon.
 type node struct {
 	ledger *Ledger
 	table  *Table
-	// successor is the daemon that took in this one's claims.
+	// successor is the owner that has imported the claims of this node.
 	successor *Owner
 }
 
+// phase is the progress of a submission.
 type phase uint8
 
 const (
+	// toOwner submissions are on the way to the owner.
 	toOwner phase = iota
+	// beforeSend submissions have a claim but were not yet sent to an upstream.
 	beforeSend
+	// afterSend submissions were sent to an upstream and have run.
 	afterSend
 )
 
-// submission is one sending of a key on its way through entry and owner.
+// submission is one submission of a key on its way from the entry to the owner and
+// the upstream.
 type submission struct {
 	key    int
 	phase  phase
@@ -47,27 +56,35 @@
 	node   *node
 }
 
+// pendingHandover is a handover that was sent but not delivered yet.
 type pendingHandover struct {
 	from  *node
 	to    Owner
 	parts [][]byte
 }
 
+// world is the state of the model.
 type world struct {
-	rng          *rand.Rand
-	profile      profile
-	mutation     mutation
-	log          []Record
-	oldest       int
-	appends      []Record
-	nodes        [modelDaemons]*node
-	keys         [modelKeys]Key
-	runs         [modelKeys]int
-	submissions  []submission
-	handovers    []pendingHandover
+	rng      *rand.Rand
+	profile  profile
+	mutation mutation
+	log      []Record
+	// oldest is the offset of the oldest record that the log keeps.
+	oldest int
+	// appends are the records on the way to the log.
+	appends []Record
+	nodes   [modelDaemons]*node
+	keys    [modelKeys]Key
+	// runs counts the executions of each key.
+	runs        [modelKeys]int
+	submissions []submission
+	handovers   []pendingHandover
+	// incarnations is the number of incarnations started so far.
 	incarnations uint64
 	eventCounts  map[string]int
-	violation    string
+	// violation describes the first violated invariant. It is empty if there is
+	// none.
+	violation string
 }
 
 func newWorld(seed uint64, m mutation, eventCounts map[string]int) *world {
@@ -86,7 +103,8 @@
 	return w
 }
 
-// explore runs one schedule and returns the invariant that it broke.
+// explore runs one schedule. It returns a description of the invariant that was
+// violated, or an empty string.
 func explore(seed uint64, m mutation, eventCounts map[string]int) string {
 	w := newWorld(seed, m, eventCounts)
 	for step := 0; step < modelSteps && w.violation == ""; step++ {
@@ -95,8 +113,8 @@
 	return w.violation
 }
 
-// begin gives a first daemon half of the stamps, so that schedules start with
-// keys that can run.
+// grantInitialStamps grants half of the timestamps to one node, so that some keys
+// can be run from the beginning of a schedule.
 func (w *world) grantInitialStamps(n *node) {
 	g := &Grant{Owner: n.table.Self(), Until: modelStamps / 2}
 	for r := range Range(modelRanges) {
@@ -108,6 +126,7 @@
 	}
 }
 
+// start starts a new incarnation of daemon i.
 func (w *world) start(i int) {
 	w.incarnations++
 	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Life: w.incarnations}
@@ -117,13 +136,14 @@
 	w.nodes[i] = n
 }
 
-// profile gives the share of each action in a schedule, in percent.
+// profile holds the probability of each action in percent. The field keys is the
+// number of keys in use.
 type profile struct {
 	poll, proposeGrant, deliverAppend, submit, advance, drain, deliverHandover, appendTransfer, crash, checkpoint, trim int
 	keys                                                                                                                int
 }
 
-// profiles stress different failures; the schedule's seed picks one.
+// profiles favor different failures. The seed of a schedule selects the profile.
 var profiles = [...]profile{
 	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keys: modelKeys},
 	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keys: 2},
@@ -164,7 +184,8 @@
 	w.eventCounts["crash"]++
 }
 
-// poll folds some records, after a reset when the log was trimmed beyond them.
+// poll applies a few log records. It resets the ledger if the log has been trimmed
+// beyond its next record.
 func (w *world) poll(n *node) {
 	for range 1 + w.rng.IntN(6) {
 		next := int(n.ledger.Next())
@@ -184,7 +205,8 @@
 	}
 }
 
-// propose asks for one or both ranges. The append may land much later or never.
+// proposeGrant requests one or both ranges. The record may reach the log much later
+// or never.
 func (w *world) proposeGrant(n *node) {
 	if !n.ledger.Proven() || n.table.IsSealed() {
 		return
@@ -203,7 +225,7 @@
 	w.appends = append(w.appends, Record{Grant: g})
 }
 
-// land lets one append in flight take effect, or loses it.
+// deliverAppend writes one of the pending appends to the log, or loses it.
 func (w *world) deliverAppend(*node) {
 	if len(w.appends) == 0 {
 		return
@@ -215,7 +237,8 @@
 	w.appends = append(w.appends[:i], w.appends[i+1:]...)
 }
 
-// submit sends a key through an entry, which routes by what it has folded.
+// submit submits a key at an entry, which routes it according to its own, possibly
+// outdated, ledger.
 func (w *world) submit(n *node) {
 	k := w.rng.IntN(w.profile.keys)
 	in, standing := n.ledger.Lookup(w.keys[k].Range(modelRanges), w.keys[k].Stamp())
@@ -225,8 +248,8 @@
 	w.submissions = append(w.submissions, submission{key: k, target: in.Owner.Daemon})
 }
 
-// advance moves one submission by one step. Sending and arriving, deciding and
-// running, running and recording are separate steps.
+// advance performs the next step of one submission. The arrival at the owner, the
+// execution, and the recording of the outcome are separate steps.
 func (w *world) advance(*node) {
 	if len(w.submissions) == 0 {
 		return
@@ -247,6 +270,8 @@
 	}
 }
 
+// arrive submits the key to its owner's table. It returns true if that ends the
+// submission.
 func (w *world) arrive(s *submission) bool {
 	s.node = w.nodes[s.target[0]-'a']
 	v, _ := s.node.table.Begin(s.node.ledger, Request{ID: ID{Key: w.keys[s.key]}})
@@ -265,9 +290,11 @@
 	return true
 }
 
-// running reports whether the owner's process still runs.
+// running reports whether the node has not crashed.
 func (w *world) running(n *node) bool { return w.nodes[n.table.Self().Daemon[0]-'a'] == n }
 
+// send runs the request, or reports that it did not run. It returns true if that
+// ends the submission.
 func (w *world) send(s *submission) bool {
 	if !w.running(s.node) {
 		return true
@@ -296,9 +323,10 @@
 	s.node.table.Finish(ID{Key: w.keys[s.key]}, kind, &Answer{Status: 200})
 }
 
+// reportNotRun checks that a key that is reported as not run has indeed never run.
 func (w *world) reportNotRun(key int) {
 	if w.runs[key] != 0 {
-		w.violation = fmt.Sprintf("key %d told not run after %d runs", key, w.runs[key])
+		w.violation = fmt.Sprintf("key %d reported as not run after %d runs", key, w.runs[key])
 	}
 }
 
@@ -316,7 +344,7 @@
 	}
 }
 
-// handOver delivers a handover, perhaps twice, or loses it or its reply.
+// deliverHandover delivers a handover, possibly twice, or loses it or its reply.
 func (w *world) deliverHandover(*node) {
 	if len(w.handovers) == 0 {
 		return
@@ -335,8 +363,8 @@
 	}
 }
 
-// sign appends the transfer to the successor that took in the claims. A faulty
-// daemon may name one that did not.
+// appendTransfer appends a transfer to the successor that has imported the claims.
+// To model a faulty daemon, it sometimes names an owner that has not.
 func (w *world) appendTransfer(n *node) {
 	if !n.table.IsSealed() {
 		return
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -8,47 +8,54 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Planner decides when an owner asks for more stamps. Nothing it does bears on
-// safety: a wrong clock, or two daemons that disagree on who is alive, cost
-// grants and never a second run.
+// Planner decides when an owner requests a Grant of further timestamps. It is not
+// relevant for safety: a wrong clock, or daemons that disagree about which
+// daemons are alive, can cause unnecessary grants but never a second execution
+// of a request.
 //
-// The candidates of a range are ordered by rendezvous hashing. The first one
-// extends the range when half of a grant's length is left, and each next one an
-// eighth later, so that the death of a candidate needs no detection. A range
-// that had lapsed when the Planner started counts as falling due then.
+// The candidates of a range are ranked by rendezvous hashing. The first candidate
+// extends the range when half of the grant length is left, and each further
+// candidate an eighth of the grant length later than the one before. If a
+// candidate crashes, the next one therefore takes over without failure detection.
+// A range whose last grant had already ended when the Planner started is treated
+// as if it became due for renewal at that time.
 //
-// For the first sixteenth of a grant after its start a Planner asks for a
-// sixteenth at a time. A daemon that starts first, and knows no other candidate
-// yet, would otherwise own every range for a whole grant.
+// For one sixteenth of the grant length after its start, a Planner requests
+// grants of only a sixteenth of the full length. Otherwise the daemon that starts
+// first, and does not know the other candidates yet, would own every range for a
+// full grant length.
 type Planner struct {
-	self       Owner
+	self Owner
+	// fullLength is the length of a grant after the startup phase.
 	fullLength Stamp
-	ranks      []uint16
-	// started is the clock at the first Plan, zero before it.
+	// ranks holds the rank of this daemon among the candidates of each range.
+	ranks []uint16
+	// startedAt is the time of the first call to Plan, or zero before it.
 	startedAt Stamp
 }
 
 const (
-	// renewParts and rankParts are the parts of the grant's length at which the
-	// first candidate renews, and by which each next one waits longer.
+	// The first candidate renews a range when the grant length divided by
+	// renewDivisor is left. Each further candidate waits longer by the grant
+	// length divided by rankDelayDivisor.
 	renewDivisor     = 2
 	rankDelayDivisor = 8
-	// settleParts is the part of the grant's length for which a Planner asks
-	// after its start, and for how long it does so.
+	// The startup phase of a Planner, and the grants that it requests during that
+	// phase, have the length of a full grant divided by startupDivisor.
 	startupDivisor = 16
-	// maxRank is the rank of a daemon that is no candidate.
+	// notCandidate is the rank of a daemon that is not a candidate.
 	notCandidate = 1<<16 - 1
 )
 
-// NewPlanner returns a Planner for an owner whose grants reach a duration
-// ahead. SetCandidates must be called before Plan.
+// NewPlanner returns a Planner for an owner. The grant argument is the full length
+// of a grant. SetCandidates must be called before Plan.
 func NewPlanner(self Owner, ranges int, grant time.Duration) *Planner {
 	p := &Planner{self: self, fullLength: Stamp(grant.Milliseconds()), ranks: make([]uint16, ranges)}
 	p.SetCandidates(nil)
 	return p
 }
 
-// SetCandidates tells which daemons may own ranges.
+// SetCandidates sets the daemons that may own ranges and ranks them.
 func (p *Planner) SetCandidates(daemons []model.DaemonID) {
 	isCandidate := false
 	hashes := make([]uint64, len(daemons))
@@ -65,7 +72,7 @@
 	}
 }
 
-// rankOf counts the candidates that score higher on a range.
+// rankOf returns the number of candidates with a higher hash score for a range.
 func rankOf(own uint64, hashes []uint64, r uint64) uint16 {
 	score := mix(own ^ mix(r))
 	rank := 0
@@ -77,7 +84,7 @@
 	return uint16(min(rank, notCandidate))
 }
 
-// mix is the finalizer of SplitMix64.
+// mix is the SplitMix64 mixing function.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -85,7 +92,7 @@
 	return x ^ x>>31
 }
 
-// Plan returns the grant to append now, nil when none is needed.
+// Plan returns the Grant to append now, or nil if none is needed.
 func (p *Planner) Plan(l *Ledger, now Stamp) *Grant {
 	if !l.Proven() {
 		return nil
@@ -112,7 +119,7 @@
 	return g
 }
 
-// reach returns how far a grant that is asked for now reaches ahead.
+// lengthAt returns the length of a grant that is requested at the given time.
 func (p *Planner) lengthAt(now Stamp) Stamp {
 	if startup := p.fullLength / startupDivisor; now < p.startedAt+startup {
 		return startup
@@ -120,9 +127,10 @@
 	return p.fullLength
 }
 
-// wants reports whether it is a candidate's turn to extend a range whose stamps
-// end at end by a grant of some reach. Soon looks an eighth of that ahead, so
-// that one record renews ranges that fall due close together.
+// isDue reports whether a candidate should now extend a range whose last interval
+// ends at end with a grant of the given length. If early is set, the range is due
+// an eighth of the length sooner for the first candidate, so that one record
+// renews several ranges that become due at nearly the same time.
 func isDue(rank uint16, length, end, now Stamp, early bool) bool {
 	if rank == notCandidate {
 		return false
--- a/core/claims/record.go
+++ b/core/claims/record.go
@@ -2,38 +2,40 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// Owner is one life of a daemon.
+// Owner is one incarnation of a daemon.
 type Owner struct {
 	Daemon model.DaemonID
-	// Life tells the lives of one daemon apart. It is drawn at random at the
-	// start of each life and is never zero.
+	// Life identifies the incarnation. It is chosen at random when the process
+	// starts and is never zero.
 	Life uint64
 }
 
-// Extension asks to extend one range from its frontier.
+// Extension requests the extension of one range from its frontier.
 type Extension struct {
 	Range Range
-	// Base is the frontier that the extension starts from.
+	// Base is the frontier of the range that the requester knows.
 	Base Stamp
 }
 
-// Grant asks that an owner gets the stamps from each range's frontier up to,
-// not including, Until. Extensions whose Base is not the frontier are refused,
-// each by itself.
+// Grant requests for an owner the timestamps from the frontier of each listed
+// range up to, but not including, Until. An extension whose Base is not the
+// current frontier is ignored; the other extensions still apply.
 type Grant struct {
 	Owner      Owner
 	Until      Stamp
 	Extensions []Extension
 }
 
-// Transfer hands on every interval of a sealed owner to the successor that
-// holds its claims.
+// Transfer assigns all intervals of a sealed owner to the successor that has
+// imported its claims.
 type Transfer struct {
+	// From is the incarnation of the sealed owner.
 	From uint64
 	To   Owner
 }
 
-// Checkpoint is the whole state of a Ledger before the record at offset At.
+// Checkpoint is the complete state of a Ledger that has applied all records below
+// Offset.
 type Checkpoint struct {
 	Offset uint64
 	Ranges []RangeState
@@ -43,22 +45,24 @@
 type RangeState struct {
 	// Frontier is the end of the last interval.
 	Frontier Stamp
-	// Intervals are the kept intervals by rising stamps.
+	// Intervals are the intervals that are kept, in ascending order.
 	Intervals []Interval
 }
 
-// Interval is a run of stamps that one owner holds.
+// Interval is a contiguous interval of timestamps with one owner.
 type Interval struct {
-	// From is the first stamp, Until the first one after the interval.
+	// From is the first timestamp of the interval, Until the first timestamp after
+	// it.
 	From  Stamp
 	Until Stamp
 	Owner Owner
-	// Via lists the lives that held the interval before, oldest first. The
-	// owner may use the interval only with the claims of them all.
+	// PriorOwners are the incarnations that owned the interval before, the oldest
+	// first. The owner may use the interval only if it has the claims of all of
+	// them.
 	PriorOwners []uint64
 }
 
-// Record is a Grant, a Transfer or a Checkpoint. Exactly one is set.
+// Record is a Grant, a Transfer or a Checkpoint. Exactly one field is set.
 type Record struct {
 	Grant      *Grant
 	Transfer   *Transfer
--- a/core/claims/schedules_test.go
+++ b/core/claims/schedules_test.go
@@ -15,8 +15,8 @@
 	firstSeed = flag.Uint64("claims.seed", 1, "seed of the first schedule")
 )
 
-// exploreAll runs schedules until one breaks an invariant. It returns the seed
-// and the invariant, and how often each event was seen.
+// exploreAll runs up to count schedules and stops when one violates an invariant.
+// It returns the seed and the violation, and how often each event occurred.
 func exploreAll(first uint64, count int, m mutation) (uint64, string, map[string]int) {
 	var (
 		next           atomic.Int64
@@ -59,15 +59,15 @@
 		"run", "in-progress", "replay", "outcome-unknown", "expired", "full", "sealed",
 		"not-owner", "owner-lost", "transfer", "reset", "restored", "crash",
 	} {
-		require.Positive(t, eventCounts[event], "%s never happened", event)
+		require.Positive(t, eventCounts[event], "event %s never occurred", event)
 	}
 	t.Logf("%d schedules from seed %d: %v", *schedules, *firstSeed, eventCounts)
 }
 
-// TestSchedulesThatBrokeOnce keeps the seeds of schedules that found a fault.
+// TestRegressionSchedules runs the schedules that have found a fault in the past.
 func TestRegressionSchedules(t *testing.T) {
 	for name, seed := range map[string]uint64{
-		"claims dropped by a daemon that held them for another, then handed on": 127153,
+		"successor deletes imported claims, then hands its table over": 127153,
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Empty(t, explore(seed, noMutation, map[string]int{}), "seed %d", seed)
@@ -79,25 +79,25 @@
 func TestSchedulesDetectEachMutation(t *testing.T) {
 	for name, tc := range map[string]struct {
 		mutation mutation
-		// from is the seed to start at, where the first schedule that notices
-		// is far from 1.
+		// from is the first seed to try. It is not 1 where the first schedule that
+		// detects the mutation has a much larger seed.
 		from uint64
 	}{
-		"grant accepted off the frontier":         {skipFrontierCheck, 1},
-		"state kept over a trimmed log":           {keepStateAfterTrim, 1},
-		"claims of an earlier owner not asked":    {skipPriorOwnerCheck, 1},
-		"only the last earlier owner asked":       {checkLastPriorOwnerOnly, 1},
-		"another life of the daemon counts":       {ignoreIncarnation, 1},
-		"dropped claims forgotten":                {ignoreFloor, 1},
-		"sealed table takes submissions":          {ignoreSeal, 1},
-		"unknown outcome gives the claim back":    {releaseUnknownOutcome, 1},
-		"running claims left out of the handover": {omitRunningClaims, 1},
-		"own drops left out of the handover":      {omitExportFloor, 127000},
-		"grant counted before it is on the log":   {applyUnloggedGrants, 1},
+		"grant accepted with a wrong base":                   {skipFrontierCheck, 1},
+		"state kept after the log was trimmed":               {keepStateAfterTrim, 1},
+		"claims of earlier owners not required":              {skipPriorOwnerCheck, 1},
+		"only the claims of the last earlier owner required": {checkLastPriorOwnerOnly, 1},
+		"another incarnation accepted as owner":              {ignoreIncarnation, 1},
+		"floor of deleted claims ignored":                    {ignoreFloor, 1},
+		"sealed table accepts submissions":                   {ignoreSeal, 1},
+		"claim with unknown outcome deleted":                 {releaseUnknownOutcome, 1},
+		"running claims left out of the handover":            {omitRunningClaims, 1},
+		"floor left out of the handover":                     {omitExportFloor, 127000},
+		"grant applied before it is on the log":              {applyUnloggedGrants, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			seed, violation, _ := exploreAll(tc.from, 400_000, tc.mutation)
-			require.NotEmpty(t, violation, "no schedule noticed")
+			require.NotEmpty(t, violation, "no schedule detected the mutation")
 			t.Logf("seed %d: %s", seed, violation)
 		})
 	}
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -7,55 +7,58 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// ID names a claim. Keys of different callers never meet.
+// ID identifies a claim. It includes the caller, so that equal keys of different
+// callers are independent.
 type ID struct {
 	Caller model.CallerName
 	Key    Key
 }
 
-// Digest is the digest of a request, so that a key cannot be used for another.
+// Digest is a digest of the content of a request. It serves to detect a key that
+// is reused for a different request.
 type Digest [16]byte
 
-// Request is one submission of a keyed request.
+// Request is one submission of a request with an idempotency key. A retry with
+// the same key is another submission of the same request.
 type Request struct {
 	ID     ID
 	Group  model.GroupName
 	Digest Digest
 }
 
-// Verdict is what the owner does with a submission.
+// Verdict is the owner's decision on a submission.
 type Verdict uint8
 
-// The verdicts. Only Run lets the request go to an upstream.
+// The decisions. Only after Run may the request be sent to an upstream.
 const (
-	// NotOwner means that the key's stamp is not in this owner's intervals.
+	// NotOwner means that the key's timestamp is not in an interval of this owner.
 	NotOwner Verdict = iota
-	// Sealed means that the owner hands its claims to a successor.
+	// Sealed means that the owner is handing its claims over to a successor.
 	Sealed
-	// OwnerLost means that the claims of an earlier owner were lost.
+	// OwnerLost means that the claims of an earlier owner are missing.
 	OwnerLost
-	// Expired means that claims of this stamp may have been dropped.
+	// Expired means that claims with this timestamp may have been deleted.
 	Expired
-	// Full means that there is no room for one more claim. The key has not run.
+	// Full means that the limit on claims is reached. The request was not run.
 	Full
-	// Run means that the submission is the first one and must be run.
+	// Run means that this is the first submission and the request must be run.
 	Run
-	// InProgress means that an earlier submission is being run.
+	// InProgress means that an earlier submission is still running.
 	InProgress
-	// Replay means that an earlier submission was answered and that the answer
+	// Replay means that an earlier submission was answered and that the response
 	// is retained.
 	Replay
-	// AnswerGone means that an earlier submission was answered, but its answer
-	// is no longer retained.
+	// AnswerGone means that an earlier submission was answered, but that the
+	// response is no longer retained.
 	AnswerGone
-	// OutcomeUnknown means that an earlier submission ended without an answer
+	// OutcomeUnknown means that an earlier submission ended without a response
 	// and may have run.
 	OutcomeUnknown
-	// Mismatch means that the key was used for a different request.
+	// Mismatch means that the key was already used for a different request.
 	Mismatch
 )
 
-// String names the verdict, as a tag of metrics.
+// String returns the name of the decision, used as a metric tag.
 func (v Verdict) String() string {
 	return [...]string{
 		"not-owner", "sealed", "owner-lost", "expired", "full", "run",
@@ -63,14 +66,14 @@
 	}[v]
 }
 
-// Limits bound a Table.
+// Limits are the size limits of a Table.
 type Limits struct {
-	// Claims bounds the claims in all, GroupClaims those of one group.
-	// Defaults: 65,536 and half of Claims.
+	// Claims is the maximum number of claims in total, GroupClaims the maximum
+	// per group. Defaults: 65,536 and half of Claims.
 	Claims      int
 	GroupClaims int
-	// AnswerBytes bounds the retained answers in all, GroupAnswerBytes those
-	// of one group. Defaults: 4 MiB and half of AnswerBytes.
+	// AnswerBytes is the maximum size of all retained answers, GroupAnswerBytes
+	// the maximum per group. Defaults: 4 MiB and half of AnswerBytes.
 	AnswerBytes      int
 	GroupAnswerBytes int
 }
@@ -78,8 +81,11 @@
 const (
 	defaultClaims      = 1 << 16
 	defaultAnswerBytes = 4 << 20
-	groupDivisor       = 2
-	// maxImported bounds the earlier owners whose claims a table holds.
+	// groupDivisor sets the default limit per group: the total limit divided by
+	// groupDivisor.
+	groupDivisor = 2
+	// maxPriorOwners is the maximum number of earlier owners whose claims a table
+	// holds.
 	maxPriorOwners = 1024
 )
 
@@ -99,6 +105,7 @@
 	return l
 }
 
+// state is the state of a claim.
 type state uint8
 
 const (
@@ -107,33 +114,39 @@
 	outcomeUnknown
 )
 
-// claim is what the owner remembers of one key.
+// claim records that a key was used, and the outcome of its request.
 type claim struct {
 	id     ID
 	group  model.GroupName
 	digest Digest
 	state  state
+	// answer is the retained answer, or nil.
 	answer *Answer
-	size   int
-	// place is the claim's index in the heap.
+	// size is the size of the answer in bytes.
+	size int
+	// heapIndex is the claim's index in Table.byStamp.
 	heapIndex int
 }
 
 // Table holds the claims of one owner. It is not safe for concurrent use.
 type Table struct {
-	self        Owner
-	limits      Limits
-	claims      map[ID]*claim
-	byStamp     stampHeap
-	groups      map[model.GroupName]int
-	answers     *answerCache
-	sealed      bool
-	floor       Stamp
+	self    Owner
+	limits  Limits
+	claims  map[ID]*claim
+	byStamp stampHeap
+	// groups holds the number of claims of each group.
+	groups  map[model.GroupName]int
+	answers *answerCache
+	sealed  bool
+	// floor is the timestamp below which claims have been deleted.
+	floor Stamp
+	// priorOwners holds the earlier owners, by incarnation, whose claims were
+	// imported completely.
 	priorOwners map[uint64]earlier
 	mutation    mutation
 }
 
-// NewTable returns the empty table of an owner.
+// NewTable returns an empty table for an owner.
 func NewTable(self Owner, limits Limits) *Table {
 	limits = limits.withDefaults()
 	return &Table{
@@ -146,17 +159,17 @@
 	}
 }
 
-// Self returns the owner whose table it is.
+// Self returns the owner of the table.
 func (t *Table) Self() Owner { return t.self }
 
 // Len returns the number of claims.
 func (t *Table) Len() int { return len(t.claims) }
 
-// AnswerBytes returns the bytes of the retained answers.
+// AnswerBytes returns the total size of the retained answers.
 func (t *Table) AnswerBytes() int { return t.answers.usedBytes }
 
-// Begin decides on a submission. After Run the caller must call Finish once the
-// request has ended. The Answer is set with Replay only.
+// Begin decides on a submission. After Run the caller must call Finish when the
+// request has ended. The Answer is non-nil only with Replay.
 func (t *Table) Begin(l *Ledger, r Request) (Verdict, *Answer) {
 	if t.sealed && t.mutation != ignoreSeal {
 		return Sealed, nil
@@ -186,6 +199,7 @@
 	return Run, nil
 }
 
+// owns reports whether the given owner is the owner of this table.
 func (t *Table) owns(o Owner) bool {
 	if t.mutation == ignoreIncarnation {
 		return o.Daemon == t.self.Daemon
@@ -193,9 +207,9 @@
 	return o == t.self
 }
 
-// floorOf returns the stamp below which claims of an interval may have been
-// dropped, by this owner or an earlier one. It returns false when the claims of
-// an earlier owner are missing.
+// floorOf returns the timestamp below which this owner or an earlier one may have
+// deleted claims, for an interval that the given incarnations owned before. It
+// returns false if the claims of one of them are missing.
 func (t *Table) floorOf(incarnations []uint64) (Stamp, bool) {
 	floor := t.floor
 	if t.mutation == ignoreFloor {
@@ -214,6 +228,7 @@
 	return floor, true
 }
 
+// decisionFor returns the decision on a further submission of the claimed key.
 func (c *claim) decisionFor(d Digest) (Verdict, *Answer) {
 	switch {
 	case c.digest != d:
@@ -229,9 +244,9 @@
 	}
 }
 
-// Finish records how the run of a claim ended. A request that provably did not
-// run gives its claim back, so that a retry can run it. The answer may be nil
-// when it is too large to retain.
+// Finish records the outcome of a request that Begin allowed to run. If the
+// request certainly did not run, its claim is deleted, so that a retry can run
+// it. The answer may be nil if it is too large to retain.
 func (t *Table) Finish(id ID, kind outcome.Kind, a *Answer) {
 	c := t.claims[id]
 	if c == nil || c.state != running {
@@ -253,8 +268,8 @@
 	}
 }
 
-// Expire drops the claims of stamps below floor. Their keys, and all others
-// with such stamps, are answered Expired from then on.
+// Expire deletes the claims with timestamps below floor. From then on Begin
+// returns Expired for all keys with such timestamps.
 func (t *Table) Expire(floor Stamp) {
 	if floor <= t.floor {
 		return
@@ -286,7 +301,7 @@
 	}
 }
 
-// stampHeap orders claims by the stamps of their keys.
+// stampHeap is a min-heap of claims, ordered by the timestamps of their keys.
 type stampHeap []*claim
 
 // Len implements heap.Interface.
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -13,7 +13,8 @@
 
 var self = Owner{Daemon: "127.0.0.1:7001", Life: 11}
 
-// owning returns a Ledger in which an owner holds every stamp below until.
+// ledgerOwnedBy returns a Ledger with one range, in which an owner holds all
+// timestamps below until.
 func ledgerOwnedBy(o Owner, until Stamp) *Ledger {
 	l := NewLedger(1, 0)
 	l.Apply(0, Record{Grant: &Grant{Owner: o, Until: until, Extensions: []Extension{{}}}})
@@ -39,8 +40,8 @@
 	changed := r
 	changed.Digest[0]++
 	require.Equal(t, Mismatch, begin(changed))
-	require.Equal(t, Run, begin(newRequest(50, 1, "sorter-2")), "another caller's key is another key")
-	require.Equal(t, NotOwner, begin(newRequest(100, 1, "sorter-1")), "beyond the grant")
+	require.Equal(t, Run, begin(newRequest(50, 1, "sorter-2")), "the same key of another caller is independent")
+	require.Equal(t, NotOwner, begin(newRequest(100, 1, "sorter-1")), "timestamp beyond the grant")
 	table.Expire(51)
 	require.Equal(t, Expired, begin(r))
 	require.Zero(t, table.Len())
@@ -73,7 +74,7 @@
 	other := newRequest(50, 9, "")
 	other.Group = "members"
 	v, _ := table.Begin(l, other)
-	require.Equal(t, Run, v, "a full group leaves room to the others")
+	require.Equal(t, Run, v, "a full group leaves capacity for other groups")
 }
 
 func TestTableEvictsAnswersOfLargestGroup(t *testing.T) {
@@ -123,7 +124,7 @@
 	v, _ = to.Begin(l, inFlight)
 	require.Equal(t, OutcomeUnknown, v)
 	v, _ = to.Begin(l, newRequest(39, 4, "a"))
-	require.Equal(t, Expired, v, "the earlier owner may have dropped it")
+	require.Equal(t, Expired, v, "the earlier owner may have deleted the claim")
 	v, _ = to.Begin(l, fresh)
 	require.Equal(t, Run, v)
 }
@@ -212,13 +213,14 @@
 	require.Len(t, covered(), 3)
 	appends = 0
 	run(daemons, 10*time.Minute)
-	require.LessOrEqual(t, appends, 3*21, "each owner renews all its ranges in one record per half grant")
+	require.LessOrEqual(t, appends, 3*21, "each owner renews all its ranges with one record per half of the grant length")
 	run(daemons[:2], 2*time.Minute)
-	require.Len(t, covered(), 2, "the ranges of a silent owner move on without a gap")
+	require.Len(t, covered(), 2, "other daemons take over the ranges of a silent owner without a gap")
 }
 
-// The daemon that starts first knows no other candidate. Before it asked for a
-// part of a grant only, it owned every range for a whole one.
+// TestPlannerStartedFirstLeavesRangesToOthers guards against the daemon that
+// starts first, and does not know other candidates yet, owning every range for a
+// full grant length. The short grants during startup prevent this.
 func TestPlannerStartedFirstLeavesRangesToOthers(t *testing.T) {
 	const grant = 60 * time.Second
 	l := NewLedger(64, 0)
@@ -257,7 +259,7 @@
 	p.SetCandidates([]model.DaemonID{self.Daemon})
 	require.Len(t, p.Plan(l, 1000).Extensions, 4)
 	l.Reset(7)
-	require.Nil(t, p.Plan(l, 1000), "a ledger that is not proven cannot tell the frontier")
+	require.Nil(t, p.Plan(l, 1000), "the frontier is unknown before a checkpoint is restored")
 }
 
 func BenchmarkBegin(b *testing.B) {
