--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -54,14 +54,17 @@
 	limits  Limits
 	reports reportTable
 
-	demand   float64
+	// demand is the moving average of arrivals per second.
+	demand float64
+	// arrivals counts the requests since lastTick, including refused ones.
 	arrivals int
 	inFlight int
 	lastTick model.Instant
 
 	// rate and slots are this daemon's shares of the limits.
-	rate       float64
-	slots      int
+	rate  float64
+	slots int
+	// tokens is the fill level of the token bucket that enforces rate.
 	tokens     float64
 	lastRefill model.Instant
 
@@ -72,7 +75,8 @@
 	hasReported    bool
 }
 
-// New returns a Ceiling. key is the hash of its Key.
+// New returns a Ceiling for the daemon self. The argument key is the hash of the
+// ceiling's Key.
 func New(now model.Instant, key uint64, self Daemon, limits Limits) *Ceiling {
 	c := &Ceiling{key: key, self: self, reports: reportTable{byDaemon: make(map[Daemon]receivedReport)}, lastTick: now, lastRefill: now}
 	c.SetLimits(limits)
--- a/core/ceiling/reports.go
+++ b/core/ceiling/reports.go
@@ -50,39 +50,39 @@
 
 // merge stores a report. It returns false when the report is not newer than the
 // stored one, or when its daemon is unknown and the table is full.
-func (l *reportTable) merge(now model.Instant, r Report) bool {
-	old, known := l.byDaemon[r.Daemon]
+func (t *reportTable) merge(now model.Instant, r Report) bool {
+	old, known := t.byDaemon[r.Daemon]
 	if known && old.Stamp >= r.Stamp {
 		return false
 	}
-	if !known && len(l.byDaemon) >= maxDaemons {
+	if !known && len(t.byDaemon) >= maxDaemons {
 		return false
 	}
-	l.byDaemon[r.Daemon] = receivedReport{Report: r, at: now}
+	t.byDaemon[r.Daemon] = receivedReport{Report: r, at: now}
 	return true
 }
 
 // expire marks or deletes old reports. Reports of self never expire.
-func (l *reportTable) expire(now model.Instant, self Daemon) {
-	for d, h := range l.byDaemon {
-		age := now.Sub(h.at)
+func (t *reportTable) expire(now model.Instant, self Daemon) {
+	for d, report := range t.byDaemon {
+		age := now.Sub(report.at)
 		switch {
 		case d == self || age <= expireAfter:
 		case age > deleteAfter:
-			delete(l.byDaemon, d)
+			delete(t.byDaemon, d)
 		default:
-			h.expired = true
-			l.byDaemon[d] = h
+			report.expired = true
+			t.byDaemon[d] = report
 		}
 	}
 }
 
 // demandOfOthers returns the sum of the unexpired demand of all other daemons.
-func (l *reportTable) demandOfOthers(self Daemon) float64 {
+func (t *reportTable) demandOfOthers(self Daemon) float64 {
 	sum := 0.0
-	for d, h := range l.byDaemon {
-		if d != self && !h.expired {
-			sum += float64(h.Demand)
+	for d, report := range t.byDaemon {
+		if d != self && !report.expired {
+			sum += float64(report.Demand)
 		}
 	}
 	return sum
@@ -93,30 +93,30 @@
 // exact share rounded down, and the remaining slots go to the daemons with the
 // largest remainders. Daemons that hold the same reports thus compute slots that
 // add up to total.
-func (l *reportTable) slotsOf(self Daemon, total int) int {
+func (t *reportTable) slotsOf(self Daemon, total int) int {
 	type share struct {
 		daemon    Daemon
 		whole     int
 		remainder float64
 	}
 	sum := 0.0
-	for _, h := range l.byDaemon {
-		if !h.expired {
-			sum += float64(h.Demand)
+	for _, report := range t.byDaemon {
+		if !report.expired {
+			sum += float64(report.Demand)
 		}
 	}
 	if sum <= 0 {
 		return 0
 	}
-	shares := make([]share, 0, len(l.byDaemon))
-	left := total
-	for d, h := range l.byDaemon {
-		if h.expired {
+	shares := make([]share, 0, len(t.byDaemon))
+	remaining := total
+	for d, report := range t.byDaemon {
+		if report.expired {
 			continue
 		}
-		exact := float64(total) * float64(h.Demand) / sum
+		exact := float64(total) * float64(report.Demand) / sum
 		shares = append(shares, share{daemon: d, whole: int(exact), remainder: exact - float64(int(exact))})
-		left -= int(exact)
+		remaining -= int(exact)
 	}
 	slices.SortFunc(shares, func(a, b share) int {
 		return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(a.daemon, b.daemon))
@@ -125,7 +125,7 @@
 		if p.daemon != self {
 			continue
 		}
-		if i < left {
+		if i < remaining {
 			return p.whole + 1
 		}
 		return p.whole
