--- a/core/member/delta.go
+++ b/core/member/delta.go
@@ -4,28 +4,29 @@
 // only for its first estimate of the number of records that fit.
 const typicalRecordBytes = 32
 
-// ApplyAll applies records and returns how many of them replaced an older record
-// or were new.
+// ApplyAll applies records and returns how many of them took effect. A record
+// takes effect if it is the first for its id or takes precedence over the stored
+// one.
 func (d *Directory) ApplyAll(r Records) int {
-	won := 0
+	applied := 0
 	for _, e := range r.Events {
 		if d.Apply(e) {
-			won++
+			applied++
 		}
 	}
 	for _, l := range r.Lives {
 		if d.ApplyLiveness(l) {
-			won++
+			applied++
 		}
 	}
-	return won
+	return applied
 }
 
 // Digest returns the bucket hashes of all events and liveness records, for
 // comparison by Delta on another daemon.
 func (d *Directory) Digest() []byte {
 	b := d.events.appendDigest(make([]byte, 0, 2*tableDigestSize))
-	return d.lives.appendDigest(b)
+	return d.liveness.appendDigest(b)
 }
 
 // Delta returns encoded records that the sender of a digest may lack, in at most
@@ -38,9 +39,9 @@
 		return nil
 	}
 	events := d.events.differing(digest[:tableDigestSize])
-	lives := d.lives.differing(digest[tableDigestSize:])
-	for n := max(1, limit/typicalRecordBytes); n > 0 && len(events)+len(lives) > 0; n /= 2 {
-		r := Records{Events: selectRotating(events, n, d.deltaCursor), Lives: selectRotating(lives, n, d.deltaCursor)}
+	liveness := d.liveness.differing(digest[tableDigestSize:])
+	for n := max(1, limit/typicalRecordBytes); n > 0 && len(events)+len(liveness) > 0; n /= 2 {
+		r := Records{Events: selectRotating(events, n, d.deltaCursor), Lives: selectRotating(liveness, n, d.deltaCursor)}
 		if data := r.Encode(); len(data) <= limit {
 			d.deltaCursor += n
 			return data
@@ -49,8 +50,9 @@
 	return nil
 }
 
-// selectRotating returns at most n records: the first quarter of them from the front,
-// the others from where turn points to.
+// selectRotating returns at most n of the given records: n/4 from the front, and
+// the others from the remaining records, starting at index start and wrapping
+// around.
 func selectRotating[V any](all []V, n, start int) []V {
 	if len(all) <= n {
 		return all
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -45,7 +45,7 @@
 type Directory struct {
 	opts     Options
 	events   table[model.UpstreamID, Event]
-	lives    table[model.DaemonID, Liveness]
+	liveness table[model.DaemonID, Liveness]
 	services map[model.ServiceName]*service
 	// suspectedSince and deadSince hold the time at which a daemon became
 	// suspect or dead.
@@ -58,12 +58,15 @@
 	upstreamsPerDaemon map[model.DaemonID]int
 	// unlogged holds the events that have not yet been read from the log, with
 	// the time at which they arrived.
-	unlogged    map[model.UpstreamID]model.Instant
+	unlogged map[model.UpstreamID]model.Instant
+	// incarnation is the current incarnation number of Self.
 	incarnation model.Incarnation
+	// now and wallSeconds are the times passed to the last Tick.
 	now         model.Instant
 	wallSeconds int64
-	started     bool
-	startedAt   model.Instant
+	// startedAt is the time of the first Tick; started is set from then on.
+	started   bool
+	startedAt model.Instant
 	// lastSweep is when all records were last scanned.
 	lastSweep model.Instant
 	// deltaCursor is where the next Delta continues in its rotation through
@@ -100,7 +103,7 @@
 	return &Directory{
 		opts:               o,
 		events:             newTable[model.UpstreamID, Event](eventHash),
-		lives:              newTable[model.DaemonID, Liveness](livenessHash),
+		liveness:           newTable[model.DaemonID, Liveness](livenessHash),
 		services:           make(map[model.ServiceName]*service),
 		suspectedSince:     make(map[model.DaemonID]model.Instant),
 		deadSince:          make(map[model.DaemonID]model.Instant),
@@ -119,8 +122,9 @@
 func (d *Directory) Len() int { return d.events.len() }
 
 // Announce applies an event of an upstream that belongs to Self, and reports
-// whether it took precedence. If other daemons already hold a later state for
-// the same incarnation, the event gets a higher epoch to override it.
+// whether it took effect. If the Directory holds a later state of the same
+// incarnation that Self did not announce, the event gets a higher epoch to
+// override that state.
 func (d *Directory) Announce(e Event) bool {
 	e.Unix = d.wallSeconds
 	if old, ok := d.events.get(e.Upstream.ID); ok && old.Upstream.Incarnation == e.Upstream.Incarnation {
@@ -134,15 +138,15 @@
 	} else {
 		d.announced[e.Upstream.ID] = e
 	}
-	won := d.Apply(e)
+	applied := d.Apply(e)
 	if d.opts.Self != "" && d.upstreamsPerDaemon[d.opts.Self] > 0 {
 		d.setLiveness(Liveness{Daemon: d.opts.Self, Life: d.incarnation, Health: Alive})
 	}
-	return won
+	return applied
 }
 
-// Apply applies an event and reports whether it took precedence over the stored
-// event.
+// Apply applies an event and reports whether it took effect. It rejects an event
+// that is invalid or does not take precedence over the stored event.
 func (d *Directory) Apply(e Event) bool {
 	if !e.valid() {
 		return false
@@ -177,7 +181,7 @@
 		return
 	}
 	delete(d.upstreamsPerDaemon, u.Daemon)
-	d.lives.remove(u.Daemon)
+	d.liveness.remove(u.Daemon)
 	delete(d.suspectedSince, u.Daemon)
 	delete(d.deadSince, u.Daemon)
 }
@@ -213,16 +217,17 @@
 // refute overrides an event that claims a state for an upstream of Self which
 // Self did not announce. It announces the upstream again with a higher epoch.
 func (d *Directory) refute(e Event) {
-	mine, ok := d.announced[e.Upstream.ID]
-	if !ok || !e.newer(mine) || mine.Upstream.Incarnation != e.Upstream.Incarnation {
+	own, ok := d.announced[e.Upstream.ID]
+	if !ok || !e.newer(own) || own.Upstream.Incarnation != e.Upstream.Incarnation {
 		return
 	}
-	mine.Epoch = e.Epoch + 1
-	mine.Unix = d.wallSeconds
-	d.announced[e.Upstream.ID] = mine
-	d.Apply(mine)
+	own.Epoch = e.Epoch + 1
+	own.Unix = d.wallSeconds
+	d.announced[e.Upstream.ID] = own
+	d.Apply(own)
 }
 
+// index adds an upstream to the index of its service unless it has left.
 func (d *Directory) index(e Event) {
 	if e.State == Left {
 		return
@@ -236,6 +241,7 @@
 	s.sorted = nil
 }
 
+// unindex removes an upstream from the index of its service.
 func (d *Directory) unindex(e Event) {
 	s := d.services[e.Upstream.Service]
 	if s == nil {
@@ -262,6 +268,7 @@
 	return s.sorted
 }
 
+// buildView computes the result of Upstreams for a service.
 func (d *Directory) buildView(s *service) []model.Upstream {
 	all := make([]model.Upstream, 0, len(s.ids))
 	for id := range s.ids {
@@ -284,8 +291,8 @@
 // Logged records that an event was read from the log, so that Unlogged no longer
 // returns it.
 func (d *Directory) Logged(e Event) {
-	held, ok := d.events.get(e.Upstream.ID)
-	if ok && !held.newer(e) {
+	stored, ok := d.events.get(e.Upstream.ID)
+	if ok && !stored.newer(e) {
 		delete(d.unlogged, e.Upstream.ID)
 	}
 }
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -13,7 +13,7 @@
 // Health returns the health of a daemon. A daemon without a liveness record
 // counts as alive.
 func (d *Directory) Health(id model.DaemonID) Health {
-	if l, ok := d.lives.get(id); ok {
+	if l, ok := d.liveness.get(id); ok {
 		return l.Health
 	}
 	return Alive
@@ -22,7 +22,7 @@
 // Suspect marks a daemon as suspect because it did not respond. It returns false
 // if nothing changed. A daemon that is already suspect or dead is not changed.
 func (d *Directory) Suspect(id model.DaemonID) bool {
-	l, _ := d.lives.get(id)
+	l, _ := d.liveness.get(id)
 	if l.Health > Alive {
 		return false
 	}
@@ -32,17 +32,17 @@
 // Answered records that a daemon responded and which incarnation number it
 // reported. It returns false if that number was already known or the daemon has
 // no liveness record.
-func (d *Directory) Answered(id model.DaemonID, life model.Incarnation) bool {
-	l, known := d.lives.get(id)
-	if !known || life <= l.Life {
+func (d *Directory) Answered(id model.DaemonID, incarnation model.Incarnation) bool {
+	l, known := d.liveness.get(id)
+	if !known || incarnation <= l.Life {
 		return false
 	}
-	return d.ApplyLiveness(Liveness{Daemon: id, Life: life, Health: Alive})
+	return d.ApplyLiveness(Liveness{Daemon: id, Life: incarnation, Health: Alive})
 }
 
-// ApplyLiveness applies a liveness record and reports whether it took
-// precedence. A record that reports Self as suspect or dead is refuted: Self gets
-// a higher incarnation number.
+// ApplyLiveness applies a liveness record and reports whether it took effect.
+// Records of daemons without upstreams are ignored. A record that reports Self as
+// suspect or dead is refuted: Self gets a higher incarnation number.
 func (d *Directory) ApplyLiveness(l Liveness) bool {
 	if !l.valid() {
 		return false
@@ -60,12 +60,13 @@
 	return d.setLiveness(l)
 }
 
+// setLiveness stores a liveness record if it takes precedence over the stored one.
 func (d *Directory) setLiveness(l Liveness) bool {
-	old, known := d.lives.get(l.Daemon)
+	old, known := d.liveness.get(l.Daemon)
 	if known && !l.newer(old) {
 		return false
 	}
-	d.lives.set(l.Daemon, l)
+	d.liveness.set(l.Daemon, l)
 	d.trackHealth(l)
 	if (old.Health == Dead) != (l.Health == Dead) {
 		d.invalidateViews(l.Daemon)
@@ -127,7 +128,7 @@
 		if d.now.Sub(since) < d.opts.SuspicionTimeout {
 			continue
 		}
-		l, _ := d.lives.get(id)
+		l, _ := d.liveness.get(id)
 		l.Health = Dead
 		changed = d.ApplyLiveness(l) || changed
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -99,7 +99,7 @@
 
 func recordsOf(d *Directory) Records {
 	r := Records{Events: d.Events()}
-	for _, l := range d.lives.all() {
+	for _, l := range d.liveness.all() {
 		r.Lives = append(r.Lives, l)
 	}
 	return r
@@ -180,7 +180,7 @@
 	for id := range d.deadSince {
 		out = append(out, "dead "+string(id))
 	}
-	for id := range d.lives.rows {
+	for id := range d.liveness.rows {
 		out = append(out, "life "+string(id))
 	}
 	for id := range d.unlogged {
--- a/core/member/subset.go
+++ b/core/member/subset.go
@@ -36,8 +36,8 @@
 	}
 	slices.Sort(chosen)
 	out := make([]model.Upstream, n)
-	for i, at := range chosen {
-		out[i] = all[at]
+	for i, index := range chosen {
+		out[i] = all[index]
 	}
 	return out
 }
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -17,7 +17,8 @@
 	rows   map[K]row[V]
 	hashOf func(V) uint64
 	hashes [buckets]uint64
-	seq    uint64
+	// seq is the number of calls to set so far.
+	seq uint64
 }
 
 // row is a record with its insertion number.
@@ -53,8 +54,8 @@
 	}
 }
 
-// all iterates over the records in random order. Records may be set and removed
-// during the iteration.
+// all iterates over the records in unspecified order. Records may be set and
+// removed during the iteration.
 func (t *table[K, V]) all() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for k, r := range t.rows {
@@ -97,6 +98,8 @@
 	return out
 }
 
+// eventHash returns a hash of the fields that determine the precedence of an
+// event.
 func eventHash(e Event) uint64 {
 	u := e.Upstream
 	b := make([]byte, 0, 64)
@@ -106,6 +109,7 @@
 	return xxhash.Sum64(append(b, byte(e.State)))
 }
 
+// livenessHash returns a hash of a liveness record.
 func livenessHash(l Liveness) uint64 {
 	b := make([]byte, 0, 64)
 	b = append(b, l.Daemon...)
