--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -18,7 +18,8 @@
 const (
 	// chainPrefixSize is the number of bytes of the hash chain in a digest.
 	chainPrefixSize = 8
-	digestSize      = 8 + 8 + chainPrefixSize + 8 + 8
+	// digestSize is the size of an encoded digest, which has five fields.
+	digestSize = 8 + 8 + chainPrefixSize + 8 + 8
 	// chunkHeaderSize is the size of the header of a chunk: the kind of delta, the
 	// checkpoint's id and size, and the offset of the chunk in the checkpoint.
 	chunkHeaderSize = 1 + 8 + 8 + 8
@@ -41,9 +42,11 @@
 // digest summarizes the state of a Folder, so that another daemon can determine
 // which records it lacks.
 type digest struct {
-	next         uint64
-	version      uint64
-	chain        [chainPrefixSize]byte
+	next    uint64
+	version uint64
+	chain   [chainPrefixSize]byte
+	// partialID is the id of the checkpoint that the Folder is receiving, and
+	// partialBytes how much of it has been received.
 	partialID    uint64
 	partialBytes uint64
 }
@@ -101,8 +104,6 @@
 	return m.chunk(d, limit)
 }
 
-// encodeRecords returns a delta with as many records as fit into limit bytes, or
-// nil if not even one fits.
 // encodeRecords returns a delta with as many records as fit into limit bytes, or
 // nil if not even one fits.
 func encodeRecords(first uint64, records []recentRecord, limit int) []byte {
@@ -181,6 +182,7 @@
 	}
 }
 
+// applyRecords applies a delta of kind deltaRecords.
 func (m *Folder) applyRecords(delta []byte) ([]Result, error) {
 	first, records, err := decodeRecords(delta)
 	if err != nil {
@@ -195,6 +197,7 @@
 	return out, nil
 }
 
+// decodeRecords returns the records of a delta and the offset of the first one.
 func decodeRecords(delta []byte) (first uint64, records [][]byte, err error) {
 	if len(delta) < recordsHeaderSize {
 		return 0, nil, errDelta
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -19,21 +19,28 @@
 // append concurrently, a checkpoint writer that may pause, and two daemons that
 // read the log, exchange deltas and restart.
 type world struct {
-	log              [][]byte
-	oldest           int
+	log [][]byte
+	// oldest is the offset of the oldest record that the log keeps.
+	oldest int
+	// writerCheckpoint is the checkpoint that the paused writer will append, and
+	// writerState the state that it contains.
 	writerCheckpoint []byte
 	writerState      State
 	daemons          [2]*Folder
 	// expected holds, for each prefix of the log, the state that the rules
 	// prescribe, computed without the code under test.
 	expected []expectedState
-	steps    []string
+	// steps are the names of the actions that led to this state.
+	steps []string
 }
 
+// expectedState is the state that the rules prescribe.
 type expectedState struct {
 	version model.Version
-	last    string
-	seen    string
+	// lastAccepted is the ID of the last accepted change.
+	lastAccepted string
+	// seenIDs is the concatenation of the IDs of all changes.
+	seenIDs string
 }
 
 func (w *world) clone() *world {
@@ -49,19 +56,22 @@
 	return &c
 }
 
+// append appends a record to the log and computes the expected state after it. The
+// id is empty for a record that is not a change.
 func (w *world) append(record []byte, id string, base model.Version) {
 	s := w.expected[len(w.expected)-1]
-	if id != "" && !strings.Contains(s.seen, id) {
-		s.seen += id
+	if id != "" && !strings.Contains(s.seenIDs, id) {
+		s.seenIDs += id
 		if base == s.version {
 			s.version++
-			s.last = id
+			s.lastAccepted = id
 		}
 	}
 	w.log = append(w.log, record)
 	w.expected = append(w.expected, s)
 }
 
+// write appends a change.
 func (w *world) write(id string, base model.Version) {
 	record, _, err := EncodeChange(Change{ID: id, Base: base, Put: map[DocumentKey]json.RawMessage{"Service/s": json.RawMessage(`"` + id + `"`)}})
 	if err != nil {
@@ -88,6 +98,7 @@
 // different states.
 var checkpoints = map[string][]byte{}
 
+// encoded returns the encoded checkpoint of a state.
 func encoded(s State) []byte {
 	key := fmt.Sprintf("%d %x %v", s.Next, s.Chain, s.IDs)
 	if checkpoints[key] == nil {
@@ -151,8 +162,8 @@
 			return fmt.Errorf("daemon %d has applied more records than the log holds", i)
 		}
 		s := w.expected[d.Next()]
-		if d.Version() != s.version || d.state.ChangeID != s.last {
-			return fmt.Errorf("daemon %d at offset %d has version %d of %s, want %d of %s", i, d.Next(), d.Version(), d.state.ChangeID, s.version, s.last)
+		if d.Version() != s.version || d.state.ChangeID != s.lastAccepted {
+			return fmt.Errorf("daemon %d at offset %d has version %d of %s, want %d of %s", i, d.Next(), d.Version(), d.state.ChangeID, s.version, s.lastAccepted)
 		}
 		if old := before.daemons[i]; !(restarted && i == 1) && (d.Version() < old.Version() || d.Next() < old.Next()) {
 			return fmt.Errorf("daemon %d went back from %d to %d", i, old.Version(), d.Version())
@@ -161,6 +172,7 @@
 	return nil
 }
 
+// key returns a string that is equal for equivalent states of the model.
 func (w *world) key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d|%d|%x|", len(w.log), w.oldest, hashID(string(w.writerCheckpoint)))
@@ -173,8 +185,11 @@
 	return b.String()
 }
 
+// modelDepth is the number of actions in the longest histories explored.
 const modelDepth = 6
 
+// TestShortHistoriesMatchSpecification explores all histories of up to modelDepth
+// actions, breadth first, and checks every state reached.
 func TestShortHistoriesMatchSpecification(t *testing.T) {
 	first := &world{expected: make([]expectedState, 1), daemons: [2]*Folder{NewFolder(nil), NewFolder(nil)}}
 	seen := map[string]bool{first.key(): true}
@@ -206,11 +221,11 @@
 // runs TestShortHistoriesMatchSpecification on the result, which must fail.
 func TestModelDetectsMissingChecks(t *testing.T) {
 	for name, m := range map[string]struct{ file, old, new string }{
-		"base not compared":         {"statemachine.go", "if c.Base < m.state.Version {", "if false {"},
-		"base ahead not refused":    {"statemachine.go", "if c.Base > m.state.Version {", "if false {"},
-		"duplicates not recognised": {"statemachine.go", "if slices.Contains(m.state.IDs, hashID(c.ID)) {", "if false {"},
-		"gap in the log ignored":    {"statemachine.go", "if offset != m.state.Next {", "if false {"},
-		"older state adopted":       {"statemachine.go", "if s.Next <= m.state.Next {", "if false {"},
+		"base not compared":                 {"statemachine.go", "if c.Base < m.state.Version {", "if false {"},
+		"base that does not exist accepted": {"statemachine.go", "if c.Base > m.state.Version {", "if false {"},
+		"duplicates not recognised":         {"statemachine.go", "if slices.Contains(m.state.IDs, hashID(c.ID)) {", "if false {"},
+		"gap in the log ignored":            {"statemachine.go", "if offset != m.state.Next {", "if false {"},
+		"older state adopted":               {"statemachine.go", "if s.Next <= m.state.Next {", "if false {"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/core/config/recent.go
+++ b/core/config/recent.go
@@ -10,6 +10,7 @@
 	bytes int
 }
 
+// recentRecord is an applied record. The data of an ignored record is empty.
 type recentRecord struct {
 	data []byte
 	// chainBefore is the hash chain before the record was applied.
@@ -21,7 +22,6 @@
 	maxRecentBytes   = 512 << 10
 )
 
-// add appends a record and removes the oldest ones beyond the limits.
 // add appends a record and removes the oldest ones beyond the limits.
 func (r *recent) add(offset uint64, data []byte, chainBefore Digest) {
 	if len(r.records) == 0 {
--- a/core/config/record.go
+++ b/core/config/record.go
@@ -75,7 +75,6 @@
 	return len(record) >= headerSize && record[0] == recordMagic && record[2] == kindSnapshot
 }
 
-// encodeRecord returns the payload with a header, and the digest of the payload.
 // encodeRecord returns the payload with a header, and the digest of the payload.
 func encodeRecord(kind byte, payload []byte) ([]byte, Digest) {
 	digest := Digest(sha256.Sum256(payload))
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -37,7 +37,6 @@
 	return s
 }
 
-// size returns the total size of the documents and their keys.
 // size returns the total size of the documents and their keys.
 func (s State) size() int {
 	n := 0
--- a/core/config/statemachine.go
+++ b/core/config/statemachine.go
@@ -20,10 +20,13 @@
 type Folder struct {
 	validate Validate
 	state    State
-	size     int
-	recent   recent
-	cached   cachedCheckpoint
-	partial  partialCheckpoint
+	// size is the total size of the documents and their keys.
+	size   int
+	recent recent
+	// cached is the checkpoint that is sent to other daemons.
+	cached cachedCheckpoint
+	// partial is a checkpoint that is being received from another daemon.
+	partial partialCheckpoint
 }
 
 // checkpointInterval is the number of records between two states that are cached
@@ -68,9 +71,7 @@
 }
 
 // applyChange decodes the change in a record, decides on it, and applies it if it
-// is accepted.
-// applyChange decodes the change in a record, decides on it, and applies it if it
-// is accepted.
+// is accepted. It ignores records without a change.
 func (m *Folder) applyChange(record []byte) Result {
 	kind, payload, digest, err := parseRecord(record)
 	if err != nil {
@@ -95,7 +96,6 @@
 
 var errFutureBase = errors.New("the base version does not exist yet")
 
-// decide returns the decision on a change, with the reason if it is Invalid.
 // decide returns the decision on a change, with the reason if it is Invalid.
 func (m *Folder) decide(c Change) (Verdict, error) {
 	if slices.Contains(m.state.IDs, hashID(c.ID)) {
@@ -129,8 +129,6 @@
 	return n
 }
 
-// storedSize returns the size of a key and its document, or 0 if there is no such
-// document.
 // storedSize returns the size of a key and its document, or 0 if there is no such
 // document.
 func (m *Folder) storedSize(k DocumentKey) int {
@@ -152,7 +150,6 @@
 	return keys
 }
 
-// accept applies an accepted change to the state.
 // accept applies an accepted change to the state.
 func (m *Folder) accept(c Change, digest Digest) {
 	m.size += m.sizeIncrease(c)
@@ -168,7 +165,6 @@
 	m.state.Author = c.Author
 }
 
-// recordID stores the ID of a change for the detection of duplicates.
 // recordID stores the ID of a change for the detection of duplicates.
 func (m *Folder) recordID(id string) {
 	if len(m.state.IDs) >= maxIDs {
--- a/core/config/statemachine_test.go
+++ b/core/config/statemachine_test.go
@@ -13,6 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// record encodes a change as a log record.
 func record(t testing.TB, c Change) []byte {
 	t.Helper()
 	r, _, err := EncodeChange(c)
@@ -24,6 +25,7 @@
 	return map[DocumentKey]json.RawMessage{DocumentKey(key): json.RawMessage(text)}
 }
 
+// rejectBad is a Validate function that rejects the document "bad".
 func rejectBad(docs map[DocumentKey]json.RawMessage) error {
 	for _, d := range docs {
 		if string(d) == `"bad"` {
@@ -54,14 +56,14 @@
 		"too large":               {full, []Verdict{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := NewFolder(rejectBad)
+			m := NewFolder(rejectBad)
 			var got []Verdict
 			for i, change := range c.changes {
-				got = append(got, f.Fold(uint64(i), record(t, change)).Verdict)
+				got = append(got, m.Fold(uint64(i), record(t, change)).Verdict)
 			}
 			require.Equal(t, c.want, got)
-			require.Equal(t, c.version, f.Version())
-			require.EqualValues(t, len(c.changes), f.Next())
+			require.Equal(t, c.version, m.Version())
+			require.EqualValues(t, len(c.changes), m.Next())
 		})
 	}
 }
@@ -72,54 +74,54 @@
 	damaged[len(damaged)-1] ^= 1
 	newer := append([]byte(nil), good...)
 	newer[1] = 9
-	f := NewFolder(nil)
+	m := NewFolder(nil)
 	for i, r := range [][]byte{nil, []byte("{}"), damaged, newer} {
-		res := f.Fold(uint64(i), r)
+		res := m.Fold(uint64(i), r)
 		require.Equal(t, Ignored, res.Verdict)
 		require.Error(t, res.Problem)
 	}
-	require.Equal(t, OutOfOrder, f.Fold(9, good).Verdict)
-	require.Equal(t, Accepted, f.Fold(4, good).Verdict)
+	require.Equal(t, OutOfOrder, m.Fold(9, good).Verdict)
+	require.Equal(t, Accepted, m.Fold(4, good).Verdict)
 }
 
 func TestStateIsAdoptedOnlyIfNewer(t *testing.T) {
-	f := NewFolder(nil)
-	f.Fold(0, record(t, Change{ID: "1"}))
-	f.Fold(1, record(t, Change{ID: "2", Base: 1}))
-	ahead := f.State()
+	m := NewFolder(nil)
+	m.Fold(0, record(t, Change{ID: "1"}))
+	m.Fold(1, record(t, Change{ID: "2", Base: 1}))
+	ahead := m.State()
 	ahead.Next = 9
 	other := ahead
 	other.Chain[0] ^= 1
 	older := ahead
 	older.Version = 1
-	require.ErrorIs(t, f.Adopt(f.State()), ErrStale)
-	require.ErrorIs(t, f.Adopt(other), ErrConflict)
-	require.ErrorIs(t, f.Adopt(older), ErrConflict)
-	require.NoError(t, f.Adopt(ahead))
-	require.EqualValues(t, 9, f.Next())
+	require.ErrorIs(t, m.Adopt(m.State()), ErrStale)
+	require.ErrorIs(t, m.Adopt(other), ErrConflict)
+	require.ErrorIs(t, m.Adopt(older), ErrConflict)
+	require.NoError(t, m.Adopt(ahead))
+	require.EqualValues(t, 9, m.Next())
 }
 
 func TestCheckpointThatLeavesAGapIsNotUsed(t *testing.T) {
 	writer := NewFolder(nil)
 	writer.Fold(0, record(t, Change{ID: "1"}))
-	late, err := writer.State().Checkpoint()
+	lateCheckpoint, err := writer.State().Checkpoint()
 	require.NoError(t, err)
 	fresh := NewFolder(nil)
 	require.True(t, fresh.Behind(2))
-	require.False(t, fresh.Recover(5, 2, late), "the log no longer keeps record 1")
-	require.False(t, fresh.Recover(0, 0, late), "its state is ahead of the offset of the checkpoint record")
-	require.True(t, fresh.Recover(5, 1, late))
+	require.False(t, fresh.Recover(5, 2, lateCheckpoint), "the log no longer keeps record 1")
+	require.False(t, fresh.Recover(0, 0, lateCheckpoint), "the state is ahead of the offset of the checkpoint record")
+	require.True(t, fresh.Recover(5, 1, lateCheckpoint))
 	require.EqualValues(t, 1, fresh.Version())
 }
 
 func TestReadCheckpointDetectsDamage(t *testing.T) {
-	f := NewFolder(nil)
-	f.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"x"`)}))
-	data, err := f.State().Checkpoint()
+	m := NewFolder(nil)
+	m.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"x"`)}))
+	data, err := m.State().Checkpoint()
 	require.NoError(t, err)
 	s, ok := ReadCheckpoint(data)
 	require.True(t, ok)
-	require.Equal(t, f.State(), s)
+	require.Equal(t, m.State(), s)
 	for i := range data {
 		damaged := append([]byte(nil), data...)
 		damaged[i] ^= 0x40
@@ -130,8 +132,8 @@
 
 func TestConflictIsDetectedAndNoDeltaSent(t *testing.T) {
 	a, b := NewFolder(nil), NewFolder(rejectBad)
-	for _, f := range []*Folder{a, b} {
-		f.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"bad"`)}))
+	for _, m := range []*Folder{a, b} {
+		m.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"bad"`)}))
 	}
 	a.Fold(1, record(t, Change{ID: "2", Base: 1}))
 	require.True(t, a.Conflicts(b.Digest()))
@@ -177,6 +179,8 @@
 	return delta
 }
 
+// exchangeRandomDelta sends a delta from one random daemon to another. The version
+// of the receiver must not decrease.
 func exchangeRandomDelta(t *rapid.T, daemons []*Folder) {
 	from, to := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to")
 	limit := rapid.SampledFrom([]int{100, 1000, 3000}).Draw(t, "limit")
@@ -215,12 +219,12 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f := NewFolder(rejectBad)
+		m := NewFolder(rejectBad)
 		for i, r := range records {
-			f.Fold(uint64(i), r)
+			m.Fold(uint64(i), r)
 		}
-		if f.Version() != changes {
-			b.Fatal(f.Version())
+		if m.Version() != changes {
+			b.Fatal(m.Version())
 		}
 	}
 	b.ReportMetric(float64(bytes)/changes, "bytes/change")
