--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -13,6 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// event returns a valid event for an upstream of service "s".
 func event(id, daemon string, incarnation model.Incarnation, s State) Event {
 	return Event{State: s, Upstream: model.Upstream{
 		ID: model.UpstreamID(id), Service: "s", Incarnation: incarnation, Daemon: model.DaemonID(daemon), Zone: "z", Slots: 1,
@@ -29,7 +30,7 @@
 
 func seconds(n int) model.Instant { return model.Instant(n) * model.Instant(time.Second) }
 
-func TestApplyKeepsWinningEvent(t *testing.T) {
+func TestApplyKeepsEventWithHighestPrecedence(t *testing.T) {
 	epoch := event("a", "d", 1, Joined)
 	epoch.Epoch = 1
 	for name, c := range map[string]struct {
@@ -97,6 +98,7 @@
 	require.Equal(t, []string{"a", "b"}, ids(observer.Upstreams("s")))
 }
 
+// recordsOf returns all records of a directory.
 func recordsOf(d *Directory) Records {
 	r := Records{Events: d.Events()}
 	for _, l := range d.liveness.all() {
@@ -111,8 +113,8 @@
 	for i := range 4 {
 		d.Apply(event(fmt.Sprint(i), fmt.Sprint("d", i), 1, Joined))
 	}
-	wantInView := []int{4, 3, 2, 4, 4}
-	for dead, want := range wantInView {
+	viewSizes := []int{4, 3, 2, 4, 4}
+	for dead, want := range viewSizes {
 		require.Len(t, d.Upstreams("s"), want, "%d dead", dead)
 		d.ApplyLiveness(Liveness{Daemon: model.DaemonID(fmt.Sprint("d", dead)), Life: 1, Health: Dead})
 	}
@@ -130,7 +132,7 @@
 	// An upstream of an earlier incarnation of this daemon is never announced.
 	d.Apply(event("old", "d", 1, Joined))
 	d.Tick(seconds(20), 1020)
-	require.Len(t, d.Upstreams("s"), 2, "it may still announce itself")
+	require.Len(t, d.Upstreams("s"), 2, "the upstream may still be announced during the grace period")
 	require.True(t, d.Tick(seconds(31), 1031))
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 
@@ -152,7 +154,7 @@
 	a.Tick(seconds(61), 1061)
 	b.Tick(seconds(61), 1051)
 	require.Zero(t, a.Len())
-	require.Equal(t, 1, b.Len(), "its clock is behind")
+	require.Equal(t, 1, b.Len(), "the clock of b is behind")
 	a.ApplyAll(recordsOf(b))
 	require.Zero(t, a.Len(), "a peer that still holds the tombstone does not reintroduce it")
 	require.Empty(t, a.upstreamsPerDaemon)
@@ -181,7 +183,7 @@
 		out = append(out, "dead "+string(id))
 	}
 	for id := range d.liveness.rows {
-		out = append(out, "life "+string(id))
+		out = append(out, "liveness "+string(id))
 	}
 	for id := range d.unlogged {
 		out = append(out, "unlogged "+string(id))
@@ -284,8 +286,8 @@
 		if err != nil {
 			return
 		}
-		again, err := Decode(r.Encode())
-		if err != nil || len(again.Events) != len(r.Events) || len(again.Lives) != len(r.Lives) {
+		redecoded, err := Decode(r.Encode())
+		if err != nil || len(redecoded.Events) != len(r.Events) || len(redecoded.Lives) != len(r.Lives) {
 			t.Fatalf("decoding the re-encoded records: %v", err)
 		}
 	})
