--- a/core/calltoken/token.go
+++ b/core/calltoken/token.go
@@ -106,6 +106,7 @@
 	return append(b, mac.Sum(nil)[:macBytes]...)
 }
 
+// parse decodes the body of a token whose signature has been verified.
 func parse(b []byte) (Token, error) {
 	if len(b) < 2 || b[0] != formatVersion {
 		return Token{}, &Error{Reason: fmt.Sprintf("unknown format, want %d", formatVersion)}
--- a/core/calltoken/token_test.go
+++ b/core/calltoken/token_test.go
@@ -58,9 +58,9 @@
 			require.EqualError(t, err, tt.want)
 		})
 	}
-	var none *Signer
-	require.Empty(t, none.Sign(sampleToken()))
-	_, err := none.Verify(s.Sign(sampleToken()))
+	var nilSigner *Signer
+	require.Empty(t, nilSigner.Sign(sampleToken()))
+	_, err := nilSigner.Verify(s.Sign(sampleToken()))
 	require.Error(t, err)
 	require.Nil(t, NewSigner(""), "no secret")
 }
