--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -19,18 +19,25 @@
 // fleet simulates several daemons that share one ceiling, in virtual time. Once
 // per second each daemon exchanges reports with one random peer.
 type fleet struct {
-	rng             *rand.Rand
-	now             model.Instant
-	daemons         []*Ceiling
-	demand          []float64
+	rng     *rand.Rand
+	now     model.Instant
+	daemons []*Ceiling
+	// demand is the number of requests per second that arrive at each daemon.
+	demand []float64
+	// pendingArrivals holds, for each daemon, the fraction of a request that is
+	// carried over to the next step.
 	pendingArrivals []float64
-	holdTime        time.Duration
-	completions     []completion
-	admitted        []int // number of admitted requests in each second
-	maxInFlight     int   // maximum of inFlight
-	inFlight        int
+	// holdTime is the duration of each request.
+	holdTime    time.Duration
+	completions []completion
+	// admitted is the number of admitted requests in each second.
+	admitted []int
+	// inFlight is the number of requests in flight at all daemons.
+	inFlight    int
+	maxInFlight int
 }
 
+// completion is the end of an admitted request.
 type completion struct {
 	at     model.Instant
 	daemon *Ceiling
@@ -65,6 +72,7 @@
 	}
 }
 
+// arrive lets the requests of one step arrive at daemon i.
 func (f *fleet) arrive(i int, c *Ceiling, step time.Duration) {
 	for f.pendingArrivals[i] += f.demand[i] * step.Seconds(); f.pendingArrivals[i] >= 1; f.pendingArrivals[i]-- {
 		if _, ok := c.Arrive(f.now); !ok {
@@ -80,6 +88,7 @@
 	}
 }
 
+// complete ends the requests whose holdTime has passed.
 func (f *fleet) complete() {
 	for len(f.completions) > 0 && f.completions[0].at <= f.now {
 		f.completions[0].daemon.Leave()
@@ -88,6 +97,7 @@
 	}
 }
 
+// gossip exchanges reports between each daemon and one random peer.
 func (f *fleet) gossip() {
 	for i, c := range f.daemons {
 		other := f.daemons[(i+1+f.rng.IntN(len(f.daemons)-1))%len(f.daemons)]
