--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// newPlanners returns the planners of n daemons that are all candidates.
 func newPlanners(n int) []*Planner {
 	ids := make([]model.DaemonID, n)
 	for i := range ids {
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -9,7 +9,7 @@
 )
 
 // ErrHandover is returned for a handover that cannot be imported.
-var ErrHandover = errors.New("handover refused")
+var ErrHandover = errors.New("handover rejected")
 
 const (
 	handoverVersion = 1
@@ -24,9 +24,10 @@
 // they must not be changed.
 type handover struct {
 	Version int
-	// Lives holds, by incarnation, the sending owner and the earlier owners whose
-	// claims it holds. It is set only in the last part, so that the successor
-	// does not use the claims before it has all of them.
+	// Lives has an entry for the incarnation of the sending owner, and for each
+	// earlier owner whose claims the sender holds. It is set only in the last
+	// part, so that the successor does not use the claims before it has all of
+	// them.
 	Lives  map[uint64]earlier
 	Claims []handedClaim
 }
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -35,7 +35,7 @@
 	// skipPriorOwnerCheck accepts keys although claims of an earlier owner are
 	// missing.
 	skipPriorOwnerCheck
-	// ignoreIncarnation takes every incarnation of a daemon for the same owner.
+	// ignoreIncarnation treats all incarnations of a daemon as the same owner.
 	ignoreIncarnation
 	// ignoreFloor accepts keys whose claims may have been deleted.
 	ignoreFloor
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -50,10 +50,12 @@
 // submission is one submission of a key on its way from the entry to the owner and
 // the upstream.
 type submission struct {
+	// key is an index of world.keys.
 	key    int
 	phase  phase
 	target model.DaemonID
-	node   *node
+	// node is the incarnation of the target that received the submission.
+	node *node
 }
 
 // pendingHandover is a handover that was sent but not delivered yet.
@@ -150,6 +152,7 @@
 	{poll: 30, proposeGrant: 8, deliverAppend: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keys: 4},
 }
 
+// step performs a random action, for most actions on a random node.
 func (w *world) step() {
 	i := w.rng.IntN(modelDaemons)
 	n := w.nodes[i]
@@ -179,6 +182,7 @@
 	n.table.Expire(Stamp(w.rng.IntN(modelStamps / 2)))
 }
 
+// crash replaces a node with a new incarnation of its daemon.
 func (w *world) crash(n *node) {
 	w.start(int(n.table.Self().Daemon[0] - 'a'))
 	w.eventCounts["crash"]++
@@ -312,6 +316,7 @@
 	return false
 }
 
+// finish records a random outcome for a request that has run.
 func (w *world) finish(s *submission) {
 	if !w.running(s.node) {
 		return
@@ -364,7 +369,7 @@
 }
 
 // appendTransfer appends a transfer to the successor that has imported the claims.
-// To model a faulty daemon, it sometimes names an owner that has not.
+// To model a faulty daemon, it sometimes names an owner that has not imported them.
 func (w *world) appendTransfer(n *node) {
 	if !n.table.IsSealed() {
 		return
@@ -380,12 +385,14 @@
 	}
 }
 
+// checkpoint requests the append of a checkpoint.
 func (w *world) checkpoint(n *node) {
 	if n.ledger.Proven() {
 		w.appends = append(w.appends, Record{Checkpoint: n.ledger.Checkpoint()})
 	}
 }
 
+// trim removes a random number of the oldest records from the log.
 func (w *world) trim(*node) {
 	if kept := len(w.log) - w.oldest; kept > 0 {
 		w.oldest += w.rng.IntN(kept + 1)
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -102,11 +102,13 @@
 	}
 	length := p.lengthAt(now)
 	g := &Grant{Owner: p.self, Until: now + length}
-	lapsed := min(p.startedAt, now) + length/renewDivisor - 1
+	// A range that lapsed before the Planner started is treated as if it ended at
+	// assumedEnd, so that it becomes due for the first candidate at the start.
+	assumedEnd := min(p.startedAt, now) + length/renewDivisor - 1
 	due := false
 	for r := range p.ranks {
 		frontier, _ := l.Frontier(Range(r))
-		end := max(frontier, lapsed)
+		end := max(frontier, assumedEnd)
 		if frontier >= g.Until || !isDue(p.ranks[r], length, end, now, true) {
 			continue
 		}
--- a/core/claims/record.go
+++ b/core/claims/record.go
@@ -13,7 +13,7 @@
 // Extension requests the extension of one range from its frontier.
 type Extension struct {
 	Range Range
-	// Base is the frontier of the range that the requester knows.
+	// Base is the frontier of the range as known to the requester.
 	Base Stamp
 }
 
--- a/core/claims/record_test.go
+++ b/core/claims/record_test.go
@@ -13,6 +13,7 @@
 	return Owner{Daemon: model.DaemonID(rapid.String().Draw(t, "daemon")), Life: rapid.Uint64().Draw(t, "life")}
 }
 
+// drawRecord generates a random record of any kind.
 func drawRecord(t *rapid.T) Record {
 	stamp := rapid.Uint64Range(0, uint64(MaxStamp))
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
--- a/core/claims/schedules_test.go
+++ b/core/claims/schedules_test.go
@@ -76,6 +76,8 @@
 	}
 }
 
+// TestSchedulesDetectEachMutation disables one safety check at a time and requires
+// that some schedule violates an invariant.
 func TestSchedulesDetectEachMutation(t *testing.T) {
 	for name, tc := range map[string]struct {
 		mutation mutation
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -21,6 +21,8 @@
 	return l
 }
 
+// newRequest returns a request whose key has the given timestamp and is unique for
+// each n.
 func newRequest(stamp Stamp, n int, caller model.CallerName) Request {
 	return Request{ID: ID{Caller: caller, Key: NewKey(stamp, [10]byte{9: byte(n), 8: byte(n >> 8)})}, Group: "sorters"}
 }
@@ -65,12 +67,12 @@
 
 func TestTableLimitsClaimsPerGroup(t *testing.T) {
 	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{Claims: 4, GroupClaims: 2})
-	verdicts := map[Verdict]int{}
+	decisions := map[Verdict]int{}
 	for i := range 5 {
 		v, _ := table.Begin(l, newRequest(50, i, ""))
-		verdicts[v]++
+		decisions[v]++
 	}
-	require.Equal(t, map[Verdict]int{Run: 2, Full: 3}, verdicts)
+	require.Equal(t, map[Verdict]int{Run: 2, Full: 3}, decisions)
 	other := newRequest(50, 9, "")
 	other.Group = "members"
 	v, _ := table.Begin(l, other)
@@ -100,8 +102,8 @@
 }
 
 func TestHandoverTransfersClaimsAndAnswers(t *testing.T) {
-	next := Owner{Daemon: "127.0.0.1:7002", Life: 12}
-	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(next, Limits{})
+	successor := Owner{Daemon: "127.0.0.1:7002", Life: 12}
+	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
 	done, inFlight, fresh := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
 	from.Begin(l, done)
 	from.Finish(done.ID, outcome.Answered, &Answer{Status: 200, Body: []byte("paid")})
@@ -117,7 +119,7 @@
 
 	v, _ := to.Begin(l, done)
 	require.Equal(t, NotOwner, v, "before the transfer is on the log")
-	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: next}})
+	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: successor}})
 	v, a := to.Begin(l, done)
 	require.Equal(t, Replay, v)
 	require.Equal(t, "paid", string(a.Body))
@@ -130,8 +132,8 @@
 }
 
 func TestHandoverTakesEffectAfterLastPart(t *testing.T) {
-	next := Owner{Daemon: "127.0.0.1:7002", Life: 12}
-	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(next, Limits{})
+	successor := Owner{Daemon: "127.0.0.1:7002", Life: 12}
+	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
 	for i := range 5 {
 		r := newRequest(50, i, "")
 		from.Begin(l, r)
@@ -141,7 +143,7 @@
 	parts, err := from.Export(l)
 	require.NoError(t, err)
 	require.Greater(t, len(parts), 1)
-	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: next}})
+	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: successor}})
 	for _, part := range parts {
 		v, _ := to.Begin(l, newRequest(50, 9, ""))
 		require.Equal(t, OwnerLost, v)
@@ -164,28 +166,28 @@
 	small := NewTable(Owner{Life: 12}, Limits{Claims: 2})
 	sealed := NewTable(Owner{Life: 13}, Limits{})
 	sealed.Seal()
-	for name, table := range map[string]*Table{"no room": small, "sealed": sealed} {
+	for name, table := range map[string]*Table{"no capacity": small, "sealed": sealed} {
 		t.Run(name, func(t *testing.T) {
 			require.ErrorIs(t, table.Import(data), ErrHandover)
 			require.Zero(t, table.Len())
 		})
 	}
-	open := NewTable(Owner{Life: 14}, Limits{})
+	unsealed := NewTable(Owner{Life: 14}, Limits{})
 	for cut := range len(data) - 1 {
-		require.ErrorIs(t, open.Import(data[:cut]), ErrHandover, "cut at %d", cut)
+		require.ErrorIs(t, unsealed.Import(data[:cut]), ErrHandover, "cut at %d", cut)
 	}
-	require.Zero(t, open.Len())
+	require.Zero(t, unsealed.Len())
 }
 
 func TestPlannerCoversRangesOfSilentOwner(t *testing.T) {
-	const grant = 60 * time.Second
+	const grantLength = 60 * time.Second
 	daemons := []model.DaemonID{"a:1", "b:1", "c:1"}
 	l := NewLedger(64, 0)
 	var now Stamp = 1_000_000
 	offset := uint64(0)
 	planners := map[model.DaemonID]*Planner{}
 	for i, d := range daemons {
-		planners[d] = NewPlanner(Owner{Daemon: d, Life: uint64(i + 1)}, 64, grant)
+		planners[d] = NewPlanner(Owner{Daemon: d, Life: uint64(i + 1)}, 64, grantLength)
 		planners[d].SetCandidates(daemons)
 	}
 	appends := 0
@@ -200,7 +202,7 @@
 			}
 		}
 	}
-	covered := func() map[model.DaemonID]int {
+	ownedRanges := func() map[model.DaemonID]int {
 		owned := map[model.DaemonID]int{}
 		for r := range Range(64) {
 			in, standing := l.Lookup(r, now)
@@ -210,23 +212,23 @@
 		return owned
 	}
 	run(daemons, time.Second)
-	require.Len(t, covered(), 3)
+	require.Len(t, ownedRanges(), 3)
 	appends = 0
 	run(daemons, 10*time.Minute)
 	require.LessOrEqual(t, appends, 3*21, "each owner renews all its ranges with one record per half of the grant length")
 	run(daemons[:2], 2*time.Minute)
-	require.Len(t, covered(), 2, "other daemons take over the ranges of a silent owner without a gap")
+	require.Len(t, ownedRanges(), 2, "other daemons take over the ranges of a silent owner without a gap")
 }
 
 // TestPlannerStartedFirstLeavesRangesToOthers guards against the daemon that
 // starts first, and does not know other candidates yet, owning every range for a
 // full grant length. The short grants during startup prevent this.
 func TestPlannerStartedFirstLeavesRangesToOthers(t *testing.T) {
-	const grant = 60 * time.Second
+	const grantLength = 60 * time.Second
 	l := NewLedger(64, 0)
-	first := NewPlanner(Owner{Daemon: "a:1", Life: 1}, 64, grant)
+	first := NewPlanner(Owner{Daemon: "a:1", Life: 1}, 64, grantLength)
 	first.SetCandidates([]model.DaemonID{"a:1"})
-	second := NewPlanner(Owner{Daemon: "b:1", Life: 2}, 64, grant)
+	second := NewPlanner(Owner{Daemon: "b:1", Life: 2}, 64, grantLength)
 	second.SetCandidates([]model.DaemonID{"a:1", "b:1"})
 	offset := uint64(0)
 	plan := func(p *Planner, now Stamp) {
