--- a/core/config/change.go
+++ b/core/config/change.go
@@ -54,7 +54,7 @@
 	if int(v) < len(decisionNames) {
 		return decisionNames[v]
 	}
-	return "verdict " + strconv.Itoa(int(v))
+	return "decision " + strconv.Itoa(int(v))
 }
 
 // Result is the result of applying one record.
--- a/core/config/record.go
+++ b/core/config/record.go
@@ -11,11 +11,11 @@
 // magic byte, the version of the codec, the kind of the payload and the SHA-256
 // of the payload.
 const (
-	recordMagic  = 'd'
-	codecVersion = 1
-	headerSize   = 3 + sha256.Size
-	kindChange   = 1
-	kindSnapshot = 2
+	recordMagic    = 'd'
+	codecVersion   = 1
+	headerSize     = 3 + sha256.Size
+	kindChange     = 1
+	kindCheckpoint = 2
 )
 
 // Digest is the SHA-256 of an encoded change, or the head of the hash chain over
@@ -72,7 +72,7 @@
 // IsCheckpoint reports whether a record has the header of a checkpoint. It does
 // not verify or decode the payload.
 func IsCheckpoint(record []byte) bool {
-	return len(record) >= headerSize && record[0] == recordMagic && record[2] == kindSnapshot
+	return len(record) >= headerSize && record[0] == recordMagic && record[2] == kindCheckpoint
 }
 
 // encodeRecord returns the payload with a header, and the digest of the payload.
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -63,7 +63,7 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	record, _ := encodeRecord(kindSnapshot, compressed.Bytes())
+	record, _ := encodeRecord(kindCheckpoint, compressed.Bytes())
 	return record, nil
 }
 
@@ -75,7 +75,7 @@
 // record is not a checkpoint or is malformed.
 func ReadCheckpoint(record []byte) (State, bool) {
 	kind, payload, _, err := parseRecord(record)
-	if err != nil || kind != kindSnapshot {
+	if err != nil || kind != kindCheckpoint {
 		return State{}, false
 	}
 	uncompressed, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(payload)), maxUncompressedCheckpoint+1))
