--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -74,7 +74,7 @@
 // Verdict is the effect of a report on a Tracker.
 type Verdict uint8
 
-// The verdicts.
+// The effects of a report.
 const (
 	// Stale reports are out of date and were ignored.
 	Stale Verdict = iota
@@ -127,8 +127,8 @@
 	return Started
 }
 
-// Leave records that an incarnation leaves permanently. If Born is zero, the
-// current incarnation with the same id is meant.
+// Leave records that an incarnation leaves permanently. If Born is zero and the
+// current incarnation has the same id, Leave applies to the current incarnation.
 func (t *Tracker) Leave(i Incarnation) Verdict {
 	if i.Born == 0 && i.ID == t.current.ID {
 		i.Born = t.current.Born
@@ -141,7 +141,8 @@
 	return Changed
 }
 
-// Departed returns the incarnations that have left or started to drain.
+// Departed returns the incarnations that have left, started to drain, or were
+// replaced by a newer incarnation.
 func (t *Tracker) Departed() []Incarnation { return t.departed }
 
 // Restore adds departed incarnations that other daemons have stored. If the
--- a/core/lifecycle/lifecycle_test.go
+++ b/core/lifecycle/lifecycle_test.go
@@ -84,7 +84,7 @@
 	tr.Restore([]Incarnation{{ID: "a", Born: 1}})
 	require.Equal(t, Stale, tr.Observe(report("a", 1, 5, Ready)))
 	require.Equal(t, Unknown, tr.Current().State)
-	require.Equal(t, Stale, tr.Observe(report("a", 0, 0, Ready)), "a health check response, which contains no start time")
+	require.Equal(t, Stale, tr.Observe(report("a", 0, 0, Ready)), "a health check response without start time")
 	tr.Observe(report("b", 2, 1, Ready))
 	tr.Restore([]Incarnation{{ID: "b", Born: 2}})
 	require.Equal(t, Draining, tr.Current().State)
