--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -11,6 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// newTable returns a table that quarantines requests for a minute after two
+// crashes.
 func newTable() *Table {
 	return NewTable(Options{Rule: func(model.ServiceName) Rule { return Rule{Deaths: 2, Duration: time.Minute} }})
 }
