--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -89,12 +89,12 @@
 	r.Service = model.ServiceName(d.text())
 	r.Caller = model.CallerName(d.text())
 	r.Request = d.text()
-	deaths := d.number()
-	if deaths > maxCrashes {
+	crashes := d.number()
+	if crashes > maxCrashes {
 		d.failed, d.rest = true, nil
 		return r
 	}
-	for range deaths {
+	for range crashes {
 		s := CrashReport{Crash: Death{Upstream: model.UpstreamID(d.text())}}
 		s.Crash.Incarnation = model.Incarnation(d.number())
 		s.At = int64(d.number())
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -127,6 +127,7 @@
 	return r.Deaths
 }
 
+// hasCrash reports whether the record contains the given crash.
 func (r *Record) hasCrash(d Death) bool {
 	for _, s := range r.Deaths {
 		if s.Crash == d {
