--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -12,61 +12,69 @@
 )
 
 const (
-	tick  = 250 * time.Millisecond
-	round = time.Second
+	tickInterval   = 250 * time.Millisecond
+	gossipInterval = time.Second
 )
 
-// fleet is a number of daemons that hold one ceiling and gossip once a second
-// with one peer each, in virtual time.
+// fleet simulates several daemons that share one ceiling, in virtual time. Once
+// per second each daemon exchanges reports with one random peer.
 type fleet struct {
-	rng      *rand.Rand
-	now      model.Instant
-	daemons  []*Ceiling
-	demand   []float64
-	owed     []float64
-	hold     time.Duration
-	ends     []leave
-	admitted []int // by window of one second
-	most     int   // the largest concurrency of all daemons together
-	inFlight int
+	rng     *rand.Rand
+	now     model.Instant
+	daemons []*Ceiling
+	// demand is the number of requests per second that arrive at each daemon.
+	demand []float64
+	// pendingArrivals holds, for each daemon, the fraction of a request that is
+	// carried over to the next step.
+	pendingArrivals []float64
+	// holdTime is the duration of each request.
+	holdTime    time.Duration
+	completions []completion
+	// admitted is the number of admitted requests in each second.
+	admitted []int
+	// inFlight is the number of requests in flight at all daemons.
+	inFlight    int
+	maxInFlight int
 }
 
-type leave struct {
+// completion is the end of an admitted request.
+type completion struct {
 	at     model.Instant
 	daemon *Ceiling
 }
 
 func newFleet(n int, limits Limits) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(5, 6)), demand: make([]float64, n), owed: make([]float64, n)}
+	f := &fleet{rng: rand.New(rand.NewPCG(5, 6)), demand: make([]float64, n), pendingArrivals: make([]float64, n)}
 	for i := range n {
 		f.daemons = append(f.daemons, New(0, 1, Daemon(i+1), limits))
 	}
 	return f
 }
 
-// run plays a time in steps of one millisecond.
+// run simulates the given time in steps of one millisecond.
 func (f *fleet) run(d time.Duration) {
 	const step = time.Millisecond
 	for range d / step {
 		f.now = f.now.Add(step)
-		f.leave()
+		f.complete()
 		for i, c := range f.daemons {
 			f.arrive(i, c, step)
 		}
-		f.most = max(f.most, f.inFlight)
-		if f.now%model.Instant(tick) == 0 {
+		f.maxInFlight = max(f.maxInFlight, f.inFlight)
+		if f.now%model.Instant(tickInterval) == 0 {
 			for _, c := range f.daemons {
 				c.Tick(f.now, uint64(f.now/1e6))
 			}
 		}
-		if f.now%model.Instant(round) == 0 {
+		if f.now%model.Instant(gossipInterval) == 0 {
 			f.gossip()
 		}
 	}
 }
 
+// arrive lets the requests of one step arrive at daemon i.
 func (f *fleet) arrive(i int, c *Ceiling, step time.Duration) {
-	for f.owed[i] += f.demand[i] * step.Seconds(); f.owed[i] >= 1; f.owed[i]-- {
+	for f.pendingArrivals[i] += f.demand[i] * step.Seconds(); f.pendingArrivals[i] >= 1; f.pendingArrivals[i]-- {
 		if _, ok := c.Arrive(f.now); !ok {
 			continue
 		}
@@ -76,18 +84,20 @@
 		}
 		f.admitted[second]++
 		f.inFlight++
-		f.ends = append(f.ends, leave{at: f.now.Add(f.hold), daemon: c})
+		f.completions = append(f.completions, completion{at: f.now.Add(f.holdTime), daemon: c})
 	}
 }
 
-func (f *fleet) leave() {
-	for len(f.ends) > 0 && f.ends[0].at <= f.now {
-		f.ends[0].daemon.Leave()
-		f.ends = f.ends[1:]
+// complete ends the requests whose holdTime has passed.
+func (f *fleet) complete() {
+	for len(f.completions) > 0 && f.completions[0].at <= f.now {
+		f.completions[0].daemon.Leave()
+		f.completions = f.completions[1:]
 		f.inFlight--
 	}
 }
 
+// gossip exchanges reports between each daemon and one random peer.
 func (f *fleet) gossip() {
 	for i, c := range f.daemons {
 		other := f.daemons[(i+1+f.rng.IntN(len(f.daemons)-1))%len(f.daemons)]
@@ -100,9 +110,9 @@
 	}
 }
 
-// TestRateCeilingError measures how far the admitted rate of twelve daemons is
-// from the ceiling: in the steady state, and while all the demand moves to
-// other daemons.
+// TestRateCeilingError checks how far the admitted rate of twelve daemons is
+// from the ceiling in the steady state, and while all demand moves from three
+// daemons to six others.
 func TestRateCeilingError(t *testing.T) {
 	const ceiling = 600
 	f := newFleet(12, Limits{Rate: ceiling})
@@ -119,9 +129,9 @@
 	}
 	f.run(12 * time.Second)
 	moving := f.admitted[12:18]
-	t.Logf("admitted a second of %d, while demand moves: %v, then %v", ceiling, moving, f.admitted[18:])
+	t.Logf("admitted per second with a ceiling of %d: %v while demand moves, %v afterwards", ceiling, moving, f.admitted[18:])
 	for _, n := range moving {
-		require.LessOrEqual(t, float64(n), 1.25*ceiling, "while it moves")
+		require.LessOrEqual(t, float64(n), 1.25*ceiling, "while demand moves")
 	}
 	for _, n := range f.admitted[18:] {
 		require.InDelta(t, ceiling, n, 0.05*ceiling, "steady again")
@@ -131,43 +141,43 @@
 func TestConcurrencyCeilingError(t *testing.T) {
 	const ceiling = 10
 	f := newFleet(12, Limits{Concurrency: ceiling})
-	f.hold = 50 * time.Millisecond
+	f.holdTime = 50 * time.Millisecond
 	for i := range 6 {
 		f.demand[i] = 200
 	}
 	f.run(8 * time.Second)
-	first := f.most
-	f.most = 0
+	maxBefore := f.maxInFlight
+	f.maxInFlight = 0
 	f.run(8 * time.Second)
-	t.Logf("most in flight of %d: %d in the first seconds, %d then", ceiling, first, f.most)
-	require.LessOrEqual(t, 2*first, 3*ceiling, "while the daemons learn of each other")
-	require.LessOrEqual(t, f.most, ceiling, "steady")
-	require.GreaterOrEqual(t, f.most, ceiling-1, "and used")
+	t.Logf("maximum in flight with a ceiling of %d: %d in the first 8 seconds, %d afterwards", ceiling, maxBefore, f.maxInFlight)
+	require.LessOrEqual(t, 2*maxBefore, 3*ceiling, "before all reports have spread")
+	require.LessOrEqual(t, f.maxInFlight, ceiling, "steady: above the ceiling")
+	require.GreaterOrEqual(t, f.maxInFlight, ceiling-1, "steady: ceiling not used up")
 }
 
-// TestSlotsAddUp divides any number of slots by any demand.
-func TestSlotsAddUp(t *testing.T) {
+// TestSlotSharesSumToTotal divides random numbers of slots by random demand.
+func TestSlotSharesSumToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 500).Draw(t, "slots")
 		demands := rapid.SliceOfN(rapid.Float32Range(0, 1e6), 1, 30).Draw(t, "demands")
-		l := ledger{reports: make(map[Daemon]heard)}
-		any := false
+		l := reportTable{byDaemon: make(map[Daemon]receivedReport)}
+		anyDemand := false
 		for i, d := range demands {
-			l.take(0, Report{Daemon: Daemon(i), Demand: d, Stamp: 1})
-			any = any || d > 0
+			l.merge(0, Report{Daemon: Daemon(i), Demand: d, Stamp: 1})
+			anyDemand = anyDemand || d > 0
 		}
 		sum := 0
 		for i := range demands {
-			sum += l.slots(Daemon(i), total)
+			sum += l.slotsOf(Daemon(i), total)
 		}
-		if !any {
+		if !anyDemand {
 			total = 0
 		}
 		require.Equal(t, total, sum)
 	})
 }
 
-func TestLostDaemonIsForgotten(t *testing.T) {
+func TestSilentDaemonIsExcluded(t *testing.T) {
 	f := newFleet(3, Limits{Rate: 300})
 	f.demand = []float64{300, 300, 300}
 	f.run(6 * time.Second)
@@ -179,13 +189,13 @@
 	require.InDelta(t, 150, rate, 5)
 }
 
-func TestReportsAreBoundedAndChecked(t *testing.T) {
+func TestMergeBoundsAndValidatesReports(t *testing.T) {
 	c := New(0, 1, 1, Limits{Rate: 1})
 	for i := range 2 * maxDaemons {
 		c.Merge(0, Report{Key: 1, Daemon: Daemon(i + 2), Demand: 1, Stamp: 1})
 	}
 	require.Len(t, c.Reports(), maxDaemons)
-	require.False(t, c.Merge(0, Report{Daemon: 1, Demand: 5, Stamp: 9}), "about itself")
+	require.False(t, c.Merge(0, Report{Daemon: 1, Demand: 5, Stamp: 9}), "report in this daemon's own name")
 	require.False(t, c.Merge(0, Report{Daemon: 2, Demand: -5, Stamp: 9}), "negative")
 	require.False(t, c.Merge(0, Report{Daemon: 2, Demand: 5, Stamp: 1}), "not newer")
 	require.True(t, c.Merge(0, Report{Daemon: 2, Demand: 5, Stamp: 2}))
--- /dev/null
+++ b/core/ceiling/reports.go
@@ -0,0 +1,134 @@
+package ceiling
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/core/model"
+)
+
+// Daemon identifies a daemon in reports. It is a hash of the daemon's id.
+type Daemon uint64
+
+// Report is the demand that one daemon has measured for one ceiling.
+type Report struct {
+	// Key is the hash of the ceiling's Key.
+	Key    uint64
+	Daemon Daemon
+	// Demand is in requests per second.
+	Demand float32
+	// Stamp is the daemon's wall clock in milliseconds. Of two reports by one
+	// daemon for one key, the report with the larger Stamp is newer.
+	Stamp uint64
+}
+
+const (
+	// maxDaemons is the maximum number of daemons stored for one ceiling.
+	// Reports of additional daemons are ignored.
+	maxDaemons = 4096
+	// expireAfter is the age at which a daemon's last report stops counting.
+	expireAfter = 10 * time.Second
+	// deleteAfter is the age at which an expired report is deleted. Until then
+	// it is kept, so that the same report is recognized as old when a peer
+	// sends it again.
+	deleteAfter = 3 * expireAfter
+)
+
+// receivedReport is a report with the time at which this daemon received it.
+type receivedReport struct {
+	Report
+	at model.Instant
+	// expired is set once the report is older than expireAfter.
+	expired bool
+}
+
+// reportTable holds the newest report of each daemon for one ceiling.
+type reportTable struct {
+	byDaemon map[Daemon]receivedReport
+}
+
+// merge stores a report. It returns false when the report is not newer than the
+// stored one, or when its daemon is unknown and the table is full.
+func (t *reportTable) merge(now model.Instant, r Report) bool {
+	old, known := t.byDaemon[r.Daemon]
+	if known && old.Stamp >= r.Stamp {
+		return false
+	}
+	if !known && len(t.byDaemon) >= maxDaemons {
+		return false
+	}
+	t.byDaemon[r.Daemon] = receivedReport{Report: r, at: now}
+	return true
+}
+
+// expire marks or deletes old reports. Reports of self never expire.
+func (t *reportTable) expire(now model.Instant, self Daemon) {
+	for d, report := range t.byDaemon {
+		age := now.Sub(report.at)
+		switch {
+		case d == self || age <= expireAfter:
+		case age > deleteAfter:
+			delete(t.byDaemon, d)
+		default:
+			report.expired = true
+			t.byDaemon[d] = report
+		}
+	}
+}
+
+// demandOfOthers returns the sum of the unexpired demand of all other daemons.
+func (t *reportTable) demandOfOthers(self Daemon) float64 {
+	sum := 0.0
+	for d, report := range t.byDaemon {
+		if d != self && !report.expired {
+			sum += float64(report.Demand)
+		}
+	}
+	return sum
+}
+
+// slotsOf returns the slots of one daemon when total slots are divided in
+// proportion to demand by the largest-remainder method: each daemon gets its
+// exact share rounded down, and the remaining slots go to the daemons with the
+// largest remainders. Daemons that hold the same reports thus compute slots that
+// add up to total.
+func (t *reportTable) slotsOf(self Daemon, total int) int {
+	type share struct {
+		daemon    Daemon
+		whole     int
+		remainder float64
+	}
+	sum := 0.0
+	for _, report := range t.byDaemon {
+		if !report.expired {
+			sum += float64(report.Demand)
+		}
+	}
+	if sum <= 0 {
+		return 0
+	}
+	shares := make([]share, 0, len(t.byDaemon))
+	remaining := total
+	for d, report := range t.byDaemon {
+		if report.expired {
+			continue
+		}
+		exact := float64(total) * float64(report.Demand) / sum
+		shares = append(shares, share{daemon: d, whole: int(exact), remainder: exact - float64(int(exact))})
+		remaining -= int(exact)
+	}
+	slices.SortFunc(shares, func(a, b share) int {
+		return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(a.daemon, b.daemon))
+	})
+	for i, p := range shares {
+		if p.daemon != self {
+			continue
+		}
+		if i < remaining {
+			return p.whole + 1
+		}
+		return p.whole
+	}
+	return 0
+}
--- a/core/claims/answer.go
+++ b/core/claims/answer.go
@@ -2,7 +2,8 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// Answer is an upstream's whole answer as it is retained for retries.
+// Answer is an upstream's complete response, retained so that it can be replayed
+// to retries.
 type Answer struct {
 	Status  int
 	Header  map[string][]string
@@ -10,10 +11,11 @@
 	Trailer map[string][]string
 }
 
-// headerOverhead is what one header line costs beside its text, in bytes.
+// headerOverhead is the approximate memory overhead of a header field in bytes,
+// in addition to its name and values.
 const headerOverhead = 64
 
-// Size returns about how many bytes the answer holds.
+// Size returns the approximate memory size of the answer in bytes.
 func (a *Answer) Size() int {
 	n := len(a.Body)
 	for _, h := range []map[string][]string{a.Header, a.Trailer} {
@@ -27,63 +29,67 @@
 	return n
 }
 
-// shelf holds the retained answers of one table, oldest first in each group,
-// within a bound on bytes for each group and for all.
-type shelf struct {
-	perGroup int
-	total    int
-	used     int
-	groups   map[model.GroupName]*groupShelf
+// answerCache holds the retained answers of one table. It limits the total size
+// per group and of all groups, and evicts the oldest answers of a group first.
+type answerCache struct {
+	// groupLimit and totalLimit are in bytes.
+	groupLimit int
+	totalLimit int
+	usedBytes  int
+	groups     map[model.GroupName]*groupAnswers
 }
 
-type groupShelf struct {
-	used   int
-	claims []*claim
+// groupAnswers holds the claims of one group that have retained answers, the
+// oldest first. It may also contain claims whose answer was discarded.
+type groupAnswers struct {
+	usedBytes int
+	claims    []*claim
 }
 
-func newShelf(perGroup, total int) *shelf {
-	return &shelf{perGroup: perGroup, total: total, groups: make(map[model.GroupName]*groupShelf)}
+func newAnswerCache(groupLimit, totalLimit int) *answerCache {
+	return &answerCache{groupLimit: groupLimit, totalLimit: totalLimit, groups: make(map[model.GroupName]*groupAnswers)}
 }
 
-// put retains the answer of a claim, and drops older ones to make room. It
-// reports whether the answer fits at all.
-func (s *shelf) put(c *claim, a *Answer) bool {
+// put retains the answer of a claim and evicts older answers as needed. It
+// reports whether the answer was retained.
+func (ac *answerCache) put(c *claim, a *Answer) bool {
 	size := a.Size()
-	if size > s.perGroup || size > s.total {
+	if size > ac.groupLimit || size > ac.totalLimit {
 		return false
 	}
-	g := s.groups[c.group]
+	g := ac.groups[c.group]
 	if g == nil {
-		g = &groupShelf{}
-		s.groups[c.group] = g
+		g = &groupAnswers{}
+		ac.groups[c.group] = g
 	}
 	c.answer = a
 	c.size = size
 	g.claims = append(g.claims, c)
-	g.used += size
-	s.used += size
-	for g.used > s.perGroup {
-		s.dropOldest(c.group)
+	g.usedBytes += size
+	ac.usedBytes += size
+	for g.usedBytes > ac.groupLimit {
+		ac.evictOldest(c.group)
 	}
-	for s.used > s.total {
-		s.dropOldest(s.largest())
+	for ac.usedBytes > ac.totalLimit {
+		ac.evictOldest(ac.largestGroup())
 	}
 	return c.answer != nil
 }
 
-// forget drops the answer of a claim that leaves the table.
-func (s *shelf) forget(c *claim) {
+// discard removes the answer of a claim that is being deleted from the table.
+func (ac *answerCache) discard(c *claim) {
 	if c.answer == nil {
 		return
 	}
 	c.answer = nil
-	s.groups[c.group].used -= c.size
-	s.used -= c.size
-	s.prune(c.group)
+	ac.groups[c.group].usedBytes -= c.size
+	ac.usedBytes -= c.size
+	ac.prune(c.group)
 }
 
-func (s *shelf) dropOldest(name model.GroupName) {
-	g := s.groups[name]
+// evictOldest removes the oldest answer of a group.
+func (ac *answerCache) evictOldest(name model.GroupName) {
+	g := ac.groups[name]
 	for len(g.claims) > 0 {
 		c := g.claims[0]
 		g.claims = g.claims[1:]
@@ -91,30 +97,33 @@
 			continue
 		}
 		c.answer = nil
-		g.used -= c.size
-		s.used -= c.size
+		g.usedBytes -= c.size
+		ac.usedBytes -= c.size
 		break
 	}
-	s.prune(name)
+	ac.prune(name)
 }
 
-// prune removes the forgotten claims at the head, and an empty group.
-func (s *shelf) prune(name model.GroupName) {
-	g := s.groups[name]
+// prune removes claims without an answer from the head of a group's list, and
+// removes the group if its list becomes empty.
+func (ac *answerCache) prune(name model.GroupName) {
+	g := ac.groups[name]
 	for len(g.claims) > 0 && g.claims[0].answer == nil {
 		g.claims = g.claims[1:]
 	}
 	if len(g.claims) == 0 {
-		delete(s.groups, name)
+		delete(ac.groups, name)
 	}
 }
 
-func (s *shelf) largest() model.GroupName {
+// largestGroup returns the group whose answers use the most bytes. Ties go to the
+// group that is first by name.
+func (ac *answerCache) largestGroup() model.GroupName {
 	var name model.GroupName
 	most := -1
-	for n, g := range s.groups {
-		if g.used > most || g.used == most && n < name {
-			name, most = n, g.used
+	for n, g := range ac.groups {
+		if g.usedBytes > most || g.usedBytes == most && n < name {
+			name, most = n, g.usedBytes
 		}
 	}
 	return name
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -8,73 +8,92 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// The model drives real Ledgers and Tables of a few daemons through one random
-// schedule. Every step of an entry and of an owner is a separate action, so
-// that a pause fits between any two; appends, submissions and handovers are
-// delayed, lost and reordered at will.
+// The model runs the real Ledgers and Tables of a few daemons through a random
+// schedule. A submission goes from an entry, the daemon that accepted the
+// caller's request, to the owner of its key. Each step of an entry and of an
+// owner is a separate action, so that a pause can occur between any two steps.
+// Log appends, submissions and handovers are delayed, lost and reordered at
+// random.
 const (
-	modelDaemons = 4
-	modelRanges  = 2
-	modelKeys    = 10
-	modelSteps   = 160
-	modelReach   = 8
-	modelStamps  = 40
+	modelDaemons  = 4
+	modelRanges   = 2
+	modelKeys     = 10
+	modelSteps    = 160
+	modelMaxGrant = 8
+	modelStamps   = 40
 )
 
-// mutateProposal makes a daemon count a grant as soon as it asks for it.
-const mutateProposal mutation = 1 << 10
+// applyUnloggedGrants makes a daemon apply a grant when it requests it, before the
+// grant is on the log.
+const applyUnloggedGrants mutation = 1 << 10
 
+// node is one incarnation of a daemon.
 type node struct {
 	ledger *Ledger
 	table  *Table
-	// successor is the daemon that took in this one's claims.
+	// successor is the owner that has imported the claims of this node.
 	successor *Owner
 }
 
+// phase is the progress of a submission.
 type phase uint8
 
 const (
+	// toOwner submissions are on the way to the owner.
 	toOwner phase = iota
+	// beforeSend submissions have a claim but were not yet sent to an upstream.
 	beforeSend
+	// afterSend submissions were sent to an upstream and have run.
 	afterSend
 )
 
-// submission is one sending of a key on its way through entry and owner.
+// submission is one submission of a key on its way from the entry to the owner and
+// the upstream.
 type submission struct {
+	// key is an index of world.keys.
 	key    int
 	phase  phase
 	target model.DaemonID
-	node   *node
+	// node is the incarnation of the target that received the submission.
+	node *node
 }
 
-type passing struct {
+// pendingHandover is a handover that was sent but not delivered yet.
+type pendingHandover struct {
 	from  *node
 	to    Owner
 	parts [][]byte
 }
 
+// world is the state of the model.
 type world struct {
 	rng      *rand.Rand
 	profile  profile
 	mutation mutation
 	log      []Record
-	oldest   int
-	appends  []Record
-	nodes    [modelDaemons]*node
-	keys     [modelKeys]Key
-	runs     [modelKeys]int
-	subs     []submission
-	passing  []passing
-	lives    uint64
-	seen     map[string]int
-	broken   string
+	// oldest is the offset of the oldest record that the log keeps.
+	oldest int
+	// appends are the records on the way to the log.
+	appends []Record
+	nodes   [modelDaemons]*node
+	keys    [modelKeys]Key
+	// runs counts the executions of each key.
+	runs        [modelKeys]int
+	submissions []submission
+	handovers   []pendingHandover
+	// incarnations is the number of incarnations started so far.
+	incarnations uint64
+	eventCounts  map[string]int
+	// violation describes the first violated invariant. It is empty if there is
+	// none.
+	violation string
 }
 
-func newWorld(seed uint64, m mutation, seen map[string]int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), mutation: m, seen: seen}
+func newWorld(seed uint64, m mutation, eventCounts map[string]int) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), mutation: m, eventCounts: eventCounts}
 	w.profile = profiles[seed%uint64(len(profiles))]
 	for i := range w.nodes {
-		w.boot(i)
+		w.start(i)
 	}
 	for i := range w.keys {
 		var random [10]byte
@@ -82,22 +101,23 @@
 		random[8] = byte(w.rng.IntN(256))
 		w.keys[i] = NewKey(Stamp(w.rng.IntN(modelStamps)), random)
 	}
-	w.begin(w.nodes[w.rng.IntN(modelDaemons)])
+	w.grantInitialStamps(w.nodes[w.rng.IntN(modelDaemons)])
 	return w
 }
 
-// explore runs one schedule and returns the invariant that it broke.
-func explore(seed uint64, m mutation, seen map[string]int) string {
-	w := newWorld(seed, m, seen)
-	for step := 0; step < modelSteps && w.broken == ""; step++ {
+// explore runs one schedule. It returns a description of the invariant that was
+// violated, or an empty string.
+func explore(seed uint64, m mutation, eventCounts map[string]int) string {
+	w := newWorld(seed, m, eventCounts)
+	for step := 0; step < modelSteps && w.violation == ""; step++ {
 		w.step()
 	}
-	return w.broken
+	return w.violation
 }
 
-// begin gives a first daemon half of the stamps, so that schedules start with
-// keys that can run.
-func (w *world) begin(n *node) {
+// grantInitialStamps grants half of the timestamps to one node, so that some keys
+// can be run from the beginning of a schedule.
+func (w *world) grantInitialStamps(n *node) {
 	g := &Grant{Owner: n.table.Self(), Until: modelStamps / 2}
 	for r := range Range(modelRanges) {
 		g.Extensions = append(g.Extensions, Extension{Range: r})
@@ -108,28 +128,31 @@
 	}
 }
 
-func (w *world) boot(i int) {
-	w.lives++
-	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Life: w.lives}
+// start starts a new incarnation of daemon i.
+func (w *world) start(i int) {
+	w.incarnations++
+	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Life: w.incarnations}
 	n := &node{ledger: NewLedger(modelRanges, uint64(w.oldest)), table: NewTable(self, Limits{Claims: 3, GroupClaims: 3})}
 	n.ledger.mutation = w.mutation
 	n.table.mutation = w.mutation
 	w.nodes[i] = n
 }
 
-// profile gives the share of each action in a schedule, in percent.
+// profile holds the probability of each action in percent. The field keys is the
+// number of keys in use.
 type profile struct {
-	poll, propose, land, submit, advance, drain, handOver, sign, crash, checkpoint, trim int
-	keys                                                                                 int
+	poll, proposeGrant, deliverAppend, submit, advance, drain, deliverHandover, appendTransfer, crash, checkpoint, trim int
+	keys                                                                                                                int
 }
 
-// profiles stress different failures; the schedule's seed picks one.
+// profiles favor different failures. The seed of a schedule selects the profile.
 var profiles = [...]profile{
-	{poll: 22, propose: 8, land: 12, submit: 18, advance: 23, drain: 3, handOver: 5, sign: 2, crash: 1, checkpoint: 3, trim: 2, keys: modelKeys},
-	{poll: 28, propose: 6, land: 16, submit: 18, advance: 17, drain: 3, handOver: 6, sign: 4, crash: 1, keys: 2},
-	{poll: 30, propose: 8, land: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keys: 4},
+	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keys: modelKeys},
+	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keys: 2},
+	{poll: 30, proposeGrant: 8, deliverAppend: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keys: 4},
 }
 
+// step performs a random action, for most actions on a random node.
 func (w *world) step() {
 	i := w.rng.IntN(modelDaemons)
 	n := w.nodes[i]
@@ -139,13 +162,13 @@
 		do    func(*node)
 	}{
 		{w.profile.poll, w.poll},
-		{w.profile.propose, w.propose},
-		{w.profile.land, w.land},
+		{w.profile.proposeGrant, w.proposeGrant},
+		{w.profile.deliverAppend, w.deliverAppend},
 		{w.profile.submit, w.submit},
 		{w.profile.advance, w.advance},
 		{w.profile.drain, w.drain},
-		{w.profile.handOver, w.handOver},
-		{w.profile.sign, w.sign},
+		{w.profile.deliverHandover, w.deliverHandover},
+		{w.profile.appendTransfer, w.appendTransfer},
 		{w.profile.crash, w.crash},
 		{w.profile.checkpoint, w.checkpoint},
 		{w.profile.trim, w.trim},
@@ -159,33 +182,36 @@
 	n.table.Expire(Stamp(w.rng.IntN(modelStamps / 2)))
 }
 
+// crash replaces a node with a new incarnation of its daemon.
 func (w *world) crash(n *node) {
-	w.boot(int(n.table.Self().Daemon[0] - 'a'))
-	w.seen["crash"]++
+	w.start(int(n.table.Self().Daemon[0] - 'a'))
+	w.eventCounts["crash"]++
 }
 
-// poll folds some records, after a reset when the log was trimmed beyond them.
+// poll applies a few log records. It resets the ledger if the log has been trimmed
+// beyond its next record.
 func (w *world) poll(n *node) {
 	for range 1 + w.rng.IntN(6) {
 		next := int(n.ledger.Next())
 		if next < w.oldest {
 			n.ledger.Reset(uint64(w.oldest))
-			w.seen["reset"]++
+			w.eventCounts["reset"]++
 			continue
 		}
 		if next >= len(w.log) {
 			return
 		}
-		proven := n.ledger.Proven()
+		complete := n.ledger.Proven()
 		n.ledger.Apply(uint64(next), w.log[next])
-		if !proven && n.ledger.Proven() {
-			w.seen["restored"]++
+		if !complete && n.ledger.Proven() {
+			w.eventCounts["restored"]++
 		}
 	}
 }
 
-// propose asks for one or both ranges. The append may land much later or never.
-func (w *world) propose(n *node) {
+// proposeGrant requests one or both ranges. The record may reach the log much later
+// or never.
+func (w *world) proposeGrant(n *node) {
 	if !n.ledger.Proven() || n.table.IsSealed() {
 		return
 	}
@@ -194,17 +220,17 @@
 		frontier, _ := n.ledger.Frontier(r)
 		if w.rng.IntN(3) > 0 {
 			g.Extensions = append(g.Extensions, Extension{Range: r, Base: frontier})
-			g.Until = max(g.Until, frontier+1+Stamp(w.rng.IntN(modelReach)))
+			g.Until = max(g.Until, frontier+1+Stamp(w.rng.IntN(modelMaxGrant)))
 		}
 	}
-	if w.mutation == mutateProposal {
+	if w.mutation == applyUnloggedGrants {
 		n.ledger.grant(g)
 	}
 	w.appends = append(w.appends, Record{Grant: g})
 }
 
-// land lets one append in flight take effect, or loses it.
-func (w *world) land(*node) {
+// deliverAppend writes one of the pending appends to the log, or loses it.
+func (w *world) deliverAppend(*node) {
 	if len(w.appends) == 0 {
 		return
 	}
@@ -215,24 +241,25 @@
 	w.appends = append(w.appends[:i], w.appends[i+1:]...)
 }
 
-// submit sends a key through an entry, which routes by what it has folded.
+// submit submits a key at an entry, which routes it according to its own, possibly
+// outdated, ledger.
 func (w *world) submit(n *node) {
 	k := w.rng.IntN(w.profile.keys)
 	in, standing := n.ledger.Lookup(w.keys[k].Range(modelRanges), w.keys[k].Stamp())
 	if standing != Owned {
 		return
 	}
-	w.subs = append(w.subs, submission{key: k, target: in.Owner.Daemon})
+	w.submissions = append(w.submissions, submission{key: k, target: in.Owner.Daemon})
 }
 
-// advance moves one submission by one step. Sending and arriving, deciding and
-// running, running and recording are separate steps.
+// advance performs the next step of one submission. The arrival at the owner, the
+// execution, and the recording of the outcome are separate steps.
 func (w *world) advance(*node) {
-	if len(w.subs) == 0 {
+	if len(w.submissions) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.subs))
-	s := &w.subs[i]
+	i := w.rng.IntN(len(w.submissions))
+	s := &w.submissions[i]
 	done := true
 	switch s.phase {
 	case toOwner:
@@ -243,48 +270,53 @@
 		w.finish(s)
 	}
 	if done {
-		w.subs = append(w.subs[:i], w.subs[i+1:]...)
+		w.submissions = append(w.submissions[:i], w.submissions[i+1:]...)
 	}
 }
 
+// arrive submits the key to its owner's table. It returns true if that ends the
+// submission.
 func (w *world) arrive(s *submission) bool {
 	s.node = w.nodes[s.target[0]-'a']
 	v, _ := s.node.table.Begin(s.node.ledger, Request{ID: ID{Key: w.keys[s.key]}})
-	w.seen[v.String()]++
+	w.eventCounts[v.String()]++
 	switch v {
 	case Run:
 		s.phase = beforeSend
 		return false
 	case Full:
-		w.notRun(s.key)
+		w.reportNotRun(s.key)
 	case Replay, AnswerGone:
 		if w.runs[s.key] != 1 {
-			w.broken = fmt.Sprintf("key %d replayed after %d runs", s.key, w.runs[s.key])
+			w.violation = fmt.Sprintf("key %d replayed after %d runs", s.key, w.runs[s.key])
 		}
 	}
 	return true
 }
 
-// running reports whether the owner's process still runs.
+// running reports whether the node has not crashed.
 func (w *world) running(n *node) bool { return w.nodes[n.table.Self().Daemon[0]-'a'] == n }
 
+// send runs the request, or reports that it did not run. It returns true if that
+// ends the submission.
 func (w *world) send(s *submission) bool {
 	if !w.running(s.node) {
 		return true
 	}
 	if w.rng.IntN(4) == 0 {
 		s.node.table.Finish(ID{Key: w.keys[s.key]}, outcome.NotRun, nil)
-		w.notRun(s.key)
+		w.reportNotRun(s.key)
 		return true
 	}
 	w.runs[s.key]++
 	if w.runs[s.key] > 1 {
-		w.broken = fmt.Sprintf("key %d ran %d times", s.key, w.runs[s.key])
+		w.violation = fmt.Sprintf("key %d ran %d times", s.key, w.runs[s.key])
 	}
 	s.phase = afterSend
 	return false
 }
 
+// finish records a random outcome for a request that has run.
 func (w *world) finish(s *submission) {
 	if !w.running(s.node) {
 		return
@@ -296,9 +328,10 @@
 	s.node.table.Finish(ID{Key: w.keys[s.key]}, kind, &Answer{Status: 200})
 }
 
-func (w *world) notRun(key int) {
+// reportNotRun checks that a key that is reported as not run has indeed never run.
+func (w *world) reportNotRun(key int) {
 	if w.runs[key] != 0 {
-		w.broken = fmt.Sprintf("key %d told not run after %d runs", key, w.runs[key])
+		w.violation = fmt.Sprintf("key %d reported as not run after %d runs", key, w.runs[key])
 	}
 }
 
@@ -307,24 +340,24 @@
 	n.table.Seal()
 	parts, err := n.table.Export(n.ledger)
 	if err != nil {
-		w.broken = err.Error()
+		w.violation = err.Error()
 		return
 	}
 	to := w.nodes[w.rng.IntN(modelDaemons)]
 	if to != n {
-		w.passing = append(w.passing, passing{from: n, to: to.table.Self(), parts: parts})
+		w.handovers = append(w.handovers, pendingHandover{from: n, to: to.table.Self(), parts: parts})
 	}
 }
 
-// handOver delivers a handover, perhaps twice, or loses it or its reply.
-func (w *world) handOver(*node) {
-	if len(w.passing) == 0 {
+// deliverHandover delivers a handover, possibly twice, or loses it or its reply.
+func (w *world) deliverHandover(*node) {
+	if len(w.handovers) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.passing))
-	p := w.passing[i]
+	i := w.rng.IntN(len(w.handovers))
+	p := w.handovers[i]
 	if w.rng.IntN(4) > 0 {
-		w.passing = append(w.passing[:i], w.passing[i+1:]...)
+		w.handovers = append(w.handovers[:i], w.handovers[i+1:]...)
 	}
 	to := w.nodes[p.to.Daemon[0]-'a']
 	if w.rng.IntN(4) == 0 || to.table.Self() != p.to || to.table.Import(p.parts[0]) != nil {
@@ -335,9 +368,9 @@
 	}
 }
 
-// sign appends the transfer to the successor that took in the claims. A faulty
-// daemon may name one that did not.
-func (w *world) sign(n *node) {
+// appendTransfer appends a transfer to the successor that has imported the claims.
+// To model a faulty daemon, it sometimes names an owner that has not imported them.
+func (w *world) appendTransfer(n *node) {
 	if !n.table.IsSealed() {
 		return
 	}
@@ -348,16 +381,18 @@
 	}
 	if to != nil && *to != n.table.Self() {
 		w.appends = append(w.appends, Record{Transfer: &Transfer{From: n.table.Self().Life, To: *to}})
-		w.seen["transfer"]++
+		w.eventCounts["transfer"]++
 	}
 }
 
+// checkpoint requests the append of a checkpoint.
 func (w *world) checkpoint(n *node) {
 	if n.ledger.Proven() {
 		w.appends = append(w.appends, Record{Checkpoint: n.ledger.Checkpoint()})
 	}
 }
 
+// trim removes a random number of the oldest records from the log.
 func (w *world) trim(*node) {
 	if kept := len(w.log) - w.oldest; kept > 0 {
 		w.oldest += w.rng.IntN(kept + 1)
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -13,20 +13,23 @@
 
 var self = Owner{Daemon: "127.0.0.1:7001", Life: 11}
 
-// owning returns a Ledger in which an owner holds every stamp below until.
-func owning(o Owner, until Stamp) *Ledger {
+// ledgerOwnedBy returns a Ledger with one range, in which an owner holds all
+// timestamps below until.
+func ledgerOwnedBy(o Owner, until Stamp) *Ledger {
 	l := NewLedger(1, 0)
 	l.Apply(0, Record{Grant: &Grant{Owner: o, Until: until, Extensions: []Extension{{}}}})
 	return l
 }
 
-func keyed(stamp Stamp, n int, caller model.CallerName) Request {
+// newRequest returns a request whose key has the given timestamp and is unique for
+// each n.
+func newRequest(stamp Stamp, n int, caller model.CallerName) Request {
 	return Request{ID: ID{Caller: caller, Key: NewKey(stamp, [10]byte{9: byte(n), 8: byte(n >> 8)})}, Group: "sorters"}
 }
 
-func TestTableAnswersRetriesOfTheSameRequestOnly(t *testing.T) {
-	l, table := owning(self, 100), NewTable(self, Limits{})
-	r := keyed(50, 1, "sorter-1")
+func TestTableReplaysOnlyTheSameRequest(t *testing.T) {
+	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
+	r := newRequest(50, 1, "sorter-1")
 	begin := func(r Request) Verdict { v, _ := table.Begin(l, r); return v }
 
 	require.Equal(t, Run, begin(r))
@@ -39,17 +42,17 @@
 	changed := r
 	changed.Digest[0]++
 	require.Equal(t, Mismatch, begin(changed))
-	require.Equal(t, Run, begin(keyed(50, 1, "sorter-2")), "another caller's key is another key")
-	require.Equal(t, NotOwner, begin(keyed(100, 1, "sorter-1")), "beyond the grant")
+	require.Equal(t, Run, begin(newRequest(50, 1, "sorter-2")), "the same key of another caller is independent")
+	require.Equal(t, NotOwner, begin(newRequest(100, 1, "sorter-1")), "timestamp beyond the grant")
 	table.Expire(51)
 	require.Equal(t, Expired, begin(r))
 	require.Zero(t, table.Len())
 	require.Zero(t, table.AnswerBytes())
 }
 
-func TestTableGivesBackTheClaimOfARequestThatDidNotRun(t *testing.T) {
-	l, table := owning(self, 100), NewTable(self, Limits{})
-	r := keyed(50, 1, "")
+func TestTableReleasesClaimOfRequestThatDidNotRun(t *testing.T) {
+	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
+	r := newRequest(50, 1, "")
 	for range 2 {
 		v, _ := table.Begin(l, r)
 		require.Equal(t, Run, v)
@@ -62,24 +65,24 @@
 	require.Equal(t, OutcomeUnknown, v)
 }
 
-func TestTableBoundsClaimsOfEachGroup(t *testing.T) {
-	l, table := owning(self, 100), NewTable(self, Limits{Claims: 4, GroupClaims: 2})
-	verdicts := map[Verdict]int{}
+func TestTableLimitsClaimsPerGroup(t *testing.T) {
+	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{Claims: 4, GroupClaims: 2})
+	decisions := map[Verdict]int{}
 	for i := range 5 {
-		v, _ := table.Begin(l, keyed(50, i, ""))
-		verdicts[v]++
+		v, _ := table.Begin(l, newRequest(50, i, ""))
+		decisions[v]++
 	}
-	require.Equal(t, map[Verdict]int{Run: 2, Full: 3}, verdicts)
-	other := keyed(50, 9, "")
+	require.Equal(t, map[Verdict]int{Run: 2, Full: 3}, decisions)
+	other := newRequest(50, 9, "")
 	other.Group = "members"
 	v, _ := table.Begin(l, other)
-	require.Equal(t, Run, v, "a full group leaves room to the others")
+	require.Equal(t, Run, v, "a full group leaves capacity for other groups")
 }
 
-func TestTableDropsAnswersOfTheGroupThatHoldsMost(t *testing.T) {
-	l, table := owning(self, 100), NewTable(self, Limits{AnswerBytes: 1000, GroupAnswerBytes: 800})
+func TestTableEvictsAnswersOfLargestGroup(t *testing.T) {
+	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{AnswerBytes: 1000, GroupAnswerBytes: 800})
 	run := func(n, size int, g model.GroupName) Request {
-		r := keyed(50, n, "")
+		r := newRequest(50, n, "")
 		r.Group = g
 		v, _ := table.Begin(l, r)
 		require.Equal(t, Run, v)
@@ -98,10 +101,10 @@
 	require.Equal(t, AnswerGone, v)
 }
 
-func TestHandoverCarriesClaimsAndAnswers(t *testing.T) {
-	next := Owner{Daemon: "127.0.0.1:7002", Life: 12}
-	l, from, to := owning(self, 100), NewTable(self, Limits{}), NewTable(next, Limits{})
-	done, inFlight, fresh := keyed(50, 1, "a"), keyed(51, 2, "a"), keyed(52, 3, "a")
+func TestHandoverTransfersClaimsAndAnswers(t *testing.T) {
+	successor := Owner{Daemon: "127.0.0.1:7002", Life: 12}
+	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
+	done, inFlight, fresh := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
 	from.Begin(l, done)
 	from.Finish(done.ID, outcome.Answered, &Answer{Status: 200, Body: []byte("paid")})
 	from.Begin(l, inFlight)
@@ -116,23 +119,23 @@
 
 	v, _ := to.Begin(l, done)
 	require.Equal(t, NotOwner, v, "before the transfer is on the log")
-	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: next}})
+	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: successor}})
 	v, a := to.Begin(l, done)
 	require.Equal(t, Replay, v)
 	require.Equal(t, "paid", string(a.Body))
 	v, _ = to.Begin(l, inFlight)
 	require.Equal(t, OutcomeUnknown, v)
-	v, _ = to.Begin(l, keyed(39, 4, "a"))
-	require.Equal(t, Expired, v, "the earlier owner may have dropped it")
+	v, _ = to.Begin(l, newRequest(39, 4, "a"))
+	require.Equal(t, Expired, v, "the earlier owner may have deleted the claim")
 	v, _ = to.Begin(l, fresh)
 	require.Equal(t, Run, v)
 }
 
-func TestHandoverCountsOnceAllPartsAreIn(t *testing.T) {
-	next := Owner{Daemon: "127.0.0.1:7002", Life: 12}
-	l, from, to := owning(self, 100), NewTable(self, Limits{}), NewTable(next, Limits{})
+func TestHandoverTakesEffectAfterLastPart(t *testing.T) {
+	successor := Owner{Daemon: "127.0.0.1:7002", Life: 12}
+	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
 	for i := range 5 {
-		r := keyed(50, i, "")
+		r := newRequest(50, i, "")
 		from.Begin(l, r)
 		from.Finish(r.ID, outcome.Answered, &Answer{Body: make([]byte, 300<<10)})
 	}
@@ -140,21 +143,21 @@
 	parts, err := from.Export(l)
 	require.NoError(t, err)
 	require.Greater(t, len(parts), 1)
-	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: next}})
+	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: successor}})
 	for _, part := range parts {
-		v, _ := to.Begin(l, keyed(50, 9, ""))
+		v, _ := to.Begin(l, newRequest(50, 9, ""))
 		require.Equal(t, OwnerLost, v)
 		require.NoError(t, to.Import(part))
 	}
 	require.Equal(t, 5, to.Len())
-	v, _ := to.Begin(l, keyed(50, 9, ""))
+	v, _ := to.Begin(l, newRequest(50, 9, ""))
 	require.Equal(t, Run, v)
 }
 
-func TestHandoverIsRefusedWhole(t *testing.T) {
-	l, from := owning(self, 100), NewTable(self, Limits{})
+func TestHandoverIsRejectedAsAWhole(t *testing.T) {
+	l, from := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
 	for i := range 3 {
-		from.Begin(l, keyed(50, i, ""))
+		from.Begin(l, newRequest(50, i, ""))
 	}
 	from.Seal()
 	parts, err := from.Export(l)
@@ -163,28 +166,28 @@
 	small := NewTable(Owner{Life: 12}, Limits{Claims: 2})
 	sealed := NewTable(Owner{Life: 13}, Limits{})
 	sealed.Seal()
-	for name, table := range map[string]*Table{"no room": small, "sealed": sealed} {
+	for name, table := range map[string]*Table{"no capacity": small, "sealed": sealed} {
 		t.Run(name, func(t *testing.T) {
 			require.ErrorIs(t, table.Import(data), ErrHandover)
 			require.Zero(t, table.Len())
 		})
 	}
-	open := NewTable(Owner{Life: 14}, Limits{})
+	unsealed := NewTable(Owner{Life: 14}, Limits{})
 	for cut := range len(data) - 1 {
-		require.ErrorIs(t, open.Import(data[:cut]), ErrHandover, "cut at %d", cut)
+		require.ErrorIs(t, unsealed.Import(data[:cut]), ErrHandover, "cut at %d", cut)
 	}
-	require.Zero(t, open.Len())
+	require.Zero(t, unsealed.Len())
 }
 
-func TestPlannerTakesTurnsWithoutADeathNotice(t *testing.T) {
-	const grant = 60 * time.Second
+func TestPlannerCoversRangesOfSilentOwner(t *testing.T) {
+	const grantLength = 60 * time.Second
 	daemons := []model.DaemonID{"a:1", "b:1", "c:1"}
 	l := NewLedger(64, 0)
 	var now Stamp = 1_000_000
 	offset := uint64(0)
 	planners := map[model.DaemonID]*Planner{}
 	for i, d := range daemons {
-		planners[d] = NewPlanner(Owner{Daemon: d, Life: uint64(i + 1)}, 64, grant)
+		planners[d] = NewPlanner(Owner{Daemon: d, Life: uint64(i + 1)}, 64, grantLength)
 		planners[d].SetCandidates(daemons)
 	}
 	appends := 0
@@ -199,7 +202,7 @@
 			}
 		}
 	}
-	covered := func() map[model.DaemonID]int {
+	ownedRanges := func() map[model.DaemonID]int {
 		owned := map[model.DaemonID]int{}
 		for r := range Range(64) {
 			in, standing := l.Lookup(r, now)
@@ -209,22 +212,23 @@
 		return owned
 	}
 	run(daemons, time.Second)
-	require.Len(t, covered(), 3)
+	require.Len(t, ownedRanges(), 3)
 	appends = 0
 	run(daemons, 10*time.Minute)
-	require.LessOrEqual(t, appends, 3*21, "each owner renews all its ranges in one record per half grant")
+	require.LessOrEqual(t, appends, 3*21, "each owner renews all its ranges with one record per half of the grant length")
 	run(daemons[:2], 2*time.Minute)
-	require.Len(t, covered(), 2, "the ranges of a silent owner move on without a gap")
+	require.Len(t, ownedRanges(), 2, "other daemons take over the ranges of a silent owner without a gap")
 }
 
-// The daemon that starts first knows no other candidate. Before it asked for a
-// part of a grant only, it owned every range for a whole one.
-func TestPlannerThatStartsAloneLeavesTheOthersTheirRanges(t *testing.T) {
-	const grant = 60 * time.Second
+// TestPlannerStartedFirstLeavesRangesToOthers guards against the daemon that
+// starts first, and does not know other candidates yet, owning every range for a
+// full grant length. The short grants during startup prevent this.
+func TestPlannerStartedFirstLeavesRangesToOthers(t *testing.T) {
+	const grantLength = 60 * time.Second
 	l := NewLedger(64, 0)
-	first := NewPlanner(Owner{Daemon: "a:1", Life: 1}, 64, grant)
+	first := NewPlanner(Owner{Daemon: "a:1", Life: 1}, 64, grantLength)
 	first.SetCandidates([]model.DaemonID{"a:1"})
-	second := NewPlanner(Owner{Daemon: "b:1", Life: 2}, 64, grant)
+	second := NewPlanner(Owner{Daemon: "b:1", Life: 2}, 64, grantLength)
 	second.SetCandidates([]model.DaemonID{"a:1", "b:1"})
 	offset := uint64(0)
 	plan := func(p *Planner, now Stamp) {
@@ -248,7 +252,7 @@
 	require.Greater(t, owned["b:1"], 16, "%v", owned)
 }
 
-func TestPlannerOfNoCandidateAsksForNothing(t *testing.T) {
+func TestPlannerRequestsNothingWhenNotCandidate(t *testing.T) {
 	p := NewPlanner(self, 4, time.Minute)
 	l := NewLedger(4, 0)
 	require.Nil(t, p.Plan(l, 1000))
@@ -257,15 +261,15 @@
 	p.SetCandidates([]model.DaemonID{self.Daemon})
 	require.Len(t, p.Plan(l, 1000).Extensions, 4)
 	l.Reset(7)
-	require.Nil(t, p.Plan(l, 1000), "a ledger that is not proven cannot tell the frontier")
+	require.Nil(t, p.Plan(l, 1000), "the frontier is unknown before a checkpoint is restored")
 }
 
 func BenchmarkBegin(b *testing.B) {
 	for _, size := range []int{1_000, 60_000} {
 		b.Run(fmt.Sprintf("claims=%d", size), func(b *testing.B) {
-			l, table := owning(self, 1<<40), NewTable(self, Limits{GroupClaims: size + 1, Claims: size + 1})
+			l, table := ledgerOwnedBy(self, 1<<40), NewTable(self, Limits{GroupClaims: size + 1, Claims: size + 1})
 			for i := range size {
-				r := keyed(Stamp(i), i, "sorter-1")
+				r := newRequest(Stamp(i), i, "sorter-1")
 				table.Begin(l, r)
 				table.Finish(r.ID, outcome.Answered, nil)
 			}
@@ -273,7 +277,7 @@
 			i := 0
 			for b.Loop() {
 				i++
-				r := keyed(Stamp(size+i), i, "sorter-1")
+				r := newRequest(Stamp(size+i), i, "sorter-1")
 				table.Begin(l, r)
 				table.Finish(r.ID, outcome.NotRun, nil)
 			}
--- /dev/null
+++ b/core/config/delta.go
@@ -0,0 +1,256 @@
+package config
+
+import (
+	"encoding/binary"
+	"errors"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// The kinds of delta, encoded in its first byte.
+const (
+	// deltaRecords is a delta of consecutive log records.
+	deltaRecords = 1
+	// deltaChunk is a delta with one chunk of a checkpoint.
+	deltaChunk = 2
+)
+
+const (
+	// chainPrefixSize is the number of bytes of the hash chain in a digest.
+	chainPrefixSize = 8
+	// digestSize is the size of an encoded digest, which has five fields.
+	digestSize = 8 + 8 + chainPrefixSize + 8 + 8
+	// chunkHeaderSize is the size of the header of a chunk: the kind of delta, the
+	// checkpoint's id and size, and the offset of the chunk in the checkpoint.
+	chunkHeaderSize = 1 + 8 + 8 + 8
+	// recordsHeaderSize is the size of the header of a delta of records: the kind
+	// of delta and the offset of the first record.
+	recordsHeaderSize = 1 + 8
+	// lengthPrefixSize is the size of the length before each record.
+	lengthPrefixSize = 4
+)
+
+// partialCheckpoint is a checkpoint that has been received in part.
+type partialCheckpoint struct {
+	// id is the hash of the complete checkpoint.
+	id uint64
+	// size is the size of the complete checkpoint in bytes.
+	size uint64
+	data []byte
+}
+
+// digest summarizes the state of a Folder, so that another daemon can determine
+// which records it lacks.
+type digest struct {
+	next    uint64
+	version uint64
+	chain   [chainPrefixSize]byte
+	// partialID is the id of the checkpoint that the Folder is receiving, and
+	// partialBytes how much of it has been received.
+	partialID    uint64
+	partialBytes uint64
+}
+
+// Digest returns an encoded summary of the state. Another daemon passes it to
+// Delta and Conflicts.
+func (m *Folder) Digest() []byte {
+	b := make([]byte, 0, digestSize)
+	b = binary.BigEndian.AppendUint64(b, m.state.Next)
+	b = binary.BigEndian.AppendUint64(b, uint64(m.state.Version))
+	b = append(b, m.state.Chain[:chainPrefixSize]...)
+	b = binary.BigEndian.AppendUint64(b, m.partial.id)
+	return binary.BigEndian.AppendUint64(b, uint64(len(m.partial.data)))
+}
+
+func parseDigest(b []byte) (digest, bool) {
+	if len(b) != digestSize {
+		return digest{}, false
+	}
+	d := digest{next: binary.BigEndian.Uint64(b), version: binary.BigEndian.Uint64(b[8:])}
+	copy(d.chain[:], b[16:])
+	d.partialID = binary.BigEndian.Uint64(b[16+chainPrefixSize:])
+	d.partialBytes = binary.BigEndian.Uint64(b[24+chainPrefixSize:])
+	return d, true
+}
+
+// Conflicts reports whether the daemon that sent the digest has a different hash
+// chain at the same offset. It returns false if it cannot compare the two.
+func (m *Folder) Conflicts(peerDigest []byte) bool {
+	d, ok := parseDigest(peerDigest)
+	if !ok || d.next > m.state.Next {
+		return false
+	}
+	if d.next == m.state.Next {
+		return d.chain != [chainPrefixSize]byte(m.state.Chain[:chainPrefixSize])
+	}
+	records, ok := m.recent.from(d.next)
+	return ok && d.chain != [chainPrefixSize]byte(records[0].chainBefore[:chainPrefixSize])
+}
+
+// Delta returns an update for the daemon that sent the digest, in at most limit
+// bytes: the records that follow its own or, if these are no longer kept, a chunk
+// of a checkpoint. It returns nil if the daemon lacks nothing or its state
+// conflicts.
+func (m *Folder) Delta(peerDigest []byte, limit int) []byte {
+	d, ok := parseDigest(peerDigest)
+	if !ok || d.next >= m.state.Next || m.Conflicts(peerDigest) {
+		return nil
+	}
+	if records, ok := m.recent.from(d.next); ok {
+		if delta := encodeRecords(d.next, records, limit); delta != nil {
+			return delta
+		}
+	}
+	return m.chunk(d, limit)
+}
+
+// encodeRecords returns a delta with as many records as fit into limit bytes, or
+// nil if not even one fits.
+func encodeRecords(first uint64, records []recentRecord, limit int) []byte {
+	b := append([]byte{deltaRecords}, binary.BigEndian.AppendUint64(nil, first)...)
+	for _, r := range records {
+		if len(b)+lengthPrefixSize+len(r.data) > limit {
+			break
+		}
+		b = binary.BigEndian.AppendUint32(b, uint32(len(r.data)))
+		b = append(b, r.data...)
+	}
+	if len(b) == recordsHeaderSize {
+		return nil
+	}
+	return b
+}
+
+// chunk returns the next chunk of the checkpoint that the sender of the digest
+// needs, continuing after the bytes that it has already received.
+func (m *Folder) chunk(d digest, limit int) []byte {
+	data := m.checkpointFor(d.next)
+	if data == nil || limit <= chunkHeaderSize {
+		return nil
+	}
+	id := xxhash.Sum64(data)
+	var from uint64
+	if d.partialID == id && d.partialBytes < uint64(len(data)) {
+		from = d.partialBytes
+	}
+	b := []byte{deltaChunk}
+	b = binary.BigEndian.AppendUint64(b, id)
+	b = binary.BigEndian.AppendUint64(b, uint64(len(data)))
+	b = binary.BigEndian.AppendUint64(b, from)
+	part := data[from:]
+	return append(b, part[:min(len(part), limit-chunkHeaderSize)]...)
+}
+
+// checkpointFor returns the cached checkpoint in encoded form, for a daemon whose
+// next offset is given. It first replaces the cached checkpoint with one of the
+// current state if the cached one is not ahead of that daemon, or if the records
+// that follow it are no longer kept.
+func (m *Folder) checkpointFor(next uint64) []byte {
+	_, continuable := m.recent.from(m.cached.state.Next)
+	continuable = continuable || m.cached.state.Next == m.state.Next
+	if m.cached.state.Next <= next || !continuable {
+		m.cached = cachedCheckpoint{state: m.state.clone()}
+	}
+	if m.cached.encoded == nil {
+		data, err := m.cached.state.Checkpoint()
+		if err != nil {
+			return nil
+		}
+		m.cached.encoded = data
+	}
+	return m.cached.encoded
+}
+
+var (
+	errDelta = errors.New("config delta cannot be read")
+	errChunk = errors.New("config checkpoint cannot be read")
+)
+
+// Apply applies a delta and returns the results of the records that it applied.
+// It skips records that do not follow the Folder's own prefix of the log.
+func (m *Folder) Apply(delta []byte) ([]Result, error) {
+	if len(delta) == 0 {
+		return nil, errDelta
+	}
+	switch delta[0] {
+	case deltaRecords:
+		return m.applyRecords(delta)
+	case deltaChunk:
+		return nil, m.applyChunk(delta)
+	default:
+		return nil, errDelta
+	}
+}
+
+// applyRecords applies a delta of kind deltaRecords.
+func (m *Folder) applyRecords(delta []byte) ([]Result, error) {
+	first, records, err := decodeRecords(delta)
+	if err != nil {
+		return nil, err
+	}
+	var out []Result
+	for i, r := range records {
+		if res := m.Fold(first+uint64(i), r); res.Verdict != OutOfOrder {
+			out = append(out, res)
+		}
+	}
+	return out, nil
+}
+
+// decodeRecords returns the records of a delta and the offset of the first one.
+func decodeRecords(delta []byte) (first uint64, records [][]byte, err error) {
+	if len(delta) < recordsHeaderSize {
+		return 0, nil, errDelta
+	}
+	first = binary.BigEndian.Uint64(delta[1:])
+	for rest := delta[recordsHeaderSize:]; len(rest) > 0; {
+		if len(rest) < lengthPrefixSize {
+			return 0, nil, errDelta
+		}
+		n := binary.BigEndian.Uint32(rest)
+		rest = rest[lengthPrefixSize:]
+		if uint64(n) > uint64(len(rest)) {
+			return 0, nil, errDelta
+		}
+		records = append(records, append([]byte(nil), rest[:n]...))
+		rest = rest[n:]
+	}
+	return first, records, nil
+}
+
+// applyChunk adds a chunk to the partial checkpoint and adopts the checkpoint
+// when it is complete. The first chunk of a different checkpoint discards the
+// partial one. Other chunks that do not continue the partial checkpoint are
+// ignored.
+func (m *Folder) applyChunk(delta []byte) error {
+	if len(delta) <= chunkHeaderSize {
+		return errDelta
+	}
+	id := binary.BigEndian.Uint64(delta[1:])
+	size := binary.BigEndian.Uint64(delta[9:])
+	from := binary.BigEndian.Uint64(delta[17:])
+	part := delta[chunkHeaderSize:]
+	if size > maxUncompressedCheckpoint || from > size || uint64(len(part)) > size-from {
+		return errDelta
+	}
+	if from == 0 && (m.partial.id != id || m.partial.size != size) {
+		m.partial = partialCheckpoint{id: id, size: size}
+	}
+	if m.partial.id != id || m.partial.size != size || from != uint64(len(m.partial.data)) {
+		return nil
+	}
+	m.partial.data = append(m.partial.data, part...)
+	if uint64(len(m.partial.data)) < size {
+		return nil
+	}
+	data := m.partial.data
+	m.partial = partialCheckpoint{}
+	s, ok := ReadCheckpoint(data)
+	if !ok {
+		return errChunk
+	}
+	if err := m.Adopt(s); err != nil && !errors.Is(err, ErrStale) {
+		return err
+	}
+	return nil
+}
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -15,30 +15,37 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// world is one state of a small deployment: a log with operators racing on it,
-// a checkpoint writer that may pause, and daemons that read, hand on and
-// restart.
+// world is one state of a model of a small deployment: a log to which operators
+// append concurrently, a checkpoint writer that may pause, and two daemons that
+// read the log, exchange deltas and restart.
 type world struct {
-	log     [][]byte
-	oldest  int
-	held    []byte
-	heldAs  State
-	daemons [2]*Folder
-	// spec is the accepted changes after each prefix of the log, by a plain
-	// reading of the rules.
-	spec  []specState
+	log [][]byte
+	// oldest is the offset of the oldest record that the log keeps.
+	oldest int
+	// writerCheckpoint is the checkpoint that the paused writer will append, and
+	// writerState the state that it contains.
+	writerCheckpoint []byte
+	writerState      State
+	daemons          [2]*Folder
+	// expected holds, for each prefix of the log, the state that the rules
+	// prescribe, computed without the code under test.
+	expected []expectedState
+	// steps are the names of the actions that led to this state.
 	steps []string
 }
 
-type specState struct {
+// expectedState is the state that the rules prescribe.
+type expectedState struct {
 	version model.Version
-	last    string
-	seen    string
+	// lastAccepted is the ID of the last accepted change.
+	lastAccepted string
+	// seenIDs is the concatenation of the IDs of all changes.
+	seenIDs string
 }
 
 func (w *world) clone() *world {
 	c := *w
-	c.log, c.spec, c.steps = slices.Clone(w.log), slices.Clone(w.spec), slices.Clone(w.steps)
+	c.log, c.expected, c.steps = slices.Clone(w.log), slices.Clone(w.expected), slices.Clone(w.steps)
 	for i, d := range w.daemons {
 		f := *d
 		f.state = d.state.clone()
@@ -49,19 +56,22 @@
 	return &c
 }
 
+// append appends a record to the log and computes the expected state after it. The
+// id is empty for a record that is not a change.
 func (w *world) append(record []byte, id string, base model.Version) {
-	s := w.spec[len(w.spec)-1]
-	if id != "" && !strings.Contains(s.seen, id) {
-		s.seen += id
+	s := w.expected[len(w.expected)-1]
+	if id != "" && !strings.Contains(s.seenIDs, id) {
+		s.seenIDs += id
 		if base == s.version {
 			s.version++
-			s.last = id
+			s.lastAccepted = id
 		}
 	}
 	w.log = append(w.log, record)
-	w.spec = append(w.spec, s)
+	w.expected = append(w.expected, s)
 }
 
+// write appends a change.
 func (w *world) write(id string, base model.Version) {
 	record, _, err := EncodeChange(Change{ID: id, Base: base, Put: map[DocumentKey]json.RawMessage{"Service/s": json.RawMessage(`"` + id + `"`)}})
 	if err != nil {
@@ -70,8 +80,8 @@
 	w.append(record, id, base)
 }
 
-// read is what a daemon does with one answer of the log.
-func (w *world) read(f *Folder) {
+// readLog applies all records on the log, restoring a checkpoint first if needed.
+func (w *world) readLog(f *Folder) {
 	if f.Behind(uint64(w.oldest)) {
 		for o := w.oldest; o < len(w.log); o++ {
 			if f.Recover(uint64(o), uint64(w.oldest), w.log[o]) {
@@ -84,9 +94,11 @@
 	}
 }
 
-// checkpoints remembers encoded states, which differ in a few ways only.
+// checkpoints caches encoded checkpoints. The exploration reaches only a few
+// different states.
 var checkpoints = map[string][]byte{}
 
+// encoded returns the encoded checkpoint of a state.
 func encoded(s State) []byte {
 	key := fmt.Sprintf("%d %x %v", s.Next, s.Chain, s.IDs)
 	if checkpoints[key] == nil {
@@ -108,33 +120,33 @@
 	}
 	add("repeat the first record", func(w *world) {
 		if len(w.log) > 0 && w.oldest == 0 {
-			kind, payload, _, _ := open(w.log[0])
+			kind, payload, _, _ := parseRecord(w.log[0])
 			if c, err := decodeChange(payload); kind == kindChange && err == nil {
 				w.append(w.log[0], c.ID, c.Base)
 			}
 		}
 	})
 	add("writer takes a checkpoint and pauses", func(w *world) {
-		w.heldAs = w.daemons[0].State()
-		w.held = encoded(w.heldAs)
+		w.writerState = w.daemons[0].State()
+		w.writerCheckpoint = encoded(w.writerState)
 	})
 	add("writer resumes", func(w *world) {
-		if w.held != nil {
-			w.append(w.held, "", 0)
+		if w.writerCheckpoint != nil {
+			w.append(w.writerCheckpoint, "", 0)
 		}
 	})
 	add("log trims all but the last", func(w *world) { w.oldest = max(w.oldest, len(w.log)-1) })
 	for i := range 2 {
-		add(fmt.Sprint("read ", i), func(w *world) { w.read(w.daemons[i]) })
-		add(fmt.Sprint("hand on to ", i), func(w *world) {
+		add(fmt.Sprint("read ", i), func(w *world) { w.readLog(w.daemons[i]) })
+		add(fmt.Sprint("send delta to ", i), func(w *world) {
 			to, from := w.daemons[i], w.daemons[1-i]
 			if d := from.Delta(to.Digest(), 400); d != nil {
 				_, _ = to.Apply(d)
 			}
 		})
 		add(fmt.Sprint("late checkpoint to ", i), func(w *world) {
-			if w.held != nil {
-				_ = w.daemons[i].Adopt(w.heldAs)
+			if w.writerCheckpoint != nil {
+				_ = w.daemons[i].Adopt(w.writerState)
 			}
 		})
 	}
@@ -142,15 +154,16 @@
 	return out
 }
 
-// check compares each daemon with the plain rules and with its own past.
+// check compares each daemon with the expected state at its offset, and with its
+// own earlier state, which it must not fall behind unless it was restarted.
 func (w *world) check(before *world, restarted bool) error {
 	for i, d := range w.daemons {
 		if d.Next() > uint64(len(w.log)) {
-			return fmt.Errorf("daemon %d has folded more than the log holds", i)
+			return fmt.Errorf("daemon %d has applied more records than the log holds", i)
 		}
-		s := w.spec[d.Next()]
-		if d.Version() != s.version || d.state.ChangeID != s.last {
-			return fmt.Errorf("daemon %d at offset %d has version %d of %s, want %d of %s", i, d.Next(), d.Version(), d.state.ChangeID, s.version, s.last)
+		s := w.expected[d.Next()]
+		if d.Version() != s.version || d.state.ChangeID != s.lastAccepted {
+			return fmt.Errorf("daemon %d at offset %d has version %d of %s, want %d of %s", i, d.Next(), d.Version(), d.state.ChangeID, s.version, s.lastAccepted)
 		}
 		if old := before.daemons[i]; !(restarted && i == 1) && (d.Version() < old.Version() || d.Next() < old.Next()) {
 			return fmt.Errorf("daemon %d went back from %d to %d", i, old.Version(), d.Version())
@@ -159,11 +172,12 @@
 	return nil
 }
 
+// key returns a string that is equal for equivalent states of the model.
 func (w *world) key() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d|%d|%x|", len(w.log), w.oldest, idHash(string(w.held)))
+	fmt.Fprintf(&b, "%d|%d|%x|", len(w.log), w.oldest, hashID(string(w.writerCheckpoint)))
 	for _, r := range w.log {
-		fmt.Fprintf(&b, "%x,", idHash(string(r)))
+		fmt.Fprintf(&b, "%x,", hashID(string(r)))
 	}
 	for _, d := range w.daemons {
 		fmt.Fprintf(&b, "|%x %d", d.Digest(), d.recent.first)
@@ -171,10 +185,13 @@
 	return b.String()
 }
 
+// modelDepth is the number of actions in the longest histories explored.
 const modelDepth = 6
 
-func TestEveryShortHistoryAgreesWithTheRules(t *testing.T) {
-	first := &world{spec: make([]specState, 1), daemons: [2]*Folder{NewFolder(nil), NewFolder(nil)}}
+// TestShortHistoriesMatchSpecification explores all histories of up to modelDepth
+// actions, breadth first, and checks every state reached.
+func TestShortHistoriesMatchSpecification(t *testing.T) {
+	first := &world{expected: make([]expectedState, 1), daemons: [2]*Folder{NewFolder(nil), NewFolder(nil)}}
 	seen := map[string]bool{first.key(): true}
 	level := []*world{first}
 	acts := actions()
@@ -196,19 +213,19 @@
 		}
 		level = next
 	}
-	t.Logf("%d states", len(seen))
+	t.Logf("explored %d states", len(seen))
 	require.Len(t, versions, 4, "versions 0 to 3 are reached")
 }
 
-// TestModelCatchesAMissingCheck takes out one check at a time and runs the
-// exploration on the result, which has to fail.
-func TestModelCatchesAMissingCheck(t *testing.T) {
+// TestModelDetectsMissingChecks removes one check at a time from the source and
+// runs TestShortHistoriesMatchSpecification on the result, which must fail.
+func TestModelDetectsMissingChecks(t *testing.T) {
 	for name, m := range map[string]struct{ file, old, new string }{
-		"base not compared":         {"fold.go", "if c.Base < f.state.Version {", "if false {"},
-		"base ahead not refused":    {"fold.go", "if c.Base > f.state.Version {", "if false {"},
-		"duplicates not recognised": {"fold.go", "if slices.Contains(f.state.IDs, idHash(c.ID)) {", "if false {"},
-		"gap in the log folded":     {"fold.go", "if offset != f.state.Next {", "if false {"},
-		"older state adopted":       {"fold.go", "if s.Next <= f.state.Next {", "if false {"},
+		"base not compared":                 {"statemachine.go", "if c.Base < m.state.Version {", "if false {"},
+		"base that does not exist accepted": {"statemachine.go", "if c.Base > m.state.Version {", "if false {"},
+		"duplicates not recognised":         {"statemachine.go", "if slices.Contains(m.state.IDs, hashID(c.ID)) {", "if false {"},
+		"gap in the log ignored":            {"statemachine.go", "if offset != m.state.Next {", "if false {"},
+		"older state adopted":               {"statemachine.go", "if s.Next <= m.state.Next {", "if false {"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -224,7 +241,7 @@
 			require.NoError(t, err)
 			list := filepath.Join(dir, "overlay.json")
 			require.NoError(t, os.WriteFile(list, overlay, 0o600))
-			out, err := exec.Command("go", "test", "-vet=off", "-overlay", list, "-run", "TestEveryShortHistoryAgreesWithTheRules", ".").CombinedOutput()
+			out, err := exec.Command("go", "test", "-vet=off", "-overlay", list, "-run", "TestShortHistoriesMatchSpecification", ".").CombinedOutput()
 			require.Error(t, err, "the exploration passed")
 			require.Contains(t, string(out), "after [", "the exploration found a history: %s", out)
 		})
--- a/core/config/fold_test.go
+++ b/core/config/statemachine_test.go
@@ -13,6 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// record encodes a change as a log record.
 func record(t testing.TB, c Change) []byte {
 	t.Helper()
 	r, _, err := EncodeChange(c)
@@ -24,7 +25,8 @@
 	return map[DocumentKey]json.RawMessage{DocumentKey(key): json.RawMessage(text)}
 }
 
-func refuseBad(docs map[DocumentKey]json.RawMessage) error {
+// rejectBad is a Validate function that rejects the document "bad".
+func rejectBad(docs map[DocumentKey]json.RawMessage) error {
 	for _, d := range docs {
 		if string(d) == `"bad"` {
 			return errors.New("bad document")
@@ -33,7 +35,7 @@
 	return nil
 }
 
-func TestFoldJudgesEachChange(t *testing.T) {
+func TestDecisionForEachChange(t *testing.T) {
 	first := Change{ID: "1", Put: put("Service/a", `"x"`)}
 	large := json.RawMessage(`"` + strings.Repeat("x", MaxChange-200) + `"`)
 	full := []Change{}
@@ -45,23 +47,23 @@
 		want    []Verdict
 		version model.Version
 	}{
-		"first":                  {[]Change{first}, []Verdict{Accepted}, 1},
-		"racing":                 {[]Change{first, {ID: "2", Put: put("Service/a", `"y"`)}}, []Verdict{Accepted, Superseded}, 1},
-		"in turn":                {[]Change{first, {ID: "2", Base: 1}}, []Verdict{Accepted, Accepted}, 2},
-		"repeated":               {[]Change{first, first, {ID: "2", Base: 1}, first}, []Verdict{Accepted, Duplicate, Accepted, Duplicate}, 2},
-		"base ahead":             {[]Change{{ID: "2", Base: 1}, first, {ID: "2", Base: 1}}, []Verdict{Invalid, Accepted, Duplicate}, 1},
-		"documents do not parse": {[]Change{{ID: "1", Put: put("Service/a", `"bad"`)}, {ID: "2"}}, []Verdict{Invalid, Accepted}, 1},
-		"too large":              {full, []Verdict{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
+		"first":                   {[]Change{first}, []Verdict{Accepted}, 1},
+		"concurrent":              {[]Change{first, {ID: "2", Put: put("Service/a", `"y"`)}}, []Verdict{Accepted, Superseded}, 1},
+		"sequential":              {[]Change{first, {ID: "2", Base: 1}}, []Verdict{Accepted, Accepted}, 2},
+		"repeated":                {[]Change{first, first, {ID: "2", Base: 1}, first}, []Verdict{Accepted, Duplicate, Accepted, Duplicate}, 2},
+		"base does not exist yet": {[]Change{{ID: "2", Base: 1}, first, {ID: "2", Base: 1}}, []Verdict{Invalid, Accepted, Duplicate}, 1},
+		"documents do not parse":  {[]Change{{ID: "1", Put: put("Service/a", `"bad"`)}, {ID: "2"}}, []Verdict{Invalid, Accepted}, 1},
+		"too large":               {full, []Verdict{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := NewFolder(refuseBad)
+			m := NewFolder(rejectBad)
 			var got []Verdict
 			for i, change := range c.changes {
-				got = append(got, f.Fold(uint64(i), record(t, change)).Verdict)
+				got = append(got, m.Fold(uint64(i), record(t, change)).Verdict)
 			}
 			require.Equal(t, c.want, got)
-			require.Equal(t, c.version, f.Version())
-			require.EqualValues(t, len(c.changes), f.Next())
+			require.Equal(t, c.version, m.Version())
+			require.EqualValues(t, len(c.changes), m.Next())
 		})
 	}
 }
@@ -72,54 +74,54 @@
 	damaged[len(damaged)-1] ^= 1
 	newer := append([]byte(nil), good...)
 	newer[1] = 9
-	f := NewFolder(nil)
+	m := NewFolder(nil)
 	for i, r := range [][]byte{nil, []byte("{}"), damaged, newer} {
-		res := f.Fold(uint64(i), r)
+		res := m.Fold(uint64(i), r)
 		require.Equal(t, Ignored, res.Verdict)
 		require.Error(t, res.Problem)
 	}
-	require.Equal(t, OutOfOrder, f.Fold(9, good).Verdict)
-	require.Equal(t, Accepted, f.Fold(4, good).Verdict)
+	require.Equal(t, OutOfOrder, m.Fold(9, good).Verdict)
+	require.Equal(t, Accepted, m.Fold(4, good).Verdict)
 }
 
-func TestStateIsAdoptedOnlyWhenAhead(t *testing.T) {
-	f := NewFolder(nil)
-	f.Fold(0, record(t, Change{ID: "1"}))
-	f.Fold(1, record(t, Change{ID: "2", Base: 1}))
-	ahead := f.State()
+func TestStateIsAdoptedOnlyIfNewer(t *testing.T) {
+	m := NewFolder(nil)
+	m.Fold(0, record(t, Change{ID: "1"}))
+	m.Fold(1, record(t, Change{ID: "2", Base: 1}))
+	ahead := m.State()
 	ahead.Next = 9
 	other := ahead
 	other.Chain[0] ^= 1
 	older := ahead
 	older.Version = 1
-	require.ErrorIs(t, f.Adopt(f.State()), ErrStale)
-	require.ErrorIs(t, f.Adopt(other), ErrConflict)
-	require.ErrorIs(t, f.Adopt(older), ErrConflict)
-	require.NoError(t, f.Adopt(ahead))
-	require.EqualValues(t, 9, f.Next())
+	require.ErrorIs(t, m.Adopt(m.State()), ErrStale)
+	require.ErrorIs(t, m.Adopt(other), ErrConflict)
+	require.ErrorIs(t, m.Adopt(older), ErrConflict)
+	require.NoError(t, m.Adopt(ahead))
+	require.EqualValues(t, 9, m.Next())
 }
 
 func TestCheckpointThatLeavesAGapIsNotUsed(t *testing.T) {
 	writer := NewFolder(nil)
 	writer.Fold(0, record(t, Change{ID: "1"}))
-	late, err := writer.State().Checkpoint()
+	lateCheckpoint, err := writer.State().Checkpoint()
 	require.NoError(t, err)
 	fresh := NewFolder(nil)
 	require.True(t, fresh.Behind(2))
-	require.False(t, fresh.Recover(5, 2, late), "record 1 is not kept")
-	require.False(t, fresh.Recover(0, 0, late), "its state lies ahead of its own place")
-	require.True(t, fresh.Recover(5, 1, late))
+	require.False(t, fresh.Recover(5, 2, lateCheckpoint), "the log no longer keeps record 1")
+	require.False(t, fresh.Recover(0, 0, lateCheckpoint), "the state is ahead of the offset of the checkpoint record")
+	require.True(t, fresh.Recover(5, 1, lateCheckpoint))
 	require.EqualValues(t, 1, fresh.Version())
 }
 
-func TestCheckpointIsChecked(t *testing.T) {
-	f := NewFolder(nil)
-	f.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"x"`)}))
-	data, err := f.State().Checkpoint()
+func TestReadCheckpointDetectsDamage(t *testing.T) {
+	m := NewFolder(nil)
+	m.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"x"`)}))
+	data, err := m.State().Checkpoint()
 	require.NoError(t, err)
 	s, ok := ReadCheckpoint(data)
 	require.True(t, ok)
-	require.Equal(t, f.State(), s)
+	require.Equal(t, m.State(), s)
 	for i := range data {
 		damaged := append([]byte(nil), data...)
 		damaged[i] ^= 0x40
@@ -128,19 +130,20 @@
 	}
 }
 
-func TestConflictIsNoticedAndNothingHandedOn(t *testing.T) {
-	a, b := NewFolder(nil), NewFolder(refuseBad)
-	for _, f := range []*Folder{a, b} {
-		f.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"bad"`)}))
+func TestConflictIsDetectedAndNoDeltaSent(t *testing.T) {
+	a, b := NewFolder(nil), NewFolder(rejectBad)
+	for _, m := range []*Folder{a, b} {
+		m.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"bad"`)}))
 	}
 	a.Fold(1, record(t, Change{ID: "2", Base: 1}))
 	require.True(t, a.Conflicts(b.Digest()))
 	require.Nil(t, a.Delta(b.Digest(), 1<<20))
 }
 
-// TestHandOnConverges lets daemons with any gaps between them hand on in random
-// order with random limits and lost messages; all reach the state of the log.
-func TestHandOnConverges(t *testing.T) {
+// TestDeltasConverge exchanges deltas between three daemons in random order and
+// with random size limits, while the first daemon applies the log. At the end all
+// daemons must have the state of the first.
+func TestDeltasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*Folder{NewFolder(nil), NewFolder(nil), NewFolder(nil)}
 		n := rapid.IntRange(1, 400).Draw(t, "records")
@@ -152,15 +155,15 @@
 			require.NoError(t, err)
 			daemons[0].Fold(uint64(i), r)
 			if i%7 == 0 {
-				step(t, daemons)
+				exchangeRandomDelta(t, daemons)
 			}
 		}
 		for range 400 {
-			step(t, daemons)
+			exchangeRandomDelta(t, daemons)
 		}
 		for _, d := range daemons {
 			for range 2 * 250 {
-				_, err := d.Apply(orOne(daemons[0].Delta(d.Digest(), 2000)))
+				_, err := d.Apply(orEmptyDelta(daemons[0].Delta(d.Digest(), 2000)))
 				require.NoError(t, err)
 			}
 			require.Equal(t, daemons[0].State(), d.State())
@@ -168,15 +171,17 @@
 	})
 }
 
-// orOne stands in for a delta that says nothing.
-func orOne(delta []byte) []byte {
+// orEmptyDelta returns delta, or a delta without records if delta is nil.
+func orEmptyDelta(delta []byte) []byte {
 	if delta == nil {
 		return append([]byte{deltaRecords}, make([]byte, 8)...)
 	}
 	return delta
 }
 
-func step(t *rapid.T, daemons []*Folder) {
+// exchangeRandomDelta sends a delta from one random daemon to another. The version
+// of the receiver must not decrease.
+func exchangeRandomDelta(t *rapid.T, daemons []*Folder) {
 	from, to := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to")
 	limit := rapid.SampledFrom([]int{100, 1000, 3000}).Draw(t, "limit")
 	before := daemons[to].Version()
@@ -189,21 +194,21 @@
 }
 
 func FuzzApply(f *testing.F) {
-	giver := NewFolder(nil)
-	giver.Fold(0, record(f, Change{ID: "1"}))
-	f.Add(giver.Delta(NewFolder(nil).Digest(), 1<<20))
+	sender := NewFolder(nil)
+	sender.Fold(0, record(f, Change{ID: "1"}))
+	f.Add(sender.Delta(NewFolder(nil).Digest(), 1<<20))
 	f.Add([]byte{deltaChunk})
 	f.Fuzz(func(t *testing.T, delta []byte) {
 		d := NewFolder(nil)
 		_, err := d.Apply(delta)
 		if err != nil && d.Next() != 0 {
-			t.Fatal("a refused delta was taken in")
+			t.Fatal("a rejected delta changed the state")
 		}
 	})
 }
 
-// BenchmarkFold folds 10,000 changes over 77 services.
-func BenchmarkFold(b *testing.B) {
+// BenchmarkApplyRecord applies 10,000 changes to 77 services.
+func BenchmarkApplyRecord(b *testing.B) {
 	const changes, services = 10_000, 77
 	records := make([][]byte, changes)
 	bytes := 0
@@ -214,12 +219,12 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f := NewFolder(refuseBad)
+		m := NewFolder(rejectBad)
 		for i, r := range records {
-			f.Fold(uint64(i), r)
+			m.Fold(uint64(i), r)
 		}
-		if f.Version() != changes {
-			b.Fatal(f.Version())
+		if m.Version() != changes {
+			b.Fatal(m.Version())
 		}
 	}
 	b.ReportMetric(float64(bytes)/changes, "bytes/change")
--- a/core/member/delta.go
+++ b/core/member/delta.go
@@ -1,54 +1,59 @@
 package member
 
-// perRecord is about what a record takes when encoded, in bytes. It decides
-// only how many are tried first.
-const perRecord = 32
+// typicalRecordBytes is the approximate encoded size of a record. Delta uses it
+// only for its first estimate of the number of records that fit.
+const typicalRecordBytes = 32
 
-// ApplyAll takes in records and returns how many won.
+// ApplyAll applies records and returns how many of them took effect. A record
+// takes effect if it is the first for its id or takes precedence over the stored
+// one.
 func (d *Directory) ApplyAll(r Records) int {
-	won := 0
+	applied := 0
 	for _, e := range r.Events {
 		if d.Apply(e) {
-			won++
+			applied++
 		}
 	}
 	for _, l := range r.Lives {
 		if d.ApplyLiveness(l) {
-			won++
+			applied++
 		}
 	}
-	return won
+	return applied
 }
 
-// Digest summarises the records.
+// Digest returns the bucket hashes of all events and liveness records, for
+// comparison by Delta on another daemon.
 func (d *Directory) Digest() []byte {
-	b := d.events.appendDigest(make([]byte, 0, 2*tableDigest))
-	return d.lives.appendDigest(b)
+	b := d.events.appendDigest(make([]byte, 0, 2*tableDigestSize))
+	return d.liveness.appendDigest(b)
 }
 
-// Delta returns what the holder of a digest may lack, in at most limit bytes,
-// or nil. A quarter of the room goes to the newest records. The rest goes to
-// the others in turn, from one call to the next: a bucket differs until its
-// last record is there, so the newest alone would be sent over and over.
+// Delta returns encoded records that the sender of a digest may lack, in at most
+// limit bytes. It returns nil if there are none. A quarter of the records are
+// the newest ones. The others rotate through the remaining records from call to
+// call, because a bucket differs until its last record has arrived: if only the
+// newest were chosen, every call would send the same records again.
 func (d *Directory) Delta(digest []byte, limit int) []byte {
-	if len(digest) != 2*tableDigest {
+	if len(digest) != 2*tableDigestSize {
 		return nil
 	}
-	events := d.events.differing(digest[:tableDigest])
-	lives := d.lives.differing(digest[tableDigest:])
-	for n := max(1, limit/perRecord); n > 0 && len(events)+len(lives) > 0; n /= 2 {
-		r := Records{Events: inTurn(events, n, d.turn), Lives: inTurn(lives, n, d.turn)}
+	events := d.events.differing(digest[:tableDigestSize])
+	liveness := d.liveness.differing(digest[tableDigestSize:])
+	for n := max(1, limit/typicalRecordBytes); n > 0 && len(events)+len(liveness) > 0; n /= 2 {
+		r := Records{Events: selectRotating(events, n, d.deltaCursor), Lives: selectRotating(liveness, n, d.deltaCursor)}
 		if data := r.Encode(); len(data) <= limit {
-			d.turn += n
+			d.deltaCursor += n
 			return data
 		}
 	}
 	return nil
 }
 
-// inTurn returns at most n records: the first quarter of them from the front,
-// the others from where turn points to.
-func inTurn[V any](all []V, n, turn int) []V {
+// selectRotating returns at most n of the given records: n/4 from the front, and
+// the others from the remaining records, starting at index start and wrapping
+// around.
+func selectRotating[V any](all []V, n, start int) []V {
 	if len(all) <= n {
 		return all
 	}
@@ -56,7 +61,7 @@
 	out := append([]V(nil), all[:front]...)
 	rest := all[front:]
 	for i := range n - front {
-		out = append(out, rest[(turn+i)%len(rest)])
+		out = append(out, rest[(start+i)%len(rest)])
 	}
 	return out
 }
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -9,68 +9,78 @@
 
 // Options configure a Directory.
 type Options struct {
-	// Self is the daemon that holds the Directory. Empty means that it speaks
-	// for no daemon.
+	// Self is the daemon that holds the Directory. It is empty if the Directory
+	// does not belong to a daemon.
 	Self model.DaemonID
-	// Life is the life of Self, larger than in its earlier lives.
+	// Life is the incarnation number of Self. It must be larger than that of any
+	// earlier incarnation.
 	Life model.Incarnation
-	// MaxUpstreams bounds the upstreams held, those that have left included,
-	// and the daemons. Default: 8192.
+	// MaxUpstreams is the maximum number of upstreams held, including those that
+	// have left. It also bounds the number of daemons, since each daemon held has
+	// at least one upstream. Default: 8192.
 	MaxUpstreams int
-	// SuspectTime is how long a daemon is suspect before it is dead. Default:
-	// 3s.
-	SuspectTime time.Duration
-	// ForgetTime is how long the event of an upstream that has left is kept,
-	// and after how long the upstreams of a dead daemon have left. Default: 1h.
-	ForgetTime time.Duration
-	// Grace is how long after the start Self waits for its upstreams to
-	// announce themselves before it tells that those of its earlier life have
+	// SuspicionTimeout is how long a daemon is suspect before it is declared
+	// dead. Default: 3s.
+	SuspicionTimeout time.Duration
+	// TombstoneRetention is how long the event of an upstream that has left is
+	// kept. It is also the time after which the upstreams of a dead daemon are
+	// marked as left. Default: 1h.
+	TombstoneRetention time.Duration
+	// Grace is how long after its start Self waits for its upstreams to announce
+	// themselves. After that it marks upstreams of its earlier incarnation as
 	// left. Default: 30s.
 	Grace time.Duration
 }
 
 const (
-	defaultMaxUpstreams = 8192
-	defaultSuspectTime  = 3 * time.Second
-	defaultForgetTime   = time.Hour
-	defaultGrace        = 30 * time.Second
+	defaultMaxUpstreams       = 8192
+	defaultSuspicionTimeout   = 3 * time.Second
+	defaultTombstoneRetention = time.Hour
+	defaultGrace              = 30 * time.Second
 )
 
-// Directory holds the winning records. The zero value is not usable; see
-// NewDirectory. It is not safe for concurrent use.
+// Directory holds, for each upstream and each daemon, the record with the
+// highest precedence. It must be created with New or NewDirectory. It is not
+// safe for concurrent use.
 type Directory struct {
 	opts     Options
 	events   table[model.UpstreamID, Event]
-	lives    table[model.DaemonID, Liveness]
+	liveness table[model.DaemonID, Liveness]
 	services map[model.ServiceName]*service
-	// suspects and dead say since when.
-	suspects map[model.DaemonID]model.Instant
-	dead     map[model.DaemonID]model.Instant
-	// own are the events that Self announced.
-	own map[model.UpstreamID]Event
-	// named counts the upstreams held of each daemon. Nothing is kept of
-	// daemons that no upstream names.
-	named map[model.DaemonID]int
-	// unlogged are the events not yet seen on the log, by when they came.
+	// suspectedSince and deadSince hold the time at which a daemon became
+	// suspect or dead.
+	suspectedSince map[model.DaemonID]model.Instant
+	deadSince      map[model.DaemonID]model.Instant
+	// announced holds the events that Self announced.
+	announced map[model.UpstreamID]Event
+	// upstreamsPerDaemon counts the upstreams held for each daemon. No state is
+	// kept for daemons without upstreams.
+	upstreamsPerDaemon map[model.DaemonID]int
+	// unlogged holds the events that have not yet been read from the log, with
+	// the time at which they arrived.
 	unlogged map[model.UpstreamID]model.Instant
-	life     model.Incarnation
-	now      model.Instant
-	unix     int64
-	started  bool
-	origin   model.Instant
-	// swept is when all records were last walked through.
-	swept model.Instant
-	// turn is where the next Delta goes on among records that do not fit.
-	turn int
-	// generation rises with every change of the view.
+	// incarnation is the current incarnation number of Self.
+	incarnation model.Incarnation
+	// now and wallSeconds are the times passed to the last Tick.
+	now         model.Instant
+	wallSeconds int64
+	// startedAt is the time of the first Tick; started is set from then on.
+	started   bool
+	startedAt model.Instant
+	// lastSweep is when all records were last scanned.
+	lastSweep model.Instant
+	// deltaCursor is where the next Delta continues in its rotation through
+	// records that do not fit into one delta.
+	deltaCursor int
+	// generation increases with every change of the view.
 	generation uint64
 }
 
 // service indexes the upstreams of one service that have not left.
 type service struct {
 	ids map[model.UpstreamID]bool
-	// list is the sorted view, nil when it has to be made anew.
-	list []model.Upstream
+	// sorted caches the view, ordered by ID. It is nil when it must be rebuilt.
+	sorted []model.Upstream
 }
 
 // NewDirectory returns an empty Directory with default options.
@@ -81,59 +91,62 @@
 	if o.MaxUpstreams <= 0 {
 		o.MaxUpstreams = defaultMaxUpstreams
 	}
-	if o.SuspectTime <= 0 {
-		o.SuspectTime = defaultSuspectTime
+	if o.SuspicionTimeout <= 0 {
+		o.SuspicionTimeout = defaultSuspicionTimeout
 	}
-	if o.ForgetTime <= 0 {
-		o.ForgetTime = defaultForgetTime
+	if o.TombstoneRetention <= 0 {
+		o.TombstoneRetention = defaultTombstoneRetention
 	}
 	if o.Grace <= 0 {
 		o.Grace = defaultGrace
 	}
 	return &Directory{
-		opts:     o,
-		events:   newTable[model.UpstreamID, Event](eventHash),
-		lives:    newTable[model.DaemonID, Liveness](livenessHash),
-		services: make(map[model.ServiceName]*service),
-		suspects: make(map[model.DaemonID]model.Instant),
-		dead:     make(map[model.DaemonID]model.Instant),
-		own:      make(map[model.UpstreamID]Event),
-		named:    make(map[model.DaemonID]int),
-		unlogged: make(map[model.UpstreamID]model.Instant),
-		life:     o.Life,
+		opts:               o,
+		events:             newTable[model.UpstreamID, Event](eventHash),
+		liveness:           newTable[model.DaemonID, Liveness](livenessHash),
+		services:           make(map[model.ServiceName]*service),
+		suspectedSince:     make(map[model.DaemonID]model.Instant),
+		deadSince:          make(map[model.DaemonID]model.Instant),
+		announced:          make(map[model.UpstreamID]Event),
+		upstreamsPerDaemon: make(map[model.DaemonID]int),
+		unlogged:           make(map[model.UpstreamID]model.Instant),
+		incarnation:        o.Life,
 	}
 }
 
-// Generation rises with every change of what Upstreams returns.
+// Generation returns a number that increases whenever the result of Upstreams may
+// have changed for any service.
 func (d *Directory) Generation() uint64 { return d.generation }
 
-// Len returns the number of upstreams held, those that have left included.
+// Len returns the number of upstreams held, including those that have left.
 func (d *Directory) Len() int { return d.events.len() }
 
-// Announce takes in an event of one of Self's own upstreams and reports whether
-// it changed the view. The event gets a higher epoch where others would not
-// believe it otherwise.
+// Announce applies an event of an upstream that belongs to Self, and reports
+// whether it took effect. If the Directory holds a later state of the same
+// incarnation that Self did not announce, the event gets a higher epoch to
+// override that state.
 func (d *Directory) Announce(e Event) bool {
-	e.Unix = d.unix
+	e.Unix = d.wallSeconds
 	if old, ok := d.events.get(e.Upstream.ID); ok && old.Upstream.Incarnation == e.Upstream.Incarnation {
 		e.Epoch = old.Epoch
-		if _, mine := d.own[e.Upstream.ID]; !mine && old.State > e.State {
+		if _, announced := d.announced[e.Upstream.ID]; !announced && old.State > e.State {
 			e.Epoch++
 		}
 	}
 	if e.State == Left {
-		delete(d.own, e.Upstream.ID)
+		delete(d.announced, e.Upstream.ID)
 	} else {
-		d.own[e.Upstream.ID] = e
+		d.announced[e.Upstream.ID] = e
 	}
-	won := d.Apply(e)
-	if d.opts.Self != "" && d.named[d.opts.Self] > 0 {
-		d.setLife(Liveness{Daemon: d.opts.Self, Life: d.life, Health: Alive})
+	applied := d.Apply(e)
+	if d.opts.Self != "" && d.upstreamsPerDaemon[d.opts.Self] > 0 {
+		d.setLiveness(Liveness{Daemon: d.opts.Self, Life: d.incarnation, Health: Alive})
 	}
-	return won
+	return applied
 }
 
-// Apply takes in an event and reports whether it won.
+// Apply applies an event and reports whether it took effect. It rejects an event
+// that is invalid or does not take precedence over the stored event.
 func (d *Directory) Apply(e Event) bool {
 	if !e.valid() {
 		return false
@@ -142,7 +155,7 @@
 	if known && !e.newer(old) {
 		return false
 	}
-	if !known && (d.forgotten(e) || !d.makeRoom()) {
+	if !known && (d.isOldTombstone(e) || !d.ensureCapacity()) {
 		return false
 	}
 	e.Upstream.Draining = e.State != Joined
@@ -150,39 +163,41 @@
 		d.remove(old)
 	}
 	d.events.set(e.Upstream.ID, e)
-	d.named[e.Upstream.Daemon]++
+	d.upstreamsPerDaemon[e.Upstream.Daemon]++
 	d.unlogged[e.Upstream.ID] = d.now
 	d.index(e)
 	d.generation++
-	d.correct(e)
+	d.refute(e)
 	return true
 }
 
-// remove takes an event out of the table and of all that is derived from it.
+// remove deletes an event and the state derived from it.
 func (d *Directory) remove(e Event) {
 	u := e.Upstream
 	d.events.remove(u.ID)
 	d.unindex(e)
 	delete(d.unlogged, u.ID)
-	if d.named[u.Daemon]--; d.named[u.Daemon] > 0 {
+	if d.upstreamsPerDaemon[u.Daemon]--; d.upstreamsPerDaemon[u.Daemon] > 0 {
 		return
 	}
-	delete(d.named, u.Daemon)
-	d.lives.remove(u.Daemon)
-	delete(d.suspects, u.Daemon)
-	delete(d.dead, u.Daemon)
+	delete(d.upstreamsPerDaemon, u.Daemon)
+	d.liveness.remove(u.Daemon)
+	delete(d.suspectedSince, u.Daemon)
+	delete(d.deadSince, u.Daemon)
 }
 
-// forgotten reports whether the event is one that others will forget soon, so
-// that taking it in would only keep it alive.
-func (d *Directory) forgotten(e Event) bool {
-	return e.State == Left && d.unix > 0 && time.Duration(d.unix-e.Unix)*time.Second > d.opts.ForgetTime/2
+// isOldTombstone reports whether the event is a tombstone (the event of an
+// upstream that has left) older than half of TombstoneRetention. Other daemons
+// will delete such a tombstone soon. Accepting one that is not stored here would
+// only prolong its spread.
+func (d *Directory) isOldTombstone(e Event) bool {
+	return e.State == Left && d.wallSeconds > 0 && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention/2
 }
 
-// makeRoom reports whether another upstream can be held. When the bound is
-// reached the upstream that left longest ago gives way; without one, newcomers
-// are refused.
-func (d *Directory) makeRoom() bool {
+// ensureCapacity reports whether another upstream can be added. At the limit it
+// deletes the upstream that left first. If no upstream has left, it returns
+// false.
+func (d *Directory) ensureCapacity() bool {
 	if d.events.len() < d.opts.MaxUpstreams {
 		return true
 	}
@@ -199,19 +214,20 @@
 	return true
 }
 
-// correct answers an event about Self's own upstream that Self did not
-// announce. An upstream that lives is announced anew under a higher epoch.
-func (d *Directory) correct(e Event) {
-	mine, ok := d.own[e.Upstream.ID]
-	if !ok || !e.newer(mine) || mine.Upstream.Incarnation != e.Upstream.Incarnation {
+// refute overrides an event that claims a state for an upstream of Self which
+// Self did not announce. It announces the upstream again with a higher epoch.
+func (d *Directory) refute(e Event) {
+	own, ok := d.announced[e.Upstream.ID]
+	if !ok || !e.newer(own) || own.Upstream.Incarnation != e.Upstream.Incarnation {
 		return
 	}
-	mine.Epoch = e.Epoch + 1
-	mine.Unix = d.unix
-	d.own[e.Upstream.ID] = mine
-	d.Apply(mine)
+	own.Epoch = e.Epoch + 1
+	own.Unix = d.wallSeconds
+	d.announced[e.Upstream.ID] = own
+	d.Apply(own)
 }
 
+// index adds an upstream to the index of its service unless it has left.
 func (d *Directory) index(e Event) {
 	if e.State == Left {
 		return
@@ -222,36 +238,38 @@
 		d.services[e.Upstream.Service] = s
 	}
 	s.ids[e.Upstream.ID] = true
-	s.list = nil
+	s.sorted = nil
 }
 
+// unindex removes an upstream from the index of its service.
 func (d *Directory) unindex(e Event) {
 	s := d.services[e.Upstream.Service]
 	if s == nil {
 		return
 	}
 	delete(s.ids, e.Upstream.ID)
-	s.list = nil
+	s.sorted = nil
 	if len(s.ids) == 0 {
 		delete(d.services, e.Upstream.Service)
 	}
 }
 
 // Upstreams returns the upstreams of a service that have not left, ordered by
-// ID, without those whose daemon is dead. When these are more than half of the
-// service, it returns all. The slice is shared and must not be modified.
+// ID. It omits those whose daemon is dead, unless they are more than half of the
+// service; then it returns all. The slice is shared and must not be modified.
 func (d *Directory) Upstreams(name model.ServiceName) []model.Upstream {
 	s := d.services[name]
 	if s == nil {
 		return nil
 	}
-	if s.list == nil {
-		s.list = d.list(s)
+	if s.sorted == nil {
+		s.sorted = d.buildView(s)
 	}
-	return s.list
+	return s.sorted
 }
 
-func (d *Directory) list(s *service) []model.Upstream {
+// buildView computes the result of Upstreams for a service.
+func (d *Directory) buildView(s *service) []model.Upstream {
 	all := make([]model.Upstream, 0, len(s.ids))
 	for id := range s.ids {
 		e, _ := d.events.get(id)
@@ -270,16 +288,17 @@
 	return live
 }
 
-// Logged records that an event was read from the log.
+// Logged records that an event was read from the log, so that Unlogged no longer
+// returns it.
 func (d *Directory) Logged(e Event) {
-	held, ok := d.events.get(e.Upstream.ID)
-	if ok && !held.newer(e) {
+	stored, ok := d.events.get(e.Upstream.ID)
+	if ok && !stored.newer(e) {
 		delete(d.unlogged, e.Upstream.ID)
 	}
 }
 
-// Unlogged returns the events that have not been seen on the log for a time,
-// ordered by upstream ID.
+// Unlogged returns the events that arrived at least age ago and have not yet
+// been read from the log, ordered by upstream ID.
 func (d *Directory) Unlogged(age time.Duration) []Event {
 	var out []Event
 	for id, since := range d.unlogged {
@@ -291,7 +310,7 @@
 	return out
 }
 
-// Events returns every winning event, ordered by upstream ID.
+// Events returns the current event of every upstream, ordered by upstream ID.
 func (d *Directory) Events() []Event {
 	out := make([]Event, 0, d.events.len())
 	for _, e := range d.events.all() {
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -6,170 +6,181 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Life returns the life of Self as others are to know it.
-func (d *Directory) Life() model.Incarnation { return d.life }
+// Life returns the current incarnation number of Self. It increases when Self
+// refutes a report that it is suspect or dead.
+func (d *Directory) Life() model.Incarnation { return d.incarnation }
 
-// Health returns what is thought of a daemon. One that nobody spoke of is
-// alive.
+// Health returns the health of a daemon. A daemon without a liveness record
+// counts as alive.
 func (d *Directory) Health(id model.DaemonID) Health {
-	if l, ok := d.lives.get(id); ok {
+	if l, ok := d.liveness.get(id); ok {
 		return l.Health
 	}
 	return Alive
 }
 
-// Suspect records that a daemon did not answer, and reports whether that is
-// news. A daemon that is suspect or dead already stays what it is.
+// Suspect marks a daemon as suspect because it did not respond. It returns false
+// if nothing changed. A daemon that is already suspect or dead is not changed.
 func (d *Directory) Suspect(id model.DaemonID) bool {
-	l, _ := d.lives.get(id)
+	l, _ := d.liveness.get(id)
 	if l.Health > Alive {
 		return false
 	}
 	return d.ApplyLiveness(Liveness{Daemon: id, Life: l.Life, Health: Suspect})
 }
 
-// Answered records that a daemon answered with a life, and reports whether that
-// is news.
-func (d *Directory) Answered(id model.DaemonID, life model.Incarnation) bool {
-	l, known := d.lives.get(id)
-	if !known || life <= l.Life {
+// Answered records that a daemon responded and which incarnation number it
+// reported. It returns false if that number was already known or the daemon has
+// no liveness record.
+func (d *Directory) Answered(id model.DaemonID, incarnation model.Incarnation) bool {
+	l, known := d.liveness.get(id)
+	if !known || incarnation <= l.Life {
 		return false
 	}
-	return d.ApplyLiveness(Liveness{Daemon: id, Life: life, Health: Alive})
+	return d.ApplyLiveness(Liveness{Daemon: id, Life: incarnation, Health: Alive})
 }
 
-// ApplyLiveness takes in what others think of a daemon and reports whether it
-// won. Of Self it is answered by a higher life, unless Self is thought alive.
+// ApplyLiveness applies a liveness record and reports whether it took effect.
+// Records of daemons without upstreams are ignored. A record that reports Self as
+// suspect or dead is refuted: Self gets a higher incarnation number.
 func (d *Directory) ApplyLiveness(l Liveness) bool {
 	if !l.valid() {
 		return false
 	}
 	if l.Daemon == d.opts.Self && d.opts.Self != "" {
-		if l.Health == Alive || l.Life < d.life {
+		if l.Health == Alive || l.Life < d.incarnation {
 			return false
 		}
-		d.life = l.Life + 1
-		l = Liveness{Daemon: d.opts.Self, Life: d.life, Health: Alive}
+		d.incarnation = l.Life + 1
+		l = Liveness{Daemon: d.opts.Self, Life: d.incarnation, Health: Alive}
 	}
-	if d.named[l.Daemon] == 0 {
+	if d.upstreamsPerDaemon[l.Daemon] == 0 {
 		return false
 	}
-	return d.setLife(l)
+	return d.setLiveness(l)
 }
 
-func (d *Directory) setLife(l Liveness) bool {
-	old, known := d.lives.get(l.Daemon)
+// setLiveness stores a liveness record if it takes precedence over the stored one.
+func (d *Directory) setLiveness(l Liveness) bool {
+	old, known := d.liveness.get(l.Daemon)
 	if known && !l.newer(old) {
 		return false
 	}
-	d.lives.set(l.Daemon, l)
-	d.note(l)
+	d.liveness.set(l.Daemon, l)
+	d.trackHealth(l)
 	if (old.Health == Dead) != (l.Health == Dead) {
-		d.viewChanged(l.Daemon)
+		d.invalidateViews(l.Daemon)
 	}
 	return true
 }
 
-func (d *Directory) note(l Liveness) {
-	delete(d.suspects, l.Daemon)
-	delete(d.dead, l.Daemon)
+// trackHealth records when a daemon became suspect or dead.
+func (d *Directory) trackHealth(l Liveness) {
+	delete(d.suspectedSince, l.Daemon)
+	delete(d.deadSince, l.Daemon)
 	switch l.Health {
 	case Suspect:
-		d.suspects[l.Daemon] = d.now
+		d.suspectedSince[l.Daemon] = d.now
 	case Dead:
-		d.dead[l.Daemon] = d.now
+		d.deadSince[l.Daemon] = d.now
 	case Alive:
 	}
 }
 
-// viewChanged makes the lists anew of services with upstreams at a daemon.
-func (d *Directory) viewChanged(id model.DaemonID) {
+// invalidateViews discards the cached views of all services that have upstreams
+// of a daemon.
+func (d *Directory) invalidateViews(id model.DaemonID) {
 	for _, e := range d.events.all() {
 		if e.Upstream.Daemon == id {
 			if s := d.services[e.Upstream.Service]; s != nil {
-				s.list = nil
+				s.sorted = nil
 			}
 		}
 	}
 	d.generation++
 }
 
-// sweepInterval is the time between two walks through all records.
+// sweepInterval is the interval between scans of all records.
 const sweepInterval = 5 * time.Second
 
-// Tick moves the time on and does what has become due. It reports whether any
-// record changed. It is called at least every second.
+// Tick sets the current time, as a monotonic clock reading and in Unix seconds,
+// and runs the timeouts that have expired. It reports whether any record
+// changed. It must be called at least once per second.
 func (d *Directory) Tick(now model.Instant, unix int64) bool {
 	if !d.started {
-		d.started, d.origin = true, now
+		d.started, d.startedAt = true, now
 	}
-	d.now, d.unix = now, unix
-	changed := d.endSuspicions()
-	if now.Sub(d.swept) >= sweepInterval {
-		d.swept = now
-		changed = d.endDead() || changed
-		changed = d.disown() || changed
-		d.forget()
+	d.now, d.wallSeconds = now, unix
+	changed := d.expireSuspicions()
+	if now.Sub(d.lastSweep) >= sweepInterval {
+		d.lastSweep = now
+		changed = d.expireDeadDaemons() || changed
+		changed = d.removeUnannounced() || changed
+		d.deleteOldTombstones()
 	}
 	return changed
 }
 
-func (d *Directory) endSuspicions() bool {
+// expireSuspicions declares daemons dead that were suspect for SuspicionTimeout.
+func (d *Directory) expireSuspicions() bool {
 	changed := false
-	for id, since := range d.suspects {
-		if d.now.Sub(since) < d.opts.SuspectTime {
+	for id, since := range d.suspectedSince {
+		if d.now.Sub(since) < d.opts.SuspicionTimeout {
 			continue
 		}
-		l, _ := d.lives.get(id)
+		l, _ := d.liveness.get(id)
 		l.Health = Dead
 		changed = d.ApplyLiveness(l) || changed
 	}
 	return changed
 }
 
-// endDead lets the upstreams of daemons leave that have long been dead.
-func (d *Directory) endDead() bool {
+// expireDeadDaemons marks the upstreams of daemons that were dead for
+// TombstoneRetention as left.
+func (d *Directory) expireDeadDaemons() bool {
 	changed := false
-	for id, since := range d.dead {
-		if d.now.Sub(since) < d.opts.ForgetTime {
+	for id, since := range d.deadSince {
+		if d.now.Sub(since) < d.opts.TombstoneRetention {
 			continue
 		}
 		for _, e := range d.events.all() {
 			if e.Upstream.Daemon == id && e.State != Left {
-				e.State, e.Unix = Left, d.unix
+				e.State, e.Unix = Left, d.wallSeconds
 				changed = d.Apply(e) || changed
 			}
 		}
-		delete(d.dead, id)
+		delete(d.deadSince, id)
 	}
 	return changed
 }
 
-// disown tells, once Self has run for a while, that upstreams have left that
-// name Self as their daemon and have not announced themselves.
-func (d *Directory) disown() bool {
-	if d.opts.Self == "" || d.now.Sub(d.origin) < d.opts.Grace {
+// removeUnannounced marks upstreams as left that name Self as their daemon but
+// have not been announced since Self started. It does nothing before Grace has
+// passed, because running upstreams need time to announce themselves again.
+func (d *Directory) removeUnannounced() bool {
+	if d.opts.Self == "" || d.now.Sub(d.startedAt) < d.opts.Grace {
 		return false
 	}
 	changed := false
 	for _, e := range d.events.all() {
-		_, mine := d.own[e.Upstream.ID]
-		if e.Upstream.Daemon != d.opts.Self || mine || e.State == Left {
+		_, announced := d.announced[e.Upstream.ID]
+		if e.Upstream.Daemon != d.opts.Self || announced || e.State == Left {
 			continue
 		}
-		e.State, e.Unix = Left, d.unix
+		e.State, e.Unix = Left, d.wallSeconds
 		changed = d.Apply(e) || changed
 	}
 	return changed
 }
 
-// forget drops the events of upstreams that left long ago.
-func (d *Directory) forget() {
-	if d.unix <= 0 {
+// deleteOldTombstones deletes the events of upstreams that left more than
+// TombstoneRetention ago.
+func (d *Directory) deleteOldTombstones() {
+	if d.wallSeconds <= 0 {
 		return
 	}
 	for _, e := range d.events.all() {
-		if e.State == Left && time.Duration(d.unix-e.Unix)*time.Second > d.opts.ForgetTime {
+		if e.State == Left && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention {
 			d.remove(e)
 		}
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -13,6 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// event returns a valid event for an upstream of service "s".
 func event(id, daemon string, incarnation model.Incarnation, s State) Event {
 	return Event{State: s, Upstream: model.Upstream{
 		ID: model.UpstreamID(id), Service: "s", Incarnation: incarnation, Daemon: model.DaemonID(daemon), Zone: "z", Slots: 1,
@@ -27,23 +28,23 @@
 	return out
 }
 
-func second(n int) model.Instant { return model.Instant(n) * model.Instant(time.Second) }
+func seconds(n int) model.Instant { return model.Instant(n) * model.Instant(time.Second) }
 
-func TestTheWinningEventDecides(t *testing.T) {
+func TestApplyKeepsEventWithHighestPrecedence(t *testing.T) {
 	epoch := event("a", "d", 1, Joined)
 	epoch.Epoch = 1
 	for name, c := range map[string]struct {
 		events []Event
 		view   []string
 	}{
-		"joined":              {[]Event{event("a", "d", 1, Joined)}, []string{"a"}},
-		"left":                {[]Event{event("a", "d", 1, Joined), event("a", "d", 1, Left)}, nil},
-		"left before joined":  {[]Event{event("a", "d", 1, Left), event("a", "d", 1, Joined)}, nil},
-		"next incarnation":    {[]Event{event("a", "d", 1, Left), event("a", "d", 2, Joined)}, []string{"a"}},
-		"late older life":     {[]Event{event("a", "d", 2, Joined), event("a", "d", 1, Left)}, []string{"a"}},
-		"higher epoch":        {[]Event{event("a", "d", 1, Left), epoch}, []string{"a"}},
-		"moved to a daemon":   {[]Event{event("a", "d", 1, Joined), event("a", "e", 2, Joined)}, []string{"a"}},
-		"no slots is refused": {[]Event{{State: Joined, Upstream: model.Upstream{ID: "a", Service: "s", Daemon: "d"}}}, nil},
+		"joined":                             {[]Event{event("a", "d", 1, Joined)}, []string{"a"}},
+		"left":                               {[]Event{event("a", "d", 1, Joined), event("a", "d", 1, Left)}, nil},
+		"left before joined":                 {[]Event{event("a", "d", 1, Left), event("a", "d", 1, Joined)}, nil},
+		"next incarnation":                   {[]Event{event("a", "d", 1, Left), event("a", "d", 2, Joined)}, []string{"a"}},
+		"late event of an older incarnation": {[]Event{event("a", "d", 2, Joined), event("a", "d", 1, Left)}, []string{"a"}},
+		"higher epoch":                       {[]Event{event("a", "d", 1, Left), epoch}, []string{"a"}},
+		"moved to another daemon":            {[]Event{event("a", "d", 1, Joined), event("a", "e", 2, Joined)}, []string{"a"}},
+		"no slots":                           {[]Event{{State: Joined, Upstream: model.Upstream{ID: "a", Service: "s", Daemon: "d"}}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := NewDirectory()
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestDrainingUpstreamStaysInViewMarked(t *testing.T) {
+func TestDrainingUpstreamStaysInView(t *testing.T) {
 	d := NewDirectory()
 	d.Apply(event("a", "d", 1, Joined))
 	before := d.Generation()
@@ -65,30 +66,31 @@
 	require.False(t, d.Apply(event("a", "d", 1, Joined)))
 }
 
-func TestSuspectDaemonDiesUnlessItSpeaksUp(t *testing.T) {
+func TestSuspectDaemonIsDeadUnlessItRefutes(t *testing.T) {
 	observer := New(Options{Self: "o", Life: 1})
 	suspect := New(Options{Self: "d", Life: 7})
 	for _, d := range []*Directory{observer, suspect} {
-		d.Tick(second(0), 1000)
+		d.Tick(seconds(0), 1000)
 	}
 	suspect.Announce(event("a", "d", 1, Joined))
 	observer.ApplyAll(recordsOf(suspect))
 	observer.Apply(event("b", "other", 1, Joined))
 	require.True(t, observer.Suspect("d"))
-	require.False(t, observer.Suspect("d"), "no news")
-	require.Equal(t, []string{"a", "b"}, ids(observer.Upstreams("s")), "a suspect is still in view")
+	require.False(t, observer.Suspect("d"), "already suspect")
+	require.Equal(t, []string{"a", "b"}, ids(observer.Upstreams("s")), "the upstream of a suspect daemon is still in the view")
 
-	// It hears of it, raises its life and is believed.
+	// The suspect daemon learns of it and refutes it with a higher incarnation
+	// number.
 	suspect.ApplyAll(recordsOf(observer))
 	require.EqualValues(t, 8, suspect.Life())
 	observer.ApplyAll(recordsOf(suspect))
 	require.Equal(t, Alive, observer.Health("d"))
 
-	// Silent for longer than the suspicion lasts, it is dead until it answers.
+	// A daemon that stays suspect for SuspicionTimeout is dead until it refutes.
 	observer.Suspect("d")
-	observer.Tick(second(2), 1002)
+	observer.Tick(seconds(2), 1002)
 	require.Equal(t, Suspect, observer.Health("d"))
-	require.True(t, observer.Tick(second(3), 1003))
+	require.True(t, observer.Tick(seconds(3), 1003))
 	require.Equal(t, Dead, observer.Health("d"))
 	require.Equal(t, []string{"b"}, ids(observer.Upstreams("s")))
 	suspect.ApplyAll(recordsOf(observer))
@@ -96,91 +98,92 @@
 	require.Equal(t, []string{"a", "b"}, ids(observer.Upstreams("s")))
 }
 
+// recordsOf returns all records of a directory.
 func recordsOf(d *Directory) Records {
 	r := Records{Events: d.Events()}
-	for _, l := range d.lives.all() {
+	for _, l := range d.liveness.all() {
 		r.Lives = append(r.Lives, l)
 	}
 	return r
 }
 
-func TestMostOfAServiceIsNeverLeftOut(t *testing.T) {
+func TestViewNeverDropsMajorityOfService(t *testing.T) {
 	d := New(Options{Self: "o"})
 	d.Tick(0, 1)
 	for i := range 4 {
 		d.Apply(event(fmt.Sprint(i), fmt.Sprint("d", i), 1, Joined))
 	}
-	left := []int{4, 3, 2, 4, 4}
-	for dead, want := range left {
+	viewSizes := []int{4, 3, 2, 4, 4}
+	for dead, want := range viewSizes {
 		require.Len(t, d.Upstreams("s"), want, "%d dead", dead)
 		d.ApplyLiveness(Liveness{Daemon: model.DaemonID(fmt.Sprint("d", dead)), Life: 1, Health: Dead})
 	}
 }
 
-func TestADaemonAnswersForItsOwnUpstreams(t *testing.T) {
+func TestDaemonIsAuthoritativeForItsUpstreams(t *testing.T) {
 	d := New(Options{Self: "d", Life: 1})
-	d.Tick(second(0), 1000)
+	d.Tick(seconds(0), 1000)
 	d.Announce(event("a", "d", 3, Joined))
-	// Others took it for gone while this daemon was cut off.
+	// While this daemon was partitioned, others marked its upstream as left.
 	d.Apply(event("a", "d", 3, Left))
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 	require.EqualValues(t, 1, d.Events()[0].Epoch)
 
-	// An upstream of an earlier life of this VM, which nobody announces.
+	// An upstream of an earlier incarnation of this daemon is never announced.
 	d.Apply(event("old", "d", 1, Joined))
-	d.Tick(second(20), 1020)
-	require.Len(t, d.Upstreams("s"), 2, "it may still announce itself")
-	require.True(t, d.Tick(second(31), 1031))
+	d.Tick(seconds(20), 1020)
+	require.Len(t, d.Upstreams("s"), 2, "the upstream may still be announced during the grace period")
+	require.True(t, d.Tick(seconds(31), 1031))
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 
-	// A lease that lapsed, and the same incarnation back again.
+	// The lease of an upstream expires, then the same incarnation returns.
 	d.Announce(event("a", "d", 3, Left))
 	require.Empty(t, d.Upstreams("s"))
 	d.Announce(event("a", "d", 3, Joined))
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 }
 
-func TestWhatLeftIsForgottenForGood(t *testing.T) {
-	a, b := New(Options{ForgetTime: time.Minute}), New(Options{ForgetTime: time.Minute})
-	a.Tick(second(0), 1000)
-	b.Tick(second(0), 990)
-	gone := event("a", "d", 1, Left)
-	gone.Unix = 1000
-	a.Apply(gone)
-	b.Apply(gone)
-	a.Tick(second(61), 1061)
-	b.Tick(second(61), 1051)
+func TestDeletedTombstoneIsNotReintroduced(t *testing.T) {
+	a, b := New(Options{TombstoneRetention: time.Minute}), New(Options{TombstoneRetention: time.Minute})
+	a.Tick(seconds(0), 1000)
+	b.Tick(seconds(0), 990)
+	tombstone := event("a", "d", 1, Left)
+	tombstone.Unix = 1000
+	a.Apply(tombstone)
+	b.Apply(tombstone)
+	a.Tick(seconds(61), 1061)
+	b.Tick(seconds(61), 1051)
 	require.Zero(t, a.Len())
-	require.Equal(t, 1, b.Len(), "its clock is behind")
+	require.Equal(t, 1, b.Len(), "the clock of b is behind")
 	a.ApplyAll(recordsOf(b))
-	require.Zero(t, a.Len(), "it is not taken back from those who still hold it")
-	require.Empty(t, a.named)
+	require.Zero(t, a.Len(), "a peer that still holds the tombstone does not reintroduce it")
+	require.Empty(t, a.upstreamsPerDaemon)
 }
 
-func TestUpstreamsOfALongDeadDaemonLeave(t *testing.T) {
-	d := New(Options{ForgetTime: time.Minute, SuspectTime: time.Second})
-	d.Tick(second(0), 1000)
+func TestUpstreamsOfDeadDaemonLeave(t *testing.T) {
+	d := New(Options{TombstoneRetention: time.Minute, SuspicionTimeout: time.Second})
+	d.Tick(seconds(0), 1000)
 	d.Apply(event("a", "d", 1, Joined))
 	d.Suspect("d")
-	d.Tick(second(1), 1001)
-	d.Tick(second(62), 1062)
+	d.Tick(seconds(1), 1001)
+	d.Tick(seconds(62), 1062)
 	require.Equal(t, Left, d.Events()[0].State)
-	d.Tick(second(130), 1130)
+	d.Tick(seconds(130), 1130)
 	require.Zero(t, d.Len())
-	require.Empty(t, d.rowsLeft())
+	require.Empty(t, d.remainingState())
 }
 
-// rowsLeft names what is still held of anything.
-func (d *Directory) rowsLeft() []string {
+// remainingState lists the entries left in the directory's maps.
+func (d *Directory) remainingState() []string {
 	var out []string
-	for id := range d.suspects {
+	for id := range d.suspectedSince {
 		out = append(out, "suspect "+string(id))
 	}
-	for id := range d.dead {
+	for id := range d.deadSince {
 		out = append(out, "dead "+string(id))
 	}
-	for id := range d.lives.rows {
-		out = append(out, "life "+string(id))
+	for id := range d.liveness.rows {
+		out = append(out, "liveness "+string(id))
 	}
 	for id := range d.unlogged {
 		out = append(out, "unlogged "+string(id))
@@ -191,32 +194,33 @@
 	return out
 }
 
-func TestTheNumberOfUpstreamsIsBounded(t *testing.T) {
+func TestNumberOfUpstreamsIsBounded(t *testing.T) {
 	d := New(Options{MaxUpstreams: 3})
 	for i := range 3 {
 		require.True(t, d.Apply(event(fmt.Sprint(i), "d", 1, Joined)))
 	}
-	require.False(t, d.Apply(event("new", "d", 1, Joined)), "refused, none has left")
+	require.False(t, d.Apply(event("new", "d", 1, Joined)), "rejected because no upstream has left")
 	d.Apply(event("1", "d", 1, Left))
-	require.True(t, d.Apply(event("new", "d", 1, Joined)), "in place of the one that left")
+	require.True(t, d.Apply(event("new", "d", 1, Joined)), "replaces the upstream that left")
 	require.Equal(t, []string{"0", "2", "new"}, ids(d.Upstreams("s")))
 }
 
-func TestUnloggedEventsAreThoseNotReadBack(t *testing.T) {
+func TestUnloggedReturnsEventsNotReadFromLog(t *testing.T) {
 	d := NewDirectory()
-	d.Tick(second(0), 1)
+	d.Tick(seconds(0), 1)
 	d.Apply(event("a", "d", 1, Joined))
 	d.Apply(event("b", "d", 1, Joined))
-	d.Tick(second(5), 6)
+	d.Tick(seconds(5), 6)
 	d.Logged(event("a", "d", 1, Joined))
 	d.Apply(event("b", "d", 1, Draining))
 	d.Logged(event("b", "d", 1, Joined))
-	require.Empty(t, d.Unlogged(time.Second), "b's event has just come")
+	require.Empty(t, d.Unlogged(time.Second), "the latest event of b has just arrived")
 	require.Len(t, d.Unlogged(0), 1)
 }
 
-// TestOrderDoesNotMatter applies the same records in two orders and hands them
-// on in parts; all directories end equal.
+// TestOrderDoesNotMatter applies the same events to two directories in different
+// orders and replicates them to a third with small deltas. All three must end
+// with the same state.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := NewDirectory(), NewDirectory(), NewDirectory()
@@ -252,7 +256,7 @@
 	})
 }
 
-func TestRecordsSurviveEncoding(t *testing.T) {
+func TestEncodingRoundTrip(t *testing.T) {
 	e := event("a", "d", 1<<60, Draining)
 	e.Upstream.Draining = true
 	e.Upstream.Labels = model.Labels{"tier": "bench", "z": "tier"}
@@ -263,13 +267,13 @@
 	require.Equal(t, r, got)
 }
 
-func TestDamagedRecordsAreRefused(t *testing.T) {
+func TestDecodeRejectsDamagedRecords(t *testing.T) {
 	good := Records{Events: []Event{event("a", "d", 1, Joined)}}.Encode()
 	for n := range good {
 		_, err := Decode(good[:n])
 		require.ErrorIs(t, err, ErrRecords, "cut to %d bytes", n)
 	}
-	for _, data := range [][]byte{{9}, append(good, 0), {codec, 0xff, 0xff, 0xff, 0xff, 0x0f}, {codec, 1, 5}} {
+	for _, data := range [][]byte{{9}, append(good, 0), {codecVersion, 0xff, 0xff, 0xff, 0xff, 0x0f}, {codecVersion, 1, 5}} {
 		_, err := Decode(data)
 		require.ErrorIs(t, err, ErrRecords, "%x", data)
 	}
@@ -282,14 +286,14 @@
 		if err != nil {
 			return
 		}
-		again, err := Decode(r.Encode())
-		if err != nil || len(again.Events) != len(r.Events) || len(again.Lives) != len(r.Lives) {
-			t.Fatalf("does not survive encoding again: %v", err)
+		redecoded, err := Decode(r.Encode())
+		if err != nil || len(redecoded.Events) != len(r.Events) || len(redecoded.Lives) != len(r.Lives) {
+			t.Fatalf("decoding the re-encoded records: %v", err)
 		}
 	})
 }
 
-func TestSubsetIsStableAndEven(t *testing.T) {
+func TestSubsetIsStableAndBalanced(t *testing.T) {
 	var all []model.Upstream
 	for i := range 200 {
 		all = append(all, model.Upstream{ID: model.UpstreamID(fmt.Sprintf("u%03d", i))})
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -8,18 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// buckets is the number of hashes in a digest of a table.
+// buckets is the number of hash buckets of a table.
 const buckets = 32
 
-// table holds records by name and keeps the hashes of its buckets.
+// table is a map of records that maintains a hash of each bucket of records. The
+// hash of a bucket is the XOR of the hashes of its records.
 type table[K ~string, V any] struct {
 	rows   map[K]row[V]
 	hashOf func(V) uint64
 	hashes [buckets]uint64
-	seq    uint64
+	// seq is the number of calls to set so far.
+	seq uint64
 }
 
-// row is a record with the order in which it came.
+// row is a record with its insertion number.
 type row[V any] struct {
 	value V
 	seq   uint64
@@ -52,7 +54,8 @@
 	}
 }
 
-// all yields the records in no order. Records may be set and removed meanwhile.
+// all iterates over the records in unspecified order. Records may be set and
+// removed during the iteration.
 func (t *table[K, V]) all() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for k, r := range t.rows {
@@ -63,7 +66,7 @@
 	}
 }
 
-// appendDigest appends the hashes of the buckets.
+// appendDigest appends the bucket hashes to b.
 func (t *table[K, V]) appendDigest(b []byte) []byte {
 	for _, h := range t.hashes {
 		b = binary.BigEndian.AppendUint64(b, h)
@@ -71,9 +74,10 @@
 	return b
 }
 
-const tableDigest = buckets * 8
+// tableDigestSize is the length of a table's digest in bytes.
+const tableDigestSize = buckets * 8
 
-// differing returns the records of the buckets whose hash is not the one in a
+// differing returns the records of all buckets whose hash differs from the
 // digest, the newest first.
 func (t *table[K, V]) differing(digest []byte) []V {
 	var differ [buckets]bool
@@ -94,6 +98,8 @@
 	return out
 }
 
+// eventHash returns a hash of the fields that determine the precedence of an
+// event.
 func eventHash(e Event) uint64 {
 	u := e.Upstream
 	b := make([]byte, 0, 64)
@@ -103,6 +109,7 @@
 	return xxhash.Sum64(append(b, byte(e.State)))
 }
 
+// livenessHash returns a hash of a liveness record.
 func livenessHash(l Liveness) uint64 {
 	b := make([]byte, 0, 64)
 	b = append(b, l.Daemon...)
--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -10,12 +10,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// ErrRecord tells that encoded records cannot be read.
+// ErrRecord is returned for bytes that are not valid encoded records.
 var ErrRecord = errors.New("quarantine records cannot be read")
 
-// Append appends the encoding of a record: the fingerprint, service, caller and
-// request, the deaths, and the times. Numbers are varints; a text follows its length.
-// Equal records have equal encodings.
+// Append appends the encoding of the record to b: the fingerprint, service,
+// caller and request, the crashes, and the times. Numbers are encoded as varints
+// and strings with a length prefix. Equal records have equal encodings.
 func (r *Record) Append(b []byte) []byte {
 	b = append(b, r.Fingerprint[:]...)
 	b = appendText(b, string(r.Service))
@@ -23,46 +23,47 @@
 	b = appendText(b, r.Request)
 	b = binary.AppendUvarint(b, uint64(len(r.Deaths)))
 	for _, d := range r.Deaths {
-		b = appendText(b, string(d.Death.Upstream))
-		b = binary.AppendUvarint(b, uint64(d.Death.Incarnation))
+		b = appendText(b, string(d.Crash.Upstream))
+		b = binary.AppendUvarint(b, uint64(d.Crash.Incarnation))
 		b = binary.AppendUvarint(b, uint64(d.At))
 	}
-	for _, at := range []int64{r.Cleared, r.Condemned, r.Until} {
+	for _, at := range []int64{r.ClearedAt, r.QuarantinedAt, r.Until} {
 		b = binary.AppendUvarint(b, uint64(at))
 	}
 	return b
 }
 
-// Sum returns a number that tells two records of a request apart.
+// Sum returns a hash of the encoded record, for detecting changes.
 func (r *Record) Sum() uint64 { return xxhash.Sum64(r.Append(nil)) }
 
 func appendText(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Decode reads records that were appended to each other, or returns ErrRecord.
+// Decode reads a sequence of records that were encoded with Append. If any of
+// them is malformed it returns ErrRecord and no records.
 func Decode(b []byte) ([]Record, error) {
 	d := decoder{rest: b}
 	var out []Record
 	for len(d.rest) > 0 {
 		out = append(out, d.record())
 	}
-	if d.bad {
+	if d.failed {
 		return nil, ErrRecord
 	}
 	return out, nil
 }
 
-// decoder reads an encoding. After something that cannot be read it is bad, and
-// everything it returns is zero.
+// decoder decodes records. After malformed input, failed is set and all further
+// reads return zero values.
 type decoder struct {
-	rest []byte
-	bad  bool
+	rest   []byte
+	failed bool
 }
 
-func (d *decoder) take(n uint64) []byte {
+func (d *decoder) readBytes(n uint64) []byte {
 	if n > uint64(len(d.rest)) {
-		d.bad, d.rest = true, nil
+		d.failed, d.rest = true, nil
 		return nil
 	}
 	b := d.rest[:n]
@@ -73,40 +74,41 @@
 func (d *decoder) number() uint64 {
 	n, size := binary.Uvarint(d.rest)
 	if size <= 0 {
-		d.bad, d.rest = true, nil
+		d.failed, d.rest = true, nil
 		return 0
 	}
 	d.rest = d.rest[size:]
 	return n
 }
 
-func (d *decoder) text() string { return string(d.take(d.number())) }
+func (d *decoder) text() string { return string(d.readBytes(d.number())) }
 
 func (d *decoder) record() Record {
 	var r Record
-	copy(r.Fingerprint[:], d.take(uint64(len(r.Fingerprint))))
+	copy(r.Fingerprint[:], d.readBytes(uint64(len(r.Fingerprint))))
 	r.Service = model.ServiceName(d.text())
 	r.Caller = model.CallerName(d.text())
 	r.Request = d.text()
-	deaths := d.number()
-	if deaths > maxDeaths {
-		d.bad, d.rest = true, nil
+	crashes := d.number()
+	if crashes > maxCrashes {
+		d.failed, d.rest = true, nil
 		return r
 	}
-	for range deaths {
-		s := Suspicion{Death: Death{Upstream: model.UpstreamID(d.text())}}
-		s.Death.Incarnation = model.Incarnation(d.number())
+	for range crashes {
+		s := CrashReport{Crash: Death{Upstream: model.UpstreamID(d.text())}}
+		s.Crash.Incarnation = model.Incarnation(d.number())
 		s.At = int64(d.number())
 		r.Deaths = append(r.Deaths, s)
 	}
-	r.Cleared, r.Condemned, r.Until = int64(d.number()), int64(d.number()), int64(d.number())
+	r.ClearedAt, r.QuarantinedAt, r.Until = int64(d.number()), int64(d.number()), int64(d.number())
 	return r
 }
 
-// settleOrder brings the deaths into an order that does not depend on which became known
-// first, and keeps the oldest: a request that goes on crashing upstreams must not put off
-// the time at which its deaths have settled.
-func (r *Record) settleOrder() {
-	slices.SortFunc(r.Deaths, Suspicion.compare)
-	r.Deaths = r.Deaths[:min(len(r.Deaths), maxDeaths)]
+// normalizeCrashes sorts the crashes, so that their order does not depend on the
+// order of arrival, and keeps the oldest maxCrashes. Newer crashes are dropped
+// because each of them would delay the quarantine by another reportDelay: a
+// request that keeps crashing upstreams would never be quarantined.
+func (r *Record) normalizeCrashes() {
+	slices.SortFunc(r.Deaths, CrashReport.compare)
+	r.Deaths = r.Deaths[:min(len(r.Deaths), maxCrashes)]
 }
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -9,57 +9,59 @@
 )
 
 const (
-	// maxRecords bounds the records of a Table. When full, the record that
-	// matters least makes room: never one that is refused, else the one with
-	// the fewest deaths, the oldest first. A Table of refused records takes no
-	// others in.
+	// maxRecords is the maximum number of records in a Table. A full Table
+	// evicts the record with the fewest crashes, and of several such records
+	// the oldest. Records under quarantine are never evicted. A Table that
+	// contains only such records accepts no others.
 	maxRecords = 1024
-	// maxDeaths bounds the deaths remembered of one request.
-	maxDeaths = 4
-	// maxTogether is the largest number of requests that may be condemned for
-	// the same deaths.
-	maxTogether = 3
-	// maxRequest bounds Record.Request, in bytes.
-	maxRequest = 120
-	// keep is how long a record is kept after its newest fact, besides the time
-	// for which it is refused.
-	keep = 30 * time.Minute
-	// settle is how long after a death the reports of what else ran there may
-	// take to arrive. Nobody is condemned for a death before.
-	settle = 500 * time.Millisecond
-	// ahead is how far in the future a peer's record may lie.
-	ahead = time.Minute
+	// maxCrashes is the maximum number of crashes stored per request.
+	maxCrashes = 4
+	// maxQuarantinedTogether is the maximum number of requests that may be
+	// quarantined for the same crashes.
+	maxQuarantinedTogether = 3
+	// maxRequestBytes is the maximum length of Record.Request in bytes.
+	maxRequestBytes = 120
+	// retention is how long a record is kept after its last update. A record
+	// under quarantine is kept at least until the quarantine ends.
+	retention = 30 * time.Minute
+	// reportDelay is how long the reports of the other requests that ran during
+	// a crash may take to arrive. No request is quarantined until this time has
+	// passed since its last crash.
+	reportDelay = 500 * time.Millisecond
+	// maxClockSkew is how far in the future the times of a peer's record may be.
+	maxClockSkew = time.Minute
 )
 
 // Options configure a Table.
 type Options struct {
-	// Rule returns the rule of a service.
+	// Rule returns the quarantine rule of a service.
 	Rule func(model.ServiceName) Rule
 }
 
-// Table holds what is known of requests that kill. Times are Unix milliseconds.
-// It is not safe for concurrent use.
+// Table holds the records of suspected and quarantined requests. Times are Unix
+// milliseconds. It is not safe for concurrent use.
 type Table struct {
 	opts    Options
 	records map[Fingerprint]*Record
-	// changed are the records that have changed since Told was called for them.
-	changed map[Fingerprint]struct{}
-	// version rises with every change.
+	// unsent contains the records that have changed since Told was last called
+	// for them.
+	unsent map[Fingerprint]struct{}
+	// version increases with every change.
 	version uint64
 }
 
 // NewTable returns an empty Table.
 func NewTable(opts Options) *Table {
-	return &Table{opts: opts, records: make(map[Fingerprint]*Record), changed: make(map[Fingerprint]struct{})}
+	return &Table{opts: opts, records: make(map[Fingerprint]*Record), unsent: make(map[Fingerprint]struct{})}
 }
 
 // Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// Version rises with every change of the table.
+// Version returns a number that increases with every change of the table.
 func (t *Table) Version() uint64 { return t.version }
 
-// Refused reports until when a request is refused.
+// Refused reports whether a request is under quarantine, and until when.
 func (t *Table) Refused(now int64, f Fingerprint) (until int64, ok bool) {
 	r := t.records[f]
 	if r == nil || !r.Refused(now) {
@@ -68,22 +70,23 @@
 	return r.Until, true
 }
 
-// Died tells that an upstream died while it ran a request. Settle decides what
-// follows from it.
-func (t *Table) Died(now int64, f Fingerprint, r Request, d Death) {
-	text := r.Method + " " + r.Target
+// Died records that an upstream crashed while it was running a request. Whether
+// the request is quarantined is decided in Settle.
+func (t *Table) Died(now int64, f Fingerprint, req Request, d Death) {
+	text := req.Method + " " + req.Target
 	t.Merge(now, Record{
-		Fingerprint: f, Service: r.Service, Caller: r.Caller, Request: text[:min(len(text), maxRequest)],
-		Deaths: []Suspicion{{Death: d, At: now}},
+		Fingerprint: f, Service: req.Service, Caller: req.Caller, Request: text[:min(len(text), maxRequestBytes)],
+		Deaths: []CrashReport{{Crash: d, At: now}},
 	})
 }
 
-// Settle condemns the requests that ran in enough deaths, once these have
-// settled. It is called several times a second.
+// Settle quarantines the requests that were running during enough crashes, once
+// reportDelay has passed since the last of them. It must be called several times
+// per second.
 func (t *Table) Settle(now int64) {
 	var candidates []*Record
 	for _, r := range t.records {
-		if t.due(now, r) {
+		if t.isDue(now, r) {
 			candidates = append(candidates, r)
 		}
 	}
@@ -91,96 +94,100 @@
 		return cmp.Or(cmp.Compare(len(b.Deaths), len(a.Deaths)), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	for _, r := range candidates {
-		if t.due(now, r) {
-			t.judge(r)
+		if t.isDue(now, r) {
+			t.quarantine(r)
 		}
 	}
 }
 
-// due reports whether a request ran in enough deaths that have settled.
-func (t *Table) due(now int64, r *Record) bool {
+// isDue reports whether a request that is not yet quarantined ran during enough
+// crashes, and whether reportDelay has passed since its last update.
+func (t *Table) isDue(now int64, r *Record) bool {
 	enough := len(r.Deaths) >= max(t.opts.Rule(r.Service).Deaths, 1)
-	return enough && !r.Refused(now) && now >= r.newest()+settle.Milliseconds()
+	return enough && !r.Refused(now) && now >= r.lastUpdate()+reportDelay.Milliseconds()
 }
 
-// Answered tells that a request was answered in full, which clears it of the
-// deaths so far. A request that is refused stays so.
+// Answered records that a request got a complete response. This clears the
+// crashes recorded for it so far. It does not lift a quarantine.
 func (t *Table) Answered(now int64, f Fingerprint) {
-	if r := t.records[f]; r != nil && !r.Refused(now) && len(r.counted()) > 0 {
+	if r := t.records[f]; r != nil && !r.Refused(now) && len(r.pruneCleared()) > 0 {
 		t.clear(now, r)
 	}
 }
 
-// Release frees a request by an operator's word. It reports false when the
-// request is not known.
+// Release lifts the quarantine of a request on behalf of an operator. It returns
+// false if there is no record of the request.
 func (t *Table) Release(now int64, f Fingerprint) bool {
 	r := t.records[f]
 	if r == nil {
 		return false
 	}
-	t.clear(max(now, r.Condemned), r)
+	t.clear(max(now, r.QuarantinedAt), r)
 	return true
 }
 
+// clear removes the crashes of a record up to the given time and lifts a
+// quarantine that began no later.
 func (t *Table) clear(at int64, r *Record) {
-	r.Cleared = at
-	r.counted()
-	t.change(r)
+	r.ClearedAt = at
+	r.pruneCleared()
+	t.markChanged(r)
 }
 
-// change notes that a record has changed.
-func (t *Table) change(r *Record) {
-	t.changed[r.Fingerprint] = struct{}{}
+// markChanged must be called after each change of a record.
+func (t *Table) markChanged(r *Record) {
+	t.unsent[r.Fingerprint] = struct{}{}
 	t.version++
 }
 
-// drop takes a record out.
-func (t *Table) drop(f Fingerprint) {
+// remove deletes a record.
+func (t *Table) remove(f Fingerprint) {
 	delete(t.records, f)
-	delete(t.changed, f)
+	delete(t.unsent, f)
 	t.version++
 }
 
-// Changed returns the records that have changed since Told was called for them, those
-// that matter most first.
+// Changed returns the records that have changed since Told was last called for
+// them, the most important first.
 func (t *Table) Changed() []Record {
-	out := make([]Record, 0, len(t.changed))
-	for f := range t.changed {
+	out := make([]Record, 0, len(t.unsent))
+	for f := range t.unsent {
 		out = append(out, t.records[f].clone())
 	}
-	slices.SortFunc(out, func(a, b Record) int { return a.compare(&b) })
+	slices.SortFunc(out, func(a, b Record) int { return a.comparePriority(&b) })
 	return out
 }
 
-// Told takes in that others have been told of a record's last change.
-func (t *Table) Told(f Fingerprint) { delete(t.changed, f) }
+// Told records that the current state of a record was sent to the other daemons.
+func (t *Table) Told(f Fingerprint) { delete(t.unsent, f) }
 
-// List returns the records, newest first. The requests that are refused are
-// those whose Refused says so.
+// List returns all records, the most recently updated first. Record.Refused
+// reports which of them are under quarantine.
 func (t *Table) List() []Record {
 	out := make([]Record, 0, len(t.records))
 	for _, r := range t.records {
 		out = append(out, r.clone())
 	}
 	slices.SortFunc(out, func(a, b Record) int {
-		return cmp.Or(cmp.Compare(b.newest(), a.newest()), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
+		return cmp.Or(cmp.Compare(b.lastUpdate(), a.lastUpdate()), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return out
 }
 
-// Expire drops records that are of no use any more.
+// Expire deletes expired records.
 func (t *Table) Expire(now int64) {
 	for f, r := range t.records {
-		if r.useless(now) {
-			t.drop(f)
+		if r.expired(now) {
+			t.remove(f)
 		}
 	}
 }
 
-// Merge takes in a record of this daemon or another. It reports whether that
-// changed anything. Records from the future are not taken in.
+// Merge merges a record, of this daemon or another, into the table and reports
+// whether anything changed. It ignores records whose times are more than
+// maxClockSkew in the future.
 func (t *Table) Merge(now int64, in Record) bool {
-	if in.newest() > now+ahead.Milliseconds() {
+	if in.lastUpdate() > now+maxClockSkew.Milliseconds() {
 		return false
 	}
 	r := t.records[in.Fingerprint]
@@ -189,126 +196,132 @@
 			return false
 		}
 	}
-	in.Deaths = t.unexplained(now, in)
-	if !r.take(in) {
+	in.Deaths = t.unattributed(now, in)
+	if !r.mergeFrom(in) {
 		return false
 	}
-	t.change(r)
+	t.markChanged(r)
 	return true
 }
 
-// unexplained returns the deaths of a record that no other refused request of
-// the service explains.
-func (t *Table) unexplained(now int64, in Record) []Suspicion {
-	var out []Suspicion
+// unattributed returns the crashes of a record that are not attributed to another
+// request of the service that is already under quarantine.
+func (t *Table) unattributed(now int64, in Record) []CrashReport {
+	var out []CrashReport
 	for _, d := range in.Deaths {
-		explained := false
+		attributed := false
 		for _, r := range t.records {
 			other := r.Service == in.Service && r.Fingerprint != in.Fingerprint
-			explained = explained || other && r.Refused(now) && r.has(d.Death)
+			attributed = attributed || other && r.Refused(now) && r.hasCrash(d.Crash)
 		}
-		if !explained {
+		if !attributed {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// take joins what another record of the same request says.
-func (r *Record) take(in Record) bool {
+// mergeFrom merges another record of the same request and reports whether
+// anything changed.
+func (r *Record) mergeFrom(in Record) bool {
 	changed := false
-	if in.Cleared > r.Cleared {
-		r.Cleared, changed = in.Cleared, true
+	if in.ClearedAt > r.ClearedAt {
+		r.ClearedAt, changed = in.ClearedAt, true
 	}
-	if in.Condemned > r.Condemned {
-		r.Condemned, r.Until, changed = in.Condemned, in.Until, true
+	if in.QuarantinedAt > r.QuarantinedAt {
+		r.QuarantinedAt, r.Until, changed = in.QuarantinedAt, in.Until, true
 	}
 	for _, d := range in.Deaths {
-		i := slices.IndexFunc(r.Deaths, func(s Suspicion) bool { return s.Death == d.Death })
+		i := slices.IndexFunc(r.Deaths, func(s CrashReport) bool { return s.Crash == d.Crash })
 		switch {
 		case i >= 0 && d.At > r.Deaths[i].At:
 			r.Deaths[i].At, changed = d.At, true
-		case i < 0 && d.At > r.Cleared && r.remembers(d):
+		case i < 0 && d.At > r.ClearedAt && r.shouldKeep(d):
 			r.Deaths, changed = append(r.Deaths, d), true
 		}
 	}
-	r.counted()
-	r.settleOrder()
+	r.pruneCleared()
+	r.normalizeCrashes()
 	return changed
 }
 
-// remembers reports whether a death is among the oldest that count.
-func (r *Record) remembers(d Suspicion) bool {
-	return len(r.Deaths) < maxDeaths || d.compare(slices.MaxFunc(r.Deaths, Suspicion.compare)) < 0
+// shouldKeep reports whether a crash would be among the oldest maxCrashes.
+func (r *Record) shouldKeep(d CrashReport) bool {
+	return len(r.Deaths) < maxCrashes || d.compare(slices.MaxFunc(r.Deaths, CrashReport.compare)) < 0
 }
 
+// add adds an empty record for the request of another record. It returns nil if
+// there is no space.
 func (t *Table) add(now int64, in Record) *Record {
 	if len(t.records) >= maxRecords && !t.evict(now, &in) {
 		return nil
 	}
-	r := &Record{Fingerprint: in.Fingerprint, Service: in.Service, Caller: in.Caller, Request: in.Request[:min(len(in.Request), maxRequest)]}
+	r := &Record{Fingerprint: in.Fingerprint, Service: in.Service, Caller: in.Caller, Request: in.Request[:min(len(in.Request), maxRequestBytes)]}
 	t.records[in.Fingerprint] = r
 	return r
 }
 
-// evict makes room for a record. It reports false where that one matters least, so that
-// full tables agree on what they hold.
+// evict deletes the least important record that is not under quarantine. If the
+// new record is even less important, evict deletes nothing and returns false, so
+// that the full tables of all daemons hold the same records.
 func (t *Table) evict(now int64, in *Record) bool {
 	var least *Record
 	for _, r := range t.records {
-		if !r.Refused(now) && (least == nil || r.compare(least) > 0) {
+		if !r.Refused(now) && (least == nil || r.comparePriority(least) > 0) {
 			least = r
 		}
 	}
-	if least == nil || in.compare(least) > 0 {
+	if least == nil || in.comparePriority(least) > 0 {
 		return false
 	}
-	t.drop(least.Fingerprint)
+	t.remove(least.Fingerprint)
 	return true
 }
 
-// judge condemns a request that ran in enough deaths, and those that ran in all
-// of them beside it, unless they are too many to tell apart.
-func (t *Table) judge(r *Record) {
+// quarantine quarantines a request together with the other requests that ran
+// during all of its crashes. It does nothing if there are more than
+// maxQuarantinedTogether of them, because most would be refused by mistake.
+func (t *Table) quarantine(r *Record) {
 	rule := t.opts.Rule(r.Service)
-	together := t.together(r)
-	if len(together) > maxTogether {
+	suspects := t.inSameCrashes(r)
+	if len(suspects) > maxQuarantinedTogether {
 		return
 	}
-	explained := slices.Clone(r.Deaths)
-	for _, guilty := range together {
-		for _, d := range guilty.Deaths {
-			guilty.Condemned = max(guilty.Condemned, d.At)
+	crashes := slices.Clone(r.Deaths)
+	for _, s := range suspects {
+		for _, d := range s.Deaths {
+			s.QuarantinedAt = max(s.QuarantinedAt, d.At)
 		}
-		guilty.Until = guilty.Condemned + rule.Duration.Milliseconds()
-		t.change(guilty)
+		s.Until = s.QuarantinedAt + rule.Duration.Milliseconds()
+		t.markChanged(s)
 	}
-	t.free(r.Service, explained, together)
+	t.removeCrashes(r.Service, crashes, suspects)
 }
 
-// together returns the requests of the service that ran in every death that r
-// ran in, r among them.
-func (t *Table) together(r *Record) []*Record {
+// inSameCrashes returns the requests of the service, including r itself, that ran
+// during every crash of r.
+func (t *Table) inSameCrashes(r *Record) []*Record {
 	var out []*Record
 	for _, o := range t.records {
 		if o.Service != r.Service {
 			continue
 		}
-		if !slices.ContainsFunc(r.Deaths, func(d Suspicion) bool { return !o.has(d.Death) }) {
+		if !slices.ContainsFunc(r.Deaths, func(d CrashReport) bool { return !o.hasCrash(d.Crash) }) {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-// free strikes explained deaths off all but the guilty.
-func (t *Table) free(s model.ServiceName, explained []Suspicion, guilty []*Record) {
+// removeCrashes removes the given crashes from all records of a service
+// except the quarantined ones.
+func (t *Table) removeCrashes(s model.ServiceName, crashes []CrashReport, quarantined []*Record) {
 	for _, r := range t.records {
-		if r.Service != s || slices.Contains(guilty, r) {
+		if r.Service != s || slices.Contains(quarantined, r) {
 			continue
 		}
-		r.Deaths = slices.DeleteFunc(r.Deaths, func(d Suspicion) bool {
-			return slices.ContainsFunc(explained, func(e Suspicion) bool { return e.Death == d.Death })
+		r.Deaths = slices.DeleteFunc(r.Deaths, func(d CrashReport) bool {
+			return slices.ContainsFunc(crashes, func(e CrashReport) bool { return e.Crash == d.Crash })
 		})
 	}
 }
