--- a/core/fairqueue/charge.go
+++ b/core/fairqueue/charge.go
@@ -7,10 +7,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// backgroundOver ranks the queue of a group of weight zero before all others
-// when something has to be dropped.
+// backgroundBacklogFactor makes the backlog of a group of weight zero larger
+// than that of any other group, so that its requests are dropped first.
 const backgroundBacklogFactor = 1e18
 
+// enqueue adds an entry to the queue of its caller and updates the heaps that
+// order callers and groups.
 func (q *Queue) enqueue(e *entry) {
 	c, g := e.caller, e.caller.group
 	q.lastSeq++
@@ -35,7 +37,8 @@
 	q.updateBacklog(g)
 }
 
-// dequeue takes a waiting entry out of every order that waiting entries have.
+// dequeue removes a waiting entry from the queue of its caller and updates the
+// heaps that order entries, callers and groups.
 func (q *Queue) dequeue(e *entry) {
 	c, g := e.caller, e.caller.group
 	q.byDeadline.remove(e)
@@ -56,8 +59,8 @@
 	q.updateBacklog(g)
 }
 
-// refresh puts the group into its level's heap, or takes it out, as it may
-// start requests or not.
+// updateReady adds the group to the heap of its class when one of its requests
+// may start, and removes it from the heap otherwise.
 func (q *Queue) updateReady(g *group) {
 	switch {
 	case g.mayStart() && !g.ready():
@@ -68,6 +71,7 @@
 	}
 }
 
+// discard removes a waiting entry without starting it and returns its ID.
 func (q *Queue) discard(e *entry) ID {
 	id, c := e.id, e.caller
 	q.dequeue(e)
@@ -76,7 +80,8 @@
 	return id
 }
 
-// rank works out how far the group's queue exceeds its share.
+// updateBacklog recomputes the group's backlog: the expected slot time of its
+// waiting requests divided by its weight.
 func (q *Queue) updateBacklog(g *group) {
 	if g.class == q.background {
 		g.backlog = backgroundBacklogFactor * float64(g.waiting)
@@ -86,6 +91,7 @@
 	q.byBacklog.fix(g)
 }
 
+// start marks an entry as running and charges the mean slot time of its group.
 func (q *Queue) start(now model.Instant, e *entry) {
 	e.running = true
 	e.started = now
@@ -97,6 +103,7 @@
 	q.byNextCharge.push(e)
 }
 
+// finish ends a running entry and corrects its charge to the slot time it used.
 func (q *Queue) finish(e *entry, slotTime time.Duration) {
 	c := e.caller
 	q.byNextCharge.remove(e)
@@ -109,9 +116,9 @@
 	q.releaseIfIdle(c)
 }
 
-// Advance charges running requests for the time that they have run beyond
-// their charge. Each time the charge doubles, so that a long request is
-// touched only a few times.
+// ChargeRunning charges running requests for the time that they have run beyond
+// their charge. Each time it doubles the charge, so that a long request is
+// charged only a few times.
 func (q *Queue) ChargeRunning(now model.Instant) {
 	for q.byNextCharge.len() > 0 {
 		e := q.byNextCharge.top()
@@ -123,6 +130,8 @@
 	}
 }
 
+// charge adds slot time to an entry and its group, and advances the virtual
+// times of its caller and group.
 func (q *Queue) charge(e *entry, d time.Duration) {
 	c, g := e.caller, e.caller.group
 	e.charged += d
@@ -133,8 +142,9 @@
 	g.class.ready.fix(g)
 }
 
-// Estimate returns what is expected of the next request of a group: its own
-// recent figures, those of the whole queue when it has none, or a guess.
+// Estimate returns the expected slot time of a group's next request. It comes
+// from the group's ended requests, from those of all groups when the group has
+// none, or else from initialEstimate.
 func (q *Queue) Estimate(name model.GroupName) Estimate {
 	if g := q.findGroup(name); g != nil && g.slotTime.hasSample {
 		return g.slotTime.estimate()
@@ -147,12 +157,13 @@
 	return Estimate{Mean: initialEstimate, Upper: initialEstimate}
 }
 
-// Mean returns the recent mean slot time over all groups, 0 before the first.
+// MeanSlotTime returns the recent mean slot time over all groups, 0 when no
+// request has ended yet.
 func (q *Queue) MeanSlotTime() time.Duration { return time.Duration(q.slotTime.mean) }
 
-// Ahead estimates how many of the waiting requests would start before a new one
-// of a group: those of the group itself, and of the others as many as their
-// weights let start meanwhile.
+// EstimateAhead estimates how many of the waiting requests would start before a
+// new request of the given group: all waiting requests of the group itself, and
+// as many requests of the other groups as their weights allow in the same time.
 func (q *Queue) EstimateAhead(name model.GroupName) int {
 	weight, ownWaiting := q.minWeight, 0
 	if g := q.findGroup(name); g != nil {
@@ -169,9 +180,10 @@
 	return ownWaiting + int(math.Round(othersAhead))
 }
 
-// Wait estimates how long a new request would wait if the groups that wait now
-// went on waiting, with the given number of slots. It is 0 when nothing of the
-// group waits, or when no estimate can be made.
+// EstimateWait estimates how long a new request would wait, given the number of
+// slots and assuming that every group with waiting requests stays backlogged. It
+// returns 0 when the group has no waiting requests and when it has weight zero,
+// for which no estimate is possible.
 func (q *Queue) EstimateWait(name model.GroupName, callerName model.CallerName, slots int) time.Duration {
 	g := q.findGroup(name)
 	if g == nil || g.waiting == 0 || g.class == q.background {
--- a/core/fairqueue/doc.go
+++ b/core/fairqueue/doc.go
@@ -5,24 +5,29 @@
 //
 // Each group has a weight and a virtual time: the slot time charged to it
 // divided by its weight. The next request comes from the waiting group whose
-// virtual time is lowest, so that groups which always have work get slot time
-// in proportion to their weights. A group that has been idle starts at the
-// virtual time of the queue and thus saves nothing up; a group that owes keeps
-// its debt. Inside a group the same rule shares the group's part equally among
-// its callers, so that neither many callers nor one busy caller gain anything.
+// virtual time is lowest, so that backlogged groups get slot time in proportion
+// to their weights. A group that becomes active after an idle period starts no
+// earlier than the system virtual time, so it accumulates no credit while idle.
+// A group whose virtual time is ahead of the system virtual time keeps it, so it
+// cannot escape its charges by going idle. Inside a group the same rule divides
+// the group's slot time equally among its callers. A group therefore gains
+// nothing by using many callers, and a caller gains nothing by sending more
+// requests than the others.
 //
-// What a request costs is unknown until it ends. It is charged the recent mean
-// of its group when it starts, again each time its running time reaches what
-// has been charged so far, and the difference when it ends. The sum of the
-// charges of ended requests is therefore exactly the slot time they used.
+// The slot time of a request is unknown until the request ends. The queue
+// charges the recent mean of the group when the request starts, charges again
+// each time the running time reaches the charge so far, and corrects the charge
+// when the request ends. The sum of the charges of ended requests is therefore
+// exactly the slot time that they used.
 //
-// Weights above zero count at least as one hundredth of the heaviest weight
-// (LeastRatio): no such group starves. Groups of weight zero run only when no
-// other group waits.
+// A weight above zero counts as at least one hundredth of the largest weight
+// (MinWeightRatio), so that no such group starves. Groups of weight zero form
+// the background class: their requests start only when no group of the
+// foreground class has a request that may start.
 //
-// A group may be limited to a number of running requests, so that long requests
-// of one group never hold all slots. Only this can leave a slot idle while
-// requests wait.
+// A group may have a limit on its running requests, so that the long requests
+// of one group never hold all slots. A slot stays idle while requests wait only
+// because of such a limit.
 //
 // Every operation costs O(log groups + log waiting) and allocates nothing once
 // the queue has reached its working size.
--- a/core/fairqueue/estimate.go
+++ b/core/fairqueue/estimate.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// meanGain is the part of the newest sample in the recent mean.
+	// ewmaGain is the weight of the newest sample in the moving averages.
 	ewmaGain = 1.0 / 16
-	// firstEstimate is assumed before anything is known of an upstream.
+	// initialEstimate is the slot time assumed until a first request has ended.
 	initialEstimate = time.Millisecond
-	// deviations is how many mean deviations above the mean still count as an
-	// ordinary run.
+	// upperDeviations is the number of mean deviations by which Estimate.Upper
+	// exceeds the mean.
 	upperDeviations = 2
 )
 
-// estimator keeps the recent mean and mean deviation of slot times.
+// estimator keeps exponentially weighted moving averages of the slot time and
+// of its deviation from the mean.
 type estimator struct {
 	mean          float64
 	meanDeviation float64
@@ -39,14 +40,14 @@
 	e.meanDeviation += ewmaGain * (diff - e.meanDeviation)
 }
 
-// Estimate is what is expected of the next request of a group.
+// Estimate is the expected slot time of the next request of a group.
 type Estimate struct {
 	// Mean is the recent mean slot time.
 	Mean time.Duration
-	// Long is the slot time that few requests exceed.
+	// Upper is a slot time that few requests exceed.
 	Upper time.Duration
-	// Updated is when a request of the group last ended. Known is false, and
-	// Updated meaningless, as long as none has.
+	// Updated is when a request of the group last ended. It is valid only when
+	// Known is true, that is when at least one request of the group has ended.
 	Updated model.Instant
 	Known   bool
 }
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -14,20 +14,22 @@
 
 	// prev and next link the waiting requests of one caller, oldest first.
 	prev, next *entry
-	// expiryAt is the index in the heap of deadlines while the request waits.
+	// deadlineIndex is the position in Queue.byDeadline while the request waits.
 	deadlineIndex int
 
 	running bool
 	started model.Instant
 	charged time.Duration
-	// overrunAt is the index in the heap of running requests.
+	// nextChargeIndex is the position in Queue.byNextCharge while the request
+	// runs.
 	nextChargeIndex int
 }
 
-// overrun is the instant at which the running time reaches the charge.
+// nextCharge returns the instant at which the running time reaches the charge,
+// so that the request must be charged again.
 func (e *entry) nextCharge() model.Instant { return e.started.Add(e.charged) }
 
-// caller is one caller's part of a group.
+// caller is the queue of one caller within a group.
 type caller struct {
 	name  model.CallerName
 	group *group
@@ -41,7 +43,8 @@
 	waiting    int
 	running    int
 
-	// idlePrev and idleNext link idle callers that owe, longest idle first.
+	// idlePrev and idleNext link the group's idle callers whose virtual time is
+	// ahead of the group's system virtual time, longest idle first.
 	idlePrev, idleNext *caller
 	inIdleList         bool
 }
@@ -72,23 +75,24 @@
 	c.waiting--
 }
 
-// group is one group's part of the queue.
+// group holds the waiting requests and the accounting of one group.
 type group struct {
 	name  model.GroupName
 	class *priorityClass
-	// weight is the effective weight, relative to the heaviest group.
+	// weight is the effective weight as a fraction of the largest weight.
 	weight     float64
 	bound      int
 	configured bool
-	// maxRunning is Share.MaxRunning.
+	// maxRunning is GroupConfig.MaxRunning.
 	maxRunning int
 
 	virtualTime float64
-	// readyAt is the index in the level's heap while a request may start.
+	// readyIndex is the position in the heap of the group's class while one of
+	// its requests may start.
 	readyIndex int
 	seq        uint64
-	// over says how far the group's queue exceeds its share; overAt is its
-	// index in the heap by that figure.
+	// backlog is the expected slot time of the waiting requests divided by the
+	// weight; backlogIndex is the group's position in Queue.byBacklog.
 	backlog      float64
 	backlogIndex int
 
@@ -123,7 +127,7 @@
 	}
 }
 
-// ready reports whether the group is in its level's heap.
+// ready reports whether the group is in the heap of its class.
 func (g *group) ready() bool { return g.readyIndex != notInHeap }
 
 // mayStart reports whether one of the group's requests may start.
@@ -131,12 +135,14 @@
 	return g.waiting > 0 && (g.maxRunning <= 0 || g.running < g.maxRunning)
 }
 
-// level is a set of groups that are served in order of virtual time.
+// priorityClass is a set of groups that are served in order of virtual time. A
+// Queue has two classes: the foreground holds the groups with a weight above
+// zero, the background those of weight zero.
 type priorityClass struct {
 	ready             indexHeap[*group]
 	systemVirtualTime float64
-	// weight is the sum of the weights of the groups that wait, waiting the
-	// number of their requests.
+	// weight is the sum of the weights of the groups in the ready heap. waiting
+	// is the number of waiting requests of all groups of the class.
 	weight  float64
 	waiting int
 }
@@ -148,6 +154,7 @@
 	}}
 }
 
+// servedBefore orders by virtual time and breaks ties by sequence number.
 func servedBefore(virtualTimeA, virtualTimeB float64, seqA, seqB uint64) bool {
 	if virtualTimeA != virtualTimeB {
 		return virtualTimeA < virtualTimeB
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -6,35 +6,37 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Share is the part of one group.
+// GroupConfig is the configuration of one group.
 type GroupConfig struct {
 	Group model.GroupName
 	// Weight is relative to the other groups' weights. Zero and below mean
 	// that the group runs only when no other group waits.
 	Weight float64
-	// Bound is the largest number of waiting requests. Default: Options.Bound.
+	// QueueBound is the largest number of waiting requests. Default:
+	// Options.QueueBound.
 	QueueBound int
-	// MaxRunning is the largest number of the group's requests that run at
-	// once; while they do, its others wait even if a slot is free. Zero means
-	// no such limit.
+	// MaxRunning is the largest number of the group's requests that run at once.
+	// While that many run, further requests of the group wait even if a slot is
+	// free. Zero means no limit.
 	MaxRunning int
 }
 
 const (
-	// LeastRatio is the least weight of a group above zero, as a part of the
-	// heaviest group's weight.
+	// MinWeightRatio is the smallest effective weight of a group with a weight
+	// above zero, as a fraction of the largest weight.
 	MinWeightRatio = 0.01
-	// maxUnnamed bounds the groups that Configure has not named. Further ones
-	// share one queue.
+	// maxUnconfigured is the largest number of groups without a GroupConfig.
+	// Further such groups are treated as one group, the overflow group.
 	maxUnconfigured = 64
 )
 
-// overflowGroup takes the requests of unnamed groups beyond maxUnnamed.
+// overflowGroup holds the requests of unconfigured groups beyond
+// maxUnconfigured.
 const overflowGroup model.GroupName = ""
 
-// Configure replaces the shares. Waiting requests keep their order within their
-// group. Groups that are not named any more, or not yet, count as the lightest
-// group.
+// Configure replaces the configuration of all groups. Waiting requests keep
+// their order within their group. Groups without a GroupConfig get the smallest
+// weight of the configured groups.
 func (q *Queue) Configure(groups []GroupConfig) {
 	maxWeight := 0.0
 	for _, config := range groups {
@@ -75,9 +77,11 @@
 	q.minWeight = minWeight
 }
 
+// validWeight reports whether a weight is above zero and finite.
 func validWeight(weight float64) bool { return weight > 0 && !math.IsInf(weight, 0) }
 
-// setShare moves a group to its weight; weight 0 puts it into the background.
+// setConfig sets the weight and queue bound of a group. Weight 0 moves the group
+// to the background class; a bound of 0 or below means Options.QueueBound.
 func (q *Queue) setConfig(g *group, weight float64, bound int) {
 	if bound <= 0 {
 		bound = q.opts.QueueBound
@@ -109,7 +113,8 @@
 	return g
 }
 
-// existing returns the group that a name stands for, nil when there is none.
+// findGroup returns the group of the given name, the overflow group when the
+// name is unknown and no further unconfigured group may be added, or nil.
 func (q *Queue) findGroup(name model.GroupName) *group {
 	if g := q.groups[name]; g != nil {
 		return g
@@ -120,6 +125,7 @@
 	return nil
 }
 
+// findOrAddGroup is findGroup, but adds the group when there is none.
 func (q *Queue) findOrAddGroup(name model.GroupName) *group {
 	if g := q.groups[name]; g != nil {
 		return g
--- a/core/fairqueue/heap.go
+++ b/core/fairqueue/heap.go
@@ -3,8 +3,8 @@
 // notInHeap is the index of an element outside its heap.
 const notInHeap = -1
 
-// indexHeap is a binary heap whose elements know their own index, so that they
-// can be moved or removed in O(log n).
+// indexHeap is a binary heap that stores in each element the position of the
+// element, so that an element can be moved or removed in O(log n).
 type indexHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -37,8 +37,8 @@
 	}
 }
 
-// fix restores the order after the element's key has changed. An element
-// outside the heap is left alone.
+// fix restores the heap order after the key of x has changed. It does nothing
+// when x is not in the heap.
 func (h *indexHeap[T]) fix(x T) {
 	if i := *h.index(x); i != notInHeap {
 		h.restore(i)
@@ -62,7 +62,8 @@
 	}
 }
 
-// down reports whether the element moved.
+// siftDown moves the element at i towards the leaves until the heap order holds
+// and reports whether it moved.
 func (h *indexHeap[T]) siftDown(i int) bool {
 	start := i
 	for {
--- a/core/fairqueue/idle.go
+++ b/core/fairqueue/idle.go
@@ -1,10 +1,14 @@
 package fairqueue
 
-// maxIdleCallers bounds the idle callers that a group remembers because they
-// owe slot time. When full, the caller idle for longest is forgiven.
+// maxIdleCallers is the largest number of idle callers that a group keeps
+// because their virtual time is ahead of the group's system virtual time. When
+// it is exceeded, the caller that has been idle for longest is dropped and with
+// it the excess slot time charged to it.
 const maxIdleCallers = 256
 
-// rest forgets a caller without requests, or remembers it while it owes.
+// releaseIfIdle frees a caller that has no requests left. A caller whose virtual
+// time is ahead of the group's system virtual time is kept in the idle list, so
+// that it cannot reset its charges by going idle.
 func (q *Queue) releaseIfIdle(c *caller) {
 	g := c.group
 	if c.waiting > 0 || c.running > 0 || c.inIdleList {
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -6,7 +6,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// ID names one request at one Queue. It is never used twice.
+// ID identifies one request in a Queue. The caller never reuses an ID.
 type ID uint64
 
 // Item is a request that waits.
@@ -17,7 +17,8 @@
 	Deadline model.Instant
 }
 
-// Queue orders requests. It is not safe for concurrent use.
+// Queue orders requests by weighted fair queueing. It is not safe for concurrent
+// use.
 type Queue struct {
 	opts         Options
 	groups       map[model.GroupName]*group
@@ -34,7 +35,8 @@
 	running  int
 	lastSeq  uint64
 	slotTime estimator
-	// lightest is the weight of groups that Configure has not named.
+	// minWeight is the smallest effective weight of the configured groups. It is
+	// also the weight of groups without a GroupConfig.
 	minWeight float64
 
 	freeEntries []*entry
@@ -43,7 +45,8 @@
 
 // Options configure a Queue.
 type Options struct {
-	// Bound is the queue bound of groups that name none. Default: 128.
+	// QueueBound is the queue bound of groups whose configuration sets none.
+	// Default: 128.
 	QueueBound int
 }
 
@@ -92,8 +95,8 @@
 	q.enqueue(e)
 }
 
-// Pop starts the next request: it charges its group the estimated cost and
-// returns it. It reports false when nothing waits.
+// Pop starts the next request and returns it. The estimated slot time is charged
+// to the group of the request. Pop reports false when no request may start.
 func (q *Queue) Pop(now model.Instant) (Item, bool) {
 	q.ChargeRunning(now)
 	l := q.foreground
@@ -113,8 +116,8 @@
 	return Item{ID: e.id, Group: g.name, Caller: c.name, Deadline: e.deadline}, true
 }
 
-// Done ends a started request that held its slot for the time used, and charges
-// what has not been charged yet. It reports false for an unknown request.
+// Done ends a started request that held its slot for slotTime, and corrects its
+// charge to that time. It reports false for an unknown request.
 func (q *Queue) Done(now model.Instant, id ID, slotTime time.Duration) bool {
 	e := q.entries[id]
 	if e == nil || !e.running {
@@ -127,16 +130,16 @@
 	return true
 }
 
-// Return ends a request that Pop started but that was not run after all. Its
-// charge is taken back.
+// CancelStart ends a request that Pop returned but that was not run. The charge
+// for it is undone.
 func (q *Queue) CancelStart(id ID) {
 	if e := q.entries[id]; e != nil && e.running {
 		q.finish(e, 0)
 	}
 }
 
-// Remove takes a waiting request out. It reports false when the request does
-// not wait.
+// Remove removes a waiting request. It reports false when no request with this
+// ID waits.
 func (q *Queue) Remove(id ID) bool {
 	e := q.entries[id]
 	if e == nil || e.running {
@@ -146,7 +149,7 @@
 	return true
 }
 
-// RemoveExpired takes out a waiting request whose deadline has passed. It
+// RemoveExpired removes one waiting request whose deadline has passed. It
 // reports false when there is none.
 func (q *Queue) RemoveExpired(now model.Instant) (ID, bool) {
 	if q.byDeadline.len() == 0 || q.byDeadline.top().deadline > now {
@@ -155,7 +158,7 @@
 	return q.discard(q.byDeadline.top()), true
 }
 
-// RemoveAny takes out any waiting request. It reports false when none waits.
+// RemoveAny removes one waiting request. It reports false when none waits.
 func (q *Queue) RemoveAny() (ID, bool) {
 	if q.byDeadline.len() == 0 {
 		return 0, false
@@ -163,15 +166,16 @@
 	return q.discard(q.byDeadline.top()), true
 }
 
-// Overfull reports whether a group has more waiting requests than its bound.
+// OverBound reports whether a group has more waiting requests than its bound.
 func (q *Queue) OverBound(name model.GroupName) bool {
 	g := q.findGroup(name)
 	return g != nil && g.waiting > g.bound
 }
 
-// DropFrom takes out the oldest waiting request of the caller of a group that
-// has most of them waiting: the one with the least time left, among those who
-// ask for most. It reports false when the group has none.
+// DropOldest removes the oldest waiting request of the group's caller with the
+// longest queue: the caller that sends most loses a request, and its oldest
+// request usually has the least time left. It reports false when the group has
+// no waiting requests.
 func (q *Queue) DropOldest(name model.GroupName) (ID, bool) {
 	g := q.findGroup(name)
 	if g == nil || g.waiting == 0 {
@@ -180,8 +184,9 @@
 	return q.discard(g.byLength.top().head), true
 }
 
-// DropFurthest does the same in the group whose waiting work is furthest over
-// its share.
+// DropFromLargestBacklog removes the oldest waiting request of the caller with
+// the longest queue, in the group with the largest backlog relative to its
+// weight. It reports false when no request waits.
 func (q *Queue) DropFromLargestBacklog() (ID, bool) {
 	if q.byBacklog.len() == 0 {
 		return 0, false
--- a/core/fairqueue/queue_test.go
+++ b/core/fairqueue/queue_test.go
@@ -11,9 +11,10 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// TestQueueAgainstModel plays random operations against plain counting: what is
-// pushed is popped, removed or dropped exactly once, callers' order is first in
-// first out, and the charges of ended requests are the slot time used.
+// TestQueueAgainstModel compares the queue with a simple model under random
+// operations: each pushed request is popped, removed or dropped exactly once,
+// the requests of one caller start in the order in which they were pushed, and
+// the charges of ended requests equal the slot time used.
 func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Options{})
@@ -106,7 +107,7 @@
 					configs = append(configs, GroupConfig{Group: model.GroupName(fmt.Sprint("g", i)), Weight: weight})
 				}
 				q.Configure(configs)
-				clear(slotTime) // groups without requests start again
+				clear(slotTime) // Configure resets groups without requests
 				for i := range 4 {
 					g := model.GroupName(fmt.Sprint("g", i))
 					slotTime[g] = q.Charged(g) - runningCharges(q, g)
@@ -123,7 +124,8 @@
 	})
 }
 
-// outstanding is what running requests of a group have been charged so far.
+// runningCharges returns what the running requests of a group have been charged
+// so far.
 func runningCharges(q *Queue, name model.GroupName) time.Duration {
 	var d time.Duration
 	for _, e := range q.entries {
@@ -140,11 +142,11 @@
 	for i := range 10 * maxUnconfigured {
 		q.Push(Item{ID: ID(i + 1), Group: model.GroupName(fmt.Sprint("made-up-", i)), Deadline: 1})
 	}
-	require.Len(t, q.groups, maxUnconfigured+2, "named, unnamed and the overflow group")
+	require.Len(t, q.groups, maxUnconfigured+2, "the configured group, maxUnconfigured others and the overflow group")
 	require.Equal(t, 10*maxUnconfigured, q.Len())
 	q.Push(Item{ID: 1 << 20, Group: "named", Deadline: 1})
 	require.False(t, q.OverBound("named"))
-	require.True(t, q.OverBound("made-up-600"), "the overflow group has one bound")
+	require.True(t, q.OverBound("made-up-600"), "the bound applies to the overflow group as a whole")
 }
 
 func TestIdleCallersAreBounded(t *testing.T) {
@@ -158,11 +160,11 @@
 		q.Done(0, item.ID, time.Hour)
 	}
 	require.LessOrEqual(t, len(q.groups["g"].callers), maxIdleCallers)
-	require.NotEmpty(t, q.groups["g"].callers, "debtors are remembered")
+	require.NotEmpty(t, q.groups["g"].callers, "callers ahead of the system virtual time are kept")
 }
 
-// BenchmarkPushPopDone plays one request through a queue in which every group
-// has work waiting.
+// BenchmarkPushPopDone measures one request from Push to Done in a queue in
+// which every group has waiting requests.
 func BenchmarkPushPopDone(b *testing.B) {
 	for _, groups := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprint("groups=", groups), func(b *testing.B) {
@@ -191,8 +193,8 @@
 	}
 }
 
-// TestMaxRunningHolds lets a limited group queue far more than it may run,
-// changes the limit under way, and drains it.
+// TestMaxRunningIsEnforced queues more requests of a limited group than may run
+// at once, raises the limit while requests run, and then runs all of them.
 func TestMaxRunningIsEnforced(t *testing.T) {
 	q := New(Options{})
 	configure := func(maxRunning int) {
@@ -218,13 +220,13 @@
 	configure(3)
 	for pop() {
 	}
-	require.Len(t, startedLimited, 3, "the free group is through, one more of the limited")
+	require.Len(t, startedLimited, 3, "the free group has no requests left, and one more limited request runs")
 	require.Equal(t, 17, q.Len())
 	for ended := 0; ended < len(startedLimited); ended++ {
 		require.True(t, q.Done(0, startedLimited[ended], time.Millisecond))
 		pop()
 	}
-	require.Len(t, startedLimited, 20, "each end starts the next")
+	require.Len(t, startedLimited, 20, "each request that ends lets the next one start")
 	require.Zero(t, q.Len())
 }
 
@@ -240,11 +242,11 @@
 	}
 	push("light", 90)
 	push("free", 10)
-	require.Equal(t, 0, q.EstimateAhead("heavy"), "a flood of the light group is no wait for the heavy one")
+	require.Equal(t, 0, q.EstimateAhead("heavy"), "the backlog of the light group does not delay the heavy one")
 	require.Equal(t, 90, q.EstimateAhead("light"))
-	require.Equal(t, 100, q.EstimateAhead("free"), "weight zero waits for all")
+	require.Equal(t, 100, q.EstimateAhead("free"), "a group of weight zero waits for all other requests")
 	push("heavy", 9)
-	require.Equal(t, 10, q.EstimateAhead("heavy"), "its own nine, and one of the light group")
-	require.Equal(t, 99, q.EstimateAhead("light"), "nine for each of its own, as far as there are any")
-	require.Equal(t, 10, q.EstimateAhead("unnamed"), "as the lightest group: one of the light one, nine of the heavy")
+	require.Equal(t, 10, q.EstimateAhead("heavy"), "nine of its own and one of the light group")
+	require.Equal(t, 99, q.EstimateAhead("light"), "its own 90, and the heavy group's nine, since there are no more")
+	require.Equal(t, 10, q.EstimateAhead("unnamed"), "weighted like the light group: one light request and nine heavy ones")
 }
