--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -7,23 +7,23 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// ID names one request at one Controller. The caller never uses an ID twice.
+// ID identifies one request in a Controller. The caller never reuses an ID.
 type ID uint64
 
-// Arrival is a request that reaches the guard.
+// Arrival is a request that is passed to Controller.Arrive.
 type Arrival struct {
 	ID      ID
 	Request model.Request
 }
 
-// EffectKind tells what the caller of the Controller has to do.
+// EffectKind says what the caller of the Controller must do with a request.
 type EffectKind uint8
 
 // The effects.
 const (
 	// Start sends the request to the upstream now.
 	Start EffectKind = iota + 1
-	// Refuse answers the request with Effect.Outcome; it did not run.
+	// Refuse answers the request with Effect.Outcome. The request did not run.
 	Refuse
 )
 
@@ -34,34 +34,35 @@
 	Outcome outcome.Outcome
 }
 
-// Result tells how a started request ended.
+// Result describes how a started request ended.
 type Result struct {
 	Outcome outcome.Outcome
-	// Used is the slot time that the request held, in wall time.
+	// Used is how long the request held its slot, in wall-clock time.
 	Used time.Duration
 	// Failed is set when the upstream answered with a server error.
 	Failed bool
 }
 
-// Group is the share of one group at this upstream.
+// Group is the configuration of one group at the upstream.
 type Group struct {
 	Name model.GroupName
-	// Weight is the relative share, at least 0. A group of weight 0 runs only
-	// when nothing else waits.
+	// Weight is the group's share of slot time relative to the other groups. A
+	// request of a group of weight 0 starts only when no other group waits.
 	Weight float64
 	// QueueBound is the largest number of waiting requests of the group.
 	QueueBound int
-	// MaxRunning is the largest number of the group's requests that run at
-	// once here. Zero means no such limit.
+	// MaxRunning is the largest number of the group's requests that run at once
+	// at the upstream. Zero means no limit.
 	MaxRunning int
 }
 
-// Limiter finds how many requests the upstream can run at once.
+// Limiter is an adaptive concurrency limit for the upstream.
 type Limiter interface {
 	// Limit returns the number of requests that may run at once, at least 1.
 	Limit() int
-	// Observe takes in a request that ended after holding a slot for used,
-	// while running requests ran, itself among them. Requests that were cut
-	// short without a failure are not observed: their time says nothing.
+	// Observe records a request that ended after it held a slot for slotTime.
+	// running is the number of requests that ran until then, including this one.
+	// Requests that were cut short without a failure, for example because the
+	// caller cancelled, are not reported: their slot time is not representative.
 	Observe(now model.Instant, slotTime time.Duration, running int, failed bool)
 }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -10,30 +10,32 @@
 
 // Options configure a Controller.
 type Options struct {
-	// Slots is the announced number of requests that the upstream runs at
-	// once. Default: 1.
+	// Slots is the number of requests that the upstream has announced it can
+	// run at once. Default: 1.
 	Slots int
-	// QueueBound bounds a group that Configure has not named, and one that
-	// names no bound. Default: 128.
+	// QueueBound is the queue bound of groups that are not configured or set no
+	// bound. Default: 128.
 	QueueBound int
-	// TotalBound bounds all waiting requests together. Default: 1024.
+	// TotalBound is the largest number of waiting requests of all groups
+	// together. Default: 1024.
 	TotalBound int
-	// Limiter adapts the number of requests that run at once. Nil means
-	// Slots.
+	// Limiter adapts the number of requests that run at once. Nil means a fixed
+	// limit of Slots.
 	Limiter Limiter
 }
 
 const (
 	defaultQueueBound = 128
 	defaultTotalBound = 1024
-	// freshEstimate is how long a group's estimate may refuse requests after
-	// the last one of the group that ended. Beyond it one is let through, so
-	// that the estimate cannot lock a group out.
+	// estimateMaxAge is how long after the last ended request of a group the
+	// slot time estimate of the group may refuse requests. An older estimate is
+	// ignored, so that a request runs and updates it. Otherwise an estimate that
+	// is too high would refuse every request of the group for ever.
 	estimateMaxAge = time.Second
 )
 
-// Controller admits requests to one upstream. It is not safe for concurrent
-// use.
+// Controller queues, starts and refuses the requests for one upstream. It is not
+// safe for concurrent use.
 type Controller struct {
 	opts         Options
 	queue        *fairqueue.Queue
@@ -62,7 +64,8 @@
 	return c
 }
 
-// Configure replaces the groups' shares. Waiting requests keep their places.
+// Configure replaces the configuration of all groups. Waiting requests keep
+// their order within their group.
 func (c *Controller) Configure(now model.Instant, groups []Group) {
 	c.queue.ChargeRunning(now)
 	c.groupConfigs = c.groupConfigs[:0]
@@ -72,8 +75,9 @@
 	c.queue.Configure(c.groupConfigs)
 }
 
-// Arrive admits, queues or refuses a request. A refused request may be another
-// one than the newcomer. A request without an effect waits.
+// Arrive starts, queues or refuses a request. To keep the queue bounds it may
+// refuse a request that already waits instead of the arriving one. A request for
+// which no effect is returned waits.
 func (c *Controller) Arrive(now model.Instant, a Arrival, effects []Effect) []Effect {
 	c.seq++
 	if c.draining {
@@ -95,7 +99,7 @@
 	return c.enforceBounds(a.Request.Group, effects)
 }
 
-// Finish tells that a started request has ended and starts the next ones.
+// Finish records the end of a started request and starts waiting requests.
 func (c *Controller) Finish(now model.Instant, id ID, result Result, effects []Effect) []Effect {
 	running := c.queue.Running()
 	if !c.queue.Done(now, fairqueue.ID(id), result.Used) {
@@ -108,9 +112,9 @@
 	return c.startWaiting(now, effects)
 }
 
-// Withdraw takes a waiting request out. It reports true when the request was
-// still waiting: then it provably did not run and no other effect for it
-// follows.
+// Withdraw removes a waiting request from the queue. When it reports true the
+// request did not run and no effect for it follows. It reports false when the
+// request does not wait.
 func (c *Controller) Withdraw(now model.Instant, id ID) bool {
 	if !c.queue.Remove(fairqueue.ID(id)) {
 		return false
@@ -131,8 +135,8 @@
 	}
 }
 
-// Drain refuses new work from now on; waiting requests are refused too, with
-// proof that they did not run. Running requests go on.
+// Drain refuses all waiting requests and every later arrival. These requests did
+// not run. Running requests are not affected.
 func (c *Controller) Drain(now model.Instant, effects []Effect) []Effect {
 	c.draining = true
 	c.seq++
@@ -145,14 +149,14 @@
 	}
 }
 
-// LoadFor returns the exact load at this moment as a group sees it.
+// LoadFor is Load with Ahead computed for a new request of the given group.
 func (c *Controller) LoadFor(now model.Instant, group model.GroupName) model.Load {
 	load := c.Load(now)
 	load.Ahead = int32(c.queue.EstimateAhead(group))
 	return load
 }
 
-// Load returns the exact load at this moment.
+// Load returns the current load. Its Ahead counts all waiting requests.
 func (c *Controller) Load(now model.Instant) model.Load {
 	return model.Load{
 		Running:  int32(c.queue.Running()),
@@ -170,7 +174,8 @@
 
 func (c *Controller) limit() int { return max(c.limiter.Limit(), 1) }
 
-// fill starts requests while slots are free.
+// startWaiting refuses expired requests and starts waiting requests while slots
+// are free.
 func (c *Controller) startWaiting(now model.Instant, effects []Effect) []Effect {
 	effects = c.Expire(now, effects)
 	for c.queue.Running() < c.limit() {
@@ -188,9 +193,9 @@
 	return effects
 }
 
-// tooLate reports whether a request whose turn it is should leave its slot to
-// the others that wait, because such requests ordinarily run longer than the
-// time it has left.
+// cannotEndInTime reports whether the next request should be refused because
+// requests of its group usually run longer than the time left to its deadline.
+// It reports false when no other request waits for the slot.
 func (c *Controller) cannotEndInTime(now model.Instant, item fairqueue.Item) bool {
 	if c.queue.Len() == 0 {
 		return false
@@ -202,7 +207,8 @@
 	return now.Add(estimate.Upper) > item.Deadline
 }
 
-// waitOf estimates how long a newcomer would wait; 0 when a slot is free.
+// estimateWait estimates how long an arriving request would wait. It returns 0
+// when a slot is free.
 func (c *Controller) estimateWait(r model.Request) time.Duration {
 	if c.queue.Running() < c.limit() {
 		return 0
@@ -210,7 +216,9 @@
 	return c.queue.EstimateWait(r.Group, r.Caller, c.limit())
 }
 
-// bound refuses requests until the group and the whole queue keep their bounds.
+// enforceBounds refuses one waiting request if the group exceeds its queue bound
+// and one if the whole queue exceeds TotalBound. Each arrival adds at most one
+// request, so this keeps both bounds.
 func (c *Controller) enforceBounds(group model.GroupName, effects []Effect) []Effect {
 	if c.queue.OverBound(group) {
 		wait := c.queue.EstimateWait(group, "", c.limit())
--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -33,10 +33,10 @@
 	}{
 		{"deadline of zero", nil, arrival(9, "a", 0), map[ID]outcome.Reason{9: outcome.ReasonDeadline}},
 		{"deadline in the past", nil, arrival(9, "a", -5), map[ID]outcome.Reason{9: outcome.ReasonDeadline}},
-		{"absurd deadline", nil, arrival(9, "a", 1<<62), map[ID]outcome.Reason{9: outcome.ReasonNone}},
+		{"deadline in the far future", nil, arrival(9, "a", 1<<62), map[ID]outcome.Reason{9: outcome.ReasonNone}},
 		{"draining", func(c *Controller) { c.Drain(0, nil) }, arrival(9, "a", 99*ms), map[ID]outcome.Reason{9: outcome.ReasonDraining}},
 		{
-			"group over its bound loses its oldest request",
+			"oldest request of a group over its bound",
 			func(c *Controller) {
 				for id := ID(1); id <= 3; id++ {
 					c.Arrive(0, arrival(id, "a", 1000*ms), nil)
@@ -45,7 +45,7 @@
 			arrival(9, "a", 1000*ms), map[ID]outcome.Reason{2: outcome.ReasonQueueFull},
 		},
 		{
-			"full queue takes from the group furthest over its share",
+			"full queue drops from the group with the largest weighted backlog",
 			func(c *Controller) {
 				c.Configure(0, []Group{{Name: "a", Weight: 8, QueueBound: 9}, {Name: "b", Weight: 1, QueueBound: 9}})
 				c.Arrive(0, arrival(1, "a", 1000*ms), nil)
@@ -56,7 +56,7 @@
 			arrival(9, "a", 1000*ms), map[ID]outcome.Reason{4: outcome.ReasonShed},
 		},
 		{
-			"full queue takes from weight zero first",
+			"full queue drops from weight zero first",
 			func(c *Controller) {
 				c.Configure(0, []Group{{Name: "a", Weight: 1, QueueBound: 9}, {Name: "z", Weight: 0, QueueBound: 9}})
 				c.Arrive(0, arrival(1, "a", 1000*ms), nil)
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestArriveRefusesWhatCannotMeetItsDeadline learns a cost of 10 ms and queues
-// ten requests before the newcomer.
+// TestArriveRefusesRequestThatCannotMeetItsDeadline gives the controller a slot
+// time of 10 ms to learn and queues ten requests ahead of the arriving one.
 func TestArriveRefusesRequestThatCannotMeetItsDeadline(t *testing.T) {
 	c := New(Options{Slots: 1})
 	c.Arrive(0, arrival(1, "a", 1000*ms), nil)
@@ -91,7 +91,7 @@
 	require.Len(t, effects, 1)
 	require.Equal(t, outcome.ReasonDeadline, effects[0].Outcome.Reason)
 	require.Equal(t, 100*time.Millisecond, effects[0].Outcome.RetryAfter)
-	require.Empty(t, c.Arrive(10*ms, arrival(21, "a", 300*ms), nil), "one with time enough waits")
+	require.Empty(t, c.Arrive(10*ms, arrival(21, "a", 300*ms), nil), "a request with enough time left waits")
 }
 
 func TestWithdrawTakesOnlyWaitingRequests(t *testing.T) {
@@ -100,7 +100,7 @@
 	c.Arrive(0, arrival(2, "a", 99*ms), nil)
 	require.False(t, c.Withdraw(0, 1), "running")
 	require.True(t, c.Withdraw(0, 2))
-	require.False(t, c.Withdraw(0, 2), "gone")
+	require.False(t, c.Withdraw(0, 2), "already withdrawn")
 	require.Empty(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), Used: time.Millisecond}, nil))
 	require.Empty(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), Used: time.Millisecond}, nil), "a second end is ignored")
 }
@@ -116,7 +116,8 @@
 	require.Equal(t, model.Load{Running: 1, Limit: 1, Draining: true, Seq: load.Seq}, load)
 }
 
-// stepLimiter allows what it is told to.
+// adjustableLimiter is a Limiter whose limit the test sets. It records the
+// number of running requests at each observation.
 type adjustableLimiter struct {
 	limit           int
 	observedRunning []int
@@ -135,10 +136,10 @@
 	}
 	require.EqualValues(t, 2, c.Load(0).Running)
 	l.limit = 3
-	require.Len(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), Used: time.Millisecond}, nil), 2, "a raised limit starts more")
+	require.Len(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), Used: time.Millisecond}, nil), 2, "a higher limit lets two requests start")
 	l.limit = 0
 	require.Empty(t, c.Finish(ms, 2, Result{Outcome: outcome.Done(), Used: time.Millisecond}, nil))
-	require.EqualValues(t, 1, c.Load(ms).Limit, "never below one")
+	require.EqualValues(t, 1, c.Load(ms).Limit, "the limit is at least one")
 	require.Equal(t, []int{2, 3}, l.observedRunning)
 }
 
--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -1,19 +1,24 @@
-// Package admission decides, at the daemon that guards an upstream, which
-// request starts next and which is refused.
+// Package admission implements admission control for one upstream. It runs in
+// the daemon on the upstream's VM and decides which request starts next and
+// which is refused.
 //
 // # Concept
 //
-// A Controller holds the upstream at its concurrency limit and orders the rest
-// by policy until the last moment; see package fairqueue for the order. A
-// request that still waits can be withdrawn with proof that it did not run.
+// A Controller keeps the number of running requests within the upstream's
+// concurrency limit and queues the others; package fairqueue defines their
+// order. A waiting request can be withdrawn. It then has certainly not run.
 //
-// Three rules decide who is refused. A group over its own queue bound loses the
-// oldest request of its busiest caller. When the whole queue is full, the group
-// furthest over its share does. A request that cannot meet its deadline is
-// refused at once: on arrival when the work before it in its group takes too
-// long, and on its turn when the time left is shorter than such requests
-// ordinarily run and others wait for the slot.
+// Three rules decide which request is refused:
 //
-// The Controller has no goroutines and no clock: the caller hands in the time
-// and carries out the effects that each call appends.
+//   - When a group exceeds its queue bound, the oldest waiting request of the
+//     group's caller with the longest queue is refused.
+//   - When the whole queue is full, the same is done in the group whose backlog
+//     is largest relative to its weight.
+//   - A request that cannot meet its deadline is refused early: on arrival, when
+//     the requests of its group that are ahead of it take too long; and when its
+//     turn comes, when the time left is shorter than requests of its group
+//     usually run and other requests wait for the slot.
+//
+// The Controller has no goroutines and no clock. The caller passes in the
+// current time and carries out the effects that each call returns.
 package admission
--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -6,7 +6,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// announced is the limit that the upstream announced.
+// fixedLimit is a Limiter that never changes.
 type fixedLimit int
 
 func (l fixedLimit) Limit() int { return int(l) }
--- a/core/admission/main_test.go
+++ b/core/admission/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain lowers the default number of cases that a property is tried with:
-// each one plays seconds of virtual load. The command line still decides.
+// TestMain lowers the default number of cases for each property test, since
+// every case simulates seconds of load. The -rapid.checks flag overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.checks", "20"); err != nil {
 		panic(err)
--- a/core/admission/observe_test.go
+++ b/core/admission/observe_test.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// observations is a Limiter that keeps what it is told.
+// recordingLimiter is a Limiter that records the observed slot times.
 type recordingLimiter struct{ observedTimes []time.Duration }
 
 func (o *recordingLimiter) Limit() int { return 4 }
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -14,8 +14,8 @@
 	overloadSeconds  = 10
 )
 
-// goodput returns the requests answered within their deadline in the whole
-// run, at a multiple of what the upstream can run.
+// goodput offers a multiple of the upstream's capacity and returns the number of
+// requests that ended within their deadline.
 func goodput(t *testing.T, multiple float64) int {
 	sim := newSimulator(t, overloadSlots, Options{}, Group{Name: "g", Weight: 1})
 	interval := time.Duration(float64(overloadCost) / overloadSlots / multiple)
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestRecoveryAfterBurst offers five times the capacity for three seconds, then
-// 60%: from one second after the burst nothing is refused, and requests are as
-// fast as they are without a burst.
+// TestRecoveryAfterBurst offers five times the capacity for three seconds and
+// 60% of it from one second after the burst on. In this second phase no request
+// may be refused, and the p99 latency must be close to that without a burst.
 func TestRecoveryAfterBurst(t *testing.T) {
 	groups := []Group{{Name: "burst", Weight: 1}, {Name: "after", Weight: 1}}
 	after := workload{
@@ -55,8 +55,9 @@
 	require.Less(t, float64(afterBurstP99), 1.25*float64(baselineP99))
 }
 
-// TestVictimOfTenfoldNeighbour compares a group within its share alone and
-// beside one that offers ten times the whole capacity.
+// TestGroupIsIsolatedFromOverloadOfAnother measures the latency of a group that
+// stays within its share, alone and beside a group that offers ten times the
+// capacity of the upstream.
 func TestGroupIsIsolatedFromOverloadOfAnother(t *testing.T) {
 	groups := []Group{{Name: "victim", Weight: 8}, {Name: "neighbour", Weight: 1}}
 	victim := workload{
@@ -70,7 +71,7 @@
 	beside := newSimulator(t, overloadSlots, Options{}, groups...)
 	beside.run(victim, overloading)
 	aloneP99, besideP99 := quantile(alone.latency["victim"], 0.99), quantile(beside.latency["victim"], 0.99)
-	t.Logf("victim's p99 %v alone, %v beside the neighbour, ratio %.3f", aloneP99, besideP99, float64(besideP99)/float64(aloneP99))
+	t.Logf("victim's p99 %v alone, %v beside the overloading group, ratio %.3f", aloneP99, besideP99, float64(besideP99)/float64(aloneP99))
 	require.Empty(t, beside.refused["victim"])
 	require.LessOrEqual(t, float64(besideP99), 1.1*float64(aloneP99))
 }
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -15,11 +15,11 @@
 
 const longDeadline = time.Hour
 
-// TestShareWithinFivePercent draws groups that always have work and checks
-// each one's slot time in every whole second against its entitlement.
+// TestShareWithinFivePercent generates groups that are always backlogged and
+// checks that each gets its weighted share of the slot time in every second.
 func TestShareWithinFivePercent(t *testing.T) {
 	worst := 0.0
-	defer func() { t.Logf("worst error of a share in one second: %.2f%%", 100*worst) }()
+	defer func() { t.Logf("largest deviation of a share in one second: %.2f%%", 100*worst) }()
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(6, 8).Draw(t, "slots")
 		weights := rapid.SliceOfN(rapid.IntRange(1, 4), 2, 4).Draw(t, "weights")
@@ -39,7 +39,7 @@
 				slotTime = exponential(meanSlotTime)
 			}
 			callers := rapid.IntRange(1, 3).Draw(t, "callers")
-			// Each group offers 1.4 times its entitlement.
+			// Each group offers 1.4 times its share.
 			interval := float64(meanSlotTime) * float64(callers) * totalWeight / (1.4 * float64(slots*w))
 			for c := range callers {
 				workloads = append(workloads, workload{
@@ -50,7 +50,8 @@
 		}
 		sim := newSimulator(t, slots, Options{TotalBound: 1 << 20}, groups...)
 		sim.run(workloads...)
-		// The first second fills the queues; afterwards all are backlogged.
+		// The queues fill during the first second. From then on every group is
+		// backlogged.
 		for w := 1; w < seconds; w++ {
 			for _, g := range groups {
 				want := float64(slots) * window.Seconds() * g.Weight / totalWeight
@@ -65,8 +66,9 @@
 	})
 }
 
-// TestNobodyWaitsForEver overloads an upstream from all sides, without
-// deadlines: each group above weight 0 goes on being served every second.
+// TestNoGroupStarves overloads an upstream with two groups of very different
+// weights and no effective deadlines. The lighter group must still get about 1%
+// of the slot time in every second, the minimum that MinWeightRatio grants.
 func TestNoGroupStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heavy := rapid.Float64Range(1, 1e9).Draw(t, "weight")
@@ -94,8 +96,8 @@
 	require.Positive(t, sim.refused["free"][outcome.ReasonDeadline])
 }
 
-// TestCallersOfOneGroupShareEqually compares one caller that sends ten times
-// as much, and costlier requests, with a modest one.
+// TestCallersOfOneGroupShareEqually runs a caller beside one that sends ten
+// times as many, longer requests. Both must get the same slot time.
 func TestCallersOfOneGroupShareEqually(t *testing.T) {
 	sim := newSimulator(t, 4, Options{}, Group{Name: "g", Weight: 1, QueueBound: 200})
 	base := workload{group: "g", slotTime: constant(2 * time.Millisecond), interval: 800 * time.Microsecond, deadline: longDeadline, to: 4 * time.Second}
@@ -106,8 +108,8 @@
 	require.InEpsilon(t, sim.slotTimeByCaller["modest"].Seconds(), sim.slotTimeByCaller["greedy"].Seconds(), 0.05)
 }
 
-// TestManyCallersGainNothing sets a group of 200 callers against a group of
-// one.
+// TestManyCallersGetNoLargerShare runs a group of 200 callers beside a group of
+// one caller. Both groups have the same weight and must get the same slot time.
 func TestManyCallersGetNoLargerShare(t *testing.T) {
 	sim := newSimulator(t, 6, Options{TotalBound: 4096}, Group{Name: "many", Weight: 1}, Group{Name: "one", Weight: 1})
 	var workloads []workload
@@ -122,8 +124,9 @@
 	require.InEpsilon(t, sim.slotTimeByWindow["one"][1].Seconds(), sim.slotTimeByWindow["many"][1].Seconds(), 0.05)
 }
 
-// TestCostlyRequestsArePaidFor mixes cheap requests with a few costly ones that
-// look the same.
+// TestCostlyRequestsAreChargedTheirSlotTime runs a group of short requests beside
+// one that mixes short requests with a few long ones. The controller cannot tell
+// them apart in advance, but the groups must get the same slot time.
 func TestCostlyRequestsAreChargedTheirSlotTime(t *testing.T) {
 	sim := newSimulator(t, 6, Options{}, Group{Name: "honest", Weight: 1}, Group{Name: "costly", Weight: 1})
 	honest := workload{group: "honest", slotTime: constant(time.Millisecond), interval: 200 * time.Microsecond, deadline: longDeadline, to: 6 * time.Second}
--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// load is an open stream of requests of one caller.
+// workload is an open-loop stream of requests of one caller.
 type workload struct {
 	group    model.GroupName
 	caller   model.CallerName
@@ -32,7 +32,7 @@
 	}
 }
 
-// job is one request of the rig.
+// job is one simulated request.
 type job struct {
 	id       ID
 	workload *workload
@@ -69,8 +69,8 @@
 	return e
 }
 
-// rig drives one Controller in virtual time and checks after every step that
-// no slot is idle while work waits.
+// simulator drives one Controller in virtual time. After every step it checks
+// that no slot is idle while a request waits.
 type simulator struct {
 	t          require.TestingT
 	controller *Controller
@@ -81,11 +81,13 @@
 	lastSeq    uint64
 	jobs       map[ID]*job
 	nextID     ID
-	// limited is set when a group may not use all slots.
+	// hasMaxRunning is set when a group has a limit on its running requests, so
+	// that a slot may be idle while requests wait.
 	hasMaxRunning bool
 	effects       []Effect
 
-	// used holds for each group the slot time by window of one second.
+	// slotTimeByWindow holds for each group the slot time used in each window.
+	// inTimeByWindow holds the number of requests that ended by their deadline.
 	slotTimeByWindow map[model.GroupName][]time.Duration
 	slotTimeByCaller map[model.CallerName]time.Duration
 	latency          map[model.GroupName][]time.Duration
@@ -94,6 +96,7 @@
 	totalSlotTime    map[model.GroupName]time.Duration
 }
 
+// window is the period over which slot time and goodput are counted.
 const window = time.Second
 
 func newSimulator(t require.TestingT, slots int, opts Options, groups ...Group) *simulator {
@@ -130,7 +133,7 @@
 	}
 }
 
-// run offers the loads and plays them to the end.
+// run simulates the workloads until all requests have ended.
 func (s *simulator) run(workloads ...workload) {
 	for i := range workloads {
 		s.scheduleArrivals(&workloads[i])
@@ -146,12 +149,12 @@
 		s.applyEffects()
 		load := s.controller.Load(s.now)
 		if load.Waiting > 0 && load.Running < load.Limit && !s.hasMaxRunning {
-			require.Fail(s.t, "slot idle while work waits", "%+v at %d", load, s.now)
+			require.Fail(s.t, "slot idle while a request waits", "%+v at %d", load, s.now)
 		}
 	}
 	for _, j := range s.jobs {
 		if !j.ended {
-			require.Fail(s.t, "never settled", "request %d of %s", j.id, j.workload.group)
+			require.Fail(s.t, "request never ended", "request %d of %s", j.id, j.workload.group)
 		}
 	}
 }
@@ -179,11 +182,11 @@
 	for _, e := range s.effects {
 		j := s.jobs[e.ID]
 		if j.running || j.ended {
-			require.Fail(s.t, "second effect", "request %d", e.ID)
+			require.Fail(s.t, "second effect for a request that runs or has ended", "request %d", e.ID)
 		}
 		if e.Kind == Refuse {
 			if e.Outcome.Kind != outcome.NotRun {
-				require.Fail(s.t, "refused without proof", "request %d: %+v", e.ID, e.Outcome)
+				require.Fail(s.t, "refused with an outcome other than not run", "request %d: %+v", e.ID, e.Outcome)
 			}
 			j.ended = true
 			if s.refused[j.workload.group] == nil {
@@ -193,15 +196,15 @@
 			continue
 		}
 		j.running, j.started = true, s.now
-		// The upstream gives up at the deadline.
+		// The upstream aborts the request at its deadline.
 		s.schedule(min(s.now.Add(j.slotTime), max(j.deadline, s.now)), j, true)
 		if s.now.Add(j.slotTime) > j.deadline {
-			j.deadline-- // ended by the deadline: not good
+			j.deadline-- // aborted: finishJob must not count it as ended in time
 		}
 	}
 }
 
-// account spreads a run over the windows that it touches.
+// addSlotTime divides the slot time of one run among the windows that it spans.
 func (s *simulator) addSlotTime(group model.GroupName, from, to model.Instant) {
 	for from < to {
 		index := from / model.Instant(window)
--- a/core/admission/surge_test.go
+++ b/core/admission/surge_test.go
@@ -10,9 +10,10 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// TestSurgeOfOneGroupLeavesOthersAlone plays the surges of both deployments at
-// one upstream of six slots and compares the victim's p99 with that of a run
-// without the surge.
+// TestSurgeOfOneGroupDoesNotSlowOthers simulates surges of one group at an
+// upstream with six slots and compares the p99 latency of another group, the
+// victim, with a run without the surge. The names of the groups come from two
+// example deployments.
 func TestSurgeOfOneGroupDoesNotSlowOthers(t *testing.T) {
 	const duration = 8 * time.Second
 	ms := time.Millisecond
@@ -21,8 +22,9 @@
 		groups []Group
 		victim workload
 		surge  []workload
-		// ratio bounds the victim's p99 over that without the surge; its
-		// requests are not longer than the surge's where it is near 1.
+		// ratio is the largest allowed quotient of the victim's p99 with and
+		// without the surge. It is near 1 where the requests of the surge are
+		// not longer than those of the victim.
 		ratio float64
 	}{
 		{
@@ -37,8 +39,8 @@
 			[]Group{{Name: "sorters", Weight: 8}, {Name: "searches", Weight: 1, QueueBound: 64}},
 			workload{group: "sorters", caller: "bench", slotTime: exponential(2 * ms), interval: ms, deadline: 2 * time.Second, to: duration},
 			[]workload{{group: "searches", caller: "portal", slotTime: exponential(20 * ms), interval: ms, deadline: 2 * time.Second, to: duration}},
-			// A slot that a search has cannot be taken back: the wait for the
-			// next free one shows.
+			// A running search cannot be preempted, so the victim's latency
+			// includes the wait for a slot to become free.
 			2.6,
 		},
 		{
@@ -72,14 +74,15 @@
 			group := tt.victim.group
 			baselineP99, surgeP99 := quantile(baseline.latency[group], 0.99), quantile(withSurge.latency[group], 0.99)
 			t.Logf("p99 %v alone, %v with the surge: %.3f", baselineP99, surgeP99, float64(surgeP99)/float64(baselineP99))
-			require.Empty(t, withSurge.refused[group], "the victim loses nothing")
+			require.Empty(t, withSurge.refused[group], "no request of the victim is refused")
 			require.LessOrEqual(t, float64(surgeP99), tt.ratio*float64(baselineP99))
-			require.Positive(t, withSurge.totalSlotTime[tt.surge[0].group], "the surge is served too")
+			require.Positive(t, withSurge.totalSlotTime[tt.surge[0].group], "some requests of the surge run too")
 		})
 	}
 }
 
-// crowd is n callers of one group that each send every two seconds.
+// manyCallers returns the workloads of n callers of one group that each send a
+// request every two seconds.
 func manyCallers(n int, duration time.Duration) []workload {
 	workloads := make([]workload, 0, n)
 	for i := range n {
@@ -91,8 +94,9 @@
 	return workloads
 }
 
-// TestGoodputWithShortDeadlines overloads with a deadline of a few mean costs:
-// what would end too late must not take slots from what would not.
+// TestGoodputWithShortDeadlines overloads the upstream with requests whose
+// deadline is only a few mean slot times away. Requests that would end too late
+// must not take slots from requests that would end in time.
 func TestGoodputWithShortDeadlines(t *testing.T) {
 	goodputAt := func(multiple float64) int {
 		sim := newSimulator(t, overloadSlots, Options{}, Group{Name: "g", Weight: 1})
