--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	defaultDeadline   = 10 * time.Second
-	defaultQueueBound = 128
-	defaultRetryShare = 0.1
-	defaultDeaths     = 2
-	defaultQuarantine = 10 * time.Minute
-	maxName           = 253
+	defaultDeadline           = 10 * time.Second
+	defaultQueueBound         = 128
+	defaultRetryShare         = 0.1
+	defaultQuarantineCrashes  = 2
+	defaultQuarantineDuration = 10 * time.Minute
+	maxNameLength             = 253
 )
 
 // Compile checks the documents and builds a Set. When problems are returned the
@@ -38,19 +38,19 @@
 	}}
 	sorted := slices.Clone(docs)
 	slices.SortStableFunc(sorted, func(a, b Document) int { return cmp.Compare(a.Key(), b.Key()) })
-	for i, d := range sorted {
-		if i > 0 && d.Key() == sorted[i-1].Key() {
-			c.problem(d, "name", d.Name, "declared more than once")
+	for i, doc := range sorted {
+		if i > 0 && doc.Key() == sorted[i-1].Key() {
+			c.addProblem(doc, "name", doc.Name, "declared more than once")
 			continue
 		}
-		c.add(d)
+		c.addDocument(doc)
 	}
 	c.assignPolicies()
 	if len(c.problems) > 0 {
 		return nil, sortProblems(c.problems)
 	}
 	for _, s := range c.set.services {
-		s.cache = make([]atomic.Int32, len(c.set.callers)+1)
+		s.groupCache = make([]atomic.Int32, len(c.set.callers)+1)
 	}
 	return c.set, nil
 }
@@ -60,12 +60,12 @@
 	problems []Problem
 }
 
-func (c *compiler) problem(d Document, path, value, message string) {
+func (c *compiler) addProblem(d Document, path, value, message string) {
 	c.problems = append(c.problems, Problem{Document: d.Key(), Path: path, Value: value, Message: message})
 }
 
-func (c *compiler) add(d Document) {
-	c.checkHead(d)
+func (c *compiler) addDocument(d Document) {
+	c.checkNameAndLabels(d)
 	switch d.Kind {
 	case KindService:
 		c.addService(d)
@@ -74,20 +74,20 @@
 	case KindSharingPolicy:
 		c.addPolicy(d)
 	default:
-		c.problem(d, "kind", d.Kind, "unknown kind, want Service, Caller or SharingPolicy")
+		c.addProblem(d, "kind", d.Kind, "unknown kind, want Service, Caller or SharingPolicy")
 	}
 }
 
-func (c *compiler) checkHead(d Document) {
-	if d.Name == "" || len(d.Name) > maxName || !plain(d.Name) || strings.Contains(d.Name, "/") {
-		c.problem(d, "name", d.Name, "want letters, digits and \"-_.\"")
+func (c *compiler) checkNameAndLabels(d Document) {
+	if d.Name == "" || len(d.Name) > maxNameLength || !validChars(d.Name) || strings.Contains(d.Name, "/") {
+		c.addProblem(d, "name", d.Name, "want letters, digits and \"-_.\"")
 	}
 	for _, k := range sortedKeys(d.Labels) {
 		if !validLabelKey(k) {
-			c.problem(d, "labels", k, "not a label key: want letters, digits and \"-_./\"")
+			c.addProblem(d, "labels", k, "not a label key: want letters, digits and \"-_./\"")
 		}
 		if !validLabelValue(d.Labels[k]) {
-			c.problem(d, "labels."+k, d.Labels[k], "not a label value: want at most 63 letters, digits and \"-_./\"")
+			c.addProblem(d, "labels."+k, d.Labels[k], "not a label value: want at most 63 letters, digits and \"-_./\"")
 		}
 	}
 }
@@ -103,15 +103,15 @@
 		Routing:         spec.Routing,
 		MeasuringBudget: spec.MeasuringBudget,
 		RetryShare:      defaultRetryShare,
-		Quarantine:      QuarantineSpec{Deaths: defaultDeaths, Duration: Duration(defaultQuarantine)},
+		Quarantine:      QuarantineSpec{Deaths: defaultQuarantineCrashes, Duration: Duration(defaultQuarantineDuration)},
 		spec:            spec,
 	}
-	c.share(d, "spec.measuring_budget", spec.MeasuringBudget)
+	c.checkShare(d, "spec.measuring_budget", spec.MeasuringBudget)
 	if spec.Routing != "" && !slices.Contains(routing.Names(), spec.Routing) {
-		c.problem(d, "spec.routing", spec.Routing, "want one of "+strings.Join(routing.Names(), ", "))
+		c.addProblem(d, "spec.routing", spec.Routing, "want one of "+strings.Join(routing.Names(), ", "))
 	}
 	if svc.Deadline < 0 {
-		c.problem(d, "spec.deadline", svc.Deadline.String(), "must not be negative")
+		c.addProblem(d, "spec.deadline", svc.Deadline.String(), "must not be negative")
 	}
 	if svc.Deadline == 0 {
 		svc.Deadline = defaultDeadline
@@ -126,12 +126,12 @@
 
 func (c *compiler) addHost(d Document, path, host string) {
 	key := strings.ToLower(host)
-	other, taken := c.set.hosts[key]
+	owner, taken := c.set.hosts[key]
 	switch {
 	case key == "":
-		c.problem(d, path, host, "must not be empty")
-	case taken && other != model.ServiceName(d.Name):
-		c.problem(d, path, host, "already names service "+string(other))
+		c.addProblem(d, path, host, "must not be empty")
+	case taken && owner != model.ServiceName(d.Name):
+		c.addProblem(d, path, host, "already names service "+string(owner))
 	default:
 		c.set.hosts[key] = model.ServiceName(d.Name)
 	}
@@ -142,30 +142,30 @@
 	if !c.decode(d, &spec) {
 		return
 	}
-	caller := Caller{Name: model.CallerName(d.Name), Labels: d.Labels, index: len(c.set.callers) + 1}
+	caller := Caller{Name: model.CallerName(d.Name), Labels: d.Labels, cacheIndex: len(c.set.callers) + 1}
 	c.set.callers[caller.Name] = caller
 	for i, h := range spec.TokenSHA256 {
 		path := fmt.Sprintf("spec.token_sha256[%d]", i)
-		sum, err := hex.DecodeString(h)
-		if err != nil || len(sum) != sha256.Size {
-			c.problem(d, path, h, "want 64 hex digits")
+		digest, err := hex.DecodeString(h)
+		if err != nil || len(digest) != sha256.Size {
+			c.addProblem(d, path, h, "want 64 hex digits")
 			continue
 		}
-		key := [sha256.Size]byte(sum)
-		if other, taken := c.set.tokens[key]; taken && other.Name != caller.Name {
-			c.problem(d, path, h, "already belongs to caller "+string(other.Name))
+		key := [sha256.Size]byte(digest)
+		if owner, taken := c.set.tokens[key]; taken && owner.Name != caller.Name {
+			c.addProblem(d, path, h, "already belongs to caller "+string(owner.Name))
 			continue
 		}
 		c.set.tokens[key] = caller
 	}
 	for i, name := range spec.CertificateNames {
 		path := fmt.Sprintf("spec.certificate_names[%d]", i)
-		other, taken := c.set.certificates[name]
+		owner, taken := c.set.certificates[name]
 		switch {
 		case name == "":
-			c.problem(d, path, name, "must not be empty")
-		case taken && other.Name != caller.Name:
-			c.problem(d, path, name, "already belongs to caller "+string(other.Name))
+			c.addProblem(d, path, name, "must not be empty")
+		case taken && owner.Name != caller.Name:
+			c.addProblem(d, path, name, "already belongs to caller "+string(owner.Name))
 		default:
 			c.set.certificates[name] = caller
 		}
@@ -173,25 +173,25 @@
 }
 
 // share checks an optional share of 0 to 1.
-func (c *compiler) share(d Document, path string, v *float64) {
+func (c *compiler) checkShare(d Document, path string, v *float64) {
 	if v != nil && !(*v >= 0 && *v <= 1) {
-		c.problem(d, path, fmt.Sprint(*v), "want 0 to 1")
+		c.addProblem(d, path, fmt.Sprint(*v), "want 0 to 1")
 	}
 }
 
 func (c *compiler) decode(d Document, spec any) bool {
-	before := len(c.problems)
+	problemsBefore := len(c.problems)
 	if len(d.Spec) == 0 {
-		c.problem(d, "spec", "nothing", "must be set")
+		c.addProblem(d, "spec", "nothing", "must be set")
 		return false
 	}
-	strict{report: func(path, value, message string) { c.problem(d, path, value, message) }}.
+	strictChecker{report: func(path, value, message string) { c.addProblem(d, path, value, message) }}.
 		check("spec", d.Spec, reflect.TypeOf(spec).Elem())
-	if len(c.problems) > before {
+	if len(c.problems) > problemsBefore {
 		return false
 	}
 	if err := json.Unmarshal(d.Spec, spec); err != nil {
-		c.problem(d, "spec", brief(d.Spec), err.Error())
+		c.addProblem(d, "spec", oneLine(d.Spec), err.Error())
 		return false
 	}
 	return true
--- a/core/policy/explain.go
+++ b/core/policy/explain.go
@@ -41,13 +41,13 @@
 }
 
 // LookupError tells which name an explanation was asked for in vain.
-type LookupError struct {
+type NotFoundError struct {
 	Kind string
 	Name string
 }
 
 // Error names the kind and the name.
-func (e *LookupError) Error() string {
+func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("no %s is named %q", e.Kind, e.Name)
 }
 
@@ -56,11 +56,11 @@
 func (s *Set) Explain(caller model.CallerName, service model.ServiceName) (Explanation, error) {
 	svc, ok := s.services[service]
 	if !ok {
-		return Explanation{}, &LookupError{Kind: KindService, Name: string(service)}
+		return Explanation{}, &NotFoundError{Kind: KindService, Name: string(service)}
 	}
 	c, ok := s.callers[caller]
 	if !ok && caller != "" {
-		return Explanation{}, &LookupError{Kind: KindCaller, Name: string(caller)}
+		return Explanation{}, &NotFoundError{Kind: KindCaller, Name: string(caller)}
 	}
 	e := Explanation{Service: service, Caller: caller}
 	e.Policies = s.explainPolicies(service)
@@ -85,9 +85,9 @@
 	winner := ""
 	for _, p := range s.policies {
 		step := PolicyStep{Name: p.name, Priority: p.spec.Priority}
-		switch failing := p.services.failing(s.labels[service]); {
-		case failing != nil:
-			step.Why = fmt.Sprintf("does not select the service: %s does not hold", failing)
+		switch unmatched := p.services.firstUnmatched(s.labels[service]); {
+		case unmatched != nil:
+			step.Why = fmt.Sprintf("does not select the service: %s does not hold", unmatched)
 		case winner != "":
 			step.Why = fmt.Sprintf("selects the service, but %s comes first", winner)
 		default:
@@ -100,20 +100,20 @@
 }
 
 func (s *Service) explainGroups(labels model.Labels, group model.GroupName) []GroupStep {
-	matched := s.match(labels)
+	matchedIndex := s.matchIndex(labels)
 	var steps []GroupStep
 	for i, g := range s.Groups {
 		step := GroupStep{Name: g.Name, Wins: g.Name == group}
-		failing := s.selectors[i].failing(labels)
+		unmatched := s.selectors[i].firstUnmatched(labels)
 		switch {
-		case int32(i)+1 == matched:
+		case int32(i)+1 == matchedIndex:
 			step.Why = fmt.Sprintf("first group whose selector %q holds", g.Callers)
 		case step.Wins:
 			step.Why = "default group, as no selector holds"
 		case s.selectors[i].Empty():
 			step.Why = "selects nobody"
-		case failing != nil:
-			step.Why = fmt.Sprintf("%s does not hold", failing)
+		case unmatched != nil:
+			step.Why = fmt.Sprintf("%s does not hold", unmatched)
 		default:
 			step.Why = "its selector holds, but an earlier group's does too"
 		}
--- a/core/policy/parse.go
+++ b/core/policy/parse.go
@@ -19,12 +19,12 @@
 	for _, raw := range items {
 		var d Document
 		err := json.Unmarshal(raw, &d)
-		before := len(problems)
-		strict{report: func(path, value, message string) {
+		problemsBefore := len(problems)
+		strictChecker{report: func(path, value, message string) {
 			problems = append(problems, Problem{Document: d.Key(), Path: path, Value: value, Message: message})
 		}}.check("", raw, reflect.TypeFor[Document]())
-		if err != nil && len(problems) == before {
-			problems = append(problems, Problem{Document: d.Key(), Path: "", Value: brief(raw), Message: err.Error()})
+		if err != nil && len(problems) == problemsBefore {
+			problems = append(problems, Problem{Document: d.Key(), Path: "", Value: oneLine(raw), Message: err.Error()})
 		}
 		docs = append(docs, d)
 	}
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -13,7 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-func doc(kind, name, labels, spec string) Document {
+func newDocument(kind, name, labels, spec string) Document {
 	d := Document{Kind: kind, Name: name, Spec: json.RawMessage(spec)}
 	if labels != "" {
 		d.Labels = make(model.Labels)
@@ -26,25 +26,25 @@
 }
 
 // valid is the co-operative's configuration in small.
-func valid() []Document {
+func exampleDocuments() []Document {
 	return []Document{
-		doc(KindService, "returdesk", "mesh=fyn", `{"hosts":["returdesk.fyn"],"deadline":"2s","non_idempotent":[{"path_prefix":"/release"}]}`),
-		doc(KindService, "sporarkiv", "mesh=fyn,tier=archive", `{}`),
-		doc(KindCaller, "bench", "role=sorter,hall=a", `{"token_sha256":["`+strings.Repeat("ab", 32)+`"]}`),
-		doc(KindCaller, "audit", "role=check", `{}`),
-		doc(KindSharingPolicy, "fyn", "", `{"services":"mesh=fyn","default_group":"checks","retry_share":0.2,
+		newDocument(KindService, "returdesk", "mesh=fyn", `{"hosts":["returdesk.fyn"],"deadline":"2s","non_idempotent":[{"path_prefix":"/release"}]}`),
+		newDocument(KindService, "sporarkiv", "mesh=fyn,tier=archive", `{}`),
+		newDocument(KindCaller, "bench", "role=sorter,hall=a", `{"token_sha256":["`+strings.Repeat("ab", 32)+`"]}`),
+		newDocument(KindCaller, "audit", "role=check", `{}`),
+		newDocument(KindSharingPolicy, "fyn", "", `{"services":"mesh=fyn","default_group":"checks","retry_share":0.2,
 			"deadline_classes":{"bench":"500ms"},"groups":[
 			{"name":"sorters","callers":"role=sorter","weight":8,"deadline_class":"bench"},
 			{"name":"checks","callers":"","weight":1}]}`),
-		doc(KindSharingPolicy, "archive", "", `{"services":"tier=archive","priority":1,"groups":[
+		newDocument(KindSharingPolicy, "archive", "", `{"services":"tier=archive","priority":1,"groups":[
 			{"name":"all","callers":"role","weight":1,"rate_per_second":5,"concurrency":3}]}`),
 	}
 }
 
-func TestCompileResolvesOverlapsInAnyOrder(t *testing.T) {
+func TestCompileResolvesOverlapsIndependentlyOfOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		docs := valid()
+		docs := exampleDocuments()
 		rng.Shuffle(len(docs), func(i, j int) { docs[i], docs[j] = docs[j], docs[i] })
 		set, problems := Compile(docs)
 		require.Empty(t, problems)
@@ -69,7 +69,7 @@
 }
 
 func TestCompileReportsProblems(t *testing.T) {
-	policyWith := func(spec string) Document { return doc(KindSharingPolicy, "p", "", spec) }
+	policyWith := func(spec string) Document { return newDocument(KindSharingPolicy, "p", "", spec) }
 	group := func(fields string) Document {
 		return policyWith(`{"services":"x=y","groups":[{"name":"g","callers":"a=b","weight":1` + fields + `}]}`)
 	}
@@ -78,14 +78,14 @@
 		docs []Document
 		want string
 	}{
-		{"unknown kind", []Document{doc("Server", "s", "", `{}`)}, "Server/s: kind: unknown kind, want Service, Caller or SharingPolicy (got Server)"},
-		{"no name", []Document{doc(KindCaller, "", "", `{}`)}, `Caller/: name: want letters, digits and "-_." (got )`},
+		{"unknown kind", []Document{newDocument("Server", "s", "", `{}`)}, "Server/s: kind: unknown kind, want Service, Caller or SharingPolicy (got Server)"},
+		{"no name", []Document{newDocument(KindCaller, "", "", `{}`)}, `Caller/: name: want letters, digits and "-_." (got )`},
 		{"no spec", []Document{{Kind: KindCaller, Name: "c"}}, "Caller/c: spec: must be set (got nothing)"},
-		{"unknown field", []Document{doc(KindCaller, "c", "", `{"tokens":[1]}`)}, "Caller/c: spec.tokens: unknown field, want one of certificate_names, token_sha256 (got [1])"},
-		{"field in the wrong case", []Document{doc(KindCaller, "c", "", `{"Token_SHA256":[]}`)}, "Caller/c: spec.Token_SHA256: unknown field, want one of certificate_names, token_sha256 (got [])"},
+		{"unknown field", []Document{newDocument(KindCaller, "c", "", `{"tokens":[1]}`)}, "Caller/c: spec.tokens: unknown field, want one of certificate_names, token_sha256 (got [1])"},
+		{"field in the wrong case", []Document{newDocument(KindCaller, "c", "", `{"Token_SHA256":[]}`)}, "Caller/c: spec.Token_SHA256: unknown field, want one of certificate_names, token_sha256 (got [])"},
 		{"wrong type", []Document{group(`,"queue_bound":"many"`)}, `SharingPolicy/p: spec.groups[0].queue_bound: want a whole number (got "many")`},
-		{"duration without a unit", []Document{doc(KindService, "s", "", `{"deadline":5}`)}, `Service/s: spec.deadline: duration 5: want a string with a unit such as "250ms" (got 5)`},
-		{"negative deadline", []Document{doc(KindService, "s", "", `{"deadline":"-1s"}`)}, "Service/s: spec.deadline: must not be negative (got -1s)"},
+		{"duration without a unit", []Document{newDocument(KindService, "s", "", `{"deadline":5}`)}, `Service/s: spec.deadline: duration 5: want a string with a unit such as "250ms" (got 5)`},
+		{"negative deadline", []Document{newDocument(KindService, "s", "", `{"deadline":"-1s"}`)}, "Service/s: spec.deadline: must not be negative (got -1s)"},
 		{"negative weight", []Document{policyWith(`{"services":"","groups":[{"name":"g","callers":"a","weight":-1}]}`)}, "SharingPolicy/p: spec.groups[0].weight: must not be negative (got -1)"},
 		{"retry share", []Document{policyWith(`{"services":"","retry_share":2,"groups":[{"name":"g","callers":"a","weight":1}]}`)}, "SharingPolicy/p: spec.retry_share: want 0 to 1 (got 2)"},
 		{"bad selector", []Document{policyWith(`{"services":"a of (b)","groups":[{"name":"g","callers":"a","weight":1}]}`)}, `SharingPolicy/p: spec.services: term "a of (b)": unknown operator "of", want in or notin (got "a of (b)")`},
@@ -93,12 +93,12 @@
 		{"group twice", []Document{policyWith(`{"services":"","groups":[{"name":"g","callers":"a","weight":1},{"name":"g","callers":"b","weight":1}]}`)}, "SharingPolicy/p: spec.groups[1].name: declared more than once (got g)"},
 		{"unknown class", []Document{group(`,"deadline_class":"slow"`)}, "SharingPolicy/p: spec.groups[0].deadline_class: no such class in deadline_classes (got slow)"},
 		{"unknown default group", []Document{policyWith(`{"services":"","default_group":"d","groups":[{"name":"g","callers":"a","weight":1}]}`)}, "SharingPolicy/p: spec.default_group: no such group in this policy (got d)"},
-		{"document twice", []Document{doc(KindCaller, "c", "", `{}`), doc(KindCaller, "c", "", `{}`)}, "Caller/c: name: declared more than once (got c)"},
-		{"host twice", []Document{doc(KindService, "a", "", `{"hosts":["H"]}`), doc(KindService, "b", "", `{"hosts":["h"]}`)}, "Service/b: spec.hosts[0]: already names service a (got h)"},
-		{"host that is a service", []Document{doc(KindService, "a", "", `{}`), doc(KindService, "b", "", `{"hosts":["a"]}`)}, "Service/b: spec.hosts[0]: already names service a (got a)"},
-		{"token twice", []Document{doc(KindCaller, "a", "", `{"token_sha256":["`+strings.Repeat("0", 64)+`"]}`), doc(KindCaller, "b", "", `{"token_sha256":["`+strings.Repeat("0", 64)+`"]}`)}, "Caller/b: spec.token_sha256[0]: already belongs to caller a (got " + strings.Repeat("0", 64) + ")"},
-		{"token too short", []Document{doc(KindCaller, "a", "", `{"token_sha256":["00"]}`)}, "Caller/a: spec.token_sha256[0]: want 64 hex digits (got 00)"},
-		{"label value", []Document{doc(KindCaller, "a", "role=s p", `{}`)}, `Caller/a: labels.role: not a label value: want at most 63 letters, digits and "-_./" (got s p)`},
+		{"document twice", []Document{newDocument(KindCaller, "c", "", `{}`), newDocument(KindCaller, "c", "", `{}`)}, "Caller/c: name: declared more than once (got c)"},
+		{"host twice", []Document{newDocument(KindService, "a", "", `{"hosts":["H"]}`), newDocument(KindService, "b", "", `{"hosts":["h"]}`)}, "Service/b: spec.hosts[0]: already names service a (got h)"},
+		{"host that is a service", []Document{newDocument(KindService, "a", "", `{}`), newDocument(KindService, "b", "", `{"hosts":["a"]}`)}, "Service/b: spec.hosts[0]: already names service a (got a)"},
+		{"token twice", []Document{newDocument(KindCaller, "a", "", `{"token_sha256":["`+strings.Repeat("0", 64)+`"]}`), newDocument(KindCaller, "b", "", `{"token_sha256":["`+strings.Repeat("0", 64)+`"]}`)}, "Caller/b: spec.token_sha256[0]: already belongs to caller a (got " + strings.Repeat("0", 64) + ")"},
+		{"token too short", []Document{newDocument(KindCaller, "a", "", `{"token_sha256":["00"]}`)}, "Caller/a: spec.token_sha256[0]: want 64 hex digits (got 00)"},
+		{"label value", []Document{newDocument(KindCaller, "a", "role=s p", `{}`)}, `Caller/a: labels.role: not a label value: want at most 63 letters, digits and "-_./" (got s p)`},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -111,9 +111,9 @@
 }
 
 func TestCompileReportsAllProblemsAtOnce(t *testing.T) {
-	docs := append(valid(),
-		doc(KindCaller, "x", "", `{"a":1,"b":2}`),
-		doc(KindSharingPolicy, "z", "", `{"services":"=","groups":[{"name":"","callers":"(","weight":-1}]}`))
+	docs := append(exampleDocuments(),
+		newDocument(KindCaller, "x", "", `{"a":1,"b":2}`),
+		newDocument(KindSharingPolicy, "z", "", `{"services":"=","groups":[{"name":"","callers":"(","weight":-1}]}`))
 	_, problems := Compile(docs)
 	var paths []string
 	for _, p := range problems {
@@ -138,7 +138,7 @@
 }
 
 func TestExplain(t *testing.T) {
-	set, problems := Compile(valid())
+	set, problems := Compile(exampleDocuments())
 	require.Empty(t, problems)
 	e, err := set.Explain("bench", "sporarkiv")
 	require.NoError(t, err)
@@ -168,19 +168,19 @@
 }
 
 func TestGroupOfDoesNotAllocate(t *testing.T) {
-	set, _ := Compile(valid())
+	set, _ := Compile(exampleDocuments())
 	svc, _ := set.Service("returdesk")
 	c, _ := set.CallerByName("bench")
 	require.Zero(t, testing.AllocsPerRun(100, func() { svc.GroupOf(c) }))
 }
 
 func BenchmarkGroupOf(b *testing.B) {
-	docs := []Document{doc(KindService, "s", "", `{}`), doc(KindCaller, "c", "team=t999", `{}`)}
+	docs := []Document{newDocument(KindService, "s", "", `{}`), newDocument(KindCaller, "c", "team=t999", `{}`)}
 	groups := make([]string, 0, 1000)
 	for i := range 1000 {
 		groups = append(groups, fmt.Sprintf(`{"name":"g%d","callers":"team=t%d","weight":1}`, i, i))
 	}
-	docs = append(docs, doc(KindSharingPolicy, "p", "", `{"services":"","groups":[`+strings.Join(groups, ",")+`]}`))
+	docs = append(docs, newDocument(KindSharingPolicy, "p", "", `{"services":"","groups":[`+strings.Join(groups, ",")+`]}`))
 	set, problems := Compile(docs)
 	require.Empty(b, problems)
 	svc, _ := set.Service("s")
@@ -192,7 +192,7 @@
 	})
 	b.Run("matched", func(b *testing.B) {
 		for b.Loop() {
-			svc.Group(c.Labels)
+			svc.GroupByLabels(c.Labels)
 		}
 	})
 }
--- a/core/policy/selector.go
+++ b/core/policy/selector.go
@@ -62,10 +62,10 @@
 func (s Selector) String() string { return s.text }
 
 // Matches reports whether the labels satisfy every term.
-func (s Selector) Matches(labels model.Labels) bool { return s.failing(labels) == nil }
+func (s Selector) Matches(labels model.Labels) bool { return s.firstUnmatched(labels) == nil }
 
 // failing returns the first term that does not hold, nil when all do.
-func (s Selector) failing(labels model.Labels) *term {
+func (s Selector) firstUnmatched(labels model.Labels) *term {
 	for i := range s.terms {
 		if !s.terms[i].matches(labels) {
 			return &s.terms[i]
@@ -109,7 +109,7 @@
 // splitTerms splits at the commas outside parentheses.
 func splitTerms(s string) []string {
 	var parts []string
-	depth, from := 0, 0
+	depth, start := 0, 0
 	for i, r := range s {
 		switch {
 		case r == '(':
@@ -117,11 +117,11 @@
 		case r == ')':
 			depth--
 		case r == ',' && depth == 0:
-			parts = append(parts, s[from:i])
-			from = i + 1
+			parts = append(parts, s[start:i])
+			start = i + 1
 		}
 	}
-	return append(parts, s[from:])
+	return append(parts, s[start:])
 }
 
 func parseTerm(s string) (term, error) {
@@ -134,23 +134,23 @@
 	if key, value, ok := strings.Cut(s, "="); ok {
 		return newTerm(s, key, opIn, strings.TrimPrefix(value, "="))
 	}
-	head, list, ok := strings.Cut(s, "(")
+	keyAndOperator, list, ok := strings.Cut(s, "(")
 	if !ok {
 		return newTerm(s, s, opExists)
 	}
 	list, ok = strings.CutSuffix(list, ")")
-	words := strings.Fields(head)
-	if !ok || len(words) != 2 {
+	fields := strings.Fields(keyAndOperator)
+	if !ok || len(fields) != 2 {
 		return term{}, fmt.Errorf("term %q: want key in (a,b)", s)
 	}
 	values := strings.Split(list, ",")
-	switch words[1] {
+	switch fields[1] {
 	case "in":
-		return newTerm(s, words[0], opIn, values...)
+		return newTerm(s, fields[0], opIn, values...)
 	case "notin":
-		return newTerm(s, words[0], opNotIn, values...)
+		return newTerm(s, fields[0], opNotIn, values...)
 	}
-	return term{}, fmt.Errorf("term %q: unknown operator %q, want in or notin", s, words[1])
+	return term{}, fmt.Errorf("term %q: unknown operator %q, want in or notin", s, fields[1])
 }
 
 func newTerm(text, key string, op operation, values ...string) (term, error) {
@@ -169,20 +169,20 @@
 }
 
 const (
-	maxLabelKey   = 253
-	maxLabelValue = 63
+	maxKeyLength   = 253
+	maxValueLength = 63
 )
 
-func validLabelKey(s string) bool { return s != "" && len(s) <= maxLabelKey && plain(s) }
+func validLabelKey(s string) bool { return s != "" && len(s) <= maxKeyLength && validChars(s) }
 
-func validLabelValue(s string) bool { return len(s) <= maxLabelValue && plain(s) }
+func validLabelValue(s string) bool { return len(s) <= maxValueLength && validChars(s) }
 
 // plain reports whether a word has only letters, digits, and "-_./".
-func plain(s string) bool {
+func validChars(s string) bool {
 	for i := range len(s) {
 		c := s[i]
-		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-		if !letter && !strings.ContainsRune("-_./", rune(c)) {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !alphanumeric && !strings.ContainsRune("-_./", rune(c)) {
 			return false
 		}
 	}
--- a/core/policy/selector_test.go
+++ b/core/policy/selector_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestParseSelectorRefuses(t *testing.T) {
+func TestParseSelectorRejects(t *testing.T) {
 	for _, s := range []string{"=x", "a b", "a in b", "a in (b", "a of (b)", "a,,b", "!", "a=b c", "a=(b)", "a in (b))", "a\x00=b"} {
 		t.Run(s, func(t *testing.T) {
 			_, err := ParseSelector(s)
@@ -56,14 +56,14 @@
 func FuzzParseSelector(f *testing.F) {
 	f.Add("role=sorter,hall in (a,b),!x")
 	f.Fuzz(func(t *testing.T, text string) {
-		s, err := ParseSelector(text)
+		selector, err := ParseSelector(text)
 		if err != nil {
 			return
 		}
-		for i := range s.terms {
-			again, err := ParseSelector(s.terms[i].String())
+		for i := range selector.terms {
+			reparsed, err := ParseSelector(selector.terms[i].String())
 			require.NoError(t, err)
-			require.Equal(t, s.terms[i:i+1], again.terms)
+			require.Equal(t, selector.terms[i:i+1], reparsed.terms)
 		}
 	})
 }
--- a/core/policy/service.go
+++ b/core/policy/service.go
@@ -25,13 +25,13 @@
 	// Quarantine has its defaults filled in.
 	Quarantine QuarantineSpec
 
-	spec      ServiceSpec
-	fallback  model.GroupName
-	selectors []Selector
-	classes   map[string]Duration
+	spec            ServiceSpec
+	defaultGroup    model.GroupName
+	selectors       []Selector
+	deadlineClasses map[string]Duration
 	// cache holds for each caller the index of its group plus one; noGroup
 	// when it has none, 0 when not looked up yet.
-	cache []atomic.Int32
+	groupCache []atomic.Int32
 }
 
 const noGroup = -1
@@ -39,22 +39,22 @@
 // Group returns the group of a caller with the given labels at the service. It
 // reports false when the caller belongs to none and the policy names no default
 // group.
-func (s *Service) Group(labels model.Labels) (model.GroupName, bool) {
-	return s.nameAt(s.match(labels))
+func (s *Service) GroupByLabels(labels model.Labels) (model.GroupName, bool) {
+	return s.groupAt(s.matchIndex(labels))
 }
 
 // GroupOf is Group for a caller of the same Set. It remembers the answer.
 func (s *Service) GroupOf(c Caller) (model.GroupName, bool) {
-	if c.index >= len(s.cache) {
-		return s.Group(c.Labels)
+	if c.cacheIndex >= len(s.groupCache) {
+		return s.GroupByLabels(c.Labels)
 	}
-	slot := &s.cache[c.index]
-	i := slot.Load()
-	if i == 0 {
-		i = s.match(c.Labels)
-		slot.Store(i)
+	cached := &s.groupCache[c.cacheIndex]
+	index := cached.Load()
+	if index == 0 {
+		index = s.matchIndex(c.Labels)
+		cached.Store(index)
 	}
-	return s.nameAt(i)
+	return s.groupAt(index)
 }
 
 // GroupSpec returns the declaration of a group.
@@ -69,14 +69,14 @@
 // DeadlineOf returns the longest time that a request of a group may take.
 func (s *Service) DeadlineOf(name model.GroupName) time.Duration {
 	if g, ok := s.GroupSpec(name); ok && g.DeadlineClass != "" {
-		return time.Duration(s.classes[g.DeadlineClass])
+		return time.Duration(s.deadlineClasses[g.DeadlineClass])
 	}
 	return s.Deadline
 }
 
 // match returns the index of the group that selects the labels plus one, or
 // noGroup.
-func (s *Service) match(labels model.Labels) int32 {
+func (s *Service) matchIndex(labels model.Labels) int32 {
 	for i, sel := range s.selectors {
 		if !sel.Empty() && sel.Matches(labels) {
 			return int32(i) + 1
@@ -85,11 +85,11 @@
 	return noGroup
 }
 
-func (s *Service) nameAt(i int32) (model.GroupName, bool) {
+func (s *Service) groupAt(i int32) (model.GroupName, bool) {
 	if i > 0 {
 		return s.Groups[i-1].Name, true
 	}
-	return s.fallback, s.fallback != ""
+	return s.defaultGroup, s.defaultGroup != ""
 }
 
 // Idempotent reports whether a request may run more than once.
--- a/core/policy/set.go
+++ b/core/policy/set.go
@@ -14,7 +14,7 @@
 	Labels model.Labels
 	// index is the caller's place among the callers of its Set; 0 is the
 	// anonymous caller.
-	index int
+	cacheIndex int
 }
 
 // Set is a compiled configuration. It is immutable.
--- a/core/policy/sharing.go
+++ b/core/policy/sharing.go
@@ -25,23 +25,23 @@
 		return
 	}
 	p := sharingPolicy{name: d.Name, spec: spec}
-	p.services = c.selector(d, "spec.services", spec.Services)
-	c.share(d, "spec.measuring_budget", spec.MeasuringBudget)
-	c.share(d, "spec.retry_share", spec.RetryShare)
+	p.services = c.parseSelector(d, "spec.services", spec.Services)
+	c.checkShare(d, "spec.measuring_budget", spec.MeasuringBudget)
+	c.checkShare(d, "spec.retry_share", spec.RetryShare)
 	c.checkQuarantine(d, spec.Quarantine)
 	for name, class := range spec.DeadlineClasses {
 		if class <= 0 {
-			c.problem(d, "spec.deadline_classes."+name, time.Duration(class).String(), "must be above 0")
+			c.addProblem(d, "spec.deadline_classes."+name, time.Duration(class).String(), "must be above 0")
 		}
 	}
 	p.selectors = c.checkGroups(d, spec)
 	c.set.policies = append(c.set.policies, p)
 }
 
-func (c *compiler) selector(d Document, path, text string) Selector {
+func (c *compiler) parseSelector(d Document, path, text string) Selector {
 	s, err := ParseSelector(text)
 	if err != nil {
-		c.problem(d, path, fmt.Sprintf("%q", text), err.Error())
+		c.addProblem(d, path, fmt.Sprintf("%q", text), err.Error())
 	}
 	return s
 }
@@ -51,10 +51,10 @@
 		return
 	}
 	if q.Deaths < 0 {
-		c.problem(d, "spec.quarantine.deaths", fmt.Sprint(q.Deaths), "must not be negative")
+		c.addProblem(d, "spec.quarantine.deaths", fmt.Sprint(q.Deaths), "must not be negative")
 	}
 	if q.Duration < 0 {
-		c.problem(d, "spec.quarantine.duration", time.Duration(q.Duration).String(), "must not be negative")
+		c.addProblem(d, "spec.quarantine.duration", time.Duration(q.Duration).String(), "must not be negative")
 	}
 }
 
@@ -62,7 +62,7 @@
 // selectors.
 func (c *compiler) checkGroups(d Document, spec SharingPolicySpec) []Selector {
 	if len(spec.Groups) == 0 {
-		c.problem(d, "spec.groups", "none", "want at least one group")
+		c.addProblem(d, "spec.groups", "none", "want at least one group")
 	}
 	seen := make(map[model.GroupName]bool)
 	selectors := make([]Selector, 0, len(spec.Groups))
@@ -71,7 +71,7 @@
 		path := fmt.Sprintf("spec.groups[%d]", i)
 		selectors = append(selectors, c.checkGroup(d, path, g, spec))
 		if seen[g.Name] {
-			c.problem(d, path+".name", string(g.Name), "declared more than once")
+			c.addProblem(d, path+".name", string(g.Name), "declared more than once")
 		}
 		seen[g.Name] = true
 		if g.QueueBound == 0 {
@@ -79,18 +79,18 @@
 		}
 	}
 	if spec.DefaultGroup != "" && !seen[spec.DefaultGroup] {
-		c.problem(d, "spec.default_group", string(spec.DefaultGroup), "no such group in this policy")
+		c.addProblem(d, "spec.default_group", string(spec.DefaultGroup), "no such group in this policy")
 	}
 	return selectors
 }
 
 func (c *compiler) checkGroup(d Document, path string, g *GroupSpec, spec SharingPolicySpec) Selector {
-	sel := c.selector(d, path+".callers", g.Callers)
+	selector := c.parseSelector(d, path+".callers", g.Callers)
 	if strings.TrimSpace(g.Callers) == "" && g.Name != spec.DefaultGroup {
-		c.problem(d, path+".callers", fmt.Sprintf("%q", g.Callers), "selects nobody; only the default group may be empty")
+		c.addProblem(d, path+".callers", fmt.Sprintf("%q", g.Callers), "selects nobody; only the default group may be empty")
 	}
-	if g.Name == "" || !plain(string(g.Name)) {
-		c.problem(d, path+".name", fmt.Sprintf("%q", g.Name), "want letters, digits and \"-_./\"")
+	if g.Name == "" || !validChars(string(g.Name)) {
+		c.addProblem(d, path+".name", fmt.Sprintf("%q", g.Name), "want letters, digits and \"-_./\"")
 	}
 	c.checkNumber(d, path+".weight", g.Weight)
 	c.checkNumber(d, path+".rate_per_second", g.RatePerSecond)
@@ -98,14 +98,14 @@
 	c.checkNumber(d, path+".slots_per_upstream", float64(g.SlotsPerUpstream))
 	c.checkNumber(d, path+".concurrency", float64(g.Concurrency))
 	if _, ok := spec.DeadlineClasses[g.DeadlineClass]; !ok && g.DeadlineClass != "" {
-		c.problem(d, path+".deadline_class", g.DeadlineClass, "no such class in deadline_classes")
+		c.addProblem(d, path+".deadline_class", g.DeadlineClass, "no such class in deadline_classes")
 	}
-	return sel
+	return selector
 }
 
 func (c *compiler) checkNumber(d Document, path string, v float64) {
 	if !(v >= 0) || math.IsInf(v, 0) {
-		c.problem(d, path, fmt.Sprint(v), "must not be negative")
+		c.addProblem(d, path, fmt.Sprint(v), "must not be negative")
 	}
 }
 
@@ -117,17 +117,17 @@
 	for name, svc := range c.set.services {
 		i := slices.IndexFunc(c.set.policies, func(p sharingPolicy) bool { return p.services.Matches(c.set.labels[name]) })
 		if i >= 0 {
-			svc.apply(c.set.policies[i])
+			svc.applyPolicy(c.set.policies[i])
 		}
 	}
 }
 
-func (s *Service) apply(p sharingPolicy) {
+func (s *Service) applyPolicy(p sharingPolicy) {
 	s.Policy = p.name
 	s.Groups = p.spec.Groups
-	s.fallback = p.spec.DefaultGroup
+	s.defaultGroup = p.spec.DefaultGroup
 	s.selectors = p.selectors
-	s.classes = p.spec.DeadlineClasses
+	s.deadlineClasses = p.spec.DeadlineClasses
 	if s.MeasuringBudget == nil {
 		s.MeasuringBudget = p.spec.MeasuringBudget
 	}
--- a/core/policy/strict.go
+++ b/core/policy/strict.go
@@ -11,63 +11,63 @@
 
 // strict compares JSON with the type that it is decoded into and reports every
 // unknown field and wrong type with its path.
-type strict struct {
+type strictChecker struct {
 	report func(path, value, message string)
 }
 
-var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
+var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-func (s strict) check(path string, raw json.RawMessage, t reflect.Type) {
+func (s strictChecker) check(path string, raw json.RawMessage, t reflect.Type) {
 	switch {
 	case t == reflect.TypeFor[json.RawMessage]():
-	case reflect.PointerTo(t).Implements(unmarshaler):
-		s.leaf(path, raw, t)
+	case reflect.PointerTo(t).Implements(unmarshalerType):
+		s.checkScalar(path, raw, t)
 	case t.Kind() == reflect.Pointer:
 		s.check(path, raw, t.Elem())
 	case t.Kind() == reflect.Struct:
-		s.object(path, raw, t)
+		s.checkObject(path, raw, t)
 	case t.Kind() == reflect.Slice:
-		s.list(path, raw, t)
+		s.checkList(path, raw, t)
 	case t.Kind() == reflect.Map:
-		s.mapping(path, raw, t)
+		s.checkMap(path, raw, t)
 	default:
-		s.leaf(path, raw, t)
+		s.checkScalar(path, raw, t)
 	}
 }
 
-func (s strict) leaf(path string, raw json.RawMessage, t reflect.Type) {
+func (s strictChecker) checkScalar(path string, raw json.RawMessage, t reflect.Type) {
 	err := json.Unmarshal(raw, reflect.New(t).Interface())
 	if err == nil {
 		return
 	}
 	message := err.Error()
 	if _, ok := err.(*json.UnmarshalTypeError); ok {
-		message = "want a " + wordFor(t.Kind())
+		message = "want a " + typeName(t.Kind())
 	}
-	s.report(path, brief(raw), message)
+	s.report(path, oneLine(raw), message)
 }
 
-func (s strict) object(path string, raw json.RawMessage, t reflect.Type) {
+func (s strictChecker) checkObject(path string, raw json.RawMessage, t reflect.Type) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(raw, &fields) != nil {
-		s.report(path, brief(raw), "want an object")
+		s.report(path, oneLine(raw), "want an object")
 		return
 	}
-	known := fieldsOf(t)
+	knownFields := jsonFields(t)
 	for _, name := range sortedKeys(fields) {
-		ft, ok := known[name]
+		fieldType, ok := knownFields[name]
 		if !ok {
-			s.report(join(path, name), brief(fields[name]), "unknown field, want one of "+strings.Join(sortedKeys(known), ", "))
+			s.report(joinPath(path, name), oneLine(fields[name]), "unknown field, want one of "+strings.Join(sortedKeys(knownFields), ", "))
 			continue
 		}
-		s.check(join(path, name), fields[name], ft)
+		s.check(joinPath(path, name), fields[name], fieldType)
 	}
 }
 
-func (s strict) list(path string, raw json.RawMessage, t reflect.Type) {
+func (s strictChecker) checkList(path string, raw json.RawMessage, t reflect.Type) {
 	var items []json.RawMessage
 	if json.Unmarshal(raw, &items) != nil {
-		s.report(path, brief(raw), "want a list")
+		s.report(path, oneLine(raw), "want a list")
 		return
 	}
 	for i, item := range items {
@@ -75,27 +75,27 @@
 	}
 }
 
-func (s strict) mapping(path string, raw json.RawMessage, t reflect.Type) {
+func (s strictChecker) checkMap(path string, raw json.RawMessage, t reflect.Type) {
 	var items map[string]json.RawMessage
 	if json.Unmarshal(raw, &items) != nil {
-		s.report(path, brief(raw), "want an object")
+		s.report(path, oneLine(raw), "want an object")
 		return
 	}
 	for _, name := range sortedKeys(items) {
-		s.check(join(path, name), items[name], t.Elem())
+		s.check(joinPath(path, name), items[name], t.Elem())
 	}
 }
 
-func fieldsOf(t reflect.Type) map[string]reflect.Type {
+func jsonFields(t reflect.Type) map[string]reflect.Type {
 	fields := make(map[string]reflect.Type, t.NumField())
-	for f := range t.Fields() {
-		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-		fields[name] = f.Type
+	for field := range t.Fields() {
+		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		fields[name] = field.Type
 	}
 	return fields
 }
 
-func wordFor(k reflect.Kind) string {
+func typeName(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "string"
@@ -108,24 +108,24 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-const maxBrief = 80
+const maxOneLine = 80
 
 // brief returns a value on one line, cut when it is long.
-func brief(raw json.RawMessage) string {
+func oneLine(raw json.RawMessage) string {
 	var b bytes.Buffer
 	if json.Compact(&b, raw) != nil {
 		b.Reset()
 		b.Write(raw)
 	}
-	if b.Len() > maxBrief {
-		return b.String()[:maxBrief] + "..."
+	if b.Len() > maxOneLine {
+		return b.String()[:maxOneLine] + "..."
 	}
 	return b.String()
 }
--- a/core/route/document.go
+++ b/core/route/document.go
@@ -78,34 +78,34 @@
 }
 
 // check returns what is wrong with a route.
-func (r *Route) check(v model.Version) error {
-	fail := func(field, problem string) error {
-		return &Error{Version: v, Route: r.Name, Field: field, Problem: problem}
+func (r *Route) validate(version model.Version) error {
+	newError := func(field, problem string) error {
+		return &Error{Version: version, Route: r.Name, Field: field, Problem: problem}
 	}
 	if r.Host == "" {
-		return fail("host", "is empty")
+		return newError("host", "is empty")
 	}
 	if len(r.Prefix) == 0 || r.Prefix[0] != '/' || r.Prefix[len(r.Prefix)-1] != '/' {
-		return fail("prefix", fmt.Sprintf("%q does not begin and end with a slash", r.Prefix))
+		return newError("prefix", fmt.Sprintf("%q does not begin and end with a slash", r.Prefix))
 	}
 	if r.MaxAttempts < 1 {
-		return fail("attempts", "must be at least 1")
+		return newError("attempts", "must be at least 1")
 	}
 	if r.Timeout < 0 || r.Target < 0 {
-		return fail("timeout", "is negative")
+		return newError("timeout", "is negative")
 	}
-	total := 0.0
+	totalWeight := 0.0
 	for _, p := range r.Parts {
 		if p.Service == "" {
-			return fail("split", "names an empty service")
+			return newError("split", "names an empty service")
 		}
 		if p.Weight < 0 {
-			return fail("split", "has a negative weight")
+			return newError("split", "has a negative weight")
 		}
-		total += p.Weight
+		totalWeight += p.Weight
 	}
-	if total <= 0 {
-		return fail("split", "has no weight")
+	if totalWeight <= 0 {
+		return newError("split", "has no weight")
 	}
 	return nil
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -9,17 +9,17 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-func to(service model.ServiceName) []Part { return []Part{{Service: service, Weight: 1}} }
+func splitTo(service model.ServiceName) []Part { return []Part{{Service: service, Weight: 1}} }
 
-func simple(name, host, prefix string) Route {
-	return Route{Name: name, Host: host, Prefix: prefix, MaxAttempts: 2, Parts: to("s")}
+func newRoute(name, host, prefix string) Route {
+	return Route{Name: name, Host: host, Prefix: prefix, MaxAttempts: 2, Parts: splitTo("s")}
 }
 
 func TestLookup(t *testing.T) {
 	table, err := New(Document{Version: 3, Routes: []Route{
-		simple("short", "a.example", "/x/"),
-		simple("long", "a.example", "/x/y/"),
-		simple("other", "B.example", "/x/"),
+		newRoute("short", "a.example", "/x/"),
+		newRoute("long", "a.example", "/x/y/"),
+		newRoute("other", "B.example", "/x/"),
 	}})
 	require.NoError(t, err)
 	for name, c := range map[string]struct{ host, path, want string }{
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestNewNamesWhatIsWrong(t *testing.T) {
+func TestNewErrorNamesField(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Route)
 		field  string
@@ -55,10 +55,10 @@
 		"no parts":           {func(r *Route) { r.Parts = nil }, "split"},
 		"negative weight":    {func(r *Route) { r.Parts = []Part{{"s", 2}, {"t", -1}} }, "split"},
 		"nothing has weight": {func(r *Route) { r.Parts = []Part{{"s", 0}} }, "split"},
-		"empty service":      {func(r *Route) { r.Parts = to("") }, "split"},
+		"empty service":      {func(r *Route) { r.Parts = splitTo("") }, "split"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := simple("r", "h", "/x/")
+			r := newRoute("r", "h", "/x/")
 			c.change(&r)
 			_, err := New(Document{Version: 7, Routes: []Route{r}})
 			var e *Error
@@ -71,45 +71,45 @@
 
 // TestSplitIsExact answers traffic splits that are judged over short windows:
 // after any number of requests each part is within one request of its share.
-func TestSplitIsExact(t *testing.T) {
+func TestSplitSharesAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
 		r := Route{Name: "r"}
-		total := 0.0
+		totalWeight := 0.0
 		for i, w := range weights {
 			r.Parts = append(r.Parts, Part{Service: model.ServiceName(rune('a' + i)), Weight: float64(w)})
-			total += float64(w)
+			totalWeight += float64(w)
 		}
-		if total == 0 {
+		if totalWeight == 0 {
 			t.Skip("no weight")
 		}
-		var s Splitter
-		got := map[model.ServiceName]float64{}
+		var splitter Splitter
+		picks := map[model.ServiceName]float64{}
 		for n := 1; n <= 200; n++ {
-			got[s.Pick(&r)]++
+			picks[splitter.Pick(&r)]++
 			for _, p := range r.Parts {
-				require.InDelta(t, float64(n)*p.Weight/total, got[p.Service], float64(len(weights))-1+1e-6)
+				require.InDelta(t, float64(n)*p.Weight/totalWeight, picks[p.Service], float64(len(weights))-1+1e-6)
 				if p.Weight == 0 {
-					require.Zero(t, got[p.Service])
+					require.Zero(t, picks[p.Service])
 				}
 			}
 		}
 	})
 }
 
-func TestSplitKeepsItsPlaceOverVersions(t *testing.T) {
-	var s Splitter
+func TestSplitStateSurvivesNewVersion(t *testing.T) {
+	var splitter Splitter
 	parts := []Part{{"a", 50}, {"b", 50}}
-	first := s.Pick(&Route{Name: "r", Parts: parts})
-	second := s.Pick(&Route{Name: "r", Parts: []Part{{"a", 50}, {"b", 50}}})
+	first := splitter.Pick(&Route{Name: "r", Parts: parts})
+	second := splitter.Pick(&Route{Name: "r", Parts: []Part{{"a", 50}, {"b", 50}}})
 	require.NotEqual(t, first, second)
 }
 
-func TestUrgentIsWhatComesBeforeTheLastRank(t *testing.T) {
-	ranked := func(ranks ...int) *Table {
+func TestUrgentRanks(t *testing.T) {
+	tableWithRanks := func(ranks ...int) *Table {
 		var doc Document
 		for _, rank := range ranks {
-			r := simple("r", "h", "/x/")
+			r := newRoute("r", "h", "/x/")
 			r.Rank = rank
 			doc.Routes = append(doc.Routes, r)
 		}
@@ -117,7 +117,7 @@
 		require.NoError(t, err)
 		return table
 	}
-	require.True(t, ranked(0, 1, 2).Urgent(1))
-	require.False(t, ranked(0, 1, 2).Urgent(2))
-	require.False(t, ranked(1, 1).Urgent(1), "with one rank nothing is urgent")
+	require.True(t, tableWithRanks(0, 1, 2).Urgent(1))
+	require.False(t, tableWithRanks(0, 1, 2).Urgent(2))
+	require.False(t, tableWithRanks(1, 1).Urgent(1), "with one rank nothing is urgent")
 }
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -13,7 +13,7 @@
 	doc      Document
 	hosts    map[string][]*Route
 	services map[model.ServiceName]*Service
-	lowest   int
+	lastRank int
 }
 
 // New checks a configuration and returns its Table. The error is an *Error.
@@ -28,11 +28,11 @@
 	}
 	for i := range doc.Routes {
 		r := &t.doc.Routes[i]
-		if err := r.check(doc.Version); err != nil {
+		if err := r.validate(doc.Version); err != nil {
 			return nil, err
 		}
-		t.lowest = max(t.lowest, r.Rank)
-		host := hostOf(r.Host)
+		t.lastRank = max(t.lastRank, r.Rank)
+		host := normalizeHost(r.Host)
 		t.hosts[host] = append(t.hosts[host], r)
 	}
 	for _, routes := range t.hosts {
@@ -51,7 +51,7 @@
 func (t *Table) Routes() int { return len(t.doc.Routes) }
 
 // Urgent reports whether a rank comes before the last one in use.
-func (t *Table) Urgent(rank int) bool { return rank < t.lowest }
+func (t *Table) Urgent(rank int) bool { return rank < t.lastRank }
 
 // Service returns what is stated of a service.
 func (t *Table) Service(name model.ServiceName) (*Service, bool) {
@@ -62,7 +62,7 @@
 // Lookup returns the route of a request: among those of the host, the one with
 // the longest prefix that begins the path. The path is compared byte for byte.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
-	for _, r := range t.hosts[hostOf(host)] {
+	for _, r := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -71,7 +71,7 @@
 }
 
 // hostOf returns a host without its port and in lower case.
-func hostOf(host string) string {
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
