--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -25,8 +25,8 @@
 	maxNameLength             = 253
 )
 
-// Compile checks the documents and builds a Set. When problems are returned the
-// Set is nil.
+// Compile checks the documents and builds a Set. It returns a nil Set when there
+// are problems.
 func Compile(docs []Document) (*Set, []Problem) {
 	c := &compiler{set: &Set{
 		services:     make(map[model.ServiceName]*Service),
@@ -55,6 +55,7 @@
 	return c.set, nil
 }
 
+// compiler holds the Set under construction and the problems found so far.
 type compiler struct {
 	set      *Set
 	problems []Problem
@@ -172,13 +173,15 @@
 	}
 }
 
-// share checks an optional share of 0 to 1.
+// checkShare checks an optional value that must be between 0 and 1.
 func (c *compiler) checkShare(d Document, path string, v *float64) {
 	if v != nil && !(*v >= 0 && *v <= 1) {
 		c.addProblem(d, path, fmt.Sprint(*v), "want 0 to 1")
 	}
 }
 
+// decode decodes the spec of a document into spec. It reports false and records
+// problems when the spec is missing or malformed.
 func (c *compiler) decode(d Document, spec any) bool {
 	problemsBefore := len(c.problems)
 	if len(d.Spec) == 0 {
--- a/core/policy/doc.go
+++ b/core/policy/doc.go
@@ -1,21 +1,23 @@
-// Package policy compiles labelled documents into the answers that the data
-// path needs: which service a host names, who a caller is, and which group a
-// caller belongs to at a service.
+// Package policy compiles configuration documents into the lookup tables that
+// the data path needs: which service a host belongs to, which caller a token or
+// certificate belongs to, and which group a caller belongs to at a service.
 //
 // # Concept
 //
-// Documents are declarations: a Service, a Caller or a SharingPolicy, each with
-// labels. A SharingPolicy selects services by their labels and forms groups by
-// selecting callers by theirs. Selectors are written as in Kubernetes, for
-// example "role=sorter,hall in (a,b),!trial"; see Selector.
+// A document declares a Service, a Caller or a SharingPolicy and has labels. A
+// SharingPolicy selects services by the labels of the services, and divides
+// callers into groups by the labels of the callers. Selectors use the syntax of
+// Kubernetes label selectors, for example "role=sorter,hall in (a,b),!trial"; see
+// Selector.
 //
-// Overlaps are resolved the same way everywhere. Where several policies select
-// one service the one with the higher priority wins, then the one whose name
-// sorts first; the others have no effect there. Within a policy the first group
-// whose selector matches the caller wins, then the default group. Explain says
+// When several policies select the same service, only the policy with the
+// highest priority applies to it; among policies of equal priority, the one
+// whose name sorts first. Within a policy, a caller belongs to the first group
+// whose selector matches it, or else to the default group. Set.Explain reports
 // which rule decided.
 //
-// Two documents of one kind and name, or a host, token or certificate name that
-// belongs to two documents, are problems. Compile reports every problem at once
-// with document, JSON path and value, and then returns no Set.
+// It is a problem when two documents have the same kind and name, or when a
+// host, token or certificate name belongs to two documents. Compile reports all
+// problems at once, each with document, JSON path and value, and then returns no
+// Set.
 package policy
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -26,19 +26,21 @@
 
 // ServiceSpec is the spec of a Service document.
 type ServiceSpec struct {
-	// Hosts are the authorities that name the service besides its own name.
+	// Hosts are the host names of the service, in addition to its own name.
 	Hosts []string `json:"hosts,omitempty"`
-	// Deadline applies to a request that brings none. Default: "10s".
+	// Deadline caps the time of a request, and applies when the request sets no
+	// timeout. Default: "10s".
 	Deadline Duration `json:"deadline,omitempty"`
-	// NonIdempotent names the requests that must run at most once. Requests
-	// with the methods POST and PATCH count as such unless listed under
-	// Idempotent.
+	// NonIdempotent matches the requests that must run at most once. Requests
+	// with the methods POST and PATCH are non-idempotent too, unless Idempotent
+	// matches them.
 	NonIdempotent []Route `json:"non_idempotent,omitempty"`
 	Idempotent    []Route `json:"idempotent,omitempty"`
-	// Routing names the routing policy. Default: the router's own default.
+	// Routing is the name of the routing policy. Default: the default of package
+	// routing.
 	Routing string `json:"routing,omitempty"`
-	// MeasuringBudget is the share of each upstream's slot time that measuring
-	// it may take, 0 to 1. Default: 0.005.
+	// MeasuringBudget is the share of each upstream's slot time that polling its
+	// load report may take, 0 to 1. Default: 0.005.
 	MeasuringBudget *float64 `json:"measuring_budget,omitempty"`
 }
 
@@ -60,26 +62,29 @@
 type SharingPolicySpec struct {
 	// Services selects services by their labels; empty selects all.
 	Services string `json:"services"`
-	// Priority decides between policies that select one service.
+	// Priority decides which policy applies when several select a service. The
+	// highest wins.
 	Priority int `json:"priority,omitempty"`
-	// Groups are tried in order.
+	// Groups are tried in order. The first group that selects a caller applies.
 	Groups []GroupSpec `json:"groups"`
-	// DefaultGroup takes callers that no group selects. Empty refuses them.
+	// DefaultGroup is the group of callers that no group selects. When it is
+	// empty, such callers are refused.
 	DefaultGroup model.GroupName `json:"default_group,omitempty"`
-	// DeadlineClasses names the deadlines that groups refer to.
+	// DeadlineClasses defines the deadlines that GroupSpec.DeadlineClass refers
+	// to by name.
 	DeadlineClasses map[string]Duration `json:"deadline_classes,omitempty"`
-	// MeasuringBudget applies to services that name none themselves.
+	// MeasuringBudget is the default for services that set no MeasuringBudget.
 	MeasuringBudget *float64 `json:"measuring_budget,omitempty"`
-	// RetryShare is the share of a service's requests that an entry may add as
-	// retries, 0 to 1. Default: 0.1.
+	// RetryShare is the retry budget of an entry: the number of retries to a
+	// service as a share of the requests to it, 0 to 1. Default: 0.1.
 	RetryShare *float64 `json:"retry_share,omitempty"`
-	// Quarantine tells when a request counts as one that kills upstreams.
+	// Quarantine says when a request that crashes upstreams is quarantined.
 	Quarantine *QuarantineSpec `json:"quarantine,omitempty"`
 }
 
-// QuarantineSpec tells when a request is quarantined, and for how long.
+// QuarantineSpec says when a request is quarantined, and for how long.
 type QuarantineSpec struct {
-	// Deaths is the number of upstream deaths during runs of the request after
+	// Deaths is the number of upstream crashes while they run the request, after
 	// which it is quarantined. Default: 2.
 	Deaths int `json:"deaths,omitempty"`
 	// Duration is how long the quarantine lasts. Default: "10m".
@@ -89,26 +94,28 @@
 // GroupSpec declares one group of a SharingPolicy.
 type GroupSpec struct {
 	Name model.GroupName `json:"name"`
-	// Callers selects callers by their labels. Empty selects none: such a
-	// group takes callers only as the default group.
+	// Callers selects callers by their labels. An empty selector selects no
+	// caller, and is allowed only for the default group.
 	Callers string `json:"callers"`
-	// Weight is the share relative to the other groups, at least 0. A group of
-	// weight 0 runs only when no other group waits.
+	// Weight is the group's share of slot time relative to the other groups, at
+	// least 0. Requests of a group of weight 0 start only when no other group
+	// waits.
 	Weight float64 `json:"weight"`
 	// QueueBound is the largest number of waiting requests at one upstream.
 	// Default: 128.
 	QueueBound int `json:"queue_bound,omitempty"`
-	// SlotsPerUpstream is the largest number of slots that the group holds at
-	// one upstream, even when others are free. It keeps the long requests of
-	// one group from making all others wait for a slot. Zero means all.
+	// SlotsPerUpstream is the largest number of slots that the group may hold at
+	// one upstream, even when other slots are free. It keeps the long requests
+	// of one group from making all other groups wait. Zero means no limit.
 	SlotsPerUpstream int `json:"slots_per_upstream,omitempty"`
-	// DeadlineClass names the deadline that caps the group's requests and
-	// applies to those that bring none. Default: the service's deadline.
+	// DeadlineClass is the key in DeadlineClasses of the deadline that caps the
+	// group's requests. It applies to requests that set no timeout. Default: the
+	// service's deadline.
 	DeadlineClass string `json:"deadline_class,omitempty"`
-	// RatePerSecond is the ceiling on the group's requests over all daemons.
-	// Zero means none.
+	// RatePerSecond limits the rate of the group's requests over all daemons.
+	// Zero means no limit.
 	RatePerSecond float64 `json:"rate_per_second,omitempty"`
-	// Concurrency is the ceiling on the group's requests in flight over all
-	// daemons. Zero means none.
+	// Concurrency limits the number of the group's requests in flight over all
+	// daemons. Zero means no limit.
 	Concurrency int `json:"concurrency,omitempty"`
 }
--- a/core/policy/explain.go
+++ b/core/policy/explain.go
@@ -7,7 +7,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Explanation says how a caller's group at a service comes about.
+// Explanation describes how the group of a caller at a service was determined.
 type Explanation struct {
 	Service model.ServiceName `json:"service"`
 	// Caller is empty for a caller without credentials.
@@ -16,16 +16,16 @@
 	Policies []PolicyStep `json:"policies"`
 	// Groups lists the groups of the winning policy in order.
 	Groups []GroupStep `json:"groups"`
-	// Group is the outcome; empty when the caller is refused.
+	// Group is the caller's group. It is empty when the caller is refused.
 	Group model.GroupName `json:"group"`
-	// Share is the group's weight over the sum of all weights: its part of
-	// every upstream when all groups are busy.
+	// Share is the group's weight divided by the sum of all weights. It is the
+	// group's part of each upstream's slot time when all groups are backlogged.
 	Share float64 `json:"share"`
 	// Deadline caps the time of the group's requests.
 	Deadline time.Duration `json:"deadline"`
 }
 
-// PolicyStep is one sharing policy weighed for the service.
+// PolicyStep describes whether a sharing policy applies to the service and why.
 type PolicyStep struct {
 	Name     string `json:"name"`
 	Priority int    `json:"priority"`
@@ -33,26 +33,27 @@
 	Why      string `json:"why"`
 }
 
-// GroupStep is one group weighed for the caller.
+// GroupStep describes whether a group applies to the caller and why.
 type GroupStep struct {
 	Name model.GroupName `json:"name"`
 	Wins bool            `json:"wins"`
 	Why  string          `json:"why"`
 }
 
-// LookupError tells which name an explanation was asked for in vain.
+// NotFoundError reports that no document of the kind has the name.
 type NotFoundError struct {
 	Kind string
 	Name string
 }
 
-// Error names the kind and the name.
+// Error implements error.
 func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("no %s is named %q", e.Kind, e.Name)
 }
 
-// Explain says which group a caller belongs to at a service and why. An empty
-// caller stands for one without credentials.
+// Explain returns the group that a caller belongs to at a service and the reason.
+// The empty name stands for a caller without credentials. The error is a
+// *NotFoundError.
 func (s *Set) Explain(caller model.CallerName, service model.ServiceName) (Explanation, error) {
 	svc, ok := s.services[service]
 	if !ok {
--- a/core/policy/parse.go
+++ b/core/policy/parse.go
@@ -5,10 +5,9 @@
 	"reflect"
 )
 
-// Parse reads a file that holds one document or a list of them, and reports
-// every field that does not belong there. The problems of specs are left to
-// Compile. Problems name the document by its key, or by its place in the file
-// when it has none.
+// Parse decodes the contents of a file that holds one document or a list of
+// documents. It reports unknown fields and values of the wrong type outside the
+// specs, and identifies documents by their key. Compile checks the specs.
 func Parse(data []byte) ([]Document, []Problem) {
 	var items []json.RawMessage
 	if json.Unmarshal(data, &items) != nil {
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -25,7 +25,8 @@
 	return d
 }
 
-// valid is the co-operative's configuration in small.
+// exampleDocuments returns a small valid configuration with two services, two
+// callers and two sharing policies. Both policies select "sporarkiv".
 func exampleDocuments() []Document {
 	return []Document{
 		newDocument(KindService, "returdesk", "mesh=fyn", `{"hosts":["returdesk.fyn"],"deadline":"2s","non_idempotent":[{"path_prefix":"/release"}]}`),
@@ -51,7 +52,7 @@
 		returdesk, _ := set.Service("returdesk")
 		sporarkiv, _ := set.Service("sporarkiv")
 		require.Equal(t, "fyn", returdesk.Policy)
-		require.Equal(t, "archive", sporarkiv.Policy, "the higher priority")
+		require.Equal(t, "archive", sporarkiv.Policy, "the policy with the higher priority applies")
 		bench, _ := set.CallerByName("bench")
 		group, ok := returdesk.GroupOf(bench)
 		require.True(t, ok)
--- a/core/policy/problem.go
+++ b/core/policy/problem.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Problem is one fault found in a document.
+// Problem is an error found in a document.
 type Problem struct {
 	// Document is the document's key.
 	Document string
@@ -18,7 +18,7 @@
 	Message string
 }
 
-// Error returns the problem on one line.
+// Error implements error.
 func (p Problem) Error() string {
 	return fmt.Sprintf("%s: %s: %s (got %s)", p.Document, p.Path, p.Message, p.Value)
 }
--- a/core/policy/selector.go
+++ b/core/policy/selector.go
@@ -39,7 +39,7 @@
 	values []string
 }
 
-// ParseSelector reads a selector.
+// ParseSelector parses a selector.
 func ParseSelector(s string) (Selector, error) {
 	sel := Selector{text: s}
 	if strings.TrimSpace(s) == "" {
@@ -58,13 +58,13 @@
 // Empty reports whether the selector has no terms.
 func (s Selector) Empty() bool { return len(s.terms) == 0 }
 
-// String returns the selector as written.
+// String returns the text that the selector was parsed from.
 func (s Selector) String() string { return s.text }
 
 // Matches reports whether the labels satisfy every term.
 func (s Selector) Matches(labels model.Labels) bool { return s.firstUnmatched(labels) == nil }
 
-// failing returns the first term that does not hold, nil when all do.
+// firstUnmatched returns the first term that the labels do not satisfy, or nil.
 func (s Selector) firstUnmatched(labels model.Labels) *term {
 	for i := range s.terms {
 		if !s.terms[i].matches(labels) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// String writes the term in its plainest form.
+// String formats the term in its shortest form.
 func (t *term) String() string {
 	switch {
 	case t.op == opExists:
@@ -106,7 +106,7 @@
 	}
 }
 
-// splitTerms splits at the commas outside parentheses.
+// splitTerms splits a selector at the commas outside parentheses.
 func splitTerms(s string) []string {
 	var parts []string
 	depth, start := 0, 0
@@ -177,7 +177,7 @@
 
 func validLabelValue(s string) bool { return len(s) <= maxValueLength && validChars(s) }
 
-// plain reports whether a word has only letters, digits, and "-_./".
+// validChars reports whether s consists of letters, digits and "-_./" only.
 func validChars(s string) bool {
 	for i := range len(s) {
 		c := s[i]
--- a/core/policy/service.go
+++ b/core/policy/service.go
@@ -9,41 +9,44 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Service is a compiled Service document with the sharing policy in force
-// there. It is immutable.
+// Service is a compiled Service document with the sharing policy that applies to
+// it. Only its cache of group lookups changes after Compile.
 type Service struct {
 	Name     model.ServiceName
 	Deadline time.Duration
 	Routing  string
-	// Policy names the sharing policy; empty when none selects the service.
+	// Policy is the name of the sharing policy, empty when no policy selects the
+	// service.
 	Policy string
 	Groups []GroupSpec
-	// MeasuringBudget is nil when no document names one.
+	// MeasuringBudget is nil when neither the service nor the policy sets one.
 	MeasuringBudget *float64
-	// RetryShare is the share of requests that an entry may add as retries.
+	// RetryShare is the retry budget; see SharingPolicySpec.RetryShare.
 	RetryShare float64
-	// Quarantine has its defaults filled in.
+	// Quarantine is the quarantine rule, with defaults applied.
 	Quarantine QuarantineSpec
 
 	spec            ServiceSpec
 	defaultGroup    model.GroupName
 	selectors       []Selector
 	deadlineClasses map[string]Duration
-	// cache holds for each caller the index of its group plus one; noGroup
-	// when it has none, 0 when not looked up yet.
+	// groupCache holds a value for each caller, indexed by Caller.cacheIndex: the
+	// index of the caller's group plus one, noGroup when no selector matches the
+	// caller, 0 when the group has not been looked up yet.
 	groupCache []atomic.Int32
 }
 
+// noGroup is the result of matchIndex when no selector matches.
 const noGroup = -1
 
-// Group returns the group of a caller with the given labels at the service. It
-// reports false when the caller belongs to none and the policy names no default
-// group.
+// GroupByLabels returns the group of a caller with the given labels at the
+// service. It reports false when no group selects the caller and the policy has
+// no default group.
 func (s *Service) GroupByLabels(labels model.Labels) (model.GroupName, bool) {
 	return s.groupAt(s.matchIndex(labels))
 }
 
-// GroupOf is Group for a caller of the same Set. It remembers the answer.
+// GroupOf is GroupByLabels for a caller of the same Set. It caches the result.
 func (s *Service) GroupOf(c Caller) (model.GroupName, bool) {
 	if c.cacheIndex >= len(s.groupCache) {
 		return s.GroupByLabels(c.Labels)
@@ -57,7 +60,7 @@
 	return s.groupAt(index)
 }
 
-// GroupSpec returns the declaration of a group.
+// GroupSpec returns the spec of the group with the given name.
 func (s *Service) GroupSpec(name model.GroupName) (GroupSpec, bool) {
 	i := slices.IndexFunc(s.Groups, func(g GroupSpec) bool { return g.Name == name })
 	if i < 0 {
@@ -74,8 +77,8 @@
 	return s.Deadline
 }
 
-// match returns the index of the group that selects the labels plus one, or
-// noGroup.
+// matchIndex returns one plus the index of the first group that selects the
+// labels, or noGroup.
 func (s *Service) matchIndex(labels model.Labels) int32 {
 	for i, sel := range s.selectors {
 		if !sel.Empty() && sel.Matches(labels) {
@@ -85,6 +88,8 @@
 	return noGroup
 }
 
+// groupAt returns the name of the group for a result of matchIndex. For noGroup
+// it returns the default group.
 func (s *Service) groupAt(i int32) (model.GroupName, bool) {
 	if i > 0 {
 		return s.Groups[i-1].Name, true
--- a/core/policy/set.go
+++ b/core/policy/set.go
@@ -8,12 +8,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Caller is a known caller. The zero value is the anonymous caller.
+// Caller is a declared caller. The zero value is the anonymous caller.
 type Caller struct {
 	Name   model.CallerName
 	Labels model.Labels
-	// index is the caller's place among the callers of its Set; 0 is the
-	// anonymous caller.
+	// cacheIndex is the caller's index in Service.groupCache; 0 is the anonymous
+	// caller.
 	cacheIndex int
 }
 
@@ -29,7 +29,7 @@
 	labels       map[model.ServiceName]model.Labels
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (s *Set) Service(name model.ServiceName) (*Service, bool) {
 	v, ok := s.services[name]
 	return v, ok
@@ -55,8 +55,8 @@
 	return names
 }
 
-// ServiceByHost returns the service that an authority names, with or without a
-// port.
+// ServiceByHost returns the service that a host belongs to. The host may include
+// a port.
 func (s *Set) ServiceByHost(host string) (model.ServiceName, bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -65,20 +65,20 @@
 	return n, ok
 }
 
-// CallerByName returns a declared caller.
+// CallerByName returns the caller with the given name.
 func (s *Set) CallerByName(name model.CallerName) (Caller, bool) {
 	c, ok := s.callers[name]
 	return c, ok
 }
 
-// CallerByToken returns the caller that holds a bearer token.
+// CallerByToken returns the caller that a bearer token belongs to.
 func (s *Set) CallerByToken(token string) (Caller, bool) {
 	c, ok := s.tokens[sha256.Sum256([]byte(token))]
 	return c, ok
 }
 
-// CallerByCertificate returns the caller whose client certificate has the
-// subject name.
+// CallerByCertificate returns the caller that a certificate subject name belongs
+// to.
 func (s *Set) CallerByCertificate(name string) (Caller, bool) {
 	c, ok := s.certificates[name]
 	return c, ok
--- a/core/policy/sharing.go
+++ b/core/policy/sharing.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// checkGroups checks the groups, fills in their defaults and returns their
-// selectors.
+// checkGroups checks the groups of a policy, sets their default queue bound and
+// returns their selectors.
 func (c *compiler) checkGroups(d Document, spec SharingPolicySpec) []Selector {
 	if len(spec.Groups) == 0 {
 		c.addProblem(d, "spec.groups", "none", "want at least one group")
@@ -103,13 +103,15 @@
 	return selector
 }
 
+// checkNumber checks that a value is finite and not negative.
 func (c *compiler) checkNumber(d Document, path string, v float64) {
 	if !(v >= 0) || math.IsInf(v, 0) {
 		c.addProblem(d, path, fmt.Sprint(v), "must not be negative")
 	}
 }
 
-// assignPolicies gives each service the policy that wins there.
+// assignPolicies sorts the policies by priority and name, and applies to each
+// service the first policy that selects it.
 func (c *compiler) assignPolicies() {
 	slices.SortStableFunc(c.set.policies, func(a, b sharingPolicy) int {
 		return cmp.Or(cmp.Compare(b.spec.Priority, a.spec.Priority), cmp.Compare(a.name, b.name))
--- a/core/policy/strict.go
+++ b/core/policy/strict.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// strict compares JSON with the type that it is decoded into and reports every
-// unknown field and wrong type with its path.
+// strictChecker compares JSON with the Go type it will be decoded into and
+// reports every unknown field and every value of the wrong type with its path.
 type strictChecker struct {
 	report func(path, value, message string)
 }
@@ -86,6 +86,7 @@
 	}
 }
 
+// jsonFields returns the types of the fields of a struct by JSON name.
 func jsonFields(t reflect.Type) map[string]reflect.Type {
 	fields := make(map[string]reflect.Type, t.NumField())
 	for field := range t.Fields() {
@@ -95,6 +96,7 @@
 	return fields
 }
 
+// typeName returns the name of a scalar JSON type for an error message.
 func typeName(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
@@ -115,9 +117,11 @@
 	return path + "." + name
 }
 
+// maxOneLine is the length in bytes at which oneLine truncates a value.
 const maxOneLine = 80
 
-// brief returns a value on one line, cut when it is long.
+// oneLine returns a JSON value on one line for an error message, truncated when
+// it is long.
 func oneLine(raw json.RawMessage) string {
 	var b bytes.Buffer
 	if json.Compact(&b, raw) != nil {
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -1,10 +1,12 @@
-// Package route decides where a request goes: which route of the configuration
-// in force it matches, and which service of the route's traffic split takes it.
+// Package route finds the route of a request in the configuration in force, and
+// the service in the route's traffic split that serves the request.
 //
-// A Document is one whole configuration. New checks it and builds a Table, which
-// is immutable and safe for concurrent use. Host and longest path prefix select
-// the route. A Splitter then deals the requests of a route to the parts of its
-// split so that the share of each part stays within one request of its weight,
-// however few requests there are; it keeps its place when a new configuration
-// leaves the split as it was.
+// A Document is one complete configuration. New validates it and builds a Table,
+// which is immutable and safe for concurrent use. Table.Lookup selects a route by
+// host and longest path prefix. A Splitter then distributes the requests of a
+// route among the services of its traffic split by smooth weighted round robin.
+// After any number of requests, each service of a split between two is within one
+// request of its share (within n-1 requests for n services), so splits are exact
+// even for few requests. The state of a split is kept when a new configuration
+// does not change the split.
 package route
--- a/core/route/document.go
+++ b/core/route/document.go
@@ -7,7 +7,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Document is one version of the whole configuration.
+// Document is one version of the complete configuration.
 type Document struct {
 	Version  model.Version
 	Routes   []Route
@@ -15,48 +15,50 @@
 	Limits   Limits
 }
 
-// Route tells which requests go to which services, and what is promised to
-// their callers.
+// Route defines which requests go to which services, and the limits and targets
+// that apply to these requests.
 type Route struct {
 	Name string
-	// Host is compared with the request's host without its port and in lower
-	// case.
+	// Host is the host that the route matches. Case and port are ignored.
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is the path prefix that the route matches. It begins and ends with
+	// a slash.
 	Prefix string
-	// Idempotent requests may run more than once.
+	// Idempotent is set when the requests of the route may run more than once.
 	Idempotent bool
-	// Timeout is how long a request may be kept waiting. Zero means no limit.
+	// Timeout is the longest time that a request may take. Zero means no limit.
 	Timeout time.Duration
-	// Target is the latency within which an answer has its full worth. Zero
-	// means none is stated.
+	// Target is the latency that responses should stay within. Zero means that
+	// the configuration sets none.
 	Target time.Duration
 	// MaxAttempts is the largest number of upstreams that one request may be
 	// sent to, at least 1.
 	MaxAttempts int
-	// Rank orders requests that wait for the same upstream; 0 comes first.
+	// Rank is the priority rank of the route's requests when they wait for the
+	// same upstream as others; 0 is served first.
 	Rank int
-	// Parts is the traffic split. It has at least one part.
+	// Parts is the traffic split. It has at least one element.
 	Parts []Part
 }
 
-// Part is one service of a traffic split with its weight, which is not negative.
+// Part is a service in a traffic split with its weight, which is at least 0.
 type Part struct {
 	Service model.ServiceName
 	Weight  float64
 }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name model.ServiceName
-	// HealthPath is the path of its health answer. Empty means that it has none.
+	// HealthPath is the path for health checks. Empty means no health checks.
 	HealthPath string
-	// MaxConns is the largest number of connections that one of its upstreams
-	// takes. Zero means that none is stated.
+	// MaxConns is the largest number of connections that each upstream of the
+	// service accepts. Zero means that the configuration sets none.
 	MaxConns int
 }
 
-// Limits bound what callers may send. Zero means no limit.
+// Limits are the limits on callers' requests and connections. Zero means no
+// limit.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
@@ -64,7 +66,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Error is a configuration that cannot be brought into force.
+// Error reports that a configuration is invalid and cannot be put in force.
 type Error struct {
 	Version model.Version
 	Route   string
@@ -72,12 +74,12 @@
 	Problem string
 }
 
-// Error names the version, the route, the field and what is wrong with it.
+// Error implements error.
 func (e *Error) Error() string {
 	return fmt.Sprintf("configuration %s: route %q: %s: %s", e.Version, e.Route, e.Field, e.Problem)
 }
 
-// check returns what is wrong with a route.
+// validate returns an *Error for the first invalid field of the route, or nil.
 func (r *Route) validate(version model.Version) error {
 	newError := func(field, problem string) error {
 		return &Error{Version: version, Route: r.Name, Field: field, Problem: problem}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -23,14 +23,14 @@
 	}})
 	require.NoError(t, err)
 	for name, c := range map[string]struct{ host, path, want string }{
-		"longest prefix wins":             {"a.example", "/x/y/z", "long"},
-		"prefix itself":                   {"a.example", "/x/", "short"},
-		"a segment is not cut":            {"a.example", "/x/yz", "short"},
-		"without the ending slash":        {"a.example", "/x", ""},
-		"host decides first":              {"b.example", "/x/y/z", "other"},
-		"port and case do not count":      {"A.Example:8080", "/x/q", "short"},
-		"unknown host":                    {"c.example", "/x/", ""},
-		"paths are compared byte by byte": {"a.example", "/X/", ""},
+		"longest prefix wins":           {"a.example", "/x/y/z", "long"},
+		"prefix itself":                 {"a.example", "/x/", "short"},
+		"prefix matches whole segments": {"a.example", "/x/yz", "short"},
+		"path without trailing slash":   {"a.example", "/x", ""},
+		"host is matched before prefix": {"b.example", "/x/y/z", "other"},
+		"port and case are ignored":     {"A.Example:8080", "/x/q", "short"},
+		"unknown host":                  {"c.example", "/x/", ""},
+		"path is case-sensitive":        {"a.example", "/X/", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, ok := table.Lookup(c.host, c.path)
@@ -47,15 +47,15 @@
 		change func(*Route)
 		field  string
 	}{
-		"no host":            {func(r *Route) { r.Host = "" }, "host"},
-		"bare prefix":        {func(r *Route) { r.Prefix = "/x" }, "prefix"},
-		"empty prefix":       {func(r *Route) { r.Prefix = "" }, "prefix"},
-		"no attempts":        {func(r *Route) { r.MaxAttempts = 0 }, "attempts"},
-		"negative timeout":   {func(r *Route) { r.Timeout = -1 }, "timeout"},
-		"no parts":           {func(r *Route) { r.Parts = nil }, "split"},
-		"negative weight":    {func(r *Route) { r.Parts = []Part{{"s", 2}, {"t", -1}} }, "split"},
-		"nothing has weight": {func(r *Route) { r.Parts = []Part{{"s", 0}} }, "split"},
-		"empty service":      {func(r *Route) { r.Parts = splitTo("") }, "split"},
+		"no host":                       {func(r *Route) { r.Host = "" }, "host"},
+		"prefix without trailing slash": {func(r *Route) { r.Prefix = "/x" }, "prefix"},
+		"empty prefix":                  {func(r *Route) { r.Prefix = "" }, "prefix"},
+		"no attempts":                   {func(r *Route) { r.MaxAttempts = 0 }, "attempts"},
+		"negative timeout":              {func(r *Route) { r.Timeout = -1 }, "timeout"},
+		"no parts":                      {func(r *Route) { r.Parts = nil }, "split"},
+		"negative weight":               {func(r *Route) { r.Parts = []Part{{"s", 2}, {"t", -1}} }, "split"},
+		"nothing has weight":            {func(r *Route) { r.Parts = []Part{{"s", 0}} }, "split"},
+		"empty service":                 {func(r *Route) { r.Parts = splitTo("") }, "split"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRoute("r", "h", "/x/")
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestSplitIsExact answers traffic splits that are judged over short windows:
-// after any number of requests each part is within one request of its share.
+// TestSplitSharesAreExact checks the shares of a split after every request, since
+// operators compare them over short periods. Each service must be within one
+// request of its share for two services, and within n-1 requests for n services.
 func TestSplitSharesAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
@@ -119,5 +120,5 @@
 	}
 	require.True(t, tableWithRanks(0, 1, 2).Urgent(1))
 	require.False(t, tableWithRanks(0, 1, 2).Urgent(2))
-	require.False(t, tableWithRanks(1, 1).Urgent(1), "with one rank nothing is urgent")
+	require.False(t, tableWithRanks(1, 1).Urgent(1), "with a single rank no request is urgent")
 }
--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -6,26 +6,30 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Splitter deals the requests of routes to the parts of their splits. It is not
-// safe for concurrent use. The zero value is ready.
+// Splitter distributes the requests of each route among the services of the
+// route's traffic split by smooth weighted round robin. It is not safe for
+// concurrent use. The zero value is ready to use.
 type Splitter struct {
-	// places holds a place for each route with more than one part.
+	// states holds the state of each route with more than one service, by the
+	// name of the route.
 	states map[string]*splitState
 }
 
-// place is how far the parts of one split are ahead of their shares.
+// splitState is the state of smooth weighted round robin over one split.
 type splitState struct {
 	parts          []Part
 	currentWeights []float64
 }
 
-// maxPlaces bounds the places kept; routes beyond it start anew, which costs
-// them at most one request of exactness.
+// maxStates is the largest number of states kept. When it is exceeded all states
+// are reset, which costs each split at most one request of exactness.
 const maxStates = 4096
 
-// Pick returns the service that takes the next request of a route. Each part is
-// owed its share of every request, and the part that is owed most takes it, so
-// that no share is ever off by more than one request.
+// Pick returns the service for the next request of a route. It adds to the
+// current weight of each service the weight of the service, picks the service
+// with the largest current weight, and subtracts the total weight from it. No
+// service of a split between two is ever more than one request off its share, and
+// no service of a split between n more than n-1 requests.
 func (s *Splitter) Pick(r *Route) model.ServiceName {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
@@ -46,6 +50,8 @@
 	return r.Parts[best].Service
 }
 
+// state returns the state of the route's split. It is a new one when the split
+// has changed.
 func (s *Splitter) state(r *Route) *splitState {
 	if s.states == nil || len(s.states) > maxStates {
 		s.states = make(map[string]*splitState)
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -8,11 +8,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Table is a configuration ready for use.
+// Table is a validated configuration, indexed for lookups.
 type Table struct {
 	doc      Document
 	hosts    map[string][]*Route
 	services map[model.ServiceName]*Service
+	// lastRank is the largest rank of any route, the last to be served.
 	lastRank int
 }
 
