--- a/entry/answer.go
+++ b/entry/answer.go
@@ -14,25 +14,25 @@
 
 // writeAnswer answers a caller. A body that breaks off aborts the connection,
 // so that a truncated answer never looks complete.
-func writeAnswer(w http.ResponseWriter, a *wire.Answer) {
-	defer func() { _ = a.Body.Close() }()
-	if a.Outcome.Kind != outcome.Answered {
-		writeProblem(w, a.Outcome)
+func writeResponse(w http.ResponseWriter, response *wire.Answer) {
+	defer func() { _ = response.Body.Close() }()
+	if response.Outcome.Kind != outcome.Answered {
+		writeProblem(w, response.Outcome)
 		return
 	}
-	wire.StripConnection(a.Header)
-	stripOwn(a.Header)
-	maps.Copy(w.Header(), a.Header)
+	wire.StripConnection(response.Header)
+	stripDaemonHeaders(response.Header)
+	maps.Copy(w.Header(), response.Header)
 	w.Header().Set(wire.HeaderOutcome, outcome.Answered.String())
-	w.WriteHeader(a.Status)
-	if err := wire.CopyBody(w, a); err != nil {
+	w.WriteHeader(response.Status)
+	if err := wire.CopyBody(w, response); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // stripOwn removes the headers that only daemons set towards callers, and those
 // meant for daemons. An upstream may have copied them from a nested answer.
-func stripOwn(h http.Header) {
+func stripDaemonHeaders(h http.Header) {
 	for _, name := range []string{wire.HeaderOutcome, wire.HeaderReason, wire.HeaderCallToken, wire.HeaderRefused} {
 		h.Del(name)
 	}
@@ -51,10 +51,10 @@
 }
 
 const (
-	problemType = "https://dottereltiller.example/problems/"
+	problemTypePrefix = "https://dottereltiller.example/problems/"
 	// comeBack is the advice where a later try may help and nothing better is
 	// known.
-	comeBack = time.Second
+	defaultRetryAfter = time.Second
 )
 
 // titles are the short words for the outcomes that are no answers.
@@ -65,13 +65,13 @@
 
 func writeProblem(w http.ResponseWriter, o outcome.Outcome) {
 	p := problem{
-		Type:       problemType + string(o.Reason),
+		Type:       problemTypePrefix + string(o.Reason),
 		Title:      titles[o.Kind],
 		Status:     statusOf(o),
 		Detail:     o.Reason.Detail(),
 		Outcome:    o.Kind.String(),
 		Reason:     o.Reason,
-		RetryAfter: retryAfter(o),
+		RetryAfter: retryAfterSeconds(o),
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
@@ -85,16 +85,16 @@
 }
 
 // retryAfter returns the advice in whole seconds, 0 for none.
-func retryAfter(o outcome.Outcome) int {
-	wait := o.RetryAfter
-	if status := statusOf(o); wait <= 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
-		wait = comeBack
+func retryAfterSeconds(o outcome.Outcome) int {
+	retryAfter := o.RetryAfter
+	if status := statusOf(o); retryAfter <= 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
+		retryAfter = defaultRetryAfter
 	}
-	return int(math.Ceil(wait.Seconds()))
+	return int(math.Ceil(retryAfter.Seconds()))
 }
 
 // statuses are the statuses of reasons that have one of their own.
-var statuses = map[outcome.Reason]int{
+var statusByReason = map[outcome.Reason]int{
 	outcome.ReasonNoService:        http.StatusNotFound,
 	outcome.ReasonUnauthenticated:  http.StatusUnauthorized,
 	outcome.ReasonForbidden:        http.StatusForbidden,
@@ -118,7 +118,7 @@
 // statusOf returns the status of an outcome that is no answer: the reason's
 // own, else 503 for what did not run and 502 for what may have.
 func statusOf(o outcome.Outcome) int {
-	if status, ok := statuses[o.Reason]; ok {
+	if status, ok := statusByReason[o.Reason]; ok {
 		return status
 	}
 	if o.Kind == outcome.NotRun {
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -55,9 +55,9 @@
 			var p problem
 			require.NoError(t, json.Unmarshal(w.Body.Bytes(), &p))
 			require.Equal(t, problem{
-				Type: problemType + string(tt.outcome.Reason), Title: tt.title, Status: tt.status,
+				Type: problemTypePrefix + string(tt.outcome.Reason), Title: tt.title, Status: tt.status,
 				Detail: tt.outcome.Reason.Detail(), Outcome: tt.outcome.Kind.String(), Reason: tt.outcome.Reason,
-				RetryAfter: retryAfter(tt.outcome),
+				RetryAfter: retryAfterSeconds(tt.outcome),
 			}, p)
 		})
 	}
@@ -65,7 +65,7 @@
 
 // TestUpstreamCannotSpeakForTheDaemon lets an upstream set the headers that
 // only daemons set.
-func TestUpstreamCannotSpeakForTheDaemon(t *testing.T) {
+func TestDaemonHeadersFromUpstreamAreStripped(t *testing.T) {
 	a := wire.NoAnswer(outcome.Done())
 	a.Status = http.StatusServiceUnavailable
 	a.Header = http.Header{
@@ -74,6 +74,6 @@
 	}
 	a.Body = io.NopCloser(strings.NewReader(""))
 	w := httptest.NewRecorder()
-	writeAnswer(w, a)
+	writeResponse(w, a)
 	require.Equal(t, http.Header{wire.HeaderOutcome: {"answered"}, "X-Own": {"kept"}}, w.Header())
 }
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -16,15 +16,15 @@
 )
 
 // fixedView is a membership view that never changes.
-type fixedView []model.Upstream
+type staticView []model.Upstream
 
-func (v fixedView) Upstreams(model.ServiceName) ([]model.Upstream, uint64) { return v, 1 }
-func (v fixedView) Generation() uint64                                     { return 1 }
+func (v staticView) Upstreams(model.ServiceName) ([]model.Upstream, uint64) { return v, 1 }
+func (v staticView) Generation() uint64                                     { return 1 }
 
 // fullGuards give back every call that does not wait.
-type fullGuards struct{ calls []*wire.Call }
+type rejectingGuard struct{ calls []*wire.Call }
 
-func (g *fullGuards) Do(_ context.Context, c *wire.Call) *wire.Answer {
+func (g *rejectingGuard) Do(_ context.Context, c *wire.Call) *wire.Answer {
 	g.calls = append(g.calls, c)
 	a := wire.NoAnswer(outcome.Done())
 	if c.HasPatience {
@@ -35,9 +35,9 @@
 	return a
 }
 
-func tryOnce(g *fullGuards, b *body) (*wire.Answer, bool) {
+func attemptOnce(g *rejectingGuard, b *body) (*wire.Answer, bool) {
 	now := func() model.Instant { return 0 }
-	view := fixedView{
+	view := staticView{
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
 		{ID: "s-2", Service: "s", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
 	}
@@ -56,9 +56,9 @@
 	return a, ok
 }
 
-func TestGivenBackRequestGoesOnAndThenWaits(t *testing.T) {
-	g := &fullGuards{}
-	a, ok := tryOnce(g, &body{data: []byte("x"), length: 1})
+func TestRejectedRequestTriesOtherUpstreamsAndThenWaits(t *testing.T) {
+	g := &rejectingGuard{}
+	a, ok := attemptOnce(g, &body{data: []byte("x"), length: 1})
 	assert.True(t, ok)
 	assert.Equal(t, outcome.Answered, a.Outcome.Kind)
 	assert.Len(t, g.calls, routing.MaxBounces+1)
@@ -67,8 +67,8 @@
 }
 
 func TestStreamedBodyIsSentOnce(t *testing.T) {
-	g := &fullGuards{}
-	_, ok := tryOnce(g, &body{stream: http.NoBody, length: -1})
+	g := &rejectingGuard{}
+	_, ok := attemptOnce(g, &body{stream: http.NoBody, length: -1})
 	assert.True(t, ok)
 	assert.Len(t, g.calls, 1)
 	assert.False(t, g.calls[0].HasPatience)
--- a/entry/body.go
+++ b/entry/body.go
@@ -22,17 +22,17 @@
 	if length == 0 {
 		return &body{}, outcome.ReasonNone
 	}
-	head, err := io.ReadAll(io.LimitReader(r, replayable+1))
+	start, err := io.ReadAll(io.LimitReader(r, maxReplayableBody+1))
 	if err != nil {
-		return nil, bodyReason(err)
+		return nil, bodyErrorReason(err)
 	}
-	if len(head) <= replayable {
-		return &body{data: head, length: int64(len(head))}, outcome.ReasonNone
+	if len(start) <= maxReplayableBody {
+		return &body{data: start, length: int64(len(start))}, outcome.ReasonNone
 	}
-	return &body{stream: io.MultiReader(bytes.NewReader(head), r), length: length}, outcome.ReasonNone
+	return &body{stream: io.MultiReader(bytes.NewReader(start), r), length: length}, outcome.ReasonNone
 }
 
-func bodyReason(err error) outcome.Reason {
+func bodyErrorReason(err error) outcome.Reason {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return outcome.ReasonTooLarge
@@ -53,4 +53,4 @@
 }
 
 // rewind reports whether the body can be sent again.
-func (b *body) rewind() bool { return b.stream == nil }
+func (b *body) replayable() bool { return b.stream == nil }
--- a/entry/classify.go
+++ b/entry/classify.go
@@ -21,11 +21,11 @@
 	if !ok {
 		return nil, refuse(outcome.ReasonNoService)
 	}
-	from, reason := e.originOf(inForce.Set, r)
+	requester, reason := e.requesterOf(inForce.Set, r)
 	if reason != outcome.ReasonNone {
 		return nil, refuse(reason)
 	}
-	group, ok := svc.GroupOf(from.caller)
+	group, ok := svc.GroupOf(requester.caller)
 	if !ok {
 		return nil, refuse(outcome.ReasonForbidden)
 	}
@@ -33,15 +33,15 @@
 	if !ok {
 		return nil, refuse(outcome.ReasonBadRequest)
 	}
-	timeout = from.timeout(timeout)
+	timeout = requester.capTimeout(timeout)
 	if r.ContentLength > e.opts.MaxBody {
 		return nil, refuse(outcome.ReasonTooLarge)
 	}
 	req := &request{
 		http:       r,
 		service:    svc,
-		caller:     from.caller,
-		depth:      from.depth,
+		caller:     requester.caller,
+		depth:      requester.depth,
 		group:      group,
 		idempotent: idempotentOf(r, svc),
 		timeout:    timeout,
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -55,21 +55,21 @@
 type Ceilings interface {
 	// Enter asks to let in a request. When it reports true, leave must be
 	// called once the request has ended; otherwise wait is for the caller.
-	Enter(model.ServiceName, model.GroupName) (leave func(), wait time.Duration, ok bool)
+	Enter(model.ServiceName, model.GroupName) (release func(), wait time.Duration, ok bool)
 }
 
 const (
 	defaultMaxBody = 8 << 20
 	maxAttempts    = 3
 	// replayable is the largest body kept for a retry, in bytes.
-	replayable = 64 << 10
+	maxReplayableBody = 64 << 10
 )
 
 // Entry serves callers. It is safe for concurrent use.
 type Entry struct {
 	opts    Options
 	metrics *metrics
-	retries *retries
+	retries *retryBudgets
 }
 
 // New returns an Entry.
@@ -80,48 +80,48 @@
 	if opts.MaxKeyedBody <= 0 {
 		opts.MaxKeyedBody = defaultMaxKeyedBody
 	}
-	return &Entry{opts: opts, metrics: newMetrics(opts.Scope), retries: newRetries(opts.Now, opts.Scope)}
+	return &Entry{opts: opts, metrics: newMetrics(opts.Scope), retries: newRetryBudgets(opts.Now, opts.Scope)}
 }
 
 // ServeHTTP answers one caller's request.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	req, refused := e.classify(w, r)
-	if asksForUpgrade(r) {
-		refused = refuse(outcome.ReasonUpgradeForbidden)
+	req, refusal := e.classify(w, r)
+	if requestsUpgrade(r) {
+		refusal = refuse(outcome.ReasonUpgradeForbidden)
 	}
-	if refused != nil {
-		e.metrics.refused.Count(*refused)
-		writeProblem(w, *refused)
+	if refusal != nil {
+		e.metrics.refused.Count(*refusal)
+		writeProblem(w, *refusal)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), req.timeout)
 	defer cancel()
 	// Until the whole answer has been written its outcome is unknown.
-	told := outcome.UnknownBecause(outcome.ReasonTruncated)
-	began := e.opts.Now()
-	defer func() { e.metrics.ended(req, told, e.opts.Now().Sub(began)) }()
-	a := e.withinCeiling(ctx, req)
-	if req.leave != nil {
-		defer req.leave()
+	result := outcome.UnknownBecause(outcome.ReasonTruncated)
+	startedAt := e.opts.Now()
+	defer func() { e.metrics.recordRequest(req, result, e.opts.Now().Sub(startedAt)) }()
+	response := e.answerWithinCeiling(ctx, req)
+	if req.releaseCeiling != nil {
+		defer req.releaseCeiling()
 	}
-	writeAnswer(w, a)
-	told = a.Outcome
-	e.clear(req, told)
+	writeResponse(w, response)
+	result = response.Outcome
+	e.clearCrashes(req, result)
 }
 
 // withinCeiling answers the request unless its group is at its ceiling.
-func (e *Entry) withinCeiling(ctx context.Context, req *request) *wire.Answer {
+func (e *Entry) answerWithinCeiling(ctx context.Context, req *request) *wire.Answer {
 	if e.opts.Ceilings == nil {
-		return e.answer(ctx, req)
+		return e.handle(ctx, req)
 	}
-	leave, wait, ok := e.opts.Ceilings.Enter(req.service.Name, req.group)
+	release, wait, ok := e.opts.Ceilings.Enter(req.service.Name, req.group)
 	if !ok {
 		o := outcome.NotRunBecause(outcome.ReasonCeiling)
 		o.RetryAfter = wait
 		return wire.NoAnswer(o)
 	}
-	req.leave = leave
-	return e.answer(ctx, req)
+	req.releaseCeiling = release
+	return e.handle(ctx, req)
 }
 
 // request is a caller's request after classification.
@@ -137,9 +137,9 @@
 	// depth is the number of calls above this one.
 	depth int
 	// leave ends the request's stay within its ceiling. Nil when it has none.
-	leave func()
+	releaseCeiling func()
 	// print is the request's fingerprint.
-	print print
+	cachedFingerprint lazyFingerprint
 	// crashes counts the upstreams that died while they ran the request.
 	crashes int
 }
@@ -148,30 +148,30 @@
 func (e *Entry) forward(ctx context.Context, req *request) *wire.Answer {
 	var tried []model.UpstreamID
 	last := wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNoUpstream))
-	e.retries.request(req.service)
+	e.retries.countRequest(req.service)
 	for attempt := 0; ; attempt++ {
 		if o, refused := e.quarantined(req); refused {
 			return wire.NoAnswer(o.After(last.Outcome))
 		}
-		a, up, ok := e.attempt(ctx, req, tried, attempt)
+		response, upstream, ok := e.attempt(ctx, req, tried, attempt)
 		if !ok {
 			return last
 		}
-		tried = append(tried, up)
-		e.retries.attempt(req.service, a)
-		a.Outcome, last = a.Outcome.After(last.Outcome), a
-		if !e.again(ctx, req, a, attempt) {
+		tried = append(tried, upstream)
+		e.retries.countAttempt(req.service, response)
+		response.Outcome, last = response.Outcome.After(last.Outcome), response
+		if !e.waitForRetry(ctx, req, response, attempt) {
 			return last
 		}
-		_ = a.Body.Close()
+		_ = response.Body.Close()
 	}
 }
 
-func (e *Entry) forwarder(up model.Upstream) Forwarder {
-	if up.Daemon == e.opts.Self {
+func (e *Entry) forwarder(upstream model.Upstream) Forwarder {
+	if upstream.Daemon == e.opts.Self {
 		return e.opts.Local
 	}
-	return e.opts.Remote(up.Daemon)
+	return e.opts.Remote(upstream.Daemon)
 }
 
 func (r *request) modelRequest(attempt int) model.Request {
@@ -185,7 +185,7 @@
 	}
 }
 
-func (r *request) call(up model.Upstream, attempt int) *wire.Call {
+func (r *request) call(upstream model.Upstream, attempt int) *wire.Call {
 	h := r.http.Header.Clone()
 	wire.StripHop(h)
 	wire.StripConnection(h)
@@ -200,8 +200,8 @@
 		Service:     r.service.Name,
 		Group:       r.group,
 		Caller:      r.caller.Name,
-		Upstream:    up.ID,
-		Incarnation: up.Incarnation,
+		Upstream:    upstream.ID,
+		Incarnation: upstream.Incarnation,
 		Idempotent:  r.idempotent,
 		Attempt:     attempt,
 		Depth:       r.depth,
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -16,52 +16,52 @@
 // whole answer counts and the other sending is cancelled.
 func (e *Entry) send(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Answer {
 	delay, ok := e.opts.Routers.HedgeDelay(req.modelRequest(attempt))
-	if !ok || !req.body.rewind() {
+	if !ok || !req.body.replayable() {
 		return e.sendOnce(ctx, req, choice, attempt, false)
 	}
-	first, cancelFirst := context.WithCancel(ctx)
-	second, cancelSecond := context.WithCancel(ctx)
-	sent := e.opts.Now()
-	hedged := make(chan *wire.Answer, 1)
+	firstCtx, cancelFirst := context.WithCancel(ctx)
+	hedgeCtx, cancelHedge := context.WithCancel(ctx)
+	sentAt := e.opts.Now()
+	hedgeResult := make(chan *wire.Answer, 1)
 	timer := time.AfterFunc(delay, func() {
-		b := e.hedge(second, req, choice, sent, tried, attempt)
-		if good(b) {
+		hedgeResponse := e.sendHedge(hedgeCtx, req, choice, sentAt, tried, attempt)
+		if succeeded(hedgeResponse) {
 			cancelFirst()
 		}
-		hedged <- b
+		hedgeResult <- hedgeResponse
 	})
-	a := e.sendOnce(first, req, choice, attempt, false)
+	firstResponse := e.sendOnce(firstCtx, req, choice, attempt, false)
 	switch {
 	case timer.Stop():
-		cancelSecond()
-		return a.EndOnClose(cancelFirst)
-	case good(a):
-		cancelSecond()
-		go discard(hedged)
-		return a.EndOnClose(cancelFirst)
+		cancelHedge()
+		return firstResponse.EndOnClose(cancelFirst)
+	case succeeded(firstResponse):
+		cancelHedge()
+		go closeHedge(hedgeResult)
+		return firstResponse.EndOnClose(cancelFirst)
 	}
-	b := <-hedged
-	if good(b) {
-		_ = a.Body.Close()
+	hedgeResponse := <-hedgeResult
+	if succeeded(hedgeResponse) {
+		_ = firstResponse.Body.Close()
 		cancelFirst()
-		return b.EndOnClose(cancelSecond)
+		return hedgeResponse.EndOnClose(cancelHedge)
 	}
-	cancelSecond()
-	if b != nil {
-		_ = b.Body.Close()
-		a.Outcome = a.Outcome.After(b.Outcome)
+	cancelHedge()
+	if hedgeResponse != nil {
+		_ = hedgeResponse.Body.Close()
+		firstResponse.Outcome = firstResponse.Outcome.After(hedgeResponse.Outcome)
 	}
-	return a.EndOnClose(cancelFirst)
+	return firstResponse.EndOnClose(cancelFirst)
 }
 
 // hedge sends the request to a second upstream. It returns nil when there is
 // none, when the budget forbids it, or when the request is settled already.
-func (e *Entry) hedge(ctx context.Context, req *request, first routing.Choice, sent model.Instant, tried []model.UpstreamID, attempt int) *wire.Answer {
+func (e *Entry) sendHedge(ctx context.Context, req *request, first routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Answer {
 	if ctx.Err() != nil {
 		return nil
 	}
 	exclude := append([]model.UpstreamID{first.Upstream.ID}, tried...)
-	choice, ok := e.opts.Routers.Hedge(first.Upstream, sent, exclude)
+	choice, ok := e.opts.Routers.Hedge(first.Upstream, sentAt, exclude)
 	if !ok {
 		return nil
 	}
@@ -69,12 +69,12 @@
 }
 
 // good reports whether an answer settles the request.
-func good(a *wire.Answer) bool {
-	return a != nil && a.Outcome.Kind == outcome.Answered && a.Status < http.StatusInternalServerError
+func succeeded(response *wire.Answer) bool {
+	return response != nil && response.Outcome.Kind == outcome.Answered && response.Status < http.StatusInternalServerError
 }
 
-func discard(hedged <-chan *wire.Answer) {
-	if b := <-hedged; b != nil {
-		_ = b.Body.Close()
+func closeHedge(hedgeResult <-chan *wire.Answer) {
+	if response := <-hedgeResult; response != nil {
+		_ = response.Body.Close()
 	}
 }
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -20,17 +20,17 @@
 
 // oneStuck answers in a millisecond, but for the upstream that is stuck until
 // its calls are cancelled.
-type oneStuck struct {
-	mu        sync.Mutex
-	stuck     model.UpstreamID
-	calls     map[model.UpstreamID]int
-	cancelled int
+type forwarderWithStuckUpstream struct {
+	mu            sync.Mutex
+	stuckUpstream model.UpstreamID
+	calls         map[model.UpstreamID]int
+	cancelled     int
 }
 
-func (g *oneStuck) Do(ctx context.Context, c *wire.Call) *wire.Answer {
+func (g *forwarderWithStuckUpstream) Do(ctx context.Context, c *wire.Call) *wire.Answer {
 	g.mu.Lock()
 	g.calls[c.Upstream]++
-	seq, stuck := uint64(g.calls[c.Upstream]), c.Upstream == g.stuck
+	seq, stuck := uint64(g.calls[c.Upstream]), c.Upstream == g.stuckUpstream
 	g.mu.Unlock()
 	if stuck {
 		<-ctx.Done()
@@ -48,10 +48,10 @@
 
 // warmed returns an entry whose router knows the usual latency of both
 // upstreams.
-func warmed(g *oneStuck, idempotent bool) (*Entry, *request) {
+func newWarmEntry(g *forwarderWithStuckUpstream, idempotent bool) (*Entry, *request) {
 	origin := time.Now()
 	now := func() model.Instant { return model.Instant(time.Since(origin)) }
-	view := fixedView{
+	view := staticView{
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
 		{ID: "s-2", Service: "s", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
 	}
@@ -76,9 +76,9 @@
 
 func TestStuckIdempotentRequestIsHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		g := &oneStuck{calls: make(map[model.UpstreamID]int)}
-		e, req := warmed(g, true)
-		g.stuck = "s-1"
+		g := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
+		e, req := newWarmEntry(g, true)
+		g.stuckUpstream = "s-1"
 		before := g.calls["s-1"]
 		for range 10 {
 			a, _, ok := e.attempt(context.Background(), req, nil, 0)
@@ -93,10 +93,10 @@
 
 func TestNonIdempotentRequestIsNeverHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		g := &oneStuck{calls: make(map[model.UpstreamID]int)}
-		e, req := warmed(g, false)
+		g := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
+		e, req := newWarmEntry(g, false)
 		total := g.calls["s-1"] + g.calls["s-2"]
-		g.stuck = "s-1"
+		g.stuckUpstream = "s-1"
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		sent := 0
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -23,14 +23,14 @@
 
 // answer gets the request's answer. A non-idempotent request with a key goes to
 // the owner of the key, all others straight to an upstream.
-func (e *Entry) answer(ctx context.Context, req *request) *wire.Answer {
+func (e *Entry) handle(ctx context.Context, req *request) *wire.Answer {
 	if req.idempotent || len(req.http.Header[wire.HeaderIdempotencyKey]) == 0 {
 		return e.forward(ctx, req)
 	}
-	return e.keyed(ctx, req)
+	return e.handleKeyed(ctx, req)
 }
 
-func (e *Entry) keyed(ctx context.Context, req *request) *wire.Answer {
+func (e *Entry) handleKeyed(ctx context.Context, req *request) *wire.Answer {
 	if e.opts.Keyed == nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNotReady))
 	}
@@ -39,7 +39,7 @@
 	if err != nil || len(keys) > 1 {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
 	}
-	body, reason := req.body.whole(e.opts.MaxKeyedBody)
+	body, reason := req.body.readAll(e.opts.MaxKeyedBody)
 	if reason != outcome.ReasonNone {
 		return wire.NoAnswer(outcome.NotRunBecause(reason))
 	}
@@ -51,7 +51,7 @@
 }
 
 // whole returns the body in memory, at most limit bytes of it.
-func (b *body) whole(limit int64) ([]byte, outcome.Reason) {
+func (b *body) readAll(limit int64) ([]byte, outcome.Reason) {
 	if b.length > limit {
 		return nil, outcome.ReasonTooLarge
 	}
@@ -61,7 +61,7 @@
 	data, err := io.ReadAll(io.LimitReader(b.stream, limit+1))
 	switch {
 	case err != nil:
-		return nil, bodyReason(err)
+		return nil, bodyErrorReason(err)
 	case int64(len(data)) > limit:
 		return nil, outcome.ReasonTooLarge
 	default:
@@ -70,7 +70,7 @@
 }
 
 // hold returns a body that is whole in memory, so that it can be sent again.
-func hold(r io.Reader) (*body, error) {
+func bufferBody(r io.Reader) (*body, error) {
 	if r == nil {
 		return &body{}, nil
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonBadRequest))
 	}
-	held, err := hold(c.Body)
+	buffered, err := bufferBody(c.Body)
 	if err != nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonBadRequest))
 	}
@@ -106,7 +106,7 @@
 		group:    c.Group,
 		timeout:  c.Timeout,
 		deadline: e.opts.Now().Add(c.Timeout),
-		body:     held,
+		body:     buffered,
 		depth:    c.Depth,
 	})
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -30,7 +30,7 @@
 
 // maxGroups bounds the groups told apart over the life of the process; those
 // beyond are counted as one.
-const maxGroups = 4096
+const maxGroupMetrics = 4096
 
 func newMetrics(scope tally.Scope) *metrics {
 	scope = telemetry.OrNoop(scope)
@@ -45,13 +45,13 @@
 	return &metrics{
 		refused:  telemetry.NewOutcomeCounter(scope, "refused"),
 		attempts: telemetry.NewOutcomeCounter(scope, "attempts"),
-		groups:   telemetry.NewBounded(maxGroups, other, add),
+		groups:   telemetry.NewBounded(maxGroupMetrics, other, add),
 	}
 }
 
 // ended counts a classified request.
-func (m *metrics) ended(req *request, o outcome.Outcome, took time.Duration) {
+func (m *metrics) recordRequest(req *request, o outcome.Outcome, latency time.Duration) {
 	g := m.groups.Of(groupKey{req.service.Name, req.group})
 	g.requests.Count(o)
-	g.latency.Record(took)
+	g.latency.Record(latency)
 }
--- a/entry/nested.go
+++ b/entry/nested.go
@@ -12,49 +12,49 @@
 )
 
 // origin tells on whose behalf a request is made.
-type origin struct {
+type requester struct {
 	caller policy.Caller
 	// depth is the number of calls above this one.
 	depth int
 	// nested is set when a call token came with the request; left is then the
 	// most time that it may take.
-	nested bool
-	left   time.Duration
+	nested    bool
+	remaining time.Duration
 }
 
 // originOf finds out who caused a request: the caller named by its call token,
 // if it has one, else the caller that its credentials name.
-func (e *Entry) originOf(set *policy.Set, r *http.Request) (origin, outcome.Reason) {
-	texts := r.Header[wire.HeaderCallToken]
-	if len(texts) == 0 {
+func (e *Entry) requesterOf(set *policy.Set, r *http.Request) (requester, outcome.Reason) {
+	tokens := r.Header[wire.HeaderCallToken]
+	if len(tokens) == 0 {
 		caller, ok := identity.Caller(set, r)
 		if !ok {
-			return origin{}, outcome.ReasonUnauthenticated
+			return requester{}, outcome.ReasonUnauthenticated
 		}
-		return origin{caller: caller}, outcome.ReasonNone
+		return requester{caller: caller}, outcome.ReasonNone
 	}
-	token, err := e.opts.Tokens.Verify(texts[0])
-	if err != nil || len(texts) > 1 {
-		return origin{}, outcome.ReasonUnauthenticated
+	token, err := e.opts.Tokens.Verify(tokens[0])
+	if err != nil || len(tokens) > 1 {
+		return requester{}, outcome.ReasonUnauthenticated
 	}
-	o := origin{depth: token.Depth, nested: true, left: token.Remaining(time.Now())}
+	result := requester{depth: token.Depth, nested: true, remaining: token.Remaining(time.Now())}
 	var known bool
-	o.caller, known = set.CallerByName(token.Caller)
+	result.caller, known = set.CallerByName(token.Caller)
 	switch {
 	case !known && token.Caller != "":
-		return origin{}, outcome.ReasonForbidden
+		return requester{}, outcome.ReasonForbidden
 	case token.Depth >= calltoken.MaxDepth:
-		return origin{}, outcome.ReasonDepth
-	case o.left <= 0:
-		return origin{}, outcome.ReasonDeadline
+		return requester{}, outcome.ReasonDepth
+	case result.remaining <= 0:
+		return requester{}, outcome.ReasonDeadline
 	}
-	return o, outcome.ReasonNone
+	return result, outcome.ReasonNone
 }
 
 // timeout caps the time that a request asks for by what its cause has left.
-func (o origin) timeout(asked time.Duration) time.Duration {
-	if o.nested {
-		return min(asked, o.left)
+func (r requester) capTimeout(requested time.Duration) time.Duration {
+	if r.nested {
+		return min(requested, r.remaining)
 	}
-	return asked
+	return requested
 }
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -24,13 +24,13 @@
 
 // chain is a row of services, each of which calls the next; all share one
 // entry. What the last one answers is up to the test.
-type chain struct {
-	t      *testing.T
-	entry  *Entry
-	tokens *calltoken.Signer
-	length int
-	path   string
-	last   func(*wire.Call) *wire.Answer
+type serviceChain struct {
+	t           *testing.T
+	entry       *Entry
+	tokens      *calltoken.Signer
+	length      int
+	path        string
+	lastService func(*wire.Call) *wire.Answer
 
 	mu       sync.Mutex
 	timeouts []time.Duration
@@ -40,8 +40,8 @@
 
 const chainDeadline = 5 * time.Second
 
-func newChain(t *testing.T, length int, last func(*wire.Call) *wire.Answer) *chain {
-	c := &chain{t: t, tokens: calltoken.NewSigner("secret"), length: length, path: "/", last: last}
+func newServiceChain(t *testing.T, length int, lastService func(*wire.Call) *wire.Answer) *serviceChain {
+	c := &serviceChain{t: t, tokens: calltoken.NewSigner("secret"), length: length, path: "/", lastService: lastService}
 	docs := []policy.Document{
 		{Kind: policy.KindCaller, Name: "bench", Labels: model.Labels{"role": "sorter"}, Spec: json.RawMessage(`{"certificate_names":["bench"]}`)},
 		{Kind: policy.KindSharingPolicy, Name: "p", Spec: json.RawMessage(`{"services":"","default_group":"rest","groups":[
@@ -55,7 +55,7 @@
 	inForce := &configuration.InForce{Version: 1, Set: set}
 	var clock atomic.Int64
 	now := func() model.Instant { return model.Instant(clock.Add(int64(10 * time.Microsecond))) }
-	view := fixedView{
+	view := staticView{
 		{ID: "u-1", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
 		{ID: "u-2", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
 		{ID: "u-3", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
@@ -73,31 +73,31 @@
 
 // Do plays guard and upstream: it calls the next service with the token that a
 // guard would have given, and passes a failure on as its own answer.
-func (c *chain) Do(_ context.Context, call *wire.Call) *wire.Answer {
+func (c *serviceChain) Do(_ context.Context, call *wire.Call) *wire.Answer {
 	c.mu.Lock()
 	c.timeouts = append(c.timeouts, call.Timeout)
 	c.groups = append(c.groups, call.Group)
 	c.mu.Unlock()
-	var place int
-	_, err := fmt.Sscanf(string(call.Service), "s%d", &place)
+	var index int
+	_, err := fmt.Sscanf(string(call.Service), "s%d", &index)
 	require.NoError(c.t, err)
-	if place == c.length-1 {
+	if index == c.length-1 {
 		c.attempts.Add(1)
-		return c.last(call)
+		return c.lastService(call)
 	}
 	token := c.tokens.Sign(calltoken.Token{
 		Caller: call.Caller, Group: call.Group, Depth: call.Depth + 1,
 		Deadline: time.Now().Add(call.Timeout), Left: call.Timeout,
 	})
-	w := c.send(place+1, map[string]string{wire.HeaderCallToken: token})
+	w := c.send(index+1, map[string]string{wire.HeaderCallToken: token})
 	a := wire.NoAnswer(outcome.Done())
 	a.Status, a.Header = w.Code, w.Header()
 	return a
 }
 
-func (c *chain) send(place int, headers map[string]string) *httptest.ResponseRecorder {
+func (c *serviceChain) send(index int, headers map[string]string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodGet, c.path, nil)
-	r.Header.Set(wire.HeaderService, fmt.Sprint("s", place))
+	r.Header.Set(wire.HeaderService, fmt.Sprint("s", index))
 	for name, value := range headers {
 		r.Header.Set(name, value)
 	}
@@ -106,13 +106,13 @@
 	return w
 }
 
-func answered(*wire.Call) *wire.Answer {
+func respondOK(*wire.Call) *wire.Answer {
 	a := wire.NoAnswer(outcome.Done())
 	a.Status, a.Header = http.StatusOK, make(http.Header)
 	return a
 }
 
-func (c *chain) benchToken(depth int, left time.Duration) map[string]string {
+func (c *serviceChain) benchToken(depth int, left time.Duration) map[string]string {
 	return map[string]string{wire.HeaderCallToken: c.tokens.Sign(calltoken.Token{
 		Caller: "bench", Group: "sorters", Depth: depth, Deadline: time.Now().Add(left), Left: left,
 	})}
@@ -120,11 +120,11 @@
 
 // TestFailureAtDepthSixteenCostsTheBudget makes the deepest of sixteen services
 // refuse every attempt. Retried at every layer one request would cost 3^16.
-func TestFailureAtDepthSixteenCostsTheBudget(t *testing.T) {
+func TestFailureAtDepthSixteenIsNotAmplified(t *testing.T) {
 	fail := func(*wire.Call) *wire.Answer {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonConnect))
 	}
-	c := newChain(t, calltoken.MaxDepth, fail)
+	c := newServiceChain(t, calltoken.MaxDepth, fail)
 	w := c.send(0, nil)
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
 	require.LessOrEqual(t, c.attempts.Load(), int64(maxAttempts), "one failure costs the attempts of one layer")
@@ -138,8 +138,8 @@
 	require.LessOrEqual(t, amplification, 1.1+10.0/requests)
 }
 
-func TestDeadlineOnlyShrinksAndTheGroupStays(t *testing.T) {
-	c := newChain(t, calltoken.MaxDepth, answered)
+func TestNestedCallsInheritDeadlineAndGroup(t *testing.T) {
+	c := newServiceChain(t, calltoken.MaxDepth, respondOK)
 	require.Equal(t, http.StatusOK, c.send(0, c.benchToken(0, 3*time.Second)).Code)
 	require.Len(t, c.timeouts, calltoken.MaxDepth)
 	for i, left := range c.timeouts {
@@ -151,9 +151,9 @@
 	}
 }
 
-func TestNestedCallsAreRefused(t *testing.T) {
-	c := newChain(t, 1, answered)
-	foreign := calltoken.NewSigner("other").Sign(calltoken.Token{Caller: "bench", Depth: 1, Deadline: time.Now().Add(time.Minute), Left: time.Minute})
+func TestInvalidNestedCallsAreRefused(t *testing.T) {
+	c := newServiceChain(t, 1, respondOK)
+	otherSecret := calltoken.NewSigner("other").Sign(calltoken.Token{Caller: "bench", Depth: 1, Deadline: time.Now().Add(time.Minute), Left: time.Minute})
 	tests := []struct {
 		name    string
 		headers map[string]string
@@ -162,7 +162,7 @@
 	}{
 		{"made up", map[string]string{wire.HeaderCallToken: "sorters"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
 		{"empty", map[string]string{wire.HeaderCallToken: ""}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
-		{"foreign", map[string]string{wire.HeaderCallToken: foreign}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
+		{"foreign", map[string]string{wire.HeaderCallToken: otherSecret}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
 		{"too deep", c.benchToken(calltoken.MaxDepth, time.Second), http.StatusBadRequest, outcome.ReasonDepth},
 		{"past its deadline", c.benchToken(1, -time.Second), http.StatusGatewayTimeout, outcome.ReasonDeadline},
 		{"bad credentials without a token", map[string]string{"Authorization": "Bearer x"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
@@ -181,16 +181,16 @@
 	require.Zero(t, c.attempts.Load(), "nothing ran")
 }
 
-func TestAbsurdDeadlineIsCapped(t *testing.T) {
-	c := newChain(t, 1, answered)
+func TestHugeTimeoutIsCapped(t *testing.T) {
+	c := newServiceChain(t, 1, respondOK)
 	require.Equal(t, http.StatusOK, c.send(0, map[string]string{wire.HeaderTimeout: "2000000h"}).Code)
 	require.LessOrEqual(t, c.timeouts[0], chainDeadline)
 }
 
 // TestForgedGroupGainsNothing floods with the headers that name a group between
 // daemons.
-func TestForgedGroupGainsNothing(t *testing.T) {
-	c := newChain(t, 1, answered)
+func TestForgedGroupHeadersAreIgnored(t *testing.T) {
+	c := newServiceChain(t, 1, respondOK)
 	forged := map[string]string{wire.HeaderGroup: "sorters", "Dottereltiller-Hop-Group": "sorters", "Dottereltiller-Hop-Caller": "bench"}
 	for range 100 {
 		require.Equal(t, http.StatusOK, c.send(0, forged).Code)
@@ -202,8 +202,8 @@
 
 // TestNestedNotRunDoesNotReachTheOuterCaller passes a nested refusal on with
 // all its headers, as a careless upstream does: the outer request ran.
-func TestNestedNotRunDoesNotReachTheOuterCaller(t *testing.T) {
-	c := newChain(t, 2, func(*wire.Call) *wire.Answer {
+func TestNestedNotRunOutcomeIsNotPassedToOuterCaller(t *testing.T) {
+	c := newServiceChain(t, 2, func(*wire.Call) *wire.Answer {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonQuarantined))
 	})
 	w := c.send(0, nil)
@@ -212,16 +212,16 @@
 }
 
 // TestRetriesStopWhenAllFail sends to a set of upstreams that fail fast.
-func TestRetriesStopWhenAllFail(t *testing.T) {
-	lost := func(*wire.Call) *wire.Answer {
+func TestRetriesStopWhenAllUpstreamsFail(t *testing.T) {
+	loseConnection := func(*wire.Call) *wire.Answer {
 		return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonConnectionLost))
 	}
-	c := newChain(t, 1, lost)
+	c := newServiceChain(t, 1, loseConnection)
 	const requests = 1000
 	for range requests {
 		require.Equal(t, http.StatusBadGateway, c.send(0, nil).Code)
 	}
-	extra := c.attempts.Load() - requests
-	t.Logf("%d retries for %d failing requests", extra, requests)
-	require.LessOrEqual(t, extra, int64(20), "off in a storm")
+	retries := c.attempts.Load() - requests
+	t.Logf("%d retries for %d failing requests", retries, requests)
+	require.LessOrEqual(t, retries, int64(20), "off in a storm")
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -23,12 +23,12 @@
 }
 
 // print takes a request's fingerprint once, when it is first asked for.
-type print struct {
+type lazyFingerprint struct {
 	once  sync.Once
 	value quarantine.Fingerprint
 }
 
-func (r *request) asked() quarantine.Request {
+func (r *request) quarantineRequest() quarantine.Request {
 	return quarantine.Request{
 		Service: r.service.Name,
 		Caller:  r.caller.Name,
@@ -40,8 +40,8 @@
 }
 
 func (r *request) fingerprint() quarantine.Fingerprint {
-	r.print.once.Do(func() { r.print.value = quarantine.Of(r.asked()) })
-	return r.print.value
+	r.cachedFingerprint.once.Do(func() { r.cachedFingerprint.value = quarantine.Of(r.quarantineRequest()) })
+	return r.cachedFingerprint.value
 }
 
 // quarantined reports whether the request is refused because it kills
@@ -50,22 +50,22 @@
 	if e.opts.Quarantine == nil || !e.opts.Quarantine.Watching() {
 		return outcome.Outcome{}, false
 	}
-	left, refused := e.opts.Quarantine.Refused(req.fingerprint())
+	remaining, refused := e.opts.Quarantine.Refused(req.fingerprint())
 	o := outcome.NotRunBecause(outcome.ReasonQuarantined)
-	o.RetryAfter = left
+	o.RetryAfter = remaining
 	return o, refused
 }
 
 // suspect reports the death of an upstream that ran the request.
-func (e *Entry) suspect(req *request, up model.Upstream, a *wire.Answer) {
-	if e.opts.Quarantine != nil && a.Outcome.Reason == outcome.ReasonUpstreamCrashed {
-		death := quarantine.Death{Upstream: up.ID, Incarnation: up.Incarnation}
-		e.opts.Quarantine.Died(req.fingerprint(), req.asked(), death)
+func (e *Entry) recordCrash(req *request, upstream model.Upstream, response *wire.Answer) {
+	if e.opts.Quarantine != nil && response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
+		crash := quarantine.Death{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
+		e.opts.Quarantine.Died(req.fingerprint(), req.quarantineRequest(), crash)
 	}
 }
 
 // clear frees the request of suspicion once its answer is whole.
-func (e *Entry) clear(req *request, o outcome.Outcome) {
+func (e *Entry) clearCrashes(req *request, o outcome.Outcome) {
 	if e.opts.Quarantine != nil && o.Kind == outcome.Answered && e.opts.Quarantine.Watching() {
 		e.opts.Quarantine.Answered(req.fingerprint())
 	}
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -13,33 +13,33 @@
 )
 
 // ledger is a Quarantine that refuses a request after two deaths.
-type ledger struct {
-	deaths  map[quarantine.Fingerprint][]quarantine.Death
-	cleared []quarantine.Fingerprint
+type quarantineStub struct {
+	crashes  map[quarantine.Fingerprint][]quarantine.Death
+	answered []quarantine.Fingerprint
 }
 
-func (l *ledger) Watching() bool { return len(l.deaths) > 0 }
+func (q *quarantineStub) Watching() bool { return len(q.crashes) > 0 }
 
-func (l *ledger) Refused(f quarantine.Fingerprint) (time.Duration, bool) {
-	return 90 * time.Second, len(l.deaths[f]) >= 2
+func (q *quarantineStub) Refused(f quarantine.Fingerprint) (time.Duration, bool) {
+	return 90 * time.Second, len(q.crashes[f]) >= 2
 }
 
-func (l *ledger) Died(f quarantine.Fingerprint, _ quarantine.Request, d quarantine.Death) {
-	l.deaths[f] = append(l.deaths[f], d)
+func (q *quarantineStub) Died(f quarantine.Fingerprint, _ quarantine.Request, crash quarantine.Death) {
+	q.crashes[f] = append(q.crashes[f], crash)
 }
 
-func (l *ledger) Answered(f quarantine.Fingerprint) { l.cleared = append(l.cleared, f) }
+func (q *quarantineStub) Answered(f quarantine.Fingerprint) { q.answered = append(q.answered, f) }
 
-func TestKillerCostsTwoUpstreamsAtMost(t *testing.T) {
-	kills := true
-	c := newChain(t, 1, func(call *wire.Call) *wire.Answer {
-		if kills {
+func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
+	crashing := true
+	c := newServiceChain(t, 1, func(call *wire.Call) *wire.Answer {
+		if crashing {
 			return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonUpstreamCrashed))
 		}
-		return answered(call)
+		return respondOK(call)
 	})
-	l := &ledger{deaths: make(map[quarantine.Fingerprint][]quarantine.Death)}
-	c.entry.opts.Quarantine = l
+	fakeQuarantine := &quarantineStub{crashes: make(map[quarantine.Fingerprint][]quarantine.Death)}
+	c.entry.opts.Quarantine = fakeQuarantine
 	w := c.send(0, nil)
 	require.Equal(t, "unknown", w.Header().Get(wire.HeaderOutcome))
 	require.EqualValues(t, outcome.ReasonUpstreamCrashed, w.Header().Get(wire.HeaderReason))
@@ -51,10 +51,10 @@
 	require.EqualValues(t, outcome.ReasonQuarantined, w.Header().Get(wire.HeaderReason))
 	require.Equal(t, "90", w.Header().Get("Retry-After"))
 
-	kills = false
+	crashing = false
 	require.Equal(t, http.StatusServiceUnavailable, c.send(0, map[string]string{wire.HeaderTimeout: "1s"}).Code,
 		"headers do not tell requests apart")
 	c.path = "/other"
 	require.Equal(t, http.StatusOK, c.send(0, nil).Code)
-	require.Len(t, l.cleared, 1, "what is answered in full is cleared")
+	require.Len(t, fakeQuarantine.answered, 1, "what is answered in full is cleared")
 }
--- a/entry/remote.go
+++ b/entry/remote.go
@@ -52,12 +52,12 @@
 	a, err := wire.ReadAnswer(resp, c.ID)
 	if err != nil {
 		_ = resp.Body.Close()
-		return wire.NoAnswer(unbound(err))
+		return wire.NoAnswer(readErrorOutcome(err))
 	}
 	return a
 }
 
-func unbound(err error) outcome.Outcome {
+func readErrorOutcome(err error) outcome.Outcome {
 	if errors.Is(err, wire.ErrNotBound) {
 		return outcome.UnknownBecause(outcome.ReasonConnectionLost)
 	}
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -18,30 +18,30 @@
 )
 
 // retries rations the retries of each service. It is safe for concurrent use.
-type retries struct {
-	now    func() model.Instant
-	counts map[retry.Verdict]tally.Counter
+type retryBudgets struct {
+	now       func() model.Instant
+	decisions map[retry.Verdict]tally.Counter
 
 	mu sync.Mutex
 	// budgets holds declared services only.
 	budgets map[model.ServiceName]*retry.Budget
 }
 
-func newRetries(now func() model.Instant, scope tally.Scope) *retries {
-	r := &retries{
-		now:     now,
-		counts:  make(map[retry.Verdict]tally.Counter),
-		budgets: make(map[model.ServiceName]*retry.Budget),
+func newRetryBudgets(now func() model.Instant, scope tally.Scope) *retryBudgets {
+	r := &retryBudgets{
+		now:       now,
+		decisions: make(map[retry.Verdict]tally.Counter),
+		budgets:   make(map[model.ServiceName]*retry.Budget),
 	}
 	scope = telemetry.OrNoop(scope)
 	for _, v := range []retry.Verdict{retry.Allowed, retry.Spent, retry.Storm, retry.TooLate} {
-		r.counts[v] = scope.Tagged(map[string]string{"verdict": v.String()}).Counter("retries")
+		r.decisions[v] = scope.Tagged(map[string]string{"verdict": v.String()}).Counter("retries")
 	}
 	return r
 }
 
 // request counts a request to a service.
-func (r *retries) request(s *policy.Service) {
+func (r *retryBudgets) countRequest(s *policy.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.budgets[s.Name]
@@ -54,46 +54,46 @@
 }
 
 // attempt counts how an attempt of a counted request ended.
-func (r *retries) attempt(s *policy.Service, a *wire.Answer) {
+func (r *retryBudgets) countAttempt(s *policy.Service, response *wire.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	failed := a.Outcome.Kind != outcome.Answered || a.Status >= http.StatusInternalServerError
+	failed := response.Outcome.Kind != outcome.Answered || response.Status >= http.StatusInternalServerError
 	r.budgets[s.Name].Attempt(r.now(), failed)
 }
 
 // wait returns how long to wait before a retry, and whether there may be one.
-func (r *retries) wait(req *request, number int, o outcome.Outcome) (time.Duration, bool) {
+func (r *retryBudgets) backoff(req *request, retryNumber int, o outcome.Outcome) (time.Duration, bool) {
 	if o.Costless() {
 		return 0, req.deadline > r.now()
 	}
-	wait, ok := retry.Backoff(number, req.deadline.Sub(r.now()), rand.Float64())
-	verdict := retry.TooLate
+	wait, ok := retry.Backoff(retryNumber, req.deadline.Sub(r.now()), rand.Float64())
+	decision := retry.TooLate
 	if ok {
 		r.mu.Lock()
-		verdict = r.budgets[req.service.Name].Allow(r.now())
+		decision = r.budgets[req.service.Name].Allow(r.now())
 		r.mu.Unlock()
 	}
-	r.counts[verdict].Inc(1)
-	return wait, verdict == retry.Allowed
+	r.decisions[decision].Inc(1)
+	return wait, decision == retry.Allowed
 }
 
 // again reports whether to send the request once more after an attempt, and
 // waits as long as that takes.
-func (e *Entry) again(ctx context.Context, req *request, a *wire.Answer, attempt int) bool {
-	if attempt+1 >= maxAttempts || !a.Outcome.MayRetry(req.idempotent) || !a.Outcome.Elsewhere() {
+func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Answer, attempt int) bool {
+	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.Elsewhere() {
 		return false
 	}
-	if !req.body.rewind() || ctx.Err() != nil {
+	if !req.body.replayable() || ctx.Err() != nil {
 		return false
 	}
-	if a.Outcome.Reason == outcome.ReasonUpstreamCrashed {
+	if response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
 		// A second upstream may be lost to a request, not a third.
 		req.crashes++
 		if req.crashes > 1 {
 			return false
 		}
 	}
-	wait, ok := e.retries.wait(req, attempt+1, a.Outcome)
+	wait, ok := e.retries.backoff(req, attempt+1, response.Outcome)
 	if !ok || wait <= 0 {
 		return ok
 	}
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -31,12 +31,12 @@
 
 // serviceRouter is the router of one service.
 type serviceRouter struct {
-	mu         sync.Mutex
-	router     *routing.Router
-	policy     string
-	generation uint64
-	filled     bool
-	counters   *routingCounters
+	mu              sync.Mutex
+	router          *routing.Router
+	policy          string
+	generation      uint64
+	upstreamsLoaded bool
+	counters        *routingCounters
 }
 
 // NewRouters returns a Routers over a membership view. opts.Policy holds for
@@ -62,12 +62,12 @@
 
 // Place chooses the upstream for a request that guards have given back the
 // given number of times. See routing.Router.Place.
-func (r *Routers) Place(req model.Request, exclude []model.UpstreamID, bounced int) (routing.Choice, bool) {
+func (r *Routers) Place(req model.Request, exclude []model.UpstreamID, rejections int) (routing.Choice, bool) {
 	s := r.service(req.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.refresh(s, req.Service)
-	return s.router.Place(r.now(), req, exclude, bounced)
+	return s.router.Place(r.now(), req, exclude, rejections)
 }
 
 // HedgeDelay returns how long to wait for an answer before the request is
@@ -81,19 +81,19 @@
 
 // Hedge chooses a second upstream for a request that was sent to the first at
 // the given instant. See routing.Router.Hedge.
-func (r *Routers) Hedge(first model.Upstream, sent model.Instant, exclude []model.UpstreamID) (routing.Choice, bool) {
+func (r *Routers) Hedge(first model.Upstream, sentAt model.Instant, exclude []model.UpstreamID) (routing.Choice, bool) {
 	s := r.service(first.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.router.Hedge(r.now(), first.ID, sent, exclude)
+	return s.router.Hedge(r.now(), first.ID, sentAt, exclude)
 }
 
 // Done tells how an attempt went.
-func (r *Routers) Done(up model.Upstream, reply routing.Reply) {
-	s := r.service(up.Service)
+func (r *Routers) Done(upstream model.Upstream, reply routing.Reply) {
+	s := r.service(upstream.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.router.Done(r.now(), up.ID, reply)
+	s.router.Done(r.now(), upstream.ID, reply)
 	s.counters.update(s.router.Stats())
 }
 
@@ -114,13 +114,13 @@
 	if p := r.policyOf(name); p != s.policy {
 		s.rebuild(r, p)
 	}
-	if s.filled && s.generation == r.view.Generation() {
+	if s.upstreamsLoaded && s.generation == r.view.Generation() {
 		return
 	}
-	ups, generation := r.view.Upstreams(name)
-	s.router.SetUpstreams(r.now(), ups)
+	upstreams, generation := r.view.Upstreams(name)
+	s.router.SetUpstreams(r.now(), upstreams)
 	s.generation = generation
-	s.filled = true
+	s.upstreamsLoaded = true
 }
 
 // rebuild starts a router with the named policy. A name that does not exist,
@@ -138,6 +138,6 @@
 	if err != nil {
 		panic(err)
 	}
-	s.router, s.policy, s.filled = router, name, false
-	s.counters.last = routing.Stats{}
+	s.router, s.policy, s.upstreamsLoaded = router, name, false
+	s.counters.exported = routing.Stats{}
 }
--- a/entry/routers_test.go
+++ b/entry/routers_test.go
@@ -10,8 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-func TestRoutersFollowTheServicesPolicy(t *testing.T) {
-	view := fixedView{
+func TestRoutersUseTheServicesPolicy(t *testing.T) {
+	view := staticView{
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6},
 		{ID: "s-2", Service: "s", Incarnation: 1, Slots: 6},
 	}
--- a/entry/routing_counters.go
+++ b/entry/routing_counters.go
@@ -9,10 +9,10 @@
 
 // routingCounters export what a router has decided.
 type routingCounters struct {
-	last                                routing.Stats
-	picks, bounces, spills              tally.Counter
-	ejections, panics                   tally.Counter
-	hedges, hedgesRefused, noneUpstream tally.Counter
+	exported                          routing.Stats
+	picks, bounces, spills            tally.Counter
+	ejections, panics                 tally.Counter
+	hedges, hedgesRefused, noUpstream tally.Counter
 }
 
 func newRoutingCounters(scope tally.Scope, s model.ServiceName) *routingCounters {
@@ -25,25 +25,25 @@
 		panics:        scope.Counter("panics"),
 		hedges:        scope.Counter("hedges"),
 		hedgesRefused: scope.Counter("hedges_refused"),
-		noneUpstream:  scope.Counter("no_upstream"),
+		noUpstream:    scope.Counter("no_upstream"),
 	}
 }
 
 // update counts what was decided since the last update.
-func (c *routingCounters) update(now routing.Stats) {
-	last := c.last
-	c.last = now
-	add(c.picks, now.Picks-last.Picks)
-	add(c.bounces, now.Bounces-last.Bounces)
-	add(c.spills, now.Spills-last.Spills)
-	add(c.ejections, now.Ejections-last.Ejections)
-	add(c.panics, now.Panics-last.Panics)
-	add(c.hedges, now.Hedges-last.Hedges)
-	add(c.hedgesRefused, now.HedgesRefused-last.HedgesRefused)
-	add(c.noneUpstream, now.NoUpstream-last.NoUpstream)
+func (c *routingCounters) update(stats routing.Stats) {
+	last := c.exported
+	c.exported = stats
+	addTo(c.picks, stats.Picks-last.Picks)
+	addTo(c.bounces, stats.Bounces-last.Bounces)
+	addTo(c.spills, stats.Spills-last.Spills)
+	addTo(c.ejections, stats.Ejections-last.Ejections)
+	addTo(c.panics, stats.Panics-last.Panics)
+	addTo(c.hedges, stats.Hedges-last.Hedges)
+	addTo(c.hedgesRefused, stats.HedgesRefused-last.HedgesRefused)
+	addTo(c.noUpstream, stats.NoUpstream-last.NoUpstream)
 }
 
-func add(c tally.Counter, n uint64) {
+func addTo(c tally.Counter, n uint64) {
 	if n > 0 {
 		c.Inc(int64(n))
 	}
