--- a/entry/answer.go
+++ b/entry/answer.go
@@ -12,8 +12,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// writeAnswer answers a caller. A body that breaks off aborts the connection,
-// so that a truncated answer never looks complete.
+// writeResponse writes the response to the caller. When the upstream's body is
+// truncated it aborts the connection, so that the caller does not take the
+// response for complete.
 func writeResponse(w http.ResponseWriter, response *wire.Answer) {
 	defer func() { _ = response.Body.Close() }()
 	if response.Outcome.Kind != outcome.Answered {
@@ -30,8 +31,9 @@
 	}
 }
 
-// stripOwn removes the headers that only daemons set towards callers, and those
-// meant for daemons. An upstream may have copied them from a nested answer.
+// stripDaemonHeaders removes the headers that only a daemon may set on responses
+// to callers, and those that are meant for daemons only. An upstream may have
+// copied them from the response to a nested call.
 func stripDaemonHeaders(h http.Header) {
 	for _, name := range []string{wire.HeaderOutcome, wire.HeaderReason, wire.HeaderCallToken, wire.HeaderRefused} {
 		h.Del(name)
@@ -52,12 +54,12 @@
 
 const (
 	problemTypePrefix = "https://dottereltiller.example/problems/"
-	// comeBack is the advice where a later try may help and nothing better is
-	// known.
+	// defaultRetryAfter is the Retry-After value when a retry may succeed but the
+	// outcome holds no value.
 	defaultRetryAfter = time.Second
 )
 
-// titles are the short words for the outcomes that are no answers.
+// titles are the problem titles of the outcomes other than Answered.
 var titles = map[outcome.Kind]string{
 	outcome.NotRun:  "The request did not run",
 	outcome.Unknown: "It is not known whether the request ran",
@@ -84,7 +86,7 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// retryAfter returns the advice in whole seconds, 0 for none.
+// retryAfterSeconds returns the Retry-After value in whole seconds, 0 for none.
 func retryAfterSeconds(o outcome.Outcome) int {
 	retryAfter := o.RetryAfter
 	if status := statusOf(o); retryAfter <= 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
@@ -93,7 +95,8 @@
 	return int(math.Ceil(retryAfter.Seconds()))
 }
 
-// statuses are the statuses of reasons that have one of their own.
+// statusByReason holds the HTTP status of the reasons for which the general
+// status of the outcome is too unspecific.
 var statusByReason = map[outcome.Reason]int{
 	outcome.ReasonNoService:        http.StatusNotFound,
 	outcome.ReasonUnauthenticated:  http.StatusUnauthorized,
@@ -115,8 +118,8 @@
 	outcome.ReasonKeyMismatch:      http.StatusUnprocessableEntity,
 }
 
-// statusOf returns the status of an outcome that is no answer: the reason's
-// own, else 503 for what did not run and 502 for what may have.
+// statusOf returns the HTTP status for an outcome other than Answered: that of
+// its reason, or else 503 when the request did not run and 502 when it may have.
 func statusOf(o outcome.Outcome) int {
 	if status, ok := statusByReason[o.Reason]; ok {
 		return status
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -17,8 +17,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// TestEveryReasonIsDocumented holds the callers' page to the reasons and
-// statuses that daemons give.
+// TestEveryReasonIsDocumented checks that docs/CALLERS.md lists every reason with
+// its statuses and its detail text.
 func TestEveryReasonIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/CALLERS.md")
 	require.NoError(t, err)
@@ -40,9 +40,9 @@
 		retryAfter string
 		title      string
 	}{
-		{"with advice", outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonQueueFull, RetryAfter: 1500 * time.Millisecond}, 429, "2", "The request did not run"},
-		{"with the usual advice", outcome.NotRunBecause(outcome.ReasonDraining), 503, "1", "The request did not run"},
-		{"no use to come back", outcome.NotRunBecause(outcome.ReasonForbidden), 403, "", "The request did not run"},
+		{"Retry-After of the outcome", outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonQueueFull, RetryAfter: 1500 * time.Millisecond}, 429, "2", "The request did not run"},
+		{"default Retry-After", outcome.NotRunBecause(outcome.ReasonDraining), 503, "1", "The request did not run"},
+		{"no Retry-After", outcome.NotRunBecause(outcome.ReasonForbidden), 403, "", "The request did not run"},
 		{"unknown", outcome.UnknownBecause(outcome.ReasonConnectionLost), 502, "", "It is not known whether the request ran"},
 	}
 	for _, tt := range tests {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestUpstreamCannotSpeakForTheDaemon lets an upstream set the headers that
-// only daemons set.
+// TestDaemonHeadersFromUpstreamAreStripped has an upstream set headers that only
+// a daemon may set.
 func TestDaemonHeadersFromUpstreamAreStripped(t *testing.T) {
 	a := wire.NoAnswer(outcome.Done())
 	a.Status = http.StatusServiceUnavailable
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -10,10 +10,11 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// attempt sends the request to an upstream that is not in tried and returns its
-// answer. A guard that cannot start the request at once may give it back; then
-// it goes on to the next choice within the same attempt, since it did not run.
-// It reports false when no upstream may take the request.
+// attempt sends the request to an upstream that is not in tried and returns the
+// response and the upstream. A guard may reject a request that does not start
+// within its queue timeout. Such a request did not run, so attempt sends it to
+// the next upstream that the router chooses. attempt reports false when no
+// upstream may take the request.
 func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, number int) (*wire.Answer, model.UpstreamID, bool) {
 	for rejections := req.initialRejections(); ; rejections++ {
 		choice, ok := e.opts.Routers.Place(req.modelRequest(number), tried, rejections)
@@ -28,8 +29,10 @@
 	}
 }
 
-// firstBounce is how often the request counts as given back before it is sent:
-// a body that cannot be sent again must wait at the first guard.
+// initialRejections returns the number of rejections that the router is to assume
+// for the first choice. A body that cannot be replayed can be sent only once. Its
+// request starts with the maximum, so that it waits at the first guard instead of
+// being rejected.
 func (r *request) initialRejections() int {
 	if r.body.replayable() {
 		return 0
@@ -37,7 +40,8 @@
 	return routing.MaxBounces
 }
 
-// sendOnce forwards the request as chosen and tells the router how it went.
+// sendOnce sends the request to the chosen upstream and reports the result to
+// the router.
 func (e *Entry) sendOnce(ctx context.Context, req *request, choice routing.Choice, attempt int, hedge bool) *wire.Answer {
 	upstream := choice.Upstream
 	call := req.call(upstream, attempt)
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -21,7 +21,8 @@
 func (v staticView) Upstreams(model.ServiceName) ([]model.Upstream, uint64) { return v, 1 }
 func (v staticView) Generation() uint64                                     { return 1 }
 
-// fullGuards give back every call that does not wait.
+// rejectingGuard rejects every call that has a queue timeout, and answers all
+// others.
 type rejectingGuard struct{ calls []*wire.Call }
 
 func (g *rejectingGuard) Do(_ context.Context, c *wire.Call) *wire.Answer {
@@ -62,8 +63,8 @@
 	assert.True(t, ok)
 	assert.Equal(t, outcome.Answered, a.Outcome.Kind)
 	assert.Len(t, g.calls, routing.MaxBounces+1)
-	assert.False(t, g.calls[routing.MaxBounces].HasPatience, "the last one waits")
-	assert.NotEqual(t, g.calls[0].ID, g.calls[1].ID, "each sending has its own id")
+	assert.False(t, g.calls[routing.MaxBounces].HasPatience, "the last call waits until its deadline")
+	assert.NotEqual(t, g.calls[0].ID, g.calls[1].ID, "each call has its own ID")
 }
 
 func TestStreamedBodyIsSentOnce(t *testing.T) {
--- a/entry/body.go
+++ b/entry/body.go
@@ -9,15 +9,16 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// body is a request body that is held whole when small, so that it can be sent
-// again, and streamed once otherwise.
+// body is a request body. A small body is buffered, so that it can be replayed
+// for a retry. A larger one is streamed and can be sent only once.
 type body struct {
 	data   []byte
 	stream io.Reader
 	length int64
 }
 
-// readBody takes in a body of the announced length, -1 when unknown.
+// readBody reads a body whose Content-Length is length, -1 when unknown. It
+// returns the reason when the request must be refused.
 func readBody(r io.Reader, length int64) (*body, outcome.Reason) {
 	if length == 0 {
 		return &body{}, outcome.ReasonNone
@@ -32,6 +33,8 @@
 	return &body{stream: io.MultiReader(bytes.NewReader(start), r), length: length}, outcome.ReasonNone
 }
 
+// bodyErrorReason returns the reason to refuse a request whose body could not be
+// read.
 func bodyErrorReason(err error) outcome.Reason {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -40,7 +43,8 @@
 	return outcome.ReasonBadRequest
 }
 
-// reader returns the body for one attempt, nil when there is none.
+// reader returns a reader of the body for one attempt, and its length. The reader
+// is nil when there is no body.
 func (b *body) reader() (io.Reader, int64) {
 	switch {
 	case b.stream != nil:
@@ -52,5 +56,5 @@
 	}
 }
 
-// rewind reports whether the body can be sent again.
+// replayable reports whether the body can be sent more than once.
 func (b *body) replayable() bool { return b.stream == nil }
--- a/entry/classify.go
+++ b/entry/classify.go
@@ -10,8 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// classify finds out what a request asks for and on whose behalf. It returns
-// the outcome when the request is refused.
+// classify determines the service, caller, group and deadline of a request. It
+// returns an outcome when the request must be refused.
 func (e *Entry) classify(w http.ResponseWriter, r *http.Request) (*request, *outcome.Outcome) {
 	inForce := e.opts.Config()
 	if inForce == nil {
@@ -59,6 +59,8 @@
 	return &o
 }
 
+// serviceOf returns the service that the service header names, or else the
+// service of the request's host.
 func serviceOf(set *policy.Set, r *http.Request) (*policy.Service, bool) {
 	name := model.ServiceName(r.Header.Get(wire.HeaderService))
 	if name == "" {
@@ -70,8 +72,9 @@
 	return set.Service(name)
 }
 
-// timeoutOf returns the time that the caller gives the request, at most the
-// service's own.
+// timeoutOf returns the timeout of a request: the value of its timeout header, at
+// most limit, or limit when there is no such header. It reports false when the
+// header is invalid.
 func timeoutOf(r *http.Request, limit time.Duration) (time.Duration, bool) {
 	s := r.Header.Get(wire.HeaderTimeout)
 	if s == "" {
@@ -84,6 +87,8 @@
 	return min(d, limit), true
 }
 
+// idempotentOf reports whether a request may run more than once, as its header
+// says or else the configuration of the service.
 func idempotentOf(r *http.Request, svc *policy.Service) bool {
 	switch r.Header.Get(wire.HeaderIdempotent) {
 	case "true":
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,4 +1,6 @@
-// Package entry takes callers' requests. It names the caller's group, picks an
-// upstream, sends the call to that upstream's guard, retries where that is
-// safe, and answers with a truthful outcome.
+// Package entry implements the part of a daemon that accepts callers' requests.
+// The entry determines the group of the caller, picks an upstream and forwards
+// the request to the guard of that upstream, the proxy on the upstream's VM; see
+// package guard. It retries where that is safe, and tells the caller whether the
+// request was answered, did not run, or may have run (unknown).
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -16,7 +16,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Forwarder sends a call to the guard of its upstream.
+// Forwarder forwards a call to the guard of its upstream.
 type Forwarder interface {
 	Do(ctx context.Context, c *wire.Call) *wire.Answer
 }
@@ -25,47 +25,55 @@
 type Options struct {
 	// Now reads the monotonic clock.
 	Now func() model.Instant
-	// Config returns the configuration in force, nil before the first.
+	// Config returns the configuration in force. It returns nil until a first
+	// configuration has been loaded.
 	Config func() *configuration.InForce
-	// Routers picks upstreams.
+	// Routers chooses upstreams.
 	Routers *Routers
-	// Local forwards to guards in this process; Remote to others.
+	// Local forwards to the guard of this daemon. Remote returns the Forwarder
+	// to the guard of another daemon.
 	Local  Forwarder
 	Remote func(model.DaemonID) Forwarder
-	// Self is this daemon.
+	// Self is the ID of this daemon.
 	Self model.DaemonID
 	// MaxBody bounds request bodies, in bytes. Default: 8 MiB.
 	MaxBody int64
-	// Ceilings holds groups to their ceilings. Nil means there are none.
+	// Ceilings enforces the ceilings of groups. Nil means no ceilings.
 	Ceilings Ceilings
-	// Quarantine knows the requests that kill upstreams. Nil means none are.
+	// Quarantine keeps track of the requests that crash upstreams. Nil means that
+	// no request is quarantined.
 	Quarantine Quarantine
-	// Tokens checks the tokens of nested calls. Nil refuses them.
+	// Tokens verifies the call tokens of nested calls, that is of requests that an
+	// upstream makes while it serves a request. Nil means that they are refused.
 	Tokens *calltoken.Signer
-	// Scope receives the counters. Nil means none.
+	// Scope receives the metrics. Nil means that none are recorded.
 	Scope tally.Scope
-	// Keyed takes non-idempotent requests with a key. Nil refuses them.
+	// Keyed forwards non-idempotent requests with an idempotency key. Nil means
+	// that they are refused.
 	Keyed Keyed
-	// MaxKeyedBody bounds the bodies of such requests, in bytes, which are held
-	// whole. Default: 256 KiB.
+	// MaxKeyedBody bounds the bodies of requests that are passed to Keyed, in
+	// bytes. These bodies are buffered. Default: 256 KiB.
 	MaxKeyedBody int64
 }
 
-// Ceilings holds groups to their ceilings over all daemons.
+// Ceilings enforces the ceilings of groups: limits on the rate and concurrency of
+// a group's requests over all daemons.
 type Ceilings interface {
-	// Enter asks to let in a request. When it reports true, leave must be
-	// called once the request has ended; otherwise wait is for the caller.
+	// Enter reports whether a request of the group may proceed. If so, release
+	// must be called once the request has ended. If not, wait is the time after
+	// which the caller may try again.
 	Enter(model.ServiceName, model.GroupName) (release func(), wait time.Duration, ok bool)
 }
 
 const (
 	defaultMaxBody = 8 << 20
 	maxAttempts    = 3
-	// replayable is the largest body kept for a retry, in bytes.
+	// maxReplayableBody is the largest body that is buffered for retries, in
+	// bytes.
 	maxReplayableBody = 64 << 10
 )
 
-// Entry serves callers. It is safe for concurrent use.
+// Entry is the HTTP handler for callers' requests. It is safe for concurrent use.
 type Entry struct {
 	opts    Options
 	metrics *metrics
@@ -83,7 +91,7 @@
 	return &Entry{opts: opts, metrics: newMetrics(opts.Scope), retries: newRetryBudgets(opts.Now, opts.Scope)}
 }
 
-// ServeHTTP answers one caller's request.
+// ServeHTTP implements http.Handler.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req, refusal := e.classify(w, r)
 	if requestsUpgrade(r) {
@@ -96,7 +104,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), req.timeout)
 	defer cancel()
-	// Until the whole answer has been written its outcome is unknown.
+	// The outcome stays unknown until the complete response has been written.
 	result := outcome.UnknownBecause(outcome.ReasonTruncated)
 	startedAt := e.opts.Now()
 	defer func() { e.metrics.recordRequest(req, result, e.opts.Now().Sub(startedAt)) }()
@@ -109,7 +117,8 @@
 	e.clearCrashes(req, result)
 }
 
-// withinCeiling answers the request unless its group is at its ceiling.
+// answerWithinCeiling forwards the request, or refuses it when its group is at
+// its ceiling.
 func (e *Entry) answerWithinCeiling(ctx context.Context, req *request) *wire.Answer {
 	if e.opts.Ceilings == nil {
 		return e.handle(ctx, req)
@@ -134,17 +143,19 @@
 	timeout    time.Duration
 	deadline   model.Instant
 	body       *body
-	// depth is the number of calls above this one.
+	// depth is the nesting depth: the number of calls that led to this one.
 	depth int
-	// leave ends the request's stay within its ceiling. Nil when it has none.
+	// releaseCeiling releases what Ceilings.Enter reserved. It is nil when no
+	// ceilings are enforced.
 	releaseCeiling func()
-	// print is the request's fingerprint.
+	// cachedFingerprint holds the result of fingerprint.
 	cachedFingerprint lazyFingerprint
-	// crashes counts the upstreams that died while they ran the request.
+	// crashes counts the upstreams that crashed while they ran the request.
 	crashes int
 }
 
-// forward tries upstreams until one answers or no retry is safe.
+// forward sends the request to upstreams until one answers or no further retry
+// is allowed.
 func (e *Entry) forward(ctx context.Context, req *request) *wire.Answer {
 	var tried []model.UpstreamID
 	last := wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNoUpstream))
@@ -167,6 +178,7 @@
 	}
 }
 
+// forwarder returns the Forwarder to the guard of an upstream.
 func (e *Entry) forwarder(upstream model.Upstream) Forwarder {
 	if upstream.Daemon == e.opts.Self {
 		return e.opts.Local
@@ -185,6 +197,7 @@
 	}
 }
 
+// call returns the call that forwards the request to an upstream.
 func (r *request) call(upstream model.Upstream, attempt int) *wire.Call {
 	h := r.http.Header.Clone()
 	wire.StripHop(h)
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -11,9 +11,10 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// send forwards the request as chosen. When the router says so, an idempotent
-// request that outlasts a delay is sent to a second upstream as well; the first
-// whole answer counts and the other sending is cancelled.
+// send sends the request to the chosen upstream. When the router gives a hedge
+// delay, and there is no response within it, the request is also sent to a second
+// upstream. The first successful response is returned and the other attempt is
+// cancelled. The router gives a delay only for idempotent requests.
 func (e *Entry) send(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Answer {
 	delay, ok := e.opts.Routers.HedgeDelay(req.modelRequest(attempt))
 	if !ok || !req.body.replayable() {
@@ -54,8 +55,9 @@
 	return firstResponse.EndOnClose(cancelFirst)
 }
 
-// hedge sends the request to a second upstream. It returns nil when there is
-// none, when the budget forbids it, or when the request is settled already.
+// sendHedge sends the request to a second upstream. It returns nil when there is
+// no other upstream, when the hedge budget is exhausted, or when ctx has been
+// cancelled because the first attempt has ended.
 func (e *Entry) sendHedge(ctx context.Context, req *request, first routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Answer {
 	if ctx.Err() != nil {
 		return nil
@@ -68,11 +70,13 @@
 	return e.sendOnce(ctx, req, choice, attempt, true)
 }
 
-// good reports whether an answer settles the request.
+// succeeded reports whether the response was answered without a server error, so
+// that no other attempt is needed.
 func succeeded(response *wire.Answer) bool {
 	return response != nil && response.Outcome.Kind == outcome.Answered && response.Status < http.StatusInternalServerError
 }
 
+// closeHedge closes the response of a hedge that is no longer needed.
 func closeHedge(hedgeResult <-chan *wire.Answer) {
 	if response := <-hedgeResult; response != nil {
 		_ = response.Body.Close()
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -18,8 +18,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// oneStuck answers in a millisecond, but for the upstream that is stuck until
-// its calls are cancelled.
+// forwarderWithStuckUpstream answers each call after a millisecond, except calls
+// to the stuck upstream, which do not return until they are cancelled.
 type forwarderWithStuckUpstream struct {
 	mu            sync.Mutex
 	stuckUpstream model.UpstreamID
@@ -46,8 +46,8 @@
 	return a
 }
 
-// warmed returns an entry whose router knows the usual latency of both
-// upstreams.
+// newWarmEntry returns an entry whose router has learned the usual latency of
+// both upstreams, and a request to send.
 func newWarmEntry(g *forwarderWithStuckUpstream, idempotent bool) (*Entry, *request) {
 	origin := time.Now()
 	now := func() model.Instant { return model.Instant(time.Since(origin)) }
@@ -105,6 +105,6 @@
 			_ = a.Body.Close()
 			sent++
 		}
-		assert.Equal(t, total+sent, g.calls["s-1"]+g.calls["s-2"], "one sending each")
+		assert.Equal(t, total+sent, g.calls["s-1"]+g.calls["s-2"], "one call for each request")
 	})
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -13,16 +13,18 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Keyed sends keyed non-idempotent calls to the owners of their keys. The body
-// goes beside the call, since it may have to be sent more than once.
+// Keyed forwards non-idempotent calls that have an idempotency key to the daemon
+// that owns the key. The body is passed separately from the call, since it may
+// have to be sent more than once.
 type Keyed interface {
 	Do(ctx context.Context, c *wire.Call, body []byte) *wire.Answer
 }
 
 const defaultMaxKeyedBody = 256 << 10
 
-// answer gets the request's answer. A non-idempotent request with a key goes to
-// the owner of the key, all others straight to an upstream.
+// handle forwards a request and returns the response. A non-idempotent request
+// with an idempotency key goes to the owner of the key, any other request to an
+// upstream.
 func (e *Entry) handle(ctx context.Context, req *request) *wire.Answer {
 	if req.idempotent || len(req.http.Header[wire.HeaderIdempotencyKey]) == 0 {
 		return e.forward(ctx, req)
@@ -30,6 +32,8 @@
 	return e.handleKeyed(ctx, req)
 }
 
+// handleKeyed checks the idempotency key of a request and forwards the request to
+// the owner of the key.
 func (e *Entry) handleKeyed(ctx context.Context, req *request) *wire.Answer {
 	if e.opts.Keyed == nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNotReady))
@@ -50,7 +54,8 @@
 	return e.opts.Keyed.Do(ctx, c, body)
 }
 
-// whole returns the body in memory, at most limit bytes of it.
+// readAll returns the complete body. It returns a reason to refuse the request
+// when the body is longer than limit bytes or cannot be read.
 func (b *body) readAll(limit int64) ([]byte, outcome.Reason) {
 	if b.length > limit {
 		return nil, outcome.ReasonTooLarge
@@ -69,7 +74,7 @@
 	}
 }
 
-// hold returns a body that is whole in memory, so that it can be sent again.
+// bufferBody reads r completely and returns a body that can be replayed.
 func bufferBody(r io.Reader) (*body, error) {
 	if r == nil {
 		return &body{}, nil
@@ -78,8 +83,8 @@
 	return &body{data: data, length: int64(len(data))}, err
 }
 
-// Run sends a call whose key this daemon has claimed to an upstream, as if its
-// caller had sent it here.
+// Run forwards a call to an upstream as if its caller had sent it to this entry.
+// This daemon must own the idempotency key of the call and have claimed it.
 func (e *Entry) Run(ctx context.Context, c *wire.Call) *wire.Answer {
 	inForce := e.opts.Config()
 	if inForce == nil {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// metrics counts what callers were told.
+// metrics counts the outcomes of requests and attempts and records latencies.
 type metrics struct {
 	refused  *telemetry.OutcomeCounter
 	attempts *telemetry.OutcomeCounter
@@ -28,8 +28,8 @@
 	latency  tally.Timer
 }
 
-// maxGroups bounds the groups told apart over the life of the process; those
-// beyond are counted as one.
+// maxGroupMetrics is the largest number of groups that have metrics of their own
+// during the lifetime of the process. Further groups are counted together.
 const maxGroupMetrics = 4096
 
 func newMetrics(scope tally.Scope) *metrics {
@@ -49,7 +49,7 @@
 	}
 }
 
-// ended counts a classified request.
+// recordRequest records the outcome and latency of a classified request.
 func (m *metrics) recordRequest(req *request, o outcome.Outcome, latency time.Duration) {
 	g := m.groups.Of(groupKey{req.service.Name, req.group})
 	g.requests.Count(o)
--- a/entry/nested.go
+++ b/entry/nested.go
@@ -11,19 +11,20 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// origin tells on whose behalf a request is made.
+// requester identifies the caller on whose behalf a request is made.
 type requester struct {
 	caller policy.Caller
-	// depth is the number of calls above this one.
+	// depth is the nesting depth: the number of calls that led to this one.
 	depth int
-	// nested is set when a call token came with the request; left is then the
-	// most time that it may take.
+	// nested is set when the request has a call token. remaining is then the time
+	// left to the deadline in the token.
 	nested    bool
 	remaining time.Duration
 }
 
-// originOf finds out who caused a request: the caller named by its call token,
-// if it has one, else the caller that its credentials name.
+// requesterOf returns on whose behalf a request is made: that of the caller in its
+// call token, if it has one, or else that of the caller that its credentials
+// identify. It returns a reason when the request must be refused.
 func (e *Entry) requesterOf(set *policy.Set, r *http.Request) (requester, outcome.Reason) {
 	tokens := r.Header[wire.HeaderCallToken]
 	if len(tokens) == 0 {
@@ -51,7 +52,8 @@
 	return result, outcome.ReasonNone
 }
 
-// timeout caps the time that a request asks for by what its cause has left.
+// capTimeout caps the timeout of a nested call by the time that the outer request
+// has left.
 func (r requester) capTimeout(requested time.Duration) time.Duration {
 	if r.nested {
 		return min(requested, r.remaining)
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -22,8 +22,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// chain is a row of services, each of which calls the next; all share one
-// entry. What the last one answers is up to the test.
+// serviceChain is a chain of services, each of which calls the next through the
+// same entry. The test defines the response of the last service.
 type serviceChain struct {
 	t           *testing.T
 	entry       *Entry
@@ -71,8 +71,9 @@
 	return c
 }
 
-// Do plays guard and upstream: it calls the next service with the token that a
-// guard would have given, and passes a failure on as its own answer.
+// Do simulates the guard and the upstream. It calls the next service with the
+// token that a guard would have issued, and returns the response, even a failure,
+// as the upstream's own.
 func (c *serviceChain) Do(_ context.Context, call *wire.Call) *wire.Answer {
 	c.mu.Lock()
 	c.timeouts = append(c.timeouts, call.Timeout)
@@ -106,20 +107,22 @@
 	return w
 }
 
+// respondOK is a last service that answers with status 200.
 func respondOK(*wire.Call) *wire.Answer {
 	a := wire.NoAnswer(outcome.Done())
 	a.Status, a.Header = http.StatusOK, make(http.Header)
 	return a
 }
 
+// benchToken returns the header of a nested call on behalf of the caller "bench".
 func (c *serviceChain) benchToken(depth int, left time.Duration) map[string]string {
 	return map[string]string{wire.HeaderCallToken: c.tokens.Sign(calltoken.Token{
 		Caller: "bench", Group: "sorters", Depth: depth, Deadline: time.Now().Add(left), Left: left,
 	})}
 }
 
-// TestFailureAtDepthSixteenCostsTheBudget makes the deepest of sixteen services
-// refuse every attempt. Retried at every layer one request would cost 3^16.
+// TestFailureAtDepthSixteenIsNotAmplified makes the deepest of sixteen services
+// unreachable. If every layer retried, one request would cause 3^16 attempts.
 func TestFailureAtDepthSixteenIsNotAmplified(t *testing.T) {
 	fail := func(*wire.Call) *wire.Answer {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonConnect))
@@ -127,14 +130,14 @@
 	c := newServiceChain(t, calltoken.MaxDepth, fail)
 	w := c.send(0, nil)
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
-	require.LessOrEqual(t, c.attempts.Load(), int64(maxAttempts), "one failure costs the attempts of one layer")
+	require.LessOrEqual(t, c.attempts.Load(), int64(maxAttempts), "only one layer may retry")
 
 	const requests = 500
 	for range requests {
 		c.send(0, nil)
 	}
 	amplification := float64(c.attempts.Load()) / (requests + 1)
-	t.Logf("amplification at depth 16: %.3f attempts a request", amplification)
+	t.Logf("amplification at depth 16: %.3f attempts per request", amplification)
 	require.LessOrEqual(t, amplification, 1.1+10.0/requests)
 }
 
@@ -160,9 +163,9 @@
 		code    int
 		reason  outcome.Reason
 	}{
-		{"made up", map[string]string{wire.HeaderCallToken: "sorters"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
-		{"empty", map[string]string{wire.HeaderCallToken: ""}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
-		{"foreign", map[string]string{wire.HeaderCallToken: otherSecret}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
+		{"token of wrong format", map[string]string{wire.HeaderCallToken: "sorters"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
+		{"empty token", map[string]string{wire.HeaderCallToken: ""}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
+		{"token signed with another secret", map[string]string{wire.HeaderCallToken: otherSecret}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
 		{"too deep", c.benchToken(calltoken.MaxDepth, time.Second), http.StatusBadRequest, outcome.ReasonDepth},
 		{"past its deadline", c.benchToken(1, -time.Second), http.StatusGatewayTimeout, outcome.ReasonDeadline},
 		{"bad credentials without a token", map[string]string{"Authorization": "Bearer x"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
@@ -187,8 +190,9 @@
 	require.LessOrEqual(t, c.timeouts[0], chainDeadline)
 }
 
-// TestForgedGroupGainsNothing floods with the headers that name a group between
-// daemons.
+// TestForgedGroupHeadersAreIgnored sends the headers that daemons use among each
+// other to name a call's group. A caller must not be able to choose its group with
+// them.
 func TestForgedGroupHeadersAreIgnored(t *testing.T) {
 	c := newServiceChain(t, 1, respondOK)
 	forged := map[string]string{wire.HeaderGroup: "sorters", "Dottereltiller-Hop-Group": "sorters", "Dottereltiller-Hop-Caller": "bench"}
@@ -200,8 +204,9 @@
 	}
 }
 
-// TestNestedNotRunDoesNotReachTheOuterCaller passes a nested refusal on with
-// all its headers, as a careless upstream does: the outer request ran.
+// TestNestedNotRunOutcomeIsNotPassedToOuterCaller has an upstream copy the refusal
+// of a nested call, with all its headers, into its own response. The outer request
+// did run, so its outcome must not be "not run".
 func TestNestedNotRunOutcomeIsNotPassedToOuterCaller(t *testing.T) {
 	c := newServiceChain(t, 2, func(*wire.Call) *wire.Answer {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonQuarantined))
@@ -211,7 +216,8 @@
 	require.Empty(t, w.Header().Get(wire.HeaderReason))
 }
 
-// TestRetriesStopWhenAllFail sends to a set of upstreams that fail fast.
+// TestRetriesStopWhenAllUpstreamsFail sends requests to upstreams that all fail
+// at once. Retries must stop, since they would only add load.
 func TestRetriesStopWhenAllUpstreamsFail(t *testing.T) {
 	loseConnection := func(*wire.Call) *wire.Answer {
 		return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonConnectionLost))
@@ -223,5 +229,5 @@
 	}
 	retries := c.attempts.Load() - requests
 	t.Logf("%d retries for %d failing requests", retries, requests)
-	require.LessOrEqual(t, retries, int64(20), "off in a storm")
+	require.LessOrEqual(t, retries, int64(20), "retries are off while most attempts fail")
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -10,24 +10,28 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Quarantine knows the requests that kill upstreams.
+// Quarantine keeps track of requests that crash upstreams and says which are
+// refused.
 type Quarantine interface {
-	// Watching reports whether any request is suspected or refused.
+	// Watching reports whether any request is suspected of crashing upstreams or
+	// is quarantined. If not, no other method needs to be called.
 	Watching() bool
-	// Refused reports for how long yet a request is refused.
+	// Refused reports whether a request is quarantined, and for how much longer.
 	Refused(quarantine.Fingerprint) (time.Duration, bool)
-	// Died tells that an upstream died while it ran a request.
+	// Died records that an upstream crashed while it ran a request.
 	Died(quarantine.Fingerprint, quarantine.Request, quarantine.Death)
-	// Answered tells that a request was answered in full.
+	// Answered records that a request was answered completely, so that it is no
+	// longer suspected.
 	Answered(quarantine.Fingerprint)
 }
 
-// print takes a request's fingerprint once, when it is first asked for.
+// lazyFingerprint is a fingerprint that is computed on first use.
 type lazyFingerprint struct {
 	once  sync.Once
 	value quarantine.Fingerprint
 }
 
+// quarantineRequest returns the parts of the request that its fingerprint covers.
 func (r *request) quarantineRequest() quarantine.Request {
 	return quarantine.Request{
 		Service: r.service.Name,
@@ -44,8 +48,8 @@
 	return r.cachedFingerprint.value
 }
 
-// quarantined reports whether the request is refused because it kills
-// upstreams.
+// quarantined reports whether the request is refused because it crashes
+// upstreams, and returns the outcome in that case.
 func (e *Entry) quarantined(req *request) (outcome.Outcome, bool) {
 	if e.opts.Quarantine == nil || !e.opts.Quarantine.Watching() {
 		return outcome.Outcome{}, false
@@ -56,7 +60,8 @@
 	return o, refused
 }
 
-// suspect reports the death of an upstream that ran the request.
+// recordCrash reports to the quarantine that the upstream crashed while it ran
+// the request, if the response says so.
 func (e *Entry) recordCrash(req *request, upstream model.Upstream, response *wire.Answer) {
 	if e.opts.Quarantine != nil && response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
 		crash := quarantine.Death{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
@@ -64,7 +69,8 @@
 	}
 }
 
-// clear frees the request of suspicion once its answer is whole.
+// clearCrashes reports to the quarantine that the request was answered
+// completely, so that crashes recorded for it are forgotten.
 func (e *Entry) clearCrashes(req *request, o outcome.Outcome) {
 	if e.opts.Quarantine != nil && o.Kind == outcome.Answered && e.opts.Quarantine.Watching() {
 		e.opts.Quarantine.Answered(req.fingerprint())
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// ledger is a Quarantine that refuses a request after two deaths.
+// quarantineStub is a Quarantine that refuses a request after two crashes.
 type quarantineStub struct {
 	crashes  map[quarantine.Fingerprint][]quarantine.Death
 	answered []quarantine.Fingerprint
@@ -46,15 +46,15 @@
 	require.EqualValues(t, 2, c.attempts.Load())
 
 	w = c.send(0, nil)
-	require.EqualValues(t, 2, c.attempts.Load(), "its caller sends it again")
+	require.EqualValues(t, 2, c.attempts.Load(), "a retry by the caller is refused without an attempt")
 	require.Equal(t, "not-run", w.Header().Get(wire.HeaderOutcome))
 	require.EqualValues(t, outcome.ReasonQuarantined, w.Header().Get(wire.HeaderReason))
 	require.Equal(t, "90", w.Header().Get("Retry-After"))
 
 	crashing = false
 	require.Equal(t, http.StatusServiceUnavailable, c.send(0, map[string]string{wire.HeaderTimeout: "1s"}).Code,
-		"headers do not tell requests apart")
+		"the fingerprint does not cover the headers")
 	c.path = "/other"
 	require.Equal(t, http.StatusOK, c.send(0, nil).Code)
-	require.Len(t, fakeQuarantine.answered, 1, "what is answered in full is cleared")
+	require.Len(t, fakeQuarantine.answered, 1, "a complete response is reported to the quarantine")
 }
--- a/entry/remote.go
+++ b/entry/remote.go
@@ -15,12 +15,12 @@
 	Client *hop.Client
 	// Secret authenticates this daemon to the others.
 	Secret string
-	// Unreachable is told of a daemon whose connection failed while the call
-	// still had time. Nil means nobody.
+	// Unreachable is called with the ID of a daemon when a call to it failed
+	// before the call's context ended. It may be nil.
 	Unreachable func(model.DaemonID)
 }
 
-// To returns the Forwarder to one daemon.
+// To returns the Forwarder to the guard of a daemon.
 func (r *Remote) To(d model.DaemonID) Forwarder { return remoteGuard{remote: r, daemon: d} }
 
 type remoteGuard struct {
@@ -57,6 +57,8 @@
 	return a
 }
 
+// readErrorOutcome returns the outcome of a call whose response could not be
+// read.
 func readErrorOutcome(err error) outcome.Outcome {
 	if errors.Is(err, wire.ErrNotBound) {
 		return outcome.UnknownBecause(outcome.ReasonConnectionLost)
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -17,13 +17,14 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retries rations the retries of each service. It is safe for concurrent use.
+// retryBudgets holds the retry budget of each service. It is safe for concurrent
+// use.
 type retryBudgets struct {
 	now       func() model.Instant
 	decisions map[retry.Verdict]tally.Counter
 
 	mu sync.Mutex
-	// budgets holds declared services only.
+	// budgets is bounded, since it holds only services of the configuration.
 	budgets map[model.ServiceName]*retry.Budget
 }
 
@@ -40,7 +41,7 @@
 	return r
 }
 
-// request counts a request to a service.
+// countRequest counts a request to a service, which adds to its retry budget.
 func (r *retryBudgets) countRequest(s *policy.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +54,8 @@
 	b.Request()
 }
 
-// attempt counts how an attempt of a counted request ended.
+// countAttempt counts an attempt and whether it failed. countRequest must have
+// been called for the service.
 func (r *retryBudgets) countAttempt(s *policy.Service, response *wire.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +63,9 @@
 	r.budgets[s.Name].Attempt(r.now(), failed)
 }
 
-// wait returns how long to wait before a retry, and whether there may be one.
+// backoff returns how long to wait before a retry, and whether a retry is
+// allowed. A retry after an attempt that put no load on any upstream needs no
+// budget.
 func (r *retryBudgets) backoff(req *request, retryNumber int, o outcome.Outcome) (time.Duration, bool) {
 	if o.Costless() {
 		return 0, req.deadline > r.now()
@@ -77,8 +81,8 @@
 	return wait, decision == retry.Allowed
 }
 
-// again reports whether to send the request once more after an attempt, and
-// waits as long as that takes.
+// waitForRetry reports whether to retry the request after an attempt. If so, it
+// returns after the backoff.
 func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Answer, attempt int) bool {
 	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.Elsewhere() {
 		return false
@@ -87,7 +91,8 @@
 		return false
 	}
 	if response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
-		// A second upstream may be lost to a request, not a third.
+		// One retry after a crash is allowed: the request may crash a second
+		// upstream, but not a third.
 		req.crashes++
 		if req.crashes > 1 {
 			return false
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -10,14 +10,15 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// View is the membership view that a Routers follows.
+// View is the part of the membership view that Routers needs: the upstreams of a
+// service, and a generation that changes whenever any upstream does.
 type View interface {
 	Upstreams(model.ServiceName) ([]model.Upstream, uint64)
 	Generation() uint64
 }
 
-// Routers holds one router for each service that this entry calls. It is safe
-// for concurrent use.
+// Routers holds a routing.Router for each service that the entry has received
+// requests for. It is safe for concurrent use.
 type Routers struct {
 	view     View
 	now      func() model.Instant
@@ -39,8 +40,8 @@
 	counters        *routingCounters
 }
 
-// NewRouters returns a Routers over a membership view. opts.Policy holds for
-// services that name none.
+// NewRouters returns Routers that choose among the upstreams of a membership view.
+// opts.Policy is the routing policy of services that set none.
 func NewRouters(view View, now func() model.Instant, opts routing.Options) *Routers {
 	return &Routers{
 		view:     view,
@@ -52,16 +53,16 @@
 	}
 }
 
-// Follow sets where the routing policy of a service comes from; an empty name
-// means the default. It must be called before the first request.
+// Follow sets the function that returns the name of a service's routing policy;
+// an empty name means the default. It must be called before the first request.
 func (r *Routers) Follow(policyOf func(model.ServiceName) string) { r.policyOf = policyOf }
 
-// CountTo sets where decisions are counted. It must be called before the first
-// request.
+// CountTo sets the scope of the routing metrics. It must be called before the
+// first request.
 func (r *Routers) CountTo(scope tally.Scope) { r.scope = scope }
 
-// Place chooses the upstream for a request that guards have given back the
-// given number of times. See routing.Router.Place.
+// Place chooses the upstream for a request that guards have rejected the given
+// number of times. See routing.Router.Place.
 func (r *Routers) Place(req model.Request, exclude []model.UpstreamID, rejections int) (routing.Choice, bool) {
 	s := r.service(req.Service)
 	s.mu.Lock()
@@ -70,8 +71,8 @@
 	return s.router.Place(r.now(), req, exclude, rejections)
 }
 
-// HedgeDelay returns how long to wait for an answer before the request is
-// hedged. See routing.Router.HedgeDelay.
+// HedgeDelay returns how long to wait for a response before the request is
+// hedged, and whether it may be hedged. See routing.Router.HedgeDelay.
 func (r *Routers) HedgeDelay(req model.Request) (time.Duration, bool) {
 	s := r.service(req.Service)
 	s.mu.Lock()
@@ -88,7 +89,7 @@
 	return s.router.Hedge(r.now(), first.ID, sentAt, exclude)
 }
 
-// Done tells how an attempt went.
+// Done records the result of an attempt.
 func (r *Routers) Done(upstream model.Upstream, reply routing.Reply) {
 	s := r.service(upstream.Service)
 	s.mu.Lock()
@@ -109,7 +110,8 @@
 	return s
 }
 
-// refresh follows the policy and the membership view. s.mu is held.
+// refresh applies changes of the routing policy and of the membership view to the
+// router. The caller must hold s.mu.
 func (r *Routers) refresh(s *serviceRouter, name model.ServiceName) {
 	if p := r.policyOf(name); p != s.policy {
 		s.rebuild(r, p)
@@ -123,8 +125,8 @@
 	s.upstreamsLoaded = true
 }
 
-// rebuild starts a router with the named policy. A name that does not exist,
-// which validation refuses, counts as the default.
+// rebuild replaces the router by one with the named policy. An unknown name, which
+// configuration checks rule out, means the default policy.
 func (s *serviceRouter) rebuild(r *Routers, name string) {
 	opts := r.opts
 	if name != "" {
--- a/entry/routers_test.go
+++ b/entry/routers_test.go
@@ -34,5 +34,5 @@
 	name = "no-such-policy"
 	up := place()
 	r.Done(up, routing.Reply{})
-	assert.Equal(t, int64(1), scope.Snapshot().Counters()["picks+service=s"].Value(), "the new router's own")
+	assert.Equal(t, int64(1), scope.Snapshot().Counters()["picks+service=s"].Value(), "the counts of the new router start at zero")
 }
--- a/entry/routing_counters.go
+++ b/entry/routing_counters.go
@@ -7,7 +7,7 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// routingCounters export what a router has decided.
+// routingCounters exports the statistics of a router as counters.
 type routingCounters struct {
 	exported                          routing.Stats
 	picks, bounces, spills            tally.Counter
@@ -29,7 +29,7 @@
 	}
 }
 
-// update counts what was decided since the last update.
+// update adds to the counters what has changed since the last update.
 func (c *routingCounters) update(stats routing.Stats) {
 	last := c.exported
 	c.exported = stats
--- a/entry/upgrade.go
+++ b/entry/upgrade.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// asksForUpgrade reports whether a request wants another protocol than HTTP.
-// Such requests are refused: a connection that leaves HTTP has no answers to
-// bind to calls. An offer of HTTP/2 is passed over, as RFC 9110 allows.
+// requestsUpgrade reports whether a request asks to switch to a protocol other
+// than HTTP. Such requests are refused: after a switch there are no HTTP responses
+// that could be matched to calls. An offer of HTTP/2 (h2c) is ignored, as RFC 9110
+// allows.
 func requestsUpgrade(r *http.Request) bool {
 	for _, line := range r.Header["Upgrade"] {
 		for name := range strings.SplitSeq(line, ",") {
