--- a/guard/crash.go
+++ b/guard/crash.go
@@ -10,22 +10,22 @@
 )
 
 // crashTimeout bounds the look at an upstream that lost a connection.
-const crashTimeout = 250 * time.Millisecond
+const crashCheckTimeout = 250 * time.Millisecond
 
 // settleLoss says of a call whose connection was lost whether the upstream
 // died: then nothing listens at its address any more. What did or did not run
 // stays unknown.
-func (u *unit) settleLoss(o outcome.Outcome) outcome.Outcome {
-	if o.Kind != outcome.Unknown || o.Reason != outcome.ReasonConnectionLost {
-		return o
+func (u *upstreamProxy) detectCrash(result outcome.Outcome) outcome.Outcome {
+	if result.Kind != outcome.Unknown || result.Reason != outcome.ReasonConnectionLost {
+		return result
 	}
-	conn, err := net.DialTimeout("tcp", u.local.Address, crashTimeout)
+	conn, err := net.DialTimeout("tcp", u.upstream.Address, crashCheckTimeout)
 	if err == nil {
 		_ = conn.Close()
-		return o
+		return result
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		o.Reason = outcome.ReasonUpstreamCrashed
+		result.Reason = outcome.ReasonUpstreamCrashed
 	}
-	return o
+	return result
 }
--- a/guard/crash_test.go
+++ b/guard/crash_test.go
@@ -19,7 +19,7 @@
 
 // TestLostConnectionTellsCrashFromReset lets an upstream read a request and
 // then either drop the connection, or drop it and stop listening.
-func TestLostConnectionTellsCrashFromReset(t *testing.T) {
+func TestLostConnectionDistinguishesCrashFromReset(t *testing.T) {
 	tests := []struct {
 		name string
 		dies bool
@@ -53,7 +53,7 @@
 			})
 			up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 1}
 			g.Attach(membership.Local{Upstream: up, Address: ln.Addr().String()})
-			a := g.Do(context.Background(), call("/kill"))
+			a := g.Do(context.Background(), newCall("/kill"))
 			require.Equal(t, outcome.UnknownBecause(tt.want), a.Outcome)
 			require.NoError(t, a.Body.Close())
 		})
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -42,8 +42,8 @@
 	poller *poller
 	calls  *telemetry.OutcomeCounter
 
-	mu    sync.RWMutex
-	units map[model.UpstreamID]*unit
+	mu        sync.RWMutex
+	upstreams map[model.UpstreamID]*upstreamProxy
 }
 
 // New returns a Guard without upstreams.
@@ -55,34 +55,34 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Guard{
-		opts:   opts,
-		client: hop.New(opts.Hop),
-		poller: newPoller(opts.Scope),
-		calls:  telemetry.NewOutcomeCounter(opts.Scope, "calls"),
-		units:  make(map[model.UpstreamID]*unit),
+		opts:      opts,
+		client:    hop.New(opts.Hop),
+		poller:    newPoller(opts.Scope),
+		calls:     telemetry.NewOutcomeCounter(opts.Scope, "calls"),
+		upstreams: make(map[model.UpstreamID]*upstreamProxy),
 	}
 }
 
 // Attach adds an upstream or replaces its earlier incarnation.
-func (g *Guard) Attach(l membership.Local) {
+func (g *Guard) Attach(upstream membership.Local) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	old := g.units[l.ID]
-	if old != nil && old.local.Incarnation == l.Incarnation {
+	previous := g.upstreams[upstream.ID]
+	if previous != nil && previous.upstream.Incarnation == upstream.Incarnation {
 		return
 	}
-	u := newUnit(l, g.client, g.opts.Now)
+	u := newUpstreamProxy(upstream, g.client, g.opts.Now)
 	u.tokens = g.opts.Tokens
-	u.configure(g.opts.Groups(l.Service), g.opts.MeasuringBudget(l.Service))
-	g.units[l.ID] = u
-	if old != nil {
-		go old.drain()
+	u.configure(g.opts.Groups(upstream.Service), g.opts.MeasuringBudget(upstream.Service))
+	g.upstreams[upstream.ID] = u
+	if previous != nil {
+		go previous.drain()
 	}
 }
 
 // Drain refuses new work for an upstream; what runs there goes on.
 func (g *Guard) Drain(id model.UpstreamID) {
-	if u := g.unit(id); u != nil {
+	if u := g.upstream(id); u != nil {
 		u.drain()
 	}
 }
@@ -91,19 +91,19 @@
 func (g *Guard) Configure() {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	for _, u := range g.units {
-		u.configure(g.opts.Groups(u.local.Service), g.opts.MeasuringBudget(u.local.Service))
+	for _, u := range g.upstreams {
+		u.configure(g.opts.Groups(u.upstream.Service), g.opts.MeasuringBudget(u.upstream.Service))
 	}
 }
 
 // Loads returns the exact load of every upstream of the service; an empty name
 // means all services.
-func (g *Guard) Loads(s model.ServiceName) map[model.UpstreamID]model.Load {
+func (g *Guard) Loads(service model.ServiceName) map[model.UpstreamID]model.Load {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	loads := make(map[model.UpstreamID]model.Load, len(g.units))
-	for id, u := range g.units {
-		if s == "" || u.local.Service == s {
+	loads := make(map[model.UpstreamID]model.Load, len(g.upstreams))
+	for id, u := range g.upstreams {
+		if service == "" || u.upstream.Service == service {
 			loads[id] = u.load()
 		}
 	}
@@ -113,22 +113,22 @@
 // Do admits a call, sends it to the upstream at most once and returns the
 // answer. The answer's body must be closed.
 func (g *Guard) Do(ctx context.Context, c *wire.Call) *wire.Answer {
-	u := g.unit(c.Upstream)
-	if u == nil || u.local.Incarnation != c.Incarnation {
+	u := g.upstream(c.Upstream)
+	if u == nil || u.upstream.Incarnation != c.Incarnation {
 		o := outcome.NotRunBecause(outcome.ReasonNoUpstream)
 		g.calls.Count(o)
 		return wire.NoAnswer(o)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
-	a := u.do(ctx, c)
-	g.calls.Count(a.Outcome)
-	return a.EndOnClose(cancel)
+	response := u.do(ctx, c)
+	g.calls.Count(response.Outcome)
+	return response.EndOnClose(cancel)
 }
 
-func (g *Guard) unit(id model.UpstreamID) *unit {
+func (g *Guard) upstream(id model.UpstreamID) *upstreamProxy {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	return g.units[id]
+	return g.upstreams[id]
 }
 
 // Expire refuses waiting calls whose deadline has passed. Waiting calls also
@@ -136,7 +136,7 @@
 func (g *Guard) Expire() {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	for _, u := range g.units {
+	for _, u := range g.upstreams {
 		u.expire()
 	}
 }
@@ -145,13 +145,13 @@
 	// expireInterval is the time between two looks at the queues while calls
 	// wait. Without any the guard looks every idleInterval, which is often
 	// enough for polls: each wake-up costs processor time on an idle VM.
-	expireInterval = 5 * time.Millisecond
-	idleInterval   = 50 * time.Millisecond
+	expireInterval     = 5 * time.Millisecond
+	idleExpireInterval = 50 * time.Millisecond
 )
 
 // Serve expires waiting calls and polls load reports until the context ends.
 func (g *Guard) Serve(ctx context.Context) error {
-	timer := time.NewTimer(idleInterval)
+	timer := time.NewTimer(idleExpireInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -160,21 +160,21 @@
 		case <-timer.C:
 			g.Expire()
 			g.poll(ctx)
-			timer.Reset(g.nextLook())
+			timer.Reset(g.expiryInterval())
 		}
 	}
 }
 
 // nextLook returns the time until the queues are looked at again.
-func (g *Guard) nextLook() time.Duration {
+func (g *Guard) expiryInterval() time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	for _, u := range g.units {
+	for _, u := range g.upstreams {
 		if u.load().Waiting > 0 {
 			return expireInterval
 		}
 	}
-	return idleInterval
+	return idleExpireInterval
 }
 
 // String names the service in the supervisor tree.
--- a/guard/upstream.go
+++ b/guard/headers.go
@@ -10,17 +10,17 @@
 )
 
 // setToken gives the upstream the token that its nested calls carry.
-func (u *unit) setToken(h http.Header, c *wire.Call, left time.Duration) {
+func (u *upstreamProxy) setToken(h http.Header, c *wire.Call, remaining time.Duration) {
 	h.Del(wire.HeaderCallToken)
-	text := u.tokens.Sign(calltoken.Token{
+	token := u.tokens.Sign(calltoken.Token{
 		Caller:   c.Caller,
 		Group:    c.Group,
 		Depth:    c.Depth + 1,
-		Deadline: time.Now().Add(left),
-		Left:     left,
+		Deadline: time.Now().Add(remaining),
+		Left:     remaining,
 	})
-	if text != "" {
-		h.Set(wire.HeaderCallToken, text)
+	if token != "" {
+		h.Set(wire.HeaderCallToken, token)
 	}
 }
 
@@ -36,10 +36,10 @@
 // retryAfter returns the upstream's Retry-After, 0 when it gives none in
 // seconds.
 func retryAfter(resp *http.Response) time.Duration {
-	const most = time.Hour
+	const maxRetryAfter = time.Hour
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
 		return 0
 	}
-	return min(time.Duration(seconds)*time.Second, most)
+	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
--- a/guard/http.go
+++ b/guard/http.go
@@ -13,8 +13,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	a := g.Do(r.Context(), c)
-	wire.WriteAnswer(w, a, c.ID)
+	response := g.Do(r.Context(), c)
+	wire.WriteAnswer(w, response, c.ID)
 }
 
 var _ http.Handler = (*Guard)(nil)
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -25,17 +25,17 @@
 	pollTimeout = 10 * time.Millisecond
 	// maxReport bounds a load report, in bytes; pollOverhead is the size of the
 	// rest of a poll.
-	maxReport    = 4 << 10
-	pollOverhead = 512
+	maxReportBytes    = 4 << 10
+	pollOverheadBytes = 512
 	// maxRunning bounds what a report may claim.
-	maxRunning = 1 << 20
+	maxReportedRunning = 1 << 20
 )
 
 // most is the most that a poll can cost. A lost connection is made once more.
-var most = measure.Cost{SlotTime: pollTimeout, Connections: 2, Bytes: maxReport + pollOverhead}
+var maxPollCost = measure.Cost{SlotTime: pollTimeout, Connections: 2, Bytes: maxReportBytes + pollOverheadBytes}
 
 // report is an upstream's load report. Other fields are passed over.
-type report struct {
+type loadReport struct {
 	Running *int `json:"running"`
 }
 
@@ -54,7 +54,7 @@
 			Transport: &http.Transport{
 				DisableCompression:     true,
 				MaxConnsPerHost:        1,
-				MaxResponseHeaderBytes: maxReport,
+				MaxResponseHeaderBytes: maxReportBytes,
 				IdleConnTimeout:        time.Minute,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -66,10 +66,10 @@
 func (g *Guard) poll(ctx context.Context) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	for _, u := range g.units {
-		r, due := u.pollDue(g.poller)
+	for _, u := range g.upstreams {
+		reservation, due := u.reservePoll(g.poller)
 		if due {
-			go g.poller.poll(ctx, u, &r)
+			go g.poller.poll(ctx, u, &reservation)
 		}
 	}
 }
@@ -78,22 +78,22 @@
 func (g *Guard) Measured() map[model.UpstreamID]time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	spent := make(map[model.UpstreamID]time.Duration, len(g.units))
-	for id, u := range g.units {
-		spent[id] = u.measured()
+	slotTime := make(map[model.UpstreamID]time.Duration, len(g.upstreams))
+	for id, u := range g.upstreams {
+		slotTime[id] = u.measuringSlotTime()
 	}
-	return spent
+	return slotTime
 }
 
-func (u *unit) measured() time.Duration {
+func (u *upstreamProxy) measuringSlotTime() time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.monitor.Spent()
 }
 
 // pollDue reserves the cost of a poll when one is due and allowed.
-func (u *unit) pollDue(p *poller) (measure.Reservation, bool) {
-	if u.local.LoadPath == "" {
+func (u *upstreamProxy) reservePoll(p *poller) (measure.Reservation, bool) {
+	if u.upstream.LoadPath == "" {
 		return measure.Reservation{}, false
 	}
 	u.mu.Lock()
@@ -101,35 +101,35 @@
 	if u.polling {
 		return measure.Reservation{}, false
 	}
-	refused := u.monitor.Refused()
-	r, ok := u.monitor.Poll(u.now(), most)
-	if u.monitor.Refused() != refused {
+	refusedBefore := u.monitor.Refused()
+	reservation, ok := u.monitor.Poll(u.now(), maxPollCost)
+	if u.monitor.Refused() != refusedBefore {
 		p.count("over-budget")
 	}
 	u.polling = ok
-	return r, ok
+	return reservation, ok
 }
 
 // poll fetches one report and books its cost.
-func (p *poller) poll(ctx context.Context, u *unit, r *measure.Reservation) {
-	began := u.now()
-	rep, cost, err := p.fetch(ctx, "http://"+u.local.Address+u.local.LoadPath)
+func (p *poller) poll(ctx context.Context, u *upstreamProxy, reservation *measure.Reservation) {
+	startedAt := u.now()
+	report, cost, err := p.fetch(ctx, "http://"+u.upstream.Address+u.upstream.LoadPath)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.polling = false
 	now := u.now()
-	cost.SlotTime = now.Sub(began)
+	cost.SlotTime = now.Sub(startedAt)
 	if err != nil {
-		u.monitor.Failed(now, r, cost)
+		u.monitor.Failed(now, reservation, cost)
 		p.count("failed")
 		return
 	}
 	before := u.monitor.Counts()
-	u.monitor.Reported(now, r, cost, rep, u.limiter.Slowed())
-	p.count(verdict(before, u.monitor.Counts()))
+	u.monitor.Reported(now, reservation, cost, report, u.limiter.Slowed())
+	p.count(pollResult(before, u.monitor.Counts()))
 }
 
-func verdict(before, after measure.Counts) string {
+func pollResult(before, after measure.Counts) string {
 	switch {
 	case after.Contradicted != before.Contradicted:
 		return "contradicted"
@@ -144,7 +144,7 @@
 	p.scope.Tagged(map[string]string{"result": result}).Counter("polls").Inc(1)
 }
 
-var errNoRunning = errors.New("load report does not say what runs")
+var errNoRunningCount = errors.New("load report does not say what runs")
 
 // fetch gets a report and tells what it took besides time.
 func (p *poller) fetch(ctx context.Context, url string) (measure.Report, measure.Cost, error) {
@@ -165,25 +165,25 @@
 		return measure.Report{}, cost, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
-	cost.Bytes = len(data) + pollOverhead
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
+	cost.Bytes = len(data) + pollOverheadBytes
 	if err != nil {
 		return measure.Report{}, cost, err
 	}
 	if resp.StatusCode != http.StatusOK {
 		return measure.Report{}, cost, fmt.Errorf("load report: upstream answered %s", resp.Status)
 	}
-	rep, err := parseReport(data)
-	return rep, cost, err
+	report, err := parseReport(data)
+	return report, cost, err
 }
 
 func parseReport(data []byte) (measure.Report, error) {
-	var r report
-	if err := json.Unmarshal(data, &r); err != nil {
+	var report loadReport
+	if err := json.Unmarshal(data, &report); err != nil {
 		return measure.Report{}, err
 	}
-	if r.Running == nil || *r.Running < 0 {
-		return measure.Report{}, errNoRunning
+	if report.Running == nil || *report.Running < 0 {
+		return measure.Report{}, errNoRunningCount
 	}
-	return measure.Report{Running: min(*r.Running, maxRunning)}, nil
+	return measure.Report{Running: min(*report.Running, maxReportedRunning)}, nil
 }
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -20,7 +20,7 @@
 
 // polled polls an upstream that answers with a body until the counter shows a
 // result, and returns the result and the requests the upstream saw.
-func polled(t *testing.T, budget float64, status int, body string) (result string, hits int32, g *Guard) {
+func pollOnce(t *testing.T, budget float64, status int, body string) (result string, hits int32, g *Guard) {
 	t.Helper()
 	var seen atomic.Int32
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -77,12 +77,12 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			result, hits, g := polled(t, tc.budget, tc.status, tc.body)
+			result, hits, g := pollOnce(t, tc.budget, tc.status, tc.body)
 			assert.Equal(t, tc.want, result)
 			assert.Equal(t, tc.hits, hits)
-			spent := g.Measured()["s-1"]
-			assert.Equal(t, tc.hits > 0, spent > 0)
-			assert.LessOrEqual(t, spent, 20*time.Millisecond, "one burst")
+			slotTime := g.Measured()["s-1"]
+			assert.Equal(t, tc.hits > 0, slotTime > 0)
+			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "one burst")
 			assert.Zero(t, g.Loads("s")["s-1"].Running, "a lie adds nothing")
 		})
 	}
--- a/guard/patience_test.go
+++ b/guard/queue_timeout_test.go
@@ -20,13 +20,13 @@
 
 // busy returns a guard whose one-slot upstream is taken until release is
 // called, and the paths that the upstream ran.
-func busy(t *testing.T) (g *Guard, ran chan string, release func()) {
+func newBusyGuard(t *testing.T) (g *Guard, executed chan string, release func()) {
 	t.Helper()
-	ran = make(chan string, 10)
-	hold := make(chan struct{})
+	executed = make(chan string, 10)
+	unblock := make(chan struct{})
 	upstream := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		ran <- r.URL.Path
-		<-hold
+		executed <- r.URL.Path
+		<-unblock
 	}))
 	t.Cleanup(upstream.Close)
 	origin := time.Now()
@@ -39,47 +39,47 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_, _ = io.Copy(io.Discard, g.Do(context.Background(), call("/first")).Body)
+		_, _ = io.Copy(io.Discard, g.Do(context.Background(), newCall("/first")).Body)
 	}()
-	require.Equal(t, "/first", <-ran)
-	return g, ran, func() {
-		close(hold)
+	require.Equal(t, "/first", <-executed)
+	return g, executed, func() {
+		close(unblock)
 		<-done
 	}
 }
 
-func call(path string) *wire.Call {
+func newCall(path string) *wire.Call {
 	return &wire.Call{
 		ID: path, Method: http.MethodGet, Target: path, Host: "s", Header: http.Header{},
 		Service: "s", Upstream: "s-1", Incarnation: 1, Timeout: time.Minute,
 	}
 }
 
-func TestCallWithoutPatienceIsGivenBackUnrun(t *testing.T) {
-	g, ran, release := busy(t)
-	for name, patience := range map[string]time.Duration{"at once": 0, "after a wait": time.Millisecond} {
-		c := call("/" + name)
+func TestCallIsWithdrawnAfterQueueTimeout(t *testing.T) {
+	g, executed, release := newBusyGuard(t)
+	for name, queueTimeout := range map[string]time.Duration{"at once": 0, "after a wait": time.Millisecond} {
+		c := newCall("/" + name)
 		c.Target = "/second"
-		c.HasPatience, c.Patience = true, patience
-		a := g.Do(context.Background(), c)
-		assert.Equal(t, outcome.NotRunBecause(outcome.ReasonWithdrawn), a.Outcome, name)
-		assert.Equal(t, model.Load{Running: 1, Limit: 1, Seq: a.Load.Seq}, a.Load, name)
-		assert.NoError(t, a.Body.Close())
+		c.HasPatience, c.Patience = true, queueTimeout
+		response := g.Do(context.Background(), c)
+		assert.Equal(t, outcome.NotRunBecause(outcome.ReasonWithdrawn), response.Outcome, name)
+		assert.Equal(t, model.Load{Running: 1, Limit: 1, Seq: response.Load.Seq}, response.Load, name)
+		assert.NoError(t, response.Body.Close())
 	}
 	release()
-	assert.Empty(t, ran, "nothing given back ever ran")
+	assert.Empty(t, executed, "nothing given back ever ran")
 }
 
-func TestPatientCallStartsWhenTheSlotFrees(t *testing.T) {
-	g, ran, release := busy(t)
-	c := call("/second")
+func TestWaitingCallStartsWhenSlotIsFree(t *testing.T) {
+	g, executed, release := newBusyGuard(t)
+	c := newCall("/second")
 	c.HasPatience, c.Patience = true, time.Minute
-	answers := make(chan *wire.Answer)
-	go func() { answers <- g.Do(context.Background(), c) }()
+	responses := make(chan *wire.Answer)
+	go func() { responses <- g.Do(context.Background(), c) }()
 	require.Eventually(t, func() bool { return g.Loads("s")["s-1"].Waiting == 1 }, time.Minute, time.Millisecond)
 	release()
-	a := <-answers
-	assert.Equal(t, outcome.Answered, a.Outcome.Kind)
-	assert.NoError(t, a.Body.Close())
-	assert.Equal(t, "/second", <-ran)
+	response := <-responses
+	assert.Equal(t, outcome.Answered, response.Outcome.Kind)
+	assert.NoError(t, response.Body.Close())
+	assert.Equal(t, "/second", <-executed)
 }
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -19,7 +19,7 @@
 )
 
 // guardOf returns a guard before a one-slot upstream with the handler.
-func guardOf(t *testing.T, h http.Handler) *Guard {
+func newGuardWithUpstream(t *testing.T, h http.Handler) *Guard {
 	t.Helper()
 	upstream := httptest.NewServer(h)
 	t.Cleanup(upstream.Close)
@@ -36,10 +36,10 @@
 
 // TestSlowReaderGivesUpItsSlotAtItsDeadline takes an answer too large for any
 // buffer, never reads it and never closes it.
-func TestSlowReaderGivesUpItsSlotAtItsDeadline(t *testing.T) {
+func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
 	const large = 32 << 20
 	cancelled := make(chan struct{})
-	g := guardOf(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	g := newGuardWithUpstream(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/large" {
 			return
 		}
@@ -54,19 +54,19 @@
 			}
 		}
 	}))
-	slow := call("/large")
+	slow := newCall("/large")
 	slow.Timeout = 300 * time.Millisecond
-	a := g.Do(context.Background(), slow)
-	require.Equal(t, outcome.Answered, a.Outcome.Kind)
-	next := call("/next")
+	slowResponse := g.Do(context.Background(), slow)
+	require.Equal(t, outcome.Answered, slowResponse.Outcome.Kind)
+	next := newCall("/next")
 	next.Timeout = 10 * time.Second
-	b := g.Do(context.Background(), next)
-	require.Equal(t, outcome.Answered, b.Outcome.Kind, "%+v", b.Outcome)
-	require.NoError(t, b.Body.Close())
+	nextResponse := g.Do(context.Background(), next)
+	require.Equal(t, outcome.Answered, nextResponse.Outcome.Kind, "%+v", nextResponse.Outcome)
+	require.NoError(t, nextResponse.Body.Close())
 	<-cancelled
-	_, err := io.Copy(io.Discard, a.Body)
+	_, err := io.Copy(io.Discard, slowResponse.Body)
 	require.Error(t, err, "the rest of the answer never looks complete")
-	require.NoError(t, a.Body.Close())
+	require.NoError(t, slowResponse.Body.Close())
 	require.Zero(t, g.Loads("s")["s-1"].Running)
 }
 
@@ -85,14 +85,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := guardOf(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			g := newGuardWithUpstream(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Retry-After", "7")
 				if tt.signal != "" {
 					w.Header().Set(wire.HeaderRefused, tt.signal)
 				}
 				w.WriteHeader(tt.status)
 			}))
-			a := g.Do(context.Background(), call("/"))
+			a := g.Do(context.Background(), newCall("/"))
 			require.Equal(t, tt.want, a.Outcome)
 			require.NoError(t, a.Body.Close())
 			require.Zero(t, g.Loads("s")["s-1"].Running)
@@ -100,12 +100,12 @@
 	}
 }
 
-func TestUpstreamGetsATokenForItsNestedCalls(t *testing.T) {
+func TestUpstreamReceivesTokenForNestedCalls(t *testing.T) {
 	got := make(chan string, 1)
-	g := guardOf(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	g := newGuardWithUpstream(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		got <- r.Header.Get(wire.HeaderCallToken)
 	}))
-	c := call("/")
+	c := newCall("/")
 	c.Caller, c.Group, c.Depth, c.Timeout = "bench", "sorters", 4, time.Minute
 	c.Header.Set(wire.HeaderCallToken, "from outside")
 	require.NoError(t, g.Do(context.Background(), c).Body.Close())
