--- a/guard/body.go
+++ b/guard/body.go
@@ -10,23 +10,26 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// slotBody releases the upstream's slot once the body has been read or closed.
+// slotReleasingBody is a response body that releases the upstream's slot once it
+// has been read completely, has been closed, or the call's context has ended.
 type slotReleasingBody struct {
 	body        io.ReadCloser
 	releaseSlot func(o outcome.Outcome, failed bool)
 	failed      bool
 	once        sync.Once
-	// stop ends the watch over the call's context.
+	// stopWatching unregisters the function that runs when the call's context
+	// ends.
 	stopWatching func() bool
 }
 
-// releaseAtEnd releases the slot when the call's context ends, so that a caller
-// who does not read cannot hold it: the same end cancels the upstream's run.
+// releaseWhenDone releases the slot when the call's context ends, so that a caller
+// that does not read the body cannot hold the slot. The end of the context also
+// cancels the request to the upstream.
 func (b *slotReleasingBody) releaseWhenDone(ctx context.Context) {
 	b.stopWatching = context.AfterFunc(ctx, func() { b.releaseOnce(outcome.UnknownBecause(outcome.ReasonCancelled)) })
 }
 
-// Read reads from the upstream and releases the slot at the end.
+// Read implements io.Reader. It releases the slot at the end of the body.
 func (b *slotReleasingBody) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	switch {
@@ -38,7 +41,8 @@
 	return n, err
 }
 
-// Close gives up what is unread and releases the slot.
+// Close implements io.Closer. It discards the rest of the body and releases the
+// slot.
 func (b *slotReleasingBody) Close() error {
 	err := b.body.Close()
 	b.finish(outcome.UnknownBecause(outcome.ReasonCancelled))
@@ -54,11 +58,13 @@
 	b.once.Do(func() { b.releaseSlot(o, b.failed || o.Kind != outcome.Answered) })
 }
 
-// smallAnswer is the largest answer that is read whole before it is passed on,
-// in bytes. Its slot is free before the caller reads it.
+// maxBufferedResponse is the largest response body, in bytes, that is read
+// completely before the response is returned. Its slot is released without waiting
+// for the caller to read the body.
 const maxBufferedResponse = 64 << 10
 
-// readSmall reads an answer of small known length whole.
+// bufferSmallResponse reads the body of a response into memory when its length is
+// known and at most maxBufferedResponse.
 func bufferSmallResponse(response *wire.Answer) *wire.Answer {
 	if response.ContentLength < 0 || response.ContentLength > maxBufferedResponse {
 		return response
--- a/guard/crash.go
+++ b/guard/crash.go
@@ -9,12 +9,13 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// crashTimeout bounds the look at an upstream that lost a connection.
+// crashCheckTimeout bounds the connection attempt that checks whether an upstream
+// is still listening.
 const crashCheckTimeout = 250 * time.Millisecond
 
-// settleLoss says of a call whose connection was lost whether the upstream
-// died: then nothing listens at its address any more. What did or did not run
-// stays unknown.
+// detectCrash checks, when the connection of a call was lost, whether the upstream
+// has crashed: then nothing listens at its address any more. It returns the outcome
+// with the reason changed accordingly. The outcome stays unknown in either case.
 func (u *upstreamProxy) detectCrash(result outcome.Outcome) outcome.Outcome {
 	if result.Kind != outcome.Unknown || result.Reason != outcome.ReasonConnectionLost {
 		return result
--- a/guard/crash_test.go
+++ b/guard/crash_test.go
@@ -17,16 +17,17 @@
 	"github.com/dottereltiller/dottereltiller/membership"
 )
 
-// TestLostConnectionTellsCrashFromReset lets an upstream read a request and
-// then either drop the connection, or drop it and stop listening.
+// TestLostConnectionDistinguishesCrashFromReset has an upstream read a request and
+// close the connection. In one case the upstream also stops listening, as after a
+// crash.
 func TestLostConnectionDistinguishesCrashFromReset(t *testing.T) {
 	tests := []struct {
 		name string
 		dies bool
 		want outcome.Reason
 	}{
-		{"dies", true, outcome.ReasonUpstreamCrashed},
-		{"drops the connection", false, outcome.ReasonConnectionLost},
+		{"crashes", true, outcome.ReasonUpstreamCrashed},
+		{"closes the connection", false, outcome.ReasonConnectionLost},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -53,7 +54,7 @@
 			})
 			up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 1}
 			g.Attach(membership.Local{Upstream: up, Address: ln.Addr().String()})
-			a := g.Do(context.Background(), newCall("/kill"))
+			a := g.Do(context.Background(), newCall("/crash"))
 			require.Equal(t, outcome.UnknownBecause(tt.want), a.Outcome)
 			require.NoError(t, a.Body.Close())
 		})
--- a/guard/doc.go
+++ b/guard/doc.go
@@ -1,4 +1,5 @@
-// Package guard stands before the upstreams of one VM. It is the only one that
-// connects to them: it admits each call through an admission.Controller, sends
-// it on, and answers with the exact load.
+// Package guard implements the proxy in front of the upstreams of one VM. Only the
+// guard connects to these upstreams. It enforces their concurrency limits with an
+// admission.Controller for each upstream, forwards the admitted calls, and adds the
+// upstream's exact load to every response.
 package guard
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -21,16 +21,18 @@
 type Options struct {
 	// Now reads the monotonic clock.
 	Now func() model.Instant
-	// Groups returns the shares in force at a service.
+	// Groups returns the configuration of the groups of a service.
 	Groups func(model.ServiceName) []admission.Group
 	// Hop configures the connections to upstreams.
 	Hop hop.Options
-	// MeasuringBudget returns the share of slot time that measuring may take at
-	// a service. Nil means DefaultMeasuringBudget everywhere.
+	// MeasuringBudget returns the share of each upstream's slot time that polling
+	// load reports may take at a service. Nil means DefaultMeasuringBudget for all
+	// services.
 	MeasuringBudget func(model.ServiceName) float64
-	// Tokens makes the tokens that nested calls carry. Nil makes none.
+	// Tokens signs the call tokens that upstreams pass on in nested calls, the
+	// requests that they make while they serve a call. Nil means no tokens.
 	Tokens *calltoken.Signer
-	// Scope receives the counters. Nil means none.
+	// Scope receives the metrics. Nil means that none are recorded.
 	Scope tally.Scope
 }
 
@@ -63,7 +65,7 @@
 	}
 }
 
-// Attach adds an upstream or replaces its earlier incarnation.
+// Attach adds an upstream or replaces its previous incarnation, which is drained.
 func (g *Guard) Attach(upstream membership.Local) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -80,14 +82,16 @@
 	}
 }
 
-// Drain refuses new work for an upstream; what runs there goes on.
+// Drain refuses the waiting calls to an upstream and all further calls. Running
+// calls are not affected.
 func (g *Guard) Drain(id model.UpstreamID) {
 	if u := g.upstream(id); u != nil {
 		u.drain()
 	}
 }
 
-// Configure takes over the shares now in force.
+// Configure applies the current results of Options.Groups and
+// Options.MeasuringBudget to all upstreams.
 func (g *Guard) Configure() {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -96,8 +100,8 @@
 	}
 }
 
-// Loads returns the exact load of every upstream of the service; an empty name
-// means all services.
+// Loads returns the load of every upstream of a service. An empty name means all
+// services.
 func (g *Guard) Loads(service model.ServiceName) map[model.UpstreamID]model.Load {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -111,7 +115,7 @@
 }
 
 // Do admits a call, sends it to the upstream at most once and returns the
-// answer. The answer's body must be closed.
+// response. The caller must close the response's body.
 func (g *Guard) Do(ctx context.Context, c *wire.Call) *wire.Answer {
 	u := g.upstream(c.Upstream)
 	if u == nil || u.upstream.Incarnation != c.Incarnation {
@@ -131,8 +135,8 @@
 	return g.upstreams[id]
 }
 
-// Expire refuses waiting calls whose deadline has passed. Waiting calls also
-// time out by themselves; Expire frees their places sooner.
+// Expire refuses waiting calls whose deadline has passed. A waiting call also ends
+// with its own context; Expire removes it from the queue earlier.
 func (g *Guard) Expire() {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -142,14 +146,14 @@
 }
 
 const (
-	// expireInterval is the time between two looks at the queues while calls
-	// wait. Without any the guard looks every idleInterval, which is often
-	// enough for polls: each wake-up costs processor time on an idle VM.
+	// expireInterval is the time between two runs of Serve's loop while calls
+	// wait. When no calls wait the interval is idleExpireInterval, which is often
+	// enough to poll load reports: each wake-up costs CPU time on an idle VM.
 	expireInterval     = 5 * time.Millisecond
 	idleExpireInterval = 50 * time.Millisecond
 )
 
-// Serve expires waiting calls and polls load reports until the context ends.
+// Serve refuses expired calls and polls load reports until the context ends.
 func (g *Guard) Serve(ctx context.Context) error {
 	timer := time.NewTimer(idleExpireInterval)
 	defer timer.Stop()
@@ -165,7 +169,7 @@
 	}
 }
 
-// nextLook returns the time until the queues are looked at again.
+// expiryInterval returns the time until Serve's loop runs again.
 func (g *Guard) expiryInterval() time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -177,5 +181,5 @@
 	return idleExpireInterval
 }
 
-// String names the service in the supervisor tree.
+// String returns the name of the component in the supervisor tree.
 func (g *Guard) String() string { return "guard" }
--- a/guard/headers.go
+++ b/guard/headers.go
@@ -9,7 +9,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// setToken gives the upstream the token that its nested calls carry.
+// setToken sets the header with the call token that the upstream must pass on in
+// its nested calls.
 func (u *upstreamProxy) setToken(h http.Header, c *wire.Call, remaining time.Duration) {
 	h.Del(wire.HeaderCallToken)
 	token := u.tokens.Sign(calltoken.Token{
@@ -24,8 +25,8 @@
 	}
 }
 
-// refusedBeforeStart reports whether the upstream says, by the documented
-// signal, that it has not started on the request.
+// refusedBeforeStart reports whether the upstream states, with status 429 or 503
+// and the documented refusal header, that it has not started the request.
 func refusedBeforeStart(resp *http.Response) bool {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return false
@@ -33,8 +34,8 @@
 	return resp.Header.Get(wire.HeaderRefused) == wire.RefusedBeforeStart
 }
 
-// retryAfter returns the upstream's Retry-After, 0 when it gives none in
-// seconds.
+// retryAfter returns the value of the upstream's Retry-After header, at most one
+// hour. It returns 0 when there is no value in seconds.
 func retryAfter(resp *http.Response) time.Duration {
 	const maxRetryAfter = time.Hour
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
--- a/guard/http.go
+++ b/guard/http.go
@@ -6,7 +6,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// ServeHTTP answers calls from other daemons' entries.
+// ServeHTTP implements http.Handler for calls from the entries of other daemons.
 func (g *Guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.ReadCall(r)
 	if err != nil {
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -16,30 +16,33 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// DefaultMeasuringBudget is the share of slot time that measuring may take at a
-// service that names none.
+// DefaultMeasuringBudget is the share of slot time that polling load reports may
+// take at a service whose configuration sets no budget.
 const DefaultMeasuringBudget = 0.005
 
 const (
-	// pollTimeout bounds a poll, and so the slot time it can take.
+	// pollTimeout bounds the duration of a poll, and thus the slot time that it
+	// can take.
 	pollTimeout = 10 * time.Millisecond
-	// maxReport bounds a load report, in bytes; pollOverhead is the size of the
-	// rest of a poll.
+	// maxReportBytes bounds the size of a load report. pollOverheadBytes is the
+	// assumed size of everything else that a poll transfers.
 	maxReportBytes    = 4 << 10
 	pollOverheadBytes = 512
-	// maxRunning bounds what a report may claim.
+	// maxReportedRunning bounds the number of running requests that is accepted
+	// from a report.
 	maxReportedRunning = 1 << 20
 )
 
-// most is the most that a poll can cost. A lost connection is made once more.
+// maxPollCost is the largest possible cost of a poll. It covers two connections,
+// since a lost connection is opened a second time.
 var maxPollCost = measure.Cost{SlotTime: pollTimeout, Connections: 2, Bytes: maxReportBytes + pollOverheadBytes}
 
-// report is an upstream's load report. Other fields are passed over.
+// loadReport is the body of an upstream's load report. Other fields are ignored.
 type loadReport struct {
 	Running *int `json:"running"`
 }
 
-// poller fetches load reports.
+// poller fetches load reports from upstreams.
 type poller struct {
 	client  *http.Client
 	scope   tally.Scope
@@ -62,7 +65,7 @@
 	}
 }
 
-// poll starts the polls that are due.
+// poll starts a poll of each upstream for which one is due.
 func (g *Guard) poll(ctx context.Context) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -74,7 +77,8 @@
 	}
 }
 
-// Measured returns the slot time that measuring has taken from each upstream.
+// Measured returns for each upstream the slot time that polling its load reports
+// has taken.
 func (g *Guard) Measured() map[model.UpstreamID]time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -91,7 +95,8 @@
 	return u.monitor.Spent()
 }
 
-// pollDue reserves the cost of a poll when one is due and allowed.
+// reservePoll reserves the largest possible cost of a poll in the measuring budget.
+// It reports false when no poll is due, one is running or the budget is exhausted.
 func (u *upstreamProxy) reservePoll(p *poller) (measure.Reservation, bool) {
 	if u.upstream.LoadPath == "" {
 		return measure.Reservation{}, false
@@ -110,7 +115,7 @@
 	return reservation, ok
 }
 
-// poll fetches one report and books its cost.
+// poll fetches one report and charges its cost to the reservation.
 func (p *poller) poll(ctx context.Context, u *upstreamProxy, reservation *measure.Reservation) {
 	startedAt := u.now()
 	report, cost, err := p.fetch(ctx, "http://"+u.upstream.Address+u.upstream.LoadPath)
@@ -129,6 +134,8 @@
 	p.count(pollResult(before, u.monitor.Counts()))
 }
 
+// pollResult returns the result of a poll as the metric tag names it, from the
+// monitor's counts before and after the report.
 func pollResult(before, after measure.Counts) string {
 	switch {
 	case after.Contradicted != before.Contradicted:
@@ -144,9 +151,9 @@
 	p.scope.Tagged(map[string]string{"result": result}).Counter("polls").Inc(1)
 }
 
-var errNoRunningCount = errors.New("load report does not say what runs")
+var errNoRunningCount = errors.New("load report has no valid number of running requests")
 
-// fetch gets a report and tells what it took besides time.
+// fetch fetches a report. The returned cost has no slot time; poll adds it.
 func (p *poller) fetch(ctx context.Context, url string) (measure.Report, measure.Cost, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -18,8 +18,9 @@
 	"github.com/dottereltiller/dottereltiller/membership"
 )
 
-// polled polls an upstream that answers with a body until the counter shows a
-// result, and returns the result and the requests the upstream saw.
+// pollOnce polls an upstream that responds with the given status and body. It
+// returns the result that the poll was counted under, the number of requests that
+// the upstream received, and the guard.
 func pollOnce(t *testing.T, budget float64, status int, body string) (result string, hits int32, g *Guard) {
 	t.Helper()
 	var seen atomic.Int32
@@ -42,7 +43,7 @@
 	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6}
 	g.Attach(membership.Local{Upstream: up, Address: upstream.Listener.Addr().String(), LoadPath: "/load"})
 	g.poll(context.Background())
-	assert.Zero(t, seen.Load(), "none is due yet")
+	assert.Zero(t, seen.Load(), "no poll is due yet")
 	now.Store(int64(time.Minute))
 	g.poll(context.Background())
 	require.Eventually(t, func() bool {
@@ -65,15 +66,15 @@
 		want   string
 		hits   int32
 	}{
-		"agrees":          {0.01, 200, `{"running": 0, "other": true}`, "agreed", 1},
-		"lies":            {0.01, 200, `{"running": 60}`, "unsupported", 1},
-		"says nothing":    {0.01, 200, `{}`, "failed", 1},
-		"negative":        {0.01, 200, `{"running": -1}`, "failed", 1},
-		"no JSON":         {0.01, 200, `busy`, "failed", 1},
-		"sheds load":      {0.01, 503, `{"running": 0}`, "failed", 1},
-		"endless report":  {0.01, 200, fmt.Sprintf(`{"x":"%05000d","running":0}`, 0), "failed", 1},
-		"budget forbids":  {0, 200, `{"running": 0}`, "over-budget", 0},
-		"redirected away": {0.01, 302, "", "failed", 1},
+		"report agrees":    {0.01, 200, `{"running": 0, "other": true}`, "agreed", 1},
+		"report too high":  {0.01, 200, `{"running": 60}`, "unsupported", 1},
+		"no running count": {0.01, 200, `{}`, "failed", 1},
+		"negative count":   {0.01, 200, `{"running": -1}`, "failed", 1},
+		"not JSON":         {0.01, 200, `busy`, "failed", 1},
+		"status 503":       {0.01, 503, `{"running": 0}`, "failed", 1},
+		"report too long":  {0.01, 200, fmt.Sprintf(`{"x":"%05000d","running":0}`, 0), "failed", 1},
+		"budget exhausted": {0, 200, `{"running": 0}`, "over-budget", 0},
+		"redirect":         {0.01, 302, "", "failed", 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,8 +83,8 @@
 			assert.Equal(t, tc.hits, hits)
 			slotTime := g.Measured()["s-1"]
 			assert.Equal(t, tc.hits > 0, slotTime > 0)
-			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "one burst")
-			assert.Zero(t, g.Loads("s")["s-1"].Running, "a lie adds nothing")
+			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "at most one burst of the budget")
+			assert.Zero(t, g.Loads("s")["s-1"].Running, "a report without support in the observed load adds nothing")
 		})
 	}
 }
--- a/guard/queue_timeout_test.go
+++ b/guard/queue_timeout_test.go
@@ -18,8 +18,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// busy returns a guard whose one-slot upstream is taken until release is
-// called, and the paths that the upstream ran.
+// newBusyGuard returns a guard for an upstream whose only slot is taken until
+// release is called. The paths of the requests that the upstream receives are sent
+// to the channel executed.
 func newBusyGuard(t *testing.T) (g *Guard, executed chan string, release func()) {
 	t.Helper()
 	executed = make(chan string, 10)
@@ -67,7 +68,7 @@
 		assert.NoError(t, response.Body.Close())
 	}
 	release()
-	assert.Empty(t, executed, "nothing given back ever ran")
+	assert.Empty(t, executed, "no withdrawn call was sent to the upstream")
 }
 
 func TestWaitingCallStartsWhenSlotIsFree(t *testing.T) {
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -18,7 +18,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// guardOf returns a guard before a one-slot upstream with the handler.
+// newGuardWithUpstream returns a guard for an upstream that has one slot and the
+// given handler.
 func newGuardWithUpstream(t *testing.T, h http.Handler) *Guard {
 	t.Helper()
 	upstream := httptest.NewServer(h)
@@ -34,8 +35,9 @@
 	return g
 }
 
-// TestSlowReaderGivesUpItsSlotAtItsDeadline takes an answer too large for any
-// buffer, never reads it and never closes it.
+// TestSlowReaderReleasesSlotAtDeadline receives a response that is too large for
+// any buffer, and neither reads nor closes its body before the deadline. The slot
+// must then be free for the next call.
 func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
 	const large = 32 << 20
 	cancelled := make(chan struct{})
@@ -65,7 +67,7 @@
 	require.NoError(t, nextResponse.Body.Close())
 	<-cancelled
 	_, err := io.Copy(io.Discard, slowResponse.Body)
-	require.Error(t, err, "the rest of the answer never looks complete")
+	require.Error(t, err, "a truncated response must not look complete")
 	require.NoError(t, slowResponse.Body.Close())
 	require.Zero(t, g.Loads("s")["s-1"].Running)
 }
@@ -77,11 +79,11 @@
 		signal string
 		want   outcome.Outcome
 	}{
-		{"503 with the signal", 503, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
-		{"429 with the signal", 429, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
-		{"503 alone proves nothing", 503, "", outcome.Done()},
-		{"500 with the signal proves nothing", 500, wire.RefusedBeforeStart, outcome.Done()},
-		{"another word", 503, "yes", outcome.Done()},
+		{"503 with the refusal header", 503, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
+		{"429 with the refusal header", 429, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
+		{"503 without the refusal header", 503, "", outcome.Done()},
+		{"500 with the refusal header", 500, wire.RefusedBeforeStart, outcome.Done()},
+		{"refusal header with another value", 503, "yes", outcome.Done()},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -18,7 +18,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// unit is one incarnation of one upstream with its admission.
+// upstreamProxy admits and forwards the calls to one incarnation of one upstream.
 type upstreamProxy struct {
 	upstream membership.Local
 	client   *hop.Client
@@ -57,7 +57,8 @@
 	return u.withLoad(u.send(ctx, id, c), c.Group)
 }
 
-// admit waits until the call may start. It returns the reason when it may not.
+// admit waits until the call may start. It returns an outcome when the call is
+// refused, or withdrawn because its queue timeout or its context ended first.
 func (u *upstreamProxy) admit(ctx context.Context, c *wire.Call) (admission.ID, *outcome.Outcome) {
 	id, effect := u.arrive(c)
 	if c.HasPatience && c.Patience <= 0 && u.withdraw(id) {
@@ -85,8 +86,8 @@
 	return id, withdrawnOutcome()
 }
 
-// arrive hands the call to the controller; the effect that decides it comes on
-// the channel.
+// arrive passes the call to the controller. The effect that starts or refuses the
+// call is sent to the returned channel.
 func (u *upstreamProxy) arrive(c *wire.Call) (admission.ID, <-chan admission.Effect) {
 	effect := make(chan admission.Effect, 1)
 	u.mu.Lock()
@@ -100,12 +101,15 @@
 	return id, effect
 }
 
-// givenBack is the outcome of a call withdrawn while it waited.
+// withdrawnOutcome returns the outcome of a call that was withdrawn while it
+// waited.
 func withdrawnOutcome() *outcome.Outcome {
 	o := outcome.NotRunBecause(outcome.ReasonWithdrawn)
 	return &o
 }
 
+// refusedOutcome returns the outcome of an effect that refuses a call, and nil for
+// an effect that starts it.
 func refusedOutcome(e admission.Effect) *outcome.Outcome {
 	if e.Kind == admission.Start {
 		return nil
@@ -124,7 +128,9 @@
 	}
 }
 
-// dispatch hands the collected effects to the waiting calls. u.mu is held.
+// dispatch sends the effects in u.effects to the calls that wait for them, and
+// reports the number of running requests to the monitor. The caller must hold
+// u.mu.
 func (u *upstreamProxy) dispatch() {
 	for _, e := range u.effects {
 		if ch := u.pending[e.ID]; ch != nil {
@@ -135,6 +141,8 @@
 	u.monitor.Running(int(u.controller.Load(u.now()).Running))
 }
 
+// withdraw removes a waiting call from the queue. It reports false when the call
+// has been started or refused.
 func (u *upstreamProxy) withdraw(id admission.ID) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -179,7 +187,7 @@
 	return u.monitor.Annotate(u.limiter.Annotate(u.controller.Load(u.now())))
 }
 
-// withLoad puts the load, as the call's group sees it, on the answer.
+// withLoad sets the load of a response to the load as computed for the group.
 func (u *upstreamProxy) withLoad(response *wire.Answer, group model.GroupName) *wire.Answer {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -188,8 +196,9 @@
 	return response
 }
 
-// send forwards a started call to the upstream and releases its slot when the
-// answer has been read or given up.
+// send forwards a started call to the upstream. The slot is released when the
+// attempt has failed, or when the body of the response has been read or closed or
+// the call's context has ended.
 func (u *upstreamProxy) send(ctx context.Context, id admission.ID, c *wire.Call) *wire.Answer {
 	ctx, span := trace.Start(ctx, "upstream")
 	span.Call(c)
@@ -207,7 +216,8 @@
 		return wire.NoAnswer(o)
 	}
 	if httpResponse.StatusCode == http.StatusSwitchingProtocols {
-		// No call asks for another protocol, so what follows is no answer.
+		// No call asks to switch protocols, so the upstream's further data is not
+		// a response.
 		_ = httpResponse.Body.Close()
 		o := outcome.UnknownBecause(outcome.ReasonUpgradeForbidden)
 		release(o, true)
@@ -233,6 +243,7 @@
 	return bufferSmallResponse(response)
 }
 
+// upstreamRequest returns the request to send to the upstream for a call.
 func (u *upstreamProxy) upstreamRequest(ctx context.Context, c *wire.Call) hop.Request {
 	h := c.Header
 	wire.StripHop(h)
