--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -27,7 +27,8 @@
 	Refuse
 )
 
-// Effect is one instruction to the caller of the Controller.
+// Effect tells the caller of the Controller to start or to refuse a request.
+// Outcome is set only when the request is refused.
 type Effect struct {
 	ID      ID
 	Kind    EffectKind
--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -11,4 +11,4 @@
 
 func (l fixedLimit) Limit() int { return int(l) }
 
-func (a fixedLimit) Observe(model.Instant, time.Duration, int, bool) {}
+func (l fixedLimit) Observe(model.Instant, time.Duration, int, bool) {}
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -9,7 +9,7 @@
 
 const (
 	overloadSlots    = 6
-	overloadCost     = 5 * time.Millisecond
+	overloadSlotTime = 5 * time.Millisecond
 	overloadDeadline = 200 * time.Millisecond
 	overloadSeconds  = 10
 )
@@ -18,9 +18,9 @@
 // requests that ended within their deadline.
 func goodput(t *testing.T, multiple float64) int {
 	sim := newSimulator(t, overloadSlots, Options{}, Group{Name: "g", Weight: 1})
-	interval := time.Duration(float64(overloadCost) / overloadSlots / multiple)
+	interval := time.Duration(float64(overloadSlotTime) / overloadSlots / multiple)
 	sim.run(workload{
-		group: "g", caller: "c", slotTime: exponential(overloadCost), interval: interval,
+		group: "g", caller: "c", slotTime: exponential(overloadSlotTime), interval: interval,
 		deadline: overloadDeadline, to: overloadSeconds * time.Second,
 	})
 	t.Logf("%vx: %d in time, refused %v", multiple, sum(sim.inTimeByWindow["g"]), sim.refused["g"])
@@ -40,11 +40,11 @@
 func TestRecoveryAfterBurst(t *testing.T) {
 	groups := []Group{{Name: "burst", Weight: 1}, {Name: "after", Weight: 1}}
 	after := workload{
-		group: "after", slotTime: exponential(overloadCost), interval: overloadCost / overloadSlots * 10 / 6,
+		group: "after", slotTime: exponential(overloadSlotTime), interval: overloadSlotTime / overloadSlots * 10 / 6,
 		deadline: overloadDeadline, from: 4 * time.Second, to: 8 * time.Second,
 	}
 	burst := after
-	burst.group, burst.interval, burst.from, burst.to = "burst", overloadCost/overloadSlots/5, 0, 3*time.Second
+	burst.group, burst.interval, burst.from, burst.to = "burst", overloadSlotTime/overloadSlots/5, 0, 3*time.Second
 	baseline := newSimulator(t, overloadSlots, Options{}, groups...)
 	baseline.run(after)
 	sim := newSimulator(t, overloadSlots, Options{}, groups...)
@@ -59,13 +59,13 @@
 // stays within its share, alone and beside a group that offers ten times the
 // capacity of the upstream.
 func TestGroupIsIsolatedFromOverloadOfAnother(t *testing.T) {
-	groups := []Group{{Name: "victim", Weight: 8}, {Name: "neighbour", Weight: 1}}
+	groups := []Group{{Name: "victim", Weight: 8}, {Name: "overloading", Weight: 1}}
 	victim := workload{
-		group: "victim", caller: "v", slotTime: exponential(overloadCost), interval: overloadCost / overloadSlots * 10 / 5,
+		group: "victim", caller: "v", slotTime: exponential(overloadSlotTime), interval: overloadSlotTime / overloadSlots * 10 / 5,
 		deadline: time.Second, to: overloadSeconds * time.Second,
 	}
 	overloading := victim
-	overloading.group, overloading.caller, overloading.interval = "neighbour", "n", overloadCost/overloadSlots/10
+	overloading.group, overloading.caller, overloading.interval = "overloading", "n", overloadSlotTime/overloadSlots/10
 	alone := newSimulator(t, overloadSlots, Options{}, groups...)
 	alone.run(victim)
 	beside := newSimulator(t, overloadSlots, Options{}, groups...)
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -13,6 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
+// longDeadline is a deadline that no simulated request reaches.
 const longDeadline = time.Hour
 
 // TestShareWithinFivePercent generates groups that are always backlogged and
@@ -67,12 +68,13 @@
 }
 
 // TestNoGroupStarves overloads an upstream with two groups of very different
-// weights and no effective deadlines. The lighter group must still get about 1%
-// of the slot time in every second, the minimum that MinWeightRatio grants.
+// weights above 0 and without effective deadlines. In every second the lighter
+// group must still get about 1% of the slot time, the minimum that
+// fairqueue.MinWeightRatio grants.
 func TestNoGroupStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		heavy := rapid.Float64Range(1, 1e9).Draw(t, "weight")
-		groups := []Group{{Name: "heavy", Weight: heavy}, {Name: "light", Weight: 1e-9}}
+		heavyWeight := rapid.Float64Range(1, 1e9).Draw(t, "weight")
+		groups := []Group{{Name: "heavy", Weight: heavyWeight}, {Name: "light", Weight: 1e-9}}
 		sim := newSimulator(t, 4, Options{}, groups...)
 		both := workload{slotTime: constant(2 * time.Millisecond), interval: 400 * time.Microsecond, deadline: longDeadline, to: 2 * time.Second}
 		a, b := both, both
@@ -124,18 +126,18 @@
 	require.InEpsilon(t, sim.slotTimeByWindow["one"][1].Seconds(), sim.slotTimeByWindow["many"][1].Seconds(), 0.05)
 }
 
-// TestCostlyRequestsAreChargedTheirSlotTime runs a group of short requests beside
-// one that mixes short requests with a few long ones. The controller cannot tell
-// them apart in advance, but the groups must get the same slot time.
-func TestCostlyRequestsAreChargedTheirSlotTime(t *testing.T) {
-	sim := newSimulator(t, 6, Options{}, Group{Name: "honest", Weight: 1}, Group{Name: "costly", Weight: 1})
-	honest := workload{group: "honest", slotTime: constant(time.Millisecond), interval: 200 * time.Microsecond, deadline: longDeadline, to: 6 * time.Second}
-	cheap := honest
-	cheap.group, cheap.caller = "costly", "a"
-	long := cheap
-	long.slotTime, long.interval = constant(40*time.Millisecond), 20*time.Millisecond
-	sim.run(honest, cheap, long)
+// TestLongRequestsAreChargedTheirSlotTime runs a group of short requests beside a
+// group that also sends a few long ones. The controller cannot distinguish long
+// from short requests in advance, but both groups must get the same slot time.
+func TestLongRequestsAreChargedTheirSlotTime(t *testing.T) {
+	sim := newSimulator(t, 6, Options{}, Group{Name: "short", Weight: 1}, Group{Name: "mixed", Weight: 1})
+	short := workload{group: "short", slotTime: constant(time.Millisecond), interval: 200 * time.Microsecond, deadline: longDeadline, to: 6 * time.Second}
+	mixedShort := short
+	mixedShort.group, mixedShort.caller = "mixed", "a"
+	mixedLong := mixedShort
+	mixedLong.slotTime, mixedLong.interval = constant(40*time.Millisecond), 20*time.Millisecond
+	sim.run(short, mixedShort, mixedLong)
 	for w := 1; w < 5; w++ {
-		require.InEpsilon(t, sim.slotTimeByWindow["honest"][w].Seconds(), sim.slotTimeByWindow["costly"][w].Seconds(), 0.05, "second %d", w)
+		require.InEpsilon(t, sim.slotTimeByWindow["short"][w].Seconds(), sim.slotTimeByWindow["mixed"][w].Seconds(), 0.05, "second %d", w)
 	}
 }
--- a/core/admission/surge_test.go
+++ b/core/admission/surge_test.go
@@ -100,8 +100,8 @@
 func TestGoodputWithShortDeadlines(t *testing.T) {
 	goodputAt := func(multiple float64) int {
 		sim := newSimulator(t, overloadSlots, Options{}, Group{Name: "g", Weight: 1})
-		interval := time.Duration(float64(overloadCost) / overloadSlots / multiple)
-		sim.run(workload{group: "g", caller: "c", slotTime: exponential(overloadCost), interval: interval, deadline: 6 * overloadCost, to: overloadSeconds * time.Second})
+		interval := time.Duration(float64(overloadSlotTime) / overloadSlots / multiple)
+		sim.run(workload{group: "g", caller: "c", slotTime: exponential(overloadSlotTime), interval: interval, deadline: 6 * overloadSlotTime, to: overloadSeconds * time.Second})
 		return sum(sim.inTimeByWindow["g"])
 	}
 	base := goodputAt(1)
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -34,6 +34,9 @@
 	name  model.CallerName
 	group *group
 
+	// virtualTime is the slot time charged to the caller. virtualTimeIndex and
+	// lengthIndex are the positions in group.byVirtualTime and group.byLength.
+	// seq breaks ties between equal virtual times.
 	virtualTime      float64
 	virtualTimeIndex int
 	lengthIndex      int
@@ -86,9 +89,10 @@
 	// maxRunning is GroupConfig.MaxRunning.
 	maxRunning int
 
+	// virtualTime is the slot time charged to the group divided by its weight.
 	virtualTime float64
 	// readyIndex is the position in the heap of the group's class while one of
-	// its requests may start.
+	// its requests may start. seq breaks ties between equal virtual times.
 	readyIndex int
 	seq        uint64
 	// backlog is the expected slot time of the waiting requests divided by the
@@ -96,6 +100,9 @@
 	backlog      float64
 	backlogIndex int
 
+	// byVirtualTime and byLength hold the callers with waiting requests, the
+	// first ordered by virtual time, the second by number of waiting requests.
+	// systemVirtualTime is the virtual time of the caller served last.
 	callers           map[model.CallerName]*caller
 	byVirtualTime     indexHeap[*caller]
 	byLength          indexHeap[*caller]
@@ -139,6 +146,8 @@
 // Queue has two classes: the foreground holds the groups with a weight above
 // zero, the background those of weight zero.
 type priorityClass struct {
+	// ready holds the groups with a request that may start, ordered by virtual
+	// time. systemVirtualTime is the virtual time of the group served last.
 	ready             indexHeap[*group]
 	systemVirtualTime float64
 	// weight is the sum of the weights of the groups in the ready heap. waiting
@@ -162,17 +171,17 @@
 	return seqA < seqB
 }
 
-func (l *priorityClass) add(g *group, seq uint64) {
-	g.virtualTime = max(g.virtualTime, l.systemVirtualTime)
+func (c *priorityClass) add(g *group, seq uint64) {
+	g.virtualTime = max(g.virtualTime, c.systemVirtualTime)
 	g.seq = seq
-	l.ready.push(g)
-	l.weight += g.weight
+	c.ready.push(g)
+	c.weight += g.weight
 }
 
-func (l *priorityClass) remove(g *group) {
-	l.ready.remove(g)
-	l.weight -= g.weight
-	if l.ready.len() == 0 {
-		l.weight = 0
+func (c *priorityClass) remove(g *group) {
+	c.ready.remove(g)
+	c.weight -= g.weight
+	if c.ready.len() == 0 {
+		c.weight = 0
 	}
 }
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -24,6 +24,10 @@
 	groups       map[model.GroupName]*group
 	unconfigured int
 
+	// byBacklog holds the groups with waiting requests, largest backlog first.
+	// byDeadline holds the waiting requests, earliest deadline first.
+	// byNextCharge holds the running requests, by the instant at which they must
+	// be charged again.
 	foreground   *priorityClass
 	background   *priorityClass
 	byBacklog    indexHeap[*group]
@@ -99,15 +103,15 @@
 // to the group of the request. Pop reports false when no request may start.
 func (q *Queue) Pop(now model.Instant) (Item, bool) {
 	q.ChargeRunning(now)
-	l := q.foreground
-	if l.ready.len() == 0 {
-		l = q.background
+	class := q.foreground
+	if class.ready.len() == 0 {
+		class = q.background
 	}
-	if l.ready.len() == 0 {
+	if class.ready.len() == 0 {
 		return Item{}, false
 	}
-	g := l.ready.top()
-	l.systemVirtualTime = max(l.systemVirtualTime, g.virtualTime)
+	g := class.ready.top()
+	class.systemVirtualTime = max(class.systemVirtualTime, g.virtualTime)
 	c := g.byVirtualTime.top()
 	g.systemVirtualTime = max(g.systemVirtualTime, c.virtualTime)
 	e := c.head
