--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -17,7 +17,8 @@
 
 // splitState is the state of smooth weighted round robin over one split.
 type splitState struct {
-	parts          []Part
+	parts []Part
+	// currentWeights holds the current weight of each part; see Splitter.Pick.
 	currentWeights []float64
 }
 
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -42,26 +42,27 @@
 	return t, nil
 }
 
-// Version is the version of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() model.Version { return t.doc.Version }
 
-// Limits are the bounds on callers.
+// Limits returns the limits on callers' requests and connections.
 func (t *Table) Limits() Limits { return t.doc.Limits }
 
 // Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.doc.Routes) }
 
-// Urgent reports whether a rank comes before the last one in use.
+// Urgent reports whether requests of the given rank are served before those of the
+// last rank that any route has.
 func (t *Table) Urgent(rank int) bool { return rank < t.lastRank }
 
-// Service returns what is stated of a service.
+// Service returns the configuration of a service.
 func (t *Table) Service(name model.ServiceName) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Lookup returns the route of a request: among those of the host, the one with
-// the longest prefix that begins the path. The path is compared byte for byte.
+// Lookup returns the route of a request: of the routes for the host, the route
+// with the longest prefix that the path starts with. Paths are case-sensitive.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
 	for _, r := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -71,7 +72,7 @@
 	return nil, false
 }
 
-// hostOf returns a host without its port and in lower case.
+// normalizeHost returns a host without its port and in lower case.
 func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -15,7 +15,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// fixedView is a membership view that never changes.
+// staticView is a membership view that never changes.
 type staticView []model.Upstream
 
 func (v staticView) Upstreams(model.ServiceName) ([]model.Upstream, uint64) { return v, 1 }
@@ -36,6 +36,7 @@
 	return a
 }
 
+// attemptOnce makes one attempt with the given body through the guard g.
 func attemptOnce(g *rejectingGuard, b *body) (*wire.Answer, bool) {
 	now := func() model.Instant { return 0 }
 	view := staticView{
--- a/entry/body.go
+++ b/entry/body.go
@@ -23,14 +23,14 @@
 	if length == 0 {
 		return &body{}, outcome.ReasonNone
 	}
-	start, err := io.ReadAll(io.LimitReader(r, maxReplayableBody+1))
+	prefix, err := io.ReadAll(io.LimitReader(r, maxReplayableBody+1))
 	if err != nil {
 		return nil, bodyErrorReason(err)
 	}
-	if len(start) <= maxReplayableBody {
-		return &body{data: start, length: int64(len(start))}, outcome.ReasonNone
+	if len(prefix) <= maxReplayableBody {
+		return &body{data: prefix, length: int64(len(prefix))}, outcome.ReasonNone
 	}
-	return &body{stream: io.MultiReader(bytes.NewReader(start), r), length: length}, outcome.ReasonNone
+	return &body{stream: io.MultiReader(bytes.NewReader(prefix), r), length: length}, outcome.ReasonNone
 }
 
 // bodyErrorReason returns the reason to refuse a request whose body could not be
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -67,7 +67,8 @@
 
 const (
 	defaultMaxBody = 8 << 20
-	maxAttempts    = 3
+	// maxAttempts is the largest number of attempts for one request.
+	maxAttempts = 3
 	// maxReplayableBody is the largest body that is buffered for retries, in
 	// bytes.
 	maxReplayableBody = 64 << 10
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -38,6 +38,7 @@
 	attempts atomic.Int64
 }
 
+// chainDeadline is the deadline of every service of a serviceChain.
 const chainDeadline = 5 * time.Second
 
 func newServiceChain(t *testing.T, length int, lastService func(*wire.Call) *wire.Answer) *serviceChain {
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -32,9 +32,11 @@
 
 // serviceRouter is the router of one service.
 type serviceRouter struct {
-	mu              sync.Mutex
-	router          *routing.Router
-	policy          string
+	mu     sync.Mutex
+	router *routing.Router
+	policy string
+	// generation is the generation of the view that the router's upstreams come
+	// from. It is valid when upstreamsLoaded is set.
 	generation      uint64
 	upstreamsLoaded bool
 	counters        *routingCounters
--- a/entry/routing_counters.go
+++ b/entry/routing_counters.go
@@ -9,6 +9,7 @@
 
 // routingCounters exports the statistics of a router as counters.
 type routingCounters struct {
+	// exported holds the statistics as of the last update.
 	exported                          routing.Stats
 	picks, bounces, spills            tally.Counter
 	ejections, panics                 tally.Counter
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -164,13 +164,13 @@
 		case <-timer.C:
 			g.Expire()
 			g.poll(ctx)
-			timer.Reset(g.expiryInterval())
+			timer.Reset(g.nextInterval())
 		}
 	}
 }
 
-// expiryInterval returns the time until Serve's loop runs again.
-func (g *Guard) expiryInterval() time.Duration {
+// nextInterval returns the time until Serve's loop runs again.
+func (g *Guard) nextInterval() time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	for _, u := range g.upstreams {
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -29,10 +29,13 @@
 	controller *admission.Controller
 	limiter    *limit.Limiter
 	monitor    *measure.Monitor
-	polling    bool
-	pending    map[admission.ID]chan admission.Effect
-	nextID     admission.ID
-	effects    []admission.Effect
+	// polling is set while a poll of the load report is in progress.
+	polling bool
+	// pending holds for each waiting call the channel that its effect is sent to.
+	pending map[admission.ID]chan admission.Effect
+	nextID  admission.ID
+	// effects is the buffer for the effects that the controller returns.
+	effects []admission.Effect
 }
 
 func newUpstreamProxy(upstream membership.Local, client *hop.Client, now func() model.Instant) *upstreamProxy {
@@ -49,6 +52,8 @@
 	}
 }
 
+// do admits a call, sends it to the upstream and returns the response with the
+// upstream's load.
 func (u *upstreamProxy) do(ctx context.Context, c *wire.Call) *wire.Answer {
 	id, refused := u.admit(ctx, c)
 	if refused != nil {
@@ -187,7 +192,8 @@
 	return u.monitor.Annotate(u.limiter.Annotate(u.controller.Load(u.now())))
 }
 
-// withLoad sets the load of a response to the load as computed for the group.
+// withLoad adds the upstream's load to a response. The load is computed for the
+// group of the call; see admission.Controller.LoadFor.
 func (u *upstreamProxy) withLoad(response *wire.Answer, group model.GroupName) *wire.Answer {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -202,12 +208,12 @@
 func (u *upstreamProxy) send(ctx context.Context, id admission.ID, c *wire.Call) *wire.Answer {
 	ctx, span := trace.Start(ctx, "upstream")
 	span.Call(c)
-	started := u.now()
+	startedAt := u.now()
 	release := func(o outcome.Outcome, failed bool) {
 		span.End(o)
-		used := u.now().Sub(started)
+		slotTime := u.now().Sub(startedAt)
 		failed = failed && o.Reason != outcome.ReasonCancelled
-		u.finish(id, admission.Result{Outcome: o, Used: used, Failed: failed})
+		u.finish(id, admission.Result{Outcome: o, Used: slotTime, Failed: failed})
 	}
 	httpResponse, o, err := u.client.Do(ctx, u.upstreamRequest(ctx, c))
 	if err != nil {
