--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -35,7 +35,9 @@
 	// with the methods POST and PATCH are non-idempotent too, unless Idempotent
 	// matches them.
 	NonIdempotent []Route `json:"non_idempotent,omitempty"`
-	Idempotent    []Route `json:"idempotent,omitempty"`
+	// Idempotent matches requests that may run more than once although their
+	// method is POST or PATCH. NonIdempotent takes precedence.
+	Idempotent []Route `json:"idempotent,omitempty"`
 	// Routing is the name of the routing policy. Default: the default of package
 	// routing.
 	Routing string `json:"routing,omitempty"`
--- a/core/policy/explain.go
+++ b/core/policy/explain.go
@@ -12,9 +12,10 @@
 	Service model.ServiceName `json:"service"`
 	// Caller is empty for a caller without credentials.
 	Caller model.CallerName `json:"caller"`
-	// Policies lists every sharing policy in the order in which they are tried.
+	// Policies lists all sharing policies in the order in which they are tried.
 	Policies []PolicyStep `json:"policies"`
-	// Groups lists the groups of the winning policy in order.
+	// Groups lists the groups of the policy that applies, in the order in which
+	// they are tried.
 	Groups []GroupStep `json:"groups"`
 	// Group is the caller's group. It is empty when the caller is refused.
 	Group model.GroupName `json:"group"`
@@ -26,6 +27,7 @@
 }
 
 // PolicyStep describes whether a sharing policy applies to the service and why.
+// Wins is set for the policy that applies.
 type PolicyStep struct {
 	Name     string `json:"name"`
 	Priority int    `json:"priority"`
@@ -33,7 +35,8 @@
 	Why      string `json:"why"`
 }
 
-// GroupStep describes whether a group applies to the caller and why.
+// GroupStep describes whether a group is the caller's group and why. Wins is set
+// for the caller's group.
 type GroupStep struct {
 	Name model.GroupName `json:"name"`
 	Wins bool            `json:"wins"`
--- a/core/route/document.go
+++ b/core/route/document.go
@@ -107,7 +107,7 @@
 		totalWeight += p.Weight
 	}
 	if totalWeight <= 0 {
-		return newError("split", "has no weight")
+		return newError("split", "has no service with a weight above zero")
 	}
 	return nil
 }
--- a/entry/nested.go
+++ b/entry/nested.go
@@ -22,8 +22,8 @@
 	remaining time.Duration
 }
 
-// requesterOf returns on whose behalf a request is made: that of the caller in its
-// call token, if it has one, or else that of the caller that its credentials
+// requesterOf identifies the caller on whose behalf a request is made: the caller
+// named in its call token, if it has one, or else the caller that its credentials
 // identify. It returns a reason when the request must be refused.
 func (e *Entry) requesterOf(set *policy.Set, r *http.Request) (requester, outcome.Reason) {
 	tokens := r.Header[wire.HeaderCallToken]
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -182,7 +182,7 @@
 			require.Equal(t, "not-run", w.Header().Get(wire.HeaderOutcome))
 		})
 	}
-	require.Zero(t, c.attempts.Load(), "nothing ran")
+	require.Zero(t, c.attempts.Load(), "no refused call reached an upstream")
 }
 
 func TestHugeTimeoutIsCapped(t *testing.T) {
@@ -218,7 +218,7 @@
 }
 
 // TestRetriesStopWhenAllUpstreamsFail sends requests to upstreams that all fail
-// at once. Retries must stop, since they would only add load.
+// immediately. Retries must stop, since they would only add load.
 func TestRetriesStopWhenAllUpstreamsFail(t *testing.T) {
 	loseConnection := func(*wire.Call) *wire.Answer {
 		return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonConnectionLost))
--- a/guard/crash_test.go
+++ b/guard/crash_test.go
@@ -22,9 +22,9 @@
 // crash.
 func TestLostConnectionDistinguishesCrashFromReset(t *testing.T) {
 	tests := []struct {
-		name string
-		dies bool
-		want outcome.Reason
+		name           string
+		stopsListening bool
+		want           outcome.Reason
 	}{
 		{"crashes", true, outcome.ReasonUpstreamCrashed},
 		{"closes the connection", false, outcome.ReasonConnectionLost},
@@ -42,7 +42,7 @@
 					return
 				}
 				_, _ = http.ReadRequest(bufio.NewReader(conn))
-				if tt.dies {
+				if tt.stopsListening {
 					_ = ln.Close()
 				}
 				_ = conn.Close()
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -23,9 +23,9 @@
 // the upstream received, and the guard.
 func pollOnce(t *testing.T, budget float64, status int, body string) (result string, hits int32, g *Guard) {
 	t.Helper()
-	var seen atomic.Int32
+	var received atomic.Int32
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		seen.Add(1)
+		received.Add(1)
 		assert.Equal(t, "/load", r.URL.Path)
 		w.WriteHeader(status)
 		_, _ = fmt.Fprint(w, body)
@@ -43,7 +43,7 @@
 	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6}
 	g.Attach(membership.Local{Upstream: up, Address: upstream.Listener.Addr().String(), LoadPath: "/load"})
 	g.poll(context.Background())
-	assert.Zero(t, seen.Load(), "no poll is due yet")
+	assert.Zero(t, received.Load(), "no poll is due yet")
 	now.Store(int64(time.Minute))
 	g.poll(context.Background())
 	require.Eventually(t, func() bool {
@@ -55,7 +55,7 @@
 		}
 		return false
 	}, time.Minute, time.Millisecond)
-	return result, seen.Load(), g
+	return result, received.Load(), g
 }
 
 func TestPoll(t *testing.T) {
@@ -84,7 +84,7 @@
 			slotTime := g.Measured()["s-1"]
 			assert.Equal(t, tc.hits > 0, slotTime > 0)
 			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "at most one burst of the budget")
-			assert.Zero(t, g.Loads("s")["s-1"].Running, "a report without support in the observed load adds nothing")
+			assert.Zero(t, g.Loads("s")["s-1"].Running, "a report that the observed load does not support adds no running requests")
 		})
 	}
 }
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -74,10 +74,10 @@
 
 func TestRefusalBeforeStartIsNotRun(t *testing.T) {
 	tests := []struct {
-		name   string
-		status int
-		signal string
-		want   outcome.Outcome
+		name          string
+		status        int
+		refusalHeader string
+		want          outcome.Outcome
 	}{
 		{"503 with the refusal header", 503, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
 		{"429 with the refusal header", 429, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
@@ -89,8 +89,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g := newGuardWithUpstream(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Retry-After", "7")
-				if tt.signal != "" {
-					w.Header().Set(wire.HeaderRefused, tt.signal)
+				if tt.refusalHeader != "" {
+					w.Header().Set(wire.HeaderRefused, tt.refusalHeader)
 				}
 				w.WriteHeader(tt.status)
 			}))
