--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -1,5 +1,5 @@
-// Package admission implements admission control for one upstream. It runs in
-// the daemon on the upstream's VM and decides which request starts next and
+// Package admission implements admission control for one upstream. The guard, the
+// proxy on the upstream's VM, uses it to decide which request starts next and
 // which is refused.
 //
 // # Concept
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -103,11 +103,11 @@
 func TestCallersOfOneGroupShareEqually(t *testing.T) {
 	sim := newSimulator(t, 4, Options{}, Group{Name: "g", Weight: 1, QueueBound: 200})
 	base := workload{group: "g", slotTime: constant(2 * time.Millisecond), interval: 800 * time.Microsecond, deadline: longDeadline, to: 4 * time.Second}
-	modest, greedy := base, base
-	modest.caller, greedy.caller = "modest", "greedy"
-	greedy.interval, greedy.slotTime = 80*time.Microsecond, constant(5*time.Millisecond)
-	sim.run(modest, greedy)
-	require.InEpsilon(t, sim.slotTimeByCaller["modest"].Seconds(), sim.slotTimeByCaller["greedy"].Seconds(), 0.05)
+	light, heavy := base, base
+	light.caller, heavy.caller = "light", "heavy"
+	heavy.interval, heavy.slotTime = 80*time.Microsecond, constant(5*time.Millisecond)
+	sim.run(light, heavy)
+	require.InEpsilon(t, sim.slotTimeByCaller["light"].Seconds(), sim.slotTimeByCaller["heavy"].Seconds(), 0.05)
 }
 
 // TestManyCallersGetNoLargerShare runs a group of 200 callers beside a group of
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -188,9 +188,10 @@
 	return q.discard(g.byLength.top().head), true
 }
 
-// DropFromLargestBacklog removes the oldest waiting request of the caller with
-// the longest queue, in the group with the largest backlog relative to its
-// weight. It reports false when no request waits.
+// DropFromLargestBacklog removes the oldest waiting request of the caller with the
+// longest queue, in the group with the largest backlog: the expected slot time of
+// its waiting requests divided by its weight. It reports false when no request
+// waits.
 func (q *Queue) DropFromLargestBacklog() (ID, bool) {
 	if q.byBacklog.len() == 0 {
 		return 0, false
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -63,7 +63,8 @@
 }
 
 // admit waits until the call may start. It returns an outcome when the call is
-// refused, or withdrawn because its queue timeout or its context ended first.
+// refused, or when it was withdrawn from the queue because its queue timeout
+// expired or its context ended.
 func (u *upstreamProxy) admit(ctx context.Context, c *wire.Call) (admission.ID, *outcome.Outcome) {
 	id, effect := u.arrive(c)
 	if c.HasPatience && c.Patience <= 0 && u.withdraw(id) {
@@ -106,8 +107,8 @@
 	return id, effect
 }
 
-// withdrawnOutcome returns the outcome of a call that was withdrawn while it
-// waited.
+// withdrawnOutcome returns the outcome that rejects a call that was withdrawn from
+// the queue. The entry may then choose another upstream.
 func withdrawnOutcome() *outcome.Outcome {
 	o := outcome.NotRunBecause(outcome.ReasonWithdrawn)
 	return &o
