--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -6,9 +6,9 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// announced is the limit that the upstream announced.
-type announced int
+// fixedLimit is a Limiter that never changes.
+type fixedLimit int
 
-func (a announced) Limit() int { return int(a) }
+func (l fixedLimit) Limit() int { return int(l) }
 
-func (a announced) Observe(model.Instant, time.Duration, int, bool) {}
+func (l fixedLimit) Observe(model.Instant, time.Duration, int, bool) {}
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -14,36 +14,42 @@
 
 	// prev and next link the waiting requests of one caller, oldest first.
 	prev, next *entry
-	// expiryAt is the index in the heap of deadlines while the request waits.
-	expiryAt int
+	// deadlineIndex is the position in Queue.byDeadline while the request waits.
+	deadlineIndex int
 
 	running bool
 	started model.Instant
 	charged time.Duration
-	// overrunAt is the index in the heap of running requests.
-	overrunAt int
+	// nextChargeIndex is the position in Queue.byNextCharge while the request
+	// runs.
+	nextChargeIndex int
 }
 
-// overrun is the instant at which the running time reaches the charge.
-func (e *entry) overrun() model.Instant { return e.started.Add(e.charged) }
+// nextCharge returns the instant at which the running time reaches the charge,
+// so that the request must be charged again.
+func (e *entry) nextCharge() model.Instant { return e.started.Add(e.charged) }
 
-// caller is one caller's part of a group.
+// caller is the queue of one caller within a group.
 type caller struct {
 	name  model.CallerName
 	group *group
 
-	vtime   float64
-	readyAt int
-	sizeAt  int
-	order   uint64
+	// virtualTime is the slot time charged to the caller. virtualTimeIndex and
+	// lengthIndex are the positions in group.byVirtualTime and group.byLength.
+	// seq breaks ties between equal virtual times.
+	virtualTime      float64
+	virtualTimeIndex int
+	lengthIndex      int
+	seq              uint64
 
 	head, tail *entry
 	waiting    int
 	running    int
 
-	// idlePrev and idleNext link idle callers that owe, longest idle first.
+	// idlePrev and idleNext link the group's idle callers whose virtual time is
+	// ahead of the group's system virtual time, longest idle first.
 	idlePrev, idleNext *caller
-	idle               bool
+	inIdleList         bool
 }
 
 func (c *caller) append(e *entry) {
@@ -72,100 +78,110 @@
 	c.waiting--
 }
 
-// group is one group's part of the queue.
+// group holds the waiting requests and the accounting of one group.
 type group struct {
 	name  model.GroupName
-	level *level
-	// weight is the effective weight, relative to the heaviest group.
-	weight float64
-	bound  int
-	named  bool
-	// maxRunning is Share.MaxRunning.
+	class *priorityClass
+	// weight is the effective weight as a fraction of the largest weight.
+	weight     float64
+	bound      int
+	configured bool
+	// maxRunning is GroupConfig.MaxRunning.
 	maxRunning int
 
-	vtime float64
-	// readyAt is the index in the level's heap while a request may start.
-	readyAt int
-	order   uint64
-	// over says how far the group's queue exceeds its share; overAt is its
-	// index in the heap by that figure.
-	over   float64
-	overAt int
-
-	callers  map[model.CallerName]*caller
-	byTurn   indexHeap[*caller]
-	bySize   indexHeap[*caller]
-	vnow     float64
-	idleHead *caller
-	idleTail *caller
-	idleLen  int
-
-	waiting int
-	running int
-	cost    estimator
-	charged time.Duration
+	// virtualTime is the slot time charged to the group divided by its weight.
+	virtualTime float64
+	// readyIndex is the position in the heap of the group's class while one of
+	// its requests may start. seq breaks ties between equal virtual times.
+	readyIndex int
+	seq        uint64
+	// backlog is the expected slot time of the waiting requests divided by the
+	// weight; backlogIndex is the group's position in Queue.byBacklog.
+	backlog      float64
+	backlogIndex int
+
+	// byVirtualTime and byLength hold the callers with waiting requests, the
+	// first ordered by virtual time, the second by number of waiting requests.
+	// systemVirtualTime is the virtual time of the caller served last.
+	callers           map[model.CallerName]*caller
+	byVirtualTime     indexHeap[*caller]
+	byLength          indexHeap[*caller]
+	systemVirtualTime float64
+	idleHead          *caller
+	idleTail          *caller
+	idleCount         int
+
+	waiting  int
+	running  int
+	slotTime estimator
+	charged  time.Duration
 }
 
 func newGroup(name model.GroupName) *group {
 	return &group{
-		name:    name,
-		readyAt: notInHeap,
-		overAt:  notInHeap,
-		callers: make(map[model.CallerName]*caller),
-		byTurn: indexHeap[*caller]{
-			less:  func(a, b *caller) bool { return before(a.vtime, b.vtime, a.order, b.order) },
-			index: func(c *caller) *int { return &c.readyAt },
+		name:         name,
+		readyIndex:   notInHeap,
+		backlogIndex: notInHeap,
+		callers:      make(map[model.CallerName]*caller),
+		byVirtualTime: indexHeap[*caller]{
+			less:  func(a, b *caller) bool { return servedBefore(a.virtualTime, b.virtualTime, a.seq, b.seq) },
+			index: func(c *caller) *int { return &c.virtualTimeIndex },
 		},
-		bySize: indexHeap[*caller]{
+		byLength: indexHeap[*caller]{
 			less:  func(a, b *caller) bool { return a.waiting > b.waiting },
-			index: func(c *caller) *int { return &c.sizeAt },
+			index: func(c *caller) *int { return &c.lengthIndex },
 		},
 	}
 }
 
-// ready reports whether the group is in its level's heap.
-func (g *group) ready() bool { return g.readyAt != notInHeap }
+// ready reports whether the group is in the heap of its class.
+func (g *group) ready() bool { return g.readyIndex != notInHeap }
 
 // mayStart reports whether one of the group's requests may start.
 func (g *group) mayStart() bool {
 	return g.waiting > 0 && (g.maxRunning <= 0 || g.running < g.maxRunning)
 }
 
-// level is a set of groups that are served in order of virtual time.
-type level struct {
-	ready indexHeap[*group]
-	vnow  float64
-	// weight is the sum of the weights of the groups that wait, waiting the
-	// number of their requests.
+// priorityClass is a set of groups that are served in order of virtual time. A
+// Queue has two classes: the foreground holds the groups with a weight above
+// zero, the background those of weight zero.
+type priorityClass struct {
+	// ready holds the groups with a request that may start, ordered by virtual
+	// time. systemVirtualTime is the virtual time of the group served last.
+	ready             indexHeap[*group]
+	systemVirtualTime float64
+	// weight is the sum of the weights of the groups in the ready heap. waiting
+	// is the number of waiting requests of all groups of the class.
 	weight  float64
 	waiting int
 }
 
-func newLevel() *level {
-	return &level{ready: indexHeap[*group]{
-		less:  func(a, b *group) bool { return before(a.vtime, b.vtime, a.order, b.order) },
-		index: func(g *group) *int { return &g.readyAt },
+func newPriorityClass() *priorityClass {
+	return &priorityClass{ready: indexHeap[*group]{
+		less:  func(a, b *group) bool { return servedBefore(a.virtualTime, b.virtualTime, a.seq, b.seq) },
+		index: func(g *group) *int { return &g.readyIndex },
 	}}
 }
 
-func before(va, vb float64, oa, ob uint64) bool {
-	if va != vb {
-		return va < vb
+// servedBefore orders by virtual time and breaks ties by sequence number.
+func servedBefore(virtualTimeA, virtualTimeB float64, seqA, seqB uint64) bool {
+	if virtualTimeA != virtualTimeB {
+		return virtualTimeA < virtualTimeB
 	}
-	return oa < ob
+	return seqA < seqB
 }
 
-func (l *level) add(g *group, order uint64) {
-	g.vtime = max(g.vtime, l.vnow)
-	g.order = order
-	l.ready.push(g)
-	l.weight += g.weight
+func (c *priorityClass) add(g *group, seq uint64) {
+	g.virtualTime = max(g.virtualTime, c.systemVirtualTime)
+	g.seq = seq
+	c.ready.push(g)
+	c.weight += g.weight
 }
 
-func (l *level) remove(g *group) {
-	l.ready.remove(g)
-	l.weight -= g.weight
-	if l.ready.len() == 0 {
-		l.weight = 0
+func (c *priorityClass) remove(g *group) {
+	c.ready.remove(g)
+	c.weight -= g.weight
+	if c.ready.len() == 0 {
+		c.weight = 0
 	}
 }
--- a/core/fairqueue/heap.go
+++ b/core/fairqueue/heap.go
@@ -3,8 +3,8 @@
 // notInHeap is the index of an element outside its heap.
 const notInHeap = -1
 
-// indexHeap is a binary heap whose elements know their own index, so that they
-// can be moved or removed in O(log n).
+// indexHeap is a binary heap that stores in each element the position of the
+// element, so that an element can be moved or removed in O(log n).
 type indexHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -18,7 +18,7 @@
 func (h *indexHeap[T]) push(x T) {
 	*h.index(x) = len(h.items)
 	h.items = append(h.items, x)
-	h.up(len(h.items) - 1)
+	h.siftUp(len(h.items) - 1)
 }
 
 func (h *indexHeap[T]) remove(x T) {
@@ -33,25 +33,25 @@
 	h.items = h.items[:last]
 	*h.index(x) = notInHeap
 	if i < last {
-		h.settle(i)
+		h.restore(i)
 	}
 }
 
-// fix restores the order after the element's key has changed. An element
-// outside the heap is left alone.
+// fix restores the heap order after the key of x has changed. It does nothing
+// when x is not in the heap.
 func (h *indexHeap[T]) fix(x T) {
 	if i := *h.index(x); i != notInHeap {
-		h.settle(i)
+		h.restore(i)
 	}
 }
 
-func (h *indexHeap[T]) settle(i int) {
-	if !h.down(i) {
-		h.up(i)
+func (h *indexHeap[T]) restore(i int) {
+	if !h.siftDown(i) {
+		h.siftUp(i)
 	}
 }
 
-func (h *indexHeap[T]) up(i int) {
+func (h *indexHeap[T]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.less(h.items[i], h.items[parent]) {
@@ -62,9 +62,10 @@
 	}
 }
 
-// down reports whether the element moved.
-func (h *indexHeap[T]) down(i int) bool {
-	from := i
+// siftDown moves the element at i towards the leaves until the heap order holds
+// and reports whether it moved.
+func (h *indexHeap[T]) siftDown(i int) bool {
+	start := i
 	for {
 		child := 2*i + 1
 		if child >= len(h.items) {
@@ -79,7 +80,7 @@
 		h.swap(i, child)
 		i = child
 	}
-	return i > from
+	return i > start
 }
 
 func (h *indexHeap[T]) swap(i, j int) {
--- a/core/fairqueue/idle.go
+++ b/core/fairqueue/idle.go
@@ -1,35 +1,39 @@
 package fairqueue
 
-// maxIdleCallers bounds the idle callers that a group remembers because they
-// owe slot time. When full, the caller idle for longest is forgiven.
+// maxIdleCallers is the largest number of idle callers that a group keeps
+// because their virtual time is ahead of the group's system virtual time. When
+// it is exceeded, the caller that has been idle for longest is dropped and with
+// it the excess slot time charged to it.
 const maxIdleCallers = 256
 
-// rest forgets a caller without requests, or remembers it while it owes.
-func (q *Queue) rest(c *caller) {
+// releaseIfIdle frees a caller that has no requests left. A caller whose virtual
+// time is ahead of the group's system virtual time is kept in the idle list, so
+// that it cannot reset its charges by going idle.
+func (q *Queue) releaseIfIdle(c *caller) {
 	g := c.group
-	if c.waiting > 0 || c.running > 0 || c.idle {
+	if c.waiting > 0 || c.running > 0 || c.inIdleList {
 		return
 	}
-	if c.vtime <= g.vnow {
-		q.forget(c)
+	if c.virtualTime <= g.systemVirtualTime {
+		q.freeCaller(c)
 		return
 	}
 	g.pushIdle(c)
-	for g.idleHead != nil && (g.idleHead.vtime <= g.vnow || g.idleLen > maxIdleCallers) {
-		first := g.idleHead
-		g.dropIdle(first)
-		q.forget(first)
+	for g.idleHead != nil && (g.idleHead.virtualTime <= g.systemVirtualTime || g.idleCount > maxIdleCallers) {
+		oldest := g.idleHead
+		g.removeIdle(oldest)
+		q.freeCaller(oldest)
 	}
 }
 
-func (q *Queue) forget(c *caller) {
+func (q *Queue) freeCaller(c *caller) {
 	delete(c.group.callers, c.name)
-	*c = caller{readyAt: notInHeap, sizeAt: notInHeap}
+	*c = caller{virtualTimeIndex: notInHeap, lengthIndex: notInHeap}
 	q.freeCallers = append(q.freeCallers, c)
 }
 
 func (g *group) pushIdle(c *caller) {
-	c.idle = true
+	c.inIdleList = true
 	c.idlePrev = g.idleTail
 	if g.idleTail == nil {
 		g.idleHead = c
@@ -37,10 +41,10 @@
 		g.idleTail.idleNext = c
 	}
 	g.idleTail = c
-	g.idleLen++
+	g.idleCount++
 }
 
-func (g *group) dropIdle(c *caller) {
+func (g *group) removeIdle(c *caller) {
 	if c.idlePrev == nil {
 		g.idleHead = c.idleNext
 	} else {
@@ -51,6 +55,6 @@
 	} else {
 		c.idleNext.idlePrev = c.idlePrev
 	}
-	c.idlePrev, c.idleNext, c.idle = nil, nil, false
-	g.idleLen--
+	c.idlePrev, c.idleNext, c.inIdleList = nil, nil, false
+	g.idleCount--
 }
--- a/core/policy/explain.go
+++ b/core/policy/explain.go
@@ -7,25 +7,27 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Explanation says how a caller's group at a service comes about.
+// Explanation describes how the group of a caller at a service was determined.
 type Explanation struct {
 	Service model.ServiceName `json:"service"`
 	// Caller is empty for a caller without credentials.
 	Caller model.CallerName `json:"caller"`
-	// Policies lists every sharing policy in the order in which they are tried.
+	// Policies lists all sharing policies in the order in which they are tried.
 	Policies []PolicyStep `json:"policies"`
-	// Groups lists the groups of the winning policy in order.
+	// Groups lists the groups of the policy that applies, in the order in which
+	// they are tried.
 	Groups []GroupStep `json:"groups"`
-	// Group is the outcome; empty when the caller is refused.
+	// Group is the caller's group. It is empty when the caller is refused.
 	Group model.GroupName `json:"group"`
-	// Share is the group's weight over the sum of all weights: its part of
-	// every upstream when all groups are busy.
+	// Share is the group's weight divided by the sum of all weights. It is the
+	// group's part of each upstream's slot time when all groups are backlogged.
 	Share float64 `json:"share"`
 	// Deadline caps the time of the group's requests.
 	Deadline time.Duration `json:"deadline"`
 }
 
-// PolicyStep is one sharing policy weighed for the service.
+// PolicyStep describes whether a sharing policy applies to the service and why.
+// Wins is set for the policy that applies.
 type PolicyStep struct {
 	Name     string `json:"name"`
 	Priority int    `json:"priority"`
@@ -33,34 +35,36 @@
 	Why      string `json:"why"`
 }
 
-// GroupStep is one group weighed for the caller.
+// GroupStep describes whether a group is the caller's group and why. Wins is set
+// for the caller's group.
 type GroupStep struct {
 	Name model.GroupName `json:"name"`
 	Wins bool            `json:"wins"`
 	Why  string          `json:"why"`
 }
 
-// LookupError tells which name an explanation was asked for in vain.
-type LookupError struct {
+// NotFoundError reports that no document of the kind has the name.
+type NotFoundError struct {
 	Kind string
 	Name string
 }
 
-// Error names the kind and the name.
-func (e *LookupError) Error() string {
+// Error implements error.
+func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("no %s is named %q", e.Kind, e.Name)
 }
 
-// Explain says which group a caller belongs to at a service and why. An empty
-// caller stands for one without credentials.
+// Explain returns the group that a caller belongs to at a service and the reason.
+// The empty name stands for a caller without credentials. The error is a
+// *NotFoundError.
 func (s *Set) Explain(caller model.CallerName, service model.ServiceName) (Explanation, error) {
 	svc, ok := s.services[service]
 	if !ok {
-		return Explanation{}, &LookupError{Kind: KindService, Name: string(service)}
+		return Explanation{}, &NotFoundError{Kind: KindService, Name: string(service)}
 	}
 	c, ok := s.callers[caller]
 	if !ok && caller != "" {
-		return Explanation{}, &LookupError{Kind: KindCaller, Name: string(caller)}
+		return Explanation{}, &NotFoundError{Kind: KindCaller, Name: string(caller)}
 	}
 	e := Explanation{Service: service, Caller: caller}
 	e.Policies = s.explainPolicies(service)
@@ -85,9 +89,9 @@
 	winner := ""
 	for _, p := range s.policies {
 		step := PolicyStep{Name: p.name, Priority: p.spec.Priority}
-		switch failing := p.services.failing(s.labels[service]); {
-		case failing != nil:
-			step.Why = fmt.Sprintf("does not select the service: %s does not hold", failing)
+		switch unmatched := p.services.firstUnmatched(s.labels[service]); {
+		case unmatched != nil:
+			step.Why = fmt.Sprintf("does not select the service: %s does not hold", unmatched)
 		case winner != "":
 			step.Why = fmt.Sprintf("selects the service, but %s comes first", winner)
 		default:
@@ -100,20 +104,20 @@
 }
 
 func (s *Service) explainGroups(labels model.Labels, group model.GroupName) []GroupStep {
-	matched := s.match(labels)
+	matchedIndex := s.matchIndex(labels)
 	var steps []GroupStep
 	for i, g := range s.Groups {
 		step := GroupStep{Name: g.Name, Wins: g.Name == group}
-		failing := s.selectors[i].failing(labels)
+		unmatched := s.selectors[i].firstUnmatched(labels)
 		switch {
-		case int32(i)+1 == matched:
+		case int32(i)+1 == matchedIndex:
 			step.Why = fmt.Sprintf("first group whose selector %q holds", g.Callers)
 		case step.Wins:
 			step.Why = "default group, as no selector holds"
 		case s.selectors[i].Empty():
 			step.Why = "selects nobody"
-		case failing != nil:
-			step.Why = fmt.Sprintf("%s does not hold", failing)
+		case unmatched != nil:
+			step.Why = fmt.Sprintf("%s does not hold", unmatched)
 		default:
 			step.Why = "its selector holds, but an earlier group's does too"
 		}
--- a/core/policy/parse.go
+++ b/core/policy/parse.go
@@ -5,10 +5,9 @@
 	"reflect"
 )
 
-// Parse reads a file that holds one document or a list of them, and reports
-// every field that does not belong there. The problems of specs are left to
-// Compile. Problems name the document by its key, or by its place in the file
-// when it has none.
+// Parse decodes the contents of a file that holds one document or a list of
+// documents. It reports unknown fields and values of the wrong type outside the
+// specs, and identifies documents by their key. Compile checks the specs.
 func Parse(data []byte) ([]Document, []Problem) {
 	var items []json.RawMessage
 	if json.Unmarshal(data, &items) != nil {
@@ -19,12 +18,12 @@
 	for _, raw := range items {
 		var d Document
 		err := json.Unmarshal(raw, &d)
-		before := len(problems)
-		strict{report: func(path, value, message string) {
+		problemsBefore := len(problems)
+		strictChecker{report: func(path, value, message string) {
 			problems = append(problems, Problem{Document: d.Key(), Path: path, Value: value, Message: message})
 		}}.check("", raw, reflect.TypeFor[Document]())
-		if err != nil && len(problems) == before {
-			problems = append(problems, Problem{Document: d.Key(), Path: "", Value: brief(raw), Message: err.Error()})
+		if err != nil && len(problems) == problemsBefore {
+			problems = append(problems, Problem{Document: d.Key(), Path: "", Value: oneLine(raw), Message: err.Error()})
 		}
 		docs = append(docs, d)
 	}
--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -6,54 +6,61 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Splitter deals the requests of routes to the parts of their splits. It is not
-// safe for concurrent use. The zero value is ready.
+// Splitter distributes the requests of each route among the services of the
+// route's traffic split by smooth weighted round robin. It is not safe for
+// concurrent use. The zero value is ready to use.
 type Splitter struct {
-	// places holds a place for each route with more than one part.
-	places map[string]*place
+	// states holds the state of each route with more than one service, by the
+	// name of the route.
+	states map[string]*splitState
 }
 
-// place is how far the parts of one split are ahead of their shares.
-type place struct {
+// splitState is the state of smooth weighted round robin over one split.
+type splitState struct {
 	parts []Part
-	owed  []float64
+	// currentWeights holds the current weight of each part; see Splitter.Pick.
+	currentWeights []float64
 }
 
-// maxPlaces bounds the places kept; routes beyond it start anew, which costs
-// them at most one request of exactness.
-const maxPlaces = 4096
+// maxStates is the largest number of states kept. When it is exceeded all states
+// are reset, which costs each split at most one request of exactness.
+const maxStates = 4096
 
-// Pick returns the service that takes the next request of a route. Each part is
-// owed its share of every request, and the part that is owed most takes it, so
-// that no share is ever off by more than one request.
+// Pick returns the service for the next request of a route. It adds to the
+// current weight of each service the weight of the service, picks the service
+// with the largest current weight, and subtracts the total weight from it. No
+// service of a split between two is ever more than one request off its share, and
+// no service of a split between n more than n-1 requests.
 func (s *Splitter) Pick(r *Route) model.ServiceName {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
 	}
-	p := s.place(r)
-	total := 0.0
+	state := s.state(r)
+	totalWeight := 0.0
 	for i, part := range r.Parts {
-		total += part.Weight
-		p.owed[i] += part.Weight
+		totalWeight += part.Weight
+		state.currentWeights[i] += part.Weight
 	}
 	best := 0
-	for i := range p.owed {
-		if p.owed[i] > p.owed[best] {
+	for i := range state.currentWeights {
+		if state.currentWeights[i] > state.currentWeights[best] {
 			best = i
 		}
 	}
-	p.owed[best] -= total
+	state.currentWeights[best] -= totalWeight
 	return r.Parts[best].Service
 }
 
-func (s *Splitter) place(r *Route) *place {
-	if s.places == nil || len(s.places) > maxPlaces {
-		s.places = make(map[string]*place)
+// state returns the state of the route's split. It is a new one when the split
+// has changed.
+func (s *Splitter) state(r *Route) *splitState {
+	if s.states == nil || len(s.states) > maxStates {
+		s.states = make(map[string]*splitState)
 	}
-	p := s.places[r.Name]
-	if p == nil || !slices.Equal(p.parts, r.Parts) {
-		p = &place{parts: r.Parts, owed: make([]float64, len(r.Parts))}
-		s.places[r.Name] = p
+	state := s.states[r.Name]
+	if state == nil || !slices.Equal(state.parts, r.Parts) {
+		state = &splitState{parts: r.Parts, currentWeights: make([]float64, len(r.Parts))}
+		s.states[r.Name] = state
 	}
-	return p
+	return state
 }
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -8,12 +8,13 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Table is a configuration ready for use.
+// Table is a validated configuration, indexed for lookups.
 type Table struct {
 	doc      Document
 	hosts    map[string][]*Route
 	services map[model.ServiceName]*Service
-	lowest   int
+	// lastRank is the largest rank of any route, the last to be served.
+	lastRank int
 }
 
 // New checks a configuration and returns its Table. The error is an *Error.
@@ -28,11 +29,11 @@
 	}
 	for i := range doc.Routes {
 		r := &t.doc.Routes[i]
-		if err := r.check(doc.Version); err != nil {
+		if err := r.validate(doc.Version); err != nil {
 			return nil, err
 		}
-		t.lowest = max(t.lowest, r.Rank)
-		host := hostOf(r.Host)
+		t.lastRank = max(t.lastRank, r.Rank)
+		host := normalizeHost(r.Host)
 		t.hosts[host] = append(t.hosts[host], r)
 	}
 	for _, routes := range t.hosts {
@@ -41,28 +42,29 @@
 	return t, nil
 }
 
-// Version is the version of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() model.Version { return t.doc.Version }
 
-// Limits are the bounds on callers.
+// Limits returns the limits on callers' requests and connections.
 func (t *Table) Limits() Limits { return t.doc.Limits }
 
 // Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.doc.Routes) }
 
-// Urgent reports whether a rank comes before the last one in use.
-func (t *Table) Urgent(rank int) bool { return rank < t.lowest }
+// Urgent reports whether requests of the given rank are served before those of the
+// last rank that any route has.
+func (t *Table) Urgent(rank int) bool { return rank < t.lastRank }
 
-// Service returns what is stated of a service.
+// Service returns the configuration of a service.
 func (t *Table) Service(name model.ServiceName) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Lookup returns the route of a request: among those of the host, the one with
-// the longest prefix that begins the path. The path is compared byte for byte.
+// Lookup returns the route of a request: of the routes for the host, the route
+// with the longest prefix that the path starts with. Paths are case-sensitive.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
-	for _, r := range t.hosts[hostOf(host)] {
+	for _, r := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -70,8 +72,8 @@
 	return nil, false
 }
 
-// hostOf returns a host without its port and in lower case.
-func hostOf(host string) string {
+// normalizeHost returns a host without its port and in lower case.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -10,56 +10,60 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// attempt sends the request to an upstream that is not in tried and returns its
-// answer. A guard that cannot start the request at once may give it back; then
-// it goes on to the next choice within the same attempt, since it did not run.
-// It reports false when no upstream may take the request.
-func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, attempt int) (*wire.Answer, model.UpstreamID, bool) {
-	for bounced := req.firstBounce(); ; bounced++ {
-		choice, ok := e.opts.Routers.Place(req.modelRequest(attempt), tried, bounced)
+// attempt sends the request to an upstream that is not in tried and returns the
+// response and the upstream. A guard may reject a request that does not start
+// within its queue timeout. Such a request did not run, so attempt sends it to
+// the next upstream that the router chooses. attempt reports false when no
+// upstream may take the request.
+func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, number int) (*wire.Answer, model.UpstreamID, bool) {
+	for rejections := req.initialRejections(); ; rejections++ {
+		choice, ok := e.opts.Routers.Place(req.modelRequest(number), tried, rejections)
 		if !ok {
 			return nil, "", false
 		}
-		a := e.send(ctx, req, choice, tried, attempt)
-		if !choice.Bounced(a.Outcome) || ctx.Err() != nil {
-			return a, choice.Upstream.ID, true
+		response := e.send(ctx, req, choice, tried, number)
+		if !choice.Bounced(response.Outcome) || ctx.Err() != nil {
+			return response, choice.Upstream.ID, true
 		}
-		_ = a.Body.Close()
+		_ = response.Body.Close()
 	}
 }
 
-// firstBounce is how often the request counts as given back before it is sent:
-// a body that cannot be sent again must wait at the first guard.
-func (r *request) firstBounce() int {
-	if r.body.rewind() {
+// initialRejections returns the number of rejections that the router is to assume
+// for the first choice. A body that cannot be replayed can be sent only once. Its
+// request starts with the maximum, so that it waits at the first guard instead of
+// being rejected.
+func (r *request) initialRejections() int {
+	if r.body.replayable() {
 		return 0
 	}
 	return routing.MaxBounces
 }
 
-// sendOnce forwards the request as chosen and tells the router how it went.
+// sendOnce sends the request to the chosen upstream and reports the result to
+// the router.
 func (e *Entry) sendOnce(ctx context.Context, req *request, choice routing.Choice, attempt int, hedge bool) *wire.Answer {
-	up := choice.Upstream
-	call := req.call(up, attempt)
-	sent := e.opts.Now()
-	call.Timeout = req.deadline.Sub(sent)
+	upstream := choice.Upstream
+	call := req.call(upstream, attempt)
+	sentAt := e.opts.Now()
+	call.Timeout = req.deadline.Sub(sentAt)
 	call.HasPatience = choice.Patience >= 0
 	call.Patience = max(choice.Patience, 0)
 	ctx, span := trace.Start(ctx, "attempt")
 	span.Call(call)
 	trace.Inject(ctx, call.Header)
-	a := e.forwarder(up).Do(ctx, call)
-	span.End(a.Outcome)
-	e.metrics.attempts.Count(a.Outcome)
-	e.suspect(req, up, a)
-	e.opts.Routers.Done(up, routing.Reply{
-		Outcome: a.Outcome,
-		Failed:  a.Status >= http.StatusInternalServerError,
-		Load:    a.Load,
-		HasLoad: a.HasLoad,
-		Latency: e.opts.Now().Sub(sent),
+	response := e.forwarder(upstream).Do(ctx, call)
+	span.End(response.Outcome)
+	e.metrics.attempts.Count(response.Outcome)
+	e.recordCrash(req, upstream, response)
+	e.opts.Routers.Done(upstream, routing.Reply{
+		Outcome: response.Outcome,
+		Failed:  response.Status >= http.StatusInternalServerError,
+		Load:    response.Load,
+		HasLoad: response.HasLoad,
+		Latency: e.opts.Now().Sub(sentAt),
 		Group:   req.group,
 		Hedge:   hedge,
 	})
-	return a
+	return response
 }
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -15,16 +15,17 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// fixedView is a membership view that never changes.
-type fixedView []model.Upstream
+// staticView is a membership view that never changes.
+type staticView []model.Upstream
 
-func (v fixedView) Upstreams(model.ServiceName) ([]model.Upstream, uint64) { return v, 1 }
-func (v fixedView) Generation() uint64                                     { return 1 }
+func (v staticView) Upstreams(model.ServiceName) ([]model.Upstream, uint64) { return v, 1 }
+func (v staticView) Generation() uint64                                     { return 1 }
 
-// fullGuards give back every call that does not wait.
-type fullGuards struct{ calls []*wire.Call }
+// rejectingGuard rejects every call that has a queue timeout, and answers all
+// others.
+type rejectingGuard struct{ calls []*wire.Call }
 
-func (g *fullGuards) Do(_ context.Context, c *wire.Call) *wire.Answer {
+func (g *rejectingGuard) Do(_ context.Context, c *wire.Call) *wire.Answer {
 	g.calls = append(g.calls, c)
 	a := wire.NoAnswer(outcome.Done())
 	if c.HasPatience {
@@ -35,9 +36,10 @@
 	return a
 }
 
-func tryOnce(g *fullGuards, b *body) (*wire.Answer, bool) {
+// attemptOnce makes one attempt with the given body through the guard g.
+func attemptOnce(g *rejectingGuard, b *body) (*wire.Answer, bool) {
 	now := func() model.Instant { return 0 }
-	view := fixedView{
+	view := staticView{
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
 		{ID: "s-2", Service: "s", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
 	}
@@ -56,19 +58,19 @@
 	return a, ok
 }
 
-func TestGivenBackRequestGoesOnAndThenWaits(t *testing.T) {
-	g := &fullGuards{}
-	a, ok := tryOnce(g, &body{data: []byte("x"), length: 1})
+func TestRejectedRequestTriesOtherUpstreamsAndThenWaits(t *testing.T) {
+	g := &rejectingGuard{}
+	a, ok := attemptOnce(g, &body{data: []byte("x"), length: 1})
 	assert.True(t, ok)
 	assert.Equal(t, outcome.Answered, a.Outcome.Kind)
 	assert.Len(t, g.calls, routing.MaxBounces+1)
-	assert.False(t, g.calls[routing.MaxBounces].HasPatience, "the last one waits")
-	assert.NotEqual(t, g.calls[0].ID, g.calls[1].ID, "each sending has its own id")
+	assert.False(t, g.calls[routing.MaxBounces].HasPatience, "the last call waits until its deadline")
+	assert.NotEqual(t, g.calls[0].ID, g.calls[1].ID, "each call has its own ID")
 }
 
 func TestStreamedBodyIsSentOnce(t *testing.T) {
-	g := &fullGuards{}
-	_, ok := tryOnce(g, &body{stream: http.NoBody, length: -1})
+	g := &rejectingGuard{}
+	_, ok := attemptOnce(g, &body{stream: http.NoBody, length: -1})
 	assert.True(t, ok)
 	assert.Len(t, g.calls, 1)
 	assert.False(t, g.calls[0].HasPatience)
--- a/entry/body.go
+++ b/entry/body.go
@@ -9,30 +9,33 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// body is a request body that is held whole when small, so that it can be sent
-// again, and streamed once otherwise.
+// body is a request body. A small body is buffered, so that it can be replayed
+// for a retry. A larger one is streamed and can be sent only once.
 type body struct {
 	data   []byte
 	stream io.Reader
 	length int64
 }
 
-// readBody takes in a body of the announced length, -1 when unknown.
+// readBody reads a body whose Content-Length is length, -1 when unknown. It
+// returns the reason when the request must be refused.
 func readBody(r io.Reader, length int64) (*body, outcome.Reason) {
 	if length == 0 {
 		return &body{}, outcome.ReasonNone
 	}
-	head, err := io.ReadAll(io.LimitReader(r, replayable+1))
+	prefix, err := io.ReadAll(io.LimitReader(r, maxReplayableBody+1))
 	if err != nil {
-		return nil, bodyReason(err)
+		return nil, bodyErrorReason(err)
 	}
-	if len(head) <= replayable {
-		return &body{data: head, length: int64(len(head))}, outcome.ReasonNone
+	if len(prefix) <= maxReplayableBody {
+		return &body{data: prefix, length: int64(len(prefix))}, outcome.ReasonNone
 	}
-	return &body{stream: io.MultiReader(bytes.NewReader(head), r), length: length}, outcome.ReasonNone
+	return &body{stream: io.MultiReader(bytes.NewReader(prefix), r), length: length}, outcome.ReasonNone
 }
 
-func bodyReason(err error) outcome.Reason {
+// bodyErrorReason returns the reason to refuse a request whose body could not be
+// read.
+func bodyErrorReason(err error) outcome.Reason {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return outcome.ReasonTooLarge
@@ -40,7 +43,8 @@
 	return outcome.ReasonBadRequest
 }
 
-// reader returns the body for one attempt, nil when there is none.
+// reader returns a reader of the body for one attempt, and its length. The reader
+// is nil when there is no body.
 func (b *body) reader() (io.Reader, int64) {
 	switch {
 	case b.stream != nil:
@@ -52,5 +56,5 @@
 	}
 }
 
-// rewind reports whether the body can be sent again.
-func (b *body) rewind() bool { return b.stream == nil }
+// replayable reports whether the body can be sent more than once.
+func (b *body) replayable() bool { return b.stream == nil }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -13,24 +13,28 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Keyed sends keyed non-idempotent calls to the owners of their keys. The body
-// goes beside the call, since it may have to be sent more than once.
+// Keyed forwards non-idempotent calls that have an idempotency key to the daemon
+// that owns the key. The body is passed separately from the call, since it may
+// have to be sent more than once.
 type Keyed interface {
 	Do(ctx context.Context, c *wire.Call, body []byte) *wire.Answer
 }
 
 const defaultMaxKeyedBody = 256 << 10
 
-// answer gets the request's answer. A non-idempotent request with a key goes to
-// the owner of the key, all others straight to an upstream.
-func (e *Entry) answer(ctx context.Context, req *request) *wire.Answer {
+// handle forwards a request and returns the response. A non-idempotent request
+// with an idempotency key goes to the owner of the key, any other request to an
+// upstream.
+func (e *Entry) handle(ctx context.Context, req *request) *wire.Answer {
 	if req.idempotent || len(req.http.Header[wire.HeaderIdempotencyKey]) == 0 {
 		return e.forward(ctx, req)
 	}
-	return e.keyed(ctx, req)
+	return e.handleKeyed(ctx, req)
 }
 
-func (e *Entry) keyed(ctx context.Context, req *request) *wire.Answer {
+// handleKeyed checks the idempotency key of a request and forwards the request to
+// the owner of the key.
+func (e *Entry) handleKeyed(ctx context.Context, req *request) *wire.Answer {
 	if e.opts.Keyed == nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNotReady))
 	}
@@ -39,7 +43,7 @@
 	if err != nil || len(keys) > 1 {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
 	}
-	body, reason := req.body.whole(e.opts.MaxKeyedBody)
+	body, reason := req.body.readAll(e.opts.MaxKeyedBody)
 	if reason != outcome.ReasonNone {
 		return wire.NoAnswer(outcome.NotRunBecause(reason))
 	}
@@ -50,8 +54,9 @@
 	return e.opts.Keyed.Do(ctx, c, body)
 }
 
-// whole returns the body in memory, at most limit bytes of it.
-func (b *body) whole(limit int64) ([]byte, outcome.Reason) {
+// readAll returns the complete body. It returns a reason to refuse the request
+// when the body is longer than limit bytes or cannot be read.
+func (b *body) readAll(limit int64) ([]byte, outcome.Reason) {
 	if b.length > limit {
 		return nil, outcome.ReasonTooLarge
 	}
@@ -61,7 +66,7 @@
 	data, err := io.ReadAll(io.LimitReader(b.stream, limit+1))
 	switch {
 	case err != nil:
-		return nil, bodyReason(err)
+		return nil, bodyErrorReason(err)
 	case int64(len(data)) > limit:
 		return nil, outcome.ReasonTooLarge
 	default:
@@ -69,8 +74,8 @@
 	}
 }
 
-// hold returns a body that is whole in memory, so that it can be sent again.
-func hold(r io.Reader) (*body, error) {
+// bufferBody reads r completely and returns a body that can be replayed.
+func bufferBody(r io.Reader) (*body, error) {
 	if r == nil {
 		return &body{}, nil
 	}
@@ -78,8 +83,8 @@
 	return &body{data: data, length: int64(len(data))}, err
 }
 
-// Run sends a call whose key this daemon has claimed to an upstream, as if its
-// caller had sent it here.
+// Run forwards a call to an upstream as if its caller had sent it to this entry.
+// This daemon must own the idempotency key of the call and have claimed it.
 func (e *Entry) Run(ctx context.Context, c *wire.Call) *wire.Answer {
 	inForce := e.opts.Config()
 	if inForce == nil {
@@ -93,7 +98,7 @@
 	if err != nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonBadRequest))
 	}
-	held, err := hold(c.Body)
+	buffered, err := bufferBody(c.Body)
 	if err != nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonBadRequest))
 	}
@@ -106,7 +111,7 @@
 		group:    c.Group,
 		timeout:  c.Timeout,
 		deadline: e.opts.Now().Add(c.Timeout),
-		body:     held,
+		body:     buffered,
 		depth:    c.Depth,
 	})
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// metrics counts what callers were told.
+// metrics counts the outcomes of requests and attempts and records latencies.
 type metrics struct {
 	refused  *telemetry.OutcomeCounter
 	attempts *telemetry.OutcomeCounter
@@ -28,9 +28,9 @@
 	latency  tally.Timer
 }
 
-// maxGroups bounds the groups told apart over the life of the process; those
-// beyond are counted as one.
-const maxGroups = 4096
+// maxGroupMetrics is the largest number of groups that have metrics of their own
+// during the lifetime of the process. Further groups are counted together.
+const maxGroupMetrics = 4096
 
 func newMetrics(scope tally.Scope) *metrics {
 	scope = telemetry.OrNoop(scope)
@@ -45,13 +45,13 @@
 	return &metrics{
 		refused:  telemetry.NewOutcomeCounter(scope, "refused"),
 		attempts: telemetry.NewOutcomeCounter(scope, "attempts"),
-		groups:   telemetry.NewBounded(maxGroups, other, add),
+		groups:   telemetry.NewBounded(maxGroupMetrics, other, add),
 	}
 }
 
-// ended counts a classified request.
-func (m *metrics) ended(req *request, o outcome.Outcome, took time.Duration) {
+// recordRequest records the outcome and latency of a classified request.
+func (m *metrics) recordRequest(req *request, o outcome.Outcome, latency time.Duration) {
 	g := m.groups.Of(groupKey{req.service.Name, req.group})
 	g.requests.Count(o)
-	g.latency.Record(took)
+	g.latency.Record(latency)
 }
--- a/entry/routers_test.go
+++ b/entry/routers_test.go
@@ -10,8 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-func TestRoutersFollowTheServicesPolicy(t *testing.T) {
-	view := fixedView{
+func TestRoutersUseTheServicesPolicy(t *testing.T) {
+	view := staticView{
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6},
 		{ID: "s-2", Service: "s", Incarnation: 1, Slots: 6},
 	}
@@ -34,5 +34,5 @@
 	name = "no-such-policy"
 	up := place()
 	r.Done(up, routing.Reply{})
-	assert.Equal(t, int64(1), scope.Snapshot().Counters()["picks+service=s"].Value(), "the new router's own")
+	assert.Equal(t, int64(1), scope.Snapshot().Counters()["picks+service=s"].Value(), "the counts of the new router start at zero")
 }
--- a/guard/crash.go
+++ b/guard/crash.go
@@ -9,23 +9,24 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// crashTimeout bounds the look at an upstream that lost a connection.
-const crashTimeout = 250 * time.Millisecond
+// crashCheckTimeout bounds the connection attempt that checks whether an upstream
+// is still listening.
+const crashCheckTimeout = 250 * time.Millisecond
 
-// settleLoss says of a call whose connection was lost whether the upstream
-// died: then nothing listens at its address any more. What did or did not run
-// stays unknown.
-func (u *unit) settleLoss(o outcome.Outcome) outcome.Outcome {
-	if o.Kind != outcome.Unknown || o.Reason != outcome.ReasonConnectionLost {
-		return o
+// detectCrash checks, when the connection of a call was lost, whether the upstream
+// has crashed: then nothing listens at its address any more. It returns the outcome
+// with the reason changed accordingly. The outcome stays unknown in either case.
+func (u *upstreamProxy) detectCrash(result outcome.Outcome) outcome.Outcome {
+	if result.Kind != outcome.Unknown || result.Reason != outcome.ReasonConnectionLost {
+		return result
 	}
-	conn, err := net.DialTimeout("tcp", u.local.Address, crashTimeout)
+	conn, err := net.DialTimeout("tcp", u.upstream.Address, crashCheckTimeout)
 	if err == nil {
 		_ = conn.Close()
-		return o
+		return result
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		o.Reason = outcome.ReasonUpstreamCrashed
+		result.Reason = outcome.ReasonUpstreamCrashed
 	}
-	return o
+	return result
 }
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -21,16 +21,18 @@
 type Options struct {
 	// Now reads the monotonic clock.
 	Now func() model.Instant
-	// Groups returns the shares in force at a service.
+	// Groups returns the configuration of the groups of a service.
 	Groups func(model.ServiceName) []admission.Group
 	// Hop configures the connections to upstreams.
 	Hop hop.Options
-	// MeasuringBudget returns the share of slot time that measuring may take at
-	// a service. Nil means DefaultMeasuringBudget everywhere.
+	// MeasuringBudget returns the share of each upstream's slot time that polling
+	// load reports may take at a service. Nil means DefaultMeasuringBudget for all
+	// services.
 	MeasuringBudget func(model.ServiceName) float64
-	// Tokens makes the tokens that nested calls carry. Nil makes none.
+	// Tokens signs the call tokens that upstreams pass on in nested calls, the
+	// requests that they make while they serve a call. Nil means no tokens.
 	Tokens *calltoken.Signer
-	// Scope receives the counters. Nil means none.
+	// Scope receives the metrics. Nil means that none are recorded.
 	Scope tally.Scope
 }
 
@@ -42,8 +44,8 @@
 	poller *poller
 	calls  *telemetry.OutcomeCounter
 
-	mu    sync.RWMutex
-	units map[model.UpstreamID]*unit
+	mu        sync.RWMutex
+	upstreams map[model.UpstreamID]*upstreamProxy
 }
 
 // New returns a Guard without upstreams.
@@ -55,55 +57,57 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Guard{
-		opts:   opts,
-		client: hop.New(opts.Hop),
-		poller: newPoller(opts.Scope),
-		calls:  telemetry.NewOutcomeCounter(opts.Scope, "calls"),
-		units:  make(map[model.UpstreamID]*unit),
+		opts:      opts,
+		client:    hop.New(opts.Hop),
+		poller:    newPoller(opts.Scope),
+		calls:     telemetry.NewOutcomeCounter(opts.Scope, "calls"),
+		upstreams: make(map[model.UpstreamID]*upstreamProxy),
 	}
 }
 
-// Attach adds an upstream or replaces its earlier incarnation.
-func (g *Guard) Attach(l membership.Local) {
+// Attach adds an upstream or replaces its previous incarnation, which is drained.
+func (g *Guard) Attach(upstream membership.Local) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	old := g.units[l.ID]
-	if old != nil && old.local.Incarnation == l.Incarnation {
+	previous := g.upstreams[upstream.ID]
+	if previous != nil && previous.upstream.Incarnation == upstream.Incarnation {
 		return
 	}
-	u := newUnit(l, g.client, g.opts.Now)
+	u := newUpstreamProxy(upstream, g.client, g.opts.Now)
 	u.tokens = g.opts.Tokens
-	u.configure(g.opts.Groups(l.Service), g.opts.MeasuringBudget(l.Service))
-	g.units[l.ID] = u
-	if old != nil {
-		go old.drain()
+	u.configure(g.opts.Groups(upstream.Service), g.opts.MeasuringBudget(upstream.Service))
+	g.upstreams[upstream.ID] = u
+	if previous != nil {
+		go previous.drain()
 	}
 }
 
-// Drain refuses new work for an upstream; what runs there goes on.
+// Drain refuses the waiting calls to an upstream and all further calls. Running
+// calls are not affected.
 func (g *Guard) Drain(id model.UpstreamID) {
-	if u := g.unit(id); u != nil {
+	if u := g.upstream(id); u != nil {
 		u.drain()
 	}
 }
 
-// Configure takes over the shares now in force.
+// Configure applies the current results of Options.Groups and
+// Options.MeasuringBudget to all upstreams.
 func (g *Guard) Configure() {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	for _, u := range g.units {
-		u.configure(g.opts.Groups(u.local.Service), g.opts.MeasuringBudget(u.local.Service))
+	for _, u := range g.upstreams {
+		u.configure(g.opts.Groups(u.upstream.Service), g.opts.MeasuringBudget(u.upstream.Service))
 	}
 }
 
-// Loads returns the exact load of every upstream of the service; an empty name
-// means all services.
-func (g *Guard) Loads(s model.ServiceName) map[model.UpstreamID]model.Load {
+// Loads returns the load of every upstream of a service. An empty name means all
+// services.
+func (g *Guard) Loads(service model.ServiceName) map[model.UpstreamID]model.Load {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	loads := make(map[model.UpstreamID]model.Load, len(g.units))
-	for id, u := range g.units {
-		if s == "" || u.local.Service == s {
+	loads := make(map[model.UpstreamID]model.Load, len(g.upstreams))
+	for id, u := range g.upstreams {
+		if service == "" || u.upstream.Service == service {
 			loads[id] = u.load()
 		}
 	}
@@ -111,47 +115,47 @@
 }
 
 // Do admits a call, sends it to the upstream at most once and returns the
-// answer. The answer's body must be closed.
+// response. The caller must close the response's body.
 func (g *Guard) Do(ctx context.Context, c *wire.Call) *wire.Answer {
-	u := g.unit(c.Upstream)
-	if u == nil || u.local.Incarnation != c.Incarnation {
+	u := g.upstream(c.Upstream)
+	if u == nil || u.upstream.Incarnation != c.Incarnation {
 		o := outcome.NotRunBecause(outcome.ReasonNoUpstream)
 		g.calls.Count(o)
 		return wire.NoAnswer(o)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
-	a := u.do(ctx, c)
-	g.calls.Count(a.Outcome)
-	return a.EndOnClose(cancel)
+	response := u.do(ctx, c)
+	g.calls.Count(response.Outcome)
+	return response.EndOnClose(cancel)
 }
 
-func (g *Guard) unit(id model.UpstreamID) *unit {
+func (g *Guard) upstream(id model.UpstreamID) *upstreamProxy {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	return g.units[id]
+	return g.upstreams[id]
 }
 
-// Expire refuses waiting calls whose deadline has passed. Waiting calls also
-// time out by themselves; Expire frees their places sooner.
+// Expire refuses waiting calls whose deadline has passed. A waiting call also ends
+// with its own context; Expire removes it from the queue earlier.
 func (g *Guard) Expire() {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	for _, u := range g.units {
+	for _, u := range g.upstreams {
 		u.expire()
 	}
 }
 
 const (
-	// expireInterval is the time between two looks at the queues while calls
-	// wait. Without any the guard looks every idleInterval, which is often
-	// enough for polls: each wake-up costs processor time on an idle VM.
-	expireInterval = 5 * time.Millisecond
-	idleInterval   = 50 * time.Millisecond
+	// expireInterval is the time between two runs of Serve's loop while calls
+	// wait. When no calls wait the interval is idleExpireInterval, which is often
+	// enough to poll load reports: each wake-up costs CPU time on an idle VM.
+	expireInterval     = 5 * time.Millisecond
+	idleExpireInterval = 50 * time.Millisecond
 )
 
-// Serve expires waiting calls and polls load reports until the context ends.
+// Serve refuses expired calls and polls load reports until the context ends.
 func (g *Guard) Serve(ctx context.Context) error {
-	timer := time.NewTimer(idleInterval)
+	timer := time.NewTimer(idleExpireInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -160,22 +164,22 @@
 		case <-timer.C:
 			g.Expire()
 			g.poll(ctx)
-			timer.Reset(g.nextLook())
+			timer.Reset(g.nextInterval())
 		}
 	}
 }
 
-// nextLook returns the time until the queues are looked at again.
-func (g *Guard) nextLook() time.Duration {
+// nextInterval returns the time until Serve's loop runs again.
+func (g *Guard) nextInterval() time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	for _, u := range g.units {
+	for _, u := range g.upstreams {
 		if u.load().Waiting > 0 {
 			return expireInterval
 		}
 	}
-	return idleInterval
+	return idleExpireInterval
 }
 
-// String names the service in the supervisor tree.
+// String returns the name of the component in the supervisor tree.
 func (g *Guard) String() string { return "guard" }
--- a/guard/http.go
+++ b/guard/http.go
@@ -6,15 +6,15 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// ServeHTTP answers calls from other daemons' entries.
+// ServeHTTP implements http.Handler for calls from the entries of other daemons.
 func (g *Guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.ReadCall(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	a := g.Do(r.Context(), c)
-	wire.WriteAnswer(w, a, c.ID)
+	response := g.Do(r.Context(), c)
+	wire.WriteAnswer(w, response, c.ID)
 }
 
 var _ http.Handler = (*Guard)(nil)
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -18,13 +18,14 @@
 	"github.com/dottereltiller/dottereltiller/membership"
 )
 
-// polled polls an upstream that answers with a body until the counter shows a
-// result, and returns the result and the requests the upstream saw.
-func polled(t *testing.T, budget float64, status int, body string) (result string, hits int32, g *Guard) {
+// pollOnce polls an upstream that responds with the given status and body. It
+// returns the result that the poll was counted under, the number of requests that
+// the upstream received, and the guard.
+func pollOnce(t *testing.T, budget float64, status int, body string) (result string, hits int32, g *Guard) {
 	t.Helper()
-	var seen atomic.Int32
+	var received atomic.Int32
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		seen.Add(1)
+		received.Add(1)
 		assert.Equal(t, "/load", r.URL.Path)
 		w.WriteHeader(status)
 		_, _ = fmt.Fprint(w, body)
@@ -42,7 +43,7 @@
 	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6}
 	g.Attach(membership.Local{Upstream: up, Address: upstream.Listener.Addr().String(), LoadPath: "/load"})
 	g.poll(context.Background())
-	assert.Zero(t, seen.Load(), "none is due yet")
+	assert.Zero(t, received.Load(), "no poll is due yet")
 	now.Store(int64(time.Minute))
 	g.poll(context.Background())
 	require.Eventually(t, func() bool {
@@ -54,7 +55,7 @@
 		}
 		return false
 	}, time.Minute, time.Millisecond)
-	return result, seen.Load(), g
+	return result, received.Load(), g
 }
 
 func TestPoll(t *testing.T) {
@@ -65,25 +66,25 @@
 		want   string
 		hits   int32
 	}{
-		"agrees":          {0.01, 200, `{"running": 0, "other": true}`, "agreed", 1},
-		"lies":            {0.01, 200, `{"running": 60}`, "unsupported", 1},
-		"says nothing":    {0.01, 200, `{}`, "failed", 1},
-		"negative":        {0.01, 200, `{"running": -1}`, "failed", 1},
-		"no JSON":         {0.01, 200, `busy`, "failed", 1},
-		"sheds load":      {0.01, 503, `{"running": 0}`, "failed", 1},
-		"endless report":  {0.01, 200, fmt.Sprintf(`{"x":"%05000d","running":0}`, 0), "failed", 1},
-		"budget forbids":  {0, 200, `{"running": 0}`, "over-budget", 0},
-		"redirected away": {0.01, 302, "", "failed", 1},
+		"report agrees":    {0.01, 200, `{"running": 0, "other": true}`, "agreed", 1},
+		"report too high":  {0.01, 200, `{"running": 60}`, "unsupported", 1},
+		"no running count": {0.01, 200, `{}`, "failed", 1},
+		"negative count":   {0.01, 200, `{"running": -1}`, "failed", 1},
+		"not JSON":         {0.01, 200, `busy`, "failed", 1},
+		"status 503":       {0.01, 503, `{"running": 0}`, "failed", 1},
+		"report too long":  {0.01, 200, fmt.Sprintf(`{"x":"%05000d","running":0}`, 0), "failed", 1},
+		"budget exhausted": {0, 200, `{"running": 0}`, "over-budget", 0},
+		"redirect":         {0.01, 302, "", "failed", 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			result, hits, g := polled(t, tc.budget, tc.status, tc.body)
+			result, hits, g := pollOnce(t, tc.budget, tc.status, tc.body)
 			assert.Equal(t, tc.want, result)
 			assert.Equal(t, tc.hits, hits)
-			spent := g.Measured()["s-1"]
-			assert.Equal(t, tc.hits > 0, spent > 0)
-			assert.LessOrEqual(t, spent, 20*time.Millisecond, "one burst")
-			assert.Zero(t, g.Loads("s")["s-1"].Running, "a lie adds nothing")
+			slotTime := g.Measured()["s-1"]
+			assert.Equal(t, tc.hits > 0, slotTime > 0)
+			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "at most one burst of the budget")
+			assert.Zero(t, g.Loads("s")["s-1"].Running, "a report that the observed load does not support adds no running requests")
 		})
 	}
 }
--- /dev/null
+++ b/guard/queue_timeout_test.go
@@ -0,0 +1,86 @@
+package guard
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/dottereltiller/dottereltiller/core/admission"
+	"github.com/dottereltiller/dottereltiller/core/model"
+	"github.com/dottereltiller/dottereltiller/core/outcome"
+	"github.com/dottereltiller/dottereltiller/membership"
+	"github.com/dottereltiller/dottereltiller/wire"
+)
+
+// newBusyGuard returns a guard for an upstream whose only slot is taken until
+// release is called. The paths of the requests that the upstream receives are sent
+// to the channel executed.
+func newBusyGuard(t *testing.T) (g *Guard, executed chan string, release func()) {
+	t.Helper()
+	executed = make(chan string, 10)
+	unblock := make(chan struct{})
+	upstream := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		executed <- r.URL.Path
+		<-unblock
+	}))
+	t.Cleanup(upstream.Close)
+	origin := time.Now()
+	g = New(Options{
+		Now:    func() model.Instant { return model.Instant(time.Since(origin)) },
+		Groups: func(model.ServiceName) []admission.Group { return nil },
+	})
+	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 1}
+	g.Attach(membership.Local{Upstream: up, Address: upstream.Listener.Addr().String()})
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_, _ = io.Copy(io.Discard, g.Do(context.Background(), newCall("/first")).Body)
+	}()
+	require.Equal(t, "/first", <-executed)
+	return g, executed, func() {
+		close(unblock)
+		<-done
+	}
+}
+
+func newCall(path string) *wire.Call {
+	return &wire.Call{
+		ID: path, Method: http.MethodGet, Target: path, Host: "s", Header: http.Header{},
+		Service: "s", Upstream: "s-1", Incarnation: 1, Timeout: time.Minute,
+	}
+}
+
+func TestCallIsWithdrawnAfterQueueTimeout(t *testing.T) {
+	g, executed, release := newBusyGuard(t)
+	for name, queueTimeout := range map[string]time.Duration{"at once": 0, "after a wait": time.Millisecond} {
+		c := newCall("/" + name)
+		c.Target = "/second"
+		c.HasPatience, c.Patience = true, queueTimeout
+		response := g.Do(context.Background(), c)
+		assert.Equal(t, outcome.NotRunBecause(outcome.ReasonWithdrawn), response.Outcome, name)
+		assert.Equal(t, model.Load{Running: 1, Limit: 1, Seq: response.Load.Seq}, response.Load, name)
+		assert.NoError(t, response.Body.Close())
+	}
+	release()
+	assert.Empty(t, executed, "no withdrawn call was sent to the upstream")
+}
+
+func TestWaitingCallStartsWhenSlotIsFree(t *testing.T) {
+	g, executed, release := newBusyGuard(t)
+	c := newCall("/second")
+	c.HasPatience, c.Patience = true, time.Minute
+	responses := make(chan *wire.Answer)
+	go func() { responses <- g.Do(context.Background(), c) }()
+	require.Eventually(t, func() bool { return g.Loads("s")["s-1"].Waiting == 1 }, time.Minute, time.Millisecond)
+	release()
+	response := <-responses
+	assert.Equal(t, outcome.Answered, response.Outcome.Kind)
+	assert.NoError(t, response.Body.Close())
+	assert.Equal(t, "/second", <-executed)
+}
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -18,8 +18,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// guardOf returns a guard before a one-slot upstream with the handler.
-func guardOf(t *testing.T, h http.Handler) *Guard {
+// newGuardWithUpstream returns a guard for an upstream that has one slot and the
+// given handler.
+func newGuardWithUpstream(t *testing.T, h http.Handler) *Guard {
 	t.Helper()
 	upstream := httptest.NewServer(h)
 	t.Cleanup(upstream.Close)
@@ -34,12 +35,13 @@
 	return g
 }
 
-// TestSlowReaderGivesUpItsSlotAtItsDeadline takes an answer too large for any
-// buffer, never reads it and never closes it.
-func TestSlowReaderGivesUpItsSlotAtItsDeadline(t *testing.T) {
+// TestSlowReaderReleasesSlotAtDeadline receives a response that is too large for
+// any buffer, and neither reads nor closes its body before the deadline. The slot
+// must then be free for the next call.
+func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
 	const large = 32 << 20
 	cancelled := make(chan struct{})
-	g := guardOf(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	g := newGuardWithUpstream(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/large" {
 			return
 		}
@@ -54,45 +56,45 @@
 			}
 		}
 	}))
-	slow := call("/large")
+	slow := newCall("/large")
 	slow.Timeout = 300 * time.Millisecond
-	a := g.Do(context.Background(), slow)
-	require.Equal(t, outcome.Answered, a.Outcome.Kind)
-	next := call("/next")
+	slowResponse := g.Do(context.Background(), slow)
+	require.Equal(t, outcome.Answered, slowResponse.Outcome.Kind)
+	next := newCall("/next")
 	next.Timeout = 10 * time.Second
-	b := g.Do(context.Background(), next)
-	require.Equal(t, outcome.Answered, b.Outcome.Kind, "%+v", b.Outcome)
-	require.NoError(t, b.Body.Close())
+	nextResponse := g.Do(context.Background(), next)
+	require.Equal(t, outcome.Answered, nextResponse.Outcome.Kind, "%+v", nextResponse.Outcome)
+	require.NoError(t, nextResponse.Body.Close())
 	<-cancelled
-	_, err := io.Copy(io.Discard, a.Body)
-	require.Error(t, err, "the rest of the answer never looks complete")
-	require.NoError(t, a.Body.Close())
+	_, err := io.Copy(io.Discard, slowResponse.Body)
+	require.Error(t, err, "a truncated response must not look complete")
+	require.NoError(t, slowResponse.Body.Close())
 	require.Zero(t, g.Loads("s")["s-1"].Running)
 }
 
 func TestRefusalBeforeStartIsNotRun(t *testing.T) {
 	tests := []struct {
-		name   string
-		status int
-		signal string
-		want   outcome.Outcome
+		name          string
+		status        int
+		refusalHeader string
+		want          outcome.Outcome
 	}{
-		{"503 with the signal", 503, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
-		{"429 with the signal", 429, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
-		{"503 alone proves nothing", 503, "", outcome.Done()},
-		{"500 with the signal proves nothing", 500, wire.RefusedBeforeStart, outcome.Done()},
-		{"another word", 503, "yes", outcome.Done()},
+		{"503 with the refusal header", 503, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
+		{"429 with the refusal header", 429, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
+		{"503 without the refusal header", 503, "", outcome.Done()},
+		{"500 with the refusal header", 500, wire.RefusedBeforeStart, outcome.Done()},
+		{"refusal header with another value", 503, "yes", outcome.Done()},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := guardOf(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			g := newGuardWithUpstream(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Retry-After", "7")
-				if tt.signal != "" {
-					w.Header().Set(wire.HeaderRefused, tt.signal)
+				if tt.refusalHeader != "" {
+					w.Header().Set(wire.HeaderRefused, tt.refusalHeader)
 				}
 				w.WriteHeader(tt.status)
 			}))
-			a := g.Do(context.Background(), call("/"))
+			a := g.Do(context.Background(), newCall("/"))
 			require.Equal(t, tt.want, a.Outcome)
 			require.NoError(t, a.Body.Close())
 			require.Zero(t, g.Loads("s")["s-1"].Running)
@@ -100,12 +102,12 @@
 	}
 }
 
-func TestUpstreamGetsATokenForItsNestedCalls(t *testing.T) {
+func TestUpstreamReceivesTokenForNestedCalls(t *testing.T) {
 	got := make(chan string, 1)
-	g := guardOf(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	g := newGuardWithUpstream(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		got <- r.Header.Get(wire.HeaderCallToken)
 	}))
-	c := call("/")
+	c := newCall("/")
 	c.Caller, c.Group, c.Depth, c.Timeout = "bench", "sorters", 4, time.Minute
 	c.Header.Set(wire.HeaderCallToken, "from outside")
 	require.NoError(t, g.Do(context.Background(), c).Body.Close())
--- /dev/null
+++ b/guard/upstream_proxy.go
@@ -0,0 +1,276 @@
+package guard
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/core/admission"
+	"github.com/dottereltiller/dottereltiller/core/calltoken"
+	"github.com/dottereltiller/dottereltiller/core/limit"
+	"github.com/dottereltiller/dottereltiller/core/measure"
+	"github.com/dottereltiller/dottereltiller/core/model"
+	"github.com/dottereltiller/dottereltiller/core/outcome"
+	"github.com/dottereltiller/dottereltiller/hop"
+	"github.com/dottereltiller/dottereltiller/membership"
+	"github.com/dottereltiller/dottereltiller/trace"
+	"github.com/dottereltiller/dottereltiller/wire"
+)
+
+// upstreamProxy admits and forwards the calls to one incarnation of one upstream.
+type upstreamProxy struct {
+	upstream membership.Local
+	client   *hop.Client
+	now      func() model.Instant
+	tokens   *calltoken.Signer
+
+	mu         sync.Mutex
+	controller *admission.Controller
+	limiter    *limit.Limiter
+	monitor    *measure.Monitor
+	// polling is set while a poll of the load report is in progress.
+	polling bool
+	// pending holds for each waiting call the channel that its effect is sent to.
+	pending map[admission.ID]chan admission.Effect
+	nextID  admission.ID
+	// effects is the buffer for the effects that the controller returns.
+	effects []admission.Effect
+}
+
+func newUpstreamProxy(upstream membership.Local, client *hop.Client, now func() model.Instant) *upstreamProxy {
+	monitor := measure.NewMonitor(now(), measure.Options{Share: DefaultMeasuringBudget, Slots: upstream.Slots})
+	limiter := limit.New(limit.Options{Slots: upstream.Slots})
+	return &upstreamProxy{
+		upstream:   upstream,
+		client:     client,
+		now:        now,
+		controller: admission.New(admission.Options{Slots: upstream.Slots, Limiter: limiter}),
+		limiter:    limiter,
+		monitor:    monitor,
+		pending:    make(map[admission.ID]chan admission.Effect),
+	}
+}
+
+// do admits a call, sends it to the upstream and returns the response with the
+// upstream's load.
+func (u *upstreamProxy) do(ctx context.Context, c *wire.Call) *wire.Answer {
+	id, refused := u.admit(ctx, c)
+	if refused != nil {
+		return u.withLoad(wire.NoAnswer(*refused), c.Group)
+	}
+	return u.withLoad(u.send(ctx, id, c), c.Group)
+}
+
+// admit waits until the call may start. It returns an outcome when the call is
+// refused, or when it was withdrawn from the queue because its queue timeout
+// expired or its context ended.
+func (u *upstreamProxy) admit(ctx context.Context, c *wire.Call) (admission.ID, *outcome.Outcome) {
+	id, effect := u.arrive(c)
+	if c.HasPatience && c.Patience <= 0 && u.withdraw(id) {
+		return id, withdrawnOutcome()
+	}
+	var queueTimeout <-chan time.Time
+	if c.HasPatience && c.Patience > 0 {
+		timer := time.NewTimer(c.Patience)
+		defer timer.Stop()
+		queueTimeout = timer.C
+	}
+	select {
+	case e := <-effect:
+		return id, refusedOutcome(e)
+	case <-queueTimeout:
+	case <-ctx.Done():
+	}
+	if !u.withdraw(id) {
+		return id, refusedOutcome(<-effect)
+	}
+	if ctx.Err() == context.DeadlineExceeded {
+		o := outcome.NotRunBecause(outcome.ReasonDeadline)
+		return id, &o
+	}
+	return id, withdrawnOutcome()
+}
+
+// arrive passes the call to the controller. The effect that starts or refuses the
+// call is sent to the returned channel.
+func (u *upstreamProxy) arrive(c *wire.Call) (admission.ID, <-chan admission.Effect) {
+	effect := make(chan admission.Effect, 1)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	now := u.now()
+	u.nextID++
+	id := u.nextID
+	u.pending[id] = effect
+	u.effects = u.controller.Arrive(now, admission.Arrival{ID: id, Request: requestOf(c, now)}, u.effects[:0])
+	u.dispatch()
+	return id, effect
+}
+
+// withdrawnOutcome returns the outcome that rejects a call that was withdrawn from
+// the queue. The entry may then choose another upstream.
+func withdrawnOutcome() *outcome.Outcome {
+	o := outcome.NotRunBecause(outcome.ReasonWithdrawn)
+	return &o
+}
+
+// refusedOutcome returns the outcome of an effect that refuses a call, and nil for
+// an effect that starts it.
+func refusedOutcome(e admission.Effect) *outcome.Outcome {
+	if e.Kind == admission.Start {
+		return nil
+	}
+	return &e.Outcome
+}
+
+func requestOf(c *wire.Call, now model.Instant) model.Request {
+	return model.Request{
+		Service:    c.Service,
+		Group:      c.Group,
+		Caller:     c.Caller,
+		Idempotent: c.Idempotent,
+		Deadline:   now.Add(c.Timeout),
+		Attempt:    c.Attempt,
+	}
+}
+
+// dispatch sends the effects in u.effects to the calls that wait for them, and
+// reports the number of running requests to the monitor. The caller must hold
+// u.mu.
+func (u *upstreamProxy) dispatch() {
+	for _, e := range u.effects {
+		if ch := u.pending[e.ID]; ch != nil {
+			ch <- e
+			delete(u.pending, e.ID)
+		}
+	}
+	u.monitor.Running(int(u.controller.Load(u.now()).Running))
+}
+
+// withdraw removes a waiting call from the queue. It reports false when the call
+// has been started or refused.
+func (u *upstreamProxy) withdraw(id admission.ID) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if !u.controller.Withdraw(u.now(), id) {
+		return false
+	}
+	delete(u.pending, id)
+	return true
+}
+
+func (u *upstreamProxy) finish(id admission.ID, result admission.Result) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.effects = u.controller.Finish(u.now(), id, result, u.effects[:0])
+	u.dispatch()
+}
+
+func (u *upstreamProxy) drain() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.effects = u.controller.Drain(u.now(), u.effects[:0])
+	u.dispatch()
+}
+
+func (u *upstreamProxy) expire() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.effects = u.controller.Expire(u.now(), u.effects[:0])
+	u.dispatch()
+}
+
+func (u *upstreamProxy) configure(groups []admission.Group, measuringBudget float64) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.controller.Configure(u.now(), groups)
+	u.monitor.SetShare(u.now(), measuringBudget)
+}
+
+func (u *upstreamProxy) load() model.Load {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.monitor.Annotate(u.limiter.Annotate(u.controller.Load(u.now())))
+}
+
+// withLoad adds the upstream's load to a response. The load is computed for the
+// group of the call; see admission.Controller.LoadFor.
+func (u *upstreamProxy) withLoad(response *wire.Answer, group model.GroupName) *wire.Answer {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	load := u.controller.LoadFor(u.now(), group)
+	response.Load, response.HasLoad = u.monitor.Annotate(u.limiter.Annotate(load)), true
+	return response
+}
+
+// send forwards a started call to the upstream. The slot is released when the
+// attempt has failed, or when the body of the response has been read or closed or
+// the call's context has ended.
+func (u *upstreamProxy) send(ctx context.Context, id admission.ID, c *wire.Call) *wire.Answer {
+	ctx, span := trace.Start(ctx, "upstream")
+	span.Call(c)
+	startedAt := u.now()
+	release := func(o outcome.Outcome, failed bool) {
+		span.End(o)
+		slotTime := u.now().Sub(startedAt)
+		failed = failed && o.Reason != outcome.ReasonCancelled
+		u.finish(id, admission.Result{Outcome: o, Used: slotTime, Failed: failed})
+	}
+	httpResponse, o, err := u.client.Do(ctx, u.upstreamRequest(ctx, c))
+	if err != nil {
+		o = u.detectCrash(o)
+		release(o, true)
+		return wire.NoAnswer(o)
+	}
+	if httpResponse.StatusCode == http.StatusSwitchingProtocols {
+		// No call asks to switch protocols, so the upstream's further data is not
+		// a response.
+		_ = httpResponse.Body.Close()
+		o := outcome.UnknownBecause(outcome.ReasonUpgradeForbidden)
+		release(o, true)
+		return wire.NoAnswer(o)
+	}
+	if refusedBeforeStart(httpResponse) {
+		o := outcome.NotRunBecause(outcome.ReasonUpstreamRefused)
+		o.RetryAfter = retryAfter(httpResponse)
+		_ = httpResponse.Body.Close()
+		release(o, true)
+		return wire.NoAnswer(o)
+	}
+	wire.StripHop(httpResponse.Header)
+	wire.StripConnection(httpResponse.Header)
+	response := wire.AnswerOf(httpResponse)
+	body := &slotReleasingBody{
+		body:        response.Body,
+		releaseSlot: release,
+		failed:      httpResponse.StatusCode >= http.StatusInternalServerError,
+	}
+	body.releaseWhenDone(ctx)
+	response.Body = body
+	return bufferSmallResponse(response)
+}
+
+// upstreamRequest returns the request to send to the upstream for a call.
+func (u *upstreamProxy) upstreamRequest(ctx context.Context, c *wire.Call) hop.Request {
+	h := c.Header
+	wire.StripHop(h)
+	wire.StripConnection(h)
+	trace.Inject(ctx, h)
+	if end, ok := ctx.Deadline(); ok {
+		remaining := time.Until(end)
+		h.Set(wire.HeaderTimeout, remaining.Round(time.Microsecond).String())
+		u.setToken(h, c, remaining)
+	}
+	if c.Key != "" {
+		h.Set(wire.HeaderIdempotencyKey, c.Key)
+	}
+	return hop.Request{
+		Address:       u.upstream.Address,
+		Method:        c.Method,
+		Target:        c.Target,
+		Host:          c.Host,
+		Header:        h,
+		Body:          c.Body,
+		ContentLength: c.ContentLength,
+	}
+}
