--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -31,11 +31,11 @@
 	admit   = "core/slots/admit.go"
 	choose  = "sidecar/choose.go"
 	entry   = "sidecar/entry.go"
-	resends = "sidecar/resends.go"
+	retries = "sidecar/retries.go"
 )
 
 var (
-	noNear = edits.New(choose, "r.inquire(ask, true, placement.AskNear, nearWait)", "_ = nearWait")
+	noNear = edits.New(choose, "r.inquire(ask, true, placement.AskNear, localZoneTimeout)", "_ = localZoneTimeout")
 	noFar  = edits.New(choose, "		r.inquire(ask, false, placement.AskFar, farWait)\n", "		_ = farWait\n")
 )
 
@@ -51,18 +51,18 @@
 	kept("core/slots TestNoRankStarves", off("the last rank's turn", edits.New(queue, "lastRank := q.starts%lastRankEvery == lastRankEvery-1", "lastRank := q.starts < 0"))),
 	off("the limit below saturation", edits.New(load, "	return spare\n}", "	return max(slots, 1)\n}")),
 	off("cold starts", edits.New(load, "slow = max(slow, coldSlow)", "slow = max(slow, 1)")),
-	off("learned work", edits.New(entry, "	e.works[name] = w\n", "	_ = w\n")),
+	off("learned work", edits.New(entry, "	e.serviceTimes[name] = w\n", "	_ = w\n")),
 	off("the price of a crossing", edits.New(placer, "DefaultCrossing = 40 * time.Millisecond", "DefaultCrossing = time.Nanosecond")),
 	off("avoidance", edits.New(placer, "v.avoidUntil = now.Add(avoidance)", "v.avoidUntil = now.Add(0 * avoidance)")),
-	kept("sidecar TestHealthAnswersAreNotBelieved", off("the failing share", edits.New(load, "maxFailing = 0.95", "maxFailing = 0.0"))),
-	kept("sidecar TestBudgetWhenDaemonsForget", off("the budget's part after starts", edits.New(resends, "return min(1, (1/resendMargin-1)/started)", "return min(1, 1+started)"))),
-	kept("sidecar TestResendsCountTheCallsTheyCause", off("calls in the budget", edits.New(resends, "for _, o := range e.others(s) {", "for _, o := range e.others(s)[:0] {"))),
-	off("the budget's margin", edits.New(resends, "resendMargin = 0.75", "resendMargin = 0.999")),
+	kept("sidecar TestHealthResponsesDoNotDecideRouting", off("the failing share", edits.New(load, "maxFailing = 0.95", "maxFailing = 0.0"))),
+	kept("sidecar TestRetryBudgetAfterDaemonRestarts", off("the budget's part after starts", edits.New(retries, "return min(1, (1/retryBudgetMargin-1)/started)", "return min(1, 1+started)"))),
+	kept("sidecar TestRetriesAreChargedForNestedCalls", off("calls in the budget", edits.New(retries, "for _, o := range e.otherServices(s) {", "for _, o := range e.otherServices(s)[:0] {"))),
+	off("the budget's margin", edits.New(retries, "retryBudgetMargin = 0.75", "retryBudgetMargin = 0.999")),
 	kept("core/placement TestUnservable", off("early refusal", edits.New(figures, "surelyFull = 30 * time.Millisecond", "surelyFull = 0 * time.Millisecond"))),
 	off("refusal after a full guard", edits.New(placer, "return full > 0 && target != 0 && c.Expected > target", "return full > 99 && target != 0 && c.Expected > target")),
 	off("the urgent's longer wait", edits.New(admit, "share = urgentShare", "share = usefulShare + 0*urgentShare")),
 	kept("replay TestCallersRefusedTogether", off("the spread of advice", edits.New("core/retry/advice.go", "adviceSpread = 0.5", "adviceSpread = 0.0"))),
-	kept("sidecar TestRequestThatCrashesUpstreamsIsRefused", off("quarantine", edits.New("sidecar/quarantine.go", "	if !s.store.Watching() {\n		return nil\n	}\n	left", "	if s.store != nil {\n		return nil\n	}\n	left"))),
+	kept("sidecar TestCrashingRequestIsQuarantined", off("quarantine", edits.New("sidecar/quarantine.go", "	if !s.store.Watching() {\n		return nil\n	}\n	left", "	if s.store != nil {\n		return nil\n	}\n	left"))),
 	kept("sidecar TestLastUpstreamServesWhileItsDaemonStops", off("serving through a stopping daemon", edits.New(placer, "	case evenStopping:\n		return v.avoidUntil <= now\n", "	case evenStopping:\n		return v.avoidUntil <= now && !v.up.Stopping\n"))),
 	off("relays", edits.New("sidecar/peers.go", "relaysPerZone = 2", "relaysPerZone = 1 << 20")),
 }
--- a/sidecar/attempts.go
+++ b/sidecar/attempts.go
@@ -14,18 +14,18 @@
 	// rememberedPast is how long past its deadline a guard knows what became of an
 	// attempt: longer than a call or a question is under way, and than a sender that
 	// was suspended is awake before it finds its deadline over.
-	rememberedPast = 10 * time.Second
+	retentionPastDeadline = 10 * time.Second
 	// maxRemembered bounds the attempts that are known though they have ended.
-	maxRemembered = 1 << 14
+	maxRetainedAttempts = 1 << 14
 	// maxKeptBody bounds the bodies of remembered answers, in bytes: with
 	// maxRemembered it would be too much, but few answers are remembered whole, as
 	// only those to requests that must not run twice are asked for.
-	maxKeptBody = 64 << 10
+	maxRetainedBody = 64 << 10
 )
 
 // provenFor is how long after a call was sent its guard's word counts that it has not
 // run: past that the guard may have forgotten it.
-func provenFor(deadline time.Duration) time.Duration { return deadline + rememberedPast }
+func retentionPeriod(deadline time.Duration) time.Duration { return deadline + retentionPastDeadline }
 
 // attempts remembers what became of each attempt at a guard that must not run twice, so
 // that a sender whose connection broke learns the truth over another. An attempt is
@@ -38,24 +38,24 @@
 	mu    sync.Mutex
 	byKey map[string]*attempt
 	// byTime holds the same, the next to be forgotten first.
-	byTime attemptsByTime
+	byExpiry attemptHeap
 	// forgotUntil is until when an attempt that is not known may have run.
-	forgotUntil model.Instant
+	evictedUntil model.Instant
 }
 
 // attempt is one call at the guard.
 type attempt struct {
 	key string
 	// until is when it may be forgotten if it has ended.
-	until model.Instant
+	retainUntil model.Instant
 	// withdrawn is closed when the attempt must not start.
 	withdrawn chan struct{}
 	done      chan struct{}
 
-	mu      sync.Mutex
-	barred  bool
-	started bool
-	answer  *Answer
+	mu        sync.Mutex
+	cancelled bool
+	started   bool
+	result    *Answer
 }
 
 func newAttempts(now func() model.Instant) *attempts {
@@ -68,46 +68,46 @@
 
 // begin notes a new attempt and how much time it has. It reports true when the attempt
 // is known already: it was withdrawn before it came, or came twice.
-func (t *attempts) begin(key string, deadline time.Duration) (*attempt, bool) {
+func (t *attempts) register(key string, deadline time.Duration) (*attempt, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a := t.byKey[key]; a != nil {
 		return a, true
 	}
-	t.forget()
+	t.evict()
 	return t.add(key, deadline), false
 }
 
 // add notes an attempt. t.mu is held.
 func (t *attempts) add(key string, deadline time.Duration) *attempt {
 	a := newAttempt(key)
-	a.until = t.now().Add(provenFor(deadline))
+	a.retainUntil = t.now().Add(retentionPeriod(deadline))
 	t.byKey[key] = a
-	heap.Push(&t.byTime, a)
+	heap.Push(&t.byExpiry, a)
 	return a
 }
 
 // forget drops attempts whose time is over, or that are too many. t.mu is held.
-func (t *attempts) forget() {
+func (t *attempts) evict() {
 	now := t.now()
-	for len(t.byTime) > 0 {
-		next := t.byTime[0]
-		early := next.until > now
-		if early && len(t.byTime) < maxRemembered {
+	for len(t.byExpiry) > 0 {
+		next := t.byExpiry[0]
+		early := next.retainUntil > now
+		if early && len(t.byExpiry) < maxRetainedAttempts {
 			return
 		}
-		if !next.mayBeForgotten(early) {
-			next.until = max(next.until, now).Add(rememberedPast)
-			heap.Fix(&t.byTime, 0)
+		if !next.canEvict(early) {
+			next.retainUntil = max(next.retainUntil, now).Add(retentionPastDeadline)
+			heap.Fix(&t.byExpiry, 0)
 			if early {
 				return
 			}
 			continue
 		}
 		if early {
-			t.forgotUntil = max(t.forgotUntil, next.until)
+			t.evictedUntil = max(t.evictedUntil, next.retainUntil)
 		}
-		heap.Pop(&t.byTime)
+		heap.Pop(&t.byExpiry)
 		delete(t.byKey, next.key)
 	}
 }
@@ -118,15 +118,15 @@
 	t.mu.Lock()
 	a := t.byKey[key]
 	if a == nil {
-		t.forget()
-		if t.now() < t.forgotUntil || len(t.byTime) >= maxRemembered {
+		t.evict()
+		if t.now() < t.evictedUntil || len(t.byExpiry) >= maxRetainedAttempts {
 			t.mu.Unlock()
 			return unknown(outcome.ReasonConnectionLost)
 		}
 		a = t.add(key, left)
 	}
 	t.mu.Unlock()
-	if a.bar() {
+	if a.cancel() {
 		return notRun(outcome.ReasonWithdrawn)
 	}
 	return a.wait(ctx)
@@ -134,21 +134,21 @@
 
 // mayBeForgotten reports whether the attempt neither waits nor runs, and cannot come
 // any more: one that was barred before it came may be on its way until its time is over.
-func (a *attempt) mayBeForgotten(early bool) bool {
+func (a *attempt) canEvict(early bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.answer != nil || a.barred && !early
+	return a.result != nil || a.cancelled && !early
 }
 
 // bar keeps the attempt from starting and reports whether it did.
-func (a *attempt) bar() bool {
+func (a *attempt) cancel() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.started || a.answer != nil {
+	if a.started || a.result != nil {
 		return false
 	}
-	if !a.barred {
-		a.barred = true
+	if !a.cancelled {
+		a.cancelled = true
 		close(a.withdrawn)
 	}
 	return true
@@ -156,14 +156,14 @@
 
 // again returns the answer to an attempt that comes a second time: it has not run
 // and never will if it was barred.
-func (a *attempt) again() *Answer {
-	if a.bar() {
+func (a *attempt) duplicateResult() *Answer {
+	if a.cancel() {
 		return notRun(outcome.ReasonWithdrawn)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.answer != nil && a.answer.Outcome.Kind == outcome.NotRun {
-		return a.answer
+	if a.result != nil && a.result.Outcome.Kind == outcome.NotRun {
+		return a.result
 	}
 	return unknown(outcome.ReasonConnectionLost)
 }
@@ -172,29 +172,29 @@
 func (a *attempt) start() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.started = !a.barred
+	a.started = !a.cancelled
 	return a.started
 }
 
 // end notes what came of the attempt.
-func (a *attempt) end(answer *Answer) {
+func (a *attempt) finish(answer *Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.answer == nil {
-		a.answer = answer
+	if a.result == nil {
+		a.result = answer
 		close(a.done)
 	}
 }
 
 // trim forgets the body of an answer that has been handed over, unless it is small
 // and may be asked for again.
-func (a *attempt) trim(keep bool) {
+func (a *attempt) discardBody(keep bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.answer == nil || a.answer.Outcome.Kind != outcome.Answered || keep && len(a.answer.Body) <= maxKeptBody {
+	if a.result == nil || a.result.Outcome.Kind != outcome.Answered || keep && len(a.result.Body) <= maxRetainedBody {
 		return
 	}
-	a.answer = unknown(outcome.ReasonConnectionLost)
+	a.result = unknown(outcome.ReasonConnectionLost)
 }
 
 // wait returns what came of the attempt, or unknown when the context ends first.
@@ -205,22 +205,22 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.answer == nil {
+	if a.result == nil {
 		return unknown(outcome.ReasonCancelled)
 	}
-	return a.answer
+	return a.result
 }
 
 // attemptsByTime is a heap of attempts by the time until which they are known.
-type attemptsByTime []*attempt
+type attemptHeap []*attempt
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
-func (h attemptsByTime) Len() int           { return len(h) }
-func (h attemptsByTime) Less(i, j int) bool { return h[i].until < h[j].until }
-func (h attemptsByTime) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *attemptsByTime) Push(a any)        { *h = append(*h, a.(*attempt)) }
+func (h attemptHeap) Len() int           { return len(h) }
+func (h attemptHeap) Less(i, j int) bool { return h[i].retainUntil < h[j].retainUntil }
+func (h attemptHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *attemptHeap) Push(a any)        { *h = append(*h, a.(*attempt)) }
 
-func (h *attemptsByTime) Pop() any {
+func (h *attemptHeap) Pop() any {
 	old := *h
 	a := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -18,89 +18,89 @@
 	return newAttempts(func() model.Instant { return *now }), now
 }
 
-func TestSettle(t *testing.T) {
+func TestResolveAttempt(t *testing.T) {
 	done := &Answer{Outcome: outcome.Done(), Status: 200}
 	for name, c := range map[string]struct {
-		before func(t *testing.T, a *attempts)
-		want   outcome.Kind
+		setUp func(t *testing.T, a *attempts)
+		want  outcome.Kind
 		// starts tells whether the attempt may start afterwards.
-		starts bool
+		mayStart bool
 	}{
 		"never came: it is withdrawn and will not start": {func(*testing.T, *attempts) {}, outcome.NotRun, false},
-		"waits: it is withdrawn":                         {func(_ *testing.T, a *attempts) { a.begin("k", time.Second) }, outcome.NotRun, false},
+		"waits: it is withdrawn":                         {func(_ *testing.T, a *attempts) { a.register("k", time.Second) }, outcome.NotRun, false},
 		"ended": {func(t *testing.T, a *attempts) {
-			at, _ := a.begin("k", time.Second)
+			at, _ := a.register("k", time.Second)
 			require.True(t, at.start())
-			at.end(done)
+			at.finish(done)
 		}, outcome.Answered, true},
 		"refused": {func(_ *testing.T, a *attempts) {
-			at, _ := a.begin("k", time.Second)
-			at.end(notRun(outcome.ReasonQueueFull))
+			at, _ := a.register("k", time.Second)
+			at.finish(notRun(outcome.ReasonQueueFull))
 		}, outcome.NotRun, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, _ := newTestAttempts()
-			c.before(t, a)
+			c.setUp(t, a)
 			require.Equal(t, c.want, a.settle(t.Context(), "k", time.Second).Outcome.Kind)
-			if !c.starts {
-				at, known := a.begin("k", time.Second)
+			if !c.mayStart {
+				at, known := a.register("k", time.Second)
 				require.True(t, known)
-				require.Equal(t, outcome.NotRun, at.again().Outcome.Kind)
+				require.Equal(t, outcome.NotRun, at.duplicateResult().Outcome.Kind)
 			}
 		})
 	}
 }
 
-func TestSettleWaitsForARun(t *testing.T) {
+func TestResolveWaitsForRunningAttempt(t *testing.T) {
 	a, _ := newTestAttempts()
-	at, _ := a.begin("k", time.Second)
+	at, _ := a.register("k", time.Second)
 	require.True(t, at.start())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	require.Equal(t, outcome.Unknown, a.settle(ctx, "k", time.Second).Outcome.Kind, "it runs: nothing is promised")
 	got := make(chan *Answer)
 	go func() { got <- a.settle(t.Context(), "k", time.Second) }()
-	at.end(&Answer{Outcome: outcome.Done()})
+	at.finish(&Answer{Outcome: outcome.Done()})
 	require.Equal(t, outcome.Answered, (<-got).Outcome.Kind)
 }
 
 // TestForgottenAttemptsAreUnknown floods a guard: what it had to forget early it
 // no longer promises anything of. What runs or waits is never forgotten.
-func TestForgottenAttemptsAreUnknown(t *testing.T) {
+func TestEvictedAttemptsAreUnknown(t *testing.T) {
 	a, now := newTestAttempts()
-	first, _ := a.begin("first", time.Second)
+	first, _ := a.register("first", time.Second)
 	first.start()
-	first.end(&Answer{Outcome: outcome.Done()})
-	runs, _ := a.begin("runs", time.Second)
+	first.finish(&Answer{Outcome: outcome.Done()})
+	runs, _ := a.register("runs", time.Second)
 	runs.start()
-	waits, _ := a.begin("waits", time.Second)
-	for i := range 2 * maxRemembered {
+	waits, _ := a.register("waits", time.Second)
+	for i := range 2 * maxRetainedAttempts {
 		*now = now.Add(time.Microsecond)
-		at, _ := a.begin(fmt.Sprint(i), time.Second)
-		at.end(&Answer{Outcome: outcome.Done()})
+		at, _ := a.register(fmt.Sprint(i), time.Second)
+		at.finish(&Answer{Outcome: outcome.Done()})
 	}
-	require.LessOrEqual(t, len(a.byTime), maxRemembered+2, "bounded")
-	require.Len(t, a.byKey, len(a.byTime))
+	require.LessOrEqual(t, len(a.byExpiry), maxRetainedAttempts+2, "bounded")
+	require.Len(t, a.byKey, len(a.byExpiry))
 	require.Equal(t, outcome.Unknown, a.settle(t.Context(), "first", time.Second).Outcome.Kind)
 	require.Equal(t, outcome.Unknown, a.settle(t.Context(), "never came", time.Second).Outcome.Kind)
-	require.False(t, runs.bar(), "still known")
+	require.False(t, runs.cancel(), "still known")
 	require.Same(t, waits, a.byKey["waits"])
-	runs.end(&Answer{Outcome: outcome.Done()})
-	waits.end(notRun(outcome.ReasonQueueFull))
+	runs.finish(&Answer{Outcome: outcome.Done()})
+	waits.finish(notRun(outcome.ReasonQueueFull))
 
-	*now = now.Add(3 * provenFor(time.Second))
+	*now = now.Add(3 * retentionPeriod(time.Second))
 	require.Equal(t, outcome.NotRun, a.settle(t.Context(), "later", time.Second).Outcome.Kind)
-	require.Len(t, a.byTime, 1, "old attempts are forgotten")
+	require.Len(t, a.byExpiry, 1, "old attempts are forgotten")
 }
 
 // TestAttemptsAreKnownPastTheirDeadlines answers requests that may take long: nobody
 // who has one of them in hand may be told that it is not known, and so has not run.
-func TestAttemptsAreKnownPastTheirDeadlines(t *testing.T) {
+func TestAttemptsAreRetainedPastTheirDeadlines(t *testing.T) {
 	for name, c := range map[string]struct {
 		deadline time.Duration
 		// ends is when the attempt ends, if it does, asked when it is asked for.
-		ends, asked time.Duration
-		want        outcome.Kind
+		endsAfter, queriedAfter time.Duration
+		want                    outcome.Kind
 	}{
 		"short":                          {time.Second, time.Second / 2, 10 * time.Second, outcome.Answered},
 		"long":                           {time.Minute, time.Second, 59 * time.Second, outcome.Answered},
@@ -109,15 +109,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, now := newTestAttempts()
-			at, _ := a.begin("k", c.deadline)
+			at, _ := a.register("k", c.deadline)
 			require.True(t, at.start())
-			for end := now.Add(c.asked); *now < end; *now = now.Add(500 * time.Millisecond) {
-				if c.ends > 0 && *now >= model.Instant(c.ends) {
-					at.end(&Answer{Outcome: outcome.Done()})
+			for end := now.Add(c.queriedAfter); *now < end; *now = now.Add(500 * time.Millisecond) {
+				if c.endsAfter > 0 && *now >= model.Instant(c.endsAfter) {
+					at.finish(&Answer{Outcome: outcome.Done()})
 				}
 				// Others come all the while.
-				other, _ := a.begin(fmt.Sprint(*now), time.Second)
-				other.end(&Answer{Outcome: outcome.Done()})
+				other, _ := a.register(fmt.Sprint(*now), time.Second)
+				other.finish(&Answer{Outcome: outcome.Done()})
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 			defer cancel()
@@ -128,42 +128,42 @@
 
 // TestBarredAttemptsStayBarred has a call come after its guard has said that it never
 // came, late but within its time.
-func TestBarredAttemptsStayBarred(t *testing.T) {
+func TestCancelledAttemptsStayCancelled(t *testing.T) {
 	a, now := newTestAttempts()
 	require.Equal(t, outcome.NotRun, a.settle(t.Context(), "k", time.Minute).Outcome.Kind)
-	for i := range 2 * maxRemembered {
-		at, _ := a.begin(fmt.Sprint(i), time.Second)
-		at.end(&Answer{Outcome: outcome.Done()})
+	for i := range 2 * maxRetainedAttempts {
+		at, _ := a.register(fmt.Sprint(i), time.Second)
+		at.finish(&Answer{Outcome: outcome.Done()})
 	}
 	*now = now.Add(time.Minute)
-	at, known := a.begin("k", time.Minute)
+	at, known := a.register("k", time.Minute)
 	require.True(t, known)
 	require.False(t, at.start())
 }
 
 // TestSuspendedSendersTakeNothingAsProof suspends the VM of a sender: by its own clock
 // hardly any time has passed, while the guard has long forgotten the call.
-func TestSuspendedSendersTakeNothingAsProof(t *testing.T) {
+func TestProofOfNotRunExpiresDuringSuspension(t *testing.T) {
 	for name, c := range map[string]struct {
-		past time.Duration
-		want outcome.Kind
+		elapsed time.Duration
+		want    outcome.Kind
 	}{
-		"within the guard's memory": {provenFor(time.Second), outcome.NotRun},
-		"past it":                   {provenFor(time.Second) + 1, outcome.Unknown},
+		"within the guard's memory": {retentionPeriod(time.Second), outcome.NotRun},
+		"past it":                   {retentionPeriod(time.Second) + 1, outcome.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := &entry{bootClock: func() time.Duration { return time.Hour + c.past }}
-			got := e.proven(notRun(outcome.ReasonWithdrawn), time.Hour, &Call{Deadline: time.Second})
+			e := &entry{bootClock: func() time.Duration { return time.Hour + c.elapsed }}
+			got := e.dropExpiredProof(notRun(outcome.ReasonWithdrawn), time.Hour, &Call{Deadline: time.Second})
 			require.Equal(t, c.want, got.Outcome.Kind)
 		})
 	}
 }
 
 // TestWithdrawnNeverStarts draws any order of a start and a withdrawal.
-func TestWithdrawnNeverStarts(t *testing.T) {
+func TestCancelledAttemptNeverStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, _ := newTestAttempts()
-		at, _ := a.begin("k", time.Second)
+		at, _ := a.register("k", time.Second)
 		started, withdrawn := false, false
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 1), 1, 6).Draw(t, "steps") {
 			if step == 0 && !started {
@@ -179,7 +179,7 @@
 }
 
 // TestLargeAnswersAreNotKept bounds the memory that remembered answers take.
-func TestLargeAnswersAreNotKept(t *testing.T) {
+func TestLargeResponsesAreNotRetained(t *testing.T) {
 	for name, c := range map[string]struct {
 		size int
 		keep bool
@@ -187,14 +187,14 @@
 	}{
 		"small, may be asked for": {10, true, outcome.Answered},
 		"small, nobody will ask":  {10, false, outcome.Unknown},
-		"large":                   {maxKeptBody + 1, true, outcome.Unknown},
+		"large":                   {maxRetainedBody + 1, true, outcome.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, _ := newTestAttempts()
-			at, _ := a.begin("k", time.Second)
+			at, _ := a.register("k", time.Second)
 			at.start()
-			at.end(&Answer{Outcome: outcome.Done(), Body: make([]byte, c.size)})
-			at.trim(c.keep)
+			at.finish(&Answer{Outcome: outcome.Done(), Body: make([]byte, c.size)})
+			at.discardBody(c.keep)
 			require.Equal(t, c.want, a.settle(t.Context(), "k", time.Second).Outcome.Kind)
 		})
 	}
--- a/sidecar/bodies.go
+++ b/sidecar/bodies.go
@@ -10,8 +10,8 @@
 // as a request may be sent more than once, and many large ones at a time would end
 // the process. It is safe for concurrent use.
 type bodies struct {
-	most int64
-	held atomic.Int64
+	limit int64
+	used  atomic.Int64
 }
 
 // defaultBodyBytes bounds the bodies in hand where the options do not.
@@ -21,7 +21,7 @@
 	if most <= 0 {
 		most = defaultBodyBytes
 	}
-	return &bodies{most: most}
+	return &bodies{limit: most}
 }
 
 var (
@@ -32,18 +32,18 @@
 )
 
 // heldBody is a body and the room that it takes.
-type heldBody struct {
-	bytes []byte
-	size  int64
-	b     *bodies
+type bufferedBody struct {
+	bytes   []byte
+	size    int64
+	limiter *bodies
 }
 
 // read reads a body. Where it does not fit it returns errNoRoom or errTooLarge and
 // holds nothing.
-func (b *bodies) read(from io.Reader) (*heldBody, error) {
-	h := &heldBody{b: b}
+func (b *bodies) read(from io.Reader) (*bufferedBody, error) {
+	h := &bufferedBody{limiter: b}
 	var err error
-	h.bytes, err = io.ReadAll(&holding{h, from})
+	h.bytes, err = io.ReadAll(&limitedReader{h, from})
 	if err != nil {
 		h.release()
 		return nil, err
@@ -52,27 +52,27 @@
 }
 
 // release gives the room back. It may be called again, and on nil.
-func (h *heldBody) release() {
+func (h *bufferedBody) release() {
 	if h != nil {
-		h.b.held.Add(-h.size)
+		h.limiter.used.Add(-h.size)
 		h.size = 0
 	}
 }
 
 // holding counts what is read.
-type holding struct {
-	*heldBody
+type limitedReader struct {
+	*bufferedBody
 	from io.Reader
 }
 
-func (h *holding) Read(p []byte) (int, error) {
+func (h *limitedReader) Read(p []byte) (int, error) {
 	n, err := h.from.Read(p)
 	h.size += int64(n)
-	held := h.b.held.Add(int64(n))
+	held := h.limiter.used.Add(int64(n))
 	switch {
-	case h.size > h.b.most:
+	case h.size > h.limiter.limit:
 		return 0, errTooLarge
-	case held > h.b.most:
+	case held > h.limiter.limit:
 		return 0, errNoRoom
 	}
 	return n, err
--- a/sidecar/bodies_test.go
+++ b/sidecar/bodies_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBodiesAreBounded(t *testing.T) {
+func TestBodyMemoryIsLimited(t *testing.T) {
 	b := newBodies(10)
 	first, err := b.read(strings.NewReader("123456"))
 	require.NoError(t, err)
@@ -26,33 +26,33 @@
 	require.ErrorIs(t, err, errTooLarge)
 	_, err = b.read(iotest.ErrReader(errors.New("gone")))
 	require.EqualError(t, err, "gone")
-	require.Zero(t, b.held.Load())
+	require.Zero(t, b.used.Load())
 }
 
 // TestRequestsWithoutRoomAreRefused fills the room of an entry and of a guard.
-func TestRequestsWithoutRoomAreRefused(t *testing.T) {
+func TestRequestsBeyondBodyMemoryAreRejected(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
 	const room = 100
-	a.bodies.most = room
-	a.bodies.held.Store(room - 1)
+	a.bodies.limit = room
+	a.bodies.used.Store(room - 1)
 	resp, text := a.ask(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Equal(t, "no-memory\n", text)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	a.bodies.held.Store(0)
+	a.bodies.used.Store(0)
 	resp, _ = a.ask(t, http.MethodPost, "/unsafe/", strings.Repeat("x", room+1))
 	require.Equal(t, http.StatusRequestEntityTooLarge, resp.StatusCode)
 
-	b.bodies.most = room
-	b.bodies.held.Store(room - 1)
+	b.bodies.limit = room
+	b.bodies.used.Store(room - 1)
 	resp, _ = a.ask(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Empty(t, b.up.requests())
-	b.bodies.held.Store(0)
+	b.bodies.used.Store(0)
 	status, _ := a.post(t, "/unsafe/")
 	require.Equal(t, http.StatusOK, status)
-	require.Zero(t, a.bodies.held.Load())
-	require.Zero(t, b.bodies.held.Load())
+	require.Zero(t, a.bodies.used.Load())
+	require.Zero(t, b.bodies.used.Load())
 }
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -21,8 +21,8 @@
 type Call struct {
 	// ID is the caller's, Send counts the attempts made of it, from 0. Together
 	// they name this attempt.
-	ID   string
-	Send int
+	ID           string
+	AttemptIndex int
 	// Method, Target, Host, Header and Body are the caller's request. Whoever is
 	// handed the Call may not change Header.
 	Method string
@@ -39,11 +39,11 @@
 	// Kind is that of the route.
 	Kind slots.Kind
 	// Work is how long such requests usually run where nothing slows them.
-	Work time.Duration
+	ServiceTime time.Duration
 	// Within is the time left to the target latency, zero where there is none;
 	// Deadline is the time left in all.
-	Within   time.Duration
-	Deadline time.Duration
+	TimeToTarget time.Duration
+	Deadline     time.Duration
 	// Alternative is when the request would end elsewhere. The guard gives it
 	// back if it would end much later here. Zero: there is no alternative.
 	Alternative time.Duration
@@ -54,7 +54,7 @@
 func kindOf(r *route.Route) slots.Kind { return slots.Kind(xxhash.Sum64String(r.Name)) }
 
 // Key names the attempt.
-func (c *Call) Key() string { return c.ID + "/" + strconv.Itoa(c.Send) }
+func (c *Call) Key() string { return c.ID + "/" + strconv.Itoa(c.AttemptIndex) }
 
 // Answer is what came of a Call.
 type Answer struct {
@@ -67,7 +67,7 @@
 	// Load is the guard's; nil when it is not known.
 	Load *placement.Load
 	// Work is how long the upstream would have taken where nothing slows it.
-	Work time.Duration
+	ServiceTime time.Duration
 	// CallsPerRun is how many calls to other services a run there makes of late.
 	CallsPerRun float64
 	// Arrived tells that the upstream may have got the request, if only to
@@ -90,29 +90,29 @@
 const callHeader = "Dt"
 
 // callFields is the number of fields of an encoded call.
-const callFields = 13
+const callFieldCount = 13
 
 // encode returns the fields that an HTTP request does not hold by itself.
 func (c *Call) encode() string {
 	return fmt.Sprintf("%s %d %s %s %s %d %t %d %d %d %d %d %d",
-		c.ID, c.Send, c.Service, c.Caller, c.Upstream.ID, c.Upstream.Born, c.Idempotent, c.Rank,
-		c.Work.Microseconds(), c.Within.Milliseconds(), c.Deadline.Milliseconds(), c.Alternative.Milliseconds(), c.Kind)
+		c.ID, c.AttemptIndex, c.Service, c.Caller, c.Upstream.ID, c.Upstream.Born, c.Idempotent, c.Rank,
+		c.ServiceTime.Microseconds(), c.TimeToTarget.Milliseconds(), c.Deadline.Milliseconds(), c.Alternative.Milliseconds(), c.Kind)
 }
 
 // FieldError is a field between daemons that cannot be read.
 type FieldError struct {
-	What  string
+	Field string
 	Value string
 }
 
 // Error names the field and its value.
-func (e *FieldError) Error() string { return fmt.Sprintf("%s: cannot read %q", e.What, e.Value) }
+func (e *FieldError) Error() string { return fmt.Sprintf("%s: cannot read %q", e.Field, e.Value) }
 
 // decodeCall reads what encode wrote.
 func decodeCall(s string) (*Call, error) {
 	f := strings.Split(s, " ")
-	if len(f) != callFields {
-		return nil, &FieldError{What: "call", Value: s}
+	if len(f) != callFieldCount {
+		return nil, &FieldError{Field: "call", Value: s}
 	}
 	n, err := numbers(f[1], f[5], f[7], f[8], f[9], f[10], f[11], f[12])
 	if err != nil {
@@ -120,26 +120,26 @@
 	}
 	idempotent, err := strconv.ParseBool(f[6])
 	if err != nil || f[0] == "" || f[2] == "" || f[4] == "" {
-		return nil, &FieldError{What: "call", Value: s}
+		return nil, &FieldError{Field: "call", Value: s}
 	}
 	return &Call{
-		ID:          f[0],
-		Send:        int(n[0]),
-		Service:     model.ServiceName(f[2]),
-		Caller:      model.ServiceName(f[3]),
-		Upstream:    lifecycle.Incarnation{ID: model.UpstreamID(f[4]), Born: n[1]},
-		Idempotent:  idempotent,
-		Rank:        int(n[2]),
-		Kind:        slots.Kind(n[7]),
-		Work:        time.Duration(n[3]) * time.Microsecond,
-		Within:      time.Duration(n[4]) * time.Millisecond,
-		Deadline:    time.Duration(n[5]) * time.Millisecond,
-		Alternative: time.Duration(n[6]) * time.Millisecond,
+		ID:           f[0],
+		AttemptIndex: int(n[0]),
+		Service:      model.ServiceName(f[2]),
+		Caller:       model.ServiceName(f[3]),
+		Upstream:     lifecycle.Incarnation{ID: model.UpstreamID(f[4]), Born: n[1]},
+		Idempotent:   idempotent,
+		Rank:         int(n[2]),
+		Kind:         slots.Kind(n[7]),
+		ServiceTime:  time.Duration(n[3]) * time.Microsecond,
+		TimeToTarget: time.Duration(n[4]) * time.Millisecond,
+		Deadline:     time.Duration(n[5]) * time.Millisecond,
+		Alternative:  time.Duration(n[6]) * time.Millisecond,
 	}, nil
 }
 
 // answerFields is the number of fields of an encoded answer.
-const answerFields = 11
+const resultFieldCount = 11
 
 // encode returns the fields of an answer that a response does not hold by
 // itself.
@@ -154,23 +154,23 @@
 	}
 	return fmt.Sprintf("%s %s %t %d %d %d %d %d %d %d %d/%d",
 		a.Outcome.Kind, reason, a.Arrived, l.Running, l.Waiting, l.Limit,
-		int(l.Slow*hundred), l.SlowAge.Milliseconds(), int(l.Failing*hundred), int(a.CallsPerRun*hundred), a.Work.Microseconds(), a.Version)
+		int(l.Slow*ratioScale), l.SlowAge.Milliseconds(), int(l.Failing*ratioScale), int(a.CallsPerRun*ratioScale), a.ServiceTime.Microseconds(), a.Version)
 }
 
 // hundred turns shares and ratios into whole hundredths.
-const hundred = 100
+const ratioScale = 100
 
 // decodeAnswer reads what encode wrote.
 func decodeAnswer(s string) (*Answer, error) {
 	f := strings.Split(s, " ")
-	if len(f) != answerFields {
-		return nil, &FieldError{What: "answer", Value: s}
+	if len(f) != resultFieldCount {
+		return nil, &FieldError{Field: "answer", Value: s}
 	}
 	kind, ok := outcome.ParseKind(f[0])
 	arrived, err := strconv.ParseBool(f[2])
 	work, version, cut := strings.Cut(f[10], "/")
 	if !ok || err != nil || !cut {
-		return nil, &FieldError{What: "answer", Value: s}
+		return nil, &FieldError{Field: "answer", Value: s}
 	}
 	n, err := numbers(f[3], f[4], f[5], f[6], f[7], f[8], work, version, f[9])
 	if err != nil {
@@ -179,9 +179,9 @@
 	a := &Answer{
 		Outcome:     outcome.Outcome{Kind: kind},
 		Arrived:     arrived,
-		Work:        time.Duration(n[6]) * time.Microsecond,
+		ServiceTime: time.Duration(n[6]) * time.Microsecond,
 		Version:     model.Version(n[7]),
-		CallsPerRun: float64(n[8]) / hundred,
+		CallsPerRun: float64(n[8]) / ratioScale,
 	}
 	if f[1] != "-" {
 		a.Outcome.Reason = outcome.Reason(f[1])
@@ -189,8 +189,8 @@
 	if n[2] > 0 {
 		a.Load = &placement.Load{
 			Running: int(n[0]), Waiting: int(n[1]), Limit: int(n[2]),
-			Slow: float64(n[3]) / hundred, SlowAge: time.Duration(n[4]) * time.Millisecond,
-			Failing: float64(n[5]) / hundred,
+			Slow: float64(n[3]) / ratioScale, SlowAge: time.Duration(n[4]) * time.Millisecond,
+			Failing: float64(n[5]) / ratioScale,
 		}
 	}
 	return a, nil
@@ -201,7 +201,7 @@
 	for i, f := range fields {
 		n, err := strconv.ParseInt(f, 10, 64)
 		if err != nil {
-			return nil, &FieldError{What: "number", Value: f}
+			return nil, &FieldError{Field: "number", Value: f}
 		}
 		out[i] = n
 	}
@@ -209,7 +209,7 @@
 }
 
 // hopHeaders concern one connection only.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", callHeader,
 }
@@ -223,7 +223,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/sidecar/call_test.go
+++ b/sidecar/call_test.go
@@ -15,19 +15,19 @@
 )
 
 // TestCallsArriveAsSent encodes calls of any fields, times in the units of the wire.
-func TestCallsArriveAsSent(t *testing.T) {
+func TestCallEncodingRoundTrip(t *testing.T) {
 	name := rapid.StringMatching(`[!-~]{1,20}`)
 	millis := rapid.Map(rapid.Int64Range(0, 100_000), func(n int64) time.Duration { return time.Duration(n) * time.Millisecond })
 	rapid.Check(t, func(t *rapid.T) {
 		want := &Call{
-			ID: name.Draw(t, "id"), Send: rapid.IntRange(0, 9).Draw(t, "send"),
+			ID: name.Draw(t, "id"), AttemptIndex: rapid.IntRange(0, 9).Draw(t, "send"),
 			Service: model.ServiceName(name.Draw(t, "service")), Caller: model.ServiceName(name.Draw(t, "caller")),
 			Upstream: lifecycle.Incarnation{
 				ID: model.UpstreamID(name.Draw(t, "upstream")), Born: rapid.Int64Min(0).Draw(t, "born"),
 			},
 			Idempotent: rapid.Bool().Draw(t, "idempotent"), Rank: rapid.IntRange(0, 9).Draw(t, "rank"),
-			Kind: slots.Kind(rapid.Uint16().Draw(t, "kind")),
-			Work: millis.Draw(t, "work"), Within: millis.Draw(t, "within"),
+			Kind:        slots.Kind(rapid.Uint16().Draw(t, "kind")),
+			ServiceTime: millis.Draw(t, "work"), TimeToTarget: millis.Draw(t, "within"),
 			Deadline: millis.Draw(t, "deadline"), Alternative: millis.Draw(t, "alternative"),
 		}
 		got, err := decodeCall(want.encode())
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestCallsThatCannotBeRead(t *testing.T) {
+func TestInvalidCallEncodings(t *testing.T) {
 	good := (&Call{ID: "r1", Service: "a", Upstream: lifecycle.Incarnation{ID: "i-1"}}).encode()
 	fields := func(change func(f []string)) string {
 		f := strings.Split(good, " ")
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -67,7 +67,7 @@
 			for i := range n {
 				p.Learn(0, fmt.Sprint(i), placement.Load{Running: i % 4, Limit: 4, Slow: 1})
 			}
-			ask := placement.Ask{Work: firstWork, Target: 4 * firstWork}
+			ask := placement.Ask{Work: defaultServiceTime, Target: 4 * defaultServiceTime}
 			b.ReportAllocs()
 			for b.Loop() {
 				p.ToAsk(0, ask, true, placement.AskAge, placement.AskNear)
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -13,34 +13,34 @@
 	// hedgeFactor and hedgeBy tell when an idempotent request that has no answer
 	// is sent to a second upstream: so much later than expected.
 	hedgeFactor = 1.4
-	hedgeBy     = 15 * time.Millisecond
+	hedgeMargin = 15 * time.Millisecond
 	// lateFactor is the same for a request that can no longer make its target: its
 	// upstream may have stopped answering.
-	lateFactor = 4
+	lateHedgeFactor = 4
 )
 
 // choose picks the upstream for the next attempt.
-func (r *race) choose(now model.Instant) (*try, bool) {
+func (r *race) chooseUpstream(now model.Instant) (*try, bool) {
 	ask := placement.Ask{
-		Work:    r.work,
-		Target:  r.req.target.Sub(now),
+		Work:    r.serviceTime,
+		Target:  r.req.targetTime.Sub(now),
 		Exclude: func(u placement.Upstream) bool { return r.tried[u.Key] },
 	}
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
-	r.e.refresh(r.s, r.req.service)
-	r.req.candidates = r.s.placer.Len()
-	r.inquire(ask, true, placement.AskNear, nearWait)
-	if now = r.e.d.now(); !r.s.placer.Comfortable(now, ask) {
+	r.e.refreshCandidates(r.s, r.req.service)
+	r.req.candidateCount = r.s.placer.Len()
+	r.inquire(ask, true, placement.AskNear, localZoneTimeout)
+	if now = r.e.daemon.now(); !r.s.placer.Comfortable(now, ask) {
 		r.inquire(ask, false, placement.AskFar, farWait)
-		now = r.e.d.now()
+		now = r.e.daemon.now()
 	}
 	c, ok := r.s.placer.Choose(now, ask)
 	if !ok {
 		return nil, false
 	}
-	r.req.expected, r.req.upstream = c.Expected, c.Upstream.Key
-	return &try{choice: c, target: r.s.targets[c.Upstream.Key], acknowledged: make(chan struct{})}, true
+	r.req.expectedTime, r.req.upstreamKey = c.Expected, c.Upstream.Key
+	return &try{choice: c, endpoint: r.s.endpoints[c.Upstream.Key], acknowledged: make(chan struct{})}, true
 }
 
 // inquire asks guards for their loads, near or far. A guard that answered before
@@ -48,72 +48,72 @@
 // be far, may be too far away to answer in time. r.s.mu is held on entry and return,
 // not between.
 func (r *race) inquire(ask placement.Ask, near bool, most int, wait time.Duration) {
-	now := r.e.d.now()
+	now := r.e.daemon.now()
 	ups := r.s.placer.ToAsk(now, ask, near, placement.AskAge, most)
 	if len(ups) == 0 || len(ups) == 1 && r.s.placer.Len() == 1 {
 		return
 	}
 	far := r.s.placer.Beyond(wait)
 	r.s.mu.Unlock()
-	got := r.e.d.datagrams.ask(inquiry{
+	got := r.e.daemon.datagrams.ask(inquiry{
 		ups: ups, rank: r.req.route.Rank, kind: kindOf(r.req.route),
-		wait: wait, late: r.s.learnLate(r.e.d.now), tooFar: func(u placement.Upstream) bool { return far[u.Zone] },
+		wait: wait, late: r.s.lateLoadHandler(r.e.daemon.now), tooFar: func(u placement.Upstream) bool { return far[u.Zone] },
 	})
 	r.s.mu.Lock()
-	now = r.e.d.now()
+	now = r.e.daemon.now()
 	for _, up := range ups {
 		if h, ok := got[up.Key]; ok {
-			r.s.learn(now, h)
+			r.s.recordLoad(now, h)
 			r.s.answered[up.Key] = true
 		} else if !far[up.Zone] && (near || r.s.answered[up.Key]) {
 			r.s.placer.Unreachable(now, up.Key)
-			r.e.d.peers.verify(string(up.Daemon))
+			r.e.daemon.peers.verifyReachable(string(up.Daemon))
 		}
 	}
 }
 
 // learn takes in what a guard answered. s.mu is held.
-func (s *service) learn(now model.Instant, h heard) {
+func (s *service) recordLoad(now model.Instant, h heard) {
 	s.placer.Learn(now, h.key, h.load)
 	s.placer.Trip(h.key, h.took)
 }
 
 // learnLate returns what takes in a load that was told too late for the choice that it
 // was asked for. It serves the next ones.
-func (s *service) learnLate(now func() model.Instant) func(heard) {
+func (s *service) lateLoadHandler(now func() model.Instant) func(heard) {
 	return func(h heard) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.learn(now(), h)
+		s.recordLoad(now(), h)
 	}
 }
 
 // hedge sends an idempotent request to a second upstream if that is expected to
 // help.
 func (r *race) hedge() {
-	if !r.req.route.Idempotent || len(r.live) != 1 || r.arrived+1 >= r.req.attempts() {
+	if !r.req.route.Idempotent || len(r.live) != 1 || r.delivered+1 >= r.req.maxAttempts() {
 		return
 	}
-	now := r.e.d.now()
+	now := r.e.daemon.now()
 	first := r.live[0]
 	r.tried[first.choice.Upstream.Key] = true
-	t, ok := r.choose(now)
+	t, ok := r.chooseUpstream(now)
 	if !ok {
 		return
 	}
-	end := r.req.target
-	if end == 0 || r.late {
+	end := r.req.targetTime
+	if end == 0 || r.lateHedge {
 		end = r.req.deadline
 	}
 	if now.Add(t.choice.Expected) <= end {
-		t.taken = r.e.takeResend(r.s, now)
+		t.charge = r.e.takeRetry(r.s, now)
 	}
-	if t.taken == nil {
-		r.release(t)
+	if t.charge == nil {
+		r.releaseChoice(t)
 		return
 	}
-	r.e.d.metrics.hedged.Inc(1)
-	r.tell(decision.Hedged, t, slog.String("instead_of", first.choice.Upstream.Key),
+	r.e.daemon.metrics.hedged.Inc(1)
+	r.logDecision(decision.Hedged, t, slog.String("instead_of", first.choice.Upstream.Key),
 		slog.Int64("waited_ms", now.Sub(first.sent).Milliseconds()), slog.Int64("expected_ms", t.choice.Expected.Milliseconds()))
-	r.start(t)
+	r.startAttempt(t)
 }
--- a/sidecar/beliefs_test.go
+++ b/sidecar/correction_test.go
@@ -33,15 +33,15 @@
 func ordinary() *Call {
 	return &Call{
 		ID: "x", Method: http.MethodGet, Service: "b", Upstream: lifecycle.Incarnation{ID: "b1", Born: 1}, Idempotent: true,
-		Work: 50 * time.Millisecond, Within: 300 * time.Millisecond, Deadline: time.Second,
+		ServiceTime: 50 * time.Millisecond, TimeToTarget: 300 * time.Millisecond, Deadline: time.Second,
 	}
 }
 
-func TestGuardsWrongBeliefsPass(t *testing.T) {
+func TestWrongUpstreamStateIsCorrected(t *testing.T) {
 	for name, c := range map[string]struct {
-		worst func(g *guard)
+		corrupt func(g *guard)
 		// right reports whether the belief is as it should be.
-		right func(g *guard) bool
+		corrected func(g *guard) bool
 	}{
 		"one slot, as nobody told them": {
 			func(g *guard) {
@@ -50,55 +50,55 @@
 			func(g *guard) bool { return g.queue.Limit() == placement.LimitOf(14) },
 		},
 		"very slow": {
-			func(g *guard) { g.slow, g.slowAt, g.told = 100, g.now(), true },
+			func(g *guard) { g.slowdown, g.slowdownAt, g.slowdownReported = 100, g.now(), true },
 			func(g *guard) bool {
-				id, _, refused := g.arrive(ordinary())
-				_ = g.withdraw(id)
-				return refused == nil && !g.hopeless()
+				id, _, refused := g.enqueue(ordinary())
+				_ = g.cancelWaiting(id)
+				return refused == nil && !g.wouldDrop()
 			},
 		},
 		"fails everything": {
 			func(g *guard) {
 				for range 100 {
-					g.failing.Count(g.now(), true)
+					g.failures.Count(g.now(), true)
 				}
 			},
-			func(g *guard) bool { return g.failing.Share(g.now()) < 0.5 },
+			func(g *guard) bool { return g.failures.Share(g.now()) < 0.5 },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := model.Instant(time.Hour)
 			g := newIdleGuard(&now)
-			c.worst(g)
-			require.False(t, c.right(g))
+			c.corrupt(g)
+			require.False(t, c.corrected(g))
 			r := ready("b1", 1, 1, "b")
 			r.Slots = 14
 			for end := now.Add(correctedWithin); now < end; now = now.Add(500 * time.Millisecond) {
 				r.Sequence++
 				g.report(r, "report")
 			}
-			require.True(t, c.right(g))
+			require.True(t, c.corrected(g))
 		})
 	}
 }
 
 // hopeless reports whether the queue would drop an ordinary call.
-func (g *guard) hopeless() bool {
+func (g *guard) wouldDrop() bool {
 	c := ordinary()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Duration(g.slowNow()*float64(c.Work)/2) >= c.Deadline
+	return time.Duration(g.currentSlowdown()*float64(c.ServiceTime)/2) >= c.Deadline
 }
 
 // TestWorkThatWasLearnedOfColdUpstreams is above every deadline. Without an answer it
 // stays as it is, but requests are sent again.
-func TestWorkThatWasLearnedOfColdUpstreams(t *testing.T) {
+func TestWrongServiceTimeIsCorrected(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, _ := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
 	for range 64 {
-		a.entry.worked("safe", time.Hour)
-		a.entry.worked("unsafe", time.Hour)
+		a.entry.recordServiceTime("safe", time.Hour)
+		a.entry.recordServiceTime("unsafe", time.Hour)
 	}
 	eventually(t, "served again", func() bool {
 		safe, _ := a.get(t, "/safe/")
@@ -109,7 +109,7 @@
 
 // TestSlotsThatAreNotTold has a daemon start beside an upstream that runs already and
 // does not tell its slots: what others know of it is used until it reports.
-func TestSlotsThatAreNotTold(t *testing.T) {
+func TestSlotsOfUpstreamThatDoesNotReportThem(t *testing.T) {
 	i := lifecycle.Incarnation{ID: "b1", Born: 1}
 	other := Record{Address: "other", Incarnation: 1, Sequence: 1, Service: "b", Slots: 6}
 	before := Record{Address: "own", Incarnation: 1, Sequence: 1, Service: "b", Upstream: i, Slots: 14}
@@ -124,7 +124,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPeers(Record{Address: "own", Incarnation: 2, Sequence: 1, Service: "b"}, func() model.Instant { return 0 }, nil)
-			p.ctx = cancelled(t)
+			p.ctx = cancelledContext(t)
 			p.merge(c.known)
 			require.Equal(t, c.want, p.slotsOf(lifecycle.Incarnation{ID: "b1"}))
 		})
@@ -132,7 +132,7 @@
 }
 
 // TestAvoidanceIsShort passes an upstream over that could not be reached.
-func TestAvoidanceIsShort(t *testing.T) {
+func TestUnreachableUpstreamIsTriedAgain(t *testing.T) {
 	p := placement.New(placement.Options{Zone: "z"})
 	p.Set([]placement.Upstream{{Key: "a", Zone: "z", Slots: 6}, {Key: "b", Zone: "z", Slots: 1}})
 	p.Unreachable(0, "a")
@@ -147,9 +147,9 @@
 }
 
 // TestBudgetInUsePasses takes all re-sends. Their span over, there are some again.
-func TestBudgetInUsePasses(t *testing.T) {
+func TestRetryBudgetRecoversAfterItsSpan(t *testing.T) {
 	b := ResendBudget{Ratio: 0.2, Slack: 50, Span: 10 * time.Second}
-	r := newResends(b)
+	r := newRetryLimiter(b)
 	now := model.Instant(time.Hour)
 	for r.take(now, 1, 2, 1) {
 	}
@@ -159,7 +159,7 @@
 }
 
 // cancelled returns a context that has ended, so that nothing is sent.
-func cancelled(t *testing.T) context.Context {
+func cancelledContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	return ctx
@@ -167,21 +167,21 @@
 
 // TestLostDaemonsAreLookedFor cuts two regions from each other for minutes. Neither side
 // starts anew, so each must look for the other.
-func TestLostDaemonsAreLookedFor(t *testing.T) {
+func TestUnreachableDaemonsAreRetried(t *testing.T) {
 	var now model.Instant
 	p := newPeers(Record{Address: "own", Incarnation: 1, Sequence: 1}, func() model.Instant { return now }, nil)
-	p.ctx = cancelled(t)
+	p.ctx = cancelledContext(t)
 	p.merge([]Record{{Address: "far", Incarnation: 1, Sequence: 1, Service: "b", State: lifecycle.Ready}})
 	q := p.all["far"]
 	for _, c := range []struct {
-		after time.Duration
-		again bool
-		most  time.Duration
+		lostFor  time.Duration
+		retry    bool
+		maxDelay time.Duration
 	}{{0, true, maxPause}, {30 * time.Second, true, maxPause}, {20 * time.Minute, true, lookPause}, {2 * time.Hour, false, 0}} {
-		now = model.Instant(c.after)
-		again, most := p.unsynced(q, errMute)
-		require.Equal(t, c.again, again, c.after)
-		require.Equal(t, c.most, most, c.after)
+		now = model.Instant(c.lostFor)
+		again, most := p.unsynced(q, errNotAcknowledged)
+		require.Equal(t, c.retry, again, c.lostFor)
+		require.Equal(t, c.maxDelay, most, c.lostFor)
 	}
 	require.Empty(t, p.all)
 }
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -22,10 +22,10 @@
 	// crashed takes a request that ran in a crash.
 	crashed func(lostRun)
 
-	mu   sync.Mutex
-	lost []lostRun
+	mu       sync.Mutex
+	lostRuns []lostRun
 	// answered are the first answers of the upstream after the lost runs, the oldest first.
-	answered []model.Instant
+	respondedAt []model.Instant
 }
 
 // lostRun is a run whose connection was lost.
@@ -34,39 +34,39 @@
 	print    quarantine.Fingerprint
 	request  quarantine.Request
 	upstream lifecycle.Incarnation
-	at       model.Instant
+	lostAt   model.Instant
 }
 
 const (
 	// maxLost bounds the runs that are remembered. An upstream runs fewer at once.
-	maxLost = 64
+	maxLostRuns = 64
 	// crashSpan is the longest time between two of the runs that are lost while the
 	// upstream is gone.
-	crashSpan = 500 * time.Millisecond
+	maxBurstGap = 500 * time.Millisecond
 	// answerSlack is how much later than a loss an answer may be read that came before
 	// it, over another connection.
-	answerSlack = 20 * time.Millisecond
+	responseSlack = 20 * time.Millisecond
 	// crashDial bounds a look at the upstream, which runs on the same VM.
-	crashDial = 100 * time.Millisecond
+	crashDialTimeout = 100 * time.Millisecond
 )
 
 // lose takes in a lost run and looks whether the upstream is still there.
-func (c *crashes) lose(r lostRun) {
-	r.at = c.now()
+func (c *crashes) recordLoss(r lostRun) {
+	r.lostAt = c.now()
 	c.mu.Lock()
-	if len(c.lost) >= maxLost {
-		c.lost = c.lost[1:]
-		c.forget()
+	if len(c.lostRuns) >= maxLostRuns {
+		c.lostRuns = c.lostRuns[1:]
+		c.dropOldResponses()
 	}
-	c.lost = append(c.lost, r)
+	c.lostRuns = append(c.lostRuns, r)
 	c.mu.Unlock()
 	if !c.listening() {
-		c.name(c.take(r.upstream, lastBurst))
+		c.reportRuns(c.removeRuns(r.upstream, lastBurst))
 	}
 }
 
 func (c *crashes) listening() bool {
-	conn, err := net.DialTimeout("tcp", c.address, crashDial)
+	conn, err := net.DialTimeout("tcp", c.address, crashDialTimeout)
 	if err == nil {
 		_ = conn.Close()
 	}
@@ -74,35 +74,37 @@
 }
 
 // forget drops the answers from before the lost runs that are remembered. c.mu is held.
-func (c *crashes) forget() {
-	for len(c.answered) > 0 && c.answered[0] < c.lost[0].at {
-		c.answered = c.answered[1:]
+func (c *crashes) dropOldResponses() {
+	for len(c.respondedAt) > 0 && c.respondedAt[0] < c.lostRuns[0].lostAt {
+		c.respondedAt = c.respondedAt[1:]
 	}
 }
 
 // answer takes in that the upstream has answered: it was there then. That may have been its
 // next incarnation, before it told of itself.
-func (c *crashes) answer() {
+func (c *crashes) recordResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.lost) == 0 {
+	if len(c.lostRuns) == 0 {
 		return
 	}
 	at := c.now()
-	if at.Sub(c.lost[len(c.lost)-1].at) < answerSlack {
+	if at.Sub(c.lostRuns[len(c.lostRuns)-1].lostAt) < responseSlack {
 		// It came before that loss, or after it, and was there before it in any case.
-		at = at.Add(-answerSlack)
+		at = at.Add(-responseSlack)
 	}
-	if n := len(c.answered); n == 0 || c.answered[n-1] < c.lost[len(c.lost)-1].at && at > c.answered[n-1] {
-		c.answered = append(c.answered, at)
+	if n := len(c.respondedAt); n == 0 || c.respondedAt[n-1] < c.lostRuns[len(c.lostRuns)-1].lostAt && at > c.respondedAt[n-1] {
+		c.respondedAt = append(c.respondedAt, at)
 	}
 }
 
 // end takes in that an incarnation has crashed, and names the runs of its crash: the
 // upstream was gone for longer than between any loss before and the next answer.
-func (c *crashes) end(i lifecycle.Incarnation) { c.name(c.take(i, longestBurst)) }
+func (c *crashes) upstreamCrashed(i lifecycle.Incarnation) {
+	c.reportRuns(c.removeRuns(i, longestBurst))
+}
 
-func (c *crashes) name(ran []lostRun) {
+func (c *crashes) reportRuns(ran []lostRun) {
 	for _, r := range ran {
 		c.crashed(r)
 	}
@@ -112,7 +114,7 @@
 type burst struct {
 	runs []lostRun
 	// silent is the time from the first loss until the upstream is known to have answered.
-	silent time.Duration
+	silence time.Duration
 }
 
 // lastBurst returns the burst of an upstream that is gone now.
@@ -123,7 +125,7 @@
 func longestBurst(all []burst) burst {
 	longest := all[0]
 	for _, b := range all[1:] {
-		if b.silent >= longest.silent {
+		if b.silence >= longest.silence {
 			longest = b
 		}
 	}
@@ -131,26 +133,26 @@
 }
 
 // take takes out the runs of an incarnation, and returns those of the burst that is picked.
-func (c *crashes) take(i lifecycle.Incarnation, pick func([]burst) burst) []lostRun {
+func (c *crashes) removeRuns(i lifecycle.Incarnation, pick func([]burst) burst) []lostRun {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var of, kept []lostRun
-	for _, r := range c.lost {
+	for _, r := range c.lostRuns {
 		if r.upstream == i {
 			of = append(of, r)
 		} else {
 			kept = append(kept, r)
 		}
 	}
-	c.lost = kept
+	c.lostRuns = kept
 	var all []burst
 	for len(of) > 0 {
-		b := c.burst(of)
+		b := c.firstBurst(of)
 		all = append(all, b)
 		of = of[len(b.runs):]
 	}
 	if len(kept) == 0 {
-		c.answered = nil
+		c.respondedAt = nil
 	}
 	if len(all) == 0 {
 		return nil
@@ -159,22 +161,22 @@
 }
 
 // burst returns the first burst of lost runs. c.mu is held.
-func (c *crashes) burst(of []lostRun) burst {
+func (c *crashes) firstBurst(of []lostRun) burst {
 	until := c.now()
-	for _, at := range c.answered {
-		if at > of[0].at {
+	for _, at := range c.respondedAt {
+		if at > of[0].lostAt {
 			until = at
 			break
 		}
 	}
 	n := 1
-	for n < len(of) && of[n].at <= until && of[n].at.Sub(of[n-1].at) <= crashSpan {
+	for n < len(of) && of[n].lostAt <= until && of[n].lostAt.Sub(of[n-1].lostAt) <= maxBurstGap {
 		n++
 	}
-	if n < len(of) && of[n].at <= until {
+	if n < len(of) && of[n].lostAt <= until {
 		// Later runs were lost without an answer since: the upstream is taken to have
 		// been gone from those on only.
-		until = of[n-1].at
+		until = of[n-1].lostAt
 	}
-	return burst{runs: of[:n], silent: until.Sub(of[0].at)}
+	return burst{runs: of[:n], silence: until.Sub(of[0].lostAt)}
 }
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -25,14 +25,14 @@
 	// defaultDeadline is given to requests whose caller and route state none.
 	defaultDeadline = 30 * time.Second
 	// maxBody bounds request bodies where the configuration does not, in bytes.
-	maxBody = 64 << 20
+	defaultMaxBody = 64 << 20
 	// notReadyRetry is the advice while there is no configuration yet.
-	notReadyRetry = 300 * time.Millisecond
+	notReadyRetryAfter = 300 * time.Millisecond
 	// noUpstreamRetry is the advice while no upstream is known: one that starts
 	// reports within a second or two.
-	noUpstreamRetry = 500 * time.Millisecond
+	noUpstreamRetryAfter = 500 * time.Millisecond
 	// busyRetry is the least advice when all upstreams are full.
-	busyRetry = 100 * time.Millisecond
+	minRetryAfter = 100 * time.Millisecond
 )
 
 // request is a caller's request on its way.
@@ -44,26 +44,26 @@
 	service model.ServiceName
 	body    []byte
 	// held is the room that the body takes.
-	held       *heldBody
-	began      model.Instant
-	deadline   model.Instant
-	target     model.Instant
-	ctx        context.Context
-	givenBack  int
-	sends      int
-	candidates int
-	expected   time.Duration
-	upstream   string
+	buffer            *bufferedBody
+	began             model.Instant
+	deadline          model.Instant
+	targetTime        model.Instant
+	ctx               context.Context
+	rejections        int
+	attemptsDelivered int
+	candidateCount    int
+	expectedTime      time.Duration
+	upstreamKey       string
 	// print is nil until somebody asks for it.
 	print *quarantine.Fingerprint
 }
 
 // cut reports whether this daemon has closed the caller's connection.
-func (r *request) cut() bool { return inbound.Closed(r.http.Context()) }
+func (r *request) connectionClosed() bool { return inbound.Closed(r.http.Context()) }
 
 // entry takes callers' requests. It is safe for concurrent use.
 type entry struct {
-	d *Daemon
+	daemon *Daemon
 	// bootClock tells the time since the VM started, suspensions included.
 	bootClock func() time.Duration
 
@@ -71,53 +71,53 @@
 	splitter route.Splitter
 	services map[model.ServiceName]*service
 	// works holds what is known of each route's work.
-	works map[string]routeWork
+	serviceTimes map[string]routeServiceTime
 }
 
 func newEntry(d *Daemon) *entry {
 	return &entry{
-		d: d, bootClock: bootTime, services: make(map[model.ServiceName]*service), works: make(map[string]routeWork),
+		daemon: d, bootClock: bootTime, services: make(map[model.ServiceName]*service), serviceTimes: make(map[string]routeServiceTime),
 	}
 }
 
 // ServeHTTP answers one request.
 func (e *entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	attempt, err := e.d.opts.Edge.Attempt(r.Header)
+	attempt, err := e.daemon.opts.Edge.Attempt(r.Header)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	req := &request{http: r, id: attempt.ID, began: e.d.now()}
-	if !e.d.requests.begin() {
-		e.write(w, req, refuse(outcome.ReasonDraining, noUpstreamRetry))
+	req := &request{http: r, id: attempt.ID, began: e.daemon.now()}
+	if !e.daemon.requests.begin() {
+		e.respond(w, req, refuse(outcome.ReasonDraining, noUpstreamRetryAfter))
 		return
 	}
-	defer e.d.requests.done()
-	defer func() { req.held.release() }()
+	defer e.daemon.requests.done()
+	defer func() { req.buffer.release() }()
 	refused := e.classify(req, attempt)
-	if refused == nil && e.d.stopping.Load() {
+	if refused == nil && e.daemon.stopping.Load() {
 		left := req.deadline.Sub(req.began)
-		refused = e.d.guard.refuseLate(e.workOf(req.route.Name, left), left)
+		refused = e.daemon.guard.rejectIfTooLong(e.serviceTimeOf(req.route.Name, left), left)
 	}
 	if refused == nil {
 		refused = e.readBody(w, req)
 	}
 	if refused != nil {
-		e.write(w, req, refused)
+		e.respond(w, req, refused)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), req.deadline.Sub(e.d.now()))
+	ctx, cancel := context.WithTimeout(r.Context(), req.deadline.Sub(e.daemon.now()))
 	defer cancel()
 	req.ctx = ctx
-	e.write(w, req, e.forward(req))
+	e.respond(w, req, e.forward(req))
 }
 
 // classify finds the route and the service. It returns an answer when the
 // request is refused.
 func (e *entry) classify(req *request, attempt Attempt) *Answer {
-	table := e.d.config.table()
+	table := e.daemon.config.table()
 	if table == nil {
-		return refuse(outcome.ReasonNotReady, notReadyRetry)
+		return refuse(outcome.ReasonNotReady, notReadyRetryAfter)
 	}
 	path, _, _ := strings.Cut(req.http.RequestURI, "?")
 	rt, ok := table.Lookup(req.http.Host, path)
@@ -137,7 +137,7 @@
 	}
 	req.deadline = req.began.Add(left)
 	if rt.Target > 0 {
-		req.target = req.began.Add(rt.Target)
+		req.targetTime = req.began.Add(rt.Target)
 	}
 	return nil
 }
@@ -151,24 +151,24 @@
 func (e *entry) readBody(w http.ResponseWriter, req *request) *Answer {
 	limit := req.table.Limits().BodyBytes
 	if limit <= 0 {
-		limit = maxBody
+		limit = defaultMaxBody
 	}
-	held, err := e.d.bodies.read(http.MaxBytesReader(w, req.http.Body, limit))
+	held, err := e.daemon.bodies.read(http.MaxBytesReader(w, req.http.Body, limit))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large), errors.Is(err, errTooLarge):
 		return notRun(outcome.ReasonTooLarge)
 	case errors.Is(err, errNoRoom):
-		return refuse(outcome.ReasonNoMemory, spread(busyRetry))
+		return refuse(outcome.ReasonNoMemory, jittered(minRetryAfter))
 	case err != nil:
 		return notRun(outcome.ReasonBadRequest)
 	}
-	req.held, req.body = held, held.bytes
+	req.buffer, req.body = held, held.bytes
 	return nil
 }
 
 // statuses are the statuses of reasons that have one of their own.
-var statuses = map[outcome.Reason]int{
+var reasonStatus = map[outcome.Reason]int{
 	outcome.ReasonNoService:  http.StatusNotFound,
 	outcome.ReasonBadRequest: http.StatusBadRequest,
 	outcome.ReasonTooLarge:   http.StatusRequestEntityTooLarge,
@@ -177,7 +177,7 @@
 // statusOf returns the status of an outcome that is no answer. 503 promises that
 // the request has not run.
 func statusOf(o outcome.Outcome) int {
-	if status, ok := statuses[o.Reason]; ok {
+	if status, ok := reasonStatus[o.Reason]; ok {
 		return status
 	}
 	switch {
@@ -191,17 +191,17 @@
 }
 
 // write answers the caller and logs how the request ended.
-func (e *entry) write(w http.ResponseWriter, req *request, a *Answer) {
-	took := e.d.now().Sub(req.began)
+func (e *entry) respond(w http.ResponseWriter, req *request, a *Answer) {
+	took := e.daemon.now().Sub(req.began)
 	name := "none"
 	if req.route != nil {
 		name = req.route.Name
 	}
-	e.d.metrics.answered(string(req.service), name, a.Outcome, took)
-	if req.cut() {
-		e.d.metrics.cut.Inc(1)
+	e.daemon.metrics.answered(string(req.service), name, a.Outcome, took)
+	if req.connectionClosed() {
+		e.daemon.metrics.cut.Inc(1)
 	}
-	if e.d.stopping.Load() {
+	if e.daemon.stopping.Load() {
 		// The caller sends no more on this connection. Idle ones stay open: a
 		// request may be on its way on each of them.
 		w.Header().Set("Connection", "close")
@@ -209,15 +209,15 @@
 	if a.Outcome.Kind == outcome.Answered {
 		copyHeader(w.Header(), a.Header)
 		writeWhole(w, req.http.Method, a)
-		e.tell(decision.Answered, req, name, a, a.Status, took)
+		e.logOutcome(decision.Answered, req, name, a, a.Status, took)
 		return
 	}
 	status := statusOf(a.Outcome)
 	h := w.Header()
-	e.d.opts.Edge.Sign(h, req.id)
+	e.daemon.opts.Edge.Sign(h, req.id)
 	h.Set("Content-Type", "text/plain")
 	if a.Outcome.RetryAfter > 0 {
-		h.Set("Retry-After", seconds(a.Outcome.RetryAfter))
+		h.Set("Retry-After", formatSeconds(a.Outcome.RetryAfter))
 	}
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, string(a.Outcome.Reason)+"\n")
@@ -225,38 +225,38 @@
 	if a.Outcome.Kind == outcome.NotRun {
 		kind = decision.Refused
 	}
-	e.tell(kind, req, name, a, status, took)
+	e.logOutcome(kind, req, name, a, status, took)
 }
 
 // seconds returns a duration as Retry-After has it, with a fraction.
-func seconds(d time.Duration) string {
+func formatSeconds(d time.Duration) string {
 	const digits, bits = 3, 64
 	return strconv.FormatFloat(math.Max(d.Seconds(), 0.001), 'f', digits, bits)
 }
 
-func (e *entry) tell(k decision.Kind, req *request, name string, a *Answer, status int, took time.Duration) {
-	if k == decision.Answered && !req.cut() && !e.d.opts.Decisions.Keeps(req.id) {
+func (e *entry) logOutcome(k decision.Kind, req *request, name string, a *Answer, status int, took time.Duration) {
+	if k == decision.Answered && !req.connectionClosed() && !e.daemon.opts.Decisions.Keeps(req.id) {
 		return
 	}
-	e.d.opts.Decisions.Write(k, req.id,
-		slog.String("route", name), slog.String("service", string(req.service)), slog.String("upstream", req.upstream),
+	e.daemon.opts.Decisions.Write(k, req.id,
+		slog.String("route", name), slog.String("service", string(req.service)), slog.String("upstream", req.upstreamKey),
 		slog.String("reason", string(a.Outcome.Reason)), slog.Int("status", status),
 		slog.Int64("retry_after_ms", a.Outcome.RetryAfter.Milliseconds()), slog.Int64("took_ms", took.Milliseconds()),
-		slog.Int("sends", req.sends), slog.Int("given_back", req.givenBack), slog.Int("candidates", req.candidates),
-		slog.Int64("expected_ms", req.expected.Milliseconds()), slog.Uint64("config", uint64(e.d.config.version())),
-		slog.Bool("idempotent", req.route != nil && req.route.Idempotent), slog.Bool("cut", req.cut()))
+		slog.Int("sends", req.attemptsDelivered), slog.Int("given_back", req.rejections), slog.Int("candidates", req.candidateCount),
+		slog.Int64("expected_ms", req.expectedTime.Milliseconds()), slog.Uint64("config", uint64(e.daemon.config.version())),
+		slog.Bool("idempotent", req.route != nil && req.route.Idempotent), slog.Bool("cut", req.connectionClosed()))
 }
 
 // service is what the entry holds of one service. Its mutex guards all of it.
 type service struct {
-	mu      sync.Mutex
-	placer  *placement.Placer
-	targets map[string]target
+	mu        sync.Mutex
+	placer    *placement.Placer
+	endpoints map[string]endpoint
 	// answered holds the candidates whose guards have answered a question.
-	answered   map[string]bool
-	generation uint64
-	filled     bool
-	resends    *resends
+	answered     map[string]bool
+	generation   uint64
+	loaded       bool
+	retryLimiter *retryLimiter
 	// callsPerRun is how many calls to other services a run of this one makes.
 	callsPerRun float64
 }
@@ -268,9 +268,9 @@
 	s := e.services[name]
 	if s == nil {
 		s = &service{
-			placer:   placement.New(placement.Options{Zone: e.d.opts.Zone}),
-			answered: make(map[string]bool),
-			resends:  newResends(e.d.tunables.Load().Resends),
+			placer:       placement.New(placement.Options{Zone: e.daemon.opts.Zone}),
+			answered:     make(map[string]bool),
+			retryLimiter: newRetryLimiter(e.daemon.tunables.Load().Resends),
 		}
 		e.services[name] = s
 	}
@@ -282,7 +282,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.services {
-		s.resends.set(b)
+		s.retryLimiter.set(b)
 	}
 }
 
@@ -292,7 +292,7 @@
 	defer e.mu.Unlock()
 	left, found := 0.0, false
 	for _, s := range e.services {
-		if n := s.resends.left(e.d.now()); !found || n < left {
+		if n := s.retryLimiter.left(e.daemon.now()); !found || n < left {
 			left, found = n, true
 		}
 	}
@@ -300,14 +300,14 @@
 }
 
 // refresh follows what is known of the other daemons. s.mu is held.
-func (e *entry) refresh(s *service, name model.ServiceName) {
-	generation := e.d.peers.current()
-	if s.filled && generation == s.generation {
+func (e *entry) refreshCandidates(s *service, name model.ServiceName) {
+	generation := e.daemon.peers.currentGeneration()
+	if s.loaded && generation == s.generation {
 		return
 	}
-	ups, targets := e.d.peers.candidates(name)
+	ups, targets := e.daemon.peers.candidates(name)
 	s.placer.Set(ups)
-	s.targets, s.generation, s.filled = targets, generation, true
+	s.endpoints, s.generation, s.loaded = targets, generation, true
 	for key := range s.answered {
 		if _, ok := targets[key]; !ok {
 			delete(s.answered, key)
@@ -317,60 +317,60 @@
 
 // routeWork is the usual time of a route's requests where nothing slows them, as last
 // taken in.
-type routeWork struct {
-	mean time.Duration
-	at   model.Instant
+type routeServiceTime struct {
+	mean      time.Duration
+	updatedAt model.Instant
 }
 
 const (
 	// firstWork is assumed of a route that nothing is known of.
-	firstWork = 50 * time.Millisecond
+	defaultServiceTime = 50 * time.Millisecond
 	// workWeight makes the mean cover about 16 requests.
-	workWeight = 1.0 / 16
+	serviceTimeWeight = 1.0 / 16
 	// maxWorks bounds the routes whose work is known.
-	maxWorks = 4096
+	maxServiceTimes = 4096
 	// workTrusted is how long after the last answer the work alone may have a request
 	// refused as too long for its deadline. Work that was learned of upstreams that
 	// were slow would have every later request refused, and none would correct it.
-	workTrusted = time.Second
+	serviceTimeMaxAge = time.Second
 	// trialShare is the share of a request's time that its work takes at most after
 	// that.
-	trialShare = 1.0 / 3
+	staleServiceTimeShare = 1.0 / 3
 	// staleFactor is how far above the next answer what was known before may be then.
 	staleFactor = 2
 )
 
 // workOf returns the usual work of a route, for a request that has so much time.
-func (e *entry) workOf(name string, left time.Duration) time.Duration {
+func (e *entry) serviceTimeOf(name string, left time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w, ok := e.works[name]
+	w, ok := e.serviceTimes[name]
 	switch {
 	case !ok:
-		return firstWork
-	case e.d.now().Sub(w.at) > workTrusted:
-		return min(w.mean, time.Duration(trialShare*float64(left)))
+		return defaultServiceTime
+	case e.daemon.now().Sub(w.updatedAt) > serviceTimeMaxAge:
+		return min(w.mean, time.Duration(staleServiceTimeShare*float64(left)))
 	default:
 		return w.mean
 	}
 }
 
 // worked takes in the work of a request of a route.
-func (e *entry) worked(name string, usual time.Duration) {
+func (e *entry) recordServiceTime(name string, usual time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w, ok := e.works[name]
+	w, ok := e.serviceTimes[name]
 	if !ok {
-		if len(e.works) >= maxWorks {
-			clear(e.works)
+		if len(e.serviceTimes) >= maxServiceTimes {
+			clear(e.serviceTimes)
 		}
 		w.mean = usual
 	}
-	now := e.d.now()
-	if now.Sub(w.at) > workTrusted {
+	now := e.daemon.now()
+	if now.Sub(w.updatedAt) > serviceTimeMaxAge {
 		w.mean = min(w.mean, staleFactor*usual)
 	}
-	w.mean += time.Duration(float64(usual-w.mean) * workWeight)
-	w.at = now
-	e.works[name] = w
+	w.mean += time.Duration(float64(usual-w.mean) * serviceTimeWeight)
+	w.updatedAt = now
+	e.serviceTimes[name] = w
 }
--- a/sidecar/forward_test.go
+++ b/sidecar/forward_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestAttemptsWithoutABoundAreServed has routes that allow more attempts than memory holds.
-func TestAttemptsWithoutABoundAreServed(t *testing.T) {
+func TestHugeMaxAttemptsIsServed(t *testing.T) {
 	for name, attempts := range map[string]int{
 		"all there are":       math.MaxInt,
 		"too many for memory": 1 << 56,
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -38,34 +38,34 @@
 	service  model.ServiceName
 	metrics  *metrics
 
-	mu      sync.Mutex
-	tracker lifecycle.Tracker
-	pool    *hop.Pool
-	queue   *slots.Queue
-	waiting map[uint64]chan slots.Exit
-	nextID  uint64
-	wake    *time.Timer
-	slow    float64
-	slowAt  model.Instant
-	told    bool
+	mu               sync.Mutex
+	tracker          lifecycle.Tracker
+	pool             *hop.Pool
+	queue            *slots.Queue
+	waiters          map[uint64]chan slots.Exit
+	nextID           uint64
+	wakeTimer        *time.Timer
+	slowdown         float64
+	slowdownAt       model.Instant
+	slowdownReported bool
 	// silentUntil is until when an upstream that does not tell its load is not asked
 	// for it.
-	silentUntil model.Instant
-	failing     placement.Failing
+	noProbeUntil model.Instant
+	failures     placement.Failing
 	// suspected is set from the line that tells of failures to the one that tells of
 	// their end.
-	suspected bool
-	probing   chan struct{}
+	failingLogged bool
+	probeDone     chan struct{}
 	// runs and calls count, of late, what the own upstream was sent and what it may
 	// have called at other services.
 	runs  float64
 	calls float64
 	// until is when the daemon, which is stopping, ends at the latest. Zero means that
 	// it does not stop. closed tells that it sends nothing new.
-	until    model.Instant
-	closed   bool
-	attempts *attempts
-	crashes  *crashes
+	stopDeadline model.Instant
+	closed       bool
+	attempts     *attempts
+	crashes      *crashes
 }
 
 func newGuard(o *Options, now func() model.Instant, m *metrics) *guard {
@@ -73,13 +73,13 @@
 		opts: o, now: now, metrics: m, service: o.Service,
 		panicked: func(string, string, any) {},
 		queue:    slots.New(1),
-		waiting:  make(map[uint64]chan slots.Exit),
-		slow:     1,
+		waiters:  make(map[uint64]chan slots.Exit),
+		slowdown: 1,
 		attempts: newAttempts(now),
 		crashes:  &crashes{address: o.Addresses.Upstream, now: now, crashed: func(lostRun) {}},
 	}
-	g.wake = time.AfterFunc(time.Hour, g.pump)
-	g.wake.Stop()
+	g.wakeTimer = time.AfterFunc(time.Hour, g.dispatch)
+	g.wakeTimer.Stop()
 	g.pool = g.newPool()
 	return g
 }
@@ -93,16 +93,16 @@
 	g.mu.Lock()
 	previous := g.tracker.Current()
 	v := g.tracker.Observe(r)
-	g.follow(v)
+	g.applyReport(v)
 	cur := g.tracker.Current()
 	g.mu.Unlock()
 	if v == lifecycle.Started && previous.State == lifecycle.Ready {
-		g.crashes.end(previous.Incarnation)
+		g.crashes.upstreamCrashed(previous.Incarnation)
 	}
 	if v == lifecycle.Started || v == lifecycle.Changed {
-		g.tell(cur, cause)
+		g.logState(cur, cause)
 	}
-	g.pump()
+	g.dispatch()
 	return v
 }
 
@@ -113,9 +113,9 @@
 	cur := g.tracker.Current()
 	g.mu.Unlock()
 	if v == lifecycle.Changed {
-		g.tell(cur, "deregistered")
+		g.logState(cur, "deregistered")
 	}
-	g.pump()
+	g.dispatch()
 	return v
 }
 
@@ -126,7 +126,7 @@
 	g.tracker.Restore(departed)
 }
 
-func (g *guard) tell(r lifecycle.Report, cause string) {
+func (g *guard) logState(r lifecycle.Report, cause string) {
 	g.opts.Decisions.Write(decision.UpstreamState, "",
 		slog.String("upstream", string(r.ID)), slog.Int64("born", r.Born), slog.Uint64("sequence", r.Sequence),
 		slog.String("state", r.State.String()), slog.String("cause", cause))
@@ -134,7 +134,7 @@
 
 // follow takes over the slots that were told, and starts afresh with a new
 // incarnation. g.mu is held.
-func (g *guard) follow(v lifecycle.Verdict) {
+func (g *guard) applyReport(v lifecycle.Verdict) {
 	if v != lifecycle.Started && v != lifecycle.Changed {
 		return
 	}
@@ -144,7 +144,7 @@
 	}
 	g.pool.Close()
 	g.pool = g.newPool()
-	g.told, g.failing, g.suspected = false, placement.Failing{}, false
+	g.slowdownReported, g.failures, g.failingLogged = false, placement.Failing{}, false
 }
 
 // current returns the newest report of the upstream.
@@ -166,52 +166,52 @@
 // the context ends, a call that waits is withdrawn and an idempotent one that
 // runs is cancelled.
 func (g *guard) Do(ctx context.Context, c *Call) *Answer {
-	at, known := g.begin(c)
+	at, known := g.registerCall(c)
 	if known {
-		return g.finish(at.again())
+		return g.finish(at.duplicateResult())
 	}
 	if c.Alternative > 0 {
-		g.refresh(ctx)
+		g.refreshSlowdown(ctx)
 	}
-	id, exits, refused := g.arrive(c)
+	id, exits, refused := g.enqueue(c)
 	if refused != nil {
-		at.end(refused)
+		at.finish(refused)
 		return g.finish(refused)
 	}
 	arrived := g.now()
-	if a := g.wait(ctx, c, at, id, exits); a != nil {
-		at.end(a)
+	if a := g.waitForStart(ctx, c, at, id, exits); a != nil {
+		at.finish(a)
 		return g.finish(a)
 	}
 	if c.Idempotent {
-		a := g.run(ctx, c, at, arrived)
-		at.trim(false)
+		a := g.runCall(ctx, c, at, arrived)
+		at.discardBody(false)
 		return g.finish(a)
 	}
 	// A run that must not be repeated goes on when its sender is cut off, who
 	// asks for the answer on another connection.
-	go g.run(context.WithoutCancel(ctx), c, at, arrived)
+	go g.runCall(context.WithoutCancel(ctx), c, at, arrived)
 	a := at.wait(ctx)
-	at.trim(a.Outcome.Kind != outcome.Answered || len(a.Body) <= maxKeptBody)
+	at.discardBody(a.Outcome.Kind != outcome.Answered || len(a.Body) <= maxRetainedBody)
 	return g.finish(a)
 }
 
 // begin notes a call, unless it may run again: nobody asks what became of such a one. It
 // reports true when the call is known already.
-func (g *guard) begin(c *Call) (*attempt, bool) {
+func (g *guard) registerCall(c *Call) (*attempt, bool) {
 	if c.Idempotent {
 		return newAttempt(c.Key()), false
 	}
-	return g.attempts.begin(c.Key(), c.Deadline)
+	return g.attempts.register(c.Key(), c.Deadline)
 }
 
 // arrive lets a call wait for its start, unless it is refused at once.
-func (g *guard) arrive(c *Call) (uint64, <-chan slots.Exit, *Answer) {
+func (g *guard) enqueue(c *Call) (uint64, <-chan slots.Exit, *Answer) {
 	id, exits, refused := g.admit(c)
 	if refused != nil {
 		return 0, nil, refused()
 	}
-	g.pump()
+	g.dispatch()
 	return id, exits, nil
 }
 
@@ -220,40 +220,40 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cur := g.tracker.Current()
-	if reason := g.refusal(cur, c); reason != outcome.ReasonNone {
+	if reason := g.rejectReason(cur, c); reason != outcome.ReasonNone {
 		return 0, nil, func() *Answer { return notRun(reason) }
 	}
 	it, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
-		Rank: c.Rank, Kind: c.Kind, Urgent: g.urgent(c.Rank), Work: c.Work,
-		Within: c.Within, Deadline: c.Deadline, Alternative: c.Alternative,
-	}, slots.Speed{Slow: g.slowNow(), Failing: g.failing.Share(g.now())})
+		Rank: c.Rank, Kind: c.Kind, Urgent: g.urgent(c.Rank), Work: c.ServiceTime,
+		Within: c.TimeToTarget, Deadline: c.Deadline, Alternative: c.Alternative,
+	}, slots.Speed{Slow: g.currentSlowdown(), Failing: g.failures.Share(g.now())})
 	if admission != slots.Admitted {
-		return 0, nil, func() *Answer { return g.turnAway(c, admission, expected) }
+		return 0, nil, func() *Answer { return g.rejectionResult(c, admission, expected) }
 	}
 	g.nextID++
 	it.ID = g.nextID
 	exits := make(chan slots.Exit, 1)
-	g.waiting[it.ID] = exits
+	g.waiters[it.ID] = exits
 	g.queue.Add(it)
 	return it.ID, exits, nil
 }
 
 // turnAway hands a call back that is not to wait here.
-func (g *guard) turnAway(c *Call, a slots.Admission, expected time.Duration) *Answer {
+func (g *guard) rejectionResult(c *Call, a slots.Admission, expected time.Duration) *Answer {
 	if a == slots.SlowerHere {
-		g.tellGivenBack(c, "slower-here", expected)
+		g.logRejection(c, "slower-here", expected)
 		return notRun(outcome.ReasonWithdrawn)
 	}
-	g.tellGivenBack(c, "full", expected)
+	g.logRejection(c, "full", expected)
 	return notRun(outcome.ReasonQueueFull)
 }
 
 // refusal returns why a call cannot run here. g.mu is held.
-func (g *guard) refusal(cur lifecycle.Report, c *Call) outcome.Reason {
+func (g *guard) rejectReason(cur lifecycle.Report, c *Call) outcome.Reason {
 	switch {
-	case g.closed, !g.fits(c):
+	case g.closed, !g.endsBeforeStop(c):
 		return outcome.ReasonDraining
-	case cur.State == lifecycle.Unknown, cur.Service != c.Service, !sameLife(cur.Incarnation, c.Upstream):
+	case cur.State == lifecycle.Unknown, cur.Service != c.Service, !sameIncarnation(cur.Incarnation, c.Upstream):
 		return outcome.ReasonNoUpstream
 	case cur.State != lifecycle.Ready:
 		return outcome.ReasonDraining
@@ -264,14 +264,14 @@
 
 // sameLife reports whether two names may mean one incarnation: a start that was
 // not told matches any.
-func sameLife(a, b lifecycle.Incarnation) bool {
+func sameIncarnation(a, b lifecycle.Incarnation) bool {
 	return a.ID == b.ID && (a.Born == b.Born || a.Born == 0 || b.Born == 0)
 }
 
-func (g *guard) tellGivenBack(c *Call, reason string, expected time.Duration) {
+func (g *guard) logRejection(c *Call, reason string, expected time.Duration) {
 	g.metrics.givenBack.Inc(1)
 	g.mu.Lock()
-	slow, age := g.slowNow(), g.now().Sub(g.slowAt)
+	slow, age := g.currentSlowdown(), g.now().Sub(g.slowdownAt)
 	running, waiting, limit := g.queue.Running(), g.queue.Waiting(), g.queue.Limit()
 	g.mu.Unlock()
 	g.opts.Decisions.Write(decision.GivenBack, c.ID,
@@ -282,63 +282,63 @@
 }
 
 // wait returns nil once the call may start, else why it does not.
-func (g *guard) wait(ctx context.Context, c *Call, at *attempt, id uint64, exits <-chan slots.Exit) *Answer {
+func (g *guard) waitForStart(ctx context.Context, c *Call, at *attempt, id uint64, exits <-chan slots.Exit) *Answer {
 	select {
 	case e := <-exits:
-		return g.exit(c, e)
+		return g.exitResult(c, e)
 	case <-ctx.Done():
 	case <-at.withdrawn:
 	}
-	if g.withdraw(id) {
+	if g.cancelWaiting(id) {
 		return notRun(outcome.ReasonWithdrawn)
 	}
-	return g.exit(c, <-exits)
+	return g.exitResult(c, <-exits)
 }
 
-func (g *guard) exit(c *Call, e slots.Exit) *Answer {
+func (g *guard) exitResult(c *Call, e slots.Exit) *Answer {
 	switch e {
 	case slots.Start:
 		return nil
 	case slots.Hopeless:
 		return notRun(outcome.ReasonDeadline)
 	case slots.Overdue:
-		g.tellGivenBack(c, "overdue", 0)
+		g.logRejection(c, "overdue", 0)
 		return notRun(outcome.ReasonQueueFull)
 	default:
-		g.tellGivenBack(c, "waited", 0)
+		g.logRejection(c, "waited", 0)
 		return notRun(outcome.ReasonWithdrawn)
 	}
 }
 
-func (g *guard) withdraw(id uint64) bool {
+func (g *guard) cancelWaiting(id uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.queue.Remove(id) {
 		return false
 	}
-	delete(g.waiting, id)
+	delete(g.waiters, id)
 	return true
 }
 
 // pump hands out every decision that the queue has now.
-func (g *guard) pump() {
+func (g *guard) dispatch() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	if g.tracker.Current().State > lifecycle.Ready || g.closed {
-		g.giveAllBack()
+		g.rejectAllWaiting()
 		return
 	}
-	slow := g.slowNow()
+	slow := g.currentSlowdown()
 	for {
 		d, ok := g.queue.Next(now, slow)
 		if !ok {
 			break
 		}
-		g.waiting[d.ID] <- d.Exit
-		delete(g.waiting, d.ID)
+		g.waiters[d.ID] <- d.Exit
+		delete(g.waiters, d.ID)
 	}
 	if at := g.queue.Wake(slow); at != 0 {
-		g.wake.Reset(max(at.Sub(now), time.Millisecond))
+		g.wakeTimer.Reset(max(at.Sub(now), time.Millisecond))
 	}
 }
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -35,28 +35,28 @@
 	// slowTrusted is how long the slowness that an upstream told is taken as it is,
 	// and slowHalf the time in which it loses half of its meaning after that. Where
 	// it has every call refused, no answer would ever tell another one.
-	slowTrusted = time.Second
-	slowHalf    = 500 * time.Millisecond
+	slowdownMaxAge   = time.Second
+	slowdownHalfLife = 500 * time.Millisecond
 )
 
 // slowNow returns how long work takes, 1 being as usual. g.mu is held.
-func (g *guard) slowNow() float64 {
-	old := g.now().Sub(g.slowAt) - slowTrusted
+func (g *guard) currentSlowdown() float64 {
+	old := g.now().Sub(g.slowdownAt) - slowdownMaxAge
 	if old <= 0 {
-		return g.slow
+		return g.slowdown
 	}
-	return 1 + (g.slow-1)*math.Exp2(-float64(old)/float64(slowHalf))
+	return 1 + (g.slowdown-1)*math.Exp2(-float64(old)/float64(slowdownHalfLife))
 }
 
 // load returns the load of the upstream. g.mu is held.
 func (g *guard) load() placement.Load {
 	l := placement.Load{
 		Running: g.queue.Running(), Waiting: g.queue.Waiting(), Limit: g.queue.Limit(),
-		Slow: g.slowNow(), SlowAge: g.now().Sub(g.slowAt), Failing: g.failing.Share(g.now()),
+		Slow: g.currentSlowdown(), SlowAge: g.now().Sub(g.slowdownAt), Failing: g.failures.Share(g.now()),
 	}
 	switch {
-	case g.told:
-	case g.silent():
+	case g.slowdownReported:
+	case g.doesNotReportLoad():
 		// Its slowness is part of the time that requests are known to take.
 		l.Slow, l.SlowAge = 1, 0
 	default:
--- a/sidecar/guardstop.go
+++ b/sidecar/guardstop.go
@@ -11,36 +11,36 @@
 // endBy has calls refused that may not end in time.
 func (g *guard) endBy(until model.Instant) {
 	g.mu.Lock()
-	g.until = until
+	g.stopDeadline = until
 	g.mu.Unlock()
 }
 
 // stopFactor is how many times longer than usual a request may run. A daemon that stops
 // does not begin one that it might have to cut.
-const stopFactor = 3
+const maxDurationFactor = 3
 
 // fits reports whether a call surely ends before the daemon does. g.mu is held.
-func (g *guard) fits(c *Call) bool { return g.left(c.Work, c.Deadline) >= 0 }
+func (g *guard) endsBeforeStop(c *Call) bool { return g.spareTime(c.ServiceTime, c.Deadline) >= 0 }
 
 // left returns how much time would be left after a request, negative where it may have to
 // be cut. g.mu is held.
-func (g *guard) left(work, deadline time.Duration) time.Duration {
-	if g.until == 0 {
+func (g *guard) spareTime(work, deadline time.Duration) time.Duration {
+	if g.stopDeadline == 0 {
 		return deadline
 	}
-	most := min(deadline, time.Duration(stopFactor*g.slowNow()*float64(work)))
-	return g.until.Sub(g.now()) - most
+	most := min(deadline, time.Duration(maxDurationFactor*g.currentSlowdown()*float64(work)))
+	return g.stopDeadline.Sub(g.now()) - most
 }
 
 // refuseLate refuses a request that may not end before the daemon does, and tells when
 // the next one will be there.
-func (g *guard) refuseLate(work, deadline time.Duration) *Answer {
+func (g *guard) rejectIfTooLong(work, deadline time.Duration) *Answer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.left(work, deadline) >= 0 {
+	if g.spareTime(work, deadline) >= 0 {
 		return nil
 	}
-	return refuse(outcome.ReasonDraining, max(g.until.Sub(g.now()), 0)+noUpstreamRetry)
+	return refuse(outcome.ReasonDraining, max(g.stopDeadline.Sub(g.now()), 0)+noUpstreamRetryAfter)
 }
 
 // stop lets no further call start, and hands back those that wait.
@@ -48,7 +48,7 @@
 	g.mu.Lock()
 	g.closed = true
 	g.mu.Unlock()
-	g.pump()
+	g.dispatch()
 }
 
 // stopIdle lets no further call start if none waits or runs, and reports whether that is so.
@@ -61,11 +61,11 @@
 }
 
 // giveAllBack hands back every call that waits. g.mu is held.
-func (g *guard) giveAllBack() {
-	for id, exits := range g.waiting {
+func (g *guard) rejectAllWaiting() {
+	for id, exits := range g.waiters {
 		if g.queue.Remove(id) {
 			exits <- slots.Returned
-			delete(g.waiting, id)
+			delete(g.waiters, id)
 		}
 	}
 }
--- a/sidecar/lying_test.go
+++ b/sidecar/health_test.go
@@ -17,14 +17,14 @@
 
 // TestHealthAnswersAreNotBelieved has one of two upstreams lie about its health. What
 // counts is what comes of requests.
-func TestHealthAnswersAreNotBelieved(t *testing.T) {
+func TestHealthResponsesDoNotDecideRouting(t *testing.T) {
 	const requests = 300
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	for name, c := range map[string]struct {
-		health int
-		handle func(http.ResponseWriter, *http.Request)
-		least  int
-		most   int
+		health      int
+		handle      func(http.ResponseWriter, *http.Request)
+		minRequests int
+		maxRequests int
 	}{
 		// A failing one is tried again now and then, to find out when it has ended.
 		"says well and fails":    {http.StatusOK, fail, 1, requests / 20},
@@ -44,9 +44,9 @@
 			}
 			got := len(b1.up.requests())
 			t.Logf("%d of %d requests", got, requests)
-			require.GreaterOrEqual(t, got, c.least)
+			require.GreaterOrEqual(t, got, c.minRequests)
 			// On a busy processor the other one is slow too, and hedges come here.
-			require.LessOrEqual(t, got-a.hedges(), c.most)
+			require.LessOrEqual(t, got-a.hedges(), c.maxRequests)
 			b1.up.set(nil)
 			require.Eventually(t, func() bool {
 				_, text := a.get(t, "/safe/")
@@ -61,7 +61,7 @@
 
 // TestFailuresAreTold has an upstream fail and recover: two lines tell of it, however
 // many requests it takes.
-func TestFailuresAreTold(t *testing.T) {
+func TestFailingAndRecoveryAreLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	decisions := decision.New(decision.Options{Handler: slog.NewJSONHandler(&out, nil)})
 	var now model.Instant
@@ -69,7 +69,7 @@
 	run := func(status, times int) {
 		for range times {
 			now = now.Add(time.Millisecond)
-			g.judge(t.Context(), &Answer{Outcome: outcome.Done(), Status: status})
+			g.recordOutcome(t.Context(), &Answer{Outcome: outcome.Done(), Status: status})
 		}
 	}
 	run(http.StatusOK, 20)
--- a/sidecar/inquire.go
+++ b/sidecar/inquire.go
@@ -16,13 +16,13 @@
 const (
 	// nearWait and farWait bound the wait for answers from the own zone and from
 	// others: a few round trips, and a pause of a busy processor.
-	nearWait = 5 * time.Millisecond
-	farWait  = 12 * time.Millisecond
+	localZoneTimeout = 5 * time.Millisecond
+	farWait          = 12 * time.Millisecond
 	// lateFor is how long an answer is still taken that nobody waits for: several
 	// times the way to another region and back.
-	lateFor = 300 * time.Millisecond
+	lateResponseWindow = 300 * time.Millisecond
 	// askRefresh bounds the wait of a guard that must ask its upstream first.
-	askRefresh = 3 * time.Millisecond
+	refreshTimeout = 3 * time.Millisecond
 )
 
 // inquiry is a question to the guards of some upstreams.
@@ -39,31 +39,31 @@
 }
 
 // loadQuestion asks how an upstream would find a request.
-type loadQuestion struct {
+type loadQueryMessage struct {
 	rank int
 	kind slots.Kind
 	// tag stands for the upstream: another one may have its address by now.
-	tag uint16
+	upstreamHash uint16
 }
 
-func (i *inquiry) of(up placement.Upstream) loadQuestion {
-	return loadQuestion{rank: i.rank, kind: i.kind, tag: tagOf(up.Key)}
+func (i *inquiry) messageFor(up placement.Upstream) loadQueryMessage {
+	return loadQueryMessage{rank: i.rank, kind: i.kind, upstreamHash: hashKey(up.Key)}
 }
 
 // tagOf returns a number for the key of an upstream that few others have.
-func tagOf(key string) uint16 { return uint16(xxhash.Sum64String(key)) }
+func hashKey(key string) uint16 { return uint16(xxhash.Sum64String(key)) }
 
-func (q loadQuestion) appendTo(b []byte) []byte {
+func (q loadQueryMessage) appendTo(b []byte) []byte {
 	b = append(b, uint8(min(max(q.rank, 0), maxUint8)))
 	b = binary.BigEndian.AppendUint16(b, uint16(q.kind))
-	return binary.BigEndian.AppendUint16(b, q.tag)
+	return binary.BigEndian.AppendUint16(b, q.upstreamHash)
 }
 
 // decodeAsk reads the question of a datagram of askBytes.
-func decodeAsk(b []byte) loadQuestion {
+func decodeLoadQuery(b []byte) loadQueryMessage {
 	b = b[headBytes:]
-	return loadQuestion{
-		rank: int(b[0]), kind: slots.Kind(binary.BigEndian.Uint16(b[1:])), tag: binary.BigEndian.Uint16(b[3:]),
+	return loadQueryMessage{
+		rank: int(b[0]), kind: slots.Kind(binary.BigEndian.Uint16(b[1:])), upstreamHash: binary.BigEndian.Uint16(b[3:]),
 	}
 }
 
@@ -75,35 +75,35 @@
 	var ids, far []uint32
 	for _, up := range i.ups {
 		if string(up.Daemon) == a.d.opts.Addresses.Peers {
-			if l, ok := a.d.guard.loadFor(i.of(up)); ok {
+			if l, ok := a.d.guard.loadFor(i.messageFor(up)); ok {
 				got[up.Key] = heard{key: up.Key, load: l}
 			}
 			continue
 		}
 		if i.tooFar(up) {
-			a.send(up, i, nil, &far)
+			a.sendLoadQuery(up, i, nil, &far)
 		} else {
-			a.send(up, i, answers, &ids)
+			a.sendLoadQuery(up, i, answers, &ids)
 		}
 	}
 	if len(far) > 0 {
-		a.leave(far)
+		a.redirectLate(far)
 	}
-	a.collect(answers, ids, got, i)
+	a.collectResponses(answers, ids, got, i)
 	return got
 }
 
-func (a *datagrams) send(up placement.Upstream, i inquiry, answers chan<- heard, ids *[]uint32) {
+func (a *datagrams) sendLoadQuery(up placement.Upstream, i inquiry, answers chan<- heard, ids *[]uint32) {
 	to, err := netip.ParseAddrPort(string(up.Daemon))
 	if err != nil {
 		return
 	}
 	id := a.expect(question{key: up.Key, address: string(up.Daemon), to: answers, late: i.late})
 	*ids = append(*ids, id)
-	a.transmit(i.of(up).appendTo(a.head(kindAsk, id)), to)
+	a.transmit(i.messageFor(up).appendTo(a.head(kindAsk, id)), to)
 }
 
-func (a *datagrams) collect(answers <-chan heard, ids []uint32, got map[string]heard, i inquiry) {
+func (a *datagrams) collectResponses(answers <-chan heard, ids []uint32, got map[string]heard, i inquiry) {
 	if len(ids) == 0 {
 		return
 	}
@@ -114,7 +114,7 @@
 		case h := <-answers:
 			got[h.key] = h
 		case <-timer.C:
-			a.leave(ids)
+			a.redirectLate(ids)
 			return
 		}
 	}
@@ -122,7 +122,7 @@
 
 // leave has answers that come late go where they serve the next choices, and forgets
 // them after a while.
-func (a *datagrams) leave(ids []uint32) {
+func (a *datagrams) redirectLate(ids []uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, id := range ids {
@@ -131,12 +131,12 @@
 			a.waiting[id] = q
 		}
 	}
-	time.AfterFunc(lateFor, func() { a.forget(ids) })
+	time.AfterFunc(lateResponseWindow, func() { a.forget(ids) })
 }
 
 // answer tells the load of the own upstream. One that takes no requests, or is not the
 // one that is asked about, says nothing, as if it were not there.
-func (a *datagrams) answer(id uint32, q loadQuestion, to netip.AddrPort) {
+func (a *datagrams) sendLoad(id uint32, q loadQueryMessage, to netip.AddrPort) {
 	load, ok := a.d.guard.loadFor(q)
 	if !ok {
 		return
@@ -146,14 +146,14 @@
 
 // loadFor returns the load as a request would find it, and whether the upstream is the
 // one that is asked about and takes requests.
-func (g *guard) loadFor(q loadQuestion) (placement.Load, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), askRefresh)
+func (g *guard) loadFor(q loadQueryMessage) (placement.Load, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), refreshTimeout)
 	defer cancel()
-	g.refresh(ctx)
+	g.refreshSlowdown(ctx)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cur := g.tracker.Current()
-	if g.closed || cur.State != lifecycle.Ready || q.tag != tagOf(keyOf(g.opts.Addresses.Peers, cur.ID)) {
+	if g.closed || cur.State != lifecycle.Ready || q.upstreamHash != hashKey(upstreamKey(g.opts.Addresses.Peers, cur.ID)) {
 		return placement.Load{}, false
 	}
 	l := g.load()
@@ -169,10 +169,10 @@
 // appendLoad and decodeLoad write and read a load: five numbers of two bytes, the share
 // of failures in hundredths, and two bytes for later.
 func appendLoad(b []byte, l placement.Load) []byte {
-	for _, n := range []int{l.Running, l.Waiting, l.Limit, int(l.Slow * hundred), int(l.SlowAge.Milliseconds())} {
+	for _, n := range []int{l.Running, l.Waiting, l.Limit, int(l.Slow * ratioScale), int(l.SlowAge.Milliseconds())} {
 		b = binary.BigEndian.AppendUint16(b, uint16(min(max(n, 0), maxUint16)))
 	}
-	return binary.BigEndian.AppendUint16(append(b, uint8(min(max(l.Failing*hundred, 0), maxUint8))), 0)
+	return binary.BigEndian.AppendUint16(append(b, uint8(min(max(l.Failing*ratioScale, 0), maxUint8))), 0)
 }
 
 func decodeLoad(b []byte) placement.Load {
@@ -180,7 +180,7 @@
 	field := func(i int) int { return int(binary.BigEndian.Uint16(b[first+2*i:])) }
 	return placement.Load{
 		Running: field(0), Waiting: field(1), Limit: field(2),
-		Slow: float64(field(3)) / hundred, SlowAge: time.Duration(field(4)) * time.Millisecond,
-		Failing: float64(b[first+2*5]) / hundred,
+		Slow: float64(field(3)) / ratioScale, SlowAge: time.Duration(field(4)) * time.Millisecond,
+		Failing: float64(b[first+2*5]) / ratioScale,
 	}
 }
--- a/sidecar/kept_test.go
+++ b/sidecar/keepalive_test.go
@@ -30,7 +30,7 @@
 	ln net.Listener
 }
 
-func startFaulty(t *testing.T, id string) *faultyUpstream {
+func startFaultyUpstream(t *testing.T, id string) *faultyUpstream {
 	t.Helper()
 	ln, err := net.Listen("tcp", freePort(t))
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 			r.reply(c, req, "200 OK", "")
 			continue
 		}
-		if !r.misbehave(c, req) {
+		if !r.respondFaultily(c, req) {
 			return
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // misbehave answers, or not, and reports whether the connection is to serve again.
-func (r *faultyUpstream) misbehave(c net.Conn, req *http.Request) bool {
+func (r *faultyUpstream) respondFaultily(c net.Conn, req *http.Request) bool {
 	id := req.Header.Get("T-Id")
 	switch rand.IntN(60) {
 	case 0:
@@ -126,30 +126,30 @@
 }
 
 // keptCaller sends requests one after the other on kept connections.
-type keptCaller struct {
+type keepAliveCaller struct {
 	address string
-	asked   *atomic.Int64
+	sent    *atomic.Int64
 	// lost are the requests that were written whole and got no answer.
-	lost *atomic.Int64
-	last *atomic.Value
+	unanswered *atomic.Int64
+	lastError  *atomic.Value
 }
 
-func (k *keptCaller) run(ctx context.Context, name string) {
+func (k *keepAliveCaller) run(ctx context.Context, name string) {
 	for ctx.Err() == nil {
 		conn, err := net.Dial("tcp", k.address)
 		if err != nil {
 			return
 		}
-		k.converse(ctx, conn, name)
+		k.useConnection(ctx, conn, name)
 		_ = conn.Close()
 	}
 }
 
 // converse uses a connection until the daemon announces its end, or the caller leaves.
-func (k *keptCaller) converse(ctx context.Context, conn net.Conn, name string) {
+func (k *keepAliveCaller) useConnection(ctx context.Context, conn net.Conn, name string) {
 	in := bufio.NewReader(conn)
 	for ctx.Err() == nil {
-		n := k.asked.Add(1)
+		n := k.sent.Add(1)
 		method, path, size := http.MethodGet, "/safe/x", 0
 		switch rand.IntN(6) {
 		case 0:
@@ -171,8 +171,8 @@
 			}
 		}
 		if err != nil {
-			k.lost.Add(1)
-			k.last.Store(err.Error())
+			k.unanswered.Add(1)
+			k.lastError.Store(err.Error())
 			return
 		}
 		if resp.Close || resp.StatusCode == http.StatusSwitchingProtocols {
@@ -185,7 +185,7 @@
 }
 
 // disturb sends datagrams that no daemon sends, until the context ends.
-func disturb(ctx context.Context, address string) {
+func sendRandomDatagrams(ctx context.Context, address string) {
 	conn, err := net.Dial("udp4", address)
 	if err != nil {
 		return
@@ -209,7 +209,7 @@
 // TestKeptConnectionsAreAnsweredWhateverUpstreamsDo has many callers send on kept
 // connections while upstreams fail in all ways, their reports, the configuration and the
 // settings change, and datagrams come that cannot be read. STRESS is how long, as 90s.
-func TestKeptConnectionsAreAnsweredWhateverUpstreamsDo(t *testing.T) {
+func TestKeepAliveRequestsAreAnsweredUnderFaults(t *testing.T) {
 	length := 2 * time.Second
 	if text := os.Getenv("STRESS"); text != "" {
 		var err error
@@ -221,7 +221,7 @@
 	var members []*member
 	for i := range daemons {
 		id := fmt.Sprintf("u%d", i)
-		up := startFaulty(t, id)
+		up := startFaultyUpstream(t, id)
 		o := optionsFor(t, s, &upstream{server: &httptest.Server{Listener: up.ln}}, "a")
 		o.Tunables.Resends = ResendBudget{Ratio: 1, Slack: 1e6, Span: time.Second}
 		m := start(t, o, s)
@@ -238,11 +238,11 @@
 	var last atomic.Value
 	var wg sync.WaitGroup
 	for i := range callers {
-		k := &keptCaller{address: members[i%daemons].opts.Addresses.Callers, asked: &asked, lost: &lost, last: &last}
+		k := &keepAliveCaller{address: members[i%daemons].opts.Addresses.Callers, sent: &asked, unanswered: &lost, lastError: &last}
 		wg.Go(func() { k.run(ctx, fmt.Sprint("c", i)) })
 	}
 	for i, m := range members {
-		wg.Go(func() { disturb(ctx, m.opts.Addresses.Peers) })
+		wg.Go(func() { sendRandomDatagrams(ctx, m.opts.Addresses.Peers) })
 		wg.Go(func() { changeReports(ctx, m, fmt.Sprintf("u%d", i)) })
 	}
 	wg.Go(func() { changeConfiguration(ctx, s, members) })
--- a/sidecar/silent_test.go
+++ b/sidecar/noload_test.go
@@ -10,7 +10,7 @@
 
 // TestUpstreamsThatDoNotTellTheirLoad are not asked for it again and again, and the
 // time that their requests take is known all the same.
-func TestUpstreamsThatDoNotTellTheirLoad(t *testing.T) {
+func TestUpstreamsThatDoNotReportLoad(t *testing.T) {
 	const took, requests = 5 * time.Millisecond, 100
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -36,6 +36,6 @@
 		require.LessOrEqual(t, m.scope.Snapshot().Counters()["probes+"].Value(), int64(2))
 		require.InDelta(t, 1, m.guard.snapshot().Slow, 0, "as usual")
 	}
-	require.Greater(t, a.entry.workOf("safe", time.Minute), took*9/10)
-	require.Less(t, a.entry.workOf("safe", time.Minute), firstWork/2)
+	require.Greater(t, a.entry.serviceTimeOf("safe", time.Minute), took*9/10)
+	require.Less(t, a.entry.serviceTimeOf("safe", time.Minute), defaultServiceTime/2)
 }
--- a/sidecar/probe.go
+++ b/sidecar/probe.go
@@ -12,16 +12,16 @@
 
 // refresh asks the upstream how slow it is unless that is known well enough.
 // Callers that come meanwhile wait for the same answer.
-func (g *guard) refresh(ctx context.Context) {
+func (g *guard) refreshSlowdown(ctx context.Context) {
 	g.mu.Lock()
-	if g.tracker.Current().State != lifecycle.Ready || g.silent() || g.told && g.now().Sub(g.slowAt) < placement.FreshFor {
+	if g.tracker.Current().State != lifecycle.Ready || g.doesNotReportLoad() || g.slowdownReported && g.now().Sub(g.slowdownAt) < placement.FreshFor {
 		g.mu.Unlock()
 		return
 	}
-	done := g.probing
+	done := g.probeDone
 	if done == nil {
 		done = make(chan struct{})
-		g.probing = done
+		g.probeDone = done
 		go g.probe(done)
 	}
 	g.mu.Unlock()
@@ -33,15 +33,15 @@
 
 // probe asks once and closes done.
 func (g *guard) probe(done chan struct{}) {
-	g.ask(probeTimeout)
+	g.probeHealth(probeTimeout)
 	g.mu.Lock()
-	g.probing = nil
+	g.probeDone = nil
 	g.mu.Unlock()
 	close(done)
 }
 
 // ask sends one health request and learns from its answer.
-func (g *guard) ask(timeout time.Duration) (Reading, bool) {
+func (g *guard) probeHealth(timeout time.Duration) (Reading, bool) {
 	path := g.health()
 	if path == "" {
 		return Reading{}, false
@@ -57,14 +57,14 @@
 		return Reading{}, false
 	}
 	r := g.opts.Edge.Read(reply.Status, reply.Header)
-	g.learn(r.Load)
+	g.recordLoad(r.Load)
 	return r, reply.Status == http.StatusOK
 }
 
 // discover finds out by its health answer which upstream is there, so that a
 // daemon that starts beside it need not wait for its next report.
 func (g *guard) discover() {
-	r, well := g.ask(startProbeTimeout)
+	r, well := g.probeHealth(startProbeTimeout)
 	if !well || r.Instance == "" {
 		return
 	}
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -14,7 +14,7 @@
 )
 
 // poison crashes the upstreams that run it.
-const poison = "poison"
+const crashingBody = "poison"
 
 // crashOn has an upstream crash when it runs a request with a body.
 func (u *upstream) crashOn(body string) {
@@ -32,7 +32,7 @@
 	})
 }
 
-func (u *upstream) ran(body string) bool {
+func (u *upstream) hasRun(body string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, b := range u.bodies {
@@ -43,10 +43,10 @@
 	return false
 }
 
-func ran(members []*member, body string) int {
+func countRan(members []*member, body string) int {
 	n := 0
 	for _, m := range members {
-		if m.up.ran(body) {
+		if m.up.hasRun(body) {
 			n++
 		}
 	}
@@ -55,22 +55,22 @@
 
 // TestRequestThatCrashesUpstreamsIsRefused sends one again and again, at different
 // daemons.
-func TestRequestThatCrashesUpstreamsIsRefused(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	callers := []*member{join(t, s, "a", "a1"), join(t, s, "a", "a2")}
 	const upstreams = 6
 	var of []*member
 	for i := range upstreams {
 		m := join(t, s, "b", fmt.Sprint("b", i))
-		m.up.crashOn(poison)
+		m.up.crashOn(crashingBody)
 		of = append(of, m)
 	}
 	for _, a := range callers {
 		a.knows(t, "b", upstreams)
 	}
 	for i := range crashesToRefuse {
-		callers[i%2].ask(t, http.MethodPost, "/unsafe/", poison)
-		require.Eventually(t, func() bool { return ran(of, poison) == i+1 }, waitLimit, time.Millisecond)
+		callers[i%2].ask(t, http.MethodPost, "/unsafe/", crashingBody)
+		require.Eventually(t, func() bool { return countRan(of, crashingBody) == i+1 }, waitLimit, time.Millisecond)
 	}
 	for _, a := range callers {
 		require.Eventually(t, func() bool {
@@ -81,19 +81,19 @@
 			}
 			return false
 		}, waitLimit, time.Millisecond)
-		resp, text := a.ask(t, http.MethodPost, "/unsafe/", poison)
+		resp, text := a.ask(t, http.MethodPost, "/unsafe/", crashingBody)
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 		require.Equal(t, "quarantined\n", text)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	}
-	require.Equal(t, crashesToRefuse, ran(of, poison))
+	require.Equal(t, crashesToRefuse, countRan(of, crashingBody))
 	status, _ := callers[0].post(t, "/unsafe/")
 	require.Equal(t, http.StatusOK, status, "another request is served")
 }
 
 // TestLostConnectionIsNoCrash resets a request's connection while its upstream runs
 // on.
-func TestLostConnectionIsNoCrash(t *testing.T) {
+func TestLostConnectionIsNotACrash(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
@@ -105,12 +105,12 @@
 	require.False(t, b.suspects.store.Watching())
 }
 
-func life(born int64) lifecycle.Incarnation {
+func incarnation(born int64) lifecycle.Incarnation {
 	return lifecycle.Incarnation{ID: "u", Born: born}
 }
 
 // TestCrashNamesWhatRan has an upstream crash of which a new incarnation tells.
-func TestCrashNamesWhatRan(t *testing.T) {
+func TestCrashReportsLatestBurst(t *testing.T) {
 	var now model.Instant
 	var named []string
 	up := newUpstream(t, "u")
@@ -118,31 +118,31 @@
 		address: up.address(), now: func() model.Instant { return now },
 		crashed: func(r lostRun) { named = append(named, r.id) },
 	}
-	c.lose(lostRun{id: "long before", upstream: life(1)})
-	now = now.Add(crashSpan + time.Millisecond)
-	c.lose(lostRun{id: "one", upstream: life(1)})
-	now = now.Add(crashSpan)
-	c.lose(lostRun{id: "two", upstream: life(1)})
-	c.lose(lostRun{id: "other life", upstream: life(2)})
+	c.recordLoss(lostRun{id: "long before", upstream: incarnation(1)})
+	now = now.Add(maxBurstGap + time.Millisecond)
+	c.recordLoss(lostRun{id: "one", upstream: incarnation(1)})
+	now = now.Add(maxBurstGap)
+	c.recordLoss(lostRun{id: "two", upstream: incarnation(1)})
+	c.recordLoss(lostRun{id: "other life", upstream: incarnation(2)})
 	require.Empty(t, named, "the upstream still listens")
-	c.end(life(1))
+	c.upstreamCrashed(incarnation(1))
 	require.Equal(t, []string{"one", "two"}, named)
-	c.end(life(1))
+	c.upstreamCrashed(incarnation(1))
 	require.Len(t, named, 2)
 	up.server.Close()
-	c.lose(lostRun{id: "three", upstream: life(2)})
+	c.recordLoss(lostRun{id: "three", upstream: incarnation(2)})
 	require.Equal(t, []string{"one", "two", "other life", "three"}, named)
 }
 
 // TestCrashNamesTheFirstLoss has runs go on being lost for a while after a crash, as where
 // something else takes connections in the upstream's place.
-func TestCrashNamesTheFirstLoss(t *testing.T) {
+func TestCrashReportsLongestBurst(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		// losses and answers are in steps.
-		losses  []int
-		answers []int
-		want    []int
+		lossSteps     []int
+		responseSteps []int
+		want          []int
 	}{
 		"seven steps of losses":            {[]int{1, 2, 3, 4, 5, 6, 7, 8}, nil, []int{1, 2, 3, 4, 5, 6, 7, 8}},
 		"lost before the last answer":      {[]int{1, 2, 4, 5}, []int{3}, []int{4, 5}},
@@ -158,18 +158,18 @@
 			up := newUpstream(t, "u")
 			crashes := &crashes{
 				address: up.address(), now: func() model.Instant { return now },
-				crashed: func(r lostRun) { named = append(named, int(r.at/model.Instant(step))) },
+				crashed: func(r lostRun) { named = append(named, int(r.lostAt/model.Instant(step))) },
 			}
 			for i := range 10 {
 				now = now.Add(step)
-				if slices.Contains(c.losses, i+1) {
-					crashes.lose(lostRun{upstream: life(1)})
+				if slices.Contains(c.lossSteps, i+1) {
+					crashes.recordLoss(lostRun{upstream: incarnation(1)})
 				}
-				if slices.Contains(c.answers, i+1) {
-					crashes.answer()
+				if slices.Contains(c.responseSteps, i+1) {
+					crashes.recordResponse()
 				}
 			}
-			crashes.end(life(1))
+			crashes.upstreamCrashed(incarnation(1))
 			require.Equal(t, c.want, named)
 		})
 	}
@@ -177,7 +177,7 @@
 
 // TestCrashNamesWhatIsLostNow has an upstream lose answers, each followed by one that comes
 // through, and then crash: nothing listens any longer, and only what runs then is named.
-func TestCrashNamesWhatIsLostNow(t *testing.T) {
+func TestCrashOfClosedUpstreamReportsCurrentRuns(t *testing.T) {
 	var now model.Instant
 	var named []string
 	up := newUpstream(t, "u")
@@ -187,24 +187,24 @@
 	}
 	for range 5 {
 		now = now.Add(time.Second)
-		c.lose(lostRun{id: "answer lost", upstream: life(1)})
-		now = now.Add(2 * answerSlack)
-		c.answer()
+		c.recordLoss(lostRun{id: "answer lost", upstream: incarnation(1)})
+		now = now.Add(2 * responseSlack)
+		c.recordResponse()
 	}
 	now = now.Add(time.Second)
 	up.server.Close()
-	c.lose(lostRun{id: "crashed", upstream: life(1)})
+	c.recordLoss(lostRun{id: "crashed", upstream: incarnation(1)})
 	now = now.Add(time.Millisecond)
-	c.lose(lostRun{id: "beside", upstream: life(1)})
-	c.end(life(1))
+	c.recordLoss(lostRun{id: "beside", upstream: incarnation(1)})
+	c.upstreamCrashed(incarnation(1))
 	require.Equal(t, []string{"crashed", "beside"}, named)
 }
 
 func TestLostRunsAreBounded(t *testing.T) {
 	up := newUpstream(t, "u")
 	c := &crashes{address: up.address(), now: func() model.Instant { return 0 }, crashed: func(lostRun) {}}
-	for range maxLost + 5 {
-		c.lose(lostRun{upstream: life(1)})
+	for range maxLostRuns + 5 {
+		c.recordLoss(lostRun{upstream: incarnation(1)})
 	}
-	require.Len(t, c.lost, maxLost)
+	require.Len(t, c.lostRuns, maxLostRuns)
 }
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -10,7 +10,7 @@
 
 // verifyEvery is the least time between two looks at a daemon that was silent to a
 // question.
-const verifyEvery = time.Second
+const verifyInterval = time.Second
 
 // errStopped is why a daemon that has stopped as planned is looked for.
 var errStopped = errors.New("stopped as planned")
@@ -43,11 +43,11 @@
 
 // verify looks at a daemon that was silent to a question: one datagram may have
 // been lost, or the daemon.
-func (p *peers) verify(address string) {
+func (p *peers) verifyReachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.all[address]
-	if q == nil || q.lost || q.verified != 0 && p.now().Sub(q.verified) < verifyEvery {
+	if q == nil || q.lost || q.verified != 0 && p.now().Sub(q.verified) < verifyInterval {
 		return
 	}
 	q.verified = p.now()
--- a/sidecar/receive.go
+++ b/sidecar/receive.go
@@ -13,7 +13,7 @@
 	id uint32
 	// version is that of the configuration which the sender has in force.
 	version model.Version
-	from    netip.AddrPort
+	sender  netip.AddrPort
 	// raw is all of it, its head included.
 	raw []byte
 }
@@ -23,18 +23,18 @@
 
 // receivers take in the datagrams of each kind.
 var receivers = map[byte]func(*datagrams, datagram){
-	kindAsk:       (*datagrams).receiveAsk,
-	kindLoad:      (*datagrams).receiveLoad,
-	kindRecord:    (*datagrams).note,
-	kindNoted:     func(a *datagrams, m datagram) { a.hear(m.id, placement.Load{}, m.version) },
+	kindAsk:       (*datagrams).handleLoadQuery,
+	kindLoad:      (*datagrams).handleLoad,
+	kindRecord:    (*datagrams).handleRecord,
+	kindNoted:     func(a *datagrams, m datagram) { a.deliverResponse(m.id, placement.Load{}, m.version) },
 	kindNews:      func(a *datagrams, m datagram) { a.d.behind(string(m.body()), m.version) },
-	kindSuspects:  func(a *datagrams, m datagram) { a.d.suspects.gossip.Receive(m.from.String(), m.body()) },
-	kindHeartbeat: (*datagrams).receiveHeartbeat,
-	kindRecords:   (*datagrams).receiveRecords,
-	kindCompare:   func(a *datagrams, m datagram) { a.d.comparer.receive(m.from.String(), m.body()) },
-	kindSummary:   func(a *datagrams, m datagram) { a.d.comparer.resolve(m.from.String(), m.body()) },
-	kindWish:      func(a *datagrams, m datagram) { a.d.comparer.grant(m.from.String(), m.body()) },
-	kindCompared:  func(a *datagrams, m datagram) { a.learn(unpackRecords(m.body())) },
+	kindSuspects:  func(a *datagrams, m datagram) { a.d.suspects.gossip.Receive(m.sender.String(), m.body()) },
+	kindHeartbeat: (*datagrams).handleHeartbeat,
+	kindRecords:   (*datagrams).handleRecords,
+	kindCompare:   func(a *datagrams, m datagram) { a.d.comparer.receive(m.sender.String(), m.body()) },
+	kindSummary:   func(a *datagrams, m datagram) { a.d.comparer.resolve(m.sender.String(), m.body()) },
+	kindWish:      func(a *datagrams, m datagram) { a.d.comparer.grant(m.sender.String(), m.body()) },
+	kindCompared:  func(a *datagrams, m datagram) { a.mergeRecords(unpackRecords(m.body())) },
 }
 
 // receive takes in a datagram. One of a kind that is not known is passed over.
@@ -43,25 +43,25 @@
 		return
 	}
 	a.d.metrics.traffic.received(b)
-	m := datagram{id: binary.BigEndian.Uint32(b[1:]), version: model.Version(binary.BigEndian.Uint64(b[5:])), from: from, raw: b}
+	m := datagram{id: binary.BigEndian.Uint32(b[1:]), version: model.Version(binary.BigEndian.Uint64(b[5:])), sender: from, raw: b}
 	if receive, ok := receivers[b[0]]; ok {
 		receive(a, m)
 	}
 }
 
-func (a *datagrams) receiveAsk(m datagram) {
+func (a *datagrams) handleLoadQuery(m datagram) {
 	if len(m.raw) == askBytes {
-		go a.answer(m.id, decodeAsk(m.raw), m.from)
+		go a.sendLoad(m.id, decodeLoadQuery(m.raw), m.sender)
 	}
 }
 
-func (a *datagrams) receiveLoad(m datagram) {
+func (a *datagrams) handleLoad(m datagram) {
 	if len(m.raw) == loadBytes {
-		a.hear(m.id, decodeLoad(m.raw), m.version)
+		a.deliverResponse(m.id, decodeLoad(m.raw), m.version)
 	}
 }
 
-func (a *datagrams) receiveHeartbeat(m datagram) {
+func (a *datagrams) handleHeartbeat(m datagram) {
 	body := m.body()
 	if len(body) == 0 {
 		return
@@ -71,14 +71,14 @@
 	a.d.behindWatcher(address, m.version)
 }
 
-func (a *datagrams) receiveRecords(m datagram) {
+func (a *datagrams) handleRecords(m datagram) {
 	records := unpackRecords(m.body())
 	a.d.relay.relayed(records)
-	a.learn(records)
+	a.mergeRecords(records)
 }
 
 // learn takes in records. News may be news to others as well, who are asked soon.
-func (a *datagrams) learn(records []Record) {
+func (a *datagrams) mergeRecords(records []Record) {
 	if news := a.d.peers.merge(records); len(news) > 0 {
 		a.d.comparer.wake()
 	}
@@ -87,7 +87,7 @@
 // note takes in the record of another daemon. One that is older than what is
 // known gets no answer, so that its daemon, whose clock was set back, finds out
 // over a connection.
-func (a *datagrams) note(m datagram) {
+func (a *datagrams) handleRecord(m datagram) {
 	told := unpackRecords(m.body())
 	if len(told) != 1 || told[0].Address == "" {
 		return
@@ -101,11 +101,11 @@
 			a.d.relay.add(news)
 		}
 	}
-	a.transmit(a.head(kindNoted, m.id), m.from)
+	a.transmit(a.head(kindNoted, m.id), m.sender)
 }
 
 // hear hands an answer to who waits for it.
-func (a *datagrams) hear(id uint32, l placement.Load, v model.Version) {
+func (a *datagrams) deliverResponse(id uint32, l placement.Load, v model.Version) {
 	a.mu.Lock()
 	q, ok := a.waiting[id]
 	delete(a.waiting, id)
--- a/sidecar/reborn_test.go
+++ b/sidecar/replaced_test.go
@@ -14,7 +14,7 @@
 
 // replaceWith ends a daemon without a word and starts another one under its address,
 // beside an upstream of another service.
-func replaceWith(t *testing.T, s *store, m *member, id string) *member {
+func replaceDaemon(t *testing.T, s *store, m *member, id string) *member {
 	t.Helper()
 	m.kill()
 	eventually(t, "the address is free", func() bool { return isFree(m.opts.Addresses.Peers) })
@@ -38,18 +38,18 @@
 }
 
 // tryAt returns an attempt at the only upstream of a service, as the entry sees it now.
-func tryAt(t *testing.T, m *member) *try {
+func attemptTo(t *testing.T, m *member) *try {
 	t.Helper()
 	ups, targets := m.peers.candidates("b")
 	require.Len(t, ups, 1)
 	return &try{
-		choice: placement.Choice{Upstream: ups[0]}, target: targets[ups[0].Key], acknowledged: make(chan struct{}),
+		choice: placement.Choice{Upstream: ups[0]}, endpoint: targets[ups[0].Key], acknowledged: make(chan struct{}),
 	}
 }
 
 // TestOnlyTheGuardThatGotACallProvesAnything replaces the VM of a guard. The daemon
 // that has its address afterwards never heard of the call, which proves nothing.
-func TestOnlyTheGuardThatGotACallProvesAnything(t *testing.T) {
+func TestReplacedDaemonProvesNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		replace bool
 		want    outcome.Kind
@@ -61,12 +61,12 @@
 			s := newStore(documentOf(1, "b"))
 			a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 			a.knows(t, "b", 1)
-			try := tryAt(t, a)
+			try := attemptTo(t, a)
 			if c.replace {
-				replaceWith(t, s, b, "c1")
+				replaceDaemon(t, s, b, "c1")
 			}
 			call := &Call{ID: "x", Method: http.MethodPost, Service: "b", Deadline: time.Minute}
-			got, _ := a.entry.settle(t.Context(), a.peers.pool(try.target.address), try, call)
+			got, _ := a.entry.queryOutcome(t.Context(), a.peers.pool(try.endpoint.address), try, call)
 			require.Equal(t, c.want, got.Outcome.Kind)
 		})
 	}
@@ -74,22 +74,22 @@
 
 // TestLoadIsOfTheUpstreamAskedAbout replaces the VM of a guard: the load of the
 // upstream that is there now is not that of the one before.
-func TestLoadIsOfTheUpstreamAskedAbout(t *testing.T) {
+func TestLoadIsOfTheQueriedUpstream(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
-	try := tryAt(t, a)
+	try := attemptTo(t, a)
 	question := inquiry{
 		ups: []placement.Upstream{try.choice.Upstream}, wait: time.Second,
 		late: func(heard) {}, tooFar: func(placement.Upstream) bool { return false },
 	}
 	require.Len(t, a.datagrams.ask(question), 1)
-	c := replaceWith(t, s, b, "c1")
+	c := replaceDaemon(t, s, b, "c1")
 	question.wait = 100 * time.Millisecond
 	require.Empty(t, a.datagrams.ask(question))
 	call := &Call{
 		ID: "x", Method: http.MethodGet, Target: "/safe/", Host: "h", Header: http.Header{}, Service: "b",
-		Upstream: try.target.upstream, Idempotent: true, Deadline: time.Second,
+		Upstream: try.endpoint.upstream, Idempotent: true, Deadline: time.Second,
 	}
 	got := c.guard.Do(t.Context(), call)
 	require.Equal(t, outcome.ReasonNoUpstream, got.Outcome.Reason)
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -21,20 +21,20 @@
 	// keptIdle is how long a connection may have been idle to carry a request
 	// that must not run twice: an upstream that forgets connections resets the
 	// request, and then nobody knows whether it ran.
-	keptIdle = time.Second
+	maxIdleNonIdempotent = time.Second
 	// silentFor is how long an upstream that has answered without telling its load is
 	// not asked for it. Most such never tell, and each question is a request more.
-	silentFor = 10 * time.Second
+	noLoadRecheck = 10 * time.Second
 	// suspectShare of failures has a line say that the upstream fails, trustShare that
 	// it is well again: apart, so that chance does not write many.
-	suspectShare = 0.5
-	trustShare   = 0.1
+	failingShare   = 0.5
+	recoveredShare = 0.1
 	// minDeadline is the least time that an upstream is given.
 	minDeadline = 2 * time.Millisecond
 )
 
 // run sends a started call to the upstream.
-func (g *guard) run(ctx context.Context, c *Call, at *attempt, arrived model.Instant) *Answer {
+func (g *guard) runCall(ctx context.Context, c *Call, at *attempt, arrived model.Instant) *Answer {
 	left := c.Deadline - g.now().Sub(arrived)
 	a := notRun(outcome.ReasonDeadline)
 	switch {
@@ -42,17 +42,17 @@
 	case inbound.Left(ctx), !at.start():
 		a = notRun(outcome.ReasonWithdrawn)
 	default:
-		a = contain(c.ID, g.panicked, func() *Answer { return g.send(ctx, c, left, g.now().Sub(arrived)) })
+		a = contain(c.ID, g.panicked, func() *Answer { return g.sendToUpstream(ctx, c, left, g.now().Sub(arrived)) })
 	}
 	g.mu.Lock()
 	g.queue.Finish()
 	g.mu.Unlock()
-	at.end(a)
-	g.pump()
+	at.finish(a)
+	g.dispatch()
 	return a
 }
 
-func (g *guard) send(ctx context.Context, c *Call, left, waited time.Duration) *Answer {
+func (g *guard) sendToUpstream(ctx context.Context, c *Call, left, waited time.Duration) *Answer {
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	h := endToEnd(c.Header)
@@ -62,11 +62,11 @@
 		Method: c.Method, Target: c.Target, Host: c.Host, Header: h, Body: c.Body,
 		Accept: func(r *http.Response) bool {
 			reading = g.opts.Edge.Read(r.StatusCode, r.Header)
-			return reading.isOf(c)
+			return reading.belongsTo(c)
 		},
 	}
 	if !c.Idempotent {
-		x.MaxIdle = keptIdle
+		x.MaxIdle = maxIdleNonIdempotent
 	}
 	g.mu.Lock()
 	g.countRun()
@@ -75,33 +75,33 @@
 	began := g.now()
 	reply, err := pool.Do(ctx, x)
 	ran := g.now().Sub(began)
-	a := g.read(ctx, c, reading, reply, err)
-	a.Work = g.workOf(ran)
+	a := g.interpretResponse(ctx, c, reading, reply, err)
+	a.ServiceTime = g.serviceTimeOf(ran)
 	g.metrics.stage(stageGuard, c.Service, waited)
 	g.metrics.stage(stageUpstream, c.Service, ran)
-	g.judge(ctx, a)
+	g.recordOutcome(ctx, a)
 	if err == nil {
-		g.crashes.answer()
+		g.crashes.recordResponse()
 	}
 	if a.Outcome.Reason == outcome.ReasonConnectionLost {
-		go g.crashes.lose(lostRunOf(c, life))
+		go g.crashes.recordLoss(newLostRun(c, life))
 	}
-	g.tellRun(c, a, err, waited, ran, running)
+	g.logRun(c, a, err, waited, ran, running)
 	return a
 }
 
 // workOf returns how long a run would have taken where nothing slows it, or as it was
 // where the upstream does not tell how slow it is.
-func (g *guard) workOf(ran time.Duration) time.Duration {
+func (g *guard) serviceTimeOf(ran time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.told {
+	if !g.slowdownReported {
 		return ran
 	}
-	return time.Duration(float64(ran) / max(g.slow, 1))
+	return time.Duration(float64(ran) / max(g.slowdown, 1))
 }
 
-func lostRunOf(c *Call, life lifecycle.Incarnation) lostRun {
+func newLostRun(c *Call, life lifecycle.Incarnation) lostRun {
 	r := asked(c.Service, c.Method, c.Target, c.Body)
 	f := quarantine.Of(r)
 	r.Body = nil
@@ -109,12 +109,12 @@
 }
 
 // isOf reports whether a response belongs to a call.
-func (r *Reading) isOf(c *Call) bool {
+func (r *Reading) belongsTo(c *Call) bool {
 	return r.ID == c.ID || r.ID == "" && (r.NotRun || r.Mistaken)
 }
 
 // read turns what came back into an answer. Reading is of the response, if there is one.
-func (g *guard) read(ctx context.Context, c *Call, reading Reading, reply *hop.Reply, err error) *Answer {
+func (g *guard) interpretResponse(ctx context.Context, c *Call, reading Reading, reply *hop.Reply, err error) *Answer {
 	var lost *hop.LostError
 	if errors.As(err, &lost) {
 		switch {
@@ -128,10 +128,10 @@
 			return unknown(outcome.ReasonConnectionLost)
 		}
 	}
-	g.learn(reading.Load)
+	g.recordLoad(reading.Load)
 	switch {
 	case reading.Mistaken:
-		g.mistaken(c, reading.Instance)
+		g.handleWrongUpstream(c, reading.Instance)
 		return notRun(outcome.ReasonNoUpstream)
 	case reading.NotRun:
 		a := notRun(outcome.ReasonUpstreamRefused)
@@ -144,7 +144,7 @@
 }
 
 // mistaken takes in that the upstream at the address is another than expected.
-func (g *guard) mistaken(c *Call, found model.UpstreamID) {
+func (g *guard) handleWrongUpstream(c *Call, found model.UpstreamID) {
 	g.mu.Lock()
 	cur := g.tracker.Current()
 	if cur.ID != c.Upstream.ID || found == cur.ID {
@@ -154,21 +154,21 @@
 	g.tracker.Leave(cur.Incarnation)
 	cur = g.tracker.Current()
 	g.mu.Unlock()
-	g.tell(cur, "address taken by "+string(found))
+	g.logState(cur, "address taken by "+string(found))
 }
 
 // learn takes in what the upstream says of its load.
-func (g *guard) learn(l *UpstreamLoad) {
+func (g *guard) recordLoad(l *UpstreamLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if l == nil {
-		if !g.told {
-			g.silentUntil = g.now().Add(silentFor)
+		if !g.slowdownReported {
+			g.noProbeUntil = g.now().Add(noLoadRecheck)
 		}
 		return
 	}
 	if l.Slow > 0 {
-		g.slow, g.slowAt, g.told = l.Slow, g.now(), true
+		g.slowdown, g.slowdownAt, g.slowdownReported = l.Slow, g.now(), true
 	}
 	if l.Slots > 0 {
 		g.queue.SetLimit(placement.LimitOf(l.Slots))
@@ -176,10 +176,10 @@
 }
 
 // silent reports whether the upstream is known not to tell its load. g.mu is held.
-func (g *guard) silent() bool { return !g.told && g.now() < g.silentUntil }
+func (g *guard) doesNotReportLoad() bool { return !g.slowdownReported && g.now() < g.noProbeUntil }
 
 // judge takes in whether a run failed.
-func (g *guard) judge(ctx context.Context, a *Answer) {
+func (g *guard) recordOutcome(ctx context.Context, a *Answer) {
 	failed := false
 	switch {
 	case a.Outcome.Kind == outcome.Unknown && errors.Is(ctx.Err(), context.Canceled):
@@ -189,28 +189,28 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.failing.Count(g.now(), failed)
-	share := g.failing.Share(g.now())
+	g.failures.Count(g.now(), failed)
+	share := g.failures.Share(g.now())
 	switch {
-	case !g.suspected && share >= suspectShare:
-		g.tellTrust(decision.UpstreamFailing, share)
-	case g.suspected && share <= trustShare:
-		g.tellTrust(decision.UpstreamTrusted, share)
+	case !g.failingLogged && share >= failingShare:
+		g.logFailing(decision.UpstreamFailing, share)
+	case g.failingLogged && share <= recoveredShare:
+		g.logFailing(decision.UpstreamTrusted, share)
 	}
 }
 
 // tellTrust notes that the upstream is suspected or trusted again. g.mu is held.
-func (g *guard) tellTrust(k decision.Kind, share float64) {
-	g.suspected = k == decision.UpstreamFailing
+func (g *guard) logFailing(k decision.Kind, share float64) {
+	g.failingLogged = k == decision.UpstreamFailing
 	g.opts.Decisions.Write(k, "", slog.String("upstream", string(g.tracker.Current().ID)), slog.Float64("failing", share))
 }
 
-func (g *guard) tellRun(c *Call, a *Answer, err error, waited, ran time.Duration, running int) {
+func (g *guard) logRun(c *Call, a *Answer, err error, waited, ran time.Duration, running int) {
 	attrs := []slog.Attr{slog.String("upstream", string(c.Upstream.ID)), slog.Int("status", a.Status), slog.Int64("ran_ms", ran.Milliseconds())}
 	if a.Outcome.Kind == outcome.Answered && a.Status < http.StatusInternalServerError {
 		if g.opts.Decisions.Keeps(c.ID) {
 			g.mu.Lock()
-			slow := g.slow
+			slow := g.slowdown
 			g.mu.Unlock()
 			g.opts.Decisions.Write(decision.Ran, c.ID, append(attrs, slog.Int64("waited_ms", waited.Milliseconds()),
 				slog.Float64("slow", slow), slog.Int("running", running))...)
--- a/sidecar/run_test.go
+++ b/sidecar/run_test.go
@@ -13,7 +13,7 @@
 
 // TestLostRunsSayWhy tells a run that was cancelled, such as that of a hedge whose
 // sibling answered first, from one that was still running at its deadline.
-func TestLostRunsSayWhy(t *testing.T) {
+func TestLostRunReasons(t *testing.T) {
 	running := context.Background()
 	cancelled, cancel := context.WithCancel(running)
 	cancel()
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := &guard{}
-			a := g.read(c.ctx, &Call{ID: "r1"}, Reading{}, nil, &hop.LostError{Sent: c.sent})
+			a := g.interpretResponse(c.ctx, &Call{ID: "r1"}, Reading{}, nil, &hop.LostError{Sent: c.sent})
 			require.Equal(t, c.want, a.Outcome)
 		})
 	}
--- a/sidecar/stopping_test.go
+++ b/sidecar/stopping_test.go
@@ -28,7 +28,7 @@
 
 // TestStoppingGuardsStartWhatEndsInTime also answers requests with long deadlines: a call
 // that might have to be cut goes elsewhere.
-func TestStoppingGuardsStartWhatEndsInTime(t *testing.T) {
+func TestStoppingGuardAdmitsCallsThatEndInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		until    time.Duration
 		deadline time.Duration
@@ -48,41 +48,41 @@
 				g.endBy(now.Add(c.until))
 			}
 			call := ordinary()
-			call.Deadline, call.Work = c.deadline, c.work
-			require.Equal(t, c.want, g.refusal(g.tracker.Current(), call))
+			call.Deadline, call.ServiceTime = c.deadline, c.work
+			require.Equal(t, c.want, g.rejectReason(g.tracker.Current(), call))
 		})
 	}
 }
 
 // TestStoppingGuardsHandBackWhatWaits tells those who sent it that it has not run.
-func TestStoppingGuardsHandBackWhatWaits(t *testing.T) {
+func TestStoppingGuardRejectsWaitingCalls(t *testing.T) {
 	now := model.Instant(time.Hour)
 	g := newIdleGuard(&now)
 	r := ready("b1", 1, 1, "b")
 	r.Slots = 1
 	g.report(r, "report")
-	_, running, refused := g.arrive(ordinary())
+	_, running, refused := g.enqueue(ordinary())
 	require.Nil(t, refused)
 	require.NotEmpty(t, running)
 	call := ordinary()
-	id, exits, refused := g.arrive(call)
+	id, exits, refused := g.enqueue(call)
 	require.Nil(t, refused)
 	require.Empty(t, exits)
 	g.stop()
-	got := g.wait(t.Context(), call, newAttempt("k"), id, exits)
+	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, exits)
 	require.Equal(t, outcome.NotRun, got.Outcome.Kind)
 }
 
 // TestPartThatHangsDoesNotKeepTheProcess has the source of the configuration ignore that
 // the daemon ends.
-func TestPartThatHangsDoesNotKeepTheProcess(t *testing.T) {
+func TestHangingComponentDoesNotBlockExit(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	up := newUpstream(t, "a1")
 	o := optionsFor(t, s, up, "a")
 	o.Grace = 0
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	o.Source = &stubborn{source: &source{s: s}, release: release}
+	o.Source = &hangingSource{source: &source{s: s}, release: release}
 	d, err := New(o)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -100,12 +100,12 @@
 }
 
 // stubborn goes on until it is released.
-type stubborn struct {
+type hangingSource struct {
 	*source
 	release chan struct{}
 }
 
-func (s *stubborn) Follow(ctx context.Context, f Follower) error {
+func (s *hangingSource) Follow(ctx context.Context, f Follower) error {
 	_ = s.source.Follow(ctx, f)
 	<-s.release
 	return nil
@@ -113,11 +113,11 @@
 
 // TestStoppingEntriesRefuseWhatTheyMightCut sends a request that runs for long on a
 // connection that was open before the daemon was told to stop.
-func TestStoppingEntriesRefuseWhatTheyMightCut(t *testing.T) {
+func TestStoppingDaemonRejectsLongRequests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, _ := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
-	a.entry.worked("unsafe", time.Minute)
+	a.entry.recordServiceTime("unsafe", time.Minute)
 	go a.stop()
 	eventually(t, "it stops", a.stopping.Load)
 	resp, _ := a.ask(t, http.MethodPost, "/unsafe/", "pay")
--- a/sidecar/unanswered_test.go
+++ b/sidecar/unanswered_test.go
@@ -21,10 +21,10 @@
 
 // lines collects decision lines. It is safe for concurrent use.
 type lines struct {
-	mu  sync.Mutex
-	all []map[string]any
+	mu      sync.Mutex
+	entries []map[string]any
 	// written, if set, is called before a line is taken.
-	written func(kind string)
+	onWrite func(kind string)
 }
 
 // Write implements io.Writer for one line.
@@ -33,20 +33,20 @@
 	if err := json.Unmarshal(p, &fields); err != nil {
 		return 0, err
 	}
-	if l.written != nil {
-		l.written(fields["msg"].(string))
+	if l.onWrite != nil {
+		l.onWrite(fields["msg"].(string))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, fields)
+	l.entries = append(l.entries, fields)
 	return len(p), nil
 }
 
 // of returns the lines of a kind.
-func (l *lines) of(k decision.Kind) []map[string]any {
+func (l *lines) ofKind(k decision.Kind) []map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(l.all), func(f map[string]any) bool { return f["msg"] != string(k) })
+	return slices.DeleteFunc(slices.Clone(l.entries), func(f map[string]any) bool { return f["msg"] != string(k) })
 }
 
 // joinWithLog is join with a log of decisions. The daemon runs until the end of the test
@@ -95,7 +95,7 @@
 
 // TestPanicsOfHandlersAreLogged has a handler of callers panic: the caller sees only that
 // the connection is closed.
-func TestPanicsOfHandlersAreLogged(t *testing.T) {
+func TestHandlerPanicsAreLogged(t *testing.T) {
 	l := &lines{}
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", l)
 	m.callers.http.Handler = m.reportPanics("callers", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("broken") }))
@@ -103,8 +103,8 @@
 	k.send(t, "one")
 	_, err := k.answer()
 	require.Error(t, err)
-	eventually(t, "the line", func() bool { return len(l.of(decision.Aborted)) == 1 })
-	line := l.of(decision.Aborted)[0]
+	eventually(t, "the line", func() bool { return len(l.ofKind(decision.Aborted)) == 1 })
+	line := l.ofKind(decision.Aborted)[0]
 	require.Equal(t, "one", line["request"])
 	require.Equal(t, "broken", line["error"])
 	require.Equal(t, "callers", line["part"])
@@ -114,7 +114,7 @@
 
 // withRequestInHand returns a daemon, its log, and a connection whose request runs until the
 // end of the test.
-func withRequestInHand(t *testing.T) (*member, *lines, *kept) {
+func startWithRunningRequest(t *testing.T) (*member, *lines, *kept) {
 	t.Helper()
 	l := &lines{}
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", l)
@@ -129,13 +129,13 @@
 
 // TestRequestsThatAreCutAreLogged ends the servers of a daemon while it has a request in
 // hand.
-func TestRequestsThatAreCutAreLogged(t *testing.T) {
-	m, l, k := withRequestInHand(t)
+func TestAbortedRequestsAreLogged(t *testing.T) {
+	m, l, k := startWithRunningRequest(t)
 	m.callers.close()
 	_, err := k.answer()
 	require.Error(t, err)
-	eventually(t, "the line", func() bool { return len(l.of(decision.Failed)) > 0 })
-	cut := l.of(decision.Failed)
+	eventually(t, "the line", func() bool { return len(l.ofKind(decision.Failed)) > 0 })
+	cut := l.ofKind(decision.Failed)
 	require.Len(t, cut, 1)
 	require.Equal(t, "one", cut[0]["request"])
 	require.Equal(t, true, cut[0]["cut"])
@@ -143,19 +143,19 @@
 }
 
 // TestCallersThatLeaveAreNotCut has the caller close its connection.
-func TestCallersThatLeaveAreNotCut(t *testing.T) {
-	_, l, k := withRequestInHand(t)
+func TestDisconnectingCallersAreNotCountedAsAborted(t *testing.T) {
+	_, l, k := startWithRunningRequest(t)
 	require.NoError(t, k.conn.Close())
-	eventually(t, "the line", func() bool { return len(l.of(decision.Failed)) == 1 })
-	require.Equal(t, false, l.of(decision.Failed)[0]["cut"])
+	eventually(t, "the line", func() bool { return len(l.ofKind(decision.Failed)) == 1 })
+	require.Equal(t, false, l.ofKind(decision.Failed)[0]["cut"])
 }
 
 // TestRequestsAtTheEndOfAStopAreNotCut guards against requests on kept connections that are
 // passed on and get no answer: one comes after a stopping daemon found nothing in hand and
 // before it closes its connections, here while its last line waits for a slow reader.
-func TestRequestsAtTheEndOfAStopAreNotCut(t *testing.T) {
+func TestRequestsAtTheEndOfAStopAreAnswered(t *testing.T) {
 	ending, release := make(chan struct{}), make(chan struct{})
-	l := &lines{written: func(kind string) {
+	l := &lines{onWrite: func(kind string) {
 		if kind == string(decision.Stopped) {
 			close(ending)
 			<-release
@@ -193,7 +193,7 @@
 
 // TestRequestsInHandAtTheEndOfTheGraceTimeAreAnswered guards against callers that get no
 // answer as their requests run longer than a stopping daemon may.
-func TestRequestsInHandAtTheEndOfTheGraceTimeAreAnswered(t *testing.T) {
+func TestRunningRequestsAreAnsweredAtTheEndOfTheGracePeriod(t *testing.T) {
 	for _, own := range []string{"a", "b"} {
 		t.Run("upstream of "+own, func(t *testing.T) {
 			s := newStore(documentOf(1, model.ServiceName(own)))
@@ -218,7 +218,7 @@
 
 // TestRequestsAfterTheEndOfAStopAreRefused has a request come when a stopping daemon takes
 // nothing more and has not closed its connections yet.
-func TestRequestsAfterTheEndOfAStopAreRefused(t *testing.T) {
+func TestRequestsAfterTheEndOfAStopAreRejected(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	k := dialCallers(t, m)
 	m.requests.end()
@@ -232,7 +232,7 @@
 
 // TestNothingIsTakenOnceAStopFoundNothingInHand lets no request in between the check and the
 // end.
-func TestNothingIsTakenOnceAStopFoundNothingInHand(t *testing.T) {
+func TestEndIdleAdmitsNoFurtherRequests(t *testing.T) {
 	var h inHand
 	require.True(t, h.begin())
 	require.False(t, h.endIdle(func() bool { return true }), "one is in hand")
@@ -247,20 +247,20 @@
 }
 
 // TestStoppedGuardsTakeNothing lets no call in between the check and the end.
-func TestStoppedGuardsTakeNothing(t *testing.T) {
+func TestStopIdleAdmitsNoFurtherCalls(t *testing.T) {
 	now := model.Instant(time.Hour)
 	g := newIdleGuard(&now)
 	g.report(ready("b1", 1, 1, "b"), "report")
-	_, exits, refused := g.arrive(ordinary())
+	_, exits, refused := g.enqueue(ordinary())
 	require.Nil(t, refused)
 	require.NotEmpty(t, exits)
 	require.False(t, g.stopIdle(), "one runs")
-	_, _, refused = g.arrive(ordinary())
+	_, _, refused = g.enqueue(ordinary())
 	require.Nil(t, refused)
 	g.queue.Finish()
 	g.queue.Finish()
 	require.True(t, g.stopIdle())
-	_, _, refused = g.arrive(ordinary())
+	_, _, refused = g.enqueue(ordinary())
 	require.Equal(t, outcome.ReasonDraining, refused.Outcome.Reason)
 }
 
@@ -271,7 +271,7 @@
 
 // TestPanicCostsOneRequest guards against a process that ends, with every request in hand,
 // as one request makes code beside the handlers panic.
-func TestPanicCostsOneRequest(t *testing.T) {
+func TestPanicEndsOnlyItsRequest(t *testing.T) {
 	for name, entryService := range map[string]model.ServiceName{"own upstream": "b", "upstream of another daemon": "a"} {
 		t.Run(name, func(t *testing.T) {
 			s := newStore(documentOf(1, "b"))
@@ -290,8 +290,8 @@
 			require.Equal(t, http.StatusBadGateway, status, reason)
 			status, reason = at.post(t, "/unsafe/")
 			require.Equal(t, http.StatusBadGateway, status, reason)
-			eventually(t, "the lines", func() bool { return len(l.of(decision.Aborted)) >= 2 })
-			require.Equal(t, attemptPart, l.of(decision.Aborted)[0]["part"])
+			eventually(t, "the lines", func() bool { return len(l.ofKind(decision.Aborted)) >= 2 })
+			require.Equal(t, attemptPart, l.ofKind(decision.Aborted)[0]["part"])
 			require.Equal(t, 0, b.guard.queue.Running(), "slots are given back")
 		})
 	}
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -66,7 +66,7 @@
 		plan:  allLose, want: "twice",
 	},
 	"re-sends know no budget": {
-		edits: []edits.Edit{edits.New("sidecar/resends.go", "	if !s.resends.take(now, 1, daemons, started) {\n		return nil\n	}\n", "	if daemons > 0 {\n		return &resend{service: s}\n	}\n")},
+		edits: []edits.Edit{edits.New("sidecar/retries.go", "	if !s.retryLimiter.take(now, 1, daemons, started) {\n		return nil\n	}\n", "	if daemons > 0 {\n		return &retryCharge{service: s}\n	}\n")},
 		plan:  failures, want: "budget",
 	},
 	"a stop cuts what runs": {
@@ -74,7 +74,7 @@
 		plan:  stops, want: "lost",
 	},
 	"connections of requests in hand are closed": {
-		edits: []edits.Edit{edits.New("sidecar/entry.go", "	e.write(w, req, e.forward(req))\n", "	a := e.forward(req)\n	if req.id[len(req.id)-1] == '7' {\n		panic(http.ErrAbortHandler)\n	}\n	e.write(w, req, a)\n")},
+		edits: []edits.Edit{edits.New("sidecar/entry.go", "	e.respond(w, req, e.forward(req))\n", "	a := e.forward(req)\n	if req.id[len(req.id)-1] == '7' {\n		panic(http.ErrAbortHandler)\n	}\n	e.respond(w, req, a)\n")},
 		plan:  reloads, want: "unanswered",
 	},
 	"answers that break off are delivered": {
@@ -106,8 +106,8 @@
 	},
 	"attempts are forgotten before their time": {
 		edits: []edits.Edit{
-			edits.New("sidecar/attempts.go", "a.until = t.now().Add(provenFor(deadline))", "a.until = t.now()"),
-			edits.New("sidecar/attempts.go", "return a.answer != nil || a.barred && !early", "return true"),
+			edits.New("sidecar/attempts.go", "a.retainUntil = t.now().Add(retentionPeriod(deadline))", "a.retainUntil = t.now()"),
+			edits.New("sidecar/attempts.go", "return a.result != nil || a.cancelled && !early", "return true"),
 		},
 		plan: silences, want: "twice",
 	},
