--- a/sidecar/attempts.go
+++ b/sidecar/attempts.go
@@ -96,13 +96,13 @@
 func (t *attempts) evict() {
 	now := t.now()
 	for len(t.byExpiry) > 0 {
-		next := t.byExpiry[0]
-		early := next.retainUntil > now
+		oldest := t.byExpiry[0]
+		early := oldest.retainUntil > now
 		if early && len(t.byExpiry) < maxRetainedAttempts {
 			return
 		}
-		if !next.canEvict(early) {
-			next.retainUntil = max(next.retainUntil, now).Add(retentionPastDeadline)
+		if !oldest.canEvict(early) {
+			oldest.retainUntil = max(oldest.retainUntil, now).Add(retentionPastDeadline)
 			heap.Fix(&t.byExpiry, 0)
 			if early {
 				return
@@ -110,17 +110,17 @@
 			continue
 		}
 		if early {
-			t.evictedUntil = max(t.evictedUntil, next.retainUntil)
+			t.evictedUntil = max(t.evictedUntil, oldest.retainUntil)
 		}
 		heap.Pop(&t.byExpiry)
-		delete(t.byKey, next.key)
+		delete(t.byKey, oldest.key)
 	}
 }
 
 // settle cancels an attempt that has not started, and returns its outcome. It waits for
 // an attempt that is running until that ends or the context does. Left is the time that
 // the attempt had until its deadline when it was sent.
-func (t *attempts) settle(ctx context.Context, key string, left time.Duration) *Answer {
+func (t *attempts) settle(ctx context.Context, key string, timeLeft time.Duration) *Answer {
 	t.mu.Lock()
 	a := t.byKey[key]
 	if a == nil {
@@ -129,7 +129,7 @@
 			t.mu.Unlock()
 			return unknown(outcome.ReasonConnectionLost)
 		}
-		a = t.add(key, left)
+		a = t.add(key, timeLeft)
 	}
 	t.mu.Unlock()
 	if a.cancel() {
@@ -188,11 +188,11 @@
 
 // finish stores the result of the attempt and wakes those that wait for it. Later results
 // are ignored.
-func (a *attempt) finish(answer *Answer) {
+func (a *attempt) finish(result *Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.result == nil {
-		a.result = answer
+		a.result = result
 		close(a.done)
 	}
 }
@@ -200,10 +200,10 @@
 // discardBody replaces a response that was sent to the entry by an unknown outcome, to
 // free its memory. If keep is set, a body of up to maxRetainedBody bytes is kept for a
 // later outcome query.
-func (a *attempt) discardBody(keep bool) {
+func (a *attempt) discardBody(keepSmall bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.result == nil || a.result.Outcome.Kind != outcome.Answered || keep && len(a.result.Body) <= maxRetainedBody {
+	if a.result == nil || a.result.Outcome.Kind != outcome.Answered || keepSmall && len(a.result.Body) <= maxRetainedBody {
 		return
 	}
 	a.result = unknown(outcome.ReasonConnectionLost)
--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -23,19 +23,19 @@
 	for name, c := range map[string]struct {
 		setUp func(t *testing.T, a *attempts)
 		want  outcome.Kind
-		// starts tells whether the attempt may start afterwards.
+		// mayStart tells whether the attempt may start after the outcome query.
 		mayStart bool
 	}{
-		"never came: it is withdrawn and will not start": {func(*testing.T, *attempts) {}, outcome.NotRun, false},
-		"waits: it is withdrawn":                         {func(_ *testing.T, a *attempts) { a.register("k", time.Second) }, outcome.NotRun, false},
-		"ended": {func(t *testing.T, a *attempts) {
-			at, _ := a.register("k", time.Second)
-			require.True(t, at.start())
-			at.finish(done)
+		"unknown attempt is cancelled before it arrives": {func(*testing.T, *attempts) {}, outcome.NotRun, false},
+		"waiting attempt is cancelled":                   {func(_ *testing.T, a *attempts) { a.register("k", time.Second) }, outcome.NotRun, false},
+		"completed attempt": {func(t *testing.T, a *attempts) {
+			attempt, _ := a.register("k", time.Second)
+			require.True(t, attempt.start())
+			attempt.finish(done)
 		}, outcome.Answered, true},
-		"refused": {func(_ *testing.T, a *attempts) {
-			at, _ := a.register("k", time.Second)
-			at.finish(notRun(outcome.ReasonQueueFull))
+		"rejected attempt": {func(_ *testing.T, a *attempts) {
+			attempt, _ := a.register("k", time.Second)
+			attempt.finish(notRun(outcome.ReasonQueueFull))
 		}, outcome.NotRun, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,9 +43,9 @@
 			c.setUp(t, a)
 			require.Equal(t, c.want, a.settle(t.Context(), "k", time.Second).Outcome.Kind)
 			if !c.mayStart {
-				at, known := a.register("k", time.Second)
+				attempt, known := a.register("k", time.Second)
 				require.True(t, known)
-				require.Equal(t, outcome.NotRun, at.duplicateResult().Outcome.Kind)
+				require.Equal(t, outcome.NotRun, attempt.duplicateResult().Outcome.Kind)
 			}
 		})
 	}
@@ -53,69 +53,72 @@
 
 func TestResolveWaitsForRunningAttempt(t *testing.T) {
 	a, _ := newTestAttempts()
-	at, _ := a.register("k", time.Second)
-	require.True(t, at.start())
+	attempt, _ := a.register("k", time.Second)
+	require.True(t, attempt.start())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.Equal(t, outcome.Unknown, a.settle(ctx, "k", time.Second).Outcome.Kind, "it runs: nothing is promised")
+	require.Equal(t, outcome.Unknown, a.settle(ctx, "k", time.Second).Outcome.Kind, "a running attempt has no outcome yet")
 	got := make(chan *Answer)
 	go func() { got <- a.settle(t.Context(), "k", time.Second) }()
-	at.finish(&Answer{Outcome: outcome.Done()})
+	attempt.finish(&Answer{Outcome: outcome.Done()})
 	require.Equal(t, outcome.Answered, (<-got).Outcome.Kind)
 }
 
-// TestForgottenAttemptsAreUnknown floods a guard: what it had to forget early it
-// no longer promises anything of. What runs or waits is never forgotten.
+// TestEvictedAttemptsAreUnknown fills the table beyond its limit. The outcome of an
+// attempt that was evicted early, or that may have been, is unknown. Attempts that run or
+// wait are never evicted.
 func TestEvictedAttemptsAreUnknown(t *testing.T) {
 	a, now := newTestAttempts()
-	first, _ := a.register("first", time.Second)
-	first.start()
-	first.finish(&Answer{Outcome: outcome.Done()})
-	runs, _ := a.register("runs", time.Second)
-	runs.start()
-	waits, _ := a.register("waits", time.Second)
+	completed, _ := a.register("first", time.Second)
+	completed.start()
+	completed.finish(&Answer{Outcome: outcome.Done()})
+	running, _ := a.register("runs", time.Second)
+	running.start()
+	waiting, _ := a.register("waits", time.Second)
 	for i := range 2 * maxRetainedAttempts {
 		*now = now.Add(time.Microsecond)
-		at, _ := a.register(fmt.Sprint(i), time.Second)
-		at.finish(&Answer{Outcome: outcome.Done()})
+		attempt, _ := a.register(fmt.Sprint(i), time.Second)
+		attempt.finish(&Answer{Outcome: outcome.Done()})
 	}
-	require.LessOrEqual(t, len(a.byExpiry), maxRetainedAttempts+2, "bounded")
+	require.LessOrEqual(t, len(a.byExpiry), maxRetainedAttempts+2, "the table is limited")
 	require.Len(t, a.byKey, len(a.byExpiry))
 	require.Equal(t, outcome.Unknown, a.settle(t.Context(), "first", time.Second).Outcome.Kind)
-	require.Equal(t, outcome.Unknown, a.settle(t.Context(), "never came", time.Second).Outcome.Kind)
-	require.False(t, runs.cancel(), "still known")
-	require.Same(t, waits, a.byKey["waits"])
-	runs.finish(&Answer{Outcome: outcome.Done()})
-	waits.finish(notRun(outcome.ReasonQueueFull))
+	require.Equal(t, outcome.Unknown, a.settle(t.Context(), "never received", time.Second).Outcome.Kind)
+	require.False(t, running.cancel(), "running attempts stay in the table")
+	require.Same(t, waiting, a.byKey["waits"])
+	running.finish(&Answer{Outcome: outcome.Done()})
+	waiting.finish(notRun(outcome.ReasonQueueFull))
 
 	*now = now.Add(3 * retentionPeriod(time.Second))
 	require.Equal(t, outcome.NotRun, a.settle(t.Context(), "later", time.Second).Outcome.Kind)
-	require.Len(t, a.byExpiry, 1, "old attempts are forgotten")
+	require.Len(t, a.byExpiry, 1, "expired attempts are removed")
 }
 
-// TestAttemptsAreKnownPastTheirDeadlines answers requests that may take long: nobody
-// who has one of them in hand may be told that it is not known, and so has not run.
+// TestAttemptsAreRetainedPastTheirDeadlines guards against requests with long deadlines
+// that run twice: if their attempts were evicted while the sender still waits, an outcome
+// query would report that they had not run.
 func TestAttemptsAreRetainedPastTheirDeadlines(t *testing.T) {
 	for name, c := range map[string]struct {
 		deadline time.Duration
-		// ends is when the attempt ends, if it does, asked when it is asked for.
+		// endsAfter is when the attempt ends, zero if it does not. QueriedAfter is when
+		// its outcome is queried.
 		endsAfter, queriedAfter time.Duration
 		want                    outcome.Kind
 	}{
-		"short":                          {time.Second, time.Second / 2, 10 * time.Second, outcome.Answered},
-		"long":                           {time.Minute, time.Second, 59 * time.Second, outcome.Answered},
-		"long, and its sender is late":   {time.Minute, time.Second, 69 * time.Second, outcome.Answered},
-		"runs for longer than it should": {time.Second, 0, time.Hour, outcome.Unknown},
+		"short deadline":                        {time.Second, time.Second / 2, 10 * time.Second, outcome.Answered},
+		"long deadline":                         {time.Minute, time.Second, 59 * time.Second, outcome.Answered},
+		"long deadline, late query":             {time.Minute, time.Second, 69 * time.Second, outcome.Answered},
+		"still running long after the deadline": {time.Second, 0, time.Hour, outcome.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, now := newTestAttempts()
-			at, _ := a.register("k", c.deadline)
-			require.True(t, at.start())
+			attempt, _ := a.register("k", c.deadline)
+			require.True(t, attempt.start())
 			for end := now.Add(c.queriedAfter); *now < end; *now = now.Add(500 * time.Millisecond) {
 				if c.endsAfter > 0 && *now >= model.Instant(c.endsAfter) {
-					at.finish(&Answer{Outcome: outcome.Done()})
+					attempt.finish(&Answer{Outcome: outcome.Done()})
 				}
-				// Others come all the while.
+				// Other attempts are registered all the time.
 				other, _ := a.register(fmt.Sprint(*now), time.Second)
 				other.finish(&Answer{Outcome: outcome.Done()})
 			}
@@ -126,30 +129,31 @@
 	}
 }
 
-// TestBarredAttemptsStayBarred has a call come after its guard has said that it never
-// came, late but within its time.
+// TestCancelledAttemptsStayCancelled lets a call arrive shortly before its deadline,
+// after an outcome query has reported that it has not run.
 func TestCancelledAttemptsStayCancelled(t *testing.T) {
 	a, now := newTestAttempts()
 	require.Equal(t, outcome.NotRun, a.settle(t.Context(), "k", time.Minute).Outcome.Kind)
 	for i := range 2 * maxRetainedAttempts {
-		at, _ := a.register(fmt.Sprint(i), time.Second)
-		at.finish(&Answer{Outcome: outcome.Done()})
+		attempt, _ := a.register(fmt.Sprint(i), time.Second)
+		attempt.finish(&Answer{Outcome: outcome.Done()})
 	}
 	*now = now.Add(time.Minute)
-	at, known := a.register("k", time.Minute)
+	attempt, known := a.register("k", time.Minute)
 	require.True(t, known)
-	require.False(t, at.start())
+	require.False(t, attempt.start())
 }
 
-// TestSuspendedSendersTakeNothingAsProof suspends the VM of a sender: by its own clock
-// hardly any time has passed, while the guard has long forgotten the call.
+// TestProofOfNotRunExpiresDuringSuspension suspends the VM of a sender. By the monotonic
+// clock of the sender hardly any time has passed, but the guard evicted the attempt long
+// ago.
 func TestProofOfNotRunExpiresDuringSuspension(t *testing.T) {
 	for name, c := range map[string]struct {
 		elapsed time.Duration
 		want    outcome.Kind
 	}{
-		"within the guard's memory": {retentionPeriod(time.Second), outcome.NotRun},
-		"past it":                   {retentionPeriod(time.Second) + 1, outcome.Unknown},
+		"within the retention period": {retentionPeriod(time.Second), outcome.NotRun},
+		"after the retention period":  {retentionPeriod(time.Second) + 1, outcome.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := &entry{bootClock: func() time.Duration { return time.Hour + c.elapsed }}
@@ -159,42 +163,43 @@
 	}
 }
 
-// TestWithdrawnNeverStarts draws any order of a start and a withdrawal.
+// TestCancelledAttemptNeverStarts interleaves starts and cancellations of an attempt in
+// random order.
 func TestCancelledAttemptNeverStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, _ := newTestAttempts()
-		at, _ := a.register("k", time.Second)
-		started, withdrawn := false, false
+		attempt, _ := a.register("k", time.Second)
+		started, cancelled := false, false
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 1), 1, 6).Draw(t, "steps") {
 			if step == 0 && !started {
-				started = at.start()
+				started = attempt.start()
 			} else if step == 1 {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Nanosecond)
-				withdrawn = a.settle(ctx, "k", time.Second).Outcome.Kind == outcome.NotRun || withdrawn
+				cancelled = a.settle(ctx, "k", time.Second).Outcome.Kind == outcome.NotRun || cancelled
 				cancel()
 			}
-			require.False(t, started && withdrawn)
+			require.False(t, started && cancelled)
 		}
 	})
 }
 
-// TestLargeAnswersAreNotKept bounds the memory that remembered answers take.
+// TestLargeResponsesAreNotRetained checks that large responses do not stay in memory.
 func TestLargeResponsesAreNotRetained(t *testing.T) {
 	for name, c := range map[string]struct {
-		size int
-		keep bool
-		want outcome.Kind
+		size      int
+		keepSmall bool
+		want      outcome.Kind
 	}{
-		"small, may be asked for": {10, true, outcome.Answered},
-		"small, nobody will ask":  {10, false, outcome.Unknown},
-		"large":                   {maxRetainedBody + 1, true, outcome.Unknown},
+		"small, outcome may be queried": {10, true, outcome.Answered},
+		"small, outcome is not queried": {10, false, outcome.Unknown},
+		"large":                         {maxRetainedBody + 1, true, outcome.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, _ := newTestAttempts()
-			at, _ := a.register("k", time.Second)
-			at.start()
-			at.finish(&Answer{Outcome: outcome.Done(), Body: make([]byte, c.size)})
-			at.discardBody(c.keep)
+			attempt, _ := a.register("k", time.Second)
+			attempt.start()
+			attempt.finish(&Answer{Outcome: outcome.Done(), Body: make([]byte, c.size)})
+			attempt.discardBody(c.keepSmall)
 			require.Equal(t, c.want, a.settle(t.Context(), "k", time.Second).Outcome.Kind)
 		})
 	}
--- a/sidecar/bodies.go
+++ b/sidecar/bodies.go
@@ -17,19 +17,19 @@
 // defaultBodyBytes is the limit if the options set none.
 const defaultBodyBytes = 64 << 20
 
-func newBodies(most int64) *bodies {
-	if most <= 0 {
-		most = defaultBodyBytes
+func newBodies(limit int64) *bodies {
+	if limit <= 0 {
+		limit = defaultBodyBytes
 	}
-	return &bodies{limit: most}
+	return &bodies{limit: limit}
 }
 
 var (
 	// errNoRoom is returned when the buffered bodies leave too little memory for another
 	// one.
-	errNoRoom = errors.New("no memory for another request body")
+	errNoRoom = errors.New("not enough memory for another request body")
 	// errTooLarge is returned for a body that alone exceeds the limit.
-	errTooLarge = errors.New("request body is larger than the memory for all of them")
+	errTooLarge = errors.New("request body exceeds the memory limit for all bodies")
 )
 
 // bufferedBody is a request body and the memory that is accounted for it.
@@ -41,10 +41,10 @@
 
 // read reads a whole body. If the body exceeds the limit, it returns errNoRoom or
 // errTooLarge and accounts no memory for it.
-func (b *bodies) read(from io.Reader) (*bufferedBody, error) {
+func (b *bodies) read(source io.Reader) (*bufferedBody, error) {
 	h := &bufferedBody{limiter: b}
 	var err error
-	h.bytes, err = io.ReadAll(&limitedReader{h, from})
+	h.bytes, err = io.ReadAll(&limitedReader{h, source})
 	if err != nil {
 		h.release()
 		return nil, err
@@ -65,17 +65,17 @@
 // is exceeded.
 type limitedReader struct {
 	*bufferedBody
-	from io.Reader
+	source io.Reader
 }
 
 func (h *limitedReader) Read(p []byte) (int, error) {
-	n, err := h.from.Read(p)
+	n, err := h.source.Read(p)
 	h.size += int64(n)
-	held := h.limiter.used.Add(int64(n))
+	used := h.limiter.used.Add(int64(n))
 	switch {
 	case h.size > h.limiter.limit:
 		return 0, errTooLarge
-	case held > h.limiter.limit:
+	case used > h.limiter.limit:
 		return 0, errNoRoom
 	}
 	return n, err
--- a/sidecar/bodies_test.go
+++ b/sidecar/bodies_test.go
@@ -18,7 +18,7 @@
 	_, err = b.read(iotest.OneByteReader(strings.NewReader("12345")))
 	require.ErrorIs(t, err, errNoRoom)
 	second, err := b.read(strings.NewReader("1234"))
-	require.NoError(t, err, "what was refused takes no room")
+	require.NoError(t, err, "a rejected body takes no memory")
 	first.release()
 	first.release()
 	second.release()
@@ -29,24 +29,25 @@
 	require.Zero(t, b.used.Load())
 }
 
-// TestRequestsWithoutRoomAreRefused fills the room of an entry and of a guard.
+// TestRequestsBeyondBodyMemoryAreRefused exhausts the body memory of the daemon of the
+// caller, then that of the daemon of the upstream.
 func TestRequestsBeyondBodyMemoryAreRefused(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
-	const room = 100
-	a.bodies.limit = room
-	a.bodies.used.Store(room - 1)
-	resp, text := a.ask(t, http.MethodPost, "/unsafe/", "pay")
+	const limit = 100
+	a.bodies.limit = limit
+	a.bodies.used.Store(limit - 1)
+	resp, body := a.ask(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.Equal(t, "no-memory\n", text)
+	require.Equal(t, "no-memory\n", body)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	a.bodies.used.Store(0)
-	resp, _ = a.ask(t, http.MethodPost, "/unsafe/", strings.Repeat("x", room+1))
+	resp, _ = a.ask(t, http.MethodPost, "/unsafe/", strings.Repeat("x", limit+1))
 	require.Equal(t, http.StatusRequestEntityTooLarge, resp.StatusCode)
 
-	b.bodies.limit = room
-	b.bodies.used.Store(room - 1)
+	b.bodies.limit = limit
+	b.bodies.used.Store(limit - 1)
 	resp, _ = a.ask(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Empty(t, b.up.requests())
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -110,35 +110,35 @@
 }
 
 // Error returns the name of the field and the value.
-func (e *FieldError) Error() string { return fmt.Sprintf("%s: cannot read %q", e.Field, e.Value) }
+func (e *FieldError) Error() string { return fmt.Sprintf("%s: cannot parse %q", e.Field, e.Value) }
 
 // decodeCall parses the output of Call.encode.
 func decodeCall(s string) (*Call, error) {
-	f := strings.Split(s, " ")
-	if len(f) != callFieldCount {
+	fields := strings.Split(s, " ")
+	if len(fields) != callFieldCount {
 		return nil, &FieldError{Field: "call", Value: s}
 	}
-	n, err := numbers(f[1], f[5], f[7], f[8], f[9], f[10], f[11], f[12])
+	ints, err := numbers(fields[1], fields[5], fields[7], fields[8], fields[9], fields[10], fields[11], fields[12])
 	if err != nil {
 		return nil, err
 	}
-	idempotent, err := strconv.ParseBool(f[6])
-	if err != nil || f[0] == "" || f[2] == "" || f[4] == "" {
+	idempotent, err := strconv.ParseBool(fields[6])
+	if err != nil || fields[0] == "" || fields[2] == "" || fields[4] == "" {
 		return nil, &FieldError{Field: "call", Value: s}
 	}
 	return &Call{
-		ID:           f[0],
-		AttemptIndex: int(n[0]),
-		Service:      model.ServiceName(f[2]),
-		Caller:       model.ServiceName(f[3]),
-		Upstream:     lifecycle.Incarnation{ID: model.UpstreamID(f[4]), Born: n[1]},
+		ID:           fields[0],
+		AttemptIndex: int(ints[0]),
+		Service:      model.ServiceName(fields[2]),
+		Caller:       model.ServiceName(fields[3]),
+		Upstream:     lifecycle.Incarnation{ID: model.UpstreamID(fields[4]), Born: ints[1]},
 		Idempotent:   idempotent,
-		Rank:         int(n[2]),
-		Kind:         slots.Kind(n[7]),
-		ServiceTime:  time.Duration(n[3]) * time.Microsecond,
-		TimeToTarget: time.Duration(n[4]) * time.Millisecond,
-		Deadline:     time.Duration(n[5]) * time.Millisecond,
-		Alternative:  time.Duration(n[6]) * time.Millisecond,
+		Rank:         int(ints[2]),
+		Kind:         slots.Kind(ints[7]),
+		ServiceTime:  time.Duration(ints[3]) * time.Microsecond,
+		TimeToTarget: time.Duration(ints[4]) * time.Millisecond,
+		Deadline:     time.Duration(ints[5]) * time.Millisecond,
+		Alternative:  time.Duration(ints[6]) * time.Millisecond,
 	}, nil
 }
 
@@ -147,17 +147,17 @@
 
 // encode returns the fields of the result that are not part of the HTTP response itself.
 func (a *Answer) encode() string {
-	l := placement.Load{}
+	load := placement.Load{}
 	if a.Load != nil {
-		l = *a.Load
+		load = *a.Load
 	}
 	reason := string(a.Outcome.Reason)
 	if reason == "" {
 		reason = "-"
 	}
 	return fmt.Sprintf("%s %s %t %d %d %d %d %d %d %d %d/%d",
-		a.Outcome.Kind, reason, a.Arrived, l.Running, l.Waiting, l.Limit,
-		int(l.Slow*ratioScale), l.SlowAge.Milliseconds(), int(l.Failing*ratioScale), int(a.CallsPerRun*ratioScale), a.ServiceTime.Microseconds(), a.Version)
+		a.Outcome.Kind, reason, a.Arrived, load.Running, load.Waiting, load.Limit,
+		int(load.Slow*ratioScale), load.SlowAge.Milliseconds(), int(load.Failing*ratioScale), int(a.CallsPerRun*ratioScale), a.ServiceTime.Microseconds(), a.Version)
 }
 
 // ratioScale is the factor by which ratios are multiplied before they are encoded as
@@ -166,35 +166,35 @@
 
 // decodeAnswer parses the output of Answer.encode.
 func decodeAnswer(s string) (*Answer, error) {
-	f := strings.Split(s, " ")
-	if len(f) != resultFieldCount {
+	fields := strings.Split(s, " ")
+	if len(fields) != resultFieldCount {
 		return nil, &FieldError{Field: "answer", Value: s}
 	}
-	kind, ok := outcome.ParseKind(f[0])
-	arrived, err := strconv.ParseBool(f[2])
-	work, version, cut := strings.Cut(f[10], "/")
-	if !ok || err != nil || !cut {
+	kind, ok := outcome.ParseKind(fields[0])
+	arrived, err := strconv.ParseBool(fields[2])
+	serviceTime, version, found := strings.Cut(fields[10], "/")
+	if !ok || err != nil || !found {
 		return nil, &FieldError{Field: "answer", Value: s}
 	}
-	n, err := numbers(f[3], f[4], f[5], f[6], f[7], f[8], work, version, f[9])
+	ints, err := numbers(fields[3], fields[4], fields[5], fields[6], fields[7], fields[8], serviceTime, version, fields[9])
 	if err != nil {
 		return nil, err
 	}
 	a := &Answer{
 		Outcome:     outcome.Outcome{Kind: kind},
 		Arrived:     arrived,
-		ServiceTime: time.Duration(n[6]) * time.Microsecond,
-		Version:     model.Version(n[7]),
-		CallsPerRun: float64(n[8]) / ratioScale,
+		ServiceTime: time.Duration(ints[6]) * time.Microsecond,
+		Version:     model.Version(ints[7]),
+		CallsPerRun: float64(ints[8]) / ratioScale,
 	}
-	if f[1] != "-" {
-		a.Outcome.Reason = outcome.Reason(f[1])
+	if fields[1] != "-" {
+		a.Outcome.Reason = outcome.Reason(fields[1])
 	}
-	if n[2] > 0 {
+	if ints[2] > 0 {
 		a.Load = &placement.Load{
-			Running: int(n[0]), Waiting: int(n[1]), Limit: int(n[2]),
-			Slow: float64(n[3]) / ratioScale, SlowAge: time.Duration(n[4]) * time.Millisecond,
-			Failing: float64(n[5]) / ratioScale,
+			Running: int(ints[0]), Waiting: int(ints[1]), Limit: int(ints[2]),
+			Slow: float64(ints[3]) / ratioScale, SlowAge: time.Duration(ints[4]) * time.Millisecond,
+			Failing: float64(ints[5]) / ratioScale,
 		}
 	}
 	return a, nil
--- a/sidecar/call_test.go
+++ b/sidecar/call_test.go
@@ -14,20 +14,21 @@
 	"github.com/dottereltiller/dottereltiller/core/slots"
 )
 
-// TestCallsArriveAsSent encodes calls of any fields, times in the units of the wire.
+// TestCallEncodingRoundTrip encodes and decodes calls with random fields. Durations are
+// multiples of a millisecond, the coarsest unit of the encoding.
 func TestCallEncodingRoundTrip(t *testing.T) {
 	name := rapid.StringMatching(`[!-~]{1,20}`)
 	millis := rapid.Map(rapid.Int64Range(0, 100_000), func(n int64) time.Duration { return time.Duration(n) * time.Millisecond })
 	rapid.Check(t, func(t *rapid.T) {
 		want := &Call{
-			ID: name.Draw(t, "id"), AttemptIndex: rapid.IntRange(0, 9).Draw(t, "send"),
+			ID: name.Draw(t, "id"), AttemptIndex: rapid.IntRange(0, 9).Draw(t, "attempt index"),
 			Service: model.ServiceName(name.Draw(t, "service")), Caller: model.ServiceName(name.Draw(t, "caller")),
 			Upstream: lifecycle.Incarnation{
 				ID: model.UpstreamID(name.Draw(t, "upstream")), Born: rapid.Int64Min(0).Draw(t, "born"),
 			},
 			Idempotent: rapid.Bool().Draw(t, "idempotent"), Rank: rapid.IntRange(0, 9).Draw(t, "rank"),
 			Kind:        slots.Kind(rapid.Uint16().Draw(t, "kind")),
-			ServiceTime: millis.Draw(t, "work"), TimeToTarget: millis.Draw(t, "within"),
+			ServiceTime: millis.Draw(t, "service time"), TimeToTarget: millis.Draw(t, "time to target"),
 			Deadline: millis.Draw(t, "deadline"), Alternative: millis.Draw(t, "alternative"),
 		}
 		got, err := decodeCall(want.encode())
@@ -46,10 +47,10 @@
 	for name, s := range map[string]string{
 		"empty":           "",
 		"a field missing": good[:strings.LastIndex(good, " ")],
-		"one too many":    good + " 1",
-		"no id":           fields(func(f []string) { f[0] = "" }),
-		"no number":       fields(func(f []string) { f[7] = "first" }),
-		"no truth value":  fields(func(f []string) { f[6] = "maybe" }),
+		"an extra field":  good + " 1",
+		"empty id":        fields(func(f []string) { f[0] = "" }),
+		"not a number":    fields(func(f []string) { f[7] = "first" }),
+		"not a boolean":   fields(func(f []string) { f[6] = "maybe" }),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := decodeCall(s)
@@ -59,8 +60,9 @@
 	}
 }
 
-// TestRoutesAreKinds tells requests of different routes apart, alike at all daemons.
-func TestRoutesAreKinds(t *testing.T) {
+// TestRoutesAreKinds checks that routes have different kinds, and that the kind depends
+// only on the name of the route and so is the same on all daemons.
+func TestKindOfRoute(t *testing.T) {
 	lookup, book := &route.Route{Name: "lookup", Rank: 1}, &route.Route{Name: "book", Rank: 1}
 	require.NotEqual(t, kindOf(lookup), kindOf(book))
 	require.Equal(t, kindOf(lookup), kindOf(&route.Route{Name: "lookup"}))
--- a/sidecar/candidates.go
+++ b/sidecar/candidates.go
@@ -11,21 +11,21 @@
 
 // candidates returns the ready upstreams of a service, including the local upstream, and
 // the endpoint of each by its key.
-func (p *peers) candidates(s model.ServiceName) ([]placement.Upstream, map[string]endpoint) {
+func (p *peers) candidates(service model.ServiceName) ([]placement.Upstream, map[string]endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var ups []placement.Upstream
-	targets := make(map[string]endpoint)
-	add := func(r *Record, cold model.Instant) {
-		if r.Service != s || r.State != lifecycle.Ready {
+	var upstreams []placement.Upstream
+	endpoints := make(map[string]endpoint)
+	add := func(r *Record, coldUntil model.Instant) {
+		if r.Service != service || r.State != lifecycle.Ready {
 			return
 		}
 		up := placement.Upstream{
 			Key: upstreamKey(r.Address, r.Upstream.ID), Daemon: model.DaemonID(r.Address),
-			Zone: r.Zone, Slots: r.Slots, ColdUntil: cold, Stopping: r.Stopping,
+			Zone: r.Zone, Slots: r.Slots, ColdUntil: coldUntil, Stopping: r.Stopping,
 		}
-		ups = append(ups, up)
-		targets[up.Key] = endpoint{address: r.Address, daemonIncarnation: r.Incarnation, upstream: r.Upstream}
+		upstreams = append(upstreams, up)
+		endpoints[up.Key] = endpoint{address: r.Address, daemonIncarnation: r.Incarnation, upstream: r.Upstream}
 	}
 	add(&p.own, 0)
 	for _, q := range p.all {
@@ -33,8 +33,8 @@
 			add(&q.record, q.coldUntil)
 		}
 	}
-	slices.SortFunc(ups, func(a, b placement.Upstream) int { return strings.Compare(a.Key, b.Key) })
-	return ups, targets
+	slices.SortFunc(upstreams, func(a, b placement.Upstream) int { return strings.Compare(a.Key, b.Key) })
+	return upstreams, endpoints
 }
 
 // currentGeneration returns a counter that changes whenever the result of candidates may
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -12,8 +12,8 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// The benchmarks of this file give the slopes of docs/CAPACITY.md: what a daemon holds
-// and sends for each other daemon, candidate and route.
+// The benchmarks in this file provide the values of docs/CAPACITY.md: what a daemon
+// stores and sends per other daemon, per candidate and per route.
 
 func recordOf(i int) Record {
 	return Record{
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -50,25 +50,25 @@
 // guard may be too far away to reply in time: the round-trip time to its zone exceeds the
 // wait, or it is in a remote zone and has never replied. r.s.mu is held on entry and on
 // return, but released in between.
-func (r *race) inquire(ask placement.Ask, near bool, most int, wait time.Duration) {
+func (r *race) inquire(ask placement.Ask, local bool, maxQueries int, timeout time.Duration) {
 	now := r.e.daemon.now()
-	ups := r.s.placer.ToAsk(now, ask, near, placement.AskAge, most)
-	if len(ups) == 0 || len(ups) == 1 && r.s.placer.Len() == 1 {
+	upstreams := r.s.placer.ToAsk(now, ask, local, placement.AskAge, maxQueries)
+	if len(upstreams) == 0 || len(upstreams) == 1 && r.s.placer.Len() == 1 {
 		return
 	}
-	far := r.s.placer.Beyond(wait)
+	beyondTimeout := r.s.placer.Beyond(timeout)
 	r.s.mu.Unlock()
-	got := r.e.daemon.datagrams.ask(inquiry{
-		ups: ups, rank: r.req.route.Rank, kind: kindOf(r.req.route),
-		wait: wait, late: r.s.lateLoadHandler(r.e.daemon.now), tooFar: func(u placement.Upstream) bool { return far[u.Zone] },
+	replies := r.e.daemon.datagrams.ask(inquiry{
+		ups: upstreams, rank: r.req.route.Rank, kind: kindOf(r.req.route),
+		wait: timeout, late: r.s.lateLoadHandler(r.e.daemon.now), tooFar: func(u placement.Upstream) bool { return beyondTimeout[u.Zone] },
 	})
 	r.s.mu.Lock()
 	now = r.e.daemon.now()
-	for _, up := range ups {
-		if h, ok := got[up.Key]; ok {
+	for _, up := range upstreams {
+		if h, ok := replies[up.Key]; ok {
 			r.s.recordLoad(now, h)
 			r.s.answered[up.Key] = true
-		} else if !far[up.Zone] && (near || r.s.answered[up.Key]) {
+		} else if !beyondTimeout[up.Zone] && (local || r.s.answered[up.Key]) {
 			r.s.placer.Unreachable(now, up.Key)
 			r.e.daemon.peers.verifyReachable(string(up.Daemon))
 		}
--- a/sidecar/correction_test.go
+++ b/sidecar/correction_test.go
@@ -13,13 +13,14 @@
 	"github.com/dottereltiller/dottereltiller/core/placement"
 )
 
-// The tests of this file set what a daemon believes to its worst, and have ordinary load
-// come. A belief that has requests refused must not need those to be corrected.
+// The tests in this file give a daemon the worst wrong state that it can have, and then
+// send it ordinary load. A wrong state that causes requests to be refused must be
+// corrected even though no request runs.
 
-// correctedWithin is how long a wrong belief may last.
+// correctedWithin is how long a wrong state may last.
 const correctedWithin = 5 * time.Second
 
-// newIdleGuard returns a guard that keeps time by now and whose upstream is not asked.
+// newIdleGuard returns a guard that uses the given clock and sends no health checks.
 func newIdleGuard(now *model.Instant) *guard {
 	g := newGuard(&Options{Tunables: Tunables{Service: "b"}}, func() model.Instant { return *now }, newMetrics(nil))
 	g.version = func() model.Version { return 1 }
@@ -29,7 +30,7 @@
 	return g
 }
 
-// ordinary is a call with enough time.
+// ordinary returns a call with enough time until its deadline.
 func ordinary() *Call {
 	return &Call{
 		ID: "x", Method: http.MethodGet, Service: "b", Upstream: lifecycle.Incarnation{ID: "b1", Born: 1}, Idempotent: true,
@@ -40,24 +41,24 @@
 func TestWrongUpstreamStateIsCorrected(t *testing.T) {
 	for name, c := range map[string]struct {
 		corrupt func(g *guard)
-		// right reports whether the belief is as it should be.
+		// corrected reports whether the state is correct again.
 		corrected func(g *guard) bool
 	}{
-		"one slot, as nobody told them": {
+		"one slot, as the number was not reported": {
 			func(g *guard) {
 				g.report(lifecycle.Report{Incarnation: lifecycle.Incarnation{ID: "b1"}, State: lifecycle.Ready, Service: "b"}, "health answer")
 			},
 			func(g *guard) bool { return g.queue.Limit() == placement.LimitOf(14) },
 		},
-		"very slow": {
+		"very high slowdown": {
 			func(g *guard) { g.slowdown, g.slowdownAt, g.slowdownReported = 100, g.now(), true },
 			func(g *guard) bool {
-				id, _, refused := g.enqueue(ordinary())
+				id, _, rejected := g.enqueue(ordinary())
 				_ = g.cancelWaiting(id)
-				return refused == nil && !g.wouldDrop()
+				return rejected == nil && !g.wouldDrop()
 			},
 		},
-		"fails everything": {
+		"failure rate of 1": {
 			func(g *guard) {
 				for range 100 {
 					g.failures.Count(g.now(), true)
@@ -82,7 +83,8 @@
 	}
 }
 
-// hopeless reports whether the queue would drop an ordinary call.
+// wouldDrop reports whether the queue would drop an ordinary call because its deadline is
+// unreachable.
 func (g *guard) wouldDrop() bool {
 	c := ordinary()
 	g.mu.Lock()
@@ -90,8 +92,9 @@
 	return time.Duration(g.currentSlowdown()*float64(c.ServiceTime)/2) >= c.Deadline
 }
 
-// TestWorkThatWasLearnedOfColdUpstreams is above every deadline. Without an answer it
-// stays as it is, but requests are sent again.
+// TestWrongServiceTimeIsCorrected sets service times above every deadline, as they may be
+// measured on upstreams that have just started. Only a response corrects a service time,
+// so requests must be sent nevertheless.
 func TestWrongServiceTimeIsCorrected(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, _ := join(t, s, "a", "a1"), join(t, s, "b", "b1")
@@ -100,27 +103,28 @@
 		a.entry.recordServiceTime("safe", time.Hour)
 		a.entry.recordServiceTime("unsafe", time.Hour)
 	}
-	eventually(t, "served again", func() bool {
+	eventually(t, "requests are served again", func() bool {
 		safe, _ := a.get(t, "/safe/")
 		unsafe, _ := a.post(t, "/unsafe/")
 		return safe == http.StatusOK && unsafe == http.StatusOK
 	})
 }
 
-// TestSlotsThatAreNotTold has a daemon start beside an upstream that runs already and
-// does not tell its slots: what others know of it is used until it reports.
+// TestSlotsOfUpstreamThatDoesNotReportThem starts a daemon after its upstream, and the
+// upstream does not report its slots. Until it does, the number comes from the records of
+// other daemons.
 func TestSlotsOfUpstreamThatDoesNotReportThem(t *testing.T) {
-	i := lifecycle.Incarnation{ID: "b1", Born: 1}
+	local := lifecycle.Incarnation{ID: "b1", Born: 1}
 	other := Record{Address: "other", Incarnation: 1, Sequence: 1, Service: "b", Slots: 6}
-	before := Record{Address: "own", Incarnation: 1, Sequence: 1, Service: "b", Upstream: i, Slots: 14}
+	previous := Record{Address: "own", Incarnation: 1, Sequence: 1, Service: "b", Upstream: local, Slots: 14}
 	for name, c := range map[string]struct {
 		known []Record
 		want  int
 	}{
-		"nobody knows":                 {nil, 0},
-		"others of the service do":     {[]Record{other}, 6},
-		"the daemon before did":        {[]Record{before, other}, 14},
-		"the one before had another's": {[]Record{{Address: "own", Incarnation: 1, Sequence: 1, Service: "c", Upstream: lifecycle.Incarnation{ID: "c1"}, Slots: 99}, other}, 6},
+		"no daemon has a number":                             {nil, 0},
+		"number of another upstream of the service":          {[]Record{other}, 6},
+		"number that the previous daemon at the address had": {[]Record{previous, other}, 14},
+		"previous daemon had a different upstream":           {[]Record{{Address: "own", Incarnation: 1, Sequence: 1, Service: "c", Upstream: lifecycle.Incarnation{ID: "c1"}, Slots: 99}, other}, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPeers(Record{Address: "own", Incarnation: 2, Sequence: 1, Service: "b"}, func() model.Instant { return 0 }, nil)
@@ -131,7 +135,8 @@
 	}
 }
 
-// TestAvoidanceIsShort passes an upstream over that could not be reached.
+// TestUnreachableUpstreamIsTriedAgain checks that an upstream that was unreachable is
+// avoided only for a short time.
 func TestUnreachableUpstreamIsTriedAgain(t *testing.T) {
 	p := placement.New(placement.Options{Zone: "z"})
 	p.Set([]placement.Upstream{{Key: "a", Zone: "z", Slots: 6}, {Key: "b", Zone: "z", Slots: 1}})
@@ -146,7 +151,8 @@
 	}
 }
 
-// TestBudgetInUsePasses takes all re-sends. Their span over, there are some again.
+// TestRetryBudgetRecoversAfterItsSpan exhausts the retry budget. When the span of the
+// budget has passed, retries are allowed again.
 func TestRetryBudgetRecoversAfterItsSpan(t *testing.T) {
 	b := ResendBudget{Ratio: 0.2, Slack: 50, Span: 10 * time.Second}
 	r := newRetryLimiter(b)
@@ -158,30 +164,30 @@
 	require.True(t, r.take(now, 1, 2, 1))
 }
 
-// cancelled returns a context that has ended, so that nothing is sent.
+// cancelledContext returns a cancelled context, with which peers send nothing.
 func cancelledContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	return ctx
 }
 
-// TestLostDaemonsAreLookedFor cuts two regions from each other for minutes. Neither side
-// starts anew, so each must look for the other.
+// TestUnreachableDaemonsAreRetried disconnects two regions for minutes. No daemon
+// restarts and announces itself afterwards, so each must keep trying to reach the others.
 func TestUnreachableDaemonsAreRetried(t *testing.T) {
 	var now model.Instant
 	p := newPeers(Record{Address: "own", Incarnation: 1, Sequence: 1}, func() model.Instant { return now }, nil)
 	p.ctx = cancelledContext(t)
-	p.merge([]Record{{Address: "far", Incarnation: 1, Sequence: 1, Service: "b", State: lifecycle.Ready}})
-	q := p.all["far"]
+	p.merge([]Record{{Address: "remote", Incarnation: 1, Sequence: 1, Service: "b", State: lifecycle.Ready}})
+	remote := p.all["remote"]
 	for _, c := range []struct {
 		lostFor  time.Duration
 		retry    bool
 		maxDelay time.Duration
 	}{{0, true, maxPause}, {30 * time.Second, true, maxPause}, {20 * time.Minute, true, lookPause}, {2 * time.Hour, false, 0}} {
 		now = model.Instant(c.lostFor)
-		again, most := p.unsynced(q, errNotAcknowledged)
-		require.Equal(t, c.retry, again, c.lostFor)
-		require.Equal(t, c.maxDelay, most, c.lostFor)
+		retry, maxDelay := p.unsynced(remote, errNotAcknowledged)
+		require.Equal(t, c.retry, retry, c.lostFor)
+		require.Equal(t, c.maxDelay, maxDelay, c.lostFor)
 	}
 	require.Empty(t, p.all)
 }
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -110,8 +110,8 @@
 	c.reportRuns(c.removeRuns(i, longestBurst))
 }
 
-func (c *crashes) reportRuns(ran []lostRun) {
-	for _, r := range ran {
+func (c *crashes) reportRuns(runs []lostRun) {
+	for _, r := range runs {
 		c.crashed(r)
 	}
 }
@@ -125,13 +125,13 @@
 }
 
 // lastBurst picks the burst to report for an upstream that is down now.
-func lastBurst(all []burst) burst { return all[len(all)-1] }
+func lastBurst(bursts []burst) burst { return bursts[len(bursts)-1] }
 
 // longestBurst picks the burst to report for an upstream that has restarted: the one with
 // the longest silence, the latest of several equal ones.
-func longestBurst(all []burst) burst {
-	longest := all[0]
-	for _, b := range all[1:] {
+func longestBurst(bursts []burst) burst {
+	longest := bursts[0]
+	for _, b := range bursts[1:] {
 		if b.silence >= longest.silence {
 			longest = b
 		}
@@ -144,48 +144,48 @@
 func (c *crashes) removeRuns(i lifecycle.Incarnation, pick func([]burst) burst) []lostRun {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var of, kept []lostRun
+	var matching, remaining []lostRun
 	for _, r := range c.lostRuns {
 		if r.upstream == i {
-			of = append(of, r)
+			matching = append(matching, r)
 		} else {
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 		}
 	}
-	c.lostRuns = kept
-	var all []burst
-	for len(of) > 0 {
-		b := c.firstBurst(of)
-		all = append(all, b)
-		of = of[len(b.runs):]
+	c.lostRuns = remaining
+	var bursts []burst
+	for len(matching) > 0 {
+		b := c.firstBurst(matching)
+		bursts = append(bursts, b)
+		matching = matching[len(b.runs):]
 	}
-	if len(kept) == 0 {
+	if len(remaining) == 0 {
 		c.respondedAt = nil
 	}
-	if len(all) == 0 {
+	if len(bursts) == 0 {
 		return nil
 	}
-	return pick(all).runs
+	return pick(bursts).runs
 }
 
 // firstBurst returns the burst at the beginning of a list of lost runs. c.mu is held.
-func (c *crashes) firstBurst(of []lostRun) burst {
-	until := c.now()
+func (c *crashes) firstBurst(runs []lostRun) burst {
+	silenceEnd := c.now()
 	for _, at := range c.respondedAt {
-		if at > of[0].lostAt {
-			until = at
+		if at > runs[0].lostAt {
+			silenceEnd = at
 			break
 		}
 	}
 	n := 1
-	for n < len(of) && of[n].lostAt <= until && of[n].lostAt.Sub(of[n-1].lostAt) <= maxBurstGap {
+	for n < len(runs) && runs[n].lostAt <= silenceEnd && runs[n].lostAt.Sub(runs[n-1].lostAt) <= maxBurstGap {
 		n++
 	}
-	if n < len(of) && of[n].lostAt <= until {
+	if n < len(runs) && runs[n].lostAt <= silenceEnd {
 		// Further runs were lost before the next response. The upstream is assumed to
 		// have been down from the later losses on, so the silence of this burst ends with
 		// its last run.
-		until = of[n-1].lostAt
+		silenceEnd = runs[n-1].lostAt
 	}
-	return burst{runs: of[:n], silence: until.Sub(of[0].lostAt)}
+	return burst{runs: runs[:n], silence: silenceEnd.Sub(runs[0].lostAt)}
 }
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -100,8 +100,8 @@
 	defer func() { req.buffer.release() }()
 	refused := e.classify(req, attempt)
 	if refused == nil && e.daemon.stopping.Load() {
-		left := req.deadline.Sub(req.began)
-		refused = e.daemon.guard.refuseIfTooLong(e.serviceTimeOf(req.route.Name, left), left)
+		timeLeft := req.deadline.Sub(req.began)
+		refused = e.daemon.guard.refuseIfTooLong(e.serviceTimeOf(req.route.Name, timeLeft), timeLeft)
 	}
 	if refused == nil {
 		refused = e.readBody(w, req)
@@ -124,31 +124,31 @@
 		return refuse(outcome.ReasonNotReady, notReadyRetryAfter)
 	}
 	path, _, _ := strings.Cut(req.http.RequestURI, "?")
-	rt, ok := table.Lookup(req.http.Host, path)
+	matched, ok := table.Lookup(req.http.Host, path)
 	if !ok {
 		return notRun(outcome.ReasonNoService)
 	}
-	req.table, req.route = table, rt
+	req.table, req.route = table, matched
 	e.mu.Lock()
-	req.service = e.splitter.Pick(rt)
+	req.service = e.splitter.Pick(matched)
 	e.mu.Unlock()
-	left := attempt.Deadline
-	if left <= 0 {
-		left = defaultDeadline
+	timeLeft := attempt.Deadline
+	if timeLeft <= 0 {
+		timeLeft = defaultDeadline
 	}
-	if rt.Timeout > 0 {
-		left = min(left, rt.Timeout)
+	if matched.Timeout > 0 {
+		timeLeft = min(timeLeft, matched.Timeout)
 	}
-	req.deadline = req.began.Add(left)
-	if rt.Target > 0 {
-		req.targetTime = req.began.Add(rt.Target)
+	req.deadline = req.began.Add(timeLeft)
+	if matched.Target > 0 {
+		req.targetTime = req.began.Add(matched.Target)
 	}
 	return nil
 }
 
-func refuse(r outcome.Reason, after time.Duration) *Answer {
+func refuse(r outcome.Reason, retryAfter time.Duration) *Answer {
 	a := notRun(r)
-	a.Outcome.RetryAfter = after
+	a.Outcome.RetryAfter = retryAfter
 	return a
 }
 
@@ -157,17 +157,17 @@
 	if limit <= 0 {
 		limit = defaultMaxBody
 	}
-	held, err := e.daemon.bodies.read(http.MaxBytesReader(w, req.http.Body, limit))
-	var large *http.MaxBytesError
+	body, err := e.daemon.bodies.read(http.MaxBytesReader(w, req.http.Body, limit))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large), errors.Is(err, errTooLarge):
+	case errors.As(err, &tooLarge), errors.Is(err, errTooLarge):
 		return notRun(outcome.ReasonTooLarge)
 	case errors.Is(err, errNoRoom):
 		return refuse(outcome.ReasonNoMemory, jittered(minRetryAfter))
 	case err != nil:
 		return notRun(outcome.ReasonBadRequest)
 	}
-	req.buffer, req.body = held, held.bytes
+	req.buffer, req.body = body, body.bytes
 	return nil
 }
 
@@ -195,13 +195,13 @@
 }
 
 // respond sends the response to the caller and logs how the request ended.
-func (e *entry) respond(w http.ResponseWriter, req *request, a *Answer) {
+func (e *entry) respond(w http.ResponseWriter, req *request, result *Answer) {
 	took := e.daemon.now().Sub(req.began)
-	name := "none"
+	routeName := "none"
 	if req.route != nil {
-		name = req.route.Name
+		routeName = req.route.Name
 	}
-	e.daemon.metrics.answered(string(req.service), name, a.Outcome, took)
+	e.daemon.metrics.answered(string(req.service), routeName, result.Outcome, took)
 	if req.connectionClosed() {
 		e.daemon.metrics.cut.Inc(1)
 	}
@@ -210,26 +210,26 @@
 		// stay open, as a request may already be on its way on any of them.
 		w.Header().Set("Connection", "close")
 	}
-	if a.Outcome.Kind == outcome.Answered {
-		copyHeader(w.Header(), a.Header)
-		writeWhole(w, req.http.Method, a)
-		e.logOutcome(decision.Answered, req, name, a, a.Status, took)
+	if result.Outcome.Kind == outcome.Answered {
+		copyHeader(w.Header(), result.Header)
+		writeWhole(w, req.http.Method, result)
+		e.logOutcome(decision.Answered, req, routeName, result, result.Status, took)
 		return
 	}
-	status := statusOf(a.Outcome)
+	status := statusOf(result.Outcome)
 	h := w.Header()
 	e.daemon.opts.Edge.Sign(h, req.id)
 	h.Set("Content-Type", "text/plain")
-	if a.Outcome.RetryAfter > 0 {
-		h.Set("Retry-After", formatSeconds(a.Outcome.RetryAfter))
+	if result.Outcome.RetryAfter > 0 {
+		h.Set("Retry-After", formatSeconds(result.Outcome.RetryAfter))
 	}
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, string(a.Outcome.Reason)+"\n")
+	_, _ = io.WriteString(w, string(result.Outcome.Reason)+"\n")
 	kind := decision.Failed
-	if a.Outcome.Kind == outcome.NotRun {
+	if result.Outcome.Kind == outcome.NotRun {
 		kind = decision.Refused
 	}
-	e.logOutcome(kind, req, name, a, status, took)
+	e.logOutcome(kind, req, routeName, result, status, took)
 }
 
 // formatSeconds formats a duration for the Retry-After header, as seconds with a
@@ -239,12 +239,12 @@
 	return strconv.FormatFloat(math.Max(d.Seconds(), 0.001), 'f', digits, bits)
 }
 
-func (e *entry) logOutcome(k decision.Kind, req *request, name string, a *Answer, status int, took time.Duration) {
+func (e *entry) logOutcome(k decision.Kind, req *request, routeName string, a *Answer, status int, took time.Duration) {
 	if k == decision.Answered && !req.connectionClosed() && !e.daemon.opts.Decisions.Keeps(req.id) {
 		return
 	}
 	e.daemon.opts.Decisions.Write(k, req.id,
-		slog.String("route", name), slog.String("service", string(req.service)), slog.String("upstream", req.upstreamKey),
+		slog.String("route", routeName), slog.String("service", string(req.service)), slog.String("upstream", req.upstreamKey),
 		slog.String("reason", string(a.Outcome.Reason)), slog.Int("status", status),
 		slog.Int64("retry_after_ms", a.Outcome.RetryAfter.Milliseconds()), slog.Int64("took_ms", took.Milliseconds()),
 		slog.Int("sends", req.deliveredCount), slog.Int("given_back", req.rejectionCount), slog.Int("candidates", req.candidateCount),
@@ -314,11 +314,11 @@
 	if s.loaded && generation == s.generation {
 		return
 	}
-	ups, targets := e.daemon.peers.candidates(name)
-	s.placer.Set(ups)
-	s.endpoints, s.generation, s.loaded = targets, generation, true
+	upstreams, endpoints := e.daemon.peers.candidates(name)
+	s.placer.Set(upstreams)
+	s.endpoints, s.generation, s.loaded = endpoints, generation, true
 	for key := range s.answered {
-		if _, ok := targets[key]; !ok {
+		if _, ok := endpoints[key]; !ok {
 			delete(s.answered, key)
 		}
 	}
@@ -352,36 +352,36 @@
 
 // serviceTimeOf returns the service time to assume for a request of a route that has the
 // given time left.
-func (e *entry) serviceTimeOf(name string, left time.Duration) time.Duration {
+func (e *entry) serviceTimeOf(route string, timeLeft time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w, ok := e.serviceTimes[name]
+	known, ok := e.serviceTimes[route]
 	switch {
 	case !ok:
 		return defaultServiceTime
-	case e.daemon.now().Sub(w.updatedAt) > serviceTimeMaxAge:
-		return min(w.mean, time.Duration(staleServiceTimeShare*float64(left)))
+	case e.daemon.now().Sub(known.updatedAt) > serviceTimeMaxAge:
+		return min(known.mean, time.Duration(staleServiceTimeShare*float64(timeLeft)))
 	default:
-		return w.mean
+		return known.mean
 	}
 }
 
 // recordServiceTime updates the mean service time of a route.
-func (e *entry) recordServiceTime(name string, usual time.Duration) {
+func (e *entry) recordServiceTime(route string, serviceTime time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w, ok := e.serviceTimes[name]
+	w, ok := e.serviceTimes[route]
 	if !ok {
 		if len(e.serviceTimes) >= maxServiceTimes {
 			clear(e.serviceTimes)
 		}
-		w.mean = usual
+		w.mean = serviceTime
 	}
 	now := e.daemon.now()
 	if now.Sub(w.updatedAt) > serviceTimeMaxAge {
-		w.mean = min(w.mean, staleFactor*usual)
+		w.mean = min(w.mean, staleFactor*serviceTime)
 	}
-	w.mean += time.Duration(float64(usual-w.mean) * serviceTimeWeight)
+	w.mean += time.Duration(float64(serviceTime-w.mean) * serviceTimeWeight)
 	w.updatedAt = now
-	e.serviceTimes[name] = w
+	e.serviceTimes[route] = w
 }
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -31,7 +31,7 @@
 
 // errNotAcknowledged is why a daemon is considered unreachable if it does not acknowledge
 // a call in time.
-var errNotAcknowledged = errors.New("no sign that a call has arrived")
+var errNotAcknowledged = errors.New("call not acknowledged")
 
 // try is an attempt in flight.
 type try struct {
@@ -91,10 +91,10 @@
 	if req.service != e.daemon.service() {
 		e.daemon.guard.called()
 	}
-	most := req.maxAttempts() + maxUndelivered + placement.MaxGivenBack + 1
+	capacity := req.maxAttempts() + maxUndelivered + placement.MaxGivenBack + 1
 	r := &race{
 		e: e, req: req, s: s, serviceTime: e.serviceTimeOf(req.route.Name, req.deadline.Sub(req.began)),
-		done: make(chan ended, most), unacknowledged: make(chan *try, most), tried: make(map[string]bool),
+		done: make(chan ended, capacity), unacknowledged: make(chan *try, capacity), tried: make(map[string]bool),
 	}
 	defer r.cancelAll()
 	if a := r.startNext(outcome.ReasonNone); a != nil {
@@ -109,8 +109,8 @@
 	defer timer.Stop()
 	for {
 		select {
-		case end := <-r.done:
-			if a := r.handleResult(end); a != nil {
+		case finished := <-r.done:
+			if a := r.handleResult(finished); a != nil {
 				return a
 			}
 		case t := <-r.unacknowledged:
@@ -159,8 +159,8 @@
 // ends. A result that has arrived is used.
 func (r *race) shutdownResult() *Answer {
 	select {
-	case end := <-r.done:
-		if a := r.handleResult(end); a != nil {
+	case finished := <-r.done:
+		if a := r.handleResult(finished); a != nil {
 			return a
 		}
 	default:
@@ -179,11 +179,11 @@
 
 // abandonedResult returns the result of a request whose attempts are no longer waited
 // for.
-func (r *race) abandonedResult(why outcome.Reason) *Answer {
+func (r *race) abandonedResult(reason outcome.Reason) *Answer {
 	if r.bestFailure != nil && r.bestFailure.Outcome.Kind == outcome.Answered {
 		return r.bestFailure
 	}
-	return unknown(why)
+	return unknown(reason)
 }
 
 // cancelAll cancels the attempts in flight.
@@ -196,10 +196,10 @@
 
 // handleResult handles the end of an attempt. It returns the result of the request, or
 // nil if further attempts are in flight.
-func (r *race) handleResult(end ended) *Answer {
-	r.removeInFlight(end.try)
-	a := end.answer
-	r.recordResult(end.try, a)
+func (r *race) handleResult(finished ended) *Answer {
+	r.removeInFlight(finished.try)
+	a := finished.answer
+	r.recordResult(finished.try, a)
 	if a.Outcome.Kind == outcome.Answered {
 		r.e.daemon.suspects.answered(r.req)
 	}
@@ -207,7 +207,7 @@
 		return a
 	}
 	r.keepFailure(a)
-	r.tried[end.try.choice.Upstream.Key] = true
+	r.tried[finished.try.choice.Upstream.Key] = true
 	if len(r.live) > 0 {
 		return nil
 	}
@@ -281,7 +281,7 @@
 
 // startNext starts another attempt. It returns the result of the request if no attempt
 // can be started.
-func (r *race) startNext(why outcome.Reason) *Answer {
+func (r *race) startNext(previous outcome.Reason) *Answer {
 	if r.req.ctx.Err() != nil {
 		return r.timeoutResult()
 	}
@@ -301,22 +301,22 @@
 		return r.finalResult()
 	}
 	now := r.e.daemon.now()
-	var taken *retryCharge
+	var charge *retryCharge
 	if r.deliveredCount > 0 {
-		if taken = r.e.takeRetry(r.s, now); taken == nil {
+		if charge = r.e.takeRetry(r.s, now); charge == nil {
 			r.e.daemon.metrics.denied.Inc(1)
 			return r.finalResult()
 		}
 	}
 	t, ok := r.chooseUpstream(now)
-	if !ok && why == outcome.ReasonWithdrawn || !ok && r.deliveredCount == 0 && len(r.tried) > 0 {
+	if !ok && previous == outcome.ReasonWithdrawn || !ok && r.deliveredCount == 0 && len(r.tried) > 0 {
 		// Tries the upstreams again whose guards rejected the request, as there are no
 		// others.
 		clear(r.tried)
 		t, ok = r.chooseUpstream(now)
 	}
 	if !ok {
-		taken.refund(now)
+		charge.refund(now)
 		return r.finalResult()
 	}
 	if r.startedCount == 0 && t.choice.Unservable(r.req.deadline.Sub(now)) {
@@ -325,13 +325,13 @@
 	}
 	if r.req.targetTime > 0 && t.choice.OutOfReach(r.fullCount, r.req.targetTime.Sub(now)) {
 		r.releaseChoice(t)
-		taken.refund(now)
+		charge.refund(now)
 		return r.finalResult()
 	}
-	t.charge = taken
+	t.charge = charge
 	if r.deliveredCount > 0 {
 		r.e.daemon.metrics.resent.Inc(1)
-		r.logDecision(decision.Resent, t, slog.String("reason", string(why)))
+		r.logDecision(decision.Resent, t, slog.String("reason", string(previous)))
 	}
 	r.startAttempt(t)
 	return nil
--- a/sidecar/forward_test.go
+++ b/sidecar/forward_test.go
@@ -8,11 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAttemptsWithoutABoundAreServed has routes that allow more attempts than memory holds.
+// TestHugeMaxAttemptsIsServed sets the number of attempts of a route so high that a
+// buffer for all of them would not fit in memory.
 func TestHugeMaxAttemptsIsServed(t *testing.T) {
 	for name, attempts := range map[string]int{
-		"all there are":       math.MaxInt,
-		"too many for memory": 1 << 56,
+		"largest integer":                  math.MaxInt,
+		"buffer exceeds the address space": 1 << 56,
 	} {
 		t.Run(name, func(t *testing.T) {
 			doc := documentOf(1, "a")
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/core/lifecycle"
 )
 
-// FuzzDatagrams has a daemon receive whatever comes.
+// FuzzDatagrams passes arbitrary datagrams to a daemon.
 func FuzzDatagrams(f *testing.F) {
 	o := optionsFor(f, newStore(documentOf(1, "a")), newUpstream(f, "a1"), "a")
 	o.Source = &source{s: newStore(documentOf(1, "a"))}
@@ -38,14 +38,16 @@
 	from := netip.MustParseAddrPort("127.0.0.1:9")
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if len(b) >= headBytes {
-			// Versions that the daemon lacks would have it ask for them.
+			// Clears the version, as the daemon would fetch a newer configuration from
+			// the sender.
 			binary.BigEndian.PutUint64(b[5:], 0)
 		}
 		d.datagrams.receive(b, from)
 	})
 }
 
-// FuzzFields reads the fields of calls and answers, and what is written of them again.
+// FuzzFields decodes arbitrary encodings of calls and results. A decoded result must be
+// decodable again after encoding.
 func FuzzFields(f *testing.F) {
 	f.Add((&Call{ID: "r1", Service: "a", Caller: "b", Upstream: lifecycle.Incarnation{ID: "a1"}}).encode())
 	f.Add(unknown("connection-lost").encode())
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -95,18 +95,18 @@
 func (g *guard) report(r lifecycle.Report, cause string) lifecycle.Verdict {
 	g.mu.Lock()
 	previous := g.tracker.Current()
-	v := g.tracker.Observe(r)
-	g.applyReport(v)
+	verdict := g.tracker.Observe(r)
+	g.applyReport(verdict)
 	cur := g.tracker.Current()
 	g.mu.Unlock()
-	if v == lifecycle.Started && previous.State == lifecycle.Ready {
+	if verdict == lifecycle.Started && previous.State == lifecycle.Ready {
 		g.crashes.upstreamCrashed(previous.Incarnation)
 	}
-	if v == lifecycle.Started || v == lifecycle.Changed {
+	if verdict == lifecycle.Started || verdict == lifecycle.Changed {
 		g.logState(cur, cause)
 	}
 	g.dispatch()
-	return v
+	return verdict
 }
 
 // leave handles the deregistration of an incarnation.
@@ -170,33 +170,33 @@
 // ends, a waiting call is cancelled before its start, and a running call is cancelled if
 // it is idempotent.
 func (g *guard) Do(ctx context.Context, c *Call) *Answer {
-	at, known := g.registerCall(c)
+	attempt, known := g.registerCall(c)
 	if known {
-		return g.finish(at.duplicateResult())
+		return g.finish(attempt.duplicateResult())
 	}
 	if c.Alternative > 0 {
 		g.refreshSlowdown(ctx)
 	}
-	id, exits, refused := g.enqueue(c)
-	if refused != nil {
-		at.finish(refused)
-		return g.finish(refused)
+	id, exit, rejected := g.enqueue(c)
+	if rejected != nil {
+		attempt.finish(rejected)
+		return g.finish(rejected)
 	}
 	arrived := g.now()
-	if a := g.waitForStart(ctx, c, at, id, exits); a != nil {
-		at.finish(a)
+	if a := g.waitForStart(ctx, c, attempt, id, exit); a != nil {
+		attempt.finish(a)
 		return g.finish(a)
 	}
 	if c.Idempotent {
-		a := g.runCall(ctx, c, at, arrived)
-		at.discardBody(false)
+		a := g.runCall(ctx, c, attempt, arrived)
+		attempt.discardBody(false)
 		return g.finish(a)
 	}
 	// A non-idempotent run continues after the connection to its sender has broken. The
 	// sender then queries the outcome over another connection.
-	go g.runCall(context.WithoutCancel(ctx), c, at, arrived)
-	a := at.wait(ctx)
-	at.discardBody(a.Outcome.Kind != outcome.Answered || len(a.Body) <= maxRetainedBody)
+	go g.runCall(context.WithoutCancel(ctx), c, attempt, arrived)
+	a := attempt.wait(ctx)
+	attempt.discardBody(a.Outcome.Kind != outcome.Answered || len(a.Body) <= maxRetainedBody)
 	return g.finish(a)
 }
 
@@ -213,12 +213,12 @@
 // enqueue admits a call to the queue and starts it if there is a free slot, or returns
 // the result of its rejection.
 func (g *guard) enqueue(c *Call) (uint64, <-chan slots.Exit, *Answer) {
-	id, exits, refused := g.admit(c)
-	if refused != nil {
-		return 0, nil, refused()
+	id, exit, reject := g.admit(c)
+	if reject != nil {
+		return 0, nil, reject()
 	}
 	g.dispatch()
-	return id, exits, nil
+	return id, exit, nil
 }
 
 // admit adds a call to the queue, or returns a function that rejects it. The function
@@ -230,7 +230,7 @@
 	if reason := g.rejectReason(cur, c); reason != outcome.ReasonNone {
 		return 0, nil, func() *Answer { return notRun(reason) }
 	}
-	it, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
+	item, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
 		Rank: c.Rank, Kind: c.Kind, Urgent: g.urgent(c.Rank), Work: c.ServiceTime,
 		Within: c.TimeToTarget, Deadline: c.Deadline, Alternative: c.Alternative,
 	}, slots.Speed{Slow: g.currentSlowdown(), Failing: g.failures.Share(g.now())})
@@ -238,11 +238,11 @@
 		return 0, nil, func() *Answer { return g.rejectionResult(c, admission, expected) }
 	}
 	g.nextID++
-	it.ID = g.nextID
-	exits := make(chan slots.Exit, 1)
-	g.waiters[it.ID] = exits
-	g.queue.Add(it)
-	return it.ID, exits, nil
+	item.ID = g.nextID
+	exit := make(chan slots.Exit, 1)
+	g.waiters[item.ID] = exit
+	g.queue.Add(item)
+	return item.ID, exit, nil
 }
 
 // rejectionResult logs that the queue did not admit a call, and returns the result.
@@ -278,28 +278,28 @@
 func (g *guard) logRejection(c *Call, reason string, expected time.Duration) {
 	g.metrics.givenBack.Inc(1)
 	g.mu.Lock()
-	slow, age := g.currentSlowdown(), g.now().Sub(g.slowdownAt)
+	slowdown, age := g.currentSlowdown(), g.now().Sub(g.slowdownAt)
 	running, waiting, limit := g.queue.Running(), g.queue.Waiting(), g.queue.Limit()
 	g.mu.Unlock()
 	g.opts.Decisions.Write(decision.GivenBack, c.ID,
 		slog.String("reason", reason), slog.Int64("expected_ms", expected.Milliseconds()),
-		slog.Int64("alternative_ms", c.Alternative.Milliseconds()), slog.Float64("slow", slow),
+		slog.Int64("alternative_ms", c.Alternative.Milliseconds()), slog.Float64("slow", slowdown),
 		slog.Int64("slow_age_ms", age.Milliseconds()), slog.Int("running", running),
 		slog.Int("waiting", waiting), slog.Int("limit", limit))
 }
 
 // waitForStart returns nil when the call may start, or the result if it may not.
-func (g *guard) waitForStart(ctx context.Context, c *Call, at *attempt, id uint64, exits <-chan slots.Exit) *Answer {
+func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, exit <-chan slots.Exit) *Answer {
 	select {
-	case e := <-exits:
+	case e := <-exit:
 		return g.exitResult(c, e)
 	case <-ctx.Done():
-	case <-at.withdrawn:
+	case <-attempt.withdrawn:
 	}
 	if g.cancelWaiting(id) {
 		return notRun(outcome.ReasonWithdrawn)
 	}
-	return g.exitResult(c, <-exits)
+	return g.exitResult(c, <-exit)
 }
 
 func (g *guard) exitResult(c *Call, e slots.Exit) *Answer {
@@ -337,16 +337,16 @@
 		g.rejectAllWaiting()
 		return
 	}
-	slow := g.currentSlowdown()
+	slowdown := g.currentSlowdown()
 	for {
-		d, ok := g.queue.Next(now, slow)
+		d, ok := g.queue.Next(now, slowdown)
 		if !ok {
 			break
 		}
 		g.waiters[d.ID] <- d.Exit
 		delete(g.waiters, d.ID)
 	}
-	if at := g.queue.Wake(slow); at != 0 {
+	if at := g.queue.Wake(slowdown); at != 0 {
 		g.wakeTimer.Reset(max(at.Sub(now), time.Millisecond))
 	}
 }
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -43,11 +43,11 @@
 // currentSlowdown returns the slowdown of the upstream, 1 meaning the usual service time.
 // g.mu is held.
 func (g *guard) currentSlowdown() float64 {
-	old := g.now().Sub(g.slowdownAt) - slowdownMaxAge
-	if old <= 0 {
+	pastMaxAge := g.now().Sub(g.slowdownAt) - slowdownMaxAge
+	if pastMaxAge <= 0 {
 		return g.slowdown
 	}
-	return 1 + (g.slowdown-1)*math.Exp2(-float64(old)/float64(slowdownHalfLife))
+	return 1 + (g.slowdown-1)*math.Exp2(-float64(pastMaxAge)/float64(slowdownHalfLife))
 }
 
 // load returns the load of the upstream. g.mu is held.
--- a/sidecar/guardstop.go
+++ b/sidecar/guardstop.go
@@ -10,9 +10,9 @@
 
 // endBy sets when the stopping daemon ends. Calls that may not finish by then are
 // rejected.
-func (g *guard) endBy(until model.Instant) {
+func (g *guard) endBy(deadline model.Instant) {
 	g.mu.Lock()
-	g.stopDeadline = until
+	g.stopDeadline = deadline
 	g.mu.Unlock()
 }
 
@@ -26,21 +26,21 @@
 
 // spareTime returns the time between the latest end of a request and the end of the
 // daemon. It is negative if the request might have to be aborted. g.mu is held.
-func (g *guard) spareTime(work, deadline time.Duration) time.Duration {
+func (g *guard) spareTime(serviceTime, deadline time.Duration) time.Duration {
 	if g.stopDeadline == 0 {
 		return deadline
 	}
-	most := min(deadline, time.Duration(maxDurationFactor*g.currentSlowdown()*float64(work)))
-	return g.stopDeadline.Sub(g.now()) - most
+	maxDuration := min(deadline, time.Duration(maxDurationFactor*g.currentSlowdown()*float64(serviceTime)))
+	return g.stopDeadline.Sub(g.now()) - maxDuration
 }
 
 // refuseIfTooLong refuses a request that may not finish before the daemon ends. The
 // Retry-After value is the time until the daemon has been replaced. It returns nil if the
 // request may finish in time.
-func (g *guard) refuseIfTooLong(work, deadline time.Duration) *Answer {
+func (g *guard) refuseIfTooLong(serviceTime, deadline time.Duration) *Answer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.spareTime(work, deadline) >= 0 {
+	if g.spareTime(serviceTime, deadline) >= 0 {
 		return nil
 	}
 	return refuse(outcome.ReasonDraining, max(g.stopDeadline.Sub(g.now()), 0)+noUpstreamRetryAfter)
@@ -66,9 +66,9 @@
 
 // rejectAllWaiting rejects every call that waits. g.mu is held.
 func (g *guard) rejectAllWaiting() {
-	for id, exits := range g.waiters {
+	for id, exit := range g.waiters {
 		if g.queue.Remove(id) {
-			exits <- slots.Returned
+			exit <- slots.Returned
 			delete(g.waiters, id)
 		}
 	}
--- a/sidecar/health_test.go
+++ b/sidecar/health_test.go
@@ -15,8 +15,8 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// TestHealthAnswersAreNotBelieved has one of two upstreams lie about its health. What
-// counts is what comes of requests.
+// TestHealthResponsesDoNotDecideRouting lets one of two upstreams respond wrongly to
+// health checks. Routing must depend on the results of requests instead.
 func TestHealthResponsesDoNotDecideRouting(t *testing.T) {
 	const requests = 300
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
@@ -26,10 +26,11 @@
 		minRequests int
 		maxRequests int
 	}{
-		// A failing one is tried again now and then, to find out when it has ended.
-		"says well and fails":    {http.StatusOK, fail, 1, requests / 20},
-		"says well and hangs up": {http.StatusOK, hangUp, 1, requests / 20},
-		"says ill and is well":   {http.StatusServiceUnavailable, nil, requests / 5, requests},
+		// A failing upstream still gets an occasional request, which detects its
+		// recovery.
+		"reports healthy and fails":              {http.StatusOK, fail, 1, requests / 20},
+		"reports healthy and closes connections": {http.StatusOK, hangUp, 1, requests / 20},
+		"reports unhealthy and works":            {http.StatusServiceUnavailable, nil, requests / 5, requests},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStore(documentOf(1, "b"))
@@ -45,22 +46,23 @@
 			got := len(b1.up.requests())
 			t.Logf("%d of %d requests", got, requests)
 			require.GreaterOrEqual(t, got, c.minRequests)
-			// On a busy processor the other one is slow too, and hedges come here.
+			// On a busy processor the other upstream is slow at times, and hedges are
+			// sent to this one.
 			require.LessOrEqual(t, got-a.hedges(), c.maxRequests)
 			b1.up.set(nil)
 			require.Eventually(t, func() bool {
-				_, text := a.get(t, "/safe/")
-				return text == "answer of b1"
-			}, waitLimit, time.Millisecond, "trust returns")
+				_, body := a.get(t, "/safe/")
+				return body == "answer of b1"
+			}, waitLimit, time.Millisecond, "the recovered upstream gets requests again")
 		})
 	}
 }
 
-// hedges returns how many requests the daemon has hedged.
+// hedges returns the number of requests that the daemon has hedged.
 func (m *member) hedges() int { return int(m.scope.Snapshot().Counters()["hedged+"].Value()) }
 
-// TestFailuresAreTold has an upstream fail and recover: two lines tell of it, however
-// many requests it takes.
+// TestFailingAndRecoveryAreLoggedOnce checks that the log has one entry when an upstream
+// starts to fail and one when it recovers, regardless of the number of requests.
 func TestFailingAndRecoveryAreLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	decisions := decision.New(decision.Options{Handler: slog.NewJSONHandler(&out, nil)})
--- a/sidecar/healthcheck.go
+++ b/sidecar/healthcheck.go
@@ -65,8 +65,8 @@
 // discover identifies the running upstream by a health check, so that a daemon that
 // starts after its upstream need not wait for the next report.
 func (g *guard) discover() {
-	r, well := g.checkHealth(startHealthCheckTimeout)
-	if !well || r.Instance == "" {
+	r, healthy := g.checkHealth(startHealthCheckTimeout)
+	if !healthy || r.Instance == "" {
 		return
 	}
 	report := lifecycle.Report{
--- a/sidecar/inquire.go
+++ b/sidecar/inquire.go
@@ -74,40 +74,40 @@
 // ask sends a load query and returns the replies by upstream key. It waits until all
 // upstreams that are not too far have replied, or the wait ends.
 func (a *datagrams) ask(i inquiry) map[string]heard {
-	got := make(map[string]heard, len(i.ups))
-	answers := make(chan heard, len(i.ups))
-	var ids, far []uint32
+	replies := make(map[string]heard, len(i.ups))
+	incoming := make(chan heard, len(i.ups))
+	var ids, lateIDs []uint32
 	for _, up := range i.ups {
 		if string(up.Daemon) == a.d.opts.Addresses.Peers {
 			if l, ok := a.d.guard.loadFor(i.messageFor(up)); ok {
-				got[up.Key] = heard{key: up.Key, load: l}
+				replies[up.Key] = heard{key: up.Key, load: l}
 			}
 			continue
 		}
 		if i.tooFar(up) {
-			a.sendLoadQuery(up, i, nil, &far)
+			a.sendLoadQuery(up, i, nil, &lateIDs)
 		} else {
-			a.sendLoadQuery(up, i, answers, &ids)
+			a.sendLoadQuery(up, i, incoming, &ids)
 		}
 	}
-	if len(far) > 0 {
-		a.redirectLate(far)
+	if len(lateIDs) > 0 {
+		a.redirectLate(lateIDs)
 	}
-	a.collectReplies(answers, ids, got, i)
-	return got
+	a.collectReplies(incoming, ids, replies, i)
+	return replies
 }
 
-func (a *datagrams) sendLoadQuery(up placement.Upstream, i inquiry, answers chan<- heard, ids *[]uint32) {
+func (a *datagrams) sendLoadQuery(up placement.Upstream, i inquiry, replies chan<- heard, ids *[]uint32) {
 	to, err := netip.ParseAddrPort(string(up.Daemon))
 	if err != nil {
 		return
 	}
-	id := a.expect(question{key: up.Key, address: string(up.Daemon), to: answers, late: i.late})
+	id := a.expect(question{key: up.Key, address: string(up.Daemon), to: replies, late: i.late})
 	*ids = append(*ids, id)
 	a.transmit(i.messageFor(up).appendTo(a.head(kindAsk, id)), to)
 }
 
-func (a *datagrams) collectReplies(answers <-chan heard, ids []uint32, got map[string]heard, i inquiry) {
+func (a *datagrams) collectReplies(incoming <-chan heard, ids []uint32, replies map[string]heard, i inquiry) {
 	if len(ids) == 0 {
 		return
 	}
@@ -115,8 +115,8 @@
 	defer timer.Stop()
 	for range ids {
 		select {
-		case h := <-answers:
-			got[h.key] = h
+		case h := <-incoming:
+			replies[h.key] = h
 		case <-timer.C:
 			a.redirectLate(ids)
 			return
--- a/sidecar/keepalive_test.go
+++ b/sidecar/keepalive_test.go
@@ -23,8 +23,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// faultyUpstream is an upstream that answers most requests and fails the others in every way that
-// bytes on a connection can.
+// faultyUpstream answers most requests correctly. The others fail in all ways in which a
+// response on a connection can be faulty.
 type faultyUpstream struct {
 	id string
 	ln net.Listener
@@ -69,18 +69,20 @@
 	}
 }
 
-// reply writes an answer with headers of its own and more.
+// reply writes a response with the headers of an upstream and the additional headers in
+// more.
 func (r *faultyUpstream) reply(c net.Conn, req *http.Request, status, more string) {
 	const body = "some text"
-	text := body
+	sentBody := body
 	if req.Method == http.MethodHead {
-		text = ""
+		sentBody = ""
 	}
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %s\r\nT-Instance: %s\r\nT-Slow: %.2f\r\nT-Id: %s\r\nT-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s",
-		status, r.id, 0.5+2*rand.Float64(), req.Header.Get("T-Id"), more, len(body), text)
+		status, r.id, 0.5+2*rand.Float64(), req.Header.Get("T-Id"), more, len(body), sentBody)
 }
 
-// misbehave answers, or not, and reports whether the connection is to serve again.
+// respondFaultily sends a random response, faulty or correct, or closes the connection.
+// It reports whether the connection may be used for further requests.
 func (r *faultyUpstream) respondFaultily(c net.Conn, req *http.Request) bool {
 	id := req.Header.Get("T-Id")
 	switch rand.IntN(60) {
@@ -125,11 +127,11 @@
 	return true
 }
 
-// keptCaller sends requests one after the other on kept connections.
+// keepAliveCaller sends sequential requests over persistent connections.
 type keepAliveCaller struct {
 	address string
 	sent    *atomic.Int64
-	// lost are the requests that were written whole and got no answer.
+	// unanswered counts the requests that were written completely but got no response.
 	unanswered *atomic.Int64
 	lastError  *atomic.Value
 }
@@ -145,7 +147,8 @@
 	}
 }
 
-// converse uses a connection until the daemon announces its end, or the caller leaves.
+// useConnection sends requests until the daemon announces that it closes the connection,
+// or until the caller closes it.
 func (k *keepAliveCaller) useConnection(ctx context.Context, conn net.Conn, name string) {
 	in := bufio.NewReader(conn)
 	for ctx.Err() == nil {
@@ -184,7 +187,7 @@
 	}
 }
 
-// disturb sends datagrams that no daemon sends, until the context ends.
+// sendRandomDatagrams sends invalid datagrams until the context ends.
 func sendRandomDatagrams(ctx context.Context, address string) {
 	conn, err := net.Dial("udp4", address)
 	if err != nil {
@@ -206,14 +209,16 @@
 	}
 }
 
-// TestKeptConnectionsAreAnsweredWhateverUpstreamsDo has many callers send on kept
-// connections while upstreams fail in all ways, their reports, the configuration and the
-// settings change, and datagrams come that cannot be read. STRESS is how long, as 90s.
+// TestKeepAliveRequestsAreAnsweredUnderFaults guards against requests on persistent
+// connections that get no response. Many callers send requests while upstreams fail in
+// all ways, their reports, the configuration and the settings change, and invalid
+// datagrams arrive. The environment variable STRESS sets the duration, for example to
+// 90s.
 func TestKeepAliveRequestsAreAnsweredUnderFaults(t *testing.T) {
-	length := 2 * time.Second
+	duration := 2 * time.Second
 	if text := os.Getenv("STRESS"); text != "" {
 		var err error
-		length, err = time.ParseDuration(text)
+		duration, err = time.ParseDuration(text)
 		require.NoError(t, err)
 	}
 	const callers, daemons = 120, 2
@@ -232,13 +237,13 @@
 		m.knows(t, "a", daemons)
 	}
 
-	ctx, cancel := context.WithTimeout(t.Context(), length)
+	ctx, cancel := context.WithTimeout(t.Context(), duration)
 	defer cancel()
-	var asked, lost atomic.Int64
-	var last atomic.Value
+	var sent, unanswered atomic.Int64
+	var lastError atomic.Value
 	var wg sync.WaitGroup
 	for i := range callers {
-		k := &keepAliveCaller{address: members[i%daemons].opts.Addresses.Callers, sent: &asked, unanswered: &lost, lastError: &last}
+		k := &keepAliveCaller{address: members[i%daemons].opts.Addresses.Callers, sent: &sent, unanswered: &unanswered, lastError: &lastError}
 		wg.Go(func() { k.run(ctx, fmt.Sprint("c", i)) })
 	}
 	for i, m := range members {
@@ -248,8 +253,8 @@
 	wg.Go(func() { changeConfiguration(ctx, s, members) })
 	wg.Wait()
 
-	t.Logf("%d requests", asked.Load())
-	require.Zero(t, lost.Load(), "of %d requests, the last: %v", asked.Load(), last.Load())
+	t.Logf("%d requests", sent.Load())
+	require.Zero(t, unanswered.Load(), "of %d requests, the last: %v", sent.Load(), lastError.Load())
 	for _, m := range members {
 		counters := m.scope.Snapshot().Counters()
 		require.Zero(t, counters["handlers_panicked+"].Value())
@@ -257,7 +262,7 @@
 	}
 }
 
-// changeReports has the upstream's state, slots and incarnation change.
+// changeReports reports changing states, slots and incarnations of an upstream.
 func changeReports(ctx context.Context, m *member, id string) {
 	for born := int64(2); ctx.Err() == nil; born++ {
 		for seq := uint64(1); seq < 4; seq++ {
@@ -275,7 +280,7 @@
 	}
 }
 
-// changeConfiguration publishes versions with other limits and budgets.
+// changeConfiguration publishes versions with different limits and retry budgets.
 func changeConfiguration(ctx context.Context, s *store, members []*member) {
 	for version := model.Version(2); ctx.Err() == nil; version++ {
 		doc := documentOf(version, "a")
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -13,16 +13,16 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// poison crashes the upstreams that run it.
+// crashingBody is the request body that crashes an upstream.
 const crashingBody = "poison"
 
-// crashOn has an upstream crash when it runs a request with a body.
+// crashOn makes an upstream crash when it runs a request with the given body.
 func (u *upstream) crashOn(body string) {
 	u.set(func(w http.ResponseWriter, _ *http.Request) {
 		u.mu.Lock()
-		last := u.bodies[len(u.bodies)-1]
+		lastBody := u.bodies[len(u.bodies)-1]
 		u.mu.Unlock()
-		if last != body {
+		if lastBody != body {
 			answerWell(w, u.id)
 			return
 		}
@@ -53,24 +53,24 @@
 	return n
 }
 
-// TestRequestThatCrashesUpstreamsIsRefused sends one again and again, at different
-// daemons.
+// TestCrashingRequestIsQuarantined sends the same crashing request repeatedly, over
+// different daemons.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	callers := []*member{join(t, s, "a", "a1"), join(t, s, "a", "a2")}
 	const upstreams = 6
-	var of []*member
+	var members []*member
 	for i := range upstreams {
 		m := join(t, s, "b", fmt.Sprint("b", i))
 		m.up.crashOn(crashingBody)
-		of = append(of, m)
+		members = append(members, m)
 	}
 	for _, a := range callers {
 		a.knows(t, "b", upstreams)
 	}
 	for i := range crashesToRefuse {
 		callers[i%2].ask(t, http.MethodPost, "/unsafe/", crashingBody)
-		require.Eventually(t, func() bool { return countRan(of, crashingBody) == i+1 }, waitLimit, time.Millisecond)
+		require.Eventually(t, func() bool { return countRan(members, crashingBody) == i+1 }, waitLimit, time.Millisecond)
 	}
 	for _, a := range callers {
 		require.Eventually(t, func() bool {
@@ -81,18 +81,18 @@
 			}
 			return false
 		}, waitLimit, time.Millisecond)
-		resp, text := a.ask(t, http.MethodPost, "/unsafe/", crashingBody)
+		resp, body := a.ask(t, http.MethodPost, "/unsafe/", crashingBody)
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-		require.Equal(t, "quarantined\n", text)
+		require.Equal(t, "quarantined\n", body)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	}
-	require.Equal(t, crashesToRefuse, countRan(of, crashingBody))
+	require.Equal(t, crashesToRefuse, countRan(members, crashingBody))
 	status, _ := callers[0].post(t, "/unsafe/")
 	require.Equal(t, http.StatusOK, status, "another request is served")
 }
 
-// TestLostConnectionIsNoCrash resets a request's connection while its upstream runs
-// on.
+// TestLostConnectionIsNotACrash resets the connection of a request while its upstream
+// continues to run.
 func TestLostConnectionIsNotACrash(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
@@ -109,56 +109,59 @@
 	return lifecycle.Incarnation{ID: "u", Born: born}
 }
 
-// TestCrashNamesWhatRan has an upstream crash of which a new incarnation tells.
+// TestCrashReportsLatestBurst handles a crash that becomes known through the report of a
+// new incarnation. Only the runs lost shortly before are reported, not earlier ones and
+// not those of other incarnations.
 func TestCrashReportsLatestBurst(t *testing.T) {
 	var now model.Instant
-	var named []string
+	var reported []string
 	up := newUpstream(t, "u")
 	c := &crashes{
 		address: up.address(), now: func() model.Instant { return now },
-		crashed: func(r lostRun) { named = append(named, r.id) },
+		crashed: func(r lostRun) { reported = append(reported, r.id) },
 	}
-	c.recordLoss(lostRun{id: "long before", upstream: incarnation(1)})
+	c.recordLoss(lostRun{id: "long before the crash", upstream: incarnation(1)})
 	now = now.Add(maxBurstGap + time.Millisecond)
 	c.recordLoss(lostRun{id: "one", upstream: incarnation(1)})
 	now = now.Add(maxBurstGap)
 	c.recordLoss(lostRun{id: "two", upstream: incarnation(1)})
-	c.recordLoss(lostRun{id: "other life", upstream: incarnation(2)})
-	require.Empty(t, named, "the upstream still listens")
+	c.recordLoss(lostRun{id: "other incarnation", upstream: incarnation(2)})
+	require.Empty(t, reported, "the upstream still listens")
 	c.upstreamCrashed(incarnation(1))
-	require.Equal(t, []string{"one", "two"}, named)
+	require.Equal(t, []string{"one", "two"}, reported)
 	c.upstreamCrashed(incarnation(1))
-	require.Len(t, named, 2)
+	require.Len(t, reported, 2)
 	up.server.Close()
 	c.recordLoss(lostRun{id: "three", upstream: incarnation(2)})
-	require.Equal(t, []string{"one", "two", "other life", "three"}, named)
+	require.Equal(t, []string{"one", "two", "other incarnation", "three"}, reported)
 }
 
-// TestCrashNamesTheFirstLoss has runs go on being lost for a while after a crash, as where
-// something else takes connections in the upstream's place.
+// TestCrashReportsLongestBurst lets runs be lost for a while after a crash, as happens
+// when another process accepts connections at the address of the upstream.
 func TestCrashReportsLongestBurst(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for name, c := range map[string]struct {
-		// losses and answers are in steps.
+		// lossSteps and responseSteps are the times of lost runs and of responses, in
+		// steps.
 		lossSteps     []int
 		responseSteps []int
 		want          []int
 	}{
-		"seven steps of losses":            {[]int{1, 2, 3, 4, 5, 6, 7, 8}, nil, []int{1, 2, 3, 4, 5, 6, 7, 8}},
-		"lost before the last answer":      {[]int{1, 2, 4, 5}, []int{3}, []int{4, 5}},
-		"a pause without an answer":        {[]int{1, 7, 8}, nil, []int{7, 8}},
-		"answered between all":             {[]int{1, 3, 5}, []int{2, 4}, []int{5}},
-		"an answer read just after a loss": {[]int{1, 4, 5}, []int{4}, []int{4, 5}},
-		"the next incarnation answers":     {[]int{1, 2, 3, 4, 5, 8}, []int{7, 9}, []int{1, 2, 3, 4, 5}},
-		"answered soon after":              {[]int{1}, []int{2}, []int{1}},
+		"losses over seven steps":            {[]int{1, 2, 3, 4, 5, 6, 7, 8}, nil, []int{1, 2, 3, 4, 5, 6, 7, 8}},
+		"losses before and after a response": {[]int{1, 2, 4, 5}, []int{3}, []int{4, 5}},
+		"a long pause without a response":    {[]int{1, 7, 8}, nil, []int{7, 8}},
+		"a response after each loss":         {[]int{1, 3, 5}, []int{2, 4}, []int{5}},
+		"a response read just after a loss":  {[]int{1, 4, 5}, []int{4}, []int{4, 5}},
+		"responses of the next incarnation":  {[]int{1, 2, 3, 4, 5, 8}, []int{7, 9}, []int{1, 2, 3, 4, 5}},
+		"a response soon after the loss":     {[]int{1}, []int{2}, []int{1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var now model.Instant
-			var named []int
+			var reported []int
 			up := newUpstream(t, "u")
 			crashes := &crashes{
 				address: up.address(), now: func() model.Instant { return now },
-				crashed: func(r lostRun) { named = append(named, int(r.lostAt/model.Instant(step))) },
+				crashed: func(r lostRun) { reported = append(reported, int(r.lostAt/model.Instant(step))) },
 			}
 			for i := range 10 {
 				now = now.Add(step)
@@ -170,24 +173,25 @@
 				}
 			}
 			crashes.upstreamCrashed(incarnation(1))
-			require.Equal(t, c.want, named)
+			require.Equal(t, c.want, reported)
 		})
 	}
 }
 
-// TestCrashNamesWhatIsLostNow has an upstream lose answers, each followed by one that comes
-// through, and then crash: nothing listens any longer, and only what runs then is named.
+// TestCrashOfClosedUpstreamReportsCurrentRuns lets an upstream lose some runs, each
+// followed by a response, and then crash and stop listening. Only the runs lost in the
+// crash are reported.
 func TestCrashOfClosedUpstreamReportsCurrentRuns(t *testing.T) {
 	var now model.Instant
-	var named []string
+	var reported []string
 	up := newUpstream(t, "u")
 	c := &crashes{
 		address: up.address(), now: func() model.Instant { return now },
-		crashed: func(r lostRun) { named = append(named, r.id) },
+		crashed: func(r lostRun) { reported = append(reported, r.id) },
 	}
 	for range 5 {
 		now = now.Add(time.Second)
-		c.recordLoss(lostRun{id: "answer lost", upstream: incarnation(1)})
+		c.recordLoss(lostRun{id: "response lost", upstream: incarnation(1)})
 		now = now.Add(2 * responseSlack)
 		c.recordResponse()
 	}
@@ -195,12 +199,12 @@
 	up.server.Close()
 	c.recordLoss(lostRun{id: "crashed", upstream: incarnation(1)})
 	now = now.Add(time.Millisecond)
-	c.recordLoss(lostRun{id: "beside", upstream: incarnation(1)})
+	c.recordLoss(lostRun{id: "concurrent", upstream: incarnation(1)})
 	c.upstreamCrashed(incarnation(1))
-	require.Equal(t, []string{"crashed", "beside"}, named)
+	require.Equal(t, []string{"crashed", "concurrent"}, reported)
 }
 
-func TestLostRunsAreBounded(t *testing.T) {
+func TestLostRunsAreLimited(t *testing.T) {
 	up := newUpstream(t, "u")
 	c := &crashes{address: up.address(), now: func() model.Instant { return 0 }, crashed: func(lostRun) {}}
 	for range maxLostRuns + 5 {
--- a/sidecar/receive.go
+++ b/sidecar/receive.go
@@ -38,14 +38,14 @@
 }
 
 // receive handles a datagram. Datagrams of unknown kinds are ignored.
-func (a *datagrams) receive(b []byte, from netip.AddrPort) {
-	if len(b) < headBytes {
+func (a *datagrams) receive(raw []byte, sender netip.AddrPort) {
+	if len(raw) < headBytes {
 		return
 	}
-	a.d.metrics.traffic.received(b)
-	m := datagram{id: binary.BigEndian.Uint32(b[1:]), version: model.Version(binary.BigEndian.Uint64(b[5:])), sender: from, raw: b}
-	if receive, ok := receivers[b[0]]; ok {
-		receive(a, m)
+	a.d.metrics.traffic.received(raw)
+	m := datagram{id: binary.BigEndian.Uint32(raw[1:]), version: model.Version(binary.BigEndian.Uint64(raw[5:])), sender: sender, raw: raw}
+	if handle, ok := receivers[raw[0]]; ok {
+		handle(a, m)
 	}
 }
 
@@ -80,7 +80,7 @@
 // mergeRecords stores records of other daemons. If any of them is new, an anti-entropy
 // exchange is started soon, as other daemons may lack them too.
 func (a *datagrams) mergeRecords(records []Record) {
-	if news := a.d.peers.merge(records); len(news) > 0 {
+	if updated := a.d.peers.merge(records); len(updated) > 0 {
 		a.d.comparer.wake()
 	}
 }
@@ -89,17 +89,17 @@
 // it. An outdated record is not acknowledged: its sender then sends it over a connection,
 // and learns from the reply that its clock was set back.
 func (a *datagrams) handleRecord(m datagram) {
-	told := unpackRecords(m.body())
-	if len(told) != 1 || told[0].Address == "" {
+	records := unpackRecords(m.body())
+	if len(records) != 1 || records[0].Address == "" {
 		return
 	}
-	r := told[0]
-	if held, ok := a.d.peers.of(r.Address); ok && held.newer(&r) {
+	r := records[0]
+	if known, ok := a.d.peers.of(r.Address); ok && known.newer(&r) {
 		return
 	}
-	for _, news := range a.d.peers.merge([]Record{r}) {
-		if news.Zone != a.d.opts.Zone {
-			a.d.relay.add(news)
+	for _, updated := range a.d.peers.merge([]Record{r}) {
+		if updated.Zone != a.d.opts.Zone {
+			a.d.relay.add(updated)
 		}
 	}
 	a.transmit(a.head(kindNoted, m.id), m.sender)
@@ -114,12 +114,12 @@
 	if !ok {
 		return
 	}
-	h := heard{key: q.key, load: l, took: a.d.now().Sub(q.sent)}
+	reply := heard{key: q.key, load: l, took: a.d.now().Sub(q.sent)}
 	if q.to == nil {
-		q.late(h)
+		q.late(reply)
 	} else {
 		// Does not block: the channel has a buffer for all replies.
-		q.to <- h
+		q.to <- reply
 	}
 	a.d.behind(q.address, v)
 }
--- a/sidecar/replaced_test.go
+++ b/sidecar/replaced_test.go
@@ -12,8 +12,8 @@
 	"github.com/dottereltiller/dottereltiller/core/placement"
 )
 
-// replaceWith ends a daemon without a word and starts another one under its address,
-// beside an upstream of another service.
+// replaceDaemon kills a daemon and starts another one at its address, with an upstream of
+// a different service.
 func replaceDaemon(t *testing.T, s *store, m *member, id string) *member {
 	t.Helper()
 	m.kill()
@@ -21,14 +21,14 @@
 	up := newUpstream(t, id)
 	o := optionsFor(t, s, up, "c")
 	o.Addresses.Peers = m.opts.Addresses.Peers
-	n := start(t, o, s)
-	n.up = up
-	n.Report(ready(id, 2, 1, "c"))
-	return n
+	replacement := start(t, o, s)
+	replacement.up = up
+	replacement.Report(ready(id, 2, 1, "c"))
+	return replacement
 }
 
-// isFree reports whether datagrams can be taken at an address. A write under way keeps the
-// socket of a daemon for a moment after its end.
+// isFree reports whether a UDP socket can be bound to an address. A write in progress
+// keeps the socket of a daemon open for a moment after the daemon has ended.
 func isFree(address string) bool {
 	conn, err := net.ListenPacket("udp4", address)
 	if err != nil {
@@ -37,25 +37,27 @@
 	return conn.Close() == nil
 }
 
-// tryAt returns an attempt at the only upstream of a service, as the entry sees it now.
+// attemptTo returns an attempt at the only upstream of service b, from the current view
+// of a daemon.
 func attemptTo(t *testing.T, m *member) *try {
 	t.Helper()
-	ups, targets := m.peers.candidates("b")
-	require.Len(t, ups, 1)
+	upstreams, endpoints := m.peers.candidates("b")
+	require.Len(t, upstreams, 1)
 	return &try{
-		choice: placement.Choice{Upstream: ups[0]}, endpoint: targets[ups[0].Key], acknowledged: make(chan struct{}),
+		choice: placement.Choice{Upstream: upstreams[0]}, endpoint: endpoints[upstreams[0].Key], acknowledged: make(chan struct{}),
 	}
 }
 
-// TestOnlyTheGuardThatGotACallProvesAnything replaces the VM of a guard. The daemon
-// that has its address afterwards never heard of the call, which proves nothing.
+// TestReplacedDaemonProvesNothing replaces the VM of a guard. The daemon that has its
+// address afterwards has never received the call, so its statement that the call has not
+// run proves nothing.
 func TestReplacedDaemonProvesNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		replace bool
 		want    outcome.Kind
 	}{
-		"the guard that was called": {false, outcome.NotRun},
-		"another at its address":    {true, outcome.Unknown},
+		"same guard":                    {false, outcome.NotRun},
+		"another daemon at the address": {true, outcome.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStore(documentOf(1, "b"))
@@ -72,26 +74,26 @@
 	}
 }
 
-// TestLoadIsOfTheUpstreamAskedAbout replaces the VM of a guard: the load of the
-// upstream that is there now is not that of the one before.
+// TestLoadIsOfTheQueriedUpstream replaces the VM of a guard. The load of the new upstream
+// must not be attributed to the previous one.
 func TestLoadIsOfTheQueriedUpstream(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
 	try := attemptTo(t, a)
-	question := inquiry{
+	query := inquiry{
 		ups: []placement.Upstream{try.choice.Upstream}, wait: time.Second,
 		late: func(heard) {}, tooFar: func(placement.Upstream) bool { return false },
 	}
-	require.Len(t, a.datagrams.ask(question), 1)
+	require.Len(t, a.datagrams.ask(query), 1)
 	c := replaceDaemon(t, s, b, "c1")
-	question.wait = 100 * time.Millisecond
-	require.Empty(t, a.datagrams.ask(question))
+	query.wait = 100 * time.Millisecond
+	require.Empty(t, a.datagrams.ask(query))
 	call := &Call{
 		ID: "x", Method: http.MethodGet, Target: "/safe/", Host: "h", Header: http.Header{}, Service: "b",
 		Upstream: try.endpoint.upstream, Idempotent: true, Deadline: time.Second,
 	}
 	got := c.guard.Do(t.Context(), call)
 	require.Equal(t, outcome.ReasonNoUpstream, got.Outcome.Reason)
-	require.Nil(t, got.Load, "it is another upstream's")
+	require.Nil(t, got.Load, "the load belongs to another upstream")
 }
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -82,19 +82,19 @@
 // charges nothing if any of the budgets is exhausted.
 func (e *entry) takeRetry(s *service, now model.Instant) *retryCharge {
 	daemons, started := e.daemon.peers.startedWithin(s.retryLimiter.span())
-	calls := s.currentCallsPerRun()
+	nestedCalls := s.currentCallsPerRun()
 	if !s.retryLimiter.take(now, 1, daemons, started) {
 		return nil
 	}
-	taken := &retryCharge{service: s, callsPerRun: calls}
+	charge := &retryCharge{service: s, callsPerRun: nestedCalls}
 	for _, o := range e.otherServices(s) {
-		if !o.retryLimiter.take(now, calls, daemons, started) {
-			taken.refund(now)
+		if !o.retryLimiter.take(now, nestedCalls, daemons, started) {
+			charge.refund(now)
 			return nil
 		}
-		taken.otherServices = append(taken.otherServices, o)
+		charge.otherServices = append(charge.otherServices, o)
 	}
-	return taken
+	return charge
 }
 
 // refund returns a charge to the budgets if the retry has not reached an upstream.
--- a/sidecar/retries_test.go
+++ b/sidecar/retries_test.go
@@ -10,8 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// TestResendsCountTheCallsTheyCause has a budget at the called service hold back
-// re-sends of its callers: each repeats their calls.
+// TestRetriesAreChargedForNestedCalls checks that the budget of a called service limits
+// the retries of its callers, as each retry repeats the nested calls.
 func TestRetriesAreChargedForNestedCalls(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -27,14 +27,14 @@
 	}
 	slack := 50 * retryBudgetMargin
 	require.Equal(t, int(slack/caller.callsPerRun), taken)
-	require.InDelta(t, slack-float64(taken), caller.retryLimiter.left(now), 1e-6, "a refusal takes nothing")
+	require.InDelta(t, slack-float64(taken), caller.retryLimiter.left(now), 1e-6, "a denied retry is not charged")
 	last.refund(now)
 	require.NotNil(t, a.entry.takeRetry(caller, now))
 	require.True(t, a.entry.takeRetry(callee, now) != nil || callee.retryLimiter.left(now) < 1)
 }
 
-// TestRefundsAreWhatWasTaken has runs make fewer calls, and the entry know of a further
-// service, between a re-send and its refund.
+// TestRefundMatchesCharge changes the number of nested calls, and adds a service, between
+// a retry and its refund. The refund must equal the original charge.
 func TestRefundMatchesCharge(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -44,21 +44,21 @@
 	require.True(t, callee.retryLimiter.take(now, 0, 1, 0))
 	before := callee.retryLimiter.left(now)
 	caller.callsPerRun = 4
-	taken := a.entry.takeRetry(caller, now)
-	require.NotNil(t, taken)
+	charge := a.entry.takeRetry(caller, now)
+	require.NotNil(t, charge)
 	require.InDelta(t, before-4, callee.retryLimiter.left(now), 1e-6)
 	caller.callsPerRun = 1
-	later := a.entry.service("later")
-	require.True(t, later.retryLimiter.take(now, 0, 1, 0))
-	whole := later.retryLimiter.left(now)
-	taken.refund(now)
+	added := a.entry.service("later")
+	require.True(t, added.retryLimiter.take(now, 0, 1, 0))
+	addedBefore := added.retryLimiter.left(now)
+	charge.refund(now)
 	require.InDelta(t, before, callee.retryLimiter.left(now), 1e-6)
-	require.InDelta(t, whole, later.retryLimiter.left(now), 1e-6)
+	require.InDelta(t, addedBefore, added.retryLimiter.left(now), 1e-6)
 	(*retryCharge)(nil).refund(now)
 }
 
-// TestResendsBesideAnswers counts re-sends while answers tell how many calls a run
-// makes. The race detector holds the figure to its lock.
+// TestRetriesWhileCallsPerRunChanges takes retries while the number of nested calls is
+// updated concurrently. The race detector checks that the value is read under its lock.
 func TestRetriesWhileCallsPerRunChanges(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -78,25 +78,26 @@
 		a.entry.takeRetry(caller, a.now())
 	}
 	<-done
-	require.LessOrEqual(t, callee.retryLimiter.left(a.now()), before, "a refusal gives back what it took")
+	require.LessOrEqual(t, callee.retryLimiter.left(a.now()), before, "a denied retry is refunded")
 }
 
-// TestBudgetWhenDaemonsForget kills daemons that have just used their budget in one
-// burst. All that are there afterwards send again whatever they may, and yet the whole
-// budget holds in the span after the burst. A tenth of a second is a turn.
+// TestRetryBudgetAfterDaemonRestarts restarts daemons that have just exhausted their
+// shares of the budget, and so have lost their counts. Afterwards all daemons retry as
+// often as they may. All retries together must stay within the budget. One turn is a
+// tenth of a second.
 func TestRetryBudgetAfterDaemonRestarts(t *testing.T) {
 	const daemons, turns, perTurn = 9, 100, 10
 	budget := ResendBudget{Ratio: 0.2, Slack: 50, Span: 10 * time.Second}
-	for killed, want := range map[int]float64{0: 1, 3: 1, 6: 1.0 / 2, 9: 1.0 / 3} {
-		t.Run(fmt.Sprint(killed), func(t *testing.T) {
-			require.InDelta(t, want, budgetShareAfterStarts(float64(killed)/daemons), 1e-9)
-			var all [daemons]*retryLimiter
+	for restarted, want := range map[int]float64{0: 1, 3: 1, 6: 1.0 / 2, 9: 1.0 / 3} {
+		t.Run(fmt.Sprint(restarted), func(t *testing.T) {
+			require.InDelta(t, want, budgetShareAfterStarts(float64(restarted)/daemons), 1e-9)
+			var limiters [daemons]*retryLimiter
 			now := model.Instant(0).Add(time.Minute)
-			for i := range all {
-				all[i] = newRetryLimiter(budget)
+			for i := range limiters {
+				limiters[i] = newRetryLimiter(budget)
 			}
 			turn := func() {
-				for _, r := range all {
+				for _, r := range limiters {
 					for range perTurn {
 						r.countRequest(now)
 					}
@@ -104,7 +105,7 @@
 				now = now.Add(budget.Span / turns)
 			}
 			burst := func(started float64) (sent int) {
-				for _, r := range all {
+				for _, r := range limiters {
 					for r.take(now, 1, daemons, started) {
 						sent++
 					}
@@ -116,12 +117,12 @@
 			}
 			sent := burst(0)
 			require.Positive(t, sent)
-			for i := range killed {
-				all[i] = newRetryLimiter(budget)
+			for i := range restarted {
+				limiters[i] = newRetryLimiter(budget)
 			}
 			for range turns - 1 {
 				turn()
-				sent += burst(float64(killed) / daemons)
+				sent += burst(float64(restarted) / daemons)
 			}
 			require.LessOrEqual(t, float64(sent), budget.Slack+budget.Ratio*daemons*perTurn*(turns-1))
 		})
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -30,8 +30,8 @@
 	// The upstream is logged as failing at a failure rate of failingShare, and as
 	// recovered at recoveredShare. The two differ so that random fluctuation does not
 	// cause many log entries.
-	failingShare   = 0.5
-	recoveredShare = 0.1
+	failingRate   = 0.5
+	recoveredRate = 0.1
 	// minDeadline is the least time that a request must have left to be sent to the
 	// upstream.
 	minDeadline = 2 * time.Millisecond
@@ -39,29 +39,29 @@
 
 // runCall sends a call to the upstream unless it was cancelled or its deadline is too
 // close, and stores the result.
-func (g *guard) runCall(ctx context.Context, c *Call, at *attempt, arrived model.Instant) *Answer {
-	left := c.Deadline - g.now().Sub(arrived)
+func (g *guard) runCall(ctx context.Context, c *Call, attempt *attempt, arrived model.Instant) *Answer {
+	timeLeft := c.Deadline - g.now().Sub(arrived)
 	a := notRun(outcome.ReasonDeadline)
 	switch {
-	case left < minDeadline:
-	case inbound.Left(ctx), !at.start():
+	case timeLeft < minDeadline:
+	case inbound.Left(ctx), !attempt.start():
 		a = notRun(outcome.ReasonWithdrawn)
 	default:
-		a = contain(c.ID, g.panicked, func() *Answer { return g.sendToUpstream(ctx, c, left, g.now().Sub(arrived)) })
+		a = contain(c.ID, g.panicked, func() *Answer { return g.sendToUpstream(ctx, c, timeLeft, g.now().Sub(arrived)) })
 	}
 	g.mu.Lock()
 	g.queue.Finish()
 	g.mu.Unlock()
-	at.finish(a)
+	attempt.finish(a)
 	g.dispatch()
 	return a
 }
 
-func (g *guard) sendToUpstream(ctx context.Context, c *Call, left, waited time.Duration) *Answer {
-	ctx, cancel := context.WithTimeout(ctx, left)
+func (g *guard) sendToUpstream(ctx context.Context, c *Call, timeLeft, waited time.Duration) *Answer {
+	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
 	h := endToEnd(c.Header)
-	g.opts.Edge.Dress(h, Dressing{ID: c.ID, Deadline: left, Caller: c.Caller, Upstream: c.Upstream.ID})
+	g.opts.Edge.Dress(h, Dressing{ID: c.ID, Deadline: timeLeft, Caller: c.Caller, Upstream: c.Upstream.ID})
 	var reading Reading
 	x := hop.Exchange{
 		Method: c.Method, Target: c.Target, Host: c.Host, Header: h, Body: c.Body,
@@ -75,42 +75,42 @@
 	}
 	g.mu.Lock()
 	g.countRun()
-	pool, running, life := g.pool, g.queue.Running(), g.tracker.Current().Incarnation
+	pool, running, incarnation := g.pool, g.queue.Running(), g.tracker.Current().Incarnation
 	g.mu.Unlock()
-	began := g.now()
+	start := g.now()
 	reply, err := pool.Do(ctx, x)
-	ran := g.now().Sub(began)
+	duration := g.now().Sub(start)
 	a := g.interpretResponse(ctx, c, reading, reply, err)
-	a.ServiceTime = g.serviceTimeOf(ran)
+	a.ServiceTime = g.serviceTimeOf(duration)
 	g.metrics.stage(stageGuard, c.Service, waited)
-	g.metrics.stage(stageUpstream, c.Service, ran)
+	g.metrics.stage(stageUpstream, c.Service, duration)
 	g.recordOutcome(ctx, a)
 	if err == nil {
 		g.crashes.recordResponse()
 	}
 	if a.Outcome.Reason == outcome.ReasonConnectionLost {
-		go g.crashes.recordLoss(newLostRun(c, life))
+		go g.crashes.recordLoss(newLostRun(c, incarnation))
 	}
-	g.logRun(c, a, err, waited, ran, running)
+	g.logRun(c, a, err, waited, duration, running)
 	return a
 }
 
 // serviceTimeOf returns how long an execution would have taken at slowdown 1. If the
 // upstream does not report its slowdown, it returns the duration unchanged.
-func (g *guard) serviceTimeOf(ran time.Duration) time.Duration {
+func (g *guard) serviceTimeOf(duration time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.slowdownReported {
-		return ran
+		return duration
 	}
-	return time.Duration(float64(ran) / max(g.slowdown, 1))
+	return time.Duration(float64(duration) / max(g.slowdown, 1))
 }
 
-func newLostRun(c *Call, life lifecycle.Incarnation) lostRun {
+func newLostRun(c *Call, incarnation lifecycle.Incarnation) lostRun {
 	r := asked(c.Service, c.Method, c.Target, c.Body)
 	f := quarantine.Of(r)
 	r.Body = nil
-	return lostRun{id: c.ID, print: f, request: r, upstream: life}
+	return lostRun{id: c.ID, print: f, request: r, upstream: incarnation}
 }
 
 // belongsTo reports whether a response belongs to a call.
@@ -201,30 +201,30 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failures.Count(g.now(), failed)
-	share := g.failures.Share(g.now())
+	rate := g.failures.Share(g.now())
 	switch {
-	case !g.failingLogged && share >= failingShare:
-		g.logFailing(decision.UpstreamFailing, share)
-	case g.failingLogged && share <= recoveredShare:
-		g.logFailing(decision.UpstreamTrusted, share)
+	case !g.failingLogged && rate >= failingRate:
+		g.logFailing(decision.UpstreamFailing, rate)
+	case g.failingLogged && rate <= recoveredRate:
+		g.logFailing(decision.UpstreamTrusted, rate)
 	}
 }
 
 // logFailing logs that the upstream is failing or has recovered. g.mu is held.
-func (g *guard) logFailing(k decision.Kind, share float64) {
+func (g *guard) logFailing(k decision.Kind, rate float64) {
 	g.failingLogged = k == decision.UpstreamFailing
-	g.opts.Decisions.Write(k, "", slog.String("upstream", string(g.tracker.Current().ID)), slog.Float64("failing", share))
+	g.opts.Decisions.Write(k, "", slog.String("upstream", string(g.tracker.Current().ID)), slog.Float64("failing", rate))
 }
 
-func (g *guard) logRun(c *Call, a *Answer, err error, waited, ran time.Duration, running int) {
-	attrs := []slog.Attr{slog.String("upstream", string(c.Upstream.ID)), slog.Int("status", a.Status), slog.Int64("ran_ms", ran.Milliseconds())}
+func (g *guard) logRun(c *Call, a *Answer, err error, waited, duration time.Duration, running int) {
+	attrs := []slog.Attr{slog.String("upstream", string(c.Upstream.ID)), slog.Int("status", a.Status), slog.Int64("ran_ms", duration.Milliseconds())}
 	if a.Outcome.Kind == outcome.Answered && a.Status < http.StatusInternalServerError {
 		if g.opts.Decisions.Keeps(c.ID) {
 			g.mu.Lock()
-			slow := g.slowdown
+			slowdown := g.slowdown
 			g.mu.Unlock()
 			g.opts.Decisions.Write(decision.Ran, c.ID, append(attrs, slog.Int64("waited_ms", waited.Milliseconds()),
-				slog.Float64("slow", slow), slog.Int("running", running))...)
+				slog.Float64("slow", slowdown), slog.Int("running", running))...)
 		}
 		return
 	}
--- a/sidecar/run_test.go
+++ b/sidecar/run_test.go
@@ -11,8 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// TestLostRunsSayWhy tells a run that was cancelled, such as that of a hedge whose
-// sibling answered first, from one that was still running at its deadline.
+// TestLostRunReasons distinguishes an execution that was cancelled, for example because
+// the response to a hedge came first, from one that was still running at its deadline.
 func TestLostRunReasons(t *testing.T) {
 	running := context.Background()
 	cancelled, cancel := context.WithCancel(running)
@@ -27,7 +27,7 @@
 		"never sent":             {running, false, outcome.NotRunBecause(outcome.ReasonConnect)},
 		"never sent, cancelled":  {cancelled, false, outcome.NotRunBecause(outcome.ReasonConnect)},
 		"connection lost":        {running, true, outcome.UnknownBecause(outcome.ReasonConnectionLost)},
-		"cancelled by its entry": {cancelled, true, outcome.UnknownBecause(outcome.ReasonCancelled)},
+		"cancelled by the entry": {cancelled, true, outcome.UnknownBecause(outcome.ReasonCancelled)},
 		"deadline passed":        {expired, true, outcome.UnknownBecause(outcome.ReasonDeadline)},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -116,68 +116,68 @@
 // sendNonIdempotent sends a call that must not run twice. If the connection breaks or
 // there is no result for long, it queries the outcome over a new connection.
 func (e *entry) sendNonIdempotent(ctx context.Context, pool *hop.Pool, t *try, c *Call) *Answer {
-	type result struct {
+	type reply struct {
 		result *Answer
 		// complete reports whether a complete result was received from the daemon.
 		complete bool
 	}
-	first := make(chan result, 1)
+	direct := make(chan reply, 1)
 	go func() {
-		var whole bool
+		var complete bool
 		a := contain(c.ID, e.daemon.panicked, func() (a *Answer) {
-			a, whole = e.sendOnConnection(ctx, pool, t, c)
+			a, complete = e.sendOnConnection(ctx, pool, t, c)
 			return a
 		})
-		first <- result{a, whole}
+		direct <- reply{a, complete}
 	}()
-	sent := e.bootClock()
-	timer := time.NewTimer(time.Duration(outcomeQueryFactor*float64(t.choice.Expected)) + outcomeQueryMargin)
-	defer timer.Stop()
-	silent := time.NewTimer(ackWait)
-	defer silent.Stop()
-	settled := make(chan result, 1)
-	asked, answered := false, false
-	ask := func() {
-		if !asked && ctx.Err() == nil {
-			asked = true
+	sentAt := e.bootClock()
+	queryTimer := time.NewTimer(time.Duration(outcomeQueryFactor*float64(t.choice.Expected)) + outcomeQueryMargin)
+	defer queryTimer.Stop()
+	ackTimer := time.NewTimer(ackWait)
+	defer ackTimer.Stop()
+	queried := make(chan reply, 1)
+	querying, guardReached := false, false
+	queryOnce := func() {
+		if !querying && ctx.Err() == nil {
+			querying = true
 			go func() {
 				var reached bool
 				a := contain(c.ID, e.daemon.panicked, func() (a *Answer) {
 					a, reached = e.queryOutcome(ctx, pool, t, c)
-					return e.dropExpiredProof(a, sent, c)
+					return e.dropExpiredProof(a, sentAt, c)
 				})
-				settled <- result{a, reached}
+				queried <- reply{a, reached}
 			}()
 		}
 	}
 	for broken := false; ; {
 		select {
-		case got := <-first:
-			if got.complete || answered || ctx.Err() != nil {
+		case got := <-direct:
+			if got.complete || guardReached || ctx.Err() != nil {
 				return got.result
 			}
 			broken = true
-			ask()
-		case got := <-settled:
+			queryOnce()
+		case got := <-queried:
 			if got.result.Outcome.Kind != outcome.Unknown || broken {
 				return got.result
 			}
 			// The result may still arrive over the first connection. A guard that was not
 			// reached may be unreachable only for a moment, so the query is repeated.
-			if answered = got.complete; !answered {
-				asked = false
-				timer.Reset(outcomeQueryRetryDelay)
+			if guardReached = got.complete; !guardReached {
+				querying = false
+				queryTimer.Reset(outcomeQueryRetryDelay)
 			}
 		case <-ctx.Done():
 			// The request has ended, so nobody uses the result.
 			return unknown(outcome.ReasonCancelled)
-		case <-timer.C:
-			ask()
-		case <-silent.C:
+		case <-queryTimer.C:
+			queryOnce()
+		case <-ackTimer.C:
 			select {
 			case <-t.acknowledged:
 			default:
-				ask()
+				queryOnce()
 			}
 		}
 	}
@@ -188,8 +188,8 @@
 // long as the guard cannot have evicted the attempt; later, the outcome is unknown. The
 // deadline of the call is no substitute for this check, as its clock stops while this VM
 // is suspended.
-func (e *entry) dropExpiredProof(a *Answer, sent time.Duration, c *Call) *Answer {
-	if a.Outcome.Kind == outcome.NotRun && e.bootClock()-sent > retentionPeriod(c.Deadline) {
+func (e *entry) dropExpiredProof(a *Answer, sentAt time.Duration, c *Call) *Answer {
+	if a.Outcome.Kind == outcome.NotRun && e.bootClock()-sentAt > retentionPeriod(c.Deadline) {
 		return unknown(outcome.ReasonConnectionLost)
 	}
 	return a
--- a/sidecar/stopping_test.go
+++ b/sidecar/stopping_test.go
@@ -12,69 +12,71 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// TestLastUpstreamServesWhileItsDaemonStops has the others of a service leave before: a
-// daemon that is about to stop is better than none.
+// TestLastUpstreamServesWhileItsDaemonStops sends requests to the only upstream of a
+// service while its daemon is stopping. A stopping daemon is used if there is no other.
 func TestLastUpstreamServesWhileItsDaemonStops(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
 	go b.stop()
-	eventually(t, "known to stop", func() bool { r, _ := a.peers.of(b.opts.Addresses.Peers); return r.Stopping })
+	eventually(t, "the stop is known to the other daemon", func() bool { r, _ := a.peers.of(b.opts.Addresses.Peers); return r.Stopping })
 	status, text := a.get(t, "/safe/")
 	require.Equal(t, http.StatusOK, status, text)
 	status, text = a.post(t, "/unsafe/")
 	require.Equal(t, http.StatusOK, status, text)
 }
 
-// TestStoppingGuardsStartWhatEndsInTime also answers requests with long deadlines: a call
-// that might have to be cut goes elsewhere.
+// TestStoppingGuardAdmitsCallsThatEndInTime checks that a stopping guard admits calls
+// with long deadlines if their service time is short, and rejects calls that it might
+// have to abort.
 func TestStoppingGuardAdmitsCallsThatEndInTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		until    time.Duration
-		deadline time.Duration
-		work     time.Duration
-		want     outcome.Reason
+		stopAfter   time.Duration
+		deadline    time.Duration
+		serviceTime time.Duration
+		want        outcome.Reason
 	}{
-		"not stopping":                 {0, time.Hour, time.Hour, outcome.ReasonNone},
-		"its deadline is before":       {5 * time.Second, 4 * time.Second, 3 * time.Second, outcome.ReasonNone},
-		"long deadline, little work":   {5 * time.Second, time.Minute, 100 * time.Millisecond, outcome.ReasonNone},
-		"it may take longer than that": {5 * time.Second, time.Minute, 2 * time.Second, outcome.ReasonDraining},
+		"not stopping":                       {0, time.Hour, time.Hour, outcome.ReasonNone},
+		"deadline before the stop":           {5 * time.Second, 4 * time.Second, 3 * time.Second, outcome.ReasonNone},
+		"long deadline, short service time":  {5 * time.Second, time.Minute, 100 * time.Millisecond, outcome.ReasonNone},
+		"may run longer than until the stop": {5 * time.Second, time.Minute, 2 * time.Second, outcome.ReasonDraining},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := model.Instant(time.Hour)
 			g := newIdleGuard(&now)
 			g.report(ready("b1", 1, 1, "b"), "report")
-			if c.until > 0 {
-				g.endBy(now.Add(c.until))
+			if c.stopAfter > 0 {
+				g.endBy(now.Add(c.stopAfter))
 			}
 			call := ordinary()
-			call.Deadline, call.ServiceTime = c.deadline, c.work
+			call.Deadline, call.ServiceTime = c.deadline, c.serviceTime
 			require.Equal(t, c.want, g.rejectReason(g.tracker.Current(), call))
 		})
 	}
 }
 
-// TestStoppingGuardsHandBackWhatWaits tells those who sent it that it has not run.
+// TestStoppingGuardRejectsWaitingCalls checks that the sender of a waiting call learns
+// that the call has not run.
 func TestStoppingGuardRejectsWaitingCalls(t *testing.T) {
 	now := model.Instant(time.Hour)
 	g := newIdleGuard(&now)
 	r := ready("b1", 1, 1, "b")
 	r.Slots = 1
 	g.report(r, "report")
-	_, running, refused := g.enqueue(ordinary())
-	require.Nil(t, refused)
-	require.NotEmpty(t, running)
+	_, runningExit, rejected := g.enqueue(ordinary())
+	require.Nil(t, rejected)
+	require.NotEmpty(t, runningExit)
 	call := ordinary()
-	id, exits, refused := g.enqueue(call)
-	require.Nil(t, refused)
-	require.Empty(t, exits)
+	id, exit, rejected := g.enqueue(call)
+	require.Nil(t, rejected)
+	require.Empty(t, exit)
 	g.stop()
-	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, exits)
+	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, exit)
 	require.Equal(t, outcome.NotRun, got.Outcome.Kind)
 }
 
-// TestPartThatHangsDoesNotKeepTheProcess has the source of the configuration ignore that
-// the daemon ends.
+// TestHangingComponentDoesNotBlockExit uses a source of the configuration that ignores
+// the end of its context.
 func TestHangingComponentDoesNotBlockExit(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	up := newUpstream(t, "a1")
@@ -90,16 +92,16 @@
 	go func() { served <- d.Serve(ctx) }()
 	eventually(t, "ready", d.ready.Load)
 	cancel()
-	// The supervisor alone would wait for ten seconds.
-	const most = 5 * time.Second
+	// Without a limit of the daemon, the supervisor would wait for ten seconds.
+	const limit = 5 * time.Second
 	select {
 	case <-served:
-	case <-time.After(most):
-		t.Fatal("the daemon still runs")
+	case <-time.After(limit):
+		t.Fatal("the daemon is still running")
 	}
 }
 
-// stubborn goes on until it is released.
+// hangingSource does not return from Follow until it is released.
 type hangingSource struct {
 	*source
 	release chan struct{}
@@ -111,18 +113,18 @@
 	return nil
 }
 
-// TestStoppingEntriesRefuseWhatTheyMightCut sends a request that runs for long on a
-// connection that was open before the daemon was told to stop.
+// TestStoppingDaemonRefusesLongRequests sends a long request to a stopping daemon, as it
+// may arrive on a connection that was opened before the stop.
 func TestStoppingDaemonRefusesLongRequests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, _ := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
 	a.entry.recordServiceTime("unsafe", time.Minute)
 	go a.stop()
-	eventually(t, "it stops", a.stopping.Load)
+	eventually(t, "the daemon is stopping", a.stopping.Load)
 	resp, _ := a.ask(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	status, _ := a.get(t, "/safe/")
-	require.Equal(t, http.StatusOK, status, "there is time for this one")
+	require.Equal(t, http.StatusOK, status, "short requests are served")
 }
--- a/sidecar/unanswered_test.go
+++ b/sidecar/unanswered_test.go
@@ -19,15 +19,15 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// lines collects decision lines. It is safe for concurrent use.
+// lines collects the entries of the decision log. It is safe for concurrent use.
 type lines struct {
 	mu      sync.Mutex
 	entries []map[string]any
-	// written, if set, is called before a line is taken.
+	// onWrite, if set, is called before an entry is added.
 	onWrite func(kind string)
 }
 
-// Write implements io.Writer for one line.
+// Write adds one entry, which must be a complete JSON object.
 func (l *lines) Write(p []byte) (int, error) {
 	var fields map[string]any
 	if err := json.Unmarshal(p, &fields); err != nil {
@@ -42,15 +42,15 @@
 	return len(p), nil
 }
 
-// of returns the lines of a kind.
+// ofKind returns the entries of a kind.
 func (l *lines) ofKind(k decision.Kind) []map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(l.entries), func(f map[string]any) bool { return f["msg"] != string(k) })
 }
 
-// joinWithLog is join with a log of decisions. The daemon runs until the end of the test
-// or its stop.
+// joinWithLog is like join, but records the decision log. The daemon runs until the test
+// ends or stops it.
 func joinWithLog(t *testing.T, s *store, id string, l *lines) *member {
 	t.Helper()
 	up := newUpstream(t, id)
@@ -62,7 +62,7 @@
 	return m
 }
 
-// kept is a connection of a caller.
+// kept is a connection of a caller to a daemon.
 type kept struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -83,7 +83,7 @@
 	require.NoError(t, err)
 }
 
-// answer reads a whole answer.
+// answer reads a complete response.
 func (k *kept) answer() (*http.Response, error) {
 	resp, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return resp, err
 }
 
-// TestPanicsOfHandlersAreLogged has a handler of callers panic: the caller sees only that
+// TestHandlerPanicsAreLogged makes a handler for callers panic. The caller only sees that
 // the connection is closed.
 func TestHandlerPanicsAreLogged(t *testing.T) {
 	l := &lines{}
@@ -103,17 +103,17 @@
 	k.send(t, "one")
 	_, err := k.answer()
 	require.Error(t, err)
-	eventually(t, "the line", func() bool { return len(l.ofKind(decision.Aborted)) == 1 })
-	line := l.ofKind(decision.Aborted)[0]
-	require.Equal(t, "one", line["request"])
-	require.Equal(t, "broken", line["error"])
-	require.Equal(t, "callers", line["part"])
-	require.Contains(t, line["stack"], "unanswered_test.go")
+	eventually(t, "the log entry", func() bool { return len(l.ofKind(decision.Aborted)) == 1 })
+	logged := l.ofKind(decision.Aborted)[0]
+	require.Equal(t, "one", logged["request"])
+	require.Equal(t, "broken", logged["error"])
+	require.Equal(t, "callers", logged["part"])
+	require.Contains(t, logged["stack"], "unanswered_test.go")
 	require.EqualValues(t, 1, m.scope.Snapshot().Counters()["handlers_panicked+"].Value())
 }
 
-// withRequestInHand returns a daemon, its log, and a connection whose request runs until the
-// end of the test.
+// startWithRunningRequest returns a daemon, its log, and a connection with a request that
+// runs until the end of the test.
 func startWithRunningRequest(t *testing.T) (*member, *lines, *kept) {
 	t.Helper()
 	l := &lines{}
@@ -123,36 +123,38 @@
 	m.up.set(func(w http.ResponseWriter, _ *http.Request) { <-release; answerWell(w, "a1") })
 	k := dialCallers(t, m)
 	k.send(t, "one")
-	eventually(t, "it runs", func() bool { return len(m.up.requests()) == 1 })
+	eventually(t, "the request runs", func() bool { return len(m.up.requests()) == 1 })
 	return m, l, k
 }
 
-// TestRequestsThatAreCutAreLogged ends the servers of a daemon while it has a request in
-// hand.
+// TestAbortedRequestsAreLogged closes the servers of a daemon while a request is in
+// flight.
 func TestAbortedRequestsAreLogged(t *testing.T) {
 	m, l, k := startWithRunningRequest(t)
 	m.callers.close()
 	_, err := k.answer()
 	require.Error(t, err)
-	eventually(t, "the line", func() bool { return len(l.ofKind(decision.Failed)) > 0 })
-	cut := l.ofKind(decision.Failed)
-	require.Len(t, cut, 1)
-	require.Equal(t, "one", cut[0]["request"])
-	require.Equal(t, true, cut[0]["cut"])
+	eventually(t, "the log entry", func() bool { return len(l.ofKind(decision.Failed)) > 0 })
+	failed := l.ofKind(decision.Failed)
+	require.Len(t, failed, 1)
+	require.Equal(t, "one", failed[0]["request"])
+	require.Equal(t, true, failed[0]["cut"])
 	require.EqualValues(t, 1, m.scope.Snapshot().Counters()["requests_cut+"].Value())
 }
 
-// TestCallersThatLeaveAreNotCut has the caller close its connection.
+// TestDisconnectingCallersAreNotCountedAsAborted closes the connection from the side of
+// the caller.
 func TestDisconnectingCallersAreNotCountedAsAborted(t *testing.T) {
 	_, l, k := startWithRunningRequest(t)
 	require.NoError(t, k.conn.Close())
-	eventually(t, "the line", func() bool { return len(l.ofKind(decision.Failed)) == 1 })
+	eventually(t, "the log entry", func() bool { return len(l.ofKind(decision.Failed)) == 1 })
 	require.Equal(t, false, l.ofKind(decision.Failed)[0]["cut"])
 }
 
-// TestRequestsAtTheEndOfAStopAreNotCut guards against requests on kept connections that are
-// passed on and get no answer: one comes after a stopping daemon found nothing in hand and
-// before it closes its connections, here while its last line waits for a slow reader.
+// TestRequestsAtTheEndOfAStopAreAnswered guards against requests that are forwarded and
+// get no response. Such a request arrives on a persistent connection after a stopping
+// daemon has found no request in flight and before it closes its connections. To extend
+// that time, the test delays the last log entry of the daemon.
 func TestRequestsAtTheEndOfAStopAreAnswered(t *testing.T) {
 	ending, release := make(chan struct{}), make(chan struct{})
 	l := &lines{onWrite: func(kind string) {
@@ -170,7 +172,7 @@
 	require.NoError(t, err)
 	require.False(t, resp.Close)
 	b.up.set(func(w http.ResponseWriter, r *http.Request) {
-		// It runs until its sender has gone.
+		// The request runs until its sender disconnects.
 		select {
 		case <-r.Context().Done():
 		case <-time.After(time.Second):
@@ -187,18 +189,18 @@
 	close(release)
 	<-stopped
 	if len(b.up.requests()) > 1 {
-		require.NoError(t, err, "it was passed on and cut")
+		require.NoError(t, err, "the request was forwarded and got no response")
 	}
 }
 
-// TestRequestsInHandAtTheEndOfTheGraceTimeAreAnswered guards against callers that get no
-// answer as their requests run longer than a stopping daemon may.
+// TestRunningRequestsAreAnsweredAtTheEndOfTheGracePeriod guards against callers that get
+// no response because their requests run longer than a stopping daemon.
 func TestRunningRequestsAreAnsweredAtTheEndOfTheGracePeriod(t *testing.T) {
-	for _, own := range []string{"a", "b"} {
-		t.Run("upstream of "+own, func(t *testing.T) {
-			s := newStore(documentOf(1, model.ServiceName(own)))
+	for _, upstreamService := range []string{"a", "b"} {
+		t.Run("upstream of service "+upstreamService, func(t *testing.T) {
+			s := newStore(documentOf(1, model.ServiceName(upstreamService)))
 			a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
-			a.knows(t, model.ServiceName(own), 1)
+			a.knows(t, model.ServiceName(upstreamService), 1)
 			release := make(chan struct{})
 			t.Cleanup(func() { close(release) })
 			for _, m := range []*member{a, b} {
@@ -206,18 +208,18 @@
 			}
 			k := dialCallers(t, a)
 			k.send(t, "one")
-			eventually(t, "it runs", func() bool { return len(a.up.requests())+len(b.up.requests()) == 1 })
+			eventually(t, "the request runs", func() bool { return len(a.up.requests())+len(b.up.requests()) == 1 })
 			a.tunables.Store(&Tunables{Grace: graceMargin})
 			go a.stop()
 			resp, err := k.answer()
 			require.NoError(t, err)
-			require.Equal(t, http.StatusBadGateway, resp.StatusCode, "it may have run")
+			require.Equal(t, http.StatusBadGateway, resp.StatusCode, "the request may have run")
 		})
 	}
 }
 
-// TestRequestsAfterTheEndOfAStopAreRefused has a request come when a stopping daemon takes
-// nothing more and has not closed its connections yet.
+// TestRequestsAfterTheEndOfAStopAreRefused sends a request to a daemon that accepts no
+// more requests but has not closed its connections yet.
 func TestRequestsAfterTheEndOfAStopAreRefused(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	k := dialCallers(t, m)
@@ -230,12 +232,12 @@
 	require.Empty(t, m.up.requests())
 }
 
-// TestNothingIsTakenOnceAStopFoundNothingInHand lets no request in between the check and the
-// end.
+// TestEndIdleAdmitsNoFurtherRequests checks that no request is admitted after the check
+// that none is in flight.
 func TestEndIdleAdmitsNoFurtherRequests(t *testing.T) {
 	var h inHand
 	require.True(t, h.begin())
-	require.False(t, h.endIdle(func() bool { return true }), "one is in hand")
+	require.False(t, h.endIdle(func() bool { return true }), "one request is in flight")
 	require.True(t, h.begin())
 	h.done()
 	h.done()
@@ -246,33 +248,34 @@
 	require.False(t, h.begin())
 }
 
-// TestStoppedGuardsTakeNothing lets no call in between the check and the end.
+// TestStopIdleAdmitsNoFurtherCalls checks that no call is admitted after the check that
+// none is waiting or running.
 func TestStopIdleAdmitsNoFurtherCalls(t *testing.T) {
 	now := model.Instant(time.Hour)
 	g := newIdleGuard(&now)
 	g.report(ready("b1", 1, 1, "b"), "report")
-	_, exits, refused := g.enqueue(ordinary())
-	require.Nil(t, refused)
-	require.NotEmpty(t, exits)
-	require.False(t, g.stopIdle(), "one runs")
-	_, _, refused = g.enqueue(ordinary())
-	require.Nil(t, refused)
+	_, exit, rejected := g.enqueue(ordinary())
+	require.Nil(t, rejected)
+	require.NotEmpty(t, exit)
+	require.False(t, g.stopIdle(), "one call is running")
+	_, _, rejected = g.enqueue(ordinary())
+	require.Nil(t, rejected)
 	g.queue.Finish()
 	g.queue.Finish()
 	require.True(t, g.stopIdle())
-	_, _, refused = g.enqueue(ordinary())
-	require.Equal(t, outcome.ReasonDraining, refused.Outcome.Reason)
+	_, _, rejected = g.enqueue(ordinary())
+	require.Equal(t, outcome.ReasonDraining, rejected.Outcome.Reason)
 }
 
-// panickingEdge panics as a request is handed to the upstream.
+// panickingEdge panics when a request is sent to the upstream.
 type panickingEdge struct{ testEdge }
 
 func (panickingEdge) Dress(http.Header, Dressing) { panic("broken") }
 
-// TestPanicCostsOneRequest guards against a process that ends, with every request in hand,
-// as one request makes code beside the handlers panic.
+// TestPanicEndsOnlyItsRequest guards against a panic outside the HTTP handlers that ends
+// the process, and with it all requests in flight.
 func TestPanicEndsOnlyItsRequest(t *testing.T) {
-	for name, entryService := range map[string]model.ServiceName{"own upstream": "b", "upstream of another daemon": "a"} {
+	for name, entryService := range map[string]model.ServiceName{"local upstream": "b", "upstream of another daemon": "a"} {
 		t.Run(name, func(t *testing.T) {
 			s := newStore(documentOf(1, "b"))
 			l := &lines{}
@@ -281,18 +284,18 @@
 			o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(l, nil)})
 			b := start(t, o, s)
 			b.Report(ready("b1", 1, 1, "b"))
-			at := b
+			member := b
 			if entryService == "a" {
-				at = join(t, s, "a", "a1")
+				member = join(t, s, "a", "a1")
 			}
-			at.knows(t, "b", 1)
-			status, reason := at.get(t, "/safe/")
+			member.knows(t, "b", 1)
+			status, reason := member.get(t, "/safe/")
 			require.Equal(t, http.StatusBadGateway, status, reason)
-			status, reason = at.post(t, "/unsafe/")
+			status, reason = member.post(t, "/unsafe/")
 			require.Equal(t, http.StatusBadGateway, status, reason)
-			eventually(t, "the lines", func() bool { return len(l.ofKind(decision.Aborted)) >= 2 })
+			eventually(t, "the log entries", func() bool { return len(l.ofKind(decision.Aborted)) >= 2 })
 			require.Equal(t, attemptPart, l.ofKind(decision.Aborted)[0]["part"])
-			require.Equal(t, 0, b.guard.queue.Running(), "slots are given back")
+			require.Equal(t, 0, b.guard.queue.Running(), "slots are released")
 		})
 	}
 }
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -93,7 +93,7 @@
 		plan: reloads, want: "ended",
 	},
 	"a refusal tells no time to come back": {
-		edits: []edits.Edit{edits.New("sidecar/entry.go", "if a.Outcome.RetryAfter > 0 {", "if a.Outcome.RetryAfter < 0 {")},
+		edits: []edits.Edit{edits.New("sidecar/entry.go", "if result.Outcome.RetryAfter > 0 {", "if result.Outcome.RetryAfter < 0 {")},
 		plan:  sheds, want: "advice",
 	},
 	"new versions are not read": {
