--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -33,7 +33,7 @@
 			require.True(t, attempt.start())
 			attempt.finish(done)
 		}, outcome.Answered, true},
-		"rejected attempt": {func(_ *testing.T, a *attempts) {
+		"refused": {func(_ *testing.T, a *attempts) {
 			attempt, _ := a.register("k", time.Second)
 			attempt.finish(notRun(outcome.ReasonQueueFull))
 		}, outcome.NotRun, false},
--- a/sidecar/call_test.go
+++ b/sidecar/call_test.go
@@ -21,7 +21,7 @@
 	millis := rapid.Map(rapid.Int64Range(0, 100_000), func(n int64) time.Duration { return time.Duration(n) * time.Millisecond })
 	rapid.Check(t, func(t *rapid.T) {
 		want := &Call{
-			ID: name.Draw(t, "id"), AttemptIndex: rapid.IntRange(0, 9).Draw(t, "attempt index"),
+			ID: name.Draw(t, "id"), AttemptIndex: rapid.IntRange(0, 9).Draw(t, "send"),
 			Service: model.ServiceName(name.Draw(t, "service")), Caller: model.ServiceName(name.Draw(t, "caller")),
 			Upstream: lifecycle.Incarnation{
 				ID: model.UpstreamID(name.Draw(t, "upstream")), Born: rapid.Int64Min(0).Draw(t, "born"),
--- a/sidecar/correction_test.go
+++ b/sidecar/correction_test.go
@@ -177,8 +177,8 @@
 	var now model.Instant
 	p := newPeers(Record{Address: "own", Incarnation: 1, Sequence: 1}, func() model.Instant { return now }, nil)
 	p.ctx = cancelledContext(t)
-	p.merge([]Record{{Address: "remote", Incarnation: 1, Sequence: 1, Service: "b", State: lifecycle.Ready}})
-	remote := p.all["remote"]
+	p.merge([]Record{{Address: "far", Incarnation: 1, Sequence: 1, Service: "b", State: lifecycle.Ready}})
+	remote := p.all["far"]
 	for _, c := range []struct {
 		lostFor  time.Duration
 		retry    bool
