--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -65,7 +65,7 @@
 	c.lostRuns = append(c.lostRuns, r)
 	c.mu.Unlock()
 	if !c.listening() {
-		c.reportRuns(c.removeRuns(r.upstream, lastBurst))
+		c.report(c.removeRuns(r.upstream, lastBurst))
 	}
 }
 
@@ -103,14 +103,12 @@
 	}
 }
 
-// upstreamCrashed handles the crash of an incarnation that has been replaced by a new
+// handleCrash handles the crash of an incarnation that has been replaced by a new
 // one. It reports the burst with the longest silence, because a restart takes longer than
 // the next response of an upstream that kept running.
-func (c *crashes) upstreamCrashed(i lifecycle.Incarnation) {
-	c.reportRuns(c.removeRuns(i, longestBurst))
-}
+func (c *crashes) handleCrash(i lifecycle.Incarnation) { c.report(c.removeRuns(i, longestBurst)) }
 
-func (c *crashes) reportRuns(runs []lostRun) {
+func (c *crashes) report(runs []lostRun) {
 	for _, r := range runs {
 		c.crashed(r)
 	}
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -50,10 +50,10 @@
 	slowdown         float64
 	slowdownAt       model.Instant
 	slowdownReported bool
-	// noHealthCheckUntil is when the load of an upstream that does not report it is
-	// queried again.
-	noHealthCheckUntil model.Instant
-	failures           placement.Failing
+	// nextHealthCheck is the earliest time of the next health check of an upstream that
+	// does not report its load.
+	nextHealthCheck model.Instant
+	failures        placement.Failing
 	// failingLogged is set after the failure of the upstream was logged, until its
 	// recovery is logged.
 	failingLogged   bool
@@ -100,7 +100,7 @@
 	cur := g.tracker.Current()
 	g.mu.Unlock()
 	if verdict == lifecycle.Started && previous.State == lifecycle.Ready {
-		g.crashes.upstreamCrashed(previous.Incarnation)
+		g.crashes.handleCrash(previous.Incarnation)
 	}
 	if verdict == lifecycle.Started || verdict == lifecycle.Changed {
 		g.logState(cur, cause)
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -58,7 +58,7 @@
 	}
 	switch {
 	case g.slowdownReported:
-	case g.doesNotReportLoad():
+	case g.loadUnreported():
 		// The slowdown of such an upstream is included in the service times measured.
 		l.Slow, l.SlowAge = 1, 0
 	default:
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -127,9 +127,9 @@
 	c.recordLoss(lostRun{id: "two", upstream: incarnation(1)})
 	c.recordLoss(lostRun{id: "other incarnation", upstream: incarnation(2)})
 	require.Empty(t, reported, "the upstream still listens")
-	c.upstreamCrashed(incarnation(1))
+	c.handleCrash(incarnation(1))
 	require.Equal(t, []string{"one", "two"}, reported)
-	c.upstreamCrashed(incarnation(1))
+	c.handleCrash(incarnation(1))
 	require.Len(t, reported, 2)
 	up.server.Close()
 	c.recordLoss(lostRun{id: "three", upstream: incarnation(2)})
@@ -172,7 +172,7 @@
 					crashes.recordResponse()
 				}
 			}
-			crashes.upstreamCrashed(incarnation(1))
+			crashes.handleCrash(incarnation(1))
 			require.Equal(t, c.want, reported)
 		})
 	}
@@ -200,7 +200,7 @@
 	c.recordLoss(lostRun{id: "crashed", upstream: incarnation(1)})
 	now = now.Add(time.Millisecond)
 	c.recordLoss(lostRun{id: "concurrent", upstream: incarnation(1)})
-	c.upstreamCrashed(incarnation(1))
+	c.handleCrash(incarnation(1))
 	require.Equal(t, []string{"crashed", "concurrent"}, reported)
 }
 
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -170,7 +170,7 @@
 	defer g.mu.Unlock()
 	if l == nil {
 		if !g.slowdownReported {
-			g.noHealthCheckUntil = g.now().Add(noLoadRecheck)
+			g.nextHealthCheck = g.now().Add(noLoadRecheck)
 		}
 		return
 	}
@@ -182,11 +182,9 @@
 	}
 }
 
-// doesNotReportLoad reports whether the upstream is known not to report its load. g.mu is
+// loadUnreported reports whether the upstream is known not to report its load. g.mu is
 // held.
-func (g *guard) doesNotReportLoad() bool {
-	return !g.slowdownReported && g.now() < g.noHealthCheckUntil
-}
+func (g *guard) loadUnreported() bool { return !g.slowdownReported && g.now() < g.nextHealthCheck }
 
 // recordOutcome updates the failure rate, and logs when the upstream starts to fail or
 // recovers.
