--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -51,7 +51,7 @@
 	kept("core/slots TestNoRankStarves", off("the last rank's turn", edits.New(queue, "lastRank := q.starts%lastRankEvery == lastRankEvery-1", "lastRank := q.starts < 0"))),
 	off("the limit below saturation", edits.New(load, "	return spare\n}", "	return max(slots, 1)\n}")),
 	off("cold starts", edits.New(load, "slow = max(slow, coldSlow)", "slow = max(slow, 1)")),
-	off("learned work", edits.New(entry, "	e.serviceTimes[route] = w\n", "	_ = w\n")),
+	off("learned work", edits.New(entry, "	e.serviceTimes[route] = known\n", "	_ = known\n")),
 	off("the price of a crossing", edits.New(placer, "DefaultCrossing = 40 * time.Millisecond", "DefaultCrossing = time.Nanosecond")),
 	off("avoidance", edits.New(placer, "v.avoidUntil = now.Add(avoidance)", "v.avoidUntil = now.Add(0 * avoidance)")),
 	kept("sidecar TestHealthResponsesDoNotDecideRouting", off("the failing share", edits.New(load, "maxFailing = 0.95", "maxFailing = 0.0"))),
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -104,11 +104,11 @@
 	if !ok {
 		return
 	}
-	end := r.req.targetTime
-	if end == 0 || r.lateHedgeScheduled {
-		end = r.req.deadline
+	latestEnd := r.req.targetTime
+	if latestEnd == 0 || r.lateHedgeScheduled {
+		latestEnd = r.req.deadline
 	}
-	if now.Add(t.choice.Expected) <= end {
+	if now.Add(t.choice.Expected) <= latestEnd {
 		t.charge = r.e.takeRetry(r.s, now)
 	}
 	if t.charge == nil {
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -350,8 +350,8 @@
 	// when the value was measured, it may be too high for every later request, and then
 	// no response would ever correct it.
 	serviceTimeMaxAge = time.Second
-	// staleServiceTimeShare is the largest share of the time left for a request that an
-	// older service time may take, so that requests are sent and correct the value.
+	// staleServiceTimeShare limits an older service time to this share of the time left
+	// for a request, so that requests are sent and correct the value.
 	staleServiceTimeShare = 1.0 / 3
 	// staleFactor limits an older mean to this multiple of the next measured value.
 	staleFactor = 2
@@ -377,18 +377,18 @@
 func (e *entry) recordServiceTime(route string, serviceTime time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w, ok := e.serviceTimes[route]
+	known, ok := e.serviceTimes[route]
 	if !ok {
 		if len(e.serviceTimes) >= maxServiceTimes {
 			clear(e.serviceTimes)
 		}
-		w.mean = serviceTime
+		known.mean = serviceTime
 	}
 	now := e.daemon.now()
-	if now.Sub(w.updatedAt) > serviceTimeMaxAge {
-		w.mean = min(w.mean, staleFactor*serviceTime)
+	if now.Sub(known.updatedAt) > serviceTimeMaxAge {
+		known.mean = min(known.mean, staleFactor*serviceTime)
 	}
-	w.mean += time.Duration(float64(serviceTime-w.mean) * serviceTimeWeight)
-	w.updatedAt = now
-	e.serviceTimes[route] = w
+	known.mean += time.Duration(float64(serviceTime-known.mean) * serviceTimeWeight)
+	known.updatedAt = now
+	e.serviceTimes[route] = known
 }
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -195,7 +195,7 @@
 }
 
 // handleResult handles the end of an attempt. It returns the result of the request, or
-// nil if further attempts are in flight.
+// nil if other attempts are in flight or a new one was started.
 func (r *race) handleResult(finished ended) *Answer {
 	r.removeInFlight(finished.try)
 	a := finished.answer
@@ -280,9 +280,9 @@
 	}
 }
 
-// startNext starts another attempt. It returns the result of the request if no attempt
-// can be started.
-func (r *race) startNext(previous outcome.Reason) *Answer {
+// startNext starts another attempt after the previous one ended for the given reason. It
+// returns the result of the request if no attempt can be started.
+func (r *race) startNext(previousReason outcome.Reason) *Answer {
 	if r.req.ctx.Err() != nil {
 		return r.timeoutResult()
 	}
@@ -310,9 +310,9 @@
 		}
 	}
 	t, ok := r.chooseUpstream(now)
-	if !ok && previous == outcome.ReasonWithdrawn || !ok && r.deliveredCount == 0 && len(r.tried) > 0 {
-		// Tries the upstreams again whose guards rejected the request, as there are no
-		// others.
+	if !ok && previousReason == outcome.ReasonWithdrawn || !ok && r.deliveredCount == 0 && len(r.tried) > 0 {
+		// No other upstream is left, so those whose guards rejected the request are tried
+		// again.
 		clear(r.tried)
 		t, ok = r.chooseUpstream(now)
 	}
@@ -332,7 +332,7 @@
 	t.charge = charge
 	if r.deliveredCount > 0 {
 		r.e.daemon.metrics.resent.Inc(1)
-		r.logDecision(decision.Resent, t, slog.String("reason", string(previous)))
+		r.logDecision(decision.Resent, t, slog.String("reason", string(previousReason)))
 	}
 	r.startAttempt(t)
 	return nil
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -36,18 +36,19 @@
 	// slots returns the number of slots of an upstream that does not report it, from the
 	// records of other daemons. Zero means unknown.
 	slots func(lifecycle.Incarnation) int
-	// urgent reports whether other routes have a higher rank number, and so are served
-	// later.
+	// urgent reports whether any route is served after the routes of the given rank.
 	urgent func(rank int) bool
 	// panicked is called when a panic was recovered while a request was served.
 	panicked func(part, request string, v any)
 	service  model.ServiceName
 	metrics  *metrics
 
-	mu               sync.Mutex
-	tracker          lifecycle.Tracker
-	pool             *hop.Pool
-	queue            *slots.Queue
+	mu      sync.Mutex
+	tracker lifecycle.Tracker
+	pool    *hop.Pool
+	queue   *slots.Queue
+	// waiters holds a channel for each call in the queue, which receives why the call left
+	// the queue.
 	waiters          map[uint64]chan slots.Exit
 	nextID           uint64
 	wakeTimer        *time.Timer
@@ -116,14 +117,14 @@
 // leave handles the deregistration of an incarnation.
 func (g *guard) leave(i lifecycle.Incarnation) lifecycle.Verdict {
 	g.mu.Lock()
-	v := g.tracker.Leave(i)
+	verdict := g.tracker.Leave(i)
 	cur := g.tracker.Current()
 	g.mu.Unlock()
-	if v == lifecycle.Changed {
+	if verdict == lifecycle.Changed {
 		g.logState(cur, "deregistered")
 	}
 	g.dispatch()
-	return v
+	return verdict
 }
 
 // restore marks incarnations as departed that other daemons remember as such.
--- a/sidecar/guardstop.go
+++ b/sidecar/guardstop.go
@@ -16,16 +16,17 @@
 	g.mu.Unlock()
 }
 
-// maxDurationFactor is the longest expected run of a request as a multiple of its service
-// time. A stopping daemon does not start a request that it might have to abort.
+// maxDurationFactor is the longest duration assumed for a request, as a multiple of its
+// expected duration. A stopping daemon does not start a request that it might have to
+// abort.
 const maxDurationFactor = 3
 
 // endsBeforeStop reports whether a call is sure to end before the daemon does. g.mu is
 // held.
 func (g *guard) endsBeforeStop(c *Call) bool { return g.spareTime(c.ServiceTime, c.Deadline) >= 0 }
 
-// spareTime returns the time between the latest end of a request and the end of the
-// daemon. It is negative if the request might have to be aborted. g.mu is held.
+// spareTime returns the time between the latest possible end of a request and the end of
+// the daemon. It is negative if the request might have to be aborted. g.mu is held.
 func (g *guard) spareTime(serviceTime, deadline time.Duration) time.Duration {
 	if g.stopDeadline == 0 {
 		return deadline
