--- a/sidecar/candidates.go
+++ b/sidecar/candidates.go
@@ -28,9 +28,9 @@
 		endpoints[up.Key] = endpoint{address: r.Address, daemonIncarnation: r.Incarnation, upstream: r.Upstream}
 	}
 	add(&p.own, 0)
-	for _, q := range p.all {
-		if !q.lost {
-			add(&q.record, q.coldUntil)
+	for _, other := range p.all {
+		if !other.lost {
+			add(&other.record, other.coldUntil)
 		}
 	}
 	slices.SortFunc(upstreams, func(a, b placement.Upstream) int { return strings.Compare(a.Key, b.Key) })
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -20,9 +20,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var longest time.Duration
-	for _, q := range p.all {
-		if q.lost {
-			longest = max(longest, p.now().Sub(q.lostAt))
+	for _, other := range p.all {
+		if other.lost {
+			longest = max(longest, p.now().Sub(other.lostAt))
 		}
 	}
 	return longest
@@ -33,12 +33,12 @@
 func (p *peers) missed(address string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.all[address]
-	if q == nil || q.lost {
+	other := p.all[address]
+	if other == nil || other.lost {
 		return
 	}
-	p.lose(q, err)
-	p.owe(q)
+	p.lose(other, err)
+	p.owe(other)
 }
 
 // verifyReachable sends the local record to a daemon that did not reply to a load query.
@@ -46,28 +46,28 @@
 func (p *peers) verifyReachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.all[address]
-	if q == nil || q.lost || q.verified != 0 && p.now().Sub(q.verified) < verifyInterval {
+	other := p.all[address]
+	if other == nil || other.lost || other.verified != 0 && p.now().Sub(other.verified) < verifyInterval {
 		return
 	}
-	q.verified = p.now()
-	p.owe(q)
+	other.verified = p.now()
+	p.owe(other)
 }
 
 // lose marks a peer as unreachable. p.mu is held.
-func (p *peers) lose(q *peer, err error) {
-	q.lost, q.lostAt = true, p.now()
+func (p *peers) lose(other *peer, err error) {
+	other.lost, other.lostAt = true, p.now()
 	p.generation++
-	p.decisions.Write(decision.PeerLost, "", slog.String("peer", q.record.Address), slog.String("error", err.Error()))
+	p.decisions.Write(decision.PeerLost, "", slog.String("peer", other.record.Address), slog.String("error", err.Error()))
 }
 
 // regain marks a peer as reachable again. p.mu is held.
-func (p *peers) regain(q *peer) {
-	if !q.lost {
+func (p *peers) regain(other *peer) {
+	if !other.lost {
 		return
 	}
-	q.lost = false
+	other.lost = false
 	p.generation++
 	p.regained()
-	p.decisions.Write(decision.PeerRegained, "", slog.String("peer", q.record.Address))
+	p.decisions.Write(decision.PeerRegained, "", slog.String("peer", other.record.Address))
 }
--- a/sidecar/replaced_test.go
+++ b/sidecar/replaced_test.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// TestReplacedDaemonProvesNothing replaces the VM of a guard. The daemon that has its
-// address afterwards has never received the call, so its statement that the call has not
-// run proves nothing.
-func TestReplacedDaemonProvesNothing(t *testing.T) {
+// TestReplacedDaemonYieldsUnknownOutcome replaces the VM of a guard. The daemon that has
+// its address afterwards has never received the call, so its statement that the call has
+// not run proves nothing.
+func TestReplacedDaemonYieldsUnknownOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		replace bool
 		want    outcome.Kind
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -59,11 +59,11 @@
 	return r.window.Take(now, n)
 }
 
-// budgetShareAfterStarts returns the share of the budget that may be used while a
-// fraction of the daemons has started recently. Just before, all daemons may have used
-// retryBudgetMargin of the budget, and those that restarted have lost their counts. What
-// they use again must fit into the rest of the budget. If up to a third of the daemons
-// restart, the share stays 1.
+// budgetShareAfterStarts returns the share of the budget that may be used while the given
+// fraction of the daemons has started recently. Before the restarts, all daemons may have
+// used retryBudgetMargin of the budget, and those that restarted have lost their counts.
+// What they use again must fit into the rest of the budget. If up to a third of the
+// daemons restart, the share stays 1.
 func budgetShareAfterStarts(started float64) float64 {
 	return min(1, (1/retryBudgetMargin-1)/started)
 }
@@ -71,8 +71,7 @@
 // retryCharge is what one retry took from the retry budgets. A nil charge took nothing.
 type retryCharge struct {
 	service *service
-	// otherServices are the services to which an execution of the retry sends requests,
-	// callsPerRun is how many it sends to each.
+	// otherServices were charged as well, each with callsPerRun nested requests.
 	otherServices []*service
 	callsPerRun   float64
 }
@@ -97,7 +96,7 @@
 	return charge
 }
 
-// refund returns a charge to the budgets if the retry has not reached an upstream.
+// refund returns the charge of a retry that did not reach an upstream.
 func (r *retryCharge) refund(now model.Instant) {
 	if r == nil {
 		return
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -183,11 +183,11 @@
 	}
 }
 
-// dropExpiredProof returns the result of an outcome query for a call that was sent at a
-// time of bootClock. If a guard states that the call has not run, this is proof only as
-// long as the guard cannot have evicted the attempt; later, the outcome is unknown. The
-// deadline of the call is no substitute for this check, as its clock stops while this VM
-// is suspended.
+// dropExpiredProof checks the result of an outcome query. A statement of the guard that
+// the call has not run is proof only as long as the guard cannot have evicted the attempt;
+// later, an unknown outcome is returned instead. sentAt is when the call was sent, by
+// bootClock. The deadline of the call is no substitute for this check, as its clock stops
+// while this VM is suspended.
 func (e *entry) dropExpiredProof(a *Answer, sentAt time.Duration, c *Call) *Answer {
 	if a.Outcome.Kind == outcome.NotRun && e.bootClock()-sentAt > retentionPeriod(c.Deadline) {
 		return unknown(outcome.ReasonConnectionLost)
