--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -62,7 +62,7 @@
 	off("refusal after a full guard", edits.New(placer, "return full > 0 && target != 0 && c.Expected > target", "return full > 99 && target != 0 && c.Expected > target")),
 	off("the urgent's longer wait", edits.New(admit, "share = urgentShare", "share = usefulShare + 0*urgentShare")),
 	kept("replay TestCallersRefusedTogether", off("the spread of advice", edits.New("core/retry/advice.go", "adviceSpread = 0.5", "adviceSpread = 0.0"))),
-	kept("sidecar TestRequestThatCrashesUpstreamsIsRefused", off("quarantine", edits.New("sidecar/quarantine.go", "	if !s.store.Watching() {\n		return nil\n	}\n	left", "	if s.store != nil {\n		return nil\n	}\n	left"))),
+	kept("sidecar TestRequestThatCrashesUpstreamsIsRefused", off("quarantine", edits.New("sidecar/quarantine.go", "	if !s.store.Watching() {\n		return nil\n	}\n	remaining", "	if s.store != nil {\n		return nil\n	}\n	remaining"))),
 	kept("sidecar TestLastUpstreamServesWhileItsDaemonStops", off("serving through a stopping daemon", edits.New(placer, "	case evenStopping:\n		return v.avoidUntil <= now\n", "	case evenStopping:\n		return v.avoidUntil <= now && !v.up.Stopping\n"))),
 	off("relays", edits.New("sidecar/peers.go", "relaysPerZone = 2", "relaysPerZone = 1 << 20")),
 }
--- a/sidecar/calls.go
+++ b/sidecar/calls.go
@@ -11,14 +11,14 @@
 const (
 	// recentRuns is how many runs the count of calls covers, halved when it is
 	// full; before fewRuns of them usualCalls are assumed of each.
-	recentRuns = 128
-	fewRuns    = 8
-	usualCalls = 1
+	runWindow          = 128
+	minRuns            = 8
+	assumedCallsPerRun = 1
 )
 
 // countRun notes a run. g.mu is held.
 func (g *guard) countRun() {
-	if g.runs++; g.runs >= recentRuns {
+	if g.runs++; g.runs >= runWindow {
 		g.runs, g.calls = g.runs/2, g.calls/2
 	}
 }
@@ -32,8 +32,8 @@
 
 // callsPerRun returns how many calls a run of the own upstream makes. g.mu is held.
 func (g *guard) callsPerRun() float64 {
-	if g.runs < fewRuns {
-		return usualCalls
+	if g.runs < minRuns {
+		return assumedCallsPerRun
 	}
 	return g.calls / g.runs
 }
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -14,7 +14,7 @@
 )
 
 // inForce is a configuration in force.
-type inForce struct {
+type activeConfig struct {
 	table *route.Table
 	since time.Time
 }
@@ -25,7 +25,7 @@
 type configuration struct {
 	source    Source
 	decisions *decision.Log
-	current   atomic.Pointer[inForce]
+	current   atomic.Pointer[activeConfig]
 	versions  versions
 	// mu orders changes. changed is closed and replaced at each, and guarded by it.
 	mu       sync.Mutex
@@ -61,7 +61,7 @@
 
 // take brings a document into force if it is newer than what is. It reports whether
 // the document is a configuration.
-func (c *configuration) take(raw []byte, from string) bool {
+func (c *configuration) apply(raw []byte, from string) bool {
 	doc, err := c.source.Decode(raw)
 	if err == nil && doc.Version <= c.version() {
 		return true
@@ -82,37 +82,37 @@
 		return true
 	}
 	c.versions.add(doc.Version, raw)
-	c.current.Store(&inForce{table: table, since: time.Now()})
+	c.current.Store(&activeConfig{table: table, since: time.Now()})
 	c.decisions.Write(decision.ConfigInForce, "", slog.Uint64("version", uint64(doc.Version)),
 		slog.Uint64("previous", uint64(previous)), slog.Int("routes", table.Routes()), slog.String("from", from))
 	for _, f := range c.onChange {
 		f(table)
 	}
-	c.wake()
+	c.notifyWaiters()
 	return true
 }
 
 // wake has those who wait look again. c.mu is held.
-func (c *configuration) wake() {
+func (c *configuration) notifyWaiters() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // lookAgain has those who wait look again after something else has changed.
-func (c *configuration) lookAgain() {
+func (c *configuration) recheckWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wake()
+	c.notifyWaiters()
 }
 
 // await waits until a configuration is in force for which a condition holds. It
 // reports false when the context ends first.
-func (c *configuration) await(ctx context.Context, holds func(*route.Table) bool) bool {
+func (c *configuration) waitFor(ctx context.Context, condition func(*route.Table) bool) bool {
 	for {
 		c.mu.Lock()
 		changed := c.changed
 		c.mu.Unlock()
-		if t := c.table(); t != nil && holds(t) {
+		if t := c.table(); t != nil && condition(t) {
 			return true
 		}
 		select {
@@ -126,16 +126,16 @@
 const (
 	// farFetchDelay is how long a daemon leaves it to its own zone to bring a version that
 	// it has heard of from another one.
-	farFetchDelay = 300 * time.Millisecond
+	otherZoneFetchDelay = 300 * time.Millisecond
 	// fetchSpread is the time over which a cell fetches a version from the watcher that
 	// has told all of it at once. Most have it from others before.
-	fetchSpread = 100 * time.Millisecond
+	fetchJitter = 100 * time.Millisecond
 )
 
 // behindWatcher takes in that a watcher of the cell has a version of the configuration.
 func (d *Daemon) behindWatcher(address string, v model.Version) {
 	if v > d.config.version() {
-		time.AfterFunc(rand.N(fetchSpread), func() { d.fetch(address, v) })
+		time.AfterFunc(rand.N(fetchJitter), func() { d.fetch(address, v) })
 	}
 }
 
@@ -145,8 +145,8 @@
 	if v <= d.config.version() {
 		return
 	}
-	if d.config.version() > 0 && d.peers.far(address) {
-		time.AfterFunc(farFetchDelay, func() { d.fetch(address, v) })
+	if d.config.version() > 0 && d.peers.inOtherZone(address) {
+		time.AfterFunc(otherZoneFetchDelay, func() { d.fetch(address, v) })
 		return
 	}
 	d.fetch(address, v)
@@ -168,6 +168,6 @@
 			d.peers.missed(address, err)
 			return
 		}
-		d.config.take(raw, address)
+		d.config.apply(raw, address)
 	}()
 }
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -29,31 +29,31 @@
 
 // Daemon is a running daemon.
 type Daemon struct {
-	opts      Options
-	tunables  atomic.Pointer[Tunables]
-	origin    time.Time
-	metrics   *metrics
-	config    *configuration
-	follower  *follower
-	peers     *peers
-	relay     *relay
-	comparer  *comparer
-	guard     *guard
-	suspects  *suspects
-	bodies    *bodies
-	entry     *entry
-	datagrams *datagrams
-	servers   []*server
-	callers   *server
-	calls     *server
-	fetching  atomic.Bool
+	opts       Options
+	tunables   atomic.Pointer[Tunables]
+	startedAt  time.Time
+	metrics    *metrics
+	config     *configuration
+	follower   *follower
+	peers      *peers
+	relay      *relay
+	comparer   *comparer
+	guard      *guard
+	suspects   *suspects
+	bodies     *bodies
+	entry      *entry
+	datagrams  *datagrams
+	servers    []*server
+	callers    *server
+	peerServer *server
+	fetching   atomic.Bool
 	// ready is set once the daemon has a configuration and knows the others.
 	ready    atomic.Bool
 	stopping atomic.Bool
 	// sourceLost is the model.Instant since when no daemon of the cell is known to reach
 	// the store of the configuration. Zero means that one does.
-	sourceLost atomic.Int64
-	requests   inHand
+	storeLostSince atomic.Int64
+	requests       inHand
 	// ending is closed when the requests in hand are given up, as the grace time is over.
 	ending chan struct{}
 }
@@ -63,7 +63,7 @@
 	if o.Addresses.PeerBind == "" {
 		o.Addresses.PeerBind = o.Addresses.Peers
 	}
-	d := &Daemon{opts: o, origin: time.Now(), metrics: newMetrics(o.Scope), ending: make(chan struct{})}
+	d := &Daemon{opts: o, startedAt: time.Now(), metrics: newMetrics(o.Scope), ending: make(chan struct{})}
 	d.tunables.Store(&o.Tunables)
 	d.config = newConfiguration(o.Source, o.Decisions)
 	d.guard = newGuard(&d.opts, d.now, d.metrics)
@@ -75,23 +75,23 @@
 		return t != nil && t.Urgent(rank)
 	}
 	d.peers = newPeers(Record{
-		Address: o.Addresses.Peers, Incarnation: d.origin.UnixMilli(), Sequence: 1, Zone: o.Zone, Service: o.Service,
+		Address: o.Addresses.Peers, Incarnation: d.startedAt.UnixMilli(), Sequence: 1, Zone: o.Zone, Service: o.Service,
 	}, d.now, o.Decisions)
 	d.peers.version = d.config.version
-	d.peers.behind = d.behind
-	d.peers.restore = d.guard.restore
+	d.peers.onVersion = d.behind
+	d.peers.restoreDeparted = d.guard.restore
 	d.guard.slots = d.peers.slotsOf
 	d.follower = newFollower(d)
-	d.relay = &relay{near: d.peers.near, send: func(address string, b []byte) { d.datagrams.notify(kindRecords, address, b) }}
+	d.relay = &relay{zonePeers: d.peers.zonePeers, send: func(address string, b []byte) { d.datagrams.sendOneWay(kindRecords, address, b) }}
 	d.comparer = &comparer{d: d}
 	d.suspects = newSuspects(d)
 	d.peers.regained = func() {
 		d.suspects.gossip.Wake()
 		d.comparer.wake()
 	}
-	d.peers.met = d.suspects.gossip.Compare
+	d.peers.onFullSync = d.suspects.gossip.Compare
 	d.bodies = newBodies(o.BodyBytes)
-	d.guard.crashes.crashed = d.suspects.crashed
+	d.guard.crashes.crashed = d.suspects.recordCrash
 	d.entry = newEntry(d)
 	if err := d.listen(); err != nil {
 		d.closeServers()
@@ -100,7 +100,7 @@
 	return d, nil
 }
 
-func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.origin)) }
+func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.startedAt)) }
 
 // service is the service of the own upstream and of the callers on this VM.
 func (d *Daemon) service() model.ServiceName { return d.tunables.Load().Service }
@@ -111,7 +111,7 @@
 	d.tunables.Store(&t)
 	d.entry.setResends(t.Resends)
 	d.guard.setService(t.Service)
-	d.config.lookAgain()
+	d.config.recheckWaiters()
 }
 
 func (d *Daemon) healthPath() string {
@@ -130,19 +130,19 @@
 func (d *Daemon) listen() error {
 	a := d.opts.Addresses
 	d.callers = newServer("callers", d.reportPanics("callers", d.entry))
-	d.config.onChange = append(d.config.onChange, func(t *route.Table) { d.callers.limit(t.Limits()) })
-	d.calls = newServer("peers", d.reportPanics("peers", peerHandler{d}))
-	bind := []struct {
+	d.config.onChange = append(d.config.onChange, func(t *route.Table) { d.callers.setLimits(t.Limits()) })
+	d.peerServer = newServer("peers", d.reportPanics("peers", peerHandler{d}))
+	endpoints := []struct {
 		address string
 		server  *server
 	}{
 		{a.Callers, d.callers},
-		{a.PeerBind, d.calls},
+		{a.PeerBind, d.peerServer},
 		{a.Control, newServer("control", d.opts.Control(d))},
 		{a.Ready, newServer("ready", http.HandlerFunc(d.serveReady))},
 		{a.Metrics, newServer("metrics", d.opts.Metrics)},
 	}
-	for _, b := range bind {
+	for _, b := range endpoints {
 		if b.address == "" {
 			continue
 		}
@@ -157,10 +157,10 @@
 	if d.datagrams, err = newDatagrams(d); err != nil {
 		return err
 	}
-	d.peers.tellByDatagram = d.datagrams.tell
+	d.peers.pushByDatagram = d.datagrams.pushRecord
 	d.config.onChange = append(d.config.onChange, func(*route.Table) {
-		d.datagrams.spread()
-		d.follower.handOn()
+		d.datagrams.announceVersion()
+		d.follower.announceVersion()
 	})
 	return nil
 }
@@ -188,7 +188,7 @@
 func (d *Daemon) Report(r lifecycle.Report) lifecycle.Verdict {
 	v := d.guard.report(r, "report")
 	if v == lifecycle.Started || v == lifecycle.Changed {
-		d.tellState()
+		d.announceState()
 	}
 	return v
 }
@@ -197,7 +197,7 @@
 func (d *Daemon) Leave(i lifecycle.Incarnation) lifecycle.Verdict {
 	v := d.guard.leave(i)
 	if v == lifecycle.Changed {
-		d.tellState()
+		d.announceState()
 	}
 	return v
 }
@@ -208,82 +208,82 @@
 }
 
 // tellState tells the other daemons of the own upstream's state.
-func (d *Daemon) tellState() {
+func (d *Daemon) announceState() {
 	cur, departed := d.guard.current()
-	d.peers.update(func(r *Record) {
+	d.peers.updateLocal(func(r *Record) {
 		r.Service, r.Upstream, r.State, r.Slots = cur.Service, cur.Incarnation, cur.State, cur.Slots
 		r.ColdMS = cur.ColdFor.Milliseconds()
-		r.Departed = departed[max(len(departed)-maxTold, 0):]
+		r.Departed = departed[max(len(departed)-maxDeparted, 0):]
 	})
 }
 
 const (
 	// greetingWait bounds the wait for another daemon at the start before the own
 	// upstream is asked who it is.
-	greetingWait = 500 * time.Millisecond
+	discoveryWait = 500 * time.Millisecond
 	// readyWait bounds the wait for another daemon before this one is ready.
-	readyWait = 1500 * time.Millisecond
+	readinessWait = 1500 * time.Millisecond
 	// serverBackoff is the pause of a part that keeps failing.
-	serverBackoff = time.Second
+	restartBackoff = time.Second
 	// lingering is how long a stopping daemon goes on taking what comes: callers
 	// learn that it is not ready by asking once a second, and two misses count.
-	lingering = 2200 * time.Millisecond
+	minDrainTime = 2200 * time.Millisecond
 	// graceMargin is the part of the grace time that is left for the end.
 	graceMargin = 400 * time.Millisecond
 	// drainPoll is how often a stopping daemon looks whether it is done.
-	drainPoll = 25 * time.Millisecond
+	drainPollInterval = 25 * time.Millisecond
 	// lastStart is how long before the end a stopping daemon hands back what waits, so
 	// that those who sent it hear that it has not run.
-	lastStart = 300 * time.Millisecond
+	queueFlushMargin = 300 * time.Millisecond
 	// partsWait bounds the wait for the parts to end, within graceMargin: one that
 	// hangs must not keep the process.
-	partsWait = 150 * time.Millisecond
+	componentStopTimeout = 150 * time.Millisecond
 	// logWait bounds the wait for lines to be written.
-	logWait = 100 * time.Millisecond
+	logFlushTimeout = 100 * time.Millisecond
 	// refusing is how long a daemon that passes nothing more on still answers before it closes
 	// its connections: requests that are on their way to it are told that they have not run.
-	refusing = 50 * time.Millisecond
+	refusalPeriod = 50 * time.Millisecond
 	// cutWait bounds the wait for the lines of requests that were cut.
-	cutWait = 20 * time.Millisecond
+	cutLogWait = 20 * time.Millisecond
 	// closingMargin is the part of the grace time that is left when answers are no longer
 	// waited for.
-	closingMargin = 200 * time.Millisecond
+	connectionCloseMargin = 200 * time.Millisecond
 	// answersPoll is how often it is looked whether callers wait.
-	answersPoll = time.Millisecond
+	answersPollInterval = time.Millisecond
 )
 
 // Serve runs the daemon until the context ends, then lets what runs finish within
 // the grace time.
 func (d *Daemon) Serve(ctx context.Context) error {
-	run, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	d.peers.ctx = run
-	tree := suture.New("sidecar", suture.Spec{FailureBackoff: serverBackoff, EventHook: d.event, Timeout: partsWait})
+	d.peers.ctx = serveCtx
+	supervisor := suture.New("sidecar", suture.Spec{FailureBackoff: restartBackoff, EventHook: d.logEvent, Timeout: componentStopTimeout})
 	for _, s := range d.servers {
-		tree.Add(s)
+		supervisor.Add(s)
 	}
-	tree.Add(d.datagrams)
-	tree.Add(d.follower)
-	tree.Add(&joiner{d: d})
-	tree.Add(d.comparer)
-	tree.Add(d.suspects)
-	tree.Add(d.suspects.store)
+	supervisor.Add(d.datagrams)
+	supervisor.Add(d.follower)
+	supervisor.Add(&joiner{d: d})
+	supervisor.Add(d.comparer)
+	supervisor.Add(d.suspects)
+	supervisor.Add(d.suspects.store)
 	d.opts.Decisions.Write(decision.Started, "", slog.String("address", d.opts.Addresses.Peers),
 		slog.String("zone", string(d.opts.Zone)), slog.String("service", string(d.service())),
 		slog.Int64("incarnation", d.peers.self().Incarnation), slog.String("version", telemetry.Version()))
-	done := tree.ServeBackground(run)
+	done := supervisor.ServeBackground(serveCtx)
 	select {
 	case <-ctx.Done():
 	case err := <-done:
 		return err
 	}
-	last := d.drain()
+	deadline := d.drain()
 	stop()
 	d.closeServers()
 	<-done
 	// What was cut tells so in the log.
-	d.awaitAnswers(time.Now().Add(min(cutWait, time.Until(last))))
-	d.opts.Decisions.Close(min(logWait, max(time.Until(last), 0)))
+	d.awaitAnswers(time.Now().Add(min(cutLogWait, time.Until(deadline))))
+	d.opts.Decisions.Close(min(logFlushTimeout, max(time.Until(deadline), 0)))
 	return nil
 }
 
@@ -299,20 +299,20 @@
 
 // endIdle lets nothing more in if nothing is in hand, and reports whether that is so. An
 // answer that net/http has still to write is in hand.
-func (d *Daemon) endIdle() bool {
+func (d *Daemon) closeIfIdle() bool {
 	return d.requests.endIdle(func() bool {
-		return d.callers.answering() == 0 && d.calls.answering() == 0 && d.guard.stopIdle()
+		return d.callers.activeConns() == 0 && d.peerServer.activeConns() == 0 && d.guard.stopIdle()
 	})
 }
 
 // awaitAnswers waits until nobody waits for an answer, or until the end.
-func (d *Daemon) awaitAnswers(end time.Time) {
-	for d.callers.answering()+d.calls.answering() > 0 && time.Now().Before(end) {
-		time.Sleep(answersPoll)
+func (d *Daemon) awaitAnswers(deadline time.Time) {
+	for d.callers.activeConns()+d.peerServer.activeConns() > 0 && time.Now().Before(deadline) {
+		time.Sleep(answersPollInterval)
 	}
 }
 
-func (d *Daemon) event(e suture.Event) {
+func (d *Daemon) logEvent(e suture.Event) {
 	if d.opts.Logger != nil && e.Type() != suture.EventTypeStopTimeout {
 		d.opts.Logger.Error("part failed", "event", e.String())
 	}
@@ -320,11 +320,11 @@
 
 // drain stops taking new work, tells everybody, and waits for what runs. It returns when the
 // grace time ends.
-func (d *Daemon) drain() (last time.Time) {
+func (d *Daemon) drain() (deadline time.Time) {
 	began := time.Now()
-	last = began.Add(d.tunables.Load().Grace)
-	end := last.Add(-graceMargin)
-	d.guard.endBy(d.now().Add(end.Sub(began)))
+	deadline = began.Add(d.tunables.Load().Grace)
+	drainEnd := deadline.Add(-graceMargin)
+	d.guard.endBy(d.now().Add(drainEnd.Sub(began)))
 	d.stopping.Store(true)
 	d.opts.Decisions.Write(decision.Stopping, "", slog.Int("in_flight", d.requests.count()))
 	cur, _ := d.guard.current()
@@ -335,29 +335,29 @@
 			_ = d.opts.Directory.Remove(ctx, d.opts.Addresses.Peers)
 		}()
 	}
-	d.peers.update(func(r *Record) { r.Stopping = true })
-	d.awaitIdle(began, end)
+	d.peers.updateLocal(func(r *Record) { r.Stopping = true })
+	d.awaitIdle(began, drainEnd)
 	d.opts.Decisions.Write(decision.Stopped, "", slog.Int("in_flight", d.requests.count()), slog.Int64("took_ms", time.Since(began).Milliseconds()))
 	close(d.ending)
-	time.Sleep(min(refusing, time.Until(last)))
-	d.awaitAnswers(last.Add(-closingMargin))
-	return last
+	time.Sleep(min(refusalPeriod, time.Until(deadline)))
+	d.awaitAnswers(deadline.Add(-connectionCloseMargin))
+	return deadline
 }
 
 // awaitIdle waits until callers have had the time to leave and nothing is in hand, or until
 // the end. From then on nothing is passed on that would be cut.
-func (d *Daemon) awaitIdle(began, end time.Time) {
-	for time.Now().Before(end) {
-		if time.Until(end) < lastStart {
+func (d *Daemon) awaitIdle(began, drainEnd time.Time) {
+	for time.Now().Before(drainEnd) {
+		if time.Until(drainEnd) < queueFlushMargin {
 			d.guard.stop()
 		}
-		if time.Since(began) > lingering {
-			d.callers.refuseNew()
-			if d.endIdle() {
+		if time.Since(began) > minDrainTime {
+			d.callers.stopAccepting()
+			if d.closeIfIdle() {
 				return
 			}
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	d.requests.end()
 	d.guard.stop()
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -21,7 +21,7 @@
 func newReader(s string) io.Reader { return strings.NewReader(s) }
 
 // TestServesAcrossDaemons takes a request at a daemon beside another service.
-func TestServesAcrossDaemons(t *testing.T) {
+func TestRequestReachesOtherDaemon(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
@@ -56,7 +56,7 @@
 }
 
 // TestRefusals tells what each refusal promises.
-func TestRefusals(t *testing.T) {
+func TestRefusalStatus(t *testing.T) {
 	s := newStore(route.Document{})
 	up := newUpstream(t, "a1")
 	o := optionsFor(t, s, up, "a")
@@ -84,7 +84,7 @@
 
 // TestDrainedUpstreamGetsNothing sends to a guard that has acknowledged that its
 // upstream leaves, as an entry does that has not heard of it.
-func TestDrainedUpstreamGetsNothing(t *testing.T) {
+func TestDrainedUpstreamGetsNoRequest(t *testing.T) {
 	for name, leave := range map[string]func(m *member){
 		"draining": func(m *member) {
 			r := ready("b1", 1, 2, "b")
@@ -108,7 +108,7 @@
 }
 
 // TestNonIdempotentRunsOnce has an upstream run a request and lose the answer.
-func TestNonIdempotentRunsOnce(t *testing.T) {
+func TestNonIdempotentIsNotRetried(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b1, b2 := join(t, s, "b", "b1"), join(t, s, "b", "b2")
@@ -123,12 +123,12 @@
 }
 
 // TestIdempotentIsSentAgain has one of two upstreams lose every answer.
-func TestIdempotentIsSentAgain(t *testing.T) {
-	for name, broken := range map[string]func(http.ResponseWriter, *http.Request){
+func TestIdempotentIsRetried(t *testing.T) {
+	for name, faulty := range map[string]func(http.ResponseWriter, *http.Request){
 		"hangs up": hangUp,
 		"fails":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
 		"spoils":   func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "without a seal") },
-		"sheds":    shed,
+		"sheds":    shedRequest,
 		"cuts short": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("T-Seal", "x")
 			w.Header().Set("Content-Length", "100")
@@ -137,7 +137,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := joinWithBroken(t, broken)
+			a := startWithFaultyUpstream(t, faulty)
 			for range 6 {
 				status, text := a.get(t, "/safe/")
 				require.Equal(t, http.StatusOK, status)
@@ -149,7 +149,7 @@
 
 // joinWithBroken returns a daemon of service a that knows two upstreams of service b,
 // of which only b2 does what it should.
-func joinWithBroken(t *testing.T, broken http.HandlerFunc) *member {
+func startWithFaultyUpstream(t *testing.T, faulty http.HandlerFunc) *member {
 	t.Helper()
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -157,7 +157,7 @@
 	join(t, s, "b", "b2")
 	a.knows(t, "b", 2)
 	a.allowResends()
-	b1.up.set(broken)
+	b1.up.set(faulty)
 	return a
 }
 
@@ -170,8 +170,8 @@
 }
 
 // TestNotRunIsSentElsewhere does so also where nothing may run twice.
-func TestNotRunIsSentElsewhere(t *testing.T) {
-	a := joinWithBroken(t, shed)
+func TestUnexecutedRequestIsRetriedElsewhere(t *testing.T) {
+	a := startWithFaultyUpstream(t, shedRequest)
 	for range 6 {
 		status, text := a.post(t, "/unsafe/")
 		require.Equal(t, http.StatusOK, status)
@@ -180,7 +180,7 @@
 }
 
 // TestResendsStayWithinTheBudget answers a service whose upstreams all fail.
-func TestResendsStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b1, b2 := join(t, s, "b", "b1"), join(t, s, "b", "b2")
@@ -207,35 +207,35 @@
 }
 
 // TestTimeout ends a request at its route's timeout, and its run with it.
-func TestTimeout(t *testing.T) {
+func TestRouteTimeoutCancelsRun(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 100*time.Millisecond))
 	b := join(t, s, "b", "b1")
-	gone := make(chan struct{}, 4)
-	b.up.set(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); gone <- struct{}{} })
+	cancelled := make(chan struct{}, 4)
+	b.up.set(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); cancelled <- struct{}{} })
 	status, _ := b.get(t, "/safe/")
 	require.Equal(t, http.StatusGatewayTimeout, status)
-	<-gone
+	<-cancelled
 	require.Contains(t, []string{"98", "99", "100", "97", "96", "95"}, b.up.requests()[0].Header.Get("T-Deadline"))
 }
 
 // TestCallerLeaves ends an idempotent run at another daemon's upstream.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
-	gone := make(chan struct{})
-	b.up.set(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(gone) })
+	cancelled := make(chan struct{})
+	b.up.set(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(cancelled) })
 	conn, err := net.Dial("tcp", a.opts.Addresses.Callers)
 	require.NoError(t, err)
 	_, _ = fmt.Fprintf(conn, "GET /safe/ HTTP/1.1\r\nHost: h\r\nT-Id: leaver\r\n\r\n")
 	eventually(t, "it runs", func() bool { return len(b.up.requests()) == 1 })
 	require.NoError(t, conn.Close())
-	<-gone
+	<-cancelled
 }
 
 // TestStopCutsNothing stops a daemon with a request in hand.
-func TestStopCutsNothing(t *testing.T) {
+func TestStopDrainsRequestsInFlight(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
@@ -272,7 +272,7 @@
 
 // TestIdleConnectionsServeWhileStopping sends a request on a connection that was idle
 // when the daemon was told to stop: it may be on its way already.
-func TestIdleConnectionsServeWhileStopping(t *testing.T) {
+func TestIdleConnectionsAreServedWhileStopping(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
@@ -302,11 +302,11 @@
 
 // silent accepts connections and says nothing, like a daemon behind a link that
 // has gone silent.
-func silent(t *testing.T, address string) *atomic.Int64 {
+func listenUnresponsive(t *testing.T, address string) *atomic.Int64 {
 	ln, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	var got atomic.Int64
+	var requests atomic.Int64
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -321,22 +321,22 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, req.Body)
-					got.Add(1)
+					requests.Add(1)
 				}
 			}()
 		}
 	}()
-	return &got
+	return &requests
 }
 
 // TestSilentDaemonIsLeft answers a link that lost everything without a reset.
-func TestSilentDaemonIsLeft(t *testing.T) {
+func TestUnresponsiveDaemonIsAvoided(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b1, b2 := join(t, s, "b", "b1"), join(t, s, "b", "b2")
 	a.knows(t, "b", 2)
 	b2.kill()
-	silent(t, b2.opts.Addresses.Peers)
+	listenUnresponsive(t, b2.opts.Addresses.Peers)
 	for range 10 {
 		status, text := a.get(t, "/safe/")
 		require.Equal(t, http.StatusOK, status)
@@ -347,7 +347,7 @@
 
 // TestEndedRequestsLeaveNoTrace holds what entries count at upstreams to what is
 // there: a request that timed out, or was answered by a second upstream, is not.
-func TestEndedRequestsLeaveNoTrace(t *testing.T) {
+func TestFinishedRequestsAreNotOutstanding(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 300*time.Millisecond))
 	a := join(t, s, "a", "a1")
 	b1, b2 := join(t, s, "b", "b1"), join(t, s, "b", "b2")
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -77,9 +77,9 @@
 	loadBytes = headBytes + 13
 	// maxDatagram bounds a datagram, so that it fits an Ethernet frame. A longer
 	// record is sent by connection.
-	maxDatagram = 1400
+	maxDatagramBytes = 1400
 	// datagramRoom is the room for what follows the head.
-	datagramRoom = maxDatagram - headBytes
+	maxDatagramBody = maxDatagramBytes - headBytes
 )
 
 func newDatagrams(d *Daemon) (*datagrams, error) {
@@ -101,7 +101,7 @@
 func (a *datagrams) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, a.close)
 	defer stop()
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := a.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
@@ -117,23 +117,23 @@
 func (a *datagrams) close() { _ = a.conn.Close() }
 
 // spread tells some daemons of the configuration in force.
-func (a *datagrams) spread() {
+func (a *datagrams) announceVersion() {
 	for _, m := range a.d.follower.targets.Push(a.d.peers.members(), false) {
-		a.notify(kindNews, m.Address, []byte(a.d.opts.Addresses.Peers))
+		a.sendOneWay(kindNews, m.Address, []byte(a.d.opts.Addresses.Peers))
 	}
 }
 
 // heartbeat tells a daemon that this one watches the store.
-func (a *datagrams) heartbeat(address string, reaches bool) {
+func (a *datagrams) sendHeartbeat(address string, reaches bool) {
 	body := []byte{0}
 	if reaches {
 		body[0] = 1
 	}
-	a.notify(kindHeartbeat, address, append(body, a.d.opts.Addresses.Peers...))
+	a.sendOneWay(kindHeartbeat, address, append(body, a.d.opts.Addresses.Peers...))
 }
 
 // notify sends a datagram that needs no answer. It may be lost.
-func (a *datagrams) notify(kind byte, address string, body []byte) {
+func (a *datagrams) sendOneWay(kind byte, address string, body []byte) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
 		a.transmit(append(a.head(kind, 0), body...), to)
 	}
@@ -155,12 +155,12 @@
 	// tellTries is how often a record is sent by datagram before a connection is
 	// tried, and tellWait the wait for each answer: a round trip between regions
 	// and a pause of a busy processor.
-	tellTries = 2
-	tellWait  = 100 * time.Millisecond
+	pushAttempts   = 2
+	pushAckTimeout = 100 * time.Millisecond
 )
 
 // tell sends a record to a daemon and reports whether that has noted it.
-func (a *datagrams) tell(address string, r Record) bool {
+func (a *datagrams) pushRecord(address string, r Record) bool {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return false
@@ -169,17 +169,17 @@
 	if len(bodies) != 1 {
 		return false
 	}
-	answers := make(chan heard, tellTries)
+	answers := make(chan heard, pushAttempts)
 	var ids []uint32
 	defer func() { a.forget(ids) }()
-	for range tellTries {
+	for range pushAttempts {
 		id := a.expect(question{key: address, address: address, to: answers})
 		ids = append(ids, id)
 		a.transmit(append(a.head(kindRecord, id), bodies[0]...), to)
 		select {
 		case <-answers:
 			return true
-		case <-time.After(tellWait):
+		case <-time.After(pushAckTimeout):
 		}
 	}
 	return false
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -16,7 +16,7 @@
 // TestLateAnswersServeTheNextChoice asks a guard that is further away than the wait, as
 // in another region: the choice goes on without it, and its load is learned when it
 // comes.
-func TestLateAnswersServeTheNextChoice(t *testing.T) {
+func TestLateLoadRepliesAreRecorded(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait   time.Duration
 		tooFar bool
@@ -24,18 +24,18 @@
 		"later than the wait":         {time.Millisecond, false},
 		"known to be too far to wait": {time.Hour, true},
 	} {
-		t.Run(name, func(t *testing.T) { askFar(t, c.wait, c.tooFar) })
+		t.Run(name, func(t *testing.T) { queryDistantGuard(t, c.wait, c.tooFar) })
 	}
 }
 
-func askFar(t *testing.T, wait time.Duration, tooFar bool) {
+func queryDistantGuard(t *testing.T, wait time.Duration, tooFar bool) {
 	d := join(t, newStore(documentOf(1, "a")), "a", "a1")
-	far, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	remote, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	defer func() { _ = far.Close() }()
-	up := placement.Upstream{Key: "far", Daemon: model.DaemonID(far.LocalAddr().String())}
+	defer func() { _ = remote.Close() }()
+	up := placement.Upstream{Key: "far", Daemon: model.DaemonID(remote.LocalAddr().String())}
 	late := make(chan placement.Load, 1)
-	got := d.datagrams.ask(inquiry{
+	replies := d.datagrams.ask(inquiry{
 		ups: []placement.Upstream{up}, rank: 2, kind: 7, wait: wait,
 		tooFar: func(placement.Upstream) bool { return tooFar },
 		late: func(h heard) {
@@ -44,18 +44,18 @@
 			late <- h.load
 		},
 	})
-	require.Empty(t, got)
+	require.Empty(t, replies)
 
-	b := make([]byte, maxDatagram)
-	n, from, err := far.ReadFromUDPAddrPort(b)
+	buf := make([]byte, maxDatagramBytes)
+	n, from, err := remote.ReadFromUDPAddrPort(buf)
 	require.NoError(t, err)
 	require.Equal(t, askBytes, n)
-	require.EqualValues(t, 2, b[headBytes], "rank")
-	require.EqualValues(t, 7, binary.BigEndian.Uint16(b[headBytes+1:]), "kind")
-	answer := append([]byte{kindLoad}, b[1:headBytes]...)
+	require.EqualValues(t, 2, buf[headBytes], "rank")
+	require.EqualValues(t, 7, binary.BigEndian.Uint16(buf[headBytes+1:]), "kind")
+	answer := append([]byte{kindLoad}, buf[1:headBytes]...)
 	want := placement.Load{Running: 3, Waiting: 1, Limit: 4, Slow: 1.5}
 	for range 2 {
-		_, err = far.WriteToUDPAddrPort(appendLoad(answer[:headBytes:headBytes], want), from)
+		_, err = remote.WriteToUDPAddrPort(appendLoad(answer[:headBytes:headBytes], want), from)
 		require.NoError(t, err)
 	}
 	require.Equal(t, want, <-late)
@@ -64,7 +64,7 @@
 
 // TestFarGuardsAreNotSilent asks a guard that is known to be too far away to answer in
 // time: nobody passes it over for that.
-func TestFarGuardsAreNotSilent(t *testing.T) {
+func TestDistantGuardsAreNotMarkedSilent(t *testing.T) {
 	for name, c := range map[string]struct {
 		trip time.Duration
 		want []string
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -71,7 +71,7 @@
 	changed  chan struct{}
 	down     bool
 	// written counts the entries that were written to the directory.
-	written int
+	announcements int
 }
 
 func newStore(doc route.Document) *store {
@@ -92,13 +92,13 @@
 	s.down = down
 }
 
-var errDown = errors.New("the store is down")
+var errStoreDown = errors.New("the store is down")
 
-func (s *store) check() error {
+func (s *store) checkUp() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return errDown
+		return errStoreDown
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 // documents keeps the documents that raw stands for: raw is their version.
 var documents sync.Map
 
-func rawOf(doc route.Document) []byte {
+func encodeDocument(doc route.Document) []byte {
 	raw := fmt.Sprintf("%d/%p", doc.Version, &doc.Routes)
 	documents.Store(raw, doc)
 	return []byte(raw)
@@ -118,7 +118,7 @@
 type source struct {
 	s *store
 	// cut keeps this daemon from the store.
-	cut atomic.Bool
+	disconnected atomic.Bool
 }
 
 func (s *source) Decode(raw []byte) (route.Document, error) {
@@ -135,7 +135,7 @@
 			return err
 		}
 		s.s.mu.Lock()
-		doc, changed, down := s.s.doc, s.s.changed, s.s.down || s.cut.Load()
+		doc, changed, down := s.s.doc, s.s.changed, s.s.down || s.disconnected.Load()
 		s.s.mu.Unlock()
 		if down {
 			f.Reachable(false)
@@ -148,7 +148,7 @@
 		}
 		f.Reachable(true)
 		if doc.Version > 0 {
-			f.Take(rawOf(doc), "store")
+			f.Take(encodeDocument(doc), "store")
 		}
 		select {
 		case <-ctx.Done():
@@ -159,18 +159,18 @@
 }
 
 func (s *store) Announce(_ context.Context, l Listing) error {
-	if err := s.check(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listings[l.Address] = l
-	s.written++
+	s.announcements++
 	return nil
 }
 
 func (s *store) List(context.Context) ([]Listing, error) {
-	if err := s.check(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -267,7 +267,7 @@
 	_, _ = io.WriteString(w, "answer of "+id)
 }
 
-func shed(w http.ResponseWriter, _ *http.Request) {
+func shedRequest(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("T-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -362,7 +362,7 @@
 	}
 }
 
-var lastID atomic.Int64
+var lastRequestID atomic.Int64
 
 // ask sends a request to a daemon's callers' address.
 func (m *member) ask(t *testing.T, method, path, body string) (*http.Response, string) {
@@ -374,7 +374,7 @@
 		req.ContentLength = int64(len(body))
 	}
 	req.Host = "h"
-	req.Header.Set("T-Id", fmt.Sprintf("r%d", lastID.Add(1)))
+	req.Header.Set("T-Id", fmt.Sprintf("r%d", lastRequestID.Add(1)))
 	req.Header.Set("T-Deadline", "5000")
 	req.Close = true
 	resp, err := http.DefaultTransport.RoundTrip(req)
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -18,10 +18,10 @@
 	rosterTick = 100 * time.Millisecond
 	// askPeersEvery is how often another daemon is asked for its configuration while no
 	// watcher of the own cell reaches the store: a change must be in force in two seconds.
-	askPeersEvery = 400 * time.Millisecond
+	peerPollInterval = 400 * time.Millisecond
 	// listedWait bounds the wait for the list of daemons at the start, before which it is
 	// not known whether others watch the store.
-	listedWait = time.Second
+	directoryWait = time.Second
 )
 
 // follower keeps the configuration up to date: from the store where this daemon watches
@@ -36,17 +36,17 @@
 	// generation is that of the peers as of the roster's members.
 	generation uint64
 	// watching is closed while this daemon watches the store.
-	watching chan struct{}
-	watches  bool
+	watchStarted chan struct{}
+	isWatching   bool
 	// asked is when a daemon was last asked.
-	asked model.Instant
+	lastPeerPoll model.Instant
 }
 
 func newFollower(d *Daemon) *follower {
 	return &follower{
-		d: d, targets: gossip.Targets{Zone: d.opts.Zone, Draw: drawInt},
-		roster:   watch.New(d.opts.Addresses.Peers, d.now(), rand.Float64),
-		watching: make(chan struct{}),
+		d: d, targets: gossip.Targets{Zone: d.opts.Zone, Draw: randomInt},
+		roster:       watch.New(d.opts.Addresses.Peers, d.now(), rand.Float64),
+		watchStarted: make(chan struct{}),
 	}
 }
 
@@ -57,20 +57,20 @@
 func (f *follower) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go f.takeTurns(ctx)
+	go f.watchLoop(ctx)
 	return f.d.opts.Source.Follow(ctx, f)
 }
 
 // Take implements Follower.
-func (f *follower) Take(raw []byte, from string) bool { return f.d.config.take(raw, from) }
+func (f *follower) Take(raw []byte, from string) bool { return f.d.config.apply(raw, from) }
 
 // Await implements Follower.
 func (f *follower) Await(ctx context.Context) error {
 	f.mu.Lock()
-	watching := f.watching
+	watchStarted := f.watchStarted
 	f.mu.Unlock()
 	select {
-	case <-watching:
+	case <-watchStarted:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -82,22 +82,22 @@
 	f.mu.Lock()
 	f.roster.Called(f.d.now(), ok)
 	f.mu.Unlock()
-	f.beat()
+	f.sendHeartbeats()
 }
 
 // handOn tells the cell of a new version.
-func (f *follower) handOn() {
+func (f *follower) announceVersion() {
 	f.mu.Lock()
 	f.roster.News()
 	f.mu.Unlock()
-	f.beat()
+	f.sendHeartbeats()
 }
 
 // watchesStore reports whether this daemon watches the store.
 func (f *follower) watchesStore() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.watches
+	return f.isWatching
 }
 
 // heard takes in the heartbeat of a watcher.
@@ -108,19 +108,19 @@
 }
 
 // takeTurns has this daemon watch the store when it is its turn.
-func (f *follower) takeTurns(ctx context.Context) {
+func (f *follower) watchLoop(ctx context.Context) {
 	select {
-	case <-f.d.peers.listed:
-	case <-time.After(listedWait):
+	case <-f.d.peers.directoryRead:
+	case <-time.After(directoryWait):
 	case <-ctx.Done():
 	}
 	tick := time.NewTicker(rosterTick)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		ask := f.decide()
-		f.beat()
-		if ask {
-			go f.askOne(ctx)
+		pollDue := f.updateWatching()
+		f.sendHeartbeats()
+		if pollDue {
+			go f.pollPeer(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -131,46 +131,46 @@
 
 // decide decides whether this daemon watches, and reports whether another daemon is to be
 // asked.
-func (f *follower) decide() (ask bool) {
+func (f *follower) updateWatching() (pollDue bool) {
 	now := f.d.now()
-	zone, zones, generation := f.d.peers.neighbours(f.generation)
+	zone, zones, generation := f.d.peers.zoneMembers(f.generation)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if generation != f.generation {
 		f.generation = generation
 		f.roster.SetMembers(zone, zones)
 	}
-	watches := f.roster.Watching(now) && !f.d.stopping.Load()
+	isWatching := f.roster.Watching(now) && !f.d.stopping.Load()
 	switch {
-	case watches && !f.watches:
-		close(f.watching)
-	case !watches && f.watches:
-		f.watching = make(chan struct{})
+	case isWatching && !f.isWatching:
+		close(f.watchStarted)
+	case !isWatching && f.isWatching:
+		f.watchStarted = make(chan struct{})
 	}
-	if watches != f.watches {
-		f.watches = watches
-		f.d.opts.Decisions.Write(decision.StoreWatched, "", slog.Bool("watches", watches), slog.Int("cell", len(f.roster.Others())+1))
+	if isWatching != f.isWatching {
+		f.isWatching = isWatching
+		f.d.opts.Decisions.Write(decision.StoreWatched, "", slog.Bool("watches", isWatching), slog.Int("cell", len(f.roster.Others())+1))
 	}
-	blind := f.roster.Blind(now)
-	f.noteBlind(now, blind)
-	ask = blind && now.Sub(f.asked) >= askPeersEvery
-	if ask {
-		f.asked = now
+	unreachable := f.roster.Blind(now)
+	f.recordStoreState(now, unreachable)
+	pollDue = unreachable && now.Sub(f.lastPeerPoll) >= peerPollInterval
+	if pollDue {
+		f.lastPeerPoll = now
 	}
-	return ask
+	return pollDue
 }
 
 // noteBlind notes since when no daemon of the cell reaches the store.
-func (f *follower) noteBlind(now model.Instant, blind bool) {
-	if !blind {
-		f.d.sourceLost.Store(0)
+func (f *follower) recordStoreState(now model.Instant, unreachable bool) {
+	if !unreachable {
+		f.d.storeLostSince.Store(0)
 		return
 	}
-	f.d.sourceLost.CompareAndSwap(0, int64(now))
+	f.d.storeLostSince.CompareAndSwap(0, int64(now))
 }
 
 // beat sends a heartbeat to the cell if one is due.
-func (f *follower) beat() {
+func (f *follower) sendHeartbeats() {
 	f.mu.Lock()
 	if !f.roster.HeartbeatDue(f.d.now()) {
 		f.mu.Unlock()
@@ -179,12 +179,12 @@
 	reaches, others := f.roster.Reaches(), f.roster.Others()
 	f.mu.Unlock()
 	for _, address := range others {
-		f.d.datagrams.heartbeat(address, reaches)
+		f.d.datagrams.sendHeartbeat(address, reaches)
 	}
 }
 
 // askOne exchanges records with one other daemon, which brings its version.
-func (f *follower) askOne(ctx context.Context) {
+func (f *follower) pollPeer(ctx context.Context) {
 	m, ok := f.targets.Partner(f.d.peers.members())
 	if !ok {
 		return
--- a/sidecar/follow_test.go
+++ b/sidecar/follow_test.go
@@ -20,7 +20,7 @@
 
 // TestFewDaemonsWatchTheStore has three of the daemons of the only zone do so, and others
 // take over when they end.
-func TestFewDaemonsWatchTheStore(t *testing.T) {
+func TestFewDaemonsWatchStore(t *testing.T) {
 	const (
 		daemons = 7
 		wanted  = 3
@@ -34,33 +34,33 @@
 		m.knows(t, "a", daemons)
 	}
 	eventually(t, "few watch", func() bool { return len(watchers(all)) == wanted })
-	var left []*member
+	var survivors []*member
 	for _, m := range all {
 		if m.follower.watchesStore() {
 			m.kill()
 		} else {
-			left = append(left, m)
+			survivors = append(survivors, m)
 		}
 	}
 	s.publish(documentOf(2, "a"))
-	for _, m := range left {
+	for _, m := range survivors {
 		eventually(t, "the new version", func() bool { return m.config.version() == 2 })
 	}
-	eventually(t, "others watch", func() bool { return len(watchers(left)) == wanted })
+	eventually(t, "others watch", func() bool { return len(watchers(survivors)) == wanted })
 }
 
 // TestRestartWritesNoEntry has a daemon start again whose entry is in the directory.
-func TestRestartWritesNoEntry(t *testing.T) {
+func TestRestartKeepsDirectoryEntry(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
 	b.kill()
 	o := b.opts
 	o.First = false
-	again := start(t, o, s)
-	again.Report(ready("a2", 1, 1, "a"))
-	again.knows(t, "a", 2)
+	restarted := start(t, o, s)
+	restarted.Report(ready("a2", 1, 1, "a"))
+	restarted.knows(t, "a", 2)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	require.Equal(t, 2, s.written)
+	require.Equal(t, 2, s.announcements)
 }
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -17,13 +17,13 @@
 // Gauges returns the figures of what the daemon believes and holds.
 func (d *Daemon) Gauges() []Gauge {
 	return []Gauge{
-		{"ready", "1 while requests are taken", func() float64 { return number(d.ready.Load() && !d.stopping.Load()) }},
+		{"ready", "1 while requests are taken", func() float64 { return boolToFloat(d.ready.Load() && !d.stopping.Load()) }},
 		{"in_flight", "requests of local callers in hand", func() float64 { return float64(d.requests.count()) }},
 		{"config_version", "version of the configuration in force", func() float64 { return float64(d.config.version()) }},
 		{"config_age_seconds", "how long the configuration has been in force", func() float64 { return d.config.age().Seconds() }},
-		{"config_source_watched", "1 while this daemon watches the store of the configuration", func() float64 { return number(d.follower.watchesStore()) }},
-		{"config_source_lost", "1 while no daemon of the cell reaches the store of the configuration", func() float64 { return number(d.sourceAway() > 0) }},
-		{"config_source_lost_seconds", "for how long none has", func() float64 { return d.sourceAway().Seconds() }},
+		{"config_source_watched", "1 while this daemon watches the store of the configuration", func() float64 { return boolToFloat(d.follower.watchesStore()) }},
+		{"config_source_lost", "1 while no daemon of the cell reaches the store of the configuration", func() float64 { return boolToFloat(d.storeLostFor() > 0) }},
+		{"config_source_lost_seconds", "for how long none has", func() float64 { return d.storeLostFor().Seconds() }},
 		{"peers_known", "daemons known, this one included", func() float64 { return float64(d.peers.size()) }},
 		{"peers_lost", "daemons that cannot be reached", func() float64 { return float64(d.peers.size() - 1 - len(d.peers.members())) }},
 		{"peers_lost_seconds", "how long the longest lost of them has been out of reach", func() float64 { return d.peers.longestLost().Seconds() }},
@@ -36,21 +36,21 @@
 		{"upstream_calls_per_run", "calls to other services for each run of late", d.guard.recentCallsPerRun},
 		{"upstream_ready", "1 while the own upstream takes requests", func() float64 {
 			cur, _ := d.guard.current()
-			return number(cur.State == lifecycle.Ready)
+			return boolToFloat(cur.State == lifecycle.Ready)
 		}},
 		{"resends_left", "re-sends that the tightest budget holds", d.entry.resendsLeft},
 	}
 }
 
 // sourceAway returns how long the store of the configuration has been away.
-func (d *Daemon) sourceAway() time.Duration {
-	if since := d.sourceLost.Load(); since != 0 {
+func (d *Daemon) storeLostFor() time.Duration {
+	if since := d.storeLostSince.Load(); since != 0 {
 		return d.now().Sub(model.Instant(since))
 	}
 	return 0
 }
 
-func number(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/sidecar/greet_test.go
+++ b/sidecar/greet_test.go
@@ -13,12 +13,12 @@
 )
 
 // fullAsked returns the peers that are asked for all that they know.
-func (p *peers) fullAsked() []string {
+func (p *peers) pendingFullSyncs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
 	for address, q := range p.all {
-		if q.full {
+		if q.needsFullSync {
 			out = append(out, address)
 		}
 	}
@@ -26,7 +26,7 @@
 }
 
 // alone returns peers whose goroutines do nothing.
-func alone(t *testing.T, zone model.AvailabilityZone) *peers {
+func isolatedPeers(t *testing.T, zone model.AvailabilityZone) *peers {
 	p := newPeers(Record{Address: "self", Zone: zone}, func() model.Instant { return 1 }, decision.New(decision.Options{Handler: slog.DiscardHandler}))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -36,7 +36,7 @@
 
 // TestStartsAskTheirOwnZone starts many daemons with one list of all: they ask daemons of
 // their zone for all that they know, and not the same ones.
-func TestStartsAskTheirOwnZone(t *testing.T) {
+func TestBootstrapPeersAreInLocalZone(t *testing.T) {
 	const daemons, zones, starts = 300, 5, 200
 	var list []Listing
 	zoneOf := make(map[string]model.AvailabilityZone)
@@ -44,33 +44,33 @@
 		l := Listing{Address: fmt.Sprint("d", i), Zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
 		list, zoneOf[l.Address] = append(list, l), l.Zone
 	}
-	asked := make(map[string]int)
+	selections := make(map[string]int)
 	for range starts {
-		p := alone(t, "z3")
-		p.meet(list)
-		got := p.fullAsked()
-		require.Len(t, got, fullAsks)
-		for _, address := range got {
+		p := isolatedPeers(t, "z3")
+		p.addListed(list)
+		selected := p.pendingFullSyncs()
+		require.Len(t, selected, fullAsks)
+		for _, address := range selected {
 			require.EqualValues(t, "z3", zoneOf[address])
-			asked[address]++
+			selections[address]++
 		}
 	}
 	const fair = starts * fullAsks / (daemons / zones)
-	for address, n := range asked {
+	for address, n := range selections {
 		require.Less(t, n, 5*fair, address)
 	}
 }
 
 // TestAnotherIsAskedInThePlaceOfALostOne has the list name daemons that are gone.
-func TestAnotherIsAskedInThePlaceOfALostOne(t *testing.T) {
-	p := alone(t, "z")
-	p.meet([]Listing{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
+func TestUnreachableBootstrapPeerIsReplaced(t *testing.T) {
+	p := isolatedPeers(t, "z")
+	p.addListed([]Listing{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
 	for range fullAsks {
-		for _, address := range p.fullAsked() {
+		for _, address := range p.pendingFullSyncs() {
 			if address != "there" {
-				p.unsynced(p.all[address], errDown)
+				p.unsynced(p.all[address], errStoreDown)
 			}
 		}
 	}
-	require.Equal(t, []string{"there"}, p.fullAsked())
+	require.Equal(t, []string{"there"}, p.pendingFullSyncs())
 }
--- a/sidecar/idle_test.go
+++ b/sidecar/idle_test.go
@@ -17,18 +17,18 @@
 
 // TestIdleTimerCutsNoRequestInHand sends requests on kept connections at about the time
 // that these are closed as idle: each is answered, or has not been begun.
-func TestIdleTimerCutsNoRequestInHand(t *testing.T) {
-	const conns, before, runs = 400, 4 * time.Millisecond, 50 * time.Millisecond
-	const kept = 200 * time.Millisecond
-	var begun sync.Map
+func TestIdleTimerCutsNoRequestInFlight(t *testing.T) {
+	const conns, maxOffset, runTime = 400, 4 * time.Millisecond, 50 * time.Millisecond
+	const idleTimeout = 200 * time.Millisecond
+	var started sync.Map
 	s := newServer("callers", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/first" {
-			begun.Store(r.URL.Path, true)
-			time.Sleep(runs)
+			started.Store(r.URL.Path, true)
+			time.Sleep(runTime)
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
-	s.limit(route.Limits{IdleTimeout: kept})
+	s.setLimits(route.Limits{IdleTimeout: idleTimeout})
 	var err error
 	s.listener, err = net.Listen("tcp", freePort(t))
 	require.NoError(t, err)
@@ -46,12 +46,12 @@
 			if _, err := http.ReadResponse(in, nil); err != nil {
 				return
 			}
-			time.Sleep(kept + idleSlack - before + 2*before*time.Duration(i)/conns)
+			time.Sleep(idleTimeout + idleCloseDelay - maxOffset + 2*maxOffset*time.Duration(i)/conns)
 			path := "/second-" + conn.LocalAddr().String()
 			_, _ = io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n")
 			if _, err := http.ReadResponse(in, nil); err == nil {
 				answered.Add(1)
-			} else if _, ok := begun.Load(path); ok {
+			} else if _, ok := started.Load(path); ok {
 				cut.Add(1)
 			}
 		})
--- a/sidecar/lastlines_test.go
+++ b/sidecar/lastlines_test.go
@@ -17,26 +17,26 @@
 // TestRequestsDuringTheLastLinesAreAnswered stops a daemon whose log nobody reads, and uses
 // connections that were kept since before as soon as it starts nothing new itself. Those
 // whose request is passed on to the other daemon get its answer.
-func TestRequestsDuringTheLastLinesAreAnswered(t *testing.T) {
-	const conns, runs = 20, 150 * time.Millisecond
+func TestRequestsDuringFinalLogFlushAreAnswered(t *testing.T) {
+	const conns, runTime = 20, 150 * time.Millisecond
 	s := newStore(documentOf(1, "a"))
 	other := join(t, s, "a", "b1")
 	o := optionsFor(t, s, newUpstream(t, "a1"), "a")
-	o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(newStalled(t), nil)})
+	o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(newStalledWriter(t), nil)})
 	d := start(t, o, s)
 	d.Report(ready("a1", 1, 1, "a"))
 	d.knows(t, "a", 2)
 
 	var callers []*kept
 	for i := range conns {
-		k := dialCallers(t, d)
-		k.send(t, fmt.Sprint("first-", i))
-		_, err := k.answer()
+		caller := dialCallers(t, d)
+		caller.send(t, fmt.Sprint("first-", i))
+		_, err := caller.answer()
 		require.NoError(t, err)
-		callers = append(callers, k)
+		callers = append(callers, caller)
 	}
 	other.up.set(func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(runs)
+		time.Sleep(runTime)
 		answerWell(w, "b1")
 	})
 	go d.stop()
@@ -47,23 +47,23 @@
 	})
 	var unanswered sync.Map
 	var wg sync.WaitGroup
-	for i, k := range callers {
+	for i, caller := range callers {
 		id := fmt.Sprint("second-", i)
-		k.send(t, id)
+		caller.send(t, id)
 		wg.Go(func() {
-			if _, err := k.answer(); err != nil {
+			if _, err := caller.answer(); err != nil {
 				unanswered.Store(id, true)
 			}
 		})
 	}
 	wg.Wait()
-	ran := 0
+	lost := 0
 	for _, r := range other.up.requests() {
 		if id := r.Header.Get("T-Id"); strings.HasPrefix(id, "second-") {
 			if _, ok := unanswered.Load(id); ok {
-				ran++
+				lost++
 			}
 		}
 	}
-	require.Zero(t, ran, "of %d requests ran and got no answer", conns)
+	require.Zero(t, lost, "of %d requests ran and got no answer", conns)
 }
--- a/sidecar/learned.go
+++ b/sidecar/learned.go
@@ -15,54 +15,54 @@
 	// learnedAlone is how many upstreams that are first known to be ready within
 	// learnedSpan have lines of their own. Where a whole deployment starts, lines for
 	// every pair of daemons would tell what each upstream's own daemon tells anyway.
-	learnedAlone = 16
-	learnedSpan  = time.Second
+	maxLearnedLines = 16
+	learnedWindow   = time.Second
 	// maxMissing bounds the daemons that one line names.
-	maxMissing = 16
+	maxNamedPeers = 16
 )
 
 // learned bounds the lines about upstreams that are first known to be ready.
-type learned struct {
+type learnedLimiter struct {
 	// since is when the span began, in which so many have had lines of their own.
-	since model.Instant
-	alone int
+	windowStart model.Instant
+	lines       int
 	// rest is how many have had none and wait for a line on all of them.
-	rest int
+	unlogged int
 }
 
 // admit reports whether an upstream has a line of its own.
-func (l *learned) admit(now model.Instant) bool {
-	if now.Sub(l.since) >= learnedSpan {
-		l.since, l.alone = now, 0
+func (l *learnedLimiter) allow(now model.Instant) bool {
+	if now.Sub(l.windowStart) >= learnedWindow {
+		l.windowStart, l.lines = now, 0
 	}
-	if l.alone >= learnedAlone {
+	if l.lines >= maxLearnedLines {
 		return false
 	}
-	l.alone++
+	l.lines++
 	return true
 }
 
 // tellState writes that another belief is held of a peer's upstream. Only the first news
 // that an upstream is ready may share a line; what takes one away, or changes what was
 // known of it, has its own. p.mu is held.
-func (p *peers) tellState(before, r *Record) {
-	first := before.Upstream == (lifecycle.Incarnation{}) && r.State == lifecycle.Ready && !r.Stopping
-	if first && !p.learned.admit(p.now()) {
-		p.learned.rest++
-		if p.learned.rest == 1 {
-			time.AfterFunc(learnedSpan, p.tellLearned)
+func (p *peers) logPeerState(previous, current *Record) {
+	firstReady := previous.Upstream == (lifecycle.Incarnation{}) && current.State == lifecycle.Ready && !current.Stopping
+	if firstReady && !p.learned.allow(p.now()) {
+		p.learned.unlogged++
+		if p.learned.unlogged == 1 {
+			time.AfterFunc(learnedWindow, p.logLearned)
 		}
 		return
 	}
-	p.decisions.Write(decision.PeerState, "", slog.String("peer", r.Address),
-		slog.String("upstream", string(r.Upstream.ID)), slog.Int64("born", r.Upstream.Born),
-		slog.String("state", r.State.String()), slog.Bool("stopping", r.Stopping))
+	p.decisions.Write(decision.PeerState, "", slog.String("peer", current.Address),
+		slog.String("upstream", string(current.Upstream.ID)), slog.Int64("born", current.Upstream.Born),
+		slog.String("state", current.State.String()), slog.Bool("stopping", current.Stopping))
 }
 
 // tellLearned writes one line on the upstreams that had none of their own. It names the
 // daemons of which nothing is known yet: what is known of the others follows from their
 // own lines.
-func (p *peers) tellLearned() {
+func (p *peers) logLearned() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ready := 0
@@ -77,8 +77,8 @@
 	}
 	unheard := len(missing)
 	slices.Sort(missing)
-	missing = missing[:min(unheard, maxMissing)]
-	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.learned.rest), slog.Int("ready", ready),
+	missing = missing[:min(unheard, maxNamedPeers)]
+	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.learned.unlogged), slog.Int("ready", ready),
 		slog.Int("peers", len(p.all)), slog.Int("unheard", unheard), slog.String("missing", strings.Join(missing, " ")))
-	p.learned.rest = 0
+	p.learned.unlogged = 0
 }
--- a/sidecar/learned_test.go
+++ b/sidecar/learned_test.go
@@ -18,15 +18,15 @@
 )
 
 // told is what a daemon believes of others, and the lines that it wrote about that.
-type told struct {
+type loggedPeers struct {
 	*peers
 	out bytes.Buffer
 	log *decision.Log
 }
 
 // newTold returns a daemon that is alone so far. It keeps the time of the bubble.
-func newTold() *told {
-	l := &told{}
+func newLoggedPeers() *loggedPeers {
+	l := &loggedPeers{}
 	l.log = decision.New(decision.Options{Handler: slog.NewJSONHandler(&l.out, nil)})
 	began := time.Now()
 	l.peers = newPeers(Record{Address: "own", Incarnation: 1, Sequence: 1}, func() model.Instant { return model.Instant(time.Since(began)) }, l.log)
@@ -37,7 +37,7 @@
 }
 
 // lines ends the log and returns its lines by their kinds.
-func (l *told) lines(t *testing.T) map[decision.Kind][]map[string]any {
+func (l *loggedPeers) closeAndRead(t *testing.T) map[decision.Kind][]map[string]any {
 	t.Helper()
 	l.log.Close(time.Second)
 	out := map[decision.Kind][]map[string]any{}
@@ -51,7 +51,7 @@
 }
 
 // tells returns the record of a peer in a state. One that is unknown has no upstream yet.
-func tells(n int, sequence uint64, s lifecycle.State) []Record {
+func stateRecords(n int, sequence uint64, s lifecycle.State) []Record {
 	r := Record{Address: fmt.Sprintf("d%03d", n), Incarnation: 1, Sequence: sequence, State: s}
 	if s != lifecycle.Unknown {
 		r.Upstream = lifecycle.Incarnation{ID: model.UpstreamID(fmt.Sprintf("u%03d", n)), Born: 1}
@@ -61,22 +61,22 @@
 
 // TestLinesOfAMassStart guards against each daemon of a deployment that starts as a whole
 // writing a line about each other one: their number grew with the square of the daemons.
-func TestLinesOfAMassStart(t *testing.T) {
+func TestMassStartLogsFewLines(t *testing.T) {
 	for _, daemons := range []int{10, 100, 295, 1700} {
 		bubble.Run(t, func(t *testing.T) {
-			l := newTold()
+			l := newLoggedPeers()
 			const within = 500 * time.Millisecond
 			for _, s := range []lifecycle.State{lifecycle.Unknown, lifecycle.Ready} {
 				for n := range daemons - 1 {
-					l.merge(tells(n, uint64(s)+1, s))
+					l.merge(stateRecords(n, uint64(s)+1, s))
 					time.Sleep(within / time.Duration(daemons))
 				}
 			}
-			time.Sleep(2 * learnedSpan)
-			lines := l.lines(t)
-			alone := min(daemons-1, learnedAlone)
-			require.Len(t, lines[decision.PeerState], alone, daemons)
-			rest := daemons - 1 - alone
+			time.Sleep(2 * learnedWindow)
+			lines := l.closeAndRead(t)
+			individual := min(daemons-1, maxLearnedLines)
+			require.Len(t, lines[decision.PeerState], individual, daemons)
+			rest := daemons - 1 - individual
 			if rest == 0 {
 				require.Empty(t, lines[decision.PeersLearned])
 				return
@@ -93,18 +93,18 @@
 
 // TestMissingDaemonsAreNamed has a daemon tell whose upstreams it does not know when many
 // have become known.
-func TestMissingDaemonsAreNamed(t *testing.T) {
+func TestDaemonsWithoutKnownUpstreamAreNamed(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		l := newTold()
+		l := newLoggedPeers()
 		for n := range 100 {
 			s := lifecycle.Ready
 			if n == 40 || n == 90 {
 				s = lifecycle.Unknown
 			}
-			l.merge(tells(n, 1, s))
+			l.merge(stateRecords(n, 1, s))
 		}
-		time.Sleep(2 * learnedSpan)
-		line := l.lines(t)[decision.PeersLearned][0]
+		time.Sleep(2 * learnedWindow)
+		line := l.closeAndRead(t)[decision.PeersLearned][0]
 		require.EqualValues(t, 2, line["unheard"])
 		require.Equal(t, "d040 d090", line["missing"])
 		require.EqualValues(t, 98, line["ready"])
@@ -112,7 +112,7 @@
 }
 
 // TestChangesHaveLinesOfTheirOwn has many known upstreams leave, and daemons stop, at once.
-func TestChangesHaveLinesOfTheirOwn(t *testing.T) {
+func TestStateChangesAreLoggedIndividually(t *testing.T) {
 	for name, change := range map[string]func(*Record){
 		"drained":     func(r *Record) { r.State = lifecycle.Draining },
 		"gone":        func(r *Record) { r.State = lifecycle.Gone },
@@ -122,20 +122,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
-				l := newTold()
+				l := newLoggedPeers()
 				const daemons = 100
 				for n := range daemons {
-					l.merge(tells(n, 1, lifecycle.Ready))
+					l.merge(stateRecords(n, 1, lifecycle.Ready))
 				}
-				time.Sleep(2 * learnedSpan)
+				time.Sleep(2 * learnedWindow)
 				for n := range daemons {
-					r := tells(n, 2, lifecycle.Ready)
+					r := stateRecords(n, 2, lifecycle.Ready)
 					change(&r[0])
 					l.merge(r)
 				}
-				time.Sleep(2 * learnedSpan)
-				lines := l.lines(t)
-				require.Len(t, lines[decision.PeerState], learnedAlone+daemons)
+				time.Sleep(2 * learnedWindow)
+				lines := l.closeAndRead(t)
+				require.Len(t, lines[decision.PeerState], maxLearnedLines+daemons)
 				require.Len(t, lines[decision.PeersLearned], 1)
 			})
 		})
--- a/sidecar/massstart_test.go
+++ b/sidecar/massstart_test.go
@@ -18,8 +18,8 @@
 		zones = 5
 		// reported is how long after its start an upstream reports, and settled how long
 		// comparisons are counted once all know each other.
-		reported = 200 * time.Millisecond
-		settled  = 8 * time.Second
+		reportDelay = 200 * time.Millisecond
+		settleTime  = 8 * time.Second
 	)
 	for _, n := range []int{30, 90, 180} {
 		b.Run(fmt.Sprint(n, " daemons"), func(b *testing.B) {
@@ -33,7 +33,7 @@
 						o := optionsFor(b, s, newUpstream(b, id), "b")
 						o.Zone = model.AvailabilityZone(fmt.Sprint("z", i%zones))
 						members[i] = start(b, o, s)
-						time.Sleep(reported)
+						time.Sleep(reportDelay)
 						members[i].Report(ready(id, 1, 1, "b"))
 					})
 				}
@@ -41,7 +41,7 @@
 				for _, m := range members {
 					m.knows(b, "b", n)
 				}
-				time.Sleep(settled)
+				time.Sleep(settleTime)
 				names := slices.Concat(slices.Collect(maps.Values(kindNames)), slices.Collect(maps.Values(pathNames)))
 				total := int64(0)
 				for _, kind := range names {
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -19,7 +19,7 @@
 // of them that has started within a span, by their own clocks. One whose clock is ahead
 // by more than the span counts as started long ago, one that is listed and has not been
 // heard of as started.
-func (p *peers) startedWithin(span time.Duration) (daemons int, part float64) {
+func (p *peers) startedWithin(span time.Duration) (daemons int, share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	since := time.Now().Add(-span).UnixMilli()
@@ -57,7 +57,7 @@
 // neighbours returns the addresses of the daemons of the own zone that can be reached and
 // go on running, this one among them, and the number of zones. It returns nothing where
 // that is as of a generation.
-func (p *peers) neighbours(generation uint64) (zone []string, zones int, now uint64) {
+func (p *peers) zoneMembers(generation uint64) (addresses []string, zones int, current uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.generation == generation {
@@ -65,7 +65,7 @@
 	}
 	seen := map[model.AvailabilityZone]bool{p.own.Zone: true}
 	if !p.own.Stopping {
-		zone = append(zone, p.own.Address)
+		addresses = append(addresses, p.own.Address)
 	}
 	for address, q := range p.all {
 		if q.lost || q.record.Stopping {
@@ -73,14 +73,14 @@
 		}
 		seen[q.record.Zone] = true
 		if q.record.Zone == p.own.Zone {
-			zone = append(zone, address)
+			addresses = append(addresses, address)
 		}
 	}
-	return zone, len(seen), p.generation
+	return addresses, len(seen), p.generation
 }
 
 // near returns the other daemons of the own zone that are not lost.
-func (p *peers) near() []string {
+func (p *peers) zonePeers() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
@@ -93,10 +93,10 @@
 }
 
 // far reports whether a daemon is of another zone.
-func (p *peers) far(address string) bool {
+func (p *peers) inOtherZone(address string) bool {
 	r, ok := p.of(address)
 	return ok && r.Zone != p.own.Zone
 }
 
 // drawInt draws from 0 to n-1.
-func drawInt(n int) int { return rand.IntN(n) }
+func randomInt(n int) int { return rand.IntN(n) }
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -35,7 +35,7 @@
 const (
 	// maxSync bounds a message between daemons, in bytes: 300 bytes a record for
 	// some thousand daemons.
-	maxSync = 4 << 20
+	maxSyncBytes = 4 << 20
 )
 
 // StatusError is an answer of another daemon that is no success.
@@ -54,7 +54,7 @@
 	if err != nil {
 		return reply, err
 	}
-	r, err := exchangePeer(ctx, pool, http.MethodPost, pathSync, body)
+	r, err := requestPeer(ctx, pool, http.MethodPost, pathSync, body)
 	if err != nil {
 		return reply, err
 	}
@@ -65,8 +65,8 @@
 }
 
 // readMessage reads a message of at most so many bytes, or refuses it.
-func readMessage(w http.ResponseWriter, r *http.Request, most int64, m any) bool {
-	err := json.NewDecoder(io.LimitReader(r.Body, most)).Decode(m)
+func readMessage(w http.ResponseWriter, r *http.Request, maxBytes int64, m any) bool {
+	err := json.NewDecoder(io.LimitReader(r.Body, maxBytes)).Decode(m)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	}
@@ -88,7 +88,7 @@
 
 // exchangePeer asks another daemon within syncTimeout and returns its answer, whatever its
 // status. The error is a *hop.LostError.
-func exchangePeer(ctx context.Context, pool *hop.Pool, method, path string, body []byte) (*hop.Reply, error) {
+func requestPeer(ctx context.Context, pool *hop.Pool, method, path string, body []byte) (*hop.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	return pool.Do(ctx, hop.Exchange{Method: method, Target: path, Host: peerHost, Header: http.Header{}, Body: body})
@@ -105,41 +105,41 @@
 
 // The parameters of a settleQuestion.
 const (
-	settleKey  = "key"
-	settleLife = "life"
-	settleLeft = "left-ms"
+	settleKeyParam         = "key"
+	settleIncarnationParam = "life"
+	settleTimeLeftParam    = "left-ms"
 )
 
 func (q settleQuestion) encode() string {
 	v := url.Values{}
-	v.Set(settleKey, q.key)
-	v.Set(settleLife, strconv.FormatInt(q.life, 10))
-	v.Set(settleLeft, strconv.FormatInt(q.left.Milliseconds(), 10))
+	v.Set(settleKeyParam, q.key)
+	v.Set(settleIncarnationParam, strconv.FormatInt(q.life, 10))
+	v.Set(settleTimeLeftParam, strconv.FormatInt(q.left.Milliseconds(), 10))
 	return v.Encode()
 }
 
-func decodeSettle(v url.Values) (settleQuestion, error) {
-	n, err := numbers(v.Get(settleLife), v.Get(settleLeft))
+func decodeSettleRequest(v url.Values) (settleQuestion, error) {
+	n, err := numbers(v.Get(settleIncarnationParam), v.Get(settleTimeLeftParam))
 	if err != nil {
 		return settleQuestion{}, err
 	}
-	return settleQuestion{key: v.Get(settleKey), life: n[0], left: time.Duration(n[1]) * time.Millisecond}, nil
+	return settleQuestion{key: v.Get(settleKeyParam), life: n[0], left: time.Duration(n[1]) * time.Millisecond}, nil
 }
 
 // settleSilence is how long the question of a settlement may go without a sign that it
 // has arrived: it is given up then, as its connection may be silent for good.
-const settleSilence = 500 * time.Millisecond
+const settleArrivalTimeout = 500 * time.Millisecond
 
 // askSettle asks a guard over a new connection what became of an attempt, and
 // withdraws it if it has not started. It reports false when the guard was not reached.
 func askSettle(ctx context.Context, pool *hop.Pool, q settleQuestion) (*Answer, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(settleSilence, cancel)
-	defer silence.Stop()
+	arrivalTimer := time.AfterFunc(settleArrivalTimeout, cancel)
+	defer arrivalTimer.Stop()
 	r, err := pool.Do(ctx, hop.Exchange{
 		Method: http.MethodPost, Target: pathSettle + "?" + q.encode(), Host: peerHost,
-		Header: http.Header{}, MaxIdle: -1, Informed: func() { silence.Stop() },
+		Header: http.Header{}, MaxIdle: -1, Informed: func() { arrivalTimer.Stop() },
 	})
 	if err != nil {
 		return unknown(outcome.ReasonConnectionLost), false
@@ -203,8 +203,8 @@
 
 // ServeHTTP answers a call or a message.
 func (p peerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if line := r.Header.Get(callHeader); line != "" {
-		p.call(w, r, line)
+	if encoded := r.Header.Get(callHeader); encoded != "" {
+		p.call(w, r, encoded)
 		return
 	}
 	w = p.d.metrics.traffic.message(w, r)
@@ -223,7 +223,7 @@
 // settle tells what became of an attempt. A daemon that started later at the address of
 // the one that was sent the attempt knows nothing of it.
 func (p peerHandler) settle(w http.ResponseWriter, r *http.Request) {
-	q, err := decodeSettle(r.URL.Query())
+	q, err := decodeSettleRequest(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -232,18 +232,18 @@
 		writePeerAnswer(w, r.Method, unknown(outcome.ReasonConnectionLost))
 		return
 	}
-	writePeerAnswer(w, r.Method, p.acknowledged(w, "", func() *Answer {
+	writePeerAnswer(w, r.Method, p.runAcknowledged(w, "", func() *Answer {
 		return p.d.guard.finish(p.d.guard.attempts.settle(r.Context(), q.key, q.left))
 	}))
 }
 
-func (p peerHandler) call(w http.ResponseWriter, r *http.Request, line string) {
-	c, err := decodeCall(line)
+func (p peerHandler) call(w http.ResponseWriter, r *http.Request, encoded string) {
+	c, err := decodeCall(encoded)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	held, err := p.d.bodies.read(r.Body)
+	body, err := p.d.bodies.read(r.Body)
 	if errors.Is(err, errNoRoom) || errors.Is(err, errTooLarge) {
 		writePeerAnswer(w, r.Method, p.d.guard.finish(notRun(outcome.ReasonNoMemory)))
 		return
@@ -251,9 +251,9 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	defer held.release()
-	c.Method, c.Target, c.Host, c.Header, c.Body = r.Method, r.RequestURI, r.Host, r.Header, held.bytes
-	writePeerAnswer(w, r.Method, p.acknowledged(w, c.ID, func() *Answer { return p.d.guard.Do(r.Context(), c) }))
+	defer body.release()
+	c.Method, c.Target, c.Host, c.Header, c.Body = r.Method, r.RequestURI, r.Host, r.Header, body.bytes
+	writePeerAnswer(w, r.Method, p.runAcknowledged(w, c.ID, func() *Answer { return p.d.guard.Do(r.Context(), c) }))
 }
 
 // acknowledgeAfter is how long a call may take before its sender is told that it
@@ -262,7 +262,7 @@
 
 // acknowledged waits for an answer, and sends an informational response when that
 // takes a while.
-func (p peerHandler) acknowledged(w http.ResponseWriter, request string, do func() *Answer) *Answer {
+func (p peerHandler) runAcknowledged(w http.ResponseWriter, request string, do func() *Answer) *Answer {
 	done := make(chan *Answer, 1)
 	go func() { done <- contain(request, p.d.panicked, do) }()
 	timer := time.NewTimer(acknowledgeAfter)
@@ -278,21 +278,21 @@
 
 func (p peerHandler) sync(w http.ResponseWriter, r *http.Request) {
 	var m syncMessage
-	if !readMessage(w, r, maxSync, &m) {
+	if !readMessage(w, r, maxSyncBytes, &m) {
 		return
 	}
-	held, _ := p.d.peers.of(m.From.Address)
-	for _, news := range p.d.peers.merge(append([]Record{m.From}, m.Known...)) {
-		if news.Address == m.From.Address && news.Zone != p.d.opts.Zone {
-			p.d.relay.add(news)
+	previous, _ := p.d.peers.of(m.From.Address)
+	for _, newer := range p.d.peers.merge(append([]Record{m.From}, m.Known...)) {
+		if newer.Address == m.From.Address && newer.Zone != p.d.opts.Zone {
+			p.d.relay.add(newer)
 		}
 	}
-	p.d.peers.heardFrom(m.From.Address)
+	p.d.peers.handlePull(m.From.Address)
 	p.d.behind(m.From.Address, m.Version)
 	reply := syncMessage{From: p.d.peers.self(), Version: p.d.config.version()}
-	if held.Sequence > 0 {
+	if previous.Sequence > 0 {
 		// The sender may have started anew and forgotten what it knew.
-		reply.Known = append(reply.Known, held)
+		reply.Known = append(reply.Known, previous)
 	}
 	if m.Full {
 		reply.Known = append(reply.Known, p.d.peers.known()[1:]...)
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -12,17 +12,17 @@
 
 // metrics are the figures of a daemon.
 type metrics struct {
-	givenBack tally.Counter
-	probes    tally.Counter
-	conns     tally.Counter
-	resent    tally.Counter
-	hedged    tally.Counter
-	denied    tally.Counter
-	settled   tally.Counter
+	givenBack   tally.Counter
+	probes      tally.Counter
+	connsOpened tally.Counter
+	resent      tally.Counter
+	hedged      tally.Counter
+	denied      tally.Counter
+	settled     tally.Counter
 	// cut counts the requests whose connection this daemon closed before the answer.
 	cut tally.Counter
 	// aborted counts panics while requests were served, of handlers and beside them.
-	aborted  tally.Counter
+	panics   tally.Counter
 	outcomes *telemetry.OutcomeCounter
 	traffic  *traffic
 
@@ -53,23 +53,23 @@
 func newMetrics(scope tally.Scope) *metrics {
 	scope = telemetry.OrNoop(scope)
 	return &metrics{
-		givenBack: scope.Counter("given_back"),
-		probes:    scope.Counter("probes"),
-		conns:     scope.Counter("upstream_connections"),
-		resent:    scope.Counter("resent"),
-		hedged:    scope.Counter("hedged"),
-		denied:    scope.Counter("resend_budget_empty"),
-		settled:   scope.Counter("settled"),
-		cut:       scope.Counter("requests_cut"),
-		aborted:   scope.Counter("handlers_panicked"),
-		outcomes:  telemetry.NewOutcomeCounter(scope, "requests"),
-		traffic:   newTraffic(scope),
-		latencies: newTimers(scope),
-		stages:    newTimers(scope),
+		givenBack:   scope.Counter("given_back"),
+		probes:      scope.Counter("probes"),
+		connsOpened: scope.Counter("upstream_connections"),
+		resent:      scope.Counter("resent"),
+		hedged:      scope.Counter("hedged"),
+		denied:      scope.Counter("resend_budget_empty"),
+		settled:     scope.Counter("settled"),
+		cut:         scope.Counter("requests_cut"),
+		panics:      scope.Counter("handlers_panicked"),
+		outcomes:    telemetry.NewOutcomeCounter(scope, "requests"),
+		traffic:     newTraffic(scope),
+		latencies:   newTimers(scope),
+		stages:      newTimers(scope),
 	}
 }
 
-func (m *metrics) upstreamConns() { m.conns.Inc(1) }
+func (m *metrics) upstreamConns() { m.connsOpened.Inc(1) }
 
 // answered records how long a request took.
 func (m *metrics) answered(service, route string, o outcome.Outcome, took time.Duration) {
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -13,7 +13,7 @@
 )
 
 // counts returns how many values each histogram holds, by name and tags.
-func counts(s tally.TestScope) map[string]int {
+func timerCounts(s tally.TestScope) map[string]int {
 	out := map[string]int{}
 	for _, t := range s.Snapshot().Timers() {
 		out[fmt.Sprint(t.Name(), " ", t.Tags()["service"], " ", t.Tags()["route"])] += len(t.Values())
@@ -21,20 +21,20 @@
 	return out
 }
 
-func TestStagesOfARequestAreMeasured(t *testing.T) {
+func TestRequestStagesAreTimed(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
 	status, _ := a.get(t, "/safe/")
 	require.Equal(t, http.StatusOK, status)
-	at := counts(a.scope)
-	require.Equal(t, 1, at["latency b safe"], "%v", at)
+	counts := timerCounts(a.scope)
+	require.Equal(t, 1, counts["latency b safe"], "%v", counts)
 	for _, stage := range []string{stageChoose, stageSend, stageLoadAge} {
-		require.Equal(t, 1, at[stage+" b "], "%s: %v", stage, at)
+		require.Equal(t, 1, counts[stage+" b "], "%s: %v", stage, counts)
 	}
-	at = counts(b.scope)
+	counts = timerCounts(b.scope)
 	for _, stage := range []string{stageGuard, stageUpstream} {
-		require.Equal(t, 1, at[stage+" b "], "%s: %v", stage, at)
+		require.Equal(t, 1, counts[stage+" b "], "%s: %v", stage, counts)
 	}
 }
 
@@ -44,12 +44,12 @@
 	for i := range 3 * maxTimers {
 		m.answered("b", fmt.Sprint("route", i), outcome.Done(), time.Millisecond)
 	}
-	at := counts(scope)
-	require.Len(t, at, maxTimers+1)
-	require.Equal(t, 2*maxTimers, at["latency other other"])
+	counts := timerCounts(scope)
+	require.Len(t, counts, maxTimers+1)
+	require.Equal(t, 2*maxTimers, counts["latency other other"])
 }
 
-func TestAgesAreTold(t *testing.T) {
+func TestAgeGauges(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
@@ -89,7 +89,7 @@
 }
 
 // TestControlIsCountedByKind reads how much daemons that nobody calls told each other.
-func TestControlIsCountedByKind(t *testing.T) {
+func TestControlTrafficIsCountedByKind(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
@@ -104,7 +104,7 @@
 }
 
 // TestKindsOfDatagramsAreNamed has every kind that is received counted.
-func TestKindsOfDatagramsAreNamed(t *testing.T) {
+func TestDatagramKindsAreNamed(t *testing.T) {
 	for kind := range receivers {
 		require.Contains(t, kindNames, kind)
 	}
--- a/sidecar/pack.go
+++ b/sidecar/pack.go
@@ -10,7 +10,7 @@
 )
 
 // maxUnpacked bounds the records of one datagram, in bytes of JSON.
-const maxUnpacked = 64 << 10
+const maxUnpackedBytes = 64 << 10
 
 // packDictionary is what records have in common, so that the first one of a datagram is
 // short as well.
@@ -25,7 +25,7 @@
 		return nil
 	}
 	body, err := deflateRecords(records)
-	if err == nil && len(body) <= datagramRoom {
+	if err == nil && len(body) <= maxDatagramBody {
 		return [][]byte{body}
 	}
 	if len(records) == 1 {
@@ -48,17 +48,17 @@
 }
 
 // inflaters keeps readers of compressed records, which are large.
-var inflaters = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), packDictionary) }}
+var inflaterPool = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), packDictionary) }}
 
 // unpackRecords reads what packRecords wrote, up to what cannot be read.
 func unpackRecords(body []byte) []Record {
-	r := inflaters.Get().(io.Reader)
-	defer inflaters.Put(r)
+	r := inflaterPool.Get().(io.Reader)
+	defer inflaterPool.Put(r)
 	if r.(flate.Resetter).Reset(bytes.NewReader(body), packDictionary) != nil {
 		return nil
 	}
 	var out []Record
-	d := json.NewDecoder(io.LimitReader(r, maxUnpacked))
+	d := json.NewDecoder(io.LimitReader(r, maxUnpackedBytes))
 	for {
 		var rec Record
 		if d.Decode(&rec) != nil {
--- a/sidecar/pack_test.go
+++ b/sidecar/pack_test.go
@@ -14,7 +14,7 @@
 )
 
 // recordsOf returns records such as those of a deployment with two services in five zones.
-func recordsOf(n int) []Record {
+func sampleRecords(n int) []Record {
 	out := make([]Record, n)
 	for i := range out {
 		out[i] = Record{
@@ -30,7 +30,7 @@
 
 // TestRecordsTravelCompressed bounds the bytes of records that travel together, and those
 // of a single one, against their JSON.
-func TestRecordsTravelCompressed(t *testing.T) {
+func TestPackedRecordsAreCompressed(t *testing.T) {
 	for name, c := range map[string]struct {
 		records int
 		share   float64
@@ -41,7 +41,7 @@
 		"all three hundred": {300, 0.45},
 	} {
 		t.Run(name, func(t *testing.T) {
-			records := recordsOf(c.records)
+			records := sampleRecords(c.records)
 			plain, packed := 0, 0
 			for i := range records {
 				b, err := json.Marshal(&records[i])
@@ -50,7 +50,7 @@
 			}
 			var got []Record
 			for _, body := range packRecords(records) {
-				require.LessOrEqual(t, len(body), datagramRoom)
+				require.LessOrEqual(t, len(body), maxDatagramBody)
 				packed += len(body)
 				got = append(got, unpackRecords(body)...)
 			}
@@ -61,13 +61,13 @@
 }
 
 // TestRecordsThatFitNoDatagram are left out, and only they.
-func TestRecordsThatFitNoDatagram(t *testing.T) {
-	records := recordsOf(20)
-	var noise strings.Builder
+func TestOversizedRecordsAreOmitted(t *testing.T) {
+	records := sampleRecords(20)
+	var longName strings.Builder
 	for i := range 1000 {
-		fmt.Fprintf(&noise, "%x", i*2654435761)
+		fmt.Fprintf(&longName, "%x", i*2654435761)
 	}
-	records[7].Service = model.ServiceName(noise.String())
+	records[7].Service = model.ServiceName(longName.String())
 	var got []Record
 	for _, body := range packRecords(records) {
 		got = append(got, unpackRecords(body)...)
@@ -77,12 +77,12 @@
 }
 
 // TestRecordsThatCannotBeRead takes in whatever arrives.
-func TestRecordsThatCannotBeRead(t *testing.T) {
-	body := packRecords(recordsOf(5))[0]
+func TestUnpackToleratesCorruptData(t *testing.T) {
+	body := packRecords(sampleRecords(5))[0]
 	rapid.Check(t, func(t *rapid.T) {
 		received := append([]byte(nil), body...)
 		received[rapid.IntRange(0, len(body)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
 		unpackRecords(received[:rapid.IntRange(0, len(body)).Draw(t, "length")])
 	})
-	require.Equal(t, recordsOf(5), unpackRecords(body))
+	require.Equal(t, sampleRecords(5), unpackRecords(body))
 }
--- a/sidecar/panics.go
+++ b/sidecar/panics.go
@@ -25,7 +25,7 @@
 
 // panicked logs and counts a panic while a request was served.
 func (d *Daemon) panicked(part, request string, v any) {
-	d.metrics.aborted.Inc(1)
+	d.metrics.panics.Inc(1)
 	d.opts.Decisions.Write(decision.Aborted, request, slog.String("part", part),
 		slog.String("error", fmt.Sprint(v)), slog.String("stack", string(debug.Stack())))
 }
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -36,10 +36,10 @@
 }
 
 // newer reports whether r wins over old.
-func (r *Record) newer(old *Record) bool { return stampOf(r).newer(stampOf(old)) }
+func (r *Record) newer(old *Record) bool { return recordVersionOf(r).supersedes(recordVersionOf(old)) }
 
 // maxTold bounds the departed incarnations in a record.
-const maxTold = 8
+const maxDeparted = 8
 
 // peer is another daemon.
 type peer struct {
@@ -48,10 +48,10 @@
 	pool      *hop.Pool
 	// due tells that the peer has not got the own record yet, syncing that a
 	// goroutine sees to it.
-	due     bool
+	pushDue bool
 	syncing bool
 	// full asks for everything that the peer knows.
-	full bool
+	needsFullSync bool
 	// verified is when the peer was last looked at for its silence.
 	verified model.Instant
 	// lost is set while the peer cannot be reached, since when in lostAt.
@@ -64,30 +64,30 @@
 	syncTimeout = 1500 * time.Millisecond
 	// minPause and maxPause bound the pause after a failed exchange. A
 	// daemon that restarts is back within one or two seconds.
-	minPause = 100 * time.Millisecond
-	maxPause = 2 * time.Second
+	minSyncBackoff = 100 * time.Millisecond
+	maxPause       = 2 * time.Second
 	// lookClosely is how long a lost daemon is looked for with pauses of at most
 	// maxPause, and lookPause bounds them after that. Two regions that lose each other
 	// for minutes must find each other again: neither starts anew, and so neither
 	// would announce itself.
-	lookClosely = time.Minute
-	lookPause   = 15 * time.Second
+	fastRetryPeriod = time.Minute
+	lookPause       = 15 * time.Second
 	// forgetAfter is how long a daemon is looked for in all.
 	forgetAfter = time.Hour
 	// lookers is how many daemons look for one that has stopped as planned, and
 	// lookAfter when they begin: it may be back while the store is away, and then
 	// it knows nobody.
-	lookers   = 3
-	lookAfter = 2500 * time.Millisecond
+	restartCheckers   = 3
+	restartCheckDelay = 2500 * time.Millisecond
 	// fullAsks is how many daemons a starting one asks for all that they know.
 	fullAsks = 2
 	// relaysPerZone is how many daemons of another zone are told of a change.
 	relaysPerZone = 2
 	// peerIdle is how long connections between daemons are kept.
-	peerIdle = 20 * time.Second
+	peerIdleTimeout = 20 * time.Second
 	// peerDial bounds connecting to a daemon: a few round trips between regions.
 	// One that is cut off does not answer at all.
-	peerDial = 150 * time.Millisecond
+	peerDialTimeout = 150 * time.Millisecond
 )
 
 // peers holds the records of all daemons. It is safe for concurrent use.
@@ -96,50 +96,50 @@
 	decisions *decision.Log
 	version   func() model.Version
 	// behind is told which version of the configuration a daemon has.
-	behind func(address string, v model.Version)
+	onVersion func(address string, v model.Version)
 	// tellByDatagram sends a record to a daemon without a connection, and reports
 	// whether it was noted.
-	tellByDatagram func(address string, r Record) bool
+	pushByDatagram func(address string, r Record) bool
 	// regained is told that a daemon can be reached again, met that one has answered the
 	// question for all that it knows.
-	regained func()
-	met      func(address string)
+	regained   func()
+	onFullSync func(address string)
 	// restore is told what others remember of the upstreams of this VM.
-	restore func([]lifecycle.Incarnation)
+	restoreDeparted func([]lifecycle.Incarnation)
 
 	// draw draws from 0 to 1.
-	draw func() float64
+	random func() float64
 
 	mu  sync.Mutex
 	own Record
 	// before is what others hold of the daemon that had this address before.
-	before     Record
-	all        map[string]*peer
-	generation uint64
-	asked      int
-	learned    learned
+	predecessor Record
+	all         map[string]*peer
+	generation  uint64
+	asked       int
+	learned     learnedLimiter
 	// told is set once the own record has been sent to everybody.
-	told bool
-	ctx  context.Context
+	announced bool
+	ctx       context.Context
 	// greeted is closed once another daemon has answered, or there is none.
-	greeted     chan struct{}
-	greetedOnce sync.Once
+	firstContact     chan struct{}
+	firstContactOnce sync.Once
 	// listed is closed once the list of daemons has been asked for.
-	listed     chan struct{}
-	listedOnce sync.Once
+	directoryRead     chan struct{}
+	directoryReadOnce sync.Once
 }
 
 func newPeers(own Record, now func() model.Instant, d *decision.Log) *peers {
 	return &peers{
 		now: now, decisions: d, own: own,
-		all:     make(map[string]*peer),
-		draw:    rand.Float64,
-		ctx:     context.Background(),
-		greeted: make(chan struct{}),
-		listed:  make(chan struct{}),
+		all:           make(map[string]*peer),
+		random:        rand.Float64,
+		ctx:           context.Background(),
+		firstContact:  make(chan struct{}),
+		directoryRead: make(chan struct{}),
 
-		regained: func() {},
-		met:      func(string) {},
+		regained:   func() {},
+		onFullSync: func(string) {},
 	}
 }
 
@@ -151,19 +151,19 @@
 }
 
 // update changes the own record and tells everybody.
-func (p *peers) update(change func(*Record)) {
+func (p *peers) updateLocal(change func(*Record)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.own)
 	p.own.Sequence++
 	p.generation++
-	p.tellAll()
+	p.announceToAll()
 }
 
 // tellAll sends the own record to the own zone and to relays of the others, which hand it
 // on there. p.mu is held.
-func (p *peers) tellAll() {
-	p.told = true
+func (p *peers) announceToAll() {
+	p.announced = true
 	relays := make(map[model.AvailabilityZone]int)
 	// The order of a map differs each time, and so do the relays.
 	for _, q := range p.all {
@@ -179,90 +179,90 @@
 }
 
 // introduce sends the own record to everybody unless that has been done.
-func (p *peers) introduce() {
+func (p *peers) announceOnce() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.told {
-		p.tellAll()
+	if !p.announced {
+		p.announceToAll()
 	}
 }
 
 // heardFrom takes in that a daemon has asked for the own record, and so gets it.
-func (p *peers) heardFrom(address string) {
+func (p *peers) handlePull(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.all[address]
 	if q == nil {
 		return
 	}
-	q.due = q.full
+	q.pushDue = q.needsFullSync
 	p.regain(q)
 }
 
 // owe has the own record sent to a peer. p.mu is held.
 func (p *peers) owe(q *peer) {
-	q.due = true
+	q.pushDue = true
 	if q.syncing || p.ctx.Err() != nil {
 		return
 	}
 	q.syncing = true
-	go p.sync(q)
+	go p.syncLoop(q)
 }
 
 func newPeerPool(address string) *hop.Pool {
-	return hop.NewPool(address, hop.PoolOptions{IdleLimit: peerIdle, DialTimeout: peerDial})
+	return hop.NewPool(address, hop.PoolOptions{IdleLimit: peerIdleTimeout, DialTimeout: peerDialTimeout})
 }
 
 // merge takes in records and returns those that are news.
 func (p *peers) merge(records []Record) []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var news []Record
+	var newer []Record
 	for i := range records {
 		r := &records[i]
 		switch {
 		case r.Address == "":
 		case r.Address == p.own.Address:
-			p.meetSelf(r)
-		case p.mergeOne(r):
-			news = append(news, *r)
+			p.mergeLocal(r)
+		case p.mergePeer(r):
+			newer = append(newer, *r)
 		}
 	}
-	return news
+	return newer
 }
 
 // meetSelf takes in what others hold of this daemon. A record of a life that
 // seems later than this one comes from a clock that was ahead. p.mu is held.
-func (p *peers) meetSelf(r *Record) {
+func (p *peers) mergeLocal(r *Record) {
 	if r.Incarnation > p.own.Incarnation {
 		p.own.Incarnation = r.Incarnation + 1
-		p.tellAll()
+		p.announceToAll()
 	}
-	if r.newer(&p.before) && r.Incarnation != p.own.Incarnation {
-		p.before = *r
+	if r.newer(&p.predecessor) && r.Incarnation != p.own.Incarnation {
+		p.predecessor = *r
 	}
 	departed := r.Departed
-	if len(departed) > 0 && p.restore != nil {
-		go p.restore(slices.Clone(departed))
+	if len(departed) > 0 && p.restoreDeparted != nil {
+		go p.restoreDeparted(slices.Clone(departed))
 	}
 }
 
 // mergeOne takes in a record of another daemon, and reports whether it is news.
-func (p *peers) mergeOne(r *Record) bool {
+func (p *peers) mergePeer(r *Record) bool {
 	q := p.all[r.Address]
 	if q == nil {
-		q = p.add(Record{Address: r.Address, Zone: r.Zone})
-		p.greet(q)
+		q = p.addPeer(Record{Address: r.Address, Zone: r.Zone})
+		p.startSync(q)
 	} else if !r.newer(&q.record) {
 		return false
 	}
 	restarted := r.Incarnation != q.record.Incarnation && q.record.Incarnation != 0 && q.record.Sequence != 0
 	changed := r.State != q.record.State || r.Upstream != q.record.Upstream || r.Stopping != q.record.Stopping
-	stopped := q.record.Stopping && q.record.Incarnation == r.Incarnation
-	before := q.record
+	wasStopping := q.record.Stopping && q.record.Incarnation == r.Incarnation
+	previous := q.record
 	q.record = *r
 	if len(r.Departed) == 0 {
-		q.record.Departed = before.Departed
+		q.record.Departed = previous.Departed
 	}
 	q.coldUntil = p.now().Add(time.Duration(r.ColdMS) * time.Millisecond)
 	p.generation++
@@ -270,13 +270,13 @@
 		// Its memory of this daemon is gone, and so are the old connections.
 		q.pool.Close()
 		q.pool = newPeerPool(r.Address)
-		p.greet(q)
+		p.startSync(q)
 	}
-	if r.Stopping && !stopped && r.State != lifecycle.Gone && p.draw()*float64(len(p.all)) < lookers {
-		time.AfterFunc(lookAfter, func() { p.missed(r.Address, errStopped) })
+	if r.Stopping && !wasStopping && r.State != lifecycle.Gone && p.random()*float64(len(p.all)) < restartCheckers {
+		time.AfterFunc(restartCheckDelay, func() { p.missed(r.Address, errStopped) })
 	}
 	if changed {
-		p.tellState(&before, r)
+		p.logPeerState(&previous, r)
 	}
 	return true
 }
@@ -287,8 +287,8 @@
 func (p *peers) slotsOf(i lifecycle.Incarnation) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.before.Upstream.ID == i.ID && p.before.Slots > 0 {
-		return p.before.Slots
+	if p.predecessor.Upstream.ID == i.ID && p.predecessor.Slots > 0 {
+		return p.predecessor.Slots
 	}
 	most := 0
 	for _, q := range p.all {
@@ -303,13 +303,13 @@
 func (p *peers) known() []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := []Record{p.own}
+	records := []Record{p.own}
 	for _, q := range p.all {
 		if q.record.Sequence > 0 {
-			out = append(out, q.record)
+			records = append(records, q.record)
 		}
 	}
-	return out
+	return records
 }
 
 // of returns the record held of a daemon.
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestLeavingReachesTheOthers has the other daemons choose elsewhere.
-func TestLeavingReachesTheOthers(t *testing.T) {
+func TestLeavingUpstreamIsAnnounced(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b1 := join(t, s, "b", "b1")
@@ -26,7 +26,7 @@
 }
 
 // TestConfiguration holds versions to rise, whatever the store shows.
-func TestConfiguration(t *testing.T) {
+func TestConfigVersionsOnlyRise(t *testing.T) {
 	s := newStore(documentOf(5, "a"))
 	a := join(t, s, "a", "a1")
 	for name, doc := range map[string]route.Document{
@@ -39,7 +39,7 @@
 		status, _ := a.get(t, "/safe/")
 		require.Equal(t, http.StatusOK, status, name)
 	}
-	a.config.take([]byte("unreadable"), "test")
+	a.config.apply([]byte("unreadable"), "test")
 	require.EqualValues(t, 5, a.config.version())
 	s.publish(documentOf(6, "x"))
 	eventually(t, "the newer one", func() bool { return a.config.version() == 6 })
@@ -51,7 +51,7 @@
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
 	b.knows(t, "a", 2)
-	b.source.cut.Store(true)
+	b.source.disconnected.Store(true)
 	s.publish(documentOf(1, "a")) // wakes its source, which finds itself cut
 	time.Sleep(20 * time.Millisecond)
 	s.publish(documentOf(2, "a"))
@@ -61,7 +61,7 @@
 // TestRestartWhileTheStoreIsAway has the others tell a daemon that starts anew
 // what it needs: the configuration, who is there, and that its upstream is
 // leaving.
-func TestRestartWhileTheStoreIsAway(t *testing.T) {
+func TestRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
@@ -73,18 +73,18 @@
 	a.knows(t, "b", 1)
 	s.setDown(true)
 	b.kill()
-	a.peers.missed(b.opts.Addresses.Peers, errDown) // as a call would notice
+	a.peers.missed(b.opts.Addresses.Peers, errStoreDown) // as a call would notice
 	o := b.opts
 	o.First = false
-	again := start(t, o, s)
-	require.EqualValues(t, 1, again.config.version())
-	again.knows(t, "b", 1)
-	require.Equal(t, lifecycle.Stale, again.Report(ready("b1", 1, 9, "b")))
+	restarted := start(t, o, s)
+	require.EqualValues(t, 1, restarted.config.version())
+	restarted.knows(t, "b", 1)
+	require.Equal(t, lifecycle.Stale, restarted.Report(ready("b1", 1, 9, "b")))
 }
 
 // TestOwnRecordOutlivesAClockThatWasAhead has a daemon restart with a clock behind
 // that of its former life.
-func TestOwnRecordOutlivesAClockThatWasAhead(t *testing.T) {
+func TestLocalRecordSurvivesClockSetBack(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
@@ -95,18 +95,18 @@
 	a.peers.merge([]Record{old})
 	a.knows(t, "b", 0)
 	b.Report(ready("b1", 1, 2, "b"))
-	b.peers.update(func(*Record) {})
+	b.peers.updateLocal(func(*Record) {})
 	a.knows(t, "b", 1)
 }
 
 // TestVersionsRideOnAsks cuts a daemon from the store in silence: its long read
 // hangs, and nothing tells it that the store is away.
-func TestVersionsRideOnAsks(t *testing.T) {
+func TestLoadQueriesCarryConfigVersion(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
 	b.knows(t, "a", 2)
-	a.config.take(rawOf(documentOf(2, "a")), "test") // only a hears of it
+	a.config.apply(encodeDocument(documentOf(2, "a")), "test") // only a hears of it
 	eventually(t, "the new version", func() bool {
 		status, _ := b.get(t, "/safe/")
 		require.Equal(t, http.StatusOK, status)
@@ -115,16 +115,16 @@
 }
 
 // TestRecordsTravelByDatagram needs no connection to tell of a change.
-func TestRecordsTravelByDatagram(t *testing.T) {
+func TestRecordsArePushedByDatagram(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
 	b.knows(t, "a", 2)
-	require.True(t, a.datagrams.tell(b.opts.Addresses.Peers, a.peers.self()))
+	require.True(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, a.peers.self()))
 	old := a.peers.self()
 	old.Incarnation--
-	require.False(t, a.datagrams.tell(b.opts.Addresses.Peers, old), "an older record gets no answer")
-	require.False(t, a.datagrams.tell(freePort(t), a.peers.self()), "nobody is there")
+	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, old), "an older record gets no answer")
+	require.False(t, a.datagrams.pushRecord(freePort(t), a.peers.self()), "nobody is there")
 }
 
 // TestNewVersionsSpread has one of several daemons hear of a version, and nobody
@@ -139,7 +139,7 @@
 	for _, m := range all {
 		m.knows(t, "a", daemons)
 	}
-	all[0].config.take(rawOf(documentOf(2, "a")), "test")
+	all[0].config.apply(encodeDocument(documentOf(2, "a")), "test")
 	for _, m := range all {
 		eventually(t, "the new version", func() bool { return m.config.version() == 2 })
 	}
@@ -147,7 +147,7 @@
 
 // TestPlannedRestartWhileTheStoreIsAway has nobody call the daemon that starts
 // again, as its record says that it has stopped: the others look for it.
-func TestPlannedRestartWhileTheStoreIsAway(t *testing.T) {
+func TestPlannedRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
@@ -156,8 +156,8 @@
 	b.stop()
 	o := b.opts
 	o.First = false
-	again := start(t, o, s)
-	require.EqualValues(t, 1, again.config.version())
+	restarted := start(t, o, s)
+	require.EqualValues(t, 1, restarted.config.version())
 	a.knows(t, "b", 1)
 }
 
@@ -193,9 +193,9 @@
 					p.all[strconv.Itoa(i)] = &peer{record: r}
 				}
 			}
-			daemons, part := p.startedWithin(span)
+			daemons, share := p.startedWithin(span)
 			require.Equal(t, len(c.ages), daemons)
-			require.InDelta(t, c.want, part, 1e-9)
+			require.InDelta(t, c.want, share, 1e-9)
 		})
 	}
 }
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -18,7 +18,7 @@
 	// Two may be chance where upstreams crash for other reasons.
 	crashesToRefuse = 3
 	// refusedFor is how long such a request is refused.
-	refusedFor = 10 * time.Minute
+	quarantineDuration = 10 * time.Minute
 	// gossipTick is how often a daemon looks whether others are to be told of suspects.
 	gossipTick = 100 * time.Millisecond
 )
@@ -26,19 +26,19 @@
 // suspects keeps requests that crash upstreams from reaching more of them, together
 // with the other daemons. It is a part of the daemon.
 type suspects struct {
-	d      *Daemon
-	store  *quarantine.Store
-	gossip *quarantine.Gossip
-	news   chan struct{}
+	d       *Daemon
+	store   *quarantine.Store
+	gossip  *quarantine.Gossip
+	changed chan struct{}
 }
 
 func newSuspects(d *Daemon) *suspects {
-	s := &suspects{d: d, news: make(chan struct{}, 1)}
+	s := &suspects{d: d, changed: make(chan struct{}, 1)}
 	s.store = quarantine.NewStore(quarantine.Options{
 		Rule: func(model.ServiceName) core.Rule {
-			return core.Rule{Deaths: crashesToRefuse, Duration: refusedFor}
+			return core.Rule{Deaths: crashesToRefuse, Duration: quarantineDuration}
 		},
-		Hint:   s.hint,
+		Hint:   s.signalChange,
 		Scope:  telemetry.OrNoop(d.opts.Scope).SubScope("quarantine"),
 		Logger: d.opts.Logger,
 	})
@@ -46,22 +46,22 @@
 		Store:   s.store,
 		Targets: d.follower.targets,
 		Members: d.peers.members,
-		Send:    func(address string, m []byte) { d.datagrams.notify(kindSuspects, address, m) },
-		Limit:   datagramRoom,
+		Send:    func(address string, m []byte) { d.datagrams.sendOneWay(kindSuspects, address, m) },
+		Limit:   maxDatagramBody,
 	}
 	return s
 }
 
 // hint has others told soon.
-func (s *suspects) hint() {
+func (s *suspects) signalChange() {
 	select {
-	case s.news <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
 // crashed takes in that the own upstream crashed while it ran a request.
-func (s *suspects) crashed(r lostRun) {
+func (s *suspects) recordCrash(r lostRun) {
 	s.d.opts.Decisions.Write(decision.Suspected, r.id, slog.String("upstream", string(r.upstream.ID)),
 		slog.Int64("born", r.upstream.Born), slog.String("fingerprint", r.print.String()))
 	s.store.Died(r.print, r.request, core.Death{
@@ -75,11 +75,11 @@
 	if !s.store.Watching() {
 		return nil
 	}
-	left, refused := s.store.Refused(req.fingerprint())
+	remaining, refused := s.store.Refused(req.fingerprint())
 	if !refused {
 		return nil
 	}
-	return refuse(outcome.ReasonQuarantined, left)
+	return refuse(outcome.ReasonQuarantined, remaining)
 }
 
 // answered frees a request of suspicion.
@@ -115,7 +115,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.news:
+		case <-s.changed:
 		case <-tick.C:
 		}
 		s.gossip.Tick(s.d.now())
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -10,16 +10,16 @@
 	// relayAfter is how long a record waits for others that go the same way, and relaySpread
 	// how much longer at most, by chance: of the relays of a zone the first one to send a
 	// record spares the others that.
-	relayAfter  = 20 * time.Millisecond
-	relaySpread = 80 * time.Millisecond
+	relayDelay  = 20 * time.Millisecond
+	relayJitter = 80 * time.Millisecond
 )
 
 // relay hands records of daemons of other zones on to the own one, several in a datagram.
 // What is lost on the way comes with the next comparison. It is safe for concurrent use.
 type relay struct {
 	// near returns the daemons of the own zone that can be reached.
-	near func() []string
-	send func(address string, body []byte)
+	zonePeers func() []string
+	send      func(address string, body []byte)
 
 	mu      sync.Mutex
 	pending map[string]Record
@@ -31,7 +31,7 @@
 	defer r.mu.Unlock()
 	if r.pending == nil {
 		r.pending = make(map[string]Record)
-		time.AfterFunc(relayAfter+rand.N(relaySpread), r.flush)
+		time.AfterFunc(relayDelay+rand.N(relayJitter), r.flush)
 	}
 	r.pending[rec.Address] = rec
 }
@@ -42,7 +42,7 @@
 	defer r.mu.Unlock()
 	for i := range records {
 		rec := &records[i]
-		if held, ok := r.pending[rec.Address]; ok && !held.newer(rec) {
+		if waiting, ok := r.pending[rec.Address]; ok && !waiting.newer(rec) {
 			delete(r.pending, rec.Address)
 		}
 	}
@@ -58,7 +58,7 @@
 		records = append(records, rec)
 	}
 	bodies := packRecords(records)
-	for _, address := range r.near() {
+	for _, address := range r.zonePeers() {
 		for _, b := range bodies {
 			r.send(address, b)
 		}
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -17,7 +17,7 @@
 )
 
 // joinZone starts a daemon in a zone.
-func joinZone(t *testing.T, s *store, zone model.AvailabilityZone, service model.ServiceName, id string) *member {
+func startInZone(t *testing.T, s *store, zone model.AvailabilityZone, service model.ServiceName, id string) *member {
 	t.Helper()
 	up := newUpstream(t, id)
 	o := optionsFor(t, s, up, service)
@@ -35,7 +35,7 @@
 	var all []*member
 	for _, zone := range []model.AvailabilityZone{"x", "y"} {
 		for i := range perZone {
-			all = append(all, joinZone(t, s, zone, "b", fmt.Sprint(zone, i)))
+			all = append(all, startInZone(t, s, zone, "b", fmt.Sprint(zone, i)))
 		}
 	}
 	for _, m := range all {
@@ -48,39 +48,39 @@
 }
 
 // TestMissedChangesAreLearned has a daemon of another zone miss a change.
-func TestMissedChangesAreLearned(t *testing.T) {
+func TestMissedChangesAreRepaired(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a, b, c := joinZone(t, s, "x", "b", "x1"), joinZone(t, s, "y", "b", "y1"), joinZone(t, s, "y", "b", "y2")
+	a, b, c := startInZone(t, s, "x", "b", "x1"), startInZone(t, s, "y", "b", "y1"), startInZone(t, s, "y", "b", "y2")
 	for _, m := range []*member{a, b, c} {
 		m.knows(t, "b", 3)
 	}
-	gone := a.peers.self()
-	gone.Sequence += 5
-	gone.State = lifecycle.Draining
-	b.peers.merge([]Record{gone}) // as if only b had heard of it
+	changed := a.peers.self()
+	changed.Sequence += 5
+	changed.State = lifecycle.Draining
+	b.peers.merge([]Record{changed}) // as if only b had heard of it
 	c.knows(t, "b", 2)
 }
 
 // tellings counts the daemons that are told, by zone.
-type tellings struct {
-	mu sync.Mutex
-	of map[string]int
+type pushCounts struct {
+	mu     sync.Mutex
+	byZone map[string]int
 }
 
-func (t *tellings) count(zone string) int {
+func (t *pushCounts) count(zone string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.of[zone]
+	return t.byZone[zone]
 }
 
 // TestTellingGrowsWithZones changes the record of one daemon among many: the daemons of
 // its zone are told, and as many of each other zone at every size.
-func TestTellingGrowsWithZones(t *testing.T) {
+func TestAnnouncementsGrowWithZones(t *testing.T) {
 	const zones = 5
 	zoneOf := func(i int) string { return fmt.Sprint("z", i%zones) }
 	for _, n := range []int{10, 100, 300, 1000} {
 		t.Run(fmt.Sprint(n, " daemons"), func(t *testing.T) {
-			told := &tellings{of: make(map[string]int)}
+			pushes := &pushCounts{byZone: make(map[string]int)}
 			now := func() model.Instant { return 0 }
 			p := newPeers(Record{Address: "d0", Incarnation: 1, Sequence: 1, Zone: model.AvailabilityZone(zoneOf(0))}, now, decision.New(decision.Options{Handler: slog.DiscardHandler}))
 			ctx, cancel := context.WithCancel(t.Context())
@@ -93,17 +93,17 @@
 				zoneAt[r.Address] = zoneOf(i)
 				p.merge([]Record{r})
 			}
-			p.tellByDatagram = func(address string, _ Record) bool {
-				told.mu.Lock()
-				defer told.mu.Unlock()
-				told.of[zoneAt[address]]++
+			p.pushByDatagram = func(address string, _ Record) bool {
+				pushes.mu.Lock()
+				defer pushes.mu.Unlock()
+				pushes.byZone[zoneAt[address]]++
 				return true
 			}
-			p.update(func(r *Record) { r.State = lifecycle.Draining })
-			near := (n+zones-1)/zones - 1
-			eventually(t, "all near", func() bool { return told.count(zoneOf(0)) == near })
+			p.updateLocal(func(r *Record) { r.State = lifecycle.Draining })
+			zonePeers := (n+zones-1)/zones - 1
+			eventually(t, "all near", func() bool { return pushes.count(zoneOf(0)) == zonePeers })
 			for z := 1; z < zones; z++ {
-				eventually(t, "relays", func() bool { return told.count(zoneOf(z)) == min(relaysPerZone, n/zones) })
+				eventually(t, "relays", func() bool { return pushes.count(zoneOf(z)) == min(relaysPerZone, n/zones) })
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 	got := make(map[string]map[string]bool)
 	messages := 0
 	r := &relay{
-		near: func() []string { return []string{"a", "b"} },
+		zonePeers: func() []string { return []string{"a", "b"} },
 		send: func(address string, body []byte) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -143,20 +143,20 @@
 }
 
 // TestComparisonsEnd has two daemons with equal records send none.
-func TestComparisonsEnd(t *testing.T) {
+func TestEqualRecordsHaveEqualDigests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "b", "b1"), join(t, s, "b", "b2")
 	a.knows(t, "b", 2)
 	b.knows(t, "b", 2)
 	eventually(t, "equal records", func() bool { return a.peers.digest() == b.peers.digest() })
-	odd := a.peers.digest()
-	odd[3]++
-	require.NotEqual(t, odd, b.peers.digest())
+	changed := a.peers.digest()
+	changed[3]++
+	require.NotEqual(t, changed, b.peers.digest())
 	require.Empty(t, unpackRecords([]byte("{broken")))
 }
 
 // TestOneRelayIsEnough has another relay of the zone hand a record on first.
-func TestOneRelayIsEnough(t *testing.T) {
+func TestRelaySkipsRecordsSentByAnother(t *testing.T) {
 	const seq = 5
 	for name, c := range map[string]struct {
 		relayed []Record
@@ -172,12 +172,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				sent := 0
 				r := &relay{
-					near: func() []string { return []string{"a"} },
-					send: func(string, []byte) { sent++ },
+					zonePeers: func() []string { return []string{"a"} },
+					send:      func(string, []byte) { sent++ },
 				}
 				r.add(Record{Address: "far", Incarnation: 1, Sequence: seq})
 				r.relayed(c.relayed)
-				time.Sleep(relayAfter + relaySpread)
+				time.Sleep(relayDelay + relayJitter)
 				synctest.Wait()
 				require.Equal(t, c.sent, sent)
 			})
--- a/sidecar/rest_test.go
+++ b/sidecar/rest_test.go
@@ -8,7 +8,7 @@
 )
 
 // processorTime returns what this process has used.
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
 		b.Fatal(err)
@@ -18,8 +18,8 @@
 
 // BenchmarkRest measures what daemons that nobody calls spend on each other, once their
 // start is over.
-func BenchmarkRest(b *testing.B) {
-	const settle, span = 8 * time.Second, 10 * time.Second
+func BenchmarkIdleDaemons(b *testing.B) {
+	const settleTime, interval = 8 * time.Second, 10 * time.Second
 	for _, daemons := range []int{10, 40} {
 		b.Run(fmt.Sprint(daemons, " daemons"), func(b *testing.B) {
 			s := newStore(documentOf(1, "a"))
@@ -27,13 +27,13 @@
 			for i := range daemons {
 				all = append(all, join(b, s, "a", fmt.Sprint("a", i)))
 			}
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			for b.Loop() {
-				cpu, sent := processorTime(b), controlBytes(all, "", "sent")
-				time.Sleep(span)
-				each := span.Seconds() * float64(daemons)
-				b.ReportMetric(100*(processorTime(b)-cpu).Seconds()/each, "%core/daemon")
-				b.ReportMetric(float64(controlBytes(all, "", "sent")-sent)/each, "B/s/daemon")
+				cpu, sent := cpuTime(b), controlBytes(all, "", "sent")
+				time.Sleep(interval)
+				daemonSeconds := interval.Seconds() * float64(daemons)
+				b.ReportMetric(100*(cpuTime(b)-cpu).Seconds()/daemonSeconds, "%core/daemon")
+				b.ReportMetric(float64(controlBytes(all, "", "sent")-sent)/daemonSeconds, "B/s/daemon")
 			}
 		})
 	}
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -19,11 +19,11 @@
 const (
 	// headerBytes and headerTimeout bound request heads until a configuration
 	// says otherwise.
-	headerBytes   = 64 << 10
-	headerTimeout = 10 * time.Second
+	defaultMaxHeaderBytes = 64 << 10
+	defaultHeaderTimeout  = 10 * time.Second
 	// idleSlack is how much longer than promised an idle connection of a caller
 	// is kept, so that a request in time does not cross the close.
-	idleSlack = time.Second
+	idleCloseDelay = time.Second
 )
 
 // server serves one address. It is a part of the daemon.
@@ -43,34 +43,34 @@
 
 // idleConn is a connection that is closed if it stays idle.
 type idleConn struct {
-	since time.Time
-	close *time.Timer
+	idleSince time.Time
+	timer     *time.Timer
 }
 
 func newServer(name string, h http.Handler) *server {
 	s := &server{name: name, idle: make(map[net.Conn]*idleConn), active: make(map[net.Conn]struct{})}
 	s.http = &http.Server{
 		Handler:                      inbound.Handler(h),
-		ReadHeaderTimeout:            headerTimeout,
-		MaxHeaderBytes:               headerBytes,
+		ReadHeaderTimeout:            defaultHeaderTimeout,
+		MaxHeaderBytes:               defaultMaxHeaderBytes,
 		ErrorLog:                     log.New(io.Discard, "", 0),
 		DisableGeneralOptionsHandler: true,
-		ConnState:                    s.state,
+		ConnState:                    s.trackConn,
 		ConnContext:                  inbound.Context,
 	}
 	// Without an own idle timeout the server would use that for headers.
-	s.http.IdleTimeout = idleForever
+	s.http.IdleTimeout = noIdleTimeout
 	return s
 }
 
 // idleForever leaves idle connections to state, as http.Server cannot change its
 // timeout while it runs.
-const idleForever = 24 * time.Hour
+const noIdleTimeout = 24 * time.Hour
 
 // limit takes in what callers are promised. Where that is longer than before, it holds
 // for connections that are idle already: callers go by the newest promise. Where it is
 // shorter, some may not know yet.
-func (s *server) limit(l route.Limits) {
+func (s *server) setLimits(l route.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	longer := l.IdleTimeout > s.limits.IdleTimeout
@@ -79,18 +79,18 @@
 		return
 	}
 	for c, i := range s.idle {
-		i.close.Stop()
-		s.closeLater(c, i.since)
+		i.timer.Stop()
+		s.scheduleClose(c, i.idleSince)
 	}
 }
 
 // state follows the connections, and closes those that have been idle for longer than
 // promised.
-func (s *server) state(c net.Conn, st http.ConnState) {
+func (s *server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := s.idle[c]; i != nil {
-		i.close.Stop()
+		i.timer.Stop()
 		delete(s.idle, c)
 	}
 	delete(s.active, c)
@@ -98,19 +98,19 @@
 	case st == http.StateActive:
 		s.active[c] = struct{}{}
 	case st == http.StateIdle && s.limits.IdleTimeout > 0:
-		s.closeLater(c, time.Now())
+		s.scheduleClose(c, time.Now())
 	}
 }
 
 // closeLater sets the timer of a connection that has been idle since a time. s.mu is held.
-func (s *server) closeLater(c net.Conn, since time.Time) {
-	i := &idleConn{since: since}
-	i.close = time.AfterFunc(time.Until(since.Add(s.limits.IdleTimeout+idleSlack)), func() { s.closeIdle(c, i) })
+func (s *server) scheduleClose(c net.Conn, idleSince time.Time) {
+	i := &idleConn{idleSince: idleSince}
+	i.timer = time.AfterFunc(time.Until(idleSince.Add(s.limits.IdleTimeout+idleCloseDelay)), func() { s.closeIdle(c, i) })
 	s.idle[c] = i
 }
 
 // answering returns how many connections wait for an answer.
-func (s *server) answering() int {
+func (s *server) activeConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.active)
@@ -118,17 +118,17 @@
 
 // closeIdle closes a connection whose timer has fired, unless it has been in use since the
 // timer was set.
-func (s *server) closeIdle(c net.Conn, since *idleConn) {
+func (s *server) closeIdle(c net.Conn, expected *idleConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.idle[c] == since {
+	if s.idle[c] == expected {
 		delete(s.idle, c)
 		_ = c.Close()
 	}
 }
 
 // refuseNew takes no more connections. Those that are open are served.
-func (s *server) refuseNew() { _ = s.listener.Close() }
+func (s *server) stopAccepting() { _ = s.listener.Close() }
 
 // String names the part.
 func (s *server) String() string { return s.name }
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -19,25 +19,25 @@
 
 // TestIdleConnectionsKeepTheNewestPromise changes how long idle connections are kept
 // while one is idle.
-func TestIdleConnectionsKeepTheNewestPromise(t *testing.T) {
+func TestIdleTimeoutChangeAppliesToIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after time.Duration
 		closedAfter   time.Duration
 	}{
-		"unchanged": {5 * time.Second, 5 * time.Second, 5*time.Second + idleSlack},
-		"longer":    {5 * time.Second, 20 * time.Second, 20*time.Second + idleSlack},
-		"shorter":   {20 * time.Second, 5 * time.Second, 20*time.Second + idleSlack},
+		"unchanged": {5 * time.Second, 5 * time.Second, 5*time.Second + idleCloseDelay},
+		"longer":    {5 * time.Second, 20 * time.Second, 20*time.Second + idleCloseDelay},
+		"shorter":   {20 * time.Second, 5 * time.Second, 20*time.Second + idleCloseDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
 				s := newServer("callers", http.NotFoundHandler())
-				s.limit(route.Limits{IdleTimeout: c.before})
+				s.setLimits(route.Limits{IdleTimeout: c.before})
 				conn, other := net.Pipe()
 				defer func() { _ = other.Close() }()
-				s.state(conn, http.StateActive)
-				s.state(conn, http.StateIdle)
+				s.trackConn(conn, http.StateActive)
+				s.trackConn(conn, http.StateIdle)
 				time.Sleep(4 * time.Second)
-				s.limit(route.Limits{IdleTimeout: c.after})
+				s.setLimits(route.Limits{IdleTimeout: c.after})
 				time.Sleep(c.closedAfter - 4*time.Second - time.Millisecond)
 				require.NoError(t, conn.SetDeadline(time.Time{}), "it is open")
 				time.Sleep(2 * time.Millisecond)
@@ -50,32 +50,32 @@
 
 // idleForAnHour returns a server that keeps idle connections for an hour, one of them, and
 // its timer.
-func idleForAnHour(t *testing.T) (*server, net.Conn, *idleConn) {
+func newServerWithIdleConn(t *testing.T) (*server, net.Conn, *idleConn) {
 	t.Helper()
 	s := newServer("callers", http.NotFoundHandler())
-	s.limit(route.Limits{IdleTimeout: time.Hour})
+	s.setLimits(route.Limits{IdleTimeout: time.Hour})
 	conn, other := net.Pipe()
 	t.Cleanup(func() { _ = other.Close() })
-	s.state(conn, http.StateIdle)
+	s.trackConn(conn, http.StateIdle)
 	return s, conn, s.idle[conn]
 }
 
 // TestIdleTimersCloseNoConnectionInUse guards against a request that is passed on and cut:
 // its connection's idle timer is due, and fires only after the request has been read.
 func TestIdleTimersCloseNoConnectionInUse(t *testing.T) {
-	s, conn, due := idleForAnHour(t)
-	s.state(conn, http.StateActive)
-	s.closeIdle(conn, due)
+	s, conn, idle := newServerWithIdleConn(t)
+	s.trackConn(conn, http.StateActive)
+	s.closeIdle(conn, idle)
 	require.NoError(t, conn.SetDeadline(time.Time{}), "it is in use")
-	s.state(conn, http.StateIdle)
-	s.closeIdle(conn, due)
+	s.trackConn(conn, http.StateIdle)
+	s.closeIdle(conn, idle)
 	require.NoError(t, conn.SetDeadline(time.Time{}), "it has been in use since")
 	s.closeIdle(conn, s.idle[conn])
 	require.Error(t, conn.SetDeadline(time.Time{}), "it is closed")
 }
 
 // accepted returns the context of a request on a connection, and both ends of that.
-func accepted(t *testing.T) (ctx context.Context, conn, other net.Conn) {
+func acceptConn(t *testing.T) (ctx context.Context, conn, other net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -97,9 +97,9 @@
 
 // TestRequestsOnClosedConnectionsAreNotPassedOn guards against a request that is passed on
 // though its caller can get no answer: its connection was closed just after it was read.
-func TestRequestsOnClosedConnectionsAreNotPassedOn(t *testing.T) {
+func TestRequestsOnClosedConnectionsAreNotForwarded(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
-	ctx, conn, _ := accepted(t)
+	ctx, conn, _ := acceptConn(t)
 	require.NoError(t, conn.Close())
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() {
 		m.callers.http.Handler.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
@@ -110,9 +110,9 @@
 // TestRequestsOfCallersThatHaveLeftAreNotPassedOn guards against requests that reach an
 // upstream long after their callers have left: a busy processor has net/http see the close
 // late.
-func TestRequestsOfCallersThatHaveLeftAreNotPassedOn(t *testing.T) {
+func TestRequestsOfDisconnectedCallersAreNotForwarded(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
-	ctx, _, caller := accepted(t)
+	ctx, _, caller := acceptConn(t)
 	require.NoError(t, caller.Close())
 	eventually(t, "the close is there", func() bool { return inbound.Left(ctx) })
 	m.entry.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
@@ -120,10 +120,10 @@
 }
 
 // TestCallsOfSendersThatHaveLeftAreNotRun is the same at the guard, for a call that waited.
-func TestCallsOfSendersThatHaveLeftAreNotRun(t *testing.T) {
+func TestCallsOfDisconnectedSendersAreNotRun(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
-		ctx, _, sender := accepted(t)
+		ctx, _, sender := acceptConn(t)
 		require.NoError(t, sender.Close())
 		eventually(t, "the close is there", func() bool { return inbound.Left(ctx) })
 		c := ordinary()
--- a/sidecar/stalledlog_test.go
+++ b/sidecar/stalledlog_test.go
@@ -14,25 +14,25 @@
 )
 
 // stalled is a writer whose reader stands still until the test ends.
-type stalled struct{ release chan struct{} }
+type stalledWriter struct{ release chan struct{} }
 
-func newStalled(t *testing.T) *stalled {
-	s := &stalled{release: make(chan struct{})}
+func newStalledWriter(t *testing.T) *stalledWriter {
+	s := &stalledWriter{release: make(chan struct{})}
 	t.Cleanup(func() { close(s.release) })
 	return s
 }
 
 // Write implements io.Writer.
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
 // TestStalledLogHoldsUpNoRequest has a request quarantined while nobody reads the lines.
-func TestStalledLogHoldsUpNoRequest(t *testing.T) {
+func TestStalledLogBlocksNoRequest(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	o := optionsFor(t, s, newUpstream(t, "a1"), "a")
-	out := newStalled(t)
+	out := newStalledWriter(t)
 	o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(out, nil)})
 	o.Logger = o.Decisions.Logger()
 	m := start(t, o, s)
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -12,17 +12,17 @@
 )
 
 // table is what one daemon holds, by address.
-type table map[string]Record
+type recordTable map[string]Record
 
-func tableOf(records []Record) table {
-	t := make(table)
+func newRecordTable(records []Record) recordTable {
+	t := make(recordTable)
 	for _, r := range records {
 		t[r.Address] = r
 	}
 	return t
 }
 
-func (t table) records() []Record {
+func (t recordTable) records() []Record {
 	var out []Record
 	for _, r := range t {
 		out = append(out, r)
@@ -31,7 +31,7 @@
 }
 
 // merge takes in records that came in datagrams, and returns their bytes.
-func (t table) merge(records []Record) int {
+func (t recordTable) merge(records []Record) int {
 	bytes := 0
 	for _, b := range packRecords(records) {
 		bytes += headBytes + len(b)
@@ -46,55 +46,55 @@
 
 // compare has one daemon compare its records with another's, as comparer does, and returns
 // the bytes of all datagrams.
-func compare(t *testing.T, opener, other table) int {
+func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
-	theirs, own := digestOf(other.records()), digestOf(opener.records())
+	theirs, own := digestOf(responder.records()), digestOf(initiator.records())
 	bytes := headBytes + len(own.encode())
-	var differ []int
+	var differing []int
 	for i := range own {
 		if own[i] != theirs[i] {
-			differ = append(differ, i)
+			differing = append(differing, i)
 		}
 	}
-	if len(differ) == 0 {
+	if len(differing) == 0 {
 		return bytes
 	}
-	message := summaryOf(other.records(), differ).encode()
-	require.LessOrEqual(t, len(message), datagramRoom)
+	message := summaryOf(responder.records(), differing).encode()
+	require.LessOrEqual(t, len(message), maxDatagramBody)
 	s, ok := decodeSummary(message)
 	require.True(t, ok)
-	newer, wishes := s.against(opener.records())
-	bytes += headBytes + len(message) + other.merge(newer)
-	wished := encodeWishes(wishes)
-	if len(wished) > 0 {
-		bytes += headBytes + len(wished)
+	newer, wanted := s.diff(initiator.records())
+	bytes += headBytes + len(message) + responder.merge(newer)
+	request := encodeWishes(wanted)
+	if len(request) > 0 {
+		bytes += headBytes + len(request)
 	}
-	var granted []Record
-	for _, r := range other.records() {
-		if decodeWishes(wished)[hashOf(r.Address)] {
-			granted = append(granted, r)
+	var requested []Record
+	for _, r := range responder.records() {
+		if decodeRecordRequest(request)[hashOf(r.Address)] {
+			requested = append(requested, r)
 		}
 	}
-	return bytes + opener.merge(granted)
+	return bytes + initiator.merge(requested)
 }
 
 // TestComparisonsCostWhatIsNew changes one record among many: what two daemons send each
 // other to agree is bounded by a digest and the summary of the part that it is in.
-func TestComparisonsCostWhatIsNew(t *testing.T) {
+func TestAntiEntropyCostIsBounded(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 1000, 1700} {
-		for name, change := range map[string]func(a, b table, r Record){
-			"newer at the opener":   func(a, _ table, r Record) { r.Sequence++; a[r.Address] = r },
-			"newer at the other":    func(_, b table, r Record) { r.Incarnation++; r.Sequence = 1; b[r.Address] = r },
-			"unknown to the opener": func(a, _ table, r Record) { delete(a, r.Address) },
-			"unknown to the other":  func(_, b table, r Record) { delete(b, r.Address) },
+		for name, change := range map[string]func(a, b recordTable, r Record){
+			"newer at the opener":   func(a, _ recordTable, r Record) { r.Sequence++; a[r.Address] = r },
+			"newer at the other":    func(_, b recordTable, r Record) { r.Incarnation++; r.Sequence = 1; b[r.Address] = r },
+			"unknown to the opener": func(a, _ recordTable, r Record) { delete(a, r.Address) },
+			"unknown to the other":  func(_, b recordTable, r Record) { delete(b, r.Address) },
 		} {
 			t.Run(fmt.Sprint(n, " daemons, ", name), func(t *testing.T) {
-				records := recordsOf(n)
-				a, b := tableOf(records), tableOf(records)
+				records := sampleRecords(n)
+				a, b := newRecordTable(records), newRecordTable(records)
 				change(a, b, records[n/2])
-				require.LessOrEqual(t, compare(t, a, b), 600+entryBytes*(2+2*n/buckets))
+				require.LessOrEqual(t, reconcile(t, a, b), 600+summaryEntryBytes*(2+2*n/digestBuckets))
 				require.Equal(t, a, b)
-				require.Equal(t, headBytes+buckets*bucketBytes, compare(t, a, b))
+				require.Equal(t, headBytes+digestBuckets*bucketHashBytes, reconcile(t, a, b))
 			})
 		}
 	}
@@ -105,14 +105,14 @@
 func TestTablesConverge(t *testing.T) {
 	const daemons, rounds = 60, 12
 	rng := rand.New(rand.NewPCG(1, 2))
-	records := recordsOf(daemons)
-	tables := make([]table, daemons)
+	records := sampleRecords(daemons)
+	tables := make([]recordTable, daemons)
 	for i := range tables {
-		tables[i] = tableOf([]Record{records[0], records[i]})
+		tables[i] = newRecordTable([]Record{records[0], records[i]})
 	}
 	for range rounds {
 		for i := range tables {
-			compare(t, tables[i], tables[rng.IntN(daemons)])
+			reconcile(t, tables[i], tables[rng.IntN(daemons)])
 		}
 	}
 	for i := range tables {
@@ -121,38 +121,38 @@
 }
 
 // TestSummariesAreCut has parts that fit no datagram settle in the end.
-func TestSummariesAreCut(t *testing.T) {
+func TestTruncatedSummariesConverge(t *testing.T) {
 	const n = 4000
-	records := recordsOf(n)
-	a, b := tableOf(records), tableOf(records)
+	records := sampleRecords(n)
+	a, b := newRecordTable(records), newRecordTable(records)
 	changed := records[n/2]
 	changed.Sequence++
 	a[changed.Address] = changed
 	for range 50 {
-		compare(t, a, b)
-		compare(t, b, a)
+		reconcile(t, a, b)
+		reconcile(t, b, a)
 	}
 	require.Equal(t, a, b)
 }
 
 // TestRecordsOfTheGoneAreNotCompared has one daemon still hold what the other has dropped.
-func TestRecordsOfTheGoneAreNotCompared(t *testing.T) {
-	records := recordsOf(3)
+func TestGoneDaemonsAreNotInSummary(t *testing.T) {
+	records := sampleRecords(3)
 	records[1].Stopping, records[1].State = true, lifecycle.Gone
 	require.Len(t, summaryOf(records, []int{bucketOf(records[1].Address)}).entries, len(summaryOf(append(records[:1:1], records[2]), []int{bucketOf(records[1].Address)}).entries))
-	newer, wishes := (&summary{covered: ^uint32(0)}).against(records)
+	newer, wanted := (&summary{bucketSet: ^uint32(0)}).diff(records)
 	require.Len(t, newer, 2)
-	require.Empty(t, wishes)
+	require.Empty(t, wanted)
 }
 
 // TestSummariesThatCannotBeRead takes in whatever arrives.
-func TestSummariesThatCannotBeRead(t *testing.T) {
-	records := recordsOf(10)
+func TestDecodeSummaryToleratesAnyBytes(t *testing.T) {
+	records := sampleRecords(10)
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOf(rapid.Byte()).Draw(t, "body")
-		decodeWishes(body)
+		decodeRecordRequest(body)
 		if s, ok := decodeSummary(body); ok {
-			s.against(records)
+			s.diff(records)
 		}
 	})
 }
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -8,83 +8,83 @@
 )
 
 // sync sends the own record to a peer until the peer has it.
-func (p *peers) sync(q *peer) {
-	waits := pause.Doubling{Min: minPause, Max: maxPause}
+func (p *peers) syncLoop(q *peer) {
+	backoff := pause.Doubling{Min: minSyncBackoff, Max: maxPause}
 	for {
 		p.mu.Lock()
-		if !q.due || p.ctx.Err() != nil || p.all[q.record.Address] != q {
+		if !q.pushDue || p.ctx.Err() != nil || p.all[q.record.Address] != q {
 			q.syncing = false
 			p.mu.Unlock()
 			return
 		}
-		q.due = false
-		message := syncMessage{From: p.own, Full: q.full}
+		q.pushDue = false
+		message := syncMessage{From: p.own, Full: q.needsFullSync}
 		pool, address := q.pool, q.record.Address
 		p.mu.Unlock()
-		if !message.Full && p.tellByDatagram(address, message.From) {
-			p.noted(q)
-			waits.Reset()
+		if !message.Full && p.pushByDatagram(address, message.From) {
+			p.markAnnounced(q)
+			backoff.Reset()
 			continue
 		}
 		message.Version = p.version()
 		reply, err := sendSync(p.ctx, pool, message)
 		if err == nil {
-			p.synced(q, address, reply)
-			waits.Reset()
+			p.exchangeSucceeded(q, address, reply)
+			backoff.Reset()
 			continue
 		}
-		again, most := p.unsynced(q, err)
-		if !again {
+		retry, maxBackoff := p.unsynced(q, err)
+		if !retry {
 			return
 		}
-		waits.Max = most
+		backoff.Max = maxBackoff
 		// The loop looks at the context itself.
-		_ = waits.Wait(p.ctx)
+		_ = backoff.Wait(p.ctx)
 	}
 }
 
 // noted takes in that a peer has got the own record.
-func (p *peers) noted(q *peer) {
+func (p *peers) markAnnounced(q *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.regain(q)
 }
 
-func (p *peers) synced(q *peer, address string, reply syncMessage) {
+func (p *peers) exchangeSucceeded(q *peer, address string, reply syncMessage) {
 	p.mu.Lock()
 	p.regain(q)
-	full := q.full
-	q.full = false
+	fullSync := q.needsFullSync
+	q.needsFullSync = false
 	p.mu.Unlock()
-	if full {
-		p.met(address)
+	if fullSync {
+		p.onFullSync(address)
 	}
 	p.merge(append([]Record{reply.From}, reply.Known...))
-	p.behind(address, reply.Version)
-	p.greetedOnce.Do(func() { close(p.greeted) })
+	p.onVersion(address, reply.Version)
+	p.firstContactOnce.Do(func() { close(p.firstContact) })
 }
 
 // unsynced notes a failed exchange. It reports whether to try again, and how long to
 // wait at most before that.
-func (p *peers) unsynced(q *peer, err error) (again bool, most time.Duration) {
+func (p *peers) unsynced(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q.due = true
+	q.pushDue = true
 	if !q.lost {
 		p.lose(q, err)
 	}
-	if q.full {
-		p.askAnother(q)
+	if q.needsFullSync {
+		p.replaceBootstrapPeer(q)
 	}
 	gone := q.record.Stopping && q.record.State == lifecycle.Gone
-	away := p.now().Sub(q.lostAt)
+	lostFor := p.now().Sub(q.lostAt)
 	switch {
-	case gone || away >= forgetAfter:
+	case gone || lostFor >= forgetAfter:
 		delete(p.all, q.record.Address)
 		q.pool.Close()
 		q.syncing = false
 		return false, 0
-	case away >= lookClosely:
+	case lostFor >= fastRetryPeriod:
 		return true, lookPause
 	default:
 		return true, maxPause
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -23,15 +23,15 @@
 	keptVersions = 4
 	// smallDocument is the size in bytes up to which documents travel as they are: a delta
 	// costs the processor more than it saves on the way.
-	smallDocument = 1 << 10
+	maxPlainDocumentBytes = 1 << 10
 	// maxDocument bounds a document that comes as a delta, in bytes.
-	maxDocument = 16 << 20
+	maxDocumentBytes = 16 << 20
 	// haveParameter tells which version the sender of a question has.
-	haveParameter = "have"
+	haveParam = "have"
 )
 
 // heldDocument is a version of the configuration as it was read.
-type heldDocument struct {
+type storedDocument struct {
 	version model.Version
 	raw     []byte
 	// deltas are those from earlier documents to this one that were asked for. That from
@@ -44,19 +44,19 @@
 type versions struct {
 	mu sync.Mutex
 	// held are in rising order of version.
-	held []heldDocument
+	documents []storedDocument
 }
 
 // add takes in a document that has come into force.
 func (v *versions) add(version model.Version, raw []byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if n := len(v.held); n > 0 {
-		v.held[n-1].deltas = nil
+	if n := len(v.documents); n > 0 {
+		v.documents[n-1].deltas = nil
 	}
-	v.held = append(v.held, heldDocument{version: version, raw: raw, deltas: make(map[model.Version][]byte)})
-	if len(v.held) > keptVersions {
-		v.held = slices.Delete(v.held, 0, 1)
+	v.documents = append(v.documents, storedDocument{version: version, raw: raw, deltas: make(map[model.Version][]byte)})
+	if len(v.documents) > keptVersions {
+		v.documents = slices.Delete(v.documents, 0, 1)
 	}
 }
 
@@ -64,22 +64,22 @@
 func (v *versions) newest() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.held) == 0 {
+	if len(v.documents) == 0 {
 		return nil
 	}
-	return v.held[len(v.held)-1].raw
+	return v.documents[len(v.documents)-1].raw
 }
 
 // of returns the document of a version, or nil when it is not kept.
-func (v *versions) of(version model.Version) []byte {
+func (v *versions) document(version model.Version) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.find(version)
+	return v.documentLocked(version)
 }
 
 // find is of with v.mu held.
-func (v *versions) find(version model.Version) []byte {
-	for _, h := range v.held {
+func (v *versions) documentLocked(version model.Version) []byte {
+	for _, h := range v.documents {
 		if h.version == version {
 			return h.raw
 		}
@@ -89,17 +89,17 @@
 
 // since returns the delta from a version to the document in force, or that from nothing
 // where the version is not kept. It is nil where the document itself is to be sent.
-func (v *versions) since(version model.Version) ([]byte, error) {
+func (v *versions) deltaFrom(version model.Version) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.held) == 0 {
+	if len(v.documents) == 0 {
 		return nil, nil
 	}
-	newest := &v.held[len(v.held)-1]
-	if len(newest.raw) <= smallDocument {
+	newest := &v.documents[len(v.documents)-1]
+	if len(newest.raw) <= maxPlainDocumentBytes {
 		return nil, nil
 	}
-	base := v.find(version)
+	base := v.documentLocked(version)
 	if base == nil {
 		version = 0
 	}
@@ -122,7 +122,7 @@
 // that of the delta.
 func (c *configuration) fetch(ctx context.Context, pool *hop.Pool, from string) ([]byte, error) {
 	have := c.version()
-	base := c.versions.of(have)
+	base := c.versions.document(have)
 	raw, err := fetchSince(ctx, pool, have, base)
 	if err == nil || base == nil || !errors.As(err, new(*DeltaError)) {
 		return raw, err
@@ -136,21 +136,21 @@
 // DeltaError is a document that came as a delta and could not be restored.
 type DeltaError struct {
 	// Have is the version that the delta was to start from.
-	Have model.Version
+	From model.Version
 	Err  error
 }
 
 // Error names the version.
-func (e *DeltaError) Error() string { return fmt.Sprintf("delta from version %d: %v", e.Have, e.Err) }
+func (e *DeltaError) Error() string { return fmt.Sprintf("delta from version %d: %v", e.From, e.Err) }
 
 // Unwrap returns the cause.
 func (e *DeltaError) Unwrap() error { return e.Err }
 
 // fetchSince asks a daemon for the document in force, of which the base is held here.
 func fetchSince(ctx context.Context, pool *hop.Pool, have model.Version, base []byte) ([]byte, error) {
-	query := url.Values{haveParameter: {strconv.FormatUint(uint64(have), 10)}}
+	query := url.Values{haveParam: {strconv.FormatUint(uint64(have), 10)}}
 	path := pathConfig + "?" + query.Encode()
-	r, err := exchangePeer(ctx, pool, http.MethodGet, path, nil)
+	r, err := requestPeer(ctx, pool, http.MethodGet, path, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -161,9 +161,9 @@
 	default:
 		return nil, &StatusError{Path: path, Status: r.Status}
 	}
-	raw, err := delta.Apply(base, r.Body, maxDocument)
+	raw, err := delta.Apply(base, r.Body, maxDocumentBytes)
 	if err != nil {
-		return nil, &DeltaError{Have: have, Err: err}
+		return nil, &DeltaError{From: have, Err: err}
 	}
 	return raw, nil
 }
@@ -171,13 +171,13 @@
 // config answers with the document in force, as a delta (status 226, RFC 3229) to those
 // that tell what they have.
 func (p peerHandler) config(w http.ResponseWriter, r *http.Request) {
-	held := &p.d.config.versions
-	raw := held.newest()
+	documents := &p.d.config.versions
+	raw := documents.newest()
 	if raw == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if d := p.deltaSince(r.URL.Query().Get(haveParameter)); d != nil {
+	if d := p.deltaFrom(r.URL.Query().Get(haveParam)); d != nil {
 		w.WriteHeader(http.StatusIMUsed)
 		_, _ = w.Write(d)
 		return
@@ -186,12 +186,12 @@
 }
 
 // deltaSince returns the delta from a version in decimal digits, or nil.
-func (p peerHandler) deltaSince(version string) []byte {
+func (p peerHandler) deltaFrom(version string) []byte {
 	have, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
 		return nil
 	}
-	d, err := p.d.config.versions.since(model.Version(have))
+	d, err := p.d.config.versions.deltaFrom(model.Version(have))
 	if err != nil {
 		p.d.opts.Logger.Error("no delta of the configuration", "have", have, "error", err)
 	}
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -18,7 +18,7 @@
 
 // longDocument returns a document of some hundred kilobytes in which the version and one
 // route differ.
-func longDocument(version int) []byte {
+func largeDocument(version int) []byte {
 	const routes = 2000
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %d\n", version)
@@ -41,10 +41,10 @@
 }
 
 // newVersions returns a configuration that had so many documents in force.
-func newVersions(newest int) *configuration {
+func configWithVersions(newest int) *configuration {
 	c := newConfiguration(versionSource{}, nil)
 	for v := 1; v <= newest; v++ {
-		c.take(longDocument(v), "test")
+		c.apply(largeDocument(v), "test")
 	}
 	return c
 }
@@ -65,41 +65,41 @@
 }
 
 // TestVersionsTravelByDifference has a daemon fetch version 9.
-func TestVersionsTravelByDifference(t *testing.T) {
+func TestFetchTransfersDelta(t *testing.T) {
 	const newest, compressed = 9, 25_000
 	for name, c := range map[string]struct {
-		have   int
-		other  bool
-		atMost int
+		have        int
+		conflicting bool
+		maxBytes    int
 	}{
-		"one version behind":               {have: 8, atMost: 200},
-		"three versions behind":            {have: 6, atMost: 300},
-		"further than the other one keeps": {have: 5, atMost: compressed},
-		"nothing in force":                 {have: 0, atMost: compressed},
-		"another document of that version": {have: 8, other: true, atMost: compressed + 500},
+		"one version behind":               {have: 8, maxBytes: 200},
+		"three versions behind":            {have: 6, maxBytes: 300},
+		"further than the other one keeps": {have: 5, maxBytes: compressed},
+		"nothing in force":                 {have: 0, maxBytes: compressed},
+		"another document of that version": {have: 8, conflicting: true, maxBytes: compressed + 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent int
-			pool := serveVersions(t, newVersions(newest), &sent)
-			behind := newVersions(c.have)
-			if c.other {
-				behind = newVersions(0)
-				behind.take(append(longDocument(c.have), "something else\n"...), "test")
+			pool := serveVersions(t, configWithVersions(newest), &sent)
+			behind := configWithVersions(c.have)
+			if c.conflicting {
+				behind = configWithVersions(0)
+				behind.apply(append(largeDocument(c.have), "something else\n"...), "test")
 			}
 			raw, err := behind.fetch(t.Context(), pool, "test")
 			require.NoError(t, err)
-			require.True(t, bytes.Equal(longDocument(newest), raw))
-			require.LessOrEqual(t, sent, c.atMost)
+			require.True(t, bytes.Equal(largeDocument(newest), raw))
+			require.LessOrEqual(t, sent, c.maxBytes)
 		})
 	}
 }
 
 // TestSmallVersionsTravelWhole has no delta made of a document of a few bytes.
-func TestSmallVersionsTravelWhole(t *testing.T) {
+func TestSmallDocumentsAreSentWhole(t *testing.T) {
 	var v versions
 	v.add(1, []byte("one"))
 	v.add(2, []byte("two"))
-	d, err := v.since(1)
+	d, err := v.deltaFrom(1)
 	require.NoError(t, err)
 	require.Nil(t, d)
 	require.Equal(t, "two", string(v.newest()))
@@ -107,8 +107,8 @@
 
 // TestKeptVersionsAreBounded brings many versions into force.
 func TestKeptVersionsAreBounded(t *testing.T) {
-	c := newVersions(100)
-	require.Len(t, c.versions.held, keptVersions)
-	require.NotNil(t, c.versions.of(100))
-	require.Nil(t, c.versions.of(100-keptVersions))
+	c := configWithVersions(100)
+	require.Len(t, c.versions.documents, keptVersions)
+	require.NotNil(t, c.versions.document(100))
+	require.Nil(t, c.versions.document(100-keptVersions))
 }
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -70,7 +70,7 @@
 		plan:  failures, want: "budget",
 	},
 	"a stop cuts what runs": {
-		edits: []edits.Edit{edits.New("sidecar/daemon.go", "end := last.Add(-graceMargin)", "end := began")},
+		edits: []edits.Edit{edits.New("sidecar/daemon.go", "drainEnd := deadline.Add(-graceMargin)", "drainEnd := began")},
 		plan:  stops, want: "lost",
 	},
 	"connections of requests in hand are closed": {
@@ -82,7 +82,7 @@
 		plan:  cuts, want: "mixed",
 	},
 	"requests that crash upstreams are served": {
-		edits: []edits.Edit{edits.New("sidecar/quarantine.go", "	if !s.store.Watching() {\n		return nil\n	}\n	left", "	if s.store != nil {\n		return nil\n	}\n	left")},
+		edits: []edits.Edit{edits.New("sidecar/quarantine.go", "	if !s.store.Watching() {\n		return nil\n	}\n	remaining", "	if s.store != nil {\n		return nil\n	}\n	remaining")},
 		plan:  poisons, want: "poison",
 	},
 	"a reload ends the process": {
