--- a/sidecar/abort_test.go
+++ b/sidecar/abort_test.go
@@ -15,7 +15,7 @@
 
 // TestAnswersBeingWrittenAreInHand guards against a request that was passed on and whose
 // connection a stopping daemon closes while its answer is still in net/http's buffer.
-func TestBufferedAnswersAreInFlight(t *testing.T) {
+func TestBufferedResponsesAreInFlight(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	next, closed := m.callers.http.Handler, make(chan bool, 1)
 	m.callers.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 
 // TestPeerAnswersBeingWrittenAreInHand guards against another daemon that loses the answer to
 // a call which has run: the connection is closed between the end of the run and the answer.
-func TestBufferedPeerAnswersAreInFlight(t *testing.T) {
+func TestBufferedPeerResponsesAreInFlight(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
@@ -72,7 +72,7 @@
 
 // TestAnswersAtHandAreDeliveredAtTheEnd guards against an upstream's answer that is replaced
 // by a failure, as it came while the daemon gave up what is in hand.
-func TestReceivedAnswersAreDeliveredDuringAbort(t *testing.T) {
+func TestReceivedResponsesAreDeliveredDuringAbort(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	s := m.entry.service("a")
 	table := m.config.table()
--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -15,16 +15,20 @@
 )
 
 const (
-	// buckets is how many the records of all daemons are compared in, by a hash of the
-	// address, and bucketBytes the length of a bucket's hash.
+	// digestBuckets is the number of buckets into which a digest divides the records, by a
+	// hash of the daemon's address. bucketHashBytes is the encoded size of the hash of one
+	// bucket.
 	digestBuckets   = 32
 	bucketHashBytes = 4
-	// compareTick is how often a daemon looks whether to compare.
+	// antiEntropyTick is how often a daemon checks whether the next comparison is due.
 	antiEntropyTick = 500 * time.Millisecond
 )
 
-// comparer compares the records of all daemons with one other at a time, so that whoever
-// has missed a change learns of it. It is a part of the daemon.
+// comparer runs the anti-entropy protocol: it compares the records held here with those of
+// one other daemon at a time, so that a daemon that missed a change still learns of it. The
+// initiator sends a digest, the responder answers with a summary of the buckets that differ,
+// and the initiator then sends the records that are newer on its side and requests those that
+// are newer on the other.
 type comparer struct {
 	d *Daemon
 
@@ -32,10 +36,10 @@
 	pace gossip.Pace
 }
 
-// String names the part.
+// String implements fmt.Stringer. The supervisor logs this name.
 func (c *comparer) String() string { return "comparer" }
 
-// Serve compares until the context ends.
+// Serve runs comparisons until the context ends.
 func (c *comparer) Serve(ctx context.Context) error {
 	return interval.Run(ctx, antiEntropyTick, c.tick)
 }
@@ -49,8 +53,8 @@
 	}
 }
 
-// due reports whether to compare now. Each comparison counts as agreement until records
-// come that are news.
+// due reports whether to start a comparison now. It counts the comparison as one without a
+// difference; received records that are new here reset that count.
 func (c *comparer) due() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,15 +65,15 @@
 	return due
 }
 
-// wake has the daemon compare more often for a while.
+// wake shortens the interval between comparisons until several in a row find no difference.
 func (c *comparer) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pace.Changed()
 }
 
-// receive takes in the digest of another daemon, and tells it what records there are in
-// buckets that differ.
+// receive handles a digest from another daemon. It answers with a summary of the buckets that
+// differ.
 func (c *comparer) receive(from string, body []byte) {
 	if len(body) != digestBuckets*bucketHashBytes {
 		return
@@ -88,8 +92,8 @@
 	c.d.datagrams.sendOneWay(kindSummary, from, summaryOf(records, differing).encode())
 }
 
-// resolve takes in what records another daemon has, sends those that are newer here, and
-// wishes for those that are newer there.
+// resolve handles a summary from another daemon. It sends the records that are newer here and
+// requests those that are newer there.
 func (c *comparer) resolve(from string, body []byte) {
 	s, ok := decodeSummary(body)
 	if !ok {
@@ -102,7 +106,7 @@
 	}
 }
 
-// grant sends the records that another daemon wishes for.
+// grant sends the records that another daemon requested.
 func (c *comparer) grant(from string, body []byte) {
 	requested := decodeRecordRequest(body)
 	var found []Record
@@ -120,7 +124,7 @@
 	}
 }
 
-// digest has a hash of the records of each bucket.
+// digest holds one hash for each bucket, taken over the records in it.
 type digest [digestBuckets]uint32
 
 func (d digest) encode() []byte {
@@ -133,11 +137,11 @@
 
 func bucketOf(address string) int { return int(xxhash.Sum64String(address) % digestBuckets) }
 
-// hashOf stands for an address in summaries and wishes.
+// hashOf returns the hash that identifies an address in summaries and record requests.
 func hashOf(address string) uint32 { return uint32(xxhash.Sum64String(address) >> 32) }
 
-// compared reports whether a record is compared: those of daemons that are gone for good
-// are dropped at different times.
+// inDigest reports whether a record takes part in comparisons. Records of daemons that are
+// gone for good do not: each daemon drops them at another time.
 func (r *Record) inDigest() bool { return r.Sequence > 0 && !(r.Stopping && r.State == lifecycle.Gone) }
 
 func (r *Record) digestHash() uint32 {
@@ -146,7 +150,7 @@
 	return uint32(xxhash.Sum64(binary.AppendUvarint(b, r.Sequence)))
 }
 
-// digest describes all records, the own one among them.
+// digest returns the digest of all records held, the local record included.
 func (p *peers) digest() digest { return digestOf(p.known()) }
 
 func digestOf(records []Record) digest {
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -8,18 +8,19 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// greet has a new peer asked for what it knows, or told of this daemon. One of another zone
-// learns that from those that it asks itself. While nothing is known of the own upstream
-// the telling waits, so that a start takes one message a peer and not two. p.mu is held.
+// startSync schedules the first exchange with a new peer: either this daemon asks the peer
+// for all records, or it only pushes its own. A peer of another zone gets no push, as it
+// learns of this daemon in its own full sync. Until the local record has been announced once,
+// pushes wait, so that a start takes one message per peer and not two. The caller holds p.mu.
 func (p *peers) startSync(q *peer) {
 	if q.needsFullSync || p.announced && q.record.Zone == p.own.Zone {
 		p.owe(q)
 	}
 }
 
-// meet takes in that there are daemons at the addresses. Those of the own zone come first,
-// in an order of chance: the first ones are asked for all that they know, which is not to
-// come from other zones, nor from the same few for everybody.
+// addListed adds the daemons of the directory. Daemons of the local zone come first and the
+// order is random otherwise, because the first daemons added are asked for all records: that
+// traffic should not cross zones, nor should all starting daemons choose the same few peers.
 func (p *peers) addListed(list []Listing) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,7 +40,7 @@
 	}
 }
 
-// distance is 0 for the own zone and 1 for others.
+// zoneDistance returns 0 for the local zone and 1 for any other.
 func (p *peers) zoneDistance(z model.AvailabilityZone) int {
 	if z == p.own.Zone {
 		return 0
@@ -47,8 +48,8 @@
 	return 1
 }
 
-// askAnother has another daemon asked for all that it knows in the place of one that
-// cannot be reached. p.mu is held.
+// replaceBootstrapPeer asks another daemon for all records in place of one that cannot be
+// reached. It prefers a daemon of the local zone. The caller holds p.mu.
 func (p *peers) replaceBootstrapPeer(failed *peer) {
 	failed.needsFullSync = false
 	var replacement *peer
@@ -66,8 +67,9 @@
 	}
 }
 
-// add notes a daemon. The first ones, however they became known, are asked for
-// all that they know: the store may be away. p.mu is held.
+// addPeer adds a daemon to the known ones. The first fullAsks daemons are asked for all
+// records, whether they came from the directory or from a peer, as the directory may be
+// unavailable. The caller holds p.mu.
 func (p *peers) addPeer(r Record) *peer {
 	q := &peer{record: r, pool: newPeerPool(r.Address)}
 	q.needsFullSync = p.asked < fullAsks
--- a/sidecar/boottime.go
+++ b/sidecar/boottime.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootTime returns the time since the VM started, suspensions included, in which the
-// clock of time.Since stands still.
+// bootTime returns the time since the VM booted, including time spent suspended. The
+// monotonic clock behind time.Since does not advance during a suspension.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Kernels that support the programs have the clock.
+		// Every kernel that can run this program has CLOCK_BOOTTIME.
 		return 0
 	}
 	return time.Duration(ts.Nano())
--- a/sidecar/callsperrun.go
+++ b/sidecar/callsperrun.go
@@ -1,7 +1,7 @@
 package sidecar
 
-// called notes a request that began on this VM and goes to another service: a call
-// of the own upstream, or of a caller beside it, which counts as one.
+// called counts a request from this VM to another service. Requests of the local upstream and
+// requests of other callers on the VM are counted alike.
 func (g *guard) called() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -9,28 +9,30 @@
 }
 
 const (
-	// recentRuns is how many runs the count of calls covers, halved when it is
-	// full; before fewRuns of them usualCalls are assumed of each.
+	// runWindow is how many runs the average covers: when the count of runs reaches it, both
+	// counts are halved. While fewer than minRuns are counted, the average is
+	// assumedCallsPerRun.
 	runWindow          = 128
 	minRuns            = 8
 	assumedCallsPerRun = 1
 )
 
-// countRun notes a run. g.mu is held.
+// countRun counts a request that the local upstream runs. The caller holds g.mu.
 func (g *guard) countRun() {
 	if g.runs++; g.runs >= runWindow {
 		g.runs, g.calls = g.runs/2, g.calls/2
 	}
 }
 
-// recentCallsPerRun is callsPerRun for who does not hold g.mu.
+// recentCallsPerRun is callsPerRun for callers that do not hold g.mu.
 func (g *guard) recentCallsPerRun() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.callsPerRun()
 }
 
-// callsPerRun returns how many calls a run of the own upstream makes. g.mu is held.
+// callsPerRun returns the recent average number of calls to other services for each request
+// that the local upstream runs. The caller holds g.mu.
 func (g *guard) callsPerRun() float64 {
 	if g.runs < minRuns {
 		return assumedCallsPerRun
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -13,21 +13,21 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// inForce is a configuration in force.
+// activeConfig is the configuration in force and the time at which it took effect.
 type activeConfig struct {
 	table *route.Table
 	since time.Time
 }
 
-// configuration holds the newest configuration seen. Versions only rise: a
-// reading that is older, gone or cannot be read changes nothing. It is safe for
-// concurrent use.
+// configuration holds the newest configuration seen. Its version never decreases: a document
+// that is older, missing or invalid changes nothing. It is safe for concurrent use.
 type configuration struct {
 	source    Source
 	decisions *decision.Log
 	current   atomic.Pointer[activeConfig]
 	versions  versions
-	// mu orders changes. changed is closed and replaced at each, and guarded by it.
+	// mu serializes changes and guards the field changed, a channel that is closed and
+	// replaced at each change.
 	mu       sync.Mutex
 	onChange []func(*route.Table)
 	changed  chan struct{}
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// age returns for how long the configuration has been in force. Zero means none.
+// age returns how long the configuration has been in force, zero if there is none.
 func (c *configuration) age() time.Duration {
 	if f := c.current.Load(); f != nil {
 		return time.Since(f.since)
@@ -59,8 +59,8 @@
 	return 0
 }
 
-// take brings a document into force if it is newer than what is. It reports whether
-// the document is a configuration.
+// apply puts a document into force if it is newer than the configuration in force. It reports
+// whether the document is a valid configuration.
 func (c *configuration) apply(raw []byte, from string) bool {
 	doc, err := c.source.Decode(raw)
 	if err == nil && doc.Version <= c.version() {
@@ -92,21 +92,22 @@
 	return true
 }
 
-// wake has those who wait look again. c.mu is held.
+// notifyWaiters makes every waitFor check its condition again. The caller holds c.mu.
 func (c *configuration) notifyWaiters() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// lookAgain has those who wait look again after something else has changed.
+// recheckWaiters makes every waitFor check its condition again, after a change to something
+// other than the configuration that the condition depends on.
 func (c *configuration) recheckWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notifyWaiters()
 }
 
-// await waits until a configuration is in force for which a condition holds. It
-// reports false when the context ends first.
+// waitFor waits until a configuration is in force that satisfies the condition. It returns
+// false if the context ends first.
 func (c *configuration) waitFor(ctx context.Context, condition func(*route.Table) bool) bool {
 	for {
 		c.mu.Lock()
@@ -124,35 +125,37 @@
 }
 
 const (
-	// farFetchDelay is how long a daemon leaves it to its own zone to bring a version that
-	// it has heard of from another one.
-	otherZoneFetchDelay = 300 * time.Millisecond
-	// fetchSpread is the time over which a cell fetches a version from the watcher that
-	// has told all of it at once. Most have it from others before.
+	// remoteZoneFetchDelay is how long a daemon that learned of a new version from a remote
+	// zone waits for its local zone to deliver it before it fetches the version across zones.
+	remoteZoneFetchDelay = 300 * time.Millisecond
+	// fetchJitter spreads the fetches of the daemons that a watcher notifies at the same
+	// moment. Most of them get the version from other daemons before their delay is over.
 	fetchJitter = 100 * time.Millisecond
 )
 
-// behindWatcher takes in that a watcher of the cell has a version of the configuration.
+// behindWatcher handles the version that a watcher of the store announced. If it is newer
+// than the one in force, it is fetched from the watcher after a random delay.
 func (d *Daemon) behindWatcher(address string, v model.Version) {
 	if v > d.config.version() {
 		time.AfterFunc(rand.N(fetchJitter), func() { d.fetch(address, v) })
 	}
 }
 
-// behind takes in that a daemon has a version of the configuration, and fetches it
-// from there if it is newer, once at a time.
+// behind handles the version that another daemon announced. If it is newer than the one in
+// force, it is fetched from that daemon.
 func (d *Daemon) behind(address string, v model.Version) {
 	if v <= d.config.version() {
 		return
 	}
-	if d.config.version() > 0 && d.peers.inOtherZone(address) {
-		time.AfterFunc(otherZoneFetchDelay, func() { d.fetch(address, v) })
+	if d.config.version() > 0 && d.peers.inRemoteZone(address) {
+		time.AfterFunc(remoteZoneFetchDelay, func() { d.fetch(address, v) })
 		return
 	}
 	d.fetch(address, v)
 }
 
-// fetch brings a version from a daemon unless it is in force.
+// fetch starts to fetch a version from a daemon, unless that version or a newer one is in
+// force or another fetch is running.
 func (d *Daemon) fetch(address string, v model.Version) {
 	if v <= d.config.version() || !d.fetching.CompareAndSwap(false, true) {
 		return
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -17,17 +17,17 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// Registry takes in what the own upstream reports of itself.
+// Registry receives what the local upstream reports about itself.
 type Registry interface {
-	// Report takes in a report. A stale one changes nothing.
+	// Report handles a state report. A stale report changes nothing.
 	Report(r lifecycle.Report) lifecycle.Verdict
-	// Leave takes in that an incarnation leaves for good.
+	// Leave handles the final deregistration of an incarnation of the upstream.
 	Leave(i lifecycle.Incarnation) lifecycle.Verdict
-	// Refused takes in that a report could not be read.
+	// Refused logs a report that could not be parsed.
 	Refused(id string, err error)
 }
 
-// Daemon is a running daemon.
+// Daemon is a sidecar. New creates it and Serve runs it.
 type Daemon struct {
 	opts       Options
 	tunables   atomic.Pointer[Tunables]
@@ -47,18 +47,19 @@
 	callers    *server
 	peerServer *server
 	fetching   atomic.Bool
-	// ready is set once the daemon has a configuration and knows the others.
+	// ready is set once a configuration is in force and the first exchange with other daemons
+	// is over or has timed out.
 	ready    atomic.Bool
 	stopping atomic.Bool
-	// sourceLost is the model.Instant since when no daemon of the cell is known to reach
-	// the store of the configuration. Zero means that one does.
+	// storeLostSince is the model.Instant since which no daemon of the cell has reached the
+	// configuration store. Zero means that one does.
 	storeLostSince atomic.Int64
 	requests       inHand
-	// ending is closed when the requests in hand are given up, as the grace time is over.
+	// ending is closed when the grace period is over and the requests in flight are aborted.
 	ending chan struct{}
 }
 
-// New binds the addresses and returns a Daemon. Serve runs it.
+// New binds the listen addresses and returns a Daemon that Serve can run.
 func New(o Options) (*Daemon, error) {
 	if o.Addresses.PeerBind == "" {
 		o.Addresses.PeerBind = o.Addresses.Peers
@@ -102,10 +103,11 @@
 
 func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.startedAt)) }
 
-// service is the service of the own upstream and of the callers on this VM.
+// service returns the service of the local upstream, which is also that of the callers on
+// this VM.
 func (d *Daemon) service() model.ServiceName { return d.tunables.Load().Service }
 
-// Reconfigure takes over what may change while the daemon runs, from the next
+// Reconfigure replaces the options that may change at runtime. They apply from the next
 // request on.
 func (d *Daemon) Reconfigure(t Tunables) {
 	d.tunables.Store(&t)
@@ -126,7 +128,7 @@
 	return s.HealthPath
 }
 
-// listen binds every address.
+// listen binds all addresses and creates the servers for them.
 func (d *Daemon) listen() error {
 	a := d.opts.Addresses
 	d.callers = newServer("callers", d.reportPanics("callers", d.entry))
@@ -207,7 +209,8 @@
 	d.opts.Decisions.Write(decision.ReportRefused, "", slog.String("upstream", id), slog.String("error", err.Error()))
 }
 
-// tellState tells the other daemons of the own upstream's state.
+// announceState writes the state of the local upstream into the local record and announces
+// that.
 func (d *Daemon) announceState() {
 	cur, departed := d.guard.current()
 	d.peers.updateLocal(func(r *Record) {
@@ -218,42 +221,48 @@
 }
 
 const (
-	// greetingWait bounds the wait for another daemon at the start before the own
-	// upstream is asked who it is.
+	// discoveryWait bounds how long a starting daemon waits for the first exchange with
+	// another daemon before it asks the local upstream for its identity.
 	discoveryWait = 500 * time.Millisecond
-	// readyWait bounds the wait for another daemon before this one is ready.
+	// readinessWait bounds how long a starting daemon waits for the first exchange with
+	// another daemon before it reports itself ready.
 	readinessWait = 1500 * time.Millisecond
-	// serverBackoff is the pause of a part that keeps failing.
+	// restartBackoff is the pause before a component that keeps failing is restarted.
 	restartBackoff = time.Second
-	// lingering is how long a stopping daemon goes on taking what comes: callers
-	// learn that it is not ready by asking once a second, and two misses count.
+	// minDrainTime is how long a stopping daemon continues to accept requests. Callers poll
+	// its readiness once a second and leave after two failures.
 	minDrainTime = 2200 * time.Millisecond
-	// graceMargin is the part of the grace time that is left for the end.
+	// graceMargin is the part of the grace period that is reserved for shutting down after
+	// draining.
 	graceMargin = 400 * time.Millisecond
-	// drainPoll is how often a stopping daemon looks whether it is done.
+	// drainPollInterval is how often a stopping daemon checks whether it has drained.
 	drainPollInterval = 25 * time.Millisecond
-	// lastStart is how long before the end a stopping daemon hands back what waits, so
-	// that those who sent it hear that it has not run.
+	// queueFlushMargin is how long before the end of draining a stopping daemon rejects the
+	// requests that wait for the local upstream, so that their senders learn in time that
+	// they have not run.
 	queueFlushMargin = 300 * time.Millisecond
-	// partsWait bounds the wait for the parts to end, within graceMargin: one that
-	// hangs must not keep the process.
+	// componentStopTimeout bounds the wait for the components to stop. It lies within
+	// graceMargin, so that a component that hangs does not keep the process alive.
 	componentStopTimeout = 150 * time.Millisecond
-	// logWait bounds the wait for lines to be written.
+	// logFlushTimeout bounds the wait for log lines to be written at the end.
 	logFlushTimeout = 100 * time.Millisecond
-	// refusing is how long a daemon that passes nothing more on still answers before it closes
-	// its connections: requests that are on their way to it are told that they have not run.
+	// refusalPeriod is how long a daemon that forwards nothing more still responds before it
+	// closes its connections, so that the senders of requests already on their way learn that
+	// they have not run.
 	refusalPeriod = 50 * time.Millisecond
-	// cutWait bounds the wait for the lines of requests that were cut.
+	// cutLogWait bounds the wait for the log lines of requests whose connections were closed
+	// without a response.
 	cutLogWait = 20 * time.Millisecond
-	// closingMargin is the part of the grace time that is left when answers are no longer
-	// waited for.
+	// connectionCloseMargin is how long before the end of the grace period the daemon stops
+	// waiting for responses to be written.
 	connectionCloseMargin = 200 * time.Millisecond
-	// answersPoll is how often it is looked whether callers wait.
-	answersPollInterval = time.Millisecond
+	// answersPollInterval is how often the daemon checks whether connections still wait for
+	// an answer.
+	responsePollInterval = time.Millisecond
 )
 
-// Serve runs the daemon until the context ends, then lets what runs finish within
-// the grace time.
+// Serve runs the daemon until the context ends. It then drains the requests in flight within
+// the grace period.
 func (d *Daemon) Serve(ctx context.Context) error {
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -281,13 +290,14 @@
 	stop()
 	d.closeServers()
 	<-done
-	// What was cut tells so in the log.
-	d.awaitAnswers(time.Now().Add(min(cutLogWait, time.Until(deadline))))
+	// The handlers of requests that were closed without a response still write their log
+	// lines.
+	d.awaitResponses(time.Now().Add(min(cutLogWait, time.Until(deadline))))
 	d.opts.Decisions.Close(min(logFlushTimeout, max(time.Until(deadline), 0)))
 	return nil
 }
 
-// isEnding reports whether the daemon gives up what is in hand.
+// isEnding reports whether the daemon is aborting the requests in flight.
 func (d *Daemon) isEnding() bool {
 	select {
 	case <-d.ending:
@@ -297,29 +307,29 @@
 	}
 }
 
-// endIdle lets nothing more in if nothing is in hand, and reports whether that is so. An
-// answer that net/http has still to write is in hand.
+// closeIfIdle stops forwarding requests if none is in flight, and reports whether it has
+// stopped. A request counts as in flight until net/http has written its response.
 func (d *Daemon) closeIfIdle() bool {
 	return d.requests.endIdle(func() bool {
 		return d.callers.activeConns() == 0 && d.peerServer.activeConns() == 0 && d.guard.stopIdle()
 	})
 }
 
-// awaitAnswers waits until nobody waits for an answer, or until the end.
-func (d *Daemon) awaitAnswers(deadline time.Time) {
+// awaitResponses waits until no connection waits for a response, or until the deadline.
+func (d *Daemon) awaitResponses(deadline time.Time) {
 	for d.callers.activeConns()+d.peerServer.activeConns() > 0 && time.Now().Before(deadline) {
-		time.Sleep(answersPollInterval)
+		time.Sleep(responsePollInterval)
 	}
 }
 
 func (d *Daemon) logEvent(e suture.Event) {
 	if d.opts.Logger != nil && e.Type() != suture.EventTypeStopTimeout {
-		d.opts.Logger.Error("part failed", "event", e.String())
+		d.opts.Logger.Error("component failed", "event", e.String())
 	}
 }
 
-// drain stops taking new work, tells everybody, and waits for what runs. It returns when the
-// grace time ends.
+// drain announces that the daemon is stopping, waits for the requests in flight, and aborts
+// those that remain when draining is over. It returns the end of the grace period.
 func (d *Daemon) drain() (deadline time.Time) {
 	began := time.Now()
 	deadline = began.Add(d.tunables.Load().Grace)
@@ -340,12 +350,13 @@
 	d.opts.Decisions.Write(decision.Stopped, "", slog.Int("in_flight", d.requests.count()), slog.Int64("took_ms", time.Since(began).Milliseconds()))
 	close(d.ending)
 	time.Sleep(min(refusalPeriod, time.Until(deadline)))
-	d.awaitAnswers(deadline.Add(-connectionCloseMargin))
+	d.awaitResponses(deadline.Add(-connectionCloseMargin))
 	return deadline
 }
 
-// awaitIdle waits until callers have had the time to leave and nothing is in hand, or until
-// the end. From then on nothing is passed on that would be cut.
+// awaitIdle waits until minDrainTime has passed and no request is in flight, or until
+// drainEnd. When it returns, the daemon forwards no further request, as its connection would
+// be closed without a response.
 func (d *Daemon) awaitIdle(began, drainEnd time.Time) {
 	for time.Now().Before(drainEnd) {
 		if time.Until(drainEnd) < queueFlushMargin {
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -15,16 +15,14 @@
 	"github.com/dottereltiller/dottereltiller/core/placement"
 )
 
-// datagrams speaks to other daemons by datagram. One asks a guard how loaded its
-// upstream is, another tells a daemon a record; each is answered by one. A lost
-// datagram costs only the wait for its answer.
+// datagrams exchanges UDP datagrams with other daemons. Load queries and pushed records are
+// answered by a reply; nobody waits for a reply to any other kind. A lost datagram costs only
+// the wait for its reply.
 //
-// All begin with their kind, an id that the answer repeats, and the version of the
-// configuration in force, so that a daemon that cannot hear of a newer one from the
-// store learns of it. kindAsk is followed by the rank and the kind of the request and a
-// number that stands for the upstream, kindLoad by the load as it would find it,
-// kindRecord by a packed record, kindNoted by nothing, kindNews by the address where
-// a new version can be had.
+// Every datagram starts with a header: its kind, an id that the reply repeats, and the
+// version of the configuration in force at the sender. A daemon that cannot reach the store
+// learns of a newer version from the header. The body depends on the kind; see the kind
+// constants.
 type datagrams struct {
 	d    *Daemon
 	conn *net.UDPConn
@@ -34,17 +32,17 @@
 	waiting map[uint32]question
 }
 
-// question is one that waits for its answer.
+// question is a query that waits for its reply.
 type question struct {
 	key     string
 	address string
 	sent    model.Instant
-	// to is who waits for the answer. Where it is nil, late takes the answer.
+	// to receives the reply. If it is nil, late is called with the reply instead.
 	to   chan<- heard
 	late func(heard)
 }
 
-// heard is an answer, and how long it took.
+// heard is the reply to a query and the time from the query to the reply.
 type heard struct {
 	key  string
 	load placement.Load
@@ -52,33 +50,40 @@
 }
 
 const (
-	kindAsk    = 1
-	kindLoad   = 2
+	// kindAsk queries the load of an upstream. Its body holds the rank and the kind of a
+	// request and a hash that identifies the upstream.
+	kindAsk = 1
+	// kindLoad replies to kindAsk with the load that such a request would meet.
+	kindLoad = 2
+	// kindRecord pushes one packed record, and kindNoted, without a body, acknowledges it.
 	kindRecord = 3
 	kindNoted  = 4
-	kindNews   = 5
+	// kindNews announces a new version of the configuration. Its body is the address to fetch
+	// it from.
+	kindNews = 5
 	// kindSuspects carries a message of package quarantine.
 	kindSuspects = 6
-	// kindHeartbeat comes from a daemon that watches the store. It is followed by a one
-	// where that reaches the store, else a zero, and by the daemon's address.
+	// kindHeartbeat is sent by a daemon that watches the store. The body is one byte, 1 if
+	// the daemon reaches the store and 0 if not, followed by the daemon's address.
 	kindHeartbeat = 7
-	// kindRecords carries records of the daemons of other zones, which need no answer.
+	// kindRecords relays, inside a zone, records of daemons of remote zones.
 	kindRecords = 8
-	// kindCompare carries a digest of all records, kindSummary which ones there are where
-	// digests differ, kindWish asks for some of them, and kindCompared brings some.
+	// kindCompare carries a digest of all records. kindSummary answers it with a summary of
+	// the buckets that differ, kindWish requests records by the hashes of their addresses,
+	// and kindCompared carries records that the receiver lacks or has in an older version.
 	kindCompare  = 9
 	kindSummary  = 10
 	kindWish     = 11
 	kindCompared = 12
-	// headBytes is the length of what all begin with; askBytes and loadBytes are
-	// the lengths of whole datagrams.
+	// headBytes is the length of the header. askBytes and loadBytes are the lengths of whole
+	// datagrams of kindAsk and kindLoad.
 	headBytes = 13
 	askBytes  = headBytes + 5
 	loadBytes = headBytes + 13
-	// maxDatagram bounds a datagram, so that it fits an Ethernet frame. A longer
-	// record is sent by connection.
+	// maxDatagramBytes bounds a datagram so that it fits an Ethernet frame. A record that
+	// does not fit is sent over a connection.
 	maxDatagramBytes = 1400
-	// datagramRoom is the room for what follows the head.
+	// maxDatagramBody bounds what follows the header.
 	maxDatagramBody = maxDatagramBytes - headBytes
 )
 
@@ -94,7 +99,7 @@
 	return &datagrams{d: d, conn: conn, waiting: make(map[uint32]question)}, nil
 }
 
-// String names the part.
+// String implements fmt.Stringer. The supervisor logs this name.
 func (a *datagrams) String() string { return "datagrams" }
 
 // Serve reads datagrams until the context ends.
@@ -116,14 +121,15 @@
 
 func (a *datagrams) close() { _ = a.conn.Close() }
 
-// spread tells some daemons of the configuration in force.
+// announceVersion announces the version in force to some of the other daemons, which announce
+// it in turn.
 func (a *datagrams) announceVersion() {
 	for _, m := range a.d.follower.targets.Push(a.d.peers.members(), false) {
 		a.sendOneWay(kindNews, m.Address, []byte(a.d.opts.Addresses.Peers))
 	}
 }
 
-// heartbeat tells a daemon that this one watches the store.
+// sendHeartbeat tells a daemon that this daemon watches the store, and whether it reaches it.
 func (a *datagrams) sendHeartbeat(address string, reaches bool) {
 	body := []byte{0}
 	if reaches {
@@ -132,34 +138,35 @@
 	a.sendOneWay(kindHeartbeat, address, append(body, a.d.opts.Addresses.Peers...))
 }
 
-// notify sends a datagram that needs no answer. It may be lost.
+// sendOneWay sends a datagram that needs no reply. The datagram may be lost.
 func (a *datagrams) sendOneWay(kind byte, address string, body []byte) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
 		a.transmit(append(a.head(kind, 0), body...), to)
 	}
 }
 
-// transmit sends a datagram. It may be lost, here as on the way.
+// transmit sends a datagram. Send errors are ignored, as the datagram could be lost on the
+// way as well.
 func (a *datagrams) transmit(b []byte, to netip.AddrPort) {
 	a.d.metrics.traffic.sent(b)
 	_, _ = a.conn.WriteToUDPAddrPort(b, to)
 }
 
-// head returns the beginning of a datagram.
+// head returns the header of a datagram, with capacity for the body of kindLoad.
 func (a *datagrams) head(kind byte, id uint32) []byte {
 	b := binary.BigEndian.AppendUint32(append(make([]byte, 0, loadBytes), kind), id)
 	return binary.BigEndian.AppendUint64(b, uint64(a.d.config.version()))
 }
 
 const (
-	// tellTries is how often a record is sent by datagram before a connection is
-	// tried, and tellWait the wait for each answer: a round trip between regions
-	// and a pause of a busy processor.
+	// pushAttempts is how often a record is pushed by datagram before it is sent over a
+	// connection. pushAckTimeout bounds the wait for each acknowledgement: a round trip
+	// between regions plus a scheduling delay on a busy processor.
 	pushAttempts   = 2
 	pushAckTimeout = 100 * time.Millisecond
 )
 
-// tell sends a record to a daemon and reports whether that has noted it.
+// pushRecord sends a record to a daemon and reports whether the daemon acknowledged it.
 func (a *datagrams) pushRecord(address string, r Record) bool {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -185,7 +192,7 @@
 	return false
 }
 
-// expect notes a question and returns its id.
+// expect stores a query until its reply arrives, and returns its id.
 func (a *datagrams) expect(q question) uint32 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -195,7 +202,7 @@
 	return a.nextID
 }
 
-// forget ends the wait for answers that did not come.
+// forget drops queries that got no reply.
 func (a *datagrams) forget(ids []uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sidecar/doc.go
+++ b/sidecar/doc.go
@@ -1,15 +1,16 @@
-// Package sidecar is a daemon beside one upstream whose callers are on the same
-// VM, configured by one whole document of routes.
+// Package sidecar implements a daemon that runs beside one upstream and whose callers are on
+// the same VM. One configuration document holds all of its routes.
 //
-// It has the two parts of every daemon. The entry takes the requests of local
-// callers and of the upstream itself, finds their route, chooses an upstream and
-// sends them to the daemon beside it. The guard stands before the own upstream and
-// is the only one that sends to it: it alone knows what runs there, and it alone
-// refuses once the upstream leaves, so that nothing has to be agreed for that.
+// Like every daemon, it has two components. The entry accepts requests from local callers and
+// from the upstream itself, looks up the route, chooses an upstream and forwards the request
+// to the daemon beside that upstream. The guard is the proxy in front of the local upstream
+// and the only sender of requests to it. It enforces the concurrency limit of the upstream.
+// Only the guard knows what runs there, and it alone rejects requests once the upstream
+// leaves, so daemons need no agreement on that.
 //
-// Daemons know each other by records (see Peers): each is the only writer of its
-// own, and tells the others when it changes. Whatever must outlive all daemons is
+// Daemons learn of each other through records (see Record). Each daemon is the only writer of
+// its record and announces every change. State that must survive the loss of all daemons is
 // kept by a Directory and a Source, which the deployment supplies.
 //
-// How callers and upstreams spell things is left to an Edge.
+// An Edge translates between the daemon and the headers that callers and upstreams use.
 package sidecar
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -14,43 +14,45 @@
 )
 
 const (
-	// rosterTick is how often a daemon looks whether it is to watch the store.
-	rosterTick = 100 * time.Millisecond
-	// askPeersEvery is how often another daemon is asked for its configuration while no
-	// watcher of the own cell reaches the store: a change must be in force in two seconds.
+	// electionTick is how often a daemon checks whether it should watch the store.
+	electionTick = 100 * time.Millisecond
+	// peerPollInterval is how often another daemon is asked for its configuration while no
+	// watcher of the cell reaches the store. It is that short because a change must be in
+	// force within two seconds.
 	peerPollInterval = 400 * time.Millisecond
-	// listedWait bounds the wait for the list of daemons at the start, before which it is
-	// not known whether others watch the store.
+	// directoryWait bounds the wait for the list of daemons at startup. Until the list is
+	// there, the daemon does not know whether others watch the store.
 	directoryWait = time.Second
 )
 
-// follower keeps the configuration up to date: from the store where this daemon watches
-// it, else from the watchers, and from any daemon while none of them reaches the store. It
-// is a part of the daemon.
+// follower keeps the configuration up to date. If this daemon is a watcher, it reads the
+// store; otherwise versions come from the watchers of its cell (see package watch), or from
+// any daemon while no watcher reaches the store.
 type follower struct {
 	d       *Daemon
 	targets gossip.Targets
 
 	mu     sync.Mutex
-	roster *watch.Roster
-	// generation is that of the peers as of the roster's members.
+	elector *watch.Roster
+	// generation is the peers.generation from which the members of the elector were taken.
 	generation uint64
-	// watching is closed while this daemon watches the store.
+	// watchStarted is closed when this daemon starts to watch the store, and replaced when it
+	// stops.
 	watchStarted chan struct{}
 	isWatching   bool
-	// asked is when a daemon was last asked.
+	// lastPeerPoll is when another daemon was last asked for its configuration.
 	lastPeerPoll model.Instant
 }
 
 func newFollower(d *Daemon) *follower {
 	return &follower{
 		d: d, targets: gossip.Targets{Zone: d.opts.Zone, Draw: randomInt},
-		roster:       watch.New(d.opts.Addresses.Peers, d.now(), rand.Float64),
+		elector:       watch.New(d.opts.Addresses.Peers, d.now(), rand.Float64),
 		watchStarted: make(chan struct{}),
 	}
 }
 
-// String names the part.
+// String implements fmt.Stringer. The supervisor logs this name.
 func (f *follower) String() string { return "configuration" }
 
 // Serve follows the configuration until the context ends.
@@ -80,15 +82,15 @@
 // Reachable implements Follower.
 func (f *follower) Reachable(ok bool) {
 	f.mu.Lock()
-	f.roster.Called(f.d.now(), ok)
+	f.elector.Called(f.d.now(), ok)
 	f.mu.Unlock()
 	f.sendHeartbeats()
 }
 
-// handOn tells the cell of a new version.
+// announceVersion sends a heartbeat at once, whose header tells the cell of the new version.
 func (f *follower) announceVersion() {
 	f.mu.Lock()
-	f.roster.News()
+	f.elector.News()
 	f.mu.Unlock()
 	f.sendHeartbeats()
 }
@@ -100,21 +102,22 @@
 	return f.isWatching
 }
 
-// heard takes in the heartbeat of a watcher.
+// heard records the heartbeat of a watcher.
 func (f *follower) heard(address string, reaches bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.Heard(f.d.now(), address, reaches)
+	f.elector.Heard(f.d.now(), address, reaches)
 }
 
-// takeTurns has this daemon watch the store when it is its turn.
+// watchLoop repeatedly decides whether this daemon watches the store, sends heartbeats, and
+// polls another daemon while no watcher reaches the store.
 func (f *follower) watchLoop(ctx context.Context) {
 	select {
 	case <-f.d.peers.directoryRead:
 	case <-time.After(directoryWait):
 	case <-ctx.Done():
 	}
-	tick := time.NewTicker(rosterTick)
+	tick := time.NewTicker(electionTick)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		pollDue := f.updateWatching()
@@ -129,8 +132,8 @@
 	}
 }
 
-// decide decides whether this daemon watches, and reports whether another daemon is to be
-// asked.
+// updateWatching decides whether this daemon watches the store. It reports whether to poll
+// another daemon for its configuration now.
 func (f *follower) updateWatching() (pollDue bool) {
 	now := f.d.now()
 	zone, zones, generation := f.d.peers.zoneMembers(f.generation)
@@ -138,9 +141,9 @@
 	defer f.mu.Unlock()
 	if generation != f.generation {
 		f.generation = generation
-		f.roster.SetMembers(zone, zones)
+		f.elector.SetMembers(zone, zones)
 	}
-	isWatching := f.roster.Watching(now) && !f.d.stopping.Load()
+	isWatching := f.elector.Watching(now) && !f.d.stopping.Load()
 	switch {
 	case isWatching && !f.isWatching:
 		close(f.watchStarted)
@@ -149,9 +152,9 @@
 	}
 	if isWatching != f.isWatching {
 		f.isWatching = isWatching
-		f.d.opts.Decisions.Write(decision.StoreWatched, "", slog.Bool("watches", isWatching), slog.Int("cell", len(f.roster.Others())+1))
+		f.d.opts.Decisions.Write(decision.StoreWatched, "", slog.Bool("watches", isWatching), slog.Int("cell", len(f.elector.Others())+1))
 	}
-	unreachable := f.roster.Blind(now)
+	unreachable := f.elector.Blind(now)
 	f.recordStoreState(now, unreachable)
 	pollDue = unreachable && now.Sub(f.lastPeerPoll) >= peerPollInterval
 	if pollDue {
@@ -160,7 +163,7 @@
 	return pollDue
 }
 
-// noteBlind notes since when no daemon of the cell reaches the store.
+// recordStoreState records since when no daemon of the cell has reached the store.
 func (f *follower) recordStoreState(now model.Instant, unreachable bool) {
 	if !unreachable {
 		f.d.storeLostSince.Store(0)
@@ -169,21 +172,22 @@
 	f.d.storeLostSince.CompareAndSwap(0, int64(now))
 }
 
-// beat sends a heartbeat to the cell if one is due.
+// sendHeartbeats sends a heartbeat to the other daemons of the cell if one is due.
 func (f *follower) sendHeartbeats() {
 	f.mu.Lock()
-	if !f.roster.HeartbeatDue(f.d.now()) {
+	if !f.elector.HeartbeatDue(f.d.now()) {
 		f.mu.Unlock()
 		return
 	}
-	reaches, others := f.roster.Reaches(), f.roster.Others()
+	reaches, others := f.elector.Reaches(), f.elector.Others()
 	f.mu.Unlock()
 	for _, address := range others {
 		f.d.datagrams.sendHeartbeat(address, reaches)
 	}
 }
 
-// askOne exchanges records with one other daemon, which brings its version.
+// pollPeer exchanges records with one other daemon and fetches its configuration if that is
+// newer.
 func (f *follower) pollPeer(ctx context.Context) {
 	m, ok := f.targets.Partner(f.d.peers.members())
 	if !ok {
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -7,14 +7,14 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Gauge is a figure read when it is asked for.
+// Gauge is a metric whose value is read on demand.
 type Gauge struct {
 	Name string
 	Help string
 	Read func() float64
 }
 
-// Gauges returns the figures of what the daemon believes and holds.
+// Gauges returns the metrics that describe the current state of the daemon.
 func (d *Daemon) Gauges() []Gauge {
 	return []Gauge{
 		{"ready", "1 while requests are taken", func() float64 { return boolToFloat(d.ready.Load() && !d.stopping.Load()) }},
@@ -42,7 +42,8 @@
 	}
 }
 
-// sourceAway returns how long the store of the configuration has been away.
+// storeLostFor returns for how long no daemon of the cell has reached the configuration
+// store, zero if one does.
 func (d *Daemon) storeLostFor() time.Duration {
 	if since := d.storeLostSince.Load(); since != 0 {
 		return d.now().Sub(model.Instant(since))
--- a/sidecar/inflight.go
+++ b/sidecar/inflight.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// inHand counts the callers' requests in hand. Once it has ended, no further request is
-// passed on, so that none arrives between the check that nothing is in hand and the closing
-// of the connections. It is safe for concurrent use.
+// inHand counts the callers' requests in flight. Once closed, it admits no further request,
+// so that none can start between the check that nothing is in flight and the closing of the
+// connections. It is safe for concurrent use.
 type inHand struct {
 	mu    sync.Mutex
 	n     int
 	ended bool
 }
 
-// begin counts a request, and reports whether it may be passed on.
+// begin counts a request and reports whether it may be forwarded.
 func (h *inHand) begin() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -22,22 +22,22 @@
 	return true
 }
 
-// done notes that a request is no longer in hand.
+// done marks a request as completed.
 func (h *inHand) done() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.n--
 }
 
-// count returns how many requests are in hand.
+// count returns the number of requests in flight.
 func (h *inHand) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.n
 }
 
-// endIdle ends it if no request is in hand and nothing else is under way either, and
-// reports whether it has ended.
+// endIdle stops admitting requests if none is in flight and nothingElse confirms that no
+// other work is left. It reports whether admission has stopped.
 func (h *inHand) endIdle(nothingElse func() bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,7 +45,7 @@
 	return h.ended
 }
 
-// end ends it, whatever is in hand.
+// end stops admitting requests, even if some are in flight.
 func (h *inHand) end() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -15,23 +15,24 @@
 	"github.com/dottereltiller/dottereltiller/pause"
 )
 
-// announcePause bounds the pause between two tries to join once other daemons are known:
-// the own entry serves those that start later.
+// maxAnnounceBackoff bounds the pause between two attempts to write the directory entry once
+// other daemons are known: the entry then only serves daemons that start later.
 const maxAnnounceBackoff = 5 * time.Second
 
-// joiner makes the daemon known and finds the others. It is a part of the daemon.
+// joiner enters this daemon into the directory, finds the other daemons, and marks this one
+// as ready.
 type joiner struct {
 	d *Daemon
-	// written tells that the own entry is in the directory, listed that the entries have
-	// been read since.
+	// announced is set once the directory holds the entry of this daemon, listed once all
+	// entries have been read after that.
 	announced bool
 	listed    bool
 }
 
-// String names the part.
+// String implements fmt.Stringer. The supervisor logs this name.
 func (j *joiner) String() string { return "joiner" }
 
-// Serve joins once, and returns when the daemon is ready.
+// Serve joins once. It returns when the daemon is ready, and is not restarted.
 func (j *joiner) Serve(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { j.discoverUpstream(ctx) })
@@ -41,7 +42,7 @@
 	return suture.ErrDoNotRestart
 }
 
-// announce joins, again and again until the store has taken it.
+// announce repeats announceAndList until it succeeds.
 func (j *joiner) announce(ctx context.Context) {
 	backoff := pause.Doubling{Min: minSyncBackoff, Max: maxPause}
 	for {
@@ -60,9 +61,10 @@
 	}
 }
 
-// join writes the own entry unless it is there, and reads all entries after that, so that
-// of two daemons that start together the later one sees the earlier. The entry of an
-// earlier life serves as well. It goes on where the last try ended.
+// announceAndList writes the directory entry of this daemon unless it is there, and then
+// reads all entries: of two daemons that start together, the later one is certain to see the
+// earlier one. An entry that the previous incarnation wrote is still valid. After a failure,
+// the next call resumes at the step that failed.
 func (j *joiner) announceAndList(ctx context.Context) error {
 	var err error
 	if !j.announced && !j.d.opts.First {
@@ -80,7 +82,7 @@
 	return err
 }
 
-// list reads all entries.
+// list reads all directory entries.
 func (j *joiner) list(ctx context.Context) error {
 	list, err := j.d.opts.Directory.List(ctx)
 	if err != nil {
@@ -94,8 +96,9 @@
 	return nil
 }
 
-// discover asks the own upstream who it is, unless it reports first. Others are
-// heard first, as they remember whether it was leaving.
+// discoverUpstream asks the local upstream for its identity, unless the upstream reports
+// first. It first waits for an exchange with another daemon, as others remember whether the
+// upstream was leaving.
 func (j *joiner) discoverUpstream(ctx context.Context) {
 	if j.d.opts.First {
 		return
@@ -110,6 +113,7 @@
 	}
 }
 
+// awaitPeer waits for the first exchange with another daemon, at most for the timeout.
 func (j *joiner) awaitPeer(ctx context.Context, timeout time.Duration) {
 	select {
 	case <-j.d.peers.firstContact:
@@ -118,7 +122,7 @@
 	}
 }
 
-// becomeReady waits until requests can be served.
+// becomeReady marks the daemon as ready once it can serve requests.
 func (j *joiner) becomeReady(ctx context.Context) {
 	j.awaitPeer(ctx, readinessWait)
 	time.AfterFunc(readinessWait, j.d.peers.announceOnce)
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -8,17 +8,17 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// size returns the number of daemons known, this one included.
+// size returns the number of known daemons, this one included.
 func (p *peers) size() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.all) + 1
 }
 
-// startedWithin returns the number of daemons known, this one included, and the part
-// of them that has started within a span, by their own clocks. One whose clock is ahead
-// by more than the span counts as started long ago, one that is listed and has not been
-// heard of as started.
+// startedWithin returns the number of known daemons, this one included, and the share of them
+// that started within the span according to their own clocks. A daemon whose clock is ahead
+// by more than the span counts as started long ago. A daemon that is listed but has not been
+// heard of counts as just started.
 func (p *peers) startedWithin(span time.Duration) (daemons int, share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +41,7 @@
 	return daemons, float64(started) / float64(daemons)
 }
 
-// members returns the daemons that are not lost.
+// members returns the daemons that are reachable.
 func (p *peers) members() []gossip.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,9 +54,9 @@
 	return out
 }
 
-// neighbours returns the addresses of the daemons of the own zone that can be reached and
-// go on running, this one among them, and the number of zones. It returns nothing where
-// that is as of a generation.
+// zoneMembers returns the addresses of the daemons of the local zone that are reachable and
+// not stopping, this one included, the number of zones, and the current generation. It
+// returns no addresses if the given generation is still current.
 func (p *peers) zoneMembers(generation uint64) (addresses []string, zones int, current uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +79,7 @@
 	return addresses, len(seen), p.generation
 }
 
-// near returns the other daemons of the own zone that are not lost.
+// zonePeers returns the other daemons of the local zone that are reachable.
 func (p *peers) zonePeers() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,11 +92,11 @@
 	return out
 }
 
-// far reports whether a daemon is of another zone.
-func (p *peers) inOtherZone(address string) bool {
+// inRemoteZone reports whether a daemon is known to be in a remote zone.
+func (p *peers) inRemoteZone(address string) bool {
 	r, ok := p.of(address)
 	return ok && r.Zone != p.own.Zone
 }
 
-// drawInt draws from 0 to n-1.
+// randomInt returns a random number from 0 to n-1.
 func randomInt(n int) int { return rand.IntN(n) }
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -16,39 +16,39 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// The paths between daemons besides calls, which carry callHeader.
+// The paths of requests between daemons. Calls, which use the path of the caller's request,
+// are recognized by callHeader instead.
 const (
 	pathSync   = "/sync"
 	pathSettle = "/settle"
 	pathConfig = "/config"
 )
 
-// syncMessage exchanges records between two daemons, as question and answer.
+// syncMessage is both request and response of an exchange of records between two daemons.
 type syncMessage struct {
 	From Record `json:"f"`
-	// Full asks for all records; Known brings them.
+	// Full requests all records of the receiver; Known carries records.
 	Full    bool          `json:"w,omitempty"`
 	Known   []Record      `json:"k,omitempty"`
 	Version model.Version `json:"v"`
 }
 
 const (
-	// maxSync bounds a message between daemons, in bytes: 300 bytes a record for
-	// some thousand daemons.
+	// maxSyncBytes bounds a syncMessage: 300 bytes per record for several thousand daemons.
 	maxSyncBytes = 4 << 20
 )
 
-// StatusError is an answer of another daemon that is no success.
+// StatusError is a response of another daemon with an unexpected status.
 type StatusError struct {
 	Path   string
 	Status int
 }
 
-// Error names the path and the status.
+// Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: answered %d", e.Path, e.Status) }
 
-// sendSync sends a message in JSON and reads the reply. The error is a *hop.LostError where
-// the daemon was not reached, and a *StatusError where it refused.
+// sendSync sends a message and returns the reply. The error is a *hop.LostError if the daemon
+// was not reached, and a *StatusError if it rejected the message.
 func sendSync(ctx context.Context, pool *hop.Pool, m syncMessage) (reply syncMessage, err error) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -64,7 +64,8 @@
 	return reply, json.Unmarshal(r.Body, &reply)
 }
 
-// readMessage reads a message of at most so many bytes, or refuses it.
+// readMessage decodes a request body of at most maxBytes. If that fails, it responds with
+// status 400 and returns false.
 func readMessage(w http.ResponseWriter, r *http.Request, maxBytes int64, m any) bool {
 	err := json.NewDecoder(io.LimitReader(r.Body, maxBytes)).Decode(m)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return err == nil
 }
 
-// writeMessage answers with a message.
+// writeMessage responds with a message in JSON.
 func writeMessage(w http.ResponseWriter, m any) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -83,59 +84,60 @@
 	_, _ = w.Write(body)
 }
 
-// peerHost is the Host of messages between daemons, which none looks at.
+// peerHost is the Host header of requests between daemons. Receivers ignore it.
 const peerHost = "-"
 
-// exchangePeer asks another daemon within syncTimeout and returns its answer, whatever its
-// status. The error is a *hop.LostError.
+// requestPeer sends a request to another daemon and returns the response, whatever its
+// status. It takes at most syncTimeout. The error is a *hop.LostError.
 func requestPeer(ctx context.Context, pool *hop.Pool, method, path string, body []byte) (*hop.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	return pool.Do(ctx, hop.Exchange{Method: method, Target: path, Host: peerHost, Header: http.Header{}, Body: body})
 }
 
-// settleQuestion asks a guard what became of an attempt.
+// settleQuestion asks a guard to resolve the outcome of an attempt.
 type settleQuestion struct {
 	key string
 	// life is the incarnation of the daemon that the attempt was sent to.
 	life int64
-	// left is the time that the attempt had when it was sent.
+	// left is the time that remained until the deadline of the attempt when it was sent.
 	left time.Duration
 }
 
-// The parameters of a settleQuestion.
+// The query parameters of a settleQuestion.
 const (
-	settleKeyParam         = "key"
-	settleIncarnationParam = "life"
-	settleTimeLeftParam    = "left-ms"
+	resolveKeyParam         = "key"
+	resolveIncarnationParam = "life"
+	resolveTimeLeftParam    = "left-ms"
 )
 
 func (q settleQuestion) encode() string {
 	v := url.Values{}
-	v.Set(settleKeyParam, q.key)
-	v.Set(settleIncarnationParam, strconv.FormatInt(q.life, 10))
-	v.Set(settleTimeLeftParam, strconv.FormatInt(q.left.Milliseconds(), 10))
+	v.Set(resolveKeyParam, q.key)
+	v.Set(resolveIncarnationParam, strconv.FormatInt(q.life, 10))
+	v.Set(resolveTimeLeftParam, strconv.FormatInt(q.left.Milliseconds(), 10))
 	return v.Encode()
 }
 
-func decodeSettleRequest(v url.Values) (settleQuestion, error) {
-	n, err := numbers(v.Get(settleIncarnationParam), v.Get(settleTimeLeftParam))
+func decodeResolveRequest(v url.Values) (settleQuestion, error) {
+	n, err := numbers(v.Get(resolveIncarnationParam), v.Get(resolveTimeLeftParam))
 	if err != nil {
 		return settleQuestion{}, err
 	}
-	return settleQuestion{key: v.Get(settleKeyParam), life: n[0], left: time.Duration(n[1]) * time.Millisecond}, nil
+	return settleQuestion{key: v.Get(resolveKeyParam), life: n[0], left: time.Duration(n[1]) * time.Millisecond}, nil
 }
 
-// settleSilence is how long the question of a settlement may go without a sign that it
-// has arrived: it is given up then, as its connection may be silent for good.
-const settleArrivalTimeout = 500 * time.Millisecond
+// resolveArrivalTimeout is how long a settleQuestion may go without a sign that it has
+// arrived. After that it is abandoned, as its connection may never deliver anything.
+const resolveArrivalTimeout = 500 * time.Millisecond
 
-// askSettle asks a guard over a new connection what became of an attempt, and
-// withdraws it if it has not started. It reports false when the guard was not reached.
+// askSettle asks a guard, over a new connection, to resolve the outcome of an attempt: the
+// guard cancels the attempt if it has not started. It returns false if the guard was not
+// reached.
 func askSettle(ctx context.Context, pool *hop.Pool, q settleQuestion) (*Answer, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	arrivalTimer := time.AfterFunc(settleArrivalTimeout, cancel)
+	arrivalTimer := time.AfterFunc(resolveArrivalTimeout, cancel)
 	defer arrivalTimer.Stop()
 	r, err := pool.Do(ctx, hop.Exchange{
 		Method: http.MethodPost, Target: pathSettle + "?" + q.encode(), Host: peerHost,
@@ -147,31 +149,32 @@
 	return answerOf(r), true
 }
 
-// answerOf reads a call's answer from the response of another daemon.
+// answerOf decodes the result of a call from the response of another daemon.
 func answerOf(r *hop.Reply) *Answer {
-	a, err := decodeAnswer(r.Header.Get(callHeader))
+	result, err := decodeAnswer(r.Header.Get(callHeader))
 	if err != nil {
 		return unknown(outcome.ReasonConnectionLost)
 	}
-	a.Status, a.Header, a.Body = r.Status, endToEnd(r.Header), r.Body
-	return a
+	result.Status, result.Header, result.Body = r.Status, endToEnd(r.Header), r.Body
+	return result
 }
 
-// writePeerAnswer answers another daemon.
-func writePeerAnswer(w http.ResponseWriter, method string, a *Answer) {
+// writePeerResult responds to another daemon with the result of a call.
+func writePeerResult(w http.ResponseWriter, method string, result *Answer) {
 	h := w.Header()
-	if a.Outcome.Kind != outcome.Answered {
-		h.Set(callHeader, a.encode())
+	if result.Outcome.Kind != outcome.Answered {
+		h.Set(callHeader, result.encode())
 		h["Date"] = nil
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	copyHeader(h, a.Header)
-	h.Set(callHeader, a.encode())
-	writeWhole(w, method, a)
+	copyHeader(h, result.Header)
+	h.Set(callHeader, result.encode())
+	writeWhole(w, method, result)
 }
 
-// copyHeader copies headers and keeps the server from adding some of its own.
+// copyHeader copies a header, and prevents net/http from adding a Date or Content-Type that
+// the source does not have.
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
 		dst[name] = values
@@ -183,14 +186,14 @@
 	}
 }
 
-// writeWhole writes status and body with the body's length.
-func writeWhole(w http.ResponseWriter, method string, a *Answer) {
-	if method != http.MethodHead && bodyAllowed(a.Status) {
-		w.Header().Set("Content-Length", fmt.Sprint(len(a.Body)))
+// writeWhole writes the status and the body, with the Content-Length.
+func writeWhole(w http.ResponseWriter, method string, result *Answer) {
+	if method != http.MethodHead && bodyAllowed(result.Status) {
+		w.Header().Set("Content-Length", fmt.Sprint(len(result.Body)))
 	}
-	w.WriteHeader(a.Status)
-	if method != http.MethodHead && len(a.Body) > 0 {
-		_, _ = w.Write(a.Body)
+	w.WriteHeader(result.Status)
+	if method != http.MethodHead && len(result.Body) > 0 {
+		_, _ = w.Write(result.Body)
 	}
 }
 
@@ -198,10 +201,10 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// peerHandler serves other daemons.
+// peerHandler handles requests from other daemons.
 type peerHandler struct{ d *Daemon }
 
-// ServeHTTP answers a call or a message.
+// ServeHTTP implements http.Handler.
 func (p peerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if encoded := r.Header.Get(callHeader); encoded != "" {
 		p.call(w, r, encoded)
@@ -212,7 +215,7 @@
 	case pathSync:
 		p.sync(w, r)
 	case pathSettle:
-		p.settle(w, r)
+		p.resolve(w, r)
 	case pathConfig:
 		p.config(w, r)
 	default:
@@ -220,19 +223,19 @@
 	}
 }
 
-// settle tells what became of an attempt. A daemon that started later at the address of
-// the one that was sent the attempt knows nothing of it.
-func (p peerHandler) settle(w http.ResponseWriter, r *http.Request) {
-	q, err := decodeSettleRequest(r.URL.Query())
+// resolve responds with the outcome of an attempt. If the attempt was sent to a previous
+// daemon at this address, the outcome is unknown here.
+func (p peerHandler) resolve(w http.ResponseWriter, r *http.Request) {
+	q, err := decodeResolveRequest(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if q.life != p.d.peers.self().Incarnation {
-		writePeerAnswer(w, r.Method, unknown(outcome.ReasonConnectionLost))
+		writePeerResult(w, r.Method, unknown(outcome.ReasonConnectionLost))
 		return
 	}
-	writePeerAnswer(w, r.Method, p.runAcknowledged(w, "", func() *Answer {
+	writePeerResult(w, r.Method, p.runAcknowledged(w, "", func() *Answer {
 		return p.d.guard.finish(p.d.guard.attempts.settle(r.Context(), q.key, q.left))
 	}))
 }
@@ -245,7 +248,7 @@
 	}
 	body, err := p.d.bodies.read(r.Body)
 	if errors.Is(err, errNoRoom) || errors.Is(err, errTooLarge) {
-		writePeerAnswer(w, r.Method, p.d.guard.finish(notRun(outcome.ReasonNoMemory)))
+		writePeerResult(w, r.Method, p.d.guard.finish(notRun(outcome.ReasonNoMemory)))
 		return
 	}
 	if err != nil {
@@ -253,23 +256,23 @@
 	}
 	defer body.release()
 	c.Method, c.Target, c.Host, c.Header, c.Body = r.Method, r.RequestURI, r.Host, r.Header, body.bytes
-	writePeerAnswer(w, r.Method, p.runAcknowledged(w, c.ID, func() *Answer { return p.d.guard.Do(r.Context(), c) }))
+	writePeerResult(w, r.Method, p.runAcknowledged(w, c.ID, func() *Answer { return p.d.guard.Do(r.Context(), c) }))
 }
 
-// acknowledgeAfter is how long a call may take before its sender is told that it
-// has arrived. A sender that hears nothing for ackWait takes the link for broken.
+// acknowledgeAfter is how long a call may take before its sender is told that it has arrived.
+// A sender that hears nothing for ackWait considers the link broken.
 const acknowledgeAfter = 10 * time.Millisecond
 
-// acknowledged waits for an answer, and sends an informational response when that
-// takes a while.
+// runAcknowledged runs do and returns its result. If that takes longer than acknowledgeAfter,
+// it first sends an informational response (status 102).
 func (p peerHandler) runAcknowledged(w http.ResponseWriter, request string, do func() *Answer) *Answer {
 	done := make(chan *Answer, 1)
 	go func() { done <- contain(request, p.d.panicked, do) }()
 	timer := time.NewTimer(acknowledgeAfter)
 	defer timer.Stop()
 	select {
-	case a := <-done:
-		return a
+	case result := <-done:
+		return result
 	case <-timer.C:
 		w.WriteHeader(http.StatusProcessing)
 		return <-done
@@ -291,7 +294,7 @@
 	p.d.behind(m.From.Address, m.Version)
 	reply := syncMessage{From: p.d.peers.self(), Version: p.d.config.version()}
 	if previous.Sequence > 0 {
-		// The sender may have started anew and forgotten what it knew.
+		// The sender may have restarted and lost its state.
 		reply.Known = append(reply.Known, previous)
 	}
 	if m.Full {
--- a/sidecar/panics.go
+++ b/sidecar/panics.go
@@ -33,11 +33,11 @@
 // contain returns what do returns. Net/http recovers panics of its own goroutines only: one
 // in another goroutine would end the process, and with it every request in hand. Here it
 // costs the request, which may have run.
-func contain(request string, panicked func(part, request string, v any), do func() *Answer) (a *Answer) {
+func contain(request string, panicked func(part, request string, v any), do func() *Answer) (result *Answer) {
 	defer func() {
 		if v := recover(); v != nil {
 			panicked(attemptPart, request, v)
-			a = unknown(outcome.ReasonInternal)
+			result = unknown(outcome.ReasonInternal)
 		}
 	}()
 	return do()
--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// learnedAlone is how many upstreams that are first known to be ready within
-	// learnedSpan have lines of their own. Where a whole deployment starts, lines for
-	// every pair of daemons would tell what each upstream's own daemon tells anyway.
+	// maxLearnedLines is how many upstreams get a log line of their own when they are first
+	// known to be ready within learnedWindow. When a whole deployment starts, a line for
+	// every pair of daemons would only repeat what the daemon of each upstream logs itself.
 	maxLearnedLines = 16
 	learnedWindow   = time.Second
-	// maxMissing bounds the daemons that one line names.
+	// maxNamedPeers bounds the daemons that one log line names.
 	maxNamedPeers = 16
 )
 
-// learned bounds the lines about upstreams that are first known to be ready.
+// learnedLimiter limits the log lines about upstreams that are first known to be ready.
 type learnedLimiter struct {
-	// since is when the span began, in which so many have had lines of their own.
+	// windowStart is when the current window began, and lines how many upstreams have been
+	// logged individually in it.
 	windowStart model.Instant
 	lines       int
-	// rest is how many have had none and wait for a line on all of them.
+	// unlogged counts the upstreams that got no line of their own and will be covered by one
+	// summary line.
 	unlogged int
 }
 
-// admit reports whether an upstream has a line of its own.
+// allow reports whether an upstream gets a log line of its own.
 func (l *learnedLimiter) allow(now model.Instant) bool {
 	if now.Sub(l.windowStart) >= learnedWindow {
 		l.windowStart, l.lines = now, 0
@@ -42,9 +44,9 @@
 	return true
 }
 
-// tellState writes that another belief is held of a peer's upstream. Only the first news
-// that an upstream is ready may share a line; what takes one away, or changes what was
-// known of it, has its own. p.mu is held.
+// logPeerState logs a change of the known state of a peer's upstream. Only the first report
+// that an upstream is ready may go into a summary line; a line is written for every other
+// change. The caller holds p.mu.
 func (p *peers) logPeerState(previous, current *Record) {
 	firstReady := previous.Upstream == (lifecycle.Incarnation{}) && current.State == lifecycle.Ready && !current.Stopping
 	if firstReady && !p.learned.allow(p.now()) {
@@ -59,9 +61,9 @@
 		slog.String("state", current.State.String()), slog.Bool("stopping", current.Stopping))
 }
 
-// tellLearned writes one line on the upstreams that had none of their own. It names the
-// daemons of which nothing is known yet: what is known of the others follows from their
-// own lines.
+// logLearned writes one summary line for the upstreams that got no line of their own. It
+// names the peers whose upstreams are still unknown: the state of all others is known from
+// their own lines.
 func (p *peers) logLearned() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
