--- a/sidecar/abort_test.go
+++ b/sidecar/abort_test.go
@@ -13,14 +13,14 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestAnswersBeingWrittenAreInHand guards against a request that was passed on and whose
-// connection a stopping daemon closes while its answer is still in net/http's buffer.
+// TestBufferedResponsesAreInFlight guards against a stopping daemon that closes a connection
+// while the response to a forwarded request is still in net/http's buffer.
 func TestBufferedResponsesAreInFlight(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	next, closed := m.callers.http.Handler, make(chan bool, 1)
 	m.callers.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(w, r)
-		// What is small is written only after the handler.
+		// net/http flushes a small response only after the handler has returned.
 		closed <- m.closeIfIdle()
 	})
 	caller := dialCallers(t, m)
@@ -28,11 +28,12 @@
 	_, err := caller.answer()
 	require.NoError(t, err)
 	require.Len(t, m.up.requests(), 1)
-	require.False(t, <-closed, "its answer is not written yet")
+	require.False(t, <-closed, "the response is not written yet")
 }
 
-// TestPeerAnswersBeingWrittenAreInHand guards against another daemon that loses the answer to
-// a call which has run: the connection is closed between the end of the run and the answer.
+// TestBufferedPeerResponsesAreInFlight guards against another daemon losing the result of a
+// call that has run, because the connection is closed between the end of the run and the
+// response.
 func TestBufferedPeerResponsesAreInFlight(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
@@ -46,17 +47,17 @@
 	})
 	status, _ := a.get(t, "/unsafe/")
 	require.Equal(t, http.StatusOK, status)
-	require.False(t, <-closed, "the answer is not written yet")
+	require.False(t, <-closed, "the response is not written yet")
 }
 
-// TestNothingIsPassedOnOnceRequestsAreGivenUp guards against a request that starts at an
-// upstream after the daemon has given up what is in hand, only to be cut at once.
+// TestNoRequestIsForwardedAfterAbort guards against a request that is sent to an upstream
+// after the daemon has aborted the requests in flight, only to be cancelled at once.
 func TestNoRequestIsForwardedAfterAbort(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	caller := dialCallers(t, m)
 	_, err := io.WriteString(caller.conn, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nT-Id: one\r\nT-Deadline: 5000\r\nContent-Length: 2\r\n\r\nx")
 	require.NoError(t, err)
-	eventually(t, "it is in hand", func() bool { return m.requests.count() == 1 })
+	eventually(t, "the request is in flight", func() bool { return m.requests.count() == 1 })
 	m.requests.end()
 	original := m.ending
 	defer func() { m.ending = original }()
@@ -67,16 +68,16 @@
 	resp, err := caller.answer()
 	require.NoError(t, err)
 	require.Empty(t, m.up.requests())
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "it has not run")
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "the request has not run")
 }
 
-// TestAnswersAtHandAreDeliveredAtTheEnd guards against an upstream's answer that is replaced
-// by a failure, as it came while the daemon gave up what is in hand.
+// TestReceivedResponsesAreDeliveredDuringAbort guards against a response of an upstream that
+// is replaced by an error because it arrived while the daemon aborted the requests in flight.
 func TestReceivedResponsesAreDeliveredDuringAbort(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	s := m.entry.service("a")
 	table := m.config.table()
-	eventually(t, "the configuration", func() bool { table = m.config.table(); return table != nil })
+	eventually(t, "a configuration is in force", func() bool { table = m.config.table(); return table != nil })
 	rt, ok := table.Lookup("h", "/safe/")
 	require.True(t, ok)
 	original := m.ending
@@ -97,13 +98,13 @@
 	}
 }
 
-// TestIdleTimersKeepAPromiseThatCameAsTheyFired guards against an idle connection that is
-// closed though callers have been promised a longer time: its timer had fired and waited for
-// the lock under which the promise came.
+// TestFiredIdleTimerRespectsLongerTimeout guards against closing an idle connection after
+// callers were told a longer idle timeout: the timer had fired and was waiting for the lock
+// under which the timeout was extended.
 func TestFiredIdleTimerRespectsLongerTimeout(t *testing.T) {
 	s, conn, idle := newServerWithIdleConn(t)
-	require.True(t, idle.timer.Stop(), "as if it had fired")
+	require.True(t, idle.timer.Stop(), "stands for a timer that has fired")
 	s.setLimits(route.Limits{IdleTimeout: 2 * time.Hour})
 	s.closeIdle(conn, idle)
-	require.NoError(t, conn.SetDeadline(time.Time{}), "it may be idle for another hour")
+	require.NoError(t, conn.SetDeadline(time.Time{}), "the connection may stay idle for another hour")
 }
--- a/sidecar/addresses_test.go
+++ b/sidecar/addresses_test.go
@@ -8,7 +8,7 @@
 	"github.com/dottereltiller/dottereltiller/loopback"
 )
 
-// freePort returns an address that nobody listens on.
+// freePort returns a loopback address with a port that nothing listens on.
 func freePort(t testing.TB) string {
 	t.Helper()
 	address, err := loopback.Address()
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// fullAsked returns the peers that are asked for all that they know.
+// pendingFullSyncs returns the peers that are still to be asked for all records.
 func (p *peers) pendingFullSyncs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,7 +25,7 @@
 	return out
 }
 
-// alone returns peers whose goroutines do nothing.
+// isolatedPeers returns peers whose goroutines end at once, as their context is cancelled.
 func isolatedPeers(t *testing.T, zone model.AvailabilityZone) *peers {
 	p := newPeers(Record{Address: "self", Zone: zone}, func() model.Instant { return 1 }, decision.New(decision.Options{Handler: slog.DiscardHandler}))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -34,8 +34,8 @@
 	return p
 }
 
-// TestStartsAskTheirOwnZone starts many daemons with one list of all: they ask daemons of
-// their zone for all that they know, and not the same ones.
+// TestBootstrapPeersAreInLocalZone starts many daemons with the same directory. Each must ask
+// daemons of its own zone for all records, and the load must be spread over them.
 func TestBootstrapPeersAreInLocalZone(t *testing.T) {
 	const daemons, zones, starts = 300, 5, 200
 	var list []Listing
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestAnotherIsAskedInThePlaceOfALostOne has the list name daemons that are gone.
+// TestUnreachableBootstrapPeerIsReplaced has the directory list daemons that no longer exist.
 func TestUnreachableBootstrapPeerIsReplaced(t *testing.T) {
 	p := isolatedPeers(t, "z")
 	p.addListed([]Listing{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -256,8 +256,8 @@
 	// connectionCloseMargin is how long before the end of the grace period the daemon stops
 	// waiting for responses to be written.
 	connectionCloseMargin = 200 * time.Millisecond
-	// answersPollInterval is how often the daemon checks whether connections still wait for
-	// an answer.
+	// responsePollInterval is how often the daemon checks whether connections still wait for
+	// a response.
 	responsePollInterval = time.Millisecond
 )
 
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -20,7 +20,8 @@
 
 func newReader(s string) io.Reader { return strings.NewReader(s) }
 
-// TestServesAcrossDaemons takes a request at a daemon beside another service.
+// TestRequestReachesOtherDaemon sends a request through the daemon of one service to an
+// upstream of another.
 func TestRequestReachesOtherDaemon(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -55,7 +56,8 @@
 	require.Equal(t, "a", a.up.requests()[0].Header.Get("T-Caller"))
 }
 
-// TestRefusals tells what each refusal promises.
+// TestRefusalStatus checks how requests are refused without a configuration, without an
+// upstream and without a route.
 func TestRefusalStatus(t *testing.T) {
 	s := newStore(route.Document{})
 	up := newUpstream(t, "a1")
@@ -70,7 +72,7 @@
 	t.Cleanup(func() { d.tunables.Store(&Tunables{}); cancel(); <-done })
 
 	resp, _ := m.ask(t, http.MethodGet, "/safe/", "")
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration nothing is known to be missing")
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration no route is known to be missing")
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	require.False(t, d.ready.Load())
 
@@ -82,8 +84,8 @@
 	require.Equal(t, http.StatusNotFound, status)
 }
 
-// TestDrainedUpstreamGetsNothing sends to a guard that has acknowledged that its
-// upstream leaves, as an entry does that has not heard of it.
+// TestDrainedUpstreamGetsNoRequest sends a call to a guard that has acknowledged that its
+// upstream leaves, as an entry does that has not learned of it yet.
 func TestDrainedUpstreamGetsNoRequest(t *testing.T) {
 	for name, leave := range map[string]func(m *member){
 		"draining": func(m *member) {
@@ -97,7 +99,7 @@
 			s := newStore(documentOf(1, "b"))
 			b := join(t, s, "b", "b1")
 			leave(b)
-			b.Report(ready("b1", 1, 1, "b")) // a late report changes nothing
+			b.Report(ready("b1", 1, 1, "b")) // stale: must change nothing
 			c := &Call{ID: "x", Method: http.MethodGet, Target: "/safe/", Host: "h", Header: http.Header{},
 				Service: "b", Upstream: lifecycle.Incarnation{ID: "b1", Born: 1}, Idempotent: true, Deadline: time.Second}
 			a := b.guard.Do(t.Context(), c)
@@ -107,7 +109,7 @@
 	}
 }
 
-// TestNonIdempotentRunsOnce has an upstream run a request and lose the answer.
+// TestNonIdempotentIsNotRetried has upstreams run a request and lose the response.
 func TestNonIdempotentIsNotRetried(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -117,19 +119,19 @@
 	b2.up.set(hangUp)
 	for range 5 {
 		status, _ := a.post(t, "/unsafe/")
-		require.Equal(t, http.StatusBadGateway, status, "nothing is promised")
+		require.Equal(t, http.StatusBadGateway, status, "the outcome is unknown")
 	}
 	require.Len(t, append(b1.up.requests(), b2.up.requests()...), 5)
 }
 
-// TestIdempotentIsSentAgain has one of two upstreams lose every answer.
+// TestIdempotentIsRetried has one of two upstreams lose or spoil every response.
 func TestIdempotentIsRetried(t *testing.T) {
 	for name, faulty := range map[string]func(http.ResponseWriter, *http.Request){
-		"hangs up": hangUp,
-		"fails":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
-		"spoils":   func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "without a seal") },
-		"sheds":    shedRequest,
-		"cuts short": func(w http.ResponseWriter, _ *http.Request) {
+		"closes connection": hangUp,
+		"fails":             func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
+		"no seal":           func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "without a seal") },
+		"sheds":             shedRequest,
+		"truncates": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("T-Seal", "x")
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "half")
@@ -147,8 +149,8 @@
 	}
 }
 
-// joinWithBroken returns a daemon of service a that knows two upstreams of service b,
-// of which only b2 does what it should.
+// startWithFaultyUpstream returns a daemon of service a that knows two upstreams of service
+// b, of which only b2 works.
 func startWithFaultyUpstream(t *testing.T, faulty http.HandlerFunc) *member {
 	t.Helper()
 	s := newStore(documentOf(1, "b"))
@@ -161,15 +163,16 @@
 	return a
 }
 
-// allowResends gives a daemon re-sends in plenty, for tests that are not about the budget:
-// one that has just started has few, and a busy processor has them spent on hedges.
+// allowResends raises the retry budget of a daemon, for tests that are not about the budget:
+// a daemon that has just started has a small one, and on a busy processor hedges use it up.
 func (m *member) allowResends() {
 	t := m.opts.Tunables
 	t.Resends.Slack = 100_000
 	m.Reconfigure(t)
 }
 
-// TestNotRunIsSentElsewhere does so also where nothing may run twice.
+// TestUnexecutedRequestIsRetriedElsewhere retries a request that an upstream has not run.
+// That is safe even if the request is not idempotent.
 func TestUnexecutedRequestIsRetriedElsewhere(t *testing.T) {
 	a := startWithFaultyUpstream(t, shedRequest)
 	for range 6 {
@@ -179,7 +182,7 @@
 	}
 }
 
-// TestResendsStayWithinTheBudget answers a service whose upstreams all fail.
+// TestRetriesStayWithinBudget calls a service whose upstreams all fail.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -191,7 +194,7 @@
 	const requests = 60
 	for range requests {
 		status, _ := a.get(t, "/safe/")
-		require.Equal(t, http.StatusInternalServerError, status, "the upstream's own answer is delivered")
+		require.Equal(t, http.StatusInternalServerError, status, "the upstream's own response is delivered")
 	}
 	sent := len(b1.up.requests()) + len(b2.up.requests())
 	require.Greater(t, sent, requests)
@@ -206,7 +209,8 @@
 	return doc
 }
 
-// TestTimeout ends a request at its route's timeout, and its run with it.
+// TestRouteTimeoutCancelsRun checks that the timeout of a route ends the request and cancels
+// it at the upstream.
 func TestRouteTimeoutCancelsRun(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 100*time.Millisecond))
 	b := join(t, s, "b", "b1")
@@ -218,7 +222,8 @@
 	require.Contains(t, []string{"98", "99", "100", "97", "96", "95"}, b.up.requests()[0].Header.Get("T-Deadline"))
 }
 
-// TestCallerLeaves ends an idempotent run at another daemon's upstream.
+// TestCallerDisconnectCancelsRun closes a caller's connection. The idempotent request, which
+// another daemon's upstream runs, must be cancelled.
 func TestCallerDisconnectCancelsRun(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -229,12 +234,12 @@
 	conn, err := net.Dial("tcp", a.opts.Addresses.Callers)
 	require.NoError(t, err)
 	_, _ = fmt.Fprintf(conn, "GET /safe/ HTTP/1.1\r\nHost: h\r\nT-Id: leaver\r\n\r\n")
-	eventually(t, "it runs", func() bool { return len(b.up.requests()) == 1 })
+	eventually(t, "the request runs", func() bool { return len(b.up.requests()) == 1 })
 	require.NoError(t, conn.Close())
 	<-cancelled
 }
 
-// TestStopCutsNothing stops a daemon with a request in hand.
+// TestStopDrainsRequestsInFlight stops a daemon while its upstream runs a request.
 func TestStopDrainsRequestsInFlight(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -249,7 +254,7 @@
 		got, _ := a.get(t, "/safe/")
 		status.Store(int64(got))
 	}()
-	eventually(t, "it runs", func() bool { return len(b.up.requests()) == 1 })
+	eventually(t, "the request runs", func() bool { return len(b.up.requests()) == 1 })
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); b.stop() }()
 	eventually(t, "not ready", func() bool {
@@ -260,7 +265,7 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	})
-	eventually(t, "others choose it only where no other can be", func() bool {
+	eventually(t, "others choose it only as a last resort", func() bool {
 		ups, _ := a.peers.candidates("b")
 		return len(ups) == 0 || len(ups) == 1 && ups[0].Stopping
 	})
@@ -270,8 +275,8 @@
 	<-stopped
 }
 
-// TestIdleConnectionsServeWhileStopping sends a request on a connection that was idle
-// when the daemon was told to stop: it may be on its way already.
+// TestIdleConnectionsAreServedWhileStopping sends a request on a connection that was idle
+// when the daemon was told to stop: such a request may already be on its way.
 func TestIdleConnectionsAreServedWhileStopping(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
@@ -292,16 +297,16 @@
 	require.False(t, ask("one").Close)
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); a.stop() }()
-	eventually(t, "it stops", a.stopping.Load)
-	eventually(t, "others know", func() bool { r, ok := b.peers.of(a.opts.Addresses.Peers); return ok && r.Stopping })
+	eventually(t, "the daemon is stopping", a.stopping.Load)
+	eventually(t, "the other daemon knows", func() bool { r, ok := b.peers.of(a.opts.Addresses.Peers); return ok && r.Stopping })
 	resp := ask("two")
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.True(t, resp.Close, "its caller is told to send no more on it")
+	require.True(t, resp.Close, "the caller must send nothing more on the connection")
 	<-stopped
 }
 
-// silent accepts connections and says nothing, like a daemon behind a link that
-// has gone silent.
+// listenUnresponsive accepts connections and requests and never responds, like a daemon
+// behind a broken link. It counts the requests.
 func listenUnresponsive(t *testing.T, address string) *atomic.Int64 {
 	ln, err := net.Listen("tcp", address)
 	require.NoError(t, err)
@@ -329,7 +334,8 @@
 	return &requests
 }
 
-// TestSilentDaemonIsLeft answers a link that lost everything without a reset.
+// TestUnresponsiveDaemonIsAvoided replaces a daemon by a listener that never responds, as if
+// its link lost all packets without a reset. Requests must reach the other daemon.
 func TestUnresponsiveDaemonIsAvoided(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -345,8 +351,9 @@
 	require.NotEmpty(t, b1.up.requests())
 }
 
-// TestEndedRequestsLeaveNoTrace holds what entries count at upstreams to what is
-// there: a request that timed out, or was answered by a second upstream, is not.
+// TestFinishedRequestsAreNotOutstanding guards against outstanding counts at upstreams that
+// outlive their requests: a request that timed out, or was answered by a second upstream,
+// must no longer count.
 func TestFinishedRequestsAreNotOutstanding(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 300*time.Millisecond))
 	a := join(t, s, "a", "a1")
@@ -363,7 +370,7 @@
 		_, _ = a.post(t, "/unsafe/")
 	}
 	svc := a.entry.service("b")
-	eventually(t, "nothing is left", func() bool {
+	eventually(t, "no request is outstanding", func() bool {
 		svc.mu.Lock()
 		defer svc.mu.Unlock()
 		return svc.placer.Outstanding() == 0
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -13,16 +13,16 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestLateAnswersServeTheNextChoice asks a guard that is further away than the wait, as
-// in another region: the choice goes on without it, and its load is learned when it
-// comes.
+// TestLateLoadRepliesAreRecorded queries a guard that is further away than the timeout
+// allows, for example in another region. The caller goes on without its load, which is
+// recorded when the reply arrives.
 func TestLateLoadRepliesAreRecorded(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait   time.Duration
 		tooFar bool
 	}{
-		"later than the wait":         {time.Millisecond, false},
-		"known to be too far to wait": {time.Hour, true},
+		"later than the timeout":   {time.Millisecond, false},
+		"known to be too far away": {time.Hour, true},
 	} {
 		t.Run(name, func(t *testing.T) { queryDistantGuard(t, c.wait, c.tooFar) })
 	}
@@ -59,18 +59,18 @@
 		require.NoError(t, err)
 	}
 	require.Equal(t, want, <-late)
-	require.Empty(t, late, "an answer is taken once")
+	require.Empty(t, late, "a duplicate reply is ignored")
 }
 
-// TestFarGuardsAreNotSilent asks a guard that is known to be too far away to answer in
-// time: nobody passes it over for that.
+// TestDistantGuardsAreNotMarkedSilent queries a guard that is known to be too far away to
+// reply in time. It must be queried again, unlike a guard that should have replied.
 func TestDistantGuardsAreNotMarkedSilent(t *testing.T) {
 	for name, c := range map[string]struct {
 		trip time.Duration
 		want []string
 	}{
-		"known to be far":               {4 * farWait, []string{"far", "other"}},
-		"near enough, and silent today": {farWait / 4, []string{"other"}},
+		"known to be far":           {4 * farWait, []string{"far", "other"}},
+		"near enough, but no reply": {farWait / 4, []string{"other"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := join(t, newStore(documentOf(1, "a")), "a", "a1")
--- a/sidecar/finallog_test.go
+++ b/sidecar/finallog_test.go
@@ -14,9 +14,9 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// TestRequestsDuringTheLastLinesAreAnswered stops a daemon whose log nobody reads, and uses
-// connections that were kept since before as soon as it starts nothing new itself. Those
-// whose request is passed on to the other daemon get its answer.
+// TestRequestsDuringFinalLogFlushAreAnswered stops a daemon whose log output nobody reads,
+// and sends requests on kept connections as soon as its guard rejects new work. Requests that
+// are then forwarded to the other daemon and run there must be answered.
 func TestRequestsDuringFinalLogFlushAreAnswered(t *testing.T) {
 	const conns, runTime = 20, 150 * time.Millisecond
 	s := newStore(documentOf(1, "a"))
@@ -40,7 +40,7 @@
 		answerWell(w, "b1")
 	})
 	go d.stop()
-	eventually(t, "it starts nothing new", func() bool {
+	eventually(t, "the guard is closed", func() bool {
 		d.guard.mu.Lock()
 		defer d.guard.mu.Unlock()
 		return d.guard.closed
@@ -65,5 +65,5 @@
 			}
 		}
 	}
-	require.Zero(t, lost, "of %d requests ran and got no answer", conns)
+	require.Zero(t, lost, "of %d requests ran and got no response", conns)
 }
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -30,7 +30,7 @@
 	require.Eventually(t, ok, waitLimit, 2*time.Millisecond, what)
 }
 
-// testEdge spells things with headers of its own.
+// testEdge is an Edge with T-* headers.
 type testEdge struct{}
 
 var errNoID = errors.New("no id")
@@ -63,14 +63,14 @@
 
 func (testEdge) Sign(h http.Header, id string) { h.Set("T-Id", id) }
 
-// store stands in for what outlives daemons: configuration and directory.
+// store is an in-memory configuration store and directory.
 type store struct {
 	mu       sync.Mutex
 	doc      route.Document
 	listings map[string]Listing
 	changed  chan struct{}
 	down     bool
-	// written counts the entries that were written to the directory.
+	// announcements counts the calls of Announce.
 	announcements int
 }
 
@@ -103,7 +103,8 @@
 	return nil
 }
 
-// documents keeps the documents that raw stands for: raw is their version.
+// documents maps the raw form of a document, which is only its version and a pointer, to the
+// document.
 var documents sync.Map
 
 func encodeDocument(doc route.Document) []byte {
@@ -112,12 +113,12 @@
 	return []byte(raw)
 }
 
-var errUnreadable = errors.New("cannot be read")
+var errUnreadable = errors.New("unknown document")
 
-// source is a daemon's view of the store.
+// source gives one daemon access to the store.
 type source struct {
 	s *store
-	// cut keeps this daemon from the store.
+	// disconnected makes the store unreachable for this daemon only.
 	disconnected atomic.Bool
 }
 
@@ -189,24 +190,24 @@
 	return nil
 }
 
-// upstream stands in for a server.
+// upstream is a test server in the role of an upstream.
 type upstream struct {
 	id     string
 	server *httptest.Server
-	// silent upstreams do not tell their load. It does not change.
+	// silent suppresses the load header. It does not change.
 	silent bool
-	// handle answers requests; nil answers well.
+	// handle serves requests; nil means answerWell.
 	mu     sync.Mutex
 	handle func(w http.ResponseWriter, r *http.Request)
 	seen   []*http.Request
 	bodies []string
-	// health is the status of the health answer. Zero means 200.
+	// health is the status of the health check. Zero means 200.
 	health int
 }
 
 func newUpstream(t testing.TB, id string) *upstream {
 	u := &upstream{id: id}
-	// Tests close it and expect that nobody answers then.
+	// Tests close this server and expect that nothing else listens on its address then.
 	ln, err := net.Listen("tcp", freePort(t))
 	require.NoError(t, err)
 	u.server = httptest.NewUnstartedServer(u)
@@ -274,7 +275,7 @@
 
 func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// member is a daemon with its upstream.
+// member is a daemon under test and its upstream.
 type member struct {
 	*Daemon
 	up     *upstream
@@ -333,13 +334,13 @@
 	return m
 }
 
-// kill ends the daemon without a word.
+// kill stops the daemon without a grace period.
 func (m *member) kill() {
 	m.tunables.Store(&Tunables{})
 	m.stop()
 }
 
-// knows waits until a daemon has so many candidates of a service.
+// knows waits until the daemon has n candidates for a service.
 func (m *member) knows(t testing.TB, service model.ServiceName, n int) {
 	t.Helper()
 	eventually(t, "candidates", func() bool {
@@ -348,7 +349,8 @@
 	})
 }
 
-// documentOf routes /safe/ and /unsafe/ to a service.
+// documentOf returns a configuration that routes /safe/ (idempotent) and /unsafe/ to a
+// service.
 func documentOf(version model.Version, service model.ServiceName) route.Document {
 	r := func(name string, idempotent bool) route.Route {
 		return route.Route{
@@ -364,7 +366,7 @@
 
 var lastRequestID atomic.Int64
 
-// ask sends a request to a daemon's callers' address.
+// ask sends a request to the daemon's address for callers.
 func (m *member) ask(t *testing.T, method, path, body string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+m.opts.Addresses.Callers+path, nil)
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -32,7 +32,7 @@
 	d       *Daemon
 	targets gossip.Targets
 
-	mu     sync.Mutex
+	mu      sync.Mutex
 	elector *watch.Roster
 	// generation is the peers.generation from which the members of the elector were taken.
 	generation uint64
@@ -47,7 +47,7 @@
 func newFollower(d *Daemon) *follower {
 	return &follower{
 		d: d, targets: gossip.Targets{Zone: d.opts.Zone, Draw: randomInt},
-		elector:       watch.New(d.opts.Addresses.Peers, d.now(), rand.Float64),
+		elector:      watch.New(d.opts.Addresses.Peers, d.now(), rand.Float64),
 		watchStarted: make(chan struct{}),
 	}
 }
--- a/sidecar/follow_test.go
+++ b/sidecar/follow_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestFewDaemonsWatchTheStore has three of the daemons of the only zone do so, and others
-// take over when they end.
+// TestFewDaemonsWatchStore checks that three daemons of a zone watch the store and that
+// others take over when they end.
 func TestFewDaemonsWatchStore(t *testing.T) {
 	const (
 		daemons = 7
@@ -33,7 +33,7 @@
 	for _, m := range all {
 		m.knows(t, "a", daemons)
 	}
-	eventually(t, "few watch", func() bool { return len(watchers(all)) == wanted })
+	eventually(t, "three daemons watch", func() bool { return len(watchers(all)) == wanted })
 	var survivors []*member
 	for _, m := range all {
 		if m.follower.watchesStore() {
@@ -46,10 +46,11 @@
 	for _, m := range survivors {
 		eventually(t, "the new version", func() bool { return m.config.version() == 2 })
 	}
-	eventually(t, "others watch", func() bool { return len(watchers(survivors)) == wanted })
+	eventually(t, "other daemons take over", func() bool { return len(watchers(survivors)) == wanted })
 }
 
-// TestRestartWritesNoEntry has a daemon start again whose entry is in the directory.
+// TestRestartKeepsDirectoryEntry restarts a daemon whose entry is in the directory: it must
+// not write it again.
 func TestRestartKeepsDirectoryEntry(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
--- a/sidecar/idleconns_test.go
+++ b/sidecar/idleconns_test.go
@@ -15,8 +15,8 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestIdleTimerCutsNoRequestInHand sends requests on kept connections at about the time
-// that these are closed as idle: each is answered, or has not been begun.
+// TestIdleTimerCutsNoRequestInFlight sends requests on kept connections at about the moment
+// at which the idle timeout closes them. Every request whose handler starts must be answered.
 func TestIdleTimerCutsNoRequestInFlight(t *testing.T) {
 	const conns, maxOffset, runTime = 400, 4 * time.Millisecond, 50 * time.Millisecond
 	const idleTimeout = 200 * time.Millisecond
@@ -57,5 +57,5 @@
 		})
 	}
 	wg.Wait()
-	require.Zero(t, cut.Load(), "were begun and cut, %d answered", answered.Load())
+	require.Zero(t, cut.Load(), "requests started and got no response; %d were answered", answered.Load())
 }
--- a/sidecar/idledaemons_test.go
+++ b/sidecar/idledaemons_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// processorTime returns what this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
@@ -16,8 +16,8 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkRest measures what daemons that nobody calls spend on each other, once their
-// start is over.
+// BenchmarkIdleDaemons measures the CPU time and the traffic of daemons that serve no
+// requests, after their start-up traffic has settled.
 func BenchmarkIdleDaemons(b *testing.B) {
 	const settleTime, interval = 8 * time.Second, 10 * time.Second
 	for _, daemons := range []int{10, 40} {
--- a/sidecar/massstart_test.go
+++ b/sidecar/massstart_test.go
@@ -11,13 +11,14 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// BenchmarkMassStart starts many daemons at once, in five zones, and reports what each
-// sends until all know each other and comparisons have settled, by kind.
+// BenchmarkMassStart starts many daemons at once in five zones. It reports, by kind of
+// message, the bytes that each sends until all know each other and the anti-entropy protocol
+// has slowed down.
 func BenchmarkMassStart(b *testing.B) {
 	const (
 		zones = 5
-		// reported is how long after its start an upstream reports, and settled how long
-		// comparisons are counted once all know each other.
+		// reportDelay is how long after its start an upstream reports, and settleTime how
+		// long traffic is counted after all daemons know each other.
 		reportDelay = 200 * time.Millisecond
 		settleTime  = 8 * time.Second
 	)
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// metrics are the figures of a daemon.
+// metrics holds the metrics of a daemon.
 type metrics struct {
 	givenBack   tally.Counter
 	probes      tally.Counter
@@ -19,35 +19,37 @@
 	hedged      tally.Counter
 	denied      tally.Counter
 	settled     tally.Counter
-	// cut counts the requests whose connection this daemon closed before the answer.
+	// cut counts the requests whose connection this daemon closed before it had responded.
 	cut tally.Counter
-	// aborted counts panics while requests were served, of handlers and beside them.
+	// panics counts panics while requests were served, in handlers and in the goroutines that
+	// they start.
 	panics   tally.Counter
 	outcomes *telemetry.OutcomeCounter
 	traffic  *traffic
 
-	// latencies holds a histogram for each route, stages one for each stage of a
-	// request and each service.
+	// latencies holds a histogram for each route, stages one for each service and stage of a
+	// request.
 	latencies *timers
 	stages    *timers
 }
 
-// The stages of a request, which name their histograms.
+// The stages of a request. Each name is also the name of a histogram.
 const (
-	// stageChoose ends with the first send.
+	// stageChoose lasts from the arrival of a request until it is sent for the first time.
 	stageChoose = "choose"
-	// stageSend lasts from a send until its answer is back.
+	// stageSend lasts from the start of an attempt until its result arrives.
 	stageSend = "send"
-	// stageGuard is the wait at the guard, stageUpstream the run in the upstream.
+	// stageGuard is the wait in the queue of the guard, stageUpstream the execution in the
+	// upstream.
 	stageGuard    = "guard_wait"
 	stageUpstream = "upstream_run"
-	// stageLoadAge is no stage: how old the figures of load were that decided where
-	// a request went.
+	// stageLoadAge is not a stage of its own but shares the histograms: it is the age of the
+	// load values by which the upstream was chosen.
 	stageLoadAge = "load_age"
 )
 
-// maxTimers bounds the histograms of one set; what is beyond shares one for each
-// name.
+// maxTimers bounds the histograms of a set. Further combinations of labels share one
+// histogram for each name.
 const maxTimers = 256
 
 func newMetrics(scope tally.Scope) *metrics {
@@ -69,15 +71,16 @@
 	}
 }
 
+// upstreamConns counts a new connection to the local upstream.
 func (m *metrics) upstreamConns() { m.connsOpened.Inc(1) }
 
-// answered records how long a request took.
+// answered records the outcome and the duration of a request.
 func (m *metrics) answered(service, route string, o outcome.Outcome, took time.Duration) {
 	m.outcomes.Count(o)
 	m.latencies.Of(timerKey{"latency", service, route}).Record(took)
 }
 
-// stage records how long a stage of a request to a service took.
+// stage records the duration of one stage of a request to a service.
 func (m *metrics) stage(name string, service model.ServiceName, took time.Duration) {
 	m.stages.Of(timerKey{name: name, service: string(service)}).Record(took)
 }
@@ -85,7 +88,7 @@
 // timers is a bounded set of histograms.
 type timers = telemetry.Bounded[timerKey, tally.Timer]
 
-// timerKey names a histogram. One without a route covers all of a service.
+// timerKey identifies a histogram. Without a route, the histogram covers the whole service.
 type timerKey struct{ name, service, route string }
 
 func newTimers(scope tally.Scope) *timers {
@@ -98,7 +101,7 @@
 	})
 }
 
-// other is the key of all that have no histogram of their own.
+// other returns the key of the histogram that is shared once the set is full.
 func (k timerKey) other() timerKey {
 	const other = "other"
 	k.service = other
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// counts returns how many values each histogram holds, by name and tags.
+// timerCounts returns the number of values in each histogram, by name and tags.
 func timerCounts(s tally.TestScope) map[string]int {
 	out := map[string]int{}
 	for _, t := range s.Snapshot().Timers() {
@@ -63,18 +63,19 @@
 		return 0
 	}
 	require.Positive(t, read("config_age_seconds"))
-	eventually(t, "the store is reached", func() bool { return read("config_source_lost_seconds") == 0 })
+	eventually(t, "the store is reachable", func() bool { return read("config_source_lost_seconds") == 0 })
 	require.Zero(t, read("peers_lost_seconds"))
 	s.setDown(true)
-	s.publish(documentOf(1, "b")) // wakes those who wait for a change
-	eventually(t, "the store is lost", func() bool { return read("config_source_lost_seconds") > 0 })
+	s.publish(documentOf(1, "b")) // wakes the sources, which wait for a change
+	eventually(t, "the store is unreachable", func() bool { return read("config_source_lost_seconds") > 0 })
 	s.setDown(false)
-	eventually(t, "the store is reached again", func() bool { return read("config_source_lost_seconds") == 0 })
+	eventually(t, "the store is reachable again", func() bool { return read("config_source_lost_seconds") == 0 })
 	a.peers.missed(b.opts.Addresses.Peers, errStopped)
 	require.Positive(t, read("peers_lost_seconds"))
 }
 
-// controlBytes adds up what members count of a kind, or of all kinds where it is empty.
+// controlBytes sums the bytes that members counted for a kind of message, or for all kinds if
+// it is empty.
 func controlBytes(all []*member, kind, direction string) int64 {
 	var n int64
 	for _, m := range all {
@@ -88,7 +89,7 @@
 	return n
 }
 
-// TestControlIsCountedByKind reads how much daemons that nobody calls told each other.
+// TestControlTrafficIsCountedByKind reads the traffic between daemons that serve no requests.
 func TestControlTrafficIsCountedByKind(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
@@ -103,7 +104,8 @@
 	require.Zero(t, sent("load_question", "sent"))
 }
 
-// TestKindsOfDatagramsAreNamed has every kind that is received counted.
+// TestDatagramKindsAreNamed checks that every kind of datagram with a receiver has a name in
+// the metrics.
 func TestDatagramKindsAreNamed(t *testing.T) {
 	for kind := range receivers {
 		require.Contains(t, kindNames, kind)
--- a/sidecar/options.go
+++ b/sidecar/options.go
@@ -13,159 +13,159 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// Options configure a Daemon.
+// Options configures a Daemon.
 type Options struct {
 	Addresses Addresses
 	Zone      model.AvailabilityZone
-	// First tells that the whole system starts for the first time, so that no
-	// other daemon remembers anything.
+	// First marks the first start of the whole system, when no other daemon can hold state
+	// from earlier.
 	First bool
 	Tunables
-	// BodyBytes bounds the memory for the bodies of the requests in hand. Default:
-	// 64 MiB.
+	// BodyBytes bounds the memory for the bodies of the requests in flight. Default: 64 MiB.
 	BodyBytes int64
-	// Control serves what the own upstream reports.
+	// Control returns the handler for the reports of the local upstream.
 	Control func(Registry) http.Handler
-	// ReadyPath is the path of the readiness answer.
+	// ReadyPath is the path of the readiness check.
 	ReadyPath string
 	Edge      Edge
 	Source    Source
 	Directory Directory
 	Decisions *decision.Log
 	Scope     tally.Scope
-	// Metrics serves the figures. Nil serves none.
+	// Metrics serves the metrics endpoint. Nil disables it.
 	Metrics http.Handler
-	// Logger takes lines of requests and parts. It must not wait for their reader.
+	// Logger receives the log lines of requests and components. It must not block while its
+	// output is not read.
 	Logger *slog.Logger
 }
 
-// Tunables are the options that may change while a daemon runs.
+// Tunables are the options that may change at runtime.
 type Tunables struct {
-	// Service is the service of the own upstream, and so of the callers on this
-	// VM.
+	// Service is the service of the local upstream, and therefore of the callers on this VM.
 	Service model.ServiceName
-	// Resends bounds sends beyond the first of a request over all daemons.
+	// Resends bounds retries and hedges, summed over all daemons.
 	Resends ResendBudget
-	// Grace is the time from the signal to stop to the end.
+	// Grace is the time from the stop signal to the end of the process.
 	Grace time.Duration
 }
 
-// Addresses are where the daemon listens, all as host:port.
+// Addresses holds the addresses that the daemon listens on and that of the local upstream,
+// all as host:port.
 type Addresses struct {
-	// Callers takes the requests of local callers and of the upstream.
+	// Callers accepts the requests of local callers and of the upstream.
 	Callers string
-	// Peers is where other daemons send, and the name of this one among them.
+	// Peers is the address at which other daemons reach this one. It also identifies this
+	// daemon among them.
 	Peers string
-	// PeerBind is where that is taken. Empty means Peers.
+	// PeerBind is the address that is bound for Peers. Empty means Peers itself.
 	PeerBind string
-	// Control takes the reports of the upstream.
+	// Control accepts the reports of the upstream.
 	Control string
-	// Ready answers whether the daemon is ready.
+	// Ready serves the readiness check.
 	Ready string
-	// Metrics serves the figures. Empty means none.
+	// Metrics serves the metrics endpoint. Empty disables it.
 	Metrics string
-	// Upstream is the address of the own upstream.
+	// Upstream is the address of the local upstream.
 	Upstream string
 }
 
-// ResendBudget bounds re-sends to a service: over any Span there are at most
-// Ratio times the requests plus Slack.
+// ResendBudget bounds retries to a service: within any Span, at most Ratio times the number
+// of requests, plus Slack.
 type ResendBudget struct {
 	Ratio float64
 	Slack float64
 	Span  time.Duration
 }
 
-// Edge spells what passes between daemons and the outside.
+// Edge reads and writes the headers that callers and upstreams use.
 type Edge interface {
-	// Attempt reads what a caller says of its request.
+	// Attempt reads the headers of a caller's request.
 	Attempt(h http.Header) (Attempt, error)
-	// Dress replaces, in the headers of a request to an upstream, those that only
-	// daemons set.
+	// Dress sets the headers of a request to an upstream that only daemons may set, replacing
+	// any that the caller sent.
 	Dress(h http.Header, d Dressing)
-	// Read reads what an upstream says beside its response.
+	// Read reads the headers of an upstream's response.
 	Read(status int, h http.Header) Reading
-	// Sign puts the id of the request on an answer that is the daemon's own.
+	// Sign sets the id of the request on a response that the daemon itself made.
 	Sign(h http.Header, id string)
 }
 
-// Attempt is what a caller says of its request.
+// Attempt holds what a caller states about its request.
 type Attempt struct {
-	// ID names this attempt of the caller; no other attempt has it.
+	// ID identifies this attempt of the caller. It is unique.
 	ID string
-	// Deadline is how long the caller waits. Zero means that it does not say.
+	// Deadline is how long the caller waits. Zero means that it is not stated.
 	Deadline time.Duration
 }
 
-// Dressing is what an upstream is told beside the request.
+// Dressing holds what an upstream is told in the headers of a request.
 type Dressing struct {
 	ID string
-	// Deadline is the time that is left.
+	// Deadline is the remaining time.
 	Deadline time.Duration
-	// Caller is the service on whose VM the request began.
+	// Caller is the service on whose VM the request originated.
 	Caller model.ServiceName
-	// Upstream is the only one that may run the request.
+	// Upstream is the only upstream that may run the request.
 	Upstream model.UpstreamID
 }
 
-// Reading is what an upstream says beside its response.
+// Reading holds what the headers of an upstream's response state.
 type Reading struct {
-	// ID is the attempt that the response belongs to. Empty means untold.
+	// ID is the attempt that the response belongs to. Empty means not stated.
 	ID string
-	// NotRun tells that the upstream has not run the request.
+	// NotRun is set if the upstream has not run the request.
 	NotRun bool
-	// Mistaken tells that another upstream than the expected one answered; the
-	// request has not run.
+	// Mistaken is set if another upstream than the expected one responded. The request has
+	// not run.
 	Mistaken bool
-	// Whole tells that the response is as the upstream made it, as far as its
-	// headers show.
+	// Whole is set if, as far as its headers show, the response is as the upstream sent it.
 	Whole bool
-	// Instance is the upstream that answered. Empty means untold.
+	// Instance is the upstream that responded. Empty means not stated.
 	Instance model.UpstreamID
-	// Load is nil when untold.
+	// Load is nil if not stated.
 	Load *UpstreamLoad
 }
 
-// UpstreamLoad is what an upstream says of its load.
+// UpstreamLoad is the load that an upstream reports.
 type UpstreamLoad struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Slow is how long work takes there now, 1 being as usual. Zero means
-	// untold.
+	// Slow is the current service time relative to the usual one, which is 1. Zero means not
+	// reported.
 	Slow float64
 }
 
-// Follower follows the configuration.
+// Follower receives the documents that a Source reads.
 type Follower interface {
-	// Take takes in a document and reports whether it is a configuration.
+	// Take offers a document and reports whether it is a valid configuration.
 	Take(raw []byte, from string) bool
-	// Reachable takes in whether a call to the store succeeded.
+	// Reachable reports whether a call to the store succeeded.
 	Reachable(ok bool)
-	// Await waits until this daemon is to read from the store.
+	// Await blocks until this daemon is elected to read from the store.
 	Await(ctx context.Context) error
 }
 
-// Source brings the configuration.
+// Source reads the configuration from its store.
 type Source interface {
-	// Follow hands every document that it sees to the follower until the context
-	// ends, and tells it what came of each call. Each call waits for the follower's turn.
+	// Follow passes every document that it reads to the follower until the context ends, and
+	// reports the success of each call to the store. It calls Await before each call.
 	Follow(ctx context.Context, f Follower) error
-	// Decode reads a document.
+	// Decode parses a document.
 	Decode(raw []byte) (route.Document, error)
 }
 
-// Directory is where daemons find each other.
+// Directory lets daemons find each other.
 type Directory interface {
-	// Announce writes the own entry.
+	// Announce writes the entry of this daemon.
 	Announce(ctx context.Context, l Listing) error
-	// List returns all entries that can be read.
+	// List returns all entries that can be parsed.
 	List(ctx context.Context) ([]Listing, error)
-	// Remove takes the own entry out.
+	// Remove deletes the entry of this daemon.
 	Remove(ctx context.Context, address string) error
 }
 
-// Listing tells where a daemon is.
+// Listing is the entry of a daemon in the Directory.
 type Listing struct {
 	Address string                 `json:"address"`
 	Zone    model.AvailabilityZone `json:"zone"`
--- a/sidecar/pack.go
+++ b/sidecar/pack.go
@@ -9,17 +9,17 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// maxUnpacked bounds the records of one datagram, in bytes of JSON.
+// maxUnpackedBytes bounds the decompressed records of one datagram, in bytes of JSON.
 const maxUnpackedBytes = 64 << 10
 
-// packDictionary is what records have in common, so that the first one of a datagram is
-// short as well.
+// packDictionary is the preset compression dictionary. It holds text that records have in
+// common, so that even the first record of a datagram compresses well.
 var packDictionary = []byte(`.example","d":[{"id":"i-","born":177,"x":true` +
 	`{"a":"10.0.0.1:7420","i":1770000000000,"n":1,"z":"","s":"","u":{"ID":"i-","Born":1770000000000},"st":2,"sl":6,"c":3000}`)
 
-// packRecords writes records, one JSON value after the other and compressed (RFC 1951),
-// into bodies of datagrams. A record that fits into none is left out: its daemon is asked
-// for it.
+// packRecords encodes records as a sequence of JSON values, compresses them (RFC 1951), and
+// splits them into datagram bodies. A record that does not fit any datagram is left out; it
+// must be fetched from its daemon over a connection.
 func packRecords(records []Record) [][]byte {
 	if len(records) == 0 {
 		return nil
@@ -47,10 +47,11 @@
 	return out.Bytes(), err
 }
 
-// inflaters keeps readers of compressed records, which are large.
+// inflaterPool reuses decompressors, which are large.
 var inflaterPool = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), packDictionary) }}
 
-// unpackRecords reads what packRecords wrote, up to what cannot be read.
+// unpackRecords decodes a body that packRecords made. It returns the records before the first
+// error.
 func unpackRecords(body []byte) []Record {
 	r := inflaterPool.Get().(io.Reader)
 	defer inflaterPool.Put(r)
--- a/sidecar/pack_test.go
+++ b/sidecar/pack_test.go
@@ -13,7 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// recordsOf returns records such as those of a deployment with two services in five zones.
+// sampleRecords returns n records like those of a deployment with two services in five zones.
 func sampleRecords(n int) []Record {
 	out := make([]Record, n)
 	for i := range out {
@@ -28,17 +28,16 @@
 	return out
 }
 
-// TestRecordsTravelCompressed bounds the bytes of records that travel together, and those
-// of a single one, against their JSON.
+// TestPackedRecordsAreCompressed bounds the packed size of records relative to their JSON.
 func TestPackedRecordsAreCompressed(t *testing.T) {
 	for name, c := range map[string]struct {
 		records int
 		share   float64
 	}{
-		"one":               {1, 0.62},
-		"nine of a part":    {9, 0.50},
-		"sixty of a zone":   {60, 0.45},
-		"all three hundred": {300, 0.45},
+		"one record":            {1, 0.62},
+		"nine records":          {9, 0.50},
+		"sixty records":         {60, 0.45},
+		"three hundred records": {300, 0.45},
 	} {
 		t.Run(name, func(t *testing.T) {
 			records := sampleRecords(c.records)
@@ -60,7 +59,8 @@
 	}
 }
 
-// TestRecordsThatFitNoDatagram are left out, and only they.
+// TestOversizedRecordsAreOmitted packs one record that fits no datagram among others: only
+// that one is left out.
 func TestOversizedRecordsAreOmitted(t *testing.T) {
 	records := sampleRecords(20)
 	var longName strings.Builder
@@ -76,7 +76,7 @@
 	require.Empty(t, packRecords(nil))
 }
 
-// TestRecordsThatCannotBeRead takes in whatever arrives.
+// TestUnpackToleratesCorruptData unpacks corrupted and truncated bodies.
 func TestUnpackToleratesCorruptData(t *testing.T) {
 	body := packRecords(sampleRecords(5))[0]
 	rapid.Check(t, func(t *rapid.T) {
--- a/sidecar/panics.go
+++ b/sidecar/panics.go
@@ -11,11 +11,11 @@
 	"github.com/dottereltiller/dottereltiller/inbound"
 )
 
-// attemptPart names, in lines of panics, what runs beside the handlers.
+// attemptPart is the component that log lines name for a panic outside of the handlers, in
+// the goroutine of an attempt.
 const attemptPart = "attempt"
 
-// reportPanics has a handler's panic logged and counted before net/http closes the
-// connection.
+// reportPanics logs and counts the panics of a handler before net/http closes the connection.
 func (d *Daemon) reportPanics(server string, next http.Handler) http.Handler {
 	return inbound.Recover(next, func(r *http.Request, v any) {
 		attempt, _ := d.opts.Edge.Attempt(r.Header)
@@ -23,16 +23,16 @@
 	})
 }
 
-// panicked logs and counts a panic while a request was served.
+// panicked logs and counts a panic that happened while a request was served.
 func (d *Daemon) panicked(part, request string, v any) {
 	d.metrics.panics.Inc(1)
 	d.opts.Decisions.Write(decision.Aborted, request, slog.String("part", part),
 		slog.String("error", fmt.Sprint(v)), slog.String("stack", string(debug.Stack())))
 }
 
-// contain returns what do returns. Net/http recovers panics of its own goroutines only: one
-// in another goroutine would end the process, and with it every request in hand. Here it
-// costs the request, which may have run.
+// contain calls do and returns its result; if do panics, the result is an unknown outcome, as
+// the request may have run. net/http recovers panics only in its own goroutines: a panic in
+// any other goroutine would end the process and with it all requests in flight.
 func contain(request string, panicked func(part, request string, v any), do func() *Answer) (result *Answer) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/sidecar/peerlog_test.go
+++ b/sidecar/peerlog_test.go
@@ -17,14 +17,15 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// told is what a daemon believes of others, and the lines that it wrote about that.
+// loggedPeers is the state of one daemon's peers and the log lines written about them.
 type loggedPeers struct {
 	*peers
 	out bytes.Buffer
 	log *decision.Log
 }
 
-// newTold returns a daemon that is alone so far. It keeps the time of the bubble.
+// newLoggedPeers returns the state of a daemon without peers. It uses the virtual time of the
+// bubble.
 func newLoggedPeers() *loggedPeers {
 	l := &loggedPeers{}
 	l.log = decision.New(decision.Options{Handler: slog.NewJSONHandler(&l.out, nil)})
@@ -36,7 +37,7 @@
 	return l
 }
 
-// lines ends the log and returns its lines by their kinds.
+// closeAndRead closes the log and returns its lines by kind.
 func (l *loggedPeers) closeAndRead(t *testing.T) map[decision.Kind][]map[string]any {
 	t.Helper()
 	l.log.Close(time.Second)
@@ -50,7 +51,8 @@
 	return out
 }
 
-// tells returns the record of a peer in a state. One that is unknown has no upstream yet.
+// stateRecords returns one record, that of peer n with an upstream in state s. For the state
+// Unknown, the record names no upstream.
 func stateRecords(n int, sequence uint64, s lifecycle.State) []Record {
 	r := Record{Address: fmt.Sprintf("d%03d", n), Incarnation: 1, Sequence: sequence, State: s}
 	if s != lifecycle.Unknown {
@@ -59,8 +61,9 @@
 	return []Record{r}
 }
 
-// TestLinesOfAMassStart guards against each daemon of a deployment that starts as a whole
-// writing a line about each other one: their number grew with the square of the daemons.
+// TestMassStartLogsFewLines guards against a number of log lines that grows with the square
+// of the number of daemons: when a whole deployment started, each daemon logged a line about
+// every other one.
 func TestMassStartLogsFewLines(t *testing.T) {
 	for _, daemons := range []int{10, 100, 295, 1700} {
 		bubble.Run(t, func(t *testing.T) {
@@ -91,8 +94,8 @@
 	}
 }
 
-// TestMissingDaemonsAreNamed has a daemon tell whose upstreams it does not know when many
-// have become known.
+// TestDaemonsWithoutKnownUpstreamAreNamed checks that the summary line names the peers whose
+// upstreams are still unknown.
 func TestDaemonsWithoutKnownUpstreamAreNamed(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		l := newLoggedPeers()
@@ -111,7 +114,8 @@
 	})
 }
 
-// TestChangesHaveLinesOfTheirOwn has many known upstreams leave, and daemons stop, at once.
+// TestStateChangesAreLoggedIndividually changes the state of many known upstreams or daemons
+// at once: no change may be folded into a summary line.
 func TestStateChangesAreLoggedIndividually(t *testing.T) {
 	for name, change := range map[string]func(*Record){
 		"drained":     func(r *Record) { r.State = lifecycle.Draining },
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -13,32 +13,34 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// Record is what a daemon tells the others of itself. It is its only writer, and
-// of two records of a daemon the one with the higher (Incarnation, Sequence)
-// holds.
+// Record is the state that a daemon announces about itself and its upstream. Only that daemon
+// writes it. Of two records of a daemon, the one with the higher (Incarnation, Sequence)
+// supersedes the other.
 type Record struct {
 	Address     string                 `json:"a"`
 	Incarnation int64                  `json:"i"`
 	Sequence    uint64                 `json:"n"`
 	Zone        model.AvailabilityZone `json:"z"`
-	// Service, Upstream, State and Slots tell of the upstream beside it.
+	// Service, Upstream, State and Slots describe the upstream beside the daemon.
 	Service  model.ServiceName     `json:"s,omitempty"`
 	Upstream lifecycle.Incarnation `json:"u,omitzero"`
 	State    lifecycle.State       `json:"st,omitempty"`
 	Slots    int                   `json:"sl,omitempty"`
-	// ColdMS is how much longer the upstream is slow after its start.
+	// ColdMS is how many more milliseconds the upstream is expected to be slow after its
+	// start.
 	ColdMS int64 `json:"c,omitempty"`
-	// Stopping tells that the daemon is about to stop. It takes calls where no other can.
+	// Stopping is set while the daemon is about to stop. It still accepts calls if no other
+	// daemon can.
 	Stopping bool `json:"x,omitempty"`
-	// Departed are the last incarnations beside it that left, so that a daemon
-	// that starts anew learns of them from the others.
+	// Departed holds the last incarnations of upstreams beside the daemon that left. If the
+	// daemon restarts, it learns of them from its peers.
 	Departed []lifecycle.Incarnation `json:"d,omitempty"`
 }
 
-// newer reports whether r wins over old.
+// newer reports whether r supersedes old.
 func (r *Record) newer(old *Record) bool { return recordVersionOf(r).supersedes(recordVersionOf(old)) }
 
-// maxTold bounds the departed incarnations in a record.
+// maxDeparted bounds the departed incarnations in a record.
 const maxDeparted = 8
 
 // peer is another daemon.
@@ -46,85 +48,92 @@
 	record    Record
 	coldUntil model.Instant
 	pool      *hop.Pool
-	// due tells that the peer has not got the own record yet, syncing that a
-	// goroutine sees to it.
+	// pushDue is set while the peer does not have the current local record, syncing while a
+	// goroutine runs syncLoop for the peer.
 	pushDue bool
 	syncing bool
-	// full asks for everything that the peer knows.
+	// needsFullSync is set while the peer is to be asked for all of its records.
 	needsFullSync bool
-	// verified is when the peer was last looked at for its silence.
+	// verified is when the peer was last contacted because it had not answered a query.
 	verified model.Instant
-	// lost is set while the peer cannot be reached, since when in lostAt.
+	// lost is set while the peer is unreachable, which began at lostAt.
 	lost   bool
 	lostAt model.Instant
 }
 
 const (
-	// syncTimeout bounds one exchange of records.
+	// syncTimeout bounds one request to another daemon.
 	syncTimeout = 1500 * time.Millisecond
-	// minPause and maxPause bound the pause after a failed exchange. A
-	// daemon that restarts is back within one or two seconds.
+	// minSyncBackoff and maxPause bound the backoff after a failed exchange. A daemon that
+	// restarts is back within one or two seconds.
 	minSyncBackoff = 100 * time.Millisecond
 	maxPause       = 2 * time.Second
-	// lookClosely is how long a lost daemon is looked for with pauses of at most
-	// maxPause, and lookPause bounds them after that. Two regions that lose each other
-	// for minutes must find each other again: neither starts anew, and so neither
-	// would announce itself.
+	// fastRetryPeriod is how long an unreachable daemon is retried with a backoff of at most
+	// maxPause; after that, lookPause bounds the backoff. Retries must go on, because two
+	// regions that lose their connection for minutes have no other way to find each other
+	// again: no daemon restarts, and so none announces itself anew.
 	fastRetryPeriod = time.Minute
 	lookPause       = 15 * time.Second
-	// forgetAfter is how long a daemon is looked for in all.
+	// forgetAfter is how long an unreachable daemon is retried before it is forgotten.
 	forgetAfter = time.Hour
-	// lookers is how many daemons look for one that has stopped as planned, and
-	// lookAfter when they begin: it may be back while the store is away, and then
-	// it knows nobody.
+	// restartCheckers is how many daemons, on average, try to reach a daemon that stopped as
+	// planned, and restartCheckDelay is when they begin. The daemon may restart while the
+	// store is unavailable, and then it knows no other daemon.
 	restartCheckers   = 3
 	restartCheckDelay = 2500 * time.Millisecond
-	// fullAsks is how many daemons a starting one asks for all that they know.
+	// fullAsks is how many daemons a starting daemon asks for all records.
 	fullAsks = 2
-	// relaysPerZone is how many daemons of another zone are told of a change.
+	// relaysPerZone is how many daemons of each remote zone a change is pushed to.
 	relaysPerZone = 2
-	// peerIdle is how long connections between daemons are kept.
+	// peerIdleTimeout is how long idle connections between daemons are kept.
 	peerIdleTimeout = 20 * time.Second
-	// peerDial bounds connecting to a daemon: a few round trips between regions.
-	// One that is cut off does not answer at all.
+	// peerDialTimeout bounds connecting to a daemon: a few round trips between regions. A
+	// daemon that is cut off from the network does not respond at all.
 	peerDialTimeout = 150 * time.Millisecond
 )
 
-// peers holds the records of all daemons. It is safe for concurrent use.
+// peers holds the records of all daemons and keeps them up to date. It is safe for concurrent
+// use.
 type peers struct {
 	now       func() model.Instant
 	decisions *decision.Log
 	version   func() model.Version
-	// behind is told which version of the configuration a daemon has.
+	// onVersion is called with the configuration version that a daemon has.
 	onVersion func(address string, v model.Version)
-	// tellByDatagram sends a record to a daemon without a connection, and reports
-	// whether it was noted.
+	// pushByDatagram sends a record to a daemon without a connection, and reports whether the
+	// daemon acknowledged it.
 	pushByDatagram func(address string, r Record) bool
-	// regained is told that a daemon can be reached again, met that one has answered the
-	// question for all that it knows.
+	// regained is called when a daemon is reachable again, onFullSync when a daemon has
+	// returned all of its records.
 	regained   func()
 	onFullSync func(address string)
-	// restore is told what others remember of the upstreams of this VM.
+	// restoreDeparted is called with the departed upstreams of this VM that other daemons
+	// know of.
 	restoreDeparted func([]lifecycle.Incarnation)
 
-	// draw draws from 0 to 1.
+	// random returns a random number in [0, 1).
 	random func() float64
 
-	mu  sync.Mutex
+	mu sync.Mutex
+	// own is the local record.
 	own Record
-	// before is what others hold of the daemon that had this address before.
+	// predecessor is the record that others hold of the previous daemon at this address.
 	predecessor Record
-	all         map[string]*peer
-	generation  uint64
-	asked       int
-	learned     learnedLimiter
-	// told is set once the own record has been sent to everybody.
+	// all holds the other daemons by address.
+	all map[string]*peer
+	// generation counts the changes to the known daemons, asked those of them that were asked
+	// for all records.
+	generation uint64
+	asked      int
+	learned    learnedLimiter
+	// announced is set once the local record has been pushed to other daemons.
 	announced bool
 	ctx       context.Context
-	// greeted is closed once another daemon has answered, or there is none.
+	// firstContact is closed after the first successful exchange with another daemon, or when
+	// there is no other daemon.
 	firstContact     chan struct{}
 	firstContactOnce sync.Once
-	// listed is closed once the list of daemons has been asked for.
+	// directoryRead is closed after the first attempt to read the directory.
 	directoryRead     chan struct{}
 	directoryReadOnce sync.Once
 }
@@ -143,14 +152,14 @@
 	}
 }
 
-// self returns the own record.
+// self returns the local record.
 func (p *peers) self() Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.own
 }
 
-// update changes the own record and tells everybody.
+// updateLocal changes the local record and announces it.
 func (p *peers) updateLocal(change func(*Record)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,12 +169,12 @@
 	p.announceToAll()
 }
 
-// tellAll sends the own record to the own zone and to relays of the others, which hand it
-// on there. p.mu is held.
+// announceToAll schedules a push of the local record to all daemons of the local zone and to
+// relaysPerZone daemons of each remote zone, which relay it there. The caller holds p.mu.
 func (p *peers) announceToAll() {
 	p.announced = true
 	relays := make(map[model.AvailabilityZone]int)
-	// The order of a map differs each time, and so do the relays.
+	// Map iteration starts at a random element, so the relays vary.
 	for _, q := range p.all {
 		zone := q.record.Zone
 		switch {
@@ -178,7 +187,7 @@
 	}
 }
 
-// introduce sends the own record to everybody unless that has been done.
+// announceOnce announces the local record unless that has already happened.
 func (p *peers) announceOnce() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +196,9 @@
 	}
 }
 
-// heardFrom takes in that a daemon has asked for the own record, and so gets it.
+// handlePull handles an exchange that another daemon started. The reply carries the local
+// record, so no push to that daemon is due, unless this daemon still needs a full sync from
+// it.
 func (p *peers) handlePull(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,7 +210,7 @@
 	p.regain(q)
 }
 
-// owe has the own record sent to a peer. p.mu is held.
+// owe schedules a push of the local record to a peer. The caller holds p.mu.
 func (p *peers) owe(q *peer) {
 	q.pushDue = true
 	if q.syncing || p.ctx.Err() != nil {
@@ -213,7 +224,7 @@
 	return hop.NewPool(address, hop.PoolOptions{IdleLimit: peerIdleTimeout, DialTimeout: peerDialTimeout})
 }
 
-// merge takes in records and returns those that are news.
+// merge merges received records and returns those that were new.
 func (p *peers) merge(records []Record) []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -231,8 +242,9 @@
 	return newer
 }
 
-// meetSelf takes in what others hold of this daemon. A record of a life that
-// seems later than this one comes from a clock that was ahead. p.mu is held.
+// mergeLocal merges a record of this daemon's address that another daemon holds. If its
+// incarnation is higher than the current one, the clock of the previous incarnation was
+// ahead, and this daemon moves past it. The caller holds p.mu.
 func (p *peers) mergeLocal(r *Record) {
 	if r.Incarnation > p.own.Incarnation {
 		p.own.Incarnation = r.Incarnation + 1
@@ -247,7 +259,8 @@
 	}
 }
 
-// mergeOne takes in a record of another daemon, and reports whether it is news.
+// mergePeer merges a record of another daemon and reports whether it was new. The caller
+// holds p.mu.
 func (p *peers) mergePeer(r *Record) bool {
 	q := p.all[r.Address]
 	if q == nil {
@@ -267,7 +280,7 @@
 	q.coldUntil = p.now().Add(time.Duration(r.ColdMS) * time.Millisecond)
 	p.generation++
 	if restarted {
-		// Its memory of this daemon is gone, and so are the old connections.
+		// The restarted daemon has forgotten this one, and the old connections are dead.
 		q.pool.Close()
 		q.pool = newPeerPool(r.Address)
 		p.startSync(q)
@@ -281,9 +294,9 @@
 	return true
 }
 
-// slotsOf returns the slots of an upstream of this VM that does not tell them itself: as
-// it told the daemon before, else as those of its service tell. Zero means that nobody
-// knows.
+// slotsOf infers the slots of an upstream of this VM that does not report them: the number
+// that it reported to the previous daemon here or, failing that, the largest one among
+// upstreams of the service. Zero means unknown.
 func (p *peers) slotsOf(i lifecycle.Incarnation) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -299,7 +312,7 @@
 	return most
 }
 
-// known returns every record held, the own first.
+// known returns all records held, the local one first.
 func (p *peers) known() []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -312,7 +325,7 @@
 	return records
 }
 
-// of returns the record held of a daemon.
+// of returns the record of a daemon.
 func (p *peers) of(address string) (Record, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -323,7 +336,7 @@
 	return q.record, true
 }
 
-// pool returns the connections to a daemon, nil when it is not known.
+// pool returns the connection pool of a daemon, or nil if the daemon is unknown.
 func (p *peers) pool(address string) *hop.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -13,7 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestLeavingReachesTheOthers has the other daemons choose elsewhere.
+// TestLeavingUpstreamIsAnnounced checks that other daemons no longer choose an upstream that
+// leaves.
 func TestLeavingUpstreamIsAnnounced(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -25,15 +26,16 @@
 	a.knows(t, "b", 1)
 }
 
-// TestConfiguration holds versions to rise, whatever the store shows.
+// TestConfigVersionsOnlyRise publishes older, equal, missing and invalid documents: none may
+// replace the one in force.
 func TestConfigVersionsOnlyRise(t *testing.T) {
 	s := newStore(documentOf(5, "a"))
 	a := join(t, s, "a", "a1")
 	for name, doc := range map[string]route.Document{
-		"an older one":    documentOf(4, "x"),
-		"the same":        documentOf(5, "x"),
-		"none":            {},
-		"one that cannot": {Version: 9, Routes: []route.Route{{Name: "r", Host: "h", Prefix: "no-slash", MaxAttempts: 1}}},
+		"older version":    documentOf(4, "x"),
+		"same version":     documentOf(5, "x"),
+		"no document":      {},
+		"invalid document": {Version: 9, Routes: []route.Route{{Name: "r", Host: "h", Prefix: "no-slash", MaxAttempts: 1}}},
 	} {
 		s.publish(doc)
 		status, _ := a.get(t, "/safe/")
@@ -42,25 +44,24 @@
 	a.config.apply([]byte("unreadable"), "test")
 	require.EqualValues(t, 5, a.config.version())
 	s.publish(documentOf(6, "x"))
-	eventually(t, "the newer one", func() bool { return a.config.version() == 6 })
+	eventually(t, "the newer version is in force", func() bool { return a.config.version() == 6 })
 }
 
-// TestConfigurationComesFromPeers cuts one daemon from the store.
+// TestConfigurationComesFromPeers disconnects one daemon from the store.
 func TestConfigurationComesFromPeers(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
 	b.knows(t, "a", 2)
 	b.source.disconnected.Store(true)
-	s.publish(documentOf(1, "a")) // wakes its source, which finds itself cut
+	s.publish(documentOf(1, "a")) // wakes its source, which then finds the store unreachable
 	time.Sleep(20 * time.Millisecond)
 	s.publish(documentOf(2, "a"))
-	eventually(t, "the new version", func() bool { return b.config.version() == 2 })
+	eventually(t, "the new version is in force", func() bool { return b.config.version() == 2 })
 }
 
-// TestRestartWhileTheStoreIsAway has the others tell a daemon that starts anew
-// what it needs: the configuration, who is there, and that its upstream is
-// leaving.
+// TestRestartWithStoreDown restarts a daemon that must learn everything from its peers: the
+// configuration, the other daemons, and that its upstream is leaving.
 func TestRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -73,7 +74,7 @@
 	a.knows(t, "b", 1)
 	s.setDown(true)
 	b.kill()
-	a.peers.missed(b.opts.Addresses.Peers, errStoreDown) // as a call would notice
+	a.peers.missed(b.opts.Addresses.Peers, errStoreDown) // as a failed call would
 	o := b.opts
 	o.First = false
 	restarted := start(t, o, s)
@@ -82,8 +83,9 @@
 	require.Equal(t, lifecycle.Stale, restarted.Report(ready("b1", 1, 9, "b")))
 }
 
-// TestOwnRecordOutlivesAClockThatWasAhead has a daemon restart with a clock behind
-// that of its former life.
+// TestLocalRecordSurvivesClockSetBack lets peers hold a record of the daemon with an
+// incarnation from a clock that was ahead. The records of the current incarnation must still
+// win.
 func TestLocalRecordSurvivesClockSetBack(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -99,22 +101,23 @@
 	a.knows(t, "b", 1)
 }
 
-// TestVersionsRideOnAsks cuts a daemon from the store in silence: its long read
-// hangs, and nothing tells it that the store is away.
+// TestLoadQueriesCarryConfigVersion guards against a daemon that keeps an old configuration
+// because its long poll of the store hangs without an error: it must learn of the new version
+// from load queries.
 func TestLoadQueriesCarryConfigVersion(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
 	b.knows(t, "a", 2)
-	a.config.apply(encodeDocument(documentOf(2, "a")), "test") // only a hears of it
-	eventually(t, "the new version", func() bool {
+	a.config.apply(encodeDocument(documentOf(2, "a")), "test") // only a learns of it
+	eventually(t, "the new version is in force", func() bool {
 		status, _ := b.get(t, "/safe/")
 		require.Equal(t, http.StatusOK, status)
 		return b.config.version() == 2
 	})
 }
 
-// TestRecordsTravelByDatagram needs no connection to tell of a change.
+// TestRecordsArePushedByDatagram pushes records without a connection.
 func TestRecordsArePushedByDatagram(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
@@ -123,12 +126,12 @@
 	require.True(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, a.peers.self()))
 	old := a.peers.self()
 	old.Incarnation--
-	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, old), "an older record gets no answer")
-	require.False(t, a.datagrams.pushRecord(freePort(t), a.peers.self()), "nobody is there")
+	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, old), "an older record is not acknowledged")
+	require.False(t, a.datagrams.pushRecord(freePort(t), a.peers.self()), "nothing listens there")
 }
 
-// TestNewVersionsSpread has one of several daemons hear of a version, and nobody
-// send a request.
+// TestNewVersionsSpread gives a new version to one of several daemons. All must get it,
+// though nobody sends a request.
 func TestNewVersionsSpread(t *testing.T) {
 	const daemons = 4
 	s := newStore(documentOf(1, "a"))
@@ -141,12 +144,13 @@
 	}
 	all[0].config.apply(encodeDocument(documentOf(2, "a")), "test")
 	for _, m := range all {
-		eventually(t, "the new version", func() bool { return m.config.version() == 2 })
+		eventually(t, "the new version is in force", func() bool { return m.config.version() == 2 })
 	}
 }
 
-// TestPlannedRestartWhileTheStoreIsAway has nobody call the daemon that starts
-// again, as its record says that it has stopped: the others look for it.
+// TestPlannedRestartWithStoreDown restarts a daemon that stopped as planned. Nobody calls it,
+// as its record says that it has stopped, so the other daemons must reconnect to it on their
+// own.
 func TestPlannedRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -161,21 +165,21 @@
 	a.knows(t, "b", 1)
 }
 
-// TestStartedWithin counts the daemons that have started of late, by their clocks.
+// TestStartedWithin checks the share of recently started daemons.
 func TestStartedWithin(t *testing.T) {
 	const (
 		span = 10 * time.Second
-		// onlyListed stands for a daemon that has not been heard of.
+		// onlyListed is the age of a daemon that is listed but has not been heard of.
 		onlyListed = time.Duration(-1)
 	)
 	for name, c := range map[string]struct {
 		ages []time.Duration
 		want float64
 	}{
-		"all of late":              {[]time.Duration{0, time.Second, 5 * time.Second}, 1},
-		"one of three":             {[]time.Duration{time.Minute, time.Second, time.Hour}, 1.0 / 3},
-		"a clock a little ahead":   {[]time.Duration{time.Minute, -5 * time.Second}, 0.5},
-		"a clock an hour ahead":    {[]time.Duration{time.Minute, -time.Hour}, 0},
+		"all recent":               {[]time.Duration{0, time.Second, 5 * time.Second}, 1},
+		"one of three recent":      {[]time.Duration{time.Minute, time.Second, time.Hour}, 1.0 / 3},
+		"clock slightly ahead":     {[]time.Duration{time.Minute, -5 * time.Second}, 0.5},
+		"clock an hour ahead":      {[]time.Duration{time.Minute, -time.Hour}, 0},
 		"alone, started long ago":  {[]time.Duration{time.Hour}, 0},
 		"alone, started right now": {[]time.Duration{0}, 1},
 		"one of three only listed": {[]time.Duration{time.Minute, onlyListed, time.Hour}, 1.0 / 3},
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// crashesToRefuse is how many crashes in which a request ran have it refused.
-	// Two may be chance where upstreams crash for other reasons.
+	// crashesToRefuse is the number of crashes during a request after which the request is
+	// quarantined. Two may be coincidence where upstreams crash for other reasons.
 	crashesToRefuse = 3
-	// refusedFor is how long such a request is refused.
+	// quarantineDuration is how long a request stays in quarantine.
 	quarantineDuration = 10 * time.Minute
-	// gossipTick is how often a daemon looks whether others are to be told of suspects.
+	// gossipTick is how often a daemon checks whether it has suspected requests to send to
+	// others.
 	gossipTick = 100 * time.Millisecond
 )
 
-// suspects keeps requests that crash upstreams from reaching more of them, together
-// with the other daemons. It is a part of the daemon.
+// suspects quarantines requests that crash upstreams, so that they do not reach further
+// upstreams. It shares what it observes with the other daemons.
 type suspects struct {
 	d       *Daemon
 	store   *quarantine.Store
@@ -52,7 +53,7 @@
 	return s
 }
 
-// hint has others told soon.
+// signalChange makes Serve send the changes to other daemons soon.
 func (s *suspects) signalChange() {
 	select {
 	case s.changed <- struct{}{}:
@@ -60,7 +61,7 @@
 	}
 }
 
-// crashed takes in that the own upstream crashed while it ran a request.
+// recordCrash records that the local upstream crashed while it ran a request.
 func (s *suspects) recordCrash(r lostRun) {
 	s.d.opts.Decisions.Write(decision.Suspected, r.id, slog.String("upstream", string(r.upstream.ID)),
 		slog.Int64("born", r.upstream.Born), slog.String("fingerprint", r.print.String()))
@@ -69,8 +70,8 @@
 	})
 }
 
-// refused returns the answer to a request that crashes upstreams, or nil. What others
-// find out later counts from its next attempt on.
+// refused returns the refusal of a quarantined request, nil for any other request. A crash
+// that other daemons report while a request is in flight counts from its next attempt on.
 func (s *suspects) refused(req *request) *Answer {
 	if !s.store.Watching() {
 		return nil
@@ -82,14 +83,16 @@
 	return refuse(outcome.ReasonQuarantined, remaining)
 }
 
-// answered frees a request of suspicion.
+// answered records that an upstream survived a request, which clears the request of
+// suspicion.
 func (s *suspects) answered(req *request) {
 	if s.store.Watching() {
 		s.store.Answered(req.fingerprint())
 	}
 }
 
-// fingerprint returns what the request is known by. It is not safe for concurrent use.
+// fingerprint returns the fingerprint by which the quarantine identifies the request. It is
+// not safe for concurrent use.
 func (r *request) fingerprint() core.Fingerprint {
 	if r.print == nil {
 		f := core.Of(asked(r.service, r.http.Method, r.http.RequestURI, r.body))
@@ -98,16 +101,16 @@
 	return *r.print
 }
 
-// asked describes a request by what its fingerprint is taken of. Its caller is left
-// out: it may come again at any daemon.
+// asked returns the properties of a request that its fingerprint covers. The caller is not
+// one of them, because another caller may send the same request through any daemon.
 func asked(s model.ServiceName, method, target string, body []byte) core.Request {
 	return core.Request{Service: s, Method: method, Target: target, Body: body, Length: int64(len(body))}
 }
 
-// String names the part.
+// String implements fmt.Stringer. The supervisor logs this name.
 func (s *suspects) String() string { return "suspects" }
 
-// Serve exchanges suspects until the context ends.
+// Serve exchanges suspected requests with other daemons until the context ends.
 func (s *suspects) Serve(ctx context.Context) error {
 	tick := time.NewTicker(gossipTick)
 	defer tick.Stop()
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// relayAfter is how long a record waits for others that go the same way, and relaySpread
-	// how much longer at most, by chance: of the relays of a zone the first one to send a
-	// record spares the others that.
+	// relayDelay is how long a record waits for others so that they share a datagram, and
+	// relayJitter bounds the random delay on top. The relay of a zone whose delay ends first
+	// sends the record, and the others drop it.
 	relayDelay  = 20 * time.Millisecond
 	relayJitter = 80 * time.Millisecond
 )
 
-// relay hands records of daemons of other zones on to the own one, several in a datagram.
-// What is lost on the way comes with the next comparison. It is safe for concurrent use.
+// relay sends records of daemons of remote zones to the daemons of the local zone, several in
+// one datagram. Lost datagrams are repaired by the anti-entropy protocol. It is safe for
+// concurrent use.
 type relay struct {
-	// near returns the daemons of the own zone that can be reached.
+	// zonePeers returns the reachable daemons of the local zone.
 	zonePeers func() []string
 	send      func(address string, body []byte)
 
@@ -25,7 +26,7 @@
 	pending map[string]Record
 }
 
-// add has a record handed on.
+// add schedules a record to be relayed.
 func (r *relay) add(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,7 +37,7 @@
 	r.pending[rec.Address] = rec
 }
 
-// relayed takes in records that another daemon of the zone has handed on.
+// relayed drops pending records that another daemon of the zone has just relayed.
 func (r *relay) relayed(records []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,6 +49,7 @@
 	}
 }
 
+// flush sends the pending records to all daemons of the local zone.
 func (r *relay) flush() {
 	r.mu.Lock()
 	pending := r.pending
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -16,7 +16,7 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// joinZone starts a daemon in a zone.
+// startInZone starts a daemon in a zone and reports its upstream as ready.
 func startInZone(t *testing.T, s *store, zone model.AvailabilityZone, service model.ServiceName, id string) *member {
 	t.Helper()
 	up := newUpstream(t, id)
@@ -28,7 +28,8 @@
 	return m
 }
 
-// TestChangesReachOtherZones has few daemons of a zone told, and all of them know.
+// TestChangesReachOtherZones announces a change. Only some daemons of the other zone receive
+// the push, but all must learn of the change.
 func TestChangesReachOtherZones(t *testing.T) {
 	const perZone = 4
 	s := newStore(documentOf(1, "b"))
@@ -47,7 +48,8 @@
 	}
 }
 
-// TestMissedChangesAreLearned has a daemon of another zone miss a change.
+// TestMissedChangesAreRepaired lets only one daemon of a zone learn of a change: anti-entropy
+// must bring it to the others.
 func TestMissedChangesAreRepaired(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b, c := startInZone(t, s, "x", "b", "x1"), startInZone(t, s, "y", "b", "y1"), startInZone(t, s, "y", "b", "y2")
@@ -57,11 +59,11 @@
 	changed := a.peers.self()
 	changed.Sequence += 5
 	changed.State = lifecycle.Draining
-	b.peers.merge([]Record{changed}) // as if only b had heard of it
+	b.peers.merge([]Record{changed}) // only b learns of it
 	c.knows(t, "b", 2)
 }
 
-// tellings counts the daemons that are told, by zone.
+// pushCounts counts the pushes of a record by the zone of the receiver.
 type pushCounts struct {
 	mu     sync.Mutex
 	byZone map[string]int
@@ -73,8 +75,9 @@
 	return t.byZone[zone]
 }
 
-// TestTellingGrowsWithZones changes the record of one daemon among many: the daemons of
-// its zone are told, and as many of each other zone at every size.
+// TestAnnouncementsGrowWithZones changes the record of one daemon: it must be pushed to all
+// daemons of the local zone, and to the same number of daemons in each remote zone whatever
+// the size of the deployment.
 func TestAnnouncementsGrowWithZones(t *testing.T) {
 	const zones = 5
 	zoneOf := func(i int) string { return fmt.Sprint("z", i%zones) }
@@ -101,15 +104,15 @@
 			}
 			p.updateLocal(func(r *Record) { r.State = lifecycle.Draining })
 			zonePeers := (n+zones-1)/zones - 1
-			eventually(t, "all near", func() bool { return pushes.count(zoneOf(0)) == zonePeers })
+			eventually(t, "all daemons of the local zone", func() bool { return pushes.count(zoneOf(0)) == zonePeers })
 			for z := 1; z < zones; z++ {
-				eventually(t, "relays", func() bool { return pushes.count(zoneOf(z)) == min(relaysPerZone, n/zones) })
+				eventually(t, "relays of a remote zone", func() bool { return pushes.count(zoneOf(z)) == min(relaysPerZone, n/zones) })
 			}
 		})
 	}
 }
 
-// TestRelayPacksRecords has records that come together travel together.
+// TestRelayPacksRecords checks that records relayed at the same time share datagrams.
 func TestRelayPacksRecords(t *testing.T) {
 	const records = 60
 	var mu sync.Mutex
@@ -132,7 +135,7 @@
 	for i := range records {
 		r.add(Record{Address: fmt.Sprint("10.0.0.", i, ":7000"), Incarnation: 1, Sequence: 2, Zone: "far", Service: "s", State: lifecycle.Ready})
 	}
-	eventually(t, "all arrive", func() bool {
+	eventually(t, "all records arrive", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(got["a"]) == records && len(got["b"]) == records
@@ -142,7 +145,8 @@
 	require.LessOrEqual(t, messages, 2*records/5)
 }
 
-// TestComparisonsEnd has two daemons with equal records send none.
+// TestEqualRecordsHaveEqualDigests checks that two daemons with equal records find no
+// difference.
 func TestEqualRecordsHaveEqualDigests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "b", "b1"), join(t, s, "b", "b2")
@@ -155,18 +159,18 @@
 	require.Empty(t, unpackRecords([]byte("{broken")))
 }
 
-// TestOneRelayIsEnough has another relay of the zone hand a record on first.
+// TestRelaySkipsRecordsSentByAnother has another relay of the zone send a record first.
 func TestRelaySkipsRecordsSentByAnother(t *testing.T) {
 	const seq = 5
 	for name, c := range map[string]struct {
 		relayed []Record
 		sent    int
 	}{
-		"none before":    {nil, 1},
-		"the same":       {[]Record{{Address: "far", Incarnation: 1, Sequence: seq}}, 0},
-		"a newer one":    {[]Record{{Address: "far", Incarnation: 1, Sequence: seq + 1}}, 0},
-		"an older one":   {[]Record{{Address: "far", Incarnation: 1, Sequence: seq - 1}}, 1},
-		"another record": {[]Record{{Address: "other", Incarnation: 1, Sequence: seq}}, 1},
+		"nothing relayed":       {nil, 1},
+		"same record":           {[]Record{{Address: "far", Incarnation: 1, Sequence: seq}}, 0},
+		"newer record":          {[]Record{{Address: "far", Incarnation: 1, Sequence: seq + 1}}, 0},
+		"older record":          {[]Record{{Address: "far", Incarnation: 1, Sequence: seq - 1}}, 1},
+		"other daemon's record": {[]Record{{Address: "other", Incarnation: 1, Sequence: seq}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// headerBytes and headerTimeout bound request heads until a configuration
-	// says otherwise.
+	// defaultMaxHeaderBytes and defaultHeaderTimeout bound request headers until a
+	// configuration sets other limits.
 	defaultMaxHeaderBytes = 64 << 10
 	defaultHeaderTimeout  = 10 * time.Second
-	// idleSlack is how much longer than promised an idle connection of a caller
-	// is kept, so that a request in time does not cross the close.
+	// idleCloseDelay is how much longer than its timeout an idle connection of a caller is
+	// kept, so that a request sent just in time does not cross the close.
 	idleCloseDelay = time.Second
 )
 
-// server serves one address. It is a part of the daemon.
+// server serves HTTP on one address.
 type server struct {
 	name     string
 	http     *http.Server
 	listener net.Listener
 
 	mu sync.Mutex
-	// idle holds the idle connections; limits change while it runs.
+	// idle holds the idle connections. limits may change while the server runs.
 	idle   map[net.Conn]*idleConn
 	limits route.Limits
-	// active holds the connections between a request that has been read and the end of its
-	// answer.
+	// active holds the connections whose request has been read and whose response has not
+	// been written completely.
 	active map[net.Conn]struct{}
 }
 
-// idleConn is a connection that is closed if it stays idle.
+// idleConn is an idle connection and the timer that closes it.
 type idleConn struct {
 	idleSince time.Time
 	timer     *time.Timer
@@ -58,18 +58,18 @@
 		ConnState:                    s.trackConn,
 		ConnContext:                  inbound.Context,
 	}
-	// Without an own idle timeout the server would use that for headers.
+	// Without an IdleTimeout, http.Server would apply ReadHeaderTimeout to idle connections.
 	s.http.IdleTimeout = noIdleTimeout
 	return s
 }
 
-// idleForever leaves idle connections to state, as http.Server cannot change its
-// timeout while it runs.
+// noIdleTimeout disables the idle timeout of http.Server, which cannot change while the
+// server runs. trackConn closes idle connections instead.
 const noIdleTimeout = 24 * time.Hour
 
-// limit takes in what callers are promised. Where that is longer than before, it holds
-// for connections that are idle already: callers go by the newest promise. Where it is
-// shorter, some may not know yet.
+// setLimits sets the limits that are advertised to callers. A longer idle timeout also
+// applies to connections that are idle already, since callers go by the newest value. A
+// shorter one does not, since some callers may not know it yet.
 func (s *server) setLimits(l route.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +84,8 @@
 	}
 }
 
-// state follows the connections, and closes those that have been idle for longer than
-// promised.
+// trackConn tracks the states of connections, and closes those that stay idle for longer than
+// the idle timeout. It is the ConnState hook of http.Server.
 func (s *server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,22 +102,22 @@
 	}
 }
 
-// closeLater sets the timer of a connection that has been idle since a time. s.mu is held.
+// scheduleClose starts the timer that closes an idle connection. The caller holds s.mu.
 func (s *server) scheduleClose(c net.Conn, idleSince time.Time) {
 	i := &idleConn{idleSince: idleSince}
 	i.timer = time.AfterFunc(time.Until(idleSince.Add(s.limits.IdleTimeout+idleCloseDelay)), func() { s.closeIdle(c, i) })
 	s.idle[c] = i
 }
 
-// answering returns how many connections wait for an answer.
+// activeConns returns the number of connections that wait for a response.
 func (s *server) activeConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.active)
 }
 
-// closeIdle closes a connection whose timer has fired, unless it has been in use since the
-// timer was set.
+// closeIdle closes a connection whose idle timer has fired, unless the connection has been in
+// use since the timer was set.
 func (s *server) closeIdle(c net.Conn, expected *idleConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,13 +127,13 @@
 	}
 }
 
-// refuseNew takes no more connections. Those that are open are served.
+// stopAccepting closes the listener. Open connections are still served.
 func (s *server) stopAccepting() { _ = s.listener.Close() }
 
-// String names the part.
+// String implements fmt.Stringer. The supervisor logs this name.
 func (s *server) String() string { return s.name }
 
-// Serve serves until the context ends.
+// Serve accepts connections until the context ends.
 func (s *server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -17,8 +17,8 @@
 	"github.com/dottereltiller/dottereltiller/inbound"
 )
 
-// TestIdleConnectionsKeepTheNewestPromise changes how long idle connections are kept
-// while one is idle.
+// TestIdleTimeoutChangeAppliesToIdleConnections changes the idle timeout while a connection
+// is idle: a longer one must apply to it, a shorter one must not.
 func TestIdleTimeoutChangeAppliesToIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after time.Duration
@@ -39,17 +39,17 @@
 				time.Sleep(4 * time.Second)
 				s.setLimits(route.Limits{IdleTimeout: c.after})
 				time.Sleep(c.closedAfter - 4*time.Second - time.Millisecond)
-				require.NoError(t, conn.SetDeadline(time.Time{}), "it is open")
+				require.NoError(t, conn.SetDeadline(time.Time{}), "the connection is open")
 				time.Sleep(2 * time.Millisecond)
 				synctest.Wait()
-				require.Error(t, conn.SetDeadline(time.Time{}), "it is closed")
+				require.Error(t, conn.SetDeadline(time.Time{}), "the connection is closed")
 			})
 		})
 	}
 }
 
-// idleForAnHour returns a server that keeps idle connections for an hour, one of them, and
-// its timer.
+// newServerWithIdleConn returns a server with an idle timeout of one hour, an idle connection
+// of it, and that connection's timer.
 func newServerWithIdleConn(t *testing.T) (*server, net.Conn, *idleConn) {
 	t.Helper()
 	s := newServer("callers", http.NotFoundHandler())
@@ -60,21 +60,23 @@
 	return s, conn, s.idle[conn]
 }
 
-// TestIdleTimersCloseNoConnectionInUse guards against a request that is passed on and cut:
-// its connection's idle timer is due, and fires only after the request has been read.
+// TestIdleTimersCloseNoConnectionInUse guards against a forwarded request that gets no
+// response: the idle timer of its connection is due, and fires only after the request has
+// been read.
 func TestIdleTimersCloseNoConnectionInUse(t *testing.T) {
 	s, conn, idle := newServerWithIdleConn(t)
 	s.trackConn(conn, http.StateActive)
 	s.closeIdle(conn, idle)
-	require.NoError(t, conn.SetDeadline(time.Time{}), "it is in use")
+	require.NoError(t, conn.SetDeadline(time.Time{}), "the connection is in use")
 	s.trackConn(conn, http.StateIdle)
 	s.closeIdle(conn, idle)
-	require.NoError(t, conn.SetDeadline(time.Time{}), "it has been in use since")
+	require.NoError(t, conn.SetDeadline(time.Time{}), "the connection has been used since the timer was set")
 	s.closeIdle(conn, s.idle[conn])
-	require.Error(t, conn.SetDeadline(time.Time{}), "it is closed")
+	require.Error(t, conn.SetDeadline(time.Time{}), "the connection is closed")
 }
 
-// accepted returns the context of a request on a connection, and both ends of that.
+// acceptConn returns the context of requests on a new connection, and both ends of the
+// connection.
 func acceptConn(t *testing.T) (ctx context.Context, conn, other net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,8 +97,9 @@
 	return r
 }
 
-// TestRequestsOnClosedConnectionsAreNotPassedOn guards against a request that is passed on
-// though its caller can get no answer: its connection was closed just after it was read.
+// TestRequestsOnClosedConnectionsAreNotForwarded guards against forwarding a request whose
+// caller can get no response, because its connection was closed just after the request was
+// read.
 func TestRequestsOnClosedConnectionsAreNotForwarded(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	ctx, conn, _ := acceptConn(t)
@@ -107,25 +110,26 @@
 	require.Empty(t, m.up.requests())
 }
 
-// TestRequestsOfCallersThatHaveLeftAreNotPassedOn guards against requests that reach an
-// upstream long after their callers have left: a busy processor has net/http see the close
-// late.
+// TestRequestsOfDisconnectedCallersAreNotForwarded guards against requests that reach an
+// upstream long after their callers have disconnected: on a busy processor, net/http notices
+// the close late.
 func TestRequestsOfDisconnectedCallersAreNotForwarded(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	ctx, _, caller := acceptConn(t)
 	require.NoError(t, caller.Close())
-	eventually(t, "the close is there", func() bool { return inbound.Left(ctx) })
+	eventually(t, "the close has arrived", func() bool { return inbound.Left(ctx) })
 	m.entry.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
 	require.Empty(t, m.up.requests())
 }
 
-// TestCallsOfSendersThatHaveLeftAreNotRun is the same at the guard, for a call that waited.
+// TestCallsOfDisconnectedSendersAreNotRun guards against the same at the guard: a call whose
+// sender disconnected while the call was waiting must not run.
 func TestCallsOfDisconnectedSendersAreNotRun(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 		ctx, _, sender := acceptConn(t)
 		require.NoError(t, sender.Close())
-		eventually(t, "the close is there", func() bool { return inbound.Left(ctx) })
+		eventually(t, "the close has arrived", func() bool { return inbound.Left(ctx) })
 		c := ordinary()
 		c.Service, c.Upstream.ID, c.Idempotent = "a", "a1", idempotent
 		require.Equal(t, outcome.NotRun, m.guard.Do(ctx, c).Outcome.Kind)
--- a/sidecar/stalledlog_test.go
+++ b/sidecar/stalledlog_test.go
@@ -13,7 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// stalled is a writer whose reader stands still until the test ends.
+// stalledWriter blocks every write until the test ends.
 type stalledWriter struct{ release chan struct{} }
 
 func newStalledWriter(t *testing.T) *stalledWriter {
@@ -28,7 +28,8 @@
 	return len(p), nil
 }
 
-// TestStalledLogHoldsUpNoRequest has a request quarantined while nobody reads the lines.
+// TestStalledLogBlocksNoRequest has a request quarantined while nobody reads the log output:
+// requests must still be served.
 func TestStalledLogBlocksNoRequest(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	o := optionsFor(t, s, newUpstream(t, "a1"), "a")
@@ -41,7 +42,7 @@
 	for i := range crashesToRefuse {
 		m.suspects.store.Died(core.Of(r), r, core.Death{Upstream: "a9", Incarnation: model.Incarnation(i)})
 	}
-	// Deaths settle within half a second.
+	// The quarantine evaluates crashes within half a second.
 	time.Sleep(time.Second)
 	done := make(chan int, 1)
 	go func() {
@@ -52,6 +53,6 @@
 	case status := <-done:
 		require.Equal(t, http.StatusOK, status)
 	case <-time.After(5 * time.Second):
-		require.Fail(t, "no answer")
+		require.Fail(t, "no response")
 	}
 }
--- a/sidecar/summary.go
+++ b/sidecar/summary.go
@@ -3,22 +3,25 @@
 import "encoding/binary"
 
 const (
-	// entryBytes is the length of an entry of a summary, and wishBytes that of a wish.
+	// summaryEntryBytes is the encoded size of an entry of a summary, and addressHashBytes
+	// that of an address hash in a record request.
 	summaryEntryBytes = 4 + 8 + 8
 	addressHashBytes  = 4
-	// maxEntries and maxWishes fit a datagram.
+	// maxSummaryEntries and maxRequestedHashes are the numbers that fit one datagram.
 	maxSummaryEntries  = (maxDatagramBody - bucketHashBytes) / summaryEntryBytes
 	maxRequestedHashes = maxDatagramBody / addressHashBytes
 )
 
-// summary tells which records a daemon has in some of the buckets.
+// summary lists which version of each record a daemon holds, for some of the buckets of the
+// digest.
 type summary struct {
-	// covered has a bit for each bucket.
+	// bucketSet has a bit for each bucket that the summary covers.
 	bucketSet uint32
-	entries   map[uint32]recordVersion
+	// entries holds the versions of the records, by the hash of the address.
+	entries map[uint32]recordVersion
 }
 
-// stamp tells how new a record is.
+// recordVersion orders the records of one daemon.
 type recordVersion struct {
 	incarnation int64
 	sequence    uint64
@@ -26,7 +29,7 @@
 
 func recordVersionOf(r *Record) recordVersion { return recordVersion{r.Incarnation, r.Sequence} }
 
-// newer reports whether a record of this stamp wins over one of another.
+// supersedes reports whether a record of version s replaces one of version old.
 func (s recordVersion) supersedes(old recordVersion) bool {
 	if s.incarnation != old.incarnation {
 		return s.incarnation > old.incarnation
@@ -34,9 +37,9 @@
 	return s.sequence > old.sequence
 }
 
-// summaryOf returns a summary of as many of the wanted buckets as fit a datagram, at least
-// of the first. A bucket that is too large for one is cut, which costs records that the
-// other daemon has.
+// summaryOf returns a summary of as many of the wanted buckets as fit a datagram, and of the
+// first one in any case. A bucket too large for a datagram is truncated; for the entries left
+// out, this daemon will be sent records that it already has.
 func summaryOf(records []Record, wanted []int) *summary {
 	byBucket := make(map[int][]*Record)
 	for i := range records {
@@ -60,8 +63,9 @@
 	return s
 }
 
-// against compares own records with a summary. It returns the records that are newer here
-// or missing there, and the hashes of those that are newer there or missing here.
+// diff compares a summary with the records held here. It returns the records that are newer
+// here or missing on the other side, and the address hashes of those that are newer on the
+// other side or missing here.
 func (s *summary) diff(records []Record) (newer []Record, wanted []uint32) {
 	ours := make(map[uint32]recordVersion, len(s.entries))
 	for i := range records {
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -11,7 +11,7 @@
 	"github.com/dottereltiller/dottereltiller/core/lifecycle"
 )
 
-// table is what one daemon holds, by address.
+// recordTable holds the records of one daemon, by address.
 type recordTable map[string]Record
 
 func newRecordTable(records []Record) recordTable {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// merge takes in records that came in datagrams, and returns their bytes.
+// merge sends records through datagrams, merges them and returns the bytes sent.
 func (t recordTable) merge(records []Record) int {
 	bytes := 0
 	for _, b := range packRecords(records) {
@@ -44,8 +44,8 @@
 	return bytes
 }
 
-// compare has one daemon compare its records with another's, as comparer does, and returns
-// the bytes of all datagrams.
+// reconcile runs one comparison between two daemons, as comparer does, and returns the bytes
+// of all datagrams.
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
 	theirs, own := digestOf(responder.records()), digestOf(initiator.records())
@@ -78,15 +78,16 @@
 	return bytes + initiator.merge(requested)
 }
 
-// TestComparisonsCostWhatIsNew changes one record among many: what two daemons send each
-// other to agree is bounded by a digest and the summary of the part that it is in.
+// TestAntiEntropyCostIsBounded changes one record among many. The bytes that two daemons
+// exchange until they agree are bounded by the size of a digest and of the summary of one
+// bucket.
 func TestAntiEntropyCostIsBounded(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 1000, 1700} {
 		for name, change := range map[string]func(a, b recordTable, r Record){
-			"newer at the opener":   func(a, _ recordTable, r Record) { r.Sequence++; a[r.Address] = r },
-			"newer at the other":    func(_, b recordTable, r Record) { r.Incarnation++; r.Sequence = 1; b[r.Address] = r },
-			"unknown to the opener": func(a, _ recordTable, r Record) { delete(a, r.Address) },
-			"unknown to the other":  func(_, b recordTable, r Record) { delete(b, r.Address) },
+			"newer at the initiator":   func(a, _ recordTable, r Record) { r.Sequence++; a[r.Address] = r },
+			"newer at the responder":   func(_, b recordTable, r Record) { r.Incarnation++; r.Sequence = 1; b[r.Address] = r },
+			"unknown to the initiator": func(a, _ recordTable, r Record) { delete(a, r.Address) },
+			"unknown to the responder": func(_, b recordTable, r Record) { delete(b, r.Address) },
 		} {
 			t.Run(fmt.Sprint(n, " daemons, ", name), func(t *testing.T) {
 				records := sampleRecords(n)
@@ -100,8 +101,8 @@
 	}
 }
 
-// TestTablesConverge starts with tables that have nothing in common but one record, as
-// after a start of all daemons at once.
+// TestTablesConverge starts with tables that have only one record in common, as after a start
+// of all daemons at once.
 func TestTablesConverge(t *testing.T) {
 	const daemons, rounds = 60, 12
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -120,7 +121,8 @@
 	}
 }
 
-// TestSummariesAreCut has parts that fit no datagram settle in the end.
+// TestTruncatedSummariesConverge uses buckets that fit no datagram: repeated comparisons must
+// still converge.
 func TestTruncatedSummariesConverge(t *testing.T) {
 	const n = 4000
 	records := sampleRecords(n)
@@ -135,7 +137,8 @@
 	require.Equal(t, a, b)
 }
 
-// TestRecordsOfTheGoneAreNotCompared has one daemon still hold what the other has dropped.
+// TestGoneDaemonsAreNotInSummary compares tables of which only one still holds the record of
+// a daemon that is gone.
 func TestGoneDaemonsAreNotInSummary(t *testing.T) {
 	records := sampleRecords(3)
 	records[1].Stopping, records[1].State = true, lifecycle.Gone
@@ -145,7 +148,7 @@
 	require.Empty(t, wanted)
 }
 
-// TestSummariesThatCannotBeRead takes in whatever arrives.
+// TestDecodeSummaryToleratesAnyBytes decodes arbitrary bytes.
 func TestDecodeSummaryToleratesAnyBytes(t *testing.T) {
 	records := sampleRecords(10)
 	rapid.Check(t, func(t *rapid.T) {
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -7,7 +7,8 @@
 	"github.com/dottereltiller/dottereltiller/pause"
 )
 
-// sync sends the own record to a peer until the peer has it.
+// syncLoop pushes the local record to a peer, with retries, until the peer has the current
+// one.
 func (p *peers) syncLoop(q *peer) {
 	backoff := pause.Doubling{Min: minSyncBackoff, Max: maxPause}
 	for {
@@ -38,18 +39,19 @@
 			return
 		}
 		backoff.Max = maxBackoff
-		// The loop looks at the context itself.
+		// The loop checks the context itself.
 		_ = backoff.Wait(p.ctx)
 	}
 }
 
-// noted takes in that a peer has got the own record.
+// markAnnounced records that a peer acknowledged the local record.
 func (p *peers) markAnnounced(q *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.regain(q)
 }
 
+// exchangeSucceeded merges the reply of a peer.
 func (p *peers) exchangeSucceeded(q *peer, address string, reply syncMessage) {
 	p.mu.Lock()
 	p.regain(q)
@@ -64,8 +66,8 @@
 	p.firstContactOnce.Do(func() { close(p.firstContact) })
 }
 
-// unsynced notes a failed exchange. It reports whether to try again, and how long to
-// wait at most before that.
+// unsynced records a failed exchange. It reports whether to retry, and the bound of the
+// backoff before that.
 func (p *peers) unsynced(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// keptVersions is how many documents are kept for deltas, the one in force among
-	// them.
+	// keptVersions is how many documents are kept as bases of deltas, including the one in
+	// force.
 	keptVersions = 4
-	// smallDocument is the size in bytes up to which documents travel as they are: a delta
-	// costs the processor more than it saves on the way.
+	// maxPlainDocumentBytes is the size up to which a document is sent as it is: computing a
+	// delta would cost more processor time than the saved bytes are worth.
 	maxPlainDocumentBytes = 1 << 10
-	// maxDocument bounds a document that comes as a delta, in bytes.
+	// maxDocumentBytes bounds a document that is restored from a delta.
 	maxDocumentBytes = 16 << 20
-	// haveParameter tells which version the sender of a question has.
+	// haveParam is the query parameter with the version that the requesting daemon has in
+	// force.
 	haveParam = "have"
 )
 
-// heldDocument is a version of the configuration as it was read.
+// storedDocument is a version of the configuration as it was read from the store.
 type storedDocument struct {
 	version model.Version
 	raw     []byte
-	// deltas are those from earlier documents to this one that were asked for. That from
-	// version 0 is the document compressed.
+	// deltas caches the deltas to this document, by the version that they start from. The
+	// delta from version 0 is the compressed document.
 	deltas map[model.Version][]byte
 }
 
-// versions keeps the newest documents, so that daemons that hold an earlier one get the
-// difference. The zero value is empty. It is safe for concurrent use.
+// versions keeps the newest documents, so that a daemon with a recent version can be sent a
+// delta. The zero value is empty. It is safe for concurrent use.
 type versions struct {
 	mu sync.Mutex
-	// held are in rising order of version.
+	// documents are sorted by ascending version.
 	documents []storedDocument
 }
 
-// add takes in a document that has come into force.
+// add stores a document that has come into force.
 func (v *versions) add(version model.Version, raw []byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -70,14 +71,14 @@
 	return v.documents[len(v.documents)-1].raw
 }
 
-// of returns the document of a version, or nil when it is not kept.
+// document returns the document of a version, or nil if it is not kept.
 func (v *versions) document(version model.Version) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.documentLocked(version)
 }
 
-// find is of with v.mu held.
+// documentLocked is document for callers that hold v.mu.
 func (v *versions) documentLocked(version model.Version) []byte {
 	for _, h := range v.documents {
 		if h.version == version {
@@ -87,8 +88,9 @@
 	return nil
 }
 
-// since returns the delta from a version to the document in force, or that from nothing
-// where the version is not kept. It is nil where the document itself is to be sent.
+// deltaFrom returns the delta from a version to the document in force. If the version is not
+// kept, the delta starts from the empty document. A nil delta means that the document itself
+// is to be sent.
 func (v *versions) deltaFrom(version model.Version) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,9 +119,9 @@
 	return d, nil
 }
 
-// fetch returns the document that a daemon has in force. Where the daemon keeps the one in
-// force here, only the difference travels. The error is a *hop.LostError, a *StatusError or
-// that of the delta.
+// fetch returns the document that another daemon has in force. If that daemon keeps the
+// version in force here, only the delta is transferred. The error is a *hop.LostError, a
+// *StatusError or a *DeltaError.
 func (c *configuration) fetch(ctx context.Context, pool *hop.Pool, from string) ([]byte, error) {
 	have := c.version()
 	base := c.versions.document(have)
@@ -127,26 +129,27 @@
 	if err == nil || base == nil || !errors.As(err, new(*DeltaError)) {
 		return raw, err
 	}
-	// The daemon holds another document under the same version.
+	// The other daemon holds a different document under the same version.
 	c.decisions.Write(decision.ConfigRefused, "", slog.Uint64("version", uint64(have)),
 		slog.Uint64("in_force", uint64(have)), slog.String("from", from), slog.String("error", err.Error()))
 	return fetchSince(ctx, pool, 0, nil)
 }
 
-// DeltaError is a document that came as a delta and could not be restored.
+// DeltaError reports a delta from which the document could not be restored.
 type DeltaError struct {
-	// Have is the version that the delta was to start from.
+	// From is the version that the delta starts from.
 	From model.Version
 	Err  error
 }
 
-// Error names the version.
+// Error implements error.
 func (e *DeltaError) Error() string { return fmt.Sprintf("delta from version %d: %v", e.From, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the failure.
 func (e *DeltaError) Unwrap() error { return e.Err }
 
-// fetchSince asks a daemon for the document in force, of which the base is held here.
+// fetchSince requests the document in force from a daemon. base is the document of version
+// have, nil if there is none here.
 func fetchSince(ctx context.Context, pool *hop.Pool, have model.Version, base []byte) ([]byte, error) {
 	query := url.Values{haveParam: {strconv.FormatUint(uint64(have), 10)}}
 	path := pathConfig + "?" + query.Encode()
@@ -168,8 +171,8 @@
 	return raw, nil
 }
 
-// config answers with the document in force, as a delta (status 226, RFC 3229) to those
-// that tell what they have.
+// config responds with the document in force, or with a delta (status 226, RFC 3229) if the
+// request states a version.
 func (p peerHandler) config(w http.ResponseWriter, r *http.Request) {
 	documents := &p.d.config.versions
 	raw := documents.newest()
@@ -185,7 +188,7 @@
 	_, _ = w.Write(raw)
 }
 
-// deltaSince returns the delta from a version in decimal digits, or nil.
+// deltaFrom returns the delta from a version in decimal digits, or nil if there is none.
 func (p peerHandler) deltaFrom(version string) []byte {
 	have, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
@@ -193,7 +196,7 @@
 	}
 	d, err := p.d.config.versions.deltaFrom(model.Version(have))
 	if err != nil {
-		p.d.opts.Logger.Error("no delta of the configuration", "have", have, "error", err)
+		p.d.opts.Logger.Error("computing the configuration delta failed", "have", have, "error", err)
 	}
 	return d
 }
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -16,8 +16,8 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// longDocument returns a document of some hundred kilobytes in which the version and one
-// route differ.
+// largeDocument returns a document of about a hundred kilobytes. The documents of two
+// versions differ in the version number and in one additional line each.
 func largeDocument(version int) []byte {
 	const routes = 2000
 	var b strings.Builder
@@ -31,7 +31,7 @@
 	return []byte(b.String())
 }
 
-// versionSource reads the documents of longDocument.
+// versionSource decodes the documents that largeDocument returns.
 type versionSource struct{ Source }
 
 func (versionSource) Decode(raw []byte) (route.Document, error) {
@@ -40,7 +40,7 @@
 	return route.Document{Version: v, Routes: documentOf(1, "a").Routes}, err
 }
 
-// newVersions returns a configuration that had so many documents in force.
+// configWithVersions returns a configuration that had the versions 1 to newest in force.
 func configWithVersions(newest int) *configuration {
 	c := newConfiguration(versionSource{}, nil)
 	for v := 1; v <= newest; v++ {
@@ -49,7 +49,8 @@
 	return c
 }
 
-// serveVersions serves the documents of a configuration and counts the bytes sent.
+// serveVersions serves the documents of a configuration as a daemon does, and counts the
+// bytes sent.
 func serveVersions(t *testing.T, c *configuration, sent *int) *hop.Pool {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
@@ -64,7 +65,7 @@
 	return pool
 }
 
-// TestVersionsTravelByDifference has a daemon fetch version 9.
+// TestFetchTransfersDelta has a daemon fetch version 9 and bounds the bytes transferred.
 func TestFetchTransfersDelta(t *testing.T) {
 	const newest, compressed = 9, 25_000
 	for name, c := range map[string]struct {
@@ -72,11 +73,11 @@
 		conflicting bool
 		maxBytes    int
 	}{
-		"one version behind":               {have: 8, maxBytes: 200},
-		"three versions behind":            {have: 6, maxBytes: 300},
-		"further than the other one keeps": {have: 5, maxBytes: compressed},
-		"nothing in force":                 {have: 0, maxBytes: compressed},
-		"another document of that version": {have: 8, conflicting: true, maxBytes: compressed + 500},
+		"one version behind":                    {have: 8, maxBytes: 200},
+		"three versions behind":                 {have: 6, maxBytes: 300},
+		"further behind than versions are kept": {have: 5, maxBytes: compressed},
+		"nothing in force":                      {have: 0, maxBytes: compressed},
+		"different document of that version":    {have: 8, conflicting: true, maxBytes: compressed + 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent int
@@ -94,7 +95,8 @@
 	}
 }
 
-// TestSmallVersionsTravelWhole has no delta made of a document of a few bytes.
+// TestSmallDocumentsAreSentWhole checks that no delta is computed for a document of a few
+// bytes.
 func TestSmallDocumentsAreSentWhole(t *testing.T) {
 	var v versions
 	v.add(1, []byte("one"))
@@ -105,7 +107,7 @@
 	require.Equal(t, "two", string(v.newest()))
 }
 
-// TestKeptVersionsAreBounded brings many versions into force.
+// TestKeptVersionsAreBounded brings more versions into force than are kept.
 func TestKeptVersionsAreBounded(t *testing.T) {
 	c := configWithVersions(100)
 	require.Len(t, c.versions.documents, keptVersions)
