--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -20,15 +20,15 @@
 	// bucket.
 	digestBuckets   = 32
 	bucketHashBytes = 4
-	// antiEntropyTick is how often a daemon checks whether the next comparison is due.
-	antiEntropyTick = 500 * time.Millisecond
+	// roundTick is how often a daemon checks whether the next anti-entropy round is due.
+	roundTick = 500 * time.Millisecond
 )
 
-// comparer runs the anti-entropy protocol: it compares the records held here with those of
-// one other daemon at a time, so that a daemon that missed a change still learns of it. The
-// initiator sends a digest, the responder answers with a summary of the buckets that differ,
-// and the initiator then sends the records that are newer on its side and requests those that
-// are newer on the other.
+// comparer runs the anti-entropy protocol. In each round it compares the records held here
+// with those of one other daemon, so that a daemon that missed a change still learns of it.
+// The initiator sends a digest, the responder replies with a summary of the buckets that
+// differ, and the initiator then sends the records that are newer on its side and requests
+// those that are newer on the other.
 type comparer struct {
 	d *Daemon
 
@@ -39,10 +39,8 @@
 // String implements fmt.Stringer. The supervisor logs this name.
 func (c *comparer) String() string { return "comparer" }
 
-// Serve runs comparisons until the context ends.
-func (c *comparer) Serve(ctx context.Context) error {
-	return interval.Run(ctx, antiEntropyTick, c.tick)
-}
+// Serve runs anti-entropy rounds until the context ends.
+func (c *comparer) Serve(ctx context.Context) error { return interval.Run(ctx, roundTick, c.tick) }
 
 func (c *comparer) tick() {
 	if !c.due() {
@@ -53,8 +51,8 @@
 	}
 }
 
-// due reports whether to start a comparison now. It counts the comparison as one without a
-// difference; received records that are new here reset that count.
+// due reports whether to start a round now. It counts the round as one without a difference;
+// the count is reset when received records supersede those held here.
 func (c *comparer) due() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,15 +63,15 @@
 	return due
 }
 
-// wake shortens the interval between comparisons until several in a row find no difference.
+// wake shortens the interval between rounds until several in a row find no difference.
 func (c *comparer) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pace.Changed()
 }
 
-// receive handles a digest from another daemon. It answers with a summary of the buckets that
-// differ.
+// receive handles a digest from another daemon. It replies with a summary of the buckets that
+// differ, in random order, as not all of them may fit.
 func (c *comparer) receive(from string, body []byte) {
 	if len(body) != digestBuckets*bucketHashBytes {
 		return
@@ -118,15 +116,17 @@
 	c.sendRecords(from, found)
 }
 
+// sendRecords sends records to a daemon that lacks them or holds older ones.
 func (c *comparer) sendRecords(to string, records []Record) {
 	for _, b := range packRecords(records) {
 		c.d.datagrams.sendOneWay(kindCompared, to, b)
 	}
 }
 
-// digest holds one hash for each bucket, taken over the records in it.
+// digest holds one hash for each bucket, the XOR of the hashes of its records.
 type digest [digestBuckets]uint32
 
+// encode returns the digest as the body of a datagram.
 func (d digest) encode() []byte {
 	b := make([]byte, 0, digestBuckets*bucketHashBytes)
 	for _, sum := range d {
@@ -135,15 +135,17 @@
 	return b
 }
 
+// bucketOf returns the bucket of the daemon with an address.
 func bucketOf(address string) int { return int(xxhash.Sum64String(address) % digestBuckets) }
 
 // hashOf returns the hash that identifies an address in summaries and record requests.
 func hashOf(address string) uint32 { return uint32(xxhash.Sum64String(address) >> 32) }
 
-// inDigest reports whether a record takes part in comparisons. Records of daemons that are
-// gone for good do not: each daemon drops them at another time.
+// inDigest reports whether a record takes part in anti-entropy. Records of daemons that are
+// gone for good do not, because daemons drop them at different times.
 func (r *Record) inDigest() bool { return r.Sequence > 0 && !(r.Stopping && r.State == lifecycle.Gone) }
 
+// digestHash returns the hash of the address and version of a record.
 func (r *Record) digestHash() uint32 {
 	b := append(make([]byte, 0, len(r.Address)+2*binary.MaxVarintLen64), r.Address...)
 	b = binary.AppendVarint(b, r.Incarnation)
@@ -153,6 +155,7 @@
 // digest returns the digest of all records held, the local record included.
 func (p *peers) digest() digest { return digestOf(p.known()) }
 
+// digestOf returns the digest of the given records.
 func digestOf(records []Record) digest {
 	var d digest
 	for i := range records {
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -9,9 +9,10 @@
 )
 
 // startSync schedules the first exchange with a new peer: either this daemon asks the peer
-// for all records, or it only pushes its own. A peer of another zone gets no push, as it
-// learns of this daemon in its own full sync. Until the local record has been announced once,
-// pushes wait, so that a start takes one message per peer and not two. The caller holds p.mu.
+// for all records, or it only pushes the local record. A peer of a remote zone gets no push,
+// as it learns of this daemon from the daemons that it asks for all records. Until the local
+// record has been announced once, pushes wait, so that a start takes one message per peer and
+// not two. The caller holds p.mu.
 func (p *peers) startSync(q *peer) {
 	if q.needsFullSync || p.announced && q.record.Zone == p.own.Zone {
 		p.owe(q)
--- a/sidecar/callsperrun.go
+++ b/sidecar/callsperrun.go
@@ -9,8 +9,8 @@
 }
 
 const (
-	// runWindow is how many runs the average covers: when the count of runs reaches it, both
-	// counts are halved. While fewer than minRuns are counted, the average is
+	// runWindow bounds the runs that callsPerRun averages over: when that many are counted,
+	// the counts of runs and calls are halved. With fewer than minRuns, callsPerRun returns
 	// assumedCallsPerRun.
 	runWindow          = 128
 	minRuns            = 8
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -37,21 +37,23 @@
 	return &configuration{source: source, decisions: decisions, changed: make(chan struct{})}
 }
 
+// table returns the routing table in force, or nil if there is none.
 func (c *configuration) table() *route.Table {
-	if f := c.current.Load(); f != nil {
-		return f.table
+	if active := c.current.Load(); active != nil {
+		return active.table
 	}
 	return nil
 }
 
 // age returns how long the configuration has been in force, zero if there is none.
 func (c *configuration) age() time.Duration {
-	if f := c.current.Load(); f != nil {
-		return time.Since(f.since)
+	if active := c.current.Load(); active != nil {
+		return time.Since(active.since)
 	}
 	return 0
 }
 
+// version returns the version in force, or 0 if there is none.
 func (c *configuration) version() model.Version {
 	if t := c.table(); t != nil {
 		return t.Version()
@@ -60,7 +62,8 @@
 }
 
 // apply puts a document into force if it is newer than the configuration in force. It reports
-// whether the document is a valid configuration.
+// whether the document is a valid configuration. from names the origin of the document in log
+// lines.
 func (c *configuration) apply(raw []byte, from string) bool {
 	doc, err := c.source.Decode(raw)
 	if err == nil && doc.Version <= c.version() {
@@ -142,7 +145,8 @@
 }
 
 // behind handles the version that another daemon announced. If it is newer than the one in
-// force, it is fetched from that daemon.
+// force, it is fetched from that daemon: at once if the daemon is in the local zone or no
+// configuration is in force yet, otherwise after remoteZoneFetchDelay.
 func (d *Daemon) behind(address string, v model.Version) {
 	if v <= d.config.version() {
 		return
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -61,14 +61,15 @@
 	// kindNews announces a new version of the configuration. Its body is the address to fetch
 	// it from.
 	kindNews = 5
-	// kindSuspects carries a message of package quarantine.
+	// kindSuspects carries a message of package quarantine about requests that are suspected
+	// of crashing upstreams.
 	kindSuspects = 6
 	// kindHeartbeat is sent by a daemon that watches the store. The body is one byte, 1 if
 	// the daemon reaches the store and 0 if not, followed by the daemon's address.
 	kindHeartbeat = 7
 	// kindRecords relays, inside a zone, records of daemons of remote zones.
 	kindRecords = 8
-	// kindCompare carries a digest of all records. kindSummary answers it with a summary of
+	// kindCompare carries a digest of all records. kindSummary replies with a summary of
 	// the buckets that differ, kindWish requests records by the hashes of their addresses,
 	// and kindCompared carries records that the receiver lacks or has in an older version.
 	kindCompare  = 9
@@ -145,8 +146,8 @@
 	}
 }
 
-// transmit sends a datagram. Send errors are ignored, as the datagram could be lost on the
-// way as well.
+// transmit sends a datagram. It ignores send errors, as the datagram could be lost on the way
+// as well.
 func (a *datagrams) transmit(b []byte, to netip.AddrPort) {
 	a.d.metrics.traffic.sent(b)
 	_, _ = a.conn.WriteToUDPAddrPort(b, to)
@@ -176,15 +177,15 @@
 	if len(bodies) != 1 {
 		return false
 	}
-	answers := make(chan heard, pushAttempts)
+	acks := make(chan heard, pushAttempts)
 	var ids []uint32
 	defer func() { a.forget(ids) }()
 	for range pushAttempts {
-		id := a.expect(question{key: address, address: address, to: answers})
+		id := a.expect(question{key: address, address: address, to: acks})
 		ids = append(ids, id)
 		a.transmit(append(a.head(kindRecord, id), bodies[0]...), to)
 		select {
-		case <-answers:
+		case <-acks:
 			return true
 		case <-time.After(pushAckTimeout):
 		}
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -87,7 +87,8 @@
 	f.sendHeartbeats()
 }
 
-// announceVersion sends a heartbeat at once, whose header tells the cell of the new version.
+// announceVersion sends a heartbeat at once. The header of the heartbeat holds the new
+// version.
 func (f *follower) announceVersion() {
 	f.mu.Lock()
 	f.elector.News()
@@ -136,12 +137,12 @@
 // another daemon for its configuration now.
 func (f *follower) updateWatching() (pollDue bool) {
 	now := f.d.now()
-	zone, zones, generation := f.d.peers.zoneMembers(f.generation)
+	addresses, zones, generation := f.d.peers.zoneMembers(f.generation)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if generation != f.generation {
 		f.generation = generation
-		f.elector.SetMembers(zone, zones)
+		f.elector.SetMembers(addresses, zones)
 	}
 	isWatching := f.elector.Watching(now) && !f.d.stopping.Load()
 	switch {
--- a/sidecar/inflight.go
+++ b/sidecar/inflight.go
@@ -6,16 +6,16 @@
 // so that none can start between the check that nothing is in flight and the closing of the
 // connections. It is safe for concurrent use.
 type inHand struct {
-	mu    sync.Mutex
-	n     int
-	ended bool
+	mu     sync.Mutex
+	n      int
+	closed bool
 }
 
 // begin counts a request and reports whether it may be forwarded.
 func (h *inHand) begin() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ended {
+	if h.closed {
 		return false
 	}
 	h.n++
@@ -41,13 +41,13 @@
 func (h *inHand) endIdle(nothingElse func() bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ended = h.ended || (h.n == 0 && nothingElse())
-	return h.ended
+	h.closed = h.closed || (h.n == 0 && nothingElse())
+	return h.closed
 }
 
 // end stops admitting requests, even if some are in flight.
 func (h *inHand) end() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ended = true
+	h.closed = true
 }
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -97,8 +97,8 @@
 }
 
 // discoverUpstream asks the local upstream for its identity, unless the upstream reports
-// first. It first waits for an exchange with another daemon, as others remember whether the
-// upstream was leaving.
+// first or the whole system starts for the first time. It first waits for an exchange with
+// another daemon, as other daemons remember whether the upstream was leaving.
 func (j *joiner) discoverUpstream(ctx context.Context) {
 	if j.d.opts.First {
 		return
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -27,8 +27,8 @@
 // syncMessage is both request and response of an exchange of records between two daemons.
 type syncMessage struct {
 	From Record `json:"f"`
-	// Full requests all records of the receiver; Known carries records.
-	Full    bool          `json:"w,omitempty"`
+	// WantAll requests all records of the receiver; Known carries records.
+	WantAll bool          `json:"w,omitempty"`
 	Known   []Record      `json:"k,omitempty"`
 	Version model.Version `json:"v"`
 }
@@ -111,6 +111,7 @@
 	resolveTimeLeftParam    = "left-ms"
 )
 
+// encode returns the question as a URL query.
 func (q settleQuestion) encode() string {
 	v := url.Values{}
 	v.Set(resolveKeyParam, q.key)
@@ -119,6 +120,7 @@
 	return v.Encode()
 }
 
+// decodeResolveRequest decodes what settleQuestion.encode returned.
 func decodeResolveRequest(v url.Values) (settleQuestion, error) {
 	n, err := numbers(v.Get(resolveIncarnationParam), v.Get(resolveTimeLeftParam))
 	if err != nil {
@@ -197,6 +199,7 @@
 	}
 }
 
+// bodyAllowed reports whether a response with the status may have a body.
 func bodyAllowed(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
@@ -240,6 +243,7 @@
 	}))
 }
 
+// call handles a call from the entry of another daemon.
 func (p peerHandler) call(w http.ResponseWriter, r *http.Request, encoded string) {
 	c, err := decodeCall(encoded)
 	if err != nil {
@@ -265,9 +269,9 @@
 
 // runAcknowledged runs do and returns its result. If that takes longer than acknowledgeAfter,
 // it first sends an informational response (status 102).
-func (p peerHandler) runAcknowledged(w http.ResponseWriter, request string, do func() *Answer) *Answer {
+func (p peerHandler) runAcknowledged(w http.ResponseWriter, requestID string, do func() *Answer) *Answer {
 	done := make(chan *Answer, 1)
-	go func() { done <- contain(request, p.d.panicked, do) }()
+	go func() { done <- contain(requestID, p.d.panicked, do) }()
 	timer := time.NewTimer(acknowledgeAfter)
 	defer timer.Stop()
 	select {
@@ -279,6 +283,9 @@
 	}
 }
 
+// sync handles a syncMessage: it merges the records of the sender and replies with the local
+// record, the record that was held of the sender before, and all other records if the sender
+// wants them.
 func (p peerHandler) sync(w http.ResponseWriter, r *http.Request) {
 	var m syncMessage
 	if !readMessage(w, r, maxSyncBytes, &m) {
@@ -297,7 +304,7 @@
 		// The sender may have restarted and lost its state.
 		reply.Known = append(reply.Known, previous)
 	}
-	if m.Full {
+	if m.WantAll {
 		reply.Known = append(reply.Known, p.d.peers.known()[1:]...)
 	}
 	writeMessage(w, reply)
--- a/sidecar/pack.go
+++ b/sidecar/pack.go
@@ -37,9 +37,9 @@
 
 func deflateRecords(records []Record) ([]byte, error) {
 	var plain, out bytes.Buffer
-	e := json.NewEncoder(&plain)
+	encoder := json.NewEncoder(&plain)
 	for i := range records {
-		if err := e.Encode(&records[i]); err != nil {
+		if err := encoder.Encode(&records[i]); err != nil {
 			return nil, err
 		}
 	}
--- a/sidecar/panics.go
+++ b/sidecar/panics.go
@@ -11,8 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/inbound"
 )
 
-// attemptPart is the component that log lines name for a panic outside of the handlers, in
-// the goroutine of an attempt.
+// attemptPart is the value of the log field part for a panic in the goroutine of an attempt,
+// outside of the handlers.
 const attemptPart = "attempt"
 
 // reportPanics logs and counts the panics of a handler before net/http closes the connection.
@@ -24,19 +24,19 @@
 }
 
 // panicked logs and counts a panic that happened while a request was served.
-func (d *Daemon) panicked(part, request string, v any) {
+func (d *Daemon) panicked(component, requestID string, v any) {
 	d.metrics.panics.Inc(1)
-	d.opts.Decisions.Write(decision.Aborted, request, slog.String("part", part),
+	d.opts.Decisions.Write(decision.Aborted, requestID, slog.String("part", component),
 		slog.String("error", fmt.Sprint(v)), slog.String("stack", string(debug.Stack())))
 }
 
 // contain calls do and returns its result; if do panics, the result is an unknown outcome, as
 // the request may have run. net/http recovers panics only in its own goroutines: a panic in
 // any other goroutine would end the process and with it all requests in flight.
-func contain(request string, panicked func(part, request string, v any), do func() *Answer) (result *Answer) {
+func contain(requestID string, panicked func(component, requestID string, v any), do func() *Answer) (result *Answer) {
 	defer func() {
 		if v := recover(); v != nil {
-			panicked(attemptPart, request, v)
+			panicked(attemptPart, requestID, v)
 			result = unknown(outcome.ReasonInternal)
 		}
 	}()
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -43,9 +43,10 @@
 // maxDeparted bounds the departed incarnations in a record.
 const maxDeparted = 8
 
-// peer is another daemon.
+// peer is the state that this daemon keeps of another daemon.
 type peer struct {
-	record    Record
+	record Record
+	// coldUntil is when the upstream of the peer is expected to be as fast as usual.
 	coldUntil model.Instant
 	pool      *hop.Pool
 	// pushDue is set while the peer does not have the current local record, syncing while a
@@ -77,8 +78,8 @@
 	// forgetAfter is how long an unreachable daemon is retried before it is forgotten.
 	forgetAfter = time.Hour
 	// restartCheckers is how many daemons, on average, try to reach a daemon that stopped as
-	// planned, and restartCheckDelay is when they begin. The daemon may restart while the
-	// store is unavailable, and then it knows no other daemon.
+	// planned, and restartCheckDelay is how long after its stop they begin. The daemon may
+	// restart while the store is unavailable, and then it knows no other daemon.
 	restartCheckers   = 3
 	restartCheckDelay = 2500 * time.Millisecond
 	// fullAsks is how many daemons a starting daemon asks for all records.
@@ -97,7 +98,8 @@
 type peers struct {
 	now       func() model.Instant
 	decisions *decision.Log
-	version   func() model.Version
+	// version returns the version of the configuration in force.
+	version func() model.Version
 	// onVersion is called with the configuration version that a daemon has.
 	onVersion func(address string, v model.Version)
 	// pushByDatagram sends a record to a daemon without a connection, and reports whether the
@@ -224,7 +226,7 @@
 	return hop.NewPool(address, hop.PoolOptions{IdleLimit: peerIdleTimeout, DialTimeout: peerDialTimeout})
 }
 
-// merge merges received records and returns those that were new.
+// merge merges received records and returns those that superseded the records held.
 func (p *peers) merge(records []Record) []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -242,25 +244,26 @@
 	return newer
 }
 
-// mergeLocal merges a record of this daemon's address that another daemon holds. If its
-// incarnation is higher than the current one, the clock of the previous incarnation was
-// ahead, and this daemon moves past it. The caller holds p.mu.
-func (p *peers) mergeLocal(r *Record) {
-	if r.Incarnation > p.own.Incarnation {
-		p.own.Incarnation = r.Incarnation + 1
+// mergeLocal handles a record that another daemon holds of this daemon's address, from this
+// or a previous incarnation. If its incarnation is higher than the current one, the clock of
+// the previous incarnation was ahead, and this daemon raises its own incarnation above it.
+// The caller holds p.mu.
+func (p *peers) mergeLocal(held *Record) {
+	if held.Incarnation > p.own.Incarnation {
+		p.own.Incarnation = held.Incarnation + 1
 		p.announceToAll()
 	}
-	if r.newer(&p.predecessor) && r.Incarnation != p.own.Incarnation {
-		p.predecessor = *r
+	if held.newer(&p.predecessor) && held.Incarnation != p.own.Incarnation {
+		p.predecessor = *held
 	}
-	departed := r.Departed
+	departed := held.Departed
 	if len(departed) > 0 && p.restoreDeparted != nil {
 		go p.restoreDeparted(slices.Clone(departed))
 	}
 }
 
-// mergePeer merges a record of another daemon and reports whether it was new. The caller
-// holds p.mu.
+// mergePeer merges a record of another daemon and reports whether it superseded the one held.
+// The caller holds p.mu.
 func (p *peers) mergePeer(r *Record) bool {
 	q := p.all[r.Address]
 	if q == nil {
@@ -270,7 +273,7 @@
 		return false
 	}
 	restarted := r.Incarnation != q.record.Incarnation && q.record.Incarnation != 0 && q.record.Sequence != 0
-	changed := r.State != q.record.State || r.Upstream != q.record.Upstream || r.Stopping != q.record.Stopping
+	stateChanged := r.State != q.record.State || r.Upstream != q.record.Upstream || r.Stopping != q.record.Stopping
 	wasStopping := q.record.Stopping && q.record.Incarnation == r.Incarnation
 	previous := q.record
 	q.record = *r
@@ -288,7 +291,7 @@
 	if r.Stopping && !wasStopping && r.State != lifecycle.Gone && p.random()*float64(len(p.all)) < restartCheckers {
 		time.AfterFunc(restartCheckDelay, func() { p.missed(r.Address, errStopped) })
 	}
-	if changed {
+	if stateChanged {
 		p.logPeerState(&previous, r)
 	}
 	return true
@@ -303,13 +306,13 @@
 	if p.predecessor.Upstream.ID == i.ID && p.predecessor.Slots > 0 {
 		return p.predecessor.Slots
 	}
-	most := 0
+	largest := 0
 	for _, q := range p.all {
 		if q.record.Service == p.own.Service {
-			most = max(most, q.record.Slots)
+			largest = max(largest, q.record.Slots)
 		}
 	}
-	return most
+	return largest
 }
 
 // known returns all records held, the local one first.
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -34,7 +34,7 @@
 	for name, doc := range map[string]route.Document{
 		"older version":    documentOf(4, "x"),
 		"same version":     documentOf(5, "x"),
-		"no document":      {},
+		"none":             {},
 		"invalid document": {Version: 9, Routes: []route.Route{{Name: "r", Host: "h", Prefix: "no-slash", MaxAttempts: 1}}},
 	} {
 		s.publish(doc)
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -70,8 +70,8 @@
 	})
 }
 
-// refused returns the refusal of a quarantined request, nil for any other request. A crash
-// that other daemons report while a request is in flight counts from its next attempt on.
+// refused returns the refusal of a quarantined request, nil for any other request. Crashes
+// that other daemons report afterwards only affect further attempts of the request.
 func (s *suspects) refused(req *request) *Answer {
 	if !s.store.Watching() {
 		return nil
--- a/sidecar/summary.go
+++ b/sidecar/summary.go
@@ -98,6 +98,7 @@
 	return b
 }
 
+// decodeSummary decodes a summary and reports whether it is well-formed.
 func decodeSummary(b []byte) (*summary, bool) {
 	if len(b) < bucketHashBytes || (len(b)-bucketHashBytes)%summaryEntryBytes != 0 {
 		return nil, false
@@ -112,6 +113,7 @@
 	return s, true
 }
 
+// encodeWishes encodes a record request for the records with these address hashes.
 func encodeWishes(hashes []uint32) []byte {
 	hashes = hashes[:min(len(hashes), maxRequestedHashes)]
 	b := make([]byte, 0, len(hashes)*addressHashBytes)
@@ -121,6 +123,7 @@
 	return b
 }
 
+// decodeRecordRequest returns the set of requested address hashes.
 func decodeRecordRequest(b []byte) map[uint32]bool {
 	out := make(map[uint32]bool)
 	for ; len(b) >= addressHashBytes; b = b[addressHashBytes:] {
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -19,10 +19,10 @@
 			return
 		}
 		q.pushDue = false
-		message := syncMessage{From: p.own, Full: q.needsFullSync}
+		message := syncMessage{From: p.own, WantAll: q.needsFullSync}
 		pool, address := q.pool, q.record.Address
 		p.mu.Unlock()
-		if !message.Full && p.pushByDatagram(address, message.From) {
+		if !message.WantAll && p.pushByDatagram(address, message.From) {
 			p.markAnnounced(q)
 			backoff.Reset()
 			continue
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -174,8 +174,8 @@
 // config responds with the document in force, or with a delta (status 226, RFC 3229) if the
 // request states a version.
 func (p peerHandler) config(w http.ResponseWriter, r *http.Request) {
-	documents := &p.d.config.versions
-	raw := documents.newest()
+	versions := &p.d.config.versions
+	raw := versions.newest()
 	if raw == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
