--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestUnreachableBootstrapPeerIsReplaced has the directory list daemons that no longer exist.
+// TestUnreachableBootstrapPeerIsReplaced has the directory list two daemons that no longer
+// exist: the third one must be asked for all records instead.
 func TestUnreachableBootstrapPeerIsReplaced(t *testing.T) {
 	p := isolatedPeers(t, "z")
 	p.addListed([]Listing{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -29,24 +29,26 @@
 
 // Daemon is a sidecar. New creates it and Serve runs it.
 type Daemon struct {
-	opts       Options
-	tunables   atomic.Pointer[Tunables]
-	startedAt  time.Time
-	metrics    *metrics
-	config     *configuration
-	follower   *follower
-	peers      *peers
-	relay      *relay
-	comparer   *comparer
-	guard      *guard
-	suspects   *suspects
-	bodies     *bodies
-	entry      *entry
-	datagrams  *datagrams
-	servers    []*server
+	opts      Options
+	tunables  atomic.Pointer[Tunables]
+	startedAt time.Time
+	metrics   *metrics
+	config    *configuration
+	follower  *follower
+	peers     *peers
+	relay     *relay
+	comparer  *comparer
+	guard     *guard
+	suspects  *suspects
+	bodies    *bodies
+	entry     *entry
+	datagrams *datagrams
+	servers   []*server
+	// callers serves local callers, peerServer other daemons.
 	callers    *server
 	peerServer *server
-	fetching   atomic.Bool
+	// fetching is set while a configuration is being fetched from another daemon.
+	fetching atomic.Bool
 	// ready is set once a configuration is in force and the first exchange with other daemons
 	// is over or has timed out.
 	ready    atomic.Bool
@@ -130,7 +132,7 @@
 
 // listen binds all addresses and creates the servers for them.
 func (d *Daemon) listen() error {
-	a := d.opts.Addresses
+	addresses := d.opts.Addresses
 	d.callers = newServer("callers", d.reportPanics("callers", d.entry))
 	d.config.onChange = append(d.config.onChange, func(t *route.Table) { d.callers.setLimits(t.Limits()) })
 	d.peerServer = newServer("peers", d.reportPanics("peers", peerHandler{d}))
@@ -138,22 +140,22 @@
 		address string
 		server  *server
 	}{
-		{a.Callers, d.callers},
-		{a.PeerBind, d.peerServer},
-		{a.Control, newServer("control", d.opts.Control(d))},
-		{a.Ready, newServer("ready", http.HandlerFunc(d.serveReady))},
-		{a.Metrics, newServer("metrics", d.opts.Metrics)},
+		{addresses.Callers, d.callers},
+		{addresses.PeerBind, d.peerServer},
+		{addresses.Control, newServer("control", d.opts.Control(d))},
+		{addresses.Ready, newServer("ready", http.HandlerFunc(d.serveReady))},
+		{addresses.Metrics, newServer("metrics", d.opts.Metrics)},
 	}
-	for _, b := range endpoints {
-		if b.address == "" {
+	for _, endpoint := range endpoints {
+		if endpoint.address == "" {
 			continue
 		}
-		ln, err := net.Listen("tcp", b.address)
+		ln, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
 			return err
 		}
-		b.server.listener = ln
-		d.servers = append(d.servers, b.server)
+		endpoint.server.listener = ln
+		d.servers = append(d.servers, endpoint.server)
 	}
 	var err error
 	if d.datagrams, err = newDatagrams(d); err != nil {
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -41,7 +41,9 @@
 	require.Empty(t, seen[0].Header.Get(callHeader))
 }
 
-func TestCallerCannotNameAnotherService(t *testing.T) {
+// TestCallerCannotForgeItsService sends headers that only daemons may set: the upstream must
+// be given the true service of the caller.
+func TestCallerCannotForgeItsService(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a := join(t, s, "a", "a1")
 	req, _ := http.NewRequest(http.MethodGet, "http://"+a.opts.Addresses.Callers+"/safe/", nil)
@@ -351,9 +353,9 @@
 	require.NotEmpty(t, b1.up.requests())
 }
 
-// TestFinishedRequestsAreNotOutstanding guards against outstanding counts at upstreams that
-// outlive their requests: a request that timed out, or was answered by a second upstream,
-// must no longer count.
+// TestFinishedRequestsAreNotOutstanding guards against outstanding counts of upstreams that
+// outlive their requests: neither a request that timed out nor one that another upstream
+// answered may still count.
 func TestFinishedRequestsAreNotOutstanding(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 300*time.Millisecond))
 	a := join(t, s, "a", "a1")
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -53,7 +53,7 @@
 	// kindAsk queries the load of an upstream. Its body holds the rank and the kind of a
 	// request and a hash that identifies the upstream.
 	kindAsk = 1
-	// kindLoad replies to kindAsk with the load that such a request would meet.
+	// kindLoad replies to kindAsk with the load that such a request would find.
 	kindLoad = 2
 	// kindRecord pushes one packed record, and kindNoted, without a body, acknowledges it.
 	kindRecord = 3
@@ -130,7 +130,8 @@
 	}
 }
 
-// sendHeartbeat tells a daemon that this daemon watches the store, and whether it reaches it.
+// sendHeartbeat informs a daemon that this daemon watches the store and whether it reaches
+// the store.
 func (a *datagrams) sendHeartbeat(address string, reaches bool) {
 	body := []byte{0}
 	if reaches {
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -18,17 +18,19 @@
 // recorded when the reply arrives.
 func TestLateLoadRepliesAreRecorded(t *testing.T) {
 	for name, c := range map[string]struct {
-		wait   time.Duration
-		tooFar bool
+		timeout time.Duration
+		tooFar  bool
 	}{
 		"later than the timeout":   {time.Millisecond, false},
 		"known to be too far away": {time.Hour, true},
 	} {
-		t.Run(name, func(t *testing.T) { queryDistantGuard(t, c.wait, c.tooFar) })
+		t.Run(name, func(t *testing.T) { queryDistantGuard(t, c.timeout, c.tooFar) })
 	}
 }
 
-func queryDistantGuard(t *testing.T, wait time.Duration, tooFar bool) {
+// queryDistantGuard queries the load of a guard that replies only after the query has
+// returned, and then replies twice.
+func queryDistantGuard(t *testing.T, timeout time.Duration, tooFar bool) {
 	d := join(t, newStore(documentOf(1, "a")), "a", "a1")
 	remote, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -36,7 +38,7 @@
 	up := placement.Upstream{Key: "far", Daemon: model.DaemonID(remote.LocalAddr().String())}
 	late := make(chan placement.Load, 1)
 	replies := d.datagrams.ask(inquiry{
-		ups: []placement.Upstream{up}, rank: 2, kind: 7, wait: wait,
+		ups: []placement.Upstream{up}, rank: 2, kind: 7, wait: timeout,
 		tooFar: func(placement.Upstream) bool { return tooFar },
 		late: func(h heard) {
 			require.Equal(t, "far", h.key)
@@ -52,10 +54,10 @@
 	require.Equal(t, askBytes, n)
 	require.EqualValues(t, 2, buf[headBytes], "rank")
 	require.EqualValues(t, 7, binary.BigEndian.Uint16(buf[headBytes+1:]), "kind")
-	answer := append([]byte{kindLoad}, buf[1:headBytes]...)
+	reply := append([]byte{kindLoad}, buf[1:headBytes]...)
 	want := placement.Load{Running: 3, Waiting: 1, Limit: 4, Slow: 1.5}
 	for range 2 {
-		_, err = remote.WriteToUDPAddrPort(appendLoad(answer[:headBytes:headBytes], want), from)
+		_, err = remote.WriteToUDPAddrPort(appendLoad(reply[:headBytes:headBytes], want), from)
 		require.NoError(t, err)
 	}
 	require.Equal(t, want, <-late)
@@ -66,8 +68,8 @@
 // reply in time. It must be queried again, unlike a guard that should have replied.
 func TestDistantGuardsAreNotMarkedSilent(t *testing.T) {
 	for name, c := range map[string]struct {
-		trip time.Duration
-		want []string
+		roundTrip time.Duration
+		want      []string
 	}{
 		"known to be far":           {4 * farWait, []string{"far", "other"}},
 		"near enough, but no reply": {farWait / 4, []string{"other"}},
@@ -79,18 +81,18 @@
 				{Key: "far", Zone: "abroad", Daemon: model.DaemonID(freePort(t))},
 				{Key: "other", Zone: "third", Daemon: model.DaemonID(freePort(t))},
 			})
-			s.placer.Trip("far", c.trip)
+			s.placer.Trip("far", c.roundTrip)
 			s.answered["far"] = true
 			r := &race{e: d.entry, s: s, req: &request{route: &route.Route{}}}
 			ask := placement.Ask{Work: time.Millisecond}
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			r.inquire(ask, false, 2, farWait)
-			var got []string
+			var queried []string
 			for _, up := range s.placer.ToAsk(d.now(), ask, false, 0, 2) {
-				got = append(got, up.Key)
+				queried = append(queried, up.Key)
 			}
-			require.ElementsMatch(t, c.want, got)
+			require.ElementsMatch(t, c.want, queried)
 		})
 	}
 }
--- a/sidecar/finallog_test.go
+++ b/sidecar/finallog_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestRequestsDuringFinalLogFlushAreAnswered stops a daemon whose log output nobody reads,
-// and sends requests on kept connections as soon as its guard rejects new work. Requests that
-// are then forwarded to the other daemon and run there must be answered.
+// and sends requests on connections that are still open as soon as its guard rejects new
+// work. Requests that are then forwarded to the other daemon and run there must be answered.
 func TestRequestsDuringFinalLogFlushAreAnswered(t *testing.T) {
 	const conns, runTime = 20, 150 * time.Millisecond
 	s := newStore(documentOf(1, "a"))
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -30,7 +30,7 @@
 	require.Eventually(t, ok, waitLimit, 2*time.Millisecond, what)
 }
 
-// testEdge is an Edge with T-* headers.
+// testEdge implements Edge with headers named T-*.
 type testEdge struct{}
 
 var errNoID = errors.New("no id")
@@ -65,17 +65,17 @@
 
 // store is an in-memory configuration store and directory.
 type store struct {
-	mu       sync.Mutex
-	doc      route.Document
-	listings map[string]Listing
-	changed  chan struct{}
-	down     bool
+	mu      sync.Mutex
+	doc     route.Document
+	entries map[string]Listing
+	changed chan struct{}
+	down    bool
 	// announcements counts the calls of Announce.
 	announcements int
 }
 
 func newStore(doc route.Document) *store {
-	return &store{doc: doc, listings: make(map[string]Listing), changed: make(chan struct{})}
+	return &store{doc: doc, entries: make(map[string]Listing), changed: make(chan struct{})}
 }
 
 func (s *store) publish(doc route.Document) {
@@ -113,7 +113,7 @@
 	return []byte(raw)
 }
 
-var errUnreadable = errors.New("unknown document")
+var errUnknownDocument = errors.New("unknown document")
 
 // source gives one daemon access to the store.
 type source struct {
@@ -125,7 +125,7 @@
 func (s *source) Decode(raw []byte) (route.Document, error) {
 	doc, ok := documents.Load(string(raw))
 	if !ok {
-		return route.Document{}, errUnreadable
+		return route.Document{}, errUnknownDocument
 	}
 	return doc.(route.Document), nil
 }
@@ -165,7 +165,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listings[l.Address] = l
+	s.entries[l.Address] = l
 	s.announcements++
 	return nil
 }
@@ -177,7 +177,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Listing
-	for _, l := range s.listings {
+	for _, l := range s.entries {
 		out = append(out, l)
 	}
 	return out, nil
@@ -186,7 +186,7 @@
 func (s *store) Remove(_ context.Context, address string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.listings, address)
+	delete(s.entries, address)
 	return nil
 }
 
@@ -196,7 +196,7 @@
 	server *httptest.Server
 	// silent suppresses the load header. It does not change.
 	silent bool
-	// handle serves requests; nil means answerWell.
+	// mu guards the fields below. handle serves requests; nil means answerWell.
 	mu     sync.Mutex
 	handle func(w http.ResponseWriter, r *http.Request)
 	seen   []*http.Request
--- a/sidecar/follow_test.go
+++ b/sidecar/follow_test.go
@@ -49,8 +49,8 @@
 	eventually(t, "other daemons take over", func() bool { return len(watchers(survivors)) == wanted })
 }
 
-// TestRestartKeepsDirectoryEntry restarts a daemon whose entry is in the directory: it must
-// not write it again.
+// TestRestartKeepsDirectoryEntry restarts a daemon that has an entry in the directory: the
+// daemon must not write the entry again.
 func TestRestartKeepsDirectoryEntry(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
--- a/sidecar/idleconns_test.go
+++ b/sidecar/idleconns_test.go
@@ -15,9 +15,10 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestIdleTimerCutsNoRequestInFlight sends requests on kept connections at about the moment
-// at which the idle timeout closes them. Every request whose handler starts must be answered.
-func TestIdleTimerCutsNoRequestInFlight(t *testing.T) {
+// TestIdleTimeoutLosesNoStartedRequest sends requests on persistent connections at about the
+// moment at which the idle timeout closes them. Every request whose handler starts must be
+// answered.
+func TestIdleTimeoutLosesNoStartedRequest(t *testing.T) {
 	const conns, maxOffset, runTime = 400, 4 * time.Millisecond, 50 * time.Millisecond
 	const idleTimeout = 200 * time.Millisecond
 	var started sync.Map
@@ -34,7 +35,7 @@
 	require.NoError(t, err)
 	go func() { _ = s.Serve(t.Context()) }()
 	t.Cleanup(s.close)
-	var cut, answered atomic.Int64
+	var lost, answered atomic.Int64
 	var wg sync.WaitGroup
 	for i := range conns {
 		conn, err := net.Dial("tcp", s.listener.Addr().String())
@@ -52,10 +53,10 @@
 			if _, err := http.ReadResponse(in, nil); err == nil {
 				answered.Add(1)
 			} else if _, ok := started.Load(path); ok {
-				cut.Add(1)
+				lost.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	require.Zero(t, cut.Load(), "requests started and got no response; %d were answered", answered.Load())
+	require.Zero(t, lost.Load(), "requests started and got no response; %d were answered", answered.Load())
 }
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -122,11 +122,11 @@
 
 // decodeResolveRequest decodes what settleQuestion.encode returned.
 func decodeResolveRequest(v url.Values) (settleQuestion, error) {
-	n, err := numbers(v.Get(resolveIncarnationParam), v.Get(resolveTimeLeftParam))
+	values, err := numbers(v.Get(resolveIncarnationParam), v.Get(resolveTimeLeftParam))
 	if err != nil {
 		return settleQuestion{}, err
 	}
-	return settleQuestion{key: v.Get(resolveKeyParam), life: n[0], left: time.Duration(n[1]) * time.Millisecond}, nil
+	return settleQuestion{key: v.Get(resolveKeyParam), life: values[0], left: time.Duration(values[1]) * time.Millisecond}, nil
 }
 
 // resolveArrivalTimeout is how long a settleQuestion may go without a sign that it has
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -53,7 +53,7 @@
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
-	read := func(name string) float64 {
+	readGauge := func(name string) float64 {
 		for _, g := range a.Gauges() {
 			if g.Name == name {
 				return g.Read()
@@ -62,16 +62,16 @@
 		require.Fail(t, "no gauge "+name)
 		return 0
 	}
-	require.Positive(t, read("config_age_seconds"))
-	eventually(t, "the store is reachable", func() bool { return read("config_source_lost_seconds") == 0 })
-	require.Zero(t, read("peers_lost_seconds"))
+	require.Positive(t, readGauge("config_age_seconds"))
+	eventually(t, "the store is reachable", func() bool { return readGauge("config_source_lost_seconds") == 0 })
+	require.Zero(t, readGauge("peers_lost_seconds"))
 	s.setDown(true)
 	s.publish(documentOf(1, "b")) // wakes the sources, which wait for a change
-	eventually(t, "the store is unreachable", func() bool { return read("config_source_lost_seconds") > 0 })
+	eventually(t, "the store is unreachable", func() bool { return readGauge("config_source_lost_seconds") > 0 })
 	s.setDown(false)
-	eventually(t, "the store is reachable again", func() bool { return read("config_source_lost_seconds") == 0 })
+	eventually(t, "the store is reachable again", func() bool { return readGauge("config_source_lost_seconds") == 0 })
 	a.peers.missed(b.opts.Addresses.Peers, errStopped)
-	require.Positive(t, read("peers_lost_seconds"))
+	require.Positive(t, readGauge("peers_lost_seconds"))
 }
 
 // controlBytes sums the bytes that members counted for a kind of message, or for all kinds if
@@ -89,19 +89,20 @@
 	return n
 }
 
-// TestControlTrafficIsCountedByKind reads the traffic between daemons that serve no requests.
+// TestControlTrafficIsCountedByKind checks the traffic counters of daemons that serve no
+// requests.
 func TestControlTrafficIsCountedByKind(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
 	b.knows(t, "a", 2)
-	sent := func(kind, direction string) int64 { return controlBytes([]*member{a, b}, kind, direction) }
-	require.Positive(t, sent("sync", "sent"))
-	require.Positive(t, sent("sync", "received"))
+	counted := func(kind, direction string) int64 { return controlBytes([]*member{a, b}, kind, direction) }
+	require.Positive(t, counted("sync", "sent"))
+	require.Positive(t, counted("sync", "received"))
 	for _, kind := range []string{"heartbeat", "comparison"} {
-		eventually(t, kind, func() bool { return sent(kind, "sent") > 0 && sent(kind, "received") > 0 })
+		eventually(t, kind, func() bool { return counted(kind, "sent") > 0 && counted(kind, "received") > 0 })
 	}
-	require.Zero(t, sent("load_question", "sent"))
+	require.Zero(t, counted("load_question", "sent"))
 }
 
 // TestDatagramKindsAreNamed checks that every kind of datagram with a receiver has a name in
--- a/sidecar/peerlog_test.go
+++ b/sidecar/peerlog_test.go
@@ -68,11 +68,11 @@
 	for _, daemons := range []int{10, 100, 295, 1700} {
 		bubble.Run(t, func(t *testing.T) {
 			l := newLoggedPeers()
-			const within = 500 * time.Millisecond
+			const startDuration = 500 * time.Millisecond
 			for _, s := range []lifecycle.State{lifecycle.Unknown, lifecycle.Ready} {
 				for n := range daemons - 1 {
 					l.merge(stateRecords(n, uint64(s)+1, s))
-					time.Sleep(within / time.Duration(daemons))
+					time.Sleep(startDuration / time.Duration(daemons))
 				}
 			}
 			time.Sleep(2 * learnedWindow)
@@ -115,14 +115,14 @@
 }
 
 // TestStateChangesAreLoggedIndividually changes the state of many known upstreams or daemons
-// at once: no change may be folded into a summary line.
+// at once: every change must get a log line of its own.
 func TestStateChangesAreLoggedIndividually(t *testing.T) {
 	for name, change := range map[string]func(*Record){
-		"drained":     func(r *Record) { r.State = lifecycle.Draining },
-		"gone":        func(r *Record) { r.State = lifecycle.Gone },
-		"stopping":    func(r *Record) { r.Stopping = true },
-		"born again":  func(r *Record) { r.Upstream.Born = 2 },
-		"out of view": func(r *Record) { r.State, r.Upstream = lifecycle.Unknown, lifecycle.Incarnation{} },
+		"drained":   func(r *Record) { r.State = lifecycle.Draining },
+		"gone":      func(r *Record) { r.State = lifecycle.Gone },
+		"stopping":  func(r *Record) { r.Stopping = true },
+		"restarted": func(r *Record) { r.Upstream.Born = 2 },
+		"unknown":   func(r *Record) { r.State, r.Upstream = lifecycle.Unknown, lifecycle.Incarnation{} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -71,8 +71,8 @@
 	maxPause       = 2 * time.Second
 	// fastRetryPeriod is how long an unreachable daemon is retried with a backoff of at most
 	// maxPause; after that, lookPause bounds the backoff. Retries must go on, because two
-	// regions that lose their connection for minutes have no other way to find each other
-	// again: no daemon restarts, and so none announces itself anew.
+	// regions that lose their connection for minutes have no other way to find each other: no
+	// daemon restarts, and so none announces itself again.
 	fastRetryPeriod = time.Minute
 	lookPause       = 15 * time.Second
 	// forgetAfter is how long an unreachable daemon is retried before it is forgotten.
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -83,18 +83,17 @@
 	require.Equal(t, lifecycle.Stale, restarted.Report(ready("b1", 1, 9, "b")))
 }
 
-// TestLocalRecordSurvivesClockSetBack lets peers hold a record of the daemon with an
-// incarnation from a clock that was ahead. The records of the current incarnation must still
-// win.
+// TestLocalRecordSurvivesClockSetBack gives a peer a record of the daemon whose incarnation
+// comes from a clock that was ahead. Later records of the daemon must still supersede it.
 func TestLocalRecordSurvivesClockSetBack(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
-	old := b.peers.self()
-	old.Incarnation += int64(time.Hour / time.Millisecond)
-	old.State = lifecycle.Draining
-	a.peers.merge([]Record{old})
+	ahead := b.peers.self()
+	ahead.Incarnation += int64(time.Hour / time.Millisecond)
+	ahead.State = lifecycle.Draining
+	a.peers.merge([]Record{ahead})
 	a.knows(t, "b", 0)
 	b.Report(ready("b1", 1, 2, "b"))
 	b.peers.updateLocal(func(*Record) {})
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -27,9 +27,10 @@
 // suspects quarantines requests that crash upstreams, so that they do not reach further
 // upstreams. It shares what it observes with the other daemons.
 type suspects struct {
-	d       *Daemon
-	store   *quarantine.Store
-	gossip  *quarantine.Gossip
+	d      *Daemon
+	store  *quarantine.Store
+	gossip *quarantine.Gossip
+	// changed wakes Serve.
 	changed chan struct{}
 }
 
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -90,16 +90,16 @@
 			defer cancel()
 			p.ctx = ctx
 			p.asked = fullAsks
-			zoneAt := make(map[string]string)
+			zoneByAddress := make(map[string]string)
 			for i := 1; i < n; i++ {
 				r := Record{Address: fmt.Sprint("d", i), Incarnation: 1, Sequence: 1, Zone: model.AvailabilityZone(zoneOf(i))}
-				zoneAt[r.Address] = zoneOf(i)
+				zoneByAddress[r.Address] = zoneOf(i)
 				p.merge([]Record{r})
 			}
 			p.pushByDatagram = func(address string, _ Record) bool {
 				pushes.mu.Lock()
 				defer pushes.mu.Unlock()
-				pushes.byZone[zoneAt[address]]++
+				pushes.byZone[zoneByAddress[address]]++
 				return true
 			}
 			p.updateLocal(func(r *Record) { r.State = lifecycle.Draining })
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -122,8 +122,8 @@
 	require.Empty(t, m.up.requests())
 }
 
-// TestCallsOfDisconnectedSendersAreNotRun guards against the same at the guard: a call whose
-// sender disconnected while the call was waiting must not run.
+// TestCallsOfDisconnectedSendersAreNotRun has a sender disconnect before the guard has
+// started its call: the call must not run.
 func TestCallsOfDisconnectedSendersAreNotRun(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -44,15 +44,15 @@
 	return bytes
 }
 
-// reconcile runs one comparison between two daemons, as comparer does, and returns the bytes
-// of all datagrams.
+// reconcile runs one anti-entropy round between two daemons, as comparer does, and returns
+// the bytes of all datagrams.
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
-	theirs, own := digestOf(responder.records()), digestOf(initiator.records())
-	bytes := headBytes + len(own.encode())
+	theirs, ours := digestOf(responder.records()), digestOf(initiator.records())
+	bytes := headBytes + len(ours.encode())
 	var differing []int
-	for i := range own {
-		if own[i] != theirs[i] {
+	for i := range ours {
+		if ours[i] != theirs[i] {
 			differing = append(differing, i)
 		}
 	}
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -80,9 +80,9 @@
 
 // documentLocked is document for callers that hold v.mu.
 func (v *versions) documentLocked(version model.Version) []byte {
-	for _, h := range v.documents {
-		if h.version == version {
-			return h.raw
+	for _, document := range v.documents {
+		if document.version == version {
+			return document.raw
 		}
 	}
 	return nil
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -82,12 +82,12 @@
 		t.Run(name, func(t *testing.T) {
 			var sent int
 			pool := serveVersions(t, configWithVersions(newest), &sent)
-			behind := configWithVersions(c.have)
+			config := configWithVersions(c.have)
 			if c.conflicting {
-				behind = configWithVersions(0)
-				behind.apply(append(largeDocument(c.have), "something else\n"...), "test")
+				config = configWithVersions(0)
+				config.apply(append(largeDocument(c.have), "something else\n"...), "test")
 			}
-			raw, err := behind.fetch(t.Context(), pool, "test")
+			raw, err := config.fetch(t.Context(), pool, "test")
 			require.NoError(t, err)
 			require.True(t, bytes.Equal(largeDocument(newest), raw))
 			require.LessOrEqual(t, sent, c.maxBytes)
