--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -252,9 +252,9 @@
 	// closes its connections, so that the senders of requests already on their way learn that
 	// they have not run.
 	refusalPeriod = 50 * time.Millisecond
-	// cutLogWait bounds the wait for the log lines of requests whose connections were closed
-	// without a response.
-	cutLogWait = 20 * time.Millisecond
+	// closedConnLogWait bounds the wait for the log lines of requests whose connections were
+	// closed without a response.
+	closedConnLogWait = 20 * time.Millisecond
 	// connectionCloseMargin is how long before the end of the grace period the daemon stops
 	// waiting for responses to be written.
 	connectionCloseMargin = 200 * time.Millisecond
@@ -294,7 +294,7 @@
 	<-done
 	// The handlers of requests that were closed without a response still write their log
 	// lines.
-	d.awaitResponses(time.Now().Add(min(cutLogWait, time.Until(deadline))))
+	d.awaitResponses(time.Now().Add(min(closedConnLogWait, time.Until(deadline))))
 	d.opts.Decisions.Close(min(logFlushTimeout, max(time.Until(deadline), 0)))
 	return nil
 }
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -197,10 +197,10 @@
 	// silent suppresses the load header. It does not change.
 	silent bool
 	// mu guards the fields below. handle serves requests; nil means answerWell.
-	mu     sync.Mutex
-	handle func(w http.ResponseWriter, r *http.Request)
-	seen   []*http.Request
-	bodies []string
+	mu       sync.Mutex
+	handle   func(w http.ResponseWriter, r *http.Request)
+	received []*http.Request
+	bodies   []string
 	// health is the status of the health check. Zero means 200.
 	health int
 }
@@ -235,7 +235,7 @@
 func (u *upstream) requests() []*http.Request {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]*http.Request(nil), u.seen...)
+	return append([]*http.Request(nil), u.received...)
 }
 
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -251,7 +251,7 @@
 	}
 	body, _ := io.ReadAll(r.Body)
 	u.mu.Lock()
-	u.seen = append(u.seen, r)
+	u.received = append(u.received, r)
 	u.bodies = append(u.bodies, string(body))
 	handle := u.handle
 	u.mu.Unlock()
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -23,7 +23,7 @@
 		pool, address := q.pool, q.record.Address
 		p.mu.Unlock()
 		if !message.WantAll && p.pushByDatagram(address, message.From) {
-			p.markAnnounced(q)
+			p.pushAcknowledged(q)
 			backoff.Reset()
 			continue
 		}
@@ -44,8 +44,8 @@
 	}
 }
 
-// markAnnounced records that a peer acknowledged the local record.
-func (p *peers) markAnnounced(q *peer) {
+// pushAcknowledged marks a peer as reachable after it acknowledged a push.
+func (p *peers) pushAcknowledged(q *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.regain(q)
