--- /dev/null
+++ b/sidecar/abort_test.go
@@ -0,0 +1,110 @@
+package sidecar
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/dottereltiller/dottereltiller/core/outcome"
+	"github.com/dottereltiller/dottereltiller/core/route"
+)
+
+// TestBufferedResponsesAreInFlight guards against a stopping daemon that closes a connection
+// while the response to a forwarded request is still in net/http's buffer.
+func TestBufferedResponsesAreInFlight(t *testing.T) {
+	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
+	next, closed := m.callers.http.Handler, make(chan bool, 1)
+	m.callers.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		next.ServeHTTP(w, r)
+		// net/http flushes a small response only after the handler has returned.
+		closed <- m.closeIfIdle()
+	})
+	caller := dialCallers(t, m)
+	caller.send(t, "one")
+	_, err := caller.answer()
+	require.NoError(t, err)
+	require.Len(t, m.up.requests(), 1)
+	require.False(t, <-closed, "the response is not written yet")
+}
+
+// TestBufferedPeerResponsesAreInFlight guards against another daemon losing the result of a
+// call that has run, because the connection is closed between the end of the run and the
+// response.
+func TestBufferedPeerResponsesAreInFlight(t *testing.T) {
+	s := newStore(documentOf(1, "b"))
+	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
+	a.knows(t, "b", 1)
+	next, closed := b.peerServer.http.Handler, make(chan bool, 1)
+	b.peerServer.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		next.ServeHTTP(w, r)
+		if r.Header.Get(callHeader) != "" {
+			closed <- b.closeIfIdle()
+		}
+	})
+	status, _ := a.get(t, "/unsafe/")
+	require.Equal(t, http.StatusOK, status)
+	require.False(t, <-closed, "the response is not written yet")
+}
+
+// TestNoRequestIsForwardedAfterAbort guards against a request that is sent to an upstream
+// after the daemon has aborted the requests in flight, only to be cancelled at once.
+func TestNoRequestIsForwardedAfterAbort(t *testing.T) {
+	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
+	caller := dialCallers(t, m)
+	_, err := io.WriteString(caller.conn, "POST /unsafe/ HTTP/1.1\r\nHost: h\r\nT-Id: one\r\nT-Deadline: 5000\r\nContent-Length: 2\r\n\r\nx")
+	require.NoError(t, err)
+	eventually(t, "the request is in flight", func() bool { return m.requests.count() == 1 })
+	m.requests.end()
+	original := m.ending
+	defer func() { m.ending = original }()
+	m.ending = make(chan struct{})
+	close(m.ending)
+	_, err = io.WriteString(caller.conn, "y")
+	require.NoError(t, err)
+	resp, err := caller.answer()
+	require.NoError(t, err)
+	require.Empty(t, m.up.requests())
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "the request has not run")
+}
+
+// TestReceivedResponsesAreDeliveredDuringAbort guards against a response of an upstream that
+// is replaced by an error because it arrived while the daemon aborted the requests in flight.
+func TestReceivedResponsesAreDeliveredDuringAbort(t *testing.T) {
+	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
+	s := m.entry.service("a")
+	table := m.config.table()
+	eventually(t, "a configuration is in force", func() bool { table = m.config.table(); return table != nil })
+	rt, ok := table.Lookup("h", "/safe/")
+	require.True(t, ok)
+	original := m.ending
+	defer func() { m.ending = original }()
+	m.ending = make(chan struct{})
+	close(m.ending)
+	for range 64 {
+		ctx, cancel := context.WithCancel(t.Context())
+		now := m.now()
+		r := &race{
+			e: m.entry, s: s, done: make(chan ended, 1), tried: make(map[string]bool),
+			req: &request{route: rt, service: "a", ctx: ctx, began: now, deadline: now.Add(minDeadline * 1000)},
+		}
+		attempt := &try{cancel: cancel, sent: now, acknowledged: make(chan struct{})}
+		r.live = []*try{attempt}
+		r.done <- ended{try: attempt, answer: &Answer{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Arrived: true}}
+		require.Equal(t, outcome.Answered, r.run().Outcome.Kind)
+	}
+}
+
+// TestFiredIdleTimerRespectsLongerTimeout guards against closing an idle connection after
+// callers were told a longer idle timeout: the timer had fired and was waiting for the lock
+// under which the timeout was extended.
+func TestFiredIdleTimerRespectsLongerTimeout(t *testing.T) {
+	s, conn, idle := newServerWithIdleConn(t)
+	require.True(t, idle.timer.Stop(), "stands for a timer that has fired")
+	s.setLimits(route.Limits{IdleTimeout: 2 * time.Hour})
+	s.closeIdle(conn, idle)
+	require.NoError(t, conn.SetDeadline(time.Time{}), "the connection may stay idle for another hour")
+}
--- /dev/null
+++ b/sidecar/antientropy.go
@@ -0,0 +1,167 @@
+package sidecar
+
+import (
+	"context"
+	"encoding/binary"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/dottereltiller/dottereltiller/core/gossip"
+	"github.com/dottereltiller/dottereltiller/core/lifecycle"
+	"github.com/dottereltiller/dottereltiller/interval"
+)
+
+const (
+	// digestBuckets is the number of buckets into which a digest divides the records, by a
+	// hash of the daemon's address. bucketHashBytes is the encoded size of the hash of one
+	// bucket.
+	digestBuckets   = 32
+	bucketHashBytes = 4
+	// roundTick is how often a daemon checks whether the next anti-entropy round is due.
+	roundTick = 500 * time.Millisecond
+)
+
+// comparer runs the anti-entropy protocol. In each round it compares the records held here
+// with those of one other daemon, so that a daemon that missed a change still learns of it.
+// The initiator sends a digest, the responder replies with a summary of the buckets that
+// differ, and the initiator then sends the records that are newer on its side and requests
+// those that are newer on the other.
+type comparer struct {
+	d *Daemon
+
+	mu   sync.Mutex
+	pace gossip.Pace
+}
+
+// String implements fmt.Stringer. The supervisor logs this name.
+func (c *comparer) String() string { return "comparer" }
+
+// Serve runs anti-entropy rounds until the context ends.
+func (c *comparer) Serve(ctx context.Context) error { return interval.Run(ctx, roundTick, c.tick) }
+
+func (c *comparer) tick() {
+	if !c.due() {
+		return
+	}
+	if m, ok := c.d.follower.targets.Partner(c.d.peers.members()); ok {
+		c.d.datagrams.sendOneWay(kindCompare, m.Address, c.d.peers.digest().encode())
+	}
+}
+
+// due reports whether to start a round now. It counts the round as one without a difference;
+// the count is reset when received records supersede those held here.
+func (c *comparer) due() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	due := c.pace.Due(c.d.now())
+	if due {
+		c.pace.Agreed()
+	}
+	return due
+}
+
+// wake shortens the interval between rounds until several in a row find no difference.
+func (c *comparer) wake() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pace.Changed()
+}
+
+// receive handles a digest from another daemon. It replies with a summary of the buckets that
+// differ, in random order, as not all of them may fit.
+func (c *comparer) receive(from string, body []byte) {
+	if len(body) != digestBuckets*bucketHashBytes {
+		return
+	}
+	records := c.d.peers.known()
+	var differing []int
+	for i, sum := range digestOf(records) {
+		if sum != binary.BigEndian.Uint32(body[i*bucketHashBytes:]) {
+			differing = append(differing, i)
+		}
+	}
+	if len(differing) == 0 {
+		return
+	}
+	rand.Shuffle(len(differing), func(i, j int) { differing[i], differing[j] = differing[j], differing[i] })
+	c.d.datagrams.sendOneWay(kindSummary, from, summaryOf(records, differing).encode())
+}
+
+// resolve handles a summary from another daemon. It sends the records that are newer here and
+// requests those that are newer there.
+func (c *comparer) resolve(from string, body []byte) {
+	s, ok := decodeSummary(body)
+	if !ok {
+		return
+	}
+	newer, wanted := s.diff(c.d.peers.known())
+	c.sendRecords(from, newer)
+	if len(wanted) > 0 {
+		c.d.datagrams.sendOneWay(kindWish, from, encodeWishes(wanted))
+	}
+}
+
+// grant sends the records that another daemon requested.
+func (c *comparer) grant(from string, body []byte) {
+	requested := decodeRecordRequest(body)
+	var found []Record
+	for _, r := range c.d.peers.known() {
+		if requested[hashOf(r.Address)] {
+			found = append(found, r)
+		}
+	}
+	c.sendRecords(from, found)
+}
+
+// sendRecords sends records to a daemon that lacks them or holds older ones.
+func (c *comparer) sendRecords(to string, records []Record) {
+	for _, b := range packRecords(records) {
+		c.d.datagrams.sendOneWay(kindCompared, to, b)
+	}
+}
+
+// digest holds one hash for each bucket, the XOR of the hashes of its records.
+type digest [digestBuckets]uint32
+
+// encode returns the digest as the body of a datagram.
+func (d digest) encode() []byte {
+	b := make([]byte, 0, digestBuckets*bucketHashBytes)
+	for _, sum := range d {
+		b = binary.BigEndian.AppendUint32(b, sum)
+	}
+	return b
+}
+
+// bucketOf returns the bucket of the daemon with an address.
+func bucketOf(address string) int { return int(xxhash.Sum64String(address) % digestBuckets) }
+
+// hashOf returns the hash that identifies an address in summaries and record requests.
+func hashOf(address string) uint32 { return uint32(xxhash.Sum64String(address) >> 32) }
+
+// inDigest reports whether a record takes part in anti-entropy. Records of daemons that are
+// gone for good do not, because daemons drop them at different times.
+func (r *Record) inDigest() bool { return r.Sequence > 0 && !(r.Stopping && r.State == lifecycle.Gone) }
+
+// digestHash returns the hash of the address and version of a record.
+func (r *Record) digestHash() uint32 {
+	b := append(make([]byte, 0, len(r.Address)+2*binary.MaxVarintLen64), r.Address...)
+	b = binary.AppendVarint(b, r.Incarnation)
+	return uint32(xxhash.Sum64(binary.AppendUvarint(b, r.Sequence)))
+}
+
+// digest returns the digest of all records held, the local record included.
+func (p *peers) digest() digest { return digestOf(p.known()) }
+
+// digestOf returns the digest of the given records.
+func digestOf(records []Record) digest {
+	var d digest
+	for i := range records {
+		if r := &records[i]; r.inDigest() {
+			d[bucketOf(r.Address)] ^= r.digestHash()
+		}
+	}
+	return d
+}
--- /dev/null
+++ b/sidecar/bootstrap.go
@@ -0,0 +1,83 @@
+package sidecar
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+
+	"github.com/dottereltiller/dottereltiller/core/model"
+)
+
+// startSync schedules the first exchange with a new peer: either this daemon asks the peer
+// for all records, or it only pushes the local record. A peer of a remote zone gets no push,
+// as it learns of this daemon from the daemons that it asks for all records. Until the local
+// record has been announced once, pushes wait, so that a start takes one message per peer and
+// not two. The caller holds p.mu.
+func (p *peers) startSync(q *peer) {
+	if q.needsFullSync || p.announced && q.record.Zone == p.own.Zone {
+		p.owe(q)
+	}
+}
+
+// addListed adds the daemons of the directory. Daemons of the local zone come first and the
+// order is random otherwise, because the first daemons added are asked for all records: that
+// traffic should not cross zones, nor should all starting daemons choose the same few peers.
+func (p *peers) addListed(list []Listing) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	list = slices.Clone(list)
+	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	slices.SortStableFunc(list, func(a, b Listing) int {
+		return cmp.Compare(p.zoneDistance(a.Zone), p.zoneDistance(b.Zone))
+	})
+	for _, l := range list {
+		if l.Address == p.own.Address || p.all[l.Address] != nil {
+			continue
+		}
+		p.startSync(p.addPeer(Record{Address: l.Address, Zone: l.Zone}))
+	}
+	if len(p.all) == 0 {
+		p.firstContactOnce.Do(func() { close(p.firstContact) })
+	}
+}
+
+// zoneDistance returns 0 for the local zone and 1 for any other.
+func (p *peers) zoneDistance(z model.AvailabilityZone) int {
+	if z == p.own.Zone {
+		return 0
+	}
+	return 1
+}
+
+// replaceBootstrapPeer asks another daemon for all records in place of one that cannot be
+// reached. It prefers a daemon of the local zone. The caller holds p.mu.
+func (p *peers) replaceBootstrapPeer(failed *peer) {
+	failed.needsFullSync = false
+	var replacement *peer
+	for _, q := range p.all {
+		if q.lost || q.needsFullSync || q == failed {
+			continue
+		}
+		if replacement == nil || p.zoneDistance(q.record.Zone) < p.zoneDistance(replacement.record.Zone) {
+			replacement = q
+		}
+	}
+	if replacement != nil {
+		replacement.needsFullSync = true
+		p.owe(replacement)
+	}
+}
+
+// addPeer adds a daemon to the known ones. The first fullAsks daemons are asked for all
+// records, whether they came from the directory or from a peer, as the directory may be
+// unavailable. The caller holds p.mu.
+func (p *peers) addPeer(r Record) *peer {
+	q := &peer{record: r, pool: newPeerPool(r.Address)}
+	q.needsFullSync = p.asked < fullAsks
+	if q.needsFullSync {
+		p.asked++
+	}
+	p.all[r.Address] = q
+	p.generation++
+	return q
+}
--- /dev/null
+++ b/sidecar/bootstrap_test.go
@@ -0,0 +1,77 @@
+package sidecar
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/dottereltiller/dottereltiller/core/model"
+	"github.com/dottereltiller/dottereltiller/decision"
+)
+
+// pendingFullSyncs returns the peers that are still to be asked for all records.
+func (p *peers) pendingFullSyncs() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var out []string
+	for address, q := range p.all {
+		if q.needsFullSync {
+			out = append(out, address)
+		}
+	}
+	return out
+}
+
+// isolatedPeers returns peers whose goroutines end at once, as their context is cancelled.
+func isolatedPeers(t *testing.T, zone model.AvailabilityZone) *peers {
+	p := newPeers(Record{Address: "self", Zone: zone}, func() model.Instant { return 1 }, decision.New(decision.Options{Handler: slog.DiscardHandler}))
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	p.ctx = ctx
+	return p
+}
+
+// TestBootstrapPeersAreInLocalZone starts many daemons with the same directory. Each must ask
+// daemons of its own zone for all records, and the load must be spread over them.
+func TestBootstrapPeersAreInLocalZone(t *testing.T) {
+	const daemons, zones, starts = 300, 5, 200
+	var list []Listing
+	zoneOf := make(map[string]model.AvailabilityZone)
+	for i := range daemons {
+		l := Listing{Address: fmt.Sprint("d", i), Zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
+		list, zoneOf[l.Address] = append(list, l), l.Zone
+	}
+	selections := make(map[string]int)
+	for range starts {
+		p := isolatedPeers(t, "z3")
+		p.addListed(list)
+		selected := p.pendingFullSyncs()
+		require.Len(t, selected, fullAsks)
+		for _, address := range selected {
+			require.EqualValues(t, "z3", zoneOf[address])
+			selections[address]++
+		}
+	}
+	const fair = starts * fullAsks / (daemons / zones)
+	for address, n := range selections {
+		require.Less(t, n, 5*fair, address)
+	}
+}
+
+// TestUnreachableBootstrapPeerIsReplaced has the directory list two daemons that no longer
+// exist: the third one must be asked for all records instead.
+func TestUnreachableBootstrapPeerIsReplaced(t *testing.T) {
+	p := isolatedPeers(t, "z")
+	p.addListed([]Listing{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
+	for range fullAsks {
+		for _, address := range p.pendingFullSyncs() {
+			if address != "there" {
+				p.unsynced(p.all[address], errStoreDown)
+			}
+		}
+	}
+	require.Equal(t, []string{"there"}, p.pendingFullSyncs())
+}
--- /dev/null
+++ b/sidecar/callsperrun.go
@@ -0,0 +1,41 @@
+package sidecar
+
+// called counts a request from this VM to another service. Requests of the local upstream and
+// requests of other callers on the VM are counted alike.
+func (g *guard) called() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.calls++
+}
+
+const (
+	// runWindow bounds the runs that callsPerRun averages over: when that many are counted,
+	// the counts of runs and calls are halved. With fewer than minRuns, callsPerRun returns
+	// assumedCallsPerRun.
+	runWindow          = 128
+	minRuns            = 8
+	assumedCallsPerRun = 1
+)
+
+// countRun counts a request that the local upstream runs. The caller holds g.mu.
+func (g *guard) countRun() {
+	if g.runs++; g.runs >= runWindow {
+		g.runs, g.calls = g.runs/2, g.calls/2
+	}
+}
+
+// recentCallsPerRun is callsPerRun for callers that do not hold g.mu.
+func (g *guard) recentCallsPerRun() float64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.callsPerRun()
+}
+
+// callsPerRun returns the recent average number of calls to other services for each request
+// that the local upstream runs. The caller holds g.mu.
+func (g *guard) callsPerRun() float64 {
+	if g.runs < minRuns {
+		return assumedCallsPerRun
+	}
+	return g.calls / g.runs
+}
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -17,21 +17,21 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// Registry takes in what the own upstream reports of itself.
+// Registry receives what the local upstream reports about itself.
 type Registry interface {
-	// Report takes in a report. A stale one changes nothing.
+	// Report handles a state report. A stale report changes nothing.
 	Report(r lifecycle.Report) lifecycle.Verdict
-	// Leave takes in that an incarnation leaves for good.
+	// Leave handles the final deregistration of an incarnation of the upstream.
 	Leave(i lifecycle.Incarnation) lifecycle.Verdict
-	// Refused takes in that a report could not be read.
+	// Refused logs a report that could not be parsed.
 	Refused(id string, err error)
 }
 
-// Daemon is a running daemon.
+// Daemon is a sidecar. New creates it and Serve runs it.
 type Daemon struct {
 	opts      Options
 	tunables  atomic.Pointer[Tunables]
-	origin    time.Time
+	startedAt time.Time
 	metrics   *metrics
 	config    *configuration
 	follower  *follower
@@ -44,26 +44,29 @@
 	entry     *entry
 	datagrams *datagrams
 	servers   []*server
-	callers   *server
-	calls     *server
-	fetching  atomic.Bool
-	// ready is set once the daemon has a configuration and knows the others.
+	// callers serves local callers, peerServer other daemons.
+	callers    *server
+	peerServer *server
+	// fetching is set while a configuration is being fetched from another daemon.
+	fetching atomic.Bool
+	// ready is set once a configuration is in force and the first exchange with other daemons
+	// is over or has timed out.
 	ready    atomic.Bool
 	stopping atomic.Bool
-	// sourceLost is the model.Instant since when no daemon of the cell is known to reach
-	// the store of the configuration. Zero means that one does.
-	sourceLost atomic.Int64
-	requests   inHand
-	// ending is closed when the requests in hand are given up, as the grace time is over.
+	// storeLostSince is the model.Instant since which no daemon of the cell has reached the
+	// configuration store. Zero means that one does.
+	storeLostSince atomic.Int64
+	requests       inHand
+	// ending is closed when the grace period is over and the requests in flight are aborted.
 	ending chan struct{}
 }
 
-// New binds the addresses and returns a Daemon. Serve runs it.
+// New binds the listen addresses and returns a Daemon that Serve can run.
 func New(o Options) (*Daemon, error) {
 	if o.Addresses.PeerBind == "" {
 		o.Addresses.PeerBind = o.Addresses.Peers
 	}
-	d := &Daemon{opts: o, origin: time.Now(), metrics: newMetrics(o.Scope), ending: make(chan struct{})}
+	d := &Daemon{opts: o, startedAt: time.Now(), metrics: newMetrics(o.Scope), ending: make(chan struct{})}
 	d.tunables.Store(&o.Tunables)
 	d.config = newConfiguration(o.Source, o.Decisions)
 	d.guard = newGuard(&d.opts, d.now, d.metrics)
@@ -75,23 +78,23 @@
 		return t != nil && t.Urgent(rank)
 	}
 	d.peers = newPeers(Record{
-		Address: o.Addresses.Peers, Incarnation: d.origin.UnixMilli(), Sequence: 1, Zone: o.Zone, Service: o.Service,
+		Address: o.Addresses.Peers, Incarnation: d.startedAt.UnixMilli(), Sequence: 1, Zone: o.Zone, Service: o.Service,
 	}, d.now, o.Decisions)
 	d.peers.version = d.config.version
-	d.peers.behind = d.behind
-	d.peers.restore = d.guard.restore
+	d.peers.onVersion = d.behind
+	d.peers.restoreDeparted = d.guard.restore
 	d.guard.slots = d.peers.slotsOf
 	d.follower = newFollower(d)
-	d.relay = &relay{near: d.peers.near, send: func(address string, b []byte) { d.datagrams.notify(kindRecords, address, b) }}
+	d.relay = &relay{zonePeers: d.peers.zonePeers, send: func(address string, b []byte) { d.datagrams.sendOneWay(kindRecords, address, b) }}
 	d.comparer = &comparer{d: d}
 	d.suspects = newSuspects(d)
 	d.peers.regained = func() {
 		d.suspects.gossip.Wake()
 		d.comparer.wake()
 	}
-	d.peers.met = d.suspects.gossip.Compare
+	d.peers.onFullSync = d.suspects.gossip.Compare
 	d.bodies = newBodies(o.BodyBytes)
-	d.guard.crashes.crashed = d.suspects.crashed
+	d.guard.crashes.crashed = d.suspects.recordCrash
 	d.entry = newEntry(d)
 	if err := d.listen(); err != nil {
 		d.closeServers()
@@ -100,18 +103,19 @@
 	return d, nil
 }
 
-func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.origin)) }
+func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.startedAt)) }
 
-// service is the service of the own upstream and of the callers on this VM.
+// service returns the service of the local upstream, which is also that of the callers on
+// this VM.
 func (d *Daemon) service() model.ServiceName { return d.tunables.Load().Service }
 
-// Reconfigure takes over what may change while the daemon runs, from the next
+// Reconfigure replaces the options that may change at runtime. They apply from the next
 // request on.
 func (d *Daemon) Reconfigure(t Tunables) {
 	d.tunables.Store(&t)
 	d.entry.setResends(t.Resends)
 	d.guard.setService(t.Service)
-	d.config.lookAgain()
+	d.config.recheckWaiters()
 }
 
 func (d *Daemon) healthPath() string {
@@ -126,41 +130,41 @@
 	return s.HealthPath
 }
 
-// listen binds every address.
+// listen binds all addresses and creates the servers for them.
 func (d *Daemon) listen() error {
-	a := d.opts.Addresses
+	addresses := d.opts.Addresses
 	d.callers = newServer("callers", d.reportPanics("callers", d.entry))
-	d.config.onChange = append(d.config.onChange, func(t *route.Table) { d.callers.limit(t.Limits()) })
-	d.calls = newServer("peers", d.reportPanics("peers", peerHandler{d}))
-	bind := []struct {
+	d.config.onChange = append(d.config.onChange, func(t *route.Table) { d.callers.setLimits(t.Limits()) })
+	d.peerServer = newServer("peers", d.reportPanics("peers", peerHandler{d}))
+	endpoints := []struct {
 		address string
 		server  *server
 	}{
-		{a.Callers, d.callers},
-		{a.PeerBind, d.calls},
-		{a.Control, newServer("control", d.opts.Control(d))},
-		{a.Ready, newServer("ready", http.HandlerFunc(d.serveReady))},
-		{a.Metrics, newServer("metrics", d.opts.Metrics)},
+		{addresses.Callers, d.callers},
+		{addresses.PeerBind, d.peerServer},
+		{addresses.Control, newServer("control", d.opts.Control(d))},
+		{addresses.Ready, newServer("ready", http.HandlerFunc(d.serveReady))},
+		{addresses.Metrics, newServer("metrics", d.opts.Metrics)},
 	}
-	for _, b := range bind {
-		if b.address == "" {
+	for _, endpoint := range endpoints {
+		if endpoint.address == "" {
 			continue
 		}
-		ln, err := net.Listen("tcp", b.address)
+		ln, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
 			return err
 		}
-		b.server.listener = ln
-		d.servers = append(d.servers, b.server)
+		endpoint.server.listener = ln
+		d.servers = append(d.servers, endpoint.server)
 	}
 	var err error
 	if d.datagrams, err = newDatagrams(d); err != nil {
 		return err
 	}
-	d.peers.tellByDatagram = d.datagrams.tell
+	d.peers.pushByDatagram = d.datagrams.pushRecord
 	d.config.onChange = append(d.config.onChange, func(*route.Table) {
-		d.datagrams.spread()
-		d.follower.handOn()
+		d.datagrams.announceVersion()
+		d.follower.announceVersion()
 	})
 	return nil
 }
@@ -188,7 +192,7 @@
 func (d *Daemon) Report(r lifecycle.Report) lifecycle.Verdict {
 	v := d.guard.report(r, "report")
 	if v == lifecycle.Started || v == lifecycle.Changed {
-		d.tellState()
+		d.announceState()
 	}
 	return v
 }
@@ -197,7 +201,7 @@
 func (d *Daemon) Leave(i lifecycle.Incarnation) lifecycle.Verdict {
 	v := d.guard.leave(i)
 	if v == lifecycle.Changed {
-		d.tellState()
+		d.announceState()
 	}
 	return v
 }
@@ -207,87 +211,95 @@
 	d.opts.Decisions.Write(decision.ReportRefused, "", slog.String("upstream", id), slog.String("error", err.Error()))
 }
 
-// tellState tells the other daemons of the own upstream's state.
-func (d *Daemon) tellState() {
+// announceState writes the state of the local upstream into the local record and announces
+// that.
+func (d *Daemon) announceState() {
 	cur, departed := d.guard.current()
-	d.peers.update(func(r *Record) {
+	d.peers.updateLocal(func(r *Record) {
 		r.Service, r.Upstream, r.State, r.Slots = cur.Service, cur.Incarnation, cur.State, cur.Slots
 		r.ColdMS = cur.ColdFor.Milliseconds()
-		r.Departed = departed[max(len(departed)-maxTold, 0):]
+		r.Departed = departed[max(len(departed)-maxDeparted, 0):]
 	})
 }
 
 const (
-	// greetingWait bounds the wait for another daemon at the start before the own
-	// upstream is asked who it is.
-	greetingWait = 500 * time.Millisecond
-	// readyWait bounds the wait for another daemon before this one is ready.
-	readyWait = 1500 * time.Millisecond
-	// serverBackoff is the pause of a part that keeps failing.
-	serverBackoff = time.Second
-	// lingering is how long a stopping daemon goes on taking what comes: callers
-	// learn that it is not ready by asking once a second, and two misses count.
-	lingering = 2200 * time.Millisecond
-	// graceMargin is the part of the grace time that is left for the end.
+	// discoveryWait bounds how long a starting daemon waits for the first exchange with
+	// another daemon before it asks the local upstream for its identity.
+	discoveryWait = 500 * time.Millisecond
+	// readinessWait bounds how long a starting daemon waits for the first exchange with
+	// another daemon before it reports itself ready.
+	readinessWait = 1500 * time.Millisecond
+	// restartBackoff is the pause before a component that keeps failing is restarted.
+	restartBackoff = time.Second
+	// minDrainTime is how long a stopping daemon continues to accept requests. Callers poll
+	// its readiness once a second and leave after two failures.
+	minDrainTime = 2200 * time.Millisecond
+	// graceMargin is the part of the grace period that is reserved for shutting down after
+	// draining.
 	graceMargin = 400 * time.Millisecond
-	// drainPoll is how often a stopping daemon looks whether it is done.
-	drainPoll = 25 * time.Millisecond
-	// lastStart is how long before the end a stopping daemon hands back what waits, so
-	// that those who sent it hear that it has not run.
-	lastStart = 300 * time.Millisecond
-	// partsWait bounds the wait for the parts to end, within graceMargin: one that
-	// hangs must not keep the process.
-	partsWait = 150 * time.Millisecond
-	// logWait bounds the wait for lines to be written.
-	logWait = 100 * time.Millisecond
-	// refusing is how long a daemon that passes nothing more on still answers before it closes
-	// its connections: requests that are on their way to it are told that they have not run.
-	refusing = 50 * time.Millisecond
-	// cutWait bounds the wait for the lines of requests that were cut.
-	cutWait = 20 * time.Millisecond
-	// closingMargin is the part of the grace time that is left when answers are no longer
-	// waited for.
-	closingMargin = 200 * time.Millisecond
-	// answersPoll is how often it is looked whether callers wait.
-	answersPoll = time.Millisecond
+	// drainPollInterval is how often a stopping daemon checks whether it has drained.
+	drainPollInterval = 25 * time.Millisecond
+	// queueFlushMargin is how long before the end of draining a stopping daemon rejects the
+	// requests that wait for the local upstream, so that their senders learn in time that
+	// they have not run.
+	queueFlushMargin = 300 * time.Millisecond
+	// componentStopTimeout bounds the wait for the components to stop. It lies within
+	// graceMargin, so that a component that hangs does not keep the process alive.
+	componentStopTimeout = 150 * time.Millisecond
+	// logFlushTimeout bounds the wait for log lines to be written at the end.
+	logFlushTimeout = 100 * time.Millisecond
+	// refusalPeriod is how long a daemon that forwards nothing more still responds before it
+	// closes its connections, so that the senders of requests already on their way learn that
+	// they have not run.
+	refusalPeriod = 50 * time.Millisecond
+	// closedConnLogWait bounds the wait for the log lines of requests whose connections were
+	// closed without a response.
+	closedConnLogWait = 20 * time.Millisecond
+	// connectionCloseMargin is how long before the end of the grace period the daemon stops
+	// waiting for responses to be written.
+	connectionCloseMargin = 200 * time.Millisecond
+	// responsePollInterval is how often the daemon checks whether connections still wait for
+	// a response.
+	responsePollInterval = time.Millisecond
 )
 
-// Serve runs the daemon until the context ends, then lets what runs finish within
-// the grace time.
+// Serve runs the daemon until the context ends. It then drains the requests in flight within
+// the grace period.
 func (d *Daemon) Serve(ctx context.Context) error {
-	run, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	d.peers.ctx = run
-	tree := suture.New("sidecar", suture.Spec{FailureBackoff: serverBackoff, EventHook: d.event, Timeout: partsWait})
+	d.peers.ctx = serveCtx
+	supervisor := suture.New("sidecar", suture.Spec{FailureBackoff: restartBackoff, EventHook: d.logEvent, Timeout: componentStopTimeout})
 	for _, s := range d.servers {
-		tree.Add(s)
+		supervisor.Add(s)
 	}
-	tree.Add(d.datagrams)
-	tree.Add(d.follower)
-	tree.Add(&joiner{d: d})
-	tree.Add(d.comparer)
-	tree.Add(d.suspects)
-	tree.Add(d.suspects.store)
+	supervisor.Add(d.datagrams)
+	supervisor.Add(d.follower)
+	supervisor.Add(&joiner{d: d})
+	supervisor.Add(d.comparer)
+	supervisor.Add(d.suspects)
+	supervisor.Add(d.suspects.store)
 	d.opts.Decisions.Write(decision.Started, "", slog.String("address", d.opts.Addresses.Peers),
 		slog.String("zone", string(d.opts.Zone)), slog.String("service", string(d.service())),
 		slog.Int64("incarnation", d.peers.self().Incarnation), slog.String("version", telemetry.Version()))
-	done := tree.ServeBackground(run)
+	done := supervisor.ServeBackground(serveCtx)
 	select {
 	case <-ctx.Done():
 	case err := <-done:
 		return err
 	}
-	last := d.drain()
+	deadline := d.drain()
 	stop()
 	d.closeServers()
 	<-done
-	// What was cut tells so in the log.
-	d.awaitAnswers(time.Now().Add(min(cutWait, time.Until(last))))
-	d.opts.Decisions.Close(min(logWait, max(time.Until(last), 0)))
+	// The handlers of requests that were closed without a response still write their log
+	// lines.
+	d.awaitResponses(time.Now().Add(min(closedConnLogWait, time.Until(deadline))))
+	d.opts.Decisions.Close(min(logFlushTimeout, max(time.Until(deadline), 0)))
 	return nil
 }
 
-// isEnding reports whether the daemon gives up what is in hand.
+// isEnding reports whether the daemon is aborting the requests in flight.
 func (d *Daemon) isEnding() bool {
 	select {
 	case <-d.ending:
@@ -297,34 +309,34 @@
 	}
 }
 
-// endIdle lets nothing more in if nothing is in hand, and reports whether that is so. An
-// answer that net/http has still to write is in hand.
-func (d *Daemon) endIdle() bool {
+// closeIfIdle stops forwarding requests if none is in flight, and reports whether it has
+// stopped. A request counts as in flight until net/http has written its response.
+func (d *Daemon) closeIfIdle() bool {
 	return d.requests.endIdle(func() bool {
-		return d.callers.answering() == 0 && d.calls.answering() == 0 && d.guard.stopIdle()
+		return d.callers.activeConns() == 0 && d.peerServer.activeConns() == 0 && d.guard.stopIdle()
 	})
 }
 
-// awaitAnswers waits until nobody waits for an answer, or until the end.
-func (d *Daemon) awaitAnswers(end time.Time) {
-	for d.callers.answering()+d.calls.answering() > 0 && time.Now().Before(end) {
-		time.Sleep(answersPoll)
+// awaitResponses waits until no connection waits for a response, or until the deadline.
+func (d *Daemon) awaitResponses(deadline time.Time) {
+	for d.callers.activeConns()+d.peerServer.activeConns() > 0 && time.Now().Before(deadline) {
+		time.Sleep(responsePollInterval)
 	}
 }
 
-func (d *Daemon) event(e suture.Event) {
+func (d *Daemon) logEvent(e suture.Event) {
 	if d.opts.Logger != nil && e.Type() != suture.EventTypeStopTimeout {
-		d.opts.Logger.Error("part failed", "event", e.String())
+		d.opts.Logger.Error("component failed", "event", e.String())
 	}
 }
 
-// drain stops taking new work, tells everybody, and waits for what runs. It returns when the
-// grace time ends.
-func (d *Daemon) drain() (last time.Time) {
+// drain announces that the daemon is stopping, waits for the requests in flight, and aborts
+// those that remain when draining is over. It returns the end of the grace period.
+func (d *Daemon) drain() (deadline time.Time) {
 	began := time.Now()
-	last = began.Add(d.tunables.Load().Grace)
-	end := last.Add(-graceMargin)
-	d.guard.endBy(d.now().Add(end.Sub(began)))
+	deadline = began.Add(d.tunables.Load().Grace)
+	drainEnd := deadline.Add(-graceMargin)
+	d.guard.endBy(d.now().Add(drainEnd.Sub(began)))
 	d.stopping.Store(true)
 	d.opts.Decisions.Write(decision.Stopping, "", slog.Int("in_flight", d.requests.count()))
 	cur, _ := d.guard.current()
@@ -335,29 +347,30 @@
 			_ = d.opts.Directory.Remove(ctx, d.opts.Addresses.Peers)
 		}()
 	}
-	d.peers.update(func(r *Record) { r.Stopping = true })
-	d.awaitIdle(began, end)
+	d.peers.updateLocal(func(r *Record) { r.Stopping = true })
+	d.awaitIdle(began, drainEnd)
 	d.opts.Decisions.Write(decision.Stopped, "", slog.Int("in_flight", d.requests.count()), slog.Int64("took_ms", time.Since(began).Milliseconds()))
 	close(d.ending)
-	time.Sleep(min(refusing, time.Until(last)))
-	d.awaitAnswers(last.Add(-closingMargin))
-	return last
+	time.Sleep(min(refusalPeriod, time.Until(deadline)))
+	d.awaitResponses(deadline.Add(-connectionCloseMargin))
+	return deadline
 }
 
-// awaitIdle waits until callers have had the time to leave and nothing is in hand, or until
-// the end. From then on nothing is passed on that would be cut.
-func (d *Daemon) awaitIdle(began, end time.Time) {
-	for time.Now().Before(end) {
-		if time.Until(end) < lastStart {
+// awaitIdle waits until minDrainTime has passed and no request is in flight, or until
+// drainEnd. When it returns, the daemon forwards no further request, as its connection would
+// be closed without a response.
+func (d *Daemon) awaitIdle(began, drainEnd time.Time) {
+	for time.Now().Before(drainEnd) {
+		if time.Until(drainEnd) < queueFlushMargin {
 			d.guard.stop()
 		}
-		if time.Since(began) > lingering {
-			d.callers.refuseNew()
-			if d.endIdle() {
+		if time.Since(began) > minDrainTime {
+			d.callers.stopAccepting()
+			if d.closeIfIdle() {
 				return
 			}
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	d.requests.end()
 	d.guard.stop()
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -20,8 +20,9 @@
 
 func newReader(s string) io.Reader { return strings.NewReader(s) }
 
-// TestServesAcrossDaemons takes a request at a daemon beside another service.
-func TestServesAcrossDaemons(t *testing.T) {
+// TestRequestReachesOtherDaemon sends a request through the daemon of one service to an
+// upstream of another.
+func TestRequestReachesOtherDaemon(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
@@ -40,7 +41,9 @@
 	require.Empty(t, seen[0].Header.Get(callHeader))
 }
 
-func TestCallerCannotNameAnotherService(t *testing.T) {
+// TestCallerCannotForgeItsService sends headers that only daemons may set: the upstream must
+// be given the true service of the caller.
+func TestCallerCannotForgeItsService(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a := join(t, s, "a", "a1")
 	req, _ := http.NewRequest(http.MethodGet, "http://"+a.opts.Addresses.Callers+"/safe/", nil)
@@ -55,8 +58,9 @@
 	require.Equal(t, "a", a.up.requests()[0].Header.Get("T-Caller"))
 }
 
-// TestRefusals tells what each refusal promises.
-func TestRefusals(t *testing.T) {
+// TestRefusalStatus checks how requests are refused without a configuration, without an
+// upstream and without a route.
+func TestRefusalStatus(t *testing.T) {
 	s := newStore(route.Document{})
 	up := newUpstream(t, "a1")
 	o := optionsFor(t, s, up, "a")
@@ -70,7 +74,7 @@
 	t.Cleanup(func() { d.tunables.Store(&Tunables{}); cancel(); <-done })
 
 	resp, _ := m.ask(t, http.MethodGet, "/safe/", "")
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration nothing is known to be missing")
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration no route is known to be missing")
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	require.False(t, d.ready.Load())
 
@@ -82,9 +86,9 @@
 	require.Equal(t, http.StatusNotFound, status)
 }
 
-// TestDrainedUpstreamGetsNothing sends to a guard that has acknowledged that its
-// upstream leaves, as an entry does that has not heard of it.
-func TestDrainedUpstreamGetsNothing(t *testing.T) {
+// TestDrainedUpstreamGetsNoRequest sends a call to a guard that has acknowledged that its
+// upstream leaves, as an entry does that has not learned of it yet.
+func TestDrainedUpstreamGetsNoRequest(t *testing.T) {
 	for name, leave := range map[string]func(m *member){
 		"draining": func(m *member) {
 			r := ready("b1", 1, 2, "b")
@@ -97,7 +101,7 @@
 			s := newStore(documentOf(1, "b"))
 			b := join(t, s, "b", "b1")
 			leave(b)
-			b.Report(ready("b1", 1, 1, "b")) // a late report changes nothing
+			b.Report(ready("b1", 1, 1, "b")) // stale: must change nothing
 			c := &Call{ID: "x", Method: http.MethodGet, Target: "/safe/", Host: "h", Header: http.Header{},
 				Service: "b", Upstream: lifecycle.Incarnation{ID: "b1", Born: 1}, Idempotent: true, Deadline: time.Second}
 			a := b.guard.Do(t.Context(), c)
@@ -107,8 +111,8 @@
 	}
 }
 
-// TestNonIdempotentRunsOnce has an upstream run a request and lose the answer.
-func TestNonIdempotentRunsOnce(t *testing.T) {
+// TestNonIdempotentIsNotRetried has upstreams run a request and lose the response.
+func TestNonIdempotentIsNotRetried(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b1, b2 := join(t, s, "b", "b1"), join(t, s, "b", "b2")
@@ -117,19 +121,19 @@
 	b2.up.set(hangUp)
 	for range 5 {
 		status, _ := a.post(t, "/unsafe/")
-		require.Equal(t, http.StatusBadGateway, status, "nothing is promised")
+		require.Equal(t, http.StatusBadGateway, status, "the outcome is unknown")
 	}
 	require.Len(t, append(b1.up.requests(), b2.up.requests()...), 5)
 }
 
-// TestIdempotentIsSentAgain has one of two upstreams lose every answer.
-func TestIdempotentIsSentAgain(t *testing.T) {
-	for name, broken := range map[string]func(http.ResponseWriter, *http.Request){
-		"hangs up": hangUp,
-		"fails":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
-		"spoils":   func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "without a seal") },
-		"sheds":    shed,
-		"cuts short": func(w http.ResponseWriter, _ *http.Request) {
+// TestIdempotentIsRetried has one of two upstreams lose or spoil every response.
+func TestIdempotentIsRetried(t *testing.T) {
+	for name, faulty := range map[string]func(http.ResponseWriter, *http.Request){
+		"closes connection": hangUp,
+		"fails":             func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
+		"no seal":           func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "without a seal") },
+		"sheds":             shedRequest,
+		"truncates": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("T-Seal", "x")
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "half")
@@ -137,7 +141,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := joinWithBroken(t, broken)
+			a := startWithFaultyUpstream(t, faulty)
 			for range 6 {
 				status, text := a.get(t, "/safe/")
 				require.Equal(t, http.StatusOK, status)
@@ -147,9 +151,9 @@
 	}
 }
 
-// joinWithBroken returns a daemon of service a that knows two upstreams of service b,
-// of which only b2 does what it should.
-func joinWithBroken(t *testing.T, broken http.HandlerFunc) *member {
+// startWithFaultyUpstream returns a daemon of service a that knows two upstreams of service
+// b, of which only b2 works.
+func startWithFaultyUpstream(t *testing.T, faulty http.HandlerFunc) *member {
 	t.Helper()
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
@@ -157,21 +161,22 @@
 	join(t, s, "b", "b2")
 	a.knows(t, "b", 2)
 	a.allowResends()
-	b1.up.set(broken)
+	b1.up.set(faulty)
 	return a
 }
 
-// allowResends gives a daemon re-sends in plenty, for tests that are not about the budget:
-// one that has just started has few, and a busy processor has them spent on hedges.
+// allowResends raises the retry budget of a daemon, for tests that are not about the budget:
+// a daemon that has just started has a small one, and on a busy processor hedges use it up.
 func (m *member) allowResends() {
 	t := m.opts.Tunables
 	t.Resends.Slack = 100_000
 	m.Reconfigure(t)
 }
 
-// TestNotRunIsSentElsewhere does so also where nothing may run twice.
-func TestNotRunIsSentElsewhere(t *testing.T) {
-	a := joinWithBroken(t, shed)
+// TestUnexecutedRequestIsRetriedElsewhere retries a request that an upstream has not run.
+// That is safe even if the request is not idempotent.
+func TestUnexecutedRequestIsRetriedElsewhere(t *testing.T) {
+	a := startWithFaultyUpstream(t, shedRequest)
 	for range 6 {
 		status, text := a.post(t, "/unsafe/")
 		require.Equal(t, http.StatusOK, status)
@@ -179,8 +184,8 @@
 	}
 }
 
-// TestResendsStayWithinTheBudget answers a service whose upstreams all fail.
-func TestResendsStayWithinTheBudget(t *testing.T) {
+// TestRetriesStayWithinBudget calls a service whose upstreams all fail.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b1, b2 := join(t, s, "b", "b1"), join(t, s, "b", "b2")
@@ -191,7 +196,7 @@
 	const requests = 60
 	for range requests {
 		status, _ := a.get(t, "/safe/")
-		require.Equal(t, http.StatusInternalServerError, status, "the upstream's own answer is delivered")
+		require.Equal(t, http.StatusInternalServerError, status, "the upstream's own response is delivered")
 	}
 	sent := len(b1.up.requests()) + len(b2.up.requests())
 	require.Greater(t, sent, requests)
@@ -206,36 +211,38 @@
 	return doc
 }
 
-// TestTimeout ends a request at its route's timeout, and its run with it.
-func TestTimeout(t *testing.T) {
+// TestRouteTimeoutCancelsRun checks that the timeout of a route ends the request and cancels
+// it at the upstream.
+func TestRouteTimeoutCancelsRun(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 100*time.Millisecond))
 	b := join(t, s, "b", "b1")
-	gone := make(chan struct{}, 4)
-	b.up.set(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); gone <- struct{}{} })
+	cancelled := make(chan struct{}, 4)
+	b.up.set(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); cancelled <- struct{}{} })
 	status, _ := b.get(t, "/safe/")
 	require.Equal(t, http.StatusGatewayTimeout, status)
-	<-gone
+	<-cancelled
 	require.Contains(t, []string{"98", "99", "100", "97", "96", "95"}, b.up.requests()[0].Header.Get("T-Deadline"))
 }
 
-// TestCallerLeaves ends an idempotent run at another daemon's upstream.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnectCancelsRun closes a caller's connection. The idempotent request, which
+// another daemon's upstream runs, must be cancelled.
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
-	gone := make(chan struct{})
-	b.up.set(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(gone) })
+	cancelled := make(chan struct{})
+	b.up.set(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(cancelled) })
 	conn, err := net.Dial("tcp", a.opts.Addresses.Callers)
 	require.NoError(t, err)
 	_, _ = fmt.Fprintf(conn, "GET /safe/ HTTP/1.1\r\nHost: h\r\nT-Id: leaver\r\n\r\n")
-	eventually(t, "it runs", func() bool { return len(b.up.requests()) == 1 })
+	eventually(t, "the request runs", func() bool { return len(b.up.requests()) == 1 })
 	require.NoError(t, conn.Close())
-	<-gone
+	<-cancelled
 }
 
-// TestStopCutsNothing stops a daemon with a request in hand.
-func TestStopCutsNothing(t *testing.T) {
+// TestStopDrainsRequestsInFlight stops a daemon while its upstream runs a request.
+func TestStopDrainsRequestsInFlight(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b := join(t, s, "b", "b1")
@@ -249,7 +256,7 @@
 		got, _ := a.get(t, "/safe/")
 		status.Store(int64(got))
 	}()
-	eventually(t, "it runs", func() bool { return len(b.up.requests()) == 1 })
+	eventually(t, "the request runs", func() bool { return len(b.up.requests()) == 1 })
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); b.stop() }()
 	eventually(t, "not ready", func() bool {
@@ -260,7 +267,7 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	})
-	eventually(t, "others choose it only where no other can be", func() bool {
+	eventually(t, "others choose it only as a last resort", func() bool {
 		ups, _ := a.peers.candidates("b")
 		return len(ups) == 0 || len(ups) == 1 && ups[0].Stopping
 	})
@@ -270,9 +277,9 @@
 	<-stopped
 }
 
-// TestIdleConnectionsServeWhileStopping sends a request on a connection that was idle
-// when the daemon was told to stop: it may be on its way already.
-func TestIdleConnectionsServeWhileStopping(t *testing.T) {
+// TestIdleConnectionsAreServedWhileStopping sends a request on a connection that was idle
+// when the daemon was told to stop: such a request may already be on its way.
+func TestIdleConnectionsAreServedWhileStopping(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
@@ -292,21 +299,21 @@
 	require.False(t, ask("one").Close)
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); a.stop() }()
-	eventually(t, "it stops", a.stopping.Load)
-	eventually(t, "others know", func() bool { r, ok := b.peers.of(a.opts.Addresses.Peers); return ok && r.Stopping })
+	eventually(t, "the daemon is stopping", a.stopping.Load)
+	eventually(t, "the other daemon knows", func() bool { r, ok := b.peers.of(a.opts.Addresses.Peers); return ok && r.Stopping })
 	resp := ask("two")
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.True(t, resp.Close, "its caller is told to send no more on it")
+	require.True(t, resp.Close, "the caller must send nothing more on the connection")
 	<-stopped
 }
 
-// silent accepts connections and says nothing, like a daemon behind a link that
-// has gone silent.
-func silent(t *testing.T, address string) *atomic.Int64 {
+// listenUnresponsive accepts connections and requests and never responds, like a daemon
+// behind a broken link. It counts the requests.
+func listenUnresponsive(t *testing.T, address string) *atomic.Int64 {
 	ln, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	var got atomic.Int64
+	var requests atomic.Int64
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -321,22 +328,23 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, req.Body)
-					got.Add(1)
+					requests.Add(1)
 				}
 			}()
 		}
 	}()
-	return &got
+	return &requests
 }
 
-// TestSilentDaemonIsLeft answers a link that lost everything without a reset.
-func TestSilentDaemonIsLeft(t *testing.T) {
+// TestUnresponsiveDaemonIsAvoided replaces a daemon by a listener that never responds, as if
+// its link lost all packets without a reset. Requests must reach the other daemon.
+func TestUnresponsiveDaemonIsAvoided(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := join(t, s, "a", "a1")
 	b1, b2 := join(t, s, "b", "b1"), join(t, s, "b", "b2")
 	a.knows(t, "b", 2)
 	b2.kill()
-	silent(t, b2.opts.Addresses.Peers)
+	listenUnresponsive(t, b2.opts.Addresses.Peers)
 	for range 10 {
 		status, text := a.get(t, "/safe/")
 		require.Equal(t, http.StatusOK, status)
@@ -345,9 +353,10 @@
 	require.NotEmpty(t, b1.up.requests())
 }
 
-// TestEndedRequestsLeaveNoTrace holds what entries count at upstreams to what is
-// there: a request that timed out, or was answered by a second upstream, is not.
-func TestEndedRequestsLeaveNoTrace(t *testing.T) {
+// TestFinishedRequestsAreNotOutstanding guards against outstanding counts of upstreams that
+// outlive their requests: neither a request that timed out nor one that another upstream
+// answered may still count.
+func TestFinishedRequestsAreNotOutstanding(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 300*time.Millisecond))
 	a := join(t, s, "a", "a1")
 	b1, b2 := join(t, s, "b", "b1"), join(t, s, "b", "b2")
@@ -363,7 +372,7 @@
 		_, _ = a.post(t, "/unsafe/")
 	}
 	svc := a.entry.service("b")
-	eventually(t, "nothing is left", func() bool {
+	eventually(t, "no request is outstanding", func() bool {
 		svc.mu.Lock()
 		defer svc.mu.Unlock()
 		return svc.placer.Outstanding() == 0
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -13,30 +13,32 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestLateAnswersServeTheNextChoice asks a guard that is further away than the wait, as
-// in another region: the choice goes on without it, and its load is learned when it
-// comes.
-func TestLateAnswersServeTheNextChoice(t *testing.T) {
+// TestLateLoadRepliesAreRecorded queries a guard that is further away than the timeout
+// allows, for example in another region. The caller goes on without its load, which is
+// recorded when the reply arrives.
+func TestLateLoadRepliesAreRecorded(t *testing.T) {
 	for name, c := range map[string]struct {
-		wait   time.Duration
-		tooFar bool
+		timeout time.Duration
+		tooFar  bool
 	}{
-		"later than the wait":         {time.Millisecond, false},
-		"known to be too far to wait": {time.Hour, true},
+		"later than the timeout":   {time.Millisecond, false},
+		"known to be too far away": {time.Hour, true},
 	} {
-		t.Run(name, func(t *testing.T) { askFar(t, c.wait, c.tooFar) })
+		t.Run(name, func(t *testing.T) { queryDistantGuard(t, c.timeout, c.tooFar) })
 	}
 }
 
-func askFar(t *testing.T, wait time.Duration, tooFar bool) {
+// queryDistantGuard queries the load of a guard that replies only after the query has
+// returned, and then replies twice.
+func queryDistantGuard(t *testing.T, timeout time.Duration, tooFar bool) {
 	d := join(t, newStore(documentOf(1, "a")), "a", "a1")
-	far, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	remote, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	defer func() { _ = far.Close() }()
-	up := placement.Upstream{Key: "far", Daemon: model.DaemonID(far.LocalAddr().String())}
+	defer func() { _ = remote.Close() }()
+	up := placement.Upstream{Key: "far", Daemon: model.DaemonID(remote.LocalAddr().String())}
 	late := make(chan placement.Load, 1)
-	got := d.datagrams.ask(inquiry{
-		ups: []placement.Upstream{up}, rank: 2, kind: 7, wait: wait,
+	replies := d.datagrams.ask(inquiry{
+		ups: []placement.Upstream{up}, rank: 2, kind: 7, wait: timeout,
 		tooFar: func(placement.Upstream) bool { return tooFar },
 		late: func(h heard) {
 			require.Equal(t, "far", h.key)
@@ -44,33 +46,33 @@
 			late <- h.load
 		},
 	})
-	require.Empty(t, got)
+	require.Empty(t, replies)
 
-	b := make([]byte, maxDatagram)
-	n, from, err := far.ReadFromUDPAddrPort(b)
+	buf := make([]byte, maxDatagramBytes)
+	n, from, err := remote.ReadFromUDPAddrPort(buf)
 	require.NoError(t, err)
 	require.Equal(t, askBytes, n)
-	require.EqualValues(t, 2, b[headBytes], "rank")
-	require.EqualValues(t, 7, binary.BigEndian.Uint16(b[headBytes+1:]), "kind")
-	answer := append([]byte{kindLoad}, b[1:headBytes]...)
+	require.EqualValues(t, 2, buf[headBytes], "rank")
+	require.EqualValues(t, 7, binary.BigEndian.Uint16(buf[headBytes+1:]), "kind")
+	reply := append([]byte{kindLoad}, buf[1:headBytes]...)
 	want := placement.Load{Running: 3, Waiting: 1, Limit: 4, Slow: 1.5}
 	for range 2 {
-		_, err = far.WriteToUDPAddrPort(appendLoad(answer[:headBytes:headBytes], want), from)
+		_, err = remote.WriteToUDPAddrPort(appendLoad(reply[:headBytes:headBytes], want), from)
 		require.NoError(t, err)
 	}
 	require.Equal(t, want, <-late)
-	require.Empty(t, late, "an answer is taken once")
+	require.Empty(t, late, "a duplicate reply is ignored")
 }
 
-// TestFarGuardsAreNotSilent asks a guard that is known to be too far away to answer in
-// time: nobody passes it over for that.
-func TestFarGuardsAreNotSilent(t *testing.T) {
+// TestDistantGuardsAreNotMarkedSilent queries a guard that is known to be too far away to
+// reply in time. It must be queried again, unlike a guard that should have replied.
+func TestDistantGuardsAreNotMarkedSilent(t *testing.T) {
 	for name, c := range map[string]struct {
-		trip time.Duration
-		want []string
+		roundTrip time.Duration
+		want      []string
 	}{
-		"known to be far":               {4 * farWait, []string{"far", "other"}},
-		"near enough, and silent today": {farWait / 4, []string{"other"}},
+		"known to be far":           {4 * farWait, []string{"far", "other"}},
+		"near enough, but no reply": {farWait / 4, []string{"other"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := join(t, newStore(documentOf(1, "a")), "a", "a1")
@@ -79,18 +81,18 @@
 				{Key: "far", Zone: "abroad", Daemon: model.DaemonID(freePort(t))},
 				{Key: "other", Zone: "third", Daemon: model.DaemonID(freePort(t))},
 			})
-			s.placer.Trip("far", c.trip)
+			s.placer.Trip("far", c.roundTrip)
 			s.answered["far"] = true
 			r := &race{e: d.entry, s: s, req: &request{route: &route.Route{}}}
 			ask := placement.Ask{Work: time.Millisecond}
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			r.inquire(ask, false, 2, farWait)
-			var got []string
+			var queried []string
 			for _, up := range s.placer.ToAsk(d.now(), ask, false, 0, 2) {
-				got = append(got, up.Key)
+				queried = append(queried, up.Key)
 			}
-			require.ElementsMatch(t, c.want, got)
+			require.ElementsMatch(t, c.want, queried)
 		})
 	}
 }
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -30,7 +30,7 @@
 	require.Eventually(t, ok, waitLimit, 2*time.Millisecond, what)
 }
 
-// testEdge spells things with headers of its own.
+// testEdge implements Edge with headers named T-*.
 type testEdge struct{}
 
 var errNoID = errors.New("no id")
@@ -63,19 +63,19 @@
 
 func (testEdge) Sign(h http.Header, id string) { h.Set("T-Id", id) }
 
-// store stands in for what outlives daemons: configuration and directory.
+// store is an in-memory configuration store and directory.
 type store struct {
-	mu       sync.Mutex
-	doc      route.Document
-	listings map[string]Listing
-	changed  chan struct{}
-	down     bool
-	// written counts the entries that were written to the directory.
-	written int
+	mu      sync.Mutex
+	doc     route.Document
+	entries map[string]Listing
+	changed chan struct{}
+	down    bool
+	// announcements counts the calls of Announce.
+	announcements int
 }
 
 func newStore(doc route.Document) *store {
-	return &store{doc: doc, listings: make(map[string]Listing), changed: make(chan struct{})}
+	return &store{doc: doc, entries: make(map[string]Listing), changed: make(chan struct{})}
 }
 
 func (s *store) publish(doc route.Document) {
@@ -92,39 +92,40 @@
 	s.down = down
 }
 
-var errDown = errors.New("the store is down")
+var errStoreDown = errors.New("the store is down")
 
-func (s *store) check() error {
+func (s *store) checkUp() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return errDown
+		return errStoreDown
 	}
 	return nil
 }
 
-// documents keeps the documents that raw stands for: raw is their version.
+// documents maps the raw form of a document, which is only its version and a pointer, to the
+// document.
 var documents sync.Map
 
-func rawOf(doc route.Document) []byte {
+func encodeDocument(doc route.Document) []byte {
 	raw := fmt.Sprintf("%d/%p", doc.Version, &doc.Routes)
 	documents.Store(raw, doc)
 	return []byte(raw)
 }
 
-var errUnreadable = errors.New("cannot be read")
+var errUnknownDocument = errors.New("unknown document")
 
-// source is a daemon's view of the store.
+// source gives one daemon access to the store.
 type source struct {
 	s *store
-	// cut keeps this daemon from the store.
-	cut atomic.Bool
+	// disconnected makes the store unreachable for this daemon only.
+	disconnected atomic.Bool
 }
 
 func (s *source) Decode(raw []byte) (route.Document, error) {
 	doc, ok := documents.Load(string(raw))
 	if !ok {
-		return route.Document{}, errUnreadable
+		return route.Document{}, errUnknownDocument
 	}
 	return doc.(route.Document), nil
 }
@@ -135,7 +136,7 @@
 			return err
 		}
 		s.s.mu.Lock()
-		doc, changed, down := s.s.doc, s.s.changed, s.s.down || s.cut.Load()
+		doc, changed, down := s.s.doc, s.s.changed, s.s.down || s.disconnected.Load()
 		s.s.mu.Unlock()
 		if down {
 			f.Reachable(false)
@@ -148,7 +149,7 @@
 		}
 		f.Reachable(true)
 		if doc.Version > 0 {
-			f.Take(rawOf(doc), "store")
+			f.Take(encodeDocument(doc), "store")
 		}
 		select {
 		case <-ctx.Done():
@@ -159,24 +160,24 @@
 }
 
 func (s *store) Announce(_ context.Context, l Listing) error {
-	if err := s.check(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listings[l.Address] = l
-	s.written++
+	s.entries[l.Address] = l
+	s.announcements++
 	return nil
 }
 
 func (s *store) List(context.Context) ([]Listing, error) {
-	if err := s.check(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Listing
-	for _, l := range s.listings {
+	for _, l := range s.entries {
 		out = append(out, l)
 	}
 	return out, nil
@@ -185,28 +186,28 @@
 func (s *store) Remove(_ context.Context, address string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.listings, address)
+	delete(s.entries, address)
 	return nil
 }
 
-// upstream stands in for a server.
+// upstream is a test server in the role of an upstream.
 type upstream struct {
 	id     string
 	server *httptest.Server
-	// silent upstreams do not tell their load. It does not change.
+	// silent suppresses the load header. It does not change.
 	silent bool
-	// handle answers requests; nil answers well.
-	mu     sync.Mutex
-	handle func(w http.ResponseWriter, r *http.Request)
-	seen   []*http.Request
-	bodies []string
-	// health is the status of the health answer. Zero means 200.
+	// mu guards the fields below. handle serves requests; nil means answerWell.
+	mu       sync.Mutex
+	handle   func(w http.ResponseWriter, r *http.Request)
+	received []*http.Request
+	bodies   []string
+	// health is the status of the health check. Zero means 200.
 	health int
 }
 
 func newUpstream(t testing.TB, id string) *upstream {
 	u := &upstream{id: id}
-	// Tests close it and expect that nobody answers then.
+	// Tests close this server and expect that nothing else listens on its address then.
 	ln, err := net.Listen("tcp", freePort(t))
 	require.NoError(t, err)
 	u.server = httptest.NewUnstartedServer(u)
@@ -234,7 +235,7 @@
 func (u *upstream) requests() []*http.Request {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]*http.Request(nil), u.seen...)
+	return append([]*http.Request(nil), u.received...)
 }
 
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -250,7 +251,7 @@
 	}
 	body, _ := io.ReadAll(r.Body)
 	u.mu.Lock()
-	u.seen = append(u.seen, r)
+	u.received = append(u.received, r)
 	u.bodies = append(u.bodies, string(body))
 	handle := u.handle
 	u.mu.Unlock()
@@ -267,14 +268,14 @@
 	_, _ = io.WriteString(w, "answer of "+id)
 }
 
-func shed(w http.ResponseWriter, _ *http.Request) {
+func shedRequest(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("T-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// member is a daemon with its upstream.
+// member is a daemon under test and its upstream.
 type member struct {
 	*Daemon
 	up     *upstream
@@ -333,13 +334,13 @@
 	return m
 }
 
-// kill ends the daemon without a word.
+// kill stops the daemon without a grace period.
 func (m *member) kill() {
 	m.tunables.Store(&Tunables{})
 	m.stop()
 }
 
-// knows waits until a daemon has so many candidates of a service.
+// knows waits until the daemon has n candidates for a service.
 func (m *member) knows(t testing.TB, service model.ServiceName, n int) {
 	t.Helper()
 	eventually(t, "candidates", func() bool {
@@ -348,7 +349,8 @@
 	})
 }
 
-// documentOf routes /safe/ and /unsafe/ to a service.
+// documentOf returns a configuration that routes /safe/ (idempotent) and /unsafe/ to a
+// service.
 func documentOf(version model.Version, service model.ServiceName) route.Document {
 	r := func(name string, idempotent bool) route.Route {
 		return route.Route{
@@ -362,9 +364,9 @@
 	}
 }
 
-var lastID atomic.Int64
+var lastRequestID atomic.Int64
 
-// ask sends a request to a daemon's callers' address.
+// ask sends a request to the daemon's address for callers.
 func (m *member) ask(t *testing.T, method, path, body string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+m.opts.Addresses.Callers+path, nil)
@@ -374,7 +376,7 @@
 		req.ContentLength = int64(len(body))
 	}
 	req.Host = "h"
-	req.Header.Set("T-Id", fmt.Sprintf("r%d", lastID.Add(1)))
+	req.Header.Set("T-Id", fmt.Sprintf("r%d", lastRequestID.Add(1)))
 	req.Header.Set("T-Deadline", "5000")
 	req.Close = true
 	resp, err := http.DefaultTransport.RoundTrip(req)
--- /dev/null
+++ b/sidecar/idledaemons_test.go
@@ -0,0 +1,40 @@
+package sidecar
+
+import (
+	"fmt"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
+	var r syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
+		b.Fatal(err)
+	}
+	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
+}
+
+// BenchmarkIdleDaemons measures the CPU time and the traffic of daemons that serve no
+// requests, after their start-up traffic has settled.
+func BenchmarkIdleDaemons(b *testing.B) {
+	const settleTime, interval = 8 * time.Second, 10 * time.Second
+	for _, daemons := range []int{10, 40} {
+		b.Run(fmt.Sprint(daemons, " daemons"), func(b *testing.B) {
+			s := newStore(documentOf(1, "a"))
+			var all []*member
+			for i := range daemons {
+				all = append(all, join(b, s, "a", fmt.Sprint("a", i)))
+			}
+			time.Sleep(settleTime)
+			for b.Loop() {
+				cpu, sent := cpuTime(b), controlBytes(all, "", "sent")
+				time.Sleep(interval)
+				daemonSeconds := interval.Seconds() * float64(daemons)
+				b.ReportMetric(100*(cpuTime(b)-cpu).Seconds()/daemonSeconds, "%core/daemon")
+				b.ReportMetric(float64(controlBytes(all, "", "sent")-sent)/daemonSeconds, "B/s/daemon")
+			}
+		})
+	}
+}
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -15,72 +15,74 @@
 	"github.com/dottereltiller/dottereltiller/pause"
 )
 
-// announcePause bounds the pause between two tries to join once other daemons are known:
-// the own entry serves those that start later.
-const announcePause = 5 * time.Second
+// maxAnnounceBackoff bounds the pause between two attempts to write the directory entry once
+// other daemons are known: the entry then only serves daemons that start later.
+const maxAnnounceBackoff = 5 * time.Second
 
-// joiner makes the daemon known and finds the others. It is a part of the daemon.
+// joiner enters this daemon into the directory, finds the other daemons, and marks this one
+// as ready.
 type joiner struct {
 	d *Daemon
-	// written tells that the own entry is in the directory, listed that the entries have
-	// been read since.
-	written bool
-	listed  bool
+	// announced is set once the directory holds the entry of this daemon, listed once all
+	// entries have been read after that.
+	announced bool
+	listed    bool
 }
 
-// String names the part.
+// String implements fmt.Stringer. The supervisor logs this name.
 func (j *joiner) String() string { return "joiner" }
 
-// Serve joins once, and returns when the daemon is ready.
+// Serve joins once. It returns when the daemon is ready, and is not restarted.
 func (j *joiner) Serve(ctx context.Context) error {
 	var wg sync.WaitGroup
-	wg.Go(func() { j.discover(ctx) })
+	wg.Go(func() { j.discoverUpstream(ctx) })
 	wg.Go(func() { j.becomeReady(ctx) })
 	wg.Go(func() { j.announce(ctx) })
 	wg.Wait()
 	return suture.ErrDoNotRestart
 }
 
-// announce joins, again and again until the store has taken it.
+// announce repeats announceAndList until it succeeds.
 func (j *joiner) announce(ctx context.Context) {
-	waits := pause.Doubling{Min: minPause, Max: maxPause}
+	backoff := pause.Doubling{Min: minSyncBackoff, Max: maxPause}
 	for {
-		err := j.join(ctx)
-		j.d.peers.listedOnce.Do(func() { close(j.d.peers.listed) })
+		err := j.announceAndList(ctx)
+		j.d.peers.directoryReadOnce.Do(func() { close(j.d.peers.directoryRead) })
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 		j.d.opts.Decisions.Write(decision.AnnounceFailed, "", slog.String("error", err.Error()))
 		if j.d.peers.size() > 1 {
-			waits.Max = announcePause
+			backoff.Max = maxAnnounceBackoff
 		}
-		if waits.Wait(ctx) != nil {
+		if backoff.Wait(ctx) != nil {
 			return
 		}
 	}
 }
 
-// join writes the own entry unless it is there, and reads all entries after that, so that
-// of two daemons that start together the later one sees the earlier. The entry of an
-// earlier life serves as well. It goes on where the last try ended.
-func (j *joiner) join(ctx context.Context) error {
+// announceAndList writes the directory entry of this daemon unless it is there, and then
+// reads all entries: of two daemons that start together, the later one is certain to see the
+// earlier one. An entry that the previous incarnation wrote is still valid. After a failure,
+// the next call resumes at the step that failed.
+func (j *joiner) announceAndList(ctx context.Context) error {
 	var err error
-	if !j.written && !j.d.opts.First {
+	if !j.announced && !j.d.opts.First {
 		err = j.list(ctx)
 	}
-	if !j.written {
+	if !j.announced {
 		self := j.d.peers.self()
-		written := j.d.opts.Directory.Announce(ctx, Listing{Address: self.Address, Zone: self.Zone})
-		j.written, j.listed = written == nil, false
-		err = written
+		announceErr := j.d.opts.Directory.Announce(ctx, Listing{Address: self.Address, Zone: self.Zone})
+		j.announced, j.listed = announceErr == nil, false
+		err = announceErr
 	}
-	if !j.listed && (j.written || j.d.opts.First) {
+	if !j.listed && (j.announced || j.d.opts.First) {
 		err = errors.Join(err, j.list(ctx))
 	}
 	return err
 }
 
-// list reads all entries.
+// list reads all directory entries.
 func (j *joiner) list(ctx context.Context) error {
 	list, err := j.d.opts.Directory.List(ctx)
 	if err != nil {
@@ -88,41 +90,43 @@
 	}
 	j.listed = true
 	for _, l := range list {
-		j.written = j.written || l.Address == j.d.opts.Addresses.Peers
+		j.announced = j.announced || l.Address == j.d.opts.Addresses.Peers
 	}
-	j.d.peers.meet(list)
+	j.d.peers.addListed(list)
 	return nil
 }
 
-// discover asks the own upstream who it is, unless it reports first. Others are
-// heard first, as they remember whether it was leaving.
-func (j *joiner) discover(ctx context.Context) {
+// discoverUpstream asks the local upstream for its identity, unless the upstream reports
+// first or the whole system starts for the first time. It first waits for an exchange with
+// another daemon, as other daemons remember whether the upstream was leaving.
+func (j *joiner) discoverUpstream(ctx context.Context) {
 	if j.d.opts.First {
 		return
 	}
-	j.await(ctx, greetingWait)
-	if !j.d.config.await(ctx, func(*route.Table) bool { return j.d.healthPath() != "" }) {
+	j.awaitPeer(ctx, discoveryWait)
+	if !j.d.config.waitFor(ctx, func(*route.Table) bool { return j.d.healthPath() != "" }) {
 		return
 	}
 	j.d.guard.discover()
 	if cur, _ := j.d.guard.current(); cur.State != lifecycle.Unknown {
-		j.d.tellState()
+		j.d.announceState()
 	}
 }
 
-func (j *joiner) await(ctx context.Context, most time.Duration) {
+// awaitPeer waits for the first exchange with another daemon, at most for the timeout.
+func (j *joiner) awaitPeer(ctx context.Context, timeout time.Duration) {
 	select {
-	case <-j.d.peers.greeted:
-	case <-time.After(most):
+	case <-j.d.peers.firstContact:
+	case <-time.After(timeout):
 	case <-ctx.Done():
 	}
 }
 
-// becomeReady waits until requests can be served.
+// becomeReady marks the daemon as ready once it can serve requests.
 func (j *joiner) becomeReady(ctx context.Context) {
-	j.await(ctx, readyWait)
-	time.AfterFunc(readyWait, j.d.peers.introduce)
-	if j.d.config.await(ctx, func(*route.Table) bool { return true }) {
+	j.awaitPeer(ctx, readinessWait)
+	time.AfterFunc(readinessWait, j.d.peers.announceOnce)
+	if j.d.config.waitFor(ctx, func(*route.Table) bool { return true }) {
 		j.d.ready.Store(true)
 	}
 }
--- a/sidecar/massstart_test.go
+++ b/sidecar/massstart_test.go
@@ -11,15 +11,16 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// BenchmarkMassStart starts many daemons at once, in five zones, and reports what each
-// sends until all know each other and comparisons have settled, by kind.
+// BenchmarkMassStart starts many daemons at once in five zones. It reports, by kind of
+// message, the bytes that each sends until all know each other and the anti-entropy protocol
+// has slowed down.
 func BenchmarkMassStart(b *testing.B) {
 	const (
 		zones = 5
-		// reported is how long after its start an upstream reports, and settled how long
-		// comparisons are counted once all know each other.
-		reported = 200 * time.Millisecond
-		settled  = 8 * time.Second
+		// reportDelay is how long after its start an upstream reports, and settleTime how
+		// long traffic is counted after all daemons know each other.
+		reportDelay = 200 * time.Millisecond
+		settleTime  = 8 * time.Second
 	)
 	for _, n := range []int{30, 90, 180} {
 		b.Run(fmt.Sprint(n, " daemons"), func(b *testing.B) {
@@ -33,7 +34,7 @@
 						o := optionsFor(b, s, newUpstream(b, id), "b")
 						o.Zone = model.AvailabilityZone(fmt.Sprint("z", i%zones))
 						members[i] = start(b, o, s)
-						time.Sleep(reported)
+						time.Sleep(reportDelay)
 						members[i].Report(ready(id, 1, 1, "b"))
 					})
 				}
@@ -41,7 +42,7 @@
 				for _, m := range members {
 					m.knows(b, "b", n)
 				}
-				time.Sleep(settled)
+				time.Sleep(settleTime)
 				names := slices.Concat(slices.Collect(maps.Values(kindNames)), slices.Collect(maps.Values(pathNames)))
 				total := int64(0)
 				for _, kind := range names {
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -12,8 +12,8 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// counts returns how many values each histogram holds, by name and tags.
-func counts(s tally.TestScope) map[string]int {
+// timerCounts returns the number of values in each histogram, by name and tags.
+func timerCounts(s tally.TestScope) map[string]int {
 	out := map[string]int{}
 	for _, t := range s.Snapshot().Timers() {
 		out[fmt.Sprint(t.Name(), " ", t.Tags()["service"], " ", t.Tags()["route"])] += len(t.Values())
@@ -21,20 +21,20 @@
 	return out
 }
 
-func TestStagesOfARequestAreMeasured(t *testing.T) {
+func TestRequestStagesAreTimed(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
 	status, _ := a.get(t, "/safe/")
 	require.Equal(t, http.StatusOK, status)
-	at := counts(a.scope)
-	require.Equal(t, 1, at["latency b safe"], "%v", at)
+	counts := timerCounts(a.scope)
+	require.Equal(t, 1, counts["latency b safe"], "%v", counts)
 	for _, stage := range []string{stageChoose, stageSend, stageLoadAge} {
-		require.Equal(t, 1, at[stage+" b "], "%s: %v", stage, at)
+		require.Equal(t, 1, counts[stage+" b "], "%s: %v", stage, counts)
 	}
-	at = counts(b.scope)
+	counts = timerCounts(b.scope)
 	for _, stage := range []string{stageGuard, stageUpstream} {
-		require.Equal(t, 1, at[stage+" b "], "%s: %v", stage, at)
+		require.Equal(t, 1, counts[stage+" b "], "%s: %v", stage, counts)
 	}
 }
 
@@ -44,16 +44,16 @@
 	for i := range 3 * maxTimers {
 		m.answered("b", fmt.Sprint("route", i), outcome.Done(), time.Millisecond)
 	}
-	at := counts(scope)
-	require.Len(t, at, maxTimers+1)
-	require.Equal(t, 2*maxTimers, at["latency other other"])
+	counts := timerCounts(scope)
+	require.Len(t, counts, maxTimers+1)
+	require.Equal(t, 2*maxTimers, counts["latency other other"])
 }
 
-func TestAgesAreTold(t *testing.T) {
+func TestAgeGauges(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
 	a.knows(t, "b", 1)
-	read := func(name string) float64 {
+	readGauge := func(name string) float64 {
 		for _, g := range a.Gauges() {
 			if g.Name == name {
 				return g.Read()
@@ -62,19 +62,20 @@
 		require.Fail(t, "no gauge "+name)
 		return 0
 	}
-	require.Positive(t, read("config_age_seconds"))
-	eventually(t, "the store is reached", func() bool { return read("config_source_lost_seconds") == 0 })
-	require.Zero(t, read("peers_lost_seconds"))
+	require.Positive(t, readGauge("config_age_seconds"))
+	eventually(t, "the store is reachable", func() bool { return readGauge("config_source_lost_seconds") == 0 })
+	require.Zero(t, readGauge("peers_lost_seconds"))
 	s.setDown(true)
-	s.publish(documentOf(1, "b")) // wakes those who wait for a change
-	eventually(t, "the store is lost", func() bool { return read("config_source_lost_seconds") > 0 })
+	s.publish(documentOf(1, "b")) // wakes the sources, which wait for a change
+	eventually(t, "the store is unreachable", func() bool { return readGauge("config_source_lost_seconds") > 0 })
 	s.setDown(false)
-	eventually(t, "the store is reached again", func() bool { return read("config_source_lost_seconds") == 0 })
+	eventually(t, "the store is reachable again", func() bool { return readGauge("config_source_lost_seconds") == 0 })
 	a.peers.missed(b.opts.Addresses.Peers, errStopped)
-	require.Positive(t, read("peers_lost_seconds"))
+	require.Positive(t, readGauge("peers_lost_seconds"))
 }
 
-// controlBytes adds up what members count of a kind, or of all kinds where it is empty.
+// controlBytes sums the bytes that members counted for a kind of message, or for all kinds if
+// it is empty.
 func controlBytes(all []*member, kind, direction string) int64 {
 	var n int64
 	for _, m := range all {
@@ -88,23 +89,25 @@
 	return n
 }
 
-// TestControlIsCountedByKind reads how much daemons that nobody calls told each other.
-func TestControlIsCountedByKind(t *testing.T) {
+// TestControlTrafficIsCountedByKind checks the traffic counters of daemons that serve no
+// requests.
+func TestControlTrafficIsCountedByKind(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
 	a.knows(t, "a", 2)
 	b.knows(t, "a", 2)
-	sent := func(kind, direction string) int64 { return controlBytes([]*member{a, b}, kind, direction) }
-	require.Positive(t, sent("sync", "sent"))
-	require.Positive(t, sent("sync", "received"))
+	counted := func(kind, direction string) int64 { return controlBytes([]*member{a, b}, kind, direction) }
+	require.Positive(t, counted("sync", "sent"))
+	require.Positive(t, counted("sync", "received"))
 	for _, kind := range []string{"heartbeat", "comparison"} {
-		eventually(t, kind, func() bool { return sent(kind, "sent") > 0 && sent(kind, "received") > 0 })
+		eventually(t, kind, func() bool { return counted(kind, "sent") > 0 && counted(kind, "received") > 0 })
 	}
-	require.Zero(t, sent("load_question", "sent"))
+	require.Zero(t, counted("load_question", "sent"))
 }
 
-// TestKindsOfDatagramsAreNamed has every kind that is received counted.
-func TestKindsOfDatagramsAreNamed(t *testing.T) {
+// TestDatagramKindsAreNamed checks that every kind of datagram with a receiver has a name in
+// the metrics.
+func TestDatagramKindsAreNamed(t *testing.T) {
 	for kind := range receivers {
 		require.Contains(t, kindNames, kind)
 	}
--- a/sidecar/pack.go
+++ b/sidecar/pack.go
@@ -9,23 +9,23 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// maxUnpacked bounds the records of one datagram, in bytes of JSON.
-const maxUnpacked = 64 << 10
+// maxUnpackedBytes bounds the decompressed records of one datagram, in bytes of JSON.
+const maxUnpackedBytes = 64 << 10
 
-// packDictionary is what records have in common, so that the first one of a datagram is
-// short as well.
+// packDictionary is the preset compression dictionary. It holds text that records have in
+// common, so that even the first record of a datagram compresses well.
 var packDictionary = []byte(`.example","d":[{"id":"i-","born":177,"x":true` +
 	`{"a":"10.0.0.1:7420","i":1770000000000,"n":1,"z":"","s":"","u":{"ID":"i-","Born":1770000000000},"st":2,"sl":6,"c":3000}`)
 
-// packRecords writes records, one JSON value after the other and compressed (RFC 1951),
-// into bodies of datagrams. A record that fits into none is left out: its daemon is asked
-// for it.
+// packRecords encodes records as a sequence of JSON values, compresses them (RFC 1951), and
+// splits them into datagram bodies. A record that does not fit any datagram is left out; it
+// must be fetched from its daemon over a connection.
 func packRecords(records []Record) [][]byte {
 	if len(records) == 0 {
 		return nil
 	}
 	body, err := deflateRecords(records)
-	if err == nil && len(body) <= datagramRoom {
+	if err == nil && len(body) <= maxDatagramBody {
 		return [][]byte{body}
 	}
 	if len(records) == 1 {
@@ -37,9 +37,9 @@
 
 func deflateRecords(records []Record) ([]byte, error) {
 	var plain, out bytes.Buffer
-	e := json.NewEncoder(&plain)
+	encoder := json.NewEncoder(&plain)
 	for i := range records {
-		if err := e.Encode(&records[i]); err != nil {
+		if err := encoder.Encode(&records[i]); err != nil {
 			return nil, err
 		}
 	}
@@ -47,18 +47,19 @@
 	return out.Bytes(), err
 }
 
-// inflaters keeps readers of compressed records, which are large.
-var inflaters = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), packDictionary) }}
+// inflaterPool reuses decompressors, which are large.
+var inflaterPool = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), packDictionary) }}
 
-// unpackRecords reads what packRecords wrote, up to what cannot be read.
+// unpackRecords decodes a body that packRecords made. It returns the records before the first
+// error.
 func unpackRecords(body []byte) []Record {
-	r := inflaters.Get().(io.Reader)
-	defer inflaters.Put(r)
+	r := inflaterPool.Get().(io.Reader)
+	defer inflaterPool.Put(r)
 	if r.(flate.Resetter).Reset(bytes.NewReader(body), packDictionary) != nil {
 		return nil
 	}
 	var out []Record
-	d := json.NewDecoder(io.LimitReader(r, maxUnpacked))
+	d := json.NewDecoder(io.LimitReader(r, maxUnpackedBytes))
 	for {
 		var rec Record
 		if d.Decode(&rec) != nil {
--- a/sidecar/learned_test.go
+++ b/sidecar/peerlog_test.go
@@ -17,16 +17,17 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// told is what a daemon believes of others, and the lines that it wrote about that.
-type told struct {
+// loggedPeers is the state of one daemon's peers and the log lines written about them.
+type loggedPeers struct {
 	*peers
 	out bytes.Buffer
 	log *decision.Log
 }
 
-// newTold returns a daemon that is alone so far. It keeps the time of the bubble.
-func newTold() *told {
-	l := &told{}
+// newLoggedPeers returns the state of a daemon without peers. It uses the virtual time of the
+// bubble.
+func newLoggedPeers() *loggedPeers {
+	l := &loggedPeers{}
 	l.log = decision.New(decision.Options{Handler: slog.NewJSONHandler(&l.out, nil)})
 	began := time.Now()
 	l.peers = newPeers(Record{Address: "own", Incarnation: 1, Sequence: 1}, func() model.Instant { return model.Instant(time.Since(began)) }, l.log)
@@ -36,8 +37,8 @@
 	return l
 }
 
-// lines ends the log and returns its lines by their kinds.
-func (l *told) lines(t *testing.T) map[decision.Kind][]map[string]any {
+// closeAndRead closes the log and returns its lines by kind.
+func (l *loggedPeers) closeAndRead(t *testing.T) map[decision.Kind][]map[string]any {
 	t.Helper()
 	l.log.Close(time.Second)
 	out := map[decision.Kind][]map[string]any{}
@@ -50,8 +51,9 @@
 	return out
 }
 
-// tells returns the record of a peer in a state. One that is unknown has no upstream yet.
-func tells(n int, sequence uint64, s lifecycle.State) []Record {
+// stateRecords returns one record, that of peer n with an upstream in state s. For the state
+// Unknown, the record names no upstream.
+func stateRecords(n int, sequence uint64, s lifecycle.State) []Record {
 	r := Record{Address: fmt.Sprintf("d%03d", n), Incarnation: 1, Sequence: sequence, State: s}
 	if s != lifecycle.Unknown {
 		r.Upstream = lifecycle.Incarnation{ID: model.UpstreamID(fmt.Sprintf("u%03d", n)), Born: 1}
@@ -59,24 +61,25 @@
 	return []Record{r}
 }
 
-// TestLinesOfAMassStart guards against each daemon of a deployment that starts as a whole
-// writing a line about each other one: their number grew with the square of the daemons.
-func TestLinesOfAMassStart(t *testing.T) {
+// TestMassStartLogsFewLines guards against a number of log lines that grows with the square
+// of the number of daemons: when a whole deployment started, each daemon logged a line about
+// every other one.
+func TestMassStartLogsFewLines(t *testing.T) {
 	for _, daemons := range []int{10, 100, 295, 1700} {
 		bubble.Run(t, func(t *testing.T) {
-			l := newTold()
-			const within = 500 * time.Millisecond
+			l := newLoggedPeers()
+			const startDuration = 500 * time.Millisecond
 			for _, s := range []lifecycle.State{lifecycle.Unknown, lifecycle.Ready} {
 				for n := range daemons - 1 {
-					l.merge(tells(n, uint64(s)+1, s))
-					time.Sleep(within / time.Duration(daemons))
+					l.merge(stateRecords(n, uint64(s)+1, s))
+					time.Sleep(startDuration / time.Duration(daemons))
 				}
 			}
-			time.Sleep(2 * learnedSpan)
-			lines := l.lines(t)
-			alone := min(daemons-1, learnedAlone)
-			require.Len(t, lines[decision.PeerState], alone, daemons)
-			rest := daemons - 1 - alone
+			time.Sleep(2 * learnedWindow)
+			lines := l.closeAndRead(t)
+			individual := min(daemons-1, maxLearnedLines)
+			require.Len(t, lines[decision.PeerState], individual, daemons)
+			rest := daemons - 1 - individual
 			if rest == 0 {
 				require.Empty(t, lines[decision.PeersLearned])
 				return
@@ -91,51 +94,52 @@
 	}
 }
 
-// TestMissingDaemonsAreNamed has a daemon tell whose upstreams it does not know when many
-// have become known.
-func TestMissingDaemonsAreNamed(t *testing.T) {
+// TestDaemonsWithoutKnownUpstreamAreNamed checks that the summary line names the peers whose
+// upstreams are still unknown.
+func TestDaemonsWithoutKnownUpstreamAreNamed(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		l := newTold()
+		l := newLoggedPeers()
 		for n := range 100 {
 			s := lifecycle.Ready
 			if n == 40 || n == 90 {
 				s = lifecycle.Unknown
 			}
-			l.merge(tells(n, 1, s))
+			l.merge(stateRecords(n, 1, s))
 		}
-		time.Sleep(2 * learnedSpan)
-		line := l.lines(t)[decision.PeersLearned][0]
+		time.Sleep(2 * learnedWindow)
+		line := l.closeAndRead(t)[decision.PeersLearned][0]
 		require.EqualValues(t, 2, line["unheard"])
 		require.Equal(t, "d040 d090", line["missing"])
 		require.EqualValues(t, 98, line["ready"])
 	})
 }
 
-// TestChangesHaveLinesOfTheirOwn has many known upstreams leave, and daemons stop, at once.
-func TestChangesHaveLinesOfTheirOwn(t *testing.T) {
+// TestStateChangesAreLoggedIndividually changes the state of many known upstreams or daemons
+// at once: every change must get a log line of its own.
+func TestStateChangesAreLoggedIndividually(t *testing.T) {
 	for name, change := range map[string]func(*Record){
-		"drained":     func(r *Record) { r.State = lifecycle.Draining },
-		"gone":        func(r *Record) { r.State = lifecycle.Gone },
-		"stopping":    func(r *Record) { r.Stopping = true },
-		"born again":  func(r *Record) { r.Upstream.Born = 2 },
-		"out of view": func(r *Record) { r.State, r.Upstream = lifecycle.Unknown, lifecycle.Incarnation{} },
+		"drained":   func(r *Record) { r.State = lifecycle.Draining },
+		"gone":      func(r *Record) { r.State = lifecycle.Gone },
+		"stopping":  func(r *Record) { r.Stopping = true },
+		"restarted": func(r *Record) { r.Upstream.Born = 2 },
+		"unknown":   func(r *Record) { r.State, r.Upstream = lifecycle.Unknown, lifecycle.Incarnation{} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
-				l := newTold()
+				l := newLoggedPeers()
 				const daemons = 100
 				for n := range daemons {
-					l.merge(tells(n, 1, lifecycle.Ready))
+					l.merge(stateRecords(n, 1, lifecycle.Ready))
 				}
-				time.Sleep(2 * learnedSpan)
+				time.Sleep(2 * learnedWindow)
 				for n := range daemons {
-					r := tells(n, 2, lifecycle.Ready)
+					r := stateRecords(n, 2, lifecycle.Ready)
 					change(&r[0])
 					l.merge(r)
 				}
-				time.Sleep(2 * learnedSpan)
-				lines := l.lines(t)
-				require.Len(t, lines[decision.PeerState], learnedAlone+daemons)
+				time.Sleep(2 * learnedWindow)
+				lines := l.closeAndRead(t)
+				require.Len(t, lines[decision.PeerState], maxLearnedLines+daemons)
 				require.Len(t, lines[decision.PeersLearned], 1)
 			})
 		})
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -13,159 +13,170 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// Record is what a daemon tells the others of itself. It is its only writer, and
-// of two records of a daemon the one with the higher (Incarnation, Sequence)
-// holds.
+// Record is the state that a daemon announces about itself and its upstream. Only that daemon
+// writes it. Of two records of a daemon, the one with the higher (Incarnation, Sequence)
+// supersedes the other.
 type Record struct {
 	Address     string                 `json:"a"`
 	Incarnation int64                  `json:"i"`
 	Sequence    uint64                 `json:"n"`
 	Zone        model.AvailabilityZone `json:"z"`
-	// Service, Upstream, State and Slots tell of the upstream beside it.
+	// Service, Upstream, State and Slots describe the upstream beside the daemon.
 	Service  model.ServiceName     `json:"s,omitempty"`
 	Upstream lifecycle.Incarnation `json:"u,omitzero"`
 	State    lifecycle.State       `json:"st,omitempty"`
 	Slots    int                   `json:"sl,omitempty"`
-	// ColdMS is how much longer the upstream is slow after its start.
+	// ColdMS is how many more milliseconds the upstream is expected to be slow after its
+	// start.
 	ColdMS int64 `json:"c,omitempty"`
-	// Stopping tells that the daemon is about to stop. It takes calls where no other can.
+	// Stopping is set while the daemon is about to stop. It still accepts calls if no other
+	// daemon can.
 	Stopping bool `json:"x,omitempty"`
-	// Departed are the last incarnations beside it that left, so that a daemon
-	// that starts anew learns of them from the others.
+	// Departed holds the last incarnations of upstreams beside the daemon that left. If the
+	// daemon restarts, it learns of them from its peers.
 	Departed []lifecycle.Incarnation `json:"d,omitempty"`
 }
 
-// newer reports whether r wins over old.
-func (r *Record) newer(old *Record) bool { return stampOf(r).newer(stampOf(old)) }
+// newer reports whether r supersedes old.
+func (r *Record) newer(old *Record) bool { return recordVersionOf(r).supersedes(recordVersionOf(old)) }
 
-// maxTold bounds the departed incarnations in a record.
-const maxTold = 8
+// maxDeparted bounds the departed incarnations in a record.
+const maxDeparted = 8
 
-// peer is another daemon.
+// peer is the state that this daemon keeps of another daemon.
 type peer struct {
-	record    Record
+	record Record
+	// coldUntil is when the upstream of the peer is expected to be as fast as usual.
 	coldUntil model.Instant
 	pool      *hop.Pool
-	// due tells that the peer has not got the own record yet, syncing that a
-	// goroutine sees to it.
-	due     bool
+	// pushDue is set while the peer does not have the current local record, syncing while a
+	// goroutine runs syncLoop for the peer.
+	pushDue bool
 	syncing bool
-	// full asks for everything that the peer knows.
-	full bool
-	// verified is when the peer was last looked at for its silence.
+	// needsFullSync is set while the peer is to be asked for all of its records.
+	needsFullSync bool
+	// verified is when the peer was last contacted because it had not answered a query.
 	verified model.Instant
-	// lost is set while the peer cannot be reached, since when in lostAt.
+	// lost is set while the peer is unreachable, which began at lostAt.
 	lost   bool
 	lostAt model.Instant
 }
 
 const (
-	// syncTimeout bounds one exchange of records.
+	// syncTimeout bounds one request to another daemon.
 	syncTimeout = 1500 * time.Millisecond
-	// minPause and maxPause bound the pause after a failed exchange. A
-	// daemon that restarts is back within one or two seconds.
-	minPause = 100 * time.Millisecond
-	maxPause = 2 * time.Second
-	// lookClosely is how long a lost daemon is looked for with pauses of at most
-	// maxPause, and lookPause bounds them after that. Two regions that lose each other
-	// for minutes must find each other again: neither starts anew, and so neither
-	// would announce itself.
-	lookClosely = time.Minute
-	lookPause   = 15 * time.Second
-	// forgetAfter is how long a daemon is looked for in all.
+	// minSyncBackoff and maxPause bound the backoff after a failed exchange. A daemon that
+	// restarts is back within one or two seconds.
+	minSyncBackoff = 100 * time.Millisecond
+	maxPause       = 2 * time.Second
+	// fastRetryPeriod is how long an unreachable daemon is retried with a backoff of at most
+	// maxPause; after that, lookPause bounds the backoff. Retries must go on, because two
+	// regions that lose their connection for minutes have no other way to find each other: no
+	// daemon restarts, and so none announces itself again.
+	fastRetryPeriod = time.Minute
+	lookPause       = 15 * time.Second
+	// forgetAfter is how long an unreachable daemon is retried before it is forgotten.
 	forgetAfter = time.Hour
-	// lookers is how many daemons look for one that has stopped as planned, and
-	// lookAfter when they begin: it may be back while the store is away, and then
-	// it knows nobody.
-	lookers   = 3
-	lookAfter = 2500 * time.Millisecond
-	// fullAsks is how many daemons a starting one asks for all that they know.
+	// restartCheckers is how many daemons, on average, try to reach a daemon that stopped as
+	// planned, and restartCheckDelay is how long after its stop they begin. The daemon may
+	// restart while the store is unavailable, and then it knows no other daemon.
+	restartCheckers   = 3
+	restartCheckDelay = 2500 * time.Millisecond
+	// fullAsks is how many daemons a starting daemon asks for all records.
 	fullAsks = 2
-	// relaysPerZone is how many daemons of another zone are told of a change.
+	// relaysPerZone is how many daemons of each remote zone a change is pushed to.
 	relaysPerZone = 2
-	// peerIdle is how long connections between daemons are kept.
-	peerIdle = 20 * time.Second
-	// peerDial bounds connecting to a daemon: a few round trips between regions.
-	// One that is cut off does not answer at all.
-	peerDial = 150 * time.Millisecond
+	// peerIdleTimeout is how long idle connections between daemons are kept.
+	peerIdleTimeout = 20 * time.Second
+	// peerDialTimeout bounds connecting to a daemon: a few round trips between regions. A
+	// daemon that is cut off from the network does not respond at all.
+	peerDialTimeout = 150 * time.Millisecond
 )
 
-// peers holds the records of all daemons. It is safe for concurrent use.
+// peers holds the records of all daemons and keeps them up to date. It is safe for concurrent
+// use.
 type peers struct {
 	now       func() model.Instant
 	decisions *decision.Log
-	version   func() model.Version
-	// behind is told which version of the configuration a daemon has.
-	behind func(address string, v model.Version)
-	// tellByDatagram sends a record to a daemon without a connection, and reports
-	// whether it was noted.
-	tellByDatagram func(address string, r Record) bool
-	// regained is told that a daemon can be reached again, met that one has answered the
-	// question for all that it knows.
-	regained func()
-	met      func(address string)
-	// restore is told what others remember of the upstreams of this VM.
-	restore func([]lifecycle.Incarnation)
+	// version returns the version of the configuration in force.
+	version func() model.Version
+	// onVersion is called with the configuration version that a daemon has.
+	onVersion func(address string, v model.Version)
+	// pushByDatagram sends a record to a daemon without a connection, and reports whether the
+	// daemon acknowledged it.
+	pushByDatagram func(address string, r Record) bool
+	// regained is called when a daemon is reachable again, onFullSync when a daemon has
+	// returned all of its records.
+	regained   func()
+	onFullSync func(address string)
+	// restoreDeparted is called with the departed upstreams of this VM that other daemons
+	// know of.
+	restoreDeparted func([]lifecycle.Incarnation)
 
-	// draw draws from 0 to 1.
-	draw func() float64
+	// random returns a random number in [0, 1).
+	random func() float64
 
-	mu  sync.Mutex
+	mu sync.Mutex
+	// own is the local record.
 	own Record
-	// before is what others hold of the daemon that had this address before.
-	before     Record
-	all        map[string]*peer
+	// predecessor is the record that others hold of the previous daemon at this address.
+	predecessor Record
+	// all holds the other daemons by address.
+	all map[string]*peer
+	// generation counts the changes to the known daemons, asked those of them that were asked
+	// for all records.
 	generation uint64
 	asked      int
-	learned    learned
-	// told is set once the own record has been sent to everybody.
-	told bool
-	ctx  context.Context
-	// greeted is closed once another daemon has answered, or there is none.
-	greeted     chan struct{}
-	greetedOnce sync.Once
-	// listed is closed once the list of daemons has been asked for.
-	listed     chan struct{}
-	listedOnce sync.Once
+	learned    learnedLimiter
+	// announced is set once the local record has been pushed to other daemons.
+	announced bool
+	ctx       context.Context
+	// firstContact is closed after the first successful exchange with another daemon, or when
+	// there is no other daemon.
+	firstContact     chan struct{}
+	firstContactOnce sync.Once
+	// directoryRead is closed after the first attempt to read the directory.
+	directoryRead     chan struct{}
+	directoryReadOnce sync.Once
 }
 
 func newPeers(own Record, now func() model.Instant, d *decision.Log) *peers {
 	return &peers{
 		now: now, decisions: d, own: own,
-		all:     make(map[string]*peer),
-		draw:    rand.Float64,
-		ctx:     context.Background(),
-		greeted: make(chan struct{}),
-		listed:  make(chan struct{}),
+		all:           make(map[string]*peer),
+		random:        rand.Float64,
+		ctx:           context.Background(),
+		firstContact:  make(chan struct{}),
+		directoryRead: make(chan struct{}),
 
-		regained: func() {},
-		met:      func(string) {},
+		regained:   func() {},
+		onFullSync: func(string) {},
 	}
 }
 
-// self returns the own record.
+// self returns the local record.
 func (p *peers) self() Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.own
 }
 
-// update changes the own record and tells everybody.
-func (p *peers) update(change func(*Record)) {
+// updateLocal changes the local record and announces it.
+func (p *peers) updateLocal(change func(*Record)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.own)
 	p.own.Sequence++
 	p.generation++
-	p.tellAll()
+	p.announceToAll()
 }
 
-// tellAll sends the own record to the own zone and to relays of the others, which hand it
-// on there. p.mu is held.
-func (p *peers) tellAll() {
-	p.told = true
+// announceToAll schedules a push of the local record to all daemons of the local zone and to
+// relaysPerZone daemons of each remote zone, which relay it there. The caller holds p.mu.
+func (p *peers) announceToAll() {
+	p.announced = true
 	relays := make(map[model.AvailabilityZone]int)
-	// The order of a map differs each time, and so do the relays.
+	// Map iteration starts at a random element, so the relays vary.
 	for _, q := range p.all {
 		zone := q.record.Zone
 		switch {
@@ -178,141 +189,146 @@
 	}
 }
 
-// introduce sends the own record to everybody unless that has been done.
-func (p *peers) introduce() {
+// announceOnce announces the local record unless that has already happened.
+func (p *peers) announceOnce() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.told {
-		p.tellAll()
+	if !p.announced {
+		p.announceToAll()
 	}
 }
 
-// heardFrom takes in that a daemon has asked for the own record, and so gets it.
-func (p *peers) heardFrom(address string) {
+// handlePull handles an exchange that another daemon started. The reply carries the local
+// record, so no push to that daemon is due, unless this daemon still needs a full sync from
+// it.
+func (p *peers) handlePull(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.all[address]
 	if q == nil {
 		return
 	}
-	q.due = q.full
+	q.pushDue = q.needsFullSync
 	p.regain(q)
 }
 
-// owe has the own record sent to a peer. p.mu is held.
+// owe schedules a push of the local record to a peer. The caller holds p.mu.
 func (p *peers) owe(q *peer) {
-	q.due = true
+	q.pushDue = true
 	if q.syncing || p.ctx.Err() != nil {
 		return
 	}
 	q.syncing = true
-	go p.sync(q)
+	go p.syncLoop(q)
 }
 
 func newPeerPool(address string) *hop.Pool {
-	return hop.NewPool(address, hop.PoolOptions{IdleLimit: peerIdle, DialTimeout: peerDial})
+	return hop.NewPool(address, hop.PoolOptions{IdleLimit: peerIdleTimeout, DialTimeout: peerDialTimeout})
 }
 
-// merge takes in records and returns those that are news.
+// merge merges received records and returns those that superseded the records held.
 func (p *peers) merge(records []Record) []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var news []Record
+	var newer []Record
 	for i := range records {
 		r := &records[i]
 		switch {
 		case r.Address == "":
 		case r.Address == p.own.Address:
-			p.meetSelf(r)
-		case p.mergeOne(r):
-			news = append(news, *r)
+			p.mergeLocal(r)
+		case p.mergePeer(r):
+			newer = append(newer, *r)
 		}
 	}
-	return news
+	return newer
 }
 
-// meetSelf takes in what others hold of this daemon. A record of a life that
-// seems later than this one comes from a clock that was ahead. p.mu is held.
-func (p *peers) meetSelf(r *Record) {
-	if r.Incarnation > p.own.Incarnation {
-		p.own.Incarnation = r.Incarnation + 1
-		p.tellAll()
+// mergeLocal handles a record that another daemon holds of this daemon's address, from this
+// or a previous incarnation. If its incarnation is higher than the current one, the clock of
+// the previous incarnation was ahead, and this daemon raises its own incarnation above it.
+// The caller holds p.mu.
+func (p *peers) mergeLocal(held *Record) {
+	if held.Incarnation > p.own.Incarnation {
+		p.own.Incarnation = held.Incarnation + 1
+		p.announceToAll()
 	}
-	if r.newer(&p.before) && r.Incarnation != p.own.Incarnation {
-		p.before = *r
+	if held.newer(&p.predecessor) && held.Incarnation != p.own.Incarnation {
+		p.predecessor = *held
 	}
-	departed := r.Departed
-	if len(departed) > 0 && p.restore != nil {
-		go p.restore(slices.Clone(departed))
+	departed := held.Departed
+	if len(departed) > 0 && p.restoreDeparted != nil {
+		go p.restoreDeparted(slices.Clone(departed))
 	}
 }
 
-// mergeOne takes in a record of another daemon, and reports whether it is news.
-func (p *peers) mergeOne(r *Record) bool {
+// mergePeer merges a record of another daemon and reports whether it superseded the one held.
+// The caller holds p.mu.
+func (p *peers) mergePeer(r *Record) bool {
 	q := p.all[r.Address]
 	if q == nil {
-		q = p.add(Record{Address: r.Address, Zone: r.Zone})
-		p.greet(q)
+		q = p.addPeer(Record{Address: r.Address, Zone: r.Zone})
+		p.startSync(q)
 	} else if !r.newer(&q.record) {
 		return false
 	}
 	restarted := r.Incarnation != q.record.Incarnation && q.record.Incarnation != 0 && q.record.Sequence != 0
-	changed := r.State != q.record.State || r.Upstream != q.record.Upstream || r.Stopping != q.record.Stopping
-	stopped := q.record.Stopping && q.record.Incarnation == r.Incarnation
-	before := q.record
+	stateChanged := r.State != q.record.State || r.Upstream != q.record.Upstream || r.Stopping != q.record.Stopping
+	wasStopping := q.record.Stopping && q.record.Incarnation == r.Incarnation
+	previous := q.record
 	q.record = *r
 	if len(r.Departed) == 0 {
-		q.record.Departed = before.Departed
+		q.record.Departed = previous.Departed
 	}
 	q.coldUntil = p.now().Add(time.Duration(r.ColdMS) * time.Millisecond)
 	p.generation++
 	if restarted {
-		// Its memory of this daemon is gone, and so are the old connections.
+		// The restarted daemon has forgotten this one, and the old connections are dead.
 		q.pool.Close()
 		q.pool = newPeerPool(r.Address)
-		p.greet(q)
+		p.startSync(q)
 	}
-	if r.Stopping && !stopped && r.State != lifecycle.Gone && p.draw()*float64(len(p.all)) < lookers {
-		time.AfterFunc(lookAfter, func() { p.missed(r.Address, errStopped) })
+	if r.Stopping && !wasStopping && r.State != lifecycle.Gone && p.random()*float64(len(p.all)) < restartCheckers {
+		time.AfterFunc(restartCheckDelay, func() { p.missed(r.Address, errStopped) })
 	}
-	if changed {
-		p.tellState(&before, r)
+	if stateChanged {
+		p.logPeerState(&previous, r)
 	}
 	return true
 }
 
-// slotsOf returns the slots of an upstream of this VM that does not tell them itself: as
-// it told the daemon before, else as those of its service tell. Zero means that nobody
-// knows.
+// slotsOf infers the slots of an upstream of this VM that does not report them: the number
+// that it reported to the previous daemon here or, failing that, the largest one among
+// upstreams of the service. Zero means unknown.
 func (p *peers) slotsOf(i lifecycle.Incarnation) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.before.Upstream.ID == i.ID && p.before.Slots > 0 {
-		return p.before.Slots
+	if p.predecessor.Upstream.ID == i.ID && p.predecessor.Slots > 0 {
+		return p.predecessor.Slots
 	}
-	most := 0
+	largest := 0
 	for _, q := range p.all {
 		if q.record.Service == p.own.Service {
-			most = max(most, q.record.Slots)
+			largest = max(largest, q.record.Slots)
 		}
 	}
-	return most
+	return largest
 }
 
-// known returns every record held, the own first.
+// known returns all records held, the local one first.
 func (p *peers) known() []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := []Record{p.own}
+	records := []Record{p.own}
 	for _, q := range p.all {
 		if q.record.Sequence > 0 {
-			out = append(out, q.record)
+			records = append(records, q.record)
 		}
 	}
-	return out
+	return records
 }
 
-// of returns the record held of a daemon.
+// of returns the record of a daemon.
 func (p *peers) of(address string) (Record, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -323,7 +339,7 @@
 	return q.record, true
 }
 
-// pool returns the connections to a daemon, nil when it is not known.
+// pool returns the connection pool of a daemon, or nil if the daemon is unknown.
 func (p *peers) pool(address string) *hop.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -16,8 +16,8 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// joinZone starts a daemon in a zone.
-func joinZone(t *testing.T, s *store, zone model.AvailabilityZone, service model.ServiceName, id string) *member {
+// startInZone starts a daemon in a zone and reports its upstream as ready.
+func startInZone(t *testing.T, s *store, zone model.AvailabilityZone, service model.ServiceName, id string) *member {
 	t.Helper()
 	up := newUpstream(t, id)
 	o := optionsFor(t, s, up, service)
@@ -28,14 +28,15 @@
 	return m
 }
 
-// TestChangesReachOtherZones has few daemons of a zone told, and all of them know.
+// TestChangesReachOtherZones announces a change. Only some daemons of the other zone receive
+// the push, but all must learn of the change.
 func TestChangesReachOtherZones(t *testing.T) {
 	const perZone = 4
 	s := newStore(documentOf(1, "b"))
 	var all []*member
 	for _, zone := range []model.AvailabilityZone{"x", "y"} {
 		for i := range perZone {
-			all = append(all, joinZone(t, s, zone, "b", fmt.Sprint(zone, i)))
+			all = append(all, startInZone(t, s, zone, "b", fmt.Sprint(zone, i)))
 		}
 	}
 	for _, m := range all {
@@ -47,76 +48,78 @@
 	}
 }
 
-// TestMissedChangesAreLearned has a daemon of another zone miss a change.
-func TestMissedChangesAreLearned(t *testing.T) {
+// TestMissedChangesAreRepaired lets only one daemon of a zone learn of a change: anti-entropy
+// must bring it to the others.
+func TestMissedChangesAreRepaired(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a, b, c := joinZone(t, s, "x", "b", "x1"), joinZone(t, s, "y", "b", "y1"), joinZone(t, s, "y", "b", "y2")
+	a, b, c := startInZone(t, s, "x", "b", "x1"), startInZone(t, s, "y", "b", "y1"), startInZone(t, s, "y", "b", "y2")
 	for _, m := range []*member{a, b, c} {
 		m.knows(t, "b", 3)
 	}
-	gone := a.peers.self()
-	gone.Sequence += 5
-	gone.State = lifecycle.Draining
-	b.peers.merge([]Record{gone}) // as if only b had heard of it
+	changed := a.peers.self()
+	changed.Sequence += 5
+	changed.State = lifecycle.Draining
+	b.peers.merge([]Record{changed}) // only b learns of it
 	c.knows(t, "b", 2)
 }
 
-// tellings counts the daemons that are told, by zone.
-type tellings struct {
-	mu sync.Mutex
-	of map[string]int
+// pushCounts counts the pushes of a record by the zone of the receiver.
+type pushCounts struct {
+	mu     sync.Mutex
+	byZone map[string]int
 }
 
-func (t *tellings) count(zone string) int {
+func (t *pushCounts) count(zone string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.of[zone]
+	return t.byZone[zone]
 }
 
-// TestTellingGrowsWithZones changes the record of one daemon among many: the daemons of
-// its zone are told, and as many of each other zone at every size.
-func TestTellingGrowsWithZones(t *testing.T) {
+// TestAnnouncementsGrowWithZones changes the record of one daemon: it must be pushed to all
+// daemons of the local zone, and to the same number of daemons in each remote zone whatever
+// the size of the deployment.
+func TestAnnouncementsGrowWithZones(t *testing.T) {
 	const zones = 5
 	zoneOf := func(i int) string { return fmt.Sprint("z", i%zones) }
 	for _, n := range []int{10, 100, 300, 1000} {
 		t.Run(fmt.Sprint(n, " daemons"), func(t *testing.T) {
-			told := &tellings{of: make(map[string]int)}
+			pushes := &pushCounts{byZone: make(map[string]int)}
 			now := func() model.Instant { return 0 }
 			p := newPeers(Record{Address: "d0", Incarnation: 1, Sequence: 1, Zone: model.AvailabilityZone(zoneOf(0))}, now, decision.New(decision.Options{Handler: slog.DiscardHandler}))
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			p.ctx = ctx
 			p.asked = fullAsks
-			zoneAt := make(map[string]string)
+			zoneByAddress := make(map[string]string)
 			for i := 1; i < n; i++ {
 				r := Record{Address: fmt.Sprint("d", i), Incarnation: 1, Sequence: 1, Zone: model.AvailabilityZone(zoneOf(i))}
-				zoneAt[r.Address] = zoneOf(i)
+				zoneByAddress[r.Address] = zoneOf(i)
 				p.merge([]Record{r})
 			}
-			p.tellByDatagram = func(address string, _ Record) bool {
-				told.mu.Lock()
-				defer told.mu.Unlock()
-				told.of[zoneAt[address]]++
+			p.pushByDatagram = func(address string, _ Record) bool {
+				pushes.mu.Lock()
+				defer pushes.mu.Unlock()
+				pushes.byZone[zoneByAddress[address]]++
 				return true
 			}
-			p.update(func(r *Record) { r.State = lifecycle.Draining })
-			near := (n+zones-1)/zones - 1
-			eventually(t, "all near", func() bool { return told.count(zoneOf(0)) == near })
+			p.updateLocal(func(r *Record) { r.State = lifecycle.Draining })
+			zonePeers := (n+zones-1)/zones - 1
+			eventually(t, "all daemons of the local zone", func() bool { return pushes.count(zoneOf(0)) == zonePeers })
 			for z := 1; z < zones; z++ {
-				eventually(t, "relays", func() bool { return told.count(zoneOf(z)) == min(relaysPerZone, n/zones) })
+				eventually(t, "relays of a remote zone", func() bool { return pushes.count(zoneOf(z)) == min(relaysPerZone, n/zones) })
 			}
 		})
 	}
 }
 
-// TestRelayPacksRecords has records that come together travel together.
+// TestRelayPacksRecords checks that records relayed at the same time share datagrams.
 func TestRelayPacksRecords(t *testing.T) {
 	const records = 60
 	var mu sync.Mutex
 	got := make(map[string]map[string]bool)
 	messages := 0
 	r := &relay{
-		near: func() []string { return []string{"a", "b"} },
+		zonePeers: func() []string { return []string{"a", "b"} },
 		send: func(address string, body []byte) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -132,7 +135,7 @@
 	for i := range records {
 		r.add(Record{Address: fmt.Sprint("10.0.0.", i, ":7000"), Incarnation: 1, Sequence: 2, Zone: "far", Service: "s", State: lifecycle.Ready})
 	}
-	eventually(t, "all arrive", func() bool {
+	eventually(t, "all records arrive", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(got["a"]) == records && len(got["b"]) == records
@@ -142,42 +145,43 @@
 	require.LessOrEqual(t, messages, 2*records/5)
 }
 
-// TestComparisonsEnd has two daemons with equal records send none.
-func TestComparisonsEnd(t *testing.T) {
+// TestEqualRecordsHaveEqualDigests checks that two daemons with equal records find no
+// difference.
+func TestEqualRecordsHaveEqualDigests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := join(t, s, "b", "b1"), join(t, s, "b", "b2")
 	a.knows(t, "b", 2)
 	b.knows(t, "b", 2)
 	eventually(t, "equal records", func() bool { return a.peers.digest() == b.peers.digest() })
-	odd := a.peers.digest()
-	odd[3]++
-	require.NotEqual(t, odd, b.peers.digest())
+	changed := a.peers.digest()
+	changed[3]++
+	require.NotEqual(t, changed, b.peers.digest())
 	require.Empty(t, unpackRecords([]byte("{broken")))
 }
 
-// TestOneRelayIsEnough has another relay of the zone hand a record on first.
-func TestOneRelayIsEnough(t *testing.T) {
+// TestRelaySkipsRecordsSentByAnother has another relay of the zone send a record first.
+func TestRelaySkipsRecordsSentByAnother(t *testing.T) {
 	const seq = 5
 	for name, c := range map[string]struct {
 		relayed []Record
 		sent    int
 	}{
-		"none before":    {nil, 1},
-		"the same":       {[]Record{{Address: "far", Incarnation: 1, Sequence: seq}}, 0},
-		"a newer one":    {[]Record{{Address: "far", Incarnation: 1, Sequence: seq + 1}}, 0},
-		"an older one":   {[]Record{{Address: "far", Incarnation: 1, Sequence: seq - 1}}, 1},
-		"another record": {[]Record{{Address: "other", Incarnation: 1, Sequence: seq}}, 1},
+		"nothing relayed":       {nil, 1},
+		"same record":           {[]Record{{Address: "far", Incarnation: 1, Sequence: seq}}, 0},
+		"newer record":          {[]Record{{Address: "far", Incarnation: 1, Sequence: seq + 1}}, 0},
+		"older record":          {[]Record{{Address: "far", Incarnation: 1, Sequence: seq - 1}}, 1},
+		"other daemon's record": {[]Record{{Address: "other", Incarnation: 1, Sequence: seq}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sent := 0
 				r := &relay{
-					near: func() []string { return []string{"a"} },
-					send: func(string, []byte) { sent++ },
+					zonePeers: func() []string { return []string{"a"} },
+					send:      func(string, []byte) { sent++ },
 				}
 				r.add(Record{Address: "far", Incarnation: 1, Sequence: seq})
 				r.relayed(c.relayed)
-				time.Sleep(relayAfter + relaySpread)
+				time.Sleep(relayDelay + relayJitter)
 				synctest.Wait()
 				require.Equal(t, c.sent, sent)
 			})
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -17,65 +17,67 @@
 	"github.com/dottereltiller/dottereltiller/inbound"
 )
 
-// TestIdleConnectionsKeepTheNewestPromise changes how long idle connections are kept
-// while one is idle.
-func TestIdleConnectionsKeepTheNewestPromise(t *testing.T) {
+// TestIdleTimeoutChangeAppliesToIdleConnections changes the idle timeout while a connection
+// is idle: a longer one must apply to it, a shorter one must not.
+func TestIdleTimeoutChangeAppliesToIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after time.Duration
 		closedAfter   time.Duration
 	}{
-		"unchanged": {5 * time.Second, 5 * time.Second, 5*time.Second + idleSlack},
-		"longer":    {5 * time.Second, 20 * time.Second, 20*time.Second + idleSlack},
-		"shorter":   {20 * time.Second, 5 * time.Second, 20*time.Second + idleSlack},
+		"unchanged": {5 * time.Second, 5 * time.Second, 5*time.Second + idleCloseDelay},
+		"longer":    {5 * time.Second, 20 * time.Second, 20*time.Second + idleCloseDelay},
+		"shorter":   {20 * time.Second, 5 * time.Second, 20*time.Second + idleCloseDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
 				s := newServer("callers", http.NotFoundHandler())
-				s.limit(route.Limits{IdleTimeout: c.before})
+				s.setLimits(route.Limits{IdleTimeout: c.before})
 				conn, other := net.Pipe()
 				defer func() { _ = other.Close() }()
-				s.state(conn, http.StateActive)
-				s.state(conn, http.StateIdle)
+				s.trackConn(conn, http.StateActive)
+				s.trackConn(conn, http.StateIdle)
 				time.Sleep(4 * time.Second)
-				s.limit(route.Limits{IdleTimeout: c.after})
+				s.setLimits(route.Limits{IdleTimeout: c.after})
 				time.Sleep(c.closedAfter - 4*time.Second - time.Millisecond)
-				require.NoError(t, conn.SetDeadline(time.Time{}), "it is open")
+				require.NoError(t, conn.SetDeadline(time.Time{}), "the connection is open")
 				time.Sleep(2 * time.Millisecond)
 				synctest.Wait()
-				require.Error(t, conn.SetDeadline(time.Time{}), "it is closed")
+				require.Error(t, conn.SetDeadline(time.Time{}), "the connection is closed")
 			})
 		})
 	}
 }
 
-// idleForAnHour returns a server that keeps idle connections for an hour, one of them, and
-// its timer.
-func idleForAnHour(t *testing.T) (*server, net.Conn, *idleConn) {
+// newServerWithIdleConn returns a server with an idle timeout of one hour, an idle connection
+// of it, and that connection's timer.
+func newServerWithIdleConn(t *testing.T) (*server, net.Conn, *idleConn) {
 	t.Helper()
 	s := newServer("callers", http.NotFoundHandler())
-	s.limit(route.Limits{IdleTimeout: time.Hour})
+	s.setLimits(route.Limits{IdleTimeout: time.Hour})
 	conn, other := net.Pipe()
 	t.Cleanup(func() { _ = other.Close() })
-	s.state(conn, http.StateIdle)
+	s.trackConn(conn, http.StateIdle)
 	return s, conn, s.idle[conn]
 }
 
-// TestIdleTimersCloseNoConnectionInUse guards against a request that is passed on and cut:
-// its connection's idle timer is due, and fires only after the request has been read.
+// TestIdleTimersCloseNoConnectionInUse guards against a forwarded request that gets no
+// response: the idle timer of its connection is due, and fires only after the request has
+// been read.
 func TestIdleTimersCloseNoConnectionInUse(t *testing.T) {
-	s, conn, due := idleForAnHour(t)
-	s.state(conn, http.StateActive)
-	s.closeIdle(conn, due)
-	require.NoError(t, conn.SetDeadline(time.Time{}), "it is in use")
-	s.state(conn, http.StateIdle)
-	s.closeIdle(conn, due)
-	require.NoError(t, conn.SetDeadline(time.Time{}), "it has been in use since")
+	s, conn, idle := newServerWithIdleConn(t)
+	s.trackConn(conn, http.StateActive)
+	s.closeIdle(conn, idle)
+	require.NoError(t, conn.SetDeadline(time.Time{}), "the connection is in use")
+	s.trackConn(conn, http.StateIdle)
+	s.closeIdle(conn, idle)
+	require.NoError(t, conn.SetDeadline(time.Time{}), "the connection has been used since the timer was set")
 	s.closeIdle(conn, s.idle[conn])
-	require.Error(t, conn.SetDeadline(time.Time{}), "it is closed")
+	require.Error(t, conn.SetDeadline(time.Time{}), "the connection is closed")
 }
 
-// accepted returns the context of a request on a connection, and both ends of that.
-func accepted(t *testing.T) (ctx context.Context, conn, other net.Conn) {
+// acceptConn returns the context of requests on a new connection, and both ends of the
+// connection.
+func acceptConn(t *testing.T) (ctx context.Context, conn, other net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -95,11 +97,12 @@
 	return r
 }
 
-// TestRequestsOnClosedConnectionsAreNotPassedOn guards against a request that is passed on
-// though its caller can get no answer: its connection was closed just after it was read.
-func TestRequestsOnClosedConnectionsAreNotPassedOn(t *testing.T) {
+// TestRequestsOnClosedConnectionsAreNotForwarded guards against forwarding a request whose
+// caller can get no response, because its connection was closed just after the request was
+// read.
+func TestRequestsOnClosedConnectionsAreNotForwarded(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
-	ctx, conn, _ := accepted(t)
+	ctx, conn, _ := acceptConn(t)
 	require.NoError(t, conn.Close())
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() {
 		m.callers.http.Handler.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
@@ -107,25 +110,26 @@
 	require.Empty(t, m.up.requests())
 }
 
-// TestRequestsOfCallersThatHaveLeftAreNotPassedOn guards against requests that reach an
-// upstream long after their callers have left: a busy processor has net/http see the close
-// late.
-func TestRequestsOfCallersThatHaveLeftAreNotPassedOn(t *testing.T) {
+// TestRequestsOfDisconnectedCallersAreNotForwarded guards against requests that reach an
+// upstream long after their callers have disconnected: on a busy processor, net/http notices
+// the close late.
+func TestRequestsOfDisconnectedCallersAreNotForwarded(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
-	ctx, _, caller := accepted(t)
+	ctx, _, caller := acceptConn(t)
 	require.NoError(t, caller.Close())
-	eventually(t, "the close is there", func() bool { return inbound.Left(ctx) })
+	eventually(t, "the close has arrived", func() bool { return inbound.Left(ctx) })
 	m.entry.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
 	require.Empty(t, m.up.requests())
 }
 
-// TestCallsOfSendersThatHaveLeftAreNotRun is the same at the guard, for a call that waited.
-func TestCallsOfSendersThatHaveLeftAreNotRun(t *testing.T) {
+// TestCallsOfDisconnectedSendersAreNotRun has a sender disconnect before the guard has
+// started its call: the call must not run.
+func TestCallsOfDisconnectedSendersAreNotRun(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
-		ctx, _, sender := accepted(t)
+		ctx, _, sender := acceptConn(t)
 		require.NoError(t, sender.Close())
-		eventually(t, "the close is there", func() bool { return inbound.Left(ctx) })
+		eventually(t, "the close has arrived", func() bool { return inbound.Left(ctx) })
 		c := ordinary()
 		c.Service, c.Upstream.ID, c.Idempotent = "a", "a1", idempotent
 		require.Equal(t, outcome.NotRun, m.guard.Do(ctx, c).Outcome.Kind)
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -16,9 +16,9 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// longDocument returns a document of some hundred kilobytes in which the version and one
-// route differ.
-func longDocument(version int) []byte {
+// largeDocument returns a document of about a hundred kilobytes. The documents of two
+// versions differ in the version number and in one additional line each.
+func largeDocument(version int) []byte {
 	const routes = 2000
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %d\n", version)
@@ -31,7 +31,7 @@
 	return []byte(b.String())
 }
 
-// versionSource reads the documents of longDocument.
+// versionSource decodes the documents that largeDocument returns.
 type versionSource struct{ Source }
 
 func (versionSource) Decode(raw []byte) (route.Document, error) {
@@ -40,16 +40,17 @@
 	return route.Document{Version: v, Routes: documentOf(1, "a").Routes}, err
 }
 
-// newVersions returns a configuration that had so many documents in force.
-func newVersions(newest int) *configuration {
+// configWithVersions returns a configuration that had the versions 1 to newest in force.
+func configWithVersions(newest int) *configuration {
 	c := newConfiguration(versionSource{}, nil)
 	for v := 1; v <= newest; v++ {
-		c.take(longDocument(v), "test")
+		c.apply(largeDocument(v), "test")
 	}
 	return c
 }
 
-// serveVersions serves the documents of a configuration and counts the bytes sent.
+// serveVersions serves the documents of a configuration as a daemon does, and counts the
+// bytes sent.
 func serveVersions(t *testing.T, c *configuration, sent *int) *hop.Pool {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
@@ -64,51 +65,52 @@
 	return pool
 }
 
-// TestVersionsTravelByDifference has a daemon fetch version 9.
-func TestVersionsTravelByDifference(t *testing.T) {
+// TestFetchTransfersDelta has a daemon fetch version 9 and bounds the bytes transferred.
+func TestFetchTransfersDelta(t *testing.T) {
 	const newest, compressed = 9, 25_000
 	for name, c := range map[string]struct {
-		have   int
-		other  bool
-		atMost int
+		have        int
+		conflicting bool
+		maxBytes    int
 	}{
-		"one version behind":               {have: 8, atMost: 200},
-		"three versions behind":            {have: 6, atMost: 300},
-		"further than the other one keeps": {have: 5, atMost: compressed},
-		"nothing in force":                 {have: 0, atMost: compressed},
-		"another document of that version": {have: 8, other: true, atMost: compressed + 500},
+		"one version behind":                    {have: 8, maxBytes: 200},
+		"three versions behind":                 {have: 6, maxBytes: 300},
+		"further behind than versions are kept": {have: 5, maxBytes: compressed},
+		"nothing in force":                      {have: 0, maxBytes: compressed},
+		"different document of that version":    {have: 8, conflicting: true, maxBytes: compressed + 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent int
-			pool := serveVersions(t, newVersions(newest), &sent)
-			behind := newVersions(c.have)
-			if c.other {
-				behind = newVersions(0)
-				behind.take(append(longDocument(c.have), "something else\n"...), "test")
+			pool := serveVersions(t, configWithVersions(newest), &sent)
+			config := configWithVersions(c.have)
+			if c.conflicting {
+				config = configWithVersions(0)
+				config.apply(append(largeDocument(c.have), "something else\n"...), "test")
 			}
-			raw, err := behind.fetch(t.Context(), pool, "test")
+			raw, err := config.fetch(t.Context(), pool, "test")
 			require.NoError(t, err)
-			require.True(t, bytes.Equal(longDocument(newest), raw))
-			require.LessOrEqual(t, sent, c.atMost)
+			require.True(t, bytes.Equal(largeDocument(newest), raw))
+			require.LessOrEqual(t, sent, c.maxBytes)
 		})
 	}
 }
 
-// TestSmallVersionsTravelWhole has no delta made of a document of a few bytes.
-func TestSmallVersionsTravelWhole(t *testing.T) {
+// TestSmallDocumentsAreSentWhole checks that no delta is computed for a document of a few
+// bytes.
+func TestSmallDocumentsAreSentWhole(t *testing.T) {
 	var v versions
 	v.add(1, []byte("one"))
 	v.add(2, []byte("two"))
-	d, err := v.since(1)
+	d, err := v.deltaFrom(1)
 	require.NoError(t, err)
 	require.Nil(t, d)
 	require.Equal(t, "two", string(v.newest()))
 }
 
-// TestKeptVersionsAreBounded brings many versions into force.
+// TestKeptVersionsAreBounded brings more versions into force than are kept.
 func TestKeptVersionsAreBounded(t *testing.T) {
-	c := newVersions(100)
-	require.Len(t, c.versions.held, keptVersions)
-	require.NotNil(t, c.versions.of(100))
-	require.Nil(t, c.versions.of(100-keptVersions))
+	c := configWithVersions(100)
+	require.Len(t, c.versions.documents, keptVersions)
+	require.NotNil(t, c.versions.document(100))
+	require.Nil(t, c.versions.document(100-keptVersions))
 }
