--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -88,10 +88,10 @@
 	}
 }
 
-// Enter asks to let in a request of a group at a service. When it reports true
+// TryAcquire asks to let in a request of a group at a service. When it reports true
 // leave must be called once the request has ended. Otherwise it returns what to
 // tell the caller to wait.
-func (s *Store) Enter(service model.ServiceName, group model.GroupName) (leave func(), wait time.Duration, ok bool) {
+func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (leave func(), wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.ceilings[ceiling.Key{Service: service, Group: group}]
--- a/ceiling/store_test.go
+++ b/ceiling/store_test.go
@@ -40,7 +40,7 @@
 		for range each / 4 {
 			f.now = f.now.Add(time.Second / time.Duration(each))
 			for _, s := range f.stores {
-				if leave, _, ok := s.Enter("s", "g"); ok {
+				if leave, _, ok := s.TryAcquire("s", "g"); ok {
 					admitted++
 					leave()
 				}
@@ -80,16 +80,16 @@
 
 func TestGroupsWithoutACeilingPass(t *testing.T) {
 	s := newFleet(1, ceiling.Limits{Rate: 1e-9}).stores[0]
-	leave, _, ok := s.Enter("s", "other")
+	leave, _, ok := s.TryAcquire("s", "other")
 	require.True(t, ok)
 	leave()
-	_, _, ok = s.Enter("s", "g")
+	_, _, ok = s.TryAcquire("s", "g")
 	require.True(t, ok, "the first")
-	_, wait, ok := s.Enter("s", "g")
+	_, wait, ok := s.TryAcquire("s", "g")
 	require.False(t, ok)
 	require.Equal(t, time.Second, wait)
 	s.Configure(nil)
-	_, _, ok = s.Enter("s", "g")
+	_, _, ok = s.TryAcquire("s", "g")
 	require.True(t, ok, "no longer in force")
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -59,10 +59,10 @@
 // Ceilings enforces the ceilings of groups: limits on the rate and concurrency of
 // a group's requests over all daemons.
 type Ceilings interface {
-	// Enter reports whether a request of the group may proceed. If so, release
+	// TryAcquire reports whether a request of the group may proceed. If so, release
 	// must be called once the request has ended. If not, wait is the time after
 	// which the caller may try again.
-	Enter(model.ServiceName, model.GroupName) (release func(), wait time.Duration, ok bool)
+	TryAcquire(model.ServiceName, model.GroupName) (release func(), wait time.Duration, ok bool)
 }
 
 const (
@@ -124,7 +124,7 @@
 	if e.opts.Ceilings == nil {
 		return e.handle(ctx, req)
 	}
-	release, wait, ok := e.opts.Ceilings.Enter(req.service.Name, req.group)
+	release, wait, ok := e.opts.Ceilings.TryAcquire(req.service.Name, req.group)
 	if !ok {
 		o := outcome.NotRunBecause(outcome.ReasonCeiling)
 		o.RetryAfter = wait
