--- a/bench/state.go
+++ b/bench/state.go
@@ -196,7 +196,7 @@
 	}
 	var version model.Version
 	took := timeOf(1, func() {
-		folder := configuration.NewFolder()
+		folder := configuration.NewStateMachine()
 		for i, r := range records {
 			folder.Fold(uint64(i), r)
 		}
--- a/configuration/documents.go
+++ b/configuration/documents.go
@@ -9,9 +9,9 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// NewFolder returns a fold of the config stream that judges documents as every
+// NewStateMachine returns a fold of the config stream that judges documents as every
 // daemon does.
-func NewFolder() *config.Folder { return config.NewFolder(validate) }
+func NewStateMachine() *config.Folder { return config.NewFolder(validate) }
 
 // validate checks each document on its own. The operator's command compiles
 // the whole configuration on top of its base before it publishes; because a
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -78,10 +78,10 @@
 	store := configuration.NewStore(configuration.Options{
 		Log:  n.link,
 		Seed: seed,
-		Reads: func() bool {
+		IsLogReader: func() bool {
 			return time.Since(x.LastRound()) > 4*time.Second || peer.IsReader(n.ID, n.Zone, f.peers)
 		},
-		Hint:               func() { x.Hint() },
+		OnUpdate:           func() { x.Hint() },
 		CheckpointInterval: time.Minute,
 	})
 	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: f.net.From(n.ID),
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -35,7 +35,7 @@
 		return
 	}
 	s.recordRead(err)
-	if err == nil && s.opts.Reads() {
+	if err == nil && s.opts.IsLogReader() {
 		s.checkpoint(ctx)
 	}
 }
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	sure, failing := s.status.Sure, s.status.LogProblem != ""
 	s.mu.Unlock()
-	reads := s.opts.Reads()
+	reads := s.opts.IsLogReader()
 	if failing {
 		s.pause.Min, s.pause.Max = s.opts.Interval, s.opts.IdleInterval
 		if reads {
@@ -176,7 +176,7 @@
 	s.mu.Unlock()
 	if changed {
 		s.putInForce()
-		s.opts.Hint()
+		s.opts.OnUpdate()
 	}
 }
 
--- a/configuration/store.go
+++ b/configuration/store.go
@@ -33,16 +33,16 @@
 	// CheckpointInterval is the time after which a checkpoint is appended
 	// again. It must be well under the log's retention. Default: 10min.
 	CheckpointInterval time.Duration
-	// Reads reports whether this daemon reads the log at Interval. Nil means
+	// IsLogReader reports whether this daemon reads the log at Interval. Nil means
 	// that it always does.
-	Reads func() bool
-	// Hint is called when the log had news, so that peers hear of it at once.
+	IsLogReader func() bool
+	// OnUpdate is called when the log had news, so that peers hear of it at once.
 	// Nil means that nobody is told.
-	Hint func()
+	OnUpdate func()
 	// Seed seeds the jitter.
-	Seed    uint64
-	Metrics tally.Scope
-	Logger  *slog.Logger
+	Seed   uint64
+	Scope  tally.Scope
+	Logger *slog.Logger
 }
 
 const (
@@ -108,9 +108,9 @@
 	opts.setDefaults()
 	s := &Store{
 		opts:    opts,
-		metrics: newMetrics(opts.Metrics),
+		metrics: newMetrics(opts.Scope),
 		rng:     rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
-		folder:  NewFolder(),
+		folder:  NewStateMachine(),
 	}
 	s.seenCheckpoint(0)
 	return s
@@ -126,11 +126,11 @@
 	if o.CheckpointInterval <= 0 {
 		o.CheckpointInterval = defaultCheckpointInterval
 	}
-	if o.Reads == nil {
-		o.Reads = func() bool { return true }
+	if o.IsLogReader == nil {
+		o.IsLogReader = func() bool { return true }
 	}
-	if o.Hint == nil {
-		o.Hint = func() {}
+	if o.OnUpdate == nil {
+		o.OnUpdate = func() {}
 	}
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -135,7 +135,7 @@
 		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{late})
 		require.NoError(t, err)
 
-		fresh := configuration.NewStore(configuration.Options{Log: f.log, Reads: func() bool { return false }})
+		fresh := configuration.NewStore(configuration.Options{Log: f.log, IsLogReader: func() bool { return false }})
 		fresh.Poll(t.Context())
 		require.Nil(t, fresh.Current(), "the late checkpoint must not be taken for the newest")
 		require.False(t, fresh.Status().Sure)
@@ -317,7 +317,7 @@
 		require.NoError(b, err)
 	}
 	for b.Loop() {
-		f := configuration.NewFolder()
+		f := configuration.NewStateMachine()
 		for i, r := range records {
 			f.Fold(uint64(i), r)
 		}
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -73,7 +73,7 @@
 	}
 	hint := func() { x.Hint() }
 	end := f.net.From(n.ID)
-	store := configuration.NewStore(configuration.Options{Log: n.link, Reads: reads, Hint: hint, Seed: seed})
+	store := configuration.NewStore(configuration.Options{Log: n.link, IsLogReader: reads, OnUpdate: hint, Seed: seed})
 	r = membership.NewRegistry(membership.Options{Self: n.ID, Zone: n.Zone, Log: n.link, Ping: end,
 		Reads: reads, Hint: hint, Seed: seed, MaxUpstreams: 1 << 20})
 	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Transport: end, Seed: seed,
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -36,13 +36,13 @@
 	seed := uint64(time.Now().UnixNano())
 	hint := func() { d.Exchanger.Hint() }
 	d.Config = configuration.NewStore(configuration.Options{
-		Log:      d.Log,
-		Interval: interval,
-		Reads:    d.readsLog,
-		Hint:     hint,
-		Seed:     seed,
-		Metrics:  d.Metrics.Scope,
-		Logger:   d.logger,
+		Log:         d.Log,
+		Interval:    interval,
+		IsLogReader: d.readsLog,
+		OnUpdate:    hint,
+		Seed:        seed,
+		Scope:       d.Metrics.Scope,
+		Logger:      d.logger,
 	})
 	d.Peers = peer.NewDialingClient(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
 	d.Members = membership.NewRegistry(membership.Options{
--- a/operator/view.go
+++ b/operator/view.go
@@ -40,7 +40,7 @@
 }
 
 func newView(ctx context.Context, log recordlog.Log, want model.Version) (*View, error) {
-	v := &View{log: log, folder: configuration.NewFolder(), want: want}
+	v := &View{log: log, folder: configuration.NewStateMachine(), want: want}
 	return v, v.Advance(ctx)
 }
 
