--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -38,8 +38,8 @@
 // Result describes how a started request ended.
 type Result struct {
 	Outcome outcome.Outcome
-	// Used is how long the request held its slot, in wall-clock time.
-	Used time.Duration
+	// SlotTime is how long the request held its slot, in wall-clock time.
+	SlotTime time.Duration
 	// Failed is set when the upstream answered with a server error.
 	Failed bool
 }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -102,12 +102,12 @@
 // Finish records the end of a started request and starts waiting requests.
 func (c *Controller) Finish(now model.Instant, id ID, result Result, effects []Effect) []Effect {
 	running := c.queue.Running()
-	if !c.queue.Done(now, fairqueue.ID(id), result.Used) {
+	if !c.queue.Done(now, fairqueue.ID(id), result.SlotTime) {
 		return effects
 	}
 	c.seq++
 	if cutShort := result.Outcome.Kind != outcome.Answered && !result.Failed; !cutShort {
-		c.limiter.Observe(now, result.Used, running, result.Failed)
+		c.limiter.Observe(now, result.SlotTime, running, result.Failed)
 	}
 	return c.startWaiting(now, effects)
 }
--- a/core/admission/observe_test.go
+++ b/core/admission/observe_test.go
@@ -23,9 +23,9 @@
 	limiter := &recordingLimiter{}
 	c := New(Options{Slots: 4, Limiter: limiter})
 	results := []Result{
-		{Outcome: outcome.Done(), Used: 1},
-		{Outcome: outcome.UnknownBecause(outcome.ReasonCancelled), Used: 2},
-		{Outcome: outcome.UnknownBecause(outcome.ReasonConnectionLost), Used: 3, Failed: true},
+		{Outcome: outcome.Done(), SlotTime: 1},
+		{Outcome: outcome.UnknownBecause(outcome.ReasonCancelled), SlotTime: 2},
+		{Outcome: outcome.UnknownBecause(outcome.ReasonConnectionLost), SlotTime: 3, Failed: true},
 	}
 	for i, result := range results {
 		id := ID(i + 1)
--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -175,7 +175,7 @@
 		s.latency[group] = append(s.latency[group], s.now.Sub(j.arrived))
 		s.inTimeByWindow[group] = addAt(s.inTimeByWindow[group], int(s.now/model.Instant(window)), 1)
 	}
-	s.effects = s.controller.Finish(s.now, j.id, Result{Outcome: outcome.Done(), Used: slotTime}, s.effects[:0])
+	s.effects = s.controller.Finish(s.now, j.id, Result{Outcome: outcome.Done(), SlotTime: slotTime}, s.effects[:0])
 }
 
 func (s *simulator) applyEffects() {
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -214,7 +214,7 @@
 		span.End(o)
 		slotTime := u.now().Sub(startedAt)
 		failed = failed && o.Reason != outcome.ReasonCancelled
-		u.finish(id, admission.Result{Outcome: o, Used: slotTime, Failed: failed})
+		u.finish(id, admission.Result{Outcome: o, SlotTime: slotTime, Failed: failed})
 	}
 	httpResponse, o, err := u.client.Do(ctx, u.upstreamRequest(ctx, c))
 	if err != nil {
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -161,8 +161,8 @@
 	g.monitor.Running(g.running)
 	g.fake.release(now)
 	delete(g.calls, admission.ID(c.id))
-	res := admission.Result{Outcome: c.reply.Outcome, Used: now.Sub(c.started), Failed: c.reply.Failed}
-	g.sim.book.used(c.req, res.Used)
+	res := admission.Result{Outcome: c.reply.Outcome, SlotTime: now.Sub(c.started), Failed: c.reply.Failed}
+	g.sim.book.used(c.req, res.SlotTime)
 	g.effects = g.controller.Finish(now, admission.ID(c.id), res, g.effects[:0])
 	g.answer(c, c.reply.Outcome, c.reply.Failed)
 	g.apply()
