--- a/core/calltoken/token.go
+++ b/core/calltoken/token.go
@@ -25,13 +25,13 @@
 	Depth int
 	// Deadline is the deadline of the parent call, with microsecond precision.
 	Deadline time.Time
-	// Left is the time to the deadline at the moment the token was signed.
-	Left time.Duration
+	// TimeLeft is the time to the deadline at the moment the token was signed.
+	TimeLeft time.Duration
 }
 
 // Remaining returns the longest timeout that a nested call may have. It never
-// exceeds Left, even if the clocks of the two machines differ.
-func (t Token) Remaining(now time.Time) time.Duration { return min(t.Deadline.Sub(now), t.Left) }
+// exceeds TimeLeft, even if the clocks of the two machines differ.
+func (t Token) Remaining(now time.Time) time.Duration { return min(t.Deadline.Sub(now), t.TimeLeft) }
 
 const (
 	formatVersion = 1
@@ -73,7 +73,7 @@
 	b := make([]byte, 0, 128)
 	b = append(b, formatVersion, byte(t.Depth))
 	b = binary.AppendVarint(b, t.Deadline.UnixMicro())
-	b = binary.AppendVarint(b, t.Left.Microseconds())
+	b = binary.AppendVarint(b, t.TimeLeft.Microseconds())
 	b = appendText(b, string(t.Caller))
 	b = appendText(b, string(t.Group))
 	return base64.RawURLEncoding.EncodeToString(s.appendSignature(b))
@@ -114,7 +114,7 @@
 	r := reader{rest: b[2:]}
 	t := Token{Depth: int(b[1])}
 	t.Deadline = time.UnixMicro(r.number())
-	t.Left = time.Duration(r.number()) * time.Microsecond
+	t.TimeLeft = time.Duration(r.number()) * time.Microsecond
 	t.Caller = model.CallerName(r.text())
 	t.Group = model.GroupName(r.text())
 	if r.failed || len(r.rest) > 0 {
--- a/core/calltoken/token_test.go
+++ b/core/calltoken/token_test.go
@@ -13,7 +13,7 @@
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 func sampleToken() Token {
-	return Token{Caller: "bench", Group: "sorters", Depth: 3, Deadline: noon, Left: time.Second}
+	return Token{Caller: "bench", Group: "sorters", Depth: 3, Deadline: noon, TimeLeft: time.Second}
 }
 
 func TestVerifyRoundTrip(t *testing.T) {
@@ -23,7 +23,7 @@
 			Group:    model.GroupName(rapid.StringN(0, 50, 100).Draw(t, "group")),
 			Depth:    rapid.IntRange(0, 255).Draw(t, "depth"),
 			Deadline: time.UnixMicro(rapid.Int64Range(0, 1<<52).Draw(t, "deadline")),
-			Left:     time.Duration(rapid.Int64Range(0, 1<<40).Draw(t, "left")) * time.Microsecond,
+			TimeLeft: time.Duration(rapid.Int64Range(0, 1<<40).Draw(t, "left")) * time.Microsecond,
 		}
 		got, err := NewSigner("secret").Verify(NewSigner("secret").Sign(want))
 		require.NoError(t, err)
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -89,7 +89,7 @@
 	}
 	token := c.tokens.Sign(calltoken.Token{
 		Caller: call.Caller, Group: call.Group, Depth: call.Depth + 1,
-		Deadline: time.Now().Add(call.Timeout), Left: call.Timeout,
+		Deadline: time.Now().Add(call.Timeout), TimeLeft: call.Timeout,
 	})
 	w := c.send(index+1, map[string]string{wire.HeaderCallToken: token})
 	a := wire.NoAnswer(outcome.Done())
@@ -118,7 +118,7 @@
 // benchToken returns the header of a nested call on behalf of the caller "bench".
 func (c *serviceChain) benchToken(depth int, left time.Duration) map[string]string {
 	return map[string]string{wire.HeaderCallToken: c.tokens.Sign(calltoken.Token{
-		Caller: "bench", Group: "sorters", Depth: depth, Deadline: time.Now().Add(left), Left: left,
+		Caller: "bench", Group: "sorters", Depth: depth, Deadline: time.Now().Add(left), TimeLeft: left,
 	})}
 }
 
@@ -157,7 +157,7 @@
 
 func TestInvalidNestedCallsAreRefused(t *testing.T) {
 	c := newServiceChain(t, 1, respondOK)
-	otherSecret := calltoken.NewSigner("other").Sign(calltoken.Token{Caller: "bench", Depth: 1, Deadline: time.Now().Add(time.Minute), Left: time.Minute})
+	otherSecret := calltoken.NewSigner("other").Sign(calltoken.Token{Caller: "bench", Depth: 1, Deadline: time.Now().Add(time.Minute), TimeLeft: time.Minute})
 	tests := []struct {
 		name    string
 		headers map[string]string
--- a/guard/headers.go
+++ b/guard/headers.go
@@ -18,7 +18,7 @@
 		Group:    c.Group,
 		Depth:    c.Depth + 1,
 		Deadline: time.Now().Add(remaining),
-		Left:     remaining,
+		TimeLeft: remaining,
 	})
 	if token != "" {
 		h.Set(wire.HeaderCallToken, token)
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -116,5 +116,5 @@
 	require.EqualValues(t, "bench", token.Caller)
 	require.EqualValues(t, "sorters", token.Group)
 	require.Equal(t, 5, token.Depth)
-	require.LessOrEqual(t, token.Left, time.Minute)
+	require.LessOrEqual(t, token.TimeLeft, time.Minute)
 }
