--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -98,14 +98,14 @@
 	if c == nil {
 		return nothing, 0, true
 	}
-	if wait, ok = c.Arrive(s.opts.Now()); !ok {
+	if wait, ok = c.TryAcquire(s.opts.Now()); !ok {
 		s.refusals.Inc(1)
 		return nil, wait, false
 	}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		c.Leave()
+		c.Release()
 	}, 0, true
 }
 
@@ -152,7 +152,7 @@
 	defer s.mu.Unlock()
 	out := make([]Part, 0, len(s.ceilings))
 	for k, c := range s.ceilings {
-		rate, slots := c.Part()
+		rate, slots := c.Share()
 		out = append(out, Part{Service: k.Service, Group: k.Group, Rate: rate, Concurrency: slots})
 	}
 	return out
--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -90,10 +90,10 @@
 	c.updateShares()
 }
 
-// Arrive admits or refuses one request. An admitted request counts as in flight
-// until Leave is called. For a refused request Arrive returns false and the time
+// TryAcquire admits or refuses one request. An admitted request counts as in flight
+// until Release is called. For a refused request TryAcquire returns false and the time
 // after which the caller may retry.
-func (c *Ceiling) Arrive(now model.Instant) (time.Duration, bool) {
+func (c *Ceiling) TryAcquire(now model.Instant) (time.Duration, bool) {
 	c.arrivals++
 	c.refill(now)
 	if c.limits.Concurrency > 0 && c.inFlight >= c.slots {
@@ -109,11 +109,11 @@
 	return 0, true
 }
 
-// Leave ends a request that Arrive has admitted.
-func (c *Ceiling) Leave() { c.inFlight-- }
+// Release ends a request that TryAcquire has admitted.
+func (c *Ceiling) Release() { c.inFlight-- }
 
-// Part returns this daemon's share of the rate and of the concurrency.
-func (c *Ceiling) Part() (rate float64, slots int) { return c.rate, c.slots }
+// Share returns this daemon's share of the rate and of the concurrency.
+func (c *Ceiling) Share() (rate float64, slots int) { return c.rate, c.slots }
 
 // Tick updates the demand and the shares. It must be called several times per
 // second. It returns a report and true when a report to the other daemons is
--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -75,7 +75,7 @@
 // arrive lets the requests of one step arrive at daemon i.
 func (f *fleet) arrive(i int, c *Ceiling, step time.Duration) {
 	for f.pendingArrivals[i] += f.demand[i] * step.Seconds(); f.pendingArrivals[i] >= 1; f.pendingArrivals[i]-- {
-		if _, ok := c.Arrive(f.now); !ok {
+		if _, ok := c.TryAcquire(f.now); !ok {
 			continue
 		}
 		second := int((f.now - 1) / model.Instant(time.Second))
@@ -91,7 +91,7 @@
 // complete ends the requests whose holdTime has passed.
 func (f *fleet) complete() {
 	for len(f.completions) > 0 && f.completions[0].at <= f.now {
-		f.completions[0].daemon.Leave()
+		f.completions[0].daemon.Release()
 		f.completions = f.completions[1:]
 		f.inFlight--
 	}
@@ -181,11 +181,11 @@
 	f := newFleet(3, Limits{Rate: 300})
 	f.demand = []float64{300, 300, 300}
 	f.run(6 * time.Second)
-	rate, _ := f.daemons[0].Part()
+	rate, _ := f.daemons[0].Share()
 	require.InDelta(t, 100, rate, 5)
 	f.daemons, f.demand = f.daemons[:2], f.demand[:2]
 	f.run(15 * time.Second)
-	rate, _ = f.daemons[0].Part()
+	rate, _ = f.daemons[0].Share()
 	require.InDelta(t, 150, rate, 5)
 }
 
