--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -54,7 +54,7 @@
 	}
 	planners := make([]*Planner, n)
 	for i, id := range ids {
-		planners[i] = NewPlanner(Owner{Daemon: id, Life: uint64(i + 1)}, DefaultRanges, 60*time.Second)
+		planners[i] = NewPlanner(Owner{Daemon: id, Incarnation: uint64(i + 1)}, DefaultRanges, 60*time.Second)
 		planners[i].SetCandidates(ids)
 	}
 	return planners
--- a/core/claims/codec.go
+++ b/core/claims/codec.go
@@ -73,7 +73,7 @@
 func (w *writer) owner(o Owner) {
 	w.uint(uint64(len(o.Daemon)))
 	w.b = append(w.b, o.Daemon...)
-	w.uint(o.Life)
+	w.uint(o.Incarnation)
 }
 
 func (w *writer) grant(g *Grant) {
@@ -168,7 +168,7 @@
 	n := r.count()
 	name := string(r.b[:n])
 	r.b = r.b[n:]
-	return Owner{Daemon: model.DaemonID(name), Life: r.uint()}
+	return Owner{Daemon: model.DaemonID(name), Incarnation: r.uint()}
 }
 
 func (r *reader) grant() *Grant {
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -110,7 +110,7 @@
 		e.Floor = max(e.Floor, t.exportFloor())
 		owners[incarnation] = e
 	}
-	owners[t.self.Life] = earlier{Floor: t.floor, Until: l.Reach(t.self.Life)}
+	owners[t.self.Incarnation] = earlier{Floor: t.floor, Until: l.OwnedUntil(t.self.Incarnation)}
 	return owners
 }
 
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -1,21 +1,21 @@
 package claims
 
-// Standing is the ownership status of a timestamp in a range.
-type Standing uint8
+// Ownership is the ownership status of a timestamp in a range.
+type Ownership uint8
 
 // The ownership statuses.
 const (
-	// Unproven means that the status is unknown because the Ledger has not yet
+	// Incomplete means that the status is unknown because the Ledger has not yet
 	// read a Checkpoint or the log from its start.
-	Unproven Standing = iota
+	Incomplete Ownership = iota
 	// Owned means that the timestamp is in an interval that has an owner.
 	Owned
-	// Ahead means that the timestamp is at or beyond the range's frontier and has
+	// Unassigned means that the timestamp is at or beyond the range's frontier and has
 	// not been granted yet.
-	Ahead
-	// Forgotten means that the timestamp is below the oldest interval that the
+	Unassigned
+	// Pruned means that the timestamp is below the oldest interval that the
 	// Ledger keeps.
-	Forgotten
+	Pruned
 )
 
 // maxIntervals is the maximum number of intervals kept per range.
@@ -87,9 +87,9 @@
 // Checkpoint is restored.
 func (l *Ledger) Next() uint64 { return l.next }
 
-// Proven reports whether the state includes all records below Next. It is false
+// Complete reports whether the state includes all records below Next. It is false
 // while the Ledger waits for a Checkpoint.
-func (l *Ledger) Proven() bool { return l.complete }
+func (l *Ledger) Complete() bool { return l.complete }
 
 // Ranges returns the number of ranges.
 func (l *Ledger) Ranges() int { return len(l.ranges) }
@@ -177,13 +177,13 @@
 
 // transfer assigns all intervals of one owner to its successor.
 func (l *Ledger) transfer(t *Transfer) {
-	if t.From == t.To.Life {
+	if t.From == t.To.Incarnation {
 		return
 	}
 	for i := range l.ranges {
 		for j := range l.ranges[i].Intervals {
 			in := &l.ranges[i].Intervals[j]
-			if in.Owner.Life != t.From {
+			if in.Owner.Incarnation != t.From {
 				continue
 			}
 			in.Owner = t.To
@@ -194,13 +194,13 @@
 
 // Lookup returns the ownership status of a timestamp in a range. If the status is
 // Owned, it also returns the interval that contains the timestamp.
-func (l *Ledger) Lookup(r Range, stamp Stamp) (Interval, Standing) {
+func (l *Ledger) Lookup(r Range, stamp Stamp) (Interval, Ownership) {
 	if !l.complete {
-		return Interval{}, Unproven
+		return Interval{}, Incomplete
 	}
 	s := &l.ranges[r]
 	if stamp >= s.Frontier {
-		return Interval{}, Ahead
+		return Interval{}, Unassigned
 	}
 	for i := len(s.Intervals) - 1; i >= 0; i-- {
 		in := s.Intervals[i]
@@ -208,7 +208,7 @@
 			return in, Owned
 		}
 	}
-	return Interval{}, Forgotten
+	return Interval{}, Pruned
 }
 
 // Frontier returns the end of a range's last interval, and the owner of that
@@ -221,13 +221,13 @@
 	return s.Frontier, Owner{}
 }
 
-// Reach returns the end of the last interval that an incarnation owns, or zero if
+// OwnedUntil returns the end of the last interval that an incarnation owns, or zero if
 // it owns none.
-func (l *Ledger) Reach(incarnation uint64) Stamp {
+func (l *Ledger) OwnedUntil(incarnation uint64) Stamp {
 	var end Stamp
 	for i := range l.ranges {
 		for _, in := range l.ranges[i].Intervals {
-			if in.Owner.Life == incarnation {
+			if in.Owner.Incarnation == incarnation {
 				end = max(end, in.Until)
 			}
 		}
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -131,7 +131,7 @@
 // start starts a new incarnation of daemon i.
 func (w *world) start(i int) {
 	w.incarnations++
-	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Life: w.incarnations}
+	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Incarnation: w.incarnations}
 	n := &node{ledger: NewLedger(modelRanges, uint64(w.oldest)), table: NewTable(self, Limits{Claims: 3, GroupClaims: 3})}
 	n.ledger.mutation = w.mutation
 	n.table.mutation = w.mutation
@@ -201,9 +201,9 @@
 		if next >= len(w.log) {
 			return
 		}
-		complete := n.ledger.Proven()
+		complete := n.ledger.Complete()
 		n.ledger.Apply(uint64(next), w.log[next])
-		if !complete && n.ledger.Proven() {
+		if !complete && n.ledger.Complete() {
 			w.eventCounts["restored"]++
 		}
 	}
@@ -212,7 +212,7 @@
 // proposeGrant requests one or both ranges. The record may reach the log much later
 // or never.
 func (w *world) proposeGrant(n *node) {
-	if !n.ledger.Proven() || n.table.IsSealed() {
+	if !n.ledger.Complete() || n.table.IsSealed() {
 		return
 	}
 	g := &Grant{Owner: n.table.Self()}
@@ -380,14 +380,14 @@
 		to = &o
 	}
 	if to != nil && *to != n.table.Self() {
-		w.appends = append(w.appends, Record{Transfer: &Transfer{From: n.table.Self().Life, To: *to}})
+		w.appends = append(w.appends, Record{Transfer: &Transfer{From: n.table.Self().Incarnation, To: *to}})
 		w.eventCounts["transfer"]++
 	}
 }
 
 // checkpoint requests the append of a checkpoint.
 func (w *world) checkpoint(n *node) {
-	if n.ledger.Proven() {
+	if n.ledger.Complete() {
 		w.appends = append(w.appends, Record{Checkpoint: n.ledger.Checkpoint()})
 	}
 }
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -94,7 +94,7 @@
 
 // Plan returns the Grant to append now, or nil if none is needed.
 func (p *Planner) Plan(l *Ledger, now Stamp) *Grant {
-	if !l.Proven() {
+	if !l.Complete() {
 		return nil
 	}
 	if p.startedAt == 0 {
--- a/core/claims/record.go
+++ b/core/claims/record.go
@@ -5,9 +5,9 @@
 // Owner is one incarnation of a daemon.
 type Owner struct {
 	Daemon model.DaemonID
-	// Life identifies the incarnation. It is chosen at random when the process
+	// Incarnation identifies the incarnation. It is chosen at random when the process
 	// starts and is never zero.
-	Life uint64
+	Incarnation uint64
 }
 
 // Extension requests the extension of one range from its frontier.
--- a/core/claims/record_test.go
+++ b/core/claims/record_test.go
@@ -10,7 +10,7 @@
 )
 
 func drawOwner(t *rapid.T) Owner {
-	return Owner{Daemon: model.DaemonID(rapid.String().Draw(t, "daemon")), Life: rapid.Uint64().Draw(t, "life")}
+	return Owner{Daemon: model.DaemonID(rapid.String().Draw(t, "daemon")), Incarnation: rapid.Uint64().Draw(t, "life")}
 }
 
 // drawRecord generates a random record of any kind.
@@ -57,8 +57,8 @@
 }
 
 func FuzzDecodeRecord(f *testing.F) {
-	f.Add(Record{Grant: &Grant{Owner: Owner{Daemon: "127.0.0.1:7001", Life: 9}, Until: 50, Extensions: []Extension{{Range: 3, Base: 20}}}}.Encode())
-	f.Add(Record{Transfer: &Transfer{From: 9, To: Owner{Daemon: "127.0.0.1:7002", Life: 10}}}.Encode())
+	f.Add(Record{Grant: &Grant{Owner: Owner{Daemon: "127.0.0.1:7001", Incarnation: 9}, Until: 50, Extensions: []Extension{{Range: 3, Base: 20}}}}.Encode())
+	f.Add(Record{Transfer: &Transfer{From: 9, To: Owner{Daemon: "127.0.0.1:7002", Incarnation: 10}}}.Encode())
 	f.Add([]byte{recordVersion, kindCheckpoint, 0, 0xff, 0xff, 0xff, 0x7f})
 	f.Add([]byte{recordVersion, kindGrant, 0, 1, 5, 1, 0, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -26,13 +26,13 @@
 	Digest Digest
 }
 
-// Verdict is the owner's decision on a submission.
-type Verdict uint8
+// Decision is the owner's decision on a submission.
+type Decision uint8
 
 // The decisions. Only after Run may the request be sent to an upstream.
 const (
 	// NotOwner means that the key's timestamp is not in an interval of this owner.
-	NotOwner Verdict = iota
+	NotOwner Decision = iota
 	// Sealed means that the owner is handing its claims over to a successor.
 	Sealed
 	// OwnerLost means that the claims of an earlier owner are missing.
@@ -59,7 +59,7 @@
 )
 
 // String returns the name of the decision, used as a metric tag.
-func (v Verdict) String() string {
+func (v Decision) String() string {
 	return [...]string{
 		"not-owner", "sealed", "owner-lost", "expired", "full", "run",
 		"in-progress", "replay", "answer-gone", "outcome-unknown", "mismatch",
@@ -170,13 +170,13 @@
 
 // Begin decides on a submission. After Run the caller must call Finish when the
 // request has ended. The Answer is non-nil only with Replay.
-func (t *Table) Begin(l *Ledger, r Request) (Verdict, *Answer) {
+func (t *Table) Begin(l *Ledger, r Request) (Decision, *Answer) {
 	if t.sealed && t.mutation != ignoreSeal {
 		return Sealed, nil
 	}
 	stamp := r.ID.Key.Stamp()
 	in, standing := l.Lookup(r.ID.Key.Range(l.Ranges()), stamp)
-	if standing == Forgotten {
+	if standing == Pruned {
 		return Expired, nil
 	}
 	if standing != Owned || !t.owns(in.Owner) {
@@ -229,7 +229,7 @@
 }
 
 // decisionFor returns the decision on a further submission of the claimed key.
-func (c *claim) decisionFor(d Digest) (Verdict, *Answer) {
+func (c *claim) decisionFor(d Digest) (Decision, *Answer) {
 	switch {
 	case c.digest != d:
 		return Mismatch, nil
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-var self = Owner{Daemon: "127.0.0.1:7001", Life: 11}
+var self = Owner{Daemon: "127.0.0.1:7001", Incarnation: 11}
 
 // ledgerOwnedBy returns a Ledger with one range, in which an owner holds all
 // timestamps below until.
@@ -30,7 +30,7 @@
 func TestTableReplaysOnlyTheSameRequest(t *testing.T) {
 	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
 	r := newRequest(50, 1, "sorter-1")
-	begin := func(r Request) Verdict { v, _ := table.Begin(l, r); return v }
+	begin := func(r Request) Decision { v, _ := table.Begin(l, r); return v }
 
 	require.Equal(t, Run, begin(r))
 	require.Equal(t, InProgress, begin(r))
@@ -67,12 +67,12 @@
 
 func TestTableLimitsClaimsPerGroup(t *testing.T) {
 	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{Claims: 4, GroupClaims: 2})
-	decisions := map[Verdict]int{}
+	decisions := map[Decision]int{}
 	for i := range 5 {
 		v, _ := table.Begin(l, newRequest(50, i, ""))
 		decisions[v]++
 	}
-	require.Equal(t, map[Verdict]int{Run: 2, Full: 3}, decisions)
+	require.Equal(t, map[Decision]int{Run: 2, Full: 3}, decisions)
 	other := newRequest(50, 9, "")
 	other.Group = "members"
 	v, _ := table.Begin(l, other)
@@ -92,7 +92,7 @@
 	}
 	first, second := run(1, 350, "searches"), run(2, 350, "searches")
 	sorter := run(3, 350, "sorters")
-	for r, want := range map[*Request]Verdict{&first: AnswerGone, &second: Replay, &sorter: Replay} {
+	for r, want := range map[*Request]Decision{&first: AnswerGone, &second: Replay, &sorter: Replay} {
 		v, _ := table.Begin(l, *r)
 		require.Equal(t, want, v)
 	}
@@ -102,7 +102,7 @@
 }
 
 func TestHandoverTransfersClaimsAndAnswers(t *testing.T) {
-	successor := Owner{Daemon: "127.0.0.1:7002", Life: 12}
+	successor := Owner{Daemon: "127.0.0.1:7002", Incarnation: 12}
 	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
 	done, inFlight, fresh := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
 	from.Begin(l, done)
@@ -119,7 +119,7 @@
 
 	v, _ := to.Begin(l, done)
 	require.Equal(t, NotOwner, v, "before the transfer is on the log")
-	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: successor}})
+	l.Apply(1, Record{Transfer: &Transfer{From: self.Incarnation, To: successor}})
 	v, a := to.Begin(l, done)
 	require.Equal(t, Replay, v)
 	require.Equal(t, "paid", string(a.Body))
@@ -132,7 +132,7 @@
 }
 
 func TestHandoverTakesEffectAfterLastPart(t *testing.T) {
-	successor := Owner{Daemon: "127.0.0.1:7002", Life: 12}
+	successor := Owner{Daemon: "127.0.0.1:7002", Incarnation: 12}
 	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
 	for i := range 5 {
 		r := newRequest(50, i, "")
@@ -143,7 +143,7 @@
 	parts, err := from.Export(l)
 	require.NoError(t, err)
 	require.Greater(t, len(parts), 1)
-	l.Apply(1, Record{Transfer: &Transfer{From: self.Life, To: successor}})
+	l.Apply(1, Record{Transfer: &Transfer{From: self.Incarnation, To: successor}})
 	for _, part := range parts {
 		v, _ := to.Begin(l, newRequest(50, 9, ""))
 		require.Equal(t, OwnerLost, v)
@@ -163,8 +163,8 @@
 	parts, err := from.Export(l)
 	require.NoError(t, err)
 	data := parts[0]
-	small := NewTable(Owner{Life: 12}, Limits{Claims: 2})
-	sealed := NewTable(Owner{Life: 13}, Limits{})
+	small := NewTable(Owner{Incarnation: 12}, Limits{Claims: 2})
+	sealed := NewTable(Owner{Incarnation: 13}, Limits{})
 	sealed.Seal()
 	for name, table := range map[string]*Table{"no capacity": small, "sealed": sealed} {
 		t.Run(name, func(t *testing.T) {
@@ -172,7 +172,7 @@
 			require.Zero(t, table.Len())
 		})
 	}
-	unsealed := NewTable(Owner{Life: 14}, Limits{})
+	unsealed := NewTable(Owner{Incarnation: 14}, Limits{})
 	for cut := range len(data) - 1 {
 		require.ErrorIs(t, unsealed.Import(data[:cut]), ErrHandover, "cut at %d", cut)
 	}
@@ -187,7 +187,7 @@
 	offset := uint64(0)
 	planners := map[model.DaemonID]*Planner{}
 	for i, d := range daemons {
-		planners[d] = NewPlanner(Owner{Daemon: d, Life: uint64(i + 1)}, 64, grantLength)
+		planners[d] = NewPlanner(Owner{Daemon: d, Incarnation: uint64(i + 1)}, 64, grantLength)
 		planners[d].SetCandidates(daemons)
 	}
 	appends := 0
@@ -226,9 +226,9 @@
 func TestPlannerStartedFirstLeavesRangesToOthers(t *testing.T) {
 	const grantLength = 60 * time.Second
 	l := NewLedger(64, 0)
-	first := NewPlanner(Owner{Daemon: "a:1", Life: 1}, 64, grantLength)
+	first := NewPlanner(Owner{Daemon: "a:1", Incarnation: 1}, 64, grantLength)
 	first.SetCandidates([]model.DaemonID{"a:1"})
-	second := NewPlanner(Owner{Daemon: "b:1", Life: 2}, 64, grantLength)
+	second := NewPlanner(Owner{Daemon: "b:1", Incarnation: 2}, 64, grantLength)
 	second.SetCandidates([]model.DaemonID{"a:1", "b:1"})
 	offset := uint64(0)
 	plan := func(p *Planner, now Stamp) {
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -65,14 +65,14 @@
 func (s *Service) reach() claims.Stamp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Reach(s.self.Life)
+	return s.ledger.OwnedUntil(s.self.Incarnation)
 }
 
 // released reports whether the log shows that this life owns nothing.
 func (s *Service) released() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Proven() && s.ledger.Reach(s.self.Life) == 0
+	return s.ledger.Complete() && s.ledger.OwnedUntil(s.self.Incarnation) == 0
 }
 
 // awaitRuns waits for the runs in flight, for a part of the time that is left.
@@ -124,7 +124,7 @@
 			break
 		}
 		if life, err := s.handOverTo(ctx, d, parts); err == nil {
-			return claims.Owner{Daemon: d, Life: life}, nil
+			return claims.Owner{Daemon: d, Incarnation: life}, nil
 		}
 	}
 	return claims.Owner{}, ErrNoSuccessor
@@ -157,7 +157,7 @@
 func (s *Service) sign(ctx context.Context, successor claims.Owner) error {
 	ctx, cancel := context.WithTimeout(ctx, signTime)
 	defer cancel()
-	rec := claims.Record{Transfer: &claims.Transfer{From: s.self.Life, To: successor}}
+	rec := claims.Record{Transfer: &claims.Transfer{From: s.self.Incarnation, To: successor}}
 	for !s.released() {
 		if _, err := s.opts.Log.Append(ctx, recordlog.StreamGrants, [][]byte{rec.Encode()}); err != nil {
 			s.metrics.appendFailed.Inc(1)
@@ -175,14 +175,14 @@
 // HandOver takes in the claims of another daemon's draining owner, or tells this
 // life.
 func (s *Service) HandOver(_ context.Context, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
-	resp := &peerv1.HandOverResponse{Life: s.self.Life}
+	resp := &peerv1.HandOverResponse{Life: s.self.Incarnation}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(req.Claims) == 0 {
 		resp.Accepted = !s.table.IsSealed()
 		return resp, nil
 	}
-	resp.Accepted = req.ToLife == s.self.Life && s.table.Import(req.Claims) == nil
+	resp.Accepted = req.ToLife == s.self.Incarnation && s.table.Import(req.Claims) == nil
 	return resp, nil
 }
 
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -331,7 +331,7 @@
 				in, _ := n.lookup(key)
 				switch {
 				case r.outcome.Kind == outcome.Answered && d.runsOf(key) == 1:
-				case r.outcome.Reason == outcome.ReasonKeyOwnerLost && in.Owner.Life == life:
+				case r.outcome.Reason == outcome.ReasonKeyOwnerLost && in.Owner.Incarnation == life:
 					unknown[own].Add(1)
 				default:
 					strange.Store(&r)
@@ -345,7 +345,7 @@
 		n := d.nodes[0]
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.ledger.Reach(life) < n.stamp()
+		return n.ledger.OwnedUntil(life) < n.stamp()
 	})
 	close(stop)
 	wg.Wait()
--- a/owner/fold.go
+++ b/owner/fold.go
@@ -103,7 +103,7 @@
 	for _, rec := range batch.Records {
 		s.apply(rec)
 	}
-	if len(batch.Records) == 0 && !s.ledger.Proven() && !s.whole {
+	if len(batch.Records) == 0 && !s.ledger.Complete() && !s.whole {
 		s.window *= windowGrowth
 		s.sought = false
 		return true, nil
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func (m metrics) verdict(v claims.Verdict) {
+func (m metrics) verdict(v claims.Decision) {
 	m.scope.Tagged(map[string]string{"verdict": v.String()}).Counter("submissions").Inc(1)
 }
 
--- a/owner/mint.go
+++ b/owner/mint.go
@@ -67,6 +67,6 @@
 	if in.Owner == s.self && s.table.IsSealed() {
 		return false
 	}
-	_, suspect := s.suspect[in.Owner.Life]
+	_, suspect := s.suspect[in.Owner.Incarnation]
 	return !suspect
 }
--- a/owner/own.go
+++ b/owner/own.go
@@ -58,7 +58,7 @@
 
 // begun is what became of a submission at the owner.
 type begun struct {
-	verdict claims.Verdict
+	verdict claims.Decision
 	// run is set for Run and InProgress, retained for Replay.
 	run      *run
 	retained *claims.Answer
@@ -129,7 +129,7 @@
 
 // refusalOf gives the outcome of a submission that neither runs nor is
 // answered. Only Full proves that the key has not run.
-func refusalOf(v claims.Verdict) outcome.Outcome {
+func refusalOf(v claims.Decision) outcome.Outcome {
 	switch v {
 	case claims.Full:
 		return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonQueueFull, RetryAfter: retryAfter}
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -85,7 +85,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for r := range claims.Range(testRanges) {
-		if _, o := n.ledger.Frontier(r); o.Life == 0 {
+		if _, o := n.ledger.Frontier(r); o.Incarnation == 0 {
 			return false
 		}
 	}
--- a/owner/route.go
+++ b/owner/route.go
@@ -40,17 +40,17 @@
 	started := time.Now()
 	for refreshed := false; ; refreshed = true {
 		in, standing := s.lookup(key)
-		if standing == claims.Forgotten {
+		if standing == claims.Pruned {
 			return s.unsettled(outcome.ReasonKeyExpired)
 		}
 		reason, wait := outcome.ReasonKeyNotOwned, s.patience.ahead
 		if standing == claims.Owned {
 			a := s.send(ctx, in.Owner, c, body)
 			if a.Outcome.Kind == outcome.Answered || isFinal(a.Outcome) {
-				s.clearSuspect(in.Owner.Life)
+				s.clearSuspect(in.Owner.Incarnation)
 				return a
 			}
-			reason, wait = a.Outcome.Reason, s.patienceWith(in.Owner.Life)
+			reason, wait = a.Outcome.Reason, s.patienceWith(in.Owner.Incarnation)
 			if reason == reasonMoving {
 				wait = c.Timeout
 			}
@@ -84,12 +84,12 @@
 	reasonMoving    outcome.Reason = "owner-moving"
 )
 
-func (s *Service) giveUp(ctx context.Context, o claims.Owner, standing claims.Standing, reason outcome.Reason) *wire.Answer {
+func (s *Service) giveUp(ctx context.Context, o claims.Owner, standing claims.Ownership, reason outcome.Reason) *wire.Answer {
 	switch {
 	case ctx.Err() != nil:
 		return s.unsettled(outcome.ReasonDeadline)
 	case standing == claims.Owned:
-		s.setSuspect(o.Life)
+		s.setSuspect(o.Incarnation)
 		return s.unsettled(outcome.ReasonKeyOwnerLost)
 	default:
 		return s.unsettled(reason)
@@ -105,7 +105,7 @@
 	return wire.NoAnswer(o)
 }
 
-func (s *Service) lookup(key claims.Key) (claims.Interval, claims.Standing) {
+func (s *Service) lookup(key claims.Key) (claims.Interval, claims.Ownership) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Lookup(key.Range(s.opts.Ranges), key.Stamp())
--- a/owner/service.go
+++ b/owner/service.go
@@ -49,7 +49,7 @@
 // New returns a Service that owns nothing yet.
 func New(o Options) *Service {
 	o = o.withDefaults()
-	self := claims.Owner{Daemon: o.Self, Life: newLife()}
+	self := claims.Owner{Daemon: o.Self, Incarnation: newLife()}
 	return &Service{
 		opts:         o,
 		self:         self,
@@ -67,7 +67,7 @@
 }
 
 // Life returns this life of the owner.
-func (s *Service) Life() uint64 { return s.self.Life }
+func (s *Service) Life() uint64 { return s.self.Incarnation }
 
 // Counts tell what an owner holds.
 type Counts struct {
@@ -145,7 +145,7 @@
 func (s *Service) proven() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Proven()
+	return s.ledger.Complete()
 }
 
 // renew appends a grant when one is due, and a checkpoint. Whether the append
@@ -169,7 +169,7 @@
 func (s *Service) due() []claims.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.table.IsSealed() || !s.ledger.Proven() {
+	if s.table.IsSealed() || !s.ledger.Complete() {
 		return nil
 	}
 	var out []claims.Record
