--- a/bench/state.go
+++ b/bench/state.go
@@ -198,7 +198,7 @@
 	took := timeOf(1, func() {
 		folder := configuration.NewStateMachine()
 		for i, r := range records {
-			folder.Fold(uint64(i), r)
+			folder.ApplyRecord(uint64(i), r)
 		}
 		version = folder.Version()
 	})
--- a/configuration/documents.go
+++ b/configuration/documents.go
@@ -11,7 +11,7 @@
 
 // NewStateMachine returns a fold of the config stream that judges documents as every
 // daemon does.
-func NewStateMachine() *config.Folder { return config.NewFolder(validate) }
+func NewStateMachine() *config.StateMachine { return config.NewStateMachine(validate) }
 
 // validate checks each document on its own. The operator's command compiles
 // the whole configuration on top of its base before it publishes; because a
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -152,10 +152,10 @@
 func (s *Store) adopt(r recordlog.Record, oldest recordlog.Offset) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.folder.Behind(uint64(oldest)) {
+	if !s.folder.NeedsCheckpoint(uint64(oldest)) {
 		return true // a peer was faster
 	}
-	if !s.folder.Recover(uint64(r.Offset), uint64(oldest), r.Data) {
+	if !s.folder.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 		return false
 	}
 	s.metrics.recovered.Inc(1)
@@ -166,7 +166,7 @@
 	before := s.next()
 	s.mu.Lock()
 	for _, r := range batch.Records {
-		res := s.folder.Fold(uint64(r.Offset), r.Data)
+		res := s.folder.ApplyRecord(uint64(r.Offset), r.Data)
 		s.count(res)
 		if config.IsCheckpoint(r.Data) {
 			s.seenCheckpoint(uint64(r.Offset))
@@ -181,8 +181,8 @@
 }
 
 func (s *Store) count(res config.Result) {
-	s.metrics.verdicts[res.Verdict].Inc(1)
-	if res.Verdict == config.Invalid {
+	s.metrics.verdicts[res.Decision].Inc(1)
+	if res.Decision == config.Invalid {
 		s.opts.Logger.Warn("invalid change on the log", "change", res.Change.ID, "author", res.Change.Author, "error", res.Problem)
 	}
 }
--- a/configuration/metrics.go
+++ b/configuration/metrics.go
@@ -31,7 +31,7 @@
 		version:           s.Gauge("version"),
 	}
 	for v := range m.verdicts {
-		name := config.Verdict(v).String()
+		name := config.Decision(v).String()
 		m.verdicts[v] = s.Tagged(map[string]string{"verdict": name}).Counter("records")
 	}
 	return m
--- a/configuration/store.go
+++ b/configuration/store.go
@@ -71,7 +71,7 @@
 
 	// mu guards what follows. rng and pause are used by Serve alone.
 	mu     sync.Mutex
-	folder *config.Folder
+	folder *config.StateMachine
 	status Status
 	// checkpointNext is the offset of the last checkpoint on the log.
 	checkpointNext uint64
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -319,7 +319,7 @@
 	for b.Loop() {
 		f := configuration.NewStateMachine()
 		for i, r := range records {
-			f.Fold(uint64(i), r)
+			f.ApplyRecord(uint64(i), r)
 		}
 		require.EqualValues(b, changes, f.Version())
 	}
--- a/configuration/topic.go
+++ b/configuration/topic.go
@@ -35,7 +35,7 @@
 func (t Topic) Apply(delta []byte) error {
 	s := t.store
 	s.mu.Lock()
-	results, err := s.folder.Apply(delta)
+	results, err := s.folder.ApplyDelta(delta)
 	for _, r := range results {
 		s.count(r)
 	}
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -25,13 +25,13 @@
 	Delete    []DocumentKey                   `json:"delete,omitempty"`
 }
 
-// Verdict is the decision on a log record.
-type Verdict uint8
+// Decision is the decision on a log record.
+type Decision uint8
 
 // The decisions.
 const (
 	// Accepted means that the change created a new current version.
-	Accepted Verdict = iota + 1
+	Accepted Decision = iota + 1
 	// Superseded means that the base of the change is older than the current
 	// version.
 	Superseded
@@ -50,7 +50,7 @@
 var decisionNames = [...]string{"none", "accepted", "superseded", "duplicate", "invalid", "ignored", "out of order"}
 
 // String returns the name of the decision.
-func (v Verdict) String() string {
+func (v Decision) String() string {
 	if int(v) < len(decisionNames) {
 		return decisionNames[v]
 	}
@@ -59,7 +59,7 @@
 
 // Result is the result of applying one record.
 type Result struct {
-	Verdict Verdict
+	Decision Decision
 	// Change is nil if the record does not contain a change.
 	Change *Change
 	// Version is the current version after the record.
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -39,13 +39,13 @@
 	data []byte
 }
 
-// digest summarizes the state of a Folder, so that another daemon can determine
+// digest summarizes the state of a StateMachine, so that another daemon can determine
 // which records it lacks.
 type digest struct {
 	next    uint64
 	version uint64
 	chain   [chainPrefixSize]byte
-	// partialID is the id of the checkpoint that the Folder is receiving, and
+	// partialID is the id of the checkpoint that the StateMachine is receiving, and
 	// partialBytes how much of it has been received.
 	partialID    uint64
 	partialBytes uint64
@@ -53,7 +53,7 @@
 
 // Digest returns an encoded summary of the state. Another daemon passes it to
 // Delta and Conflicts.
-func (m *Folder) Digest() []byte {
+func (m *StateMachine) Digest() []byte {
 	b := make([]byte, 0, digestSize)
 	b = binary.BigEndian.AppendUint64(b, m.state.Next)
 	b = binary.BigEndian.AppendUint64(b, uint64(m.state.Version))
@@ -75,7 +75,7 @@
 
 // Conflicts reports whether the daemon that sent the digest has a different hash
 // chain at the same offset. It returns false if it cannot compare the two.
-func (m *Folder) Conflicts(peerDigest []byte) bool {
+func (m *StateMachine) Conflicts(peerDigest []byte) bool {
 	d, ok := parseDigest(peerDigest)
 	if !ok || d.next > m.state.Next {
 		return false
@@ -91,7 +91,7 @@
 // bytes: the records that follow its own or, if these are no longer kept, a chunk
 // of a checkpoint. It returns nil if the daemon lacks nothing or its state
 // conflicts.
-func (m *Folder) Delta(peerDigest []byte, limit int) []byte {
+func (m *StateMachine) Delta(peerDigest []byte, limit int) []byte {
 	d, ok := parseDigest(peerDigest)
 	if !ok || d.next >= m.state.Next || m.Conflicts(peerDigest) {
 		return nil
@@ -123,7 +123,7 @@
 
 // chunk returns the next chunk of the checkpoint that the sender of the digest
 // needs, continuing after the bytes that it has already received.
-func (m *Folder) chunk(d digest, limit int) []byte {
+func (m *StateMachine) chunk(d digest, limit int) []byte {
 	data := m.checkpointFor(d.next)
 	if data == nil || limit <= chunkHeaderSize {
 		return nil
@@ -145,7 +145,7 @@
 // next offset is given. It first replaces the cached checkpoint with one of the
 // current state if the cached one is not ahead of that daemon, or if the records
 // that follow it are no longer kept.
-func (m *Folder) checkpointFor(next uint64) []byte {
+func (m *StateMachine) checkpointFor(next uint64) []byte {
 	_, continuable := m.recent.from(m.cached.state.Next)
 	continuable = continuable || m.cached.state.Next == m.state.Next
 	if m.cached.state.Next <= next || !continuable {
@@ -166,9 +166,9 @@
 	errChunk = errors.New("config checkpoint cannot be read")
 )
 
-// Apply applies a delta and returns the results of the records that it applied.
-// It skips records that do not follow the Folder's own prefix of the log.
-func (m *Folder) Apply(delta []byte) ([]Result, error) {
+// ApplyDelta applies a delta and returns the results of the records that it applied.
+// It skips records that do not follow the StateMachine's own prefix of the log.
+func (m *StateMachine) ApplyDelta(delta []byte) ([]Result, error) {
 	if len(delta) == 0 {
 		return nil, errDelta
 	}
@@ -183,14 +183,14 @@
 }
 
 // applyRecords applies a delta of kind deltaRecords.
-func (m *Folder) applyRecords(delta []byte) ([]Result, error) {
+func (m *StateMachine) applyRecords(delta []byte) ([]Result, error) {
 	first, records, err := decodeRecords(delta)
 	if err != nil {
 		return nil, err
 	}
 	var out []Result
 	for i, r := range records {
-		if res := m.Fold(first+uint64(i), r); res.Verdict != OutOfOrder {
+		if res := m.ApplyRecord(first+uint64(i), r); res.Decision != OutOfOrder {
 			out = append(out, res)
 		}
 	}
@@ -222,7 +222,7 @@
 // when it is complete. The first chunk of a different checkpoint discards the
 // partial one. Other chunks that do not continue the partial checkpoint are
 // ignored.
-func (m *Folder) applyChunk(delta []byte) error {
+func (m *StateMachine) applyChunk(delta []byte) error {
 	if len(delta) <= chunkHeaderSize {
 		return errDelta
 	}
--- a/core/config/doc.go
+++ b/core/config/doc.go
@@ -9,7 +9,7 @@
 // which one.
 //
 // A State depends only on the records below its Next offset. A State may
-// therefore be replaced only by a State with a larger Next. A Folder applies
+// therefore be replaced only by a State with a larger Next. A StateMachine applies
 // records only if they follow its own prefix of the log without a gap. It sends
 // other daemons either the records themselves or a complete State as a
 // checkpoint. Accepted changes form a hash chain, so that two daemons with
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -26,7 +26,7 @@
 	// writerState the state that it contains.
 	writerCheckpoint []byte
 	writerState      State
-	daemons          [2]*Folder
+	daemons          [2]*StateMachine
 	// expected holds, for each prefix of the log, the state that the rules
 	// prescribe, computed without the code under test.
 	expected []expectedState
@@ -81,16 +81,16 @@
 }
 
 // readLog applies all records on the log, restoring a checkpoint first if needed.
-func (w *world) readLog(f *Folder) {
-	if f.Behind(uint64(w.oldest)) {
+func (w *world) readLog(f *StateMachine) {
+	if f.NeedsCheckpoint(uint64(w.oldest)) {
 		for o := w.oldest; o < len(w.log); o++ {
-			if f.Recover(uint64(o), uint64(w.oldest), w.log[o]) {
+			if f.RestoreCheckpoint(uint64(o), uint64(w.oldest), w.log[o]) {
 				break
 			}
 		}
 	}
 	for o := max(int(f.Next()), w.oldest); o < len(w.log); o++ {
-		f.Fold(uint64(o), w.log[o])
+		f.ApplyRecord(uint64(o), w.log[o])
 	}
 }
 
@@ -141,7 +141,7 @@
 		add(fmt.Sprint("send delta to ", i), func(w *world) {
 			to, from := w.daemons[i], w.daemons[1-i]
 			if d := from.Delta(to.Digest(), 400); d != nil {
-				_, _ = to.Apply(d)
+				_, _ = to.ApplyDelta(d)
 			}
 		})
 		add(fmt.Sprint("late checkpoint to ", i), func(w *world) {
@@ -150,7 +150,7 @@
 			}
 		})
 	}
-	add("restart 1", func(w *world) { w.daemons[1] = NewFolder(nil) })
+	add("restart 1", func(w *world) { w.daemons[1] = NewStateMachine(nil) })
 	return out
 }
 
@@ -191,7 +191,7 @@
 // TestShortHistoriesMatchSpecification explores all histories of up to modelDepth
 // actions, breadth first, and checks every state reached.
 func TestShortHistoriesMatchSpecification(t *testing.T) {
-	first := &world{expected: make([]expectedState, 1), daemons: [2]*Folder{NewFolder(nil), NewFolder(nil)}}
+	first := &world{expected: make([]expectedState, 1), daemons: [2]*StateMachine{NewStateMachine(nil), NewStateMachine(nil)}}
 	seen := map[string]bool{first.key(): true}
 	level := []*world{first}
 	acts := actions()
--- a/core/config/statemachine.go
+++ b/core/config/statemachine.go
@@ -15,9 +15,9 @@
 // on its argument, because all daemons must reach the same decision.
 type Validate func(put map[DocumentKey]json.RawMessage) error
 
-// Folder is the replicated state machine: it applies log records to a State and
+// StateMachine is the replicated state machine: it applies log records to a State and
 // exchanges state with other daemons. It is not safe for concurrent use.
-type Folder struct {
+type StateMachine struct {
 	validate Validate
 	state    State
 	// size is the total size of the documents and their keys.
@@ -34,32 +34,32 @@
 // multiples of it, so that all daemons cache the same ones.
 const checkpointInterval = 64
 
-// NewFolder returns a Folder that has not applied any record. A nil Validate
+// NewStateMachine returns a StateMachine that has not applied any record. A nil Validate
 // accepts all documents.
-func NewFolder(v Validate) *Folder {
+func NewStateMachine(v Validate) *StateMachine {
 	if v == nil {
 		v = func(map[DocumentKey]json.RawMessage) error { return nil }
 	}
-	return &Folder{validate: v, state: State{Documents: make(map[DocumentKey]json.RawMessage)}}
+	return &StateMachine{validate: v, state: State{Documents: make(map[DocumentKey]json.RawMessage)}}
 }
 
 // State returns a copy of the state.
-func (m *Folder) State() State { return m.state.clone() }
+func (m *StateMachine) State() State { return m.state.clone() }
 
 // Version returns the current version.
-func (m *Folder) Version() model.Version { return m.state.Version }
+func (m *StateMachine) Version() model.Version { return m.state.Version }
 
 // Next returns the offset of the next record to apply.
-func (m *Folder) Next() uint64 { return m.state.Next }
+func (m *StateMachine) Next() uint64 { return m.state.Next }
 
-// Fold applies the record at an offset, which must be equal to Next.
-func (m *Folder) Fold(offset uint64, record []byte) Result {
+// ApplyRecord applies the record at an offset, which must be equal to Next.
+func (m *StateMachine) ApplyRecord(offset uint64, record []byte) Result {
 	if offset != m.state.Next {
 		return m.result(OutOfOrder, nil, nil)
 	}
 	chainBefore := m.state.Chain
 	res := m.applyChange(record)
-	if res.Verdict == Ignored {
+	if res.Decision == Ignored {
 		record = nil // an empty record is sent to other daemons in its place
 	}
 	m.recent.add(offset, record, chainBefore)
@@ -72,7 +72,7 @@
 
 // applyChange decodes the change in a record, decides on it, and applies it if it
 // is accepted. It ignores records without a change.
-func (m *Folder) applyChange(record []byte) Result {
+func (m *StateMachine) applyChange(record []byte) Result {
 	kind, payload, digest, err := parseRecord(record)
 	if err != nil {
 		return m.result(Ignored, nil, err)
@@ -97,7 +97,7 @@
 var errFutureBase = errors.New("the base version does not exist yet")
 
 // decide returns the decision on a change, with the reason if it is Invalid.
-func (m *Folder) decide(c Change) (Verdict, error) {
+func (m *StateMachine) decide(c Change) (Decision, error) {
 	if slices.Contains(m.state.IDs, hashID(c.ID)) {
 		return Duplicate, nil
 	}
@@ -118,7 +118,7 @@
 
 // sizeIncrease returns by how many bytes a change increases the total size of the
 // documents and keys. It is negative if they become smaller.
-func (m *Folder) sizeIncrease(c Change) int {
+func (m *StateMachine) sizeIncrease(c Change) int {
 	n := 0
 	for k, d := range c.Put {
 		n += len(k) + len(d) - m.storedSize(k)
@@ -131,7 +131,7 @@
 
 // storedSize returns the size of a key and its document, or 0 if there is no such
 // document.
-func (m *Folder) storedSize(k DocumentKey) int {
+func (m *StateMachine) storedSize(k DocumentKey) int {
 	if d, ok := m.state.Documents[k]; ok {
 		return len(k) + len(d)
 	}
@@ -151,7 +151,7 @@
 }
 
 // accept applies an accepted change to the state.
-func (m *Folder) accept(c Change, digest Digest) {
+func (m *StateMachine) accept(c Change, digest Digest) {
 	m.size += m.sizeIncrease(c)
 	for _, k := range keysToDelete(c) {
 		delete(m.state.Documents, k)
@@ -166,7 +166,7 @@
 }
 
 // recordID stores the ID of a change for the detection of duplicates.
-func (m *Folder) recordID(id string) {
+func (m *StateMachine) recordID(id string) {
 	if len(m.state.IDs) >= maxIDs {
 		m.state.IDs = m.state.IDs[1:]
 	}
@@ -175,20 +175,20 @@
 
 func hashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-func (m *Folder) result(v Verdict, c *Change, problem error) Result {
-	return Result{Verdict: v, Change: c, Version: m.state.Version, Problem: problem}
+func (m *StateMachine) result(v Decision, c *Change, problem error) Result {
+	return Result{Decision: v, Change: c, Version: m.state.Version, Problem: problem}
 }
 
-// Behind reports whether the log no longer keeps the next record to apply, given
-// the offset of the oldest record that it keeps. In that case the Folder must be
-// restored from a checkpoint with Recover.
-func (m *Folder) Behind(oldest uint64) bool { return m.state.Next < oldest }
+// NeedsCheckpoint reports whether the log no longer keeps the next record to apply, given
+// the offset of the oldest record that it keeps. In that case the StateMachine must be
+// restored from a checkpoint with RestoreCheckpoint.
+func (m *StateMachine) NeedsCheckpoint(oldest uint64) bool { return m.state.Next < oldest }
 
-// Recover restores the Folder from the record at an offset, if that record is a
+// RestoreCheckpoint restores the StateMachine from the record at an offset, if that record is a
 // checkpoint from which all following records are still on the log. It reports
 // whether it did. The oldest argument is the offset of the oldest record that
 // the log keeps.
-func (m *Folder) Recover(offset, oldest uint64, record []byte) bool {
+func (m *StateMachine) RestoreCheckpoint(offset, oldest uint64, record []byte) bool {
 	s, ok := ReadCheckpoint(record)
 	return ok && s.Covers(offset, oldest) && m.Adopt(s) == nil
 }
@@ -203,7 +203,7 @@
 )
 
 // Adopt replaces the current state with a state that has applied more records.
-func (m *Folder) Adopt(s State) error {
+func (m *StateMachine) Adopt(s State) error {
 	if s.Next <= m.state.Next {
 		return ErrStale
 	}
--- a/core/config/statemachine_test.go
+++ b/core/config/statemachine_test.go
@@ -44,22 +44,22 @@
 	}
 	for name, c := range map[string]struct {
 		changes []Change
-		want    []Verdict
+		want    []Decision
 		version model.Version
 	}{
-		"first":                   {[]Change{first}, []Verdict{Accepted}, 1},
-		"concurrent":              {[]Change{first, {ID: "2", Put: put("Service/a", `"y"`)}}, []Verdict{Accepted, Superseded}, 1},
-		"sequential":              {[]Change{first, {ID: "2", Base: 1}}, []Verdict{Accepted, Accepted}, 2},
-		"repeated":                {[]Change{first, first, {ID: "2", Base: 1}, first}, []Verdict{Accepted, Duplicate, Accepted, Duplicate}, 2},
-		"base does not exist yet": {[]Change{{ID: "2", Base: 1}, first, {ID: "2", Base: 1}}, []Verdict{Invalid, Accepted, Duplicate}, 1},
-		"documents do not parse":  {[]Change{{ID: "1", Put: put("Service/a", `"bad"`)}, {ID: "2"}}, []Verdict{Invalid, Accepted}, 1},
-		"too large":               {full, []Verdict{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
+		"first":                   {[]Change{first}, []Decision{Accepted}, 1},
+		"concurrent":              {[]Change{first, {ID: "2", Put: put("Service/a", `"y"`)}}, []Decision{Accepted, Superseded}, 1},
+		"sequential":              {[]Change{first, {ID: "2", Base: 1}}, []Decision{Accepted, Accepted}, 2},
+		"repeated":                {[]Change{first, first, {ID: "2", Base: 1}, first}, []Decision{Accepted, Duplicate, Accepted, Duplicate}, 2},
+		"base does not exist yet": {[]Change{{ID: "2", Base: 1}, first, {ID: "2", Base: 1}}, []Decision{Invalid, Accepted, Duplicate}, 1},
+		"documents do not parse":  {[]Change{{ID: "1", Put: put("Service/a", `"bad"`)}, {ID: "2"}}, []Decision{Invalid, Accepted}, 1},
+		"too large":               {full, []Decision{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := NewFolder(rejectBad)
-			var got []Verdict
+			m := NewStateMachine(rejectBad)
+			var got []Decision
 			for i, change := range c.changes {
-				got = append(got, m.Fold(uint64(i), record(t, change)).Verdict)
+				got = append(got, m.ApplyRecord(uint64(i), record(t, change)).Decision)
 			}
 			require.Equal(t, c.want, got)
 			require.Equal(t, c.version, m.Version())
@@ -74,20 +74,20 @@
 	damaged[len(damaged)-1] ^= 1
 	newer := append([]byte(nil), good...)
 	newer[1] = 9
-	m := NewFolder(nil)
+	m := NewStateMachine(nil)
 	for i, r := range [][]byte{nil, []byte("{}"), damaged, newer} {
-		res := m.Fold(uint64(i), r)
-		require.Equal(t, Ignored, res.Verdict)
+		res := m.ApplyRecord(uint64(i), r)
+		require.Equal(t, Ignored, res.Decision)
 		require.Error(t, res.Problem)
 	}
-	require.Equal(t, OutOfOrder, m.Fold(9, good).Verdict)
-	require.Equal(t, Accepted, m.Fold(4, good).Verdict)
+	require.Equal(t, OutOfOrder, m.ApplyRecord(9, good).Decision)
+	require.Equal(t, Accepted, m.ApplyRecord(4, good).Decision)
 }
 
 func TestStateIsAdoptedOnlyIfNewer(t *testing.T) {
-	m := NewFolder(nil)
-	m.Fold(0, record(t, Change{ID: "1"}))
-	m.Fold(1, record(t, Change{ID: "2", Base: 1}))
+	m := NewStateMachine(nil)
+	m.ApplyRecord(0, record(t, Change{ID: "1"}))
+	m.ApplyRecord(1, record(t, Change{ID: "2", Base: 1}))
 	ahead := m.State()
 	ahead.Next = 9
 	other := ahead
@@ -102,21 +102,21 @@
 }
 
 func TestCheckpointThatLeavesAGapIsNotUsed(t *testing.T) {
-	writer := NewFolder(nil)
-	writer.Fold(0, record(t, Change{ID: "1"}))
+	writer := NewStateMachine(nil)
+	writer.ApplyRecord(0, record(t, Change{ID: "1"}))
 	lateCheckpoint, err := writer.State().Checkpoint()
 	require.NoError(t, err)
-	fresh := NewFolder(nil)
-	require.True(t, fresh.Behind(2))
-	require.False(t, fresh.Recover(5, 2, lateCheckpoint), "the log no longer keeps record 1")
-	require.False(t, fresh.Recover(0, 0, lateCheckpoint), "the state is ahead of the offset of the checkpoint record")
-	require.True(t, fresh.Recover(5, 1, lateCheckpoint))
+	fresh := NewStateMachine(nil)
+	require.True(t, fresh.NeedsCheckpoint(2))
+	require.False(t, fresh.RestoreCheckpoint(5, 2, lateCheckpoint), "the log no longer keeps record 1")
+	require.False(t, fresh.RestoreCheckpoint(0, 0, lateCheckpoint), "the state is ahead of the offset of the checkpoint record")
+	require.True(t, fresh.RestoreCheckpoint(5, 1, lateCheckpoint))
 	require.EqualValues(t, 1, fresh.Version())
 }
 
 func TestReadCheckpointDetectsDamage(t *testing.T) {
-	m := NewFolder(nil)
-	m.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"x"`)}))
+	m := NewStateMachine(nil)
+	m.ApplyRecord(0, record(t, Change{ID: "1", Put: put("Service/a", `"x"`)}))
 	data, err := m.State().Checkpoint()
 	require.NoError(t, err)
 	s, ok := ReadCheckpoint(data)
@@ -131,11 +131,11 @@
 }
 
 func TestConflictIsDetectedAndNoDeltaSent(t *testing.T) {
-	a, b := NewFolder(nil), NewFolder(rejectBad)
-	for _, m := range []*Folder{a, b} {
-		m.Fold(0, record(t, Change{ID: "1", Put: put("Service/a", `"bad"`)}))
+	a, b := NewStateMachine(nil), NewStateMachine(rejectBad)
+	for _, m := range []*StateMachine{a, b} {
+		m.ApplyRecord(0, record(t, Change{ID: "1", Put: put("Service/a", `"bad"`)}))
 	}
-	a.Fold(1, record(t, Change{ID: "2", Base: 1}))
+	a.ApplyRecord(1, record(t, Change{ID: "2", Base: 1}))
 	require.True(t, a.Conflicts(b.Digest()))
 	require.Nil(t, a.Delta(b.Digest(), 1<<20))
 }
@@ -145,7 +145,7 @@
 // daemons must have the state of the first.
 func TestDeltasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		daemons := []*Folder{NewFolder(nil), NewFolder(nil), NewFolder(nil)}
+		daemons := []*StateMachine{NewStateMachine(nil), NewStateMachine(nil), NewStateMachine(nil)}
 		n := rapid.IntRange(1, 400).Draw(t, "records")
 		size := rapid.IntRange(1, 600).Draw(t, "size")
 		text := `"` + strings.Repeat("v", size) + `"`
@@ -153,7 +153,7 @@
 			base := model.Version(max(0, int(daemons[0].Version())-rapid.IntRange(0, 1).Draw(t, "late")))
 			r, _, err := EncodeChange(Change{ID: fmt.Sprint(i), Base: base, Put: put(fmt.Sprint("Service/", i%40), text)})
 			require.NoError(t, err)
-			daemons[0].Fold(uint64(i), r)
+			daemons[0].ApplyRecord(uint64(i), r)
 			if i%7 == 0 {
 				exchangeRandomDelta(t, daemons)
 			}
@@ -163,7 +163,7 @@
 		}
 		for _, d := range daemons {
 			for range 2 * 250 {
-				_, err := d.Apply(orEmptyDelta(daemons[0].Delta(d.Digest(), 2000)))
+				_, err := d.ApplyDelta(orEmptyDelta(daemons[0].Delta(d.Digest(), 2000)))
 				require.NoError(t, err)
 			}
 			require.Equal(t, daemons[0].State(), d.State())
@@ -181,26 +181,26 @@
 
 // exchangeRandomDelta sends a delta from one random daemon to another. The version
 // of the receiver must not decrease.
-func exchangeRandomDelta(t *rapid.T, daemons []*Folder) {
+func exchangeRandomDelta(t *rapid.T, daemons []*StateMachine) {
 	from, to := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to")
 	limit := rapid.SampledFrom([]int{100, 1000, 3000}).Draw(t, "limit")
 	before := daemons[to].Version()
 	if delta := daemons[from].Delta(daemons[to].Digest(), limit); delta != nil && from != to {
 		require.LessOrEqual(t, len(delta), limit)
-		_, err := daemons[to].Apply(delta)
+		_, err := daemons[to].ApplyDelta(delta)
 		require.NoError(t, err)
 	}
 	require.GreaterOrEqual(t, daemons[to].Version(), before)
 }
 
 func FuzzApply(f *testing.F) {
-	sender := NewFolder(nil)
-	sender.Fold(0, record(f, Change{ID: "1"}))
-	f.Add(sender.Delta(NewFolder(nil).Digest(), 1<<20))
+	sender := NewStateMachine(nil)
+	sender.ApplyRecord(0, record(f, Change{ID: "1"}))
+	f.Add(sender.Delta(NewStateMachine(nil).Digest(), 1<<20))
 	f.Add([]byte{deltaChunk})
 	f.Fuzz(func(t *testing.T, delta []byte) {
-		d := NewFolder(nil)
-		_, err := d.Apply(delta)
+		d := NewStateMachine(nil)
+		_, err := d.ApplyDelta(delta)
 		if err != nil && d.Next() != 0 {
 			t.Fatal("a rejected delta changed the state")
 		}
@@ -219,9 +219,9 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		m := NewFolder(rejectBad)
+		m := NewStateMachine(rejectBad)
 		for i, r := range records {
-			m.Fold(uint64(i), r)
+			m.ApplyRecord(uint64(i), r)
 		}
 		if m.Version() != changes {
 			b.Fatal(m.Version())
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -32,7 +32,7 @@
 
 // Result tells what became of a published change.
 type Result struct {
-	Verdict config.Verdict
+	Verdict config.Decision
 	// Version is the change's version when accepted, the current one else.
 	Version model.Version
 	// ChangeID is empty when there was nothing to change.
--- a/operator/view.go
+++ b/operator/view.go
@@ -15,7 +15,7 @@
 type Entry struct {
 	Offset uint64
 	// Verdict is what the fold decided; Version is the version after it.
-	Verdict config.Verdict
+	Verdict config.Decision
 	Version model.Version
 	Change  config.Change
 	// Problem says why the change is invalid.
@@ -25,7 +25,7 @@
 // View is the config stream as read so far.
 type View struct {
 	log     recordlog.Log
-	folder  *config.Folder
+	folder  *config.StateMachine
 	entries []Entry
 	// want is a version whose state is kept while reading.
 	want model.Version
@@ -78,14 +78,14 @@
 }
 
 func (v *View) fold(r recordlog.Record) {
-	res := v.folder.Fold(uint64(r.Offset), r.Data)
+	res := v.folder.ApplyRecord(uint64(r.Offset), r.Data)
 	if res.Change != nil {
 		v.entries = append(v.entries, Entry{
-			Offset: uint64(r.Offset), Verdict: res.Verdict, Version: res.Version,
+			Offset: uint64(r.Offset), Verdict: res.Decision, Version: res.Version,
 			Change: *res.Change, Problem: res.Problem,
 		})
 	}
-	if res.Verdict == config.Accepted && res.Version == v.want {
+	if res.Decision == config.Accepted && res.Version == v.want {
 		s := v.folder.State()
 		v.kept = &s
 	}
@@ -98,7 +98,7 @@
 			return err
 		}
 		for _, r := range batch.Records {
-			if v.folder.Recover(uint64(r.Offset), uint64(oldest), r.Data) {
+			if v.folder.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 				return nil
 			}
 			from = r.Offset + 1
