--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestPushTargets(t *testing.T) {
-	selector := Targets{Zone: "z0", Draw: rand.New(rand.NewPCG(1, 1)).IntN}
+	selector := PeerSelector{Zone: "z0", RandIntN: rand.New(rand.NewPCG(1, 1)).IntN}
 	for name, c := range map[string]struct {
 		members []Member
 		origin  bool
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			for range 100 {
 				local, seen := 0, make(map[Member]bool)
-				for _, m := range selector.Push(c.members, c.origin) {
+				for _, m := range selector.PushTargets(c.members, c.origin) {
 					require.False(t, seen[m], "each member is selected at most once")
 					seen[m] = true
 					if m.Zone == selector.Zone {
@@ -58,16 +58,16 @@
 }
 
 func TestAntiEntropyPeer(t *testing.T) {
-	selector := Targets{Zone: "z0", Draw: rand.New(rand.NewPCG(1, 1)).IntN}
-	_, ok := selector.Partner(nil)
+	selector := PeerSelector{Zone: "z0", RandIntN: rand.New(rand.NewPCG(1, 1)).IntN}
+	_, ok := selector.AntiEntropyPeer(nil)
 	require.False(t, ok)
-	single, ok := selector.Partner([]Member{{Address: "x", Zone: "z1"}})
+	single, ok := selector.AntiEntropyPeer([]Member{{Address: "x", Zone: "z1"}})
 	require.True(t, ok)
 	require.Equal(t, "x", single.Address)
 	const draws = 8000
 	all, remote := newMembers(5, 30), 0
 	for range draws {
-		if m, _ := selector.Partner(all); m.Zone != selector.Zone {
+		if m, _ := selector.AntiEntropyPeer(all); m.Zone != selector.Zone {
 			remote++
 		}
 	}
@@ -75,16 +75,16 @@
 }
 
 func TestAntiEntropyTimer(t *testing.T) {
-	var p Pace
+	var p AntiEntropyTimer
 	now := model.Instant(0).Add(time.Second)
 	require.True(t, p.Due(now))
 	require.False(t, p.Due(now.Add(shortInterval-1)))
 	require.True(t, p.Due(now.Add(shortInterval)))
 	for range requiredAgreements {
-		p.Agreed()
+		p.RecordAgreement()
 	}
 	require.False(t, p.Due(now.Add(2*shortInterval)))
 	require.True(t, p.Due(now.Add(shortInterval+longInterval)))
-	p.Changed()
+	p.Reset()
 	require.True(t, p.Due(now.Add(2*shortInterval+longInterval)))
 }
--- a/core/gossip/pace.go
+++ b/core/gossip/pace.go
@@ -16,15 +16,15 @@
 	requiredAgreements = 3
 )
 
-// Pace determines when to compare digests with another daemon. It is not safe for
+// AntiEntropyTimer determines when to compare digests with another daemon. It is not safe for
 // concurrent use.
-type Pace struct {
+type AntiEntropyTimer struct {
 	agreements     int
 	lastComparison model.Instant
 }
 
 // Due reports whether a comparison is due, and if so records that it takes place now.
-func (p *Pace) Due(now model.Instant) bool {
+func (p *AntiEntropyTimer) Due(now model.Instant) bool {
 	interval := shortInterval
 	if p.agreements >= requiredAgreements {
 		interval = longInterval
@@ -36,9 +36,9 @@
 	return true
 }
 
-// Agreed records a comparison that found no difference.
-func (p *Pace) Agreed() { p.agreements++ }
+// RecordAgreement records a comparison that found no difference.
+func (p *AntiEntropyTimer) RecordAgreement() { p.agreements++ }
 
-// Changed restores the short interval after a change of the state, or if other daemons
+// Reset restores the short interval after a change of the state, or if other daemons
 // may have missed an update.
-func (p *Pace) Changed() { p.agreements = 0 }
+func (p *AntiEntropyTimer) Reset() { p.agreements = 0 }
--- a/core/gossip/targets.go
+++ b/core/gossip/targets.go
@@ -24,17 +24,17 @@
 	Zone    model.AvailabilityZone
 }
 
-// Targets selects the daemons with which one daemon communicates.
-type Targets struct {
+// PeerSelector selects the daemons with which one daemon communicates.
+type PeerSelector struct {
 	// Zone is the zone of the selecting daemon.
 	Zone model.AvailabilityZone
-	// Draw returns a uniformly distributed random number from 0 to n-1.
-	Draw func(n int) int
+	// RandIntN returns a uniformly distributed random number from 0 to n-1.
+	RandIntN func(n int) int
 }
 
-// Push returns the daemons to which to send an update. origin is set if the update
+// PushTargets returns the daemons to which to send an update. origin is set if the update
 // originates at this daemon.
-func (t Targets) Push(members []Member, origin bool) []Member {
+func (t PeerSelector) PushTargets(members []Member, origin bool) []Member {
 	local, remote := t.splitByZone(members)
 	out := t.sample(local, fanOut)
 	switch {
@@ -50,9 +50,9 @@
 	return out
 }
 
-// Partner returns the daemon with which to compare digests. It returns false if there
+// AntiEntropyPeer returns the daemon with which to compare digests. It returns false if there
 // is none.
-func (t Targets) Partner(members []Member) (Member, bool) {
+func (t PeerSelector) AntiEntropyPeer(members []Member) (Member, bool) {
 	candidates, remote := t.splitByZone(members)
 	if len(candidates) == 0 || len(remote) > 0 && t.chooseCrossZone() {
 		candidates = remote
@@ -60,14 +60,14 @@
 	if len(candidates) == 0 {
 		return Member{}, false
 	}
-	return candidates[t.Draw(len(candidates))], true
+	return candidates[t.RandIntN(len(candidates))], true
 }
 
 // chooseCrossZone decides at random whether to select a daemon of another zone.
-func (t Targets) chooseCrossZone() bool { return t.Draw(int(1/crossZoneShare)) == 0 }
+func (t PeerSelector) chooseCrossZone() bool { return t.RandIntN(int(1/crossZoneShare)) == 0 }
 
 // splitByZone separates the members of the local zone from the others.
-func (t Targets) splitByZone(members []Member) (local, remote []Member) {
+func (t PeerSelector) splitByZone(members []Member) (local, remote []Member) {
 	for _, m := range members {
 		if m.Zone == t.Zone {
 			local = append(local, m)
@@ -79,10 +79,10 @@
 }
 
 // sample returns up to n random members. It reorders the given slice.
-func (t Targets) sample(members []Member, n int) []Member {
+func (t PeerSelector) sample(members []Member, n int) []Member {
 	n = min(n, len(members))
 	for i := range n {
-		j := i + t.Draw(len(members)-i)
+		j := i + t.RandIntN(len(members)-i)
 		members[i], members[j] = members[j], members[i]
 	}
 	return members[:n:n]
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -214,7 +214,7 @@
 			members = append(members, gossip.Member{Address: o.name, Zone: o.zone})
 		}
 	}
-	for _, m := range (gossip.Targets{Zone: d.zone, Draw: d.fleet.rng.IntN}).Push(members, false) {
+	for _, m := range (gossip.PeerSelector{Zone: d.zone, RandIntN: d.fleet.rng.IntN}).PushTargets(members, false) {
 		to := d.fleet.byName[m.Address]
 		d.fleet.send(d, to, func() { to.applyVersion(version) })
 	}
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -16,7 +16,7 @@
 // for concurrent use.
 type Gossip struct {
 	Store   *Store
-	Targets gossip.Targets
+	Targets gossip.PeerSelector
 	// Members returns the daemons that can be reached.
 	Members func() []gossip.Member
 	// Send sends a message. One may be lost.
@@ -25,7 +25,7 @@
 	Limit int
 
 	mu      sync.Mutex
-	pace    gossip.Pace
+	pace    gossip.AntiEntropyTimer
 	version uint64
 	// told is when the last news were sent. Zero means never.
 	told model.Instant
@@ -38,7 +38,7 @@
 		g.push()
 	}
 	if g.compareDue(now) {
-		if m, ok := g.Targets.Partner(g.Members()); ok {
+		if m, ok := g.Targets.AntiEntropyPeer(g.Members()); ok {
 			g.Send(m.Address, g.Store.Opening())
 		}
 	}
@@ -62,7 +62,7 @@
 		g.told = 0
 		return
 	}
-	for _, m := range g.Targets.Push(g.Members(), first) {
+	for _, m := range g.Targets.PushTargets(g.Members(), first) {
 		g.Send(m.Address, news)
 	}
 }
@@ -73,7 +73,7 @@
 	defer g.mu.Unlock()
 	if version != g.version {
 		g.version = version
-		g.pace.Changed()
+		g.pace.Reset()
 	}
 	return g.pace.Due(now)
 }
@@ -83,7 +83,7 @@
 func (g *Gossip) Wake() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pace.Changed()
+	g.pace.Reset()
 }
 
 // Compare compares with a daemon that may know something, as one that is met at the start.
@@ -95,7 +95,7 @@
 	if agreed {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.pace.Agreed()
+		g.pace.RecordAgreement()
 		return
 	}
 	for _, a := range answers {
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -67,7 +67,7 @@
 			Wall:   func() time.Time { return m.now },
 			Logger: slog.New(slog.DiscardHandler),
 		}),
-		Targets: gossip.Targets{Zone: d.zone, Draw: m.rng.IntN},
+		Targets: gossip.PeerSelector{Zone: d.zone, RandIntN: m.rng.IntN},
 		Limit:   meshLimit,
 		Members: func() []gossip.Member { return m.others(d) },
 		Send:    func(to string, message []byte) { m.send(d, m.byName[to], message) },
--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -33,7 +33,7 @@
 	d *Daemon
 
 	mu   sync.Mutex
-	pace gossip.Pace
+	pace gossip.AntiEntropyTimer
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
@@ -46,7 +46,7 @@
 	if !c.due() {
 		return
 	}
-	if m, ok := c.d.follower.targets.Partner(c.d.peers.members()); ok {
+	if m, ok := c.d.follower.targets.AntiEntropyPeer(c.d.peers.members()); ok {
 		c.d.datagrams.sendOneWay(kindCompare, m.Address, c.d.peers.digest().encode())
 	}
 }
@@ -58,7 +58,7 @@
 	defer c.mu.Unlock()
 	due := c.pace.Due(c.d.now())
 	if due {
-		c.pace.Agreed()
+		c.pace.RecordAgreement()
 	}
 	return due
 }
@@ -67,7 +67,7 @@
 func (c *comparer) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pace.Changed()
+	c.pace.Reset()
 }
 
 // receive handles a digest from another daemon. It replies with a summary of the buckets that
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -125,7 +125,7 @@
 // announceVersion announces the version in force to some of the other daemons, which announce
 // it in turn.
 func (a *datagrams) announceVersion() {
-	for _, m := range a.d.follower.targets.Push(a.d.peers.members(), false) {
+	for _, m := range a.d.follower.targets.PushTargets(a.d.peers.members(), false) {
 		a.sendOneWay(kindNews, m.Address, []byte(a.d.opts.Addresses.Peers))
 	}
 }
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -30,7 +30,7 @@
 // any daemon while no watcher reaches the store.
 type follower struct {
 	d       *Daemon
-	targets gossip.Targets
+	targets gossip.PeerSelector
 
 	mu      sync.Mutex
 	elector *watch.Roster
@@ -46,7 +46,7 @@
 
 func newFollower(d *Daemon) *follower {
 	return &follower{
-		d: d, targets: gossip.Targets{Zone: d.opts.Zone, Draw: randomInt},
+		d: d, targets: gossip.PeerSelector{Zone: d.opts.Zone, RandIntN: randomInt},
 		elector:      watch.New(d.opts.Addresses.Peers, d.now(), rand.Float64),
 		watchStarted: make(chan struct{}),
 	}
@@ -190,7 +190,7 @@
 // pollPeer exchanges records with one other daemon and fetches its configuration if that is
 // newer.
 func (f *follower) pollPeer(ctx context.Context) {
-	m, ok := f.targets.Partner(f.d.peers.members())
+	m, ok := f.targets.AntiEntropyPeer(f.d.peers.members())
 	if !ok {
 		return
 	}
