--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -66,18 +66,18 @@
 	// Slots is the number of requests that the upstream runs concurrently. Zero
 	// means unknown.
 	Slots int
-	// ColdFor is the remaining warm-up time, during which the upstream is slow
+	// WarmupLeft is the remaining warm-up time, during which the upstream is slow
 	// after its start.
-	ColdFor time.Duration
+	WarmupLeft time.Duration
 }
 
-// Verdict is the effect of a report on a Tracker.
-type Verdict uint8
+// Effect is the effect of a report on a Tracker.
+type Effect uint8
 
 // The effects of a report.
 const (
 	// Stale reports are out of date and were ignored.
-	Stale Verdict = iota
+	Stale Effect = iota
 	// Same reports changed neither the state nor the slots.
 	Same
 	// Changed reports changed the state of the current incarnation or its slots.
@@ -103,7 +103,7 @@
 func (t *Tracker) Current() Report { return t.current }
 
 // Observe applies a report unless it is stale.
-func (t *Tracker) Observe(r Report) Verdict {
+func (t *Tracker) Observe(r Report) Effect {
 	if t.hasDeparted(r.Incarnation) && r.State < Gone {
 		return Stale
 	}
@@ -129,7 +129,7 @@
 
 // Leave records that an incarnation leaves permanently. If Born is zero and the
 // current incarnation has the same id, Leave applies to the current incarnation.
-func (t *Tracker) Leave(i Incarnation) Verdict {
+func (t *Tracker) Leave(i Incarnation) Effect {
 	if i.Born == 0 && i.ID == t.current.ID {
 		i.Born = t.current.Born
 	}
@@ -157,7 +157,7 @@
 }
 
 // update applies a report of the current incarnation.
-func (t *Tracker) update(r Report) Verdict {
+func (t *Tracker) update(r Report) Effect {
 	if r.Sequence <= t.current.Sequence {
 		return Stale
 	}
--- a/core/lifecycle/lifecycle_test.go
+++ b/core/lifecycle/lifecycle_test.go
@@ -16,7 +16,7 @@
 func TestObserve(t *testing.T) {
 	type step struct {
 		r    Report
-		want Verdict
+		want Effect
 	}
 	for name, c := range map[string]struct {
 		steps []step
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -20,9 +20,9 @@
 // Registry receives what the local upstream reports about itself.
 type Registry interface {
 	// Report handles a state report. A stale report changes nothing.
-	Report(r lifecycle.Report) lifecycle.Verdict
+	Report(r lifecycle.Report) lifecycle.Effect
 	// Leave handles the final deregistration of an incarnation of the upstream.
-	Leave(i lifecycle.Incarnation) lifecycle.Verdict
+	Leave(i lifecycle.Incarnation) lifecycle.Effect
 	// Refused logs a report that could not be parsed.
 	Refused(id string, err error)
 }
@@ -189,7 +189,7 @@
 }
 
 // Report implements Registry.
-func (d *Daemon) Report(r lifecycle.Report) lifecycle.Verdict {
+func (d *Daemon) Report(r lifecycle.Report) lifecycle.Effect {
 	v := d.guard.report(r, "report")
 	if v == lifecycle.Started || v == lifecycle.Changed {
 		d.announceState()
@@ -198,7 +198,7 @@
 }
 
 // Leave implements Registry.
-func (d *Daemon) Leave(i lifecycle.Incarnation) lifecycle.Verdict {
+func (d *Daemon) Leave(i lifecycle.Incarnation) lifecycle.Effect {
 	v := d.guard.leave(i)
 	if v == lifecycle.Changed {
 		d.announceState()
@@ -217,7 +217,7 @@
 	cur, departed := d.guard.current()
 	d.peers.updateLocal(func(r *Record) {
 		r.Service, r.Upstream, r.State, r.Slots = cur.Service, cur.Incarnation, cur.State, cur.Slots
-		r.ColdMS = cur.ColdFor.Milliseconds()
+		r.ColdMS = cur.WarmupLeft.Milliseconds()
 		r.Departed = departed[max(len(departed)-maxDeparted, 0):]
 	})
 }
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -97,7 +97,7 @@
 }
 
 // report handles a status report of the upstream.
-func (g *guard) report(r lifecycle.Report, cause string) lifecycle.Verdict {
+func (g *guard) report(r lifecycle.Report, cause string) lifecycle.Effect {
 	g.mu.Lock()
 	previous := g.tracker.Current()
 	verdict := g.tracker.Observe(r)
@@ -115,7 +115,7 @@
 }
 
 // leave handles the deregistration of an incarnation.
-func (g *guard) leave(i lifecycle.Incarnation) lifecycle.Verdict {
+func (g *guard) leave(i lifecycle.Incarnation) lifecycle.Effect {
 	g.mu.Lock()
 	verdict := g.tracker.Leave(i)
 	cur := g.tracker.Current()
@@ -143,7 +143,7 @@
 
 // applyReport sets the concurrency limit from the newest report, and resets the state of
 // the upstream if a new incarnation has started. g.mu is held.
-func (g *guard) applyReport(v lifecycle.Verdict) {
+func (g *guard) applyReport(v lifecycle.Effect) {
 	if v != lifecycle.Started && v != lifecycle.Changed {
 		return
 	}
