--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -32,20 +32,20 @@
 	return m
 }
 
-// Running records the current number of requests that the guard has running.
-func (m *Monitor) Running(n int) {
+// SetRunning records the current number of requests that the guard has running.
+func (m *Monitor) SetRunning(n int) {
 	m.running = n
 	m.currentWindow.lowest = min(m.currentWindow.lowest, n)
 	m.currentWindow.highest = max(m.currentWindow.highest, n)
 }
 
-// Next returns the instant at which the next poll is due.
-func (m *Monitor) Next() model.Instant { return m.nextPoll }
+// NextPoll returns the instant at which the next poll is due.
+func (m *Monitor) NextPoll() model.Instant { return m.nextPoll }
 
-// Poll reserves the largest possible cost of a poll. It returns false if no poll is due
+// BeginPoll reserves the largest possible cost of a poll. It returns false if no poll is due
 // yet, or if the budget does not allow one; in the second case the next poll is due one
 // interval later.
-func (m *Monitor) Poll(now model.Instant, maxCost Cost) (Reservation, bool) {
+func (m *Monitor) BeginPoll(now model.Instant, maxCost Cost) (Reservation, bool) {
 	if now < m.nextPoll {
 		return Reservation{}, false
 	}
@@ -53,9 +53,9 @@
 	return m.budget.Reserve(now, maxCost)
 }
 
-// Reported records the report that a poll returned and the actual cost of the poll.
+// PollSucceeded records the report that a poll returned and the actual cost of the poll.
 // slowed is set if recent requests have taken clearly longer than usual.
-func (m *Monitor) Reported(now model.Instant, r *Reservation, cost Cost, report Report, slowed bool) {
+func (m *Monitor) PollSucceeded(now model.Instant, r *Reservation, cost Cost, report Report, slowed bool) {
 	m.budget.Settle(now, r, cost)
 	m.trust.Observe(report, Observation{
 		MinRunning: min(m.currentWindow.lowest, m.previousWindow.lowest),
@@ -67,8 +67,8 @@
 	m.nextPoll = now.Add(m.schedule.Next(m.trust.Discrepancy(), slowed))
 }
 
-// Failed charges the cost of a poll that returned no report.
-func (m *Monitor) Failed(now model.Instant, r *Reservation, cost Cost) {
+// PollFailed charges the cost of a poll that returned no report.
+func (m *Monitor) PollFailed(now model.Instant, r *Reservation, cost Cost) {
 	m.budget.Settle(now, r, cost)
 }
 
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -107,7 +107,7 @@
 		return measure.Reservation{}, false
 	}
 	refusedBefore := u.monitor.Refused()
-	reservation, ok := u.monitor.Poll(u.now(), maxPollCost)
+	reservation, ok := u.monitor.BeginPoll(u.now(), maxPollCost)
 	if u.monitor.Refused() != refusedBefore {
 		p.count("over-budget")
 	}
@@ -125,12 +125,12 @@
 	now := u.now()
 	cost.SlotTime = now.Sub(startedAt)
 	if err != nil {
-		u.monitor.Failed(now, reservation, cost)
+		u.monitor.PollFailed(now, reservation, cost)
 		p.count("failed")
 		return
 	}
 	before := u.monitor.Counts()
-	u.monitor.Reported(now, reservation, cost, report, u.limiter.Slowed())
+	u.monitor.PollSucceeded(now, reservation, cost, report, u.limiter.Slowed())
 	p.count(pollResult(before, u.monitor.Counts()))
 }
 
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -144,7 +144,7 @@
 			delete(u.pending, e.ID)
 		}
 	}
-	u.monitor.Running(int(u.controller.Load(u.now()).Running))
+	u.monitor.SetRunning(int(u.controller.Load(u.now()).Running))
 }
 
 // withdraw removes a waiting call from the queue. It reports false when the call
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -142,7 +142,7 @@
 	now := g.sim.now
 	c.started, c.running = now, true
 	g.running++
-	g.monitor.Running(g.running)
+	g.monitor.SetRunning(g.running)
 	took, o, failed := g.fake.run(now, c)
 	c.reply = routing.Reply{Outcome: o, Failed: failed}
 	if o.Kind != outcome.NotRun {
@@ -158,7 +158,7 @@
 	now := g.sim.now
 	c.running = false
 	g.running--
-	g.monitor.Running(g.running)
+	g.monitor.SetRunning(g.running)
 	g.fake.release(now)
 	delete(g.calls, admission.ID(c.id))
 	res := admission.Result{Outcome: c.reply.Outcome, SlotTime: now.Sub(c.started), Failed: c.reply.Failed}
--- a/replay/poll.go
+++ b/replay/poll.go
@@ -21,27 +21,27 @@
 		return
 	}
 	cost := time.Duration(g.spec.ReportCost)
-	r, ok := g.monitor.Poll(s.now, measure.Cost{SlotTime: pollPatience * cost, Connections: 1, Bytes: pollBytes})
+	r, ok := g.monitor.BeginPoll(s.now, measure.Cost{SlotTime: pollPatience * cost, Connections: 1, Bytes: pollBytes})
 	if !ok {
-		s.after(g.monitor.Next().Sub(s.now), g.poll)
+		s.after(g.monitor.NextPoll().Sub(s.now), g.poll)
 		return
 	}
 	g.fake.change(s.now, 1)
 	s.after(cost, func() {
 		g.fake.change(s.now, -1)
 		g.polled(&r, measure.Cost{SlotTime: cost, Connections: g.pollConnection(), Bytes: pollBytes})
-		s.after(g.monitor.Next().Sub(s.now), g.poll)
+		s.after(g.monitor.NextPoll().Sub(s.now), g.poll)
 	})
 }
 
 func (g *guard) polled(r *measure.Reservation, cost measure.Cost) {
 	now := g.sim.now
 	if g.fake.crashed || g.pausedUntil > now {
-		g.monitor.Failed(now, r, cost)
+		g.monitor.PollFailed(now, r, cost)
 		return
 	}
 	report := measure.Report{Running: g.fake.report(now)}
-	g.monitor.Reported(now, r, cost, report, g.limiter.Slowed())
+	g.monitor.PollSucceeded(now, r, cost, report, g.limiter.Slowed())
 }
 
 // pollConnection returns the connections that this poll opened: one at first.
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -136,7 +136,7 @@
 func (s *sim) run(events []Event) {
 	s.end = instant(events[len(events)-1].AtUs)
 	for _, g := range s.guards {
-		s.after(g.monitor.Next().Sub(0), g.poll)
+		s.after(g.monitor.NextPoll().Sub(0), g.poll)
 	}
 	i := 0
 	for {
