--- a/core/member/codec.go
+++ b/core/member/codec.go
@@ -11,8 +11,8 @@
 // Records is a batch of records to send to another daemon or to write to the
 // log.
 type Records struct {
-	Events []Event
-	Lives  []Liveness
+	Events   []Event
+	Liveness []Liveness
 }
 
 // codecVersion is the first byte of an encoding. After it come the number of
@@ -32,10 +32,10 @@
 	for _, e := range r.Events {
 		w.event(e)
 	}
-	w.number(uint64(len(r.Lives)))
-	for _, l := range r.Lives {
+	w.number(uint64(len(r.Liveness)))
+	for _, l := range r.Liveness {
 		w.text(string(l.Daemon))
-		w.number(uint64(l.Life))
+		w.number(uint64(l.Incarnation))
 		w.number(uint64(l.Health))
 	}
 	return w.buf
@@ -98,9 +98,9 @@
 	}
 	for range d.count() {
 		l := Liveness{Daemon: model.DaemonID(d.text())}
-		l.Life = model.Incarnation(d.number())
+		l.Incarnation = model.Incarnation(d.number())
 		l.Health = Health(d.uint8())
-		r.Lives = append(r.Lives, l)
+		r.Liveness = append(r.Liveness, l)
 	}
 	if d.failed || len(d.rest) > 0 {
 		return Records{}, ErrRecords
--- a/core/member/delta.go
+++ b/core/member/delta.go
@@ -14,7 +14,7 @@
 			applied++
 		}
 	}
-	for _, l := range r.Lives {
+	for _, l := range r.Liveness {
 		if d.ApplyLiveness(l) {
 			applied++
 		}
@@ -41,7 +41,7 @@
 	events := d.events.differing(digest[:tableDigestSize])
 	liveness := d.liveness.differing(digest[tableDigestSize:])
 	for n := max(1, limit/typicalRecordBytes); n > 0 && len(events)+len(liveness) > 0; n /= 2 {
-		r := Records{Events: selectRotating(events, n, d.deltaCursor), Lives: selectRotating(liveness, n, d.deltaCursor)}
+		r := Records{Events: selectRotating(events, n, d.deltaCursor), Liveness: selectRotating(liveness, n, d.deltaCursor)}
 		if data := r.Encode(); len(data) <= limit {
 			d.deltaCursor += n
 			return data
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -12,9 +12,9 @@
 	// Self is the daemon that holds the Directory. It is empty if the Directory
 	// does not belong to a daemon.
 	Self model.DaemonID
-	// Life is the incarnation number of Self. It must be larger than that of any
+	// Incarnation is the incarnation number of Self. It must be larger than that of any
 	// earlier incarnation.
-	Life model.Incarnation
+	Incarnation model.Incarnation
 	// MaxUpstreams is the maximum number of upstreams held, including those that
 	// have left. It also bounds the number of daemons, since each daemon held has
 	// at least one upstream. Default: 8192.
@@ -26,10 +26,10 @@
 	// kept. It is also the time after which the upstreams of a dead daemon are
 	// marked as left. Default: 1h.
 	TombstoneRetention time.Duration
-	// Grace is how long after its start Self waits for its upstreams to announce
+	// StartupGrace is how long after its start Self waits for its upstreams to announce
 	// themselves. After that it marks upstreams of its earlier incarnation as
 	// left. Default: 30s.
-	Grace time.Duration
+	StartupGrace time.Duration
 }
 
 const (
@@ -97,8 +97,8 @@
 	if o.TombstoneRetention <= 0 {
 		o.TombstoneRetention = defaultTombstoneRetention
 	}
-	if o.Grace <= 0 {
-		o.Grace = defaultGrace
+	if o.StartupGrace <= 0 {
+		o.StartupGrace = defaultGrace
 	}
 	return &Directory{
 		opts:               o,
@@ -110,7 +110,7 @@
 		announced:          make(map[model.UpstreamID]Event),
 		upstreamsPerDaemon: make(map[model.DaemonID]int),
 		unlogged:           make(map[model.UpstreamID]model.Instant),
-		incarnation:        o.Life,
+		incarnation:        o.Incarnation,
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	applied := d.Apply(e)
 	if d.opts.Self != "" && d.upstreamsPerDaemon[d.opts.Self] > 0 {
-		d.setLiveness(Liveness{Daemon: d.opts.Self, Life: d.incarnation, Health: Alive})
+		d.setLiveness(Liveness{Daemon: d.opts.Self, Incarnation: d.incarnation, Health: Alive})
 	}
 	return applied
 }
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -6,9 +6,9 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Life returns the current incarnation number of Self. It increases when Self
+// Incarnation returns the current incarnation number of Self. It increases when Self
 // refutes a report that it is suspect or dead.
-func (d *Directory) Life() model.Incarnation { return d.incarnation }
+func (d *Directory) Incarnation() model.Incarnation { return d.incarnation }
 
 // Health returns the health of a daemon. A daemon without a liveness record
 // counts as alive.
@@ -26,7 +26,7 @@
 	if l.Health > Alive {
 		return false
 	}
-	return d.ApplyLiveness(Liveness{Daemon: id, Life: l.Life, Health: Suspect})
+	return d.ApplyLiveness(Liveness{Daemon: id, Incarnation: l.Incarnation, Health: Suspect})
 }
 
 // Answered records that a daemon responded and which incarnation number it
@@ -34,10 +34,10 @@
 // no liveness record.
 func (d *Directory) Answered(id model.DaemonID, incarnation model.Incarnation) bool {
 	l, known := d.liveness.get(id)
-	if !known || incarnation <= l.Life {
+	if !known || incarnation <= l.Incarnation {
 		return false
 	}
-	return d.ApplyLiveness(Liveness{Daemon: id, Life: incarnation, Health: Alive})
+	return d.ApplyLiveness(Liveness{Daemon: id, Incarnation: incarnation, Health: Alive})
 }
 
 // ApplyLiveness applies a liveness record and reports whether it took effect.
@@ -48,11 +48,11 @@
 		return false
 	}
 	if l.Daemon == d.opts.Self && d.opts.Self != "" {
-		if l.Health == Alive || l.Life < d.incarnation {
+		if l.Health == Alive || l.Incarnation < d.incarnation {
 			return false
 		}
-		d.incarnation = l.Life + 1
-		l = Liveness{Daemon: d.opts.Self, Life: d.incarnation, Health: Alive}
+		d.incarnation = l.Incarnation + 1
+		l = Liveness{Daemon: d.opts.Self, Incarnation: d.incarnation, Health: Alive}
 	}
 	if d.upstreamsPerDaemon[l.Daemon] == 0 {
 		return false
@@ -155,10 +155,10 @@
 }
 
 // removeUnannounced marks upstreams as left that name Self as their daemon but
-// have not been announced since Self started. It does nothing before Grace has
+// have not been announced since Self started. It does nothing before StartupGrace has
 // passed, because running upstreams need time to announce themselves again.
 func (d *Directory) removeUnannounced() bool {
-	if d.opts.Self == "" || d.now.Sub(d.startedAt) < d.opts.Grace {
+	if d.opts.Self == "" || d.now.Sub(d.startedAt) < d.opts.StartupGrace {
 		return false
 	}
 	changed := false
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -77,15 +77,15 @@
 
 // Liveness is the health of one incarnation of a daemon.
 type Liveness struct {
-	Daemon model.DaemonID    `json:"daemon"`
-	Life   model.Incarnation `json:"life"`
-	Health Health            `json:"health"`
+	Daemon      model.DaemonID    `json:"daemon"`
+	Incarnation model.Incarnation `json:"life"`
+	Health      Health            `json:"health"`
 }
 
 // newer reports whether a takes precedence over b.
 func (a Liveness) newer(b Liveness) bool {
-	if a.Life != b.Life {
-		return a.Life > b.Life
+	if a.Incarnation != b.Incarnation {
+		return a.Incarnation > b.Incarnation
 	}
 	return a.Health > b.Health
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -67,8 +67,8 @@
 }
 
 func TestSuspectDaemonIsDeadUnlessItRefutes(t *testing.T) {
-	observer := New(Options{Self: "o", Life: 1})
-	suspect := New(Options{Self: "d", Life: 7})
+	observer := New(Options{Self: "o", Incarnation: 1})
+	suspect := New(Options{Self: "d", Incarnation: 7})
 	for _, d := range []*Directory{observer, suspect} {
 		d.Tick(seconds(0), 1000)
 	}
@@ -82,7 +82,7 @@
 	// The suspect daemon learns of it and refutes it with a higher incarnation
 	// number.
 	suspect.ApplyAll(recordsOf(observer))
-	require.EqualValues(t, 8, suspect.Life())
+	require.EqualValues(t, 8, suspect.Incarnation())
 	observer.ApplyAll(recordsOf(suspect))
 	require.Equal(t, Alive, observer.Health("d"))
 
@@ -102,7 +102,7 @@
 func recordsOf(d *Directory) Records {
 	r := Records{Events: d.Events()}
 	for _, l := range d.liveness.all() {
-		r.Lives = append(r.Lives, l)
+		r.Liveness = append(r.Liveness, l)
 	}
 	return r
 }
@@ -116,12 +116,12 @@
 	viewSizes := []int{4, 3, 2, 4, 4}
 	for dead, want := range viewSizes {
 		require.Len(t, d.Upstreams("s"), want, "%d dead", dead)
-		d.ApplyLiveness(Liveness{Daemon: model.DaemonID(fmt.Sprint("d", dead)), Life: 1, Health: Dead})
+		d.ApplyLiveness(Liveness{Daemon: model.DaemonID(fmt.Sprint("d", dead)), Incarnation: 1, Health: Dead})
 	}
 }
 
 func TestDaemonIsAuthoritativeForItsUpstreams(t *testing.T) {
-	d := New(Options{Self: "d", Life: 1})
+	d := New(Options{Self: "d", Incarnation: 1})
 	d.Tick(seconds(0), 1000)
 	d.Announce(event("a", "d", 3, Joined))
 	// While this daemon was partitioned, others marked its upstream as left.
@@ -261,7 +261,7 @@
 	e.Upstream.Draining = true
 	e.Upstream.Labels = model.Labels{"tier": "bench", "z": "tier"}
 	e.Epoch, e.Unix = 3, 1<<40
-	r := Records{Events: []Event{e, event("b", "d", 2, Joined)}, Lives: []Liveness{{Daemon: "d", Life: 9, Health: Suspect}}}
+	r := Records{Events: []Event{e, event("b", "d", 2, Joined)}, Liveness: []Liveness{{Daemon: "d", Incarnation: 9, Health: Suspect}}}
 	got, err := Decode(r.Encode())
 	require.NoError(t, err)
 	require.Equal(t, r, got)
@@ -287,7 +287,7 @@
 			return
 		}
 		redecoded, err := Decode(r.Encode())
-		if err != nil || len(redecoded.Events) != len(r.Events) || len(redecoded.Lives) != len(r.Lives) {
+		if err != nil || len(redecoded.Events) != len(r.Events) || len(redecoded.Liveness) != len(r.Liveness) {
 			t.Fatalf("decoding the re-encoded records: %v", err)
 		}
 	})
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -113,6 +113,6 @@
 func livenessHash(l Liveness) uint64 {
 	b := make([]byte, 0, 64)
 	b = append(b, l.Daemon...)
-	b = binary.BigEndian.AppendUint64(b, uint64(l.Life))
+	b = binary.BigEndian.AppendUint64(b, uint64(l.Incarnation))
 	return xxhash.Sum64(append(b, byte(l.Health)))
 }
--- a/membership/check.go
+++ b/membership/check.go
@@ -173,5 +173,5 @@
 	}
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return &peerv1.PingResponse{Alive: true, Incarnation: uint64(r.directory.Life())}, nil
+	return &peerv1.PingResponse{Alive: true, Incarnation: uint64(r.directory.Incarnation())}, nil
 }
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -118,7 +118,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	records.Lives = nil
+	records.Liveness = nil
 	won := r.directory.ApplyAll(records)
 	for _, e := range records.Events {
 		r.directory.Logged(e)
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -112,7 +112,7 @@
 func NewRegistry(o Options) *Registry {
 	o.setDefaults()
 	o.Directory.Self = o.Self
-	o.Directory.Life = model.Incarnation(time.Now().UnixMilli())
+	o.Directory.Incarnation = model.Incarnation(time.Now().UnixMilli())
 	r := &Registry{
 		opts:      o,
 		metrics:   newMetrics(o.Metrics),
