--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -159,13 +159,13 @@
 // Load returns the current load. Its Ahead counts all waiting requests.
 func (c *Controller) Load(now model.Instant) model.Load {
 	return model.Load{
-		Running:  int32(c.queue.Running()),
-		Waiting:  int32(c.queue.Len()),
-		Ahead:    int32(c.queue.Len()),
-		Limit:    int32(c.limit()),
-		Service:  c.queue.MeanSlotTime(),
-		Draining: c.draining,
-		Seq:      c.seq,
+		Running:     int32(c.queue.Running()),
+		Waiting:     int32(c.queue.Len()),
+		Ahead:       int32(c.queue.Len()),
+		Limit:       int32(c.limit()),
+		ServiceTime: c.queue.MeanSlotTime(),
+		Draining:    c.draining,
+		Seq:         c.seq,
 	}
 }
 
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -116,8 +116,8 @@
 
 // Annotate returns the load with the mean slot time and the failure rate filled in.
 func (l *Limiter) Annotate(load model.Load) model.Load {
-	load.Service = time.Duration(l.recentMean.value)
-	load.Failing = float32(l.failureRate)
+	load.ServiceTime = time.Duration(l.recentMean.value)
+	load.FailureRate = float32(l.failureRate)
 	return load
 }
 
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -106,16 +106,16 @@
 	for range 100 {
 		l.Observe(0, 3*time.Millisecond, 1, false)
 	}
-	assert.Equal(t, 3*time.Millisecond, l.Annotate(model.Load{}).Service)
-	assert.Zero(t, l.Annotate(model.Load{}).Failing)
+	assert.Equal(t, 3*time.Millisecond, l.Annotate(model.Load{}).ServiceTime)
+	assert.Zero(t, l.Annotate(model.Load{}).FailureRate)
 	assert.False(t, l.Slowed())
 	for range 30 {
 		l.Observe(0, time.Microsecond, 1, true)
 	}
 	load := l.Annotate(model.Load{})
-	assert.Greater(t, load.Failing, float32(0.9))
+	assert.Greater(t, load.FailureRate, float32(0.9))
 	assert.False(t, l.Slowed())
-	assert.Equal(t, 3*time.Millisecond, load.Service, "failed requests do not count towards the service time")
+	assert.Equal(t, 3*time.Millisecond, load.ServiceTime, "failed requests do not count towards the service time")
 	for range 20 {
 		l.Observe(0, 24*time.Millisecond, 1, false)
 	}
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -78,10 +78,10 @@
 	Ahead int32
 	// Limit is the number of requests that the guard lets run concurrently.
 	Limit int32
-	// Service is the recent mean service time of a request in the upstream.
-	Service time.Duration
-	// Failing is the recent failure rate, from 0 to 1.
-	Failing float32
+	// ServiceTime is the recent mean service time of a request in the upstream.
+	ServiceTime time.Duration
+	// FailureRate is the recent failure rate, from 0 to 1.
+	FailureRate float32
 	// Draining is set if the upstream accepts no new requests.
 	Draining bool
 	// Seq rises with every change at the guard within one incarnation, so that a load
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -35,7 +35,7 @@
 	for _, name := range Names() {
 		for _, n := range poolSizes {
 			r := newRouter(t, name, n)
-			load := warmUp(r, model.Load{Running: 3, Limit: 6, Service: 2 * time.Millisecond})
+			load := warmUp(r, model.Load{Running: 3, Limit: 6, ServiceTime: 2 * time.Millisecond})
 			allocs := testing.AllocsPerRun(1000, func() {
 				load.Seq++
 				placeAndReply(r, 10*ms, load)
@@ -50,7 +50,7 @@
 		for _, n := range poolSizes {
 			b.Run(fmt.Sprintf("%s/upstreams=%d", name, n), func(b *testing.B) {
 				r := newRouter(b, name, n)
-				load := warmUp(r, model.Load{Running: 3, Limit: 6, Service: 2 * time.Millisecond})
+				load := warmUp(r, model.Load{Running: 3, Limit: 6, ServiceTime: 2 * time.Millisecond})
 				b.ReportAllocs()
 				now := 10 * ms
 				for b.Loop() {
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -64,7 +64,7 @@
 func (p *pool) observe(c *candidate) {
 	perSlot := c.otherRequests() / float64(c.limit())
 	p.meanOthersPerSlot += (perSlot - p.meanOthersPerSlot) * othersWeight
-	serviceTime := float64(c.load.Service)
+	serviceTime := float64(c.load.ServiceTime)
 	switch {
 	case serviceTime == 0:
 	case p.medianServiceTime == 0:
@@ -165,7 +165,7 @@
 	if p.medianServiceTime == 0 {
 		return 1
 	}
-	ratio := float64(c.load.Service) / p.medianServiceTime
+	ratio := float64(c.load.ServiceTime) / p.medianServiceTime
 	if ratio < stragglerRatio {
 		return 1
 	}
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -188,7 +188,7 @@
 
 func TestCrossesZonesWhenTheLocalQueueIsLong(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 3)
-	full := model.Load{Running: 6, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
+	full := model.Load{Running: 6, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: 1}
 	r.Observe(0, "s-1", full)
 	c, _ := r.Place(0, model.Request{}, nil, MaxBounces)
 	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "a wait of 0.33 ms is shorter than the round trip to another zone")
@@ -213,7 +213,7 @@
 		}
 		r.SetUpstreams(0, ups)
 		for i := range ups {
-			r.Observe(0, ups[i].ID, model.Load{Running: 5, Limit: 6, Service: 2 * time.Millisecond, Seq: 1})
+			r.Observe(0, ups[i].ID, model.Load{Running: 5, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: 1})
 		}
 		c, _ := r.Place(0, model.Request{}, nil, 0)
 		counts[c.Upstream.ID]++
@@ -232,7 +232,7 @@
 
 func TestSilentUpstreamIsAvoidedUntilItReplies(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 2)
-	load := model.Load{Running: 1, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
+	load := model.Load{Running: 1, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: 1}
 	r.Observe(0, "s-1", load)
 	r.Observe(0, "s-2", load)
 	exclude := []model.UpstreamID{"s-2"}
@@ -293,7 +293,7 @@
 	for i := range 2000 {
 		now += ms
 		c, _ := r.Place(now, req, nil, 0)
-		reply := answeredReply(model.Load{Limit: 6, Service: 2 * time.Millisecond, Seq: uint64(i)})
+		reply := answeredReply(model.Load{Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: uint64(i)})
 		reply.Group, reply.Latency = "g", time.Duration(1+i%100)*time.Millisecond
 		r.Done(now, c.Upstream.ID, reply)
 	}
@@ -333,16 +333,16 @@
 func TestStragglerIsTriedAgainAfterItsLoadAges(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 6)
 	for _, up := range newUpstreams(6) {
-		load := model.Load{Running: 6, Limit: 6, Service: 2 * time.Millisecond, Seq: 1}
+		load := model.Load{Running: 6, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: 1}
 		if up.ID == "s-1" {
-			load.Service = 5 * time.Millisecond
+			load.ServiceTime = 5 * time.Millisecond
 		}
 		r.Observe(0, up.ID, load)
 	}
 	now := 2000 * ms
 	for seq := range uint64(100) {
 		for _, up := range newUpstreams(6)[1:] {
-			r.Observe(now, up.ID, model.Load{Running: 6, Waiting: 30, Limit: 6, Service: 2 * time.Millisecond, Seq: seq})
+			r.Observe(now, up.ID, model.Load{Running: 6, Waiting: 30, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: seq})
 		}
 	}
 	c, _ := r.Place(now, model.Request{}, nil, MaxBounces)
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -36,7 +36,7 @@
 		s.Gauge("running").Update(float64(l.Running))
 		s.Gauge("waiting").Update(float64(l.Waiting))
 		s.Gauge("limit").Update(float64(l.Limit))
-		s.Gauge("failing").Update(float64(l.Failing))
+		s.Gauge("failing").Update(float64(l.FailureRate))
 	}
 	for id, spent := range g.daemon.Guard.Measured() {
 		s := g.scope.SubScope("guard").Tagged(map[string]string{"upstream": string(id)})
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -47,8 +47,8 @@
 			Running:     l.Running,
 			Waiting:     l.Waiting,
 			Limit:       l.Limit,
-			ServiceTime: policy.Duration(l.Service),
-			Failing:     l.Failing,
+			ServiceTime: policy.Duration(l.ServiceTime),
+			Failing:     l.FailureRate,
 			Draining:    l.Draining,
 		}
 	}
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -42,7 +42,7 @@
 	time.Sleep(time.Millisecond)
 	a := wire.NoAnswer(outcome.Done())
 	a.Status, a.HasLoad = http.StatusOK, true
-	a.Load = model.Load{Limit: 6, Service: time.Millisecond, Seq: seq}
+	a.Load = model.Load{Limit: 6, ServiceTime: time.Millisecond, Seq: seq}
 	return a
 }
 
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -108,7 +108,7 @@
 }
 
 func FuzzParseLoad(f *testing.F) {
-	f.Add(formatLoad(model.Load{Running: 3, Waiting: 2, Limit: 6, Service: 1500 * time.Microsecond, Failing: 0.25, Draining: true, Seq: 9}))
+	f.Add(formatLoad(model.Load{Running: 3, Waiting: 2, Limit: 6, ServiceTime: 1500 * time.Microsecond, FailureRate: 0.25, Draining: true, Seq: 9}))
 	f.Add("1 2 3 4 NaN true 7")
 	f.Add("1 2 3")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -116,12 +116,12 @@
 		if err != nil {
 			return
 		}
-		require.True(t, l.Failing >= 0 && l.Failing <= 1, "share of failures %v", l.Failing)
-		require.True(t, l.Running >= 0 && l.Waiting >= 0 && l.Service >= 0)
+		require.True(t, l.FailureRate >= 0 && l.FailureRate <= 1, "share of failures %v", l.FailureRate)
+		require.True(t, l.Running >= 0 && l.Waiting >= 0 && l.ServiceTime >= 0)
 		again, err := parseLoad(formatLoad(l))
 		require.NoError(t, err)
 		require.Equal(t, l.Seq, again.Seq)
-		require.InDelta(t, l.Failing, again.Failing, 0.001)
+		require.InDelta(t, l.FailureRate, again.FailureRate, 0.001)
 	})
 }
 
--- a/wire/header.go
+++ b/wire/header.go
@@ -206,9 +206,9 @@
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(l.Limit), 10)
 	b = append(b, ' ')
-	b = strconv.AppendInt(b, l.Service.Microseconds(), 10)
+	b = strconv.AppendInt(b, l.ServiceTime.Microseconds(), 10)
 	b = append(b, ' ')
-	b = strconv.AppendFloat(b, float64(l.Failing), 'f', 3, 32)
+	b = strconv.AppendFloat(b, float64(l.FailureRate), 'f', 3, 32)
 	b = append(b, ' ')
 	b = strconv.AppendBool(b, l.Draining)
 	b = append(b, ' ')
@@ -243,14 +243,14 @@
 		return model.Load{}, refused
 	}
 	return model.Load{
-		Running:  int32(running),
-		Waiting:  int32(waiting),
-		Limit:    int32(limit),
-		Service:  time.Duration(service) * time.Microsecond,
-		Failing:  float32(failing),
-		Draining: draining,
-		Seq:      seq,
-		Ahead:    int32(ahead),
+		Running:     int32(running),
+		Waiting:     int32(waiting),
+		Limit:       int32(limit),
+		ServiceTime: time.Duration(service) * time.Microsecond,
+		FailureRate: float32(failing),
+		Draining:    draining,
+		Seq:         seq,
+		Ahead:       int32(ahead),
 	}, nil
 }
 
