--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -99,9 +99,9 @@
 // Done returns the outcome of a complete response.
 func Done() Outcome { return Outcome{Kind: Answered} }
 
-// Elsewhere reports whether an immediate attempt at another upstream may succeed. It
+// RetryElsewhere reports whether an immediate attempt at another upstream may succeed. It
 // does not say whether such an attempt is safe; see MayRetry.
-func (o Outcome) Elsewhere() bool {
+func (o Outcome) RetryElsewhere() bool {
 	switch o.Reason {
 	case ReasonNoUpstream, ReasonQueueFull, ReasonShed, ReasonDraining, ReasonWithdrawn,
 		ReasonUpstreamRefused, ReasonConnect, ReasonConnectionLost, ReasonTruncated,
@@ -112,9 +112,9 @@
 	}
 }
 
-// Costless reports whether the attempt put no load on any upstream and failed only
+// FreeToRetry reports whether the attempt put no load on any upstream and failed only
 // because the upstream was chosen from outdated information.
-func (o Outcome) Costless() bool {
+func (o Outcome) FreeToRetry() bool {
 	return o.Kind == NotRun && (o.Reason == ReasonDraining || o.Reason == ReasonWithdrawn)
 }
 
--- a/core/outcome/reason_test.go
+++ b/core/outcome/reason_test.go
@@ -60,7 +60,7 @@
 		ReasonDeadline, ReasonCancelled, ReasonQuarantined, ReasonCeiling, ReasonForbidden,
 		ReasonBadRequest, ReasonKeyMismatch, ReasonDepth, ReasonNone,
 	} {
-		require.False(t, NotRunBecause(r).Elsewhere(), r)
+		require.False(t, NotRunBecause(r).RetryElsewhere(), r)
 	}
-	require.False(t, UnknownBecause(ReasonDraining).Costless(), "an attempt that may have run is not free")
+	require.False(t, UnknownBecause(ReasonDraining).FreeToRetry(), "an attempt that may have run is not free")
 }
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -67,7 +67,7 @@
 // allowed. A retry after an attempt that put no load on any upstream needs no
 // budget.
 func (r *retryBudgets) backoff(req *request, retryNumber int, o outcome.Outcome) (time.Duration, bool) {
-	if o.Costless() {
+	if o.FreeToRetry() {
 		return 0, req.deadline > r.now()
 	}
 	wait, ok := retry.Backoff(retryNumber, req.deadline.Sub(r.now()), rand.Float64())
@@ -84,7 +84,7 @@
 // waitForRetry reports whether to retry the request after an attempt. If so, it
 // returns after the backoff.
 func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Answer, attempt int) bool {
-	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.Elsewhere() {
+	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.RetryElsewhere() {
 		return false
 	}
 	if !req.body.replayable() || ctx.Err() != nil {
