--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -35,8 +35,8 @@
 )
 
 var (
-	noNear = edits.New(choose, "r.inquire(ask, true, placement.AskNear, localZoneTimeout)", "_ = localZoneTimeout")
-	noFar  = edits.New(choose, "		r.inquire(ask, false, placement.AskFar, farWait)\n", "		_ = farWait\n")
+	noNear = edits.New(choose, "r.inquire(ask, true, placement.MaxLocalQueries, localZoneTimeout)", "_ = localZoneTimeout")
+	noFar  = edits.New(choose, "		r.inquire(ask, false, placement.MaxRemoteQueries, farWait)\n", "		_ = farWait\n")
 )
 
 // mechanisms are those that decide where a request goes, whether it waits, and what is
@@ -44,7 +44,7 @@
 var mechanisms = []mechanism{
 	off("questions before sending", noNear, noFar),
 	off("questions to other zones", noFar),
-	off("giving back", edits.New(figures, "MaxGivenBack = 2", "MaxGivenBack = 0")),
+	off("giving back", edits.New(figures, "MaxRejections = 2", "MaxRejections = 0")),
 	off("hedges", edits.New(choose, "if !r.req.route.Idempotent || len(r.live) != 1 ||", "if !r.req.route.Idempotent || len(r.live) < 9 ||")),
 	off("newest first", edits.New(queue, "return a.Arrived > b.Arrived", "return a.Arrived < b.Arrived")),
 	kept("core/slots TestKindsShareWorkEqually", off("turns between kinds", edits.New(queue, "case aTag != bTag:", "case aTag < 0 && bTag < 0:"))),
--- a/core/placement/failing.go
+++ b/core/placement/failing.go
@@ -17,17 +17,17 @@
 	failureHalfLife = 2 * time.Second
 )
 
-// Failing is the recent failure rate of an upstream. It decays with time, as an
+// FailureRate is the recent failure rate of an upstream. It decays with time, as an
 // upstream that gets no requests because it has failed would otherwise never be tried
 // again. The zero value is a failure rate of 0.
-type Failing struct {
+type FailureRate struct {
 	rate float64
 	at   model.Instant
 }
 
-// Count records the result of a request.
-func (f *Failing) Count(now model.Instant, failed bool) {
-	f.rate = f.Share(now)
+// Record records the result of a request.
+func (f *FailureRate) Record(now model.Instant, failed bool) {
+	f.rate = f.At(now)
 	f.at = now
 	sample := 0.0
 	if failed {
@@ -36,8 +36,8 @@
 	f.rate += (sample - f.rate) * failureWeight
 }
 
-// Share returns the failure rate at the given instant, from 0 to 1.
-func (f *Failing) Share(now model.Instant) float64 { return f.rate * failureDecay(now.Sub(f.at)) }
+// At returns the failure rate at the given instant, from 0 to 1.
+func (f *FailureRate) At(now model.Instant) float64 { return f.rate * failureDecay(now.Sub(f.at)) }
 
 // failureDecay returns the fraction of a failure rate that is left at an age.
 func failureDecay(age time.Duration) float64 {
--- a/core/placement/figures.go
+++ b/core/placement/figures.go
@@ -5,23 +5,23 @@
 // Parameters for the users of a Placer: the entries and guards of package sidecar, and
 // their simulation in package replay.
 const (
-	// AskNear is how many guards of the local zone are sent a load query before a request
-	// is sent. AskFar is how many of other zones are queried if the local zone is not
+	// MaxLocalQueries is how many guards of the local zone are sent a load query before a request
+	// is sent. MaxRemoteQueries is how many of other zones are queried if the local zone is not
 	// good enough.
-	AskNear = 4
-	AskFar  = 3
-	// AskAge is the age up to which a known load is used without a load query.
-	AskAge = 15 * time.Millisecond
-	// FreshFor is the largest age of the last reported slowdown at which a guard accepts
+	MaxLocalQueries  = 4
+	MaxRemoteQueries = 3
+	// MaxLoadAge is the age up to which a known load is used without a load query.
+	MaxLoadAge = 15 * time.Millisecond
+	// MaxSlowdownAge is the largest age of the last reported slowdown at which a guard accepts
 	// a request that could also go to another upstream. Shared VMs change their speed
 	// every few hundred milliseconds, so an older value is wrong one time in four.
-	FreshFor = 80 * time.Millisecond
-	// MaxGivenBack is how often guards may reject a request before the next guard must
+	MaxSlowdownAge = 80 * time.Millisecond
+	// MaxRejections is how often guards may reject a request before the next guard must
 	// accept it. Each rejection costs a round trip.
-	MaxGivenBack = 2
-	// MaxFull is the number of rejections for lack of capacity after which a request is
+	MaxRejections = 2
+	// MaxFullGuards is the number of rejections for lack of capacity after which a request is
 	// refused, whatever is expected of other guards.
-	MaxFull = 2
+	MaxFullGuards = 2
 	// maxRefusalAge is the largest age of a load that may cause a request to be refused
 	// without asking a guard. If older loads could, the entry would not notice when an
 	// upstream has capacity again.
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -14,13 +14,13 @@
 	Waiting int
 	// Limit is how many requests the guard lets run concurrently.
 	Limit int
-	// Slow is the service time relative to the usual one, which is 1. Zero means
+	// Slowdown is the service time relative to the usual one, which is 1. Zero means
 	// unknown.
-	Slow float64
-	// SlowAge is how old Slow already was when the guard reported the Load.
-	SlowAge time.Duration
-	// Failing is the recent failure rate, from 0 to 1.
-	Failing float64
+	Slowdown float64
+	// SlowdownAge is how old Slowdown already was when the guard reported the Load.
+	SlowdownAge time.Duration
+	// FailureRate is the recent failure rate, from 0 to 1.
+	FailureRate float64
 }
 
 const (
@@ -47,10 +47,10 @@
 	saturatedSlowdown = 1.7
 )
 
-// LimitOf returns the concurrency limit with which an upstream has the highest
+// DefaultLimit returns the concurrency limit with which an upstream has the highest
 // throughput, given only its number of slots. With 2 slots, filling both gives more
 // throughput than staying below saturation; with 3 or more slots it does not.
-func LimitOf(slots int) int {
+func DefaultLimit(slots int) int {
 	reduced := int(math.Ceil(float64(slots)*maxUtilization)) - 1
 	if float64(slots)/saturatedSlowdown > float64(reduced) {
 		return max(slots, 1)
@@ -58,10 +58,10 @@
 	return reduced
 }
 
-// Expected returns the time until a request is expected to complete at an upstream.
+// ExpectedTime returns the time until a request is expected to complete at an upstream.
 // serviceTime is the usual service time of the request, ahead the number of requests
 // that are already there, and limit the concurrency limit of the upstream.
-func Expected(serviceTime time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
+func ExpectedTime(serviceTime time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
 	runTime := float64(serviceTime) * slowdown
 	wait := 0.0
 	if excess := ahead + 1 - limit; excess > 0 {
@@ -98,9 +98,9 @@
 // service.
 func (v *view) slowdown(now model.Instant, mean float64) float64 {
 	slowdown := mean
-	if v.hasLoad && v.load.Slow > 0 {
-		weight := loadDecay(now.Sub(v.loadAt) + v.load.SlowAge)
-		slowdown = mean + (v.load.Slow-mean)*weight
+	if v.hasLoad && v.load.Slowdown > 0 {
+		weight := loadDecay(now.Sub(v.loadAt) + v.load.SlowdownAge)
+		slowdown = mean + (v.load.Slowdown-mean)*weight
 	}
 	if v.upstream.ColdUntil > now {
 		slowdown = max(slowdown, coldSlowdown)
@@ -123,7 +123,7 @@
 	if v.hasLoad && v.load.Limit > 0 {
 		return v.load.Limit
 	}
-	return LimitOf(v.upstream.Slots)
+	return DefaultLimit(v.upstream.Slots)
 }
 
 // failureRate returns the failure rate to expect now.
@@ -131,5 +131,5 @@
 	if !v.hasLoad {
 		return 0
 	}
-	return v.load.Failing * failureDecay(now.Sub(v.loadAt))
+	return v.load.FailureRate * failureDecay(now.Sub(v.loadAt))
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -30,18 +30,18 @@
 	for i, z := range zones {
 		ups = append(ups, Upstream{Key: string(rune('a' + i)), Zone: z, Slots: 6})
 	}
-	p.Set(ups)
+	p.SetUpstreams(ups)
 	return p
 }
 
 // idle returns the load of an idle upstream with the given slowdown.
-func idle(slowdown float64) Load { return Load{Limit: 4, Slow: slowdown} }
+func idle(slowdown float64) Load { return Load{Limit: 4, Slowdown: slowdown} }
 
 // choose places a request with the usual service time and target, and fails the test if
 // no upstream is usable.
 func choose(t *testing.T, p *Placer, now model.Instant) Choice {
 	t.Helper()
-	c, ok := p.Choose(now, Ask{Work: serviceTime, Target: target})
+	c, ok := p.Choose(now, Request{ServiceTime: serviceTime, Target: target})
 	require.True(t, ok)
 	return c
 }
@@ -50,7 +50,7 @@
 // have more throughput with both slots busy, in spite of the slowdown, than with one.
 func TestLimitStaysBelowSaturation(t *testing.T) {
 	for slots, want := range map[int]int{0: 1, 1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 6: 4, 10: 7, 100: 79} {
-		require.Equal(t, want, LimitOf(slots), "%d slots", slots)
+		require.Equal(t, want, DefaultLimit(slots), "%d slots", slots)
 	}
 }
 
@@ -58,8 +58,8 @@
 // of them are four times slower than usual, each for some hundred milliseconds.
 func TestSlowUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
-	p.Learn(at(0), "a", idle(4))
-	p.Learn(at(0), "b", idle(1))
+	p.UpdateLoad(at(0), "a", idle(4))
+	p.UpdateLoad(at(0), "b", idle(1))
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
@@ -67,8 +67,8 @@
 // count, so the upstream with fewer requests is chosen.
 func TestOldSlowdownIsForgotten(t *testing.T) {
 	p := newPlacer("local", "local")
-	p.Learn(at(0), "a", idle(4))
-	p.Learn(at(0), "b", idle(1))
+	p.UpdateLoad(at(0), "a", idle(4))
+	p.UpdateLoad(at(0), "b", idle(1))
 	for range 4 {
 		p.Done(at(0), "none", nil)
 	}
@@ -81,8 +81,8 @@
 // the loads were reported.
 func TestFullUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
-	p.Learn(at(0), "a", idle(1))
-	p.Learn(at(0), "b", idle(1.2))
+	p.UpdateLoad(at(0), "a", idle(1))
+	p.UpdateLoad(at(0), "b", idle(1.2))
 	got := map[string]int{}
 	for range 8 {
 		got[choose(t, p, at(1)).Upstream.Key]++
@@ -98,12 +98,12 @@
 		"local upstream is fast enough":                      {idle(2), idle(1), "a"},
 		"local upstream would miss the target":               {idle(4), idle(1), "b"},
 		"both would miss the target, the remote one by more": {idle(4), idle(5), "a"},
-		"local upstream is full":                             {Load{Running: 4, Waiting: 12, Limit: 4, Slow: 1}, idle(1), "b"},
+		"local upstream is full":                             {Load{Running: 4, Waiting: 12, Limit: 4, Slowdown: 1}, idle(1), "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPlacer("local", "other")
-			p.Learn(at(0), "a", c.local)
-			p.Learn(at(0), "b", c.remote)
+			p.UpdateLoad(at(0), "a", c.local)
+			p.UpdateLoad(at(0), "b", c.remote)
 			require.Equal(t, c.want, choose(t, p, at(1)).Upstream.Key)
 		})
 	}
@@ -111,9 +111,9 @@
 
 func TestSmallGainDoesNotCrossZones(t *testing.T) {
 	p := newPlacer("local", "other")
-	p.Learn(at(0), "a", idle(1.2))
-	p.Learn(at(0), "b", idle(1))
-	c, ok := p.Choose(at(1), Ask{Work: serviceTime})
+	p.UpdateLoad(at(0), "a", idle(1.2))
+	p.UpdateLoad(at(0), "b", idle(1))
+	c, ok := p.Choose(at(1), Request{ServiceTime: serviceTime})
 	require.True(t, ok)
 	require.Equal(t, "a", c.Upstream.Key, "a gain of 20 ms is less than the cross-zone penalty")
 }
@@ -125,14 +125,14 @@
 func TestRoundTripTimeCounts(t *testing.T) {
 	const near, far = 3 * time.Millisecond, 45 * time.Millisecond
 	p := newPlacer("local", "region", "abroad")
-	p.Learn(at(0), "a", Load{Running: 4, Waiting: 30, Limit: 4, Slow: 1})
-	p.Learn(at(0), "b", idle(1.25))
-	p.Learn(at(0), "c", idle(1))
+	p.UpdateLoad(at(0), "a", Load{Running: 4, Waiting: 30, Limit: 4, Slowdown: 1})
+	p.UpdateLoad(at(0), "b", idle(1.25))
+	p.UpdateLoad(at(0), "c", idle(1))
 	require.Equal(t, "c", choose(t, p, at(0)).Upstream.Key, "before the round-trip times are known")
 	p.Done(at(0), "c", nil)
-	p.Trip("b", near)
-	p.Trip("c", far)
-	beyond := p.Beyond(10 * time.Millisecond)
+	p.ObserveRTT("b", near)
+	p.ObserveRTT("c", far)
+	beyond := p.ZonesBeyondRTT(10 * time.Millisecond)
 	require.False(t, beyond["local"])
 	require.False(t, beyond["region"])
 	require.True(t, beyond["abroad"])
@@ -146,16 +146,16 @@
 // not raise the round-trip time, but that a lasting increase is learned.
 func TestShortestRoundTripCounts(t *testing.T) {
 	p := newPlacer("local")
-	p.Learn(at(0), "a", idle(1))
+	p.UpdateLoad(at(0), "a", idle(1))
 	for _, took := range []time.Duration{40, 20, 30} {
-		p.Trip("a", took*time.Millisecond)
+		p.ObserveRTT("a", took*time.Millisecond)
 	}
 	require.InDelta(t, 20, roundTripMS(t, p), 0.5)
 	for range 500 {
-		p.Trip("a", 40*time.Millisecond)
+		p.ObserveRTT("a", 40*time.Millisecond)
 	}
 	require.InDelta(t, 40, roundTripMS(t, p), 0.5)
-	p.Trip("gone", time.Second)
+	p.ObserveRTT("gone", time.Second)
 	require.InDelta(t, 40, roundTripMS(t, p), 0.5)
 }
 
@@ -171,72 +171,72 @@
 // never has any requests running, and must not be preferred as idle.
 func TestFastFailingUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
-	p.Learn(at(0), "a", Load{Limit: 4, Slow: 1, Failing: 0.9})
-	p.Learn(at(0), "b", Load{Running: 4, Waiting: 2, Limit: 4, Slow: 1})
+	p.UpdateLoad(at(0), "a", Load{Limit: 4, Slowdown: 1, FailureRate: 0.9})
+	p.UpdateLoad(at(0), "b", Load{Running: 4, Waiting: 2, Limit: 4, Slowdown: 1})
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
 func TestFailingUpstreamIsTriedAgain(t *testing.T) {
 	p := newPlacer("local", "local")
-	p.Learn(at(0), "a", Load{Limit: 4, Slow: 1, Failing: 1})
-	p.Learn(at(0), "b", Load{Running: 4, Waiting: 4, Limit: 4, Slow: 1})
-	p.Learn(at(20_000), "b", Load{Running: 4, Waiting: 4, Limit: 4, Slow: 1})
+	p.UpdateLoad(at(0), "a", Load{Limit: 4, Slowdown: 1, FailureRate: 1})
+	p.UpdateLoad(at(0), "b", Load{Running: 4, Waiting: 4, Limit: 4, Slowdown: 1})
+	p.UpdateLoad(at(20_000), "b", Load{Running: 4, Waiting: 4, Limit: 4, Slowdown: 1})
 	require.Equal(t, "a", choose(t, p, at(20_001)).Upstream.Key)
 }
 
 func TestColdUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
-	p.Set([]Upstream{{Key: "a", Zone: "local", Slots: 6, ColdUntil: at(3000)}, {Key: "b", Zone: "local", Slots: 6}})
+	p.SetUpstreams([]Upstream{{Key: "a", Zone: "local", Slots: 6, ColdUntil: at(3000)}, {Key: "b", Zone: "local", Slots: 6}})
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
 func TestUnreachableUpstreamIsLastResort(t *testing.T) {
 	p := newPlacer("local", "local")
-	p.Unreachable(at(0), "a")
+	p.MarkUnreachable(at(0), "a")
 	for range 5 {
 		require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 	}
-	p.Unreachable(at(2), "b")
-	_, ok := p.Choose(at(3), Ask{Work: serviceTime})
+	p.MarkUnreachable(at(2), "b")
+	_, ok := p.Choose(at(3), Request{ServiceTime: serviceTime})
 	require.True(t, ok, "one is tried although none is reachable")
-	p.Learn(at(4), "a", idle(1))
+	p.UpdateLoad(at(4), "a", idle(1))
 	require.Equal(t, "a", choose(t, p, at(5)).Upstream.Key)
 }
 
 func TestChooseWithAllExcluded(t *testing.T) {
 	p := newPlacer("local")
-	_, ok := p.Choose(at(0), Ask{Work: serviceTime, Exclude: func(Upstream) bool { return true }})
+	_, ok := p.Choose(at(0), Request{ServiceTime: serviceTime, Exclude: func(Upstream) bool { return true }})
 	require.False(t, ok)
 }
 
 func TestQueryTargets(t *testing.T) {
 	p := newPlacer("local", "local", "local", "other", "other")
-	p.Learn(at(0), "a", idle(1))
-	local := p.ToAsk(at(1), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4)
+	p.UpdateLoad(at(0), "a", idle(1))
+	local := p.QueryTargets(at(1), Request{ServiceTime: serviceTime}, true, 15*time.Millisecond, 4)
 	require.Len(t, local, 2, "the load of a is known")
-	remote := p.ToAsk(at(1), Ask{Work: serviceTime}, false, 15*time.Millisecond, 1)
+	remote := p.QueryTargets(at(1), Request{ServiceTime: serviceTime}, false, 15*time.Millisecond, 1)
 	require.Len(t, remote, 1)
 	require.Equal(t, model.AvailabilityZone("other"), remote[0].Zone)
-	require.Len(t, p.ToAsk(at(100), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4), 3, "the load of a is too old")
-	p.Unreachable(at(100), "b")
-	require.Len(t, p.ToAsk(at(101), Ask{Work: serviceTime}, true, 15*time.Millisecond, 4), 2)
+	require.Len(t, p.QueryTargets(at(100), Request{ServiceTime: serviceTime}, true, 15*time.Millisecond, 4), 3, "the load of a is too old")
+	p.MarkUnreachable(at(100), "b")
+	require.Len(t, p.QueryTargets(at(101), Request{ServiceTime: serviceTime}, true, 15*time.Millisecond, 4), 2)
 }
 
 func TestLoadsSurviveMembershipChange(t *testing.T) {
 	p := newPlacer("local", "local")
-	p.Learn(at(0), "a", idle(4))
-	p.Set([]Upstream{{Key: "a", Zone: "local", Slots: 6}, {Key: "c", Zone: "local", Slots: 6}})
-	p.Learn(at(0), "c", idle(1))
+	p.UpdateLoad(at(0), "a", idle(4))
+	p.SetUpstreams([]Upstream{{Key: "a", Zone: "local", Slots: 6}, {Key: "c", Zone: "local", Slots: 6}})
+	p.UpdateLoad(at(0), "c", idle(1))
 	require.Equal(t, "c", choose(t, p, at(1)).Upstream.Key)
 	require.Equal(t, 2, p.Len())
 }
 
 func TestLocalMeetsTarget(t *testing.T) {
 	p := newPlacer("local", "other")
-	p.Learn(at(0), "a", idle(1))
-	require.True(t, p.Comfortable(at(1), Ask{Work: serviceTime, Target: target}))
-	p.Learn(at(1), "a", idle(4))
-	require.False(t, p.Comfortable(at(2), Ask{Work: serviceTime, Target: target}))
+	p.UpdateLoad(at(0), "a", idle(1))
+	require.True(t, p.LocalMeetsTarget(at(1), Request{ServiceTime: serviceTime, Target: target}))
+	p.UpdateLoad(at(1), "a", idle(4))
+	require.False(t, p.LocalMeetsTarget(at(2), Request{ServiceTime: serviceTime, Target: target}))
 }
 
 // TestStoppingUpstreamIsLastResort covers a service whose last upstream belongs to a
@@ -245,17 +245,17 @@
 	p := New(Options{Zone: "local", Rand: midpoint})
 	stopping := Upstream{Key: "a", Zone: "local", Slots: 6, Stopping: true}
 	busy := Upstream{Key: "b", Zone: "far", Slots: 6}
-	p.Set([]Upstream{stopping, busy})
-	p.Learn(at(0), "b", Load{Running: 4, Waiting: 20, Limit: 4, Slow: 5})
+	p.SetUpstreams([]Upstream{stopping, busy})
+	p.UpdateLoad(at(0), "b", Load{Running: 4, Waiting: 20, Limit: 4, Slowdown: 5})
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key, "however busy b is")
 	for _, local := range []bool{true, false} {
-		for _, up := range p.ToAsk(at(100), Ask{Work: serviceTime}, local, 0, 4) {
+		for _, up := range p.QueryTargets(at(100), Request{ServiceTime: serviceTime}, local, 0, 4) {
 			require.NotEqual(t, "a", up.Key, "an upstream of a stopping daemon is not queried")
 		}
 	}
-	p.Unreachable(at(2), "b")
+	p.MarkUnreachable(at(2), "b")
 	require.Equal(t, "a", choose(t, p, at(3)).Upstream.Key, "b cannot be reached")
-	p.Set([]Upstream{stopping})
+	p.SetUpstreams([]Upstream{stopping})
 	require.Equal(t, "a", choose(t, p, at(4)).Upstream.Key, "there is no other upstream")
 }
 
@@ -275,7 +275,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			choice := Choice{Expected: c.expected}
-			require.Equal(t, c.want, choice.OutOfReach(c.fullGuards, c.target))
+			require.Equal(t, c.want, choice.MissesTarget(c.fullGuards, c.target))
 		})
 	}
 }
@@ -285,17 +285,17 @@
 func TestMissesDeadline(t *testing.T) {
 	const slowdown, left = 20, time.Second
 	p := newPlacer("local", "local")
-	p.Learn(at(0), "a", idle(slowdown))
-	p.Learn(at(0), "b", idle(slowdown))
+	p.UpdateLoad(at(0), "a", idle(slowdown))
+	p.UpdateLoad(at(0), "b", idle(slowdown))
 	c := choose(t, p, at(1))
-	require.True(t, c.Unservable(left))
-	require.False(t, c.Unservable(slowdown*2*serviceTime))
+	require.True(t, c.MissesDeadline(left))
+	require.False(t, c.MissesDeadline(slowdown*2*serviceTime))
 
 	c = choose(t, p, at(100))
-	require.False(t, c.Unservable(left), "the loads are too old")
+	require.False(t, c.MissesDeadline(left), "the loads are too old")
 
-	p.Learn(at(200), "a", idle(slowdown))
-	p.Learn(at(200), "b", idle(1))
+	p.UpdateLoad(at(200), "a", idle(slowdown))
+	p.UpdateLoad(at(200), "b", idle(1))
 	c = choose(t, p, at(201))
-	require.False(t, c.Unservable(left), "one upstream is fast")
+	require.False(t, c.MissesDeadline(left), "one upstream is fast")
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -59,10 +59,10 @@
 	othersWeight = 1.0 / 8
 )
 
-// Ask describes a request that needs an upstream.
-type Ask struct {
-	// Work is the usual service time of the request.
-	Work time.Duration
+// Request describes a request that needs an upstream.
+type Request struct {
+	// ServiceTime is the usual service time of the request.
+	ServiceTime time.Duration
 	// Target is the target latency. Zero means none.
 	Target time.Duration
 	// Exclude reports whether the upstream must not be used.
@@ -76,23 +76,23 @@
 	// Alternative is that time for the best other upstream, or zero if there is none.
 	Expected    time.Duration
 	Alternative time.Duration
-	// Age is the age of the load from which Expected was calculated.
+	// Age is the age of the load from which ExpectedTime was calculated.
 	Age time.Duration
 }
 
-// OutOfReach reports whether a request should be refused rather than sent to the chosen
+// MissesTarget reports whether a request should be refused rather than sent to the chosen
 // upstream: fullGuards guards, at least one, have rejected it for lack of capacity, and it
 // would miss its target there. It would then take a slot from requests that can still meet
 // theirs, and its caller is better off retrying later. left is the time until the target,
 // or zero if there is none.
-func (c *Choice) OutOfReach(fullGuards int, left time.Duration) bool {
+func (c *Choice) MissesTarget(fullGuards int, left time.Duration) bool {
 	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
-// Unservable reports whether the request is known to miss its deadline on every upstream.
+// MissesDeadline reports whether the request is known to miss its deadline on every upstream.
 // A guard with a free slot would accept it all the same and keep its caller waiting in
 // vain. left is the time until the deadline.
-func (c *Choice) Unservable(left time.Duration) bool {
+func (c *Choice) MissesDeadline(left time.Duration) bool {
 	return c.Age < maxRefusalAge && c.Expected > left
 }
 
@@ -119,8 +119,8 @@
 	return &Placer{opts: opts, views: make(map[string]*view), meanSlowdown: initialSlowdown, roundTrips: make(map[model.AvailabilityZone]time.Duration)}
 }
 
-// Set replaces the candidates. What is known about candidates that remain is kept.
-func (p *Placer) Set(ups []Upstream) {
+// SetUpstreams replaces the candidates. What is known about candidates that remain is kept.
+func (p *Placer) SetUpstreams(ups []Upstream) {
 	views := make(map[string]*view, len(ups))
 	p.order = p.order[:0]
 	for _, up := range ups {
@@ -151,11 +151,11 @@
 // Mean returns the mean slowdown of the service.
 func (p *Placer) Mean() float64 { return p.meanSlowdown }
 
-// ToAsk returns up to n upstreams to which to send a load query: those of the local zone if
+// QueryTargets returns up to n upstreams to which to send a load query: those of the local zone if
 // local is set, otherwise those of other zones. Upstreams whose load is younger than
 // maxAge are left out. The upstreams with the shortest expected times are returned, except
 // that the last of the n is drawn at random from the remaining ones.
-func (p *Placer) ToAsk(now model.Instant, req Ask, local bool, maxAge time.Duration, n int) []Upstream {
+func (p *Placer) QueryTargets(now model.Instant, req Request, local bool, maxAge time.Duration, n int) []Upstream {
 	var stale []scoredCandidate
 	for _, v := range p.order {
 		if (v.upstream.Zone == p.opts.Zone) != local || !preferredOnly.allows(v, now) {
@@ -180,9 +180,9 @@
 	return ups
 }
 
-// Comfortable reports whether an upstream of the local zone is expected to respond well
+// LocalMeetsTarget reports whether an upstream of the local zone is expected to respond well
 // within the target latency.
-func (p *Placer) Comfortable(now model.Instant, req Ask) bool {
+func (p *Placer) LocalMeetsTarget(now model.Instant, req Request) bool {
 	_, _, bestLocal := p.rank(now, req, preferredOnly)
 	if bestLocal.view == nil {
 		return false
@@ -190,8 +190,8 @@
 	return req.Target <= 0 || bestLocal.time < time.Duration(targetShare*float64(req.Target))
 }
 
-// Learn records the load of an upstream.
-func (p *Placer) Learn(now model.Instant, key string, load Load) {
+// UpdateLoad records the load of an upstream.
+func (p *Placer) UpdateLoad(now model.Instant, key string, load Load) {
 	if v := p.views[key]; v != nil {
 		p.updateLoad(now, v, load)
 	}
@@ -200,7 +200,7 @@
 // Choose returns the upstream for a request and counts the request as sent. Every call
 // that returns true must be followed by one call of Done. Choose returns false if every
 // candidate is excluded.
-func (p *Placer) Choose(now model.Instant, req Ask) (Choice, bool) {
+func (p *Placer) Choose(now model.Instant, req Request) (Choice, bool) {
 	var best, second, bestLocal scoredCandidate
 	for e := preferredOnly; e <= includeUnreachable && best.view == nil; e++ {
 		best, second, bestLocal = p.rank(now, req, e)
@@ -256,7 +256,7 @@
 }
 
 // rank returns the best candidate, the second best, and the best one of the local zone.
-func (p *Placer) rank(now model.Instant, req Ask, e eligibility) (best, second, bestLocal scoredCandidate) {
+func (p *Placer) rank(now model.Instant, req Request, e eligibility) (best, second, bestLocal scoredCandidate) {
 	for _, v := range p.order {
 		if !e.allows(v, now) {
 			continue
@@ -285,13 +285,13 @@
 
 // expected returns the time until the request would complete at an upstream, including
 // the round trip to its zone.
-func (p *Placer) expected(now model.Instant, req Ask, v *view) time.Duration {
-	return p.roundTrips[v.upstream.Zone] + Expected(req.Work, v.slowdown(now, p.meanSlowdown), v.expectedRequests(now), v.limit(), v.failureRate(now))
+func (p *Placer) expected(now model.Instant, req Request, v *view) time.Duration {
+	return p.roundTrips[v.upstream.Zone] + ExpectedTime(req.ServiceTime, v.slowdown(now, p.meanSlowdown), v.expectedRequests(now), v.limit(), v.failureRate(now))
 }
 
-// Trip records the round-trip time of a load query to the guard of an upstream. Longer
+// ObserveRTT records the round-trip time of a load query to the guard of an upstream. Longer
 // times than the known one count little, as they may include a wait for a CPU.
-func (p *Placer) Trip(key string, took time.Duration) {
+func (p *Placer) ObserveRTT(key string, took time.Duration) {
 	v := p.views[key]
 	if v == nil {
 		return
@@ -303,9 +303,9 @@
 	p.roundTrips[v.upstream.Zone] = took
 }
 
-// Beyond returns the zones whose round-trip time is longer than rtt. It returns nil if
+// ZonesBeyondRTT returns the zones whose round-trip time is longer than rtt. It returns nil if
 // there are none, which is the usual case.
-func (p *Placer) Beyond(rtt time.Duration) map[model.AvailabilityZone]bool {
+func (p *Placer) ZonesBeyondRTT(rtt time.Duration) map[model.AvailabilityZone]bool {
 	var far map[model.AvailabilityZone]bool
 	for z, zoneRTT := range p.roundTrips {
 		if zoneRTT <= rtt {
@@ -339,14 +339,14 @@
 	v.unreachableUntil = 0
 	others := max(float64(load.Running+load.Waiting-v.inFlight), 0)
 	v.meanOthers += (others - v.meanOthers) * othersWeight
-	if load.Slow > 0 {
-		p.meanSlowdown += (load.Slow - p.meanSlowdown) * meanSlowdownWeight
+	if load.Slowdown > 0 {
+		p.meanSlowdown += (load.Slowdown - p.meanSlowdown) * meanSlowdownWeight
 	}
 }
 
-// Unreachable records that an upstream could not be reached. It is avoided for a while
+// MarkUnreachable records that an upstream could not be reached. It is avoided for a while
 // unless no other candidate is left.
-func (p *Placer) Unreachable(now model.Instant, key string) {
+func (p *Placer) MarkUnreachable(now model.Instant, key string) {
 	if v := p.views[key]; v != nil {
 		v.unreachableUntil = now.Add(unreachablePause)
 	}
--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -66,7 +66,7 @@
 // Admit decides whether a request may enter the queue. It returns the Item to add if
 // so, and the expected time until the request completes.
 func (q *Queue) Admit(now model.Instant, a Arrival, s Speed) (Item, Admission, time.Duration) {
-	expected := placement.Expected(a.Work, s.Slow, q.Ahead(a.Rank, a.Kind), q.limit, s.Failing)
+	expected := placement.ExpectedTime(a.Work, s.Slow, q.Ahead(a.Rank, a.Kind), q.limit, s.Failing)
 	if a.Alternative > 0 && expected > time.Duration(slowerFactor*float64(a.Alternative))+slowerMargin {
 		return Item{}, SlowerHere, expected
 	}
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -157,7 +157,7 @@
 func (m *mesh) add(zone model.AvailabilityZone, speeds []float64) {
 	n := &meshNode{
 		key: fmt.Sprint(zone, len(m.nodes)), zone: zone, speeds: speeds,
-		slots: m.slots, queue: slots.New(placement.LimitOf(m.slots)), slow: 1,
+		slots: m.slots, queue: slots.New(placement.DefaultLimit(m.slots)), slow: 1,
 		mine: map[*meshNode]int{}, waiting: map[uint64]*job{},
 	}
 	n.placer = placement.New(placement.Options{Zone: zone, Rand: m.rng.Float64})
@@ -167,7 +167,7 @@
 // inform tells all entries which upstreams there are.
 func (m *mesh) inform() {
 	for _, n := range m.nodes {
-		n.placer.Set(m.candidates())
+		n.placer.SetUpstreams(m.candidates())
 	}
 }
 
@@ -294,7 +294,7 @@
 		m.turned++
 		return
 	}
-	if j.full >= placement.MaxFull {
+	if j.full >= placement.MaxFullGuards {
 		m.refuse(j)
 		return
 	}
@@ -329,14 +329,14 @@
 		j.entry.mine[to]++
 		return to, 0, 0, true
 	}
-	ask := placement.Ask{
-		Work: m.usual(j), Target: j.target - m.now.Sub(j.began),
+	ask := placement.Request{
+		ServiceTime: m.usual(j), Target: j.target - m.now.Sub(j.began),
 		Exclude: func(u placement.Upstream) bool { return j.tried[u.Key] },
 	}
 	p := j.entry.placer
-	m.inquire(p, ask, j.rank, true, placement.AskNear)
-	if !p.Comfortable(m.now, ask) {
-		m.inquire(p, ask, j.rank, false, placement.AskFar)
+	m.inquire(p, ask, j.rank, true, placement.MaxLocalQueries)
+	if !p.LocalMeetsTarget(m.now, ask) {
+		m.inquire(p, ask, j.rank, false, placement.MaxRemoteQueries)
 		ticks = farAskTicks
 	}
 	c, ok := p.Choose(m.now, ask)
@@ -344,11 +344,11 @@
 		return nil, 0, 0, false
 	}
 	took := m.now.Sub(j.began)
-	if c.Unservable(j.deadline-took) || c.OutOfReach(j.full, j.target-took) {
+	if c.MissesDeadline(j.deadline-took) || c.MissesTarget(j.full, j.target-took) {
 		p.Done(m.now, c.Upstream.Key, nil)
 		return nil, 0, 0, false
 	}
-	if j.givenBack < placement.MaxGivenBack {
+	if j.givenBack < placement.MaxRejections {
 		alternative = c.Alternative
 	}
 	return m.node(c.Upstream.Key), alternative, ticks, true
@@ -371,23 +371,23 @@
 	return nil
 }
 
-func (m *mesh) inquire(p *placement.Placer, ask placement.Ask, rank int, near bool, most int) {
-	for _, up := range p.ToAsk(m.now, ask, near, placement.AskAge, most) {
+func (m *mesh) inquire(p *placement.Placer, ask placement.Request, rank int, near bool, most int) {
+	for _, up := range p.QueryTargets(m.now, ask, near, placement.MaxLoadAge, most) {
 		n := m.node(up.Key)
 		l := m.load(n)
 		l.Waiting = max(n.queue.Ahead(rank, 0)-l.Running, 0)
-		p.Learn(m.now, up.Key, l)
+		p.UpdateLoad(m.now, up.Key, l)
 	}
 }
 
 func (m *mesh) load(n *meshNode) placement.Load {
 	if m.untold {
 		n.slowAt = m.now
-	} else if m.now.Sub(n.slowAt) >= placement.FreshFor {
+	} else if m.now.Sub(n.slowAt) >= placement.MaxSlowdownAge {
 		n.slow, n.slowAt = 1/n.speeds[m.ticks], m.now
 	}
 	return placement.Load{
 		Running: n.queue.Running(), Waiting: n.queue.Waiting(), Limit: n.queue.Limit(),
-		Slow: n.slow, SlowAge: m.now.Sub(n.slowAt),
+		Slowdown: n.slow, SlowdownAge: m.now.Sub(n.slowAt),
 	}
 }
--- a/replay/noisy_test.go
+++ b/replay/noisy_test.go
@@ -16,7 +16,7 @@
 	m := newMesh(p, byPlacement, seed)
 	free := make([][]int, len(m.nodes))
 	for i := range free {
-		free[i] = make([]int, placement.LimitOf(p.slots))
+		free[i] = make([]int, placement.DefaultLimit(p.slots))
 	}
 	inTime, sent := 0, 0
 	for m.ticks = 0; m.ticks < m.length; m.ticks++ {
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -159,7 +159,7 @@
 	}
 	return fmt.Sprintf("%s %s %t %d %d %d %d %d %d %d %d/%d",
 		a.Outcome.Kind, reason, a.Arrived, load.Running, load.Waiting, load.Limit,
-		int(load.Slow*ratioScale), load.SlowAge.Milliseconds(), int(load.Failing*ratioScale), int(a.CallsPerRun*ratioScale), a.ServiceTime.Microseconds(), a.Version)
+		int(load.Slowdown*ratioScale), load.SlowdownAge.Milliseconds(), int(load.FailureRate*ratioScale), int(a.CallsPerRun*ratioScale), a.ServiceTime.Microseconds(), a.Version)
 }
 
 // ratioScale is the factor by which ratios are multiplied before they are encoded as
@@ -195,8 +195,8 @@
 	if ints[2] > 0 {
 		a.Load = &placement.Load{
 			Running: int(ints[0]), Waiting: int(ints[1]), Limit: int(ints[2]),
-			Slow: float64(ints[3]) / ratioScale, SlowAge: time.Duration(ints[4]) * time.Millisecond,
-			Failing: float64(ints[5]) / ratioScale,
+			Slowdown: float64(ints[3]) / ratioScale, SlowdownAge: time.Duration(ints[4]) * time.Millisecond,
+			FailureRate: float64(ints[5]) / ratioScale,
 		}
 	}
 	return a, nil
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -63,14 +63,14 @@
 			for i := range n {
 				ups = append(ups, placement.Upstream{Key: fmt.Sprint(i), Zone: model.AvailabilityZone(fmt.Sprint("zone-", i%5)), Slots: 6})
 			}
-			p.Set(ups)
+			p.SetUpstreams(ups)
 			for i := range n {
-				p.Learn(0, fmt.Sprint(i), placement.Load{Running: i % 4, Limit: 4, Slow: 1})
+				p.UpdateLoad(0, fmt.Sprint(i), placement.Load{Running: i % 4, Limit: 4, Slowdown: 1})
 			}
-			ask := placement.Ask{Work: defaultServiceTime, Target: 4 * defaultServiceTime}
+			ask := placement.Request{ServiceTime: defaultServiceTime, Target: 4 * defaultServiceTime}
 			b.ReportAllocs()
 			for b.Loop() {
-				p.ToAsk(0, ask, true, placement.AskAge, placement.AskNear)
+				p.QueryTargets(0, ask, true, placement.MaxLoadAge, placement.MaxLocalQueries)
 				c, _ := p.Choose(0, ask)
 				p.Done(0, c.Upstream.Key, nil)
 			}
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -23,18 +23,18 @@
 // chooseUpstream picks the upstream for the next attempt. It returns false if all
 // candidates are excluded.
 func (r *race) chooseUpstream(now model.Instant) (*try, bool) {
-	ask := placement.Ask{
-		Work:    r.serviceTime,
-		Target:  r.req.targetTime.Sub(now),
-		Exclude: func(u placement.Upstream) bool { return r.tried[u.Key] },
+	ask := placement.Request{
+		ServiceTime: r.serviceTime,
+		Target:      r.req.targetTime.Sub(now),
+		Exclude:     func(u placement.Upstream) bool { return r.tried[u.Key] },
 	}
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
 	r.e.refreshCandidates(r.s, r.req.service)
 	r.req.candidateCount = r.s.placer.Len()
-	r.inquire(ask, true, placement.AskNear, localZoneTimeout)
-	if now = r.e.daemon.now(); !r.s.placer.Comfortable(now, ask) {
-		r.inquire(ask, false, placement.AskFar, farWait)
+	r.inquire(ask, true, placement.MaxLocalQueries, localZoneTimeout)
+	if now = r.e.daemon.now(); !r.s.placer.LocalMeetsTarget(now, ask) {
+		r.inquire(ask, false, placement.MaxRemoteQueries, farWait)
 		now = r.e.daemon.now()
 	}
 	c, ok := r.s.placer.Choose(now, ask)
@@ -50,13 +50,13 @@
 // guard may be too far away to reply in time: the round-trip time to its zone exceeds the
 // wait, or it is in a remote zone and has never replied. r.s.mu is held on entry and on
 // return, but released in between.
-func (r *race) inquire(ask placement.Ask, local bool, maxQueries int, timeout time.Duration) {
+func (r *race) inquire(ask placement.Request, local bool, maxQueries int, timeout time.Duration) {
 	now := r.e.daemon.now()
-	upstreams := r.s.placer.ToAsk(now, ask, local, placement.AskAge, maxQueries)
+	upstreams := r.s.placer.QueryTargets(now, ask, local, placement.MaxLoadAge, maxQueries)
 	if len(upstreams) == 0 || len(upstreams) == 1 && r.s.placer.Len() == 1 {
 		return
 	}
-	beyondTimeout := r.s.placer.Beyond(timeout)
+	beyondTimeout := r.s.placer.ZonesBeyondRTT(timeout)
 	r.s.mu.Unlock()
 	replies := r.e.daemon.datagrams.ask(inquiry{
 		ups: upstreams, rank: r.req.route.Rank, kind: kindOf(r.req.route),
@@ -69,7 +69,7 @@
 			r.s.recordLoad(now, h)
 			r.s.answered[up.Key] = true
 		} else if !beyondTimeout[up.Zone] && (local || r.s.answered[up.Key]) {
-			r.s.placer.Unreachable(now, up.Key)
+			r.s.placer.MarkUnreachable(now, up.Key)
 			r.e.daemon.peers.verifyReachable(string(up.Daemon))
 		}
 	}
@@ -77,8 +77,8 @@
 
 // recordLoad stores the load and the round-trip time from a load reply. s.mu is held.
 func (s *service) recordLoad(now model.Instant, h heard) {
-	s.placer.Learn(now, h.key, h.load)
-	s.placer.Trip(h.key, h.took)
+	s.placer.UpdateLoad(now, h.key, h.load)
+	s.placer.ObserveRTT(h.key, h.took)
 }
 
 // lateLoadHandler returns a function that stores the load from a reply that came too late
--- a/sidecar/correction_test.go
+++ b/sidecar/correction_test.go
@@ -48,7 +48,7 @@
 			func(g *guard) {
 				g.report(lifecycle.Report{Incarnation: lifecycle.Incarnation{ID: "b1"}, State: lifecycle.Ready, Service: "b"}, "health answer")
 			},
-			func(g *guard) bool { return g.queue.Limit() == placement.LimitOf(14) },
+			func(g *guard) bool { return g.queue.Limit() == placement.DefaultLimit(14) },
 		},
 		"very high slowdown": {
 			func(g *guard) { g.slowdown, g.slowdownAt, g.slowdownReported = 100, g.now(), true },
@@ -61,10 +61,10 @@
 		"failure rate of 1": {
 			func(g *guard) {
 				for range 100 {
-					g.failures.Count(g.now(), true)
+					g.failures.Record(g.now(), true)
 				}
 			},
-			func(g *guard) bool { return g.failures.Share(g.now()) < 0.5 },
+			func(g *guard) bool { return g.failures.At(g.now()) < 0.5 },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -139,10 +139,10 @@
 // avoided only for a short time.
 func TestUnreachableUpstreamIsTriedAgain(t *testing.T) {
 	p := placement.New(placement.Options{Zone: "z"})
-	p.Set([]placement.Upstream{{Key: "a", Zone: "z", Slots: 6}, {Key: "b", Zone: "z", Slots: 1}})
-	p.Unreachable(0, "a")
+	p.SetUpstreams([]placement.Upstream{{Key: "a", Zone: "z", Slots: 6}, {Key: "b", Zone: "z", Slots: 1}})
+	p.MarkUnreachable(0, "a")
 	for now := model.Instant(0).Add(correctedWithin); ; now = now.Add(time.Millisecond) {
-		c, ok := p.Choose(now, placement.Ask{Work: time.Millisecond})
+		c, ok := p.Choose(now, placement.Request{ServiceTime: time.Millisecond})
 		require.True(t, ok)
 		if c.Upstream.Key == "a" {
 			return
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -55,7 +55,7 @@
 	require.EqualValues(t, 2, buf[headBytes], "rank")
 	require.EqualValues(t, 7, binary.BigEndian.Uint16(buf[headBytes+1:]), "kind")
 	reply := append([]byte{kindLoad}, buf[1:headBytes]...)
-	want := placement.Load{Running: 3, Waiting: 1, Limit: 4, Slow: 1.5}
+	want := placement.Load{Running: 3, Waiting: 1, Limit: 4, Slowdown: 1.5}
 	for range 2 {
 		_, err = remote.WriteToUDPAddrPort(appendLoad(reply[:headBytes:headBytes], want), from)
 		require.NoError(t, err)
@@ -77,19 +77,19 @@
 		t.Run(name, func(t *testing.T) {
 			d := join(t, newStore(documentOf(1, "a")), "a", "a1")
 			s := d.entry.service("elsewhere")
-			s.placer.Set([]placement.Upstream{
+			s.placer.SetUpstreams([]placement.Upstream{
 				{Key: "far", Zone: "abroad", Daemon: model.DaemonID(freePort(t))},
 				{Key: "other", Zone: "third", Daemon: model.DaemonID(freePort(t))},
 			})
-			s.placer.Trip("far", c.roundTrip)
+			s.placer.ObserveRTT("far", c.roundTrip)
 			s.answered["far"] = true
 			r := &race{e: d.entry, s: s, req: &request{route: &route.Route{}}}
-			ask := placement.Ask{Work: time.Millisecond}
+			ask := placement.Request{ServiceTime: time.Millisecond}
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			r.inquire(ask, false, 2, farWait)
 			var queried []string
-			for _, up := range s.placer.ToAsk(d.now(), ask, false, 0, 2) {
+			for _, up := range s.placer.QueryTargets(d.now(), ask, false, 0, 2) {
 				queried = append(queried, up.Key)
 			}
 			require.ElementsMatch(t, c.want, queried)
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -323,7 +323,7 @@
 		return
 	}
 	upstreams, endpoints := e.daemon.peers.candidates(name)
-	s.placer.Set(upstreams)
+	s.placer.SetUpstreams(upstreams)
 	s.endpoints, s.candidatesGeneration, s.candidatesLoaded = endpoints, generation, true
 	for key := range s.answered {
 		if _, ok := endpoints[key]; !ok {
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -91,7 +91,7 @@
 	if req.service != e.daemon.service() {
 		e.daemon.guard.called()
 	}
-	capacity := req.maxAttempts() + maxUndelivered + placement.MaxGivenBack + 1
+	capacity := req.maxAttempts() + maxUndelivered + placement.MaxRejections + 1
 	r := &race{
 		e: e, req: req, s: s, serviceTime: e.serviceTimeOf(req.route.Name, req.deadline.Sub(req.began)),
 		done: make(chan ended, capacity), unacknowledged: make(chan *try, capacity), tried: make(map[string]bool),
@@ -134,7 +134,7 @@
 func (r *race) handleUnacknowledged(t *try) {
 	now := r.e.daemon.now()
 	r.s.mu.Lock()
-	r.s.placer.Unreachable(now, t.choice.Upstream.Key)
+	r.s.placer.MarkUnreachable(now, t.choice.Upstream.Key)
 	r.s.mu.Unlock()
 	r.e.daemon.peers.missed(t.endpoint.address, errNotAcknowledged)
 	r.hedge()
@@ -246,7 +246,7 @@
 		r.s.callsPerRun = a.CallsPerRun
 	}
 	if a.Load == nil && a.Outcome.Kind != outcome.Answered {
-		r.s.placer.Unreachable(now, t.choice.Upstream.Key)
+		r.s.placer.MarkUnreachable(now, t.choice.Upstream.Key)
 	}
 	r.s.mu.Unlock()
 	if a.Outcome.Kind == outcome.Answered && a.Status < http.StatusInternalServerError && a.ServiceTime > 0 {
@@ -298,7 +298,7 @@
 		}
 		return r.finalResult()
 	}
-	if r.deliveredCount >= r.req.maxAttempts() || r.undeliveredCount > maxUndelivered || r.fullCount >= placement.MaxFull {
+	if r.deliveredCount >= r.req.maxAttempts() || r.undeliveredCount > maxUndelivered || r.fullCount >= placement.MaxFullGuards {
 		return r.finalResult()
 	}
 	now := r.e.daemon.now()
@@ -320,11 +320,11 @@
 		charge.refund(now)
 		return r.finalResult()
 	}
-	if r.startedCount == 0 && t.choice.Unservable(r.req.deadline.Sub(now)) {
+	if r.startedCount == 0 && t.choice.MissesDeadline(r.req.deadline.Sub(now)) {
 		r.releaseChoice(t)
 		return refuse(outcome.ReasonQueueFull, jittered(max(t.choice.Expected/2, minRetryAfter)))
 	}
-	if r.req.targetTime > 0 && t.choice.OutOfReach(r.fullCount, r.req.targetTime.Sub(now)) {
+	if r.req.targetTime > 0 && t.choice.MissesTarget(r.fullCount, r.req.targetTime.Sub(now)) {
 		r.releaseChoice(t)
 		charge.refund(now)
 		return r.finalResult()
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -30,9 +30,9 @@
 		{"upstream_running", "requests that run in the own upstream", func() float64 { return float64(d.guard.snapshot().Running) }},
 		{"upstream_waiting", "requests that wait for it", func() float64 { return float64(d.guard.snapshot().Waiting) }},
 		{"upstream_limit", "requests that may run there at once", func() float64 { return float64(d.guard.snapshot().Limit) }},
-		{"upstream_slow", "how long work takes there, 1 being as usual", func() float64 { return d.guard.snapshot().Slow }},
-		{"upstream_slow_age_seconds", "age of that figure", func() float64 { return d.guard.snapshot().SlowAge.Seconds() }},
-		{"upstream_failing", "recent share of failed runs", func() float64 { return d.guard.snapshot().Failing }},
+		{"upstream_slow", "how long work takes there, 1 being as usual", func() float64 { return d.guard.snapshot().Slowdown }},
+		{"upstream_slow_age_seconds", "age of that figure", func() float64 { return d.guard.snapshot().SlowdownAge.Seconds() }},
+		{"upstream_failing", "recent share of failed runs", func() float64 { return d.guard.snapshot().FailureRate }},
 		{"upstream_calls_per_run", "calls to other services for each run of late", d.guard.recentCallsPerRun},
 		{"upstream_ready", "1 while the own upstream takes requests", func() float64 {
 			cur, _ := d.guard.current()
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -58,7 +58,7 @@
 	// nextHealthCheck is the earliest time of the next health check of an upstream that
 	// does not report its load.
 	nextHealthCheck model.Instant
-	failures        placement.Failing
+	failures        placement.FailureRate
 	// failingLogged is set after the failure of the upstream was logged, until its
 	// recovery is logged.
 	failingLogged   bool
@@ -147,13 +147,13 @@
 	if v != lifecycle.Started && v != lifecycle.Changed {
 		return
 	}
-	g.queue.SetLimit(placement.LimitOf(g.tracker.Current().Slots))
+	g.queue.SetLimit(placement.DefaultLimit(g.tracker.Current().Slots))
 	if v != lifecycle.Started {
 		return
 	}
 	g.pool.Close()
 	g.pool = g.newPool()
-	g.slowdownReported, g.failures, g.failingLogged = false, placement.Failing{}, false
+	g.slowdownReported, g.failures, g.failingLogged = false, placement.FailureRate{}, false
 }
 
 // current returns the newest report of the upstream and the incarnations that have
@@ -239,7 +239,7 @@
 	item, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
 		Rank: c.Rank, Kind: c.Kind, Urgent: g.urgent(c.Rank), Work: c.ServiceTime,
 		Within: c.TimeToTarget, Deadline: c.Deadline, Alternative: c.Alternative,
-	}, slots.Speed{Slow: g.currentSlowdown(), Failing: g.failures.Share(g.now())})
+	}, slots.Speed{Slow: g.currentSlowdown(), Failing: g.failures.At(g.now())})
 	if admission != slots.Admitted {
 		return 0, nil, func() *Answer { return g.rejectionResult(c, admission, expected) }
 	}
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -54,15 +54,15 @@
 func (g *guard) load() placement.Load {
 	l := placement.Load{
 		Running: g.queue.Running(), Waiting: g.queue.Waiting(), Limit: g.queue.Limit(),
-		Slow: g.currentSlowdown(), SlowAge: g.now().Sub(g.slowdownAt), Failing: g.failures.Share(g.now()),
+		Slowdown: g.currentSlowdown(), SlowdownAge: g.now().Sub(g.slowdownAt), FailureRate: g.failures.At(g.now()),
 	}
 	switch {
 	case g.slowdownReported:
 	case g.loadUnreported():
 		// The slowdown of such an upstream is included in the service times measured.
-		l.Slow, l.SlowAge = 1, 0
+		l.Slowdown, l.SlowdownAge = 1, 0
 	default:
-		l.Slow = 0
+		l.Slowdown = 0
 	}
 	return l
 }
--- a/sidecar/healthcheck.go
+++ b/sidecar/healthcheck.go
@@ -14,7 +14,7 @@
 // enough. Concurrent callers wait for the same response.
 func (g *guard) refreshSlowdown(ctx context.Context) {
 	g.mu.Lock()
-	if g.tracker.Current().State != lifecycle.Ready || g.loadUnreported() || g.slowdownReported && g.now().Sub(g.slowdownAt) < placement.FreshFor {
+	if g.tracker.Current().State != lifecycle.Ready || g.loadUnreported() || g.slowdownReported && g.now().Sub(g.slowdownAt) < placement.MaxSlowdownAge {
 		g.mu.Unlock()
 		return
 	}
--- a/sidecar/inquire.go
+++ b/sidecar/inquire.go
@@ -179,10 +179,10 @@
 // appendLoad and decodeLoad encode and decode a load: five 16-bit numbers, the failure
 // rate in hundredths, and two reserved bytes.
 func appendLoad(b []byte, l placement.Load) []byte {
-	for _, n := range []int{l.Running, l.Waiting, l.Limit, int(l.Slow * ratioScale), int(l.SlowAge.Milliseconds())} {
+	for _, n := range []int{l.Running, l.Waiting, l.Limit, int(l.Slowdown * ratioScale), int(l.SlowdownAge.Milliseconds())} {
 		b = binary.BigEndian.AppendUint16(b, uint16(min(max(n, 0), maxUint16)))
 	}
-	return binary.BigEndian.AppendUint16(append(b, uint8(min(max(l.Failing*ratioScale, 0), maxUint8))), 0)
+	return binary.BigEndian.AppendUint16(append(b, uint8(min(max(l.FailureRate*ratioScale, 0), maxUint8))), 0)
 }
 
 func decodeLoad(b []byte) placement.Load {
@@ -190,7 +190,7 @@
 	field := func(i int) int { return int(binary.BigEndian.Uint16(b[first+2*i:])) }
 	return placement.Load{
 		Running: field(0), Waiting: field(1), Limit: field(2),
-		Slow: float64(field(3)) / ratioScale, SlowAge: time.Duration(field(4)) * time.Millisecond,
-		Failing: float64(b[first+2*5]) / ratioScale,
+		Slowdown: float64(field(3)) / ratioScale, SlowdownAge: time.Duration(field(4)) * time.Millisecond,
+		FailureRate: float64(b[first+2*5]) / ratioScale,
 	}
 }
--- a/sidecar/noload_test.go
+++ b/sidecar/noload_test.go
@@ -35,7 +35,7 @@
 	}
 	for _, m := range members {
 		require.LessOrEqual(t, m.scope.Snapshot().Counters()["probes+"].Value(), int64(2))
-		require.InDelta(t, 1, m.guard.snapshot().Slow, 0, "the slowdown is 1")
+		require.InDelta(t, 1, m.guard.snapshot().Slowdown, 0, "the slowdown is 1")
 	}
 	require.Greater(t, a.entry.serviceTimeOf("safe", time.Minute), duration*9/10)
 	require.Less(t, a.entry.serviceTimeOf("safe", time.Minute), defaultServiceTime/2)
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -182,7 +182,7 @@
 		g.slowdown, g.slowdownAt, g.slowdownReported = l.Slow, g.now(), true
 	}
 	if l.Slots > 0 {
-		g.queue.SetLimit(placement.LimitOf(l.Slots))
+		g.queue.SetLimit(placement.DefaultLimit(l.Slots))
 	}
 }
 
@@ -202,8 +202,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.failures.Count(g.now(), failed)
-	rate := g.failures.Share(g.now())
+	g.failures.Record(g.now(), failed)
+	rate := g.failures.At(g.now())
 	switch {
 	case !g.failingLogged && rate >= failingRate:
 		g.logFailing(decision.UpstreamFailing, rate)
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -48,7 +48,7 @@
 	if r.req.targetTime != 0 {
 		c.TimeToTarget = r.req.targetTime.Sub(now)
 	}
-	if r.req.rejectionCount < placement.MaxGivenBack && t.choice.Alternative > 0 {
+	if r.req.rejectionCount < placement.MaxRejections && t.choice.Alternative > 0 {
 		c.Alternative = t.choice.Alternative
 	}
 	go func() {
