--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -104,7 +104,7 @@
 		Routing:         spec.Routing,
 		MeasuringBudget: spec.MeasuringBudget,
 		RetryShare:      defaultRetryShare,
-		Quarantine:      QuarantineSpec{Deaths: defaultQuarantineCrashes, Duration: Duration(defaultQuarantineDuration)},
+		Quarantine:      QuarantineSpec{Crashes: defaultQuarantineCrashes, Duration: Duration(defaultQuarantineDuration)},
 		spec:            spec,
 	}
 	c.checkShare(d, "spec.measuring_budget", spec.MeasuringBudget)
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -86,9 +86,9 @@
 
 // QuarantineSpec says when a request is quarantined, and for how long.
 type QuarantineSpec struct {
-	// Deaths is the number of upstream crashes while they run the request, after
+	// Crashes is the number of upstream crashes while they run the request, after
 	// which it is quarantined. Default: 2.
-	Deaths int `json:"deaths,omitempty"`
+	Crashes int `json:"deaths,omitempty"`
 	// Duration is how long the quarantine lasts. Default: "10m".
 	Duration Duration `json:"duration,omitempty"`
 }
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -65,7 +65,7 @@
 		require.Equal(t, 2*time.Second, returdesk.DeadlineOf("checks"))
 		require.Equal(t, 0.2, returdesk.RetryShare)
 		require.Equal(t, defaultRetryShare, sporarkiv.RetryShare)
-		require.Equal(t, QuarantineSpec{Deaths: 2, Duration: Duration(10 * time.Minute)}, sporarkiv.Quarantine)
+		require.Equal(t, QuarantineSpec{Crashes: 2, Duration: Duration(10 * time.Minute)}, sporarkiv.Quarantine)
 	}
 }
 
--- a/core/policy/sharing.go
+++ b/core/policy/sharing.go
@@ -50,8 +50,8 @@
 	if q == nil {
 		return
 	}
-	if q.Deaths < 0 {
-		c.addProblem(d, "spec.quarantine.deaths", fmt.Sprint(q.Deaths), "must not be negative")
+	if q.Crashes < 0 {
+		c.addProblem(d, "spec.quarantine.deaths", fmt.Sprint(q.Crashes), "must not be negative")
 	}
 	if q.Duration < 0 {
 		c.addProblem(d, "spec.quarantine.duration", time.Duration(q.Duration).String(), "must not be negative")
@@ -137,7 +137,7 @@
 		s.RetryShare = *p.spec.RetryShare
 	}
 	if q := p.spec.Quarantine; q != nil {
-		s.Quarantine.Deaths = cmp.Or(q.Deaths, s.Quarantine.Deaths)
+		s.Quarantine.Crashes = cmp.Or(q.Crashes, s.Quarantine.Crashes)
 		s.Quarantine.Duration = cmp.Or(q.Duration, s.Quarantine.Duration)
 	}
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -35,7 +35,7 @@
 	if !ok {
 		return unknown
 	}
-	return core.Rule{Deaths: svc.Quarantine.Deaths, Duration: time.Duration(svc.Quarantine.Duration)}
+	return core.Rule{Deaths: svc.Quarantine.Crashes, Duration: time.Duration(svc.Quarantine.Duration)}
 }
 
 func (d *Daemon) listQuarantine(w http.ResponseWriter, _ *http.Request) {
