--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -21,8 +21,8 @@
 	b = appendText(b, string(r.Service))
 	b = appendText(b, string(r.Caller))
 	b = appendText(b, r.Request)
-	b = binary.AppendUvarint(b, uint64(len(r.Deaths)))
-	for _, d := range r.Deaths {
+	b = binary.AppendUvarint(b, uint64(len(r.Crashes)))
+	for _, d := range r.Crashes {
 		b = appendText(b, string(d.Crash.Upstream))
 		b = binary.AppendUvarint(b, uint64(d.Crash.Incarnation))
 		b = binary.AppendUvarint(b, uint64(d.At))
@@ -95,10 +95,10 @@
 		return r
 	}
 	for range crashes {
-		s := CrashReport{Crash: Death{Upstream: model.UpstreamID(d.text())}}
+		s := CrashReport{Crash: Crash{Upstream: model.UpstreamID(d.text())}}
 		s.Crash.Incarnation = model.Incarnation(d.number())
 		s.At = int64(d.number())
-		r.Deaths = append(r.Deaths, s)
+		r.Crashes = append(r.Crashes, s)
 	}
 	r.ClearedAt, r.QuarantinedAt, r.Until = int64(d.number()), int64(d.number()), int64(d.number())
 	return r
@@ -109,6 +109,6 @@
 // because each of them would delay the quarantine by another reportDelay: a
 // request that keeps crashing upstreams would never be quarantined.
 func (r *Record) normalizeCrashes() {
-	slices.SortFunc(r.Deaths, CrashReport.compare)
-	r.Deaths = r.Deaths[:min(len(r.Deaths), maxCrashes)]
+	slices.SortFunc(r.Crashes, CrashReport.compare)
+	r.Crashes = r.Crashes[:min(len(r.Crashes), maxCrashes)]
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -28,9 +28,9 @@
 	Length int64
 }
 
-// Of returns the fingerprint of a request: SHA-256 truncated to 128 bits, so that
+// FingerprintOf returns the fingerprint of a request: SHA-256 truncated to 128 bits, so that
 // nobody can construct a different request with the same fingerprint.
-func Of(r Request) Fingerprint {
+func FingerprintOf(r Request) Fingerprint {
 	h := sha256.New()
 	part := func(b []byte) {
 		var n [8]byte
@@ -63,24 +63,24 @@
 	return nil
 }
 
-// Death identifies the crash of one incarnation of an upstream.
-type Death struct {
+// Crash identifies the crash of one incarnation of an upstream.
+type Crash struct {
 	Upstream    model.UpstreamID  `json:"upstream"`
 	Incarnation model.Incarnation `json:"incarnation"`
 }
 
 // Rule sets when and for how long a request of a service is quarantined.
 type Rule struct {
-	// Deaths is the number of distinct crashes that lead to a quarantine, at
+	// Crashes is the number of distinct crashes that lead to a quarantine, at
 	// least 1.
-	Deaths int
+	Crashes int
 	// Duration is how long the request is quarantined.
 	Duration time.Duration
 }
 
 // CrashReport is a crash during which a request was running.
 type CrashReport struct {
-	Crash Death `json:"death"`
+	Crash Crash `json:"death"`
 	// At is when the crash was detected, in Unix milliseconds.
 	At int64 `json:"at"`
 }
@@ -98,9 +98,9 @@
 	Caller      model.CallerName  `json:"caller"`
 	// Request is method and target, truncated to maxRequestBytes.
 	Request string `json:"request"`
-	// Deaths are the oldest crashes, at most maxCrashes, during which the
+	// Crashes are the oldest crashes, at most maxCrashes, during which the
 	// request was running since it was cleared.
-	Deaths []CrashReport `json:"deaths,omitempty"`
+	Crashes []CrashReport `json:"deaths,omitempty"`
 	// ClearedAt is when the request last got a complete response or was released
 	// by an operator, in Unix milliseconds. Crashes up to then do not count.
 	ClearedAt int64 `json:"cleared,omitempty"`
@@ -117,19 +117,19 @@
 // pruneCleared removes the crashes up to ClearedAt and returns the others.
 func (r *Record) pruneCleared() []CrashReport {
 	n := 0
-	for _, d := range r.Deaths {
+	for _, d := range r.Crashes {
 		if d.At > r.ClearedAt {
-			r.Deaths[n] = d
+			r.Crashes[n] = d
 			n++
 		}
 	}
-	r.Deaths = r.Deaths[:n]
-	return r.Deaths
+	r.Crashes = r.Crashes[:n]
+	return r.Crashes
 }
 
 // hasCrash reports whether the record contains the given crash.
-func (r *Record) hasCrash(d Death) bool {
-	for _, s := range r.Deaths {
+func (r *Record) hasCrash(d Crash) bool {
+	for _, s := range r.Crashes {
 		if s.Crash == d {
 			return true
 		}
@@ -141,13 +141,13 @@
 // the latest quarantine, then by the number of crashes, then by the latest
 // update.
 func (r *Record) comparePriority(o *Record) int {
-	return cmp.Or(cmp.Compare(o.QuarantinedAt, r.QuarantinedAt), cmp.Compare(len(o.Deaths), len(r.Deaths)),
+	return cmp.Or(cmp.Compare(o.QuarantinedAt, r.QuarantinedAt), cmp.Compare(len(o.Crashes), len(r.Crashes)),
 		cmp.Compare(o.lastUpdate(), r.lastUpdate()), slices.Compare(r.Fingerprint[:], o.Fingerprint[:]))
 }
 
 func (r *Record) clone() Record {
 	c := *r
-	c.Deaths = slices.Clone(r.Deaths)
+	c.Crashes = slices.Clone(r.Crashes)
 	return c
 }
 
@@ -159,7 +159,7 @@
 // lastUpdate returns the newest time in the record, except Until.
 func (r *Record) lastUpdate() int64 {
 	t := max(r.ClearedAt, r.QuarantinedAt)
-	for _, d := range r.Deaths {
+	for _, d := range r.Crashes {
 		t = max(t, d.At)
 	}
 	return t
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -43,7 +43,7 @@
 type Table struct {
 	opts    Options
 	records map[Fingerprint]*Record
-	// unsent contains the records that have changed since Told was last called
+	// unsent contains the records that have changed since MarkSent was last called
 	// for them.
 	unsent map[Fingerprint]struct{}
 	// version increases with every change.
@@ -70,20 +70,20 @@
 	return r.Until, true
 }
 
-// Died records that an upstream crashed while it was running a request. Whether
-// the request is quarantined is decided in Settle.
-func (t *Table) Died(now int64, f Fingerprint, req Request, d Death) {
+// RecordCrash records that an upstream crashed while it was running a request. Whether
+// the request is quarantined is decided in Evaluate.
+func (t *Table) RecordCrash(now int64, f Fingerprint, req Request, d Crash) {
 	text := req.Method + " " + req.Target
 	t.Merge(now, Record{
 		Fingerprint: f, Service: req.Service, Caller: req.Caller, Request: text[:min(len(text), maxRequestBytes)],
-		Deaths: []CrashReport{{Crash: d, At: now}},
+		Crashes: []CrashReport{{Crash: d, At: now}},
 	})
 }
 
-// Settle quarantines the requests that were running during enough crashes, once
+// Evaluate quarantines the requests that were running during enough crashes, once
 // reportDelay has passed since the last of them. It must be called several times
 // per second.
-func (t *Table) Settle(now int64) {
+func (t *Table) Evaluate(now int64) {
 	var candidates []*Record
 	for _, r := range t.records {
 		if t.isDue(now, r) {
@@ -91,7 +91,7 @@
 		}
 	}
 	slices.SortFunc(candidates, func(a, b *Record) int {
-		return cmp.Or(cmp.Compare(len(b.Deaths), len(a.Deaths)), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
+		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	for _, r := range candidates {
 		if t.isDue(now, r) {
@@ -103,13 +103,13 @@
 // isDue reports whether a request that is not yet quarantined ran during enough
 // crashes, and whether reportDelay has passed since its last update.
 func (t *Table) isDue(now int64, r *Record) bool {
-	enough := len(r.Deaths) >= max(t.opts.Rule(r.Service).Deaths, 1)
+	enough := len(r.Crashes) >= max(t.opts.Rule(r.Service).Crashes, 1)
 	return enough && !r.Refused(now) && now >= r.lastUpdate()+reportDelay.Milliseconds()
 }
 
-// Answered records that a request got a complete response. This clears the
+// RecordResponse records that a request got a complete response. This clears the
 // crashes recorded for it so far. It does not lift a quarantine.
-func (t *Table) Answered(now int64, f Fingerprint) {
+func (t *Table) RecordResponse(now int64, f Fingerprint) {
 	if r := t.records[f]; r != nil && !r.Refused(now) && len(r.pruneCleared()) > 0 {
 		t.clear(now, r)
 	}
@@ -147,9 +147,9 @@
 	t.version++
 }
 
-// Changed returns the records that have changed since Told was last called for
+// Unsent returns the records that have changed since MarkSent was last called for
 // them, the most important first.
-func (t *Table) Changed() []Record {
+func (t *Table) Unsent() []Record {
 	out := make([]Record, 0, len(t.unsent))
 	for f := range t.unsent {
 		out = append(out, t.records[f].clone())
@@ -158,8 +158,8 @@
 	return out
 }
 
-// Told records that the current state of a record was sent to the other daemons.
-func (t *Table) Told(f Fingerprint) { delete(t.unsent, f) }
+// MarkSent records that the current state of a record was sent to the other daemons.
+func (t *Table) MarkSent(f Fingerprint) { delete(t.unsent, f) }
 
 // List returns all records, the most recently updated first. Record.Refused
 // reports which of them are under quarantine.
@@ -196,7 +196,7 @@
 			return false
 		}
 	}
-	in.Deaths = t.unattributed(now, in)
+	in.Crashes = t.unattributed(now, in)
 	if !r.mergeFrom(in) {
 		return false
 	}
@@ -208,7 +208,7 @@
 // request of the service that is already under quarantine.
 func (t *Table) unattributed(now int64, in Record) []CrashReport {
 	var out []CrashReport
-	for _, d := range in.Deaths {
+	for _, d := range in.Crashes {
 		attributed := false
 		for _, r := range t.records {
 			other := r.Service == in.Service && r.Fingerprint != in.Fingerprint
@@ -231,13 +231,13 @@
 	if in.QuarantinedAt > r.QuarantinedAt {
 		r.QuarantinedAt, r.Until, changed = in.QuarantinedAt, in.Until, true
 	}
-	for _, d := range in.Deaths {
-		i := slices.IndexFunc(r.Deaths, func(s CrashReport) bool { return s.Crash == d.Crash })
+	for _, d := range in.Crashes {
+		i := slices.IndexFunc(r.Crashes, func(s CrashReport) bool { return s.Crash == d.Crash })
 		switch {
-		case i >= 0 && d.At > r.Deaths[i].At:
-			r.Deaths[i].At, changed = d.At, true
+		case i >= 0 && d.At > r.Crashes[i].At:
+			r.Crashes[i].At, changed = d.At, true
 		case i < 0 && d.At > r.ClearedAt && r.shouldKeep(d):
-			r.Deaths, changed = append(r.Deaths, d), true
+			r.Crashes, changed = append(r.Crashes, d), true
 		}
 	}
 	r.pruneCleared()
@@ -247,7 +247,7 @@
 
 // shouldKeep reports whether a crash would be among the oldest maxCrashes.
 func (r *Record) shouldKeep(d CrashReport) bool {
-	return len(r.Deaths) < maxCrashes || d.compare(slices.MaxFunc(r.Deaths, CrashReport.compare)) < 0
+	return len(r.Crashes) < maxCrashes || d.compare(slices.MaxFunc(r.Crashes, CrashReport.compare)) < 0
 }
 
 // add adds an empty record for the request of another record. It returns nil if
@@ -287,9 +287,9 @@
 	if len(suspects) > maxQuarantinedTogether {
 		return
 	}
-	crashes := slices.Clone(r.Deaths)
+	crashes := slices.Clone(r.Crashes)
 	for _, s := range suspects {
-		for _, d := range s.Deaths {
+		for _, d := range s.Crashes {
 			s.QuarantinedAt = max(s.QuarantinedAt, d.At)
 		}
 		s.Until = s.QuarantinedAt + rule.Duration.Milliseconds()
@@ -306,7 +306,7 @@
 		if o.Service != r.Service {
 			continue
 		}
-		if !slices.ContainsFunc(r.Deaths, func(d CrashReport) bool { return !o.hasCrash(d.Crash) }) {
+		if !slices.ContainsFunc(r.Crashes, func(d CrashReport) bool { return !o.hasCrash(d.Crash) }) {
 			out = append(out, o)
 		}
 	}
@@ -320,7 +320,7 @@
 		if r.Service != s || slices.Contains(quarantined, r) {
 			continue
 		}
-		r.Deaths = slices.DeleteFunc(r.Deaths, func(d CrashReport) bool {
+		r.Crashes = slices.DeleteFunc(r.Crashes, func(d CrashReport) bool {
 			return slices.ContainsFunc(crashes, func(e CrashReport) bool { return e.Crash == d.Crash })
 		})
 	}
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -14,34 +14,34 @@
 // newTable returns a table that quarantines requests for a minute after two
 // crashes.
 func newTable() *Table {
-	return NewTable(Options{Rule: func(model.ServiceName) Rule { return Rule{Deaths: 2, Duration: time.Minute} }})
+	return NewTable(Options{Rule: func(model.ServiceName) Rule { return Rule{Crashes: 2, Duration: time.Minute} }})
 }
 
 func request(target string) Request {
 	return Request{Service: "s", Caller: "c", Method: "GET", Target: target}
 }
 
-func crash(n int) Death {
-	return Death{Upstream: model.UpstreamID(fmt.Sprint("s-", n)), Incarnation: 1}
+func crash(n int) Crash {
+	return Crash{Upstream: model.UpstreamID(fmt.Sprint("s-", n)), Incarnation: 1}
 }
 
 // crashDuring records that upstream n crashed while running the targets, and
 // evaluates the table just before and at the end of reportDelay.
 func crashDuring(t *Table, now int64, n int, targets ...string) {
 	for _, target := range targets {
-		t.Died(now, Of(request(target)), request(target), crash(n))
+		t.RecordCrash(now, FingerprintOf(request(target)), request(target), crash(n))
 	}
-	t.Settle(now + reportDelay.Milliseconds() - 1)
+	t.Evaluate(now + reportDelay.Milliseconds() - 1)
 	for _, r := range t.List() {
 		if r.QuarantinedAt == now {
 			panic("quarantined before reportDelay has passed")
 		}
 	}
-	t.Settle(now + reportDelay.Milliseconds())
+	t.Evaluate(now + reportDelay.Milliseconds())
 }
 
 func refused(t *Table, now int64, target string) bool {
-	_, ok := t.Refused(now, Of(request(target)))
+	_, ok := t.Refused(now, FingerprintOf(request(target)))
 	return ok
 }
 
@@ -56,7 +56,7 @@
 	require.False(t, refused(table, 2000, "/a"))
 	require.False(t, refused(table, 2000, "/b"))
 	for _, r := range table.List() {
-		require.Equal(t, r.Request == "GET /crash", len(r.Deaths) > 0, "crashes of %s are removed", r.Request)
+		require.Equal(t, r.Request == "GET /crash", len(r.Crashes) > 0, "crashes of %s are removed", r.Request)
 	}
 	require.True(t, refused(table, 61_999, "/crash"))
 	require.False(t, refused(table, 62_000, "/crash"), "after the quarantine has ended")
@@ -69,8 +69,8 @@
 	const every, crashes = 100, 30
 	for i := range crashes {
 		now := int64(1000 + i*every)
-		table.Died(now, Of(request("/crash")), request("/crash"), crash(i))
-		table.Settle(now)
+		table.RecordCrash(now, FingerprintOf(request("/crash")), request("/crash"), crash(i))
+		table.Evaluate(now)
 	}
 	require.True(t, refused(table, 1000+(maxCrashes-1)*every+reportDelay.Milliseconds()+every, "/crash"))
 	require.EqualValues(t, 1000+(maxCrashes-1)*every, table.List()[0].QuarantinedAt, "quarantined for its oldest crashes")
@@ -79,11 +79,11 @@
 func TestAnsweredRequestIsCleared(t *testing.T) {
 	table := newTable()
 	crashDuring(table, 1000, 1, "/crash", "/popular")
-	table.Answered(1500, Of(request("/popular")))
+	table.RecordResponse(1500, FingerprintOf(request("/popular")))
 	crashDuring(table, 2000, 2, "/crash", "/popular")
 	require.True(t, refused(table, 2000, "/crash"))
 	require.False(t, refused(table, 2000, "/popular"))
-	table.Answered(2500, Of(request("/crash")))
+	table.RecordResponse(2500, FingerprintOf(request("/crash")))
 	require.True(t, refused(table, 2500, "/crash"), "a late response does not lift the quarantine")
 }
 
@@ -108,7 +108,7 @@
 		other.Merge(2000, r)
 	}
 	require.True(t, refused(other, 2000, "/crash"))
-	require.True(t, table.Release(3000, Of(request("/crash"))))
+	require.True(t, table.Release(3000, FingerprintOf(request("/crash"))))
 	for _, r := range other.List() {
 		table.Merge(3001, r)
 	}
@@ -117,7 +117,7 @@
 		other.Merge(3002, r)
 	}
 	require.False(t, refused(other, 3002, "/crash"))
-	require.False(t, table.Release(3000, Of(request("/unknown"))))
+	require.False(t, table.Release(3000, FingerprintOf(request("/unknown"))))
 }
 
 // TestMergeOrderDoesNotMatter merges the same records into two tables in
@@ -129,8 +129,8 @@
 		for i := range 12 {
 			r := request(fmt.Sprint("/", i%4))
 			records = append(records, Record{
-				Fingerprint: Of(r), Service: "s", Caller: "c", Request: "GET " + r.Target,
-				Deaths: []CrashReport{{Crash: crash(rng.IntN(3)), At: int64(1000 + rng.IntN(50))}},
+				Fingerprint: FingerprintOf(r), Service: "s", Caller: "c", Request: "GET " + r.Target,
+				Crashes: []CrashReport{{Crash: crash(rng.IntN(3)), At: int64(1000 + rng.IntN(50))}},
 			})
 		}
 		a, b := newTable(), newTable()
@@ -150,8 +150,8 @@
 				a.Merge(2000, r)
 			}
 		}
-		a.Settle(3000)
-		b.Settle(3000)
+		a.Evaluate(3000)
+		b.Evaluate(3000)
 		for _, r := range a.List() {
 			b.Merge(3000, r)
 		}
@@ -172,7 +172,7 @@
 	crashDuring(table, 1200, 3, "/suspect")
 	for i := range 5 * maxRecords {
 		r := request(fmt.Sprint("/flood-", i))
-		table.Died(int64(1300+i), Of(r), r, crash(10+i))
+		table.RecordCrash(int64(1300+i), FingerprintOf(r), r, crash(10+i))
 	}
 	require.Equal(t, maxRecords, table.Len())
 	require.True(t, refused(table, 7000, "/crash"))
@@ -192,7 +192,7 @@
 		{}, {Service: "a"}, {Caller: "a"}, {Method: "a"}, {Target: "a"}, {Body: []byte("a")}, {Length: 1},
 		{Service: "a", Caller: "b"}, {Service: "ab"}, {Target: "a", Body: []byte("b")}, {Target: "ab"},
 	} {
-		f := Of(r)
+		f := FingerprintOf(r)
 		require.False(t, seen[f], "%+v", r)
 		seen[f] = true
 		var back Fingerprint
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -26,7 +26,7 @@
 // quarantineRule returns the rule of a service in force, or a cautious one when
 // the service is not known here yet.
 func (d *Daemon) quarantineRule(s model.ServiceName) core.Rule {
-	unknown := core.Rule{Deaths: 2, Duration: time.Minute}
+	unknown := core.Rule{Crashes: 2, Duration: time.Minute}
 	inForce := d.Config.Current()
 	if inForce == nil {
 		return unknown
@@ -35,7 +35,7 @@
 	if !ok {
 		return unknown
 	}
-	return core.Rule{Deaths: svc.Quarantine.Crashes, Duration: time.Duration(svc.Quarantine.Duration)}
+	return core.Rule{Crashes: svc.Quarantine.Crashes, Duration: time.Duration(svc.Quarantine.Duration)}
 }
 
 func (d *Daemon) listQuarantine(w http.ResponseWriter, _ *http.Request) {
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -13,8 +13,8 @@
 func TestOperatorListsAndReleases(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
 	r := core.Request{Service: "s", Caller: "c", Method: "GET", Target: "/kill"}
-	f := core.Of(r)
-	d.Quarantine.Died(f, r, core.Death{Upstream: "s-1", Incarnation: 1})
+	f := core.FingerprintOf(r)
+	d.Quarantine.Died(f, r, core.Crash{Upstream: "s-1", Incarnation: 1})
 
 	entries, err := operator.Quarantined(context.Background(), d.AdminAddress())
 	require.NoError(t, err)
@@ -26,7 +26,7 @@
 	require.NoError(t, operator.ReleaseQuarantined(context.Background(), d.AdminAddress(), f))
 	entries, err = operator.Quarantined(context.Background(), d.AdminAddress())
 	require.NoError(t, err)
-	require.Empty(t, entries[0].Deaths)
+	require.Empty(t, entries[0].Crashes)
 
 	var refused *operator.AdminError
 	require.ErrorAs(t, operator.ReleaseQuarantined(context.Background(), d.AdminAddress(), core.Fingerprint{}), &refused)
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -19,7 +19,7 @@
 	// Refused reports whether a request is quarantined, and for how much longer.
 	Refused(quarantine.Fingerprint) (time.Duration, bool)
 	// Died records that an upstream crashed while it ran a request.
-	Died(quarantine.Fingerprint, quarantine.Request, quarantine.Death)
+	Died(quarantine.Fingerprint, quarantine.Request, quarantine.Crash)
 	// Answered records that a request was answered completely, so that it is no
 	// longer suspected.
 	Answered(quarantine.Fingerprint)
@@ -44,7 +44,7 @@
 }
 
 func (r *request) fingerprint() quarantine.Fingerprint {
-	r.cachedFingerprint.once.Do(func() { r.cachedFingerprint.value = quarantine.Of(r.quarantineRequest()) })
+	r.cachedFingerprint.once.Do(func() { r.cachedFingerprint.value = quarantine.FingerprintOf(r.quarantineRequest()) })
 	return r.cachedFingerprint.value
 }
 
@@ -64,7 +64,7 @@
 // the request, if the response says so.
 func (e *Entry) recordCrash(req *request, upstream model.Upstream, response *wire.Answer) {
 	if e.opts.Quarantine != nil && response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
-		crash := quarantine.Death{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
+		crash := quarantine.Crash{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
 		e.opts.Quarantine.Died(req.fingerprint(), req.quarantineRequest(), crash)
 	}
 }
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -14,7 +14,7 @@
 
 // quarantineStub is a Quarantine that refuses a request after two crashes.
 type quarantineStub struct {
-	crashes  map[quarantine.Fingerprint][]quarantine.Death
+	crashes  map[quarantine.Fingerprint][]quarantine.Crash
 	answered []quarantine.Fingerprint
 }
 
@@ -24,7 +24,7 @@
 	return 90 * time.Second, len(q.crashes[f]) >= 2
 }
 
-func (q *quarantineStub) Died(f quarantine.Fingerprint, _ quarantine.Request, crash quarantine.Death) {
+func (q *quarantineStub) Died(f quarantine.Fingerprint, _ quarantine.Request, crash quarantine.Crash) {
 	q.crashes[f] = append(q.crashes[f], crash)
 }
 
@@ -38,7 +38,7 @@
 		}
 		return respondOK(call)
 	})
-	fakeQuarantine := &quarantineStub{crashes: make(map[quarantine.Fingerprint][]quarantine.Death)}
+	fakeQuarantine := &quarantineStub{crashes: make(map[quarantine.Fingerprint][]quarantine.Crash)}
 	c.entry.opts.Quarantine = fakeQuarantine
 	w := c.send(0, nil)
 	require.Equal(t, "unknown", w.Header().Get(wire.HeaderOutcome))
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -81,10 +81,10 @@
 		switch {
 		case e.Refused:
 			state, until = "refused", time.UnixMilli(e.Until).UTC().Format(time.RFC3339)
-		case len(e.Deaths) == 0:
+		case len(e.Crashes) == 0:
 			state = "cleared"
 		}
-		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Fingerprint, state, e.Service, named(e.Caller), len(e.Deaths), until, e.Request)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Fingerprint, state, e.Service, named(e.Caller), len(e.Crashes), until, e.Request)
 	}
 	_ = t.Flush()
 }
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -48,10 +48,10 @@
 func (s *Store) News(limit int) (message []byte, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed := s.table.Changed()
+	changed := s.table.Unsent()
 	message, n := appendRecords([]byte{kindRecords}, changed, limit)
 	for _, r := range changed[:n] {
-		s.table.Told(r.Fingerprint)
+		s.table.MarkSent(r.Fingerprint)
 	}
 	if n == 0 {
 		return nil, false
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -63,7 +63,7 @@
 	d := &meshDaemon{name: fmt.Sprint("d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%meshZones))}
 	d.Gossip = &Gossip{
 		Store: NewStore(Options{
-			Rule:   func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Deaths: 3, Duration: time.Minute} },
+			Rule:   func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Crashes: 3, Duration: time.Minute} },
 			Wall:   func() time.Time { return m.now },
 			Logger: slog.New(slog.DiscardHandler),
 		}),
@@ -159,7 +159,7 @@
 	m.pass(500 * time.Millisecond)
 	for i := range upstreams {
 		for j := range running {
-			f := quarantine.Of(asked(fmt.Sprintf("/crash/%d/%d", i, j)))
+			f := quarantine.FingerprintOf(asked(fmt.Sprintf("/crash/%d/%d", i, j)))
 			m.daemons[(3*i+j)%len(m.daemons)].Store.Answered(f)
 		}
 	}
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -96,17 +96,17 @@
 }
 
 // Died tells that an upstream died while it ran a request.
-func (s *Store) Died(f quarantine.Fingerprint, r quarantine.Request, d quarantine.Death) {
+func (s *Store) Died(f quarantine.Fingerprint, r quarantine.Request, d quarantine.Crash) {
 	s.deaths.Inc(1)
 	s.change(func(now int64) {
-		s.table.Died(now, f, r, d)
+		s.table.RecordCrash(now, f, r, d)
 		s.began = true
 	})
 }
 
 // Answered tells that a request was answered in full.
 func (s *Store) Answered(f quarantine.Fingerprint) {
-	s.change(func(now int64) { s.table.Answered(now, f) })
+	s.change(func(now int64) { s.table.RecordResponse(now, f) })
 }
 
 // Release frees a request. It reports false when the request is not known.
@@ -152,7 +152,7 @@
 func (s *Store) String() string { return "quarantine" }
 
 func (s *Store) settle(now int64) {
-	s.table.Settle(now)
+	s.table.Evaluate(now)
 	s.table.Expire(now)
 }
 
--- a/quarantine/store_test.go
+++ b/quarantine/store_test.go
@@ -22,7 +22,7 @@
 	f := &fleet{now: time.UnixMilli(1_000_000)}
 	for range n {
 		f.stores = append(f.stores, NewStore(Options{
-			Rule:   func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Deaths: 2, Duration: time.Minute} },
+			Rule:   func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Crashes: 2, Duration: time.Minute} },
 			Wall:   func() time.Time { return f.now },
 			Logger: slog.New(slog.DiscardHandler),
 		}))
@@ -49,11 +49,11 @@
 
 func (s *Store) died(target string, upstream int) {
 	r := asked(target)
-	s.Died(quarantine.Of(r), r, quarantine.Death{Upstream: model.UpstreamID(fmt.Sprint("s-", upstream)), Incarnation: 1})
+	s.Died(quarantine.FingerprintOf(r), r, quarantine.Crash{Upstream: model.UpstreamID(fmt.Sprint("s-", upstream)), Incarnation: 1})
 }
 
 func (s *Store) refuses(target string) bool {
-	_, ok := s.Refused(quarantine.Of(asked(target)))
+	_, ok := s.Refused(quarantine.FingerprintOf(asked(target)))
 	return ok
 }
 
@@ -73,7 +73,7 @@
 		require.True(t, s.refuses("/kill"), "daemon %d", i)
 		require.False(t, s.refuses("/beside"), "daemon %d", i)
 	}
-	require.True(t, f.stores[3].Release(quarantine.Of(asked("/kill"))))
+	require.True(t, f.stores[3].Release(quarantine.FingerprintOf(asked("/kill"))))
 	f.pass(t, 100*time.Millisecond, 4096)
 	f.pass(t, 100*time.Millisecond, 4096)
 	for i, s := range f.stores {
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -38,7 +38,7 @@
 	s := &suspects{d: d, changed: make(chan struct{}, 1)}
 	s.store = quarantine.NewStore(quarantine.Options{
 		Rule: func(model.ServiceName) core.Rule {
-			return core.Rule{Deaths: crashesToRefuse, Duration: quarantineDuration}
+			return core.Rule{Crashes: crashesToRefuse, Duration: quarantineDuration}
 		},
 		Hint:   s.signalChange,
 		Scope:  telemetry.OrNoop(d.opts.Scope).SubScope("quarantine"),
@@ -66,7 +66,7 @@
 func (s *suspects) recordCrash(r lostRun) {
 	s.d.opts.Decisions.Write(decision.Suspected, r.id, slog.String("upstream", string(r.upstream.ID)),
 		slog.Int64("born", r.upstream.Born), slog.String("fingerprint", r.print.String()))
-	s.store.Died(r.print, r.request, core.Death{
+	s.store.Died(r.print, r.request, core.Crash{
 		Upstream: r.upstream.ID, Incarnation: model.Incarnation(r.upstream.Born),
 	})
 }
@@ -96,7 +96,7 @@
 // not safe for concurrent use.
 func (r *request) fingerprint() core.Fingerprint {
 	if r.print == nil {
-		f := core.Of(asked(r.service, r.http.Method, r.http.RequestURI, r.body))
+		f := core.FingerprintOf(asked(r.service, r.http.Method, r.http.RequestURI, r.body))
 		r.print = &f
 	}
 	return *r.print
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -112,7 +112,7 @@
 // fingerprint.
 func newLostRun(c *Call, incarnation lifecycle.Incarnation) lostRun {
 	r := asked(c.Service, c.Method, c.Target, c.Body)
-	f := quarantine.Of(r)
+	f := quarantine.FingerprintOf(r)
 	r.Body = nil
 	return lostRun{id: c.ID, print: f, request: r, upstream: incarnation}
 }
