--- a/core/retry/advice.go
+++ b/core/retry/advice.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// retryAfterSpread is the width of the range from which Advice draws, as a share of
+// retryAfterSpread is the width of the range from which JitteredRetryAfter draws, as a share of
 // mean.
 const retryAfterSpread = 0.5
 
-// Advice returns the time after which a refused caller is told to retry: a random time
+// JitteredRetryAfter returns the time after which a refused caller is told to retry: a random time
 // around mean. When upstreams are lost or a burst arrives, many callers are refused at
 // the same moment. Without jitter they would all retry at the same moment and be
 // refused again. random is a number from 0 to below 1.
-func Advice(mean time.Duration, random float64) time.Duration {
+func JitteredRetryAfter(mean time.Duration, random float64) time.Duration {
 	return time.Duration(float64(mean) * (1 - retryAfterSpread/2 + retryAfterSpread*random))
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -20,31 +20,31 @@
 	minAttempts    = 20
 )
 
-// Verdict is the result of Budget.Allow, or the reason why a retry was not attempted.
-type Verdict uint8
+// Decision is the result of Budget.Allow, or the reason why a retry was not attempted.
+type Decision uint8
 
-// The possible values of a Verdict.
+// The possible values of a Decision.
 const (
 	// Allowed means that the retry may be sent; it has taken a token.
-	Allowed Verdict = iota + 1
-	// Spent means that the budget has no token left.
-	Spent
-	// Storm means that too many of the recent attempts failed.
-	Storm
-	// TooLate means that too little time remains until the deadline.
-	TooLate
+	Allowed Decision = iota + 1
+	// BudgetExhausted means that the budget has no token left.
+	BudgetExhausted
+	// TooManyFailures means that too many of the recent attempts failed.
+	TooManyFailures
+	// DeadlineTooClose means that too little time remains until the deadline.
+	DeadlineTooClose
 )
 
 // String returns the value that metric labels use.
-func (v Verdict) String() string {
+func (v Decision) String() string {
 	switch v {
 	case Allowed:
 		return "allowed"
-	case Spent:
+	case BudgetExhausted:
 		return "budget"
-	case Storm:
+	case TooManyFailures:
 		return "storm"
-	case TooLate:
+	case DeadlineTooClose:
 		return "deadline"
 	default:
 		return "none"
@@ -80,11 +80,11 @@
 	}
 }
 
-// Request counts a new request. Retries must not be counted here.
-func (b *Budget) Request() { b.tokens = min(b.tokens+b.share, maxTokens) }
+// CountRequest counts a new request. Retries must not be counted here.
+func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.share, maxTokens) }
 
-// Attempt counts an attempt, which may be a retry, and whether it failed.
-func (b *Budget) Attempt(now model.Instant, failed bool) {
+// CountAttempt counts an attempt, which may be a retry, and whether it failed.
+func (b *Budget) CountAttempt(now model.Instant, failed bool) {
 	b.decay(now)
 	b.attempts++
 	if failed {
@@ -93,13 +93,13 @@
 }
 
 // Allow takes a token for a retry if retries are allowed now.
-func (b *Budget) Allow(now model.Instant) Verdict {
+func (b *Budget) Allow(now model.Instant) Decision {
 	b.decay(now)
 	if b.attempts >= minAttempts && b.failures > maxFailureRate*b.attempts {
-		return Storm
+		return TooManyFailures
 	}
 	if b.tokens < 1 {
-		return Spent
+		return BudgetExhausted
 	}
 	b.tokens--
 	return Allowed
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -19,14 +19,14 @@
 		requests, retries := 0.0, 0.0
 		for i := range rapid.IntRange(1, 2000).Draw(t, "requests") {
 			now := model.Instant(i) * model.Instant(time.Millisecond)
-			b.Request()
+			b.CountRequest()
 			requests++
 			failed := rapid.Float64Range(0, 1).Draw(t, "outcome") < failureRate
-			b.Attempt(now, failed)
+			b.CountAttempt(now, failed)
 			for failed && b.Allow(now) == Allowed {
 				retries++
 				failed = false
-				b.Attempt(now, failed)
+				b.CountAttempt(now, failed)
 			}
 		}
 		require.LessOrEqual(t, retries, share*requests+initialTokens)
@@ -37,27 +37,27 @@
 	b := NewBudget(1)
 	now := model.Instant(0)
 	for range minAttempts - 1 {
-		b.Request()
-		b.Attempt(now, true)
+		b.CountRequest()
+		b.CountAttempt(now, true)
 		require.Equal(t, Allowed, b.Allow(now), "too few attempts to decide")
 	}
-	b.Request()
-	b.Attempt(now, true)
-	require.Equal(t, Storm, b.Allow(now))
+	b.CountRequest()
+	b.CountAttempt(now, true)
+	require.Equal(t, TooManyFailures, b.Allow(now))
 	now = now.Add(5 * time.Second)
 	require.Equal(t, Allowed, b.Allow(now), "old failures no longer count")
 	for range 100 {
-		b.Request()
-		b.Attempt(now, false)
+		b.CountRequest()
+		b.CountAttempt(now, false)
 	}
-	b.Attempt(now, true)
+	b.CountAttempt(now, true)
 	require.Equal(t, Allowed, b.Allow(now))
 }
 
 func TestShareOfZeroForbidsRetries(t *testing.T) {
 	b := NewBudget(0)
-	b.Request()
-	require.Equal(t, Spent, b.Allow(0))
+	b.CountRequest()
+	require.Equal(t, BudgetExhausted, b.Allow(0))
 }
 
 func TestBackoff(t *testing.T) {
@@ -89,8 +89,8 @@
 // times around the intended one.
 func TestRetryAfterIsJittered(t *testing.T) {
 	const mean = 100 * time.Millisecond
-	first, last := Advice(mean, 0), Advice(mean, 0.999)
+	first, last := JitteredRetryAfter(mean, 0), JitteredRetryAfter(mean, 0.999)
 	require.Less(t, first, mean*4/5)
 	require.Greater(t, last, mean*6/5)
-	require.Equal(t, mean, Advice(mean, 0.5))
+	require.Equal(t, mean, JitteredRetryAfter(mean, 0.5))
 }
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -6,17 +6,17 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// windowBuckets is the number of buckets that the span of a Window is divided into. A
+// windowBuckets is the number of buckets that the span of a WindowBudget is divided into. A
 // retry counts until its whole bucket has left the span, at most one bucket width too
 // long, so the budget is never exceeded.
 const windowBuckets = 10
 
-// Window is one daemon's part of a retry budget that all daemons share: within any
+// WindowBudget is one daemon's part of a retry budget that all daemons share: within any
 // span, the number of retries is at most ratio times the number of requests in that
 // span plus a slack. Each daemon counts its own requests and gets an equal part of the
-// slack, so the daemons together stay within the budget without communicating. A Window
+// slack, so the daemons together stay within the budget without communicating. A WindowBudget
 // is not safe for concurrent use.
-type Window struct {
+type WindowBudget struct {
 	ratio float64
 	slack float64
 	// share is the part of the budget that may be used.
@@ -28,26 +28,26 @@
 	retries  [windowBuckets + 1]float64
 }
 
-// NewWindow returns a Window over the given span. slack is this daemon's part of the
+// NewWindowBudget returns a WindowBudget over the given span. slack is this daemon's part of the
 // slack.
-func NewWindow(span time.Duration, ratio, slack float64) *Window {
-	return &Window{ratio: ratio, slack: slack, share: 1, bucketWidth: max(span/windowBuckets, time.Millisecond)}
+func NewWindowBudget(span time.Duration, ratio, slack float64) *WindowBudget {
+	return &WindowBudget{ratio: ratio, slack: slack, share: 1, bucketWidth: max(span/windowBuckets, time.Millisecond)}
 }
 
 // SetSlack changes this daemon's part of the slack.
-func (w *Window) SetSlack(slack float64) { w.slack = slack }
+func (w *WindowBudget) SetSlack(slack float64) { w.slack = slack }
 
 // SetShare changes the part of the budget that may be used, which is initially 1.
-func (w *Window) SetShare(share float64) { w.share = share }
+func (w *WindowBudget) SetShare(share float64) { w.share = share }
 
-// Request counts the first attempt at a request.
-func (w *Window) Request(now model.Instant) {
+// CountRequest counts the first attempt at a request.
+func (w *WindowBudget) CountRequest(now model.Instant) {
 	w.advance(now)
 	w.requests[w.index()]++
 }
 
-// Left returns how many retries the budget still allows.
-func (w *Window) Left(now model.Instant) float64 {
+// Remaining returns how many retries the budget still allows.
+func (w *WindowBudget) Remaining(now model.Instant) float64 {
 	w.advance(now)
 	requests, retries := 0.0, 0.0
 	for i := range w.requests {
@@ -60,8 +60,8 @@
 }
 
 // Take counts n retries if the budget allows them, and returns false otherwise.
-func (w *Window) Take(now model.Instant, n float64) bool {
-	if w.Left(now) < n {
+func (w *WindowBudget) Take(now model.Instant, n float64) bool {
+	if w.Remaining(now) < n {
 		return false
 	}
 	w.Charge(now, n)
@@ -70,16 +70,16 @@
 
 // Charge counts n retries whether or not the budget allows them. A negative n returns
 // retries to the budget.
-func (w *Window) Charge(now model.Instant, n float64) {
+func (w *WindowBudget) Charge(now model.Instant, n float64) {
 	w.advance(now)
 	w.retries[w.index()] += n
 }
 
 // index returns the position of the current bucket in the arrays.
-func (w *Window) index() int { return int(w.bucket % (windowBuckets + 1)) }
+func (w *WindowBudget) index() int { return int(w.bucket % (windowBuckets + 1)) }
 
 // advance moves on to the bucket that contains now, and clears the buckets in between.
-func (w *Window) advance(now model.Instant) {
+func (w *WindowBudget) advance(now model.Instant) {
 	current := int64(now) / int64(w.bucketWidth)
 	if current <= w.bucket {
 		return
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -11,13 +11,13 @@
 )
 
 func TestWindowRemaining(t *testing.T) {
-	w := NewWindow(10*time.Second, 0.2, 5)
+	w := NewWindowBudget(10*time.Second, 0.2, 5)
 	now := model.Instant(0).Add(time.Minute)
-	require.InDelta(t, 5, w.Left(now), 1e-9)
+	require.InDelta(t, 5, w.Remaining(now), 1e-9)
 	for range 10 {
-		w.Request(now)
+		w.CountRequest(now)
 	}
-	require.InDelta(t, 7, w.Left(now), 1e-9)
+	require.InDelta(t, 7, w.Remaining(now), 1e-9)
 	require.True(t, w.Take(now, 7))
 	require.False(t, w.Take(now, 1))
 	w.Charge(now, -1)
@@ -37,9 +37,9 @@
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(1, 6).Draw(t, "daemons")
-		windows := make([]*Window, daemons)
+		windows := make([]*WindowBudget, daemons)
 		for i := range windows {
-			windows[i] = NewWindow(span, ratio, slack/float64(daemons))
+			windows[i] = NewWindowBudget(span, ratio, slack/float64(daemons))
 		}
 		var requests, retries []model.Instant
 		now := model.Instant(0)
@@ -47,7 +47,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
 			w := windows[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
+				w.CountRequest(now)
 				requests = append(requests, now)
 			} else if w.Take(now, 1) {
 				retries = append(retries, now)
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -21,7 +21,7 @@
 // use.
 type retryBudgets struct {
 	now       func() model.Instant
-	decisions map[retry.Verdict]tally.Counter
+	decisions map[retry.Decision]tally.Counter
 
 	mu sync.Mutex
 	// budgets is bounded, since it holds only services of the configuration.
@@ -31,11 +31,11 @@
 func newRetryBudgets(now func() model.Instant, scope tally.Scope) *retryBudgets {
 	r := &retryBudgets{
 		now:       now,
-		decisions: make(map[retry.Verdict]tally.Counter),
+		decisions: make(map[retry.Decision]tally.Counter),
 		budgets:   make(map[model.ServiceName]*retry.Budget),
 	}
 	scope = telemetry.OrNoop(scope)
-	for _, v := range []retry.Verdict{retry.Allowed, retry.Spent, retry.Storm, retry.TooLate} {
+	for _, v := range []retry.Decision{retry.Allowed, retry.BudgetExhausted, retry.TooManyFailures, retry.DeadlineTooClose} {
 		r.decisions[v] = scope.Tagged(map[string]string{"verdict": v.String()}).Counter("retries")
 	}
 	return r
@@ -51,7 +51,7 @@
 		r.budgets[s.Name] = b
 	}
 	b.SetShare(s.RetryShare)
-	b.Request()
+	b.CountRequest()
 }
 
 // countAttempt counts an attempt and whether it failed. countRequest must have
@@ -60,7 +60,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	failed := response.Outcome.Kind != outcome.Answered || response.Status >= http.StatusInternalServerError
-	r.budgets[s.Name].Attempt(r.now(), failed)
+	r.budgets[s.Name].CountAttempt(r.now(), failed)
 }
 
 // backoff returns how long to wait before a retry, and whether a retry is
@@ -71,7 +71,7 @@
 		return 0, req.deadline > r.now()
 	}
 	wait, ok := retry.Backoff(retryNumber, req.deadline.Sub(r.now()), rand.Float64())
-	decision := retry.TooLate
+	decision := retry.DeadlineTooClose
 	if ok {
 		r.mu.Lock()
 		decision = r.budgets[req.service.Name].Allow(r.now())
--- a/replay/returns_test.go
+++ b/replay/returns_test.go
@@ -25,7 +25,7 @@
 	}
 	advice, random := max(j.work, leastAdvice), m.rng.Float64()
 	if !m.unspread {
-		advice = retry.Advice(advice, random)
+		advice = retry.JitteredRetryAfter(advice, random)
 	}
 	again := &job{
 		requestKind: j.requestKind, entry: j.entry, left: j.left, tried: map[string]bool{}, returned: j.returned + 1,
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -371,4 +371,4 @@
 }
 
 // jittered returns d with a random jitter.
-func jittered(d time.Duration) time.Duration { return retry.Advice(d, rand.Float64()) }
+func jittered(d time.Duration) time.Duration { return retry.JitteredRetryAfter(d, rand.Float64()) }
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -21,7 +21,7 @@
 	mu     sync.Mutex
 	budget ResendBudget
 	slack  float64
-	window *retry.Window
+	window *retry.WindowBudget
 }
 
 func newRetryLimiter(b ResendBudget) *retryLimiter {
@@ -38,14 +38,14 @@
 		return
 	}
 	r.budget, r.slack = b, b.Slack*retryBudgetMargin
-	r.window = retry.NewWindow(b.Span, b.Ratio*retryBudgetMargin, 0)
+	r.window = retry.NewWindowBudget(b.Span, b.Ratio*retryBudgetMargin, 0)
 }
 
 // countRequest counts the first attempt of a request.
 func (r *retryLimiter) countRequest(now model.Instant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.window.Request(now)
+	r.window.CountRequest(now)
 }
 
 // take charges n retries if the budget allows them. All daemons share the budget equally:
@@ -146,5 +146,5 @@
 func (r *retryLimiter) left(now model.Instant) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.window.Left(now)
+	return r.window.Remaining(now)
 }
