--- a/core/route/document.go
+++ b/core/route/document.go
@@ -28,21 +28,21 @@
 	Idempotent bool
 	// Timeout is the longest time that a request may take. Zero means no limit.
 	Timeout time.Duration
-	// Target is the latency that responses should stay within. Zero means that
+	// TargetLatency is the latency that responses should stay within. Zero means that
 	// the configuration sets none.
-	Target time.Duration
+	TargetLatency time.Duration
 	// MaxAttempts is the largest number of upstreams that one request may be
 	// sent to, at least 1.
 	MaxAttempts int
 	// Rank is the priority rank of the route's requests when they wait for the
 	// same upstream as others; 0 is served first.
 	Rank int
-	// Parts is the traffic split. It has at least one element.
-	Parts []Part
+	// Split is the traffic split. It has at least one element.
+	Split []WeightedService
 }
 
-// Part is a service in a traffic split with its weight, which is at least 0.
-type Part struct {
+// WeightedService is a service in a traffic split with its weight, which is at least 0.
+type WeightedService struct {
 	Service model.ServiceName
 	Weight  float64
 }
@@ -93,11 +93,11 @@
 	if r.MaxAttempts < 1 {
 		return newError("attempts", "must be at least 1")
 	}
-	if r.Timeout < 0 || r.Target < 0 {
+	if r.Timeout < 0 || r.TargetLatency < 0 {
 		return newError("timeout", "is negative")
 	}
 	totalWeight := 0.0
-	for _, p := range r.Parts {
+	for _, p := range r.Split {
 		if p.Service == "" {
 			return newError("split", "names an empty service")
 		}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -9,10 +9,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-func splitTo(service model.ServiceName) []Part { return []Part{{Service: service, Weight: 1}} }
+func splitTo(service model.ServiceName) []WeightedService {
+	return []WeightedService{{Service: service, Weight: 1}}
+}
 
 func newRoute(name, host, prefix string) Route {
-	return Route{Name: name, Host: host, Prefix: prefix, MaxAttempts: 2, Parts: splitTo("s")}
+	return Route{Name: name, Host: host, Prefix: prefix, MaxAttempts: 2, Split: splitTo("s")}
 }
 
 func TestLookup(t *testing.T) {
@@ -52,10 +54,10 @@
 		"empty prefix":                  {func(r *Route) { r.Prefix = "" }, "prefix"},
 		"no attempts":                   {func(r *Route) { r.MaxAttempts = 0 }, "attempts"},
 		"negative timeout":              {func(r *Route) { r.Timeout = -1 }, "timeout"},
-		"no parts":                      {func(r *Route) { r.Parts = nil }, "split"},
-		"negative weight":               {func(r *Route) { r.Parts = []Part{{"s", 2}, {"t", -1}} }, "split"},
-		"nothing has weight":            {func(r *Route) { r.Parts = []Part{{"s", 0}} }, "split"},
-		"empty service":                 {func(r *Route) { r.Parts = splitTo("") }, "split"},
+		"no parts":                      {func(r *Route) { r.Split = nil }, "split"},
+		"negative weight":               {func(r *Route) { r.Split = []WeightedService{{"s", 2}, {"t", -1}} }, "split"},
+		"nothing has weight":            {func(r *Route) { r.Split = []WeightedService{{"s", 0}} }, "split"},
+		"empty service":                 {func(r *Route) { r.Split = splitTo("") }, "split"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRoute("r", "h", "/x/")
@@ -78,7 +80,7 @@
 		r := Route{Name: "r"}
 		totalWeight := 0.0
 		for i, w := range weights {
-			r.Parts = append(r.Parts, Part{Service: model.ServiceName(rune('a' + i)), Weight: float64(w)})
+			r.Split = append(r.Split, WeightedService{Service: model.ServiceName(rune('a' + i)), Weight: float64(w)})
 			totalWeight += float64(w)
 		}
 		if totalWeight == 0 {
@@ -88,7 +90,7 @@
 		picks := map[model.ServiceName]float64{}
 		for n := 1; n <= 200; n++ {
 			picks[splitter.Pick(&r)]++
-			for _, p := range r.Parts {
+			for _, p := range r.Split {
 				require.InDelta(t, float64(n)*p.Weight/totalWeight, picks[p.Service], float64(len(weights))-1+1e-6)
 				if p.Weight == 0 {
 					require.Zero(t, picks[p.Service])
@@ -100,9 +102,9 @@
 
 func TestSplitStateSurvivesNewVersion(t *testing.T) {
 	var splitter Splitter
-	parts := []Part{{"a", 50}, {"b", 50}}
-	first := splitter.Pick(&Route{Name: "r", Parts: parts})
-	second := splitter.Pick(&Route{Name: "r", Parts: []Part{{"a", 50}, {"b", 50}}})
+	parts := []WeightedService{{"a", 50}, {"b", 50}}
+	first := splitter.Pick(&Route{Name: "r", Split: parts})
+	second := splitter.Pick(&Route{Name: "r", Split: []WeightedService{{"a", 50}, {"b", 50}}})
 	require.NotEqual(t, first, second)
 }
 
@@ -118,7 +120,7 @@
 		require.NoError(t, err)
 		return table
 	}
-	require.True(t, tableWithRanks(0, 1, 2).Urgent(1))
-	require.False(t, tableWithRanks(0, 1, 2).Urgent(2))
-	require.False(t, tableWithRanks(1, 1).Urgent(1), "with a single rank no request is urgent")
+	require.True(t, tableWithRanks(0, 1, 2).AboveLowestPriority(1))
+	require.False(t, tableWithRanks(0, 1, 2).AboveLowestPriority(2))
+	require.False(t, tableWithRanks(1, 1).AboveLowestPriority(1), "with a single rank no request is urgent")
 }
--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -17,7 +17,7 @@
 
 // splitState is the state of smooth weighted round robin over one split.
 type splitState struct {
-	parts []Part
+	parts []WeightedService
 	// currentWeights holds the current weight of each part; see Splitter.Pick.
 	currentWeights []float64
 }
@@ -32,12 +32,12 @@
 // service of a split between two is ever more than one request off its share, and
 // no service of a split between n more than n-1 requests.
 func (s *Splitter) Pick(r *Route) model.ServiceName {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+	if len(r.Split) == 1 {
+		return r.Split[0].Service
 	}
 	state := s.state(r)
 	totalWeight := 0.0
-	for i, part := range r.Parts {
+	for i, part := range r.Split {
 		totalWeight += part.Weight
 		state.currentWeights[i] += part.Weight
 	}
@@ -48,7 +48,7 @@
 		}
 	}
 	state.currentWeights[best] -= totalWeight
-	return r.Parts[best].Service
+	return r.Split[best].Service
 }
 
 // state returns the state of the route's split. It is a new one when the split
@@ -58,8 +58,8 @@
 		s.states = make(map[string]*splitState)
 	}
 	state := s.states[r.Name]
-	if state == nil || !slices.Equal(state.parts, r.Parts) {
-		state = &splitState{parts: r.Parts, currentWeights: make([]float64, len(r.Parts))}
+	if state == nil || !slices.Equal(state.parts, r.Split) {
+		state = &splitState{parts: r.Split, currentWeights: make([]float64, len(r.Split))}
 		s.states[r.Name] = state
 	}
 	return state
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -48,12 +48,12 @@
 // Limits returns the limits on callers' requests and connections.
 func (t *Table) Limits() Limits { return t.doc.Limits }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int { return len(t.doc.Routes) }
+// NumRoutes returns the number of routes.
+func (t *Table) NumRoutes() int { return len(t.doc.Routes) }
 
-// Urgent reports whether requests of the given rank are served before those of the
+// AboveLowestPriority reports whether requests of the given rank are served before those of the
 // last rank that any route has.
-func (t *Table) Urgent(rank int) bool { return rank < t.lastRank }
+func (t *Table) AboveLowestPriority(rank int) bool { return rank < t.lastRank }
 
 // Service returns the configuration of a service.
 func (t *Table) Service(name model.ServiceName) (*Service, bool) {
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -83,7 +83,7 @@
 	for i := range n {
 		r := doc.Routes[0]
 		r.Name, r.Prefix = fmt.Sprint("r", i), fmt.Sprintf("/r%d/", i)
-		r.Parts = []route.Part{{Service: "b", Weight: 1}}
+		r.Split = []route.WeightedService{{Service: "b", Weight: 1}}
 		doc.Routes = append(doc.Routes, r)
 	}
 	return doc
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -87,7 +87,7 @@
 	c.versions.add(doc.Version, raw)
 	c.current.Store(&activeConfig{table: table, since: time.Now()})
 	c.decisions.Write(decision.ConfigInForce, "", slog.Uint64("version", uint64(doc.Version)),
-		slog.Uint64("previous", uint64(previous)), slog.Int("routes", table.Routes()), slog.String("from", from))
+		slog.Uint64("previous", uint64(previous)), slog.Int("routes", table.NumRoutes()), slog.String("from", from))
 	for _, f := range c.onChange {
 		f(table)
 	}
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -75,7 +75,7 @@
 	d.guard.panicked = d.panicked
 	d.guard.urgent = func(rank int) bool {
 		t := d.config.table()
-		return t != nil && t.Urgent(rank)
+		return t != nil && t.AboveLowestPriority(rank)
 	}
 	d.peers = newPeers(Record{
 		Address: o.Addresses.Peers, Incarnation: d.startedAt.UnixMilli(), Sequence: 1, Zone: o.Zone, Service: o.Service,
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -142,8 +142,8 @@
 		timeLeft = min(timeLeft, matched.Timeout)
 	}
 	req.deadline = req.began.Add(timeLeft)
-	if matched.Target > 0 {
-		req.targetTime = req.began.Add(matched.Target)
+	if matched.TargetLatency > 0 {
+		req.targetTime = req.began.Add(matched.TargetLatency)
 	}
 	return nil
 }
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -355,7 +355,7 @@
 	r := func(name string, idempotent bool) route.Route {
 		return route.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Idempotent: idempotent, MaxAttempts: 2,
-			Timeout: 5 * time.Second, Target: time.Second, Parts: []route.Part{{Service: service, Weight: 1}},
+			Timeout: 5 * time.Second, TargetLatency: time.Second, Split: []route.WeightedService{{Service: service, Weight: 1}},
 		}
 	}
 	return route.Document{
--- a/sidecar/keepalive_test.go
+++ b/sidecar/keepalive_test.go
@@ -287,7 +287,7 @@
 		doc.Limits.IdleTimeout = time.Duration(2+rand.IntN(10)) * time.Second
 		for i := range doc.Routes {
 			doc.Routes[i].MaxAttempts = 1 + rand.IntN(4)
-			doc.Routes[i].Target = time.Duration(10+rand.IntN(200)) * time.Millisecond
+			doc.Routes[i].TargetLatency = time.Duration(10+rand.IntN(200)) * time.Millisecond
 		}
 		s.publish(doc)
 		for _, m := range members {
