--- a/core/routing/doc.go
+++ b/core/routing/doc.go
@@ -14,9 +14,9 @@
 // expected-completion, therefore sends a request to the best-ranked upstream with a
 // queue timeout of zero. The guard (the proxy in front of the upstream) either starts
 // the request at once or rejects it at once; the rejection proves that the request did
-// not run and carries the current load. After MaxBounces rejections the request waits
+// not run and carries the current load. After MaxRejections rejections the request waits
 // in the queue of the upstream where it is expected to complete first. A rejection thus
-// serves as a load query and needs no extra message. See Choice.Patience.
+// serves as a load query and needs no extra message. See Choice.QueueTimeout.
 //
 // The package does no I/O, starts no goroutines and reads no clock.
 package routing
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -94,7 +94,7 @@
 	r.hedging.tokens--
 	r.stats.Hedges++
 	c.recordSent(now)
-	return Choice{Upstream: c.upstream, Patience: 0}, true
+	return Choice{Upstream: c.upstream, QueueTimeout: 0}, true
 }
 
 // upstreamSlow reports whether the upstream itself is slow or failing, and not only the
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -8,18 +8,18 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// WaitForDeadline is the Choice.Patience of a request that may wait at the guard until
+// WaitForDeadline is the Choice.QueueTimeout of a request that may wait at the guard until
 // its deadline.
 const WaitForDeadline time.Duration = -1
 
 // Choice is the upstream chosen for a request.
 type Choice struct {
 	Upstream model.Upstream
-	// Patience is the longest time for which the request may wait at the guard. If it
+	// QueueTimeout is the longest time for which the request may wait at the guard. If it
 	// has not started by then, the guard rejects it as "not run". Zero means that the
 	// guard either starts or rejects the request at once. WaitForDeadline means that
 	// only the deadline bounds the wait.
-	Patience time.Duration
+	QueueTimeout time.Duration
 }
 
 // Reply is the result of one attempt.
@@ -37,17 +37,17 @@
 	Hedge bool
 }
 
-// Bounced reports whether o means that the guard rejected the request, without running
+// Rejected reports whether o means that the guard rejected the request, without running
 // it, because its queue timeout had expired.
-func (c Choice) Bounced(o outcome.Outcome) bool {
-	return c.Patience >= 0 && o.Kind == outcome.NotRun && o.Reason == outcome.ReasonWithdrawn
+func (c Choice) Rejected(o outcome.Outcome) bool {
+	return c.QueueTimeout >= 0 && o.Kind == outcome.NotRun && o.Reason == outcome.ReasonWithdrawn
 }
 
 // Stats counts events since the Router was created.
 type Stats struct {
-	// Picks counts placed requests, Bounces rejected requests, and Spills requests
+	// Picks counts placed requests, Rejections rejected requests, and CrossZone requests
 	// placed in another zone.
-	Picks, Bounces, Spills uint64
+	Picks, Rejections, CrossZone uint64
 	// Ejections counts ejections of upstreams. Panics counts placements for which
 	// ejections were ignored because too many upstreams were ejected.
 	Ejections, Panics uint64
@@ -156,17 +156,17 @@
 
 // Pick is like Place, but the request waits at the chosen upstream until its deadline.
 func (r *Router) Pick(now model.Instant, req model.Request, exclude []model.UpstreamID) (model.Upstream, bool) {
-	c, ok := r.Place(now, req, exclude, MaxBounces)
+	c, ok := r.Place(now, req, exclude, MaxRejections)
 	return c.Upstream, ok
 }
 
-// MaxBounces is how many times guards may reject a request. After that it waits in the
+// MaxRejections is how many times guards may reject a request. After that it waits in the
 // queue of the upstream to which it is sent.
-const MaxBounces = 3
+const MaxRejections = 3
 
 // Place chooses the upstream for a request and counts the request as sent. Upstreams in
 // exclude are not chosen. rejections is the number of times that guards have rejected
-// the request so far (see Choice.Bounced). Place returns false if no upstream is
+// the request so far (see Choice.Rejected). Place returns false if no upstream is
 // usable. Every call that returns true must be followed by one call of Done.
 func (r *Router) Place(now model.Instant, req model.Request, exclude []model.UpstreamID, rejections int) (Choice, bool) {
 	r.pool.placingGroup = req.Group
@@ -177,7 +177,7 @@
 		return Choice{}, false
 	}
 	queueTimeout := WaitForDeadline
-	if rejections < MaxBounces {
+	if rejections < MaxRejections {
 		queueTimeout = r.policy.queueTimeout(r, now, c, rejections)
 	}
 	r.stats.Picks++
@@ -185,10 +185,10 @@
 		r.addHedgeTokens()
 	}
 	if c.upstream.Zone != r.opts.Zone {
-		r.stats.Spills++
+		r.stats.CrossZone++
 	}
 	c.recordSent(now)
-	return Choice{Upstream: c.upstream, Patience: queueTimeout}, true
+	return Choice{Upstream: c.upstream, QueueTimeout: queueTimeout}, true
 }
 
 // choose asks the policy for a candidate. Ejected candidates are considered too if too
@@ -212,7 +212,7 @@
 	}
 	c.recordReply(now)
 	if reply.Outcome.Kind == outcome.NotRun && reply.Outcome.Reason == outcome.ReasonWithdrawn {
-		r.stats.Bounces++
+		r.stats.Rejections++
 	}
 	r.updateHealth(now, c, reply)
 	r.recordLatency(reply)
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -170,35 +170,35 @@
 
 func TestRequestWaitsAfterMaxRejections(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 3)
-	for rejections := range MaxBounces {
+	for rejections := range MaxRejections {
 		c, ok := r.Place(0, model.Request{}, nil, rejections)
 		require.True(t, ok)
 		assert.Equal(t, model.AvailabilityZone("a"), c.Upstream.Zone)
-		assert.Zero(t, c.Patience)
+		assert.Zero(t, c.QueueTimeout)
 		rejected := outcome.NotRunBecause(outcome.ReasonWithdrawn)
-		assert.True(t, c.Bounced(rejected))
+		assert.True(t, c.Rejected(rejected))
 		r.Done(0, c.Upstream.ID, Reply{Outcome: rejected})
 	}
-	c, ok := r.Place(0, model.Request{}, nil, MaxBounces)
+	c, ok := r.Place(0, model.Request{}, nil, MaxRejections)
 	require.True(t, ok)
-	assert.Equal(t, WaitForDeadline, c.Patience)
-	assert.False(t, c.Bounced(outcome.NotRunBecause(outcome.ReasonWithdrawn)))
-	assert.EqualValues(t, MaxBounces, r.Stats().Bounces)
+	assert.Equal(t, WaitForDeadline, c.QueueTimeout)
+	assert.False(t, c.Rejected(outcome.NotRunBecause(outcome.ReasonWithdrawn)))
+	assert.EqualValues(t, MaxRejections, r.Stats().Rejections)
 }
 
 func TestCrossesZonesWhenTheLocalQueueIsLong(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 3)
 	full := model.Load{Running: 6, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: 1}
 	r.Observe(0, "s-1", full)
-	c, _ := r.Place(0, model.Request{}, nil, MaxBounces)
+	c, _ := r.Place(0, model.Request{}, nil, MaxRejections)
 	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "a wait of 0.33 ms is shorter than the round trip to another zone")
 	r.Done(0, c.Upstream.ID, Reply{})
 	full.Waiting, full.Seq = 20, 2
 	r.Observe(0, "s-1", full)
-	c, _ = r.Place(0, model.Request{}, nil, MaxBounces)
+	c, _ = r.Place(0, model.Request{}, nil, MaxRejections)
 	assert.NotEqual(t, model.UpstreamID("s-1"), c.Upstream.ID)
-	assert.Equal(t, WaitForDeadline, c.Patience, "a rejection would cost a round trip between zones")
-	assert.EqualValues(t, 1, r.Stats().Spills)
+	assert.Equal(t, WaitForDeadline, c.QueueTimeout, "a rejection would cost a round trip between zones")
+	assert.EqualValues(t, 1, r.Stats().CrossZone)
 }
 
 // Entries that all know the same loads must not all choose the same upstream.
@@ -237,11 +237,11 @@
 	r.Observe(0, "s-2", load)
 	exclude := []model.UpstreamID{"s-2"}
 	for range stuckUnanswered {
-		_, ok := r.Place(0, model.Request{}, exclude, MaxBounces)
+		_, ok := r.Place(0, model.Request{}, exclude, MaxRejections)
 		require.True(t, ok)
 	}
 	place := func(at model.Instant) model.UpstreamID {
-		c, ok := r.Place(at, model.Request{}, nil, MaxBounces)
+		c, ok := r.Place(at, model.Request{}, nil, MaxRejections)
 		require.True(t, ok)
 		return c.Upstream.ID
 	}
@@ -314,7 +314,7 @@
 		}
 		hedged++
 		assert.NotEqual(t, model.UpstreamID("s-1"), c.Upstream.ID)
-		assert.Zero(t, c.Patience, "a hedge only uses a free slot")
+		assert.Zero(t, c.QueueTimeout, "a hedge only uses a free slot")
 	}
 	assert.Equal(t, hedgeBurst, hedged)
 	assert.EqualValues(t, 1, r.Stats().HedgesRefused)
@@ -345,6 +345,6 @@
 			r.Observe(now, up.ID, model.Load{Running: 6, Waiting: 30, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: seq})
 		}
 	}
-	c, _ := r.Place(now, model.Request{}, nil, MaxBounces)
+	c, _ := r.Place(now, model.Request{}, nil, MaxRejections)
 	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "s-1 has not been used for 2 s, and the others have long queues")
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -22,7 +22,7 @@
 			return nil, "", false
 		}
 		response := e.send(ctx, req, choice, tried, number)
-		if !choice.Bounced(response.Outcome) || ctx.Err() != nil {
+		if !choice.Rejected(response.Outcome) || ctx.Err() != nil {
 			return response, choice.Upstream.ID, true
 		}
 		_ = response.Body.Close()
@@ -37,7 +37,7 @@
 	if r.body.replayable() {
 		return 0
 	}
-	return routing.MaxBounces
+	return routing.MaxRejections
 }
 
 // sendOnce sends the request to the chosen upstream and reports the result to
@@ -47,8 +47,8 @@
 	call := req.call(upstream, attempt)
 	sentAt := e.opts.Now()
 	call.Timeout = req.deadline.Sub(sentAt)
-	call.HasPatience = choice.Patience >= 0
-	call.Patience = max(choice.Patience, 0)
+	call.HasPatience = choice.QueueTimeout >= 0
+	call.Patience = max(choice.QueueTimeout, 0)
 	ctx, span := trace.Start(ctx, "attempt")
 	span.Call(call)
 	trace.Inject(ctx, call.Header)
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -63,8 +63,8 @@
 	a, ok := attemptOnce(g, &body{data: []byte("x"), length: 1})
 	assert.True(t, ok)
 	assert.Equal(t, outcome.Answered, a.Outcome.Kind)
-	assert.Len(t, g.calls, routing.MaxBounces+1)
-	assert.False(t, g.calls[routing.MaxBounces].HasPatience, "the last call waits until its deadline")
+	assert.Len(t, g.calls, routing.MaxRejections+1)
+	assert.False(t, g.calls[routing.MaxRejections].HasPatience, "the last call waits until its deadline")
 	assert.NotEqual(t, g.calls[0].ID, g.calls[1].ID, "each call has its own ID")
 }
 
--- a/entry/routing_counters.go
+++ b/entry/routing_counters.go
@@ -35,8 +35,8 @@
 	last := c.exported
 	c.exported = stats
 	addTo(c.picks, stats.Picks-last.Picks)
-	addTo(c.bounces, stats.Bounces-last.Bounces)
-	addTo(c.spills, stats.Spills-last.Spills)
+	addTo(c.bounces, stats.Rejections-last.Rejections)
+	addTo(c.spills, stats.CrossZone-last.CrossZone)
 	addTo(c.ejections, stats.Ejections-last.Ejections)
 	addTo(c.panics, stats.Panics-last.Panics)
 	addTo(c.hedges, stats.Hedges-last.Hedges)
--- a/replay/entry.go
+++ b/replay/entry.go
@@ -111,7 +111,7 @@
 	if req.done || failed && c.hedge && len(req.calls) > 0 {
 		return
 	}
-	if c.choice.Bounced(o) && !c.hedge {
+	if c.choice.Rejected(o) && !c.hedge {
 		req.bounced++
 		e.place(req)
 		return
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -84,13 +84,13 @@
 	if !c.waiting {
 		return
 	}
-	if c.choice.Patience == 0 {
+	if c.choice.QueueTimeout == 0 {
 		g.giveBack(c)
 		return
 	}
 	until := c.req.deadline()
-	if c.choice.Patience > 0 {
-		until = min(until, now.Add(c.choice.Patience))
+	if c.choice.QueueTimeout > 0 {
+		until = min(until, now.Add(c.choice.QueueTimeout))
 	}
 	g.sim.queue.add(task{at: max(until, now), kind: expire, daemon: g.index, call: c, stamp: c.stamp})
 }
