--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -31,23 +31,23 @@
 	Kind Kind
 	// Urgent is set if the request's rank comes before the last one.
 	Urgent bool
-	// Work is the usual service time of the request.
-	Work time.Duration
-	// Within is the time left until the target of the request, or zero if it has none.
+	// ServiceTime is the usual service time of the request.
+	ServiceTime time.Duration
+	// UntilTarget is the time left until the target of the request, or zero if it has none.
 	// Deadline is the time left until its deadline.
-	Within   time.Duration
-	Deadline time.Duration
+	UntilTarget   time.Duration
+	UntilDeadline time.Duration
 	// Alternative is the expected time until the request would complete at another
 	// upstream. Zero means that no other upstream can take it.
 	Alternative time.Duration
 }
 
-// Speed is the current speed and reliability of the upstream.
-type Speed struct {
-	// Slow is the service time relative to the usual one, which is 1. Failing is the
+// Performance is the current speed and reliability of the upstream.
+type Performance struct {
+	// Slowdown is the service time relative to the usual one, which is 1. Failing is the
 	// recent failure rate, from 0 to 1.
-	Slow    float64
-	Failing float64
+	Slowdown    float64
+	FailureRate float64
 }
 
 // Admission is the result of Queue.Admit.
@@ -65,8 +65,8 @@
 
 // Admit decides whether a request may enter the queue. It returns the Item to add if
 // so, and the expected time until the request completes.
-func (q *Queue) Admit(now model.Instant, a Arrival, s Speed) (Item, Admission, time.Duration) {
-	expected := placement.ExpectedTime(a.Work, s.Slow, q.Ahead(a.Rank, a.Kind), q.limit, s.Failing)
+func (q *Queue) Admit(now model.Instant, a Arrival, s Performance) (Item, Admission, time.Duration) {
+	expected := placement.ExpectedTime(a.ServiceTime, s.Slowdown, q.Ahead(a.Rank, a.Kind), q.limit, s.FailureRate)
 	if a.Alternative > 0 && expected > time.Duration(slowerFactor*float64(a.Alternative))+slowerMargin {
 		return Item{}, SlowerHere, expected
 	}
@@ -74,13 +74,13 @@
 	if a.Urgent {
 		share = urgentUsefulShare
 	}
-	usefulTime := max(a.Within, time.Duration(share*float64(a.Deadline)))
+	usefulTime := max(a.UntilTarget, time.Duration(share*float64(a.UntilDeadline)))
 	if q.running >= q.limit && expected > usefulTime {
 		return Item{}, Full, expected
 	}
-	item := Item{Rank: a.Rank, Kind: a.Kind, Work: a.Work, Arrived: now, Deadline: now.Add(a.Deadline), UsefulUntil: now.Add(usefulTime)}
-	if a.Within != 0 {
-		item.Target = now.Add(a.Within)
+	item := Item{Rank: a.Rank, Kind: a.Kind, ServiceTime: a.ServiceTime, Arrived: now, Deadline: now.Add(a.UntilDeadline), UsefulUntil: now.Add(usefulTime)}
+	if a.UntilTarget != 0 {
+		item.Target = now.Add(a.UntilTarget)
 	}
 	if a.Alternative > 0 {
 		item.WaitUntil = now.Add(a.Alternative/2 + slowerMargin)
--- a/core/slots/admit_test.go
+++ b/core/slots/admit_test.go
@@ -9,25 +9,25 @@
 
 func TestAdmit(t *testing.T) {
 	arrival := func(change func(*Arrival)) Arrival {
-		a := Arrival{Rank: 1, Work: 100 * ms, Within: 300 * ms, Deadline: 1000 * ms}
+		a := Arrival{Rank: 1, ServiceTime: 100 * ms, UntilTarget: 300 * ms, UntilDeadline: 1000 * ms}
 		change(&a)
 		return a
 	}
 	for name, c := range map[string]struct {
 		running, waiting int
 		arrival          Arrival
-		speed            Speed
+		speed            Performance
 		want             Admission
 		expected         time.Duration
 	}{
-		"idle":                        {0, 0, arrival(func(*Arrival) {}), Speed{Slow: 1}, Admitted, 100 * ms},
-		"no worse than elsewhere":     {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 1}, Admitted, 100 * ms},
-		"slower than elsewhere":       {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 2}, SlowerHere, 200 * ms},
-		"failing more than elsewhere": {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Speed{Slow: 1, Failing: 0.5}, SlowerHere, 200 * ms},
-		"full, soon enough":           {4, 4, arrival(func(*Arrival) {}), Speed{Slow: 1}, Admitted, 225 * ms},
-		"full, too late":              {4, 20, arrival(func(*Arrival) {}), Speed{Slow: 1}, Full, 625 * ms},
-		"full, late but urgent":       {4, 20, arrival(func(a *Arrival) { a.Urgent = true }), Speed{Slow: 1}, Admitted, 625 * ms},
-		"slow, free slots":            {0, 0, arrival(func(*Arrival) {}), Speed{Slow: 7}, Admitted, 700 * ms},
+		"idle":                        {0, 0, arrival(func(*Arrival) {}), Performance{Slowdown: 1}, Admitted, 100 * ms},
+		"no worse than elsewhere":     {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Performance{Slowdown: 1}, Admitted, 100 * ms},
+		"slower than elsewhere":       {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Performance{Slowdown: 2}, SlowerHere, 200 * ms},
+		"failing more than elsewhere": {0, 0, arrival(func(a *Arrival) { a.Alternative = 80 * ms }), Performance{Slowdown: 1, FailureRate: 0.5}, SlowerHere, 200 * ms},
+		"full, soon enough":           {4, 4, arrival(func(*Arrival) {}), Performance{Slowdown: 1}, Admitted, 225 * ms},
+		"full, too late":              {4, 20, arrival(func(*Arrival) {}), Performance{Slowdown: 1}, Full, 625 * ms},
+		"full, late but urgent":       {4, 20, arrival(func(a *Arrival) { a.Urgent = true }), Performance{Slowdown: 1}, Admitted, 625 * ms},
+		"slow, free slots":            {0, 0, arrival(func(*Arrival) {}), Performance{Slowdown: 7}, Admitted, 700 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := New(4)
@@ -41,8 +41,8 @@
 			require.Equal(t, c.want, got)
 			require.Equal(t, c.expected, expected)
 			if got == Admitted {
-				require.Equal(t, at(5).Add(c.arrival.Within), it.Target)
-				require.Equal(t, at(5).Add(c.arrival.Deadline), it.Deadline)
+				require.Equal(t, at(5).Add(c.arrival.UntilTarget), it.Target)
+				require.Equal(t, at(5).Add(c.arrival.UntilDeadline), it.Deadline)
 			}
 		})
 	}
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -31,15 +31,15 @@
 	// Kind identifies the route of the request. The kinds of one rank share the work
 	// equally.
 	Kind Kind
-	// Work is the usual service time of the request.
-	Work time.Duration
-	// Arrived, Target and Deadline are instants. A zero Target means that there is
+	// ServiceTime is the usual service time of the request.
+	ServiceTime time.Duration
+	// Arrived, Target and UntilDeadline are instants. A zero Target means that there is
 	// none.
 	Arrived  model.Instant
 	Target   model.Instant
 	Deadline model.Instant
 	// UsefulUntil is when the request must complete to be worth waiting for. After that
-	// it runs only if a slot is free at once. Zero means that only Deadline counts.
+	// it runs only if a slot is free at once. Zero means that only UntilDeadline counts.
 	UsefulUntil model.Instant
 	// WaitUntil is when the queue timeout of the request expires. If it has not started
 	// by then, it is rejected, so that its entry can choose another upstream. Zero means
@@ -47,27 +47,27 @@
 	WaitUntil model.Instant
 }
 
-// Exit is the reason why a request left the queue.
-type Exit uint8
+// DequeueReason is the reason why a request left the queue.
+type DequeueReason uint8
 
 // The possible values of an Exit.
 const (
 	// Start means that the request starts now.
-	Start Exit = iota + 1
-	// Hopeless means that the request cannot complete before its deadline, even in half
+	Start DequeueReason = iota + 1
+	// DeadlineUnreachable means that the request cannot complete before its deadline, even in half
 	// of its expected service time.
-	Hopeless
-	// Returned means that the queue timeout of the request has expired.
-	Returned
-	// Overdue means that the request would complete too late to be worth the wait.
+	DeadlineUnreachable
+	// QueueTimeoutExpired means that the queue timeout of the request has expired.
+	QueueTimeoutExpired
+	// TooLate means that the request would complete too late to be worth the wait.
 	// Other requests make better use of the slot, and the sender can react sooner.
-	Overdue
+	TooLate
 )
 
 // Decision is one request that leaves the queue, and the reason.
 type Decision struct {
-	ID   uint64
-	Exit Exit
+	ID     uint64
+	Reason DequeueReason
 }
 
 const (
@@ -145,14 +145,14 @@
 func (q *Queue) Next(now model.Instant, slowdown float64) (Decision, bool) {
 	for i := range q.items {
 		it := &q.items[i]
-		if now.Add(scaled(it.Work, slowdown)/2) >= it.Deadline {
-			return q.dequeue(i, Hopeless), true
+		if now.Add(scaled(it.ServiceTime, slowdown)/2) >= it.Deadline {
+			return q.dequeue(i, DeadlineUnreachable), true
 		}
-		if q.running >= q.limit && it.UsefulUntil != 0 && now.Add(scaled(it.Work, slowdown)) > it.UsefulUntil {
-			return q.dequeue(i, Overdue), true
+		if q.running >= q.limit && it.UsefulUntil != 0 && now.Add(scaled(it.ServiceTime, slowdown)) > it.UsefulUntil {
+			return q.dequeue(i, TooLate), true
 		}
 		if it.WaitUntil != 0 && now >= it.WaitUntil && q.running >= q.limit {
-			return q.dequeue(i, Returned), true
+			return q.dequeue(i, QueueTimeoutExpired), true
 		}
 	}
 	if q.running >= q.limit || len(q.items) == 0 {
@@ -161,22 +161,22 @@
 	best := q.nextIndex(now, slowdown)
 	q.running++
 	q.starts++
-	q.sharesOf(q.items[best].Rank).charge(q.items[best].Kind, q.items[best].Work)
+	q.sharesOf(q.items[best].Rank).charge(q.items[best].Kind, q.items[best].ServiceTime)
 	return q.dequeue(best, Start), true
 }
 
-// Wake returns the next instant at which Next may return a request although no other
+// NextWakeup returns the next instant at which Next may return a request although no other
 // event has occurred. Zero means never.
-func (q *Queue) Wake(slowdown float64) model.Instant {
+func (q *Queue) NextWakeup(slowdown float64) model.Instant {
 	var wakeup model.Instant
 	for i := range q.items {
 		it := &q.items[i]
-		leaveBy := it.Deadline.Add(-scaled(it.Work, slowdown) / 2)
+		leaveBy := it.Deadline.Add(-scaled(it.ServiceTime, slowdown) / 2)
 		if it.WaitUntil != 0 {
 			leaveBy = min(leaveBy, it.WaitUntil)
 		}
 		if it.UsefulUntil != 0 {
-			leaveBy = min(leaveBy, it.UsefulUntil.Add(-scaled(it.Work, slowdown)))
+			leaveBy = min(leaveBy, it.UsefulUntil.Add(-scaled(it.ServiceTime, slowdown)))
 		}
 		if wakeup == 0 || leaveBy < wakeup {
 			wakeup = leaveBy
@@ -241,12 +241,12 @@
 	if end == 0 {
 		end = i.Deadline
 	}
-	return end.Add(-scaled(i.Work, slowdown))
+	return end.Add(-scaled(i.ServiceTime, slowdown))
 }
 
 // dequeue removes the i-th waiting request and returns the decision about it.
-func (q *Queue) dequeue(i int, e Exit) Decision {
-	d := Decision{ID: q.items[i].ID, Exit: e}
+func (q *Queue) dequeue(i int, e DequeueReason) Decision {
+	d := Decision{ID: q.items[i].ID, Reason: e}
 	q.removeAt(i)
 	return d
 }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -19,7 +19,7 @@
 // newItem returns a request that arrived at 0 and has a deadline of one second. Its
 // service time and target are in milliseconds.
 func newItem(id uint64, rank int, serviceTime, target int) Item {
-	return Item{ID: id, Rank: rank, Work: time.Duration(serviceTime) * ms, Target: at(target), Deadline: at(1000), UsefulUntil: at(1000)}
+	return Item{ID: id, Rank: rank, ServiceTime: time.Duration(serviceTime) * ms, Target: at(target), Deadline: at(1000), UsefulUntil: at(1000)}
 }
 
 // startOrder starts all waiting requests, one at a time, and returns their IDs in
@@ -30,7 +30,7 @@
 	for q.Waiting() > 0 {
 		d, ok := q.Next(now, 1)
 		require.True(t, ok)
-		require.Equal(t, Start, d.Exit)
+		require.Equal(t, Start, d.Reason)
 		out = append(out, d.ID)
 		q.Finish()
 	}
@@ -158,7 +158,7 @@
 				q.Finish()
 			}
 			d, ok := q.Next(now, 1)
-			for ok && d.Exit != Start {
+			for ok && d.Reason != Start {
 				d, ok = q.Next(now, 1)
 			}
 			if !ok {
@@ -183,7 +183,7 @@
 	for range 2 {
 		d, ok := q.Next(at(0), 1)
 		require.True(t, ok)
-		require.Equal(t, Start, d.Exit)
+		require.Equal(t, Start, d.Reason)
 	}
 	_, ok := q.Next(at(0), 1)
 	require.False(t, ok)
@@ -207,24 +207,24 @@
 		change   func(*Item)
 		slowdown float64
 		now      int
-		want     Exit
+		want     DequeueReason
 	}{
-		"cannot complete before its deadline":                {func(*Item) {}, 1, 960, Hopeless},
-		"cannot complete before its deadline, slow upstream": {func(*Item) {}, 4, 850, Hopeless},
-		"queue timeout has expired":                          {func(i *Item) { i.WaitUntil = at(30) }, 1, 30, Returned},
-		"would complete too late to be useful":               {func(i *Item) { i.UsefulUntil = at(500) }, 1, 401, Overdue},
+		"cannot complete before its deadline":                {func(*Item) {}, 1, 960, DeadlineUnreachable},
+		"cannot complete before its deadline, slow upstream": {func(*Item) {}, 4, 850, DeadlineUnreachable},
+		"queue timeout has expired":                          {func(i *Item) { i.WaitUntil = at(30) }, 1, 30, QueueTimeoutExpired},
+		"would complete too late to be useful":               {func(i *Item) { i.UsefulUntil = at(500) }, 1, 401, TooLate},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := newItem(1, 0, 100, 500)
 			c.change(&i)
 			q := newBusyQueue(i)
-			wakeup := q.Wake(c.slowdown)
+			wakeup := q.NextWakeup(c.slowdown)
 			require.LessOrEqual(t, wakeup, at(c.now), "the queue wakes up in time")
 			_, early := q.Next(wakeup.Add(-2*ms), c.slowdown)
 			require.False(t, early)
 			d, ok := q.Next(at(c.now), c.slowdown)
 			require.True(t, ok)
-			require.Equal(t, Decision{ID: 1, Exit: c.want}, d)
+			require.Equal(t, Decision{ID: 1, Reason: c.want}, d)
 		})
 	}
 }
@@ -238,7 +238,7 @@
 	q.Add(late)
 	d, ok := q.Next(at(200), 1)
 	require.True(t, ok)
-	require.Equal(t, Start, d.Exit)
+	require.Equal(t, Start, d.Reason)
 }
 
 func TestRemove(t *testing.T) {
@@ -248,7 +248,7 @@
 	require.False(t, q.Remove(1))
 	_, ok := q.Next(at(0), 1)
 	require.False(t, ok)
-	require.Zero(t, q.Wake(1))
+	require.Zero(t, q.NextWakeup(1))
 }
 
 // TestEveryRequestLeavesOnce plays random arrivals, ends and removals. No request
@@ -279,7 +279,7 @@
 			case 0:
 				id++
 				serviceTime := rapid.IntRange(1, 200).Draw(t, "work")
-				q.Add(Item{ID: id, Rank: rapid.IntRange(0, 2).Draw(t, "rank"), Work: time.Duration(serviceTime) * ms,
+				q.Add(Item{ID: id, Rank: rapid.IntRange(0, 2).Draw(t, "rank"), ServiceTime: time.Duration(serviceTime) * ms,
 					Arrived: now, Target: now.Add(100 * ms), UsefulUntil: now.Add(200 * ms), Deadline: now.Add(500 * ms)})
 				waiting[id] = true
 			case 1:
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -21,9 +21,9 @@
 	m.load(n)
 	took := m.now.Sub(j.began)
 	it, admission, _ := n.queue.Admit(m.now, slots.Arrival{
-		Rank: j.rank, Urgent: j.rank == 0, Work: m.usual(j), Alternative: alternative,
-		Within: max(j.target-took, 0), Deadline: j.deadline - took,
-	}, slots.Speed{Slow: n.slow})
+		Rank: j.rank, Urgent: j.rank == 0, ServiceTime: m.usual(j), Alternative: alternative,
+		UntilTarget: max(j.target-took, 0), UntilDeadline: j.deadline - took,
+	}, slots.Performance{Slowdown: n.slow})
 	if admission != slots.Admitted {
 		m.giveBack(j, admission == slots.Full)
 		return
@@ -64,14 +64,14 @@
 		}
 		j := n.waiting[d.ID]
 		delete(n.waiting, d.ID)
-		switch d.Exit {
+		switch d.Reason {
 		case slots.Start:
 			m.start(n, j)
-		case slots.Hopeless:
+		case slots.DeadlineUnreachable:
 			m.done(j, n, nil)
 			m.refuse(j)
 		default:
-			m.giveBack(j, d.Exit == slots.Overdue)
+			m.giveBack(j, d.Reason == slots.TooLate)
 		}
 	}
 }
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -49,7 +49,7 @@
 	queue   *slots.Queue
 	// waiters holds a channel for each call in the queue, which receives why the call left
 	// the queue.
-	waiters          map[uint64]chan slots.Exit
+	waiters          map[uint64]chan slots.DequeueReason
 	nextID           uint64
 	wakeTimer        *time.Timer
 	slowdown         float64
@@ -81,7 +81,7 @@
 		opts: o, now: now, metrics: m, service: o.Service,
 		panicked: func(string, string, any) {},
 		queue:    slots.New(1),
-		waiters:  make(map[uint64]chan slots.Exit),
+		waiters:  make(map[uint64]chan slots.DequeueReason),
 		slowdown: 1,
 		attempts: newAttempts(now),
 		crashes:  &crashes{address: o.Addresses.Upstream, now: now, crashed: func(lostRun) {}},
@@ -218,7 +218,7 @@
 
 // enqueue admits a call to the queue and starts it if there is a free slot, or returns
 // the result of its rejection.
-func (g *guard) enqueue(c *Call) (uint64, <-chan slots.Exit, *Answer) {
+func (g *guard) enqueue(c *Call) (uint64, <-chan slots.DequeueReason, *Answer) {
 	id, exit, reject := g.admit(c)
 	if reject != nil {
 		return 0, nil, reject()
@@ -229,7 +229,7 @@
 
 // admit adds a call to the queue, or returns a function that rejects it. The function
 // must be called without holding g.mu.
-func (g *guard) admit(c *Call) (uint64, <-chan slots.Exit, func() *Answer) {
+func (g *guard) admit(c *Call) (uint64, <-chan slots.DequeueReason, func() *Answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cur := g.tracker.Current()
@@ -237,15 +237,15 @@
 		return 0, nil, func() *Answer { return notRun(reason) }
 	}
 	item, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
-		Rank: c.Rank, Kind: c.Kind, Urgent: g.urgent(c.Rank), Work: c.ServiceTime,
-		Within: c.TimeToTarget, Deadline: c.Deadline, Alternative: c.Alternative,
-	}, slots.Speed{Slow: g.currentSlowdown(), Failing: g.failures.At(g.now())})
+		Rank: c.Rank, Kind: c.Kind, Urgent: g.urgent(c.Rank), ServiceTime: c.ServiceTime,
+		UntilTarget: c.TimeToTarget, UntilDeadline: c.Deadline, Alternative: c.Alternative,
+	}, slots.Performance{Slowdown: g.currentSlowdown(), FailureRate: g.failures.At(g.now())})
 	if admission != slots.Admitted {
 		return 0, nil, func() *Answer { return g.rejectionResult(c, admission, expected) }
 	}
 	g.nextID++
 	item.ID = g.nextID
-	exit := make(chan slots.Exit, 1)
+	exit := make(chan slots.DequeueReason, 1)
 	g.waiters[item.ID] = exit
 	g.queue.Add(item)
 	return item.ID, exit, nil
@@ -296,7 +296,7 @@
 }
 
 // waitForStart returns nil when the call may start, or the result if it may not.
-func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, exit <-chan slots.Exit) *Answer {
+func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, exit <-chan slots.DequeueReason) *Answer {
 	select {
 	case e := <-exit:
 		return g.exitResult(c, e)
@@ -311,13 +311,13 @@
 
 // exitResult returns nil if a call left the queue to start, or the result of its
 // rejection.
-func (g *guard) exitResult(c *Call, e slots.Exit) *Answer {
+func (g *guard) exitResult(c *Call, e slots.DequeueReason) *Answer {
 	switch e {
 	case slots.Start:
 		return nil
-	case slots.Hopeless:
+	case slots.DeadlineUnreachable:
 		return notRun(outcome.ReasonDeadline)
-	case slots.Overdue:
+	case slots.TooLate:
 		g.logRejection(c, "overdue", 0)
 		return notRun(outcome.ReasonQueueFull)
 	default:
@@ -354,10 +354,10 @@
 		if !ok {
 			break
 		}
-		g.waiters[d.ID] <- d.Exit
+		g.waiters[d.ID] <- d.Reason
 		delete(g.waiters, d.ID)
 	}
-	if at := g.queue.Wake(slowdown); at != 0 {
+	if at := g.queue.NextWakeup(slowdown); at != 0 {
 		g.wakeTimer.Reset(max(at.Sub(now), time.Millisecond))
 	}
 }
--- a/sidecar/guardstop.go
+++ b/sidecar/guardstop.go
@@ -69,7 +69,7 @@
 func (g *guard) rejectAllWaiting() {
 	for id, exit := range g.waiters {
 		if g.queue.Remove(id) {
-			exit <- slots.Returned
+			exit <- slots.QueueTimeoutExpired
 			delete(g.waiters, id)
 		}
 	}
