--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -47,7 +47,7 @@
 	fleet   *fleet
 	name    string
 	zone    model.AvailabilityZone
-	elector *Roster
+	elector *Elector
 	version int
 	down    bool
 	// A partitioned daemon exchanges no messages with others.
@@ -131,7 +131,7 @@
 	if d.reading {
 		d.checkRead()
 	}
-	if !d.elector.Watching(now) {
+	if !d.elector.UpdateWatching(now) {
 		return
 	}
 	if !d.reading && now >= d.nextReadAt {
@@ -145,12 +145,12 @@
 	if !d.elector.HeartbeatDue(d.fleet.now) {
 		return
 	}
-	reaches := d.elector.Reaches()
-	for _, other := range d.elector.Others() {
+	reaches := d.elector.ReachesStore()
+	for _, other := range d.elector.CellPeers() {
 		to := d.fleet.byName[other]
 		d.heartbeatsSent++
 		d.fleet.send(d, to, func() {
-			to.elector.Heard(to.fleet.now, d.name, reaches)
+			to.elector.RecordHeartbeat(to.fleet.now, d.name, reaches)
 			to.applyVersion(d.version)
 		})
 	}
@@ -179,7 +179,7 @@
 
 // recordStoreCall passes the result of a read to the elector.
 func (d *daemon) recordStoreCall(ok bool) {
-	d.elector.Called(d.fleet.now, ok)
+	d.elector.RecordStoreCall(d.fleet.now, ok)
 	d.sendHeartbeat()
 }
 
@@ -206,7 +206,7 @@
 		return
 	}
 	d.version = version
-	d.elector.News()
+	d.elector.TriggerHeartbeat()
 	d.sendHeartbeat()
 	var members []gossip.Member
 	for _, o := range d.fleet.daemons {
--- a/core/watch/roster.go
+++ b/core/watch/roster.go
@@ -37,9 +37,9 @@
 	reachesStore bool
 }
 
-// Roster decides whether a daemon watches the store, from what it knows about the other
+// Elector decides whether a daemon watches the store, from what it knows about the other
 // watchers of its cell. It is not safe for concurrent use.
-type Roster struct {
+type Elector struct {
 	self string
 	// randFloat returns random numbers from 0 to below 1.
 	randFloat func() float64
@@ -64,10 +64,10 @@
 	lastHeartbeat model.Instant
 }
 
-// New returns the Roster of the daemon with the address self, which starts now.
+// New returns the Elector of the daemon with the address self, which starts now.
 // randFloat returns random numbers from 0 to below 1.
-func New(self string, now model.Instant, randFloat func() float64) *Roster {
-	return &Roster{
+func New(self string, now model.Instant, randFloat func() float64) *Elector {
+	return &Elector{
 		self: self, randFloat: randFloat, cell: []string{self}, wantedWatchers: 1,
 		heartbeats: make(map[string]heartbeat), volunteerFrom: now.Add(heartbeatTimeout),
 	}
@@ -75,7 +75,7 @@
 
 // SetMembers sets the daemons of the local zone that are reachable and not about to stop,
 // including this one, and the number of zones.
-func (r *Roster) SetMembers(zoneMembers []string, zones int) {
+func (r *Elector) SetMembers(zoneMembers []string, zones int) {
 	ordered := slices.Clone(zoneMembers)
 	slices.Sort(ordered)
 	cells := max((len(ordered)+maxCellSize-1)/maxCellSize, 1)
@@ -96,33 +96,33 @@
 	}
 }
 
-// Heard records a heartbeat received from another daemon. reaches tells whether that
+// RecordHeartbeat records a heartbeat received from another daemon. reaches tells whether that
 // daemon reaches the store.
-func (r *Roster) Heard(now model.Instant, from string, reaches bool) {
+func (r *Elector) RecordHeartbeat(now model.Instant, from string, reaches bool) {
 	if from != r.self && slices.Contains(r.cell, from) {
 		r.heartbeats[from] = heartbeat{at: now, reachesStore: reaches}
 	}
 }
 
-// Called records whether a call to the store succeeded. If the result differs from the
+// RecordStoreCall records whether a call to the store succeeded. If the result differs from the
 // last one, the next heartbeat is due at once.
-func (r *Roster) Called(now model.Instant, ok bool) {
+func (r *Elector) RecordStoreCall(now model.Instant, ok bool) {
 	if r.reaches && !ok {
 		r.failingSince = now
 	}
 	if ok != r.reaches {
 		r.reaches = ok
-		r.News()
+		r.TriggerHeartbeat()
 	}
 }
 
-// News makes the next heartbeat due at once. It is called when there is a new version,
+// TriggerHeartbeat makes the next heartbeat due at once. It is called when there is a new version,
 // or when the store has become reachable or unreachable.
-func (r *Roster) News() { r.lastHeartbeat = 0 }
+func (r *Elector) TriggerHeartbeat() { r.lastHeartbeat = 0 }
 
 // HeartbeatDue reports whether a heartbeat is due, and if so records that it is sent
 // now.
-func (r *Roster) HeartbeatDue(now model.Instant) bool {
+func (r *Elector) HeartbeatDue(now model.Instant) bool {
 	if !r.watching || r.lastHeartbeat != 0 && now.Sub(r.lastHeartbeat) < HeartbeatInterval {
 		return false
 	}
@@ -130,9 +130,9 @@
 	return true
 }
 
-// Watching decides whether this daemon watches now, and returns the decision. It must
+// UpdateWatching decides whether this daemon watches now, and returns the decision. It must
 // be called several times a second.
-func (r *Roster) Watching(now model.Instant) bool {
+func (r *Elector) UpdateWatching(now model.Instant) bool {
 	wasWatching := r.watching
 	r.watching = r.shouldWatch(now)
 	if r.watching && !wasWatching {
@@ -144,7 +144,7 @@
 // shouldWatch decides whether this daemon watches the store. A watcher stops when enough
 // daemons before it in the cell reach the store, or when it yields. Apart from the first
 // daemons of the cell, daemons volunteer at random while there are too few watchers.
-func (r *Roster) shouldWatch(now model.Instant) bool {
+func (r *Elector) shouldWatch(now model.Instant) bool {
 	if now < r.yieldUntil {
 		return false
 	}
@@ -169,14 +169,14 @@
 
 // shouldYield reports whether this daemon has tried to reach the store for long enough
 // and there are other daemons that could try.
-func (r *Roster) shouldYield(now model.Instant) bool {
+func (r *Elector) shouldYield(now model.Instant) bool {
 	return !r.reaches && now.Sub(r.failingSince) >= yieldAfter && len(r.cell) > maxConcurrentTries
 }
 
 // countWatchers counts other daemons by their latest heartbeats: others reach the
 // store, of which earlier come before this daemon in the cell, and trying do not reach
 // it.
-func (r *Roster) countWatchers(now model.Instant) (earlier, others, trying int) {
+func (r *Elector) countWatchers(now model.Instant) (earlier, others, trying int) {
 	for address, b := range r.heartbeats {
 		switch {
 		case now.Sub(b.at) >= heartbeatTimeout:
@@ -192,9 +192,9 @@
 	return earlier, others, trying
 }
 
-// Blind reports whether no daemon of the cell, including this one, is known to reach
+// StoreUnreachable reports whether no daemon of the cell, including this one, is known to reach
 // the store.
-func (r *Roster) Blind(now model.Instant) bool {
+func (r *Elector) StoreUnreachable(now model.Instant) bool {
 	if r.watching && r.reaches {
 		return false
 	}
@@ -202,11 +202,11 @@
 	return others == 0
 }
 
-// Reaches reports whether this daemon watches the store and reaches it.
-func (r *Roster) Reaches() bool { return r.watching && r.reaches }
+// ReachesStore reports whether this daemon watches the store and reaches it.
+func (r *Elector) ReachesStore() bool { return r.watching && r.reaches }
 
-// Others returns the other daemons of the cell, to which heartbeats are sent.
-func (r *Roster) Others() []string {
+// CellPeers returns the other daemons of the cell, to which heartbeats are sent.
+func (r *Elector) CellPeers() []string {
 	out := make([]string, 0, len(r.cell))
 	for _, address := range r.cell {
 		if address != r.self {
--- a/core/watch/roster_test.go
+++ b/core/watch/roster_test.go
@@ -116,7 +116,7 @@
 	f.updateMembers()
 	f.advance(maxPropagation)
 	require.True(t, isolated.elector.watching)
-	require.False(t, isolated.elector.Blind(f.now))
+	require.False(t, isolated.elector.StoreUnreachable(f.now))
 	f.version++
 	f.advance(step)
 	require.Equal(t, f.version, isolated.version)
@@ -171,7 +171,7 @@
 	served := f.daemons[len(f.daemons)-1]
 	f.storeServes = func(d *daemon) bool { return d == served }
 	start := f.now
-	for !served.elector.Reaches() {
+	for !served.elector.ReachesStore() {
 		f.advance(step)
 		require.Less(t, f.now.Sub(start), time.Minute)
 	}
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -33,7 +33,7 @@
 	targets gossip.PeerSelector
 
 	mu      sync.Mutex
-	elector *watch.Roster
+	elector *watch.Elector
 	// generation is the peers.generation from which the members of the elector were taken.
 	generation uint64
 	// watchStarted is closed when this daemon starts to watch the store, and replaced when it
@@ -82,7 +82,7 @@
 // Reachable implements Follower.
 func (f *follower) Reachable(ok bool) {
 	f.mu.Lock()
-	f.elector.Called(f.d.now(), ok)
+	f.elector.RecordStoreCall(f.d.now(), ok)
 	f.mu.Unlock()
 	f.sendHeartbeats()
 }
@@ -91,7 +91,7 @@
 // version.
 func (f *follower) announceVersion() {
 	f.mu.Lock()
-	f.elector.News()
+	f.elector.TriggerHeartbeat()
 	f.mu.Unlock()
 	f.sendHeartbeats()
 }
@@ -107,7 +107,7 @@
 func (f *follower) heard(address string, reaches bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.elector.Heard(f.d.now(), address, reaches)
+	f.elector.RecordHeartbeat(f.d.now(), address, reaches)
 }
 
 // watchLoop repeatedly decides whether this daemon watches the store, sends heartbeats, and
@@ -144,7 +144,7 @@
 		f.generation = generation
 		f.elector.SetMembers(addresses, zones)
 	}
-	isWatching := f.elector.Watching(now) && !f.d.stopping.Load()
+	isWatching := f.elector.UpdateWatching(now) && !f.d.stopping.Load()
 	switch {
 	case isWatching && !f.isWatching:
 		close(f.watchStarted)
@@ -153,9 +153,9 @@
 	}
 	if isWatching != f.isWatching {
 		f.isWatching = isWatching
-		f.d.opts.Decisions.Write(decision.StoreWatched, "", slog.Bool("watches", isWatching), slog.Int("cell", len(f.elector.Others())+1))
+		f.d.opts.Decisions.Write(decision.StoreWatched, "", slog.Bool("watches", isWatching), slog.Int("cell", len(f.elector.CellPeers())+1))
 	}
-	unreachable := f.elector.Blind(now)
+	unreachable := f.elector.StoreUnreachable(now)
 	f.recordStoreState(now, unreachable)
 	pollDue = unreachable && now.Sub(f.lastPeerPoll) >= peerPollInterval
 	if pollDue {
@@ -180,7 +180,7 @@
 		f.mu.Unlock()
 		return
 	}
-	reaches, others := f.elector.Reaches(), f.elector.Others()
+	reaches, others := f.elector.ReachesStore(), f.elector.CellPeers()
 	f.mu.Unlock()
 	for _, address := range others {
 		f.d.datagrams.sendHeartbeat(address, reaches)
