--- a/cmd/dottereltillerd/main.go
+++ b/cmd/dottereltillerd/main.go
@@ -111,7 +111,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go obey(signals, stop, d)
-	log.SetOutput(d.LibraryLines())
+	log.SetOutput(d.LibraryLogWriter())
 	return d.Serve(ctx)
 }
 
@@ -143,5 +143,5 @@
 	stop()
 	<-signals
 	signal.Reset(os.Interrupt, syscall.SIGTERM)
-	d.Abandon()
+	d.AbortDrain()
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -178,9 +178,9 @@
 // Close releases a daemon that Serve was never called for.
 func (d *Daemon) Close() { d.release() }
 
-// LibraryLines counts the lines that libraries write to the standard logger and
+// LibraryLogWriter counts the lines that libraries write to the standard logger and
 // drops them: what they tell of is up to the other side of a connection.
-func (d *Daemon) LibraryLines() io.Writer {
+func (d *Daemon) LibraryLogWriter() io.Writer {
 	return lineCounter{d.scope("process").Counter("library_lines")}
 }
 
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -30,9 +30,9 @@
 		e.After.Round(time.Millisecond), e.Callers, e.Calls, e.Keyed)
 }
 
-// Abandon ends a stop that waits for requests in flight. Serve then returns a
+// AbortDrain ends a stop that waits for requests in flight. Serve then returns a
 // *CutError if there were any. Before a stop it makes the stop end at once.
-func (d *Daemon) Abandon() { d.abandonOnce.Do(func() { close(d.abandoned) }) }
+func (d *Daemon) AbortDrain() { d.abandonOnce.Do(func() { close(d.abandoned) }) }
 
 // shutdown takes the daemon out of use: it asks callers and other daemons to go
 // elsewhere while it still serves them, does what is registered in beforeStop,
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -82,7 +82,7 @@
 		require.Fail(t, "the stop did not wait", "%v", err)
 	case <-time.After(200 * time.Millisecond):
 	}
-	dm.Abandon()
+	dm.AbortDrain()
 	var cut *daemon.CutError
 	require.ErrorAs(t, <-done, &cut)
 	require.Equal(t, 1, cut.Callers)
