--- a/decision/count_test.go
+++ b/decision/count_test.go
@@ -19,7 +19,7 @@
 	for range refusals {
 		l.Write(Refused, "r", slog.Int("status", 503), slog.String("reason", "queue-full"))
 	}
-	l.Write(PeerLost, "", slog.String("peer", "p"))
+	l.Write(PeerUnreachable, "", slog.String("peer", "p"))
 	got := map[string]int64{}
 	for _, c := range scope.Snapshot().Counters() {
 		got[c.Tags()["kind"]+" "+c.Tags()["reason"]] = c.Value()
--- a/decision/kinds.go
+++ b/decision/kinds.go
@@ -18,46 +18,46 @@
 
 // The kinds.
 const (
-	Answered        Kind = "request answered"
-	Refused         Kind = "request refused"
-	Failed          Kind = "request failed"
-	Aborted         Kind = "request aborted"
-	Resent          Kind = "request sent again"
-	Hedged          Kind = "request hedged"
-	GivenBack       Kind = "request given back"
-	Withdrawn       Kind = "request withdrawn"
-	Ran             Kind = "request ran"
-	RunFailed       Kind = "run failed"
-	Suspected       Kind = "request suspected"
-	UpstreamState   Kind = "upstream state"
-	UpstreamFailing Kind = "upstream failing"
-	UpstreamTrusted Kind = "upstream trusted"
-	ReportRefused   Kind = "report refused"
-	PeerState       Kind = "peer state"
-	PeersLearned    Kind = "peers learned"
-	PeerLost        Kind = "peer lost"
-	PeerRegained    Kind = "peer regained"
-	ConfigInForce   Kind = "configuration in force"
-	ConfigRefused   Kind = "configuration refused"
-	StoreLost       Kind = "store lost"
-	StoreRegained   Kind = "store regained"
-	StoreWatched    Kind = "store watched"
-	RecordRefused   Kind = "record refused"
-	Started         Kind = "daemon started"
-	Stopping        Kind = "daemon stopping"
-	Stopped         Kind = "daemon stopped"
-	Reloaded        Kind = "settings reloaded"
-	ReloadRefused   Kind = "settings refused"
-	LinesDropped    Kind = "lines dropped"
-	AnnounceFailed  Kind = "announcement failed"
+	Answered          Kind = "request answered"
+	Refused           Kind = "request refused"
+	Failed            Kind = "request failed"
+	Aborted           Kind = "request aborted"
+	Retried           Kind = "request sent again"
+	Hedged            Kind = "request hedged"
+	Rejected          Kind = "request given back"
+	Withdrawn         Kind = "request withdrawn"
+	Ran               Kind = "request ran"
+	RunFailed         Kind = "run failed"
+	Suspected         Kind = "request suspected"
+	UpstreamState     Kind = "upstream state"
+	UpstreamFailing   Kind = "upstream failing"
+	UpstreamRecovered Kind = "upstream trusted"
+	ReportRefused     Kind = "report refused"
+	PeerState         Kind = "peer state"
+	PeersLearned      Kind = "peers learned"
+	PeerUnreachable   Kind = "peer lost"
+	PeerReachable     Kind = "peer regained"
+	ConfigInForce     Kind = "configuration in force"
+	ConfigRefused     Kind = "configuration refused"
+	StoreUnreachable  Kind = "store lost"
+	StoreReachable    Kind = "store regained"
+	StoreWatched      Kind = "store watched"
+	RecordRefused     Kind = "record refused"
+	Started           Kind = "daemon started"
+	Stopping          Kind = "daemon stopping"
+	Stopped           Kind = "daemon stopped"
+	Reloaded          Kind = "settings reloaded"
+	ReloadRefused     Kind = "settings refused"
+	LinesDropped      Kind = "lines dropped"
+	AnnounceFailed    Kind = "announcement failed"
 )
 
 // Declaration tells what lines of a kind hold.
 type Declaration struct {
 	Kind  Kind
 	Class Class
-	// Tells is one sentence for the page on logs.
-	Tells string
+	// Description is one sentence for the page on logs.
+	Description string
 	// Fields are the names of the line's attributes besides time, level and
 	// request.
 	Fields []string
@@ -79,25 +79,25 @@
 		{Refused, Trouble, "The entry refused a request that has not run.", endFields},
 		{Failed, Trouble, "The entry answered with a failure of its own; the request may have run.", endFields},
 		{Aborted, State, "What served a request panicked. Where it was a handler, of callers or peers, the connection was closed without an answer.", []string{"part", "error", "stack"}},
-		{Resent, Trouble, "The entry sent a request to another upstream after an attempt ended.", []string{"service", "upstream", "reason", "sends", "budget_left"}},
+		{Retried, Trouble, "The entry sent a request to another upstream after an attempt ended.", []string{"service", "upstream", "reason", "sends", "budget_left"}},
 		{Hedged, Trouble, "The entry sent an idempotent request to a second upstream while the first was at work.", []string{"service", "upstream", "instead_of", "waited_ms", "expected_ms", "budget_left"}},
-		{GivenBack, Trouble, "The guard gave a request back before it ran.", []string{"reason", "expected_ms", "alternative_ms", "slow", "slow_age_ms", "running", "waiting", "limit"}},
+		{Rejected, Trouble, "The guard gave a request back before it ran.", []string{"reason", "expected_ms", "alternative_ms", "slow", "slow_age_ms", "running", "waiting", "limit"}},
 		{Withdrawn, Trouble, "The entry asked a guard over a new connection what became of a request.", []string{"upstream", "result"}},
 		{Ran, Plain, "The guard had the upstream run a request.", []string{"upstream", "status", "ran_ms", "waited_ms", "slow", "running"}},
 		{RunFailed, Trouble, "An upstream was sent a request and gave no whole answer, or a failure.", []string{"upstream", "outcome", "reason", "status", "ran_ms", "error", "idempotent"}},
 		{Suspected, State, "The upstream crashed while it ran a request. One that ran in several crashes is refused.", []string{"upstream", "born", "fingerprint"}},
 		{UpstreamState, State, "The upstream of this VM changed its state.", []string{"upstream", "born", "sequence", "state", "cause"}},
 		{UpstreamFailing, State, "The upstream of this VM fails most requests, so that others are preferred.", []string{"upstream", "failing"}},
-		{UpstreamTrusted, State, "It no longer does.", []string{"upstream", "failing"}},
+		{UpstreamRecovered, State, "It no longer does.", []string{"upstream", "failing"}},
 		{ReportRefused, State, "A report of an upstream could not be used.", []string{"upstream", "error"}},
 		{PeerState, State, "The upstream of another daemon changed its state.", []string{"peer", "upstream", "born", "state", "stopping"}},
 		{PeersLearned, State, "Many upstreams of other daemons became known as ready within a second; those in `learned` have no line of their own. Of the daemons in `missing`, 16 at most, no upstream is known yet.", []string{"learned", "ready", "peers", "unheard", "missing"}},
-		{PeerLost, State, "Another daemon could not be reached.", []string{"peer", "error"}},
-		{PeerRegained, State, "Another daemon was reached again.", []string{"peer"}},
+		{PeerUnreachable, State, "Another daemon could not be reached.", []string{"peer", "error"}},
+		{PeerReachable, State, "Another daemon was reached again.", []string{"peer"}},
 		{ConfigInForce, State, "A version of the configuration came into force.", []string{"version", "previous", "routes", "from"}},
 		{ConfigRefused, State, "A configuration was passed over.", []string{"version", "in_force", "from", "error"}},
-		{StoreLost, State, "The store could not be reached or refused.", []string{"call", "error"}},
-		{StoreRegained, State, "The store answered again.", []string{"call", "away_ms"}},
+		{StoreUnreachable, State, "The store could not be reached or refused.", []string{"call", "error"}},
+		{StoreReachable, State, "The store answered again.", []string{"call", "away_ms"}},
 		{StoreWatched, State, "This daemon began or ended to watch the store for the daemons of its cell.", []string{"watches", "cell"}},
 		{RecordRefused, State, "A record of the store could not be read.", []string{"topic", "key", "error"}},
 		{Started, State, "The daemon started.", []string{"address", "zone", "service", "incarnation", "version"}},
--- a/decision/log.go
+++ b/decision/log.go
@@ -95,9 +95,9 @@
 	return l
 }
 
-// Keeps reports whether plain lines of a request are kept, so that the work of
+// Sampled reports whether plain lines of a request are kept, so that the work of
 // making them can be left out.
-func (l *Log) Keeps(request string) bool {
+func (l *Log) Sampled(request string) bool {
 	if l == nil {
 		return false
 	}
@@ -114,7 +114,7 @@
 	}
 	l.counts.add(k, attrs)
 	class := l.classes[k]
-	if class == Plain && !l.Keeps(request) {
+	if class == Plain && !l.Sampled(request) {
 		return
 	}
 	l.mu.Lock()
--- a/decision/log_test.go
+++ b/decision/log_test.go
@@ -74,8 +74,8 @@
 	kept := 0
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
-		require.Equal(t, l.Keeps(id), other.Keeps(id), "all daemons keep the same requests")
-		if l.Keeps(id) {
+		require.Equal(t, l.Sampled(id), other.Sampled(id), "all daemons keep the same requests")
+		if l.Sampled(id) {
 			kept++
 		}
 		l.Write(Answered, id)
@@ -131,7 +131,7 @@
 	var none *Log
 	none.Write(Answered, "x")
 	none.Close(0)
-	require.False(t, none.Keeps("x"))
+	require.False(t, none.Sampled("x"))
 	l, s, _ := newLog(Options{})
 	l.Write(Started, "")
 	l.Close(time.Second)
@@ -151,7 +151,7 @@
 	for _, d := range Declarations() {
 		require.False(t, seen[d.Kind], d.Kind)
 		seen[d.Kind] = true
-		require.NotEmpty(t, d.Tells)
+		require.NotEmpty(t, d.Description)
 		require.NotEmpty(t, d.Fields)
 	}
 	var code strings.Builder
--- a/decision/page.go
+++ b/decision/page.go
@@ -17,7 +17,7 @@
 	var b strings.Builder
 	b.WriteString("| `msg` | tells | fields | kept |\n|---|---|---|---|\n")
 	for _, d := range Declarations() {
-		fmt.Fprintf(&b, "| %s | %s | `%s` | %s |\n", d.Kind, d.Tells, strings.Join(d.Fields, "`, `"), classes[d.Class])
+		fmt.Fprintf(&b, "| %s | %s | `%s` | %s |\n", d.Kind, d.Description, strings.Join(d.Fields, "`, `"), classes[d.Class])
 	}
 	return b.String()
 }
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -247,7 +247,7 @@
 
 // logOutcome logs the outcome of a request. Of the answered ones, only a sample is logged.
 func (e *entry) logOutcome(k decision.Kind, req *request, routeName string, a *Answer, status int, took time.Duration) {
-	if k == decision.Answered && !req.connectionClosed() && !e.daemon.opts.Decisions.Keeps(req.id) {
+	if k == decision.Answered && !req.connectionClosed() && !e.daemon.opts.Decisions.Sampled(req.id) {
 		return
 	}
 	e.daemon.opts.Decisions.Write(k, req.id,
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -332,7 +332,7 @@
 	t.charge = charge
 	if r.deliveredCount > 0 {
 		r.e.daemon.metrics.resent.Inc(1)
-		r.logDecision(decision.Resent, t, slog.String("reason", string(previousReason)))
+		r.logDecision(decision.Retried, t, slog.String("reason", string(previousReason)))
 	}
 	r.startAttempt(t)
 	return nil
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -288,7 +288,7 @@
 	slowdown, age := g.currentSlowdown(), g.now().Sub(g.slowdownAt)
 	running, waiting, limit := g.queue.Running(), g.queue.Waiting(), g.queue.Limit()
 	g.mu.Unlock()
-	g.opts.Decisions.Write(decision.GivenBack, c.ID,
+	g.opts.Decisions.Write(decision.Rejected, c.ID,
 		slog.String("reason", reason), slog.Int64("expected_ms", expected.Milliseconds()),
 		slog.Int64("alternative_ms", c.Alternative.Milliseconds()), slog.Float64("slow", slowdown),
 		slog.Int64("slow_age_ms", age.Milliseconds()), slog.Int("running", running),
--- a/sidecar/health_test.go
+++ b/sidecar/health_test.go
@@ -79,6 +79,6 @@
 	run(http.StatusOK, 50)
 	decisions.Close(time.Second)
 	require.Equal(t, 1, strings.Count(out.String(), string(decision.UpstreamFailing)))
-	require.Equal(t, 1, strings.Count(out.String(), string(decision.UpstreamTrusted)))
-	require.Less(t, strings.Index(out.String(), string(decision.UpstreamFailing)), strings.Index(out.String(), string(decision.UpstreamTrusted)))
+	require.Equal(t, 1, strings.Count(out.String(), string(decision.UpstreamRecovered)))
+	require.Less(t, strings.Index(out.String(), string(decision.UpstreamFailing)), strings.Index(out.String(), string(decision.UpstreamRecovered)))
 }
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -58,7 +58,7 @@
 func (p *peers) lose(other *peer, err error) {
 	other.lost, other.lostAt = true, p.now()
 	p.generation++
-	p.decisions.Write(decision.PeerLost, "", slog.String("peer", other.record.Address), slog.String("error", err.Error()))
+	p.decisions.Write(decision.PeerUnreachable, "", slog.String("peer", other.record.Address), slog.String("error", err.Error()))
 }
 
 // regain marks a peer as reachable again. p.mu is held.
@@ -69,5 +69,5 @@
 	other.lost = false
 	p.generation++
 	p.regained()
-	p.decisions.Write(decision.PeerRegained, "", slog.String("peer", other.record.Address))
+	p.decisions.Write(decision.PeerReachable, "", slog.String("peer", other.record.Address))
 }
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -208,7 +208,7 @@
 	case !g.failingLogged && rate >= failingRate:
 		g.logFailing(decision.UpstreamFailing, rate)
 	case g.failingLogged && rate <= recoveredRate:
-		g.logFailing(decision.UpstreamTrusted, rate)
+		g.logFailing(decision.UpstreamRecovered, rate)
 	}
 }
 
@@ -222,7 +222,7 @@
 func (g *guard) logRun(c *Call, a *Answer, err error, waited, duration time.Duration, running int) {
 	attrs := []slog.Attr{slog.String("upstream", string(c.Upstream.ID)), slog.Int("status", a.Status), slog.Int64("ran_ms", duration.Milliseconds())}
 	if a.Outcome.Kind == outcome.Answered && a.Status < http.StatusInternalServerError {
-		if g.opts.Decisions.Keeps(c.ID) {
+		if g.opts.Decisions.Sampled(c.ID) {
 			g.mu.Lock()
 			slowdown := g.slowdown
 			g.mu.Unlock()
--- a/why/story.go
+++ b/why/story.go
@@ -100,8 +100,8 @@
 	switch decision.Kind(l.Kind) {
 	case decision.UpstreamState, decision.PeerState:
 		return upstreams[upstreamOf(l.Get("upstream"))]
-	case decision.ConfigInForce, decision.ConfigRefused, decision.StoreLost, decision.StoreRegained, decision.Started,
-		decision.Stopping, decision.Stopped, decision.Reloaded, decision.PeersLearned, decision.PeerLost, decision.PeerRegained, decision.LinesDropped:
+	case decision.ConfigInForce, decision.ConfigRefused, decision.StoreUnreachable, decision.StoreReachable, decision.Started,
+		decision.Stopping, decision.Stopped, decision.Reloaded, decision.PeersLearned, decision.PeerUnreachable, decision.PeerReachable, decision.LinesDropped:
 		return daemons[l.Daemon]
 	default:
 		return false
