--- a/delta/delta.go
+++ b/delta/delta.go
@@ -12,8 +12,8 @@
 // ErrTooLarge is returned for deltas of a document that is larger than the bound.
 var ErrTooLarge = errors.New("delta: the document is too large")
 
-// Of returns the delta that turns base into target. An empty base gives target compressed.
-func Of(base, target []byte) ([]byte, error) {
+// Encode returns the delta that turns base into target. An empty base gives target compressed.
+func Encode(base, target []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithEncoderConcurrency(1),
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -44,7 +44,7 @@
 		"a document of one byte": {[]byte("a"), []byte("b"), 100},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, err := Of(c.base, c.target)
+			d, err := Encode(c.base, c.target)
 			require.NoError(t, err)
 			require.LessOrEqual(t, len(d), c.atMost, "document of %d bytes", len(c.target))
 			got, err := Apply(c.base, d, most)
@@ -57,7 +57,7 @@
 // TestAnotherBaseIsAnError has the receiver hold something else than the sender thought.
 func TestAnotherBaseIsAnError(t *testing.T) {
 	base, target := routes(1, 100, nil), routes(2, 100, nil)
-	d, err := Of(base, target)
+	d, err := Encode(base, target)
 	require.NoError(t, err)
 	for name, other := range map[string][]byte{
 		"another version": routes(3, 100, nil),
@@ -70,7 +70,7 @@
 
 func TestDocumentsAreBounded(t *testing.T) {
 	base := routes(1, 100, nil)
-	d, err := Of(base, bytes.Repeat([]byte("a"), 100_000))
+	d, err := Encode(base, bytes.Repeat([]byte("a"), 100_000))
 	require.NoError(t, err)
 	_, err = Apply(base, d, 50_000)
 	require.ErrorIs(t, err, ErrTooLarge)
@@ -79,7 +79,7 @@
 // TestWhateverIsReceived never gives a document that differs from the sender's.
 func TestWhateverIsReceived(t *testing.T) {
 	base, target := routes(1, 50, nil), routes(2, 50, map[int]string{3: "other"})
-	d, err := Of(base, target)
+	d, err := Encode(base, target)
 	require.NoError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
 		received := bytes.Clone(d)
@@ -98,13 +98,13 @@
 	for _, n := range []int{120, 1600} {
 		base, target := routes(1, n, nil), routes(2, n, map[int]string{n / 2: "other"})
 		for name, from := range map[string][]byte{"change": base, "whole": nil} {
-			d, err := Of(from, target)
+			d, err := Encode(from, target)
 			require.NoError(b, err)
 			size := fmt.Sprintf("%s of %d B in %d B", name, len(target), len(d))
 			b.Run("of/"+size, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					_, _ = Of(from, target)
+					_, _ = Encode(from, target)
 				}
 			})
 			b.Run("apply/"+size, func(b *testing.B) {
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -108,7 +108,7 @@
 	if d, ok := newest.deltas[version]; ok {
 		return d, nil
 	}
-	d, err := delta.Of(base, newest.raw)
+	d, err := delta.Encode(base, newest.raw)
 	if err != nil {
 		return nil, err
 	}
