--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -27,7 +27,7 @@
 	d.Owner = owner.New(owner.Options{
 		Self:       d.ID(),
 		Log:        d.Log,
-		Run:        func(ctx context.Context, c *wire.Call) *wire.Answer { return d.Entry.Run(ctx, c) },
+		Run:        func(ctx context.Context, c *wire.Call) *wire.Answer { return d.Entry.ForwardKeyed(ctx, c) },
 		Candidates: d.owners,
 		Client:     client,
 		Secret:     d.settings.Peers.Secret,
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -18,8 +18,8 @@
 		ZoneDelay: d.settings.Routing.Delays(),
 		Seed:      uint64(time.Now().UnixNano()),
 	})
-	r.Follow(d.routingPolicy)
-	r.CountTo(d.scope("routing"))
+	r.SetPolicySource(d.routingPolicy)
+	r.SetMetricsScope(d.scope("routing"))
 	return r
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -50,8 +50,8 @@
 	Scope tally.Scope
 	// Keyed forwards non-idempotent requests with an idempotency key. Nil means
 	// that they are refused.
-	Keyed Keyed
-	// MaxKeyedBody bounds the bodies of requests that are passed to Keyed, in
+	Keyed KeyedForwarder
+	// MaxKeyedBody bounds the bodies of requests that are passed to KeyedForwarder, in
 	// bytes. These bodies are buffered. Default: 256 KiB.
 	MaxKeyedBody int64
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -13,10 +13,10 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Keyed forwards non-idempotent calls that have an idempotency key to the daemon
+// KeyedForwarder forwards non-idempotent calls that have an idempotency key to the daemon
 // that owns the key. The body is passed separately from the call, since it may
 // have to be sent more than once.
-type Keyed interface {
+type KeyedForwarder interface {
 	Do(ctx context.Context, c *wire.Call, body []byte) *wire.Answer
 }
 
@@ -83,9 +83,9 @@
 	return &body{data: data, length: int64(len(data))}, err
 }
 
-// Run forwards a call to an upstream as if its caller had sent it to this entry.
+// ForwardKeyed forwards a call to an upstream as if its caller had sent it to this entry.
 // This daemon must own the idempotency key of the call and have claimed it.
-func (e *Entry) Run(ctx context.Context, c *wire.Call) *wire.Answer {
+func (e *Entry) ForwardKeyed(ctx context.Context, c *wire.Call) *wire.Answer {
 	inForce := e.opts.Config()
 	if inForce == nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNotReady))
--- a/entry/remote.go
+++ b/entry/remote.go
@@ -15,9 +15,9 @@
 	Client *hop.Client
 	// Secret authenticates this daemon to the others.
 	Secret string
-	// Unreachable is called with the ID of a daemon when a call to it failed
+	// OnUnreachable is called with the ID of a daemon when a call to it failed
 	// before the call's context ended. It may be nil.
-	Unreachable func(model.DaemonID)
+	OnUnreachable func(model.DaemonID)
 }
 
 // To returns the Forwarder to the guard of a daemon.
@@ -44,8 +44,8 @@
 		ContentLength: c.ContentLength,
 	})
 	if err != nil {
-		if g.remote.Unreachable != nil && ctx.Err() == nil {
-			g.remote.Unreachable(g.daemon)
+		if g.remote.OnUnreachable != nil && ctx.Err() == nil {
+			g.remote.OnUnreachable(g.daemon)
 		}
 		return wire.NoAnswer(o)
 	}
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -55,13 +55,13 @@
 	}
 }
 
-// Follow sets the function that returns the name of a service's routing policy;
+// SetPolicySource sets the function that returns the name of a service's routing policy;
 // an empty name means the default. It must be called before the first request.
-func (r *Routers) Follow(policyOf func(model.ServiceName) string) { r.policyOf = policyOf }
+func (r *Routers) SetPolicySource(policyOf func(model.ServiceName) string) { r.policyOf = policyOf }
 
-// CountTo sets the scope of the routing metrics. It must be called before the
+// SetMetricsScope sets the scope of the routing metrics. It must be called before the
 // first request.
-func (r *Routers) CountTo(scope tally.Scope) { r.scope = scope }
+func (r *Routers) SetMetricsScope(scope tally.Scope) { r.scope = scope }
 
 // Place chooses the upstream for a request that guards have rejected the given
 // number of times. See routing.Router.Place.
--- a/entry/routers_test.go
+++ b/entry/routers_test.go
@@ -17,9 +17,9 @@
 	}
 	name := routing.RoundRobin
 	r := NewRouters(view, func() model.Instant { return 0 }, routing.Options{Seed: 1})
-	r.Follow(func(model.ServiceName) string { return name })
+	r.SetPolicySource(func(model.ServiceName) string { return name })
 	scope := tally.NewTestScope("", nil)
-	r.CountTo(scope)
+	r.SetMetricsScope(scope)
 	place := func() model.Upstream {
 		c, ok := r.Place(model.Request{Service: "s"}, nil, 0)
 		assert.True(t, ok)
