--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -38,7 +38,7 @@
 		s.Gauge("limit").Update(float64(l.Limit))
 		s.Gauge("failing").Update(float64(l.FailureRate))
 	}
-	for id, spent := range g.daemon.Guard.Measured() {
+	for id, spent := range g.daemon.Guard.MeasuringSlotTime() {
 		s := g.scope.SubScope("guard").Tagged(map[string]string{"upstream": string(id)})
 		s.Gauge("measuring_seconds").Update(spent.Seconds())
 	}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -105,7 +105,7 @@
 func measured(c *local.Deployment) map[model.UpstreamID]time.Duration {
 	all := make(map[model.UpstreamID]time.Duration)
 	for _, n := range c.Nodes {
-		maps.Copy(all, n.Daemon.Guard.Measured())
+		maps.Copy(all, n.Daemon.Guard.MeasuringSlotTime())
 	}
 	return all
 }
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Measured returns for each upstream the slot time that polling its load reports
+// MeasuringSlotTime returns for each upstream the slot time that polling its load reports
 // has taken.
-func (g *Guard) Measured() map[model.UpstreamID]time.Duration {
+func (g *Guard) MeasuringSlotTime() map[model.UpstreamID]time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	slotTime := make(map[model.UpstreamID]time.Duration, len(g.upstreams))
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -81,7 +81,7 @@
 			result, hits, g := pollOnce(t, tc.budget, tc.status, tc.body)
 			assert.Equal(t, tc.want, result)
 			assert.Equal(t, tc.hits, hits)
-			slotTime := g.Measured()["s-1"]
+			slotTime := g.MeasuringSlotTime()["s-1"]
 			assert.Equal(t, tc.hits > 0, slotTime > 0)
 			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "at most one burst of the budget")
 			assert.Zero(t, g.Loads("s")["s-1"].Running, "a report that the observed load does not support adds no running requests")
