--- a/guard/guard.go
+++ b/guard/guard.go
@@ -58,7 +58,7 @@
 	}
 	return &Guard{
 		opts:      opts,
-		client:    hop.New(opts.Hop),
+		client:    hop.NewClient(opts.Hop),
 		poller:    newPoller(opts.Scope),
 		calls:     telemetry.NewOutcomeCounter(opts.Scope, "calls"),
 		upstreams: make(map[model.UpstreamID]*upstreamProxy),
--- a/hop/client.go
+++ b/hop/client.go
@@ -18,8 +18,8 @@
 type Options struct {
 	// MaxConns bounds the connections to one address. Default: 256.
 	MaxConns int
-	// MaxIdle bounds the idle connections to one address. Default: 32.
-	MaxIdle int
+	// MaxIdleConns bounds the idle connections to one address. Default: 32.
+	MaxIdleConns int
 	// IdleTimeout closes idle connections. It should be shorter than the
 	// timeout of the other side. Default: 30s.
 	IdleTimeout time.Duration
@@ -48,8 +48,8 @@
 	careless bool
 }
 
-// New returns a Client.
-func New(o Options) *Client {
+// NewClient returns a Client.
+func NewClient(o Options) *Client {
 	o = o.withDefaults()
 	t := &http.Transport{
 		Proxy: nil,
@@ -62,7 +62,7 @@
 		},
 		DisableCompression:     true,
 		MaxConnsPerHost:        o.MaxConns,
-		MaxIdleConnsPerHost:    o.MaxIdle,
+		MaxIdleConnsPerHost:    o.MaxIdleConns,
 		IdleConnTimeout:        o.IdleTimeout,
 		MaxResponseHeaderBytes: o.MaxHeaderBytes,
 		ReadBufferSize:         bufferBytes,
@@ -75,8 +75,8 @@
 	if o.MaxConns <= 0 {
 		o.MaxConns = defaultMaxConns
 	}
-	if o.MaxIdle <= 0 {
-		o.MaxIdle = defaultMaxIdle
+	if o.MaxIdleConns <= 0 {
+		o.MaxIdleConns = defaultMaxIdle
 	}
 	if o.IdleTimeout <= 0 {
 		o.IdleTimeout = defaultIdleTimeout
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -12,47 +12,47 @@
 	"time"
 )
 
-// Exchange is one request whose body is at hand, and the conditions under which
+// PoolRequest is one request whose body is at hand, and the conditions under which
 // an answer to it counts.
-type Exchange struct {
+type PoolRequest struct {
 	Method string
 	// Target is the request target in origin form, sent byte for byte.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle is how long a kept connection may have been idle to be used. Zero
+	// MaxIdleTime is how long a kept connection may have been idle to be used. Zero
 	// means that any kept connection will do; negative asks for a new one.
-	MaxIdle time.Duration
+	MaxIdleTime time.Duration
 	// Accept reports whether a response belongs to this request. Others are read
 	// to their end and passed over. Nil accepts any.
 	Accept func(*http.Response) bool
-	// Informed, if set, is called for each informational response.
-	Informed func()
+	// OnInformational, if set, is called for each informational response.
+	OnInformational func()
 }
 
-// Reply is a whole response.
-type Reply struct {
+// PoolResponse is a whole response.
+type PoolResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// LostError tells how far an exchange without a whole response had come.
-type LostError struct {
+// RequestError tells how far an exchange without a whole response had come.
+type RequestError struct {
 	// Sent tells that bytes of the request may have reached the other side.
 	Sent bool
-	// Begun tells that a response to the request had begun.
-	Begun bool
+	// ResponseStarted tells that a response to the request had begun.
+	ResponseStarted bool
 	// Reused tells that the connection had served a request before.
 	Reused bool
 	Err    error
 }
 
 // Error tells how far the exchange had come, and the cause.
-func (e *LostError) Error() string {
+func (e *RequestError) Error() string {
 	switch {
-	case e.Begun:
+	case e.ResponseStarted:
 		return fmt.Sprintf("response broke off: %v", e.Err)
 	case e.Sent:
 		return fmt.Sprintf("no response: %v", e.Err)
@@ -62,7 +62,7 @@
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Err }
+func (e *RequestError) Unwrap() error { return e.Err }
 
 const (
 	// maxReply bounds a response body held in memory, in bytes.
@@ -84,7 +84,7 @@
 )
 
 // head returns the request line and headers.
-func (x *Exchange) head() []byte {
+func (x *PoolRequest) head() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", x.Method, x.Target, x.Host)
 	for name, values := range x.Header {
@@ -103,10 +103,10 @@
 }
 
 // exchange sends a request on a connection and reads its response.
-func (l *link) exchange(ctx context.Context, x *Exchange) (*Reply, error) {
+func (l *link) exchange(ctx context.Context, x *PoolRequest) (*PoolResponse, error) {
 	stop := context.AfterFunc(ctx, func() { l.close() })
 	defer stop()
-	lost := &LostError{Reused: l.uses > 0}
+	lost := &RequestError{Reused: l.uses > 0}
 	l.uses++
 	wrote, err := l.send(x)
 	lost.Sent = l.written
@@ -130,7 +130,7 @@
 	return reply, nil
 }
 
-func (e *LostError) because(ctx context.Context, err error) error {
+func (e *RequestError) because(ctx context.Context, err error) error {
 	e.Err = err
 	if ctx.Err() != nil {
 		e.Err = ctx.Err()
@@ -139,7 +139,7 @@
 }
 
 // send writes the request. The channel yields one value when it is all written.
-func (l *link) send(x *Exchange) (<-chan error, error) {
+func (l *link) send(x *PoolRequest) (<-chan error, error) {
 	wrote := make(chan error, 1)
 	head := x.head()
 	if len(x.Body) <= inlineBody {
@@ -164,21 +164,21 @@
 }
 
 // receive reads responses until one belongs to the request.
-func (l *link) receive(x *Exchange, lost *LostError) (*Reply, error) {
+func (l *link) receive(x *PoolRequest, lost *RequestError) (*PoolResponse, error) {
 	for range maxStray {
 		resp, err := l.readResponse(x)
 		if err != nil {
 			return nil, err
 		}
 		mine := x.Accept == nil || x.Accept(resp)
-		lost.Begun = mine
+		lost.ResponseStarted = mine
 		body, err := readBody(resp)
 		if err != nil {
 			return nil, err
 		}
 		l.keep(resp)
 		if mine {
-			return &Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+			return &PoolResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 		}
 		l.strayed = true
 		if !l.reusable {
@@ -189,7 +189,7 @@
 }
 
 // readResponse reads the head of the next final response.
-func (l *link) readResponse(x *Exchange) (*http.Response, error) {
+func (l *link) readResponse(x *PoolRequest) (*http.Response, error) {
 	defer l.heads.lift()
 	for {
 		l.heads.bound(defaultMaxHeaderBytes)
@@ -200,8 +200,8 @@
 		if resp.StatusCode == http.StatusSwitchingProtocols || resp.StatusCode >= http.StatusOK {
 			return resp, nil
 		}
-		if x.Informed != nil {
-			x.Informed()
+		if x.OnInformational != nil {
+			x.OnInformational()
 		}
 	}
 }
--- a/hop/once_test.go
+++ b/hop/once_test.go
@@ -109,7 +109,7 @@
 		for _, method := range methods {
 			for _, body := range [][]byte{nil, []byte("two parcels")} {
 				t.Run(fmt.Sprintf("%s/%s/%d bytes", name, method, len(body)), func(t *testing.T) {
-					c := New(Options{})
+					c := NewClient(Options{})
 					defer c.CloseIdle()
 					read := sendDropped(t, c, drop, method, body)
 					require.Len(t, read, 1)
@@ -130,7 +130,7 @@
 	for _, method := range methods {
 		for _, body := range [][]byte{nil, []byte("two parcels")} {
 			t.Run(fmt.Sprintf("%s/%d bytes", method, len(body)), func(t *testing.T) {
-				c := New(Options{})
+				c := NewClient(Options{})
 				defer c.CloseIdle()
 				c.careless = true
 				require.Greater(t, len(sendDropped(t, c, drops["closed"], method, body)), 1)
@@ -153,7 +153,7 @@
 		"RELEASE":         {},
 	} {
 		t.Run(method, func(t *testing.T) {
-			c := New(Options{})
+			c := NewClient(Options{})
 			defer c.CloseIdle()
 			read := sendDropped(t, c, drops["closed"], method, nil)
 			require.Len(t, read, 1)
@@ -164,7 +164,7 @@
 }
 
 func TestMethodsThatAreNotSentOn(t *testing.T) {
-	c := New(Options{})
+	c := NewClient(Options{})
 	for _, method := range []string{http.MethodTrace, http.MethodConnect} {
 		_, o, err := c.Do(t.Context(), Request{Address: "127.0.0.1:1", Method: method, Target: "/"})
 		require.ErrorIs(t, err, ErrMethod)
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -16,16 +16,16 @@
 type PoolOptions struct {
 	// DialTimeout bounds connecting. Default: 1s.
 	DialTimeout time.Duration
-	// IdleLimit closes kept connections that were idle for so long, where the
+	// IdleTimeout closes kept connections that were idle for so long, where the
 	// other side states nothing shorter. Default: 8s.
-	IdleLimit time.Duration
-	// Silence is how long sent bytes may stay without acknowledgement before
+	IdleTimeout time.Duration
+	// TCPUserTimeout is how long sent bytes may stay without acknowledgement before
 	// the connection counts as lost. Default: 1500ms.
-	Silence time.Duration
+	TCPUserTimeout time.Duration
 	// MaxConns bounds the open connections. Zero means no bound.
 	MaxConns int
-	// Dialed, if set, is called for each new connection.
-	Dialed func()
+	// OnDial, if set, is called for each new connection.
+	OnDial func()
 }
 
 const (
@@ -60,13 +60,13 @@
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = defaultDialTimeout
 	}
-	if o.IdleLimit <= 0 {
-		o.IdleLimit = defaultPoolIdle
+	if o.IdleTimeout <= 0 {
+		o.IdleTimeout = defaultPoolIdle
 	}
-	if o.Silence <= 0 {
-		o.Silence = defaultSilence
+	if o.TCPUserTimeout <= 0 {
+		o.TCPUserTimeout = defaultSilence
 	}
-	return &Pool{address: address, opts: o, dialer: Dialer(o.DialTimeout, o.Silence)}
+	return &Pool{address: address, opts: o, dialer: Dialer(o.DialTimeout, o.TCPUserTimeout)}
 }
 
 // Dialer returns a dialer whose connections notice within a bounded time that
@@ -87,11 +87,11 @@
 }
 
 // Do sends an exchange once and returns the whole response. The error is a
-// *LostError.
-func (p *Pool) Do(ctx context.Context, x Exchange) (*Reply, error) {
-	l, err := p.take(ctx, x.MaxIdle)
+// *RequestError.
+func (p *Pool) Do(ctx context.Context, x PoolRequest) (*PoolResponse, error) {
+	l, err := p.take(ctx, x.MaxIdleTime)
 	if err != nil {
-		return nil, &LostError{Err: err}
+		return nil, &RequestError{Err: err}
 	}
 	reply, err := l.exchange(ctx, &x)
 	p.put(l, err == nil)
@@ -137,11 +137,11 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	if p.opts.Dialed != nil {
-		p.opts.Dialed()
+	if p.opts.OnDial != nil {
+		p.opts.OnDial()
 	}
 	heads := &headReader{from: conn}
-	return &link{conn: conn, heads: heads, reader: bufio.NewReaderSize(heads, bufferBytes), idleLimit: p.opts.IdleLimit}, nil
+	return &link{conn: conn, heads: heads, reader: bufio.NewReaderSize(heads, bufferBytes), idleLimit: p.opts.IdleTimeout}, nil
 }
 
 // reserve counts a connection about to be opened. It makes room by closing a
--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -80,8 +80,8 @@
 // until waits for the other side to close.
 func until(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
 
-func exchangeOf(id string) Exchange {
-	return Exchange{
+func exchangeOf(id string) PoolRequest {
+	return PoolRequest{
 		Method: http.MethodGet, Target: "/x?y=1", Host: "h", Header: http.Header{"Id": {id}},
 		Accept: func(r *http.Response) bool { return r.Header.Get("Id") == id },
 	}
@@ -197,10 +197,10 @@
 			p := NewPool(s.address, PoolOptions{})
 			defer p.Close()
 			_, err := p.Do(t.Context(), exchangeOf("1"))
-			var lost *LostError
+			var lost *RequestError
 			require.ErrorAs(t, err, &lost)
 			require.Equal(t, c.sent, lost.Sent)
-			require.Equal(t, c.begun, lost.Begun)
+			require.Equal(t, c.begun, lost.ResponseStarted)
 			require.Equal(t, 1, s.connections(), "it is sent once")
 		})
 	}
@@ -208,7 +208,7 @@
 		nobody, err := loopback.Address()
 		require.NoError(t, err)
 		_, err = NewPool(nobody, PoolOptions{}).Do(t.Context(), exchangeOf("1"))
-		var lost *LostError
+		var lost *RequestError
 		require.ErrorAs(t, err, &lost)
 		require.False(t, lost.Sent)
 	})
@@ -238,7 +238,7 @@
 	defer p.Close()
 	do := func(maxIdle time.Duration) {
 		x := exchangeOf("1")
-		x.MaxIdle = maxIdle
+		x.MaxIdleTime = maxIdle
 		_, err := p.Do(t.Context(), x)
 		require.NoError(t, err)
 	}
@@ -329,7 +329,7 @@
 	defer p.Close()
 	informed := 0
 	x := exchangeOf("1")
-	x.Informed = func() { informed++ }
+	x.OnInformational = func() { informed++ }
 	_, err := p.Do(t.Context(), x)
 	require.NoError(t, err)
 	require.Equal(t, 1, informed)
@@ -343,7 +343,7 @@
 	defer p.Close()
 	for i := range 500 {
 		id := fmt.Sprint("r", i)
-		reply, err := p.Do(t.Context(), Exchange{
+		reply, err := p.Do(t.Context(), PoolRequest{
 			Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {id}},
 			Body: make([]byte, inlineBody+1+i),
 		})
@@ -373,7 +373,7 @@
 	defer p.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	_, err := p.Do(ctx, Exchange{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{"Id": {"r1"}}})
+	_, err := p.Do(ctx, PoolRequest{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{"Id": {"r1"}}})
 	require.Error(t, err)
 	require.Less(t, <-sent, most/4, "bytes of headers that were taken in")
 }
--- a/hop/stray_test.go
+++ b/hop/stray_test.go
@@ -47,8 +47,8 @@
 // connection with bytes left over unless the next attempt is quicker.
 func TestStrayAnswerReachesNobody(t *testing.T) {
 	const attempts, rounds = 800, 100
-	require.Zero(t, strays(t, New(Options{}), attempts))
-	careless := New(Options{})
+	require.Zero(t, strays(t, NewClient(Options{}), attempts))
+	careless := NewClient(Options{})
 	careless.careless = true
 	wrong := int64(0)
 	for range rounds {
--- a/load/sender.go
+++ b/load/sender.go
@@ -47,8 +47,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &HTTPSender{client: hop.New(hop.Options{
-		MaxConns: senderConns, MaxIdle: senderIdle, Dial: dial,
+	return &HTTPSender{client: hop.NewClient(hop.Options{
+		MaxConns: senderConns, MaxIdleConns: senderIdle, Dial: dial,
 	})}, nil
 }
 
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -99,7 +99,7 @@
 		Log:        n.d.log,
 		Run:        n.d.run,
 		Candidates: func() []model.DaemonID { return n.d.ids() },
-		Client:     hop.New(hop.Options{}),
+		Client:     hop.NewClient(hop.Options{}),
 		Messenger:  n.d,
 		Grant:      n.d.grant,
 		Interval:   10 * time.Millisecond,
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -93,7 +93,7 @@
 }
 
 func (g *guard) newPool() *hop.Pool {
-	return hop.NewPool(g.opts.Addresses.Upstream, hop.PoolOptions{Dialed: g.metrics.upstreamConns})
+	return hop.NewPool(g.opts.Addresses.Upstream, hop.PoolOptions{OnDial: g.metrics.upstreamConns})
 }
 
 // report handles a status report of the upstream.
--- a/sidecar/healthcheck.go
+++ b/sidecar/healthcheck.go
@@ -53,7 +53,7 @@
 	pool := g.pool
 	g.mu.Unlock()
 	g.metrics.probes.Inc(1)
-	reply, err := pool.Do(ctx, hop.Exchange{Method: http.MethodGet, Target: path, Host: g.opts.Addresses.Upstream, Header: http.Header{}})
+	reply, err := pool.Do(ctx, hop.PoolRequest{Method: http.MethodGet, Target: path, Host: g.opts.Addresses.Upstream, Header: http.Header{}})
 	if err != nil {
 		return Reading{}, false
 	}
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -47,7 +47,7 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: answered %d", e.Path, e.Status) }
 
-// sendSync sends a message and returns the reply. The error is a *hop.LostError if the daemon
+// sendSync sends a message and returns the reply. The error is a *hop.RequestError if the daemon
 // was not reached, and a *StatusError if it rejected the message.
 func sendSync(ctx context.Context, pool *hop.Pool, m syncMessage) (reply syncMessage, err error) {
 	body, err := json.Marshal(m)
@@ -88,11 +88,11 @@
 const peerHost = "-"
 
 // requestPeer sends a request to another daemon and returns the response, whatever its
-// status. It takes at most syncTimeout. The error is a *hop.LostError.
-func requestPeer(ctx context.Context, pool *hop.Pool, method, path string, body []byte) (*hop.Reply, error) {
+// status. It takes at most syncTimeout. The error is a *hop.RequestError.
+func requestPeer(ctx context.Context, pool *hop.Pool, method, path string, body []byte) (*hop.PoolResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	return pool.Do(ctx, hop.Exchange{Method: method, Target: path, Host: peerHost, Header: http.Header{}, Body: body})
+	return pool.Do(ctx, hop.PoolRequest{Method: method, Target: path, Host: peerHost, Header: http.Header{}, Body: body})
 }
 
 // settleQuestion asks a guard to resolve the outcome of an attempt.
@@ -141,9 +141,9 @@
 	defer cancel()
 	arrivalTimer := time.AfterFunc(resolveArrivalTimeout, cancel)
 	defer arrivalTimer.Stop()
-	r, err := pool.Do(ctx, hop.Exchange{
+	r, err := pool.Do(ctx, hop.PoolRequest{
 		Method: http.MethodPost, Target: pathSettle + "?" + q.encode(), Host: peerHost,
-		Header: http.Header{}, MaxIdle: -1, Informed: func() { arrivalTimer.Stop() },
+		Header: http.Header{}, MaxIdleTime: -1, OnInformational: func() { arrivalTimer.Stop() },
 	})
 	if err != nil {
 		return unknown(outcome.ReasonConnectionLost), false
@@ -152,7 +152,7 @@
 }
 
 // answerOf decodes the result of a call from the response of another daemon.
-func answerOf(r *hop.Reply) *Answer {
+func answerOf(r *hop.PoolResponse) *Answer {
 	result, err := decodeAnswer(r.Header.Get(callHeader))
 	if err != nil {
 		return unknown(outcome.ReasonConnectionLost)
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -223,7 +223,7 @@
 }
 
 func newPeerPool(address string) *hop.Pool {
-	return hop.NewPool(address, hop.PoolOptions{IdleLimit: peerIdleTimeout, DialTimeout: peerDialTimeout})
+	return hop.NewPool(address, hop.PoolOptions{IdleTimeout: peerIdleTimeout, DialTimeout: peerDialTimeout})
 }
 
 // merge merges received records and returns those that superseded the records held.
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -65,7 +65,7 @@
 	h := endToEnd(c.Header)
 	g.opts.Edge.Dress(h, Dressing{ID: c.ID, Deadline: timeLeft, Caller: c.Caller, Upstream: c.Upstream.ID})
 	var reading Reading
-	x := hop.Exchange{
+	x := hop.PoolRequest{
 		Method: c.Method, Target: c.Target, Host: c.Host, Header: h, Body: c.Body,
 		Accept: func(r *http.Response) bool {
 			reading = g.opts.Edge.Read(r.StatusCode, r.Header)
@@ -73,7 +73,7 @@
 		},
 	}
 	if !c.Idempotent {
-		x.MaxIdle = maxIdleNonIdempotent
+		x.MaxIdleTime = maxIdleNonIdempotent
 	}
 	g.mu.Lock()
 	g.countRun()
@@ -124,8 +124,8 @@
 
 // interpretResponse returns the result of a call. If there is a response, reading holds
 // what the upstream reported in its headers.
-func (g *guard) interpretResponse(ctx context.Context, c *Call, reading Reading, reply *hop.Reply, err error) *Answer {
-	var lost *hop.LostError
+func (g *guard) interpretResponse(ctx context.Context, c *Call, reading Reading, reply *hop.PoolResponse, err error) *Answer {
+	var lost *hop.RequestError
 	if errors.As(err, &lost) {
 		switch {
 		case !lost.Sent:
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -95,10 +95,10 @@
 func (e *entry) sendOnConnection(ctx context.Context, pool *hop.Pool, t *try, c *Call) (*Answer, bool) {
 	h := endToEnd(c.Header)
 	h.Set(callHeader, c.encode())
-	reply, err := pool.Do(ctx, hop.Exchange{
-		Method: c.Method, Target: c.Target, Host: c.Host, Header: h, Body: c.Body, Informed: t.acknowledge,
+	reply, err := pool.Do(ctx, hop.PoolRequest{
+		Method: c.Method, Target: c.Target, Host: c.Host, Header: h, Body: c.Body, OnInformational: t.acknowledge,
 	})
-	var lost *hop.LostError
+	var lost *hop.RequestError
 	if errors.As(err, &lost) {
 		if ctx.Err() == nil && !lost.Reused {
 			e.daemon.peers.missed(t.endpoint.address, err)
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -120,7 +120,7 @@
 }
 
 // fetch returns the document that another daemon has in force. If that daemon keeps the
-// version in force here, only the delta is transferred. The error is a *hop.LostError, a
+// version in force here, only the delta is transferred. The error is a *hop.RequestError, a
 // *StatusError or a *DeltaError.
 func (c *configuration) fetch(ctx context.Context, pool *hop.Pool, from string) ([]byte, error) {
 	have := c.version()
