--- a/entry/nested.go
+++ b/entry/nested.go
@@ -28,7 +28,7 @@
 func (e *Entry) requesterOf(set *policy.Set, r *http.Request) (requester, outcome.Reason) {
 	tokens := r.Header[wire.HeaderCallToken]
 	if len(tokens) == 0 {
-		caller, ok := identity.Caller(set, r)
+		caller, ok := identity.AuthenticateCaller(set, r)
 		if !ok {
 			return requester{}, outcome.ReasonUnauthenticated
 		}
--- a/identity/caller.go
+++ b/identity/caller.go
@@ -18,9 +18,9 @@
 
 const bearer = "bearer "
 
-// Caller identifies the caller of a request. It reports false when a proof is
+// AuthenticateCaller identifies the caller of a request. It reports false when a proof is
 // unknown or malformed, or when a token and a certificate name two callers.
-func Caller(known Directory, r *http.Request) (policy.Caller, bool) {
+func AuthenticateCaller(known Directory, r *http.Request) (policy.Caller, bool) {
 	byCertificate, hasCertificate, ok := certified(known, r)
 	if !ok {
 		return policy.Caller{}, false
--- a/identity/caller_test.go
+++ b/identity/caller_test.go
@@ -67,7 +67,7 @@
 					r.TLS.VerifiedChains = [][]*x509.Certificate{{cert}}
 				}
 			}
-			got, ok := Caller(known, r)
+			got, ok := AuthenticateCaller(known, r)
 			require.Equal(t, !c.refused, ok)
 			require.Equal(t, c.want, string(got.Name))
 		})
--- a/identity/material.go
+++ b/identity/material.go
@@ -114,10 +114,10 @@
 	return secure.DialContext
 }
 
-// CallerDial returns how a caller connects to daemons, within the timeout: by
+// CallerDialer returns how a caller connects to daemons, within the timeout: by
 // TLS when the section found at a JSON path names an authority. A certificate
 // in it proves the caller.
-func CallerDial(path string, files settings.TLS, timeout time.Duration) (Dial, error) {
+func CallerDialer(path string, files settings.TLS, timeout time.Duration) (Dial, error) {
 	dialer := &net.Dialer{Timeout: timeout}
 	if files.Authority == "" {
 		return dialer.DialContext, nil
--- a/load/sender.go
+++ b/load/sender.go
@@ -43,7 +43,7 @@
 // NewHTTPSender returns an HTTPSender that connects as the files tell, in
 // plaintext when they name none. Close ends it.
 func NewHTTPSender(files settings.TLS) (*HTTPSender, error) {
-	dial, err := identity.CallerDial("tls", files, dialTimeout)
+	dial, err := identity.CallerDialer("tls", files, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
