--- a/daemon/server.go
+++ b/daemon/server.go
@@ -74,13 +74,13 @@
 		address:  o.listener.Addr().String(),
 		listener: o.listener,
 		http: &http.Server{
-			Handler:           inbound.Handler(conns.handler(o.handler)),
+			Handler:           inbound.AbortClosed(conns.handler(o.handler)),
 			ReadHeaderTimeout: o.headerTimeout,
 			IdleTimeout:       o.idleTimeout,
 			MaxHeaderBytes:    o.maxHeaderBytes,
 			TLSConfig:         o.tls,
 			Protocols:         protocols,
-			ConnContext:       inbound.Context,
+			ConnContext:       inbound.ConnContext,
 			ConnState:         bothHooks(conns.follow, limitConnections(o.maxConnections, o.refused)),
 			ErrorLog:          log.New(lineCounter{o.errors}, "", 0),
 		},
@@ -99,7 +99,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = s.http.Close() })
 	defer stop()
-	ln = inbound.Listener(ln)
+	ln = inbound.NewListener(ln)
 	if s.opts.tls != nil {
 		err = s.http.ServeTLS(ln, "", "")
 	} else {
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -210,7 +210,7 @@
 // invariant, which stops the process.
 func (t *tree) protect(name string, next http.Handler) http.Handler {
 	panics := t.scope.Tagged(map[string]string{"part": name}).Counter("handler_panics")
-	return inbound.Recover(next, func(_ *http.Request, v any) { t.handlerFailed(name, panics, v) })
+	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlerFailed(name, panics, v) })
 }
 
 func (t *tree) handlerFailed(name string, panics tally.Counter, v any) {
--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -19,8 +19,8 @@
 	return c.TCPConn.Close()
 }
 
-// Listener returns a listener whose connections tell whether they have been closed.
-func Listener(l net.Listener) net.Listener { return listener{l} }
+// NewListener returns a listener whose connections tell whether they have been closed.
+func NewListener(l net.Listener) net.Listener { return listener{l} }
 
 type listener struct{ net.Listener }
 
@@ -39,25 +39,25 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// Context is the ConnContext of an http.Server that serves a Listener, with TLS or without.
-func Context(ctx context.Context, c net.Conn) context.Context {
+// ConnContext is the ConnContext of an http.Server that serves a NewListener, with TLS or without.
+func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	if secured, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = secured.NetConn()
 	}
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// Closed reports whether this side has closed the connection of a request whose context is
+// ClosedByServer reports whether this side has closed the connection of a request whose context is
 // given. net/http itself does so only after the handler.
-func Closed(ctx context.Context) bool {
+func ClosedByServer(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return ok && c.closed.Load()
 }
 
-// Left reports whether the other side has closed the connection of a request whose context
+// ClosedByClient reports whether the other side has closed the connection of a request whose context
 // is given. net/http ends the context once a goroutine of its own has read that, which takes
 // long where the processor is busy.
-func Left(ctx context.Context) bool {
+func ClosedByClient(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
 		return false
--- a/inbound/conn_test.go
+++ b/inbound/conn_test.go
@@ -21,12 +21,12 @@
 		t.Run(name, func(t *testing.T) {
 			opened, told := make(chan net.Conn, 1), make(chan [2]bool, 1)
 			s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-				before := Closed(r.Context())
+				before := ClosedByServer(r.Context())
 				_ = (<-opened).Close()
-				told <- [2]bool{before, Closed(r.Context())}
+				told <- [2]bool{before, ClosedByServer(r.Context())}
 			}))
-			s.Listener = Listener(s.Listener)
-			s.Config.ConnContext = Context
+			s.Listener = NewListener(s.Listener)
+			s.Config.ConnContext = ConnContext
 			s.Config.ConnState = func(c net.Conn, state http.ConnState) {
 				if state == http.StateNew {
 					opened <- c
@@ -52,10 +52,10 @@
 	defer func() { _ = ln.Close() }()
 	other, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
-	c, err := Listener(ln).Accept()
+	c, err := NewListener(ln).Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _, _ = c.Close(), other.Close() })
-	return Context(t.Context(), c), other.(*net.TCPConn)
+	return ConnContext(t.Context(), c), other.(*net.TCPConn)
 }
 
 func TestLeft(t *testing.T) {
@@ -70,21 +70,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, other := pair(t)
-			require.False(t, Left(ctx))
+			require.False(t, ClosedByClient(ctx))
 			require.NoError(t, c.do(other))
 			if c.want {
-				require.Eventually(t, func() bool { return Left(ctx) }, time.Minute, time.Millisecond)
+				require.Eventually(t, func() bool { return ClosedByClient(ctx) }, time.Minute, time.Millisecond)
 			} else {
-				require.False(t, Left(ctx))
+				require.False(t, ClosedByClient(ctx))
 			}
 		})
 	}
-	require.False(t, Left(t.Context()), "no connection is known")
+	require.False(t, ClosedByClient(t.Context()), "no connection is known")
 }
 
 func TestConnectionsOfOtherListenersAreOpen(t *testing.T) {
-	require.False(t, Closed(t.Context()))
+	require.False(t, ClosedByServer(t.Context()))
 	a, b := net.Pipe()
 	defer func() { _, _ = a.Close(), b.Close() }()
-	require.False(t, Closed(Context(t.Context(), a)))
+	require.False(t, ClosedByServer(ConnContext(t.Context(), a)))
 }
--- a/inbound/handler.go
+++ b/inbound/handler.go
@@ -2,20 +2,20 @@
 
 import "net/http"
 
-// Handler hands on no request whose connection this side has closed since it was read: its
-// sender would get no answer. It needs Listener and Context.
-func Handler(next http.Handler) http.Handler {
+// AbortClosed hands on no request whose connection this side has closed since it was read: its
+// sender would get no answer. It needs NewListener and ConnContext.
+func AbortClosed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if Closed(r.Context()) {
+		if ClosedByServer(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Recover tells of a panic of a handler before net/http closes the connection. Those by which
+// ReportPanics tells of a panic of a handler before net/http closes the connection. Those by which
 // a handler closes it itself are passed over.
-func Recover(next http.Handler, panicked func(r *http.Request, v any)) http.Handler {
+func ReportPanics(next http.Handler, panicked func(r *http.Request, v any)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			v := recover()
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -63,7 +63,7 @@
 }
 
 // connectionClosed reports whether this daemon has closed the caller's connection.
-func (r *request) connectionClosed() bool { return inbound.Closed(r.http.Context()) }
+func (r *request) connectionClosed() bool { return inbound.ClosedByServer(r.http.Context()) }
 
 // entry accepts callers' requests, picks an upstream for each and forwards them to the
 // guard of that upstream. It is safe for concurrent use.
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -286,7 +286,7 @@
 	if r.req.ctx.Err() != nil {
 		return r.timeoutResult()
 	}
-	if inbound.Left(r.req.ctx) {
+	if inbound.ClosedByClient(r.req.ctx) {
 		return unknown(outcome.ReasonCancelled)
 	}
 	if r.e.daemon.isEnding() {
--- a/sidecar/panics.go
+++ b/sidecar/panics.go
@@ -17,7 +17,7 @@
 
 // reportPanics logs and counts the panics of a handler before net/http closes the connection.
 func (d *Daemon) reportPanics(server string, next http.Handler) http.Handler {
-	return inbound.Recover(next, func(r *http.Request, v any) {
+	return inbound.ReportPanics(next, func(r *http.Request, v any) {
 		attempt, _ := d.opts.Edge.Attempt(r.Header)
 		d.panicked(server, attempt.ID, v)
 	})
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -44,7 +44,7 @@
 	a := notRun(outcome.ReasonDeadline)
 	switch {
 	case timeLeft < minDeadline:
-	case inbound.Left(ctx), !attempt.start():
+	case inbound.ClosedByClient(ctx), !attempt.start():
 		a = notRun(outcome.ReasonWithdrawn)
 	default:
 		a = contain(c.ID, g.panicked, func() *Answer { return g.sendToUpstream(ctx, c, timeLeft, g.now().Sub(arrived)) })
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -50,13 +50,13 @@
 func newServer(name string, h http.Handler) *server {
 	s := &server{name: name, idle: make(map[net.Conn]*idleConn), active: make(map[net.Conn]struct{})}
 	s.http = &http.Server{
-		Handler:                      inbound.Handler(h),
+		Handler:                      inbound.AbortClosed(h),
 		ReadHeaderTimeout:            defaultHeaderTimeout,
 		MaxHeaderBytes:               defaultMaxHeaderBytes,
 		ErrorLog:                     log.New(io.Discard, "", 0),
 		DisableGeneralOptionsHandler: true,
 		ConnState:                    s.trackConn,
-		ConnContext:                  inbound.Context,
+		ConnContext:                  inbound.ConnContext,
 	}
 	// Without an IdleTimeout, http.Server would apply ReadHeaderTimeout to idle connections.
 	s.http.IdleTimeout = noIdleTimeout
@@ -137,7 +137,7 @@
 func (s *server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
-	err := s.http.Serve(inbound.Listener(s.listener))
+	err := s.http.Serve(inbound.NewListener(s.listener))
 	if errors.Is(err, net.ErrClosed) {
 		return suture.ErrDoNotRestart
 	}
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -84,10 +84,10 @@
 	defer func() { _ = ln.Close() }()
 	other, err = net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
-	conn, err = inbound.Listener(ln).Accept()
+	conn, err = inbound.NewListener(ln).Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _, _ = conn.Close(), other.Close() })
-	return inbound.Context(t.Context(), conn), conn, other
+	return inbound.ConnContext(t.Context(), conn), conn, other
 }
 
 func safeRequest(ctx context.Context) *http.Request {
@@ -117,7 +117,7 @@
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 	ctx, _, caller := acceptConn(t)
 	require.NoError(t, caller.Close())
-	eventually(t, "the close has arrived", func() bool { return inbound.Left(ctx) })
+	eventually(t, "the close has arrived", func() bool { return inbound.ClosedByClient(ctx) })
 	m.entry.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
 	require.Empty(t, m.up.requests())
 }
@@ -129,7 +129,7 @@
 		m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
 		ctx, _, sender := acceptConn(t)
 		require.NoError(t, sender.Close())
-		eventually(t, "the close has arrived", func() bool { return inbound.Left(ctx) })
+		eventually(t, "the close has arrived", func() bool { return inbound.ClosedByClient(ctx) })
 		c := ordinary()
 		c.Service, c.Upstream.ID, c.Idempotent = "a", "a1", idempotent
 		require.Equal(t, outcome.NotRun, m.guard.Do(ctx, c).Outcome.Kind)
