--- a/cmd/dottereltillerd/logreader_test.go
+++ b/cmd/dottereltillerd/logreader_test.go
@@ -20,7 +20,7 @@
 // TestEndOfTheLogsReaderDoesNotEndTheDaemon closes the pipe that a daemon on the platform
 // writes its lines to, and has it write one more.
 func TestEndOfTheLogsReaderDoesNotEndTheDaemon(t *testing.T) {
-	address, err := loopback.Address()
+	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	ip, _, err := net.SplitHostPort(address)
 	require.NoError(t, err)
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -105,7 +105,7 @@
 
 func TestAServerThatLosesItsListenerListensAnew(t *testing.T) {
 	// Another process may take an ephemeral port before it is listened on again.
-	address, err := loopback.Address()
+	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	s := testSettings()
 	s.Listen.Callers = address
--- a/guard/crash_test.go
+++ b/guard/crash_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			address, err := loopback.Address()
+			address, err := loopback.UnusedAddress()
 			require.NoError(t, err)
 			ln, err := net.Listen("tcp", address)
 			require.NoError(t, err)
--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -205,7 +205,7 @@
 		})
 	}
 	t.Run("nobody listens", func(t *testing.T) {
-		nobody, err := loopback.Address()
+		nobody, err := loopback.UnusedAddress()
 		require.NoError(t, err)
 		_, err = NewPool(nobody, PoolOptions{}).Do(t.Context(), exchangeOf("1"))
 		var lost *RequestError
--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -18,9 +18,9 @@
 // ErrNoNet is returned when every network is in use.
 var ErrNoNet = errors.New("loopback: all networks are in use")
 
-// Listen listens on an address of the first free of so many networks, tried in turn from
+// ListenFirstFree listens on an address of the first free of so many networks, tried in turn from
 // start on, and returns its number, from 0. The error is ErrNoNet, or that of listening.
-func Listen(start uint64, nets int, address func(n int) string) (net.Listener, int, error) {
+func ListenFirstFree(start uint64, nets int, address func(n int) string) (net.Listener, int, error) {
 	for i := range uint64(nets) {
 		n := int((start + i) % uint64(nets))
 		ln, err := net.Listen("tcp", address(n))
@@ -38,9 +38,9 @@
 var claims []net.Listener
 
 // Claim returns N of a network 127.N.0.0/16 that no other process claims, from first on,
-// one of so many. The error is that of Listen. It is not safe for concurrent use.
+// one of so many. The error is that of ListenFirstFree. It is not safe for concurrent use.
 func Claim(first, nets int) (int, error) {
-	ln, n, err := Listen(uint64(os.Getpid()), nets, func(n int) string {
+	ln, n, err := ListenFirstFree(uint64(os.Getpid()), nets, func(n int) string {
 		return fmt.Sprintf("127.%d.255.254:%d", first+n, claimPort)
 	})
 	if err != nil {
@@ -50,22 +50,22 @@
 	return first + n, nil
 }
 
-// Own returns N of the network 127.N.0.0/16 of this process, claimed once from those that
-// tests share. The error is that of Listen.
-var Own = sync.OnceValues(func() (int, error) {
+// OwnNetwork returns N of the network 127.N.0.0/16 of this process, claimed once from those that
+// tests share. The error is that of ListenFirstFree.
+var OwnNetwork = sync.OnceValues(func() (int, error) {
 	const first, nets = 20, 80
 	return Claim(first, nets)
 })
 
-// lastHost counts the addresses that Address has returned.
+// lastHost counts the addresses that UnusedAddress has returned.
 var lastHost atomic.Int64
 
-// Address returns an address of this process's own network that nobody listens on, another
+// UnusedAddress returns an address of this process's own network that nobody listens on, another
 // one at each call. Unlike an ephemeral port that was given back, no other process and no
-// other test takes it. The error is that of Own.
-func Address() (string, error) {
+// other test takes it. The error is that of OwnNetwork.
+func UnusedAddress() (string, error) {
 	const hosts, port = 250, 7000
-	claimed, err := Own()
+	claimed, err := OwnNetwork()
 	if err != nil {
 		return "", err
 	}
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -33,7 +33,7 @@
 	}
 	seen := map[int]bool{}
 	for range nets {
-		ln, n, err := Listen(uint64(pid), nets, address)
+		ln, n, err := ListenFirstFree(uint64(pid), nets, address)
 		require.NoError(t, err)
 		defer func() { _ = ln.Close() }()
 		require.False(t, seen[n])
@@ -41,15 +41,15 @@
 		require.Less(t, n, nets)
 		seen[n] = true
 	}
-	_, _, err := Listen(uint64(pid), nets, address)
+	_, _, err := ListenFirstFree(uint64(pid), nets, address)
 	require.ErrorIs(t, err, ErrNoNet)
 }
 
 // TestOwnNetworkStays asks twice.
 func TestOwnNetworkStays(t *testing.T) {
-	first, err := Own()
+	first, err := OwnNetwork()
 	require.NoError(t, err)
-	again, err := Own()
+	again, err := OwnNetwork()
 	require.NoError(t, err)
 	require.Equal(t, first, again)
 }
@@ -59,7 +59,7 @@
 	const addresses = 600
 	seen := map[string]bool{}
 	for range addresses {
-		a, err := Address()
+		a, err := UnusedAddress()
 		require.NoError(t, err)
 		require.False(t, seen[a], a)
 		seen[a] = true
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -59,7 +59,7 @@
 	d.log = recordlog.NewFaulty(d.memory)
 	listeners := make([]net.Listener, n)
 	for i := range listeners {
-		address, err := loopback.Address()
+		address, err := loopback.UnusedAddress()
 		require.NoError(t, err)
 		ln, err := net.Listen("tcp", address)
 		require.NoError(t, err)
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -74,7 +74,7 @@
 	c := &cluster{t: t, log: &recordlog.Memory{}}
 	c.startLog()
 	binary := buildDaemon(t)
-	octet, err := loopback.Own()
+	octet, err := loopback.OwnNetwork()
 	require.NoError(t, err)
 	n := 0
 	for _, service := range []string{"returdesk", "sporarkiv"} {
--- a/recordlog/platform_test.go
+++ b/recordlog/platform_test.go
@@ -60,7 +60,7 @@
 func TestClientTellsWhetherAnAppendMayHaveTakenEffect(t *testing.T) {
 	lost := NewFaulty(&Memory{})
 	lost.Set(Faults{LoseReplies: 1})
-	nobody, err := loopback.Address()
+	nobody, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		client    *Client
--- a/sidecar/addresses_test.go
+++ b/sidecar/addresses_test.go
@@ -11,7 +11,7 @@
 // freePort returns a loopback address with a port that nothing listens on.
 func freePort(t testing.TB) string {
 	t.Helper()
-	address, err := loopback.Address()
+	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	return address
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -129,7 +129,7 @@
 // listen takes addresses that no other soak has, beginning with those of the seed, and
 // listens on the store's.
 func (w *world) listen() (net.Listener, error) {
-	ln, _, err := loopback.Listen(w.plan.Seed, nets, func(n int) string {
+	ln, _, err := loopback.ListenFirstFree(w.plan.Seed, nets, func(n int) string {
 		w.net = n
 		return w.ip(0) + ":8142"
 	})
