--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -74,10 +74,10 @@
 	hint := func() { x.Hint() }
 	end := f.net.From(n.ID)
 	store := configuration.NewStore(configuration.Options{Log: n.link, IsLogReader: reads, OnUpdate: hint, Seed: seed})
-	r = membership.NewRegistry(membership.Options{Self: n.ID, Zone: n.Zone, Log: n.link, Ping: end,
-		Reads: reads, Hint: hint, Seed: seed, MaxUpstreams: 1 << 20})
+	r = membership.NewRegistry(membership.Options{Self: n.ID, Zone: n.Zone, Log: n.link, Pinger: end,
+		IsLogReader: reads, OnUpdate: hint, Seed: seed, MaxUpstreams: 1 << 20})
 	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Transport: end, Seed: seed,
-		Peers: r.Peers, Lost: r.Lost, Result: r.Heard})
+		Peers: r.Peers, Lost: r.DeadPeers, Result: r.RecordExchange})
 	x.Register(store.Topic())
 	x.Register(r.Topic())
 	store.OnChange(func(c *configuration.InForce) {
@@ -85,7 +85,7 @@
 		defer f.mu.Unlock()
 		f.forced[c.Version] = append(f.forced[c.Version], time.Now())
 	})
-	f.net.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.AnswerPing})
+	f.net.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
 	n.store, n.registry, n.exchange = store, r, x
 	for _, p := range []interface{ Serve(context.Context) error }{store, r, x} {
 		go func() { _ = p.Serve(ctx) }()
--- a/daemon/announce.go
+++ b/daemon/announce.go
@@ -168,7 +168,7 @@
 		Slots:       a.Slots,
 		Labels:      a.Labels,
 	}
-	d.Guard.Attach(membership.Local{Upstream: up, Address: a.Address, LoadPath: a.LoadPath})
+	d.Guard.Attach(membership.LocalUpstream{Upstream: up, Address: a.Address, LoadPath: a.LoadPath})
 	state := member.Joined
 	if a.Draining {
 		state = member.Draining
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -46,25 +46,25 @@
 	})
 	d.Peers = peer.NewDialingClient(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
 	d.Members = membership.NewRegistry(membership.Options{
-		Self:     d.ID(),
-		Zone:     d.settings.Zone,
-		Log:      d.Log,
-		Ping:     d.Peers,
-		Interval: membershipReads * interval,
-		Reads:    d.readsLog,
-		Hint:     hint,
-		Expired:  func(id model.UpstreamID) { d.Guard.Drain(id) },
-		Sized:    d.Log.SetDaemons,
-		Seed:     seed,
-		Metrics:  d.Metrics.Scope,
-		Logger:   d.logger,
+		Self:           d.ID(),
+		Zone:           d.settings.Zone,
+		Log:            d.Log,
+		Pinger:         d.Peers,
+		Interval:       membershipReads * interval,
+		IsLogReader:    d.readsLog,
+		OnUpdate:       hint,
+		OnLeaseExpired: func(id model.UpstreamID) { d.Guard.Drain(id) },
+		OnDaemonCount:  d.Log.SetDaemons,
+		Seed:           seed,
+		Metrics:        d.Metrics.Scope,
+		Logger:         d.logger,
 	})
 	d.Exchanger = peer.NewExchanger(peer.Options{
 		Self:      d.ID(),
 		Zone:      d.settings.Zone,
 		Peers:     d.Members.Peers,
-		Lost:      d.Members.Lost,
-		Result:    d.Members.Heard,
+		Lost:      d.Members.DeadPeers,
+		Result:    d.Members.RecordExchange,
 		First:     firstPeers(d.settings.Peers.First),
 		Transport: d.Peers,
 		Seed:      seed,
@@ -74,7 +74,7 @@
 	d.Exchanger.Register(d.Config.Topic())
 	d.Exchanger.Register(inForceTopic{d.Config})
 	d.Exchanger.Register(d.Members.Topic())
-	d.PeerService = &peer.Service{Exchanger: d.Exchanger, Ping: d.Members.AnswerPing}
+	d.PeerService = &peer.Service{Exchanger: d.Exchanger, Ping: d.Members.HandlePing}
 	d.beforeStop = append(d.beforeStop, d.leave, d.goAway, func(context.Context) { d.Peers.Close() })
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -107,7 +107,7 @@
 		Now:    d.now, Groups: d.groups, MeasuringBudget: d.measuringBudget, Scope: d.scope("guard"),
 	})
 	d.Config.OnChange(func(*configuration.InForce) { d.Guard.Configure() })
-	remote := &entry.Remote{Client: hop.NewClient(hop.Options{Dial: d.peerDial()}), Secret: s.Peers.Secret, OnUnreachable: d.Members.Unreachable}
+	remote := &entry.Remote{Client: hop.NewClient(hop.Options{Dial: d.peerDial()}), Secret: s.Peers.Secret, OnUnreachable: d.Members.ReportUnreachable}
 	d.beforeStop = append(d.beforeStop, func(context.Context) { remote.Client.CloseIdle() })
 	d.buildOwner(remote.Client)
 	d.Entry = entry.New(entry.Options{
--- a/guard/crash_test.go
+++ b/guard/crash_test.go
@@ -53,7 +53,7 @@
 				Groups: func(model.ServiceName) []admission.Group { return nil },
 			})
 			up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 1}
-			g.Attach(membership.Local{Upstream: up, Address: ln.Addr().String()})
+			g.Attach(membership.LocalUpstream{Upstream: up, Address: ln.Addr().String()})
 			a := g.Do(context.Background(), newCall("/crash"))
 			require.Equal(t, outcome.UnknownBecause(tt.want), a.Outcome)
 			require.NoError(t, a.Body.Close())
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -66,7 +66,7 @@
 }
 
 // Attach adds an upstream or replaces its previous incarnation, which is drained.
-func (g *Guard) Attach(upstream membership.Local) {
+func (g *Guard) Attach(upstream membership.LocalUpstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	previous := g.upstreams[upstream.ID]
--- a/guard/queue_timeout_test.go
+++ b/guard/queue_timeout_test.go
@@ -36,7 +36,7 @@
 		Groups: func(model.ServiceName) []admission.Group { return nil },
 	})
 	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 1}
-	g.Attach(membership.Local{Upstream: up, Address: upstream.Listener.Addr().String()})
+	g.Attach(membership.LocalUpstream{Upstream: up, Address: upstream.Listener.Addr().String()})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -31,7 +31,7 @@
 		Tokens: calltoken.NewSigner("secret"),
 	})
 	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 1}
-	g.Attach(membership.Local{Upstream: up, Address: upstream.Listener.Addr().String()})
+	g.Attach(membership.LocalUpstream{Upstream: up, Address: upstream.Listener.Addr().String()})
 	return g
 }
 
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -20,7 +20,7 @@
 
 // upstreamProxy admits and forwards the calls to one incarnation of one upstream.
 type upstreamProxy struct {
-	upstream membership.Local
+	upstream membership.LocalUpstream
 	client   *hop.Client
 	now      func() model.Instant
 	tokens   *calltoken.Signer
@@ -38,7 +38,7 @@
 	effects []admission.Effect
 }
 
-func newUpstreamProxy(upstream membership.Local, client *hop.Client, now func() model.Instant) *upstreamProxy {
+func newUpstreamProxy(upstream membership.LocalUpstream, client *hop.Client, now func() model.Instant) *upstreamProxy {
 	monitor := measure.NewMonitor(now(), measure.Options{Share: DefaultMeasuringBudget, Slots: upstream.Slots})
 	limiter := limit.New(limit.Options{Slots: upstream.Slots})
 	return &upstreamProxy{
--- a/membership/check.go
+++ b/membership/check.go
@@ -51,10 +51,10 @@
 	delete(c.running, d)
 }
 
-// Unreachable reports that a daemon could not be reached, by a round or by a
+// ReportUnreachable reports that a daemon could not be reached, by a round or by a
 // call. It starts a check in the background.
-func (r *Registry) Unreachable(d model.DaemonID) {
-	if r.opts.Ping == nil || d == r.opts.Self || r.Health(d) != member.Alive || !r.checks.begin(d) {
+func (r *Registry) ReportUnreachable(d model.DaemonID) {
+	if r.opts.Pinger == nil || d == r.opts.Self || r.Health(d) != member.Alive || !r.checks.begin(d) {
 		return
 	}
 	go func() {
@@ -89,13 +89,13 @@
 	}
 	r.metrics.suspected.Inc(1)
 	r.opts.Logger.Info("daemon does not answer", "daemon", d)
-	r.opts.Hint()
+	r.opts.OnUpdate()
 }
 
 func (r *Registry) answers(ctx context.Context, d model.DaemonID) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	resp, err := r.opts.Ping.Ping(ctx, d, &peerv1.PingRequest{From: string(r.opts.Self)})
+	resp, err := r.opts.Pinger.Ping(ctx, d, &peerv1.PingRequest{From: string(r.opts.Self)})
 	if err != nil || !resp.GetAlive() {
 		return false
 	}
@@ -118,7 +118,7 @@
 	answers := make(chan *peerv1.PingResponse, len(chosen))
 	for _, h := range chosen {
 		go func() {
-			resp, err := r.opts.Ping.Ping(ctx, h, &peerv1.PingRequest{From: string(r.opts.Self), Target: string(d)})
+			resp, err := r.opts.Pinger.Ping(ctx, h, &peerv1.PingRequest{From: string(r.opts.Self), Target: string(d)})
 			if err != nil {
 				resp = nil
 			}
@@ -159,17 +159,17 @@
 	return far[:min(len(far), helpers)]
 }
 
-// Heard takes in how a message of a round to a peer went.
-func (r *Registry) Heard(p peer.Peer, err error) {
+// RecordExchange takes in how a message of a round to a peer went.
+func (r *Registry) RecordExchange(p peer.Peer, err error) {
 	if err != nil {
-		r.Unreachable(p.ID)
+		r.ReportUnreachable(p.ID)
 	}
 }
 
-// AnswerPing answers a ping, for this daemon or for the one it names.
-func (r *Registry) AnswerPing(ctx context.Context, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
+// HandlePing answers a ping, for this daemon or for the one it names.
+func (r *Registry) HandlePing(ctx context.Context, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
 	if target := model.DaemonID(req.GetTarget()); target != "" && target != r.opts.Self {
-		return &peerv1.PingResponse{Alive: r.opts.Ping != nil && r.answers(ctx, target)}, nil
+		return &peerv1.PingResponse{Alive: r.opts.Pinger != nil && r.answers(ctx, target)}, nil
 	}
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -77,18 +77,18 @@
 	end := f.net.From(n.ID)
 	var r *membership.Registry
 	r = membership.NewRegistry(membership.Options{
-		Self: n.ID, Zone: n.Zone, Log: n.link, Ping: end, Seed: seed, MaxUpstreams: 1000,
+		Self: n.ID, Zone: n.Zone, Log: n.link, Pinger: end, Seed: seed, MaxUpstreams: 1000,
 		CheckpointInterval: time.Minute,
-		Reads: func() bool {
+		IsLogReader: func() bool {
 			return time.Since(x.LastRound()) > 4*time.Second || peer.IsReader(n.ID, n.Zone, r.Peers())
 		},
-		Hint:    func() { x.Hint() },
-		Expired: func(model.UpstreamID) { n.expired.Add(1) },
+		OnUpdate:       func() { x.Hint() },
+		OnLeaseExpired: func(model.UpstreamID) { n.expired.Add(1) },
 	})
 	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: end, First: n.first,
-		Peers: r.Peers, Lost: r.Lost, Result: r.Heard})
+		Peers: r.Peers, Lost: r.DeadPeers, Result: r.RecordExchange})
 	x.Register(r.Topic())
-	f.net.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.AnswerPing})
+	f.net.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
 	n.registry = r
 	go func() { _ = r.Serve(ctx) }()
 	go func() { _ = x.Serve(ctx) }()
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -62,7 +62,7 @@
 }
 
 func (r *Registry) wait(err error) time.Duration {
-	reads := r.opts.Reads()
+	reads := r.opts.IsLogReader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
@@ -102,7 +102,7 @@
 			r.next = rec.Offset + 1
 		}
 		if news > 0 {
-			r.opts.Hint()
+			r.opts.OnUpdate()
 		}
 		if r.next >= batch.Next {
 			return nil
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -28,7 +28,7 @@
 	r.mu.Unlock()
 	if changed {
 		r.metrics.announced.Inc(1)
-		r.opts.Hint()
+		r.opts.OnUpdate()
 	}
 }
 
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -19,8 +19,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Local is an upstream of this VM as its daemon knows it.
-type Local struct {
+// LocalUpstream is an upstream of this VM as its daemon knows it.
+type LocalUpstream struct {
 	model.Upstream
 	// Address is the upstream's own host:port. Only its daemon connects there.
 	Address string
@@ -33,8 +33,8 @@
 	Self model.DaemonID
 	Zone model.AvailabilityZone
 	Log  recordlog.Log
-	// Ping reaches other daemons. Nil turns liveness checks off.
-	Ping Pinger
+	// Pinger reaches other daemons. Nil turns liveness checks off.
+	Pinger Pinger
 	// Interval is the time between two readings of the log by a reader.
 	// Default: 1s.
 	Interval time.Duration
@@ -45,15 +45,15 @@
 	// appended again. It must be well under the log's retention. Default:
 	// 10min.
 	CheckpointInterval time.Duration
-	// Reads reports whether this daemon reads the log at Interval. Nil means
+	// IsLogReader reports whether this daemon reads the log at Interval. Nil means
 	// that it always does.
-	Reads func() bool
-	// Hint is called when peers should hear news at once. Nil: nobody is told.
-	Hint func()
-	// Expired is called when the lease of a local upstream has lapsed.
-	Expired func(model.UpstreamID)
-	// Sized is told the number of daemons in view when it changes.
-	Sized func(daemons int)
+	IsLogReader func() bool
+	// OnUpdate is called when peers should hear news at once. Nil: nobody is told.
+	OnUpdate func()
+	// OnLeaseExpired is called when the lease of a local upstream has lapsed.
+	OnLeaseExpired func(model.UpstreamID)
+	// OnDaemonCount is told the number of daemons in view when it changes.
+	OnDaemonCount func(daemons int)
 	// MaxUpstreams is the most upstreams of one service that this daemon calls.
 	// Default: 64.
 	MaxUpstreams int
@@ -145,17 +145,17 @@
 	if o.MaxUpstreams <= 0 {
 		o.MaxUpstreams = defaultMaxUpstreams
 	}
-	if o.Reads == nil {
-		o.Reads = func() bool { return true }
+	if o.IsLogReader == nil {
+		o.IsLogReader = func() bool { return true }
 	}
-	if o.Hint == nil {
-		o.Hint = func() {}
+	if o.OnUpdate == nil {
+		o.OnUpdate = func() {}
 	}
-	if o.Expired == nil {
-		o.Expired = func(model.UpstreamID) {}
+	if o.OnLeaseExpired == nil {
+		o.OnLeaseExpired = func(model.UpstreamID) {}
 	}
-	if o.Sized == nil {
-		o.Sized = func(int) {}
+	if o.OnDaemonCount == nil {
+		o.OnDaemonCount = func(int) {}
 	}
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
@@ -193,9 +193,9 @@
 // The slice is shared and must not be modified.
 func (r *Registry) Peers() []peer.Peer { return r.lists().alive }
 
-// Lost returns the daemons that are thought dead. Contact with one of them now
+// DeadPeers returns the daemons that are thought dead. Contact with one of them now
 // and then lets two parts of a deployment find each other again.
-func (r *Registry) Lost() []peer.Peer { return r.lists().dead }
+func (r *Registry) DeadPeers() []peer.Peer { return r.lists().dead }
 
 func (r *Registry) lists() peerLists {
 	r.mu.Lock()
@@ -232,7 +232,7 @@
 	lists := r.lists()
 	n := len(lists.alive) + len(lists.dead)
 	if r.sized.Swap(int64(n)) != int64(n) {
-		r.opts.Sized(n)
+		r.opts.OnDaemonCount(n)
 	}
 }
 
@@ -264,7 +264,7 @@
 func (r *Registry) serveTicks(ctx context.Context) error {
 	return interval.Run(ctx, tickInterval, func() {
 		if r.tick() {
-			r.opts.Hint()
+			r.opts.OnUpdate()
 		}
 	})
 }
@@ -280,7 +280,7 @@
 	r.size()
 	for _, id := range expired {
 		r.opts.Logger.Info("upstream did not renew its lease", "upstream", id)
-		r.opts.Expired(id)
+		r.opts.OnLeaseExpired(id)
 	}
 	return changed || len(expired) > 0
 }
--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -96,7 +96,7 @@
 		f.net.Block("d1", "d2", true)
 		f.net.Block("d3", "d1", true)
 		for range 60 {
-			f.nodes[1].registry.Unreachable("d2")
+			f.nodes[1].registry.ReportUnreachable("d2")
 			time.Sleep(time.Second)
 			require.Zero(t, thought(f.nodes, "d1", member.Dead)+thought(f.nodes, "d2", member.Dead))
 		}
@@ -108,7 +108,7 @@
 	inFleet(t, 100, func(t *testing.T, f *fleet) {
 		n := f.nodes[9]
 		f.kill(n)
-		f.nodes[0].registry.Unreachable(n.ID)
+		f.nodes[0].registry.ReportUnreachable(n.ID)
 		took := f.settle(t, 8*time.Second, "thought dead", func() bool {
 			return thought(f.others(n), n.ID, member.Dead) == 99
 		})
