--- a/cmd/dottereltiller/quarantine.go
+++ b/cmd/dottereltiller/quarantine.go
@@ -26,7 +26,7 @@
 }
 
 func (c *quarantineListCmd) run(ctx context.Context) error {
-	entries, err := operator.Quarantined(ctx, c.Admin)
+	entries, err := operator.ListQuarantined(ctx, c.Admin)
 	if err != nil {
 		return err
 	}
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -16,7 +16,7 @@
 	f := core.FingerprintOf(r)
 	d.Quarantine.Died(f, r, core.Crash{Upstream: "s-1", Incarnation: 1})
 
-	entries, err := operator.Quarantined(context.Background(), d.AdminAddress())
+	entries, err := operator.ListQuarantined(context.Background(), d.AdminAddress())
 	require.NoError(t, err)
 	require.Len(t, entries, 1)
 	require.Equal(t, f, entries[0].Fingerprint)
@@ -24,7 +24,7 @@
 	require.False(t, entries[0].Refused)
 
 	require.NoError(t, operator.ReleaseQuarantined(context.Background(), d.AdminAddress(), f))
-	entries, err = operator.Quarantined(context.Background(), d.AdminAddress())
+	entries, err = operator.ListQuarantined(context.Background(), d.AdminAddress())
 	require.NoError(t, err)
 	require.Empty(t, entries[0].Crashes)
 
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -19,9 +19,9 @@
 	maxAdminAnswer = 4 << 20
 )
 
-// Quarantined asks a daemon, by its admin address, which requests are suspected
+// ListQuarantined asks a daemon, by its admin address, which requests are suspected
 // or refused because they kill upstreams.
-func Quarantined(ctx context.Context, admin string) ([]store.Entry, error) {
+func ListQuarantined(ctx context.Context, admin string) ([]store.Entry, error) {
 	body, err := askAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
 		return nil, err
