--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -67,7 +67,7 @@
 	cut := &CutError{
 		Callers: int(d.callers.conns.active.Load()),
 		Calls:   int(d.peers.conns.active.Load()),
-		Keyed:   d.Owner.Running(),
+		Keyed:   d.Owner.RunningCount(),
 		After:   time.Since(began),
 	}
 	_ = d.callers.http.Close()
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -25,21 +25,21 @@
 func (d *Daemon) buildOwner(client *hop.Client) {
 	k := d.settings.Keys
 	d.Owner = owner.New(owner.Options{
-		Self:       d.ID(),
-		Log:        d.Log,
-		Run:        func(ctx context.Context, c *wire.Call) *wire.Answer { return d.Entry.ForwardKeyed(ctx, c) },
-		Candidates: d.owners,
-		Client:     client,
-		Secret:     d.settings.Peers.Secret,
-		Messenger:  owner.PeerMessenger{Client: d.Peers},
-		Grant:      time.Duration(k.Grant),
-		Retention:  time.Duration(k.Retention),
-		Interval:   min(maxOwnerInterval, time.Duration(k.Grant)/grantReads),
-		MaxBody:    k.MaxBodyBytes,
-		MaxAnswer:  k.MaxAnswerBytes,
-		Limits:     claims.Limits{Claims: k.MaxClaims, AnswerBytes: k.MaxAnswersBytes},
-		Scope:      d.scope("keys"),
-		Logger:     d.logger,
+		Self:             d.ID(),
+		Log:              d.Log,
+		Execute:          func(ctx context.Context, c *wire.Call) *wire.Answer { return d.Entry.ForwardKeyed(ctx, c) },
+		Candidates:       d.owners,
+		Client:           client,
+		PeerSecret:       d.settings.Peers.Secret,
+		Messenger:        owner.PeerMessenger{Client: d.Peers},
+		GrantDuration:    time.Duration(k.Grant),
+		Retention:        time.Duration(k.Retention),
+		PollInterval:     min(maxOwnerInterval, time.Duration(k.Grant)/grantReads),
+		MaxBodyBytes:     k.MaxBodyBytes,
+		MaxResponseBytes: k.MaxAnswerBytes,
+		Limits:           claims.Limits{Claims: k.MaxClaims, AnswerBytes: k.MaxAnswersBytes},
+		Scope:            d.scope("keys"),
+		Logger:           d.logger,
 	})
 	d.PeerService.HandOver = d.Owner.HandOver
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -17,7 +17,7 @@
 // that owns the key. The body is passed separately from the call, since it may
 // have to be sent more than once.
 type KeyedForwarder interface {
-	Do(ctx context.Context, c *wire.Call, body []byte) *wire.Answer
+	Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Answer
 }
 
 const defaultMaxKeyedBody = 256 << 10
@@ -51,7 +51,7 @@
 	c.Body = nil
 	c.Key = key.String()
 	c.Timeout = req.timeout
-	return e.opts.Keyed.Do(ctx, c, body)
+	return e.opts.Keyed.Submit(ctx, c, body)
 }
 
 // readAll returns the complete body. It returns a reason to refuse the request
--- a/owner/mint.go
+++ b/owner/mint.go
@@ -48,7 +48,7 @@
 		return stamps
 	}
 	// Frontiers lie within half of a grant of each other.
-	grant := claims.Stamp(s.opts.Grant.Milliseconds())
+	grant := claims.Stamp(s.opts.GrantDuration.Milliseconds())
 	const steps = 4
 	for i := range claims.Stamp(steps) {
 		if back := 1 + i*grant/steps; furthest > back+oldest {
--- a/owner/options.go
+++ b/owner/options.go
@@ -28,37 +28,37 @@
 	Self model.DaemonID
 	// Log is the platform's log.
 	Log recordlog.Log
-	// Run sends a claimed request to an upstream, at most once.
-	Run func(context.Context, *wire.Call) *wire.Answer
+	// Execute sends a claimed request to an upstream, at most once.
+	Execute func(context.Context, *wire.Call) *wire.Answer
 	// Candidates lists the daemons that may own keys.
 	Candidates func() []model.DaemonID
-	// Client and Secret are used to reach owners in other daemons.
-	Client *hop.Client
-	Secret string
+	// Client and PeerSecret are used to reach owners in other daemons.
+	Client     *hop.Client
+	PeerSecret string
 	// Messenger hands claims over. Nil means that a drain hands over nothing.
 	Messenger Messenger
 	// Wall reads the wall clock. It bears on availability and retention only,
 	// never on how often a key runs. Default: time.Now.
 	Wall func() time.Time
-	// Grant is how far grants reach ahead. Default: 60s.
-	Grant time.Duration
+	// GrantDuration is how far grants reach ahead. Default: 60s.
+	GrantDuration time.Duration
 	// Retention is how long after the stamp of its key a claim is kept.
 	// Default: 10m.
 	Retention time.Duration
-	// Interval is the time between two checks whether grants have to be read or
+	// PollInterval is the time between two checks whether grants have to be read or
 	// renewed. Default: 1s.
-	Interval time.Duration
+	PollInterval time.Duration
 	// Checkpoint is the longest time between two checkpoints on the log. It
 	// must be well under the log's retention. Default: 5m.
 	Checkpoint time.Duration
 	// Ranges is the number of key ranges, the same in all daemons.
 	// Default: claims.DefaultRanges.
 	Ranges int
-	// MaxBody bounds the bodies of keyed requests, in bytes. Default: 256 KiB.
-	MaxBody int64
-	// MaxAnswer is the largest answer that is retained, in bytes.
+	// MaxBodyBytes bounds the bodies of keyed requests, in bytes. Default: 256 KiB.
+	MaxBodyBytes int64
+	// MaxResponseBytes is the largest answer that is retained, in bytes.
 	// Default: 64 KiB.
-	MaxAnswer int64
+	MaxResponseBytes int64
 	// Limits bound claims and retained answers.
 	Limits claims.Limits
 	// Scope counts decisions. Default: tally.NoopScope.
@@ -78,13 +78,13 @@
 )
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.Grant, DefaultGrant)
+	setDefault(&o.GrantDuration, DefaultGrant)
 	setDefault(&o.Retention, DefaultRetention)
-	setDefault(&o.Interval, DefaultInterval)
+	setDefault(&o.PollInterval, DefaultInterval)
 	setDefault(&o.Checkpoint, DefaultCheckpoint)
 	setDefault(&o.Ranges, claims.DefaultRanges)
-	setDefault(&o.MaxBody, DefaultMaxBody)
-	setDefault(&o.MaxAnswer, DefaultMaxAnswer)
+	setDefault(&o.MaxBodyBytes, DefaultMaxBody)
+	setDefault(&o.MaxResponseBytes, DefaultMaxAnswer)
 	if o.Wall == nil {
 		o.Wall = time.Now
 	}
--- a/owner/own.go
+++ b/owner/own.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
 	}
-	body, reason := readWhole(c.Body, s.opts.MaxBody)
+	body, reason := readWhole(c.Body, s.opts.MaxBodyBytes)
 	if reason != outcome.ReasonNone {
 		return wire.NoAnswer(outcome.NotRunBecause(reason))
 	}
@@ -59,7 +59,7 @@
 // begun is what became of a submission at the owner.
 type begun struct {
 	verdict claims.Decision
-	// run is set for Run and InProgress, retained for Replay.
+	// run is set for Execute and InProgress, retained for Replay.
 	run      *run
 	retained *claims.Answer
 }
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -95,17 +95,17 @@
 // start begins a new life of the node.
 func (n *testNode) start(ln net.Listener) {
 	n.Service = New(Options{
-		Self:       n.id,
-		Log:        n.d.log,
-		Run:        n.d.run,
-		Candidates: func() []model.DaemonID { return n.d.ids() },
-		Client:     hop.NewClient(hop.Options{}),
-		Messenger:  n.d,
-		Grant:      n.d.grant,
-		Interval:   10 * time.Millisecond,
-		Ranges:     testRanges,
-		MaxBody:    1 << 10,
-		MaxAnswer:  1 << 10,
+		Self:             n.id,
+		Log:              n.d.log,
+		Execute:          n.d.run,
+		Candidates:       func() []model.DaemonID { return n.d.ids() },
+		Client:           hop.NewClient(hop.Options{}),
+		Messenger:        n.d,
+		GrantDuration:    n.d.grant,
+		PollInterval:     10 * time.Millisecond,
+		Ranges:           testRanges,
+		MaxBodyBytes:     1 << 10,
+		MaxResponseBytes: 1 << 10,
 	})
 	n.patience = patience{loss: 300 * time.Millisecond, ahead: 200 * time.Millisecond}
 	n.server = httptest.NewUnstartedServer(n.Service)
@@ -208,7 +208,7 @@
 		Method: http.MethodPost, Target: "/release", Header: http.Header{}, Service: "returdesk",
 		Caller: caller, Group: "sorters", Key: key.String(), Timeout: timeout,
 	}
-	a := n.Do(ctx, c, []byte(body))
+	a := n.Submit(ctx, c, []byte(body))
 	data, err := io.ReadAll(a.Body)
 	_ = a.Body.Close()
 	return result{a.Outcome, string(data), a.Header.Get(wire.HeaderReplayed) == "true", err}
--- a/owner/route.go
+++ b/owner/route.go
@@ -29,10 +29,10 @@
 // maxSuspects bounds the owners remembered as lost.
 const maxSuspects = 1024
 
-// Do sends a keyed call with its body to the owner of the key and returns the
+// Submit sends a keyed call with its body to the owner of the key and returns the
 // answer. It sends again while the owner moves or cannot be reached, since the
 // owner recognises the key. Whatever it cannot settle is unknown.
-func (s *Service) Do(ctx context.Context, c *wire.Call, body []byte) *wire.Answer {
+func (s *Service) Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Answer {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
 		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
@@ -135,7 +135,7 @@
 func (s *Service) sendRemote(ctx context.Context, to model.DaemonID, c *wire.Call) *wire.Answer {
 	c.SetHop(c.Header)
 	c.Header.Set(wire.HeaderHop, wire.HopOwner)
-	c.Header.Set(wire.HeaderAuth, s.opts.Secret)
+	c.Header.Set(wire.HeaderAuth, s.opts.PeerSecret)
 	resp, _, err := s.opts.Client.Do(ctx, hop.Request{
 		Address:       string(to),
 		Method:        c.Method,
@@ -157,7 +157,7 @@
 		_ = a.Body.Close()
 		return wire.NoAnswer(a.Outcome)
 	}
-	if a.ContentLength < 0 || a.ContentLength > s.opts.MaxAnswer {
+	if a.ContentLength < 0 || a.ContentLength > s.opts.MaxResponseBytes {
 		return a
 	}
 	data, err := io.ReadAll(a.Body)
@@ -188,7 +188,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for l, since := range s.suspect {
-		if time.Since(since) > s.opts.Grant {
+		if time.Since(since) > s.opts.GrantDuration {
 			delete(s.suspect, l)
 		}
 	}
--- a/owner/run.go
+++ b/owner/run.go
@@ -41,7 +41,7 @@
 	s.runs[id] = r
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Timeout)
-		a := s.opts.Run(ctx, c)
+		a := s.opts.Execute(ctx, c)
 		s.settle(id, r, a, cancel)
 	}()
 	return r
@@ -57,8 +57,8 @@
 		close(r.ready)
 		return
 	}
-	head, err := io.ReadAll(io.LimitReader(a.Body, s.opts.MaxAnswer+1))
-	if err == nil && int64(len(head)) <= s.opts.MaxAnswer {
+	head, err := io.ReadAll(io.LimitReader(a.Body, s.opts.MaxResponseBytes+1))
+	if err == nil && int64(len(head)) <= s.opts.MaxResponseBytes {
 		_ = a.Body.Close()
 		cancel()
 		s.finish(id, r, outcome.Done(), &claims.Answer{Status: a.Status, Header: a.Header, Body: head, Trailer: a.Trailer})
--- a/owner/service.go
+++ b/owner/service.go
@@ -62,7 +62,7 @@
 		checkpointed: time.Now(),
 		reading:      make(chan struct{}, 1),
 		window:       firstWindow,
-		planner:      claims.NewPlanner(self, o.Ranges, o.Grant),
+		planner:      claims.NewPlanner(self, o.Ranges, o.GrantDuration),
 	}
 }
 
@@ -91,8 +91,8 @@
 	return c
 }
 
-// Running returns the number of keyed requests that this owner is running.
-func (s *Service) Running() int {
+// RunningCount returns the number of keyed requests that this owner is running.
+func (s *Service) RunningCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.runs)
@@ -103,7 +103,7 @@
 
 // Serve reads and renews grants until the context ends.
 func (s *Service) Serve(ctx context.Context) error {
-	tick := time.NewTicker(s.opts.Interval)
+	tick := time.NewTicker(s.opts.PollInterval)
 	defer tick.Stop()
 	for {
 		s.refreshCandidates()
@@ -139,7 +139,7 @@
 		return false
 	}
 	defer s.unlockReading()
-	return time.Since(s.lastRead) >= s.opts.Grant/readParts
+	return time.Since(s.lastRead) >= s.opts.GrantDuration/readParts
 }
 
 func (s *Service) proven() bool {
