--- a/configuration/store.go
+++ b/configuration/store.go
@@ -61,7 +61,7 @@
 	opts    Options
 	metrics metrics
 	rng     *rand.Rand
-	pause   pause.Doubling
+	pause   pause.Backoff
 
 	current atomic.Pointer[InForce]
 
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -91,7 +91,7 @@
 
 	// next, pause, checkpointDue and problem are used by the log loop alone.
 	next          recordlog.Offset
-	pause         pause.Doubling
+	pause         pause.Backoff
 	checkpointDue time.Time
 	problem       bool
 }
@@ -121,7 +121,7 @@
 		directory: member.New(o.Directory),
 		leases:    make(map[model.UpstreamID]lease),
 		subsets:   make(map[model.ServiceName]subset),
-		pause:     pause.Doubling{Min: o.Interval},
+		pause:     pause.Backoff{Min: o.Interval},
 	}
 	r.checks.init()
 	r.tick()
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -129,7 +129,7 @@
 		return Entry{}, &InvalidError{Problem: err}
 	}
 	rng := rand.New(rand.NewPCG(uint64(c.UnixMilli), uint64(len(record))))
-	var waits pause.Doubling
+	var waits pause.Backoff
 	sent := false
 	for {
 		_, failure := v.log.Append(ctx, recordlog.StreamConfig, [][]byte{record})
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Doubling gives the times to wait between tries of one call that keeps failing. The
+// Backoff gives the times to wait between tries of one call that keeps failing. The
 // zero value is ready and starts at DefaultMin. It is not safe for concurrent
 // use.
-type Doubling struct {
+type Backoff struct {
 	// Min and Max bound the wait. Defaults: 100ms and 3s.
 	Min, Max time.Duration
 	failures int
 }
 
-// The default bounds of a Doubling.
+// The default bounds of a Backoff.
 const (
 	DefaultMin = 100 * time.Millisecond
 	DefaultMax = 3 * time.Second
@@ -27,7 +27,7 @@
 // Next counts a failure and returns how long to wait: a random time up to a
 // bound that doubles, at least half of it. Without an rng the process's own is
 // used.
-func (p *Doubling) Next(rng *rand.Rand) time.Duration {
+func (p *Backoff) Next(rng *rand.Rand) time.Duration {
 	low, high := p.Min, p.Max
 	if low <= 0 {
 		low = DefaultMin
@@ -46,7 +46,7 @@
 
 // Wait counts a failure and waits after it. It returns early with the context's
 // error when the context ends.
-func (p *Doubling) Wait(ctx context.Context) error {
+func (p *Backoff) Wait(ctx context.Context) error {
 	timer := time.NewTimer(p.Next(nil))
 	defer timer.Stop()
 	select {
@@ -58,4 +58,4 @@
 }
 
 // Reset forgets the failures, after a success.
-func (p *Doubling) Reset() { p.failures = 0 }
+func (p *Backoff) Reset() { p.failures = 0 }
--- a/pause/pause_test.go
+++ b/pause/pause_test.go
@@ -13,7 +13,7 @@
 
 func TestDoublesUpToItsBound(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	p := Doubling{Min: 100 * time.Millisecond, Max: time.Second}
+	p := Backoff{Min: 100 * time.Millisecond, Max: time.Second}
 	for i := range 100 {
 		bound := min(100*time.Millisecond<<min(i, 10), time.Second)
 		d := p.Next(rng)
@@ -26,7 +26,7 @@
 
 func TestWaits(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		p := Doubling{Min: time.Second, Max: time.Second}
+		p := Backoff{Min: time.Second, Max: time.Second}
 		began := time.Now()
 		require.NoError(t, p.Wait(t.Context()))
 		require.GreaterOrEqual(t, time.Since(began), 500*time.Millisecond)
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -44,7 +44,7 @@
 
 // announce repeats announceAndList until it succeeds.
 func (j *joiner) announce(ctx context.Context) {
-	backoff := pause.Doubling{Min: minSyncBackoff, Max: maxPause}
+	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxPause}
 	for {
 		err := j.announceAndList(ctx)
 		j.d.peers.directoryReadOnce.Do(func() { close(j.d.peers.directoryRead) })
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -10,7 +10,7 @@
 // syncLoop pushes the local record to a peer, with retries, until the peer has the current
 // one.
 func (p *peers) syncLoop(q *peer) {
-	backoff := pause.Doubling{Min: minSyncBackoff, Max: maxPause}
+	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxPause}
 	for {
 		p.mu.Lock()
 		if !q.pushDue || p.ctx.Err() != nil || p.all[q.record.Address] != q {
