--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -79,9 +79,9 @@
 		Log:  n.link,
 		Seed: seed,
 		IsLogReader: func() bool {
-			return time.Since(x.LastRound()) > 4*time.Second || peer.IsReader(n.ID, n.Zone, f.peers)
+			return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, f.peers)
 		},
-		OnUpdate:           func() { x.Hint() },
+		OnUpdate:           func() { x.TriggerRound() },
 		CheckpointInterval: time.Minute,
 	})
 	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: f.net.From(n.ID),
--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -88,7 +88,7 @@
 func (f *fleet) spentBy(nodes []*node) int64 {
 	var n int64
 	for _, x := range nodes {
-		n += x.exchange.Bytes()
+		n += x.exchange.TotalBytes()
 	}
 	return n
 }
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -69,15 +69,15 @@
 	var x *peer.Exchanger
 	var r *membership.Registry
 	reads := func() bool {
-		return time.Since(x.LastRound()) > 4*time.Second || peer.IsReader(n.ID, n.Zone, r.Peers())
+		return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, r.Peers())
 	}
-	hint := func() { x.Hint() }
+	hint := func() { x.TriggerRound() }
 	end := f.net.From(n.ID)
 	store := configuration.NewStore(configuration.Options{Log: n.link, IsLogReader: reads, OnUpdate: hint, Seed: seed})
 	r = membership.NewRegistry(membership.Options{Self: n.ID, Zone: n.Zone, Log: n.link, Pinger: end,
 		IsLogReader: reads, OnUpdate: hint, Seed: seed, MaxUpstreams: 1 << 20})
 	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Transport: end, Seed: seed,
-		Peers: r.Peers, Lost: r.DeadPeers, Result: r.RecordExchange})
+		Peers: r.Peers, Unreachable: r.DeadPeers, OnResult: r.RecordExchange})
 	x.Register(store.Topic())
 	x.Register(r.Topic())
 	store.OnChange(func(c *configuration.InForce) {
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -34,7 +34,7 @@
 	d.Log = recordlog.NewLimited(&recordlog.Batcher{Log: client})
 	interval := time.Duration(d.settings.Log.Interval)
 	seed := uint64(time.Now().UnixNano())
-	hint := func() { d.Exchanger.Hint() }
+	hint := func() { d.Exchanger.TriggerRound() }
 	d.Config = configuration.NewStore(configuration.Options{
 		Log:         d.Log,
 		Interval:    interval,
@@ -44,7 +44,7 @@
 		Scope:       d.Metrics.Scope,
 		Logger:      d.logger,
 	})
-	d.Peers = peer.NewDialingClient(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
+	d.Peers = peer.NewClientWithDial(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
 	d.Members = membership.NewRegistry(membership.Options{
 		Self:           d.ID(),
 		Zone:           d.settings.Zone,
@@ -60,16 +60,16 @@
 		Logger:         d.logger,
 	})
 	d.Exchanger = peer.NewExchanger(peer.Options{
-		Self:      d.ID(),
-		Zone:      d.settings.Zone,
-		Peers:     d.Members.Peers,
-		Lost:      d.Members.DeadPeers,
-		Result:    d.Members.RecordExchange,
-		First:     firstPeers(d.settings.Peers.First),
-		Transport: d.Peers,
-		Seed:      seed,
-		Metrics:   d.Metrics.Scope,
-		Logger:    d.logger,
+		Self:           d.ID(),
+		Zone:           d.settings.Zone,
+		Peers:          d.Members.Peers,
+		Unreachable:    d.Members.DeadPeers,
+		OnResult:       d.Members.RecordExchange,
+		BootstrapPeers: firstPeers(d.settings.Peers.First),
+		Transport:      d.Peers,
+		Seed:           seed,
+		Metrics:        d.Metrics.Scope,
+		Logger:         d.logger,
 	})
 	d.Exchanger.Register(d.Config.Topic())
 	d.Exchanger.Register(inForceTopic{d.Config})
@@ -93,7 +93,7 @@
 	if time.Since(d.Exchanger.LastRound()) > heardWithin {
 		return true
 	}
-	return peer.IsReader(d.ID(), d.settings.Zone, d.Members.Peers())
+	return peer.IsLogReader(d.ID(), d.settings.Zone, d.Members.Peers())
 }
 
 func firstPeers(addresses []string) []peer.Peer {
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -16,7 +16,7 @@
 func (d *Daemon) buildQuarantine() {
 	d.Quarantine = quarantine.NewStore(quarantine.Options{
 		Rule:   d.quarantineRule,
-		Hint:   func() { d.Exchanger.Hint() },
+		Hint:   func() { d.Exchanger.TriggerRound() },
 		Scope:  d.scope("quarantine"),
 		Logger: d.logger,
 	})
--- a/daemon/zones.go
+++ b/daemon/zones.go
@@ -37,7 +37,7 @@
 }
 
 func (d *Daemon) askZones(ctx context.Context) []zoneAnswer {
-	asked := peer.Sample(d.Members.Peers(), zoneSample, uint64(time.Now().UnixNano()))
+	asked := peer.SamplePerZone(d.Members.Peers(), zoneSample, uint64(time.Now().UnixNano()))
 	answers := make([]zoneAnswer, len(asked))
 	turns := make(chan struct{}, zoneParallel)
 	var wg sync.WaitGroup
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -80,13 +80,13 @@
 		Self: n.ID, Zone: n.Zone, Log: n.link, Pinger: end, Seed: seed, MaxUpstreams: 1000,
 		CheckpointInterval: time.Minute,
 		IsLogReader: func() bool {
-			return time.Since(x.LastRound()) > 4*time.Second || peer.IsReader(n.ID, n.Zone, r.Peers())
+			return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, r.Peers())
 		},
-		OnUpdate:       func() { x.Hint() },
+		OnUpdate:       func() { x.TriggerRound() },
 		OnLeaseExpired: func(model.UpstreamID) { n.expired.Add(1) },
 	})
-	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: end, First: n.first,
-		Peers: r.Peers, Lost: r.DeadPeers, Result: r.RecordExchange})
+	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: end, BootstrapPeers: n.first,
+		Peers: r.Peers, Unreachable: r.DeadPeers, OnResult: r.RecordExchange})
 	x.Register(r.Topic())
 	f.net.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
 	n.registry = r
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -163,7 +163,7 @@
 // writer reports whether this daemon appends the events of its zone. While it
 // knows no peers it does.
 func (r *Registry) writer() bool {
-	return peer.Rank(r.opts.Self, r.opts.Zone, r.Peers()) == 0
+	return peer.RendezvousRank(r.opts.Self, r.opts.Zone, r.Peers()) == 0
 }
 
 func (r *Registry) ofZone(events []member.Event) []member.Event {
--- a/peer/choose.go
+++ b/peer/choose.go
@@ -50,10 +50,10 @@
 
 // chooseLost returns a peer that is thought dead, now and then. e.mu is held.
 func (e *Exchanger) chooseLost() []Peer {
-	if e.opts.Lost == nil || e.rng.Float64() >= lostShare {
+	if e.opts.Unreachable == nil || e.rng.Float64() >= lostShare {
 		return nil
 	}
-	lost := e.opts.Lost()
+	lost := e.opts.Unreachable()
 	if len(lost) == 0 {
 		return nil
 	}
@@ -68,7 +68,7 @@
 	}
 	e.neighbours = e.chooseNeighbours(peers)
 	if len(e.neighbours.near)+len(e.neighbours.far) == 0 {
-		e.neighbours = e.chooseNeighbours(e.opts.First)
+		e.neighbours = e.chooseNeighbours(e.opts.BootstrapPeers)
 	}
 	e.neighbours.of = peers
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -32,12 +32,12 @@
 // NewClient returns a Client that connects by plain TCP and authenticates with
 // the secret.
 func NewClient(secret string) *Client {
-	return NewDialingClient(secret, (&net.Dialer{Timeout: dialTimeout}).DialContext)
+	return NewClientWithDial(secret, (&net.Dialer{Timeout: dialTimeout}).DialContext)
 }
 
-// NewDialingClient returns a Client that connects by dial and authenticates
+// NewClientWithDial returns a Client that connects by dial and authenticates
 // with the secret.
-func NewDialingClient(secret string, dial Dial) *Client {
+func NewClientWithDial(secret string, dial Dial) *Client {
 	return &Client{
 		http: &http.Client{
 			Transport: &http.Transport{
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -34,28 +34,28 @@
 	Zone model.AvailabilityZone
 	// Peers returns the other daemons known now. The slice is not modified.
 	Peers func() []Peer
-	// Lost returns daemons that are thought dead. Nil means none. One of them
+	// Unreachable returns daemons that are thought dead. Nil means none. One of them
 	// is tried now and then.
-	Lost func() []Peer
-	// Result is told how the round with a peer went. Nil means nobody.
-	Result func(Peer, error)
-	// First are peers to try while Peers returns none.
-	First []Peer
+	Unreachable func() []Peer
+	// OnResult is told how the round with a peer went. Nil means nobody.
+	OnResult func(Peer, error)
+	// BootstrapPeers are peers to try while Peers returns none.
+	BootstrapPeers []Peer
 	// Transport reaches the peers.
 	Transport Transport
 	// Interval is the time between two rounds. Default: 1s.
 	Interval time.Duration
 	// Fanout is the number of peers in a round. Default: 2.
 	Fanout int
-	// HintFanout is the number of peers in a round after a hint. Default: 5.
-	HintFanout int
-	// Bytes bounds the bytes a second that this daemon sends and receives in
+	// TriggeredFanout is the number of peers in a round after a hint. Default: 5.
+	TriggeredFanout int
+	// BytesPerSecond bounds the bytes a second that this daemon sends and receives in
 	// rounds that it starts or answers. Default: 14336.
-	Bytes int
-	// Burst is the size of the token bucket for Bytes. Default: 512 KiB.
-	Burst int
-	// RoundBytes bounds one topic's delta. Default: 16 KiB.
-	RoundBytes int
+	BytesPerSecond int
+	// BurstBytes is the size of the token bucket for Bytes. Default: 512 KiB.
+	BurstBytes int
+	// MaxDeltaBytes bounds one topic's delta. Default: 16 KiB.
+	MaxDeltaBytes int
 	// Timeout bounds one message. Default: 1s.
 	Timeout time.Duration
 	// Seed seeds the choice of peers.
@@ -103,7 +103,7 @@
 	opts.setDefaults()
 	return &Exchanger{
 		opts:    opts,
-		budget:  rate.NewLimiter(rate.Limit(opts.Bytes), opts.Burst),
+		budget:  rate.NewLimiter(rate.Limit(opts.BytesPerSecond), opts.BurstBytes),
 		hints:   rate.NewLimiter(hintsPerSecond, hintBurst),
 		hinted:  make(chan struct{}, 1),
 		metrics: newMetrics(opts.Metrics),
@@ -115,16 +115,16 @@
 func (o *Options) setDefaults() {
 	o.Interval = orDefault(o.Interval, defaultInterval)
 	o.Fanout = orDefault(o.Fanout, defaultFanout)
-	o.HintFanout = orDefault(o.HintFanout, defaultHintFanout)
-	o.Bytes = orDefault(o.Bytes, defaultBytes)
-	o.Burst = orDefault(o.Burst, defaultBurst)
-	o.RoundBytes = orDefault(o.RoundBytes, defaultRoundBytes)
+	o.TriggeredFanout = orDefault(o.TriggeredFanout, defaultHintFanout)
+	o.BytesPerSecond = orDefault(o.BytesPerSecond, defaultBytes)
+	o.BurstBytes = orDefault(o.BurstBytes, defaultBurst)
+	o.MaxDeltaBytes = orDefault(o.MaxDeltaBytes, defaultRoundBytes)
 	o.Timeout = orDefault(o.Timeout, defaultTimeout)
 	if o.Peers == nil {
 		o.Peers = func() []Peer { return nil }
 	}
-	if o.Result == nil {
-		o.Result = func(Peer, error) {}
+	if o.OnResult == nil {
+		o.OnResult = func(Peer, error) {}
 	}
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
@@ -150,9 +150,9 @@
 	e.names = append(e.names, t.Name())
 }
 
-// Hint asks for a round at once, because a topic has news that must not wait
+// TriggerRound asks for a round at once, because a topic has news that must not wait
 // for the next one.
-func (e *Exchanger) Hint() {
+func (e *Exchanger) TriggerRound() {
 	select {
 	case e.hinted <- struct{}{}:
 	default:
@@ -167,9 +167,9 @@
 	return e.lastRound
 }
 
-// Bytes returns the bytes sent and received in rounds so far, with what is
+// TotalBytes returns the bytes sent and received in rounds so far, with what is
 // reckoned for the heads of the messages.
-func (e *Exchanger) Bytes() int64 { return e.spent.Load() }
+func (e *Exchanger) TotalBytes() int64 { return e.spent.Load() }
 
 // Serve runs rounds until the context ends.
 func (e *Exchanger) Serve(ctx context.Context) error {
@@ -214,5 +214,5 @@
 	case <-e.hinted:
 	default:
 	}
-	e.Round(ctx, e.opts.HintFanout)
+	e.Round(ctx, e.opts.TriggeredFanout)
 }
--- a/peer/exchanger_test.go
+++ b/peer/exchanger_test.go
@@ -143,7 +143,7 @@
 				n, topics := start(t, ctx, size)
 				time.Sleep(5 * time.Second)
 				require.NoError(t, topics[0].Apply([]byte{7}))
-				n.nodes["d0"].Hint()
+				n.nodes["d0"].TriggerRound()
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
 				require.Equal(t, size, reached(topics, 7))
@@ -158,7 +158,7 @@
 		n, topics := start(t, ctx, 50)
 		n.setCut("z1")
 		require.NoError(t, topics[0].Apply([]byte{7}))
-		n.nodes["d0"].Hint()
+		n.nodes["d0"].TriggerRound()
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
 		require.Equal(t, 40, reached(topics, 7), "the zones that are not cut off")
@@ -175,7 +175,7 @@
 		n, _ := start(t, ctx, 10)
 		const seconds = 10
 		for range seconds * 100 {
-			n.nodes["d0"].Hint()
+			n.nodes["d0"].TriggerRound()
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
@@ -193,7 +193,7 @@
 func TestBudgetKeepsDeltasShort(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		scope := tally.NewTestScope("", nil)
-		e := NewExchanger(Options{Burst: 40 << 10, Bytes: 1, Metrics: scope})
+		e := NewExchanger(Options{BurstBytes: 40 << 10, BytesPerSecond: 1, Metrics: scope})
 		e.Register(&sizedTopic{})
 		req := &peerv1.ExchangeRequest{Topics: []*peerv1.TopicMessage{{Topic: "max", Digest: []byte{0}}}}
 		require.Len(t, e.Handle(req).Topics[0].Delta, defaultRoundBytes)
@@ -212,7 +212,7 @@
 		for _, p := range peers {
 			n.nodes[p.ID] = NewExchanger(Options{Self: p.ID})
 		}
-		e := NewExchanger(Options{Self: "x", Burst: 1000, Bytes: 1, Transport: endpoint{n, "x"}, Peers: func() []Peer { return peers }})
+		e := NewExchanger(Options{Self: "x", BurstBytes: 1000, BytesPerSecond: 1, Transport: endpoint{n, "x"}, Peers: func() []Peer { return peers }})
 		e.Register(&maxTopic{})
 		e.Round(t.Context(), 3)
 		require.Equal(t, 3, n.sent)
@@ -258,7 +258,7 @@
 	srv := httptest.NewServer(Handler(&Service{Exchanger: e}, "secret"))
 	defer srv.Close()
 	var bytes atomic.Int64
-	c := NewDialingClient("secret", func(ctx context.Context, network, address string) (net.Conn, error) {
+	c := NewClientWithDial("secret", func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countedConn{conn, &bytes}, err
 	})
--- a/peer/reader.go
+++ b/peer/reader.go
@@ -13,16 +13,16 @@
 // With three, a zone still follows by itself when two of them fail at once.
 const readersPerZone = 3
 
-// IsReader reports whether a daemon is among the few of its availability zone
+// IsLogReader reports whether a daemon is among the few of its availability zone
 // that read the log often and hand on what they read.
-func IsReader(self model.DaemonID, zone model.AvailabilityZone, peers []Peer) bool {
-	return Rank(self, zone, peers) < readersPerZone
+func IsLogReader(self model.DaemonID, zone model.AvailabilityZone, peers []Peer) bool {
+	return RendezvousRank(self, zone, peers) < readersPerZone
 }
 
-// Rank returns the place of a daemon among those of its availability zone, from
+// RendezvousRank returns the place of a daemon among those of its availability zone, from
 // 0, by rendezvous hashing: a daemon that comes or goes moves the others by at
 // most one place.
-func Rank(self model.DaemonID, zone model.AvailabilityZone, peers []Peer) int {
+func RendezvousRank(self model.DaemonID, zone model.AvailabilityZone, peers []Peer) int {
 	own := xxhash.Sum64String(string(self))
 	ahead := 0
 	for _, p := range peers {
@@ -36,8 +36,8 @@
 	return ahead
 }
 
-// Sample returns up to n peers of each zone, in an order drawn by seed.
-func Sample(peers []Peer, n int, seed uint64) []Peer {
+// SamplePerZone returns up to n peers of each zone, in an order drawn by seed.
+func SamplePerZone(peers []Peer, n int, seed uint64) []Peer {
 	sorted := slices.Clone(peers)
 	rank := func(p Peer) uint64 { return xxhash.Sum64String(string(p.ID)) ^ seed }
 	slices.SortFunc(sorted, func(a, b Peer) int {
--- a/peer/round.go
+++ b/peer/round.go
@@ -78,12 +78,12 @@
 	}
 	e.metrics.rounds.Inc(1)
 	e.heard()
-	e.opts.Result(p, nil)
+	e.opts.OnResult(p, nil)
 }
 
 func (e *Exchanger) failed(p Peer, err error) {
 	e.metrics.roundsFailed.Inc(1)
-	e.opts.Result(p, err)
+	e.opts.OnResult(p, err)
 }
 
 func (e *Exchanger) send(ctx context.Context, p Peer, topics []*peerv1.TopicMessage) (*peerv1.ExchangeResponse, error) {
@@ -138,7 +138,7 @@
 		if t == nil {
 			continue
 		}
-		limit := min(e.opts.RoundBytes, int(e.budget.Tokens()))
+		limit := min(e.opts.MaxDeltaBytes, int(e.budget.Tokens()))
 		if limit < minDelta {
 			e.metrics.deltasLimited.Inc(1)
 			limit = minDelta
@@ -168,7 +168,7 @@
 		changed = changed || before != string(t.Digest())
 	}
 	if changed {
-		e.Hint()
+		e.TriggerRound()
 	}
 }
 
@@ -198,7 +198,7 @@
 func (e *Exchanger) spend(n int) {
 	e.metrics.bytes.Inc(int64(n))
 	e.spent.Add(int64(n))
-	e.budget.ReserveN(time.Now(), min(n, e.opts.Burst))
+	e.budget.ReserveN(time.Now(), min(n, e.opts.BurstBytes))
 }
 
 func bounded(topics []*peerv1.TopicMessage) []*peerv1.TopicMessage {
