--- a/cmd/dottereltillerd/logreader_test.go
+++ b/cmd/dottereltillerd/logreader_test.go
@@ -27,8 +27,8 @@
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	vm := platformtest.VM{
 		Name: "vm-1", IP: ip, Zone: "z", Service: "a", Outbound: at(8141), Ready: at(8140), Control: at(8146),
-		Upstream: at(8147), Store: at(8342), InternalPort: 7660, Advertised: at(7660), First: true,
-		GraceS: 1, Ratio: 0.2, Slack: 10, Window: 10,
+		Upstream: at(8147), Store: at(8342), InternalPort: 7660, Advertised: at(7660), Bootstrap: true,
+		GraceS: 1, RetryBudgetRatio: 0.2, RetryBudgetSlack: 10, RetryBudgetWindowS: 10,
 	}
 	path := write(t, vm.Settings())
 	out, in, err := os.Pipe()
--- a/soak/check.go
+++ b/soak/check.go
@@ -103,8 +103,8 @@
 	c.firsts = append(c.firsts, now)
 }
 
-// Run implements platformtest.Observer.
-func (c *checker) Run(u *platformtest.Upstream, attempt, caller string) {
+// RequestStarted implements platformtest.Observer.
+func (c *checker) RequestStarted(u *platformtest.Upstream, attempt, caller string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.requests[attempt]
@@ -197,7 +197,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.requests[attempt]
-	body, seal := platformtest.Answer(attempt)
+	body, seal := platformtest.ResponseBody(attempt)
 	switch {
 	case r.Status >= 200 && r.Status < 300:
 		if r.Body != body || r.Seal != seal || r.Attempt != attempt {
@@ -206,7 +206,7 @@
 		if s.runs == 0 {
 			c.violate("mixed: %s was answered and never ran", attempt)
 		}
-	case r.Promises():
+	case r.NotExecuted():
 		s.promised = true
 		if s.unsafe && s.runs > 0 {
 			c.violate("promise: %s was told %d though it ran", attempt, r.Status)
--- a/soak/inflict.go
+++ b/soak/inflict.go
@@ -16,8 +16,8 @@
 }
 
 var storeFaults = map[string]platformtest.StoreFault{
-	"busy": platformtest.StoreBusy, "many": platformtest.StoreMany, "silent": platformtest.StoreSilent,
-	"slow": platformtest.StoreSlow, "lost": platformtest.StoreLost, "late": platformtest.StoreLate,
+	"busy": platformtest.StoreUnavailable, "many": platformtest.StoreRateLimited, "silent": platformtest.StoreHangs,
+	"slow": platformtest.StoreSlow, "lost": platformtest.StoreLosesReplies, "late": platformtest.StoreAppendsLate,
 }
 
 // failShare is the share of requests that a failing upstream fails.
@@ -93,7 +93,7 @@
 
 func (w *world) failStore(f Fault) {
 	if f.Mode == "forget" {
-		w.store.Forget(platformtest.TopicOperator)
+		w.store.Truncate(platformtest.TopicOperator)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.store.PutConfig(w.document())
@@ -101,7 +101,7 @@
 	}
 	w.store.Fail(storeFaults[f.Mode])
 	time.Sleep(f.For)
-	w.store.Fail(platformtest.StoreWell)
+	w.store.Fail(platformtest.StoreHealthy)
 }
 
 // failUpstreams makes an upstream fail some of its requests, or all of them all if
@@ -116,7 +116,7 @@
 	}
 	time.Sleep(f.For)
 	for _, m := range which {
-		m.upstream.Fail(platformtest.UpstreamWell, 0)
+		m.upstream.Fail(platformtest.UpstreamHealthy, 0)
 	}
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -67,35 +67,39 @@
 
 // TestCheckerFinds has each broken promise seen.
 func TestCheckerFinds(t *testing.T) {
-	body, seal := platformtest.Answer("x")
+	body, seal := platformtest.ResponseBody("x")
 	good := platformtest.Result{Status: 200, Body: body, Seal: seal, Attempt: "x"}
 	up := &platformtest.Upstream{}
 	for name, c := range map[string]struct {
 		steps func(c *checker)
 		want  string
 	}{
-		"all is well": {func(c *checker) { c.send("x", "a", true); c.Run(up, "x", "a"); c.answer("x", good) }, ""},
+		"all is well": {func(c *checker) { c.send("x", "a", true); c.RequestStarted(up, "x", "a"); c.answer("x", good) }, ""},
 		"idempotent requests may run again": {func(c *checker) {
 			c.send("x", "a", false)
-			c.Run(up, "x", "a")
-			c.Run(up, "x", "a")
+			c.RequestStarted(up, "x", "a")
+			c.RequestStarted(up, "x", "a")
 		}, ""},
-		"ran twice":    {func(c *checker) { c.send("x", "a", true); c.Run(up, "x", "a"); c.Run(up, "x", "a") }, "twice"},
-		"nobody asked": {func(c *checker) { c.Run(up, "x", "a") }, "unasked"},
-		"of another":   {func(c *checker) { c.send("x", "a", true); c.Run(up, "x", "b") }, "caller"},
+		"ran twice": {func(c *checker) {
+			c.send("x", "a", true)
+			c.RequestStarted(up, "x", "a")
+			c.RequestStarted(up, "x", "a")
+		}, "twice"},
+		"nobody asked": {func(c *checker) { c.RequestStarted(up, "x", "a") }, "unasked"},
+		"of another":   {func(c *checker) { c.send("x", "a", true); c.RequestStarted(up, "x", "b") }, "caller"},
 		"promised, then ran": {func(c *checker) {
 			c.send("x", "a", true)
 			c.answer("x", platformtest.Result{Status: 503, RetryAfter: 1})
-			c.Run(up, "x", "a")
+			c.RequestStarted(up, "x", "a")
 		}, "promise"},
 		"ran, then promised": {func(c *checker) {
 			c.send("x", "a", true)
-			c.Run(up, "x", "a")
+			c.RequestStarted(up, "x", "a")
 			c.answer("x", platformtest.Result{Status: 429})
 		}, "promise"},
 		"half an answer": {func(c *checker) {
 			c.send("x", "a", false)
-			c.Run(up, "x", "a")
+			c.RequestStarted(up, "x", "a")
 			bad := good
 			bad.Body = body[:4]
 			c.answer("x", bad)
@@ -106,12 +110,12 @@
 		"after its drain": {func(c *checker) {
 			c.send("x", "a", false)
 			c.drained[up.Incarnation()] = time.Now().Add(-2 * drainBound)
-			c.Run(up, "x", "a")
+			c.RequestStarted(up, "x", "a")
 		}, "drain"},
 		"repeats beyond the budget": {func(c *checker) {
 			c.send("x", "a", false)
 			for range int(budgetSlack) + 3 {
-				c.Run(up, "x", "a")
+				c.RequestStarted(up, "x", "a")
 			}
 			c.budget()
 		}, "budget"},
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -69,8 +69,8 @@
 	m := &machine{group: group, check: check, binary: binary, exits: make(chan error, 1), vm: platformtest.VM{
 		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groups%zones), Service: serviceOf(group, number/groups%2),
 		Outbound: at(portOutbound), Ready: at(portReady), Control: at(portControl), Upstream: at(proxyUpstream), Store: at(proxyStore),
-		InternalPort: portInternal, Advertised: at(proxyPeers), First: true,
-		GraceS: grace.Seconds(), Ratio: budgetRatio, Slack: budgetSlack, Window: budgetSpan.Seconds(),
+		InternalPort: portInternal, Advertised: at(proxyPeers), Bootstrap: true,
+		GraceS: grace.Seconds(), RetryBudgetRatio: budgetRatio, RetryBudgetSlack: budgetSlack, RetryBudgetWindowS: budgetSpan.Seconds(),
 	}}
 	m.settings = filepath.Join(dir, m.vm.Name+".yaml")
 	var err error
@@ -91,7 +91,7 @@
 	}
 	m.upstream = &platformtest.Upstream{
 		Service: m.vm.Service, Zone: m.vm.Zone, Address: at(portUpstream), Reported: at(proxyUpstream), Control: m.vm.Control,
-		Slots: 6, Work: 20 * time.Millisecond, Observer: check,
+		Slots: 6, ServiceTime: 20 * time.Millisecond, Observer: check,
 	}
 	m.caller = platformtest.Caller{Address: m.vm.Outbound, Service: serviceOf(group, 0), Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	return m, nil
@@ -112,7 +112,7 @@
 func (m *machine) start() error {
 	m.mu.Lock()
 	text, service := m.vm.Settings(), m.vm.Service
-	m.vm.First = false
+	m.vm.Bootstrap = false
 	startProgram := startAgain
 	if m.life == 0 {
 		startProgram = startFirst
@@ -186,7 +186,7 @@
 	m.mu.Lock()
 	m.vm.Service = service
 	m.mu.Unlock()
-	m.upstream.Move(service)
+	m.upstream.SetService(service)
 }
 
 // signal sends a signal to the process, if there is one.
