--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -15,10 +15,10 @@
 // it on to the other daemons.
 func (d *Daemon) buildQuarantine() {
 	d.Quarantine = quarantine.NewStore(quarantine.Options{
-		Rule:   d.quarantineRule,
-		Hint:   func() { d.Exchanger.TriggerRound() },
-		Scope:  d.scope("quarantine"),
-		Logger: d.logger,
+		Rule:     d.quarantineRule,
+		OnUpdate: func() { d.Exchanger.TriggerRound() },
+		Scope:    d.scope("quarantine"),
+		Logger:   d.logger,
 	})
 	d.Exchanger.Register(d.Quarantine)
 }
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -14,7 +14,7 @@
 	d, _ := startDaemon(t, testSettings())
 	r := core.Request{Service: "s", Caller: "c", Method: "GET", Target: "/kill"}
 	f := core.FingerprintOf(r)
-	d.Quarantine.Died(f, r, core.Crash{Upstream: "s-1", Incarnation: 1})
+	d.Quarantine.RecordCrash(f, r, core.Crash{Upstream: "s-1", Incarnation: 1})
 
 	entries, err := operator.ListQuarantined(context.Background(), d.AdminAddress())
 	require.NoError(t, err)
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -13,16 +13,16 @@
 // Quarantine keeps track of requests that crash upstreams and says which are
 // refused.
 type Quarantine interface {
-	// Watching reports whether any request is suspected of crashing upstreams or
+	// HasRecords reports whether any request is suspected of crashing upstreams or
 	// is quarantined. If not, no other method needs to be called.
-	Watching() bool
-	// Refused reports whether a request is quarantined, and for how much longer.
-	Refused(quarantine.Fingerprint) (time.Duration, bool)
-	// Died records that an upstream crashed while it ran a request.
-	Died(quarantine.Fingerprint, quarantine.Request, quarantine.Crash)
-	// Answered records that a request was answered completely, so that it is no
+	HasRecords() bool
+	// RefusedFor reports whether a request is quarantined, and for how much longer.
+	RefusedFor(quarantine.Fingerprint) (time.Duration, bool)
+	// RecordCrash records that an upstream crashed while it ran a request.
+	RecordCrash(quarantine.Fingerprint, quarantine.Request, quarantine.Crash)
+	// RecordResponse records that a request was answered completely, so that it is no
 	// longer suspected.
-	Answered(quarantine.Fingerprint)
+	RecordResponse(quarantine.Fingerprint)
 }
 
 // lazyFingerprint is a fingerprint that is computed on first use.
@@ -51,10 +51,10 @@
 // quarantined reports whether the request is refused because it crashes
 // upstreams, and returns the outcome in that case.
 func (e *Entry) quarantined(req *request) (outcome.Outcome, bool) {
-	if e.opts.Quarantine == nil || !e.opts.Quarantine.Watching() {
+	if e.opts.Quarantine == nil || !e.opts.Quarantine.HasRecords() {
 		return outcome.Outcome{}, false
 	}
-	remaining, refused := e.opts.Quarantine.Refused(req.fingerprint())
+	remaining, refused := e.opts.Quarantine.RefusedFor(req.fingerprint())
 	o := outcome.NotRunBecause(outcome.ReasonQuarantined)
 	o.RetryAfter = remaining
 	return o, refused
@@ -65,14 +65,14 @@
 func (e *Entry) recordCrash(req *request, upstream model.Upstream, response *wire.Answer) {
 	if e.opts.Quarantine != nil && response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
 		crash := quarantine.Crash{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
-		e.opts.Quarantine.Died(req.fingerprint(), req.quarantineRequest(), crash)
+		e.opts.Quarantine.RecordCrash(req.fingerprint(), req.quarantineRequest(), crash)
 	}
 }
 
 // clearCrashes reports to the quarantine that the request was answered
 // completely, so that crashes recorded for it are forgotten.
 func (e *Entry) clearCrashes(req *request, o outcome.Outcome) {
-	if e.opts.Quarantine != nil && o.Kind == outcome.Answered && e.opts.Quarantine.Watching() {
-		e.opts.Quarantine.Answered(req.fingerprint())
+	if e.opts.Quarantine != nil && o.Kind == outcome.Answered && e.opts.Quarantine.HasRecords() {
+		e.opts.Quarantine.RecordResponse(req.fingerprint())
 	}
 }
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -18,17 +18,17 @@
 	answered []quarantine.Fingerprint
 }
 
-func (q *quarantineStub) Watching() bool { return len(q.crashes) > 0 }
+func (q *quarantineStub) HasRecords() bool { return len(q.crashes) > 0 }
 
-func (q *quarantineStub) Refused(f quarantine.Fingerprint) (time.Duration, bool) {
+func (q *quarantineStub) RefusedFor(f quarantine.Fingerprint) (time.Duration, bool) {
 	return 90 * time.Second, len(q.crashes[f]) >= 2
 }
 
-func (q *quarantineStub) Died(f quarantine.Fingerprint, _ quarantine.Request, crash quarantine.Crash) {
+func (q *quarantineStub) RecordCrash(f quarantine.Fingerprint, _ quarantine.Request, crash quarantine.Crash) {
 	q.crashes[f] = append(q.crashes[f], crash)
 }
 
-func (q *quarantineStub) Answered(f quarantine.Fingerprint) { q.answered = append(q.answered, f) }
+func (q *quarantineStub) RecordResponse(f quarantine.Fingerprint) { q.answered = append(q.answered, f) }
 
 func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	crashing := true
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -15,14 +15,14 @@
 // Gossip hands the records of a Store on to the other daemons by datagram. It is safe
 // for concurrent use.
 type Gossip struct {
-	Store   *Store
-	Targets gossip.PeerSelector
+	Store    *Store
+	Selector gossip.PeerSelector
 	// Members returns the daemons that can be reached.
 	Members func() []gossip.Member
 	// Send sends a message. One may be lost.
 	Send func(address string, message []byte)
-	// Limit bounds a message, in bytes.
-	Limit int
+	// MaxMessageBytes bounds a message, in bytes.
+	MaxMessageBytes int
 
 	mu      sync.Mutex
 	pace    gossip.AntiEntropyTimer
@@ -38,7 +38,7 @@
 		g.push()
 	}
 	if g.compareDue(now) {
-		if m, ok := g.Targets.AntiEntropyPeer(g.Members()); ok {
+		if m, ok := g.Selector.AntiEntropyPeer(g.Members()); ok {
 			g.Send(m.Address, g.Store.Opening())
 		}
 	}
@@ -55,14 +55,14 @@
 }
 
 func (g *Gossip) push() {
-	news, first := g.Store.News(g.Limit)
+	news, first := g.Store.News(g.MaxMessageBytes)
 	if news == nil {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.told = 0
 		return
 	}
-	for _, m := range g.Targets.PushTargets(g.Members(), first) {
+	for _, m := range g.Selector.PushTargets(g.Members(), first) {
 		g.Send(m.Address, news)
 	}
 }
@@ -78,20 +78,20 @@
 	return g.pace.Due(now)
 }
 
-// Wake has the daemon compare more often for a while: others may have missed something,
+// ResetAntiEntropy has the daemon compare more often for a while: others may have missed something,
 // as those that were out of reach.
-func (g *Gossip) Wake() {
+func (g *Gossip) ResetAntiEntropy() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pace.Reset()
 }
 
-// Compare compares with a daemon that may know something, as one that is met at the start.
-func (g *Gossip) Compare(address string) { g.Send(address, g.Store.Opening()) }
+// SendDigest compares with a daemon that may know something, as one that is met at the start.
+func (g *Gossip) SendDigest(address string) { g.Send(address, g.Store.Opening()) }
 
 // Receive takes in a message of another daemon and answers it.
 func (g *Gossip) Receive(from string, message []byte) {
-	answers, agreed := g.Store.Receive(message, g.Limit)
+	answers, agreed := g.Store.Receive(message, g.MaxMessageBytes)
 	if agreed {
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -67,10 +67,10 @@
 			Wall:   func() time.Time { return m.now },
 			Logger: slog.New(slog.DiscardHandler),
 		}),
-		Targets: gossip.PeerSelector{Zone: d.zone, RandIntN: m.rng.IntN},
-		Limit:   meshLimit,
-		Members: func() []gossip.Member { return m.others(d) },
-		Send:    func(to string, message []byte) { m.send(d, m.byName[to], message) },
+		Selector:        gossip.PeerSelector{Zone: d.zone, RandIntN: m.rng.IntN},
+		MaxMessageBytes: meshLimit,
+		Members:         func() []gossip.Member { return m.others(d) },
+		Send:            func(to string, message []byte) { m.send(d, m.byName[to], message) },
 	}
 	m.daemons = append(m.daemons, d)
 	m.byName[d.name] = d
@@ -113,7 +113,7 @@
 			p.to.Receive(p.from.name, p.message)
 		}
 		for _, d := range m.daemons {
-			if d.Store.Watching() && m.now.UnixMilli()%100 == 0 {
+			if d.Store.HasRecords() && m.now.UnixMilli()%100 == 0 {
 				d.Store.change(d.Store.settle)
 			}
 			d.Tick(model.Instant(m.now.UnixNano()))
@@ -160,7 +160,7 @@
 	for i := range upstreams {
 		for j := range running {
 			f := quarantine.FingerprintOf(asked(fmt.Sprintf("/crash/%d/%d", i, j)))
-			m.daemons[(3*i+j)%len(m.daemons)].Store.Answered(f)
+			m.daemons[(3*i+j)%len(m.daemons)].Store.RecordResponse(f)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	require.Equal(t, daemons-daemons/meshZones, m.refusing("/kill", ""))
 	m.cut = ""
 	for _, d := range m.daemons {
-		d.Wake() // as when it reaches others again
+		d.ResetAntiEntropy() // as when it reaches others again
 	}
 	m.pass(2 * time.Second)
 	require.Equal(t, daemons, m.refusing("/kill", ""))
@@ -251,7 +251,7 @@
 	m.kill("/kill", 7)
 	m.pass(30 * time.Second)
 	m.add(20)
-	m.daemons[20].Compare("d3")
+	m.daemons[20].SendDigest("d3")
 	m.pass(100 * time.Millisecond)
 	require.Equal(t, 21, m.refusing("/kill", ""))
 }
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -21,8 +21,8 @@
 	Rule func(model.ServiceName) quarantine.Rule
 	// Wall reads the wall clock. Default: time.Now.
 	Wall func() time.Time
-	// Hint is called when there is news for other daemons. Nil means none.
-	Hint func()
+	// OnUpdate is called when there is news for other daemons. Nil means none.
+	OnUpdate func()
 	// Scope receives the counters. Nil means none.
 	Scope tally.Scope
 	// Logger takes changes of state. Default: slog.Default.
@@ -55,8 +55,8 @@
 	if opts.Wall == nil {
 		opts.Wall = time.Now
 	}
-	if opts.Hint == nil {
-		opts.Hint = func() {}
+	if opts.OnUpdate == nil {
+		opts.OnUpdate = func() {}
 	}
 	if opts.Logger == nil {
 		opts.Logger = slog.Default()
@@ -79,11 +79,11 @@
 	return s.table.Version()
 }
 
-// Watching reports whether any request is suspected or refused.
-func (s *Store) Watching() bool { return s.watching.Load() }
+// HasRecords reports whether any request is suspected or refused.
+func (s *Store) HasRecords() bool { return s.watching.Load() }
 
-// Refused reports for how long yet a request is refused.
-func (s *Store) Refused(f quarantine.Fingerprint) (time.Duration, bool) {
+// RefusedFor reports for how long yet a request is refused.
+func (s *Store) RefusedFor(f quarantine.Fingerprint) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -95,8 +95,8 @@
 	return time.Duration(until-now) * time.Millisecond, true
 }
 
-// Died tells that an upstream died while it ran a request.
-func (s *Store) Died(f quarantine.Fingerprint, r quarantine.Request, d quarantine.Crash) {
+// RecordCrash tells that an upstream died while it ran a request.
+func (s *Store) RecordCrash(f quarantine.Fingerprint, r quarantine.Request, d quarantine.Crash) {
 	s.deaths.Inc(1)
 	s.change(func(now int64) {
 		s.table.RecordCrash(now, f, r, d)
@@ -104,8 +104,8 @@
 	})
 }
 
-// Answered tells that a request was answered in full.
-func (s *Store) Answered(f quarantine.Fingerprint) {
+// RecordResponse tells that a request was answered in full.
+func (s *Store) RecordResponse(f quarantine.Fingerprint) {
 	s.change(func(now int64) { s.table.RecordResponse(now, f) })
 }
 
@@ -142,7 +142,7 @@
 // Serve settles and expires records until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
 	return interval.Run(ctx, tickInterval, func() {
-		if s.Watching() {
+		if s.HasRecords() {
 			s.change(s.settle)
 		}
 	})
@@ -169,7 +169,7 @@
 	}
 	s.mu.Unlock()
 	if changed {
-		s.opts.Hint()
+		s.opts.OnUpdate()
 	}
 }
 
--- a/quarantine/store_test.go
+++ b/quarantine/store_test.go
@@ -49,11 +49,11 @@
 
 func (s *Store) died(target string, upstream int) {
 	r := asked(target)
-	s.Died(quarantine.FingerprintOf(r), r, quarantine.Crash{Upstream: model.UpstreamID(fmt.Sprint("s-", upstream)), Incarnation: 1})
+	s.RecordCrash(quarantine.FingerprintOf(r), r, quarantine.Crash{Upstream: model.UpstreamID(fmt.Sprint("s-", upstream)), Incarnation: 1})
 }
 
 func (s *Store) refuses(target string) bool {
-	_, ok := s.Refused(quarantine.FingerprintOf(asked(target)))
+	_, ok := s.RefusedFor(quarantine.FingerprintOf(asked(target)))
 	return ok
 }
 
@@ -98,9 +98,9 @@
 
 func TestEmptyStoreCostsNothing(t *testing.T) {
 	s := newFleet(1).stores[0]
-	require.False(t, s.Watching())
+	require.False(t, s.HasRecords())
 	require.Empty(t, s.Digest())
 	require.Nil(t, s.Delta(nil, 100))
 	require.Error(t, s.Apply([]byte("{broken")))
-	require.False(t, s.Watching(), "what cannot be read changes nothing")
+	require.False(t, s.HasRecords(), "what cannot be read changes nothing")
 }
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -89,10 +89,10 @@
 	d.comparer = &comparer{d: d}
 	d.suspects = newSuspects(d)
 	d.peers.regained = func() {
-		d.suspects.gossip.Wake()
+		d.suspects.gossip.ResetAntiEntropy()
 		d.comparer.wake()
 	}
-	d.peers.onFullSync = d.suspects.gossip.Compare
+	d.peers.onFullSync = d.suspects.gossip.SendDigest
 	d.bodies = newBodies(o.BodyBytes)
 	d.guard.crashes.crashed = d.suspects.recordCrash
 	d.entry = newEntry(d)
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -40,16 +40,16 @@
 		Rule: func(model.ServiceName) core.Rule {
 			return core.Rule{Crashes: crashesToRefuse, Duration: quarantineDuration}
 		},
-		Hint:   s.signalChange,
-		Scope:  telemetry.OrNoop(d.opts.Scope).SubScope("quarantine"),
-		Logger: d.opts.Logger,
+		OnUpdate: s.signalChange,
+		Scope:    telemetry.OrNoop(d.opts.Scope).SubScope("quarantine"),
+		Logger:   d.opts.Logger,
 	})
 	s.gossip = &quarantine.Gossip{
-		Store:   s.store,
-		Targets: d.follower.targets,
-		Members: d.peers.members,
-		Send:    func(address string, m []byte) { d.datagrams.sendOneWay(kindSuspects, address, m) },
-		Limit:   maxDatagramBody,
+		Store:           s.store,
+		Selector:        d.follower.targets,
+		Members:         d.peers.members,
+		Send:            func(address string, m []byte) { d.datagrams.sendOneWay(kindSuspects, address, m) },
+		MaxMessageBytes: maxDatagramBody,
 	}
 	return s
 }
@@ -66,7 +66,7 @@
 func (s *suspects) recordCrash(r lostRun) {
 	s.d.opts.Decisions.Write(decision.Suspected, r.id, slog.String("upstream", string(r.upstream.ID)),
 		slog.Int64("born", r.upstream.Born), slog.String("fingerprint", r.print.String()))
-	s.store.Died(r.print, r.request, core.Crash{
+	s.store.RecordCrash(r.print, r.request, core.Crash{
 		Upstream: r.upstream.ID, Incarnation: model.Incarnation(r.upstream.Born),
 	})
 }
@@ -74,10 +74,10 @@
 // refused returns the refusal of a quarantined request, nil for any other request. Crashes
 // that other daemons report afterwards only affect further attempts of the request.
 func (s *suspects) refused(req *request) *Answer {
-	if !s.store.Watching() {
+	if !s.store.HasRecords() {
 		return nil
 	}
-	remaining, refused := s.store.Refused(req.fingerprint())
+	remaining, refused := s.store.RefusedFor(req.fingerprint())
 	if !refused {
 		return nil
 	}
@@ -87,8 +87,8 @@
 // answered records that an upstream survived a request, which clears the request of
 // suspicion.
 func (s *suspects) answered(req *request) {
-	if s.store.Watching() {
-		s.store.Answered(req.fingerprint())
+	if s.store.HasRecords() {
+		s.store.RecordResponse(req.fingerprint())
 	}
 }
 
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -102,7 +102,7 @@
 		status, _ := a.post(t, "/unsafe/")
 		require.Equal(t, http.StatusBadGateway, status)
 	}
-	require.False(t, b.suspects.store.Watching())
+	require.False(t, b.suspects.store.HasRecords())
 }
 
 func incarnation(born int64) lifecycle.Incarnation {
--- a/sidecar/stalledlog_test.go
+++ b/sidecar/stalledlog_test.go
@@ -40,7 +40,7 @@
 	m.Report(ready("a1", 1, 1, "a"))
 	r := asked("a", http.MethodGet, "/safe/poison", nil)
 	for i := range crashesToRefuse {
-		m.suspects.store.Died(core.FingerprintOf(r), r, core.Crash{Upstream: "a9", Incarnation: model.Incarnation(i)})
+		m.suspects.store.RecordCrash(core.FingerprintOf(r), r, core.Crash{Upstream: "a9", Incarnation: model.Incarnation(i)})
 	}
 	// The quarantine evaluates crashes within half a second.
 	time.Sleep(time.Second)
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -82,7 +82,7 @@
 		plan:  cuts, want: "mixed",
 	},
 	"requests that crash upstreams are served": {
-		edits: []edits.Edit{edits.New("sidecar/quarantine.go", "	if !s.store.Watching() {\n		return nil\n	}\n	remaining", "	if s.store != nil {\n		return nil\n	}\n	remaining")},
+		edits: []edits.Edit{edits.New("sidecar/quarantine.go", "	if !s.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if s.store != nil {\n		return nil\n	}\n	remaining")},
 		plan:  poisons, want: "poison",
 	},
 	"a reload ends the process": {
@@ -120,7 +120,7 @@
 	},
 	"the whole table of suspects is sent to everybody each second": {
 		edits: []edits.Edit{
-			edits.New("quarantine/gossip.go", "if m, ok := g.Targets.AntiEntropyPeer(g.Members()); ok {", "for _, m := range g.Members() {"),
+			edits.New("quarantine/gossip.go", "if m, ok := g.Selector.AntiEntropyPeer(g.Members()); ok {", "for _, m := range g.Members() {"),
 			edits.New("quarantine/exchange.go", "return binary.BigEndian.AppendUint64([]byte{kindOpening}, s.sum())", "whole, _ := appendRecords([]byte{kindRecords}, s.table.List(), 64<<10)\n	return whole"),
 			edits.New("core/gossip/pace.go", "longInterval  = 10 * time.Second", "longInterval  = time.Second"),
 		},
