--- a/cmd/dottereltiller/platform.go
+++ b/cmd/dottereltiller/platform.go
@@ -22,8 +22,8 @@
 // run serves the stand-in of the platform's log until it is interrupted. PUT
 // /v1/faults changes its faults.
 func (c *platformCmd) run(ctx context.Context) error {
-	log := recordlog.NewFaulty(&recordlog.Memory{Retention: c.Retention})
-	log.Set(recordlog.Faults{Latency: c.Latency, Down: c.Down})
+	log := recordlog.NewFaultyLog(&recordlog.Memory{Retention: c.Retention})
+	log.SetFaults(recordlog.Faults{Latency: c.Latency, Down: c.Down})
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -27,7 +27,7 @@
 	t      testing.TB
 	ctx    context.Context
 	memory *recordlog.Memory
-	log    *recordlog.Faulty
+	log    *recordlog.FaultyLog
 	net    *controltest.Network
 	peers  []peer.Peer
 	nodes  []*node
@@ -54,7 +54,7 @@
 func startFleet(t testing.TB, ctx context.Context, size int) *fleet {
 	f := &fleet{t: t, ctx: ctx, memory: &recordlog.Memory{}, net: controltest.NewNetwork(500 * time.Microsecond),
 		forced: map[model.Version]map[model.DaemonID]time.Time{}, chains: map[model.Version]string{}}
-	f.log = recordlog.NewFaulty(f.memory)
+	f.log = recordlog.NewFaultyLog(f.memory)
 	for i := range size {
 		f.peers = append(f.peers, peer.Peer{ID: model.DaemonID(fmt.Sprint("d", i)), Zone: zone(i % zones)})
 	}
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -39,7 +39,7 @@
 		within time.Duration
 	}{
 		"healthy":               {func(*fleet) {}, size, time.Second},
-		"log slow":              {func(f *fleet) { f.log.Set(recordlog.Faults{Latency: time.Second}) }, size, 3 * time.Second},
+		"log slow":              {func(f *fleet) { f.log.SetFaults(recordlog.Faults{Latency: time.Second}) }, size, 3 * time.Second},
 		"zone cut off from log": {func(f *fleet) { f.cutLog(zone(1), true) }, size, 3 * time.Second},
 		"zone cut off":          {func(f *fleet) { f.cutZone(zone(1), true) }, size * 4 / 5, 3 * time.Second},
 		"all but one zone cut off from log": {func(f *fleet) {
@@ -73,7 +73,7 @@
 		for f.at(res.Version) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		f.log.Set(recordlog.Faults{Down: true})
+		f.log.SetFaults(recordlog.Faults{Down: true})
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		require.Equal(t, 60, f.at(res.Version), "one daemon had read it; it handed it on")
@@ -104,7 +104,7 @@
 			f.publish(fmt.Sprint("s", i))
 		}
 		time.Sleep(20 * time.Second)
-		f.log.Set(recordlog.Faults{Down: true})
+		f.log.SetFaults(recordlog.Faults{Down: true})
 		n := f.nodes[7]
 		f.kill(n)
 		f.start(n)
@@ -114,7 +114,7 @@
 		require.EqualValues(t, 70, n.store.Current().Version)
 		require.False(t, st.Sure)
 		require.NotEmpty(t, st.LogProblem)
-		f.log.Set(recordlog.Faults{})
+		f.log.SetFaults(recordlog.Faults{})
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
 		require.True(t, n.store.Status().Sure)
@@ -186,7 +186,7 @@
 		t.Run(name, func(t *testing.T) {
 			inFleet(t, 10, func(t *testing.T, f *fleet) {
 				f.publish("first")
-				f.log.Set(faults)
+				f.log.SetFaults(faults)
 				ctx, cancel := context.WithTimeout(f.ctx, time.Minute)
 				defer cancel()
 				var results [2]operator.Result
@@ -208,7 +208,7 @@
 				require.Equal(t, fmt.Sprint("op-race-", won), by.By)
 				require.Equal(t, results[won].ChangeID, by.ByChange)
 				require.Len(t, by.Changes, 1, "what it would still change")
-				f.log.Set(recordlog.Faults{})
+				f.log.SetFaults(recordlog.Faults{})
 				time.Sleep(5 * time.Second)
 				synctest.Wait()
 				require.Equal(t, 10, f.at(2))
@@ -227,8 +227,8 @@
 				var held []byte
 				var heldNext uint64
 				faults := []func(on bool){
-					func(on bool) { f.log.Set(recordlog.Faults{Down: on}) },
-					func(on bool) { f.log.Set(recordlog.Faults{LoseReplies: 3, Duplicate: 2}) },
+					func(on bool) { f.log.SetFaults(recordlog.Faults{Down: on}) },
+					func(on bool) { f.log.SetFaults(recordlog.Faults{LoseReplies: 3, Duplicate: 2}) },
 					func(on bool) { f.cutZone(zone(int(seed)%zones), on) },
 					func(on bool) { f.cutLog(zone(3), on) },
 					func(bool) { n := f.nodes[rng.IntN(30)]; f.kill(n); f.start(n) },
@@ -267,7 +267,7 @@
 					b(false)
 				}
 				publishing.Wait()
-				f.log.Set(recordlog.Faults{})
+				f.log.SetFaults(recordlog.Faults{})
 				time.Sleep(40 * time.Second)
 				synctest.Wait()
 				want := f.nodes[0].store.Status()
--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -107,10 +107,10 @@
 		{"healthy", medium, func(*fleet, bool) {}, time.Second},
 		{"healthy", largest, func(*fleet, bool) {}, time.Second},
 		{"log answers in 1 s", medium, func(f *fleet, on bool) {
-			f.log.Set(recordlog.Faults{Latency: latency(on, time.Second)})
+			f.log.SetFaults(recordlog.Faults{Latency: latency(on, time.Second)})
 		}, 3 * time.Second},
 		{"log down 100 ms after", medium, func(f *fleet, on bool) {
-			f.log.Set(recordlog.Faults{Latency: latency(false, 0), Down: on})
+			f.log.SetFaults(recordlog.Faults{Latency: latency(false, 0), Down: on})
 		}, 3 * time.Second},
 		{"a zone cut off from the log", medium, func(f *fleet, on bool) { f.cutLog(zone(1), on) }, 3 * time.Second},
 	} {
@@ -184,7 +184,7 @@
 					f.kill(i)
 				}
 				time.Sleep(time.Second)
-				f.log.Set(c.faults)
+				f.log.SetFaults(c.faults)
 				reads, writes := f.reads.Load(), f.writes.Load()
 				survivors := f.spentBy(f.nodes[restarted:])
 				for i := range restarted {
@@ -215,7 +215,7 @@
 	for _, size := range []int{10, medium, largest} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			inFleet(t, size, func(t *testing.T, f *fleet) {
-				f.log.Set(recordlog.Faults{Down: true})
+				f.log.SetFaults(recordlog.Faults{Down: true})
 				var all []time.Duration
 				for i := range 5 {
 					time.Sleep(3 * time.Second)
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -25,7 +25,7 @@
 // exchange, as a daemon has them.
 type fleet struct {
 	ctx           context.Context
-	log           *recordlog.Faulty
+	log           *recordlog.FaultyLog
 	net           *controltest.Network
 	nodes         []*node
 	reads, writes atomic.Int64
@@ -50,8 +50,8 @@
 
 func newFleet(ctx context.Context, size int) *fleet {
 	f := &fleet{ctx: ctx, net: controltest.NewNetwork(500 * time.Microsecond), forced: map[model.Version][]time.Time{}}
-	f.log = recordlog.NewFaulty(&recordlog.Memory{})
-	f.log.Set(recordlog.Faults{Latency: 5 * time.Millisecond})
+	f.log = recordlog.NewFaultyLog(&recordlog.Memory{})
+	f.log.SetFaults(recordlog.Faults{Latency: 5 * time.Millisecond})
 	for i := range size {
 		n := &node{Peer: peer.Peer{ID: model.DaemonID(fmt.Sprintf("10.0.%d.%d:7001", i/256, i%256)), Zone: zone(i)},
 			link: &controltest.Link{Log: f.log, Reads: &f.reads, Appends: &f.writes}}
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -31,7 +31,7 @@
 // further messages on d.PeerService, before Serve starts.
 func (d *Daemon) buildControl() {
 	client := recordlog.NewClient(d.settings.Log.Address)
-	d.Log = recordlog.NewLimited(&recordlog.Batcher{Log: client})
+	d.Log = recordlog.NewRateLimitedLog(&recordlog.Batcher{Log: client})
 	interval := time.Duration(d.settings.Log.Interval)
 	seed := uint64(time.Now().UnixNano())
 	hint := func() { d.Exchanger.TriggerRound() }
@@ -54,7 +54,7 @@
 		IsLogReader:    d.readsLog,
 		OnUpdate:       hint,
 		OnLeaseExpired: func(id model.UpstreamID) { d.Guard.Drain(id) },
-		OnDaemonCount:  d.Log.SetDaemons,
+		OnDaemonCount:  d.Log.SetDaemonCount,
 		Seed:           seed,
 		Metrics:        d.Metrics.Scope,
 		Logger:         d.logger,
--- a/daemon/control_test.go
+++ b/daemon/control_test.go
@@ -18,7 +18,7 @@
 // TestADaemonThatStopsTellsItsPeersWhileTheLogIsDown runs two daemons that met
 // through the log, takes the log away and stops one of them.
 func TestADaemonThatStopsTellsItsPeersWhileTheLogIsDown(t *testing.T) {
-	log := recordlog.NewFaulty(&recordlog.Memory{})
+	log := recordlog.NewFaultyLog(&recordlog.Memory{})
 	srv := httptest.NewServer(recordlog.Handler(log))
 	defer srv.Close()
 	s := testSettings()
@@ -38,7 +38,7 @@
 	}
 	require.Eventually(t, func() bool { return takesWork(stays) == 2 && takesWork(stops) == 2 }, waitLimit, waitStep)
 
-	log.Set(recordlog.Faults{Down: true})
+	log.SetFaults(recordlog.Faults{Down: true})
 	stop()
 	require.NoError(t, <-done)
 	require.Equal(t, 1, takesWork(stays), "it was told before the other's addresses closed")
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -39,7 +39,7 @@
 	// Metrics counts decisions. Parts take a sub-scope of its Scope.
 	Metrics *telemetry.Metrics
 	// Log is the platform's log within this daemon's share of appends.
-	Log     *recordlog.Limited
+	Log     *recordlog.RateLimitedLog
 	Config  *configuration.Store
 	Members *membership.Registry
 	Guard   *guard.Guard
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -24,7 +24,7 @@
 type fleet struct {
 	ctx    context.Context
 	memory *recordlog.Memory
-	log    *recordlog.Faulty
+	log    *recordlog.FaultyLog
 	net    *controltest.Network
 	nodes  []*node
 	reads  atomic.Int64
@@ -48,7 +48,7 @@
 
 func newFleet(ctx context.Context, size int) *fleet {
 	f := &fleet{ctx: ctx, memory: &recordlog.Memory{}, net: controltest.NewNetwork(500 * time.Microsecond)}
-	f.log = recordlog.NewFaulty(f.memory)
+	f.log = recordlog.NewFaultyLog(f.memory)
 	for i := range size {
 		f.add(fmt.Sprint("d", i), zone(i%zones))
 	}
--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inFleet(t, 60, func(t *testing.T, f *fleet) {
-				f.log.Set(c.fault)
+				f.log.SetFaults(c.fault)
 				time.Sleep(10 * time.Second)
 				f.nodes[7].announce(c.state, 0)
 				f.settle(t, 2*time.Second, "no new work for it", func() bool { return f.seen(f.nodes, "s") == 60*59 })
@@ -38,7 +38,7 @@
 
 func TestReturnUnderTheSameAddressWhileTheLogIsDown(t *testing.T) {
 	inFleet(t, 40, func(t *testing.T, f *fleet) {
-		f.log.Set(recordlog.Faults{Down: true})
+		f.log.SetFaults(recordlog.Faults{Down: true})
 		n := f.nodes[3]
 		n.announce(member.Left, 0)
 		f.settle(t, 2*time.Second, "left", func() bool { return f.seen(f.nodes, "s") == 40*39 })
@@ -182,7 +182,7 @@
 
 func TestBootWhileTheLogIsDownNeedsOnePeer(t *testing.T) {
 	inFleet(t, 20, func(t *testing.T, f *fleet) {
-		f.log.Set(recordlog.Faults{Down: true})
+		f.log.SetFaults(recordlog.Faults{Down: true})
 		n := f.add("new", zone(0))
 		n.first = []peer.Peer{f.nodes[11].Peer}
 		f.start(n)
@@ -232,8 +232,8 @@
 			inFleet(t, size, func(t *testing.T, f *fleet) {
 				rng := rand.New(rand.NewPCG(seed, 9))
 				faults := []func(on bool){
-					func(on bool) { f.log.Set(recordlog.Faults{Down: on}) },
-					func(bool) { f.log.Set(recordlog.Faults{LoseReplies: 5, Duplicate: 5}) },
+					func(on bool) { f.log.SetFaults(recordlog.Faults{Down: on}) },
+					func(bool) { f.log.SetFaults(recordlog.Faults{LoseReplies: 5, Duplicate: 5}) },
 					func(on bool) { f.cutZone(zone(1), on) },
 					func(on bool) { f.net.Silence("d4", on) },
 					func(on bool) { f.net.Block("d2", "d8", on) },
@@ -263,7 +263,7 @@
 					a(false)
 					b(false)
 				}
-				f.log.Set(recordlog.Faults{})
+				f.log.SetFaults(recordlog.Faults{})
 				f.settle(t, 40*time.Second, "all see all", func() bool { return f.seen(f.nodes, "s") == size*size })
 				f.settle(t, 10*time.Second, "one view", func() bool { return f.digests() == 1 })
 			})
--- a/operator/linearizable_test.go
+++ b/operator/linearizable_test.go
@@ -57,7 +57,7 @@
 	for seed := range 5 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
-				log := recordlog.NewFaulty(&recordlog.Memory{})
+				log := recordlog.NewFaultyLog(&recordlog.Memory{})
 				propose(t, log, Proposal{Documents: []policy.Document{service("a", "1s")}})
 				var mu sync.Mutex
 				var history []porcupine.Operation
@@ -75,10 +75,10 @@
 					})
 				}
 				for i := range 20 {
-					log.Set(recordlog.Faults{Latency: 30 * time.Millisecond, Down: (i+seed)%4 == 3, LoseReplies: i % 3, Duplicate: (i + seed) % 2})
+					log.SetFaults(recordlog.Faults{Latency: 30 * time.Millisecond, Down: (i+seed)%4 == 3, LoseReplies: i % 3, Duplicate: (i + seed) % 2})
 					time.Sleep(400 * time.Millisecond)
 				}
-				log.Set(recordlog.Faults{Latency: 30 * time.Millisecond})
+				log.SetFaults(recordlog.Faults{Latency: 30 * time.Millisecond})
 				wg.Wait()
 				require.True(t, porcupine.CheckOperations(versions.ToModel(), history), "%v", history)
 				require.Positive(t, verdicts["accepted"])
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -23,7 +23,7 @@
 	memory := &recordlog.Memory{}
 	server := httptest.NewServer(recordlog.Handler(memory))
 	defer server.Close()
-	log := &recordlog.Batcher{Log: recordlog.NewLimited(recordlog.NewClient(strings.TrimPrefix(server.URL, "http://")))}
+	log := &recordlog.Batcher{Log: recordlog.NewRateLimitedLog(recordlog.NewClient(strings.TrimPrefix(server.URL, "http://")))}
 	s := New(Options{Self: "127.0.0.1:1", Log: log})
 	s.ledger.Apply(0, ownsAll(s.self))
 	for name, claim := range map[string]func(claims.Key){
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -125,7 +125,7 @@
 func TestLostAndDoubledAppends(t *testing.T) {
 	d := deploy(t, 3, time.Second)
 	for _, f := range []recordlog.Faults{{LoseReplies: 100}, {Duplicate: 100}, {Latency: 20 * time.Millisecond}} {
-		d.log.Set(f)
+		d.log.SetFaults(f)
 		before := d.memoryEnd()
 		d.await("grants are renewed all the same", func() bool { return d.memoryEnd() > before+6 })
 		for range 10 {
@@ -145,7 +145,7 @@
 
 func TestOutageLongerThanAGrant(t *testing.T) {
 	d := deploy(t, 2, time.Second)
-	d.log.Set(recordlog.Faults{Down: true})
+	d.log.SetFaults(recordlog.Faults{Down: true})
 	key := d.keyOwnedBy(d.nodes[1])
 	require.Equal(t, outcome.Answered, d.nodes[0].submit(key, "", "x", testTimeout).outcome.Kind, "grants still reach")
 	var last claims.Stamp
@@ -160,7 +160,7 @@
 	require.True(t, live, "keys are handed out with stamps that the grants reach")
 	require.Equal(t, outcome.Answered, d.nodes[1].submit(handed, "", "x", testTimeout).outcome.Kind)
 	require.Equal(t, "done "+key.String(), d.nodes[0].submit(key, "", "x", testTimeout).body)
-	d.log.Set(recordlog.Faults{})
+	d.log.SetFaults(recordlog.Faults{})
 	require.Eventually(t, func() bool {
 		return d.nodes[0].submit(stamped, "", "x", testTimeout).outcome.Kind == outcome.Answered
 	}, testTimeout, 10*time.Millisecond, "after the outage the key runs")
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -34,7 +34,7 @@
 type deployment struct {
 	t      *testing.T
 	memory *recordlog.Memory
-	log    *recordlog.Faulty
+	log    *recordlog.FaultyLog
 	grant  time.Duration
 	nodes  []*testNode
 
@@ -56,7 +56,7 @@
 
 func deploy(t *testing.T, n int, grant time.Duration) *deployment {
 	d := &deployment{t: t, memory: &recordlog.Memory{}, grant: grant, runs: make(map[string]int)}
-	d.log = recordlog.NewFaulty(d.memory)
+	d.log = recordlog.NewFaultyLog(d.memory)
 	listeners := make([]net.Listener, n)
 	for i := range listeners {
 		address, err := loopback.UnusedAddress()
--- a/recordlog/doc.go
+++ b/recordlog/doc.go
@@ -7,12 +7,12 @@
 // taken effect, which AppendError tells apart from a refused one.
 //
 // Client speaks to the log over HTTP. Two wrappers keep many daemons within
-// what the log takes: Batcher joins appends that come together, and Limited
+// what the log takes: Batcher joins appends that come together, and RateLimitedLog
 // spaces them out. None of them repeats an append that may have taken effect:
 // only the caller knows whether its records may stand twice, and how to find
 // out by reading back.
 //
-// Memory, behind Faulty and Handler, is the stand-in: it forgets records after
+// Memory, behind FaultyLog and Handler, is the stand-in: it forgets records after
 // a retention time, and can be slow, down, lose replies after taking effect and
 // take effect twice.
 package recordlog
--- a/recordlog/faults.go
+++ b/recordlog/faults.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Faulty is a Log that fails as the platform's service is known to. Its faults
+// FaultyLog is a Log that fails as the platform's service is known to. Its faults
 // can be changed at any time. The zero value of every field means no fault.
-type Faulty struct {
+type FaultyLog struct {
 	Log
 	mu     sync.Mutex
 	faults Faults
 }
 
-// Faults are the faults of a Faulty.
+// Faults are the faults of a FaultyLog.
 type Faults struct {
 	// Down makes every append and read fail without effect.
 	Down bool `json:"down"`
@@ -28,24 +28,24 @@
 	Duplicate int `json:"duplicate"`
 }
 
-// The causes of the failures that a Faulty makes.
+// The causes of the failures that a FaultyLog makes.
 var (
 	ErrDown      = errors.New("log is down")
 	ErrReplyLost = errors.New("reply was lost")
 )
 
-// NewFaulty returns a Faulty without faults.
-func NewFaulty(log Log) *Faulty { return &Faulty{Log: log} }
+// NewFaultyLog returns a FaultyLog without faults.
+func NewFaultyLog(log Log) *FaultyLog { return &FaultyLog{Log: log} }
 
-// Set replaces the faults.
-func (f *Faulty) Set(faults Faults) {
+// SetFaults replaces the faults.
+func (f *FaultyLog) SetFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
 // Append implements Log.
-func (f *Faulty) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
+func (f *FaultyLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	now := f.next(true)
 	if err := now.wait(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: err}
@@ -61,7 +61,7 @@
 }
 
 // Read implements Log.
-func (f *Faulty) Read(ctx context.Context, stream string, from Offset, limit int) (Batch, error) {
+func (f *FaultyLog) Read(ctx context.Context, stream string, from Offset, limit int) (Batch, error) {
 	now := f.next(false)
 	if err := now.wait(ctx); err != nil {
 		return Batch{}, err
@@ -70,7 +70,7 @@
 }
 
 // next returns the faults that hold for one operation and counts it.
-func (f *Faulty) next(isAppend bool) Faults {
+func (f *FaultyLog) next(isAppend bool) Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.faults
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -7,9 +7,9 @@
 	"golang.org/x/time/rate"
 )
 
-// Limited is a Log that keeps the appends of this process under a rate, so that
+// RateLimitedLog is a Log that keeps the appends of this process under a rate, so that
 // all processes together stay under what the log takes.
-type Limited struct {
+type RateLimitedLog struct {
 	Log
 	limiter *rate.Limiter
 }
@@ -26,20 +26,20 @@
 // ErrLimited is the cause of an append that waited in vain for its turn.
 var ErrLimited = errors.New("limit of appends reached")
 
-// NewLimited returns a Limited over a log for a deployment of one daemon.
-func NewLimited(log Log) *Limited {
-	return &Limited{Log: log, limiter: rate.NewLimiter(maxAppends, appendBurst)}
+// NewRateLimitedLog returns a RateLimitedLog over a log for a deployment of one daemon.
+func NewRateLimitedLog(log Log) *RateLimitedLog {
+	return &RateLimitedLog{Log: log, limiter: rate.NewLimiter(maxAppends, appendBurst)}
 }
 
-// SetDaemons gives this process its share among a number of daemons.
-func (l *Limited) SetDaemons(n int) {
+// SetDaemonCount gives this process its share among a number of daemons.
+func (l *RateLimitedLog) SetDaemonCount(n int) {
 	share := float64(SystemAppends) / float64(max(n, 1))
 	l.limiter.SetLimit(rate.Limit(min(share, maxAppends)))
 }
 
 // Append implements Log. It waits for its turn; when the context does not allow
 // that, the records have certainly not been appended.
-func (l *Limited) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
+func (l *RateLimitedLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	if err := l.limiter.Wait(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: errors.Join(ErrLimited, err)}
 	}
--- a/recordlog/platform_test.go
+++ b/recordlog/platform_test.go
@@ -58,8 +58,8 @@
 }
 
 func TestClientTellsWhetherAnAppendMayHaveTakenEffect(t *testing.T) {
-	lost := NewFaulty(&Memory{})
-	lost.Set(Faults{LoseReplies: 1})
+	lost := NewFaultyLog(&Memory{})
+	lost.SetFaults(Faults{LoseReplies: 1})
 	nobody, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
@@ -85,31 +85,31 @@
 func TestFaults(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{Retention: time.Minute}
-		log := NewFaulty(memory)
+		log := NewFaultyLog(memory)
 		one := [][]byte{[]byte("x")}
 		count := func() Offset {
 			b, err := memory.Read(t.Context(), "s", 0, 100)
 			require.NoError(t, err)
 			return b.Next
 		}
-		log.Set(Faults{Duplicate: 1})
+		log.SetFaults(Faults{Duplicate: 1})
 		_, err := log.Append(t.Context(), "s", one)
 		require.NoError(t, err)
 		require.EqualValues(t, 2, count(), "appended twice")
 
-		log.Set(Faults{LoseReplies: 1})
+		log.SetFaults(Faults{LoseReplies: 1})
 		_, err = log.Append(t.Context(), "s", one)
 		require.ErrorIs(t, err, ErrReplyLost)
 		require.EqualValues(t, 3, count(), "took effect")
 
-		log.Set(Faults{Down: true})
+		log.SetFaults(Faults{Down: true})
 		_, err = log.Append(t.Context(), "s", one)
 		require.ErrorIs(t, err, ErrDown)
 		_, err = log.Read(t.Context(), "s", 0, 1)
 		require.ErrorIs(t, err, ErrDown)
 		require.EqualValues(t, 3, count(), "no effect")
 
-		log.Set(Faults{Latency: time.Second})
+		log.SetFaults(Faults{Latency: time.Second})
 		start := time.Now()
 		_, err = log.Read(t.Context(), "s", 0, 1)
 		require.NoError(t, err)
@@ -124,7 +124,7 @@
 }
 
 func TestFaultsAreSetOverHTTP(t *testing.T) {
-	log := NewFaulty(&Memory{})
+	log := NewFaultyLog(&Memory{})
 	h := FaultHandler(log)
 	set := func(body string) int {
 		w := httptest.NewRecorder()
@@ -177,8 +177,8 @@
 func TestLimitedKeepsTheShareOfOneDaemon(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{}
-		l := NewLimited(memory)
-		l.SetDaemons(1700)
+		l := NewRateLimitedLog(memory)
+		l.SetDaemonCount(1700)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
 		defer cancel()
 		var err error
--- a/recordlog/server.go
+++ b/recordlog/server.go
@@ -25,7 +25,7 @@
 
 // FaultHandler lets PUT /v1/faults set the faults of a log, as JSON. It serves
 // everything else as Handler does.
-func FaultHandler(log *Faulty) http.Handler {
+func FaultHandler(log *FaultyLog) http.Handler {
 	r := chi.NewRouter()
 	r.Mount("/", Handler(log))
 	r.Put("/v1/faults", func(w http.ResponseWriter, r *http.Request) {
@@ -36,7 +36,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		log.Set(faults)
+		log.SetFaults(faults)
 		w.WriteHeader(http.StatusNoContent)
 	})
 	return r
