--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -17,20 +17,20 @@
 // leaves.
 func TestLeavingUpstreamIsAnnounced(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a := join(t, s, "a", "a1")
-	b1 := join(t, s, "b", "b1")
-	join(t, s, "b", "b2")
-	a.knows(t, "b", 2)
+	a := startReady(t, s, "a", "a1")
+	b1 := startReady(t, s, "b", "b1")
+	startReady(t, s, "b", "b2")
+	a.waitForCandidates(t, "b", 2)
 	s.setDown(true)
 	b1.Leave(lifecycle.Incarnation{ID: "b1"})
-	a.knows(t, "b", 1)
+	a.waitForCandidates(t, "b", 1)
 }
 
 // TestConfigVersionsOnlyRise publishes older, equal, missing and invalid documents: none may
 // replace the one in force.
 func TestConfigVersionsOnlyRise(t *testing.T) {
 	s := newStore(documentOf(5, "a"))
-	a := join(t, s, "a", "a1")
+	a := startReady(t, s, "a", "a1")
 	for name, doc := range map[string]route.Document{
 		"older version":    documentOf(4, "x"),
 		"same version":     documentOf(5, "x"),
@@ -50,9 +50,9 @@
 // TestConfigurationComesFromPeers disconnects one daemon from the store.
 func TestConfigurationComesFromPeers(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
-	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
-	a.knows(t, "a", 2)
-	b.knows(t, "a", 2)
+	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
+	a.waitForCandidates(t, "a", 2)
+	b.waitForCandidates(t, "a", 2)
 	b.source.disconnected.Store(true)
 	s.publish(documentOf(1, "a")) // wakes its source, which then finds the store unreachable
 	time.Sleep(20 * time.Millisecond)
@@ -64,40 +64,40 @@
 // configuration, the other daemons, and that its upstream is leaving.
 func TestRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a := join(t, s, "a", "a1")
-	b := join(t, s, "b", "b1")
-	c := join(t, s, "b", "b2")
+	a := startReady(t, s, "a", "a1")
+	b := startReady(t, s, "b", "b1")
+	c := startReady(t, s, "b", "b2")
 	for _, m := range []*member{a, b, c} {
-		m.knows(t, "b", 2)
+		m.waitForCandidates(t, "b", 2)
 	}
 	b.Leave(lifecycle.Incarnation{ID: "b1", Born: 1})
-	a.knows(t, "b", 1)
+	a.waitForCandidates(t, "b", 1)
 	s.setDown(true)
 	b.kill()
-	a.peers.missed(b.opts.Addresses.Peers, errStoreDown) // as a failed call would
+	a.peers.reportUnreachable(b.opts.Addresses.Peers, errStoreDown) // as a failed call would
 	o := b.opts
-	o.First = false
-	restarted := start(t, o, s)
+	o.Bootstrap = false
+	restarted := startDaemon(t, o, s)
 	require.EqualValues(t, 1, restarted.config.version())
-	restarted.knows(t, "b", 1)
-	require.Equal(t, lifecycle.Stale, restarted.Report(ready("b1", 1, 9, "b")))
+	restarted.waitForCandidates(t, "b", 1)
+	require.Equal(t, lifecycle.Stale, restarted.Report(readyReport("b1", 1, 9, "b")))
 }
 
 // TestLocalRecordSurvivesClockSetBack gives a peer a record of the daemon whose incarnation
 // comes from a clock that was ahead. Later records of the daemon must still supersede it.
 func TestLocalRecordSurvivesClockSetBack(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a := join(t, s, "a", "a1")
-	b := join(t, s, "b", "b1")
-	a.knows(t, "b", 1)
-	ahead := b.peers.self()
+	a := startReady(t, s, "a", "a1")
+	b := startReady(t, s, "b", "b1")
+	a.waitForCandidates(t, "b", 1)
+	ahead := b.peers.localRecord()
 	ahead.Incarnation += int64(time.Hour / time.Millisecond)
 	ahead.State = lifecycle.Draining
 	a.peers.merge([]Record{ahead})
-	a.knows(t, "b", 0)
-	b.Report(ready("b1", 1, 2, "b"))
+	a.waitForCandidates(t, "b", 0)
+	b.Report(readyReport("b1", 1, 2, "b"))
 	b.peers.updateLocal(func(*Record) {})
-	a.knows(t, "b", 1)
+	a.waitForCandidates(t, "b", 1)
 }
 
 // TestLoadQueriesCarryConfigVersion guards against a daemon that keeps an old configuration
@@ -105,9 +105,9 @@
 // from load queries.
 func TestLoadQueriesCarryConfigVersion(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
-	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
-	a.knows(t, "a", 2)
-	b.knows(t, "a", 2)
+	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
+	a.waitForCandidates(t, "a", 2)
+	b.waitForCandidates(t, "a", 2)
 	a.config.apply(encodeDocument(documentOf(2, "a")), "test") // only a learns of it
 	eventually(t, "the new version is in force", func() bool {
 		status, _ := b.get(t, "/safe/")
@@ -119,14 +119,14 @@
 // TestRecordsArePushedByDatagram pushes records without a connection.
 func TestRecordsArePushedByDatagram(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
-	a, b := join(t, s, "a", "a1"), join(t, s, "a", "a2")
-	a.knows(t, "a", 2)
-	b.knows(t, "a", 2)
-	require.True(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, a.peers.self()))
-	old := a.peers.self()
+	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
+	a.waitForCandidates(t, "a", 2)
+	b.waitForCandidates(t, "a", 2)
+	require.True(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, a.peers.localRecord()))
+	old := a.peers.localRecord()
 	old.Incarnation--
 	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, old), "an older record is not acknowledged")
-	require.False(t, a.datagrams.pushRecord(freePort(t), a.peers.self()), "nothing listens there")
+	require.False(t, a.datagrams.pushRecord(freePort(t), a.peers.localRecord()), "nothing listens there")
 }
 
 // TestNewVersionsSpread gives a new version to one of several daemons. All must get it,
@@ -136,10 +136,10 @@
 	s := newStore(documentOf(1, "a"))
 	var all []*member
 	for i := range daemons {
-		all = append(all, join(t, s, "a", fmt.Sprint("a", i)))
+		all = append(all, startReady(t, s, "a", fmt.Sprint("a", i)))
 	}
 	for _, m := range all {
-		m.knows(t, "a", daemons)
+		m.waitForCandidates(t, "a", daemons)
 	}
 	all[0].config.apply(encodeDocument(documentOf(2, "a")), "test")
 	for _, m := range all {
@@ -152,16 +152,16 @@
 // own.
 func TestPlannedRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a := join(t, s, "a", "a1")
-	b := join(t, s, "b", "b1")
-	a.knows(t, "b", 1)
+	a := startReady(t, s, "a", "a1")
+	b := startReady(t, s, "b", "b1")
+	a.waitForCandidates(t, "b", 1)
 	s.setDown(true)
 	b.stop()
 	o := b.opts
-	o.First = false
-	restarted := start(t, o, s)
+	o.Bootstrap = false
+	restarted := startDaemon(t, o, s)
 	require.EqualValues(t, 1, restarted.config.version())
-	a.knows(t, "b", 1)
+	a.waitForCandidates(t, "b", 1)
 }
 
 // TestStartedWithin checks the share of recently started daemons.
@@ -191,7 +191,7 @@
 					r = Record{}
 				}
 				if i == 0 {
-					p.own = r
+					p.local = r
 				} else {
 					p.all[strconv.Itoa(i)] = &peer{record: r}
 				}
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// crashesToRefuse is the number of crashes during a request after which the request is
+	// quarantineThreshold is the number of crashes during a request after which the request is
 	// quarantined. Two may be coincidence where upstreams crash for other reasons.
-	crashesToRefuse = 3
+	quarantineThreshold = 3
 	// quarantineDuration is how long a request stays in quarantine.
 	quarantineDuration = 10 * time.Minute
 	// gossipTick is how often a daemon checks whether it has suspected requests to send to
@@ -24,9 +24,9 @@
 	gossipTick = 100 * time.Millisecond
 )
 
-// suspects quarantines requests that crash upstreams, so that they do not reach further
+// crashQuarantine quarantines requests that crash upstreams, so that they do not reach further
 // upstreams. It shares what it observes with the other daemons.
-type suspects struct {
+type crashQuarantine struct {
 	d      *Daemon
 	store  *quarantine.Store
 	gossip *quarantine.Gossip
@@ -34,11 +34,11 @@
 	changed chan struct{}
 }
 
-func newSuspects(d *Daemon) *suspects {
-	s := &suspects{d: d, changed: make(chan struct{}, 1)}
+func newCrashQuarantine(d *Daemon) *crashQuarantine {
+	s := &crashQuarantine{d: d, changed: make(chan struct{}, 1)}
 	s.store = quarantine.NewStore(quarantine.Options{
 		Rule: func(model.ServiceName) core.Rule {
-			return core.Rule{Crashes: crashesToRefuse, Duration: quarantineDuration}
+			return core.Rule{Crashes: quarantineThreshold, Duration: quarantineDuration}
 		},
 		OnUpdate: s.signalChange,
 		Scope:    telemetry.OrNoop(d.opts.Scope).SubScope("quarantine"),
@@ -55,7 +55,7 @@
 }
 
 // signalChange makes Serve send the changes to other daemons soon.
-func (s *suspects) signalChange() {
+func (s *crashQuarantine) signalChange() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -63,17 +63,17 @@
 }
 
 // recordCrash records that the local upstream crashed while it ran a request.
-func (s *suspects) recordCrash(r lostRun) {
+func (s *crashQuarantine) recordCrash(r lostRun) {
 	s.d.opts.Decisions.Write(decision.Suspected, r.id, slog.String("upstream", string(r.upstream.ID)),
-		slog.Int64("born", r.upstream.Born), slog.String("fingerprint", r.print.String()))
-	s.store.RecordCrash(r.print, r.request, core.Crash{
+		slog.Int64("born", r.upstream.Born), slog.String("fingerprint", r.fingerprint.String()))
+	s.store.RecordCrash(r.fingerprint, r.request, core.Crash{
 		Upstream: r.upstream.ID, Incarnation: model.Incarnation(r.upstream.Born),
 	})
 }
 
-// refused returns the refusal of a quarantined request, nil for any other request. Crashes
+// check returns the refusal of a quarantined request, nil for any other request. Crashes
 // that other daemons report afterwards only affect further attempts of the request.
-func (s *suspects) refused(req *request) *Answer {
+func (s *crashQuarantine) check(req *request) *Result {
 	if !s.store.HasRecords() {
 		return nil
 	}
@@ -84,9 +84,9 @@
 	return refuse(outcome.ReasonQuarantined, remaining)
 }
 
-// answered records that an upstream survived a request, which clears the request of
+// clearSuspicion records that an upstream survived a request, which clears the request of
 // suspicion.
-func (s *suspects) answered(req *request) {
+func (s *crashQuarantine) clearSuspicion(req *request) {
 	if s.store.HasRecords() {
 		s.store.RecordResponse(req.fingerprint())
 	}
@@ -95,24 +95,24 @@
 // fingerprint returns the fingerprint by which the quarantine identifies the request. It is
 // not safe for concurrent use.
 func (r *request) fingerprint() core.Fingerprint {
-	if r.print == nil {
-		f := core.FingerprintOf(asked(r.service, r.http.Method, r.http.RequestURI, r.body))
-		r.print = &f
+	if r.cachedFingerprint == nil {
+		f := core.FingerprintOf(fingerprintInput(r.service, r.httpRequest.Method, r.httpRequest.RequestURI, r.body))
+		r.cachedFingerprint = &f
 	}
-	return *r.print
+	return *r.cachedFingerprint
 }
 
-// asked returns the properties of a request that its fingerprint covers. The caller is not
+// fingerprintInput returns the properties of a request that its fingerprint covers. The caller is not
 // one of them, because another caller may send the same request through any daemon.
-func asked(s model.ServiceName, method, target string, body []byte) core.Request {
+func fingerprintInput(s model.ServiceName, method, target string, body []byte) core.Request {
 	return core.Request{Service: s, Method: method, Target: target, Body: body, Length: int64(len(body))}
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
-func (s *suspects) String() string { return "suspects" }
+func (s *crashQuarantine) String() string { return "suspects" }
 
 // Serve exchanges suspected requests with other daemons until the context ends.
-func (s *suspects) Serve(ctx context.Context) error {
+func (s *crashQuarantine) Serve(ctx context.Context) error {
 	tick := time.NewTicker(gossipTick)
 	defer tick.Stop()
 	for {
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -18,12 +18,12 @@
 
 // crashOn makes an upstream crash when it runs a request with the given body.
 func (u *upstream) crashOn(body string) {
-	u.set(func(w http.ResponseWriter, _ *http.Request) {
+	u.setHandler(func(w http.ResponseWriter, _ *http.Request) {
 		u.mu.Lock()
 		lastBody := u.bodies[len(u.bodies)-1]
 		u.mu.Unlock()
 		if lastBody != body {
-			answerWell(w, u.id)
+			respondOK(w, u.id)
 			return
 		}
 		_ = u.server.Listener.Close()
@@ -46,7 +46,7 @@
 func countRan(members []*member, body string) int {
 	n := 0
 	for _, m := range members {
-		if m.up.hasRun(body) {
+		if m.upstream.hasRun(body) {
 			n++
 		}
 	}
@@ -57,24 +57,24 @@
 // different daemons.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	callers := []*member{join(t, s, "a", "a1"), join(t, s, "a", "a2")}
+	callers := []*member{startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")}
 	const upstreams = 6
 	var members []*member
 	for i := range upstreams {
-		m := join(t, s, "b", fmt.Sprint("b", i))
-		m.up.crashOn(crashingBody)
+		m := startReady(t, s, "b", fmt.Sprint("b", i))
+		m.upstream.crashOn(crashingBody)
 		members = append(members, m)
 	}
 	for _, a := range callers {
-		a.knows(t, "b", upstreams)
+		a.waitForCandidates(t, "b", upstreams)
 	}
-	for i := range crashesToRefuse {
+	for i := range quarantineThreshold {
 		callers[i%2].ask(t, http.MethodPost, "/unsafe/", crashingBody)
 		require.Eventually(t, func() bool { return countRan(members, crashingBody) == i+1 }, waitLimit, time.Millisecond)
 	}
 	for _, a := range callers {
 		require.Eventually(t, func() bool {
-			for _, e := range a.suspects.store.List() {
+			for _, e := range a.quarantine.store.List() {
 				if e.Refused {
 					return true
 				}
@@ -86,7 +86,7 @@
 		require.Equal(t, "quarantined\n", body)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	}
-	require.Equal(t, crashesToRefuse, countRan(members, crashingBody))
+	require.Equal(t, quarantineThreshold, countRan(members, crashingBody))
 	status, _ := callers[0].post(t, "/unsafe/")
 	require.Equal(t, http.StatusOK, status, "another request is served")
 }
@@ -95,14 +95,14 @@
 // continues to run.
 func TestLostConnectionIsNotACrash(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
-	a.knows(t, "b", 1)
-	b.up.set(hangUp)
-	for range crashesToRefuse {
+	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
+	a.waitForCandidates(t, "b", 1)
+	b.upstream.setHandler(hangUp)
+	for range quarantineThreshold {
 		status, _ := a.post(t, "/unsafe/")
 		require.Equal(t, http.StatusBadGateway, status)
 	}
-	require.False(t, b.suspects.store.HasRecords())
+	require.False(t, b.quarantine.store.HasRecords())
 }
 
 func incarnation(born int64) lifecycle.Incarnation {
@@ -116,9 +116,9 @@
 	var now model.Instant
 	var reported []string
 	up := newUpstream(t, "u")
-	c := &crashes{
+	c := &crashDetector{
 		address: up.address(), now: func() model.Instant { return now },
-		crashed: func(r lostRun) { reported = append(reported, r.id) },
+		onCrash: func(r lostRun) { reported = append(reported, r.id) },
 	}
 	c.recordLoss(lostRun{id: "long before the crash", upstream: incarnation(1)})
 	now = now.Add(maxBurstGap + time.Millisecond)
@@ -159,9 +159,9 @@
 			var now model.Instant
 			var reported []int
 			up := newUpstream(t, "u")
-			crashes := &crashes{
+			crashes := &crashDetector{
 				address: up.address(), now: func() model.Instant { return now },
-				crashed: func(r lostRun) { reported = append(reported, int(r.lostAt/model.Instant(step))) },
+				onCrash: func(r lostRun) { reported = append(reported, int(r.lostAt/model.Instant(step))) },
 			}
 			for i := range 10 {
 				now = now.Add(step)
@@ -185,9 +185,9 @@
 	var now model.Instant
 	var reported []string
 	up := newUpstream(t, "u")
-	c := &crashes{
+	c := &crashDetector{
 		address: up.address(), now: func() model.Instant { return now },
-		crashed: func(r lostRun) { reported = append(reported, r.id) },
+		onCrash: func(r lostRun) { reported = append(reported, r.id) },
 	}
 	for range 5 {
 		now = now.Add(time.Second)
@@ -206,7 +206,7 @@
 
 func TestLostRunsAreLimited(t *testing.T) {
 	up := newUpstream(t, "u")
-	c := &crashes{address: up.address(), now: func() model.Instant { return 0 }, crashed: func(lostRun) {}}
+	c := &crashDetector{address: up.address(), now: func() model.Instant { return 0 }, onCrash: func(lostRun) {}}
 	for range maxLostRuns + 5 {
 		c.recordLoss(lostRun{upstream: incarnation(1)})
 	}
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -15,30 +15,30 @@
 // errStopped is why a daemon is considered unreachable after a planned stop.
 var errStopped = errors.New("stopped as planned")
 
-// longestLost returns how long the peer that was lost first has been unreachable.
-func (p *peers) longestLost() time.Duration {
+// longestUnreachable returns how long the peer that was lost first has been unreachable.
+func (p *peers) longestUnreachable() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var longest time.Duration
 	for _, other := range p.all {
-		if other.lost {
-			longest = max(longest, p.now().Sub(other.lostAt))
+		if other.unreachable {
+			longest = max(longest, p.now().Sub(other.unreachableSince))
 		}
 	}
 	return longest
 }
 
-// missed marks a daemon as unreachable after a call could not be sent to it, and
+// reportUnreachable marks a daemon as unreachable after a call could not be sent to it, and
 // schedules attempts to reach it again.
-func (p *peers) missed(address string, err error) {
+func (p *peers) reportUnreachable(address string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	other := p.all[address]
-	if other == nil || other.lost {
+	if other == nil || other.unreachable {
 		return
 	}
-	p.lose(other, err)
-	p.owe(other)
+	p.markUnreachable(other, err)
+	p.scheduleSend(other)
 }
 
 // verifyReachable sends the local record to a daemon that did not reply to a load query.
@@ -47,27 +47,27 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	other := p.all[address]
-	if other == nil || other.lost || other.verified != 0 && p.now().Sub(other.verified) < verifyInterval {
+	if other == nil || other.unreachable || other.verifiedAt != 0 && p.now().Sub(other.verifiedAt) < verifyInterval {
 		return
 	}
-	other.verified = p.now()
-	p.owe(other)
+	other.verifiedAt = p.now()
+	p.scheduleSend(other)
 }
 
-// lose marks a peer as unreachable. p.mu is held.
-func (p *peers) lose(other *peer, err error) {
-	other.lost, other.lostAt = true, p.now()
+// markUnreachable marks a peer as unreachable. p.mu is held.
+func (p *peers) markUnreachable(other *peer, err error) {
+	other.unreachable, other.unreachableSince = true, p.now()
 	p.generation++
 	p.decisions.Write(decision.PeerUnreachable, "", slog.String("peer", other.record.Address), slog.String("error", err.Error()))
 }
 
-// regain marks a peer as reachable again. p.mu is held.
-func (p *peers) regain(other *peer) {
-	if !other.lost {
+// markReachable marks a peer as reachable again. p.mu is held.
+func (p *peers) markReachable(other *peer) {
+	if !other.unreachable {
 		return
 	}
-	other.lost = false
+	other.unreachable = false
 	p.generation++
-	p.regained()
+	p.onReachable()
 	p.decisions.Write(decision.PeerReachable, "", slog.String("peer", other.record.Address))
 }
--- a/sidecar/receive.go
+++ b/sidecar/receive.go
@@ -19,46 +19,46 @@
 }
 
 // body returns the part that follows the header.
-func (m *datagram) body() []byte { return m.raw[headBytes:] }
+func (m *datagram) body() []byte { return m.raw[datagramHeaderBytes:] }
 
-// receivers holds the handlers for the kinds of datagrams.
-var receivers = map[byte]func(*datagrams, datagram){
-	kindAsk:       (*datagrams).handleLoadQuery,
-	kindLoad:      (*datagrams).handleLoad,
-	kindRecord:    (*datagrams).handleRecord,
-	kindNoted:     func(a *datagrams, m datagram) { a.deliverReply(m.id, placement.Load{}, m.version) },
-	kindNews:      func(a *datagrams, m datagram) { a.d.behind(string(m.body()), m.version) },
-	kindSuspects:  func(a *datagrams, m datagram) { a.d.suspects.gossip.Receive(m.sender.String(), m.body()) },
-	kindHeartbeat: (*datagrams).handleHeartbeat,
-	kindRecords:   (*datagrams).handleRecords,
-	kindCompare:   func(a *datagrams, m datagram) { a.d.comparer.receive(m.sender.String(), m.body()) },
-	kindSummary:   func(a *datagrams, m datagram) { a.d.comparer.resolve(m.sender.String(), m.body()) },
-	kindWish:      func(a *datagrams, m datagram) { a.d.comparer.grant(m.sender.String(), m.body()) },
-	kindCompared:  func(a *datagrams, m datagram) { a.mergeRecords(unpackRecords(m.body())) },
+// datagramHandlers holds the handlers for the kinds of datagrams.
+var datagramHandlers = map[byte]func(*datagrams, datagram){
+	kindLoadQuery:      (*datagrams).handleLoadQuery,
+	kindLoadReply:      (*datagrams).handleLoad,
+	kindRecordPush:     (*datagrams).handleRecord,
+	kindRecordAck:      func(a *datagrams, m datagram) { a.deliverReply(m.id, placement.Load{}, m.version) },
+	kindVersion:        func(a *datagrams, m datagram) { a.d.onPeerVersion(string(m.body()), m.version) },
+	kindSuspects:       func(a *datagrams, m datagram) { a.d.quarantine.gossip.Receive(m.sender.String(), m.body()) },
+	kindHeartbeat:      (*datagrams).handleHeartbeat,
+	kindRelayedRecords: (*datagrams).handleRecords,
+	kindDigest:         func(a *datagrams, m datagram) { a.d.antiEntropy.receiveDigest(m.sender.String(), m.body()) },
+	kindSummary:        func(a *datagrams, m datagram) { a.d.antiEntropy.receiveSummary(m.sender.String(), m.body()) },
+	kindRecordRequest:  func(a *datagrams, m datagram) { a.d.antiEntropy.sendRequested(m.sender.String(), m.body()) },
+	kindMissingRecords: func(a *datagrams, m datagram) { a.mergeRecords(unpackRecords(m.body())) },
 }
 
 // receive handles a datagram. Datagrams of unknown kinds are ignored.
 func (a *datagrams) receive(raw []byte, sender netip.AddrPort) {
-	if len(raw) < headBytes {
+	if len(raw) < datagramHeaderBytes {
 		return
 	}
 	a.d.metrics.traffic.countReceived(raw)
 	m := datagram{id: binary.BigEndian.Uint32(raw[1:]), version: model.Version(binary.BigEndian.Uint64(raw[5:])), sender: sender, raw: raw}
-	if handle, ok := receivers[raw[0]]; ok {
+	if handle, ok := datagramHandlers[raw[0]]; ok {
 		handle(a, m)
 	}
 }
 
 // handleLoadQuery replies with the load of the local upstream.
 func (a *datagrams) handleLoadQuery(m datagram) {
-	if len(m.raw) == askBytes {
+	if len(m.raw) == loadQueryBytes {
 		go a.sendLoad(m.id, decodeLoadQuery(m.raw), m.sender)
 	}
 }
 
 // handleLoad delivers a load reply.
 func (a *datagrams) handleLoad(m datagram) {
-	if len(m.raw) == loadBytes {
+	if len(m.raw) == loadReplyBytes {
 		a.deliverReply(m.id, decodeLoad(m.raw), m.version)
 	}
 }
@@ -71,14 +71,14 @@
 		return
 	}
 	address := string(body[1:])
-	a.d.follower.heard(address, body[0] == 1)
-	a.d.behindWatcher(address, m.version)
+	a.d.follower.receiveHeartbeat(address, body[0] == 1)
+	a.d.onWatcherVersion(address, m.version)
 }
 
 // handleRecords stores records that another daemon of the zone relayed.
 func (a *datagrams) handleRecords(m datagram) {
 	records := unpackRecords(m.body())
-	a.d.relay.relayed(records)
+	a.d.relay.dropRelayed(records)
 	a.mergeRecords(records)
 }
 
@@ -86,7 +86,7 @@
 // exchange is started soon, as other daemons may lack them too.
 func (a *datagrams) mergeRecords(records []Record) {
 	if updated := a.d.peers.merge(records); len(updated) > 0 {
-		a.d.comparer.wake()
+		a.d.antiEntropy.speedUp()
 	}
 }
 
@@ -99,7 +99,7 @@
 		return
 	}
 	r := records[0]
-	if known, ok := a.d.peers.of(r.Address); ok && known.newer(&r) {
+	if known, ok := a.d.peers.recordOf(r.Address); ok && known.supersedes(&r) {
 		return
 	}
 	for _, updated := range a.d.peers.merge([]Record{r}) {
@@ -107,24 +107,24 @@
 			a.d.relay.add(updated)
 		}
 	}
-	a.transmit(a.head(kindNoted, m.id), m.sender)
+	a.transmit(a.header(kindRecordAck, m.id), m.sender)
 }
 
 // deliverReply passes a reply to the code that waits for it.
 func (a *datagrams) deliverReply(id uint32, l placement.Load, v model.Version) {
 	a.mu.Lock()
-	q, ok := a.waiting[id]
-	delete(a.waiting, id)
+	q, ok := a.pending[id]
+	delete(a.pending, id)
 	a.mu.Unlock()
 	if !ok {
 		return
 	}
-	reply := heard{key: q.key, load: l, took: a.d.now().Sub(q.sent)}
-	if q.to == nil {
-		q.late(reply)
+	reply := queryReply{key: q.key, load: l, roundTrip: a.d.now().Sub(q.sent)}
+	if q.replies == nil {
+		q.onLate(reply)
 	} else {
 		// Does not block: the channel has a buffer for all replies.
-		q.to <- reply
+		q.replies <- reply
 	}
-	a.d.behind(q.address, v)
+	a.d.onPeerVersion(q.address, v)
 }
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -37,13 +37,13 @@
 	r.pending[rec.Address] = rec
 }
 
-// relayed drops pending records that another daemon of the zone has just relayed.
-func (r *relay) relayed(records []Record) {
+// dropRelayed drops pending records that another daemon of the zone has just relayed.
+func (r *relay) dropRelayed(records []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range records {
 		rec := &records[i]
-		if waiting, ok := r.pending[rec.Address]; ok && !waiting.newer(rec) {
+		if waiting, ok := r.pending[rec.Address]; ok && !waiting.supersedes(rec) {
 			delete(r.pending, rec.Address)
 		}
 	}
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -22,9 +22,9 @@
 	up := newUpstream(t, id)
 	o := optionsFor(t, s, up, service)
 	o.Zone = zone
-	m := start(t, o, s)
-	m.up = up
-	m.Report(ready(id, 1, 1, service))
+	m := startDaemon(t, o, s)
+	m.upstream = up
+	m.Report(readyReport(id, 1, 1, service))
 	return m
 }
 
@@ -40,11 +40,11 @@
 		}
 	}
 	for _, m := range all {
-		m.knows(t, "b", 2*perZone)
+		m.waitForCandidates(t, "b", 2*perZone)
 	}
 	all[0].Leave(lifecycle.Incarnation{ID: "x0", Born: 1})
 	for _, m := range all {
-		m.knows(t, "b", 2*perZone-1)
+		m.waitForCandidates(t, "b", 2*perZone-1)
 	}
 }
 
@@ -54,13 +54,13 @@
 	s := newStore(documentOf(1, "b"))
 	a, b, c := startInZone(t, s, "x", "b", "x1"), startInZone(t, s, "y", "b", "y1"), startInZone(t, s, "y", "b", "y2")
 	for _, m := range []*member{a, b, c} {
-		m.knows(t, "b", 3)
+		m.waitForCandidates(t, "b", 3)
 	}
-	changed := a.peers.self()
+	changed := a.peers.localRecord()
 	changed.Sequence += 5
 	changed.State = lifecycle.Draining
 	b.peers.merge([]Record{changed}) // only b learns of it
-	c.knows(t, "b", 2)
+	c.waitForCandidates(t, "b", 2)
 }
 
 // pushCounts counts the pushes of a record by the zone of the receiver.
@@ -89,7 +89,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			p.ctx = ctx
-			p.asked = fullAsks
+			p.fullSyncs = bootstrapPeers
 			zoneByAddress := make(map[string]string)
 			for i := 1; i < n; i++ {
 				r := Record{Address: fmt.Sprint("d", i), Incarnation: 1, Sequence: 1, Zone: model.AvailabilityZone(zoneOf(i))}
@@ -149,9 +149,9 @@
 // difference.
 func TestEqualRecordsHaveEqualDigests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a, b := join(t, s, "b", "b1"), join(t, s, "b", "b2")
-	a.knows(t, "b", 2)
-	b.knows(t, "b", 2)
+	a, b := startReady(t, s, "b", "b1"), startReady(t, s, "b", "b2")
+	a.waitForCandidates(t, "b", 2)
+	b.waitForCandidates(t, "b", 2)
 	eventually(t, "equal records", func() bool { return a.peers.digest() == b.peers.digest() })
 	changed := a.peers.digest()
 	changed[3]++
@@ -180,7 +180,7 @@
 					send:      func(string, []byte) { sent++ },
 				}
 				r.add(Record{Address: "far", Incarnation: 1, Sequence: seq})
-				r.relayed(c.relayed)
+				r.dropRelayed(c.relayed)
 				time.Sleep(relayDelay + relayJitter)
 				synctest.Wait()
 				require.Equal(t, c.sent, sent)
--- a/sidecar/replaced_test.go
+++ b/sidecar/replaced_test.go
@@ -21,9 +21,9 @@
 	up := newUpstream(t, id)
 	o := optionsFor(t, s, up, "c")
 	o.Addresses.Peers = m.opts.Addresses.Peers
-	replacement := start(t, o, s)
-	replacement.up = up
-	replacement.Report(ready(id, 2, 1, "c"))
+	replacement := startDaemon(t, o, s)
+	replacement.upstream = up
+	replacement.Report(readyReport(id, 2, 1, "c"))
 	return replacement
 }
 
@@ -39,11 +39,11 @@
 
 // attemptTo returns an attempt at the only upstream of service b, from the current view
 // of a daemon.
-func attemptTo(t *testing.T, m *member) *try {
+func attemptTo(t *testing.T, m *member) *attemptState {
 	t.Helper()
 	upstreams, endpoints := m.peers.candidates("b")
 	require.Len(t, upstreams, 1)
-	return &try{
+	return &attemptState{
 		choice: placement.Choice{Upstream: upstreams[0]}, endpoint: endpoints[upstreams[0].Key], acknowledged: make(chan struct{}),
 	}
 }
@@ -61,8 +61,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStore(documentOf(1, "b"))
-			a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
-			a.knows(t, "b", 1)
+			a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
+			a.waitForCandidates(t, "b", 1)
 			try := attemptTo(t, a)
 			if c.replace {
 				replaceDaemon(t, s, b, "c1")
@@ -78,17 +78,17 @@
 // must not be attributed to the previous one.
 func TestLoadIsOfTheQueriedUpstream(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
-	a.knows(t, "b", 1)
+	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
+	a.waitForCandidates(t, "b", 1)
 	try := attemptTo(t, a)
-	query := inquiry{
-		ups: []placement.Upstream{try.choice.Upstream}, wait: time.Second,
-		late: func(heard) {}, tooFar: func(placement.Upstream) bool { return false },
+	query := loadQuery{
+		upstreams: []placement.Upstream{try.choice.Upstream}, timeout: time.Second,
+		onLate: func(queryReply) {}, tooFar: func(placement.Upstream) bool { return false },
 	}
-	require.Len(t, a.datagrams.ask(query), 1)
+	require.Len(t, a.datagrams.queryLoads(query), 1)
 	c := replaceDaemon(t, s, b, "c1")
-	query.wait = 100 * time.Millisecond
-	require.Empty(t, a.datagrams.ask(query))
+	query.timeout = 100 * time.Millisecond
+	require.Empty(t, a.datagrams.queryLoads(query))
 	call := &Call{
 		ID: "x", Method: http.MethodGet, Target: "/safe/", Host: "h", Header: http.Header{}, Service: "b",
 		Upstream: try.endpoint.upstream, Idempotent: true, Deadline: time.Second,
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -19,19 +19,19 @@
 // retryLimiter is this daemon's share of the retry budget of one service.
 type retryLimiter struct {
 	mu     sync.Mutex
-	budget ResendBudget
+	budget RetryBudget
 	slack  float64
 	window *retry.WindowBudget
 }
 
-func newRetryLimiter(b ResendBudget) *retryLimiter {
+func newRetryLimiter(b RetryBudget) *retryLimiter {
 	r := &retryLimiter{}
 	r.set(b)
 	return r
 }
 
 // set changes the budget. Counts under a different budget are discarded.
-func (r *retryLimiter) set(b ResendBudget) {
+func (r *retryLimiter) set(b RetryBudget) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.window != nil && r.budget == b {
@@ -70,16 +70,16 @@
 
 // retryCharge is what one retry took from the retry budgets. A nil charge took nothing.
 type retryCharge struct {
-	service *service
+	service *serviceState
 	// otherServices were charged as well, each with callsPerRun nested requests.
-	otherServices []*service
+	otherServices []*serviceState
 	callsPerRun   float64
 }
 
 // takeRetry charges one retry to the budget of a service, and the nested requests that
 // its execution will send to the budgets of all other services. It returns nil and
 // charges nothing if any of the budgets is exhausted.
-func (e *entry) takeRetry(s *service, now model.Instant) *retryCharge {
+func (e *entry) takeRetry(s *serviceState, now model.Instant) *retryCharge {
 	daemons, started := e.daemon.peers.startedWithin(s.retryLimiter.span())
 	nestedCalls := s.currentCallsPerRun()
 	if !s.retryLimiter.take(now, 1, daemons, started) {
@@ -109,17 +109,17 @@
 
 // currentCallsPerRun returns how many requests to other services an upstream sends while
 // it serves one request.
-func (s *service) currentCallsPerRun() float64 {
+func (s *serviceState) currentCallsPerRun() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callsPerRun
 }
 
 // otherServices returns all other services that requests have been sent to.
-func (e *entry) otherServices(s *service) []*service {
+func (e *entry) otherServices(s *serviceState) []*serviceState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]*service, 0, len(e.services))
+	out := make([]*serviceState, 0, len(e.services))
 	for _, o := range e.services {
 		if o != s {
 			out = append(out, o)
--- a/sidecar/retries_test.go
+++ b/sidecar/retries_test.go
@@ -14,10 +14,10 @@
 // the retries of its callers, as each retry repeats the nested calls.
 func TestRetriesAreChargedForNestedCalls(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a := join(t, s, "a", "a1")
-	caller, callee := a.entry.service("caller"), a.entry.service("callee")
+	a := startReady(t, s, "a", "a1")
+	caller, callee := a.entry.stateOf("caller"), a.entry.stateOf("callee")
 	caller.callsPerRun = 4
-	a.peers.own.Incarnation -= time.Hour.Milliseconds()
+	a.peers.local.Incarnation -= time.Hour.Milliseconds()
 	now := a.now()
 	taken := 0
 	var last *retryCharge
@@ -37,10 +37,10 @@
 // a retry and its refund. The refund must equal the original charge.
 func TestRefundMatchesCharge(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a := join(t, s, "a", "a1")
-	caller, callee := a.entry.service("caller"), a.entry.service("callee")
+	a := startReady(t, s, "a", "a1")
+	caller, callee := a.entry.stateOf("caller"), a.entry.stateOf("callee")
 	now := a.now()
-	a.peers.own.Incarnation -= time.Hour.Milliseconds()
+	a.peers.local.Incarnation -= time.Hour.Milliseconds()
 	require.True(t, callee.retryLimiter.take(now, 0, 1, 0))
 	before := callee.retryLimiter.left(now)
 	caller.callsPerRun = 4
@@ -48,7 +48,7 @@
 	require.NotNil(t, charge)
 	require.InDelta(t, before-4, callee.retryLimiter.left(now), 1e-6)
 	caller.callsPerRun = 1
-	added := a.entry.service("later")
+	added := a.entry.stateOf("later")
 	require.True(t, added.retryLimiter.take(now, 0, 1, 0))
 	addedBefore := added.retryLimiter.left(now)
 	charge.refund(now)
@@ -61,8 +61,8 @@
 // updated concurrently. The race detector checks that the value is read under its lock.
 func TestRetriesWhileCallsPerRunChanges(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a := join(t, s, "a", "a1")
-	caller, callee := a.entry.service("caller"), a.entry.service("callee")
+	a := startReady(t, s, "a", "a1")
+	caller, callee := a.entry.stateOf("caller"), a.entry.stateOf("callee")
 	require.True(t, callee.retryLimiter.take(a.now(), 0, 1, 0))
 	before := callee.retryLimiter.left(a.now())
 	done := make(chan struct{})
@@ -87,7 +87,7 @@
 // tenth of a second.
 func TestRetryBudgetAfterDaemonRestarts(t *testing.T) {
 	const daemons, turns, perTurn = 9, 100, 10
-	budget := ResendBudget{Ratio: 0.2, Slack: 50, Span: 10 * time.Second}
+	budget := RetryBudget{Ratio: 0.2, Slack: 50, Span: 10 * time.Second}
 	for restarted, want := range map[int]float64{0: 1, 3: 1, 6: 1.0 / 2, 9: 1.0 / 3} {
 		t.Run(fmt.Sprint(restarted), func(t *testing.T) {
 			require.InDelta(t, want, budgetShareAfterStarts(float64(restarted)/daemons), 1e-9)
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -39,15 +39,15 @@
 
 // runCall sends a call to the upstream unless it was cancelled or its deadline is too
 // close, and stores the result.
-func (g *guard) runCall(ctx context.Context, c *Call, attempt *attempt, arrived model.Instant) *Answer {
+func (g *guard) runCall(ctx context.Context, c *Call, attempt *attempt, arrived model.Instant) *Result {
 	timeLeft := c.Deadline - g.now().Sub(arrived)
-	a := notRun(outcome.ReasonDeadline)
+	a := notRunResult(outcome.ReasonDeadline)
 	switch {
 	case timeLeft < minDeadline:
 	case inbound.ClosedByClient(ctx), !attempt.start():
-		a = notRun(outcome.ReasonWithdrawn)
+		a = notRunResult(outcome.ReasonWithdrawn)
 	default:
-		a = contain(c.ID, g.panicked, func() *Answer { return g.sendToUpstream(ctx, c, timeLeft, g.now().Sub(arrived)) })
+		a = recoverPanic(c.ID, g.onPanic, func() *Result { return g.sendToUpstream(ctx, c, timeLeft, g.now().Sub(arrived)) })
 	}
 	g.mu.Lock()
 	g.queue.Finish()
@@ -59,16 +59,16 @@
 
 // sendToUpstream sends a call to the upstream and returns the result. It updates the
 // metrics, the failure rate and the state of the upstream.
-func (g *guard) sendToUpstream(ctx context.Context, c *Call, timeLeft, waited time.Duration) *Answer {
+func (g *guard) sendToUpstream(ctx context.Context, c *Call, timeLeft, waited time.Duration) *Result {
 	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
-	h := endToEnd(c.Header)
-	g.opts.Edge.Dress(h, Dressing{ID: c.ID, Deadline: timeLeft, Caller: c.Caller, Upstream: c.Upstream.ID})
-	var reading Reading
+	h := endToEndHeaders(c.Header)
+	g.opts.Codec.WriteRequestInfo(h, RequestInfo{ID: c.ID, Deadline: timeLeft, Caller: c.Caller, Upstream: c.Upstream.ID})
+	var reading ResponseInfo
 	x := hop.PoolRequest{
 		Method: c.Method, Target: c.Target, Host: c.Host, Header: h, Body: c.Body,
 		Accept: func(r *http.Response) bool {
-			reading = g.opts.Edge.Read(r.StatusCode, r.Header)
+			reading = g.opts.Codec.ReadResponseInfo(r.StatusCode, r.Header)
 			return reading.belongsTo(c)
 		},
 	}
@@ -84,8 +84,8 @@
 	duration := g.now().Sub(start)
 	a := g.interpretResponse(ctx, c, reading, reply, err)
 	a.ServiceTime = g.serviceTimeOf(duration)
-	g.metrics.stage(stageGuard, c.Service, waited)
-	g.metrics.stage(stageUpstream, c.Service, duration)
+	g.metrics.recordStage(stageGuard, c.Service, waited)
+	g.metrics.recordStage(stageUpstream, c.Service, duration)
 	g.recordOutcome(ctx, a)
 	if err == nil {
 		g.crashes.recordResponse()
@@ -111,46 +111,46 @@
 // newLostRun describes a call whose connection was lost. The body is needed only for the
 // fingerprint.
 func newLostRun(c *Call, incarnation lifecycle.Incarnation) lostRun {
-	r := asked(c.Service, c.Method, c.Target, c.Body)
+	r := fingerprintInput(c.Service, c.Method, c.Target, c.Body)
 	f := quarantine.FingerprintOf(r)
 	r.Body = nil
-	return lostRun{id: c.ID, print: f, request: r, upstream: incarnation}
+	return lostRun{id: c.ID, fingerprint: f, request: r, upstream: incarnation}
 }
 
 // belongsTo reports whether a response belongs to a call.
-func (r *Reading) belongsTo(c *Call) bool {
-	return r.ID == c.ID || r.ID == "" && (r.NotRun || r.Mistaken)
+func (r *ResponseInfo) belongsTo(c *Call) bool {
+	return r.ID == c.ID || r.ID == "" && (r.NotRun || r.Misdirected)
 }
 
 // interpretResponse returns the result of a call. If there is a response, reading holds
 // what the upstream reported in its headers.
-func (g *guard) interpretResponse(ctx context.Context, c *Call, reading Reading, reply *hop.PoolResponse, err error) *Answer {
+func (g *guard) interpretResponse(ctx context.Context, c *Call, reading ResponseInfo, reply *hop.PoolResponse, err error) *Result {
 	var lost *hop.RequestError
 	if errors.As(err, &lost) {
 		switch {
 		case !lost.Sent:
-			return notRun(outcome.ReasonConnect)
+			return notRunResult(outcome.ReasonConnect)
 		case errors.Is(ctx.Err(), context.Canceled):
-			return unknown(outcome.ReasonCancelled)
+			return unknownResult(outcome.ReasonCancelled)
 		case ctx.Err() != nil:
-			return unknown(outcome.ReasonDeadline)
+			return unknownResult(outcome.ReasonDeadline)
 		default:
-			return unknown(outcome.ReasonConnectionLost)
+			return unknownResult(outcome.ReasonConnectionLost)
 		}
 	}
 	g.recordLoad(reading.Load)
 	switch {
-	case reading.Mistaken:
+	case reading.Misdirected:
 		g.handleWrongUpstream(c, reading.Instance)
-		return notRun(outcome.ReasonNoUpstream)
+		return notRunResult(outcome.ReasonNoUpstream)
 	case reading.NotRun:
-		a := notRun(outcome.ReasonUpstreamRefused)
+		a := notRunResult(outcome.ReasonUpstreamRefused)
 		a.Arrived = true
 		return a
-	case !reading.Whole:
-		return unknown(outcome.ReasonTruncated)
+	case !reading.Intact:
+		return unknownResult(outcome.ReasonTruncated)
 	}
-	return &Answer{Outcome: outcome.Done(), Status: reply.Status, Header: endToEnd(reply.Header), Body: reply.Body, Arrived: true}
+	return &Result{Outcome: outcome.Done(), Status: reply.Status, Header: endToEndHeaders(reply.Header), Body: reply.Body, Arrived: true}
 }
 
 // handleWrongUpstream handles a response from a different upstream at the address of the
@@ -178,8 +178,8 @@
 		}
 		return
 	}
-	if l.Slow > 0 {
-		g.slowdown, g.slowdownAt, g.slowdownReported = l.Slow, g.now(), true
+	if l.Slowdown > 0 {
+		g.slowdown, g.slowdownAt, g.slowdownReported = l.Slowdown, g.now(), true
 	}
 	if l.Slots > 0 {
 		g.queue.SetLimit(placement.DefaultLimit(l.Slots))
@@ -192,7 +192,7 @@
 
 // recordOutcome updates the failure rate, and logs when the upstream starts to fail or
 // recovers.
-func (g *guard) recordOutcome(ctx context.Context, a *Answer) {
+func (g *guard) recordOutcome(ctx context.Context, a *Result) {
 	failed := false
 	switch {
 	case a.Outcome.Kind == outcome.Unknown && errors.Is(ctx.Err(), context.Canceled):
@@ -219,7 +219,7 @@
 }
 
 // logRun logs the execution of a call. Of the successful ones, only a sample is logged.
-func (g *guard) logRun(c *Call, a *Answer, err error, waited, duration time.Duration, running int) {
+func (g *guard) logRun(c *Call, a *Result, err error, waited, duration time.Duration, running int) {
 	attrs := []slog.Attr{slog.String("upstream", string(c.Upstream.ID)), slog.Int("status", a.Status), slog.Int64("ran_ms", duration.Milliseconds())}
 	if a.Outcome.Kind == outcome.Answered && a.Status < http.StatusInternalServerError {
 		if g.opts.Decisions.Sampled(c.ID) {
--- a/sidecar/run_test.go
+++ b/sidecar/run_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := &guard{}
-			a := g.interpretResponse(c.ctx, &Call{ID: "r1"}, Reading{}, nil, &hop.RequestError{Sent: c.sent})
+			a := g.interpretResponse(c.ctx, &Call{ID: "r1"}, ResponseInfo{}, nil, &hop.RequestError{Sent: c.sent})
 			require.Equal(t, c.want, a.Outcome)
 		})
 	}
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// ackWait is how long another daemon may take to acknowledge a call: a round trip
+	// ackTimeout is how long another daemon may take to acknowledge a call: a round trip
 	// between regions, acknowledgeAfter, and a scheduling delay.
-	ackWait = 120 * time.Millisecond
+	ackTimeout = 120 * time.Millisecond
 	// The outcome of an attempt that must not run twice is queried over a new connection
 	// if there is no result after outcomeQueryFactor times the expected time plus
 	// outcomeQueryMargin.
@@ -27,45 +27,45 @@
 )
 
 // startAttempt sends an attempt in the background.
-func (r *race) startAttempt(t *try) {
-	ctx, cancel := context.WithCancel(r.req.ctx)
-	now := r.e.daemon.now()
-	t.cancel, t.sent, t.attemptIndex = cancel, now, r.startedCount
+func (r *forwarder) startAttempt(t *attemptState) {
+	ctx, cancel := context.WithCancel(r.request.ctx)
+	now := r.entry.daemon.now()
+	t.cancel, t.sentAt, t.attemptIndex = cancel, now, r.startedCount
 	if r.startedCount == 0 {
-		r.e.daemon.metrics.stage(stageChoose, r.req.service, now.Sub(r.req.began))
+		r.entry.daemon.metrics.recordStage(stageChoose, r.request.service, now.Sub(r.request.startedAt))
 	}
-	r.e.daemon.metrics.stage(stageLoadAge, r.req.service, t.choice.Age)
+	r.entry.daemon.metrics.recordStage(stageLoadAge, r.request.service, t.choice.Age)
 	r.startedCount++
-	r.live = append(r.live, t)
+	r.inFlight = append(r.inFlight, t)
 	c := &Call{
-		ID: r.req.id, AttemptIndex: t.attemptIndex,
-		Method: r.req.http.Method, Target: r.req.http.RequestURI, Host: r.req.http.Host,
-		Header: r.req.http.Header, Body: r.req.body,
-		Service: r.req.service, Caller: r.e.daemon.service(), Upstream: t.endpoint.upstream,
-		Idempotent: r.req.route.Idempotent, Rank: r.req.route.Rank, Kind: kindOf(r.req.route), ServiceTime: r.serviceTime,
-		Deadline: r.req.deadline.Sub(now),
+		ID: r.request.id, AttemptIndex: t.attemptIndex,
+		Method: r.request.httpRequest.Method, Target: r.request.httpRequest.RequestURI, Host: r.request.httpRequest.Host,
+		Header: r.request.httpRequest.Header, Body: r.request.body,
+		Service: r.request.service, Caller: r.entry.daemon.service(), Upstream: t.endpoint.upstream,
+		Idempotent: r.request.route.Idempotent, Rank: r.request.route.Rank, Kind: kindOf(r.request.route), ServiceTime: r.serviceTime,
+		Deadline: r.request.deadline.Sub(now),
 	}
-	if r.req.targetTime != 0 {
-		c.TimeToTarget = r.req.targetTime.Sub(now)
+	if r.request.targetTime != 0 {
+		c.TimeToTarget = r.request.targetTime.Sub(now)
 	}
-	if r.req.rejectionCount < placement.MaxRejections && t.choice.Alternative > 0 {
+	if r.request.rejectionCount < placement.MaxRejections && t.choice.Alternative > 0 {
 		c.Alternative = t.choice.Alternative
 	}
 	go func() {
-		a := contain(c.ID, r.e.daemon.panicked, func() *Answer { return r.e.sendCall(ctx, t, c) })
-		r.e.daemon.metrics.stage(stageSend, c.Service, r.e.daemon.now().Sub(now))
+		a := recoverPanic(c.ID, r.entry.daemon.recordPanic, func() *Result { return r.entry.sendCall(ctx, t, c) })
+		r.entry.daemon.metrics.recordStage(stageSend, c.Service, r.entry.daemon.now().Sub(now))
 		t.acknowledge()
-		r.done <- ended{try: t, answer: a}
+		r.results <- attemptResult{attempt: t, result: a}
 	}()
-	if t.endpoint.address != r.e.daemon.opts.Addresses.Peers {
+	if t.endpoint.address != r.entry.daemon.opts.Addresses.Peers {
 		go r.awaitAcknowledgement(t)
 	}
 }
 
 // awaitAcknowledgement waits until an attempt is acknowledged, and reports it to the race
-// if that takes longer than ackWait.
-func (r *race) awaitAcknowledgement(t *try) {
-	timer := time.NewTimer(ackWait)
+// if that takes longer than ackTimeout.
+func (r *forwarder) awaitAcknowledgement(t *attemptState) {
+	timer := time.NewTimer(ackTimeout)
 	defer timer.Stop()
 	select {
 	case <-t.acknowledged:
@@ -75,13 +75,13 @@
 }
 
 // sendCall sends a call to the guard of its upstream and returns the result.
-func (e *entry) sendCall(ctx context.Context, t *try, c *Call) *Answer {
+func (e *entry) sendCall(ctx context.Context, t *attemptState, c *Call) *Result {
 	if t.endpoint.address == e.daemon.opts.Addresses.Peers {
 		return e.daemon.guard.Do(ctx, c)
 	}
 	pool := e.daemon.peers.pool(t.endpoint.address)
 	if pool == nil {
-		return notRun(outcome.ReasonNoUpstream)
+		return notRunResult(outcome.ReasonNoUpstream)
 	}
 	if c.Idempotent {
 		a, _ := e.sendOnConnection(ctx, pool, t, c)
@@ -92,8 +92,8 @@
 
 // sendOnConnection sends a call over a pooled connection. It returns false if the
 // connection broke after the call may have been sent.
-func (e *entry) sendOnConnection(ctx context.Context, pool *hop.Pool, t *try, c *Call) (*Answer, bool) {
-	h := endToEnd(c.Header)
+func (e *entry) sendOnConnection(ctx context.Context, pool *hop.Pool, t *attemptState, c *Call) (*Result, bool) {
+	h := endToEndHeaders(c.Header)
 	h.Set(callHeader, c.encode())
 	reply, err := pool.Do(ctx, hop.PoolRequest{
 		Method: c.Method, Target: c.Target, Host: c.Host, Header: h, Body: c.Body, OnInformational: t.acknowledge,
@@ -101,30 +101,30 @@
 	var lost *hop.RequestError
 	if errors.As(err, &lost) {
 		if ctx.Err() == nil && !lost.Reused {
-			e.daemon.peers.missed(t.endpoint.address, err)
+			e.daemon.peers.reportUnreachable(t.endpoint.address, err)
 		}
 		if !lost.Sent {
-			return notRun(outcome.ReasonConnect), true
+			return notRunResult(outcome.ReasonConnect), true
 		}
-		return unknown(outcome.ReasonConnectionLost), false
+		return unknownResult(outcome.ReasonConnectionLost), false
 	}
-	a := answerOf(reply)
-	e.daemon.behind(t.endpoint.address, a.Version)
+	a := resultFromReply(reply)
+	e.daemon.onPeerVersion(t.endpoint.address, a.Version)
 	return a, true
 }
 
 // sendNonIdempotent sends a call that must not run twice. If the connection breaks or
 // there is no result for long, it queries the outcome over a new connection.
-func (e *entry) sendNonIdempotent(ctx context.Context, pool *hop.Pool, t *try, c *Call) *Answer {
+func (e *entry) sendNonIdempotent(ctx context.Context, pool *hop.Pool, t *attemptState, c *Call) *Result {
 	type reply struct {
-		result *Answer
+		result *Result
 		// complete reports whether a complete result was received from the daemon.
 		complete bool
 	}
 	direct := make(chan reply, 1)
 	go func() {
 		var complete bool
-		a := contain(c.ID, e.daemon.panicked, func() (a *Answer) {
+		a := recoverPanic(c.ID, e.daemon.recordPanic, func() (a *Result) {
 			a, complete = e.sendOnConnection(ctx, pool, t, c)
 			return a
 		})
@@ -133,7 +133,7 @@
 	sentAt := e.bootClock()
 	queryTimer := time.NewTimer(time.Duration(outcomeQueryFactor*float64(t.choice.Expected)) + outcomeQueryMargin)
 	defer queryTimer.Stop()
-	ackTimer := time.NewTimer(ackWait)
+	ackTimer := time.NewTimer(ackTimeout)
 	defer ackTimer.Stop()
 	queried := make(chan reply, 1)
 	querying, guardReached := false, false
@@ -142,7 +142,7 @@
 			querying = true
 			go func() {
 				var reached bool
-				a := contain(c.ID, e.daemon.panicked, func() (a *Answer) {
+				a := recoverPanic(c.ID, e.daemon.recordPanic, func() (a *Result) {
 					a, reached = e.queryOutcome(ctx, pool, t, c)
 					return e.dropExpiredProof(a, sentAt, c)
 				})
@@ -170,7 +170,7 @@
 			}
 		case <-ctx.Done():
 			// The request has ended, so nobody uses the result.
-			return unknown(outcome.ReasonCancelled)
+			return unknownResult(outcome.ReasonCancelled)
 		case <-queryTimer.C:
 			queryOnce()
 		case <-ackTimer.C:
@@ -188,18 +188,18 @@
 // later, an unknown outcome is returned instead. sentAt is when the call was sent, by
 // bootClock. The deadline of the call is no substitute for this check, as its clock stops
 // while this VM is suspended.
-func (e *entry) dropExpiredProof(a *Answer, sentAt time.Duration, c *Call) *Answer {
+func (e *entry) dropExpiredProof(a *Result, sentAt time.Duration, c *Call) *Result {
 	if a.Outcome.Kind == outcome.NotRun && e.bootClock()-sentAt > retentionPeriod(c.Deadline) {
-		return unknown(outcome.ReasonConnectionLost)
+		return unknownResult(outcome.ReasonConnectionLost)
 	}
 	return a
 }
 
 // queryOutcome queries the outcome of a call, and cancels the call if it has not started.
 // It returns false if the guard was not reached.
-func (e *entry) queryOutcome(ctx context.Context, pool *hop.Pool, t *try, c *Call) (*Answer, bool) {
-	e.daemon.metrics.settled.Inc(1)
-	a, reached := askSettle(ctx, pool, settleQuestion{key: c.Key(), life: t.endpoint.daemonIncarnation, left: c.Deadline})
+func (e *entry) queryOutcome(ctx context.Context, pool *hop.Pool, t *attemptState, c *Call) (*Result, bool) {
+	e.daemon.metrics.resolved.Inc(1)
+	a, reached := sendResolveRequest(ctx, pool, resolveRequest{key: c.Key(), incarnation: t.endpoint.daemonIncarnation, timeLeft: c.Deadline})
 	e.daemon.opts.Decisions.Write(decision.Withdrawn, c.ID, slog.String("upstream", t.choice.Upstream.Key),
 		slog.String("result", a.Outcome.Kind.String()))
 	return a, reached
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -101,38 +101,38 @@
 // caller can get no response, because its connection was closed just after the request was
 // read.
 func TestRequestsOnClosedConnectionsAreNotForwarded(t *testing.T) {
-	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
+	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
 	ctx, conn, _ := acceptConn(t)
 	require.NoError(t, conn.Close())
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() {
-		m.callers.http.Handler.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
+		m.callerServer.http.Handler.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
 	})
-	require.Empty(t, m.up.requests())
+	require.Empty(t, m.upstream.requests())
 }
 
 // TestRequestsOfDisconnectedCallersAreNotForwarded guards against requests that reach an
 // upstream long after their callers have disconnected: on a busy processor, net/http notices
 // the close late.
 func TestRequestsOfDisconnectedCallersAreNotForwarded(t *testing.T) {
-	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
+	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
 	ctx, _, caller := acceptConn(t)
 	require.NoError(t, caller.Close())
 	eventually(t, "the close has arrived", func() bool { return inbound.ClosedByClient(ctx) })
 	m.entry.ServeHTTP(httptest.NewRecorder(), safeRequest(ctx))
-	require.Empty(t, m.up.requests())
+	require.Empty(t, m.upstream.requests())
 }
 
 // TestCallsOfDisconnectedSendersAreNotRun has a sender disconnect before the guard has
 // started its call: the call must not run.
 func TestCallsOfDisconnectedSendersAreNotRun(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
-		m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
+		m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
 		ctx, _, sender := acceptConn(t)
 		require.NoError(t, sender.Close())
 		eventually(t, "the close has arrived", func() bool { return inbound.ClosedByClient(ctx) })
-		c := ordinary()
+		c := newCall()
 		c.Service, c.Upstream.ID, c.Idempotent = "a", "a1", idempotent
 		require.Equal(t, outcome.NotRun, m.guard.Do(ctx, c).Outcome.Kind)
-		require.Empty(t, m.up.requests())
+		require.Empty(t, m.upstream.requests())
 	}
 }
--- a/sidecar/stalledlog_test.go
+++ b/sidecar/stalledlog_test.go
@@ -36,11 +36,11 @@
 	out := newStalledWriter(t)
 	o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(out, nil)})
 	o.Logger = o.Decisions.Logger()
-	m := start(t, o, s)
-	m.Report(ready("a1", 1, 1, "a"))
-	r := asked("a", http.MethodGet, "/safe/poison", nil)
-	for i := range crashesToRefuse {
-		m.suspects.store.RecordCrash(core.FingerprintOf(r), r, core.Crash{Upstream: "a9", Incarnation: model.Incarnation(i)})
+	m := startDaemon(t, o, s)
+	m.Report(readyReport("a1", 1, 1, "a"))
+	r := fingerprintInput("a", http.MethodGet, "/safe/poison", nil)
+	for i := range quarantineThreshold {
+		m.quarantine.store.RecordCrash(core.FingerprintOf(r), r, core.Crash{Upstream: "a9", Incarnation: model.Incarnation(i)})
 	}
 	// The quarantine evaluates crashes within half a second.
 	time.Sleep(time.Second)
--- a/sidecar/stopping_test.go
+++ b/sidecar/stopping_test.go
@@ -16,10 +16,10 @@
 // service while its daemon is stopping. A stopping daemon is used if there is no other.
 func TestLastUpstreamServesWhileItsDaemonStops(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
-	a.knows(t, "b", 1)
+	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
+	a.waitForCandidates(t, "b", 1)
 	go b.stop()
-	eventually(t, "the stop is known to the other daemon", func() bool { r, _ := a.peers.of(b.opts.Addresses.Peers); return r.Stopping })
+	eventually(t, "the stop is known to the other daemon", func() bool { r, _ := a.peers.recordOf(b.opts.Addresses.Peers); return r.Stopping })
 	status, text := a.get(t, "/safe/")
 	require.Equal(t, http.StatusOK, status, text)
 	status, text = a.post(t, "/unsafe/")
@@ -44,11 +44,11 @@
 		t.Run(name, func(t *testing.T) {
 			now := model.Instant(time.Hour)
 			g := newIdleGuard(&now)
-			g.report(ready("b1", 1, 1, "b"), "report")
+			g.handleReport(readyReport("b1", 1, 1, "b"), "report")
 			if c.stopAfter > 0 {
-				g.endBy(now.Add(c.stopAfter))
+				g.setStopDeadline(now.Add(c.stopAfter))
 			}
-			call := ordinary()
+			call := newCall()
 			call.Deadline, call.ServiceTime = c.deadline, c.serviceTime
 			require.Equal(t, c.want, g.rejectReason(g.tracker.Current(), call))
 		})
@@ -60,17 +60,17 @@
 func TestStoppingGuardRejectsWaitingCalls(t *testing.T) {
 	now := model.Instant(time.Hour)
 	g := newIdleGuard(&now)
-	r := ready("b1", 1, 1, "b")
+	r := readyReport("b1", 1, 1, "b")
 	r.Slots = 1
-	g.report(r, "report")
-	_, runningExit, rejected := g.enqueue(ordinary())
+	g.handleReport(r, "report")
+	_, runningExit, rejected := g.enqueue(newCall())
 	require.Nil(t, rejected)
 	require.NotEmpty(t, runningExit)
-	call := ordinary()
+	call := newCall()
 	id, exit, rejected := g.enqueue(call)
 	require.Nil(t, rejected)
 	require.Empty(t, exit)
-	g.stop()
+	g.stopAdmitting()
 	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, exit)
 	require.Equal(t, outcome.NotRun, got.Outcome.Kind)
 }
@@ -81,10 +81,10 @@
 	s := newStore(documentOf(1, "a"))
 	up := newUpstream(t, "a1")
 	o := optionsFor(t, s, up, "a")
-	o.Grace = 0
+	o.GracePeriod = 0
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	o.Source = &hangingSource{source: &source{s: s}, release: release}
+	o.Source = &hangingSource{source: &source{store: s}, release: release}
 	d, err := New(o)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,14 +101,14 @@
 	}
 }
 
-// hangingSource does not return from Follow until it is released.
+// hangingSource does not return from Watch until it is released.
 type hangingSource struct {
 	*source
 	release chan struct{}
 }
 
-func (s *hangingSource) Follow(ctx context.Context, f Follower) error {
-	_ = s.source.Follow(ctx, f)
+func (s *hangingSource) Watch(ctx context.Context, f ConfigConsumer) error {
+	_ = s.source.Watch(ctx, f)
 	<-s.release
 	return nil
 }
@@ -117,8 +117,8 @@
 // may arrive on a connection that was opened before the stop.
 func TestStoppingDaemonRefusesLongRequests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
-	a, _ := join(t, s, "a", "a1"), join(t, s, "b", "b1")
-	a.knows(t, "b", 1)
+	a, _ := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
+	a.waitForCandidates(t, "b", 1)
 	a.entry.recordServiceTime("unsafe", time.Minute)
 	go a.stop()
 	eventually(t, "the daemon is stopping", a.stopping.Load)
--- a/sidecar/summary.go
+++ b/sidecar/summary.go
@@ -37,10 +37,10 @@
 	return s.sequence > old.sequence
 }
 
-// summaryOf returns a summary of as many of the wanted buckets as fit a datagram, and of the
+// newSummary returns a summary of as many of the wanted buckets as fit a datagram, and of the
 // first one in any case. A bucket too large for a datagram is truncated; for the entries left
 // out, this daemon will be sent records that it already has.
-func summaryOf(records []Record, wanted []int) *summary {
+func newSummary(records []Record, wanted []int) *summary {
 	byBucket := make(map[int][]*Record)
 	for i := range records {
 		if r := &records[i]; r.inDigest() {
@@ -56,7 +56,7 @@
 		s.bucketSet |= 1 << bucket
 		for _, r := range byBucket[bucket] {
 			if len(s.entries) < maxSummaryEntries {
-				s.entries[hashOf(r.Address)] = recordVersionOf(r)
+				s.entries[addressHash(r.Address)] = recordVersionOf(r)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 		if !r.inDigest() || s.bucketSet&(1<<bucketOf(r.Address)) == 0 {
 			continue
 		}
-		hash := hashOf(r.Address)
+		hash := addressHash(r.Address)
 		ours[hash] = recordVersionOf(r)
 		if theirs, ok := s.entries[hash]; !ok || recordVersionOf(r).supersedes(theirs) {
 			newer = append(newer, *r)
@@ -113,8 +113,8 @@
 	return s, true
 }
 
-// encodeWishes encodes a record request for the records with these address hashes.
-func encodeWishes(hashes []uint32) []byte {
+// encodeRecordRequest encodes a record request for the records with these address hashes.
+func encodeRecordRequest(hashes []uint32) []byte {
 	hashes = hashes[:min(len(hashes), maxRequestedHashes)]
 	b := make([]byte, 0, len(hashes)*addressHashBytes)
 	for _, hash := range hashes {
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -34,9 +34,9 @@
 func (t recordTable) merge(records []Record) int {
 	bytes := 0
 	for _, b := range packRecords(records) {
-		bytes += headBytes + len(b)
+		bytes += datagramHeaderBytes + len(b)
 		for _, r := range unpackRecords(b) {
-			if held, ok := t[r.Address]; !ok || r.newer(&held) {
+			if held, ok := t[r.Address]; !ok || r.supersedes(&held) {
 				t[r.Address] = r
 			}
 		}
@@ -49,7 +49,7 @@
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
 	theirs, ours := digestOf(responder.records()), digestOf(initiator.records())
-	bytes := headBytes + len(ours.encode())
+	bytes := datagramHeaderBytes + len(ours.encode())
 	var differing []int
 	for i := range ours {
 		if ours[i] != theirs[i] {
@@ -59,19 +59,19 @@
 	if len(differing) == 0 {
 		return bytes
 	}
-	message := summaryOf(responder.records(), differing).encode()
+	message := newSummary(responder.records(), differing).encode()
 	require.LessOrEqual(t, len(message), maxDatagramBody)
 	s, ok := decodeSummary(message)
 	require.True(t, ok)
 	newer, wanted := s.diff(initiator.records())
-	bytes += headBytes + len(message) + responder.merge(newer)
-	request := encodeWishes(wanted)
+	bytes += datagramHeaderBytes + len(message) + responder.merge(newer)
+	request := encodeRecordRequest(wanted)
 	if len(request) > 0 {
-		bytes += headBytes + len(request)
+		bytes += datagramHeaderBytes + len(request)
 	}
 	var requested []Record
 	for _, r := range responder.records() {
-		if decodeRecordRequest(request)[hashOf(r.Address)] {
+		if decodeRecordRequest(request)[addressHash(r.Address)] {
 			requested = append(requested, r)
 		}
 	}
@@ -95,7 +95,7 @@
 				change(a, b, records[n/2])
 				require.LessOrEqual(t, reconcile(t, a, b), 600+summaryEntryBytes*(2+2*n/digestBuckets))
 				require.Equal(t, a, b)
-				require.Equal(t, headBytes+digestBuckets*bucketHashBytes, reconcile(t, a, b))
+				require.Equal(t, datagramHeaderBytes+digestBuckets*bucketHashBytes, reconcile(t, a, b))
 			})
 		}
 	}
@@ -142,7 +142,7 @@
 func TestGoneDaemonsAreNotInSummary(t *testing.T) {
 	records := sampleRecords(3)
 	records[1].Stopping, records[1].State = true, lifecycle.Gone
-	require.Len(t, summaryOf(records, []int{bucketOf(records[1].Address)}).entries, len(summaryOf(append(records[:1:1], records[2]), []int{bucketOf(records[1].Address)}).entries))
+	require.Len(t, newSummary(records, []int{bucketOf(records[1].Address)}).entries, len(newSummary(append(records[:1:1], records[2]), []int{bucketOf(records[1].Address)}).entries))
 	newer, wanted := (&summary{bucketSet: ^uint32(0)}).diff(records)
 	require.Len(t, newer, 2)
 	require.Empty(t, wanted)
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -10,7 +10,7 @@
 // syncLoop pushes the local record to a peer, with retries, until the peer has the current
 // one.
 func (p *peers) syncLoop(q *peer) {
-	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxPause}
+	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxSyncBackoff}
 	for {
 		p.mu.Lock()
 		if !q.pushDue || p.ctx.Err() != nil || p.all[q.record.Address] != q {
@@ -19,7 +19,7 @@
 			return
 		}
 		q.pushDue = false
-		message := syncMessage{From: p.own, WantAll: q.needsFullSync}
+		message := syncMessage{From: p.local, WantAll: q.needsFullSync}
 		pool, address := q.pool, q.record.Address
 		p.mu.Unlock()
 		if !message.WantAll && p.pushByDatagram(address, message.From) {
@@ -34,7 +34,7 @@
 			backoff.Reset()
 			continue
 		}
-		retry, maxBackoff := p.unsynced(q, err)
+		retry, maxBackoff := p.exchangeFailed(q, err)
 		if !retry {
 			return
 		}
@@ -48,38 +48,38 @@
 func (p *peers) pushAcknowledged(q *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.regain(q)
+	p.markReachable(q)
 }
 
 // exchangeSucceeded merges the reply of a peer.
 func (p *peers) exchangeSucceeded(q *peer, address string, reply syncMessage) {
 	p.mu.Lock()
-	p.regain(q)
+	p.markReachable(q)
 	fullSync := q.needsFullSync
 	q.needsFullSync = false
 	p.mu.Unlock()
 	if fullSync {
 		p.onFullSync(address)
 	}
-	p.merge(append([]Record{reply.From}, reply.Known...))
+	p.merge(append([]Record{reply.From}, reply.Records...))
 	p.onVersion(address, reply.Version)
 	p.firstContactOnce.Do(func() { close(p.firstContact) })
 }
 
-// unsynced records a failed exchange. It reports whether to retry, and the bound of the
+// exchangeFailed records a failed exchange. It reports whether to retry, and the bound of the
 // backoff before that.
-func (p *peers) unsynced(q *peer, err error) (retry bool, maxBackoff time.Duration) {
+func (p *peers) exchangeFailed(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q.pushDue = true
-	if !q.lost {
-		p.lose(q, err)
+	if !q.unreachable {
+		p.markUnreachable(q, err)
 	}
 	if q.needsFullSync {
 		p.replaceBootstrapPeer(q)
 	}
 	gone := q.record.Stopping && q.record.State == lifecycle.Gone
-	lostFor := p.now().Sub(q.lostAt)
+	lostFor := p.now().Sub(q.unreachableSince)
 	switch {
 	case gone || lostFor >= forgetAfter:
 		delete(p.all, q.record.Address)
@@ -87,8 +87,8 @@
 		q.syncing = false
 		return false, 0
 	case lostFor >= fastRetryPeriod:
-		return true, lookPause
+		return true, lostSyncBackoff
 	default:
-		return true, maxPause
+		return true, maxSyncBackoff
 	}
 }
--- a/sidecar/traffic.go
+++ b/sidecar/traffic.go
@@ -6,20 +6,20 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// kindNames maps the kinds of datagrams to their names in metrics.
-var kindNames = map[byte]string{
-	kindAsk:       "load_question",
-	kindLoad:      "load",
-	kindRecord:    "record",
-	kindNoted:     "record_noted",
-	kindNews:      "version",
-	kindSuspects:  "suspects",
-	kindHeartbeat: "heartbeat",
-	kindRecords:   "records",
-	kindCompare:   "comparison",
-	kindSummary:   "summary",
-	kindWish:      "wish",
-	kindCompared:  "compared",
+// datagramNames maps the kinds of datagrams to their names in metrics.
+var datagramNames = map[byte]string{
+	kindLoadQuery:      "load_question",
+	kindLoadReply:      "load",
+	kindRecordPush:     "record",
+	kindRecordAck:      "record_noted",
+	kindVersion:        "version",
+	kindSuspects:       "suspects",
+	kindHeartbeat:      "heartbeat",
+	kindRelayedRecords: "records",
+	kindDigest:         "comparison",
+	kindSummary:        "summary",
+	kindRecordRequest:  "wish",
+	kindMissingRecords: "compared",
 }
 
 // pathNames maps the paths of control messages to their names in metrics.
@@ -29,10 +29,10 @@
 	pathConfig: "configuration",
 }
 
-// traffic counts the bytes of control messages between daemons by kind. Calls are not
+// controlTraffic counts the bytes of control messages between daemons by kind. Calls are not
 // included. Messages over HTTP are counted by the daemon that serves them, without
 // headers.
-type traffic struct {
+type controlTraffic struct {
 	datagrams map[byte]byteCounter
 	messages  map[string]byteCounter
 }
@@ -40,9 +40,9 @@
 // byteCounter counts bytes in both directions.
 type byteCounter struct{ sent, received tally.Counter }
 
-func newTraffic(scope tally.Scope) *traffic {
-	t := &traffic{datagrams: make(map[byte]byteCounter), messages: make(map[string]byteCounter)}
-	for kind, name := range kindNames {
+func newControlTraffic(scope tally.Scope) *controlTraffic {
+	t := &controlTraffic{datagrams: make(map[byte]byteCounter), messages: make(map[string]byteCounter)}
+	for kind, name := range datagramNames {
 		t.datagrams[kind] = newByteCounter(scope, name)
 	}
 	for path, name := range pathNames {
@@ -58,23 +58,23 @@
 	return byteCounter{sent: counter("sent"), received: counter("received")}
 }
 
-// sent counts a sent datagram, whose first byte is its kind.
-func (t *traffic) sent(b []byte) {
+// countSent counts a sent datagram, whose first byte is its kind.
+func (t *controlTraffic) countSent(b []byte) {
 	if c, ok := t.datagrams[b[0]]; ok {
 		c.sent.Inc(int64(len(b)))
 	}
 }
 
 // countReceived counts a received datagram, whose first byte is its kind.
-func (t *traffic) countReceived(b []byte) {
+func (t *controlTraffic) countReceived(b []byte) {
 	if c, ok := t.datagrams[b[0]]; ok {
 		c.received.Inc(int64(len(b)))
 	}
 }
 
-// message counts an HTTP control message. It returns a ResponseWriter that counts the
+// countMessage counts an HTTP control message. It returns a ResponseWriter that counts the
 // response.
-func (t *traffic) message(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
+func (t *controlTraffic) countMessage(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	c, ok := t.messages[r.URL.Path]
 	if !ok {
 		return w
--- a/sidecar/unanswered_test.go
+++ b/sidecar/unanswered_test.go
@@ -19,8 +19,8 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// lines collects the entries of the decision log. It is safe for concurrent use.
-type lines struct {
+// logRecorder collects the entries of the decision log. It is safe for concurrent use.
+type logRecorder struct {
 	mu      sync.Mutex
 	entries []map[string]any
 	// onWrite, if set, is called before an entry is added.
@@ -28,7 +28,7 @@
 }
 
 // Write adds one entry, which must be a complete JSON object.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logRecorder) Write(p []byte) (int, error) {
 	var fields map[string]any
 	if err := json.Unmarshal(p, &fields); err != nil {
 		return 0, err
@@ -43,7 +43,7 @@
 }
 
 // ofKind returns the entries of a kind.
-func (l *lines) ofKind(k decision.Kind) []map[string]any {
+func (l *logRecorder) ofKind(k decision.Kind) []map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(l.entries), func(f map[string]any) bool { return f["msg"] != string(k) })
@@ -51,40 +51,40 @@
 
 // joinWithLog is like join, but records the decision log. The daemon runs until the test
 // ends or stops it.
-func joinWithLog(t *testing.T, s *store, id string, l *lines) *member {
+func joinWithLog(t *testing.T, s *store, id string, l *logRecorder) *member {
 	t.Helper()
 	up := newUpstream(t, id)
 	o := optionsFor(t, s, up, "a")
 	o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(l, nil)})
-	m := start(t, o, s)
-	m.up = up
-	m.Report(ready(id, 1, 1, "a"))
+	m := startDaemon(t, o, s)
+	m.upstream = up
+	m.Report(readyReport(id, 1, 1, "a"))
 	return m
 }
 
-// kept is a connection of a caller to a daemon.
-type kept struct {
+// callerConn is a connection of a caller to a daemon.
+type callerConn struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func dialCallers(t *testing.T, m *member) *kept {
+func dialCallers(t *testing.T, m *member) *callerConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", m.opts.Addresses.Callers)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	return &kept{conn: conn, reader: bufio.NewReader(conn)}
+	return &callerConn{conn: conn, reader: bufio.NewReader(conn)}
 }
 
 // send writes a request for /safe/ without a body.
-func (k *kept) send(t *testing.T, id string) {
+func (k *callerConn) send(t *testing.T, id string) {
 	t.Helper()
 	_, err := io.WriteString(k.conn, "GET /safe/ HTTP/1.1\r\nHost: h\r\nT-Id: "+id+"\r\nT-Deadline: 5000\r\n\r\n")
 	require.NoError(t, err)
 }
 
-// answer reads a complete response.
-func (k *kept) answer() (*http.Response, error) {
+// readResponse reads a complete response.
+func (k *callerConn) readResponse() (*http.Response, error) {
 	resp, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
 		return nil, err
@@ -96,12 +96,12 @@
 // TestHandlerPanicsAreLogged makes a handler for callers panic. The caller only sees that
 // the connection is closed.
 func TestHandlerPanicsAreLogged(t *testing.T) {
-	l := &lines{}
+	l := &logRecorder{}
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", l)
-	m.callers.http.Handler = m.reportPanics("callers", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("broken") }))
+	m.callerServer.http.Handler = m.reportPanics("callers", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("broken") }))
 	k := dialCallers(t, m)
 	k.send(t, "one")
-	_, err := k.answer()
+	_, err := k.readResponse()
 	require.Error(t, err)
 	eventually(t, "the log entry", func() bool { return len(l.ofKind(decision.Aborted)) == 1 })
 	logged := l.ofKind(decision.Aborted)[0]
@@ -114,16 +114,16 @@
 
 // startWithRunningRequest returns a daemon, its log, and a connection with a request that
 // runs until the end of the test.
-func startWithRunningRequest(t *testing.T) (*member, *lines, *kept) {
+func startWithRunningRequest(t *testing.T) (*member, *logRecorder, *callerConn) {
 	t.Helper()
-	l := &lines{}
+	l := &logRecorder{}
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", l)
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	m.up.set(func(w http.ResponseWriter, _ *http.Request) { <-release; answerWell(w, "a1") })
+	m.upstream.setHandler(func(w http.ResponseWriter, _ *http.Request) { <-release; respondOK(w, "a1") })
 	k := dialCallers(t, m)
 	k.send(t, "one")
-	eventually(t, "the request runs", func() bool { return len(m.up.requests()) == 1 })
+	eventually(t, "the request runs", func() bool { return len(m.upstream.requests()) == 1 })
 	return m, l, k
 }
 
@@ -131,8 +131,8 @@
 // flight.
 func TestAbortedRequestsAreLogged(t *testing.T) {
 	m, l, k := startWithRunningRequest(t)
-	m.callers.close()
-	_, err := k.answer()
+	m.callerServer.close()
+	_, err := k.readResponse()
 	require.Error(t, err)
 	eventually(t, "the log entry", func() bool { return len(l.ofKind(decision.Failed)) > 0 })
 	failed := l.ofKind(decision.Failed)
@@ -157,26 +157,26 @@
 // that time, the test delays the last log entry of the daemon.
 func TestRequestsAtTheEndOfAStopAreAnswered(t *testing.T) {
 	ending, release := make(chan struct{}), make(chan struct{})
-	l := &lines{onWrite: func(kind string) {
+	l := &logRecorder{onWrite: func(kind string) {
 		if kind == string(decision.Stopped) {
 			close(ending)
 			<-release
 		}
 	}}
 	s := newStore(documentOf(1, "b"))
-	a, b := joinWithLog(t, s, "a1", l), join(t, s, "b", "b1")
-	a.knows(t, "b", 1)
+	a, b := joinWithLog(t, s, "a1", l), startReady(t, s, "b", "b1")
+	a.waitForCandidates(t, "b", 1)
 	k := dialCallers(t, a)
 	k.send(t, "one")
-	resp, err := k.answer()
+	resp, err := k.readResponse()
 	require.NoError(t, err)
 	require.False(t, resp.Close)
-	b.up.set(func(w http.ResponseWriter, r *http.Request) {
+	b.upstream.setHandler(func(w http.ResponseWriter, r *http.Request) {
 		// The request runs until its sender disconnects.
 		select {
 		case <-r.Context().Done():
 		case <-time.After(time.Second):
-			answerWell(w, "b1")
+			respondOK(w, "b1")
 		}
 	})
 	stopped := make(chan struct{})
@@ -184,11 +184,11 @@
 	<-ending
 	_, err = io.WriteString(k.conn, "GET /safe/ HTTP/1.1\r\nHost: h\r\nT-Id: two\r\nT-Deadline: 5000\r\n\r\n")
 	if err == nil {
-		_, err = k.answer()
+		_, err = k.readResponse()
 	}
 	close(release)
 	<-stopped
-	if len(b.up.requests()) > 1 {
+	if len(b.upstream.requests()) > 1 {
 		require.NoError(t, err, "the request was forwarded and got no response")
 	}
 }
@@ -199,19 +199,19 @@
 	for _, upstreamService := range []string{"a", "b"} {
 		t.Run("upstream of service "+upstreamService, func(t *testing.T) {
 			s := newStore(documentOf(1, model.ServiceName(upstreamService)))
-			a, b := join(t, s, "a", "a1"), join(t, s, "b", "b1")
-			a.knows(t, model.ServiceName(upstreamService), 1)
+			a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
+			a.waitForCandidates(t, model.ServiceName(upstreamService), 1)
 			release := make(chan struct{})
 			t.Cleanup(func() { close(release) })
 			for _, m := range []*member{a, b} {
-				m.up.set(func(http.ResponseWriter, *http.Request) { <-release })
+				m.upstream.setHandler(func(http.ResponseWriter, *http.Request) { <-release })
 			}
 			k := dialCallers(t, a)
 			k.send(t, "one")
-			eventually(t, "the request runs", func() bool { return len(a.up.requests())+len(b.up.requests()) == 1 })
-			a.tunables.Store(&Tunables{Grace: graceMargin})
+			eventually(t, "the request runs", func() bool { return len(a.upstream.requests())+len(b.upstream.requests()) == 1 })
+			a.tunables.Store(&Tunables{GracePeriod: graceMargin})
 			go a.stop()
-			resp, err := k.answer()
+			resp, err := k.readResponse()
 			require.NoError(t, err)
 			require.Equal(t, http.StatusBadGateway, resp.StatusCode, "the request may have run")
 		})
@@ -221,30 +221,30 @@
 // TestRequestsAfterTheEndOfAStopAreRefused sends a request to a daemon that accepts no
 // more requests but has not closed its connections yet.
 func TestRequestsAfterTheEndOfAStopAreRefused(t *testing.T) {
-	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &lines{})
+	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
 	k := dialCallers(t, m)
-	m.requests.end()
+	m.inFlight.close()
 	k.send(t, "one")
-	resp, err := k.answer()
+	resp, err := k.readResponse()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	require.Empty(t, m.up.requests())
+	require.Empty(t, m.upstream.requests())
 }
 
 // TestEndIdleAdmitsNoFurtherRequests checks that no request is admitted after the check
 // that none is in flight.
 func TestEndIdleAdmitsNoFurtherRequests(t *testing.T) {
-	var h inHand
+	var h inFlightRequests
 	require.True(t, h.begin())
-	require.False(t, h.endIdle(func() bool { return true }), "one request is in flight")
+	require.False(t, h.closeIfIdle(func() bool { return true }), "one request is in flight")
 	require.True(t, h.begin())
 	h.done()
 	h.done()
-	require.False(t, h.endIdle(func() bool { return false }), "the guard is busy")
+	require.False(t, h.closeIfIdle(func() bool { return false }), "the guard is busy")
 	require.True(t, h.begin())
 	h.done()
-	require.True(t, h.endIdle(func() bool { return true }))
+	require.True(t, h.closeIfIdle(func() bool { return true }))
 	require.False(t, h.begin())
 }
 
@@ -253,24 +253,24 @@
 func TestStopIdleAdmitsNoFurtherCalls(t *testing.T) {
 	now := model.Instant(time.Hour)
 	g := newIdleGuard(&now)
-	g.report(ready("b1", 1, 1, "b"), "report")
-	_, exit, rejected := g.enqueue(ordinary())
+	g.handleReport(readyReport("b1", 1, 1, "b"), "report")
+	_, exit, rejected := g.enqueue(newCall())
 	require.Nil(t, rejected)
 	require.NotEmpty(t, exit)
-	require.False(t, g.stopIdle(), "one call is running")
-	_, _, rejected = g.enqueue(ordinary())
+	require.False(t, g.stopIfIdle(), "one call is running")
+	_, _, rejected = g.enqueue(newCall())
 	require.Nil(t, rejected)
 	g.queue.Finish()
 	g.queue.Finish()
-	require.True(t, g.stopIdle())
-	_, _, rejected = g.enqueue(ordinary())
+	require.True(t, g.stopIfIdle())
+	_, _, rejected = g.enqueue(newCall())
 	require.Equal(t, outcome.ReasonDraining, rejected.Outcome.Reason)
 }
 
 // panickingEdge panics when a request is sent to the upstream.
-type panickingEdge struct{ testEdge }
+type panickingEdge struct{ testCodec }
 
-func (panickingEdge) Dress(http.Header, Dressing) { panic("broken") }
+func (panickingEdge) WriteRequestInfo(http.Header, RequestInfo) { panic("broken") }
 
 // TestPanicEndsOnlyItsRequest guards against a panic outside the HTTP handlers that ends
 // the process, and with it all requests in flight.
@@ -278,23 +278,23 @@
 	for name, entryService := range map[string]model.ServiceName{"local upstream": "b", "upstream of another daemon": "a"} {
 		t.Run(name, func(t *testing.T) {
 			s := newStore(documentOf(1, "b"))
-			l := &lines{}
+			l := &logRecorder{}
 			o := optionsFor(t, s, newUpstream(t, "b1"), "b")
-			o.Edge = panickingEdge{}
+			o.Codec = panickingEdge{}
 			o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(l, nil)})
-			b := start(t, o, s)
-			b.Report(ready("b1", 1, 1, "b"))
+			b := startDaemon(t, o, s)
+			b.Report(readyReport("b1", 1, 1, "b"))
 			member := b
 			if entryService == "a" {
-				member = join(t, s, "a", "a1")
+				member = startReady(t, s, "a", "a1")
 			}
-			member.knows(t, "b", 1)
+			member.waitForCandidates(t, "b", 1)
 			status, reason := member.get(t, "/safe/")
 			require.Equal(t, http.StatusBadGateway, status, reason)
 			status, reason = member.post(t, "/unsafe/")
 			require.Equal(t, http.StatusBadGateway, status, reason)
 			eventually(t, "the log entries", func() bool { return len(l.ofKind(decision.Aborted)) >= 2 })
-			require.Equal(t, attemptPart, l.ofKind(decision.Aborted)[0]["part"])
+			require.Equal(t, attemptComponent, l.ofKind(decision.Aborted)[0]["part"])
 			require.Equal(t, 0, b.guard.queue.Running(), "slots are released")
 		})
 	}
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -53,12 +53,12 @@
 	"answers that belong to nobody are taken": {
 		edits: []edits.Edit{
 			edits.New("hop/pool.go", "|| l.strayed || l.reader.Buffered() > 0", ""),
-			edits.New("sidecar/run.go", "return r.ID == c.ID || r.ID == \"\" && (r.NotRun || r.Mistaken)", "return r.ID != \"\" || c.ID != \"\""),
+			edits.New("sidecar/run.go", "return r.ID == c.ID || r.ID == \"\" && (r.NotRun || r.Misdirected)", "return r.ID != \"\" || c.ID != \"\""),
 		},
 		plan: doubles, want: "mixed",
 	},
 	"an unknown end is followed by another send": {
-		edits: []edits.Edit{edits.New("sidecar/forward.go", "if a.Outcome.Kind == outcome.Unknown && !r.req.route.Idempotent {", "if a.Outcome.Kind > outcome.Unknown+9 {")},
+		edits: []edits.Edit{edits.New("sidecar/forward.go", "if a.Outcome.Kind == outcome.Unknown && !r.request.route.Idempotent {", "if a.Outcome.Kind > outcome.Unknown+9 {")},
 		plan:  allLose, want: "twice",
 	},
 	"a lost run counts as not run": {
@@ -101,7 +101,7 @@
 		plan:  versions, want: "late",
 	},
 	"another daemon at the address proves what the one before did": {
-		edits: []edits.Edit{edits.New("sidecar/messages.go", "if q.life != p.d.peers.self().Incarnation {", "if q.life == 0 {")},
+		edits: []edits.Edit{edits.New("sidecar/messages.go", "if q.incarnation != p.d.peers.localRecord().Incarnation {", "if q.incarnation == 0 {")},
 		plan:  replaced, want: "twice",
 	},
 	"attempts are forgotten before their time": {
@@ -114,7 +114,7 @@
 	"slots that are not told at the start stay unknown": {
 		edits: []edits.Edit{
 			edits.New("sidecar/guard.go", "if v != lifecycle.Started && v != lifecycle.Changed {", "if v != lifecycle.Started {"),
-			edits.New("sidecar/healthcheck.go", "report.Slots = g.slots(report.Incarnation)", "report.Slots = 1"),
+			edits.New("sidecar/healthcheck.go", "report.Slots = g.slotsFromPeers(report.Incarnation)", "report.Slots = 1"),
 		},
 		plan: untold, want: "recovery",
 	},
