--- a/decision/count.go
+++ b/decision/count.go
@@ -14,7 +14,7 @@
 // counts counts decisions by kind and reason, whether or not their lines are kept. It
 // is safe for concurrent use.
 type counts struct {
-	counters *telemetry.Bounded[counted, tally.Counter]
+	counters *telemetry.BoundedMetrics[counted, tally.Counter]
 }
 
 type counted struct {
@@ -29,7 +29,7 @@
 	add := func(k counted) tally.Counter {
 		return scope.Tagged(map[string]string{"kind": string(k.kind), "reason": k.reason}).Counter("decisions")
 	}
-	return &counts{counters: telemetry.NewBounded(maxCounters, other, add)}
+	return &counts{counters: telemetry.NewBoundedMetrics(maxCounters, other, add)}
 }
 
 // reasonKey is the field that tells the reason of a decision.
@@ -44,5 +44,5 @@
 			break
 		}
 	}
-	c.counters.Of(key).Inc(1)
+	c.counters.Get(key).Inc(1)
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -14,7 +14,7 @@
 type metrics struct {
 	refused  *telemetry.OutcomeCounter
 	attempts *telemetry.OutcomeCounter
-	groups   *telemetry.Bounded[groupKey, *groupMetrics]
+	groups   *telemetry.BoundedMetrics[groupKey, *groupMetrics]
 }
 
 type groupKey struct {
@@ -45,13 +45,13 @@
 	return &metrics{
 		refused:  telemetry.NewOutcomeCounter(scope, "refused"),
 		attempts: telemetry.NewOutcomeCounter(scope, "attempts"),
-		groups:   telemetry.NewBounded(maxGroupMetrics, other, add),
+		groups:   telemetry.NewBoundedMetrics(maxGroupMetrics, other, add),
 	}
 }
 
 // recordRequest records the outcome and latency of a classified request.
 func (m *metrics) recordRequest(req *request, o outcome.Outcome, latency time.Duration) {
-	g := m.groups.Of(groupKey{req.service.Name, req.group})
+	g := m.groups.Get(groupKey{req.service.Name, req.group})
 	g.requests.Count(o)
 	g.latency.Record(latency)
 }
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -77,22 +77,22 @@
 // recordResponse records the outcome and the duration of a request.
 func (m *metrics) recordResponse(service, route string, o outcome.Outcome, took time.Duration) {
 	m.outcomes.Count(o)
-	m.latencies.Of(timerKey{"latency", service, route}).Record(took)
+	m.latencies.Get(timerKey{"latency", service, route}).Record(took)
 }
 
 // recordStage records the duration of one stage of a request to a service.
 func (m *metrics) recordStage(name string, service model.ServiceName, took time.Duration) {
-	m.stages.Of(timerKey{name: name, service: string(service)}).Record(took)
+	m.stages.Get(timerKey{name: name, service: string(service)}).Record(took)
 }
 
 // timers is a bounded set of histograms.
-type timers = telemetry.Bounded[timerKey, tally.Timer]
+type timers = telemetry.BoundedMetrics[timerKey, tally.Timer]
 
 // timerKey identifies a histogram. Without a route, the histogram covers the whole service.
 type timerKey struct{ name, service, route string }
 
 func newTimers(scope tally.Scope) *timers {
-	return telemetry.NewBounded(maxTimers, timerKey.other, func(k timerKey) tally.Timer {
+	return telemetry.NewBoundedMetrics(maxTimers, timerKey.other, func(k timerKey) tally.Timer {
 		tags := map[string]string{"service": k.service}
 		if k.route != "" {
 			tags["route"] = k.route
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Bounded holds a metric for each key, up to a bound. It is safe for concurrent use
+// BoundedMetrics holds a metric for each key, up to a bound. It is safe for concurrent use
 // and allocates nothing for a key that it holds.
-type Bounded[K comparable, M any] struct {
+type BoundedMetrics[K comparable, M any] struct {
 	most  int
 	other func(K) K
 	add   func(K) M
@@ -13,14 +13,14 @@
 	all map[K]M
 }
 
-// NewBounded returns a Bounded without metrics. Beyond most of them, keys share the
+// NewBoundedMetrics returns a BoundedMetrics without metrics. Beyond most of them, keys share the
 // metrics of those that other makes of them. Add makes the metric of a key.
-func NewBounded[K comparable, M any](most int, other func(K) K, add func(K) M) *Bounded[K, M] {
-	return &Bounded[K, M]{most: most, other: other, add: add, all: make(map[K]M)}
+func NewBoundedMetrics[K comparable, M any](most int, other func(K) K, add func(K) M) *BoundedMetrics[K, M] {
+	return &BoundedMetrics[K, M]{most: most, other: other, add: add, all: make(map[K]M)}
 }
 
-// Of returns the metric of a key.
-func (b *Bounded[K, M]) Of(k K) M {
+// Get returns the metric of a key.
+func (b *BoundedMetrics[K, M]) Get(k K) M {
 	b.mu.RLock()
 	m, ok := b.all[k]
 	b.mu.RUnlock()
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -32,11 +32,11 @@
 
 // NewMetrics returns a Metrics with its own registry, so that several daemons
 // in one process do not share figures. Close ends its reporting.
-func NewMetrics(logger *slog.Logger) *Metrics { return NewMetricsEvery(logger, reportInterval) }
+func NewMetrics(logger *slog.Logger) *Metrics { return NewMetricsWithInterval(logger, reportInterval) }
 
-// NewMetricsEvery is NewMetrics with another age that figures may reach. A longer
+// NewMetricsWithInterval is NewMetrics with another age that figures may reach. A longer
 // one wakes an idle process less often.
-func NewMetricsEvery(logger *slog.Logger, interval time.Duration) *Metrics {
+func NewMetricsWithInterval(logger *slog.Logger, interval time.Duration) *Metrics {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
 		collectors.NewGoCollector(),
@@ -72,9 +72,9 @@
 // Handler serves the figures in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Gauge adds a figure that is read when the figures are asked for. Its name gets
+// GaugeFunc adds a figure that is read when the figures are asked for. Its name gets
 // the prefix.
-func (m *Metrics) Gauge(name, help string, read func() float64) {
+func (m *Metrics) GaugeFunc(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Name: Prefix + "_" + name, Help: help}, read))
 }
--- a/telemetry/outcomes.go
+++ b/telemetry/outcomes.go
@@ -9,7 +9,7 @@
 // OutcomeCounter counts outcomes by their kind and reason. It is safe for
 // concurrent use and allocates nothing once an outcome has been seen.
 type OutcomeCounter struct {
-	counters *Bounded[outcomeKey, tally.Counter]
+	counters *BoundedMetrics[outcomeKey, tally.Counter]
 }
 
 type outcomeKey struct {
@@ -29,10 +29,10 @@
 		tags := map[string]string{"outcome": k.kind.String(), "reason": string(k.reason)}
 		return scope.Tagged(tags).Counter(name)
 	}
-	return &OutcomeCounter{counters: NewBounded(maxOutcomes, other, add)}
+	return &OutcomeCounter{counters: NewBoundedMetrics(maxOutcomes, other, add)}
 }
 
 // Count counts one outcome.
 func (c *OutcomeCounter) Count(o outcome.Outcome) {
-	c.counters.Of(outcomeKey{o.Kind, o.Reason}).Inc(1)
+	c.counters.Get(outcomeKey{o.Kind, o.Reason}).Inc(1)
 }
