--- a/cmd/dottereltiller/trace.go
+++ b/cmd/dottereltiller/trace.go
@@ -35,14 +35,14 @@
 	if len(failed) == len(c.Admin) {
 		return errors.New("no daemon answered")
 	}
-	return c.print(trace.Select(records, c.TraceID))
+	return c.print(trace.FilterByTraceID(records, c.TraceID))
 }
 
 func (c *traceCmd) print(records []trace.Record) error {
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(records)
 	}
-	trees := trace.Build(records)
+	trees := trace.BuildTrees(records)
 	if len(trees) == 0 {
 		return errors.New("no such spans kept; tracing.sample in the daemon's settings may be 0")
 	}
--- a/daemon/tracing_test.go
+++ b/daemon/tracing_test.go
@@ -40,7 +40,7 @@
 			require.NoError(t, err)
 			records = append(records, r...)
 		}
-		trees = trace.Build(records)
+		trees = trace.BuildTrees(records)
 		var out []string
 		for _, tree := range trees {
 			for _, root := range tree.Roots {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -50,7 +50,7 @@
 	call.HasPatience = choice.QueueTimeout >= 0
 	call.Patience = max(choice.QueueTimeout, 0)
 	ctx, span := trace.Start(ctx, "attempt")
-	span.Call(call)
+	span.SetCallAttributes(call)
 	trace.Inject(ctx, call.Header)
 	response := e.forwarder(upstream).Do(ctx, call)
 	span.End(response.Outcome)
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -208,7 +208,7 @@
 // the call's context has ended.
 func (u *upstreamProxy) send(ctx context.Context, id admission.ID, c *wire.Call) *wire.Answer {
 	ctx, span := trace.Start(ctx, "upstream")
-	span.Call(c)
+	span.SetCallAttributes(c)
 	startedAt := u.now()
 	release := func(o outcome.Outcome, failed bool) {
 		span.End(o)
--- a/trace/handler.go
+++ b/trace/handler.go
@@ -13,14 +13,14 @@
 func (t *Tracer) ServeRecent(w http.ResponseWriter, r *http.Request) {
 	records := []Record{}
 	if t != nil {
-		records = Select(t.Recent.Records(), r.URL.Query().Get("trace_id"))
+		records = FilterByTraceID(t.Recent.Records(), r.URL.Query().Get("trace_id"))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(records)
 }
 
-// Select returns the records of one trace, all when the ID is empty.
-func Select(records []Record, traceID string) []Record {
+// FilterByTraceID returns the records of one trace, all when the ID is empty.
+func FilterByTraceID(records []Record, traceID string) []Record {
 	out := []Record{}
 	for _, r := range records {
 		if traceID == "" || r.TraceID == traceID {
--- a/trace/render.go
+++ b/trace/render.go
@@ -42,10 +42,10 @@
 // a span whose parent is no longer kept.
 func (t *Tree) Complete() bool { return len(t.Roots) == 1 && t.Roots[0].Name == entrySpan }
 
-// Build joins records, from any number of daemons and in any order, to trees:
+// BuildTrees joins records, from any number of daemons and in any order, to trees:
 // the complete ones first, and of each kind the slowest first. A span whose
 // parent is missing becomes a root.
-func Build(records []Record) []*Tree {
+func BuildTrees(records []Record) []*Tree {
 	nodes := make(map[string]*Node, len(records))
 	for _, r := range records {
 		nodes[r.TraceID+r.SpanID] = &Node{Record: r}
--- a/trace/span.go
+++ b/trace/span.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Call adds what is known of a call.
-func (s Span) Call(c *wire.Call) {
+// SetCallAttributes adds what is known of a call.
+func (s Span) SetCallAttributes(c *wire.Call) {
 	if s.span == nil {
 		return
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -34,7 +34,7 @@
 	var seen string
 	h := t.Handler("entry", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, span := Start(r.Context(), "attempt")
-		span.Call(&wire.Call{Service: "returdesk", Upstream: "returdesk-1", Attempt: 1})
+		span.SetCallAttributes(&wire.Call{Service: "returdesk", Upstream: "returdesk-1", Attempt: 1})
 		out := r.Header.Clone()
 		Inject(ctx, out)
 		seen = out.Get("Traceparent")
@@ -89,7 +89,7 @@
 // off runs the calls that the data path makes for each attempt.
 func off(ctx context.Context, call *wire.Call) {
 	ctx, span := Start(ctx, "attempt")
-	span.Call(call)
+	span.SetCallAttributes(call)
 	Inject(ctx, call.Header)
 	span.End(outcome.Done())
 }
@@ -167,7 +167,7 @@
 			Attributes: map[string]string{"outcome": "answered", "url.path": ""},
 		}
 	}
-	trees := Build([]Record{
+	trees := BuildTrees([]Record{
 		rec("3", "2", "upstream", 4*time.Millisecond, 5*time.Millisecond),
 		rec("2", "1", "attempt", 2*time.Millisecond, 8*time.Millisecond),
 		rec("4", "1", "attempt", time.Millisecond, time.Millisecond/2),
