--- a/daemon/control.go
+++ b/daemon/control.go
@@ -110,7 +110,7 @@
 	control := peer.Handler(d.PeerService, d.settings.Peers.Secret)
 	calls := d.callHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(wire.HeaderHop) == "" {
+		if r.Header.Get(wire.HeaderDestination) == "" {
 			control.ServeHTTP(w, r)
 			return
 		}
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -108,6 +108,6 @@
 			return
 		}
 		refused.Inc(1)
-		wire.WriteAnswer(w, wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonDraining)), c.ID)
+		wire.WriteResult(w, wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)), c.ID)
 	})
 }
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -27,7 +27,7 @@
 	d.Owner = owner.New(owner.Options{
 		Self:             d.ID(),
 		Log:              d.Log,
-		Execute:          func(ctx context.Context, c *wire.Call) *wire.Answer { return d.Entry.ForwardKeyed(ctx, c) },
+		Execute:          func(ctx context.Context, c *wire.Call) *wire.Result { return d.Entry.ForwardKeyed(ctx, c) },
 		Candidates:       d.owners,
 		Client:           client,
 		PeerSecret:       d.settings.Peers.Secret,
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -128,8 +128,8 @@
 // guard or the owner.
 func (d *Daemon) callHandler() http.Handler {
 	calls := map[string]http.Handler{
-		wire.HopGuard: d.refuseWhenLeaving(d.tracer.Handler("guard", d.Guard)),
-		wire.HopOwner: d.tracer.Handler("owner", d.Owner),
+		wire.DestinationGuard: d.refuseWhenLeaving(d.tracer.Handler("guard", d.Guard)),
+		wire.DestinationOwner: d.tracer.Handler("owner", d.Owner),
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		secret := r.Header.Get(wire.HeaderAuth)
@@ -137,7 +137,7 @@
 			http.Error(w, "peer not authenticated", http.StatusUnauthorized)
 			return
 		}
-		h := calls[r.Header.Get(wire.HeaderHop)]
+		h := calls[r.Header.Get(wire.HeaderDestination)]
 		if h == nil {
 			http.Error(w, "kind of hop not known", http.StatusBadRequest)
 			return
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -15,13 +15,13 @@
 // writeResponse writes the response to the caller. When the upstream's body is
 // truncated it aborts the connection, so that the caller does not take the
 // response for complete.
-func writeResponse(w http.ResponseWriter, response *wire.Answer) {
+func writeResponse(w http.ResponseWriter, response *wire.Result) {
 	defer func() { _ = response.Body.Close() }()
 	if response.Outcome.Kind != outcome.Answered {
 		writeProblem(w, response.Outcome)
 		return
 	}
-	wire.StripConnection(response.Header)
+	wire.StripHopByHopHeaders(response.Header)
 	stripDaemonHeaders(response.Header)
 	maps.Copy(w.Header(), response.Header)
 	w.Header().Set(wire.HeaderOutcome, outcome.Answered.String())
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -66,7 +66,7 @@
 // TestDaemonHeadersFromUpstreamAreStripped has an upstream set headers that only
 // a daemon may set.
 func TestDaemonHeadersFromUpstreamAreStripped(t *testing.T) {
-	a := wire.NoAnswer(outcome.Done())
+	a := wire.NoResponse(outcome.Done())
 	a.Status = http.StatusServiceUnavailable
 	a.Header = http.Header{
 		wire.HeaderOutcome: {"not-run"}, wire.HeaderReason: {"draining"},
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -15,7 +15,7 @@
 // within its queue timeout. Such a request did not run, so attempt sends it to
 // the next upstream that the router chooses. attempt reports false when no
 // upstream may take the request.
-func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, number int) (*wire.Answer, model.UpstreamID, bool) {
+func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, number int) (*wire.Result, model.UpstreamID, bool) {
 	for rejections := req.initialRejections(); ; rejections++ {
 		choice, ok := e.opts.Routers.Place(req.modelRequest(number), tried, rejections)
 		if !ok {
@@ -42,13 +42,13 @@
 
 // sendOnce sends the request to the chosen upstream and reports the result to
 // the router.
-func (e *Entry) sendOnce(ctx context.Context, req *request, choice routing.Choice, attempt int, hedge bool) *wire.Answer {
+func (e *Entry) sendOnce(ctx context.Context, req *request, choice routing.Choice, attempt int, hedge bool) *wire.Result {
 	upstream := choice.Upstream
 	call := req.call(upstream, attempt)
 	sentAt := e.opts.Now()
 	call.Timeout = req.deadline.Sub(sentAt)
-	call.HasPatience = choice.QueueTimeout >= 0
-	call.Patience = max(choice.QueueTimeout, 0)
+	call.HasQueueTimeout = choice.QueueTimeout >= 0
+	call.QueueTimeout = max(choice.QueueTimeout, 0)
 	ctx, span := trace.Start(ctx, "attempt")
 	span.SetCallAttributes(call)
 	trace.Inject(ctx, call.Header)
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -25,11 +25,11 @@
 // others.
 type rejectingGuard struct{ calls []*wire.Call }
 
-func (g *rejectingGuard) Do(_ context.Context, c *wire.Call) *wire.Answer {
+func (g *rejectingGuard) Do(_ context.Context, c *wire.Call) *wire.Result {
 	g.calls = append(g.calls, c)
-	a := wire.NoAnswer(outcome.Done())
-	if c.HasPatience {
-		a = wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonWithdrawn))
+	a := wire.NoResponse(outcome.Done())
+	if c.HasQueueTimeout {
+		a = wire.NoResponse(outcome.NotRunBecause(outcome.ReasonWithdrawn))
 	}
 	a.Status, a.HasLoad = http.StatusOK, true
 	a.Load = model.Load{Running: 6, Limit: 6, Seq: uint64(len(g.calls))}
@@ -37,7 +37,7 @@
 }
 
 // attemptOnce makes one attempt with the given body through the guard g.
-func attemptOnce(g *rejectingGuard, b *body) (*wire.Answer, bool) {
+func attemptOnce(g *rejectingGuard, b *body) (*wire.Result, bool) {
 	now := func() model.Instant { return 0 }
 	view := staticView{
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6, Zone: "a", Daemon: "self"},
@@ -64,7 +64,7 @@
 	assert.True(t, ok)
 	assert.Equal(t, outcome.Answered, a.Outcome.Kind)
 	assert.Len(t, g.calls, routing.MaxRejections+1)
-	assert.False(t, g.calls[routing.MaxRejections].HasPatience, "the last call waits until its deadline")
+	assert.False(t, g.calls[routing.MaxRejections].HasQueueTimeout, "the last call waits until its deadline")
 	assert.NotEqual(t, g.calls[0].ID, g.calls[1].ID, "each call has its own ID")
 }
 
@@ -73,5 +73,5 @@
 	_, ok := attemptOnce(g, &body{stream: http.NoBody, length: -1})
 	assert.True(t, ok)
 	assert.Len(t, g.calls, 1)
-	assert.False(t, g.calls[0].HasPatience)
+	assert.False(t, g.calls[0].HasQueueTimeout)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -18,7 +18,7 @@
 
 // Forwarder forwards a call to the guard of its upstream.
 type Forwarder interface {
-	Do(ctx context.Context, c *wire.Call) *wire.Answer
+	Do(ctx context.Context, c *wire.Call) *wire.Result
 }
 
 // Options configure an Entry.
@@ -120,7 +120,7 @@
 
 // answerWithinCeiling forwards the request, or refuses it when its group is at
 // its ceiling.
-func (e *Entry) answerWithinCeiling(ctx context.Context, req *request) *wire.Answer {
+func (e *Entry) answerWithinCeiling(ctx context.Context, req *request) *wire.Result {
 	if e.opts.Ceilings == nil {
 		return e.handle(ctx, req)
 	}
@@ -128,7 +128,7 @@
 	if !ok {
 		o := outcome.NotRunBecause(outcome.ReasonCeiling)
 		o.RetryAfter = wait
-		return wire.NoAnswer(o)
+		return wire.NoResponse(o)
 	}
 	req.releaseCeiling = release
 	return e.handle(ctx, req)
@@ -157,13 +157,13 @@
 
 // forward sends the request to upstreams until one answers or no further retry
 // is allowed.
-func (e *Entry) forward(ctx context.Context, req *request) *wire.Answer {
+func (e *Entry) forward(ctx context.Context, req *request) *wire.Result {
 	var tried []model.UpstreamID
-	last := wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNoUpstream))
+	last := wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoUpstream))
 	e.retries.countRequest(req.service)
 	for attempt := 0; ; attempt++ {
 		if o, refused := e.quarantined(req); refused {
-			return wire.NoAnswer(o.After(last.Outcome))
+			return wire.NoResponse(o.After(last.Outcome))
 		}
 		response, upstream, ok := e.attempt(ctx, req, tried, attempt)
 		if !ok {
@@ -201,8 +201,8 @@
 // call returns the call that forwards the request to an upstream.
 func (r *request) call(upstream model.Upstream, attempt int) *wire.Call {
 	h := r.http.Header.Clone()
-	wire.StripHop(h)
-	wire.StripConnection(h)
+	wire.StripInternalHeaders(h)
+	wire.StripHopByHopHeaders(h)
 	h.Del(wire.HeaderIdempotencyKey)
 	h.Del("Authorization")
 	c := &wire.Call{
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -15,7 +15,7 @@
 // delay, and there is no response within it, the request is also sent to a second
 // upstream. The first successful response is returned and the other attempt is
 // cancelled. The router gives a delay only for idempotent requests.
-func (e *Entry) send(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Answer {
+func (e *Entry) send(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Result {
 	delay, ok := e.opts.Routers.HedgeDelay(req.modelRequest(attempt))
 	if !ok || !req.body.replayable() {
 		return e.sendOnce(ctx, req, choice, attempt, false)
@@ -23,7 +23,7 @@
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	hedgeCtx, cancelHedge := context.WithCancel(ctx)
 	sentAt := e.opts.Now()
-	hedgeResult := make(chan *wire.Answer, 1)
+	hedgeResult := make(chan *wire.Result, 1)
 	timer := time.AfterFunc(delay, func() {
 		hedgeResponse := e.sendHedge(hedgeCtx, req, choice, sentAt, tried, attempt)
 		if succeeded(hedgeResponse) {
@@ -35,30 +35,30 @@
 	switch {
 	case timer.Stop():
 		cancelHedge()
-		return firstResponse.EndOnClose(cancelFirst)
+		return firstResponse.CancelOnClose(cancelFirst)
 	case succeeded(firstResponse):
 		cancelHedge()
 		go closeHedge(hedgeResult)
-		return firstResponse.EndOnClose(cancelFirst)
+		return firstResponse.CancelOnClose(cancelFirst)
 	}
 	hedgeResponse := <-hedgeResult
 	if succeeded(hedgeResponse) {
 		_ = firstResponse.Body.Close()
 		cancelFirst()
-		return hedgeResponse.EndOnClose(cancelHedge)
+		return hedgeResponse.CancelOnClose(cancelHedge)
 	}
 	cancelHedge()
 	if hedgeResponse != nil {
 		_ = hedgeResponse.Body.Close()
 		firstResponse.Outcome = firstResponse.Outcome.After(hedgeResponse.Outcome)
 	}
-	return firstResponse.EndOnClose(cancelFirst)
+	return firstResponse.CancelOnClose(cancelFirst)
 }
 
 // sendHedge sends the request to a second upstream. It returns nil when there is
 // no other upstream, when the hedge budget is exhausted, or when ctx has been
 // cancelled because the first attempt has ended.
-func (e *Entry) sendHedge(ctx context.Context, req *request, first routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Answer {
+func (e *Entry) sendHedge(ctx context.Context, req *request, first routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Result {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -72,12 +72,12 @@
 
 // succeeded reports whether the response was answered without a server error, so
 // that no other attempt is needed.
-func succeeded(response *wire.Answer) bool {
+func succeeded(response *wire.Result) bool {
 	return response != nil && response.Outcome.Kind == outcome.Answered && response.Status < http.StatusInternalServerError
 }
 
 // closeHedge closes the response of a hedge that is no longer needed.
-func closeHedge(hedgeResult <-chan *wire.Answer) {
+func closeHedge(hedgeResult <-chan *wire.Result) {
 	if response := <-hedgeResult; response != nil {
 		_ = response.Body.Close()
 	}
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -27,7 +27,7 @@
 	cancelled     int
 }
 
-func (g *forwarderWithStuckUpstream) Do(ctx context.Context, c *wire.Call) *wire.Answer {
+func (g *forwarderWithStuckUpstream) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	g.mu.Lock()
 	g.calls[c.Upstream]++
 	seq, stuck := uint64(g.calls[c.Upstream]), c.Upstream == g.stuckUpstream
@@ -37,10 +37,10 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.cancelled++
-		return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonCancelled))
+		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonCancelled))
 	}
 	time.Sleep(time.Millisecond)
-	a := wire.NoAnswer(outcome.Done())
+	a := wire.NoResponse(outcome.Done())
 	a.Status, a.HasLoad = http.StatusOK, true
 	a.Load = model.Load{Limit: 6, ServiceTime: time.Millisecond, Seq: seq}
 	return a
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -17,7 +17,7 @@
 // that owns the key. The body is passed separately from the call, since it may
 // have to be sent more than once.
 type KeyedForwarder interface {
-	Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Answer
+	Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result
 }
 
 const defaultMaxKeyedBody = 256 << 10
@@ -25,7 +25,7 @@
 // handle forwards a request and returns the response. A non-idempotent request
 // with an idempotency key goes to the owner of the key, any other request to an
 // upstream.
-func (e *Entry) handle(ctx context.Context, req *request) *wire.Answer {
+func (e *Entry) handle(ctx context.Context, req *request) *wire.Result {
 	if req.idempotent || len(req.http.Header[wire.HeaderIdempotencyKey]) == 0 {
 		return e.forward(ctx, req)
 	}
@@ -34,18 +34,18 @@
 
 // handleKeyed checks the idempotency key of a request and forwards the request to
 // the owner of the key.
-func (e *Entry) handleKeyed(ctx context.Context, req *request) *wire.Answer {
+func (e *Entry) handleKeyed(ctx context.Context, req *request) *wire.Result {
 	if e.opts.Keyed == nil {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNotReady))
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNotReady))
 	}
 	keys := req.http.Header[wire.HeaderIdempotencyKey]
 	key, err := claims.ParseKey(keys[0])
 	if err != nil || len(keys) > 1 {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
 	}
 	body, reason := req.body.readAll(e.opts.MaxKeyedBody)
 	if reason != outcome.ReasonNone {
-		return wire.NoAnswer(outcome.NotRunBecause(reason))
+		return wire.NoResponse(outcome.NotRunBecause(reason))
 	}
 	c := req.call(model.Upstream{}, 0)
 	c.Body = nil
@@ -85,22 +85,22 @@
 
 // ForwardKeyed forwards a call to an upstream as if its caller had sent it to this entry.
 // This daemon must own the idempotency key of the call and have claimed it.
-func (e *Entry) ForwardKeyed(ctx context.Context, c *wire.Call) *wire.Answer {
+func (e *Entry) ForwardKeyed(ctx context.Context, c *wire.Call) *wire.Result {
 	inForce := e.opts.Config()
 	if inForce == nil {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNotReady))
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNotReady))
 	}
 	svc, ok := inForce.Set.Service(c.Service)
 	if !ok {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonNoService))
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoService))
 	}
 	target, err := url.ParseRequestURI(c.Target)
 	if err != nil {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonBadRequest))
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonBadRequest))
 	}
 	buffered, err := bufferBody(c.Body)
 	if err != nil {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonBadRequest))
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonBadRequest))
 	}
 	h := c.Header.Clone()
 	h.Set(wire.HeaderIdempotencyKey, c.Key)
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -30,7 +30,7 @@
 	tokens      *calltoken.Signer
 	length      int
 	path        string
-	lastService func(*wire.Call) *wire.Answer
+	lastService func(*wire.Call) *wire.Result
 
 	mu       sync.Mutex
 	timeouts []time.Duration
@@ -41,7 +41,7 @@
 // chainDeadline is the deadline of every service of a serviceChain.
 const chainDeadline = 5 * time.Second
 
-func newServiceChain(t *testing.T, length int, lastService func(*wire.Call) *wire.Answer) *serviceChain {
+func newServiceChain(t *testing.T, length int, lastService func(*wire.Call) *wire.Result) *serviceChain {
 	c := &serviceChain{t: t, tokens: calltoken.NewSigner("secret"), length: length, path: "/", lastService: lastService}
 	docs := []policy.Document{
 		{Kind: policy.KindCaller, Name: "bench", Labels: model.Labels{"role": "sorter"}, Spec: json.RawMessage(`{"certificate_names":["bench"]}`)},
@@ -75,7 +75,7 @@
 // Do simulates the guard and the upstream. It calls the next service with the
 // token that a guard would have issued, and returns the response, even a failure,
 // as the upstream's own.
-func (c *serviceChain) Do(_ context.Context, call *wire.Call) *wire.Answer {
+func (c *serviceChain) Do(_ context.Context, call *wire.Call) *wire.Result {
 	c.mu.Lock()
 	c.timeouts = append(c.timeouts, call.Timeout)
 	c.groups = append(c.groups, call.Group)
@@ -92,7 +92,7 @@
 		Deadline: time.Now().Add(call.Timeout), TimeLeft: call.Timeout,
 	})
 	w := c.send(index+1, map[string]string{wire.HeaderCallToken: token})
-	a := wire.NoAnswer(outcome.Done())
+	a := wire.NoResponse(outcome.Done())
 	a.Status, a.Header = w.Code, w.Header()
 	return a
 }
@@ -109,8 +109,8 @@
 }
 
 // respondOK is a last service that answers with status 200.
-func respondOK(*wire.Call) *wire.Answer {
-	a := wire.NoAnswer(outcome.Done())
+func respondOK(*wire.Call) *wire.Result {
+	a := wire.NoResponse(outcome.Done())
 	a.Status, a.Header = http.StatusOK, make(http.Header)
 	return a
 }
@@ -125,8 +125,8 @@
 // TestFailureAtDepthSixteenIsNotAmplified makes the deepest of sixteen services
 // unreachable. If every layer retried, one request would cause 3^16 attempts.
 func TestFailureAtDepthSixteenIsNotAmplified(t *testing.T) {
-	fail := func(*wire.Call) *wire.Answer {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonConnect))
+	fail := func(*wire.Call) *wire.Result {
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonConnect))
 	}
 	c := newServiceChain(t, calltoken.MaxDepth, fail)
 	w := c.send(0, nil)
@@ -209,8 +209,8 @@
 // of a nested call, with all its headers, into its own response. The outer request
 // did run, so its outcome must not be "not run".
 func TestNestedNotRunOutcomeIsNotPassedToOuterCaller(t *testing.T) {
-	c := newServiceChain(t, 2, func(*wire.Call) *wire.Answer {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonQuarantined))
+	c := newServiceChain(t, 2, func(*wire.Call) *wire.Result {
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonQuarantined))
 	})
 	w := c.send(0, nil)
 	require.Equal(t, "answered", w.Header().Get(wire.HeaderOutcome))
@@ -220,8 +220,8 @@
 // TestRetriesStopWhenAllUpstreamsFail sends requests to upstreams that all fail
 // immediately. Retries must stop, since they would only add load.
 func TestRetriesStopWhenAllUpstreamsFail(t *testing.T) {
-	loseConnection := func(*wire.Call) *wire.Answer {
-		return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonConnectionLost))
+	loseConnection := func(*wire.Call) *wire.Result {
+		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonConnectionLost))
 	}
 	c := newServiceChain(t, 1, loseConnection)
 	const requests = 1000
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -62,7 +62,7 @@
 
 // recordCrash reports to the quarantine that the upstream crashed while it ran
 // the request, if the response says so.
-func (e *Entry) recordCrash(req *request, upstream model.Upstream, response *wire.Answer) {
+func (e *Entry) recordCrash(req *request, upstream model.Upstream, response *wire.Result) {
 	if e.opts.Quarantine != nil && response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
 		crash := quarantine.Crash{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
 		e.opts.Quarantine.RecordCrash(req.fingerprint(), req.quarantineRequest(), crash)
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -32,9 +32,9 @@
 
 func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	crashing := true
-	c := newServiceChain(t, 1, func(call *wire.Call) *wire.Answer {
+	c := newServiceChain(t, 1, func(call *wire.Call) *wire.Result {
 		if crashing {
-			return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonUpstreamCrashed))
+			return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonUpstreamCrashed))
 		}
 		return respondOK(call)
 	})
--- a/entry/remote.go
+++ b/entry/remote.go
@@ -29,10 +29,10 @@
 }
 
 // Do implements Forwarder.
-func (g remoteGuard) Do(ctx context.Context, c *wire.Call) *wire.Answer {
+func (g remoteGuard) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	h := c.Header
-	c.SetHop(h)
-	h.Set(wire.HeaderHop, wire.HopGuard)
+	c.SetInternalHeaders(h)
+	h.Set(wire.HeaderDestination, wire.DestinationGuard)
 	h.Set(wire.HeaderAuth, g.remote.Secret)
 	resp, o, err := g.remote.Client.Do(ctx, hop.Request{
 		Address:       string(g.daemon),
@@ -47,12 +47,12 @@
 		if g.remote.OnUnreachable != nil && ctx.Err() == nil {
 			g.remote.OnUnreachable(g.daemon)
 		}
-		return wire.NoAnswer(o)
+		return wire.NoResponse(o)
 	}
-	a, err := wire.ReadAnswer(resp, c.ID)
+	a, err := wire.ReadResult(resp, c.ID)
 	if err != nil {
 		_ = resp.Body.Close()
-		return wire.NoAnswer(readErrorOutcome(err))
+		return wire.NoResponse(readErrorOutcome(err))
 	}
 	return a
 }
@@ -60,7 +60,7 @@
 // readErrorOutcome returns the outcome of a call whose response could not be
 // read.
 func readErrorOutcome(err error) outcome.Outcome {
-	if errors.Is(err, wire.ErrNotBound) {
+	if errors.Is(err, wire.ErrIDMismatch) {
 		return outcome.UnknownBecause(outcome.ReasonConnectionLost)
 	}
 	return outcome.UnknownBecause(outcome.ReasonInternal)
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -56,7 +56,7 @@
 
 // countAttempt counts an attempt and whether it failed. countRequest must have
 // been called for the service.
-func (r *retryBudgets) countAttempt(s *policy.Service, response *wire.Answer) {
+func (r *retryBudgets) countAttempt(s *policy.Service, response *wire.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	failed := response.Outcome.Kind != outcome.Answered || response.Status >= http.StatusInternalServerError
@@ -83,7 +83,7 @@
 
 // waitForRetry reports whether to retry the request after an attempt. If so, it
 // returns after the backoff.
-func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Answer, attempt int) bool {
+func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Result, attempt int) bool {
 	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.RetryElsewhere() {
 		return false
 	}
--- a/guard/body.go
+++ b/guard/body.go
@@ -65,14 +65,14 @@
 
 // bufferSmallResponse reads the body of a response into memory when its length is
 // known and at most maxBufferedResponse.
-func bufferSmallResponse(response *wire.Answer) *wire.Answer {
+func bufferSmallResponse(response *wire.Result) *wire.Result {
 	if response.ContentLength < 0 || response.ContentLength > maxBufferedResponse {
 		return response
 	}
 	data, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	if err != nil {
-		return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonTruncated))
+		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonTruncated))
 	}
 	response.Body = io.NopCloser(bytes.NewReader(data))
 	return response
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -116,17 +116,17 @@
 
 // Do admits a call, sends it to the upstream at most once and returns the
 // response. The caller must close the response's body.
-func (g *Guard) Do(ctx context.Context, c *wire.Call) *wire.Answer {
+func (g *Guard) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	u := g.upstream(c.Upstream)
 	if u == nil || u.upstream.Incarnation != c.Incarnation {
 		o := outcome.NotRunBecause(outcome.ReasonNoUpstream)
 		g.calls.Count(o)
-		return wire.NoAnswer(o)
+		return wire.NoResponse(o)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	response := u.do(ctx, c)
 	g.calls.Count(response.Outcome)
-	return response.EndOnClose(cancel)
+	return response.CancelOnClose(cancel)
 }
 
 func (g *Guard) upstream(id model.UpstreamID) *upstreamProxy {
--- a/guard/http.go
+++ b/guard/http.go
@@ -14,7 +14,7 @@
 		return
 	}
 	response := g.Do(r.Context(), c)
-	wire.WriteAnswer(w, response, c.ID)
+	wire.WriteResult(w, response, c.ID)
 }
 
 var _ http.Handler = (*Guard)(nil)
--- a/guard/queue_timeout_test.go
+++ b/guard/queue_timeout_test.go
@@ -61,7 +61,7 @@
 	for name, queueTimeout := range map[string]time.Duration{"at once": 0, "after a wait": time.Millisecond} {
 		c := newCall("/" + name)
 		c.Target = "/second"
-		c.HasPatience, c.Patience = true, queueTimeout
+		c.HasQueueTimeout, c.QueueTimeout = true, queueTimeout
 		response := g.Do(context.Background(), c)
 		assert.Equal(t, outcome.NotRunBecause(outcome.ReasonWithdrawn), response.Outcome, name)
 		assert.Equal(t, model.Load{Running: 1, Limit: 1, Seq: response.Load.Seq}, response.Load, name)
@@ -74,8 +74,8 @@
 func TestWaitingCallStartsWhenSlotIsFree(t *testing.T) {
 	g, executed, release := newBusyGuard(t)
 	c := newCall("/second")
-	c.HasPatience, c.Patience = true, time.Minute
-	responses := make(chan *wire.Answer)
+	c.HasQueueTimeout, c.QueueTimeout = true, time.Minute
+	responses := make(chan *wire.Result)
 	go func() { responses <- g.Do(context.Background(), c) }()
 	require.Eventually(t, func() bool { return g.Loads("s")["s-1"].Waiting == 1 }, time.Minute, time.Millisecond)
 	release()
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -54,10 +54,10 @@
 
 // do admits a call, sends it to the upstream and returns the response with the
 // upstream's load.
-func (u *upstreamProxy) do(ctx context.Context, c *wire.Call) *wire.Answer {
+func (u *upstreamProxy) do(ctx context.Context, c *wire.Call) *wire.Result {
 	id, refused := u.admit(ctx, c)
 	if refused != nil {
-		return u.withLoad(wire.NoAnswer(*refused), c.Group)
+		return u.withLoad(wire.NoResponse(*refused), c.Group)
 	}
 	return u.withLoad(u.send(ctx, id, c), c.Group)
 }
@@ -67,12 +67,12 @@
 // expired or its context ended.
 func (u *upstreamProxy) admit(ctx context.Context, c *wire.Call) (admission.ID, *outcome.Outcome) {
 	id, effect := u.arrive(c)
-	if c.HasPatience && c.Patience <= 0 && u.withdraw(id) {
+	if c.HasQueueTimeout && c.QueueTimeout <= 0 && u.withdraw(id) {
 		return id, withdrawnOutcome()
 	}
 	var queueTimeout <-chan time.Time
-	if c.HasPatience && c.Patience > 0 {
-		timer := time.NewTimer(c.Patience)
+	if c.HasQueueTimeout && c.QueueTimeout > 0 {
+		timer := time.NewTimer(c.QueueTimeout)
 		defer timer.Stop()
 		queueTimeout = timer.C
 	}
@@ -195,7 +195,7 @@
 
 // withLoad adds the upstream's load to a response. The load is computed for the
 // group of the call; see admission.Controller.LoadFor.
-func (u *upstreamProxy) withLoad(response *wire.Answer, group model.GroupName) *wire.Answer {
+func (u *upstreamProxy) withLoad(response *wire.Result, group model.GroupName) *wire.Result {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	load := u.controller.LoadFor(u.now(), group)
@@ -206,7 +206,7 @@
 // send forwards a started call to the upstream. The slot is released when the
 // attempt has failed, or when the body of the response has been read or closed or
 // the call's context has ended.
-func (u *upstreamProxy) send(ctx context.Context, id admission.ID, c *wire.Call) *wire.Answer {
+func (u *upstreamProxy) send(ctx context.Context, id admission.ID, c *wire.Call) *wire.Result {
 	ctx, span := trace.Start(ctx, "upstream")
 	span.SetCallAttributes(c)
 	startedAt := u.now()
@@ -220,7 +220,7 @@
 	if err != nil {
 		o = u.detectCrash(o)
 		release(o, true)
-		return wire.NoAnswer(o)
+		return wire.NoResponse(o)
 	}
 	if httpResponse.StatusCode == http.StatusSwitchingProtocols {
 		// No call asks to switch protocols, so the upstream's further data is not
@@ -228,18 +228,18 @@
 		_ = httpResponse.Body.Close()
 		o := outcome.UnknownBecause(outcome.ReasonUpgradeForbidden)
 		release(o, true)
-		return wire.NoAnswer(o)
+		return wire.NoResponse(o)
 	}
 	if refusedBeforeStart(httpResponse) {
 		o := outcome.NotRunBecause(outcome.ReasonUpstreamRefused)
 		o.RetryAfter = retryAfter(httpResponse)
 		_ = httpResponse.Body.Close()
 		release(o, true)
-		return wire.NoAnswer(o)
+		return wire.NoResponse(o)
 	}
-	wire.StripHop(httpResponse.Header)
-	wire.StripConnection(httpResponse.Header)
-	response := wire.AnswerOf(httpResponse)
+	wire.StripInternalHeaders(httpResponse.Header)
+	wire.StripHopByHopHeaders(httpResponse.Header)
+	response := wire.ResultFromResponse(httpResponse)
 	body := &slotReleasingBody{
 		body:        response.Body,
 		releaseSlot: release,
@@ -253,8 +253,8 @@
 // upstreamRequest returns the request to send to the upstream for a call.
 func (u *upstreamProxy) upstreamRequest(ctx context.Context, c *wire.Call) hop.Request {
 	h := c.Header
-	wire.StripHop(h)
-	wire.StripConnection(h)
+	wire.StripInternalHeaders(h)
+	wire.StripHopByHopHeaders(h)
 	trace.Inject(ctx, h)
 	if end, ok := ctx.Deadline(); ok {
 		remaining := time.Until(end)
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -60,7 +60,7 @@
 func TestDrainWaitsForRunsInFlight(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	release := make(chan struct{})
-	d.setAnswer(func(c *wire.Call) *wire.Answer {
+	d.setAnswer(func(c *wire.Call) *wire.Result {
 		d.count(c)
 		<-release
 		return textAnswer("slow")
--- a/owner/options.go
+++ b/owner/options.go
@@ -29,7 +29,7 @@
 	// Log is the platform's log.
 	Log recordlog.Log
 	// Execute sends a claimed request to an upstream, at most once.
-	Execute func(context.Context, *wire.Call) *wire.Answer
+	Execute func(context.Context, *wire.Call) *wire.Result
 	// Candidates lists the daemons that may own keys.
 	Candidates func() []model.DaemonID
 	// Client and PeerSecret are used to reach owners in other daemons.
--- a/owner/own.go
+++ b/owner/own.go
@@ -19,14 +19,14 @@
 const retryAfter = time.Second
 
 // own answers a submission as the owner of its key.
-func (s *Service) own(ctx context.Context, c *wire.Call) *wire.Answer {
+func (s *Service) own(ctx context.Context, c *wire.Call) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
 	}
 	body, reason := readWhole(c.Body, s.opts.MaxBodyBytes)
 	if reason != outcome.ReasonNone {
-		return wire.NoAnswer(outcome.NotRunBecause(reason))
+		return wire.NoResponse(outcome.NotRunBecause(reason))
 	}
 	c.Body, c.ContentLength = nil, int64(len(body))
 	if len(body) > 0 {
@@ -52,7 +52,7 @@
 	case claims.Replay:
 		return replay(b.retained, true)
 	default:
-		return wire.NoAnswer(refusalOf(b.verdict))
+		return wire.NoResponse(refusalOf(b.verdict))
 	}
 }
 
@@ -80,12 +80,12 @@
 }
 
 // first waits for the run that its submission started.
-func first(ctx context.Context, r *run) *wire.Answer {
+func first(ctx context.Context, r *run) *wire.Result {
 	select {
 	case <-r.ready:
 	case <-ctx.Done():
 		if r.abandon() {
-			return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonCancelled))
+			return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonCancelled))
 		}
 		<-r.ready
 	}
@@ -100,7 +100,7 @@
 const followPart = 90
 
 // follow waits for a run that an earlier submission started.
-func follow(ctx context.Context, r *run, timeout time.Duration) *wire.Answer {
+func follow(ctx context.Context, r *run, timeout time.Duration) *wire.Result {
 	enough := time.NewTimer(timeout * followPart / 100)
 	defer enough.Stop()
 	select {
@@ -109,15 +109,15 @@
 	case <-enough.C:
 	case <-ctx.Done():
 	}
-	return wire.NoAnswer(inProgress())
+	return wire.NoResponse(inProgress())
 }
 
-func (r *run) result(again bool) *wire.Answer {
+func (r *run) result(again bool) *wire.Result {
 	switch {
 	case r.outcome.Kind != outcome.Answered:
-		return wire.NoAnswer(r.outcome)
+		return wire.NoResponse(r.outcome)
 	case r.whole == nil:
-		return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonKeyAnswerGone))
+		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonKeyAnswerGone))
 	default:
 		return replay(r.whole, again)
 	}
@@ -185,5 +185,5 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.Timeout)
 	defer cancel()
-	wire.WriteAnswer(w, s.own(ctx, c), c.ID)
+	wire.WriteResult(w, s.own(ctx, c), c.ID)
 }
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -42,7 +42,7 @@
 	// runs counts the runs of each key.
 	runs map[string]int
 	// answer stands for the upstream, nil for one that answers at once.
-	answer func(c *wire.Call) *wire.Answer
+	answer func(c *wire.Call) *wire.Result
 }
 
 type testNode struct {
@@ -154,7 +154,7 @@
 	return nil, errors.New("no such daemon")
 }
 
-func (d *deployment) run(_ context.Context, c *wire.Call) *wire.Answer {
+func (d *deployment) run(_ context.Context, c *wire.Call) *wire.Result {
 	d.mu.Lock()
 	answer := d.answer
 	d.mu.Unlock()
@@ -177,7 +177,7 @@
 	return d.runs[k.String()]
 }
 
-func (d *deployment) setAnswer(f func(c *wire.Call) *wire.Answer) {
+func (d *deployment) setAnswer(f func(c *wire.Call) *wire.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.answer = f
@@ -188,8 +188,8 @@
 	require.Eventually(d.t, cond, testTimeout, 2*time.Millisecond, what)
 }
 
-func textAnswer(s string) *wire.Answer {
-	return &wire.Answer{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(s)), ContentLength: int64(len(s))}
+func textAnswer(s string) *wire.Result {
+	return &wire.Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(s)), ContentLength: int64(len(s))}
 }
 
 // result is what a caller sees.
@@ -264,7 +264,7 @@
 func TestRetryWhileTheFirstRunGoesOn(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	release := make(chan struct{})
-	d.setAnswer(func(c *wire.Call) *wire.Answer {
+	d.setAnswer(func(c *wire.Call) *wire.Result {
 		d.count(c)
 		<-release
 		return textAnswer("late")
@@ -286,7 +286,7 @@
 func TestRunOutlivesItsCaller(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	release := make(chan struct{})
-	d.setAnswer(func(c *wire.Call) *wire.Answer {
+	d.setAnswer(func(c *wire.Call) *wire.Result {
 		d.count(c)
 		<-release
 		return textAnswer("kept")
@@ -302,25 +302,25 @@
 func TestOutcomesOfTheFirstRun(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	for name, tc := range map[string]struct {
-		first  func() *wire.Answer
+		first  func() *wire.Result
 		want   outcome.Outcome
 		second outcome.Outcome
 		runs   int
 	}{
 		"not run is given back": {
-			first: func() *wire.Answer { return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonDraining)) },
+			first: func() *wire.Result { return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)) },
 			want:  outcome.NotRunBecause(outcome.ReasonDraining), second: outcome.Done(), runs: 2,
 		},
 		"unknown stays unknown": {
-			first: func() *wire.Answer { return wire.NoAnswer(outcome.UnknownBecause(outcome.ReasonConnectionLost)) },
+			first: func() *wire.Result { return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonConnectionLost)) },
 			want:  outcome.UnknownBecause(outcome.ReasonConnectionLost), second: outcome.UnknownBecause(outcome.ReasonKeyOutcome), runs: 1,
 		},
 		"large answer is not retained": {
-			first: func() *wire.Answer { return textAnswer(strings.Repeat("x", 4<<10)) },
+			first: func() *wire.Result { return textAnswer(strings.Repeat("x", 4<<10)) },
 			want:  outcome.Done(), second: outcome.UnknownBecause(outcome.ReasonKeyAnswerGone), runs: 1,
 		},
 		"truncated answer": {
-			first: func() *wire.Answer {
+			first: func() *wire.Result {
 				a := textAnswer("")
 				a.Body, a.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader("half"), failing{})), 8
 				return a
@@ -330,7 +330,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var once sync.Once
-			d.setAnswer(func(c *wire.Call) *wire.Answer {
+			d.setAnswer(func(c *wire.Call) *wire.Result {
 				d.count(c)
 				a := textAnswer("second")
 				once.Do(func() { a = tc.first() })
@@ -352,7 +352,7 @@
 
 func TestLargeAnswerThatBreaksOffNeverLooksWhole(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
-	d.setAnswer(func(*wire.Call) *wire.Answer {
+	d.setAnswer(func(*wire.Call) *wire.Result {
 		a := textAnswer("")
 		a.Body = io.NopCloser(io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failing{}))
 		a.ContentLength = 200 << 10
--- a/owner/route.go
+++ b/owner/route.go
@@ -32,10 +32,10 @@
 // Submit sends a keyed call with its body to the owner of the key and returns the
 // answer. It sends again while the owner moves or cannot be reached, since the
 // owner recognises the key. Whatever it cannot settle is unknown.
-func (s *Service) Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Answer {
+func (s *Service) Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
-		return wire.NoAnswer(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
 	}
 	started := time.Now()
 	for refreshed := false; ; refreshed = true {
@@ -84,7 +84,7 @@
 	reasonMoving    outcome.Reason = "owner-moving"
 )
 
-func (s *Service) giveUp(ctx context.Context, o claims.Owner, standing claims.Ownership, reason outcome.Reason) *wire.Answer {
+func (s *Service) giveUp(ctx context.Context, o claims.Owner, standing claims.Ownership, reason outcome.Reason) *wire.Result {
 	switch {
 	case ctx.Err() != nil:
 		return s.unsettled(outcome.ReasonDeadline)
@@ -96,13 +96,13 @@
 	}
 }
 
-func (s *Service) unsettled(r outcome.Reason) *wire.Answer {
+func (s *Service) unsettled(r outcome.Reason) *wire.Result {
 	s.metrics.unsettled(r)
 	o := outcome.Outcome{Kind: outcome.Unknown, Reason: r}
 	if r == outcome.ReasonKeyNotOwned || r == outcome.ReasonDeadline {
 		o.RetryAfter = retryAfter
 	}
-	return wire.NoAnswer(o)
+	return wire.NoResponse(o)
 }
 
 func (s *Service) lookup(key claims.Key) (claims.Interval, claims.Ownership) {
@@ -112,7 +112,7 @@
 }
 
 // send makes one submission to an owner.
-func (s *Service) send(ctx context.Context, o claims.Owner, c *wire.Call, body []byte) *wire.Answer {
+func (s *Service) send(ctx context.Context, o claims.Owner, c *wire.Call, body []byte) *wire.Result {
 	sub := *c
 	sub.ID = uuid.NewString()
 	sub.Header = c.Header.Clone()
@@ -132,9 +132,9 @@
 
 // sendRemote sends a submission to an owner in another daemon. A small answer
 // is read whole, so that one that breaks off can be asked for again.
-func (s *Service) sendRemote(ctx context.Context, to model.DaemonID, c *wire.Call) *wire.Answer {
-	c.SetHop(c.Header)
-	c.Header.Set(wire.HeaderHop, wire.HopOwner)
+func (s *Service) sendRemote(ctx context.Context, to model.DaemonID, c *wire.Call) *wire.Result {
+	c.SetInternalHeaders(c.Header)
+	c.Header.Set(wire.HeaderDestination, wire.DestinationOwner)
 	c.Header.Set(wire.HeaderAuth, s.opts.PeerSecret)
 	resp, _, err := s.opts.Client.Do(ctx, hop.Request{
 		Address:       string(to),
@@ -148,14 +148,14 @@
 	if err != nil {
 		return unreached()
 	}
-	a, err := wire.ReadAnswer(resp, c.ID)
+	a, err := wire.ReadResult(resp, c.ID)
 	if err != nil {
 		_ = resp.Body.Close()
 		return unreached()
 	}
 	if a.Outcome.Kind != outcome.Answered {
 		_ = a.Body.Close()
-		return wire.NoAnswer(a.Outcome)
+		return wire.NoResponse(a.Outcome)
 	}
 	if a.ContentLength < 0 || a.ContentLength > s.opts.MaxResponseBytes {
 		return a
@@ -169,7 +169,7 @@
 	return a
 }
 
-func unreached() *wire.Answer { return wire.NoAnswer(outcome.UnknownBecause(reasonUnreached)) }
+func unreached() *wire.Result { return wire.NoResponse(outcome.UnknownBecause(reasonUnreached)) }
 
 // patienceWith returns how long an owner that does not answer is tried: one that
 // others have tried in vain only once more, with the newest grants.
--- a/owner/run.go
+++ b/owner/run.go
@@ -27,7 +27,7 @@
 	whole   *claims.Answer
 	// large is an answer that is passed on to the first submission as it
 	// arrives, set before ready is closed.
-	large *wire.Answer
+	large *wire.Result
 
 	mu        sync.Mutex
 	abandoned bool
@@ -49,7 +49,7 @@
 
 // settle takes in the answer of a run. An answer too large to retain goes on to
 // the first submission; the run ends when that has been read.
-func (s *Service) settle(id claims.ID, r *run, a *wire.Answer, cancel context.CancelFunc) {
+func (s *Service) settle(id claims.ID, r *run, a *wire.Result, cancel context.CancelFunc) {
 	if a.Outcome.Kind != outcome.Answered {
 		_ = a.Body.Close()
 		cancel()
@@ -135,7 +135,7 @@
 }
 
 // replay returns a retained answer.
-func replay(a *claims.Answer, again bool) *wire.Answer {
+func replay(a *claims.Answer, again bool) *wire.Result {
 	h := http.Header(maps.Clone(a.Header))
 	if h == nil {
 		h = make(http.Header)
@@ -143,7 +143,7 @@
 	if again {
 		h.Set(wire.HeaderReplayed, strconv.FormatBool(true))
 	}
-	return &wire.Answer{
+	return &wire.Result{
 		Outcome:       outcome.Done(),
 		Status:        a.Status,
 		Header:        h,
--- a/trace/span.go
+++ b/trace/span.go
@@ -69,7 +69,7 @@
 
 // Forwarder sends a call to the guard of its upstream.
 type Forwarder interface {
-	Do(ctx context.Context, c *wire.Call) *wire.Answer
+	Do(ctx context.Context, c *wire.Call) *wire.Result
 }
 
 // Guard records a span around the calls to a guard in the same process, as
@@ -79,7 +79,7 @@
 }
 
 // Do implements Forwarder.
-func (g Guard) Do(ctx context.Context, c *wire.Call) *wire.Answer {
+func (g Guard) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	ctx, span := Start(ctx, "guard")
 	a := g.Next.Do(ctx, c)
 	span.End(a.Outcome)
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -40,7 +40,7 @@
 		}
 		sent := r.Clone(t.Context())
 		sent.Header = c.Header.Clone()
-		c.SetHop(sent.Header)
+		c.SetInternalHeaders(sent.Header)
 		again, err := ReadCall(sent)
 		require.NoError(t, err)
 		again.Body, c.Body = nil, nil
@@ -68,9 +68,9 @@
 		want, wantErr := io.ReadAll(resp.Body)
 		resp, err = read()
 		require.NoError(t, err)
-		a := AnswerOf(resp)
-		StripHop(a.Header)
-		StripConnection(a.Header)
+		a := ResultFromResponse(resp)
+		StripInternalHeaders(a.Header)
+		StripHopByHopHeaders(a.Header)
 
 		rec := httptest.NewRecorder()
 		aborted := writeRecovered(rec, a, "id-1")
@@ -78,9 +78,9 @@
 		if aborted {
 			return
 		}
-		_, err = ReadAnswer(rec.Result(), "id-2")
-		require.ErrorIs(t, err, ErrNotBound)
-		got, err := ReadAnswer(rec.Result(), "id-1")
+		_, err = ReadResult(rec.Result(), "id-2")
+		require.ErrorIs(t, err, ErrIDMismatch)
+		got, err := ReadResult(rec.Result(), "id-1")
 		require.NoError(t, err)
 		require.Equal(t, outcome.Done(), got.Outcome)
 		require.Equal(t, resp.StatusCode, got.Status)
@@ -93,8 +93,8 @@
 	})
 }
 
-// writeRecovered reports whether WriteAnswer aborted the connection.
-func writeRecovered(rec *httptest.ResponseRecorder, a *Answer, id string) (aborted bool) {
+// writeRecovered reports whether WriteResult aborted the connection.
+func writeRecovered(rec *httptest.ResponseRecorder, a *Result, id string) (aborted bool) {
 	defer func() {
 		if r := recover(); r != nil {
 			if r != http.ErrAbortHandler {
@@ -103,7 +103,7 @@
 			aborted = true
 		}
 	}()
-	WriteAnswer(rec, a, id)
+	WriteResult(rec, a, id)
 	return false
 }
 
@@ -128,8 +128,8 @@
 func TestAnswerWithoutResponseIsBound(t *testing.T) {
 	o := outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonDraining, RetryAfter: 2 * time.Second}
 	rec := httptest.NewRecorder()
-	WriteAnswer(rec, NoAnswer(o), "id-1")
-	a, err := ReadAnswer(rec.Result(), "id-1")
+	WriteResult(rec, NoResponse(o), "id-1")
+	a, err := ReadResult(rec.Result(), "id-1")
 	require.NoError(t, err)
 	require.Equal(t, o, a.Outcome)
 	body, err := io.ReadAll(a.Body)
--- a/wire/header.go
+++ b/wire/header.go
@@ -38,7 +38,7 @@
 
 // Headers between daemons.
 const (
-	HeaderHop         = hopPrefix + "Kind"
+	HeaderDestination = hopPrefix + "Kind"
 	HeaderAuth        = hopPrefix + "Auth"
 	headerID          = hopPrefix + "Id"
 	headerUpstream    = hopPrefix + "Upstream"
@@ -61,12 +61,12 @@
 
 // The kinds of hop.
 const (
-	HopGuard = "guard"
-	HopOwner = "owner"
+	DestinationGuard = "guard"
+	DestinationOwner = "owner"
 )
 
-// ErrNotBound is returned when an answer does not carry the id of its call.
-var ErrNotBound = errors.New("answer does not belong to this call")
+// ErrIDMismatch is returned when an answer does not carry the id of its call.
+var ErrIDMismatch = errors.New("answer does not belong to this call")
 
 // HeaderError tells which hop header could not be read.
 type HeaderError struct {
@@ -77,8 +77,8 @@
 // Error names the header and its value.
 func (e *HeaderError) Error() string { return fmt.Sprintf("header %s: bad value %q", e.Name, e.Value) }
 
-// StripHop removes every header that only daemons may set.
-func StripHop(h http.Header) {
+// StripInternalHeaders removes every header that only daemons may set.
+func StripInternalHeaders(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(name, hopPrefix) {
 			delete(h, name)
@@ -86,10 +86,10 @@
 	}
 }
 
-// SetHop writes the call's hop headers. The Idempotency-Key travels under a hop
+// SetInternalHeaders writes the call's hop headers. The Idempotency-Key travels under a hop
 // name, because net/http sends a request that carries the standard one again
 // after a lost connection.
-func (c *Call) SetHop(h http.Header) {
+func (c *Call) SetInternalHeaders(h http.Header) {
 	h.Set(headerID, c.ID)
 	h.Set(headerUpstream, string(c.Upstream))
 	h.Set(headerIncarnation, strconv.FormatUint(uint64(c.Incarnation), 10))
@@ -100,8 +100,8 @@
 	h.Set(headerAttempt, strconv.Itoa(c.Attempt))
 	h.Set(headerDepth, strconv.Itoa(c.Depth))
 	h.Set(headerTimeout, strconv.FormatInt(max(0, c.Timeout.Microseconds()), 10))
-	if c.HasPatience {
-		h.Set(headerPatience, strconv.FormatInt(c.Patience.Microseconds(), 10))
+	if c.HasQueueTimeout {
+		h.Set(headerPatience, strconv.FormatInt(c.QueueTimeout.Microseconds(), 10))
 	}
 	h.Set(headerHost, c.Host)
 	if c.Key != "" {
@@ -114,25 +114,25 @@
 	h := r.Header
 	p := headerParser{h: h}
 	c := &Call{
-		ID:            h.Get(headerID),
-		Method:        r.Method,
-		Target:        r.URL.RequestURI(),
-		Host:          h.Get(headerHost),
-		Header:        h,
-		Body:          r.Body,
-		ContentLength: r.ContentLength,
-		Service:       model.ServiceName(h.Get(headerService)),
-		Group:         model.GroupName(h.Get(headerGroup)),
-		Caller:        model.CallerName(h.Get(headerCaller)),
-		Upstream:      model.UpstreamID(h.Get(headerUpstream)),
-		Incarnation:   model.Incarnation(p.uint(headerIncarnation)),
-		Idempotent:    h.Get(headerIdempotent) == "true",
-		Attempt:       int(p.uint(headerAttempt)),
-		Depth:         int(p.uint(headerDepth)),
-		Key:           h.Get(headerKey),
-		Timeout:       p.duration(headerTimeout, time.Microsecond),
-		Patience:      p.duration(headerPatience, time.Microsecond),
-		HasPatience:   h.Get(headerPatience) != "",
+		ID:              h.Get(headerID),
+		Method:          r.Method,
+		Target:          r.URL.RequestURI(),
+		Host:            h.Get(headerHost),
+		Header:          h,
+		Body:            r.Body,
+		ContentLength:   r.ContentLength,
+		Service:         model.ServiceName(h.Get(headerService)),
+		Group:           model.GroupName(h.Get(headerGroup)),
+		Caller:          model.CallerName(h.Get(headerCaller)),
+		Upstream:        model.UpstreamID(h.Get(headerUpstream)),
+		Incarnation:     model.Incarnation(p.uint(headerIncarnation)),
+		Idempotent:      h.Get(headerIdempotent) == "true",
+		Attempt:         int(p.uint(headerAttempt)),
+		Depth:           int(p.uint(headerDepth)),
+		Key:             h.Get(headerKey),
+		Timeout:         p.duration(headerTimeout, time.Microsecond),
+		QueueTimeout:    p.duration(headerPatience, time.Microsecond),
+		HasQueueTimeout: h.Get(headerPatience) != "",
 	}
 	if p.err != nil {
 		return nil, p.err
@@ -143,12 +143,12 @@
 	if r.ContentLength == 0 {
 		c.Body = nil
 	}
-	StripHop(c.Header)
+	StripInternalHeaders(c.Header)
 	return c, nil
 }
 
-// SetHop writes the answer's hop headers, bound to the call with the given id.
-func (a *Answer) SetHop(h http.Header, id string) {
+// SetInternalHeaders writes the answer's hop headers, bound to the call with the given id.
+func (a *Result) SetInternalHeaders(h http.Header, id string) {
 	h.Set(headerID, id)
 	h.Set(headerOutcome, a.Outcome.Kind.String())
 	if a.Outcome.Reason != outcome.ReasonNone {
@@ -162,19 +162,19 @@
 	}
 }
 
-// ReadAnswer rebuilds an Answer from the response to the call with the given
-// id. An answer that is not bound to the call is refused with ErrNotBound.
-func ReadAnswer(resp *http.Response, id string) (*Answer, error) {
+// ReadResult rebuilds an Result from the response to the call with the given
+// id. An answer that is not bound to the call is refused with ErrIDMismatch.
+func ReadResult(resp *http.Response, id string) (*Result, error) {
 	h := resp.Header
 	if h.Get(headerID) != id {
-		return nil, ErrNotBound
+		return nil, ErrIDMismatch
 	}
 	kind, ok := outcome.ParseKind(h.Get(headerOutcome))
 	if !ok {
 		return nil, &HeaderError{Name: headerOutcome, Value: h.Get(headerOutcome)}
 	}
 	p := headerParser{h: h}
-	a := AnswerOf(resp)
+	a := ResultFromResponse(resp)
 	a.Outcome = outcome.Outcome{
 		Kind:       kind,
 		Reason:     outcome.Reason(h.Get(headerReason)),
@@ -190,7 +190,7 @@
 	if p.err != nil {
 		return nil, p.err
 	}
-	StripHop(h)
+	StripInternalHeaders(h)
 	return a, nil
 }
 
@@ -294,9 +294,9 @@
 	"Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// StripConnection removes hop-by-hop headers, those that Connection names
+// StripHopByHopHeaders removes hop-by-hop headers, those that Connection names
 // among them.
-func StripConnection(h http.Header) {
+func StripHopByHopHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/wire/http.go
+++ b/wire/http.go
@@ -10,30 +10,30 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// WriteAnswer writes an answer to the daemon that sent the call and closes its
+// WriteResult writes an answer to the daemon that sent the call and closes its
 // body. A body that breaks off aborts the connection, so that a truncated
 // answer never looks complete.
-func WriteAnswer(w http.ResponseWriter, a *Answer, id string) {
+func WriteResult(w http.ResponseWriter, a *Result, id string) {
 	defer func() { _ = a.Body.Close() }()
 	h := w.Header()
 	if a.Outcome.Kind != outcome.Answered {
-		a.SetHop(h, id)
+		a.SetInternalHeaders(h, id)
 		h.Set("Content-Length", "0")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	maps.Copy(h, a.Header)
-	a.SetHop(h, id)
+	a.SetInternalHeaders(h, id)
 	w.WriteHeader(a.Status)
 	if err := CopyBody(w, a); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// AnswerOf returns an HTTP response as an Answer. Its trailers are there once
+// ResultFromResponse returns an HTTP response as an Result. Its trailers are there once
 // the body has been read to io.EOF.
-func AnswerOf(resp *http.Response) *Answer {
-	a := &Answer{
+func ResultFromResponse(resp *http.Response) *Result {
+	a := &Result{
 		Outcome:       outcome.Done(),
 		Status:        resp.StatusCode,
 		Header:        resp.Header,
@@ -48,7 +48,7 @@
 type trailerBody struct {
 	io.ReadCloser
 	resp   *http.Response
-	answer *Answer
+	answer *Result
 }
 
 // Read reads from the response.
@@ -67,7 +67,7 @@
 
 // CopyBody copies an answer's body and its trailers to a caller, flushing as
 // data arrives when the length is not known.
-func CopyBody(w http.ResponseWriter, a *Answer) error {
+func CopyBody(w http.ResponseWriter, a *Result) error {
 	var dst io.Writer = w
 	if a.ContentLength < 0 {
 		dst = flushWriter{w: w, c: http.NewResponseController(w)}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -37,15 +37,15 @@
 	Key string
 	// Timeout is the time left to the deadline when the call was sent.
 	Timeout time.Duration
-	// Patience is how long the call may wait at the guard, counted only when
-	// HasPatience is set. A call that has not started by then is given back as
+	// QueueTimeout is how long the call may wait at the guard, counted only when
+	// HasQueueTimeout is set. A call that has not started by then is given back as
 	// "not run", withdrawn. Zero: start at once or give back at once.
-	Patience    time.Duration
-	HasPatience bool
+	QueueTimeout    time.Duration
+	HasQueueTimeout bool
 }
 
-// Answer is what came back for a Call.
-type Answer struct {
+// Result is what came back for a Call.
+type Result struct {
 	Outcome outcome.Outcome
 	// Status, Header, Body and ContentLength are the upstream's response when
 	// Outcome is Answered so far. The outcome is final when Body has been read
@@ -61,9 +61,9 @@
 	HasLoad bool
 }
 
-// EndOnClose makes the closing of the body end a context as well, and returns
+// CancelOnClose makes the closing of the body end a context as well, and returns
 // the answer.
-func (a *Answer) EndOnClose(cancel context.CancelFunc) *Answer {
+func (a *Result) CancelOnClose(cancel context.CancelFunc) *Result {
 	a.Body = &boundBody{ReadCloser: a.Body, cancel: cancel}
 	return a
 }
@@ -81,7 +81,7 @@
 	return err
 }
 
-// NoAnswer returns an Answer without a response.
-func NoAnswer(o outcome.Outcome) *Answer {
-	return &Answer{Outcome: o, Body: http.NoBody, ContentLength: 0}
+// NoResponse returns an Result without a response.
+func NoResponse(o outcome.Outcome) *Result {
+	return &Result{Outcome: o, Body: http.NoBody, ContentLength: 0}
 }
