--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -15,8 +15,8 @@
 	// Timeout bounds a joined append. Default: 3s.
 	Timeout time.Duration
 
-	mu   sync.Mutex
-	open map[string]*batch
+	mu      sync.Mutex
+	pending map[string]*pendingBatch
 }
 
 const (
@@ -27,40 +27,40 @@
 	maxBatchBytes   = 1 << 20
 )
 
-// batch is one append being gathered. first and err are set before done is
+// pendingBatch is one append being gathered. first and err are set before done is
 // closed.
-type batch struct {
-	records [][]byte
-	bytes   int
-	done    chan struct{}
-	first   Offset
-	err     error
+type pendingBatch struct {
+	records     [][]byte
+	bytes       int
+	done        chan struct{}
+	firstOffset Offset
+	err         error
 }
 
 // Append implements Log. When the context ends before the joined append has,
 // the records may have been appended.
 func (b *Batcher) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	joined, at := b.join(stream, records)
+	joined, at := b.enqueue(stream, records)
 	select {
 	case <-joined.done:
-		return joined.first + Offset(at), joined.err
+		return joined.firstOffset + Offset(at), joined.err
 	case <-ctx.Done():
 		return 0, &AppendError{Stream: stream, Uncertain: true, Err: ctx.Err()}
 	}
 }
 
-// join adds the records to the open batch and returns it with their place.
-func (b *Batcher) join(stream string, records [][]byte) (*batch, int) {
+// enqueue adds the records to the open batch and returns it with their place.
+func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.open == nil {
-		b.open = make(map[string]*batch)
+	if b.pending == nil {
+		b.pending = make(map[string]*pendingBatch)
 	}
-	current := b.open[stream]
+	current := b.pending[stream]
 	if current == nil || len(current.records)+len(records) > maxBatchRecords || current.bytes > maxBatchBytes {
-		current = &batch{done: make(chan struct{})}
-		b.open[stream] = current
-		go b.send(stream, current)
+		current = &pendingBatch{done: make(chan struct{})}
+		b.pending[stream] = current
+		go b.flush(stream, current)
 	}
 	at := len(current.records)
 	current.records = append(current.records, records...)
@@ -70,7 +70,7 @@
 	return current, at
 }
 
-func (b *Batcher) send(stream string, current *batch) {
+func (b *Batcher) flush(stream string, current *pendingBatch) {
 	window, timeout := b.Window, b.Timeout
 	if window <= 0 {
 		window = defaultWindow
@@ -80,13 +80,13 @@
 	}
 	time.Sleep(window)
 	b.mu.Lock()
-	if b.open[stream] == current {
-		delete(b.open, stream)
+	if b.pending[stream] == current {
+		delete(b.pending, stream)
 	}
 	records := current.records
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	current.first, current.err = b.Log.Append(ctx, stream, records)
+	current.firstOffset, current.err = b.Log.Append(ctx, stream, records)
 	close(current.done)
 }
--- a/recordlog/client.go
+++ b/recordlog/client.go
@@ -21,9 +21,9 @@
 }
 
 const (
-	clientTimeout   = 2 * time.Second
-	maxResponse     = 8 << 20
-	clientIdleConns = 4
+	clientTimeout    = 2 * time.Second
+	maxResponseBytes = 8 << 20
+	clientIdleConns  = 4
 )
 
 // NewClient returns a Client for the log at an address (host:port).
@@ -117,10 +117,10 @@
 func (c *Client) url(stream string) string { return c.base + url.PathEscape(stream) + "/records" }
 
 func decode(r io.Reader, v any) error {
-	return json.NewDecoder(io.LimitReader(r, maxResponse)).Decode(v)
+	return json.NewDecoder(io.LimitReader(r, maxResponseBytes)).Decode(v)
 }
 
 func closeBody(b io.ReadCloser) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(b, maxResponse))
+	_, _ = io.Copy(io.Discard, io.LimitReader(b, maxResponseBytes))
 	_ = b.Close()
 }
--- a/recordlog/faults.go
+++ b/recordlog/faults.go
@@ -46,8 +46,8 @@
 
 // Append implements Log.
 func (f *FaultyLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	now := f.next(true)
-	if err := now.wait(ctx); err != nil {
+	now := f.takeFaults(true)
+	if err := now.inject(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: err}
 	}
 	first, err := f.Log.Append(ctx, stream, records)
@@ -62,15 +62,15 @@
 
 // Read implements Log.
 func (f *FaultyLog) Read(ctx context.Context, stream string, from Offset, limit int) (Batch, error) {
-	now := f.next(false)
-	if err := now.wait(ctx); err != nil {
+	now := f.takeFaults(false)
+	if err := now.inject(ctx); err != nil {
 		return Batch{}, err
 	}
 	return f.Log.Read(ctx, stream, from, limit)
 }
 
-// next returns the faults that hold for one operation and counts it.
-func (f *FaultyLog) next(isAppend bool) Faults {
+// takeFaults returns the faults that hold for one operation and counts it.
+func (f *FaultyLog) takeFaults(isAppend bool) Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.faults
@@ -81,7 +81,7 @@
 	return now
 }
 
-func (f Faults) wait(ctx context.Context) error {
+func (f Faults) inject(ctx context.Context) error {
 	if f.Latency > 0 {
 		select {
 		case <-ctx.Done():
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -15,33 +15,33 @@
 }
 
 const (
-	// SystemAppends is the number of appends a second that all daemons together
+	// MaxSystemAppendsPerSecond is the number of appends a second that all daemons together
 	// may make.
-	SystemAppends = 300
-	// maxAppends is the most that one daemon takes of it, a second.
-	maxAppends  = 20
-	appendBurst = 8
+	MaxSystemAppendsPerSecond = 300
+	// maxDaemonAppendsPerSecond is the most that one daemon takes of it, a second.
+	maxDaemonAppendsPerSecond = 20
+	appendBurst               = 8
 )
 
-// ErrLimited is the cause of an append that waited in vain for its turn.
-var ErrLimited = errors.New("limit of appends reached")
+// ErrRateLimited is the cause of an append that waited in vain for its turn.
+var ErrRateLimited = errors.New("limit of appends reached")
 
 // NewRateLimitedLog returns a RateLimitedLog over a log for a deployment of one daemon.
 func NewRateLimitedLog(log Log) *RateLimitedLog {
-	return &RateLimitedLog{Log: log, limiter: rate.NewLimiter(maxAppends, appendBurst)}
+	return &RateLimitedLog{Log: log, limiter: rate.NewLimiter(maxDaemonAppendsPerSecond, appendBurst)}
 }
 
 // SetDaemonCount gives this process its share among a number of daemons.
 func (l *RateLimitedLog) SetDaemonCount(n int) {
-	share := float64(SystemAppends) / float64(max(n, 1))
-	l.limiter.SetLimit(rate.Limit(min(share, maxAppends)))
+	share := float64(MaxSystemAppendsPerSecond) / float64(max(n, 1))
+	l.limiter.SetLimit(rate.Limit(min(share, maxDaemonAppendsPerSecond)))
 }
 
 // Append implements Log. It waits for its turn; when the context does not allow
 // that, the records have certainly not been appended.
 func (l *RateLimitedLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	if err := l.limiter.Wait(ctx); err != nil {
-		return 0, &AppendError{Stream: stream, Err: errors.Join(ErrLimited, err)}
+		return 0, &AppendError{Stream: stream, Err: errors.Join(ErrRateLimited, err)}
 	}
 	return l.Log.Append(ctx, stream, records)
 }
--- a/recordlog/platform_test.go
+++ b/recordlog/platform_test.go
@@ -17,14 +17,14 @@
 	"github.com/dottereltiller/dottereltiller/loopback"
 )
 
-func client(t *testing.T, h http.Handler) *Client {
+func newTestClient(t *testing.T, h http.Handler) *Client {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
 	return NewClient(strings.TrimPrefix(srv.URL, "http://"))
 }
 
-func data(b Batch) []string {
+func formatRecords(b Batch) []string {
 	var out []string
 	for _, r := range b.Records {
 		out = append(out, fmt.Sprintf("%d:%s", r.Offset, r.Data))
@@ -32,9 +32,9 @@
 	return out
 }
 
-func TestClientAndStandInAgree(t *testing.T) {
+func TestClientAgainstHandler(t *testing.T) {
 	log := &Memory{}
-	c := client(t, Handler(log))
+	c := newTestClient(t, Handler(log))
 	first, err := c.Append(t.Context(), "s", [][]byte{[]byte("a"), []byte("b")})
 	require.NoError(t, err)
 	require.Zero(t, first)
@@ -44,7 +44,7 @@
 
 	b, err := c.Read(t.Context(), "s", 1, 1)
 	require.NoError(t, err)
-	require.Equal(t, []string{"1:b"}, data(b))
+	require.Equal(t, []string{"1:b"}, formatRecords(b))
 	require.EqualValues(t, 3, b.Next)
 	b, err = c.Read(t.Context(), "s", 3, 10)
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 	require.EqualValues(t, 2, trimmed.Oldest)
 }
 
-func TestClientTellsWhetherAnAppendMayHaveTakenEffect(t *testing.T) {
+func TestClientReportsUncertainAppends(t *testing.T) {
 	lost := NewFaultyLog(&Memory{})
 	lost.SetFaults(Faults{LoseReplies: 1})
 	nobody, err := loopback.UnusedAddress()
@@ -66,10 +66,10 @@
 		client    *Client
 		uncertain bool
 	}{
-		"reply lost":    {client(t, Handler(lost)), true},
+		"reply lost":    {newTestClient(t, Handler(lost)), true},
 		"no connection": {NewClient(nobody), false},
-		"not found":     {client(t, http.NotFoundHandler()), false},
-		"cut off": {client(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		"not found":     {newTestClient(t, http.NotFoundHandler()), false},
+		"cut off": {newTestClient(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		})), true},
 	} {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestFaultyLogInjectsFaults(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{Retention: time.Minute}
 		log := NewFaultyLog(memory)
@@ -123,7 +123,7 @@
 	})
 }
 
-func TestFaultsAreSetOverHTTP(t *testing.T) {
+func TestFaultHandlerSetsFaults(t *testing.T) {
 	log := NewFaultyLog(&Memory{})
 	h := FaultHandler(log)
 	set := func(body string) int {
@@ -133,11 +133,11 @@
 	}
 	require.Equal(t, http.StatusBadRequest, set(`{"dwon": true}`))
 	require.Equal(t, http.StatusNoContent, set(`{"down": true}`))
-	_, err := client(t, h).Read(t.Context(), "s", 0, 1)
+	_, err := newTestClient(t, h).Read(t.Context(), "s", 0, 1)
 	require.ErrorContains(t, err, "503")
 }
 
-func TestBatcherJoinsAppendsAndTellsEachItsOffset(t *testing.T) {
+func TestBatcherReturnsOffsetOfEachAppend(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{}
 		counted := &countingLog{Log: memory}
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestBatcherTellsAnAbandonedAppendIsUncertain(t *testing.T) {
+func TestBatcherReportsCancelledAppendAsUncertain(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
@@ -174,7 +174,7 @@
 	})
 }
 
-func TestLimitedKeepsTheShareOfOneDaemon(t *testing.T) {
+func TestRateLimitedLogKeepsShareOfOneDaemon(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{}
 		l := NewRateLimitedLog(memory)
@@ -185,12 +185,12 @@
 		for err == nil {
 			_, err = l.Append(ctx, "s", [][]byte{[]byte("a")})
 		}
-		require.ErrorIs(t, err, ErrLimited)
+		require.ErrorIs(t, err, ErrRateLimited)
 		var failed *AppendError
 		require.True(t, errors.As(err, &failed) && !failed.Uncertain)
 		b, err := memory.Read(t.Context(), "s", 0, 1)
 		require.NoError(t, err)
-		require.InDelta(t, 100*SystemAppends/1700+appendBurst, int(b.Next), 1)
+		require.InDelta(t, 100*MaxSystemAppendsPerSecond/1700+appendBurst, int(b.Next), 1)
 	})
 }
 
