--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -21,25 +21,25 @@
 	Self model.DaemonID
 	// Now reads the monotonic clock.
 	Now func() model.Instant
-	// Wall reads the wall clock. Default: time.Now.
-	Wall func() time.Time
+	// WallClock reads the wall clock. Default: time.Now.
+	WallClock func() time.Time
 	// Scope receives the counters. Nil means none.
 	Scope tally.Scope
 }
 
 // Store is a daemon's parts of the ceilings. It is safe for concurrent use.
 type Store struct {
-	opts     Options
-	self     ceiling.Daemon
-	refusals tally.Counter
-	unread   tally.Counter
+	opts       Options
+	self       ceiling.Daemon
+	refusals   tally.Counter
+	unreadable tally.Counter
 
 	mu       sync.Mutex
 	ceilings map[ceiling.Key]*ceiling.Ceiling
 	byHash   map[uint64]*ceiling.Ceiling
-	// fresh holds the reports that are handed on, until they are too old.
-	fresh map[reportKey]freshReport
-	turn  uint64
+	// recent holds the reports that are handed on, until they are too old.
+	recent map[reportKey]recentReport
+	deltas uint64
 }
 
 type reportKey struct {
@@ -47,25 +47,25 @@
 	daemon ceiling.Daemon
 }
 
-type freshReport struct {
+type recentReport struct {
 	ceiling.Report
 	since model.Instant
 }
 
 // NewStore returns a Store without ceilings.
 func NewStore(opts Options) *Store {
-	if opts.Wall == nil {
-		opts.Wall = time.Now
+	if opts.WallClock == nil {
+		opts.WallClock = time.Now
 	}
 	scope := telemetry.OrNoop(opts.Scope)
 	return &Store{
-		opts:     opts,
-		self:     ceiling.Daemon(xxhash.Sum64String(string(opts.Self))),
-		refusals: scope.Counter("refusals"),
-		unread:   scope.Counter("reports_unread"),
-		ceilings: make(map[ceiling.Key]*ceiling.Ceiling),
-		byHash:   make(map[uint64]*ceiling.Ceiling),
-		fresh:    make(map[reportKey]freshReport),
+		opts:       opts,
+		self:       ceiling.Daemon(xxhash.Sum64String(string(opts.Self))),
+		refusals:   scope.Counter("refusals"),
+		unreadable: scope.Counter("reports_unread"),
+		ceilings:   make(map[ceiling.Key]*ceiling.Ceiling),
+		byHash:     make(map[uint64]*ceiling.Ceiling),
+		recent:     make(map[reportKey]recentReport),
 	}
 }
 
@@ -78,7 +78,7 @@
 	s.ceilings = make(map[ceiling.Key]*ceiling.Ceiling, len(limits))
 	clear(s.byHash)
 	for k, l := range limits {
-		hash := hashOf(k)
+		hash := keyHash(k)
 		c := before[k]
 		if c == nil {
 			c = ceiling.New(s.opts.Now(), hash, s.self, l)
@@ -96,7 +96,7 @@
 	defer s.mu.Unlock()
 	c := s.ceilings[ceiling.Key{Service: service, Group: group}]
 	if c == nil {
-		return nothing, 0, true
+		return noRelease, 0, true
 	}
 	if wait, ok = c.TryAcquire(s.opts.Now()); !ok {
 		s.refusals.Inc(1)
@@ -109,7 +109,7 @@
 	}, 0, true
 }
 
-func nothing() {}
+func noRelease() {}
 
 const tickInterval = 250 * time.Millisecond
 
@@ -124,21 +124,21 @@
 func (s *Store) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, stamp := s.opts.Now(), uint64(s.opts.Wall().UnixMilli())
+	now, stamp := s.opts.Now(), uint64(s.opts.WallClock().UnixMilli())
 	for _, c := range s.ceilings {
 		if r, due := c.Tick(now, stamp); due {
-			s.fresh[reportKey{r.Key, r.Daemon}] = freshReport{Report: r, since: now}
+			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, since: now}
 		}
 	}
-	for k, r := range s.fresh {
-		if now.Sub(r.since) > freshFor || s.byHash[k.key] == nil {
-			delete(s.fresh, k)
+	for k, r := range s.recent {
+		if now.Sub(r.since) > relayPeriod || s.byHash[k.key] == nil {
+			delete(s.recent, k)
 		}
 	}
 }
 
-// Part is one ceiling as the status shows it.
-type Part struct {
+// Share is one ceiling as the status shows it.
+type Share struct {
 	Service model.ServiceName `json:"service"`
 	Group   model.GroupName   `json:"group"`
 	// Rate and Concurrency are this daemon's parts.
@@ -146,20 +146,20 @@
 	Concurrency int     `json:"concurrency"`
 }
 
-// Parts returns this daemon's parts of the ceilings in force.
-func (s *Store) Parts() []Part {
+// Shares returns this daemon's parts of the ceilings in force.
+func (s *Store) Shares() []Share {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]Part, 0, len(s.ceilings))
+	out := make([]Share, 0, len(s.ceilings))
 	for k, c := range s.ceilings {
 		rate, slots := c.Share()
-		out = append(out, Part{Service: k.Service, Group: k.Group, Rate: rate, Concurrency: slots})
+		out = append(out, Share{Service: k.Service, Group: k.Group, Rate: rate, Concurrency: slots})
 	}
 	return out
 }
 
-// hashOf is the same in all daemons.
-func hashOf(k ceiling.Key) uint64 {
+// keyHash is the same in all daemons.
+func keyHash(k ceiling.Key) uint64 {
 	b := binary.AppendUvarint(nil, uint64(len(k.Service)))
 	b = append(b, k.Service...)
 	return xxhash.Sum64(append(b, k.Group...))
--- a/ceiling/store_test.go
+++ b/ceiling/store_test.go
@@ -11,7 +11,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-var key = ceiling.Key{Service: "s", Group: "g"}
+var testKey = ceiling.Key{Service: "s", Group: "g"}
 
 type fleet struct {
 	now    model.Instant
@@ -22,19 +22,19 @@
 	f := &fleet{}
 	for i := range n {
 		s := NewStore(Options{
-			Self: model.DaemonID(fmt.Sprint("daemon-", i)),
-			Now:  func() model.Instant { return f.now },
-			Wall: func() time.Time { return time.UnixMilli(int64(f.now / 1e6)) },
+			Self:      model.DaemonID(fmt.Sprint("daemon-", i)),
+			Now:       func() model.Instant { return f.now },
+			WallClock: func() time.Time { return time.UnixMilli(int64(f.now / 1e6)) },
 		})
-		s.Configure(map[ceiling.Key]ceiling.Limits{key: l})
+		s.Configure(map[ceiling.Key]ceiling.Limits{testKey: l})
 		f.stores = append(f.stores, s)
 	}
 	return f
 }
 
-// second plays one second: each store gets requests that last 10 ms, then a
+// runSecond plays one second: each store gets requests that last 10 ms, then a
 // round between neighbours. It returns how many were let in.
-func (f *fleet) second(t *testing.T, each, limit int) int {
+func (f *fleet) runSecond(t *testing.T, each, limit int) int {
 	admitted := 0
 	for range 4 {
 		for range each / 4 {
@@ -61,24 +61,24 @@
 func TestStoresShareARate(t *testing.T) {
 	f := newFleet(4, ceiling.Limits{Rate: 100})
 	for range 8 {
-		f.second(t, 200, 4096)
+		f.runSecond(t, 200, 4096)
 	}
 	for range 4 {
-		require.InDelta(t, 100, f.second(t, 200, 4096), 8)
+		require.InDelta(t, 100, f.runSecond(t, 200, 4096), 8)
 	}
-	require.InDelta(t, 25, f.stores[2].Parts()[0].Rate, 2)
+	require.InDelta(t, 25, f.stores[2].Shares()[0].Rate, 2)
 }
 
-func TestDeltaKeepsItsLimit(t *testing.T) {
+func TestDeltaRespectsLimit(t *testing.T) {
 	f := newFleet(4, ceiling.Limits{Rate: 100})
 	for range 12 {
-		f.second(t, 200, reportBytes+5)
+		f.runSecond(t, 200, reportBytes+5)
 	}
-	require.InDelta(t, 100, f.second(t, 200, reportBytes+5), 15, "one report a round still spreads")
+	require.InDelta(t, 100, f.runSecond(t, 200, reportBytes+5), 15, "one report a round still spreads")
 	require.Len(t, f.stores[0].Delta(nil, reportBytes+5), reportBytes)
 }
 
-func TestGroupsWithoutACeilingPass(t *testing.T) {
+func TestGroupWithoutCeilingIsNotLimited(t *testing.T) {
 	s := newFleet(1, ceiling.Limits{Rate: 1e-9}).stores[0]
 	leave, _, ok := s.TryAcquire("s", "other")
 	require.True(t, ok)
@@ -93,9 +93,9 @@
 	require.True(t, ok, "no longer in force")
 }
 
-func TestApplyRefusesTornReports(t *testing.T) {
+func TestApplyRejectsPartialReports(t *testing.T) {
 	s := newFleet(1, ceiling.Limits{Rate: 1}).stores[0]
-	require.ErrorIs(t, s.Apply(make([]byte, reportBytes+1)), errTorn)
+	require.ErrorIs(t, s.Apply(make([]byte, reportBytes+1)), errPartialReport)
 	require.NoError(t, s.Apply(make([]byte, reportBytes)), "an unknown ceiling is ignored")
-	require.Empty(t, s.fresh)
+	require.Empty(t, s.recent)
 }
--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -16,16 +16,16 @@
 var _ peer.Topic = (*Store)(nil)
 
 const (
-	// freshFor is how long a report is handed on after it was heard.
-	freshFor = 5 * time.Second
+	// relayPeriod is how long a report is handed on after it was heard.
+	relayPeriod = 5 * time.Second
 	// reportBytes is the length of a report: key, daemon, demand, stamp.
 	reportBytes = 8 + 8 + 4 + 8
-	// scatter is an odd number that spreads successive multiples evenly.
-	scatter = 0x9E3779B97F4A7C15
+	// goldenRatio is an odd number that spreads successive multiples evenly.
+	goldenRatio = 0x9E3779B97F4A7C15
 )
 
-// errTorn tells that a delta does not hold whole reports.
-var errTorn = errors.New("ceiling: delta does not hold whole reports")
+// errPartialReport tells that a delta does not hold whole reports.
+var errPartialReport = errors.New("ceiling: delta does not hold whole reports")
 
 // Name implements peer.Topic.
 func (*Store) Name() string { return "ceiling" }
@@ -34,11 +34,11 @@
 func (s *Store) Digest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.fresh) == 0 {
+	if len(s.recent) == 0 {
 		return nil
 	}
 	var sum uint64
-	for _, r := range s.fresh {
+	for _, r := range s.recent {
 		sum ^= (r.Key ^ uint64(r.Daemon)) * (2*r.Stamp + 1)
 	}
 	return binary.BigEndian.AppendUint64(nil, sum)
@@ -52,11 +52,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reports := make([]freshReport, 0, len(s.fresh))
-	for _, r := range s.fresh {
+	reports := make([]recentReport, 0, len(s.recent))
+	for _, r := range s.recent {
 		reports = append(reports, r)
 	}
-	slices.SortFunc(reports, func(a, b freshReport) int {
+	slices.SortFunc(reports, func(a, b recentReport) int {
 		return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Daemon, b.Daemon))
 	})
 	n := min(len(reports), limit/reportBytes)
@@ -64,8 +64,8 @@
 		return nil
 	}
 	// A scattered start keeps the turns from falling in step with the peers.
-	s.turn++
-	start := int((s.turn * scatter) >> 33 % uint64(len(reports)))
+	s.deltas++
+	start := int((s.deltas * goldenRatio) >> 33 % uint64(len(reports)))
 	out := make([]byte, 0, n*reportBytes)
 	for i := range n {
 		out = appendReport(out, reports[(start+i)%len(reports)].Report)
@@ -77,8 +77,8 @@
 // are not kept.
 func (s *Store) Apply(delta []byte) error {
 	if len(delta)%reportBytes != 0 {
-		s.unread.Inc(1)
-		return errTorn
+		s.unreadable.Inc(1)
+		return errPartialReport
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 		r := readReport(b)
 		c := s.byHash[r.Key]
 		if c != nil && c.Merge(now, r) {
-			s.fresh[reportKey{r.Key, r.Daemon}] = freshReport{Report: r, since: now}
+			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, since: now}
 		}
 	}
 	return nil
