--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -24,42 +24,42 @@
 
 // fleet is a number of daemons with nothing but their configuration.
 type fleet struct {
-	t      testing.TB
-	ctx    context.Context
-	memory *recordlog.Memory
-	log    *recordlog.FaultyLog
-	net    *controltest.Network
-	peers  []peer.Peer
-	nodes  []*node
-	reads  atomic.Int64
-	writes atomic.Int64
+	t       testing.TB
+	ctx     context.Context
+	memory  *recordlog.Memory
+	log     *recordlog.FaultyLog
+	network *controltest.Network
+	peers   []peer.Peer
+	nodes   []*node
+	reads   atomic.Int64
+	appends atomic.Int64
 
 	mu sync.Mutex
-	// forced says when each node put each version in force.
-	forced map[model.Version]map[model.DaemonID]time.Time
+	// inForceAt says when each node put each version in force.
+	inForceAt map[model.Version]map[model.DaemonID]time.Time
 	// chains says which change each version was made by, at any node.
 	chains map[model.Version]string
 }
 
 type node struct {
 	peer.Peer
-	store  *configuration.Store
-	link   *controltest.Link
-	cancel context.CancelFunc
-	lives  uint64
+	store       *configuration.Store
+	logConn     *controltest.LogConnection
+	cancel      context.CancelFunc
+	incarnation uint64
 }
 
 const zones = 5
 
 func startFleet(t testing.TB, ctx context.Context, size int) *fleet {
-	f := &fleet{t: t, ctx: ctx, memory: &recordlog.Memory{}, net: controltest.NewNetwork(500 * time.Microsecond),
-		forced: map[model.Version]map[model.DaemonID]time.Time{}, chains: map[model.Version]string{}}
+	f := &fleet{t: t, ctx: ctx, memory: &recordlog.Memory{}, network: controltest.NewNetwork(500 * time.Microsecond),
+		inForceAt: map[model.Version]map[model.DaemonID]time.Time{}, chains: map[model.Version]string{}}
 	f.log = recordlog.NewFaultyLog(f.memory)
 	for i := range size {
 		f.peers = append(f.peers, peer.Peer{ID: model.DaemonID(fmt.Sprint("d", i)), Zone: zone(i % zones)})
 	}
 	for _, p := range f.peers {
-		n := &node{Peer: p, link: &controltest.Link{Log: f.log, Reads: &f.reads, Appends: &f.writes}}
+		n := &node{Peer: p, logConn: &controltest.LogConnection{Log: f.log, Reads: &f.reads, Appends: &f.appends}}
 		f.nodes = append(f.nodes, n)
 		f.start(n)
 	}
@@ -71,12 +71,12 @@
 // start begins a life of a node, which knows nothing.
 func (f *fleet) start(n *node) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	n.lives++
-	seed := n.lives<<32 | uint64(slices.Index(f.peers, n.Peer))
+	n.incarnation++
+	seed := n.incarnation<<32 | uint64(slices.Index(f.peers, n.Peer))
 	var x *peer.Exchanger
 	n.cancel = cancel
 	store := configuration.NewStore(configuration.Options{
-		Log:  n.link,
+		Log:  n.logConn,
 		Seed: seed,
 		IsLogReader: func() bool {
 			return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, f.peers)
@@ -84,7 +84,7 @@
 		OnUpdate:           func() { x.TriggerRound() },
 		CheckpointInterval: time.Minute,
 	})
-	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: f.net.From(n.ID),
+	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: f.network.Endpoint(n.ID),
 		Peers: func() []peer.Peer { return f.peers }})
 	x.Register(store.Topic())
 	n.store = store
@@ -95,21 +95,21 @@
 			f.t.Errorf("%s went back from version %d to %d", n.ID, last, c.Version)
 		}
 		last = c.Version
-		f.note(n.ID, c.Version, st)
+		f.recordInForce(n.ID, c.Version, st)
 	})
-	f.net.Attach(n.Peer, &peer.Service{Exchanger: x})
+	f.network.Attach(n.Peer, &peer.Service{Exchanger: x})
 	go func() { _ = store.Serve(ctx) }()
 	go func() { _ = x.Serve(ctx) }()
 }
 
-func (f *fleet) note(id model.DaemonID, v model.Version, st configuration.Status) {
+func (f *fleet) recordInForce(id model.DaemonID, v model.Version, st configuration.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.forced[v] == nil {
-		f.forced[v] = map[model.DaemonID]time.Time{}
+	if f.inForceAt[v] == nil {
+		f.inForceAt[v] = map[model.DaemonID]time.Time{}
 	}
-	if _, ok := f.forced[v][id]; !ok {
-		f.forced[v][id] = time.Now()
+	if _, ok := f.inForceAt[v][id]; !ok {
+		f.inForceAt[v][id] = time.Now()
 	}
 	if st.Version != v {
 		return
@@ -122,19 +122,19 @@
 
 func (f *fleet) kill(n *node) {
 	n.cancel()
-	f.net.Attach(n.Peer, nil)
+	f.network.Attach(n.Peer, nil)
 }
 
-// cutZone cuts a zone off from the others and from the log.
-func (f *fleet) cutZone(z model.AvailabilityZone, cut bool) {
-	f.net.Cut(z, cut)
-	f.cutLog(z, cut)
+// partitionZone cuts a zone off from the others and from the log.
+func (f *fleet) partitionZone(z model.AvailabilityZone, cut bool) {
+	f.network.SetPartitioned(z, cut)
+	f.disconnectLog(z, cut)
 }
 
-func (f *fleet) cutLog(z model.AvailabilityZone, cut bool) {
+func (f *fleet) disconnectLog(z model.AvailabilityZone, cut bool) {
 	for _, n := range f.nodes {
 		if n.Zone == z {
-			n.link.Cut(cut)
+			n.logConn.SetDisconnected(cut)
 		}
 	}
 }
@@ -154,20 +154,20 @@
 		{Kind: policy.KindService, Name: name, Spec: json.RawMessage(`{"deadline":"2s"}`)}}}
 }
 
-// lag returns how long after start each node put a version in force, sorted.
+// delays returns how long after start each node put a version in force, sorted.
 // Nodes that have not are left out.
-func (f *fleet) lag(v model.Version, start time.Time) []time.Duration {
+func (f *fleet) delays(v model.Version, start time.Time) []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []time.Duration
-	for _, at := range f.forced[v] {
+	for _, at := range f.inForceAt[v] {
 		out = append(out, at.Sub(start))
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (f *fleet) at(v model.Version) int {
+func (f *fleet) countInForce(v model.Version) int {
 	count := 0
 	for _, n := range f.nodes {
 		if c := n.store.Current(); c != nil && c.Version == v {
@@ -181,4 +181,4 @@
 	return d[min(len(d)-1, int(float64(len(d))*p))]
 }
 
-func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -19,8 +19,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// inFleet runs a test with a fleet in virtual time.
-func inFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
+// runWithFleet runs a test with a fleet in virtual time.
+func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := startFleet(t, ctx, size)
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestAcceptedIsInForceEverywhereInTime(t *testing.T) {
+func TestAcceptedChangeIsInForceEverywhereInTime(t *testing.T) {
 	const size = 60
 	for name, c := range map[string]struct {
 		fault  func(f *fleet)
@@ -40,16 +40,16 @@
 	}{
 		"healthy":               {func(*fleet) {}, size, time.Second},
 		"log slow":              {func(f *fleet) { f.log.SetFaults(recordlog.Faults{Latency: time.Second}) }, size, 3 * time.Second},
-		"zone cut off from log": {func(f *fleet) { f.cutLog(zone(1), true) }, size, 3 * time.Second},
-		"zone cut off":          {func(f *fleet) { f.cutZone(zone(1), true) }, size * 4 / 5, 3 * time.Second},
+		"zone cut off from log": {func(f *fleet) { f.disconnectLog(zone(1), true) }, size, 3 * time.Second},
+		"zone cut off":          {func(f *fleet) { f.partitionZone(zone(1), true) }, size * 4 / 5, 3 * time.Second},
 		"all but one zone cut off from log": {func(f *fleet) {
 			for i := range zones - 1 {
-				f.cutLog(zone(i), true)
+				f.disconnectLog(zone(i), true)
 			}
 		}, size, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, size, func(t *testing.T, f *fleet) {
+			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				f.publish("first")
 				time.Sleep(20 * time.Second)
 				c.fault(f)
@@ -58,48 +58,48 @@
 				accepted := time.Now()
 				time.Sleep(c.within)
 				synctest.Wait()
-				require.Equal(t, c.reach, f.at(res.Version))
-				require.LessOrEqual(t, percentile(f.lag(res.Version, accepted), 1), c.within)
+				require.Equal(t, c.reach, f.countInForce(res.Version))
+				require.LessOrEqual(t, percentile(f.delays(res.Version, accepted), 1), c.within)
 			})
 		})
 	}
 }
 
-func TestLogThatFailsRightAfterAChangeWasRead(t *testing.T) {
-	inFleet(t, 60, func(t *testing.T, f *fleet) {
+func TestPeersSpreadChangeWhenLogFailsAfterFirstRead(t *testing.T) {
+	runWithFleet(t, 60, func(t *testing.T, f *fleet) {
 		f.publish("first")
 		time.Sleep(20 * time.Second)
 		res := f.publish("second")
-		for f.at(res.Version) == 0 {
+		for f.countInForce(res.Version) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		f.log.SetFaults(recordlog.Faults{Down: true})
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 60, f.at(res.Version), "one daemon had read it; it handed it on")
+		require.Equal(t, 60, f.countInForce(res.Version), "one daemon had read it; it handed it on")
 	})
 }
 
-func TestCutZoneServesOnAndFollowsWhenItIsBack(t *testing.T) {
-	inFleet(t, 50, func(t *testing.T, f *fleet) {
+func TestPartitionedZoneKeepsServingAndCatchesUp(t *testing.T) {
+	runWithFleet(t, 50, func(t *testing.T, f *fleet) {
 		f.publish("first")
 		time.Sleep(20 * time.Second)
-		f.cutZone(zone(2), true)
+		f.partitionZone(zone(2), true)
 		time.Sleep(time.Minute)
 		res := f.publish("second")
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, 40, f.at(res.Version))
-		require.Equal(t, 10, f.at(1), "the cut zone serves what it has")
-		f.cutZone(zone(2), false)
+		require.Equal(t, 40, f.countInForce(res.Version))
+		require.Equal(t, 10, f.countInForce(1), "the cut zone serves what it has")
+		f.partitionZone(zone(2), false)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 50, f.at(res.Version))
+		require.Equal(t, 50, f.countInForce(res.Version))
 	})
 }
 
-func TestBootDuringAnOutageServesWhatPeersGiveAndIsNotSure(t *testing.T) {
-	inFleet(t, 20, func(t *testing.T, f *fleet) {
+func TestStartDuringLogOutageServesPeersVersionButIsNotCaughtUp(t *testing.T) {
+	runWithFleet(t, 20, func(t *testing.T, f *fleet) {
 		for i := range 70 {
 			f.publish(fmt.Sprint("s", i))
 		}
@@ -112,18 +112,18 @@
 		synctest.Wait()
 		st := n.store.Status()
 		require.EqualValues(t, 70, n.store.Current().Version)
-		require.False(t, st.Sure)
-		require.NotEmpty(t, st.LogProblem)
+		require.False(t, st.CaughtUp)
+		require.NotEmpty(t, st.LogError)
 		f.log.SetFaults(recordlog.Faults{})
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
-		require.True(t, n.store.Status().Sure)
-		require.Empty(t, n.store.Status().LogProblem)
+		require.True(t, n.store.Status().CaughtUp)
+		require.Empty(t, n.store.Status().LogError)
 	})
 }
 
-func TestTrimmedLogWithoutACoveringCheckpointIsLeftToPeers(t *testing.T) {
-	inFleet(t, 6, func(t *testing.T, f *fleet) {
+func TestTrimmedLogWithoutCoveringCheckpointRecoversFromPeers(t *testing.T) {
+	runWithFleet(t, 6, func(t *testing.T, f *fleet) {
 		f.publish("first")
 		time.Sleep(10 * time.Second)
 		late, err := f.nodes[0].store.State().Checkpoint()
@@ -138,12 +138,12 @@
 		fresh := configuration.NewStore(configuration.Options{Log: f.log, IsLogReader: func() bool { return false }})
 		fresh.Poll(t.Context())
 		require.Nil(t, fresh.Current(), "the late checkpoint must not be taken for the newest")
-		require.False(t, fresh.Status().Sure)
+		require.False(t, fresh.Status().CaughtUp)
 		topic, from := fresh.Topic(), f.nodes[0].store.Topic()
 		require.NoError(t, topic.Apply(from.Delta(topic.Digest(), 1<<20)))
 		require.EqualValues(t, 2, fresh.Current().Version)
 		fresh.Poll(t.Context())
-		require.True(t, fresh.Status().Sure)
+		require.True(t, fresh.Status().CaughtUp)
 
 		// With a checkpoint that covers the gap a fresh daemon needs no peer.
 		time.Sleep(2 * time.Minute)
@@ -153,11 +153,11 @@
 	})
 }
 
-func TestLogThatLostRecordsIsNotFollowed(t *testing.T) {
+func TestLogThatLostRecordsIsNotApplied(t *testing.T) {
 	ctx := t.Context()
 	_, err := operator.Propose(ctx, &recordlog.Memory{}, proposal("x"))
 	require.NoError(t, err)
-	log := &swappedLog{Log: &recordlog.Memory{}}
+	log := &replaceableLog{Log: &recordlog.Memory{}}
 	for i := range 2 {
 		_, err = operator.Propose(ctx, log, proposal(fmt.Sprint("s", i)))
 		require.NoError(t, err)
@@ -170,12 +170,12 @@
 	require.NoError(t, err)
 	s.Poll(ctx)
 	require.EqualValues(t, 2, s.Current().Version)
-	require.Contains(t, s.Status().LogProblem, "ends before")
+	require.Contains(t, s.Status().LogError, "ends before")
 }
 
-type swappedLog struct{ recordlog.Log }
+type replaceableLog struct{ recordlog.Log }
 
-func TestTwoOperatorsAtOnceGetTheTruth(t *testing.T) {
+func TestConcurrentProposalsReportTheWinner(t *testing.T) {
 	for name, faults := range map[string]recordlog.Faults{
 		"healthy":               {Latency: 5 * time.Millisecond},
 		"replies lost":          {Latency: 5 * time.Millisecond, LoseReplies: 2},
@@ -184,7 +184,7 @@
 		"slow and replies lost": {Latency: time.Second, LoseReplies: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 10, func(t *testing.T, f *fleet) {
+			runWithFleet(t, 10, func(t *testing.T, f *fleet) {
 				f.publish("first")
 				f.log.SetFaults(faults)
 				ctx, cancel := context.WithTimeout(f.ctx, time.Minute)
@@ -211,28 +211,28 @@
 				f.log.SetFaults(recordlog.Faults{})
 				time.Sleep(5 * time.Second)
 				synctest.Wait()
-				require.Equal(t, 10, f.at(2))
+				require.Equal(t, 10, f.countInForce(2))
 			})
 		})
 	}
 }
 
-// TestFaultsInPairsNeverBringAnOlderVersionBack draws faults, two at a time,
+// TestPairsOfFaultsNeverRestoreAnOlderVersion draws faults, two at a time,
 // while operators publish and daemons restart.
-func TestFaultsInPairsNeverBringAnOlderVersionBack(t *testing.T) {
+func TestPairsOfFaultsNeverRestoreAnOlderVersion(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inFleet(t, 30, func(t *testing.T, f *fleet) {
-				rng := seeded(seed)
+			runWithFleet(t, 30, func(t *testing.T, f *fleet) {
+				rng := newRand(seed)
 				var held []byte
 				var heldNext uint64
 				faults := []func(on bool){
 					func(on bool) { f.log.SetFaults(recordlog.Faults{Down: on}) },
 					func(on bool) { f.log.SetFaults(recordlog.Faults{LoseReplies: 3, Duplicate: 2}) },
-					func(on bool) { f.cutZone(zone(int(seed)%zones), on) },
-					func(on bool) { f.cutLog(zone(3), on) },
+					func(on bool) { f.partitionZone(zone(int(seed)%zones), on) },
+					func(on bool) { f.disconnectLog(zone(3), on) },
 					func(bool) { n := f.nodes[rng.IntN(30)]; f.kill(n); f.start(n) },
-					func(on bool) { f.net.Silence(f.nodes[4].ID, on) },
+					func(on bool) { f.network.SetUnresponsive(f.nodes[4].ID, on) },
 					func(on bool) {
 						if on {
 							s := f.nodes[0].store.State()
@@ -277,7 +277,7 @@
 					require.Equal(t, want.Chain, st.Chain, "%s", n.ID)
 					require.False(t, st.Conflict)
 				}
-				require.Equal(t, 30, f.at(want.Version))
+				require.Equal(t, 30, f.countInForce(want.Version))
 			})
 		})
 	}
@@ -303,9 +303,9 @@
 	require.Equal(t, config.Invalid, view.Entries()[1].Verdict)
 }
 
-// BenchmarkFold folds 10,000 changes over 77 services with the validation that
+// BenchmarkApplyRecords folds 10,000 changes over 77 services with the validation that
 // daemons use.
-func BenchmarkFold(b *testing.B) {
+func BenchmarkApplyRecords(b *testing.B) {
 	const changes, services = 10_000, 77
 	records := make([][]byte, changes)
 	for i := range records {
--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -29,21 +29,21 @@
 	return res.Version, time.Now()
 }
 
-// lags returns how long after it was accepted each daemon had a version, and
+// delays returns how long after it was accepted each daemon had a version, and
 // requires that all have it.
-func (f *fleet) lags(t *testing.T, v model.Version, accepted time.Time) []time.Duration {
+func (f *fleet) delays(t *testing.T, v model.Version, accepted time.Time) []time.Duration {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	require.Equal(t, len(f.nodes), len(f.forced[v]), "daemons with version %d", v)
+	require.Equal(t, len(f.nodes), len(f.inForceAt[v]), "daemons with version %d", v)
 	var out []time.Duration
-	for _, at := range f.forced[v] {
+	for _, at := range f.inForceAt[v] {
 		out = append(out, at.Sub(accepted))
 	}
 	return out
 }
 
-func cpu(t *testing.T) time.Duration {
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var u syscall.Rusage
 	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
@@ -52,70 +52,70 @@
 
 // Bounds of the control plane, at any size measured here.
 const (
-	maxBytes  = 19 << 10 // a second and daemon, both directions
-	maxReads  = 300      // a second, of all daemons
-	maxWrites = 10       // a second, of all daemons
-	toForce   = 3 * time.Second
+	maxBytesPerSecond   = 19 << 10 // a second and daemon, both directions
+	maxReadsPerSecond   = 300      // a second, of all daemons
+	maxAppendsPerSecond = 10       // a second, of all daemons
+	maxTimeToForce      = 3 * time.Second
 )
 
-// TestCostAtRest measures what the control plane spends when nothing happens.
+// TestIdleCost measures what the control plane spends when nothing happens.
 // Bytes are those of rounds with the heads of messages, at the daemon that
 // starts and at the one that answers.
-func TestCostAtRest(t *testing.T) {
-	for _, size := range []int{10, 30, medium, largest} {
+func TestIdleCost(t *testing.T) {
+	for _, size := range []int{10, 30, mediumFleet, largestFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			inFleet(t, size, func(t *testing.T, f *fleet) {
+			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				const seconds = 60
-				used := cpu(t)
-				messages, _ := f.net.Traffic()
-				reads, writes, bytes := f.reads.Load(), f.writes.Load(), f.spent()
+				used := cpuTime(t)
+				messages, _ := f.network.Traffic()
+				reads, writes, bytes := f.logReads.Load(), f.logAppends.Load(), f.sentBytes()
 				time.Sleep(seconds * time.Second)
-				after, _ := f.net.Traffic()
+				after, _ := f.network.Traffic()
 				perDaemon := float64(seconds * size)
 				t.Logf("%d daemons, a second: %.0f bytes and %.2f messages a daemon, %.1f reads and %.2f appends in all; %.0f us of CPU a daemon",
-					size, float64(f.spent()-bytes)/perDaemon, float64(after-messages)/perDaemon, float64(f.reads.Load()-reads)/seconds,
-					float64(f.writes.Load()-writes)/seconds, float64((cpu(t)-used).Microseconds())/perDaemon)
-				require.Less(t, float64(f.spent()-bytes)/perDaemon, float64(maxBytes))
-				require.Less(t, (f.reads.Load()-reads)/seconds, int64(maxReads))
-				require.Less(t, (f.writes.Load()-writes)/seconds, int64(maxWrites))
+					size, float64(f.sentBytes()-bytes)/perDaemon, float64(after-messages)/perDaemon, float64(f.logReads.Load()-reads)/seconds,
+					float64(f.logAppends.Load()-writes)/seconds, float64((cpuTime(t)-used).Microseconds())/perDaemon)
+				require.Less(t, float64(f.sentBytes()-bytes)/perDaemon, float64(maxBytesPerSecond))
+				require.Less(t, (f.logReads.Load()-reads)/seconds, int64(maxReadsPerSecond))
+				require.Less(t, (f.logAppends.Load()-writes)/seconds, int64(maxAppendsPerSecond))
 			})
 		})
 	}
 }
 
-func (f *fleet) spent() int64 { return f.spentBy(f.nodes) }
+func (f *fleet) sentBytes() int64 { return f.sentBytesOf(f.nodes) }
 
-func (f *fleet) spentBy(nodes []*node) int64 {
+func (f *fleet) sentBytesOf(nodes []*node) int64 {
 	var n int64
 	for _, x := range nodes {
-		n += x.exchange.TotalBytes()
+		n += x.exchanger.TotalBytes()
 	}
 	return n
 }
 
-// TestTimeToForce measures how long after it was accepted a change is in force
+// TestTimeUntilInForce measures how long after it was accepted a change is in force
 // at each daemon.
-func TestTimeToForce(t *testing.T) {
+func TestTimeUntilInForce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		size  int
 		fault func(f *fleet, on bool)
-		// within bounds the 99th percentile; toForce bounds the largest.
+		// within bounds the 99th percentile; maxTimeToForce bounds the largest.
 		within time.Duration
 	}{
 		{"healthy", 10, func(*fleet, bool) {}, time.Second},
-		{"healthy", medium, func(*fleet, bool) {}, time.Second},
-		{"healthy", largest, func(*fleet, bool) {}, time.Second},
-		{"log answers in 1 s", medium, func(f *fleet, on bool) {
-			f.log.SetFaults(recordlog.Faults{Latency: latency(on, time.Second)})
+		{"healthy", mediumFleet, func(*fleet, bool) {}, time.Second},
+		{"healthy", largestFleet, func(*fleet, bool) {}, time.Second},
+		{"log answers in 1 s", mediumFleet, func(f *fleet, on bool) {
+			f.log.SetFaults(recordlog.Faults{Latency: logLatency(on, time.Second)})
 		}, 3 * time.Second},
-		{"log down 100 ms after", medium, func(f *fleet, on bool) {
-			f.log.SetFaults(recordlog.Faults{Latency: latency(false, 0), Down: on})
+		{"log down 100 ms after", mediumFleet, func(f *fleet, on bool) {
+			f.log.SetFaults(recordlog.Faults{Latency: logLatency(false, 0), Down: on})
 		}, 3 * time.Second},
-		{"a zone cut off from the log", medium, func(f *fleet, on bool) { f.cutLog(zone(1), on) }, 3 * time.Second},
+		{"a zone cut off from the log", mediumFleet, func(f *fleet, on bool) { f.disconnectLog(zone(1), on) }, 3 * time.Second},
 	} {
 		t.Run(fmt.Sprint(c.name, " ", c.size), func(t *testing.T) {
-			inFleet(t, c.size, func(t *testing.T, f *fleet) {
+			runWithFleet(t, c.size, func(t *testing.T, f *fleet) {
 				var all []time.Duration
 				down := c.name == "log down 100 ms after"
 				for i := range samples / c.size {
@@ -128,39 +128,39 @@
 						time.Sleep(100 * time.Millisecond)
 						c.fault(f, true)
 					}
-					time.Sleep(toForce)
+					time.Sleep(maxTimeToForce)
 					synctest.Wait()
 					c.fault(f, false)
-					if down && len(f.forcedAt(v)) == 0 {
+					if down && len(f.timesInForce(v)) == 0 {
 						continue // nobody had read it before the log went down
 					}
-					all = append(all, f.lags(t, v, accepted)...)
+					all = append(all, f.delays(t, v, accepted)...)
 				}
 				slices.Sort(all)
 				require.NotEmpty(t, all)
 				t.Logf("%s, %d daemons, %d samples: p50 %v, p99 %v, max %v", c.name, c.size, len(all),
-					at(all, 0.5), at(all, 0.99), all[len(all)-1])
-				require.LessOrEqual(t, at(all, 0.99), c.within)
-				require.LessOrEqual(t, all[len(all)-1], toForce)
+					percentile(all, 0.5), percentile(all, 0.99), all[len(all)-1])
+				require.LessOrEqual(t, percentile(all, 0.99), c.within)
+				require.LessOrEqual(t, all[len(all)-1], maxTimeToForce)
 			})
 		})
 	}
 }
 
-func (f *fleet) forcedAt(v model.Version) []time.Time {
+func (f *fleet) timesInForce(v model.Version) []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.forced[v]
+	return f.inForceAt[v]
 }
 
-func latency(slow bool, d time.Duration) time.Duration {
+func logLatency(slow bool, d time.Duration) time.Duration {
 	if slow {
 		return d
 	}
 	return 5 * time.Millisecond
 }
 
-func at(d []time.Duration, p float64) time.Duration {
+func percentile(d []time.Duration, p float64) time.Duration {
 	return d[min(len(d)-1, int(float64(len(d))*p))].Round(time.Millisecond)
 }
 
@@ -176,31 +176,31 @@
 		"log down": {recordlog.Faults{Down: true}, 20 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, largest, func(t *testing.T, f *fleet) {
+			runWithFleet(t, largestFleet, func(t *testing.T, f *fleet) {
 				v, _ := f.publish(t, 1)
 				time.Sleep(5 * time.Second)
-				restarted := largest * 5 / 6
+				restarted := largestFleet * 5 / 6
 				for i := range restarted {
 					f.kill(i)
 				}
 				time.Sleep(time.Second)
 				f.log.SetFaults(c.faults)
-				reads, writes := f.reads.Load(), f.writes.Load()
-				survivors := f.spentBy(f.nodes[restarted:])
+				reads, writes := f.logReads.Load(), f.logAppends.Load()
+				survivors := f.sentBytesOf(f.nodes[restarted:])
 				for i := range restarted {
 					f.start(i)
 				}
-				took := f.await(t, c.within, func() bool { return f.has(v) && f.complete() })
+				took := f.waitFor(t, c.within, func() bool { return f.allAtVersion(v) && f.allSeeAll() })
 				t.Logf("%s, %d of %d daemons restarted: whole after %v with %d reads and %d appends, %d KB a restarted daemon, %d KB a survivor",
-					name, restarted, largest, took, f.reads.Load()-reads, f.writes.Load()-writes,
-					f.spentBy(f.nodes[:restarted])/int64(restarted)/1024, (f.spentBy(f.nodes[restarted:])-survivors)/int64(largest-restarted)/1024)
-				require.Less(t, f.writes.Load()-writes, int64(restarted/2), "the log is written in batches")
+					name, restarted, largestFleet, took, f.logReads.Load()-reads, f.logAppends.Load()-writes,
+					f.sentBytesOf(f.nodes[:restarted])/int64(restarted)/1024, (f.sentBytesOf(f.nodes[restarted:])-survivors)/int64(largestFleet-restarted)/1024)
+				require.Less(t, f.logAppends.Load()-writes, int64(restarted/2), "the log is written in batches")
 			})
 		})
 	}
 }
 
-func (f *fleet) has(v model.Version) bool {
+func (f *fleet) allAtVersion(v model.Version) bool {
 	for _, n := range f.nodes {
 		if c := n.store.Current(); c == nil || c.Version != v {
 			return false
@@ -209,12 +209,12 @@
 	return true
 }
 
-// TestLeavingReachesEveryDaemon measures how long a draining upstream still
+// TestDrainingReachesEveryDaemon measures how long a draining upstream still
 // looks eligible anywhere, with the log down.
-func TestLeavingReachesEveryDaemon(t *testing.T) {
-	for _, size := range []int{10, medium, largest} {
+func TestDrainingReachesEveryDaemon(t *testing.T) {
+	for _, size := range []int{10, mediumFleet, largestFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			inFleet(t, size, func(t *testing.T, f *fleet) {
+			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				f.log.SetFaults(recordlog.Faults{Down: true})
 				var all []time.Duration
 				for i := range 5 {
@@ -222,7 +222,7 @@
 					u, _ := f.nodes[i].registry.Upstreams("s")
 					own := u[slices.IndexFunc(u, func(v model.Upstream) bool { return v.Daemon == f.nodes[i].ID })]
 					f.nodes[i].registry.Announce(member.Event{Upstream: own, State: member.Draining}, 0)
-					all = append(all, f.await(t, 2*time.Second, func() bool { return f.draining(own.ID) == size }))
+					all = append(all, f.waitFor(t, 2*time.Second, func() bool { return f.countDraining(own.ID) == size }))
 				}
 				slices.Sort(all)
 				t.Logf("%d daemons: known to the last of them after %v at best, %v at worst", size, all[0], all[len(all)-1])
@@ -231,25 +231,25 @@
 	}
 }
 
-// TestDeadDaemonIsNoticed measures how long until every daemon leaves out one
+// TestDeadDaemonIsRemovedEverywhere measures how long until every daemon leaves out one
 // that was killed, and until it is back in every view after its restart.
-func TestDeadDaemonIsNoticed(t *testing.T) {
-	for _, size := range []int{10, medium} {
+func TestDeadDaemonIsRemovedEverywhere(t *testing.T) {
+	for _, size := range []int{10, mediumFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			inFleet(t, size, func(t *testing.T, f *fleet) {
+			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				dead := f.nodes[size-1]
 				f.kill(size - 1)
 				alive := &fleet{nodes: f.nodes[:size-1]}
-				gone := f.await(t, 15*time.Second, func() bool { return alive.thinkDead(dead.ID) == size-1 })
+				gone := f.waitFor(t, 15*time.Second, func() bool { return alive.countConsideringDead(dead.ID) == size-1 })
 				f.start(size - 1)
-				back := f.await(t, 15*time.Second, f.complete)
+				back := f.waitFor(t, 15*time.Second, f.allSeeAll)
 				t.Logf("%d daemons: left out everywhere after %v, back everywhere %v after its start", size, gone, back)
 			})
 		})
 	}
 }
 
-func (f *fleet) thinkDead(id model.DaemonID) int {
+func (f *fleet) countConsideringDead(id model.DaemonID) int {
 	count := 0
 	for _, n := range f.nodes {
 		if n.registry.Health(id) == member.Dead {
@@ -259,7 +259,7 @@
 	return count
 }
 
-func (f *fleet) draining(id model.UpstreamID) int {
+func (f *fleet) countDraining(id model.UpstreamID) int {
 	count := 0
 	for _, n := range f.nodes {
 		ups, _ := n.registry.Upstreams("s")
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -24,24 +24,24 @@
 // fleet is a number of whole control planes: configuration, membership and the
 // exchange, as a daemon has them.
 type fleet struct {
-	ctx           context.Context
-	log           *recordlog.FaultyLog
-	net           *controltest.Network
-	nodes         []*node
-	reads, writes atomic.Int64
+	ctx                  context.Context
+	log                  *recordlog.FaultyLog
+	network              *controltest.Network
+	nodes                []*node
+	logReads, logAppends atomic.Int64
 
-	mu     sync.Mutex
-	forced map[model.Version][]time.Time
+	mu        sync.Mutex
+	inForceAt map[model.Version][]time.Time
 }
 
 type node struct {
 	peer.Peer
-	link     *controltest.Link
-	store    *configuration.Store
-	registry *membership.Registry
-	exchange *peer.Exchanger
-	cancel   context.CancelFunc
-	lives    uint64
+	logConn     *controltest.LogConnection
+	store       *configuration.Store
+	registry    *membership.Registry
+	exchanger   *peer.Exchanger
+	cancel      context.CancelFunc
+	incarnation uint64
 }
 
 const zones = 5
@@ -49,12 +49,12 @@
 func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("zone-", i%zones)) }
 
 func newFleet(ctx context.Context, size int) *fleet {
-	f := &fleet{ctx: ctx, net: controltest.NewNetwork(500 * time.Microsecond), forced: map[model.Version][]time.Time{}}
+	f := &fleet{ctx: ctx, network: controltest.NewNetwork(500 * time.Microsecond), inForceAt: map[model.Version][]time.Time{}}
 	f.log = recordlog.NewFaultyLog(&recordlog.Memory{})
 	f.log.SetFaults(recordlog.Faults{Latency: 5 * time.Millisecond})
 	for i := range size {
 		n := &node{Peer: peer.Peer{ID: model.DaemonID(fmt.Sprintf("10.0.%d.%d:7001", i/256, i%256)), Zone: zone(i)},
-			link: &controltest.Link{Log: f.log, Reads: &f.reads, Appends: &f.writes}}
+			logConn: &controltest.LogConnection{Log: f.log, Reads: &f.logReads, Appends: &f.logAppends}}
 		f.nodes = append(f.nodes, n)
 	}
 	return f
@@ -64,17 +64,17 @@
 	n := f.nodes[i]
 	ctx, cancel := context.WithCancel(f.ctx)
 	n.cancel = cancel
-	n.lives++
-	seed := uint64(i)<<20 | n.lives
+	n.incarnation++
+	seed := uint64(i)<<20 | n.incarnation
 	var x *peer.Exchanger
 	var r *membership.Registry
 	reads := func() bool {
 		return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, r.Peers())
 	}
 	hint := func() { x.TriggerRound() }
-	end := f.net.From(n.ID)
-	store := configuration.NewStore(configuration.Options{Log: n.link, IsLogReader: reads, OnUpdate: hint, Seed: seed})
-	r = membership.NewRegistry(membership.Options{Self: n.ID, Zone: n.Zone, Log: n.link, Pinger: end,
+	end := f.network.Endpoint(n.ID)
+	store := configuration.NewStore(configuration.Options{Log: n.logConn, IsLogReader: reads, OnUpdate: hint, Seed: seed})
+	r = membership.NewRegistry(membership.Options{Self: n.ID, Zone: n.Zone, Log: n.logConn, Pinger: end,
 		IsLogReader: reads, OnUpdate: hint, Seed: seed, MaxUpstreams: 1 << 20})
 	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Transport: end, Seed: seed,
 		Peers: r.Peers, Unreachable: r.DeadPeers, OnResult: r.RecordExchange})
@@ -83,32 +83,32 @@
 	store.OnChange(func(c *configuration.InForce) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.forced[c.Version] = append(f.forced[c.Version], time.Now())
+		f.inForceAt[c.Version] = append(f.inForceAt[c.Version], time.Now())
 	})
-	f.net.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
-	n.store, n.registry, n.exchange = store, r, x
+	f.network.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
+	n.store, n.registry, n.exchanger = store, r, x
 	for _, p := range []interface{ Serve(context.Context) error }{store, r, x} {
 		go func() { _ = p.Serve(ctx) }()
 	}
 	up := model.Upstream{ID: model.UpstreamID(fmt.Sprintf("service-%d-%d", i/22, i)), Service: "s", Zone: n.Zone,
-		Daemon: n.ID, Slots: 6, Incarnation: model.Incarnation(n.lives)}
+		Daemon: n.ID, Slots: 6, Incarnation: model.Incarnation(n.incarnation)}
 	r.Announce(member.Event{Upstream: up, State: member.Joined}, 0)
 }
 
 func (f *fleet) kill(i int) {
 	f.nodes[i].cancel()
-	f.net.Attach(f.nodes[i].Peer, nil)
+	f.network.Attach(f.nodes[i].Peer, nil)
 }
 
-func (f *fleet) cutLog(z model.AvailabilityZone, cut bool) {
+func (f *fleet) disconnectLog(z model.AvailabilityZone, cut bool) {
 	for _, n := range f.nodes {
 		if n.Zone == z {
-			n.link.Cut(cut)
+			n.logConn.SetDisconnected(cut)
 		}
 	}
 }
 
-func (f *fleet) complete() bool {
+func (f *fleet) allSeeAll() bool {
 	for _, n := range f.nodes {
 		if ups, _ := n.registry.Upstreams("s"); len(ups) != len(f.nodes) {
 			return false
@@ -117,7 +117,7 @@
 	return true
 }
 
-func (f *fleet) await(t *testing.T, within time.Duration, holds func() bool) time.Duration {
+func (f *fleet) waitFor(t *testing.T, within time.Duration, holds func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for !holds() {
@@ -127,14 +127,14 @@
 	return time.Since(start)
 }
 
-func inFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
+func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := newFleet(ctx, size)
 		for i := range f.nodes {
 			f.start(i)
 		}
-		f.await(t, time.Minute, f.complete)
+		f.waitFor(t, time.Minute, f.allSeeAll)
 		time.Sleep(30 * time.Second)
 		test(t, f)
 		cancel()
--- a/controltest/log.go
+++ b/controltest/log.go
@@ -9,28 +9,28 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Link is the log as one daemon reaches it: it can be cut off from it, and
+// LogConnection is the log as one daemon reaches it: it can be cut off from it, and
 // counts what it asks.
-type Link struct {
+type LogConnection struct {
 	Log recordlog.Log
 	// Reads and Appends count the operations of all links that share them.
 	Reads, Appends *atomic.Int64
 
-	mu  sync.Mutex
-	cut bool
+	mu           sync.Mutex
+	disconnected bool
 }
 
-// Cut cuts the daemon off from the log, or connects it again.
-func (l *Link) Cut(cut bool) {
+// SetDisconnected cuts the daemon off from the log, or connects it again.
+func (l *LogConnection) SetDisconnected(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
+	l.disconnected = cut
 }
 
-func (l *Link) reach(ctx context.Context) error {
+func (l *LogConnection) waitReachable(ctx context.Context) error {
 	const timeout = 2 * time.Second
 	l.mu.Lock()
-	cut := l.cut
+	cut := l.disconnected
 	l.mu.Unlock()
 	if !cut {
 		return nil
@@ -42,18 +42,18 @@
 }
 
 // Append implements recordlog.Log.
-func (l *Link) Append(ctx context.Context, stream string, records [][]byte) (recordlog.Offset, error) {
+func (l *LogConnection) Append(ctx context.Context, stream string, records [][]byte) (recordlog.Offset, error) {
 	l.Appends.Add(1)
-	if err := l.reach(ctx); err != nil {
+	if err := l.waitReachable(ctx); err != nil {
 		return 0, &recordlog.AppendError{Stream: stream, Uncertain: true, Err: err}
 	}
 	return l.Log.Append(ctx, stream, records)
 }
 
 // Read implements recordlog.Log.
-func (l *Link) Read(ctx context.Context, stream string, from recordlog.Offset, limit int) (recordlog.Batch, error) {
+func (l *LogConnection) Read(ctx context.Context, stream string, from recordlog.Offset, limit int) (recordlog.Batch, error) {
 	l.Reads.Add(1)
-	if err := l.reach(ctx); err != nil {
+	if err := l.waitReachable(ctx); err != nil {
 		return recordlog.Batch{}, err
 	}
 	return l.Log.Read(ctx, stream, from, limit)
--- a/controltest/network.go
+++ b/controltest/network.go
@@ -22,25 +22,25 @@
 	// Delay is the one-way delay within a zone; between zones it is twice that.
 	Delay time.Duration
 
-	mu       sync.Mutex
-	services map[model.DaemonID]*peer.Service
-	zones    map[model.DaemonID]model.AvailabilityZone
-	cut      map[model.AvailabilityZone]bool
-	silent   map[model.DaemonID]bool
-	blocked  map[[2]model.DaemonID]bool
-	messages int
-	bytes    int
+	mu           sync.Mutex
+	services     map[model.DaemonID]*peer.Service
+	zones        map[model.DaemonID]model.AvailabilityZone
+	partitioned  map[model.AvailabilityZone]bool
+	unresponsive map[model.DaemonID]bool
+	blocked      map[[2]model.DaemonID]bool
+	messages     int
+	bytes        int
 }
 
 // NewNetwork returns a Network without daemons.
 func NewNetwork(delay time.Duration) *Network {
 	return &Network{
-		Delay:    delay,
-		services: make(map[model.DaemonID]*peer.Service),
-		zones:    make(map[model.DaemonID]model.AvailabilityZone),
-		cut:      make(map[model.AvailabilityZone]bool),
-		silent:   make(map[model.DaemonID]bool),
-		blocked:  make(map[[2]model.DaemonID]bool),
+		Delay:        delay,
+		services:     make(map[model.DaemonID]*peer.Service),
+		zones:        make(map[model.DaemonID]model.AvailabilityZone),
+		partitioned:  make(map[model.AvailabilityZone]bool),
+		unresponsive: make(map[model.DaemonID]bool),
+		blocked:      make(map[[2]model.DaemonID]bool),
 	}
 }
 
@@ -51,23 +51,23 @@
 	n.services[p.ID], n.zones[p.ID] = s, p.Zone
 }
 
-// Cut cuts a zone off from all others, or connects it again.
-func (n *Network) Cut(z model.AvailabilityZone, cut bool) {
+// SetPartitioned cuts a zone off from all others, or connects it again.
+func (n *Network) SetPartitioned(z model.AvailabilityZone, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[z] = cut
+	n.partitioned[z] = cut
 }
 
-// Silence makes a daemon take messages without ever answering, as when its
+// SetUnresponsive makes a daemon take messages without ever answering, as when its
 // process is paused or its link is half open.
-func (n *Network) Silence(d model.DaemonID, silent bool) {
+func (n *Network) SetUnresponsive(d model.DaemonID, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent[d] = silent
+	n.unresponsive[d] = silent
 }
 
-// Block stops messages from one daemon to another, in this direction only.
-func (n *Network) Block(from, to model.DaemonID, blocked bool) {
+// SetBlocked stops messages from one daemon to another, in this direction only.
+func (n *Network) SetBlocked(from, to model.DaemonID, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked[[2]model.DaemonID{from, to}] = blocked
@@ -81,8 +81,8 @@
 	return n.messages, n.bytes
 }
 
-// From returns the network as one daemon uses it.
-func (n *Network) From(d model.DaemonID) Endpoint { return Endpoint{network: n, self: d} }
+// Endpoint returns the network as one daemon uses it.
+func (n *Network) Endpoint(d model.DaemonID) Endpoint { return Endpoint{network: n, self: d} }
 
 // Endpoint sends the messages of one daemon.
 type Endpoint struct {
@@ -92,17 +92,17 @@
 
 // Exchange implements peer.Transport.
 func (e Endpoint) Exchange(ctx context.Context, to model.DaemonID, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
-	s, err := e.reach(ctx, to, proto.Size(req))
+	s, err := e.deliver(ctx, to, proto.Size(req))
 	if err != nil {
 		return nil, err
 	}
 	resp := s.Exchanger.Handle(req)
-	return resp, e.back(ctx, to, proto.Size(resp))
+	return resp, e.respond(ctx, to, proto.Size(resp))
 }
 
 // Ping asks whether a daemon lives.
 func (e Endpoint) Ping(ctx context.Context, to model.DaemonID, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
-	s, err := e.reach(ctx, to, proto.Size(req))
+	s, err := e.deliver(ctx, to, proto.Size(req))
 	if err != nil {
 		return nil, err
 	}
@@ -110,10 +110,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return resp, e.back(ctx, to, proto.Size(resp))
+	return resp, e.respond(ctx, to, proto.Size(resp))
 }
 
-func (e Endpoint) reach(ctx context.Context, to model.DaemonID, size int) (*peer.Service, error) {
+func (e Endpoint) deliver(ctx context.Context, to model.DaemonID, size int) (*peer.Service, error) {
 	if err := sleep(ctx, e.delay(to)); err != nil {
 		return nil, err
 	}
@@ -121,8 +121,8 @@
 	n.mu.Lock()
 	n.messages++
 	n.bytes += size
-	s, silent := n.services[to], n.silent[to] || n.silent[e.self]
-	lost := n.apart(e.self, to) || n.blocked[[2]model.DaemonID{e.self, to}]
+	s, silent := n.services[to], n.unresponsive[to] || n.unresponsive[e.self]
+	lost := n.separated(e.self, to) || n.blocked[[2]model.DaemonID{e.self, to}]
 	n.mu.Unlock()
 	if silent || lost {
 		<-ctx.Done()
@@ -134,7 +134,7 @@
 	return s, nil
 }
 
-func (e Endpoint) back(ctx context.Context, from model.DaemonID, size int) error {
+func (e Endpoint) respond(ctx context.Context, from model.DaemonID, size int) error {
 	n := e.network
 	n.mu.Lock()
 	n.bytes += size
@@ -147,11 +147,11 @@
 	return sleep(ctx, e.delay(from))
 }
 
-// apart reports whether two daemons are on different sides of a cut. n.mu is
+// separated reports whether two daemons are on different sides of a cut. n.mu is
 // held.
-func (n *Network) apart(a, b model.DaemonID) bool {
+func (n *Network) separated(a, b model.DaemonID) bool {
 	za, zb := n.zones[a], n.zones[b]
-	return za != zb && (n.cut[za] || n.cut[zb])
+	return za != zb && (n.partitioned[za] || n.partitioned[zb])
 }
 
 func (e Endpoint) delay(to model.DaemonID) time.Duration {
--- a/controltest/norace_test.go
+++ b/controltest/norace_test.go
@@ -4,7 +4,7 @@
 
 // The numbers of daemons measured, and of samples of the time to force.
 const (
-	medium  = 100
-	largest = 300
-	samples = 1000
+	mediumFleet  = 100
+	largestFleet = 300
+	samples      = 1000
 )
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -22,24 +22,24 @@
 
 // fleet is a number of daemons, each with one upstream of service "s".
 type fleet struct {
-	ctx    context.Context
-	memory *recordlog.Memory
-	log    *recordlog.FaultyLog
-	net    *controltest.Network
-	nodes  []*node
-	reads  atomic.Int64
-	writes atomic.Int64
+	ctx     context.Context
+	memory  *recordlog.Memory
+	log     *recordlog.FaultyLog
+	network *controltest.Network
+	nodes   []*node
+	reads   atomic.Int64
+	appends atomic.Int64
 }
 
 type node struct {
 	peer.Peer
-	upstream model.Upstream
-	registry *membership.Registry
-	first    []peer.Peer
-	link     *controltest.Link
-	cancel   context.CancelFunc
-	lives    uint64
-	expired  atomic.Int32
+	upstream      model.Upstream
+	registry      *membership.Registry
+	bootstrap     []peer.Peer
+	logConn       *controltest.LogConnection
+	cancel        context.CancelFunc
+	incarnation   uint64
+	expiredLeases atomic.Int32
 }
 
 const zones = 5
@@ -47,7 +47,7 @@
 func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("z", i)) }
 
 func newFleet(ctx context.Context, size int) *fleet {
-	f := &fleet{ctx: ctx, memory: &recordlog.Memory{}, net: controltest.NewNetwork(500 * time.Microsecond)}
+	f := &fleet{ctx: ctx, memory: &recordlog.Memory{}, network: controltest.NewNetwork(500 * time.Microsecond)}
 	f.log = recordlog.NewFaultyLog(f.memory)
 	for i := range size {
 		f.add(fmt.Sprint("d", i), zone(i%zones))
@@ -57,7 +57,7 @@
 
 func (f *fleet) add(id string, z model.AvailabilityZone) *node {
 	n := &node{Peer: peer.Peer{ID: model.DaemonID(id), Zone: z},
-		link: &controltest.Link{Log: f.log, Reads: &f.reads, Appends: &f.writes}}
+		logConn: &controltest.LogConnection{Log: f.log, Reads: &f.reads, Appends: &f.appends}}
 	n.upstream = model.Upstream{ID: model.UpstreamID("u" + id), Service: "s", Zone: z, Daemon: n.ID, Slots: 6}
 	f.nodes = append(f.nodes, n)
 	return n
@@ -67,28 +67,28 @@
 // announce itself.
 func (f *fleet) start(n *node) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	n.lives++
+	n.incarnation++
 	n.cancel = cancel
-	seed := n.lives<<32 | uint64(len(n.ID))<<16 | uint64(n.ID[len(n.ID)-1])
+	seed := n.incarnation<<32 | uint64(len(n.ID))<<16 | uint64(n.ID[len(n.ID)-1])
 	for _, c := range n.ID {
 		seed = seed*31 + uint64(c)
 	}
 	var x *peer.Exchanger
-	end := f.net.From(n.ID)
+	end := f.network.Endpoint(n.ID)
 	var r *membership.Registry
 	r = membership.NewRegistry(membership.Options{
-		Self: n.ID, Zone: n.Zone, Log: n.link, Pinger: end, Seed: seed, MaxUpstreams: 1000,
+		Self: n.ID, Zone: n.Zone, Log: n.logConn, Pinger: end, Seed: seed, MaxUpstreams: 1000,
 		CheckpointInterval: time.Minute,
 		IsLogReader: func() bool {
 			return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, r.Peers())
 		},
 		OnUpdate:       func() { x.TriggerRound() },
-		OnLeaseExpired: func(model.UpstreamID) { n.expired.Add(1) },
+		OnLeaseExpired: func(model.UpstreamID) { n.expiredLeases.Add(1) },
 	})
-	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: end, BootstrapPeers: n.first,
+	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: end, BootstrapPeers: n.bootstrap,
 		Peers: r.Peers, Unreachable: r.DeadPeers, OnResult: r.RecordExchange})
 	x.Register(r.Topic())
-	f.net.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
+	f.network.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
 	n.registry = r
 	go func() { _ = r.Serve(ctx) }()
 	go func() { _ = x.Serve(ctx) }()
@@ -110,18 +110,18 @@
 
 func (f *fleet) kill(n *node) {
 	n.cancel()
-	f.net.Attach(n.Peer, nil)
+	f.network.Attach(n.Peer, nil)
 }
 
-// inFleet starts a fleet in virtual time, lets it come together and runs a test.
-func inFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
+// runWithFleet starts a fleet in virtual time, lets it come together and runs a test.
+func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := newFleet(ctx, size)
 		for _, n := range f.nodes {
 			f.start(n)
 		}
-		f.settle(t, 30*time.Second, "the fleet comes together", func() bool { return f.seen(f.nodes, "s") == size*size })
+		f.waitFor(t, 30*time.Second, "the fleet comes together", func() bool { return f.countEligible(f.nodes, "s") == size*size })
 		test(t, f)
 		cancel()
 		time.Sleep(10 * time.Second)
@@ -129,8 +129,8 @@
 	})
 }
 
-// seen counts the upstreams that can be chosen in the views of some nodes.
-func (f *fleet) seen(of []*node, s model.ServiceName) int {
+// countEligible counts the upstreams that can be chosen in the views of some nodes.
+func (f *fleet) countEligible(of []*node, s model.ServiceName) int {
 	count := 0
 	for _, n := range of {
 		ups, _ := n.registry.Upstreams(s)
@@ -143,8 +143,8 @@
 	return count
 }
 
-// settle waits, in steps, until a condition holds, and returns how long it took.
-func (f *fleet) settle(t *testing.T, within time.Duration, what string, holds func() bool) time.Duration {
+// waitFor waits, in steps, until a condition holds, and returns how long it took.
+func (f *fleet) waitFor(t *testing.T, within time.Duration, what string, holds func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for !holds() {
@@ -156,8 +156,8 @@
 	return time.Since(start)
 }
 
-// others returns the nodes that are not in a list.
-func (f *fleet) others(but ...*node) []*node {
+// except returns the nodes that are not in a list.
+func (f *fleet) except(but ...*node) []*node {
 	var out []*node
 	for _, n := range f.nodes {
 		keep := true
@@ -181,16 +181,16 @@
 	return out
 }
 
-// cutZone cuts a zone off from the others and from the log.
-func (f *fleet) cutZone(z model.AvailabilityZone, cut bool) {
-	f.net.Cut(z, cut)
+// partitionZone cuts a zone off from the others and from the log.
+func (f *fleet) partitionZone(z model.AvailabilityZone, cut bool) {
+	f.network.SetPartitioned(z, cut)
 	for _, n := range f.inZone(z) {
-		n.link.Cut(cut)
+		n.logConn.SetDisconnected(cut)
 	}
 }
 
-// thought counts the nodes that think a daemon in some health.
-func thought(of []*node, d model.DaemonID, h member.Health) int {
+// countHealth counts the nodes that think a daemon in some health.
+func countHealth(of []*node, d model.DaemonID, h member.Health) int {
 	count := 0
 	for _, n := range of {
 		if n.registry.Health(d) == h {
@@ -200,8 +200,8 @@
 	return count
 }
 
-// digests returns the digests of all views, each once.
-func (f *fleet) digests() int {
+// countDistinctDigests returns the digests of all views, each once.
+func (f *fleet) countDistinctDigests() int {
 	seen := map[string]bool{}
 	for _, n := range f.nodes {
 		seen[string(n.registry.Topic().Digest())] = true
@@ -209,7 +209,7 @@
 	return len(seen)
 }
 
-func names(ups []model.Upstream) string {
+func joinIDs(ups []model.Upstream) string {
 	var b strings.Builder
 	for _, u := range ups {
 		fmt.Fprint(&b, u.ID, " ")
