--- a/configuration/documents.go
+++ b/configuration/documents.go
@@ -23,14 +23,14 @@
 	}
 	sort.Slice(keys, func(i, j int) bool { return keys[i] < keys[j] })
 	for _, k := range keys {
-		if err := validateOne(k, put[k]); err != nil {
+		if err := validateDocument(k, put[k]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func validateOne(k config.DocumentKey, raw json.RawMessage) error {
+func validateDocument(k config.DocumentKey, raw json.RawMessage) error {
 	var d policy.Document
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return fmt.Errorf("document %s: %w", k, err)
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -21,7 +21,7 @@
 		case <-timer.C:
 		}
 		s.Poll(ctx)
-		timer.Reset(s.wait())
+		timer.Reset(s.nextDelay())
 	}
 }
 
@@ -30,33 +30,33 @@
 
 // Poll reads the log to its end once, and appends a checkpoint when one is due.
 func (s *Store) Poll(ctx context.Context) {
-	err := s.follow(ctx)
+	err := s.readToEnd(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	s.recordRead(err)
+	s.recordReadResult(err)
 	if err == nil && s.opts.IsLogReader() {
 		s.checkpoint(ctx)
 	}
 }
 
-// maxReaderPause bounds the wait of a reader while the log is down.
-const maxReaderPause = 2 * time.Second
+// maxReaderBackoff bounds the wait of a reader while the log is down.
+const maxReaderBackoff = 2 * time.Second
 
-// wait returns the time to the next read, spread by up to a quarter.
-func (s *Store) wait() time.Duration {
+// nextDelay returns the time to the next read, spread by up to a quarter.
+func (s *Store) nextDelay() time.Duration {
 	s.mu.Lock()
-	sure, failing := s.status.Sure, s.status.LogProblem != ""
+	sure, failing := s.status.CaughtUp, s.status.LogError != ""
 	s.mu.Unlock()
 	reads := s.opts.IsLogReader()
 	if failing {
-		s.pause.Min, s.pause.Max = s.opts.Interval, s.opts.IdleInterval
+		s.backoff.Min, s.backoff.Max = s.opts.Interval, s.opts.IdleInterval
 		if reads {
-			s.pause.Max = maxReaderPause
+			s.backoff.Max = maxReaderBackoff
 		}
-		return s.pause.Next(s.rng)
+		return s.backoff.Next(s.rng)
 	}
-	s.pause.Reset()
+	s.backoff.Reset()
 	d := s.opts.Interval
 	if sure && !reads {
 		d = s.opts.IdleInterval
@@ -64,115 +64,115 @@
 	return d - time.Duration(s.rng.Int64N(int64(d)/4+1))
 }
 
-func (s *Store) recordRead(err error) {
+func (s *Store) recordReadResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		s.metrics.readsFailed.Inc(1)
-		if s.status.LogProblem == "" {
+		if s.status.LogError == "" {
 			s.opts.Logger.Warn("config stream cannot be read", "error", err)
 		}
-		s.status.LogProblem = err.Error()
+		s.status.LogError = err.Error()
 		return
 	}
 	s.metrics.reads.Inc(1)
-	if s.status.LogProblem != "" {
+	if s.status.LogError != "" {
 		s.opts.Logger.Info("config stream can be read again")
 	}
-	s.status.LogProblem = ""
+	s.status.LogError = ""
 	s.status.LogRead = time.Now()
-	s.status.Sure = true
+	s.status.CaughtUp = true
 }
 
-// errWentBack tells that the log holds fewer records than were folded: it has
+// errLogTruncated tells that the log holds fewer records than were folded: it has
 // lost some, or is another log.
-var errWentBack = errors.New("the log ends before what has been folded")
+var errLogTruncated = errors.New("the log ends before what has been folded")
 
-// errGap tells that records were dropped that had not been folded, and that no
+// errMissingRecords tells that records were dropped that had not been folded, and that no
 // checkpoint on the log covers them.
-var errGap = errors.New("the log no longer holds what comes next, and no checkpoint that covers it")
+var errMissingRecords = errors.New("the log no longer holds what comes next, and no checkpoint that covers it")
 
-// follow folds all records up to the end of the log.
-func (s *Store) follow(ctx context.Context) error {
+// readToEnd folds all records up to the end of the log.
+func (s *Store) readToEnd(ctx context.Context) error {
 	for {
-		from := s.next()
-		batch, err := s.read(ctx, from)
+		from := s.nextOffset()
+		batch, err := s.readBatch(ctx, from)
 		var trimmed *recordlog.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
-			if err := s.recover(ctx, trimmed.Oldest); err != nil {
+			if err := s.recoverFromCheckpoint(ctx, trimmed.Oldest); err != nil {
 				return err
 			}
 			continue
 		case err != nil:
 			return err
 		case uint64(batch.Next) < from:
-			return errWentBack
+			return errLogTruncated
 		}
-		s.foldBatch(batch)
-		if s.next() >= uint64(batch.Next) {
+		s.applyBatch(batch)
+		if s.nextOffset() >= uint64(batch.Next) {
 			return nil
 		}
 	}
 }
 
-func (s *Store) read(ctx context.Context, from uint64) (recordlog.Batch, error) {
+func (s *Store) readBatch(ctx context.Context, from uint64) (recordlog.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return s.opts.Log.Read(ctx, recordlog.StreamConfig, recordlog.Offset(from), readLimit)
 }
 
-func (s *Store) next() uint64 {
+func (s *Store) nextOffset() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.folder.Next()
+	return s.machine.Next()
 }
 
-// recover looks through a trimmed log for a checkpoint to fold on from. When
+// recoverFromCheckpoint looks through a trimmed log for a checkpoint to fold on from. When
 // there is none, peers may still know.
-func (s *Store) recover(ctx context.Context, oldest recordlog.Offset) error {
+func (s *Store) recoverFromCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
-		batch, err := s.read(ctx, uint64(from))
+		batch, err := s.readBatch(ctx, uint64(from))
 		if err != nil {
 			return err
 		}
 		for _, r := range batch.Records {
-			if s.adopt(r, oldest) {
+			if s.adoptCheckpoint(r, oldest) {
 				s.putInForce()
 				return nil
 			}
 			from = r.Offset + 1
 		}
 		if from >= batch.Next {
-			return errGap
+			return errMissingRecords
 		}
 	}
 }
 
-func (s *Store) adopt(r recordlog.Record, oldest recordlog.Offset) bool {
+func (s *Store) adoptCheckpoint(r recordlog.Record, oldest recordlog.Offset) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.folder.NeedsCheckpoint(uint64(oldest)) {
+	if !s.machine.NeedsCheckpoint(uint64(oldest)) {
 		return true // a peer was faster
 	}
-	if !s.folder.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
+	if !s.machine.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 		return false
 	}
-	s.metrics.recovered.Inc(1)
+	s.metrics.checkpointsAdopted.Inc(1)
 	return true
 }
 
-func (s *Store) foldBatch(batch recordlog.Batch) {
-	before := s.next()
+func (s *Store) applyBatch(batch recordlog.Batch) {
+	before := s.nextOffset()
 	s.mu.Lock()
 	for _, r := range batch.Records {
-		res := s.folder.ApplyRecord(uint64(r.Offset), r.Data)
-		s.count(res)
+		res := s.machine.ApplyRecord(uint64(r.Offset), r.Data)
+		s.recordDecision(res)
 		if config.IsCheckpoint(r.Data) {
-			s.seenCheckpoint(uint64(r.Offset))
+			s.scheduleCheckpoint(uint64(r.Offset))
 		}
 	}
-	changed := s.folder.Next() != before
+	changed := s.machine.Next() != before
 	s.mu.Unlock()
 	if changed {
 		s.putInForce()
@@ -180,17 +180,17 @@
 	}
 }
 
-func (s *Store) count(res config.Result) {
-	s.metrics.verdicts[res.Decision].Inc(1)
+func (s *Store) recordDecision(res config.Result) {
+	s.metrics.decisions[res.Decision].Inc(1)
 	if res.Decision == config.Invalid {
 		s.opts.Logger.Warn("invalid change on the log", "change", res.Change.ID, "author", res.Change.Author, "error", res.Problem)
 	}
 }
 
-// seenCheckpoint draws anew when a checkpoint is due. s.mu is held.
-func (s *Store) seenCheckpoint(offset uint64) {
+// scheduleCheckpoint draws anew when a checkpoint is due. s.mu is held.
+func (s *Store) scheduleCheckpoint(offset uint64) {
 	every := s.opts.CheckpointInterval
-	s.checkpointNext = offset
+	s.lastCheckpoint = offset
 	s.checkpointDue = time.Now().Add(every/2 + time.Duration(s.rng.Int64N(int64(every/2)+1)))
 }
 
@@ -199,9 +199,9 @@
 // and do not append theirs.
 func (s *Store) checkpoint(ctx context.Context) {
 	s.mu.Lock()
-	state := s.folder.State()
+	state := s.machine.State()
 	due := time.Now().After(s.checkpointDue)
-	behind := state.Next - min(state.Next, s.checkpointNext)
+	behind := state.Next - min(state.Next, s.lastCheckpoint)
 	s.mu.Unlock()
 	if state.Version == 0 || !due && behind < checkpointRecords {
 		return
--- a/configuration/metrics.go
+++ b/configuration/metrics.go
@@ -7,11 +7,11 @@
 )
 
 type metrics struct {
-	reads, readsFailed, recovered  tally.Counter
-	checkpoints, checkpointsFailed tally.Counter
-	conflicts, unusable            tally.Counter
-	version                        tally.Gauge
-	verdicts                       [config.OutOfOrder + 1]tally.Counter
+	reads, readsFailed, checkpointsAdopted tally.Counter
+	checkpoints, checkpointsFailed         tally.Counter
+	conflicts, compileErrors               tally.Counter
+	version                                tally.Gauge
+	decisions                              [config.OutOfOrder + 1]tally.Counter
 }
 
 func newMetrics(s tally.Scope) metrics {
@@ -21,18 +21,18 @@
 	s = s.SubScope("config")
 	result := func(r string) tally.Scope { return s.Tagged(map[string]string{"result": r}) }
 	m := metrics{
-		reads:             result("done").Counter("reads"),
-		readsFailed:       result("failed").Counter("reads"),
-		recovered:         s.Counter("checkpoints_adopted"),
-		checkpoints:       result("done").Counter("checkpoints"),
-		checkpointsFailed: result("failed").Counter("checkpoints"),
-		conflicts:         s.Counter("conflicts"),
-		unusable:          s.Counter("versions_unusable"),
-		version:           s.Gauge("version"),
+		reads:              result("done").Counter("reads"),
+		readsFailed:        result("failed").Counter("reads"),
+		checkpointsAdopted: s.Counter("checkpoints_adopted"),
+		checkpoints:        result("done").Counter("checkpoints"),
+		checkpointsFailed:  result("failed").Counter("checkpoints"),
+		conflicts:          s.Counter("conflicts"),
+		compileErrors:      s.Counter("versions_unusable"),
+		version:            s.Gauge("version"),
 	}
-	for v := range m.verdicts {
+	for v := range m.decisions {
 		name := config.Decision(v).String()
-		m.verdicts[v] = s.Tagged(map[string]string{"verdict": name}).Counter("records")
+		m.decisions[v] = s.Tagged(map[string]string{"verdict": name}).Counter("records")
 	}
 	return m
 }
--- a/configuration/store.go
+++ b/configuration/store.go
@@ -61,20 +61,20 @@
 	opts    Options
 	metrics metrics
 	rng     *rand.Rand
-	pause   pause.Backoff
+	backoff pause.Backoff
 
 	current atomic.Pointer[InForce]
 
-	// publishing orders the calls of the listeners.
-	publishing sync.Mutex
-	listeners  []func(*InForce)
+	// notifyMu orders the calls of the listeners.
+	notifyMu  sync.Mutex
+	listeners []func(*InForce)
 
 	// mu guards what follows. rng and pause are used by Serve alone.
-	mu     sync.Mutex
-	folder *config.StateMachine
-	status Status
-	// checkpointNext is the offset of the last checkpoint on the log.
-	checkpointNext uint64
+	mu      sync.Mutex
+	machine *config.StateMachine
+	status  Status
+	// lastCheckpoint is the offset of the last checkpoint on the log.
+	lastCheckpoint uint64
 	// checkpointDue is when this daemon appends one. It is drawn once after
 	// each checkpoint, so that the readers differ.
 	checkpointDue time.Time
@@ -90,15 +90,15 @@
 	Next uint64 `json:"next"`
 	// Chain is the digest over all accepted changes.
 	Chain string `json:"chain"`
-	// Sure is set once this daemon has read to the end of the log. Until then
+	// CaughtUp is set once this daemon has read to the end of the log. Until then
 	// a newer version may exist that no reachable peer knew.
-	Sure bool `json:"sure"`
+	CaughtUp bool `json:"sure"`
 	// LogRead is when the log was last read. Zero means never.
 	LogRead time.Time `json:"log_read,omitzero"`
-	// LogProblem is why the last read failed. Empty when it did not.
-	LogProblem string `json:"log_problem,omitempty"`
-	// Unusable is why the newest version was accepted but does not compile.
-	Unusable string `json:"unusable,omitempty"`
+	// LogError is why the last read failed. Empty when it did not.
+	LogError string `json:"log_problem,omitempty"`
+	// CompileError is why the newest version was accepted but does not compile.
+	CompileError string `json:"unusable,omitempty"`
 	// Conflict is set when a peer folded the same records to something else.
 	Conflict bool `json:"conflict,omitempty"`
 }
@@ -110,9 +110,9 @@
 		opts:    opts,
 		metrics: newMetrics(opts.Scope),
 		rng:     rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
-		folder:  NewStateMachine(),
+		machine: NewStateMachine(),
 	}
-	s.seenCheckpoint(0)
+	s.scheduleCheckpoint(0)
 	return s
 }
 
@@ -148,7 +148,7 @@
 func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := s.folder.State()
+	st := s.machine.State()
 	out := s.status
 	out.Version, out.Next, out.Chain = st.Version, st.Next, st.Chain.String()
 	out.ChangeID, out.Author = st.ChangeID, st.Author
@@ -159,23 +159,23 @@
 func (s *Store) State() config.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.folder.State()
+	return s.machine.State()
 }
 
 // putInForce compiles the newest state and hands it to the listeners.
 func (s *Store) putInForce() {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
 	state := s.State()
 	if old := s.current.Load(); state.Version == 0 || old != nil && old.Version >= state.Version {
 		return
 	}
 	set, problems := policy.Compile(Documents(state))
 	if len(problems) > 0 {
-		s.unusable(state.Version, problems[0].Error())
+		s.setCompileError(state.Version, problems[0].Error())
 		return
 	}
-	s.unusable(state.Version, "")
+	s.setCompileError(state.Version, "")
 	f := &InForce{Version: state.Version, Set: set}
 	s.current.Store(f)
 	s.metrics.version.Update(float64(state.Version))
@@ -185,13 +185,13 @@
 	}
 }
 
-func (s *Store) unusable(v model.Version, problem string) {
+func (s *Store) setCompileError(v model.Version, problem string) {
 	s.mu.Lock()
-	changed := s.status.Unusable != problem
-	s.status.Unusable = problem
+	changed := s.status.CompileError != problem
+	s.status.CompileError = problem
 	s.mu.Unlock()
 	if changed && problem != "" {
-		s.metrics.unusable.Inc(1)
+		s.metrics.compileErrors.Inc(1)
 		s.opts.Logger.Error("accepted configuration does not compile, the one before stays in force", "version", v, "error", problem)
 	}
 }
--- a/configuration/topic.go
+++ b/configuration/topic.go
@@ -16,7 +16,7 @@
 func (t Topic) Digest() []byte {
 	t.store.mu.Lock()
 	defer t.store.mu.Unlock()
-	return t.store.folder.Digest()
+	return t.store.machine.Digest()
 }
 
 // Delta implements peer.Topic.
@@ -24,20 +24,20 @@
 	s := t.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.folder.Conflicts(digest) {
-		s.conflict()
+	if s.machine.Conflicts(digest) {
+		s.recordConflict()
 		return nil
 	}
-	return s.folder.Delta(digest, limit)
+	return s.machine.Delta(digest, limit)
 }
 
 // Apply implements peer.Topic.
 func (t Topic) Apply(delta []byte) error {
 	s := t.store
 	s.mu.Lock()
-	results, err := s.folder.ApplyDelta(delta)
+	results, err := s.machine.ApplyDelta(delta)
 	for _, r := range results {
-		s.count(r)
+		s.recordDecision(r)
 	}
 	s.mu.Unlock()
 	if err != nil {
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// conflict notes that a peer folded the same records to something else. s.mu is
+// recordConflict notes that a peer folded the same records to something else. s.mu is
 // held.
-func (s *Store) conflict() {
+func (s *Store) recordConflict() {
 	s.metrics.conflicts.Inc(1)
 	if !s.status.Conflict {
 		s.status.Conflict = true
