--- a/membership/check.go
+++ b/membership/check.go
@@ -18,37 +18,37 @@
 
 const (
 	pingTimeout = 500 * time.Millisecond
-	// helpTimeout bounds a ping through another daemon.
-	helpTimeout = 1200 * time.Millisecond
-	// helpers is the number of daemons asked to ping for this one.
-	helpers = 3
+	// indirectPingTimeout bounds a ping through another daemon.
+	indirectPingTimeout = 1200 * time.Millisecond
+	// maxIndirectPings is the number of daemons asked to ping for this one.
+	maxIndirectPings = 3
 	// maxChecks bounds the checks running at the same time; more are dropped,
 	// since the next failure asks for them again.
 	maxChecks = 4
 )
 
-// checks are the liveness checks now running.
-type checks struct {
+// runningChecks are the liveness checks now running.
+type runningChecks struct {
 	mu      sync.Mutex
-	running map[model.DaemonID]bool
+	daemons map[model.DaemonID]bool
 }
 
-func (c *checks) init() { c.running = make(map[model.DaemonID]bool) }
+func (c *runningChecks) init() { c.daemons = make(map[model.DaemonID]bool) }
 
-func (c *checks) begin(d model.DaemonID) bool {
+func (c *runningChecks) begin(d model.DaemonID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.running[d] || len(c.running) >= maxChecks {
+	if c.daemons[d] || len(c.daemons) >= maxChecks {
 		return false
 	}
-	c.running[d] = true
+	c.daemons[d] = true
 	return true
 }
 
-func (c *checks) end(d model.DaemonID) {
+func (c *runningChecks) end(d model.DaemonID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.running, d)
+	delete(c.daemons, d)
 }
 
 // ReportUnreachable reports that a daemon could not be reached, by a round or by a
@@ -65,22 +65,22 @@
 
 // check suspects a daemon that answers neither directly nor through others.
 func (r *Registry) check(ctx context.Context, d model.DaemonID) {
-	if r.answers(ctx, d) {
+	if r.pingDirectly(ctx, d) {
 		r.metrics.checksDirect.Inc(1)
 		return
 	}
-	reached, alive := r.askHelpers(ctx, d)
+	reached, alive := r.pingIndirectly(ctx, d)
 	switch {
 	case alive:
 		r.metrics.checksIndirect.Inc(1)
 	case !reached:
-		r.metrics.checksDoubted.Inc(1)
+		r.metrics.checksInconclusive.Inc(1)
 	default:
-		r.suspect(d)
+		r.markSuspect(d)
 	}
 }
 
-func (r *Registry) suspect(d model.DaemonID) {
+func (r *Registry) markSuspect(d model.DaemonID) {
 	r.mu.Lock()
 	news := r.directory.Suspect(d)
 	r.mu.Unlock()
@@ -92,7 +92,7 @@
 	r.opts.OnUpdate()
 }
 
-func (r *Registry) answers(ctx context.Context, d model.DaemonID) bool {
+func (r *Registry) pingDirectly(ctx context.Context, d model.DaemonID) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	resp, err := r.opts.Pinger.Ping(ctx, d, &peerv1.PingRequest{From: string(r.opts.Self)})
@@ -105,15 +105,15 @@
 	return true
 }
 
-// askHelpers has other daemons ping d. It reports whether any of them answered
+// pingIndirectly has other daemons ping d. It reports whether any of them answered
 // at all, and whether one reached d. With nobody to ask, this daemon's own word
 // counts.
-func (r *Registry) askHelpers(ctx context.Context, d model.DaemonID) (reached, alive bool) {
-	chosen := r.helpersFor(d)
+func (r *Registry) pingIndirectly(ctx context.Context, d model.DaemonID) (reached, alive bool) {
+	chosen := r.chooseHelpers(d)
 	if len(chosen) == 0 {
 		return true, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, helpTimeout)
+	ctx, cancel := context.WithTimeout(ctx, indirectPingTimeout)
 	defer cancel()
 	answers := make(chan *peerv1.PingResponse, len(chosen))
 	for _, h := range chosen {
@@ -135,10 +135,10 @@
 	return reached, false
 }
 
-// helpersFor chooses daemons that are alive, of other zones than this one's
+// chooseHelpers chooses daemons that are alive, of other zones than this one's
 // where there are any: when its zone is cut off, they do not answer, and nobody
 // is suspected.
-func (r *Registry) helpersFor(d model.DaemonID) []model.DaemonID {
+func (r *Registry) chooseHelpers(d model.DaemonID) []model.DaemonID {
 	var near, far []model.DaemonID
 	for _, p := range r.Peers() {
 		if p.ID == d || p.ID == r.opts.Self || r.Health(p.ID) != member.Alive {
@@ -156,7 +156,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rng.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	return far[:min(len(far), helpers)]
+	return far[:min(len(far), maxIndirectPings)]
 }
 
 // RecordExchange takes in how a message of a round to a peer went.
@@ -169,7 +169,7 @@
 // HandlePing answers a ping, for this daemon or for the one it names.
 func (r *Registry) HandlePing(ctx context.Context, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
 	if target := model.DaemonID(req.GetTarget()); target != "" && target != r.opts.Self {
-		return &peerv1.PingResponse{Alive: r.opts.Pinger != nil && r.answers(ctx, target)}, nil
+		return &peerv1.PingResponse{Alive: r.opts.Pinger != nil && r.pingDirectly(ctx, target)}, nil
 	}
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -13,15 +13,15 @@
 const (
 	readLimit  = 1024
 	logTimeout = 5 * time.Second
-	// maxReaderPause bounds the wait of a reader while the log is down.
-	maxReaderPause = 4 * time.Second
-	// batchEvents bounds the events of one record.
-	batchEvents = 500
-	// zoneAge is how old an event is before its zone's writer appends it, so
-	// that a batch gathers; ownAge is after how long a daemon that sees its own
+	// maxReaderBackoff bounds the wait of a reader while the log is down.
+	maxReaderBackoff = 4 * time.Second
+	// maxEventsPerRecord bounds the events of one record.
+	maxEventsPerRecord = 500
+	// writerDelay is how old an event is before its zone's writer appends it, so
+	// that a batch gathers; fallbackDelay is after how long a daemon that sees its own
 	// event missing from the log appends it itself.
-	zoneAge = time.Second
-	ownAge  = 20 * time.Second
+	writerDelay   = time.Second
+	fallbackDelay = 20 * time.Second
 )
 
 func (r *Registry) serveLog(ctx context.Context) error {
@@ -34,11 +34,11 @@
 			return ctx.Err()
 		case <-timer.C:
 		}
-		err := r.turn(ctx)
+		err := r.syncLog(ctx)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		timer.Reset(r.wait(err))
+		timer.Reset(r.nextDelay(err))
 	}
 }
 
@@ -48,32 +48,32 @@
 	return time.Duration(r.rng.Int64N(int64(r.opts.Interval)))
 }
 
-// turn reads the log to its end, then appends what it lacks.
-func (r *Registry) turn(ctx context.Context) error {
-	err := r.read(ctx)
+// syncLog reads the log to its end, then appends what it lacks.
+func (r *Registry) syncLog(ctx context.Context) error {
+	err := r.readToEnd(ctx)
 	if err == nil {
-		err = r.write(ctx)
+		err = r.appendMissing(ctx)
 	}
-	if (err != nil) != r.problem && ctx.Err() == nil {
-		r.problem = err != nil
+	if (err != nil) != r.logFailing && ctx.Err() == nil {
+		r.logFailing = err != nil
 		r.opts.Logger.Info("membership stream", "usable", err == nil, "error", err)
 	}
 	return err
 }
 
-func (r *Registry) wait(err error) time.Duration {
+func (r *Registry) nextDelay(err error) time.Duration {
 	reads := r.opts.IsLogReader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
 		r.metrics.logFailed.Inc(1)
-		r.pause.Max = r.opts.IdleInterval
+		r.backoff.Max = r.opts.IdleInterval
 		if reads {
-			r.pause.Max = maxReaderPause
+			r.backoff.Max = maxReaderBackoff
 		}
-		return r.pause.Next(r.rng)
+		return r.backoff.Next(r.rng)
 	}
-	r.pause.Reset()
+	r.backoff.Reset()
 	d := r.opts.Interval
 	if !reads {
 		d = r.opts.IdleInterval
@@ -81,16 +81,16 @@
 	return d - time.Duration(r.rng.Int64N(int64(d)/4+1))
 }
 
-// read takes in the records up to the end of the log. What was trimmed has been
+// readToEnd takes in the records up to the end of the log. What was trimmed has been
 // appended again since, or is known to peers.
-func (r *Registry) read(ctx context.Context) error {
+func (r *Registry) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	for {
-		batch, err := r.opts.Log.Read(ctx, recordlog.StreamMembership, r.next, readLimit)
+		batch, err := r.opts.Log.Read(ctx, recordlog.StreamMembership, r.nextOffset, readLimit)
 		var trimmed *recordlog.TrimmedError
 		if errors.As(err, &trimmed) {
-			r.next = trimmed.Oldest
+			r.nextOffset = trimmed.Oldest
 			continue
 		}
 		if err != nil {
@@ -98,19 +98,19 @@
 		}
 		news := 0
 		for _, rec := range batch.Records {
-			news += r.take(rec.Data)
-			r.next = rec.Offset + 1
+			news += r.applyRecord(rec.Data)
+			r.nextOffset = rec.Offset + 1
 		}
 		if news > 0 {
 			r.opts.OnUpdate()
 		}
-		if r.next >= batch.Next {
+		if r.nextOffset >= batch.Next {
 			return nil
 		}
 	}
 }
 
-func (r *Registry) take(data []byte) int {
+func (r *Registry) applyRecord(data []byte) int {
 	records, err := member.Decode(data)
 	if err != nil {
 		r.metrics.unreadable.Inc(1)
@@ -126,13 +126,13 @@
 	return won
 }
 
-// write appends events that the log lacks: for the writer of a zone those of
+// appendMissing appends events that the log lacks: for the writer of a zone those of
 // the zone, for others their own, should the writer fail to.
-func (r *Registry) write(ctx context.Context) error {
-	events := r.due()
+func (r *Registry) appendMissing(ctx context.Context) error {
+	events := r.dueEvents()
 	for len(events) > 0 {
-		n := min(len(events), batchEvents)
-		if err := r.append(ctx, events[:n]); err != nil {
+		n := min(len(events), maxEventsPerRecord)
+		if err := r.appendEvents(ctx, events[:n]); err != nil {
 			return err
 		}
 		events = events[n:]
@@ -140,19 +140,19 @@
 	return nil
 }
 
-func (r *Registry) due() []member.Event {
-	writer := r.writer()
+func (r *Registry) dueEvents() []member.Event {
+	writer := r.isWriter()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if writer && time.Now().After(r.checkpointDue) {
-		r.drawCheckpoint()
-		return r.ofZone(r.directory.Events())
+		r.scheduleCheckpoint()
+		return r.inLocalZone(r.directory.Events())
 	}
 	if writer {
-		return r.ofZone(r.directory.Unlogged(zoneAge))
+		return r.inLocalZone(r.directory.Unlogged(writerDelay))
 	}
 	var own []member.Event
-	for _, e := range r.directory.Unlogged(ownAge) {
+	for _, e := range r.directory.Unlogged(fallbackDelay) {
 		if e.Upstream.Daemon == r.opts.Self {
 			own = append(own, e)
 		}
@@ -160,13 +160,13 @@
 	return own
 }
 
-// writer reports whether this daemon appends the events of its zone. While it
+// isWriter reports whether this daemon appends the events of its zone. While it
 // knows no peers it does.
-func (r *Registry) writer() bool {
+func (r *Registry) isWriter() bool {
 	return peer.RendezvousRank(r.opts.Self, r.opts.Zone, r.Peers()) == 0
 }
 
-func (r *Registry) ofZone(events []member.Event) []member.Event {
+func (r *Registry) inLocalZone(events []member.Event) []member.Event {
 	var out []member.Event
 	for _, e := range events {
 		if e.Upstream.Zone == r.opts.Zone {
@@ -176,15 +176,15 @@
 	return out
 }
 
-// drawCheckpoint decides when the events are appended again.
-func (r *Registry) drawCheckpoint() {
+// scheduleCheckpoint decides when the events are appended again.
+func (r *Registry) scheduleCheckpoint() {
 	every := r.opts.CheckpointInterval
 	r.checkpointDue = time.Now().Add(every/2 + time.Duration(r.rng.Int64N(int64(every/2)+1)))
 }
 
-// append appends events. They may stand on the log twice, so an uncertain
+// appendEvents appends events. They may stand on the log twice, so an uncertain
 // append is simply made again later.
-func (r *Registry) append(ctx context.Context, events []member.Event) error {
+func (r *Registry) appendEvents(ctx context.Context, events []member.Event) error {
 	data := member.Records{Events: events}.Encode()
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -10,9 +10,9 @@
 // lease is the announcement of a local upstream. Without a length it holds
 // until the upstream says otherwise.
 type lease struct {
-	event   member.Event
-	length  time.Duration
-	expires time.Time
+	event    member.Event
+	duration time.Duration
+	expires  time.Time
 }
 
 // Announce takes in an event of this VM's own upstream. With a positive length
@@ -22,7 +22,7 @@
 	if e.State == member.Left {
 		delete(r.leases, e.Upstream.ID)
 	} else {
-		r.leases[e.Upstream.ID] = lease{event: e, length: length, expires: time.Now().Add(length)}
+		r.leases[e.Upstream.ID] = lease{event: e, duration: length, expires: time.Now().Add(length)}
 	}
 	changed := r.directory.Announce(e)
 	r.mu.Unlock()
@@ -43,7 +43,7 @@
 	r.mu.RUnlock()
 	for _, l := range held {
 		l.event.State = member.Draining
-		r.Announce(l.event, l.length)
+		r.Announce(l.event, l.duration)
 	}
 }
 
@@ -60,7 +60,7 @@
 			l.expires = l.expires.Add(pause)
 			r.leases[id] = l
 		}
-		if l.length <= 0 || now.Before(l.expires) {
+		if l.duration <= 0 || now.Before(l.expires) {
 			continue
 		}
 		l.event.State = member.Left
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -75,25 +75,25 @@
 
 // Registry holds the membership view. It is safe for concurrent use.
 type Registry struct {
-	opts    Options
-	metrics metrics
-	origin  time.Time
-	checks  checks
-	sized   atomic.Int64
+	opts        Options
+	metrics     metrics
+	startTime   time.Time
+	checks      runningChecks
+	daemonCount atomic.Int64
 
-	mu        sync.RWMutex
-	rng       *rand.Rand
-	directory *member.Directory
-	leases    map[model.UpstreamID]lease
-	lastTick  time.Time
-	peers     peerLists
-	subsets   map[model.ServiceName]subset
+	mu          sync.RWMutex
+	rng         *rand.Rand
+	directory   *member.Directory
+	leases      map[model.UpstreamID]lease
+	lastTick    time.Time
+	cachedPeers peerLists
+	subsets     map[model.ServiceName]subset
 
-	// next, pause, checkpointDue and problem are used by the log loop alone.
-	next          recordlog.Offset
-	pause         pause.Backoff
+	// nextOffset, pause, checkpointDue and problem are used by the log loop alone.
+	nextOffset    recordlog.Offset
+	backoff       pause.Backoff
 	checkpointDue time.Time
-	problem       bool
+	logFailing    bool
 }
 
 // peerLists are the daemons in view, as of a generation.
@@ -116,16 +116,16 @@
 	r := &Registry{
 		opts:      o,
 		metrics:   newMetrics(o.Metrics),
-		origin:    time.Now(),
+		startTime: time.Now(),
 		rng:       rand.New(rand.NewPCG(o.Seed, o.Seed+2)),
 		directory: member.New(o.Directory),
 		leases:    make(map[model.UpstreamID]lease),
 		subsets:   make(map[model.ServiceName]subset),
-		pause:     pause.Backoff{Min: o.Interval},
+		backoff:   pause.Backoff{Min: o.Interval},
 	}
 	r.checks.init()
 	r.tick()
-	r.drawCheckpoint()
+	r.scheduleCheckpoint()
 	return r
 }
 
@@ -191,20 +191,20 @@
 
 // Peers returns the daemons of the upstreams in view, without the dead ones.
 // The slice is shared and must not be modified.
-func (r *Registry) Peers() []peer.Peer { return r.lists().alive }
+func (r *Registry) Peers() []peer.Peer { return r.peerLists().alive }
 
 // DeadPeers returns the daemons that are thought dead. Contact with one of them now
 // and then lets two parts of a deployment find each other again.
-func (r *Registry) DeadPeers() []peer.Peer { return r.lists().dead }
+func (r *Registry) DeadPeers() []peer.Peer { return r.peerLists().dead }
 
-func (r *Registry) lists() peerLists {
+func (r *Registry) peerLists() peerLists {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	generation := r.directory.Generation()
-	if r.peers.alive == nil || r.peers.generation != generation {
-		r.peers = r.listPeers(generation)
+	if r.cachedPeers.alive == nil || r.cachedPeers.generation != generation {
+		r.cachedPeers = r.listPeers(generation)
 	}
-	return r.peers
+	return r.cachedPeers
 }
 
 // listPeers makes the lists anew. r.mu is held.
@@ -227,11 +227,11 @@
 	return lists
 }
 
-// size tells the number of daemons when it has changed.
-func (r *Registry) size() {
-	lists := r.lists()
+// reportDaemonCount tells the number of daemons when it has changed.
+func (r *Registry) reportDaemonCount() {
+	lists := r.peerLists()
 	n := len(lists.alive) + len(lists.dead)
-	if r.sized.Swap(int64(n)) != int64(n) {
+	if r.daemonCount.Swap(int64(n)) != int64(n) {
 		r.opts.OnDaemonCount(n)
 	}
 }
@@ -273,11 +273,11 @@
 func (r *Registry) tick() bool {
 	r.mu.Lock()
 	now := time.Now()
-	changed := r.directory.Tick(model.Instant(now.Sub(r.origin)), now.Unix())
+	changed := r.directory.Tick(model.Instant(now.Sub(r.startTime)), now.Unix())
 	expired := r.expireLeases(now)
 	r.metrics.upstreams.Update(float64(r.directory.Len()))
 	r.mu.Unlock()
-	r.size()
+	r.reportDaemonCount()
 	for _, id := range expired {
 		r.opts.Logger.Info("upstream did not renew its lease", "upstream", id)
 		r.opts.OnLeaseExpired(id)
