--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -25,7 +25,7 @@
 	defer server.Close()
 	log := &recordlog.Batcher{Log: recordlog.NewRateLimitedLog(recordlog.NewClient(strings.TrimPrefix(server.URL, "http://")))}
 	s := New(Options{Self: "127.0.0.1:1", Log: log})
-	s.ledger.Apply(0, ownsAll(s.self))
+	s.ledger.Apply(0, grantAllTo(s.self))
 	for name, claim := range map[string]func(claims.Key){
 		"owner": func(k claims.Key) {
 			s.mu.Lock()
@@ -46,7 +46,7 @@
 				wg.Go(func() {
 					for range max(1, b.N/workers) {
 						began := time.Now()
-						claim(drawKey(claims.Stamp(began.UnixMilli())))
+						claim(randomKey(claims.Stamp(began.UnixMilli())))
 						took := time.Since(began)
 						mu.Lock()
 						_ = hist.RecordValue(took.Nanoseconds())
@@ -62,8 +62,8 @@
 	}
 }
 
-// ownsAll grants every stamp to an owner.
-func ownsAll(o claims.Owner) claims.Record {
+// grantAllTo grants every stamp to an owner.
+func grantAllTo(o claims.Owner) claims.Record {
 	g := &claims.Grant{Owner: o, Until: claims.MaxStamp}
 	for r := range claims.Range(claims.DefaultRanges) {
 		g.Extensions = append(g.Extensions, claims.Extension{Range: r})
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -19,16 +19,16 @@
 var ErrNoSuccessor = errors.New("no daemon took in the claims; their keys will be answered unknown")
 
 const (
-	// runPart is the part of the time to the deadline that a drain gives runs
+	// executionWaitDivisor is the part of the time to the deadline that a drain gives runs
 	// in flight before it hands their claims over as unknown.
-	runPart = 2
+	executionWaitDivisor = 2
 	// maxSuccessors bounds the daemons that are asked to take the claims.
-	maxSuccessors = 8
-	handOverPoll  = 10 * time.Millisecond
-	messageTime   = 2 * time.Second
-	// signTime bounds the wait for the log to take the transfer. A stop during
+	maxSuccessors        = 8
+	transferPollInterval = 10 * time.Millisecond
+	messageTimeout       = 2 * time.Second
+	// transferTimeout bounds the wait for the log to take the transfer. A stop during
 	// an outage of the log leaves the claims to be answered unknown.
-	signTime = 5 * time.Second
+	transferTimeout = 5 * time.Second
 )
 
 // Drain stops owning keys: it takes no more submissions, lets runs in flight
@@ -37,18 +37,18 @@
 // the keys have moved. Drain may be called once.
 func (s *Service) Drain(ctx context.Context) error {
 	s.seal()
-	s.awaitRuns(ctx)
-	s.read(ctx)
-	if s.reach() == 0 {
+	s.awaitExecutions(ctx)
+	s.readGrants(ctx)
+	if s.ownedUntil() == 0 {
 		return nil
 	}
 	successor, err := s.handOver(ctx)
 	if err != nil {
-		s.metrics.handoverLost.Inc(1)
+		s.metrics.handoverFailed.Inc(1)
 		return err
 	}
-	if err := s.sign(ctx, successor); err != nil {
-		s.metrics.handoverLost.Inc(1)
+	if err := s.appendTransfer(ctx, successor); err != nil {
+		s.metrics.handoverFailed.Inc(1)
 		return err
 	}
 	s.metrics.handedOver.Inc(1)
@@ -62,24 +62,24 @@
 	s.table.Seal()
 }
 
-func (s *Service) reach() claims.Stamp {
+func (s *Service) ownedUntil() claims.Stamp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.OwnedUntil(s.self.Incarnation)
 }
 
-// released reports whether the log shows that this life owns nothing.
-func (s *Service) released() bool {
+// ownsNothing reports whether the log shows that this life owns nothing.
+func (s *Service) ownsNothing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Complete() && s.ledger.OwnedUntil(s.self.Incarnation) == 0
 }
 
-// awaitRuns waits for the runs in flight, for a part of the time that is left.
-func (s *Service) awaitRuns(ctx context.Context) {
+// awaitExecutions waits for the runs in flight, for a part of the time that is left.
+func (s *Service) awaitExecutions(ctx context.Context) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/runPart)
+		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/executionWaitDivisor)
 		defer cancel()
 	}
 	for _, r := range s.inFlight() {
@@ -91,11 +91,11 @@
 	}
 }
 
-func (s *Service) inFlight() []*run {
+func (s *Service) inFlight() []*execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	runs := make([]*run, 0, len(s.runs))
-	for _, r := range s.runs {
+	runs := make([]*execution, 0, len(s.executions))
+	for _, r := range s.executions {
 		runs = append(runs, r)
 	}
 	return runs
@@ -134,7 +134,7 @@
 func (s *Service) handOverTo(ctx context.Context, d model.DaemonID, parts [][]byte) (uint64, error) {
 	life := uint64(0)
 	for _, part := range append([][]byte{nil}, parts...) {
-		resp, err := s.message(ctx, d, &peerv1.HandOverRequest{From: string(s.opts.Self), Claims: part, ToLife: life})
+		resp, err := s.sendHandOver(ctx, d, &peerv1.HandOverRequest{From: string(s.opts.Self), Claims: part, ToLife: life})
 		if err != nil {
 			return 0, err
 		}
@@ -146,27 +146,27 @@
 	return life, nil
 }
 
-func (s *Service) message(ctx context.Context, d model.DaemonID, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, messageTime)
+func (s *Service) sendHandOver(ctx context.Context, d model.DaemonID, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
 	return s.opts.Messenger.HandOver(ctx, d, req)
 }
 
-// sign appends the transfer until it is read back, for at most signTime. An append whose reply was
+// appendTransfer appends the transfer until it is read back, for at most transferTimeout. An append whose reply was
 // lost is repeated; a second transfer finds nothing left to move.
-func (s *Service) sign(ctx context.Context, successor claims.Owner) error {
-	ctx, cancel := context.WithTimeout(ctx, signTime)
+func (s *Service) appendTransfer(ctx context.Context, successor claims.Owner) error {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	rec := claims.Record{Transfer: &claims.Transfer{From: s.self.Incarnation, To: successor}}
-	for !s.released() {
+	for !s.ownsNothing() {
 		if _, err := s.opts.Log.Append(ctx, recordlog.StreamGrants, [][]byte{rec.Encode()}); err != nil {
 			s.metrics.appendFailed.Inc(1)
 		}
-		s.read(ctx)
+		s.readGrants(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(handOverPoll):
+		case <-time.After(transferPollInterval):
 		}
 	}
 	return nil
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -28,9 +28,9 @@
 	require.Equal(t, lost, d.nodes[0].submit(done, "", "x", testTimeout).outcome)
 	require.Equal(t, lost, d.nodes[0].submit(fresh, "", "x", testTimeout).outcome, "nobody can know that it did not run")
 	victim.restart()
-	d.await("the new life follows the log", func() bool { return victim.current.Load() })
+	d.waitFor("the new life follows the log", func() bool { return victim.caughtUp.Load() })
 	require.Equal(t, lost, d.nodes[0].submit(done, "", "x", 3*time.Second).outcome, "a new life is not the owner")
-	require.Equal(t, 1, d.runsOf(done))
+	require.Equal(t, 1, d.executionsOf(done))
 	for range 200 {
 		k, live := d.nodes[0].NewKey()
 		in, _ := d.nodes[0].lookup(k)
@@ -52,55 +52,55 @@
 	require.True(t, again.replayed, "%+v after %+v", again, first)
 	require.Equal(t, first.body, again.body)
 	require.Equal(t, outcome.Answered, d.nodes[1].submit(fresh, "", "x", testTimeout).outcome.Kind)
-	require.Equal(t, 1, d.runsOf(done))
-	require.Equal(t, 1, d.runsOf(fresh))
+	require.Equal(t, 1, d.executionsOf(done))
+	require.Equal(t, 1, d.executionsOf(fresh))
 	leaving.restart()
 }
 
-func TestDrainWaitsForRunsInFlight(t *testing.T) {
+func TestDrainWaitsForExecutionsInFlight(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	release := make(chan struct{})
-	d.setAnswer(func(c *wire.Call) *wire.Result {
+	d.setHandler(func(c *wire.Call) *wire.Result {
 		d.count(c)
 		<-release
-		return textAnswer("slow")
+		return textResult("slow")
 	})
 	key := d.keyOwnedBy(d.nodes[1])
-	got := make(chan result, 1)
+	got := make(chan submitResult, 1)
 	go func() { got <- d.nodes[0].submit(key, "", "x", testTimeout) }()
-	d.await("the run has begun", func() bool { return d.runsOf(key) == 1 })
+	d.waitFor("the run has begun", func() bool { return d.executionsOf(key) == 1 })
 	drained := make(chan error, 1)
 	go func() { drained <- d.nodes[1].Drain(context.Background()) }()
-	d.await("sealed", func() bool { d.nodes[1].mu.Lock(); defer d.nodes[1].mu.Unlock(); return d.nodes[1].table.IsSealed() })
+	d.waitFor("sealed", func() bool { d.nodes[1].mu.Lock(); defer d.nodes[1].mu.Unlock(); return d.nodes[1].table.IsSealed() })
 	close(release)
 	require.NoError(t, <-drained)
 	require.Equal(t, "slow", (<-got).body)
 	again := d.nodes[0].submit(key, "", "x", testTimeout)
 	require.Equal(t, "slow", again.body)
 	require.True(t, again.replayed)
-	require.Equal(t, 1, d.runsOf(key))
+	require.Equal(t, 1, d.executionsOf(key))
 }
 
-// cutMessenger fails a handover after a number of messages.
-type cutMessenger struct {
+// failingMessenger fails a handover after a number of messages.
+type failingMessenger struct {
 	Messenger
-	left atomic.Int64
+	remaining atomic.Int64
 }
 
-func (m *cutMessenger) HandOver(ctx context.Context, to model.DaemonID, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
-	if m.left.Add(-1) < 0 {
+func (m *failingMessenger) HandOver(ctx context.Context, to model.DaemonID, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
+	if m.remaining.Add(-1) < 0 {
 		return nil, context.DeadlineExceeded
 	}
 	return m.Messenger.HandOver(ctx, to, req)
 }
 
-func TestHandoverCutHalfWayNeverRunsAKeyTwice(t *testing.T) {
+func TestInterruptedHandoverNeverRunsAKeyTwice(t *testing.T) {
 	for messages := range 3 {
 		t.Run(fmt.Sprintf("after %d messages", messages), func(t *testing.T) {
 			d := deploy(t, 2, time.Minute)
 			leaving := d.nodes[1]
-			cut := &cutMessenger{Messenger: d}
-			cut.left.Store(int64(messages))
+			cut := &failingMessenger{Messenger: d}
+			cut.remaining.Store(int64(messages))
 			leaving.opts.Messenger = cut
 			key := d.keyOwnedBy(leaving)
 			d.nodes[0].submit(key, "", "x", testTimeout)
@@ -109,7 +109,7 @@
 			err := leaving.Drain(ctx)
 			leaving.kill()
 			r := d.nodes[0].submit(key, "", "x", testTimeout)
-			require.Equal(t, 1, d.runsOf(key))
+			require.Equal(t, 1, d.executionsOf(key))
 			if messages < 2 {
 				require.ErrorIs(t, err, ErrNoSuccessor)
 				require.Equal(t, outcome.UnknownBecause(outcome.ReasonKeyOwnerLost), r.outcome)
@@ -122,28 +122,28 @@
 	}
 }
 
-func TestLostAndDoubledAppends(t *testing.T) {
+func TestGrantsSurviveLostRepliesAndDuplicateAppends(t *testing.T) {
 	d := deploy(t, 3, time.Second)
 	for _, f := range []recordlog.Faults{{LoseReplies: 100}, {Duplicate: 100}, {Latency: 20 * time.Millisecond}} {
 		d.log.SetFaults(f)
-		before := d.memoryEnd()
-		d.await("grants are renewed all the same", func() bool { return d.memoryEnd() > before+6 })
+		before := d.endOfLog()
+		d.waitFor("grants are renewed all the same", func() bool { return d.endOfLog() > before+6 })
 		for range 10 {
 			key, live := d.nodes[0].NewKey()
 			require.True(t, live)
 			require.Equal(t, outcome.Answered, d.nodes[1].submit(key, "", "x", testTimeout).outcome.Kind)
-			require.Equal(t, 1, d.runsOf(key))
+			require.Equal(t, 1, d.executionsOf(key))
 		}
 	}
 }
 
-func (d *deployment) memoryEnd() recordlog.Offset {
+func (d *deployment) endOfLog() recordlog.Offset {
 	b, err := d.memory.Read(d.t.Context(), recordlog.StreamGrants, 0, 1)
 	require.NoError(d.t, err)
 	return b.Next
 }
 
-func TestOutageLongerThanAGrant(t *testing.T) {
+func TestLogOutageLongerThanAGrant(t *testing.T) {
 	d := deploy(t, 2, time.Second)
 	d.log.SetFaults(recordlog.Faults{Down: true})
 	key := d.keyOwnedBy(d.nodes[1])
@@ -153,7 +153,7 @@
 		f, _ := d.nodes[0].ledger.Frontier(r)
 		last = max(last, f)
 	}
-	d.await("all grants have ended", func() bool { return d.nodes[0].stamp() > last })
+	d.waitFor("all grants have ended", func() bool { return d.nodes[0].stamp() > last })
 	stamped := claims.NewKey(d.nodes[0].stamp(), [10]byte{9: 1})
 	require.Equal(t, outcome.ReasonKeyNotOwned, d.nodes[0].submit(stamped, "", "x", testTimeout).outcome.Reason)
 	handed, live := d.nodes[0].NewKey()
@@ -164,22 +164,22 @@
 	require.Eventually(t, func() bool {
 		return d.nodes[0].submit(stamped, "", "x", testTimeout).outcome.Kind == outcome.Answered
 	}, testTimeout, 10*time.Millisecond, "after the outage the key runs")
-	require.Equal(t, 1, d.runsOf(stamped))
+	require.Equal(t, 1, d.executionsOf(stamped))
 }
 
-func TestFreshDaemonNeedsACheckpointOfATrimmedLog(t *testing.T) {
+func TestNewDaemonOnTrimmedLogNeedsACheckpoint(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	fresh := d.nodes[1]
 	key := d.keyOwnedBy(d.nodes[0])
 	fresh.kill()
-	d.memory.Trim(recordlog.StreamGrants, d.memoryEnd())
+	d.memory.Trim(recordlog.StreamGrants, d.endOfLog())
 	fresh.restart()
 	r := fresh.submit(key, "", "x", 3*time.Second)
 	require.Equal(t, outcome.ReasonKeyNotOwned, r.outcome.Reason, "it cannot tell who owns what")
 	d.checkpoint()
-	d.await("the checkpoint is folded", func() bool { _, s := fresh.lookup(key); return s == claims.Owned })
+	d.waitFor("the checkpoint is folded", func() bool { _, s := fresh.lookup(key); return s == claims.Owned })
 	require.Equal(t, outcome.Answered, fresh.submit(key, "", "x", testTimeout).outcome.Kind)
-	require.Equal(t, 1, d.runsOf(key))
+	require.Equal(t, 1, d.executionsOf(key))
 }
 
 // checkpoint appends what the first node has folded.
@@ -192,15 +192,15 @@
 	require.NoError(d.t, err)
 }
 
-func TestCheckpointsAreWrittenInTime(t *testing.T) {
+func TestCheckpointIsAppendedWhenDue(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
-	end := d.memoryEnd()
+	end := d.endOfLog()
 	for _, n := range d.nodes {
 		n.mu.Lock()
 		n.checkpointed = time.Now().Add(-DefaultCheckpoint - time.Second)
 		n.mu.Unlock()
 	}
-	d.await("a checkpoint", func() bool { return d.memoryEnd() > end })
+	d.waitFor("a checkpoint", func() bool { return d.endOfLog() > end })
 	b, err := d.memory.Read(t.Context(), recordlog.StreamGrants, end, 1)
 	require.NoError(t, err)
 	rec, err := claims.DecodeRecord(b.Records[0].Data)
@@ -208,9 +208,9 @@
 	require.NotNil(t, rec.Checkpoint)
 }
 
-// TestFreshDaemonReadsTheEndOfALongLog lets it find the newest checkpoint in
+// TestNewDaemonSearchesBackwardsForACheckpoint lets it find the newest checkpoint in
 // few records, and one that lies further back.
-func TestFreshDaemonReadsTheEndOfALongLog(t *testing.T) {
+func TestNewDaemonSearchesBackwardsForACheckpoint(t *testing.T) {
 	for name, since := range map[string]int{"near": 3, "far": 60} {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t, 2, time.Minute)
@@ -227,13 +227,13 @@
 				require.NoError(t, err)
 			}
 			fresh.Service = New(Options{Self: fresh.id, Log: d.log, Ranges: testRanges, Candidates: d.ids})
-			fresh.window = 4
-			fresh.read(t.Context())
+			fresh.searchWindow = 4
+			fresh.readGrants(t.Context())
 			_, standing := fresh.lookup(key)
 			require.Equal(t, claims.Owned, standing)
 			read := fresh.ledger.Next()
-			require.EqualValues(t, d.memoryEnd(), read)
-			require.LessOrEqual(t, fresh.window, recordlog.Offset(4*windowGrowth*windowGrowth), "it read %d records at most", fresh.window)
+			require.EqualValues(t, d.endOfLog(), read)
+			require.LessOrEqual(t, fresh.searchWindow, recordlog.Offset(4*windowGrowth*windowGrowth), "it read %d records at most", fresh.searchWindow)
 			fresh.restart()
 		})
 	}
@@ -248,7 +248,7 @@
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var sent atomic.Int64
-	bad := make(chan result, 1)
+	bad := make(chan submitResult, 1)
 	for i := range 8 {
 		wg.Go(func() {
 			for turn := i; ; turn++ {
@@ -268,7 +268,7 @@
 					r := d.nodes[at].submit(key, "", "x", testTimeout)
 					gates[at].RUnlock()
 					sent.Add(1)
-					if r.outcome.Kind != outcome.Answered || r.body != "done "+key.String() || d.runsOf(key) != 1 {
+					if r.outcome.Kind != outcome.Answered || r.body != "done "+key.String() || d.executionsOf(key) != 1 {
 						select {
 						case bad <- r:
 						default:
@@ -280,14 +280,14 @@
 	}
 	for i, n := range d.nodes {
 		before := sent.Load()
-		d.await("load goes on", func() bool { return sent.Load() > before+50 })
+		d.waitFor("load goes on", func() bool { return sent.Load() > before+50 })
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		require.NoError(t, n.Drain(ctx))
 		cancel()
 		gates[i].Lock()
 		n.kill()
 		n.restart()
-		d.await("the new life follows the log", func() bool { return n.current.Load() })
+		d.waitFor("the new life follows the log", func() bool { return n.caughtUp.Load() })
 		gates[i].Unlock()
 	}
 	close(stop)
@@ -300,17 +300,17 @@
 	t.Logf("%d submissions over a rolling restart of %d daemons", sent.Load(), daemons)
 }
 
-// TestCrashUnderLoadLosesOnlyKeysOfItsOwner kills one of four owners under load
+// TestCrashUnderLoadAffectsOnlyKeysOfThatOwner kills one of four owners under load
 // and counts the unknown outcomes until its ranges have moved on. Callers take
 // half of their keys from daemons and make the other half themselves.
-func TestCrashUnderLoadLosesOnlyKeysOfItsOwner(t *testing.T) {
+func TestCrashUnderLoadAffectsOnlyKeysOfThatOwner(t *testing.T) {
 	const daemons, callers = 4, 8
 	d := deploy(t, daemons, 2*time.Second)
 	victim := d.nodes[daemons-1]
-	life := victim.Life()
+	life := victim.Incarnation()
 	stop := make(chan struct{})
 	var sent, unknown [2]atomic.Int64
-	var strange atomic.Pointer[result]
+	var strange atomic.Pointer[submitResult]
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -324,13 +324,13 @@
 				own := turn / 7 % 2
 				key, _ := n.NewKey()
 				if own == 1 {
-					key = drawKey(n.stamp())
+					key = randomKey(n.stamp())
 				}
 				r := n.submit(key, "", "x", testTimeout)
 				sent[own].Add(1)
 				in, _ := n.lookup(key)
 				switch {
-				case r.outcome.Kind == outcome.Answered && d.runsOf(key) == 1:
+				case r.outcome.Kind == outcome.Answered && d.executionsOf(key) == 1:
 				case r.outcome.Reason == outcome.ReasonKeyOwnerLost && in.Owner.Incarnation == life:
 					unknown[own].Add(1)
 				default:
@@ -339,9 +339,9 @@
 			}
 		})
 	}
-	d.await("load", func() bool { return sent[0].Load() > 200 })
+	d.waitFor("load", func() bool { return sent[0].Load() > 200 })
 	victim.kill()
-	d.await("the victim's ranges have moved on", func() bool {
+	d.waitFor("the victim's ranges have moved on", func() bool {
 		n := d.nodes[0]
 		n.mu.Lock()
 		defer n.mu.Unlock()
--- a/owner/fold.go
+++ b/owner/fold.go
@@ -11,78 +11,78 @@
 
 const (
 	readLimit = 1024
-	// readGap is the least time between two reads that requests ask for, so
+	// minReadInterval is the least time between two reads that requests ask for, so
 	// that odd keys cannot flood the log with reads.
-	readGap     = 50 * time.Millisecond
-	readTimeout = 2 * time.Second
+	minReadInterval = 50 * time.Millisecond
+	readTimeout     = 2 * time.Second
 )
 
 // refresh reads the grants unless a read that began after the call has ended.
 // Concurrent calls share reads.
 func (s *Service) refresh(ctx context.Context) {
-	before := s.reads.Load()
-	if !s.lockReading(ctx) {
+	before := s.readCount.Load()
+	if !s.lockReads(ctx) {
 		return
 	}
-	defer s.unlockReading()
+	defer s.unlockReads()
 	// The read that was under way counts as one, so two more must have ended.
 	const enough = 2
-	if s.reads.Load() >= before+enough {
+	if s.readCount.Load() >= before+enough {
 		return
 	}
-	if wait := readGap - time.Since(s.lastRead); wait > 0 {
+	if wait := minReadInterval - time.Since(s.lastRead); wait > 0 {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
 	}
-	s.readAll(ctx)
+	s.readToEnd(ctx)
 }
 
-// read folds the grants up to the end of the log.
-func (s *Service) read(ctx context.Context) {
-	if !s.lockReading(ctx) {
+// readGrants folds the grants up to the end of the log.
+func (s *Service) readGrants(ctx context.Context) {
+	if !s.lockReads(ctx) {
 		return
 	}
-	defer s.unlockReading()
-	s.readAll(ctx)
+	defer s.unlockReads()
+	s.readToEnd(ctx)
 }
 
-func (s *Service) lockReading(ctx context.Context) bool {
+func (s *Service) lockReads(ctx context.Context) bool {
 	select {
-	case s.reading <- struct{}{}:
+	case s.readLock <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (s *Service) unlockReading() { <-s.reading }
+func (s *Service) unlockReads() { <-s.readLock }
 
-// readAll folds the grants up to the end of the log. s.reading is held.
-func (s *Service) readAll(ctx context.Context) {
+// readToEnd folds the grants up to the end of the log. s.reading is held.
+func (s *Service) readToEnd(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	for {
-		more, err := s.readSome(ctx)
+		more, err := s.readBatch(ctx)
 		if err != nil {
 			s.metrics.readFailed.Inc(1)
 			break
 		}
 		if !more {
-			s.current.Store(true)
+			s.caughtUp.Store(true)
 			break
 		}
 	}
 	s.lastRead = time.Now()
-	s.reads.Add(1)
+	s.readCount.Add(1)
 }
 
-// readSome folds one batch and reports whether there is more to read.
-func (s *Service) readSome(ctx context.Context) (bool, error) {
-	if !s.sought {
-		return true, s.seek(ctx)
+// readBatch folds one batch and reports whether there is more to read.
+func (s *Service) readBatch(ctx context.Context) (bool, error) {
+	if !s.positioned {
+		return true, s.seekCheckpoint(ctx)
 	}
 	s.mu.Lock()
 	from := recordlog.Offset(s.ledger.Next())
@@ -92,7 +92,7 @@
 	if errors.As(err, &trimmed) {
 		s.metrics.trimmed.Inc(1)
 		s.opts.Logger.Warn("grants no longer kept, looking for a checkpoint", "next", from, "oldest", trimmed.Oldest)
-		s.sought = false
+		s.positioned = false
 		return true, nil
 	}
 	if err != nil {
@@ -101,26 +101,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, rec := range batch.Records {
-		s.apply(rec)
+		s.applyRecord(rec)
 	}
-	if len(batch.Records) == 0 && !s.ledger.Complete() && !s.whole {
-		s.window *= windowGrowth
-		s.sought = false
+	if len(batch.Records) == 0 && !s.ledger.Complete() && !s.fromOldest {
+		s.searchWindow *= windowGrowth
+		s.positioned = false
 		return true, nil
 	}
 	return len(batch.Records) > 0, nil
 }
 
 const (
-	// firstWindow is the number of newest records that a fresh daemon reads in
+	// initialSearchWindow is the number of newest records that a fresh daemon reads in
 	// search of a checkpoint; windowGrowth multiplies it when there is none.
-	firstWindow  = 1 << 14
-	windowGrowth = 4
+	initialSearchWindow = 1 << 14
+	windowGrowth        = 4
 )
 
-// seek starts the ledger anew near the end of the log, so that a fresh daemon
+// seekCheckpoint starts the ledger anew near the end of the log, so that a fresh daemon
 // need not read all that is kept, or at its beginning when it is short.
-func (s *Service) seek(ctx context.Context) error {
+func (s *Service) seekCheckpoint(ctx context.Context) error {
 	oldest := recordlog.Offset(0)
 	batch, err := s.opts.Log.Read(ctx, recordlog.StreamGrants, oldest, 1)
 	var trimmed *recordlog.TrimmedError
@@ -132,18 +132,18 @@
 		return err
 	}
 	from := oldest
-	if batch.Next > oldest+s.window {
-		from = batch.Next - s.window
+	if batch.Next > oldest+s.searchWindow {
+		from = batch.Next - s.searchWindow
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Reset(uint64(from))
-	s.sought, s.whole = true, from == oldest
+	s.positioned, s.fromOldest = true, from == oldest
 	return nil
 }
 
-// apply folds one record. s.mu is held.
-func (s *Service) apply(rec recordlog.Record) {
+// applyRecord folds one record. s.mu is held.
+func (s *Service) applyRecord(rec recordlog.Record) {
 	r, err := claims.DecodeRecord(rec.Data)
 	if err != nil {
 		s.metrics.badRecords.Inc(1)
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -9,39 +9,39 @@
 
 // metrics count what a Service decides.
 type metrics struct {
-	scope        tally.Scope
-	appended     tally.Counter
-	appendFailed tally.Counter
-	readFailed   tally.Counter
-	trimmed      tally.Counter
-	badRecords   tally.Counter
-	resent       tally.Counter
-	handedOver   tally.Counter
-	handoverLost tally.Counter
-	claims       tally.Gauge
-	answerBytes  tally.Gauge
+	scope          tally.Scope
+	appended       tally.Counter
+	appendFailed   tally.Counter
+	readFailed     tally.Counter
+	trimmed        tally.Counter
+	badRecords     tally.Counter
+	resubmitted    tally.Counter
+	handedOver     tally.Counter
+	handoverFailed tally.Counter
+	claims         tally.Gauge
+	responseBytes  tally.Gauge
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
-		scope:        scope,
-		appended:     scope.Counter("appends"),
-		appendFailed: scope.Counter("appends_failed"),
-		readFailed:   scope.Counter("reads_failed"),
-		trimmed:      scope.Counter("reads_trimmed"),
-		badRecords:   scope.Counter("records_unreadable"),
-		resent:       scope.Counter("resent_to_owner"),
-		handedOver:   scope.Counter("handovers"),
-		handoverLost: scope.Counter("handovers_failed"),
-		claims:       scope.Gauge("claims"),
-		answerBytes:  scope.Gauge("answer_bytes"),
+		scope:          scope,
+		appended:       scope.Counter("appends"),
+		appendFailed:   scope.Counter("appends_failed"),
+		readFailed:     scope.Counter("reads_failed"),
+		trimmed:        scope.Counter("reads_trimmed"),
+		badRecords:     scope.Counter("records_unreadable"),
+		resubmitted:    scope.Counter("resent_to_owner"),
+		handedOver:     scope.Counter("handovers"),
+		handoverFailed: scope.Counter("handovers_failed"),
+		claims:         scope.Gauge("claims"),
+		responseBytes:  scope.Gauge("answer_bytes"),
 	}
 }
 
-func (m metrics) verdict(v claims.Decision) {
+func (m metrics) countDecision(v claims.Decision) {
 	m.scope.Tagged(map[string]string{"verdict": v.String()}).Counter("submissions").Inc(1)
 }
 
-func (m metrics) unsettled(r outcome.Reason) {
+func (m metrics) countUnresolved(r outcome.Reason) {
 	m.scope.Tagged(map[string]string{"reason": string(r)}).Counter("unsettled").Inc(1)
 }
--- a/owner/mint.go
+++ b/owner/mint.go
@@ -6,9 +6,9 @@
 	"github.com/dottereltiller/dottereltiller/core/claims"
 )
 
-// draws bounds the keys that are drawn in search of one with an owner, for each
+// maxKeyAttempts bounds the keys that are drawn in search of one with an owner, for each
 // stamp that is tried.
-const draws = 64
+const maxKeyAttempts = 64
 
 // NewKey returns a fresh key whose range has an owner that is thought alive. Its
 // stamp is the present time or, when the grants do not reach that far because
@@ -18,25 +18,25 @@
 	now := s.stamp()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, stamp := range s.stampsToTry(now) {
-		for range draws {
-			if k := drawKey(stamp); s.isLive(k) {
+	for _, stamp := range s.candidateStamps(now) {
+		for range maxKeyAttempts {
+			if k := randomKey(stamp); s.hasLiveOwner(k) {
 				return k, true
 			}
 		}
 	}
-	return drawKey(now), false
+	return randomKey(now), false
 }
 
-func drawKey(stamp claims.Stamp) claims.Key {
+func randomKey(stamp claims.Stamp) claims.Key {
 	var random [10]byte
 	_, _ = rand.Read(random[:])
 	return claims.NewKey(stamp, random)
 }
 
-// stampsToTry returns the present stamp and, while that lies beyond all grants,
+// candidateStamps returns the present stamp and, while that lies beyond all grants,
 // the last stamps that grants reach within half of the retention. s.mu is held.
-func (s *Service) stampsToTry(now claims.Stamp) []claims.Stamp {
+func (s *Service) candidateStamps(now claims.Stamp) []claims.Stamp {
 	stamps := []claims.Stamp{now}
 	oldest := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
 	var furthest claims.Stamp
@@ -58,8 +58,8 @@
 	return stamps
 }
 
-// isLive reports whether a key has an owner that is thought alive. s.mu is held.
-func (s *Service) isLive(k claims.Key) bool {
+// hasLiveOwner reports whether a key has an owner that is thought alive. s.mu is held.
+func (s *Service) hasLiveOwner(k claims.Key) bool {
 	in, standing := s.ledger.Lookup(k.Range(s.opts.Ranges), k.Stamp())
 	if standing != claims.Owned {
 		return false
@@ -67,6 +67,6 @@
 	if in.Owner == s.self && s.table.IsSealed() {
 		return false
 	}
-	_, suspect := s.suspect[in.Owner.Incarnation]
+	_, suspect := s.suspectedOwners[in.Owner.Incarnation]
 	return !suspect
 }
--- a/owner/options.go
+++ b/owner/options.go
@@ -37,9 +37,9 @@
 	PeerSecret string
 	// Messenger hands claims over. Nil means that a drain hands over nothing.
 	Messenger Messenger
-	// Wall reads the wall clock. It bears on availability and retention only,
+	// WallClock reads the wall clock. It bears on availability and retention only,
 	// never on how often a key runs. Default: time.Now.
-	Wall func() time.Time
+	WallClock func() time.Time
 	// GrantDuration is how far grants reach ahead. Default: 60s.
 	GrantDuration time.Duration
 	// Retention is how long after the stamp of its key a claim is kept.
@@ -48,9 +48,9 @@
 	// PollInterval is the time between two checks whether grants have to be read or
 	// renewed. Default: 1s.
 	PollInterval time.Duration
-	// Checkpoint is the longest time between two checkpoints on the log. It
+	// CheckpointInterval is the longest time between two checkpoints on the log. It
 	// must be well under the log's retention. Default: 5m.
-	Checkpoint time.Duration
+	CheckpointInterval time.Duration
 	// Ranges is the number of key ranges, the same in all daemons.
 	// Default: claims.DefaultRanges.
 	Ranges int
@@ -81,12 +81,12 @@
 	setDefault(&o.GrantDuration, DefaultGrant)
 	setDefault(&o.Retention, DefaultRetention)
 	setDefault(&o.PollInterval, DefaultInterval)
-	setDefault(&o.Checkpoint, DefaultCheckpoint)
+	setDefault(&o.CheckpointInterval, DefaultCheckpoint)
 	setDefault(&o.Ranges, claims.DefaultRanges)
 	setDefault(&o.MaxBodyBytes, DefaultMaxBody)
 	setDefault(&o.MaxResponseBytes, DefaultMaxAnswer)
-	if o.Wall == nil {
-		o.Wall = time.Now
+	if o.WallClock == nil {
+		o.WallClock = time.Now
 	}
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
@@ -103,8 +103,8 @@
 	}
 }
 
-// newLife draws the life of an owner.
-func newLife() uint64 {
+// newIncarnation draws the life of an owner.
+func newIncarnation() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return max(1, binary.BigEndian.Uint64(b[:]))
--- a/owner/own.go
+++ b/owner/own.go
@@ -18,13 +18,13 @@
 // or cannot be settled yet.
 const retryAfter = time.Second
 
-// own answers a submission as the owner of its key.
-func (s *Service) own(ctx context.Context, c *wire.Call) *wire.Result {
+// handleSubmission answers a submission as the owner of its key.
+func (s *Service) handleSubmission(ctx context.Context, c *wire.Call) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
 	}
-	body, reason := readWhole(c.Body, s.opts.MaxBodyBytes)
+	body, reason := readBody(c.Body, s.opts.MaxBodyBytes)
 	if reason != outcome.ReasonNone {
 		return wire.NoResponse(outcome.NotRunBecause(reason))
 	}
@@ -35,52 +35,52 @@
 	req := claims.Request{
 		ID:     claims.ID{Caller: c.Caller, Key: key},
 		Group:  c.Group,
-		Digest: digest(c, body),
+		Digest: requestDigest(c, body),
 	}
-	b := s.begin(ctx, req, c)
-	if b.verdict == claims.NotOwner {
+	b := s.beginSubmission(ctx, req, c)
+	if b.decision == claims.NotOwner {
 		// The sender may have read a grant or a transfer that is not read here.
 		s.refresh(ctx)
-		b = s.begin(ctx, req, c)
+		b = s.beginSubmission(ctx, req, c)
 	}
-	s.metrics.verdict(b.verdict)
-	switch b.verdict {
+	s.metrics.countDecision(b.decision)
+	switch b.decision {
 	case claims.Run:
-		return first(ctx, b.run)
+		return awaitFirst(ctx, b.execution)
 	case claims.InProgress:
-		return follow(ctx, b.run, c.Timeout)
+		return awaitEarlier(ctx, b.execution, c.Timeout)
 	case claims.Replay:
-		return replay(b.retained, true)
+		return replayResponse(b.response, true)
 	default:
-		return wire.NoResponse(refusalOf(b.verdict))
+		return wire.NoResponse(outcomeOf(b.decision))
 	}
 }
 
-// begun is what became of a submission at the owner.
-type begun struct {
-	verdict claims.Decision
-	// run is set for Execute and InProgress, retained for Replay.
-	run      *run
-	retained *claims.Answer
+// beginResult is what became of a submission at the owner.
+type beginResult struct {
+	decision claims.Decision
+	// execution is set for Execute and InProgress, retained for Replay.
+	execution *execution
+	response  *claims.Answer
 }
 
-// begin claims the key of a submission and starts its run when it is the first.
-func (s *Service) begin(ctx context.Context, req claims.Request, c *wire.Call) begun {
+// beginSubmission claims the key of a submission and starts its run when it is the first.
+func (s *Service) beginSubmission(ctx context.Context, req claims.Request, c *wire.Call) beginResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var b begun
-	b.verdict, b.retained = s.table.Begin(s.ledger, req)
-	switch b.verdict {
+	var b beginResult
+	b.decision, b.response = s.table.Begin(s.ledger, req)
+	switch b.decision {
 	case claims.Run:
-		b.run = s.start(ctx, req.ID, c)
+		b.execution = s.startExecution(ctx, req.ID, c)
 	case claims.InProgress:
-		b.run = s.runs[req.ID]
+		b.execution = s.executions[req.ID]
 	}
 	return b
 }
 
-// first waits for the run that its submission started.
-func first(ctx context.Context, r *run) *wire.Result {
+// awaitFirst waits for the run that its submission started.
+func awaitFirst(ctx context.Context, r *execution) *wire.Result {
 	select {
 	case <-r.ready:
 	case <-ctx.Done():
@@ -89,54 +89,54 @@
 		}
 		<-r.ready
 	}
-	if r.large != nil {
-		return r.large
+	if r.streamed != nil {
+		return r.streamed
 	}
-	return r.result(false)
+	return r.response(false)
 }
 
-// followPart is the part of its time that a submission waits for an earlier one,
+// maxWaitPercent is the part of its time that a submission waits for an earlier one,
 // in percent. The rest is left for telling the caller.
-const followPart = 90
+const maxWaitPercent = 90
 
-// follow waits for a run that an earlier submission started.
-func follow(ctx context.Context, r *run, timeout time.Duration) *wire.Result {
-	enough := time.NewTimer(timeout * followPart / 100)
+// awaitEarlier waits for a run that an earlier submission started.
+func awaitEarlier(ctx context.Context, r *execution, timeout time.Duration) *wire.Result {
+	enough := time.NewTimer(timeout * maxWaitPercent / 100)
 	defer enough.Stop()
 	select {
 	case <-r.done:
-		return r.result(true)
+		return r.response(true)
 	case <-enough.C:
 	case <-ctx.Done():
 	}
-	return wire.NoResponse(inProgress())
+	return wire.NoResponse(inProgressOutcome())
 }
 
-func (r *run) result(again bool) *wire.Result {
+func (r *execution) response(again bool) *wire.Result {
 	switch {
 	case r.outcome.Kind != outcome.Answered:
 		return wire.NoResponse(r.outcome)
-	case r.whole == nil:
+	case r.retained == nil:
 		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonKeyAnswerGone))
 	default:
-		return replay(r.whole, again)
+		return replayResponse(r.retained, again)
 	}
 }
 
-func inProgress() outcome.Outcome {
+func inProgressOutcome() outcome.Outcome {
 	return outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonKeyInProgress, RetryAfter: retryAfter}
 }
 
-// refusalOf gives the outcome of a submission that neither runs nor is
+// outcomeOf gives the outcome of a submission that neither runs nor is
 // answered. Only Full proves that the key has not run.
-func refusalOf(v claims.Decision) outcome.Outcome {
+func outcomeOf(v claims.Decision) outcome.Outcome {
 	switch v {
 	case claims.Full:
 		return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonQueueFull, RetryAfter: retryAfter}
 	case claims.NotOwner:
 		return outcome.UnknownBecause(outcome.ReasonKeyNotOwned)
 	case claims.Sealed:
-		return outcome.UnknownBecause(reasonMoving)
+		return outcome.UnknownBecause(reasonOwnerMoving)
 	case claims.Expired:
 		return outcome.UnknownBecause(outcome.ReasonKeyExpired)
 	case claims.AnswerGone:
@@ -150,8 +150,8 @@
 	}
 }
 
-// readWhole reads a body of at most limit bytes.
-func readWhole(r io.Reader, limit int64) ([]byte, outcome.Reason) {
+// readBody reads a body of at most limit bytes.
+func readBody(r io.Reader, limit int64) ([]byte, outcome.Reason) {
 	if r == nil {
 		return nil, outcome.ReasonNone
 	}
@@ -166,8 +166,8 @@
 	}
 }
 
-// digest covers what makes two submissions the same request.
-func digest(c *wire.Call, body []byte) claims.Digest {
+// requestDigest covers what makes two submissions the same request.
+func requestDigest(c *wire.Call, body []byte) claims.Digest {
 	h := sha256.New()
 	for _, part := range []string{string(c.Service), c.Method, c.Target, c.Header.Get("Content-Type")} {
 		_, _ = io.WriteString(h, strconv.Itoa(len(part))+":"+part)
@@ -185,5 +185,5 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.Timeout)
 	defer cancel()
-	wire.WriteResult(w, s.own(ctx, c), c.ID)
+	wire.WriteResult(w, s.handleSubmission(ctx, c), c.ID)
 }
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -39,10 +39,10 @@
 	nodes  []*testNode
 
 	mu sync.Mutex
-	// runs counts the runs of each key.
-	runs map[string]int
-	// answer stands for the upstream, nil for one that answers at once.
-	answer func(c *wire.Call) *wire.Result
+	// executions counts the runs of each key.
+	executions map[string]int
+	// handler stands for the upstream, nil for one that answers at once.
+	handler func(c *wire.Call) *wire.Result
 }
 
 type testNode struct {
@@ -55,7 +55,7 @@
 }
 
 func deploy(t *testing.T, n int, grant time.Duration) *deployment {
-	d := &deployment{t: t, memory: &recordlog.Memory{}, grant: grant, runs: make(map[string]int)}
+	d := &deployment{t: t, memory: &recordlog.Memory{}, grant: grant, executions: make(map[string]int)}
 	d.log = recordlog.NewFaultyLog(d.memory)
 	listeners := make([]net.Listener, n)
 	for i := range listeners {
@@ -75,13 +75,13 @@
 		}
 	})
 	for _, n := range d.nodes {
-		d.await("every range has an owner", n.seesAllOwned)
+		d.waitFor("every range has an owner", n.knowsAllOwners)
 	}
 	return d
 }
 
-// seesAllOwned reports whether the node knows an owner of every range.
-func (n *testNode) seesAllOwned() bool {
+// knowsAllOwners reports whether the node knows an owner of every range.
+func (n *testNode) knowsAllOwners() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for r := range claims.Range(testRanges) {
@@ -97,7 +97,7 @@
 	n.Service = New(Options{
 		Self:             n.id,
 		Log:              n.d.log,
-		Execute:          n.d.run,
+		Execute:          n.d.execute,
 		Candidates:       func() []model.DaemonID { return n.d.ids() },
 		Client:           hop.NewClient(hop.Options{}),
 		Messenger:        n.d,
@@ -107,7 +107,7 @@
 		MaxBodyBytes:     1 << 10,
 		MaxResponseBytes: 1 << 10,
 	})
-	n.patience = patience{loss: 300 * time.Millisecond, ahead: 200 * time.Millisecond}
+	n.retryTimeouts = retryTimeouts{ownerLost: 300 * time.Millisecond, unassigned: 200 * time.Millisecond}
 	n.server = httptest.NewUnstartedServer(n.Service)
 	_ = n.server.Listener.Close()
 	n.server.Listener = ln
@@ -154,13 +154,13 @@
 	return nil, errors.New("no such daemon")
 }
 
-func (d *deployment) run(_ context.Context, c *wire.Call) *wire.Result {
+func (d *deployment) execute(_ context.Context, c *wire.Call) *wire.Result {
 	d.mu.Lock()
-	answer := d.answer
+	answer := d.handler
 	d.mu.Unlock()
 	if answer == nil {
 		d.count(c)
-		return textAnswer("done " + c.Key)
+		return textResult("done " + c.Key)
 	}
 	return answer(c)
 }
@@ -168,32 +168,32 @@
 func (d *deployment) count(c *wire.Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.runs[c.Key]++
+	d.executions[c.Key]++
 }
 
-func (d *deployment) runsOf(k claims.Key) int {
+func (d *deployment) executionsOf(k claims.Key) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.runs[k.String()]
+	return d.executions[k.String()]
 }
 
-func (d *deployment) setAnswer(f func(c *wire.Call) *wire.Result) {
+func (d *deployment) setHandler(f func(c *wire.Call) *wire.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answer = f
+	d.handler = f
 }
 
-func (d *deployment) await(what string, cond func() bool) {
+func (d *deployment) waitFor(what string, cond func() bool) {
 	d.t.Helper()
 	require.Eventually(d.t, cond, testTimeout, 2*time.Millisecond, what)
 }
 
-func textAnswer(s string) *wire.Result {
+func textResult(s string) *wire.Result {
 	return &wire.Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(s)), ContentLength: int64(len(s))}
 }
 
-// result is what a caller sees.
-type result struct {
+// submitResult is what a caller sees.
+type submitResult struct {
 	outcome  outcome.Outcome
 	body     string
 	replayed bool
@@ -201,7 +201,7 @@
 }
 
 // submit sends a key with a body through a node and reads the whole answer.
-func (n *testNode) submit(key claims.Key, caller model.CallerName, body string, timeout time.Duration) result {
+func (n *testNode) submit(key claims.Key, caller model.CallerName, body string, timeout time.Duration) submitResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	c := &wire.Call{
@@ -211,7 +211,7 @@
 	a := n.Submit(ctx, c, []byte(body))
 	data, err := io.ReadAll(a.Body)
 	_ = a.Body.Close()
-	return result{a.Outcome, string(data), a.Header.Get(wire.HeaderReplayed) == "true", err}
+	return submitResult{a.Outcome, string(data), a.Header.Get(wire.HeaderReplayed) == "true", err}
 }
 
 // keyOwnedBy returns a fresh key that a node owns.
@@ -227,12 +227,12 @@
 	return claims.Key{}
 }
 
-func TestDuplicatesThroughAllDaemonsRunOnce(t *testing.T) {
+func TestDuplicateSubmissionsThroughAllDaemonsRunOnce(t *testing.T) {
 	d := deploy(t, 4, time.Minute)
 	for range 20 {
 		key, live := d.nodes[0].NewKey()
 		require.True(t, live)
-		results := make([]result, 12)
+		results := make([]submitResult, 12)
 		var wg sync.WaitGroup
 		for i := range results {
 			wg.Go(func() { results[i] = d.nodes[i%4].submit(key, "sorter-1", "x", testTimeout) })
@@ -246,12 +246,12 @@
 				replayed++
 			}
 		}
-		require.Equal(t, 1, d.runsOf(key))
+		require.Equal(t, 1, d.executionsOf(key))
 		require.Equal(t, len(results)-1, replayed)
 	}
 }
 
-func TestKeyServesItsCallerAndRequestOnly(t *testing.T) {
+func TestKeyIsBoundToCallerAndRequest(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	key := d.keyOwnedBy(d.nodes[1])
 	require.Equal(t, outcome.Answered, d.nodes[0].submit(key, "a", "pay 1", testTimeout).outcome.Kind)
@@ -261,18 +261,18 @@
 	require.False(t, other.replayed, "another caller's key is its own")
 }
 
-func TestRetryWhileTheFirstRunGoesOn(t *testing.T) {
+func TestRetryDuringFirstExecution(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	release := make(chan struct{})
-	d.setAnswer(func(c *wire.Call) *wire.Result {
+	d.setHandler(func(c *wire.Call) *wire.Result {
 		d.count(c)
 		<-release
-		return textAnswer("late")
+		return textResult("late")
 	})
 	key := d.keyOwnedBy(d.nodes[1])
-	firstDone := make(chan result, 1)
+	firstDone := make(chan submitResult, 1)
 	go func() { firstDone <- d.nodes[0].submit(key, "", "x", testTimeout) }()
-	d.await("the run has begun", func() bool { return d.runsOf(key) == 1 })
+	d.waitFor("the run has begun", func() bool { return d.executionsOf(key) == 1 })
 	r := d.nodes[0].submit(key, "", "x", 100*time.Millisecond)
 	require.Equal(t, outcome.Unknown, r.outcome.Kind)
 	require.Contains(t, []outcome.Reason{outcome.ReasonKeyInProgress, outcome.ReasonDeadline}, r.outcome.Reason)
@@ -280,26 +280,26 @@
 	close(release)
 	require.Equal(t, "late", (<-firstDone).body)
 	require.Equal(t, "late", d.nodes[0].submit(key, "", "x", testTimeout).body)
-	require.Equal(t, 1, d.runsOf(key))
+	require.Equal(t, 1, d.executionsOf(key))
 }
 
-func TestRunOutlivesItsCaller(t *testing.T) {
+func TestExecutionContinuesAfterCallerTimeout(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	release := make(chan struct{})
-	d.setAnswer(func(c *wire.Call) *wire.Result {
+	d.setHandler(func(c *wire.Call) *wire.Result {
 		d.count(c)
 		<-release
-		return textAnswer("kept")
+		return textResult("kept")
 	})
 	key := d.keyOwnedBy(d.nodes[1])
 	r := d.nodes[0].submit(key, "", "x", 50*time.Millisecond)
 	require.Equal(t, outcome.Unknown, r.outcome.Kind)
 	close(release)
 	require.Equal(t, "kept", d.nodes[1].submit(key, "", "x", testTimeout).body)
-	require.Equal(t, 1, d.runsOf(key))
+	require.Equal(t, 1, d.executionsOf(key))
 }
 
-func TestOutcomesOfTheFirstRun(t *testing.T) {
+func TestRetryAfterEachOutcome(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	for name, tc := range map[string]struct {
 		first  func() *wire.Result
@@ -316,13 +316,13 @@
 			want:  outcome.UnknownBecause(outcome.ReasonConnectionLost), second: outcome.UnknownBecause(outcome.ReasonKeyOutcome), runs: 1,
 		},
 		"large answer is not retained": {
-			first: func() *wire.Result { return textAnswer(strings.Repeat("x", 4<<10)) },
+			first: func() *wire.Result { return textResult(strings.Repeat("x", 4<<10)) },
 			want:  outcome.Done(), second: outcome.UnknownBecause(outcome.ReasonKeyAnswerGone), runs: 1,
 		},
 		"truncated answer": {
 			first: func() *wire.Result {
-				a := textAnswer("")
-				a.Body, a.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader("half"), failing{})), 8
+				a := textResult("")
+				a.Body, a.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader("half"), failingReader{})), 8
 				return a
 			},
 			want: outcome.UnknownBecause(outcome.ReasonTruncated), second: outcome.UnknownBecause(outcome.ReasonKeyOutcome), runs: 1,
@@ -330,9 +330,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var once sync.Once
-			d.setAnswer(func(c *wire.Call) *wire.Result {
+			d.setHandler(func(c *wire.Call) *wire.Result {
 				d.count(c)
-				a := textAnswer("second")
+				a := textResult("second")
 				once.Do(func() { a = tc.first() })
 				return a
 			})
@@ -341,20 +341,20 @@
 			require.NoError(t, r.err)
 			require.Equal(t, tc.want, r.outcome)
 			require.Equal(t, tc.second, d.nodes[1].submit(key, "", "x", testTimeout).outcome)
-			require.Equal(t, tc.runs, d.runsOf(key))
+			require.Equal(t, tc.runs, d.executionsOf(key))
 		})
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, errors.New("cut") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("cut") }
 
-func TestLargeAnswerThatBreaksOffNeverLooksWhole(t *testing.T) {
+func TestTruncatedLargeResponseReturnsError(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
-	d.setAnswer(func(*wire.Call) *wire.Result {
-		a := textAnswer("")
-		a.Body = io.NopCloser(io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failing{}))
+	d.setHandler(func(*wire.Call) *wire.Result {
+		a := textResult("")
+		a.Body = io.NopCloser(io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failingReader{}))
 		a.ContentLength = 200 << 10
 		return a
 	})
@@ -365,7 +365,7 @@
 	}
 }
 
-func TestKeysThatNobodyRuns(t *testing.T) {
+func TestSubmissionsThatNeverRun(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	now := claims.Stamp(time.Now().UnixMilli())
 	for name, tc := range map[string]struct {
@@ -380,7 +380,7 @@
 		t.Run(name, func(t *testing.T) {
 			key := claims.NewKey(tc.stamp, [10]byte{9: 1})
 			require.Equal(t, tc.want, d.nodes[0].submit(key, "", tc.body, testTimeout).outcome)
-			require.Zero(t, d.runsOf(key))
+			require.Zero(t, d.executionsOf(key))
 		})
 	}
 }
--- a/owner/route.go
+++ b/owner/route.go
@@ -15,16 +15,18 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// patience is how long the routing side tries what does not succeed at once.
-type patience struct {
-	// loss is for an owner that cannot be reached or says that it is not the
+// retryTimeouts is how long the routing side tries what does not succeed at once.
+type retryTimeouts struct {
+	// ownerLost is for an owner that cannot be reached or says that it is not the
 	// owner. Then it counts as lost.
-	loss time.Duration
-	// ahead is for a stamp beyond all grants, and for a ledger not proven yet.
-	ahead time.Duration
+	ownerLost time.Duration
+	// unassigned is for a stamp beyond all grants, and for a ledger not proven yet.
+	unassigned time.Duration
 }
 
-func defaultPatience() patience { return patience{loss: 2 * time.Second, ahead: time.Second} }
+func defaultRetryTimeouts() retryTimeouts {
+	return retryTimeouts{ownerLost: 2 * time.Second, unassigned: time.Second}
+}
 
 // maxSuspects bounds the owners remembered as lost.
 const maxSuspects = 1024
@@ -41,24 +43,24 @@
 	for refreshed := false; ; refreshed = true {
 		in, standing := s.lookup(key)
 		if standing == claims.Pruned {
-			return s.unsettled(outcome.ReasonKeyExpired)
+			return s.unresolved(outcome.ReasonKeyExpired)
 		}
-		reason, wait := outcome.ReasonKeyNotOwned, s.patience.ahead
+		reason, wait := outcome.ReasonKeyNotOwned, s.retryTimeouts.unassigned
 		if standing == claims.Owned {
-			a := s.send(ctx, in.Owner, c, body)
+			a := s.submitTo(ctx, in.Owner, c, body)
 			if a.Outcome.Kind == outcome.Answered || isFinal(a.Outcome) {
-				s.clearSuspect(in.Owner.Incarnation)
+				s.clearSuspicion(in.Owner.Incarnation)
 				return a
 			}
-			reason, wait = a.Outcome.Reason, s.patienceWith(in.Owner.Incarnation)
-			if reason == reasonMoving {
+			reason, wait = a.Outcome.Reason, s.retryTimeout(in.Owner.Incarnation)
+			if reason == reasonOwnerMoving {
 				wait = c.Timeout
 			}
 		}
 		if refreshed && time.Since(started) >= wait || ctx.Err() != nil {
 			return s.giveUp(ctx, in.Owner, standing, reason)
 		}
-		s.metrics.resent.Inc(1)
+		s.metrics.resubmitted.Inc(1)
 		s.refresh(ctx)
 	}
 }
@@ -70,34 +72,34 @@
 		return true
 	}
 	switch o.Reason {
-	case outcome.ReasonKeyNotOwned, reasonMoving, reasonUnreached:
+	case outcome.ReasonKeyNotOwned, reasonOwnerMoving, reasonOwnerUnreachable:
 		return false
 	default:
 		return true
 	}
 }
 
-// These reasons do not leave the package. reasonUnreached marks an owner whose
-// answer did not arrive, reasonMoving one that hands its claims over.
+// These reasons do not leave the package. reasonOwnerUnreachable marks an owner whose
+// answer did not arrive, reasonOwnerMoving one that hands its claims over.
 const (
-	reasonUnreached outcome.Reason = "owner-unreached"
-	reasonMoving    outcome.Reason = "owner-moving"
+	reasonOwnerUnreachable outcome.Reason = "owner-unreached"
+	reasonOwnerMoving      outcome.Reason = "owner-moving"
 )
 
 func (s *Service) giveUp(ctx context.Context, o claims.Owner, standing claims.Ownership, reason outcome.Reason) *wire.Result {
 	switch {
 	case ctx.Err() != nil:
-		return s.unsettled(outcome.ReasonDeadline)
+		return s.unresolved(outcome.ReasonDeadline)
 	case standing == claims.Owned:
-		s.setSuspect(o.Incarnation)
-		return s.unsettled(outcome.ReasonKeyOwnerLost)
+		s.suspectOwner(o.Incarnation)
+		return s.unresolved(outcome.ReasonKeyOwnerLost)
 	default:
-		return s.unsettled(reason)
+		return s.unresolved(reason)
 	}
 }
 
-func (s *Service) unsettled(r outcome.Reason) *wire.Result {
-	s.metrics.unsettled(r)
+func (s *Service) unresolved(r outcome.Reason) *wire.Result {
+	s.metrics.countUnresolved(r)
 	o := outcome.Outcome{Kind: outcome.Unknown, Reason: r}
 	if r == outcome.ReasonKeyNotOwned || r == outcome.ReasonDeadline {
 		o.RetryAfter = retryAfter
@@ -111,8 +113,8 @@
 	return s.ledger.Lookup(key.Range(s.opts.Ranges), key.Stamp())
 }
 
-// send makes one submission to an owner.
-func (s *Service) send(ctx context.Context, o claims.Owner, c *wire.Call, body []byte) *wire.Result {
+// submitTo makes one submission to an owner.
+func (s *Service) submitTo(ctx context.Context, o claims.Owner, c *wire.Call, body []byte) *wire.Result {
 	sub := *c
 	sub.ID = uuid.NewString()
 	sub.Header = c.Header.Clone()
@@ -125,14 +127,14 @@
 		sub.Timeout = time.Until(deadline)
 	}
 	if o.Daemon == s.opts.Self {
-		return s.own(ctx, &sub)
+		return s.handleSubmission(ctx, &sub)
 	}
-	return s.sendRemote(ctx, o.Daemon, &sub)
+	return s.submitRemote(ctx, o.Daemon, &sub)
 }
 
-// sendRemote sends a submission to an owner in another daemon. A small answer
+// submitRemote sends a submission to an owner in another daemon. A small answer
 // is read whole, so that one that breaks off can be asked for again.
-func (s *Service) sendRemote(ctx context.Context, to model.DaemonID, c *wire.Call) *wire.Result {
+func (s *Service) submitRemote(ctx context.Context, to model.DaemonID, c *wire.Call) *wire.Result {
 	c.SetInternalHeaders(c.Header)
 	c.Header.Set(wire.HeaderDestination, wire.DestinationOwner)
 	c.Header.Set(wire.HeaderAuth, s.opts.PeerSecret)
@@ -146,12 +148,12 @@
 		ContentLength: c.ContentLength,
 	})
 	if err != nil {
-		return unreached()
+		return ownerUnreachable()
 	}
 	a, err := wire.ReadResult(resp, c.ID)
 	if err != nil {
 		_ = resp.Body.Close()
-		return unreached()
+		return ownerUnreachable()
 	}
 	if a.Outcome.Kind != outcome.Answered {
 		_ = a.Body.Close()
@@ -163,42 +165,44 @@
 	data, err := io.ReadAll(a.Body)
 	_ = a.Body.Close()
 	if err != nil {
-		return unreached()
+		return ownerUnreachable()
 	}
 	a.Body = io.NopCloser(bytes.NewReader(data))
 	return a
 }
 
-func unreached() *wire.Result { return wire.NoResponse(outcome.UnknownBecause(reasonUnreached)) }
+func ownerUnreachable() *wire.Result {
+	return wire.NoResponse(outcome.UnknownBecause(reasonOwnerUnreachable))
+}
 
-// patienceWith returns how long an owner that does not answer is tried: one that
+// retryTimeout returns how long an owner that does not answer is tried: one that
 // others have tried in vain only once more, with the newest grants.
-func (s *Service) patienceWith(life uint64) time.Duration {
+func (s *Service) retryTimeout(life uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, suspect := s.suspect[life]; suspect {
+	if _, suspect := s.suspectedOwners[life]; suspect {
 		return 0
 	}
-	return s.patience.loss
+	return s.retryTimeouts.ownerLost
 }
 
-// setSuspect remembers an owner that could not be reached, so that no keys are
+// suspectOwner remembers an owner that could not be reached, so that no keys are
 // handed out for it.
-func (s *Service) setSuspect(life uint64) {
+func (s *Service) suspectOwner(life uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for l, since := range s.suspect {
+	for l, since := range s.suspectedOwners {
 		if time.Since(since) > s.opts.GrantDuration {
-			delete(s.suspect, l)
+			delete(s.suspectedOwners, l)
 		}
 	}
-	if len(s.suspect) < maxSuspects {
-		s.suspect[life] = time.Now()
+	if len(s.suspectedOwners) < maxSuspects {
+		s.suspectedOwners[life] = time.Now()
 	}
 }
 
-func (s *Service) clearSuspect(life uint64) {
+func (s *Service) clearSuspicion(life uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.suspect, life)
+	delete(s.suspectedOwners, life)
 }
--- a/owner/service.go
+++ b/owner/service.go
@@ -18,14 +18,14 @@
 	opts    Options
 	self    claims.Owner
 	metrics metrics
-	// patience may be changed by tests before the first call.
-	patience patience
-
-	mu      sync.Mutex
-	ledger  *claims.Ledger
-	table   *claims.Table
-	runs    map[claims.ID]*run
-	suspect map[uint64]time.Time
+	// retryTimeouts may be changed by tests before the first call.
+	retryTimeouts retryTimeouts
+
+	mu              sync.Mutex
+	ledger          *claims.Ledger
+	table           *claims.Table
+	executions      map[claims.ID]*execution
+	suspectedOwners map[uint64]time.Time
 	// checkpointed is when a checkpoint was last seen on the log.
 	checkpointed time.Time
 
@@ -33,41 +33,41 @@
 	planner    *claims.Planner
 	candidates []model.DaemonID
 
-	// reading is a lock that can be waited for within a context. It guards
+	// readLock is a lock that can be waited for within a context. It guards
 	// lastRead, sought, whole and window.
-	reading chan struct{}
-	// sought tells that the ledger stands where reading is to begin, whole that
+	readLock chan struct{}
+	// positioned tells that the ledger stands where reading is to begin, whole that
 	// this is the oldest record kept.
-	sought   bool
-	whole    bool
-	window   recordlog.Offset
-	reads    atomic.Uint64
-	lastRead time.Time
-	current  atomic.Bool
+	positioned   bool
+	fromOldest   bool
+	searchWindow recordlog.Offset
+	readCount    atomic.Uint64
+	lastRead     time.Time
+	caughtUp     atomic.Bool
 }
 
 // New returns a Service that owns nothing yet.
 func New(o Options) *Service {
 	o = o.withDefaults()
-	self := claims.Owner{Daemon: o.Self, Incarnation: newLife()}
+	self := claims.Owner{Daemon: o.Self, Incarnation: newIncarnation()}
 	return &Service{
-		opts:         o,
-		self:         self,
-		metrics:      newMetrics(o.Scope),
-		patience:     defaultPatience(),
-		ledger:       claims.NewLedger(o.Ranges, 0),
-		table:        claims.NewTable(self, o.Limits),
-		runs:         make(map[claims.ID]*run),
-		suspect:      make(map[uint64]time.Time),
-		checkpointed: time.Now(),
-		reading:      make(chan struct{}, 1),
-		window:       firstWindow,
-		planner:      claims.NewPlanner(self, o.Ranges, o.GrantDuration),
+		opts:            o,
+		self:            self,
+		metrics:         newMetrics(o.Scope),
+		retryTimeouts:   defaultRetryTimeouts(),
+		ledger:          claims.NewLedger(o.Ranges, 0),
+		table:           claims.NewTable(self, o.Limits),
+		executions:      make(map[claims.ID]*execution),
+		suspectedOwners: make(map[uint64]time.Time),
+		checkpointed:    time.Now(),
+		readLock:        make(chan struct{}, 1),
+		searchWindow:    initialSearchWindow,
+		planner:         claims.NewPlanner(self, o.Ranges, o.GrantDuration),
 	}
 }
 
-// Life returns this life of the owner.
-func (s *Service) Life() uint64 { return s.self.Incarnation }
+// Incarnation returns this life of the owner.
+func (s *Service) Incarnation() uint64 { return s.self.Incarnation }
 
 // Counts tell what an owner holds.
 type Counts struct {
@@ -95,7 +95,7 @@
 func (s *Service) RunningCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.runs)
+	return len(s.executions)
 }
 
 // String names the service in the supervisor tree.
@@ -108,8 +108,8 @@
 	for {
 		s.refreshCandidates()
 		// When no read is wanted nothing is due either.
-		if s.wantsRead(ctx) {
-			s.read(ctx)
+		if s.shouldRead(ctx) {
+			s.readGrants(ctx)
 			s.renew(ctx)
 		}
 		s.expire()
@@ -121,28 +121,28 @@
 	}
 }
 
-func (s *Service) stamp() claims.Stamp { return claims.Stamp(max(0, s.opts.Wall().UnixMilli())) }
+func (s *Service) stamp() claims.Stamp { return claims.Stamp(max(0, s.opts.WallClock().UnixMilli())) }
 
-// readParts is the part of a grant's length after which the grants are read
+// readsPerGrant is the part of a grant's length after which the grants are read
 // again. Between reads the ledger is behind by less than grants reach ahead, and
 // a request that finds it wanting asks for a read.
-const readParts = 6
+const readsPerGrant = 6
 
-// wantsRead reports whether it is time to read the grants: the last read is long
+// shouldRead reports whether it is time to read the grants: the last read is long
 // ago, or by the ledger as it is something has to be appended, which others may
 // have done since. So the log is not read each interval by every daemon.
-func (s *Service) wantsRead(ctx context.Context) bool {
-	if !s.current.Load() || !s.proven() || len(s.due()) > 0 {
+func (s *Service) shouldRead(ctx context.Context) bool {
+	if !s.caughtUp.Load() || !s.ledgerComplete() || len(s.due()) > 0 {
 		return true
 	}
-	if !s.lockReading(ctx) {
+	if !s.lockReads(ctx) {
 		return false
 	}
-	defer s.unlockReading()
-	return time.Since(s.lastRead) >= s.opts.GrantDuration/readParts
+	defer s.unlockReads()
+	return time.Since(s.lastRead) >= s.opts.GrantDuration/readsPerGrant
 }
 
-func (s *Service) proven() bool {
+func (s *Service) ledgerComplete() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Complete()
@@ -151,7 +151,7 @@
 // renew appends a grant when one is due, and a checkpoint. Whether the append
 // took effect shows when it is read back.
 func (s *Service) renew(ctx context.Context) {
-	if !s.current.Load() {
+	if !s.caughtUp.Load() {
 		return
 	}
 	for _, rec := range s.due() {
@@ -161,7 +161,7 @@
 			continue
 		}
 		s.metrics.appended.Inc(1)
-		s.read(ctx)
+		s.readGrants(ctx)
 	}
 }
 
@@ -178,7 +178,7 @@
 	}
 	// The owner of the first range writes the checkpoints.
 	_, first := s.ledger.Frontier(0)
-	if first == s.self && time.Since(s.checkpointed) > s.opts.Checkpoint {
+	if first == s.self && time.Since(s.checkpointed) > s.opts.CheckpointInterval {
 		out = append(out, claims.Record{Checkpoint: s.ledger.Checkpoint()})
 	}
 	return out
@@ -204,5 +204,5 @@
 	defer s.mu.Unlock()
 	s.table.Expire(now - retention)
 	s.metrics.claims.Update(float64(s.table.Len()))
-	s.metrics.answerBytes.Update(float64(s.table.AnswerBytes()))
+	s.metrics.responseBytes.Update(float64(s.table.AnswerBytes()))
 }
