--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -14,38 +14,38 @@
 // each record in between. Who gets a summary sends the records that the other lacks, and
 // a wish for those that it lacks itself. So the bytes follow what differs.
 const (
-	kindOpening = 'o'
-	kindAgreed  = 'a'
-	kindSummary = 's'
-	kindWish    = 'w'
-	kindRecords = 'r'
+	kindDigest        = 'o'
+	kindInSync        = 'a'
+	kindSummary       = 's'
+	kindRecordRequest = 'w'
+	kindRecords       = 'r'
 )
 
 const (
 	digestBytes = 8
 	// prefixBytes of a fingerprint stand for it in summaries and wishes.
-	prefixBytes = 8
-	entryBytes  = prefixBytes + 4
-	// maxReplies bounds the messages with records that one message is answered by. The
+	prefixBytes       = 8
+	summaryEntryBytes = prefixBytes + 4
+	// maxRecordMessages bounds the messages with records that one message is answered by. The
 	// rest follows in later rounds.
-	maxReplies = 4
+	maxRecordMessages = 4
 )
 
-type prefix [prefixBytes]byte
+type fingerprintPrefix [prefixBytes]byte
 
-func prefixOf(f quarantine.Fingerprint) prefix { return prefix(f[:prefixBytes]) }
+func prefixOf(f quarantine.Fingerprint) fingerprintPrefix { return fingerprintPrefix(f[:prefixBytes]) }
 
 // Opening returns the message that begins a comparison.
 func (s *Store) Opening() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return binary.BigEndian.AppendUint64([]byte{kindOpening}, s.sum())
+	return binary.BigEndian.AppendUint64([]byte{kindDigest}, s.checksum())
 }
 
-// News returns a message of at most limit bytes with records that have changed, those
+// NextPush returns a message of at most limit bytes with records that have changed, those
 // that matter most first, and takes them for told. It is nil where nothing has changed.
 // First reports whether an upstream has died here since the last call.
-func (s *Store) News(limit int) (message []byte, first bool) {
+func (s *Store) NextPush(limit int) (message []byte, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := s.table.Unsent()
@@ -56,7 +56,7 @@
 	if n == 0 {
 		return nil, false
 	}
-	first, s.began = s.began, false
+	first, s.newCrash = s.newCrash, false
 	return message, first
 }
 
@@ -68,29 +68,29 @@
 	}
 	kind, body := message[0], message[1:]
 	switch kind {
-	case kindOpening:
-		return s.opened(body, limit), false
+	case kindDigest:
+		return s.handleDigest(body, limit), false
 	case kindSummary:
-		return s.compared(body, limit), false
-	case kindWish:
-		return s.granted(body, limit), false
+		return s.handleSummary(body, limit), false
+	case kindRecordRequest:
+		return s.handleRecordRequest(body, limit), false
 	case kindRecords:
 		// What cannot be read is counted there.
 		_ = s.Apply(body)
-	case kindAgreed:
+	case kindInSync:
 		return nil, true
 	}
 	return nil, false
 }
 
-func (s *Store) opened(digest []byte, limit int) [][]byte {
+func (s *Store) handleDigest(digest []byte, limit int) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(digest) != digestBytes {
 		return nil
 	}
-	if binary.BigEndian.Uint64(digest) == s.sum() {
-		return [][]byte{{kindAgreed}}
+	if binary.BigEndian.Uint64(digest) == s.checksum() {
+		return [][]byte{{kindInSync}}
 	}
 	return s.summaries(limit)
 }
@@ -98,18 +98,18 @@
 // summaries describes the table in spans of fingerprints. s.mu is held.
 func (s *Store) summaries(limit int) [][]byte {
 	records := s.ordered()
-	room := (limit - 1 - 2*prefixBytes) / entryBytes
+	room := (limit - 1 - 2*prefixBytes) / summaryEntryBytes
 	var out [][]byte
-	var from prefix
+	var from fingerprintPrefix
 	for {
 		n := min(room, len(records))
-		to := prefix(bytes.Repeat([]byte{0xff}, prefixBytes))
+		to := fingerprintPrefix(bytes.Repeat([]byte{0xff}, prefixBytes))
 		if n < len(records) {
 			to = prefixOf(records[n-1].Fingerprint)
 		}
 		m := append(append([]byte{kindSummary}, from[:]...), to[:]...)
 		for i := range records[:n] {
-			m = appendEntry(m, &records[i])
+			m = appendSummaryEntry(m, &records[i])
 		}
 		out = append(out, m)
 		if records = records[n:]; len(records) == 0 {
@@ -119,7 +119,7 @@
 	}
 }
 
-func appendEntry(m []byte, r *quarantine.Record) []byte {
+func appendSummaryEntry(m []byte, r *quarantine.Record) []byte {
 	p := prefixOf(r.Fingerprint)
 	return binary.BigEndian.AppendUint32(append(m, p[:]...), uint32(r.Sum()))
 }
@@ -133,15 +133,15 @@
 	return records
 }
 
-// compared answers a summary.
-func (s *Store) compared(body []byte, limit int) [][]byte {
-	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%entryBytes != 0 {
+// handleSummary answers a summary.
+func (s *Store) handleSummary(body []byte, limit int) [][]byte {
+	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%summaryEntryBytes != 0 {
 		return nil
 	}
-	from, to := prefix(body[:prefixBytes]), prefix(body[prefixBytes:])
-	theirs := make(map[prefix]uint32)
-	for e := range slices.Chunk(body[2*prefixBytes:], entryBytes) {
-		theirs[prefix(e)] = binary.BigEndian.Uint32(e[prefixBytes:])
+	from, to := fingerprintPrefix(body[:prefixBytes]), fingerprintPrefix(body[prefixBytes:])
+	theirs := make(map[fingerprintPrefix]uint32)
+	for e := range slices.Chunk(body[2*prefixBytes:], summaryEntryBytes) {
+		theirs[fingerprintPrefix(e)] = binary.BigEndian.Uint32(e[prefixBytes:])
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,18 +158,18 @@
 		}
 	}
 	out := recordMessages(lacked, limit)
-	if wish := wishFor(theirs, limit); wish != nil {
+	if wish := recordRequest(theirs, limit); wish != nil {
 		out = append(out, wish)
 	}
 	return out
 }
 
-// wishFor asks for records. It is nil where none are wanted.
-func wishFor(wanted map[prefix]uint32, limit int) []byte {
+// recordRequest asks for records. It is nil where none are wanted.
+func recordRequest(wanted map[fingerprintPrefix]uint32, limit int) []byte {
 	if len(wanted) == 0 {
 		return nil
 	}
-	m := []byte{kindWish}
+	m := []byte{kindRecordRequest}
 	for p := range wanted {
 		if len(m)+prefixBytes > limit {
 			break
@@ -179,14 +179,14 @@
 	return m
 }
 
-// granted answers a wish.
-func (s *Store) granted(body []byte, limit int) [][]byte {
+// handleRecordRequest answers a wish.
+func (s *Store) handleRecordRequest(body []byte, limit int) [][]byte {
 	if len(body)%prefixBytes != 0 {
 		return nil
 	}
-	wanted := make(map[prefix]bool)
+	wanted := make(map[fingerprintPrefix]bool)
 	for p := range slices.Chunk(body, prefixBytes) {
-		wanted[prefix(p)] = true
+		wanted[fingerprintPrefix(p)] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,10 +194,10 @@
 	return recordMessages(records, limit)
 }
 
-// recordMessages spreads records over at most maxReplies messages.
+// recordMessages spreads records over at most maxRecordMessages messages.
 func recordMessages(records []quarantine.Record, limit int) [][]byte {
 	var out [][]byte
-	for len(records) > 0 && len(out) < maxReplies {
+	for len(records) > 0 && len(out) < maxRecordMessages {
 		m, n := appendRecords([]byte{kindRecords}, records, limit)
 		if n == 0 {
 			break
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -8,9 +8,9 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// newsPause is the least time between two messages of news. With four daemons told and
+// minPushInterval is the least time between two messages of news. With four daemons told and
 // messages of 1,400 bytes it bounds what a daemon sends to 19 KB a second.
-const newsPause = 300 * time.Millisecond
+const minPushInterval = 300 * time.Millisecond
 
 // Gossip hands the records of a Store on to the other daemons by datagram. It is safe
 // for concurrent use.
@@ -25,41 +25,41 @@
 	MaxMessageBytes int
 
 	mu      sync.Mutex
-	pace    gossip.AntiEntropyTimer
+	timer   gossip.AntiEntropyTimer
 	version uint64
-	// told is when the last news were sent. Zero means never.
-	told model.Instant
+	// lastPush is when the last news were sent. Zero means never.
+	lastPush model.Instant
 }
 
 // Tick sends what is due. It is called when the Store hints at news, and several times a
 // second.
 func (g *Gossip) Tick(now model.Instant) {
-	if g.newsDue(now) {
+	if g.pushDue(now) {
 		g.push()
 	}
-	if g.compareDue(now) {
+	if g.antiEntropyDue(now) {
 		if m, ok := g.Selector.AntiEntropyPeer(g.Members()); ok {
 			g.Send(m.Address, g.Store.Opening())
 		}
 	}
 }
 
-func (g *Gossip) newsDue(now model.Instant) bool {
+func (g *Gossip) pushDue(now model.Instant) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.told != 0 && now.Sub(g.told) < newsPause {
+	if g.lastPush != 0 && now.Sub(g.lastPush) < minPushInterval {
 		return false
 	}
-	g.told = now
+	g.lastPush = now
 	return true
 }
 
 func (g *Gossip) push() {
-	news, first := g.Store.News(g.MaxMessageBytes)
+	news, first := g.Store.NextPush(g.MaxMessageBytes)
 	if news == nil {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.told = 0
+		g.lastPush = 0
 		return
 	}
 	for _, m := range g.Selector.PushTargets(g.Members(), first) {
@@ -67,15 +67,15 @@
 	}
 }
 
-func (g *Gossip) compareDue(now model.Instant) bool {
+func (g *Gossip) antiEntropyDue(now model.Instant) bool {
 	version := g.Store.Version()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if version != g.version {
 		g.version = version
-		g.pace.Reset()
+		g.timer.Reset()
 	}
-	return g.pace.Due(now)
+	return g.timer.Due(now)
 }
 
 // ResetAntiEntropy has the daemon compare more often for a while: others may have missed something,
@@ -83,7 +83,7 @@
 func (g *Gossip) ResetAntiEntropy() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pace.Reset()
+	g.timer.Reset()
 }
 
 // SendDigest compares with a daemon that may know something, as one that is met at the start.
@@ -95,7 +95,7 @@
 	if agreed {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.pace.RecordAgreement()
+		g.timer.RecordAgreement()
 		return
 	}
 	for _, a := range answers {
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -19,8 +19,8 @@
 type Options struct {
 	// Rule returns the rule of a service.
 	Rule func(model.ServiceName) quarantine.Rule
-	// Wall reads the wall clock. Default: time.Now.
-	Wall func() time.Time
+	// WallClock reads the wall clock. Default: time.Now.
+	WallClock func() time.Time
 	// OnUpdate is called when there is news for other daemons. Nil means none.
 	OnUpdate func()
 	// Scope receives the counters. Nil means none.
@@ -31,29 +31,29 @@
 
 // Store is a daemon's table. It is safe for concurrent use.
 type Store struct {
-	opts     Options
-	deaths   tally.Counter
-	refusals tally.Counter
-	unread   tally.Counter
-	// watching tells whether the table holds any record, so that the data path
+	opts       Options
+	crashes    tally.Counter
+	refusals   tally.Counter
+	unreadable tally.Counter
+	// nonEmpty tells whether the table holds any record, so that the data path
 	// need not take fingerprints while it holds none.
-	watching atomic.Bool
-
-	mu    sync.Mutex
-	table *quarantine.Table
-	known map[quarantine.Fingerprint]bool
-	turn  int
-	// lastSum is what the records add up to as of the table's version summed.
-	lastSum uint64
-	summed  uint64
-	// began tells that news have begun here since News was called.
-	began bool
+	nonEmpty atomic.Bool
+
+	mu            sync.Mutex
+	table         *quarantine.Table
+	loggedRefused map[quarantine.Fingerprint]bool
+	deltaStart    int
+	// cachedChecksum is what the records add up to as of the table's version summed.
+	cachedChecksum  uint64
+	checksumVersion uint64
+	// newCrash tells that news have begun here since NextPush was called.
+	newCrash bool
 }
 
 // NewStore returns a Store with an empty table.
 func NewStore(opts Options) *Store {
-	if opts.Wall == nil {
-		opts.Wall = time.Now
+	if opts.WallClock == nil {
+		opts.WallClock = time.Now
 	}
 	if opts.OnUpdate == nil {
 		opts.OnUpdate = func() {}
@@ -63,12 +63,12 @@
 	}
 	scope := telemetry.OrNoop(opts.Scope)
 	return &Store{
-		opts:     opts,
-		deaths:   scope.Counter("deaths"),
-		refusals: scope.Counter("refusals"),
-		unread:   scope.Counter("records_unread"),
-		table:    quarantine.NewTable(quarantine.Options{Rule: opts.Rule}),
-		known:    make(map[quarantine.Fingerprint]bool),
+		opts:          opts,
+		crashes:       scope.Counter("deaths"),
+		refusals:      scope.Counter("refusals"),
+		unreadable:    scope.Counter("records_unread"),
+		table:         quarantine.NewTable(quarantine.Options{Rule: opts.Rule}),
+		loggedRefused: make(map[quarantine.Fingerprint]bool),
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 // HasRecords reports whether any request is suspected or refused.
-func (s *Store) HasRecords() bool { return s.watching.Load() }
+func (s *Store) HasRecords() bool { return s.nonEmpty.Load() }
 
 // RefusedFor reports for how long yet a request is refused.
 func (s *Store) RefusedFor(f quarantine.Fingerprint) (time.Duration, bool) {
@@ -97,22 +97,22 @@
 
 // RecordCrash tells that an upstream died while it ran a request.
 func (s *Store) RecordCrash(f quarantine.Fingerprint, r quarantine.Request, d quarantine.Crash) {
-	s.deaths.Inc(1)
-	s.change(func(now int64) {
+	s.crashes.Inc(1)
+	s.update(func(now int64) {
 		s.table.RecordCrash(now, f, r, d)
-		s.began = true
+		s.newCrash = true
 	})
 }
 
 // RecordResponse tells that a request was answered in full.
 func (s *Store) RecordResponse(f quarantine.Fingerprint) {
-	s.change(func(now int64) { s.table.RecordResponse(now, f) })
+	s.update(func(now int64) { s.table.RecordResponse(now, f) })
 }
 
 // Release frees a request. It reports false when the request is not known.
 func (s *Store) Release(f quarantine.Fingerprint) bool {
 	known := false
-	s.change(func(now int64) { known = s.table.Release(now, f) })
+	s.update(func(now int64) { known = s.table.Release(now, f) })
 	return known
 }
 
@@ -143,7 +143,7 @@
 func (s *Store) Serve(ctx context.Context) error {
 	return interval.Run(ctx, tickInterval, func() {
 		if s.HasRecords() {
-			s.change(s.settle)
+			s.update(s.evaluate)
 		}
 	})
 }
@@ -151,21 +151,21 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "quarantine" }
 
-func (s *Store) settle(now int64) {
+func (s *Store) evaluate(now int64) {
 	s.table.Evaluate(now)
 	s.table.Expire(now)
 }
 
-// change runs a change of the table and makes known what came of it.
-func (s *Store) change(f func(now int64)) {
+// update runs a change of the table and makes known what came of it.
+func (s *Store) update(f func(now int64)) {
 	s.mu.Lock()
 	before := s.table.Version()
 	now := s.now()
 	f(now)
 	changed := s.table.Version() != before
 	if changed {
-		s.watching.Store(s.table.Len() > 0)
-		s.log(now)
+		s.nonEmpty.Store(s.table.Len() > 0)
+		s.logChanges(now)
 	}
 	s.mu.Unlock()
 	if changed {
@@ -173,25 +173,25 @@
 	}
 }
 
-// log writes a line for each request that is newly refused or no longer.
-func (s *Store) log(now int64) {
+// logChanges writes a line for each request that is newly refused or no longer.
+func (s *Store) logChanges(now int64) {
 	refused := make(map[quarantine.Fingerprint]bool)
 	for _, r := range s.table.List() {
 		if !r.Refused(now) {
 			continue
 		}
 		refused[r.Fingerprint] = true
-		if !s.known[r.Fingerprint] {
+		if !s.loggedRefused[r.Fingerprint] {
 			s.opts.Logger.Warn("request quarantined", "fingerprint", r.Fingerprint.String(),
 				"service", r.Service, "caller", r.Caller, "request", r.Request)
 		}
 	}
-	for f := range s.known {
+	for f := range s.loggedRefused {
 		if !refused[f] {
 			s.opts.Logger.Info("request no longer quarantined", "fingerprint", f.String())
 		}
 	}
-	s.known = refused
+	s.loggedRefused = refused
 }
 
-func (s *Store) now() int64 { return s.opts.Wall().UnixMilli() }
+func (s *Store) now() int64 { return s.opts.WallClock().UnixMilli() }
--- a/quarantine/store_test.go
+++ b/quarantine/store_test.go
@@ -22,16 +22,16 @@
 	f := &fleet{now: time.UnixMilli(1_000_000)}
 	for range n {
 		f.stores = append(f.stores, NewStore(Options{
-			Rule:   func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Crashes: 2, Duration: time.Minute} },
-			Wall:   func() time.Time { return f.now },
-			Logger: slog.New(slog.DiscardHandler),
+			Rule:      func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Crashes: 2, Duration: time.Minute} },
+			WallClock: func() time.Time { return f.now },
+			Logger:    slog.New(slog.DiscardHandler),
 		}))
 	}
 	return f
 }
 
-// pass lets time pass, with a round between each two neighbours.
-func (f *fleet) pass(t *testing.T, d time.Duration, limit int) {
+// advance lets time pass, with a round between each two neighbours.
+func (f *fleet) advance(t *testing.T, d time.Duration, limit int) {
 	f.now = f.now.Add(d)
 	for i := range f.stores {
 		a, b := f.stores[i], f.stores[(i+1)%len(f.stores)]
@@ -39,64 +39,64 @@
 		require.NoError(t, a.Apply(b.Delta(a.Digest(), limit)))
 	}
 	for _, s := range f.stores {
-		s.change(s.settle)
+		s.update(s.evaluate)
 	}
 }
 
-func asked(target string) quarantine.Request {
+func newRequest(target string) quarantine.Request {
 	return quarantine.Request{Service: "s", Caller: "c", Method: "GET", Target: target}
 }
 
-func (s *Store) died(target string, upstream int) {
-	r := asked(target)
+func (s *Store) recordTestCrash(target string, upstream int) {
+	r := newRequest(target)
 	s.RecordCrash(quarantine.FingerprintOf(r), r, quarantine.Crash{Upstream: model.UpstreamID(fmt.Sprint("s-", upstream)), Incarnation: 1})
 }
 
-func (s *Store) refuses(target string) bool {
-	_, ok := s.RefusedFor(quarantine.FingerprintOf(asked(target)))
+func (s *Store) refusesTarget(target string) bool {
+	_, ok := s.RefusedFor(quarantine.FingerprintOf(newRequest(target)))
 	return ok
 }
 
-// TestKillerSentThroughDifferentDaemons sends the killer through a different
+// TestCrashingRequestThroughDifferentDaemonsIsQuarantined sends the killer through a different
 // daemon each time. Every daemon refuses it within a second of its second
 // death.
-func TestKillerSentThroughDifferentDaemons(t *testing.T) {
+func TestCrashingRequestThroughDifferentDaemonsIsQuarantined(t *testing.T) {
 	f := newFleet(4)
-	f.stores[0].died("/kill", 1)
-	f.stores[0].died("/beside", 1)
-	f.pass(t, 100*time.Millisecond, 4096)
-	f.stores[2].died("/kill", 2)
+	f.stores[0].recordTestCrash("/kill", 1)
+	f.stores[0].recordTestCrash("/beside", 1)
+	f.advance(t, 100*time.Millisecond, 4096)
+	f.stores[2].recordTestCrash("/kill", 2)
 	for range 9 {
-		f.pass(t, 100*time.Millisecond, 4096)
+		f.advance(t, 100*time.Millisecond, 4096)
 	}
 	for i, s := range f.stores {
-		require.True(t, s.refuses("/kill"), "daemon %d", i)
-		require.False(t, s.refuses("/beside"), "daemon %d", i)
+		require.True(t, s.refusesTarget("/kill"), "daemon %d", i)
+		require.False(t, s.refusesTarget("/beside"), "daemon %d", i)
 	}
-	require.True(t, f.stores[3].Release(quarantine.FingerprintOf(asked("/kill"))))
-	f.pass(t, 100*time.Millisecond, 4096)
-	f.pass(t, 100*time.Millisecond, 4096)
+	require.True(t, f.stores[3].Release(quarantine.FingerprintOf(newRequest("/kill"))))
+	f.advance(t, 100*time.Millisecond, 4096)
+	f.advance(t, 100*time.Millisecond, 4096)
 	for i, s := range f.stores {
-		require.False(t, s.refuses("/kill"), "daemon %d after the release", i)
+		require.False(t, s.refusesTarget("/kill"), "daemon %d after the release", i)
 	}
 }
 
-func TestDeltaKeepsItsLimitAndCoversAllInTurns(t *testing.T) {
+func TestDeltaRespectsLimitAndRotatesThroughAllRecords(t *testing.T) {
 	f := newFleet(2)
 	for i := range 50 {
-		f.stores[0].died(fmt.Sprint("/", i), i)
+		f.stores[0].recordTestCrash(fmt.Sprint("/", i), i)
 	}
 	const limit = 1000
 	require.LessOrEqual(t, len(f.stores[0].Delta(nil, limit)), limit)
 	for range 60 {
-		f.pass(t, time.Millisecond, limit)
+		f.advance(t, time.Millisecond, limit)
 	}
 	require.Len(t, f.stores[1].List(), 50)
 	require.Equal(t, f.stores[0].Digest(), f.stores[1].Digest())
 	require.Nil(t, f.stores[0].Delta(f.stores[1].Digest(), limit))
 }
 
-func TestEmptyStoreCostsNothing(t *testing.T) {
+func TestEmptyStoreSendsNothing(t *testing.T) {
 	s := newFleet(1).stores[0]
 	require.False(t, s.HasRecords())
 	require.Empty(t, s.Digest())
--- a/quarantine/topic.go
+++ b/quarantine/topic.go
@@ -21,19 +21,19 @@
 	if s.table.Len() == 0 {
 		return nil
 	}
-	return binary.BigEndian.AppendUint64(nil, s.sum())
+	return binary.BigEndian.AppendUint64(nil, s.checksum())
 }
 
-// sum returns a number that two tables with the same records have in common, zero for
+// checksum returns a number that two tables with the same records have in common, zero for
 // an empty one. s.mu is held.
-func (s *Store) sum() uint64 {
-	if v := s.table.Version(); s.summed != v {
-		s.summed, s.lastSum = v, 0
+func (s *Store) checksum() uint64 {
+	if v := s.table.Version(); s.checksumVersion != v {
+		s.checksumVersion, s.cachedChecksum = v, 0
 		for _, r := range s.table.List() {
-			s.lastSum ^= r.Sum()
+			s.cachedChecksum ^= r.Sum()
 		}
 	}
-	return s.lastSum
+	return s.cachedChecksum
 }
 
 // Delta implements peer.Topic. It returns records, newest first, when the
@@ -48,9 +48,9 @@
 	if len(records) == 0 {
 		return nil
 	}
-	from := s.turn % len(records)
+	from := s.deltaStart % len(records)
 	out, n := appendRecords(nil, slices.Concat(records[from:], records[:from]), limit)
-	s.turn = (from + n) % len(records)
+	s.deltaStart = (from + n) % len(records)
 	return out
 }
 
@@ -58,10 +58,10 @@
 func (s *Store) Apply(delta []byte) error {
 	records, err := quarantine.Decode(delta)
 	if err != nil {
-		s.unread.Inc(1)
+		s.unreadable.Inc(1)
 		return err
 	}
-	s.change(func(now int64) {
+	s.update(func(now int64) {
 		for _, r := range records {
 			s.table.Merge(now, r)
 		}
