--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Batcher is a Log that joins appends to one stream that come at about the same
-// time into one. It is safe for concurrent use.
+// Batcher is a Log that joins appends to the same stream which arrive within a
+// short window into one append. It is safe for concurrent use.
 type Batcher struct {
 	Log
-	// Window is how long an append waits for others. Default: 10ms.
+	// Window is how long an append waits for others to join it. Default: 10ms.
 	Window time.Duration
 	// Timeout bounds a joined append. Default: 3s.
 	Timeout time.Duration
@@ -22,13 +22,14 @@
 const (
 	defaultWindow  = 10 * time.Millisecond
 	defaultTimeout = 3 * time.Second
-	// maxBatchRecords and maxBatchBytes close a batch to further appends.
+	// A batch takes no append that would give it more than maxBatchRecords
+	// records, and no further append once it has more than maxBatchBytes bytes.
 	maxBatchRecords = 256
 	maxBatchBytes   = 1 << 20
 )
 
-// pendingBatch is one append being gathered. first and err are set before done is
-// closed.
+// pendingBatch collects the records of several appends to one stream.
+// firstOffset and err are set before done is closed.
 type pendingBatch struct {
 	records     [][]byte
 	bytes       int
@@ -37,19 +38,20 @@
 	err         error
 }
 
-// Append implements Log. When the context ends before the joined append has,
-// the records may have been appended.
+// Append implements Log. When the context ends before the joined append does,
+// it returns an uncertain AppendError: the records may have been appended.
 func (b *Batcher) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	joined, at := b.enqueue(stream, records)
+	joined, index := b.enqueue(stream, records)
 	select {
 	case <-joined.done:
-		return joined.firstOffset + Offset(at), joined.err
+		return joined.firstOffset + Offset(index), joined.err
 	case <-ctx.Done():
 		return 0, &AppendError{Stream: stream, Uncertain: true, Err: ctx.Err()}
 	}
 }
 
-// enqueue adds the records to the open batch and returns it with their place.
+// enqueue adds the records to the pending batch of the stream. It returns the
+// batch and the index of the first of the records in it.
 func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,12 +64,12 @@
 		b.pending[stream] = current
 		go b.flush(stream, current)
 	}
-	at := len(current.records)
+	index := len(current.records)
 	current.records = append(current.records, records...)
 	for _, r := range records {
 		current.bytes += len(r)
 	}
-	return current, at
+	return current, index
 }
 
 func (b *Batcher) flush(stream string, current *pendingBatch) {
--- a/recordlog/client.go
+++ b/recordlog/client.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Client speaks to the log over HTTP. It is safe for concurrent use.
+// Client accesses the log over HTTP. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
@@ -70,7 +70,7 @@
 		return 0, &AppendError{
 			Stream:    stream,
 			Uncertain: resp.StatusCode >= http.StatusInternalServerError,
-			Err:       fmt.Errorf("log answered %s", resp.Status),
+			Err:       fmt.Errorf("log responded %s", resp.Status),
 		}
 	}
 	var out appendResponse
@@ -103,12 +103,12 @@
 		}
 		return out, &TrimmedError{Stream: stream, Oldest: out.Oldest}
 	default:
-		return Batch{}, fmt.Errorf("read %s: log answered %s", stream, resp.Status)
+		return Batch{}, fmt.Errorf("read %s: log responded %s", stream, resp.Status)
 	}
 }
 
-// isDialError reports whether no connection came about, so that nothing was
-// sent.
+// isDialError reports whether no connection was established, so that the
+// request was certainly not sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/recordlog/faults.go
+++ b/recordlog/faults.go
@@ -7,37 +7,39 @@
 	"time"
 )
 
-// FaultyLog is a Log that fails as the platform's service is known to. Its faults
-// can be changed at any time. The zero value of every field means no fault.
+// FaultyLog is a Log that injects the faults that the platform's log service is
+// known for. The faults can be changed at any time. The zero value of every
+// field of Faults means no fault.
 type FaultyLog struct {
 	Log
 	mu     sync.Mutex
 	faults Faults
 }
 
-// Faults are the faults of a FaultyLog.
+// Faults are the faults that a FaultyLog injects.
 type Faults struct {
 	// Down makes every append and read fail without effect.
 	Down bool `json:"down"`
 	// Latency is added to every append and read, in nanoseconds.
 	Latency time.Duration `json:"latency_ns"`
-	// LoseReplies is the number of next appends that take effect and fail.
+	// LoseReplies is the number of following appends that take effect but
+	// return an error.
 	LoseReplies int `json:"lose_replies"`
-	// Duplicate is the number of next appends that take effect twice, as when
-	// a retry on the way repeats them.
+	// Duplicate is the number of following appends that take effect twice, as
+	// when a proxy in between retries the request.
 	Duplicate int `json:"duplicate"`
 }
 
-// The causes of the failures that a FaultyLog makes.
+// The errors that a FaultyLog injects.
 var (
 	ErrDown      = errors.New("log is down")
-	ErrReplyLost = errors.New("reply was lost")
+	ErrReplyLost = errors.New("response was lost")
 )
 
-// NewFaultyLog returns a FaultyLog without faults.
+// NewFaultyLog returns a FaultyLog that injects no faults yet.
 func NewFaultyLog(log Log) *FaultyLog { return &FaultyLog{Log: log} }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (f *FaultyLog) SetFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,15 +48,15 @@
 
 // Append implements Log.
 func (f *FaultyLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	now := f.takeFaults(true)
-	if err := now.inject(ctx); err != nil {
+	faults := f.takeFaults(true)
+	if err := faults.inject(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: err}
 	}
 	first, err := f.Log.Append(ctx, stream, records)
-	if err == nil && now.Duplicate > 0 {
+	if err == nil && faults.Duplicate > 0 {
 		_, err = f.Log.Append(ctx, stream, records)
 	}
-	if err == nil && now.LoseReplies > 0 {
+	if err == nil && faults.LoseReplies > 0 {
 		return 0, &AppendError{Stream: stream, Uncertain: true, Err: ErrReplyLost}
 	}
 	return first, err
@@ -62,25 +64,27 @@
 
 // Read implements Log.
 func (f *FaultyLog) Read(ctx context.Context, stream string, from Offset, limit int) (Batch, error) {
-	now := f.takeFaults(false)
-	if err := now.inject(ctx); err != nil {
+	faults := f.takeFaults(false)
+	if err := faults.inject(ctx); err != nil {
 		return Batch{}, err
 	}
 	return f.Log.Read(ctx, stream, from, limit)
 }
 
-// takeFaults returns the faults that hold for one operation and counts it.
+// takeFaults returns the faults for the next operation and, when it is an
+// append that reaches the log, counts it against LoseReplies and Duplicate.
 func (f *FaultyLog) takeFaults(isAppend bool) Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.faults
-	if isAppend && !now.Down {
+	faults := f.faults
+	if isAppend && !faults.Down {
 		f.faults.LoseReplies = max(0, f.faults.LoseReplies-1)
 		f.faults.Duplicate = max(0, f.faults.Duplicate-1)
 	}
-	return now
+	return faults
 }
 
+// inject waits for Latency, then returns ErrDown if the log is down.
 func (f Faults) inject(ctx context.Context) error {
 	if f.Latency > 0 {
 		select {
--- a/recordlog/log.go
+++ b/recordlog/log.go
@@ -5,52 +5,52 @@
 	"fmt"
 )
 
-// Offset is the place of a record in its stream, from 0.
+// Offset is the position of a record in its stream, counted from 0.
 type Offset uint64
 
-// The streams that the system keeps.
+// The streams that the daemons and the operator's command write.
 const (
 	StreamConfig     = "config"
 	StreamMembership = "membership"
 	StreamGrants     = "grants"
 )
 
-// Record is one record as read.
+// Record is one record as read from a stream.
 type Record struct {
 	Offset Offset `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// Batch is a run of records.
+// Batch holds consecutive records of a stream.
 type Batch struct {
 	Records []Record `json:"records"`
-	// Oldest is the oldest offset that is still kept.
+	// Oldest is the oldest offset that the log still keeps.
 	Oldest Offset `json:"oldest"`
-	// Next is the offset after the newest record.
+	// Next is the offset after the newest record of the stream.
 	Next Offset `json:"next"`
 }
 
-// Log is the platform's log as the rest of the system uses it.
+// Log is the part of the platform's log service that the load balancer uses.
 type Log interface {
-	// Append appends records to a stream, in order and together, and returns
-	// the offset of the first. On an *AppendError with Uncertain set the
-	// records may have been appended.
+	// Append appends records to a stream in one operation, in order, and
+	// returns the offset of the first. On an *AppendError with Uncertain set
+	// the records may have been appended.
 	Append(ctx context.Context, stream string, records [][]byte) (Offset, error)
-	// Read returns up to limit records from an offset on. It returns an empty
-	// Batch at the end of the stream and a *TrimmedError when the offset is
-	// no longer kept.
+	// Read returns up to limit records, starting at offset from. It returns a
+	// Batch without records at the end of the stream, and a *TrimmedError when
+	// the log no longer keeps the offset.
 	Read(ctx context.Context, stream string, from Offset, limit int) (Batch, error)
 }
 
-// AppendError is a failed append.
+// AppendError is the error of a failed append.
 type AppendError struct {
 	Stream string
-	// Uncertain tells that the append may have taken effect.
+	// Uncertain is set when the append may have taken effect.
 	Uncertain bool
 	Err       error
 }
 
-// Error tells the stream and whether the append may have taken effect.
+// Error implements error.
 func (e *AppendError) Error() string {
 	state := "not appended"
 	if e.Uncertain {
@@ -62,13 +62,13 @@
 // Unwrap returns the cause.
 func (e *AppendError) Unwrap() error { return e.Err }
 
-// TrimmedError tells that records below Oldest are no longer kept.
+// TrimmedError is the error of a read below the oldest offset that is kept.
 type TrimmedError struct {
 	Stream string
 	Oldest Offset
 }
 
-// Error tells the stream and its oldest offset.
+// Error implements error.
 func (e *TrimmedError) Error() string {
 	return fmt.Sprintf("stream %s: records below %d are no longer kept", e.Stream, e.Oldest)
 }
--- a/recordlog/memory.go
+++ b/recordlog/memory.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Memory is a Log held in memory. The zero value is an empty log that keeps
-// everything.
+// Memory is a Log held in memory. The zero value is an empty log that keeps its
+// records forever.
 type Memory struct {
-	// Retention is how long records are kept. Zero means for ever.
+	// Retention is how long records are kept. Zero means forever.
 	Retention time.Duration
 
 	mu      sync.Mutex
@@ -23,8 +23,8 @@
 }
 
 type memoryRecord struct {
-	data []byte
-	at   time.Time
+	data       []byte
+	appendedAt time.Time
 }
 
 // Append implements Log.
@@ -33,9 +33,9 @@
 	defer m.mu.Unlock()
 	s := m.stream(stream)
 	first := s.next()
-	at := time.Now()
+	now := time.Now()
 	for _, r := range records {
-		s.records = append(s.records, memoryRecord{data: bytes.Clone(r), at: at})
+		s.records = append(s.records, memoryRecord{data: bytes.Clone(r), appendedAt: now})
 	}
 	m.expire(s)
 	return first, nil
@@ -51,13 +51,13 @@
 	if from < s.oldest {
 		return b, &TrimmedError{Stream: stream, Oldest: s.oldest}
 	}
-	for o := from; o < b.Next && len(b.Records) < limit; o++ {
-		b.Records = append(b.Records, Record{Offset: o, Data: s.records[o-s.oldest].data})
+	for offset := from; offset < b.Next && len(b.Records) < limit; offset++ {
+		b.Records = append(b.Records, Record{Offset: offset, Data: s.records[offset-s.oldest].data})
 	}
 	return b, nil
 }
 
-// Trim drops the records of a stream below an offset.
+// Trim drops the records of a stream that are below an offset.
 func (m *Memory) Trim(stream string, oldest Offset) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,13 +69,13 @@
 	}
 }
 
-// expire drops the records that are older than the retention time.
+// expire drops the records that are older than Retention. m.mu is held.
 func (m *Memory) expire(s *memoryStream) {
 	if m.Retention <= 0 {
 		return
 	}
-	before := time.Now().Add(-m.Retention)
-	for len(s.records) > 0 && s.records[0].at.Before(before) {
+	cutoff := time.Now().Add(-m.Retention)
+	for len(s.records) > 0 && s.records[0].appendedAt.Before(cutoff) {
 		s.records = s.records[1:]
 		s.oldest++
 	}
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -58,18 +58,18 @@
 }
 
 func TestClientReportsUncertainAppends(t *testing.T) {
-	lost := NewFaultyLog(&Memory{})
-	lost.SetFaults(Faults{LoseReplies: 1})
-	nobody, err := loopback.UnusedAddress()
+	losesReplies := NewFaultyLog(&Memory{})
+	losesReplies.SetFaults(Faults{LoseReplies: 1})
+	unused, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		client    *Client
 		uncertain bool
 	}{
-		"reply lost":    {newTestClient(t, Handler(lost)), true},
-		"no connection": {NewClient(nobody), false},
+		"response lost": {newTestClient(t, Handler(losesReplies)), true},
+		"no connection": {NewClient(unused), false},
 		"not found":     {newTestClient(t, http.NotFoundHandler()), false},
-		"cut off": {newTestClient(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		"connection aborted": {newTestClient(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		})), true},
 	} {
@@ -86,28 +86,28 @@
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{Retention: time.Minute}
 		log := NewFaultyLog(memory)
-		one := [][]byte{[]byte("x")}
-		count := func() Offset {
+		records := [][]byte{[]byte("x")}
+		countRecords := func() Offset {
 			b, err := memory.Read(t.Context(), "s", 0, 100)
 			require.NoError(t, err)
 			return b.Next
 		}
 		log.SetFaults(Faults{Duplicate: 1})
-		_, err := log.Append(t.Context(), "s", one)
+		_, err := log.Append(t.Context(), "s", records)
 		require.NoError(t, err)
-		require.EqualValues(t, 2, count(), "appended twice")
+		require.EqualValues(t, 2, countRecords(), "appended twice")
 
 		log.SetFaults(Faults{LoseReplies: 1})
-		_, err = log.Append(t.Context(), "s", one)
+		_, err = log.Append(t.Context(), "s", records)
 		require.ErrorIs(t, err, ErrReplyLost)
-		require.EqualValues(t, 3, count(), "took effect")
+		require.EqualValues(t, 3, countRecords(), "the append took effect")
 
 		log.SetFaults(Faults{Down: true})
-		_, err = log.Append(t.Context(), "s", one)
+		_, err = log.Append(t.Context(), "s", records)
 		require.ErrorIs(t, err, ErrDown)
 		_, err = log.Read(t.Context(), "s", 0, 1)
 		require.ErrorIs(t, err, ErrDown)
-		require.EqualValues(t, 3, count(), "no effect")
+		require.EqualValues(t, 3, countRecords(), "the append had no effect")
 
 		log.SetFaults(Faults{Latency: time.Second})
 		start := time.Now()
@@ -119,20 +119,20 @@
 		_, err = memory.Read(t.Context(), "s", 0, 1)
 		var trimmed *TrimmedError
 		require.ErrorAs(t, err, &trimmed)
-		require.EqualValues(t, 3, trimmed.Oldest, "nothing is kept beyond the retention")
+		require.EqualValues(t, 3, trimmed.Oldest, "records older than the retention are dropped")
 	})
 }
 
 func TestFaultHandlerSetsFaults(t *testing.T) {
 	log := NewFaultyLog(&Memory{})
 	h := FaultHandler(log)
-	set := func(body string) int {
+	putFaults := func(body string) int {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodPut, "/v1/faults", strings.NewReader(body)))
 		return w.Code
 	}
-	require.Equal(t, http.StatusBadRequest, set(`{"dwon": true}`))
-	require.Equal(t, http.StatusNoContent, set(`{"down": true}`))
+	require.Equal(t, http.StatusBadRequest, putFaults(`{"dwon": true}`))
+	require.Equal(t, http.StatusNoContent, putFaults(`{"down": true}`))
 	_, err := newTestClient(t, h).Read(t.Context(), "s", 0, 1)
 	require.ErrorContains(t, err, "503")
 }
@@ -140,8 +140,8 @@
 func TestBatcherReturnsOffsetOfEachAppend(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{}
-		counted := &countingLog{Log: memory}
-		b := &Batcher{Log: counted}
+		counting := &countingLog{Log: memory}
+		b := &Batcher{Log: counting}
 		offsets := make([]Offset, 50)
 		var wg sync.WaitGroup
 		for i := range offsets {
@@ -152,7 +152,7 @@
 			})
 		}
 		wg.Wait()
-		require.Equal(t, 1, counted.appends)
+		require.Equal(t, 1, counting.appends)
 		read, err := memory.Read(t.Context(), "s", 0, 100)
 		require.NoError(t, err)
 		for i, o := range offsets {
@@ -177,13 +177,13 @@
 func TestRateLimitedLogKeepsShareOfOneDaemon(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{}
-		l := NewRateLimitedLog(memory)
-		l.SetDaemonCount(1700)
+		limited := NewRateLimitedLog(memory)
+		limited.SetDaemonCount(1700)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
 		defer cancel()
 		var err error
 		for err == nil {
-			_, err = l.Append(ctx, "s", [][]byte{[]byte("a")})
+			_, err = limited.Append(ctx, "s", [][]byte{[]byte("a")})
 		}
 		require.ErrorIs(t, err, ErrRateLimited)
 		var failed *AppendError
@@ -194,12 +194,13 @@
 	})
 }
 
+// countingLog counts the appends to a Log.
 type countingLog struct {
 	Log
 	appends int
 }
 
-func (c *countingLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	c.appends++
-	return c.Log.Append(ctx, stream, records)
+func (l *countingLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
+	l.appends++
+	return l.Log.Append(ctx, stream, records)
 }
--- a/recordlog/server.go
+++ b/recordlog/server.go
@@ -14,7 +14,7 @@
 	maxReadRecords = 4096
 )
 
-// Handler serves a Log over HTTP, as the stand-in for the platform's service.
+// Handler serves a Log over the HTTP API of the platform's log service.
 func Handler(log Log) http.Handler {
 	h := &handler{log: log}
 	r := chi.NewRouter()
@@ -23,8 +23,9 @@
 	return r
 }
 
-// FaultHandler lets PUT /v1/faults set the faults of a log, as JSON. It serves
-// everything else as Handler does.
+// FaultHandler returns a handler that sets the faults of a log on PUT
+// /v1/faults, with Faults as JSON in the body. All other requests go to
+// Handler.
 func FaultHandler(log *FaultyLog) http.Handler {
 	r := chi.NewRouter()
 	r.Mount("/", Handler(log))
@@ -63,7 +64,7 @@
 func (h *handler) read(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		http.Error(w, "from: want an offset", http.StatusBadRequest)
+		http.Error(w, "query parameter from is not an offset", http.StatusBadRequest)
 		return
 	}
 	limit, err := strconv.Atoi(r.URL.Query().Get("limit"))
