--- a/ceiling/doc.go
+++ b/ceiling/doc.go
@@ -1,8 +1,10 @@
-// Package ceiling keeps a daemon's parts of the ceilings in force and hands its
-// reports of demand on to the other daemons.
+// Package ceiling enforces this daemon's shares of the ceilings in force. A
+// ceiling limits the request rate or the concurrency of a group at a service
+// over all daemons. The daemons exchange reports of their demand and divide
+// each ceiling by them.
 //
-// The decisions are in package core/ceiling. A Store adds the lock, the clock,
-// the counters and the Topic. What the daemons hand on is bounded: a report
-// takes 28 bytes, is renewed every few seconds at most while demand is steady,
-// and only fresh reports are handed on.
+// The decisions are in package core/ceiling. A Store adds locking, clocks,
+// counters and the implementation of peer.Topic. The traffic between daemons is
+// bounded: a report takes 28 bytes, is renewed only every few seconds while
+// demand is steady, and is relayed only while it is recent.
 package ceiling
--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -17,17 +17,18 @@
 
 // Options configure a Store.
 type Options struct {
-	// Self is this daemon.
+	// Self is the ID of this daemon.
 	Self model.DaemonID
 	// Now reads the monotonic clock.
 	Now func() model.Instant
 	// WallClock reads the wall clock. Default: time.Now.
 	WallClock func() time.Time
-	// Scope receives the counters. Nil means none.
+	// Scope receives the counters. Nil turns them off.
 	Scope tally.Scope
 }
 
-// Store is a daemon's parts of the ceilings. It is safe for concurrent use.
+// Store enforces a daemon's shares of the ceilings. It is safe for concurrent
+// use.
 type Store struct {
 	opts       Options
 	self       ceiling.Daemon
@@ -37,8 +38,10 @@
 	mu       sync.Mutex
 	ceilings map[ceiling.Key]*ceiling.Ceiling
 	byHash   map[uint64]*ceiling.Ceiling
-	// recent holds the reports that are handed on, until they are too old.
+	// recent holds the reports that are relayed to other daemons. A report is
+	// removed after relayPeriod.
 	recent map[reportKey]recentReport
+	// deltas counts the non-empty results of Delta.
 	deltas uint64
 }
 
@@ -69,17 +72,17 @@
 	}
 }
 
-// Configure replaces the ceilings in force. What is known of those that stay is
-// kept.
+// Configure replaces the ceilings in force. Ceilings that were in force before
+// keep their state.
 func (s *Store) Configure(limits map[ceiling.Key]ceiling.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.ceilings
+	old := s.ceilings
 	s.ceilings = make(map[ceiling.Key]*ceiling.Ceiling, len(limits))
 	clear(s.byHash)
 	for k, l := range limits {
 		hash := keyHash(k)
-		c := before[k]
+		c := old[k]
 		if c == nil {
 			c = ceiling.New(s.opts.Now(), hash, s.self, l)
 		}
@@ -88,9 +91,9 @@
 	}
 }
 
-// TryAcquire asks to let in a request of a group at a service. When it reports true
-// leave must be called once the request has ended. Otherwise it returns what to
-// tell the caller to wait.
+// TryAcquire admits a request of a group at a service, or refuses it. If ok is
+// true, leave must be called when the request has ended. Otherwise wait is the
+// Retry-After value for the caller.
 func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (leave func(), wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +116,7 @@
 
 const tickInterval = 250 * time.Millisecond
 
-// Serve brings the parts up to date until the context ends.
+// Serve keeps the shares up to date until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
 	return interval.Run(ctx, tickInterval, s.tick)
 }
@@ -124,9 +127,9 @@
 func (s *Store) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, stamp := s.opts.Now(), uint64(s.opts.WallClock().UnixMilli())
+	now, timestamp := s.opts.Now(), uint64(s.opts.WallClock().UnixMilli())
 	for _, c := range s.ceilings {
-		if r, due := c.Tick(now, stamp); due {
+		if r, due := c.Tick(now, timestamp); due {
 			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, since: now}
 		}
 	}
@@ -137,28 +140,28 @@
 	}
 }
 
-// Share is one ceiling as the status shows it.
+// Share is this daemon's share of one ceiling, as shown in the status.
 type Share struct {
 	Service model.ServiceName `json:"service"`
 	Group   model.GroupName   `json:"group"`
-	// Rate and Concurrency are this daemon's parts.
+	// Rate and Concurrency are the share, not the whole ceiling.
 	Rate        float64 `json:"rate_per_second"`
 	Concurrency int     `json:"concurrency"`
 }
 
-// Shares returns this daemon's parts of the ceilings in force.
+// Shares returns this daemon's shares of the ceilings in force.
 func (s *Store) Shares() []Share {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Share, 0, len(s.ceilings))
 	for k, c := range s.ceilings {
-		rate, slots := c.Share()
-		out = append(out, Share{Service: k.Service, Group: k.Group, Rate: rate, Concurrency: slots})
+		rate, concurrency := c.Share()
+		out = append(out, Share{Service: k.Service, Group: k.Group, Rate: rate, Concurrency: concurrency})
 	}
 	return out
 }
 
-// keyHash is the same in all daemons.
+// keyHash identifies a ceiling in reports. All daemons compute the same hash.
 func keyHash(k ceiling.Key) uint64 {
 	b := binary.AppendUvarint(nil, uint64(len(k.Service)))
 	b = append(b, k.Service...)
--- a/ceiling/store_test.go
+++ b/ceiling/store_test.go
@@ -13,6 +13,7 @@
 
 var testKey = ceiling.Key{Service: "s", Group: "g"}
 
+// fleet is the stores of several daemons with a common clock.
 type fleet struct {
 	now    model.Instant
 	stores []*Store
@@ -32,13 +33,14 @@
 	return f
 }
 
-// runSecond plays one second: each store gets requests that last 10 ms, then a
-// round between neighbours. It returns how many were let in.
-func (f *fleet) runSecond(t *testing.T, each, limit int) int {
+// runSecond simulates one second: every store receives the given number of
+// requests, one after the other, then exchanges reports with its neighbour. It
+// returns the number of admitted requests.
+func (f *fleet) runSecond(t *testing.T, requests, limit int) int {
 	admitted := 0
 	for range 4 {
-		for range each / 4 {
-			f.now = f.now.Add(time.Second / time.Duration(each))
+		for range requests / 4 {
+			f.now = f.now.Add(time.Second / time.Duration(requests))
 			for _, s := range f.stores {
 				if leave, _, ok := s.TryAcquire("s", "g"); ok {
 					admitted++
@@ -74,7 +76,7 @@
 	for range 12 {
 		f.runSecond(t, 200, reportBytes+5)
 	}
-	require.InDelta(t, 100, f.runSecond(t, 200, reportBytes+5), 15, "one report a round still spreads")
+	require.InDelta(t, 100, f.runSecond(t, 200, reportBytes+5), 15, "one report a round reaches all stores")
 	require.Len(t, f.stores[0].Delta(nil, reportBytes+5), reportBytes)
 }
 
@@ -84,18 +86,18 @@
 	require.True(t, ok)
 	leave()
 	_, _, ok = s.TryAcquire("s", "g")
-	require.True(t, ok, "the first")
+	require.True(t, ok, "the first request is admitted")
 	_, wait, ok := s.TryAcquire("s", "g")
 	require.False(t, ok)
 	require.Equal(t, time.Second, wait)
 	s.Configure(nil)
 	_, _, ok = s.TryAcquire("s", "g")
-	require.True(t, ok, "no longer in force")
+	require.True(t, ok, "the ceiling is no longer in force")
 }
 
 func TestApplyRejectsPartialReports(t *testing.T) {
 	s := newFleet(1, ceiling.Limits{Rate: 1}).stores[0]
 	require.ErrorIs(t, s.Apply(make([]byte, reportBytes+1)), errPartialReport)
-	require.NoError(t, s.Apply(make([]byte, reportBytes)), "an unknown ceiling is ignored")
+	require.NoError(t, s.Apply(make([]byte, reportBytes)), "a report on an unknown ceiling is ignored")
 	require.Empty(t, s.recent)
 }
--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -16,21 +16,25 @@
 var _ peer.Topic = (*Store)(nil)
 
 const (
-	// relayPeriod is how long a report is handed on after it was heard.
+	// relayPeriod is how long a report is relayed after it was received.
 	relayPeriod = 5 * time.Second
-	// reportBytes is the length of a report: key, daemon, demand, stamp.
+	// reportBytes is the encoded length of a report: key, daemon, demand and
+	// timestamp.
 	reportBytes = 8 + 8 + 4 + 8
-	// goldenRatio is an odd number that spreads successive multiples evenly.
+	// goldenRatio is 2^64 divided by the golden ratio, rounded to an odd
+	// number. Its successive multiples are spread evenly (Fibonacci hashing).
 	goldenRatio = 0x9E3779B97F4A7C15
 )
 
-// errPartialReport tells that a delta does not hold whole reports.
-var errPartialReport = errors.New("ceiling: delta does not hold whole reports")
+// errPartialReport is returned for a delta whose length is no multiple of the
+// length of a report.
+var errPartialReport = errors.New("ceiling: length of delta is not a multiple of the report length")
 
 // Name implements peer.Topic.
 func (*Store) Name() string { return "ceiling" }
 
-// Digest implements peer.Topic. It is empty while there is nothing to hand on.
+// Digest implements peer.Topic. It returns nil while there is no recent report
+// to relay.
 func (s *Store) Digest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,8 +48,9 @@
 	return binary.BigEndian.AppendUint64(nil, sum)
 }
 
-// Delta implements peer.Topic. It returns fresh reports; those that do not fit
-// take turns in later rounds.
+// Delta implements peer.Topic. It returns recent reports. When they do not all
+// fit into the limit, each call starts at another report, so that all are
+// relayed over several rounds.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
@@ -63,7 +68,8 @@
 	if n == 0 {
 		return nil
 	}
-	// A scattered start keeps the turns from falling in step with the peers.
+	// The start is spread evenly instead of moving by one report a call, so
+	// that it does not synchronize with the peers' calls.
 	s.deltas++
 	start := int((s.deltas * goldenRatio) >> 33 % uint64(len(reports)))
 	out := make([]byte, 0, n*reportBytes)
@@ -73,8 +79,8 @@
 	return out
 }
 
-// Apply implements peer.Topic. Reports on ceilings that are not in force here
-// are not kept.
+// Apply implements peer.Topic. It ignores reports on ceilings that are not in
+// force at this daemon.
 func (s *Store) Apply(delta []byte) error {
 	if len(delta)%reportBytes != 0 {
 		s.unreadable.Inc(1)
