--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -29,8 +29,9 @@
 	return res.Version, time.Now()
 }
 
-// delays returns how long after it was accepted each daemon had a version, and
-// requires that all have it.
+// delays returns, for each daemon, the time from the acceptance of a version
+// until it was in force there. It requires that the version is in force at all
+// daemons.
 func (f *fleet) delays(t *testing.T, v model.Version, accepted time.Time) []time.Duration {
 	t.Helper()
 	f.mu.Lock()
@@ -50,34 +51,34 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Bounds of the control plane, at any size measured here.
+// Bounds for the control plane, which hold for every number of daemons tested.
 const (
-	maxBytesPerSecond   = 19 << 10 // a second and daemon, both directions
-	maxReadsPerSecond   = 300      // a second, of all daemons
-	maxAppendsPerSecond = 10       // a second, of all daemons
+	maxBytesPerSecond   = 19 << 10 // per daemon, sent and received
+	maxReadsPerSecond   = 300      // of all daemons together
+	maxAppendsPerSecond = 10       // of all daemons together
 	maxTimeToForce      = 3 * time.Second
 )
 
-// TestIdleCost measures what the control plane spends when nothing happens.
-// Bytes are those of rounds with the heads of messages, at the daemon that
-// starts and at the one that answers.
+// TestIdleCost measures the cost of the control plane while nothing changes.
+// Bytes are those of exchange rounds including message headers, counted at the
+// daemon that starts a round and at the one that responds.
 func TestIdleCost(t *testing.T) {
 	for _, size := range []int{10, 30, mediumFleet, largestFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				const seconds = 60
-				used := cpuTime(t)
-				messages, _ := f.network.Traffic()
-				reads, writes, bytes := f.logReads.Load(), f.logAppends.Load(), f.sentBytes()
+				cpuBefore := cpuTime(t)
+				messagesBefore, _ := f.network.Traffic()
+				readsBefore, appendsBefore, bytesBefore := f.logReads.Load(), f.logAppends.Load(), f.sentBytes()
 				time.Sleep(seconds * time.Second)
-				after, _ := f.network.Traffic()
+				messagesAfter, _ := f.network.Traffic()
 				perDaemon := float64(seconds * size)
 				t.Logf("%d daemons, a second: %.0f bytes and %.2f messages a daemon, %.1f reads and %.2f appends in all; %.0f us of CPU a daemon",
-					size, float64(f.sentBytes()-bytes)/perDaemon, float64(after-messages)/perDaemon, float64(f.logReads.Load()-reads)/seconds,
-					float64(f.logAppends.Load()-writes)/seconds, float64((cpuTime(t)-used).Microseconds())/perDaemon)
-				require.Less(t, float64(f.sentBytes()-bytes)/perDaemon, float64(maxBytesPerSecond))
-				require.Less(t, (f.logReads.Load()-reads)/seconds, int64(maxReadsPerSecond))
-				require.Less(t, (f.logAppends.Load()-writes)/seconds, int64(maxAppendsPerSecond))
+					size, float64(f.sentBytes()-bytesBefore)/perDaemon, float64(messagesAfter-messagesBefore)/perDaemon, float64(f.logReads.Load()-readsBefore)/seconds,
+					float64(f.logAppends.Load()-appendsBefore)/seconds, float64((cpuTime(t)-cpuBefore).Microseconds())/perDaemon)
+				require.Less(t, float64(f.sentBytes()-bytesBefore)/perDaemon, float64(maxBytesPerSecond))
+				require.Less(t, (f.logReads.Load()-readsBefore)/seconds, int64(maxReadsPerSecond))
+				require.Less(t, (f.logAppends.Load()-appendsBefore)/seconds, int64(maxAppendsPerSecond))
 			})
 		})
 	}
@@ -86,38 +87,38 @@
 func (f *fleet) sentBytes() int64 { return f.sentBytesOf(f.nodes) }
 
 func (f *fleet) sentBytesOf(nodes []*node) int64 {
-	var n int64
-	for _, x := range nodes {
-		n += x.exchanger.TotalBytes()
+	var total int64
+	for _, node := range nodes {
+		total += node.exchanger.TotalBytes()
 	}
-	return n
+	return total
 }
 
-// TestTimeUntilInForce measures how long after it was accepted a change is in force
-// at each daemon.
+// TestTimeUntilInForce measures the time from the acceptance of a change until
+// it is in force at each daemon.
 func TestTimeUntilInForce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		size  int
 		fault func(f *fleet, on bool)
-		// within bounds the 99th percentile; maxTimeToForce bounds the largest.
+		// within bounds the 99th percentile; maxTimeToForce bounds the maximum.
 		within time.Duration
 	}{
 		{"healthy", 10, func(*fleet, bool) {}, time.Second},
 		{"healthy", mediumFleet, func(*fleet, bool) {}, time.Second},
 		{"healthy", largestFleet, func(*fleet, bool) {}, time.Second},
-		{"log answers in 1 s", mediumFleet, func(f *fleet, on bool) {
+		{"log responds after 1 s", mediumFleet, func(f *fleet, on bool) {
 			f.log.SetFaults(recordlog.Faults{Latency: logLatency(on, time.Second)})
 		}, 3 * time.Second},
-		{"log down 100 ms after", mediumFleet, func(f *fleet, on bool) {
+		{"log down 100 ms after the change", mediumFleet, func(f *fleet, on bool) {
 			f.log.SetFaults(recordlog.Faults{Latency: logLatency(false, 0), Down: on})
 		}, 3 * time.Second},
-		{"a zone cut off from the log", mediumFleet, func(f *fleet, on bool) { f.disconnectLog(zone(1), on) }, 3 * time.Second},
+		{"one zone disconnected from the log", mediumFleet, func(f *fleet, on bool) { f.disconnectLog(zone(1), on) }, 3 * time.Second},
 	} {
 		t.Run(fmt.Sprint(c.name, " ", c.size), func(t *testing.T) {
 			runWithFleet(t, c.size, func(t *testing.T, f *fleet) {
-				var all []time.Duration
-				down := c.name == "log down 100 ms after"
+				var allDelays []time.Duration
+				down := c.name == "log down 100 ms after the change"
 				for i := range samples / c.size {
 					if !down {
 						c.fault(f, true)
@@ -132,16 +133,16 @@
 					synctest.Wait()
 					c.fault(f, false)
 					if down && len(f.timesInForce(v)) == 0 {
-						continue // nobody had read it before the log went down
+						continue // no daemon had read the change before the log went down
 					}
-					all = append(all, f.delays(t, v, accepted)...)
+					allDelays = append(allDelays, f.delays(t, v, accepted)...)
 				}
-				slices.Sort(all)
-				require.NotEmpty(t, all)
-				t.Logf("%s, %d daemons, %d samples: p50 %v, p99 %v, max %v", c.name, c.size, len(all),
-					percentile(all, 0.5), percentile(all, 0.99), all[len(all)-1])
-				require.LessOrEqual(t, percentile(all, 0.99), c.within)
-				require.LessOrEqual(t, all[len(all)-1], maxTimeToForce)
+				slices.Sort(allDelays)
+				require.NotEmpty(t, allDelays)
+				t.Logf("%s, %d daemons, %d samples: p50 %v, p99 %v, max %v", c.name, c.size, len(allDelays),
+					percentile(allDelays, 0.5), percentile(allDelays, 0.99), allDelays[len(allDelays)-1])
+				require.LessOrEqual(t, percentile(allDelays, 0.99), c.within)
+				require.LessOrEqual(t, allDelays[len(allDelays)-1], maxTimeToForce)
 			})
 		})
 	}
@@ -153,20 +154,21 @@
 	return f.inForceAt[v]
 }
 
-func logLatency(slow bool, d time.Duration) time.Duration {
+func logLatency(slow bool, slowLatency time.Duration) time.Duration {
 	if slow {
-		return d
+		return slowLatency
 	}
 	return 5 * time.Millisecond
 }
 
-func percentile(d []time.Duration, p float64) time.Duration {
-	return d[min(len(d)-1, int(float64(len(d))*p))].Round(time.Millisecond)
+func percentile(sorted []time.Duration, p float64) time.Duration {
+	return sorted[min(len(sorted)-1, int(float64(len(sorted))*p))].Round(time.Millisecond)
 }
 
-// TestRecoveryAfterAMassRestart measures how long until all daemons see all
-// upstreams and have the configuration again after five sixths of them were
-// replaced. With the log down the others find them.
+// TestRecoveryAfterAMassRestart replaces five sixths of the daemons and
+// measures how long it takes until all daemons have the configuration and see
+// all upstreams again. While the log is down, the remaining daemons contact the
+// new ones, because these know no peers.
 func TestRecoveryAfterAMassRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults recordlog.Faults
@@ -185,16 +187,16 @@
 				}
 				time.Sleep(time.Second)
 				f.log.SetFaults(c.faults)
-				reads, writes := f.logReads.Load(), f.logAppends.Load()
+				readsBefore, appendsBefore := f.logReads.Load(), f.logAppends.Load()
 				survivors := f.sentBytesOf(f.nodes[restarted:])
 				for i := range restarted {
 					f.start(i)
 				}
-				took := f.waitFor(t, c.within, func() bool { return f.allAtVersion(v) && f.allSeeAll() })
-				t.Logf("%s, %d of %d daemons restarted: whole after %v with %d reads and %d appends, %d KB a restarted daemon, %d KB a survivor",
-					name, restarted, largestFleet, took, f.logReads.Load()-reads, f.logAppends.Load()-writes,
+				recovery := f.waitFor(t, c.within, func() bool { return f.allAtVersion(v) && f.allSeeAll() })
+				t.Logf("%s, %d of %d daemons restarted: recovered after %v with %d reads and %d appends, %d KB a restarted daemon, %d KB a survivor",
+					name, restarted, largestFleet, recovery, f.logReads.Load()-readsBefore, f.logAppends.Load()-appendsBefore,
 					f.sentBytesOf(f.nodes[:restarted])/int64(restarted)/1024, (f.sentBytesOf(f.nodes[restarted:])-survivors)/int64(largestFleet-restarted)/1024)
-				require.Less(t, f.logAppends.Load()-writes, int64(restarted/2), "the log is written in batches")
+				require.Less(t, f.logAppends.Load()-appendsBefore, int64(restarted/2), "events are appended in batches")
 			})
 		})
 	}
@@ -209,30 +211,31 @@
 	return true
 }
 
-// TestDrainingReachesEveryDaemon measures how long a draining upstream still
-// looks eligible anywhere, with the log down.
+// TestDrainingReachesEveryDaemon measures how long any daemon still considers a
+// draining upstream eligible while the log is down.
 func TestDrainingReachesEveryDaemon(t *testing.T) {
 	for _, size := range []int{10, mediumFleet, largestFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				f.log.SetFaults(recordlog.Faults{Down: true})
-				var all []time.Duration
+				var propagation []time.Duration
 				for i := range 5 {
 					time.Sleep(3 * time.Second)
-					u, _ := f.nodes[i].registry.Upstreams("s")
-					own := u[slices.IndexFunc(u, func(v model.Upstream) bool { return v.Daemon == f.nodes[i].ID })]
-					f.nodes[i].registry.Announce(member.Event{Upstream: own, State: member.Draining}, 0)
-					all = append(all, f.waitFor(t, 2*time.Second, func() bool { return f.countDraining(own.ID) == size }))
+					upstreams, _ := f.nodes[i].registry.Upstreams("s")
+					local := upstreams[slices.IndexFunc(upstreams, func(v model.Upstream) bool { return v.Daemon == f.nodes[i].ID })]
+					f.nodes[i].registry.Announce(member.Event{Upstream: local, State: member.Draining}, 0)
+					propagation = append(propagation, f.waitFor(t, 2*time.Second, func() bool { return f.countDraining(local.ID) == size }))
 				}
-				slices.Sort(all)
-				t.Logf("%d daemons: known to the last of them after %v at best, %v at worst", size, all[0], all[len(all)-1])
+				slices.Sort(propagation)
+				t.Logf("%d daemons: known to all daemons after %v at best, %v at worst", size, propagation[0], propagation[len(propagation)-1])
 			})
 		})
 	}
 }
 
-// TestDeadDaemonIsRemovedEverywhere measures how long until every daemon leaves out one
-// that was killed, and until it is back in every view after its restart.
+// TestDeadDaemonIsRemovedEverywhere measures how long it takes until every
+// daemon considers a stopped daemon dead, and until all daemons see its
+// upstream again after its restart.
 func TestDeadDaemonIsRemovedEverywhere(t *testing.T) {
 	for _, size := range []int{10, mediumFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -240,10 +243,10 @@
 				dead := f.nodes[size-1]
 				f.kill(size - 1)
 				alive := &fleet{nodes: f.nodes[:size-1]}
-				gone := f.waitFor(t, 15*time.Second, func() bool { return alive.countConsideringDead(dead.ID) == size-1 })
+				removed := f.waitFor(t, 15*time.Second, func() bool { return alive.countConsideringDead(dead.ID) == size-1 })
 				f.start(size - 1)
-				back := f.waitFor(t, 15*time.Second, f.allSeeAll)
-				t.Logf("%d daemons: left out everywhere after %v, back everywhere %v after its start", size, gone, back)
+				rejoined := f.waitFor(t, 15*time.Second, f.allSeeAll)
+				t.Logf("%d daemons: considered dead everywhere after %v, seen everywhere %v after its restart", size, removed, rejoined)
 			})
 		})
 	}
--- a/controltest/doc.go
+++ b/controltest/doc.go
@@ -1,5 +1,6 @@
-// Package controltest stands in for the network and the log's reachability
-// between in-process daemons, for tests and benchmarks of the control plane. It
-// is no simulator: the parts run as they are, on goroutines, and time is
-// virtual when the caller runs them under testing/synctest.
+// Package controltest provides an in-process network between daemons and a
+// connection to the log that can be interrupted, for tests and benchmarks of
+// the control plane. It does not simulate the daemons: their components run
+// unchanged, on goroutines. Time is virtual when the caller runs them under
+// testing/synctest.
 package controltest
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -21,8 +21,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// fleet is a number of whole control planes: configuration, membership and the
-// exchange, as a daemon has them.
+// fleet is a number of daemons reduced to their control plane: configuration,
+// membership and the exchange between peers.
 type fleet struct {
 	ctx                  context.Context
 	log                  *recordlog.FaultyLog
@@ -30,7 +30,8 @@
 	nodes                []*node
 	logReads, logAppends atomic.Int64
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// inForceAt holds, for each version, the times at which daemons put it in force.
 	inForceAt map[model.Version][]time.Time
 }
 
@@ -66,33 +67,33 @@
 	n.cancel = cancel
 	n.incarnation++
 	seed := uint64(i)<<20 | n.incarnation
-	var x *peer.Exchanger
-	var r *membership.Registry
-	reads := func() bool {
-		return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, r.Peers())
+	var exchanger *peer.Exchanger
+	var registry *membership.Registry
+	isLogReader := func() bool {
+		return time.Since(exchanger.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, registry.Peers())
 	}
-	hint := func() { x.TriggerRound() }
-	end := f.network.Endpoint(n.ID)
-	store := configuration.NewStore(configuration.Options{Log: n.logConn, IsLogReader: reads, OnUpdate: hint, Seed: seed})
-	r = membership.NewRegistry(membership.Options{Self: n.ID, Zone: n.Zone, Log: n.logConn, Pinger: end,
-		IsLogReader: reads, OnUpdate: hint, Seed: seed, MaxUpstreams: 1 << 20})
-	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Transport: end, Seed: seed,
-		Peers: r.Peers, Unreachable: r.DeadPeers, OnResult: r.RecordExchange})
-	x.Register(store.Topic())
-	x.Register(r.Topic())
+	onUpdate := func() { exchanger.TriggerRound() }
+	endpoint := f.network.Endpoint(n.ID)
+	store := configuration.NewStore(configuration.Options{Log: n.logConn, IsLogReader: isLogReader, OnUpdate: onUpdate, Seed: seed})
+	registry = membership.NewRegistry(membership.Options{Self: n.ID, Zone: n.Zone, Log: n.logConn, Pinger: endpoint,
+		IsLogReader: isLogReader, OnUpdate: onUpdate, Seed: seed, MaxUpstreams: 1 << 20})
+	exchanger = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Transport: endpoint, Seed: seed,
+		Peers: registry.Peers, Unreachable: registry.DeadPeers, OnResult: registry.RecordExchange})
+	exchanger.Register(store.Topic())
+	exchanger.Register(registry.Topic())
 	store.OnChange(func(c *configuration.InForce) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.inForceAt[c.Version] = append(f.inForceAt[c.Version], time.Now())
 	})
-	f.network.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
-	n.store, n.registry, n.exchanger = store, r, x
-	for _, p := range []interface{ Serve(context.Context) error }{store, r, x} {
-		go func() { _ = p.Serve(ctx) }()
+	f.network.Attach(n.Peer, &peer.Service{Exchanger: exchanger, Ping: registry.HandlePing})
+	n.store, n.registry, n.exchanger = store, registry, exchanger
+	for _, server := range []interface{ Serve(context.Context) error }{store, registry, exchanger} {
+		go func() { _ = server.Serve(ctx) }()
 	}
 	up := model.Upstream{ID: model.UpstreamID(fmt.Sprintf("service-%d-%d", i/22, i)), Service: "s", Zone: n.Zone,
 		Daemon: n.ID, Slots: 6, Incarnation: model.Incarnation(n.incarnation)}
-	r.Announce(member.Event{Upstream: up, State: member.Joined}, 0)
+	registry.Announce(member.Event{Upstream: up, State: member.Joined}, 0)
 }
 
 func (f *fleet) kill(i int) {
@@ -100,10 +101,10 @@
 	f.network.Attach(f.nodes[i].Peer, nil)
 }
 
-func (f *fleet) disconnectLog(z model.AvailabilityZone, cut bool) {
+func (f *fleet) disconnectLog(z model.AvailabilityZone, disconnected bool) {
 	for _, n := range f.nodes {
 		if n.Zone == z {
-			n.logConn.SetDisconnected(cut)
+			n.logConn.SetDisconnected(disconnected)
 		}
 	}
 }
@@ -117,10 +118,10 @@
 	return true
 }
 
-func (f *fleet) waitFor(t *testing.T, within time.Duration, holds func() bool) time.Duration {
+func (f *fleet) waitFor(t *testing.T, within time.Duration, condition func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
-	for !holds() {
+	for !condition() {
 		require.Less(t, time.Since(start), within)
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/controltest/log.go
+++ b/controltest/log.go
@@ -9,30 +9,33 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// LogConnection is the log as one daemon reaches it: it can be cut off from it, and
-// counts what it asks.
+// LogConnection is the connection of one daemon to the log. It can be
+// interrupted, and counts reads and appends.
 type LogConnection struct {
 	Log recordlog.Log
-	// Reads and Appends count the operations of all links that share them.
+	// Reads and Appends count the operations of all connections that share the
+	// counters.
 	Reads, Appends *atomic.Int64
 
 	mu           sync.Mutex
 	disconnected bool
 }
 
-// SetDisconnected cuts the daemon off from the log, or connects it again.
-func (l *LogConnection) SetDisconnected(cut bool) {
+// SetDisconnected interrupts the connection to the log, or restores it.
+func (l *LogConnection) SetDisconnected(disconnected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.disconnected = cut
+	l.disconnected = disconnected
 }
 
+// waitReachable returns nil while the connection is up. While it is interrupted,
+// it fails after a timeout, as a request without a response does.
 func (l *LogConnection) waitReachable(ctx context.Context) error {
 	const timeout = 2 * time.Second
 	l.mu.Lock()
-	cut := l.disconnected
+	disconnected := l.disconnected
 	l.mu.Unlock()
-	if !cut {
+	if !disconnected {
 		return nil
 	}
 	if err := sleep(ctx, timeout); err != nil {
--- a/controltest/network.go
+++ b/controltest/network.go
@@ -13,13 +13,15 @@
 	peerv1 "github.com/dottereltiller/dottereltiller/proto/dottereltiller/peer/v1"
 )
 
-// ErrUnreachable is what a message to a daemon out of reach fails with.
+// ErrUnreachable is returned when a message is sent to a daemon that is not
+// attached, or over an interrupted connection to the log.
 var ErrUnreachable = errors.New("daemon unreachable")
 
 // Network carries control messages between in-process daemons. It is safe for
 // concurrent use.
 type Network struct {
-	// Delay is the one-way delay within a zone; between zones it is twice that.
+	// Delay is the one-way delay within an availability zone. Between zones the
+	// delay is twice that.
 	Delay time.Duration
 
 	mu           sync.Mutex
@@ -44,44 +46,45 @@
 	}
 }
 
-// Attach makes a daemon reachable. A nil service makes it unreachable.
+// Attach makes a daemon reachable. With a nil service it makes the daemon
+// unreachable.
 func (n *Network) Attach(p peer.Peer, s *peer.Service) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.services[p.ID], n.zones[p.ID] = s, p.Zone
 }
 
-// SetPartitioned cuts a zone off from all others, or connects it again.
-func (n *Network) SetPartitioned(z model.AvailabilityZone, cut bool) {
+// SetPartitioned separates a zone from all other zones, or reconnects it.
+func (n *Network) SetPartitioned(z model.AvailabilityZone, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned[z] = cut
+	n.partitioned[z] = partitioned
 }
 
-// SetUnresponsive makes a daemon take messages without ever answering, as when its
-// process is paused or its link is half open.
-func (n *Network) SetUnresponsive(d model.DaemonID, silent bool) {
+// SetUnresponsive makes a daemon accept messages without ever responding, as
+// when its process is paused or its connection is half open.
+func (n *Network) SetUnresponsive(d model.DaemonID, unresponsive bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.unresponsive[d] = silent
+	n.unresponsive[d] = unresponsive
 }
 
-// SetBlocked stops messages from one daemon to another, in this direction only.
+// SetBlocked drops messages from one daemon to another, in this direction only.
 func (n *Network) SetBlocked(from, to model.DaemonID, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked[[2]model.DaemonID{from, to}] = blocked
 }
 
-// Traffic returns the messages sent since the start and their bytes, requests
-// and responses together, without the heads of the transport.
+// Traffic returns the number of messages since the start and their total bytes,
+// requests and responses together, without the headers of the transport.
 func (n *Network) Traffic() (messages, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.messages, n.bytes
 }
 
-// Endpoint returns the network as one daemon uses it.
+// Endpoint returns the network as seen by one daemon.
 func (n *Network) Endpoint(d model.DaemonID) Endpoint { return Endpoint{network: n, self: d} }
 
 // Endpoint sends the messages of one daemon.
@@ -100,7 +103,7 @@
 	return resp, e.respond(ctx, to, proto.Size(resp))
 }
 
-// Ping asks whether a daemon lives.
+// Ping implements membership.Pinger.
 func (e Endpoint) Ping(ctx context.Context, to model.DaemonID, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
 	s, err := e.deliver(ctx, to, proto.Size(req))
 	if err != nil {
@@ -113,6 +116,8 @@
 	return resp, e.respond(ctx, to, proto.Size(resp))
 }
 
+// deliver carries a request to a daemon and returns its service. When the request
+// is lost or the daemon does not respond, it returns when the context ends.
 func (e Endpoint) deliver(ctx context.Context, to model.DaemonID, size int) (*peer.Service, error) {
 	if err := sleep(ctx, e.delay(to)); err != nil {
 		return nil, err
@@ -121,10 +126,10 @@
 	n.mu.Lock()
 	n.messages++
 	n.bytes += size
-	s, silent := n.services[to], n.unresponsive[to] || n.unresponsive[e.self]
-	lost := n.separated(e.self, to) || n.blocked[[2]model.DaemonID{e.self, to}]
+	s, unresponsive := n.services[to], n.unresponsive[to] || n.unresponsive[e.self]
+	dropped := n.separated(e.self, to) || n.blocked[[2]model.DaemonID{e.self, to}]
 	n.mu.Unlock()
-	if silent || lost {
+	if unresponsive || dropped {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -134,21 +139,22 @@
 	return s, nil
 }
 
+// respond carries a response back from a daemon.
 func (e Endpoint) respond(ctx context.Context, from model.DaemonID, size int) error {
 	n := e.network
 	n.mu.Lock()
 	n.bytes += size
-	lost := n.blocked[[2]model.DaemonID{from, e.self}]
+	dropped := n.blocked[[2]model.DaemonID{from, e.self}]
 	n.mu.Unlock()
-	if lost {
+	if dropped {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	return sleep(ctx, e.delay(from))
 }
 
-// separated reports whether two daemons are on different sides of a cut. n.mu is
-// held.
+// separated reports whether two daemons are on different sides of a partition.
+// n.mu is held.
 func (n *Network) separated(a, b model.DaemonID) bool {
 	za, zb := n.zones[a], n.zones[b]
 	return za != zb && (n.partitioned[za] || n.partitioned[zb])
--- a/controltest/norace_test.go
+++ b/controltest/norace_test.go
@@ -2,7 +2,8 @@
 
 package controltest_test
 
-// The numbers of daemons measured, and of samples of the time to force.
+// Fleet sizes in daemons, and the number of delays that TestTimeUntilInForce
+// samples for each case.
 const (
 	mediumFleet  = 100
 	largestFleet = 300
