--- a/configuration/doc.go
+++ b/configuration/doc.go
@@ -1,15 +1,18 @@
-// Package configuration keeps a daemon's configuration in force: it follows the
-// config stream of the platform's log, folds it, compiles the documents and
-// hands the result to the data path.
+// Package configuration keeps a daemon's configuration up to date. It reads the
+// config stream of the platform's log, applies the records to a replicated
+// state machine, compiles the resulting documents and passes them to the data
+// path. The last version that compiled is the configuration in force.
 //
-// A Store has two sources. It reads the log, often when this daemon is one of
-// the readers of its availability zone or hears nothing from peers, and rarely
-// otherwise. And it is a peer.Topic, by which daemons hand on the records they
-// have folded, so that a daemon cut off from the log follows within seconds.
-// Both end in the same fold, which takes in only what continues its own prefix
-// of the log; so the version in force never goes back, whatever the source.
+// A Store has two sources. The first is the log. A daemon that is a log reader
+// of its availability zone, or that receives nothing from its peers, reads it
+// often; other daemons read it rarely. The second are the peers: through a
+// peer.Topic daemons relay the records that they have applied, so that a daemon
+// that cannot reach the log still follows within seconds. Both sources feed the
+// same state machine, which applies a record only when it directly follows the
+// records applied before. So the version in force never goes back, whichever
+// source is used.
 //
-// A Store that has not yet read to the end of the log since its start is not
-// sure that its version is the newest. It serves with what peers gave it and
-// says so in its Status.
+// Until a Store has read to the end of the log once after its start, a newer
+// version than its own may exist. It serves with the version that peers sent
+// and reports in its Status that it has not caught up.
 package configuration
--- a/configuration/documents.go
+++ b/configuration/documents.go
@@ -9,13 +9,14 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// NewStateMachine returns a fold of the config stream that judges documents as every
-// daemon does.
+// NewStateMachine returns a state machine for the config stream that validates
+// documents in the same way as every daemon does.
 func NewStateMachine() *config.StateMachine { return config.NewStateMachine(validate) }
 
-// validate checks each document on its own. The operator's command compiles
-// the whole configuration on top of its base before it publishes; because a
-// change is accepted only on that same base, the whole needs no second check.
+// validate checks each document on its own. The operator's command has compiled
+// the whole configuration before it proposed the change. A change is accepted
+// only if the configuration still is the one that the change was based on, so
+// the combination needs no second check here.
 func validate(put map[config.DocumentKey]json.RawMessage) error {
 	keys := make([]config.DocumentKey, 0, len(put))
 	for k := range put {
@@ -36,7 +37,7 @@
 		return fmt.Errorf("document %s: %w", k, err)
 	}
 	if config.DocumentKey(d.Key()) != k {
-		return fmt.Errorf("document %s is put as %s", d.Key(), k)
+		return fmt.Errorf("document %s is stored under the key %s", d.Key(), k)
 	}
 	if _, problems := policy.Compile([]policy.Document{d}); len(problems) > 0 {
 		return problems[0]
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -22,7 +22,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// fleet is a number of daemons with nothing but their configuration.
+// fleet is a number of daemons reduced to their configuration store and
+// exchanger.
 type fleet struct {
 	t       testing.TB
 	ctx     context.Context
@@ -35,9 +36,9 @@
 	appends atomic.Int64
 
 	mu sync.Mutex
-	// inForceAt says when each node put each version in force.
+	// inForceAt is when each node first put each version in force.
 	inForceAt map[model.Version]map[model.DaemonID]time.Time
-	// chains says which change each version was made by, at any node.
+	// chains is the hash chain of each version, the same at all nodes.
 	chains map[model.Version]string
 }
 
@@ -68,41 +69,41 @@
 
 func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("z", i)) }
 
-// start begins a life of a node, which knows nothing.
+// start starts a node without any state, also after a stop.
 func (f *fleet) start(n *node) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	n.incarnation++
 	seed := n.incarnation<<32 | uint64(slices.Index(f.peers, n.Peer))
-	var x *peer.Exchanger
+	var exchanger *peer.Exchanger
 	n.cancel = cancel
 	store := configuration.NewStore(configuration.Options{
 		Log:  n.logConn,
 		Seed: seed,
 		IsLogReader: func() bool {
-			return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, f.peers)
+			return time.Since(exchanger.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, f.peers)
 		},
-		OnUpdate:           func() { x.TriggerRound() },
+		OnUpdate:           func() { exchanger.TriggerRound() },
 		CheckpointInterval: time.Minute,
 	})
-	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: f.network.Endpoint(n.ID),
+	exchanger = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: f.network.Endpoint(n.ID),
 		Peers: func() []peer.Peer { return f.peers }})
-	x.Register(store.Topic())
+	exchanger.Register(store.Topic())
 	n.store = store
 	var last model.Version
 	store.OnChange(func(c *configuration.InForce) {
-		st := store.Status()
+		status := store.Status()
 		if c.Version <= last {
 			f.t.Errorf("%s went back from version %d to %d", n.ID, last, c.Version)
 		}
 		last = c.Version
-		f.recordInForce(n.ID, c.Version, st)
+		f.recordInForce(n.ID, c.Version, status)
 	})
-	f.network.Attach(n.Peer, &peer.Service{Exchanger: x})
+	f.network.Attach(n.Peer, &peer.Service{Exchanger: exchanger})
 	go func() { _ = store.Serve(ctx) }()
-	go func() { _ = x.Serve(ctx) }()
+	go func() { _ = exchanger.Serve(ctx) }()
 }
 
-func (f *fleet) recordInForce(id model.DaemonID, v model.Version, st configuration.Status) {
+func (f *fleet) recordInForce(id model.DaemonID, v model.Version, status configuration.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.inForceAt[v] == nil {
@@ -111,13 +112,13 @@
 	if _, ok := f.inForceAt[v][id]; !ok {
 		f.inForceAt[v][id] = time.Now()
 	}
-	if st.Version != v {
+	if status.Version != v {
 		return
 	}
-	if f.chains[v] != "" && f.chains[v] != st.Chain {
+	if f.chains[v] != "" && f.chains[v] != status.Chain {
 		f.t.Errorf("two changes were accepted as version %d", v)
 	}
-	f.chains[v] = st.Chain
+	f.chains[v] = status.Chain
 }
 
 func (f *fleet) kill(n *node) {
@@ -125,16 +126,18 @@
 	f.network.Attach(n.Peer, nil)
 }
 
-// partitionZone cuts a zone off from the others and from the log.
-func (f *fleet) partitionZone(z model.AvailabilityZone, cut bool) {
-	f.network.SetPartitioned(z, cut)
-	f.disconnectLog(z, cut)
+// partitionZone separates a zone from the other zones and from the log, or
+// reconnects it.
+func (f *fleet) partitionZone(z model.AvailabilityZone, partitioned bool) {
+	f.network.SetPartitioned(z, partitioned)
+	f.disconnectLog(z, partitioned)
 }
 
-func (f *fleet) disconnectLog(z model.AvailabilityZone, cut bool) {
+// disconnectLog disconnects the nodes of a zone from the log, or reconnects them.
+func (f *fleet) disconnectLog(z model.AvailabilityZone, disconnected bool) {
 	for _, n := range f.nodes {
 		if n.Zone == z {
-			n.logConn.SetDisconnected(cut)
+			n.logConn.SetDisconnected(disconnected)
 		}
 	}
 }
@@ -154,8 +157,8 @@
 		{Kind: policy.KindService, Name: name, Spec: json.RawMessage(`{"deadline":"2s"}`)}}}
 }
 
-// delays returns how long after start each node put a version in force, sorted.
-// Nodes that have not are left out.
+// delays returns, sorted, how long after start each node put a version in
+// force. It omits nodes that have not done so.
 func (f *fleet) delays(v model.Version, start time.Time) []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,6 +170,7 @@
 	return out
 }
 
+// countInForce returns the number of nodes at which a version is in force.
 func (f *fleet) countInForce(v model.Version) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -177,8 +181,8 @@
 	return count
 }
 
-func percentile(d []time.Duration, p float64) time.Duration {
-	return d[min(len(d)-1, int(float64(len(d))*p))]
+func percentile(sorted []time.Duration, p float64) time.Duration {
+	return sorted[min(len(sorted)-1, int(float64(len(sorted))*p))]
 }
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -9,9 +9,9 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Serve follows the log until the context ends.
+// Serve reads the log repeatedly until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
-	// Daemons that start together do not read together.
+	// The random delay keeps daemons that start together from reading together.
 	timer := time.NewTimer(time.Duration(s.rng.Int64N(int64(s.opts.Interval))))
 	defer timer.Stop()
 	for {
@@ -28,7 +28,8 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "configuration" }
 
-// Poll reads the log to its end once, and appends a checkpoint when one is due.
+// Poll reads the log once to its end. A log reader then appends a checkpoint if
+// one is due.
 func (s *Store) Poll(ctx context.Context) {
 	err := s.readToEnd(ctx)
 	if ctx.Err() != nil {
@@ -40,28 +41,30 @@
 	}
 }
 
-// maxReaderBackoff bounds the wait of a reader while the log is down.
+// maxReaderBackoff bounds the time between two reads of a log reader while the
+// log fails.
 const maxReaderBackoff = 2 * time.Second
 
-// nextDelay returns the time to the next read, spread by up to a quarter.
+// nextDelay returns the time until the next read, shortened at random by up to
+// a quarter.
 func (s *Store) nextDelay() time.Duration {
 	s.mu.Lock()
-	sure, failing := s.status.CaughtUp, s.status.LogError != ""
+	caughtUp, failing := s.status.CaughtUp, s.status.LogError != ""
 	s.mu.Unlock()
-	reads := s.opts.IsLogReader()
+	isReader := s.opts.IsLogReader()
 	if failing {
 		s.backoff.Min, s.backoff.Max = s.opts.Interval, s.opts.IdleInterval
-		if reads {
+		if isReader {
 			s.backoff.Max = maxReaderBackoff
 		}
 		return s.backoff.Next(s.rng)
 	}
 	s.backoff.Reset()
-	d := s.opts.Interval
-	if sure && !reads {
-		d = s.opts.IdleInterval
+	delay := s.opts.Interval
+	if caughtUp && !isReader {
+		delay = s.opts.IdleInterval
 	}
-	return d - time.Duration(s.rng.Int64N(int64(d)/4+1))
+	return delay - time.Duration(s.rng.Int64N(int64(delay)/4+1))
 }
 
 func (s *Store) recordReadResult(err error) {
@@ -84,15 +87,15 @@
 	s.status.CaughtUp = true
 }
 
-// errLogTruncated tells that the log holds fewer records than were folded: it has
-// lost some, or is another log.
-var errLogTruncated = errors.New("the log ends before what has been folded")
+// errLogTruncated is returned when the log ends before the records that have
+// been applied: it has lost records, or it is another log.
+var errLogTruncated = errors.New("the log ends before the records that have been applied")
 
-// errMissingRecords tells that records were dropped that had not been folded, and that no
-// checkpoint on the log covers them.
-var errMissingRecords = errors.New("the log no longer holds what comes next, and no checkpoint that covers it")
+// errMissingRecords is returned when the log has dropped records that have not
+// been applied, and has no checkpoint that covers them.
+var errMissingRecords = errors.New("the log no longer keeps the next records, and has no checkpoint that covers them")
 
-// readToEnd folds all records up to the end of the log.
+// readToEnd applies all records up to the end of the log.
 func (s *Store) readToEnd(ctx context.Context) error {
 	for {
 		from := s.nextOffset()
@@ -128,8 +131,10 @@
 	return s.machine.Next()
 }
 
-// recoverFromCheckpoint looks through a trimmed log for a checkpoint to fold on from. When
-// there is none, peers may still know.
+// recoverFromCheckpoint searches a log that has dropped the next record for a
+// checkpoint that covers the dropped records, and restores it. If there is
+// none, it returns errMissingRecords, and only peers can send the missing
+// records.
 func (s *Store) recoverFromCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
 		batch, err := s.readBatch(ctx, uint64(from))
@@ -153,7 +158,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.machine.NeedsCheckpoint(uint64(oldest)) {
-		return true // a peer was faster
+		return true // a peer has sent the records meanwhile
 	}
 	if !s.machine.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 		return false
@@ -166,8 +171,8 @@
 	before := s.nextOffset()
 	s.mu.Lock()
 	for _, r := range batch.Records {
-		res := s.machine.ApplyRecord(uint64(r.Offset), r.Data)
-		s.recordDecision(res)
+		result := s.machine.ApplyRecord(uint64(r.Offset), r.Data)
+		s.recordDecision(result)
 		if config.IsCheckpoint(r.Data) {
 			s.scheduleCheckpoint(uint64(r.Offset))
 		}
@@ -180,30 +185,31 @@
 	}
 }
 
-func (s *Store) recordDecision(res config.Result) {
-	s.metrics.decisions[res.Decision].Inc(1)
-	if res.Decision == config.Invalid {
-		s.opts.Logger.Warn("invalid change on the log", "change", res.Change.ID, "author", res.Change.Author, "error", res.Problem)
+func (s *Store) recordDecision(result config.Result) {
+	s.metrics.decisions[result.Decision].Inc(1)
+	if result.Decision == config.Invalid {
+		s.opts.Logger.Warn("invalid change on the log", "change", result.Change.ID, "author", result.Change.Author, "error", result.Problem)
 	}
 }
 
-// scheduleCheckpoint draws anew when a checkpoint is due. s.mu is held.
+// scheduleCheckpoint notes the offset of a checkpoint on the log and draws at
+// random when this daemon appends the next one. s.mu is held.
 func (s *Store) scheduleCheckpoint(offset uint64) {
-	every := s.opts.CheckpointInterval
+	interval := s.opts.CheckpointInterval
 	s.lastCheckpoint = offset
-	s.checkpointDue = time.Now().Add(every/2 + time.Duration(s.rng.Int64N(int64(every/2)+1)))
+	s.checkpointDue = time.Now().Add(interval/2 + time.Duration(s.rng.Int64N(int64(interval/2)+1)))
 }
 
-// checkpoint appends the state when the log has had no checkpoint for long. The
-// reader that drew the earliest time comes first; the others see its checkpoint
-// and do not append theirs.
+// checkpoint appends the state as a checkpoint if the log has had none for a
+// long time. The log reader with the earliest time appends it; the others read
+// that checkpoint and do not append their own.
 func (s *Store) checkpoint(ctx context.Context) {
 	s.mu.Lock()
 	state := s.machine.State()
 	due := time.Now().After(s.checkpointDue)
-	behind := state.Next - min(state.Next, s.lastCheckpoint)
+	recordsSince := state.Next - min(state.Next, s.lastCheckpoint)
 	s.mu.Unlock()
-	if state.Version == 0 || !due && behind < checkpointRecords {
+	if state.Version == 0 || !due && recordsSince < checkpointRecords {
 		return
 	}
 	record, err := state.Checkpoint()
--- a/configuration/store.go
+++ b/configuration/store.go
@@ -25,21 +25,22 @@
 // Options configure a Store.
 type Options struct {
 	Log recordlog.Log
-	// Interval is the time between two reads by a reader. Default: 200ms.
+	// Interval is the time between two reads of the log by a log reader.
+	// Default: 200ms.
 	Interval time.Duration
-	// IdleInterval is the time between two reads by a daemon that hears the
-	// news from its peers. Default: 15s.
+	// IdleInterval is the time between two reads by a daemon that receives
+	// updates from its peers. Default: 15s.
 	IdleInterval time.Duration
-	// CheckpointInterval is the time after which a checkpoint is appended
-	// again. It must be well under the log's retention. Default: 10min.
+	// CheckpointInterval is the longest time between two checkpoints. It must
+	// be well below the retention of the log. Default: 10min.
 	CheckpointInterval time.Duration
-	// IsLogReader reports whether this daemon reads the log at Interval. Nil means
-	// that it always does.
+	// IsLogReader reports whether this daemon reads the log at Interval rather
+	// than IdleInterval. Nil means that it always does.
 	IsLogReader func() bool
-	// OnUpdate is called when the log had news, so that peers hear of it at once.
-	// Nil means that nobody is told.
+	// OnUpdate is called when records were read from the log, so that they are
+	// relayed to peers at once. Nil means no call.
 	OnUpdate func()
-	// Seed seeds the jitter.
+	// Seed seeds the random delays.
 	Seed   uint64
 	Scope  tally.Scope
 	Logger *slog.Logger
@@ -49,8 +50,8 @@
 	defaultInterval           = 200 * time.Millisecond
 	defaultIdleInterval       = 15 * time.Second
 	defaultCheckpointInterval = 10 * time.Minute
-	// checkpointRecords is the number of records after which a checkpoint is
-	// due, whatever the time.
+	// checkpointRecords is the number of records after the last checkpoint at
+	// which the next one is due, regardless of the time.
 	checkpointRecords = 1024
 	readLimit         = 1024
 	readTimeout       = 5 * time.Second
@@ -65,45 +66,49 @@
 
 	current atomic.Pointer[InForce]
 
-	// notifyMu orders the calls of the listeners.
+	// notifyMu serializes putInForce, so that listeners see versions in order.
 	notifyMu  sync.Mutex
 	listeners []func(*InForce)
 
-	// mu guards what follows. rng and pause are used by Serve alone.
+	// mu guards the fields below. rng and backoff are used by Serve alone.
 	mu      sync.Mutex
 	machine *config.StateMachine
 	status  Status
-	// lastCheckpoint is the offset of the last checkpoint on the log.
+	// lastCheckpoint is the offset of the newest checkpoint read from the log.
 	lastCheckpoint uint64
-	// checkpointDue is when this daemon appends one. It is drawn once after
-	// each checkpoint, so that the readers differ.
+	// checkpointDue is when this daemon appends the next checkpoint. It is
+	// drawn at random once after each checkpoint, so that the log readers do
+	// not append at the same time.
 	checkpointDue time.Time
 }
 
-// Status is what a Store knows about its version.
+// Status describes the state of a Store.
 type Status struct {
 	Version model.Version `json:"version"`
-	// ChangeID and Author are those of the change that made the version.
+	// ChangeID and Author identify the change that produced Version.
 	ChangeID string `json:"change_id,omitempty"`
 	Author   string `json:"author,omitempty"`
-	// Next is the offset of the next record of the config stream.
+	// Next is the offset of the first record of the config stream that has not
+	// been applied.
 	Next uint64 `json:"next"`
-	// Chain is the digest over all accepted changes.
+	// Chain is a hash chain over all accepted changes.
 	Chain string `json:"chain"`
-	// CaughtUp is set once this daemon has read to the end of the log. Until then
-	// a newer version may exist that no reachable peer knew.
+	// CaughtUp is set once this daemon has read to the end of the log after its
+	// start. Until then a newer version may exist that no reachable peer had.
 	CaughtUp bool `json:"sure"`
-	// LogRead is when the log was last read. Zero means never.
+	// LogRead is when the log was last read to its end. Zero means never.
 	LogRead time.Time `json:"log_read,omitzero"`
-	// LogError is why the last read failed. Empty when it did not.
+	// LogError is the error of the last read, empty if it succeeded.
 	LogError string `json:"log_problem,omitempty"`
-	// CompileError is why the newest version was accepted but does not compile.
+	// CompileError is the reason why the newest accepted version does not
+	// compile, empty if it does.
 	CompileError string `json:"unusable,omitempty"`
-	// Conflict is set when a peer folded the same records to something else.
+	// Conflict is set when a peer that applied the same records has another
+	// state.
 	Conflict bool `json:"conflict,omitempty"`
 }
 
-// NewStore returns a Store that has folded nothing.
+// NewStore returns a Store that has applied no records.
 func NewStore(opts Options) *Store {
 	opts.setDefaults()
 	s := &Store{
@@ -137,32 +142,33 @@
 	}
 }
 
-// Current returns the configuration in force, nil before the first.
+// Current returns the configuration in force, or nil if there is none yet.
 func (s *Store) Current() *InForce { return s.current.Load() }
 
-// OnChange registers a function called with every new configuration, in
-// order. It is called before Serve starts.
+// OnChange registers a function that is called with every new configuration in
+// force, in order of version. It must be called before Serve.
 func (s *Store) OnChange(f func(*InForce)) { s.listeners = append(s.listeners, f) }
 
-// Status returns what the Store knows about its version.
+// Status returns the status of the Store.
 func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := s.machine.State()
-	out := s.status
-	out.Version, out.Next, out.Chain = st.Version, st.Next, st.Chain.String()
-	out.ChangeID, out.Author = st.ChangeID, st.Author
-	return out
+	state := s.machine.State()
+	status := s.status
+	status.Version, status.Next, status.Chain = state.Version, state.Next, state.Chain.String()
+	status.ChangeID, status.Author = state.ChangeID, state.Author
+	return status
 }
 
-// State returns the folded state.
+// State returns the state after the records applied so far.
 func (s *Store) State() config.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.machine.State()
 }
 
-// putInForce compiles the newest state and hands it to the listeners.
+// putInForce compiles the documents of the current state. If they compile, it
+// makes them the configuration in force and calls the listeners.
 func (s *Store) putInForce() {
 	s.notifyMu.Lock()
 	defer s.notifyMu.Unlock()
@@ -176,15 +182,17 @@
 		return
 	}
 	s.setCompileError(state.Version, "")
-	f := &InForce{Version: state.Version, Set: set}
-	s.current.Store(f)
+	inForce := &InForce{Version: state.Version, Set: set}
+	s.current.Store(inForce)
 	s.metrics.version.Update(float64(state.Version))
 	s.opts.Logger.Info("configuration in force", "version", state.Version, "change", state.ChangeID, "author", state.Author)
-	for _, l := range s.listeners {
-		l(f)
+	for _, listener := range s.listeners {
+		listener(inForce)
 	}
 }
 
+// setCompileError records why the newest accepted version does not compile; an
+// empty problem means that it does.
 func (s *Store) setCompileError(v model.Version, problem string) {
 	s.mu.Lock()
 	changed := s.status.CompileError != problem
@@ -192,6 +200,6 @@
 	s.mu.Unlock()
 	if changed && problem != "" {
 		s.metrics.compileErrors.Inc(1)
-		s.opts.Logger.Error("accepted configuration does not compile, the one before stays in force", "version", v, "error", problem)
+		s.opts.Logger.Error("accepted configuration does not compile, the previous one stays in force", "version", v, "error", problem)
 	}
 }
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -19,7 +19,7 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// runWithFleet runs a test with a fleet in virtual time.
+// runWithFleet runs a test on a fleet in virtual time.
 func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -34,15 +34,15 @@
 func TestAcceptedChangeIsInForceEverywhereInTime(t *testing.T) {
 	const size = 60
 	for name, c := range map[string]struct {
-		fault  func(f *fleet)
-		reach  int
-		within time.Duration
+		fault   func(f *fleet)
+		daemons int
+		within  time.Duration
 	}{
-		"healthy":               {func(*fleet) {}, size, time.Second},
-		"log slow":              {func(f *fleet) { f.log.SetFaults(recordlog.Faults{Latency: time.Second}) }, size, 3 * time.Second},
-		"zone cut off from log": {func(f *fleet) { f.disconnectLog(zone(1), true) }, size, 3 * time.Second},
-		"zone cut off":          {func(f *fleet) { f.partitionZone(zone(1), true) }, size * 4 / 5, 3 * time.Second},
-		"all but one zone cut off from log": {func(f *fleet) {
+		"healthy":                    {func(*fleet) {}, size, time.Second},
+		"log slow":                   {func(f *fleet) { f.log.SetFaults(recordlog.Faults{Latency: time.Second}) }, size, 3 * time.Second},
+		"zone disconnected from log": {func(f *fleet) { f.disconnectLog(zone(1), true) }, size, 3 * time.Second},
+		"zone partitioned":           {func(f *fleet) { f.partitionZone(zone(1), true) }, size * 4 / 5, 3 * time.Second},
+		"all but one zone disconnected from log": {func(f *fleet) {
 			for i := range zones - 1 {
 				f.disconnectLog(zone(i), true)
 			}
@@ -58,7 +58,7 @@
 				accepted := time.Now()
 				time.Sleep(c.within)
 				synctest.Wait()
-				require.Equal(t, c.reach, f.countInForce(res.Version))
+				require.Equal(t, c.daemons, f.countInForce(res.Version))
 				require.LessOrEqual(t, percentile(f.delays(res.Version, accepted), 1), c.within)
 			})
 		})
@@ -76,7 +76,7 @@
 		f.log.SetFaults(recordlog.Faults{Down: true})
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 60, f.countInForce(res.Version), "one daemon had read it; it handed it on")
+		require.Equal(t, 60, f.countInForce(res.Version), "the daemon that had read the change relayed it")
 	})
 }
 
@@ -90,7 +90,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		require.Equal(t, 40, f.countInForce(res.Version))
-		require.Equal(t, 10, f.countInForce(1), "the cut zone serves what it has")
+		require.Equal(t, 10, f.countInForce(1), "the partitioned zone keeps serving its version")
 		f.partitionZone(zone(2), false)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
@@ -110,10 +110,10 @@
 		f.start(n)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		st := n.store.Status()
+		status := n.store.Status()
 		require.EqualValues(t, 70, n.store.Current().Version)
-		require.False(t, st.CaughtUp)
-		require.NotEmpty(t, st.LogError)
+		require.False(t, status.CaughtUp)
+		require.NotEmpty(t, status.LogError)
 		f.log.SetFaults(recordlog.Faults{})
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
@@ -126,30 +126,32 @@
 	runWithFleet(t, 6, func(t *testing.T, f *fleet) {
 		f.publish("first")
 		time.Sleep(10 * time.Second)
-		late, err := f.nodes[0].store.State().Checkpoint()
+		staleCheckpoint, err := f.nodes[0].store.State().Checkpoint()
 		require.NoError(t, err)
 		f.publish("second")
 		time.Sleep(10 * time.Second)
 		f.memory.Trim(recordlog.StreamConfig, 2)
-		// A writer that had paused appends what it had taken long before.
-		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{late})
+		// A daemon that was paused appends a checkpoint that it encoded long
+		// before.
+		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{staleCheckpoint})
 		require.NoError(t, err)
 
 		fresh := configuration.NewStore(configuration.Options{Log: f.log, IsLogReader: func() bool { return false }})
 		fresh.Poll(t.Context())
-		require.Nil(t, fresh.Current(), "the late checkpoint must not be taken for the newest")
+		require.Nil(t, fresh.Current(), "a checkpoint that does not cover the dropped records must not be restored")
 		require.False(t, fresh.Status().CaughtUp)
-		topic, from := fresh.Topic(), f.nodes[0].store.Topic()
-		require.NoError(t, topic.Apply(from.Delta(topic.Digest(), 1<<20)))
+		topic, peerTopic := fresh.Topic(), f.nodes[0].store.Topic()
+		require.NoError(t, topic.Apply(peerTopic.Delta(topic.Digest(), 1<<20)))
 		require.EqualValues(t, 2, fresh.Current().Version)
 		fresh.Poll(t.Context())
 		require.True(t, fresh.Status().CaughtUp)
 
-		// With a checkpoint that covers the gap a fresh daemon needs no peer.
+		// A new daemon needs no peer once the log has a checkpoint that covers
+		// the dropped records.
 		time.Sleep(2 * time.Minute)
-		alone := configuration.NewStore(configuration.Options{Log: f.log})
-		alone.Poll(t.Context())
-		require.EqualValues(t, 2, alone.Current().Version)
+		withoutPeers := configuration.NewStore(configuration.Options{Log: f.log})
+		withoutPeers.Poll(t.Context())
+		require.EqualValues(t, 2, withoutPeers.Current().Version)
 	})
 }
 
@@ -173,15 +175,16 @@
 	require.Contains(t, s.Status().LogError, "ends before")
 }
 
+// replaceableLog is a Log that a test can replace by another one.
 type replaceableLog struct{ recordlog.Log }
 
 func TestConcurrentProposalsReportTheWinner(t *testing.T) {
 	for name, faults := range map[string]recordlog.Faults{
-		"healthy":               {Latency: 5 * time.Millisecond},
-		"replies lost":          {Latency: 5 * time.Millisecond, LoseReplies: 2},
-		"taken twice":           {Latency: 5 * time.Millisecond, Duplicate: 2},
-		"lost and taken twice":  {Latency: 5 * time.Millisecond, LoseReplies: 2, Duplicate: 2},
-		"slow and replies lost": {Latency: time.Second, LoseReplies: 2},
+		"healthy":                           {Latency: 5 * time.Millisecond},
+		"responses lost":                    {Latency: 5 * time.Millisecond, LoseReplies: 2},
+		"appended twice":                    {Latency: 5 * time.Millisecond, Duplicate: 2},
+		"responses lost and appended twice": {Latency: 5 * time.Millisecond, LoseReplies: 2, Duplicate: 2},
+		"slow and responses lost":           {Latency: time.Second, LoseReplies: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runWithFleet(t, 10, func(t *testing.T, f *fleet) {
@@ -196,18 +199,18 @@
 					wg.Go(func() { results[i], errs[i] = operator.Propose(ctx, f.log, proposal(fmt.Sprint("race-", i))) })
 				}
 				wg.Wait()
-				won, lost := 0, 1
+				winner, loser := 0, 1
 				if errs[0] != nil {
-					won, lost = 1, 0
+					winner, loser = 1, 0
 				}
-				require.NoError(t, errs[won])
-				require.Equal(t, config.Accepted, results[won].Verdict)
-				require.EqualValues(t, 2, results[won].Version)
-				var by *operator.SupersededError
-				require.ErrorAs(t, errs[lost], &by)
-				require.Equal(t, fmt.Sprint("op-race-", won), by.By)
-				require.Equal(t, results[won].ChangeID, by.ByChange)
-				require.Len(t, by.Changes, 1, "what it would still change")
+				require.NoError(t, errs[winner])
+				require.Equal(t, config.Accepted, results[winner].Verdict)
+				require.EqualValues(t, 2, results[winner].Version)
+				var superseded *operator.SupersededError
+				require.ErrorAs(t, errs[loser], &superseded)
+				require.Equal(t, fmt.Sprint("op-race-", winner), superseded.By)
+				require.Equal(t, results[winner].ChangeID, superseded.ByChange)
+				require.Len(t, superseded.Changes, 1, "the changes that the losing proposal would still make")
 				f.log.SetFaults(recordlog.Faults{})
 				time.Sleep(5 * time.Second)
 				synctest.Wait()
@@ -217,15 +220,15 @@
 	}
 }
 
-// TestPairsOfFaultsNeverRestoreAnOlderVersion draws faults, two at a time,
-// while operators publish and daemons restart.
+// TestPairsOfFaultsNeverRestoreAnOlderVersion injects random pairs of faults
+// while operators publish changes and daemons restart.
 func TestPairsOfFaultsNeverRestoreAnOlderVersion(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runWithFleet(t, 30, func(t *testing.T, f *fleet) {
 				rng := newRand(seed)
-				var held []byte
-				var heldNext uint64
+				var staleCheckpoint []byte
+				var staleNext uint64
 				faults := []func(on bool){
 					func(on bool) { f.log.SetFaults(recordlog.Faults{Down: on}) },
 					func(on bool) { f.log.SetFaults(recordlog.Faults{LoseReplies: 3, Duplicate: 2}) },
@@ -235,13 +238,13 @@
 					func(on bool) { f.network.SetUnresponsive(f.nodes[4].ID, on) },
 					func(on bool) {
 						if on {
-							s := f.nodes[0].store.State()
-							held, _ = s.Checkpoint()
-							heldNext = s.Next
+							state := f.nodes[0].store.State()
+							staleCheckpoint, _ = state.Checkpoint()
+							staleNext = state.Next
 							return
 						}
-						if heldNext > 0 {
-							_, _ = f.memory.Append(f.ctx, recordlog.StreamConfig, [][]byte{held})
+						if staleNext > 0 {
+							_, _ = f.memory.Append(f.ctx, recordlog.StreamConfig, [][]byte{staleCheckpoint})
 						}
 					},
 					func(on bool) {
@@ -254,17 +257,17 @@
 				time.Sleep(5 * time.Second)
 				var publishing sync.WaitGroup
 				for round := range 12 {
-					a, b := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
-					a(true)
-					b(true)
+					first, second := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
+					first(true)
+					second(true)
 					publishing.Go(func() {
 						ctx, cancel := context.WithTimeout(f.ctx, 8*time.Second)
 						defer cancel()
 						_, _ = operator.Propose(ctx, f.log, proposal(fmt.Sprint("s", seed, "-", round)))
 					})
 					time.Sleep(time.Duration(1+rng.IntN(10)) * time.Second)
-					a(false)
-					b(false)
+					first(false)
+					second(false)
 				}
 				publishing.Wait()
 				f.log.SetFaults(recordlog.Faults{})
@@ -273,9 +276,9 @@
 				want := f.nodes[0].store.Status()
 				require.Greater(t, want.Version, model.Version(3), "changes were accepted")
 				for _, n := range f.nodes {
-					st := n.store.Status()
-					require.Equal(t, want.Chain, st.Chain, "%s", n.ID)
-					require.False(t, st.Conflict)
+					status := n.store.Status()
+					require.Equal(t, want.Chain, status.Chain, "%s", n.ID)
+					require.False(t, status.Conflict)
 				}
 				require.Equal(t, 30, f.countInForce(want.Version))
 			})
@@ -285,9 +288,9 @@
 
 func TestInvalidDocumentsAreNeverAccepted(t *testing.T) {
 	log := &recordlog.Memory{}
-	bad := config.Change{ID: "x", Put: map[config.DocumentKey]json.RawMessage{"Service/a": json.RawMessage(`{"kind":"Service","name":"a","spec":{"dead_line":"2s"}}`)}}
+	unknownField := config.Change{ID: "x", Put: map[config.DocumentKey]json.RawMessage{"Service/a": json.RawMessage(`{"kind":"Service","name":"a","spec":{"dead_line":"2s"}}`)}}
 	misnamed := config.Change{ID: "y", Put: map[config.DocumentKey]json.RawMessage{"Service/b": json.RawMessage(`{"kind":"Service","name":"a","spec":{}}`)}}
-	for _, c := range []config.Change{bad, misnamed} {
+	for _, c := range []config.Change{unknownField, misnamed} {
 		record, _, err := config.EncodeChange(c)
 		require.NoError(t, err)
 		_, err = log.Append(t.Context(), recordlog.StreamConfig, [][]byte{record})
@@ -303,8 +306,8 @@
 	require.Equal(t, config.Invalid, view.Entries()[1].Verdict)
 }
 
-// BenchmarkApplyRecords folds 10,000 changes over 77 services with the validation that
-// daemons use.
+// BenchmarkApplyRecords applies 10,000 changes over 77 services with the
+// validation that daemons use.
 func BenchmarkApplyRecords(b *testing.B) {
 	const changes, services = 10_000, 77
 	records := make([][]byte, changes)
@@ -317,10 +320,10 @@
 		require.NoError(b, err)
 	}
 	for b.Loop() {
-		f := configuration.NewStateMachine()
+		machine := configuration.NewStateMachine()
 		for i, r := range records {
-			f.ApplyRecord(uint64(i), r)
+			machine.ApplyRecord(uint64(i), r)
 		}
-		require.EqualValues(b, changes, f.Version())
+		require.EqualValues(b, changes, machine.Version())
 	}
 }
--- a/configuration/topic.go
+++ b/configuration/topic.go
@@ -1,12 +1,13 @@
 package configuration
 
-// TopicName is the name of the topic by which daemons hand on configuration.
+// TopicName is the name of the topic by which daemons relay configuration
+// records.
 const TopicName = "config"
 
-// Topic hands on folded records. It implements peer.Topic.
+// Topic relays applied records to peers. It implements peer.Topic.
 type Topic struct{ store *Store }
 
-// Topic returns the Store's topic.
+// Topic returns the peer.Topic of the Store.
 func (s *Store) Topic() Topic { return Topic{store: s} }
 
 // Name implements peer.Topic.
@@ -47,12 +48,12 @@
 	return nil
 }
 
-// recordConflict notes that a peer folded the same records to something else. s.mu is
-// held.
+// recordConflict records that a peer that applied the same records has another
+// state. s.mu is held.
 func (s *Store) recordConflict() {
 	s.metrics.conflicts.Inc(1)
 	if !s.status.Conflict {
 		s.status.Conflict = true
-		s.opts.Logger.Error("a peer folded the same records to another configuration")
+		s.opts.Logger.Error("a peer that applied the same records has another configuration")
 	}
 }
