--- a/membership/check.go
+++ b/membership/check.go
@@ -11,23 +11,24 @@
 	peerv1 "github.com/dottereltiller/dottereltiller/proto/dottereltiller/peer/v1"
 )
 
-// Pinger asks daemons whether they live.
+// Pinger sends pings to daemons, to check whether they are alive.
 type Pinger interface {
 	Ping(ctx context.Context, to model.DaemonID, req *peerv1.PingRequest) (*peerv1.PingResponse, error)
 }
 
 const (
 	pingTimeout = 500 * time.Millisecond
-	// indirectPingTimeout bounds a ping through another daemon.
+	// indirectPingTimeout bounds a ping that is sent through another daemon.
 	indirectPingTimeout = 1200 * time.Millisecond
-	// maxIndirectPings is the number of daemons asked to ping for this one.
+	// maxIndirectPings is the number of daemons that are asked to ping a daemon
+	// that does not respond.
 	maxIndirectPings = 3
-	// maxChecks bounds the checks running at the same time; more are dropped,
-	// since the next failure asks for them again.
+	// maxChecks bounds the concurrent liveness checks. Further checks are
+	// dropped; the next failure to reach the daemon starts them again.
 	maxChecks = 4
 )
 
-// runningChecks are the liveness checks now running.
+// runningChecks is the set of daemons whose liveness is being checked.
 type runningChecks struct {
 	mu      sync.Mutex
 	daemons map[model.DaemonID]bool
@@ -35,6 +36,8 @@
 
 func (c *runningChecks) init() { c.daemons = make(map[model.DaemonID]bool) }
 
+// begin adds a daemon. It returns false if the daemon is being checked already or
+// too many checks are running.
 func (c *runningChecks) begin(d model.DaemonID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,8 +54,8 @@
 	delete(c.daemons, d)
 }
 
-// ReportUnreachable reports that a daemon could not be reached, by a round or by a
-// call. It starts a check in the background.
+// ReportUnreachable reports that an exchange round or a call could not reach a
+// daemon. It starts a liveness check in the background.
 func (r *Registry) ReportUnreachable(d model.DaemonID) {
 	if r.opts.Pinger == nil || d == r.opts.Self || r.Health(d) != member.Alive || !r.checks.begin(d) {
 		return
@@ -63,7 +66,8 @@
 	}()
 }
 
-// check suspects a daemon that answers neither directly nor through others.
+// check marks a daemon as suspect if it responds neither to a direct ping nor
+// to indirect ones.
 func (r *Registry) check(ctx context.Context, d model.DaemonID) {
 	if r.pingDirectly(ctx, d) {
 		r.metrics.checksDirect.Inc(1)
@@ -80,18 +84,20 @@
 	}
 }
 
+// markSuspect marks a daemon as suspect and relays that to peers.
 func (r *Registry) markSuspect(d model.DaemonID) {
 	r.mu.Lock()
-	news := r.directory.Suspect(d)
+	changed := r.directory.Suspect(d)
 	r.mu.Unlock()
-	if !news {
+	if !changed {
 		return
 	}
 	r.metrics.suspected.Inc(1)
-	r.opts.Logger.Info("daemon does not answer", "daemon", d)
+	r.opts.Logger.Info("daemon does not respond, suspected", "daemon", d)
 	r.opts.OnUpdate()
 }
 
+// pingDirectly reports whether a daemon responds to a ping of this daemon.
 func (r *Registry) pingDirectly(ctx context.Context, d model.DaemonID) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -105,28 +111,28 @@
 	return true
 }
 
-// pingIndirectly has other daemons ping d. It reports whether any of them answered
-// at all, and whether one reached d. With nobody to ask, this daemon's own word
-// counts.
+// pingIndirectly asks other daemons to ping d. reached is set if any of them
+// responded, alive if one of them reached d. If there are no other daemons to
+// ask, reached is set, so that the failed direct ping alone decides.
 func (r *Registry) pingIndirectly(ctx context.Context, d model.DaemonID) (reached, alive bool) {
-	chosen := r.chooseHelpers(d)
-	if len(chosen) == 0 {
+	helpers := r.chooseHelpers(d)
+	if len(helpers) == 0 {
 		return true, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, indirectPingTimeout)
 	defer cancel()
-	answers := make(chan *peerv1.PingResponse, len(chosen))
-	for _, h := range chosen {
+	responses := make(chan *peerv1.PingResponse, len(helpers))
+	for _, helper := range helpers {
 		go func() {
-			resp, err := r.opts.Pinger.Ping(ctx, h, &peerv1.PingRequest{From: string(r.opts.Self), Target: string(d)})
+			resp, err := r.opts.Pinger.Ping(ctx, helper, &peerv1.PingRequest{From: string(r.opts.Self), Target: string(d)})
 			if err != nil {
 				resp = nil
 			}
-			answers <- resp
+			responses <- resp
 		}()
 	}
-	for range chosen {
-		resp := <-answers
+	for range helpers {
+		resp := <-responses
 		reached = reached || resp != nil
 		if resp.GetAlive() {
 			return true, true
@@ -135,38 +141,39 @@
 	return reached, false
 }
 
-// chooseHelpers chooses daemons that are alive, of other zones than this one's
-// where there are any: when its zone is cut off, they do not answer, and nobody
-// is suspected.
+// chooseHelpers chooses live daemons for indirect pings of d. It prefers
+// daemons of other availability zones: if the local zone is cut off, they do
+// not respond, and no daemon is suspected.
 func (r *Registry) chooseHelpers(d model.DaemonID) []model.DaemonID {
-	var near, far []model.DaemonID
+	var local, remote []model.DaemonID
 	for _, p := range r.Peers() {
 		if p.ID == d || p.ID == r.opts.Self || r.Health(p.ID) != member.Alive {
 			continue
 		}
 		if p.Zone == r.opts.Zone {
-			near = append(near, p.ID)
+			local = append(local, p.ID)
 			continue
 		}
-		far = append(far, p.ID)
+		remote = append(remote, p.ID)
 	}
-	if len(far) == 0 {
-		far = near
+	if len(remote) == 0 {
+		remote = local
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rng.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	return far[:min(len(far), maxIndirectPings)]
+	r.rng.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
+	return remote[:min(len(remote), maxIndirectPings)]
 }
 
-// RecordExchange takes in how a message of a round to a peer went.
+// RecordExchange handles the result of an exchange with a peer.
 func (r *Registry) RecordExchange(p peer.Peer, err error) {
 	if err != nil {
 		r.ReportUnreachable(p.ID)
 	}
 }
 
-// HandlePing answers a ping, for this daemon or for the one it names.
+// HandlePing handles a ping. If the request names another daemon as its target,
+// this daemon pings the target on behalf of the sender.
 func (r *Registry) HandlePing(ctx context.Context, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
 	if target := model.DaemonID(req.GetTarget()); target != "" && target != r.opts.Self {
 		return &peerv1.PingResponse{Alive: r.opts.Pinger != nil && r.pingDirectly(ctx, target)}, nil
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,16 +1,18 @@
-// Package membership lets upstreams announce themselves to the daemon of their
-// VM and keeps the daemon's view of all upstreams up to date, from peers and
-// from the log.
+// Package membership keeps a daemon's view of all upstreams and daemons up to
+// date, from its local upstreams, from its peers and from the log.
 //
-// An upstream announces itself to its daemon and, when it asks for a lease,
-// renews it. The daemon's Registry hands every event on to its peers at once, as
-// a peer.Topic; so a draining upstream is known everywhere within seconds even
-// while the log is down. One daemon of each availability zone appends the
-// zone's events to the log in batches, and again well inside the log's
-// retention, so that a daemon that knows nobody can begin there.
+// An upstream announces itself to the daemon of its VM. If it asks for a lease,
+// it has to renew the lease before it expires. The daemon's Registry relays
+// every event to its peers at once, as a peer.Topic, so that all daemons know
+// of a draining upstream within seconds, even while the log is down. One daemon
+// of each availability zone appends the events of its zone to the log in
+// batches, and appends them again well before the retention of the log ends, so
+// that a new daemon that knows no peer can learn the members from the log.
 //
-// Liveness is checked with the rounds that daemons hold with random peers
-// anyway, and by what the data path sees. A peer that does not answer is pinged,
-// then pinged through daemons of other zones, and only then suspected. A daemon
-// that reaches none of those suspects nobody: it is rather cut off itself.
+// Failure detection follows SWIM. It uses the regular exchange rounds with
+// random peers and failed calls of the data path as first signs. A daemon that
+// does not respond is pinged directly, then indirectly through daemons of other
+// availability zones, and only then suspected. A daemon that gets no response
+// from any of those helpers suspects nobody, because it is probably cut off
+// itself.
 package membership
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -63,8 +63,8 @@
 	return n
 }
 
-// start begins a life of a node, which knows nothing, and lets its upstream
-// announce itself.
+// start starts a node without any state, also after a stop, and announces its
+// upstream.
 func (f *fleet) start(n *node) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	n.incarnation++
@@ -73,29 +73,29 @@
 	for _, c := range n.ID {
 		seed = seed*31 + uint64(c)
 	}
-	var x *peer.Exchanger
-	end := f.network.Endpoint(n.ID)
-	var r *membership.Registry
-	r = membership.NewRegistry(membership.Options{
-		Self: n.ID, Zone: n.Zone, Log: n.logConn, Pinger: end, Seed: seed, MaxUpstreams: 1000,
+	var exchanger *peer.Exchanger
+	endpoint := f.network.Endpoint(n.ID)
+	var registry *membership.Registry
+	registry = membership.NewRegistry(membership.Options{
+		Self: n.ID, Zone: n.Zone, Log: n.logConn, Pinger: endpoint, Seed: seed, MaxUpstreams: 1000,
 		CheckpointInterval: time.Minute,
 		IsLogReader: func() bool {
-			return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, r.Peers())
+			return time.Since(exchanger.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, registry.Peers())
 		},
-		OnUpdate:       func() { x.TriggerRound() },
+		OnUpdate:       func() { exchanger.TriggerRound() },
 		OnLeaseExpired: func(model.UpstreamID) { n.expiredLeases.Add(1) },
 	})
-	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: end, BootstrapPeers: n.bootstrap,
-		Peers: r.Peers, Unreachable: r.DeadPeers, OnResult: r.RecordExchange})
-	x.Register(r.Topic())
-	f.network.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
-	n.registry = r
-	go func() { _ = r.Serve(ctx) }()
-	go func() { _ = x.Serve(ctx) }()
+	exchanger = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: endpoint, BootstrapPeers: n.bootstrap,
+		Peers: registry.Peers, Unreachable: registry.DeadPeers, OnResult: registry.RecordExchange})
+	exchanger.Register(registry.Topic())
+	f.network.Attach(n.Peer, &peer.Service{Exchanger: exchanger, Ping: registry.HandlePing})
+	n.registry = registry
+	go func() { _ = registry.Serve(ctx) }()
+	go func() { _ = exchanger.Serve(ctx) }()
 	n.announce(member.Joined, 0)
 }
 
-// announce announces the upstream; joining begins a new incarnation.
+// announce announces the upstream in a state. Joining starts a new incarnation.
 func (n *node) announce(s member.State, lease time.Duration) {
 	if s == member.Joined {
 		n.upstream.Incarnation++
@@ -103,7 +103,7 @@
 	n.registry.Announce(member.Event{Upstream: n.upstream, State: s}, lease)
 }
 
-// renew announces the same incarnation again.
+// renew announces the same incarnation again, which renews its lease.
 func (n *node) renew(lease time.Duration) {
 	n.registry.Announce(member.Event{Upstream: n.upstream, State: member.Joined}, lease)
 }
@@ -113,7 +113,8 @@
 	f.network.Attach(n.Peer, nil)
 }
 
-// runWithFleet starts a fleet in virtual time, lets it come together and runs a test.
+// runWithFleet starts a fleet in virtual time, waits until every node sees all
+// upstreams, and runs a test on it.
 func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -121,7 +122,7 @@
 		for _, n := range f.nodes {
 			f.start(n)
 		}
-		f.waitFor(t, 30*time.Second, "the fleet comes together", func() bool { return f.countEligible(f.nodes, "s") == size*size })
+		f.waitFor(t, 30*time.Second, "every node sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == size*size })
 		test(t, f)
 		cancel()
 		time.Sleep(10 * time.Second)
@@ -129,10 +130,11 @@
 	})
 }
 
-// countEligible counts the upstreams that can be chosen in the views of some nodes.
-func (f *fleet) countEligible(of []*node, s model.ServiceName) int {
+// countEligible sums up, over some nodes, the upstreams of a service that each
+// node sees and that are not draining.
+func (f *fleet) countEligible(nodes []*node, s model.ServiceName) int {
 	count := 0
-	for _, n := range of {
+	for _, n := range nodes {
 		ups, _ := n.registry.Upstreams(s)
 		for _, u := range ups {
 			if !u.Draining {
@@ -143,11 +145,11 @@
 	return count
 }
 
-// waitFor waits, in steps, until a condition holds, and returns how long it took.
-func (f *fleet) waitFor(t *testing.T, within time.Duration, what string, holds func() bool) time.Duration {
+// waitFor polls until a condition holds, and returns how long it took.
+func (f *fleet) waitFor(t *testing.T, within time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
-	for !holds() {
+	for !condition() {
 		if time.Since(start) >= within {
 			require.Fail(t, what, "not within %v", within)
 		}
@@ -156,13 +158,13 @@
 	return time.Since(start)
 }
 
-// except returns the nodes that are not in a list.
-func (f *fleet) except(but ...*node) []*node {
+// except returns all nodes except the given ones.
+func (f *fleet) except(excluded ...*node) []*node {
 	var out []*node
 	for _, n := range f.nodes {
 		keep := true
-		for _, b := range but {
-			keep = keep && n != b
+		for _, e := range excluded {
+			keep = keep && n != e
 		}
 		if keep {
 			out = append(out, n)
@@ -181,18 +183,19 @@
 	return out
 }
 
-// partitionZone cuts a zone off from the others and from the log.
-func (f *fleet) partitionZone(z model.AvailabilityZone, cut bool) {
-	f.network.SetPartitioned(z, cut)
+// partitionZone separates a zone from the other zones and from the log, or
+// reconnects it.
+func (f *fleet) partitionZone(z model.AvailabilityZone, partitioned bool) {
+	f.network.SetPartitioned(z, partitioned)
 	for _, n := range f.inZone(z) {
-		n.logConn.SetDisconnected(cut)
+		n.logConn.SetDisconnected(partitioned)
 	}
 }
 
-// countHealth counts the nodes that think a daemon in some health.
-func countHealth(of []*node, d model.DaemonID, h member.Health) int {
+// countHealth counts the nodes in whose view a daemon has the given health.
+func countHealth(nodes []*node, d model.DaemonID, h member.Health) int {
 	count := 0
-	for _, n := range of {
+	for _, n := range nodes {
 		if n.registry.Health(d) == h {
 			count++
 		}
@@ -200,7 +203,7 @@
 	return count
 }
 
-// countDistinctDigests returns the digests of all views, each once.
+// countDistinctDigests returns the number of different digests over all views.
 func (f *fleet) countDistinctDigests() int {
 	seen := map[string]bool{}
 	for _, n := range f.nodes {
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -13,19 +13,21 @@
 const (
 	readLimit  = 1024
 	logTimeout = 5 * time.Second
-	// maxReaderBackoff bounds the wait of a reader while the log is down.
+	// maxReaderBackoff bounds the time between two reads of a log reader while
+	// the log fails.
 	maxReaderBackoff = 4 * time.Second
-	// maxEventsPerRecord bounds the events of one record.
+	// maxEventsPerRecord bounds the events in one record of the log.
 	maxEventsPerRecord = 500
-	// writerDelay is how old an event is before its zone's writer appends it, so
-	// that a batch gathers; fallbackDelay is after how long a daemon that sees its own
-	// event missing from the log appends it itself.
+	// writerDelay is the age at which the writer of a zone appends an event, so
+	// that several events share a batch. fallbackDelay is the age at which any
+	// other daemon appends an event of its own upstreams that is still missing
+	// from the log.
 	writerDelay   = time.Second
 	fallbackDelay = 20 * time.Second
 )
 
 func (r *Registry) serveLog(ctx context.Context) error {
-	// Daemons that start together do not read together.
+	// The random delay keeps daemons that start together from reading together.
 	timer := time.NewTimer(r.startDelay())
 	defer timer.Stop()
 	for {
@@ -48,7 +50,7 @@
 	return time.Duration(r.rng.Int64N(int64(r.opts.Interval)))
 }
 
-// syncLog reads the log to its end, then appends what it lacks.
+// syncLog reads the log to its end, then appends the events that the log lacks.
 func (r *Registry) syncLog(ctx context.Context) error {
 	err := r.readToEnd(ctx)
 	if err == nil {
@@ -61,28 +63,31 @@
 	return err
 }
 
+// nextDelay returns the time until the log is read again: with exponential
+// backoff after an error, otherwise shortened at random by up to a quarter.
 func (r *Registry) nextDelay(err error) time.Duration {
-	reads := r.opts.IsLogReader()
+	isReader := r.opts.IsLogReader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
 		r.metrics.logFailed.Inc(1)
 		r.backoff.Max = r.opts.IdleInterval
-		if reads {
+		if isReader {
 			r.backoff.Max = maxReaderBackoff
 		}
 		return r.backoff.Next(r.rng)
 	}
 	r.backoff.Reset()
-	d := r.opts.Interval
-	if !reads {
-		d = r.opts.IdleInterval
+	delay := r.opts.Interval
+	if !isReader {
+		delay = r.opts.IdleInterval
 	}
-	return d - time.Duration(r.rng.Int64N(int64(d)/4+1))
+	return delay - time.Duration(r.rng.Int64N(int64(delay)/4+1))
 }
 
-// readToEnd takes in the records up to the end of the log. What was trimmed has been
-// appended again since, or is known to peers.
+// readToEnd applies the records up to the end of the log. It skips records that
+// the log has dropped: their events have been appended again since, or peers
+// know them.
 func (r *Registry) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
@@ -96,12 +101,12 @@
 		if err != nil {
 			return err
 		}
-		news := 0
+		changes := 0
 		for _, rec := range batch.Records {
-			news += r.applyRecord(rec.Data)
+			changes += r.applyRecord(rec.Data)
 			r.nextOffset = rec.Offset + 1
 		}
-		if news > 0 {
+		if changes > 0 {
 			r.opts.OnUpdate()
 		}
 		if r.nextOffset >= batch.Next {
@@ -110,6 +115,8 @@
 	}
 }
 
+// applyRecord applies one record of the log. It returns the number of events that
+// were newer than the ones known before.
 func (r *Registry) applyRecord(data []byte) int {
 	records, err := member.Decode(data)
 	if err != nil {
@@ -119,15 +126,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	records.Liveness = nil
-	won := r.directory.ApplyAll(records)
+	applied := r.directory.ApplyAll(records)
 	for _, e := range records.Events {
 		r.directory.Logged(e)
 	}
-	return won
+	return applied
 }
 
-// appendMissing appends events that the log lacks: for the writer of a zone those of
-// the zone, for others their own, should the writer fail to.
+// appendMissing appends events that the log lacks. The writer of a zone appends
+// those of its zone; other daemons append those of their own upstreams, in case
+// the writer fails to.
 func (r *Registry) appendMissing(ctx context.Context) error {
 	events := r.dueEvents()
 	for len(events) > 0 {
@@ -140,28 +148,29 @@
 	return nil
 }
 
+// dueEvents returns the events that this daemon has to append now.
 func (r *Registry) dueEvents() []member.Event {
-	writer := r.isWriter()
+	isWriter := r.isWriter()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if writer && time.Now().After(r.checkpointDue) {
+	if isWriter && time.Now().After(r.checkpointDue) {
 		r.scheduleCheckpoint()
 		return r.inLocalZone(r.directory.Events())
 	}
-	if writer {
+	if isWriter {
 		return r.inLocalZone(r.directory.Unlogged(writerDelay))
 	}
-	var own []member.Event
+	var local []member.Event
 	for _, e := range r.directory.Unlogged(fallbackDelay) {
 		if e.Upstream.Daemon == r.opts.Self {
-			own = append(own, e)
+			local = append(local, e)
 		}
 	}
-	return own
+	return local
 }
 
-// isWriter reports whether this daemon appends the events of its zone. While it
-// knows no peers it does.
+// isWriter reports whether this daemon appends the events of its zone. A daemon
+// that knows no peers does.
 func (r *Registry) isWriter() bool {
 	return peer.RendezvousRank(r.opts.Self, r.opts.Zone, r.Peers()) == 0
 }
@@ -176,14 +185,15 @@
 	return out
 }
 
-// scheduleCheckpoint decides when the events are appended again.
+// scheduleCheckpoint draws at random when all events of the zone are appended
+// again.
 func (r *Registry) scheduleCheckpoint() {
-	every := r.opts.CheckpointInterval
-	r.checkpointDue = time.Now().Add(every/2 + time.Duration(r.rng.Int64N(int64(every/2)+1)))
+	interval := r.opts.CheckpointInterval
+	r.checkpointDue = time.Now().Add(interval/2 + time.Duration(r.rng.Int64N(int64(interval/2)+1)))
 }
 
-// appendEvents appends events. They may stand on the log twice, so an uncertain
-// append is simply made again later.
+// appendEvents appends events to the log. Events may be on the log twice, so
+// the caller simply repeats an append whose effect is uncertain.
 func (r *Registry) appendEvents(ctx context.Context, events []member.Event) error {
 	data := member.Records{Events: events}.Encode()
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -7,22 +7,23 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// lease is the announcement of a local upstream. Without a length it holds
-// until the upstream says otherwise.
+// lease is the last announcement of a local upstream. With a zero duration it
+// never expires.
 type lease struct {
 	event    member.Event
 	duration time.Duration
 	expires  time.Time
 }
 
-// Announce takes in an event of this VM's own upstream. With a positive length
-// the upstream has to announce itself again within it, else it has left.
-func (r *Registry) Announce(e member.Event, length time.Duration) {
+// Announce applies an event of a local upstream. With a positive lease duration
+// the upstream has to announce itself again before the lease expires; otherwise
+// it counts as having left.
+func (r *Registry) Announce(e member.Event, duration time.Duration) {
 	r.mu.Lock()
 	if e.State == member.Left {
 		delete(r.leases, e.Upstream.ID)
 	} else {
-		r.leases[e.Upstream.ID] = lease{event: e, duration: length, expires: time.Now().Add(length)}
+		r.leases[e.Upstream.ID] = lease{event: e, duration: duration, expires: time.Now().Add(duration)}
 	}
 	changed := r.directory.Announce(e)
 	r.mu.Unlock()
@@ -32,24 +33,24 @@
 	}
 }
 
-// DrainAll announces that every local upstream is draining, before this daemon
-// stops.
+// DrainAll announces that every local upstream is draining. It is called before
+// this daemon stops.
 func (r *Registry) DrainAll() {
 	r.mu.RLock()
-	held := make([]lease, 0, len(r.leases))
+	leases := make([]lease, 0, len(r.leases))
 	for _, l := range r.leases {
-		held = append(held, l)
+		leases = append(leases, l)
 	}
 	r.mu.RUnlock()
-	for _, l := range held {
+	for _, l := range leases {
 		l.event.State = member.Draining
 		r.Announce(l.event, l.duration)
 	}
 }
 
-// expireLeases lets upstreams leave that have not renewed. After a pause of
-// this process every lease is extended by the pause, because renewals could not
-// be taken in meanwhile. r.mu is held.
+// expireLeases marks upstreams as left whose lease has expired, and returns
+// their IDs. If this process was paused, it extends every lease by the pause,
+// because renewals could not be received meanwhile. r.mu is held.
 func (r *Registry) expireLeases(now time.Time) []model.UpstreamID {
 	pause := now.Sub(r.lastTick) - tickInterval
 	paused := !r.lastTick.IsZero() && pause > tickInterval
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -19,12 +19,14 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// LocalUpstream is an upstream of this VM as its daemon knows it.
+// LocalUpstream is an upstream on the VM of this daemon.
 type LocalUpstream struct {
 	model.Upstream
-	// Address is the upstream's own host:port. Only its daemon connects there.
+	// Address is the upstream's own host:port. Only the daemon of its VM
+	// connects to it.
 	Address string
-	// LoadPath is where the upstream reports its load. Empty: nowhere.
+	// LoadPath is the HTTP path at which the upstream reports its load. Empty
+	// means that it does not report any.
 	LoadPath string
 }
 
@@ -33,33 +35,37 @@
 	Self model.DaemonID
 	Zone model.AvailabilityZone
 	Log  recordlog.Log
-	// Pinger reaches other daemons. Nil turns liveness checks off.
+	// Pinger sends pings to other daemons. Nil turns off liveness checks.
 	Pinger Pinger
-	// Interval is the time between two readings of the log by a reader.
+	// Interval is the time between two reads of the log by a log reader.
 	// Default: 1s.
 	Interval time.Duration
-	// IdleInterval is the same for a daemon that hears the news from its peers.
-	// Default: 30s.
+	// IdleInterval is the time between two reads by a daemon that receives
+	// updates from its peers. Default: 30s.
 	IdleInterval time.Duration
-	// CheckpointInterval is the time after which the events of a zone are
-	// appended again. It must be well under the log's retention. Default:
-	// 10min.
+	// CheckpointInterval is the longest time after which all events of a zone
+	// are appended again. It must be well below the retention of the log.
+	// Default: 10min.
 	CheckpointInterval time.Duration
-	// IsLogReader reports whether this daemon reads the log at Interval. Nil means
-	// that it always does.
+	// IsLogReader reports whether this daemon reads the log at Interval rather
+	// than IdleInterval. Nil means that it always does.
 	IsLogReader func() bool
-	// OnUpdate is called when peers should hear news at once. Nil: nobody is told.
+	// OnUpdate is called when there are changes to relay to peers at once. Nil
+	// means no call.
 	OnUpdate func()
-	// OnLeaseExpired is called when the lease of a local upstream has lapsed.
+	// OnLeaseExpired is called when the lease of a local upstream has expired.
 	OnLeaseExpired func(model.UpstreamID)
-	// OnDaemonCount is told the number of daemons in view when it changes.
+	// OnDaemonCount is called with the number of daemons in the view when it
+	// changes.
 	OnDaemonCount func(daemons int)
-	// MaxUpstreams is the most upstreams of one service that this daemon calls.
+	// MaxUpstreams bounds the upstreams of one service that this daemon calls.
 	// Default: 64.
 	MaxUpstreams int
-	// Directory configures the view. Self and Life are filled in.
+	// Directory configures the directory of members. NewRegistry sets its Self
+	// and Incarnation.
 	Directory member.Options
-	// Seed seeds jitter and the choice of helpers.
+	// Seed seeds the random delays and the choice of helpers for indirect
+	// pings.
 	Seed    uint64
 	Metrics tally.Scope
 	Logger  *slog.Logger
@@ -89,26 +95,27 @@
 	cachedPeers peerLists
 	subsets     map[model.ServiceName]subset
 
-	// nextOffset, pause, checkpointDue and problem are used by the log loop alone.
+	// The fields below are used only by the goroutine of serveLog.
 	nextOffset    recordlog.Offset
 	backoff       pause.Backoff
 	checkpointDue time.Time
 	logFailing    bool
 }
 
-// peerLists are the daemons in view, as of a generation.
+// peerLists lists the daemons in the view at a generation.
 type peerLists struct {
 	generation  uint64
 	alive, dead []peer.Peer
 }
 
-// subset is what this daemon calls of a service, as of a generation.
+// subset holds the upstreams of a service that this daemon calls, at a
+// generation of the view.
 type subset struct {
 	generation uint64
 	upstreams  []model.Upstream
 }
 
-// NewRegistry returns a Registry that knows nobody.
+// NewRegistry returns a Registry that knows no members.
 func NewRegistry(o Options) *Registry {
 	o.setDefaults()
 	o.Directory.Self = o.Self
@@ -162,24 +169,24 @@
 	}
 }
 
-// Upstreams returns what this daemon calls of a service and the generation of
-// the view. The generation rises with every change. The slice is shared and
-// must not be modified.
+// Upstreams returns the upstreams of a service that this daemon calls, and the
+// generation of the view, which increases with every change. The slice is
+// shared and must not be modified.
 func (r *Registry) Upstreams(s model.ServiceName) ([]model.Upstream, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	generation := r.directory.Generation()
-	held, ok := r.subsets[s]
-	if ok && held.generation == generation {
-		return held.upstreams, generation
+	cached, ok := r.subsets[s]
+	if ok && cached.generation == generation {
+		return cached.upstreams, generation
 	}
-	ups := member.Subset(r.opts.Self, r.directory.Upstreams(s), r.opts.MaxUpstreams)
-	if len(ups) == 0 {
+	upstreams := member.Subset(r.opts.Self, r.directory.Upstreams(s), r.opts.MaxUpstreams)
+	if len(upstreams) == 0 {
 		delete(r.subsets, s)
 		return nil, generation
 	}
-	r.subsets[s] = subset{generation: generation, upstreams: ups}
-	return ups, generation
+	r.subsets[s] = subset{generation: generation, upstreams: upstreams}
+	return upstreams, generation
 }
 
 // Generation returns the generation of the view.
@@ -189,12 +196,13 @@
 	return r.directory.Generation()
 }
 
-// Peers returns the daemons of the upstreams in view, without the dead ones.
-// The slice is shared and must not be modified.
+// Peers returns the daemons of the upstreams in the view, except those
+// considered dead. The slice is shared and must not be modified.
 func (r *Registry) Peers() []peer.Peer { return r.peerLists().alive }
 
-// DeadPeers returns the daemons that are thought dead. Contact with one of them now
-// and then lets two parts of a deployment find each other again.
+// DeadPeers returns the daemons that are considered dead. Occasional contact
+// with one of them lets the two sides of a healed partition find each other
+// again.
 func (r *Registry) DeadPeers() []peer.Peer { return r.peerLists().dead }
 
 func (r *Registry) peerLists() peerLists {
@@ -207,7 +215,7 @@
 	return r.cachedPeers
 }
 
-// listPeers makes the lists anew. r.mu is held.
+// listPeers builds the lists from the directory. r.mu is held.
 func (r *Registry) listPeers(generation uint64) peerLists {
 	lists := peerLists{generation: generation, alive: []peer.Peer{}}
 	seen := make(map[model.DaemonID]bool)
@@ -227,7 +235,7 @@
 	return lists
 }
 
-// reportDaemonCount tells the number of daemons when it has changed.
+// reportDaemonCount calls OnDaemonCount if the number of daemons has changed.
 func (r *Registry) reportDaemonCount() {
 	lists := r.peerLists()
 	n := len(lists.alive) + len(lists.dead)
@@ -236,21 +244,21 @@
 	}
 }
 
-// Health returns what is thought of a daemon.
+// Health returns the health of a daemon according to the view.
 func (r *Registry) Health(d model.DaemonID) member.Health {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.directory.Health(d)
 }
 
-// Events returns every winning event, ordered by upstream ID.
+// Events returns the latest event of every upstream, ordered by upstream ID.
 func (r *Registry) Events() []member.Event {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.directory.Events()
 }
 
-// Serve keeps the view until the context ends.
+// Serve keeps the view up to date until the context ends.
 func (r *Registry) Serve(ctx context.Context) error {
 	var loops errgroup.Group
 	loops.Go(func() error { return r.serveTicks(ctx) })
@@ -269,7 +277,8 @@
 	})
 }
 
-// tick does what has become due and reports whether peers should hear of it.
+// tick advances failure detection and expires leases. It reports whether there
+// are changes to relay to peers.
 func (r *Registry) tick() bool {
 	r.mu.Lock()
 	now := time.Now()
--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -20,17 +20,17 @@
 		fault recordlog.Faults
 		state member.State
 	}{
-		"draining":                {recordlog.Faults{}, member.Draining},
-		"draining, log down":      {recordlog.Faults{Down: true}, member.Draining},
-		"left, log slow":          {recordlog.Faults{Latency: 3 * time.Second}, member.Left},
-		"left, log loses replies": {recordlog.Faults{LoseReplies: 100}, member.Left},
+		"draining":                  {recordlog.Faults{}, member.Draining},
+		"draining, log down":        {recordlog.Faults{Down: true}, member.Draining},
+		"left, log slow":            {recordlog.Faults{Latency: 3 * time.Second}, member.Left},
+		"left, log loses responses": {recordlog.Faults{LoseReplies: 100}, member.Left},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runWithFleet(t, 60, func(t *testing.T, f *fleet) {
 				f.log.SetFaults(c.fault)
 				time.Sleep(10 * time.Second)
 				f.nodes[7].announce(c.state, 0)
-				f.waitFor(t, 2*time.Second, "no new work for it", func() bool { return f.countEligible(f.nodes, "s") == 60*59 })
+				f.waitFor(t, 2*time.Second, "no daemon considers the upstream eligible", func() bool { return f.countEligible(f.nodes, "s") == 60*59 })
 			})
 		})
 	}
@@ -41,9 +41,9 @@
 		f.log.SetFaults(recordlog.Faults{Down: true})
 		n := f.nodes[3]
 		n.announce(member.Left, 0)
-		f.waitFor(t, 2*time.Second, "left", func() bool { return f.countEligible(f.nodes, "s") == 40*39 })
+		f.waitFor(t, 2*time.Second, "the upstream has left", func() bool { return f.countEligible(f.nodes, "s") == 40*39 })
 		n.announce(member.Joined, 0)
-		f.waitFor(t, 2*time.Second, "back", func() bool { return f.countEligible(f.nodes, "s") == 40*40 })
+		f.waitFor(t, 2*time.Second, "the upstream is eligible again", func() bool { return f.countEligible(f.nodes, "s") == 40*40 })
 	})
 }
 
@@ -58,10 +58,11 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		after, _ := f.network.Traffic()
-		f.waitFor(t, 3*time.Second, "all see the last incarnation", func() bool { return f.countDistinctDigests() == 1 })
+		f.waitFor(t, 3*time.Second, "all views agree", func() bool { return f.countDistinctDigests() == 1 })
 		require.Equal(t, 40*40, f.countEligible(f.nodes, "s"))
-		// 40 daemons: regular rounds of 2 peers, and hinted ones of 5 peers at 2
-		// a second after a burst of 4, each of at most 2 messages, for 5 s.
+		// Bound for 40 daemons over 5 s: regular rounds with 2 peers, and
+		// triggered rounds with 5 peers at 2 a second after a burst of 4. Each
+		// exchange takes at most 2 messages.
 		require.Less(t, after-before, 40*2*(2*7+5*(2*5+4+1)))
 	})
 }
@@ -71,11 +72,11 @@
 		n := f.nodes[9]
 		f.kill(n)
 		alive := f.except(n)
-		took := f.waitFor(t, 12*time.Second, "thought dead", func() bool { return countHealth(alive, n.ID, member.Dead) == 39 })
-		require.Greater(t, took, 2*time.Second, "not without a suspicion first")
+		elapsed := f.waitFor(t, 12*time.Second, "considered dead", func() bool { return countHealth(alive, n.ID, member.Dead) == 39 })
+		require.Greater(t, elapsed, 2*time.Second, "the daemon is suspected before it is considered dead")
 		require.Equal(t, 39*39, f.countEligible(alive, "s"))
 		f.start(n)
-		f.waitFor(t, 8*time.Second, "back", func() bool { return f.countEligible(f.nodes, "s") == 40*40 })
+		f.waitFor(t, 8*time.Second, "the upstream is eligible again", func() bool { return f.countEligible(f.nodes, "s") == 40*40 })
 		require.Equal(t, 40, countHealth(f.nodes, n.ID, member.Alive))
 	})
 }
@@ -85,9 +86,9 @@
 		n := f.nodes[9]
 		f.network.SetUnresponsive(n.ID, true)
 		alive := f.except(n)
-		f.waitFor(t, 12*time.Second, "thought dead", func() bool { return countHealth(alive, n.ID, member.Dead) == 39 })
+		f.waitFor(t, 12*time.Second, "considered dead", func() bool { return countHealth(alive, n.ID, member.Dead) == 39 })
 		f.network.SetUnresponsive(n.ID, false)
-		f.waitFor(t, 8*time.Second, "back", func() bool { return f.countEligible(f.nodes, "s") == 40*40 })
+		f.waitFor(t, 8*time.Second, "the upstream is eligible again", func() bool { return f.countEligible(f.nodes, "s") == 40*40 })
 	})
 }
 
@@ -109,10 +110,10 @@
 		n := f.nodes[9]
 		f.kill(n)
 		f.nodes[0].registry.ReportUnreachable(n.ID)
-		took := f.waitFor(t, 8*time.Second, "thought dead", func() bool {
+		elapsed := f.waitFor(t, 8*time.Second, "considered dead", func() bool {
 			return countHealth(f.except(n), n.ID, member.Dead) == 99
 		})
-		require.Less(t, took, 7*time.Second)
+		require.Less(t, elapsed, 7*time.Second)
 	})
 }
 
@@ -120,33 +121,33 @@
 	runWithFleet(t, 50, func(t *testing.T, f *fleet) {
 		inside, outside := f.inZone(zone(2)), f.except(f.inZone(zone(2))...)
 		f.partitionZone(zone(2), true)
-		f.waitFor(t, 30*time.Second, "outside it is left out", func() bool { return f.countEligible(outside, "s") == 40*40 })
+		f.waitFor(t, 30*time.Second, "other zones exclude the partitioned zone", func() bool { return f.countEligible(outside, "s") == 40*40 })
 		time.Sleep(time.Minute)
-		require.Equal(t, 10*50, f.countEligible(inside, "s"), "inside nobody is suspected by those cut off")
+		require.Equal(t, 10*50, f.countEligible(inside, "s"), "the partitioned daemons consider nobody dead")
 		f.partitionZone(zone(2), false)
-		f.waitFor(t, 15*time.Second, "together again", func() bool { return f.countEligible(f.nodes, "s") == 50*50 })
+		f.waitFor(t, 15*time.Second, "all daemons see all upstreams again", func() bool { return f.countEligible(f.nodes, "s") == 50*50 })
 	})
 }
 
 func TestSplitFleetMergesAgain(t *testing.T) {
 	runWithFleet(t, 40, func(t *testing.T, f *fleet) {
 		half := f.nodes[:20]
-		apart := func(cut bool) {
+		setSplit := func(split bool) {
 			for _, a := range half {
 				for _, b := range f.nodes[20:] {
-					f.network.SetBlocked(a.ID, b.ID, cut)
-					f.network.SetBlocked(b.ID, a.ID, cut)
+					f.network.SetBlocked(a.ID, b.ID, split)
+					f.network.SetBlocked(b.ID, a.ID, split)
 				}
 			}
 		}
-		apart(true)
+		setSplit(true)
 		time.Sleep(5 * time.Minute)
-		// Half of the service is dead for each side: not more than half, so it
-		// is left out.
+		// For each side half of the upstreams are dead. That is not more than
+		// half, so they are excluded.
 		require.Equal(t, 40*20, f.countEligible(f.nodes, "s"))
 		half[0].announce(member.Left, 0)
-		apart(false)
-		f.waitFor(t, 20*time.Second, "together again", func() bool { return f.countEligible(f.nodes, "s") == 40*39 })
+		setSplit(false)
+		f.waitFor(t, 20*time.Second, "all daemons see all upstreams again", func() bool { return f.countEligible(f.nodes, "s") == 40*39 })
 	})
 }
 
@@ -158,10 +159,10 @@
 			time.Sleep(3 * time.Second)
 		}
 		require.Zero(t, n.expiredLeases.Load())
-		f.waitFor(t, 5*time.Second, "it has left", func() bool { return f.countEligible(f.nodes, "s") == 5*4 })
+		f.waitFor(t, 5*time.Second, "the upstream has left", func() bool { return f.countEligible(f.nodes, "s") == 5*4 })
 		require.EqualValues(t, 1, n.expiredLeases.Load())
 		n.renew(5 * time.Second)
-		f.waitFor(t, 2*time.Second, "it is back in the same incarnation", func() bool { return f.countEligible(f.nodes, "s") == 5*5 })
+		f.waitFor(t, 2*time.Second, "the upstream is back in the same incarnation", func() bool { return f.countEligible(f.nodes, "s") == 5*5 })
 	})
 }
 
@@ -171,12 +172,12 @@
 			f.kill(n)
 		}
 		time.Sleep(2 * time.Second)
-		writes := f.appends.Load()
+		appendsBefore := f.appends.Load()
 		for _, n := range f.nodes[:120] {
 			f.start(n)
 		}
-		f.waitFor(t, 30*time.Second, "all see all", func() bool { return f.countEligible(f.nodes, "s") == 150*150 })
-		require.Less(t, f.appends.Load()-writes, int64(120), "the log is written in batches")
+		f.waitFor(t, 30*time.Second, "every daemon sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == 150*150 })
+		require.Less(t, f.appends.Load()-appendsBefore, int64(120), "events are appended in batches")
 	})
 }
 
@@ -186,7 +187,7 @@
 		n := f.add("new", zone(0))
 		n.bootstrap = []peer.Peer{f.nodes[11].Peer}
 		f.start(n)
-		f.waitFor(t, 6*time.Second, "all see all", func() bool { return f.countEligible(f.nodes, "s") == 21*21 })
+		f.waitFor(t, 6*time.Second, "every daemon sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == 21*21 })
 	})
 }
 
@@ -201,7 +202,7 @@
 		fresh := membership.NewRegistry(membership.Options{Self: "x", Zone: "elsewhere", Log: f.log})
 		ctx := t.Context()
 		go func() { _ = fresh.Serve(ctx) }()
-		f.waitFor(t, 5*time.Second, "the log alone tells", func() bool {
+		f.waitFor(t, 5*time.Second, "the log alone is sufficient", func() bool {
 			ups, _ := fresh.Upstreams("s")
 			return len(ups) == 10
 		})
@@ -223,8 +224,9 @@
 	require.Empty(t, none)
 }
 
-// TestPairsOfFaultsConvergeToOneView draws faults, two at a time, while upstreams
-// come and go and daemons restart; in the end all views are the truth.
+// TestPairsOfFaultsConvergeToOneView injects random pairs of faults while
+// upstreams leave and join and daemons restart. In the end all views must be
+// equal and complete.
 func TestPairsOfFaultsConvergeToOneView(t *testing.T) {
 	const size = 30
 	for seed := range uint64(4) {
@@ -256,16 +258,16 @@
 					},
 				}
 				for range 10 {
-					a, b := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
-					a(true)
-					b(true)
+					first, second := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
+					first(true)
+					second(true)
 					time.Sleep(time.Duration(1+rng.IntN(12)) * time.Second)
-					a(false)
-					b(false)
+					first(false)
+					second(false)
 				}
 				f.log.SetFaults(recordlog.Faults{})
-				f.waitFor(t, 40*time.Second, "all see all", func() bool { return f.countEligible(f.nodes, "s") == size*size })
-				f.waitFor(t, 10*time.Second, "one view", func() bool { return f.countDistinctDigests() == 1 })
+				f.waitFor(t, 40*time.Second, "every daemon sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == size*size })
+				f.waitFor(t, 10*time.Second, "all views are equal", func() bool { return f.countDistinctDigests() == 1 })
 			})
 		})
 	}
--- a/membership/topic.go
+++ b/membership/topic.go
@@ -2,13 +2,14 @@
 
 import "github.com/dottereltiller/dottereltiller/core/member"
 
-// TopicName is the name of the topic by which daemons hand on membership.
+// TopicName is the name of the topic by which daemons relay membership.
 const TopicName = "membership"
 
-// Topic hands on events and liveness. It implements peer.Topic.
+// Topic relays membership events and liveness to peers. It implements
+// peer.Topic.
 type Topic struct{ registry *Registry }
 
-// Topic returns the Registry's topic.
+// Topic returns the peer.Topic of the Registry.
 func (r *Registry) Topic() Topic { return Topic{registry: r} }
 
 // Name implements peer.Topic.
