--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -14,10 +14,11 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// BenchmarkClaim compares claiming a key at its owner with claiming it by a
-// record of its own on the log, which was weighed in its place. The log's
-// stand-in answers at once; what is left is batching and one daemon's limit of
-// appends, which is 20 a second for few daemons and 300 for all together.
+// BenchmarkClaim compares claiming a key in the table of its owner with the
+// alternative of appending a record for each claim to the log. The in-memory
+// log responds at once, so the second case measures batching and the append
+// limit of one daemon. That limit is 20 a second for few daemons and 300 a
+// second for all daemons together.
 func BenchmarkClaim(b *testing.B) {
 	const workers = 64
 	memory := &recordlog.Memory{}
@@ -45,11 +46,11 @@
 			for range workers {
 				wg.Go(func() {
 					for range max(1, b.N/workers) {
-						began := time.Now()
-						claim(randomKey(claims.Stamp(began.UnixMilli())))
-						took := time.Since(began)
+						start := time.Now()
+						claim(randomKey(claims.Stamp(start.UnixMilli())))
+						elapsed := time.Since(start)
 						mu.Lock()
-						_ = hist.RecordValue(took.Nanoseconds())
+						_ = hist.RecordValue(elapsed.Nanoseconds())
 						mu.Unlock()
 					}
 				})
@@ -62,11 +63,11 @@
 	}
 }
 
-// grantAllTo grants every stamp to an owner.
+// grantAllTo grants all timestamps of all ranges to an owner.
 func grantAllTo(o claims.Owner) claims.Record {
-	g := &claims.Grant{Owner: o, Until: claims.MaxStamp}
+	grant := &claims.Grant{Owner: o, Until: claims.MaxStamp}
 	for r := range claims.Range(claims.DefaultRanges) {
-		g.Extensions = append(g.Extensions, claims.Extension{Range: r})
+		grant.Extensions = append(grant.Extensions, claims.Extension{Range: r})
 	}
-	return claims.Record{Grant: g}
+	return claims.Record{Grant: grant}
 }
--- a/owner/doc.go
+++ b/owner/doc.go
@@ -1,14 +1,18 @@
-// Package owner runs keyed non-idempotent requests at most once.
+// Package owner runs non-idempotent requests with an idempotency key at most
+// once.
 //
-// Every daemon has a Service with two sides. The routing side takes a keyed
-// request from the entry of this daemon, finds the owner of its key in the
-// grants on the platform's log and sends the request there, again if need be:
-// the owner recognises it. The owning side claims the key, runs the request
-// through the entry of its own daemon, retains the answer for retries, and
-// keeps this daemon's grants renewed. Package claims holds the decisions.
+// Each daemon has a Service with two sides. The routing side takes a keyed
+// request from the entry of its daemon, finds the owner of the key in the
+// grants on the platform's log and submits the request to that owner. It may
+// submit the request repeatedly, because the owner recognizes the key. The
+// owning side claims the key, executes the request through the entry of its own
+// daemon, retains the response for retries and renews the grants of this
+// daemon. The entry is the component that accepts requests, selects an upstream
+// and forwards them to it. The decisions are in package claims.
 //
-// A retry gets the first run's answer while it is retained, waits while the
-// first run goes on, and is told "unknown" when nobody can know. What the
-// routing side cannot settle is "unknown" too, never "not run": another daemon
-// may be running the same key.
+// A retry receives the response of the first execution while that response is
+// retained, and waits while the execution is in progress. If nobody can know
+// the outcome, the retry receives "unknown". A submission that the routing side
+// cannot resolve is "unknown" too, never "not run", because another daemon may
+// be executing the same key.
 package owner
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -15,26 +15,28 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// ErrNoSuccessor is returned when no daemon took in the claims.
-var ErrNoSuccessor = errors.New("no daemon took in the claims; their keys will be answered unknown")
+// ErrNoSuccessor is returned when no daemon accepted the claims.
+var ErrNoSuccessor = errors.New("no daemon accepted the claims; the outcome of their keys will be unknown")
 
 const (
-	// executionWaitDivisor is the part of the time to the deadline that a drain gives runs
-	// in flight before it hands their claims over as unknown.
+	// A drain waits for executions in flight for the time to its deadline
+	// divided by executionWaitDivisor. It hands over the claims of executions
+	// that have not finished by then with an unknown outcome.
 	executionWaitDivisor = 2
-	// maxSuccessors bounds the daemons that are asked to take the claims.
+	// maxSuccessors bounds the daemons that are asked to accept the claims.
 	maxSuccessors        = 8
 	transferPollInterval = 10 * time.Millisecond
 	messageTimeout       = 2 * time.Second
-	// transferTimeout bounds the wait for the log to take the transfer. A stop during
-	// an outage of the log leaves the claims to be answered unknown.
+	// transferTimeout bounds the wait for the transfer to be on the log. If the
+	// daemon stops while the log is down, the transfer is missing and the
+	// outcome of the claims is "unknown".
 	transferTimeout = 5 * time.Second
 )
 
-// Drain stops owning keys: it takes no more submissions, lets runs in flight
-// end, hands the claims to a successor and signs that on the log. The daemon
-// must go on answering until Drain returns, so that other daemons learn that
-// the keys have moved. Drain may be called once.
+// Drain stops owning keys: it accepts no more submissions, waits for executions
+// in flight, hands the claims over to a successor and records the transfer on
+// the log. The daemon must keep serving requests until Drain returns, so that
+// other daemons learn that the keys have moved. Drain may be called only once.
 func (s *Service) Drain(ctx context.Context) error {
 	s.seal()
 	s.awaitExecutions(ctx)
@@ -62,29 +64,33 @@
 	s.table.Seal()
 }
 
+// ownedUntil returns the end of the last timestamps that this incarnation owns, 0
+// if it owns none.
 func (s *Service) ownedUntil() claims.Stamp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.OwnedUntil(s.self.Incarnation)
 }
 
-// ownsNothing reports whether the log shows that this life owns nothing.
+// ownsNothing reports whether, according to the whole log, this incarnation
+// owns no keys.
 func (s *Service) ownsNothing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Complete() && s.ledger.OwnedUntil(s.self.Incarnation) == 0
 }
 
-// awaitExecutions waits for the runs in flight, for a part of the time that is left.
+// awaitExecutions waits for the executions in flight, for at most a fraction of
+// the time left.
 func (s *Service) awaitExecutions(ctx context.Context) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/executionWaitDivisor)
 		defer cancel()
 	}
-	for _, r := range s.inFlight() {
+	for _, e := range s.inFlight() {
 		select {
-		case <-r.done:
+		case <-e.done:
 		case <-ctx.Done():
 			return
 		}
@@ -94,21 +100,22 @@
 func (s *Service) inFlight() []*execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	runs := make([]*execution, 0, len(s.executions))
-	for _, r := range s.executions {
-		runs = append(runs, r)
+	executions := make([]*execution, 0, len(s.executions))
+	for _, e := range s.executions {
+		executions = append(executions, e)
 	}
-	return runs
+	return executions
 }
 
-// handOver sends the claims to the first daemon that takes them all. Which one
-// is left to chance, so that a rolling restart does not heap them up.
+// handOver sends the claims to the first daemon that accepts them all. It tries
+// daemons in random order, so that a rolling restart does not concentrate the
+// claims on a few of them.
 func (s *Service) handOver(ctx context.Context) (claims.Owner, error) {
 	if s.opts.Messenger == nil {
 		return claims.Owner{}, ErrNoSuccessor
 	}
 	s.mu.Lock()
-	parts, err := s.table.Export(s.ledger)
+	chunks, err := s.table.Export(s.ledger)
 	s.mu.Unlock()
 	if err != nil {
 		return claims.Owner{}, err
@@ -123,27 +130,28 @@
 		if tried++; tried > maxSuccessors {
 			break
 		}
-		if life, err := s.handOverTo(ctx, d, parts); err == nil {
-			return claims.Owner{Daemon: d, Incarnation: life}, nil
+		if incarnation, err := s.handOverTo(ctx, d, chunks); err == nil {
+			return claims.Owner{Daemon: d, Incarnation: incarnation}, nil
 		}
 	}
 	return claims.Owner{}, ErrNoSuccessor
 }
 
-// handOverTo sends the parts to one life of a daemon and returns the life.
-func (s *Service) handOverTo(ctx context.Context, d model.DaemonID, parts [][]byte) (uint64, error) {
-	life := uint64(0)
-	for _, part := range append([][]byte{nil}, parts...) {
-		resp, err := s.sendHandOver(ctx, d, &peerv1.HandOverRequest{From: string(s.opts.Self), Claims: part, ToLife: life})
+// handOverTo sends the chunks to one incarnation of a daemon and returns that
+// incarnation. A first message without claims asks for the incarnation.
+func (s *Service) handOverTo(ctx context.Context, d model.DaemonID, chunks [][]byte) (uint64, error) {
+	incarnation := uint64(0)
+	for _, chunk := range append([][]byte{nil}, chunks...) {
+		resp, err := s.sendHandOver(ctx, d, &peerv1.HandOverRequest{From: string(s.opts.Self), Claims: chunk, ToLife: incarnation})
 		if err != nil {
 			return 0, err
 		}
 		if !resp.Accepted {
 			return 0, claims.ErrHandover
 		}
-		life = resp.Life
+		incarnation = resp.Life
 	}
-	return life, nil
+	return incarnation, nil
 }
 
 func (s *Service) sendHandOver(ctx context.Context, d model.DaemonID, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
@@ -152,8 +160,9 @@
 	return s.opts.Messenger.HandOver(ctx, d, req)
 }
 
-// appendTransfer appends the transfer until it is read back, for at most transferTimeout. An append whose reply was
-// lost is repeated; a second transfer finds nothing left to move.
+// appendTransfer appends the transfer until a read of the log shows it, for at
+// most transferTimeout. An append whose response was lost is repeated; a second
+// transfer has no effect, because no ownership is left to transfer.
 func (s *Service) appendTransfer(ctx context.Context, successor claims.Owner) error {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -172,8 +181,9 @@
 	return nil
 }
 
-// HandOver takes in the claims of another daemon's draining owner, or tells this
-// life.
+// HandOver imports the claims of another daemon that is draining. For a request
+// without claims it only returns the incarnation of this owner, and whether it
+// accepts claims.
 func (s *Service) HandOver(_ context.Context, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
 	resp := &peerv1.HandOverResponse{Life: s.self.Incarnation}
 	s.mu.Lock()
@@ -186,7 +196,7 @@
 	return resp, nil
 }
 
-// PeerMessenger sends handovers through a peer client.
+// PeerMessenger sends handover messages through a peer client.
 type PeerMessenger struct{ Client *peer.Client }
 
 // HandOver implements Messenger.
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -15,18 +15,18 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// execution is one run of a claimed request.
+// execution is one execution of a claimed request.
 type execution struct {
-	// ready is closed when first or outcome is set, done when the claim has
-	// been finished.
+	// ready is closed once streamed or outcome is set. done is closed once the
+	// claim is finished.
 	ready chan struct{}
 	done  chan struct{}
-	// outcome and whole are set before done is closed. whole is nil when the
-	// answer was too large to retain.
+	// outcome and retained are set before done is closed. retained is nil if
+	// there is no response or the response is too large to retain.
 	outcome  outcome.Outcome
 	retained *claims.Answer
-	// streamed is an answer that is passed on to the first submission as it
-	// arrives, set before ready is closed.
+	// streamed is a response that is too large to retain and is streamed to the
+	// first submission. It is set before ready is closed.
 	streamed *wire.Result
 
 	mu        sync.Mutex
@@ -34,80 +34,84 @@
 	accepted  bool
 }
 
-// startExecution runs a claimed request to its end, whatever becomes of its caller: the
-// outcome is owed to later submissions too.
+// startExecution executes a claimed request. The execution continues when its
+// caller is gone, because later submissions of the key need the outcome too.
 func (s *Service) startExecution(ctx context.Context, id claims.ID, c *wire.Call) *execution {
-	r := &execution{ready: make(chan struct{}), done: make(chan struct{})}
-	s.executions[id] = r
+	e := &execution{ready: make(chan struct{}), done: make(chan struct{})}
+	s.executions[id] = e
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Timeout)
-		a := s.opts.Execute(ctx, c)
-		s.complete(id, r, a, cancel)
+		result := s.opts.Execute(ctx, c)
+		s.complete(id, e, result, cancel)
 	}()
-	return r
+	return e
 }
 
-// complete takes in the answer of a run. An answer too large to retain goes on to
-// the first submission; the run ends when that has been read.
-func (s *Service) complete(id claims.ID, r *execution, a *wire.Result, cancel context.CancelFunc) {
-	if a.Outcome.Kind != outcome.Answered {
-		_ = a.Body.Close()
+// complete handles the result of an execution. A response that is too large to
+// retain is streamed to the first submission; the execution ends when the
+// response has been read.
+func (s *Service) complete(id claims.ID, e *execution, result *wire.Result, cancel context.CancelFunc) {
+	if result.Outcome.Kind != outcome.Answered {
+		_ = result.Body.Close()
 		cancel()
-		s.finish(id, r, a.Outcome, nil)
-		close(r.ready)
+		s.finish(id, e, result.Outcome, nil)
+		close(e.ready)
 		return
 	}
-	head, err := io.ReadAll(io.LimitReader(a.Body, s.opts.MaxResponseBytes+1))
+	head, err := io.ReadAll(io.LimitReader(result.Body, s.opts.MaxResponseBytes+1))
 	if err == nil && int64(len(head)) <= s.opts.MaxResponseBytes {
-		_ = a.Body.Close()
+		_ = result.Body.Close()
 		cancel()
-		s.finish(id, r, outcome.Done(), &claims.Answer{Status: a.Status, Header: a.Header, Body: head, Trailer: a.Trailer})
-		close(r.ready)
+		s.finish(id, e, outcome.Done(), &claims.Answer{Status: result.Status, Header: result.Header, Body: head, Trailer: result.Trailer})
+		close(e.ready)
 		return
 	}
-	rest := &streamedBody{Reader: io.MultiReader(bytes.NewReader(head), a.Body), body: a.Body}
+	rest := &streamedBody{Reader: io.MultiReader(bytes.NewReader(head), result.Body), body: result.Body}
 	rest.onEnd = func(o outcome.Outcome) {
 		cancel()
-		s.finish(id, r, o, nil)
+		s.finish(id, e, o, nil)
 	}
-	a.Body = rest
-	if err == nil && r.offerStreamed() {
-		r.streamed = a
+	result.Body = rest
+	if err == nil && e.offerStreamed() {
+		e.streamed = result
 	} else {
 		_ = rest.Close()
 	}
-	close(r.ready)
+	close(e.ready)
 }
 
-// offerStreamed reports whether the first submission still waits for a large answer; it
-// must then close it.
-func (r *execution) offerStreamed() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.accepted = !r.abandoned
-	return r.accepted
+// offerStreamed reports whether the first submission is still waiting. If so,
+// the first submission takes the streamed response and must close it.
+func (e *execution) offerStreamed() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.accepted = !e.abandoned
+	return e.accepted
 }
 
-// abandon tells that the first submission has gone. It reports false when a
-// large answer has been offered to it already.
-func (r *execution) abandon() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.abandoned = true
-	return !r.accepted
+// abandon records that the first submission stops waiting. It returns false if
+// the streamed response was offered before; the first submission then still has
+// to take it.
+func (e *execution) abandon() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.abandoned = true
+	return !e.accepted
 }
 
-func (s *Service) finish(id claims.ID, r *execution, o outcome.Outcome, whole *claims.Answer) {
+// finish records the outcome and the retained response of an execution in the
+// claim of its key.
+func (s *Service) finish(id claims.ID, e *execution, o outcome.Outcome, retained *claims.Answer) {
 	s.mu.Lock()
-	s.table.Finish(id, o.Kind, whole)
+	s.table.Finish(id, o.Kind, retained)
 	delete(s.executions, id)
 	s.mu.Unlock()
-	r.outcome, r.retained = o, whole
-	close(r.done)
+	e.outcome, e.retained = o, retained
+	close(e.done)
 }
 
-// streamedBody is a large answer on its way to the first submission. The run ends
-// with it.
+// streamedBody is the body of a response that is streamed to the first
+// submission. The execution ends when the body has been read or closed.
 type streamedBody struct {
 	io.Reader
 	body  io.Closer
@@ -115,7 +119,7 @@
 	once  sync.Once
 }
 
-// Read reads on and ends the run at the end of the answer.
+// Read implements io.Reader. At the end of the response it ends the execution.
 func (b *streamedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	switch {
@@ -127,28 +131,30 @@
 	return n, err
 }
 
-// Close gives up what is unread. The request may or may not have run.
+// Close closes the body. If the response has not been read to its end, the
+// outcome is unknown.
 func (b *streamedBody) Close() error {
 	err := b.body.Close()
 	b.once.Do(func() { b.onEnd(outcome.UnknownBecause(outcome.ReasonTruncated)) })
 	return err
 }
 
-// replayResponse returns a retained answer.
-func replayResponse(a *claims.Answer, again bool) *wire.Result {
-	h := http.Header(maps.Clone(a.Header))
+// replayResponse returns a retained response, with the header that marks it as
+// replayed if replayed is set.
+func replayResponse(retained *claims.Answer, replayed bool) *wire.Result {
+	h := http.Header(maps.Clone(retained.Header))
 	if h == nil {
 		h = make(http.Header)
 	}
-	if again {
+	if replayed {
 		h.Set(wire.HeaderReplayed, strconv.FormatBool(true))
 	}
 	return &wire.Result{
 		Outcome:       outcome.Done(),
-		Status:        a.Status,
+		Status:        retained.Status,
 		Header:        h,
-		Body:          io.NopCloser(bytes.NewReader(a.Body)),
-		ContentLength: int64(len(a.Body)),
-		Trailer:       a.Trailer,
+		Body:          io.NopCloser(bytes.NewReader(retained.Body)),
+		ContentLength: int64(len(retained.Body)),
+		Trailer:       retained.Trailer,
 	}
 }
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -20,61 +20,61 @@
 
 func TestCrashOfAnOwnerMakesItsKeysUnknown(t *testing.T) {
 	d := deploy(t, 3, time.Minute)
-	victim := d.nodes[2]
-	done, fresh := d.keyOwnedBy(victim), d.keyOwnedBy(victim)
-	require.Equal(t, outcome.Answered, d.nodes[0].submit(done, "", "x", testTimeout).outcome.Kind)
-	victim.kill()
-	lost := outcome.UnknownBecause(outcome.ReasonKeyOwnerLost)
-	require.Equal(t, lost, d.nodes[0].submit(done, "", "x", testTimeout).outcome)
-	require.Equal(t, lost, d.nodes[0].submit(fresh, "", "x", testTimeout).outcome, "nobody can know that it did not run")
-	victim.restart()
-	d.waitFor("the new life follows the log", func() bool { return victim.caughtUp.Load() })
-	require.Equal(t, lost, d.nodes[0].submit(done, "", "x", 3*time.Second).outcome, "a new life is not the owner")
-	require.Equal(t, 1, d.executionsOf(done))
+	crashed := d.nodes[2]
+	usedKey, unusedKey := d.keyOwnedBy(crashed), d.keyOwnedBy(crashed)
+	require.Equal(t, outcome.Answered, d.nodes[0].submit(usedKey, "", "x", testTimeout).outcome.Kind)
+	crashed.kill()
+	ownerLost := outcome.UnknownBecause(outcome.ReasonKeyOwnerLost)
+	require.Equal(t, ownerLost, d.nodes[0].submit(usedKey, "", "x", testTimeout).outcome)
+	require.Equal(t, ownerLost, d.nodes[0].submit(unusedKey, "", "x", testTimeout).outcome, "the owner may have run the request before its crash")
+	crashed.restart()
+	d.waitFor("the new incarnation has read the log", func() bool { return crashed.caughtUp.Load() })
+	require.Equal(t, ownerLost, d.nodes[0].submit(usedKey, "", "x", 3*time.Second).outcome, "a new incarnation does not own the keys of the old one")
+	require.Equal(t, 1, d.executionsOf(usedKey))
 	for range 200 {
 		k, live := d.nodes[0].NewKey()
-		in, _ := d.nodes[0].lookup(k)
+		interval, _ := d.nodes[0].lookup(k)
 		require.True(t, live)
-		require.NotEqual(t, victim.id, in.Owner.Daemon, "no keys are handed out for a lost owner")
+		require.NotEqual(t, crashed.id, interval.Owner.Daemon, "NewKey returns no keys of a lost owner")
 	}
 }
 
 func TestDrainHandsClaimsOver(t *testing.T) {
 	d := deploy(t, 3, time.Minute)
-	leaving := d.nodes[2]
-	done, fresh := d.keyOwnedBy(leaving), d.keyOwnedBy(leaving)
-	first := d.nodes[0].submit(done, "", "x", testTimeout)
+	draining := d.nodes[2]
+	usedKey, unusedKey := d.keyOwnedBy(draining), d.keyOwnedBy(draining)
+	first := d.nodes[0].submit(usedKey, "", "x", testTimeout)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	require.NoError(t, leaving.Drain(ctx))
-	leaving.kill()
-	again := d.nodes[0].submit(done, "", "x", testTimeout)
+	require.NoError(t, draining.Drain(ctx))
+	draining.kill()
+	again := d.nodes[0].submit(usedKey, "", "x", testTimeout)
 	require.True(t, again.replayed, "%+v after %+v", again, first)
 	require.Equal(t, first.body, again.body)
-	require.Equal(t, outcome.Answered, d.nodes[1].submit(fresh, "", "x", testTimeout).outcome.Kind)
-	require.Equal(t, 1, d.executionsOf(done))
-	require.Equal(t, 1, d.executionsOf(fresh))
-	leaving.restart()
+	require.Equal(t, outcome.Answered, d.nodes[1].submit(unusedKey, "", "x", testTimeout).outcome.Kind)
+	require.Equal(t, 1, d.executionsOf(usedKey))
+	require.Equal(t, 1, d.executionsOf(unusedKey))
+	draining.restart()
 }
 
 func TestDrainWaitsForExecutionsInFlight(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
-	release := make(chan struct{})
+	finishExecution := make(chan struct{})
 	d.setHandler(func(c *wire.Call) *wire.Result {
 		d.count(c)
-		<-release
+		<-finishExecution
 		return textResult("slow")
 	})
 	key := d.keyOwnedBy(d.nodes[1])
-	got := make(chan submitResult, 1)
-	go func() { got <- d.nodes[0].submit(key, "", "x", testTimeout) }()
-	d.waitFor("the run has begun", func() bool { return d.executionsOf(key) == 1 })
+	submitted := make(chan submitResult, 1)
+	go func() { submitted <- d.nodes[0].submit(key, "", "x", testTimeout) }()
+	d.waitFor("the execution has started", func() bool { return d.executionsOf(key) == 1 })
 	drained := make(chan error, 1)
 	go func() { drained <- d.nodes[1].Drain(context.Background()) }()
-	d.waitFor("sealed", func() bool { d.nodes[1].mu.Lock(); defer d.nodes[1].mu.Unlock(); return d.nodes[1].table.IsSealed() })
-	close(release)
+	d.waitFor("the claim table is sealed", func() bool { d.nodes[1].mu.Lock(); defer d.nodes[1].mu.Unlock(); return d.nodes[1].table.IsSealed() })
+	close(finishExecution)
 	require.NoError(t, <-drained)
-	require.Equal(t, "slow", (<-got).body)
+	require.Equal(t, "slow", (<-submitted).body)
 	again := d.nodes[0].submit(key, "", "x", testTimeout)
 	require.Equal(t, "slow", again.body)
 	require.True(t, again.replayed)
@@ -98,16 +98,16 @@
 	for messages := range 3 {
 		t.Run(fmt.Sprintf("after %d messages", messages), func(t *testing.T) {
 			d := deploy(t, 2, time.Minute)
-			leaving := d.nodes[1]
-			cut := &failingMessenger{Messenger: d}
-			cut.remaining.Store(int64(messages))
-			leaving.opts.Messenger = cut
-			key := d.keyOwnedBy(leaving)
+			draining := d.nodes[1]
+			messenger := &failingMessenger{Messenger: d}
+			messenger.remaining.Store(int64(messages))
+			draining.opts.Messenger = messenger
+			key := d.keyOwnedBy(draining)
 			d.nodes[0].submit(key, "", "x", testTimeout)
 			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
-			err := leaving.Drain(ctx)
-			leaving.kill()
+			err := draining.Drain(ctx)
+			draining.kill()
 			r := d.nodes[0].submit(key, "", "x", testTimeout)
 			require.Equal(t, 1, d.executionsOf(key))
 			if messages < 2 {
@@ -117,7 +117,7 @@
 				require.NoError(t, err)
 				require.True(t, r.replayed)
 			}
-			leaving.restart()
+			draining.restart()
 		})
 	}
 }
@@ -126,8 +126,8 @@
 	d := deploy(t, 3, time.Second)
 	for _, f := range []recordlog.Faults{{LoseReplies: 100}, {Duplicate: 100}, {Latency: 20 * time.Millisecond}} {
 		d.log.SetFaults(f)
-		before := d.endOfLog()
-		d.waitFor("grants are renewed all the same", func() bool { return d.endOfLog() > before+6 })
+		endBefore := d.endOfLog()
+		d.waitFor("grants are renewed despite the fault", func() bool { return d.endOfLog() > endBefore+6 })
 		for range 10 {
 			key, live := d.nodes[0].NewKey()
 			require.True(t, live)
@@ -147,24 +147,24 @@
 	d := deploy(t, 2, time.Second)
 	d.log.SetFaults(recordlog.Faults{Down: true})
 	key := d.keyOwnedBy(d.nodes[1])
-	require.Equal(t, outcome.Answered, d.nodes[0].submit(key, "", "x", testTimeout).outcome.Kind, "grants still reach")
-	var last claims.Stamp
+	require.Equal(t, outcome.Answered, d.nodes[0].submit(key, "", "x", testTimeout).outcome.Kind, "the grants still cover the key")
+	var lastGranted claims.Stamp
 	for r := range claims.Range(testRanges) {
-		f, _ := d.nodes[0].ledger.Frontier(r)
-		last = max(last, f)
+		frontier, _ := d.nodes[0].ledger.Frontier(r)
+		lastGranted = max(lastGranted, frontier)
 	}
-	d.waitFor("all grants have ended", func() bool { return d.nodes[0].stamp() > last })
-	stamped := claims.NewKey(d.nodes[0].stamp(), [10]byte{9: 1})
-	require.Equal(t, outcome.ReasonKeyNotOwned, d.nodes[0].submit(stamped, "", "x", testTimeout).outcome.Reason)
-	handed, live := d.nodes[0].NewKey()
-	require.True(t, live, "keys are handed out with stamps that the grants reach")
-	require.Equal(t, outcome.Answered, d.nodes[1].submit(handed, "", "x", testTimeout).outcome.Kind)
+	d.waitFor("all grants have ended", func() bool { return d.nodes[0].stamp() > lastGranted })
+	ungrantedKey := claims.NewKey(d.nodes[0].stamp(), [10]byte{9: 1})
+	require.Equal(t, outcome.ReasonKeyNotOwned, d.nodes[0].submit(ungrantedKey, "", "x", testTimeout).outcome.Reason)
+	newKey, live := d.nodes[0].NewKey()
+	require.True(t, live, "NewKey uses timestamps that the grants cover")
+	require.Equal(t, outcome.Answered, d.nodes[1].submit(newKey, "", "x", testTimeout).outcome.Kind)
 	require.Equal(t, "done "+key.String(), d.nodes[0].submit(key, "", "x", testTimeout).body)
 	d.log.SetFaults(recordlog.Faults{})
 	require.Eventually(t, func() bool {
-		return d.nodes[0].submit(stamped, "", "x", testTimeout).outcome.Kind == outcome.Answered
-	}, testTimeout, 10*time.Millisecond, "after the outage the key runs")
-	require.Equal(t, 1, d.executionsOf(stamped))
+		return d.nodes[0].submit(ungrantedKey, "", "x", testTimeout).outcome.Kind == outcome.Answered
+	}, testTimeout, 10*time.Millisecond, "the key can be executed after the outage")
+	require.Equal(t, 1, d.executionsOf(ungrantedKey))
 }
 
 func TestNewDaemonOnTrimmedLogNeedsACheckpoint(t *testing.T) {
@@ -175,14 +175,14 @@
 	d.memory.Trim(recordlog.StreamGrants, d.endOfLog())
 	fresh.restart()
 	r := fresh.submit(key, "", "x", 3*time.Second)
-	require.Equal(t, outcome.ReasonKeyNotOwned, r.outcome.Reason, "it cannot tell who owns what")
+	require.Equal(t, outcome.ReasonKeyNotOwned, r.outcome.Reason, "without a checkpoint the daemon does not know the owners")
 	d.checkpoint()
-	d.waitFor("the checkpoint is folded", func() bool { _, s := fresh.lookup(key); return s == claims.Owned })
+	d.waitFor("the checkpoint is applied", func() bool { _, ownership := fresh.lookup(key); return ownership == claims.Owned })
 	require.Equal(t, outcome.Answered, fresh.submit(key, "", "x", testTimeout).outcome.Kind)
 	require.Equal(t, 1, d.executionsOf(key))
 }
 
-// checkpoint appends what the first node has folded.
+// checkpoint appends a checkpoint of the ledger of the first node.
 func (d *deployment) checkpoint() {
 	n := d.nodes[0]
 	n.mu.Lock()
@@ -200,7 +200,7 @@
 		n.checkpointed = time.Now().Add(-DefaultCheckpoint - time.Second)
 		n.mu.Unlock()
 	}
-	d.waitFor("a checkpoint", func() bool { return d.endOfLog() > end })
+	d.waitFor("a checkpoint is appended", func() bool { return d.endOfLog() > end })
 	b, err := d.memory.Read(t.Context(), recordlog.StreamGrants, end, 1)
 	require.NoError(t, err)
 	rec, err := claims.DecodeRecord(b.Records[0].Data)
@@ -208,10 +208,10 @@
 	require.NotNil(t, rec.Checkpoint)
 }
 
-// TestNewDaemonSearchesBackwardsForACheckpoint lets it find the newest checkpoint in
-// few records, and one that lies further back.
+// TestNewDaemonSearchesBackwardsForACheckpoint has a new daemon find the newest
+// checkpoint within the first search window or one that was enlarged.
 func TestNewDaemonSearchesBackwardsForACheckpoint(t *testing.T) {
-	for name, since := range map[string]int{"near": 3, "far": 60} {
+	for name, recordsSince := range map[string]int{"in the first window": 3, "in a larger window": 60} {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t, 2, time.Minute)
 			fresh := d.nodes[1]
@@ -222,33 +222,34 @@
 				require.NoError(t, err)
 			}
 			d.checkpoint()
-			for range since {
+			for range recordsSince {
 				_, err := d.memory.Append(t.Context(), recordlog.StreamGrants, [][]byte{{0}})
 				require.NoError(t, err)
 			}
 			fresh.Service = New(Options{Self: fresh.id, Log: d.log, Ranges: testRanges, Candidates: d.ids})
 			fresh.searchWindow = 4
 			fresh.readGrants(t.Context())
-			_, standing := fresh.lookup(key)
-			require.Equal(t, claims.Owned, standing)
-			read := fresh.ledger.Next()
-			require.EqualValues(t, d.endOfLog(), read)
-			require.LessOrEqual(t, fresh.searchWindow, recordlog.Offset(4*windowGrowth*windowGrowth), "it read %d records at most", fresh.searchWindow)
+			_, ownership := fresh.lookup(key)
+			require.Equal(t, claims.Owned, ownership)
+			nextOffset := fresh.ledger.Next()
+			require.EqualValues(t, d.endOfLog(), nextOffset)
+			require.LessOrEqual(t, fresh.searchWindow, recordlog.Offset(4*windowGrowth*windowGrowth), "search window of %d records", fresh.searchWindow)
 			fresh.restart()
 		})
 	}
 }
 
 // TestRollingRestartUnderLoad drains and restarts every daemon while callers
-// send each key twice through different daemons.
+// submit each key twice, through different daemons.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	const daemons = 4
 	d := deploy(t, daemons, 2*time.Second)
-	var gates [daemons]sync.RWMutex
+	// Submissions hold the read lock of their node, a restart the write lock.
+	var nodeInUse [daemons]sync.RWMutex
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var sent atomic.Int64
-	bad := make(chan submitResult, 1)
+	failed := make(chan submitResult, 1)
 	for i := range 8 {
 		wg.Go(func() {
 			for turn := i; ; turn++ {
@@ -258,19 +259,20 @@
 				default:
 				}
 				var key claims.Key
-				for try := range 2 {
-					// A caller does not send to a daemon that is being replaced.
-					at := (turn + try) % daemons
-					gates[at].RLock()
-					if try == 0 {
-						key, _ = d.nodes[at].NewKey()
+				for attempt := range 2 {
+					// A caller does not send to a daemon that is being
+					// restarted.
+					node := (turn + attempt) % daemons
+					nodeInUse[node].RLock()
+					if attempt == 0 {
+						key, _ = d.nodes[node].NewKey()
 					}
-					r := d.nodes[at].submit(key, "", "x", testTimeout)
-					gates[at].RUnlock()
+					r := d.nodes[node].submit(key, "", "x", testTimeout)
+					nodeInUse[node].RUnlock()
 					sent.Add(1)
 					if r.outcome.Kind != outcome.Answered || r.body != "done "+key.String() || d.executionsOf(key) != 1 {
 						select {
-						case bad <- r:
+						case failed <- r:
 						default:
 						}
 					}
@@ -279,38 +281,41 @@
 		})
 	}
 	for i, n := range d.nodes {
-		before := sent.Load()
-		d.waitFor("load goes on", func() bool { return sent.Load() > before+50 })
+		sentBefore := sent.Load()
+		d.waitFor("callers keep submitting", func() bool { return sent.Load() > sentBefore+50 })
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		require.NoError(t, n.Drain(ctx))
 		cancel()
-		gates[i].Lock()
+		nodeInUse[i].Lock()
 		n.kill()
 		n.restart()
-		d.waitFor("the new life follows the log", func() bool { return n.caughtUp.Load() })
-		gates[i].Unlock()
+		d.waitFor("the new incarnation has read the log", func() bool { return n.caughtUp.Load() })
+		nodeInUse[i].Unlock()
 	}
 	close(stop)
 	wg.Wait()
 	select {
-	case r := <-bad:
-		require.Fail(t, "a keyed request was not answered", "%+v", r)
+	case r := <-failed:
+		require.Fail(t, "a keyed request got no response or the wrong one", "%+v", r)
 	default:
 	}
 	t.Logf("%d submissions over a rolling restart of %d daemons", sent.Load(), daemons)
 }
 
-// TestCrashUnderLoadAffectsOnlyKeysOfThatOwner kills one of four owners under load
-// and counts the unknown outcomes until its ranges have moved on. Callers take
-// half of their keys from daemons and make the other half themselves.
+// TestCrashUnderLoadAffectsOnlyKeysOfThatOwner stops one of four owners under
+// load and counts the unknown outcomes until its ranges have other owners.
+// Callers take half of their keys from daemons and generate the other half
+// themselves.
 func TestCrashUnderLoadAffectsOnlyKeysOfThatOwner(t *testing.T) {
 	const daemons, callers = 4, 8
 	d := deploy(t, daemons, 2*time.Second)
-	victim := d.nodes[daemons-1]
-	life := victim.Incarnation()
+	crashed := d.nodes[daemons-1]
+	crashedIncarnation := crashed.Incarnation()
 	stop := make(chan struct{})
+	// Indices into the counters: where a key comes from.
+	const fromDaemon, generatedByCaller = 0, 1
 	var sent, unknown [2]atomic.Int64
-	var strange atomic.Pointer[submitResult]
+	var unexpected atomic.Pointer[submitResult]
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -321,36 +326,36 @@
 				default:
 				}
 				n := d.nodes[turn%(daemons-1)]
-				own := turn / 7 % 2
+				source := turn / 7 % 2
 				key, _ := n.NewKey()
-				if own == 1 {
+				if source == generatedByCaller {
 					key = randomKey(n.stamp())
 				}
 				r := n.submit(key, "", "x", testTimeout)
-				sent[own].Add(1)
-				in, _ := n.lookup(key)
+				sent[source].Add(1)
+				interval, _ := n.lookup(key)
 				switch {
 				case r.outcome.Kind == outcome.Answered && d.executionsOf(key) == 1:
-				case r.outcome.Reason == outcome.ReasonKeyOwnerLost && in.Owner.Incarnation == life:
-					unknown[own].Add(1)
+				case r.outcome.Reason == outcome.ReasonKeyOwnerLost && interval.Owner.Incarnation == crashedIncarnation:
+					unknown[source].Add(1)
 				default:
-					strange.Store(&r)
+					unexpected.Store(&r)
 				}
 			}
 		})
 	}
-	d.waitFor("load", func() bool { return sent[0].Load() > 200 })
-	victim.kill()
-	d.waitFor("the victim's ranges have moved on", func() bool {
+	d.waitFor("callers submit requests", func() bool { return sent[fromDaemon].Load() > 200 })
+	crashed.kill()
+	d.waitFor("the ranges of the crashed owner have other owners", func() bool {
 		n := d.nodes[0]
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.ledger.OwnedUntil(life) < n.stamp()
+		return n.ledger.OwnedUntil(crashedIncarnation) < n.stamp()
 	})
 	close(stop)
 	wg.Wait()
-	require.Nil(t, strange.Load(), "%+v", strange.Load())
-	t.Logf("unknown: %d of %d keys that daemons handed out, %d of %d that callers made",
-		unknown[0].Load(), sent[0].Load(), unknown[1].Load(), sent[1].Load())
-	victim.restart()
+	require.Nil(t, unexpected.Load(), "%+v", unexpected.Load())
+	t.Logf("unknown: %d of %d keys from daemons, %d of %d keys generated by callers",
+		unknown[fromDaemon].Load(), sent[fromDaemon].Load(), unknown[generatedByCaller].Load(), sent[generatedByCaller].Load())
+	crashed.restart()
 }
--- a/owner/ledger.go
+++ b/owner/ledger.go
@@ -11,23 +11,25 @@
 
 const (
 	readLimit = 1024
-	// minReadInterval is the least time between two reads that requests ask for, so
-	// that odd keys cannot flood the log with reads.
+	// minReadInterval is the minimum time between two reads that requests
+	// cause, so that submissions with arbitrary keys cannot flood the log with
+	// reads.
 	minReadInterval = 50 * time.Millisecond
 	readTimeout     = 2 * time.Second
 )
 
-// refresh reads the grants unless a read that began after the call has ended.
-// Concurrent calls share reads.
+// refresh reads the grants, unless another read that began after this call has
+// completed. Concurrent calls share reads.
 func (s *Service) refresh(ctx context.Context) {
-	before := s.readCount.Load()
+	readsBefore := s.readCount.Load()
 	if !s.lockReads(ctx) {
 		return
 	}
 	defer s.unlockReads()
-	// The read that was under way counts as one, so two more must have ended.
+	// The first read to complete may have begun before this call, so two must
+	// have completed.
 	const enough = 2
-	if s.readCount.Load() >= before+enough {
+	if s.readCount.Load() >= readsBefore+enough {
 		return
 	}
 	if wait := minReadInterval - time.Since(s.lastRead); wait > 0 {
@@ -40,7 +42,7 @@
 	s.readToEnd(ctx)
 }
 
-// readGrants folds the grants up to the end of the log.
+// readGrants applies the grants up to the end of the log.
 func (s *Service) readGrants(ctx context.Context) {
 	if !s.lockReads(ctx) {
 		return
@@ -60,7 +62,7 @@
 
 func (s *Service) unlockReads() { <-s.readLock }
 
-// readToEnd folds the grants up to the end of the log. s.reading is held.
+// readToEnd applies the grants up to the end of the log. s.readLock is held.
 func (s *Service) readToEnd(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -79,7 +81,8 @@
 	s.readCount.Add(1)
 }
 
-// readBatch folds one batch and reports whether there is more to read.
+// readBatch applies one batch of records and reports whether there is more to
+// read.
 func (s *Service) readBatch(ctx context.Context) (bool, error) {
 	if !s.positioned {
 		return true, s.seekCheckpoint(ctx)
@@ -91,7 +94,7 @@
 	var trimmed *recordlog.TrimmedError
 	if errors.As(err, &trimmed) {
 		s.metrics.trimmed.Inc(1)
-		s.opts.Logger.Warn("grants no longer kept, looking for a checkpoint", "next", from, "oldest", trimmed.Oldest)
+		s.opts.Logger.Warn("log no longer keeps the next grants, searching for a checkpoint", "next", from, "oldest", trimmed.Oldest)
 		s.positioned = false
 		return true, nil
 	}
@@ -112,14 +115,16 @@
 }
 
 const (
-	// initialSearchWindow is the number of newest records that a fresh daemon reads in
-	// search of a checkpoint; windowGrowth multiplies it when there is none.
+	// initialSearchWindow is the number of newest records in which a new daemon
+	// searches for a checkpoint. While there is none, the window is multiplied
+	// by windowGrowth.
 	initialSearchWindow = 1 << 14
 	windowGrowth        = 4
 )
 
-// seekCheckpoint starts the ledger anew near the end of the log, so that a fresh daemon
-// need not read all that is kept, or at its beginning when it is short.
+// seekCheckpoint resets the ledger to searchWindow records before the end of
+// the log, so that a new daemon need not read all records that are kept, or to
+// the oldest record if there are fewer.
 func (s *Service) seekCheckpoint(ctx context.Context) error {
 	oldest := recordlog.Offset(0)
 	batch, err := s.opts.Log.Read(ctx, recordlog.StreamGrants, oldest, 1)
@@ -142,7 +147,7 @@
 	return nil
 }
 
-// applyRecord folds one record. s.mu is held.
+// applyRecord applies one record to the ledger. s.mu is held.
 func (s *Service) applyRecord(rec recordlog.Record) {
 	r, err := claims.DecodeRecord(rec.Data)
 	if err != nil {
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// metrics count what a Service decides.
+// metrics are the counters and gauges of a Service.
 type metrics struct {
 	scope          tally.Scope
 	appended       tally.Counter
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -6,21 +6,21 @@
 	"github.com/dottereltiller/dottereltiller/core/claims"
 )
 
-// maxKeyAttempts bounds the keys that are drawn in search of one with an owner, for each
-// stamp that is tried.
+// maxKeyAttempts bounds the random keys tried for each timestamp in search of
+// one with a live owner.
 const maxKeyAttempts = 64
 
-// NewKey returns a fresh key whose range has an owner that is thought alive. Its
-// stamp is the present time or, when the grants do not reach that far because
-// the log is down, the last one that they reach. It reports false when no such
-// key was found; the key is then good but has no owner yet.
+// NewKey returns a new key whose owner is considered alive. The timestamp of
+// the key is the current time. If the grants do not extend that far because the
+// log is down, it is the last timestamp that they cover. The second result is
+// false if no such key was found; the key is then valid but has no owner yet.
 func (s *Service) NewKey() (claims.Key, bool) {
 	now := s.stamp()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, stamp := range s.candidateStamps(now) {
+	for _, timestamp := range s.candidateStamps(now) {
 		for range maxKeyAttempts {
-			if k := randomKey(stamp); s.hasLiveOwner(k) {
+			if k := randomKey(timestamp); s.hasLiveOwner(k) {
 				return k, true
 			}
 		}
@@ -28,16 +28,17 @@
 	return randomKey(now), false
 }
 
-func randomKey(stamp claims.Stamp) claims.Key {
+func randomKey(timestamp claims.Stamp) claims.Key {
 	var random [10]byte
 	_, _ = rand.Read(random[:])
-	return claims.NewKey(stamp, random)
+	return claims.NewKey(timestamp, random)
 }
 
-// candidateStamps returns the present stamp and, while that lies beyond all grants,
-// the last stamps that grants reach within half of the retention. s.mu is held.
+// candidateStamps returns the current timestamp. If that is beyond all grants,
+// it also returns the last timestamps that are granted, as far as these are no
+// older than half of the retention. s.mu is held.
 func (s *Service) candidateStamps(now claims.Stamp) []claims.Stamp {
-	stamps := []claims.Stamp{now}
+	timestamps := []claims.Stamp{now}
 	oldest := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
 	var furthest claims.Stamp
 	for r := range claims.Range(s.opts.Ranges) {
@@ -45,28 +46,30 @@
 		furthest = max(furthest, frontier)
 	}
 	if furthest > now || furthest <= oldest {
-		return stamps
+		return timestamps
 	}
-	// Frontiers lie within half of a grant of each other.
+	// The ends of the grants of different ranges are at most half a grant
+	// duration apart.
 	grant := claims.Stamp(s.opts.GrantDuration.Milliseconds())
 	const steps = 4
 	for i := range claims.Stamp(steps) {
-		if back := 1 + i*grant/steps; furthest > back+oldest {
-			stamps = append(stamps, furthest-back)
+		if offset := 1 + i*grant/steps; furthest > offset+oldest {
+			timestamps = append(timestamps, furthest-offset)
 		}
 	}
-	return stamps
+	return timestamps
 }
 
-// hasLiveOwner reports whether a key has an owner that is thought alive. s.mu is held.
+// hasLiveOwner reports whether a key has an owner that is considered alive.
+// s.mu is held.
 func (s *Service) hasLiveOwner(k claims.Key) bool {
-	in, standing := s.ledger.Lookup(k.Range(s.opts.Ranges), k.Stamp())
-	if standing != claims.Owned {
+	interval, ownership := s.ledger.Lookup(k.Range(s.opts.Ranges), k.Stamp())
+	if ownership != claims.Owned {
 		return false
 	}
-	if in.Owner == s.self && s.table.IsSealed() {
+	if interval.Owner == s.self && s.table.IsSealed() {
 		return false
 	}
-	_, suspect := s.suspectedOwners[in.Owner.Incarnation]
-	return !suspect
+	_, suspected := s.suspectedOwners[interval.Owner.Incarnation]
+	return !suspected
 }
--- a/owner/options.go
+++ b/owner/options.go
@@ -24,46 +24,50 @@
 
 // Options configure a Service.
 type Options struct {
-	// Self is this daemon.
+	// Self is the ID of this daemon.
 	Self model.DaemonID
 	// Log is the platform's log.
 	Log recordlog.Log
 	// Execute sends a claimed request to an upstream, at most once.
 	Execute func(context.Context, *wire.Call) *wire.Result
-	// Candidates lists the daemons that may own keys.
+	// Candidates returns the daemons that may own keys.
 	Candidates func() []model.DaemonID
-	// Client and PeerSecret are used to reach owners in other daemons.
+	// Client sends submissions to the owners of other daemons, authenticated
+	// with PeerSecret.
 	Client     *hop.Client
 	PeerSecret string
-	// Messenger hands claims over. Nil means that a drain hands over nothing.
+	// Messenger sends the claims to another daemon when this one drains. Nil
+	// means that the claims are not handed over.
 	Messenger Messenger
-	// WallClock reads the wall clock. It bears on availability and retention only,
-	// never on how often a key runs. Default: time.Now.
+	// WallClock returns the wall-clock time. It affects only availability and
+	// retention, never how often a key is executed. Default: time.Now.
 	WallClock func() time.Time
-	// GrantDuration is how far grants reach ahead. Default: 60s.
+	// GrantDuration is how far beyond the current time a grant extends.
+	// Default: 60s.
 	GrantDuration time.Duration
-	// Retention is how long after the stamp of its key a claim is kept.
+	// Retention is how long a claim is kept after the timestamp of its key.
 	// Default: 10m.
 	Retention time.Duration
-	// PollInterval is the time between two checks whether grants have to be read or
-	// renewed. Default: 1s.
+	// PollInterval is the time between two checks whether grants have to be
+	// read or renewed. Default: 1s.
 	PollInterval time.Duration
-	// CheckpointInterval is the longest time between two checkpoints on the log. It
-	// must be well under the log's retention. Default: 5m.
+	// CheckpointInterval is the longest time between two checkpoints on the
+	// log. It must be well below the retention of the log. Default: 5m.
 	CheckpointInterval time.Duration
-	// Ranges is the number of key ranges, the same in all daemons.
+	// Ranges is the number of key ranges. It must be the same in all daemons.
 	// Default: claims.DefaultRanges.
 	Ranges int
-	// MaxBodyBytes bounds the bodies of keyed requests, in bytes. Default: 256 KiB.
+	// MaxBodyBytes bounds the body of a keyed request. Default: 256 KiB.
 	MaxBodyBytes int64
-	// MaxResponseBytes is the largest answer that is retained, in bytes.
-	// Default: 64 KiB.
+	// MaxResponseBytes bounds the body of a response that is retained. Default:
+	// 64 KiB.
 	MaxResponseBytes int64
-	// Limits bound claims and retained answers.
+	// Limits bound the number of claims and the total size of retained
+	// responses.
 	Limits claims.Limits
-	// Scope counts decisions. Default: tally.NoopScope.
+	// Scope receives the metrics. Default: tally.NoopScope.
 	Scope tally.Scope
-	// Logger takes changes of state. Default: slog.Default.
+	// Logger logs state changes. Default: slog.Default.
 	Logger *slog.Logger
 }
 
@@ -103,7 +107,7 @@
 	}
 }
 
-// newIncarnation draws the life of an owner.
+// newIncarnation returns a random incarnation ID for an owner, never 0.
 func newIncarnation() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -30,7 +30,7 @@
 	testTimeout = 10 * time.Second
 )
 
-// deployment is a few owners on one log, each behind a real listener.
+// deployment is a few owners that share a log, each with an HTTP server.
 type deployment struct {
 	t      *testing.T
 	memory *recordlog.Memory
@@ -39,12 +39,13 @@
 	nodes  []*testNode
 
 	mu sync.Mutex
-	// executions counts the runs of each key.
+	// executions counts the executions of each key.
 	executions map[string]int
-	// handler stands for the upstream, nil for one that answers at once.
+	// handler acts as the upstream. Nil responds at once.
 	handler func(c *wire.Call) *wire.Result
 }
 
+// testNode is one daemon of a deployment.
 type testNode struct {
 	*Service
 	d      *deployment
@@ -92,7 +93,7 @@
 	return true
 }
 
-// start begins a new life of the node.
+// start starts a new incarnation of the node.
 func (n *testNode) start(ln net.Listener) {
 	n.Service = New(Options{
 		Self:             n.id,
@@ -120,7 +121,7 @@
 	}()
 }
 
-// kill ends the life at once.
+// kill stops the incarnation without a drain.
 func (n *testNode) kill() {
 	n.stop()
 	<-n.done
@@ -129,7 +130,7 @@
 	n.opts.Client.CloseIdle()
 }
 
-// restart begins a new life on the same address.
+// restart starts a new incarnation at the same address.
 func (n *testNode) restart() {
 	ln, err := net.Listen("tcp", string(n.id))
 	require.NoError(n.d.t, err)
@@ -156,13 +157,13 @@
 
 func (d *deployment) execute(_ context.Context, c *wire.Call) *wire.Result {
 	d.mu.Lock()
-	answer := d.handler
+	handler := d.handler
 	d.mu.Unlock()
-	if answer == nil {
+	if handler == nil {
 		d.count(c)
 		return textResult("done " + c.Key)
 	}
-	return answer(c)
+	return handler(c)
 }
 
 func (d *deployment) count(c *wire.Call) {
@@ -192,7 +193,7 @@
 	return &wire.Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(s)), ContentLength: int64(len(s))}
 }
 
-// submitResult is what a caller sees.
+// submitResult is the result of a submission as the caller sees it.
 type submitResult struct {
 	outcome  outcome.Outcome
 	body     string
@@ -200,7 +201,7 @@
 	err      error
 }
 
-// submit sends a key with a body through a node and reads the whole answer.
+// submit submits a key with a body through a node and reads the whole response.
 func (n *testNode) submit(key claims.Key, caller model.CallerName, body string, timeout time.Duration) submitResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -208,18 +209,18 @@
 		Method: http.MethodPost, Target: "/release", Header: http.Header{}, Service: "returdesk",
 		Caller: caller, Group: "sorters", Key: key.String(), Timeout: timeout,
 	}
-	a := n.Submit(ctx, c, []byte(body))
-	data, err := io.ReadAll(a.Body)
-	_ = a.Body.Close()
-	return submitResult{a.Outcome, string(data), a.Header.Get(wire.HeaderReplayed) == "true", err}
+	res := n.Submit(ctx, c, []byte(body))
+	data, err := io.ReadAll(res.Body)
+	_ = res.Body.Close()
+	return submitResult{res.Outcome, string(data), res.Header.Get(wire.HeaderReplayed) == "true", err}
 }
 
-// keyOwnedBy returns a fresh key that a node owns.
+// keyOwnedBy returns a new key that a node owns.
 func (d *deployment) keyOwnedBy(owner *testNode) claims.Key {
 	d.t.Helper()
 	for range 10_000 {
 		k, live := d.nodes[0].NewKey()
-		if in, _ := owner.lookup(k); live && in.Owner == owner.self {
+		if interval, _ := owner.lookup(k); live && interval.Owner == owner.self {
 			return k
 		}
 	}
@@ -258,43 +259,43 @@
 	require.Equal(t, outcome.UnknownBecause(outcome.ReasonKeyMismatch), d.nodes[0].submit(key, "a", "pay 2", testTimeout).outcome)
 	other := d.nodes[0].submit(key, "b", "pay 1", testTimeout)
 	require.Equal(t, outcome.Answered, other.outcome.Kind)
-	require.False(t, other.replayed, "another caller's key is its own")
+	require.False(t, other.replayed, "the same key of another caller is a different key")
 }
 
 func TestRetryDuringFirstExecution(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
-	release := make(chan struct{})
+	finishExecution := make(chan struct{})
 	d.setHandler(func(c *wire.Call) *wire.Result {
 		d.count(c)
-		<-release
+		<-finishExecution
 		return textResult("late")
 	})
 	key := d.keyOwnedBy(d.nodes[1])
-	firstDone := make(chan submitResult, 1)
-	go func() { firstDone <- d.nodes[0].submit(key, "", "x", testTimeout) }()
-	d.waitFor("the run has begun", func() bool { return d.executionsOf(key) == 1 })
+	firstResult := make(chan submitResult, 1)
+	go func() { firstResult <- d.nodes[0].submit(key, "", "x", testTimeout) }()
+	d.waitFor("the execution has started", func() bool { return d.executionsOf(key) == 1 })
 	r := d.nodes[0].submit(key, "", "x", 100*time.Millisecond)
 	require.Equal(t, outcome.Unknown, r.outcome.Kind)
 	require.Contains(t, []outcome.Reason{outcome.ReasonKeyInProgress, outcome.ReasonDeadline}, r.outcome.Reason)
 	require.Positive(t, r.outcome.RetryAfter)
-	close(release)
-	require.Equal(t, "late", (<-firstDone).body)
+	close(finishExecution)
+	require.Equal(t, "late", (<-firstResult).body)
 	require.Equal(t, "late", d.nodes[0].submit(key, "", "x", testTimeout).body)
 	require.Equal(t, 1, d.executionsOf(key))
 }
 
 func TestExecutionContinuesAfterCallerTimeout(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
-	release := make(chan struct{})
+	finishExecution := make(chan struct{})
 	d.setHandler(func(c *wire.Call) *wire.Result {
 		d.count(c)
-		<-release
+		<-finishExecution
 		return textResult("kept")
 	})
 	key := d.keyOwnedBy(d.nodes[1])
 	r := d.nodes[0].submit(key, "", "x", 50*time.Millisecond)
 	require.Equal(t, outcome.Unknown, r.outcome.Kind)
-	close(release)
+	close(finishExecution)
 	require.Equal(t, "kept", d.nodes[1].submit(key, "", "x", testTimeout).body)
 	require.Equal(t, 1, d.executionsOf(key))
 }
@@ -307,19 +308,19 @@
 		second outcome.Outcome
 		runs   int
 	}{
-		"not run is given back": {
+		"a request that was not run can be retried": {
 			first: func() *wire.Result { return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)) },
 			want:  outcome.NotRunBecause(outcome.ReasonDraining), second: outcome.Done(), runs: 2,
 		},
-		"unknown stays unknown": {
+		"an unknown outcome stays unknown": {
 			first: func() *wire.Result { return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonConnectionLost)) },
 			want:  outcome.UnknownBecause(outcome.ReasonConnectionLost), second: outcome.UnknownBecause(outcome.ReasonKeyOutcome), runs: 1,
 		},
-		"large answer is not retained": {
+		"a large response is not retained": {
 			first: func() *wire.Result { return textResult(strings.Repeat("x", 4<<10)) },
 			want:  outcome.Done(), second: outcome.UnknownBecause(outcome.ReasonKeyAnswerGone), runs: 1,
 		},
-		"truncated answer": {
+		"a truncated response": {
 			first: func() *wire.Result {
 				a := textResult("")
 				a.Body, a.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader("half"), failingReader{})), 8
@@ -346,9 +347,10 @@
 	}
 }
 
+// failingReader fails every read.
 type failingReader struct{}
 
-func (failingReader) Read([]byte) (int, error) { return 0, errors.New("cut") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("connection closed") }
 
 func TestTruncatedLargeResponseReturnsError(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
@@ -358,10 +360,10 @@
 		a.ContentLength = 200 << 10
 		return a
 	})
-	for _, entry := range d.nodes {
+	for _, node := range d.nodes {
 		key := d.keyOwnedBy(d.nodes[1])
-		require.Error(t, entry.submit(key, "", "x", testTimeout).err)
-		require.Equal(t, outcome.UnknownBecause(outcome.ReasonKeyOutcome), entry.submit(key, "", "x", testTimeout).outcome)
+		require.Error(t, node.submit(key, "", "x", testTimeout).err)
+		require.Equal(t, outcome.UnknownBecause(outcome.ReasonKeyOutcome), node.submit(key, "", "x", testTimeout).outcome)
 	}
 }
 
--- a/owner/route.go
+++ b/owner/route.go
@@ -15,12 +15,13 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryTimeouts is how long the routing side tries what does not succeed at once.
+// retryTimeouts bound how long the routing side retries a submission.
 type retryTimeouts struct {
-	// ownerLost is for an owner that cannot be reached or says that it is not the
-	// owner. Then it counts as lost.
+	// ownerLost applies while the owner is unreachable or responds that it does
+	// not own the key. After that the owner counts as lost.
 	ownerLost time.Duration
-	// unassigned is for a stamp beyond all grants, and for a ledger not proven yet.
+	// unassigned applies while the timestamp of the key is beyond all grants,
+	// or the ledger is incomplete.
 	unassigned time.Duration
 }
 
@@ -28,12 +29,13 @@
 	return retryTimeouts{ownerLost: 2 * time.Second, unassigned: time.Second}
 }
 
-// maxSuspects bounds the owners remembered as lost.
+// maxSuspects bounds the number of suspected owners that are remembered.
 const maxSuspects = 1024
 
-// Submit sends a keyed call with its body to the owner of the key and returns the
-// answer. It sends again while the owner moves or cannot be reached, since the
-// owner recognises the key. Whatever it cannot settle is unknown.
+// Submit sends a keyed call with its body to the owner of the key and returns
+// the result. It retries while the owner is moving or unreachable, which is
+// safe because the owner recognizes the key. A submission that it cannot
+// resolve is unknown.
 func (s *Service) Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
@@ -41,32 +43,33 @@
 	}
 	started := time.Now()
 	for refreshed := false; ; refreshed = true {
-		in, standing := s.lookup(key)
-		if standing == claims.Pruned {
+		interval, ownership := s.lookup(key)
+		if ownership == claims.Pruned {
 			return s.unresolved(outcome.ReasonKeyExpired)
 		}
 		reason, wait := outcome.ReasonKeyNotOwned, s.retryTimeouts.unassigned
-		if standing == claims.Owned {
-			a := s.submitTo(ctx, in.Owner, c, body)
+		if ownership == claims.Owned {
+			a := s.submitTo(ctx, interval.Owner, c, body)
 			if a.Outcome.Kind == outcome.Answered || isFinal(a.Outcome) {
-				s.clearSuspicion(in.Owner.Incarnation)
+				s.clearSuspicion(interval.Owner.Incarnation)
 				return a
 			}
-			reason, wait = a.Outcome.Reason, s.retryTimeout(in.Owner.Incarnation)
+			reason, wait = a.Outcome.Reason, s.retryTimeout(interval.Owner.Incarnation)
 			if reason == reasonOwnerMoving {
 				wait = c.Timeout
 			}
 		}
 		if refreshed && time.Since(started) >= wait || ctx.Err() != nil {
-			return s.giveUp(ctx, in.Owner, standing, reason)
+			return s.giveUp(ctx, interval.Owner, ownership, reason)
 		}
 		s.metrics.resubmitted.Inc(1)
 		s.refresh(ctx)
 	}
 }
 
-// isFinal reports whether an owner's outcome settles the submission. All others
-// come from the way to the owner, or from a daemon that is not the owner.
+// isFinal reports whether an owner's outcome resolves the submission. The other
+// outcomes mean that the owner could not be reached, or that the daemon is not
+// the owner.
 func isFinal(o outcome.Outcome) bool {
 	if o.Kind == outcome.NotRun {
 		return true
@@ -79,18 +82,20 @@
 	}
 }
 
-// These reasons do not leave the package. reasonOwnerUnreachable marks an owner whose
-// answer did not arrive, reasonOwnerMoving one that hands its claims over.
+// These reasons are used only inside this package. reasonOwnerUnreachable means
+// that no response of the owner arrived, reasonOwnerMoving that the owner is
+// handing over its claims.
 const (
 	reasonOwnerUnreachable outcome.Reason = "owner-unreached"
 	reasonOwnerMoving      outcome.Reason = "owner-moving"
 )
 
-func (s *Service) giveUp(ctx context.Context, o claims.Owner, standing claims.Ownership, reason outcome.Reason) *wire.Result {
+// giveUp returns the result of a submission that could not be resolved in time.
+func (s *Service) giveUp(ctx context.Context, o claims.Owner, ownership claims.Ownership, reason outcome.Reason) *wire.Result {
 	switch {
 	case ctx.Err() != nil:
 		return s.unresolved(outcome.ReasonDeadline)
-	case standing == claims.Owned:
+	case ownership == claims.Owned:
 		s.suspectOwner(o.Incarnation)
 		return s.unresolved(outcome.ReasonKeyOwnerLost)
 	default:
@@ -113,27 +118,28 @@
 	return s.ledger.Lookup(key.Range(s.opts.Ranges), key.Stamp())
 }
 
-// submitTo makes one submission to an owner.
+// submitTo sends one submission to an owner.
 func (s *Service) submitTo(ctx context.Context, o claims.Owner, c *wire.Call, body []byte) *wire.Result {
-	sub := *c
-	sub.ID = uuid.NewString()
-	sub.Header = c.Header.Clone()
-	sub.ContentLength = int64(len(body))
-	sub.Body = nil
+	submission := *c
+	submission.ID = uuid.NewString()
+	submission.Header = c.Header.Clone()
+	submission.ContentLength = int64(len(body))
+	submission.Body = nil
 	if len(body) > 0 {
-		sub.Body = bytes.NewReader(body)
+		submission.Body = bytes.NewReader(body)
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		sub.Timeout = time.Until(deadline)
+		submission.Timeout = time.Until(deadline)
 	}
 	if o.Daemon == s.opts.Self {
-		return s.handleSubmission(ctx, &sub)
+		return s.handleSubmission(ctx, &submission)
 	}
-	return s.submitRemote(ctx, o.Daemon, &sub)
+	return s.submitRemote(ctx, o.Daemon, &submission)
 }
 
-// submitRemote sends a submission to an owner in another daemon. A small answer
-// is read whole, so that one that breaks off can be asked for again.
+// submitRemote sends a submission to an owner in another daemon. It reads a
+// small response completely, so that the submission can be retried if the
+// response is truncated.
 func (s *Service) submitRemote(ctx context.Context, to model.DaemonID, c *wire.Call) *wire.Result {
 	c.SetInternalHeaders(c.Header)
 	c.Header.Set(wire.HeaderDestination, wire.DestinationOwner)
@@ -175,34 +181,34 @@
 	return wire.NoResponse(outcome.UnknownBecause(reasonOwnerUnreachable))
 }
 
-// retryTimeout returns how long an owner that does not answer is tried: one that
-// others have tried in vain only once more, with the newest grants.
-func (s *Service) retryTimeout(life uint64) time.Duration {
+// retryTimeout returns how long an owner that does not respond is retried. A
+// suspected owner is tried only once more, after a refresh of the grants.
+func (s *Service) retryTimeout(incarnation uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, suspect := s.suspectedOwners[life]; suspect {
+	if _, suspected := s.suspectedOwners[incarnation]; suspected {
 		return 0
 	}
 	return s.retryTimeouts.ownerLost
 }
 
-// suspectOwner remembers an owner that could not be reached, so that no keys are
-// handed out for it.
-func (s *Service) suspectOwner(life uint64) {
+// suspectOwner remembers that an owner could not be reached, so that NewKey
+// returns no keys of that owner.
+func (s *Service) suspectOwner(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for l, since := range s.suspectedOwners {
+	for suspected, since := range s.suspectedOwners {
 		if time.Since(since) > s.opts.GrantDuration {
-			delete(s.suspectedOwners, l)
+			delete(s.suspectedOwners, suspected)
 		}
 	}
 	if len(s.suspectedOwners) < maxSuspects {
-		s.suspectedOwners[life] = time.Now()
+		s.suspectedOwners[incarnation] = time.Now()
 	}
 }
 
-func (s *Service) clearSuspicion(life uint64) {
+func (s *Service) clearSuspicion(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.suspectedOwners, life)
+	delete(s.suspectedOwners, incarnation)
 }
--- a/owner/service.go
+++ b/owner/service.go
@@ -12,8 +12,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Service routes keyed requests and owns a part of the keys. It is safe for
-// concurrent use.
+// Service routes keyed requests to their owners and owns a share of the keys
+// itself. It is safe for concurrent use.
 type Service struct {
 	opts    Options
 	self    claims.Owner
@@ -26,18 +26,18 @@
 	table           *claims.Table
 	executions      map[claims.ID]*execution
 	suspectedOwners map[uint64]time.Time
-	// checkpointed is when a checkpoint was last seen on the log.
+	// checkpointed is when a checkpoint was last read from the log.
 	checkpointed time.Time
 
-	// The planner belongs to the goroutine of Serve.
+	// planner and candidates are used only by the goroutine of Serve.
 	planner    *claims.Planner
 	candidates []model.DaemonID
 
-	// readLock is a lock that can be waited for within a context. It guards
-	// lastRead, sought, whole and window.
+	// readLock is a lock whose acquisition a context can cancel. It guards
+	// positioned, fromOldest, searchWindow and lastRead.
 	readLock chan struct{}
-	// positioned tells that the ledger stands where reading is to begin, whole that
-	// this is the oldest record kept.
+	// positioned is set once the ledger is at the offset where reading starts,
+	// fromOldest if that is the oldest record that is kept.
 	positioned   bool
 	fromOldest   bool
 	searchWindow recordlog.Offset
@@ -46,7 +46,7 @@
 	caughtUp     atomic.Bool
 }
 
-// New returns a Service that owns nothing yet.
+// New returns a Service that owns no keys yet.
 func New(o Options) *Service {
 	o = o.withDefaults()
 	self := claims.Owner{Daemon: o.Self, Incarnation: newIncarnation()}
@@ -66,19 +66,21 @@
 	}
 }
 
-// Incarnation returns this life of the owner.
+// Incarnation returns the incarnation ID of this owner.
 func (s *Service) Incarnation() uint64 { return s.self.Incarnation }
 
-// Counts tell what an owner holds.
+// Counts are the numbers of ranges and claims of an owner.
 type Counts struct {
-	// Ranges is the number of key ranges whose newest stamps it owns.
+	// Ranges is the number of key ranges whose newest timestamps this owner has
+	// been granted.
 	Ranges int `json:"ranges"`
-	// Claims and AnswerBytes are what it retains.
+	// Claims is the number of claims, AnswerBytes the total size of the
+	// retained responses.
 	Claims      int `json:"claims"`
 	AnswerBytes int `json:"answer_bytes"`
 }
 
-// Counts returns what this owner holds.
+// Counts returns the counts of this owner.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +93,8 @@
 	return c
 }
 
-// RunningCount returns the number of keyed requests that this owner is running.
+// RunningCount returns the number of keyed requests that this owner is
+// executing.
 func (s *Service) RunningCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +110,7 @@
 	defer tick.Stop()
 	for {
 		s.refreshCandidates()
-		// When no read is wanted nothing is due either.
+		// If there is nothing to read, no grant or checkpoint is due either.
 		if s.shouldRead(ctx) {
 			s.readGrants(ctx)
 			s.renew(ctx)
@@ -121,16 +124,17 @@
 	}
 }
 
+// stamp returns the current time as the timestamp of a key.
 func (s *Service) stamp() claims.Stamp { return claims.Stamp(max(0, s.opts.WallClock().UnixMilli())) }
 
-// readsPerGrant is the part of a grant's length after which the grants are read
-// again. Between reads the ledger is behind by less than grants reach ahead, and
-// a request that finds it wanting asks for a read.
+// The grants are read again after the grant duration divided by readsPerGrant.
+// Between reads the ledger lags by less than grants extend into the future, and
+// a request whose key has no owner in the ledger causes a read.
 const readsPerGrant = 6
 
-// shouldRead reports whether it is time to read the grants: the last read is long
-// ago, or by the ledger as it is something has to be appended, which others may
-// have done since. So the log is not read each interval by every daemon.
+// shouldRead reports whether the grants have to be read: the last read was long
+// ago, or a record seems due for an append, which other daemons may have
+// appended meanwhile. So a daemon does not read the log in every interval.
 func (s *Service) shouldRead(ctx context.Context) bool {
 	if !s.caughtUp.Load() || !s.ledgerComplete() || len(s.due()) > 0 {
 		return true
@@ -148,8 +152,8 @@
 	return s.ledger.Complete()
 }
 
-// renew appends a grant when one is due, and a checkpoint. Whether the append
-// took effect shows when it is read back.
+// renew appends a grant and a checkpoint if they are due. Only reading the log
+// shows whether an append took effect.
 func (s *Service) renew(ctx context.Context) {
 	if !s.caughtUp.Load() {
 		return
@@ -165,7 +169,7 @@
 	}
 }
 
-// due returns the records that it is time to append.
+// due returns the records that are due to be appended.
 func (s *Service) due() []claims.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,9 +180,9 @@
 	if g := s.planner.Plan(s.ledger, s.stamp()); g != nil {
 		out = append(out, claims.Record{Grant: g})
 	}
-	// The owner of the first range writes the checkpoints.
-	_, first := s.ledger.Frontier(0)
-	if first == s.self && time.Since(s.checkpointed) > s.opts.CheckpointInterval {
+	// The owner of the first range appends the checkpoints.
+	_, firstOwner := s.ledger.Frontier(0)
+	if firstOwner == s.self && time.Since(s.checkpointed) > s.opts.CheckpointInterval {
 		out = append(out, claims.Record{Checkpoint: s.ledger.Checkpoint()})
 	}
 	return out
@@ -193,7 +197,7 @@
 	}
 }
 
-// expire drops the claims whose retention has passed.
+// expire removes the claims whose retention has ended.
 func (s *Service) expire() {
 	now := s.stamp()
 	retention := claims.Stamp(s.opts.Retention.Milliseconds())
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -14,11 +14,11 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryAfter is what callers are advised to wait for a key that is in progress
-// or cannot be settled yet.
+// retryAfter is the Retry-After value for keys whose execution is in progress
+// or whose outcome cannot be resolved yet.
 const retryAfter = time.Second
 
-// handleSubmission answers a submission as the owner of its key.
+// handleSubmission handles a submission as the owner of its key.
 func (s *Service) handleSubmission(ctx context.Context, c *wire.Call) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
@@ -37,89 +37,95 @@
 		Group:  c.Group,
 		Digest: requestDigest(c, body),
 	}
-	b := s.beginSubmission(ctx, req, c)
-	if b.decision == claims.NotOwner {
-		// The sender may have read a grant or a transfer that is not read here.
+	begun := s.beginSubmission(ctx, req, c)
+	if begun.decision == claims.NotOwner {
+		// The sender may have read a grant or a transfer that this daemon has
+		// not read yet.
 		s.refresh(ctx)
-		b = s.beginSubmission(ctx, req, c)
+		begun = s.beginSubmission(ctx, req, c)
 	}
-	s.metrics.countDecision(b.decision)
-	switch b.decision {
+	s.metrics.countDecision(begun.decision)
+	switch begun.decision {
 	case claims.Run:
-		return awaitFirst(ctx, b.execution)
+		return awaitFirst(ctx, begun.execution)
 	case claims.InProgress:
-		return awaitEarlier(ctx, b.execution, c.Timeout)
+		return awaitEarlier(ctx, begun.execution, c.Timeout)
 	case claims.Replay:
-		return replayResponse(b.response, true)
+		return replayResponse(begun.response, true)
 	default:
-		return wire.NoResponse(outcomeOf(b.decision))
+		return wire.NoResponse(outcomeOf(begun.decision))
 	}
 }
 
-// beginResult is what became of a submission at the owner.
+// beginResult is the decision on a submission.
 type beginResult struct {
 	decision claims.Decision
-	// execution is set for Execute and InProgress, retained for Replay.
+	// execution is set for claims.Run and claims.InProgress, response for
+	// claims.Replay.
 	execution *execution
 	response  *claims.Answer
 }
 
-// beginSubmission claims the key of a submission and starts its run when it is the first.
+// beginSubmission claims the key of a submission. It starts the execution if
+// this is the first submission of the key.
 func (s *Service) beginSubmission(ctx context.Context, req claims.Request, c *wire.Call) beginResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var b beginResult
-	b.decision, b.response = s.table.Begin(s.ledger, req)
-	switch b.decision {
+	var result beginResult
+	result.decision, result.response = s.table.Begin(s.ledger, req)
+	switch result.decision {
 	case claims.Run:
-		b.execution = s.startExecution(ctx, req.ID, c)
+		result.execution = s.startExecution(ctx, req.ID, c)
 	case claims.InProgress:
-		b.execution = s.executions[req.ID]
+		result.execution = s.executions[req.ID]
 	}
-	return b
+	return result
 }
 
-// awaitFirst waits for the run that its submission started.
-func awaitFirst(ctx context.Context, r *execution) *wire.Result {
+// awaitFirst waits, for the first submission, for the execution that it
+// started.
+func awaitFirst(ctx context.Context, e *execution) *wire.Result {
 	select {
-	case <-r.ready:
+	case <-e.ready:
 	case <-ctx.Done():
-		if r.abandon() {
+		if e.abandon() {
 			return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonCancelled))
 		}
-		<-r.ready
+		<-e.ready
 	}
-	if r.streamed != nil {
-		return r.streamed
+	if e.streamed != nil {
+		return e.streamed
 	}
-	return r.response(false)
+	return e.response(false)
 }
 
-// maxWaitPercent is the part of its time that a submission waits for an earlier one,
-// in percent. The rest is left for telling the caller.
+// maxWaitPercent is the percentage of its timeout for which a later submission
+// waits for the execution. The rest is left for the response to the caller.
 const maxWaitPercent = 90
 
-// awaitEarlier waits for a run that an earlier submission started.
-func awaitEarlier(ctx context.Context, r *execution, timeout time.Duration) *wire.Result {
-	enough := time.NewTimer(timeout * maxWaitPercent / 100)
-	defer enough.Stop()
+// awaitEarlier waits for an execution that an earlier submission started.
+func awaitEarlier(ctx context.Context, e *execution, timeout time.Duration) *wire.Result {
+	timer := time.NewTimer(timeout * maxWaitPercent / 100)
+	defer timer.Stop()
 	select {
-	case <-r.done:
-		return r.response(true)
-	case <-enough.C:
+	case <-e.done:
+		return e.response(true)
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return wire.NoResponse(inProgressOutcome())
 }
 
-func (r *execution) response(again bool) *wire.Result {
+// response returns the result of a finished execution; replayed marks a retained
+// response as replayed.
+func (e *execution) response(replayed bool) *wire.Result {
 	switch {
-	case r.outcome.Kind != outcome.Answered:
-		return wire.NoResponse(r.outcome)
-	case r.retained == nil:
+	case e.outcome.Kind != outcome.Answered:
+		return wire.NoResponse(e.outcome)
+	case e.retained == nil:
 		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonKeyAnswerGone))
 	default:
-		return replayResponse(r.retained, again)
+		return replayResponse(e.retained, replayed)
 	}
 }
 
@@ -127,8 +133,9 @@
 	return outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonKeyInProgress, RetryAfter: retryAfter}
 }
 
-// outcomeOf gives the outcome of a submission that neither runs nor is
-// answered. Only Full proves that the key has not run.
+// outcomeOf returns the outcome for a decision by which a submission is neither
+// executed nor gets a response. Only claims.Full proves that the key has not
+// been executed.
 func outcomeOf(v claims.Decision) outcome.Outcome {
 	switch v {
 	case claims.Full:
@@ -166,7 +173,8 @@
 	}
 }
 
-// requestDigest covers what makes two submissions the same request.
+// requestDigest hashes the parts of a request in which two submissions of the
+// same key must agree.
 func requestDigest(c *wire.Call, body []byte) claims.Digest {
 	h := sha256.New()
 	for _, part := range []string{string(c.Service), c.Method, c.Target, c.Header.Get("Content-Type")} {
@@ -176,7 +184,7 @@
 	return claims.Digest(h.Sum(nil))
 }
 
-// ServeHTTP answers submissions that other daemons route to this owner.
+// ServeHTTP handles submissions from other daemons.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.ReadCall(r)
 	if err != nil {
