--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -8,11 +8,13 @@
 	"github.com/dottereltiller/dottereltiller/core/quarantine"
 )
 
-// Daemons that speak by datagram exchange records in these messages, each of which
-// begins with its kind. An opening carries a digest. Who has another one answers with
-// summaries, each of a span of fingerprints: the first and the last one, and a hash of
-// each record in between. Who gets a summary sends the records that the other lacks, and
-// a wish for those that it lacks itself. So the bytes follow what differs.
+// Daemons that communicate by datagrams exchange records in the messages below.
+// The first byte of each message is its kind. Anti-entropy starts with a digest
+// of the whole table. A receiver with another digest replies with summaries.
+// Each summary covers a span of fingerprints: it holds the first and the last
+// one, and a hash of each record in between. The receiver of a summary sends
+// the records that the sender lacks, and requests those that it lacks itself.
+// So the traffic is proportional to the difference of the tables.
 const (
 	kindDigest        = 'o'
 	kindInSync        = 'a'
@@ -23,29 +25,33 @@
 
 const (
 	digestBytes = 8
-	// prefixBytes of a fingerprint stand for it in summaries and wishes.
+	// prefixBytes is the length of the prefix by which summaries and record
+	// requests identify a fingerprint.
 	prefixBytes       = 8
 	summaryEntryBytes = prefixBytes + 4
-	// maxRecordMessages bounds the messages with records that one message is answered by. The
-	// rest follows in later rounds.
+	// maxRecordMessages bounds the messages with records sent in reply to one
+	// message. The remaining records follow in later rounds.
 	maxRecordMessages = 4
 )
 
+// fingerprintPrefix is the first prefixBytes of a fingerprint.
 type fingerprintPrefix [prefixBytes]byte
 
 func prefixOf(f quarantine.Fingerprint) fingerprintPrefix { return fingerprintPrefix(f[:prefixBytes]) }
 
-// Opening returns the message that begins a comparison.
+// DigestMessage returns the message that starts anti-entropy with another
+// daemon.
 func (s *Store) Opening() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return binary.BigEndian.AppendUint64([]byte{kindDigest}, s.checksum())
 }
 
-// NextPush returns a message of at most limit bytes with records that have changed, those
-// that matter most first, and takes them for told. It is nil where nothing has changed.
-// First reports whether an upstream has died here since the last call.
-func (s *Store) NextPush(limit int) (message []byte, first bool) {
+// NextPush returns a message of at most limit bytes with changed records, the
+// most important first, and marks these records as sent. It returns nil if
+// nothing has changed. newCrash reports whether an upstream has crashed at this
+// daemon since the last push.
+func (s *Store) NextPush(limit int) (message []byte, newCrash bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := s.table.Unsent()
@@ -56,13 +62,13 @@
 	if n == 0 {
 		return nil, false
 	}
-	first, s.newCrash = s.newCrash, false
-	return message, first
+	newCrash, s.newCrash = s.newCrash, false
+	return message, newCrash
 }
 
-// Receive takes in a message and returns the answers, each of at most limit bytes. It
-// reports whether the message says that both sides hold the same.
-func (s *Store) Receive(message []byte, limit int) (answers [][]byte, agreed bool) {
+// Receive handles a message and returns the replies, each of at most limit
+// bytes. inSync reports whether the message says that both tables are equal.
+func (s *Store) Receive(message []byte, limit int) (replies [][]byte, inSync bool) {
 	if len(message) == 0 {
 		return nil, false
 	}
@@ -75,7 +81,7 @@
 	case kindRecordRequest:
 		return s.handleRecordRequest(body, limit), false
 	case kindRecords:
-		// What cannot be read is counted there.
+		// Apply counts records that cannot be decoded.
 		_ = s.Apply(body)
 	case kindInSync:
 		return nil, true
@@ -83,6 +89,7 @@
 	return nil, false
 }
 
+// handleDigest replies to a digest: with summaries, or that the tables are equal.
 func (s *Store) handleDigest(digest []byte, limit int) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,14 +102,15 @@
 	return s.summaries(limit)
 }
 
-// summaries describes the table in spans of fingerprints. s.mu is held.
+// summaries returns summaries that together cover the whole table. s.mu is
+// held.
 func (s *Store) summaries(limit int) [][]byte {
 	records := s.ordered()
-	room := (limit - 1 - 2*prefixBytes) / summaryEntryBytes
+	capacity := (limit - 1 - 2*prefixBytes) / summaryEntryBytes
 	var out [][]byte
 	var from fingerprintPrefix
 	for {
-		n := min(room, len(records))
+		n := min(capacity, len(records))
 		to := fingerprintPrefix(bytes.Repeat([]byte{0xff}, prefixBytes))
 		if n < len(records) {
 			to = prefixOf(records[n-1].Fingerprint)
@@ -124,7 +132,7 @@
 	return binary.BigEndian.AppendUint32(append(m, p[:]...), uint32(r.Sum()))
 }
 
-// ordered returns the records by fingerprint. s.mu is held.
+// ordered returns the records ordered by fingerprint. s.mu is held.
 func (s *Store) ordered() []quarantine.Record {
 	records := s.table.List()
 	slices.SortFunc(records, func(a, b quarantine.Record) int {
@@ -133,38 +141,40 @@
 	return records
 }
 
-// handleSummary answers a summary.
+// handleSummary returns the records that the sender of a summary lacks, and a
+// request for those that this daemon lacks.
 func (s *Store) handleSummary(body []byte, limit int) [][]byte {
 	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%summaryEntryBytes != 0 {
 		return nil
 	}
 	from, to := fingerprintPrefix(body[:prefixBytes]), fingerprintPrefix(body[prefixBytes:])
-	theirs := make(map[fingerprintPrefix]uint32)
+	peerSums := make(map[fingerprintPrefix]uint32)
 	for e := range slices.Chunk(body[2*prefixBytes:], summaryEntryBytes) {
-		theirs[fingerprintPrefix(e)] = binary.BigEndian.Uint32(e[prefixBytes:])
+		peerSums[fingerprintPrefix(e)] = binary.BigEndian.Uint32(e[prefixBytes:])
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var lacked []quarantine.Record
+	var missingAtPeer []quarantine.Record
 	for _, r := range s.table.List() {
 		p := prefixOf(r.Fingerprint)
 		if bytes.Compare(p[:], from[:]) < 0 || bytes.Compare(p[:], to[:]) > 0 {
 			continue
 		}
-		if sum, ok := theirs[p]; !ok || sum != uint32(r.Sum()) {
-			lacked = append(lacked, r)
+		if sum, ok := peerSums[p]; !ok || sum != uint32(r.Sum()) {
+			missingAtPeer = append(missingAtPeer, r)
 		} else {
-			delete(theirs, p)
+			delete(peerSums, p)
 		}
 	}
-	out := recordMessages(lacked, limit)
-	if wish := recordRequest(theirs, limit); wish != nil {
-		out = append(out, wish)
+	out := recordMessages(missingAtPeer, limit)
+	if request := recordRequest(peerSums, limit); request != nil {
+		out = append(out, request)
 	}
 	return out
 }
 
-// recordRequest asks for records. It is nil where none are wanted.
+// recordRequest returns a request for the records with the given fingerprint
+// prefixes, or nil if there are none.
 func recordRequest(wanted map[fingerprintPrefix]uint32, limit int) []byte {
 	if len(wanted) == 0 {
 		return nil
@@ -179,7 +189,7 @@
 	return m
 }
 
-// handleRecordRequest answers a wish.
+// handleRecordRequest returns the requested records.
 func (s *Store) handleRecordRequest(body []byte, limit int) [][]byte {
 	if len(body)%prefixBytes != 0 {
 		return nil
@@ -194,7 +204,7 @@
 	return recordMessages(records, limit)
 }
 
-// recordMessages spreads records over at most maxRecordMessages messages.
+// recordMessages splits records into at most maxRecordMessages messages.
 func recordMessages(records []quarantine.Record, limit int) [][]byte {
 	var out [][]byte
 	for len(records) > 0 && len(out) < maxRecordMessages {
@@ -208,14 +218,15 @@
 	return out
 }
 
-// appendRecords appends as many records as fit, and returns their number.
+// appendRecords appends as many records as fit into limit, and returns their
+// number.
 func appendRecords(m []byte, records []quarantine.Record, limit int) ([]byte, int) {
 	for i := range records {
-		longer := records[i].Append(m)
-		if len(longer) > limit {
+		extended := records[i].Append(m)
+		if len(extended) > limit {
 			return m, i
 		}
-		m = longer
+		m = extended
 	}
 	return m, len(records)
 }
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -8,31 +8,32 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// minPushInterval is the least time between two messages of news. With four daemons told and
-// messages of 1,400 bytes it bounds what a daemon sends to 19 KB a second.
+// minPushInterval is the minimum time between two pushes. With pushes to four
+// daemons and messages of 1,400 bytes it limits the push traffic of a daemon to
+// 19 KB a second.
 const minPushInterval = 300 * time.Millisecond
 
-// Gossip hands the records of a Store on to the other daemons by datagram. It is safe
-// for concurrent use.
+// Gossip exchanges the records of a Store with the other daemons by datagrams.
+// It is safe for concurrent use.
 type Gossip struct {
 	Store    *Store
 	Selector gossip.PeerSelector
 	// Members returns the daemons that can be reached.
 	Members func() []gossip.Member
-	// Send sends a message. One may be lost.
+	// Send sends a message to an address. Messages may be lost.
 	Send func(address string, message []byte)
-	// MaxMessageBytes bounds a message, in bytes.
+	// MaxMessageBytes bounds the length of a message.
 	MaxMessageBytes int
 
 	mu      sync.Mutex
 	timer   gossip.AntiEntropyTimer
 	version uint64
-	// lastPush is when the last news were sent. Zero means never.
+	// lastPush is when records were last pushed. Zero means never.
 	lastPush model.Instant
 }
 
-// Tick sends what is due. It is called when the Store hints at news, and several times a
-// second.
+// Tick sends the messages that are due. It has to be called when the Store
+// calls OnUpdate, and several times a second.
 func (g *Gossip) Tick(now model.Instant) {
 	if g.pushDue(now) {
 		g.push()
@@ -44,6 +45,7 @@
 	}
 }
 
+// pushDue reports whether records may be pushed again, and notes the time.
 func (g *Gossip) pushDue(now model.Instant) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,16 +56,18 @@
 	return true
 }
 
+// push sends changed records to some daemons. If nothing has changed, the next push
+// need not wait.
 func (g *Gossip) push() {
-	news, first := g.Store.NextPush(g.MaxMessageBytes)
-	if news == nil {
+	message, newCrash := g.Store.NextPush(g.MaxMessageBytes)
+	if message == nil {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.lastPush = 0
 		return
 	}
-	for _, m := range g.Selector.PushTargets(g.Members(), first) {
-		g.Send(m.Address, news)
+	for _, m := range g.Selector.PushTargets(g.Members(), newCrash) {
+		g.Send(m.Address, message)
 	}
 }
 
@@ -78,27 +82,29 @@
 	return g.timer.Due(now)
 }
 
-// ResetAntiEntropy has the daemon compare more often for a while: others may have missed something,
-// as those that were out of reach.
+// ResetAntiEntropy returns to the short anti-entropy interval. It is called
+// when other daemons may have missed records, for example after they were
+// unreachable.
 func (g *Gossip) ResetAntiEntropy() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.timer.Reset()
 }
 
-// SendDigest compares with a daemon that may know something, as one that is met at the start.
+// SendDigest starts anti-entropy with one daemon, for example with the first
+// one that a starting daemon reaches.
 func (g *Gossip) SendDigest(address string) { g.Send(address, g.Store.Opening()) }
 
-// Receive takes in a message of another daemon and answers it.
+// Receive handles a message of another daemon and sends the replies.
 func (g *Gossip) Receive(from string, message []byte) {
-	answers, agreed := g.Store.Receive(message, g.MaxMessageBytes)
-	if agreed {
+	replies, inSync := g.Store.Receive(message, g.MaxMessageBytes)
+	if inSync {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.timer.RecordAgreement()
 		return
 	}
-	for _, a := range answers {
-		g.Send(from, a)
+	for _, reply := range replies {
+		g.Send(from, reply)
 	}
 }
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -14,21 +14,21 @@
 	"github.com/dottereltiller/dottereltiller/core/quarantine"
 )
 
-// testNetwork is daemons of several zones that exchange records in virtual time. A message
-// takes one step.
+// testNetwork connects daemons of several zones that exchange records in
+// virtual time. A message takes one step.
 type testNetwork struct {
 	now     time.Time
 	rng     *rand.Rand
 	daemons []*testDaemon
 	byName  map[string]*testDaemon
-	// partitioned zones neither send nor receive beyond themselves.
+	// partitioned is a zone that exchanges no messages with other zones. Empty
+	// means none.
 	partitioned model.AvailabilityZone
-	// lossRate is the part of the messages that are lost.
+	// lossRate is the fraction of messages that are lost.
 	lossRate float64
 
 	inTransit []datagram
-	// crossZoneBytes, sent and largest count bytes: between zones, in all, and by the daemon
-	// that sent most.
+	// Bytes sent: between zones, in total, and by the daemon that sent most.
 	crossZoneBytes, sentBytes, maxSentBytes int
 }
 
@@ -76,7 +76,7 @@
 	m.byName[d.name] = d
 }
 
-// others returns all daemons but one.
+// others returns all daemons except d.
 func (m *testNetwork) others(d *testDaemon) []gossip.Member {
 	if len(d.others) == len(m.daemons)-1 {
 		return d.others
@@ -97,19 +97,20 @@
 	if from.zone != to.zone {
 		m.crossZoneBytes += len(message)
 	}
-	apart := from.zone != to.zone && (from.zone == m.partitioned || to.zone == m.partitioned)
-	if !apart && m.rng.Float64() >= m.lossRate {
+	separated := from.zone != to.zone && (from.zone == m.partitioned || to.zone == m.partitioned)
+	if !separated && m.rng.Float64() >= m.lossRate {
 		m.inTransit = append(m.inTransit, datagram{from: from, to: to, message: message})
 	}
 }
 
-// advance lets time pass.
+// advance advances the clock step by step, delivering messages and calling
+// Tick.
 func (m *testNetwork) advance(d time.Duration) {
 	for end := m.now.Add(d); m.now.Before(end); {
 		m.now = m.now.Add(step)
-		due := m.inTransit
+		arrived := m.inTransit
 		m.inTransit = nil
-		for _, p := range due {
+		for _, p := range arrived {
 			p.to.Receive(p.from.name, p.message)
 		}
 		for _, d := range m.daemons {
@@ -128,7 +129,8 @@
 	}
 }
 
-// countRefusing returns how many daemons refuse a request.
+// countRefusing returns how many daemons, of one zone or of all, refuse a
+// request.
 func (m *testNetwork) countRefusing(target string, zone model.AvailabilityZone) int {
 	n := 0
 	for _, d := range m.daemons {
@@ -139,7 +141,8 @@
 	return n
 }
 
-// crashThreeUpstreams has a request crash three upstreams, beside daemons that are a stride apart.
+// crashThreeUpstreams has a request crash three upstreams at daemons that are
+// stride positions apart, one a second.
 func (m *testNetwork) crashThreeUpstreams(target string, stride int) {
 	for i := range 3 {
 		m.daemons[(stride*i+1)%len(m.daemons)].Store.recordTestCrash(target, i)
@@ -147,18 +150,18 @@
 	}
 }
 
-// crashManyUpstreams has many upstreams end at once, each with some requests that ran there, most of
-// which are answered a little later elsewhere.
+// crashManyUpstreams crashes many upstreams at once, each while it runs several
+// requests. All of these requests receive a response elsewhere 500 ms later.
 func (m *testNetwork) crashManyUpstreams(upstreams int) {
-	const running = 4
+	const requests = 4
 	for i := range upstreams {
-		for j := range running {
+		for j := range requests {
 			m.daemons[i%len(m.daemons)].Store.recordTestCrash(fmt.Sprintf("/crash/%d/%d", i, j), 1000+i)
 		}
 	}
 	m.advance(500 * time.Millisecond)
 	for i := range upstreams {
-		for j := range running {
+		for j := range requests {
 			f := quarantine.FingerprintOf(newRequest(fmt.Sprintf("/crash/%d/%d", i, j)))
 			m.daemons[(3*i+j)%len(m.daemons)].Store.RecordResponse(f)
 		}
@@ -170,93 +173,99 @@
 		t.Run(fmt.Sprint(n, " daemons"), func(t *testing.T) {
 			m := newTestNetwork(n)
 			m.lossRate = 0.02
-			m.crashThreeUpstreams("/kill", 7)
+			m.crashThreeUpstreams("/crashing", 7)
 			m.advance(time.Second)
-			require.Equal(t, n, m.countRefusing("/kill", ""))
+			require.Equal(t, n, m.countRefusing("/crashing", ""))
 		})
 	}
 }
 
-// TestCrashingRequestIsRefusedDuringMassCrash has the request that crashes upstreams spread ahead of those
-// that ran beside it.
+// TestCrashingRequestIsRefusedDuringMassCrash requires that the record of a
+// request that crashes upstreams repeatedly spreads ahead of the records of
+// requests that merely ran at an upstream that crashed.
 func TestCrashingRequestIsRefusedDuringMassCrash(t *testing.T) {
 	const daemons = 300
 	m := newTestNetwork(daemons)
 	m.crashManyUpstreams(40)
-	m.crashThreeUpstreams("/kill", 7)
+	m.crashThreeUpstreams("/crashing", 7)
 	m.advance(time.Second)
-	require.Equal(t, daemons, m.countRefusing("/kill", ""))
+	require.Equal(t, daemons, m.countRefusing("/crashing", ""))
 }
 
-// TestReconnectedZoneLearnsOfQuarantine cuts a zone off while a request becomes known.
+// TestReconnectedZoneLearnsOfQuarantine quarantines a request while a zone is
+// partitioned from the others.
 func TestReconnectedZoneLearnsOfQuarantine(t *testing.T) {
 	const daemons = 100
 	m := newTestNetwork(daemons)
 	m.partitioned = "z0"
-	m.crashThreeUpstreams("/kill", zones)
+	m.crashThreeUpstreams("/crashing", zones)
 	m.advance(30 * time.Second)
-	require.Equal(t, daemons-daemons/zones, m.countRefusing("/kill", ""))
+	require.Equal(t, daemons-daemons/zones, m.countRefusing("/crashing", ""))
 	m.partitioned = ""
 	for _, d := range m.daemons {
-		d.ResetAntiEntropy() // as when it reaches others again
+		d.ResetAntiEntropy() // as when the daemon reaches others again
 	}
 	m.advance(2 * time.Second)
-	require.Equal(t, daemons, m.countRefusing("/kill", ""))
+	require.Equal(t, daemons, m.countRefusing("/crashing", ""))
 }
 
-// TestBytesSentGrowWithChanges crashes many upstreams at once. What a daemon sends is bounded, and
-// what crosses zones grows with the number of zones and records.
+// TestBytesSentGrowWithChanges crashes many upstreams at once. The bytes that a
+// daemon sends must stay bounded, and the bytes between zones must grow with
+// the number of zones and records rather than daemons.
 func TestBytesSentGrowWithChanges(t *testing.T) {
 	const (
 		upstreams = 30
 		seconds   = 10
-		// control is what a daemon may send for control, in bytes a second.
+		// control is the budget of a daemon for control messages, in bytes a
+		// second.
 		control = 19_000
 	)
-	crossed := make(map[int]int)
+	crossZoneBytes := make(map[int]int)
 	for _, n := range []int{10, 100, 300, 1000} {
 		m := newTestNetwork(n)
 		m.crashManyUpstreams(upstreams)
 		m.advance(seconds * time.Second)
 		require.LessOrEqual(t, m.maxSentBytes, seconds*control, "%d daemons", n)
-		crossed[n] = m.crossZoneBytes
-		t.Logf("%d daemons: %d bytes each, %d most, %d between zones", n, m.sentBytes/n, m.maxSentBytes, m.crossZoneBytes)
+		crossZoneBytes[n] = m.crossZoneBytes
+		t.Logf("%d daemons: %d bytes sent by each on average, %d at most, %d between zones in total", n, m.sentBytes/n, m.maxSentBytes, m.crossZoneBytes)
 	}
-	require.Less(t, crossed[1000]/1000, crossed[10]/10, "bytes between zones for each daemon")
+	require.Less(t, crossZoneBytes[1000]/1000, crossZoneBytes[10]/10, "bytes between zones for each daemon")
 }
 
-// TestDaemonsInSyncSendLittle has all daemons know the same: they compare seldom, and send no
-// records.
+// TestDaemonsInSyncSendLittle requires that daemons with equal tables send
+// digests rarely and no records.
 func TestDaemonsInSyncSendLittle(t *testing.T) {
 	const (
 		daemons = 100
-		// opening and agreement, one each in ten seconds, with room for chance.
-		quiet = 2 * daemons * (1 + digestBytes + 1)
+		// Each daemon sends one digest in ten seconds and receives one reply
+		// that the tables are equal; doubled for random variation.
+		maxIdleBytes = 2 * daemons * (1 + digestBytes + 1)
 	)
 	m := newTestNetwork(daemons)
 	m.crashManyUpstreams(30)
 	m.advance(30 * time.Second)
 	m.resetCounters()
 	m.advance(10 * time.Second)
-	require.LessOrEqual(t, m.sentBytes, quiet)
+	require.LessOrEqual(t, m.sentBytes, maxIdleBytes)
 	require.Positive(t, m.sentBytes)
 	for _, d := range m.daemons {
 		require.Equal(t, m.daemons[0].Store.Digest(), d.Store.Digest())
 	}
 }
 
-// TestNewDaemonLearnsOfQuarantine starts a daemon anew.
+// TestNewDaemonLearnsOfQuarantine starts a daemon that sends its digest to one
+// other daemon.
 func TestNewDaemonLearnsOfQuarantine(t *testing.T) {
 	m := newTestNetwork(20)
-	m.crashThreeUpstreams("/kill", 7)
+	m.crashThreeUpstreams("/crashing", 7)
 	m.advance(30 * time.Second)
 	m.add(20)
 	m.daemons[20].SendDigest("d3")
 	m.advance(100 * time.Millisecond)
-	require.Equal(t, 21, m.countRefusing("/kill", ""))
+	require.Equal(t, 21, m.countRefusing("/crashing", ""))
 }
 
-// TestFullTablesConverge has more records than a table holds.
+// TestFullTablesConverge records more crashes than a table holds.
 func TestFullTablesConverge(t *testing.T) {
 	m := newTestNetwork(5)
 	for i := range 1200 {
@@ -274,18 +283,19 @@
 	require.Less(t, m.sentBytes, 1000)
 }
 
-// TestMalformedMessagesAreIgnored changes nothing.
+// TestMalformedMessagesAreIgnored requires that a malformed message gets no
+// reply and changes nothing.
 func TestMalformedMessagesAreIgnored(t *testing.T) {
 	s := newFleet(1).stores[0]
-	s.recordTestCrash("/kill", 1)
+	s.recordTestCrash("/crashing", 1)
 	before := s.Digest()
 	for name, m := range map[string][]byte{
-		"empty": {}, "unknown kind": []byte("?xyz"), "short opening": []byte("o123"), "short summary": []byte("s123"),
-		"odd summary": append([]byte("s"), make([]byte, 2*prefixBytes+5)...), "odd wish": []byte("w123"), "cut records": []byte("r123"),
+		"empty": {}, "unknown kind": []byte("?xyz"), "short digest": []byte("o123"), "short summary": []byte("s123"),
+		"summary with a partial entry": append([]byte("s"), make([]byte, 2*prefixBytes+5)...), "request with a partial prefix": []byte("w123"), "truncated records": []byte("r123"),
 	} {
-		answers, agreed := s.Receive(m, 1400)
-		require.Empty(t, answers, name)
-		require.False(t, agreed, name)
+		replies, inSync := s.Receive(m, 1400)
+		require.Empty(t, replies, name)
+		require.False(t, inSync, name)
 	}
 	require.Equal(t, before, s.Digest())
 }
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -17,36 +17,39 @@
 
 // Options configure a Store.
 type Options struct {
-	// Rule returns the rule of a service.
+	// Rule returns the quarantine rule of a service.
 	Rule func(model.ServiceName) quarantine.Rule
-	// WallClock reads the wall clock. Default: time.Now.
+	// WallClock returns the wall-clock time. Default: time.Now.
 	WallClock func() time.Time
-	// OnUpdate is called when there is news for other daemons. Nil means none.
+	// OnUpdate is called when there are changes to send to other daemons. Nil
+	// means no call.
 	OnUpdate func()
-	// Scope receives the counters. Nil means none.
+	// Scope receives the counters. Nil turns them off.
 	Scope tally.Scope
-	// Logger takes changes of state. Default: slog.Default.
+	// Logger logs state changes. Default: slog.Default.
 	Logger *slog.Logger
 }
 
-// Store is a daemon's table. It is safe for concurrent use.
+// Store is a daemon's table of suspected and quarantined requests. It is safe
+// for concurrent use.
 type Store struct {
 	opts       Options
 	crashes    tally.Counter
 	refusals   tally.Counter
 	unreadable tally.Counter
-	// nonEmpty tells whether the table holds any record, so that the data path
-	// need not take fingerprints while it holds none.
+	// nonEmpty is set while the table holds any record, so that the data path
+	// need not compute fingerprints while it holds none.
 	nonEmpty atomic.Bool
 
 	mu            sync.Mutex
 	table         *quarantine.Table
 	loggedRefused map[quarantine.Fingerprint]bool
 	deltaStart    int
-	// cachedChecksum is what the records add up to as of the table's version summed.
+	// cachedChecksum is the checksum of the table at version checksumVersion.
 	cachedChecksum  uint64
 	checksumVersion uint64
-	// newCrash tells that news have begun here since NextPush was called.
+	// newCrash is set when an upstream has crashed at this daemon since the
+	// last call of NextPush.
 	newCrash bool
 }
 
@@ -72,17 +75,18 @@
 	}
 }
 
-// Version rises with every change of the table.
+// Version returns the version of the table, which increases with every change.
 func (s *Store) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Version()
 }
 
-// HasRecords reports whether any request is suspected or refused.
+// HasRecords reports whether any request is suspected or quarantined.
 func (s *Store) HasRecords() bool { return s.nonEmpty.Load() }
 
-// RefusedFor reports for how long yet a request is refused.
+// RefusedFor returns for how much longer a request is refused. The second
+// result is false if it is not refused.
 func (s *Store) RefusedFor(f quarantine.Fingerprint) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +99,7 @@
 	return time.Duration(until-now) * time.Millisecond, true
 }
 
-// RecordCrash tells that an upstream died while it ran a request.
+// RecordCrash records that an upstream crashed while it ran a request.
 func (s *Store) RecordCrash(f quarantine.Fingerprint, r quarantine.Request, d quarantine.Crash) {
 	s.crashes.Inc(1)
 	s.update(func(now int64) {
@@ -104,27 +108,28 @@
 	})
 }
 
-// RecordResponse tells that a request was answered in full.
+// RecordResponse records that a request received a complete response.
 func (s *Store) RecordResponse(f quarantine.Fingerprint) {
 	s.update(func(now int64) { s.table.RecordResponse(now, f) })
 }
 
-// Release frees a request. It reports false when the request is not known.
+// Release ends the suspicion or quarantine of a request. It returns false if
+// there is no record of the request.
 func (s *Store) Release(f quarantine.Fingerprint) bool {
 	known := false
 	s.update(func(now int64) { known = s.table.Release(now, f) })
 	return known
 }
 
-// Entry is one record as operators see it.
+// ListedRecord is one record as operators see it.
 type Entry struct {
 	quarantine.Record
-	// Refused is set while the request is refused everywhere; else it is only
-	// suspected.
+	// Refused is set while all daemons refuse the request. Otherwise the
+	// request is only suspected.
 	Refused bool `json:"refused"`
 }
 
-// List returns what is known, newest first.
+// List returns all records, newest first.
 func (s *Store) List() []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +144,7 @@
 
 const tickInterval = 100 * time.Millisecond
 
-// Serve settles and expires records until the context ends.
+// Serve evaluates and expires records until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
 	return interval.Run(ctx, tickInterval, func() {
 		if s.HasRecords() {
@@ -156,7 +161,8 @@
 	s.table.Expire(now)
 }
 
-// update runs a change of the table and makes known what came of it.
+// update runs a change of the table. If the table has changed, it logs new and
+// ended quarantines and calls OnUpdate.
 func (s *Store) update(f func(now int64)) {
 	s.mu.Lock()
 	before := s.table.Version()
@@ -173,7 +179,7 @@
 	}
 }
 
-// logChanges writes a line for each request that is newly refused or no longer.
+// logChanges logs each request that is newly refused or no longer refused.
 func (s *Store) logChanges(now int64) {
 	refused := make(map[quarantine.Fingerprint]bool)
 	for _, r := range s.table.List() {
--- a/quarantine/store_test.go
+++ b/quarantine/store_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/quarantine"
 )
 
-// fleet is a few daemons' stores over one clock.
+// fleet is the stores of a few daemons with a common clock.
 type fleet struct {
 	now    time.Time
 	stores []*Store
@@ -30,7 +30,8 @@
 	return f
 }
 
-// advance lets time pass, with a round between each two neighbours.
+// advance advances the clock, then runs an exchange round between neighbouring
+// stores.
 func (f *fleet) advance(t *testing.T, d time.Duration, limit int) {
 	f.now = f.now.Add(d)
 	for i := range f.stores {
@@ -57,27 +58,27 @@
 	return ok
 }
 
-// TestCrashingRequestThroughDifferentDaemonsIsQuarantined sends the killer through a different
-// daemon each time. Every daemon refuses it within a second of its second
-// death.
+// TestCrashingRequestThroughDifferentDaemonsIsQuarantined sends a request that
+// crashes upstreams through a different daemon each time. Every daemon must
+// refuse it within a second of the second crash.
 func TestCrashingRequestThroughDifferentDaemonsIsQuarantined(t *testing.T) {
 	f := newFleet(4)
-	f.stores[0].recordTestCrash("/kill", 1)
-	f.stores[0].recordTestCrash("/beside", 1)
+	f.stores[0].recordTestCrash("/crashing", 1)
+	f.stores[0].recordTestCrash("/bystander", 1)
 	f.advance(t, 100*time.Millisecond, 4096)
-	f.stores[2].recordTestCrash("/kill", 2)
+	f.stores[2].recordTestCrash("/crashing", 2)
 	for range 9 {
 		f.advance(t, 100*time.Millisecond, 4096)
 	}
 	for i, s := range f.stores {
-		require.True(t, s.refusesTarget("/kill"), "daemon %d", i)
-		require.False(t, s.refusesTarget("/beside"), "daemon %d", i)
+		require.True(t, s.refusesTarget("/crashing"), "daemon %d", i)
+		require.False(t, s.refusesTarget("/bystander"), "daemon %d", i)
 	}
-	require.True(t, f.stores[3].Release(quarantine.FingerprintOf(newRequest("/kill"))))
+	require.True(t, f.stores[3].Release(quarantine.FingerprintOf(newRequest("/crashing"))))
 	f.advance(t, 100*time.Millisecond, 4096)
 	f.advance(t, 100*time.Millisecond, 4096)
 	for i, s := range f.stores {
-		require.False(t, s.refusesTarget("/kill"), "daemon %d after the release", i)
+		require.False(t, s.refusesTarget("/crashing"), "daemon %d after the release", i)
 	}
 }
 
@@ -102,5 +103,5 @@
 	require.Empty(t, s.Digest())
 	require.Nil(t, s.Delta(nil, 100))
 	require.Error(t, s.Apply([]byte("{broken")))
-	require.False(t, s.HasRecords(), "what cannot be read changes nothing")
+	require.False(t, s.HasRecords(), "a delta that cannot be decoded changes nothing")
 }
--- a/quarantine/topic.go
+++ b/quarantine/topic.go
@@ -14,7 +14,7 @@
 // Name implements peer.Topic.
 func (*Store) Name() string { return "quarantine" }
 
-// Digest implements peer.Topic. It is empty while the table is.
+// Digest implements peer.Topic. It returns nil while the table is empty.
 func (s *Store) Digest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,8 +24,8 @@
 	return binary.BigEndian.AppendUint64(nil, s.checksum())
 }
 
-// checksum returns a number that two tables with the same records have in common, zero for
-// an empty one. s.mu is held.
+// checksum returns the XOR of the hashes of all records: equal for tables with
+// the same records, zero for an empty table. s.mu is held.
 func (s *Store) checksum() uint64 {
 	if v := s.table.Version(); s.checksumVersion != v {
 		s.checksumVersion, s.cachedChecksum = v, 0
@@ -36,8 +36,9 @@
 	return s.cachedChecksum
 }
 
-// Delta implements peer.Topic. It returns records, newest first, when the
-// digests differ; those that do not fit take turns in later rounds.
+// Delta implements peer.Topic. It returns records, newest first, if the digests
+// differ. If they do not all fit into the limit, the next call continues with
+// the records that were left out.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
