--- a/membership/follow.go
+++ b/membership/follow.go
@@ -58,7 +58,7 @@
 	}
 	if (err != nil) != r.logFailing && ctx.Err() == nil {
 		r.logFailing = err != nil
-		r.opts.Logger.Info("membership stream", "usable", err == nil, "error", err)
+		r.opts.Logger.Info("state of the membership stream changed", "usable", err == nil, "error", err)
 	}
 	return err
 }
--- a/owner/options.go
+++ b/owner/options.go
@@ -73,22 +73,22 @@
 
 // The defaults of Options.
 const (
-	DefaultGrant      = 60 * time.Second
-	DefaultRetention  = 10 * time.Minute
-	DefaultInterval   = time.Second
-	DefaultCheckpoint = 5 * time.Minute
-	DefaultMaxBody    = 256 << 10
-	DefaultMaxAnswer  = 64 << 10
+	DefaultGrantDuration      = 60 * time.Second
+	DefaultRetention          = 10 * time.Minute
+	DefaultPollInterval       = time.Second
+	DefaultCheckpointInterval = 5 * time.Minute
+	DefaultMaxBodyBytes       = 256 << 10
+	DefaultMaxResponseBytes   = 64 << 10
 )
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.GrantDuration, DefaultGrant)
+	setDefault(&o.GrantDuration, DefaultGrantDuration)
 	setDefault(&o.Retention, DefaultRetention)
-	setDefault(&o.PollInterval, DefaultInterval)
-	setDefault(&o.CheckpointInterval, DefaultCheckpoint)
+	setDefault(&o.PollInterval, DefaultPollInterval)
+	setDefault(&o.CheckpointInterval, DefaultCheckpointInterval)
 	setDefault(&o.Ranges, claims.DefaultRanges)
-	setDefault(&o.MaxBodyBytes, DefaultMaxBody)
-	setDefault(&o.MaxResponseBytes, DefaultMaxAnswer)
+	setDefault(&o.MaxBodyBytes, DefaultMaxBodyBytes)
+	setDefault(&o.MaxResponseBytes, DefaultMaxResponseBytes)
 	if o.WallClock == nil {
 		o.WallClock = time.Now
 	}
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -39,7 +39,7 @@
 
 func prefixOf(f quarantine.Fingerprint) fingerprintPrefix { return fingerprintPrefix(f[:prefixBytes]) }
 
-// DigestMessage returns the message that starts anti-entropy with another
+// Opening returns the message that starts anti-entropy with another
 // daemon.
 func (s *Store) Opening() []byte {
 	s.mu.Lock()
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -216,16 +216,15 @@
 	const (
 		upstreams = 30
 		seconds   = 10
-		// control is the budget of a daemon for control messages, in bytes a
-		// second.
-		control = 19_000
+		// maxBytesPerSecond is the budget of a daemon for control messages.
+		maxBytesPerSecond = 19_000
 	)
 	crossZoneBytes := make(map[int]int)
 	for _, n := range []int{10, 100, 300, 1000} {
 		m := newTestNetwork(n)
 		m.crashManyUpstreams(upstreams)
 		m.advance(seconds * time.Second)
-		require.LessOrEqual(t, m.maxSentBytes, seconds*control, "%d daemons", n)
+		require.LessOrEqual(t, m.maxSentBytes, seconds*maxBytesPerSecond, "%d daemons", n)
 		crossZoneBytes[n] = m.crossZoneBytes
 		t.Logf("%d daemons: %d bytes sent by each on average, %d at most, %d between zones in total", n, m.sentBytes/n, m.maxSentBytes, m.crossZoneBytes)
 	}
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -121,7 +121,7 @@
 	return known
 }
 
-// ListedRecord is one record as operators see it.
+// Entry is one record as operators see it.
 type Entry struct {
 	quarantine.Record
 	// Refused is set while all daemons refuse the request. Otherwise the
