--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -133,7 +133,8 @@
 	f.disconnectLog(z, partitioned)
 }
 
-// disconnectLog disconnects the nodes of a zone from the log, or reconnects them.
+// disconnectLog disconnects the nodes of a zone from the log, or reconnects
+// them.
 func (f *fleet) disconnectLog(z model.AvailabilityZone, disconnected bool) {
 	for _, n := range f.nodes {
 		if n.Zone == z {
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -45,8 +45,9 @@
 // log fails.
 const maxReaderBackoff = 2 * time.Second
 
-// nextDelay returns the time until the next read, shortened at random by up to
-// a quarter.
+// nextDelay returns the time until the next read: with exponential backoff
+// after a failed read, otherwise an interval shortened at random by up to a
+// quarter.
 func (s *Store) nextDelay() time.Duration {
 	s.mu.Lock()
 	caughtUp, failing := s.status.CaughtUp, s.status.LogError != ""
@@ -154,6 +155,8 @@
 	}
 }
 
+// adoptCheckpoint restores the state from a record if it is a checkpoint that
+// covers the dropped records. It reports whether the search is over.
 func (s *Store) adoptCheckpoint(r recordlog.Record, oldest recordlog.Offset) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,8 +204,8 @@
 }
 
 // checkpoint appends the state as a checkpoint if the log has had none for a
-// long time. The log reader with the earliest time appends it; the others read
-// that checkpoint and do not append their own.
+// long time or for many records. The log reader with the earliest time appends
+// it; the others read that checkpoint and do not append their own.
 func (s *Store) checkpoint(ctx context.Context) {
 	s.mu.Lock()
 	state := s.machine.State()
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -31,7 +31,8 @@
 	logReads, logAppends atomic.Int64
 
 	mu sync.Mutex
-	// inForceAt holds, for each version, the times at which daemons put it in force.
+	// inForceAt holds, for each version, the times at which daemons put it in
+	// force.
 	inForceAt map[model.Version][]time.Time
 }
 
--- a/controltest/log.go
+++ b/controltest/log.go
@@ -28,8 +28,8 @@
 	l.disconnected = disconnected
 }
 
-// waitReachable returns nil while the connection is up. While it is interrupted,
-// it fails after a timeout, as a request without a response does.
+// waitReachable returns nil while the connection is up. While the connection is
+// interrupted, it fails after a timeout, as a request without a response does.
 func (l *LogConnection) waitReachable(ctx context.Context) error {
 	const timeout = 2 * time.Second
 	l.mu.Lock()
--- a/controltest/network.go
+++ b/controltest/network.go
@@ -116,8 +116,9 @@
 	return resp, e.respond(ctx, to, proto.Size(resp))
 }
 
-// deliver carries a request to a daemon and returns its service. When the request
-// is lost or the daemon does not respond, it returns when the context ends.
+// deliver carries a request to a daemon and returns the daemon's service. When
+// the request is lost or the daemon does not respond, it returns when the
+// context ends.
 func (e Endpoint) deliver(ctx context.Context, to model.DaemonID, size int) (*peer.Service, error) {
 	if err := sleep(ctx, e.delay(to)); err != nil {
 		return nil, err
--- a/membership/check.go
+++ b/membership/check.go
@@ -36,8 +36,8 @@
 
 func (c *runningChecks) init() { c.daemons = make(map[model.DaemonID]bool) }
 
-// begin adds a daemon. It returns false if the daemon is being checked already or
-// too many checks are running.
+// begin adds a daemon. It returns false if the daemon is being checked already
+// or too many checks are running.
 func (c *runningChecks) begin(d model.DaemonID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -50,7 +50,8 @@
 	return time.Duration(r.rng.Int64N(int64(r.opts.Interval)))
 }
 
-// syncLog reads the log to its end, then appends the events that the log lacks.
+// syncLog reads the log to its end, then appends the events that are missing
+// from it.
 func (r *Registry) syncLog(ctx context.Context) error {
 	err := r.readToEnd(ctx)
 	if err == nil {
@@ -115,8 +116,8 @@
 	}
 }
 
-// applyRecord applies one record of the log. It returns the number of events that
-// were newer than the ones known before.
+// applyRecord applies one record of the log. It returns the number of events
+// that were newer than those known before.
 func (r *Registry) applyRecord(data []byte) int {
 	records, err := member.Decode(data)
 	if err != nil {
@@ -133,9 +134,9 @@
 	return applied
 }
 
-// appendMissing appends events that the log lacks. The writer of a zone appends
-// those of its zone; other daemons append those of their own upstreams, in case
-// the writer fails to.
+// appendMissing appends events that are missing from the log. The writer of a
+// zone appends those of its zone; other daemons append those of their own
+// upstreams, in case the writer fails to.
 func (r *Registry) appendMissing(ctx context.Context) error {
 	events := r.dueEvents()
 	for len(events) > 0 {
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -64,8 +64,8 @@
 	s.table.Seal()
 }
 
-// ownedUntil returns the end of the last timestamps that this incarnation owns, 0
-// if it owns none.
+// ownedUntil returns the end of the timestamps that are granted to this
+// incarnation, 0 if there are none.
 func (s *Service) ownedUntil() claims.Stamp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/owner/route.go
+++ b/owner/route.go
@@ -49,12 +49,12 @@
 		}
 		reason, wait := outcome.ReasonKeyNotOwned, s.retryTimeouts.unassigned
 		if ownership == claims.Owned {
-			a := s.submitTo(ctx, interval.Owner, c, body)
-			if a.Outcome.Kind == outcome.Answered || isFinal(a.Outcome) {
+			result := s.submitTo(ctx, interval.Owner, c, body)
+			if result.Outcome.Kind == outcome.Answered || isFinal(result.Outcome) {
 				s.clearSuspicion(interval.Owner.Incarnation)
-				return a
+				return result
 			}
-			reason, wait = a.Outcome.Reason, s.retryTimeout(interval.Owner.Incarnation)
+			reason, wait = result.Outcome.Reason, s.retryTimeout(interval.Owner.Incarnation)
 			if reason == reasonOwnerMoving {
 				wait = c.Timeout
 			}
@@ -156,25 +156,25 @@
 	if err != nil {
 		return ownerUnreachable()
 	}
-	a, err := wire.ReadResult(resp, c.ID)
+	result, err := wire.ReadResult(resp, c.ID)
 	if err != nil {
 		_ = resp.Body.Close()
 		return ownerUnreachable()
 	}
-	if a.Outcome.Kind != outcome.Answered {
-		_ = a.Body.Close()
-		return wire.NoResponse(a.Outcome)
+	if result.Outcome.Kind != outcome.Answered {
+		_ = result.Body.Close()
+		return wire.NoResponse(result.Outcome)
 	}
-	if a.ContentLength < 0 || a.ContentLength > s.opts.MaxResponseBytes {
-		return a
+	if result.ContentLength < 0 || result.ContentLength > s.opts.MaxResponseBytes {
+		return result
 	}
-	data, err := io.ReadAll(a.Body)
-	_ = a.Body.Close()
+	data, err := io.ReadAll(result.Body)
+	_ = result.Body.Close()
 	if err != nil {
 		return ownerUnreachable()
 	}
-	a.Body = io.NopCloser(bytes.NewReader(data))
-	return a
+	result.Body = io.NopCloser(bytes.NewReader(data))
+	return result
 }
 
 func ownerUnreachable() *wire.Result {
--- a/owner/service.go
+++ b/owner/service.go
@@ -21,10 +21,12 @@
 	// retryTimeouts may be changed by tests before the first call.
 	retryTimeouts retryTimeouts
 
-	mu              sync.Mutex
-	ledger          *claims.Ledger
-	table           *claims.Table
-	executions      map[claims.ID]*execution
+	mu         sync.Mutex
+	ledger     *claims.Ledger
+	table      *claims.Table
+	executions map[claims.ID]*execution
+	// suspectedOwners holds, by incarnation, when an owner was found
+	// unreachable.
 	suspectedOwners map[uint64]time.Time
 	// checkpointed is when a checkpoint was last read from the log.
 	checkpointed time.Time
@@ -41,9 +43,11 @@
 	positioned   bool
 	fromOldest   bool
 	searchWindow recordlog.Offset
-	readCount    atomic.Uint64
-	lastRead     time.Time
-	caughtUp     atomic.Bool
+	// readCount counts the reads of the grants. caughtUp is set once a read has
+	// reached the end of the log.
+	readCount atomic.Uint64
+	lastRead  time.Time
+	caughtUp  atomic.Bool
 }
 
 // New returns a Service that owns no keys yet.
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -116,8 +116,8 @@
 	return wire.NoResponse(inProgressOutcome())
 }
 
-// response returns the result of a finished execution; replayed marks a retained
-// response as replayed.
+// response returns the result of a finished execution. replayed marks a
+// retained response as replayed.
 func (e *execution) response(replayed bool) *wire.Result {
 	switch {
 	case e.outcome.Kind != outcome.Answered:
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -39,8 +39,7 @@
 
 func prefixOf(f quarantine.Fingerprint) fingerprintPrefix { return fingerprintPrefix(f[:prefixBytes]) }
 
-// Opening returns the message that starts anti-entropy with another
-// daemon.
+// Opening returns the message that starts anti-entropy with another daemon.
 func (s *Store) Opening() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +88,8 @@
 	return nil, false
 }
 
-// handleDigest replies to a digest: with summaries, or that the tables are equal.
+// handleDigest replies with summaries, or with the message that the tables are
+// equal.
 func (s *Store) handleDigest(digest []byte, limit int) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,8 +141,9 @@
 	return records
 }
 
-// handleSummary returns the records that the sender of a summary lacks, and a
-// request for those that this daemon lacks.
+// handleSummary returns the records that the sender of a summary lacks or has
+// with another hash, and a request for those that this daemon lacks or has with
+// another hash.
 func (s *Store) handleSummary(body []byte, limit int) [][]byte {
 	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%summaryEntryBytes != 0 {
 		return nil
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -25,8 +25,10 @@
 	// MaxMessageBytes bounds the length of a message.
 	MaxMessageBytes int
 
-	mu      sync.Mutex
-	timer   gossip.AntiEntropyTimer
+	mu    sync.Mutex
+	timer gossip.AntiEntropyTimer
+	// version is the version of the table at the last Tick. A change resets
+	// timer.
 	version uint64
 	// lastPush is when records were last pushed. Zero means never.
 	lastPush model.Instant
@@ -56,8 +58,8 @@
 	return true
 }
 
-// push sends changed records to some daemons. If nothing has changed, the next push
-// need not wait.
+// push sends changed records to some daemons. If nothing has changed, the next
+// push need not wait for minPushInterval.
 func (g *Gossip) push() {
 	message, newCrash := g.Store.NextPush(g.MaxMessageBytes)
 	if message == nil {
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -41,10 +41,13 @@
 	// need not compute fingerprints while it holds none.
 	nonEmpty atomic.Bool
 
-	mu            sync.Mutex
-	table         *quarantine.Table
+	mu    sync.Mutex
+	table *quarantine.Table
+	// loggedRefused holds the requests that were refused when logChanges last
+	// ran.
 	loggedRefused map[quarantine.Fingerprint]bool
-	deltaStart    int
+	// deltaStart is the index of the record at which the next Delta starts.
+	deltaStart int
 	// cachedChecksum is the checksum of the table at version checksumVersion.
 	cachedChecksum  uint64
 	checksumVersion uint64
