--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -142,8 +142,8 @@
 		}
 		setSplit(true)
 		time.Sleep(5 * time.Minute)
-		// For each side half of the upstreams are dead. That is not more than
-		// half, so they are excluded.
+		// On each side half of the upstreams are dead. Dead upstreams are
+		// excluded unless they are more than half of the service.
 		require.Equal(t, 40*20, f.countEligible(f.nodes, "s"))
 		half[0].announce(member.Left, 0)
 		setSplit(false)
--- a/owner/ledger.go
+++ b/owner/ledger.go
@@ -51,6 +51,7 @@
 	s.readToEnd(ctx)
 }
 
+// lockReads acquires readLock. It returns false if the context ends first.
 func (s *Service) lockReads(ctx context.Context) bool {
 	select {
 	case s.readLock <- struct{}{}:
