--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -16,56 +16,62 @@
 var _ peer.Topic = (*Store)(nil)
 
 const (
-	// freshFor is how long a report is handed on after it was heard.
-	freshFor = 5 * time.Second
-	// reportBytes is the length of a report: key, daemon, demand, stamp.
+	// relayPeriod is how long a report is relayed after it was received.
+	relayPeriod = 5 * time.Second
+	// reportBytes is the encoded length of a report: key, daemon, demand and
+	// timestamp.
 	reportBytes = 8 + 8 + 4 + 8
-	// scatter is an odd number that spreads successive multiples evenly.
-	scatter = 0x9E3779B97F4A7C15
+	// goldenRatio is 2^64 divided by the golden ratio, rounded to an odd
+	// number. Its successive multiples are spread evenly (Fibonacci hashing).
+	goldenRatio = 0x9E3779B97F4A7C15
 )
 
-// errTorn tells that a delta does not hold whole reports.
-var errTorn = errors.New("ceiling: delta does not hold whole reports")
+// errPartialReport is returned for a delta whose length is no multiple of the
+// length of a report.
+var errPartialReport = errors.New("ceiling: length of delta is not a multiple of the report length")
 
 // Name implements peer.Topic.
 func (*Store) Name() string { return "ceiling" }
 
-// Digest implements peer.Topic. It is empty while there is nothing to hand on.
+// Digest implements peer.Topic. It returns nil while there is no recent report
+// to relay.
 func (s *Store) Digest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.fresh) == 0 {
+	if len(s.recent) == 0 {
 		return nil
 	}
 	var sum uint64
-	for _, r := range s.fresh {
+	for _, r := range s.recent {
 		sum ^= (r.Key ^ uint64(r.Daemon)) * (2*r.Stamp + 1)
 	}
 	return binary.BigEndian.AppendUint64(nil, sum)
 }
 
-// Delta implements peer.Topic. It returns fresh reports; those that do not fit
-// take turns in later rounds.
+// Delta implements peer.Topic. It returns recent reports. When they do not all
+// fit into the limit, each call starts at another report, so that all are
+// relayed over several rounds.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reports := make([]freshReport, 0, len(s.fresh))
-	for _, r := range s.fresh {
+	reports := make([]recentReport, 0, len(s.recent))
+	for _, r := range s.recent {
 		reports = append(reports, r)
 	}
-	slices.SortFunc(reports, func(a, b freshReport) int {
+	slices.SortFunc(reports, func(a, b recentReport) int {
 		return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Daemon, b.Daemon))
 	})
 	n := min(len(reports), limit/reportBytes)
 	if n == 0 {
 		return nil
 	}
-	// A scattered start keeps the turns from falling in step with the peers.
-	s.turn++
-	start := int((s.turn * scatter) >> 33 % uint64(len(reports)))
+	// The start is spread evenly instead of moving by one report a call, so
+	// that it does not synchronize with the peers' calls.
+	s.deltas++
+	start := int((s.deltas * goldenRatio) >> 33 % uint64(len(reports)))
 	out := make([]byte, 0, n*reportBytes)
 	for i := range n {
 		out = appendReport(out, reports[(start+i)%len(reports)].Report)
@@ -73,12 +79,12 @@
 	return out
 }
 
-// Apply implements peer.Topic. Reports on ceilings that are not in force here
-// are not kept.
+// Apply implements peer.Topic. It ignores reports on ceilings that are not in
+// force at this daemon.
 func (s *Store) Apply(delta []byte) error {
 	if len(delta)%reportBytes != 0 {
-		s.unread.Inc(1)
-		return errTorn
+		s.unreadable.Inc(1)
+		return errPartialReport
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +93,7 @@
 		r := readReport(b)
 		c := s.byHash[r.Key]
 		if c != nil && c.Merge(now, r) {
-			s.fresh[reportKey{r.Key, r.Daemon}] = freshReport{Report: r, since: now}
+			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, since: now}
 		}
 	}
 	return nil
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -22,44 +22,45 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// fleet is a number of daemons with nothing but their configuration.
+// fleet is a number of daemons reduced to their configuration store and
+// exchanger.
 type fleet struct {
-	t      testing.TB
-	ctx    context.Context
-	memory *recordlog.Memory
-	log    *recordlog.FaultyLog
-	net    *controltest.Network
-	peers  []peer.Peer
-	nodes  []*node
-	reads  atomic.Int64
-	writes atomic.Int64
+	t       testing.TB
+	ctx     context.Context
+	memory  *recordlog.Memory
+	log     *recordlog.FaultyLog
+	network *controltest.Network
+	peers   []peer.Peer
+	nodes   []*node
+	reads   atomic.Int64
+	appends atomic.Int64
 
 	mu sync.Mutex
-	// forced says when each node put each version in force.
-	forced map[model.Version]map[model.DaemonID]time.Time
-	// chains says which change each version was made by, at any node.
+	// inForceAt is when each node first put each version in force.
+	inForceAt map[model.Version]map[model.DaemonID]time.Time
+	// chains is the hash chain of each version, the same at all nodes.
 	chains map[model.Version]string
 }
 
 type node struct {
 	peer.Peer
-	store  *configuration.Store
-	link   *controltest.Link
-	cancel context.CancelFunc
-	lives  uint64
+	store       *configuration.Store
+	logConn     *controltest.LogConnection
+	cancel      context.CancelFunc
+	incarnation uint64
 }
 
 const zones = 5
 
 func startFleet(t testing.TB, ctx context.Context, size int) *fleet {
-	f := &fleet{t: t, ctx: ctx, memory: &recordlog.Memory{}, net: controltest.NewNetwork(500 * time.Microsecond),
-		forced: map[model.Version]map[model.DaemonID]time.Time{}, chains: map[model.Version]string{}}
+	f := &fleet{t: t, ctx: ctx, memory: &recordlog.Memory{}, network: controltest.NewNetwork(500 * time.Microsecond),
+		inForceAt: map[model.Version]map[model.DaemonID]time.Time{}, chains: map[model.Version]string{}}
 	f.log = recordlog.NewFaultyLog(f.memory)
 	for i := range size {
 		f.peers = append(f.peers, peer.Peer{ID: model.DaemonID(fmt.Sprint("d", i)), Zone: zone(i % zones)})
 	}
 	for _, p := range f.peers {
-		n := &node{Peer: p, link: &controltest.Link{Log: f.log, Reads: &f.reads, Appends: &f.writes}}
+		n := &node{Peer: p, logConn: &controltest.LogConnection{Log: f.log, Reads: &f.reads, Appends: &f.appends}}
 		f.nodes = append(f.nodes, n)
 		f.start(n)
 	}
@@ -68,73 +69,76 @@
 
 func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("z", i)) }
 
-// start begins a life of a node, which knows nothing.
+// start starts a node without any state, also after a stop.
 func (f *fleet) start(n *node) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	n.lives++
-	seed := n.lives<<32 | uint64(slices.Index(f.peers, n.Peer))
-	var x *peer.Exchanger
+	n.incarnation++
+	seed := n.incarnation<<32 | uint64(slices.Index(f.peers, n.Peer))
+	var exchanger *peer.Exchanger
 	n.cancel = cancel
 	store := configuration.NewStore(configuration.Options{
-		Log:  n.link,
+		Log:  n.logConn,
 		Seed: seed,
 		IsLogReader: func() bool {
-			return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, f.peers)
+			return time.Since(exchanger.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, f.peers)
 		},
-		OnUpdate:           func() { x.TriggerRound() },
+		OnUpdate:           func() { exchanger.TriggerRound() },
 		CheckpointInterval: time.Minute,
 	})
-	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: f.net.From(n.ID),
+	exchanger = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: f.network.Endpoint(n.ID),
 		Peers: func() []peer.Peer { return f.peers }})
-	x.Register(store.Topic())
+	exchanger.Register(store.Topic())
 	n.store = store
 	var last model.Version
 	store.OnChange(func(c *configuration.InForce) {
-		st := store.Status()
+		status := store.Status()
 		if c.Version <= last {
 			f.t.Errorf("%s went back from version %d to %d", n.ID, last, c.Version)
 		}
 		last = c.Version
-		f.note(n.ID, c.Version, st)
+		f.recordInForce(n.ID, c.Version, status)
 	})
-	f.net.Attach(n.Peer, &peer.Service{Exchanger: x})
+	f.network.Attach(n.Peer, &peer.Service{Exchanger: exchanger})
 	go func() { _ = store.Serve(ctx) }()
-	go func() { _ = x.Serve(ctx) }()
+	go func() { _ = exchanger.Serve(ctx) }()
 }
 
-func (f *fleet) note(id model.DaemonID, v model.Version, st configuration.Status) {
+func (f *fleet) recordInForce(id model.DaemonID, v model.Version, status configuration.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.forced[v] == nil {
-		f.forced[v] = map[model.DaemonID]time.Time{}
+	if f.inForceAt[v] == nil {
+		f.inForceAt[v] = map[model.DaemonID]time.Time{}
 	}
-	if _, ok := f.forced[v][id]; !ok {
-		f.forced[v][id] = time.Now()
+	if _, ok := f.inForceAt[v][id]; !ok {
+		f.inForceAt[v][id] = time.Now()
 	}
-	if st.Version != v {
+	if status.Version != v {
 		return
 	}
-	if f.chains[v] != "" && f.chains[v] != st.Chain {
+	if f.chains[v] != "" && f.chains[v] != status.Chain {
 		f.t.Errorf("two changes were accepted as version %d", v)
 	}
-	f.chains[v] = st.Chain
+	f.chains[v] = status.Chain
 }
 
 func (f *fleet) kill(n *node) {
 	n.cancel()
-	f.net.Attach(n.Peer, nil)
+	f.network.Attach(n.Peer, nil)
 }
 
-// cutZone cuts a zone off from the others and from the log.
-func (f *fleet) cutZone(z model.AvailabilityZone, cut bool) {
-	f.net.Cut(z, cut)
-	f.cutLog(z, cut)
+// partitionZone separates a zone from the other zones and from the log, or
+// reconnects it.
+func (f *fleet) partitionZone(z model.AvailabilityZone, partitioned bool) {
+	f.network.SetPartitioned(z, partitioned)
+	f.disconnectLog(z, partitioned)
 }
 
-func (f *fleet) cutLog(z model.AvailabilityZone, cut bool) {
+// disconnectLog disconnects the nodes of a zone from the log, or reconnects
+// them.
+func (f *fleet) disconnectLog(z model.AvailabilityZone, disconnected bool) {
 	for _, n := range f.nodes {
 		if n.Zone == z {
-			n.link.Cut(cut)
+			n.logConn.SetDisconnected(disconnected)
 		}
 	}
 }
@@ -154,20 +158,21 @@
 		{Kind: policy.KindService, Name: name, Spec: json.RawMessage(`{"deadline":"2s"}`)}}}
 }
 
-// lag returns how long after start each node put a version in force, sorted.
-// Nodes that have not are left out.
-func (f *fleet) lag(v model.Version, start time.Time) []time.Duration {
+// delays returns, sorted, how long after start each node put a version in
+// force. It omits nodes that have not done so.
+func (f *fleet) delays(v model.Version, start time.Time) []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []time.Duration
-	for _, at := range f.forced[v] {
+	for _, at := range f.inForceAt[v] {
 		out = append(out, at.Sub(start))
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (f *fleet) at(v model.Version) int {
+// countInForce returns the number of nodes at which a version is in force.
+func (f *fleet) countInForce(v model.Version) int {
 	count := 0
 	for _, n := range f.nodes {
 		if c := n.store.Current(); c != nil && c.Version == v {
@@ -177,8 +182,8 @@
 	return count
 }
 
-func percentile(d []time.Duration, p float64) time.Duration {
-	return d[min(len(d)-1, int(float64(len(d))*p))]
+func percentile(sorted []time.Duration, p float64) time.Duration {
+	return sorted[min(len(sorted)-1, int(float64(len(sorted))*p))]
 }
 
-func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -9,9 +9,9 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Serve follows the log until the context ends.
+// Serve reads the log repeatedly until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
-	// Daemons that start together do not read together.
+	// The random delay keeps daemons that start together from reading together.
 	timer := time.NewTimer(time.Duration(s.rng.Int64N(int64(s.opts.Interval))))
 	defer timer.Stop()
 	for {
@@ -21,158 +21,166 @@
 		case <-timer.C:
 		}
 		s.Poll(ctx)
-		timer.Reset(s.wait())
+		timer.Reset(s.nextDelay())
 	}
 }
 
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "configuration" }
 
-// Poll reads the log to its end once, and appends a checkpoint when one is due.
+// Poll reads the log once to its end. A log reader then appends a checkpoint if
+// one is due.
 func (s *Store) Poll(ctx context.Context) {
-	err := s.follow(ctx)
+	err := s.readToEnd(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	s.recordRead(err)
+	s.recordReadResult(err)
 	if err == nil && s.opts.IsLogReader() {
 		s.checkpoint(ctx)
 	}
 }
 
-// maxReaderPause bounds the wait of a reader while the log is down.
-const maxReaderPause = 2 * time.Second
+// maxReaderBackoff bounds the time between two reads of a log reader while the
+// log fails.
+const maxReaderBackoff = 2 * time.Second
 
-// wait returns the time to the next read, spread by up to a quarter.
-func (s *Store) wait() time.Duration {
+// nextDelay returns the time until the next read: with exponential backoff
+// after a failed read, otherwise an interval shortened at random by up to a
+// quarter.
+func (s *Store) nextDelay() time.Duration {
 	s.mu.Lock()
-	sure, failing := s.status.Sure, s.status.LogProblem != ""
+	caughtUp, failing := s.status.CaughtUp, s.status.LogError != ""
 	s.mu.Unlock()
-	reads := s.opts.IsLogReader()
+	isReader := s.opts.IsLogReader()
 	if failing {
-		s.pause.Min, s.pause.Max = s.opts.Interval, s.opts.IdleInterval
-		if reads {
-			s.pause.Max = maxReaderPause
+		s.backoff.Min, s.backoff.Max = s.opts.Interval, s.opts.IdleInterval
+		if isReader {
+			s.backoff.Max = maxReaderBackoff
 		}
-		return s.pause.Next(s.rng)
+		return s.backoff.Next(s.rng)
 	}
-	s.pause.Reset()
-	d := s.opts.Interval
-	if sure && !reads {
-		d = s.opts.IdleInterval
+	s.backoff.Reset()
+	delay := s.opts.Interval
+	if caughtUp && !isReader {
+		delay = s.opts.IdleInterval
 	}
-	return d - time.Duration(s.rng.Int64N(int64(d)/4+1))
+	return delay - time.Duration(s.rng.Int64N(int64(delay)/4+1))
 }
 
-func (s *Store) recordRead(err error) {
+func (s *Store) recordReadResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		s.metrics.readsFailed.Inc(1)
-		if s.status.LogProblem == "" {
+		if s.status.LogError == "" {
 			s.opts.Logger.Warn("config stream cannot be read", "error", err)
 		}
-		s.status.LogProblem = err.Error()
+		s.status.LogError = err.Error()
 		return
 	}
 	s.metrics.reads.Inc(1)
-	if s.status.LogProblem != "" {
+	if s.status.LogError != "" {
 		s.opts.Logger.Info("config stream can be read again")
 	}
-	s.status.LogProblem = ""
+	s.status.LogError = ""
 	s.status.LogRead = time.Now()
-	s.status.Sure = true
+	s.status.CaughtUp = true
 }
 
-// errWentBack tells that the log holds fewer records than were folded: it has
-// lost some, or is another log.
-var errWentBack = errors.New("the log ends before what has been folded")
+// errLogTruncated is returned when the log ends before the records that have
+// been applied: it has lost records, or it is another log.
+var errLogTruncated = errors.New("the log ends before the records that have been applied")
 
-// errGap tells that records were dropped that had not been folded, and that no
-// checkpoint on the log covers them.
-var errGap = errors.New("the log no longer holds what comes next, and no checkpoint that covers it")
+// errMissingRecords is returned when the log has dropped records that have not
+// been applied, and has no checkpoint that covers them.
+var errMissingRecords = errors.New("the log no longer keeps the next records, and has no checkpoint that covers them")
 
-// follow folds all records up to the end of the log.
-func (s *Store) follow(ctx context.Context) error {
+// readToEnd applies all records up to the end of the log.
+func (s *Store) readToEnd(ctx context.Context) error {
 	for {
-		from := s.next()
-		batch, err := s.read(ctx, from)
+		from := s.nextOffset()
+		batch, err := s.readBatch(ctx, from)
 		var trimmed *recordlog.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
-			if err := s.recover(ctx, trimmed.Oldest); err != nil {
+			if err := s.recoverFromCheckpoint(ctx, trimmed.Oldest); err != nil {
 				return err
 			}
 			continue
 		case err != nil:
 			return err
 		case uint64(batch.Next) < from:
-			return errWentBack
+			return errLogTruncated
 		}
-		s.foldBatch(batch)
-		if s.next() >= uint64(batch.Next) {
+		s.applyBatch(batch)
+		if s.nextOffset() >= uint64(batch.Next) {
 			return nil
 		}
 	}
 }
 
-func (s *Store) read(ctx context.Context, from uint64) (recordlog.Batch, error) {
+func (s *Store) readBatch(ctx context.Context, from uint64) (recordlog.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return s.opts.Log.Read(ctx, recordlog.StreamConfig, recordlog.Offset(from), readLimit)
 }
 
-func (s *Store) next() uint64 {
+func (s *Store) nextOffset() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.folder.Next()
+	return s.machine.Next()
 }
 
-// recover looks through a trimmed log for a checkpoint to fold on from. When
-// there is none, peers may still know.
-func (s *Store) recover(ctx context.Context, oldest recordlog.Offset) error {
+// recoverFromCheckpoint searches a log that has dropped the next record for a
+// checkpoint that covers the dropped records, and restores it. If there is
+// none, it returns errMissingRecords, and only peers can send the missing
+// records.
+func (s *Store) recoverFromCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
-		batch, err := s.read(ctx, uint64(from))
+		batch, err := s.readBatch(ctx, uint64(from))
 		if err != nil {
 			return err
 		}
 		for _, r := range batch.Records {
-			if s.adopt(r, oldest) {
+			if s.adoptCheckpoint(r, oldest) {
 				s.putInForce()
 				return nil
 			}
 			from = r.Offset + 1
 		}
 		if from >= batch.Next {
-			return errGap
+			return errMissingRecords
 		}
 	}
 }
 
-func (s *Store) adopt(r recordlog.Record, oldest recordlog.Offset) bool {
+// adoptCheckpoint restores the state from a record if it is a checkpoint that
+// covers the dropped records. It reports whether the search is over.
+func (s *Store) adoptCheckpoint(r recordlog.Record, oldest recordlog.Offset) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.folder.NeedsCheckpoint(uint64(oldest)) {
-		return true // a peer was faster
+	if !s.machine.NeedsCheckpoint(uint64(oldest)) {
+		return true // a peer has sent the records meanwhile
 	}
-	if !s.folder.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
+	if !s.machine.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 		return false
 	}
-	s.metrics.recovered.Inc(1)
+	s.metrics.checkpointsAdopted.Inc(1)
 	return true
 }
 
-func (s *Store) foldBatch(batch recordlog.Batch) {
-	before := s.next()
+func (s *Store) applyBatch(batch recordlog.Batch) {
+	before := s.nextOffset()
 	s.mu.Lock()
 	for _, r := range batch.Records {
-		res := s.folder.ApplyRecord(uint64(r.Offset), r.Data)
-		s.count(res)
+		result := s.machine.ApplyRecord(uint64(r.Offset), r.Data)
+		s.recordDecision(result)
 		if config.IsCheckpoint(r.Data) {
-			s.seenCheckpoint(uint64(r.Offset))
+			s.scheduleCheckpoint(uint64(r.Offset))
 		}
 	}
-	changed := s.folder.Next() != before
+	changed := s.machine.Next() != before
 	s.mu.Unlock()
 	if changed {
 		s.putInForce()
@@ -180,30 +188,31 @@
 	}
 }
 
-func (s *Store) count(res config.Result) {
-	s.metrics.verdicts[res.Decision].Inc(1)
-	if res.Decision == config.Invalid {
-		s.opts.Logger.Warn("invalid change on the log", "change", res.Change.ID, "author", res.Change.Author, "error", res.Problem)
+func (s *Store) recordDecision(result config.Result) {
+	s.metrics.decisions[result.Decision].Inc(1)
+	if result.Decision == config.Invalid {
+		s.opts.Logger.Warn("invalid change on the log", "change", result.Change.ID, "author", result.Change.Author, "error", result.Problem)
 	}
 }
 
-// seenCheckpoint draws anew when a checkpoint is due. s.mu is held.
-func (s *Store) seenCheckpoint(offset uint64) {
-	every := s.opts.CheckpointInterval
-	s.checkpointNext = offset
-	s.checkpointDue = time.Now().Add(every/2 + time.Duration(s.rng.Int64N(int64(every/2)+1)))
+// scheduleCheckpoint notes the offset of a checkpoint on the log and draws at
+// random when this daemon appends the next one. s.mu is held.
+func (s *Store) scheduleCheckpoint(offset uint64) {
+	interval := s.opts.CheckpointInterval
+	s.lastCheckpoint = offset
+	s.checkpointDue = time.Now().Add(interval/2 + time.Duration(s.rng.Int64N(int64(interval/2)+1)))
 }
 
-// checkpoint appends the state when the log has had no checkpoint for long. The
-// reader that drew the earliest time comes first; the others see its checkpoint
-// and do not append theirs.
+// checkpoint appends the state as a checkpoint if the log has had none for a
+// long time or for many records. The log reader with the earliest time appends
+// it; the others read that checkpoint and do not append their own.
 func (s *Store) checkpoint(ctx context.Context) {
 	s.mu.Lock()
-	state := s.folder.State()
+	state := s.machine.State()
 	due := time.Now().After(s.checkpointDue)
-	behind := state.Next - min(state.Next, s.checkpointNext)
+	recordsSince := state.Next - min(state.Next, s.lastCheckpoint)
 	s.mu.Unlock()
-	if state.Version == 0 || !due && behind < checkpointRecords {
+	if state.Version == 0 || !due && recordsSince < checkpointRecords {
 		return
 	}
 	record, err := state.Checkpoint()
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -19,8 +19,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// inFleet runs a test with a fleet in virtual time.
-func inFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
+// runWithFleet runs a test on a fleet in virtual time.
+func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := startFleet(t, ctx, size)
@@ -31,25 +31,25 @@
 	})
 }
 
-func TestAcceptedIsInForceEverywhereInTime(t *testing.T) {
+func TestAcceptedChangeIsInForceEverywhereInTime(t *testing.T) {
 	const size = 60
 	for name, c := range map[string]struct {
-		fault  func(f *fleet)
-		reach  int
-		within time.Duration
+		fault   func(f *fleet)
+		daemons int
+		within  time.Duration
 	}{
-		"healthy":               {func(*fleet) {}, size, time.Second},
-		"log slow":              {func(f *fleet) { f.log.SetFaults(recordlog.Faults{Latency: time.Second}) }, size, 3 * time.Second},
-		"zone cut off from log": {func(f *fleet) { f.cutLog(zone(1), true) }, size, 3 * time.Second},
-		"zone cut off":          {func(f *fleet) { f.cutZone(zone(1), true) }, size * 4 / 5, 3 * time.Second},
-		"all but one zone cut off from log": {func(f *fleet) {
+		"healthy":                    {func(*fleet) {}, size, time.Second},
+		"log slow":                   {func(f *fleet) { f.log.SetFaults(recordlog.Faults{Latency: time.Second}) }, size, 3 * time.Second},
+		"zone disconnected from log": {func(f *fleet) { f.disconnectLog(zone(1), true) }, size, 3 * time.Second},
+		"zone partitioned":           {func(f *fleet) { f.partitionZone(zone(1), true) }, size * 4 / 5, 3 * time.Second},
+		"all but one zone disconnected from log": {func(f *fleet) {
 			for i := range zones - 1 {
-				f.cutLog(zone(i), true)
+				f.disconnectLog(zone(i), true)
 			}
 		}, size, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, size, func(t *testing.T, f *fleet) {
+			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				f.publish("first")
 				time.Sleep(20 * time.Second)
 				c.fault(f)
@@ -58,48 +58,48 @@
 				accepted := time.Now()
 				time.Sleep(c.within)
 				synctest.Wait()
-				require.Equal(t, c.reach, f.at(res.Version))
-				require.LessOrEqual(t, percentile(f.lag(res.Version, accepted), 1), c.within)
+				require.Equal(t, c.daemons, f.countInForce(res.Version))
+				require.LessOrEqual(t, percentile(f.delays(res.Version, accepted), 1), c.within)
 			})
 		})
 	}
 }
 
-func TestLogThatFailsRightAfterAChangeWasRead(t *testing.T) {
-	inFleet(t, 60, func(t *testing.T, f *fleet) {
+func TestPeersSpreadChangeWhenLogFailsAfterFirstRead(t *testing.T) {
+	runWithFleet(t, 60, func(t *testing.T, f *fleet) {
 		f.publish("first")
 		time.Sleep(20 * time.Second)
 		res := f.publish("second")
-		for f.at(res.Version) == 0 {
+		for f.countInForce(res.Version) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		f.log.SetFaults(recordlog.Faults{Down: true})
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 60, f.at(res.Version), "one daemon had read it; it handed it on")
+		require.Equal(t, 60, f.countInForce(res.Version), "the daemon that had read the change relayed it")
 	})
 }
 
-func TestCutZoneServesOnAndFollowsWhenItIsBack(t *testing.T) {
-	inFleet(t, 50, func(t *testing.T, f *fleet) {
+func TestPartitionedZoneKeepsServingAndCatchesUp(t *testing.T) {
+	runWithFleet(t, 50, func(t *testing.T, f *fleet) {
 		f.publish("first")
 		time.Sleep(20 * time.Second)
-		f.cutZone(zone(2), true)
+		f.partitionZone(zone(2), true)
 		time.Sleep(time.Minute)
 		res := f.publish("second")
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, 40, f.at(res.Version))
-		require.Equal(t, 10, f.at(1), "the cut zone serves what it has")
-		f.cutZone(zone(2), false)
+		require.Equal(t, 40, f.countInForce(res.Version))
+		require.Equal(t, 10, f.countInForce(1), "the partitioned zone keeps serving its version")
+		f.partitionZone(zone(2), false)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 50, f.at(res.Version))
+		require.Equal(t, 50, f.countInForce(res.Version))
 	})
 }
 
-func TestBootDuringAnOutageServesWhatPeersGiveAndIsNotSure(t *testing.T) {
-	inFleet(t, 20, func(t *testing.T, f *fleet) {
+func TestStartDuringLogOutageServesPeersVersionButIsNotCaughtUp(t *testing.T) {
+	runWithFleet(t, 20, func(t *testing.T, f *fleet) {
 		for i := range 70 {
 			f.publish(fmt.Sprint("s", i))
 		}
@@ -110,54 +110,56 @@
 		f.start(n)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		st := n.store.Status()
+		status := n.store.Status()
 		require.EqualValues(t, 70, n.store.Current().Version)
-		require.False(t, st.Sure)
-		require.NotEmpty(t, st.LogProblem)
+		require.False(t, status.CaughtUp)
+		require.NotEmpty(t, status.LogError)
 		f.log.SetFaults(recordlog.Faults{})
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
-		require.True(t, n.store.Status().Sure)
-		require.Empty(t, n.store.Status().LogProblem)
+		require.True(t, n.store.Status().CaughtUp)
+		require.Empty(t, n.store.Status().LogError)
 	})
 }
 
-func TestTrimmedLogWithoutACoveringCheckpointIsLeftToPeers(t *testing.T) {
-	inFleet(t, 6, func(t *testing.T, f *fleet) {
+func TestTrimmedLogWithoutCoveringCheckpointRecoversFromPeers(t *testing.T) {
+	runWithFleet(t, 6, func(t *testing.T, f *fleet) {
 		f.publish("first")
 		time.Sleep(10 * time.Second)
-		late, err := f.nodes[0].store.State().Checkpoint()
+		staleCheckpoint, err := f.nodes[0].store.State().Checkpoint()
 		require.NoError(t, err)
 		f.publish("second")
 		time.Sleep(10 * time.Second)
 		f.memory.Trim(recordlog.StreamConfig, 2)
-		// A writer that had paused appends what it had taken long before.
-		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{late})
+		// A daemon that was paused appends a checkpoint that it encoded long
+		// before.
+		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{staleCheckpoint})
 		require.NoError(t, err)
 
 		fresh := configuration.NewStore(configuration.Options{Log: f.log, IsLogReader: func() bool { return false }})
 		fresh.Poll(t.Context())
-		require.Nil(t, fresh.Current(), "the late checkpoint must not be taken for the newest")
-		require.False(t, fresh.Status().Sure)
-		topic, from := fresh.Topic(), f.nodes[0].store.Topic()
-		require.NoError(t, topic.Apply(from.Delta(topic.Digest(), 1<<20)))
+		require.Nil(t, fresh.Current(), "a checkpoint that does not cover the dropped records must not be restored")
+		require.False(t, fresh.Status().CaughtUp)
+		topic, peerTopic := fresh.Topic(), f.nodes[0].store.Topic()
+		require.NoError(t, topic.Apply(peerTopic.Delta(topic.Digest(), 1<<20)))
 		require.EqualValues(t, 2, fresh.Current().Version)
 		fresh.Poll(t.Context())
-		require.True(t, fresh.Status().Sure)
+		require.True(t, fresh.Status().CaughtUp)
 
-		// With a checkpoint that covers the gap a fresh daemon needs no peer.
+		// A new daemon needs no peer once the log has a checkpoint that covers
+		// the dropped records.
 		time.Sleep(2 * time.Minute)
-		alone := configuration.NewStore(configuration.Options{Log: f.log})
-		alone.Poll(t.Context())
-		require.EqualValues(t, 2, alone.Current().Version)
+		withoutPeers := configuration.NewStore(configuration.Options{Log: f.log})
+		withoutPeers.Poll(t.Context())
+		require.EqualValues(t, 2, withoutPeers.Current().Version)
 	})
 }
 
-func TestLogThatLostRecordsIsNotFollowed(t *testing.T) {
+func TestLogThatLostRecordsIsNotApplied(t *testing.T) {
 	ctx := t.Context()
 	_, err := operator.Propose(ctx, &recordlog.Memory{}, proposal("x"))
 	require.NoError(t, err)
-	log := &swappedLog{Log: &recordlog.Memory{}}
+	log := &replaceableLog{Log: &recordlog.Memory{}}
 	for i := range 2 {
 		_, err = operator.Propose(ctx, log, proposal(fmt.Sprint("s", i)))
 		require.NoError(t, err)
@@ -170,21 +172,22 @@
 	require.NoError(t, err)
 	s.Poll(ctx)
 	require.EqualValues(t, 2, s.Current().Version)
-	require.Contains(t, s.Status().LogProblem, "ends before")
+	require.Contains(t, s.Status().LogError, "ends before")
 }
 
-type swappedLog struct{ recordlog.Log }
+// replaceableLog is a Log that a test can replace by another one.
+type replaceableLog struct{ recordlog.Log }
 
-func TestTwoOperatorsAtOnceGetTheTruth(t *testing.T) {
+func TestConcurrentProposalsReportTheWinner(t *testing.T) {
 	for name, faults := range map[string]recordlog.Faults{
-		"healthy":               {Latency: 5 * time.Millisecond},
-		"replies lost":          {Latency: 5 * time.Millisecond, LoseReplies: 2},
-		"taken twice":           {Latency: 5 * time.Millisecond, Duplicate: 2},
-		"lost and taken twice":  {Latency: 5 * time.Millisecond, LoseReplies: 2, Duplicate: 2},
-		"slow and replies lost": {Latency: time.Second, LoseReplies: 2},
+		"healthy":                           {Latency: 5 * time.Millisecond},
+		"responses lost":                    {Latency: 5 * time.Millisecond, LoseReplies: 2},
+		"appended twice":                    {Latency: 5 * time.Millisecond, Duplicate: 2},
+		"responses lost and appended twice": {Latency: 5 * time.Millisecond, LoseReplies: 2, Duplicate: 2},
+		"slow and responses lost":           {Latency: time.Second, LoseReplies: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 10, func(t *testing.T, f *fleet) {
+			runWithFleet(t, 10, func(t *testing.T, f *fleet) {
 				f.publish("first")
 				f.log.SetFaults(faults)
 				ctx, cancel := context.WithTimeout(f.ctx, time.Minute)
@@ -196,52 +199,52 @@
 					wg.Go(func() { results[i], errs[i] = operator.Propose(ctx, f.log, proposal(fmt.Sprint("race-", i))) })
 				}
 				wg.Wait()
-				won, lost := 0, 1
+				winner, loser := 0, 1
 				if errs[0] != nil {
-					won, lost = 1, 0
+					winner, loser = 1, 0
 				}
-				require.NoError(t, errs[won])
-				require.Equal(t, config.Accepted, results[won].Verdict)
-				require.EqualValues(t, 2, results[won].Version)
-				var by *operator.SupersededError
-				require.ErrorAs(t, errs[lost], &by)
-				require.Equal(t, fmt.Sprint("op-race-", won), by.By)
-				require.Equal(t, results[won].ChangeID, by.ByChange)
-				require.Len(t, by.Changes, 1, "what it would still change")
+				require.NoError(t, errs[winner])
+				require.Equal(t, config.Accepted, results[winner].Verdict)
+				require.EqualValues(t, 2, results[winner].Version)
+				var superseded *operator.SupersededError
+				require.ErrorAs(t, errs[loser], &superseded)
+				require.Equal(t, fmt.Sprint("op-race-", winner), superseded.By)
+				require.Equal(t, results[winner].ChangeID, superseded.ByChange)
+				require.Len(t, superseded.Changes, 1, "the changes that the losing proposal would still make")
 				f.log.SetFaults(recordlog.Faults{})
 				time.Sleep(5 * time.Second)
 				synctest.Wait()
-				require.Equal(t, 10, f.at(2))
+				require.Equal(t, 10, f.countInForce(2))
 			})
 		})
 	}
 }
 
-// TestFaultsInPairsNeverBringAnOlderVersionBack draws faults, two at a time,
-// while operators publish and daemons restart.
-func TestFaultsInPairsNeverBringAnOlderVersionBack(t *testing.T) {
+// TestPairsOfFaultsNeverRestoreAnOlderVersion injects random pairs of faults
+// while operators publish changes and daemons restart.
+func TestPairsOfFaultsNeverRestoreAnOlderVersion(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inFleet(t, 30, func(t *testing.T, f *fleet) {
-				rng := seeded(seed)
-				var held []byte
-				var heldNext uint64
+			runWithFleet(t, 30, func(t *testing.T, f *fleet) {
+				rng := newRand(seed)
+				var staleCheckpoint []byte
+				var staleNext uint64
 				faults := []func(on bool){
 					func(on bool) { f.log.SetFaults(recordlog.Faults{Down: on}) },
 					func(on bool) { f.log.SetFaults(recordlog.Faults{LoseReplies: 3, Duplicate: 2}) },
-					func(on bool) { f.cutZone(zone(int(seed)%zones), on) },
-					func(on bool) { f.cutLog(zone(3), on) },
+					func(on bool) { f.partitionZone(zone(int(seed)%zones), on) },
+					func(on bool) { f.disconnectLog(zone(3), on) },
 					func(bool) { n := f.nodes[rng.IntN(30)]; f.kill(n); f.start(n) },
-					func(on bool) { f.net.Silence(f.nodes[4].ID, on) },
+					func(on bool) { f.network.SetUnresponsive(f.nodes[4].ID, on) },
 					func(on bool) {
 						if on {
-							s := f.nodes[0].store.State()
-							held, _ = s.Checkpoint()
-							heldNext = s.Next
+							state := f.nodes[0].store.State()
+							staleCheckpoint, _ = state.Checkpoint()
+							staleNext = state.Next
 							return
 						}
-						if heldNext > 0 {
-							_, _ = f.memory.Append(f.ctx, recordlog.StreamConfig, [][]byte{held})
+						if staleNext > 0 {
+							_, _ = f.memory.Append(f.ctx, recordlog.StreamConfig, [][]byte{staleCheckpoint})
 						}
 					},
 					func(on bool) {
@@ -254,17 +257,17 @@
 				time.Sleep(5 * time.Second)
 				var publishing sync.WaitGroup
 				for round := range 12 {
-					a, b := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
-					a(true)
-					b(true)
+					first, second := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
+					first(true)
+					second(true)
 					publishing.Go(func() {
 						ctx, cancel := context.WithTimeout(f.ctx, 8*time.Second)
 						defer cancel()
 						_, _ = operator.Propose(ctx, f.log, proposal(fmt.Sprint("s", seed, "-", round)))
 					})
 					time.Sleep(time.Duration(1+rng.IntN(10)) * time.Second)
-					a(false)
-					b(false)
+					first(false)
+					second(false)
 				}
 				publishing.Wait()
 				f.log.SetFaults(recordlog.Faults{})
@@ -273,11 +276,11 @@
 				want := f.nodes[0].store.Status()
 				require.Greater(t, want.Version, model.Version(3), "changes were accepted")
 				for _, n := range f.nodes {
-					st := n.store.Status()
-					require.Equal(t, want.Chain, st.Chain, "%s", n.ID)
-					require.False(t, st.Conflict)
+					status := n.store.Status()
+					require.Equal(t, want.Chain, status.Chain, "%s", n.ID)
+					require.False(t, status.Conflict)
 				}
-				require.Equal(t, 30, f.at(want.Version))
+				require.Equal(t, 30, f.countInForce(want.Version))
 			})
 		})
 	}
@@ -285,9 +288,9 @@
 
 func TestInvalidDocumentsAreNeverAccepted(t *testing.T) {
 	log := &recordlog.Memory{}
-	bad := config.Change{ID: "x", Put: map[config.DocumentKey]json.RawMessage{"Service/a": json.RawMessage(`{"kind":"Service","name":"a","spec":{"dead_line":"2s"}}`)}}
+	unknownField := config.Change{ID: "x", Put: map[config.DocumentKey]json.RawMessage{"Service/a": json.RawMessage(`{"kind":"Service","name":"a","spec":{"dead_line":"2s"}}`)}}
 	misnamed := config.Change{ID: "y", Put: map[config.DocumentKey]json.RawMessage{"Service/b": json.RawMessage(`{"kind":"Service","name":"a","spec":{}}`)}}
-	for _, c := range []config.Change{bad, misnamed} {
+	for _, c := range []config.Change{unknownField, misnamed} {
 		record, _, err := config.EncodeChange(c)
 		require.NoError(t, err)
 		_, err = log.Append(t.Context(), recordlog.StreamConfig, [][]byte{record})
@@ -303,9 +306,9 @@
 	require.Equal(t, config.Invalid, view.Entries()[1].Verdict)
 }
 
-// BenchmarkFold folds 10,000 changes over 77 services with the validation that
-// daemons use.
-func BenchmarkFold(b *testing.B) {
+// BenchmarkApplyRecords applies 10,000 changes over 77 services with the
+// validation that daemons use.
+func BenchmarkApplyRecords(b *testing.B) {
 	const changes, services = 10_000, 77
 	records := make([][]byte, changes)
 	for i := range records {
@@ -317,10 +320,10 @@
 		require.NoError(b, err)
 	}
 	for b.Loop() {
-		f := configuration.NewStateMachine()
+		machine := configuration.NewStateMachine()
 		for i, r := range records {
-			f.ApplyRecord(uint64(i), r)
+			machine.ApplyRecord(uint64(i), r)
 		}
-		require.EqualValues(b, changes, f.Version())
+		require.EqualValues(b, changes, machine.Version())
 	}
 }
--- a/controltest/log.go
+++ b/controltest/log.go
@@ -9,30 +9,33 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Link is the log as one daemon reaches it: it can be cut off from it, and
-// counts what it asks.
-type Link struct {
+// LogConnection is the connection of one daemon to the log. It can be
+// interrupted, and counts reads and appends.
+type LogConnection struct {
 	Log recordlog.Log
-	// Reads and Appends count the operations of all links that share them.
+	// Reads and Appends count the operations of all connections that share the
+	// counters.
 	Reads, Appends *atomic.Int64
 
-	mu  sync.Mutex
-	cut bool
+	mu           sync.Mutex
+	disconnected bool
 }
 
-// Cut cuts the daemon off from the log, or connects it again.
-func (l *Link) Cut(cut bool) {
+// SetDisconnected interrupts the connection to the log, or restores it.
+func (l *LogConnection) SetDisconnected(disconnected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
+	l.disconnected = disconnected
 }
 
-func (l *Link) reach(ctx context.Context) error {
+// waitReachable returns nil while the connection is up. While the connection is
+// interrupted, it fails after a timeout, as a request without a response does.
+func (l *LogConnection) waitReachable(ctx context.Context) error {
 	const timeout = 2 * time.Second
 	l.mu.Lock()
-	cut := l.cut
+	disconnected := l.disconnected
 	l.mu.Unlock()
-	if !cut {
+	if !disconnected {
 		return nil
 	}
 	if err := sleep(ctx, timeout); err != nil {
@@ -42,18 +45,18 @@
 }
 
 // Append implements recordlog.Log.
-func (l *Link) Append(ctx context.Context, stream string, records [][]byte) (recordlog.Offset, error) {
+func (l *LogConnection) Append(ctx context.Context, stream string, records [][]byte) (recordlog.Offset, error) {
 	l.Appends.Add(1)
-	if err := l.reach(ctx); err != nil {
+	if err := l.waitReachable(ctx); err != nil {
 		return 0, &recordlog.AppendError{Stream: stream, Uncertain: true, Err: err}
 	}
 	return l.Log.Append(ctx, stream, records)
 }
 
 // Read implements recordlog.Log.
-func (l *Link) Read(ctx context.Context, stream string, from recordlog.Offset, limit int) (recordlog.Batch, error) {
+func (l *LogConnection) Read(ctx context.Context, stream string, from recordlog.Offset, limit int) (recordlog.Batch, error) {
 	l.Reads.Add(1)
-	if err := l.reach(ctx); err != nil {
+	if err := l.waitReachable(ctx); err != nil {
 		return recordlog.Batch{}, err
 	}
 	return l.Log.Read(ctx, stream, from, limit)
--- a/controltest/norace_test.go
+++ b/controltest/norace_test.go
@@ -2,9 +2,10 @@
 
 package controltest_test
 
-// The numbers of daemons measured, and of samples of the time to force.
+// Fleet sizes in daemons, and the number of delays that TestTimeUntilInForce
+// samples for each case.
 const (
-	medium  = 100
-	largest = 300
-	samples = 1000
+	mediumFleet  = 100
+	largestFleet = 300
+	samples      = 1000
 )
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -22,24 +22,24 @@
 
 // fleet is a number of daemons, each with one upstream of service "s".
 type fleet struct {
-	ctx    context.Context
-	memory *recordlog.Memory
-	log    *recordlog.FaultyLog
-	net    *controltest.Network
-	nodes  []*node
-	reads  atomic.Int64
-	writes atomic.Int64
+	ctx     context.Context
+	memory  *recordlog.Memory
+	log     *recordlog.FaultyLog
+	network *controltest.Network
+	nodes   []*node
+	reads   atomic.Int64
+	appends atomic.Int64
 }
 
 type node struct {
 	peer.Peer
-	upstream model.Upstream
-	registry *membership.Registry
-	first    []peer.Peer
-	link     *controltest.Link
-	cancel   context.CancelFunc
-	lives    uint64
-	expired  atomic.Int32
+	upstream      model.Upstream
+	registry      *membership.Registry
+	bootstrap     []peer.Peer
+	logConn       *controltest.LogConnection
+	cancel        context.CancelFunc
+	incarnation   uint64
+	expiredLeases atomic.Int32
 }
 
 const zones = 5
@@ -47,7 +47,7 @@
 func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("z", i)) }
 
 func newFleet(ctx context.Context, size int) *fleet {
-	f := &fleet{ctx: ctx, memory: &recordlog.Memory{}, net: controltest.NewNetwork(500 * time.Microsecond)}
+	f := &fleet{ctx: ctx, memory: &recordlog.Memory{}, network: controltest.NewNetwork(500 * time.Microsecond)}
 	f.log = recordlog.NewFaultyLog(f.memory)
 	for i := range size {
 		f.add(fmt.Sprint("d", i), zone(i%zones))
@@ -57,45 +57,45 @@
 
 func (f *fleet) add(id string, z model.AvailabilityZone) *node {
 	n := &node{Peer: peer.Peer{ID: model.DaemonID(id), Zone: z},
-		link: &controltest.Link{Log: f.log, Reads: &f.reads, Appends: &f.writes}}
+		logConn: &controltest.LogConnection{Log: f.log, Reads: &f.reads, Appends: &f.appends}}
 	n.upstream = model.Upstream{ID: model.UpstreamID("u" + id), Service: "s", Zone: z, Daemon: n.ID, Slots: 6}
 	f.nodes = append(f.nodes, n)
 	return n
 }
 
-// start begins a life of a node, which knows nothing, and lets its upstream
-// announce itself.
+// start starts a node without any state, also after a stop, and announces its
+// upstream.
 func (f *fleet) start(n *node) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	n.lives++
+	n.incarnation++
 	n.cancel = cancel
-	seed := n.lives<<32 | uint64(len(n.ID))<<16 | uint64(n.ID[len(n.ID)-1])
+	seed := n.incarnation<<32 | uint64(len(n.ID))<<16 | uint64(n.ID[len(n.ID)-1])
 	for _, c := range n.ID {
 		seed = seed*31 + uint64(c)
 	}
-	var x *peer.Exchanger
-	end := f.net.From(n.ID)
-	var r *membership.Registry
-	r = membership.NewRegistry(membership.Options{
-		Self: n.ID, Zone: n.Zone, Log: n.link, Pinger: end, Seed: seed, MaxUpstreams: 1000,
+	var exchanger *peer.Exchanger
+	endpoint := f.network.Endpoint(n.ID)
+	var registry *membership.Registry
+	registry = membership.NewRegistry(membership.Options{
+		Self: n.ID, Zone: n.Zone, Log: n.logConn, Pinger: endpoint, Seed: seed, MaxUpstreams: 1000,
 		CheckpointInterval: time.Minute,
 		IsLogReader: func() bool {
-			return time.Since(x.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, r.Peers())
+			return time.Since(exchanger.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, registry.Peers())
 		},
-		OnUpdate:       func() { x.TriggerRound() },
-		OnLeaseExpired: func(model.UpstreamID) { n.expired.Add(1) },
+		OnUpdate:       func() { exchanger.TriggerRound() },
+		OnLeaseExpired: func(model.UpstreamID) { n.expiredLeases.Add(1) },
 	})
-	x = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: end, BootstrapPeers: n.first,
-		Peers: r.Peers, Unreachable: r.DeadPeers, OnResult: r.RecordExchange})
-	x.Register(r.Topic())
-	f.net.Attach(n.Peer, &peer.Service{Exchanger: x, Ping: r.HandlePing})
-	n.registry = r
-	go func() { _ = r.Serve(ctx) }()
-	go func() { _ = x.Serve(ctx) }()
+	exchanger = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: endpoint, BootstrapPeers: n.bootstrap,
+		Peers: registry.Peers, Unreachable: registry.DeadPeers, OnResult: registry.RecordExchange})
+	exchanger.Register(registry.Topic())
+	f.network.Attach(n.Peer, &peer.Service{Exchanger: exchanger, Ping: registry.HandlePing})
+	n.registry = registry
+	go func() { _ = registry.Serve(ctx) }()
+	go func() { _ = exchanger.Serve(ctx) }()
 	n.announce(member.Joined, 0)
 }
 
-// announce announces the upstream; joining begins a new incarnation.
+// announce announces the upstream in a state. Joining starts a new incarnation.
 func (n *node) announce(s member.State, lease time.Duration) {
 	if s == member.Joined {
 		n.upstream.Incarnation++
@@ -103,25 +103,26 @@
 	n.registry.Announce(member.Event{Upstream: n.upstream, State: s}, lease)
 }
 
-// renew announces the same incarnation again.
+// renew announces the same incarnation again, which renews its lease.
 func (n *node) renew(lease time.Duration) {
 	n.registry.Announce(member.Event{Upstream: n.upstream, State: member.Joined}, lease)
 }
 
 func (f *fleet) kill(n *node) {
 	n.cancel()
-	f.net.Attach(n.Peer, nil)
+	f.network.Attach(n.Peer, nil)
 }
 
-// inFleet starts a fleet in virtual time, lets it come together and runs a test.
-func inFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
+// runWithFleet starts a fleet in virtual time, waits until every node sees all
+// upstreams, and runs a test on it.
+func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := newFleet(ctx, size)
 		for _, n := range f.nodes {
 			f.start(n)
 		}
-		f.settle(t, 30*time.Second, "the fleet comes together", func() bool { return f.seen(f.nodes, "s") == size*size })
+		f.waitFor(t, 30*time.Second, "every node sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == size*size })
 		test(t, f)
 		cancel()
 		time.Sleep(10 * time.Second)
@@ -129,10 +130,11 @@
 	})
 }
 
-// seen counts the upstreams that can be chosen in the views of some nodes.
-func (f *fleet) seen(of []*node, s model.ServiceName) int {
+// countEligible sums up, over some nodes, the upstreams of a service that each
+// node sees and that are not draining.
+func (f *fleet) countEligible(nodes []*node, s model.ServiceName) int {
 	count := 0
-	for _, n := range of {
+	for _, n := range nodes {
 		ups, _ := n.registry.Upstreams(s)
 		for _, u := range ups {
 			if !u.Draining {
@@ -143,11 +145,11 @@
 	return count
 }
 
-// settle waits, in steps, until a condition holds, and returns how long it took.
-func (f *fleet) settle(t *testing.T, within time.Duration, what string, holds func() bool) time.Duration {
+// waitFor polls until a condition holds, and returns how long it took.
+func (f *fleet) waitFor(t *testing.T, within time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
-	for !holds() {
+	for !condition() {
 		if time.Since(start) >= within {
 			require.Fail(t, what, "not within %v", within)
 		}
@@ -156,13 +158,13 @@
 	return time.Since(start)
 }
 
-// others returns the nodes that are not in a list.
-func (f *fleet) others(but ...*node) []*node {
+// except returns all nodes except the given ones.
+func (f *fleet) except(excluded ...*node) []*node {
 	var out []*node
 	for _, n := range f.nodes {
 		keep := true
-		for _, b := range but {
-			keep = keep && n != b
+		for _, e := range excluded {
+			keep = keep && n != e
 		}
 		if keep {
 			out = append(out, n)
@@ -181,18 +183,19 @@
 	return out
 }
 
-// cutZone cuts a zone off from the others and from the log.
-func (f *fleet) cutZone(z model.AvailabilityZone, cut bool) {
-	f.net.Cut(z, cut)
+// partitionZone separates a zone from the other zones and from the log, or
+// reconnects it.
+func (f *fleet) partitionZone(z model.AvailabilityZone, partitioned bool) {
+	f.network.SetPartitioned(z, partitioned)
 	for _, n := range f.inZone(z) {
-		n.link.Cut(cut)
+		n.logConn.SetDisconnected(partitioned)
 	}
 }
 
-// thought counts the nodes that think a daemon in some health.
-func thought(of []*node, d model.DaemonID, h member.Health) int {
+// countHealth counts the nodes in whose view a daemon has the given health.
+func countHealth(nodes []*node, d model.DaemonID, h member.Health) int {
 	count := 0
-	for _, n := range of {
+	for _, n := range nodes {
 		if n.registry.Health(d) == h {
 			count++
 		}
@@ -200,8 +203,8 @@
 	return count
 }
 
-// digests returns the digests of all views, each once.
-func (f *fleet) digests() int {
+// countDistinctDigests returns the number of different digests over all views.
+func (f *fleet) countDistinctDigests() int {
 	seen := map[string]bool{}
 	for _, n := range f.nodes {
 		seen[string(n.registry.Topic().Digest())] = true
@@ -209,7 +212,7 @@
 	return len(seen)
 }
 
-func names(ups []model.Upstream) string {
+func joinIDs(ups []model.Upstream) string {
 	var b strings.Builder
 	for _, u := range ups {
 		fmt.Fprint(&b, u.ID, " ")
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -13,19 +13,21 @@
 const (
 	readLimit  = 1024
 	logTimeout = 5 * time.Second
-	// maxReaderPause bounds the wait of a reader while the log is down.
-	maxReaderPause = 4 * time.Second
-	// batchEvents bounds the events of one record.
-	batchEvents = 500
-	// zoneAge is how old an event is before its zone's writer appends it, so
-	// that a batch gathers; ownAge is after how long a daemon that sees its own
-	// event missing from the log appends it itself.
-	zoneAge = time.Second
-	ownAge  = 20 * time.Second
+	// maxReaderBackoff bounds the time between two reads of a log reader while
+	// the log fails.
+	maxReaderBackoff = 4 * time.Second
+	// maxEventsPerRecord bounds the events in one record of the log.
+	maxEventsPerRecord = 500
+	// writerDelay is the age at which the writer of a zone appends an event, so
+	// that several events share a batch. fallbackDelay is the age at which any
+	// other daemon appends an event of its own upstreams that is still missing
+	// from the log.
+	writerDelay   = time.Second
+	fallbackDelay = 20 * time.Second
 )
 
 func (r *Registry) serveLog(ctx context.Context) error {
-	// Daemons that start together do not read together.
+	// The random delay keeps daemons that start together from reading together.
 	timer := time.NewTimer(r.startDelay())
 	defer timer.Stop()
 	for {
@@ -34,11 +36,11 @@
 			return ctx.Err()
 		case <-timer.C:
 		}
-		err := r.turn(ctx)
+		err := r.syncLog(ctx)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		timer.Reset(r.wait(err))
+		timer.Reset(r.nextDelay(err))
 	}
 }
 
@@ -48,69 +50,75 @@
 	return time.Duration(r.rng.Int64N(int64(r.opts.Interval)))
 }
 
-// turn reads the log to its end, then appends what it lacks.
-func (r *Registry) turn(ctx context.Context) error {
-	err := r.read(ctx)
+// syncLog reads the log to its end, then appends the events that are missing
+// from it.
+func (r *Registry) syncLog(ctx context.Context) error {
+	err := r.readToEnd(ctx)
 	if err == nil {
-		err = r.write(ctx)
+		err = r.appendMissing(ctx)
 	}
-	if (err != nil) != r.problem && ctx.Err() == nil {
-		r.problem = err != nil
-		r.opts.Logger.Info("membership stream", "usable", err == nil, "error", err)
+	if (err != nil) != r.logFailing && ctx.Err() == nil {
+		r.logFailing = err != nil
+		r.opts.Logger.Info("state of the membership stream changed", "usable", err == nil, "error", err)
 	}
 	return err
 }
 
-func (r *Registry) wait(err error) time.Duration {
-	reads := r.opts.IsLogReader()
+// nextDelay returns the time until the log is read again: with exponential
+// backoff after an error, otherwise shortened at random by up to a quarter.
+func (r *Registry) nextDelay(err error) time.Duration {
+	isReader := r.opts.IsLogReader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
 		r.metrics.logFailed.Inc(1)
-		r.pause.Max = r.opts.IdleInterval
-		if reads {
-			r.pause.Max = maxReaderPause
+		r.backoff.Max = r.opts.IdleInterval
+		if isReader {
+			r.backoff.Max = maxReaderBackoff
 		}
-		return r.pause.Next(r.rng)
+		return r.backoff.Next(r.rng)
 	}
-	r.pause.Reset()
-	d := r.opts.Interval
-	if !reads {
-		d = r.opts.IdleInterval
+	r.backoff.Reset()
+	delay := r.opts.Interval
+	if !isReader {
+		delay = r.opts.IdleInterval
 	}
-	return d - time.Duration(r.rng.Int64N(int64(d)/4+1))
+	return delay - time.Duration(r.rng.Int64N(int64(delay)/4+1))
 }
 
-// read takes in the records up to the end of the log. What was trimmed has been
-// appended again since, or is known to peers.
-func (r *Registry) read(ctx context.Context) error {
+// readToEnd applies the records up to the end of the log. It skips records that
+// the log has dropped: their events have been appended again since, or peers
+// know them.
+func (r *Registry) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	for {
-		batch, err := r.opts.Log.Read(ctx, recordlog.StreamMembership, r.next, readLimit)
+		batch, err := r.opts.Log.Read(ctx, recordlog.StreamMembership, r.nextOffset, readLimit)
 		var trimmed *recordlog.TrimmedError
 		if errors.As(err, &trimmed) {
-			r.next = trimmed.Oldest
+			r.nextOffset = trimmed.Oldest
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		news := 0
+		changes := 0
 		for _, rec := range batch.Records {
-			news += r.take(rec.Data)
-			r.next = rec.Offset + 1
+			changes += r.applyRecord(rec.Data)
+			r.nextOffset = rec.Offset + 1
 		}
-		if news > 0 {
+		if changes > 0 {
 			r.opts.OnUpdate()
 		}
-		if r.next >= batch.Next {
+		if r.nextOffset >= batch.Next {
 			return nil
 		}
 	}
 }
 
-func (r *Registry) take(data []byte) int {
+// applyRecord applies one record of the log. It returns the number of events
+// that were newer than those known before.
+func (r *Registry) applyRecord(data []byte) int {
 	records, err := member.Decode(data)
 	if err != nil {
 		r.metrics.unreadable.Inc(1)
@@ -119,20 +127,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	records.Liveness = nil
-	won := r.directory.ApplyAll(records)
+	applied := r.directory.ApplyAll(records)
 	for _, e := range records.Events {
 		r.directory.Logged(e)
 	}
-	return won
+	return applied
 }
 
-// write appends events that the log lacks: for the writer of a zone those of
-// the zone, for others their own, should the writer fail to.
-func (r *Registry) write(ctx context.Context) error {
-	events := r.due()
+// appendMissing appends events that are missing from the log. The writer of a
+// zone appends those of its zone; other daemons append those of their own
+// upstreams, in case the writer fails to.
+func (r *Registry) appendMissing(ctx context.Context) error {
+	events := r.dueEvents()
 	for len(events) > 0 {
-		n := min(len(events), batchEvents)
-		if err := r.append(ctx, events[:n]); err != nil {
+		n := min(len(events), maxEventsPerRecord)
+		if err := r.appendEvents(ctx, events[:n]); err != nil {
 			return err
 		}
 		events = events[n:]
@@ -140,33 +149,34 @@
 	return nil
 }
 
-func (r *Registry) due() []member.Event {
-	writer := r.writer()
+// dueEvents returns the events that this daemon has to append now.
+func (r *Registry) dueEvents() []member.Event {
+	isWriter := r.isWriter()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if writer && time.Now().After(r.checkpointDue) {
-		r.drawCheckpoint()
-		return r.ofZone(r.directory.Events())
+	if isWriter && time.Now().After(r.checkpointDue) {
+		r.scheduleCheckpoint()
+		return r.inLocalZone(r.directory.Events())
 	}
-	if writer {
-		return r.ofZone(r.directory.Unlogged(zoneAge))
+	if isWriter {
+		return r.inLocalZone(r.directory.Unlogged(writerDelay))
 	}
-	var own []member.Event
-	for _, e := range r.directory.Unlogged(ownAge) {
+	var local []member.Event
+	for _, e := range r.directory.Unlogged(fallbackDelay) {
 		if e.Upstream.Daemon == r.opts.Self {
-			own = append(own, e)
+			local = append(local, e)
 		}
 	}
-	return own
+	return local
 }
 
-// writer reports whether this daemon appends the events of its zone. While it
-// knows no peers it does.
-func (r *Registry) writer() bool {
+// isWriter reports whether this daemon appends the events of its zone. A daemon
+// that knows no peers does.
+func (r *Registry) isWriter() bool {
 	return peer.RendezvousRank(r.opts.Self, r.opts.Zone, r.Peers()) == 0
 }
 
-func (r *Registry) ofZone(events []member.Event) []member.Event {
+func (r *Registry) inLocalZone(events []member.Event) []member.Event {
 	var out []member.Event
 	for _, e := range events {
 		if e.Upstream.Zone == r.opts.Zone {
@@ -176,15 +186,16 @@
 	return out
 }
 
-// drawCheckpoint decides when the events are appended again.
-func (r *Registry) drawCheckpoint() {
-	every := r.opts.CheckpointInterval
-	r.checkpointDue = time.Now().Add(every/2 + time.Duration(r.rng.Int64N(int64(every/2)+1)))
+// scheduleCheckpoint draws at random when all events of the zone are appended
+// again.
+func (r *Registry) scheduleCheckpoint() {
+	interval := r.opts.CheckpointInterval
+	r.checkpointDue = time.Now().Add(interval/2 + time.Duration(r.rng.Int64N(int64(interval/2)+1)))
 }
 
-// append appends events. They may stand on the log twice, so an uncertain
-// append is simply made again later.
-func (r *Registry) append(ctx context.Context, events []member.Event) error {
+// appendEvents appends events to the log. Events may be on the log twice, so
+// the caller simply repeats an append whose effect is uncertain.
+func (r *Registry) appendEvents(ctx context.Context, events []member.Event) error {
 	data := member.Records{Events: events}.Encode()
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -14,10 +14,11 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// BenchmarkClaim compares claiming a key at its owner with claiming it by a
-// record of its own on the log, which was weighed in its place. The log's
-// stand-in answers at once; what is left is batching and one daemon's limit of
-// appends, which is 20 a second for few daemons and 300 for all together.
+// BenchmarkClaim compares claiming a key in the table of its owner with the
+// alternative of appending a record for each claim to the log. The in-memory
+// log responds at once, so the second case measures batching and the append
+// limit of one daemon. That limit is 20 a second for few daemons and 300 a
+// second for all daemons together.
 func BenchmarkClaim(b *testing.B) {
 	const workers = 64
 	memory := &recordlog.Memory{}
@@ -25,7 +26,7 @@
 	defer server.Close()
 	log := &recordlog.Batcher{Log: recordlog.NewRateLimitedLog(recordlog.NewClient(strings.TrimPrefix(server.URL, "http://")))}
 	s := New(Options{Self: "127.0.0.1:1", Log: log})
-	s.ledger.Apply(0, ownsAll(s.self))
+	s.ledger.Apply(0, grantAllTo(s.self))
 	for name, claim := range map[string]func(claims.Key){
 		"owner": func(k claims.Key) {
 			s.mu.Lock()
@@ -45,11 +46,11 @@
 			for range workers {
 				wg.Go(func() {
 					for range max(1, b.N/workers) {
-						began := time.Now()
-						claim(drawKey(claims.Stamp(began.UnixMilli())))
-						took := time.Since(began)
+						start := time.Now()
+						claim(randomKey(claims.Stamp(start.UnixMilli())))
+						elapsed := time.Since(start)
 						mu.Lock()
-						_ = hist.RecordValue(took.Nanoseconds())
+						_ = hist.RecordValue(elapsed.Nanoseconds())
 						mu.Unlock()
 					}
 				})
@@ -62,11 +63,11 @@
 	}
 }
 
-// ownsAll grants every stamp to an owner.
-func ownsAll(o claims.Owner) claims.Record {
-	g := &claims.Grant{Owner: o, Until: claims.MaxStamp}
+// grantAllTo grants all timestamps of all ranges to an owner.
+func grantAllTo(o claims.Owner) claims.Record {
+	grant := &claims.Grant{Owner: o, Until: claims.MaxStamp}
 	for r := range claims.Range(claims.DefaultRanges) {
-		g.Extensions = append(g.Extensions, claims.Extension{Range: r})
+		grant.Extensions = append(grant.Extensions, claims.Extension{Range: r})
 	}
-	return claims.Record{Grant: g}
+	return claims.Record{Grant: grant}
 }
--- /dev/null
+++ b/owner/execution.go
@@ -0,0 +1,160 @@
+package owner
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"maps"
+	"net/http"
+	"strconv"
+	"sync"
+
+	"github.com/dottereltiller/dottereltiller/core/claims"
+	"github.com/dottereltiller/dottereltiller/core/outcome"
+	"github.com/dottereltiller/dottereltiller/wire"
+)
+
+// execution is one execution of a claimed request.
+type execution struct {
+	// ready is closed once streamed or outcome is set. done is closed once the
+	// claim is finished.
+	ready chan struct{}
+	done  chan struct{}
+	// outcome and retained are set before done is closed. retained is nil if
+	// there is no response or the response is too large to retain.
+	outcome  outcome.Outcome
+	retained *claims.Answer
+	// streamed is a response that is too large to retain and is streamed to the
+	// first submission. It is set before ready is closed.
+	streamed *wire.Result
+
+	mu        sync.Mutex
+	abandoned bool
+	accepted  bool
+}
+
+// startExecution executes a claimed request. The execution continues when its
+// caller is gone, because later submissions of the key need the outcome too.
+func (s *Service) startExecution(ctx context.Context, id claims.ID, c *wire.Call) *execution {
+	e := &execution{ready: make(chan struct{}), done: make(chan struct{})}
+	s.executions[id] = e
+	go func() {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Timeout)
+		result := s.opts.Execute(ctx, c)
+		s.complete(id, e, result, cancel)
+	}()
+	return e
+}
+
+// complete handles the result of an execution. A response that is too large to
+// retain is streamed to the first submission; the execution ends when the
+// response has been read.
+func (s *Service) complete(id claims.ID, e *execution, result *wire.Result, cancel context.CancelFunc) {
+	if result.Outcome.Kind != outcome.Answered {
+		_ = result.Body.Close()
+		cancel()
+		s.finish(id, e, result.Outcome, nil)
+		close(e.ready)
+		return
+	}
+	head, err := io.ReadAll(io.LimitReader(result.Body, s.opts.MaxResponseBytes+1))
+	if err == nil && int64(len(head)) <= s.opts.MaxResponseBytes {
+		_ = result.Body.Close()
+		cancel()
+		s.finish(id, e, outcome.Done(), &claims.Answer{Status: result.Status, Header: result.Header, Body: head, Trailer: result.Trailer})
+		close(e.ready)
+		return
+	}
+	rest := &streamedBody{Reader: io.MultiReader(bytes.NewReader(head), result.Body), body: result.Body}
+	rest.onEnd = func(o outcome.Outcome) {
+		cancel()
+		s.finish(id, e, o, nil)
+	}
+	result.Body = rest
+	if err == nil && e.offerStreamed() {
+		e.streamed = result
+	} else {
+		_ = rest.Close()
+	}
+	close(e.ready)
+}
+
+// offerStreamed reports whether the first submission is still waiting. If so,
+// the first submission takes the streamed response and must close it.
+func (e *execution) offerStreamed() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.accepted = !e.abandoned
+	return e.accepted
+}
+
+// abandon records that the first submission stops waiting. It returns false if
+// the streamed response was offered before; the first submission then still has
+// to take it.
+func (e *execution) abandon() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.abandoned = true
+	return !e.accepted
+}
+
+// finish records the outcome and the retained response of an execution in the
+// claim of its key.
+func (s *Service) finish(id claims.ID, e *execution, o outcome.Outcome, retained *claims.Answer) {
+	s.mu.Lock()
+	s.table.Finish(id, o.Kind, retained)
+	delete(s.executions, id)
+	s.mu.Unlock()
+	e.outcome, e.retained = o, retained
+	close(e.done)
+}
+
+// streamedBody is the body of a response that is streamed to the first
+// submission. The execution ends when the body has been read or closed.
+type streamedBody struct {
+	io.Reader
+	body  io.Closer
+	onEnd func(outcome.Outcome)
+	once  sync.Once
+}
+
+// Read implements io.Reader. At the end of the response it ends the execution.
+func (b *streamedBody) Read(p []byte) (int, error) {
+	n, err := b.Reader.Read(p)
+	switch {
+	case errors.Is(err, io.EOF):
+		b.once.Do(func() { b.onEnd(outcome.Done()) })
+	case err != nil:
+		b.once.Do(func() { b.onEnd(outcome.UnknownBecause(outcome.ReasonTruncated)) })
+	}
+	return n, err
+}
+
+// Close closes the body. If the response has not been read to its end, the
+// outcome is unknown.
+func (b *streamedBody) Close() error {
+	err := b.body.Close()
+	b.once.Do(func() { b.onEnd(outcome.UnknownBecause(outcome.ReasonTruncated)) })
+	return err
+}
+
+// replayResponse returns a retained response, with the header that marks it as
+// replayed if replayed is set.
+func replayResponse(retained *claims.Answer, replayed bool) *wire.Result {
+	h := http.Header(maps.Clone(retained.Header))
+	if h == nil {
+		h = make(http.Header)
+	}
+	if replayed {
+		h.Set(wire.HeaderReplayed, strconv.FormatBool(true))
+	}
+	return &wire.Result{
+		Outcome:       outcome.Done(),
+		Status:        retained.Status,
+		Header:        h,
+		Body:          io.NopCloser(bytes.NewReader(retained.Body)),
+		ContentLength: int64(len(retained.Body)),
+		Trailer:       retained.Trailer,
+	}
+}
--- /dev/null
+++ b/owner/ledger.go
@@ -0,0 +1,163 @@
+package owner
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/core/claims"
+	"github.com/dottereltiller/dottereltiller/recordlog"
+)
+
+const (
+	readLimit = 1024
+	// minReadInterval is the minimum time between two reads that requests
+	// cause, so that submissions with arbitrary keys cannot flood the log with
+	// reads.
+	minReadInterval = 50 * time.Millisecond
+	readTimeout     = 2 * time.Second
+)
+
+// refresh reads the grants, unless another read that began after this call has
+// completed. Concurrent calls share reads.
+func (s *Service) refresh(ctx context.Context) {
+	readsBefore := s.readCount.Load()
+	if !s.lockReads(ctx) {
+		return
+	}
+	defer s.unlockReads()
+	// The first read to complete may have begun before this call, so two must
+	// have completed.
+	const enough = 2
+	if s.readCount.Load() >= readsBefore+enough {
+		return
+	}
+	if wait := minReadInterval - time.Since(s.lastRead); wait > 0 {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(wait):
+		}
+	}
+	s.readToEnd(ctx)
+}
+
+// readGrants applies the grants up to the end of the log.
+func (s *Service) readGrants(ctx context.Context) {
+	if !s.lockReads(ctx) {
+		return
+	}
+	defer s.unlockReads()
+	s.readToEnd(ctx)
+}
+
+// lockReads acquires readLock. It returns false if the context ends first.
+func (s *Service) lockReads(ctx context.Context) bool {
+	select {
+	case s.readLock <- struct{}{}:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func (s *Service) unlockReads() { <-s.readLock }
+
+// readToEnd applies the grants up to the end of the log. s.readLock is held.
+func (s *Service) readToEnd(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	for {
+		more, err := s.readBatch(ctx)
+		if err != nil {
+			s.metrics.readFailed.Inc(1)
+			break
+		}
+		if !more {
+			s.caughtUp.Store(true)
+			break
+		}
+	}
+	s.lastRead = time.Now()
+	s.readCount.Add(1)
+}
+
+// readBatch applies one batch of records and reports whether there is more to
+// read.
+func (s *Service) readBatch(ctx context.Context) (bool, error) {
+	if !s.positioned {
+		return true, s.seekCheckpoint(ctx)
+	}
+	s.mu.Lock()
+	from := recordlog.Offset(s.ledger.Next())
+	s.mu.Unlock()
+	batch, err := s.opts.Log.Read(ctx, recordlog.StreamGrants, from, readLimit)
+	var trimmed *recordlog.TrimmedError
+	if errors.As(err, &trimmed) {
+		s.metrics.trimmed.Inc(1)
+		s.opts.Logger.Warn("log no longer keeps the next grants, searching for a checkpoint", "next", from, "oldest", trimmed.Oldest)
+		s.positioned = false
+		return true, nil
+	}
+	if err != nil {
+		return false, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, rec := range batch.Records {
+		s.applyRecord(rec)
+	}
+	if len(batch.Records) == 0 && !s.ledger.Complete() && !s.fromOldest {
+		s.searchWindow *= windowGrowth
+		s.positioned = false
+		return true, nil
+	}
+	return len(batch.Records) > 0, nil
+}
+
+const (
+	// initialSearchWindow is the number of newest records in which a new daemon
+	// searches for a checkpoint. While there is none, the window is multiplied
+	// by windowGrowth.
+	initialSearchWindow = 1 << 14
+	windowGrowth        = 4
+)
+
+// seekCheckpoint resets the ledger to searchWindow records before the end of
+// the log, so that a new daemon need not read all records that are kept, or to
+// the oldest record if there are fewer.
+func (s *Service) seekCheckpoint(ctx context.Context) error {
+	oldest := recordlog.Offset(0)
+	batch, err := s.opts.Log.Read(ctx, recordlog.StreamGrants, oldest, 1)
+	var trimmed *recordlog.TrimmedError
+	if errors.As(err, &trimmed) {
+		oldest = trimmed.Oldest
+		batch, err = s.opts.Log.Read(ctx, recordlog.StreamGrants, oldest, 1)
+	}
+	if err != nil {
+		return err
+	}
+	from := oldest
+	if batch.Next > oldest+s.searchWindow {
+		from = batch.Next - s.searchWindow
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ledger.Reset(uint64(from))
+	s.positioned, s.fromOldest = true, from == oldest
+	return nil
+}
+
+// applyRecord applies one record to the ledger. s.mu is held.
+func (s *Service) applyRecord(rec recordlog.Record) {
+	r, err := claims.DecodeRecord(rec.Data)
+	if err != nil {
+		s.metrics.badRecords.Inc(1)
+		s.ledger.Skip(uint64(rec.Offset))
+		return
+	}
+	if r.Checkpoint != nil {
+		s.checkpointed = time.Now()
+	}
+	s.ledger.Apply(uint64(rec.Offset), r)
+}
--- /dev/null
+++ b/owner/newkey.go
@@ -0,0 +1,75 @@
+package owner
+
+import (
+	"crypto/rand"
+
+	"github.com/dottereltiller/dottereltiller/core/claims"
+)
+
+// maxKeyAttempts bounds the random keys tried for each timestamp in search of
+// one with a live owner.
+const maxKeyAttempts = 64
+
+// NewKey returns a new key whose owner is considered alive. The timestamp of
+// the key is the current time. If the grants do not extend that far because the
+// log is down, it is the last timestamp that they cover. The second result is
+// false if no such key was found; the key is then valid but has no owner yet.
+func (s *Service) NewKey() (claims.Key, bool) {
+	now := s.stamp()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, timestamp := range s.candidateStamps(now) {
+		for range maxKeyAttempts {
+			if k := randomKey(timestamp); s.hasLiveOwner(k) {
+				return k, true
+			}
+		}
+	}
+	return randomKey(now), false
+}
+
+func randomKey(timestamp claims.Stamp) claims.Key {
+	var random [10]byte
+	_, _ = rand.Read(random[:])
+	return claims.NewKey(timestamp, random)
+}
+
+// candidateStamps returns the current timestamp. If that is beyond all grants,
+// it also returns the last timestamps that are granted, as far as these are no
+// older than half of the retention. s.mu is held.
+func (s *Service) candidateStamps(now claims.Stamp) []claims.Stamp {
+	timestamps := []claims.Stamp{now}
+	oldest := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
+	var furthest claims.Stamp
+	for r := range claims.Range(s.opts.Ranges) {
+		frontier, _ := s.ledger.Frontier(r)
+		furthest = max(furthest, frontier)
+	}
+	if furthest > now || furthest <= oldest {
+		return timestamps
+	}
+	// The ends of the grants of different ranges are at most half a grant
+	// duration apart.
+	grant := claims.Stamp(s.opts.GrantDuration.Milliseconds())
+	const steps = 4
+	for i := range claims.Stamp(steps) {
+		if offset := 1 + i*grant/steps; furthest > offset+oldest {
+			timestamps = append(timestamps, furthest-offset)
+		}
+	}
+	return timestamps
+}
+
+// hasLiveOwner reports whether a key has an owner that is considered alive.
+// s.mu is held.
+func (s *Service) hasLiveOwner(k claims.Key) bool {
+	interval, ownership := s.ledger.Lookup(k.Range(s.opts.Ranges), k.Stamp())
+	if ownership != claims.Owned {
+		return false
+	}
+	if interval.Owner == s.self && s.table.IsSealed() {
+		return false
+	}
+	_, suspected := s.suspectedOwners[interval.Owner.Incarnation]
+	return !suspected
+}
--- a/owner/service.go
+++ b/owner/service.go
@@ -12,73 +12,79 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Service routes keyed requests and owns a part of the keys. It is safe for
-// concurrent use.
+// Service routes keyed requests to their owners and owns a share of the keys
+// itself. It is safe for concurrent use.
 type Service struct {
 	opts    Options
 	self    claims.Owner
 	metrics metrics
-	// patience may be changed by tests before the first call.
-	patience patience
-
-	mu      sync.Mutex
-	ledger  *claims.Ledger
-	table   *claims.Table
-	runs    map[claims.ID]*run
-	suspect map[uint64]time.Time
-	// checkpointed is when a checkpoint was last seen on the log.
+	// retryTimeouts may be changed by tests before the first call.
+	retryTimeouts retryTimeouts
+
+	mu         sync.Mutex
+	ledger     *claims.Ledger
+	table      *claims.Table
+	executions map[claims.ID]*execution
+	// suspectedOwners holds, by incarnation, when an owner was found
+	// unreachable.
+	suspectedOwners map[uint64]time.Time
+	// checkpointed is when a checkpoint was last read from the log.
 	checkpointed time.Time
 
-	// The planner belongs to the goroutine of Serve.
+	// planner and candidates are used only by the goroutine of Serve.
 	planner    *claims.Planner
 	candidates []model.DaemonID
 
-	// reading is a lock that can be waited for within a context. It guards
-	// lastRead, sought, whole and window.
-	reading chan struct{}
-	// sought tells that the ledger stands where reading is to begin, whole that
-	// this is the oldest record kept.
-	sought   bool
-	whole    bool
-	window   recordlog.Offset
-	reads    atomic.Uint64
-	lastRead time.Time
-	current  atomic.Bool
+	// readLock is a lock whose acquisition a context can cancel. It guards
+	// positioned, fromOldest, searchWindow and lastRead.
+	readLock chan struct{}
+	// positioned is set once the ledger is at the offset where reading starts,
+	// fromOldest if that is the oldest record that is kept.
+	positioned   bool
+	fromOldest   bool
+	searchWindow recordlog.Offset
+	// readCount counts the reads of the grants. caughtUp is set once a read has
+	// reached the end of the log.
+	readCount atomic.Uint64
+	lastRead  time.Time
+	caughtUp  atomic.Bool
 }
 
-// New returns a Service that owns nothing yet.
+// New returns a Service that owns no keys yet.
 func New(o Options) *Service {
 	o = o.withDefaults()
-	self := claims.Owner{Daemon: o.Self, Incarnation: newLife()}
+	self := claims.Owner{Daemon: o.Self, Incarnation: newIncarnation()}
 	return &Service{
-		opts:         o,
-		self:         self,
-		metrics:      newMetrics(o.Scope),
-		patience:     defaultPatience(),
-		ledger:       claims.NewLedger(o.Ranges, 0),
-		table:        claims.NewTable(self, o.Limits),
-		runs:         make(map[claims.ID]*run),
-		suspect:      make(map[uint64]time.Time),
-		checkpointed: time.Now(),
-		reading:      make(chan struct{}, 1),
-		window:       firstWindow,
-		planner:      claims.NewPlanner(self, o.Ranges, o.GrantDuration),
+		opts:            o,
+		self:            self,
+		metrics:         newMetrics(o.Scope),
+		retryTimeouts:   defaultRetryTimeouts(),
+		ledger:          claims.NewLedger(o.Ranges, 0),
+		table:           claims.NewTable(self, o.Limits),
+		executions:      make(map[claims.ID]*execution),
+		suspectedOwners: make(map[uint64]time.Time),
+		checkpointed:    time.Now(),
+		readLock:        make(chan struct{}, 1),
+		searchWindow:    initialSearchWindow,
+		planner:         claims.NewPlanner(self, o.Ranges, o.GrantDuration),
 	}
 }
 
-// Life returns this life of the owner.
-func (s *Service) Life() uint64 { return s.self.Incarnation }
+// Incarnation returns the incarnation ID of this owner.
+func (s *Service) Incarnation() uint64 { return s.self.Incarnation }
 
-// Counts tell what an owner holds.
+// Counts are the numbers of ranges and claims of an owner.
 type Counts struct {
-	// Ranges is the number of key ranges whose newest stamps it owns.
+	// Ranges is the number of key ranges whose newest timestamps this owner has
+	// been granted.
 	Ranges int `json:"ranges"`
-	// Claims and AnswerBytes are what it retains.
+	// Claims is the number of claims, AnswerBytes the total size of the
+	// retained responses.
 	Claims      int `json:"claims"`
 	AnswerBytes int `json:"answer_bytes"`
 }
 
-// Counts returns what this owner holds.
+// Counts returns the counts of this owner.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,11 +97,12 @@
 	return c
 }
 
-// RunningCount returns the number of keyed requests that this owner is running.
+// RunningCount returns the number of keyed requests that this owner is
+// executing.
 func (s *Service) RunningCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.runs)
+	return len(s.executions)
 }
 
 // String names the service in the supervisor tree.
@@ -107,9 +114,9 @@
 	defer tick.Stop()
 	for {
 		s.refreshCandidates()
-		// When no read is wanted nothing is due either.
-		if s.wantsRead(ctx) {
-			s.read(ctx)
+		// If there is nothing to read, no grant or checkpoint is due either.
+		if s.shouldRead(ctx) {
+			s.readGrants(ctx)
 			s.renew(ctx)
 		}
 		s.expire()
@@ -121,37 +128,38 @@
 	}
 }
 
-func (s *Service) stamp() claims.Stamp { return claims.Stamp(max(0, s.opts.Wall().UnixMilli())) }
+// stamp returns the current time as the timestamp of a key.
+func (s *Service) stamp() claims.Stamp { return claims.Stamp(max(0, s.opts.WallClock().UnixMilli())) }
 
-// readParts is the part of a grant's length after which the grants are read
-// again. Between reads the ledger is behind by less than grants reach ahead, and
-// a request that finds it wanting asks for a read.
-const readParts = 6
+// The grants are read again after the grant duration divided by readsPerGrant.
+// Between reads the ledger lags by less than grants extend into the future, and
+// a request whose key has no owner in the ledger causes a read.
+const readsPerGrant = 6
 
-// wantsRead reports whether it is time to read the grants: the last read is long
-// ago, or by the ledger as it is something has to be appended, which others may
-// have done since. So the log is not read each interval by every daemon.
-func (s *Service) wantsRead(ctx context.Context) bool {
-	if !s.current.Load() || !s.proven() || len(s.due()) > 0 {
+// shouldRead reports whether the grants have to be read: the last read was long
+// ago, or a record seems due for an append, which other daemons may have
+// appended meanwhile. So a daemon does not read the log in every interval.
+func (s *Service) shouldRead(ctx context.Context) bool {
+	if !s.caughtUp.Load() || !s.ledgerComplete() || len(s.due()) > 0 {
 		return true
 	}
-	if !s.lockReading(ctx) {
+	if !s.lockReads(ctx) {
 		return false
 	}
-	defer s.unlockReading()
-	return time.Since(s.lastRead) >= s.opts.GrantDuration/readParts
+	defer s.unlockReads()
+	return time.Since(s.lastRead) >= s.opts.GrantDuration/readsPerGrant
 }
 
-func (s *Service) proven() bool {
+func (s *Service) ledgerComplete() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Complete()
 }
 
-// renew appends a grant when one is due, and a checkpoint. Whether the append
-// took effect shows when it is read back.
+// renew appends a grant and a checkpoint if they are due. Only reading the log
+// shows whether an append took effect.
 func (s *Service) renew(ctx context.Context) {
-	if !s.current.Load() {
+	if !s.caughtUp.Load() {
 		return
 	}
 	for _, rec := range s.due() {
@@ -161,11 +169,11 @@
 			continue
 		}
 		s.metrics.appended.Inc(1)
-		s.read(ctx)
+		s.readGrants(ctx)
 	}
 }
 
-// due returns the records that it is time to append.
+// due returns the records that are due to be appended.
 func (s *Service) due() []claims.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,9 +184,9 @@
 	if g := s.planner.Plan(s.ledger, s.stamp()); g != nil {
 		out = append(out, claims.Record{Grant: g})
 	}
-	// The owner of the first range writes the checkpoints.
-	_, first := s.ledger.Frontier(0)
-	if first == s.self && time.Since(s.checkpointed) > s.opts.Checkpoint {
+	// The owner of the first range appends the checkpoints.
+	_, firstOwner := s.ledger.Frontier(0)
+	if firstOwner == s.self && time.Since(s.checkpointed) > s.opts.CheckpointInterval {
 		out = append(out, claims.Record{Checkpoint: s.ledger.Checkpoint()})
 	}
 	return out
@@ -193,7 +201,7 @@
 	}
 }
 
-// expire drops the claims whose retention has passed.
+// expire removes the claims whose retention has ended.
 func (s *Service) expire() {
 	now := s.stamp()
 	retention := claims.Stamp(s.opts.Retention.Milliseconds())
@@ -204,5 +212,5 @@
 	defer s.mu.Unlock()
 	s.table.Expire(now - retention)
 	s.metrics.claims.Update(float64(s.table.Len()))
-	s.metrics.answerBytes.Update(float64(s.table.AnswerBytes()))
+	s.metrics.responseBytes.Update(float64(s.table.AnswerBytes()))
 }
--- /dev/null
+++ b/owner/submission.go
@@ -0,0 +1,197 @@
+package owner
+
+import (
+	"bytes"
+	"context"
+	"crypto/sha256"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/core/claims"
+	"github.com/dottereltiller/dottereltiller/core/outcome"
+	"github.com/dottereltiller/dottereltiller/wire"
+)
+
+// retryAfter is the Retry-After value for keys whose execution is in progress
+// or whose outcome cannot be resolved yet.
+const retryAfter = time.Second
+
+// handleSubmission handles a submission as the owner of its key.
+func (s *Service) handleSubmission(ctx context.Context, c *wire.Call) *wire.Result {
+	key, err := claims.ParseKey(c.Key)
+	if err != nil {
+		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
+	}
+	body, reason := readBody(c.Body, s.opts.MaxBodyBytes)
+	if reason != outcome.ReasonNone {
+		return wire.NoResponse(outcome.NotRunBecause(reason))
+	}
+	c.Body, c.ContentLength = nil, int64(len(body))
+	if len(body) > 0 {
+		c.Body = bytes.NewReader(body)
+	}
+	req := claims.Request{
+		ID:     claims.ID{Caller: c.Caller, Key: key},
+		Group:  c.Group,
+		Digest: requestDigest(c, body),
+	}
+	begun := s.beginSubmission(ctx, req, c)
+	if begun.decision == claims.NotOwner {
+		// The sender may have read a grant or a transfer that this daemon has
+		// not read yet.
+		s.refresh(ctx)
+		begun = s.beginSubmission(ctx, req, c)
+	}
+	s.metrics.countDecision(begun.decision)
+	switch begun.decision {
+	case claims.Run:
+		return awaitFirst(ctx, begun.execution)
+	case claims.InProgress:
+		return awaitEarlier(ctx, begun.execution, c.Timeout)
+	case claims.Replay:
+		return replayResponse(begun.response, true)
+	default:
+		return wire.NoResponse(outcomeOf(begun.decision))
+	}
+}
+
+// beginResult is the decision on a submission.
+type beginResult struct {
+	decision claims.Decision
+	// execution is set for claims.Run and claims.InProgress, response for
+	// claims.Replay.
+	execution *execution
+	response  *claims.Answer
+}
+
+// beginSubmission claims the key of a submission. It starts the execution if
+// this is the first submission of the key.
+func (s *Service) beginSubmission(ctx context.Context, req claims.Request, c *wire.Call) beginResult {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var result beginResult
+	result.decision, result.response = s.table.Begin(s.ledger, req)
+	switch result.decision {
+	case claims.Run:
+		result.execution = s.startExecution(ctx, req.ID, c)
+	case claims.InProgress:
+		result.execution = s.executions[req.ID]
+	}
+	return result
+}
+
+// awaitFirst waits, for the first submission, for the execution that it
+// started.
+func awaitFirst(ctx context.Context, e *execution) *wire.Result {
+	select {
+	case <-e.ready:
+	case <-ctx.Done():
+		if e.abandon() {
+			return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonCancelled))
+		}
+		<-e.ready
+	}
+	if e.streamed != nil {
+		return e.streamed
+	}
+	return e.response(false)
+}
+
+// maxWaitPercent is the percentage of its timeout for which a later submission
+// waits for the execution. The rest is left for the response to the caller.
+const maxWaitPercent = 90
+
+// awaitEarlier waits for an execution that an earlier submission started.
+func awaitEarlier(ctx context.Context, e *execution, timeout time.Duration) *wire.Result {
+	timer := time.NewTimer(timeout * maxWaitPercent / 100)
+	defer timer.Stop()
+	select {
+	case <-e.done:
+		return e.response(true)
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+	return wire.NoResponse(inProgressOutcome())
+}
+
+// response returns the result of a finished execution. replayed marks a
+// retained response as replayed.
+func (e *execution) response(replayed bool) *wire.Result {
+	switch {
+	case e.outcome.Kind != outcome.Answered:
+		return wire.NoResponse(e.outcome)
+	case e.retained == nil:
+		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonKeyAnswerGone))
+	default:
+		return replayResponse(e.retained, replayed)
+	}
+}
+
+func inProgressOutcome() outcome.Outcome {
+	return outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonKeyInProgress, RetryAfter: retryAfter}
+}
+
+// outcomeOf returns the outcome for a decision by which a submission is neither
+// executed nor gets a response. Only claims.Full proves that the key has not
+// been executed.
+func outcomeOf(v claims.Decision) outcome.Outcome {
+	switch v {
+	case claims.Full:
+		return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonQueueFull, RetryAfter: retryAfter}
+	case claims.NotOwner:
+		return outcome.UnknownBecause(outcome.ReasonKeyNotOwned)
+	case claims.Sealed:
+		return outcome.UnknownBecause(reasonOwnerMoving)
+	case claims.Expired:
+		return outcome.UnknownBecause(outcome.ReasonKeyExpired)
+	case claims.AnswerGone:
+		return outcome.UnknownBecause(outcome.ReasonKeyAnswerGone)
+	case claims.Mismatch:
+		return outcome.UnknownBecause(outcome.ReasonKeyMismatch)
+	case claims.OutcomeUnknown:
+		return outcome.UnknownBecause(outcome.ReasonKeyOutcome)
+	default:
+		return outcome.UnknownBecause(outcome.ReasonKeyOwnerLost)
+	}
+}
+
+// readBody reads a body of at most limit bytes.
+func readBody(r io.Reader, limit int64) ([]byte, outcome.Reason) {
+	if r == nil {
+		return nil, outcome.ReasonNone
+	}
+	data, err := io.ReadAll(io.LimitReader(r, limit+1))
+	switch {
+	case err != nil:
+		return nil, outcome.ReasonBadRequest
+	case int64(len(data)) > limit:
+		return nil, outcome.ReasonTooLarge
+	default:
+		return data, outcome.ReasonNone
+	}
+}
+
+// requestDigest hashes the parts of a request in which two submissions of the
+// same key must agree.
+func requestDigest(c *wire.Call, body []byte) claims.Digest {
+	h := sha256.New()
+	for _, part := range []string{string(c.Service), c.Method, c.Target, c.Header.Get("Content-Type")} {
+		_, _ = io.WriteString(h, strconv.Itoa(len(part))+":"+part)
+	}
+	_, _ = h.Write(body)
+	return claims.Digest(h.Sum(nil))
+}
+
+// ServeHTTP handles submissions from other daemons.
+func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c, err := wire.ReadCall(r)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), c.Timeout)
+	defer cancel()
+	wire.WriteResult(w, s.handleSubmission(ctx, c), c.ID)
+}
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -17,43 +17,49 @@
 
 // Options configure a Store.
 type Options struct {
-	// Rule returns the rule of a service.
+	// Rule returns the quarantine rule of a service.
 	Rule func(model.ServiceName) quarantine.Rule
-	// Wall reads the wall clock. Default: time.Now.
-	Wall func() time.Time
-	// OnUpdate is called when there is news for other daemons. Nil means none.
+	// WallClock returns the wall-clock time. Default: time.Now.
+	WallClock func() time.Time
+	// OnUpdate is called when there are changes to send to other daemons. Nil
+	// means no call.
 	OnUpdate func()
-	// Scope receives the counters. Nil means none.
+	// Scope receives the counters. Nil turns them off.
 	Scope tally.Scope
-	// Logger takes changes of state. Default: slog.Default.
+	// Logger logs state changes. Default: slog.Default.
 	Logger *slog.Logger
 }
 
-// Store is a daemon's table. It is safe for concurrent use.
+// Store is a daemon's table of suspected and quarantined requests. It is safe
+// for concurrent use.
 type Store struct {
-	opts     Options
-	deaths   tally.Counter
-	refusals tally.Counter
-	unread   tally.Counter
-	// watching tells whether the table holds any record, so that the data path
-	// need not take fingerprints while it holds none.
-	watching atomic.Bool
+	opts       Options
+	crashes    tally.Counter
+	refusals   tally.Counter
+	unreadable tally.Counter
+	// nonEmpty is set while the table holds any record, so that the data path
+	// need not compute fingerprints while it holds none.
+	nonEmpty atomic.Bool
 
 	mu    sync.Mutex
 	table *quarantine.Table
-	known map[quarantine.Fingerprint]bool
-	turn  int
-	// lastSum is what the records add up to as of the table's version summed.
-	lastSum uint64
-	summed  uint64
-	// began tells that news have begun here since News was called.
-	began bool
+	// loggedRefused holds the requests that were refused when logChanges last
+	// ran.
+	loggedRefused map[quarantine.Fingerprint]bool
+	// deltaStart is the index of the record at which the next Delta starts.
+	deltaStart int
+	// cachedChecksum is the checksum of the table at version checksumVersion.
+	cachedChecksum  uint64
+	checksumVersion uint64
+	// newCrash is set when an upstream has crashed at this daemon since the
+	// last call of NextPush.
+	newCrash bool
 }
 
 // NewStore returns a Store with an empty table.
 func NewStore(opts Options) *Store {
-	if opts.Wall == nil {
-		opts.Wall = time.Now
+	if opts.WallClock == nil {
+		opts.WallClock = time.Now
 	}
 	if opts.OnUpdate == nil {
 		opts.OnUpdate = func() {}
@@ -63,26 +69,27 @@
 	}
 	scope := telemetry.OrNoop(opts.Scope)
 	return &Store{
-		opts:     opts,
-		deaths:   scope.Counter("deaths"),
-		refusals: scope.Counter("refusals"),
-		unread:   scope.Counter("records_unread"),
-		table:    quarantine.NewTable(quarantine.Options{Rule: opts.Rule}),
-		known:    make(map[quarantine.Fingerprint]bool),
+		opts:          opts,
+		crashes:       scope.Counter("deaths"),
+		refusals:      scope.Counter("refusals"),
+		unreadable:    scope.Counter("records_unread"),
+		table:         quarantine.NewTable(quarantine.Options{Rule: opts.Rule}),
+		loggedRefused: make(map[quarantine.Fingerprint]bool),
 	}
 }
 
-// Version rises with every change of the table.
+// Version returns the version of the table, which increases with every change.
 func (s *Store) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Version()
 }
 
-// HasRecords reports whether any request is suspected or refused.
-func (s *Store) HasRecords() bool { return s.watching.Load() }
+// HasRecords reports whether any request is suspected or quarantined.
+func (s *Store) HasRecords() bool { return s.nonEmpty.Load() }
 
-// RefusedFor reports for how long yet a request is refused.
+// RefusedFor returns for how much longer a request is refused. The second
+// result is false if it is not refused.
 func (s *Store) RefusedFor(f quarantine.Fingerprint) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,36 +102,37 @@
 	return time.Duration(until-now) * time.Millisecond, true
 }
 
-// RecordCrash tells that an upstream died while it ran a request.
+// RecordCrash records that an upstream crashed while it ran a request.
 func (s *Store) RecordCrash(f quarantine.Fingerprint, r quarantine.Request, d quarantine.Crash) {
-	s.deaths.Inc(1)
-	s.change(func(now int64) {
+	s.crashes.Inc(1)
+	s.update(func(now int64) {
 		s.table.RecordCrash(now, f, r, d)
-		s.began = true
+		s.newCrash = true
 	})
 }
 
-// RecordResponse tells that a request was answered in full.
+// RecordResponse records that a request received a complete response.
 func (s *Store) RecordResponse(f quarantine.Fingerprint) {
-	s.change(func(now int64) { s.table.RecordResponse(now, f) })
+	s.update(func(now int64) { s.table.RecordResponse(now, f) })
 }
 
-// Release frees a request. It reports false when the request is not known.
+// Release ends the suspicion or quarantine of a request. It returns false if
+// there is no record of the request.
 func (s *Store) Release(f quarantine.Fingerprint) bool {
 	known := false
-	s.change(func(now int64) { known = s.table.Release(now, f) })
+	s.update(func(now int64) { known = s.table.Release(now, f) })
 	return known
 }
 
 // Entry is one record as operators see it.
 type Entry struct {
 	quarantine.Record
-	// Refused is set while the request is refused everywhere; else it is only
-	// suspected.
+	// Refused is set while all daemons refuse the request. Otherwise the
+	// request is only suspected.
 	Refused bool `json:"refused"`
 }
 
-// List returns what is known, newest first.
+// List returns all records, newest first.
 func (s *Store) List() []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,11 +147,11 @@
 
 const tickInterval = 100 * time.Millisecond
 
-// Serve settles and expires records until the context ends.
+// Serve evaluates and expires records until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
 	return interval.Run(ctx, tickInterval, func() {
 		if s.HasRecords() {
-			s.change(s.settle)
+			s.update(s.evaluate)
 		}
 	})
 }
@@ -151,21 +159,22 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "quarantine" }
 
-func (s *Store) settle(now int64) {
+func (s *Store) evaluate(now int64) {
 	s.table.Evaluate(now)
 	s.table.Expire(now)
 }
 
-// change runs a change of the table and makes known what came of it.
-func (s *Store) change(f func(now int64)) {
+// update runs a change of the table. If the table has changed, it logs new and
+// ended quarantines and calls OnUpdate.
+func (s *Store) update(f func(now int64)) {
 	s.mu.Lock()
 	before := s.table.Version()
 	now := s.now()
 	f(now)
 	changed := s.table.Version() != before
 	if changed {
-		s.watching.Store(s.table.Len() > 0)
-		s.log(now)
+		s.nonEmpty.Store(s.table.Len() > 0)
+		s.logChanges(now)
 	}
 	s.mu.Unlock()
 	if changed {
@@ -173,25 +182,25 @@
 	}
 }
 
-// log writes a line for each request that is newly refused or no longer.
-func (s *Store) log(now int64) {
+// logChanges logs each request that is newly refused or no longer refused.
+func (s *Store) logChanges(now int64) {
 	refused := make(map[quarantine.Fingerprint]bool)
 	for _, r := range s.table.List() {
 		if !r.Refused(now) {
 			continue
 		}
 		refused[r.Fingerprint] = true
-		if !s.known[r.Fingerprint] {
+		if !s.loggedRefused[r.Fingerprint] {
 			s.opts.Logger.Warn("request quarantined", "fingerprint", r.Fingerprint.String(),
 				"service", r.Service, "caller", r.Caller, "request", r.Request)
 		}
 	}
-	for f := range s.known {
+	for f := range s.loggedRefused {
 		if !refused[f] {
 			s.opts.Logger.Info("request no longer quarantined", "fingerprint", f.String())
 		}
 	}
-	s.known = refused
+	s.loggedRefused = refused
 }
 
-func (s *Store) now() int64 { return s.opts.Wall().UnixMilli() }
+func (s *Store) now() int64 { return s.opts.WallClock().UnixMilli() }
--- a/quarantine/topic.go
+++ b/quarantine/topic.go
@@ -14,30 +14,31 @@
 // Name implements peer.Topic.
 func (*Store) Name() string { return "quarantine" }
 
-// Digest implements peer.Topic. It is empty while the table is.
+// Digest implements peer.Topic. It returns nil while the table is empty.
 func (s *Store) Digest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.table.Len() == 0 {
 		return nil
 	}
-	return binary.BigEndian.AppendUint64(nil, s.sum())
+	return binary.BigEndian.AppendUint64(nil, s.checksum())
 }
 
-// sum returns a number that two tables with the same records have in common, zero for
-// an empty one. s.mu is held.
-func (s *Store) sum() uint64 {
-	if v := s.table.Version(); s.summed != v {
-		s.summed, s.lastSum = v, 0
+// checksum returns the XOR of the hashes of all records: equal for tables with
+// the same records, zero for an empty table. s.mu is held.
+func (s *Store) checksum() uint64 {
+	if v := s.table.Version(); s.checksumVersion != v {
+		s.checksumVersion, s.cachedChecksum = v, 0
 		for _, r := range s.table.List() {
-			s.lastSum ^= r.Sum()
+			s.cachedChecksum ^= r.Sum()
 		}
 	}
-	return s.lastSum
+	return s.cachedChecksum
 }
 
-// Delta implements peer.Topic. It returns records, newest first, when the
-// digests differ; those that do not fit take turns in later rounds.
+// Delta implements peer.Topic. It returns records, newest first, if the digests
+// differ. If they do not all fit into the limit, the next call continues with
+// the records that were left out.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
@@ -48,9 +49,9 @@
 	if len(records) == 0 {
 		return nil
 	}
-	from := s.turn % len(records)
+	from := s.deltaStart % len(records)
 	out, n := appendRecords(nil, slices.Concat(records[from:], records[:from]), limit)
-	s.turn = (from + n) % len(records)
+	s.deltaStart = (from + n) % len(records)
 	return out
 }
 
@@ -58,10 +59,10 @@
 func (s *Store) Apply(delta []byte) error {
 	records, err := quarantine.Decode(delta)
 	if err != nil {
-		s.unread.Inc(1)
+		s.unreadable.Inc(1)
 		return err
 	}
-	s.change(func(now int64) {
+	s.update(func(now int64) {
 		for _, r := range records {
 			s.table.Merge(now, r)
 		}
--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -6,71 +6,73 @@
 	"time"
 )
 
-// Batcher is a Log that joins appends to one stream that come at about the same
-// time into one. It is safe for concurrent use.
+// Batcher is a Log that joins appends to the same stream which arrive within a
+// short window into one append. It is safe for concurrent use.
 type Batcher struct {
 	Log
-	// Window is how long an append waits for others. Default: 10ms.
+	// Window is how long an append waits for others to join it. Default: 10ms.
 	Window time.Duration
 	// Timeout bounds a joined append. Default: 3s.
 	Timeout time.Duration
 
-	mu   sync.Mutex
-	open map[string]*batch
+	mu      sync.Mutex
+	pending map[string]*pendingBatch
 }
 
 const (
 	defaultWindow  = 10 * time.Millisecond
 	defaultTimeout = 3 * time.Second
-	// maxBatchRecords and maxBatchBytes close a batch to further appends.
+	// A batch takes no append that would give it more than maxBatchRecords
+	// records, and no further append once it has more than maxBatchBytes bytes.
 	maxBatchRecords = 256
 	maxBatchBytes   = 1 << 20
 )
 
-// batch is one append being gathered. first and err are set before done is
-// closed.
-type batch struct {
-	records [][]byte
-	bytes   int
-	done    chan struct{}
-	first   Offset
-	err     error
+// pendingBatch collects the records of several appends to one stream.
+// firstOffset and err are set before done is closed.
+type pendingBatch struct {
+	records     [][]byte
+	bytes       int
+	done        chan struct{}
+	firstOffset Offset
+	err         error
 }
 
-// Append implements Log. When the context ends before the joined append has,
-// the records may have been appended.
+// Append implements Log. When the context ends before the joined append does,
+// it returns an uncertain AppendError: the records may have been appended.
 func (b *Batcher) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	joined, at := b.join(stream, records)
+	joined, index := b.enqueue(stream, records)
 	select {
 	case <-joined.done:
-		return joined.first + Offset(at), joined.err
+		return joined.firstOffset + Offset(index), joined.err
 	case <-ctx.Done():
 		return 0, &AppendError{Stream: stream, Uncertain: true, Err: ctx.Err()}
 	}
 }
 
-// join adds the records to the open batch and returns it with their place.
-func (b *Batcher) join(stream string, records [][]byte) (*batch, int) {
+// enqueue adds the records to the pending batch of the stream. It returns the
+// batch and the index of the first of the records in it.
+func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.open == nil {
-		b.open = make(map[string]*batch)
+	if b.pending == nil {
+		b.pending = make(map[string]*pendingBatch)
 	}
-	current := b.open[stream]
+	current := b.pending[stream]
 	if current == nil || len(current.records)+len(records) > maxBatchRecords || current.bytes > maxBatchBytes {
-		current = &batch{done: make(chan struct{})}
-		b.open[stream] = current
-		go b.send(stream, current)
+		current = &pendingBatch{done: make(chan struct{})}
+		b.pending[stream] = current
+		go b.flush(stream, current)
 	}
-	at := len(current.records)
+	index := len(current.records)
 	current.records = append(current.records, records...)
 	for _, r := range records {
 		current.bytes += len(r)
 	}
-	return current, at
+	return current, index
 }
 
-func (b *Batcher) send(stream string, current *batch) {
+func (b *Batcher) flush(stream string, current *pendingBatch) {
 	window, timeout := b.Window, b.Timeout
 	if window <= 0 {
 		window = defaultWindow
@@ -80,13 +82,13 @@
 	}
 	time.Sleep(window)
 	b.mu.Lock()
-	if b.open[stream] == current {
-		delete(b.open, stream)
+	if b.pending[stream] == current {
+		delete(b.pending, stream)
 	}
 	records := current.records
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	current.first, current.err = b.Log.Append(ctx, stream, records)
+	current.firstOffset, current.err = b.Log.Append(ctx, stream, records)
 	close(current.done)
 }
--- a/recordlog/platform_test.go
+++ b/recordlog/recordlog_test.go
@@ -17,14 +17,14 @@
 	"github.com/dottereltiller/dottereltiller/loopback"
 )
 
-func client(t *testing.T, h http.Handler) *Client {
+func newTestClient(t *testing.T, h http.Handler) *Client {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
 	return NewClient(strings.TrimPrefix(srv.URL, "http://"))
 }
 
-func data(b Batch) []string {
+func formatRecords(b Batch) []string {
 	var out []string
 	for _, r := range b.Records {
 		out = append(out, fmt.Sprintf("%d:%s", r.Offset, r.Data))
@@ -32,9 +32,9 @@
 	return out
 }
 
-func TestClientAndStandInAgree(t *testing.T) {
+func TestClientAgainstHandler(t *testing.T) {
 	log := &Memory{}
-	c := client(t, Handler(log))
+	c := newTestClient(t, Handler(log))
 	first, err := c.Append(t.Context(), "s", [][]byte{[]byte("a"), []byte("b")})
 	require.NoError(t, err)
 	require.Zero(t, first)
@@ -44,7 +44,7 @@
 
 	b, err := c.Read(t.Context(), "s", 1, 1)
 	require.NoError(t, err)
-	require.Equal(t, []string{"1:b"}, data(b))
+	require.Equal(t, []string{"1:b"}, formatRecords(b))
 	require.EqualValues(t, 3, b.Next)
 	b, err = c.Read(t.Context(), "s", 3, 10)
 	require.NoError(t, err)
@@ -57,19 +57,19 @@
 	require.EqualValues(t, 2, trimmed.Oldest)
 }
 
-func TestClientTellsWhetherAnAppendMayHaveTakenEffect(t *testing.T) {
-	lost := NewFaultyLog(&Memory{})
-	lost.SetFaults(Faults{LoseReplies: 1})
-	nobody, err := loopback.UnusedAddress()
+func TestClientReportsUncertainAppends(t *testing.T) {
+	losesReplies := NewFaultyLog(&Memory{})
+	losesReplies.SetFaults(Faults{LoseReplies: 1})
+	unused, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		client    *Client
 		uncertain bool
 	}{
-		"reply lost":    {client(t, Handler(lost)), true},
-		"no connection": {NewClient(nobody), false},
-		"not found":     {client(t, http.NotFoundHandler()), false},
-		"cut off": {client(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		"response lost": {newTestClient(t, Handler(losesReplies)), true},
+		"no connection": {NewClient(unused), false},
+		"not found":     {newTestClient(t, http.NotFoundHandler()), false},
+		"connection aborted": {newTestClient(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		})), true},
 	} {
@@ -82,32 +82,32 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestFaultyLogInjectsFaults(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{Retention: time.Minute}
 		log := NewFaultyLog(memory)
-		one := [][]byte{[]byte("x")}
-		count := func() Offset {
+		records := [][]byte{[]byte("x")}
+		countRecords := func() Offset {
 			b, err := memory.Read(t.Context(), "s", 0, 100)
 			require.NoError(t, err)
 			return b.Next
 		}
 		log.SetFaults(Faults{Duplicate: 1})
-		_, err := log.Append(t.Context(), "s", one)
+		_, err := log.Append(t.Context(), "s", records)
 		require.NoError(t, err)
-		require.EqualValues(t, 2, count(), "appended twice")
+		require.EqualValues(t, 2, countRecords(), "appended twice")
 
 		log.SetFaults(Faults{LoseReplies: 1})
-		_, err = log.Append(t.Context(), "s", one)
+		_, err = log.Append(t.Context(), "s", records)
 		require.ErrorIs(t, err, ErrReplyLost)
-		require.EqualValues(t, 3, count(), "took effect")
+		require.EqualValues(t, 3, countRecords(), "the append took effect")
 
 		log.SetFaults(Faults{Down: true})
-		_, err = log.Append(t.Context(), "s", one)
+		_, err = log.Append(t.Context(), "s", records)
 		require.ErrorIs(t, err, ErrDown)
 		_, err = log.Read(t.Context(), "s", 0, 1)
 		require.ErrorIs(t, err, ErrDown)
-		require.EqualValues(t, 3, count(), "no effect")
+		require.EqualValues(t, 3, countRecords(), "the append had no effect")
 
 		log.SetFaults(Faults{Latency: time.Second})
 		start := time.Now()
@@ -119,29 +119,29 @@
 		_, err = memory.Read(t.Context(), "s", 0, 1)
 		var trimmed *TrimmedError
 		require.ErrorAs(t, err, &trimmed)
-		require.EqualValues(t, 3, trimmed.Oldest, "nothing is kept beyond the retention")
+		require.EqualValues(t, 3, trimmed.Oldest, "records older than the retention are dropped")
 	})
 }
 
-func TestFaultsAreSetOverHTTP(t *testing.T) {
+func TestFaultHandlerSetsFaults(t *testing.T) {
 	log := NewFaultyLog(&Memory{})
 	h := FaultHandler(log)
-	set := func(body string) int {
+	putFaults := func(body string) int {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodPut, "/v1/faults", strings.NewReader(body)))
 		return w.Code
 	}
-	require.Equal(t, http.StatusBadRequest, set(`{"dwon": true}`))
-	require.Equal(t, http.StatusNoContent, set(`{"down": true}`))
-	_, err := client(t, h).Read(t.Context(), "s", 0, 1)
+	require.Equal(t, http.StatusBadRequest, putFaults(`{"dwon": true}`))
+	require.Equal(t, http.StatusNoContent, putFaults(`{"down": true}`))
+	_, err := newTestClient(t, h).Read(t.Context(), "s", 0, 1)
 	require.ErrorContains(t, err, "503")
 }
 
-func TestBatcherJoinsAppendsAndTellsEachItsOffset(t *testing.T) {
+func TestBatcherReturnsOffsetOfEachAppend(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{}
-		counted := &countingLog{Log: memory}
-		b := &Batcher{Log: counted}
+		counting := &countingLog{Log: memory}
+		b := &Batcher{Log: counting}
 		offsets := make([]Offset, 50)
 		var wg sync.WaitGroup
 		for i := range offsets {
@@ -152,7 +152,7 @@
 			})
 		}
 		wg.Wait()
-		require.Equal(t, 1, counted.appends)
+		require.Equal(t, 1, counting.appends)
 		read, err := memory.Read(t.Context(), "s", 0, 100)
 		require.NoError(t, err)
 		for i, o := range offsets {
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestBatcherTellsAnAbandonedAppendIsUncertain(t *testing.T) {
+func TestBatcherReportsCancelledAppendAsUncertain(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
@@ -174,32 +174,33 @@
 	})
 }
 
-func TestLimitedKeepsTheShareOfOneDaemon(t *testing.T) {
+func TestRateLimitedLogKeepsShareOfOneDaemon(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{}
-		l := NewRateLimitedLog(memory)
-		l.SetDaemonCount(1700)
+		limited := NewRateLimitedLog(memory)
+		limited.SetDaemonCount(1700)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
 		defer cancel()
 		var err error
 		for err == nil {
-			_, err = l.Append(ctx, "s", [][]byte{[]byte("a")})
+			_, err = limited.Append(ctx, "s", [][]byte{[]byte("a")})
 		}
-		require.ErrorIs(t, err, ErrLimited)
+		require.ErrorIs(t, err, ErrRateLimited)
 		var failed *AppendError
 		require.True(t, errors.As(err, &failed) && !failed.Uncertain)
 		b, err := memory.Read(t.Context(), "s", 0, 1)
 		require.NoError(t, err)
-		require.InDelta(t, 100*SystemAppends/1700+appendBurst, int(b.Next), 1)
+		require.InDelta(t, 100*MaxSystemAppendsPerSecond/1700+appendBurst, int(b.Next), 1)
 	})
 }
 
+// countingLog counts the appends to a Log.
 type countingLog struct {
 	Log
 	appends int
 }
 
-func (c *countingLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	c.appends++
-	return c.Log.Append(ctx, stream, records)
+func (l *countingLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
+	l.appends++
+	return l.Log.Append(ctx, stream, records)
 }
