--- a/decision/count.go
+++ b/decision/count.go
@@ -11,38 +11,38 @@
 // maxCounters bounds the counters; what is beyond is counted without its reason.
 const maxCounters = 256
 
-// counts counts decisions by kind and reason, whether or not their lines are kept. It
+// decisionCounters counts decisions by kind and reason, whether or not their lines are kept. It
 // is safe for concurrent use.
-type counts struct {
-	counters *telemetry.BoundedMetrics[counted, tally.Counter]
+type decisionCounters struct {
+	byKey *telemetry.BoundedMetrics[counterKey, tally.Counter]
 }
 
-type counted struct {
+type counterKey struct {
 	kind   Kind
 	reason string
 }
 
-// newCounts returns counts in a scope; nil counts nothing.
-func newCounts(scope tally.Scope) *counts {
+// newDecisionCounters returns counts in a scope; nil counts nothing.
+func newDecisionCounters(scope tally.Scope) *decisionCounters {
 	scope = telemetry.OrNoop(scope)
-	other := func(k counted) counted { return counted{kind: k.kind} }
-	add := func(k counted) tally.Counter {
+	other := func(k counterKey) counterKey { return counterKey{kind: k.kind} }
+	add := func(k counterKey) tally.Counter {
 		return scope.Tagged(map[string]string{"kind": string(k.kind), "reason": k.reason}).Counter("decisions")
 	}
-	return &counts{counters: telemetry.NewBoundedMetrics(maxCounters, other, add)}
+	return &decisionCounters{byKey: telemetry.NewBoundedMetrics(maxCounters, other, add)}
 }
 
 // reasonKey is the field that tells the reason of a decision.
 const reasonKey = "reason"
 
 // add counts a decision.
-func (c *counts) add(k Kind, attrs []slog.Attr) {
-	key := counted{kind: k}
+func (c *decisionCounters) add(k Kind, attrs []slog.Attr) {
+	key := counterKey{kind: k}
 	for i := range attrs {
 		if attrs[i].Key == reasonKey {
 			key.reason = attrs[i].Value.String()
 			break
 		}
 	}
-	c.counters.Get(key).Inc(1)
+	c.byKey.Get(key).Inc(1)
 }
--- a/decision/count_test.go
+++ b/decision/count_test.go
@@ -10,8 +10,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestDecisionsAreCounted also counts those whose lines are dropped.
-func TestDecisionsAreCounted(t *testing.T) {
+// TestDroppedDecisionsAreCounted also counts those whose lines are dropped.
+func TestDroppedDecisionsAreCounted(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	l := New(Options{Handler: slog.DiscardHandler, LinesPerSecond: 1, Scope: scope})
 	defer l.Close(time.Second)
@@ -29,7 +29,7 @@
 
 func TestCountersAreBounded(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	c := newCounts(scope)
+	c := newDecisionCounters(scope)
 	for i := range 2 * maxCounters {
 		c.add(Refused, []slog.Attr{slog.String("reason", fmt.Sprint(i))})
 	}
--- a/decision/kinds.go
+++ b/decision/kinds.go
@@ -63,11 +63,11 @@
 	Fields []string
 }
 
-// endFields are told of every end of a request. Expected_ms is what the entry
+// completionFields are told of every end of a request. Expected_ms is what the entry
 // expected of the last choice, among so many candidates; sends and given_back count
 // the attempts that reached an upstream and that a guard handed back. Cut tells that the
 // daemon had closed the caller's connection, so that the caller got no answer.
-var endFields = []string{
+var completionFields = []string{
 	"route", "service", "upstream", "reason", "status", "retry_after_ms", "took_ms",
 	"sends", "given_back", "candidates", "expected_ms", "config", "idempotent", "cut",
 }
@@ -75,9 +75,9 @@
 // Declarations lists every kind once, in the order of the page on logs.
 func Declarations() []Declaration {
 	return []Declaration{
-		{Answered, Plain, "The entry delivered an upstream's answer.", endFields},
-		{Refused, Trouble, "The entry refused a request that has not run.", endFields},
-		{Failed, Trouble, "The entry answered with a failure of its own; the request may have run.", endFields},
+		{Answered, Plain, "The entry delivered an upstream's answer.", completionFields},
+		{Refused, Trouble, "The entry refused a request that has not run.", completionFields},
+		{Failed, Trouble, "The entry answered with a failure of its own; the request may have run.", completionFields},
 		{Aborted, State, "What served a request panicked. Where it was a handler, of callers or peers, the connection was closed without an answer.", []string{"part", "error", "stack"}},
 		{Retried, Trouble, "The entry sent a request to another upstream after an attempt ended.", []string{"service", "upstream", "reason", "sends", "budget_left"}},
 		{Hedged, Trouble, "The entry sent an idempotent request to a second upstream while the first was at work.", []string{"service", "upstream", "instead_of", "waited_ms", "expected_ms", "budget_left"}},
--- a/decision/log.go
+++ b/decision/log.go
@@ -18,8 +18,8 @@
 	SampleOneIn uint32
 	// LinesPerSecond bounds plain and trouble lines. Default: 40.
 	LinesPerSecond float64
-	// Buffer is the number of lines that may wait. Default: 512.
-	Buffer int
+	// BufferLines is the number of lines that may wait. Default: 512.
+	BufferLines int
 	// Now reads the time. Default: time.Now.
 	Now func() time.Time
 	// Scope receives the counters of decisions. Nil means none.
@@ -27,40 +27,40 @@
 }
 
 const (
-	// defaultSample, defaultRate and defaultBuffer hold a daemon's log under
+	// defaultSampleOneIn, defaultLinesPerSecond and defaultBufferLines hold a daemon's log under
 	// 16 KB/s at 400 bytes a line and its buffer under 256 KB.
-	defaultSample = 16
-	defaultRate   = 40
-	defaultBuffer = 512
+	defaultSampleOneIn    = 16
+	defaultLinesPerSecond = 40
+	defaultBufferLines    = 512
 	// burstSeconds is how many seconds' worth of unused lines may be saved up.
 	burstSeconds = 5
-	// tellEvery is the time between two reports of dropped lines.
-	tellEvery = time.Second
-	// plainShare is the share of the saved lines that plain ones leave alone.
-	plainShare = 0.5
+	// dropReportInterval is the time between two reports of dropped lines.
+	dropReportInterval = time.Second
+	// troubleReserve is the share of the saved lines that plain ones leave alone.
+	troubleReserve = 0.5
 )
 
 // Log writes lines. It is safe for concurrent use. A nil Log drops everything.
 type Log struct {
-	opts    Options
-	counts  *counts
-	classes map[Kind]Class
-	lines   chan line
-	done    chan struct{}
-
-	mu      sync.Mutex
-	closed  bool
-	tokens  float64
-	at      time.Time
-	dropped [State + 1]int64
-	// told is when that was last reported.
-	told time.Time
-	// total counts all lines ever dropped.
-	total int64
+	opts     Options
+	counters *decisionCounters
+	classes  map[Kind]Class
+	lines    chan queuedLine
+	done     chan struct{}
+
+	mu              sync.Mutex
+	closed          bool
+	tokens          float64
+	tokensUpdatedAt time.Time
+	dropped         [State + 1]int64
+	// dropsReportedAt is when that was last reported.
+	dropsReportedAt time.Time
+	// totalDropped counts all lines ever dropped.
+	totalDropped int64
 }
 
-// line is a record and the handler that writes it.
-type line struct {
+// queuedLine is a record and the handler that writes it.
+type queuedLine struct {
 	record  slog.Record
 	handler slog.Handler
 }
@@ -68,30 +68,30 @@
 // New returns a Log. Close flushes it.
 func New(o Options) *Log {
 	if o.SampleOneIn == 0 {
-		o.SampleOneIn = defaultSample
+		o.SampleOneIn = defaultSampleOneIn
 	}
 	if o.LinesPerSecond <= 0 {
-		o.LinesPerSecond = defaultRate
+		o.LinesPerSecond = defaultLinesPerSecond
 	}
-	if o.Buffer <= 0 {
-		o.Buffer = defaultBuffer
+	if o.BufferLines <= 0 {
+		o.BufferLines = defaultBufferLines
 	}
 	if o.Now == nil {
 		o.Now = time.Now
 	}
 	l := &Log{
-		opts:    o,
-		counts:  newCounts(o.Scope),
-		classes: make(map[Kind]Class),
-		lines:   make(chan line, o.Buffer),
-		done:    make(chan struct{}),
-		tokens:  o.LinesPerSecond * burstSeconds,
-		at:      o.Now(),
+		opts:            o,
+		counters:        newDecisionCounters(o.Scope),
+		classes:         make(map[Kind]Class),
+		lines:           make(chan queuedLine, o.BufferLines),
+		done:            make(chan struct{}),
+		tokens:          o.LinesPerSecond * burstSeconds,
+		tokensUpdatedAt: o.Now(),
 	}
 	for _, d := range Declarations() {
 		l.classes[d.Kind] = d.Class
 	}
-	go l.write()
+	go l.writeLines()
 	return l
 }
 
@@ -112,7 +112,7 @@
 	if l == nil {
 		return
 	}
-	l.counts.add(k, attrs)
+	l.counters.add(k, attrs)
 	class := l.classes[k]
 	if class == Plain && !l.Sampled(request) {
 		return
@@ -121,25 +121,25 @@
 	defer l.mu.Unlock()
 	now := l.opts.Now()
 	if l.closed || !l.admit(class, now) {
-		l.drop(class)
+		l.countDropped(class)
 		return
 	}
-	l.tell(now)
-	l.push(class, record(now, k, class, request, attrs), l.opts.Handler)
+	l.reportDropped(now)
+	l.enqueue(class, newRecord(now, k, class, request, attrs), l.opts.Handler)
 }
 
 // admit reports whether the budget allows a line. State lines are always
 // admitted: they are as rare as the changes that they tell of.
 func (l *Log) admit(c Class, now time.Time) bool {
 	most := l.opts.LinesPerSecond * burstSeconds
-	l.tokens = min(most, l.tokens+now.Sub(l.at).Seconds()*l.opts.LinesPerSecond)
-	l.at = now
+	l.tokens = min(most, l.tokens+now.Sub(l.tokensUpdatedAt).Seconds()*l.opts.LinesPerSecond)
+	l.tokensUpdatedAt = now
 	if c == State {
 		return true
 	}
 	floor := 1.0
 	if c == Plain {
-		floor = most * plainShare
+		floor = most * troubleReserve
 	}
 	if l.tokens < floor {
 		return false
@@ -148,33 +148,33 @@
 	return true
 }
 
-// tell reports what was dropped, once there is room again.
-func (l *Log) tell(now time.Time) {
-	if l.dropped == [State + 1]int64{} || len(l.lines) > cap(l.lines)/2 || now.Sub(l.told) < tellEvery {
+// reportDropped reports what was dropped, once there is room again.
+func (l *Log) reportDropped(now time.Time) {
+	if l.dropped == [State + 1]int64{} || len(l.lines) > cap(l.lines)/2 || now.Sub(l.dropsReportedAt) < dropReportInterval {
 		return
 	}
-	l.told = now
+	l.dropsReportedAt = now
 	attrs := []slog.Attr{
 		slog.Int64("plain", l.dropped[Plain]),
 		slog.Int64("trouble", l.dropped[Trouble]),
 		slog.Int64("state", l.dropped[State]),
 	}
 	l.dropped = [State + 1]int64{}
-	l.push(State, record(now, LinesDropped, State, "", attrs), l.opts.Handler)
+	l.enqueue(State, newRecord(now, LinesDropped, State, "", attrs), l.opts.Handler)
 }
 
-func (l *Log) push(c Class, r slog.Record, h slog.Handler) {
+func (l *Log) enqueue(c Class, r slog.Record, h slog.Handler) {
 	select {
-	case l.lines <- line{record: r, handler: h}:
+	case l.lines <- queuedLine{record: r, handler: h}:
 	default:
-		l.drop(c)
+		l.countDropped(c)
 	}
 }
 
-// drop counts a line. l.mu is held.
-func (l *Log) drop(c Class) {
+// countDropped counts a line. l.mu is held.
+func (l *Log) countDropped(c Class) {
 	l.dropped[c]++
-	l.total++
+	l.totalDropped++
 }
 
 // Dropped returns how many lines were dropped since the start, plain ones of
@@ -182,10 +182,10 @@
 func (l *Log) Dropped() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.total
+	return l.totalDropped
 }
 
-func record(now time.Time, k Kind, c Class, request string, attrs []slog.Attr) slog.Record {
+func newRecord(now time.Time, k Kind, c Class, request string, attrs []slog.Attr) slog.Record {
 	level := slog.LevelInfo
 	if c == Trouble {
 		level = slog.LevelWarn
@@ -198,7 +198,7 @@
 	return r
 }
 
-func (l *Log) write() {
+func (l *Log) writeLines() {
 	defer close(l.done)
 	for w := range l.lines {
 		_ = w.handler.Handle(context.Background(), w.record)
--- a/decision/log_test.go
+++ b/decision/log_test.go
@@ -22,31 +22,31 @@
 	now time.Time
 }
 
-func (c *clock) read() time.Time {
+func (c *clock) current() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *clock) pass(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
-// sink is a writer that can stand still.
-type sink struct {
+// lockedBuffer is a writer that can stand still.
+type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *sink) Write(p []byte) (int, error) {
+func (s *lockedBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-func (s *sink) kinds(t *testing.T) map[string]int {
+func (s *lockedBuffer) countByKind(t *testing.T) map[string]int {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,14 +61,14 @@
 	return out
 }
 
-func newLog(o Options) (*Log, *sink, *clock) {
-	s, c := &sink{}, &clock{now: time.Unix(1000, 0)}
-	o.Handler, o.Now = slog.NewJSONHandler(s, nil), c.read
+func newTestLog(o Options) (*Log, *lockedBuffer, *clock) {
+	s, c := &lockedBuffer{}, &clock{now: time.Unix(1000, 0)}
+	o.Handler, o.Now = slog.NewJSONHandler(s, nil), c.current
 	return New(o), s, c
 }
 
 func TestPlainLinesAreSampledByRequest(t *testing.T) {
-	l, s, c := newLog(Options{SampleOneIn: 4})
+	l, s, c := newTestLog(Options{SampleOneIn: 4})
 	other := New(Options{Handler: slog.DiscardHandler, SampleOneIn: 4})
 	defer other.Close(time.Second)
 	kept := 0
@@ -79,17 +79,17 @@
 			kept++
 		}
 		l.Write(Answered, id)
-		c.pass(time.Second)
+		c.advance(time.Second)
 	}
 	l.Close(time.Second)
-	require.Equal(t, kept, s.kinds(t)[string(Answered)])
+	require.Equal(t, kept, s.countByKind(t)[string(Answered)])
 	require.InDelta(t, 25, kept, 15)
 }
 
-// TestTroubleOutlivesPlain answers ten times the lines that the budget allows:
+// TestPlainLinesAreDroppedFirst answers ten times the lines that the budget allows:
 // successes go first, state changes stay, and what was dropped is told.
-func TestTroubleOutlivesPlain(t *testing.T) {
-	l, s, c := newLog(Options{SampleOneIn: 1, LinesPerSecond: 10, Buffer: 4096})
+func TestPlainLinesAreDroppedFirst(t *testing.T) {
+	l, s, c := newTestLog(Options{SampleOneIn: 1, LinesPerSecond: 10, BufferLines: 4096})
 	const seconds = 30
 	for range seconds {
 		for range 50 {
@@ -97,11 +97,11 @@
 			l.Write(Refused, "b")
 		}
 		l.Write(UpstreamState, "")
-		c.pass(time.Second)
+		c.advance(time.Second)
 	}
 	require.Positive(t, l.Dropped())
 	l.Close(time.Second)
-	got := s.kinds(t)
+	got := s.countByKind(t)
 	require.Equal(t, seconds, got[string(UpstreamState)])
 	require.InDelta(t, seconds*10+10*burstSeconds, got[string(Refused)]+got[string(Answered)], 15)
 	require.Greater(t, got[string(Refused)], 3*got[string(Answered)])
@@ -109,40 +109,40 @@
 	require.LessOrEqual(t, got[string(LinesDropped)], seconds, "once a second at most")
 }
 
-// TestNobodyReads has a standard output that stands still: writers never wait.
-func TestNobodyReads(t *testing.T) {
-	l, s, c := newLog(Options{Buffer: 8})
+// TestWritersNeverBlock has a standard output that stands still: writers never wait.
+func TestWritersNeverBlock(t *testing.T) {
+	l, s, c := newTestLog(Options{BufferLines: 8})
 	s.mu.Lock()
 	for i := range 1000 {
 		l.Write(UpstreamState, "", slog.Int("i", i))
-		c.pass(time.Millisecond)
+		c.advance(time.Millisecond)
 	}
 	dropped := l.Dropped()
 	s.mu.Unlock()
 	require.GreaterOrEqual(t, dropped, int64(1000-8-2))
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	require.Eventually(t, func() bool { return len(l.lines) == 0 }, 20*time.Second, time.Millisecond)
 	l.Write(UpstreamState, "")
 	l.Close(time.Second)
-	require.Equal(t, 1, s.kinds(t)[string(LinesDropped)])
+	require.Equal(t, 1, s.countByKind(t)[string(LinesDropped)])
 }
 
-func TestClosedAndNil(t *testing.T) {
+func TestWriteAfterCloseAndToNilLog(t *testing.T) {
 	var none *Log
 	none.Write(Answered, "x")
 	none.Close(0)
 	require.False(t, none.Sampled("x"))
-	l, s, _ := newLog(Options{})
+	l, s, _ := newTestLog(Options{})
 	l.Write(Started, "")
 	l.Close(time.Second)
 	l.Close(time.Second)
 	l.Write(Stopped, "")
-	require.Equal(t, map[string]int{string(Started): 1}, s.kinds(t))
+	require.Equal(t, map[string]int{string(Started): 1}, s.countByKind(t))
 }
 
-// TestDeclarationsAreComplete holds every constant to one declaration and to a use
+// TestEveryKindIsDeclaredAndUsed holds every constant to one declaration and to a use
 // outside this package.
-func TestDeclarationsAreComplete(t *testing.T) {
+func TestEveryKindIsDeclaredAndUsed(t *testing.T) {
 	text, err := os.ReadFile("kinds.go")
 	require.NoError(t, err)
 	names := regexp.MustCompile(`(?m)^\t(\w+)\s+Kind = "`).FindAllStringSubmatch(string(text), -1)
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestPage compares docs/LOGS.md with the declarations.
-func TestPage(t *testing.T) {
+// TestLogsPageMatchesDeclarations compares docs/LOGS.md with the declarations.
+func TestLogsPageMatchesDeclarations(t *testing.T) {
 	page, err := os.ReadFile("../docs/LOGS.md")
 	require.NoError(t, err)
 	_, table, ok := strings.Cut(string(page), "<!-- kinds -->\n")
--- a/decision/logger.go
+++ b/decision/logger.go
@@ -7,33 +7,37 @@
 
 // Logger returns a logger for lines that are no decisions. They wait among those that are,
 // and are dropped like lines of State: who writes one never waits for its reader.
-func (l *Log) Logger() *slog.Logger { return slog.New(queued{log: l, to: l.opts.Handler}) }
+func (l *Log) Logger() *slog.Logger { return slog.New(queueHandler{log: l, next: l.opts.Handler}) }
 
-// queued is a handler that has lines written by the goroutine of a Log.
-type queued struct {
-	log *Log
-	to  slog.Handler
+// queueHandler is a handler that has lines written by the goroutine of a Log.
+type queueHandler struct {
+	log  *Log
+	next slog.Handler
 }
 
 // Enabled implements slog.Handler.
-func (q queued) Enabled(ctx context.Context, level slog.Level) bool { return q.to.Enabled(ctx, level) }
+func (q queueHandler) Enabled(ctx context.Context, level slog.Level) bool {
+	return q.next.Enabled(ctx, level)
+}
 
 // WithAttrs implements slog.Handler.
-func (q queued) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return queued{q.log, q.to.WithAttrs(attrs)}
+func (q queueHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return queueHandler{q.log, q.next.WithAttrs(attrs)}
 }
 
 // WithGroup implements slog.Handler.
-func (q queued) WithGroup(name string) slog.Handler { return queued{q.log, q.to.WithGroup(name)} }
+func (q queueHandler) WithGroup(name string) slog.Handler {
+	return queueHandler{q.log, q.next.WithGroup(name)}
+}
 
 // Handle implements slog.Handler.
-func (q queued) Handle(_ context.Context, r slog.Record) error {
+func (q queueHandler) Handle(_ context.Context, r slog.Record) error {
 	q.log.mu.Lock()
 	defer q.log.mu.Unlock()
 	if q.log.closed {
-		q.log.drop(State)
+		q.log.countDropped(State)
 		return nil
 	}
-	q.log.push(State, r.Clone(), q.to)
+	q.log.enqueue(State, r.Clone(), q.next)
 	return nil
 }
--- a/decision/logger_test.go
+++ b/decision/logger_test.go
@@ -9,28 +9,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// halted is a writer that waits until it is let go.
-type halted struct {
+// blockingWriter is a writer that waits until it is let go.
+type blockingWriter struct {
 	bytes.Buffer
-	begun, release chan struct{}
+	started, release chan struct{}
 }
 
-func (h *halted) Write(p []byte) (int, error) {
+func (h *blockingWriter) Write(p []byte) (int, error) {
 	select {
-	case h.begun <- struct{}{}:
+	case h.started <- struct{}{}:
 	default:
 	}
 	<-h.release
 	return h.Buffer.Write(p)
 }
 
-func TestLoggerWaitsForNoReader(t *testing.T) {
-	out := &halted{begun: make(chan struct{}, 1), release: make(chan struct{})}
+func TestLoggerDoesNotBlock(t *testing.T) {
+	out := &blockingWriter{started: make(chan struct{}, 1), release: make(chan struct{})}
 	const room = 4
-	l := New(Options{Handler: slog.NewJSONHandler(out, nil), Buffer: room})
+	l := New(Options{Handler: slog.NewJSONHandler(out, nil), BufferLines: room})
 	logger := l.Logger().With("part", "p").WithGroup("g")
 	logger.Info("first", "n", 1)
-	<-out.begun
+	<-out.started
 	for range room + 3 {
 		logger.Info("more")
 	}
--- a/decision/page.go
+++ b/decision/page.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// classes tells how long lines of a class are kept.
-var classes = map[Class]string{
+// classRetention tells how long lines of a class are kept.
+var classRetention = map[Class]string{
 	Plain:   "sampled, dropped first",
 	Trouble: "within the budget",
 	State:   "always",
@@ -17,7 +17,7 @@
 	var b strings.Builder
 	b.WriteString("| `msg` | tells | fields | kept |\n|---|---|---|---|\n")
 	for _, d := range Declarations() {
-		fmt.Fprintf(&b, "| %s | %s | `%s` | %s |\n", d.Kind, d.Description, strings.Join(d.Fields, "`, `"), classes[d.Class])
+		fmt.Fprintf(&b, "| %s | %s | `%s` | %s |\n", d.Kind, d.Description, strings.Join(d.Fields, "`, `"), classRetention[d.Class])
 	}
 	return b.String()
 }
