--- a/cmd/dottereltiller/why.go
+++ b/cmd/dottereltiller/why.go
@@ -38,20 +38,20 @@
 	}
 	log.Sort()
 	if c.Lost != "" {
-		losses := log.Losses(c.Lost)
+		losses := log.Unanswered(c.Lost)
 		if c.JSON {
 			return losses.WriteJSON(os.Stdout)
 		}
 		return losses.WriteText(os.Stdout)
 	}
-	var story why.Story
+	var story why.Timeline
 	switch {
 	case c.Upstream != "":
-		story = log.Upstream(c.Upstream)
+		story = log.UpstreamTimeline(c.Upstream)
 	case c.Config != 0:
-		story = log.Configuration(c.Config)
+		story = log.ConfigurationTimeline(c.Config)
 	default:
-		story = log.Request(request)
+		story = log.RequestTimeline(request)
 	}
 	if c.JSON {
 		return story.WriteJSON(os.Stdout)
--- a/why/read.go
+++ b/why/read.go
@@ -40,25 +40,25 @@
 // Log is what was read.
 type Log struct {
 	Lines []Line
-	// Damaged counts the lines that hold no decision.
-	Damaged int
+	// UnreadableLines counts the lines that hold no decision.
+	UnreadableLines int
 }
 
-// maxLine bounds a line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line, in bytes.
+const maxLineBytes = 1 << 20
 
 // Read adds the lines of one file. Its name stands for the daemon where a line
 // names none.
 func (l *Log) Read(name string, r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
+	s.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for s.Scan() {
-		line, ok := parse(s.Bytes())
+		line, ok := parseLine(s.Bytes())
 		switch {
 		case len(bytes.TrimSpace(s.Bytes())) == 0:
 			continue
 		case !ok:
-			l.Damaged++
+			l.UnreadableLines++
 			continue
 		case line.Daemon == "":
 			line.Daemon = name
@@ -73,8 +73,8 @@
 	slices.SortStableFunc(l.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// parse reads one line.
-func parse(b []byte) (Line, bool) {
+// parseLine reads one line.
+func parseLine(b []byte) (Line, bool) {
 	start := bytes.IndexByte(b, '{')
 	if start < 0 {
 		return Line{}, false
@@ -93,7 +93,7 @@
 		if err := d.Decode(&value); err != nil {
 			return Line{}, false
 		}
-		if !l.take(key.(string), value) {
+		if !l.setMember(key.(string), value) {
 			return Line{}, false
 		}
 	}
@@ -103,8 +103,8 @@
 	return l, l.Kind != "" && !l.Time.IsZero()
 }
 
-// take notes one member and reports whether it can be read.
-func (l *Line) take(key string, value json.RawMessage) bool {
+// setMember notes one member and reports whether it can be read.
+func (l *Line) setMember(key string, value json.RawMessage) bool {
 	text := string(value)
 	var s string
 	if json.Unmarshal(value, &s) == nil {
--- a/why/timeline.go
+++ b/why/timeline.go
@@ -12,18 +12,18 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// around is how long before and after a request the changes count that may
+// contextWindow is how long before and after a request the changes count that may
 // explain it: a belief is corrected within a few seconds.
-const around = 5 * time.Second
+const contextWindow = 5 * time.Second
 
-// Story is a selection of lines with what they are about.
-type Story struct {
-	About string `json:"about"`
+// Timeline is a selection of lines with what they are about.
+type Timeline struct {
+	Subject string `json:"about"`
 	// Outcome is the last word on a request, empty for others.
 	Outcome string  `json:"outcome,omitempty"`
 	Events  []Event `json:"events"`
-	// Damaged counts the lines that could not be read.
-	Damaged int `json:"damaged_lines"`
+	// UnreadableLines counts the lines that could not be read.
+	UnreadableLines int `json:"damaged_lines"`
 }
 
 // Event is one line of a story.
@@ -34,17 +34,17 @@
 	Daemon string            `json:"daemon"`
 	Kind   string            `json:"kind"`
 	Fields map[string]string `json:"fields,omitempty"`
-	// order keeps the fields as the line had them.
-	order []Field
+	// orderedFields keeps the fields as the line had them.
+	orderedFields []Field
 	// Context tells that the line is not about the request itself.
 	Context bool `json:"context,omitempty"`
 }
 
-// Request tells the story of a request: its own lines, and the changes around it
+// RequestTimeline tells the story of a request: its own lines, and the changes around it
 // of what its daemons believed of the upstreams that took part, of the store and
 // of the configuration.
-func (l *Log) Request(id string) Story {
-	s := Story{About: "request " + id, Damaged: l.Damaged}
+func (l *Log) RequestTimeline(id string) Timeline {
+	s := Timeline{Subject: "request " + id, UnreadableLines: l.UnreadableLines}
 	var own []Line
 	daemons, upstreams := map[string]bool{}, map[string]bool{}
 	for i := range l.Lines {
@@ -55,38 +55,38 @@
 		own = append(own, *line)
 		daemons[line.Daemon] = true
 		for _, name := range []string{"upstream", "instead_of"} {
-			if up := upstreamOf(line.Get(name)); up != "" {
+			if up := upstreamID(line.Get(name)); up != "" {
 				upstreams[up] = true
 			}
 		}
-		if isEnd(line.Kind) {
-			s.Outcome = outcomeOf(line)
+		if endsRequest(line.Kind) {
+			s.Outcome = describeOutcome(line)
 		}
 	}
 	if len(own) == 0 {
 		return s
 	}
-	from, to := own[0].Time.Add(-around), own[len(own)-1].Time.Add(around)
+	from, to := own[0].Time.Add(-contextWindow), own[len(own)-1].Time.Add(contextWindow)
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		if line.Request == id {
 			s.add(line, false)
-		} else if line.Request == "" && !line.Time.Before(from) && !line.Time.After(to) && explains(line, daemons, upstreams) {
+		} else if line.Request == "" && !line.Time.Before(from) && !line.Time.After(to) && mayExplain(line, daemons, upstreams) {
 			s.add(line, true)
 		}
 	}
 	return s
 }
 
-// upstreamOf returns the id of an upstream, which an entry names behind its
+// upstreamID returns the id of an upstream, which an entry names behind its
 // daemon's address.
-func upstreamOf(s string) string { return s[strings.LastIndexByte(s, ' ')+1:] }
+func upstreamID(s string) string { return s[strings.LastIndexByte(s, ' ')+1:] }
 
-func isEnd(kind string) bool {
+func endsRequest(kind string) bool {
 	return slices.Contains([]decision.Kind{decision.Answered, decision.Refused, decision.Failed}, decision.Kind(kind))
 }
 
-func outcomeOf(l *Line) string {
+func describeOutcome(l *Line) string {
 	out := fmt.Sprintf("%s with %s after %s ms", l.Kind, l.Get("status"), l.Get("took_ms"))
 	if r := l.Get("reason"); r != "" {
 		out += ": " + r
@@ -94,12 +94,12 @@
 	return out
 }
 
-// explains reports whether a change of belief may have decided about a request of
+// mayExplain reports whether a change of belief may have decided about a request of
 // the daemons and upstreams.
-func explains(l *Line, daemons, upstreams map[string]bool) bool {
+func mayExplain(l *Line, daemons, upstreams map[string]bool) bool {
 	switch decision.Kind(l.Kind) {
 	case decision.UpstreamState, decision.PeerState:
-		return upstreams[upstreamOf(l.Get("upstream"))]
+		return upstreams[upstreamID(l.Get("upstream"))]
 	case decision.ConfigInForce, decision.ConfigRefused, decision.StoreUnreachable, decision.StoreReachable, decision.Started,
 		decision.Stopping, decision.Stopped, decision.Reloaded, decision.PeersLearned, decision.PeerUnreachable, decision.PeerReachable, decision.LinesDropped:
 		return daemons[l.Daemon]
@@ -108,13 +108,13 @@
 	}
 }
 
-// Upstream tells the story of an upstream: what it reported, what the daemons
+// UpstreamTimeline tells the story of an upstream: what it reported, what the daemons
 // believed, and the runs that failed there.
-func (l *Log) Upstream(id string) Story {
-	s := Story{About: "upstream " + id, Damaged: l.Damaged}
+func (l *Log) UpstreamTimeline(id string) Timeline {
+	s := Timeline{Subject: "upstream " + id, UnreadableLines: l.UnreadableLines}
 	for i := range l.Lines {
 		line := &l.Lines[i]
-		if upstreamOf(line.Get("upstream")) != id {
+		if upstreamID(line.Get("upstream")) != id {
 			continue
 		}
 		switch decision.Kind(line.Kind) {
@@ -125,10 +125,10 @@
 	return s
 }
 
-// Configuration tells when each daemon brought a version into force, or a later
+// ConfigurationTimeline tells when each daemon brought a version into force, or a later
 // one, and from whom it had it.
-func (l *Log) Configuration(version uint64) Story {
-	s := Story{About: fmt.Sprintf("configuration %d", version), Damaged: l.Damaged}
+func (l *Log) ConfigurationTimeline(version uint64) Timeline {
+	s := Timeline{Subject: fmt.Sprintf("configuration %d", version), UnreadableLines: l.UnreadableLines}
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		kind := decision.Kind(line.Kind)
@@ -142,8 +142,8 @@
 	return s
 }
 
-func (s *Story) add(l *Line, context bool) {
-	e := Event{Time: l.Time, Daemon: l.Daemon, Kind: l.Kind, Fields: make(map[string]string, len(l.Fields)), order: l.Fields, Context: context}
+func (s *Timeline) add(l *Line, context bool) {
+	e := Event{Time: l.Time, Daemon: l.Daemon, Kind: l.Kind, Fields: make(map[string]string, len(l.Fields)), orderedFields: l.Fields, Context: context}
 	for _, f := range l.Fields {
 		e.Fields[f.Name] = f.Value
 	}
@@ -153,12 +153,12 @@
 }
 
 // WriteText writes a story for people. Lines of context are set off by a dot.
-func (s *Story) WriteText(w io.Writer) error {
+func (s *Timeline) WriteText(w io.Writer) error {
 	if len(s.Events) == 0 {
-		_, err := fmt.Fprintf(w, "%s: no line tells of it (%d lines could not be read)\n", s.About, s.Damaged)
+		_, err := fmt.Fprintf(w, "%s: no line tells of it (%d lines could not be read)\n", s.Subject, s.UnreadableLines)
 		return err
 	}
-	if _, err := fmt.Fprintf(w, "%s, from %s\n", s.About, s.Events[0].Time.Format(time.RFC3339Nano)); err != nil {
+	if _, err := fmt.Fprintf(w, "%s, from %s\n", s.Subject, s.Events[0].Time.Format(time.RFC3339Nano)); err != nil {
 		return err
 	}
 	for i := range s.Events {
@@ -168,7 +168,7 @@
 			mark = "."
 		}
 		var fields strings.Builder
-		for _, f := range e.order {
+		for _, f := range e.orderedFields {
 			if f.Value != "" {
 				fmt.Fprintf(&fields, " %s=%s", f.Name, f.Value)
 			}
@@ -182,12 +182,12 @@
 			return err
 		}
 	}
-	if s.Damaged > 0 {
-		_, err := fmt.Fprintf(w, "%d lines could not be read\n", s.Damaged)
+	if s.UnreadableLines > 0 {
+		_, err := fmt.Fprintf(w, "%d lines could not be read\n", s.UnreadableLines)
 		return err
 	}
 	return nil
 }
 
 // WriteJSON writes a story for programs.
-func (s *Story) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(s) }
+func (s *Timeline) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(s) }
--- a/why/unanswered.go
+++ b/why/unanswered.go
@@ -12,45 +12,45 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// Fate is how often a request has run.
-type Fate string
+// ExecutionCount is how often a request has run.
+type ExecutionCount string
 
 // The fates, as far as logs tell.
 const (
-	NotAtAll     Fate = "not at all"
-	Once         Fate = "once"
-	AtMostOnce   Fate = "at most once"
-	PerhapsTwice Fate = "perhaps twice"
+	NotAtAll     ExecutionCount = "not at all"
+	Once         ExecutionCount = "once"
+	AtMostOnce   ExecutionCount = "at most once"
+	PerhapsTwice ExecutionCount = "perhaps twice"
 )
 
-// Loss is a request that must not run twice and got no answer from an upstream.
-type Loss struct {
+// UnansweredRequest is a request that must not run twice and got no answer from an upstream.
+type UnansweredRequest struct {
 	Request string    `json:"request"`
 	Time    time.Time `json:"time"`
 	// Entry is the daemon that took it, empty where its log is not there.
 	Entry string `json:"entry,omitempty"`
 	// Upstreams may have run it.
 	Upstreams []string `json:"upstreams"`
-	// Told is the status that its caller got, empty where that is not known.
-	Told string `json:"told,omitempty"`
-	Fate Fate   `json:"fate"`
+	// CallerStatus is the status that its caller got, empty where that is not known.
+	CallerStatus string         `json:"told,omitempty"`
+	Executions   ExecutionCount `json:"fate"`
 }
 
-// Losses is what became of the requests of an upstream that must not run twice.
-type Losses struct {
-	Upstream string `json:"upstream"`
-	Requests []Loss `json:"requests"`
-	Damaged  int    `json:"damaged_lines"`
+// UnansweredRequests is what became of the requests of an upstream that must not run twice.
+type UnansweredRequests struct {
+	Upstream        string              `json:"upstream"`
+	Requests        []UnansweredRequest `json:"requests"`
+	UnreadableLines int                 `json:"damaged_lines"`
 }
 
-// Losses tells, for each request that must not run twice and whose run at an upstream has
+// Unanswered tells, for each request that must not run twice and whose run at an upstream has
 // no answer, how often it has run.
-func (l *Log) Losses(upstream string) Losses {
-	out := Losses{Upstream: upstream, Damaged: l.Damaged}
+func (l *Log) Unanswered(upstream string) UnansweredRequests {
+	out := UnansweredRequests{Upstream: upstream, UnreadableLines: l.UnreadableLines}
 	lines := make(map[string][]*Line)
 	for i := range l.Lines {
 		line := &l.Lines[i]
-		if isLoss(line, upstream) {
+		if hasUnknownExecution(line, upstream) {
 			lines[line.Request] = nil
 		}
 	}
@@ -61,17 +61,17 @@
 		}
 	}
 	for id, of := range lines {
-		out.Requests = append(out.Requests, lossOf(id, of))
+		out.Requests = append(out.Requests, summarizeRequest(id, of))
 	}
-	slices.SortFunc(out.Requests, func(a, b Loss) int {
+	slices.SortFunc(out.Requests, func(a, b UnansweredRequest) int {
 		return cmp.Or(a.Time.Compare(b.Time), strings.Compare(a.Request, b.Request))
 	})
 	return out
 }
 
-// isLoss reports whether a line tells of a run at an upstream that has no answer.
-func isLoss(l *Line, upstream string) bool {
-	if l.Request == "" || l.Get("idempotent") != "false" || upstreamOf(l.Get("upstream")) != upstream {
+// hasUnknownExecution reports whether a line tells of a run at an upstream that has no answer.
+func hasUnknownExecution(l *Line, upstream string) bool {
+	if l.Request == "" || l.Get("idempotent") != "false" || upstreamID(l.Get("upstream")) != upstream {
 		return false
 	}
 	kind := decision.Kind(l.Kind)
@@ -90,61 +90,61 @@
 	}
 }
 
-// lossOf joins the lines of a request, in order of time.
-func lossOf(id string, lines []*Line) Loss {
-	loss := Loss{Request: id, Time: lines[0].Time}
+// summarizeRequest joins the lines of a request, in order of time.
+func summarizeRequest(id string, lines []*Line) UnansweredRequest {
+	loss := UnansweredRequest{Request: id, Time: lines[0].Time}
 	answered, refused := false, false
 	for _, l := range lines {
 		kind := decision.Kind(l.Kind)
-		if up := upstreamOf(l.Get("upstream")); mayHaveRun(l) && up != "" && !slices.Contains(loss.Upstreams, up) {
+		if up := upstreamID(l.Get("upstream")); mayHaveRun(l) && up != "" && !slices.Contains(loss.Upstreams, up) {
 			loss.Upstreams = append(loss.Upstreams, up)
 		}
-		if isEnd(l.Kind) {
-			loss.Entry, loss.Told = l.Daemon, l.Get("status")
+		if endsRequest(l.Kind) {
+			loss.Entry, loss.CallerStatus = l.Daemon, l.Get("status")
 			answered = kind == decision.Answered
 			refused = kind == decision.Refused
 		}
 	}
 	switch {
 	case len(loss.Upstreams) > 1:
-		loss.Fate = PerhapsTwice
+		loss.Executions = PerhapsTwice
 	case answered:
-		loss.Fate = Once
+		loss.Executions = Once
 	case refused && len(loss.Upstreams) == 0:
-		loss.Fate = NotAtAll
+		loss.Executions = NotAtAll
 	default:
-		loss.Fate = AtMostOnce
+		loss.Executions = AtMostOnce
 	}
 	return loss
 }
 
 // WriteText writes the requests for people, with a count of each fate.
-func (l *Losses) WriteText(w io.Writer) error {
-	count := make(map[Fate]int)
+func (l *UnansweredRequests) WriteText(w io.Writer) error {
+	count := make(map[ExecutionCount]int)
 	for _, r := range l.Requests {
-		count[r.Fate]++
+		count[r.Executions]++
 	}
 	_, err := fmt.Fprintf(w, "upstream %s: %d requests that must not run twice got no answer there\n", l.Upstream, len(l.Requests))
 	if err != nil {
 		return err
 	}
-	for _, f := range []Fate{NotAtAll, Once, AtMostOnce, PerhapsTwice} {
+	for _, f := range []ExecutionCount{NotAtAll, Once, AtMostOnce, PerhapsTwice} {
 		if _, err := fmt.Fprintf(w, "%6d ran %s\n", count[f], f); err != nil {
 			return err
 		}
 	}
 	for _, r := range l.Requests {
 		_, err := fmt.Fprintf(w, "%s  %-24s %s  ran %s, told %s, upstreams %s\n", r.Time.Format(time.RFC3339Nano), r.Entry, r.Request,
-			r.Fate, r.Told, strings.Join(r.Upstreams, " "))
+			r.Executions, r.CallerStatus, strings.Join(r.Upstreams, " "))
 		if err != nil {
 			return err
 		}
 	}
-	if l.Damaged > 0 {
-		_, err = fmt.Fprintf(w, "%d lines could not be read\n", l.Damaged)
+	if l.UnreadableLines > 0 {
+		_, err = fmt.Fprintf(w, "%d lines could not be read\n", l.UnreadableLines)
 	}
 	return err
 }
 
 // WriteJSON writes the requests for programs.
-func (l *Losses) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(l) }
+func (l *UnansweredRequests) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(l) }
--- a/why/why_test.go
+++ b/why/why_test.go
@@ -27,7 +27,7 @@
 `
 )
 
-func read(t *testing.T) *Log {
+func readTestLogs(t *testing.T) *Log {
 	t.Helper()
 	var l Log
 	require.NoError(t, l.Read("b", strings.NewReader(guardLog)))
@@ -36,7 +36,7 @@
 	return &l
 }
 
-func kinds(s Story) []string {
+func daemonsAndKinds(s Timeline) []string {
 	var out []string
 	for _, e := range s.Events {
 		out = append(out, e.Daemon+": "+e.Kind)
@@ -44,14 +44,14 @@
 	return out
 }
 
-func TestRequest(t *testing.T) {
-	s := read(t).Request("r1")
+func TestRequestTimeline(t *testing.T) {
+	s := readTestLogs(t).RequestTimeline("r1")
 	require.Equal(t, []string{
 		"a: configuration in force", "a: peer state", "b: request given back", "b: run failed", "a: request failed",
 		"b: configuration in force",
-	}, kinds(s))
+	}, daemonsAndKinds(s))
 	require.Equal(t, "request failed with 504 after 300 ms: deadline", s.Outcome)
-	require.Equal(t, 2, s.Damaged)
+	require.Equal(t, 2, s.UnreadableLines)
 	require.True(t, s.Events[0].Context)
 	require.False(t, s.Events[2].Context)
 	require.InDelta(t, 505, s.Events[2].AtMS, 0.01)
@@ -64,23 +64,23 @@
 	require.Contains(t, json.String(), `"about":"request r1"`)
 }
 
-func TestUnknownRequest(t *testing.T) {
-	s := read(t).Request("nobody")
+func TestTimelineOfUnknownRequest(t *testing.T) {
+	s := readTestLogs(t).RequestTimeline("nobody")
 	require.Empty(t, s.Events)
 	var text bytes.Buffer
 	require.NoError(t, s.WriteText(&text))
 	require.Contains(t, text.String(), "no line tells of it")
 }
 
-func TestUpstream(t *testing.T) {
-	require.Equal(t, []string{"a: peer state", "b: run failed"}, kinds(read(t).Upstream("u2")))
+func TestUpstreamTimeline(t *testing.T) {
+	require.Equal(t, []string{"a: peer state", "b: run failed"}, daemonsAndKinds(readTestLogs(t).UpstreamTimeline("u2")))
 }
 
-func TestConfiguration(t *testing.T) {
-	l := read(t)
-	require.Equal(t, []string{"a: configuration in force", "b: configuration in force"}, kinds(l.Configuration(3)), "a later version counts")
-	require.Equal(t, []string{"b: configuration in force"}, kinds(l.Configuration(5)))
-	require.Empty(t, l.Configuration(6).Events)
+func TestConfigurationTimeline(t *testing.T) {
+	l := readTestLogs(t)
+	require.Equal(t, []string{"a: configuration in force", "b: configuration in force"}, daemonsAndKinds(l.ConfigurationTimeline(3)), "a later version counts")
+	require.Equal(t, []string{"b: configuration in force"}, daemonsAndKinds(l.ConfigurationTimeline(5)))
+	require.Empty(t, l.ConfigurationTimeline(6).Events)
 }
 
 func FuzzRead(f *testing.F) {
@@ -98,16 +98,16 @@
 	})
 }
 
-// TestPeersLearnedExplains keeps the line that many upstreams share with the requests of
+// TestRequestTimelineIncludesPeersLearned keeps the line that many upstreams share with the requests of
 // its daemon.
-func TestPeersLearnedExplains(t *testing.T) {
-	l := read(t)
+func TestRequestTimelineIncludesPeersLearned(t *testing.T) {
+	l := readTestLogs(t)
 	const line = `{"time":"2026-01-01T00:00:00.930Z","level":"INFO","msg":"peers learned","learned":278,"ready":294,"peers":294,"unheard":0,"missing":""}`
 	for _, daemon := range []string{"a", "c"} {
 		require.NoError(t, l.Read(daemon, strings.NewReader(line)))
 	}
 	l.Sort()
-	told := kinds(l.Request("r1"))
+	told := daemonsAndKinds(l.RequestTimeline("r1"))
 	require.Contains(t, told, "a: peers learned")
 	require.NotContains(t, told, "c: peers learned", "no daemon of the request")
 }
