--- a/cmd/dottereltiller/diff.go
+++ b/cmd/dottereltiller/diff.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	after, err := c.after(ctx, before)
+	after, err := c.documentsToCompare(ctx, before)
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (c *diffCmd) after(ctx context.Context, before operator.Documents) (operator.Documents, error) {
+func (c *diffCmd) documentsToCompare(ctx context.Context, before operator.Documents) (operator.Documents, error) {
 	if c.To != 0 {
 		return c.documentsAt(ctx, c.To)
 	}
--- a/cmd/dottereltiller/history.go
+++ b/cmd/dottereltiller/history.go
@@ -25,7 +25,7 @@
 	}
 	entries := view.Entries()
 	if c.Change != "" {
-		entries = only(entries, c.Change)
+		entries = filterByID(entries, c.Change)
 		if len(entries) == 0 {
 			return &operator.UnknownError{ChangeID: c.Change, Err: fmt.Errorf("it is not among the records that the log keeps")}
 		}
@@ -43,8 +43,8 @@
 	return t.Flush()
 }
 
-func only(entries []operator.Entry, id string) []operator.Entry {
-	var out []operator.Entry
+func filterByID(entries []operator.HistoryEntry, id string) []operator.HistoryEntry {
+	var out []operator.HistoryEntry
 	for _, e := range entries {
 		if e.Change.ID == id {
 			out = append(out, e)
--- a/cmd/dottereltiller/publish.go
+++ b/cmd/dottereltiller/publish.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	p := operator.Proposal{
-		Author: c.name(), Comment: c.Comment, Documents: docs, Prune: c.Prune, Base: model.Version(c.Base),
+		Author: c.author(), Comment: c.Comment, Documents: docs, Prune: c.Prune, Base: model.Version(c.Base),
 	}
 	logCtx, cancel := c.context(ctx)
 	defer cancel()
@@ -67,14 +67,14 @@
 		return err
 	}
 	res, err := operator.Propose(logCtx, c.client(), p)
-	if err := report(res, err); err != nil {
+	if err := printResult(res, err); err != nil {
 		return err
 	}
 	return c.await(ctx, res.Version)
 }
 
-// report prints what became of a proposal.
-func report(res operator.Result, err error) error {
+// printResult prints what became of a proposal.
+func printResult(res operator.Result, err error) error {
 	var superseded *operator.SupersededError
 	if errors.As(err, &superseded) {
 		fmt.Println("this change would still make of the current version:")
--- a/operator/check.go
+++ b/operator/check.go
@@ -29,7 +29,7 @@
 	origin := make(map[string]string)
 	for _, f := range files {
 		in, problems := policy.Parse(f.Data)
-		found.add(f.Path, problems)
+		found.addProblems(f.Path, problems)
 		for _, d := range in {
 			if _, ok := origin[d.Key()]; !ok {
 				origin[d.Key()] = f.Path
@@ -42,7 +42,7 @@
 	}
 	set, problems := policy.Compile(docs)
 	for _, p := range problems {
-		found.add(origin[p.Document], []policy.Problem{p})
+		found.addProblems(origin[p.Document], []policy.Problem{p})
 	}
 	if len(found.Problems) > 0 {
 		return nil, &found
@@ -50,7 +50,7 @@
 	return set, nil
 }
 
-func (e *CheckError) add(path string, problems []policy.Problem) {
+func (e *CheckError) addProblems(path string, problems []policy.Problem) {
 	for _, p := range problems {
 		e.Problems = append(e.Problems, fmt.Sprintf("%s: %v", path, p))
 	}
--- a/operator/check_test.go
+++ b/operator/check_test.go
@@ -14,7 +14,7 @@
 		{"name":"farmers","callers":"role=farmer","weight":3},{"name":"rest","callers":"","weight":1}],"default_group":"rest"}}`
 )
 
-func TestCheckNamesFilePathAndValue(t *testing.T) {
+func TestCheckErrorsNameFilePathAndValue(t *testing.T) {
 	_, err := Check([]File{
 		{Path: "a.json", Data: []byte(sharedService)},
 		{Path: "b.json", Data: []byte(`[` + sharedCaller + `,{"kind":"Caller","name":"x","spec":{"tokens":[]}}]`)},
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -63,7 +63,7 @@
 func WriteDiff(w io.Writer, diffs []Difference) {
 	for _, d := range diffs {
 		_, _ = fmt.Fprintln(w, d.Key)
-		before, after := lines(d.Before), lines(d.After)
+		before, after := indentedLines(d.Before), indentedLines(d.After)
 		for _, l := range before {
 			if !slices.Contains(after, l) {
 				_, _ = fmt.Fprintln(w, "-", l)
@@ -77,7 +77,7 @@
 	}
 }
 
-func lines(raw json.RawMessage) []string {
+func indentedLines(raw json.RawMessage) []string {
 	if raw == nil {
 		return nil
 	}
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -11,16 +11,16 @@
 
 // WriteExplanation prints how a caller's group at a service comes about.
 func WriteExplanation(w io.Writer, e policy.Explanation) {
-	_, _ = fmt.Fprintf(w, "service %s, caller %s\n", e.Service, named(e.Caller))
+	_, _ = fmt.Fprintf(w, "service %s, caller %s\n", e.Service, callerLabel(e.Caller))
 	_, _ = fmt.Fprintln(w, "policies, in the order in which they are tried:")
 	for _, p := range e.Policies {
-		_, _ = fmt.Fprintf(w, "%s %s (priority %d): %s\n", mark(p.Wins), p.Name, p.Priority, p.Why)
+		_, _ = fmt.Fprintf(w, "%s %s (priority %d): %s\n", winnerMark(p.Wins), p.Name, p.Priority, p.Why)
 	}
 	if len(e.Groups) > 0 {
 		_, _ = fmt.Fprintln(w, "groups of the winning policy, in order:")
 	}
 	for _, g := range e.Groups {
-		_, _ = fmt.Fprintf(w, "%s %s: %s\n", mark(g.Wins), g.Name, g.Why)
+		_, _ = fmt.Fprintf(w, "%s %s: %s\n", winnerMark(g.Wins), g.Name, g.Why)
 	}
 	if e.Group == "" {
 		_, _ = fmt.Fprintln(w, "the caller belongs to no group and is refused: forbidden")
@@ -29,14 +29,14 @@
 	_, _ = fmt.Fprintf(w, "group %s: %.1f%% of each upstream when all groups are busy, deadline %v\n", e.Group, 100*e.Share, e.Deadline)
 }
 
-func mark(wins bool) string {
+func winnerMark(wins bool) string {
 	if wins {
 		return "  *"
 	}
 	return "   "
 }
 
-func named(c model.CallerName) string {
+func callerLabel(c model.CallerName) string {
 	if c == "" {
 		return "without credentials"
 	}
@@ -67,8 +67,8 @@
 		winner = "none"
 	}
 	if e.Group == "" {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\trefused\t\n", e.Service, winner, named(e.Caller))
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\trefused\t\n", e.Service, winner, callerLabel(e.Caller))
 		return
 	}
-	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1f%%\n", e.Service, winner, named(e.Caller), e.Group, 100*e.Share)
+	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1f%%\n", e.Service, winner, callerLabel(e.Caller), e.Group, 100*e.Share)
 }
--- a/operator/linearizable_test.go
+++ b/operator/linearizable_test.go
@@ -17,30 +17,30 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// proposed is what an operator asked for: a change on a base.
-type proposed struct{ base model.Version }
+// proposeInput is what an operator asked for: a change on a base.
+type proposeInput struct{ baseVersion model.Version }
 
-// told is what the operator was told.
-type told struct {
-	verdict string
-	version model.Version
+// proposeOutput is what the operator was told.
+type proposeOutput struct {
+	decision string
+	version  model.Version
 }
 
-// versions is the register that operators compare and set: its state is the
+// versionRegister is the register that operators compare and set: its state is the
 // current version. An operator who was told that the verdict is unknown may
 // have been accepted in its turn, or not.
-var versions = porcupine.NondeterministicModel{
+var versionRegister = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{model.Version(1)} },
 	Step: func(state, input, output any) []any {
-		current, in, out := state.(model.Version), input.(proposed), output.(told)
+		current, in, out := state.(model.Version), input.(proposeInput), output.(proposeOutput)
 		switch {
-		case out.verdict == "accepted" && in.base == current && out.version == current+1:
+		case out.decision == "accepted" && in.baseVersion == current && out.version == current+1:
 			return []any{current + 1}
-		case out.verdict == "superseded" && in.base < current:
+		case out.decision == "superseded" && in.baseVersion < current:
 			return []any{current}
-		case out.verdict == "unknown" && in.base == current:
+		case out.decision == "unknown" && in.baseVersion == current:
 			return []any{current, current + 1}
-		case out.verdict == "unknown":
+		case out.decision == "unknown":
 			return []any{current}
 		default:
 			return nil
@@ -50,15 +50,15 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%v -> %v", in, out) },
 }
 
-// TestOperatorsSeeOneOrderOfVersions lets operators race over a log that loses
+// TestProposalsAreLinearizable lets operators race over a log that loses
 // replies, takes appends twice and is down now and then, and checks that what
 // they are told fits one order of changes.
-func TestOperatorsSeeOneOrderOfVersions(t *testing.T) {
+func TestProposalsAreLinearizable(t *testing.T) {
 	for seed := range 5 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
 				log := recordlog.NewFaultyLog(&recordlog.Memory{})
-				propose(t, log, Proposal{Documents: []policy.Document{service("a", "1s")}})
+				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 				var mu sync.Mutex
 				var history []porcupine.Operation
 				verdicts := map[string]int{}
@@ -66,10 +66,10 @@
 				for client := range 4 {
 					wg.Go(func() {
 						for i := range 6 {
-							op := race(t.Context(), log, client, i)
+							op := proposeOnCurrent(t.Context(), log, client, i)
 							mu.Lock()
 							history = append(history, op)
-							verdicts[op.Output.(told).verdict]++
+							verdicts[op.Output.(proposeOutput).decision]++
 							mu.Unlock()
 						}
 					})
@@ -80,7 +80,7 @@
 				}
 				log.SetFaults(recordlog.Faults{Latency: 30 * time.Millisecond})
 				wg.Wait()
-				require.True(t, porcupine.CheckOperations(versions.ToModel(), history), "%v", history)
+				require.True(t, porcupine.CheckOperations(versionRegister.ToModel(), history), "%v", history)
 				require.Positive(t, verdicts["accepted"])
 				require.Positive(t, verdicts["superseded"])
 			})
@@ -88,9 +88,9 @@
 	}
 }
 
-// race proposes a change on the version that the operator sees, after a moment
+// proposeOnCurrent proposes a change on the version that the operator sees, after a moment
 // in which others may come first.
-func race(ctx context.Context, log recordlog.Log, client, i int) porcupine.Operation {
+func proposeOnCurrent(ctx context.Context, log recordlog.Log, client, i int) porcupine.Operation {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	view, err := NewView(ctx, log)
@@ -99,16 +99,16 @@
 		view, err = NewView(ctx, log)
 	}
 	base := view.State().Version
-	op := porcupine.Operation{ClientId: client, Input: proposed{base: base}, Call: time.Now().UnixNano()}
-	doc := service(fmt.Sprint("c", client), fmt.Sprint(i+1, "s"))
+	op := porcupine.Operation{ClientId: client, Input: proposeInput{baseVersion: base}, Call: time.Now().UnixNano()}
+	doc := serviceDocument(fmt.Sprint("c", client), fmt.Sprint(i+1, "s"))
 	res, err := Propose(ctx, log, Proposal{Base: base, Documents: []policy.Document{doc}})
 	op.Return = time.Now().UnixNano()
-	op.Output = told{verdict: verdictOf(err), version: res.Version}
+	op.Output = proposeOutput{decision: decisionName(err), version: res.Version}
 	time.Sleep(time.Duration(10+17*client) * time.Millisecond)
 	return op
 }
 
-func verdictOf(err error) string {
+func decisionName(err error) string {
 	var superseded *SupersededError
 	switch {
 	case err == nil:
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -20,7 +20,7 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-func service(name, deadline string) policy.Document {
+func serviceDocument(name, deadline string) policy.Document {
 	return policy.Document{Kind: policy.KindService, Name: name, Spec: json.RawMessage(`{"deadline":"` + deadline + `"}`)}
 }
 
@@ -31,26 +31,26 @@
 	return res
 }
 
-func TestOnlyWhatDiffersIsPublished(t *testing.T) {
+func TestOnlyChangedDocumentsArePublished(t *testing.T) {
 	log := &recordlog.Memory{}
-	propose(t, log, Proposal{Documents: []policy.Document{service("a", "1s"), service("b", "1s")}})
-	res := propose(t, log, Proposal{Documents: []policy.Document{service("a", "2s"), service("b", "1s")}})
+	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s"), serviceDocument("b", "1s")}})
+	res := propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s"), serviceDocument("b", "1s")}})
 	require.Len(t, res.Changes, 1)
 	view, err := NewView(t.Context(), log)
 	require.NoError(t, err)
 	require.Len(t, view.Entries()[1].Change.Put, 1)
 
-	res = propose(t, log, Proposal{Documents: []policy.Document{service("a", "2s")}})
+	res = propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}})
 	require.Empty(t, res.ChangeID, "nothing to change")
 	require.EqualValues(t, 2, res.Version)
 
-	res = propose(t, log, Proposal{Documents: []policy.Document{service("a", "2s")}, Prune: true})
+	res = propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}, Prune: true})
 	require.Equal(t, []Difference{{Key: "Service/b", Before: res.Changes[0].Before}}, res.Changes)
 }
 
 func TestPlanPublishesNothing(t *testing.T) {
 	log := &recordlog.Memory{}
-	plan, err := Plan(t.Context(), log, Proposal{Documents: []policy.Document{service("a", "1s")}})
+	plan, err := Plan(t.Context(), log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 	require.NoError(t, err)
 	require.Len(t, plan.Changes, 1)
 	view, err := NewView(t.Context(), log)
@@ -58,10 +58,10 @@
 	require.Empty(t, view.Entries())
 }
 
-func TestRollbackMakesANewVersionOfAnEarlierOne(t *testing.T) {
+func TestRollbackPublishesAnEarlierVersionAsNew(t *testing.T) {
 	log := &recordlog.Memory{}
-	propose(t, log, Proposal{Documents: []policy.Document{service("a", "1s")}})
-	propose(t, log, Proposal{Documents: []policy.Document{service("a", "2s"), service("b", "2s")}})
+	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
+	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s"), serviceDocument("b", "2s")}})
 	res, err := Rollback(t.Context(), log, 1, Proposal{})
 	require.NoError(t, err)
 	require.EqualValues(t, 3, res.Version)
@@ -74,24 +74,24 @@
 	require.ErrorContains(t, err, "version 9 is not on the log")
 }
 
-func TestVerdictsHaveTheirExitCodes(t *testing.T) {
+func TestProposeErrorsHaveExitCodes(t *testing.T) {
 	for name, c := range map[string]struct {
 		proposal Proposal
 		blind    bool
 		want     int
 	}{
-		"superseded":   {Proposal{Base: 1, Documents: []policy.Document{service("a", "3s")}}, false, ExitSuperseded},
-		"invalid":      {Proposal{Documents: []policy.Document{service("a", "3 hours")}}, false, ExitInvalid},
-		"no such base": {Proposal{Base: 9, Documents: []policy.Document{service("a", "3s")}}, false, ExitInvalid},
-		"unknown":      {Proposal{Documents: []policy.Document{service("a", "4s")}}, true, ExitUnknown},
+		"superseded":   {Proposal{Base: 1, Documents: []policy.Document{serviceDocument("a", "3s")}}, false, ExitSuperseded},
+		"invalid":      {Proposal{Documents: []policy.Document{serviceDocument("a", "3 hours")}}, false, ExitInvalid},
+		"no such base": {Proposal{Base: 9, Documents: []policy.Document{serviceDocument("a", "3s")}}, false, ExitInvalid},
+		"unknown":      {Proposal{Documents: []policy.Document{serviceDocument("a", "4s")}}, true, ExitUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
 				var log recordlog.Log = &recordlog.Memory{}
-				propose(t, log, Proposal{Documents: []policy.Document{service("a", "1s")}})
-				propose(t, log, Proposal{Documents: []policy.Document{service("a", "2s")}})
+				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
+				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}})
 				if c.blind {
-					log = &blindLog{Log: log}
+					log = &unreadableAfterAppend{Log: log}
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 				defer cancel()
@@ -104,50 +104,50 @@
 	}
 }
 
-// blindLog loses every reply to an append, and cannot be read after one.
-type blindLog struct {
+// unreadableAfterAppend loses every reply to an append, and cannot be read after one.
+type unreadableAfterAppend struct {
 	recordlog.Log
-	blind atomic.Bool
+	unreadable atomic.Bool
 }
 
-func (b *blindLog) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
-	b.blind.Store(true)
+func (b *unreadableAfterAppend) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
+	b.unreadable.Store(true)
 	return 0, &recordlog.AppendError{Uncertain: true, Err: errors.New("lost")}
 }
 
-func (b *blindLog) Read(ctx context.Context, stream string, from recordlog.Offset, limit int) (recordlog.Batch, error) {
-	if b.blind.Load() {
+func (b *unreadableAfterAppend) Read(ctx context.Context, stream string, from recordlog.Offset, limit int) (recordlog.Batch, error) {
+	if b.unreadable.Load() {
 		return recordlog.Batch{}, errors.New("down")
 	}
 	return b.Log.Read(ctx, stream, from, limit)
 }
 
-func TestAnAppendThatCertainlyFailedIsNotCalledUnknown(t *testing.T) {
+func TestFailedAppendIsNotReportedAsUnknown(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		log := &refusingLog{Log: &recordlog.Memory{}}
+		log := &failingAppends{Log: &recordlog.Memory{}}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err := Propose(ctx, log, Proposal{Documents: []policy.Document{service("a", "1s")}})
+		_, err := Propose(ctx, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 		var unknown *UnknownError
 		require.Error(t, err)
 		require.False(t, errors.As(err, &unknown))
-		require.Greater(t, log.tries, 1, "it was tried again")
+		require.Greater(t, log.attempts, 1, "it was tried again")
 	})
 }
 
-type refusingLog struct {
+type failingAppends struct {
 	recordlog.Log
-	tries int
+	attempts int
 }
 
-func (r *refusingLog) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
-	r.tries++
+func (r *failingAppends) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
+	r.attempts++
 	return 0, &recordlog.AppendError{Err: errors.New("refused")}
 }
 
-func TestViewOfATrimmedLogNeedsACheckpoint(t *testing.T) {
+func TestTrimmedLogNeedsCheckpoint(t *testing.T) {
 	log := &recordlog.Memory{}
-	propose(t, log, Proposal{Documents: []policy.Document{service("a", "1s")}})
+	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 	view, err := NewView(t.Context(), log)
 	require.NoError(t, err)
 	checkpoint, err := view.State().Checkpoint()
@@ -157,28 +157,28 @@
 	require.ErrorIs(t, err, ErrNoCheckpoint)
 	_, err = log.Append(t.Context(), recordlog.StreamConfig, [][]byte{checkpoint})
 	require.NoError(t, err)
-	res := propose(t, log, Proposal{Documents: []policy.Document{service("b", "1s")}})
+	res := propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("b", "1s")}})
 	require.EqualValues(t, 2, res.Version)
 }
 
-func TestStartOverIsForALogThatForgot(t *testing.T) {
+func TestStartOverNeedsTrimmedLogWithoutCheckpoint(t *testing.T) {
 	log := &recordlog.Memory{}
-	propose(t, log, Proposal{Documents: []policy.Document{service("a", "1s")}})
-	propose(t, log, Proposal{Documents: []policy.Document{service("a", "2s")}})
-	require.ErrorIs(t, StartOver(t.Context(), log, 2), ErrNotLost)
+	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
+	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}})
+	require.ErrorIs(t, StartOver(t.Context(), log, 2), ErrLogReadable)
 	log.Trim(recordlog.StreamConfig, 1)
-	_, err := Propose(t.Context(), log, Proposal{Documents: []policy.Document{service("a", "3s")}})
+	_, err := Propose(t.Context(), log, Proposal{Documents: []policy.Document{serviceDocument("a", "3s")}})
 	require.ErrorIs(t, err, ErrNoCheckpoint)
 	var invalid *InvalidError
 	require.ErrorAs(t, StartOver(t.Context(), log, 0), &invalid)
 	require.NoError(t, StartOver(t.Context(), log, 2))
-	require.ErrorIs(t, StartOver(t.Context(), log, 2), ErrNotLost)
-	res := propose(t, log, Proposal{Documents: []policy.Document{service("a", "3s")}})
+	require.ErrorIs(t, StartOver(t.Context(), log, 2), ErrLogReadable)
+	res := propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "3s")}})
 	require.EqualValues(t, 3, res.Version)
 	require.Len(t, res.Changes, 1)
 }
 
-func TestDiffIsReadable(t *testing.T) {
+func TestWriteDiff(t *testing.T) {
 	var b bytes.Buffer
 	WriteDiff(&b, Diff(
 		Documents{"Service/a": json.RawMessage(`{"x":1,"y":2}`), "Service/gone": json.RawMessage(`1`)},
@@ -186,7 +186,7 @@
 	require.Equal(t, "Service/a\n-   \"y\": 2\n+   \"y\": 3\nService/gone\n- 1\n", b.String())
 }
 
-func TestAwaitNamesTheZonesThatLag(t *testing.T) {
+func TestAwaitNamesLaggingZones(t *testing.T) {
 	var asked atomic.Int32
 	zones := []ZoneStatus{{Zone: "a", Asked: 2, Answered: 2, Oldest: 1, Newest: 2}, {Zone: "b", Asked: 1, Answered: 1, Oldest: 2, Newest: 2}}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -210,7 +210,7 @@
 }
 
 func TestChangeTooLargeIsInvalid(t *testing.T) {
-	d := service("a", "1s")
+	d := serviceDocument("a", "1s")
 	d.Labels = map[string]string{"x": strings.Repeat("x", config.MaxChange)}
 	_, err := Propose(t.Context(), &recordlog.Memory{}, Proposal{Documents: []policy.Document{d}})
 	var invalid *InvalidError
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -72,7 +72,7 @@
 	if len(diffs) == 0 {
 		return Result{Verdict: config.Accepted, Version: view.State().Version}, nil
 	}
-	entry, err := settle(ctx, view, change)
+	entry, err := appendAndReadBack(ctx, view, change)
 	if err != nil {
 		return Result{ChangeID: change.ID, Changes: diffs}, err
 	}
@@ -81,7 +81,7 @@
 	case config.Accepted:
 		return res, nil
 	case config.Superseded:
-		return res, superseded(view, change)
+		return res, newSupersededError(view, change)
 	default:
 		return res, &InvalidError{Problem: entry.Problem}
 	}
@@ -121,44 +121,44 @@
 	return c, diffs, nil
 }
 
-// settle appends a change until it is found on the log. It may append it more
+// appendAndReadBack appends a change until it is found on the log. It may append it more
 // than once; the first record decides.
-func settle(ctx context.Context, v *View, c config.Change) (Entry, error) {
+func appendAndReadBack(ctx context.Context, v *View, c config.Change) (HistoryEntry, error) {
 	record, _, err := config.EncodeChange(c)
 	if err != nil {
-		return Entry{}, &InvalidError{Problem: err}
+		return HistoryEntry{}, &InvalidError{Problem: err}
 	}
 	rng := rand.New(rand.NewPCG(uint64(c.UnixMilli), uint64(len(record))))
 	var waits pause.Backoff
 	sent := false
 	for {
 		_, failure := v.log.Append(ctx, recordlog.StreamConfig, [][]byte{record})
-		sent = sent || mayHaveEffect(failure)
+		sent = sent || mayHaveBeenAppended(failure)
 		if err := v.Advance(ctx); err != nil {
 			failure = errors.Join(failure, err)
-		} else if e, ok := v.find(c.ID); ok {
+		} else if e, ok := v.findChange(c.ID); ok {
 			return e, nil
 		}
 		select {
 		case <-ctx.Done():
 			if !sent {
-				return Entry{}, failure
+				return HistoryEntry{}, failure
 			}
-			return Entry{}, &UnknownError{ChangeID: c.ID, Err: failure}
+			return HistoryEntry{}, &UnknownError{ChangeID: c.ID, Err: failure}
 		case <-time.After(waits.Next(rng)):
 		}
 	}
 }
 
-// mayHaveEffect reports whether an append with this error may have been made.
-func mayHaveEffect(err error) bool {
+// mayHaveBeenAppended reports whether an append with this error may have been made.
+func mayHaveBeenAppended(err error) bool {
 	var failed *recordlog.AppendError
 	return !errors.As(err, &failed) || failed.Uncertain
 }
 
-func superseded(v *View, c config.Change) error {
+func newSupersededError(v *View, c config.Change) error {
 	out := &SupersededError{ChangeID: c.ID, Base: c.Base, Current: v.State().Version}
-	if by, ok := v.made(c.Base + 1); ok {
+	if by, ok := v.changeOfVersion(c.Base + 1); ok {
 		out.By, out.ByChange, out.ByComment = by.Change.Author, by.Change.ID, by.Change.Comment
 	}
 	mine := make(Documents)
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	quarantinePath = "/v1/quarantine"
-	maxAdminAnswer = 4 << 20
+	quarantinePath   = "/v1/quarantine"
+	maxAdminResponse = 4 << 20
 )
 
 // ListQuarantined asks a daemon, by its admin address, which requests are suspected
 // or refused because they kill upstreams.
 func ListQuarantined(ctx context.Context, admin string) ([]store.Entry, error) {
-	body, err := askAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
+	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 // ReleaseQuarantined frees a request; the daemon hands the release on. It must
 // be asked on the daemon's own VM.
 func ReleaseQuarantined(ctx context.Context, admin string, f quarantine.Fingerprint) error {
-	_, err := askAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
+	_, err := callAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
 	return err
 }
 
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("daemon answered %d: %s", e.Status, e.Message)
 }
 
-func askAdmin(ctx context.Context, method, url string) ([]byte, error) {
+func callAdmin(ctx context.Context, method, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminResponse))
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 		case len(e.Crashes) == 0:
 			state = "cleared"
 		}
-		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Fingerprint, state, e.Service, named(e.Caller), len(e.Crashes), until, e.Request)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Fingerprint, state, e.Service, callerLabel(e.Caller), len(e.Crashes), until, e.Request)
 	}
 	_ = t.Flush()
 }
--- a/operator/startover.go
+++ b/operator/startover.go
@@ -11,9 +11,9 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// ErrNotLost tells that the log can be folded, so that there is no reason to
+// ErrLogReadable tells that the log can be folded, so that there is no reason to
 // start over.
-var ErrNotLost = errors.New("the log can be folded: publish as usual")
+var ErrLogReadable = errors.New("the log can be folded: publish as usual")
 
 // StartOver appends an empty configuration of a version to a log that was
 // trimmed and holds no checkpoint that covers what is missing. It is for the
@@ -26,12 +26,12 @@
 	}
 	_, err := NewView(ctx, log)
 	if err == nil {
-		return ErrNotLost
+		return ErrLogReadable
 	}
 	if !errors.Is(err, ErrNoCheckpoint) {
 		return err
 	}
-	end, err := endOf(ctx, log)
+	end, err := endOfLog(ctx, log)
 	if err != nil {
 		return err
 	}
@@ -50,8 +50,8 @@
 	return err
 }
 
-// endOf returns the offset after the newest record.
-func endOf(ctx context.Context, log recordlog.Log) (recordlog.Offset, error) {
+// endOfLog returns the offset after the newest record.
+func endOfLog(ctx context.Context, log recordlog.Log) (recordlog.Offset, error) {
 	batch, err := log.Read(ctx, recordlog.StreamConfig, 0, 1)
 	var trimmed *recordlog.TrimmedError
 	if errors.As(err, &trimmed) {
--- a/operator/status.go
+++ b/operator/status.go
@@ -27,7 +27,7 @@
 // asked. Daemons that do not answer may serve an older version.
 func (z ZoneStatus) Lags(v model.Version) bool { return z.Oldest < v || z.Answered < z.Asked }
 
-const waitInterval = 200 * time.Millisecond
+const pollInterval = 200 * time.Millisecond
 
 // Zones asks a daemon, by its admin address, about every zone.
 func Zones(ctx context.Context, address string) ([]ZoneStatus, error) {
@@ -51,7 +51,7 @@
 		select {
 		case <-ctx.Done():
 			return &LaggingError{Version: v, Zones: last}
-		case <-time.After(waitInterval):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/operator/view.go
+++ b/operator/view.go
@@ -11,8 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Entry is one change on the log.
-type Entry struct {
+// HistoryEntry is one change on the log.
+type HistoryEntry struct {
 	Offset uint64
 	// Verdict is what the fold decided; Version is the version after it.
 	Verdict config.Decision
@@ -24,15 +24,15 @@
 
 // View is the config stream as read so far.
 type View struct {
-	log     recordlog.Log
-	folder  *config.StateMachine
-	entries []Entry
-	// want is a version whose state is kept while reading.
-	want model.Version
-	kept *config.State
+	log          recordlog.Log
+	stateMachine *config.StateMachine
+	entries      []HistoryEntry
+	// keepVersion is a version whose state is kept while reading.
+	keepVersion model.Version
+	keptState   *config.State
 }
 
-const readLimit = 1024
+const maxRecordsPerRead = 1024
 
 // NewView reads the config stream to its end.
 func NewView(ctx context.Context, log recordlog.Log) (*View, error) {
@@ -40,15 +40,15 @@
 }
 
 func newView(ctx context.Context, log recordlog.Log, want model.Version) (*View, error) {
-	v := &View{log: log, folder: configuration.NewStateMachine(), want: want}
+	v := &View{log: log, stateMachine: configuration.NewStateMachine(), keepVersion: want}
 	return v, v.Advance(ctx)
 }
 
 // State returns the state at the end of what was read.
-func (v *View) State() config.State { return v.folder.State() }
+func (v *View) State() config.State { return v.stateMachine.State() }
 
 // Entries returns the changes that were read, oldest first.
-func (v *View) Entries() []Entry { return v.entries }
+func (v *View) Entries() []HistoryEntry { return v.entries }
 
 // ErrNoCheckpoint tells that the log was trimmed and holds no checkpoint that
 // covers what is missing.
@@ -57,10 +57,10 @@
 // Advance reads what the log has had since.
 func (v *View) Advance(ctx context.Context) error {
 	for {
-		batch, err := v.log.Read(ctx, recordlog.StreamConfig, recordlog.Offset(v.folder.Next()), readLimit)
+		batch, err := v.log.Read(ctx, recordlog.StreamConfig, recordlog.Offset(v.stateMachine.Next()), maxRecordsPerRead)
 		var trimmed *recordlog.TrimmedError
 		if errors.As(err, &trimmed) {
-			if err := v.recover(ctx, trimmed.Oldest); err != nil {
+			if err := v.restoreCheckpoint(ctx, trimmed.Oldest); err != nil {
 				return err
 			}
 			continue
@@ -69,36 +69,36 @@
 			return err
 		}
 		for _, r := range batch.Records {
-			v.fold(r)
+			v.apply(r)
 		}
-		if v.folder.Next() >= uint64(batch.Next) {
+		if v.stateMachine.Next() >= uint64(batch.Next) {
 			return nil
 		}
 	}
 }
 
-func (v *View) fold(r recordlog.Record) {
-	res := v.folder.ApplyRecord(uint64(r.Offset), r.Data)
+func (v *View) apply(r recordlog.Record) {
+	res := v.stateMachine.ApplyRecord(uint64(r.Offset), r.Data)
 	if res.Change != nil {
-		v.entries = append(v.entries, Entry{
+		v.entries = append(v.entries, HistoryEntry{
 			Offset: uint64(r.Offset), Verdict: res.Decision, Version: res.Version,
 			Change: *res.Change, Problem: res.Problem,
 		})
 	}
-	if res.Decision == config.Accepted && res.Version == v.want {
-		s := v.folder.State()
-		v.kept = &s
+	if res.Decision == config.Accepted && res.Version == v.keepVersion {
+		s := v.stateMachine.State()
+		v.keptState = &s
 	}
 }
 
-func (v *View) recover(ctx context.Context, oldest recordlog.Offset) error {
+func (v *View) restoreCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
-		batch, err := v.log.Read(ctx, recordlog.StreamConfig, from, readLimit)
+		batch, err := v.log.Read(ctx, recordlog.StreamConfig, from, maxRecordsPerRead)
 		if err != nil {
 			return err
 		}
 		for _, r := range batch.Records {
-			if v.folder.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
+			if v.stateMachine.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 				return nil
 			}
 			from = r.Offset + 1
@@ -109,24 +109,24 @@
 	}
 }
 
-// find returns the first record of a change, which decided about it.
-func (v *View) find(id string) (Entry, bool) {
+// findChange returns the first record of a change, which decided about it.
+func (v *View) findChange(id string) (HistoryEntry, bool) {
 	for _, e := range v.entries {
 		if e.Change.ID == id && e.Verdict != config.Duplicate {
 			return e, true
 		}
 	}
-	return Entry{}, false
+	return HistoryEntry{}, false
 }
 
-// made returns the change that made a version.
-func (v *View) made(version model.Version) (Entry, bool) {
+// changeOfVersion returns the change that made a version.
+func (v *View) changeOfVersion(version model.Version) (HistoryEntry, bool) {
 	for _, e := range v.entries {
 		if e.Verdict == config.Accepted && e.Version == version {
 			return e, true
 		}
 	}
-	return Entry{}, false
+	return HistoryEntry{}, false
 }
 
 // StateAt returns the configuration of an earlier version, as long as the log
@@ -136,8 +136,8 @@
 	if err != nil {
 		return config.State{}, err
 	}
-	if v.kept == nil {
-		return config.State{}, fmt.Errorf("version %d is not on the log: it holds versions up to %d", version, v.folder.Version())
+	if v.keptState == nil {
+		return config.State{}, fmt.Errorf("version %d is not on the log: it holds versions up to %d", version, v.stateMachine.Version())
 	}
-	return *v.kept, nil
+	return *v.keptState, nil
 }
