--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -97,7 +97,7 @@
 		plan:  sheds, want: "advice",
 	},
 	"new versions are not read": {
-		edits: []edits.Edit{edits.New("platform/source.go", "	s.next = next\n	take(records, f)\n", "	s.next = next\n	take(records[:0], f)\n")},
+		edits: []edits.Edit{edits.New("platform/source.go", "	s.nextOffset = next\n	deliver(records, f)\n", "	s.nextOffset = next\n	deliver(records[:0], f)\n")},
 		plan:  versions, want: "late",
 	},
 	"another daemon at the address proves what the one before did": {
