--- a/cmd/dottereltiller/args_test.go
+++ b/cmd/dottereltiller/args_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRepeatedFlagsAddUp guards against flags of which only the last counts.
-func TestRepeatedFlagsAddUp(t *testing.T) {
+// TestRepeatedFlagsAccumulate guards against flags of which only the last counts.
+func TestRepeatedFlagsAccumulate(t *testing.T) {
 	parse := func(line ...string) args {
 		var a args
 		p, err := arg.NewParser(arg.Config{}, &a)
--- a/cmd/dottereltiller/docs_test.go
+++ b/cmd/dottereltiller/docs_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-const repository = "../.."
+const repositoryRoot = "../.."
 
-// documented matches a call of the operator's command in a page.
-var documented = regexp.MustCompile(`^\s*(?:\$ )?(?:go run \./cmd/dottereltiller|dottereltiller) (.*)$`)
+// commandLine matches a call of the operator's command in a page.
+var commandLine = regexp.MustCompile(`^\s*(?:\$ )?(?:go run \./cmd/dottereltiller|dottereltiller) (.*)$`)
 
 // commandsInPages returns the calls of the command in the fenced blocks of
 // every page, by page.
 func commandsInPages(t *testing.T) map[string][]string {
 	t.Helper()
 	commands := make(map[string][]string)
-	err := filepath.WalkDir(repository, func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) != ".md" {
 			return err
 		}
@@ -30,14 +30,14 @@
 		if err != nil {
 			return err
 		}
-		commands[path] = commandsIn(string(data))
+		commands[path] = commandsInPage(string(data))
 		return nil
 	})
 	require.NoError(t, err)
 	return commands
 }
 
-func commandsIn(page string) []string {
+func commandsInPage(page string) []string {
 	var out []string
 	fenced := false
 	page = strings.ReplaceAll(page, "\\\n", " ")
@@ -46,16 +46,16 @@
 			fenced = !fenced
 			continue
 		}
-		if m := documented.FindStringSubmatch(line); fenced && m != nil {
+		if m := commandLine.FindStringSubmatch(line); fenced && m != nil {
 			out = append(out, m[1])
 		}
 	}
 	return out
 }
 
-// argumentsOf splits a command line up to the first comment, pipe or
+// splitArguments splits a command line up to the first comment, pipe or
 // redirection.
-func argumentsOf(line string) []string {
+func splitArguments(line string) []string {
 	var out []string
 	for _, f := range strings.Fields(line) {
 		if strings.HasPrefix(f, "#") || f == "|" || f == "&" || f == "&&" || strings.HasPrefix(f, ">") || strings.HasPrefix(f, "2>") {
@@ -75,7 +75,7 @@
 			var a args
 			p, err := arg.NewParser(arg.Config{Program: "dottereltiller"}, &a)
 			require.NoError(t, err)
-			err = p.Parse(argumentsOf(line))
+			err = p.Parse(splitArguments(line))
 			if err == arg.ErrHelp || err == arg.ErrVersion {
 				continue
 			}
@@ -89,9 +89,9 @@
 func TestDocumentedFilesExist(t *testing.T) {
 	for page, lines := range commandsInPages(t) {
 		for _, line := range lines {
-			for _, a := range argumentsOf(line) {
+			for _, a := range splitArguments(line) {
 				if strings.HasPrefix(a, "testdata/") || strings.HasPrefix(a, "examples/") {
-					require.FileExists(t, filepath.Join(repository, a), "%s: dottereltiller %s", page, line)
+					require.FileExists(t, filepath.Join(repositoryRoot, a), "%s: dottereltiller %s", page, line)
 				}
 			}
 		}
--- a/cmd/dottereltiller/explain.go
+++ b/cmd/dottereltiller/explain.go
@@ -24,7 +24,7 @@
 }
 
 func (c *explainCmd) run(ctx context.Context) error {
-	set, err := c.compiled(ctx)
+	set, err := c.loadPolicies(ctx)
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	return nil
 }
 
-func (c *explainCmd) compiled(ctx context.Context) (*policy.Set, error) {
+func (c *explainCmd) loadPolicies(ctx context.Context) (*policy.Set, error) {
 	if len(c.Files) > 0 {
 		return checkFiles(c.Files)
 	}
--- a/cmd/dottereltiller/load.go
+++ b/cmd/dottereltiller/load.go
@@ -33,7 +33,7 @@
 
 const defaultLoadDuration = 10 * time.Second
 
-var errWrongAnswers = errors.New("answers that were not the whole answer to their request")
+var errWrongResponses = errors.New("answers that were not the whole answer to their request")
 
 func (c *loadCmd) run(ctx context.Context) error {
 	plan, err := c.plan()
@@ -51,17 +51,17 @@
 	if err != nil {
 		return err
 	}
-	if err := c.write(res, opts.Recorder); err != nil {
+	if err := c.writeResults(res, opts.Recorder); err != nil {
 		return err
 	}
 	if res.Wrong > 0 {
-		return fmt.Errorf("%d %w, such as request %s", res.Wrong, errWrongAnswers, res.WrongAnswers[0])
+		return fmt.Errorf("%d %w, such as request %s", res.Wrong, errWrongResponses, res.WrongAnswers[0])
 	}
 	return ctx.Err()
 }
 
 func (c *loadCmd) plan() (load.Plan, error) {
-	plan := c.singleSource()
+	plan := c.planFromFlags()
 	if c.Plan != "" {
 		var err error
 		if plan, err = load.LoadPlan(c.Plan); err != nil {
@@ -87,7 +87,7 @@
 	return plan, nil
 }
 
-func (c *loadCmd) singleSource() load.Plan {
+func (c *loadCmd) planFromFlags() load.Plan {
 	plan := load.Plan{
 		Duration: policy.Duration(defaultLoadDuration),
 		Sources: []load.Source{{
@@ -100,7 +100,7 @@
 	return plan
 }
 
-func (c *loadCmd) write(res *load.Result, recorder *load.Recorder) error {
+func (c *loadCmd) writeResults(res *load.Result, recorder *load.Recorder) error {
 	encode := func(w io.Writer) error { return json.NewEncoder(w).Encode(res) }
 	if c.Out != "" {
 		if err := writeFile(c.Out, encode); err != nil {
--- a/cmd/dottereltiller/logflags.go
+++ b/cmd/dottereltiller/logflags.go
@@ -31,7 +31,7 @@
 	Comment string `arg:"-m,--comment" help:"why"`
 }
 
-func (f authorFlags) name() string {
+func (f authorFlags) author() string {
 	if f.Author != "" {
 		return f.Author
 	}
@@ -56,22 +56,22 @@
 func readDocuments(paths []string) ([]policy.Document, error) {
 	var docs []policy.Document
 	for _, p := range paths {
-		files, err := filesIn(p)
+		files, err := expandPath(p)
 		if err != nil {
 			return nil, usageError{err}
 		}
 		for _, f := range files {
-			in, err := readFile(f)
+			in, err := parseFile(f)
 			if err != nil {
 				return nil, usageError{fmt.Errorf("%s: %w", f, err)}
 			}
 			docs = append(docs, in...)
 		}
 	}
-	return docs, twice(docs)
+	return docs, checkDuplicates(docs)
 }
 
-func filesIn(path string) ([]string, error) {
+func expandPath(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil || !info.IsDir() {
 		return []string{path}, err
@@ -81,7 +81,7 @@
 	return files, err
 }
 
-func readFile(path string) ([]policy.Document, error) {
+func parseFile(path string) ([]policy.Document, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 	return docs, nil
 }
 
-func twice(docs []policy.Document) error {
+func checkDuplicates(docs []policy.Document) error {
 	seen := make(map[string]bool)
 	for _, d := range docs {
 		if seen[d.Key()] {
--- a/cmd/dottereltiller/rollback.go
+++ b/cmd/dottereltiller/rollback.go
@@ -24,9 +24,9 @@
 	if c.Comment == "" {
 		c.Comment = fmt.Sprintf("back to version %d", c.To)
 	}
-	p := operator.Proposal{Author: c.name(), Comment: c.Comment}
+	p := operator.Proposal{Author: c.author(), Comment: c.Comment}
 	res, err := operator.Rollback(logCtx, c.client(), model.Version(c.To), p)
-	if err := report(res, err); err != nil {
+	if err := printResult(res, err); err != nil {
 		return err
 	}
 	return c.await(ctx, res.Version)
--- a/cmd/dottereltiller/soak.go
+++ b/cmd/dottereltiller/soak.go
@@ -21,7 +21,7 @@
 	Dir       string        `arg:"--dir" help:"where settings and logs go; default: a new temporary directory"`
 }
 
-var errSoak = errors.New("promises were broken")
+var errViolations = errors.New("promises were broken")
 
 func (c *soakCmd) run(ctx context.Context) error {
 	plan, err := c.plan()
@@ -69,7 +69,7 @@
 			return err
 		}
 	}
-	return errSoak
+	return errViolations
 }
 
 func (c *soakCmd) plan() (soak.Plan, error) {
--- a/cmd/dottereltiller/status.go
+++ b/cmd/dottereltiller/status.go
@@ -36,7 +36,7 @@
 	if err := c.print(statusReport{Zones: zones, Daemon: state}); err != nil {
 		return err
 	}
-	return lagging(zones)
+	return checkZones(zones)
 }
 
 // statusReport is the JSON form of the command's output.
@@ -64,7 +64,7 @@
 	return t.Flush()
 }
 
-func lagging(zones []operator.ZoneStatus) error {
+func checkZones(zones []operator.ZoneStatus) error {
 	var newest model.Version
 	for _, z := range zones {
 		newest = max(newest, z.Newest)
--- a/cmd/dottereltiller/status_daemon.go
+++ b/cmd/dottereltiller/status_daemon.go
@@ -21,12 +21,12 @@
 	_, _ = fmt.Fprintln(t, "service\tpolicy\tgroups by weight\tupstreams\tleaving")
 	for _, svc := range s.Services {
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n",
-			svc.Name, svc.Policy, groupsOf(svc), upstreamsByZone(svc), leaving(svc))
+			svc.Name, svc.Policy, formatGroups(svc), upstreamsByZone(svc), drainingUpstreams(svc))
 	}
 	return t.Flush()
 }
 
-func groupsOf(svc daemon.ServiceStatus) string {
+func formatGroups(svc daemon.ServiceStatus) string {
 	var out []string
 	for _, g := range svc.Groups {
 		out = append(out, fmt.Sprintf("%s:%g", g.Name, g.Weight))
@@ -48,7 +48,7 @@
 	return strings.Join(out, " ")
 }
 
-func leaving(svc daemon.ServiceStatus) string {
+func drainingUpstreams(svc daemon.ServiceStatus) string {
 	var out []string
 	for _, up := range svc.Upstreams {
 		if up.Draining {
--- a/cmd/dottereltiller/validate.go
+++ b/cmd/dottereltiller/validate.go
@@ -27,7 +27,7 @@
 func checkFiles(paths []string) (*policy.Set, error) {
 	var in []operator.File
 	for _, p := range paths {
-		files, err := filesIn(p)
+		files, err := expandPath(p)
 		if err != nil {
 			return nil, usageError{err}
 		}
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -19,9 +19,9 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// TestHangupBeforeTheRuntime guards against SIGHUP ending a daemon whose Go runtime does
+// TestSIGHUPBeforeTheRuntimeStarts guards against SIGHUP ending a daemon whose Go runtime does
 // not take signals yet: it is ignored before it is caught.
-func TestHangupBeforeTheRuntime(t *testing.T) {
+func TestSIGHUPBeforeTheRuntimeStarts(t *testing.T) {
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(settings, []byte("not: [settings\n"), 0o600))
@@ -44,10 +44,10 @@
 	require.Positive(t, ignoredFirst, "of %d starts", starts)
 }
 
-// TestHangupIsCaughtOnceTheRuntimeRuns guards against the signal staying ignored: a reload
+// TestSIGHUPIsCaughtOnceTheRuntimeRuns guards against the signal staying ignored: a reload
 // would be lost.
-func TestHangupIsCaughtOnceTheRuntimeRuns(t *testing.T) {
-	cmd, w := startReadingSettings(t)
+func TestSIGHUPIsCaughtOnceTheRuntimeRuns(t *testing.T) {
+	cmd, w := startBlockedOnSettings(t)
 	ignored, caught := hangupActions(t, cmd.Process.Pid)
 	require.NoError(t, w.Close())
 	_ = cmd.Wait()
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -17,9 +17,9 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// startReadingSettings starts a daemon that reads its settings from a pipe, and returns it
+// startBlockedOnSettings starts a daemon that reads its settings from a pipe, and returns it
 // once it reads.
-func startReadingSettings(t *testing.T) (*exec.Cmd, *os.File) {
+func startBlockedOnSettings(t *testing.T) (*exec.Cmd, *os.File) {
 	t.Helper()
 	pipe := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, syscall.Mkfifo(pipe, 0o600))
@@ -31,10 +31,10 @@
 	return cmd, w
 }
 
-// TestHangupAtTheStart sends SIGHUP to a daemon that is still reading its settings, which
+// TestSIGHUPWhileReadingSettings sends SIGHUP to a daemon that is still reading its settings, which
 // come through a pipe: it goes on.
-func TestHangupAtTheStart(t *testing.T) {
-	cmd, w := startReadingSettings(t)
+func TestSIGHUPWhileReadingSettings(t *testing.T) {
+	cmd, w := startBlockedOnSettings(t)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	// Long enough for a process that does not catch the signal to end by it.
 	time.Sleep(50 * time.Millisecond)
@@ -47,13 +47,13 @@
 	require.Equal(t, exitcode.Usage, exited.ExitCode(), "%v", err)
 }
 
-// killAfter ends a daemon that a signal was to end.
-const killAfter = 10 * time.Second
+// killTimeout ends a daemon that a signal was to end.
+const killTimeout = 10 * time.Second
 
-// TestHangupEndsADaemonOfItsOwnSettings guards against the action that is ignored while the
+// TestSIGHUPHasInheritedActionOutsideThePlatform guards against the action that is ignored while the
 // program starts being taken for the inherited one.
-func TestHangupEndsADaemonOfItsOwnSettings(t *testing.T) {
-	path := write(t, `{`+valid+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
+func TestSIGHUPHasInheritedActionOutsideThePlatform(t *testing.T) {
+	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	for name, ignored := range map[string]bool{"started as usual": false, "started with SIGHUP ignored": true} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.Command(program, "--settings", path)
@@ -66,7 +66,7 @@
 			// What is caught here has its default action in programs started from here.
 			signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 			require.NoError(t, err)
-			defer time.AfterFunc(killAfter, func() { _ = cmd.Process.Kill() }).Stop()
+			defer time.AfterFunc(killTimeout, func() { _ = cmd.Process.Kill() }).Stop()
 			awaitLine(t, bufio.NewReader(out), "daemon started")
 			require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 			if ignored {
--- a/cmd/dottereltillerd/logreader_test.go
+++ b/cmd/dottereltillerd/logreader_test.go
@@ -17,9 +17,9 @@
 	"github.com/dottereltiller/dottereltiller/platform/platformtest"
 )
 
-// TestEndOfTheLogsReaderDoesNotEndTheDaemon closes the pipe that a daemon on the platform
+// TestDaemonSurvivesClosedStdout closes the pipe that a daemon on the platform
 // writes its lines to, and has it write one more.
-func TestEndOfTheLogsReaderDoesNotEndTheDaemon(t *testing.T) {
+func TestDaemonSurvivesClosedStdout(t *testing.T) {
 	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	ip, _, err := net.SplitHostPort(address)
@@ -30,7 +30,7 @@
 		Upstream: at(8147), Store: at(8342), InternalPort: 7660, Advertised: at(7660), Bootstrap: true,
 		GraceS: 1, RetryBudgetRatio: 0.2, RetryBudgetSlack: 10, RetryBudgetWindowS: 10,
 	}
-	path := write(t, vm.Settings())
+	path := writeSettings(t, vm.Settings())
 	out, in, err := os.Pipe()
 	require.NoError(t, err)
 	cmd := exec.Command(program)
@@ -57,10 +57,10 @@
 	require.NoError(t, <-ended)
 }
 
-// TestStopWithoutALogsReader closes the pipe that a daemon with settings of its own writes
+// TestDaemonStopsWithClosedStderr closes the pipe that a daemon with settings of its own writes
 // its lines to, and stops it.
-func TestStopWithoutALogsReader(t *testing.T) {
-	cmd := exec.Command(program, "--settings", write(t, `{`+valid+`,
+func TestDaemonStopsWithClosedStderr(t *testing.T) {
+	cmd := exec.Command(program, "--settings", writeSettings(t, `{`+validSettings+`,
 		"listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`))
 	out, err := cmd.StderrPipe()
 	require.NoError(t, err)
--- a/cmd/dottereltillerd/main.go
+++ b/cmd/dottereltillerd/main.go
@@ -46,10 +46,10 @@
 		return
 	}
 	if path := os.Getenv(platform.SettingsEnv); a.Settings == "" && path != "" {
-		onPlatform(path, a.Check)
+		runOnPlatform(path, a.Check)
 		return
 	}
-	hangup.Release()
+	hangup.RestoreInherited()
 	if a.Settings == "" {
 		p.Fail("name a settings file by --settings or DOTTERELTILLER_SETTINGS")
 	}
@@ -58,7 +58,7 @@
 		exit(err, exitcode.Usage)
 	}
 	if a.Check {
-		checkFiles(s)
+		checkCertificates(s)
 		return
 	}
 	if err := run(s); err != nil {
@@ -77,8 +77,8 @@
 	os.Exit(code)
 }
 
-// checkFiles reads the certificates that the settings name.
-func checkFiles(s settings.Settings) {
+// checkCertificates reads the certificates that the settings name.
+func checkCertificates(s settings.Settings) {
 	if _, err := identity.Load("callers.tls", s.Callers.TLS); err != nil {
 		exit(err, exitcode.Of(err))
 	}
@@ -96,7 +96,7 @@
 }
 
 func run(s settings.Settings) error {
-	outliveLogReader()
+	ignoreBrokenPipe()
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	if s.Process.MemoryLimitBytes > 0 {
@@ -110,21 +110,21 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go obey(signals, stop, d)
+	go handleSignals(signals, stop, d)
 	log.SetOutput(d.LibraryLogWriter())
 	return d.Serve(ctx)
 }
 
-// onPlatform runs beside an upstream on the users' platform, whose settings file
+// runOnPlatform runs beside an upstream on the users' platform, whose settings file
 // is at the path.
-func onPlatform(path string, check bool) {
+func runOnPlatform(path string, check bool) {
 	if check {
 		if _, err := platform.LoadSettings(path); err != nil {
 			exit(err, exitcode.Usage)
 		}
 		return
 	}
-	outliveLogReader()
+	ignoreBrokenPipe()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := platform.Run(ctx, path, hangup.Signals); err != nil {
@@ -132,13 +132,13 @@
 	}
 }
 
-// outliveLogReader has a write to a pipe that nobody reads fail. By default the signal of
+// ignoreBrokenPipe has a write to a pipe that nobody reads fail. By default the signal of
 // such a write to standard output or standard error ends the process.
-func outliveLogReader() { signal.Ignore(syscall.SIGPIPE) }
+func ignoreBrokenPipe() { signal.Ignore(syscall.SIGPIPE) }
 
-// obey stops the daemon at the first signal and ends its wait for requests in
+// handleSignals stops the daemon at the first signal and ends its wait for requests in
 // flight at the second. A third one ends the process at once.
-func obey(signals <-chan os.Signal, stop func(), d *daemon.Daemon) {
+func handleSignals(signals <-chan os.Signal, stop func(), d *daemon.Daemon) {
 	<-signals
 	stop()
 	<-signals
--- a/cmd/dottereltillerd/main_test.go
+++ b/cmd/dottereltillerd/main_test.go
@@ -49,17 +49,17 @@
 	return cmd.ProcessState.ExitCode(), out.String(), errs.String()
 }
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "d.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-const valid = `"zone": "odense-hal-a", "log": {"address": "127.0.0.1:1"}, "peers": {"secret": "s"}`
+const validSettings = `"zone": "odense-hal-a", "log": {"address": "127.0.0.1:1"}, "peers": {"secret": "s"}`
 
-// TestMistakesOfOperatorsAreNamed makes the mistakes of a new user.
-func TestMistakesOfOperatorsAreNamed(t *testing.T) {
+// TestStartupErrors makes the mistakes of a new user.
+func TestStartupErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = taken.Close() }()
@@ -71,11 +71,11 @@
 		"no settings":     {nil, 2, "name a settings file by --settings or DOTTERELTILLER_SETTINGS"},
 		"unknown flag":    {[]string{"--setings", "d.json"}, 2, "unknown argument --setings"},
 		"absent file":     {[]string{"--settings", "absent.json"}, 2, "open absent.json: no such file or directory"},
-		"typo":            {[]string{"--settings", write(t, `{`+valid+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
-		"typo, checked":   {[]string{"--check", "--settings", write(t, `{`+valid+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
-		"no certificate":  {[]string{"--check", "--settings", write(t, `{`+valid+`, "callers": {"tls": {"certificate": "c", "key": "k"}}}`)}, 2, `callers.tls.certificate: open c: no such file or directory (got "c")`},
-		"address in use":  {[]string{"--settings", write(t, `{`+valid+`, "listen": {"callers": "`+taken.Addr().String()+`"}}`)}, 1, "listen.callers: listen tcp " + taken.Addr().String() + ": bind: address already in use"},
-		"valid":           {[]string{"--check", "--settings", write(t, `{`+valid+`}`)}, 0, ""},
+		"typo":            {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
+		"typo, checked":   {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
+		"no certificate":  {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`, "callers": {"tls": {"certificate": "c", "key": "k"}}}`)}, 2, `callers.tls.certificate: open c: no such file or directory (got "c")`},
+		"address in use":  {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "listen": {"callers": "`+taken.Addr().String()+`"}}`)}, 1, "listen.callers: listen tcp " + taken.Addr().String() + ": bind: address already in use"},
+		"valid":           {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`}`)}, 0, ""},
 		"quick start":     {[]string{"--check", "--settings", "../../examples/quickstart/daemon.json"}, 0, ""},
 		"version printed": {[]string{"--version"}, 0, ""},
 	} {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestPrintedDefaultsAreThoseOfTheCode(t *testing.T) {
+func TestPrintDefaults(t *testing.T) {
 	code, stdout, _ := runProgram(t, "--print-defaults")
 	require.Zero(t, code)
 	want, err := settings.Defaults().JSON()
@@ -95,9 +95,9 @@
 	require.Equal(t, string(want), strings.TrimSpace(stdout))
 }
 
-// TestASignalStopsTheDaemonInGoodOrder starts a daemon without a log.
-func TestASignalStopsTheDaemonInGoodOrder(t *testing.T) {
-	path := write(t, `{`+valid+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
+// TestSIGTERMStopsTheDaemonCleanly starts a daemon without a log.
+func TestSIGTERMStopsTheDaemonCleanly(t *testing.T) {
+	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	cmd := exec.Command(program, "--settings", path)
 	stderr, err := cmd.StderrPipe()
 	require.NoError(t, err)
--- a/cmd/dottereltillerd/stop_test.go
+++ b/cmd/dottereltillerd/stop_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSecondSignalSaysWhatItAbandons holds a message of another daemon in
+// TestSecondSignalReportsAbortedRequests holds a message of another daemon in
 // flight, so that the first signal waits.
-func TestSecondSignalSaysWhatItAbandons(t *testing.T) {
-	cmd := exec.Command(program, "--settings", write(t, `{`+valid+`,
+func TestSecondSignalReportsAbortedRequests(t *testing.T) {
+	cmd := exec.Command(program, "--settings", writeSettings(t, `{`+validSettings+`,
 		"listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"},
 		"process": {"shutdown_timeout": "60s", "drain_time": "0s"}}`))
 	out, err := cmd.StderrPipe()
--- a/cmd/internal/hangup/hangup.go
+++ b/cmd/internal/hangup/hangup.go
@@ -20,9 +20,9 @@
 	return c
 }
 
-// Release has the signal do again what it would have done when the process was started: end
+// RestoreInherited has the signal do again what it would have done when the process was started: end
 // it, unless whoever started it ignores the signal.
-func Release() {
+func RestoreInherited() {
 	signal.Reset(syscall.SIGHUP)
 	restore()
 }
