--- a/decision/count.go
+++ b/decision/count.go
@@ -8,34 +8,37 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// maxCounters bounds the counters; what is beyond is counted without its reason.
+// maxCounters is the maximum number of combinations of kind and reason that have their
+// own counter. Decisions with further reasons are counted by kind alone.
 const maxCounters = 256
 
-// decisionCounters counts decisions by kind and reason, whether or not their lines are kept. It
-// is safe for concurrent use.
+// decisionCounters counts decisions by kind and reason, including decisions whose log lines
+// are dropped. It is safe for concurrent use.
 type decisionCounters struct {
 	byKey *telemetry.BoundedMetrics[counterKey, tally.Counter]
 }
 
+// counterKey identifies one counter.
 type counterKey struct {
 	kind   Kind
 	reason string
 }
 
-// newDecisionCounters returns counts in a scope; nil counts nothing.
+// newDecisionCounters returns counters that report to scope. If scope is nil, they are not
+// reported.
 func newDecisionCounters(scope tally.Scope) *decisionCounters {
 	scope = telemetry.OrNoop(scope)
-	other := func(k counterKey) counterKey { return counterKey{kind: k.kind} }
-	add := func(k counterKey) tally.Counter {
+	withoutReason := func(k counterKey) counterKey { return counterKey{kind: k.kind} }
+	newCounter := func(k counterKey) tally.Counter {
 		return scope.Tagged(map[string]string{"kind": string(k.kind), "reason": k.reason}).Counter("decisions")
 	}
-	return &decisionCounters{byKey: telemetry.NewBoundedMetrics(maxCounters, other, add)}
+	return &decisionCounters{byKey: telemetry.NewBoundedMetrics(maxCounters, withoutReason, newCounter)}
 }
 
-// reasonKey is the field that tells the reason of a decision.
+// reasonKey is the name of the attribute that holds the reason of a decision.
 const reasonKey = "reason"
 
-// add counts a decision.
+// add counts a decision of kind k with the reason in attrs, if there is one.
 func (c *decisionCounters) add(k Kind, attrs []slog.Attr) {
 	key := counterKey{kind: k}
 	for i := range attrs {
--- a/decision/count_test.go
+++ b/decision/count_test.go
@@ -10,7 +10,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestDroppedDecisionsAreCounted also counts those whose lines are dropped.
+// TestDroppedDecisionsAreCounted writes more lines than the rate limit allows: the counters
+// must include the decisions whose lines are dropped.
 func TestDroppedDecisionsAreCounted(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	l := New(Options{Handler: slog.DiscardHandler, LinesPerSecond: 1, Scope: scope})
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -1,10 +1,13 @@
-// Package decision writes one structured line for each decision that touches a
-// request or changes what a daemon believes.
+// Package decision writes one structured log line for each decision that affects a
+// request or changes the state that a daemon knows.
 //
-// Every kind of line is declared once, with what it tells and how long it is
-// kept when lines come faster than the budget allows: state changes and failures
-// first, plain successes last. Successes are sampled by request id, so that all
-// daemons keep the same requests. Writing never blocks: lines wait in a buffer of
-// fixed length, and what does not fit is counted and reported in a line once
-// there is room.
+// Every kind of line is declared once, with its description, its fields and its
+// class. The class determines which lines are dropped first when lines come faster
+// than the rate limit allows: lines about successful requests first, then lines
+// about failures. Lines about state changes are not rate limited. Lines about
+// successful requests are also sampled by request id, so that all daemons keep the
+// lines of the same requests.
+//
+// Writing never blocks. Lines are queued in a buffer of fixed length; lines that do
+// not fit are dropped and counted, and a later line reports the counts.
 package decision
--- a/decision/kinds.go
+++ b/decision/kinds.go
@@ -1,22 +1,26 @@
 package decision
 
-// Kind names a kind of decision. It is the message of the line.
+// Kind is a kind of decision. Its value is the message (msg) of the log line.
 type Kind string
 
-// Class orders kinds by how long they are kept when lines are dropped.
+// Class determines which lines are dropped first when there are too many.
 type Class uint8
 
-// The classes.
+// The classes, ordered from the first to be dropped to the last.
 const (
-	// Plain lines tell of the usual course of a request. They are sampled.
+	// Plain lines report requests that succeeded. They are sampled and rate limited.
 	Plain Class = iota
-	// Trouble lines tell of refusals, re-sends and failures.
+	// Trouble lines report refusals, rejections, retries and failures. They are rate
+	// limited.
 	Trouble
-	// State lines tell of what the daemon believes and of its dependencies.
+	// State lines report state changes of the daemon, of other daemons, of upstreams
+	// and of the store. They are not rate limited.
 	State
 )
 
-// The kinds.
+// The kinds of decisions. Their values must not change: package why parses the logs of
+// earlier builds, and operators match them. Some are therefore worded differently from
+// their names.
 const (
 	Answered          Kind = "request answered"
 	Refused           Kind = "request refused"
@@ -52,60 +56,64 @@
 	AnnounceFailed    Kind = "announcement failed"
 )
 
-// Declaration tells what lines of a kind hold.
+// Declaration documents the lines of one kind.
 type Declaration struct {
 	Kind  Kind
 	Class Class
-	// Description is one sentence for the page on logs.
+	// Description is the text in the table of docs/LOGS.md.
 	Description string
-	// Fields are the names of the line's attributes besides time, level and
+	// Fields are the names of the line's attributes, except time, level, msg and
 	// request.
 	Fields []string
 }
 
-// completionFields are told of every end of a request. Expected_ms is what the entry
-// expected of the last choice, among so many candidates; sends and given_back count
-// the attempts that reached an upstream and that a guard handed back. Cut tells that the
-// daemon had closed the caller's connection, so that the caller got no answer.
+// completionFields are the fields of the lines that report the end of a request.
+//   - expected_ms: completion time that the entry predicted when it last picked an
+//     upstream
+//   - candidates: number of upstreams that it picked from
+//   - sends: number of attempts that reached an upstream
+//   - given_back: number of attempts that a guard rejected
+//   - cut: whether the daemon closed the caller's connection, so that the caller got
+//     no response
 var completionFields = []string{
 	"route", "service", "upstream", "reason", "status", "retry_after_ms", "took_ms",
 	"sends", "given_back", "candidates", "expected_ms", "config", "idempotent", "cut",
 }
 
-// Declarations lists every kind once, in the order of the page on logs.
+// Declarations lists every kind once, in the order of the table in docs/LOGS.md.
 func Declarations() []Declaration {
 	return []Declaration{
-		{Answered, Plain, "The entry delivered an upstream's answer.", completionFields},
-		{Refused, Trouble, "The entry refused a request that has not run.", completionFields},
-		{Failed, Trouble, "The entry answered with a failure of its own; the request may have run.", completionFields},
-		{Aborted, State, "What served a request panicked. Where it was a handler, of callers or peers, the connection was closed without an answer.", []string{"part", "error", "stack"}},
-		{Retried, Trouble, "The entry sent a request to another upstream after an attempt ended.", []string{"service", "upstream", "reason", "sends", "budget_left"}},
-		{Hedged, Trouble, "The entry sent an idempotent request to a second upstream while the first was at work.", []string{"service", "upstream", "instead_of", "waited_ms", "expected_ms", "budget_left"}},
-		{Rejected, Trouble, "The guard gave a request back before it ran.", []string{"reason", "expected_ms", "alternative_ms", "slow", "slow_age_ms", "running", "waiting", "limit"}},
-		{Withdrawn, Trouble, "The entry asked a guard over a new connection what became of a request.", []string{"upstream", "result"}},
-		{Ran, Plain, "The guard had the upstream run a request.", []string{"upstream", "status", "ran_ms", "waited_ms", "slow", "running"}},
-		{RunFailed, Trouble, "An upstream was sent a request and gave no whole answer, or a failure.", []string{"upstream", "outcome", "reason", "status", "ran_ms", "error", "idempotent"}},
-		{Suspected, State, "The upstream crashed while it ran a request. One that ran in several crashes is refused.", []string{"upstream", "born", "fingerprint"}},
+		{Answered, Plain, "The entry delivered an upstream's response.", completionFields},
+		{Refused, Trouble, "The entry refused a request; no upstream executed it.", completionFields},
+		{Failed, Trouble, "The entry responded with an error of its own; the request may have been executed.", completionFields},
+		{Aborted, State, "Code that served a request panicked. If `part` is `callers` or `peers`, the connection was closed without a response.", []string{"part", "error", "stack"}},
+		{Retried, Trouble, "The entry retried a request at another upstream after an attempt ended.", []string{"service", "upstream", "reason", "sends", "budget_left"}},
+		{Hedged, Trouble, "The entry sent an idempotent request to a second upstream while the first was still running it.", []string{"service", "upstream", "instead_of", "waited_ms", "expected_ms", "budget_left"}},
+		{Rejected, Trouble, "The guard rejected a request without executing it, so that the entry can pick another upstream.", []string{"reason", "expected_ms", "alternative_ms", "slow", "slow_age_ms", "running", "waiting", "limit"}},
+		{Withdrawn, Trouble, "The entry asked a guard over a new connection for the outcome of an attempt; the guard cancels it if it has not started.", []string{"upstream", "result"}},
+		{Ran, Plain, "The upstream executed a request that the guard forwarded.", []string{"upstream", "status", "ran_ms", "waited_ms", "slow", "running"}},
+		{RunFailed, Trouble, "The guard forwarded a request and got no complete response, or one with a status of 500 or above.", []string{"upstream", "outcome", "reason", "status", "ran_ms", "error", "idempotent"}},
+		{Suspected, State, "The upstream crashed while it ran a request. A request that was running in several crashes is refused.", []string{"upstream", "born", "fingerprint"}},
 		{UpstreamState, State, "The upstream of this VM changed its state.", []string{"upstream", "born", "sequence", "state", "cause"}},
-		{UpstreamFailing, State, "The upstream of this VM fails most requests, so that others are preferred.", []string{"upstream", "failing"}},
-		{UpstreamRecovered, State, "It no longer does.", []string{"upstream", "failing"}},
-		{ReportRefused, State, "A report of an upstream could not be used.", []string{"upstream", "error"}},
+		{UpstreamFailing, State, "The upstream of this VM fails most requests, so other upstreams are preferred.", []string{"upstream", "failing"}},
+		{UpstreamRecovered, State, "The upstream of this VM no longer fails most requests.", []string{"upstream", "failing"}},
+		{ReportRefused, State, "A report of the upstream was invalid and was ignored.", []string{"upstream", "error"}},
 		{PeerState, State, "The upstream of another daemon changed its state.", []string{"peer", "upstream", "born", "state", "stopping"}},
-		{PeersLearned, State, "Many upstreams of other daemons became known as ready within a second; those in `learned` have no line of their own. Of the daemons in `missing`, 16 at most, no upstream is known yet.", []string{"learned", "ready", "peers", "unheard", "missing"}},
-		{PeerUnreachable, State, "Another daemon could not be reached.", []string{"peer", "error"}},
-		{PeerReachable, State, "Another daemon was reached again.", []string{"peer"}},
+		{PeersLearned, State, "Many upstreams of other daemons became known as ready within a second; `learned` of them have no line of their own. `missing` lists up to 16 daemons whose upstream is not known yet.", []string{"learned", "ready", "peers", "unheard", "missing"}},
+		{PeerUnreachable, State, "Another daemon became unreachable.", []string{"peer", "error"}},
+		{PeerReachable, State, "Another daemon is reachable again.", []string{"peer"}},
 		{ConfigInForce, State, "A version of the configuration came into force.", []string{"version", "previous", "routes", "from"}},
-		{ConfigRefused, State, "A configuration was passed over.", []string{"version", "in_force", "from", "error"}},
-		{StoreUnreachable, State, "The store could not be reached or refused.", []string{"call", "error"}},
-		{StoreReachable, State, "The store answered again.", []string{"call", "away_ms"}},
-		{StoreWatched, State, "This daemon began or ended to watch the store for the daemons of its cell.", []string{"watches", "cell"}},
-		{RecordRefused, State, "A record of the store could not be read.", []string{"topic", "key", "error"}},
+		{ConfigRefused, State, "A configuration was invalid; the one in force stays.", []string{"version", "in_force", "from", "error"}},
+		{StoreUnreachable, State, "The store was unreachable or returned an error.", []string{"call", "error"}},
+		{StoreReachable, State, "The store responds again.", []string{"call", "away_ms"}},
+		{StoreWatched, State, "This daemon started or stopped watching the store for the daemons of its cell.", []string{"watches", "cell"}},
+		{RecordRefused, State, "A record in the store could not be decoded and was skipped.", []string{"topic", "key", "error"}},
 		{Started, State, "The daemon started.", []string{"address", "zone", "service", "incarnation", "version"}},
-		{Stopping, State, "The daemon was told to stop.", []string{"in_flight"}},
-		{Stopped, State, "The daemon ended.", []string{"in_flight", "took_ms"}},
-		{Reloaded, State, "The settings file was read again.", []string{"changed", "kept"}},
-		{ReloadRefused, State, "The settings file could not be used; the settings in force stay.", []string{"error"}},
-		{LinesDropped, State, "Lines were dropped since the last such line.", []string{"plain", "trouble", "state"}},
+		{Stopping, State, "The daemon received a signal to stop.", []string{"in_flight"}},
+		{Stopped, State, "The daemon stopped.", []string{"in_flight", "took_ms"}},
+		{Reloaded, State, "The settings file was reloaded.", []string{"changed", "kept"}},
+		{ReloadRefused, State, "The settings file was invalid at a reload; the previous settings stay in force.", []string{"error"}},
+		{LinesDropped, State, "Log lines were dropped since the previous line of this kind.", []string{"plain", "trouble", "state"}},
 		{AnnounceFailed, State, "The daemon's record could not be written to the store yet.", []string{"error"}},
 	}
 }
--- a/decision/log.go
+++ b/decision/log.go
@@ -14,33 +14,36 @@
 type Options struct {
 	// Handler writes the lines.
 	Handler slog.Handler
-	// SampleOneIn keeps one in so many requests' plain lines. Default: 16.
+	// SampleOneIn is the sampling interval: plain lines are kept for one in SampleOneIn
+	// requests. Default: 16.
 	SampleOneIn uint32
-	// LinesPerSecond bounds plain and trouble lines. Default: 40.
+	// LinesPerSecond limits the rate of plain and trouble lines together. Default: 40.
 	LinesPerSecond float64
-	// BufferLines is the number of lines that may wait. Default: 512.
+	// BufferLines is the length of the queue of lines to be written. Default: 512.
 	BufferLines int
-	// Now reads the time. Default: time.Now.
+	// Now returns the current time. Default: time.Now.
 	Now func() time.Time
-	// Scope receives the counters of decisions. Nil means none.
+	// Scope receives the counters of decisions. If it is nil, they are not reported.
 	Scope tally.Scope
 }
 
 const (
-	// defaultSampleOneIn, defaultLinesPerSecond and defaultBufferLines hold a daemon's log under
-	// 16 KB/s at 400 bytes a line and its buffer under 256 KB.
+	// At 400 bytes a line, these defaults keep the log of a daemon below 16 KB/s and its
+	// buffer below 256 KB.
 	defaultSampleOneIn    = 16
 	defaultLinesPerSecond = 40
 	defaultBufferLines    = 512
-	// burstSeconds is how many seconds' worth of unused lines may be saved up.
+	// burstSeconds sets the burst of the rate limit: it is the number of lines allowed in
+	// this many seconds.
 	burstSeconds = 5
-	// dropReportInterval is the time between two reports of dropped lines.
+	// dropReportInterval is the minimum time between two lines that report dropped lines.
 	dropReportInterval = time.Second
-	// troubleReserve is the share of the saved lines that plain ones leave alone.
+	// troubleReserve is the fraction of the burst that plain lines may not use, so that it
+	// is left for trouble lines.
 	troubleReserve = 0.5
 )
 
-// Log writes lines. It is safe for concurrent use. A nil Log drops everything.
+// Log writes decision lines. It is safe for concurrent use. A nil Log drops every line.
 type Log struct {
 	opts     Options
 	counters *decisionCounters
@@ -53,19 +56,19 @@
 	tokens          float64
 	tokensUpdatedAt time.Time
 	dropped         [State + 1]int64
-	// dropsReportedAt is when that was last reported.
+	// dropsReportedAt is the time of the last line that reported dropped lines.
 	dropsReportedAt time.Time
-	// totalDropped counts all lines ever dropped.
+	// totalDropped counts the lines dropped since the start.
 	totalDropped int64
 }
 
-// queuedLine is a record and the handler that writes it.
+// queuedLine is a log record together with the handler that writes it.
 type queuedLine struct {
 	record  slog.Record
 	handler slog.Handler
 }
 
-// New returns a Log. Close flushes it.
+// New returns a Log and starts the goroutine that writes its lines. Close stops it.
 func New(o Options) *Log {
 	if o.SampleOneIn == 0 {
 		o.SampleOneIn = defaultSampleOneIn
@@ -95,8 +98,8 @@
 	return l
 }
 
-// Sampled reports whether plain lines of a request are kept, so that the work of
-// making them can be left out.
+// Sampled reports whether plain lines about the request with this id are kept. Callers
+// can skip building lines that would be dropped.
 func (l *Log) Sampled(request string) bool {
 	if l == nil {
 		return false
@@ -106,8 +109,8 @@
 	return h.Sum32()%l.opts.SampleOneIn == 0
 }
 
-// Write writes a line of a kind. Request is the id of the request that it is
-// about, empty where there is none.
+// Write counts a decision of kind k and writes its line. request is the id of the request
+// that the decision is about, or empty.
 func (l *Log) Write(k Kind, request string, attrs ...slog.Attr) {
 	if l == nil {
 		return
@@ -128,27 +131,28 @@
 	l.enqueue(class, newRecord(now, k, class, request, attrs), l.opts.Handler)
 }
 
-// admit reports whether the budget allows a line. State lines are always
-// admitted: they are as rare as the changes that they tell of.
+// admit reports whether the rate limit allows a line of class c now. State lines are
+// always admitted: they are as rare as the changes that they report. l.mu is held.
 func (l *Log) admit(c Class, now time.Time) bool {
-	most := l.opts.LinesPerSecond * burstSeconds
-	l.tokens = min(most, l.tokens+now.Sub(l.tokensUpdatedAt).Seconds()*l.opts.LinesPerSecond)
+	maxTokens := l.opts.LinesPerSecond * burstSeconds
+	l.tokens = min(maxTokens, l.tokens+now.Sub(l.tokensUpdatedAt).Seconds()*l.opts.LinesPerSecond)
 	l.tokensUpdatedAt = now
 	if c == State {
 		return true
 	}
-	floor := 1.0
+	minTokens := 1.0
 	if c == Plain {
-		floor = most * troubleReserve
+		minTokens = maxTokens * troubleReserve
 	}
-	if l.tokens < floor {
+	if l.tokens < minTokens {
 		return false
 	}
 	l.tokens--
 	return true
 }
 
-// reportDropped reports what was dropped, once there is room again.
+// reportDropped writes a line with the numbers of dropped lines once half of the queue is
+// free again. l.mu is held.
 func (l *Log) reportDropped(now time.Time) {
 	if l.dropped == [State + 1]int64{} || len(l.lines) > cap(l.lines)/2 || now.Sub(l.dropsReportedAt) < dropReportInterval {
 		return
@@ -163,6 +167,7 @@
 	l.enqueue(State, newRecord(now, LinesDropped, State, "", attrs), l.opts.Handler)
 }
 
+// enqueue queues a line, or drops it if the queue is full. l.mu is held.
 func (l *Log) enqueue(c Class, r slog.Record, h slog.Handler) {
 	select {
 	case l.lines <- queuedLine{record: r, handler: h}:
@@ -171,20 +176,22 @@
 	}
 }
 
-// countDropped counts a line. l.mu is held.
+// countDropped counts a dropped line of class c. l.mu is held.
 func (l *Log) countDropped(c Class) {
 	l.dropped[c]++
 	l.totalDropped++
 }
 
-// Dropped returns how many lines were dropped since the start, plain ones of
-// requests that are not sampled left out.
+// Dropped returns how many lines were dropped since the start. It does not count the
+// plain lines of requests that are not sampled.
 func (l *Log) Dropped() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.totalDropped
 }
 
+// newRecord returns the log record of a decision. Trouble lines have level WARN, others
+// INFO.
 func newRecord(now time.Time, k Kind, c Class, request string, attrs []slog.Attr) slog.Record {
 	level := slog.LevelInfo
 	if c == Trouble {
@@ -198,15 +205,17 @@
 	return r
 }
 
+// writeLines writes the queued lines until the queue is closed.
 func (l *Log) writeLines() {
 	defer close(l.done)
-	for w := range l.lines {
-		_ = w.handler.Handle(context.Background(), w.record)
+	for queued := range l.lines {
+		_ = queued.handler.Handle(context.Background(), queued.record)
 	}
 }
 
-// Close writes what waits, for at most the given time.
-func (l *Log) Close(wait time.Duration) {
+// Close stops accepting lines and waits until the queued ones are written or the timeout
+// expires.
+func (l *Log) Close(timeout time.Duration) {
 	if l == nil {
 		return
 	}
@@ -218,6 +227,6 @@
 	l.mu.Unlock()
 	select {
 	case <-l.done:
-	case <-time.After(wait):
+	case <-time.After(timeout):
 	}
 }
--- a/decision/log_test.go
+++ b/decision/log_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// clock is a time of day that tests move.
+// clock is a fake clock that tests advance.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -34,7 +34,7 @@
 	c.now = c.now.Add(d)
 }
 
-// lockedBuffer is a writer that can stand still.
+// lockedBuffer is a log writer. A test that holds its mutex blocks all writes.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -46,6 +46,7 @@
 	return s.buf.Write(p)
 }
 
+// countByKind returns the number of lines of each kind.
 func (s *lockedBuffer) countByKind(t *testing.T) map[string]int {
 	t.Helper()
 	s.mu.Lock()
@@ -61,6 +62,8 @@
 	return out
 }
 
+// newTestLog returns a Log that writes JSON lines to a buffer and reads the time from a
+// fake clock.
 func newTestLog(o Options) (*Log, *lockedBuffer, *clock) {
 	s, c := &lockedBuffer{}, &clock{now: time.Unix(1000, 0)}
 	o.Handler, o.Now = slog.NewJSONHandler(s, nil), c.current
@@ -86,8 +89,9 @@
 	require.InDelta(t, 25, kept, 15)
 }
 
-// TestPlainLinesAreDroppedFirst answers ten times the lines that the budget allows:
-// successes go first, state changes stay, and what was dropped is told.
+// TestPlainLinesAreDroppedFirst writes ten times the lines that the rate limit allows:
+// plain lines are dropped first, no state line is dropped, and lines report the numbers of
+// dropped lines.
 func TestPlainLinesAreDroppedFirst(t *testing.T) {
 	l, s, c := newTestLog(Options{SampleOneIn: 1, LinesPerSecond: 10, BufferLines: 4096})
 	const seconds = 30
@@ -109,7 +113,8 @@
 	require.LessOrEqual(t, got[string(LinesDropped)], seconds, "once a second at most")
 }
 
-// TestWritersNeverBlock has a standard output that stands still: writers never wait.
+// TestWritersNeverBlock writes lines while the output is blocked, as when nobody reads
+// standard output: lines beyond the queue are dropped instead of blocking the caller.
 func TestWritersNeverBlock(t *testing.T) {
 	l, s, c := newTestLog(Options{BufferLines: 8})
 	s.mu.Lock()
@@ -128,10 +133,10 @@
 }
 
 func TestWriteAfterCloseAndToNilLog(t *testing.T) {
-	var none *Log
-	none.Write(Answered, "x")
-	none.Close(0)
-	require.False(t, none.Sampled("x"))
+	var nilLog *Log
+	nilLog.Write(Answered, "x")
+	nilLog.Close(0)
+	require.False(t, nilLog.Sampled("x"))
 	l, s, _ := newTestLog(Options{})
 	l.Write(Started, "")
 	l.Close(time.Second)
@@ -140,8 +145,8 @@
 	require.Equal(t, map[string]int{string(Started): 1}, s.countByKind(t))
 }
 
-// TestEveryKindIsDeclaredAndUsed holds every constant to one declaration and to a use
-// outside this package.
+// TestEveryKindIsDeclaredAndUsed checks that each Kind constant has exactly one declaration
+// and is used in non-test code other than kinds.go.
 func TestEveryKindIsDeclaredAndUsed(t *testing.T) {
 	text, err := os.ReadFile("kinds.go")
 	require.NoError(t, err)
@@ -172,7 +177,8 @@
 	}
 }
 
-// TestLogsPageMatchesDeclarations compares docs/LOGS.md with the declarations.
+// TestLogsPageMatchesDeclarations checks that the table in docs/LOGS.md is what Page
+// returns.
 func TestLogsPageMatchesDeclarations(t *testing.T) {
 	page, err := os.ReadFile("../docs/LOGS.md")
 	require.NoError(t, err)
--- a/decision/logger.go
+++ b/decision/logger.go
@@ -5,11 +5,13 @@
 	"log/slog"
 )
 
-// Logger returns a logger for lines that are no decisions. They wait among those that are,
-// and are dropped like lines of State: who writes one never waits for its reader.
+// Logger returns a logger for lines that are not decisions. Its lines go through the queue
+// of l without a rate limit, as State lines do, so logging does not block when the output
+// does.
 func (l *Log) Logger() *slog.Logger { return slog.New(queueHandler{log: l, next: l.opts.Handler}) }
 
-// queueHandler is a handler that has lines written by the goroutine of a Log.
+// queueHandler is a slog.Handler that queues records on a Log. The goroutine of the Log
+// passes them on to the next handler.
 type queueHandler struct {
 	log  *Log
 	next slog.Handler
--- a/decision/logger_test.go
+++ b/decision/logger_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blockingWriter is a writer that waits until it is let go.
+// blockingWriter is a writer that blocks until release is closed. It sends on started when
+// a write begins.
 type blockingWriter struct {
 	bytes.Buffer
 	started, release chan struct{}
@@ -26,19 +27,19 @@
 
 func TestLoggerDoesNotBlock(t *testing.T) {
 	out := &blockingWriter{started: make(chan struct{}, 1), release: make(chan struct{})}
-	const room = 4
-	l := New(Options{Handler: slog.NewJSONHandler(out, nil), BufferLines: room})
+	const capacity = 4
+	l := New(Options{Handler: slog.NewJSONHandler(out, nil), BufferLines: capacity})
 	logger := l.Logger().With("part", "p").WithGroup("g")
 	logger.Info("first", "n", 1)
 	<-out.started
-	for range room + 3 {
+	for range capacity + 3 {
 		logger.Info("more")
 	}
 	require.EqualValues(t, 3, l.Dropped())
 	close(out.release)
 	l.Close(time.Minute)
 	require.Contains(t, out.String(), `"msg":"first","part":"p","g":{"n":1}`)
-	require.Equal(t, 1+room, bytes.Count(out.Bytes(), []byte("\n")))
-	logger.Info("after the end")
+	require.Equal(t, 1+capacity, bytes.Count(out.Bytes(), []byte("\n")))
+	logger.Info("after Close")
 	require.EqualValues(t, 4, l.Dropped())
 }
--- a/decision/page.go
+++ b/decision/page.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// classRetention tells how long lines of a class are kept.
+// classRetention states for each class which of its lines are kept.
 var classRetention = map[Class]string{
 	Plain:   "sampled, dropped first",
 	Trouble: "within the budget",
 	State:   "always",
 }
 
-// Page returns the table of all kinds for docs/LOGS.md.
+// Page returns the Markdown table of all kinds for docs/LOGS.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString("| `msg` | tells | fields | kept |\n|---|---|---|---|\n")
