--- a/why/doc.go
+++ b/why/doc.go
@@ -1,9 +1,10 @@
-// Package why joins the decision lines of several daemons into a story: what
-// became of a request, of an upstream, or when each daemon learned of a
-// configuration.
+// Package why joins the decision lines of several daemons into one timeline: the
+// events of a request or of an upstream, or the times at which each daemon put a
+// configuration version in force.
 //
-// Lines may come from any number of files in any order. What comes before a
-// line's JSON, as some collectors write, is passed over; what cannot be read is
-// counted. Times are those of the daemons' own clocks, which may differ: lines are
-// ordered by them, and a gap between two daemons may be one between two clocks.
+// Lines may come from any number of files in any order. Text before the JSON object
+// of a line, which some log collectors add, is ignored. Lines that cannot be parsed
+// are counted. Lines are ordered by their timestamps, which the daemons take from
+// their own clocks: a time difference between lines of two daemons may be a
+// difference between their clocks.
 package why
--- a/why/read.go
+++ b/why/read.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Line is one decision.
+// Line is one decision line of a log.
 type Line struct {
 	Time   time.Time
 	Daemon string
-	// Kind is the kind of decision, as package decision declares them.
+	// Kind is the message of the line: a decision.Kind.
 	Kind string
-	// Request is empty where the line is about none.
+	// Request is the id of the request that the line is about, or empty.
 	Request string
-	// Fields are the others, in the order of the line.
+	// Fields are the remaining fields, except the level, in the order of the line.
 	Fields []Field
 }
 
-// Field is one attribute of a line.
+// Field is one field of a line. Values other than JSON strings are kept as JSON text.
 type Field struct {
 	Name  string
 	Value string
 }
 
-// Get returns a field's value, empty where there is none.
+// Get returns the value of a field, or an empty string if the line does not have it.
 func (l *Line) Get(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -37,18 +37,18 @@
 	return ""
 }
 
-// Log is what was read.
+// Log holds the decision lines of all files that were read.
 type Log struct {
 	Lines []Line
-	// UnreadableLines counts the lines that hold no decision.
+	// UnreadableLines counts the lines that are not decision lines.
 	UnreadableLines int
 }
 
-// maxLineBytes bounds a line, in bytes.
+// maxLineBytes is the maximum length of a line. Read fails on longer lines.
 const maxLineBytes = 1 << 20
 
-// Read adds the lines of one file. Its name stands for the daemon where a line
-// names none.
+// Read adds the lines of one file. Lines that do not name their daemon get the name of the
+// file as daemon.
 func (l *Log) Read(name string, r io.Reader) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
@@ -73,7 +73,7 @@
 	slices.SortStableFunc(l.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// parseLine reads one line.
+// parseLine parses one line and reports whether it is a decision line.
 func parseLine(b []byte) (Line, bool) {
 	start := bytes.IndexByte(b, '{')
 	if start < 0 {
@@ -103,7 +103,8 @@
 	return l, l.Kind != "" && !l.Time.IsZero()
 }
 
-// setMember notes one member and reports whether it can be read.
+// setMember stores one member of the line's JSON object in l and reports whether its value
+// is valid.
 func (l *Line) setMember(key string, value json.RawMessage) bool {
 	text := string(value)
 	var s string
--- a/why/timeline.go
+++ b/why/timeline.go
@@ -12,21 +12,22 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// contextWindow is how long before and after a request the changes count that may
-// explain it: a belief is corrected within a few seconds.
+// contextWindow is how long before and after a request state changes are included in its
+// timeline. Daemons correct outdated state within a few seconds, so changes further away
+// did not affect the request.
 const contextWindow = 5 * time.Second
 
-// Timeline is a selection of lines with what they are about.
+// Timeline is a list of decision lines about one subject, ordered by time.
 type Timeline struct {
 	Subject string `json:"about"`
-	// Outcome is the last word on a request, empty for others.
+	// Outcome describes how a request ended. It is empty for other subjects.
 	Outcome string  `json:"outcome,omitempty"`
 	Events  []Event `json:"events"`
-	// UnreadableLines counts the lines that could not be read.
+	// UnreadableLines counts the lines that could not be parsed.
 	UnreadableLines int `json:"damaged_lines"`
 }
 
-// Event is one line of a story.
+// Event is one line of a timeline.
 type Event struct {
 	// AtMS is the time since the first event, in milliseconds.
 	AtMS   float64           `json:"at_ms"`
@@ -34,58 +35,61 @@
 	Daemon string            `json:"daemon"`
 	Kind   string            `json:"kind"`
 	Fields map[string]string `json:"fields,omitempty"`
-	// orderedFields keeps the fields as the line had them.
+	// orderedFields are the fields in the order of the line.
 	orderedFields []Field
-	// Context tells that the line is not about the request itself.
+	// Context is true if the line is not about the request itself but about a state
+	// change that may explain its outcome.
 	Context bool `json:"context,omitempty"`
 }
 
-// RequestTimeline tells the story of a request: its own lines, and the changes around it
-// of what its daemons believed of the upstreams that took part, of the store and
-// of the configuration.
+// RequestTimeline returns the lines about a request, together with the state changes around
+// it that may explain its outcome: changes of the upstreams that it was sent to, and changes
+// of the configuration, the store and the peers at the daemons that handled it.
 func (l *Log) RequestTimeline(id string) Timeline {
-	s := Timeline{Subject: "request " + id, UnreadableLines: l.UnreadableLines}
-	var own []Line
+	t := Timeline{Subject: "request " + id, UnreadableLines: l.UnreadableLines}
+	var requestLines []Line
 	daemons, upstreams := map[string]bool{}, map[string]bool{}
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		if line.Request != id {
 			continue
 		}
-		own = append(own, *line)
+		requestLines = append(requestLines, *line)
 		daemons[line.Daemon] = true
 		for _, name := range []string{"upstream", "instead_of"} {
-			if up := upstreamID(line.Get(name)); up != "" {
-				upstreams[up] = true
+			if upstream := upstreamID(line.Get(name)); upstream != "" {
+				upstreams[upstream] = true
 			}
 		}
 		if endsRequest(line.Kind) {
-			s.Outcome = describeOutcome(line)
+			t.Outcome = describeOutcome(line)
 		}
 	}
-	if len(own) == 0 {
-		return s
+	if len(requestLines) == 0 {
+		return t
 	}
-	from, to := own[0].Time.Add(-contextWindow), own[len(own)-1].Time.Add(contextWindow)
+	from, to := requestLines[0].Time.Add(-contextWindow), requestLines[len(requestLines)-1].Time.Add(contextWindow)
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		if line.Request == id {
-			s.add(line, false)
+			t.add(line, false)
 		} else if line.Request == "" && !line.Time.Before(from) && !line.Time.After(to) && mayExplain(line, daemons, upstreams) {
-			s.add(line, true)
+			t.add(line, true)
 		}
 	}
-	return s
+	return t
 }
 
-// upstreamID returns the id of an upstream, which an entry names behind its
-// daemon's address.
-func upstreamID(s string) string { return s[strings.LastIndexByte(s, ' ')+1:] }
+// upstreamID returns the id of an upstream from the value of an upstream field. Entries
+// write "ADDRESS ID" with the address of the upstream's daemon, guards only the id.
+func upstreamID(field string) string { return field[strings.LastIndexByte(field, ' ')+1:] }
 
+// endsRequest reports whether a line of this kind records the end of a request at the entry.
 func endsRequest(kind string) bool {
 	return slices.Contains([]decision.Kind{decision.Answered, decision.Refused, decision.Failed}, decision.Kind(kind))
 }
 
+// describeOutcome returns a text such as "request failed with 504 after 300 ms: deadline".
 func describeOutcome(l *Line) string {
 	out := fmt.Sprintf("%s with %s after %s ms", l.Kind, l.Get("status"), l.Get("took_ms"))
 	if r := l.Get("reason"); r != "" {
@@ -94,8 +98,8 @@
 	return out
 }
 
-// mayExplain reports whether a change of belief may have decided about a request of
-// the daemons and upstreams.
+// mayExplain reports whether a line records a state change that may have affected a request
+// that these daemons and upstreams handled.
 func mayExplain(l *Line, daemons, upstreams map[string]bool) bool {
 	switch decision.Kind(l.Kind) {
 	case decision.UpstreamState, decision.PeerState:
@@ -108,10 +112,10 @@
 	}
 }
 
-// UpstreamTimeline tells the story of an upstream: what it reported, what the daemons
-// believed, and the runs that failed there.
+// UpstreamTimeline returns the lines about an upstream: its state as it reported it, its
+// state as seen by other daemons, invalid reports, and requests that failed there.
 func (l *Log) UpstreamTimeline(id string) Timeline {
-	s := Timeline{Subject: "upstream " + id, UnreadableLines: l.UnreadableLines}
+	t := Timeline{Subject: "upstream " + id, UnreadableLines: l.UnreadableLines}
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		if upstreamID(line.Get("upstream")) != id {
@@ -119,16 +123,17 @@
 		}
 		switch decision.Kind(line.Kind) {
 		case decision.UpstreamState, decision.PeerState, decision.RunFailed, decision.ReportRefused:
-			s.add(line, false)
+			t.add(line, false)
 		}
 	}
-	return s
+	return t
 }
 
-// ConfigurationTimeline tells when each daemon brought a version into force, or a later
-// one, and from whom it had it.
+// ConfigurationTimeline returns the lines that show when each daemon put the version, or a
+// later one that skipped it, in force and where it got it from, and the lines about
+// daemons that refused the version.
 func (l *Log) ConfigurationTimeline(version uint64) Timeline {
-	s := Timeline{Subject: fmt.Sprintf("configuration %d", version), UnreadableLines: l.UnreadableLines}
+	t := Timeline{Subject: fmt.Sprintf("configuration %d", version), UnreadableLines: l.UnreadableLines}
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		kind := decision.Kind(line.Kind)
@@ -136,33 +141,34 @@
 		before, errBefore := strconv.ParseUint(line.Get("previous"), 10, 64)
 		reached := errAt == nil && errBefore == nil && at >= version && before < version
 		if kind == decision.ConfigInForce && reached || kind == decision.ConfigRefused && at == version {
-			s.add(line, false)
+			t.add(line, false)
 		}
 	}
-	return s
+	return t
 }
 
-func (s *Timeline) add(l *Line, context bool) {
+// add appends a line. context marks lines that are not about the subject itself.
+func (t *Timeline) add(l *Line, context bool) {
 	e := Event{Time: l.Time, Daemon: l.Daemon, Kind: l.Kind, Fields: make(map[string]string, len(l.Fields)), orderedFields: l.Fields, Context: context}
 	for _, f := range l.Fields {
 		e.Fields[f.Name] = f.Value
 	}
-	s.Events = append(s.Events, e)
-	e.AtMS = float64(e.Time.Sub(s.Events[0].Time)) / float64(time.Millisecond)
-	s.Events[len(s.Events)-1].AtMS = e.AtMS
+	t.Events = append(t.Events, e)
+	e.AtMS = float64(e.Time.Sub(t.Events[0].Time)) / float64(time.Millisecond)
+	t.Events[len(t.Events)-1].AtMS = e.AtMS
 }
 
-// WriteText writes a story for people. Lines of context are set off by a dot.
-func (s *Timeline) WriteText(w io.Writer) error {
-	if len(s.Events) == 0 {
-		_, err := fmt.Fprintf(w, "%s: no line tells of it (%d lines could not be read)\n", s.Subject, s.UnreadableLines)
+// WriteText writes the timeline as text. Context lines start with a dot.
+func (t *Timeline) WriteText(w io.Writer) error {
+	if len(t.Events) == 0 {
+		_, err := fmt.Fprintf(w, "%s: not found in the logs (%d lines could not be read)\n", t.Subject, t.UnreadableLines)
 		return err
 	}
-	if _, err := fmt.Fprintf(w, "%s, from %s\n", s.Subject, s.Events[0].Time.Format(time.RFC3339Nano)); err != nil {
+	if _, err := fmt.Fprintf(w, "%s, from %s\n", t.Subject, t.Events[0].Time.Format(time.RFC3339Nano)); err != nil {
 		return err
 	}
-	for i := range s.Events {
-		e := &s.Events[i]
+	for i := range t.Events {
+		e := &t.Events[i]
 		mark := " "
 		if e.Context {
 			mark = "."
@@ -177,17 +183,17 @@
 			return err
 		}
 	}
-	if s.Outcome != "" {
-		if _, err := fmt.Fprintf(w, "outcome: %s\n", s.Outcome); err != nil {
+	if t.Outcome != "" {
+		if _, err := fmt.Fprintf(w, "outcome: %s\n", t.Outcome); err != nil {
 			return err
 		}
 	}
-	if s.UnreadableLines > 0 {
-		_, err := fmt.Fprintf(w, "%d lines could not be read\n", s.UnreadableLines)
+	if t.UnreadableLines > 0 {
+		_, err := fmt.Fprintf(w, "%d lines could not be read\n", t.UnreadableLines)
 		return err
 	}
 	return nil
 }
 
-// WriteJSON writes a story for programs.
-func (s *Timeline) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(s) }
+// WriteJSON writes the timeline as one JSON object.
+func (t *Timeline) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(t) }
--- a/why/unanswered.go
+++ b/why/unanswered.go
@@ -12,10 +12,10 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// ExecutionCount is how often a request has run.
+// ExecutionCount states how often a request was executed, as far as the logs show.
 type ExecutionCount string
 
-// The fates, as far as logs tell.
+// The execution counts.
 const (
 	NotAtAll     ExecutionCount = "not at all"
 	Once         ExecutionCount = "once"
@@ -23,45 +23,48 @@
 	PerhapsTwice ExecutionCount = "perhaps twice"
 )
 
-// UnansweredRequest is a request that must not run twice and got no answer from an upstream.
+// UnansweredRequest is a request that is not idempotent and to which an upstream gave no
+// response.
 type UnansweredRequest struct {
 	Request string    `json:"request"`
 	Time    time.Time `json:"time"`
-	// Entry is the daemon that took it, empty where its log is not there.
+	// Entry is the daemon that accepted the request from the caller. It is empty if the
+	// log of that daemon was not read.
 	Entry string `json:"entry,omitempty"`
-	// Upstreams may have run it.
+	// Upstreams are the upstreams that may have executed the request.
 	Upstreams []string `json:"upstreams"`
-	// CallerStatus is the status that its caller got, empty where that is not known.
+	// CallerStatus is the HTTP status that the caller got. It is empty if not known.
 	CallerStatus string         `json:"told,omitempty"`
 	Executions   ExecutionCount `json:"fate"`
 }
 
-// UnansweredRequests is what became of the requests of an upstream that must not run twice.
+// UnansweredRequests lists the requests that are not idempotent and to which an upstream
+// gave no response.
 type UnansweredRequests struct {
 	Upstream        string              `json:"upstream"`
 	Requests        []UnansweredRequest `json:"requests"`
 	UnreadableLines int                 `json:"damaged_lines"`
 }
 
-// Unanswered tells, for each request that must not run twice and whose run at an upstream has
-// no answer, how often it has run.
+// Unanswered returns the requests that are not idempotent and to which the upstream gave no
+// response, and how often each of them was executed.
 func (l *Log) Unanswered(upstream string) UnansweredRequests {
 	out := UnansweredRequests{Upstream: upstream, UnreadableLines: l.UnreadableLines}
-	lines := make(map[string][]*Line)
+	linesByRequest := make(map[string][]*Line)
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		if hasUnknownExecution(line, upstream) {
-			lines[line.Request] = nil
+			linesByRequest[line.Request] = nil
 		}
 	}
 	for i := range l.Lines {
 		line := &l.Lines[i]
-		if _, ok := lines[line.Request]; ok {
-			lines[line.Request] = append(lines[line.Request], line)
+		if _, ok := linesByRequest[line.Request]; ok {
+			linesByRequest[line.Request] = append(linesByRequest[line.Request], line)
 		}
 	}
-	for id, of := range lines {
-		out.Requests = append(out.Requests, summarizeRequest(id, of))
+	for id, lines := range linesByRequest {
+		out.Requests = append(out.Requests, summarizeRequest(id, lines))
 	}
 	slices.SortFunc(out.Requests, func(a, b UnansweredRequest) int {
 		return cmp.Or(a.Time.Compare(b.Time), strings.Compare(a.Request, b.Request))
@@ -69,7 +72,8 @@
 	return out
 }
 
-// hasUnknownExecution reports whether a line tells of a run at an upstream that has no answer.
+// hasUnknownExecution reports whether a line records that the upstream gave no response to a
+// request that is not idempotent.
 func hasUnknownExecution(l *Line, upstream string) bool {
 	if l.Request == "" || l.Get("idempotent") != "false" || upstreamID(l.Get("upstream")) != upstream {
 		return false
@@ -78,7 +82,8 @@
 	return kind == decision.Failed || kind == decision.RunFailed && l.Get("outcome") == "unknown"
 }
 
-// mayHaveRun reports whether the upstream of a line may have run its request.
+// mayHaveRun reports whether the upstream named in a line may have executed the request of
+// the line.
 func mayHaveRun(l *Line) bool {
 	switch decision.Kind(l.Kind) {
 	case decision.Ran, decision.Answered, decision.Failed:
@@ -90,46 +95,48 @@
 	}
 }
 
-// summarizeRequest joins the lines of a request, in order of time.
+// summarizeRequest derives from the lines of a request, which must be ordered by time, how
+// often the request was executed.
 func summarizeRequest(id string, lines []*Line) UnansweredRequest {
-	loss := UnansweredRequest{Request: id, Time: lines[0].Time}
+	out := UnansweredRequest{Request: id, Time: lines[0].Time}
 	answered, refused := false, false
 	for _, l := range lines {
 		kind := decision.Kind(l.Kind)
-		if up := upstreamID(l.Get("upstream")); mayHaveRun(l) && up != "" && !slices.Contains(loss.Upstreams, up) {
-			loss.Upstreams = append(loss.Upstreams, up)
+		if up := upstreamID(l.Get("upstream")); mayHaveRun(l) && up != "" && !slices.Contains(out.Upstreams, up) {
+			out.Upstreams = append(out.Upstreams, up)
 		}
 		if endsRequest(l.Kind) {
-			loss.Entry, loss.CallerStatus = l.Daemon, l.Get("status")
+			out.Entry, out.CallerStatus = l.Daemon, l.Get("status")
 			answered = kind == decision.Answered
 			refused = kind == decision.Refused
 		}
 	}
 	switch {
-	case len(loss.Upstreams) > 1:
-		loss.Executions = PerhapsTwice
+	case len(out.Upstreams) > 1:
+		out.Executions = PerhapsTwice
 	case answered:
-		loss.Executions = Once
-	case refused && len(loss.Upstreams) == 0:
-		loss.Executions = NotAtAll
+		out.Executions = Once
+	case refused && len(out.Upstreams) == 0:
+		out.Executions = NotAtAll
 	default:
-		loss.Executions = AtMostOnce
+		out.Executions = AtMostOnce
 	}
-	return loss
+	return out
 }
 
-// WriteText writes the requests for people, with a count of each fate.
+// WriteText writes the number of requests for each ExecutionCount, then the requests, as
+// text.
 func (l *UnansweredRequests) WriteText(w io.Writer) error {
-	count := make(map[ExecutionCount]int)
+	requestsByCount := make(map[ExecutionCount]int)
 	for _, r := range l.Requests {
-		count[r.Executions]++
+		requestsByCount[r.Executions]++
 	}
 	_, err := fmt.Fprintf(w, "upstream %s: %d requests that must not run twice got no answer there\n", l.Upstream, len(l.Requests))
 	if err != nil {
 		return err
 	}
-	for _, f := range []ExecutionCount{NotAtAll, Once, AtMostOnce, PerhapsTwice} {
-		if _, err := fmt.Fprintf(w, "%6d ran %s\n", count[f], f); err != nil {
+	for _, c := range []ExecutionCount{NotAtAll, Once, AtMostOnce, PerhapsTwice} {
+		if _, err := fmt.Fprintf(w, "%6d ran %s\n", requestsByCount[c], c); err != nil {
 			return err
 		}
 	}
@@ -146,5 +153,5 @@
 	return err
 }
 
-// WriteJSON writes the requests for programs.
+// WriteJSON writes the requests as one JSON object.
 func (l *UnansweredRequests) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(l) }
--- a/why/unanswered_test.go
+++ b/why/unanswered_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnansweredRequests has an upstream crash that ran requests of several daemons.
+// TestUnansweredRequests reads the logs of several daemons about upstream u1, which
+// crashed while it ran their requests. Each request id names its case.
 func TestUnansweredRequests(t *testing.T) {
 	const log = `{"time":"2026-01-01T00:00:01Z","msg":"run failed","daemon":"g","request":"unsafe","upstream":"u1","outcome":"unknown","reason":"connection-lost","status":0,"idempotent":false}
 {"time":"2026-01-01T00:00:01.1Z","msg":"request failed","daemon":"a","request":"unsafe","upstream":"10.0.0.1:7 u1","status":502,"idempotent":false}
@@ -26,13 +27,13 @@
 	require.NoError(t, l.Read("x", strings.NewReader(log)))
 	l.Sort()
 	got := l.Unanswered("u1")
-	fates := make(map[string]ExecutionCount)
+	counts := make(map[string]ExecutionCount)
 	for _, r := range got.Requests {
-		fates[r.Request] = r.Executions
+		counts[r.Request] = r.Executions
 	}
 	require.Equal(t, map[string]ExecutionCount{
 		"unsafe": AtMostOnce, "guard gone": AtMostOnce, "entry gone": AtMostOnce, "twice": PerhapsTwice, "late answer": Once,
-	}, fates)
+	}, counts)
 	require.Equal(t, "502", got.Requests[0].CallerStatus)
 	require.Equal(t, "a", got.Requests[0].Entry)
 	require.Equal(t, []string{"u1", "u2"}, got.Requests[3].Upstreams)
@@ -42,5 +43,5 @@
 	require.Contains(t, text.String(), "3 ran at most once")
 	require.NoError(t, got.WriteJSON(&json))
 	require.Contains(t, json.String(), `"fate":"perhaps twice"`)
-	require.Empty(t, l.Unanswered("nobody").Requests)
+	require.Empty(t, l.Unanswered("no-such-upstream").Requests)
 }
--- a/why/why_test.go
+++ b/why/why_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The logs of two daemons about a request that was given back, ran elsewhere and
-// came too late, in no order, one line cut, one with a collector's prefix.
+// entryLog and guardLog are the logs of two daemons about request r1: the guard rejected one
+// attempt, and another attempt exceeded the deadline. The lines are not ordered by time; one
+// is truncated, one has the prefix of a log collector.
 const (
 	entryLog = `{"time":"2026-01-01T00:00:01.300Z","level":"WARN","msg":"request failed","daemon":"a","request":"r1","route":"x","service":"s","upstream":"10.0.0.2:7 u2","reason":"deadline","status":504,"took_ms":300,"sends":1,"given_back":1,"config":4}
 {"time":"2026-01-01T00:00:00.500Z","level":"INFO","msg":"configuration in force","daemon":"a","version":4,"previous":2,"routes":3,"from":"store"}
@@ -27,6 +28,8 @@
 `
 )
 
+// readTestLogs reads both logs. The lines of guardLog do not name their daemon: they get the
+// name b.
 func readTestLogs(t *testing.T) *Log {
 	t.Helper()
 	var l Log
@@ -36,6 +39,7 @@
 	return &l
 }
 
+// daemonsAndKinds returns the daemon and the kind of each event.
 func daemonsAndKinds(s Timeline) []string {
 	var out []string
 	for _, e := range s.Events {
@@ -65,11 +69,11 @@
 }
 
 func TestTimelineOfUnknownRequest(t *testing.T) {
-	s := readTestLogs(t).RequestTimeline("nobody")
+	s := readTestLogs(t).RequestTimeline("no-such-request")
 	require.Empty(t, s.Events)
 	var text bytes.Buffer
 	require.NoError(t, s.WriteText(&text))
-	require.Contains(t, text.String(), "no line tells of it")
+	require.Contains(t, text.String(), "not found in the logs")
 }
 
 func TestUpstreamTimeline(t *testing.T) {
@@ -98,8 +102,9 @@
 	})
 }
 
-// TestRequestTimelineIncludesPeersLearned keeps the line that many upstreams share with the requests of
-// its daemon.
+// TestRequestTimelineIncludesPeersLearned checks that "peers learned", one line for many
+// upstreams, is part of the timelines of requests that the same daemon handled, and of no
+// others.
 func TestRequestTimelineIncludesPeersLearned(t *testing.T) {
 	l := readTestLogs(t)
 	const line = `{"time":"2026-01-01T00:00:00.930Z","level":"INFO","msg":"peers learned","learned":278,"ready":294,"peers":294,"unheard":0,"missing":""}`
@@ -107,7 +112,7 @@
 		require.NoError(t, l.Read(daemon, strings.NewReader(line)))
 	}
 	l.Sort()
-	told := daemonsAndKinds(l.RequestTimeline("r1"))
-	require.Contains(t, told, "a: peers learned")
-	require.NotContains(t, told, "c: peers learned", "no daemon of the request")
+	events := daemonsAndKinds(l.RequestTimeline("r1"))
+	require.Contains(t, events, "a: peers learned")
+	require.NotContains(t, events, "c: peers learned", "daemon c did not handle the request")
 }
