--- a/operator/check.go
+++ b/operator/check.go
@@ -7,42 +7,42 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// File is a file of documents as read.
+// File is the content of a file of configuration documents.
 type File struct {
 	Path string
 	Data []byte
 }
 
-// CheckError holds every problem found in files.
+// CheckError holds all problems found in a set of files.
 type CheckError struct {
 	Problems []string
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (e *CheckError) Error() string { return strings.Join(e.Problems, "\n") }
 
-// Check reads files of documents and compiles them together. Its error is a
-// *CheckError that names file, document, JSON path and value of each problem.
+// Check parses the documents in files and compiles them as one configuration. Its error is
+// a *CheckError that names file, document, JSON path and value of each problem.
 func Check(files []File) (*policy.Set, error) {
 	var docs []policy.Document
 	var found CheckError
-	origin := make(map[string]string)
+	pathOf := make(map[string]string)
 	for _, f := range files {
-		in, problems := policy.Parse(f.Data)
+		parsed, problems := policy.Parse(f.Data)
 		found.addProblems(f.Path, problems)
-		for _, d := range in {
-			if _, ok := origin[d.Key()]; !ok {
-				origin[d.Key()] = f.Path
+		for _, d := range parsed {
+			if _, ok := pathOf[d.Key()]; !ok {
+				pathOf[d.Key()] = f.Path
 			}
 		}
-		docs = append(docs, in...)
+		docs = append(docs, parsed...)
 	}
 	if len(found.Problems) > 0 {
 		return nil, &found
 	}
 	set, problems := policy.Compile(docs)
 	for _, p := range problems {
-		found.addProblems(origin[p.Document], []policy.Problem{p})
+		found.addProblems(pathOf[p.Document], []policy.Problem{p})
 	}
 	if len(found.Problems) > 0 {
 		return nil, &found
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -13,11 +13,11 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// Documents are documents by key, each as compact JSON.
+// Documents maps the keys of configuration documents to the documents as compact JSON.
 type Documents map[config.DocumentKey]json.RawMessage
 
-// Merge returns the documents after putting docs. With prune, only docs are
-// left.
+// Merge returns the documents in before with docs added or replaced. With prune, it returns
+// only docs.
 func Merge(before Documents, docs []policy.Document, prune bool) (Documents, error) {
 	after := make(Documents)
 	if !prune {
@@ -33,8 +33,8 @@
 	return after, nil
 }
 
-// Difference is one document that differs between two configurations. Before
-// or After is nil when the document is not there.
+// Difference is one document that differs between two configurations. Before is nil if the
+// document was added, After is nil if it was deleted.
 type Difference struct {
 	Key           config.DocumentKey
 	Before, After json.RawMessage
@@ -77,6 +77,7 @@
 	}
 }
 
+// indentedLines returns the lines of indented JSON.
 func indentedLines(raw json.RawMessage) []string {
 	if raw == nil {
 		return nil
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,10 +1,11 @@
-// Package operator holds what the operator's command line does: it reads
-// documents, publishes them as changes on the platform's log, and tells what
-// became of them.
+// Package operator implements the operator's command line: it reads configuration
+// documents, publishes them as changes on the platform's log, and reports whether
+// the changes were accepted.
 //
-// A change is accepted when it has been read back from the log and folded as
-// accepted. An append whose reply was lost is settled in the same way, by the
-// change's id; appending the same change again is safe, because the fold takes
-// an id in once. What cannot be settled in time is told to be unknown, with the
-// id to look for.
+// A change is accepted once it has been read back from the log and the state machine
+// of the configuration has accepted it. A lost reply to an append is handled in the
+// same way: the change is looked up on the log by its id. Appending the same change
+// again is safe, because the state machine applies an id only once. If the change is
+// not found before the timeout, its outcome is reported as unknown together with its
+// id, so that the operator can look for it later.
 package operator
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -11,12 +11,12 @@
 	ExitSuperseded = 3
 	ExitInvalid    = 4
 	ExitUnknown    = 5
-	// ExitLagging is for a change that was accepted and is not in force
-	// everywhere yet.
+	// ExitLagging means that a change was accepted but is not in force everywhere yet.
 	ExitLagging = 6
 )
 
-// InvalidError tells that a configuration would not compile.
+// InvalidError reports a change that is not valid, for example because the resulting
+// configuration does not compile.
 type InvalidError struct{ Problem error }
 
 // Error names the first problem.
@@ -28,19 +28,20 @@
 // ExitCode returns ExitInvalid.
 func (e *InvalidError) ExitCode() int { return ExitInvalid }
 
-// SupersededError tells that another change came first.
+// SupersededError reports that the change was not accepted because another change with the
+// same base version came first.
 type SupersededError struct {
 	ChangeID string
 	Base     model.Version
 	Current  model.Version
 	// By, ByChange and ByComment are the author, id and comment of the change
-	// that came first. Empty when the log no longer tells.
+	// that came first. They are empty if the log no longer holds it.
 	By, ByChange, ByComment string
-	// Changes are what the proposal would still do to the current version.
+	// Changes are the differences that the proposal would make to the current version.
 	Changes []Difference
 }
 
-// Error names who came first.
+// Error names the change that came first and its author.
 func (e *SupersededError) Error() string {
 	return fmt.Sprintf("superseded: version %d was made by %q (change %s, %q) before this change based on version %d; version %d is current",
 		e.Base+1, e.By, e.ByChange, e.ByComment, e.Base, e.Current)
@@ -49,15 +50,15 @@
 // ExitCode returns ExitSuperseded.
 func (e *SupersededError) ExitCode() int { return ExitSuperseded }
 
-// UnknownError tells that a change may or may not be accepted.
+// UnknownError reports that it is not known whether a change was accepted.
 type UnknownError struct {
 	ChangeID string
 	Err      error
 }
 
-// Error names the change to look for.
+// Error contains the id of the change to look for.
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("unknown: change %s may be accepted or not; look for it with \"history\": %v", e.ChangeID, e.Err)
+	return fmt.Sprintf("unknown: change %s may or may not have been accepted; look for it with \"history\": %v", e.ChangeID, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -66,7 +67,8 @@
 // ExitCode returns ExitUnknown.
 func (e *UnknownError) ExitCode() int { return ExitUnknown }
 
-// LaggingError tells in which availability zones a version is not in force.
+// LaggingError lists the availability zones in which a version is not yet in force at every
+// daemon.
 type LaggingError struct {
 	Version model.Version
 	Zones   []ZoneStatus
@@ -74,10 +76,10 @@
 
 // Error names the zones.
 func (e *LaggingError) Error() string {
-	text := fmt.Sprintf("version %d is accepted and not yet in force everywhere:", e.Version)
+	text := fmt.Sprintf("version %d is accepted but not yet in force everywhere:", e.Version)
 	for _, z := range e.Zones {
 		if z.Lags(e.Version) {
-			text += fmt.Sprintf(" %s (version %d at the oldest, %d of %d daemons answered)", z.Zone, z.Oldest, z.Answered, z.Asked)
+			text += fmt.Sprintf(" %s (oldest version %d, %d of %d daemons responded)", z.Zone, z.Oldest, z.Answered, z.Asked)
 		}
 	}
 	return text
--- a/operator/examples_test.go
+++ b/operator/examples_test.go
@@ -10,7 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// TestExamplesAreValid compiles the deployments that docs/SHARING.md explains.
+// TestExamplesAreValid compiles the deployments that docs/SHARING.md describes and checks
+// one caller's group in each.
 func TestExamplesAreValid(t *testing.T) {
 	for deployment, want := range map[string][3]string{
 		"fyn":    {"archive-search", "returdesk", "searches"},
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -9,7 +9,8 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// WriteExplanation prints how a caller's group at a service comes about.
+// WriteExplanation prints why a caller belongs to its group at a service: the policies and
+// groups that were considered, and which of them apply.
 func WriteExplanation(w io.Writer, e policy.Explanation) {
 	_, _ = fmt.Fprintf(w, "service %s, caller %s\n", e.Service, callerLabel(e.Caller))
 	_, _ = fmt.Fprintln(w, "policies, in the order in which they are tried:")
@@ -29,6 +30,7 @@
 	_, _ = fmt.Fprintf(w, "group %s: %.1f%% of each upstream when all groups are busy, deadline %v\n", e.Group, 100*e.Share, e.Deadline)
 }
 
+// winnerMark returns the prefix of a line, with a star for the policy or group that applies.
 func winnerMark(wins bool) string {
 	if wins {
 		return "  *"
@@ -36,6 +38,7 @@
 	return "   "
 }
 
+// callerLabel returns the caller's name, or a label for callers without credentials.
 func callerLabel(c model.CallerName) string {
 	if c == "" {
 		return "without credentials"
@@ -43,8 +46,8 @@
 	return string(c)
 }
 
-// WriteAssignments prints for each service the policy that wins and each
-// caller's group there.
+// WriteAssignments prints a table with the policy of each service and the group of each
+// caller at that service.
 func WriteAssignments(w io.Writer, set *policy.Set) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "service\tpolicy\tcaller\tgroup\tshare when all are busy")
--- a/operator/linearizable_test.go
+++ b/operator/linearizable_test.go
@@ -17,18 +17,17 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// proposeInput is what an operator asked for: a change on a base.
+// proposeInput is the input of one proposal: its base version.
 type proposeInput struct{ baseVersion model.Version }
 
-// proposeOutput is what the operator was told.
+// proposeOutput is the result of one proposal.
 type proposeOutput struct {
 	decision string
 	version  model.Version
 }
 
-// versionRegister is the register that operators compare and set: its state is the
-// current version. An operator who was told that the verdict is unknown may
-// have been accepted in its turn, or not.
+// versionRegister models the configuration as a compare-and-set register whose state is the
+// current version. A proposal whose decision is unknown may or may not have been accepted.
 var versionRegister = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{model.Version(1)} },
 	Step: func(state, input, output any) []any {
@@ -50,9 +49,9 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%v -> %v", in, out) },
 }
 
-// TestProposalsAreLinearizable lets operators race over a log that loses
-// replies, takes appends twice and is down now and then, and checks that what
-// they are told fits one order of changes.
+// TestProposalsAreLinearizable lets operators publish concurrently on a log that loses
+// replies, duplicates appends and is sometimes unavailable. The results of all proposals
+// must be consistent with one order of changes.
 func TestProposalsAreLinearizable(t *testing.T) {
 	for seed := range 5 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -61,7 +60,7 @@
 				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 				var mu sync.Mutex
 				var history []porcupine.Operation
-				verdicts := map[string]int{}
+				decisions := map[string]int{}
 				var wg sync.WaitGroup
 				for client := range 4 {
 					wg.Go(func() {
@@ -69,7 +68,7 @@
 							op := proposeOnCurrent(t.Context(), log, client, i)
 							mu.Lock()
 							history = append(history, op)
-							verdicts[op.Output.(proposeOutput).decision]++
+							decisions[op.Output.(proposeOutput).decision]++
 							mu.Unlock()
 						}
 					})
@@ -81,15 +80,15 @@
 				log.SetFaults(recordlog.Faults{Latency: 30 * time.Millisecond})
 				wg.Wait()
 				require.True(t, porcupine.CheckOperations(versionRegister.ToModel(), history), "%v", history)
-				require.Positive(t, verdicts["accepted"])
-				require.Positive(t, verdicts["superseded"])
+				require.Positive(t, decisions["accepted"])
+				require.Positive(t, decisions["superseded"])
 			})
 		})
 	}
 }
 
-// proposeOnCurrent proposes a change on the version that the operator sees, after a moment
-// in which others may come first.
+// proposeOnCurrent proposes a change based on the version that it reads first. Changes of
+// other operators may be accepted between the read and the proposal.
 func proposeOnCurrent(ctx context.Context, log recordlog.Log, client, i int) porcupine.Operation {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -41,7 +41,7 @@
 	require.Len(t, view.Entries()[1].Change.Put, 1)
 
 	res = propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}})
-	require.Empty(t, res.ChangeID, "nothing to change")
+	require.Empty(t, res.ChangeID, "a proposal without differences publishes no change")
 	require.EqualValues(t, 2, res.Version)
 
 	res = propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}, Prune: true})
@@ -76,9 +76,9 @@
 
 func TestProposeErrorsHaveExitCodes(t *testing.T) {
 	for name, c := range map[string]struct {
-		proposal Proposal
-		blind    bool
-		want     int
+		proposal       Proposal
+		readFailsAfter bool
+		want           int
 	}{
 		"superseded":   {Proposal{Base: 1, Documents: []policy.Document{serviceDocument("a", "3s")}}, false, ExitSuperseded},
 		"invalid":      {Proposal{Documents: []policy.Document{serviceDocument("a", "3 hours")}}, false, ExitInvalid},
@@ -90,7 +90,7 @@
 				var log recordlog.Log = &recordlog.Memory{}
 				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}})
-				if c.blind {
+				if c.readFailsAfter {
 					log = &unreadableAfterAppend{Log: log}
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -104,22 +104,23 @@
 	}
 }
 
-// unreadableAfterAppend loses every reply to an append, and cannot be read after one.
+// unreadableAfterAppend is a log that loses the reply to every append and fails all reads
+// after the first append.
 type unreadableAfterAppend struct {
 	recordlog.Log
 	unreadable atomic.Bool
 }
 
-func (b *unreadableAfterAppend) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
-	b.unreadable.Store(true)
+func (u *unreadableAfterAppend) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
+	u.unreadable.Store(true)
 	return 0, &recordlog.AppendError{Uncertain: true, Err: errors.New("lost")}
 }
 
-func (b *unreadableAfterAppend) Read(ctx context.Context, stream string, from recordlog.Offset, limit int) (recordlog.Batch, error) {
-	if b.unreadable.Load() {
+func (u *unreadableAfterAppend) Read(ctx context.Context, stream string, from recordlog.Offset, limit int) (recordlog.Batch, error) {
+	if u.unreadable.Load() {
 		return recordlog.Batch{}, errors.New("down")
 	}
-	return b.Log.Read(ctx, stream, from, limit)
+	return u.Log.Read(ctx, stream, from, limit)
 }
 
 func TestFailedAppendIsNotReportedAsUnknown(t *testing.T) {
@@ -131,17 +132,18 @@
 		var unknown *UnknownError
 		require.Error(t, err)
 		require.False(t, errors.As(err, &unknown))
-		require.Greater(t, log.attempts, 1, "it was tried again")
+		require.Greater(t, log.attempts, 1, "the append is retried")
 	})
 }
 
+// failingAppends is a log whose appends all fail without any effect.
 type failingAppends struct {
 	recordlog.Log
 	attempts int
 }
 
-func (r *failingAppends) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
-	r.attempts++
+func (f *failingAppends) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
+	f.attempts++
 	return 0, &recordlog.AppendError{Err: errors.New("refused")}
 }
 
@@ -187,10 +189,10 @@
 }
 
 func TestAwaitNamesLaggingZones(t *testing.T) {
-	var asked atomic.Int32
+	var queries atomic.Int32
 	zones := []ZoneStatus{{Zone: "a", Asked: 2, Answered: 2, Oldest: 1, Newest: 2}, {Zone: "b", Asked: 1, Answered: 1, Oldest: 2, Newest: 2}}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if asked.Add(1) > 3 {
+		if queries.Add(1) > 3 {
 			zones[0].Oldest = 2
 		}
 		_ = json.NewEncoder(w).Encode(zones)
@@ -198,7 +200,7 @@
 	defer srv.Close()
 	admin := strings.TrimPrefix(srv.URL, "http://")
 	require.NoError(t, Await(t.Context(), admin, 2))
-	require.EqualValues(t, 4, asked.Load())
+	require.EqualValues(t, 4, queries.Load())
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -206,7 +208,7 @@
 	var lagging *LaggingError
 	require.ErrorAs(t, err, &lagging)
 	require.Equal(t, ExitLagging, lagging.ExitCode())
-	require.True(t, ZoneStatus{Asked: 2, Answered: 1, Oldest: 3}.Lags(3), "a silent daemon may serve an older version")
+	require.True(t, ZoneStatus{Asked: 2, Answered: 1, Oldest: 3}.Lags(3), "a daemon that does not respond may serve an older version")
 }
 
 func TestChangeTooLargeIsInvalid(t *testing.T) {
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -17,38 +17,41 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Proposal is what an operator wants to have in force.
+// Proposal is a change of the configuration that an operator wants to publish.
 type Proposal struct {
 	Author  string
 	Comment string
-	// Documents are put; those that are in force as given are left out.
+	// Documents are added or replace those with the same key. Documents that are already in
+	// force unchanged do not become part of the published change.
 	Documents []policy.Document
 	// Prune deletes every document that is not among Documents.
 	Prune bool
-	// Base is the version that the proposal is based on. Zero means the one
-	// found on the log.
+	// Base is the version that the proposal is based on. Zero means the current version on
+	// the log.
 	Base model.Version
 }
 
-// Result tells what became of a published change.
+// Result is the result of publishing a proposal.
 type Result struct {
+	// Verdict is the decision about the change.
 	Verdict config.Decision
-	// Version is the change's version when accepted, the current one else.
+	// Version is the version that the change made if it was accepted, otherwise the current
+	// version.
 	Version model.Version
-	// ChangeID is empty when there was nothing to change.
+	// ChangeID is empty if the proposal had no differences and nothing was published.
 	ChangeID string
-	// Changes are what the change does to its base.
+	// Changes are the differences to the version on the log.
 	Changes []Difference
 }
 
-// Publish proposes the documents as a change on top of the current version and
-// reads the log back to learn the verdict.
+// Publish proposes the documents as a change of the current version and reads the log to
+// find out whether the change was accepted.
 func Publish(ctx context.Context, log recordlog.Log, author string, docs []policy.Document) (Result, error) {
 	return Propose(ctx, log, Proposal{Author: author, Documents: docs})
 }
 
-// Plan works out what a proposal would change, without publishing it. It
-// returns an *InvalidError when the outcome would not compile.
+// Plan returns what a proposal would change, without publishing it. It returns an
+// *InvalidError if the resulting configuration does not compile.
 func Plan(ctx context.Context, log recordlog.Log, p Proposal) (Result, error) {
 	view, err := NewView(ctx, log)
 	if err != nil {
@@ -58,8 +61,9 @@
 	return Result{Version: view.State().Version, Changes: diffs}, err
 }
 
-// Propose publishes a proposal. The error is an *InvalidError, a
-// *SupersededError or an *UnknownError when that is what became of it.
+// Propose publishes a proposal. It returns an *InvalidError if the change is not valid, a
+// *SupersededError if another change came first, and an *UnknownError if it is not known
+// whether the change was accepted.
 func Propose(ctx context.Context, log recordlog.Log, p Proposal) (Result, error) {
 	view, err := NewView(ctx, log)
 	if err != nil {
@@ -87,7 +91,8 @@
 	}
 }
 
-// prepare turns a proposal into a change.
+// prepare turns a proposal into a change and returns it with its differences to the current
+// version.
 func prepare(v *View, p Proposal) (config.Change, []Difference, error) {
 	state := v.State()
 	after, err := Merge(state.Documents, p.Documents, p.Prune)
@@ -121,19 +126,19 @@
 	return c, diffs, nil
 }
 
-// appendAndReadBack appends a change until it is found on the log. It may append it more
-// than once; the first record decides.
+// appendAndReadBack appends a change and reads the log, repeatedly, until the change is found
+// there. It may append the change more than once; only the first record counts.
 func appendAndReadBack(ctx context.Context, v *View, c config.Change) (HistoryEntry, error) {
 	record, _, err := config.EncodeChange(c)
 	if err != nil {
 		return HistoryEntry{}, &InvalidError{Problem: err}
 	}
 	rng := rand.New(rand.NewPCG(uint64(c.UnixMilli), uint64(len(record))))
-	var waits pause.Backoff
-	sent := false
+	var backoff pause.Backoff
+	maybeAppended := false
 	for {
 		_, failure := v.log.Append(ctx, recordlog.StreamConfig, [][]byte{record})
-		sent = sent || mayHaveBeenAppended(failure)
+		maybeAppended = maybeAppended || mayHaveBeenAppended(failure)
 		if err := v.Advance(ctx); err != nil {
 			failure = errors.Join(failure, err)
 		} else if e, ok := v.findChange(c.ID); ok {
@@ -141,41 +146,44 @@
 		}
 		select {
 		case <-ctx.Done():
-			if !sent {
+			if !maybeAppended {
 				return HistoryEntry{}, failure
 			}
 			return HistoryEntry{}, &UnknownError{ChangeID: c.ID, Err: failure}
-		case <-time.After(waits.Next(rng)):
+		case <-time.After(backoff.Next(rng)):
 		}
 	}
 }
 
-// mayHaveBeenAppended reports whether an append with this error may have been made.
+// mayHaveBeenAppended reports whether an append that returned err, which may be nil, can have
+// reached the log.
 func mayHaveBeenAppended(err error) bool {
 	var failed *recordlog.AppendError
 	return !errors.As(err, &failed) || failed.Uncertain
 }
 
+// newSupersededError returns a *SupersededError that names the change that came first and
+// what c would change in the current version.
 func newSupersededError(v *View, c config.Change) error {
 	out := &SupersededError{ChangeID: c.ID, Base: c.Base, Current: v.State().Version}
 	if by, ok := v.changeOfVersion(c.Base + 1); ok {
 		out.By, out.ByChange, out.ByComment = by.Change.Author, by.Change.ID, by.Change.Comment
 	}
-	mine := make(Documents)
+	rebased := make(Documents)
 	for k, d := range v.State().Documents {
-		mine[k] = d
+		rebased[k] = d
 	}
 	for _, k := range c.Delete {
-		delete(mine, k)
+		delete(rebased, k)
 	}
 	for k, d := range c.Put {
-		mine[k] = d
+		rebased[k] = d
 	}
-	out.Changes = Diff(v.State().Documents, mine)
+	out.Changes = Diff(v.State().Documents, rebased)
 	return out
 }
 
-// Rollback proposes the documents of an earlier version as a new one.
+// Rollback proposes the documents of an earlier version as a new version.
 func Rollback(ctx context.Context, log recordlog.Log, to model.Version, p Proposal) (Result, error) {
 	old, err := StateAt(ctx, log, to)
 	if err != nil {
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	quarantinePath   = "/v1/quarantine"
+	quarantinePath = "/v1/quarantine"
+	// maxAdminResponse limits the length of a response body, in bytes.
 	maxAdminResponse = 4 << 20
 )
 
-// ListQuarantined asks a daemon, by its admin address, which requests are suspected
-// or refused because they kill upstreams.
+// ListQuarantined queries a daemon at its admin address for the requests that are suspected
+// of crashing upstreams, or refused because they do.
 func ListQuarantined(ctx context.Context, admin string) ([]store.Entry, error) {
 	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
@@ -33,14 +34,14 @@
 	return entries, nil
 }
 
-// ReleaseQuarantined frees a request; the daemon hands the release on. It must
-// be asked on the daemon's own VM.
+// ReleaseQuarantined removes a request from the quarantine. The daemon relays the release to
+// the other daemons. It accepts this call only from its own VM.
 func ReleaseQuarantined(ctx context.Context, admin string, f quarantine.Fingerprint) error {
 	_, err := callAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
 	return err
 }
 
-// AdminError tells what a daemon answered instead of success.
+// AdminError is an error response of a daemon's admin interface.
 type AdminError struct {
 	Status  int
 	Message string
@@ -48,9 +49,11 @@
 
 // Error returns status and message.
 func (e *AdminError) Error() string {
-	return fmt.Sprintf("daemon answered %d: %s", e.Status, e.Message)
+	return fmt.Sprintf("daemon responded with status %d: %s", e.Status, e.Message)
 }
 
+// callAdmin sends a request to a daemon's admin interface and returns the response body. It
+// returns an *AdminError if the status is 400 or above.
 func callAdmin(ctx context.Context, method, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
--- a/operator/startover.go
+++ b/operator/startover.go
@@ -11,15 +11,15 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// ErrLogReadable tells that the log can be folded, so that there is no reason to
-// start over.
-var ErrLogReadable = errors.New("the log can be folded: publish as usual")
+// ErrLogReadable means that the configuration can be read from the log, so that there is no
+// reason to start over.
+var ErrLogReadable = errors.New("the configuration can be read from the log: publish as usual")
 
-// StartOver appends an empty configuration of a version to a log that was
-// trimmed and holds no checkpoint that covers what is missing. It is for the
-// case that no daemon holds the configuration any more either: a daemon that
-// does would not follow. The version must be at least the highest that was ever
-// accepted.
+// StartOver appends a checkpoint with an empty configuration to a log that was trimmed and
+// holds no checkpoint that covers the missing records. Use it only if no daemon holds the
+// configuration any more: a daemon that still does would not adopt the empty one. version is
+// the version of the empty configuration; it must be at least as high as any version that
+// was ever accepted.
 func StartOver(ctx context.Context, log recordlog.Log, version model.Version) error {
 	if version == 0 {
 		return &InvalidError{Problem: errors.New("the version must be at least the highest that was ever accepted")}
@@ -44,13 +44,13 @@
 		return err
 	}
 	if _, err := log.Append(ctx, recordlog.StreamConfig, [][]byte{record}); err != nil {
-		return fmt.Errorf("run start-over again, it does nothing when this took effect: %w", err)
+		return fmt.Errorf("the append failed; run start-over again, which is safe even if the append took effect: %w", err)
 	}
 	_, err = NewView(ctx, log)
 	return err
 }
 
-// endOfLog returns the offset after the newest record.
+// endOfLog returns the offset that follows the newest record.
 func endOfLog(ctx context.Context, log recordlog.Log) (recordlog.Offset, error) {
 	batch, err := log.Read(ctx, recordlog.StreamConfig, 0, 1)
 	var trimmed *recordlog.TrimmedError
--- a/operator/status.go
+++ b/operator/status.go
@@ -8,36 +8,40 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// ZoneStatus is what a daemon found out about one availability zone.
+// ZoneStatus is the state of the configuration in one availability zone, as collected by a
+// daemon.
 type ZoneStatus struct {
 	Zone model.AvailabilityZone `json:"zone"`
-	// Asked daemons of the zone are all or a random part; Answered ones did.
+	// Asked is the number of daemons of the zone that were queried: all or a random sample.
+	// Answered is how many of them responded.
 	Asked    int `json:"asked"`
 	Answered int `json:"answered"`
-	// Oldest and Newest are the versions in force at those that answered.
+	// Oldest and Newest are the lowest and highest version in force at the daemons that
+	// responded.
 	Oldest model.Version `json:"oldest_version"`
 	Newest model.Version `json:"newest_version"`
-	// Behind are up to 8 daemons with a version below the newest of all zones.
+	// Behind lists up to 8 daemons with a version below the newest of all zones.
 	Behind []model.DaemonID `json:"behind,omitempty"`
-	// Silent are up to 8 daemons that did not answer.
+	// Silent lists up to 8 daemons that did not respond.
 	Silent []model.DaemonID `json:"silent,omitempty"`
 }
 
-// Lags reports whether a version is not in force at every daemon that was
-// asked. Daemons that do not answer may serve an older version.
+// Lags reports whether a version is not known to be in force at every queried daemon.
+// Daemons that did not respond may serve an older version.
 func (z ZoneStatus) Lags(v model.Version) bool { return z.Oldest < v || z.Answered < z.Asked }
 
+// pollInterval is the time between two queries of Await.
 const pollInterval = 200 * time.Millisecond
 
-// Zones asks a daemon, by its admin address, about every zone.
+// Zones queries a daemon at its admin address for the status of every zone.
 func Zones(ctx context.Context, address string) ([]ZoneStatus, error) {
 	var zones []ZoneStatus
 	err := admin.Get(ctx, address, "/v1/zones", &zones)
 	return zones, err
 }
 
-// Await waits until a version is in force in every zone. It returns a
-// *LaggingError with the zones that lag when the context ends first.
+// Await polls the daemon at an admin address until a version is in force in every zone. It
+// returns a *LaggingError with the last status if the context ends first.
 func Await(ctx context.Context, address string, v model.Version) error {
 	var last []ZoneStatus
 	for {
@@ -56,6 +60,7 @@
 	}
 }
 
+// inForce reports whether a version is in force in all zones. It is false without zones.
 func inForce(zones []ZoneStatus, v model.Version) bool {
 	for _, z := range zones {
 		if z.Lags(v) {
--- a/operator/view.go
+++ b/operator/view.go
@@ -11,50 +11,53 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// HistoryEntry is one change on the log.
+// HistoryEntry is one change on the log and how it was decided.
 type HistoryEntry struct {
 	Offset uint64
-	// Verdict is what the fold decided; Version is the version after it.
+	// Verdict is the decision of the state machine. Version is the current version after
+	// it.
 	Verdict config.Decision
 	Version model.Version
 	Change  config.Change
-	// Problem says why the change is invalid.
+	// Problem states why the change is invalid. It is nil for other changes.
 	Problem error
 }
 
-// View is the config stream as read so far.
+// View is the configuration and its history as read from the log so far.
 type View struct {
 	log          recordlog.Log
 	stateMachine *config.StateMachine
 	entries      []HistoryEntry
-	// keepVersion is a version whose state is kept while reading.
+	// keepVersion is the version whose state is stored in keptState when it is reached.
+	// Zero means none.
 	keepVersion model.Version
 	keptState   *config.State
 }
 
+// maxRecordsPerRead is the maximum number of records requested from the log at once.
 const maxRecordsPerRead = 1024
 
-// NewView reads the config stream to its end.
+// NewView reads the configuration stream of the log to its end.
 func NewView(ctx context.Context, log recordlog.Log) (*View, error) {
 	return newView(ctx, log, 0)
 }
 
-func newView(ctx context.Context, log recordlog.Log, want model.Version) (*View, error) {
-	v := &View{log: log, stateMachine: configuration.NewStateMachine(), keepVersion: want}
+func newView(ctx context.Context, log recordlog.Log, keepVersion model.Version) (*View, error) {
+	v := &View{log: log, stateMachine: configuration.NewStateMachine(), keepVersion: keepVersion}
 	return v, v.Advance(ctx)
 }
 
-// State returns the state at the end of what was read.
+// State returns the configuration after the last record that was read.
 func (v *View) State() config.State { return v.stateMachine.State() }
 
 // Entries returns the changes that were read, oldest first.
 func (v *View) Entries() []HistoryEntry { return v.entries }
 
-// ErrNoCheckpoint tells that the log was trimmed and holds no checkpoint that
-// covers what is missing.
-var ErrNoCheckpoint = errors.New("the log no longer holds its first records, nor a checkpoint that covers them: ask a daemon")
+// ErrNoCheckpoint means that the log was trimmed and holds no checkpoint that covers the
+// missing records.
+var ErrNoCheckpoint = errors.New("the log was trimmed and holds no checkpoint that covers the missing records: the daemons may still hold the configuration")
 
-// Advance reads what the log has had since.
+// Advance reads the records that were appended since the last read.
 func (v *View) Advance(ctx context.Context) error {
 	for {
 		batch, err := v.log.Read(ctx, recordlog.StreamConfig, recordlog.Offset(v.stateMachine.Next()), maxRecordsPerRead)
@@ -109,7 +112,8 @@
 	}
 }
 
-// findChange returns the first record of a change, which decided about it.
+// findChange returns the change with an id. If the change was appended more than once, only
+// the first record was decided; later ones are duplicates.
 func (v *View) findChange(id string) (HistoryEntry, bool) {
 	for _, e := range v.entries {
 		if e.Change.ID == id && e.Verdict != config.Duplicate {
@@ -119,7 +123,7 @@
 	return HistoryEntry{}, false
 }
 
-// changeOfVersion returns the change that made a version.
+// changeOfVersion returns the change that created a version.
 func (v *View) changeOfVersion(version model.Version) (HistoryEntry, bool) {
 	for _, e := range v.entries {
 		if e.Verdict == config.Accepted && e.Version == version {
@@ -129,8 +133,8 @@
 	return HistoryEntry{}, false
 }
 
-// StateAt returns the configuration of an earlier version, as long as the log
-// still holds it.
+// StateAt returns the configuration of a version. It fails if the log does not hold the
+// changes that lead to that version.
 func StateAt(ctx context.Context, log recordlog.Log, version model.Version) (config.State, error) {
 	v, err := newView(ctx, log, version)
 	if err != nil {
