--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -97,7 +97,7 @@
 		plan:  sheds, want: "advice",
 	},
 	"new versions are not read": {
-		edits: []edits.Edit{edits.New("platform/source.go", "	s.nextOffset = next\n	deliver(records, f)\n", "	s.nextOffset = next\n	deliver(records[:0], f)\n")},
+		edits: []edits.Edit{edits.New("platform/source.go", "	s.nextOffset = next\n	deliver(records, consumer)\n", "	s.nextOffset = next\n	deliver(records[:0], consumer)\n")},
 		plan:  versions, want: "late",
 	},
 	"another daemon at the address proves what the one before did": {
