--- a/cmd/dottereltiller/args_test.go
+++ b/cmd/dottereltiller/args_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRepeatedFlagsAccumulate guards against flags of which only the last counts.
+// TestRepeatedFlagsAccumulate checks that flags that may be repeated keep all their values.
+// Without the tag "separate" go-arg keeps only the last.
 func TestRepeatedFlagsAccumulate(t *testing.T) {
 	parse := func(line ...string) args {
 		var a args
--- a/cmd/dottereltiller/bench.go
+++ b/cmd/dottereltiller/bench.go
@@ -11,8 +11,8 @@
 )
 
 type benchCmd struct {
-	Forward  *benchForwardCmd  `arg:"subcommand:forward" help:"measure what forwarding adds to a call"`
-	Capacity *benchCapacityCmd `arg:"subcommand:capacity" help:"measure the slopes of docs/CAPACITY.md"`
+	Forward  *benchForwardCmd  `arg:"subcommand:forward" help:"measure the latency that forwarding adds to a call"`
+	Capacity *benchCapacityCmd `arg:"subcommand:capacity" help:"measure how CPU time and memory grow with load and size; see docs/CAPACITY.md"`
 }
 
 func (c *benchCmd) run(ctx context.Context) error {
@@ -22,14 +22,14 @@
 	case c.Capacity != nil:
 		return c.Capacity.run(ctx)
 	default:
-		return fmt.Errorf("bench: name a measurement: forward or capacity")
+		return fmt.Errorf("bench: missing subcommand: forward or capacity")
 	}
 }
 
 type benchForwardCmd struct {
-	Rate     int           `arg:"--rate" default:"1000" help:"calls a second on each path"`
+	Rate     int           `arg:"--rate" default:"1000" help:"calls per second on each path"`
 	Duration time.Duration `arg:"--duration" default:"5s" help:"length of the measurement"`
-	Cost     time.Duration `arg:"--cost" default:"1ms" help:"how long the upstream runs a call"`
+	Cost     time.Duration `arg:"--cost" default:"1ms" help:"service time of the upstream for each call"`
 	JSON     bool          `arg:"--json" help:"print one JSON object"`
 }
 
@@ -46,7 +46,7 @@
 
 type benchCapacityCmd struct {
 	JSON      bool `arg:"--json" help:"print one JSON array"`
-	StateOnly bool `arg:"--state-only" help:"leave out what starts daemons"`
+	StateOnly bool `arg:"--state-only" help:"skip the measurements that start daemons"`
 }
 
 func (c *benchCapacityCmd) run(ctx context.Context) error {
--- a/cmd/dottereltiller/demo.go
+++ b/cmd/dottereltiller/demo.go
@@ -8,7 +8,7 @@
 )
 
 type demoCmd struct {
-	JSON bool `arg:"--json" help:"print the result as one JSON object on the last line"`
+	JSON bool `arg:"--json" help:"also print the result, as one JSON object on the last line"`
 }
 
 func (c *demoCmd) run(ctx context.Context) error {
--- a/cmd/dottereltiller/diff.go
+++ b/cmd/dottereltiller/diff.go
@@ -14,15 +14,15 @@
 	logFlags
 	From  uint64   `arg:"--from" help:"version to compare from; default: the current one"`
 	To    uint64   `arg:"--to" help:"version to compare to, instead of files"`
-	Prune bool     `arg:"--prune" help:"documents that no file holds count as deleted"`
-	Files []string `arg:"positional" placeholder:"FILE" help:"documents to compare to"`
+	Prune bool     `arg:"--prune" help:"treat documents that are in no file as deleted"`
+	Files []string `arg:"positional" placeholder:"FILE" help:"files or directories with the documents to compare to"`
 }
 
 func (c *diffCmd) run(ctx context.Context) error {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
 	if (c.To == 0) == (len(c.Files) == 0) {
-		return usageError{errors.New("give either files or --to")}
+		return usageError{errors.New("either files or --to is required")}
 	}
 	before, err := c.documentsAt(ctx, c.From)
 	if err != nil {
@@ -38,6 +38,8 @@
 	return nil
 }
 
+// documentsToCompare returns the documents of version --to, or those that result from putting
+// the files on top of before.
 func (c *diffCmd) documentsToCompare(ctx context.Context, before operator.Documents) (operator.Documents, error) {
 	if c.To != 0 {
 		return c.documentsAt(ctx, c.To)
--- a/cmd/dottereltiller/docs_test.go
+++ b/cmd/dottereltiller/docs_test.go
@@ -14,11 +14,11 @@
 
 const repositoryRoot = "../.."
 
-// commandLine matches a call of the operator's command in a page.
+// commandLine matches a line that calls the dottereltiller command.
 var commandLine = regexp.MustCompile(`^\s*(?:\$ )?(?:go run \./cmd/dottereltiller|dottereltiller) (.*)$`)
 
-// commandsInPages returns the calls of the command in the fenced blocks of
-// every page, by page.
+// commandsInPages returns, for each Markdown page of the repository, the arguments of all
+// calls of the command in fenced code blocks.
 func commandsInPages(t *testing.T) map[string][]string {
 	t.Helper()
 	commands := make(map[string][]string)
@@ -37,6 +37,7 @@
 	return commands
 }
 
+// commandsInPage returns the arguments of the calls in the text of one page.
 func commandsInPage(page string) []string {
 	var out []string
 	fenced := false
@@ -53,8 +54,8 @@
 	return out
 }
 
-// splitArguments splits a command line up to the first comment, pipe or
-// redirection.
+// splitArguments splits a command line into its arguments, up to the first comment, pipe,
+// redirection, & or &&.
 func splitArguments(line string) []string {
 	var out []string
 	for _, f := range strings.Fields(line) {
@@ -66,7 +67,8 @@
 	return out
 }
 
-// TestDocumentedCommandsParse holds the pages to the flags that exist.
+// TestDocumentedCommandsParse checks that the commands in the documentation use existing
+// subcommands and flags.
 func TestDocumentedCommandsParse(t *testing.T) {
 	found := 0
 	for page, lines := range commandsInPages(t) {
@@ -85,7 +87,8 @@
 	require.Positive(t, found)
 }
 
-// TestDocumentedFilesExist holds the pages to the files that exist.
+// TestDocumentedFilesExist checks that the files under testdata/ and examples/ that the
+// commands in the documentation use exist.
 func TestDocumentedFilesExist(t *testing.T) {
 	for page, lines := range commandsInPages(t) {
 		for _, line := range lines {
--- a/cmd/dottereltiller/explain.go
+++ b/cmd/dottereltiller/explain.go
@@ -15,12 +15,12 @@
 )
 
 type explainCmd struct {
-	Caller  string        `arg:"--caller" help:"name of the caller; default: one without credentials"`
+	Caller  string        `arg:"--caller" help:"name of the caller; default: a caller without credentials"`
 	Service string        `arg:"--service,required" help:"name of the service"`
 	JSON    bool          `arg:"--json" help:"print JSON"`
-	Log     string        `arg:"--log,env:DOTTERELTILLER_LOG" placeholder:"HOST:PORT" help:"explain what is in force according to the platform's log"`
-	Timeout time.Duration `arg:"--timeout" default:"15s" help:"how long to try"`
-	Files   []string      `arg:"positional" placeholder:"FILE" help:"explain these documents instead"`
+	Log     string        `arg:"--log,env:DOTTERELTILLER_LOG" placeholder:"HOST:PORT" help:"address of the platform's log; explain the configuration in force according to this log"`
+	Timeout time.Duration `arg:"--timeout" default:"15s" help:"timeout for reading the log"`
+	Files   []string      `arg:"positional" placeholder:"FILE" help:"explain the configuration in these files instead of the one in force"`
 }
 
 func (c *explainCmd) run(ctx context.Context) error {
@@ -39,12 +39,13 @@
 	return nil
 }
 
+// loadPolicies compiles the documents in the files or, without files, those on the log.
 func (c *explainCmd) loadPolicies(ctx context.Context) (*policy.Set, error) {
 	if len(c.Files) > 0 {
 		return checkFiles(c.Files)
 	}
 	if c.Log == "" {
-		return nil, usageError{errors.New("give either files or --log")}
+		return nil, usageError{errors.New("either files or --log is required")}
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
--- a/cmd/dottereltiller/history.go
+++ b/cmd/dottereltiller/history.go
@@ -27,7 +27,7 @@
 	if c.Change != "" {
 		entries = filterByID(entries, c.Change)
 		if len(entries) == 0 {
-			return &operator.UnknownError{ChangeID: c.Change, Err: fmt.Errorf("it is not among the records that the log keeps")}
+			return &operator.UnknownError{ChangeID: c.Change, Err: fmt.Errorf("the log does not hold this change, or no longer holds it")}
 		}
 	}
 	if c.Last > 0 && len(entries) > c.Last {
@@ -43,6 +43,7 @@
 	return t.Flush()
 }
 
+// filterByID returns the entries of the change with an id.
 func filterByID(entries []operator.HistoryEntry, id string) []operator.HistoryEntry {
 	var out []operator.HistoryEntry
 	for _, e := range entries {
--- a/cmd/dottereltiller/load.go
+++ b/cmd/dottereltiller/load.go
@@ -16,24 +16,24 @@
 )
 
 type loadCmd struct {
-	Plan     string        `arg:"--plan" help:"plan file; see docs/OPERATORS.md. Else the flags below make a plan of one source" placeholder:"FILE"`
-	Target   []string      `arg:"--target,separate" help:"callers' addresses of daemons" placeholder:"HOST:PORT"`
+	Plan     string        `arg:"--plan" help:"plan file; see docs/OPERATORS.md. Without a plan file, the flags below define a plan with one source of requests" placeholder:"FILE"`
+	Target   []string      `arg:"--target,separate" help:"address at which a daemon accepts callers; may be repeated" placeholder:"HOST:PORT"`
 	Service  string        `arg:"--service" help:"service to call"`
 	Path     string        `arg:"--path" default:"/" help:"path to call"`
-	Rate     float64       `arg:"--rate" default:"100" help:"requests a second"`
+	Rate     float64       `arg:"--rate" default:"100" help:"requests per second"`
 	Token    string        `arg:"--token,env:DOTTERELTILLER_TOKEN" help:"bearer token"`
 	Zone     string        `arg:"--zone" help:"availability zone of the targets, for --record"`
-	Duration time.Duration `arg:"--duration" help:"length of the load, in place of the plan's (10s without a plan)"`
-	Seed     uint64        `arg:"--seed" help:"seed of the times, in place of the plan's"`
+	Duration time.Duration `arg:"--duration" help:"duration of the load; default: that of the plan, or 10s without a plan file"`
+	Seed     uint64        `arg:"--seed" help:"seed of the random request times; default: that of the plan"`
 	JSON     bool          `arg:"--json" help:"print the result as one JSON object"`
 	Out      string        `arg:"--out" help:"also write the result as JSON, for the report command" placeholder:"FILE"`
-	Record   string        `arg:"--record" help:"write what was sent as a trace for the replay command" placeholder:"FILE"`
-	Quiet    bool          `arg:"--quiet" help:"print no progress"`
+	Record   string        `arg:"--record" help:"write the requests that were sent as a trace for the replay command" placeholder:"FILE"`
+	Quiet    bool          `arg:"--quiet" help:"do not print progress"`
 }
 
 const defaultLoadDuration = 10 * time.Second
 
-var errWrongResponses = errors.New("answers that were not the whole answer to their request")
+var errWrongResponses = errors.New("responses were incomplete or belonged to other requests")
 
 func (c *loadCmd) run(ctx context.Context) error {
 	plan, err := c.plan()
@@ -55,11 +55,12 @@
 		return err
 	}
 	if res.Wrong > 0 {
-		return fmt.Errorf("%d %w, such as request %s", res.Wrong, errWrongResponses, res.WrongAnswers[0])
+		return fmt.Errorf("%d %w, for example that to request %s", res.Wrong, errWrongResponses, res.WrongAnswers[0])
 	}
 	return ctx.Err()
 }
 
+// plan returns the plan of the plan file or of the flags, with --duration and --seed applied.
 func (c *loadCmd) plan() (load.Plan, error) {
 	plan := c.planFromFlags()
 	if c.Plan != "" {
@@ -87,6 +88,7 @@
 	return plan, nil
 }
 
+// planFromFlags returns a plan with one source of requests.
 func (c *loadCmd) planFromFlags() load.Plan {
 	plan := load.Plan{
 		Duration: policy.Duration(defaultLoadDuration),
@@ -100,6 +102,8 @@
 	return plan
 }
 
+// writeResults writes the result and the recorded trace to the files named by the flags and
+// prints the result.
 func (c *loadCmd) writeResults(res *load.Result, recorder *load.Recorder) error {
 	encode := func(w io.Writer) error { return json.NewEncoder(w).Encode(res) }
 	if c.Out != "" {
--- a/cmd/dottereltiller/logflags.go
+++ b/cmd/dottereltiller/logflags.go
@@ -13,10 +13,10 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// logFlags tell how to reach the platform's log.
+// logFlags are the flags of commands that use the platform's log.
 type logFlags struct {
 	Log     string        `arg:"--log,required,env:DOTTERELTILLER_LOG" placeholder:"HOST:PORT" help:"address of the platform's log"`
-	Timeout time.Duration `arg:"--timeout" default:"15s" help:"how long to try"`
+	Timeout time.Duration `arg:"--timeout" default:"15s" help:"timeout for all operations on the log"`
 }
 
 func (f logFlags) client() recordlog.Log { return recordlog.NewClient(f.Log) }
@@ -25,12 +25,13 @@
 	return context.WithTimeout(ctx, f.Timeout)
 }
 
-// authorFlags are what the history tells about a change.
+// authorFlags are the flags for the author and the comment of a published change.
 type authorFlags struct {
-	Author  string `arg:"--author,env:DOTTERELTILLER_AUTHOR" help:"who publishes; default: the user's name"`
-	Comment string `arg:"-m,--comment" help:"why"`
+	Author  string `arg:"--author,env:DOTTERELTILLER_AUTHOR" help:"author of the change; default: the name of the current user"`
+	Comment string `arg:"-m,--comment" help:"reason for the change, shown by the history command"`
 }
 
+// author returns the value of --author or the name of the current user.
 func (f authorFlags) author() string {
 	if f.Author != "" {
 		return f.Author
@@ -41,18 +42,18 @@
 	return "unknown"
 }
 
-// usageError asks for the exit code of wrong input.
+// usageError is an error in flags or input files. The command exits with exitUsage.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
 func (e usageError) Unwrap() error { return e.err }
 func (usageError) ExitCode() int   { return exitUsage }
 
-// exitUsage is the exit code of wrong usage or input.
+// exitUsage is the exit code for wrong usage or invalid input.
 const exitUsage = 2
 
-// readDocuments reads documents from files; a directory stands for its *.json
-// files. Each file holds one document or a list of them.
+// readDocuments reads documents from files and from the *.json files of directories. Each
+// file holds one document or a list of documents.
 func readDocuments(paths []string) ([]policy.Document, error) {
 	var docs []policy.Document
 	for _, p := range paths {
@@ -61,16 +62,18 @@
 			return nil, usageError{err}
 		}
 		for _, f := range files {
-			in, err := parseFile(f)
+			parsed, err := parseFile(f)
 			if err != nil {
 				return nil, usageError{fmt.Errorf("%s: %w", f, err)}
 			}
-			docs = append(docs, in...)
+			docs = append(docs, parsed...)
 		}
 	}
 	return docs, checkDuplicates(docs)
 }
 
+// expandPath returns the *.json files of a directory, or path itself if it is not a
+// directory.
 func expandPath(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil || !info.IsDir() {
@@ -93,11 +96,12 @@
 	return docs, nil
 }
 
+// checkDuplicates returns an error if two documents have the same key.
 func checkDuplicates(docs []policy.Document) error {
 	seen := make(map[string]bool)
 	for _, d := range docs {
 		if seen[d.Key()] {
-			return usageError{fmt.Errorf("document %s is given twice", d.Key())}
+			return usageError{fmt.Errorf("document %s is defined more than once", d.Key())}
 		}
 		seen[d.Key()] = true
 	}
--- a/cmd/dottereltiller/platform.go
+++ b/cmd/dottereltiller/platform.go
@@ -12,15 +12,16 @@
 
 type platformCmd struct {
 	Listen    string        `arg:"--listen" default:"127.0.0.1:9000" help:"address to listen on"`
-	Retention time.Duration `arg:"--retention" help:"how long records are kept; 0 means for ever"`
-	Latency   time.Duration `arg:"--latency" help:"time added to every operation"`
-	Down      bool          `arg:"--down" help:"start with the log down"`
+	Retention time.Duration `arg:"--retention" help:"how long records are kept; 0 means forever"`
+	Latency   time.Duration `arg:"--latency" help:"delay added to every operation"`
+	Down      bool          `arg:"--down" help:"fail all operations until this fault is cleared with PUT /v1/faults"`
 }
 
+// headerTimeout is the timeout for reading the headers of a request.
 const headerTimeout = 5 * time.Second
 
-// run serves the stand-in of the platform's log until it is interrupted. PUT
-// /v1/faults changes its faults.
+// run serves a fake of the platform's log until it is interrupted. PUT /v1/faults changes the
+// faults that it injects.
 func (c *platformCmd) run(ctx context.Context) error {
 	log := recordlog.NewFaultyLog(&recordlog.Memory{Retention: c.Retention})
 	log.SetFaults(recordlog.Faults{Latency: c.Latency, Down: c.Down})
--- a/cmd/dottereltiller/publish.go
+++ b/cmd/dottereltiller/publish.go
@@ -11,11 +11,11 @@
 	"github.com/dottereltiller/dottereltiller/operator"
 )
 
-// waitFlags ask for a version to be in force before the command ends.
+// waitFlags are the flags of commands that can wait until a version is in force.
 type waitFlags struct {
-	Wait        bool          `arg:"--wait" help:"return once the version is in force in every availability zone"`
+	Wait        bool          `arg:"--wait" help:"wait until the version is in force in every availability zone"`
 	Daemon      string        `arg:"--daemon,env:DOTTERELTILLER_DAEMON" placeholder:"HOST:PORT" help:"admin address of any daemon, for --wait"`
-	WaitTimeout time.Duration `arg:"--wait-timeout" default:"30s" help:"how long to wait for the zones"`
+	WaitTimeout time.Duration `arg:"--wait-timeout" default:"30s" help:"timeout of --wait"`
 }
 
 func (f waitFlags) check() error {
@@ -25,6 +25,7 @@
 	return nil
 }
 
+// await waits until a version is in force, if --wait is set.
 func (f waitFlags) await(ctx context.Context, v model.Version) error {
 	if !f.Wait {
 		return nil
@@ -42,10 +43,10 @@
 	logFlags
 	authorFlags
 	waitFlags
-	Files  []string `arg:"positional,required" placeholder:"FILE" help:"documents, or directories of them"`
-	DryRun bool     `arg:"--dry-run" help:"tell what would change and publish nothing"`
-	Prune  bool     `arg:"--prune" help:"delete the documents in force that no file holds"`
-	Base   uint64   `arg:"--base" help:"refuse unless this version is current"`
+	Files  []string `arg:"positional,required" placeholder:"FILE" help:"files or directories with the documents to publish"`
+	DryRun bool     `arg:"--dry-run" help:"show what would change without publishing"`
+	Prune  bool     `arg:"--prune" help:"delete documents in force that are in none of the files"`
+	Base   uint64   `arg:"--base" help:"publish only if this version is the current one; default: the current version"`
 }
 
 func (c *publishCmd) run(ctx context.Context) error {
@@ -73,11 +74,11 @@
 	return c.await(ctx, res.Version)
 }
 
-// printResult prints what became of a proposal.
+// printResult prints the result of a proposal and returns err.
 func printResult(res operator.Result, err error) error {
 	var superseded *operator.SupersededError
 	if errors.As(err, &superseded) {
-		fmt.Println("this change would still make of the current version:")
+		fmt.Println("differences between the current version and this change:")
 		operator.WriteDiff(os.Stdout, superseded.Changes)
 	}
 	if err != nil {
--- a/cmd/dottereltiller/quarantine.go
+++ b/cmd/dottereltiller/quarantine.go
@@ -11,13 +11,13 @@
 )
 
 type quarantineCmd struct {
-	List    *quarantineListCmd    `arg:"subcommand:list" help:"show the requests that are refused or suspected"`
-	Release *quarantineReleaseCmd `arg:"subcommand:release" help:"free a request everywhere; run it on a daemon's own VM"`
+	List    *quarantineListCmd    `arg:"subcommand:list" help:"list the requests that are refused or suspected"`
+	Release *quarantineReleaseCmd `arg:"subcommand:release" help:"remove a request from the quarantine at all daemons; must run on the VM of the daemon named by --admin"`
 }
 
-// run is reached when no subcommand is named.
+// run is called only if the subcommand is missing.
 func (c *quarantineCmd) run(context.Context) error {
-	return usageError{errors.New("name a subcommand: list or release")}
+	return usageError{errors.New("missing subcommand: list or release")}
 }
 
 type quarantineListCmd struct {
@@ -39,7 +39,7 @@
 
 type quarantineReleaseCmd struct {
 	Admin       string `arg:"--admin,required" placeholder:"HOST:PORT" help:"admin address of the daemon on this VM"`
-	Fingerprint string `arg:"positional,required" help:"as shown by list"`
+	Fingerprint string `arg:"positional,required" help:"fingerprint of the request, as printed by the list command"`
 }
 
 func (c *quarantineReleaseCmd) run(ctx context.Context) error {
--- a/cmd/dottereltiller/replay.go
+++ b/cmd/dottereltiller/replay.go
@@ -14,26 +14,26 @@
 )
 
 type replayCmd struct {
-	Trace    string `arg:"--trace" help:"trace to replay, JSON lines (see docs/REPLAY.md)"`
-	Topology string `arg:"--topology,required" help:"topology of the deployment, JSON"`
-	Routing  string `arg:"--routing" help:"routing policy [default: the router's own]"`
-	Seed     uint64 `arg:"--seed" default:"1" help:"seed of every random choice"`
+	Trace    string `arg:"--trace" help:"trace file to replay, in JSON lines; see docs/REPLAY.md"`
+	Topology string `arg:"--topology,required" help:"JSON file with the topology of the deployment"`
+	Routing  string `arg:"--routing" help:"name of the routing policy; default: that of the router"`
+	Seed     uint64 `arg:"--seed" default:"1" help:"seed of all random choices"`
 	JSON     bool   `arg:"--json" help:"print the result as one JSON object"`
-	Generate string `arg:"--generate" help:"write the named trace to standard output instead of replaying one"`
+	Generate string `arg:"--generate" help:"name of a scenario; generate a trace of it and write it to standard output instead of replaying a trace"`
 
-	Duration time.Duration `arg:"--duration" help:"length of a generated trace [default: the scenario's]"`
+	Duration time.Duration `arg:"--duration" help:"duration of the generated trace; default: that of the scenario"`
 }
 
-// inputError is wrong input; the command exits with 2.
+// inputError is an error in flags or input files. The command exits with code 2.
 type inputError struct{ error }
 
-// ExitCode implements the interface that main looks for.
+// ExitCode returns the exit code. exitcode.Of, which main calls, uses this method.
 func (inputError) ExitCode() int { return 2 }
 
 // Unwrap returns the cause.
 func (e inputError) Unwrap() error { return e.error }
 
-// run replays a trace or generates one.
+// run replays or generates a trace.
 func (c *replayCmd) run(context.Context) error {
 	if err := c.runTo(os.Stdout); err != nil {
 		return inputError{err}
@@ -41,6 +41,7 @@
 	return nil
 }
 
+// runTo replays or generates a trace and writes the result or the trace to out.
 func (c *replayCmd) runTo(out io.Writer) error {
 	topology, err := readTopology(c.Topology)
 	if err != nil {
@@ -50,7 +51,7 @@
 		return c.generate(out, topology)
 	}
 	if c.Trace == "" {
-		return errors.New("replay: name a --trace, or a scenario to --generate")
+		return errors.New("replay: either --trace or --generate is required")
 	}
 	events, err := readTrace(c.Trace)
 	if err != nil {
@@ -78,10 +79,10 @@
 	return g.Write(out)
 }
 
-// unknownScenarioError names a scenario that does not exist.
+// unknownScenarioError reports a scenario name that does not exist.
 type unknownScenarioError struct{ name string }
 
-// Error lists the scenarios that exist.
+// Error lists the names of all scenarios.
 func (e *unknownScenarioError) Error() string {
 	text := fmt.Sprintf("replay: unknown scenario %q, want one of", e.name)
 	for _, s := range replay.Scenarios() {
@@ -119,13 +120,13 @@
 func printReplay(out io.Writer, r *replay.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "service\tgroup\trequests\tanswered\tnot run\tunknown\truns twice\tp50 µs\tp99 µs\tp99.9 µs\tmax µs\tideal p99.9\tslot share\tmeasuring\t")
-	for _, f := range append(r.Groups, r.Total) {
-		if f.Service == "" {
-			f.Service = "total"
+	for _, row := range append(r.Groups, r.Total) {
+		if row.Service == "" {
+			row.Service = "total"
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.4f\t\n",
-			f.Service, f.Group, f.Requests, f.Answered, f.NotRun, f.Unknown, f.RunsTwice,
-			f.P50, f.P99, f.P999, f.Max, f.Ideal.P999, f.SlotTimeShare, f.MeasuringShare)
+			row.Service, row.Group, row.Requests, row.Answered, row.NotRun, row.Unknown, row.RunsTwice,
+			row.P50, row.P99, row.P999, row.Max, row.Ideal.P999, row.SlotTimeShare, row.MeasuringShare)
 	}
 	return w.Flush()
 }
--- a/cmd/dottereltiller/rollback.go
+++ b/cmd/dottereltiller/rollback.go
@@ -22,7 +22,7 @@
 	logCtx, cancel := c.context(ctx)
 	defer cancel()
 	if c.Comment == "" {
-		c.Comment = fmt.Sprintf("back to version %d", c.To)
+		c.Comment = fmt.Sprintf("roll back to version %d", c.To)
 	}
 	p := operator.Proposal{Author: c.author(), Comment: c.Comment}
 	res, err := operator.Rollback(logCtx, c.client(), model.Version(c.To), p)
--- a/cmd/dottereltiller/soak.go
+++ b/cmd/dottereltiller/soak.go
@@ -11,17 +11,17 @@
 )
 
 type soakCmd struct {
-	Seed      uint64        `arg:"--seed" default:"1" help:"seed of the plan"`
-	For       time.Duration `arg:"--for" default:"60s" help:"length of the run, of which 14s are free of faults"`
+	Seed      uint64        `arg:"--seed" default:"1" help:"seed of the random fault plan"`
+	For       time.Duration `arg:"--for" default:"60s" help:"duration of the run, including 14s without faults"`
 	Processes int           `arg:"--processes" default:"8" help:"number of daemons"`
-	Plan      string        `arg:"--plan" placeholder:"FILE" help:"play this plan instead of drawing one"`
-	PrintPlan bool          `arg:"--print-plan" help:"print the plan and end"`
-	Shrink    bool          `arg:"--shrink" help:"drop faults from a plan that fails while it goes on failing, and print the rest"`
-	Daemon    string        `arg:"--daemon" placeholder:"PROGRAM" help:"the daemon's program; default: built from the source in this directory"`
-	Dir       string        `arg:"--dir" help:"where settings and logs go; default: a new temporary directory"`
+	Plan      string        `arg:"--plan" placeholder:"FILE" help:"file with a fault plan to run instead of a random one"`
+	PrintPlan bool          `arg:"--print-plan" help:"print the plan and exit"`
+	Shrink    bool          `arg:"--shrink" help:"if the run fails, remove faults from the plan as long as runs still fail, and print the smallest failing plan"`
+	Daemon    string        `arg:"--daemon" placeholder:"PROGRAM" help:"path of the daemon's binary; default: build it from the source in the current directory"`
+	Dir       string        `arg:"--dir" help:"directory for settings files and logs; default: a new temporary directory"`
 }
 
-var errViolations = errors.New("promises were broken")
+var errViolations = errors.New("guarantees were violated")
 
 func (c *soakCmd) run(ctx context.Context) error {
 	plan, err := c.plan()
@@ -46,10 +46,10 @@
 			return err
 		}
 	}
-	play := func(p soak.Plan) (soak.Result, error) {
+	runPlan := func(p soak.Plan) (soak.Result, error) {
 		return soak.Run(ctx, p, soak.Options{Binary: binary, Dir: c.Dir})
 	}
-	r, err := play(plan)
+	r, err := runPlan(plan)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	}
 	if c.Shrink {
 		plan = soak.Shrink(plan, func(p soak.Plan) bool {
-			r, err := play(p)
+			r, err := runPlan(p)
 			return err == nil && len(r.Violations) > 0
 		})
 		if _, err := plan.WriteTo(os.Stdout); err != nil {
@@ -72,6 +72,7 @@
 	return errViolations
 }
 
+// plan reads the plan file or, without one, draws a random plan.
 func (c *soakCmd) plan() (soak.Plan, error) {
 	if c.Plan == "" {
 		return soak.Draw(c.Seed, c.Processes, c.For), nil
--- a/cmd/dottereltiller/startover.go
+++ b/cmd/dottereltiller/startover.go
@@ -10,7 +10,7 @@
 
 type startOverCmd struct {
 	logFlags
-	Version uint64 `arg:"--version-at-least,required" placeholder:"N" help:"a version at least as high as any that was ever accepted"`
+	Version uint64 `arg:"--version-at-least,required" placeholder:"N" help:"version of the empty configuration; must be at least as high as any version that was ever accepted"`
 }
 
 func (c *startOverCmd) run(ctx context.Context) error {
@@ -19,6 +19,6 @@
 	if err := operator.StartOver(ctx, c.client(), model.Version(c.Version)); err != nil {
 		return err
 	}
-	fmt.Printf("version %d, without documents, is on the log: publish the documents now\n", c.Version)
+	fmt.Printf("version %d with no documents is on the log; publish the documents now\n", c.Version)
 	return nil
 }
--- a/cmd/dottereltiller/status.go
+++ b/cmd/dottereltiller/status.go
@@ -17,11 +17,11 @@
 type statusCmd struct {
 	Daemon  string        `arg:"--daemon,required,env:DOTTERELTILLER_DAEMON" placeholder:"HOST:PORT" help:"admin address of any daemon"`
 	JSON    bool          `arg:"--json" help:"print JSON"`
-	Timeout time.Duration `arg:"--timeout" default:"10s" help:"how long to try"`
+	Timeout time.Duration `arg:"--timeout" default:"10s" help:"timeout of the command"`
 }
 
-// run prints a line for each zone, then the services as the daemon sees them. It fails when a zone does not have the
-// newest version, or a daemon does not answer.
+// run prints a line for each zone, then the services as known to the daemon. It returns an
+// error if a zone does not have the newest version or a daemon does not respond.
 func (c *statusCmd) run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -64,6 +64,8 @@
 	return t.Flush()
 }
 
+// checkZones returns a *operator.LaggingError if the newest version is not in force in all
+// zones.
 func checkZones(zones []operator.ZoneStatus) error {
 	var newest model.Version
 	for _, z := range zones {
--- a/cmd/dottereltiller/status_daemon.go
+++ b/cmd/dottereltiller/status_daemon.go
@@ -10,13 +10,13 @@
 	"github.com/dottereltiller/dottereltiller/daemon"
 )
 
-// printServices prints the services as the daemon sees them: who shares them
-// and what runs them.
+// printServices prints a table with the policy, the groups and the upstreams of each service,
+// as known to the daemon.
 func printServices(s daemon.Status) error {
 	if len(s.Services) == 0 {
 		return nil
 	}
-	fmt.Printf("\nas %s in %s sees it:\n", s.Daemon, s.Zone)
+	fmt.Printf("\nservices as known to %s in %s:\n", s.Daemon, s.Zone)
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "service\tpolicy\tgroups by weight\tupstreams\tleaving")
 	for _, svc := range s.Services {
@@ -26,6 +26,7 @@
 	return t.Flush()
 }
 
+// formatGroups returns the groups of a service with their weights.
 func formatGroups(svc daemon.ServiceStatus) string {
 	var out []string
 	for _, g := range svc.Groups {
@@ -48,6 +49,7 @@
 	return strings.Join(out, " ")
 }
 
+// drainingUpstreams returns the ids of the upstreams of a service that are draining.
 func drainingUpstreams(svc daemon.ServiceStatus) string {
 	var out []string
 	for _, up := range svc.Upstreams {
--- a/cmd/dottereltiller/trace.go
+++ b/cmd/dottereltiller/trace.go
@@ -11,13 +11,14 @@
 )
 
 type traceCmd struct {
-	Admin   []string `arg:"--admin,separate,required" help:"admin addresses (host:port) of the daemons to ask"`
-	TraceID string   `arg:"positional" help:"show this trace only" placeholder:"TRACE-ID"`
-	Limit   int      `arg:"--limit" default:"5" help:"show at most this many traces, the slowest first"`
+	Admin   []string `arg:"--admin,separate,required" help:"admin address (host:port) of a daemon to read traces from; may be repeated"`
+	TraceID string   `arg:"positional" help:"id of the only trace to show" placeholder:"TRACE-ID"`
+	Limit   int      `arg:"--limit" default:"5" help:"maximum number of traces to show, the slowest first"`
 	JSON    bool     `arg:"--json" help:"print the spans as a JSON list"`
 }
 
-// run asks every daemon and prints what those that answer have kept.
+// run fetches the kept spans of all daemons and prints them as traces. It fails only if no
+// daemon responds.
 func (c *traceCmd) run(ctx context.Context) error {
 	var records []trace.Record
 	var failed []error
@@ -33,7 +34,7 @@
 		fmt.Fprintln(os.Stderr, "dottereltiller:", err)
 	}
 	if len(failed) == len(c.Admin) {
-		return errors.New("no daemon answered")
+		return errors.New("no daemon responded")
 	}
 	return c.print(trace.FilterByTraceID(records, c.TraceID))
 }
@@ -44,7 +45,7 @@
 	}
 	trees := trace.BuildTrees(records)
 	if len(trees) == 0 {
-		return errors.New("no such spans kept; tracing.sample in the daemon's settings may be 0")
+		return errors.New("the daemons hold no such spans; tracing.sample in their settings may be 0")
 	}
 	for _, t := range trees[:min(len(trees), max(c.Limit, 0))] {
 		if err := t.Print(os.Stdout); err != nil {
--- a/cmd/dottereltiller/upstream.go
+++ b/cmd/dottereltiller/upstream.go
@@ -10,13 +10,13 @@
 )
 
 type upstreamCmd struct {
-	ID      string `arg:"--id,required" help:"name of the upstream, such as returdesk-1"`
-	Service string `arg:"--service,required" help:"service that it belongs to"`
-	Slots   int    `arg:"--slots" default:"6" help:"requests that it runs at once"`
-	Daemon  string `arg:"--daemon,env:DOTTERELTILLER_DAEMON" default:"127.0.0.1:8082" placeholder:"HOST:PORT" help:"admin address of the daemon beside it"`
+	ID      string `arg:"--id,required" help:"id of the upstream, such as returdesk-1"`
+	Service string `arg:"--service,required" help:"name of the service that the upstream belongs to"`
+	Slots   int    `arg:"--slots" default:"6" help:"maximum number of requests that the upstream runs concurrently"`
+	Daemon  string `arg:"--daemon,env:DOTTERELTILLER_DAEMON" default:"127.0.0.1:8082" placeholder:"HOST:PORT" help:"admin address of the daemon on the same VM"`
 }
 
-// run serves a stand-in upstream until it is interrupted, then drains it.
+// run serves a fake upstream until it is interrupted, then drains it.
 func (c *upstreamCmd) run(ctx context.Context) error {
 	if c.Slots < 1 {
 		return usageError{fmt.Errorf("--slots: must be at least 1 (got %d)", c.Slots)}
--- a/cmd/dottereltiller/validate.go
+++ b/cmd/dottereltiller/validate.go
@@ -10,10 +10,11 @@
 )
 
 type validateCmd struct {
-	Files []string `arg:"positional,required" placeholder:"FILE" help:"files or directories of documents"`
+	Files []string `arg:"positional,required" placeholder:"FILE" help:"files or directories with the documents to check"`
 }
 
-// run prints which policy wins where and each caller's group, or every problem.
+// run prints the policy of each service and the group of each caller there. If the documents
+// are not valid, it returns all problems as an error.
 func (c *validateCmd) run(context.Context) error {
 	set, err := checkFiles(c.Files)
 	if err != nil {
@@ -23,9 +24,10 @@
 	return nil
 }
 
-// checkFiles reads and compiles files; a directory stands for its *.json files.
+// checkFiles reads and compiles the documents in files and in the *.json files of
+// directories.
 func checkFiles(paths []string) (*policy.Set, error) {
-	var in []operator.File
+	var inputs []operator.File
 	for _, p := range paths {
 		files, err := expandPath(p)
 		if err != nil {
@@ -36,10 +38,10 @@
 			if err != nil {
 				return nil, usageError{err}
 			}
-			in = append(in, operator.File{Path: f, Data: data})
+			inputs = append(inputs, operator.File{Path: f, Data: data})
 		}
 	}
-	set, err := operator.Check(in)
+	set, err := operator.Check(inputs)
 	if err != nil {
 		return nil, usageError{fmt.Errorf("not valid:\n%w", err)}
 	}
--- a/cmd/dottereltiller/why.go
+++ b/cmd/dottereltiller/why.go
@@ -10,14 +10,14 @@
 )
 
 type whyCmd struct {
-	Upstream string   `arg:"--upstream" placeholder:"ID" help:"tell of this upstream instead of a request"`
-	Lost     string   `arg:"--lost" placeholder:"ID" help:"tell how often the requests have run that must not run twice and got no answer from this upstream"`
-	Config   uint64   `arg:"--config" placeholder:"VERSION" help:"tell when each daemon learned of this version instead of a request"`
+	Upstream string   `arg:"--upstream" placeholder:"ID" help:"show the timeline of this upstream instead of that of a request"`
+	Lost     string   `arg:"--lost" placeholder:"ID" help:"list the requests that are not idempotent and got no response from this upstream, and how often each was executed"`
+	Config   uint64   `arg:"--config" placeholder:"VERSION" help:"show when each daemon put this version of the configuration in force"`
 	JSON     bool     `arg:"--json" help:"print JSON"`
-	Args     []string `arg:"positional" placeholder:"REQUEST-ID FILE" help:"the request, unless --upstream, --lost or --config is given, and the daemons' logs"`
+	Args     []string `arg:"positional" placeholder:"REQUEST-ID FILE" help:"request id, unless --upstream, --lost or --config is given, followed by the log files of the daemons"`
 }
 
-var errWhyArgs = errors.New("name a request, --upstream, --lost or --config, and the logs of the daemons")
+var errWhyArgs = errors.New("a request id, --upstream, --lost or --config is required, and the log files of the daemons")
 
 func (c *whyCmd) run(context.Context) error {
 	files, request := c.Args, ""
@@ -38,25 +38,25 @@
 	}
 	log.Sort()
 	if c.Lost != "" {
-		losses := log.Unanswered(c.Lost)
+		unanswered := log.Unanswered(c.Lost)
 		if c.JSON {
-			return losses.WriteJSON(os.Stdout)
+			return unanswered.WriteJSON(os.Stdout)
 		}
-		return losses.WriteText(os.Stdout)
+		return unanswered.WriteText(os.Stdout)
 	}
-	var story why.Timeline
+	var timeline why.Timeline
 	switch {
 	case c.Upstream != "":
-		story = log.UpstreamTimeline(c.Upstream)
+		timeline = log.UpstreamTimeline(c.Upstream)
 	case c.Config != 0:
-		story = log.ConfigurationTimeline(c.Config)
+		timeline = log.ConfigurationTimeline(c.Config)
 	default:
-		story = log.RequestTimeline(request)
+		timeline = log.RequestTimeline(request)
 	}
 	if c.JSON {
-		return story.WriteJSON(os.Stdout)
+		return timeline.WriteJSON(os.Stdout)
 	}
-	return story.WriteText(os.Stdout)
+	return timeline.WriteText(os.Stdout)
 }
 
 func readLog(log *why.Log, path string) error {
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -19,8 +19,9 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// TestSIGHUPBeforeTheRuntimeStarts guards against SIGHUP ending a daemon whose Go runtime does
-// not take signals yet: it is ignored before it is caught.
+// TestSIGHUPBeforeTheRuntimeStarts sends SIGHUP to daemons whose Go runtime has not installed
+// its signal handlers yet. The signal must be ignored until then; its default action would
+// end the process.
 func TestSIGHUPBeforeTheRuntimeStarts(t *testing.T) {
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
@@ -44,8 +45,8 @@
 	require.Positive(t, ignoredFirst, "of %d starts", starts)
 }
 
-// TestSIGHUPIsCaughtOnceTheRuntimeRuns guards against the signal staying ignored: a reload
-// would be lost.
+// TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that the signal does not stay ignored after the
+// start, because reloads would be lost.
 func TestSIGHUPIsCaughtOnceTheRuntimeRuns(t *testing.T) {
 	cmd, w := startBlockedOnSettings(t)
 	ignored, caught := hangupActions(t, cmd.Process.Pid)
@@ -55,8 +56,8 @@
 	require.True(t, caught)
 }
 
-// hangupActions reports what a process does at SIGHUP. One that has ended counts as
-// catching it.
+// hangupActions reports whether a process ignores or catches SIGHUP, according to /proc. A
+// process that has ended is reported as catching it.
 func hangupActions(t *testing.T, pid int) (ignored, caught bool) {
 	t.Helper()
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -17,8 +17,8 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// startBlockedOnSettings starts a daemon that reads its settings from a pipe, and returns it
-// once it reads.
+// startBlockedOnSettings starts a daemon that reads its settings from a named pipe. It returns
+// the process and the writing end of the pipe once the daemon has opened the pipe.
 func startBlockedOnSettings(t *testing.T) (*exec.Cmd, *os.File) {
 	t.Helper()
 	pipe := filepath.Join(t.TempDir(), "settings.yaml")
@@ -31,12 +31,13 @@
 	return cmd, w
 }
 
-// TestSIGHUPWhileReadingSettings sends SIGHUP to a daemon that is still reading its settings, which
-// come through a pipe: it goes on.
+// TestSIGHUPWhileReadingSettings sends SIGHUP to a daemon that is still reading its settings.
+// The daemon must not be ended by the signal: it reads the rest, which is invalid, and exits
+// with exitcode.Usage.
 func TestSIGHUPWhileReadingSettings(t *testing.T) {
 	cmd, w := startBlockedOnSettings(t)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
-	// Long enough for a process that does not catch the signal to end by it.
+	// Long enough for the signal to end a process that does not catch it.
 	time.Sleep(50 * time.Millisecond)
 	_, err := w.WriteString("not: [settings\n")
 	require.NoError(t, err)
@@ -47,11 +48,13 @@
 	require.Equal(t, exitcode.Usage, exited.ExitCode(), "%v", err)
 }
 
-// killTimeout ends a daemon that a signal was to end.
+// killTimeout is when a daemon is killed that did not end on the signal of the test.
 const killTimeout = 10 * time.Second
 
-// TestSIGHUPHasInheritedActionOutsideThePlatform guards against the action that is ignored while the
-// program starts being taken for the inherited one.
+// TestSIGHUPHasInheritedActionOutsideThePlatform checks that a daemon that does not run on the
+// platform handles SIGHUP as inherited from its parent: it is ended by the signal, or ignores
+// it if the parent did. It guards against restoring the ignored state that package hangup sets
+// while the program starts.
 func TestSIGHUPHasInheritedActionOutsideThePlatform(t *testing.T) {
 	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	for name, ignored := range map[string]bool{"started as usual": false, "started with SIGHUP ignored": true} {
@@ -63,7 +66,8 @@
 				signal.Ignore(syscall.SIGHUP)
 			}
 			err = cmd.Start()
-			// What is caught here has its default action in programs started from here.
+			// Signals that this process catches have their default action in the
+			// programs that it starts; signals that it ignores stay ignored there.
 			signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 			require.NoError(t, err)
 			defer time.AfterFunc(killTimeout, func() { _ = cmd.Process.Kill() }).Stop()
--- a/cmd/dottereltillerd/logreader_test.go
+++ b/cmd/dottereltillerd/logreader_test.go
@@ -17,8 +17,8 @@
 	"github.com/dottereltiller/dottereltiller/platform/platformtest"
 )
 
-// TestDaemonSurvivesClosedStdout closes the pipe that a daemon on the platform
-// writes its lines to, and has it write one more.
+// TestDaemonSurvivesClosedStdout closes the pipe to which a daemon on the platform writes its
+// log, and makes it write one more line. The daemon must keep running and stop cleanly.
 func TestDaemonSurvivesClosedStdout(t *testing.T) {
 	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
@@ -57,8 +57,8 @@
 	require.NoError(t, <-ended)
 }
 
-// TestDaemonStopsWithClosedStderr closes the pipe that a daemon with settings of its own writes
-// its lines to, and stops it.
+// TestDaemonStopsWithClosedStderr closes the pipe to which a daemon that does not run on the
+// platform writes its log, and stops the daemon. It must exit with code 0.
 func TestDaemonStopsWithClosedStderr(t *testing.T) {
 	cmd := exec.Command(program, "--settings", writeSettings(t, `{`+validSettings+`,
 		"listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`))
--- a/cmd/dottereltillerd/main.go
+++ b/cmd/dottereltillerd/main.go
@@ -1,7 +1,7 @@
-// Command dottereltillerd is the daemon that runs beside each upstream.
+// Command dottereltillerd is the daemon that runs on the VM of each upstream.
 //
-// Exit codes: 0 stopped by a signal, 1 failure, 2 wrong usage or settings, 3 a
-// broken invariant.
+// Exit codes: 0 stopped by a signal, 1 failure, 2 wrong usage or settings, 3 violated
+// invariant.
 package main
 
 import (
@@ -32,7 +32,7 @@
 
 // Description is shown by --help.
 func (args) Description() string {
-	return "dottereltillerd runs beside an upstream: it takes callers' requests for every service and guards its own upstream."
+	return "dottereltillerd runs on the VM of an upstream. It forwards requests of local callers to any service and limits the concurrency of the local upstream."
 }
 
 // Version is shown by --version.
@@ -51,7 +51,7 @@
 	}
 	hangup.RestoreInherited()
 	if a.Settings == "" {
-		p.Fail("name a settings file by --settings or DOTTERELTILLER_SETTINGS")
+		p.Fail("no settings file: set --settings or DOTTERELTILLER_SETTINGS")
 	}
 	s, err := settings.Load(a.Settings)
 	if err != nil {
@@ -66,18 +66,17 @@
 	}
 }
 
-// exit prints the error, with a dump where an invariant broke, and ends the
-// process.
+// exit prints the error, and a state dump if an invariant was violated, and ends the process.
 func exit(err error, code int) {
 	fmt.Fprintln(os.Stderr, "dottereltillerd:", err)
-	var broken *daemon.InvariantError
-	if errors.As(err, &broken) {
-		fmt.Fprintln(os.Stderr, broken.Dump())
+	var violation *daemon.InvariantError
+	if errors.As(err, &violation) {
+		fmt.Fprintln(os.Stderr, violation.Dump())
 	}
 	os.Exit(code)
 }
 
-// checkCertificates reads the certificates that the settings name.
+// checkCertificates loads the certificates named in the settings and exits if one is invalid.
 func checkCertificates(s settings.Settings) {
 	if _, err := identity.Load("callers.tls", s.Callers.TLS); err != nil {
 		exit(err, exitcode.Of(err))
@@ -95,6 +94,7 @@
 	fmt.Println(string(text))
 }
 
+// run runs a daemon that is not on the platform until it is stopped by a signal.
 func run(s settings.Settings) error {
 	ignoreBrokenPipe()
 	signals := make(chan os.Signal, 2)
@@ -115,8 +115,8 @@
 	return d.Serve(ctx)
 }
 
-// runOnPlatform runs beside an upstream on the users' platform, whose settings file
-// is at the path.
+// runOnPlatform runs a daemon on the users' platform with the platform's settings file at
+// path. If check is true, it only validates the file.
 func runOnPlatform(path string, check bool) {
 	if check {
 		if _, err := platform.LoadSettings(path); err != nil {
@@ -132,12 +132,13 @@
 	}
 }
 
-// ignoreBrokenPipe has a write to a pipe that nobody reads fail. By default the signal of
-// such a write to standard output or standard error ends the process.
+// ignoreBrokenPipe makes writes to a closed pipe return an error. By default, the Go runtime
+// ends the process on SIGPIPE after such a write to standard output or standard error, so a
+// log collector that exits would end the daemon.
 func ignoreBrokenPipe() { signal.Ignore(syscall.SIGPIPE) }
 
-// handleSignals stops the daemon at the first signal and ends its wait for requests in
-// flight at the second. A third one ends the process at once.
+// handleSignals stops the daemon at the first signal and aborts the requests in flight at the
+// second. A third signal ends the process at once.
 func handleSignals(signals <-chan os.Signal, stop func(), d *daemon.Daemon) {
 	<-signals
 	stop()
--- a/cmd/dottereltillerd/main_test.go
+++ b/cmd/dottereltillerd/main_test.go
@@ -17,9 +17,10 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
+// program is the path of the daemon's binary.
 var program string
 
-// TestMain builds the program that the tests run.
+// TestMain builds the daemon's binary, which the tests run.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "dottereltillerd")
 	if err != nil {
@@ -49,6 +50,7 @@
 	return cmd.ProcessState.ExitCode(), out.String(), errs.String()
 }
 
+// writeSettings writes a settings file and returns its path.
 func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "d.json")
@@ -56,9 +58,11 @@
 	return path
 }
 
+// validSettings holds the required settings, as the members of a JSON object.
 const validSettings = `"zone": "odense-hal-a", "log": {"address": "127.0.0.1:1"}, "peers": {"secret": "s"}`
 
-// TestStartupErrors makes the mistakes of a new user.
+// TestStartupErrors checks exit code and error message for common mistakes in flags and
+// settings, and that valid ones are accepted.
 func TestStartupErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -68,16 +72,16 @@
 		code int
 		want string
 	}{
-		"no settings":     {nil, 2, "name a settings file by --settings or DOTTERELTILLER_SETTINGS"},
-		"unknown flag":    {[]string{"--setings", "d.json"}, 2, "unknown argument --setings"},
-		"absent file":     {[]string{"--settings", "absent.json"}, 2, "open absent.json: no such file or directory"},
-		"typo":            {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
-		"typo, checked":   {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
-		"no certificate":  {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`, "callers": {"tls": {"certificate": "c", "key": "k"}}}`)}, 2, `callers.tls.certificate: open c: no such file or directory (got "c")`},
-		"address in use":  {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "listen": {"callers": "`+taken.Addr().String()+`"}}`)}, 1, "listen.callers: listen tcp " + taken.Addr().String() + ": bind: address already in use"},
-		"valid":           {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`}`)}, 0, ""},
-		"quick start":     {[]string{"--check", "--settings", "../../examples/quickstart/daemon.json"}, 0, ""},
-		"version printed": {[]string{"--version"}, 0, ""},
+		"no settings":                   {nil, 2, "no settings file: set --settings or DOTTERELTILLER_SETTINGS"},
+		"unknown flag":                  {[]string{"--setings", "d.json"}, 2, "unknown argument --setings"},
+		"absent file":                   {[]string{"--settings", "absent.json"}, 2, "open absent.json: no such file or directory"},
+		"misspelled field":              {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
+		"misspelled field with --check": {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
+		"no certificate":                {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`, "callers": {"tls": {"certificate": "c", "key": "k"}}}`)}, 2, `callers.tls.certificate: open c: no such file or directory (got "c")`},
+		"address in use":                {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "listen": {"callers": "`+taken.Addr().String()+`"}}`)}, 1, "listen.callers: listen tcp " + taken.Addr().String() + ": bind: address already in use"},
+		"valid":                         {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`}`)}, 0, ""},
+		"quick start example":           {[]string{"--check", "--settings", "../../examples/quickstart/daemon.json"}, 0, ""},
+		"version printed":               {[]string{"--version"}, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			code, _, stderr := runProgram(t, c.args...)
@@ -95,7 +99,8 @@
 	require.Equal(t, string(want), strings.TrimSpace(stdout))
 }
 
-// TestSIGTERMStopsTheDaemonCleanly starts a daemon without a log.
+// TestSIGTERMStopsTheDaemonCleanly starts a daemon, with no log server listening, and stops it:
+// it must exit with code 0 and without an error line.
 func TestSIGTERMStopsTheDaemonCleanly(t *testing.T) {
 	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	cmd := exec.Command(program, "--settings", path)
--- a/cmd/internal/cli/cli.go
+++ b/cmd/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli holds what the command lines of the two programs share.
+// Package cli contains the command-line parsing shared by dottereltiller and
+// dottereltillerd.
 package cli
 
 import (
@@ -11,9 +12,9 @@
 	"github.com/dottereltiller/dottereltiller/exitcode"
 )
 
-// MustParse reads the command line into dest. Help and version go to standard
-// output and end the process with 0; mistakes go to standard error and end it
-// with exitcode.Usage.
+// MustParse parses the command line into dest. For --help and --version it prints to standard
+// output and exits with code 0. Usage errors are printed to standard error, and the exit code
+// is exitcode.Usage.
 func MustParse(program string, dest any) *arg.Parser {
 	p, err := arg.NewParser(arg.Config{Program: program, Out: os.Stderr}, dest)
 	if err != nil {
--- a/cmd/internal/hangup/early_cgo.go
+++ b/cmd/internal/hangup/early_cgo.go
@@ -7,8 +7,8 @@
 
 static void (*inherited)(int);
 
-// Runs before the Go runtime, which takes milliseconds to start. It leaves an ignored
-// signal alone until signal.Notify asks for it.
+// Runs before the Go runtime, which takes milliseconds to start. The runtime does not change
+// the action of an ignored signal until signal.Notify is called for it.
 __attribute__((constructor)) static void ignore_hangup(void) {
 	inherited = signal(SIGHUP, SIG_IGN);
 }
@@ -17,6 +17,6 @@
 */
 import "C"
 
-// restore takes back what the constructor did, which signal.Reset takes for the inherited
-// action.
+// restore sets the inherited action of SIGHUP again. signal.Reset cannot do this: it regards
+// the action set by the constructor as the inherited one.
 func restore() { C.restore_hangup() }
--- a/cmd/internal/hangup/early_nocgo.go
+++ b/cmd/internal/hangup/early_nocgo.go
@@ -2,5 +2,6 @@
 
 package hangup
 
-// restore has nothing to do: signal.Reset knows the inherited action.
+// restore does nothing: without the cgo constructor, signal.Reset restores the inherited
+// action.
 func restore() {}
--- a/cmd/internal/hangup/hangup.go
+++ b/cmd/internal/hangup/hangup.go
@@ -1,5 +1,6 @@
-// Package hangup catches SIGHUP from the start of the process on. The signal asks for the
-// settings to be read again, and would end a process that does not catch it yet.
+// Package hangup catches SIGHUP from the start of the process on. On the platform, SIGHUP
+// requests a reload of the settings; its default action would end a process that does not
+// catch it yet.
 //
 // In a program built with cgo the signal is ignored from before the Go runtime starts until
 // the runtime catches it.
@@ -11,7 +12,8 @@
 	"syscall"
 )
 
-// Signals brings the signals. One that came while another waits is dropped.
+// Signals receives a value for each SIGHUP. A signal that arrives while another one has not
+// been received yet is dropped.
 var Signals = catch()
 
 func catch() <-chan os.Signal {
@@ -20,8 +22,8 @@
 	return c
 }
 
-// RestoreInherited has the signal do again what it would have done when the process was started: end
-// it, unless whoever started it ignores the signal.
+// RestoreInherited stops catching SIGHUP and restores the action that the process inherited
+// when it was started: the default action, which ends the process, or to ignore the signal.
 func RestoreInherited() {
 	signal.Reset(syscall.SIGHUP)
 	restore()
