--- a/decision/kinds.go
+++ b/decision/kinds.go
@@ -14,7 +14,7 @@
 	// limited.
 	Trouble
 	// State lines report state changes of the daemon, of other daemons, of upstreams
-	// and of the store. They are not rate limited.
+	// and of the store, and rare faults such as panics. They are not rate limited.
 	State
 )
 
--- a/decision/log.go
+++ b/decision/log.go
@@ -33,8 +33,8 @@
 	defaultSampleOneIn    = 16
 	defaultLinesPerSecond = 40
 	defaultBufferLines    = 512
-	// burstSeconds sets the burst of the rate limit: it is the number of lines allowed in
-	// this many seconds.
+	// burstSeconds sets the burst size of the rate limit: as many lines as the rate allows
+	// in this many seconds.
 	burstSeconds = 5
 	// dropReportInterval is the minimum time between two lines that report dropped lines.
 	dropReportInterval = time.Second
--- a/decision/log_test.go
+++ b/decision/log_test.go
@@ -40,19 +40,19 @@
 	buf bytes.Buffer
 }
 
-func (s *lockedBuffer) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buf.Write(p)
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.Write(p)
 }
 
 // countByKind returns the number of lines of each kind.
-func (s *lockedBuffer) countByKind(t *testing.T) map[string]int {
+func (b *lockedBuffer) countByKind(t *testing.T) map[string]int {
 	t.Helper()
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	out := map[string]int{}
-	for _, line := range strings.Split(strings.TrimSpace(s.buf.String()), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(b.buf.String()), "\n") {
 		var l struct {
 			Msg string `json:"msg"`
 		}
@@ -65,13 +65,13 @@
 // newTestLog returns a Log that writes JSON lines to a buffer and reads the time from a
 // fake clock.
 func newTestLog(o Options) (*Log, *lockedBuffer, *clock) {
-	s, c := &lockedBuffer{}, &clock{now: time.Unix(1000, 0)}
-	o.Handler, o.Now = slog.NewJSONHandler(s, nil), c.current
-	return New(o), s, c
+	b, c := &lockedBuffer{}, &clock{now: time.Unix(1000, 0)}
+	o.Handler, o.Now = slog.NewJSONHandler(b, nil), c.current
+	return New(o), b, c
 }
 
 func TestPlainLinesAreSampledByRequest(t *testing.T) {
-	l, s, c := newTestLog(Options{SampleOneIn: 4})
+	l, b, c := newTestLog(Options{SampleOneIn: 4})
 	other := New(Options{Handler: slog.DiscardHandler, SampleOneIn: 4})
 	defer other.Close(time.Second)
 	kept := 0
@@ -85,7 +85,7 @@
 		c.advance(time.Second)
 	}
 	l.Close(time.Second)
-	require.Equal(t, kept, s.countByKind(t)[string(Answered)])
+	require.Equal(t, kept, b.countByKind(t)[string(Answered)])
 	require.InDelta(t, 25, kept, 15)
 }
 
@@ -93,7 +93,7 @@
 // plain lines are dropped first, no state line is dropped, and lines report the numbers of
 // dropped lines.
 func TestPlainLinesAreDroppedFirst(t *testing.T) {
-	l, s, c := newTestLog(Options{SampleOneIn: 1, LinesPerSecond: 10, BufferLines: 4096})
+	l, b, c := newTestLog(Options{SampleOneIn: 1, LinesPerSecond: 10, BufferLines: 4096})
 	const seconds = 30
 	for range seconds {
 		for range 50 {
@@ -105,7 +105,7 @@
 	}
 	require.Positive(t, l.Dropped())
 	l.Close(time.Second)
-	got := s.countByKind(t)
+	got := b.countByKind(t)
 	require.Equal(t, seconds, got[string(UpstreamState)])
 	require.InDelta(t, seconds*10+10*burstSeconds, got[string(Refused)]+got[string(Answered)], 15)
 	require.Greater(t, got[string(Refused)], 3*got[string(Answered)])
@@ -116,20 +116,20 @@
 // TestWritersNeverBlock writes lines while the output is blocked, as when nobody reads
 // standard output: lines beyond the queue are dropped instead of blocking the caller.
 func TestWritersNeverBlock(t *testing.T) {
-	l, s, c := newTestLog(Options{BufferLines: 8})
-	s.mu.Lock()
+	l, b, c := newTestLog(Options{BufferLines: 8})
+	b.mu.Lock()
 	for i := range 1000 {
 		l.Write(UpstreamState, "", slog.Int("i", i))
 		c.advance(time.Millisecond)
 	}
 	dropped := l.Dropped()
-	s.mu.Unlock()
+	b.mu.Unlock()
 	require.GreaterOrEqual(t, dropped, int64(1000-8-2))
 	c.advance(2 * time.Second)
 	require.Eventually(t, func() bool { return len(l.lines) == 0 }, 20*time.Second, time.Millisecond)
 	l.Write(UpstreamState, "")
 	l.Close(time.Second)
-	require.Equal(t, 1, s.countByKind(t)[string(LinesDropped)])
+	require.Equal(t, 1, b.countByKind(t)[string(LinesDropped)])
 }
 
 func TestWriteAfterCloseAndToNilLog(t *testing.T) {
@@ -137,12 +137,12 @@
 	nilLog.Write(Answered, "x")
 	nilLog.Close(0)
 	require.False(t, nilLog.Sampled("x"))
-	l, s, _ := newTestLog(Options{})
+	l, b, _ := newTestLog(Options{})
 	l.Write(Started, "")
 	l.Close(time.Second)
 	l.Close(time.Second)
 	l.Write(Stopped, "")
-	require.Equal(t, map[string]int{string(Started): 1}, s.countByKind(t))
+	require.Equal(t, map[string]int{string(Started): 1}, b.countByKind(t))
 }
 
 // TestEveryKindIsDeclaredAndUsed checks that each Kind constant has exactly one declaration
