--- a/operator/startover.go
+++ b/operator/startover.go
@@ -17,8 +17,8 @@
 
 // StartOver appends a checkpoint with an empty configuration to a log that was trimmed and
 // holds no checkpoint that covers the missing records. Use it only if no daemon holds the
-// configuration any more: a daemon that still does would not adopt the empty one. version is
-// the version of the empty configuration; it must be at least as high as any version that
+// configuration any more: a daemon that still holds it would not adopt the empty one. version
+// is the version of the empty configuration; it must be at least as high as any version that
 // was ever accepted.
 func StartOver(ctx context.Context, log recordlog.Log, version model.Version) error {
 	if version == 0 {
--- a/operator/view.go
+++ b/operator/view.go
@@ -80,6 +80,7 @@
 	}
 }
 
+// apply applies a record to the state machine and adds its change to the history.
 func (v *View) apply(r recordlog.Record) {
 	res := v.stateMachine.ApplyRecord(uint64(r.Offset), r.Data)
 	if res.Change != nil {
@@ -94,6 +95,8 @@
 	}
 }
 
+// restoreCheckpoint restores the state machine from the first checkpoint at or after oldest that
+// covers all records before oldest. It returns ErrNoCheckpoint if there is none.
 func (v *View) restoreCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
 		batch, err := v.log.Read(ctx, recordlog.StreamConfig, from, maxRecordsPerRead)
