--- a/cmd/dottereltiller/bench.go
+++ b/cmd/dottereltiller/bench.go
@@ -12,7 +12,7 @@
 
 type benchCmd struct {
 	Forward  *benchForwardCmd  `arg:"subcommand:forward" help:"measure the latency that forwarding adds to a call"`
-	Capacity *benchCapacityCmd `arg:"subcommand:capacity" help:"measure how CPU time and memory grow with load and size; see docs/CAPACITY.md"`
+	Capacity *benchCapacityCmd `arg:"subcommand:capacity" help:"measure how resource usage grows with load and with the size of the system; see docs/CAPACITY.md"`
 }
 
 func (c *benchCmd) run(ctx context.Context) error {
--- a/cmd/dottereltiller/main.go
+++ b/cmd/dottereltiller/main.go
@@ -38,10 +38,10 @@
 	Diff     *diffCmd     `arg:"subcommand:diff" help:"compare documents or versions"`
 	Rollback *rollbackCmd `arg:"subcommand:rollback" help:"publish the documents of an earlier version as a new one"`
 	Status   *statusCmd   `arg:"subcommand:status" help:"show the version in force in every availability zone, and services, groups and upstreams"`
-	Platform *platformCmd `arg:"subcommand:platform" help:"run a fake of the platform's log, for tests"`
+	Platform *platformCmd `arg:"subcommand:platform" help:"run a fake of the platform's log, for trials and tests"`
 
 	StartOver *startOverCmd `arg:"subcommand:start-over" help:"append an empty configuration to a log that has lost the configuration, if no daemon holds it either"`
-	Upstream  *upstreamCmd  `arg:"subcommand:upstream" help:"run a fake upstream for a daemon, for tests"`
+	Upstream  *upstreamCmd  `arg:"subcommand:upstream" help:"run a fake upstream for a daemon, for trials and tests"`
 
 	Validate *validateCmd `arg:"subcommand:validate" help:"check documents and show the policy of each service and the group of each caller"`
 	Explain  *explainCmd  `arg:"subcommand:explain" help:"show why a caller belongs to a group at a service"`
@@ -51,7 +51,7 @@
 	Soak *soakCmd `arg:"subcommand:soak" help:"run daemons on loopback addresses, inject random faults and check their guarantees"`
 	Why  *whyCmd  `arg:"subcommand:why" help:"join the logs of daemons into a timeline of a request, an upstream or a configuration"`
 
-	Replay *replayCmd `arg:"subcommand:replay" help:"simulate the routing and admission of a recorded trace in virtual time"`
+	Replay *replayCmd `arg:"subcommand:replay" help:"replay a trace through the load-balancing code in virtual time"`
 }
 
 // Description is shown by --help.
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -42,7 +42,7 @@
 			ignoredFirst++
 		}
 	}
-	require.Positive(t, ignoredFirst, "of %d starts", starts)
+	require.Positive(t, ignoredFirst, "SIGHUP was never seen ignored in %d starts", starts)
 }
 
 // TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that the signal does not stay ignored after the
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -48,7 +48,8 @@
 	require.Equal(t, exitcode.Usage, exited.ExitCode(), "%v", err)
 }
 
-// killTimeout is when a daemon is killed that did not end on the signal of the test.
+// killTimeout is how long a test waits for a signal to end the daemon before it kills the
+// daemon.
 const killTimeout = 10 * time.Second
 
 // TestSIGHUPHasInheritedActionOutsideThePlatform checks that a daemon that does not run on the
