--- a/decision/logger_test.go
+++ b/decision/logger_test.go
@@ -16,13 +16,13 @@
 	started, release chan struct{}
 }
 
-func (h *blockingWriter) Write(p []byte) (int, error) {
+func (w *blockingWriter) Write(p []byte) (int, error) {
 	select {
-	case h.started <- struct{}{}:
+	case w.started <- struct{}{}:
 	default:
 	}
-	<-h.release
-	return h.Buffer.Write(p)
+	<-w.release
+	return w.Buffer.Write(p)
 }
 
 func TestLoggerDoesNotBlock(t *testing.T) {
--- a/why/why_test.go
+++ b/why/why_test.go
@@ -40,39 +40,39 @@
 }
 
 // daemonsAndKinds returns the daemon and the kind of each event.
-func daemonsAndKinds(s Timeline) []string {
+func daemonsAndKinds(timeline Timeline) []string {
 	var out []string
-	for _, e := range s.Events {
+	for _, e := range timeline.Events {
 		out = append(out, e.Daemon+": "+e.Kind)
 	}
 	return out
 }
 
 func TestRequestTimeline(t *testing.T) {
-	s := readTestLogs(t).RequestTimeline("r1")
+	timeline := readTestLogs(t).RequestTimeline("r1")
 	require.Equal(t, []string{
 		"a: configuration in force", "a: peer state", "b: request given back", "b: run failed", "a: request failed",
 		"b: configuration in force",
-	}, daemonsAndKinds(s))
-	require.Equal(t, "request failed with 504 after 300 ms: deadline", s.Outcome)
-	require.Equal(t, 2, s.UnreadableLines)
-	require.True(t, s.Events[0].Context)
-	require.False(t, s.Events[2].Context)
-	require.InDelta(t, 505, s.Events[2].AtMS, 0.01)
-	require.Equal(t, "full", s.Events[2].Fields["reason"])
+	}, daemonsAndKinds(timeline))
+	require.Equal(t, "request failed with 504 after 300 ms: deadline", timeline.Outcome)
+	require.Equal(t, 2, timeline.UnreadableLines)
+	require.True(t, timeline.Events[0].Context)
+	require.False(t, timeline.Events[2].Context)
+	require.InDelta(t, 505, timeline.Events[2].AtMS, 0.01)
+	require.Equal(t, "full", timeline.Events[2].Fields["reason"])
 	var text, json bytes.Buffer
-	require.NoError(t, s.WriteText(&text))
+	require.NoError(t, timeline.WriteText(&text))
 	require.Contains(t, text.String(), "outcome: request failed with 504")
 	require.Contains(t, text.String(), "2 lines could not be read")
-	require.NoError(t, s.WriteJSON(&json))
+	require.NoError(t, timeline.WriteJSON(&json))
 	require.Contains(t, json.String(), `"about":"request r1"`)
 }
 
 func TestTimelineOfUnknownRequest(t *testing.T) {
-	s := readTestLogs(t).RequestTimeline("no-such-request")
-	require.Empty(t, s.Events)
+	timeline := readTestLogs(t).RequestTimeline("no-such-request")
+	require.Empty(t, timeline.Events)
 	var text bytes.Buffer
-	require.NoError(t, s.WriteText(&text))
+	require.NoError(t, timeline.WriteText(&text))
 	require.Contains(t, text.String(), "not found in the logs")
 }
 
