--- a/cmd/dottereltiller/args_test.go
+++ b/cmd/dottereltiller/args_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRepeatedFlagsAddUp guards against flags of which only the last counts.
-func TestRepeatedFlagsAddUp(t *testing.T) {
+// TestRepeatedFlagsAccumulate checks that flags that may be repeated keep all their values.
+// Without the tag "separate" go-arg keeps only the last.
+func TestRepeatedFlagsAccumulate(t *testing.T) {
 	parse := func(line ...string) args {
 		var a args
 		p, err := arg.NewParser(arg.Config{}, &a)
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -19,9 +19,10 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// TestHangupBeforeTheRuntime guards against SIGHUP ending a daemon whose Go runtime does
-// not take signals yet: it is ignored before it is caught.
-func TestHangupBeforeTheRuntime(t *testing.T) {
+// TestSIGHUPBeforeTheRuntimeStarts sends SIGHUP to daemons whose Go runtime has not installed
+// its signal handlers yet. The signal must be ignored until then; its default action would
+// end the process.
+func TestSIGHUPBeforeTheRuntimeStarts(t *testing.T) {
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(settings, []byte("not: [settings\n"), 0o600))
@@ -41,13 +42,13 @@
 			ignoredFirst++
 		}
 	}
-	require.Positive(t, ignoredFirst, "of %d starts", starts)
+	require.Positive(t, ignoredFirst, "SIGHUP was never seen ignored in %d starts", starts)
 }
 
-// TestHangupIsCaughtOnceTheRuntimeRuns guards against the signal staying ignored: a reload
-// would be lost.
-func TestHangupIsCaughtOnceTheRuntimeRuns(t *testing.T) {
-	cmd, w := startReadingSettings(t)
+// TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that the signal does not stay ignored after the
+// start, because reloads would be lost.
+func TestSIGHUPIsCaughtOnceTheRuntimeRuns(t *testing.T) {
+	cmd, w := startBlockedOnSettings(t)
 	ignored, caught := hangupActions(t, cmd.Process.Pid)
 	require.NoError(t, w.Close())
 	_ = cmd.Wait()
@@ -55,8 +56,8 @@
 	require.True(t, caught)
 }
 
-// hangupActions reports what a process does at SIGHUP. One that has ended counts as
-// catching it.
+// hangupActions reports whether a process ignores or catches SIGHUP, according to /proc. A
+// process that has ended is reported as catching it.
 func hangupActions(t *testing.T, pid int) (ignored, caught bool) {
 	t.Helper()
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -17,9 +17,9 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// startReadingSettings starts a daemon that reads its settings from a pipe, and returns it
-// once it reads.
-func startReadingSettings(t *testing.T) (*exec.Cmd, *os.File) {
+// startBlockedOnSettings starts a daemon that reads its settings from a named pipe. It returns
+// the process and the writing end of the pipe once the daemon has opened the pipe.
+func startBlockedOnSettings(t *testing.T) (*exec.Cmd, *os.File) {
 	t.Helper()
 	pipe := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, syscall.Mkfifo(pipe, 0o600))
@@ -31,12 +31,13 @@
 	return cmd, w
 }
 
-// TestHangupAtTheStart sends SIGHUP to a daemon that is still reading its settings, which
-// come through a pipe: it goes on.
-func TestHangupAtTheStart(t *testing.T) {
-	cmd, w := startReadingSettings(t)
+// TestSIGHUPWhileReadingSettings sends SIGHUP to a daemon that is still reading its settings.
+// The daemon must not be ended by the signal: it reads the rest, which is invalid, and exits
+// with exitcode.Usage.
+func TestSIGHUPWhileReadingSettings(t *testing.T) {
+	cmd, w := startBlockedOnSettings(t)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
-	// Long enough for a process that does not catch the signal to end by it.
+	// Long enough for the signal to end a process that does not catch it.
 	time.Sleep(50 * time.Millisecond)
 	_, err := w.WriteString("not: [settings\n")
 	require.NoError(t, err)
@@ -47,13 +48,16 @@
 	require.Equal(t, exitcode.Usage, exited.ExitCode(), "%v", err)
 }
 
-// killAfter ends a daemon that a signal was to end.
-const killAfter = 10 * time.Second
+// killTimeout is how long a test waits for a signal to end the daemon before it kills the
+// daemon.
+const killTimeout = 10 * time.Second
 
-// TestHangupEndsADaemonOfItsOwnSettings guards against the action that is ignored while the
-// program starts being taken for the inherited one.
-func TestHangupEndsADaemonOfItsOwnSettings(t *testing.T) {
-	path := write(t, `{`+valid+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
+// TestSIGHUPHasInheritedActionOutsideThePlatform checks that a daemon that does not run on the
+// platform handles SIGHUP as inherited from its parent: it is ended by the signal, or ignores
+// it if the parent did. It guards against restoring the ignored state that package hangup sets
+// while the program starts.
+func TestSIGHUPHasInheritedActionOutsideThePlatform(t *testing.T) {
+	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	for name, ignored := range map[string]bool{"started as usual": false, "started with SIGHUP ignored": true} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.Command(program, "--settings", path)
@@ -63,10 +67,11 @@
 				signal.Ignore(syscall.SIGHUP)
 			}
 			err = cmd.Start()
-			// What is caught here has its default action in programs started from here.
+			// Signals that this process catches have their default action in the
+			// programs that it starts; signals that it ignores stay ignored there.
 			signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 			require.NoError(t, err)
-			defer time.AfterFunc(killAfter, func() { _ = cmd.Process.Kill() }).Stop()
+			defer time.AfterFunc(killTimeout, func() { _ = cmd.Process.Kill() }).Stop()
 			awaitLine(t, bufio.NewReader(out), "daemon started")
 			require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 			if ignored {
--- a/decision/log_test.go
+++ b/decision/log_test.go
@@ -16,42 +16,43 @@
 	"github.com/stretchr/testify/require"
 )
 
-// clock is a time of day that tests move.
+// clock is a fake clock that tests advance.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *clock) read() time.Time {
+func (c *clock) current() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *clock) pass(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
-// sink is a writer that can stand still.
-type sink struct {
+// lockedBuffer is a log writer. A test that holds its mutex blocks all writes.
+type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *sink) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buf.Write(p)
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.Write(p)
 }
 
-func (s *sink) kinds(t *testing.T) map[string]int {
+// countByKind returns the number of lines of each kind.
+func (b *lockedBuffer) countByKind(t *testing.T) map[string]int {
 	t.Helper()
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	out := map[string]int{}
-	for _, line := range strings.Split(strings.TrimSpace(s.buf.String()), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(b.buf.String()), "\n") {
 		var l struct {
 			Msg string `json:"msg"`
 		}
@@ -61,14 +62,16 @@
 	return out
 }
 
-func newLog(o Options) (*Log, *sink, *clock) {
-	s, c := &sink{}, &clock{now: time.Unix(1000, 0)}
-	o.Handler, o.Now = slog.NewJSONHandler(s, nil), c.read
-	return New(o), s, c
+// newTestLog returns a Log that writes JSON lines to a buffer and reads the time from a
+// fake clock.
+func newTestLog(o Options) (*Log, *lockedBuffer, *clock) {
+	b, c := &lockedBuffer{}, &clock{now: time.Unix(1000, 0)}
+	o.Handler, o.Now = slog.NewJSONHandler(b, nil), c.current
+	return New(o), b, c
 }
 
 func TestPlainLinesAreSampledByRequest(t *testing.T) {
-	l, s, c := newLog(Options{SampleOneIn: 4})
+	l, b, c := newTestLog(Options{SampleOneIn: 4})
 	other := New(Options{Handler: slog.DiscardHandler, SampleOneIn: 4})
 	defer other.Close(time.Second)
 	kept := 0
@@ -79,17 +82,18 @@
 			kept++
 		}
 		l.Write(Answered, id)
-		c.pass(time.Second)
+		c.advance(time.Second)
 	}
 	l.Close(time.Second)
-	require.Equal(t, kept, s.kinds(t)[string(Answered)])
+	require.Equal(t, kept, b.countByKind(t)[string(Answered)])
 	require.InDelta(t, 25, kept, 15)
 }
 
-// TestTroubleOutlivesPlain answers ten times the lines that the budget allows:
-// successes go first, state changes stay, and what was dropped is told.
-func TestTroubleOutlivesPlain(t *testing.T) {
-	l, s, c := newLog(Options{SampleOneIn: 1, LinesPerSecond: 10, Buffer: 4096})
+// TestPlainLinesAreDroppedFirst writes ten times the lines that the rate limit allows:
+// plain lines are dropped first, no state line is dropped, and lines report the numbers of
+// dropped lines.
+func TestPlainLinesAreDroppedFirst(t *testing.T) {
+	l, b, c := newTestLog(Options{SampleOneIn: 1, LinesPerSecond: 10, BufferLines: 4096})
 	const seconds = 30
 	for range seconds {
 		for range 50 {
@@ -97,11 +101,11 @@
 			l.Write(Refused, "b")
 		}
 		l.Write(UpstreamState, "")
-		c.pass(time.Second)
+		c.advance(time.Second)
 	}
 	require.Positive(t, l.Dropped())
 	l.Close(time.Second)
-	got := s.kinds(t)
+	got := b.countByKind(t)
 	require.Equal(t, seconds, got[string(UpstreamState)])
 	require.InDelta(t, seconds*10+10*burstSeconds, got[string(Refused)]+got[string(Answered)], 15)
 	require.Greater(t, got[string(Refused)], 3*got[string(Answered)])
@@ -109,40 +113,41 @@
 	require.LessOrEqual(t, got[string(LinesDropped)], seconds, "once a second at most")
 }
 
-// TestNobodyReads has a standard output that stands still: writers never wait.
-func TestNobodyReads(t *testing.T) {
-	l, s, c := newLog(Options{Buffer: 8})
-	s.mu.Lock()
+// TestWritersNeverBlock writes lines while the output is blocked, as when nobody reads
+// standard output: lines beyond the queue are dropped instead of blocking the caller.
+func TestWritersNeverBlock(t *testing.T) {
+	l, b, c := newTestLog(Options{BufferLines: 8})
+	b.mu.Lock()
 	for i := range 1000 {
 		l.Write(UpstreamState, "", slog.Int("i", i))
-		c.pass(time.Millisecond)
+		c.advance(time.Millisecond)
 	}
 	dropped := l.Dropped()
-	s.mu.Unlock()
+	b.mu.Unlock()
 	require.GreaterOrEqual(t, dropped, int64(1000-8-2))
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	require.Eventually(t, func() bool { return len(l.lines) == 0 }, 20*time.Second, time.Millisecond)
 	l.Write(UpstreamState, "")
 	l.Close(time.Second)
-	require.Equal(t, 1, s.kinds(t)[string(LinesDropped)])
+	require.Equal(t, 1, b.countByKind(t)[string(LinesDropped)])
 }
 
-func TestClosedAndNil(t *testing.T) {
-	var none *Log
-	none.Write(Answered, "x")
-	none.Close(0)
-	require.False(t, none.Sampled("x"))
-	l, s, _ := newLog(Options{})
+func TestWriteAfterCloseAndToNilLog(t *testing.T) {
+	var nilLog *Log
+	nilLog.Write(Answered, "x")
+	nilLog.Close(0)
+	require.False(t, nilLog.Sampled("x"))
+	l, b, _ := newTestLog(Options{})
 	l.Write(Started, "")
 	l.Close(time.Second)
 	l.Close(time.Second)
 	l.Write(Stopped, "")
-	require.Equal(t, map[string]int{string(Started): 1}, s.kinds(t))
+	require.Equal(t, map[string]int{string(Started): 1}, b.countByKind(t))
 }
 
-// TestDeclarationsAreComplete holds every constant to one declaration and to a use
-// outside this package.
-func TestDeclarationsAreComplete(t *testing.T) {
+// TestEveryKindIsDeclaredAndUsed checks that each Kind constant has exactly one declaration
+// and is used in non-test code other than kinds.go.
+func TestEveryKindIsDeclaredAndUsed(t *testing.T) {
 	text, err := os.ReadFile("kinds.go")
 	require.NoError(t, err)
 	names := regexp.MustCompile(`(?m)^\t(\w+)\s+Kind = "`).FindAllStringSubmatch(string(text), -1)
@@ -172,8 +177,9 @@
 	}
 }
 
-// TestPage compares docs/LOGS.md with the declarations.
-func TestPage(t *testing.T) {
+// TestLogsPageMatchesDeclarations checks that the table in docs/LOGS.md is what Page
+// returns.
+func TestLogsPageMatchesDeclarations(t *testing.T) {
 	page, err := os.ReadFile("../docs/LOGS.md")
 	require.NoError(t, err)
 	_, table, ok := strings.Cut(string(page), "<!-- kinds -->\n")
--- a/decision/logger_test.go
+++ b/decision/logger_test.go
@@ -9,36 +9,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// halted is a writer that waits until it is let go.
-type halted struct {
+// blockingWriter is a writer that blocks until release is closed. It sends on started when
+// a write begins.
+type blockingWriter struct {
 	bytes.Buffer
-	begun, release chan struct{}
+	started, release chan struct{}
 }
 
-func (h *halted) Write(p []byte) (int, error) {
+func (w *blockingWriter) Write(p []byte) (int, error) {
 	select {
-	case h.begun <- struct{}{}:
+	case w.started <- struct{}{}:
 	default:
 	}
-	<-h.release
-	return h.Buffer.Write(p)
+	<-w.release
+	return w.Buffer.Write(p)
 }
 
-func TestLoggerWaitsForNoReader(t *testing.T) {
-	out := &halted{begun: make(chan struct{}, 1), release: make(chan struct{})}
-	const room = 4
-	l := New(Options{Handler: slog.NewJSONHandler(out, nil), Buffer: room})
+func TestLoggerDoesNotBlock(t *testing.T) {
+	out := &blockingWriter{started: make(chan struct{}, 1), release: make(chan struct{})}
+	const capacity = 4
+	l := New(Options{Handler: slog.NewJSONHandler(out, nil), BufferLines: capacity})
 	logger := l.Logger().With("part", "p").WithGroup("g")
 	logger.Info("first", "n", 1)
-	<-out.begun
-	for range room + 3 {
+	<-out.started
+	for range capacity + 3 {
 		logger.Info("more")
 	}
 	require.EqualValues(t, 3, l.Dropped())
 	close(out.release)
 	l.Close(time.Minute)
 	require.Contains(t, out.String(), `"msg":"first","part":"p","g":{"n":1}`)
-	require.Equal(t, 1+room, bytes.Count(out.Bytes(), []byte("\n")))
-	logger.Info("after the end")
+	require.Equal(t, 1+capacity, bytes.Count(out.Bytes(), []byte("\n")))
+	logger.Info("after Close")
 	require.EqualValues(t, 4, l.Dropped())
 }
--- a/decision/page.go
+++ b/decision/page.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// classes tells how long lines of a class are kept.
-var classes = map[Class]string{
+// classRetention states for each class which of its lines are kept.
+var classRetention = map[Class]string{
 	Plain:   "sampled, dropped first",
 	Trouble: "within the budget",
 	State:   "always",
 }
 
-// Page returns the table of all kinds for docs/LOGS.md.
+// Page returns the Markdown table of all kinds for docs/LOGS.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString("| `msg` | tells | fields | kept |\n|---|---|---|---|\n")
 	for _, d := range Declarations() {
-		fmt.Fprintf(&b, "| %s | %s | `%s` | %s |\n", d.Kind, d.Description, strings.Join(d.Fields, "`, `"), classes[d.Class])
+		fmt.Fprintf(&b, "| %s | %s | `%s` | %s |\n", d.Kind, d.Description, strings.Join(d.Fields, "`, `"), classRetention[d.Class])
 	}
 	return b.String()
 }
--- a/operator/linearizable_test.go
+++ b/operator/linearizable_test.go
@@ -17,30 +17,29 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// proposed is what an operator asked for: a change on a base.
-type proposed struct{ base model.Version }
+// proposeInput is the input of one proposal: its base version.
+type proposeInput struct{ baseVersion model.Version }
 
-// told is what the operator was told.
-type told struct {
-	verdict string
-	version model.Version
+// proposeOutput is the result of one proposal.
+type proposeOutput struct {
+	decision string
+	version  model.Version
 }
 
-// versions is the register that operators compare and set: its state is the
-// current version. An operator who was told that the verdict is unknown may
-// have been accepted in its turn, or not.
-var versions = porcupine.NondeterministicModel{
+// versionRegister models the configuration as a compare-and-set register whose state is the
+// current version. A proposal whose decision is unknown may or may not have been accepted.
+var versionRegister = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{model.Version(1)} },
 	Step: func(state, input, output any) []any {
-		current, in, out := state.(model.Version), input.(proposed), output.(told)
+		current, in, out := state.(model.Version), input.(proposeInput), output.(proposeOutput)
 		switch {
-		case out.verdict == "accepted" && in.base == current && out.version == current+1:
+		case out.decision == "accepted" && in.baseVersion == current && out.version == current+1:
 			return []any{current + 1}
-		case out.verdict == "superseded" && in.base < current:
+		case out.decision == "superseded" && in.baseVersion < current:
 			return []any{current}
-		case out.verdict == "unknown" && in.base == current:
+		case out.decision == "unknown" && in.baseVersion == current:
 			return []any{current, current + 1}
-		case out.verdict == "unknown":
+		case out.decision == "unknown":
 			return []any{current}
 		default:
 			return nil
@@ -50,26 +49,26 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%v -> %v", in, out) },
 }
 
-// TestOperatorsSeeOneOrderOfVersions lets operators race over a log that loses
-// replies, takes appends twice and is down now and then, and checks that what
-// they are told fits one order of changes.
-func TestOperatorsSeeOneOrderOfVersions(t *testing.T) {
+// TestProposalsAreLinearizable lets operators publish concurrently on a log that loses
+// replies, duplicates appends and is sometimes unavailable. The results of all proposals
+// must be consistent with one order of changes.
+func TestProposalsAreLinearizable(t *testing.T) {
 	for seed := range 5 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
 				log := recordlog.NewFaultyLog(&recordlog.Memory{})
-				propose(t, log, Proposal{Documents: []policy.Document{service("a", "1s")}})
+				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 				var mu sync.Mutex
 				var history []porcupine.Operation
-				verdicts := map[string]int{}
+				decisions := map[string]int{}
 				var wg sync.WaitGroup
 				for client := range 4 {
 					wg.Go(func() {
 						for i := range 6 {
-							op := race(t.Context(), log, client, i)
+							op := proposeOnCurrent(t.Context(), log, client, i)
 							mu.Lock()
 							history = append(history, op)
-							verdicts[op.Output.(told).verdict]++
+							decisions[op.Output.(proposeOutput).decision]++
 							mu.Unlock()
 						}
 					})
@@ -80,17 +79,17 @@
 				}
 				log.SetFaults(recordlog.Faults{Latency: 30 * time.Millisecond})
 				wg.Wait()
-				require.True(t, porcupine.CheckOperations(versions.ToModel(), history), "%v", history)
-				require.Positive(t, verdicts["accepted"])
-				require.Positive(t, verdicts["superseded"])
+				require.True(t, porcupine.CheckOperations(versionRegister.ToModel(), history), "%v", history)
+				require.Positive(t, decisions["accepted"])
+				require.Positive(t, decisions["superseded"])
 			})
 		})
 	}
 }
 
-// race proposes a change on the version that the operator sees, after a moment
-// in which others may come first.
-func race(ctx context.Context, log recordlog.Log, client, i int) porcupine.Operation {
+// proposeOnCurrent proposes a change based on the version that it reads first. Changes of
+// other operators may be accepted between the read and the proposal.
+func proposeOnCurrent(ctx context.Context, log recordlog.Log, client, i int) porcupine.Operation {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	view, err := NewView(ctx, log)
@@ -99,16 +98,16 @@
 		view, err = NewView(ctx, log)
 	}
 	base := view.State().Version
-	op := porcupine.Operation{ClientId: client, Input: proposed{base: base}, Call: time.Now().UnixNano()}
-	doc := service(fmt.Sprint("c", client), fmt.Sprint(i+1, "s"))
+	op := porcupine.Operation{ClientId: client, Input: proposeInput{baseVersion: base}, Call: time.Now().UnixNano()}
+	doc := serviceDocument(fmt.Sprint("c", client), fmt.Sprint(i+1, "s"))
 	res, err := Propose(ctx, log, Proposal{Base: base, Documents: []policy.Document{doc}})
 	op.Return = time.Now().UnixNano()
-	op.Output = told{verdict: verdictOf(err), version: res.Version}
+	op.Output = proposeOutput{decision: decisionName(err), version: res.Version}
 	time.Sleep(time.Duration(10+17*client) * time.Millisecond)
 	return op
 }
 
-func verdictOf(err error) string {
+func decisionName(err error) string {
 	var superseded *SupersededError
 	switch {
 	case err == nil:
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -16,13 +16,14 @@
 
 const (
 	quarantinePath = "/v1/quarantine"
-	maxAdminAnswer = 4 << 20
+	// maxAdminResponse limits the length of a response body, in bytes.
+	maxAdminResponse = 4 << 20
 )
 
-// ListQuarantined asks a daemon, by its admin address, which requests are suspected
-// or refused because they kill upstreams.
+// ListQuarantined queries a daemon at its admin address for the requests that are suspected
+// of crashing upstreams, or refused because they do.
 func ListQuarantined(ctx context.Context, admin string) ([]store.Entry, error) {
-	body, err := askAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
+	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
 		return nil, err
 	}
@@ -33,14 +34,14 @@
 	return entries, nil
 }
 
-// ReleaseQuarantined frees a request; the daemon hands the release on. It must
-// be asked on the daemon's own VM.
+// ReleaseQuarantined removes a request from the quarantine. The daemon relays the release to
+// the other daemons. It accepts this call only from its own VM.
 func ReleaseQuarantined(ctx context.Context, admin string, f quarantine.Fingerprint) error {
-	_, err := askAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
+	_, err := callAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
 	return err
 }
 
-// AdminError tells what a daemon answered instead of success.
+// AdminError is an error response of a daemon's admin interface.
 type AdminError struct {
 	Status  int
 	Message string
@@ -48,10 +49,12 @@
 
 // Error returns status and message.
 func (e *AdminError) Error() string {
-	return fmt.Sprintf("daemon answered %d: %s", e.Status, e.Message)
+	return fmt.Sprintf("daemon responded with status %d: %s", e.Status, e.Message)
 }
 
-func askAdmin(ctx context.Context, method, url string) ([]byte, error) {
+// callAdmin sends a request to a daemon's admin interface and returns the response body. It
+// returns an *AdminError if the status is 400 or above.
+func callAdmin(ctx context.Context, method, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return nil, err
@@ -62,7 +65,7 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminResponse))
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +87,7 @@
 		case len(e.Crashes) == 0:
 			state = "cleared"
 		}
-		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Fingerprint, state, e.Service, named(e.Caller), len(e.Crashes), until, e.Request)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Fingerprint, state, e.Service, callerLabel(e.Caller), len(e.Crashes), until, e.Request)
 	}
 	_ = t.Flush()
 }
--- a/operator/view.go
+++ b/operator/view.go
@@ -11,56 +11,59 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// Entry is one change on the log.
-type Entry struct {
+// HistoryEntry is one change on the log and how it was decided.
+type HistoryEntry struct {
 	Offset uint64
-	// Verdict is what the fold decided; Version is the version after it.
+	// Verdict is the decision of the state machine. Version is the current version after
+	// it.
 	Verdict config.Decision
 	Version model.Version
 	Change  config.Change
-	// Problem says why the change is invalid.
+	// Problem states why the change is invalid. It is nil for other changes.
 	Problem error
 }
 
-// View is the config stream as read so far.
+// View is the configuration and its history as read from the log so far.
 type View struct {
-	log     recordlog.Log
-	folder  *config.StateMachine
-	entries []Entry
-	// want is a version whose state is kept while reading.
-	want model.Version
-	kept *config.State
+	log          recordlog.Log
+	stateMachine *config.StateMachine
+	entries      []HistoryEntry
+	// keepVersion is the version whose state is stored in keptState when it is reached.
+	// Zero means none.
+	keepVersion model.Version
+	keptState   *config.State
 }
 
-const readLimit = 1024
+// maxRecordsPerRead is the maximum number of records requested from the log at once.
+const maxRecordsPerRead = 1024
 
-// NewView reads the config stream to its end.
+// NewView reads the configuration stream of the log to its end.
 func NewView(ctx context.Context, log recordlog.Log) (*View, error) {
 	return newView(ctx, log, 0)
 }
 
-func newView(ctx context.Context, log recordlog.Log, want model.Version) (*View, error) {
-	v := &View{log: log, folder: configuration.NewStateMachine(), want: want}
+func newView(ctx context.Context, log recordlog.Log, keepVersion model.Version) (*View, error) {
+	v := &View{log: log, stateMachine: configuration.NewStateMachine(), keepVersion: keepVersion}
 	return v, v.Advance(ctx)
 }
 
-// State returns the state at the end of what was read.
-func (v *View) State() config.State { return v.folder.State() }
+// State returns the configuration after the last record that was read.
+func (v *View) State() config.State { return v.stateMachine.State() }
 
 // Entries returns the changes that were read, oldest first.
-func (v *View) Entries() []Entry { return v.entries }
+func (v *View) Entries() []HistoryEntry { return v.entries }
 
-// ErrNoCheckpoint tells that the log was trimmed and holds no checkpoint that
-// covers what is missing.
-var ErrNoCheckpoint = errors.New("the log no longer holds its first records, nor a checkpoint that covers them: ask a daemon")
+// ErrNoCheckpoint means that the log was trimmed and holds no checkpoint that covers the
+// missing records.
+var ErrNoCheckpoint = errors.New("the log was trimmed and holds no checkpoint that covers the missing records: the daemons may still hold the configuration")
 
-// Advance reads what the log has had since.
+// Advance reads the records that were appended since the last read.
 func (v *View) Advance(ctx context.Context) error {
 	for {
-		batch, err := v.log.Read(ctx, recordlog.StreamConfig, recordlog.Offset(v.folder.Next()), readLimit)
+		batch, err := v.log.Read(ctx, recordlog.StreamConfig, recordlog.Offset(v.stateMachine.Next()), maxRecordsPerRead)
 		var trimmed *recordlog.TrimmedError
 		if errors.As(err, &trimmed) {
-			if err := v.recover(ctx, trimmed.Oldest); err != nil {
+			if err := v.restoreCheckpoint(ctx, trimmed.Oldest); err != nil {
 				return err
 			}
 			continue
@@ -69,36 +72,39 @@
 			return err
 		}
 		for _, r := range batch.Records {
-			v.fold(r)
+			v.apply(r)
 		}
-		if v.folder.Next() >= uint64(batch.Next) {
+		if v.stateMachine.Next() >= uint64(batch.Next) {
 			return nil
 		}
 	}
 }
 
-func (v *View) fold(r recordlog.Record) {
-	res := v.folder.ApplyRecord(uint64(r.Offset), r.Data)
+// apply applies a record to the state machine and adds its change to the history.
+func (v *View) apply(r recordlog.Record) {
+	res := v.stateMachine.ApplyRecord(uint64(r.Offset), r.Data)
 	if res.Change != nil {
-		v.entries = append(v.entries, Entry{
+		v.entries = append(v.entries, HistoryEntry{
 			Offset: uint64(r.Offset), Verdict: res.Decision, Version: res.Version,
 			Change: *res.Change, Problem: res.Problem,
 		})
 	}
-	if res.Decision == config.Accepted && res.Version == v.want {
-		s := v.folder.State()
-		v.kept = &s
+	if res.Decision == config.Accepted && res.Version == v.keepVersion {
+		s := v.stateMachine.State()
+		v.keptState = &s
 	}
 }
 
-func (v *View) recover(ctx context.Context, oldest recordlog.Offset) error {
+// restoreCheckpoint restores the state machine from the first checkpoint at or after oldest that
+// covers all records before oldest. It returns ErrNoCheckpoint if there is none.
+func (v *View) restoreCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
-		batch, err := v.log.Read(ctx, recordlog.StreamConfig, from, readLimit)
+		batch, err := v.log.Read(ctx, recordlog.StreamConfig, from, maxRecordsPerRead)
 		if err != nil {
 			return err
 		}
 		for _, r := range batch.Records {
-			if v.folder.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
+			if v.stateMachine.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 				return nil
 			}
 			from = r.Offset + 1
@@ -109,35 +115,36 @@
 	}
 }
 
-// find returns the first record of a change, which decided about it.
-func (v *View) find(id string) (Entry, bool) {
+// findChange returns the change with an id. If the change was appended more than once, only
+// the first record was decided; later ones are duplicates.
+func (v *View) findChange(id string) (HistoryEntry, bool) {
 	for _, e := range v.entries {
 		if e.Change.ID == id && e.Verdict != config.Duplicate {
 			return e, true
 		}
 	}
-	return Entry{}, false
+	return HistoryEntry{}, false
 }
 
-// made returns the change that made a version.
-func (v *View) made(version model.Version) (Entry, bool) {
+// changeOfVersion returns the change that created a version.
+func (v *View) changeOfVersion(version model.Version) (HistoryEntry, bool) {
 	for _, e := range v.entries {
 		if e.Verdict == config.Accepted && e.Version == version {
 			return e, true
 		}
 	}
-	return Entry{}, false
+	return HistoryEntry{}, false
 }
 
-// StateAt returns the configuration of an earlier version, as long as the log
-// still holds it.
+// StateAt returns the configuration of a version. It fails if the log does not hold the
+// changes that lead to that version.
 func StateAt(ctx context.Context, log recordlog.Log, version model.Version) (config.State, error) {
 	v, err := newView(ctx, log, version)
 	if err != nil {
 		return config.State{}, err
 	}
-	if v.kept == nil {
-		return config.State{}, fmt.Errorf("version %d is not on the log: it holds versions up to %d", version, v.folder.Version())
+	if v.keptState == nil {
+		return config.State{}, fmt.Errorf("version %d is not on the log: it holds versions up to %d", version, v.stateMachine.Version())
 	}
-	return *v.kept, nil
+	return *v.keptState, nil
 }
--- /dev/null
+++ b/why/timeline.go
@@ -0,0 +1,199 @@
+package why
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/decision"
+)
+
+// contextWindow is how long before and after a request state changes are included in its
+// timeline. Daemons correct outdated state within a few seconds, so changes further away
+// did not affect the request.
+const contextWindow = 5 * time.Second
+
+// Timeline is a list of decision lines about one subject, ordered by time.
+type Timeline struct {
+	Subject string `json:"about"`
+	// Outcome describes how a request ended. It is empty for other subjects.
+	Outcome string  `json:"outcome,omitempty"`
+	Events  []Event `json:"events"`
+	// UnreadableLines counts the lines that could not be parsed.
+	UnreadableLines int `json:"damaged_lines"`
+}
+
+// Event is one line of a timeline.
+type Event struct {
+	// AtMS is the time since the first event, in milliseconds.
+	AtMS   float64           `json:"at_ms"`
+	Time   time.Time         `json:"time"`
+	Daemon string            `json:"daemon"`
+	Kind   string            `json:"kind"`
+	Fields map[string]string `json:"fields,omitempty"`
+	// orderedFields are the fields in the order of the line.
+	orderedFields []Field
+	// Context is true if the line is not about the request itself but about a state
+	// change that may explain its outcome.
+	Context bool `json:"context,omitempty"`
+}
+
+// RequestTimeline returns the lines about a request, together with the state changes around
+// it that may explain its outcome: changes of the upstreams that it was sent to, and changes
+// of the configuration, the store and the peers at the daemons that handled it.
+func (l *Log) RequestTimeline(id string) Timeline {
+	t := Timeline{Subject: "request " + id, UnreadableLines: l.UnreadableLines}
+	var requestLines []Line
+	daemons, upstreams := map[string]bool{}, map[string]bool{}
+	for i := range l.Lines {
+		line := &l.Lines[i]
+		if line.Request != id {
+			continue
+		}
+		requestLines = append(requestLines, *line)
+		daemons[line.Daemon] = true
+		for _, name := range []string{"upstream", "instead_of"} {
+			if upstream := upstreamID(line.Get(name)); upstream != "" {
+				upstreams[upstream] = true
+			}
+		}
+		if endsRequest(line.Kind) {
+			t.Outcome = describeOutcome(line)
+		}
+	}
+	if len(requestLines) == 0 {
+		return t
+	}
+	from, to := requestLines[0].Time.Add(-contextWindow), requestLines[len(requestLines)-1].Time.Add(contextWindow)
+	for i := range l.Lines {
+		line := &l.Lines[i]
+		if line.Request == id {
+			t.add(line, false)
+		} else if line.Request == "" && !line.Time.Before(from) && !line.Time.After(to) && mayExplain(line, daemons, upstreams) {
+			t.add(line, true)
+		}
+	}
+	return t
+}
+
+// upstreamID returns the id of an upstream from the value of an upstream field. Entries
+// write "ADDRESS ID" with the address of the upstream's daemon, guards only the id.
+func upstreamID(field string) string { return field[strings.LastIndexByte(field, ' ')+1:] }
+
+// endsRequest reports whether a line of this kind records the end of a request at the entry.
+func endsRequest(kind string) bool {
+	return slices.Contains([]decision.Kind{decision.Answered, decision.Refused, decision.Failed}, decision.Kind(kind))
+}
+
+// describeOutcome returns a text such as "request failed with 504 after 300 ms: deadline".
+func describeOutcome(l *Line) string {
+	out := fmt.Sprintf("%s with %s after %s ms", l.Kind, l.Get("status"), l.Get("took_ms"))
+	if r := l.Get("reason"); r != "" {
+		out += ": " + r
+	}
+	return out
+}
+
+// mayExplain reports whether a line records a state change that may have affected a request
+// that these daemons and upstreams handled.
+func mayExplain(l *Line, daemons, upstreams map[string]bool) bool {
+	switch decision.Kind(l.Kind) {
+	case decision.UpstreamState, decision.PeerState:
+		return upstreams[upstreamID(l.Get("upstream"))]
+	case decision.ConfigInForce, decision.ConfigRefused, decision.StoreUnreachable, decision.StoreReachable, decision.Started,
+		decision.Stopping, decision.Stopped, decision.Reloaded, decision.PeersLearned, decision.PeerUnreachable, decision.PeerReachable, decision.LinesDropped:
+		return daemons[l.Daemon]
+	default:
+		return false
+	}
+}
+
+// UpstreamTimeline returns the lines about an upstream: its state as it reported it, its
+// state as seen by other daemons, invalid reports, and requests that failed there.
+func (l *Log) UpstreamTimeline(id string) Timeline {
+	t := Timeline{Subject: "upstream " + id, UnreadableLines: l.UnreadableLines}
+	for i := range l.Lines {
+		line := &l.Lines[i]
+		if upstreamID(line.Get("upstream")) != id {
+			continue
+		}
+		switch decision.Kind(line.Kind) {
+		case decision.UpstreamState, decision.PeerState, decision.RunFailed, decision.ReportRefused:
+			t.add(line, false)
+		}
+	}
+	return t
+}
+
+// ConfigurationTimeline returns the lines that show when each daemon put the version, or a
+// later one that skipped it, in force and where it got it from, and the lines about
+// daemons that refused the version.
+func (l *Log) ConfigurationTimeline(version uint64) Timeline {
+	t := Timeline{Subject: fmt.Sprintf("configuration %d", version), UnreadableLines: l.UnreadableLines}
+	for i := range l.Lines {
+		line := &l.Lines[i]
+		kind := decision.Kind(line.Kind)
+		at, errAt := strconv.ParseUint(line.Get("version"), 10, 64)
+		before, errBefore := strconv.ParseUint(line.Get("previous"), 10, 64)
+		reached := errAt == nil && errBefore == nil && at >= version && before < version
+		if kind == decision.ConfigInForce && reached || kind == decision.ConfigRefused && at == version {
+			t.add(line, false)
+		}
+	}
+	return t
+}
+
+// add appends a line. context marks lines that are not about the subject itself.
+func (t *Timeline) add(l *Line, context bool) {
+	e := Event{Time: l.Time, Daemon: l.Daemon, Kind: l.Kind, Fields: make(map[string]string, len(l.Fields)), orderedFields: l.Fields, Context: context}
+	for _, f := range l.Fields {
+		e.Fields[f.Name] = f.Value
+	}
+	t.Events = append(t.Events, e)
+	e.AtMS = float64(e.Time.Sub(t.Events[0].Time)) / float64(time.Millisecond)
+	t.Events[len(t.Events)-1].AtMS = e.AtMS
+}
+
+// WriteText writes the timeline as text. Context lines start with a dot.
+func (t *Timeline) WriteText(w io.Writer) error {
+	if len(t.Events) == 0 {
+		_, err := fmt.Fprintf(w, "%s: not found in the logs (%d lines could not be read)\n", t.Subject, t.UnreadableLines)
+		return err
+	}
+	if _, err := fmt.Fprintf(w, "%s, from %s\n", t.Subject, t.Events[0].Time.Format(time.RFC3339Nano)); err != nil {
+		return err
+	}
+	for i := range t.Events {
+		e := &t.Events[i]
+		mark := " "
+		if e.Context {
+			mark = "."
+		}
+		var fields strings.Builder
+		for _, f := range e.orderedFields {
+			if f.Value != "" {
+				fmt.Fprintf(&fields, " %s=%s", f.Name, f.Value)
+			}
+		}
+		if _, err := fmt.Fprintf(w, "%s %9.1f ms  %-24s %s%s\n", mark, e.AtMS, e.Daemon, e.Kind, fields.String()); err != nil {
+			return err
+		}
+	}
+	if t.Outcome != "" {
+		if _, err := fmt.Fprintf(w, "outcome: %s\n", t.Outcome); err != nil {
+			return err
+		}
+	}
+	if t.UnreadableLines > 0 {
+		_, err := fmt.Fprintf(w, "%d lines could not be read\n", t.UnreadableLines)
+		return err
+	}
+	return nil
+}
+
+// WriteJSON writes the timeline as one JSON object.
+func (t *Timeline) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(t) }
--- /dev/null
+++ b/why/unanswered.go
@@ -0,0 +1,157 @@
+package why
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/decision"
+)
+
+// ExecutionCount states how often a request was executed, as far as the logs show.
+type ExecutionCount string
+
+// The execution counts.
+const (
+	NotAtAll     ExecutionCount = "not at all"
+	Once         ExecutionCount = "once"
+	AtMostOnce   ExecutionCount = "at most once"
+	PerhapsTwice ExecutionCount = "perhaps twice"
+)
+
+// UnansweredRequest is a request that is not idempotent and to which an upstream gave no
+// response.
+type UnansweredRequest struct {
+	Request string    `json:"request"`
+	Time    time.Time `json:"time"`
+	// Entry is the daemon that accepted the request from the caller. It is empty if the
+	// log of that daemon was not read.
+	Entry string `json:"entry,omitempty"`
+	// Upstreams are the upstreams that may have executed the request.
+	Upstreams []string `json:"upstreams"`
+	// CallerStatus is the HTTP status that the caller got. It is empty if not known.
+	CallerStatus string         `json:"told,omitempty"`
+	Executions   ExecutionCount `json:"fate"`
+}
+
+// UnansweredRequests lists the requests that are not idempotent and to which an upstream
+// gave no response.
+type UnansweredRequests struct {
+	Upstream        string              `json:"upstream"`
+	Requests        []UnansweredRequest `json:"requests"`
+	UnreadableLines int                 `json:"damaged_lines"`
+}
+
+// Unanswered returns the requests that are not idempotent and to which the upstream gave no
+// response, and how often each of them was executed.
+func (l *Log) Unanswered(upstream string) UnansweredRequests {
+	out := UnansweredRequests{Upstream: upstream, UnreadableLines: l.UnreadableLines}
+	linesByRequest := make(map[string][]*Line)
+	for i := range l.Lines {
+		line := &l.Lines[i]
+		if hasUnknownExecution(line, upstream) {
+			linesByRequest[line.Request] = nil
+		}
+	}
+	for i := range l.Lines {
+		line := &l.Lines[i]
+		if _, ok := linesByRequest[line.Request]; ok {
+			linesByRequest[line.Request] = append(linesByRequest[line.Request], line)
+		}
+	}
+	for id, lines := range linesByRequest {
+		out.Requests = append(out.Requests, summarizeRequest(id, lines))
+	}
+	slices.SortFunc(out.Requests, func(a, b UnansweredRequest) int {
+		return cmp.Or(a.Time.Compare(b.Time), strings.Compare(a.Request, b.Request))
+	})
+	return out
+}
+
+// hasUnknownExecution reports whether a line records that the upstream gave no response to a
+// request that is not idempotent.
+func hasUnknownExecution(l *Line, upstream string) bool {
+	if l.Request == "" || l.Get("idempotent") != "false" || upstreamID(l.Get("upstream")) != upstream {
+		return false
+	}
+	kind := decision.Kind(l.Kind)
+	return kind == decision.Failed || kind == decision.RunFailed && l.Get("outcome") == "unknown"
+}
+
+// mayHaveRun reports whether the upstream named in a line may have executed the request of
+// the line.
+func mayHaveRun(l *Line) bool {
+	switch decision.Kind(l.Kind) {
+	case decision.Ran, decision.Answered, decision.Failed:
+		return true
+	case decision.RunFailed:
+		return l.Get("outcome") != "not-run"
+	default:
+		return false
+	}
+}
+
+// summarizeRequest derives from the lines of a request, which must be ordered by time, how
+// often the request was executed.
+func summarizeRequest(id string, lines []*Line) UnansweredRequest {
+	out := UnansweredRequest{Request: id, Time: lines[0].Time}
+	answered, refused := false, false
+	for _, l := range lines {
+		kind := decision.Kind(l.Kind)
+		if up := upstreamID(l.Get("upstream")); mayHaveRun(l) && up != "" && !slices.Contains(out.Upstreams, up) {
+			out.Upstreams = append(out.Upstreams, up)
+		}
+		if endsRequest(l.Kind) {
+			out.Entry, out.CallerStatus = l.Daemon, l.Get("status")
+			answered = kind == decision.Answered
+			refused = kind == decision.Refused
+		}
+	}
+	switch {
+	case len(out.Upstreams) > 1:
+		out.Executions = PerhapsTwice
+	case answered:
+		out.Executions = Once
+	case refused && len(out.Upstreams) == 0:
+		out.Executions = NotAtAll
+	default:
+		out.Executions = AtMostOnce
+	}
+	return out
+}
+
+// WriteText writes the number of requests for each ExecutionCount, then the requests, as
+// text.
+func (l *UnansweredRequests) WriteText(w io.Writer) error {
+	requestsByCount := make(map[ExecutionCount]int)
+	for _, r := range l.Requests {
+		requestsByCount[r.Executions]++
+	}
+	_, err := fmt.Fprintf(w, "upstream %s: %d requests that must not run twice got no answer there\n", l.Upstream, len(l.Requests))
+	if err != nil {
+		return err
+	}
+	for _, c := range []ExecutionCount{NotAtAll, Once, AtMostOnce, PerhapsTwice} {
+		if _, err := fmt.Fprintf(w, "%6d ran %s\n", requestsByCount[c], c); err != nil {
+			return err
+		}
+	}
+	for _, r := range l.Requests {
+		_, err := fmt.Fprintf(w, "%s  %-24s %s  ran %s, told %s, upstreams %s\n", r.Time.Format(time.RFC3339Nano), r.Entry, r.Request,
+			r.Executions, r.CallerStatus, strings.Join(r.Upstreams, " "))
+		if err != nil {
+			return err
+		}
+	}
+	if l.UnreadableLines > 0 {
+		_, err = fmt.Fprintf(w, "%d lines could not be read\n", l.UnreadableLines)
+	}
+	return err
+}
+
+// WriteJSON writes the requests as one JSON object.
+func (l *UnansweredRequests) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(l) }
--- a/why/why_test.go
+++ b/why/why_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The logs of two daemons about a request that was given back, ran elsewhere and
-// came too late, in no order, one line cut, one with a collector's prefix.
+// entryLog and guardLog are the logs of two daemons about request r1: the guard rejected one
+// attempt, and another attempt exceeded the deadline. The lines are not ordered by time; one
+// is truncated, one has the prefix of a log collector.
 const (
 	entryLog = `{"time":"2026-01-01T00:00:01.300Z","level":"WARN","msg":"request failed","daemon":"a","request":"r1","route":"x","service":"s","upstream":"10.0.0.2:7 u2","reason":"deadline","status":504,"took_ms":300,"sends":1,"given_back":1,"config":4}
 {"time":"2026-01-01T00:00:00.500Z","level":"INFO","msg":"configuration in force","daemon":"a","version":4,"previous":2,"routes":3,"from":"store"}
@@ -27,7 +28,9 @@
 `
 )
 
-func read(t *testing.T) *Log {
+// readTestLogs reads both logs. The lines of guardLog do not name their daemon: they get the
+// name b.
+func readTestLogs(t *testing.T) *Log {
 	t.Helper()
 	var l Log
 	require.NoError(t, l.Read("b", strings.NewReader(guardLog)))
@@ -36,51 +39,52 @@
 	return &l
 }
 
-func kinds(s Story) []string {
+// daemonsAndKinds returns the daemon and the kind of each event.
+func daemonsAndKinds(timeline Timeline) []string {
 	var out []string
-	for _, e := range s.Events {
+	for _, e := range timeline.Events {
 		out = append(out, e.Daemon+": "+e.Kind)
 	}
 	return out
 }
 
-func TestRequest(t *testing.T) {
-	s := read(t).Request("r1")
+func TestRequestTimeline(t *testing.T) {
+	timeline := readTestLogs(t).RequestTimeline("r1")
 	require.Equal(t, []string{
 		"a: configuration in force", "a: peer state", "b: request given back", "b: run failed", "a: request failed",
 		"b: configuration in force",
-	}, kinds(s))
-	require.Equal(t, "request failed with 504 after 300 ms: deadline", s.Outcome)
-	require.Equal(t, 2, s.Damaged)
-	require.True(t, s.Events[0].Context)
-	require.False(t, s.Events[2].Context)
-	require.InDelta(t, 505, s.Events[2].AtMS, 0.01)
-	require.Equal(t, "full", s.Events[2].Fields["reason"])
+	}, daemonsAndKinds(timeline))
+	require.Equal(t, "request failed with 504 after 300 ms: deadline", timeline.Outcome)
+	require.Equal(t, 2, timeline.UnreadableLines)
+	require.True(t, timeline.Events[0].Context)
+	require.False(t, timeline.Events[2].Context)
+	require.InDelta(t, 505, timeline.Events[2].AtMS, 0.01)
+	require.Equal(t, "full", timeline.Events[2].Fields["reason"])
 	var text, json bytes.Buffer
-	require.NoError(t, s.WriteText(&text))
+	require.NoError(t, timeline.WriteText(&text))
 	require.Contains(t, text.String(), "outcome: request failed with 504")
 	require.Contains(t, text.String(), "2 lines could not be read")
-	require.NoError(t, s.WriteJSON(&json))
+	require.NoError(t, timeline.WriteJSON(&json))
 	require.Contains(t, json.String(), `"about":"request r1"`)
 }
 
-func TestUnknownRequest(t *testing.T) {
-	s := read(t).Request("nobody")
-	require.Empty(t, s.Events)
+func TestTimelineOfUnknownRequest(t *testing.T) {
+	timeline := readTestLogs(t).RequestTimeline("no-such-request")
+	require.Empty(t, timeline.Events)
 	var text bytes.Buffer
-	require.NoError(t, s.WriteText(&text))
-	require.Contains(t, text.String(), "no line tells of it")
+	require.NoError(t, timeline.WriteText(&text))
+	require.Contains(t, text.String(), "not found in the logs")
 }
 
-func TestUpstream(t *testing.T) {
-	require.Equal(t, []string{"a: peer state", "b: run failed"}, kinds(read(t).Upstream("u2")))
+func TestUpstreamTimeline(t *testing.T) {
+	require.Equal(t, []string{"a: peer state", "b: run failed"}, daemonsAndKinds(readTestLogs(t).UpstreamTimeline("u2")))
 }
 
-func TestConfiguration(t *testing.T) {
-	l := read(t)
-	require.Equal(t, []string{"a: configuration in force", "b: configuration in force"}, kinds(l.Configuration(3)), "a later version counts")
-	require.Equal(t, []string{"b: configuration in force"}, kinds(l.Configuration(5)))
-	require.Empty(t, l.Configuration(6).Events)
+func TestConfigurationTimeline(t *testing.T) {
+	l := readTestLogs(t)
+	require.Equal(t, []string{"a: configuration in force", "b: configuration in force"}, daemonsAndKinds(l.ConfigurationTimeline(3)), "a later version counts")
+	require.Equal(t, []string{"b: configuration in force"}, daemonsAndKinds(l.ConfigurationTimeline(5)))
+	require.Empty(t, l.ConfigurationTimeline(6).Events)
 }
 
 func FuzzRead(f *testing.F) {
@@ -98,16 +102,17 @@
 	})
 }
 
-// TestPeersLearnedExplains keeps the line that many upstreams share with the requests of
-// its daemon.
-func TestPeersLearnedExplains(t *testing.T) {
-	l := read(t)
+// TestRequestTimelineIncludesPeersLearned checks that "peers learned", one line for many
+// upstreams, is part of the timelines of requests that the same daemon handled, and of no
+// others.
+func TestRequestTimelineIncludesPeersLearned(t *testing.T) {
+	l := readTestLogs(t)
 	const line = `{"time":"2026-01-01T00:00:00.930Z","level":"INFO","msg":"peers learned","learned":278,"ready":294,"peers":294,"unheard":0,"missing":""}`
 	for _, daemon := range []string{"a", "c"} {
 		require.NoError(t, l.Read(daemon, strings.NewReader(line)))
 	}
 	l.Sort()
-	told := kinds(l.Request("r1"))
-	require.Contains(t, told, "a: peers learned")
-	require.NotContains(t, told, "c: peers learned", "no daemon of the request")
+	events := daemonsAndKinds(l.RequestTimeline("r1"))
+	require.Contains(t, events, "a: peers learned")
+	require.NotContains(t, events, "c: peers learned", "daemon c did not handle the request")
 }
