--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -25,32 +25,32 @@
 	f.Add("GET / HTTP/1.1\r\nHost: h\r\nDottereltiller-Hop-Id: 1\r\nDottereltiller-Hop-Timeout-Us: 9223372036854775807\r\n\r\n")
 	f.Add("GET / HTTP/1.1\r\nHost: h\r\nDottereltiller-Hop-Id: \r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
+		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			return
 		}
-		c, err := ReadCall(r)
+		call, err := ReadCall(req)
 		if err != nil {
 			return
 		}
-		require.NotEmpty(t, c.ID)
-		require.GreaterOrEqual(t, c.Timeout, time.Duration(0))
-		for name := range c.Header {
-			require.False(t, strings.HasPrefix(name, hopPrefix), name)
+		require.NotEmpty(t, call.ID)
+		require.GreaterOrEqual(t, call.Timeout, time.Duration(0))
+		for name := range call.Header {
+			require.False(t, strings.HasPrefix(name, internalPrefix), name)
 		}
-		sent := r.Clone(t.Context())
-		sent.Header = c.Header.Clone()
-		c.SetInternalHeaders(sent.Header)
-		again, err := ReadCall(sent)
+		forwarded := req.Clone(t.Context())
+		forwarded.Header = call.Header.Clone()
+		call.SetInternalHeaders(forwarded.Header)
+		decoded, err := ReadCall(forwarded)
 		require.NoError(t, err)
-		again.Body, c.Body = nil, nil
-		require.Equal(t, c, again)
+		decoded.Body, call.Body = nil, nil
+		require.Equal(t, call, decoded)
 	})
 }
 
-// FuzzAnswerPath takes an upstream's answer from the wire through the hop
+// FuzzResultRoundTrip takes an upstream's answer from the wire through the hop
 // between two daemons. It arrives as it was, or does not look whole.
-func FuzzAnswerPath(f *testing.F) {
+func FuzzResultRoundTrip(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole", "POST")
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", "POST")
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\nX-Sum: 1\r\n\r\n", "GET")
@@ -68,19 +68,19 @@
 		want, wantErr := io.ReadAll(resp.Body)
 		resp, err = read()
 		require.NoError(t, err)
-		a := ResultFromResponse(resp)
-		StripInternalHeaders(a.Header)
-		StripHopByHopHeaders(a.Header)
+		result := ResultFromResponse(resp)
+		StripInternalHeaders(result.Header)
+		StripHopByHopHeaders(result.Header)
 
-		rec := httptest.NewRecorder()
-		aborted := writeRecovered(rec, a, "id-1")
+		recorder := httptest.NewRecorder()
+		aborted := writeResultAborted(recorder, result, "id-1")
 		require.Equal(t, wantErr != nil, aborted, "an answer that breaks off must break off again")
 		if aborted {
 			return
 		}
-		_, err = ReadResult(rec.Result(), "id-2")
+		_, err = ReadResult(recorder.Result(), "id-2")
 		require.ErrorIs(t, err, ErrIDMismatch)
-		got, err := ReadResult(rec.Result(), "id-1")
+		got, err := ReadResult(recorder.Result(), "id-1")
 		require.NoError(t, err)
 		require.Equal(t, outcome.Done(), got.Outcome)
 		require.Equal(t, resp.StatusCode, got.Status)
@@ -88,22 +88,22 @@
 		require.NoError(t, err)
 		require.Equal(t, string(want), string(body))
 		for name := range maps.Keys(got.Header) {
-			require.False(t, strings.HasPrefix(name, hopPrefix), name)
+			require.False(t, strings.HasPrefix(name, internalPrefix), name)
 		}
 	})
 }
 
-// writeRecovered reports whether WriteResult aborted the connection.
-func writeRecovered(rec *httptest.ResponseRecorder, a *Result, id string) (aborted bool) {
+// writeResultAborted reports whether WriteResult aborted the connection.
+func writeResultAborted(recorder *httptest.ResponseRecorder, r *Result, id string) (aborted bool) {
 	defer func() {
-		if r := recover(); r != nil {
-			if r != http.ErrAbortHandler {
-				panic(r)
+		if v := recover(); v != nil {
+			if v != http.ErrAbortHandler {
+				panic(v)
 			}
 			aborted = true
 		}
 	}()
-	WriteResult(rec, a, id)
+	WriteResult(recorder, r, id)
 	return false
 }
 
@@ -112,27 +112,27 @@
 	f.Add("1 2 3 4 NaN true 7")
 	f.Add("1 2 3")
 	f.Fuzz(func(t *testing.T, text string) {
-		l, err := parseLoad(text)
+		load, err := parseLoad(text)
 		if err != nil {
 			return
 		}
-		require.True(t, l.FailureRate >= 0 && l.FailureRate <= 1, "share of failures %v", l.FailureRate)
-		require.True(t, l.Running >= 0 && l.Waiting >= 0 && l.ServiceTime >= 0)
-		again, err := parseLoad(formatLoad(l))
+		require.True(t, load.FailureRate >= 0 && load.FailureRate <= 1, "share of failures %v", load.FailureRate)
+		require.True(t, load.Running >= 0 && load.Waiting >= 0 && load.ServiceTime >= 0)
+		reparsed, err := parseLoad(formatLoad(load))
 		require.NoError(t, err)
-		require.Equal(t, l.Seq, again.Seq)
-		require.InDelta(t, l.FailureRate, again.FailureRate, 0.001)
+		require.Equal(t, load.Seq, reparsed.Seq)
+		require.InDelta(t, load.FailureRate, reparsed.FailureRate, 0.001)
 	})
 }
 
-func TestAnswerWithoutResponseIsBound(t *testing.T) {
+func TestResultWithoutResponseCarriesCallID(t *testing.T) {
 	o := outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonDraining, RetryAfter: 2 * time.Second}
-	rec := httptest.NewRecorder()
-	WriteResult(rec, NoResponse(o), "id-1")
-	a, err := ReadResult(rec.Result(), "id-1")
+	recorder := httptest.NewRecorder()
+	WriteResult(recorder, NoResponse(o), "id-1")
+	result, err := ReadResult(recorder.Result(), "id-1")
 	require.NoError(t, err)
-	require.Equal(t, o, a.Outcome)
-	body, err := io.ReadAll(a.Body)
+	require.Equal(t, o, result.Outcome)
+	body, err := io.ReadAll(result.Body)
 	require.NoError(t, err)
 	require.True(t, bytes.Equal(body, nil))
 }
--- a/wire/header.go
+++ b/wire/header.go
@@ -32,31 +32,31 @@
 // RefusedBeforeStart is the value of HeaderRefused.
 const RefusedBeforeStart = "before-start"
 
-// hopPrefix starts every header that is used between daemons only. Such
+// internalPrefix starts every header that is used between daemons only. Such
 // headers are dropped when they come from a caller or an upstream.
-const hopPrefix = "Dottereltiller-Hop-"
+const internalPrefix = "Dottereltiller-Hop-"
 
 // Headers between daemons.
 const (
-	HeaderDestination = hopPrefix + "Kind"
-	HeaderAuth        = hopPrefix + "Auth"
-	headerID          = hopPrefix + "Id"
-	headerUpstream    = hopPrefix + "Upstream"
-	headerIncarnation = hopPrefix + "Incarnation"
-	headerService     = hopPrefix + "Service"
-	headerGroup       = hopPrefix + "Group"
-	headerCaller      = hopPrefix + "Caller"
-	headerIdempotent  = hopPrefix + "Idempotent"
-	headerAttempt     = hopPrefix + "Attempt"
-	headerDepth       = hopPrefix + "Depth"
-	headerKey         = hopPrefix + "Key"
-	headerTimeout     = hopPrefix + "Timeout-Us"
-	headerPatience    = hopPrefix + "Patience-Us"
-	headerHost        = hopPrefix + "Host"
-	headerOutcome     = hopPrefix + "Outcome"
-	headerReason      = hopPrefix + "Reason"
-	headerRetryAfter  = hopPrefix + "Retry-After-Ms"
-	headerLoad        = hopPrefix + "Load"
+	HeaderDestination  = internalPrefix + "Kind"
+	HeaderAuth         = internalPrefix + "Auth"
+	headerID           = internalPrefix + "Id"
+	headerUpstream     = internalPrefix + "Upstream"
+	headerIncarnation  = internalPrefix + "Incarnation"
+	headerService      = internalPrefix + "Service"
+	headerGroup        = internalPrefix + "Group"
+	headerCaller       = internalPrefix + "Caller"
+	headerIdempotent   = internalPrefix + "Idempotent"
+	headerAttempt      = internalPrefix + "Attempt"
+	headerDepth        = internalPrefix + "Depth"
+	headerKey          = internalPrefix + "Key"
+	headerTimeout      = internalPrefix + "Timeout-Us"
+	headerQueueTimeout = internalPrefix + "Patience-Us"
+	headerHost         = internalPrefix + "Host"
+	headerOutcome      = internalPrefix + "Outcome"
+	headerReason       = internalPrefix + "Reason"
+	headerRetryAfter   = internalPrefix + "Retry-After-Ms"
+	headerLoad         = internalPrefix + "Load"
 )
 
 // The kinds of hop.
@@ -80,7 +80,7 @@
 // StripInternalHeaders removes every header that only daemons may set.
 func StripInternalHeaders(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(name, hopPrefix) {
+		if strings.HasPrefix(name, internalPrefix) {
 			delete(h, name)
 		}
 	}
@@ -101,7 +101,7 @@
 	h.Set(headerDepth, strconv.Itoa(c.Depth))
 	h.Set(headerTimeout, strconv.FormatInt(max(0, c.Timeout.Microseconds()), 10))
 	if c.HasQueueTimeout {
-		h.Set(headerPatience, strconv.FormatInt(c.QueueTimeout.Microseconds(), 10))
+		h.Set(headerQueueTimeout, strconv.FormatInt(c.QueueTimeout.Microseconds(), 10))
 	}
 	h.Set(headerHost, c.Host)
 	if c.Key != "" {
@@ -111,31 +111,31 @@
 
 // ReadCall rebuilds a Call from a request that arrived from another daemon.
 func ReadCall(r *http.Request) (*Call, error) {
-	h := r.Header
-	p := headerParser{h: h}
+	header := r.Header
+	parser := headerParser{header: header}
 	c := &Call{
-		ID:              h.Get(headerID),
+		ID:              header.Get(headerID),
 		Method:          r.Method,
 		Target:          r.URL.RequestURI(),
-		Host:            h.Get(headerHost),
-		Header:          h,
+		Host:            header.Get(headerHost),
+		Header:          header,
 		Body:            r.Body,
 		ContentLength:   r.ContentLength,
-		Service:         model.ServiceName(h.Get(headerService)),
-		Group:           model.GroupName(h.Get(headerGroup)),
-		Caller:          model.CallerName(h.Get(headerCaller)),
-		Upstream:        model.UpstreamID(h.Get(headerUpstream)),
-		Incarnation:     model.Incarnation(p.uint(headerIncarnation)),
-		Idempotent:      h.Get(headerIdempotent) == "true",
-		Attempt:         int(p.uint(headerAttempt)),
-		Depth:           int(p.uint(headerDepth)),
-		Key:             h.Get(headerKey),
-		Timeout:         p.duration(headerTimeout, time.Microsecond),
-		QueueTimeout:    p.duration(headerPatience, time.Microsecond),
-		HasQueueTimeout: h.Get(headerPatience) != "",
+		Service:         model.ServiceName(header.Get(headerService)),
+		Group:           model.GroupName(header.Get(headerGroup)),
+		Caller:          model.CallerName(header.Get(headerCaller)),
+		Upstream:        model.UpstreamID(header.Get(headerUpstream)),
+		Incarnation:     model.Incarnation(parser.uint(headerIncarnation)),
+		Idempotent:      header.Get(headerIdempotent) == "true",
+		Attempt:         int(parser.uint(headerAttempt)),
+		Depth:           int(parser.uint(headerDepth)),
+		Key:             header.Get(headerKey),
+		Timeout:         parser.duration(headerTimeout, time.Microsecond),
+		QueueTimeout:    parser.duration(headerQueueTimeout, time.Microsecond),
+		HasQueueTimeout: header.Get(headerQueueTimeout) != "",
 	}
-	if p.err != nil {
-		return nil, p.err
+	if parser.err != nil {
+		return nil, parser.err
 	}
 	if c.ID == "" {
 		return nil, &HeaderError{Name: headerID}
@@ -148,53 +148,53 @@
 }
 
 // SetInternalHeaders writes the answer's hop headers, bound to the call with the given id.
-func (a *Result) SetInternalHeaders(h http.Header, id string) {
+func (r *Result) SetInternalHeaders(h http.Header, id string) {
 	h.Set(headerID, id)
-	h.Set(headerOutcome, a.Outcome.Kind.String())
-	if a.Outcome.Reason != outcome.ReasonNone {
-		h.Set(headerReason, string(a.Outcome.Reason))
+	h.Set(headerOutcome, r.Outcome.Kind.String())
+	if r.Outcome.Reason != outcome.ReasonNone {
+		h.Set(headerReason, string(r.Outcome.Reason))
 	}
-	if a.Outcome.RetryAfter > 0 {
-		h.Set(headerRetryAfter, strconv.FormatInt(a.Outcome.RetryAfter.Milliseconds(), 10))
+	if r.Outcome.RetryAfter > 0 {
+		h.Set(headerRetryAfter, strconv.FormatInt(r.Outcome.RetryAfter.Milliseconds(), 10))
 	}
-	if a.HasLoad {
-		h.Set(headerLoad, formatLoad(a.Load))
+	if r.HasLoad {
+		h.Set(headerLoad, formatLoad(r.Load))
 	}
 }
 
 // ReadResult rebuilds an Result from the response to the call with the given
 // id. An answer that is not bound to the call is refused with ErrIDMismatch.
 func ReadResult(resp *http.Response, id string) (*Result, error) {
-	h := resp.Header
-	if h.Get(headerID) != id {
+	header := resp.Header
+	if header.Get(headerID) != id {
 		return nil, ErrIDMismatch
 	}
-	kind, ok := outcome.ParseKind(h.Get(headerOutcome))
+	kind, ok := outcome.ParseKind(header.Get(headerOutcome))
 	if !ok {
-		return nil, &HeaderError{Name: headerOutcome, Value: h.Get(headerOutcome)}
+		return nil, &HeaderError{Name: headerOutcome, Value: header.Get(headerOutcome)}
 	}
-	p := headerParser{h: h}
-	a := ResultFromResponse(resp)
-	a.Outcome = outcome.Outcome{
+	parser := headerParser{header: header}
+	result := ResultFromResponse(resp)
+	result.Outcome = outcome.Outcome{
 		Kind:       kind,
-		Reason:     outcome.Reason(h.Get(headerReason)),
-		RetryAfter: p.duration(headerRetryAfter, time.Millisecond),
+		Reason:     outcome.Reason(header.Get(headerReason)),
+		RetryAfter: parser.duration(headerRetryAfter, time.Millisecond),
 	}
-	if l := h.Get(headerLoad); l != "" {
-		load, err := parseLoad(l)
+	if value := header.Get(headerLoad); value != "" {
+		load, err := parseLoad(value)
 		if err != nil {
 			return nil, err
 		}
-		a.Load, a.HasLoad = load, true
+		result.Load, result.HasLoad = load, true
 	}
-	if p.err != nil {
-		return nil, p.err
+	if parser.err != nil {
+		return nil, parser.err
 	}
-	StripInternalHeaders(h)
-	return a, nil
+	StripInternalHeaders(header)
+	return result, nil
 }
 
-const loadFields = 8
+const numLoadFields = 8
 
 // formatLoad writes "running waiting limit service_us failing draining seq
 // ahead".
@@ -221,33 +221,33 @@
 // parseLoad reads what formatLoad wrote. Figures that no guard has, such as
 // negative ones, are refused.
 func parseLoad(s string) (model.Load, error) {
-	refused := &HeaderError{Name: headerLoad, Value: s}
-	f := strings.Fields(s)
-	if len(f) != loadFields {
-		return model.Load{}, refused
+	invalid := &HeaderError{Name: headerLoad, Value: s}
+	fields := strings.Fields(s)
+	if len(fields) != numLoadFields {
+		return model.Load{}, invalid
 	}
 	const bits = 31
-	running, err1 := strconv.ParseUint(f[0], 10, bits)
-	waiting, err2 := strconv.ParseUint(f[1], 10, bits)
-	limit, err3 := strconv.ParseUint(f[2], 10, bits)
-	service, err4 := strconv.ParseUint(f[3], 10, 63)
-	failing, err5 := strconv.ParseFloat(f[4], 32)
-	draining, err6 := strconv.ParseBool(f[5])
-	seq, err7 := strconv.ParseUint(f[6], 10, 64)
-	ahead, err8 := strconv.ParseUint(f[7], 10, bits)
+	running, err1 := strconv.ParseUint(fields[0], 10, bits)
+	waiting, err2 := strconv.ParseUint(fields[1], 10, bits)
+	limit, err3 := strconv.ParseUint(fields[2], 10, bits)
+	serviceTime, err4 := strconv.ParseUint(fields[3], 10, 63)
+	failureRate, err5 := strconv.ParseFloat(fields[4], 32)
+	draining, err6 := strconv.ParseBool(fields[5])
+	seq, err7 := strconv.ParseUint(fields[6], 10, 64)
+	ahead, err8 := strconv.ParseUint(fields[7], 10, bits)
 	if errors.Join(err1, err2, err3, err4, err5, err6, err7, err8) != nil {
-		return model.Load{}, refused
+		return model.Load{}, invalid
 	}
 	// The first condition also refuses what is not a number.
-	if !(failing >= 0 && failing <= 1) || service > uint64(maxDuration/time.Microsecond) {
-		return model.Load{}, refused
+	if !(failureRate >= 0 && failureRate <= 1) || serviceTime > uint64(maxDuration/time.Microsecond) {
+		return model.Load{}, invalid
 	}
 	return model.Load{
 		Running:     int32(running),
 		Waiting:     int32(waiting),
 		Limit:       int32(limit),
-		ServiceTime: time.Duration(service) * time.Microsecond,
-		FailureRate: float32(failing),
+		ServiceTime: time.Duration(serviceTime) * time.Microsecond,
+		FailureRate: float32(failureRate),
 		Draining:    draining,
 		Seq:         seq,
 		Ahead:       int32(ahead),
@@ -255,13 +255,13 @@
 }
 
 type headerParser struct {
-	h   http.Header
-	err error
+	header http.Header
+	err    error
 }
 
 // uint reads a number; an absent header is 0.
 func (p *headerParser) uint(name string) uint64 {
-	s := p.h.Get(name)
+	s := p.header.Get(name)
 	if s == "" {
 		return 0
 	}
@@ -280,16 +280,16 @@
 	n := p.uint(name)
 	if n > uint64(maxDuration/unit) {
 		if p.err == nil {
-			p.err = &HeaderError{Name: name, Value: p.h.Get(name)}
+			p.err = &HeaderError{Name: name, Value: p.header.Get(name)}
 		}
 		return 0
 	}
 	return time.Duration(n) * unit
 }
 
-// hopByHop lists the headers that RFC 9110 section 7.6.1 keeps to one
+// hopByHopHeaders lists the headers that RFC 9110 section 7.6.1 keeps to one
 // connection.
-var hopByHop = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization",
 }
@@ -302,7 +302,7 @@
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -63,19 +63,19 @@
 
 // CancelOnClose makes the closing of the body end a context as well, and returns
 // the answer.
-func (a *Result) CancelOnClose(cancel context.CancelFunc) *Result {
-	a.Body = &boundBody{ReadCloser: a.Body, cancel: cancel}
-	return a
+func (r *Result) CancelOnClose(cancel context.CancelFunc) *Result {
+	r.Body = &cancelingBody{ReadCloser: r.Body, cancel: cancel}
+	return r
 }
 
-// boundBody ends its context when it is closed.
-type boundBody struct {
+// cancelingBody ends its context when it is closed.
+type cancelingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
 // Close closes the body and ends the context.
-func (b *boundBody) Close() error {
+func (b *cancelingBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel()
 	return err
