--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -17,8 +17,8 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// FuzzReadCall takes a request of another daemon from the wire. What it accepts
-// must survive being sent on.
+// FuzzReadCall parses arbitrary requests as calls of another daemon. A call
+// that is accepted must be decoded unchanged after it was encoded again.
 func FuzzReadCall(f *testing.F) {
 	f.Add("POST /release?a=b HTTP/1.1\r\nHost: h\r\nDottereltiller-Hop-Id: 1\r\nDottereltiller-Hop-Timeout-Us: 5\r\nContent-Length: 1\r\n\r\nx")
 	f.Add("GET / HTTP/1.1\r\nHost: h\r\nDottereltiller-Hop-Id: 1\r\nDottereltiller-Hop-Attempt: 99999999999999999999\r\n\r\n")
@@ -48,8 +48,9 @@
 	})
 }
 
-// FuzzResultRoundTrip takes an upstream's answer from the wire through the hop
-// between two daemons. It arrives as it was, or does not look whole.
+// FuzzResultRoundTrip sends arbitrary responses of an upstream from one daemon
+// to another. A complete response must arrive unchanged, and a truncated one
+// must stay recognizable as truncated.
 func FuzzResultRoundTrip(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole", "POST")
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", "POST")
@@ -74,7 +75,7 @@
 
 		recorder := httptest.NewRecorder()
 		aborted := writeResultAborted(recorder, result, "id-1")
-		require.Equal(t, wantErr != nil, aborted, "an answer that breaks off must break off again")
+		require.Equal(t, wantErr != nil, aborted, "a truncated response must be forwarded as truncated")
 		if aborted {
 			return
 		}
@@ -93,7 +94,8 @@
 	})
 }
 
-// writeResultAborted reports whether WriteResult aborted the connection.
+// writeResultAborted calls WriteResult and reports whether it aborted the
+// connection.
 func writeResultAborted(recorder *httptest.ResponseRecorder, r *Result, id string) (aborted bool) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -107,6 +109,8 @@
 	return false
 }
 
+// FuzzParseLoad parses arbitrary load headers. An accepted load must have
+// values in range and survive being formatted and parsed again.
 func FuzzParseLoad(f *testing.F) {
 	f.Add(formatLoad(model.Load{Running: 3, Waiting: 2, Limit: 6, ServiceTime: 1500 * time.Microsecond, FailureRate: 0.25, Draining: true, Seq: 9}))
 	f.Add("1 2 3 4 NaN true 7")
@@ -116,7 +120,7 @@
 		if err != nil {
 			return
 		}
-		require.True(t, load.FailureRate >= 0 && load.FailureRate <= 1, "share of failures %v", load.FailureRate)
+		require.True(t, load.FailureRate >= 0 && load.FailureRate <= 1, "failure rate %v", load.FailureRate)
 		require.True(t, load.Running >= 0 && load.Waiting >= 0 && load.ServiceTime >= 0)
 		reparsed, err := parseLoad(formatLoad(load))
 		require.NoError(t, err)
--- a/wire/header.go
+++ b/wire/header.go
@@ -12,7 +12,8 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// Headers that callers and upstreams see. docs/CALLERS.md explains them.
+// Headers of requests and responses that daemons exchange with callers and
+// upstreams. docs/CALLERS.md explains them.
 const (
 	HeaderService    = "Dottereltiller-Service"
 	HeaderTimeout    = "Dottereltiller-Timeout"
@@ -21,9 +22,9 @@
 	HeaderReason     = "Dottereltiller-Reason"
 	HeaderCallToken  = "Dottereltiller-Call"
 	HeaderGroup      = "Dottereltiller-Group"
-	// HeaderRefused is set by an upstream, to RefusedBeforeStart, on a 429 or
-	// 503 that it gave before it started on the request. It never reaches a
-	// caller.
+	// HeaderRefused marks a response with status 429 or 503 by which an
+	// upstream refuses a request that it has not started to execute. Its value
+	// is RefusedBeforeStart. Daemons do not forward it to callers.
 	HeaderRefused        = "Dottereltiller-Refused"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderReplayed       = "Dottereltiller-Replayed"
@@ -32,13 +33,17 @@
 // RefusedBeforeStart is the value of HeaderRefused.
 const RefusedBeforeStart = "before-start"
 
-// internalPrefix starts every header that is used between daemons only. Such
-// headers are dropped when they come from a caller or an upstream.
+// internalPrefix starts the name of every internal header. Internal headers are
+// used between daemons only; they are removed from the requests of callers and
+// from the responses of upstreams.
 const internalPrefix = "Dottereltiller-Hop-"
 
-// Headers between daemons.
+// Internal headers.
 const (
-	HeaderDestination  = internalPrefix + "Kind"
+	// HeaderDestination names the component of the receiving daemon that is to
+	// handle the call.
+	HeaderDestination = internalPrefix + "Kind"
+	// HeaderAuth carries the secret by which daemons authenticate each other.
 	HeaderAuth         = internalPrefix + "Auth"
 	headerID           = internalPrefix + "Id"
 	headerUpstream     = internalPrefix + "Upstream"
@@ -59,25 +64,29 @@
 	headerLoad         = internalPrefix + "Load"
 )
 
-// The kinds of hop.
+// Values of HeaderDestination. The owner is the component that executes the
+// requests whose idempotency keys belong to its daemon.
 const (
 	DestinationGuard = "guard"
 	DestinationOwner = "owner"
 )
 
-// ErrIDMismatch is returned when an answer does not carry the id of its call.
-var ErrIDMismatch = errors.New("answer does not belong to this call")
+// ErrIDMismatch is returned for a response that carries the ID of another call,
+// or none.
+var ErrIDMismatch = errors.New("response does not carry the id of this call")
 
-// HeaderError tells which hop header could not be read.
+// HeaderError reports an internal header with an invalid value.
 type HeaderError struct {
 	Name  string
 	Value string
 }
 
-// Error names the header and its value.
-func (e *HeaderError) Error() string { return fmt.Sprintf("header %s: bad value %q", e.Name, e.Value) }
+// Error returns the name and the value of the header.
+func (e *HeaderError) Error() string {
+	return fmt.Sprintf("header %s: invalid value %q", e.Name, e.Value)
+}
 
-// StripInternalHeaders removes every header that only daemons may set.
+// StripInternalHeaders removes all internal headers.
 func StripInternalHeaders(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(name, internalPrefix) {
@@ -86,9 +95,9 @@
 	}
 }
 
-// SetInternalHeaders writes the call's hop headers. The Idempotency-Key travels under a hop
-// name, because net/http sends a request that carries the standard one again
-// after a lost connection.
+// SetInternalHeaders encodes the call as internal headers. It uses an internal
+// header for the Idempotency-Key too, because net/http retries a request that
+// has the standard header when the connection is lost.
 func (c *Call) SetInternalHeaders(h http.Header) {
 	h.Set(headerID, c.ID)
 	h.Set(headerUpstream, string(c.Upstream))
@@ -109,7 +118,7 @@
 	}
 }
 
-// ReadCall rebuilds a Call from a request that arrived from another daemon.
+// ReadCall decodes a Call from a request that another daemon sent.
 func ReadCall(r *http.Request) (*Call, error) {
 	header := r.Header
 	parser := headerParser{header: header}
@@ -147,7 +156,8 @@
 	return c, nil
 }
 
-// SetInternalHeaders writes the answer's hop headers, bound to the call with the given id.
+// SetInternalHeaders encodes the result, other than the upstream's response, as
+// internal headers. The id is that of the Call.
 func (r *Result) SetInternalHeaders(h http.Header, id string) {
 	h.Set(headerID, id)
 	h.Set(headerOutcome, r.Outcome.Kind.String())
@@ -162,8 +172,8 @@
 	}
 }
 
-// ReadResult rebuilds an Result from the response to the call with the given
-// id. An answer that is not bound to the call is refused with ErrIDMismatch.
+// ReadResult decodes the Result from the response to the Call with the given
+// id. A response with another id is rejected with ErrIDMismatch.
 func ReadResult(resp *http.Response, id string) (*Result, error) {
 	header := resp.Header
 	if header.Get(headerID) != id {
@@ -194,10 +204,11 @@
 	return result, nil
 }
 
+// numLoadFields is the number of fields that formatLoad writes.
 const numLoadFields = 8
 
-// formatLoad writes "running waiting limit service_us failing draining seq
-// ahead".
+// formatLoad encodes a load as the space-separated fields "running waiting
+// limit service_us failure_rate draining seq ahead".
 func formatLoad(l model.Load) string {
 	b := make([]byte, 0, 64)
 	b = strconv.AppendInt(b, int64(l.Running), 10)
@@ -218,8 +229,8 @@
 	return string(b)
 }
 
-// parseLoad reads what formatLoad wrote. Figures that no guard has, such as
-// negative ones, are refused.
+// parseLoad decodes the output of formatLoad. It rejects values that no guard
+// can have, such as negative ones.
 func parseLoad(s string) (model.Load, error) {
 	invalid := &HeaderError{Name: headerLoad, Value: s}
 	fields := strings.Fields(s)
@@ -238,7 +249,7 @@
 	if errors.Join(err1, err2, err3, err4, err5, err6, err7, err8) != nil {
 		return model.Load{}, invalid
 	}
-	// The first condition also refuses what is not a number.
+	// The negated comparison is also true for NaN.
 	if !(failureRate >= 0 && failureRate <= 1) || serviceTime > uint64(maxDuration/time.Microsecond) {
 		return model.Load{}, invalid
 	}
@@ -254,12 +265,13 @@
 	}, nil
 }
 
+// headerParser parses the values of internal headers and keeps the first error.
 type headerParser struct {
 	header http.Header
 	err    error
 }
 
-// uint reads a number; an absent header is 0.
+// uint returns the value of a header as a number, 0 if the header is absent.
 func (p *headerParser) uint(name string) uint64 {
 	s := p.header.Get(name)
 	if s == "" {
@@ -272,10 +284,11 @@
 	return n
 }
 
-// maxDuration is the longest time that one daemon tells another.
+// maxDuration is the longest duration accepted from another daemon.
 const maxDuration = 24 * time.Hour
 
-// duration reads a number of units; an absent header is 0.
+// duration returns the value of a header as a multiple of unit, 0 if the header
+// is absent.
 func (p *headerParser) duration(name string, unit time.Duration) time.Duration {
 	n := p.uint(name)
 	if n > uint64(maxDuration/unit) {
@@ -287,15 +300,15 @@
 	return time.Duration(n) * unit
 }
 
-// hopByHopHeaders lists the headers that RFC 9110 section 7.6.1 keeps to one
-// connection.
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110
+// section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// StripHopByHopHeaders removes hop-by-hop headers, those that Connection names
-// among them.
+// StripHopByHopHeaders removes hop-by-hop headers, including those listed in
+// Connection.
 func StripHopByHopHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/wire/http.go
+++ b/wire/http.go
@@ -10,9 +10,9 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// WriteResult writes an answer to the daemon that sent the call and closes its
-// body. A body that breaks off aborts the connection, so that a truncated
-// answer never looks complete.
+// WriteResult writes a result as the response to the daemon that sent the call,
+// and closes its body. If reading the body fails, WriteResult aborts the
+// connection, so that the other daemon sees the response as truncated.
 func WriteResult(w http.ResponseWriter, r *Result, id string) {
 	defer func() { _ = r.Body.Close() }()
 	header := w.Header()
@@ -30,8 +30,8 @@
 	}
 }
 
-// ResultFromResponse returns an HTTP response as an Result. Its trailers are there once
-// the body has been read to io.EOF.
+// ResultFromResponse returns an HTTP response as a Result with outcome
+// Answered. The trailers are set once the body has been read to io.EOF.
 func ResultFromResponse(resp *http.Response) *Result {
 	r := &Result{
 		Outcome:       outcome.Done(),
@@ -43,15 +43,15 @@
 	return r
 }
 
-// trailerBody takes over the response's trailers, which are not known before
-// the end of the body.
+// trailerBody copies the trailers of a response to its Result at the end of the
+// body. They are not known before.
 type trailerBody struct {
 	io.ReadCloser
 	resp   *http.Response
 	result *Result
 }
 
-// Read reads from the response.
+// Read implements io.Reader.
 func (b *trailerBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -60,13 +60,13 @@
 	return n, err
 }
 
-// copyBufferSize is the size of one copying step, in bytes.
+// copyBufferSize is the size of the buffers of CopyBody, in bytes.
 const copyBufferSize = 16 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// CopyBody copies an answer's body and its trailers to a caller, flushing as
-// data arrives when the length is not known.
+// CopyBody copies the body and the trailers of a result to a response. If the
+// length of the body is unknown, it flushes after every write.
 func CopyBody(w http.ResponseWriter, r *Result) error {
 	var dst io.Writer = w
 	if r.ContentLength < 0 {
@@ -85,13 +85,14 @@
 	return nil
 }
 
-// onlyReader and onlyWriter hide the methods that would make io.CopyBuffer
-// leave its buffer unused.
+// onlyReader and onlyWriter hide WriterTo and ReaderFrom, with which
+// io.CopyBuffer would not use its buffer.
 type (
 	onlyReader struct{ io.Reader }
 	onlyWriter struct{ io.Writer }
 )
 
+// flushWriter flushes the response after every write.
 type flushWriter struct {
 	w          io.Writer
 	controller *http.ResponseController
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -10,14 +10,16 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// Call is one attempt on its way from an entry to a guard.
+// Call is one attempt to execute a caller's request. An entry sends it to a
+// guard, or to the daemon that owns the request's idempotency key.
 type Call struct {
-	// ID binds the answer to this attempt. It is unique for ever.
+	// ID identifies this attempt and is never used again. The response repeats
+	// it.
 	ID string
-	// Method, Target, Host, Header, Body and ContentLength are the caller's
-	// request. Target is the request target in origin form. ContentLength is
-	// -1 when unknown. Body is nil when there is none. Whoever is handed the
-	// Call owns Header and may change it.
+	// Method, Target, Host, Header, Body and ContentLength are those of the
+	// caller's request. Target is the request target in origin form.
+	// ContentLength is -1 when unknown. Body is nil for a request without a
+	// body. The receiver of a Call owns Header and may change it.
 	Method        string
 	Target        string
 	Host          string
@@ -25,63 +27,74 @@
 	Body          io.Reader
 	ContentLength int64
 
-	Service     model.ServiceName
-	Group       model.GroupName
-	Caller      model.CallerName
+	// Service is the service called, Group the group of callers that the
+	// request is charged to.
+	Service model.ServiceName
+	Group   model.GroupName
+	Caller  model.CallerName
+	// Upstream and Incarnation identify the upstream process that is to execute
+	// the request.
 	Upstream    model.UpstreamID
 	Incarnation model.Incarnation
-	Idempotent  bool
-	Attempt     int
-	Depth       int
-	// Key is the caller's idempotency key. Empty when there is none.
+	// Idempotent marks a request that may be executed more than once.
+	Idempotent bool
+	// Attempt counts the attempts for the request, from 0.
+	Attempt int
+	// Depth is the number of calls that this one is nested in: 0 unless an
+	// upstream sent the request while executing another.
+	Depth int
+	// Key is the caller's idempotency key, or empty if the request has none.
 	Key string
-	// Timeout is the time left to the deadline when the call was sent.
+	// Timeout is the time left until the deadline when the call was sent.
 	Timeout time.Duration
-	// QueueTimeout is how long the call may wait at the guard, counted only when
-	// HasQueueTimeout is set. A call that has not started by then is given back as
-	// "not run", withdrawn. Zero: start at once or give back at once.
+	// QueueTimeout is the longest time that the call may wait in the guard's
+	// queue. A call that has not started by then is rejected with outcome
+	// NotRun and reason "withdrawn". With 0 it is rejected unless it can start
+	// at once. QueueTimeout is ignored unless HasQueueTimeout is set.
 	QueueTimeout    time.Duration
 	HasQueueTimeout bool
 }
 
-// Result is what came back for a Call.
+// Result is what came of a Call.
 type Result struct {
 	Outcome outcome.Outcome
-	// Status, Header, Body and ContentLength are the upstream's response when
-	// Outcome is Answered so far. The outcome is final when Body has been read
-	// to io.EOF; any other read error makes it Unknown, or a truncated answer.
+	// Status, Header, Body and ContentLength are the upstream's response. They
+	// are meaningful only when Outcome is Answered. That outcome becomes final
+	// when Body has been read to io.EOF: after any other read error the outcome
+	// is Unknown, or the response is truncated.
 	Status        int
 	Header        http.Header
 	Body          io.ReadCloser
 	ContentLength int64
-	// Trailer is filled in when Body has been read to io.EOF.
+	// Trailer is set once Body has been read to io.EOF.
 	Trailer http.Header
-	// Load is the guard's exact load; HasLoad tells whether it is present.
+	// Load is the load of the upstream as its guard knows it exactly. It is
+	// present only if HasLoad is set.
 	Load    model.Load
 	HasLoad bool
 }
 
-// CancelOnClose makes the closing of the body end a context as well, and returns
-// the answer.
+// CancelOnClose makes closing the body also call cancel, and returns the
+// result.
 func (r *Result) CancelOnClose(cancel context.CancelFunc) *Result {
 	r.Body = &cancelingBody{ReadCloser: r.Body, cancel: cancel}
 	return r
 }
 
-// cancelingBody ends its context when it is closed.
+// cancelingBody is a response body that cancels a context when it is closed.
 type cancelingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-// Close closes the body and ends the context.
+// Close closes the body and cancels the context.
 func (b *cancelingBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel()
 	return err
 }
 
-// NoResponse returns an Result without a response.
+// NoResponse returns a Result with an outcome and no HTTP response.
 func NoResponse(o outcome.Outcome) *Result {
 	return &Result{Outcome: o, Body: http.NoBody, ContentLength: 0}
 }
