--- a/hop/client.go
+++ b/hop/client.go
@@ -33,19 +33,19 @@
 
 const (
 	defaultMaxConns       = 256
-	defaultMaxIdle        = 32
+	defaultMaxIdleConns   = 32
 	defaultIdleTimeout    = 30 * time.Second
 	defaultDialTimeout    = time.Second
 	defaultMaxHeaderBytes = 64 << 10
-	bufferBytes           = 4 << 10
+	bufferSize            = 4 << 10
 )
 
 // Client sends attempts. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
-	// careless leaves attempts as an ordinary client would send them. Tests
+	// unprotected leaves attempts as an ordinary client would send them. Tests
 	// set it to show that the Transport then sends some of them twice.
-	careless bool
+	unprotected bool
 }
 
 // NewClient returns a Client.
@@ -65,8 +65,8 @@
 		MaxIdleConnsPerHost:    o.MaxIdleConns,
 		IdleConnTimeout:        o.IdleTimeout,
 		MaxResponseHeaderBytes: o.MaxHeaderBytes,
-		ReadBufferSize:         bufferBytes,
-		WriteBufferSize:        bufferBytes,
+		ReadBufferSize:         bufferSize,
+		WriteBufferSize:        bufferSize,
 	}
 	return &Client{transport: t}
 }
@@ -76,7 +76,7 @@
 		o.MaxConns = defaultMaxConns
 	}
 	if o.MaxIdleConns <= 0 {
-		o.MaxIdleConns = defaultMaxIdle
+		o.MaxIdleConns = defaultMaxIdleConns
 	}
 	if o.IdleTimeout <= 0 {
 		o.IdleTimeout = defaultIdleTimeout
@@ -124,8 +124,8 @@
 	}
 	target.Scheme = "http"
 	target.Host = r.Address
-	used := usedConn{careless: c.careless}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.got})
+	conn := attemptConn{unprotected: c.unprotected}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: conn.gotConn})
 	req := (&http.Request{
 		Method:        r.Method,
 		URL:           target,
@@ -136,18 +136,18 @@
 		ProtoMajor:    1,
 		ProtoMinor:    1,
 	}).WithContext(ctx)
-	if c.careless {
-		setCareless(req, r.Body)
+	if c.unprotected {
+		setReplayable(req, r.Body)
 	} else {
-		setOnce(req, r.Body)
+		setNotReplayable(req, r.Body)
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		return nil, used.outcomeOf(err), err
+		return nil, conn.outcomeOf(err), err
 	}
-	if used.isUntouched() {
+	if conn.responseIsUnsolicited() {
 		_ = resp.Body.Close()
-		return nil, outcome.NotRunBecause(outcome.ReasonConnectionLost), errStray
+		return nil, outcome.NotRunBecause(outcome.ReasonConnectionLost), errUnsolicited
 	}
 	return resp, outcome.Done(), nil
 }
@@ -155,39 +155,39 @@
 // CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
-// usedConn remembers the connection that an attempt was given.
-type usedConn struct {
-	conn     atomic.Pointer[countingConn]
-	base     atomic.Int64
-	careless bool
+// attemptConn remembers the connection that an attempt was given.
+type attemptConn struct {
+	conn          atomic.Pointer[countingConn]
+	writtenBefore atomic.Int64
+	unprotected   bool
 }
 
-func (u *usedConn) got(info httptrace.GotConnInfo) {
+func (a *attemptConn) gotConn(info httptrace.GotConnInfo) {
 	conn, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
-	u.base.Store(conn.begin(info.Reused && !u.careless))
-	u.conn.Store(conn)
+	a.writtenBefore.Store(conn.beginAttempt(info.Reused && !a.unprotected))
+	a.conn.Store(conn)
 }
 
-// isUntouched reports whether the attempt got a response though no byte of it
+// responseIsUnsolicited reports whether the attempt got a response though no byte of it
 // was written: the response belongs to no attempt, and the connection is sealed.
-func (u *usedConn) isUntouched() bool {
-	conn := u.conn.Load()
-	return conn != nil && !u.careless && conn.sealIfUntouched(u.base.Load())
+func (a *attemptConn) responseIsUnsolicited() bool {
+	conn := a.conn.Load()
+	return conn != nil && !a.unprotected && conn.sealIfUnsent(a.writtenBefore.Load())
 }
 
-func (u *usedConn) outcomeOf(err error) outcome.Outcome {
+func (a *attemptConn) outcomeOf(err error) outcome.Outcome {
 	reason := reasonOf(err)
-	conn := u.conn.Load()
+	conn := a.conn.Load()
 	if conn == nil {
 		if reason == outcome.ReasonConnectionLost {
 			reason = outcome.ReasonConnect
 		}
 		return outcome.NotRunBecause(reason)
 	}
-	if conn.sealIfUntouched(u.base.Load()) {
+	if conn.sealIfUnsent(a.writtenBefore.Load()) {
 		return outcome.NotRunBecause(reason)
 	}
 	return outcome.UnknownBecause(reason)
--- a/hop/conn.go
+++ b/hop/conn.go
@@ -12,8 +12,8 @@
 var (
 	// errSealed is what a sealed connection answers to a write.
 	errSealed = errors.New("connection sealed after its attempt was given up")
-	// errStray tells that bytes were left over from an earlier answer.
-	errStray = errors.New("connection holds bytes of no answer")
+	// errUnsolicited tells that bytes were left over from an earlier answer.
+	errUnsolicited = errors.New("connection holds bytes of no answer")
 )
 
 // countingConn counts the bytes written, and can be sealed against further
@@ -30,8 +30,8 @@
 	mu      sync.Mutex
 	written int64
 	sealed  bool
-	// reused makes the next write look for bytes left over.
-	reused bool
+	// checkUnread makes the next write look for bytes left over.
+	checkUnread bool
 }
 
 // Read reads, and marks that nothing read before is left.
@@ -43,28 +43,28 @@
 }
 
 const (
-	// strayPatience is how long the Transport may take from the end of one
+	// readerTimeout is how long the Transport may take from the end of one
 	// answer until it waits for the next.
-	strayPatience = 20 * time.Millisecond
-	strayPoll     = 50 * time.Microsecond
-	// strayYields is how often the processor is yielded before it sleeps.
-	strayYields = 32
+	readerTimeout      = 20 * time.Millisecond
+	readerPollInterval = 50 * time.Microsecond
+	// maxYields is how often the processor is yielded before it sleeps.
+	maxYields = 32
 )
 
-// isQuiet reports whether the Transport waits for bytes, so that none are left.
-func (c *countingConn) isQuiet() bool {
-	for range strayYields {
+// waitForReader reports whether the Transport waits for bytes, so that none are left.
+func (c *countingConn) waitForReader() bool {
+	for range maxYields {
 		if c.reading.Load() {
 			return true
 		}
 		runtime.Gosched()
 	}
-	deadline := time.Now().Add(strayPatience)
+	deadline := time.Now().Add(readerTimeout)
 	for !c.reading.Load() {
 		if time.Now().After(deadline) {
 			return false
 		}
-		time.Sleep(strayPoll)
+		time.Sleep(readerPollInterval)
 	}
 	return true
 }
@@ -72,9 +72,9 @@
 func (c *countingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reused && !c.sealed {
-		c.reused = false
-		c.sealed = !c.isQuiet()
+	if c.checkUnread && !c.sealed {
+		c.checkUnread = false
+		c.sealed = !c.waitForReader()
 	}
 	if c.sealed {
 		return 0, errSealed
@@ -84,20 +84,20 @@
 	return n, err
 }
 
-// begin starts an attempt and returns the count of bytes written so far.
-func (c *countingConn) begin(reused bool) int64 {
+// beginAttempt starts an attempt and returns the count of bytes written so far.
+func (c *countingConn) beginAttempt(reused bool) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reused = reused
+	c.checkUnread = reused
 	return c.written
 }
 
-// sealIfUntouched seals the connection when nothing was written since the
+// sealIfUnsent seals the connection when nothing was written since the
 // count was base, and reports whether it did. After true no byte can go out.
-func (c *countingConn) sealIfUntouched(base int64) bool {
+func (c *countingConn) sealIfUnsent(writtenBefore int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.written != base {
+	if c.written != writtenBefore {
 		return false
 	}
 	c.sealed = true
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -65,29 +65,29 @@
 func (e *RequestError) Unwrap() error { return e.Err }
 
 const (
-	// maxReply bounds a response body held in memory, in bytes.
-	maxReply = 16 << 20
-	// maxStray is how many responses to other requests are passed over before a
+	// maxResponseBody bounds a response body held in memory, in bytes.
+	maxResponseBody = 16 << 20
+	// maxUnmatched is how many responses to other requests are passed over before a
 	// connection is given up.
-	maxStray = 3
-	// inlineBody is the largest body written before the response is waited for,
+	maxUnmatched = 3
+	// maxInlineBody is the largest body written before the response is waited for,
 	// in bytes. A larger one is written beside it, so that a response that comes
 	// early is seen.
-	inlineBody = 2 << 10
+	maxInlineBody = 2 << 10
 )
 
 var (
-	errFull     = errors.New("all connections are in use")
-	errForeign  = errors.New("responses belong to other requests")
-	errTooLarge = errors.New("response is too large")
-	errHeaders  = errors.New("response headers are too large")
+	errPoolFull           = errors.New("all connections are in use")
+	errNoMatchingResponse = errors.New("responses belong to other requests")
+	errBodyTooLarge       = errors.New("response is too large")
+	errHeadersTooLarge    = errors.New("response headers are too large")
 )
 
-// head returns the request line and headers.
-func (x *PoolRequest) head() []byte {
+// encodeHead returns the request line and headers.
+func (r *PoolRequest) encodeHead() []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", x.Method, x.Target, x.Host)
-	for name, values := range x.Header {
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
+	for name, values := range r.Header {
 		for _, v := range values {
 			b.WriteString(name)
 			b.WriteString(": ")
@@ -95,42 +95,42 @@
 			b.WriteString("\r\n")
 		}
 	}
-	if len(x.Body) > 0 || x.Method == http.MethodPost || x.Method == http.MethodPut || x.Method == http.MethodPatch {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(x.Body))
+	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(r.Body))
 	}
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
 // exchange sends a request on a connection and reads its response.
-func (l *link) exchange(ctx context.Context, x *PoolRequest) (*PoolResponse, error) {
-	stop := context.AfterFunc(ctx, func() { l.close() })
+func (c *pooledConn) exchange(ctx context.Context, r *PoolRequest) (*PoolResponse, error) {
+	stop := context.AfterFunc(ctx, func() { c.close() })
 	defer stop()
-	lost := &RequestError{Reused: l.uses > 0}
-	l.uses++
-	wrote, err := l.send(x)
-	lost.Sent = l.written
+	failure := &RequestError{Reused: c.requests > 0}
+	c.requests++
+	written, err := c.send(r)
+	failure.Sent = c.wroteBytes
 	if err != nil {
-		return nil, lost.because(ctx, err)
+		return nil, failure.withCause(ctx, err)
 	}
-	reply, err := l.receive(x, lost)
+	resp, err := c.receive(r, failure)
 	if err != nil {
-		return nil, lost.because(ctx, err)
+		return nil, failure.withCause(ctx, err)
 	}
 	select {
-	case err = <-wrote:
-		l.reusable = l.reusable && err == nil
+	case err = <-written:
+		c.reusable = c.reusable && err == nil
 	default:
 		// The response came before the body was in.
-		l.reusable = false
+		c.reusable = false
 	}
 	if !stop() {
-		l.reusable = false
+		c.reusable = false
 	}
-	return reply, nil
+	return resp, nil
 }
 
-func (e *RequestError) because(ctx context.Context, err error) error {
+func (e *RequestError) withCause(ctx context.Context, err error) error {
 	e.Err = err
 	if ctx.Err() != nil {
 		e.Err = ctx.Err()
@@ -139,69 +139,69 @@
 }
 
 // send writes the request. The channel yields one value when it is all written.
-func (l *link) send(x *PoolRequest) (<-chan error, error) {
-	wrote := make(chan error, 1)
-	head := x.head()
-	if len(x.Body) <= inlineBody {
-		err := l.write(append(head, x.Body...))
-		wrote <- err
-		return wrote, err
+func (c *pooledConn) send(r *PoolRequest) (<-chan error, error) {
+	written := make(chan error, 1)
+	head := r.encodeHead()
+	if len(r.Body) <= maxInlineBody {
+		err := c.write(append(head, r.Body...))
+		written <- err
+		return written, err
 	}
-	if err := l.write(head); err != nil {
-		return wrote, err
+	if err := c.write(head); err != nil {
+		return written, err
 	}
 	go func() {
-		_, err := l.conn.Write(x.Body)
-		wrote <- err
+		_, err := c.conn.Write(r.Body)
+		written <- err
 	}()
-	return wrote, nil
+	return written, nil
 }
 
-func (l *link) write(p []byte) error {
-	n, err := l.conn.Write(p)
-	l.written = l.written || n > 0
+func (c *pooledConn) write(p []byte) error {
+	n, err := c.conn.Write(p)
+	c.wroteBytes = c.wroteBytes || n > 0
 	return err
 }
 
 // receive reads responses until one belongs to the request.
-func (l *link) receive(x *PoolRequest, lost *RequestError) (*PoolResponse, error) {
-	for range maxStray {
-		resp, err := l.readResponse(x)
+func (c *pooledConn) receive(r *PoolRequest, failure *RequestError) (*PoolResponse, error) {
+	for range maxUnmatched {
+		resp, err := c.readResponse(r)
 		if err != nil {
 			return nil, err
 		}
-		mine := x.Accept == nil || x.Accept(resp)
-		lost.ResponseStarted = mine
+		matches := r.Accept == nil || r.Accept(resp)
+		failure.ResponseStarted = matches
 		body, err := readBody(resp)
 		if err != nil {
 			return nil, err
 		}
-		l.keep(resp)
-		if mine {
+		c.updateReuse(resp)
+		if matches {
 			return &PoolResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 		}
-		l.strayed = true
-		if !l.reusable {
+		c.unmatched = true
+		if !c.reusable {
 			break
 		}
 	}
-	return nil, errForeign
+	return nil, errNoMatchingResponse
 }
 
 // readResponse reads the head of the next final response.
-func (l *link) readResponse(x *PoolRequest) (*http.Response, error) {
-	defer l.heads.lift()
+func (c *pooledConn) readResponse(r *PoolRequest) (*http.Response, error) {
+	defer c.headLimit.clearLimit()
 	for {
-		l.heads.bound(defaultMaxHeaderBytes)
-		resp, err := http.ReadResponse(l.reader, &http.Request{Method: x.Method})
+		c.headLimit.setLimit(defaultMaxHeaderBytes)
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols || resp.StatusCode >= http.StatusOK {
 			return resp, nil
 		}
-		if x.OnInformational != nil {
-			x.OnInformational()
+		if r.OnInformational != nil {
+			r.OnInformational()
 		}
 	}
 }
@@ -209,30 +209,30 @@
 func readBody(resp *http.Response) ([]byte, error) {
 	defer func() { _ = resp.Body.Close() }()
 	var buf bytes.Buffer
-	if n := resp.ContentLength; n > 0 && n <= maxReply {
+	if n := resp.ContentLength; n > 0 && n <= maxResponseBody {
 		buf.Grow(int(n))
 	}
-	if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxReply+1)); err != nil {
+	if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBody+1)); err != nil {
 		return nil, err
 	}
-	if buf.Len() > maxReply {
-		return nil, errTooLarge
+	if buf.Len() > maxResponseBody {
+		return nil, errBodyTooLarge
 	}
 	return buf.Bytes(), nil
 }
 
-// keep notes whether and how long the connection can serve again.
-func (l *link) keep(resp *http.Response) {
-	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	l.reusable = !resp.Close && !unframed && resp.StatusCode != http.StatusSwitchingProtocols
-	if limit, ok := keepAlive(resp.Header.Get("Keep-Alive")); ok {
-		l.idleLimit = limit
+// updateReuse notes whether and how long the connection can serve again.
+func (c *pooledConn) updateReuse(resp *http.Response) {
+	endsWithClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	c.reusable = !resp.Close && !endsWithClose && resp.StatusCode != http.StatusSwitchingProtocols
+	if timeout, ok := parseKeepAlive(resp.Header.Get("Keep-Alive")); ok {
+		c.idleTimeout = timeout
 	}
 }
 
-// keepAlive returns the timeout that a Keep-Alive header states.
-func keepAlive(h string) (time.Duration, bool) {
-	for _, field := range strings.Split(h, ",") {
+// parseKeepAlive returns the timeout that a Keep-Alive header states.
+func parseKeepAlive(header string) (time.Duration, bool) {
+	for _, field := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -29,16 +29,16 @@
 }
 
 const (
-	defaultPoolIdle = 8 * time.Second
-	defaultSilence  = 1500 * time.Millisecond
-	// keepAliveEvery is the time between probes of a connection that carries
+	defaultPoolIdleTimeout = 8 * time.Second
+	defaultTCPUserTimeout  = 1500 * time.Millisecond
+	// keepAliveInterval is the time between probes of a connection that carries
 	// nothing, and keepAliveCount how many may go unanswered. A link that has
 	// gone silent is known within two seconds.
-	keepAliveEvery = time.Second
-	keepAliveCount = 2
-	// idleMargin is the share of the other side's stated idle timeout that is
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// idleTimeoutFraction is the share of the other side's stated idle timeout that is
 	// used, so that a request does not cross its close.
-	idleMargin = 0.7
+	idleTimeoutFraction = 0.7
 )
 
 // Pool keeps HTTP/1.1 connections to one address. A connection serves one
@@ -49,10 +49,10 @@
 	opts    PoolOptions
 	dialer  net.Dialer
 
-	mu     sync.Mutex
-	idle   []*link
-	open   int
-	closed bool
+	mu      sync.Mutex
+	idle    []*pooledConn
+	numOpen int
+	closed  bool
 }
 
 // NewPool returns a Pool without connections.
@@ -61,26 +61,26 @@
 		o.DialTimeout = defaultDialTimeout
 	}
 	if o.IdleTimeout <= 0 {
-		o.IdleTimeout = defaultPoolIdle
+		o.IdleTimeout = defaultPoolIdleTimeout
 	}
 	if o.TCPUserTimeout <= 0 {
-		o.TCPUserTimeout = defaultSilence
+		o.TCPUserTimeout = defaultTCPUserTimeout
 	}
-	return &Pool{address: address, opts: o, dialer: Dialer(o.DialTimeout, o.TCPUserTimeout)}
+	return &Pool{address: address, opts: o, dialer: NewDialer(o.DialTimeout, o.TCPUserTimeout)}
 }
 
-// Dialer returns a dialer whose connections notice within a bounded time that
+// NewDialer returns a dialer whose connections notice within a bounded time that
 // the link has gone silent.
-func Dialer(timeout, silence time.Duration) net.Dialer {
+func NewDialer(timeout, userTimeout time.Duration) net.Dialer {
 	return net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveEvery, Interval: keepAliveEvery, Count: keepAliveCount,
+			Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error {
-			return raw.Control(func(fd uintptr) {
+		Control: func(_, _ string, conn syscall.RawConn) error {
+			return conn.Control(func(fd uintptr) {
 				// Without the option only keep-alive probes find the silence.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -88,60 +88,60 @@
 
 // Do sends an exchange once and returns the whole response. The error is a
 // *RequestError.
-func (p *Pool) Do(ctx context.Context, x PoolRequest) (*PoolResponse, error) {
-	l, err := p.take(ctx, x.MaxIdleTime)
+func (p *Pool) Do(ctx context.Context, r PoolRequest) (*PoolResponse, error) {
+	c, err := p.get(ctx, r.MaxIdleTime)
 	if err != nil {
 		return nil, &RequestError{Err: err}
 	}
-	reply, err := l.exchange(ctx, &x)
-	p.put(l, err == nil)
-	return reply, err
+	resp, err := c.exchange(ctx, &r)
+	p.put(c, err == nil)
+	return resp, err
 }
 
-// take returns a kept connection that is quiet, or a new one.
-func (p *Pool) take(ctx context.Context, maxIdle time.Duration) (*link, error) {
+// get returns a kept connection that is quiet, or a new one.
+func (p *Pool) get(ctx context.Context, maxIdle time.Duration) (*pooledConn, error) {
 	for maxIdle >= 0 {
-		l := p.pop()
-		if l == nil {
+		c := p.popIdle()
+		if c == nil {
 			break
 		}
-		if l.fresh(maxIdle) && l.quiet() {
-			l.written = false
-			return l, nil
+		if c.idleWithin(maxIdle) && c.noUnreadData() {
+			c.wroteBytes = false
+			return c, nil
 		}
-		p.drop(l)
+		p.discard(c)
 	}
 	return p.dial(ctx)
 }
 
-func (p *Pool) pop() *link {
+func (p *Pool) popIdle() *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
 	if n == 0 {
 		return nil
 	}
-	l := p.idle[n-1]
+	c := p.idle[n-1]
 	p.idle = p.idle[:n-1]
-	return l
+	return c
 }
 
-func (p *Pool) dial(ctx context.Context) (*link, error) {
+func (p *Pool) dial(ctx context.Context) (*pooledConn, error) {
 	if !p.reserve() {
-		return nil, errFull
+		return nil, errPoolFull
 	}
 	conn, err := p.dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.numOpen--
 		p.mu.Unlock()
 		return nil, err
 	}
 	if p.opts.OnDial != nil {
 		p.opts.OnDial()
 	}
-	heads := &headReader{from: conn}
-	return &link{conn: conn, heads: heads, reader: bufio.NewReaderSize(heads, bufferBytes), idleLimit: p.opts.IdleTimeout}, nil
+	limiter := &headLimiter{source: conn}
+	return &pooledConn{conn: conn, headLimit: limiter, reader: bufio.NewReaderSize(limiter, bufferSize), idleTimeout: p.opts.IdleTimeout}, nil
 }
 
 // reserve counts a connection about to be opened. It makes room by closing a
@@ -149,52 +149,52 @@
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.opts.MaxConns > 0 && p.open >= p.opts.MaxConns {
+	if p.opts.MaxConns > 0 && p.numOpen >= p.opts.MaxConns {
 		if len(p.idle) == 0 {
 			return false
 		}
 		p.idle[0].close()
 		p.idle = p.idle[1:]
-		p.open--
+		p.numOpen--
 	}
-	p.open++
+	p.numOpen++
 	return true
 }
 
 // put keeps a connection that can serve again and closes any other.
-func (p *Pool) put(l *link, ok bool) {
-	l.since = time.Now()
-	if !ok || !l.reusable || l.strayed || l.reader.Buffered() > 0 {
-		p.drop(l)
+func (p *Pool) put(c *pooledConn, ok bool) {
+	c.idleSince = time.Now()
+	if !ok || !c.reusable || c.unmatched || c.reader.Buffered() > 0 {
+		p.discard(c)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		l.close()
-		p.open--
+		c.close()
+		p.numOpen--
 		return
 	}
-	p.idle = append(p.idle, l)
-	p.sweep()
+	p.idle = append(p.idle, c)
+	p.closeExpired()
 }
 
-// sweep closes the kept connections that have been idle for too long. The
+// closeExpired closes the kept connections that have been idle for too long. The
 // oldest come first. p.mu is held.
-func (p *Pool) sweep() {
+func (p *Pool) closeExpired() {
 	n := 0
-	for n < len(p.idle) && !p.idle[n].fresh(0) {
+	for n < len(p.idle) && !p.idle[n].idleWithin(0) {
 		p.idle[n].close()
 		n++
 	}
 	p.idle = p.idle[n:]
-	p.open -= n
+	p.numOpen -= n
 }
 
-func (p *Pool) drop(l *link) {
-	l.close()
+func (p *Pool) discard(c *pooledConn) {
+	c.close()
 	p.mu.Lock()
-	p.open--
+	p.numOpen--
 	p.mu.Unlock()
 }
 
@@ -203,84 +203,84 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, l := range p.idle {
-		l.close()
+	for _, c := range p.idle {
+		c.close()
 	}
-	p.open -= len(p.idle)
+	p.numOpen -= len(p.idle)
 	p.idle = nil
 }
 
-// link is one connection.
-type link struct {
+// pooledConn is one connection.
+type pooledConn struct {
 	conn net.Conn
 	// reader reads from heads.
-	reader *bufio.Reader
-	heads  *headReader
-	// uses counts the exchanges; written tells that the present one has sent
+	reader    *bufio.Reader
+	headLimit *headLimiter
+	// requests counts the exchanges; written tells that the present one has sent
 	// bytes.
-	uses    int
-	written bool
+	requests   int
+	wroteBytes bool
 	// reusable is set by a response that leaves the connection open, strayed by
 	// one that belonged to no request.
-	reusable  bool
-	strayed   bool
-	idleLimit time.Duration
-	since     time.Time
-	once      sync.Once
+	reusable    bool
+	unmatched   bool
+	idleTimeout time.Duration
+	idleSince   time.Time
+	closeOnce   sync.Once
 }
 
-func (l *link) close() { l.once.Do(func() { _ = l.conn.Close() }) }
+func (c *pooledConn) close() { c.closeOnce.Do(func() { _ = c.conn.Close() }) }
 
-// fresh reports whether the connection has been idle for less than allowed.
-func (l *link) fresh(maxIdle time.Duration) bool {
-	idle := time.Since(l.since)
+// idleWithin reports whether the connection has been idle for less than allowed.
+func (c *pooledConn) idleWithin(maxIdle time.Duration) bool {
+	idle := time.Since(c.idleSince)
 	if maxIdle > 0 && idle > maxIdle {
 		return false
 	}
-	return idle < time.Duration(idleMargin*float64(l.idleLimit))
+	return idle < time.Duration(idleTimeoutFraction*float64(c.idleTimeout))
 }
 
-// quiet reports whether the other side has neither closed the connection nor
+// noUnreadData reports whether the other side has neither closed the connection nor
 // sent anything on it since the last response.
-func (l *link) quiet() bool {
-	sc, ok := l.conn.(syscall.Conn)
+func (c *pooledConn) noUnreadData() bool {
+	conn, ok := c.conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		noData = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// headReader bounds the bytes of a response head, which net/http reads without a bound.
-type headReader struct {
-	from    io.Reader
-	bounded bool
-	left    int
+// headLimiter bounds the bytes of a response head, which net/http reads without a bound.
+type headLimiter struct {
+	source    io.Reader
+	limited   bool
+	remaining int
 }
 
-// bound lets so many bytes more be read; lift ends that.
-func (h *headReader) bound(n int) { h.bounded, h.left = true, n }
-func (h *headReader) lift()       { h.bounded = false }
+// setLimit lets so many bytes more be read; lift ends that.
+func (h *headLimiter) setLimit(n int) { h.limited, h.remaining = true, n }
+func (h *headLimiter) clearLimit()    { h.limited = false }
 
 // Read implements io.Reader.
-func (h *headReader) Read(p []byte) (int, error) {
-	if !h.bounded {
-		return h.from.Read(p)
+func (h *headLimiter) Read(p []byte) (int, error) {
+	if !h.limited {
+		return h.source.Read(p)
 	}
-	if h.left <= 0 {
-		return 0, errHeaders
+	if h.remaining <= 0 {
+		return 0, errHeadersTooLarge
 	}
-	n, err := h.from.Read(p[:min(len(p), h.left)])
-	h.left -= n
+	n, err := h.source.Read(p[:min(len(p), h.remaining)])
+	h.remaining -= n
 	return n, err
 }
--- a/hop/once.go
+++ b/hop/replay.go
@@ -9,22 +9,22 @@
 // The Transport sends a request again when it takes it for replayable: when its
 // body is absent, http.NoBody or can be rewound, and either its method is GET,
 // HEAD, OPTIONS or TRACE or it carries one of these headers.
-var replayHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
+var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// plainNames are the same headers under names that the Transport does not look
+// lowercaseNames are the same headers under names that the Transport does not look
 // for. On the wire the names of headers are compared without regard to case.
-var plainNames = map[string]string{
+var lowercaseNames = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
 
-// setOnce gives a request its body and headers so that the Transport never
+// setNotReplayable gives a request its body and headers so that the Transport never
 // sends it again after its first byte.
-func setOnce(req *http.Request, body io.Reader) {
-	for _, name := range replayHeaders {
+func setNotReplayable(req *http.Request, body io.Reader) {
+	for _, name := range idempotencyHeaders {
 		if values, ok := req.Header[name]; ok {
 			delete(req.Header, name)
-			req.Header[plainNames[name]] = values
+			req.Header[lowercaseNames[name]] = values
 		}
 	}
 	switch {
@@ -42,17 +42,17 @@
 	}
 }
 
-// setCareless gives a request its body as an ordinary client does.
-func setCareless(req *http.Request, body io.Reader) {
+// setReplayable gives a request its body as an ordinary client does.
+func setReplayable(req *http.Request, body io.Reader) {
 	data, ok := body.(*bytes.Reader)
 	if !ok {
 		return
 	}
 	req.Body = io.NopCloser(data)
 	req.GetBody = func() (io.ReadCloser, error) {
-		again := *data
-		_, _ = again.Seek(0, io.SeekStart)
-		return io.NopCloser(&again), nil
+		rewound := *data
+		_, _ = rewound.Seek(0, io.SeekStart)
+		return io.NopCloser(&rewound), nil
 	}
 }
 
--- a/hop/once_test.go
+++ b/hop/replay_test.go
@@ -15,22 +15,22 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// dropper is a server that answers requests for /warm and, for all others,
+// droppingServer is a server that answers requests for /warm and, for all others,
 // reads the whole request and drops the connection.
-type dropper struct {
-	ln net.Listener
-	mu sync.Mutex
-	// read holds the requests that were read whole, with their bodies.
-	read []*http.Request
+type droppingServer struct {
+	listener net.Listener
+	mu       sync.Mutex
+	// received holds the requests that were read whole, with their bodies.
+	received []*http.Request
 	// drop drops a connection; the first byte of an answer may be written.
 	drop func(net.Conn)
 }
 
-func startDropper(t *testing.T, drop func(net.Conn)) *dropper {
+func startDroppingServer(t *testing.T, drop func(net.Conn)) *droppingServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	d := &dropper{ln: ln, drop: drop}
+	d := &droppingServer{listener: ln, drop: drop}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -43,7 +43,7 @@
 	return d
 }
 
-func (d *dropper) serve(conn net.Conn) {
+func (d *droppingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
@@ -61,29 +61,29 @@
 		}
 		req.Body = io.NopCloser(bytes.NewReader(body))
 		d.mu.Lock()
-		d.read = append(d.read, req)
+		d.received = append(d.received, req)
 		d.mu.Unlock()
 		d.drop(conn)
 		return
 	}
 }
 
-func (d *dropper) requests() []*http.Request {
+func (d *droppingServer) requests() []*http.Request {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.read
+	return d.received
 }
 
-var drops = map[string]func(net.Conn){
+var dropMethods = map[string]func(net.Conn){
 	"closed": func(c net.Conn) { _ = c.Close() },
 	"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
 }
 
-// sendDropped sends one attempt over a connection that has been used before,
+// sendToDroppingServer sends one attempt over a connection that has been used before,
 // which is when the Transport sends again, and returns what the server read.
-func sendDropped(t *testing.T, c *Client, drop func(net.Conn), method string, body []byte) []*http.Request {
-	d := startDropper(t, drop)
-	address := d.ln.Addr().String()
+func sendToDroppingServer(t *testing.T, c *Client, drop func(net.Conn), method string, body []byte) []*http.Request {
+	d := startDroppingServer(t, drop)
+	address := d.listener.Addr().String()
 	resp, _, err := c.Do(t.Context(), Request{Address: address, Method: http.MethodGet, Target: "/warm", Header: http.Header{}})
 	require.NoError(t, err)
 	_, _ = io.Copy(io.Discard, resp.Body)
@@ -104,42 +104,42 @@
 	http.MethodPatch, http.MethodDelete, "PROPFIND", "RELEASE",
 }
 
-func TestAttemptIsNeverSentAgainAfterADroppedConnection(t *testing.T) {
-	for name, drop := range drops {
+func TestNoReplayAfterDroppedConnection(t *testing.T) {
+	for name, drop := range dropMethods {
 		for _, method := range methods {
 			for _, body := range [][]byte{nil, []byte("two parcels")} {
 				t.Run(fmt.Sprintf("%s/%s/%d bytes", name, method, len(body)), func(t *testing.T) {
 					c := NewClient(Options{})
 					defer c.CloseIdle()
-					read := sendDropped(t, c, drop, method, body)
-					require.Len(t, read, 1)
-					got, err := io.ReadAll(read[0].Body)
+					received := sendToDroppingServer(t, c, drop, method, body)
+					require.Len(t, received, 1)
+					got, err := io.ReadAll(received[0].Body)
 					require.NoError(t, err)
 					require.Equal(t, string(body), string(got))
-					require.Equal(t, "k", read[0].Header.Get("Idempotency-Key"), "the upstream gets the key")
-					require.Equal(t, "x", read[0].Header.Get("X-Idempotency-Key"))
+					require.Equal(t, "k", received[0].Header.Get("Idempotency-Key"), "the upstream gets the key")
+					require.Equal(t, "x", received[0].Header.Get("X-Idempotency-Key"))
 				})
 			}
 		}
 	}
 }
 
-// TestCarelessAttemptIsSentAgain shows that the defence is needed: without it
+// TestTransportReplaysUnprotectedAttempts shows that the defence is needed: without it
 // the Transport sends each of these a second time.
-func TestCarelessAttemptIsSentAgain(t *testing.T) {
+func TestTransportReplaysUnprotectedAttempts(t *testing.T) {
 	for _, method := range methods {
 		for _, body := range [][]byte{nil, []byte("two parcels")} {
 			t.Run(fmt.Sprintf("%s/%d bytes", method, len(body)), func(t *testing.T) {
 				c := NewClient(Options{})
 				defer c.CloseIdle()
-				c.careless = true
-				require.Greater(t, len(sendDropped(t, c, drops["closed"], method, body)), 1)
+				c.unprotected = true
+				require.Greater(t, len(sendToDroppingServer(t, c, dropMethods["closed"], method, body)), 1)
 			})
 		}
 	}
 }
 
-func TestEmptyBodyGoesOutWithALength(t *testing.T) {
+func TestContentLengthOfEmptyBody(t *testing.T) {
 	for method, want := range map[string]struct {
 		length string
 		coding []string
@@ -155,15 +155,15 @@
 		t.Run(method, func(t *testing.T) {
 			c := NewClient(Options{})
 			defer c.CloseIdle()
-			read := sendDropped(t, c, drops["closed"], method, nil)
-			require.Len(t, read, 1)
-			require.Equal(t, want.length, read[0].Header.Get("Content-Length"))
-			require.Equal(t, want.coding, read[0].TransferEncoding)
+			received := sendToDroppingServer(t, c, dropMethods["closed"], method, nil)
+			require.Len(t, received, 1)
+			require.Equal(t, want.length, received[0].Header.Get("Content-Length"))
+			require.Equal(t, want.coding, received[0].TransferEncoding)
 		})
 	}
 }
 
-func TestMethodsThatAreNotSentOn(t *testing.T) {
+func TestUnsupportedMethods(t *testing.T) {
 	c := NewClient(Options{})
 	for _, method := range []string{http.MethodTrace, http.MethodConnect} {
 		_, o, err := c.Do(t.Context(), Request{Address: "127.0.0.1:1", Method: method, Target: "/"})
--- a/hop/stray_test.go
+++ b/hop/unsolicited_test.go
@@ -12,16 +12,16 @@
 	"github.com/dottereltiller/dottereltiller/standin"
 )
 
-const strayAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmineHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
+const doubleResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmineHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 
-// strays sends attempts to an upstream that sends a second answer after each,
+// countUnsolicited sends attempts to an upstream that sends a second answer after each,
 // and counts the attempts that were given such an answer as theirs.
-func strays(t *testing.T, c *Client, attempts int) int64 {
+func countUnsolicited(t *testing.T, c *Client, attempts int) int64 {
 	f, err := standin.StartFaulty()
 	require.NoError(t, err)
 	defer func() { _ = f.Close() }()
 	defer c.CloseIdle()
-	f.Play(standin.Script{Answer: []byte(strayAnswer), Cut: -1})
+	f.Play(standin.Script{Answer: []byte(doubleResponse), Cut: -1})
 	var wrong atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
@@ -43,16 +43,16 @@
 	return wrong.Load()
 }
 
-// TestStrayAnswerReachesNobody needs many attempts: the Transport drops a
+// TestUnsolicitedResponseIsNotDelivered needs many attempts: the Transport drops a
 // connection with bytes left over unless the next attempt is quicker.
-func TestStrayAnswerReachesNobody(t *testing.T) {
+func TestUnsolicitedResponseIsNotDelivered(t *testing.T) {
 	const attempts, rounds = 800, 100
-	require.Zero(t, strays(t, NewClient(Options{}), attempts))
-	careless := NewClient(Options{})
-	careless.careless = true
+	require.Zero(t, countUnsolicited(t, NewClient(Options{}), attempts))
+	unprotected := NewClient(Options{})
+	unprotected.unprotected = true
 	wrong := int64(0)
 	for range rounds {
-		if wrong = strays(t, careless, attempts); wrong > 0 {
+		if wrong = countUnsolicited(t, unprotected, attempts); wrong > 0 {
 			break
 		}
 	}
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -52,7 +52,7 @@
 	},
 	"answers that belong to nobody are taken": {
 		edits: []edits.Edit{
-			edits.New("hop/pool.go", "|| l.strayed || l.reader.Buffered() > 0", ""),
+			edits.New("hop/pool.go", "|| c.unmatched || c.reader.Buffered() > 0", ""),
 			edits.New("sidecar/run.go", "return r.ID == c.ID || r.ID == \"\" && (r.NotRun || r.Misdirected)", "return r.ID != \"\" || c.ID != \"\""),
 		},
 		plan: doubles, want: "mixed",
@@ -78,7 +78,7 @@
 		plan:  reloads, want: "unanswered",
 	},
 	"answers that break off are delivered": {
-		edits: []edits.Edit{edits.New("hop/exchange.go", "if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxReply+1)); err != nil {\n		return nil, err\n	}", "_, _ = io.Copy(&buf, io.LimitReader(resp.Body, maxReply+1))")},
+		edits: []edits.Edit{edits.New("hop/exchange.go", "if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBody+1)); err != nil {\n		return nil, err\n	}", "_, _ = io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBody+1))")},
 		plan:  cuts, want: "mixed",
 	},
 	"requests that crash upstreams are served": {
