--- a/hop/client.go
+++ b/hop/client.go
@@ -16,18 +16,19 @@
 
 // Options configure a Client.
 type Options struct {
-	// MaxConns bounds the connections to one address. Default: 256.
+	// MaxConns limits the connections to one address. Default: 256.
 	MaxConns int
-	// MaxIdleConns bounds the idle connections to one address. Default: 32.
+	// MaxIdleConns limits the idle connections to one address. Default: 32.
 	MaxIdleConns int
-	// IdleTimeout closes idle connections. It should be shorter than the
-	// timeout of the other side. Default: 30s.
+	// IdleTimeout is how long an idle connection is kept. It should be shorter
+	// than the idle timeout of the server. Default: 30s.
 	IdleTimeout time.Duration
-	// Dial connects to an address, TLS included. Default: plain TCP.
+	// Dial connects to an address and does the TLS handshake, if any. Default:
+	// plain TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialTimeout bounds connecting. Default: 1s.
+	// DialTimeout limits the time to connect. Default: 1s.
 	DialTimeout time.Duration
-	// MaxHeaderBytes bounds response headers. Default: 64 KiB.
+	// MaxHeaderBytes limits the size of response headers. Default: 64 KiB.
 	MaxHeaderBytes int64
 }
 
@@ -40,11 +41,14 @@
 	bufferSize            = 4 << 10
 )
 
-// Client sends attempts. It is safe for concurrent use.
+// Client sends attempts to any number of addresses. It is safe for concurrent
+// use.
 type Client struct {
 	transport *http.Transport
-	// unprotected leaves attempts as an ordinary client would send them. Tests
-	// set it to show that the Transport then sends some of them twice.
+	// unprotected switches off the protection against retries by the Transport
+	// and against unsolicited responses. Tests set it to show that the
+	// Transport then sends some attempts twice and delivers responses to the
+	// wrong attempt.
 	unprotected bool
 }
 
@@ -93,27 +97,27 @@
 	return o
 }
 
-// Request is one attempt to send.
+// Request is one attempt that a Client sends.
 type Request struct {
-	// Address is host:port of the other side.
+	// Address is the host:port of the server.
 	Address string
 	Method  string
 	// Target is the request target in origin form.
 	Target string
 	Host   string
 	Header http.Header
-	// Body is nil when there is none.
+	// Body is nil for a request without a body.
 	Body          io.Reader
 	ContentLength int64
 }
 
-// ErrMethod is returned for the methods that are not sent on: CONNECT asks for a
-// tunnel, and TRACE shows a request to whoever sent it.
-var ErrMethod = errors.New("method is not sent on")
+// ErrMethod is returned for methods that are not forwarded: CONNECT, which asks
+// for a tunnel, and TRACE, which echoes the request that the server received.
+var ErrMethod = errors.New("method is not forwarded")
 
 // Do sends the attempt once. On success it returns the response, whose body
-// must be closed. On failure the outcome says what is proved: NotRun when no
-// byte went out, Unknown otherwise.
+// must be closed. On failure the outcome is NotRun if no byte was written, and
+// Unknown otherwise.
 func (c *Client) Do(ctx context.Context, r Request) (*http.Response, outcome.Outcome, error) {
 	target, err := url.ParseRequestURI(r.Target)
 	if err != nil {
@@ -155,13 +159,15 @@
 // CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
-// attemptConn remembers the connection that an attempt was given.
+// attemptConn records which connection the Transport uses for an attempt.
 type attemptConn struct {
-	conn          atomic.Pointer[countingConn]
+	conn atomic.Pointer[countingConn]
+	// writtenBefore is the number of bytes written to conn before the attempt.
 	writtenBefore atomic.Int64
 	unprotected   bool
 }
 
+// gotConn implements httptrace.ClientTrace.GotConn.
 func (a *attemptConn) gotConn(info httptrace.GotConnInfo) {
 	conn, ok := info.Conn.(*countingConn)
 	if !ok {
@@ -171,13 +177,15 @@
 	a.conn.Store(conn)
 }
 
-// responseIsUnsolicited reports whether the attempt got a response though no byte of it
-// was written: the response belongs to no attempt, and the connection is sealed.
+// responseIsUnsolicited reports whether the response to the attempt is
+// unsolicited: it arrived although no byte of the attempt was written. The
+// connection is then sealed.
 func (a *attemptConn) responseIsUnsolicited() bool {
 	conn := a.conn.Load()
 	return conn != nil && !a.unprotected && conn.sealIfUnsent(a.writtenBefore.Load())
 }
 
+// outcomeOf returns the outcome of an attempt that failed with err.
 func (a *attemptConn) outcomeOf(err error) outcome.Outcome {
 	reason := reasonOf(err)
 	conn := a.conn.Load()
--- a/hop/conn.go
+++ b/hop/conn.go
@@ -10,31 +10,35 @@
 )
 
 var (
-	// errSealed is what a sealed connection answers to a write.
-	errSealed = errors.New("connection sealed after its attempt was given up")
-	// errUnsolicited tells that bytes were left over from an earlier answer.
-	errUnsolicited = errors.New("connection holds bytes of no answer")
+	// errSealed is returned by writes to a sealed connection.
+	errSealed = errors.New("connection sealed after its attempt was abandoned")
+	// errUnsolicited is returned when a response arrived although no byte of
+	// the attempt was written.
+	errUnsolicited = errors.New("connection holds an unsolicited response")
 )
 
-// countingConn counts the bytes written, and can be sealed against further
-// writes.
+// countingConn is a connection of a Transport that counts the bytes written and
+// can be sealed against further writes.
 //
-// It also finds out whether a connection that is used again still holds bytes
-// that belong to no answer, which the Transport would take for the next one.
-// When it holds none, the Transport waits in Read; so the first write of an
-// attempt needs a Read that is under way.
+// It also detects unread bytes on a reused connection, which the Transport
+// would take for the response to its next request. Once the Transport has
+// consumed all bytes it blocks in Read. The first write of an attempt on a
+// reused connection therefore waits up to readerTimeout for a Read in progress,
+// and seals the connection if there is none.
 type countingConn struct {
 	net.Conn
+	// reading is set while a Read is in progress.
 	reading atomic.Bool
 
 	mu      sync.Mutex
 	written int64
 	sealed  bool
-	// checkUnread makes the next write look for bytes left over.
+	// checkUnread makes the next write check for unread bytes.
 	checkUnread bool
 }
 
-// Read reads, and marks that nothing read before is left.
+// Read implements net.Conn. A Read in progress shows that the bytes of earlier
+// reads were consumed.
 func (c *countingConn) Read(p []byte) (int, error) {
 	c.reading.Store(true)
 	n, err := c.Conn.Read(p)
@@ -43,15 +47,18 @@
 }
 
 const (
-	// readerTimeout is how long the Transport may take from the end of one
-	// answer until it waits for the next.
-	readerTimeout      = 20 * time.Millisecond
+	// readerTimeout is how long the Transport may take from the end of a
+	// response to its next Read.
+	readerTimeout = 20 * time.Millisecond
+	// readerPollInterval is the time between two checks.
 	readerPollInterval = 50 * time.Microsecond
-	// maxYields is how often the processor is yielded before it sleeps.
+	// maxYields is how often waitForReader yields the processor before it
+	// begins to sleep between checks.
 	maxYields = 32
 )
 
-// waitForReader reports whether the Transport waits for bytes, so that none are left.
+// waitForReader waits until the Transport is blocked in Read, and reports
+// whether that happened within readerTimeout. If so, no unread bytes are left.
 func (c *countingConn) waitForReader() bool {
 	for range maxYields {
 		if c.reading.Load() {
@@ -69,6 +76,7 @@
 	return true
 }
 
+// Write implements net.Conn.
 func (c *countingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +92,8 @@
 	return n, err
 }
 
-// beginAttempt starts an attempt and returns the count of bytes written so far.
+// beginAttempt begins an attempt and returns the number of bytes written so
+// far. On a reused connection the next write checks for unread bytes.
 func (c *countingConn) beginAttempt(reused bool) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,8 +101,9 @@
 	return c.written
 }
 
-// sealIfUnsent seals the connection when nothing was written since the
-// count was base, and reports whether it did. After true no byte can go out.
+// sealIfUnsent seals the connection if no byte was written since writtenBefore
+// was taken, and reports whether it did. No byte can be written after it
+// returned true.
 func (c *countingConn) sealIfUnsent(writtenBefore int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/hop/doc.go
+++ b/hop/doc.go
@@ -1,13 +1,15 @@
-// Package hop sends one attempt over HTTP/1.1 and says what is proved about it.
+// Package hop sends a single attempt of a request to the next server over
+// HTTP/1.1 and reports whether the server may have executed it.
 //
-// A Client sends to many addresses and passes bodies on as they come. A Pool holds the
-// connections to one address, sends and reads bodies whole, and tells answers that
-// belong to an attempt from bytes that belong to none.
+// A Client sends to many addresses and streams bodies. A Pool holds the
+// connections to one address and buffers bodies in memory. It also checks which
+// request a response belongs to, and does not deliver a response that belongs
+// to none.
 //
-// A Client uses a net/http Transport whose connections count the bytes that
-// went out, so that a failed attempt can be told apart: when no byte of it was
-// written it provably did not run, and the connection is sealed so that none
-// follows. The Transport never sends an attempt again: bodies cannot be rewound,
-// and an Idempotency-Key travels under a name that it does not take as leave to
-// send a request twice.
+// A Client wraps a net/http Transport whose connections count the bytes
+// written. If no byte of a failed attempt was written, the attempt provably did
+// not run; its connection is then sealed, so that no byte can follow. The
+// Transport never retries an attempt on its own: bodies cannot be rewound, and
+// an Idempotency-Key is sent under a spelling that the Transport does not
+// recognize as permission to retry.
 package hop
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -12,8 +12,7 @@
 	"time"
 )
 
-// PoolRequest is one request whose body is at hand, and the conditions under which
-// an answer to it counts.
+// PoolRequest is one request with its body in memory.
 type PoolRequest struct {
 	Method string
 	// Target is the request target in origin form, sent byte for byte.
@@ -21,39 +20,41 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdleTime is how long a kept connection may have been idle to be used. Zero
-	// means that any kept connection will do; negative asks for a new one.
+	// MaxIdleTime is how long a connection may have been idle to be used for
+	// the request. Zero allows any idle connection that the Pool still keeps; a
+	// negative value requires a new connection.
 	MaxIdleTime time.Duration
-	// Accept reports whether a response belongs to this request. Others are read
-	// to their end and passed over. Nil accepts any.
+	// Accept reports whether a response belongs to this request. Other
+	// responses are read and discarded. Nil accepts every response.
 	Accept func(*http.Response) bool
-	// OnInformational, if set, is called for each informational response.
+	// OnInformational, if set, is called for each informational (1xx) response.
 	OnInformational func()
 }
 
-// PoolResponse is a whole response.
+// PoolResponse is a complete response.
 type PoolResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// RequestError tells how far an exchange without a whole response had come.
+// RequestError reports a request that got no complete response, and how far it
+// came.
 type RequestError struct {
-	// Sent tells that bytes of the request may have reached the other side.
+	// Sent is set if the server may have received bytes of the request.
 	Sent bool
-	// ResponseStarted tells that a response to the request had begun.
+	// ResponseStarted is set if the headers of the response were received.
 	ResponseStarted bool
-	// Reused tells that the connection had served a request before.
+	// Reused is set if the connection had carried a request before.
 	Reused bool
 	Err    error
 }
 
-// Error tells how far the exchange had come, and the cause.
+// Error says how far the request came, and gives the cause.
 func (e *RequestError) Error() string {
 	switch {
 	case e.ResponseStarted:
-		return fmt.Sprintf("response broke off: %v", e.Err)
+		return fmt.Sprintf("incomplete response: %v", e.Err)
 	case e.Sent:
 		return fmt.Sprintf("no response: %v", e.Err)
 	default:
@@ -65,25 +66,25 @@
 func (e *RequestError) Unwrap() error { return e.Err }
 
 const (
-	// maxResponseBody bounds a response body held in memory, in bytes.
+	// maxResponseBody limits the response body held in memory, in bytes.
 	maxResponseBody = 16 << 20
-	// maxUnmatched is how many responses to other requests are passed over before a
-	// connection is given up.
+	// maxUnmatched is how many responses to other requests are discarded before
+	// the connection is closed.
 	maxUnmatched = 3
-	// maxInlineBody is the largest body written before the response is waited for,
-	// in bytes. A larger one is written beside it, so that a response that comes
-	// early is seen.
+	// maxInlineBody is the largest body that is written before the response is
+	// read, in bytes. A larger body is written concurrently, so that an early
+	// response is noticed.
 	maxInlineBody = 2 << 10
 )
 
 var (
 	errPoolFull           = errors.New("all connections are in use")
-	errNoMatchingResponse = errors.New("responses belong to other requests")
-	errBodyTooLarge       = errors.New("response is too large")
+	errNoMatchingResponse = errors.New("connection delivered only responses to other requests")
+	errBodyTooLarge       = errors.New("response body is too large")
 	errHeadersTooLarge    = errors.New("response headers are too large")
 )
 
-// encodeHead returns the request line and headers.
+// encodeHead returns the request line and the headers.
 func (r *PoolRequest) encodeHead() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
@@ -102,7 +103,8 @@
 	return b.Bytes()
 }
 
-// exchange sends a request on a connection and reads its response.
+// exchange sends a request and reads its response. The error is a
+// *RequestError.
 func (c *pooledConn) exchange(ctx context.Context, r *PoolRequest) (*PoolResponse, error) {
 	stop := context.AfterFunc(ctx, func() { c.close() })
 	defer stop()
@@ -121,7 +123,7 @@
 	case err = <-written:
 		c.reusable = c.reusable && err == nil
 	default:
-		// The response came before the body was in.
+		// The response arrived before the whole body was written.
 		c.reusable = false
 	}
 	if !stop() {
@@ -130,6 +132,8 @@
 	return resp, nil
 }
 
+// withCause sets the cause to the error of the context if it has ended, else to
+// err.
 func (e *RequestError) withCause(ctx context.Context, err error) error {
 	e.Err = err
 	if ctx.Err() != nil {
@@ -138,7 +142,9 @@
 	return e
 }
 
-// send writes the request. The channel yields one value when it is all written.
+// send writes the request. A body larger than maxInlineBody is written in the
+// background. The channel receives one value, the error or nil, when the whole
+// request is written.
 func (c *pooledConn) send(r *PoolRequest) (<-chan error, error) {
 	written := make(chan error, 1)
 	head := r.encodeHead()
@@ -157,13 +163,15 @@
 	return written, nil
 }
 
+// write writes to the connection and records whether any byte was written.
 func (c *pooledConn) write(p []byte) error {
 	n, err := c.conn.Write(p)
 	c.wroteBytes = c.wroteBytes || n > 0
 	return err
 }
 
-// receive reads responses until one belongs to the request.
+// receive reads responses until one belongs to the request. It sets
+// failure.ResponseStarted once the headers of that response are received.
 func (c *pooledConn) receive(r *PoolRequest, failure *RequestError) (*PoolResponse, error) {
 	for range maxUnmatched {
 		resp, err := c.readResponse(r)
@@ -188,7 +196,7 @@
 	return nil, errNoMatchingResponse
 }
 
-// readResponse reads the head of the next final response.
+// readResponse reads status line and headers of the next final response.
 func (c *pooledConn) readResponse(r *PoolRequest) (*http.Response, error) {
 	defer c.headLimit.clearLimit()
 	for {
@@ -206,6 +214,7 @@
 	}
 }
 
+// readBody reads the whole body and closes it.
 func readBody(resp *http.Response) ([]byte, error) {
 	defer func() { _ = resp.Body.Close() }()
 	var buf bytes.Buffer
@@ -221,7 +230,8 @@
 	return buf.Bytes(), nil
 }
 
-// updateReuse notes whether and how long the connection can serve again.
+// updateReuse derives from a response whether the connection can be reused, and
+// for how long it may stay idle.
 func (c *pooledConn) updateReuse(resp *http.Response) {
 	endsWithClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	c.reusable = !resp.Close && !endsWithClose && resp.StatusCode != http.StatusSwitchingProtocols
@@ -230,7 +240,7 @@
 	}
 }
 
-// parseKeepAlive returns the timeout that a Keep-Alive header states.
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header.
 func parseKeepAlive(header string) (time.Duration, bool) {
 	for _, field := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -14,15 +14,15 @@
 
 // PoolOptions configure a Pool.
 type PoolOptions struct {
-	// DialTimeout bounds connecting. Default: 1s.
+	// DialTimeout limits the time to connect. Default: 1s.
 	DialTimeout time.Duration
-	// IdleTimeout closes kept connections that were idle for so long, where the
-	// other side states nothing shorter. Default: 8s.
+	// IdleTimeout is how long an idle connection is kept if the server does not
+	// announce a shorter timeout. Default: 8s.
 	IdleTimeout time.Duration
-	// TCPUserTimeout is how long sent bytes may stay without acknowledgement before
-	// the connection counts as lost. Default: 1500ms.
+	// TCPUserTimeout is how long sent bytes may stay unacknowledged before the
+	// connection is closed. Default: 1500ms.
 	TCPUserTimeout time.Duration
-	// MaxConns bounds the open connections. Zero means no bound.
+	// MaxConns limits the open connections. Zero means no limit.
 	MaxConns int
 	// OnDial, if set, is called for each new connection.
 	OnDial func()
@@ -31,26 +31,29 @@
 const (
 	defaultPoolIdleTimeout = 8 * time.Second
 	defaultTCPUserTimeout  = 1500 * time.Millisecond
-	// keepAliveInterval is the time between probes of a connection that carries
-	// nothing, and keepAliveCount how many may go unanswered. A link that has
-	// gone silent is known within two seconds.
+	// keepAliveInterval is the time between TCP keep-alive probes on an idle
+	// connection. The connection is closed after keepAliveCount probes without
+	// a reply. A dead network path is detected within two seconds.
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// idleTimeoutFraction is the share of the other side's stated idle timeout that is
-	// used, so that a request does not cross its close.
+	// idleTimeoutFraction is the fraction of an idle timeout for which a
+	// connection is used, so that a request is not sent just as the server
+	// closes the connection.
 	idleTimeoutFraction = 0.7
 )
 
-// Pool keeps HTTP/1.1 connections to one address. A connection serves one
-// exchange at a time, and a request is written to at most one connection. It is
-// safe for concurrent use.
+// Pool keeps HTTP/1.1 connections to one address. Each connection carries one
+// request at a time, and each request is written to at most one connection. A
+// Pool is safe for concurrent use.
 type Pool struct {
 	address string
 	opts    PoolOptions
 	dialer  net.Dialer
 
-	mu      sync.Mutex
-	idle    []*pooledConn
+	mu   sync.Mutex
+	idle []*pooledConn
+	// numOpen counts the connections that are open or being opened, idle ones
+	// included.
 	numOpen int
 	closed  bool
 }
@@ -69,8 +72,9 @@
 	return &Pool{address: address, opts: o, dialer: NewDialer(o.DialTimeout, o.TCPUserTimeout)}
 }
 
-// NewDialer returns a dialer whose connections notice within a bounded time that
-// the link has gone silent.
+// NewDialer returns a dialer whose connections are closed within a bounded time
+// when the network path is dead: after userTimeout if sent bytes stay
+// unacknowledged, and by TCP keep-alive if the connection is idle.
 func NewDialer(timeout, userTimeout time.Duration) net.Dialer {
 	return net.Dialer{
 		Timeout: timeout,
@@ -79,14 +83,15 @@
 		},
 		Control: func(_, _ string, conn syscall.RawConn) error {
 			return conn.Control(func(fd uintptr) {
-				// Without the option only keep-alive probes find the silence.
+				// If the option cannot be set, only keep-alive probes detect a
+				// dead path.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			})
 		},
 	}
 }
 
-// Do sends an exchange once and returns the whole response. The error is a
+// Do sends a request once and returns the complete response. The error is a
 // *RequestError.
 func (p *Pool) Do(ctx context.Context, r PoolRequest) (*PoolResponse, error) {
 	c, err := p.get(ctx, r.MaxIdleTime)
@@ -98,7 +103,7 @@
 	return resp, err
 }
 
-// get returns a kept connection that is quiet, or a new one.
+// get returns an idle connection that is still usable, or a new connection.
 func (p *Pool) get(ctx context.Context, maxIdle time.Duration) (*pooledConn, error) {
 	for maxIdle >= 0 {
 		c := p.popIdle()
@@ -114,6 +119,7 @@
 	return p.dial(ctx)
 }
 
+// popIdle returns the connection that became idle last, or nil.
 func (p *Pool) popIdle() *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,6 +132,7 @@
 	return c
 }
 
+// dial opens a connection.
 func (p *Pool) dial(ctx context.Context) (*pooledConn, error) {
 	if !p.reserve() {
 		return nil, errPoolFull
@@ -144,8 +151,9 @@
 	return &pooledConn{conn: conn, headLimit: limiter, reader: bufio.NewReaderSize(limiter, bufferSize), idleTimeout: p.opts.IdleTimeout}, nil
 }
 
-// reserve counts a connection about to be opened. It makes room by closing a
-// kept one.
+// reserve counts a connection that is about to be opened, and reports whether
+// it may be opened. If the limit is reached it closes an idle connection in
+// exchange.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,7 +169,7 @@
 	return true
 }
 
-// put keeps a connection that can serve again and closes any other.
+// put returns a connection to the pool, or closes it if it cannot be reused.
 func (p *Pool) put(c *pooledConn, ok bool) {
 	c.idleSince = time.Now()
 	if !ok || !c.reusable || c.unmatched || c.reader.Buffered() > 0 {
@@ -179,8 +187,8 @@
 	p.closeExpired()
 }
 
-// closeExpired closes the kept connections that have been idle for too long. The
-// oldest come first. p.mu is held.
+// closeExpired closes the connections that have been idle for too long, which
+// are the first ones of p.idle. p.mu is held.
 func (p *Pool) closeExpired() {
 	n := 0
 	for n < len(p.idle) && !p.idle[n].idleWithin(0) {
@@ -191,6 +199,7 @@
 	p.numOpen -= n
 }
 
+// discard closes a connection.
 func (p *Pool) discard(c *pooledConn) {
 	c.close()
 	p.mu.Lock()
@@ -198,7 +207,8 @@
 	p.mu.Unlock()
 }
 
-// Close closes the kept connections, and the others once they are done.
+// Close closes the idle connections. Connections in use are closed when their
+// requests are done.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,18 +220,19 @@
 	p.idle = nil
 }
 
-// pooledConn is one connection.
+// pooledConn is one connection of a Pool.
 type pooledConn struct {
 	conn net.Conn
-	// reader reads from heads.
+	// reader reads from headLimit.
 	reader    *bufio.Reader
 	headLimit *headLimiter
-	// requests counts the exchanges; written tells that the present one has sent
-	// bytes.
+	// requests counts the requests carried. wroteBytes is set once a byte of
+	// the current request was written.
 	requests   int
 	wroteBytes bool
-	// reusable is set by a response that leaves the connection open, strayed by
-	// one that belonged to no request.
+	// reusable is set after a response that leaves the connection open.
+	// unmatched is set after a response that belongs to another request than
+	// the current one.
 	reusable    bool
 	unmatched   bool
 	idleTimeout time.Duration
@@ -229,9 +240,12 @@
 	closeOnce   sync.Once
 }
 
+// close closes the connection. It may be called more than once.
 func (c *pooledConn) close() { c.closeOnce.Do(func() { _ = c.conn.Close() }) }
 
-// idleWithin reports whether the connection has been idle for less than allowed.
+// idleWithin reports whether the connection is still fit for use: it has been
+// idle for at most maxIdle (0 means no limit) and for less than
+// idleTimeoutFraction of its idle timeout.
 func (c *pooledConn) idleWithin(maxIdle time.Duration) bool {
 	idle := time.Since(c.idleSince)
 	if maxIdle > 0 && idle > maxIdle {
@@ -240,8 +254,8 @@
 	return idle < time.Duration(idleTimeoutFraction*float64(c.idleTimeout))
 }
 
-// noUnreadData reports whether the other side has neither closed the connection nor
-// sent anything on it since the last response.
+// noUnreadData reports whether the server has neither closed the connection nor
+// sent anything since the last response.
 func (c *pooledConn) noUnreadData() bool {
 	conn, ok := c.conn.(syscall.Conn)
 	if !ok {
@@ -261,14 +275,15 @@
 	return err == nil && noData
 }
 
-// headLimiter bounds the bytes of a response head, which net/http reads without a bound.
+// headLimiter limits the size of the response head, which http.ReadResponse
+// does not.
 type headLimiter struct {
 	source    io.Reader
 	limited   bool
 	remaining int
 }
 
-// setLimit lets so many bytes more be read; lift ends that.
+// setLimit allows n more bytes to be read. clearLimit removes the limit.
 func (h *headLimiter) setLimit(n int) { h.limited, h.remaining = true, n }
 func (h *headLimiter) clearLimit()    { h.limited = false }
 
--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -17,14 +17,16 @@
 	"github.com/dottereltiller/dottereltiller/loopback"
 )
 
-// scriptedServer is a server that plays one function a connection, in order; the last one
-// is played for all further connections.
+// scriptedServer is a test server with a handler per connection.
 type scriptedServer struct {
 	address  string
 	mu       sync.Mutex
 	accepted int
 }
 
+// startScriptedServer starts a server that handles its first connection with
+// the first handler, its second with the second, and so on. The last handler
+// handles all further connections.
 func startScriptedServer(t *testing.T, handlers ...func(c net.Conn, r *bufio.Reader)) *scriptedServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,13 +52,15 @@
 	return s
 }
 
+// connections returns the number of connections accepted.
 func (s *scriptedServer) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// readRequestID reads one request and returns its id; empty at the end.
+// readRequestID reads one request and returns its Id header, or an empty string
+// when the connection is closed.
 func readRequestID(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -66,20 +70,22 @@
 	return req.Header.Get("Id")
 }
 
+// writeResponse writes a response with an Id header and a body.
 func writeResponse(c net.Conn, id, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// echoIDs answers every request with its id.
+// echoIDs responds to every request with its Id.
 func echoIDs(c net.Conn, r *bufio.Reader) {
 	for id := readRequestID(r); id != ""; id = readRequestID(r) {
 		writeResponse(c, id, "body of "+id)
 	}
 }
 
-// waitForClose waits for the other side to close.
+// waitForClose waits until the client closes the connection.
 func waitForClose(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
 
+// requestWithID returns a request that accepts only a response with its own Id.
 func requestWithID(id string) PoolRequest {
 	return PoolRequest{
 		Method: http.MethodGet, Target: "/x?y=1", Host: "h", Header: http.Header{"Id": {id}},
@@ -100,36 +106,37 @@
 	require.Equal(t, 1, s.connections())
 }
 
-// TestPoolMatchesResponsesToRequests holds what comes on a connection to the request that
-// it belongs to.
+// TestPoolMatchesResponsesToRequests checks that a request is not given a
+// response, or other bytes, that belong to an earlier request on the
+// connection.
 func TestPoolMatchesResponsesToRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		first func(c net.Conn, r *bufio.Reader)
-		// conns is how many connections two requests take.
+		// conns is the number of connections that two requests use.
 		conns int
 	}{
-		"a second answer at once": {func(c net.Conn, r *bufio.Reader) {
+		"second response at once": {func(c net.Conn, r *bufio.Reader) {
 			readRequestID(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 1\r\n\r\nb")
 			waitForClose(c)
 		}, 2},
-		"a second answer when the next request comes": {func(c net.Conn, r *bufio.Reader) {
+		"second response after the next request": {func(c net.Conn, r *bufio.Reader) {
 			writeResponse(c, readRequestID(r), "a")
 			id := readRequestID(r)
-			writeResponse(c, "1", "stray")
+			writeResponse(c, "1", "unsolicited")
 			writeResponse(c, id, "own")
 			waitForClose(c)
 		}, 1},
-		"bytes that are no answer": {func(c net.Conn, r *bufio.Reader) {
+		"bytes that are not HTTP": {func(c net.Conn, r *bufio.Reader) {
 			writeResponse(c, readRequestID(r), "a")
 			_, _ = io.WriteString(c, "\x00\x01junk")
 			waitForClose(c)
 		}, 2},
-		"no length": {func(c net.Conn, r *bufio.Reader) {
+		"no Content-Length": {func(c net.Conn, r *bufio.Reader) {
 			readRequestID(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nunframed")
 		}, 2},
-		"told to close": {func(c net.Conn, r *bufio.Reader) {
+		"Connection: close": {func(c net.Conn, r *bufio.Reader) {
 			readRequestID(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\nContent-Length: 1\r\n\r\na")
 			waitForClose(c)
@@ -150,7 +157,8 @@
 	}
 }
 
-// waitForUnreadData gives what the other side sends after an answer the time to arrive.
+// waitForUnreadData waits until the idle connection has unread data or was
+// closed by the server, or for 100ms.
 func waitForUnreadData(p *Pool) {
 	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
@@ -162,29 +170,30 @@
 	}
 }
 
-// TestPoolReportsProgressOfFailedRequest checks the proof that a request was not sent, which
-// callers are told.
+// TestPoolReportsProgressOfFailedRequest checks that a failed request reports
+// whether it was sent and whether its response had started. Callers are told
+// that a request did not run only if it was not sent.
 func TestPoolReportsProgressOfFailedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		handle                func(c net.Conn, r *bufio.Reader)
 		sent, responseStarted bool
 	}{
-		"closed without an answer": {func(_ net.Conn, r *bufio.Reader) { readRequestID(r) }, true, false},
-		"cut short": {func(c net.Conn, r *bufio.Reader) {
+		"closed without a response": {func(_ net.Conn, r *bufio.Reader) { readRequestID(r) }, true, false},
+		"closed within the body": {func(c net.Conn, r *bufio.Reader) {
 			readRequestID(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf")
 		}, true, true},
-		"reset without a length": {func(c net.Conn, r *bufio.Reader) {
+		"reset within a body without Content-Length": {func(c net.Conn, r *bufio.Reader) {
 			readRequestID(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhalf")
 			time.Sleep(20 * time.Millisecond)
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}, true, true},
-		"not the protocol": {func(c net.Conn, r *bufio.Reader) {
+		"not HTTP": {func(c net.Conn, r *bufio.Reader) {
 			readRequestID(r)
 			_, _ = io.WriteString(c, "what\r\n\r\n")
 		}, true, false},
-		"only answers to others": {func(c net.Conn, r *bufio.Reader) {
+		"only responses to other requests": {func(c net.Conn, r *bufio.Reader) {
 			readRequestID(r)
 			for range 5 {
 				writeResponse(c, "other", "x")
@@ -201,10 +210,10 @@
 			require.ErrorAs(t, err, &failure)
 			require.Equal(t, c.sent, failure.Sent)
 			require.Equal(t, c.responseStarted, failure.ResponseStarted)
-			require.Equal(t, 1, s.connections(), "it is sent once")
+			require.Equal(t, 1, s.connections(), "the request must be sent once")
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		unused, err := loopback.UnusedAddress()
 		require.NoError(t, err)
 		_, err = NewPool(unused, PoolOptions{}).Do(t.Context(), requestWithID("1"))
@@ -214,6 +223,8 @@
 	})
 }
 
+// TestPoolSkipsClosedConnections checks that a connection closed by the server
+// is not reused.
 func TestPoolSkipsClosedConnections(t *testing.T) {
 	closed := make(chan struct{})
 	s := startScriptedServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -247,9 +258,9 @@
 	require.Equal(t, 1, s.connections())
 	time.Sleep(2 * time.Millisecond)
 	do(time.Nanosecond)
-	require.Equal(t, 2, s.connections(), "idle for too long")
+	require.Equal(t, 2, s.connections(), "the connection was idle for too long")
 	do(-1)
-	require.Equal(t, 3, s.connections(), "a new one was asked for")
+	require.Equal(t, 3, s.connections(), "a new connection was required")
 }
 
 func TestParseKeepAlive(t *testing.T) {
@@ -284,8 +295,8 @@
 	<-closed
 }
 
-// TestPoolReadsEarlyResponse answers an upstream that rejects a long body before
-// it is in: the answer counts, the connection is not used again.
+// TestPoolReadsEarlyResponse has a server respond before the whole body was
+// sent. The response is delivered, and the connection is not reused.
 func TestPoolReadsEarlyResponse(t *testing.T) {
 	s := startScriptedServer(t, func(c net.Conn, r *bufio.Reader) {
 		_, _ = r.ReadString('\n')
@@ -317,8 +328,8 @@
 	<-done
 }
 
-// TestPoolReportsInformationalResponses lets senders know that a request has
-// arrived before it is answered.
+// TestPoolReportsInformationalResponses checks that a sender learns from a 1xx
+// response that its request arrived, before the final response.
 func TestPoolReportsInformationalResponses(t *testing.T) {
 	s := startScriptedServer(t, func(c net.Conn, r *bufio.Reader) {
 		id := readRequestID(r)
@@ -335,8 +346,8 @@
 	require.Equal(t, 1, calls)
 }
 
-// TestLargeBodyIsWrittenConcurrently has the race detector look at bodies that are
-// written while the response is waited for.
+// TestLargeBodyIsWrittenConcurrently sends bodies that are written while the
+// response is read. It is meant to be run with the race detector.
 func TestLargeBodyIsWrittenConcurrently(t *testing.T) {
 	s := startScriptedServer(t, echoIDs)
 	p := NewPool(s.address, PoolOptions{})
@@ -352,7 +363,8 @@
 	}
 }
 
-// TestEndlessHeadersAreRejected has the other side send headers without an end.
+// TestEndlessHeadersAreRejected has the server send headers without end. The
+// Pool must close the connection well before it has read them all.
 func TestEndlessHeadersAreRejected(t *testing.T) {
 	const maxSent = 64 << 20
 	sent := make(chan int, 1)
@@ -375,5 +387,5 @@
 	defer cancel()
 	_, err := p.Do(ctx, PoolRequest{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{"Id": {"r1"}}})
 	require.Error(t, err)
-	require.Less(t, <-sent, maxSent/4, "bytes of headers that were taken in")
+	require.Less(t, <-sent, maxSent/4, "header bytes sent before the connection was closed")
 }
--- a/hop/replay.go
+++ b/hop/replay.go
@@ -6,20 +6,21 @@
 	"net/http"
 )
 
-// The Transport sends a request again when it takes it for replayable: when its
-// body is absent, http.NoBody or can be rewound, and either its method is GET,
-// HEAD, OPTIONS or TRACE or it carries one of these headers.
+// idempotencyHeaders are the headers that the Transport takes as permission to
+// retry a request. It retries a request if the body is absent, http.NoBody or
+// can be rewound, and either the method is GET, HEAD, OPTIONS or TRACE or the
+// request has one of these headers.
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// lowercaseNames are the same headers under names that the Transport does not look
-// for. On the wire the names of headers are compared without regard to case.
+// lowercaseNames maps the same headers to a spelling that the Transport does
+// not recognize. Servers compare header names without regard to case.
 var lowercaseNames = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
 
-// setNotReplayable gives a request its body and headers so that the Transport never
-// sends it again after its first byte.
+// setNotReplayable sets the body of a request, and renames headers, so that the
+// Transport does not retry the request once its first byte was written.
 func setNotReplayable(req *http.Request, body io.Reader) {
 	for _, name := range idempotencyHeaders {
 		if values, ok := req.Header[name]; ok {
@@ -29,20 +30,22 @@
 	}
 	switch {
 	case body != nil:
-		// This hides everything of the body but reading.
+		// The wrapper hides all methods of the body other than Read.
 		req.Body = io.NopCloser(onlyReader{body})
 	case req.Method == http.MethodGet || req.Method == http.MethodHead || req.Method == http.MethodOptions:
-		// An empty body that is not http.NoBody. The Transport finds out that
-		// it is empty and sends none.
+		// An empty body that is not http.NoBody. The Transport detects that
+		// it is empty and sends no body.
 		req.Body = emptyBody{}
 	default:
-		// Without the headers above, other methods are not replayable, and
-		// the request goes out with the length that its method wants.
+		// Requests with other methods are not replayable once the headers
+		// above are renamed. With a nil body the Transport sends the
+		// Content-Length that the method requires.
 		req.Body = nil
 	}
 }
 
-// setReplayable gives a request its body as an ordinary client does.
+// setReplayable sets the body of a request as an ordinary client does, so that
+// the Transport can retry the request.
 func setReplayable(req *http.Request, body io.Reader) {
 	data, ok := body.(*bytes.Reader)
 	if !ok {
@@ -56,8 +59,10 @@
 	}
 }
 
+// onlyReader hides all methods other than Read.
 type onlyReader struct{ io.Reader }
 
+// emptyBody is a body without content.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
--- a/hop/replay_test.go
+++ b/hop/replay_test.go
@@ -15,14 +15,15 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// droppingServer is a server that answers requests for /warm and, for all others,
-// reads the whole request and drops the connection.
+// droppingServer is a test server that responds to requests for /warm. For any
+// other request it reads the whole request and drops the connection.
 type droppingServer struct {
 	listener net.Listener
 	mu       sync.Mutex
-	// received holds the requests that were read whole, with their bodies.
+	// received holds the other requests, each with its body.
 	received []*http.Request
-	// drop drops a connection; the first byte of an answer may be written.
+	// drop drops a connection. It may write the first byte of a response
+	// before.
 	drop func(net.Conn)
 }
 
@@ -74,13 +75,15 @@
 	return d.received
 }
 
+// dropMethods are the ways in which the server drops a connection.
 var dropMethods = map[string]func(net.Conn){
 	"closed": func(c net.Conn) { _ = c.Close() },
 	"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
 }
 
-// sendToDroppingServer sends one attempt over a connection that has been used before,
-// which is when the Transport sends again, and returns what the server read.
+// sendToDroppingServer sends one attempt over a reused connection, which is
+// when the Transport retries, and returns the requests that the server
+// received.
 func sendToDroppingServer(t *testing.T, c *Client, drop func(net.Conn), method string, body []byte) []*http.Request {
 	d := startDroppingServer(t, drop)
 	address := d.listener.Addr().String()
@@ -95,7 +98,7 @@
 	}
 	_, o, err := c.Do(t.Context(), r)
 	require.Error(t, err)
-	require.Equal(t, outcome.Unknown, o.Kind, "the request went out")
+	require.Equal(t, outcome.Unknown, o.Kind, "the server may have executed the request")
 	return d.requests()
 }
 
@@ -104,6 +107,8 @@
 	http.MethodPatch, http.MethodDelete, "PROPFIND", "RELEASE",
 }
 
+// TestNoReplayAfterDroppedConnection checks that the Transport does not retry
+// an attempt whose connection is dropped after the server received the request.
 func TestNoReplayAfterDroppedConnection(t *testing.T) {
 	for name, drop := range dropMethods {
 		for _, method := range methods {
@@ -116,7 +121,7 @@
 					got, err := io.ReadAll(received[0].Body)
 					require.NoError(t, err)
 					require.Equal(t, string(body), string(got))
-					require.Equal(t, "k", received[0].Header.Get("Idempotency-Key"), "the upstream gets the key")
+					require.Equal(t, "k", received[0].Header.Get("Idempotency-Key"), "the server must receive the key")
 					require.Equal(t, "x", received[0].Header.Get("X-Idempotency-Key"))
 				})
 			}
@@ -124,8 +129,8 @@
 	}
 }
 
-// TestTransportReplaysUnprotectedAttempts shows that the defence is needed: without it
-// the Transport sends each of these a second time.
+// TestTransportReplaysUnprotectedAttempts shows that the protection is needed:
+// without it the Transport sends each of these attempts more than once.
 func TestTransportReplaysUnprotectedAttempts(t *testing.T) {
 	for _, method := range methods {
 		for _, body := range [][]byte{nil, []byte("two parcels")} {
@@ -139,6 +144,8 @@
 	}
 }
 
+// TestContentLengthOfEmptyBody checks that requests without a body have a
+// Content-Length exactly if their method requires one.
 func TestContentLengthOfEmptyBody(t *testing.T) {
 	for method, want := range map[string]struct {
 		length string
--- a/hop/unsolicited_test.go
+++ b/hop/unsolicited_test.go
@@ -12,10 +12,12 @@
 	"github.com/dottereltiller/dottereltiller/standin"
 )
 
+// doubleResponse is a response followed by an unsolicited second response.
 const doubleResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmineHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 
-// countUnsolicited sends attempts to an upstream that sends a second answer after each,
-// and counts the attempts that were given such an answer as theirs.
+// countUnsolicited sends attempts to an upstream that sends two responses to
+// each, and counts the attempts that were given the second response of an
+// earlier one.
 func countUnsolicited(t *testing.T, c *Client, attempts int) int64 {
 	f, err := standin.StartFaulty()
 	require.NoError(t, err)
@@ -43,8 +45,10 @@
 	return wrong.Load()
 }
 
-// TestUnsolicitedResponseIsNotDelivered needs many attempts: the Transport drops a
-// connection with bytes left over unless the next attempt is quicker.
+// TestUnsolicitedResponseIsNotDelivered checks that no attempt is given a
+// response that was left over from an earlier attempt on the same connection.
+// It needs many attempts, because the Transport drops a connection with unread
+// bytes itself unless the next attempt is quicker.
 func TestUnsolicitedResponseIsNotDelivered(t *testing.T) {
 	const attempts, rounds = 800, 100
 	require.Zero(t, countUnsolicited(t, NewClient(Options{}), attempts))
@@ -56,5 +60,5 @@
 			break
 		}
 	}
-	require.Positive(t, wrong, "without the defence some attempts get another's answer")
+	require.Positive(t, wrong, "without the protection some attempts get the response of another")
 }
