--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -7,31 +7,31 @@
 	"syscall"
 )
 
-// conn is a connection that tells whether this side has closed it.
-type conn struct {
+// trackedConn is a connection that tells whether this side has closed it.
+type trackedConn struct {
 	*net.TCPConn
-	closed atomic.Bool
+	closedByServer atomic.Bool
 }
 
 // Close implements net.Conn.
-func (c *conn) Close() error {
-	c.closed.Store(true)
+func (c *trackedConn) Close() error {
+	c.closedByServer.Store(true)
 	return c.TCPConn.Close()
 }
 
 // NewListener returns a listener whose connections tell whether they have been closed.
-func NewListener(l net.Listener) net.Listener { return listener{l} }
+func NewListener(l net.Listener) net.Listener { return trackingListener{l} }
 
-type listener struct{ net.Listener }
+type trackingListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l listener) Accept() (net.Conn, error) {
+func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		return &conn{TCPConn: tcp}, nil
+		return &trackedConn{TCPConn: tcp}, nil
 	}
 	return c, nil
 }
@@ -41,8 +41,8 @@
 
 // ConnContext is the ConnContext of an http.Server that serves a NewListener, with TLS or without.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
-	if secured, ok := c.(interface{ NetConn() net.Conn }); ok {
-		c = secured.NetConn()
+	if tlsConn, ok := c.(interface{ NetConn() net.Conn }); ok {
+		c = tlsConn.NetConn()
 	}
 	return context.WithValue(ctx, connKey{}, c)
 }
@@ -50,15 +50,15 @@
 // ClosedByServer reports whether this side has closed the connection of a request whose context is
 // given. net/http itself does so only after the handler.
 func ClosedByServer(ctx context.Context) bool {
-	c, ok := ctx.Value(connKey{}).(*conn)
-	return ok && c.closed.Load()
+	c, ok := ctx.Value(connKey{}).(*trackedConn)
+	return ok && c.closedByServer.Load()
 }
 
 // ClosedByClient reports whether the other side has closed the connection of a request whose context
 // is given. net/http ends the context once a goroutine of its own has read that, which takes
 // long where the processor is busy.
 func ClosedByClient(ctx context.Context) bool {
-	c, ok := ctx.Value(connKey{}).(*conn)
+	c, ok := ctx.Value(connKey{}).(*trackedConn)
 	if !ok {
 		return false
 	}
@@ -66,15 +66,15 @@
 	if err != nil {
 		return true
 	}
-	left := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if err == nil {
-			left = n == 0
+			closed = n == 0
 		} else {
-			left = err != syscall.EAGAIN && err != syscall.EINTR
+			closed = err != syscall.EAGAIN && err != syscall.EINTR
 		}
 	})
-	return left || err != nil
+	return closed || err != nil
 }
--- a/inbound/conn_test.go
+++ b/inbound/conn_test.go
@@ -13,17 +13,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestClosed(t *testing.T) {
+func TestClosedByServer(t *testing.T) {
 	for name, start := range map[string]func(*httptest.Server){
 		"plaintext": (*httptest.Server).Start,
 		"TLS":       (*httptest.Server).StartTLS,
 	} {
 		t.Run(name, func(t *testing.T) {
-			opened, told := make(chan net.Conn, 1), make(chan [2]bool, 1)
+			opened, observed := make(chan net.Conn, 1), make(chan [2]bool, 1)
 			s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 				before := ClosedByServer(r.Context())
 				_ = (<-opened).Close()
-				told <- [2]bool{before, ClosedByServer(r.Context())}
+				observed <- [2]bool{before, ClosedByServer(r.Context())}
 			}))
 			s.Listener = NewListener(s.Listener)
 			s.Config.ConnContext = ConnContext
@@ -39,26 +39,26 @@
 				_, err = io.Copy(io.Discard, resp.Body)
 			}
 			require.Error(t, err)
-			require.Equal(t, [2]bool{false, true}, <-told)
+			require.Equal(t, [2]bool{false, true}, <-observed)
 		})
 	}
 }
 
-// pair returns the context of a request on a connection, and the other side's end of it.
-func pair(t *testing.T) (context.Context, *net.TCPConn) {
+// acceptConn returns the context of a request on a connection, and the other side's end of it.
+func acceptConn(t *testing.T) (context.Context, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
-	other, err := net.Dial("tcp", ln.Addr().String())
+	client, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
-	c, err := NewListener(ln).Accept()
+	server, err := NewListener(ln).Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { _, _ = c.Close(), other.Close() })
-	return ConnContext(t.Context(), c), other.(*net.TCPConn)
+	t.Cleanup(func() { _, _ = server.Close(), client.Close() })
+	return ConnContext(t.Context(), server), client.(*net.TCPConn)
 }
 
-func TestLeft(t *testing.T) {
+func TestClosedByClient(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*net.TCPConn) error
 		want bool
@@ -69,9 +69,9 @@
 		"reset":         {func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ctx, other := pair(t)
+			ctx, client := acceptConn(t)
 			require.False(t, ClosedByClient(ctx))
-			require.NoError(t, c.do(other))
+			require.NoError(t, c.do(client))
 			if c.want {
 				require.Eventually(t, func() bool { return ClosedByClient(ctx) }, time.Minute, time.Millisecond)
 			} else {
@@ -82,7 +82,7 @@
 	require.False(t, ClosedByClient(t.Context()), "no connection is known")
 }
 
-func TestConnectionsOfOtherListenersAreOpen(t *testing.T) {
+func TestUntrackedConnectionsCountAsOpen(t *testing.T) {
 	require.False(t, ClosedByServer(t.Context()))
 	a, b := net.Pipe()
 	defer func() { _, _ = a.Close(), b.Close() }()
--- a/inbound/handler.go
+++ b/inbound/handler.go
@@ -15,7 +15,7 @@
 
 // ReportPanics tells of a panic of a handler before net/http closes the connection. Those by which
 // a handler closes it itself are passed over.
-func ReportPanics(next http.Handler, panicked func(r *http.Request, v any)) http.Handler {
+func ReportPanics(next http.Handler, onPanic func(r *http.Request, v any)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			v := recover()
@@ -23,7 +23,7 @@
 				return
 			}
 			if v != http.ErrAbortHandler {
-				panicked(r, v)
+				onPanic(r, v)
 			}
 			panic(http.ErrAbortHandler)
 		}()
