--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -7,7 +7,8 @@
 	"syscall"
 )
 
-// trackedConn is a connection that tells whether this side has closed it.
+// trackedConn is a TCP connection that records whether the server has closed
+// it.
 type trackedConn struct {
 	*net.TCPConn
 	closedByServer atomic.Bool
@@ -19,9 +20,11 @@
 	return c.TCPConn.Close()
 }
 
-// NewListener returns a listener whose connections tell whether they have been closed.
+// NewListener returns a listener whose connections ClosedByServer and
+// ClosedByClient can check.
 func NewListener(l net.Listener) net.Listener { return trackingListener{l} }
 
+// trackingListener wraps each accepted TCP connection in a trackedConn.
 type trackingListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -36,10 +39,12 @@
 	return c, nil
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of the connection of a request.
 type connKey struct{}
 
-// ConnContext is the ConnContext of an http.Server that serves a NewListener, with TLS or without.
+// ConnContext stores the connection of a request in the context of the request.
+// It is to be used as the ConnContext of an http.Server whose listener is made
+// by NewListener, with or without TLS.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	if tlsConn, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = tlsConn.NetConn()
@@ -47,16 +52,17 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// ClosedByServer reports whether this side has closed the connection of a request whose context is
-// given. net/http itself does so only after the handler.
+// ClosedByServer reports whether the server has closed the connection of the
+// request with the given context. net/http itself reports this only after the
+// handler has returned.
 func ClosedByServer(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*trackedConn)
 	return ok && c.closedByServer.Load()
 }
 
-// ClosedByClient reports whether the other side has closed the connection of a request whose context
-// is given. net/http ends the context once a goroutine of its own has read that, which takes
-// long where the processor is busy.
+// ClosedByClient reports whether the client has closed the connection of the
+// request with the given context. net/http cancels the context only after one
+// of its goroutines has read the close, which takes long on a busy processor.
 func ClosedByClient(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*trackedConn)
 	if !ok {
--- a/inbound/conn_test.go
+++ b/inbound/conn_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestClosedByServer closes the connection of a request while its handler runs.
 func TestClosedByServer(t *testing.T) {
 	for name, start := range map[string]func(*httptest.Server){
 		"plaintext": (*httptest.Server).Start,
@@ -44,7 +45,8 @@
 	}
 }
 
-// acceptConn returns the context of a request on a connection, and the other side's end of it.
+// acceptConn opens a connection. It returns the context of a request on the
+// server's end, and the client's end.
 func acceptConn(t *testing.T) (context.Context, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,9 +81,11 @@
 			}
 		})
 	}
-	require.False(t, ClosedByClient(t.Context()), "no connection is known")
+	require.False(t, ClosedByClient(t.Context()), "the context holds no connection")
 }
 
+// TestUntrackedConnectionsCountAsOpen checks contexts without a connection and
+// with one that no tracking listener accepted.
 func TestUntrackedConnectionsCountAsOpen(t *testing.T) {
 	require.False(t, ClosedByServer(t.Context()))
 	a, b := net.Pipe()
--- a/inbound/doc.go
+++ b/inbound/doc.go
@@ -1,9 +1,10 @@
-// Package inbound holds what the HTTP servers of all daemons need around their handlers. It
-// tells whether the connection of a request that has been read is closed, by this side or by
-// the other, and has panics of handlers told.
+// Package inbound holds what the HTTP servers of all daemons need around their
+// handlers: it reports whether the connection of a request has been closed, by
+// the server or by the client, and it reports panics of handlers.
 //
-// A server may close a connection as unused or idle just when a request on it has been read.
-// net/http does not tell: its handler would pass the request on, and the caller would get no
-// answer. The other side's close net/http tells late where the processor is busy: the
-// request would be passed on for nobody.
+// A server may close a connection as idle just when it has read a request from
+// it. net/http does not report this to the handler, so the request would be
+// forwarded and its client would get no response. When the client closes the
+// connection, net/http reports it late on a busy processor, and the request
+// would be forwarded although nobody waits for the response.
 package inbound
