--- a/interval/interval.go
+++ b/interval/interval.go
@@ -9,14 +9,14 @@
 // Run calls f each time the interval has passed, until the context ends, and
 // returns the context's error. A call that takes longer than the interval delays
 // the next one.
-func Run(ctx context.Context, d time.Duration, f func()) error {
-	tick := time.NewTicker(d)
-	defer tick.Stop()
+func Run(ctx context.Context, interval time.Duration, f func()) error {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 			f()
 		}
 	}
