--- a/interval/interval.go
+++ b/interval/interval.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Run calls f each time the interval has passed, until the context ends, and
-// returns the context's error. A call that takes longer than the interval delays
-// the next one.
+// Run calls f every interval until the context ends, and returns the error of
+// the context. A call that takes longer than the interval delays the next one.
 func Run(ctx context.Context, interval time.Duration, f func()) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
