--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -15,46 +15,46 @@
 	"syscall"
 )
 
-// ErrNoNet is returned when every network is in use.
-var ErrNoNet = errors.New("loopback: all networks are in use")
+// ErrNoFreeNetwork is returned when every network is in use.
+var ErrNoFreeNetwork = errors.New("loopback: all networks are in use")
 
 // ListenFirstFree listens on an address of the first free of so many networks, tried in turn from
-// start on, and returns its number, from 0. The error is ErrNoNet, or that of listening.
-func ListenFirstFree(start uint64, nets int, address func(n int) string) (net.Listener, int, error) {
-	for i := range uint64(nets) {
-		n := int((start + i) % uint64(nets))
-		ln, err := net.Listen("tcp", address(n))
+// start on, and returns its number, from 0. The error is ErrNoFreeNetwork, or that of listening.
+func ListenFirstFree(start uint64, n int, address func(number int) string) (net.Listener, int, error) {
+	for i := range uint64(n) {
+		number := int((start + i) % uint64(n))
+		ln, err := net.Listen("tcp", address(number))
 		if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
-			return ln, n, err
+			return ln, number, err
 		}
 	}
-	return nil, 0, ErrNoNet
+	return nil, 0, ErrNoFreeNetwork
 }
 
 // claimPort is the port that claims a network. Tests use others.
 const claimPort = 6999
 
-// claims keeps the listeners until the process ends.
-var claims []net.Listener
+// claimListeners keeps the listeners until the process ends.
+var claimListeners []net.Listener
 
-// Claim returns N of a network 127.N.0.0/16 that no other process claims, from first on,
+// ClaimNetwork returns N of a network 127.N.0.0/16 that no other process claims, from first on,
 // one of so many. The error is that of ListenFirstFree. It is not safe for concurrent use.
-func Claim(first, nets int) (int, error) {
-	ln, n, err := ListenFirstFree(uint64(os.Getpid()), nets, func(n int) string {
-		return fmt.Sprintf("127.%d.255.254:%d", first+n, claimPort)
+func ClaimNetwork(first, n int) (int, error) {
+	ln, number, err := ListenFirstFree(uint64(os.Getpid()), n, func(number int) string {
+		return fmt.Sprintf("127.%d.255.254:%d", first+number, claimPort)
 	})
 	if err != nil {
 		return 0, err
 	}
-	claims = append(claims, ln)
-	return first + n, nil
+	claimListeners = append(claimListeners, ln)
+	return first + number, nil
 }
 
 // OwnNetwork returns N of the network 127.N.0.0/16 of this process, claimed once from those that
 // tests share. The error is that of ListenFirstFree.
 var OwnNetwork = sync.OnceValues(func() (int, error) {
-	const first, nets = 20, 80
-	return Claim(first, nets)
+	const first, networks = 20, 80
+	return ClaimNetwork(first, networks)
 })
 
 // lastHost counts the addresses that UnusedAddress has returned.
@@ -65,10 +65,10 @@
 // other test takes it. The error is that of OwnNetwork.
 func UnusedAddress() (string, error) {
 	const hosts, port = 250, 7000
-	claimed, err := OwnNetwork()
+	network, err := OwnNetwork()
 	if err != nil {
 		return "", err
 	}
 	n := lastHost.Add(1)
-	return fmt.Sprintf("127.%d.%d.%d:%d", claimed, n/hosts, 1+n%hosts, port), nil
+	return fmt.Sprintf("127.%d.%d.%d:%d", network, n/hosts, 1+n%hosts, port), nil
 }
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -9,44 +9,44 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestClaimsDiffer claims several of many networks.
-func TestClaimsDiffer(t *testing.T) {
-	const first, nets, claimed = 200, 54, 4
+// TestClaimedNetworksDiffer claims several of many networks.
+func TestClaimedNetworksDiffer(t *testing.T) {
+	const first, networks, claimed = 200, 54, 4
 	seen := map[int]bool{}
 	for range claimed {
-		n, err := Claim(first, nets)
+		n, err := ClaimNetwork(first, networks)
 		require.NoError(t, err)
 		require.False(t, seen[n])
 		require.GreaterOrEqual(t, n, first)
-		require.Less(t, n, first+nets)
+		require.Less(t, n, first+networks)
 		seen[n] = true
 	}
 }
 
-// TestNetworksRunOut takes as many networks as there are, at addresses of this process: the
+// TestAllNetworksInUse takes as many networks as there are, at addresses of this process: the
 // same test may run beside.
-func TestNetworksRunOut(t *testing.T) {
-	const first, nets, hosts = 250, 4, 250
+func TestAllNetworksInUse(t *testing.T) {
+	const first, networks, hosts = 250, 4, 250
 	pid := os.Getpid()
 	address := func(n int) string {
 		return fmt.Sprintf("127.%d.%d.%d:%d", first+n, pid/hosts%hosts, 1+pid%hosts, claimPort)
 	}
 	seen := map[int]bool{}
-	for range nets {
-		ln, n, err := ListenFirstFree(uint64(pid), nets, address)
+	for range networks {
+		ln, n, err := ListenFirstFree(uint64(pid), networks, address)
 		require.NoError(t, err)
 		defer func() { _ = ln.Close() }()
 		require.False(t, seen[n])
 		require.GreaterOrEqual(t, n, 0)
-		require.Less(t, n, nets)
+		require.Less(t, n, networks)
 		seen[n] = true
 	}
-	_, _, err := ListenFirstFree(uint64(pid), nets, address)
-	require.ErrorIs(t, err, ErrNoNet)
+	_, _, err := ListenFirstFree(uint64(pid), networks, address)
+	require.ErrorIs(t, err, ErrNoFreeNetwork)
 }
 
-// TestOwnNetworkStays asks twice.
-func TestOwnNetworkStays(t *testing.T) {
+// TestOwnNetworkIsClaimedOnce asks twice.
+func TestOwnNetworkIsClaimedOnce(t *testing.T) {
 	first, err := OwnNetwork()
 	require.NoError(t, err)
 	again, err := OwnNetwork()
@@ -54,8 +54,8 @@
 	require.Equal(t, first, again)
 }
 
-// TestAddressesDiffer takes more than fit one part of the network.
-func TestAddressesDiffer(t *testing.T) {
+// TestUnusedAddressesDiffer takes more than fit one part of the network.
+func TestUnusedAddressesDiffer(t *testing.T) {
 	const addresses = 600
 	seen := map[string]bool{}
 	for range addresses {
