--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -1,8 +1,10 @@
-// Package loopback gives tests and soaks loopback addresses that no other process has.
+// Package loopback provides tests and soak runs with loopback addresses that no
+// other process uses.
 //
-// They run beside each other and bind fixed ports, so that a daemon can start again
-// under the address that it had. Each process takes a network 127.N.0.0/16 by listening
-// on one address of it until it ends.
+// Test processes run in parallel and listen on fixed ports, so that a daemon
+// can be restarted at the same address. Each process therefore claims a network
+// 127.N.0.0/16 of its own: until it ends, it listens on one address of that
+// network.
 package loopback
 
 import (
@@ -18,8 +20,10 @@
 // ErrNoFreeNetwork is returned when every network is in use.
 var ErrNoFreeNetwork = errors.New("loopback: all networks are in use")
 
-// ListenFirstFree listens on an address of the first free of so many networks, tried in turn from
-// start on, and returns its number, from 0. The error is ErrNoFreeNetwork, or that of listening.
+// ListenFirstFree listens in the first free one of n networks and returns the
+// number of that network, from 0 to n-1. It tries them in order, beginning with
+// number start modulo n. The function address returns the address to listen on
+// in a network. The error is ErrNoFreeNetwork or an error of net.Listen.
 func ListenFirstFree(start uint64, n int, address func(number int) string) (net.Listener, int, error) {
 	for i := range uint64(n) {
 		number := int((start + i) % uint64(n))
@@ -31,14 +35,16 @@
 	return nil, 0, ErrNoFreeNetwork
 }
 
-// claimPort is the port that claims a network. Tests use others.
+// claimPort is the port of the address by which a network is claimed. Tests use
+// other ports.
 const claimPort = 6999
 
-// claimListeners keeps the listeners until the process ends.
+// claimListeners keeps the listeners reachable until the process ends.
 var claimListeners []net.Listener
 
-// ClaimNetwork returns N of a network 127.N.0.0/16 that no other process claims, from first on,
-// one of so many. The error is that of ListenFirstFree. It is not safe for concurrent use.
+// ClaimNetwork claims one of the n networks 127.N.0.0/16 from N = first on that
+// no other process has claimed, and returns its N. The error is that of
+// ListenFirstFree. ClaimNetwork is not safe for concurrent use.
 func ClaimNetwork(first, n int) (int, error) {
 	ln, number, err := ListenFirstFree(uint64(os.Getpid()), n, func(number int) string {
 		return fmt.Sprintf("127.%d.255.254:%d", first+number, claimPort)
@@ -50,19 +56,21 @@
 	return first + number, nil
 }
 
-// OwnNetwork returns N of the network 127.N.0.0/16 of this process, claimed once from those that
-// tests share. The error is that of ListenFirstFree.
+// OwnNetwork returns N of the network 127.N.0.0/16 of this process. The first
+// call claims it, from the networks 20 to 99 that all tests share. The error is
+// that of ClaimNetwork.
 var OwnNetwork = sync.OnceValues(func() (int, error) {
 	const first, networks = 20, 80
 	return ClaimNetwork(first, networks)
 })
 
-// lastHost counts the addresses that UnusedAddress has returned.
+// lastHost counts the addresses returned by UnusedAddress.
 var lastHost atomic.Int64
 
-// UnusedAddress returns an address of this process's own network that nobody listens on, another
-// one at each call. Unlike an ephemeral port that was given back, no other process and no
-// other test takes it. The error is that of OwnNetwork.
+// UnusedAddress returns an address in the network of this process that nobody
+// listens on, a different one on each call. Unlike a port that was opened and
+// closed again, it cannot be taken by another process or another test. The
+// error is that of OwnNetwork.
 func UnusedAddress() (string, error) {
 	const hosts, port = 250, 7000
 	network, err := OwnNetwork()
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestClaimedNetworksDiffer claims several of many networks.
+// TestClaimedNetworksDiffer claims several networks out of many.
 func TestClaimedNetworksDiffer(t *testing.T) {
 	const first, networks, claimed = 200, 54, 4
 	seen := map[int]bool{}
@@ -23,8 +23,9 @@
 	}
 }
 
-// TestAllNetworksInUse takes as many networks as there are, at addresses of this process: the
-// same test may run beside.
+// TestAllNetworksInUse listens in every network, then once more. The addresses
+// contain the process ID, so that the test can run in several processes at
+// once.
 func TestAllNetworksInUse(t *testing.T) {
 	const first, networks, hosts = 250, 4, 250
 	pid := os.Getpid()
@@ -45,7 +46,6 @@
 	require.ErrorIs(t, err, ErrNoFreeNetwork)
 }
 
-// TestOwnNetworkIsClaimedOnce asks twice.
 func TestOwnNetworkIsClaimedOnce(t *testing.T) {
 	first, err := OwnNetwork()
 	require.NoError(t, err)
@@ -54,7 +54,8 @@
 	require.Equal(t, first, again)
 }
 
-// TestUnusedAddressesDiffer takes more than fit one part of the network.
+// TestUnusedAddressesDiffer takes so many addresses that their third byte
+// changes too.
 func TestUnusedAddressesDiffer(t *testing.T) {
 	const addresses = 600
 	seen := map[string]bool{}
