--- a/pause/pause.go
+++ b/pause/pause.go
@@ -27,16 +27,16 @@
 // Next counts a failure and returns how long to wait: a random time up to a
 // bound that doubles, at least half of it. Without an rng the process's own is
 // used.
-func (p *Backoff) Next(rng *rand.Rand) time.Duration {
-	low, high := p.Min, p.Max
+func (b *Backoff) Next(rng *rand.Rand) time.Duration {
+	low, high := b.Min, b.Max
 	if low <= 0 {
 		low = DefaultMin
 	}
 	if high <= 0 {
 		high = DefaultMax
 	}
-	bound := min(low<<min(p.failures, maxDoublings), high)
-	p.failures++
+	bound := min(low<<min(b.failures, maxDoublings), high)
+	b.failures++
 	random := rand.Int64N
 	if rng != nil {
 		random = rng.Int64N
@@ -46,8 +46,8 @@
 
 // Wait counts a failure and waits after it. It returns early with the context's
 // error when the context ends.
-func (p *Backoff) Wait(ctx context.Context) error {
-	timer := time.NewTimer(p.Next(nil))
+func (b *Backoff) Wait(ctx context.Context) error {
+	timer := time.NewTimer(b.Next(nil))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -58,4 +58,4 @@
 }
 
 // Reset forgets the failures, after a success.
-func (p *Backoff) Reset() { p.failures = 0 }
+func (b *Backoff) Reset() { b.failures = 0 }
--- a/pause/pause_test.go
+++ b/pause/pause_test.go
@@ -11,27 +11,27 @@
 	"github.com/dottereltiller/dottereltiller/bubble"
 )
 
-func TestDoublesUpToItsBound(t *testing.T) {
+func TestBackoffDoublesUpToMax(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	p := Backoff{Min: 100 * time.Millisecond, Max: time.Second}
+	backoff := Backoff{Min: 100 * time.Millisecond, Max: time.Second}
 	for i := range 100 {
 		bound := min(100*time.Millisecond<<min(i, 10), time.Second)
-		d := p.Next(rng)
-		require.LessOrEqual(t, d, bound)
-		require.GreaterOrEqual(t, d, bound/2)
+		wait := backoff.Next(rng)
+		require.LessOrEqual(t, wait, bound)
+		require.GreaterOrEqual(t, wait, bound/2)
 	}
-	p.Reset()
-	require.LessOrEqual(t, p.Next(rng), 100*time.Millisecond)
+	backoff.Reset()
+	require.LessOrEqual(t, backoff.Next(rng), 100*time.Millisecond)
 }
 
-func TestWaits(t *testing.T) {
+func TestBackoffWait(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		p := Backoff{Min: time.Second, Max: time.Second}
-		began := time.Now()
-		require.NoError(t, p.Wait(t.Context()))
-		require.GreaterOrEqual(t, time.Since(began), 500*time.Millisecond)
+		backoff := Backoff{Min: time.Second, Max: time.Second}
+		start := time.Now()
+		require.NoError(t, backoff.Wait(t.Context()))
+		require.GreaterOrEqual(t, time.Since(start), 500*time.Millisecond)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		require.ErrorIs(t, p.Wait(ctx), context.Canceled)
+		require.ErrorIs(t, backoff.Wait(ctx), context.Canceled)
 	})
 }
