--- a/pause/doc.go
+++ b/pause/doc.go
@@ -1,5 +1,5 @@
-// Package pause spaces the tries of the system's own calls, such as those to the
-// metadata store, which go on until one succeeds. A Backoff waits longer after each
-// failure, up to a bound, and a random part of that, so that daemons that failed
-// together do not come back together.
+// Package pause implements exponential backoff for the system's own calls, such
+// as those to the metadata store, which are retried until one succeeds. Each
+// wait has a random part, so that daemons that failed at the same time do not
+// retry at the same time.
 package pause
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// Backoff gives the times to wait between tries of one call that keeps failing. The
-// zero value is ready and starts at DefaultMin. It is not safe for concurrent
-// use.
+// Backoff computes the wait before each retry of a call that keeps failing. The
+// zero value is ready to use and starts at DefaultMin. It is not safe for
+// concurrent use.
 type Backoff struct {
-	// Min and Max bound the wait. Defaults: 100ms and 3s.
+	// Min and Max bound the wait. Defaults: DefaultMin (100ms) and DefaultMax
+	// (3s).
 	Min, Max time.Duration
 	failures int
 }
 
-// The default bounds of a Backoff.
+// Default bounds of the wait.
 const (
 	DefaultMin = 100 * time.Millisecond
 	DefaultMax = 3 * time.Second
 )
 
-// maxDoublings keeps the shift below from overflowing.
+// maxDoublings keeps the shift in Next from overflowing.
 const maxDoublings = 16
 
-// Next counts a failure and returns how long to wait: a random time up to a
-// bound that doubles, at least half of it. Without an rng the process's own is
-// used.
+// Next counts a failure and returns how long to wait: a random duration between
+// half of a bound and the whole bound. The bound starts at Min and doubles with
+// each failure up to Max. If rng is nil, the global random source is used.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
 	low, high := b.Min, b.Max
 	if low <= 0 {
@@ -44,8 +45,8 @@
 	return bound/2 + time.Duration(random(int64(bound/2)+1))
 }
 
-// Wait counts a failure and waits after it. It returns early with the context's
-// error when the context ends.
+// Wait counts a failure and sleeps for the duration that Next returns. If the
+// context ends first, it returns the error of the context.
 func (b *Backoff) Wait(ctx context.Context) error {
 	timer := time.NewTimer(b.Next(nil))
 	defer timer.Stop()
@@ -57,5 +58,5 @@
 	}
 }
 
-// Reset forgets the failures, after a success.
+// Reset clears the count of failures. It is called after a success.
 func (b *Backoff) Reset() { b.failures = 0 }
