--- a/delta/delta.go
+++ b/delta/delta.go
@@ -19,10 +19,10 @@
 		zstd.WithEncoderConcurrency(1),
 		zstd.WithLowerEncoderMem(true),
 		zstd.WithEncoderCRC(true),
-		zstd.WithWindowSize(window(len(base) + len(target))),
+		zstd.WithWindowSize(windowSize(len(base) + len(target))),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(id(base), base))
+		options = append(options, zstd.WithEncoderDictRaw(documentID(base), base))
 	}
 	w, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -35,23 +35,23 @@
 // Apply returns the document that a delta turns base into, which may have so many bytes at
 // most. The error is ErrTooLarge, or that of the frame: it cannot be read, starts from
 // another document, or its checksum differs.
-func Apply(base, d []byte, most int) ([]byte, error) {
+func Apply(base, delta []byte, maxSize int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderLowmem(true),
-		zstd.WithDecoderMaxMemory(uint64(most)),
+		zstd.WithDecoderMaxMemory(uint64(maxSize)),
 		zstd.WithDecoderMaxWindow(zstd.MaxWindowSize),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(id(base), base))
+		options = append(options, zstd.WithDecoderDictRaw(documentID(base), base))
 	}
 	r, err := zstd.NewReader(nil, options...)
 	if err != nil {
 		return nil, fmt.Errorf("delta: %w", err)
 	}
 	defer r.Close()
-	target, err := r.DecodeAll(d, nil)
-	if errors.Is(err, zstd.ErrDecoderSizeExceeded) || len(target) > most {
+	target, err := r.DecodeAll(delta, nil)
+	if errors.Is(err, zstd.ErrDecoderSizeExceeded) || len(target) > maxSize {
 		return nil, ErrTooLarge
 	}
 	if err != nil {
@@ -60,10 +60,10 @@
 	return target, nil
 }
 
-// id names a document in a frame. Zero would mean that the frame names none.
-func id(document []byte) uint32 { return max(uint32(xxhash.Sum64(document)), 1) }
+// documentID names a document in a frame. Zero would mean that the frame names none.
+func documentID(document []byte) uint32 { return max(uint32(xxhash.Sum64(document)), 1) }
 
-// window returns the size of a window that spans so many bytes, a power of two.
-func window(size int) int {
+// windowSize returns the size of a window that spans so many bytes, a power of two.
+func windowSize(size int) int {
 	return min(max(1<<bits.Len(uint(size)), zstd.MinWindowSize), zstd.MaxWindowSize)
 }
