--- a/delta/delta.go
+++ b/delta/delta.go
@@ -9,10 +9,12 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// ErrTooLarge is returned for deltas of a document that is larger than the bound.
-var ErrTooLarge = errors.New("delta: the document is too large")
+// ErrTooLarge is returned by Apply when the resulting document exceeds the size
+// limit.
+var ErrTooLarge = errors.New("delta: document is too large")
 
-// Encode returns the delta that turns base into target. An empty base gives target compressed.
+// Encode returns the delta from base to target. With an empty base it is the
+// compressed target.
 func Encode(base, target []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -32,9 +34,10 @@
 	return w.EncodeAll(target, nil), nil
 }
 
-// Apply returns the document that a delta turns base into, which may have so many bytes at
-// most. The error is ErrTooLarge, or that of the frame: it cannot be read, starts from
-// another document, or its checksum differs.
+// Apply returns the document that results from applying delta to base. It
+// returns ErrTooLarge if the document is larger than maxSize bytes, and another
+// error if the delta is malformed, was made for a different base or has a wrong
+// checksum.
 func Apply(base, delta []byte, maxSize int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
@@ -60,10 +63,12 @@
 	return target, nil
 }
 
-// documentID names a document in a frame. Zero would mean that the frame names none.
+// documentID returns the dictionary ID by which a frame refers to its base
+// document. It is never 0, which means no dictionary.
 func documentID(document []byte) uint32 { return max(uint32(xxhash.Sum64(document)), 1) }
 
-// windowSize returns the size of a window that spans so many bytes, a power of two.
+// windowSize returns a window size for size bytes: a power of two within the
+// limits of Zstandard.
 func windowSize(size int) int {
 	return min(max(1<<bits.Len(uint(size)), zstd.MinWindowSize), zstd.MaxWindowSize)
 }
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -12,7 +12,8 @@
 
 const maxDocumentSize = 4 << 20
 
-// routesDocument returns a document with its version at the top and so many routes.
+// routesDocument returns a document with its version at the start and n routes.
+// The map replaces the targets of the routes with these indexes.
 func routesDocument(version, n int, targets map[int]string) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":"%d","routes":[`, version)
@@ -36,10 +37,10 @@
 		"the same":               {routesDocument(1, many, nil), routesDocument(1, many, nil), 100},
 		"one route of many":      {routesDocument(1, many, nil), routesDocument(2, many, map[int]string{800: "other"}), 300},
 		"first and last":         {routesDocument(1, many, nil), routesDocument(2, many, map[int]string{0: "a", many - 1: "b"}), 300},
-		"grows by a tenth":       {routesDocument(1, many, nil), routesDocument(2, many*11/10, nil), 60_000},
-		"another document":       {[]byte("abc"), routesDocument(1, 10, nil), 1000},
-		"nothing to start from":  {nil, routesDocument(1, 10, nil), 1000},
-		"nothing left":           {routesDocument(1, 10, nil), nil, 100},
+		"a tenth more routes":    {routesDocument(1, many, nil), routesDocument(2, many*11/10, nil), 60_000},
+		"unrelated base":         {[]byte("abc"), routesDocument(1, 10, nil), 1000},
+		"empty base":             {nil, routesDocument(1, 10, nil), 1000},
+		"empty target":           {routesDocument(1, 10, nil), nil, 100},
 		"both empty":             {nil, nil, 100},
 		"a document of one byte": {[]byte("a"), []byte("b"), 100},
 	} {
@@ -54,14 +55,15 @@
 	}
 }
 
-// TestApplyToOtherBaseFails has the receiver hold something else than the sender thought.
+// TestApplyToOtherBaseFails applies a delta to a document other than the one it
+// was made from.
 func TestApplyToOtherBaseFails(t *testing.T) {
 	base, target := routesDocument(1, 100, nil), routesDocument(2, 100, nil)
 	d, err := Encode(base, target)
 	require.NoError(t, err)
 	for name, other := range map[string][]byte{
 		"another version": routesDocument(3, 100, nil),
-		"none":            nil,
+		"no base":         nil,
 	} {
 		_, err := Apply(other, d, maxDocumentSize)
 		require.Error(t, err, name)
@@ -76,7 +78,8 @@
 	require.ErrorIs(t, err, ErrTooLarge)
 }
 
-// TestCorruptDeltaNeverYieldsWrongDocument never gives a document that differs from the sender's.
+// TestCorruptDeltaNeverYieldsWrongDocument applies deltas with a flipped byte
+// and a cut end. The result must be an error or the document that was encoded.
 func TestCorruptDeltaNeverYieldsWrongDocument(t *testing.T) {
 	base, target := routesDocument(1, 50, nil), routesDocument(2, 50, map[int]string{3: "other"})
 	d, err := Encode(base, target)
@@ -92,8 +95,8 @@
 	})
 }
 
-// BenchmarkDelta makes and applies the delta of one route among others, and of a document
-// that the receiver has nothing of.
+// BenchmarkDelta encodes and applies the change of one route, and a whole
+// document for a receiver without a base.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{120, 1600} {
 		base, target := routesDocument(1, n, nil), routesDocument(2, n, map[int]string{n / 2: "other"})
@@ -101,7 +104,7 @@
 			d, err := Encode(from, target)
 			require.NoError(b, err)
 			size := fmt.Sprintf("%s of %d B in %d B", name, len(target), len(d))
-			b.Run("of/"+size, func(b *testing.B) {
+			b.Run("encode/"+size, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					_, _ = Encode(from, target)
