--- a/peer/choose.go
+++ b/peer/choose.go
@@ -9,68 +9,68 @@
 )
 
 const (
-	// nearNeighbours and farNeighbours are the number of peers in this daemon's
+	// maxLocalNeighbours and maxRemoteNeighbours are the number of peers in this daemon's
 	// own zone and in others that regular rounds choose from. A stable choice
 	// of few keeps their connections in use; each daemon is also chosen by
 	// about as many others, so that the whole stays connected.
-	nearNeighbours = 4
-	farNeighbours  = 12
-	// lostShare is the share of rounds that also try a lost peer.
-	lostShare = 0.1
+	maxLocalNeighbours  = 4
+	maxRemoteNeighbours = 12
+	// unreachableProbability is the share of rounds that also try a lost peer.
+	unreachableProbability = 0.1
 )
 
 // neighbours are the peers that rounds choose from.
 type neighbours struct {
-	// of is the list that they were chosen from.
-	of        []Peer
-	near, far []Peer
+	// chosenFrom is the list that they were chosen from.
+	chosenFrom    []Peer
+	local, remote []Peer
 }
 
-// choose returns up to n random neighbours: the first in this daemon's own zone
+// choosePeers returns up to n random neighbours: the first in this daemon's own zone
 // and the others in other zones, as far as there are any. Now and then it adds
 // a lost peer.
-func (e *Exchanger) choose(n int) []Peer {
+func (e *Exchanger) choosePeers(n int) []Peer {
 	peers := e.opts.Peers()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.updateNeighbours(peers)
-	near, far := slices.Clone(e.neighbours.near), slices.Clone(e.neighbours.far)
-	var out []Peer
-	for len(out) < n && len(near)+len(far) > 0 {
-		from := &far
-		if len(far) == 0 || len(out) == 0 && len(near) > 0 {
-			from = &near
+	local, remote := slices.Clone(e.neighbours.local), slices.Clone(e.neighbours.remote)
+	var chosen []Peer
+	for len(chosen) < n && len(local)+len(remote) > 0 {
+		from := &remote
+		if len(remote) == 0 || len(chosen) == 0 && len(local) > 0 {
+			from = &local
 		}
-		k := e.rng.IntN(len(*from))
-		out = append(out, (*from)[k])
-		*from = slices.Delete(*from, k, k+1)
+		i := e.rng.IntN(len(*from))
+		chosen = append(chosen, (*from)[i])
+		*from = slices.Delete(*from, i, i+1)
 	}
-	return append(out, e.chooseLost()...)
+	return append(chosen, e.chooseUnreachable()...)
 }
 
-// chooseLost returns a peer that is thought dead, now and then. e.mu is held.
-func (e *Exchanger) chooseLost() []Peer {
-	if e.opts.Unreachable == nil || e.rng.Float64() >= lostShare {
+// chooseUnreachable returns a peer that is thought dead, now and then. e.mu is held.
+func (e *Exchanger) chooseUnreachable() []Peer {
+	if e.opts.Unreachable == nil || e.rng.Float64() >= unreachableProbability {
 		return nil
 	}
-	lost := e.opts.Unreachable()
-	if len(lost) == 0 {
+	unreachable := e.opts.Unreachable()
+	if len(unreachable) == 0 {
 		return nil
 	}
-	return []Peer{lost[e.rng.IntN(len(lost))]}
+	return []Peer{unreachable[e.rng.IntN(len(unreachable))]}
 }
 
 // updateNeighbours chooses anew when the list of peers is another one. While it
 // holds nobody else the first peers are used. e.mu is held.
 func (e *Exchanger) updateNeighbours(peers []Peer) {
-	if e.neighbours.of != nil && sameSlice(e.neighbours.of, peers) {
+	if e.neighbours.chosenFrom != nil && sameSlice(e.neighbours.chosenFrom, peers) {
 		return
 	}
 	e.neighbours = e.chooseNeighbours(peers)
-	if len(e.neighbours.near)+len(e.neighbours.far) == 0 {
+	if len(e.neighbours.local)+len(e.neighbours.remote) == 0 {
 		e.neighbours = e.chooseNeighbours(e.opts.BootstrapPeers)
 	}
-	e.neighbours.of = peers
+	e.neighbours.chosenFrom = peers
 }
 
 func sameSlice(a, b []Peer) bool {
@@ -83,23 +83,23 @@
 		switch {
 		case p.ID == e.opts.Self:
 		case p.Zone == e.opts.Zone:
-			n.near = append(n.near, p)
+			n.local = append(n.local, p)
 		default:
-			n.far = append(n.far, p)
+			n.remote = append(n.remote, p)
 		}
 	}
-	n.near = e.highest(n.near, nearNeighbours)
-	n.far = e.highest(n.far, farNeighbours)
+	n.local = e.highestHashes(n.local, maxLocalNeighbours)
+	n.remote = e.highestHashes(n.remote, maxRemoteNeighbours)
 	return n
 }
 
-// highest returns the n peers with the highest rendezvous hash for this daemon.
-func (e *Exchanger) highest(peers []Peer, n int) []Peer {
-	rank := func(p Peer) uint64 { return pairHash(e.opts.Self, p.ID) }
-	slices.SortFunc(peers, func(a, b Peer) int { return compareUint(rank(b), rank(a)) })
+// highestHashes returns the n peers with the highest rendezvous hash for this daemon.
+func (e *Exchanger) highestHashes(peers []Peer, n int) []Peer {
+	hash := func(p Peer) uint64 { return hashPair(e.opts.Self, p.ID) }
+	slices.SortFunc(peers, func(a, b Peer) int { return compareUint(hash(b), hash(a)) })
 	return slices.Clip(peers[:min(n, len(peers))])
 }
 
-func pairHash(a, b model.DaemonID) uint64 {
+func hashPair(a, b model.DaemonID) uint64 {
 	return xxhash.Sum64String(string(a) + "\x00" + string(b))
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -16,7 +16,7 @@
 const (
 	dialTimeout     = time.Second
 	idleConnTimeout = time.Minute
-	maxIdleConns    = nearNeighbours + farNeighbours + 4
+	maxIdleConns    = maxLocalNeighbours + maxRemoteNeighbours + 4
 )
 
 // Client sends control messages to other daemons. It is safe for concurrent
@@ -52,7 +52,7 @@
 		},
 		options: []connect.ClientOption{
 			connect.WithInterceptors(authenticate(secret)),
-			connect.WithReadMaxBytes(maxMessage),
+			connect.WithReadMaxBytes(maxMessageBytes),
 			// Messages are small and packed already; a gzip writer for each
 			// costs more than all else in a round.
 			connect.WithAcceptCompression("gzip", nil, nil),
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -66,34 +66,34 @@
 }
 
 const (
-	defaultInterval   = time.Second
-	defaultFanout     = 2
-	defaultHintFanout = 5
-	defaultBytes      = 14 << 10
-	defaultBurst      = 512 << 10
-	defaultRoundBytes = 16 << 10
-	defaultTimeout    = time.Second
-
-	// hintsPerSecond and hintBurst bound the rounds started by hints.
-	hintsPerSecond = 2
-	hintBurst      = 4
-	// hintDelay gathers hints that come together.
-	hintDelay = 20 * time.Millisecond
+	defaultInterval        = time.Second
+	defaultFanout          = 2
+	defaultTriggeredFanout = 5
+	defaultBytesPerSecond  = 14 << 10
+	defaultBurstBytes      = 512 << 10
+	defaultMaxDeltaBytes   = 16 << 10
+	defaultTimeout         = time.Second
+
+	// triggeredRoundsPerSecond and triggeredRoundsBurst bound the rounds started by hints.
+	triggeredRoundsPerSecond = 2
+	triggeredRoundsBurst     = 4
+	// triggerDelay gathers hints that come together.
+	triggerDelay = 20 * time.Millisecond
 )
 
 // Exchanger runs anti-entropy rounds. It is safe for concurrent use.
 type Exchanger struct {
-	opts    Options
-	budget  *rate.Limiter
-	hints   *rate.Limiter
-	hinted  chan struct{}
-	metrics metrics
-	spent   atomic.Int64
+	opts           Options
+	byteBudget     *rate.Limiter
+	triggerLimiter *rate.Limiter
+	triggered      chan struct{}
+	metrics        metrics
+	totalBytes     atomic.Int64
 
 	mu         sync.Mutex
 	rng        *rand.Rand
 	topics     map[string]Topic
-	names      []string
+	topicNames []string
 	neighbours neighbours
 	lastRound  time.Time
 }
@@ -102,23 +102,23 @@
 func NewExchanger(opts Options) *Exchanger {
 	opts.setDefaults()
 	return &Exchanger{
-		opts:    opts,
-		budget:  rate.NewLimiter(rate.Limit(opts.BytesPerSecond), opts.BurstBytes),
-		hints:   rate.NewLimiter(hintsPerSecond, hintBurst),
-		hinted:  make(chan struct{}, 1),
-		metrics: newMetrics(opts.Metrics),
-		rng:     rand.New(rand.NewPCG(opts.Seed, opts.Seed^0x9e3779b97f4a7c15)),
-		topics:  make(map[string]Topic),
+		opts:           opts,
+		byteBudget:     rate.NewLimiter(rate.Limit(opts.BytesPerSecond), opts.BurstBytes),
+		triggerLimiter: rate.NewLimiter(triggeredRoundsPerSecond, triggeredRoundsBurst),
+		triggered:      make(chan struct{}, 1),
+		metrics:        newMetrics(opts.Metrics),
+		rng:            rand.New(rand.NewPCG(opts.Seed, opts.Seed^0x9e3779b97f4a7c15)),
+		topics:         make(map[string]Topic),
 	}
 }
 
 func (o *Options) setDefaults() {
 	o.Interval = orDefault(o.Interval, defaultInterval)
 	o.Fanout = orDefault(o.Fanout, defaultFanout)
-	o.TriggeredFanout = orDefault(o.TriggeredFanout, defaultHintFanout)
-	o.BytesPerSecond = orDefault(o.BytesPerSecond, defaultBytes)
-	o.BurstBytes = orDefault(o.BurstBytes, defaultBurst)
-	o.MaxDeltaBytes = orDefault(o.MaxDeltaBytes, defaultRoundBytes)
+	o.TriggeredFanout = orDefault(o.TriggeredFanout, defaultTriggeredFanout)
+	o.BytesPerSecond = orDefault(o.BytesPerSecond, defaultBytesPerSecond)
+	o.BurstBytes = orDefault(o.BurstBytes, defaultBurstBytes)
+	o.MaxDeltaBytes = orDefault(o.MaxDeltaBytes, defaultMaxDeltaBytes)
 	o.Timeout = orDefault(o.Timeout, defaultTimeout)
 	if o.Peers == nil {
 		o.Peers = func() []Peer { return nil }
@@ -147,14 +147,14 @@
 		invariant.Violated("peer: one topic of a name", "%s registered twice", t.Name())
 	}
 	e.topics[t.Name()] = t
-	e.names = append(e.names, t.Name())
+	e.topicNames = append(e.topicNames, t.Name())
 }
 
 // TriggerRound asks for a round at once, because a topic has news that must not wait
 // for the next one.
 func (e *Exchanger) TriggerRound() {
 	select {
-	case e.hinted <- struct{}{}:
+	case e.triggered <- struct{}{}:
 	default:
 	}
 }
@@ -169,11 +169,11 @@
 
 // TotalBytes returns the bytes sent and received in rounds so far, with what is
 // reckoned for the heads of the messages.
-func (e *Exchanger) TotalBytes() int64 { return e.spent.Load() }
+func (e *Exchanger) TotalBytes() int64 { return e.totalBytes.Load() }
 
 // Serve runs rounds until the context ends.
 func (e *Exchanger) Serve(ctx context.Context) error {
-	timer := time.NewTimer(e.jittered())
+	timer := time.NewTimer(e.jitteredInterval())
 	defer timer.Stop()
 	for {
 		select {
@@ -181,9 +181,9 @@
 			return ctx.Err()
 		case <-timer.C:
 			e.Round(ctx, e.opts.Fanout)
-			timer.Reset(e.jittered())
-		case <-e.hinted:
-			e.hintRound(ctx)
+			timer.Reset(e.jitteredInterval())
+		case <-e.triggered:
+			e.triggeredRound(ctx)
 		}
 	}
 }
@@ -191,27 +191,27 @@
 // String names the service in the supervisor tree.
 func (e *Exchanger) String() string { return "peer exchange" }
 
-func (e *Exchanger) jittered() time.Duration {
+func (e *Exchanger) jitteredInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	const spread = 0.4
-	return time.Duration(float64(e.opts.Interval) * (1 - spread/2 + spread*e.rng.Float64()))
+	const jitter = 0.4
+	return time.Duration(float64(e.opts.Interval) * (1 - jitter/2 + jitter*e.rng.Float64()))
 }
 
-// hintRound gathers further hints and runs a round, unless too many were asked
+// triggeredRound gathers further hints and runs a round, unless too many were asked
 // for: then the next regular round carries the news.
-func (e *Exchanger) hintRound(ctx context.Context) {
-	if !e.hints.Allow() {
-		e.metrics.hintsLimited.Inc(1)
+func (e *Exchanger) triggeredRound(ctx context.Context) {
+	if !e.triggerLimiter.Allow() {
+		e.metrics.triggersLimited.Inc(1)
 		return
 	}
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(hintDelay):
+	case <-time.After(triggerDelay):
 	}
 	select {
-	case <-e.hinted:
+	case <-e.triggered:
 	default:
 	}
 	e.Round(ctx, e.opts.TriggeredFanout)
--- a/peer/exchanger_test.go
+++ b/peer/exchanger_test.go
@@ -23,21 +23,21 @@
 	peerv1 "github.com/dottereltiller/dottereltiller/proto/dottereltiller/peer/v1"
 )
 
-// maxTopic is a topic whose larger value wins.
-type maxTopic struct {
+// maxValueTopic is a topic whose larger value wins.
+type maxValueTopic struct {
 	mu    sync.Mutex
 	value byte
 }
 
-func (m *maxTopic) Name() string { return "max" }
+func (m *maxValueTopic) Name() string { return "max" }
 
-func (m *maxTopic) Digest() []byte {
+func (m *maxValueTopic) Digest() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return []byte{m.value}
 }
 
-func (m *maxTopic) Delta(digest []byte, limit int) []byte {
+func (m *maxValueTopic) Delta(digest []byte, limit int) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if limit < 1 || bytes.Compare(digest, []byte{m.value}) >= 0 {
@@ -46,7 +46,7 @@
 	return []byte{m.value}
 }
 
-func (m *maxTopic) Apply(delta []byte) error {
+func (m *maxValueTopic) Apply(delta []byte) error {
 	if len(delta) != 1 {
 		return errors.New("want one byte")
 	}
@@ -58,12 +58,12 @@
 
 // network connects exchangers in one process, with a delay and cut zones.
 type network struct {
-	mu    sync.Mutex
-	delay time.Duration
-	nodes map[model.DaemonID]*Exchanger
-	zones map[model.DaemonID]model.AvailabilityZone
-	cut   model.AvailabilityZone
-	sent  int
+	mu           sync.Mutex
+	delay        time.Duration
+	nodes        map[model.DaemonID]*Exchanger
+	zones        map[model.DaemonID]model.AvailabilityZone
+	isolatedZone model.AvailabilityZone
+	requests     int
 }
 
 type endpoint struct {
@@ -73,25 +73,25 @@
 
 func (e endpoint) Exchange(ctx context.Context, to model.DaemonID, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	e.net.mu.Lock()
-	e.net.sent++
+	e.net.requests++
 	node := e.net.nodes[to]
 	a, b := e.net.zones[e.from], e.net.zones[to]
-	cut := a != b && (a == e.net.cut || b == e.net.cut)
+	isolated := a != b && (a == e.net.isolatedZone || b == e.net.isolatedZone)
 	e.net.mu.Unlock()
 	time.Sleep(e.net.delay)
-	if cut || node == nil {
+	if isolated || node == nil {
 		return nil, errors.New("unreachable")
 	}
 	return node.Handle(req), nil
 }
 
-func (n *network) setCut(z model.AvailabilityZone) {
+func (n *network) isolateZone(z model.AvailabilityZone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = z
+	n.isolatedZone = z
 }
 
-func start(t *testing.T, ctx context.Context, size int) (*network, []*maxTopic) {
+func startNetwork(t *testing.T, ctx context.Context, size int) (*network, []*maxValueTopic) {
 	t.Helper()
 	n := &network{delay: time.Millisecond, nodes: map[model.DaemonID]*Exchanger{}, zones: map[model.DaemonID]model.AvailabilityZone{}}
 	var peers []Peer
@@ -100,11 +100,11 @@
 		peers = append(peers, p)
 		n.zones[p.ID] = p.Zone
 	}
-	topics := make([]*maxTopic, size)
+	topics := make([]*maxValueTopic, size)
 	for i, p := range peers {
 		e := NewExchanger(Options{Self: p.ID, Zone: p.Zone, Peers: func() []Peer { return peers },
 			Transport: endpoint{n, p.ID}, Seed: uint64(i)})
-		topics[i] = &maxTopic{}
+		topics[i] = &maxValueTopic{}
 		e.Register(topics[i])
 		n.nodes[p.ID] = e
 	}
@@ -114,9 +114,9 @@
 	return n, topics
 }
 
-// lifetime returns a context that ends with the test, with time for what is
+// testContext returns a context that ends with the test, with time for what is
 // under way to end, too.
-func lifetime(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
@@ -125,7 +125,7 @@
 	return ctx
 }
 
-func reached(topics []*maxTopic, v byte) int {
+func countWithValue(topics []*maxValueTopic, v byte) int {
 	count := 0
 	for _, t := range topics {
 		if t.Digest()[0] == v {
@@ -135,77 +135,77 @@
 	return count
 }
 
-func TestNewsReachesEveryDaemonWithinTwoSeconds(t *testing.T) {
+func TestTriggeredRoundsReachEveryDaemonWithinTwoSeconds(t *testing.T) {
 	for _, size := range []int{2, 30, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
-				ctx := lifetime(t)
-				n, topics := start(t, ctx, size)
+				ctx := testContext(t)
+				n, topics := startNetwork(t, ctx, size)
 				time.Sleep(5 * time.Second)
 				require.NoError(t, topics[0].Apply([]byte{7}))
 				n.nodes["d0"].TriggerRound()
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
-				require.Equal(t, size, reached(topics, 7))
+				require.Equal(t, size, countWithValue(topics, 7))
 			})
 		})
 	}
 }
 
-func TestCutZoneFollowsWhenItIsBack(t *testing.T) {
+func TestIsolatedZoneCatchesUp(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		ctx := lifetime(t)
-		n, topics := start(t, ctx, 50)
-		n.setCut("z1")
+		ctx := testContext(t)
+		n, topics := startNetwork(t, ctx, 50)
+		n.isolateZone("z1")
 		require.NoError(t, topics[0].Apply([]byte{7}))
 		n.nodes["d0"].TriggerRound()
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 40, reached(topics, 7), "the zones that are not cut off")
-		n.setCut("")
+		require.Equal(t, 40, countWithValue(topics, 7), "the zones that are not cut off")
+		n.isolateZone("")
 		time.Sleep(4 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 50, reached(topics, 7))
+		require.Equal(t, 50, countWithValue(topics, 7))
 	})
 }
 
-func TestHintsAreBounded(t *testing.T) {
+func TestTriggeredRoundsAreLimited(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		ctx := lifetime(t)
-		n, _ := start(t, ctx, 10)
+		ctx := testContext(t)
+		n, _ := startNetwork(t, ctx, 10)
 		const seconds = 10
 		for range seconds * 100 {
 			n.nodes["d0"].TriggerRound()
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
-		hintRounds := (hintsPerSecond*seconds + hintBurst + 1) * defaultHintFanout
-		regular := 10 * (seconds + 3) * defaultFanout * 5 / 4
-		require.LessOrEqual(t, n.sent, hintRounds+regular)
+		triggeredRequests := (triggeredRoundsPerSecond*seconds + triggeredRoundsBurst + 1) * defaultTriggeredFanout
+		regularRequests := 10 * (seconds + 3) * defaultFanout * 5 / 4
+		require.LessOrEqual(t, n.requests, triggeredRequests+regularRequests)
 	})
 }
 
-// sizedTopic gives as long a delta as it may.
-type sizedTopic struct{ maxTopic }
+// fullSizeTopic gives as long a delta as it may.
+type fullSizeTopic struct{ maxValueTopic }
 
-func (s *sizedTopic) Delta(_ []byte, limit int) []byte { return make([]byte, limit) }
+func (s *fullSizeTopic) Delta(_ []byte, limit int) []byte { return make([]byte, limit) }
 
-func TestBudgetKeepsDeltasShort(t *testing.T) {
+func TestByteBudgetLimitsDeltas(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		scope := tally.NewTestScope("", nil)
 		e := NewExchanger(Options{BurstBytes: 40 << 10, BytesPerSecond: 1, Metrics: scope})
-		e.Register(&sizedTopic{})
+		e.Register(&fullSizeTopic{})
 		req := &peerv1.ExchangeRequest{Topics: []*peerv1.TopicMessage{{Topic: "max", Digest: []byte{0}}}}
-		require.Len(t, e.Handle(req).Topics[0].Delta, defaultRoundBytes)
+		require.Len(t, e.Handle(req).Topics[0].Delta, defaultMaxDeltaBytes)
 		for range 3 {
 			e.Handle(req)
 		}
-		require.Len(t, e.Handle(req).Topics[0].Delta, minDelta, "the newest still get through")
+		require.Len(t, e.Handle(req).Topics[0].Delta, minDeltaBytes, "the newest still get through")
 		require.Positive(t, scope.Snapshot().Counters()["peer.deltas+result=limited"].Value())
 	})
 }
 
-func TestRoundsGoToOnePeerWhenTheBytesAreUsedUp(t *testing.T) {
+func TestExhaustedByteBudgetLimitsRoundToOnePeer(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		n := &network{nodes: map[model.DaemonID]*Exchanger{}, zones: map[model.DaemonID]model.AvailabilityZone{}}
 		peers := []Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}
@@ -213,54 +213,54 @@
 			n.nodes[p.ID] = NewExchanger(Options{Self: p.ID})
 		}
 		e := NewExchanger(Options{Self: "x", BurstBytes: 1000, BytesPerSecond: 1, Transport: endpoint{n, "x"}, Peers: func() []Peer { return peers }})
-		e.Register(&maxTopic{})
+		e.Register(&maxValueTopic{})
 		e.Round(t.Context(), 3)
-		require.Equal(t, 3, n.sent)
+		require.Equal(t, 3, n.requests)
 		e.Round(t.Context(), 3)
-		require.Equal(t, 4, n.sent)
+		require.Equal(t, 4, n.requests)
 	})
 }
 
-func TestRefusedDeltaIsCountedAndChangesNothing(t *testing.T) {
+func TestRejectedDeltaIsCountedAndChangesNothing(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	e := NewExchanger(Options{Metrics: scope})
-	topic := &maxTopic{value: 3}
+	topic := &maxValueTopic{value: 3}
 	e.Register(topic)
 	e.Handle(&peerv1.ExchangeRequest{Topics: []*peerv1.TopicMessage{{Topic: "max", Delta: []byte("too long")}, {Topic: "other", Delta: []byte{1}}}})
 	require.Equal(t, []byte{3}, topic.Digest())
 	require.EqualValues(t, 1, scope.Snapshot().Counters()["peer.deltas+result=refused"].Value())
-	require.Panics(t, func() { e.Register(&maxTopic{}) })
+	require.Panics(t, func() { e.Register(&maxValueTopic{}) })
 }
 
-// countedConn counts the bytes of connections.
-type countedConn struct {
+// countingConn counts the bytes of connections.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// TestOverheadIsReckonedAsItIs compares what a message costs on a connection
+// TestMessageOverheadMatchesConnectionBytes compares what a message costs on a connection
 // with what the budget is charged.
-func TestOverheadIsReckonedAsItIs(t *testing.T) {
+func TestMessageOverheadMatchesConnectionBytes(t *testing.T) {
 	e := NewExchanger(Options{})
-	e.Register(&maxTopic{})
+	e.Register(&maxValueTopic{})
 	srv := httptest.NewServer(Handler(&Service{Exchanger: e}, "secret"))
 	defer srv.Close()
 	var bytes atomic.Int64
 	c := NewClientWithDial("secret", func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return countedConn{conn, &bytes}, err
+		return countingConn{conn, &bytes}, err
 	})
 	defer c.Close()
 	topics := e.digests()
@@ -270,31 +270,31 @@
 		_, err := c.Exchange(t.Context(), to, &peerv1.ExchangeRequest{From: string(to), Zone: "odense-hal-a", Topics: topics})
 		require.NoError(t, err)
 	}
-	overhead := bytes.Load()/messages - 2*int64(sizeOf(topics))
+	overhead := bytes.Load()/messages - 2*int64(topicBytes(topics))
 	t.Logf("%d bytes a message besides its topics", overhead)
 	require.InDelta(t, messageOverhead, overhead, messageOverhead*0.15)
 }
 
 func TestServiceAuthenticatesPeers(t *testing.T) {
 	e := NewExchanger(Options{})
-	topic := &maxTopic{}
+	topic := &maxValueTopic{}
 	e.Register(topic)
 	srv := httptest.NewServer(Handler(&Service{Exchanger: e}, "secret"))
 	defer srv.Close()
 	to := model.DaemonID(strings.TrimPrefix(srv.URL, "http://"))
 	req := &peerv1.ExchangeRequest{Topics: []*peerv1.TopicMessage{{Topic: "max", Delta: []byte{4}}}}
 
-	wrong := NewClient("other")
-	defer wrong.Close()
-	_, err := wrong.Exchange(t.Context(), to, req)
+	unauthorized := NewClient("other")
+	defer unauthorized.Close()
+	_, err := unauthorized.Exchange(t.Context(), to, req)
 	require.Equal(t, connect.CodeUnauthenticated, connect.CodeOf(err))
 	require.Equal(t, []byte{0}, topic.Digest())
 
-	right := NewClient("secret")
-	defer right.Close()
-	_, err = right.Exchange(t.Context(), to, req)
+	authorized := NewClient("secret")
+	defer authorized.Close()
+	_, err = authorized.Exchange(t.Context(), to, req)
 	require.NoError(t, err)
 	require.Equal(t, []byte{4}, topic.Digest())
-	_, err = right.Ping(t.Context(), to, &peerv1.PingRequest{})
+	_, err = authorized.Ping(t.Context(), to, &peerv1.PingRequest{})
 	require.Equal(t, connect.CodeUnimplemented, connect.CodeOf(err), "no one answers pings yet")
 }
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -3,9 +3,9 @@
 import "github.com/uber-go/tally/v4"
 
 type metrics struct {
-	rounds, roundsFailed, roundsLimited         tally.Counter
-	deltasApplied, deltasRefused, deltasLimited tally.Counter
-	hintsLimited, bytes                         tally.Counter
+	rounds, roundsFailed, roundsLimited          tally.Counter
+	deltasApplied, deltasRejected, deltasLimited tally.Counter
+	triggersLimited, bytes                       tally.Counter
 }
 
 func newMetrics(s tally.Scope) metrics {
@@ -14,13 +14,13 @@
 	}
 	s = s.SubScope("peer")
 	return metrics{
-		rounds:        s.Tagged(map[string]string{"result": "done"}).Counter("rounds"),
-		roundsFailed:  s.Tagged(map[string]string{"result": "failed"}).Counter("rounds"),
-		roundsLimited: s.Tagged(map[string]string{"result": "limited"}).Counter("rounds"),
-		deltasApplied: s.Tagged(map[string]string{"result": "applied"}).Counter("deltas"),
-		deltasRefused: s.Tagged(map[string]string{"result": "refused"}).Counter("deltas"),
-		deltasLimited: s.Tagged(map[string]string{"result": "limited"}).Counter("deltas"),
-		hintsLimited:  s.Counter("hints_limited"),
-		bytes:         s.Counter("bytes"),
+		rounds:          s.Tagged(map[string]string{"result": "done"}).Counter("rounds"),
+		roundsFailed:    s.Tagged(map[string]string{"result": "failed"}).Counter("rounds"),
+		roundsLimited:   s.Tagged(map[string]string{"result": "limited"}).Counter("rounds"),
+		deltasApplied:   s.Tagged(map[string]string{"result": "applied"}).Counter("deltas"),
+		deltasRejected:  s.Tagged(map[string]string{"result": "refused"}).Counter("deltas"),
+		deltasLimited:   s.Tagged(map[string]string{"result": "limited"}).Counter("deltas"),
+		triggersLimited: s.Counter("hints_limited"),
+		bytes:           s.Counter("bytes"),
 	}
 }
--- a/peer/round.go
+++ b/peer/round.go
@@ -12,25 +12,25 @@
 	// messageOverhead is what one message costs besides its topics, in bytes:
 	// the heads of the request and of the response.
 	messageOverhead = 430
-	// headStart is how long the first peer of a round has to answer before the
+	// firstPeerWait is how long the first peer of a round has to answer before the
 	// others are asked.
-	headStart = 50 * time.Millisecond
-	// minDelta is what one topic's delta may take when the bytes are used up, so
+	firstPeerWait = 50 * time.Millisecond
+	// minDeltaBytes is what one topic's delta may take when the bytes are used up, so
 	// that the newest records still get through.
-	minDelta = 1 << 10
-	// maxTopics bounds the topics read from one message.
-	maxTopics = 32
+	minDeltaBytes = 1 << 10
+	// maxTopicsPerMessage bounds the topics read from one message.
+	maxTopicsPerMessage = 32
 )
 
 // Round runs one round with up to n peers and waits for it. The first peer goes
 // ahead of the others, which go at the same time: what it gives need not come
 // from each of them. When the bytes are used up only the first is taken.
 func (e *Exchanger) Round(ctx context.Context, n int) {
-	if e.budget.Tokens() <= 0 {
+	if e.byteBudget.Tokens() <= 0 {
 		e.metrics.roundsLimited.Inc(1)
 		n = 1
 	}
-	peers := e.choose(n)
+	peers := e.choosePeers(n)
 	if len(peers) == 0 {
 		return
 	}
@@ -49,11 +49,11 @@
 
 // awaitFirst waits until the first peer has answered, but not long.
 func (e *Exchanger) awaitFirst(ctx context.Context, first <-chan struct{}) {
-	t := time.NewTimer(headStart)
-	defer t.Stop()
+	timer := time.NewTimer(firstPeerWait)
+	defer timer.Stop()
 	select {
 	case <-first:
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
@@ -62,34 +62,34 @@
 func (e *Exchanger) exchange(ctx context.Context, p Peer) {
 	ctx, cancel := context.WithTimeout(ctx, e.opts.Timeout)
 	defer cancel()
-	resp, err := e.send(ctx, p, e.digests())
+	resp, err := e.sendTopics(ctx, p, e.digests())
 	if err != nil {
-		e.failed(p, err)
+		e.recordFailure(p, err)
 		return
 	}
 	push := e.deltas(resp.GetTopics())
 	e.apply(resp.GetTopics())
 	if len(push) > 0 {
-		_, err = e.send(ctx, p, push)
+		_, err = e.sendTopics(ctx, p, push)
 	}
 	if err != nil {
-		e.failed(p, err)
+		e.recordFailure(p, err)
 		return
 	}
 	e.metrics.rounds.Inc(1)
-	e.heard()
+	e.recordRound()
 	e.opts.OnResult(p, nil)
 }
 
-func (e *Exchanger) failed(p Peer, err error) {
+func (e *Exchanger) recordFailure(p Peer, err error) {
 	e.metrics.roundsFailed.Inc(1)
 	e.opts.OnResult(p, err)
 }
 
-func (e *Exchanger) send(ctx context.Context, p Peer, topics []*peerv1.TopicMessage) (*peerv1.ExchangeResponse, error) {
+func (e *Exchanger) sendTopics(ctx context.Context, p Peer, topics []*peerv1.TopicMessage) (*peerv1.ExchangeResponse, error) {
 	req := &peerv1.ExchangeRequest{From: string(e.opts.Self), Zone: string(e.opts.Zone), Topics: topics}
 	resp, err := e.opts.Transport.Exchange(ctx, p.ID, req)
-	e.spend(sizeOf(topics) + sizeOf(resp.GetTopics()) + messageOverhead)
+	e.chargeBytes(topicBytes(topics) + topicBytes(resp.GetTopics()) + messageOverhead)
 	return resp, err
 }
 
@@ -97,15 +97,15 @@
 func (e *Exchanger) Handle(req *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
 	e.apply(req.GetTopics())
 	resp := &peerv1.ExchangeResponse{}
-	if asksDigests(req.GetTopics()) {
-		resp.Topics = merge(e.digests(), e.deltas(req.GetTopics()))
+	if hasDigest(req.GetTopics()) {
+		resp.Topics = mergeDeltas(e.digests(), e.deltas(req.GetTopics()))
 	}
-	e.spend(sizeOf(req.GetTopics()) + sizeOf(resp.Topics) + messageOverhead)
-	e.heard()
+	e.chargeBytes(topicBytes(req.GetTopics()) + topicBytes(resp.Topics) + messageOverhead)
+	e.recordRound()
 	return resp
 }
 
-func asksDigests(topics []*peerv1.TopicMessage) bool {
+func hasDigest(topics []*peerv1.TopicMessage) bool {
 	for _, t := range topics {
 		if t.Digest != nil {
 			return true
@@ -116,14 +116,14 @@
 
 // digests returns a message for every topic with this daemon's digest.
 func (e *Exchanger) digests() []*peerv1.TopicMessage {
-	var out []*peerv1.TopicMessage
-	for _, t := range e.all() {
-		out = append(out, &peerv1.TopicMessage{Topic: t.Name(), Digest: orEmpty(t.Digest())})
+	var messages []*peerv1.TopicMessage
+	for _, t := range e.allTopics() {
+		messages = append(messages, &peerv1.TopicMessage{Topic: t.Name(), Digest: nonNil(t.Digest())})
 	}
-	return out
+	return messages
 }
 
-func orEmpty(b []byte) []byte {
+func nonNil(b []byte) []byte {
 	if b == nil {
 		return []byte{}
 	}
@@ -131,52 +131,52 @@
 }
 
 // deltas returns what the holders of the digests lack, within the budget.
-func (e *Exchanger) deltas(theirs []*peerv1.TopicMessage) []*peerv1.TopicMessage {
-	var out []*peerv1.TopicMessage
-	for _, m := range bounded(theirs) {
-		t := e.topic(m.GetTopic())
-		if t == nil {
+func (e *Exchanger) deltas(digests []*peerv1.TopicMessage) []*peerv1.TopicMessage {
+	var messages []*peerv1.TopicMessage
+	for _, m := range limitTopics(digests) {
+		topic := e.topic(m.GetTopic())
+		if topic == nil {
 			continue
 		}
-		limit := min(e.opts.MaxDeltaBytes, int(e.budget.Tokens()))
-		if limit < minDelta {
+		limit := min(e.opts.MaxDeltaBytes, int(e.byteBudget.Tokens()))
+		if limit < minDeltaBytes {
 			e.metrics.deltasLimited.Inc(1)
-			limit = minDelta
+			limit = minDeltaBytes
 		}
-		if d := t.Delta(m.GetDigest(), limit); len(d) > 0 {
-			out = append(out, &peerv1.TopicMessage{Topic: t.Name(), Delta: d})
+		if delta := topic.Delta(m.GetDigest(), limit); len(delta) > 0 {
+			messages = append(messages, &peerv1.TopicMessage{Topic: topic.Name(), Delta: delta})
 		}
 	}
-	return out
+	return messages
 }
 
 // apply takes in deltas. When it learns something, the news is passed on.
-func (e *Exchanger) apply(theirs []*peerv1.TopicMessage) {
+func (e *Exchanger) apply(messages []*peerv1.TopicMessage) {
 	changed := false
-	for _, m := range bounded(theirs) {
-		t := e.topic(m.GetTopic())
-		if t == nil || len(m.GetDelta()) == 0 {
+	for _, m := range limitTopics(messages) {
+		topic := e.topic(m.GetTopic())
+		if topic == nil || len(m.GetDelta()) == 0 {
 			continue
 		}
-		before := string(t.Digest())
-		if err := t.Apply(m.GetDelta()); err != nil {
-			e.metrics.deltasRefused.Inc(1)
-			e.opts.Logger.Debug("delta refused", "topic", t.Name(), "error", err)
+		before := string(topic.Digest())
+		if err := topic.Apply(m.GetDelta()); err != nil {
+			e.metrics.deltasRejected.Inc(1)
+			e.opts.Logger.Debug("delta refused", "topic", topic.Name(), "error", err)
 			continue
 		}
 		e.metrics.deltasApplied.Inc(1)
-		changed = changed || before != string(t.Digest())
+		changed = changed || before != string(topic.Digest())
 	}
 	if changed {
 		e.TriggerRound()
 	}
 }
 
-func (e *Exchanger) all() []Topic {
+func (e *Exchanger) allTopics() []Topic {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]Topic, 0, len(e.names))
-	for _, n := range e.names {
+	out := make([]Topic, 0, len(e.topicNames))
+	for _, n := range e.topicNames {
 		out = append(out, e.topics[n])
 	}
 	return out
@@ -188,36 +188,36 @@
 	return e.topics[name]
 }
 
-func (e *Exchanger) heard() {
+func (e *Exchanger) recordRound() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastRound = time.Now()
 }
 
-// spend takes bytes out of the bucket, which may leave it in debt.
-func (e *Exchanger) spend(n int) {
+// chargeBytes takes bytes out of the bucket, which may leave it in debt.
+func (e *Exchanger) chargeBytes(n int) {
 	e.metrics.bytes.Inc(int64(n))
-	e.spent.Add(int64(n))
-	e.budget.ReserveN(time.Now(), min(n, e.opts.BurstBytes))
+	e.totalBytes.Add(int64(n))
+	e.byteBudget.ReserveN(time.Now(), min(n, e.opts.BurstBytes))
 }
 
-func bounded(topics []*peerv1.TopicMessage) []*peerv1.TopicMessage {
-	return topics[:min(len(topics), maxTopics)]
+func limitTopics(topics []*peerv1.TopicMessage) []*peerv1.TopicMessage {
+	return topics[:min(len(topics), maxTopicsPerMessage)]
 }
 
-// merge adds the deltas to the messages of the same topics.
-func merge(to, deltas []*peerv1.TopicMessage) []*peerv1.TopicMessage {
+// mergeDeltas adds the deltas to the messages of the same topics.
+func mergeDeltas(messages, deltas []*peerv1.TopicMessage) []*peerv1.TopicMessage {
 	for _, d := range deltas {
-		for _, m := range to {
+		for _, m := range messages {
 			if m.Topic == d.Topic {
 				m.Delta = d.Delta
 			}
 		}
 	}
-	return to
+	return messages
 }
 
-func sizeOf(topics []*peerv1.TopicMessage) int {
+func topicBytes(topics []*peerv1.TopicMessage) int {
 	const perTopic = 8
 	n := 0
 	for _, t := range topics {
--- a/peer/service.go
+++ b/peer/service.go
@@ -13,8 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// maxMessage bounds a control message, in bytes.
-const maxMessage = 4 << 20
+// maxMessageBytes bounds a control message, in bytes.
+const maxMessageBytes = 4 << 20
 
 // Service answers the control messages of other daemons. A nil function answers
 // that its message is not offered.
@@ -30,13 +30,13 @@
 func Handler(s *Service, secret string) http.Handler {
 	_, h := peerv1connect.NewPeerServiceHandler(service{s},
 		connect.WithInterceptors(authenticate(secret)),
-		connect.WithReadMaxBytes(maxMessage))
+		connect.WithReadMaxBytes(maxMessageBytes))
 	return h
 }
 
 var (
-	errNotAuthenticated = errors.New("peer not authenticated")
-	errNotOffered       = errors.New("message not offered by this daemon")
+	errUnauthenticated = errors.New("peer not authenticated")
+	errUnimplemented   = errors.New("message not offered by this daemon")
 )
 
 // authenticate refuses messages that do not carry the secret and adds it to
@@ -50,7 +50,7 @@
 			}
 			given := req.Header().Get(wire.HeaderAuth)
 			if subtle.ConstantTimeCompare([]byte(given), []byte(secret)) != 1 {
-				return nil, connect.NewError(connect.CodeUnauthenticated, errNotAuthenticated)
+				return nil, connect.NewError(connect.CodeUnauthenticated, errUnauthenticated)
 			}
 			return next(ctx, req)
 		}
@@ -65,20 +65,20 @@
 }
 
 func (h service) Probe(ctx context.Context, r *connect.Request[peerv1.ProbeRequest]) (*connect.Response[peerv1.ProbeResponse], error) {
-	return answer(ctx, h.s.Probe, r)
+	return serveMessage(ctx, h.s.Probe, r)
 }
 
 func (h service) Ping(ctx context.Context, r *connect.Request[peerv1.PingRequest]) (*connect.Response[peerv1.PingResponse], error) {
-	return answer(ctx, h.s.Ping, r)
+	return serveMessage(ctx, h.s.Ping, r)
 }
 
 func (h service) HandOver(ctx context.Context, r *connect.Request[peerv1.HandOverRequest]) (*connect.Response[peerv1.HandOverResponse], error) {
-	return answer(ctx, h.s.HandOver, r)
+	return serveMessage(ctx, h.s.HandOver, r)
 }
 
-func answer[Q, R any](ctx context.Context, f func(context.Context, *Q) (*R, error), r *connect.Request[Q]) (*connect.Response[R], error) {
+func serveMessage[Q, R any](ctx context.Context, f func(context.Context, *Q) (*R, error), r *connect.Request[Q]) (*connect.Response[R], error) {
 	if f == nil {
-		return nil, connect.NewError(connect.CodeUnimplemented, errNotOffered)
+		return nil, connect.NewError(connect.CodeUnimplemented, errUnimplemented)
 	}
 	resp, err := f(ctx, r.Msg)
 	if err != nil {
