--- a/peer/choose.go
+++ b/peer/choose.go
@@ -9,26 +9,29 @@
 )
 
 const (
-	// maxLocalNeighbours and maxRemoteNeighbours are the number of peers in this daemon's
-	// own zone and in others that regular rounds choose from. A stable choice
-	// of few keeps their connections in use; each daemon is also chosen by
-	// about as many others, so that the whole stays connected.
+	// maxLocalNeighbours and maxRemoteNeighbours are the number of neighbours
+	// in this daemon's availability zone and in other zones. Regular rounds
+	// choose peers from the neighbours only: a small stable set keeps its
+	// connections in use. Each daemon is also a neighbour of about as many
+	// others, so that the network of daemons stays connected.
 	maxLocalNeighbours  = 4
 	maxRemoteNeighbours = 12
-	// unreachableProbability is the share of rounds that also try a lost peer.
+	// unreachableProbability is the probability that a round also tries an
+	// unreachable peer.
 	unreachableProbability = 0.1
 )
 
 // neighbours are the peers that rounds choose from.
 type neighbours struct {
-	// chosenFrom is the list that they were chosen from.
-	chosenFrom    []Peer
+	// chosenFrom is the list of peers that they were chosen from.
+	chosenFrom []Peer
+	// local are in this daemon's availability zone, remote in other zones.
 	local, remote []Peer
 }
 
-// choosePeers returns up to n random neighbours: the first in this daemon's own zone
-// and the others in other zones, as far as there are any. Now and then it adds
-// a lost peer.
+// choosePeers returns up to n random neighbours: one local neighbour first,
+// then remote ones, then local ones again if there are too few. With
+// unreachableProbability it adds an unreachable peer.
 func (e *Exchanger) choosePeers(n int) []Peer {
 	peers := e.opts.Peers()
 	e.mu.Lock()
@@ -48,7 +51,8 @@
 	return append(chosen, e.chooseUnreachable()...)
 }
 
-// chooseUnreachable returns a peer that is thought dead, now and then. e.mu is held.
+// chooseUnreachable returns a random unreachable peer with
+// unreachableProbability, otherwise none. e.mu is held.
 func (e *Exchanger) chooseUnreachable() []Peer {
 	if e.opts.Unreachable == nil || e.rng.Float64() >= unreachableProbability {
 		return nil
@@ -60,8 +64,9 @@
 	return []Peer{unreachable[e.rng.IntN(len(unreachable))]}
 }
 
-// updateNeighbours chooses anew when the list of peers is another one. While it
-// holds nobody else the first peers are used. e.mu is held.
+// updateNeighbours chooses the neighbours again if the list of peers has
+// changed. If the list contains no other daemon, they are chosen from the
+// bootstrap peers. e.mu is held.
 func (e *Exchanger) updateNeighbours(peers []Peer) {
 	if e.neighbours.chosenFrom != nil && sameSlice(e.neighbours.chosenFrom, peers) {
 		return
@@ -73,10 +78,13 @@
 	e.neighbours.chosenFrom = peers
 }
 
+// sameSlice reports whether a and b have the same length and share their
+// memory.
 func sameSlice(a, b []Peer) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
+// chooseNeighbours returns the neighbours among the given peers.
 func (e *Exchanger) chooseNeighbours(peers []Peer) neighbours {
 	var n neighbours
 	for _, p := range peers {
@@ -93,13 +101,15 @@
 	return n
 }
 
-// highestHashes returns the n peers with the highest rendezvous hash for this daemon.
+// highestHashes returns the n peers with the highest rendezvous hash for this
+// daemon.
 func (e *Exchanger) highestHashes(peers []Peer, n int) []Peer {
 	hash := func(p Peer) uint64 { return hashPair(e.opts.Self, p.ID) }
 	slices.SortFunc(peers, func(a, b Peer) int { return compareUint(hash(b), hash(a)) })
 	return slices.Clip(peers[:min(n, len(peers))])
 }
 
+// hashPair hashes the names of two daemons.
 func hashPair(a, b model.DaemonID) uint64 {
 	return xxhash.Sum64String(string(a) + "\x00" + string(b))
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -26,16 +26,16 @@
 	options []connect.ClientOption
 }
 
-// Dial connects to an address, TLS included.
+// Dial connects to an address and does the TLS handshake, if any.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a Client that connects by plain TCP and authenticates with
-// the secret.
+// NewClient returns a Client that uses plain TCP and authenticates with the
+// secret.
 func NewClient(secret string) *Client {
 	return NewClientWithDial(secret, (&net.Dialer{Timeout: dialTimeout}).DialContext)
 }
 
-// NewClientWithDial returns a Client that connects by dial and authenticates
+// NewClientWithDial returns a Client that connects with dial and authenticates
 // with the secret.
 func NewClientWithDial(secret string, dial Dial) *Client {
 	return &Client{
@@ -53,14 +53,14 @@
 		options: []connect.ClientOption{
 			connect.WithInterceptors(authenticate(secret)),
 			connect.WithReadMaxBytes(maxMessageBytes),
-			// Messages are small and packed already; a gzip writer for each
-			// costs more than all else in a round.
+			// Messages are small and compact already; a gzip writer for each
+			// would cost more than the rest of a round.
 			connect.WithAcceptCompression("gzip", nil, nil),
 		},
 	}
 }
 
-// To returns the messages that can be sent to one daemon.
+// To returns a client of the control messages of one daemon.
 func (c *Client) To(d model.DaemonID) peerv1connect.PeerServiceClient {
 	return peerv1connect.NewPeerServiceClient(c.http, "http://"+string(d), c.options...)
 }
@@ -74,7 +74,8 @@
 	return resp.Msg, nil
 }
 
-// Ping asks a daemon whether it lives, or whether it reaches the target.
+// Ping asks a daemon whether it is alive or, if the request names a target,
+// whether it can reach that target.
 func (c *Client) Ping(ctx context.Context, to model.DaemonID, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
 	resp, err := c.To(to).Ping(ctx, connect.NewRequest(req))
 	if err != nil {
@@ -83,5 +84,5 @@
 	return resp.Msg, nil
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -22,45 +22,48 @@
 	Zone model.AvailabilityZone
 }
 
-// Transport sends a round's messages to a peer.
+// Transport sends the messages of rounds to peers.
 type Transport interface {
 	Exchange(ctx context.Context, to model.DaemonID, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error)
 }
 
 // Options configure an Exchanger.
 type Options struct {
-	// Self returns this daemon's own name, which is never chosen as a peer.
+	// Self is the name of this daemon, which is never chosen as a peer.
 	Self model.DaemonID
 	Zone model.AvailabilityZone
-	// Peers returns the other daemons known now. The slice is not modified.
+	// Peers returns the other daemons that are known at present. The Exchanger
+	// does not modify the slice.
 	Peers func() []Peer
-	// Unreachable returns daemons that are thought dead. Nil means none. One of them
-	// is tried now and then.
+	// Unreachable returns daemons that are considered dead. Some rounds try one
+	// of them. Nil means none.
 	Unreachable func() []Peer
-	// OnResult is told how the round with a peer went. Nil means nobody.
+	// OnResult, if set, is called with the result of the round with each peer.
 	OnResult func(Peer, error)
-	// BootstrapPeers are peers to try while Peers returns none.
+	// BootstrapPeers are used as long as Peers returns no other daemon.
 	BootstrapPeers []Peer
 	// Transport reaches the peers.
 	Transport Transport
-	// Interval is the time between two rounds. Default: 1s.
+	// Interval is the mean time between two rounds. Default: 1s.
 	Interval time.Duration
-	// Fanout is the number of peers in a round. Default: 2.
+	// Fanout is the number of peers in a regular round. Default: 2.
 	Fanout int
-	// TriggeredFanout is the number of peers in a round after a hint. Default: 5.
+	// TriggeredFanout is the number of peers in a triggered round. Default: 5.
 	TriggeredFanout int
-	// BytesPerSecond bounds the bytes a second that this daemon sends and receives in
-	// rounds that it starts or answers. Default: 14336.
+	// BytesPerSecond limits the bytes that this daemon sends and receives in
+	// rounds, those started by peers included. Default: 14336.
 	BytesPerSecond int
-	// BurstBytes is the size of the token bucket for Bytes. Default: 512 KiB.
+	// BurstBytes is the size of the token bucket for BytesPerSecond. Default:
+	// 512 KiB.
 	BurstBytes int
-	// MaxDeltaBytes bounds one topic's delta. Default: 16 KiB.
+	// MaxDeltaBytes limits the delta of one topic in a message. Default: 16
+	// KiB.
 	MaxDeltaBytes int
-	// Timeout bounds one message. Default: 1s.
+	// Timeout limits the exchange with one peer in a round. Default: 1s.
 	Timeout time.Duration
-	// Seed seeds the choice of peers.
+	// Seed seeds the random choice of peers.
 	Seed uint64
-	// Metrics counts rounds and bytes. Nil means none.
+	// Metrics receives counts of rounds, deltas and bytes. Nil means none.
 	Metrics tally.Scope
 	Logger  *slog.Logger
 }
@@ -74,10 +77,12 @@
 	defaultMaxDeltaBytes   = 16 << 10
 	defaultTimeout         = time.Second
 
-	// triggeredRoundsPerSecond and triggeredRoundsBurst bound the rounds started by hints.
+	// triggeredRoundsPerSecond and triggeredRoundsBurst limit the rate of
+	// triggered rounds.
 	triggeredRoundsPerSecond = 2
 	triggeredRoundsBurst     = 4
-	// triggerDelay gathers hints that come together.
+	// triggerDelay is the wait before a triggered round, so that one round
+	// serves several triggers in short succession.
 	triggerDelay = 20 * time.Millisecond
 )
 
@@ -86,13 +91,15 @@
 	opts           Options
 	byteBudget     *rate.Limiter
 	triggerLimiter *rate.Limiter
-	triggered      chan struct{}
-	metrics        metrics
-	totalBytes     atomic.Int64
-
-	mu         sync.Mutex
-	rng        *rand.Rand
-	topics     map[string]Topic
+	// triggered receives a value when a round was requested.
+	triggered  chan struct{}
+	metrics    metrics
+	totalBytes atomic.Int64
+
+	mu     sync.Mutex
+	rng    *rand.Rand
+	topics map[string]Topic
+	// topicNames are the keys of topics in the order of registration.
 	topicNames []string
 	neighbours neighbours
 	lastRound  time.Time
@@ -131,6 +138,7 @@
 	}
 }
 
+// orDefault returns v, or d if v is not positive.
 func orDefault[T int | time.Duration](v, d T) T {
 	if v <= 0 {
 		return d
@@ -138,20 +146,20 @@
 	return v
 }
 
-// Register adds a topic. Topics are registered before Serve starts; a name that
-// is registered twice is a programming error.
+// Register adds a topic. All topics must be registered before Serve starts.
+// Registering a name twice is a programming error.
 func (e *Exchanger) Register(t Topic) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.topics[t.Name()]; ok {
-		invariant.Violated("peer: one topic of a name", "%s registered twice", t.Name())
+		invariant.Violated("peer: topic names are unique", "%s registered twice", t.Name())
 	}
 	e.topics[t.Name()] = t
 	e.topicNames = append(e.topicNames, t.Name())
 }
 
-// TriggerRound asks for a round at once, because a topic has news that must not wait
-// for the next one.
+// TriggerRound requests a round at once, for an update that must not wait for
+// the next regular round.
 func (e *Exchanger) TriggerRound() {
 	select {
 	case e.triggered <- struct{}{}:
@@ -159,16 +167,16 @@
 	}
 }
 
-// LastRound returns when a round last succeeded, started by this daemon or by
-// a peer. It is zero before the first.
+// LastRound returns the time of the last successful round, started by this
+// daemon or by a peer. It is zero before the first.
 func (e *Exchanger) LastRound() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lastRound
 }
 
-// TotalBytes returns the bytes sent and received in rounds so far, with what is
-// reckoned for the heads of the messages.
+// TotalBytes returns the bytes sent and received in rounds so far, including an
+// estimate of the HTTP headers.
 func (e *Exchanger) TotalBytes() int64 { return e.totalBytes.Load() }
 
 // Serve runs rounds until the context ends.
@@ -191,6 +199,8 @@
 // String names the service in the supervisor tree.
 func (e *Exchanger) String() string { return "peer exchange" }
 
+// jitteredInterval returns the time until the next regular round, up to 20%
+// shorter or longer than the interval.
 func (e *Exchanger) jitteredInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -198,8 +208,9 @@
 	return time.Duration(float64(e.opts.Interval) * (1 - jitter/2 + jitter*e.rng.Float64()))
 }
 
-// triggeredRound gathers further hints and runs a round, unless too many were asked
-// for: then the next regular round carries the news.
+// triggeredRound waits for triggerDelay and runs one round for all triggers
+// until then. If the rate limit is exceeded it does nothing, and the update is
+// sent in the next regular round.
 func (e *Exchanger) triggeredRound(ctx context.Context) {
 	if !e.triggerLimiter.Allow() {
 		e.metrics.triggersLimited.Inc(1)
--- a/peer/exchanger_test.go
+++ b/peer/exchanger_test.go
@@ -23,7 +23,8 @@
 	peerv1 "github.com/dottereltiller/dottereltiller/proto/dottereltiller/peer/v1"
 )
 
-// maxValueTopic is a topic whose larger value wins.
+// maxValueTopic is a topic with one byte of state. Applying a delta keeps the
+// larger value.
 type maxValueTopic struct {
 	mu    sync.Mutex
 	value byte
@@ -56,16 +57,19 @@
 	return nil
 }
 
-// network connects exchangers in one process, with a delay and cut zones.
+// network connects exchangers in one process, with a delay. One availability
+// zone can be isolated from the others.
 type network struct {
 	mu           sync.Mutex
 	delay        time.Duration
 	nodes        map[model.DaemonID]*Exchanger
 	zones        map[model.DaemonID]model.AvailabilityZone
 	isolatedZone model.AvailabilityZone
-	requests     int
+	// requests counts the requests sent.
+	requests int
 }
 
+// endpoint is the Transport of one daemon.
 type endpoint struct {
 	net  *network
 	from model.DaemonID
@@ -85,12 +89,15 @@
 	return node.Handle(req), nil
 }
 
+// isolateZone isolates a zone from the others. An empty name ends the
+// isolation.
 func (n *network) isolateZone(z model.AvailabilityZone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isolatedZone = z
 }
 
+// startNetwork starts size exchangers in five zones, each with a maxValueTopic.
 func startNetwork(t *testing.T, ctx context.Context, size int) (*network, []*maxValueTopic) {
 	t.Helper()
 	n := &network{delay: time.Millisecond, nodes: map[model.DaemonID]*Exchanger{}, zones: map[model.DaemonID]model.AvailabilityZone{}}
@@ -114,8 +121,8 @@
 	return n, topics
 }
 
-// testContext returns a context that ends with the test, with time for what is
-// under way to end, too.
+// testContext returns a context that ends with the test. The cleanup then waits
+// a second, so that rounds in progress can end.
 func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
@@ -125,6 +132,7 @@
 	return ctx
 }
 
+// countWithValue returns the number of topics with a value.
 func countWithValue(topics []*maxValueTopic, v byte) int {
 	count := 0
 	for _, t := range topics {
@@ -161,7 +169,7 @@
 		n.nodes["d0"].TriggerRound()
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 40, countWithValue(topics, 7), "the zones that are not cut off")
+		require.Equal(t, 40, countWithValue(topics, 7), "only the zones that are not isolated have the update")
 		n.isolateZone("")
 		time.Sleep(4 * time.Second)
 		synctest.Wait()
@@ -185,7 +193,7 @@
 	})
 }
 
-// fullSizeTopic gives as long a delta as it may.
+// fullSizeTopic always returns a delta of the maximum size.
 type fullSizeTopic struct{ maxValueTopic }
 
 func (s *fullSizeTopic) Delta(_ []byte, limit int) []byte { return make([]byte, limit) }
@@ -200,7 +208,7 @@
 		for range 3 {
 			e.Handle(req)
 		}
-		require.Len(t, e.Handle(req).Topics[0].Delta, minDeltaBytes, "the newest still get through")
+		require.Len(t, e.Handle(req).Topics[0].Delta, minDeltaBytes, "the newest records are still sent")
 		require.Positive(t, scope.Snapshot().Counters()["peer.deltas+result=limited"].Value())
 	})
 }
@@ -232,7 +240,7 @@
 	require.Panics(t, func() { e.Register(&maxValueTopic{}) })
 }
 
-// countingConn counts the bytes of connections.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -250,8 +258,8 @@
 	return n, err
 }
 
-// TestMessageOverheadMatchesConnectionBytes compares what a message costs on a connection
-// with what the budget is charged.
+// TestMessageOverheadMatchesConnectionBytes checks messageOverhead against the
+// bytes that a message takes on a connection.
 func TestMessageOverheadMatchesConnectionBytes(t *testing.T) {
 	e := NewExchanger(Options{})
 	e.Register(&maxValueTopic{})
@@ -271,7 +279,7 @@
 		require.NoError(t, err)
 	}
 	overhead := bytes.Load()/messages - 2*int64(topicBytes(topics))
-	t.Logf("%d bytes a message besides its topics", overhead)
+	t.Logf("%d bytes of overhead per message", overhead)
 	require.InDelta(t, messageOverhead, overhead, messageOverhead*0.15)
 }
 
@@ -296,5 +304,5 @@
 	require.NoError(t, err)
 	require.Equal(t, []byte{4}, topic.Digest())
 	_, err = authorized.Ping(t.Context(), to, &peerv1.PingRequest{})
-	require.Equal(t, connect.CodeUnimplemented, connect.CodeOf(err), "no one answers pings yet")
+	require.Equal(t, connect.CodeUnimplemented, connect.CodeOf(err), "no Ping function is set")
 }
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -2,6 +2,8 @@
 
 import "github.com/uber-go/tally/v4"
 
+// metrics counts the rounds and deltas by result, the triggers dropped by the
+// rate limit, and the bytes of rounds.
 type metrics struct {
 	rounds, roundsFailed, roundsLimited          tally.Counter
 	deltasApplied, deltasRejected, deltasLimited tally.Counter
--- a/peer/reader.go
+++ b/peer/reader.go
@@ -9,19 +9,21 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// logReadersPerZone is the number of daemons of a zone that read the log often.
-// With three, a zone still follows by itself when two of them fail at once.
+// logReadersPerZone is the number of daemons in an availability zone that read
+// the record log often. With three, a zone still follows the log on its own
+// when two of them fail at once.
 const logReadersPerZone = 3
 
-// IsLogReader reports whether a daemon is among the few of its availability zone
-// that read the log often and hand on what they read.
+// IsLogReader reports whether a daemon is one of the few in its availability
+// zone that read the record log often and send what they read to the others in
+// rounds.
 func IsLogReader(self model.DaemonID, zone model.AvailabilityZone, peers []Peer) bool {
 	return RendezvousRank(self, zone, peers) < logReadersPerZone
 }
 
-// RendezvousRank returns the place of a daemon among those of its availability zone, from
-// 0, by rendezvous hashing: a daemon that comes or goes moves the others by at
-// most one place.
+// RendezvousRank returns the position of a daemon among those of its
+// availability zone, from 0, when they are ordered by a hash of their names. A
+// daemon that is added or removed moves the others by at most one position.
 func RendezvousRank(self model.DaemonID, zone model.AvailabilityZone, peers []Peer) int {
 	selfHash := xxhash.Sum64String(string(self))
 	rank := 0
@@ -36,7 +38,8 @@
 	return rank
 }
 
-// SamplePerZone returns up to n peers of each zone, in an order drawn by seed.
+// SamplePerZone returns up to n peers of each availability zone, chosen
+// pseudo-randomly by seed.
 func SamplePerZone(peers []Peer, n int, seed uint64) []Peer {
 	sorted := slices.Clone(peers)
 	key := func(p Peer) uint64 { return xxhash.Sum64String(string(p.ID)) ^ seed }
@@ -59,6 +62,7 @@
 	return sample
 }
 
+// compareUint compares two numbers as cmp.Compare does.
 func compareUint(a, b uint64) int {
 	switch {
 	case a < b:
--- a/peer/round.go
+++ b/peer/round.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// messageOverhead is what one message costs besides its topics, in bytes:
-	// the heads of the request and of the response.
+	// messageOverhead is the cost of one message besides its topics, in bytes:
+	// the HTTP headers of its request and response.
 	messageOverhead = 430
-	// firstPeerWait is how long the first peer of a round has to answer before the
-	// others are asked.
+	// firstPeerWait is how long a round waits for the first peer to respond
+	// before it starts with the others.
 	firstPeerWait = 50 * time.Millisecond
-	// minDeltaBytes is what one topic's delta may take when the bytes are used up, so
-	// that the newest records still get through.
+	// minDeltaBytes is the size that a delta may always have, even when the
+	// byte budget is exhausted, so that the newest records are still sent.
 	minDeltaBytes = 1 << 10
-	// maxTopicsPerMessage bounds the topics read from one message.
+	// maxTopicsPerMessage limits the topics read from one message.
 	maxTopicsPerMessage = 32
 )
 
-// Round runs one round with up to n peers and waits for it. The first peer goes
-// ahead of the others, which go at the same time: what it gives need not come
-// from each of them. When the bytes are used up only the first is taken.
+// Round runs one round with up to n peers and waits for its end. The first peer
+// gets a head start and the others follow in parallel: they then need not send
+// again what the first has sent already. When the byte budget is exhausted the
+// round uses the first peer only.
 func (e *Exchanger) Round(ctx context.Context, n int) {
 	if e.byteBudget.Tokens() <= 0 {
 		e.metrics.roundsLimited.Inc(1)
@@ -47,7 +48,8 @@
 	wg.Wait()
 }
 
-// awaitFirst waits until the first peer has answered, but not long.
+// awaitFirst waits until the exchange with the first peer has ended, at most
+// for firstPeerWait.
 func (e *Exchanger) awaitFirst(ctx context.Context, first <-chan struct{}) {
 	timer := time.NewTimer(firstPeerWait)
 	defer timer.Stop()
@@ -81,11 +83,13 @@
 	e.opts.OnResult(p, nil)
 }
 
+// recordFailure counts and reports a failed round with a peer.
 func (e *Exchanger) recordFailure(p Peer, err error) {
 	e.metrics.roundsFailed.Inc(1)
 	e.opts.OnResult(p, err)
 }
 
+// sendTopics sends one message to a peer and charges its bytes.
 func (e *Exchanger) sendTopics(ctx context.Context, p Peer, topics []*peerv1.TopicMessage) (*peerv1.ExchangeResponse, error) {
 	req := &peerv1.ExchangeRequest{From: string(e.opts.Self), Zone: string(e.opts.Zone), Topics: topics}
 	resp, err := e.opts.Transport.Exchange(ctx, p.ID, req)
@@ -93,7 +97,7 @@
 	return resp, err
 }
 
-// Handle answers a peer's message.
+// Handle applies the deltas of a peer's message and returns the response.
 func (e *Exchanger) Handle(req *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
 	e.apply(req.GetTopics())
 	resp := &peerv1.ExchangeResponse{}
@@ -105,6 +109,8 @@
 	return resp
 }
 
+// hasDigest reports whether a message carries digests. Only such a message is
+// answered with digests and deltas.
 func hasDigest(topics []*peerv1.TopicMessage) bool {
 	for _, t := range topics {
 		if t.Digest != nil {
@@ -114,7 +120,7 @@
 	return false
 }
 
-// digests returns a message for every topic with this daemon's digest.
+// digests returns a message with the digest of each topic.
 func (e *Exchanger) digests() []*peerv1.TopicMessage {
 	var messages []*peerv1.TopicMessage
 	for _, t := range e.allTopics() {
@@ -123,6 +129,8 @@
 	return messages
 }
 
+// nonNil replaces nil by an empty slice, since a nil digest in a message means
+// that it has none.
 func nonNil(b []byte) []byte {
 	if b == nil {
 		return []byte{}
@@ -130,7 +138,8 @@
 	return b
 }
 
-// deltas returns what the holders of the digests lack, within the budget.
+// deltas returns the deltas that a peer with the given digests lacks, as long
+// as the byte budget allows.
 func (e *Exchanger) deltas(digests []*peerv1.TopicMessage) []*peerv1.TopicMessage {
 	var messages []*peerv1.TopicMessage
 	for _, m := range limitTopics(digests) {
@@ -150,7 +159,8 @@
 	return messages
 }
 
-// apply takes in deltas. When it learns something, the news is passed on.
+// apply applies a peer's deltas. If that changes the digest of a topic it
+// triggers a round, which forwards the update.
 func (e *Exchanger) apply(messages []*peerv1.TopicMessage) {
 	changed := false
 	for _, m := range limitTopics(messages) {
@@ -161,7 +171,7 @@
 		before := string(topic.Digest())
 		if err := topic.Apply(m.GetDelta()); err != nil {
 			e.metrics.deltasRejected.Inc(1)
-			e.opts.Logger.Debug("delta refused", "topic", topic.Name(), "error", err)
+			e.opts.Logger.Debug("delta rejected", "topic", topic.Name(), "error", err)
 			continue
 		}
 		e.metrics.deltasApplied.Inc(1)
@@ -172,6 +182,7 @@
 	}
 }
 
+// allTopics returns the topics in the order of registration.
 func (e *Exchanger) allTopics() []Topic {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -182,30 +193,34 @@
 	return out
 }
 
+// topic returns the topic with a name, or nil.
 func (e *Exchanger) topic(name string) Topic {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.topics[name]
 }
 
+// recordRound stores the time of a successful round.
 func (e *Exchanger) recordRound() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastRound = time.Now()
 }
 
-// chargeBytes takes bytes out of the bucket, which may leave it in debt.
+// chargeBytes counts n bytes and takes them from the token bucket, which may
+// become negative.
 func (e *Exchanger) chargeBytes(n int) {
 	e.metrics.bytes.Inc(int64(n))
 	e.totalBytes.Add(int64(n))
 	e.byteBudget.ReserveN(time.Now(), min(n, e.opts.BurstBytes))
 }
 
+// limitTopics drops the topics beyond maxTopicsPerMessage.
 func limitTopics(topics []*peerv1.TopicMessage) []*peerv1.TopicMessage {
 	return topics[:min(len(topics), maxTopicsPerMessage)]
 }
 
-// mergeDeltas adds the deltas to the messages of the same topics.
+// mergeDeltas adds each delta to the message of its topic.
 func mergeDeltas(messages, deltas []*peerv1.TopicMessage) []*peerv1.TopicMessage {
 	for _, d := range deltas {
 		for _, m := range messages {
@@ -217,6 +232,7 @@
 	return messages
 }
 
+// topicBytes returns the approximate size of topics in a message.
 func topicBytes(topics []*peerv1.TopicMessage) int {
 	const perTopic = 8
 	n := 0
--- a/peer/service.go
+++ b/peer/service.go
@@ -13,11 +13,11 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// maxMessageBytes bounds a control message, in bytes.
+// maxMessageBytes limits the size of a control message.
 const maxMessageBytes = 4 << 20
 
-// Service answers the control messages of other daemons. A nil function answers
-// that its message is not offered.
+// Service handles the control messages of other daemons. A message whose
+// function is nil gets a response with connect.CodeUnimplemented.
 type Service struct {
 	Exchanger *Exchanger
 	Ping      func(context.Context, *peerv1.PingRequest) (*peerv1.PingResponse, error)
@@ -25,8 +25,8 @@
 	HandOver  func(context.Context, *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error)
 }
 
-// Handler returns the HTTP handler of a Service. Messages without the secret
-// are refused.
+// Handler returns the HTTP handler of a Service. It rejects messages without
+// the secret.
 func Handler(s *Service, secret string) http.Handler {
 	_, h := peerv1connect.NewPeerServiceHandler(service{s},
 		connect.WithInterceptors(authenticate(secret)),
@@ -36,11 +36,11 @@
 
 var (
 	errUnauthenticated = errors.New("peer not authenticated")
-	errUnimplemented   = errors.New("message not offered by this daemon")
+	errUnimplemented   = errors.New("message not implemented by this daemon")
 )
 
-// authenticate refuses messages that do not carry the secret and adds it to
-// those sent.
+// authenticate returns an interceptor that adds the secret to messages sent and
+// rejects received messages without it.
 func authenticate(secret string) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -76,6 +76,7 @@
 	return serveMessage(ctx, h.s.HandOver, r)
 }
 
+// serveMessage handles a message with f, which may be nil.
 func serveMessage[Q, R any](ctx context.Context, f func(context.Context, *Q) (*R, error), r *connect.Request[Q]) (*connect.Response[R], error) {
 	if f == nil {
 		return nil, connect.NewError(connect.CodeUnimplemented, errUnimplemented)
--- a/peer/topic.go
+++ b/peer/topic.go
@@ -1,18 +1,18 @@
 package peer
 
-// Topic is one kind of state that daemons hand on to each other. Its methods
-// are called from several goroutines at once.
+// Topic is one kind of state that daemons replicate to each other. Its methods
+// are called concurrently.
 type Topic interface {
-	// Name names the topic on the wire. It never changes.
+	// Name identifies the topic in messages. It must never change.
 	Name() string
-	// Digest summarises what this daemon knows, in a few bytes.
+	// Digest summarizes the state of this daemon in a few bytes.
 	Digest() []byte
-	// Delta returns what the holder of a digest lacks, at most limit bytes
-	// long; nil when it lacks nothing. What does not fit goes with a later
+	// Delta returns what the sender of the digest lacks, at most limit bytes,
+	// or nil if it lacks nothing. What exceeds the limit is sent in a later
 	// round.
 	Delta(digest []byte, limit int) []byte
-	// Apply takes in a delta. Deltas arrive in any order, late and more than
-	// once. A delta that cannot be read is refused with an error and changes
+	// Apply merges a delta into the state. Deltas may arrive late, repeatedly
+	// and in any order. A malformed delta is rejected with an error and changes
 	// nothing.
 	Apply(delta []byte) error
 }
