--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -63,7 +63,7 @@
 	require.NoError(t, err)
 	for name, other := range map[string][]byte{
 		"another version": routesDocument(3, 100, nil),
-		"no base":         nil,
+		"none":            nil,
 	} {
 		_, err := Apply(other, d, maxDocumentSize)
 		require.Error(t, err, name)
--- a/hop/doc.go
+++ b/hop/doc.go
@@ -1,5 +1,6 @@
-// Package hop sends a single attempt of a request to the next server over
-// HTTP/1.1 and reports whether the server may have executed it.
+// Package hop sends a single attempt of a request over HTTP/1.1 to the next
+// server, a daemon or an upstream, and reports whether that server may have
+// executed it.
 //
 // A Client sends to many addresses and streams bodies. A Pool holds the
 // connections to one address and buffers bodies in memory. It also checks which
--- a/hop/unsolicited_test.go
+++ b/hop/unsolicited_test.go
@@ -19,17 +19,17 @@
 // each, and counts the attempts that were given the second response of an
 // earlier one.
 func countUnsolicited(t *testing.T, c *Client, attempts int) int64 {
-	f, err := standin.StartFaulty()
+	upstream, err := standin.StartFaulty()
 	require.NoError(t, err)
-	defer func() { _ = f.Close() }()
+	defer func() { _ = upstream.Close() }()
 	defer c.CloseIdle()
-	f.Play(standin.Script{Answer: []byte(doubleResponse), Cut: -1})
+	upstream.Play(standin.Script{Answer: []byte(doubleResponse), Cut: -1})
 	var wrong atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			for range attempts / 8 {
-				resp, _, err := c.Do(t.Context(), Request{Address: f.Address(), Method: http.MethodPost, Target: "/", Header: http.Header{}})
+				resp, _, err := c.Do(t.Context(), Request{Address: upstream.Address(), Method: http.MethodPost, Target: "/", Header: http.Header{}})
 				if err != nil {
 					continue
 				}
@@ -52,11 +52,11 @@
 func TestUnsolicitedResponseIsNotDelivered(t *testing.T) {
 	const attempts, rounds = 800, 100
 	require.Zero(t, countUnsolicited(t, NewClient(Options{}), attempts))
-	unprotected := NewClient(Options{})
-	unprotected.unprotected = true
+	client := NewClient(Options{})
+	client.unprotected = true
 	wrong := int64(0)
 	for range rounds {
-		if wrong = countUnsolicited(t, unprotected, attempts); wrong > 0 {
+		if wrong = countUnsolicited(t, client, attempts); wrong > 0 {
 			break
 		}
 	}
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -31,6 +31,7 @@
 type Options struct {
 	// Self is the name of this daemon, which is never chosen as a peer.
 	Self model.DaemonID
+	// Zone is the availability zone of this daemon.
 	Zone model.AvailabilityZone
 	// Peers returns the other daemons that are known at present. The Exchanger
 	// does not modify the slice.
@@ -56,8 +57,8 @@
 	// BurstBytes is the size of the token bucket for BytesPerSecond. Default:
 	// 512 KiB.
 	BurstBytes int
-	// MaxDeltaBytes limits the delta of one topic in a message. Default: 16
-	// KiB.
+	// MaxDeltaBytes limits the delta of one topic in a message.
+	// Default: 16 KiB.
 	MaxDeltaBytes int
 	// Timeout limits the exchange with one peer in a round. Default: 1s.
 	Timeout time.Duration
--- a/wire/header.go
+++ b/wire/header.go
@@ -82,9 +82,7 @@
 }
 
 // Error returns the name and the value of the header.
-func (e *HeaderError) Error() string {
-	return fmt.Sprintf("header %s: invalid value %q", e.Name, e.Value)
-}
+func (e *HeaderError) Error() string { return fmt.Sprintf("header %s: bad value %q", e.Name, e.Value) }
 
 // StripInternalHeaders removes all internal headers.
 func StripInternalHeaders(h http.Header) {
@@ -237,6 +235,7 @@
 	if len(fields) != numLoadFields {
 		return model.Load{}, invalid
 	}
+	// Counts are non-negative int32 values.
 	const bits = 31
 	running, err1 := strconv.ParseUint(fields[0], 10, bits)
 	waiting, err2 := strconv.ParseUint(fields[1], 10, bits)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -55,20 +55,22 @@
 	HasQueueTimeout bool
 }
 
-// Result is what came of a Call.
+// Result is the outcome of a Call and, if there is one, the upstream's
+// response.
 type Result struct {
 	Outcome outcome.Outcome
 	// Status, Header, Body and ContentLength are the upstream's response. They
-	// are meaningful only when Outcome is Answered. That outcome becomes final
-	// when Body has been read to io.EOF: after any other read error the outcome
-	// is Unknown, or the response is truncated.
+	// are meaningful only when Outcome is Answered. That outcome is final once
+	// Body has been read to io.EOF. Any other read error means that the
+	// response is truncated and its outcome Unknown; a caller that has already
+	// been sent a part of the response must see it as truncated.
 	Status        int
 	Header        http.Header
 	Body          io.ReadCloser
 	ContentLength int64
 	// Trailer is set once Body has been read to io.EOF.
 	Trailer http.Header
-	// Load is the load of the upstream as its guard knows it exactly. It is
+	// Load is the exact load of the upstream, as reported by its guard. It is
 	// present only if HasLoad is set.
 	Load    model.Load
 	HasLoad bool
