--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -2,8 +2,9 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics counts the rounds and deltas by result, the triggers dropped by the
-// rate limit, and the bytes of rounds.
+// metrics counts the rounds and deltas by result and the bytes of rounds. Limited
+// rounds and deltas were cut down because the byte budget was exhausted; limited
+// triggers were dropped by the rate limit.
 type metrics struct {
 	rounds, roundsFailed, roundsLimited          tally.Counter
 	deltasApplied, deltasRejected, deltasLimited tally.Counter
