--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -12,8 +12,7 @@
 	"time"
 )
 
-// PoolRequest is one request whose body is at hand, and the conditions under which
-// an answer to it counts.
+// PoolRequest is one request with its body in memory.
 type PoolRequest struct {
 	Method string
 	// Target is the request target in origin form, sent byte for byte.
@@ -21,39 +20,41 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdleTime is how long a kept connection may have been idle to be used. Zero
-	// means that any kept connection will do; negative asks for a new one.
+	// MaxIdleTime is how long a connection may have been idle to be used for
+	// the request. Zero allows any idle connection that the Pool still keeps; a
+	// negative value requires a new connection.
 	MaxIdleTime time.Duration
-	// Accept reports whether a response belongs to this request. Others are read
-	// to their end and passed over. Nil accepts any.
+	// Accept reports whether a response belongs to this request. Other
+	// responses are read and discarded. Nil accepts every response.
 	Accept func(*http.Response) bool
-	// OnInformational, if set, is called for each informational response.
+	// OnInformational, if set, is called for each informational (1xx) response.
 	OnInformational func()
 }
 
-// PoolResponse is a whole response.
+// PoolResponse is a complete response.
 type PoolResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// RequestError tells how far an exchange without a whole response had come.
+// RequestError reports a request that got no complete response, and how far it
+// came.
 type RequestError struct {
-	// Sent tells that bytes of the request may have reached the other side.
+	// Sent is set if the server may have received bytes of the request.
 	Sent bool
-	// ResponseStarted tells that a response to the request had begun.
+	// ResponseStarted is set if the headers of the response were received.
 	ResponseStarted bool
-	// Reused tells that the connection had served a request before.
+	// Reused is set if the connection had carried a request before.
 	Reused bool
 	Err    error
 }
 
-// Error tells how far the exchange had come, and the cause.
+// Error says how far the request came, and gives the cause.
 func (e *RequestError) Error() string {
 	switch {
 	case e.ResponseStarted:
-		return fmt.Sprintf("response broke off: %v", e.Err)
+		return fmt.Sprintf("incomplete response: %v", e.Err)
 	case e.Sent:
 		return fmt.Sprintf("no response: %v", e.Err)
 	default:
@@ -65,29 +66,29 @@
 func (e *RequestError) Unwrap() error { return e.Err }
 
 const (
-	// maxReply bounds a response body held in memory, in bytes.
-	maxReply = 16 << 20
-	// maxStray is how many responses to other requests are passed over before a
-	// connection is given up.
-	maxStray = 3
-	// inlineBody is the largest body written before the response is waited for,
-	// in bytes. A larger one is written beside it, so that a response that comes
-	// early is seen.
-	inlineBody = 2 << 10
+	// maxResponseBody limits the response body held in memory, in bytes.
+	maxResponseBody = 16 << 20
+	// maxUnmatched is how many responses to other requests are discarded before
+	// the connection is closed.
+	maxUnmatched = 3
+	// maxInlineBody is the largest body that is written before the response is
+	// read, in bytes. A larger body is written concurrently, so that an early
+	// response is noticed.
+	maxInlineBody = 2 << 10
 )
 
 var (
-	errFull     = errors.New("all connections are in use")
-	errForeign  = errors.New("responses belong to other requests")
-	errTooLarge = errors.New("response is too large")
-	errHeaders  = errors.New("response headers are too large")
+	errPoolFull           = errors.New("all connections are in use")
+	errNoMatchingResponse = errors.New("connection delivered only responses to other requests")
+	errBodyTooLarge       = errors.New("response body is too large")
+	errHeadersTooLarge    = errors.New("response headers are too large")
 )
 
-// head returns the request line and headers.
-func (x *PoolRequest) head() []byte {
+// encodeHead returns the request line and the headers.
+func (r *PoolRequest) encodeHead() []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", x.Method, x.Target, x.Host)
-	for name, values := range x.Header {
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
+	for name, values := range r.Header {
 		for _, v := range values {
 			b.WriteString(name)
 			b.WriteString(": ")
@@ -95,42 +96,45 @@
 			b.WriteString("\r\n")
 		}
 	}
-	if len(x.Body) > 0 || x.Method == http.MethodPost || x.Method == http.MethodPut || x.Method == http.MethodPatch {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(x.Body))
+	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(r.Body))
 	}
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
-// exchange sends a request on a connection and reads its response.
-func (l *link) exchange(ctx context.Context, x *PoolRequest) (*PoolResponse, error) {
-	stop := context.AfterFunc(ctx, func() { l.close() })
+// exchange sends a request and reads its response. The error is a
+// *RequestError.
+func (c *pooledConn) exchange(ctx context.Context, r *PoolRequest) (*PoolResponse, error) {
+	stop := context.AfterFunc(ctx, func() { c.close() })
 	defer stop()
-	lost := &RequestError{Reused: l.uses > 0}
-	l.uses++
-	wrote, err := l.send(x)
-	lost.Sent = l.written
+	failure := &RequestError{Reused: c.requests > 0}
+	c.requests++
+	written, err := c.send(r)
+	failure.Sent = c.wroteBytes
 	if err != nil {
-		return nil, lost.because(ctx, err)
+		return nil, failure.withCause(ctx, err)
 	}
-	reply, err := l.receive(x, lost)
+	resp, err := c.receive(r, failure)
 	if err != nil {
-		return nil, lost.because(ctx, err)
+		return nil, failure.withCause(ctx, err)
 	}
 	select {
-	case err = <-wrote:
-		l.reusable = l.reusable && err == nil
+	case err = <-written:
+		c.reusable = c.reusable && err == nil
 	default:
-		// The response came before the body was in.
-		l.reusable = false
+		// The response arrived before the whole body was written.
+		c.reusable = false
 	}
 	if !stop() {
-		l.reusable = false
+		c.reusable = false
 	}
-	return reply, nil
+	return resp, nil
 }
 
-func (e *RequestError) because(ctx context.Context, err error) error {
+// withCause sets the cause to the error of the context if it has ended, else to
+// err.
+func (e *RequestError) withCause(ctx context.Context, err error) error {
 	e.Err = err
 	if ctx.Err() != nil {
 		e.Err = ctx.Err()
@@ -138,101 +142,107 @@
 	return e
 }
 
-// send writes the request. The channel yields one value when it is all written.
-func (l *link) send(x *PoolRequest) (<-chan error, error) {
-	wrote := make(chan error, 1)
-	head := x.head()
-	if len(x.Body) <= inlineBody {
-		err := l.write(append(head, x.Body...))
-		wrote <- err
-		return wrote, err
+// send writes the request. A body larger than maxInlineBody is written in the
+// background. The channel receives one value, the error or nil, when the whole
+// request is written.
+func (c *pooledConn) send(r *PoolRequest) (<-chan error, error) {
+	written := make(chan error, 1)
+	head := r.encodeHead()
+	if len(r.Body) <= maxInlineBody {
+		err := c.write(append(head, r.Body...))
+		written <- err
+		return written, err
 	}
-	if err := l.write(head); err != nil {
-		return wrote, err
+	if err := c.write(head); err != nil {
+		return written, err
 	}
 	go func() {
-		_, err := l.conn.Write(x.Body)
-		wrote <- err
+		_, err := c.conn.Write(r.Body)
+		written <- err
 	}()
-	return wrote, nil
+	return written, nil
 }
 
-func (l *link) write(p []byte) error {
-	n, err := l.conn.Write(p)
-	l.written = l.written || n > 0
+// write writes to the connection and records whether any byte was written.
+func (c *pooledConn) write(p []byte) error {
+	n, err := c.conn.Write(p)
+	c.wroteBytes = c.wroteBytes || n > 0
 	return err
 }
 
-// receive reads responses until one belongs to the request.
-func (l *link) receive(x *PoolRequest, lost *RequestError) (*PoolResponse, error) {
-	for range maxStray {
-		resp, err := l.readResponse(x)
+// receive reads responses until one belongs to the request. It sets
+// failure.ResponseStarted once the headers of that response are received.
+func (c *pooledConn) receive(r *PoolRequest, failure *RequestError) (*PoolResponse, error) {
+	for range maxUnmatched {
+		resp, err := c.readResponse(r)
 		if err != nil {
 			return nil, err
 		}
-		mine := x.Accept == nil || x.Accept(resp)
-		lost.ResponseStarted = mine
+		matches := r.Accept == nil || r.Accept(resp)
+		failure.ResponseStarted = matches
 		body, err := readBody(resp)
 		if err != nil {
 			return nil, err
 		}
-		l.keep(resp)
-		if mine {
+		c.updateReuse(resp)
+		if matches {
 			return &PoolResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 		}
-		l.strayed = true
-		if !l.reusable {
+		c.unmatched = true
+		if !c.reusable {
 			break
 		}
 	}
-	return nil, errForeign
+	return nil, errNoMatchingResponse
 }
 
-// readResponse reads the head of the next final response.
-func (l *link) readResponse(x *PoolRequest) (*http.Response, error) {
-	defer l.heads.lift()
+// readResponse reads status line and headers of the next final response.
+func (c *pooledConn) readResponse(r *PoolRequest) (*http.Response, error) {
+	defer c.headLimit.clearLimit()
 	for {
-		l.heads.bound(defaultMaxHeaderBytes)
-		resp, err := http.ReadResponse(l.reader, &http.Request{Method: x.Method})
+		c.headLimit.setLimit(defaultMaxHeaderBytes)
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols || resp.StatusCode >= http.StatusOK {
 			return resp, nil
 		}
-		if x.OnInformational != nil {
-			x.OnInformational()
+		if r.OnInformational != nil {
+			r.OnInformational()
 		}
 	}
 }
 
+// readBody reads the whole body and closes it.
 func readBody(resp *http.Response) ([]byte, error) {
 	defer func() { _ = resp.Body.Close() }()
 	var buf bytes.Buffer
-	if n := resp.ContentLength; n > 0 && n <= maxReply {
+	if n := resp.ContentLength; n > 0 && n <= maxResponseBody {
 		buf.Grow(int(n))
 	}
-	if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxReply+1)); err != nil {
+	if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBody+1)); err != nil {
 		return nil, err
 	}
-	if buf.Len() > maxReply {
-		return nil, errTooLarge
+	if buf.Len() > maxResponseBody {
+		return nil, errBodyTooLarge
 	}
 	return buf.Bytes(), nil
 }
 
-// keep notes whether and how long the connection can serve again.
-func (l *link) keep(resp *http.Response) {
-	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	l.reusable = !resp.Close && !unframed && resp.StatusCode != http.StatusSwitchingProtocols
-	if limit, ok := keepAlive(resp.Header.Get("Keep-Alive")); ok {
-		l.idleLimit = limit
+// updateReuse derives from a response whether the connection can be reused, and
+// for how long it may stay idle.
+func (c *pooledConn) updateReuse(resp *http.Response) {
+	endsWithClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	c.reusable = !resp.Close && !endsWithClose && resp.StatusCode != http.StatusSwitchingProtocols
+	if timeout, ok := parseKeepAlive(resp.Header.Get("Keep-Alive")); ok {
+		c.idleTimeout = timeout
 	}
 }
 
-// keepAlive returns the timeout that a Keep-Alive header states.
-func keepAlive(h string) (time.Duration, bool) {
-	for _, field := range strings.Split(h, ",") {
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header.
+func parseKeepAlive(header string) (time.Duration, bool) {
+	for _, field := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
--- /dev/null
+++ b/hop/replay.go
@@ -0,0 +1,69 @@
+package hop
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+)
+
+// idempotencyHeaders are the headers that the Transport takes as permission to
+// retry a request. It retries a request if the body is absent, http.NoBody or
+// can be rewound, and either the method is GET, HEAD, OPTIONS or TRACE or the
+// request has one of these headers.
+var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
+
+// lowercaseNames maps the same headers to a spelling that the Transport does
+// not recognize. Servers compare header names without regard to case.
+var lowercaseNames = map[string]string{
+	"Idempotency-Key":   "idempotency-key",
+	"X-Idempotency-Key": "x-idempotency-key",
+}
+
+// setNotReplayable sets the body of a request, and renames headers, so that the
+// Transport does not retry the request once its first byte was written.
+func setNotReplayable(req *http.Request, body io.Reader) {
+	for _, name := range idempotencyHeaders {
+		if values, ok := req.Header[name]; ok {
+			delete(req.Header, name)
+			req.Header[lowercaseNames[name]] = values
+		}
+	}
+	switch {
+	case body != nil:
+		// The wrapper hides all methods of the body other than Read.
+		req.Body = io.NopCloser(onlyReader{body})
+	case req.Method == http.MethodGet || req.Method == http.MethodHead || req.Method == http.MethodOptions:
+		// An empty body that is not http.NoBody. The Transport detects that
+		// it is empty and sends no body.
+		req.Body = emptyBody{}
+	default:
+		// Requests with other methods are not replayable once the headers
+		// above are renamed. With a nil body the Transport sends the
+		// Content-Length that the method requires.
+		req.Body = nil
+	}
+}
+
+// setReplayable sets the body of a request as an ordinary client does, so that
+// the Transport can retry the request.
+func setReplayable(req *http.Request, body io.Reader) {
+	data, ok := body.(*bytes.Reader)
+	if !ok {
+		return
+	}
+	req.Body = io.NopCloser(data)
+	req.GetBody = func() (io.ReadCloser, error) {
+		rewound := *data
+		_, _ = rewound.Seek(0, io.SeekStart)
+		return io.NopCloser(&rewound), nil
+	}
+}
+
+// onlyReader hides all methods other than Read.
+type onlyReader struct{ io.Reader }
+
+// emptyBody is a body without content.
+type emptyBody struct{}
+
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Close() error             { return nil }
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -22,78 +22,86 @@
 	Zone model.AvailabilityZone
 }
 
-// Transport sends a round's messages to a peer.
+// Transport sends the messages of rounds to peers.
 type Transport interface {
 	Exchange(ctx context.Context, to model.DaemonID, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error)
 }
 
 // Options configure an Exchanger.
 type Options struct {
-	// Self returns this daemon's own name, which is never chosen as a peer.
+	// Self is the name of this daemon, which is never chosen as a peer.
 	Self model.DaemonID
+	// Zone is the availability zone of this daemon.
 	Zone model.AvailabilityZone
-	// Peers returns the other daemons known now. The slice is not modified.
+	// Peers returns the other daemons that are known at present. The Exchanger
+	// does not modify the slice.
 	Peers func() []Peer
-	// Unreachable returns daemons that are thought dead. Nil means none. One of them
-	// is tried now and then.
+	// Unreachable returns daemons that are considered dead. Some rounds try one
+	// of them. Nil means none.
 	Unreachable func() []Peer
-	// OnResult is told how the round with a peer went. Nil means nobody.
+	// OnResult, if set, is called with the result of the round with each peer.
 	OnResult func(Peer, error)
-	// BootstrapPeers are peers to try while Peers returns none.
+	// BootstrapPeers are used as long as Peers returns no other daemon.
 	BootstrapPeers []Peer
 	// Transport reaches the peers.
 	Transport Transport
-	// Interval is the time between two rounds. Default: 1s.
+	// Interval is the mean time between two rounds. Default: 1s.
 	Interval time.Duration
-	// Fanout is the number of peers in a round. Default: 2.
+	// Fanout is the number of peers in a regular round. Default: 2.
 	Fanout int
-	// TriggeredFanout is the number of peers in a round after a hint. Default: 5.
+	// TriggeredFanout is the number of peers in a triggered round. Default: 5.
 	TriggeredFanout int
-	// BytesPerSecond bounds the bytes a second that this daemon sends and receives in
-	// rounds that it starts or answers. Default: 14336.
+	// BytesPerSecond limits the bytes that this daemon sends and receives in
+	// rounds, those started by peers included. Default: 14336.
 	BytesPerSecond int
-	// BurstBytes is the size of the token bucket for Bytes. Default: 512 KiB.
+	// BurstBytes is the size of the token bucket for BytesPerSecond. Default:
+	// 512 KiB.
 	BurstBytes int
-	// MaxDeltaBytes bounds one topic's delta. Default: 16 KiB.
+	// MaxDeltaBytes limits the delta of one topic in a message.
+	// Default: 16 KiB.
 	MaxDeltaBytes int
-	// Timeout bounds one message. Default: 1s.
+	// Timeout limits the exchange with one peer in a round. Default: 1s.
 	Timeout time.Duration
-	// Seed seeds the choice of peers.
+	// Seed seeds the random choice of peers.
 	Seed uint64
-	// Metrics counts rounds and bytes. Nil means none.
+	// Metrics receives counts of rounds, deltas and bytes. Nil means none.
 	Metrics tally.Scope
 	Logger  *slog.Logger
 }
 
 const (
-	defaultInterval   = time.Second
-	defaultFanout     = 2
-	defaultHintFanout = 5
-	defaultBytes      = 14 << 10
-	defaultBurst      = 512 << 10
-	defaultRoundBytes = 16 << 10
-	defaultTimeout    = time.Second
-
-	// hintsPerSecond and hintBurst bound the rounds started by hints.
-	hintsPerSecond = 2
-	hintBurst      = 4
-	// hintDelay gathers hints that come together.
-	hintDelay = 20 * time.Millisecond
+	defaultInterval        = time.Second
+	defaultFanout          = 2
+	defaultTriggeredFanout = 5
+	defaultBytesPerSecond  = 14 << 10
+	defaultBurstBytes      = 512 << 10
+	defaultMaxDeltaBytes   = 16 << 10
+	defaultTimeout         = time.Second
+
+	// triggeredRoundsPerSecond and triggeredRoundsBurst limit the rate of
+	// triggered rounds.
+	triggeredRoundsPerSecond = 2
+	triggeredRoundsBurst     = 4
+	// triggerDelay is the wait before a triggered round, so that one round
+	// serves several triggers in short succession.
+	triggerDelay = 20 * time.Millisecond
 )
 
 // Exchanger runs anti-entropy rounds. It is safe for concurrent use.
 type Exchanger struct {
-	opts    Options
-	budget  *rate.Limiter
-	hints   *rate.Limiter
-	hinted  chan struct{}
-	metrics metrics
-	spent   atomic.Int64
-
-	mu         sync.Mutex
-	rng        *rand.Rand
-	topics     map[string]Topic
-	names      []string
+	opts           Options
+	byteBudget     *rate.Limiter
+	triggerLimiter *rate.Limiter
+	// triggered receives a value when a round was requested.
+	triggered  chan struct{}
+	metrics    metrics
+	totalBytes atomic.Int64
+
+	mu     sync.Mutex
+	rng    *rand.Rand
+	topics map[string]Topic
+	// topicNames are the keys of topics in the order of registration.
+	topicNames []string
 	neighbours neighbours
 	lastRound  time.Time
 }
@@ -102,23 +110,23 @@
 func NewExchanger(opts Options) *Exchanger {
 	opts.setDefaults()
 	return &Exchanger{
-		opts:    opts,
-		budget:  rate.NewLimiter(rate.Limit(opts.BytesPerSecond), opts.BurstBytes),
-		hints:   rate.NewLimiter(hintsPerSecond, hintBurst),
-		hinted:  make(chan struct{}, 1),
-		metrics: newMetrics(opts.Metrics),
-		rng:     rand.New(rand.NewPCG(opts.Seed, opts.Seed^0x9e3779b97f4a7c15)),
-		topics:  make(map[string]Topic),
+		opts:           opts,
+		byteBudget:     rate.NewLimiter(rate.Limit(opts.BytesPerSecond), opts.BurstBytes),
+		triggerLimiter: rate.NewLimiter(triggeredRoundsPerSecond, triggeredRoundsBurst),
+		triggered:      make(chan struct{}, 1),
+		metrics:        newMetrics(opts.Metrics),
+		rng:            rand.New(rand.NewPCG(opts.Seed, opts.Seed^0x9e3779b97f4a7c15)),
+		topics:         make(map[string]Topic),
 	}
 }
 
 func (o *Options) setDefaults() {
 	o.Interval = orDefault(o.Interval, defaultInterval)
 	o.Fanout = orDefault(o.Fanout, defaultFanout)
-	o.TriggeredFanout = orDefault(o.TriggeredFanout, defaultHintFanout)
-	o.BytesPerSecond = orDefault(o.BytesPerSecond, defaultBytes)
-	o.BurstBytes = orDefault(o.BurstBytes, defaultBurst)
-	o.MaxDeltaBytes = orDefault(o.MaxDeltaBytes, defaultRoundBytes)
+	o.TriggeredFanout = orDefault(o.TriggeredFanout, defaultTriggeredFanout)
+	o.BytesPerSecond = orDefault(o.BytesPerSecond, defaultBytesPerSecond)
+	o.BurstBytes = orDefault(o.BurstBytes, defaultBurstBytes)
+	o.MaxDeltaBytes = orDefault(o.MaxDeltaBytes, defaultMaxDeltaBytes)
 	o.Timeout = orDefault(o.Timeout, defaultTimeout)
 	if o.Peers == nil {
 		o.Peers = func() []Peer { return nil }
@@ -131,6 +139,7 @@
 	}
 }
 
+// orDefault returns v, or d if v is not positive.
 func orDefault[T int | time.Duration](v, d T) T {
 	if v <= 0 {
 		return d
@@ -138,42 +147,42 @@
 	return v
 }
 
-// Register adds a topic. Topics are registered before Serve starts; a name that
-// is registered twice is a programming error.
+// Register adds a topic. All topics must be registered before Serve starts.
+// Registering a name twice is a programming error.
 func (e *Exchanger) Register(t Topic) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.topics[t.Name()]; ok {
-		invariant.Violated("peer: one topic of a name", "%s registered twice", t.Name())
+		invariant.Violated("peer: topic names are unique", "%s registered twice", t.Name())
 	}
 	e.topics[t.Name()] = t
-	e.names = append(e.names, t.Name())
+	e.topicNames = append(e.topicNames, t.Name())
 }
 
-// TriggerRound asks for a round at once, because a topic has news that must not wait
-// for the next one.
+// TriggerRound requests a round at once, for an update that must not wait for
+// the next regular round.
 func (e *Exchanger) TriggerRound() {
 	select {
-	case e.hinted <- struct{}{}:
+	case e.triggered <- struct{}{}:
 	default:
 	}
 }
 
-// LastRound returns when a round last succeeded, started by this daemon or by
-// a peer. It is zero before the first.
+// LastRound returns the time of the last successful round, started by this
+// daemon or by a peer. It is zero before the first.
 func (e *Exchanger) LastRound() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lastRound
 }
 
-// TotalBytes returns the bytes sent and received in rounds so far, with what is
-// reckoned for the heads of the messages.
-func (e *Exchanger) TotalBytes() int64 { return e.spent.Load() }
+// TotalBytes returns the bytes sent and received in rounds so far, including an
+// estimate of the HTTP headers.
+func (e *Exchanger) TotalBytes() int64 { return e.totalBytes.Load() }
 
 // Serve runs rounds until the context ends.
 func (e *Exchanger) Serve(ctx context.Context) error {
-	timer := time.NewTimer(e.jittered())
+	timer := time.NewTimer(e.jitteredInterval())
 	defer timer.Stop()
 	for {
 		select {
@@ -181,9 +190,9 @@
 			return ctx.Err()
 		case <-timer.C:
 			e.Round(ctx, e.opts.Fanout)
-			timer.Reset(e.jittered())
-		case <-e.hinted:
-			e.hintRound(ctx)
+			timer.Reset(e.jitteredInterval())
+		case <-e.triggered:
+			e.triggeredRound(ctx)
 		}
 	}
 }
@@ -191,27 +200,30 @@
 // String names the service in the supervisor tree.
 func (e *Exchanger) String() string { return "peer exchange" }
 
-func (e *Exchanger) jittered() time.Duration {
+// jitteredInterval returns the time until the next regular round, up to 20%
+// shorter or longer than the interval.
+func (e *Exchanger) jitteredInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	const spread = 0.4
-	return time.Duration(float64(e.opts.Interval) * (1 - spread/2 + spread*e.rng.Float64()))
+	const jitter = 0.4
+	return time.Duration(float64(e.opts.Interval) * (1 - jitter/2 + jitter*e.rng.Float64()))
 }
 
-// hintRound gathers further hints and runs a round, unless too many were asked
-// for: then the next regular round carries the news.
-func (e *Exchanger) hintRound(ctx context.Context) {
-	if !e.hints.Allow() {
-		e.metrics.hintsLimited.Inc(1)
+// triggeredRound waits for triggerDelay and runs one round for all triggers
+// until then. If the rate limit is exceeded it does nothing, and the update is
+// sent in the next regular round.
+func (e *Exchanger) triggeredRound(ctx context.Context) {
+	if !e.triggerLimiter.Allow() {
+		e.metrics.triggersLimited.Inc(1)
 		return
 	}
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(hintDelay):
+	case <-time.After(triggerDelay):
 	}
 	select {
-	case <-e.hinted:
+	case <-e.triggered:
 	default:
 	}
 	e.Round(ctx, e.opts.TriggeredFanout)
--- a/wire/http.go
+++ b/wire/http.go
@@ -10,74 +10,74 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// WriteResult writes an answer to the daemon that sent the call and closes its
-// body. A body that breaks off aborts the connection, so that a truncated
-// answer never looks complete.
-func WriteResult(w http.ResponseWriter, a *Result, id string) {
-	defer func() { _ = a.Body.Close() }()
-	h := w.Header()
-	if a.Outcome.Kind != outcome.Answered {
-		a.SetInternalHeaders(h, id)
-		h.Set("Content-Length", "0")
+// WriteResult writes a result as the response to the daemon that sent the call,
+// and closes its body. If reading the body fails, WriteResult aborts the
+// connection, so that the other daemon sees the response as truncated.
+func WriteResult(w http.ResponseWriter, r *Result, id string) {
+	defer func() { _ = r.Body.Close() }()
+	header := w.Header()
+	if r.Outcome.Kind != outcome.Answered {
+		r.SetInternalHeaders(header, id)
+		header.Set("Content-Length", "0")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	maps.Copy(h, a.Header)
-	a.SetInternalHeaders(h, id)
-	w.WriteHeader(a.Status)
-	if err := CopyBody(w, a); err != nil {
+	maps.Copy(header, r.Header)
+	r.SetInternalHeaders(header, id)
+	w.WriteHeader(r.Status)
+	if err := CopyBody(w, r); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// ResultFromResponse returns an HTTP response as an Result. Its trailers are there once
-// the body has been read to io.EOF.
+// ResultFromResponse returns an HTTP response as a Result with outcome
+// Answered. The trailers are set once the body has been read to io.EOF.
 func ResultFromResponse(resp *http.Response) *Result {
-	a := &Result{
+	r := &Result{
 		Outcome:       outcome.Done(),
 		Status:        resp.StatusCode,
 		Header:        resp.Header,
 		ContentLength: resp.ContentLength,
 	}
-	a.Body = &trailerBody{ReadCloser: resp.Body, resp: resp, answer: a}
-	return a
+	r.Body = &trailerBody{ReadCloser: resp.Body, resp: resp, result: r}
+	return r
 }
 
-// trailerBody takes over the response's trailers, which are not known before
-// the end of the body.
+// trailerBody copies the trailers of a response to its Result at the end of the
+// body. They are not known before.
 type trailerBody struct {
 	io.ReadCloser
 	resp   *http.Response
-	answer *Result
+	result *Result
 }
 
-// Read reads from the response.
+// Read implements io.Reader.
 func (b *trailerBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.answer.Trailer = b.resp.Trailer
+		b.result.Trailer = b.resp.Trailer
 	}
 	return n, err
 }
 
-// copyBuffer is the size of one copying step, in bytes.
-const copyBuffer = 16 << 10
+// copyBufferSize is the size of the buffers of CopyBody, in bytes.
+const copyBufferSize = 16 << 10
 
-var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// CopyBody copies an answer's body and its trailers to a caller, flushing as
-// data arrives when the length is not known.
-func CopyBody(w http.ResponseWriter, a *Result) error {
+// CopyBody copies the body and the trailers of a result to a response. If the
+// length of the body is unknown, it flushes after every write.
+func CopyBody(w http.ResponseWriter, r *Result) error {
 	var dst io.Writer = w
-	if a.ContentLength < 0 {
-		dst = flushWriter{w: w, c: http.NewResponseController(w)}
+	if r.ContentLength < 0 {
+		dst = flushWriter{w: w, controller: http.NewResponseController(w)}
 	}
-	buf := copyBuffers.Get().(*[copyBuffer]byte)
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
-	if _, err := io.CopyBuffer(onlyWriter{dst}, onlyReader{a.Body}, buf[:]); err != nil {
+	if _, err := io.CopyBuffer(onlyWriter{dst}, onlyReader{r.Body}, buf[:]); err != nil {
 		return err
 	}
-	for name, values := range a.Trailer {
+	for name, values := range r.Trailer {
 		for _, v := range values {
 			w.Header().Add(http.TrailerPrefix+name, v)
 		}
@@ -85,22 +85,23 @@
 	return nil
 }
 
-// onlyReader and onlyWriter hide the methods that would make io.CopyBuffer
-// leave its buffer unused.
+// onlyReader and onlyWriter hide WriterTo and ReaderFrom, with which
+// io.CopyBuffer would not use its buffer.
 type (
 	onlyReader struct{ io.Reader }
 	onlyWriter struct{ io.Writer }
 )
 
+// flushWriter flushes the response after every write.
 type flushWriter struct {
-	w io.Writer
-	c *http.ResponseController
+	w          io.Writer
+	controller *http.ResponseController
 }
 
 func (f flushWriter) Write(p []byte) (int, error) {
 	n, err := f.w.Write(p)
 	if err == nil {
-		err = f.c.Flush()
+		err = f.controller.Flush()
 	}
 	return n, err
 }
