--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin reads from the admin addresses of daemons, for the operator's
-// command line.
+// Package admin is the HTTP client with which the operator's command line reads
+// from the admin addresses of daemons.
 package admin
 
 import (
@@ -12,20 +12,22 @@
 )
 
 const (
-	// timeout bounds one read.
+	// timeout bounds one request with its response.
 	timeout = 5 * time.Second
-	// maxAnswer bounds an answer, in bytes.
+	// maxResponseBytes bounds the body of a response.
 	maxAnswer = 64 << 20
 )
 
-// client goes to the address it is given and nowhere else.
+// client connects only to the address in the request: it uses no proxy and
+// follows no redirect.
 var client = &http.Client{
 	Timeout:       timeout,
 	Transport:     &http.Transport{Proxy: nil, DisableCompression: true, MaxIdleConnsPerHost: 1},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// Get reads the JSON at a path of a daemon's admin address (host:port) into v.
+// Get requests a path at a daemon's admin address (host:port) and decodes the
+// JSON response into v.
 func Get(ctx context.Context, address, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -45,5 +47,5 @@
 	return nil
 }
 
-// CloseIdle closes the connections kept for further reads.
+// CloseIdle closes the idle connections to admin addresses.
 func CloseIdle() { client.CloseIdleConnections() }
