--- a/exitcode/exitcode.go
+++ b/exitcode/exitcode.go
@@ -1,22 +1,25 @@
-// Package exitcode maps errors to the exit codes of the two programs. An error
-// type asks for a code by a method ExitCode; any other error is a Failure.
+// Package exitcode maps errors to the exit codes of the daemon and of the
+// operator's command line. An error type chooses its exit code with a method
+// ExitCode() int; the code of any other error is Failure.
 package exitcode
 
 import "errors"
 
-// The exit codes. Success is 0.
+// Exit codes. Success is 0.
 const (
-	// Failure is any error without a code of its own.
+	// Failure stands for any error whose type has no ExitCode method.
 	Failure = 1
-	// Usage is a wrong flag, argument, settings file or input file.
+	// Usage stands for an invalid flag, argument, settings file or input file.
 	Usage = 2
-	// Invariant is a broken invariant.
+	// Invariant means that the daemon stopped because an internal invariant was
+	// violated; see package core/invariant.
 	Invariant = 3
-	// Interrupted is an end by the user, as shells have it.
+	// Interrupted means that the user interrupted the program. It is 128 plus the
+	// number of SIGINT, the convention of shells.
 	Interrupted = 130
 )
 
-// Of returns the code of an error.
+// Of returns the exit code for an error, 0 for nil.
 func Of(err error) int {
 	if err == nil {
 		return 0
