--- a/identity/caller.go
+++ b/identity/caller.go
@@ -8,18 +8,21 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// Directory finds callers by what they prove.
+// CallerStore looks up callers by their credentials.
 type Directory interface {
-	// CallerByToken returns the caller that holds a bearer token.
+	// CallerByToken returns the caller to which a bearer token was issued.
 	CallerByToken(token string) (policy.Caller, bool)
-	// CallerByCertificate returns the caller with a certificate subject name.
+	// CallerByCertificate returns the caller for which a subject name of a client
+	// certificate is configured.
 	CallerByCertificate(name string) (policy.Caller, bool)
 }
 
 const bearer = "bearer "
 
-// AuthenticateCaller identifies the caller of a request. It reports false when a proof is
-// unknown or malformed, or when a token and a certificate name two callers.
+// AuthenticateCaller returns the caller of a request, the zero Caller when it is
+// anonymous. It reports false when the token or certificate is unknown, the
+// Authorization header is malformed, or token and certificate belong to different
+// callers.
 func AuthenticateCaller(known Directory, r *http.Request) (policy.Caller, bool) {
 	byCertificate, hasCertificate, ok := certified(known, r)
 	if !ok {
@@ -39,8 +42,9 @@
 	return byToken, true
 }
 
-// certified identifies the caller by its verified certificate. Without one the
-// caller is anonymous.
+// callerByCertificate returns the caller to which the verified client certificate
+// of a request belongs. hasCertificate is false when the request has none, and ok is
+// false when the certificate belongs to no caller.
 func certified(known Directory, r *http.Request) (c policy.Caller, has, ok bool) {
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
 		return policy.Caller{}, false, true
@@ -53,7 +57,8 @@
 	return policy.Caller{}, true, false
 }
 
-// subjectNames returns the common name, then the DNS names and URIs.
+// subjectNames returns the common name of a certificate, then its DNS names and
+// URIs.
 func subjectNames(cert *x509.Certificate) []string {
 	names := make([]string, 0, 1+len(cert.DNSNames)+len(cert.URIs))
 	if cert.Subject.CommonName != "" {
--- a/identity/caller_test.go
+++ b/identity/caller_test.go
@@ -13,8 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// names is a Directory in which tokens and certificate names are those of the
-// callers.
+// callerList is a CallerStore in which each caller's name is also its token and
+// the subject name of its certificate.
 type names []policy.Caller
 
 func (n names) find(name string) (policy.Caller, bool) {
@@ -39,21 +39,21 @@
 		want          string
 		refused       bool
 	}{
-		"nothing proved":           {},
-		"known token":              {authorization: []string{"Bearer sorting-bench"}, want: "sorting-bench"},
-		"scheme in other case":     {authorization: []string{"bearer sorting-bench"}, want: "sorting-bench"},
-		"unknown token":            {authorization: []string{"Bearer x"}, refused: true},
-		"empty token":              {authorization: []string{"Bearer "}, refused: true},
-		"empty header":             {authorization: []string{""}, refused: true},
-		"other scheme":             {authorization: []string{"Basic sorting-bench"}, refused: true},
-		"two tokens":               {authorization: []string{"Bearer sorting-bench", "Bearer member-portal"}, refused: true},
-		"known certificate":        {commonName: "sorting-bench", want: "sorting-bench"},
-		"known DNS name":           {commonName: "x", dnsNames: []string{"member-portal"}, want: "member-portal"},
-		"unknown certificate":      {commonName: "x", refused: true},
-		"certificate not verified": {commonName: "sorting-bench", unverified: true},
-		"both the same":            {authorization: []string{"Bearer sorting-bench"}, commonName: "sorting-bench", want: "sorting-bench"},
-		"both differ":              {authorization: []string{"Bearer sorting-bench"}, commonName: "member-portal", refused: true},
-		"token, bad certificate":   {authorization: []string{"Bearer sorting-bench"}, commonName: "x", refused: true},
+		"no credentials":                       {},
+		"known token":                          {authorization: []string{"Bearer sorting-bench"}, want: "sorting-bench"},
+		"scheme in lower case":                 {authorization: []string{"bearer sorting-bench"}, want: "sorting-bench"},
+		"unknown token":                        {authorization: []string{"Bearer x"}, refused: true},
+		"empty token":                          {authorization: []string{"Bearer "}, refused: true},
+		"empty header":                         {authorization: []string{""}, refused: true},
+		"other scheme":                         {authorization: []string{"Basic sorting-bench"}, refused: true},
+		"two tokens":                           {authorization: []string{"Bearer sorting-bench", "Bearer member-portal"}, refused: true},
+		"known certificate":                    {commonName: "sorting-bench", want: "sorting-bench"},
+		"known DNS name":                       {commonName: "x", dnsNames: []string{"member-portal"}, want: "member-portal"},
+		"unknown certificate":                  {commonName: "x", refused: true},
+		"certificate not verified":             {commonName: "sorting-bench", unverified: true},
+		"token and certificate of one caller":  {authorization: []string{"Bearer sorting-bench"}, commonName: "sorting-bench", want: "sorting-bench"},
+		"token and certificate of two callers": {authorization: []string{"Bearer sorting-bench"}, commonName: "member-portal", refused: true},
+		"known token, unknown certificate":     {authorization: []string{"Bearer sorting-bench"}, commonName: "x", refused: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := httptest.NewRequest(http.MethodGet, "/", nil)
--- a/identity/doc.go
+++ b/identity/doc.go
@@ -1,12 +1,14 @@
-// Package identity tells who is on the other side of a connection.
+// Package identity authenticates callers and daemons.
 //
-// A caller proves who it is by a bearer token, of which the configuration holds
-// only the hash, or by a client certificate whose subject name the
-// configuration lists. A caller that proves nothing is anonymous and has no
-// labels; one whose proof is unknown is refused, so that nobody ends up in a
-// group by a forged or outdated proof.
+// A caller authenticates itself with a bearer token, of which the configuration
+// holds only the hash, or with a client certificate whose subject name the
+// configuration lists. A caller without a token and a certificate is anonymous
+// and has no labels. A caller with an unknown token or certificate is refused
+// and not treated as anonymous, so that nobody is put into a group with a forged
+// or outdated credential.
 //
-// Daemons prove themselves to each other by a shared secret and, off loopback,
-// by certificates of one authority. Material holds certificates that were read
-// from files once and stay in memory.
+// Daemons authenticate each other by a shared secret and, when they listen on
+// other addresses than loopback, by certificates of one certificate authority
+// unless the settings allow plaintext. Credentials holds a certificate and its
+// key, which are read from files once, at the start.
 package identity
--- a/identity/material.go
+++ b/identity/material.go
@@ -14,33 +14,36 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// FileError tells which file of the settings cannot be used.
+// FileError reports a file that the settings name and that cannot be read or
+// parsed.
 type FileError struct {
-	// Path is the JSON path of the file's name in the settings.
+	// Path is the JSON path of the setting that names the file.
 	Path string
 	File string
 	Err  error
 }
 
-// Error names the setting, the file and the reason.
+// Error returns the setting, the cause and the file name on one line.
 func (e *FileError) Error() string { return fmt.Sprintf("%s: %v (got %q)", e.Path, e.Err, e.File) }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// ExitCode makes the process exit as for wrong settings.
+// ExitCode returns the exit code for invalid settings.
 func (e *FileError) ExitCode() int { return exitcode.Usage }
 
-// Material is a certificate with its key and the authority that verifies the
-// other side.
+// Credentials holds this side's certificate with its key, and the certificate
+// authorities that verify the certificate of the other side. A nil *Credentials
+// means plaintext.
 type Material struct {
 	certificate tls.Certificate
-	// authority is nil when the other side is not verified.
+	// caPool is nil when the other side's certificate is not verified.
 	authority *x509.CertPool
 }
 
-// Load reads the files of a TLS section found at a JSON path. Without TLS in
-// the settings it returns nil.
+// Load reads the files that a TLS section of the settings names. The path is the
+// JSON path of the section, for error messages. Load returns nil when the section
+// is empty.
 func Load(path string, files settings.TLS) (*Material, error) {
 	if !files.Enabled() {
 		return nil, nil
@@ -67,9 +70,9 @@
 	return m, nil
 }
 
-// CallerServer returns the TLS configuration of the callers' address, nil for
-// plaintext. With an authority a caller may bring a certificate, which must
-// then be valid.
+// CallerServerConfig returns the TLS configuration of the listener for callers,
+// nil for plaintext. When a certificate authority is configured, a caller may
+// send a client certificate; an invalid one fails the handshake.
 func (m *Material) CallerServer() *tls.Config {
 	if m == nil {
 		return nil
@@ -82,8 +85,8 @@
 	return c
 }
 
-// PeerServer returns the TLS configuration of the peers' address, nil for
-// plaintext. A daemon must bring a valid certificate.
+// PeerServerConfig returns the TLS configuration of the listener for other
+// daemons, nil for plaintext. Clients must send a valid certificate.
 func (m *Material) PeerServer() *tls.Config {
 	if m == nil {
 		return nil
@@ -96,11 +99,12 @@
 	}
 }
 
-// Dial connects to an address.
+// DialFunc connects to an address, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// PeerDial returns how to connect to other daemons, within the timeout. The
-// other daemon's certificate must hold its IP number.
+// PeerDialer returns a function that connects to other daemons, with a timeout for
+// each connection. The other daemon's certificate must contain the IP address that
+// is dialed.
 func (m *Material) PeerDial(timeout time.Duration) Dial {
 	dialer := &net.Dialer{Timeout: timeout}
 	if m == nil {
@@ -114,9 +118,10 @@
 	return secure.DialContext
 }
 
-// CallerDialer returns how a caller connects to daemons, within the timeout: by
-// TLS when the section found at a JSON path names an authority. A certificate
-// in it proves the caller.
+// CallerDialer returns a function with which a caller connects to daemons, with a
+// timeout for each connection. It uses TLS when the section names a certificate
+// authority, and sends the section's certificate, if any, as client certificate.
+// The path is the JSON path of the section, for error messages.
 func CallerDialer(path string, files settings.TLS, timeout time.Duration) (Dial, error) {
 	dialer := &net.Dialer{Timeout: timeout}
 	if files.Authority == "" {
