--- a/settings/checker.go
+++ b/settings/checker.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// checker keeps the first field that is wrong.
+// checker validates fields and keeps the error of the first invalid one.
 type checker struct {
 	first *FieldError
 }
@@ -34,7 +34,8 @@
 	}
 }
 
-// address checks a host:port with a host given by IP number or left out.
+// address checks that a value is host:port, where the host is an IP address or
+// empty.
 func (c *checker) address(path, value string) {
 	c.required(path, value)
 	host, port, err := net.SplitHostPort(value)
@@ -46,7 +47,7 @@
 		c.fail(path, strconv.Quote(value), "port must be from 0 to 65535")
 	}
 	if host != "" && net.ParseIP(host) == nil {
-		c.fail(path, strconv.Quote(value), "host must be an IP number")
+		c.fail(path, strconv.Quote(value), "host must be an IP address")
 	}
 }
 
@@ -69,7 +70,8 @@
 	}
 }
 
-// isLoopback reports whether an address can be reached from this VM only.
+// isLoopback reports whether the host of an address is a loopback address, which
+// only processes on this VM can reach.
 func isLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,9 +1,10 @@
-// Package settings reads the static settings of a daemon from JSON. What may
-// change while the daemon runs is configuration, not settings; see package
-// policy.
+// Package settings reads the static settings of a daemon from a JSON file. They
+// are read once, at the start. Values that change while the daemon runs belong to
+// the configuration; see package core/policy.
 //
-// Settings are made of sections. Each section has its own file with a struct,
-// its defaults and a check method. Load starts from Defaults, so that a file
-// names only what differs, and refuses the first unknown field, wrong unit or
-// value out of range with its JSON path. docs/SETTINGS.md lists every field.
+// Settings consist of sections. Each section has a struct, a function that returns
+// its defaults and a check method. Load starts from Defaults, so that a file needs
+// to set only the values that differ. It returns an error with the JSON path of the
+// first field that is unknown, has a wrong unit or is out of range.
+// docs/SETTINGS.md lists every field.
 package settings
--- a/settings/docs_test.go
+++ b/settings/docs_test.go
@@ -13,11 +13,11 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// row matches a line of the reference, "| `path` | `default` | meaning |".
+// tableRow matches a table row of docs/SETTINGS.md, "| `path` | `default` | meaning |".
 var row = regexp.MustCompile("(?m)^\\| `([a-z0-9_.\\[\\]]+)` \\| `([^`]*)` \\| (.+) \\|$")
 
-// TestTheReferenceListsEveryFieldWithItsDefault compares docs/SETTINGS.md with
-// the structs.
+// TestTheReferenceListsEveryFieldWithItsDefault checks that docs/SETTINGS.md lists
+// each field of the settings structs with its default, and no other field.
 func TestTheReferenceListsEveryFieldWithItsDefault(t *testing.T) {
 	text, err := os.ReadFile("../docs/SETTINGS.md")
 	require.NoError(t, err)
@@ -36,7 +36,8 @@
 	}
 }
 
-// collect adds the default of every field below v, as JSON, under its path.
+// collectDefaults stores the default of every field of the struct v, including those
+// of nested structs, as JSON under the field's JSON path.
 func collect(t *testing.T, path string, v reflect.Value, to map[string]string) {
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
@@ -57,7 +58,8 @@
 	}
 }
 
-// TestTheExamplesOfTheReferenceAreValid parses every JSON block.
+// TestTheExamplesOfTheReferenceAreValid parses every JSON example in
+// docs/SETTINGS.md.
 func TestTheExamplesOfTheReferenceAreValid(t *testing.T) {
 	text, err := os.ReadFile("../docs/SETTINGS.md")
 	require.NoError(t, err)
--- a/settings/keys.go
+++ b/settings/keys.go
@@ -6,22 +6,26 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// Keys holds how this daemon owns the idempotency keys of non-idempotent
-// requests.
+// Keys configures the ownership of idempotency keys. Each key belongs to one
+// daemon, its owner, which makes sure that a non-idempotent request with the key
+// runs at most once.
 type Keys struct {
-	// Grant is how far ahead of the present stamps are owned: how long an outage
-	// of the log keyed requests survive, and how long the keys of an owner that
-	// crashed stay without one.
+	// Grant is how far ahead of the present time a daemon's ownership reaches. An
+	// owner appends an extension to the log before its grant ends. A longer grant
+	// lets keyed requests survive a longer outage of the log, but the keys of an
+	// owner that crashed stay without an owner for as long.
 	Grant policy.Duration `json:"grant"`
-	// Retention is how long after a key's stamp the key is remembered.
+	// Retention is how long a key is remembered, counted from the timestamp in
+	// the key.
 	Retention policy.Duration `json:"retention"`
-	// MaxClaims bounds the keys remembered.
+	// MaxClaims bounds the number of keys that are remembered.
 	MaxClaims int `json:"max_claims"`
-	// MaxAnswersBytes bounds the answers retained for retries.
+	// MaxAnswersBytes bounds the total size of the responses that are retained
+	// and sent again when a caller repeats a request.
 	MaxAnswersBytes int `json:"max_answers_bytes"`
-	// MaxAnswerBytes is the largest answer that is retained.
+	// MaxAnswerBytes is the size of the largest single response that is retained.
 	MaxAnswerBytes int64 `json:"max_answer_bytes"`
-	// MaxBodyBytes bounds the body of a keyed request.
+	// MaxBodyBytes bounds the body of a request with an idempotency key.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
 }
 
--- a/settings/network.go
+++ b/settings/network.go
@@ -7,15 +7,16 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// Listen holds the addresses that a daemon listens on, host:port with the host
-// an IP number. Port 0 picks a free port.
+// Listen holds the addresses that a daemon listens on. Each is host:port with an
+// IP address as host. Port 0 picks a free port.
 type Listen struct {
-	// Callers is where callers connect.
+	// Callers is the address for requests of callers.
 	Callers string `json:"callers"`
-	// Peers is where other daemons connect. It names the daemon, so it must be
-	// an address that they reach.
+	// Peers is the address for other daemons. It is also the daemon's ID, so it
+	// must be an address that the other daemons can connect to.
 	Peers string `json:"peers"`
-	// Admin serves status, metrics and announcements.
+	// Admin is the address for status and metrics, and for the announcements
+	// with which upstreams of this VM register.
 	Admin string `json:"admin"`
 }
 
@@ -29,11 +30,12 @@
 	c.address("listen.admin", l.Admin)
 }
 
-// Log tells how to reach the platform's log.
+// Log configures access to the platform's append-only log, which holds the
+// configuration, the membership and the ownership of idempotency keys.
 type Log struct {
-	// Address is host:port of the log.
+	// Address is host:port of the log server.
 	Address string `json:"address"`
-	// Interval is the time between two reads of the log.
+	// Interval is the polling interval of the log.
 	Interval policy.Duration `json:"interval"`
 }
 
@@ -50,16 +52,17 @@
 	c.duration("log.interval", l.Interval, minLogInterval, maxLogInterval)
 }
 
-// TLS names files in PEM form. They are read once, at the start. All empty
-// means plaintext.
+// TLS holds the names of files in PEM format. The files are read once, at the
+// start. When all names are empty, connections are in plaintext.
 type TLS struct {
 	Certificate string `json:"certificate"`
 	Key         string `json:"key"`
-	// Authority verifies the other side's certificate.
+	// Authority is the certificate authority that verifies the other side's
+	// certificate.
 	Authority string `json:"authority"`
 }
 
-// Enabled reports whether the section asks for TLS.
+// Enabled reports whether at least one of the files is set.
 func (t TLS) Enabled() bool { return t != TLS{} }
 
 func (t TLS) check(c *checker, path string) {
@@ -70,24 +73,26 @@
 	c.required(path+".key", t.Key)
 }
 
-// Callers holds what the daemon allows callers.
+// Callers holds the limits for callers and the TLS files of their listener.
 type Callers struct {
-	// MaxConnections bounds the open connections; further ones are closed.
+	// MaxConnections bounds the open connections; further connections are closed.
 	MaxConnections int `json:"max_connections"`
-	// MaxHeaderBytes bounds a request's headers.
+	// MaxHeaderBytes bounds the size of a request's headers.
 	MaxHeaderBytes int `json:"max_header_bytes"`
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes bounds the size of a request's body.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// HeaderTimeout bounds the reading of a request's headers.
+	// HeaderTimeout bounds the time to read a request's headers.
 	HeaderTimeout policy.Duration `json:"header_timeout"`
-	// StallTimeout ends a request whose caller neither sends the body nor reads
-	// the answer for that long.
+	// StallTimeout is how long a read of the request body or a write of the
+	// response may make no progress before the request is aborted.
 	StallTimeout policy.Duration `json:"stall_timeout"`
-	// IdleTimeout closes connections without a request.
+	// IdleTimeout is how long a keep-alive connection may stay idle between two
+	// requests before it is closed.
 	IdleTimeout policy.Duration `json:"idle_timeout"`
-	// AllowPlaintext allows plaintext on an address that is not loopback.
+	// AllowPlaintext permits plaintext on an address that is not loopback.
 	AllowPlaintext bool `json:"allow_plaintext"`
-	// TLS, with an authority, also accepts client certificates.
+	// TLS is for the callers' listener. When it names an authority, callers may
+	// authenticate with client certificates.
 	TLS TLS `json:"tls"`
 }
 
@@ -127,16 +132,16 @@
 	}
 }
 
-// Peers holds how daemons know each other.
+// Peers configures the connections between daemons.
 type Peers struct {
 	// Secret authenticates daemons to each other, with or without TLS.
 	Secret string `json:"secret"`
-	// First are peer addresses of other daemons to ask while none is known
-	// from the log.
+	// Bootstrap lists peer addresses of daemons to contact while no other daemon
+	// is known from the log.
 	First []string `json:"first,omitempty"`
-	// AllowPlaintext allows plaintext on an address that is not loopback.
+	// AllowPlaintext permits plaintext on an address that is not loopback.
 	AllowPlaintext bool `json:"allow_plaintext"`
-	// TLS is mutual between daemons; it needs an authority.
+	// TLS is mutual between daemons, so it requires an authority.
 	TLS TLS `json:"tls"`
 }
 
@@ -155,10 +160,10 @@
 	}
 }
 
-// Admin holds who may reach the admin address.
+// Admin configures access to the admin address.
 type Admin struct {
-	// AllowPlaintext allows an address that is not loopback. The address has
-	// no TLS; what it serves off this VM is read-only.
+	// AllowPlaintext permits an address that is not loopback. The admin address
+	// has no TLS; requests from other hosts can only read.
 	AllowPlaintext bool `json:"allow_plaintext"`
 }
 
--- a/settings/process.go
+++ b/settings/process.go
@@ -8,19 +8,21 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// Process holds the limits of the daemon's process.
+// Process configures shutdown and memory of the daemon's process.
 type Process struct {
-	// ShutdownTimeout is how long requests in flight may go on after the signal
-	// to stop.
+	// ShutdownTimeout bounds the whole shutdown. Requests still in flight when it
+	// ends are aborted.
 	ShutdownTimeout policy.Duration `json:"shutdown_timeout"`
-	// DrainTime is how long, within that, the daemon goes on serving while it
-	// asks callers and other daemons to go elsewhere.
+	// DrainTime is how long at most, at the beginning of the shutdown, the daemon
+	// still accepts callers' requests while it asks callers and other daemons to
+	// close their connections. It is part of ShutdownTimeout.
 	DrainTime policy.Duration `json:"drain_time"`
-	// MemoryLimitBytes is a soft limit for the garbage collector; 0 means none.
+	// MemoryLimitBytes is the soft memory limit of the Go runtime, as GOMEMLIMIT.
+	// 0 means no limit.
 	MemoryLimitBytes int64 `json:"memory_limit_bytes"`
-	// GCPercent is how far the heap may grow, in percent of what is live, before
-	// it is collected. More means fewer collections, which lengthen the slowest
-	// calls, and more memory.
+	// GCPercent is how far the heap may grow before the next garbage collection,
+	// in percent of the live heap, as GOGC. A larger value costs memory but gives
+	// fewer collections, which add to the tail latency of calls.
 	GCPercent int `json:"gc_percent"`
 }
 
@@ -47,11 +49,12 @@
 	c.number("process.gc_percent", int64(p.GCPercent), minGCPercent, maxGCPercent)
 }
 
-// Logging holds the form of log lines on standard error.
+// Logging configures the log on standard error.
 type Logging struct {
 	// Format is "json" or "text".
 	Format string `json:"format"`
-	// Level is "debug", "info", "warn" or "error".
+	// Level is the lowest level that is logged: "debug", "info", "warn" or
+	// "error".
 	Level string `json:"level"`
 }
 
@@ -62,7 +65,7 @@
 	c.oneOf("logging.level", l.Level, "debug", "info", "warn", "error")
 }
 
-// SlogLevel returns the level for package slog.
+// SlogLevel returns Level as a slog.Level, slog.LevelInfo when it is not valid.
 func (l Logging) SlogLevel() slog.Level {
 	var level slog.Level
 	if level.UnmarshalText([]byte(l.Level)) != nil {
@@ -71,16 +74,19 @@
 	return level
 }
 
-// Tracing holds which spans are recorded and where they go.
+// Tracing configures which requests are traced and where their spans are
+// exported to.
 type Tracing struct {
 	// Exporter is "none", "stdout" or "otlp".
 	Exporter string `json:"exporter"`
-	// Endpoint is host:port of an OTLP collector over HTTP.
+	// Endpoint is host:port of a collector that accepts OTLP over HTTP.
 	Endpoint string `json:"endpoint"`
-	// Sample is the share of requests recorded, 0 to 1, of those whose caller
-	// has not decided. 0 turns tracing off.
+	// Sample is the share, 0 to 1, of the requests without a traceparent header
+	// that are traced. For other requests the caller's sampled flag decides.
+	// 0 turns tracing off for all requests.
 	Sample float64 `json:"sample"`
-	// Keep is the number of recent spans that "dottereltiller trace" can read.
+	// Keep is the number of recent spans that the daemon holds in memory, where
+	// "dottereltiller trace" reads them.
 	Keep int `json:"keep"`
 }
 
--- a/settings/routing.go
+++ b/settings/routing.go
@@ -8,13 +8,13 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// Routing holds how this daemon picks upstreams.
+// Routing configures how this daemon picks upstreams.
 type Routing struct {
-	// Policy names the routing policy. Empty means the default of package
-	// routing.
+	// Policy is the name of the routing policy for services whose configuration
+	// names none. Empty means the default of package routing.
 	Policy string `json:"policy"`
-	// ZoneDelays are the one-way delays to other availability zones. A zone
-	// that is not listed counts as routing.DefaultZoneDelay away.
+	// ZoneDelays are the one-way network delays to other availability zones.
+	// A zone that is not listed has the delay routing.DefaultZoneDelay.
 	ZoneDelays map[model.AvailabilityZone]policy.Duration `json:"zone_delays"`
 }
 
@@ -27,7 +27,7 @@
 	}
 }
 
-// Delays returns the zone delays in the form that package routing takes.
+// Delays returns ZoneDelays converted for routing.Options.
 func (r Routing) Delays() map[model.AvailabilityZone]time.Duration {
 	out := make(map[model.AvailabilityZone]time.Duration, len(r.ZoneDelays))
 	for zone, d := range r.ZoneDelays {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -12,7 +12,7 @@
 
 // Settings are a daemon's static settings.
 type Settings struct {
-	// Zone is the availability zone of the VM.
+	// Zone is the availability zone of this VM.
 	Zone    model.AvailabilityZone `json:"zone"`
 	Listen  Listen                 `json:"listen"`
 	Log     Log                    `json:"log"`
@@ -26,10 +26,11 @@
 	Tracing Tracing                `json:"tracing"`
 }
 
-// FieldError tells which field of a settings file is wrong.
+// FieldError reports the first invalid field of a settings file.
 type FieldError = strictjson.FieldError
 
-// Defaults returns the settings of a file that sets nothing.
+// Defaults returns the default settings. They are not valid by themselves, since
+// some required fields have no default.
 func Defaults() Settings {
 	return Settings{
 		Listen:  defaultListen(),
@@ -43,7 +44,7 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads, parses and checks a settings file.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return s, nil
 }
 
-// Parse reads and checks settings. Its errors are of type *FieldError.
+// Parse parses settings in JSON and checks them. Its errors are of type *FieldError.
 func Parse(data []byte) (Settings, error) {
 	s := Defaults()
 	if err := strictjson.Unmarshal(data, &s); err != nil {
@@ -65,8 +66,7 @@
 	return s, s.Check()
 }
 
-// Check returns a *FieldError for the first field that is wrong, nil when
-// there is none.
+// Check returns a *FieldError for the first invalid field, nil when all are valid.
 func (s Settings) Check() error {
 	c := &checker{}
 	c.required("zone", string(s.Zone))
@@ -83,5 +83,5 @@
 	return c.result()
 }
 
-// JSON returns the settings in the form that Parse reads.
+// JSON returns the settings as indented JSON, which Parse accepts.
 func (s Settings) JSON() ([]byte, error) { return json.MarshalIndent(s, "", "  ") }
