--- a/strictjson/doc.go
+++ b/strictjson/doc.go
@@ -1,6 +1,7 @@
 // Package strictjson decodes JSON that people write by hand.
 //
-// The decoder of the standard library passes over unknown and repeated fields
-// and names neither the path nor the value of a wrong one. Unmarshal refuses
-// them, and returns a FieldError with the JSON path of the first wrong field.
+// By default encoding/json ignores unknown fields and accepts duplicate ones, and
+// its errors lack the value of the invalid field. Unmarshal rejects unknown and
+// duplicate fields, and its errors contain the JSON path and the value of the first
+// invalid field.
 package strictjson
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -13,21 +13,21 @@
 	"github.com/dottereltiller/dottereltiller/exitcode"
 )
 
-// FieldError tells which field of a JSON text is wrong.
+// FieldError reports the first invalid field of a JSON text.
 type FieldError struct {
-	// Path is the JSON path, such as "listen.callers". Empty means the whole
-	// text.
+	// Path is the JSON path of the field, such as "listen.callers". It is empty
+	// when the error concerns the whole text.
 	Path string
-	// Value is the value as written.
+	// Value is the field's value as it stands in the text.
 	Value string
-	// Message says what is wrong or wanted.
+	// Message describes the error or the expected value.
 	Message string
 }
 
-// maxValue bounds how much of a wrong value an error quotes, in bytes.
+// maxQuotedBytes bounds how much of an invalid value an error message quotes.
 const maxValue = 64
 
-// Error returns path, message and value on one line.
+// Error returns the path, the message and the value on one line.
 func (e *FieldError) Error() string {
 	path := e.Path
 	if path == "" {
@@ -43,11 +43,11 @@
 	return fmt.Sprintf("%s: %s (got %s)", path, e.Message, value)
 }
 
-// ExitCode makes the process exit as for wrong input.
+// ExitCode returns the exit code for invalid input.
 func (e *FieldError) ExitCode() int { return exitcode.Usage }
 
-// Unmarshal decodes data into the value that v points to. Fields absent from
-// data keep what v held, so that v may carry the defaults. Errors are of type
+// Unmarshal decodes data into the value that v points to. Fields that data does
+// not contain keep their value, so v may hold defaults. Errors are of type
 // *FieldError.
 func Unmarshal(data []byte, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// fieldsOf returns the fields of a struct by JSON name.
+// fieldsByName returns the fields of the struct v by JSON name.
 func fieldsOf(v reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value)
 	for i := range v.NumField() {
--- a/strictjson/strictjson_test.go
+++ b/strictjson/strictjson_test.go
@@ -22,18 +22,18 @@
 
 func TestUnmarshalNamesTheWrongField(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"not JSON":        {"{\n\"name\": x}", `(top level): not JSON: line 2: invalid character 'x' looking for beginning of value`},
-		"unknown field":   {`{"nam": "a"}`, `nam: no such field (got "a")`},
-		"unknown nested":  {`{"inner": {"sise": 2}}`, `inner.sise: no such field (got 2)`},
-		"wrong case":      {`{"Name": "a"}`, `Name: no such field (got "a")`},
-		"wrong type":      {`{"inner": {"size": "2"}}`, `inner.size: want a whole number (got "2")`},
-		"null":            {`{"name": null}`, `name: want a string (got null)`},
-		"list item":       {`{"items": [{"size": 1}, {"size": 1.5}]}`, `items[1].size: want a whole number (got 1.5)`},
-		"duration number": {`{"wait": 5}`, `wait: duration 5: want a string with a unit such as "250ms" (got 5)`},
-		"duration unit":   {`{"wait": "5 parsecs"}`, `wait: duration "5 parsecs": want a number with a unit such as "250ms" (got "5 parsecs")`},
-		"given twice":     {`{"name": "a", "name": "b"}`, `name: field given twice (got "b")`},
-		"trailing data":   {`{} {}`, `(top level): more data after the JSON value`},
-		"not an object":   {`[1]`, `(top level): want an object (got [1])`},
+		"not JSON":                 {"{\n\"name\": x}", `(top level): not JSON: line 2: invalid character 'x' looking for beginning of value`},
+		"unknown field":            {`{"nam": "a"}`, `nam: no such field (got "a")`},
+		"unknown nested field":     {`{"inner": {"sise": 2}}`, `inner.sise: no such field (got 2)`},
+		"field name in wrong case": {`{"Name": "a"}`, `Name: no such field (got "a")`},
+		"wrong type":               {`{"inner": {"size": "2"}}`, `inner.size: want a whole number (got "2")`},
+		"null":                     {`{"name": null}`, `name: want a string (got null)`},
+		"wrong type in list item":  {`{"items": [{"size": 1}, {"size": 1.5}]}`, `items[1].size: want a whole number (got 1.5)`},
+		"duration as number":       {`{"wait": 5}`, `wait: duration 5: want a string with a unit such as "250ms" (got 5)`},
+		"unknown duration unit":    {`{"wait": "5 parsecs"}`, `wait: duration "5 parsecs": want a number with a unit such as "250ms" (got "5 parsecs")`},
+		"duplicate field":          {`{"name": "a", "name": "b"}`, `name: field given twice (got "b")`},
+		"trailing data":            {`{} {}`, `(top level): more data after the JSON value`},
+		"list instead of object":   {`[1]`, `(top level): want an object (got [1])`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var d document
