--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -2,8 +2,9 @@
 
 import "sync"
 
-// BoundedMetrics holds a metric for each key, up to a bound. It is safe for concurrent use
-// and allocates nothing for a key that it holds.
+// BoundedMetrics holds one metric for each key, with a limit on the number of keys,
+// so that keys from the network cannot create metrics without end. It is safe for
+// concurrent use and does not allocate for a key that it holds.
 type BoundedMetrics[K comparable, M any] struct {
 	most  int
 	other func(K) K
@@ -13,13 +14,14 @@
 	all map[K]M
 }
 
-// NewBoundedMetrics returns a BoundedMetrics without metrics. Beyond most of them, keys share the
-// metrics of those that other makes of them. Add makes the metric of a key.
+// NewBoundedMetrics returns an empty BoundedMetrics. The function newMetric creates
+// the metric of a key. Once maxKeys keys are held, each further key is replaced by
+// overflowKey of it, so that further keys share the metrics of a few overflow keys.
 func NewBoundedMetrics[K comparable, M any](most int, other func(K) K, add func(K) M) *BoundedMetrics[K, M] {
 	return &BoundedMetrics[K, M]{most: most, other: other, add: add, all: make(map[K]M)}
 }
 
-// Get returns the metric of a key.
+// Get returns the metric of a key. It creates the metric on first use.
 func (b *BoundedMetrics[K, M]) Get(k K) M {
 	b.mu.RLock()
 	m, ok := b.all[k]
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -12,8 +12,8 @@
 	one, two := b.Get(1), b.Get(2)
 	three := b.Get(3)
 	require.NotSame(t, one, two)
-	require.Same(t, three, b.Get(4), "what is beyond shares one")
-	require.Same(t, one, b.Get(1), "what is held stays")
+	require.Same(t, three, b.Get(4), "keys beyond the limit share one metric")
+	require.Same(t, one, b.Get(1), "a key that is held keeps its metric")
 	require.Equal(t, map[int]int{1: 1, 2: 1, -1: 1}, made)
 	require.Zero(t, testing.AllocsPerRun(100, func() { b.Get(1) }))
 }
--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -1,8 +1,7 @@
-// Package telemetry sets up what the on-call person reads: counters first, then
-// spans, then log lines.
+// Package telemetry sets up the metrics and the log of a daemon.
 //
-// Every decision is counted by reason in a tally.Scope that the parts are
-// handed in their options; Metrics serves all of them for Prometheus. Each hop
-// of a request is a span; see Tracing. Log lines are written for changes of
-// state only.
+// Every decision is counted by reason. Each component gets a tally.Scope in its
+// options and counts there; Metrics serves all scopes to Prometheus. Spans are
+// recorded by package trace. The log has lines only for changes of state, so the
+// on-call person looks at metrics first, then at spans, then at the log.
 package telemetry
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -11,8 +11,8 @@
 	FormatText = "text"
 )
 
-// NewLogger returns a logger that writes lines of a format at a level and
-// above. Any format but FormatText is FormatJSON.
+// NewLogger returns a logger that writes lines of at least the given level. Any
+// format other than FormatText means FormatJSON.
 func NewLogger(w io.Writer, format string, level slog.Level) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: level}
 	if format == FormatText {
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -12,18 +12,19 @@
 	promreporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// Prefix starts the name of every metric.
+// Prefix is the prefix of all metric names.
 const Prefix = "dottereltiller"
 
-// reportInterval is how old a figure at the endpoint can be.
+// reportInterval is the default report interval: served values are at most this
+// old.
 const reportInterval = time.Second
 
-// latencyBuckets are the bounds of timers, in seconds.
+// latencyBuckets are the histogram buckets of timers, in seconds.
 var latencyBuckets = []float64{.0002, .0005, .001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10}
 
-// Metrics collects counters, gauges and timers and serves them for Prometheus.
+// Metrics collects counters, gauges and timers and serves them to Prometheus.
 type Metrics struct {
-	// Scope is the root scope. Parts take a sub-scope of it.
+	// Scope is the root scope. Each component uses a sub-scope.
 	Scope    tally.Scope
 	reporter promreporter.Reporter
 	registry *prometheus.Registry
@@ -31,11 +32,12 @@
 }
 
 // NewMetrics returns a Metrics with its own registry, so that several daemons
-// in one process do not share figures. Close ends its reporting.
+// in one process do not share metrics. Call Close to stop its reporting goroutine.
 func NewMetrics(logger *slog.Logger) *Metrics { return NewMetricsWithInterval(logger, reportInterval) }
 
-// NewMetricsWithInterval is NewMetrics with another age that figures may reach. A longer
-// one wakes an idle process less often.
+// NewMetricsWithInterval is NewMetrics with another report interval. Values are up
+// to an interval old when served; a longer interval wakes an idle process less
+// often.
 func NewMetricsWithInterval(logger *slog.Logger, interval time.Duration) *Metrics {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -61,28 +63,29 @@
 	return &Metrics{Scope: scope, reporter: reporter, registry: registry, closer: closer}
 }
 
-// sanitizer returns the usual rules for names, and lets values hold dots, colons
-// and dashes, so that reasons read as in the answers to callers.
+// sanitizeOptions returns the default rules for names, and allows dashes, dots,
+// colons and slashes in label values, so that reasons are spelled as in the
+// responses to callers.
 func sanitizer() *tally.SanitizeOptions {
 	o := promreporter.DefaultSanitizerOpts
 	o.ValueCharacters.Characters = []rune{'_', '-', '.', ':', '/'}
 	return &o
 }
 
-// Handler serves the figures in the Prometheus text format.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// GaugeFunc adds a figure that is read when the figures are asked for. Its name gets
-// the prefix.
+// GaugeFunc registers a gauge whose value is read at each scrape. Prefix is added
+// to the name.
 func (m *Metrics) GaugeFunc(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Name: Prefix + "_" + name, Help: help}, read))
 }
 
-// Close reports what is pending and ends the reporting.
+// Close reports pending values and stops the reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// OrNoop returns the scope, or one that drops everything when it is nil.
+// OrNoop returns s, or tally.NoopScope when s is nil.
 func OrNoop(s tally.Scope) tally.Scope {
 	if s == nil {
 		return tally.NoopScope
--- a/telemetry/outcomes.go
+++ b/telemetry/outcomes.go
@@ -6,8 +6,8 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// OutcomeCounter counts outcomes by their kind and reason. It is safe for
-// concurrent use and allocates nothing once an outcome has been seen.
+// OutcomeCounter counts outcomes by kind and reason. It is safe for concurrent use
+// and allocates only for the first outcome of each kind and reason.
 type OutcomeCounter struct {
 	counters *BoundedMetrics[outcomeKey, tally.Counter]
 }
@@ -17,11 +17,13 @@
 	reason outcome.Reason
 }
 
-// maxOutcomes bounds the reasons that are told apart. Reasons are constants of
-// package outcome; more can only come from a faulty peer.
+// maxOutcomes bounds the pairs of kind and reason that have a counter of their own.
+// Reasons are constants of package outcome, far fewer than this; only a faulty peer
+// can send others.
 const maxOutcomes = 256
 
-// NewOutcomeCounter returns a counter of a name in a scope; nil counts nothing.
+// NewOutcomeCounter returns an OutcomeCounter that counts under the given name in
+// scope. Nothing is counted when scope is nil.
 func NewOutcomeCounter(scope tally.Scope, name string) *OutcomeCounter {
 	scope = OrNoop(scope)
 	other := func(k outcomeKey) outcomeKey { return outcomeKey{k.kind, "other"} }
@@ -32,7 +34,7 @@
 	return &OutcomeCounter{counters: NewBoundedMetrics(maxOutcomes, other, add)}
 }
 
-// Count counts one outcome.
+// Count increments the counter of an outcome's kind and reason.
 func (c *OutcomeCounter) Count(o outcome.Outcome) {
 	c.counters.Get(outcomeKey{o.Kind, o.Reason}).Inc(1)
 }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -19,7 +19,7 @@
 	c.Count(outcome.NotRunBecause(outcome.ReasonQueueFull))
 	c.Count(outcome.NotRunBecause(outcome.ReasonQueueFull))
 	c.Count(outcome.Done())
-	require.NoError(t, m.Close(), "closing reports what is pending")
+	require.NoError(t, m.Close(), "Close must report pending values")
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	require.Contains(t, w.Body.String(), `dottereltiller_entry_requests{outcome="not-run",reason="queue-full"} 2`)
--- a/telemetry/version.go
+++ b/telemetry/version.go
@@ -2,8 +2,8 @@
 
 import "runtime/debug"
 
-// Version returns the version that the build recorded: the module's version, or
-// the revision of the working copy, or "devel".
+// Version returns the version from the build information: the module version, else
+// the VCS revision, else "devel".
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
