--- a/trace/handler.go
+++ b/trace/handler.go
@@ -8,8 +8,8 @@
 	"github.com/dottereltiller/dottereltiller/admin"
 )
 
-// ServeRecent answers with the records kept, as a JSON list, oldest first. The
-// query parameter trace_id limits them to one trace.
+// ServeRecent writes the records in t.Recent as a JSON array, oldest first. The
+// query parameter trace_id restricts the output to one trace.
 func (t *Tracer) ServeRecent(w http.ResponseWriter, r *http.Request) {
 	records := []Record{}
 	if t != nil {
@@ -19,7 +19,8 @@
 	_ = json.NewEncoder(w).Encode(records)
 }
 
-// FilterByTraceID returns the records of one trace, all when the ID is empty.
+// FilterByTraceID returns the records with the given trace ID, or all records when
+// the ID is empty.
 func FilterByTraceID(records []Record, traceID string) []Record {
 	out := []Record{}
 	for _, r := range records {
@@ -30,7 +31,7 @@
 	return out
 }
 
-// Fetch reads the recent records of a daemon from its admin address.
+// Fetch reads the recent records of a daemon from its admin address (host:port).
 func Fetch(ctx context.Context, address string) ([]Record, error) {
 	var records []Record
 	err := admin.Get(ctx, address, "/traces", &records)
--- a/trace/render.go
+++ b/trace/render.go
@@ -10,22 +10,24 @@
 	"time"
 )
 
-// entrySpan names the first span of a request.
+// entrySpanName is the name of the outermost span that a daemon records for a
+// request.
 const entrySpan = "entry"
 
-// Tree is one trace: its spans from the first down.
+// Tree holds the spans of one trace. It has one root unless spans are missing.
 type Tree struct {
 	TraceID string
 	Roots   []*Node
 }
 
-// Node is a span with those below it, ordered by start.
+// Node is a span with its child spans, ordered by start time.
 type Node struct {
 	Record
 	Children []*Node
 }
 
-// Duration is the time from the first start to the last end.
+// Duration returns the time from the start of the first root to the end of the root
+// that ended last.
 func (t *Tree) Duration() time.Duration {
 	var end time.Time
 	for _, r := range t.Roots {
@@ -38,13 +40,14 @@
 
 func (r Record) elapsed() time.Duration { return time.Duration(r.DurationUs) * time.Microsecond }
 
-// Complete reports whether the tree begins where the request came in, and not at
-// a span whose parent is no longer kept.
+// Complete reports whether the entry span is the only root. Otherwise a span is
+// missing, for example since a Ring has overwritten it.
 func (t *Tree) Complete() bool { return len(t.Roots) == 1 && t.Roots[0].Name == entrySpan }
 
-// BuildTrees joins records, from any number of daemons and in any order, to trees:
-// the complete ones first, and of each kind the slowest first. A span whose
-// parent is missing becomes a root.
+// BuildTrees groups records into one tree for each trace. The records may come from
+// several daemons and in any order. A span whose parent is missing becomes a root.
+// Complete trees come first, then incomplete ones; both are sorted by duration,
+// longest first.
 func BuildTrees(records []Record) []*Tree {
 	nodes := make(map[string]*Node, len(records))
 	for _, r := range records {
@@ -77,7 +80,7 @@
 	return out
 }
 
-// compareBool orders false before true.
+// compareBool compares two bools like cmp.Compare, with false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -98,13 +101,13 @@
 	}
 }
 
-// shown lists the attributes in the order in which they are printed.
+// printedAttributes lists the attributes that Print shows, in that order.
 var shown = []string{
 	"http.request.method", "url.path", "service", "group", "caller", "upstream", "attempt", "outcome", "reason",
 }
 
-// Print writes a tree: when each span began after the first, how long it took,
-// and where.
+// Print writes the tree as a table with one row for each span: its start relative
+// to the first root, its duration, name, daemon, zone and attributes.
 func (t *Tree) Print(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "trace %s\n", t.TraceID); err != nil {
 		return err
--- a/trace/ring.go
+++ b/trace/ring.go
@@ -9,14 +9,14 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// Record is one span that has ended.
+// Record is an ended span.
 type Record struct {
 	TraceID string `json:"trace_id"`
 	SpanID  string `json:"span_id"`
-	// ParentID is empty for the first span of a trace.
+	// ParentID is empty for the root span of a trace.
 	ParentID string `json:"parent_id,omitempty"`
 	Name     string `json:"name"`
-	// Daemon and Zone tell where the span was recorded.
+	// Daemon and Zone identify the daemon that recorded the span.
 	Daemon     string            `json:"daemon"`
 	Zone       string            `json:"zone"`
 	Start      time.Time         `json:"start"`
@@ -24,7 +24,7 @@
 	Attributes map[string]string `json:"attributes,omitempty"`
 }
 
-// Ring keeps the most recent records. It is safe for concurrent use.
+// Ring is a ring buffer of the most recent records. It is safe for concurrent use.
 type Ring struct {
 	mu      sync.Mutex
 	records []Record
@@ -32,10 +32,11 @@
 	full    bool
 }
 
-// NewRing returns a Ring of a size; 0 keeps nothing.
+// NewRing returns a Ring that holds up to size records. With size 0 it drops all
+// records.
 func NewRing(size int) *Ring { return &Ring{records: make([]Record, size)} }
 
-// Add keeps a record in place of the oldest.
+// Add stores a record. It overwrites the oldest one when the ring is full.
 func (r *Ring) Add(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,7 +50,7 @@
 	}
 }
 
-// Records returns what is kept, oldest first.
+// Records returns the stored records, oldest first.
 func (r *Ring) Records() []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +60,7 @@
 	return slices.Concat(r.records[r.next:], r.records[:r.next])
 }
 
-// recorder hands ended spans to a Ring. It implements sdktrace.SpanProcessor.
+// ringProcessor is a sdktrace.SpanProcessor that adds ended spans to a Ring.
 type recorder struct {
 	ring   *Ring
 	daemon string
--- a/trace/span.go
+++ b/trace/span.go
@@ -13,13 +13,14 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Span is one hop of a recorded request. The zero value records nothing.
+// Span is the span of one hop of a request. The methods of the zero Span do
+// nothing.
 type Span struct {
 	span oteltrace.Span
 }
 
-// Start starts a span below the one that ctx carries. When that one is not
-// recorded it returns ctx and the zero Span, at no allocation.
+// Start starts a child of the span in ctx. When the span in ctx is not recorded,
+// it returns ctx and the zero Span without allocating.
 func Start(ctx context.Context, name string) (context.Context, Span) {
 	parent := oteltrace.SpanFromContext(ctx)
 	if !parent.IsRecording() {
@@ -30,15 +31,15 @@
 	return ctx, Span{span: span}
 }
 
-// Inject writes the trace that ctx carries into headers. Without one the
-// headers keep what they hold.
+// Inject sets the traceparent header to the span in ctx. It leaves the headers
+// unchanged when ctx has no span.
 func Inject(ctx context.Context, h http.Header) {
 	if oteltrace.SpanContextFromContext(ctx).IsValid() {
 		propagator.Inject(ctx, propagation.HeaderCarrier(h))
 	}
 }
 
-// SetCallAttributes adds what is known of a call.
+// SetCallAttributes sets the span's attributes that describe a call.
 func (s Span) SetCallAttributes(c *wire.Call) {
 	if s.span == nil {
 		return
@@ -52,7 +53,7 @@
 	)
 }
 
-// End ends the span with an outcome.
+// End records an outcome on the span and ends it.
 func (s Span) End(o outcome.Outcome) {
 	if s.span == nil {
 		return
@@ -67,13 +68,13 @@
 	s.span.End()
 }
 
-// Forwarder sends a call to the guard of its upstream.
+// Forwarder sends a call to the guard in front of the call's upstream.
 type Forwarder interface {
 	Do(ctx context.Context, c *wire.Call) *wire.Result
 }
 
-// Guard records a span around the calls to a guard in the same process, as
-// Tracer.Handler does around those from other daemons.
+// TracedGuard records a span around each call to the guard in the same process.
+// For calls from other daemons Tracer.Handler does the same.
 type Guard struct {
 	Next Forwarder
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -28,8 +28,9 @@
 	return tr
 }
 
-// serve sends a request with a traceparent through a traced entry, attempt and
-// upstream and returns the traceparent that the upstream got.
+// serveTraced sends a request with the given traceparent header, or none if it is
+// empty, through a handler that records an entry span and an attempt span. It
+// returns the traceparent header that an upstream would receive.
 func serve(t *Tracer, traceparent string) string {
 	var seen string
 	h := t.Handler("entry", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +76,7 @@
 	unsampled := parent[:len(parent)-1] + "0"
 	seen := serve(tr, unsampled)
 	require.Empty(t, tr.Recent.Records())
-	require.Equal(t, parent[:35], seen[:35], "the trace ID goes on")
+	require.Equal(t, parent[:35], seen[:35], "the trace ID must be forwarded")
 	require.Equal(t, "00", seen[len(seen)-2:])
 }
 
@@ -86,7 +87,7 @@
 	require.Empty(t, serve(tr, ""))
 }
 
-// off runs the calls that the data path makes for each attempt.
+// traceAttempt makes the calls to this package that forwarding one attempt makes.
 func off(ctx context.Context, call *wire.Call) {
 	ctx, span := Start(ctx, "attempt")
 	span.SetCallAttributes(call)
@@ -179,7 +180,7 @@
 	for _, tree := range trees {
 		order = append(order, tree.TraceID)
 	}
-	require.Equal(t, []string{"t", "other", "partial"}, order, "complete ones first, then the slowest")
+	require.Equal(t, []string{"t", "other", "partial"}, order, "complete trees first, then by duration")
 	var out bytes.Buffer
 	require.NoError(t, trees[0].Print(&out))
 	require.Equal(t, `trace t
--- a/trace/tracer.go
+++ b/trace/tracer.go
@@ -18,7 +18,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Exporters.
+// Values of Options.Exporter.
 const (
 	ExporterNone   = "none"
 	ExporterStdout = "stdout"
@@ -27,26 +27,27 @@
 
 // Options configure a Tracer.
 type Options struct {
-	// Daemon and Zone tell where a span was recorded.
+	// Daemon and Zone identify this daemon in its spans.
 	Daemon string
 	Zone   string
 	// Exporter is one of the Exporter constants. Empty means ExporterNone.
 	Exporter string
-	// Endpoint is host:port of the collector for ExporterOTLP.
+	// Endpoint is host:port of the OTLP collector that ExporterOTLP sends to.
 	Endpoint string
-	// Stdout receives the spans of ExporterStdout.
+	// Stdout is the writer that ExporterStdout writes spans to.
 	Stdout io.Writer
-	// Sample is the share of requests recorded among those whose caller has
-	// not decided.
+	// SampleRatio is the share, 0 to 1, of the requests without a traceparent
+	// header that are traced. For other requests the caller's sampled flag
+	// decides. 0 turns tracing off for all requests.
 	Sample float64
-	// Keep is the number of recent spans kept in the Ring.
+	// RecentSpans is the number of spans that Tracer.Recent holds.
 	Keep int
 }
 
-// scopeName names the instrumentation to OpenTelemetry.
+// scopeName is the OpenTelemetry instrumentation scope.
 const scopeName = "github.com/dottereltiller/dottereltiller"
 
-// Tracer starts the traces of a daemon. A nil *Tracer records nothing.
+// Tracer records the spans of a daemon. A nil *Tracer records nothing.
 type Tracer struct {
 	// Recent holds the most recent spans.
 	Recent   *Ring
@@ -54,7 +55,7 @@
 	tracer   oteltrace.Tracer
 }
 
-// New returns a Tracer, nil when the options record nothing. Shutdown ends it.
+// New returns a Tracer, or nil when SampleRatio is 0. Call Shutdown to stop it.
 func New(ctx context.Context, o Options) (*Tracer, error) {
 	if o.Sample <= 0 {
 		return nil, nil
@@ -95,10 +96,10 @@
 	}
 }
 
-// noProxy keeps the environment's proxy settings out.
+// noProxy makes the exporter ignore proxy settings in the environment.
 func noProxy(*http.Request) (*url.URL, error) { return nil, nil }
 
-// Shutdown exports what is pending and ends the Tracer.
+// Shutdown exports pending spans and stops the Tracer.
 func (t *Tracer) Shutdown(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -108,8 +109,9 @@
 
 var propagator propagation.TraceContext
 
-// Handler records a server span of the name around every request, as part of
-// the trace that its headers name. Without a Tracer it returns next.
+// Handler returns a handler that records a server span around every request to
+// next. The span continues the trace in the request's traceparent header, if any.
+// A nil Tracer returns next.
 func (t *Tracer) Handler(name string, next http.Handler) http.Handler {
 	if t == nil {
 		return next
@@ -125,7 +127,8 @@
 	})
 }
 
-// annotate adds what the request asked for and what the caller was told.
+// setServerAttributes sets the request's method and path and the response's outcome
+// and reason as span attributes.
 func annotate(span oteltrace.Span, w http.ResponseWriter, r *http.Request) {
 	span.SetAttributes(
 		attribute.String("http.request.method", r.Method),
