--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -7,8 +7,8 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// adminHandler serves what operators, monitoring and the upstreams of this VM
-// ask for. Off this VM it is read-only.
+// adminHandler returns the handler of the admin address, for operators, monitoring
+// and the upstreams of this VM. Requests from other hosts can only read.
 func (d *Daemon) adminHandler() http.Handler {
 	for _, reason := range []string{refusedUnreadable, refusedInvalid, refusedTooMany} {
 		d.refusedAnnouncements(reason)
@@ -26,19 +26,20 @@
 	return r
 }
 
-// Health is the body of /healthz and /readyz.
+// Health is the response body of /healthz and /readyz.
 type Health struct {
 	OK bool `json:"ok"`
-	// Lacking names what keeps the daemon from being ready.
+	// MissingConditions lists why the daemon is not ready.
 	Lacking []string `json:"lacking,omitempty"`
 }
 
-// healthz tells that the process runs and its parts are supervised.
+// healthz responds 200 as long as the process can serve HTTP. It does not depend on
+// the state of single components, which the supervisor restarts.
 func (d *Daemon) healthz(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, Health{OK: true})
 }
 
-// readyz tells whether callers should be sent here.
+// readyz responds 200 when the daemon can serve callers, else 503.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
 	h := d.health()
 	status := http.StatusOK
--- a/daemon/admin_test.go
+++ b/daemon/admin_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOnlyThisVMMayChangeAnything asks from another host, from loopback and
-// from the VM's own address.
+// TestChangesAreAllowedOnlyFromThisVM sends requests from another host, from loopback
+// and from the VM's own address. Only the last two may change anything; the other
+// host may read.
 func TestOnlyThisVMMayChangeAnything(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
 	h := d.adminHandler()
--- a/daemon/announce.go
+++ b/daemon/announce.go
@@ -18,7 +18,8 @@
 	"github.com/dottereltiller/dottereltiller/strictjson"
 )
 
-// Announcement is what an upstream tells the daemon of its VM.
+// Announcement is the body of the request with which an upstream registers at the
+// daemon of its VM, and later renews or changes its registration.
 type Announcement struct {
 	Service     model.ServiceName `json:"service"`
 	Address     string            `json:"address"`
@@ -26,11 +27,12 @@
 	Incarnation model.Incarnation `json:"incarnation"`
 	Labels      model.Labels      `json:"labels,omitempty"`
 	Draining    bool              `json:"draining,omitempty"`
-	// LoadPath is the path at Address of the upstream's load report, an object
-	// with the number of requests "running". Empty: none.
+	// LoadPath is the path at Address from which the guard polls a load report, a
+	// JSON object with the number of requests "running". Empty means that the
+	// upstream has no load report.
 	LoadPath string `json:"load_path,omitempty"`
-	// Lease is how long the announcement holds unless it is made again. Zero
-	// means until the upstream says otherwise.
+	// Lease is how long the announcement is valid unless the upstream repeats it.
+	// Zero means that it does not expire.
 	Lease policy.Duration `json:"lease,omitempty"`
 }
 
@@ -39,11 +41,11 @@
 	maxSlots        = 1 << 16
 	minLease        = time.Second
 	maxLease        = time.Hour
-	// maxLocalUpstreams bounds the upstreams of one VM.
+	// maxLocalUpstreams bounds the number of upstreams on one VM.
 	maxLocalUpstreams = 64
 )
 
-// parseAnnouncement reads an announcement. Its errors are of type
+// parseAnnouncement parses and checks an announcement. Its errors are of type
 // *strictjson.FieldError.
 func parseAnnouncement(data []byte) (Announcement, error) {
 	var a Announcement
@@ -55,7 +57,7 @@
 		return a, &strictjson.FieldError{Path: "service", Value: `""`, Message: "must be set"}
 	case !isHostPort(a.Address):
 		return a, &strictjson.FieldError{
-			Path: "address", Value: strconv.Quote(a.Address), Message: "want host:port with the host an IP number",
+			Path: "address", Value: strconv.Quote(a.Address), Message: "want host:port with an IP address as host",
 		}
 	case a.Slots < 1 || a.Slots > maxSlots:
 		return a, &strictjson.FieldError{
@@ -72,7 +74,7 @@
 		}
 	case a.Incarnation == 0:
 		return a, &strictjson.FieldError{
-			Path: "incarnation", Value: "0", Message: "must be larger than in the upstream's last life, at least 1",
+			Path: "incarnation", Value: "0", Message: "must be at least 1 and increase with each start of the upstream",
 		}
 	}
 	return a, nil
@@ -87,23 +89,23 @@
 	return err == nil && n > 0
 }
 
-// onlyThisVM refuses requests from other hosts: the address has no
-// authentication, so that off the VM it is read-only. An upstream announces
-// itself to the daemon beside it.
+// requireSameVM responds 403 to requests from other hosts. The admin address has no
+// authentication, so changes are allowed only from this VM. Upstreams need no more,
+// since they announce themselves to the daemon on their own VM.
 func (d *Daemon) onlyThisVM(next http.Handler) http.Handler {
 	refused := d.scope("admin").Tagged(map[string]string{"reason": "not-this-vm"}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !sameHost(r) {
 			refused.Inc(1)
-			http.Error(w, "only from this VM: this address is read-only for others", http.StatusForbidden)
+			http.Error(w, "this address is read-only except for requests from this VM", http.StatusForbidden)
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// sameHost reports whether a request came over loopback or from the address it
-// was sent to.
+// isFromThisVM reports whether the sender of a request has a loopback address or the
+// same IP address as the one on which the request arrived.
 func sameHost(r *http.Request) bool {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -140,14 +142,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Reasons for refusing an announcement.
+// Values of the label reason of the counter of refused announcements.
 const (
 	refusedUnreadable = "unreadable"
 	refusedInvalid    = "invalid"
 	refusedTooMany    = "too-many"
 )
 
-// refusedAnnouncements returns the counter of a reason.
+// refusedAnnouncementsCounter returns the counter of announcements refused for a
+// reason.
 func (d *Daemon) refusedAnnouncements(reason string) tally.Counter {
 	return d.scope("announcements").Tagged(map[string]string{"reason": reason}).Counter("refused")
 }
@@ -157,7 +160,8 @@
 	http.Error(w, err.Error(), status)
 }
 
-// takeIn hands a valid announcement to the guard and to the membership view.
+// applyAnnouncement updates the guard and the membership view with a valid
+// announcement.
 func (d *Daemon) takeIn(id model.UpstreamID, a Announcement) {
 	up := model.Upstream{
 		ID:          id,
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -24,7 +24,8 @@
   {"kind": "SharingPolicy", "name": "fyn", "spec": {"services": "mesh=fyn", "groups": [
     {"name": "sorters", "callers": "role=sorter", "weight": 1}], "default_group": "sorters"}}]`
 
-// start runs one daemon with one upstream of the service returdesk.
+// startSingle starts a deployment of one daemon with one upstream of the service
+// returdesk.
 func start(t *testing.T, change func(*settings.Settings)) *local.Deployment {
 	t.Helper()
 	return startIn(t, []model.AvailabilityZone{"odense-hal-a"}, 1, change)
@@ -64,9 +65,11 @@
 
 const waitLimit = 20 * time.Second
 
-// TestMalformedRequestsAreRefused sends requests that two programs could read
-// differently. Each is refused or, where net/http hides the conflict, is the
-// last on its connection; what follows it must never run.
+// TestMalformedRequestsAreRefused guards against request smuggling. It sends
+// requests whose end two HTTP implementations could see at different places, each
+// followed by a second request. The daemon must refuse the first request or, where
+// net/http hides the conflict between Content-Length and chunked encoding, close the
+// connection after it. The second request must never reach the upstream.
 func TestMalformedRequestsAreRefused(t *testing.T) {
 	d := start(t, nil)
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Request: smuggled\r\n\r\n"
@@ -108,10 +111,10 @@
 		body   io.Reader
 		status int
 	}{
-		"within":           {header: 1 << 10, body: strings.NewReader(strings.Repeat("x", 1<<10)), status: 200},
-		"header":           {header: 16 << 10, status: 431},
-		"announced length": {body: strings.NewReader(strings.Repeat("x", 2<<10)), status: 413},
-		"unknown length":   {body: io.MultiReader(strings.NewReader(strings.Repeat("x", 2<<10))), status: 413},
+		"within the limits":           {header: 1 << 10, body: strings.NewReader(strings.Repeat("x", 1<<10)), status: 200},
+		"header too large":            {header: 16 << 10, status: 431},
+		"body with Content-Length":    {body: strings.NewReader(strings.Repeat("x", 2<<10)), status: 413},
+		"body without Content-Length": {body: io.MultiReader(strings.NewReader(strings.Repeat("x", 2<<10))), status: 413},
 	} {
 		t.Run(name, func(t *testing.T) {
 			req, err := http.NewRequest(http.MethodPut, url, c.body)
@@ -126,8 +129,9 @@
 	}
 }
 
-// TestACallerThatStopsSendingIsEnded leaves a body half sent, both to a service
-// that waits for it and to one that refuses the request at once.
+// TestRequestOfACallerThatStopsSendingIsAborted sends part of a body and then nothing,
+// both in a request that needs the whole body and in one that is refused without it.
+// The daemon must respond and close the connection after the stall timeout.
 func TestACallerThatStopsSendingIsEnded(t *testing.T) {
 	d := start(t, stallSoon)
 	for host, status := range map[string]string{"returdesk.fyn": "400", "nobody.fyn": "404"} {
@@ -155,8 +159,9 @@
 	}
 }
 
-// TestACallerThatStopsReadingIsEnded asks for more than the sockets hold and
-// reads none of it; the slot at the upstream must come free.
+// TestRequestOfACallerThatStopsReadingIsAborted requests a response that is larger
+// than the socket buffers and does not read it. The request must be aborted after the
+// stall timeout, which frees its slot at the upstream.
 func TestACallerThatStopsReadingIsEnded(t *testing.T) {
 	d := start(t, stallSoon)
 	n := d.Nodes[0]
@@ -177,8 +182,9 @@
 	s.Callers.StallTimeout = policy.Duration(100 * time.Millisecond)
 }
 
-// TestARequestMayRunLongerThanTheStallTimeout holds a request at the upstream:
-// only progress of the caller is limited.
+// TestARequestMayRunLongerThanTheStallTimeout sends requests that take the upstream
+// longer than the stall timeout. They must succeed: the timeout limits only how long
+// the caller may make no progress.
 func TestARequestMayRunLongerThanTheStallTimeout(t *testing.T) {
 	d := start(t, stallSoon)
 	for _, http2 := range []bool{false, true} {
@@ -205,8 +211,9 @@
 	return &http.Client{Transport: transport}
 }
 
-// TestAConnectionIsUsedAgain keeps the limits of one request from hitting the
-// next on the connection.
+// TestDeadlinesDoNotCarryOverOnAConnection sends several requests on one connection,
+// each longer than the stall timeout. A deadline set for one request must not abort
+// the next one.
 func TestAConnectionIsUsedAgain(t *testing.T) {
 	d := start(t, stallSoon)
 	conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
@@ -222,7 +229,8 @@
 	}
 }
 
-// TestConnectionsOverTheLimitAreClosed opens one more than allowed.
+// TestConnectionsOverTheLimitAreClosed opens one connection more than the limit. It
+// must be closed, and the others must go on.
 func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
 	d := start(t, func(s *settings.Settings) { s.Callers.MaxConnections = 2 })
 	address := d.Nodes[0].Daemon.CallerAddress()
@@ -242,12 +250,14 @@
 	require.True(t, answered(first))
 	require.True(t, answered(second))
 	require.False(t, answered(dial(t, address)))
-	require.True(t, answered(second), "those open go on")
+	require.True(t, answered(second), "connections within the limit stay usable")
 	require.NoError(t, first.Close())
 	require.Eventually(t, func() bool { return answered(dial(t, address)) }, waitLimit, 5*time.Millisecond)
 }
 
-// TestACancelledCallerEndsTheRun holds a request at the upstream and cancels it.
+// TestCancelledRequestEndsAtTheUpstream closes the caller's connection while the
+// upstream runs the request. The slot at the upstream must come free long before the
+// request's deadline.
 func TestACancelledCallerEndsTheRun(t *testing.T) {
 	d := start(t, nil)
 	n := d.Nodes[0]
@@ -260,10 +270,11 @@
 	require.Eventually(t, func() bool { return running() == 0 }, serviceDeadline/2, time.Millisecond)
 }
 
-// serviceDeadline is that of the service returdesk in documents.
+// serviceDeadline is the deadline of the service returdesk in documentsJSON.
 const serviceDeadline = 20 * time.Second
 
-// TestAShutdownCutsNoRequest stops two daemons while requests cross them.
+// TestShutdownWaitsForRequestsInFlight stops two daemons while both have requests in
+// flight. All requests must complete.
 func TestAShutdownCutsNoRequest(t *testing.T) {
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
 	d := startIn(t, zones, 2, nil)
--- a/daemon/ceiling.go
+++ b/daemon/ceiling.go
@@ -7,14 +7,15 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// buildCeilings sets up this daemon's parts of the groups' ceilings.
+// buildCeilings sets up this daemon's shares of the ceilings. A ceiling is a limit on
+// the rate or the concurrency of a group's requests, counted over all daemons.
 func (d *Daemon) buildCeilings() {
 	d.Ceilings = ceiling.NewStore(ceiling.Options{Self: d.ID(), Now: d.now, Scope: d.scope("ceiling")})
 	d.Exchanger.Register(d.Ceilings)
 	d.Config.OnChange(func(c *configuration.InForce) { d.Ceilings.Configure(ceilingsOf(c.Set)) })
 }
 
-// ceilingsOf returns the ceilings that a configuration declares.
+// ceilingsOf returns the ceilings that are configured for the groups of all services.
 func ceilingsOf(set *policy.Set) map[core.Key]core.Limits {
 	limits := make(map[core.Key]core.Limits)
 	for _, name := range set.Services() {
--- a/daemon/conns.go
+++ b/daemon/conns.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// connTracker follows the connections of one server, which net/http does not
-// show. It is what a drain goes by.
+// connTracker tracks the open connections and the requests in flight of one server,
+// which net/http does not expose. A shutdown uses it to wait for them.
 type connTracker struct {
-	// leaving makes every answer ask its connection to end.
+	// draining makes every response ask the client to close the connection.
 	leaving atomic.Bool
-	// active counts the requests in flight.
+	// inFlight is the number of requests in flight.
 	active atomic.Int64
 
 	mu sync.Mutex
-	// open maps each connection to the time since when no request came, the
-	// zero time after the first.
+	// conns has an entry for each open connection: the time at which it was
+	// accepted, or the zero time once a request has arrived on it.
 	open map[net.Conn]time.Time
 }
 
 func newConnTracker() *connTracker { return &connTracker{open: make(map[net.Conn]time.Time)} }
 
-// follow is the ConnState hook of the server.
+// trackState is the server's ConnState hook.
 func (t *connTracker) follow(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// bothHooks calls two ConnState hooks in turn.
+// chainConnStateHooks returns a ConnState hook that calls two hooks in turn.
 func bothHooks(first, second func(net.Conn, http.ConnState)) func(net.Conn, http.ConnState) {
 	return func(conn net.Conn, state http.ConnState) {
 		first(conn, state)
@@ -47,28 +47,29 @@
 	}
 }
 
-// count returns the number of open connections.
+// openConns returns the number of open connections.
 func (t *connTracker) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.open)
 }
 
-// closeUnused closes the connections that no request came on for a time since
-// they were opened. A client's pool opens such connections in advance, and
-// http.Server.Shutdown waits 5 seconds for a request on each.
+// closeUnused closes the connections that have been open for at least age and have
+// never carried a request. Connection pools of clients open such connections in
+// advance, and http.Server.Shutdown waits 5 seconds for a first request on each.
 func (t *connTracker) closeUnused(age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for conn, since := range t.open {
-		if !since.IsZero() && time.Since(since) >= age {
+	for conn, acceptedAt := range t.open {
+		if !acceptedAt.IsZero() && time.Since(acceptedAt) >= age {
 			_ = conn.Close()
 		}
 	}
 }
 
-// handler counts the requests in flight and, while leaving, asks connections to
-// end after their answer: by Connection: close, or GOAWAY on HTTP/2.
+// wrap returns a handler that counts the requests in flight. While the server is
+// draining, it also sets Connection: close on each response, for which net/http sends
+// GOAWAY on HTTP/2.
 func (t *connTracker) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		t.active.Add(1)
@@ -82,12 +83,12 @@
 
 const (
 	drainPoll = 10 * time.Millisecond
-	// unusedAge is how long a connection may be open without a request before
-	// a server that stops closes it.
+	// maxUnusedAge is how long a connection may be open without a first request
+	// before a server that is shutting down closes it.
 	unusedAge = 500 * time.Millisecond
 )
 
-// awaitGone waits until all connections or the context have ended.
+// waitUntilClosed waits until all connections are closed or the context is done.
 func (t *connTracker) awaitGone(ctx context.Context) {
 	tick := time.NewTicker(drainPoll)
 	defer tick.Stop()
@@ -100,9 +101,9 @@
 	}
 }
 
-// stop ends a server: it takes no new connections, closes the idle and the
-// unused ones and waits for the requests in flight. When the context ends first
-// it returns an error and leaves them.
+// shutdown stops accepting connections, closes the idle and the unused connections
+// and waits for the requests in flight. When the context is done before that, it
+// returns an error and leaves the remaining connections open.
 func (t *connTracker) stop(ctx context.Context, s *http.Server) error {
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(ctx) }()
--- a/daemon/conns_test.go
+++ b/daemon/conns_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStopDoesNotWaitForUnusedConnections holds open a connection without a
-// request, for which net/http alone waits longer than the stop is given.
+// TestStopDoesNotWaitForUnusedConnections opens a connection without sending a
+// request. http.Server.Shutdown waits 5 seconds for such a connection, longer than
+// the timeout here; connTracker.shutdown must not.
 func TestStopDoesNotWaitForUnusedConnections(t *testing.T) {
 	const given = 2 * time.Second
 	for name, tracked := range map[string]bool{"tracked": true, "net/http alone": false} {
@@ -39,9 +40,9 @@
 	}
 }
 
-// TestRequestsOnClosedConnectionsAreNotHandedOn guards against a request that is passed on
-// though its caller can get no answer: a server that stops closed its connection, which it
-// took for unused, as the request was read.
+// TestRequestsOnClosedConnectionsAreNotForwarded guards against forwarding a request whose
+// caller can no longer receive a response. This happens when a server that is shutting
+// down closes a connection as unused while a request is being read from it.
 func TestRequestsOnClosedConnectionsAreNotHandedOn(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -15,20 +15,22 @@
 )
 
 const (
-	// membershipReads is how many intervals of the log pass between two
-	// readings of the membership stream, whose news come from peers first.
+	// membershipReadIntervals is the number of log polling intervals between two
+	// reads of the membership stream. It is read less often than the configuration
+	// since peers report membership changes before the log does.
 	membershipReads = 5
 	leaveTimeout    = time.Second
 	leaveFanout     = 6
 )
 
-// heardWithin is how recent a round with a peer must be for this daemon to rely
-// on its peers for news.
+// maxRoundAge is the age of the last gossip round with a peer up to which this daemon
+// relies on its peers for updates and seldom reads the log.
 const heardWithin = 4 * time.Second
 
-// buildControl sets up what daemons agree on: configuration, membership and the
-// exchange between them. Further topics are registered on d.Exchanger, and
-// further messages on d.PeerService, before Serve starts.
+// buildControl sets up the control plane of the daemon: the configuration store, the
+// membership registry, and the exchanger that gossips their state with other daemons.
+// The other build methods register further topics on d.Exchanger and handlers on
+// d.PeerService. All this happens before Serve starts.
 func (d *Daemon) buildControl() {
 	client := recordlog.NewClient(d.settings.Log.Address)
 	d.Log = recordlog.NewRateLimitedLog(&recordlog.Batcher{Log: client})
@@ -78,8 +80,8 @@
 	d.beforeStop = append(d.beforeStop, d.leave, d.goAway, func(context.Context) { d.Peers.Close() })
 }
 
-// leave tells some peers that this VM's upstreams are draining, before the
-// addresses close. They tell the others.
+// announceDraining sends some peers the state draining of this VM's upstreams, before
+// the listeners close. Those peers pass it on to the other daemons.
 func (d *Daemon) leave(ctx context.Context) {
 	d.Members.DrainAll()
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
@@ -87,8 +89,9 @@
 	d.Exchanger.Round(ctx, leaveFanout)
 }
 
-// readsLog reports whether this daemon reads the log often: it is one of the
-// readers of its zone, or it has not heard from a peer lately.
+// readsLogOften reports whether this daemon reads the log at its short polling
+// interval: it is one of the few log readers of its availability zone, or it has had
+// no gossip round with a peer for maxRoundAge.
 func (d *Daemon) readsLog() bool {
 	if time.Since(d.Exchanger.LastRound()) > heardWithin {
 		return true
@@ -104,8 +107,9 @@
 	return peers
 }
 
-// peerHandler hands calls to the guard and control messages to the peer
-// service. Each authenticates the other daemon by the peer secret.
+// peerHandler returns the handler of the peer address. Requests with the header
+// HeaderHop are calls for the guard or the owner; all others are control messages for
+// the peer service. Both handlers authenticate the other daemon by the peer secret.
 func (d *Daemon) peerHandler() http.Handler {
 	control := peer.Handler(d.PeerService, d.settings.Peers.Secret)
 	calls := d.callHandler()
@@ -118,8 +122,8 @@
 	})
 }
 
-// inForceTopic tells other daemons which version is in force here. It hands
-// nothing on.
+// inForceTopic is a gossip topic whose digest is the configuration version in force
+// at this daemon, so that other daemons can query it. It has no deltas.
 type inForceTopic struct{ store *configuration.Store }
 
 const inForceTopicName = "in_force"
--- a/daemon/control_test.go
+++ b/daemon/control_test.go
@@ -15,8 +15,9 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// TestADaemonThatStopsTellsItsPeersWhileTheLogIsDown runs two daemons that met
-// through the log, takes the log away and stops one of them.
+// TestStoppingDaemonNotifiesPeersWhileTheLogIsDown runs two daemons that discovered
+// each other through the log, makes the log unavailable and stops one daemon. The
+// other must see that daemon's upstream draining.
 func TestADaemonThatStopsTellsItsPeersWhileTheLogIsDown(t *testing.T) {
 	log := recordlog.NewFaultyLog(&recordlog.Memory{})
 	srv := httptest.NewServer(recordlog.Handler(log))
@@ -24,7 +25,8 @@
 	s := testSettings()
 	s.Log.Address = strings.TrimPrefix(srv.URL, "http://")
 	stays, _ := startDaemon(t, s)
-	// Handing over keys needs the log, so the stop takes all the time it has.
+	// The handover of keys needs the log, so this stop takes the whole
+	// ShutdownTimeout.
 	s.Process.ShutdownTimeout = policy.Duration(2 * time.Second)
 	stops, err := New(s, discard())
 	require.NoError(t, err)
@@ -41,10 +43,11 @@
 	log.SetFaults(recordlog.Faults{Down: true})
 	stop()
 	require.NoError(t, <-done)
-	require.Equal(t, 1, takesWork(stays), "it was told before the other's addresses closed")
+	require.Equal(t, 1, takesWork(stays), "the peer must learn of the draining before the stopped daemon's listeners close")
 }
 
-// takesWork counts the upstreams in a daemon's view that are not draining.
+// countActiveUpstreams returns how many upstreams in a daemon's membership view are
+// not draining.
 func takesWork(d *Daemon) int {
 	count := 0
 	ups, _ := d.Members.Upstreams("returdesk")
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -30,28 +30,33 @@
 	"github.com/dottereltiller/dottereltiller/trace"
 )
 
-// Daemon is one running daemon.
+// Daemon is a daemon with all its components. Create one with New and run it with
+// Serve.
 type Daemon struct {
 	settings settings.Settings
 	logger   *slog.Logger
 	origin   time.Time
 
-	// Metrics counts decisions. Parts take a sub-scope of its Scope.
+	// Metrics holds the daemon's metrics. Each component uses a sub-scope of its
+	// Scope.
 	Metrics *telemetry.Metrics
-	// Log is the platform's log within this daemon's share of appends.
+	// Log is the client of the platform's log. It limits the rate of appends to
+	// this daemon's share.
 	Log     *recordlog.RateLimitedLog
 	Config  *configuration.Store
 	Members *membership.Registry
 	Guard   *guard.Guard
 	Entry   *entry.Entry
-	// Ceilings holds this daemon's parts of the groups' ceilings.
+	// Ceilings holds this daemon's shares of the ceilings, the rate and concurrency
+	// limits that groups have over all daemons.
 	Ceilings *ceiling.Store
-	// Quarantine holds the requests that kill upstreams.
+	// Quarantine refuses requests that repeatedly crashed upstreams.
 	Quarantine *quarantine.Store
-	// Owner owns a part of the keys of non-idempotent requests.
+	// Owner handles the idempotency keys that this daemon owns, and forwards
+	// requests with other keys to the daemons that own those.
 	Owner *owner.Service
-	// Peers sends control messages, PeerService answers them and Exchanger
-	// hands on topics.
+	// PeerClient sends control messages to other daemons, PeerService handles the
+	// received ones, and Exchanger gossips topics with other daemons.
 	Peers       *peer.Client
 	PeerService *peer.Service
 	Exchanger   *peer.Exchanger
@@ -71,17 +76,19 @@
 	admin    *server
 
 	stopping atomic.Bool
-	// abandoned is closed when a stop is to wait no longer.
+	// drainAborted is closed when a shutdown must not wait any longer for requests
+	// in flight.
 	abandoned   chan struct{}
 	abandonOnce sync.Once
-	// beforeStop holds what is done, in order, between the signal to stop and
-	// the closing of the addresses.
+	// beforeStop holds functions that a shutdown calls, in order, before it closes
+	// the listeners for callers and peers.
 	beforeStop []func(context.Context)
-	// afterStop holds what is done once the parts have stopped.
+	// afterStop holds functions that are called after the components have stopped.
 	afterStop []func()
 }
 
-// New checks the settings, binds the addresses and builds a daemon.
+// New checks the settings, binds the listeners and builds a daemon. Call Serve to
+// run it, or Close to release it without running.
 func New(s settings.Settings, logger *slog.Logger) (*Daemon, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -128,24 +135,25 @@
 	})
 	d.buildServers()
 	d.tree.Add(&gauges{daemon: d, scope: d.Metrics.Scope})
-	for _, p := range []part{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callers, d.peers, d.admin} {
-		d.tree.Add(p)
+	for _, c := range []part{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callers, d.peers, d.admin} {
+		d.tree.Add(c)
 	}
 	return d, nil
 }
 
-// ID names the daemon: the peer address it listens on.
+// ID returns the daemon's ID, which is the peer address it listens on.
 func (d *Daemon) ID() model.DaemonID { return model.DaemonID(d.peersLn.Addr().String()) }
 
-// CallerAddress is the address that callers connect to.
+// CallerAddress returns the address that callers connect to.
 func (d *Daemon) CallerAddress() string { return d.callerLn.Addr().String() }
 
-// AdminAddress is the address of status, metrics and announcements.
+// AdminAddress returns the address for status, metrics and announcements.
 func (d *Daemon) AdminAddress() string { return d.adminLn.Addr().String() }
 
-// Serve runs the daemon until the context ends, then lets the requests in
-// flight finish. It returns an *InvariantError when an invariant broke, and nil
-// after an orderly stop.
+// Serve runs the daemon until the context is done, then shuts it down. It returns
+// nil when all requests in flight have finished, an *AbortedRequestsError when the
+// shutdown aborted some of them, and an *InvariantError when an invariant was
+// violated.
 func (d *Daemon) Serve(ctx context.Context) error {
 	defer d.release()
 	run, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -164,7 +172,8 @@
 	return err
 }
 
-// release frees what the daemon holds besides its parts.
+// releaseResources calls the functions in afterStop, closes the listeners that no
+// server has taken over, and stops the reporting of metrics.
 func (d *Daemon) release() {
 	for _, f := range d.afterStop {
 		f()
@@ -175,17 +184,19 @@
 	_ = d.Metrics.Close()
 }
 
-// Close releases a daemon that Serve was never called for.
+// Close releases the resources of a daemon on which Serve was never called.
 func (d *Daemon) Close() { d.release() }
 
-// LibraryLogWriter counts the lines that libraries write to the standard logger and
-// drops them: what they tell of is up to the other side of a connection.
+// LibraryLogWriter returns a writer for the standard logger that counts and discards
+// the lines that libraries log. Clients can cause such lines at will, so they must not
+// reach the daemon's log.
 func (d *Daemon) LibraryLogWriter() io.Writer {
 	return lineCounter{d.scope("process").Counter("library_lines")}
 }
 
-// scope returns the scope of one part. Names become "dottereltiller_<part>_...".
-func (d *Daemon) scope(part string) tally.Scope { return d.Metrics.Scope.SubScope(part) }
+// scope returns the metrics scope of a component. Its metrics are named
+// "dottereltiller_<component>_...".
+func (d *Daemon) scope(component string) tally.Scope { return d.Metrics.Scope.SubScope(component) }
 
 func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.origin)) }
 
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -17,8 +17,8 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// testSettings listen on free loopback ports. Nothing answers at the log's
-// address.
+// testSettings returns settings with free loopback ports. No log server listens at the
+// log's address.
 func testSettings() settings.Settings {
 	s := settings.Defaults()
 	s.Zone = "odense-hal-a"
@@ -29,7 +29,8 @@
 	return s
 }
 
-// startDaemon runs a daemon until the test ends and returns what Serve returns.
+// startDaemon runs a daemon until the test ends. The channel receives the result of
+// Serve.
 func startDaemon(t *testing.T, s settings.Settings) (*Daemon, <-chan error) {
 	t.Helper()
 	d, err := New(s, discard())
@@ -104,7 +105,8 @@
 }
 
 func TestAServerThatLosesItsListenerListensAnew(t *testing.T) {
-	// Another process may take an ephemeral port before it is listened on again.
+	// Another process could take an ephemeral port before the daemon listens on it
+	// again, so use an address in this process's own loopback network.
 	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	s := testSettings()
@@ -138,10 +140,10 @@
 		"not JSON":       {`service`, `(top level): not JSON: line 1: invalid character 's' looking for beginning of value`},
 		"unknown field":  {`{"servce": "returdesk"}`, `servce: no such field (got "returdesk")`},
 		"no service":     {`{}`, `service: must be set (got "")`},
-		"host name":      {`{"service": "returdesk", "address": "localhost:80"}`, `address: want host:port with the host an IP number (got "localhost:80")`},
-		"port 0":         {`{"service": "returdesk", "address": "127.0.0.1:0"}`, `address: want host:port with the host an IP number (got "127.0.0.1:0")`},
+		"host name":      {`{"service": "returdesk", "address": "localhost:80"}`, `address: want host:port with an IP address as host (got "localhost:80")`},
+		"port 0":         {`{"service": "returdesk", "address": "127.0.0.1:0"}`, `address: want host:port with an IP address as host (got "127.0.0.1:0")`},
 		"no slots":       {`{"service": "returdesk", "address": "127.0.0.1:80"}`, `slots: must be from 1 to 65536 (got 0)`},
-		"no incarnation": {`{"service": "returdesk", "address": "127.0.0.1:80", "slots": 6}`, `incarnation: must be larger than in the upstream's last life, at least 1 (got 0)`},
+		"no incarnation": {`{"service": "returdesk", "address": "127.0.0.1:80", "slots": 6}`, `incarnation: must be at least 1 and increase with each start of the upstream (got 0)`},
 		"too long":       {`{"service": "` + strings.Repeat("x", maxAnnouncement) + `"}`, `http: request body too large`},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/daemon/docs_test.go
+++ b/daemon/docs_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMetricsOfThePagesExist looks for every metric that docs/OPERATORS.md names
-// at a daemon that has answered one request and refused another.
+// TestDocumentedMetricsExist checks that a daemon that has answered one request and
+// refused another serves every metric that docs/OPERATORS.md names.
 func TestMetricsOfThePagesExist(t *testing.T) {
 	text, err := os.ReadFile("../docs/OPERATORS.md")
 	require.NoError(t, err)
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -10,33 +10,34 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// CutError tells what a stop abandoned: requests in flight that were cut, since
-// the time for them was over or a second signal came.
+// AbortedRequestsError is returned by Serve when a shutdown aborted requests in
+// flight, because settings.Process.ShutdownTimeout expired or AbortDrain was called.
 type CutError struct {
-	// Callers and Calls count the requests of callers and the calls of other
-	// daemons that were in flight.
+	// CallerRequests is the number of aborted requests of callers, PeerCalls the
+	// number of aborted calls of other daemons.
 	Callers int
 	Calls   int
-	// Keyed counts the keyed requests that this daemon was running as the owner
-	// of their keys; their outcome is unknown from now on.
+	// KeyedRequests is the number of aborted requests with an idempotency key that
+	// this daemon was running as the owner of the key. Their outcome is unknown.
 	Keyed int
-	// After is how long the stop had waited.
+	// Waited is how long the shutdown had lasted before it aborted the requests.
 	After time.Duration
 }
 
-// Error names what was abandoned.
+// Error returns the counts of aborted requests on one line.
 func (e *CutError) Error() string {
 	return fmt.Sprintf("stopped with requests in flight after %s: abandoned %d of callers, %d calls of other daemons, %d keyed runs",
 		e.After.Round(time.Millisecond), e.Callers, e.Calls, e.Keyed)
 }
 
-// AbortDrain ends a stop that waits for requests in flight. Serve then returns a
-// *CutError if there were any. Before a stop it makes the stop end at once.
+// AbortDrain makes a shutdown stop waiting for requests in flight. Serve then aborts
+// them and returns an *AbortedRequestsError if there were any. When AbortDrain is
+// called before the shutdown begins, the shutdown does not wait at all.
 func (d *Daemon) AbortDrain() { d.abandonOnce.Do(func() { close(d.abandoned) }) }
 
-// shutdown takes the daemon out of use: it asks callers and other daemons to go
-// elsewhere while it still serves them, does what is registered in beforeStop,
-// and lets the requests in flight finish. All of it takes at most
+// shutdown drains the daemon: it asks callers and other daemons to close their
+// connections while it still serves, calls the functions in beforeStop, closes the
+// listeners and waits for the requests in flight. All of it together takes at most
 // process.shutdown_timeout.
 func (d *Daemon) shutdown(ctx context.Context) error {
 	began := time.Now()
@@ -75,8 +76,9 @@
 	return cut
 }
 
-// goAway hands over the keys while the daemon still serves. It returns when that
-// is done and the connections have ended, or at the end of the time for that.
+// handOverKeysAndDrain hands over this daemon's idempotency keys to other daemons while
+// the daemon still serves. It returns when the handover has ended and, at most
+// process.drain_time after its start, the connections are closed.
 func (d *Daemon) goAway(ctx context.Context) {
 	drained := make(chan struct{})
 	go func() {
@@ -92,9 +94,9 @@
 	<-drained
 }
 
-// refuseWhenLeaving answers calls for this VM's upstreams "not run" once the
-// daemon is leaving, so that their entries send them elsewhere. Calls that are
-// in flight go on.
+// rejectWhileDraining rejects calls from other daemons for this VM's upstreams, with
+// the outcome "not run", once the daemon is draining. The entries that sent them then
+// pick other upstreams. Calls in flight are not affected.
 func (d *Daemon) refuseWhenLeaving(next http.Handler) http.Handler {
 	refused := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -24,7 +24,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// stopping runs a daemon and returns how to stop it and what Serve returns.
+// serveInBackground runs a daemon. It returns a function that stops it, and a channel
+// that receives the result of Serve.
 func stopping(t *testing.T, d *daemon.Daemon) (stop func(), done <-chan error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -34,7 +35,8 @@
 	return cancel, out
 }
 
-// beside starts one more daemon in a deployment, with a hanging upstream.
+// newDaemonWithHangingUpstream creates one more daemon for a deployment, without
+// running it, and an upstream that never responds.
 func beside(t *testing.T, d *local.Deployment) (*daemon.Daemon, *standin.Faulty) {
 	t.Helper()
 	s := settings.Defaults()
@@ -79,7 +81,7 @@
 	}, waitLimit, faultyStep)
 	select {
 	case err := <-done:
-		require.Fail(t, "the stop did not wait", "%v", err)
+		require.Fail(t, "the shutdown did not wait for the request in flight", "%v", err)
 	case <-time.After(200 * time.Millisecond):
 	}
 	dm.AbortDrain()
@@ -91,13 +93,14 @@
 	require.True(t, got.err != nil || got.outcome == outcome.Unknown, "%+v", got)
 }
 
-// roller sends load while daemons are restarted.
+// restartLoad sends requests to the daemons of a deployment while they are restarted.
 type roller struct {
 	d *local.Deployment
-	// avoid holds the daemons that have asked their callers to go elsewhere.
+	// draining is set for the daemons that have asked their callers to close the
+	// connection.
 	avoid []atomic.Bool
 	sent  atomic.Int64
-	// turn spreads requests over daemons; names number them.
+	// nextDaemon picks daemons round-robin, nextName numbers the requests.
 	turn  atomic.Int64
 	names atomic.Int64
 
@@ -113,7 +116,7 @@
 	}
 }
 
-// target picks a daemon that has not asked to go elsewhere.
+// target returns the index of a daemon that is not draining.
 func (r *roller) target(addresses []string) int {
 	for {
 		i := int(r.turn.Add(1)) % len(addresses)
@@ -123,7 +126,8 @@
 	}
 }
 
-// do sends one request and notes when the daemon asks to go elsewhere.
+// do sends one request and marks the daemon as draining when the response asks to
+// close the connection.
 func (r *roller) do(client *http.Client, i int, req *http.Request) (told, error) {
 	req.Host = "returdesk.fyn"
 	resp, err := client.Do(req)
@@ -139,6 +143,8 @@
 	return told{status: resp.StatusCode, outcome: kind, body: string(text), header: resp.Header}, err
 }
 
+// worker sends requests until ctx is done. With workload 0 it sends GET requests, with 1
+// POST requests with an idempotency key, and with 2 POST requests without a key.
 func (r *roller) worker(ctx context.Context, kind int, addresses []string) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -173,9 +179,10 @@
 	}
 }
 
-// TestRollingRestartLosesNothing replaces every daemon in turn under a load of
-// idempotent, keyed and plain non-idempotent requests. Callers go elsewhere when
-// a daemon asks them to, and come back when it is ready.
+// TestRollingRestartFailsNoRequest restarts every daemon in turn under a load of
+// idempotent, keyed and plain non-idempotent requests. Callers use other daemons once
+// a daemon asks them to close the connection, and return to it after its restart. No
+// request may fail, and no non-idempotent request may run twice.
 func TestRollingRestartLosesNothing(t *testing.T) {
 	d := startIn(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 4, func(s *settings.Settings) {
 		s.Process.DrainTime = policy.Duration(400 * time.Millisecond)
@@ -192,7 +199,7 @@
 			owned += n.Daemon.Owner.Counts().Ranges
 		}
 		return owned == 1024
-	}, waitLimit, faultyStep, "every range of keys has an owner")
+	}, waitLimit, faultyStep, "every key range must have an owner")
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for i := range 6 {
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -10,16 +10,17 @@
 
 const gaugeInterval = time.Second
 
-// gauges is the part that reports figures which are states and not counts.
+// gauges is the component that updates the daemon's gauges.
 type gauges struct {
 	daemon *Daemon
 	scope  tally.Scope
 }
 
-// String names the part.
+// String returns the component's name.
 func (*gauges) String() string { return "gauges" }
 
-// Serve reports at an interval until the context ends.
+// Serve updates the gauges at once and then every gaugeInterval, until the context
+// is done.
 func (g *gauges) Serve(ctx context.Context) error {
 	g.report()
 	return interval.Run(ctx, gaugeInterval, g.report)
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -13,15 +13,17 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// KeysPath is the path on the callers' address that hands out keys, by POST.
+// KeysPath is the path on the callers' address where a POST request obtains a new
+// idempotency key.
 const KeysPath = "/.well-known/dottereltiller/keys"
 
-// maxOwnerInterval is the longest time between two checks of the grants. They
-// reach far ahead, so it need not be short.
+// maxGrantCheckInterval is the longest time between two checks whether the grants of
+// key ownership need to be read or renewed. Grants are valid for far longer (settings
+// field keys.grant), so the checks need not be frequent.
 const maxOwnerInterval = time.Second
 
-// buildOwner sets up the owner of idempotency keys. The entry must exist when
-// the first keyed request comes.
+// buildOwner sets up the component that owns idempotency keys. The entry is built
+// later, so Run reads d.Entry only when the first request with a key arrives.
 func (d *Daemon) buildOwner(client *hop.Client) {
 	k := d.settings.Keys
 	d.Owner = owner.New(owner.Options{
@@ -44,10 +46,11 @@
 	d.PeerService.HandOver = d.Owner.HandOver
 }
 
-// grantReads is how often the grants are read at least within one grant.
+// minChecksPerGrant is the least number of checks within the duration of one grant.
 const grantReads = 20
 
-// owners lists the daemons that may own keys: all that have an upstream in view.
+// ownerCandidates returns the daemons that may own keys: all that have an upstream in
+// this daemon's membership view.
 func (d *Daemon) owners() []model.DaemonID {
 	peers := d.Members.Peers()
 	out := make([]model.DaemonID, 0, len(peers))
@@ -57,7 +60,8 @@
 	return out
 }
 
-// withKeys hands out keys at KeysPath and leaves all else to next.
+// serveKeys returns a handler that issues idempotency keys at KeysPath and passes all
+// other requests to next.
 func (d *Daemon) withKeys(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != KeysPath {
@@ -66,7 +70,7 @@
 		}
 		if r.Method != http.MethodPost {
 			w.Header().Set("Allow", http.MethodPost)
-			http.Error(w, "POST hands out a key", http.StatusMethodNotAllowed)
+			http.Error(w, "use POST to obtain a key", http.StatusMethodNotAllowed)
 			return
 		}
 		key, live := d.Owner.NewKey()
@@ -77,9 +81,10 @@
 	})
 }
 
-// handedKey is the answer at KeysPath.
+// issuedKey is the response body at KeysPath.
 type handedKey struct {
 	Key string `json:"key"`
-	// Owned tells that a request with the key can run now.
+	// Owned is false when no daemon owns the key yet. A request with the key can
+	// run only once a daemon owns it.
 	Owned bool `json:"owned"`
 }
--- a/daemon/keys_test.go
+++ b/daemon/keys_test.go
@@ -22,7 +22,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// handOut asks a daemon for a key until it hands out one with an owner.
+// obtainKey requests keys from a daemon until it issues one that has an owner.
 func handOut(t testing.TB, address string) string {
 	t.Helper()
 	var handed struct {
@@ -93,7 +93,8 @@
 	requireMetricsOf(t, "../docs/KEYS.md", d)
 }
 
-// requireMetricsOf looks for every metric that a page names at the daemons.
+// requireMetricsOf checks that each metric that a page of the documentation names is
+// served by at least one daemon.
 func requireMetricsOf(t *testing.T, page string, d *local.Deployment) {
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
@@ -108,8 +109,8 @@
 	}
 }
 
-// BenchmarkCall compares a non-idempotent call with a key to one without, over
-// the whole path of three daemons.
+// BenchmarkCall measures non-idempotent requests with and without an idempotency key
+// through a deployment of three daemons.
 func BenchmarkCall(b *testing.B) {
 	d, err := local.Start(b.Context(), local.Options{
 		Zones:     []model.AvailabilityZone{"odense-hal-a"},
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -11,27 +11,28 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// ListenError tells which address of the settings cannot be listened on.
+// ListenError reports an address of the settings on which the daemon cannot listen.
 type ListenError struct {
-	// Path is the JSON path of the address in the settings.
+	// Path is the JSON path of the setting with the address.
 	Path    string
 	Address string
 	Err     error
 }
 
-// Error names the setting, its value and the reason.
+// Error returns the setting, the cause and the address on one line.
 func (e *ListenError) Error() string { return fmt.Sprintf("%s: %v (got %q)", e.Path, e.Err, e.Address) }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// listen binds the three addresses, all or none.
+// listen binds the listeners for callers, peers and admin. When one fails, it closes
+// those already bound.
 func (d *Daemon) listen() error {
 	var bound []net.Listener
 	for _, l := range []struct {
-		path    string
-		address string
-		to      *net.Listener
+		path     string
+		address  string
+		listener *net.Listener
 	}{
 		{"listen.callers", d.settings.Listen.Callers, &d.callerLn},
 		{"listen.peers", d.settings.Listen.Peers, &d.peersLn},
@@ -45,12 +46,12 @@
 			return &ListenError{Path: l.path, Address: l.address, Err: err}
 		}
 		bound = append(bound, ln)
-		*l.to = ln
+		*l.listener = ln
 	}
 	return nil
 }
 
-// loadMaterial reads the certificates that the settings name.
+// loadCredentials reads the certificates and keys that the settings name.
 func (d *Daemon) loadMaterial() error {
 	var err error
 	if d.callerTLS, err = identity.Load("callers.tls", d.settings.Callers.TLS); err != nil {
@@ -60,10 +61,10 @@
 	return err
 }
 
-// peerDial returns how to connect to other daemons.
+// peerDial returns a function that connects to other daemons.
 func (d *Daemon) peerDial() identity.Dial { return d.peerTLS.PeerDial(peerDialTimeout) }
 
-// buildServers sets up the servers on the three addresses.
+// buildServers sets up the servers for callers, peers and admin.
 func (d *Daemon) buildServers() {
 	limits := d.settings.Callers
 	stall := time.Duration(limits.StallTimeout)
@@ -74,7 +75,8 @@
 
 		closeChunked: true,
 	}
-	// A slow caller slows its entry, so the entry must give up first.
+	// A caller that reads slowly makes its entry read slowly from this daemon. The
+	// longer timeout here lets that entry abort the caller's request first.
 	peers := &stallLimit{
 		timeout: peerStallFactor * stall,
 		stalls:  d.scope("peers").Counter("stalls"),
@@ -124,8 +126,8 @@
 	})
 }
 
-// callHandler authenticates other daemons and hands their calls to the
-// guard or the owner.
+// callHandler returns a handler that authenticates other daemons and passes their
+// calls to the guard or the owner.
 func (d *Daemon) callHandler() http.Handler {
 	calls := map[string]http.Handler{
 		wire.DestinationGuard: d.refuseWhenLeaving(d.tracer.Handler("guard", d.Guard)),
@@ -139,7 +141,7 @@
 		}
 		h := calls[r.Header.Get(wire.HeaderDestination)]
 		if h == nil {
-			http.Error(w, "kind of hop not known", http.StatusBadRequest)
+			http.Error(w, "unknown destination component", http.StatusBadRequest)
 			return
 		}
 		h.ServeHTTP(w, r)
--- a/daemon/measuring.go
+++ b/daemon/measuring.go
@@ -5,8 +5,8 @@
 	"github.com/dottereltiller/dottereltiller/guard"
 )
 
-// measuringBudget returns the share of slot time that measuring may take at a
-// service under the configuration in force.
+// measuringBudget returns the share of the slot time of a service's upstreams that
+// polls of their load reports may take, under the configuration in force.
 func (d *Daemon) measuringBudget(s model.ServiceName) float64 {
 	inForce := d.Config.Current()
 	if inForce == nil {
--- a/daemon/mistakes_test.go
+++ b/daemon/mistakes_test.go
@@ -13,7 +13,9 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// TestMistakesOfCallersAreNamedAndCounted makes the mistakes of a new user.
+// TestCallerErrorsAreReportedAndCounted sends requests with errors that are typical of
+// a new user. The response and the metrics must state the reason, and no request may
+// reach the upstream.
 func TestMistakesOfCallersAreNamedAndCounted(t *testing.T) {
 	d := start(t, func(s *settings.Settings) { s.Callers.MaxBodyBytes = 100 })
 	n := d.Nodes[0].Daemon
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -11,8 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/quarantine"
 )
 
-// buildQuarantine sets up the table of requests that kill upstreams and hands
-// it on to the other daemons.
+// buildQuarantine sets up the table of requests that are suspected of crashing
+// upstreams, and registers it for gossip with the other daemons.
 func (d *Daemon) buildQuarantine() {
 	d.Quarantine = quarantine.NewStore(quarantine.Options{
 		Rule:     d.quarantineRule,
@@ -23,8 +23,9 @@
 	d.Exchanger.Register(d.Quarantine)
 }
 
-// quarantineRule returns the rule of a service in force, or a cautious one when
-// the service is not known here yet.
+// quarantineRule returns the quarantine rule of a service under the configuration in
+// force. For a service that is not configured here yet, it returns a default of 2
+// crashes and 1 minute.
 func (d *Daemon) quarantineRule(s model.ServiceName) core.Rule {
 	unknown := core.Rule{Crashes: 2, Duration: time.Minute}
 	inForce := d.Config.Current()
@@ -49,7 +50,7 @@
 		return
 	}
 	if !d.Quarantine.Release(f) {
-		http.Error(w, "no such request is known here", http.StatusNotFound)
+		http.Error(w, "no request with this fingerprint is known", http.StatusNotFound)
 		return
 	}
 	d.logger.Info("request released by an operator", "fingerprint", f.String())
--- a/daemon/quickstart_test.go
+++ b/daemon/quickstart_test.go
@@ -22,8 +22,8 @@
 
 const quickstart = "../examples/quickstart/"
 
-// TestTheQuickStartWorks does what docs/OPERATORS.md tells a new user to do,
-// with the files of examples/quickstart on free ports.
+// TestTheQuickStartWorks follows the quick start in docs/OPERATORS.md with the files in
+// examples/quickstart, except that it uses free ports.
 func TestTheQuickStartWorks(t *testing.T) {
 	log := httptest.NewServer(recordlog.Handler(&recordlog.Memory{}))
 	defer log.Close()
@@ -65,9 +65,9 @@
 	require.Zero(t, res.Wrong)
 
 	leave()
-	require.NoError(t, <-left, "the upstream drains")
+	require.NoError(t, <-left, "the upstream must drain without an error")
 	drained, _ := d.Members.Upstreams("returdesk")
 	require.True(t, len(drained) == 0 || drained[0].Draining)
 	stop()
-	require.NoError(t, <-served, "the daemon stops in good order")
+	require.NoError(t, <-served, "the daemon must shut down without an error")
 }
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -8,8 +8,8 @@
 	"github.com/dottereltiller/dottereltiller/entry"
 )
 
-// newRouters returns the routers of this daemon's entry. They follow the
-// membership view and the routing policies in force.
+// newRouters returns the routers of this daemon's entry, one for each service. They are
+// updated when the membership view or the configured routing policy changes.
 func (d *Daemon) newRouters() *entry.Routers {
 	r := entry.NewRouters(d.Members, d.now, routing.Options{
 		Policy:    d.settings.Routing.Policy,
@@ -23,7 +23,7 @@
 	return r
 }
 
-// routingPolicy returns the policy that the configuration in force names for a
+// routingPolicy returns the routing policy that the configuration in force names for a
 // service, empty when it names none.
 func (d *Daemon) routingPolicy(s model.ServiceName) string {
 	inForce := d.Config.Current()
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -22,14 +22,15 @@
 	peerHeaderTimeout = 5 * time.Second
 	peerIdleTimeout   = 90 * time.Second
 	peerHeaderBytes   = 128 << 10
-	// peerStallFactor is how much longer than callers other daemons may stall.
+	// peerStallFactor multiplies callers.stall_timeout for calls of other daemons.
 	peerStallFactor = 2
-	// maxPeerConnections and maxAdminConnections bound open connections.
+	// maxPeerConnections and maxAdminConnections bound the open connections of
+	// the two servers.
 	maxPeerConnections  = 16 << 10
 	maxAdminConnections = 256
 )
 
-// serverOptions configure a server.
+// serverOptions configures a server.
 type serverOptions struct {
 	name           string
 	listener       net.Listener
@@ -37,20 +38,20 @@
 	headerTimeout  time.Duration
 	idleTimeout    time.Duration
 	maxHeaderBytes int
-	// maxConnections bounds open connections; further ones are closed at once
-	// and counted in refused.
+	// maxConnections bounds the open connections. Further connections are closed
+	// at once and counted in refusedConns.
 	maxConnections int
 	refused        tally.Counter
 	// tls is nil for plaintext.
 	tls *tls.Config
-	// errors counts what goes wrong below the requests, such as handshakes.
+	// connErrors counts errors that net/http logs, such as failed TLS handshakes.
 	errors tally.Counter
-	// http2 also accepts HTTP/2, with prior knowledge on plaintext.
+	// http2 enables HTTP/2 besides HTTP/1.1, without TLS by prior knowledge.
 	http2 bool
 }
 
-// server is an HTTP server as a supervised part. After a failure it listens
-// anew on the same address.
+// server is an HTTP server as a supervised component. When it is restarted after a
+// failure, it listens on the same address again.
 type server struct {
 	opts    serverOptions
 	address string
@@ -87,11 +88,11 @@
 	}
 }
 
-// String names the part.
+// String returns the component's name.
 func (s *server) String() string { return s.opts.name }
 
-// Serve accepts connections until shutdown was called or the context ends. On
-// the latter it closes all connections.
+// Serve accepts connections until shutdown is called or the context is done. When the
+// context is done, it closes all connections.
 func (s *server) Serve(ctx context.Context) error {
 	ln, err := s.takeListener()
 	if err != nil {
@@ -111,8 +112,8 @@
 	return err
 }
 
-// shutdown stops accepting and waits until the requests in flight have been
-// answered or the context ends.
+// shutdown stops accepting connections and waits until the requests in flight have
+// been answered or the context is done.
 func (s *server) shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.stopping = true
@@ -120,7 +121,7 @@
 	return s.conns.stop(ctx, s.http)
 }
 
-// close closes the listener of a server that never ran.
+// close closes the listener of a server that was never run.
 func (s *server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,8 +130,8 @@
 	}
 }
 
-// takeListener returns the listener bound at the start, or a new one after a
-// failure.
+// takeListener returns the listener from serverOptions on the first call, and a new
+// one on the same address on later calls.
 func (s *server) takeListener() (net.Listener, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +146,7 @@
 	return net.Listen("tcp", s.address)
 }
 
-// lineCounter counts the lines that a logger writes and drops them.
+// lineCounter is the writer of a logger. It counts the lines and discards them.
 type lineCounter struct{ lines tally.Counter }
 
 // Write implements io.Writer.
@@ -154,8 +155,8 @@
 	return len(p), nil
 }
 
-// limitConnections returns a hook that closes new connections while max are
-// open.
+// limitConnections returns a ConnState hook that closes new connections while max
+// connections are open.
 func limitConnections(max int, refused tally.Counter) func(net.Conn, http.ConnState) {
 	var open atomic.Int64
 	return func(conn net.Conn, state http.ConnState) {
--- a/daemon/stall.go
+++ b/daemon/stall.go
@@ -11,27 +11,27 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// stallLimit ends a request whose caller neither sends its body nor reads its
-// answer for the timeout. It limits progress, not the whole request, so that
-// long streams go on.
+// stallLimiter is a handler that aborts a request when a read of its body or a write
+// of its response makes no progress for the timeout. It does not limit the duration of
+// the whole request, so long streams are possible.
 type stallLimit struct {
 	timeout time.Duration
 	stalls  tally.Counter
 	next    http.Handler
-	// closeChunked closes the connection after a request in chunks.
+	// closeChunked closes HTTP/1 connections after a request with chunked encoding.
 	closeChunked bool
 }
 
 // ServeHTTP implements http.Handler.
 func (l *stallLimit) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	limited := &limitedWriter{ResponseWriter: w, limit: l, control: http.NewResponseController(w)}
-	// A deadline left over from the last request on the connection must not
-	// hit this one.
+	// Clear the deadline that the previous request on this connection set.
 	_ = limited.control.SetWriteDeadline(time.Time{})
 	if l.closeChunked && r.ProtoMajor == 1 && len(r.TransferEncoding) > 0 {
-		// net/http prefers the chunked encoding where a request also has a
-		// Content-Length and hides the conflict. Nothing that follows on the
-		// connection may be taken for a request then (RFC 9112 section 6.1).
+		// When a request has both Transfer-Encoding: chunked and Content-Length,
+		// net/http ignores the length and hides the conflict. The rest of the
+		// connection must then not be parsed as another request, which could be
+		// smuggled in (RFC 9112 section 6.1).
 		w.Header().Set("Connection", "close")
 	}
 	if r.ContentLength != 0 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// limitedWriter allows the timeout for every write.
+// limitedWriter sets a deadline for every write of the response.
 type limitedWriter struct {
 	http.ResponseWriter
 	limit   *stallLimit
@@ -70,7 +70,7 @@
 	return n, err
 }
 
-// FlushError flushes within the timeout.
+// FlushError flushes the response. http.ResponseController calls it.
 func (w *limitedWriter) FlushError() error {
 	w.extend()
 	err := w.control.Flush()
@@ -78,11 +78,12 @@
 	return err
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap lets http.ResponseController access the wrapped ResponseWriter.
 func (w *limitedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// extend allows the timeout for the next write. Before the first one net/http
-// reads what the handler left of the body, which takes up to a timeout as well.
+// extendDeadline sets the deadline of the next write. Before the first write, net/http
+// reads the rest of a request body that the handler has not read, which may take up to
+// one timeout itself; the deadline is then two timeouts away.
 func (w *limitedWriter) extend() {
 	timeout := w.limit.timeout
 	if w.body != nil && w.body.extend() {
@@ -91,18 +92,18 @@
 	_ = w.control.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// limitedBody allows the timeout for every read.
+// limitedBody sets a deadline for every read of the request body.
 type limitedBody struct {
 	body   io.ReadCloser
 	writer *limitedWriter
 
 	mu sync.Mutex
-	// ended is set once the body has been read to its end or has failed.
+	// ended is set once a read has returned io.EOF or another error.
 	ended bool
 }
 
-// Read implements io.Reader. Once the body has ended it lifts the deadline,
-// which would otherwise cancel a request that runs longer than the timeout.
+// Read implements io.Reader. At the end of the body it clears the read deadline, which
+// would otherwise cancel a request that runs longer than the timeout.
 func (b *limitedBody) Read(p []byte) (int, error) {
 	b.extend()
 	n, err := b.body.Read(p)
@@ -115,8 +116,8 @@
 // Close implements io.Closer.
 func (b *limitedBody) Close() error { return b.body.Close() }
 
-// extend allows the timeout for the next read. It reports false once the body
-// has ended.
+// extendDeadline sets the deadline of the next read. It returns false, without setting
+// one, once the body has ended.
 func (b *limitedBody) extend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// Status is the daemon's state as the status endpoint shows it.
+// Status is the daemon's state, the response body of /status.
 type Status struct {
 	Daemon  model.DaemonID         `json:"daemon"`
 	Zone    model.AvailabilityZone `json:"zone"`
@@ -18,24 +18,25 @@
 	Uptime  policy.Duration        `json:"uptime"`
 	Health  Health                 `json:"health"`
 	Version model.Version          `json:"config_version"`
-	// Config tells how sure the daemon is of its version.
+	// Config describes how current the daemon's configuration is.
 	Config configuration.Status `json:"config"`
-	// Loads are the exact figures of this VM's own upstreams.
+	// Loads holds the loads of this VM's upstreams, as the guard counts them.
 	Loads map[model.UpstreamID]LoadStatus `json:"loads"`
-	// Services are the services in force with what this daemon sees of them.
+	// Services holds the services of the configuration in force, with their
+	// upstreams in this daemon's membership view.
 	Services []ServiceStatus `json:"services,omitempty"`
 	Parts    []PartStatus    `json:"parts"`
 }
 
-// LoadStatus is what a guard knows of its upstream's load.
+// LoadStatus is the load of one upstream, as its guard counts it.
 type LoadStatus struct {
 	Running int32 `json:"running"`
 	Waiting int32 `json:"waiting"`
-	// Limit is the number of requests that the guard lets run at once.
+	// Limit is the guard's current concurrency limit for the upstream.
 	Limit int32 `json:"limit"`
-	// ServiceTime is the recent mean time of a request in the upstream.
+	// ServiceTime is the recent mean time that the upstream takes for a request.
 	ServiceTime policy.Duration `json:"service_time"`
-	// Failing is the recent share of failed requests, 0 to 1.
+	// FailureRate is the recent share of failed requests, 0 to 1.
 	Failing  float32 `json:"failing"`
 	Draining bool    `json:"draining"`
 }
@@ -55,7 +56,7 @@
 	return out
 }
 
-// ServiceStatus is one service as a daemon sees it.
+// ServiceStatus is one service of the configuration in force.
 type ServiceStatus struct {
 	Name      model.ServiceName `json:"name"`
 	Policy    string            `json:"policy,omitempty"`
@@ -69,7 +70,7 @@
 	Weight float64         `json:"weight"`
 }
 
-// UpstreamStatus is one upstream in the membership view.
+// UpstreamStatus is one upstream in the daemon's membership view.
 type UpstreamStatus struct {
 	ID          model.UpstreamID       `json:"id"`
 	Zone        model.AvailabilityZone `json:"zone"`
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -27,7 +27,7 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// authority issues certificates for loopback.
+// certAuthority is a certificate authority that issues certificates for 127.0.0.1.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -70,7 +70,8 @@
 	return path
 }
 
-// issue returns files of a certificate for a name, verified by this authority.
+// issue creates a certificate with the given common name and returns the settings
+// that name its files and the file of this authority.
 func (a *authority) issue(name string) settings.TLS {
 	key := newKey(a.t)
 	der := sign(a.t, &x509.Certificate{
@@ -88,7 +89,8 @@
 	}
 }
 
-// client returns a client of callers' TLS; the section may be empty.
+// client returns an HTTP client for the callers' address that trusts this authority.
+// It sends the client certificate in files unless files is empty.
 func (a *authority) client(files settings.TLS) *http.Client {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
@@ -167,12 +169,13 @@
 	require.NoError(t, err)
 	_ = resp.Body.Close()
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.Positive(t, d.Nodes[1].Upstream.Runs()["r"]+d.Nodes[1].Upstream.Runs()[""], "a call must have crossed")
+	require.Positive(t, d.Nodes[1].Upstream.Runs()["r"]+d.Nodes[1].Upstream.Runs()[""], "one daemon must have forwarded a request to the other")
 
 	peers := string(d.Nodes[1].Daemon.ID())
 	conn, err := tls.Dial("tcp", peers, &tls.Config{InsecureSkipVerify: true})
 	if err == nil {
-		// TLS 1.3 tells the client of a refusal with the first read.
+		// In TLS 1.3 the client learns that its certificate was rejected only
+		// with the first read.
 		defer func() { _ = conn.Close() }()
 		_, err = conn.Read(make([]byte, 1))
 	}
@@ -190,11 +193,11 @@
 		files settings.TLS
 		want  string
 	}{
-		"no certificate":     {settings.TLS{Certificate: "absent.pem", Key: good.Key}, `callers.tls.certificate: open absent.pem: no such file or directory (got "absent.pem")`},
-		"no key":             {settings.TLS{Certificate: good.Certificate, Key: "absent.key"}, `callers.tls.key: open absent.key: no such file or directory (got "absent.key")`},
-		"no authority":       {settings.TLS{Certificate: good.Certificate, Key: good.Key, Authority: "absent"}, `callers.tls.authority: open absent: no such file or directory (got "absent")`},
-		"key as authority":   {settings.TLS{Certificate: good.Certificate, Key: good.Key, Authority: good.Key}, `callers.tls.authority: no certificate in PEM form`},
-		"key of another one": {settings.TLS{Certificate: good.Certificate, Key: a.issue("other").Key}, `callers.tls.certificate: tls: private key does not match public key`},
+		"no certificate":             {settings.TLS{Certificate: "absent.pem", Key: good.Key}, `callers.tls.certificate: open absent.pem: no such file or directory (got "absent.pem")`},
+		"no key":                     {settings.TLS{Certificate: good.Certificate, Key: "absent.key"}, `callers.tls.key: open absent.key: no such file or directory (got "absent.key")`},
+		"no authority":               {settings.TLS{Certificate: good.Certificate, Key: good.Key, Authority: "absent"}, `callers.tls.authority: open absent: no such file or directory (got "absent")`},
+		"key as authority":           {settings.TLS{Certificate: good.Certificate, Key: good.Key, Authority: good.Key}, `callers.tls.authority: no certificate in PEM form`},
+		"key of another certificate": {settings.TLS{Certificate: good.Certificate, Key: a.issue("other").Key}, `callers.tls.certificate: tls: private key does not match public key`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings.Defaults()
--- a/daemon/tracing.go
+++ b/daemon/tracing.go
@@ -10,7 +10,7 @@
 
 const tracingTimeout = 5 * time.Second
 
-// buildTracer sets up tracing. The tracer is nil when it is off.
+// buildTracer sets up d.tracer. It stays nil when tracing is off.
 func (d *Daemon) buildTracer() error {
 	s := d.settings.Tracing
 	tracer, err := trace.New(context.Background(), trace.Options{
@@ -30,7 +30,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), tracingTimeout)
 		defer cancel()
 		if err := tracer.Shutdown(ctx); err != nil {
-			d.logger.Warn("spans lost at the end", "error", err)
+			d.logger.Warn("last spans not exported", "error", err)
 		}
 	})
 	return nil
--- a/daemon/tracing_test.go
+++ b/daemon/tracing_test.go
@@ -13,8 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/trace"
 )
 
-// TestOneRequestLeavesASpanForEachHop reads the spans of requests that crossed
-// two daemons from their admin addresses.
+// TestEachHopOfARequestHasASpan sends requests of which one is forwarded from one
+// daemon to another, and reads the spans from the admin addresses of both.
 func TestOneRequestLeavesASpanForEachHop(t *testing.T) {
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
 	d := startIn(t, zones, 2, func(s *settings.Settings) { s.Tracing.Sample = 1 })
@@ -31,7 +31,8 @@
 		require.Equal(t, http.StatusOK, resp.StatusCode)
 	}
 
-	// A hop's span may end a moment after its answer has arrived.
+	// A span may end shortly after the response has arrived, so poll for all of
+	// them.
 	var trees []*trace.Tree
 	paths := func() []string {
 		var records []trace.Record
@@ -59,10 +60,11 @@
 		last := root.Children[len(root.Children)-1].Children[0]
 		return last.Daemon != root.Daemon
 	})
-	require.True(t, crossed, "one of the requests went from one daemon to the other")
+	require.True(t, crossed, "one of the requests must be forwarded from one daemon to the other")
 }
 
-// deepest names the spans from a root down its last children.
+// lastPath returns the names of the spans on the path from n that follows the last
+// child at each level.
 func deepest(n *trace.Node) string {
 	if len(n.Children) == 0 {
 		return n.Name
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -22,43 +22,45 @@
 	"github.com/dottereltiller/dottereltiller/inbound"
 )
 
-// part is a long-lived part of the daemon. Serve runs until the context ends;
-// an earlier return is a failure and the part is started again. String names
-// it.
+// component is a long-running component of the daemon. Serve runs until the context is
+// done; when it returns earlier, the component has failed and is restarted. String
+// returns the component's name.
 type part interface {
 	Serve(ctx context.Context) error
 	String() string
 }
 
 const (
-	// restartThreshold is how many failures in quick succession are met by an
-	// immediate restart; further ones wait for restartBackoff.
+	// restartThreshold is the number of recent failures, decaying over restartDecay,
+	// above which a restart waits for restartBackoff. Up to it a component is
+	// restarted at once.
 	restartThreshold = 3
 	restartBackoff   = 2 * time.Second
 	restartDecay     = 10 * time.Second
 	stopTimeout      = 10 * time.Second
 )
 
-// InvariantError tells that the daemon stopped because an invariant broke.
+// InvariantError is returned by Serve when the daemon stopped because an invariant was
+// violated.
 type InvariantError struct {
 	Broken *invariant.Broken
-	// Part is where it broke.
+	// Component is the name of the component that violated the invariant.
 	Part string
-	// Stack is the stack of the goroutine that found it.
+	// Stack is the stack of the goroutine that detected the violation.
 	Stack []byte
 }
 
-// Error names the part and the invariant.
+// Error returns the component and the invariant on one line.
 func (e *InvariantError) Error() string { return e.Part + ": " + e.Broken.Error() }
 
-// Unwrap returns the broken invariant.
+// Unwrap returns e.Broken.
 func (e *InvariantError) Unwrap() error { return e.Broken }
 
-// ExitCode makes the process exit as for a broken invariant.
+// ExitCode returns the exit code for a violated invariant.
 func (e *InvariantError) ExitCode() int { return exitcode.Invariant }
 
-// Dump returns the error, the stack that found it and the stacks of all
-// goroutines.
+// Dump returns the error, the stack of the goroutine that detected the violation, and
+// the stacks of all goroutines.
 func (e *InvariantError) Dump() string {
 	const maxStacks = 1 << 20
 	all := make([]byte, maxStacks)
@@ -66,8 +68,9 @@
 	return fmt.Sprintf("%s\n\n%s\nall goroutines:\n%s", e.Error(), e.Stack, all)
 }
 
-// tree is the supervisor tree. Each part has a supervisor of its own, so that
-// the backoff of one does not hold up others.
+// supervisorTree supervises the components of a daemon. Each component has its own
+// supervisor below the root, so that the backoff of one does not delay restarts of the
+// others.
 type tree struct {
 	root   *suture.Supervisor
 	logger *slog.Logger
@@ -84,13 +87,13 @@
 	return t
 }
 
-// Add supervises a part.
-func (t *tree) Add(p part) {
-	s := &supervised{part: p, tree: t, restarts: t.scope.Tagged(map[string]string{"part": p.String()}).Counter("restarts")}
+// Add adds a component to the tree.
+func (t *tree) Add(c part) {
+	s := &supervised{part: c, tree: t, restarts: t.scope.Tagged(map[string]string{"part": c.String()}).Counter("restarts")}
 	t.mu.Lock()
 	t.parts = append(t.parts, s)
 	t.mu.Unlock()
-	sup := suture.New(p.String(), suture.Spec{
+	sup := suture.New(c.String(), suture.Spec{
 		FailureThreshold: restartThreshold,
 		FailureDecay:     restartDecay.Seconds(),
 		FailureBackoff:   restartBackoff,
@@ -100,19 +103,21 @@
 	t.root.Add(sup)
 }
 
-// event logs what supervisors report besides failures, which supervised logs.
+// logEvent logs the events that supervisors report, except failures of components,
+// which supervisedComponent logs.
 func (t *tree) event(e suture.Event) {
 	switch e := e.(type) {
 	case suture.EventStopTimeout:
-		t.logger.Warn("part did not stop in time", "part", e.SupervisorName)
+		t.logger.Warn("component did not stop in time", "part", e.SupervisorName)
 	case suture.EventBackoff:
-		t.logger.Warn("part in backoff", "part", e.SupervisorName)
+		t.logger.Warn("component in backoff", "part", e.SupervisorName)
 	case suture.EventResume:
-		t.logger.Info("part resumed", "part", e.SupervisorName)
+		t.logger.Info("component resumed", "part", e.SupervisorName)
 	}
 }
 
-// stop ends the process for a broken invariant. The first one counts.
+// reportFatal makes Daemon.Serve return the error, which ends the process. Only the
+// first error is kept.
 func (t *tree) stop(e *InvariantError) {
 	select {
 	case t.fatal <- e:
@@ -120,31 +125,32 @@
 	}
 }
 
-// PartStatus is one part as the status endpoint shows it.
+// ComponentStatus is the state of one component in the response of /status.
 type PartStatus struct {
 	Name     string `json:"name"`
 	Restarts int64  `json:"restarts"`
-	// LastError is why it failed last. Empty when it never did.
+	// LastError is the error of the last failure, empty if there was none.
 	LastError string `json:"last_error,omitempty"`
 }
 
-// status returns the parts, ordered by name.
+// status returns the state of all components, sorted by name.
 func (t *tree) status() []PartStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]PartStatus, 0, len(t.parts))
 	for _, s := range t.parts {
-		p := PartStatus{Name: s.String(), Restarts: s.failures.Load()}
+		status := PartStatus{Name: s.String(), Restarts: s.failures.Load()}
 		if err := s.lastError.Load(); err != nil {
-			p.LastError = *err
+			status.LastError = *err
 		}
-		out = append(out, p)
+		out = append(out, status)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-// supervised counts the failures of a part and turns its panics into errors.
+// supervisedComponent wraps a component. It counts and logs the component's failures
+// and converts its panics into errors.
 type supervised struct {
 	part     part
 	tree     *tree
@@ -154,10 +160,11 @@
 	lastError atomic.Pointer[string]
 }
 
-// String names the part.
+// String returns the component's name.
 func (s *supervised) String() string { return s.part.String() }
 
-// Serve runs the part once.
+// Serve runs the component once. When an invariant was violated, it reports that and
+// then blocks until the context is done, so that the component is not restarted.
 func (s *supervised) Serve(ctx context.Context) error {
 	err := s.run(ctx)
 	if ctx.Err() != nil {
@@ -185,7 +192,7 @@
 	s.lastError.Store(&line)
 	s.failures.Add(1)
 	s.restarts.Inc(1)
-	s.tree.logger.Error("part failed", "part", s.String(), "error", message)
+	s.tree.logger.Error("component failed", "part", s.String(), "error", message)
 }
 
 func (s *supervised) run(ctx context.Context) (err error) {
@@ -197,17 +204,18 @@
 	return s.part.Serve(ctx)
 }
 
-// panicError turns a recovered value into an error.
-func panicError(part string, v any) error {
+// panicError returns an error for a recovered panic value: an *InvariantError for a
+// violated invariant, else a plain error. Both contain the current stack.
+func panicError(component string, v any) error {
 	stack := debug.Stack()
 	if b, ok := v.(*invariant.Broken); ok {
-		return &InvariantError{Broken: b, Part: part, Stack: stack}
+		return &InvariantError{Broken: b, Part: component, Stack: stack}
 	}
-	return fmt.Errorf("%s: panic: %v\n%s", part, v, stack)
+	return fmt.Errorf("%s: panic: %v\n%s", component, v, stack)
 }
 
-// protect keeps a panic of a handler to its own request, except for a broken
-// invariant, which stops the process.
+// recoverPanics returns a handler in which a panic of next aborts only the request,
+// unless it is a violated invariant, which stops the process.
 func (t *tree) protect(name string, next http.Handler) http.Handler {
 	panics := t.scope.Tagged(map[string]string{"part": name}).Counter("handler_panics")
 	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlerFailed(name, panics, v) })
--- a/daemon/tree_test.go
+++ b/daemon/tree_test.go
@@ -20,8 +20,9 @@
 	"github.com/dottereltiller/dottereltiller/core/invariant"
 )
 
-// TestMain fails when a goroutine is left. A server lingers for half a second
-// after it has refused a body, longer than goleak waits by itself.
+// TestMain fails when goroutines are left over. net/http keeps a connection open for
+// half a second after it has rejected a request body, longer than goleak retries, so
+// goleak is called repeatedly.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	leaked := goleak.Find()
@@ -37,7 +38,8 @@
 
 func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// flakyPart fails in the given ways, once each, and then runs.
+// flakyComponent calls one of failures each time it is started. After the last one it
+// runs until the context is done.
 type flakyPart struct {
 	failures []func() error
 	starts   atomic.Int64
--- a/daemon/wait_test.go
+++ b/daemon/wait_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds of waits on conditions.
+// Timeout and polling interval for conditions that tests wait for.
 const (
 	waitLimit = 20 * time.Second
 	waitStep  = 5 * time.Millisecond
--- a/daemon/whole_test.go
+++ b/daemon/whole_test.go
@@ -20,8 +20,9 @@
 
 const faultyStep = 5 * time.Millisecond
 
-// startFaulty runs two daemons, the second with a stand-in that misbehaves as
-// the only upstream of the service.
+// startWithFaultyUpstream starts two daemons and drains their regular upstreams, so
+// that a standin.Faulty on the VM of the second daemon is the only upstream of the
+// service.
 func startFaulty(t *testing.T) (*local.Deployment, *standin.Faulty) {
 	t.Helper()
 	d := startIn(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
@@ -58,14 +59,14 @@
 	return resp.StatusCode, string(text)
 }
 
-// told is what a caller was told.
+// callerResponse is a response as the caller received it.
 type told struct {
 	status  int
 	outcome outcome.Kind
 	body    string
 	header  http.Header
 	trailer http.Header
-	// err is set when the answer did not arrive whole.
+	// err is set when the response was not received completely.
 	err error
 }
 
@@ -89,14 +90,15 @@
 }
 
 var wholeAnswers = map[string]string{
-	"length":  "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
-	"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\n\r\n",
-	"trailer": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\nX-Sum: 42\r\n\r\n",
-	"early":   "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
+	"length":      "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
+	"chunked":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\n\r\n",
+	"trailer":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\nX-Sum: 42\r\n\r\n",
+	"early hints": "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
 }
 
-// TestAnswerCutAtAnyByteNeverLooksWhole cuts the upstream's answer after each
-// byte, on the way through one daemon and through two.
+// TestTruncatedResponseNeverLooksComplete truncates the upstream's response at each
+// byte, for requests through one daemon and through two. The caller must see an error or
+// the outcome unknown, and the request must not be sent twice.
 func TestAnswerCutAtAnyByteNeverLooksWhole(t *testing.T) {
 	d, f := startFaulty(t)
 	for name, answer := range wholeAnswers {
@@ -109,7 +111,7 @@
 					if got.err == nil {
 						require.Equal(t, outcome.Unknown, got.outcome, "cut after %d bytes: %+v", cut, got)
 					}
-					require.Equal(t, before+1, f.Requests(), "sent once")
+					require.Equal(t, before+1, f.Requests(), "the request must be sent exactly once")
 				}
 				f.Play(standin.Script{Answer: []byte(answer), Cut: -1})
 				got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
@@ -124,14 +126,14 @@
 	}
 }
 
-// TestAnswersBelongToTheirRequests has the upstream send more than one answer
-// to a request: nothing left over may reach the next caller.
+// TestSurplusResponseNeverReachesTheNextRequest has the upstream send more bytes than
+// one response. The surplus must not be taken for the response to the next request.
 func TestAnswersBelongToTheirRequests(t *testing.T) {
 	d, f := startFaulty(t)
 	for name, answer := range map[string]string{
-		"two answers":     "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
-		"bytes left over": "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none and more",
-		"after no body":   "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
+		"two responses":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
+		"surplus bytes":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none and more",
+		"second response after one without body": "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
@@ -174,8 +176,9 @@
 	}
 }
 
-// TestCancelledCallLeavesNothingBehind has callers go away from calls that hang.
-// TestMain checks that no goroutine stays.
+// TestCancelledCallReleasesConnectionAndSlot cancels requests that hang at the
+// upstream. The connection to the upstream and the slot must be released. TestMain
+// checks that no goroutine is left over.
 func TestCancelledCallLeavesNothingBehind(t *testing.T) {
 	d, f := startFaulty(t)
 	f.Play(standin.Script{Hang: true})
@@ -194,7 +197,7 @@
 		require.ErrorIs(t, <-done, context.Canceled)
 		require.Eventually(t, func() bool {
 			return f.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
-		}, waitLimit, faultyStep, "connection and slot are given up")
+		}, waitLimit, faultyStep, "connection and slot must be released")
 	}
 }
 
@@ -221,8 +224,8 @@
 func TestAnswersWithoutBody(t *testing.T) {
 	d, f := startFaulty(t)
 	for name, tc := range map[string]struct {
-		method, answer, length string
-		status                 int
+		method, response, length string
+		status                   int
 	}{
 		"HEAD":         {http.MethodHead, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", "5", 200},
 		"no content":   {http.MethodPost, "HTTP/1.1 204 No Content\r\n\r\n", "", 204},
@@ -231,7 +234,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(tc.answer), Cut: -1})
+				f.Play(standin.Script{Answer: []byte(tc.response), Cut: -1})
 				for range 2 {
 					got := ask(t, n.Daemon.CallerAddress(), tc.method, "")
 					require.NoError(t, got.err)
--- a/daemon/zones.go
+++ b/daemon/zones.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// zoneSample is the most daemons that are asked in each zone.
+	// maxQueriedPerZone bounds the daemons that are queried in each zone.
 	zoneSample = 64
-	// zoneParallel is how many are asked at the same time.
+	// maxParallelQueries bounds the queries in flight.
 	zoneParallel = 32
 	zoneTimeout  = time.Second
-	// maxNamed bounds the daemons named in a ZoneStatus.
+	// maxListedDaemons bounds each list of daemons in a ZoneStatus.
 	maxNamed = 8
 )
 
-// zoneAnswer is what one daemon said about the version in force.
+// versionReply is the reply of one daemon to a query for its configuration version in
+// force. Without a usable reply, ok is false.
 type zoneAnswer struct {
 	peer    peer.Peer
 	version model.Version
 	ok      bool
 }
 
-// zones tells for each availability zone which versions are in force there.
+// zones serves the configuration versions in force in each availability zone.
 func (d *Daemon) zones(w http.ResponseWriter, r *http.Request) {
 	writeJSON(w, http.StatusOK, summarise(d.askZones(r.Context())))
 }
@@ -73,7 +74,7 @@
 	return zoneAnswer{peer: p}
 }
 
-// summarise groups the answers by zone, ordered by name.
+// summarizeZones returns the status of each zone from the replies, sorted by zone name.
 func summarise(answers []zoneAnswer) []operator.ZoneStatus {
 	var newest model.Version
 	for _, a := range answers {
