--- a/admin/admin.go
+++ b/admin/admin.go
@@ -15,7 +15,7 @@
 	// timeout bounds one request with its response.
 	timeout = 5 * time.Second
 	// maxResponseBytes bounds the body of a response.
-	maxAnswer = 64 << 20
+	maxResponseBytes = 64 << 20
 )
 
 // client connects only to the address in the request: it uses no proxy and
@@ -41,7 +41,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("daemon %s answered %s", address, resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(v); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(v); err != nil {
 		return fmt.Errorf("daemon %s: %w", address, err)
 	}
 	return nil
