--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -64,8 +64,8 @@
 	// tracer is nil when tracing is off.
 	tracer *trace.Tracer
 	// callerTLS and peerTLS are nil for plaintext.
-	callerTLS *identity.Material
-	peerTLS   *identity.Material
+	callerTLS *identity.Credentials
+	peerTLS   *identity.Credentials
 
 	tree     *tree
 	peersLn  net.Listener
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -62,7 +62,7 @@
 }
 
 // peerDial returns a function that connects to other daemons.
-func (d *Daemon) peerDial() identity.Dial { return d.peerTLS.PeerDial(peerDialTimeout) }
+func (d *Daemon) peerDial() identity.DialFunc { return d.peerTLS.PeerDialer(peerDialTimeout) }
 
 // buildServers sets up the servers for callers, peers and admin.
 func (d *Daemon) buildServers() {
@@ -94,7 +94,7 @@
 		headerTimeout:  time.Duration(limits.HeaderTimeout),
 		idleTimeout:    time.Duration(limits.IdleTimeout),
 		maxHeaderBytes: limits.MaxHeaderBytes,
-		tls:            d.callerTLS.CallerServer(),
+		tls:            d.callerTLS.CallerServerConfig(),
 		http2:          true,
 		errors:         d.scope("callers").Counter("connection_errors"),
 		maxConnections: limits.MaxConnections,
@@ -107,7 +107,7 @@
 		headerTimeout:  peerHeaderTimeout,
 		idleTimeout:    peerIdleTimeout,
 		maxHeaderBytes: peerHeaderBytes,
-		tls:            d.peerTLS.PeerServer(),
+		tls:            d.peerTLS.PeerServerConfig(),
 		http2:          true,
 		errors:         d.scope("peers").Counter("connection_errors"),
 		maxConnections: maxPeerConnections,
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -182,7 +182,7 @@
 	require.ErrorContains(t, err, "certificate required")
 	foreign, err := identity.Load("peers.tls", theirs.issue("stranger"))
 	require.NoError(t, err)
-	_, err = foreign.PeerDial(waitLimit)(t.Context(), "tcp", peers)
+	_, err = foreign.PeerDialer(waitLimit)(t.Context(), "tcp", peers)
 	require.ErrorContains(t, err, "unknown authority")
 }
 
--- a/identity/caller.go
+++ b/identity/caller.go
@@ -9,7 +9,7 @@
 )
 
 // CallerStore looks up callers by their credentials.
-type Directory interface {
+type CallerStore interface {
 	// CallerByToken returns the caller to which a bearer token was issued.
 	CallerByToken(token string) (policy.Caller, bool)
 	// CallerByCertificate returns the caller for which a subject name of a client
@@ -17,25 +17,25 @@
 	CallerByCertificate(name string) (policy.Caller, bool)
 }
 
-const bearer = "bearer "
+const bearerPrefix = "bearer "
 
 // AuthenticateCaller returns the caller of a request, the zero Caller when it is
 // anonymous. It reports false when the token or certificate is unknown, the
 // Authorization header is malformed, or token and certificate belong to different
 // callers.
-func AuthenticateCaller(known Directory, r *http.Request) (policy.Caller, bool) {
-	byCertificate, hasCertificate, ok := certified(known, r)
+func AuthenticateCaller(callers CallerStore, r *http.Request) (policy.Caller, bool) {
+	byCertificate, hasCertificate, ok := callerByCertificate(callers, r)
 	if !ok {
 		return policy.Caller{}, false
 	}
-	auth := r.Header["Authorization"]
-	if len(auth) == 0 {
+	authorization := r.Header["Authorization"]
+	if len(authorization) == 0 {
 		return byCertificate, true
 	}
-	if len(auth) > 1 || len(auth[0]) < len(bearer) || !strings.EqualFold(auth[0][:len(bearer)], bearer) {
+	if len(authorization) > 1 || len(authorization[0]) < len(bearerPrefix) || !strings.EqualFold(authorization[0][:len(bearerPrefix)], bearerPrefix) {
 		return policy.Caller{}, false
 	}
-	byToken, ok := known.CallerByToken(auth[0][len(bearer):])
+	byToken, ok := callers.CallerByToken(authorization[0][len(bearerPrefix):])
 	if !ok || hasCertificate && byToken.Name != byCertificate.Name {
 		return policy.Caller{}, false
 	}
@@ -45,12 +45,12 @@
 // callerByCertificate returns the caller to which the verified client certificate
 // of a request belongs. hasCertificate is false when the request has none, and ok is
 // false when the certificate belongs to no caller.
-func certified(known Directory, r *http.Request) (c policy.Caller, has, ok bool) {
+func callerByCertificate(callers CallerStore, r *http.Request) (c policy.Caller, hasCertificate, ok bool) {
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
 		return policy.Caller{}, false, true
 	}
 	for _, name := range subjectNames(r.TLS.VerifiedChains[0][0]) {
-		if c, ok := known.CallerByCertificate(name); ok {
+		if c, ok := callers.CallerByCertificate(name); ok {
 			return c, true, true
 		}
 	}
--- a/identity/caller_test.go
+++ b/identity/caller_test.go
@@ -15,9 +15,9 @@
 
 // callerList is a CallerStore in which each caller's name is also its token and
 // the subject name of its certificate.
-type names []policy.Caller
+type callerList []policy.Caller
 
-func (n names) find(name string) (policy.Caller, bool) {
+func (n callerList) find(name string) (policy.Caller, bool) {
 	for _, c := range n {
 		if string(c.Name) == name {
 			return c, true
@@ -26,11 +26,11 @@
 	return policy.Caller{}, false
 }
 
-func (n names) CallerByToken(token string) (policy.Caller, bool)      { return n.find(token) }
-func (n names) CallerByCertificate(name string) (policy.Caller, bool) { return n.find(name) }
+func (n callerList) CallerByToken(token string) (policy.Caller, bool)      { return n.find(token) }
+func (n callerList) CallerByCertificate(name string) (policy.Caller, bool) { return n.find(name) }
 
 func TestCaller(t *testing.T) {
-	known := names{{Name: "sorting-bench"}, {Name: "member-portal"}}
+	callers := callerList{{Name: "sorting-bench"}, {Name: "member-portal"}}
 	for name, c := range map[string]struct {
 		authorization []string
 		commonName    string
@@ -67,7 +67,7 @@
 					r.TLS.VerifiedChains = [][]*x509.Certificate{{cert}}
 				}
 			}
-			got, ok := AuthenticateCaller(known, r)
+			got, ok := AuthenticateCaller(callers, r)
 			require.Equal(t, !c.refused, ok)
 			require.Equal(t, c.want, string(got.Name))
 		})
--- a/identity/material.go
+++ b/identity/credentials.go
@@ -35,16 +35,16 @@
 // Credentials holds this side's certificate with its key, and the certificate
 // authorities that verify the certificate of the other side. A nil *Credentials
 // means plaintext.
-type Material struct {
+type Credentials struct {
 	certificate tls.Certificate
 	// caPool is nil when the other side's certificate is not verified.
-	authority *x509.CertPool
+	caPool *x509.CertPool
 }
 
 // Load reads the files that a TLS section of the settings names. The path is the
 // JSON path of the section, for error messages. Load returns nil when the section
 // is empty.
-func Load(path string, files settings.TLS) (*Material, error) {
+func Load(path string, files settings.TLS) (*Credentials, error) {
 	if !files.Enabled() {
 		return nil, nil
 	}
@@ -56,93 +56,93 @@
 	if err != nil {
 		return nil, &FileError{Path: path + ".key", File: files.Key, Err: err}
 	}
-	m := &Material{}
-	if m.certificate, err = tls.X509KeyPair(certificate, key); err != nil {
+	c := &Credentials{}
+	if c.certificate, err = tls.X509KeyPair(certificate, key); err != nil {
 		return nil, &FileError{Path: path + ".certificate", File: files.Certificate, Err: err}
 	}
 	if files.Authority == "" {
-		return m, nil
+		return c, nil
 	}
-	m.authority, err = loadAuthority(path, files.Authority)
+	c.caPool, err = loadCAPool(path, files.Authority)
 	if err != nil {
 		return nil, err
 	}
-	return m, nil
+	return c, nil
 }
 
 // CallerServerConfig returns the TLS configuration of the listener for callers,
 // nil for plaintext. When a certificate authority is configured, a caller may
 // send a client certificate; an invalid one fails the handshake.
-func (m *Material) CallerServer() *tls.Config {
-	if m == nil {
+func (c *Credentials) CallerServerConfig() *tls.Config {
+	if c == nil {
 		return nil
 	}
-	c := &tls.Config{Certificates: []tls.Certificate{m.certificate}, MinVersion: tls.VersionTLS12}
-	if m.authority != nil {
-		c.ClientCAs = m.authority
-		c.ClientAuth = tls.VerifyClientCertIfGiven
+	config := &tls.Config{Certificates: []tls.Certificate{c.certificate}, MinVersion: tls.VersionTLS12}
+	if c.caPool != nil {
+		config.ClientCAs = c.caPool
+		config.ClientAuth = tls.VerifyClientCertIfGiven
 	}
-	return c
+	return config
 }
 
 // PeerServerConfig returns the TLS configuration of the listener for other
 // daemons, nil for plaintext. Clients must send a valid certificate.
-func (m *Material) PeerServer() *tls.Config {
-	if m == nil {
+func (c *Credentials) PeerServerConfig() *tls.Config {
+	if c == nil {
 		return nil
 	}
 	return &tls.Config{
-		Certificates: []tls.Certificate{m.certificate},
-		ClientCAs:    m.authority,
+		Certificates: []tls.Certificate{c.certificate},
+		ClientCAs:    c.caPool,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		MinVersion:   tls.VersionTLS13,
 	}
 }
 
 // DialFunc connects to an address, as net.Dialer.DialContext does.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // PeerDialer returns a function that connects to other daemons, with a timeout for
 // each connection. The other daemon's certificate must contain the IP address that
 // is dialed.
-func (m *Material) PeerDial(timeout time.Duration) Dial {
+func (c *Credentials) PeerDialer(timeout time.Duration) DialFunc {
 	dialer := &net.Dialer{Timeout: timeout}
-	if m == nil {
+	if c == nil {
 		return dialer.DialContext
 	}
-	secure := &tls.Dialer{NetDialer: dialer, Config: &tls.Config{
-		Certificates: []tls.Certificate{m.certificate},
-		RootCAs:      m.authority,
+	tlsDialer := &tls.Dialer{NetDialer: dialer, Config: &tls.Config{
+		Certificates: []tls.Certificate{c.certificate},
+		RootCAs:      c.caPool,
 		MinVersion:   tls.VersionTLS13,
 	}}
-	return secure.DialContext
+	return tlsDialer.DialContext
 }
 
 // CallerDialer returns a function with which a caller connects to daemons, with a
 // timeout for each connection. It uses TLS when the section names a certificate
 // authority, and sends the section's certificate, if any, as client certificate.
 // The path is the JSON path of the section, for error messages.
-func CallerDialer(path string, files settings.TLS, timeout time.Duration) (Dial, error) {
+func CallerDialer(path string, files settings.TLS, timeout time.Duration) (DialFunc, error) {
 	dialer := &net.Dialer{Timeout: timeout}
 	if files.Authority == "" {
 		return dialer.DialContext, nil
 	}
-	authority, err := loadAuthority(path, files.Authority)
+	caPool, err := loadCAPool(path, files.Authority)
 	if err != nil {
 		return nil, err
 	}
-	config := &tls.Config{RootCAs: authority, MinVersion: tls.VersionTLS12}
+	config := &tls.Config{RootCAs: caPool, MinVersion: tls.VersionTLS12}
 	if files.Certificate != "" {
-		m, err := Load(path, files)
+		credentials, err := Load(path, files)
 		if err != nil {
 			return nil, err
 		}
-		config.Certificates = []tls.Certificate{m.certificate}
+		config.Certificates = []tls.Certificate{credentials.certificate}
 	}
 	return (&tls.Dialer{NetDialer: dialer, Config: config}).DialContext, nil
 }
 
-func loadAuthority(path, file string) (*x509.CertPool, error) {
+func loadCAPool(path, file string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &FileError{Path: path + ".authority", File: file, Err: err}
