--- a/daemon/control.go
+++ b/daemon/control.go
@@ -67,7 +67,7 @@
 		Peers:          d.Members.Peers,
 		Unreachable:    d.Members.DeadPeers,
 		OnResult:       d.Members.RecordExchange,
-		BootstrapPeers: firstPeers(d.settings.Peers.First),
+		BootstrapPeers: firstPeers(d.settings.Peers.Bootstrap),
 		Transport:      d.Peers,
 		Seed:           seed,
 		Metrics:        d.Metrics.Scope,
--- a/settings/checker.go
+++ b/settings/checker.go
@@ -12,19 +12,19 @@
 
 // checker validates fields and keeps the error of the first invalid one.
 type checker struct {
-	first *FieldError
+	firstError *FieldError
 }
 
 func (c *checker) result() error {
-	if c.first == nil {
+	if c.firstError == nil {
 		return nil
 	}
-	return c.first
+	return c.firstError
 }
 
 func (c *checker) fail(path, value, message string) {
-	if c.first == nil {
-		c.first = &FieldError{Path: path, Value: value, Message: message}
+	if c.firstError == nil {
+		c.firstError = &FieldError{Path: path, Value: value, Message: message}
 	}
 }
 
--- a/settings/docs_test.go
+++ b/settings/docs_test.go
@@ -14,7 +14,7 @@
 )
 
 // tableRow matches a table row of docs/SETTINGS.md, "| `path` | `default` | meaning |".
-var row = regexp.MustCompile("(?m)^\\| `([a-z0-9_.\\[\\]]+)` \\| `([^`]*)` \\| (.+) \\|$")
+var tableRow = regexp.MustCompile("(?m)^\\| `([a-z0-9_.\\[\\]]+)` \\| `([^`]*)` \\| (.+) \\|$")
 
 // TestTheReferenceListsEveryFieldWithItsDefault checks that docs/SETTINGS.md lists
 // each field of the settings structs with its default, and no other field.
@@ -22,12 +22,12 @@
 	text, err := os.ReadFile("../docs/SETTINGS.md")
 	require.NoError(t, err)
 	documented := make(map[string]string)
-	for _, m := range row.FindAllStringSubmatch(string(text), -1) {
+	for _, m := range tableRow.FindAllStringSubmatch(string(text), -1) {
 		require.NotContains(t, documented, m[1], "listed twice")
 		documented[m[1]] = m[2]
 	}
 	actual := make(map[string]string)
-	collect(t, "", reflect.ValueOf(Defaults()), actual)
+	collectDefaults(t, "", reflect.ValueOf(Defaults()), actual)
 	for path, value := range actual {
 		require.Equal(t, value, documented[path], "docs/SETTINGS.md must have a row for %s with its default", path)
 	}
@@ -38,14 +38,14 @@
 
 // collectDefaults stores the default of every field of the struct v, including those
 // of nested structs, as JSON under the field's JSON path.
-func collect(t *testing.T, path string, v reflect.Value, to map[string]string) {
+func collectDefaults(t *testing.T, path string, v reflect.Value, defaults map[string]string) {
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
 		require.NotEmpty(t, name, "%s.%s has no JSON name", path, v.Type().Field(i).Name)
-		at := strings.TrimPrefix(path+"."+name, ".")
+		fieldPath := strings.TrimPrefix(path+"."+name, ".")
 		f := v.Field(i)
 		if f.Kind() == reflect.Struct {
-			collect(t, at, f, to)
+			collectDefaults(t, fieldPath, f, defaults)
 			continue
 		}
 		value := f.Interface()
@@ -54,7 +54,7 @@
 		}
 		data, err := json.Marshal(value)
 		require.NoError(t, err)
-		to[at] = string(data)
+		defaults[fieldPath] = string(data)
 	}
 }
 
--- a/settings/network.go
+++ b/settings/network.go
@@ -138,7 +138,7 @@
 	Secret string `json:"secret"`
 	// Bootstrap lists peer addresses of daemons to contact while no other daemon
 	// is known from the log.
-	First []string `json:"first,omitempty"`
+	Bootstrap []string `json:"first,omitempty"`
 	// AllowPlaintext permits plaintext on an address that is not loopback.
 	AllowPlaintext bool `json:"allow_plaintext"`
 	// TLS is mutual between daemons, so it requires an authority.
@@ -147,7 +147,7 @@
 
 func (p Peers) check(c *checker, l Listen) {
 	c.required("peers.secret", p.Secret)
-	for i, a := range p.First {
+	for i, a := range p.Bootstrap {
 		c.address("peers.first["+strconv.Itoa(i)+"]", a)
 	}
 	p.TLS.check(c, "peers.tls")
