--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -25,7 +25,7 @@
 }
 
 // maxQuotedBytes bounds how much of an invalid value an error message quotes.
-const maxValue = 64
+const maxQuotedBytes = 64
 
 // Error returns the path, the message and the value on one line.
 func (e *FieldError) Error() string {
@@ -34,8 +34,8 @@
 		path = "(top level)"
 	}
 	value := strings.Join(strings.Fields(e.Value), " ")
-	if len(value) > maxValue {
-		value = value[:maxValue] + "..."
+	if len(value) > maxQuotedBytes {
+		value = value[:maxQuotedBytes] + "..."
 	}
 	if value == "" {
 		return path + ": " + e.Message
@@ -62,20 +62,20 @@
 }
 
 func syntaxMessage(data []byte, err error) string {
-	var syntax *json.SyntaxError
-	if !errors.As(err, &syntax) {
+	var syntaxErr *json.SyntaxError
+	if !errors.As(err, &syntaxErr) {
 		return "not JSON: " + err.Error()
 	}
-	line := 1 + bytes.Count(data[:min(int(syntax.Offset), len(data))], []byte("\n"))
-	return fmt.Sprintf("not JSON: line %d: %s", line, syntax.Error())
+	line := 1 + bytes.Count(data[:min(int(syntaxErr.Offset), len(data))], []byte("\n"))
+	return fmt.Sprintf("not JSON: line %d: %s", line, syntaxErr.Error())
 }
 
-var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
+var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
 func decodeValue(path string, raw json.RawMessage, v reflect.Value) error {
-	custom := reflect.PointerTo(v.Type()).Implements(unmarshaler)
+	hasUnmarshaler := reflect.PointerTo(v.Type()).Implements(unmarshalerType)
 	switch {
-	case custom:
+	case hasUnmarshaler:
 		return decodeLeaf(path, raw, v)
 	case v.Kind() == reflect.Struct:
 		return decodeStruct(path, raw, v)
@@ -88,24 +88,24 @@
 
 func decodeLeaf(path string, raw json.RawMessage, v reflect.Value) error {
 	if string(raw) == "null" {
-		return &FieldError{Path: path, Value: "null", Message: "want " + kindName(v.Type())}
+		return &FieldError{Path: path, Value: "null", Message: "want " + describeType(v.Type())}
 	}
 	err := json.Unmarshal(raw, v.Addr().Interface())
 	if err == nil {
 		return nil
 	}
-	var mistyped *json.UnmarshalTypeError
-	if errors.As(err, &mistyped) {
-		return &FieldError{Path: path, Value: string(raw), Message: "want " + kindName(v.Type())}
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return &FieldError{Path: path, Value: string(raw), Message: "want " + describeType(v.Type())}
 	}
 	return &FieldError{Path: path, Value: string(raw), Message: err.Error()}
 }
 
 func decodeStruct(path string, raw json.RawMessage, v reflect.Value) error {
-	fields := fieldsOf(v)
+	fields := fieldsByName(v)
 	seen := make(map[string]bool)
 	dec := json.NewDecoder(bytes.NewReader(raw))
-	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
+	if delim, err := dec.Token(); err != nil || delim != json.Delim('{') {
 		return &FieldError{Path: path, Value: string(raw), Message: "want an object"}
 	}
 	for dec.More() {
@@ -118,16 +118,16 @@
 			return &FieldError{Path: path, Message: err.Error()}
 		}
 		name, _ := token.(string)
-		at := join(path, name)
+		fieldPath := joinPath(path, name)
 		field, ok := fields[name]
 		if !ok {
-			return &FieldError{Path: at, Value: string(value), Message: "no such field"}
+			return &FieldError{Path: fieldPath, Value: string(value), Message: "no such field"}
 		}
 		if seen[name] {
-			return &FieldError{Path: at, Value: string(value), Message: "field given twice"}
+			return &FieldError{Path: fieldPath, Value: string(value), Message: "field given twice"}
 		}
 		seen[name] = true
-		if err := decodeValue(at, value, field); err != nil {
+		if err := decodeValue(fieldPath, value, field); err != nil {
 			return err
 		}
 	}
@@ -141,8 +141,8 @@
 	}
 	out := reflect.MakeSlice(v.Type(), len(items), len(items))
 	for i, item := range items {
-		at := path + "[" + strconv.Itoa(i) + "]"
-		if err := decodeValue(at, item, out.Index(i)); err != nil {
+		itemPath := path + "[" + strconv.Itoa(i) + "]"
+		if err := decodeValue(itemPath, item, out.Index(i)); err != nil {
 			return err
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // fieldsByName returns the fields of the struct v by JSON name.
-func fieldsOf(v reflect.Value) map[string]reflect.Value {
+func fieldsByName(v reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value)
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
@@ -163,17 +163,17 @@
 	return fields
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func kindName(t reflect.Type) string {
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
-		return kindName(t.Elem())
+		return describeType(t.Elem())
 	case reflect.String:
 		return "a string"
 	case reflect.Bool:
