--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -6,41 +6,41 @@
 // so that keys from the network cannot create metrics without end. It is safe for
 // concurrent use and does not allocate for a key that it holds.
 type BoundedMetrics[K comparable, M any] struct {
-	most  int
-	other func(K) K
-	add   func(K) M
+	maxKeys     int
+	overflowKey func(K) K
+	newMetric   func(K) M
 
-	mu  sync.RWMutex
-	all map[K]M
+	mu      sync.RWMutex
+	metrics map[K]M
 }
 
 // NewBoundedMetrics returns an empty BoundedMetrics. The function newMetric creates
 // the metric of a key. Once maxKeys keys are held, each further key is replaced by
 // overflowKey of it, so that further keys share the metrics of a few overflow keys.
-func NewBoundedMetrics[K comparable, M any](most int, other func(K) K, add func(K) M) *BoundedMetrics[K, M] {
-	return &BoundedMetrics[K, M]{most: most, other: other, add: add, all: make(map[K]M)}
+func NewBoundedMetrics[K comparable, M any](maxKeys int, overflowKey func(K) K, newMetric func(K) M) *BoundedMetrics[K, M] {
+	return &BoundedMetrics[K, M]{maxKeys: maxKeys, overflowKey: overflowKey, newMetric: newMetric, metrics: make(map[K]M)}
 }
 
 // Get returns the metric of a key. It creates the metric on first use.
 func (b *BoundedMetrics[K, M]) Get(k K) M {
 	b.mu.RLock()
-	m, ok := b.all[k]
+	m, ok := b.metrics[k]
 	b.mu.RUnlock()
 	if ok {
 		return m
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if m, ok := b.all[k]; ok {
+	if m, ok := b.metrics[k]; ok {
 		return m
 	}
-	if len(b.all) >= b.most {
-		k = b.other(k)
-		if m, ok := b.all[k]; ok {
+	if len(b.metrics) >= b.maxKeys {
+		k = b.overflowKey(k)
+		if m, ok := b.metrics[k]; ok {
 			return m
 		}
 	}
-	m = b.add(k)
-	b.all[k] = m
+	m = b.newMetric(k)
+	b.metrics[k] = m
 	return m
 }
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -57,7 +57,7 @@
 		Prefix:                 Prefix,
 		CachedReporter:         reporter,
 		Separator:              promreporter.DefaultSeparator,
-		SanitizeOptions:        sanitizer(),
+		SanitizeOptions:        sanitizeOptions(),
 		OmitCardinalityMetrics: true,
 	}, interval)
 	return &Metrics{Scope: scope, reporter: reporter, registry: registry, closer: closer}
@@ -66,10 +66,10 @@
 // sanitizeOptions returns the default rules for names, and allows dashes, dots,
 // colons and slashes in label values, so that reasons are spelled as in the
 // responses to callers.
-func sanitizer() *tally.SanitizeOptions {
-	o := promreporter.DefaultSanitizerOpts
-	o.ValueCharacters.Characters = []rune{'_', '-', '.', ':', '/'}
-	return &o
+func sanitizeOptions() *tally.SanitizeOptions {
+	options := promreporter.DefaultSanitizerOpts
+	options.ValueCharacters.Characters = []rune{'_', '-', '.', ':', '/'}
+	return &options
 }
 
 // Handler serves the metrics in the Prometheus text format.
--- a/telemetry/outcomes.go
+++ b/telemetry/outcomes.go
@@ -26,12 +26,12 @@
 // scope. Nothing is counted when scope is nil.
 func NewOutcomeCounter(scope tally.Scope, name string) *OutcomeCounter {
 	scope = OrNoop(scope)
-	other := func(k outcomeKey) outcomeKey { return outcomeKey{k.kind, "other"} }
-	add := func(k outcomeKey) tally.Counter {
+	overflowKey := func(k outcomeKey) outcomeKey { return outcomeKey{k.kind, "other"} }
+	newCounter := func(k outcomeKey) tally.Counter {
 		tags := map[string]string{"outcome": k.kind.String(), "reason": string(k.reason)}
 		return scope.Tagged(tags).Counter(name)
 	}
-	return &OutcomeCounter{counters: NewBoundedMetrics(maxOutcomes, other, add)}
+	return &OutcomeCounter{counters: NewBoundedMetrics(maxOutcomes, overflowKey, newCounter)}
 }
 
 // Count increments the counter of an outcome's kind and reason.
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -27,7 +27,7 @@
 	require.Contains(t, w.Body.String(), "go_goroutines")
 }
 
-func TestOutcomesThatPeersInventAreBounded(t *testing.T) {
+func TestNumberOfOutcomeCountersIsBounded(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	c := NewOutcomeCounter(scope, "n")
 	for i := range 2 * maxOutcomes {
@@ -36,7 +36,7 @@
 	counters := scope.Snapshot().Counters()
 	require.Len(t, counters, maxOutcomes+1)
 	require.EqualValues(t, maxOutcomes, counters["n+outcome=not-run,reason=other"].Value())
-	require.Len(t, c.counters.all, maxOutcomes+1)
+	require.Len(t, c.counters.metrics, maxOutcomes+1)
 	require.Zero(t, testing.AllocsPerRun(100, func() { c.Count(outcome.NotRunBecause("1")) }))
 }
 
