--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -121,7 +121,7 @@
 		Now:        d.now,
 		Config:     d.Config.Current,
 		Routers:    d.newRouters(),
-		Local:      trace.Guard{Next: d.Guard},
+		Local:      trace.TracedGuard{Next: d.Guard},
 		Remote:     remote.To,
 		Self:       d.ID(),
 		Tokens:     tokens,
--- a/daemon/tracing.go
+++ b/daemon/tracing.go
@@ -14,13 +14,13 @@
 func (d *Daemon) buildTracer() error {
 	s := d.settings.Tracing
 	tracer, err := trace.New(context.Background(), trace.Options{
-		Daemon:   string(d.ID()),
-		Zone:     string(d.settings.Zone),
-		Exporter: s.Exporter,
-		Endpoint: s.Endpoint,
-		Stdout:   os.Stdout,
-		Sample:   s.Sample,
-		Keep:     s.Keep,
+		Daemon:      string(d.ID()),
+		Zone:        string(d.settings.Zone),
+		Exporter:    s.Exporter,
+		Endpoint:    s.Endpoint,
+		Stdout:      os.Stdout,
+		SampleRatio: s.Sample,
+		RecentSpans: s.Keep,
 	})
 	if err != nil {
 		return err
--- a/trace/render.go
+++ b/trace/render.go
@@ -12,7 +12,7 @@
 
 // entrySpanName is the name of the outermost span that a daemon records for a
 // request.
-const entrySpan = "entry"
+const entrySpanName = "entry"
 
 // Tree holds the spans of one trace. It has one root unless spans are missing.
 type Tree struct {
@@ -42,7 +42,7 @@
 
 // Complete reports whether the entry span is the only root. Otherwise a span is
 // missing, for example since a Ring has overwritten it.
-func (t *Tree) Complete() bool { return len(t.Roots) == 1 && t.Roots[0].Name == entrySpan }
+func (t *Tree) Complete() bool { return len(t.Roots) == 1 && t.Roots[0].Name == entrySpanName }
 
 // BuildTrees groups records into one tree for each trace. The records may come from
 // several daemons and in any order. A span whose parent is missing becomes a root.
@@ -102,7 +102,7 @@
 }
 
 // printedAttributes lists the attributes that Print shows, in that order.
-var shown = []string{
+var printedAttributes = []string{
 	"http.request.method", "url.path", "service", "group", "caller", "upstream", "attempt", "outcome", "reason",
 }
 
@@ -120,18 +120,18 @@
 	return table.Flush()
 }
 
-func printNode(w io.Writer, n *Node, origin time.Time, depth int) {
+func printNode(w io.Writer, n *Node, traceStart time.Time, depth int) {
 	var attributes []string
-	for _, key := range shown {
+	for _, key := range printedAttributes {
 		if v := n.Attributes[key]; v != "" {
 			attributes = append(attributes, key[strings.LastIndexByte(key, '.')+1:]+"="+v)
 		}
 	}
 	_, _ = fmt.Fprintf(w, "  %.2f\t%.2f\t%s%s\t%s\t%s\t%s\n",
-		milliseconds(n.Start.Sub(origin)), milliseconds(n.elapsed()),
+		milliseconds(n.Start.Sub(traceStart)), milliseconds(n.elapsed()),
 		strings.Repeat("  ", depth), n.Name, n.Daemon, n.Zone, strings.Join(attributes, " "))
 	for _, c := range n.Children {
-		printNode(w, c, origin, depth+1)
+		printNode(w, c, traceStart, depth+1)
 	}
 }
 
--- a/trace/ring.go
+++ b/trace/ring.go
@@ -26,10 +26,10 @@
 
 // Ring is a ring buffer of the most recent records. It is safe for concurrent use.
 type Ring struct {
-	mu      sync.Mutex
-	records []Record
-	next    int
-	full    bool
+	mu        sync.Mutex
+	records   []Record
+	nextIndex int
+	wrapped   bool
 }
 
 // NewRing returns a Ring that holds up to size records. With size 0 it drops all
@@ -37,16 +37,16 @@
 func NewRing(size int) *Ring { return &Ring{records: make([]Record, size)} }
 
 // Add stores a record. It overwrites the oldest one when the ring is full.
-func (r *Ring) Add(rec Record) {
+func (r *Ring) Add(record Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.records) == 0 {
 		return
 	}
-	r.records[r.next] = rec
-	r.next++
-	if r.next == len(r.records) {
-		r.next, r.full = 0, true
+	r.records[r.nextIndex] = record
+	r.nextIndex++
+	if r.nextIndex == len(r.records) {
+		r.nextIndex, r.wrapped = 0, true
 	}
 }
 
@@ -54,25 +54,25 @@
 func (r *Ring) Records() []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.full {
-		return slices.Clone(r.records[:r.next])
+	if !r.wrapped {
+		return slices.Clone(r.records[:r.nextIndex])
 	}
-	return slices.Concat(r.records[r.next:], r.records[:r.next])
+	return slices.Concat(r.records[r.nextIndex:], r.records[:r.nextIndex])
 }
 
 // ringProcessor is a sdktrace.SpanProcessor that adds ended spans to a Ring.
-type recorder struct {
+type ringProcessor struct {
 	ring   *Ring
 	daemon string
 	zone   string
 }
 
 // OnStart implements sdktrace.SpanProcessor.
-func (*recorder) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
+func (*ringProcessor) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
 
 // OnEnd implements sdktrace.SpanProcessor.
-func (p *recorder) OnEnd(s sdktrace.ReadOnlySpan) {
-	rec := Record{
+func (p *ringProcessor) OnEnd(s sdktrace.ReadOnlySpan) {
+	record := Record{
 		TraceID:    s.SpanContext().TraceID().String(),
 		SpanID:     s.SpanContext().SpanID().String(),
 		Name:       s.Name(),
@@ -83,16 +83,16 @@
 		Attributes: make(map[string]string, len(s.Attributes())),
 	}
 	if s.Parent().SpanID().IsValid() {
-		rec.ParentID = s.Parent().SpanID().String()
+		record.ParentID = s.Parent().SpanID().String()
 	}
 	for _, a := range s.Attributes() {
-		rec.Attributes[string(a.Key)] = a.Value.String()
+		record.Attributes[string(a.Key)] = a.Value.String()
 	}
-	p.ring.Add(rec)
+	p.ring.Add(record)
 }
 
 // Shutdown implements sdktrace.SpanProcessor.
-func (*recorder) Shutdown(context.Context) error { return nil }
+func (*ringProcessor) Shutdown(context.Context) error { return nil }
 
 // ForceFlush implements sdktrace.SpanProcessor.
-func (*recorder) ForceFlush(context.Context) error { return nil }
+func (*ringProcessor) ForceFlush(context.Context) error { return nil }
--- a/trace/span.go
+++ b/trace/span.go
@@ -75,12 +75,12 @@
 
 // TracedGuard records a span around each call to the guard in the same process.
 // For calls from other daemons Tracer.Handler does the same.
-type Guard struct {
+type TracedGuard struct {
 	Next Forwarder
 }
 
 // Do implements Forwarder.
-func (g Guard) Do(ctx context.Context, c *wire.Call) *wire.Result {
+func (g TracedGuard) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	ctx, span := Start(ctx, "guard")
 	a := g.Next.Do(ctx, c)
 	span.End(a.Outcome)
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
+const sampledTraceparent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 
 func newTracer(t *testing.T, o Options) *Tracer {
 	t.Helper()
@@ -31,14 +31,14 @@
 // serveTraced sends a request with the given traceparent header, or none if it is
 // empty, through a handler that records an entry span and an attempt span. It
 // returns the traceparent header that an upstream would receive.
-func serve(t *Tracer, traceparent string) string {
-	var seen string
+func serveTraced(t *Tracer, traceparent string) string {
+	var forwarded string
 	h := t.Handler("entry", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, span := Start(r.Context(), "attempt")
 		span.SetCallAttributes(&wire.Call{Service: "returdesk", Upstream: "returdesk-1", Attempt: 1})
-		out := r.Header.Clone()
-		Inject(ctx, out)
-		seen = out.Get("Traceparent")
+		header := r.Header.Clone()
+		Inject(ctx, header)
+		forwarded = header.Get("Traceparent")
 		span.End(outcome.NotRunBecause(outcome.ReasonQueueFull))
 		w.Header().Set(wire.HeaderOutcome, "not-run")
 	}))
@@ -47,12 +47,12 @@
 		r.Header.Set("Traceparent", traceparent)
 	}
 	h.ServeHTTP(httptest.NewRecorder(), r)
-	return seen
+	return forwarded
 }
 
 func TestSpansContinueTheCallersTrace(t *testing.T) {
-	tr := newTracer(t, Options{Daemon: "127.0.0.1:1", Zone: "odense-hal-a", Sample: 1, Keep: 8})
-	seen := serve(tr, parent)
+	tr := newTracer(t, Options{Daemon: "127.0.0.1:1", Zone: "odense-hal-a", SampleRatio: 1, RecentSpans: 8})
+	forwarded := serveTraced(tr, sampledTraceparent)
 
 	records := tr.Recent.Records()
 	require.Len(t, records, 2)
@@ -61,7 +61,7 @@
 	require.Equal(t, "b7ad6b7169203331", entry.ParentID)
 	require.Equal(t, entry.TraceID, attempt.TraceID)
 	require.Equal(t, entry.SpanID, attempt.ParentID)
-	require.Equal(t, "00-"+entry.TraceID+"-"+attempt.SpanID+"-01", seen)
+	require.Equal(t, "00-"+entry.TraceID+"-"+attempt.SpanID+"-01", forwarded)
 	require.Equal(t, "odense-hal-a", entry.Zone)
 	require.Equal(t, map[string]string{
 		"http.request.method": "GET", "url.path": "/parcels", "outcome": "not-run",
@@ -71,58 +71,58 @@
 	require.Equal(t, "1", attempt.Attributes["attempt"])
 }
 
-func TestTheCallersDecisionNotToSampleIsKept(t *testing.T) {
-	tr := newTracer(t, Options{Sample: 1, Keep: 8})
-	unsampled := parent[:len(parent)-1] + "0"
-	seen := serve(tr, unsampled)
+func TestCallersSamplingDecisionIsKept(t *testing.T) {
+	tr := newTracer(t, Options{SampleRatio: 1, RecentSpans: 8})
+	unsampled := sampledTraceparent[:len(sampledTraceparent)-1] + "0"
+	forwarded := serveTraced(tr, unsampled)
 	require.Empty(t, tr.Recent.Records())
-	require.Equal(t, parent[:35], seen[:35], "the trace ID must be forwarded")
-	require.Equal(t, "00", seen[len(seen)-2:])
+	require.Equal(t, sampledTraceparent[:35], forwarded[:35], "the trace ID must be forwarded")
+	require.Equal(t, "00", forwarded[len(forwarded)-2:])
 }
 
 func TestWithoutATracerTheHeaderPassesUnchanged(t *testing.T) {
-	tr := newTracer(t, Options{Sample: 0, Keep: 8})
+	tr := newTracer(t, Options{SampleRatio: 0, RecentSpans: 8})
 	require.Nil(t, tr)
-	require.Equal(t, parent, serve(tr, parent))
-	require.Empty(t, serve(tr, ""))
+	require.Equal(t, sampledTraceparent, serveTraced(tr, sampledTraceparent))
+	require.Empty(t, serveTraced(tr, ""))
 }
 
 // traceAttempt makes the calls to this package that forwarding one attempt makes.
-func off(ctx context.Context, call *wire.Call) {
+func traceAttempt(ctx context.Context, call *wire.Call) {
 	ctx, span := Start(ctx, "attempt")
 	span.SetCallAttributes(call)
 	Inject(ctx, call.Header)
 	span.End(outcome.Done())
 }
 
-func TestOffAllocatesNothing(t *testing.T) {
-	call := &wire.Call{Header: http.Header{"Traceparent": {parent}}}
-	require.Zero(t, testing.AllocsPerRun(100, func() { off(context.Background(), call) }))
+func TestUntracedAttemptAllocatesNothing(t *testing.T) {
+	call := &wire.Call{Header: http.Header{"Traceparent": {sampledTraceparent}}}
+	require.Zero(t, testing.AllocsPerRun(100, func() { traceAttempt(context.Background(), call) }))
 }
 
-func BenchmarkOff(b *testing.B) {
+func BenchmarkUntracedAttempt(b *testing.B) {
 	call := &wire.Call{Header: http.Header{}}
 	b.ReportAllocs()
 	for b.Loop() {
-		off(context.Background(), call)
+		traceAttempt(context.Background(), call)
 	}
 }
 
-func BenchmarkSampled(b *testing.B) {
-	tr, err := New(b.Context(), Options{Sample: 1, Keep: 1024})
+func BenchmarkSampledRequest(b *testing.B) {
+	tr, err := New(b.Context(), Options{SampleRatio: 1, RecentSpans: 1024})
 	require.NoError(b, err)
 	defer func() { _ = tr.Shutdown(context.Background()) }()
 	b.ReportAllocs()
 	for b.Loop() {
-		serve(tr, "")
+		serveTraced(tr, "")
 	}
 }
 
 func TestSpansAreExported(t *testing.T) {
 	var out bytes.Buffer
-	tr, err := New(t.Context(), Options{Sample: 1, Exporter: ExporterStdout, Stdout: &out})
+	tr, err := New(t.Context(), Options{SampleRatio: 1, Exporter: ExporterStdout, Stdout: &out})
 	require.NoError(t, err)
-	serve(tr, parent)
+	serveTraced(tr, sampledTraceparent)
 	require.NoError(t, tr.Shutdown(t.Context()))
 	require.Contains(t, out.String(), `"Name":"entry"`)
 	require.Contains(t, out.String(), "0af7651916cd43dd8448eb211c80319c")
@@ -135,10 +135,10 @@
 	}))
 	defer collector.Close()
 	tr, err := New(t.Context(), Options{
-		Sample: 1, Exporter: ExporterOTLP, Endpoint: collector.Listener.Addr().String(),
+		SampleRatio: 1, Exporter: ExporterOTLP, Endpoint: collector.Listener.Addr().String(),
 	})
 	require.NoError(t, err)
-	serve(tr, "")
+	serveTraced(tr, "")
 	require.NoError(t, tr.Shutdown(t.Context()))
 	require.Equal(t, "POST /v1/traces application/x-protobuf", <-posted)
 	http.DefaultClient.CloseIdleConnections()
@@ -154,27 +154,27 @@
 		ids += rec.SpanID
 	}
 	require.Equal(t, "234", ids)
-	none := NewRing(0)
-	none.Add(Record{})
-	require.Empty(t, none.Records())
+	empty := NewRing(0)
+	empty.Add(Record{})
+	require.Empty(t, empty.Records())
 }
 
 func TestPrintShowsTheTreeInOrder(t *testing.T) {
-	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	rec := func(id, parent, name string, after, took time.Duration) Record {
+	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+	newRecord := func(id, parent, name string, offset, duration time.Duration) Record {
 		return Record{
 			TraceID: "t", SpanID: id, ParentID: parent, Name: name, Daemon: "d", Zone: "z",
-			Start: at.Add(after), DurationUs: took.Microseconds(),
+			Start: start.Add(offset), DurationUs: duration.Microseconds(),
 			Attributes: map[string]string{"outcome": "answered", "url.path": ""},
 		}
 	}
 	trees := BuildTrees([]Record{
-		rec("3", "2", "upstream", 4*time.Millisecond, 5*time.Millisecond),
-		rec("2", "1", "attempt", 2*time.Millisecond, 8*time.Millisecond),
-		rec("4", "1", "attempt", time.Millisecond, time.Millisecond/2),
-		rec("1", "gone", "entry", 0, 12*time.Millisecond),
-		{TraceID: "other", SpanID: "9", Name: "entry", Start: at, DurationUs: 7},
-		{TraceID: "partial", SpanID: "8", ParentID: "7", Name: "guard", Start: at, DurationUs: 50_000},
+		newRecord("3", "2", "upstream", 4*time.Millisecond, 5*time.Millisecond),
+		newRecord("2", "1", "attempt", 2*time.Millisecond, 8*time.Millisecond),
+		newRecord("4", "1", "attempt", time.Millisecond, time.Millisecond/2),
+		newRecord("1", "gone", "entry", 0, 12*time.Millisecond),
+		{TraceID: "other", SpanID: "9", Name: "entry", Start: start, DurationUs: 7},
+		{TraceID: "partial", SpanID: "8", ParentID: "7", Name: "guard", Start: start, DurationUs: 50_000},
 	})
 	var order []string
 	for _, tree := range trees {
--- a/trace/tracer.go
+++ b/trace/tracer.go
@@ -39,9 +39,9 @@
 	// SampleRatio is the share, 0 to 1, of the requests without a traceparent
 	// header that are traced. For other requests the caller's sampled flag
 	// decides. 0 turns tracing off for all requests.
-	Sample float64
+	SampleRatio float64
 	// RecentSpans is the number of spans that Tracer.Recent holds.
-	Keep int
+	RecentSpans int
 }
 
 // scopeName is the OpenTelemetry instrumentation scope.
@@ -57,18 +57,18 @@
 
 // New returns a Tracer, or nil when SampleRatio is 0. Call Shutdown to stop it.
 func New(ctx context.Context, o Options) (*Tracer, error) {
-	if o.Sample <= 0 {
+	if o.SampleRatio <= 0 {
 		return nil, nil
 	}
-	t := &Tracer{Recent: NewRing(o.Keep)}
+	t := &Tracer{Recent: NewRing(o.RecentSpans)}
 	options := []sdktrace.TracerProviderOption{
-		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(o.Sample))),
+		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(o.SampleRatio))),
 		sdktrace.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "dottereltillerd"),
 			attribute.String("service.instance.id", o.Daemon),
 			attribute.String("cloud.availability_zone", o.Zone),
 		)),
-		sdktrace.WithSpanProcessor(&recorder{ring: t.Recent, daemon: o.Daemon, zone: o.Zone}),
+		sdktrace.WithSpanProcessor(&ringProcessor{ring: t.Recent, daemon: o.Daemon, zone: o.Zone}),
 	}
 	exporter, err := newExporter(ctx, o)
 	if err != nil {
@@ -121,7 +121,7 @@
 		ctx, span := t.tracer.Start(ctx, name, oteltrace.WithSpanKind(oteltrace.SpanKindServer))
 		defer span.End()
 		if span.IsRecording() {
-			defer annotate(span, w, r)
+			defer setServerAttributes(span, w, r)
 		}
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
@@ -129,7 +129,7 @@
 
 // setServerAttributes sets the request's method and path and the response's outcome
 // and reason as span attributes.
-func annotate(span oteltrace.Span, w http.ResponseWriter, r *http.Request) {
+func setServerAttributes(span oteltrace.Span, w http.ResponseWriter, r *http.Request) {
 	span.SetAttributes(
 		attribute.String("http.request.method", r.Method),
 		attribute.String("url.path", r.URL.Path),
