--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -10,8 +10,8 @@
 // adminHandler returns the handler of the admin address, for operators, monitoring
 // and the upstreams of this VM. Requests from other hosts can only read.
 func (d *Daemon) adminHandler() http.Handler {
-	for _, reason := range []string{refusedUnreadable, refusedInvalid, refusedTooMany} {
-		d.refusedAnnouncements(reason)
+	for _, reason := range []string{reasonUnreadable, reasonInvalid, reasonTooMany} {
+		d.refusedAnnouncementsCounter(reason)
 	}
 	r := chi.NewRouter()
 	r.Get("/healthz", d.healthz)
@@ -21,8 +21,8 @@
 	r.Get("/traces", d.tracer.ServeRecent)
 	r.Handle("/metrics", d.Metrics.Handler())
 	r.Get("/v1/quarantine", d.listQuarantine)
-	r.With(d.onlyThisVM).Delete("/v1/quarantine/{fingerprint}", d.releaseQuarantine)
-	r.With(d.onlyThisVM).Put("/v1/upstreams/{id}", d.announce)
+	r.With(d.requireSameVM).Delete("/v1/quarantine/{fingerprint}", d.releaseQuarantine)
+	r.With(d.requireSameVM).Put("/v1/upstreams/{id}", d.handleAnnouncement)
 	return r
 }
 
@@ -30,7 +30,7 @@
 type Health struct {
 	OK bool `json:"ok"`
 	// MissingConditions lists why the daemon is not ready.
-	Lacking []string `json:"lacking,omitempty"`
+	MissingConditions []string `json:"lacking,omitempty"`
 }
 
 // healthz responds 200 as long as the process can serve HTTP. It does not depend on
@@ -50,14 +50,14 @@
 }
 
 func (d *Daemon) health() Health {
-	var lacking []string
+	var missing []string
 	if d.stopping.Load() {
-		lacking = append(lacking, "stopping")
+		missing = append(missing, "stopping")
 	}
 	if d.Config.Current() == nil {
-		lacking = append(lacking, "no configuration in force")
+		missing = append(missing, "no configuration in force")
 	}
-	return Health{OK: len(lacking) == 0, Lacking: lacking}
+	return Health{OK: len(missing) == 0, MissingConditions: missing}
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/daemon/admin_test.go
+++ b/daemon/admin_test.go
@@ -13,7 +13,7 @@
 // TestChangesAreAllowedOnlyFromThisVM sends requests from another host, from loopback
 // and from the VM's own address. Only the last two may change anything; the other
 // host may read.
-func TestOnlyThisVMMayChangeAnything(t *testing.T) {
+func TestChangesAreAllowedOnlyFromThisVM(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
 	h := d.adminHandler()
 	status := func(method, path, from string) int {
--- a/daemon/announce.go
+++ b/daemon/announce.go
@@ -37,10 +37,10 @@
 }
 
 const (
-	maxAnnouncement = 16 << 10
-	maxSlots        = 1 << 16
-	minLease        = time.Second
-	maxLease        = time.Hour
+	maxAnnouncementBytes = 16 << 10
+	maxSlots             = 1 << 16
+	minLease             = time.Second
+	maxLease             = time.Hour
 	// maxLocalUpstreams bounds the number of upstreams on one VM.
 	maxLocalUpstreams = 64
 )
@@ -92,10 +92,10 @@
 // requireSameVM responds 403 to requests from other hosts. The admin address has no
 // authentication, so changes are allowed only from this VM. Upstreams need no more,
 // since they announce themselves to the daemon on their own VM.
-func (d *Daemon) onlyThisVM(next http.Handler) http.Handler {
+func (d *Daemon) requireSameVM(next http.Handler) http.Handler {
 	refused := d.scope("admin").Tagged(map[string]string{"reason": "not-this-vm"}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !sameHost(r) {
+		if !isFromThisVM(r) {
 			refused.Inc(1)
 			http.Error(w, "this address is read-only except for requests from this VM", http.StatusForbidden)
 			return
@@ -106,7 +106,7 @@
 
 // isFromThisVM reports whether the sender of a request has a loopback address or the
 // same IP address as the one on which the request arrived.
-func sameHost(r *http.Request) bool {
+func isFromThisVM(r *http.Request) bool {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return false
@@ -119,50 +119,50 @@
 	return ip.IsLoopback() || ok && ip.Equal(local.IP)
 }
 
-func (d *Daemon) announce(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+func (d *Daemon) handleAnnouncement(w http.ResponseWriter, r *http.Request) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	if err != nil {
-		d.refuseAnnouncement(w, refusedUnreadable, http.StatusBadRequest, err)
+		d.refuseAnnouncement(w, reasonUnreadable, http.StatusBadRequest, err)
 		return
 	}
 	a, err := parseAnnouncement(data)
 	if err != nil {
-		d.refuseAnnouncement(w, refusedInvalid, http.StatusBadRequest, err)
+		d.refuseAnnouncement(w, reasonInvalid, http.StatusBadRequest, err)
 		return
 	}
 	id := model.UpstreamID(chi.URLParam(r, "id"))
 	loads := d.Guard.Loads("")
-	if _, known := loads[id]; !known && len(loads) >= maxLocalUpstreams {
-		d.refuseAnnouncement(w, refusedTooMany, http.StatusTooManyRequests,
+	if _, attached := loads[id]; !attached && len(loads) >= maxLocalUpstreams {
+		d.refuseAnnouncement(w, reasonTooMany, http.StatusTooManyRequests,
 			&strictjson.FieldError{Path: "id", Value: string(id), Message: "too many upstreams on this VM"})
 		return
 	}
 	d.scope("announcements").Counter("accepted").Inc(1)
-	d.takeIn(id, a)
+	d.applyAnnouncement(id, a)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // Values of the label reason of the counter of refused announcements.
 const (
-	refusedUnreadable = "unreadable"
-	refusedInvalid    = "invalid"
-	refusedTooMany    = "too-many"
+	reasonUnreadable = "unreadable"
+	reasonInvalid    = "invalid"
+	reasonTooMany    = "too-many"
 )
 
 // refusedAnnouncementsCounter returns the counter of announcements refused for a
 // reason.
-func (d *Daemon) refusedAnnouncements(reason string) tally.Counter {
+func (d *Daemon) refusedAnnouncementsCounter(reason string) tally.Counter {
 	return d.scope("announcements").Tagged(map[string]string{"reason": reason}).Counter("refused")
 }
 
 func (d *Daemon) refuseAnnouncement(w http.ResponseWriter, reason string, status int, err error) {
-	d.refusedAnnouncements(reason).Inc(1)
+	d.refusedAnnouncementsCounter(reason).Inc(1)
 	http.Error(w, err.Error(), status)
 }
 
 // applyAnnouncement updates the guard and the membership view with a valid
 // announcement.
-func (d *Daemon) takeIn(id model.UpstreamID, a Announcement) {
+func (d *Daemon) applyAnnouncement(id model.UpstreamID, a Announcement) {
 	up := model.Upstream{
 		ID:          id,
 		Service:     a.Service,
--- a/daemon/mistakes_test.go
+++ b/daemon/caller_errors_test.go
@@ -16,8 +16,8 @@
 // TestCallerErrorsAreReportedAndCounted sends requests with errors that are typical of
 // a new user. The response and the metrics must state the reason, and no request may
 // reach the upstream.
-func TestMistakesOfCallersAreNamedAndCounted(t *testing.T) {
-	d := start(t, func(s *settings.Settings) { s.Callers.MaxBodyBytes = 100 })
+func TestCallerErrorsAreReportedAndCounted(t *testing.T) {
+	d := startSingle(t, func(s *settings.Settings) { s.Callers.MaxBodyBytes = 100 })
 	n := d.Nodes[0].Daemon
 	cases := map[string]struct {
 		host, header, value, body string
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -18,7 +18,7 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-const documents = `[
+const documentsJSON = `[
   {"kind": "Service", "name": "returdesk", "labels": {"mesh": "fyn"}, "spec": {"hosts": ["returdesk.fyn"], "deadline": "20s"}},
   {"kind": "Caller", "name": "sorting-bench", "labels": {"role": "sorter"}, "spec": {"certificate_names": ["sorter"]}},
   {"kind": "SharingPolicy", "name": "fyn", "spec": {"services": "mesh=fyn", "groups": [
@@ -26,18 +26,18 @@
 
 // startSingle starts a deployment of one daemon with one upstream of the service
 // returdesk.
-func start(t *testing.T, change func(*settings.Settings)) *local.Deployment {
+func startSingle(t *testing.T, modifySettings func(*settings.Settings)) *local.Deployment {
 	t.Helper()
-	return startIn(t, []model.AvailabilityZone{"odense-hal-a"}, 1, change)
+	return startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, modifySettings)
 }
 
-func startIn(t *testing.T, zones []model.AvailabilityZone, upstreams int, change func(*settings.Settings)) *local.Deployment {
+func startDeployment(t *testing.T, zones []model.AvailabilityZone, upstreams int, modifySettings func(*settings.Settings)) *local.Deployment {
 	t.Helper()
 	d, err := local.Start(t.Context(), local.Options{
 		Zones:     zones,
 		Services:  []local.Service{{Name: "returdesk", Upstreams: upstreams, Slots: 6}},
-		Documents: documentsOf(t),
-		Settings:  change,
+		Documents: parseDocuments(t),
+		Settings:  modifySettings,
 	})
 	require.NoError(t, err)
 	t.Cleanup(func() {
@@ -47,10 +47,10 @@
 	return d
 }
 
-func documentsOf(t testing.TB) []policy.Document {
+func parseDocuments(t testing.TB) []policy.Document {
 	t.Helper()
 	var docs []policy.Document
-	require.NoError(t, json.Unmarshal([]byte(documents), &docs))
+	require.NoError(t, json.Unmarshal([]byte(documentsJSON), &docs))
 	return docs
 }
 
@@ -71,7 +71,7 @@
 // net/http hides the conflict between Content-Length and chunked encoding, close the
 // connection after it. The second request must never reach the upstream.
 func TestMalformedRequestsAreRefused(t *testing.T) {
-	d := start(t, nil)
+	d := startSingle(t, nil)
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Request: smuggled\r\n\r\n"
 	for name, c := range map[string]struct{ head, body, status string }{
 		"two lengths":            {"Content-Length: 3\r\nContent-Length: 4\r\n", "abcd", "400"},
@@ -91,17 +91,17 @@
 			conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
 			_, err := io.WriteString(conn, "POST / HTTP/1.1\r\nHost: returdesk.fyn\r\n"+c.head+"\r\n"+c.body+smuggled)
 			require.NoError(t, err)
-			answer, err := io.ReadAll(conn)
+			response, err := io.ReadAll(conn)
 			require.NoError(t, err, "the connection must be closed")
-			require.Equal(t, "HTTP/1.1 "+c.status, string(answer[:len("HTTP/1.1 ")+len(c.status)]))
-			require.Equal(t, 1, strings.Count(string(answer), "HTTP/1.1 "))
+			require.Equal(t, "HTTP/1.1 "+c.status, string(response[:len("HTTP/1.1 ")+len(c.status)]))
+			require.Equal(t, 1, strings.Count(string(response), "HTTP/1.1 "))
 		})
 	}
 	require.Zero(t, d.Nodes[0].Upstream.Runs()["smuggled"])
 }
 
 func TestHeadersAndBodiesOverTheLimitAreRefused(t *testing.T) {
-	d := start(t, func(s *settings.Settings) {
+	d := startSingle(t, func(s *settings.Settings) {
 		s.Callers.MaxHeaderBytes = 8 << 10
 		s.Callers.MaxBodyBytes = 1 << 10
 	})
@@ -132,16 +132,16 @@
 // TestRequestOfACallerThatStopsSendingIsAborted sends part of a body and then nothing,
 // both in a request that needs the whole body and in one that is refused without it.
 // The daemon must respond and close the connection after the stall timeout.
-func TestACallerThatStopsSendingIsEnded(t *testing.T) {
-	d := start(t, stallSoon)
+func TestRequestOfACallerThatStopsSendingIsAborted(t *testing.T) {
+	d := startSingle(t, setShortStallTimeout)
 	for host, status := range map[string]string{"returdesk.fyn": "400", "nobody.fyn": "404"} {
 		t.Run(host, func(t *testing.T) {
 			conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
 			_, err := io.WriteString(conn, "PUT / HTTP/1.1\r\nHost: "+host+"\r\nContent-Length: 10\r\nX-Request: half\r\n\r\nabc")
 			require.NoError(t, err)
-			answer, err := io.ReadAll(conn)
+			response, err := io.ReadAll(conn)
 			require.NoError(t, err, "the connection must be closed")
-			require.Contains(t, string(answer), "HTTP/1.1 "+status)
+			require.Contains(t, string(response), "HTTP/1.1 "+status)
 		})
 	}
 	require.Zero(t, d.Nodes[0].Upstream.Runs()["half"])
@@ -152,9 +152,9 @@
 			conn := dial(t, address)
 			_, err := io.WriteString(conn, "PUT /v1/upstreams/x HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc")
 			require.NoError(t, err)
-			answer, err := io.ReadAll(conn)
+			response, err := io.ReadAll(conn)
 			require.NoError(t, err, "the connection must be closed")
-			require.Contains(t, string(answer), "HTTP/1.1 4")
+			require.Contains(t, string(response), "HTTP/1.1 4")
 		})
 	}
 }
@@ -162,8 +162,8 @@
 // TestRequestOfACallerThatStopsReadingIsAborted requests a response that is larger
 // than the socket buffers and does not read it. The request must be aborted after the
 // stall timeout, which frees its slot at the upstream.
-func TestACallerThatStopsReadingIsEnded(t *testing.T) {
-	d := start(t, stallSoon)
+func TestRequestOfACallerThatStopsReadingIsAborted(t *testing.T) {
+	d := startSingle(t, setShortStallTimeout)
 	n := d.Nodes[0]
 	conn := dial(t, n.Daemon.CallerAddress())
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Answer-Bytes: 67108864\r\n\r\n")
@@ -178,7 +178,7 @@
 	}
 }
 
-func stallSoon(s *settings.Settings) {
+func setShortStallTimeout(s *settings.Settings) {
 	s.Callers.StallTimeout = policy.Duration(100 * time.Millisecond)
 }
 
@@ -186,7 +186,7 @@
 // longer than the stall timeout. They must succeed: the timeout limits only how long
 // the caller may make no progress.
 func TestARequestMayRunLongerThanTheStallTimeout(t *testing.T) {
-	d := start(t, stallSoon)
+	d := startSingle(t, setShortStallTimeout)
 	for _, http2 := range []bool{false, true} {
 		client := newClient(t, http2)
 		req, err := http.NewRequest(http.MethodPut, "http://"+d.Nodes[0].Daemon.CallerAddress(), strings.NewReader("body"))
@@ -214,8 +214,8 @@
 // TestDeadlinesDoNotCarryOverOnAConnection sends several requests on one connection,
 // each longer than the stall timeout. A deadline set for one request must not abort
 // the next one.
-func TestAConnectionIsUsedAgain(t *testing.T) {
-	d := start(t, stallSoon)
+func TestDeadlinesDoNotCarryOverOnAConnection(t *testing.T) {
+	d := startSingle(t, setShortStallTimeout)
 	conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
 	reader := bufio.NewReader(conn)
 	for range 3 {
@@ -232,9 +232,9 @@
 // TestConnectionsOverTheLimitAreClosed opens one connection more than the limit. It
 // must be closed, and the others must go on.
 func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
-	d := start(t, func(s *settings.Settings) { s.Callers.MaxConnections = 2 })
+	d := startSingle(t, func(s *settings.Settings) { s.Callers.MaxConnections = 2 })
 	address := d.Nodes[0].Daemon.CallerAddress()
-	answered := func(conn net.Conn) bool {
+	succeeds := func(conn net.Conn) bool {
 		_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\n\r\n")
 		if err != nil {
 			return false
@@ -247,19 +247,19 @@
 		return err == nil && resp.StatusCode == http.StatusOK
 	}
 	first, second := dial(t, address), dial(t, address)
-	require.True(t, answered(first))
-	require.True(t, answered(second))
-	require.False(t, answered(dial(t, address)))
-	require.True(t, answered(second), "connections within the limit stay usable")
+	require.True(t, succeeds(first))
+	require.True(t, succeeds(second))
+	require.False(t, succeeds(dial(t, address)))
+	require.True(t, succeeds(second), "connections within the limit stay usable")
 	require.NoError(t, first.Close())
-	require.Eventually(t, func() bool { return answered(dial(t, address)) }, waitLimit, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return succeeds(dial(t, address)) }, waitLimit, 5*time.Millisecond)
 }
 
 // TestCancelledRequestEndsAtTheUpstream closes the caller's connection while the
 // upstream runs the request. The slot at the upstream must come free long before the
 // request's deadline.
-func TestACancelledCallerEndsTheRun(t *testing.T) {
-	d := start(t, nil)
+func TestCancelledRequestEndsAtTheUpstream(t *testing.T) {
+	d := startSingle(t, nil)
 	n := d.Nodes[0]
 	conn := dial(t, n.Daemon.CallerAddress())
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Cost: 1h\r\nDottereltiller-Timeout: 1h\r\n\r\n")
@@ -275,9 +275,9 @@
 
 // TestShutdownWaitsForRequestsInFlight stops two daemons while both have requests in
 // flight. All requests must complete.
-func TestAShutdownCutsNoRequest(t *testing.T) {
+func TestShutdownWaitsForRequestsInFlight(t *testing.T) {
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
-	d := startIn(t, zones, 2, nil)
+	d := startDeployment(t, zones, 2, nil)
 	const requests = 8
 	statuses := make(chan int, requests)
 	for i := range requests {
--- a/daemon/conns.go
+++ b/daemon/conns.go
@@ -13,34 +13,34 @@
 // which net/http does not expose. A shutdown uses it to wait for them.
 type connTracker struct {
 	// draining makes every response ask the client to close the connection.
-	leaving atomic.Bool
+	draining atomic.Bool
 	// inFlight is the number of requests in flight.
-	active atomic.Int64
+	inFlight atomic.Int64
 
 	mu sync.Mutex
 	// conns has an entry for each open connection: the time at which it was
 	// accepted, or the zero time once a request has arrived on it.
-	open map[net.Conn]time.Time
+	conns map[net.Conn]time.Time
 }
 
-func newConnTracker() *connTracker { return &connTracker{open: make(map[net.Conn]time.Time)} }
+func newConnTracker() *connTracker { return &connTracker{conns: make(map[net.Conn]time.Time)} }
 
 // trackState is the server's ConnState hook.
-func (t *connTracker) follow(conn net.Conn, state http.ConnState) {
+func (t *connTracker) trackState(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		t.open[conn] = time.Now()
+		t.conns[conn] = time.Now()
 	case http.StateClosed, http.StateHijacked:
-		delete(t.open, conn)
+		delete(t.conns, conn)
 	default:
-		t.open[conn] = time.Time{}
+		t.conns[conn] = time.Time{}
 	}
 }
 
 // chainConnStateHooks returns a ConnState hook that calls two hooks in turn.
-func bothHooks(first, second func(net.Conn, http.ConnState)) func(net.Conn, http.ConnState) {
+func chainConnStateHooks(first, second func(net.Conn, http.ConnState)) func(net.Conn, http.ConnState) {
 	return func(conn net.Conn, state http.ConnState) {
 		first(conn, state)
 		second(conn, state)
@@ -48,10 +48,10 @@
 }
 
 // openConns returns the number of open connections.
-func (t *connTracker) count() int {
+func (t *connTracker) openConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.open)
+	return len(t.conns)
 }
 
 // closeUnused closes the connections that have been open for at least age and have
@@ -60,7 +60,7 @@
 func (t *connTracker) closeUnused(age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for conn, acceptedAt := range t.open {
+	for conn, acceptedAt := range t.conns {
 		if !acceptedAt.IsZero() && time.Since(acceptedAt) >= age {
 			_ = conn.Close()
 		}
@@ -70,11 +70,11 @@
 // wrap returns a handler that counts the requests in flight. While the server is
 // draining, it also sets Connection: close on each response, for which net/http sends
 // GOAWAY on HTTP/2.
-func (t *connTracker) handler(next http.Handler) http.Handler {
+func (t *connTracker) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		t.active.Add(1)
-		defer t.active.Add(-1)
-		if t.leaving.Load() {
+		t.inFlight.Add(1)
+		defer t.inFlight.Add(-1)
+		if t.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
@@ -82,21 +82,21 @@
 }
 
 const (
-	drainPoll = 10 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond
 	// maxUnusedAge is how long a connection may be open without a first request
 	// before a server that is shutting down closes it.
-	unusedAge = 500 * time.Millisecond
+	maxUnusedAge = 500 * time.Millisecond
 )
 
 // waitUntilClosed waits until all connections are closed or the context is done.
-func (t *connTracker) awaitGone(ctx context.Context) {
-	tick := time.NewTicker(drainPoll)
-	defer tick.Stop()
-	for t.count() > 0 {
+func (t *connTracker) waitUntilClosed(ctx context.Context) {
+	ticker := time.NewTicker(drainPollInterval)
+	defer ticker.Stop()
+	for t.openConns() > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -104,17 +104,17 @@
 // shutdown stops accepting connections, closes the idle and the unused connections
 // and waits for the requests in flight. When the context is done before that, it
 // returns an error and leaves the remaining connections open.
-func (t *connTracker) stop(ctx context.Context, s *http.Server) error {
+func (t *connTracker) shutdown(ctx context.Context, s *http.Server) error {
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(ctx) }()
-	tick := time.NewTicker(drainPoll)
-	defer tick.Stop()
+	ticker := time.NewTicker(drainPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case err := <-done:
 			return err
-		case <-tick.C:
-			t.closeUnused(unusedAge)
+		case <-ticker.C:
+			t.closeUnused(maxUnusedAge)
 		}
 	}
 }
--- a/daemon/conns_test.go
+++ b/daemon/conns_test.go
@@ -14,23 +14,23 @@
 // request. http.Server.Shutdown waits 5 seconds for such a connection, longer than
 // the timeout here; connTracker.shutdown must not.
 func TestStopDoesNotWaitForUnusedConnections(t *testing.T) {
-	const given = 2 * time.Second
+	const shutdownTimeout = 2 * time.Second
 	for name, tracked := range map[string]bool{"tracked": true, "net/http alone": false} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			tracker := newConnTracker()
-			s := &http.Server{Handler: http.NotFoundHandler(), ConnState: tracker.follow}
+			s := &http.Server{Handler: http.NotFoundHandler(), ConnState: tracker.trackState}
 			served := make(chan error, 1)
 			go func() { served <- s.Serve(ln) }()
 			conn, err := net.Dial("tcp", ln.Addr().String())
 			require.NoError(t, err)
 			defer func() { _ = conn.Close() }()
-			require.Eventually(t, func() bool { return tracker.count() == 1 }, waitLimit, waitStep)
-			ctx, cancel := context.WithTimeout(t.Context(), given)
+			require.Eventually(t, func() bool { return tracker.openConns() == 1 }, waitLimit, pollInterval)
+			ctx, cancel := context.WithTimeout(t.Context(), shutdownTimeout)
 			defer cancel()
 			if tracked {
-				require.NoError(t, tracker.stop(ctx, s))
+				require.NoError(t, tracker.shutdown(ctx, s))
 			} else {
 				require.ErrorIs(t, s.Shutdown(ctx), context.DeadlineExceeded)
 				require.NoError(t, s.Close())
@@ -43,19 +43,19 @@
 // TestRequestsOnClosedConnectionsAreNotForwarded guards against forwarding a request whose
 // caller can no longer receive a response. This happens when a server that is shutting
 // down closes a connection as unused while a request is being read from it.
-func TestRequestsOnClosedConnectionsAreNotHandedOn(t *testing.T) {
+func TestRequestsOnClosedConnectionsAreNotForwarded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	handedOn := make(chan struct{}, 1)
+	forwarded := make(chan struct{}, 1)
 	s := newServer(serverOptions{
 		name: "callers", listener: ln, maxConnections: 1,
-		handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { handedOn <- struct{}{} }),
+		handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { forwarded <- struct{}{} }),
 	})
-	tracked, read := s.http.Handler, make(chan struct{})
+	wrapped, requestRead := s.http.Handler, make(chan struct{})
 	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		defer close(read)
+		defer close(requestRead)
 		require.NoError(t, s.http.Close())
-		tracked.ServeHTTP(w, r)
+		wrapped.ServeHTTP(w, r)
 	})
 	go func() { _ = s.Serve(t.Context()) }()
 	resp, err := http.Get("http://" + ln.Addr().String())
@@ -63,6 +63,6 @@
 		_ = resp.Body.Close()
 	}
 	require.Error(t, err)
-	<-read
-	require.Empty(t, handedOn)
+	<-requestRead
+	require.Empty(t, forwarded)
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -18,14 +18,14 @@
 	// membershipReadIntervals is the number of log polling intervals between two
 	// reads of the membership stream. It is read less often than the configuration
 	// since peers report membership changes before the log does.
-	membershipReads = 5
-	leaveTimeout    = time.Second
-	leaveFanout     = 6
+	membershipReadIntervals = 5
+	drainNoticeTimeout      = time.Second
+	drainNoticeFanout       = 6
 )
 
 // maxRoundAge is the age of the last gossip round with a peer up to which this daemon
 // relies on its peers for updates and seldom reads the log.
-const heardWithin = 4 * time.Second
+const maxRoundAge = 4 * time.Second
 
 // buildControl sets up the control plane of the daemon: the configuration store, the
 // membership registry, and the exchanger that gossips their state with other daemons.
@@ -36,25 +36,25 @@
 	d.Log = recordlog.NewRateLimitedLog(&recordlog.Batcher{Log: client})
 	interval := time.Duration(d.settings.Log.Interval)
 	seed := uint64(time.Now().UnixNano())
-	hint := func() { d.Exchanger.TriggerRound() }
+	triggerRound := func() { d.Exchanger.TriggerRound() }
 	d.Config = configuration.NewStore(configuration.Options{
 		Log:         d.Log,
 		Interval:    interval,
-		IsLogReader: d.readsLog,
-		OnUpdate:    hint,
+		IsLogReader: d.readsLogOften,
+		OnUpdate:    triggerRound,
 		Seed:        seed,
 		Scope:       d.Metrics.Scope,
 		Logger:      d.logger,
 	})
-	d.Peers = peer.NewClientWithDial(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
+	d.PeerClient = peer.NewClientWithDial(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
 	d.Members = membership.NewRegistry(membership.Options{
 		Self:           d.ID(),
 		Zone:           d.settings.Zone,
 		Log:            d.Log,
-		Pinger:         d.Peers,
-		Interval:       membershipReads * interval,
-		IsLogReader:    d.readsLog,
-		OnUpdate:       hint,
+		Pinger:         d.PeerClient,
+		Interval:       membershipReadIntervals * interval,
+		IsLogReader:    d.readsLogOften,
+		OnUpdate:       triggerRound,
 		OnLeaseExpired: func(id model.UpstreamID) { d.Guard.Drain(id) },
 		OnDaemonCount:  d.Log.SetDaemonCount,
 		Seed:           seed,
@@ -67,8 +67,8 @@
 		Peers:          d.Members.Peers,
 		Unreachable:    d.Members.DeadPeers,
 		OnResult:       d.Members.RecordExchange,
-		BootstrapPeers: firstPeers(d.settings.Peers.Bootstrap),
-		Transport:      d.Peers,
+		BootstrapPeers: bootstrapPeers(d.settings.Peers.Bootstrap),
+		Transport:      d.PeerClient,
 		Seed:           seed,
 		Metrics:        d.Metrics.Scope,
 		Logger:         d.logger,
@@ -77,29 +77,29 @@
 	d.Exchanger.Register(inForceTopic{d.Config})
 	d.Exchanger.Register(d.Members.Topic())
 	d.PeerService = &peer.Service{Exchanger: d.Exchanger, Ping: d.Members.HandlePing}
-	d.beforeStop = append(d.beforeStop, d.leave, d.goAway, func(context.Context) { d.Peers.Close() })
+	d.beforeStop = append(d.beforeStop, d.announceDraining, d.handOverKeysAndDrain, func(context.Context) { d.PeerClient.Close() })
 }
 
 // announceDraining sends some peers the state draining of this VM's upstreams, before
 // the listeners close. Those peers pass it on to the other daemons.
-func (d *Daemon) leave(ctx context.Context) {
+func (d *Daemon) announceDraining(ctx context.Context) {
 	d.Members.DrainAll()
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, drainNoticeTimeout)
 	defer cancel()
-	d.Exchanger.Round(ctx, leaveFanout)
+	d.Exchanger.Round(ctx, drainNoticeFanout)
 }
 
 // readsLogOften reports whether this daemon reads the log at its short polling
 // interval: it is one of the few log readers of its availability zone, or it has had
 // no gossip round with a peer for maxRoundAge.
-func (d *Daemon) readsLog() bool {
-	if time.Since(d.Exchanger.LastRound()) > heardWithin {
+func (d *Daemon) readsLogOften() bool {
+	if time.Since(d.Exchanger.LastRound()) > maxRoundAge {
 		return true
 	}
 	return peer.IsLogReader(d.ID(), d.settings.Zone, d.Members.Peers())
 }
 
-func firstPeers(addresses []string) []peer.Peer {
+func bootstrapPeers(addresses []string) []peer.Peer {
 	peers := make([]peer.Peer, 0, len(addresses))
 	for _, a := range addresses {
 		peers = append(peers, peer.Peer{ID: model.DaemonID(a)})
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -33,9 +33,9 @@
 // Daemon is a daemon with all its components. Create one with New and run it with
 // Serve.
 type Daemon struct {
-	settings settings.Settings
-	logger   *slog.Logger
-	origin   time.Time
+	settings  settings.Settings
+	logger    *slog.Logger
+	startedAt time.Time
 
 	// Metrics holds the daemon's metrics. Each component uses a sub-scope of its
 	// Scope.
@@ -57,7 +57,7 @@
 	Owner *owner.Service
 	// PeerClient sends control messages to other daemons, PeerService handles the
 	// received ones, and Exchanger gossips topics with other daemons.
-	Peers       *peer.Client
+	PeerClient  *peer.Client
 	PeerService *peer.Service
 	Exchanger   *peer.Exchanger
 
@@ -67,19 +67,19 @@
 	callerTLS *identity.Credentials
 	peerTLS   *identity.Credentials
 
-	tree     *tree
-	peersLn  net.Listener
-	callerLn net.Listener
-	adminLn  net.Listener
-	callers  *server
-	peers    *server
-	admin    *server
+	supervisor *supervisorTree
+	peersLn    net.Listener
+	callerLn   net.Listener
+	adminLn    net.Listener
+	callers    *server
+	peers      *server
+	admin      *server
 
 	stopping atomic.Bool
 	// drainAborted is closed when a shutdown must not wait any longer for requests
 	// in flight.
-	abandoned   chan struct{}
-	abandonOnce sync.Once
+	drainAborted chan struct{}
+	abortOnce    sync.Once
 	// beforeStop holds functions that a shutdown calls, in order, before it closes
 	// the listeners for callers and peers.
 	beforeStop []func(context.Context)
@@ -93,8 +93,8 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	d := &Daemon{settings: s, logger: logger, origin: time.Now(), abandoned: make(chan struct{})}
-	if err := d.loadMaterial(); err != nil {
+	d := &Daemon{settings: s, logger: logger, startedAt: time.Now(), drainAborted: make(chan struct{})}
+	if err := d.loadCredentials(); err != nil {
 		return nil, err
 	}
 	if err := d.listen(); err != nil {
@@ -104,14 +104,14 @@
 	if err := d.buildTracer(); err != nil {
 		return nil, err
 	}
-	d.tree = newTree("dottereltillerd", logger, d.scope("process"))
+	d.supervisor = newSupervisorTree("dottereltillerd", logger, d.scope("process"))
 	d.buildControl()
 	d.buildQuarantine()
 	d.buildCeilings()
 	tokens := calltoken.NewSigner(s.Peers.Secret)
 	d.Guard = guard.New(guard.Options{
 		Tokens: tokens,
-		Now:    d.now, Groups: d.groups, MeasuringBudget: d.measuringBudget, Scope: d.scope("guard"),
+		Now:    d.now, Groups: d.admissionGroups, MeasuringBudget: d.measuringBudget, Scope: d.scope("guard"),
 	})
 	d.Config.OnChange(func(*configuration.InForce) { d.Guard.Configure() })
 	remote := &entry.Remote{Client: hop.NewClient(hop.Options{Dial: d.peerDial()}), Secret: s.Peers.Secret, OnUnreachable: d.Members.ReportUnreachable}
@@ -134,9 +134,9 @@
 		MaxKeyedBody: s.Keys.MaxBodyBytes,
 	})
 	d.buildServers()
-	d.tree.Add(&gauges{daemon: d, scope: d.Metrics.Scope})
-	for _, c := range []part{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callers, d.peers, d.admin} {
-		d.tree.Add(c)
+	d.supervisor.Add(&gauges{daemon: d, scope: d.Metrics.Scope})
+	for _, c := range []component{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callers, d.peers, d.admin} {
+		d.supervisor.Add(c)
 	}
 	return d, nil
 }
@@ -155,26 +155,26 @@
 // shutdown aborted some of them, and an *InvariantError when an invariant was
 // violated.
 func (d *Daemon) Serve(ctx context.Context) error {
-	defer d.release()
-	run, stop := context.WithCancel(context.WithoutCancel(ctx))
-	done := d.tree.root.ServeBackground(run)
+	defer d.releaseResources()
+	runCtx, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
+	stopped := d.supervisor.root.ServeBackground(runCtx)
 	d.logger.Info("daemon started", "id", d.ID(), "zone", d.settings.Zone,
 		"callers", d.CallerAddress(), "admin", d.AdminAddress())
 	var err error
 	select {
-	case broken := <-d.tree.fatal:
-		err = broken
+	case violation := <-d.supervisor.fatal:
+		err = violation
 	case <-ctx.Done():
-		err = d.shutdown(run)
+		err = d.shutdown(runCtx)
 	}
-	stop()
-	<-done
+	stopComponents()
+	<-stopped
 	return err
 }
 
 // releaseResources calls the functions in afterStop, closes the listeners that no
 // server has taken over, and stops the reporting of metrics.
-func (d *Daemon) release() {
+func (d *Daemon) releaseResources() {
 	for _, f := range d.afterStop {
 		f()
 	}
@@ -185,7 +185,7 @@
 }
 
 // Close releases the resources of a daemon on which Serve was never called.
-func (d *Daemon) Close() { d.release() }
+func (d *Daemon) Close() { d.releaseResources() }
 
 // LibraryLogWriter returns a writer for the standard logger that counts and discards
 // the lines that libraries log. Clients can cause such lines at will, so they must not
@@ -198,14 +198,14 @@
 // "dottereltiller_<component>_...".
 func (d *Daemon) scope(component string) tally.Scope { return d.Metrics.Scope.SubScope(component) }
 
-func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.origin)) }
+func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.startedAt)) }
 
-func (d *Daemon) groups(s model.ServiceName) []admission.Group {
+func (d *Daemon) admissionGroups(service model.ServiceName) []admission.Group {
 	inForce := d.Config.Current()
 	if inForce == nil {
 		return nil
 	}
-	svc, ok := inForce.Set.Service(s)
+	svc, ok := inForce.Set.Service(service)
 	if !ok {
 		return nil
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -33,7 +33,7 @@
 // Serve.
 func startDaemon(t *testing.T, s settings.Settings) (*Daemon, <-chan error) {
 	t.Helper()
-	d, err := New(s, discard())
+	d, err := New(s, discardLogger())
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -60,14 +60,14 @@
 	return resp.StatusCode, string(body)
 }
 
-func TestAnAddressInUseIsNamed(t *testing.T) {
+func TestAddressInUseIsNamedInTheError(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = taken.Close() }()
 	s := testSettings()
 	s.Listen.Admin = taken.Addr().String()
 
-	_, err = New(s, discard())
+	_, err = New(s, discardLogger())
 
 	var listen *ListenError
 	require.ErrorAs(t, err, &listen)
@@ -94,17 +94,17 @@
 	var st Status
 	require.NoError(t, json.Unmarshal([]byte(body), &st))
 	require.Equal(t, d.ID(), st.Daemon)
-	require.Contains(t, st.Parts, PartStatus{Name: "callers"})
+	require.Contains(t, st.Components, ComponentStatus{Name: "callers"})
 }
 
 func TestABrokenInvariantInARequestStopsTheDaemon(t *testing.T) {
 	s := testSettings()
 	d, done := startDaemon(t, s)
-	d.tree.stop(&InvariantError{Part: "callers", Broken: &invariant.Broken{Name: "n", Detail: "d"}})
+	d.supervisor.reportFatal(&InvariantError{Component: "callers", Broken: &invariant.Broken{Name: "n", Detail: "d"}})
 	require.EqualError(t, <-done, `callers: broken invariant "n": d`)
 }
 
-func TestAServerThatLosesItsListenerListensAnew(t *testing.T) {
+func TestServerListensAgainAfterItsListenerFails(t *testing.T) {
 	// Another process could take an ephemeral port before the daemon listens on it
 	// again, so use an address in this process's own loopback network.
 	address, err := loopback.UnusedAddress()
@@ -121,9 +121,9 @@
 		_, body := get(t, admin+"/status")
 		return strings.Contains(body, `"name":"callers","restarts":1`)
 	}
-	require.Eventually(t, restarted, waitLimit, waitStep)
+	require.Eventually(t, restarted, waitLimit, pollInterval)
 	http.DefaultClient.CloseIdleConnections()
-	answers := func() bool {
+	responds := func() bool {
 		resp, err := http.Get("http://" + d.CallerAddress() + "/")
 		if err != nil {
 			return false
@@ -131,10 +131,10 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	}
-	require.Eventually(t, answers, waitLimit, waitStep)
+	require.Eventually(t, responds, waitLimit, pollInterval)
 }
 
-func TestAnnouncementsThatAreWrongAreRefusedByField(t *testing.T) {
+func TestInvalidAnnouncementIsRefusedWithItsField(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
 	for name, c := range map[string]struct{ body, want string }{
 		"not JSON":       {`service`, `(top level): not JSON: line 1: invalid character 's' looking for beginning of value`},
@@ -144,7 +144,7 @@
 		"port 0":         {`{"service": "returdesk", "address": "127.0.0.1:0"}`, `address: want host:port with an IP address as host (got "127.0.0.1:0")`},
 		"no slots":       {`{"service": "returdesk", "address": "127.0.0.1:80"}`, `slots: must be from 1 to 65536 (got 0)`},
 		"no incarnation": {`{"service": "returdesk", "address": "127.0.0.1:80", "slots": 6}`, `incarnation: must be at least 1 and increase with each start of the upstream (got 0)`},
-		"too long":       {`{"service": "` + strings.Repeat("x", maxAnnouncement) + `"}`, `http: request body too large`},
+		"too long":       {`{"service": "` + strings.Repeat("x", maxAnnouncementBytes) + `"}`, `http: request body too large`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			code, body := put(t, "http://"+d.AdminAddress()+"/v1/upstreams/returdesk-1", c.body)
@@ -176,7 +176,7 @@
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(resp.Body)
+	respBody, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	return resp.StatusCode, string(answer)
+	return resp.StatusCode, string(respBody)
 }
--- a/daemon/docs_test.go
+++ b/daemon/docs_test.go
@@ -13,13 +13,13 @@
 
 // TestDocumentedMetricsExist checks that a daemon that has answered one request and
 // refused another serves every metric that docs/OPERATORS.md names.
-func TestMetricsOfThePagesExist(t *testing.T) {
+func TestDocumentedMetricsExist(t *testing.T) {
 	text, err := os.ReadFile("../docs/OPERATORS.md")
 	require.NoError(t, err)
 	names := regexp.MustCompile("`((?:dottereltiller|process)_[a-z_]+)`").FindAllStringSubmatch(string(text), -1)
 	require.Greater(t, len(names), 20)
 
-	d := start(t, nil)
+	d := startSingle(t, nil)
 	n := d.Nodes[0].Daemon
 	for _, host := range []string{"returdesk.fyn", "nobody.fyn"} {
 		req, err := http.NewRequest(http.MethodGet, "http://"+n.CallerAddress(), nil)
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -12,48 +12,48 @@
 
 // AbortedRequestsError is returned by Serve when a shutdown aborted requests in
 // flight, because settings.Process.ShutdownTimeout expired or AbortDrain was called.
-type CutError struct {
+type AbortedRequestsError struct {
 	// CallerRequests is the number of aborted requests of callers, PeerCalls the
 	// number of aborted calls of other daemons.
-	Callers int
-	Calls   int
+	CallerRequests int
+	PeerCalls      int
 	// KeyedRequests is the number of aborted requests with an idempotency key that
 	// this daemon was running as the owner of the key. Their outcome is unknown.
-	Keyed int
+	KeyedRequests int
 	// Waited is how long the shutdown had lasted before it aborted the requests.
-	After time.Duration
+	Waited time.Duration
 }
 
 // Error returns the counts of aborted requests on one line.
-func (e *CutError) Error() string {
+func (e *AbortedRequestsError) Error() string {
 	return fmt.Sprintf("stopped with requests in flight after %s: abandoned %d of callers, %d calls of other daemons, %d keyed runs",
-		e.After.Round(time.Millisecond), e.Callers, e.Calls, e.Keyed)
+		e.Waited.Round(time.Millisecond), e.CallerRequests, e.PeerCalls, e.KeyedRequests)
 }
 
 // AbortDrain makes a shutdown stop waiting for requests in flight. Serve then aborts
 // them and returns an *AbortedRequestsError if there were any. When AbortDrain is
 // called before the shutdown begins, the shutdown does not wait at all.
-func (d *Daemon) AbortDrain() { d.abandonOnce.Do(func() { close(d.abandoned) }) }
+func (d *Daemon) AbortDrain() { d.abortOnce.Do(func() { close(d.drainAborted) }) }
 
 // shutdown drains the daemon: it asks callers and other daemons to close their
 // connections while it still serves, calls the functions in beforeStop, closes the
 // listeners and waits for the requests in flight. All of it together takes at most
 // process.shutdown_timeout.
 func (d *Daemon) shutdown(ctx context.Context) error {
-	began := time.Now()
+	startedAt := time.Now()
 	d.logger.Info("daemon stopping")
 	d.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(d.settings.Process.ShutdownTimeout))
 	defer cancel()
 	go func() {
 		select {
-		case <-d.abandoned:
+		case <-d.drainAborted:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	d.callers.conns.leaving.Store(true)
-	d.peers.conns.leaving.Store(true)
+	d.callers.conns.draining.Store(true)
+	d.peers.conns.draining.Store(true)
 	for _, f := range d.beforeStop {
 		f(ctx)
 	}
@@ -65,42 +65,42 @@
 	if first == nil && second == nil {
 		return nil
 	}
-	cut := &CutError{
-		Callers: int(d.callers.conns.active.Load()),
-		Calls:   int(d.peers.conns.active.Load()),
-		Keyed:   d.Owner.RunningCount(),
-		After:   time.Since(began),
+	aborted := &AbortedRequestsError{
+		CallerRequests: int(d.callers.conns.inFlight.Load()),
+		PeerCalls:      int(d.peers.conns.inFlight.Load()),
+		KeyedRequests:  d.Owner.RunningCount(),
+		Waited:         time.Since(startedAt),
 	}
 	_ = d.callers.http.Close()
 	_ = d.peers.http.Close()
-	return cut
+	return aborted
 }
 
 // handOverKeysAndDrain hands over this daemon's idempotency keys to other daemons while
 // the daemon still serves. It returns when the handover has ended and, at most
 // process.drain_time after its start, the connections are closed.
-func (d *Daemon) goAway(ctx context.Context) {
-	drained := make(chan struct{})
+func (d *Daemon) handOverKeysAndDrain(ctx context.Context) {
+	handedOver := make(chan struct{})
 	go func() {
-		defer close(drained)
+		defer close(handedOver)
 		if err := d.Owner.Drain(ctx); err != nil {
 			d.logger.Warn("keys not handed over", "error", err)
 		}
 	}()
-	grace, cancel := context.WithTimeout(ctx, time.Duration(d.settings.Process.DrainTime))
+	drainCtx, cancel := context.WithTimeout(ctx, time.Duration(d.settings.Process.DrainTime))
 	defer cancel()
-	d.peers.conns.awaitGone(grace)
-	d.callers.conns.awaitGone(grace)
-	<-drained
+	d.peers.conns.waitUntilClosed(drainCtx)
+	d.callers.conns.waitUntilClosed(drainCtx)
+	<-handedOver
 }
 
 // rejectWhileDraining rejects calls from other daemons for this VM's upstreams, with
 // the outcome "not run", once the daemon is draining. The entries that sent them then
 // pick other upstreams. Calls in flight are not affected.
-func (d *Daemon) refuseWhenLeaving(next http.Handler) http.Handler {
+func (d *Daemon) rejectWhileDraining(next http.Handler) http.Handler {
 	refused := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !d.peers.conns.leaving.Load() {
+		if !d.peers.conns.draining.Load() {
 			next.ServeHTTP(w, r)
 			return
 		}
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -26,7 +26,7 @@
 
 // serveInBackground runs a daemon. It returns a function that stops it, and a channel
 // that receives the result of Serve.
-func stopping(t *testing.T, d *daemon.Daemon) (stop func(), done <-chan error) {
+func serveInBackground(t *testing.T, d *daemon.Daemon) (stop func(), done <-chan error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	out := make(chan error, 1)
@@ -37,7 +37,7 @@
 
 // newDaemonWithHangingUpstream creates one more daemon for a deployment, without
 // running it, and an upstream that never responds.
-func beside(t *testing.T, d *local.Deployment) (*daemon.Daemon, *standin.Faulty) {
+func newDaemonWithHangingUpstream(t *testing.T, d *local.Deployment) (*daemon.Daemon, *standin.Faulty) {
 	t.Helper()
 	s := settings.Defaults()
 	s.Zone = "odense-hal-a"
@@ -45,82 +45,82 @@
 	s.Log.Address = d.LogAddress
 	s.Peers.Secret = "local"
 	s.Process.DrainTime = policy.Duration(100 * time.Millisecond)
-	dm, err := daemon.New(s, d.Logger())
+	extra, err := daemon.New(s, d.Logger())
 	require.NoError(t, err)
 	f, err := standin.StartFaulty()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = f.Close() })
 	f.Play(standin.Script{Hang: true})
-	return dm, f
+	return extra, f
 }
 
-func TestStopAbandonsOnlyWhenTold(t *testing.T) {
-	d := startIn(t, []model.AvailabilityZone{"odense-hal-a"}, 1, nil)
-	dm, f := beside(t, d)
-	stop, done := stopping(t, dm)
+func TestStopWaitsForRequestsUntilAborted(t *testing.T) {
+	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, nil)
+	extra, f := newDaemonWithHangingUpstream(t, d)
+	stop, done := serveInBackground(t, extra)
 	require.NoError(t, d.Nodes[0].Upstream.Announce(t.Context(), d.Nodes[0].Daemon.AdminAddress(), 1, true))
-	code, body := putAnnouncement(t, dm.AdminAddress(), "faulty",
+	code, body := putAnnouncement(t, extra.AdminAddress(), "faulty",
 		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, f.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
 	require.Eventually(t, func() bool {
-		ups, _ := dm.Members.Upstreams("returdesk")
-		return dm.Config.Current() != nil && len(ups) > 0
-	}, waitLimit, faultyStep)
+		ups, _ := extra.Members.Upstreams("returdesk")
+		return extra.Config.Current() != nil && len(ups) > 0
+	}, waitLimit, pollInterval)
 
-	answered := make(chan told, 1)
-	go func() { answered <- ask(t, dm.CallerAddress(), http.MethodPost, "release") }()
-	require.Eventually(t, func() bool { return f.Requests() == 1 }, waitLimit, faultyStep)
+	responses := make(chan callerResponse, 1)
+	go func() { responses <- sendRequest(t, extra.CallerAddress(), http.MethodPost, "release") }()
+	require.Eventually(t, func() bool { return f.Requests() == 1 }, waitLimit, pollInterval)
 	stop()
 	require.Eventually(t, func() bool {
-		resp, err := http.Get("http://" + dm.AdminAddress() + "/readyz")
+		resp, err := http.Get("http://" + extra.AdminAddress() + "/readyz")
 		if err != nil {
 			return false
 		}
 		defer func() { _ = resp.Body.Close() }()
 		return resp.StatusCode == http.StatusServiceUnavailable
-	}, waitLimit, faultyStep)
+	}, waitLimit, pollInterval)
 	select {
 	case err := <-done:
 		require.Fail(t, "the shutdown did not wait for the request in flight", "%v", err)
 	case <-time.After(200 * time.Millisecond):
 	}
-	dm.AbortDrain()
-	var cut *daemon.CutError
-	require.ErrorAs(t, <-done, &cut)
-	require.Equal(t, 1, cut.Callers)
-	require.Zero(t, cut.Keyed)
-	got := <-answered
+	extra.AbortDrain()
+	var aborted *daemon.AbortedRequestsError
+	require.ErrorAs(t, <-done, &aborted)
+	require.Equal(t, 1, aborted.CallerRequests)
+	require.Zero(t, aborted.KeyedRequests)
+	got := <-responses
 	require.True(t, got.err != nil || got.outcome == outcome.Unknown, "%+v", got)
 }
 
 // restartLoad sends requests to the daemons of a deployment while they are restarted.
-type roller struct {
-	d *local.Deployment
+type restartLoad struct {
+	deployment *local.Deployment
 	// draining is set for the daemons that have asked their callers to close the
 	// connection.
-	avoid []atomic.Bool
-	sent  atomic.Int64
+	draining []atomic.Bool
+	sent     atomic.Int64
 	// nextDaemon picks daemons round-robin, nextName numbers the requests.
-	turn  atomic.Int64
-	names atomic.Int64
+	nextDaemon atomic.Int64
+	nextName   atomic.Int64
 
-	mu    sync.Mutex
-	wrong []string
+	mu       sync.Mutex
+	failures []string
 }
 
-func (r *roller) fail(format string, args ...any) {
+func (r *restartLoad) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.wrong) < 10 {
-		r.wrong = append(r.wrong, fmt.Sprintf(format, args...))
+	if len(r.failures) < 10 {
+		r.failures = append(r.failures, fmt.Sprintf(format, args...))
 	}
 }
 
 // target returns the index of a daemon that is not draining.
-func (r *roller) target(addresses []string) int {
+func (r *restartLoad) target(addresses []string) int {
 	for {
-		i := int(r.turn.Add(1)) % len(addresses)
-		if !r.avoid[i].Load() {
+		i := int(r.nextDaemon.Add(1)) % len(addresses)
+		if !r.draining[i].Load() {
 			return i
 		}
 	}
@@ -128,43 +128,43 @@
 
 // do sends one request and marks the daemon as draining when the response asks to
 // close the connection.
-func (r *roller) do(client *http.Client, i int, req *http.Request) (told, error) {
+func (r *restartLoad) do(client *http.Client, i int, req *http.Request) (callerResponse, error) {
 	req.Host = "returdesk.fyn"
 	resp, err := client.Do(req)
 	if err != nil {
-		return told{}, err
+		return callerResponse{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Close {
-		r.avoid[i].Store(true)
+		r.draining[i].Store(true)
 	}
 	text, err := io.ReadAll(resp.Body)
 	kind, _ := outcome.ParseKind(resp.Header.Get(wire.HeaderOutcome))
-	return told{status: resp.StatusCode, outcome: kind, body: string(text), header: resp.Header}, err
+	return callerResponse{status: resp.StatusCode, outcome: kind, body: string(text), header: resp.Header}, err
 }
 
 // worker sends requests until ctx is done. With workload 0 it sends GET requests, with 1
 // POST requests with an idempotency key, and with 2 POST requests without a key.
-func (r *roller) worker(ctx context.Context, kind int, addresses []string) {
+func (r *restartLoad) worker(ctx context.Context, workload int, addresses []string) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		i := r.target(addresses)
 		url := "http://" + addresses[i]
-		name := fmt.Sprintf("%d-%d", kind, r.names.Add(1))
+		name := fmt.Sprintf("%d-%d", workload, r.nextName.Add(1))
 		method, key := http.MethodPost, ""
-		switch kind {
+		switch workload {
 		case 0:
 			method = http.MethodGet
 		case 1:
 			req, _ := http.NewRequest(http.MethodPost, url+daemon.KeysPath, nil)
 			got, err := r.do(client, i, req)
-			var handed struct{ Key string }
-			if err != nil || json.Unmarshal([]byte(got.body), &handed) != nil {
+			var issued struct{ Key string }
+			if err != nil || json.Unmarshal([]byte(got.body), &issued) != nil {
 				r.fail("no key: %v %q", err, got.body)
 				continue
 			}
-			key = handed.Key
+			key = issued.Key
 		}
 		req, _ := http.NewRequest(method, url+"/x", strings.NewReader(name))
 		req.Header.Set(standin.HeaderRequest, name)
@@ -183,12 +183,12 @@
 // idempotent, keyed and plain non-idempotent requests. Callers use other daemons once
 // a daemon asks them to close the connection, and return to it after its restart. No
 // request may fail, and no non-idempotent request may run twice.
-func TestRollingRestartLosesNothing(t *testing.T) {
-	d := startIn(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 4, func(s *settings.Settings) {
+func TestRollingRestartFailsNoRequest(t *testing.T) {
+	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 4, func(s *settings.Settings) {
 		s.Process.DrainTime = policy.Duration(400 * time.Millisecond)
 		s.Keys.Grant = policy.Duration(5 * time.Second)
 	})
-	r := &roller{d: d, avoid: make([]atomic.Bool, len(d.Nodes))}
+	r := &restartLoad{deployment: d, draining: make([]atomic.Bool, len(d.Nodes))}
 	var addresses []string
 	for _, n := range d.Nodes {
 		addresses = append(addresses, n.Daemon.CallerAddress())
@@ -199,7 +199,7 @@
 			owned += n.Daemon.Owner.Counts().Ranges
 		}
 		return owned == 1024
-	}, waitLimit, faultyStep, "every key range must have an owner")
+	}, waitLimit, pollInterval, "every key range must have an owner")
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for i := range 6 {
@@ -207,15 +207,15 @@
 	}
 	for i, n := range d.Nodes {
 		before := r.sent.Load()
-		require.Eventually(t, func() bool { return r.sent.Load() > before+100 }, waitLimit, faultyStep)
+		require.Eventually(t, func() bool { return r.sent.Load() > before+100 }, waitLimit, pollInterval)
 		require.NoError(t, d.Restart(t.Context(), n))
-		r.avoid[i].Store(false)
+		r.draining[i].Store(false)
 	}
 	before := r.sent.Load()
-	require.Eventually(t, func() bool { return r.sent.Load() > before+100 }, waitLimit, faultyStep)
+	require.Eventually(t, func() bool { return r.sent.Load() > before+100 }, waitLimit, pollInterval)
 	stop()
 	wg.Wait()
-	require.Empty(t, r.wrong)
+	require.Empty(t, r.failures)
 	for _, n := range d.Nodes {
 		for name, runs := range n.Upstream.Runs() {
 			if !strings.HasPrefix(name, "0-") {
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -32,12 +32,12 @@
 		ready = 1
 	}
 	g.scope.SubScope("process").Gauge("ready").Update(ready)
-	for id, l := range g.daemon.Guard.Loads("") {
+	for id, load := range g.daemon.Guard.Loads("") {
 		s := g.scope.SubScope("guard").Tagged(map[string]string{"upstream": string(id)})
-		s.Gauge("running").Update(float64(l.Running))
-		s.Gauge("waiting").Update(float64(l.Waiting))
-		s.Gauge("limit").Update(float64(l.Limit))
-		s.Gauge("failing").Update(float64(l.FailureRate))
+		s.Gauge("running").Update(float64(load.Running))
+		s.Gauge("waiting").Update(float64(load.Waiting))
+		s.Gauge("limit").Update(float64(load.Limit))
+		s.Gauge("failing").Update(float64(load.FailureRate))
 	}
 	for id, spent := range g.daemon.Guard.MeasuringSlotTime() {
 		s := g.scope.SubScope("guard").Tagged(map[string]string{"upstream": string(id)})
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -20,26 +20,26 @@
 // maxGrantCheckInterval is the longest time between two checks whether the grants of
 // key ownership need to be read or renewed. Grants are valid for far longer (settings
 // field keys.grant), so the checks need not be frequent.
-const maxOwnerInterval = time.Second
+const maxGrantCheckInterval = time.Second
 
 // buildOwner sets up the component that owns idempotency keys. The entry is built
 // later, so Run reads d.Entry only when the first request with a key arrives.
 func (d *Daemon) buildOwner(client *hop.Client) {
-	k := d.settings.Keys
+	keys := d.settings.Keys
 	d.Owner = owner.New(owner.Options{
 		Self:             d.ID(),
 		Log:              d.Log,
 		Execute:          func(ctx context.Context, c *wire.Call) *wire.Result { return d.Entry.ForwardKeyed(ctx, c) },
-		Candidates:       d.owners,
+		Candidates:       d.ownerCandidates,
 		Client:           client,
 		PeerSecret:       d.settings.Peers.Secret,
-		Messenger:        owner.PeerMessenger{Client: d.Peers},
-		GrantDuration:    time.Duration(k.Grant),
-		Retention:        time.Duration(k.Retention),
-		PollInterval:     min(maxOwnerInterval, time.Duration(k.Grant)/grantReads),
-		MaxBodyBytes:     k.MaxBodyBytes,
-		MaxResponseBytes: k.MaxAnswerBytes,
-		Limits:           claims.Limits{Claims: k.MaxClaims, AnswerBytes: k.MaxAnswersBytes},
+		Messenger:        owner.PeerMessenger{Client: d.PeerClient},
+		GrantDuration:    time.Duration(keys.Grant),
+		Retention:        time.Duration(keys.Retention),
+		PollInterval:     min(maxGrantCheckInterval, time.Duration(keys.Grant)/minChecksPerGrant),
+		MaxBodyBytes:     keys.MaxBodyBytes,
+		MaxResponseBytes: keys.MaxAnswerBytes,
+		Limits:           claims.Limits{Claims: keys.MaxClaims, AnswerBytes: keys.MaxAnswersBytes},
 		Scope:            d.scope("keys"),
 		Logger:           d.logger,
 	})
@@ -47,11 +47,11 @@
 }
 
 // minChecksPerGrant is the least number of checks within the duration of one grant.
-const grantReads = 20
+const minChecksPerGrant = 20
 
 // ownerCandidates returns the daemons that may own keys: all that have an upstream in
 // this daemon's membership view.
-func (d *Daemon) owners() []model.DaemonID {
+func (d *Daemon) ownerCandidates() []model.DaemonID {
 	peers := d.Members.Peers()
 	out := make([]model.DaemonID, 0, len(peers))
 	for _, p := range peers {
@@ -62,7 +62,7 @@
 
 // serveKeys returns a handler that issues idempotency keys at KeysPath and passes all
 // other requests to next.
-func (d *Daemon) withKeys(next http.Handler) http.Handler {
+func (d *Daemon) serveKeys(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != KeysPath {
 			next.ServeHTTP(w, r)
@@ -73,16 +73,16 @@
 			http.Error(w, "use POST to obtain a key", http.StatusMethodNotAllowed)
 			return
 		}
-		key, live := d.Owner.NewKey()
+		key, owned := d.Owner.NewKey()
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Cache-Control", "no-store")
 		w.WriteHeader(http.StatusCreated)
-		_ = json.NewEncoder(w).Encode(handedKey{Key: key.String(), Owned: live})
+		_ = json.NewEncoder(w).Encode(issuedKey{Key: key.String(), Owned: owned})
 	})
 }
 
 // issuedKey is the response body at KeysPath.
-type handedKey struct {
+type issuedKey struct {
 	Key string `json:"key"`
 	// Owned is false when no daemon owns the key yet. A request with the key can
 	// run only once a daemon owns it.
--- a/daemon/keys_test.go
+++ b/daemon/keys_test.go
@@ -23,9 +23,9 @@
 )
 
 // obtainKey requests keys from a daemon until it issues one that has an owner.
-func handOut(t testing.TB, address string) string {
+func obtainKey(t testing.TB, address string) string {
 	t.Helper()
-	var handed struct {
+	var issued struct {
 		Key   string
 		Owned bool
 	}
@@ -35,12 +35,12 @@
 			return false
 		}
 		defer func() { _ = resp.Body.Close() }()
-		return json.NewDecoder(resp.Body).Decode(&handed) == nil && handed.Owned
-	}, waitLimit, faultyStep)
-	return handed.Key
+		return json.NewDecoder(resp.Body).Decode(&issued) == nil && issued.Owned
+	}, waitLimit, pollInterval)
+	return issued.Key
 }
 
-func postKeyed(t testing.TB, address, key, name, body string) told {
+func postKeyed(t testing.TB, address, key, name, body string) callerResponse {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/release", strings.NewReader(body))
 	require.NoError(t, err)
 	req.Host = "returdesk.fyn"
@@ -53,13 +53,13 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	kind, _ := outcome.ParseKind(resp.Header.Get(wire.HeaderOutcome))
-	return told{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
+	return callerResponse{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
 }
 
-func TestKeyedRequestsOverHTTP(t *testing.T) {
-	d := startIn(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 3, nil)
+func TestKeyedRequestsRunOnceOverHTTP(t *testing.T) {
+	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 3, nil)
 	addresses := []string{d.Nodes[0].Daemon.CallerAddress(), d.Nodes[1].Daemon.CallerAddress(), d.Nodes[2].Daemon.CallerAddress()}
-	key := handOut(t, addresses[0])
+	key := obtainKey(t, addresses[0])
 	for i, a := range append(addresses, addresses...) {
 		got := postKeyed(t, a, `"`+key+`"`, "once", "release 1")
 		require.Equal(t, http.StatusOK, got.status, got.body)
@@ -75,7 +75,7 @@
 		"not a UUIDv7":    {"42", "release 1", "key-invalid", http.StatusBadRequest, outcome.NotRun},
 		"too old":         {"0180f0c1-7b3a-7cc0-8a11-0123456789ab", "release 1", "key-expired", http.StatusGone, outcome.Unknown},
 		"from the future": {"f192f0c1-7b3a-7cc0-8a11-0123456789ab", "release 1", "key-not-owned", http.StatusServiceUnavailable, outcome.Unknown},
-		"body too large":  {handOut(t, addresses[1]), strings.Repeat("x", 300<<10), "too-large", http.StatusRequestEntityTooLarge, outcome.NotRun},
+		"body too large":  {obtainKey(t, addresses[1]), strings.Repeat("x", 300<<10), "too-large", http.StatusRequestEntityTooLarge, outcome.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := postKeyed(t, addresses[1], tc.key, "other", tc.body)
@@ -115,7 +115,7 @@
 	d, err := local.Start(b.Context(), local.Options{
 		Zones:     []model.AvailabilityZone{"odense-hal-a"},
 		Services:  []local.Service{{Name: "returdesk", Upstreams: 3, Slots: 6}},
-		Documents: documentsOf(b),
+		Documents: parseDocuments(b),
 	})
 	require.NoError(b, err)
 	b.Cleanup(func() {
@@ -132,7 +132,7 @@
 				key := ""
 				if keyed {
 					b.StopTimer()
-					key = handOut(b, a)
+					key = obtainKey(b, a)
 					b.StartTimer()
 				}
 				began := time.Now()
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -52,7 +52,7 @@
 }
 
 // loadCredentials reads the certificates and keys that the settings name.
-func (d *Daemon) loadMaterial() error {
+func (d *Daemon) loadCredentials() error {
 	var err error
 	if d.callerTLS, err = identity.Load("callers.tls", d.settings.Callers.TLS); err != nil {
 		return err
@@ -67,62 +67,62 @@
 // buildServers sets up the servers for callers, peers and admin.
 func (d *Daemon) buildServers() {
 	limits := d.settings.Callers
-	stall := time.Duration(limits.StallTimeout)
-	callers := &stallLimit{
-		timeout: stall,
+	stallTimeout := time.Duration(limits.StallTimeout)
+	callers := &stallLimiter{
+		timeout: stallTimeout,
 		stalls:  d.scope("callers").Counter("stalls"),
-		next:    d.withKeys(d.tracer.Handler("entry", d.Entry)),
+		next:    d.serveKeys(d.tracer.Handler("entry", d.Entry)),
 
 		closeChunked: true,
 	}
 	// A caller that reads slowly makes its entry read slowly from this daemon. The
 	// longer timeout here lets that entry abort the caller's request first.
-	peers := &stallLimit{
-		timeout: peerStallFactor * stall,
+	peers := &stallLimiter{
+		timeout: peerStallFactor * stallTimeout,
 		stalls:  d.scope("peers").Counter("stalls"),
 		next:    d.peerHandler(),
 	}
-	admin := &stallLimit{
-		timeout: stall,
+	admin := &stallLimiter{
+		timeout: stallTimeout,
 		stalls:  d.scope("admin").Counter("stalls"),
 		next:    d.adminHandler(),
 	}
 	d.callers = newServer(serverOptions{
 		name:           "callers",
 		listener:       d.callerLn,
-		handler:        d.tree.protect("callers", callers),
+		handler:        d.supervisor.recoverPanics("callers", callers),
 		headerTimeout:  time.Duration(limits.HeaderTimeout),
 		idleTimeout:    time.Duration(limits.IdleTimeout),
 		maxHeaderBytes: limits.MaxHeaderBytes,
 		tls:            d.callerTLS.CallerServerConfig(),
 		http2:          true,
-		errors:         d.scope("callers").Counter("connection_errors"),
+		connErrors:     d.scope("callers").Counter("connection_errors"),
 		maxConnections: limits.MaxConnections,
-		refused:        d.scope("callers").Counter("connections_refused"),
+		refusedConns:   d.scope("callers").Counter("connections_refused"),
 	})
 	d.peers = newServer(serverOptions{
 		name:           "peers",
 		listener:       d.peersLn,
-		handler:        d.tree.protect("peers", peers),
+		handler:        d.supervisor.recoverPanics("peers", peers),
 		headerTimeout:  peerHeaderTimeout,
 		idleTimeout:    peerIdleTimeout,
-		maxHeaderBytes: peerHeaderBytes,
+		maxHeaderBytes: maxPeerHeaderBytes,
 		tls:            d.peerTLS.PeerServerConfig(),
 		http2:          true,
-		errors:         d.scope("peers").Counter("connection_errors"),
+		connErrors:     d.scope("peers").Counter("connection_errors"),
 		maxConnections: maxPeerConnections,
-		refused:        d.scope("peers").Counter("connections_refused"),
+		refusedConns:   d.scope("peers").Counter("connections_refused"),
 	})
 	d.admin = newServer(serverOptions{
 		name:           "admin",
 		listener:       d.adminLn,
-		handler:        d.tree.protect("admin", admin),
+		handler:        d.supervisor.recoverPanics("admin", admin),
 		headerTimeout:  peerHeaderTimeout,
 		idleTimeout:    peerIdleTimeout,
-		maxHeaderBytes: peerHeaderBytes,
-		errors:         d.scope("admin").Counter("connection_errors"),
+		maxHeaderBytes: maxPeerHeaderBytes,
+		connErrors:     d.scope("admin").Counter("connection_errors"),
 		maxConnections: maxAdminConnections,
-		refused:        d.scope("admin").Counter("connections_refused"),
+		refusedConns:   d.scope("admin").Counter("connections_refused"),
 	})
 }
 
@@ -130,7 +130,7 @@
 // calls to the guard or the owner.
 func (d *Daemon) callHandler() http.Handler {
 	calls := map[string]http.Handler{
-		wire.DestinationGuard: d.refuseWhenLeaving(d.tracer.Handler("guard", d.Guard)),
+		wire.DestinationGuard: d.rejectWhileDraining(d.tracer.Handler("guard", d.Guard)),
 		wire.DestinationOwner: d.tracer.Handler("owner", d.Owner),
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/daemon/measuring.go
+++ b/daemon/measuring.go
@@ -7,12 +7,12 @@
 
 // measuringBudget returns the share of the slot time of a service's upstreams that
 // polls of their load reports may take, under the configuration in force.
-func (d *Daemon) measuringBudget(s model.ServiceName) float64 {
+func (d *Daemon) measuringBudget(service model.ServiceName) float64 {
 	inForce := d.Config.Current()
 	if inForce == nil {
 		return guard.DefaultMeasuringBudget
 	}
-	svc, ok := inForce.Set.Service(s)
+	svc, ok := inForce.Set.Service(service)
 	if !ok || svc.MeasuringBudget == nil {
 		return guard.DefaultMeasuringBudget
 	}
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -26,15 +26,15 @@
 // quarantineRule returns the quarantine rule of a service under the configuration in
 // force. For a service that is not configured here yet, it returns a default of 2
 // crashes and 1 minute.
-func (d *Daemon) quarantineRule(s model.ServiceName) core.Rule {
-	unknown := core.Rule{Crashes: 2, Duration: time.Minute}
+func (d *Daemon) quarantineRule(service model.ServiceName) core.Rule {
+	defaultRule := core.Rule{Crashes: 2, Duration: time.Minute}
 	inForce := d.Config.Current()
 	if inForce == nil {
-		return unknown
+		return defaultRule
 	}
-	svc, ok := inForce.Set.Service(s)
+	svc, ok := inForce.Set.Service(service)
 	if !ok {
-		return unknown
+		return defaultRule
 	}
 	return core.Rule{Crashes: svc.Quarantine.Crashes, Duration: time.Duration(svc.Quarantine.Duration)}
 }
@@ -44,15 +44,15 @@
 }
 
 func (d *Daemon) releaseQuarantine(w http.ResponseWriter, r *http.Request) {
-	var f core.Fingerprint
-	if err := f.UnmarshalText([]byte(chi.URLParam(r, "fingerprint"))); err != nil {
+	var fingerprint core.Fingerprint
+	if err := fingerprint.UnmarshalText([]byte(chi.URLParam(r, "fingerprint"))); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !d.Quarantine.Release(f) {
+	if !d.Quarantine.Release(fingerprint) {
 		http.Error(w, "no request with this fingerprint is known", http.StatusNotFound)
 		return
 	}
-	d.logger.Info("request released by an operator", "fingerprint", f.String())
+	d.logger.Info("request released by an operator", "fingerprint", fingerprint.String())
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/daemon/whole_test.go
+++ b/daemon/response_test.go
@@ -18,14 +18,14 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-const faultyStep = 5 * time.Millisecond
+const pollInterval = 5 * time.Millisecond
 
 // startWithFaultyUpstream starts two daemons and drains their regular upstreams, so
 // that a standin.Faulty on the VM of the second daemon is the only upstream of the
 // service.
-func startFaulty(t *testing.T) (*local.Deployment, *standin.Faulty) {
+func startWithFaultyUpstream(t *testing.T) (*local.Deployment, *standin.Faulty) {
 	t.Helper()
-	d := startIn(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
+	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
 	f, err := standin.StartFaulty()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = f.Close() })
@@ -40,9 +40,9 @@
 	for _, n := range d.Nodes {
 		require.Eventually(t, func() bool {
 			before := f.Requests()
-			a := ask(t, n.Daemon.CallerAddress(), http.MethodGet, "")
+			a := sendRequest(t, n.Daemon.CallerAddress(), http.MethodGet, "")
 			return a.outcome == outcome.Answered && f.Requests() == before+1
-		}, waitLimit, faultyStep)
+		}, waitLimit, pollInterval)
 	}
 	return d, f
 }
@@ -60,7 +60,7 @@
 }
 
 // callerResponse is a response as the caller received it.
-type told struct {
+type callerResponse struct {
 	status  int
 	outcome outcome.Kind
 	body    string
@@ -70,7 +70,7 @@
 	err error
 }
 
-func ask(t *testing.T, address, method, body string) told {
+func sendRequest(t *testing.T, address, method, body string) callerResponse {
 	t.Helper()
 	var in io.Reader
 	if body != "" {
@@ -81,15 +81,15 @@
 	req.Host = "returdesk.fyn"
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return told{err: err}
+		return callerResponse{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	kind, _ := outcome.ParseKind(resp.Header.Get(wire.HeaderOutcome))
-	return told{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
+	return callerResponse{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
 }
 
-var wholeAnswers = map[string]string{
+var completeResponses = map[string]string{
 	"length":      "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
 	"chunked":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\n\r\n",
 	"trailer":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\nX-Sum: 42\r\n\r\n",
@@ -99,22 +99,22 @@
 // TestTruncatedResponseNeverLooksComplete truncates the upstream's response at each
 // byte, for requests through one daemon and through two. The caller must see an error or
 // the outcome unknown, and the request must not be sent twice.
-func TestAnswerCutAtAnyByteNeverLooksWhole(t *testing.T) {
-	d, f := startFaulty(t)
-	for name, answer := range wholeAnswers {
+func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
+	for name, response := range completeResponses {
 		for _, n := range d.Nodes {
 			t.Run(fmt.Sprintf("%s/%s", name, n.Upstream.ID), func(t *testing.T) {
-				for cut := range len(answer) {
-					f.Play(standin.Script{Answer: []byte(answer), Cut: cut, Reset: cut%2 == 0})
+				for cut := range len(response) {
+					f.Play(standin.Script{Answer: []byte(response), Cut: cut, Reset: cut%2 == 0})
 					before := f.Requests()
-					got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					if got.err == nil {
 						require.Equal(t, outcome.Unknown, got.outcome, "cut after %d bytes: %+v", cut, got)
 					}
 					require.Equal(t, before+1, f.Requests(), "the request must be sent exactly once")
 				}
-				f.Play(standin.Script{Answer: []byte(answer), Cut: -1})
-				got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+				f.Play(standin.Script{Answer: []byte(response), Cut: -1})
+				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				require.NoError(t, got.err)
 				require.Equal(t, outcome.Answered, got.outcome)
 				require.Equal(t, "whole reply", got.body)
@@ -128,20 +128,20 @@
 
 // TestSurplusResponseNeverReachesTheNextRequest has the upstream send more bytes than
 // one response. The surplus must not be taken for the response to the next request.
-func TestAnswersBelongToTheirRequests(t *testing.T) {
-	d, f := startFaulty(t)
-	for name, answer := range map[string]string{
+func TestSurplusResponseNeverReachesTheNextRequest(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
+	for name, response := range map[string]string{
 		"two responses":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
 		"surplus bytes":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none and more",
 		"second response after one without body": "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(answer), Cut: -1})
-				ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+				f.Play(standin.Script{Answer: []byte(response), Cut: -1})
+				sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				f.Play(standin.Script{Answer: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), Cut: -1})
 				for range 3 {
-					got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					require.NoError(t, got.err)
 					if got.outcome == outcome.Answered {
 						require.Equal(t, "mine", got.body)
@@ -152,9 +152,9 @@
 	}
 }
 
-func TestAnswersThatTwoProgramsCouldReadDifferently(t *testing.T) {
-	d, f := startFaulty(t)
-	for name, answer := range map[string]string{
+func TestAmbiguousResponsesAreNotForwarded(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
+	for name, response := range map[string]string{
 		"two lengths":       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
 		"signed length":     "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
 		"unknown encoding":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nabc",
@@ -166,8 +166,8 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(answer), Cut: len(answer)})
-				got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+				f.Play(standin.Script{Answer: []byte(response), Cut: len(response)})
+				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				if got.err == nil {
 					require.Equal(t, outcome.Unknown, got.outcome, "%+v", got)
 				}
@@ -179,8 +179,8 @@
 // TestCancelledCallReleasesConnectionAndSlot cancels requests that hang at the
 // upstream. The connection to the upstream and the slot must be released. TestMain
 // checks that no goroutine is left over.
-func TestCancelledCallLeavesNothingBehind(t *testing.T) {
-	d, f := startFaulty(t)
+func TestCancelledCallReleasesConnectionAndSlot(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
 	f.Play(standin.Script{Hang: true})
 	for _, n := range d.Nodes {
 		before := f.Requests()
@@ -192,17 +192,17 @@
 			_, err := http.DefaultTransport.RoundTrip(req)
 			done <- err
 		}()
-		require.Eventually(t, func() bool { return f.Requests() == before+1 }, waitLimit, faultyStep)
+		require.Eventually(t, func() bool { return f.Requests() == before+1 }, waitLimit, pollInterval)
 		cancel()
 		require.ErrorIs(t, <-done, context.Canceled)
 		require.Eventually(t, func() bool {
 			return f.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
-		}, waitLimit, faultyStep, "connection and slot must be released")
+		}, waitLimit, pollInterval, "connection and slot must be released")
 	}
 }
 
-func TestUpgradeIsRefusedByRule(t *testing.T) {
-	d, f := startFaulty(t)
+func TestUpgradesOtherThanH2CAreRefused(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
 	for upgrade, status := range map[string]int{"websocket": http.StatusNotImplemented, "h2c": http.StatusOK, "h2c, foo/1": http.StatusNotImplemented} {
 		before := f.Requests()
 		req, err := http.NewRequest(http.MethodGet, "http://"+d.Nodes[0].Daemon.CallerAddress()+"/x", nil)
@@ -221,8 +221,8 @@
 	}
 }
 
-func TestAnswersWithoutBody(t *testing.T) {
-	d, f := startFaulty(t)
+func TestResponsesWithoutBody(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
 	for name, tc := range map[string]struct {
 		method, response, length string
 		status                   int
@@ -236,7 +236,7 @@
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
 				f.Play(standin.Script{Answer: []byte(tc.response), Cut: -1})
 				for range 2 {
-					got := ask(t, n.Daemon.CallerAddress(), tc.method, "")
+					got := sendRequest(t, n.Daemon.CallerAddress(), tc.method, "")
 					require.NoError(t, got.err)
 					require.Equal(t, outcome.Answered, got.outcome)
 					require.Equal(t, tc.status, got.status)
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -11,26 +11,26 @@
 // newRouters returns the routers of this daemon's entry, one for each service. They are
 // updated when the membership view or the configured routing policy changes.
 func (d *Daemon) newRouters() *entry.Routers {
-	r := entry.NewRouters(d.Members, d.now, routing.Options{
+	routers := entry.NewRouters(d.Members, d.now, routing.Options{
 		Policy:    d.settings.Routing.Policy,
 		Zone:      d.settings.Zone,
 		Self:      d.ID(),
 		ZoneDelay: d.settings.Routing.Delays(),
 		Seed:      uint64(time.Now().UnixNano()),
 	})
-	r.SetPolicySource(d.routingPolicy)
-	r.SetMetricsScope(d.scope("routing"))
-	return r
+	routers.SetPolicySource(d.routingPolicy)
+	routers.SetMetricsScope(d.scope("routing"))
+	return routers
 }
 
 // routingPolicy returns the routing policy that the configuration in force names for a
 // service, empty when it names none.
-func (d *Daemon) routingPolicy(s model.ServiceName) string {
+func (d *Daemon) routingPolicy(service model.ServiceName) string {
 	inForce := d.Config.Current()
 	if inForce == nil {
 		return ""
 	}
-	svc, ok := inForce.Set.Service(s)
+	svc, ok := inForce.Set.Service(service)
 	if !ok {
 		return ""
 	}
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	peerDialTimeout   = time.Second
-	peerHeaderTimeout = 5 * time.Second
-	peerIdleTimeout   = 90 * time.Second
-	peerHeaderBytes   = 128 << 10
+	peerDialTimeout    = time.Second
+	peerHeaderTimeout  = 5 * time.Second
+	peerIdleTimeout    = 90 * time.Second
+	maxPeerHeaderBytes = 128 << 10
 	// peerStallFactor multiplies callers.stall_timeout for calls of other daemons.
 	peerStallFactor = 2
 	// maxPeerConnections and maxAdminConnections bound the open connections of
@@ -41,11 +41,11 @@
 	// maxConnections bounds the open connections. Further connections are closed
 	// at once and counted in refusedConns.
 	maxConnections int
-	refused        tally.Counter
+	refusedConns   tally.Counter
 	// tls is nil for plaintext.
 	tls *tls.Config
 	// connErrors counts errors that net/http logs, such as failed TLS handshakes.
-	errors tally.Counter
+	connErrors tally.Counter
 	// http2 enables HTTP/2 besides HTTP/1.1, without TLS by prior knowledge.
 	http2 bool
 }
@@ -53,7 +53,7 @@
 // server is an HTTP server as a supervised component. When it is restarted after a
 // failure, it listens on the same address again.
 type server struct {
-	opts    serverOptions
+	options serverOptions
 	address string
 	http    *http.Server
 	conns   *connTracker
@@ -70,26 +70,26 @@
 	protocols.SetUnencryptedHTTP2(o.http2 && o.tls == nil)
 	conns := newConnTracker()
 	return &server{
-		opts:     o,
+		options:  o,
 		conns:    conns,
 		address:  o.listener.Addr().String(),
 		listener: o.listener,
 		http: &http.Server{
-			Handler:           inbound.AbortClosed(conns.handler(o.handler)),
+			Handler:           inbound.AbortClosed(conns.wrap(o.handler)),
 			ReadHeaderTimeout: o.headerTimeout,
 			IdleTimeout:       o.idleTimeout,
 			MaxHeaderBytes:    o.maxHeaderBytes,
 			TLSConfig:         o.tls,
 			Protocols:         protocols,
 			ConnContext:       inbound.ConnContext,
-			ConnState:         bothHooks(conns.follow, limitConnections(o.maxConnections, o.refused)),
-			ErrorLog:          log.New(lineCounter{o.errors}, "", 0),
+			ConnState:         chainConnStateHooks(conns.trackState, limitConnections(o.maxConnections, o.refusedConns)),
+			ErrorLog:          log.New(lineCounter{o.connErrors}, "", 0),
 		},
 	}
 }
 
 // String returns the component's name.
-func (s *server) String() string { return s.opts.name }
+func (s *server) String() string { return s.options.name }
 
 // Serve accepts connections until shutdown is called or the context is done. When the
 // context is done, it closes all connections.
@@ -101,7 +101,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = s.http.Close() })
 	defer stop()
 	ln = inbound.NewListener(ln)
-	if s.opts.tls != nil {
+	if s.options.tls != nil {
 		err = s.http.ServeTLS(ln, "", "")
 	} else {
 		err = s.http.Serve(ln)
@@ -118,7 +118,7 @@
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
-	return s.conns.stop(ctx, s.http)
+	return s.conns.shutdown(ctx, s.http)
 }
 
 // close closes the listener of a server that was never run.
--- a/daemon/stall.go
+++ b/daemon/stall.go
@@ -14,7 +14,7 @@
 // stallLimiter is a handler that aborts a request when a read of its body or a write
 // of its response makes no progress for the timeout. It does not limit the duration of
 // the whole request, so long streams are possible.
-type stallLimit struct {
+type stallLimiter struct {
 	timeout time.Duration
 	stalls  tally.Counter
 	next    http.Handler
@@ -23,8 +23,8 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (l *stallLimit) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	limited := &limitedWriter{ResponseWriter: w, limit: l, control: http.NewResponseController(w)}
+func (l *stallLimiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	limited := &limitedWriter{ResponseWriter: w, limiter: l, control: http.NewResponseController(w)}
 	// Clear the deadline that the previous request on this connection set.
 	_ = limited.control.SetWriteDeadline(time.Time{})
 	if l.closeChunked && r.ProtoMajor == 1 && len(r.TransferEncoding) > 0 {
@@ -41,7 +41,7 @@
 	l.next.ServeHTTP(limited, r)
 }
 
-func (l *stallLimit) count(err error) {
+func (l *stallLimiter) countTimeout(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		l.stalls.Inc(1)
 	}
@@ -50,7 +50,7 @@
 // limitedWriter sets a deadline for every write of the response.
 type limitedWriter struct {
 	http.ResponseWriter
-	limit   *stallLimit
+	limiter *stallLimiter
 	control *http.ResponseController
 	// body is nil when the request has none.
 	body *limitedBody
@@ -58,23 +58,23 @@
 
 // WriteHeader implements http.ResponseWriter.
 func (w *limitedWriter) WriteHeader(status int) {
-	w.extend()
+	w.extendDeadline()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
 func (w *limitedWriter) Write(p []byte) (int, error) {
-	w.extend()
+	w.extendDeadline()
 	n, err := w.ResponseWriter.Write(p)
-	w.limit.count(err)
+	w.limiter.countTimeout(err)
 	return n, err
 }
 
 // FlushError flushes the response. http.ResponseController calls it.
 func (w *limitedWriter) FlushError() error {
-	w.extend()
+	w.extendDeadline()
 	err := w.control.Flush()
-	w.limit.count(err)
+	w.limiter.countTimeout(err)
 	return err
 }
 
@@ -84,9 +84,9 @@
 // extendDeadline sets the deadline of the next write. Before the first write, net/http
 // reads the rest of a request body that the handler has not read, which may take up to
 // one timeout itself; the deadline is then two timeouts away.
-func (w *limitedWriter) extend() {
-	timeout := w.limit.timeout
-	if w.body != nil && w.body.extend() {
+func (w *limitedWriter) extendDeadline() {
+	timeout := w.limiter.timeout
+	if w.body != nil && w.body.extendDeadline() {
 		timeout *= 2
 	}
 	_ = w.control.SetWriteDeadline(time.Now().Add(timeout))
@@ -105,10 +105,10 @@
 // Read implements io.Reader. At the end of the body it clears the read deadline, which
 // would otherwise cancel a request that runs longer than the timeout.
 func (b *limitedBody) Read(p []byte) (int, error) {
-	b.extend()
+	b.extendDeadline()
 	n, err := b.body.Read(p)
 	if err != nil {
-		b.end(err)
+		b.markEnded(err)
 	}
 	return n, err
 }
@@ -118,24 +118,24 @@
 
 // extendDeadline sets the deadline of the next read. It returns false, without setting
 // one, once the body has ended.
-func (b *limitedBody) extend() bool {
+func (b *limitedBody) extendDeadline() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
 		return false
 	}
-	_ = b.writer.control.SetReadDeadline(time.Now().Add(b.writer.limit.timeout))
+	_ = b.writer.control.SetReadDeadline(time.Now().Add(b.writer.limiter.timeout))
 	return true
 }
 
-func (b *limitedBody) end(err error) {
+func (b *limitedBody) markEnded(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
 		return
 	}
 	b.ended = true
-	b.writer.limit.count(err)
+	b.writer.limiter.countTimeout(err)
 	if err == io.EOF {
 		_ = b.writer.control.SetReadDeadline(time.Time{})
 	}
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -24,8 +24,8 @@
 	Loads map[model.UpstreamID]LoadStatus `json:"loads"`
 	// Services holds the services of the configuration in force, with their
 	// upstreams in this daemon's membership view.
-	Services []ServiceStatus `json:"services,omitempty"`
-	Parts    []PartStatus    `json:"parts"`
+	Services   []ServiceStatus   `json:"services,omitempty"`
+	Components []ComponentStatus `json:"parts"`
 }
 
 // LoadStatus is the load of one upstream, as its guard counts it.
@@ -37,8 +37,8 @@
 	// ServiceTime is the recent mean time that the upstream takes for a request.
 	ServiceTime policy.Duration `json:"service_time"`
 	// FailureRate is the recent share of failed requests, 0 to 1.
-	Failing  float32 `json:"failing"`
-	Draining bool    `json:"draining"`
+	FailureRate float32 `json:"failing"`
+	Draining    bool    `json:"draining"`
 }
 
 func loadStatuses(loads map[model.UpstreamID]model.Load) map[model.UpstreamID]LoadStatus {
@@ -49,7 +49,7 @@
 			Waiting:     l.Waiting,
 			Limit:       l.Limit,
 			ServiceTime: policy.Duration(l.ServiceTime),
-			Failing:     l.FailureRate,
+			FailureRate: l.FailureRate,
 			Draining:    l.Draining,
 		}
 	}
@@ -87,14 +87,14 @@
 // Status returns the daemon's state.
 func (d *Daemon) Status() Status {
 	s := Status{
-		Daemon: d.ID(),
-		Zone:   d.settings.Zone,
-		Build:  telemetry.Version(),
-		Uptime: policy.Duration(time.Since(d.origin).Round(time.Millisecond)),
-		Health: d.health(),
-		Config: d.Config.Status(),
-		Loads:  loadStatuses(d.Guard.Loads("")),
-		Parts:  d.tree.status(),
+		Daemon:     d.ID(),
+		Zone:       d.settings.Zone,
+		Build:      telemetry.Version(),
+		Uptime:     policy.Duration(time.Since(d.startedAt).Round(time.Millisecond)),
+		Health:     d.health(),
+		Config:     d.Config.Status(),
+		Loads:      loadStatuses(d.Guard.Loads("")),
+		Components: d.supervisor.status(),
 	}
 	inForce := d.Config.Current()
 	if inForce == nil {
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -28,7 +28,7 @@
 )
 
 // certAuthority is a certificate authority that issues certificates for 127.0.0.1.
-type authority struct {
+type certAuthority struct {
 	t    *testing.T
 	dir  string
 	cert *x509.Certificate
@@ -36,8 +36,8 @@
 	file string
 }
 
-func newAuthority(t *testing.T) *authority {
-	a := &authority{t: t, dir: t.TempDir()}
+func newAuthority(t *testing.T) *certAuthority {
+	a := &certAuthority{t: t, dir: t.TempDir()}
 	template := &x509.Certificate{
 		Subject: pkix.Name{CommonName: "authority"}, IsCA: true,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
@@ -64,7 +64,7 @@
 	return der
 }
 
-func (a *authority) write(name, kind string, der []byte) string {
+func (a *certAuthority) write(name, kind string, der []byte) string {
 	path := filepath.Join(a.dir, name)
 	require.NoError(a.t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 	return path
@@ -72,7 +72,7 @@
 
 // issue creates a certificate with the given common name and returns the settings
 // that name its files and the file of this authority.
-func (a *authority) issue(name string) settings.TLS {
+func (a *certAuthority) issue(name string) settings.TLS {
 	key := newKey(a.t)
 	der := sign(a.t, &x509.Certificate{
 		Subject:     pkix.Name{CommonName: name},
@@ -91,7 +91,7 @@
 
 // client returns an HTTP client for the callers' address that trusts this authority.
 // It sends the client certificate in files unless files is empty.
-func (a *authority) client(files settings.TLS) *http.Client {
+func (a *certAuthority) client(files settings.TLS) *http.Client {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	config := &tls.Config{RootCAs: pool}
@@ -105,15 +105,15 @@
 	return &http.Client{Transport: transport}
 }
 
-func TestCallersProveThemselvesByCertificate(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
-	d := start(t, func(s *settings.Settings) { s.Callers.TLS = ours.issue("daemon") })
+func TestCallersAuthenticateByCertificate(t *testing.T) {
+	trusted, untrusted := newAuthority(t), newAuthority(t)
+	d := startSingle(t, func(s *settings.Settings) { s.Callers.TLS = trusted.issue("daemon") })
 	url := "https://" + d.Nodes[0].Daemon.CallerAddress()
 	status := func(files settings.TLS) (int, error) {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
 		require.NoError(t, err)
 		req.Host = "returdesk.fyn"
-		resp, err := ours.client(files).Do(req)
+		resp, err := trusted.client(files).Do(req)
 		if err != nil {
 			return 0, err
 		}
@@ -122,34 +122,34 @@
 		return resp.StatusCode, nil
 	}
 
-	code, err := status(ours.issue("sorter"))
+	code, err := status(trusted.issue("sorter"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code)
 	code, err = status(settings.TLS{})
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code, "an anonymous caller gets the default group")
-	code, err = status(ours.issue("stranger"))
+	code, err = status(trusted.issue("stranger"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusUnauthorized, code)
 	plan := load.Plan{
 		Targets:  []load.Target{{Address: d.Nodes[0].Daemon.CallerAddress()}},
 		Duration: policy.Duration(200 * time.Millisecond),
 		Sources:  []load.Source{{Service: "returdesk", Rate: 100, Verify: true}},
-		TLS:      ours.issue("sorter"),
+		TLS:      trusted.issue("sorter"),
 	}
 	require.NoError(t, plan.Check())
 	res, err := load.Run(t.Context(), plan, load.Options{})
 	require.NoError(t, err)
 	require.Positive(t, res.Total.Answered)
 	require.Equal(t, res.Total.Requests, res.Total.Answered)
-	_, err = status(theirs.issue("sorter"))
+	_, err = status(untrusted.issue("sorter"))
 	require.Error(t, err, "a certificate of another authority must not be accepted")
 }
 
-func TestDaemonsProveThemselvesToEachOther(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
+func TestDaemonsAuthenticateEachOther(t *testing.T) {
+	trusted, untrusted := newAuthority(t), newAuthority(t)
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
-	d := startIn(t, zones, 2, func(s *settings.Settings) { s.Peers.TLS = ours.issue(string(s.Zone)) })
+	d := startDeployment(t, zones, 2, func(s *settings.Settings) { s.Peers.TLS = trusted.issue(string(s.Zone)) })
 
 	for range 20 {
 		req, err := http.NewRequest(http.MethodGet, "http://"+d.Nodes[0].Daemon.CallerAddress(), nil)
@@ -180,13 +180,13 @@
 		_, err = conn.Read(make([]byte, 1))
 	}
 	require.ErrorContains(t, err, "certificate required")
-	foreign, err := identity.Load("peers.tls", theirs.issue("stranger"))
+	untrustedPeer, err := identity.Load("peers.tls", untrusted.issue("stranger"))
 	require.NoError(t, err)
-	_, err = foreign.PeerDialer(waitLimit)(t.Context(), "tcp", peers)
+	_, err = untrustedPeer.PeerDialer(waitLimit)(t.Context(), "tcp", peers)
 	require.ErrorContains(t, err, "unknown authority")
 }
 
-func TestAFileThatCannotBeUsedIsNamed(t *testing.T) {
+func TestUnusableFileIsNamedInTheError(t *testing.T) {
 	a := newAuthority(t)
 	good := a.issue("daemon")
 	for name, c := range map[string]struct {
--- a/daemon/tracing_test.go
+++ b/daemon/tracing_test.go
@@ -15,9 +15,9 @@
 
 // TestEachHopOfARequestHasASpan sends requests of which one is forwarded from one
 // daemon to another, and reads the spans from the admin addresses of both.
-func TestOneRequestLeavesASpanForEachHop(t *testing.T) {
+func TestEachHopOfARequestHasASpan(t *testing.T) {
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
-	d := startIn(t, zones, 2, func(s *settings.Settings) { s.Tracing.Sample = 1 })
+	d := startDeployment(t, zones, 2, func(s *settings.Settings) { s.Tracing.Sample = 1 })
 	for _, n := range d.Nodes {
 		for _, other := range d.Nodes {
 			other.Daemon.Guard.Drain("returdesk-1")
@@ -45,7 +45,7 @@
 		var out []string
 		for _, tree := range trees {
 			for _, root := range tree.Roots {
-				out = append(out, deepest(root))
+				out = append(out, lastPath(root))
 			}
 		}
 		return out
@@ -55,19 +55,19 @@
 		got := paths()
 		return len(got) == 2 && got[0] == want && got[1] == want
 	}, waitLimit, 5*time.Millisecond)
-	crossed := slices.ContainsFunc(trees, func(tree *trace.Tree) bool {
+	forwarded := slices.ContainsFunc(trees, func(tree *trace.Tree) bool {
 		root := tree.Roots[0]
 		last := root.Children[len(root.Children)-1].Children[0]
 		return last.Daemon != root.Daemon
 	})
-	require.True(t, crossed, "one of the requests must be forwarded from one daemon to the other")
+	require.True(t, forwarded, "one of the requests must be forwarded from one daemon to the other")
 }
 
 // lastPath returns the names of the spans on the path from n that follows the last
 // child at each level.
-func deepest(n *trace.Node) string {
+func lastPath(n *trace.Node) string {
 	if len(n.Children) == 0 {
 		return n.Name
 	}
-	return n.Name + "/" + deepest(n.Children[len(n.Children)-1])
+	return n.Name + "/" + lastPath(n.Children[len(n.Children)-1])
 }
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -25,7 +25,7 @@
 // component is a long-running component of the daemon. Serve runs until the context is
 // done; when it returns earlier, the component has failed and is restarted. String
 // returns the component's name.
-type part interface {
+type component interface {
 	Serve(ctx context.Context) error
 	String() string
 }
@@ -45,13 +45,13 @@
 type InvariantError struct {
 	Broken *invariant.Broken
 	// Component is the name of the component that violated the invariant.
-	Part string
+	Component string
 	// Stack is the stack of the goroutine that detected the violation.
 	Stack []byte
 }
 
 // Error returns the component and the invariant on one line.
-func (e *InvariantError) Error() string { return e.Part + ": " + e.Broken.Error() }
+func (e *InvariantError) Error() string { return e.Component + ": " + e.Broken.Error() }
 
 // Unwrap returns e.Broken.
 func (e *InvariantError) Unwrap() error { return e.Broken }
@@ -71,27 +71,27 @@
 // supervisorTree supervises the components of a daemon. Each component has its own
 // supervisor below the root, so that the backoff of one does not delay restarts of the
 // others.
-type tree struct {
+type supervisorTree struct {
 	root   *suture.Supervisor
 	logger *slog.Logger
 	scope  tally.Scope
 	fatal  chan *InvariantError
 
-	mu    sync.Mutex
-	parts []*supervised
+	mu         sync.Mutex
+	components []*supervisedComponent
 }
 
-func newTree(name string, logger *slog.Logger, scope tally.Scope) *tree {
-	t := &tree{logger: logger, scope: scope, fatal: make(chan *InvariantError, 1)}
-	t.root = suture.New(name, suture.Spec{Timeout: stopTimeout, EventHook: t.event})
+func newSupervisorTree(name string, logger *slog.Logger, scope tally.Scope) *supervisorTree {
+	t := &supervisorTree{logger: logger, scope: scope, fatal: make(chan *InvariantError, 1)}
+	t.root = suture.New(name, suture.Spec{Timeout: stopTimeout, EventHook: t.logEvent})
 	return t
 }
 
 // Add adds a component to the tree.
-func (t *tree) Add(c part) {
-	s := &supervised{part: c, tree: t, restarts: t.scope.Tagged(map[string]string{"part": c.String()}).Counter("restarts")}
+func (t *supervisorTree) Add(c component) {
+	s := &supervisedComponent{component: c, supervisor: t, restarts: t.scope.Tagged(map[string]string{"part": c.String()}).Counter("restarts")}
 	t.mu.Lock()
-	t.parts = append(t.parts, s)
+	t.components = append(t.components, s)
 	t.mu.Unlock()
 	sup := suture.New(c.String(), suture.Spec{
 		FailureThreshold: restartThreshold,
@@ -105,7 +105,7 @@
 
 // logEvent logs the events that supervisors report, except failures of components,
 // which supervisedComponent logs.
-func (t *tree) event(e suture.Event) {
+func (t *supervisorTree) logEvent(e suture.Event) {
 	switch e := e.(type) {
 	case suture.EventStopTimeout:
 		t.logger.Warn("component did not stop in time", "part", e.SupervisorName)
@@ -118,7 +118,7 @@
 
 // reportFatal makes Daemon.Serve return the error, which ends the process. Only the
 // first error is kept.
-func (t *tree) stop(e *InvariantError) {
+func (t *supervisorTree) reportFatal(e *InvariantError) {
 	select {
 	case t.fatal <- e:
 	default:
@@ -126,7 +126,7 @@
 }
 
 // ComponentStatus is the state of one component in the response of /status.
-type PartStatus struct {
+type ComponentStatus struct {
 	Name     string `json:"name"`
 	Restarts int64  `json:"restarts"`
 	// LastError is the error of the last failure, empty if there was none.
@@ -134,12 +134,12 @@
 }
 
 // status returns the state of all components, sorted by name.
-func (t *tree) status() []PartStatus {
+func (t *supervisorTree) status() []ComponentStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]PartStatus, 0, len(t.parts))
-	for _, s := range t.parts {
-		status := PartStatus{Name: s.String(), Restarts: s.failures.Load()}
+	out := make([]ComponentStatus, 0, len(t.components))
+	for _, s := range t.components {
+		status := ComponentStatus{Name: s.String(), Restarts: s.failures.Load()}
 		if err := s.lastError.Load(); err != nil {
 			status.LastError = *err
 		}
@@ -151,22 +151,22 @@
 
 // supervisedComponent wraps a component. It counts and logs the component's failures
 // and converts its panics into errors.
-type supervised struct {
-	part     part
-	tree     *tree
-	restarts tally.Counter
+type supervisedComponent struct {
+	component  component
+	supervisor *supervisorTree
+	restarts   tally.Counter
 
 	failures  atomic.Int64
 	lastError atomic.Pointer[string]
 }
 
 // String returns the component's name.
-func (s *supervised) String() string { return s.part.String() }
+func (s *supervisedComponent) String() string { return s.component.String() }
 
 // Serve runs the component once. When an invariant was violated, it reports that and
 // then blocks until the context is done, so that the component is not restarted.
-func (s *supervised) Serve(ctx context.Context) error {
-	err := s.run(ctx)
+func (s *supervisedComponent) Serve(ctx context.Context) error {
+	err := s.serveRecoveringPanics(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -175,15 +175,15 @@
 	}
 	var broken *InvariantError
 	if errors.As(err, &broken) {
-		s.tree.stop(broken)
+		s.supervisor.reportFatal(broken)
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	s.failed(err)
+	s.recordFailure(err)
 	return err
 }
 
-func (s *supervised) failed(err error) {
+func (s *supervisedComponent) recordFailure(err error) {
 	message := "returned without an error"
 	if err != nil {
 		message = err.Error()
@@ -192,16 +192,16 @@
 	s.lastError.Store(&line)
 	s.failures.Add(1)
 	s.restarts.Inc(1)
-	s.tree.logger.Error("component failed", "part", s.String(), "error", message)
+	s.supervisor.logger.Error("component failed", "part", s.String(), "error", message)
 }
 
-func (s *supervised) run(ctx context.Context) (err error) {
+func (s *supervisedComponent) serveRecoveringPanics(ctx context.Context) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = panicError(s.String(), v)
 		}
 	}()
-	return s.part.Serve(ctx)
+	return s.component.Serve(ctx)
 }
 
 // panicError returns an error for a recovered panic value: an *InvariantError for a
@@ -209,23 +209,23 @@
 func panicError(component string, v any) error {
 	stack := debug.Stack()
 	if b, ok := v.(*invariant.Broken); ok {
-		return &InvariantError{Broken: b, Part: component, Stack: stack}
+		return &InvariantError{Broken: b, Component: component, Stack: stack}
 	}
 	return fmt.Errorf("%s: panic: %v\n%s", component, v, stack)
 }
 
 // recoverPanics returns a handler in which a panic of next aborts only the request,
 // unless it is a violated invariant, which stops the process.
-func (t *tree) protect(name string, next http.Handler) http.Handler {
+func (t *supervisorTree) recoverPanics(name string, next http.Handler) http.Handler {
 	panics := t.scope.Tagged(map[string]string{"part": name}).Counter("handler_panics")
-	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlerFailed(name, panics, v) })
+	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlePanic(name, panics, v) })
 }
 
-func (t *tree) handlerFailed(name string, panics tally.Counter, v any) {
+func (t *supervisorTree) handlePanic(name string, panics tally.Counter, v any) {
 	err := panicError(name, v)
 	var broken *InvariantError
 	if errors.As(err, &broken) {
-		t.stop(broken)
+		t.reportFatal(broken)
 		return
 	}
 	panics.Inc(1)
--- a/daemon/tree_test.go
+++ b/daemon/tree_test.go
@@ -36,19 +36,19 @@
 	os.Exit(code)
 }
 
-func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // flakyComponent calls one of failures each time it is started. After the last one it
 // runs until the context is done.
-type flakyPart struct {
+type flakyComponent struct {
 	failures []func() error
 	starts   atomic.Int64
 	running  chan struct{}
 }
 
-func (p *flakyPart) String() string { return "flaky" }
+func (p *flakyComponent) String() string { return "flaky" }
 
-func (p *flakyPart) Serve(ctx context.Context) error {
+func (p *flakyComponent) Serve(ctx context.Context) error {
 	n := int(p.starts.Add(1)) - 1
 	if n < len(p.failures) {
 		return p.failures[n]()
@@ -58,13 +58,13 @@
 	return ctx.Err()
 }
 
-func TestAFailedPartIsStartedAgainAndCounted(t *testing.T) {
-	p := &flakyPart{running: make(chan struct{}), failures: []func() error{
+func TestFailedComponentIsRestartedAndCounted(t *testing.T) {
+	p := &flakyComponent{running: make(chan struct{}), failures: []func() error{
 		func() error { return errors.New("first") },
 		func() error { panic("second") },
 	}}
 	scope := tally.NewTestScope("", nil)
-	tr := newTree("test", discard(), scope)
+	tr := newSupervisorTree("test", discardLogger(), scope)
 	tr.Add(p)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := tr.root.ServeBackground(ctx)
@@ -81,10 +81,10 @@
 }
 
 func TestABrokenInvariantIsNotRestarted(t *testing.T) {
-	p := &flakyPart{running: make(chan struct{}), failures: []func() error{
+	p := &flakyComponent{running: make(chan struct{}), failures: []func() error{
 		func() error { invariant.Violated("running at most limit", "%d > %d", 7, 6); return nil },
 	}}
-	tr := newTree("test", discard(), tally.NoopScope)
+	tr := newSupervisorTree("test", discardLogger(), tally.NoopScope)
 	tr.Add(p)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := tr.root.ServeBackground(ctx)
@@ -98,10 +98,10 @@
 	require.Contains(t, broken.Dump(), "all goroutines:")
 }
 
-func TestAPanicOfAHandlerEndsOnlyItsRequest(t *testing.T) {
+func TestHandlerPanicEndsOnlyItsRequest(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	tr := newTree("test", discard(), scope)
-	h := tr.protect("callers", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	tr := newSupervisorTree("test", discardLogger(), scope)
+	h := tr.recoverPanics("callers", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/panic":
 			panic("oops")
--- a/daemon/wait_test.go
+++ b/daemon/wait_test.go
@@ -4,6 +4,6 @@
 
 // Timeout and polling interval for conditions that tests wait for.
 const (
-	waitLimit = 20 * time.Second
-	waitStep  = 5 * time.Millisecond
+	waitLimit    = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
--- a/daemon/zones.go
+++ b/daemon/zones.go
@@ -16,17 +16,17 @@
 
 const (
 	// maxQueriedPerZone bounds the daemons that are queried in each zone.
-	zoneSample = 64
+	maxQueriedPerZone = 64
 	// maxParallelQueries bounds the queries in flight.
-	zoneParallel = 32
-	zoneTimeout  = time.Second
+	maxParallelQueries  = 32
+	versionQueryTimeout = time.Second
 	// maxListedDaemons bounds each list of daemons in a ZoneStatus.
-	maxNamed = 8
+	maxListedDaemons = 8
 )
 
 // versionReply is the reply of one daemon to a query for its configuration version in
 // force. Without a usable reply, ok is false.
-type zoneAnswer struct {
+type versionReply struct {
 	peer    peer.Peer
 	version model.Version
 	ok      bool
@@ -34,60 +34,60 @@
 
 // zones serves the configuration versions in force in each availability zone.
 func (d *Daemon) zones(w http.ResponseWriter, r *http.Request) {
-	writeJSON(w, http.StatusOK, summarise(d.askZones(r.Context())))
+	writeJSON(w, http.StatusOK, summarizeZones(d.queryZones(r.Context())))
 }
 
-func (d *Daemon) askZones(ctx context.Context) []zoneAnswer {
-	asked := peer.SamplePerZone(d.Members.Peers(), zoneSample, uint64(time.Now().UnixNano()))
-	answers := make([]zoneAnswer, len(asked))
-	turns := make(chan struct{}, zoneParallel)
+func (d *Daemon) queryZones(ctx context.Context) []versionReply {
+	queried := peer.SamplePerZone(d.Members.Peers(), maxQueriedPerZone, uint64(time.Now().UnixNano()))
+	replies := make([]versionReply, len(queried))
+	semaphore := make(chan struct{}, maxParallelQueries)
 	var wg sync.WaitGroup
-	for i, p := range asked {
-		turns <- struct{}{}
+	for i, p := range queried {
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-turns }()
-			answers[i] = d.askVersion(ctx, p)
+			defer func() { <-semaphore }()
+			replies[i] = d.queryVersion(ctx, p)
 		})
 	}
 	wg.Wait()
-	return answers
+	return replies
 }
 
-func (d *Daemon) askVersion(ctx context.Context, p peer.Peer) zoneAnswer {
+func (d *Daemon) queryVersion(ctx context.Context, p peer.Peer) versionReply {
 	if p.ID == d.ID() {
 		v, _ := binary.Uvarint(inForceTopic{d.Config}.Digest())
-		return zoneAnswer{peer: p, version: model.Version(v), ok: true}
+		return versionReply{peer: p, version: model.Version(v), ok: true}
 	}
-	ctx, cancel := context.WithTimeout(ctx, zoneTimeout)
+	ctx, cancel := context.WithTimeout(ctx, versionQueryTimeout)
 	defer cancel()
 	topic := &peerv1.TopicMessage{Topic: inForceTopicName, Digest: []byte{0}}
-	resp, err := d.Peers.Exchange(ctx, p.ID, &peerv1.ExchangeRequest{From: string(d.ID()), Topics: []*peerv1.TopicMessage{topic}})
+	resp, err := d.PeerClient.Exchange(ctx, p.ID, &peerv1.ExchangeRequest{From: string(d.ID()), Topics: []*peerv1.TopicMessage{topic}})
 	if err != nil {
-		return zoneAnswer{peer: p}
+		return versionReply{peer: p}
 	}
 	for _, t := range resp.GetTopics() {
 		if t.GetTopic() == inForceTopicName {
 			v, n := binary.Uvarint(t.GetDigest())
-			return zoneAnswer{peer: p, version: model.Version(v), ok: n > 0}
+			return versionReply{peer: p, version: model.Version(v), ok: n > 0}
 		}
 	}
-	return zoneAnswer{peer: p}
+	return versionReply{peer: p}
 }
 
 // summarizeZones returns the status of each zone from the replies, sorted by zone name.
-func summarise(answers []zoneAnswer) []operator.ZoneStatus {
+func summarizeZones(replies []versionReply) []operator.ZoneStatus {
 	var newest model.Version
-	for _, a := range answers {
-		newest = max(newest, a.version)
+	for _, reply := range replies {
+		newest = max(newest, reply.version)
 	}
 	byZone := make(map[model.AvailabilityZone]*operator.ZoneStatus)
-	for _, a := range answers {
-		z := byZone[a.peer.Zone]
+	for _, reply := range replies {
+		z := byZone[reply.peer.Zone]
 		if z == nil {
-			z = &operator.ZoneStatus{Zone: a.peer.Zone}
-			byZone[a.peer.Zone] = z
+			z = &operator.ZoneStatus{Zone: reply.peer.Zone}
+			byZone[reply.peer.Zone] = z
 		}
-		addAnswer(z, a, newest)
+		addReply(z, reply, newest)
 	}
 	out := make([]operator.ZoneStatus, 0, len(byZone))
 	for _, z := range byZone {
@@ -97,24 +97,24 @@
 	return out
 }
 
-func addAnswer(z *operator.ZoneStatus, a zoneAnswer, newest model.Version) {
+func addReply(z *operator.ZoneStatus, reply versionReply, newest model.Version) {
 	z.Asked++
-	if !a.ok {
-		z.Silent = appendNamed(z.Silent, a.peer.ID)
+	if !reply.ok {
+		z.Silent = appendListed(z.Silent, reply.peer.ID)
 		return
 	}
-	if z.Answered == 0 || a.version < z.Oldest {
-		z.Oldest = a.version
+	if z.Answered == 0 || reply.version < z.Oldest {
+		z.Oldest = reply.version
 	}
 	z.Answered++
-	z.Newest = max(z.Newest, a.version)
-	if a.version < newest {
-		z.Behind = appendNamed(z.Behind, a.peer.ID)
+	z.Newest = max(z.Newest, reply.version)
+	if reply.version < newest {
+		z.Behind = appendListed(z.Behind, reply.peer.ID)
 	}
 }
 
-func appendNamed(ids []model.DaemonID, id model.DaemonID) []model.DaemonID {
-	if len(ids) >= maxNamed {
+func appendListed(ids []model.DaemonID, id model.DaemonID) []model.DaemonID {
+	if len(ids) >= maxListedDaemons {
 		return ids
 	}
 	return append(ids, id)
--- a/daemon/zones_test.go
+++ b/daemon/zones_test.go
@@ -10,8 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/peer"
 )
 
-func TestZonesAreSummarised(t *testing.T) {
-	got := summarise([]zoneAnswer{
+func TestRepliesAreSummarizedByZone(t *testing.T) {
+	got := summarizeZones([]versionReply{
 		{peer: peer.Peer{ID: "1", Zone: "b"}, version: 4, ok: true},
 		{peer: peer.Peer{ID: "2", Zone: "a"}, version: 3, ok: true},
 		{peer: peer.Peer{ID: "3", Zone: "b"}},
