--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -10,6 +10,7 @@
 // adminHandler returns the handler of the admin address, for operators, monitoring
 // and the upstreams of this VM. Requests from other hosts can only read.
 func (d *Daemon) adminHandler() http.Handler {
+	// Create the counters now, so that /metrics serves them before the first refusal.
 	for _, reason := range []string{reasonUnreadable, reasonInvalid, reasonTooMany} {
 		d.refusedAnnouncementsCounter(reason)
 	}
@@ -29,8 +30,8 @@
 // Health is the response body of /healthz and /readyz.
 type Health struct {
 	OK bool `json:"ok"`
-	// MissingConditions lists why the daemon is not ready.
-	MissingConditions []string `json:"lacking,omitempty"`
+	// NotReadyReasons lists why the daemon is not ready.
+	NotReadyReasons []string `json:"lacking,omitempty"`
 }
 
 // healthz responds 200 as long as the process can serve HTTP. It does not depend on
@@ -50,14 +51,14 @@
 }
 
 func (d *Daemon) health() Health {
-	var missing []string
+	var reasons []string
 	if d.stopping.Load() {
-		missing = append(missing, "stopping")
+		reasons = append(reasons, "stopping")
 	}
 	if d.Config.Current() == nil {
-		missing = append(missing, "no configuration in force")
+		reasons = append(reasons, "no configuration in force")
 	}
-	return Health{OK: len(missing) == 0, MissingConditions: missing}
+	return Health{OK: len(reasons) == 0, NotReadyReasons: reasons}
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -19,8 +19,10 @@
 	// reads of the membership stream. It is read less often than the configuration
 	// since peers report membership changes before the log does.
 	membershipReadIntervals = 5
-	drainNoticeTimeout      = time.Second
-	drainNoticeFanout       = 6
+	// drainNoticeTimeout and drainNoticeFanout are the timeout and the number of peers
+	// of the gossip round in which a stopping daemon reports its draining upstreams.
+	drainNoticeTimeout = time.Second
+	drainNoticeFanout  = 6
 )
 
 // maxRoundAge is the age of the last gossip round with a peer up to which this daemon
@@ -108,7 +110,7 @@
 }
 
 // peerHandler returns the handler of the peer address. Requests with the header
-// HeaderHop are calls for the guard or the owner; all others are control messages for
+// wire.HeaderDestination are calls for the guard or the owner; all others are control messages for
 // the peer service. Both handlers authenticate the other daemon by the peer secret.
 func (d *Daemon) peerHandler() http.Handler {
 	control := peer.Handler(d.PeerService, d.settings.Peers.Secret)
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -69,9 +69,9 @@
 
 	_, err = New(s, discardLogger())
 
-	var listen *ListenError
-	require.ErrorAs(t, err, &listen)
-	require.Equal(t, "listen.admin", listen.Path)
+	var listenErr *ListenError
+	require.ErrorAs(t, err, &listenErr)
+	require.Equal(t, "listen.admin", listenErr.Path)
 	require.ErrorContains(t, err, "address already in use")
 	require.ErrorContains(t, err, s.Listen.Admin)
 }
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/operator"
 )
 
-func TestOperatorListsAndReleases(t *testing.T) {
+func TestOperatorListsAndReleasesQuarantinedRequests(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
 	r := core.Request{Service: "s", Caller: "c", Method: "GET", Target: "/kill"}
 	f := core.FingerprintOf(r)
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -36,7 +36,7 @@
 	file string
 }
 
-func newAuthority(t *testing.T) *certAuthority {
+func newCertAuthority(t *testing.T) *certAuthority {
 	a := &certAuthority{t: t, dir: t.TempDir()}
 	template := &x509.Certificate{
 		Subject: pkix.Name{CommonName: "authority"}, IsCA: true,
@@ -106,7 +106,7 @@
 }
 
 func TestCallersAuthenticateByCertificate(t *testing.T) {
-	trusted, untrusted := newAuthority(t), newAuthority(t)
+	trusted, untrusted := newCertAuthority(t), newCertAuthority(t)
 	d := startSingle(t, func(s *settings.Settings) { s.Callers.TLS = trusted.issue("daemon") })
 	url := "https://" + d.Nodes[0].Daemon.CallerAddress()
 	status := func(files settings.TLS) (int, error) {
@@ -147,7 +147,7 @@
 }
 
 func TestDaemonsAuthenticateEachOther(t *testing.T) {
-	trusted, untrusted := newAuthority(t), newAuthority(t)
+	trusted, untrusted := newCertAuthority(t), newCertAuthority(t)
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
 	d := startDeployment(t, zones, 2, func(s *settings.Settings) { s.Peers.TLS = trusted.issue(string(s.Zone)) })
 
@@ -174,8 +174,8 @@
 	peers := string(d.Nodes[1].Daemon.ID())
 	conn, err := tls.Dial("tcp", peers, &tls.Config{InsecureSkipVerify: true})
 	if err == nil {
-		// In TLS 1.3 the client learns that its certificate was rejected only
-		// with the first read.
+		// In TLS 1.3 a client without the required certificate gets the error only
+		// from its first read.
 		defer func() { _ = conn.Close() }()
 		_, err = conn.Read(make([]byte, 1))
 	}
@@ -187,7 +187,7 @@
 }
 
 func TestUnusableFileIsNamedInTheError(t *testing.T) {
-	a := newAuthority(t)
+	a := newCertAuthority(t)
 	good := a.issue("daemon")
 	for name, c := range map[string]struct {
 		files settings.TLS
--- a/daemon/tracing.go
+++ b/daemon/tracing.go
@@ -8,7 +8,7 @@
 	"github.com/dottereltiller/dottereltiller/trace"
 )
 
-const tracingTimeout = 5 * time.Second
+const tracerShutdownTimeout = 5 * time.Second
 
 // buildTracer sets up d.tracer. It stays nil when tracing is off.
 func (d *Daemon) buildTracer() error {
@@ -27,7 +27,7 @@
 	}
 	d.tracer = tracer
 	d.afterStop = append(d.afterStop, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), tracingTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), tracerShutdownTimeout)
 		defer cancel()
 		if err := tracer.Shutdown(ctx); err != nil {
 			d.logger.Warn("last spans not exported", "error", err)
--- a/identity/doc.go
+++ b/identity/doc.go
@@ -7,8 +7,8 @@
 // and not treated as anonymous, so that nobody is put into a group with a forged
 // or outdated credential.
 //
-// Daemons authenticate each other by a shared secret and, when they listen on
-// other addresses than loopback, by certificates of one certificate authority
-// unless the settings allow plaintext. Credentials holds a certificate and its
-// key, which are read from files once, at the start.
+// Daemons authenticate each other by a shared secret and, when TLS is configured,
+// also by certificates of one certificate authority. TLS is required on addresses
+// other than loopback unless the settings allow plaintext. Credentials holds a
+// certificate and its key, which are read from files once, at the start.
 package identity
--- a/settings/keys.go
+++ b/settings/keys.go
@@ -30,13 +30,13 @@
 }
 
 const (
-	defaultGrant           = 60 * time.Second
-	defaultRetention       = 10 * time.Minute
-	defaultMaxClaims       = 1 << 16
-	defaultMaxAnswersBytes = 4 << 20
-	defaultMaxAnswerBytes  = 64 << 10
-	defaultMaxKeyedBytes   = 256 << 10
-	maxRetention           = 24 * time.Hour
+	defaultGrant             = 60 * time.Second
+	defaultRetention         = 10 * time.Minute
+	defaultMaxClaims         = 1 << 16
+	defaultMaxAnswersBytes   = 4 << 20
+	defaultMaxAnswerBytes    = 64 << 10
+	defaultMaxKeyedBodyBytes = 256 << 10
+	maxRetention             = 24 * time.Hour
 )
 
 func defaultKeys() Keys {
@@ -46,7 +46,7 @@
 		MaxClaims:       defaultMaxClaims,
 		MaxAnswersBytes: defaultMaxAnswersBytes,
 		MaxAnswerBytes:  defaultMaxAnswerBytes,
-		MaxBodyBytes:    defaultMaxKeyedBytes,
+		MaxBodyBytes:    defaultMaxKeyedBodyBytes,
 	}
 }
 
--- a/settings/process.go
+++ b/settings/process.go
@@ -21,8 +21,8 @@
 	// 0 means no limit.
 	MemoryLimitBytes int64 `json:"memory_limit_bytes"`
 	// GCPercent is how far the heap may grow before the next garbage collection,
-	// in percent of the live heap, as GOGC. A larger value costs memory but gives
-	// fewer collections, which add to the tail latency of calls.
+	// in percent of the live heap, as GOGC. A larger value uses more memory but
+	// makes collections rarer. Each collection adds to the tail latency of calls.
 	GCPercent int `json:"gc_percent"`
 }
 
