--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin reads from the admin addresses of daemons, for the operator's
-// command line.
+// Package admin is the HTTP client with which the operator's command line reads
+// from the admin addresses of daemons.
 package admin
 
 import (
@@ -12,20 +12,22 @@
 )
 
 const (
-	// timeout bounds one read.
+	// timeout bounds one request with its response.
 	timeout = 5 * time.Second
-	// maxAnswer bounds an answer, in bytes.
-	maxAnswer = 64 << 20
+	// maxResponseBytes bounds the body of a response.
+	maxResponseBytes = 64 << 20
 )
 
-// client goes to the address it is given and nowhere else.
+// client connects only to the address in the request: it uses no proxy and
+// follows no redirect.
 var client = &http.Client{
 	Timeout:       timeout,
 	Transport:     &http.Transport{Proxy: nil, DisableCompression: true, MaxIdleConnsPerHost: 1},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// Get reads the JSON at a path of a daemon's admin address (host:port) into v.
+// Get requests a path at a daemon's admin address (host:port) and decodes the
+// JSON response into v.
 func Get(ctx context.Context, address, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -39,11 +41,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("daemon %s answered %s", address, resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(v); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(v); err != nil {
 		return fmt.Errorf("daemon %s: %w", address, err)
 	}
 	return nil
 }
 
-// CloseIdle closes the connections kept for further reads.
+// CloseIdle closes the idle connections to admin addresses.
 func CloseIdle() { client.CloseIdleConnections() }
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -7,11 +7,12 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// adminHandler serves what operators, monitoring and the upstreams of this VM
-// ask for. Off this VM it is read-only.
+// adminHandler returns the handler of the admin address, for operators, monitoring
+// and the upstreams of this VM. Requests from other hosts can only read.
 func (d *Daemon) adminHandler() http.Handler {
-	for _, reason := range []string{refusedUnreadable, refusedInvalid, refusedTooMany} {
-		d.refusedAnnouncements(reason)
+	// Create the counters now, so that /metrics serves them before the first refusal.
+	for _, reason := range []string{reasonUnreadable, reasonInvalid, reasonTooMany} {
+		d.refusedAnnouncementsCounter(reason)
 	}
 	r := chi.NewRouter()
 	r.Get("/healthz", d.healthz)
@@ -21,24 +22,25 @@
 	r.Get("/traces", d.tracer.ServeRecent)
 	r.Handle("/metrics", d.Metrics.Handler())
 	r.Get("/v1/quarantine", d.listQuarantine)
-	r.With(d.onlyThisVM).Delete("/v1/quarantine/{fingerprint}", d.releaseQuarantine)
-	r.With(d.onlyThisVM).Put("/v1/upstreams/{id}", d.announce)
+	r.With(d.requireSameVM).Delete("/v1/quarantine/{fingerprint}", d.releaseQuarantine)
+	r.With(d.requireSameVM).Put("/v1/upstreams/{id}", d.handleAnnouncement)
 	return r
 }
 
-// Health is the body of /healthz and /readyz.
+// Health is the response body of /healthz and /readyz.
 type Health struct {
 	OK bool `json:"ok"`
-	// Lacking names what keeps the daemon from being ready.
-	Lacking []string `json:"lacking,omitempty"`
+	// NotReadyReasons lists why the daemon is not ready.
+	NotReadyReasons []string `json:"lacking,omitempty"`
 }
 
-// healthz tells that the process runs and its parts are supervised.
+// healthz responds 200 as long as the process can serve HTTP. It does not depend on
+// the state of single components, which the supervisor restarts.
 func (d *Daemon) healthz(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, Health{OK: true})
 }
 
-// readyz tells whether callers should be sent here.
+// readyz responds 200 when the daemon can serve callers, else 503.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
 	h := d.health()
 	status := http.StatusOK
@@ -49,14 +51,14 @@
 }
 
 func (d *Daemon) health() Health {
-	var lacking []string
+	var reasons []string
 	if d.stopping.Load() {
-		lacking = append(lacking, "stopping")
+		reasons = append(reasons, "stopping")
 	}
 	if d.Config.Current() == nil {
-		lacking = append(lacking, "no configuration in force")
+		reasons = append(reasons, "no configuration in force")
 	}
-	return Health{OK: len(lacking) == 0, Lacking: lacking}
+	return Health{OK: len(reasons) == 0, NotReadyReasons: reasons}
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/daemon/admin_test.go
+++ b/daemon/admin_test.go
@@ -10,9 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOnlyThisVMMayChangeAnything asks from another host, from loopback and
-// from the VM's own address.
-func TestOnlyThisVMMayChangeAnything(t *testing.T) {
+// TestChangesAreAllowedOnlyFromThisVM sends requests from another host, from loopback
+// and from the VM's own address. Only the last two may change anything; the other
+// host may read.
+func TestChangesAreAllowedOnlyFromThisVM(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
 	h := d.adminHandler()
 	status := func(method, path, from string) int {
--- a/daemon/mistakes_test.go
+++ b/daemon/caller_errors_test.go
@@ -13,9 +13,11 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// TestMistakesOfCallersAreNamedAndCounted makes the mistakes of a new user.
-func TestMistakesOfCallersAreNamedAndCounted(t *testing.T) {
-	d := start(t, func(s *settings.Settings) { s.Callers.MaxBodyBytes = 100 })
+// TestCallerErrorsAreReportedAndCounted sends requests with errors that are typical of
+// a new user. The response and the metrics must state the reason, and no request may
+// reach the upstream.
+func TestCallerErrorsAreReportedAndCounted(t *testing.T) {
+	d := startSingle(t, func(s *settings.Settings) { s.Callers.MaxBodyBytes = 100 })
 	n := d.Nodes[0].Daemon
 	cases := map[string]struct {
 		host, header, value, body string
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -18,25 +18,26 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-const documents = `[
+const documentsJSON = `[
   {"kind": "Service", "name": "returdesk", "labels": {"mesh": "fyn"}, "spec": {"hosts": ["returdesk.fyn"], "deadline": "20s"}},
   {"kind": "Caller", "name": "sorting-bench", "labels": {"role": "sorter"}, "spec": {"certificate_names": ["sorter"]}},
   {"kind": "SharingPolicy", "name": "fyn", "spec": {"services": "mesh=fyn", "groups": [
     {"name": "sorters", "callers": "role=sorter", "weight": 1}], "default_group": "sorters"}}]`
 
-// start runs one daemon with one upstream of the service returdesk.
-func start(t *testing.T, change func(*settings.Settings)) *local.Deployment {
+// startSingle starts a deployment of one daemon with one upstream of the service
+// returdesk.
+func startSingle(t *testing.T, modifySettings func(*settings.Settings)) *local.Deployment {
 	t.Helper()
-	return startIn(t, []model.AvailabilityZone{"odense-hal-a"}, 1, change)
+	return startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, modifySettings)
 }
 
-func startIn(t *testing.T, zones []model.AvailabilityZone, upstreams int, change func(*settings.Settings)) *local.Deployment {
+func startDeployment(t *testing.T, zones []model.AvailabilityZone, upstreams int, modifySettings func(*settings.Settings)) *local.Deployment {
 	t.Helper()
 	d, err := local.Start(t.Context(), local.Options{
 		Zones:     zones,
 		Services:  []local.Service{{Name: "returdesk", Upstreams: upstreams, Slots: 6}},
-		Documents: documentsOf(t),
-		Settings:  change,
+		Documents: parseDocuments(t),
+		Settings:  modifySettings,
 	})
 	require.NoError(t, err)
 	t.Cleanup(func() {
@@ -46,10 +47,10 @@
 	return d
 }
 
-func documentsOf(t testing.TB) []policy.Document {
+func parseDocuments(t testing.TB) []policy.Document {
 	t.Helper()
 	var docs []policy.Document
-	require.NoError(t, json.Unmarshal([]byte(documents), &docs))
+	require.NoError(t, json.Unmarshal([]byte(documentsJSON), &docs))
 	return docs
 }
 
@@ -64,11 +65,13 @@
 
 const waitLimit = 20 * time.Second
 
-// TestMalformedRequestsAreRefused sends requests that two programs could read
-// differently. Each is refused or, where net/http hides the conflict, is the
-// last on its connection; what follows it must never run.
+// TestMalformedRequestsAreRefused guards against request smuggling. It sends
+// requests whose end two HTTP implementations could see at different places, each
+// followed by a second request. The daemon must refuse the first request or, where
+// net/http hides the conflict between Content-Length and chunked encoding, close the
+// connection after it. The second request must never reach the upstream.
 func TestMalformedRequestsAreRefused(t *testing.T) {
-	d := start(t, nil)
+	d := startSingle(t, nil)
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Request: smuggled\r\n\r\n"
 	for name, c := range map[string]struct{ head, body, status string }{
 		"two lengths":            {"Content-Length: 3\r\nContent-Length: 4\r\n", "abcd", "400"},
@@ -88,17 +91,17 @@
 			conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
 			_, err := io.WriteString(conn, "POST / HTTP/1.1\r\nHost: returdesk.fyn\r\n"+c.head+"\r\n"+c.body+smuggled)
 			require.NoError(t, err)
-			answer, err := io.ReadAll(conn)
+			response, err := io.ReadAll(conn)
 			require.NoError(t, err, "the connection must be closed")
-			require.Equal(t, "HTTP/1.1 "+c.status, string(answer[:len("HTTP/1.1 ")+len(c.status)]))
-			require.Equal(t, 1, strings.Count(string(answer), "HTTP/1.1 "))
+			require.Equal(t, "HTTP/1.1 "+c.status, string(response[:len("HTTP/1.1 ")+len(c.status)]))
+			require.Equal(t, 1, strings.Count(string(response), "HTTP/1.1 "))
 		})
 	}
 	require.Zero(t, d.Nodes[0].Upstream.Runs()["smuggled"])
 }
 
 func TestHeadersAndBodiesOverTheLimitAreRefused(t *testing.T) {
-	d := start(t, func(s *settings.Settings) {
+	d := startSingle(t, func(s *settings.Settings) {
 		s.Callers.MaxHeaderBytes = 8 << 10
 		s.Callers.MaxBodyBytes = 1 << 10
 	})
@@ -108,10 +111,10 @@
 		body   io.Reader
 		status int
 	}{
-		"within":           {header: 1 << 10, body: strings.NewReader(strings.Repeat("x", 1<<10)), status: 200},
-		"header":           {header: 16 << 10, status: 431},
-		"announced length": {body: strings.NewReader(strings.Repeat("x", 2<<10)), status: 413},
-		"unknown length":   {body: io.MultiReader(strings.NewReader(strings.Repeat("x", 2<<10))), status: 413},
+		"within the limits":           {header: 1 << 10, body: strings.NewReader(strings.Repeat("x", 1<<10)), status: 200},
+		"header too large":            {header: 16 << 10, status: 431},
+		"body with Content-Length":    {body: strings.NewReader(strings.Repeat("x", 2<<10)), status: 413},
+		"body without Content-Length": {body: io.MultiReader(strings.NewReader(strings.Repeat("x", 2<<10))), status: 413},
 	} {
 		t.Run(name, func(t *testing.T) {
 			req, err := http.NewRequest(http.MethodPut, url, c.body)
@@ -126,18 +129,19 @@
 	}
 }
 
-// TestACallerThatStopsSendingIsEnded leaves a body half sent, both to a service
-// that waits for it and to one that refuses the request at once.
-func TestACallerThatStopsSendingIsEnded(t *testing.T) {
-	d := start(t, stallSoon)
+// TestRequestOfACallerThatStopsSendingIsAborted sends part of a body and then nothing,
+// both in a request that needs the whole body and in one that is refused without it.
+// The daemon must respond and close the connection after the stall timeout.
+func TestRequestOfACallerThatStopsSendingIsAborted(t *testing.T) {
+	d := startSingle(t, setShortStallTimeout)
 	for host, status := range map[string]string{"returdesk.fyn": "400", "nobody.fyn": "404"} {
 		t.Run(host, func(t *testing.T) {
 			conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
 			_, err := io.WriteString(conn, "PUT / HTTP/1.1\r\nHost: "+host+"\r\nContent-Length: 10\r\nX-Request: half\r\n\r\nabc")
 			require.NoError(t, err)
-			answer, err := io.ReadAll(conn)
+			response, err := io.ReadAll(conn)
 			require.NoError(t, err, "the connection must be closed")
-			require.Contains(t, string(answer), "HTTP/1.1 "+status)
+			require.Contains(t, string(response), "HTTP/1.1 "+status)
 		})
 	}
 	require.Zero(t, d.Nodes[0].Upstream.Runs()["half"])
@@ -148,17 +152,18 @@
 			conn := dial(t, address)
 			_, err := io.WriteString(conn, "PUT /v1/upstreams/x HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc")
 			require.NoError(t, err)
-			answer, err := io.ReadAll(conn)
+			response, err := io.ReadAll(conn)
 			require.NoError(t, err, "the connection must be closed")
-			require.Contains(t, string(answer), "HTTP/1.1 4")
+			require.Contains(t, string(response), "HTTP/1.1 4")
 		})
 	}
 }
 
-// TestACallerThatStopsReadingIsEnded asks for more than the sockets hold and
-// reads none of it; the slot at the upstream must come free.
-func TestACallerThatStopsReadingIsEnded(t *testing.T) {
-	d := start(t, stallSoon)
+// TestRequestOfACallerThatStopsReadingIsAborted requests a response that is larger
+// than the socket buffers and does not read it. The request must be aborted after the
+// stall timeout, which frees its slot at the upstream.
+func TestRequestOfACallerThatStopsReadingIsAborted(t *testing.T) {
+	d := startSingle(t, setShortStallTimeout)
 	n := d.Nodes[0]
 	conn := dial(t, n.Daemon.CallerAddress())
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Answer-Bytes: 67108864\r\n\r\n")
@@ -173,14 +178,15 @@
 	}
 }
 
-func stallSoon(s *settings.Settings) {
+func setShortStallTimeout(s *settings.Settings) {
 	s.Callers.StallTimeout = policy.Duration(100 * time.Millisecond)
 }
 
-// TestARequestMayRunLongerThanTheStallTimeout holds a request at the upstream:
-// only progress of the caller is limited.
+// TestARequestMayRunLongerThanTheStallTimeout sends requests that take the upstream
+// longer than the stall timeout. They must succeed: the timeout limits only how long
+// the caller may make no progress.
 func TestARequestMayRunLongerThanTheStallTimeout(t *testing.T) {
-	d := start(t, stallSoon)
+	d := startSingle(t, setShortStallTimeout)
 	for _, http2 := range []bool{false, true} {
 		client := newClient(t, http2)
 		req, err := http.NewRequest(http.MethodPut, "http://"+d.Nodes[0].Daemon.CallerAddress(), strings.NewReader("body"))
@@ -205,10 +211,11 @@
 	return &http.Client{Transport: transport}
 }
 
-// TestAConnectionIsUsedAgain keeps the limits of one request from hitting the
-// next on the connection.
-func TestAConnectionIsUsedAgain(t *testing.T) {
-	d := start(t, stallSoon)
+// TestDeadlinesDoNotCarryOverOnAConnection sends several requests on one connection,
+// each longer than the stall timeout. A deadline set for one request must not abort
+// the next one.
+func TestDeadlinesDoNotCarryOverOnAConnection(t *testing.T) {
+	d := startSingle(t, setShortStallTimeout)
 	conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
 	reader := bufio.NewReader(conn)
 	for range 3 {
@@ -222,11 +229,12 @@
 	}
 }
 
-// TestConnectionsOverTheLimitAreClosed opens one more than allowed.
+// TestConnectionsOverTheLimitAreClosed opens one connection more than the limit. It
+// must be closed, and the others must go on.
 func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
-	d := start(t, func(s *settings.Settings) { s.Callers.MaxConnections = 2 })
+	d := startSingle(t, func(s *settings.Settings) { s.Callers.MaxConnections = 2 })
 	address := d.Nodes[0].Daemon.CallerAddress()
-	answered := func(conn net.Conn) bool {
+	succeeds := func(conn net.Conn) bool {
 		_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\n\r\n")
 		if err != nil {
 			return false
@@ -239,17 +247,19 @@
 		return err == nil && resp.StatusCode == http.StatusOK
 	}
 	first, second := dial(t, address), dial(t, address)
-	require.True(t, answered(first))
-	require.True(t, answered(second))
-	require.False(t, answered(dial(t, address)))
-	require.True(t, answered(second), "those open go on")
+	require.True(t, succeeds(first))
+	require.True(t, succeeds(second))
+	require.False(t, succeeds(dial(t, address)))
+	require.True(t, succeeds(second), "connections within the limit stay usable")
 	require.NoError(t, first.Close())
-	require.Eventually(t, func() bool { return answered(dial(t, address)) }, waitLimit, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return succeeds(dial(t, address)) }, waitLimit, 5*time.Millisecond)
 }
 
-// TestACancelledCallerEndsTheRun holds a request at the upstream and cancels it.
-func TestACancelledCallerEndsTheRun(t *testing.T) {
-	d := start(t, nil)
+// TestCancelledRequestEndsAtTheUpstream closes the caller's connection while the
+// upstream runs the request. The slot at the upstream must come free long before the
+// request's deadline.
+func TestCancelledRequestEndsAtTheUpstream(t *testing.T) {
+	d := startSingle(t, nil)
 	n := d.Nodes[0]
 	conn := dial(t, n.Daemon.CallerAddress())
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Cost: 1h\r\nDottereltiller-Timeout: 1h\r\n\r\n")
@@ -260,13 +270,14 @@
 	require.Eventually(t, func() bool { return running() == 0 }, serviceDeadline/2, time.Millisecond)
 }
 
-// serviceDeadline is that of the service returdesk in documents.
+// serviceDeadline is the deadline of the service returdesk in documentsJSON.
 const serviceDeadline = 20 * time.Second
 
-// TestAShutdownCutsNoRequest stops two daemons while requests cross them.
-func TestAShutdownCutsNoRequest(t *testing.T) {
+// TestShutdownWaitsForRequestsInFlight stops two daemons while both have requests in
+// flight. All requests must complete.
+func TestShutdownWaitsForRequestsInFlight(t *testing.T) {
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
-	d := startIn(t, zones, 2, nil)
+	d := startDeployment(t, zones, 2, nil)
 	const requests = 8
 	statuses := make(chan int, requests)
 	for i := range requests {
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -15,44 +15,48 @@
 )
 
 const (
-	// membershipReads is how many intervals of the log pass between two
-	// readings of the membership stream, whose news come from peers first.
-	membershipReads = 5
-	leaveTimeout    = time.Second
-	leaveFanout     = 6
+	// membershipReadIntervals is the number of log polling intervals between two
+	// reads of the membership stream. It is read less often than the configuration
+	// since peers report membership changes before the log does.
+	membershipReadIntervals = 5
+	// drainNoticeTimeout and drainNoticeFanout are the timeout and the number of peers
+	// of the gossip round in which a stopping daemon reports its draining upstreams.
+	drainNoticeTimeout = time.Second
+	drainNoticeFanout  = 6
 )
 
-// heardWithin is how recent a round with a peer must be for this daemon to rely
-// on its peers for news.
-const heardWithin = 4 * time.Second
+// maxRoundAge is the age of the last gossip round with a peer up to which this daemon
+// relies on its peers for updates and seldom reads the log.
+const maxRoundAge = 4 * time.Second
 
-// buildControl sets up what daemons agree on: configuration, membership and the
-// exchange between them. Further topics are registered on d.Exchanger, and
-// further messages on d.PeerService, before Serve starts.
+// buildControl sets up the control plane of the daemon: the configuration store, the
+// membership registry, and the exchanger that gossips their state with other daemons.
+// The other build methods register further topics on d.Exchanger and handlers on
+// d.PeerService. All this happens before Serve starts.
 func (d *Daemon) buildControl() {
 	client := recordlog.NewClient(d.settings.Log.Address)
 	d.Log = recordlog.NewRateLimitedLog(&recordlog.Batcher{Log: client})
 	interval := time.Duration(d.settings.Log.Interval)
 	seed := uint64(time.Now().UnixNano())
-	hint := func() { d.Exchanger.TriggerRound() }
+	triggerRound := func() { d.Exchanger.TriggerRound() }
 	d.Config = configuration.NewStore(configuration.Options{
 		Log:         d.Log,
 		Interval:    interval,
-		IsLogReader: d.readsLog,
-		OnUpdate:    hint,
+		IsLogReader: d.readsLogOften,
+		OnUpdate:    triggerRound,
 		Seed:        seed,
 		Scope:       d.Metrics.Scope,
 		Logger:      d.logger,
 	})
-	d.Peers = peer.NewClientWithDial(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
+	d.PeerClient = peer.NewClientWithDial(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
 	d.Members = membership.NewRegistry(membership.Options{
 		Self:           d.ID(),
 		Zone:           d.settings.Zone,
 		Log:            d.Log,
-		Pinger:         d.Peers,
-		Interval:       membershipReads * interval,
-		IsLogReader:    d.readsLog,
-		OnUpdate:       hint,
+		Pinger:         d.PeerClient,
+		Interval:       membershipReadIntervals * interval,
+		IsLogReader:    d.readsLogOften,
+		OnUpdate:       triggerRound,
 		OnLeaseExpired: func(id model.UpstreamID) { d.Guard.Drain(id) },
 		OnDaemonCount:  d.Log.SetDaemonCount,
 		Seed:           seed,
@@ -65,8 +69,8 @@
 		Peers:          d.Members.Peers,
 		Unreachable:    d.Members.DeadPeers,
 		OnResult:       d.Members.RecordExchange,
-		BootstrapPeers: firstPeers(d.settings.Peers.First),
-		Transport:      d.Peers,
+		BootstrapPeers: bootstrapPeers(d.settings.Peers.Bootstrap),
+		Transport:      d.PeerClient,
 		Seed:           seed,
 		Metrics:        d.Metrics.Scope,
 		Logger:         d.logger,
@@ -75,28 +79,29 @@
 	d.Exchanger.Register(inForceTopic{d.Config})
 	d.Exchanger.Register(d.Members.Topic())
 	d.PeerService = &peer.Service{Exchanger: d.Exchanger, Ping: d.Members.HandlePing}
-	d.beforeStop = append(d.beforeStop, d.leave, d.goAway, func(context.Context) { d.Peers.Close() })
+	d.beforeStop = append(d.beforeStop, d.announceDraining, d.handOverKeysAndDrain, func(context.Context) { d.PeerClient.Close() })
 }
 
-// leave tells some peers that this VM's upstreams are draining, before the
-// addresses close. They tell the others.
-func (d *Daemon) leave(ctx context.Context) {
+// announceDraining sends some peers the state draining of this VM's upstreams, before
+// the listeners close. Those peers pass it on to the other daemons.
+func (d *Daemon) announceDraining(ctx context.Context) {
 	d.Members.DrainAll()
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, drainNoticeTimeout)
 	defer cancel()
-	d.Exchanger.Round(ctx, leaveFanout)
+	d.Exchanger.Round(ctx, drainNoticeFanout)
 }
 
-// readsLog reports whether this daemon reads the log often: it is one of the
-// readers of its zone, or it has not heard from a peer lately.
-func (d *Daemon) readsLog() bool {
-	if time.Since(d.Exchanger.LastRound()) > heardWithin {
+// readsLogOften reports whether this daemon reads the log at its short polling
+// interval: it is one of the few log readers of its availability zone, or it has had
+// no gossip round with a peer for maxRoundAge.
+func (d *Daemon) readsLogOften() bool {
+	if time.Since(d.Exchanger.LastRound()) > maxRoundAge {
 		return true
 	}
 	return peer.IsLogReader(d.ID(), d.settings.Zone, d.Members.Peers())
 }
 
-func firstPeers(addresses []string) []peer.Peer {
+func bootstrapPeers(addresses []string) []peer.Peer {
 	peers := make([]peer.Peer, 0, len(addresses))
 	for _, a := range addresses {
 		peers = append(peers, peer.Peer{ID: model.DaemonID(a)})
@@ -104,8 +109,9 @@
 	return peers
 }
 
-// peerHandler hands calls to the guard and control messages to the peer
-// service. Each authenticates the other daemon by the peer secret.
+// peerHandler returns the handler of the peer address. Requests with the header
+// wire.HeaderDestination are calls for the guard or the owner; all others are control messages for
+// the peer service. Both handlers authenticate the other daemon by the peer secret.
 func (d *Daemon) peerHandler() http.Handler {
 	control := peer.Handler(d.PeerService, d.settings.Peers.Secret)
 	calls := d.callHandler()
@@ -118,8 +124,8 @@
 	})
 }
 
-// inForceTopic tells other daemons which version is in force here. It hands
-// nothing on.
+// inForceTopic is a gossip topic whose digest is the configuration version in force
+// at this daemon, so that other daemons can query it. It has no deltas.
 type inForceTopic struct{ store *configuration.Store }
 
 const inForceTopicName = "in_force"
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -30,64 +30,71 @@
 	"github.com/dottereltiller/dottereltiller/trace"
 )
 
-// Daemon is one running daemon.
+// Daemon is a daemon with all its components. Create one with New and run it with
+// Serve.
 type Daemon struct {
-	settings settings.Settings
-	logger   *slog.Logger
-	origin   time.Time
+	settings  settings.Settings
+	logger    *slog.Logger
+	startedAt time.Time
 
-	// Metrics counts decisions. Parts take a sub-scope of its Scope.
+	// Metrics holds the daemon's metrics. Each component uses a sub-scope of its
+	// Scope.
 	Metrics *telemetry.Metrics
-	// Log is the platform's log within this daemon's share of appends.
+	// Log is the client of the platform's log. It limits the rate of appends to
+	// this daemon's share.
 	Log     *recordlog.RateLimitedLog
 	Config  *configuration.Store
 	Members *membership.Registry
 	Guard   *guard.Guard
 	Entry   *entry.Entry
-	// Ceilings holds this daemon's parts of the groups' ceilings.
+	// Ceilings holds this daemon's shares of the ceilings, the rate and concurrency
+	// limits that groups have over all daemons.
 	Ceilings *ceiling.Store
-	// Quarantine holds the requests that kill upstreams.
+	// Quarantine refuses requests that repeatedly crashed upstreams.
 	Quarantine *quarantine.Store
-	// Owner owns a part of the keys of non-idempotent requests.
+	// Owner handles the idempotency keys that this daemon owns, and forwards
+	// requests with other keys to the daemons that own those.
 	Owner *owner.Service
-	// Peers sends control messages, PeerService answers them and Exchanger
-	// hands on topics.
-	Peers       *peer.Client
+	// PeerClient sends control messages to other daemons, PeerService handles the
+	// received ones, and Exchanger gossips topics with other daemons.
+	PeerClient  *peer.Client
 	PeerService *peer.Service
 	Exchanger   *peer.Exchanger
 
 	// tracer is nil when tracing is off.
 	tracer *trace.Tracer
 	// callerTLS and peerTLS are nil for plaintext.
-	callerTLS *identity.Material
-	peerTLS   *identity.Material
+	callerTLS *identity.Credentials
+	peerTLS   *identity.Credentials
 
-	tree     *tree
-	peersLn  net.Listener
-	callerLn net.Listener
-	adminLn  net.Listener
-	callers  *server
-	peers    *server
-	admin    *server
+	supervisor *supervisorTree
+	peersLn    net.Listener
+	callerLn   net.Listener
+	adminLn    net.Listener
+	callers    *server
+	peers      *server
+	admin      *server
 
 	stopping atomic.Bool
-	// abandoned is closed when a stop is to wait no longer.
-	abandoned   chan struct{}
-	abandonOnce sync.Once
-	// beforeStop holds what is done, in order, between the signal to stop and
-	// the closing of the addresses.
+	// drainAborted is closed when a shutdown must not wait any longer for requests
+	// in flight.
+	drainAborted chan struct{}
+	abortOnce    sync.Once
+	// beforeStop holds functions that a shutdown calls, in order, before it closes
+	// the listeners for callers and peers.
 	beforeStop []func(context.Context)
-	// afterStop holds what is done once the parts have stopped.
+	// afterStop holds functions that are called after the components have stopped.
 	afterStop []func()
 }
 
-// New checks the settings, binds the addresses and builds a daemon.
+// New checks the settings, binds the listeners and builds a daemon. Call Serve to
+// run it, or Close to release it without running.
 func New(s settings.Settings, logger *slog.Logger) (*Daemon, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	d := &Daemon{settings: s, logger: logger, origin: time.Now(), abandoned: make(chan struct{})}
-	if err := d.loadMaterial(); err != nil {
+	d := &Daemon{settings: s, logger: logger, startedAt: time.Now(), drainAborted: make(chan struct{})}
+	if err := d.loadCredentials(); err != nil {
 		return nil, err
 	}
 	if err := d.listen(); err != nil {
@@ -97,14 +104,14 @@
 	if err := d.buildTracer(); err != nil {
 		return nil, err
 	}
-	d.tree = newTree("dottereltillerd", logger, d.scope("process"))
+	d.supervisor = newSupervisorTree("dottereltillerd", logger, d.scope("process"))
 	d.buildControl()
 	d.buildQuarantine()
 	d.buildCeilings()
 	tokens := calltoken.NewSigner(s.Peers.Secret)
 	d.Guard = guard.New(guard.Options{
 		Tokens: tokens,
-		Now:    d.now, Groups: d.groups, MeasuringBudget: d.measuringBudget, Scope: d.scope("guard"),
+		Now:    d.now, Groups: d.admissionGroups, MeasuringBudget: d.measuringBudget, Scope: d.scope("guard"),
 	})
 	d.Config.OnChange(func(*configuration.InForce) { d.Guard.Configure() })
 	remote := &entry.Remote{Client: hop.NewClient(hop.Options{Dial: d.peerDial()}), Secret: s.Peers.Secret, OnUnreachable: d.Members.ReportUnreachable}
@@ -114,7 +121,7 @@
 		Now:        d.now,
 		Config:     d.Config.Current,
 		Routers:    d.newRouters(),
-		Local:      trace.Guard{Next: d.Guard},
+		Local:      trace.TracedGuard{Next: d.Guard},
 		Remote:     remote.To,
 		Self:       d.ID(),
 		Tokens:     tokens,
@@ -127,45 +134,47 @@
 		MaxKeyedBody: s.Keys.MaxBodyBytes,
 	})
 	d.buildServers()
-	d.tree.Add(&gauges{daemon: d, scope: d.Metrics.Scope})
-	for _, p := range []part{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callers, d.peers, d.admin} {
-		d.tree.Add(p)
+	d.supervisor.Add(&gauges{daemon: d, scope: d.Metrics.Scope})
+	for _, c := range []component{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callers, d.peers, d.admin} {
+		d.supervisor.Add(c)
 	}
 	return d, nil
 }
 
-// ID names the daemon: the peer address it listens on.
+// ID returns the daemon's ID, which is the peer address it listens on.
 func (d *Daemon) ID() model.DaemonID { return model.DaemonID(d.peersLn.Addr().String()) }
 
-// CallerAddress is the address that callers connect to.
+// CallerAddress returns the address that callers connect to.
 func (d *Daemon) CallerAddress() string { return d.callerLn.Addr().String() }
 
-// AdminAddress is the address of status, metrics and announcements.
+// AdminAddress returns the address for status, metrics and announcements.
 func (d *Daemon) AdminAddress() string { return d.adminLn.Addr().String() }
 
-// Serve runs the daemon until the context ends, then lets the requests in
-// flight finish. It returns an *InvariantError when an invariant broke, and nil
-// after an orderly stop.
+// Serve runs the daemon until the context is done, then shuts it down. It returns
+// nil when all requests in flight have finished, an *AbortedRequestsError when the
+// shutdown aborted some of them, and an *InvariantError when an invariant was
+// violated.
 func (d *Daemon) Serve(ctx context.Context) error {
-	defer d.release()
-	run, stop := context.WithCancel(context.WithoutCancel(ctx))
-	done := d.tree.root.ServeBackground(run)
+	defer d.releaseResources()
+	runCtx, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
+	stopped := d.supervisor.root.ServeBackground(runCtx)
 	d.logger.Info("daemon started", "id", d.ID(), "zone", d.settings.Zone,
 		"callers", d.CallerAddress(), "admin", d.AdminAddress())
 	var err error
 	select {
-	case broken := <-d.tree.fatal:
-		err = broken
+	case violation := <-d.supervisor.fatal:
+		err = violation
 	case <-ctx.Done():
-		err = d.shutdown(run)
+		err = d.shutdown(runCtx)
 	}
-	stop()
-	<-done
+	stopComponents()
+	<-stopped
 	return err
 }
 
-// release frees what the daemon holds besides its parts.
-func (d *Daemon) release() {
+// releaseResources calls the functions in afterStop, closes the listeners that no
+// server has taken over, and stops the reporting of metrics.
+func (d *Daemon) releaseResources() {
 	for _, f := range d.afterStop {
 		f()
 	}
@@ -175,26 +184,28 @@
 	_ = d.Metrics.Close()
 }
 
-// Close releases a daemon that Serve was never called for.
-func (d *Daemon) Close() { d.release() }
+// Close releases the resources of a daemon on which Serve was never called.
+func (d *Daemon) Close() { d.releaseResources() }
 
-// LibraryLogWriter counts the lines that libraries write to the standard logger and
-// drops them: what they tell of is up to the other side of a connection.
+// LibraryLogWriter returns a writer for the standard logger that counts and discards
+// the lines that libraries log. Clients can cause such lines at will, so they must not
+// reach the daemon's log.
 func (d *Daemon) LibraryLogWriter() io.Writer {
 	return lineCounter{d.scope("process").Counter("library_lines")}
 }
 
-// scope returns the scope of one part. Names become "dottereltiller_<part>_...".
-func (d *Daemon) scope(part string) tally.Scope { return d.Metrics.Scope.SubScope(part) }
+// scope returns the metrics scope of a component. Its metrics are named
+// "dottereltiller_<component>_...".
+func (d *Daemon) scope(component string) tally.Scope { return d.Metrics.Scope.SubScope(component) }
 
-func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.origin)) }
+func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.startedAt)) }
 
-func (d *Daemon) groups(s model.ServiceName) []admission.Group {
+func (d *Daemon) admissionGroups(service model.ServiceName) []admission.Group {
 	inForce := d.Config.Current()
 	if inForce == nil {
 		return nil
 	}
-	svc, ok := inForce.Set.Service(s)
+	svc, ok := inForce.Set.Service(service)
 	if !ok {
 		return nil
 	}
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -10,16 +10,17 @@
 
 const gaugeInterval = time.Second
 
-// gauges is the part that reports figures which are states and not counts.
+// gauges is the component that updates the daemon's gauges.
 type gauges struct {
 	daemon *Daemon
 	scope  tally.Scope
 }
 
-// String names the part.
+// String returns the component's name.
 func (*gauges) String() string { return "gauges" }
 
-// Serve reports at an interval until the context ends.
+// Serve updates the gauges at once and then every gaugeInterval, until the context
+// is done.
 func (g *gauges) Serve(ctx context.Context) error {
 	g.report()
 	return interval.Run(ctx, gaugeInterval, g.report)
@@ -31,12 +32,12 @@
 		ready = 1
 	}
 	g.scope.SubScope("process").Gauge("ready").Update(ready)
-	for id, l := range g.daemon.Guard.Loads("") {
+	for id, load := range g.daemon.Guard.Loads("") {
 		s := g.scope.SubScope("guard").Tagged(map[string]string{"upstream": string(id)})
-		s.Gauge("running").Update(float64(l.Running))
-		s.Gauge("waiting").Update(float64(l.Waiting))
-		s.Gauge("limit").Update(float64(l.Limit))
-		s.Gauge("failing").Update(float64(l.FailureRate))
+		s.Gauge("running").Update(float64(load.Running))
+		s.Gauge("waiting").Update(float64(load.Waiting))
+		s.Gauge("limit").Update(float64(load.Limit))
+		s.Gauge("failing").Update(float64(load.FailureRate))
 	}
 	for id, spent := range g.daemon.Guard.MeasuringSlotTime() {
 		s := g.scope.SubScope("guard").Tagged(map[string]string{"upstream": string(id)})
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -13,42 +13,45 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// KeysPath is the path on the callers' address that hands out keys, by POST.
+// KeysPath is the path on the callers' address where a POST request obtains a new
+// idempotency key.
 const KeysPath = "/.well-known/dottereltiller/keys"
 
-// maxOwnerInterval is the longest time between two checks of the grants. They
-// reach far ahead, so it need not be short.
-const maxOwnerInterval = time.Second
+// maxGrantCheckInterval is the longest time between two checks whether the grants of
+// key ownership need to be read or renewed. Grants are valid for far longer (settings
+// field keys.grant), so the checks need not be frequent.
+const maxGrantCheckInterval = time.Second
 
-// buildOwner sets up the owner of idempotency keys. The entry must exist when
-// the first keyed request comes.
+// buildOwner sets up the component that owns idempotency keys. The entry is built
+// later, so Run reads d.Entry only when the first request with a key arrives.
 func (d *Daemon) buildOwner(client *hop.Client) {
-	k := d.settings.Keys
+	keys := d.settings.Keys
 	d.Owner = owner.New(owner.Options{
 		Self:             d.ID(),
 		Log:              d.Log,
 		Execute:          func(ctx context.Context, c *wire.Call) *wire.Result { return d.Entry.ForwardKeyed(ctx, c) },
-		Candidates:       d.owners,
+		Candidates:       d.ownerCandidates,
 		Client:           client,
 		PeerSecret:       d.settings.Peers.Secret,
-		Messenger:        owner.PeerMessenger{Client: d.Peers},
-		GrantDuration:    time.Duration(k.Grant),
-		Retention:        time.Duration(k.Retention),
-		PollInterval:     min(maxOwnerInterval, time.Duration(k.Grant)/grantReads),
-		MaxBodyBytes:     k.MaxBodyBytes,
-		MaxResponseBytes: k.MaxAnswerBytes,
-		Limits:           claims.Limits{Claims: k.MaxClaims, AnswerBytes: k.MaxAnswersBytes},
+		Messenger:        owner.PeerMessenger{Client: d.PeerClient},
+		GrantDuration:    time.Duration(keys.Grant),
+		Retention:        time.Duration(keys.Retention),
+		PollInterval:     min(maxGrantCheckInterval, time.Duration(keys.Grant)/minChecksPerGrant),
+		MaxBodyBytes:     keys.MaxBodyBytes,
+		MaxResponseBytes: keys.MaxAnswerBytes,
+		Limits:           claims.Limits{Claims: keys.MaxClaims, AnswerBytes: keys.MaxAnswersBytes},
 		Scope:            d.scope("keys"),
 		Logger:           d.logger,
 	})
 	d.PeerService.HandOver = d.Owner.HandOver
 }
 
-// grantReads is how often the grants are read at least within one grant.
-const grantReads = 20
+// minChecksPerGrant is the least number of checks within the duration of one grant.
+const minChecksPerGrant = 20
 
-// owners lists the daemons that may own keys: all that have an upstream in view.
-func (d *Daemon) owners() []model.DaemonID {
+// ownerCandidates returns the daemons that may own keys: all that have an upstream in
+// this daemon's membership view.
+func (d *Daemon) ownerCandidates() []model.DaemonID {
 	peers := d.Members.Peers()
 	out := make([]model.DaemonID, 0, len(peers))
 	for _, p := range peers {
@@ -57,8 +60,9 @@
 	return out
 }
 
-// withKeys hands out keys at KeysPath and leaves all else to next.
-func (d *Daemon) withKeys(next http.Handler) http.Handler {
+// serveKeys returns a handler that issues idempotency keys at KeysPath and passes all
+// other requests to next.
+func (d *Daemon) serveKeys(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != KeysPath {
 			next.ServeHTTP(w, r)
@@ -66,20 +70,21 @@
 		}
 		if r.Method != http.MethodPost {
 			w.Header().Set("Allow", http.MethodPost)
-			http.Error(w, "POST hands out a key", http.StatusMethodNotAllowed)
+			http.Error(w, "use POST to obtain a key", http.StatusMethodNotAllowed)
 			return
 		}
-		key, live := d.Owner.NewKey()
+		key, owned := d.Owner.NewKey()
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Cache-Control", "no-store")
 		w.WriteHeader(http.StatusCreated)
-		_ = json.NewEncoder(w).Encode(handedKey{Key: key.String(), Owned: live})
+		_ = json.NewEncoder(w).Encode(issuedKey{Key: key.String(), Owned: owned})
 	})
 }
 
-// handedKey is the answer at KeysPath.
-type handedKey struct {
+// issuedKey is the response body at KeysPath.
+type issuedKey struct {
 	Key string `json:"key"`
-	// Owned tells that a request with the key can run now.
+	// Owned is false when no daemon owns the key yet. A request with the key can
+	// run only once a daemon owns it.
 	Owned bool `json:"owned"`
 }
--- a/daemon/quickstart_test.go
+++ b/daemon/quickstart_test.go
@@ -22,8 +22,8 @@
 
 const quickstart = "../examples/quickstart/"
 
-// TestTheQuickStartWorks does what docs/OPERATORS.md tells a new user to do,
-// with the files of examples/quickstart on free ports.
+// TestTheQuickStartWorks follows the quick start in docs/OPERATORS.md with the files in
+// examples/quickstart, except that it uses free ports.
 func TestTheQuickStartWorks(t *testing.T) {
 	log := httptest.NewServer(recordlog.Handler(&recordlog.Memory{}))
 	defer log.Close()
@@ -33,14 +33,14 @@
 	s.Log.Address = log.Listener.Addr().String()
 	d, err := daemon.New(s, telemetry.NewLogger(os.Stderr, "text", 12))
 	require.NoError(t, err)
-	serving, stop := context.WithCancel(context.Background())
-	served := make(chan error, 1)
-	go func() { served <- d.Serve(serving) }()
-	ctx, leave := context.WithCancel(t.Context())
-	left := make(chan error, 1)
+	daemonCtx, stopDaemon := context.WithCancel(context.Background())
+	daemonStopped := make(chan error, 1)
+	go func() { daemonStopped <- d.Serve(daemonCtx) }()
+	ctx, stopUpstream := context.WithCancel(t.Context())
+	upstreamStopped := make(chan error, 1)
 	up, err := standin.Start("returdesk-1", "returdesk", 6)
 	require.NoError(t, err)
-	go func() { left <- up.Run(ctx, d.AdminAddress(), 1, func(err error) { t.Log(err) }) }()
+	go func() { upstreamStopped <- up.Run(ctx, d.AdminAddress(), 1, func(err error) { t.Log(err) }) }()
 
 	var docs []policy.Document
 	data, err := os.ReadFile(quickstart + "documents.json")
@@ -64,10 +64,10 @@
 	require.Equal(t, res.Total.Requests, res.Total.Answered)
 	require.Zero(t, res.Wrong)
 
-	leave()
-	require.NoError(t, <-left, "the upstream drains")
+	stopUpstream()
+	require.NoError(t, <-upstreamStopped, "the upstream must drain without an error")
 	drained, _ := d.Members.Upstreams("returdesk")
 	require.True(t, len(drained) == 0 || drained[0].Draining)
-	stop()
-	require.NoError(t, <-served, "the daemon stops in good order")
+	stopDaemon()
+	require.NoError(t, <-daemonStopped, "the daemon must shut down without an error")
 }
--- a/daemon/whole_test.go
+++ b/daemon/response_test.go
@@ -18,13 +18,14 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-const faultyStep = 5 * time.Millisecond
+const pollInterval = 5 * time.Millisecond
 
-// startFaulty runs two daemons, the second with a stand-in that misbehaves as
-// the only upstream of the service.
-func startFaulty(t *testing.T) (*local.Deployment, *standin.Faulty) {
+// startWithFaultyUpstream starts two daemons and drains their regular upstreams, so
+// that a standin.Faulty on the VM of the second daemon is the only upstream of the
+// service.
+func startWithFaultyUpstream(t *testing.T) (*local.Deployment, *standin.Faulty) {
 	t.Helper()
-	d := startIn(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
+	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
 	f, err := standin.StartFaulty()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = f.Close() })
@@ -39,9 +40,9 @@
 	for _, n := range d.Nodes {
 		require.Eventually(t, func() bool {
 			before := f.Requests()
-			a := ask(t, n.Daemon.CallerAddress(), http.MethodGet, "")
+			a := sendRequest(t, n.Daemon.CallerAddress(), http.MethodGet, "")
 			return a.outcome == outcome.Answered && f.Requests() == before+1
-		}, waitLimit, faultyStep)
+		}, waitLimit, pollInterval)
 	}
 	return d, f
 }
@@ -58,18 +59,18 @@
 	return resp.StatusCode, string(text)
 }
 
-// told is what a caller was told.
-type told struct {
+// callerResponse is a response as the caller received it.
+type callerResponse struct {
 	status  int
 	outcome outcome.Kind
 	body    string
 	header  http.Header
 	trailer http.Header
-	// err is set when the answer did not arrive whole.
+	// err is set when the response was not received completely.
 	err error
 }
 
-func ask(t *testing.T, address, method, body string) told {
+func sendRequest(t *testing.T, address, method, body string) callerResponse {
 	t.Helper()
 	var in io.Reader
 	if body != "" {
@@ -80,39 +81,40 @@
 	req.Host = "returdesk.fyn"
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return told{err: err}
+		return callerResponse{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	kind, _ := outcome.ParseKind(resp.Header.Get(wire.HeaderOutcome))
-	return told{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
+	return callerResponse{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
 }
 
-var wholeAnswers = map[string]string{
-	"length":  "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
-	"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\n\r\n",
-	"trailer": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\nX-Sum: 42\r\n\r\n",
-	"early":   "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
+var completeResponses = map[string]string{
+	"length":      "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
+	"chunked":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\n\r\n",
+	"trailer":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\nX-Sum: 42\r\n\r\n",
+	"early hints": "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
 }
 
-// TestAnswerCutAtAnyByteNeverLooksWhole cuts the upstream's answer after each
-// byte, on the way through one daemon and through two.
-func TestAnswerCutAtAnyByteNeverLooksWhole(t *testing.T) {
-	d, f := startFaulty(t)
-	for name, answer := range wholeAnswers {
+// TestTruncatedResponseNeverLooksComplete truncates the upstream's response at each
+// byte, for requests through one daemon and through two. The caller must see an error or
+// the outcome unknown, and the request must not be sent twice.
+func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
+	for name, response := range completeResponses {
 		for _, n := range d.Nodes {
 			t.Run(fmt.Sprintf("%s/%s", name, n.Upstream.ID), func(t *testing.T) {
-				for cut := range len(answer) {
-					f.Play(standin.Script{Answer: []byte(answer), Cut: cut, Reset: cut%2 == 0})
+				for cut := range len(response) {
+					f.Play(standin.Script{Answer: []byte(response), Cut: cut, Reset: cut%2 == 0})
 					before := f.Requests()
-					got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					if got.err == nil {
 						require.Equal(t, outcome.Unknown, got.outcome, "cut after %d bytes: %+v", cut, got)
 					}
-					require.Equal(t, before+1, f.Requests(), "sent once")
+					require.Equal(t, before+1, f.Requests(), "the request must be sent exactly once")
 				}
-				f.Play(standin.Script{Answer: []byte(answer), Cut: -1})
-				got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+				f.Play(standin.Script{Answer: []byte(response), Cut: -1})
+				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				require.NoError(t, got.err)
 				require.Equal(t, outcome.Answered, got.outcome)
 				require.Equal(t, "whole reply", got.body)
@@ -124,22 +126,22 @@
 	}
 }
 
-// TestAnswersBelongToTheirRequests has the upstream send more than one answer
-// to a request: nothing left over may reach the next caller.
-func TestAnswersBelongToTheirRequests(t *testing.T) {
-	d, f := startFaulty(t)
-	for name, answer := range map[string]string{
-		"two answers":     "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
-		"bytes left over": "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none and more",
-		"after no body":   "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
+// TestSurplusResponseNeverReachesTheNextRequest has the upstream send more bytes than
+// one response. The surplus must not be taken for the response to the next request.
+func TestSurplusResponseNeverReachesTheNextRequest(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
+	for name, response := range map[string]string{
+		"two responses":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
+		"surplus bytes":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none and more",
+		"second response after one without body": "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(answer), Cut: -1})
-				ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+				f.Play(standin.Script{Answer: []byte(response), Cut: -1})
+				sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				f.Play(standin.Script{Answer: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), Cut: -1})
 				for range 3 {
-					got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					require.NoError(t, got.err)
 					if got.outcome == outcome.Answered {
 						require.Equal(t, "mine", got.body)
@@ -150,9 +152,9 @@
 	}
 }
 
-func TestAnswersThatTwoProgramsCouldReadDifferently(t *testing.T) {
-	d, f := startFaulty(t)
-	for name, answer := range map[string]string{
+func TestAmbiguousResponsesAreNotForwarded(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
+	for name, response := range map[string]string{
 		"two lengths":       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
 		"signed length":     "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
 		"unknown encoding":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nabc",
@@ -164,8 +166,8 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(answer), Cut: len(answer)})
-				got := ask(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
+				f.Play(standin.Script{Answer: []byte(response), Cut: len(response)})
+				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				if got.err == nil {
 					require.Equal(t, outcome.Unknown, got.outcome, "%+v", got)
 				}
@@ -174,10 +176,11 @@
 	}
 }
 
-// TestCancelledCallLeavesNothingBehind has callers go away from calls that hang.
-// TestMain checks that no goroutine stays.
-func TestCancelledCallLeavesNothingBehind(t *testing.T) {
-	d, f := startFaulty(t)
+// TestCancelledCallReleasesConnectionAndSlot cancels requests that hang at the
+// upstream. The connection to the upstream and the slot must be released. TestMain
+// checks that no goroutine is left over.
+func TestCancelledCallReleasesConnectionAndSlot(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
 	f.Play(standin.Script{Hang: true})
 	for _, n := range d.Nodes {
 		before := f.Requests()
@@ -189,17 +192,17 @@
 			_, err := http.DefaultTransport.RoundTrip(req)
 			done <- err
 		}()
-		require.Eventually(t, func() bool { return f.Requests() == before+1 }, waitLimit, faultyStep)
+		require.Eventually(t, func() bool { return f.Requests() == before+1 }, waitLimit, pollInterval)
 		cancel()
 		require.ErrorIs(t, <-done, context.Canceled)
 		require.Eventually(t, func() bool {
 			return f.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
-		}, waitLimit, faultyStep, "connection and slot are given up")
+		}, waitLimit, pollInterval, "connection and slot must be released")
 	}
 }
 
-func TestUpgradeIsRefusedByRule(t *testing.T) {
-	d, f := startFaulty(t)
+func TestUpgradesOtherThanH2CAreRefused(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
 	for upgrade, status := range map[string]int{"websocket": http.StatusNotImplemented, "h2c": http.StatusOK, "h2c, foo/1": http.StatusNotImplemented} {
 		before := f.Requests()
 		req, err := http.NewRequest(http.MethodGet, "http://"+d.Nodes[0].Daemon.CallerAddress()+"/x", nil)
@@ -218,11 +221,11 @@
 	}
 }
 
-func TestAnswersWithoutBody(t *testing.T) {
-	d, f := startFaulty(t)
+func TestResponsesWithoutBody(t *testing.T) {
+	d, f := startWithFaultyUpstream(t)
 	for name, tc := range map[string]struct {
-		method, answer, length string
-		status                 int
+		method, response, length string
+		status                   int
 	}{
 		"HEAD":         {http.MethodHead, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", "5", 200},
 		"no content":   {http.MethodPost, "HTTP/1.1 204 No Content\r\n\r\n", "", 204},
@@ -231,9 +234,9 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(tc.answer), Cut: -1})
+				f.Play(standin.Script{Answer: []byte(tc.response), Cut: -1})
 				for range 2 {
-					got := ask(t, n.Daemon.CallerAddress(), tc.method, "")
+					got := sendRequest(t, n.Daemon.CallerAddress(), tc.method, "")
 					require.NoError(t, got.err)
 					require.Equal(t, outcome.Answered, got.outcome)
 					require.Equal(t, tc.status, got.status)
--- a/daemon/stall.go
+++ b/daemon/stall.go
@@ -11,27 +11,27 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// stallLimit ends a request whose caller neither sends its body nor reads its
-// answer for the timeout. It limits progress, not the whole request, so that
-// long streams go on.
-type stallLimit struct {
+// stallLimiter is a handler that aborts a request when a read of its body or a write
+// of its response makes no progress for the timeout. It does not limit the duration of
+// the whole request, so long streams are possible.
+type stallLimiter struct {
 	timeout time.Duration
 	stalls  tally.Counter
 	next    http.Handler
-	// closeChunked closes the connection after a request in chunks.
+	// closeChunked closes HTTP/1 connections after a request with chunked encoding.
 	closeChunked bool
 }
 
 // ServeHTTP implements http.Handler.
-func (l *stallLimit) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	limited := &limitedWriter{ResponseWriter: w, limit: l, control: http.NewResponseController(w)}
-	// A deadline left over from the last request on the connection must not
-	// hit this one.
+func (l *stallLimiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	limited := &limitedWriter{ResponseWriter: w, limiter: l, control: http.NewResponseController(w)}
+	// Clear the deadline that the previous request on this connection set.
 	_ = limited.control.SetWriteDeadline(time.Time{})
 	if l.closeChunked && r.ProtoMajor == 1 && len(r.TransferEncoding) > 0 {
-		// net/http prefers the chunked encoding where a request also has a
-		// Content-Length and hides the conflict. Nothing that follows on the
-		// connection may be taken for a request then (RFC 9112 section 6.1).
+		// When a request has both Transfer-Encoding: chunked and Content-Length,
+		// net/http ignores the length and hides the conflict. The rest of the
+		// connection must then not be parsed as another request, which could be
+		// smuggled in (RFC 9112 section 6.1).
 		w.Header().Set("Connection", "close")
 	}
 	if r.ContentLength != 0 {
@@ -41,16 +41,16 @@
 	l.next.ServeHTTP(limited, r)
 }
 
-func (l *stallLimit) count(err error) {
+func (l *stallLimiter) countTimeout(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		l.stalls.Inc(1)
 	}
 }
 
-// limitedWriter allows the timeout for every write.
+// limitedWriter sets a deadline for every write of the response.
 type limitedWriter struct {
 	http.ResponseWriter
-	limit   *stallLimit
+	limiter *stallLimiter
 	control *http.ResponseController
 	// body is nil when the request has none.
 	body *limitedBody
@@ -58,56 +58,57 @@
 
 // WriteHeader implements http.ResponseWriter.
 func (w *limitedWriter) WriteHeader(status int) {
-	w.extend()
+	w.extendDeadline()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
 func (w *limitedWriter) Write(p []byte) (int, error) {
-	w.extend()
+	w.extendDeadline()
 	n, err := w.ResponseWriter.Write(p)
-	w.limit.count(err)
+	w.limiter.countTimeout(err)
 	return n, err
 }
 
-// FlushError flushes within the timeout.
+// FlushError flushes the response. http.ResponseController calls it.
 func (w *limitedWriter) FlushError() error {
-	w.extend()
+	w.extendDeadline()
 	err := w.control.Flush()
-	w.limit.count(err)
+	w.limiter.countTimeout(err)
 	return err
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap lets http.ResponseController access the wrapped ResponseWriter.
 func (w *limitedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// extend allows the timeout for the next write. Before the first one net/http
-// reads what the handler left of the body, which takes up to a timeout as well.
-func (w *limitedWriter) extend() {
-	timeout := w.limit.timeout
-	if w.body != nil && w.body.extend() {
+// extendDeadline sets the deadline of the next write. Before the first write, net/http
+// reads the rest of a request body that the handler has not read, which may take up to
+// one timeout itself; the deadline is then two timeouts away.
+func (w *limitedWriter) extendDeadline() {
+	timeout := w.limiter.timeout
+	if w.body != nil && w.body.extendDeadline() {
 		timeout *= 2
 	}
 	_ = w.control.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// limitedBody allows the timeout for every read.
+// limitedBody sets a deadline for every read of the request body.
 type limitedBody struct {
 	body   io.ReadCloser
 	writer *limitedWriter
 
 	mu sync.Mutex
-	// ended is set once the body has been read to its end or has failed.
+	// ended is set once a read has returned io.EOF or another error.
 	ended bool
 }
 
-// Read implements io.Reader. Once the body has ended it lifts the deadline,
-// which would otherwise cancel a request that runs longer than the timeout.
+// Read implements io.Reader. At the end of the body it clears the read deadline, which
+// would otherwise cancel a request that runs longer than the timeout.
 func (b *limitedBody) Read(p []byte) (int, error) {
-	b.extend()
+	b.extendDeadline()
 	n, err := b.body.Read(p)
 	if err != nil {
-		b.end(err)
+		b.markEnded(err)
 	}
 	return n, err
 }
@@ -115,26 +116,26 @@
 // Close implements io.Closer.
 func (b *limitedBody) Close() error { return b.body.Close() }
 
-// extend allows the timeout for the next read. It reports false once the body
-// has ended.
-func (b *limitedBody) extend() bool {
+// extendDeadline sets the deadline of the next read. It returns false, without setting
+// one, once the body has ended.
+func (b *limitedBody) extendDeadline() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
 		return false
 	}
-	_ = b.writer.control.SetReadDeadline(time.Now().Add(b.writer.limit.timeout))
+	_ = b.writer.control.SetReadDeadline(time.Now().Add(b.writer.limiter.timeout))
 	return true
 }
 
-func (b *limitedBody) end(err error) {
+func (b *limitedBody) markEnded(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
 		return
 	}
 	b.ended = true
-	b.writer.limit.count(err)
+	b.writer.limiter.countTimeout(err)
 	if err == io.EOF {
 		_ = b.writer.control.SetReadDeadline(time.Time{})
 	}
--- a/daemon/tracing.go
+++ b/daemon/tracing.go
@@ -8,29 +8,29 @@
 	"github.com/dottereltiller/dottereltiller/trace"
 )
 
-const tracingTimeout = 5 * time.Second
+const tracerShutdownTimeout = 5 * time.Second
 
-// buildTracer sets up tracing. The tracer is nil when it is off.
+// buildTracer sets up d.tracer. It stays nil when tracing is off.
 func (d *Daemon) buildTracer() error {
 	s := d.settings.Tracing
 	tracer, err := trace.New(context.Background(), trace.Options{
-		Daemon:   string(d.ID()),
-		Zone:     string(d.settings.Zone),
-		Exporter: s.Exporter,
-		Endpoint: s.Endpoint,
-		Stdout:   os.Stdout,
-		Sample:   s.Sample,
-		Keep:     s.Keep,
+		Daemon:      string(d.ID()),
+		Zone:        string(d.settings.Zone),
+		Exporter:    s.Exporter,
+		Endpoint:    s.Endpoint,
+		Stdout:      os.Stdout,
+		SampleRatio: s.Sample,
+		RecentSpans: s.Keep,
 	})
 	if err != nil {
 		return err
 	}
 	d.tracer = tracer
 	d.afterStop = append(d.afterStop, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), tracingTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), tracerShutdownTimeout)
 		defer cancel()
 		if err := tracer.Shutdown(ctx); err != nil {
-			d.logger.Warn("spans lost at the end", "error", err)
+			d.logger.Warn("last spans not exported", "error", err)
 		}
 	})
 	return nil
--- a/daemon/tracing_test.go
+++ b/daemon/tracing_test.go
@@ -13,11 +13,11 @@
 	"github.com/dottereltiller/dottereltiller/trace"
 )
 
-// TestOneRequestLeavesASpanForEachHop reads the spans of requests that crossed
-// two daemons from their admin addresses.
-func TestOneRequestLeavesASpanForEachHop(t *testing.T) {
+// TestEachHopOfARequestHasASpan sends requests of which one is forwarded from one
+// daemon to another, and reads the spans from the admin addresses of both.
+func TestEachHopOfARequestHasASpan(t *testing.T) {
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
-	d := startIn(t, zones, 2, func(s *settings.Settings) { s.Tracing.Sample = 1 })
+	d := startDeployment(t, zones, 2, func(s *settings.Settings) { s.Tracing.Sample = 1 })
 	for _, n := range d.Nodes {
 		for _, other := range d.Nodes {
 			other.Daemon.Guard.Drain("returdesk-1")
@@ -31,7 +31,8 @@
 		require.Equal(t, http.StatusOK, resp.StatusCode)
 	}
 
-	// A hop's span may end a moment after its answer has arrived.
+	// A span may end shortly after the response has arrived, so poll for all of
+	// them.
 	var trees []*trace.Tree
 	paths := func() []string {
 		var records []trace.Record
@@ -44,7 +45,7 @@
 		var out []string
 		for _, tree := range trees {
 			for _, root := range tree.Roots {
-				out = append(out, deepest(root))
+				out = append(out, lastPath(root))
 			}
 		}
 		return out
@@ -54,18 +55,19 @@
 		got := paths()
 		return len(got) == 2 && got[0] == want && got[1] == want
 	}, waitLimit, 5*time.Millisecond)
-	crossed := slices.ContainsFunc(trees, func(tree *trace.Tree) bool {
+	forwarded := slices.ContainsFunc(trees, func(tree *trace.Tree) bool {
 		root := tree.Roots[0]
 		last := root.Children[len(root.Children)-1].Children[0]
 		return last.Daemon != root.Daemon
 	})
-	require.True(t, crossed, "one of the requests went from one daemon to the other")
+	require.True(t, forwarded, "one of the requests must be forwarded from one daemon to the other")
 }
 
-// deepest names the spans from a root down its last children.
-func deepest(n *trace.Node) string {
+// lastPath returns the names of the spans on the path from n that follows the last
+// child at each level.
+func lastPath(n *trace.Node) string {
 	if len(n.Children) == 0 {
 		return n.Name
 	}
-	return n.Name + "/" + deepest(n.Children[len(n.Children)-1])
+	return n.Name + "/" + lastPath(n.Children[len(n.Children)-1])
 }
--- a/identity/caller.go
+++ b/identity/caller.go
@@ -8,52 +8,57 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// Directory finds callers by what they prove.
-type Directory interface {
-	// CallerByToken returns the caller that holds a bearer token.
+// CallerStore looks up callers by their credentials.
+type CallerStore interface {
+	// CallerByToken returns the caller to which a bearer token was issued.
 	CallerByToken(token string) (policy.Caller, bool)
-	// CallerByCertificate returns the caller with a certificate subject name.
+	// CallerByCertificate returns the caller for which a subject name of a client
+	// certificate is configured.
 	CallerByCertificate(name string) (policy.Caller, bool)
 }
 
-const bearer = "bearer "
+const bearerPrefix = "bearer "
 
-// AuthenticateCaller identifies the caller of a request. It reports false when a proof is
-// unknown or malformed, or when a token and a certificate name two callers.
-func AuthenticateCaller(known Directory, r *http.Request) (policy.Caller, bool) {
-	byCertificate, hasCertificate, ok := certified(known, r)
+// AuthenticateCaller returns the caller of a request, the zero Caller when it is
+// anonymous. It reports false when the token or certificate is unknown, the
+// Authorization header is malformed, or token and certificate belong to different
+// callers.
+func AuthenticateCaller(callers CallerStore, r *http.Request) (policy.Caller, bool) {
+	byCertificate, hasCertificate, ok := callerByCertificate(callers, r)
 	if !ok {
 		return policy.Caller{}, false
 	}
-	auth := r.Header["Authorization"]
-	if len(auth) == 0 {
+	authorization := r.Header["Authorization"]
+	if len(authorization) == 0 {
 		return byCertificate, true
 	}
-	if len(auth) > 1 || len(auth[0]) < len(bearer) || !strings.EqualFold(auth[0][:len(bearer)], bearer) {
+	if len(authorization) > 1 || len(authorization[0]) < len(bearerPrefix) || !strings.EqualFold(authorization[0][:len(bearerPrefix)], bearerPrefix) {
 		return policy.Caller{}, false
 	}
-	byToken, ok := known.CallerByToken(auth[0][len(bearer):])
+	byToken, ok := callers.CallerByToken(authorization[0][len(bearerPrefix):])
 	if !ok || hasCertificate && byToken.Name != byCertificate.Name {
 		return policy.Caller{}, false
 	}
 	return byToken, true
 }
 
-// certified identifies the caller by its verified certificate. Without one the
-// caller is anonymous.
-func certified(known Directory, r *http.Request) (c policy.Caller, has, ok bool) {
+// callerByCertificate returns the caller to which the verified client certificate
+// of a request belongs. hasCertificate is false when the request has none, and ok is
+// false when the certificate belongs to no caller.
+func callerByCertificate(callers CallerStore, r *http.Request) (c policy.Caller, hasCertificate, ok bool) {
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
 		return policy.Caller{}, false, true
 	}
 	for _, name := range subjectNames(r.TLS.VerifiedChains[0][0]) {
-		if c, ok := known.CallerByCertificate(name); ok {
+		if c, ok := callers.CallerByCertificate(name); ok {
 			return c, true, true
 		}
 	}
 	return policy.Caller{}, true, false
 }
 
-// subjectNames returns the common name, then the DNS names and URIs.
+// subjectNames returns the common name of a certificate, then its DNS names and
+// URIs.
 func subjectNames(cert *x509.Certificate) []string {
 	names := make([]string, 0, 1+len(cert.DNSNames)+len(cert.URIs))
 	if cert.Subject.CommonName != "" {
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -13,29 +13,29 @@
 	"github.com/dottereltiller/dottereltiller/exitcode"
 )
 
-// FieldError tells which field of a JSON text is wrong.
+// FieldError reports the first invalid field of a JSON text.
 type FieldError struct {
-	// Path is the JSON path, such as "listen.callers". Empty means the whole
-	// text.
+	// Path is the JSON path of the field, such as "listen.callers". It is empty
+	// when the error concerns the whole text.
 	Path string
-	// Value is the value as written.
+	// Value is the field's value as it stands in the text.
 	Value string
-	// Message says what is wrong or wanted.
+	// Message describes the error or the expected value.
 	Message string
 }
 
-// maxValue bounds how much of a wrong value an error quotes, in bytes.
-const maxValue = 64
+// maxQuotedBytes bounds how much of an invalid value an error message quotes.
+const maxQuotedBytes = 64
 
-// Error returns path, message and value on one line.
+// Error returns the path, the message and the value on one line.
 func (e *FieldError) Error() string {
 	path := e.Path
 	if path == "" {
 		path = "(top level)"
 	}
 	value := strings.Join(strings.Fields(e.Value), " ")
-	if len(value) > maxValue {
-		value = value[:maxValue] + "..."
+	if len(value) > maxQuotedBytes {
+		value = value[:maxQuotedBytes] + "..."
 	}
 	if value == "" {
 		return path + ": " + e.Message
@@ -43,11 +43,11 @@
 	return fmt.Sprintf("%s: %s (got %s)", path, e.Message, value)
 }
 
-// ExitCode makes the process exit as for wrong input.
+// ExitCode returns the exit code for invalid input.
 func (e *FieldError) ExitCode() int { return exitcode.Usage }
 
-// Unmarshal decodes data into the value that v points to. Fields absent from
-// data keep what v held, so that v may carry the defaults. Errors are of type
+// Unmarshal decodes data into the value that v points to. Fields that data does
+// not contain keep their value, so v may hold defaults. Errors are of type
 // *FieldError.
 func Unmarshal(data []byte, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -62,20 +62,20 @@
 }
 
 func syntaxMessage(data []byte, err error) string {
-	var syntax *json.SyntaxError
-	if !errors.As(err, &syntax) {
+	var syntaxErr *json.SyntaxError
+	if !errors.As(err, &syntaxErr) {
 		return "not JSON: " + err.Error()
 	}
-	line := 1 + bytes.Count(data[:min(int(syntax.Offset), len(data))], []byte("\n"))
-	return fmt.Sprintf("not JSON: line %d: %s", line, syntax.Error())
+	line := 1 + bytes.Count(data[:min(int(syntaxErr.Offset), len(data))], []byte("\n"))
+	return fmt.Sprintf("not JSON: line %d: %s", line, syntaxErr.Error())
 }
 
-var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
+var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
 func decodeValue(path string, raw json.RawMessage, v reflect.Value) error {
-	custom := reflect.PointerTo(v.Type()).Implements(unmarshaler)
+	hasUnmarshaler := reflect.PointerTo(v.Type()).Implements(unmarshalerType)
 	switch {
-	case custom:
+	case hasUnmarshaler:
 		return decodeLeaf(path, raw, v)
 	case v.Kind() == reflect.Struct:
 		return decodeStruct(path, raw, v)
@@ -88,24 +88,24 @@
 
 func decodeLeaf(path string, raw json.RawMessage, v reflect.Value) error {
 	if string(raw) == "null" {
-		return &FieldError{Path: path, Value: "null", Message: "want " + kindName(v.Type())}
+		return &FieldError{Path: path, Value: "null", Message: "want " + describeType(v.Type())}
 	}
 	err := json.Unmarshal(raw, v.Addr().Interface())
 	if err == nil {
 		return nil
 	}
-	var mistyped *json.UnmarshalTypeError
-	if errors.As(err, &mistyped) {
-		return &FieldError{Path: path, Value: string(raw), Message: "want " + kindName(v.Type())}
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return &FieldError{Path: path, Value: string(raw), Message: "want " + describeType(v.Type())}
 	}
 	return &FieldError{Path: path, Value: string(raw), Message: err.Error()}
 }
 
 func decodeStruct(path string, raw json.RawMessage, v reflect.Value) error {
-	fields := fieldsOf(v)
+	fields := fieldsByName(v)
 	seen := make(map[string]bool)
 	dec := json.NewDecoder(bytes.NewReader(raw))
-	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
+	if delim, err := dec.Token(); err != nil || delim != json.Delim('{') {
 		return &FieldError{Path: path, Value: string(raw), Message: "want an object"}
 	}
 	for dec.More() {
@@ -118,16 +118,16 @@
 			return &FieldError{Path: path, Message: err.Error()}
 		}
 		name, _ := token.(string)
-		at := join(path, name)
+		fieldPath := joinPath(path, name)
 		field, ok := fields[name]
 		if !ok {
-			return &FieldError{Path: at, Value: string(value), Message: "no such field"}
+			return &FieldError{Path: fieldPath, Value: string(value), Message: "no such field"}
 		}
 		if seen[name] {
-			return &FieldError{Path: at, Value: string(value), Message: "field given twice"}
+			return &FieldError{Path: fieldPath, Value: string(value), Message: "field given twice"}
 		}
 		seen[name] = true
-		if err := decodeValue(at, value, field); err != nil {
+		if err := decodeValue(fieldPath, value, field); err != nil {
 			return err
 		}
 	}
@@ -141,8 +141,8 @@
 	}
 	out := reflect.MakeSlice(v.Type(), len(items), len(items))
 	for i, item := range items {
-		at := path + "[" + strconv.Itoa(i) + "]"
-		if err := decodeValue(at, item, out.Index(i)); err != nil {
+		itemPath := path + "[" + strconv.Itoa(i) + "]"
+		if err := decodeValue(itemPath, item, out.Index(i)); err != nil {
 			return err
 		}
 	}
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// fieldsOf returns the fields of a struct by JSON name.
-func fieldsOf(v reflect.Value) map[string]reflect.Value {
+// fieldsByName returns the fields of the struct v by JSON name.
+func fieldsByName(v reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value)
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
@@ -163,17 +163,17 @@
 	return fields
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func kindName(t reflect.Type) string {
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
-		return kindName(t.Elem())
+		return describeType(t.Elem())
 	case reflect.String:
 		return "a string"
 	case reflect.Bool:
--- a/trace/ring.go
+++ b/trace/ring.go
@@ -9,14 +9,14 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// Record is one span that has ended.
+// Record is an ended span.
 type Record struct {
 	TraceID string `json:"trace_id"`
 	SpanID  string `json:"span_id"`
-	// ParentID is empty for the first span of a trace.
+	// ParentID is empty for the root span of a trace.
 	ParentID string `json:"parent_id,omitempty"`
 	Name     string `json:"name"`
-	// Daemon and Zone tell where the span was recorded.
+	// Daemon and Zone identify the daemon that recorded the span.
 	Daemon     string            `json:"daemon"`
 	Zone       string            `json:"zone"`
 	Start      time.Time         `json:"start"`
@@ -24,54 +24,55 @@
 	Attributes map[string]string `json:"attributes,omitempty"`
 }
 
-// Ring keeps the most recent records. It is safe for concurrent use.
+// Ring is a ring buffer of the most recent records. It is safe for concurrent use.
 type Ring struct {
-	mu      sync.Mutex
-	records []Record
-	next    int
-	full    bool
+	mu        sync.Mutex
+	records   []Record
+	nextIndex int
+	wrapped   bool
 }
 
-// NewRing returns a Ring of a size; 0 keeps nothing.
+// NewRing returns a Ring that holds up to size records. With size 0 it drops all
+// records.
 func NewRing(size int) *Ring { return &Ring{records: make([]Record, size)} }
 
-// Add keeps a record in place of the oldest.
-func (r *Ring) Add(rec Record) {
+// Add stores a record. It overwrites the oldest one when the ring is full.
+func (r *Ring) Add(record Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.records) == 0 {
 		return
 	}
-	r.records[r.next] = rec
-	r.next++
-	if r.next == len(r.records) {
-		r.next, r.full = 0, true
+	r.records[r.nextIndex] = record
+	r.nextIndex++
+	if r.nextIndex == len(r.records) {
+		r.nextIndex, r.wrapped = 0, true
 	}
 }
 
-// Records returns what is kept, oldest first.
+// Records returns the stored records, oldest first.
 func (r *Ring) Records() []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.full {
-		return slices.Clone(r.records[:r.next])
+	if !r.wrapped {
+		return slices.Clone(r.records[:r.nextIndex])
 	}
-	return slices.Concat(r.records[r.next:], r.records[:r.next])
+	return slices.Concat(r.records[r.nextIndex:], r.records[:r.nextIndex])
 }
 
-// recorder hands ended spans to a Ring. It implements sdktrace.SpanProcessor.
-type recorder struct {
+// ringProcessor is a sdktrace.SpanProcessor that adds ended spans to a Ring.
+type ringProcessor struct {
 	ring   *Ring
 	daemon string
 	zone   string
 }
 
 // OnStart implements sdktrace.SpanProcessor.
-func (*recorder) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
+func (*ringProcessor) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
 
 // OnEnd implements sdktrace.SpanProcessor.
-func (p *recorder) OnEnd(s sdktrace.ReadOnlySpan) {
-	rec := Record{
+func (p *ringProcessor) OnEnd(s sdktrace.ReadOnlySpan) {
+	record := Record{
 		TraceID:    s.SpanContext().TraceID().String(),
 		SpanID:     s.SpanContext().SpanID().String(),
 		Name:       s.Name(),
@@ -82,16 +83,16 @@
 		Attributes: make(map[string]string, len(s.Attributes())),
 	}
 	if s.Parent().SpanID().IsValid() {
-		rec.ParentID = s.Parent().SpanID().String()
+		record.ParentID = s.Parent().SpanID().String()
 	}
 	for _, a := range s.Attributes() {
-		rec.Attributes[string(a.Key)] = a.Value.String()
+		record.Attributes[string(a.Key)] = a.Value.String()
 	}
-	p.ring.Add(rec)
+	p.ring.Add(record)
 }
 
 // Shutdown implements sdktrace.SpanProcessor.
-func (*recorder) Shutdown(context.Context) error { return nil }
+func (*ringProcessor) Shutdown(context.Context) error { return nil }
 
 // ForceFlush implements sdktrace.SpanProcessor.
-func (*recorder) ForceFlush(context.Context) error { return nil }
+func (*ringProcessor) ForceFlush(context.Context) error { return nil }
