--- a/core/gossip/anti_entropy_timer.go
+++ b/core/gossip/anti_entropy_timer.go
@@ -16,29 +16,29 @@
 	requiredAgreements = 3
 )
 
-// AntiEntropyTimer determines when to compare digests with another daemon. It is not safe for
-// concurrent use.
+// AntiEntropyTimer determines when to compare digests with another daemon. It is not
+// safe for concurrent use.
 type AntiEntropyTimer struct {
 	agreements     int
 	lastComparison model.Instant
 }
 
 // Due reports whether a comparison is due, and if so records that it takes place now.
-func (p *AntiEntropyTimer) Due(now model.Instant) bool {
+func (t *AntiEntropyTimer) Due(now model.Instant) bool {
 	interval := shortInterval
-	if p.agreements >= requiredAgreements {
+	if t.agreements >= requiredAgreements {
 		interval = longInterval
 	}
-	if p.lastComparison != 0 && now.Sub(p.lastComparison) < interval {
+	if t.lastComparison != 0 && now.Sub(t.lastComparison) < interval {
 		return false
 	}
-	p.lastComparison = now
+	t.lastComparison = now
 	return true
 }
 
 // RecordAgreement records a comparison that found no difference.
-func (p *AntiEntropyTimer) RecordAgreement() { p.agreements++ }
+func (t *AntiEntropyTimer) RecordAgreement() { t.agreements++ }
 
 // Reset restores the short interval after a change of the state, or if other daemons
 // may have missed an update.
-func (p *AntiEntropyTimer) Reset() { p.agreements = 0 }
+func (t *AntiEntropyTimer) Reset() { t.agreements = 0 }
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -75,16 +75,16 @@
 }
 
 func TestAntiEntropyTimer(t *testing.T) {
-	var p AntiEntropyTimer
+	var timer AntiEntropyTimer
 	now := model.Instant(0).Add(time.Second)
-	require.True(t, p.Due(now))
-	require.False(t, p.Due(now.Add(shortInterval-1)))
-	require.True(t, p.Due(now.Add(shortInterval)))
+	require.True(t, timer.Due(now))
+	require.False(t, timer.Due(now.Add(shortInterval-1)))
+	require.True(t, timer.Due(now.Add(shortInterval)))
 	for range requiredAgreements {
-		p.RecordAgreement()
+		timer.RecordAgreement()
 	}
-	require.False(t, p.Due(now.Add(2*shortInterval)))
-	require.True(t, p.Due(now.Add(shortInterval+longInterval)))
-	p.Reset()
-	require.True(t, p.Due(now.Add(2*shortInterval+longInterval)))
+	require.False(t, timer.Due(now.Add(2*shortInterval)))
+	require.True(t, timer.Due(now.Add(shortInterval+longInterval)))
+	timer.Reset()
+	require.True(t, timer.Due(now.Add(2*shortInterval+longInterval)))
 }
--- a/core/gossip/peer_selector.go
+++ b/core/gossip/peer_selector.go
@@ -34,42 +34,42 @@
 
 // PushTargets returns the daemons to which to send an update. origin is set if the update
 // originates at this daemon.
-func (t PeerSelector) PushTargets(members []Member, origin bool) []Member {
-	local, remote := t.splitByZone(members)
-	out := t.sample(local, fanOut)
+func (s PeerSelector) PushTargets(members []Member, origin bool) []Member {
+	local, remote := s.splitByZone(members)
+	out := s.sample(local, fanOut)
 	switch {
 	case origin:
-		out = append(out, onePerZone(t.sample(remote, len(remote)))...)
-	case t.chooseCrossZone():
-		out = append(out, t.sample(remote, 1)...)
+		out = append(out, onePerZone(s.sample(remote, len(remote)))...)
+	case s.chooseCrossZone():
+		out = append(out, s.sample(remote, 1)...)
 	}
 	if len(out) < fanOut {
 		// The local zone has too few daemons for the update to spread reliably.
-		out = appendNew(out, t.sample(remote, fanOut-len(out)))
+		out = appendNew(out, s.sample(remote, fanOut-len(out)))
 	}
 	return out
 }
 
-// AntiEntropyPeer returns the daemon with which to compare digests. It returns false if there
-// is none.
-func (t PeerSelector) AntiEntropyPeer(members []Member) (Member, bool) {
-	candidates, remote := t.splitByZone(members)
-	if len(candidates) == 0 || len(remote) > 0 && t.chooseCrossZone() {
+// AntiEntropyPeer returns the daemon with which to compare digests. It returns false if
+// there is none.
+func (s PeerSelector) AntiEntropyPeer(members []Member) (Member, bool) {
+	candidates, remote := s.splitByZone(members)
+	if len(candidates) == 0 || len(remote) > 0 && s.chooseCrossZone() {
 		candidates = remote
 	}
 	if len(candidates) == 0 {
 		return Member{}, false
 	}
-	return candidates[t.RandIntN(len(candidates))], true
+	return candidates[s.RandIntN(len(candidates))], true
 }
 
 // chooseCrossZone decides at random whether to select a daemon of another zone.
-func (t PeerSelector) chooseCrossZone() bool { return t.RandIntN(int(1/crossZoneShare)) == 0 }
+func (s PeerSelector) chooseCrossZone() bool { return s.RandIntN(int(1/crossZoneShare)) == 0 }
 
 // splitByZone separates the members of the local zone from the others.
-func (t PeerSelector) splitByZone(members []Member) (local, remote []Member) {
+func (s PeerSelector) splitByZone(members []Member) (local, remote []Member) {
 	for _, m := range members {
-		if m.Zone == t.Zone {
+		if m.Zone == s.Zone {
 			local = append(local, m)
 		} else {
 			remote = append(remote, m)
@@ -79,10 +79,10 @@
 }
 
 // sample returns up to n random members. It reorders the given slice.
-func (t PeerSelector) sample(members []Member, n int) []Member {
+func (s PeerSelector) sample(members []Member, n int) []Member {
 	n = min(n, len(members))
 	for i := range n {
-		j := i + t.RandIntN(len(members)-i)
+		j := i + s.RandIntN(len(members)-i)
 		members[i], members[j] = members[j], members[i]
 	}
 	return members[:n:n]
--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -42,9 +42,9 @@
 // NextPoll returns the instant at which the next poll is due.
 func (m *Monitor) NextPoll() model.Instant { return m.nextPoll }
 
-// BeginPoll reserves the largest possible cost of a poll. It returns false if no poll is due
-// yet, or if the budget does not allow one; in the second case the next poll is due one
-// interval later.
+// BeginPoll reserves the largest possible cost of a poll. It returns false if no poll is
+// due yet, or if the budget does not allow one. In the second case the next poll is due
+// after the longest interval of the schedule.
 func (m *Monitor) BeginPoll(now model.Instant, maxCost Cost) (Reservation, bool) {
 	if now < m.nextPoll {
 		return Reservation{}, false
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -78,5 +78,5 @@
 func (t *Trust) Counts() Counts { return t.counts }
 
 // Discrepancy returns by how many requests the last report exceeded the observation,
-// weighted by trust.
+// weighted by trust. It is 0 if that report was not credible.
 func (t *Trust) Discrepancy() float64 { return t.external * t.trust }
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -59,8 +59,9 @@
 }
 
 // ExpectedTime returns the time until a request is expected to complete at an upstream.
-// serviceTime is the usual service time of the request, ahead the number of requests
-// that are already there, and limit the concurrency limit of the upstream.
+// serviceTime is the usual service time of the request, and ahead the number of requests
+// that are already there. slowdown, limit and failureRate are the values to assume of the
+// upstream.
 func ExpectedTime(serviceTime time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
 	runTime := float64(serviceTime) * slowdown
 	wait := 0.0
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -64,7 +64,8 @@
 }
 
 // TestOldSlowdownIsForgotten has loads that are 3 seconds old. They must no longer
-// count, so the upstream with fewer requests is chosen.
+// count: the expected times of the two upstreams differ by less than a factor of two,
+// although one was four times as slow as the other.
 func TestOldSlowdownIsForgotten(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(4))
@@ -260,7 +261,7 @@
 }
 
 // TestMissesTarget covers a burst that fills a service: guards have rejected the request
-// for lack of capacity, and at the next upstream it might complete too late as well.
+// for lack of capacity, and at the next one it is expected to complete too late as well.
 func TestMissesTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		fullGuards       int
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -76,7 +76,7 @@
 	// Alternative is that time for the best other upstream, or zero if there is none.
 	Expected    time.Duration
 	Alternative time.Duration
-	// Age is the age of the load from which ExpectedTime was calculated.
+	// Age is the age of the load from which Expected was calculated.
 	Age time.Duration
 }
 
@@ -89,9 +89,10 @@
 	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
-// MissesDeadline reports whether the request is known to miss its deadline on every upstream.
-// A guard with a free slot would accept it all the same and keep its caller waiting in
-// vain. left is the time until the deadline.
+// MissesDeadline reports whether the request is known to miss its deadline on every
+// upstream, judged by the chosen one and only if its load is recent. A guard with a free
+// slot would accept the request all the same and keep its caller waiting in vain. left is
+// the time until the deadline.
 func (c *Choice) MissesDeadline(left time.Duration) bool {
 	return c.Age < maxRefusalAge && c.Expected > left
 }
@@ -148,13 +149,13 @@
 	return n
 }
 
-// Mean returns the mean slowdown of the service.
-func (p *Placer) Mean() float64 { return p.meanSlowdown }
+// MeanSlowdown returns the mean slowdown of the service.
+func (p *Placer) MeanSlowdown() float64 { return p.meanSlowdown }
 
-// QueryTargets returns up to n upstreams to which to send a load query: those of the local zone if
-// local is set, otherwise those of other zones. Upstreams whose load is younger than
-// maxAge are left out. The upstreams with the shortest expected times are returned, except
-// that the last of the n is drawn at random from the remaining ones.
+// QueryTargets returns up to n upstreams to which to send a load query: those of the local
+// zone if local is set, otherwise those of other zones. Upstreams whose load is younger
+// than maxAge are left out. If more than n remain, those with the shortest expected times
+// are returned, except that the last of the n is drawn at random from the others.
 func (p *Placer) QueryTargets(now model.Instant, req Request, local bool, maxAge time.Duration, n int) []Upstream {
 	var stale []scoredCandidate
 	for _, v := range p.order {
@@ -180,10 +181,10 @@
 	return ups
 }
 
-// LocalMeetsTarget reports whether an upstream of the local zone is expected to respond well
-// within the target latency.
+// LocalMeetsTarget reports whether an upstream of the local zone is expected to respond
+// well within the target latency.
 func (p *Placer) LocalMeetsTarget(now model.Instant, req Request) bool {
-	_, _, bestLocal := p.rank(now, req, preferredOnly)
+	_, _, bestLocal := p.findBest(now, req, preferredOnly)
 	if bestLocal.view == nil {
 		return false
 	}
@@ -203,7 +204,7 @@
 func (p *Placer) Choose(now model.Instant, req Request) (Choice, bool) {
 	var best, second, bestLocal scoredCandidate
 	for e := preferredOnly; e <= includeUnreachable && best.view == nil; e++ {
-		best, second, bestLocal = p.rank(now, req, e)
+		best, second, bestLocal = p.findBest(now, req, e)
 	}
 	if best.view == nil {
 		return Choice{}, false
@@ -220,8 +221,9 @@
 	return Choice{Upstream: chosen.view.upstream, Expected: chosen.time, Alternative: alternative.time, Age: age}, true
 }
 
-// rated is a candidate with the expected time of the request and a score, which adds
-// jitter and the cross-zone penalty.
+// scoredCandidate is a candidate with the expected time of the request and a score, by
+// which candidates are compared. The score is that time with jitter and, in findBest,
+// the cross-zone penalty.
 type scoredCandidate struct {
 	view  *view
 	score time.Duration
@@ -255,8 +257,8 @@
 	}
 }
 
-// rank returns the best candidate, the second best, and the best one of the local zone.
-func (p *Placer) rank(now model.Instant, req Request, e eligibility) (best, second, bestLocal scoredCandidate) {
+// findBest returns the best candidate, the second best, and the best one of the local zone.
+func (p *Placer) findBest(now model.Instant, req Request, e eligibility) (best, second, bestLocal scoredCandidate) {
 	for _, v := range p.order {
 		if !e.allows(v, now) {
 			continue
@@ -265,19 +267,19 @@
 			continue
 		}
 		t := p.expected(now, req, v)
-		r := scoredCandidate{view: v, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
+		c := scoredCandidate{view: v, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
 		local := v.upstream.Zone == p.opts.Zone
 		if !local {
-			r.score += p.opts.CrossZonePenalty
+			c.score += p.opts.CrossZonePenalty
 		}
 		switch {
-		case best.view == nil || r.score < best.score:
-			best, second = r, best
-		case second.view == nil || r.score < second.score:
-			second = r
+		case best.view == nil || c.score < best.score:
+			best, second = c, best
+		case second.view == nil || c.score < second.score:
+			second = c
 		}
-		if local && (bestLocal.view == nil || r.score < bestLocal.score) {
-			bestLocal = r
+		if local && (bestLocal.view == nil || c.score < bestLocal.score) {
+			bestLocal = c
 		}
 	}
 	return best, second, bestLocal
@@ -289,8 +291,8 @@
 	return p.roundTrips[v.upstream.Zone] + ExpectedTime(req.ServiceTime, v.slowdown(now, p.meanSlowdown), v.expectedRequests(now), v.limit(), v.failureRate(now))
 }
 
-// ObserveRTT records the round-trip time of a load query to the guard of an upstream. Longer
-// times than the known one count little, as they may include a wait for a CPU.
+// ObserveRTT records the round-trip time of a load query to the guard of an upstream.
+// Longer times than the known one count little, as they may include a wait for a CPU.
 func (p *Placer) ObserveRTT(key string, took time.Duration) {
 	v := p.views[key]
 	if v == nil {
@@ -303,8 +305,8 @@
 	p.roundTrips[v.upstream.Zone] = took
 }
 
-// ZonesBeyondRTT returns the zones whose round-trip time is longer than rtt. It returns nil if
-// there are none, which is the usual case.
+// ZonesBeyondRTT returns the zones whose round-trip time is longer than rtt. It returns
+// nil if there are none, which is the usual case.
 func (p *Placer) ZonesBeyondRTT(rtt time.Duration) map[model.AvailabilityZone]bool {
 	var far map[model.AvailabilityZone]bool
 	for z, zoneRTT := range p.roundTrips {
@@ -333,7 +335,7 @@
 	p.updateLoad(now, v, *load)
 }
 
-// learn records the load of an upstream. An upstream that reports a load is reachable.
+// updateLoad records the load of an upstream. An upstream that reports a load is reachable.
 func (p *Placer) updateLoad(now model.Instant, v *view, load Load) {
 	v.load, v.loadAt, v.hasLoad, v.inFlightAtLoad = load, now, true, v.inFlight
 	v.unreachableUntil = 0
@@ -344,8 +346,8 @@
 	}
 }
 
-// MarkUnreachable records that an upstream could not be reached. It is avoided for a while
-// unless no other candidate is left.
+// MarkUnreachable records that an upstream could not be reached. It is avoided for a
+// while unless no other candidate is left.
 func (p *Placer) MarkUnreachable(now model.Instant, key string) {
 	if v := p.views[key]; v != nil {
 		v.unreachableUntil = now.Add(unreachablePause)
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -20,12 +20,13 @@
 	minAttempts    = 20
 )
 
-// Decision is the result of Budget.Allow, or the reason why a retry was not attempted.
+// Decision is the result of Budget.Allow or, if a retry is not attempted because of its
+// Backoff, DeadlineTooClose.
 type Decision uint8
 
 // The possible values of a Decision.
 const (
-	// Allowed means that the retry may be sent; it has taken a token.
+	// Allowed means that the retry may be sent. Allow has taken a token for it.
 	Allowed Decision = iota + 1
 	// BudgetExhausted means that the budget has no token left.
 	BudgetExhausted
@@ -36,8 +37,8 @@
 )
 
 // String returns the value that metric labels use.
-func (v Decision) String() string {
-	switch v {
+func (d Decision) String() string {
+	switch d {
 	case Allowed:
 		return "allowed"
 	case BudgetExhausted:
@@ -92,7 +93,8 @@
 	}
 }
 
-// Allow takes a token for a retry if retries are allowed now.
+// Allow takes a token for a retry if retries are allowed now. It returns Allowed,
+// BudgetExhausted or TooManyFailures.
 func (b *Budget) Allow(now model.Instant) Decision {
 	b.decay(now)
 	if b.attempts >= minAttempts && b.failures > maxFailureRate*b.attempts {
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -9,6 +9,8 @@
 // attempts fail, retries are disabled, because the problem is then not limited to one
 // upstream.
 //
-// Backoff delays the remaining retries by random times, and rejects a retry if too
-// little time remains until the deadline.
+// Backoff delays the retries that are allowed by random times. It returns false for a
+// retry that would leave too little time until the deadline.
+//
+// A WindowBudget is one daemon's part of a retry budget that all daemons share.
 package retry
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestRetryAfterIsJittered checks that callers refused together are told different
-// times around the intended one.
+// TestRetryAfterIsJittered checks that callers refused together get different retry
+// times, around the intended one.
 func TestRetryAfterIsJittered(t *testing.T) {
 	const mean = 100 * time.Millisecond
 	first, last := JitteredRetryAfter(mean, 0), JitteredRetryAfter(mean, 0.999)
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -6,16 +6,16 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// windowBuckets is the number of buckets that the span of a WindowBudget is divided into. A
-// retry counts until its whole bucket has left the span, at most one bucket width too
-// long, so the budget is never exceeded.
+// windowBuckets is the number of buckets that the span of a WindowBudget is divided into.
+// A retry counts until its whole bucket has left the span, at most one bucket width too
+// long and never too short, so the budget is never exceeded.
 const windowBuckets = 10
 
 // WindowBudget is one daemon's part of a retry budget that all daemons share: within any
 // span, the number of retries is at most ratio times the number of requests in that
 // span plus a slack. Each daemon counts its own requests and gets an equal part of the
-// slack, so the daemons together stay within the budget without communicating. A WindowBudget
-// is not safe for concurrent use.
+// slack, so the daemons together stay within the budget without communicating. A
+// WindowBudget is not safe for concurrent use.
 type WindowBudget struct {
 	ratio float64
 	slack float64
@@ -28,8 +28,8 @@
 	retries  [windowBuckets + 1]float64
 }
 
-// NewWindowBudget returns a WindowBudget over the given span. slack is this daemon's part of the
-// slack.
+// NewWindowBudget returns a WindowBudget over the given span. slack is this daemon's part
+// of the slack.
 func NewWindowBudget(span time.Duration, ratio, slack float64) *WindowBudget {
 	return &WindowBudget{ratio: ratio, slack: slack, share: 1, bucketWidth: max(span/windowBuckets, time.Millisecond)}
 }
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -25,7 +25,8 @@
 	// lastReplyAt is when the last reply that carried a load was received. Only the
 	// upstream's daemon sends loads, so its zone was reachable then.
 	lastReplyAt model.Instant
-	// rampEnd is when the upstream may use its full capacity. See rampFraction.
+	// rampEnd is the instant from which the upstream may use its full capacity. See
+	// rampFraction.
 	rampEnd     model.Instant
 	queueShares queueShares
 	health
@@ -36,7 +37,7 @@
 
 // pool holds the statistics over all candidates.
 type pool struct {
-	// medianService estimates the median over the upstreams of the mean service time,
+	// medianServiceTime estimates the median over the upstreams of the mean service time,
 	// in nanoseconds.
 	medianServiceTime float64
 	// meanOthersPerSlot is the mean number of requests per slot that other entries have
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -24,8 +24,8 @@
 	// baseUnreachableTime is the first ejection time of an upstream to which no
 	// connection can be made.
 	baseUnreachableTime = 500 * time.Millisecond
-	// panicThreshold is the share of ejected upstreams above which ejections are
-	// ignored (panic mode).
+	// Ejections are ignored (panic mode) while more than panicThreshold of the reachable
+	// upstreams are ejected.
 	panicThreshold = 0.5
 )
 
@@ -36,18 +36,18 @@
 	unhealthy bool
 	ejected   bool
 	// ejectionTime is the duration of the last ejection, or 0 after a successful
-	// attempt. retryAt is when a trial request is allowed.
+	// attempt. trialAt is when a trial request is allowed.
 	ejectionTime time.Duration
-	retryAt      model.Instant
+	trialAt      model.Instant
 	// unreachable is set on upstreams that are ejected because a connection attempt
 	// failed. Sending requests to them would not relieve an overloaded pool, so they do
 	// not count towards panic mode.
 	unreachable bool
 }
 
-// mayRetry reports whether one trial request may be sent to an ejected upstream.
-func (c *candidate) mayRetry(now model.Instant) bool {
-	return now >= c.retryAt && c.inFlight == 0
+// allowsTrial reports whether one trial request may be sent to an ejected upstream.
+func (c *candidate) allowsTrial(now model.Instant) bool {
+	return now >= c.trialAt && c.inFlight == 0
 }
 
 // failed reports whether the reply shows a failure of the upstream. Rejections that are
@@ -99,18 +99,18 @@
 
 // eject ejects the upstream. Each consecutive ejection lasts twice as long.
 func (r *Router) eject(now model.Instant, c *candidate) {
-	if c.ejected && now < c.retryAt {
+	if c.ejected && now < c.trialAt {
 		return
 	}
 	r.setEjected(c, true, false)
 	c.ejectionTime = min(max(2*c.ejectionTime, baseEjectionTime), maxEjectionTime)
-	c.retryAt = now.Add(c.ejectionTime)
+	c.trialAt = now.Add(c.ejectionTime)
 }
 
 // ejectUnreachable ejects an upstream after a failed connection attempt. If no other
 // upstream of its zone has replied within zoneReplyTimeout, the whole zone is ejected.
 func (r *Router) ejectUnreachable(now model.Instant, c *candidate) {
-	if c.ejected && now < c.retryAt {
+	if c.ejected && now < c.trialAt {
 		return
 	}
 	duration := min(max(2*c.ejectionTime, baseUnreachableTime), maxEjectionTime)
@@ -122,7 +122,7 @@
 		}
 		r.setEjected(other, true, true)
 		other.ejectionTime = duration
-		other.retryAt = now.Add(duration)
+		other.trialAt = now.Add(duration)
 	}
 }
 
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -8,17 +8,17 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// WaitForDeadline is the Choice.QueueTimeout of a request that may wait at the guard until
-// its deadline.
+// WaitForDeadline is the Choice.QueueTimeout of a request that may wait at the guard
+// until its deadline.
 const WaitForDeadline time.Duration = -1
 
 // Choice is the upstream chosen for a request.
 type Choice struct {
 	Upstream model.Upstream
-	// QueueTimeout is the longest time for which the request may wait at the guard. If it
-	// has not started by then, the guard rejects it as "not run". Zero means that the
-	// guard either starts or rejects the request at once. WaitForDeadline means that
-	// only the deadline bounds the wait.
+	// QueueTimeout is the longest time for which the request may wait at the guard. If
+	// it has not started by then, the guard rejects it as "not run". Zero means that
+	// the guard either starts or rejects the request at once. WaitForDeadline means
+	// that only the deadline bounds the wait.
 	QueueTimeout time.Duration
 }
 
@@ -160,8 +160,8 @@
 	return c.Upstream, ok
 }
 
-// MaxRejections is how many times guards may reject a request. After that it waits in the
-// queue of the upstream to which it is sent.
+// MaxRejections is how many times guards may reject a request. After that it waits in
+// the queue of the upstream to which it is sent.
 const MaxRejections = 3
 
 // Place chooses the upstream for a request and counts the request as sent. Upstreams in
@@ -222,8 +222,8 @@
 	}
 }
 
-// Observe records a load that was received from a probe or a peer rather than with a
-// reply. A load older than the known one is ignored.
+// Observe records a load that was received from a probe or a peer. Done records those
+// received with replies. A load older than the known one is ignored.
 func (r *Router) Observe(now model.Instant, id model.UpstreamID, load model.Load) {
 	c := r.byID[id]
 	if c == nil || load.Seq < c.load.Seq {
@@ -242,7 +242,7 @@
 	if c.upstream.Draining || c.load.Draining {
 		return false
 	}
-	if c.ejected && !panicking && !c.mayRetry(now) {
+	if c.ejected && !panicking && !c.allowsTrial(now) {
 		return false
 	}
 	for _, id := range exclude {
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -93,8 +93,9 @@
 	}
 }
 
-// A failing upstream that replies faster than the others looks idle. Without ejection
-// it would attract most of the requests.
+// TestFastFailingUpstreamIsEjected has an upstream that fails at once. As it replies
+// faster than the others it looks idle, and without ejection it would attract most of
+// the requests.
 func TestFastFailingUpstreamIsEjected(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -201,7 +202,8 @@
 	assert.EqualValues(t, 1, r.Stats().CrossZone)
 }
 
-// Entries that all know the same loads must not all choose the same upstream.
+// TestEntriesWithEqualKnowledgeSpreadRequests checks that entries that know the same
+// loads do not all choose the same upstream.
 func TestEntriesWithEqualKnowledgeSpreadRequests(t *testing.T) {
 	counts := make(map[model.UpstreamID]int)
 	for seed := range uint64(1000) {
--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -9,7 +9,7 @@
 
 const (
 	// A request is rejected if its expected time here is more than slowerFactor times
-	// the time at another upstream, plus slowerMargin. The rejection costs a round
+	// the time at the best other upstream, plus slowerMargin. The rejection costs a round
 	// trip, and the load of the other upstream is older than the load known here.
 	slowerFactor = 1.25
 	slowerMargin = 10 * time.Millisecond
@@ -33,8 +33,8 @@
 	Urgent bool
 	// ServiceTime is the usual service time of the request.
 	ServiceTime time.Duration
-	// UntilTarget is the time left until the target of the request, or zero if it has none.
-	// Deadline is the time left until its deadline.
+	// UntilTarget is the time left until the target of the request, or zero if it has
+	// none. UntilDeadline is the time left until its deadline.
 	UntilTarget   time.Duration
 	UntilDeadline time.Duration
 	// Alternative is the expected time until the request would complete at another
@@ -44,8 +44,8 @@
 
 // Performance is the current speed and reliability of the upstream.
 type Performance struct {
-	// Slowdown is the service time relative to the usual one, which is 1. Failing is the
-	// recent failure rate, from 0 to 1.
+	// Slowdown is the service time relative to the usual one, which is 1. FailureRate is
+	// the recent failure rate, from 0 to 1.
 	Slowdown    float64
 	FailureRate float64
 }
@@ -65,8 +65,8 @@
 
 // Admit decides whether a request may enter the queue. It returns the Item to add if
 // so, and the expected time until the request completes.
-func (q *Queue) Admit(now model.Instant, a Arrival, s Performance) (Item, Admission, time.Duration) {
-	expected := placement.ExpectedTime(a.ServiceTime, s.Slowdown, q.Ahead(a.Rank, a.Kind), q.limit, s.FailureRate)
+func (q *Queue) Admit(now model.Instant, a Arrival, p Performance) (Item, Admission, time.Duration) {
+	expected := placement.ExpectedTime(a.ServiceTime, p.Slowdown, q.Ahead(a.Rank, a.Kind), q.limit, p.FailureRate)
 	if a.Alternative > 0 && expected > time.Duration(slowerFactor*float64(a.Alternative))+slowerMargin {
 		return Item{}, SlowerHere, expected
 	}
--- a/core/slots/admit_test.go
+++ b/core/slots/admit_test.go
@@ -16,7 +16,7 @@
 	for name, c := range map[string]struct {
 		running, waiting int
 		arrival          Arrival
-		speed            Performance
+		performance      Performance
 		want             Admission
 		expected         time.Duration
 	}{
@@ -37,7 +37,7 @@
 			for range c.running {
 				q.Next(0, 1)
 			}
-			it, got, expected := q.Admit(at(5), c.arrival, c.speed)
+			it, got, expected := q.Admit(at(5), c.arrival, c.performance)
 			require.Equal(t, c.want, got)
 			require.Equal(t, c.expected, expected)
 			if got == Admitted {
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -9,8 +9,9 @@
 // order hardly matters, since all requests meet their targets. Under overload, most
 // waiting requests will miss their targets in any order. Oldest first would complete
 // each request shortly after its target. Newest first completes in time those that it
-// starts, and the others are refused early. Requests that have missed their target
-// start last, those with the earliest deadline first.
+// starts, and the others are refused early. Requests that can no longer meet their
+// target start last. They share the work between the kinds too; within a kind, the one
+// that had to start earliest comes first.
 //
 // To prevent starvation, every eighth start goes to the last rank. A request that can
 // no longer complete before its deadline is refused at once, because running it would
@@ -33,13 +34,12 @@
 	Kind Kind
 	// ServiceTime is the usual service time of the request.
 	ServiceTime time.Duration
-	// Arrived, Target and UntilDeadline are instants. A zero Target means that there is
-	// none.
+	// Arrived, Target and Deadline are instants. A zero Target means that there is none.
 	Arrived  model.Instant
 	Target   model.Instant
 	Deadline model.Instant
 	// UsefulUntil is when the request must complete to be worth waiting for. After that
-	// it runs only if a slot is free at once. Zero means that only UntilDeadline counts.
+	// it runs only if a slot is free at once. Zero means that only Deadline counts.
 	UsefulUntil model.Instant
 	// WaitUntil is when the queue timeout of the request expires. If it has not started
 	// by then, it is rejected, so that its entry can choose another upstream. Zero means
@@ -50,12 +50,12 @@
 // DequeueReason is the reason why a request left the queue.
 type DequeueReason uint8
 
-// The possible values of an Exit.
+// The possible values of a DequeueReason.
 const (
 	// Start means that the request starts now.
 	Start DequeueReason = iota + 1
-	// DeadlineUnreachable means that the request cannot complete before its deadline, even in half
-	// of its expected service time.
+	// DeadlineUnreachable means that the request cannot complete before its deadline,
+	// even in half of its expected service time.
 	DeadlineUnreachable
 	// QueueTimeoutExpired means that the queue timeout of the request has expired.
 	QueueTimeoutExpired
@@ -165,8 +165,8 @@
 	return q.dequeue(best, Start), true
 }
 
-// NextWakeup returns the next instant at which Next may return a request although no other
-// event has occurred. Zero means never.
+// NextWakeup returns the next instant at which Next may return a request although no
+// other event has occurred. Zero means never.
 func (q *Queue) NextWakeup(slowdown float64) model.Instant {
 	var wakeup model.Instant
 	for i := range q.items {
@@ -245,8 +245,8 @@
 }
 
 // dequeue removes the i-th waiting request and returns the decision about it.
-func (q *Queue) dequeue(i int, e DequeueReason) Decision {
-	d := Decision{ID: q.items[i].ID, Reason: e}
+func (q *Queue) dequeue(i int, reason DequeueReason) Decision {
+	d := Decision{ID: q.items[i].ID, Reason: reason}
 	q.removeAt(i)
 	return d
 }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -251,7 +251,7 @@
 	require.Zero(t, q.NextWakeup(1))
 }
 
-// TestEveryRequestLeavesOnce plays random arrivals, ends and removals. No request
+// TestEveryRequestLeavesOnce has random arrivals, ends and removals. No request
 // leaves the queue twice, the limit is never exceeded, and the queue is empty at the
 // end.
 func TestEveryRequestLeavesOnce(t *testing.T) {
--- a/core/watch/doc.go
+++ b/core/watch/doc.go
@@ -2,9 +2,9 @@
 //
 // # Concept
 //
-// A few daemons of each availability zone, the watchers, keep a long poll open to the
-// store that returns when there is a new version, and forward new versions to other
-// daemons. They also send heartbeats, which say whether the watcher reaches the store.
+// A few daemons of each availability zone, the watchers, read the store by long polling:
+// a read returns when there is a new version. They forward new versions to other daemons.
+// They also send heartbeats, which say whether the watcher reaches the store.
 // Daemons that receive enough heartbeats from watchers do not read the store.
 //
 // The daemons of a zone are sorted by address and divided into cells of limited size.
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -22,8 +22,8 @@
 	// maxConcurrentTries is how many daemons of a cell may keep trying at the same time
 	// while they cannot reach the store.
 	maxConcurrentTries = 2
-	// yieldAfter is how long a daemon tries to reach the store before it lets other
-	// daemons try. maxYield bounds the time until its next try.
+	// yieldAfter is how long a daemon tries to reach the store before it yields: it stops
+	// watching so that others can try. maxYield bounds the time until its next try.
 	yieldAfter = 2 * time.Second
 	maxYield   = 10 * time.Second
 	// maxCellSize bounds the number of daemons to which one watcher sends heartbeats.
@@ -75,116 +75,116 @@
 
 // SetMembers sets the daemons of the local zone that are reachable and not about to stop,
 // including this one, and the number of zones.
-func (r *Elector) SetMembers(zoneMembers []string, zones int) {
+func (e *Elector) SetMembers(zoneMembers []string, zones int) {
 	ordered := slices.Clone(zoneMembers)
 	slices.Sort(ordered)
 	cells := max((len(ordered)+maxCellSize-1)/maxCellSize, 1)
-	position, ok := slices.BinarySearch(ordered, r.self)
+	position, ok := slices.BinarySearch(ordered, e.self)
 	if !ok {
-		r.cell, r.wantedWatchers = []string{r.self}, 1
+		e.cell, e.wantedWatchers = []string{e.self}, 1
 		return
 	}
 	size := (len(ordered) + cells - 1) / cells
 	first := position / size * size
-	r.cell = ordered[first:min(first+size, len(ordered))]
+	e.cell = ordered[first:min(first+size, len(ordered))]
 	totalCells := cells * max(zones, 1)
-	r.wantedWatchers = (minWatchers + totalCells - 1) / totalCells
-	for address := range r.heartbeats {
-		if !slices.Contains(r.cell, address) {
-			delete(r.heartbeats, address)
+	e.wantedWatchers = (minWatchers + totalCells - 1) / totalCells
+	for address := range e.heartbeats {
+		if !slices.Contains(e.cell, address) {
+			delete(e.heartbeats, address)
 		}
 	}
 }
 
-// RecordHeartbeat records a heartbeat received from another daemon. reaches tells whether that
+// RecordHeartbeat records a heartbeat received from another daemon. reaches is set if that
 // daemon reaches the store.
-func (r *Elector) RecordHeartbeat(now model.Instant, from string, reaches bool) {
-	if from != r.self && slices.Contains(r.cell, from) {
-		r.heartbeats[from] = heartbeat{at: now, reachesStore: reaches}
+func (e *Elector) RecordHeartbeat(now model.Instant, from string, reaches bool) {
+	if from != e.self && slices.Contains(e.cell, from) {
+		e.heartbeats[from] = heartbeat{at: now, reachesStore: reaches}
 	}
 }
 
-// RecordStoreCall records whether a call to the store succeeded. If the result differs from the
-// last one, the next heartbeat is due at once.
-func (r *Elector) RecordStoreCall(now model.Instant, ok bool) {
-	if r.reaches && !ok {
-		r.failingSince = now
+// RecordStoreCall records whether a call to the store succeeded. If the result differs
+// from the last one, the next heartbeat is due at once.
+func (e *Elector) RecordStoreCall(now model.Instant, ok bool) {
+	if e.reaches && !ok {
+		e.failingSince = now
 	}
-	if ok != r.reaches {
-		r.reaches = ok
-		r.TriggerHeartbeat()
+	if ok != e.reaches {
+		e.reaches = ok
+		e.TriggerHeartbeat()
 	}
 }
 
-// TriggerHeartbeat makes the next heartbeat due at once. It is called when there is a new version,
-// or when the store has become reachable or unreachable.
-func (r *Elector) TriggerHeartbeat() { r.lastHeartbeat = 0 }
+// TriggerHeartbeat makes the next heartbeat due at once. It is called when there is a new
+// version, or when the store has become reachable or unreachable.
+func (e *Elector) TriggerHeartbeat() { e.lastHeartbeat = 0 }
 
 // HeartbeatDue reports whether a heartbeat is due, and if so records that it is sent
 // now.
-func (r *Elector) HeartbeatDue(now model.Instant) bool {
-	if !r.watching || r.lastHeartbeat != 0 && now.Sub(r.lastHeartbeat) < HeartbeatInterval {
+func (e *Elector) HeartbeatDue(now model.Instant) bool {
+	if !e.watching || e.lastHeartbeat != 0 && now.Sub(e.lastHeartbeat) < HeartbeatInterval {
 		return false
 	}
-	r.lastHeartbeat = now
+	e.lastHeartbeat = now
 	return true
 }
 
 // UpdateWatching decides whether this daemon watches now, and returns the decision. It must
 // be called several times a second.
-func (r *Elector) UpdateWatching(now model.Instant) bool {
-	wasWatching := r.watching
-	r.watching = r.shouldWatch(now)
-	if r.watching && !wasWatching {
-		r.reaches, r.failingSince, r.lastHeartbeat = false, now, 0
+func (e *Elector) UpdateWatching(now model.Instant) bool {
+	wasWatching := e.watching
+	e.watching = e.shouldWatch(now)
+	if e.watching && !wasWatching {
+		e.reaches, e.failingSince, e.lastHeartbeat = false, now, 0
 	}
-	return r.watching
+	return e.watching
 }
 
 // shouldWatch decides whether this daemon watches the store. A watcher stops when enough
 // daemons before it in the cell reach the store, or when it yields. Apart from the first
 // daemons of the cell, daemons volunteer at random while there are too few watchers.
-func (r *Elector) shouldWatch(now model.Instant) bool {
-	if now < r.yieldUntil {
+func (e *Elector) shouldWatch(now model.Instant) bool {
+	if now < e.yieldUntil {
 		return false
 	}
-	if r.watching && r.shouldYield(now) {
-		turns := (len(r.cell) + maxConcurrentTries - 1) / maxConcurrentTries
-		r.yieldUntil = now.Add(min(time.Duration(turns-1)*yieldAfter, maxYield))
+	if e.watching && e.shouldYield(now) {
+		turns := (len(e.cell) + maxConcurrentTries - 1) / maxConcurrentTries
+		e.yieldUntil = now.Add(min(time.Duration(turns-1)*yieldAfter, maxYield))
 		return false
 	}
-	earlier, others, trying := r.countWatchers(now)
-	position := slices.Index(r.cell, r.self)
+	earlier, others, trying := e.countWatchers(now)
+	position := slices.Index(e.cell, e.self)
 	switch {
-	case earlier >= r.wantedWatchers:
+	case earlier >= e.wantedWatchers:
 		return false
-	case position < r.wantedWatchers || r.watching:
+	case position < e.wantedWatchers || e.watching:
 		return true
-	case others >= r.wantedWatchers || trying >= maxConcurrentTries || now < r.volunteerFrom:
+	case others >= e.wantedWatchers || trying >= maxConcurrentTries || now < e.volunteerFrom:
 		return false
 	default:
-		return r.randFloat()*float64(len(r.cell)) < meanVolunteers
+		return e.randFloat()*float64(len(e.cell)) < meanVolunteers
 	}
 }
 
 // shouldYield reports whether this daemon has tried to reach the store for long enough
 // and there are other daemons that could try.
-func (r *Elector) shouldYield(now model.Instant) bool {
-	return !r.reaches && now.Sub(r.failingSince) >= yieldAfter && len(r.cell) > maxConcurrentTries
+func (e *Elector) shouldYield(now model.Instant) bool {
+	return !e.reaches && now.Sub(e.failingSince) >= yieldAfter && len(e.cell) > maxConcurrentTries
 }
 
 // countWatchers counts other daemons by their latest heartbeats: others reach the
 // store, of which earlier come before this daemon in the cell, and trying do not reach
 // it.
-func (r *Elector) countWatchers(now model.Instant) (earlier, others, trying int) {
-	for address, b := range r.heartbeats {
+func (e *Elector) countWatchers(now model.Instant) (earlier, others, trying int) {
+	for address, hb := range e.heartbeats {
 		switch {
-		case now.Sub(b.at) >= heartbeatTimeout:
-		case !b.reachesStore:
+		case now.Sub(hb.at) >= heartbeatTimeout:
+		case !hb.reachesStore:
 			trying++
 		default:
 			others++
-			if address < r.self {
+			if address < e.self {
 				earlier++
 			}
 		}
@@ -192,24 +192,24 @@
 	return earlier, others, trying
 }
 
-// StoreUnreachable reports whether no daemon of the cell, including this one, is known to reach
-// the store.
-func (r *Elector) StoreUnreachable(now model.Instant) bool {
-	if r.watching && r.reaches {
+// StoreUnreachable reports whether no daemon of the cell, including this one, is known to
+// reach the store.
+func (e *Elector) StoreUnreachable(now model.Instant) bool {
+	if e.watching && e.reaches {
 		return false
 	}
-	_, others, _ := r.countWatchers(now)
+	_, others, _ := e.countWatchers(now)
 	return others == 0
 }
 
 // ReachesStore reports whether this daemon watches the store and reaches it.
-func (r *Elector) ReachesStore() bool { return r.watching && r.reaches }
+func (e *Elector) ReachesStore() bool { return e.watching && e.reaches }
 
 // CellPeers returns the other daemons of the cell, to which heartbeats are sent.
-func (r *Elector) CellPeers() []string {
-	out := make([]string, 0, len(r.cell))
-	for _, address := range r.cell {
-		if address != r.self {
+func (e *Elector) CellPeers() []string {
+	out := make([]string, 0, len(e.cell))
+	for _, address := range e.cell {
+		if address != e.self {
 			out = append(out, address)
 		}
 	}
