--- a/load/load_test.go
+++ b/load/load_test.go
@@ -219,7 +219,7 @@
 
 func TestResultsKeepTheNamesOfReplay(t *testing.T) {
 	var ours, theirs map[string]any
-	for to, v := range map[*map[string]any]any{&ours: Figures{}, &theirs: replay.Figures{}} {
+	for to, v := range map[*map[string]any]any{&ours: Figures{}, &theirs: replay.Stats{}} {
 		data, err := json.Marshal(v)
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal(data, to))
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -8,27 +8,27 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// figures are the traces whose figures docs/BENCHMARKS.md gives.
-var figures = []string{
+// benchmarkScenarios are the traces whose figures docs/BENCHMARKS.md gives.
+var benchmarkScenarios = []string{
 	"steady-70", "steady-85", "steady-95", "straggle", "fail-fast", "booking-rush", "archive-surge",
 	"drain", "crash", "partition-zone",
 }
 
-// lateReports is the lag of load reports in the last column of the figures.
-const lateReports = policy.Duration(500 * time.Millisecond)
+// delayedReportLag is the lag of load reports in the last column of the figures.
+const delayedReportLag = policy.Duration(500 * time.Millisecond)
 
 // BenchmarkPolicies replays every kept policy over the same traces and reports
 // total p99 and p99.9 as ratios to the ideal, the worst group's p99.9, the
 // requests without an answer and the measuring share.
 func BenchmarkPolicies(b *testing.B) {
 	for _, name := range []string{"cooperative", "kalahari"} {
-		topology := shipped(b, name)
-		for _, scenario := range figures {
+		topology := loadTopology(b, name)
+		for _, scenario := range benchmarkScenarios {
 			benchPolicies(b, name+"/"+scenario, topology, scenario)
 		}
-		late := shipped(b, name)
+		late := loadTopology(b, name)
 		for i := range late.Services {
-			late.Services[i].ReportLag = lateReports
+			late.Services[i].ReportLag = delayedReportLag
 		}
 		benchPolicies(b, name+"/steady-85-late-reports", late, "steady-85")
 	}
@@ -72,7 +72,7 @@
 			share float64
 		}{{"0", 0}, {"0.0005", 0.0005}, {"0.005", 0.005}, {"0.05", 0.05}} {
 			b.Run(scenario+"/budget="+budget.name, func(b *testing.B) {
-				topology := shipped(b, "kalahari")
+				topology := loadTopology(b, "kalahari")
 				topology.Services[1].MeasuringBudget = budget.share
 				s, _ := FindScenario(scenario)
 				events := s.Generator(topology, 1).Events()
--- a/replay/fairness_test.go
+++ b/replay/fairness_test.go
@@ -12,10 +12,10 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// TestConcentrationGainsNothing lets a light group flood from one zone, or from
+// TestSendingFromOneZoneGainsNoSlotTime lets a light group flood from one zone, or from
 // all, while a heavy one asks for more than there is from everywhere. Where a
 // group sends from must not earn it more slot time than its share.
-func TestConcentrationGainsNothing(t *testing.T) {
+func TestSendingFromOneZoneGainsNoSlotTime(t *testing.T) {
 	zones := []model.AvailabilityZone{"a", "b", "c"}
 	topology := &Topology{Zones: zones, Delay: Delay{BetweenZones: policy.Duration(time.Millisecond)}, Services: []Service{{
 		Name: "s", Connections: 50,
@@ -39,7 +39,7 @@
 		return events
 	}
 	// play returns the figures of the heavy and the light group.
-	play := func(load float64, from []model.AvailabilityZone) (heavy, light Figures) {
+	play := func(load float64, from []model.AvailabilityZone) (heavy, light Stats) {
 		events := flood("heavy", zones, load)
 		if len(from) > 0 {
 			events = append(events, flood("light", from, 1.5)...)
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -6,53 +6,53 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// fault begins a fault and schedules its end.
-func (s *sim) fault(e *Event) {
+// startFault begins a fault and schedules its end.
+func (s *simulation) startFault(e *Event) {
 	lasting := time.Duration(e.ForMs) * time.Millisecond
-	end := s.beginFault(e, lasting)
+	end := s.applyFault(e, lasting)
 	if lasting > 0 && end != nil {
-		s.after(lasting, end)
+		s.schedule(lasting, end)
 	}
 }
 
-// beginFault returns what ends the fault, nil when it ends by itself.
-func (s *sim) beginFault(e *Event, lasting time.Duration) func() {
+// applyFault returns what ends the fault, nil when it ends by itself.
+func (s *simulation) applyFault(e *Event, lasting time.Duration) func() {
 	switch e.Fault {
 	case LogDown:
 		s.logDown = true
-		return s.logUp
+		return s.restoreLog
 	case PartitionZone:
 		zone := model.AvailabilityZone(e.Target)
-		s.cut[zone] = true
-		return func() { delete(s.cut, zone) }
+		s.partitionedZones[zone] = true
+		return func() { delete(s.partitionedZones, zone) }
 	case Recover:
 		s.recover(e.Target)
 		return nil
 	}
-	return s.byName[e.Target].fault(e, lasting)
+	return s.guardsByName[e.Target].applyFault(e, lasting)
 }
 
-func (s *sim) logUp() {
+func (s *simulation) restoreLog() {
 	s.logDown = false
-	held := s.held
-	s.held = nil
+	held := s.heldAnnouncements
+	s.heldAnnouncements = nil
 	for _, run := range held {
 		run()
 	}
 }
 
-func (s *sim) recover(target string) {
-	delete(s.cut, model.AvailabilityZone(target))
+func (s *simulation) recover(target string) {
+	delete(s.partitionedZones, model.AvailabilityZone(target))
 	if target == "" {
-		s.logUp()
+		s.restoreLog()
 		return
 	}
-	if g := s.byName[target]; g != nil {
+	if g := s.guardsByName[target]; g != nil {
 		g.recover()
 	}
 }
 
-func (g *guard) fault(e *Event, lasting time.Duration) func() {
+func (g *guard) applyFault(e *Event, lasting time.Duration) func() {
 	f := &g.fake.faults
 	now := g.sim.now
 	switch e.Fault {
@@ -70,13 +70,13 @@
 		return func() { f.misreport = 1 }
 	case Drain:
 		g.drain()
-		g.sim.announce()
-		return g.rejoin
+		g.sim.announceMembership()
+		return g.restart
 	case Crash:
 		g.fake.crashed = true
 		g.fake.connections = 0
-		g.lose()
-		return g.rejoin
+		g.crashRunning()
+		return g.restart
 	case PauseDaemon:
 		g.pausedUntil = forever
 		if lasting > 0 {
@@ -96,6 +96,6 @@
 	g.fake.faults = faultState{straggle: 1, misreport: 1}
 	g.pausedUntil = 0
 	if back {
-		g.rejoin()
+		g.restart()
 	}
 }
--- a/replay/formats_test.go
+++ b/replay/formats_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// shipped reads a topology of testdata/replay.
-func shipped(t testing.TB, name string) *Topology {
+// loadTopology reads a topology of testdata/replay.
+func loadTopology(t testing.TB, name string) *Topology {
 	t.Helper()
 	f, err := os.Open("../testdata/replay/" + name + ".topology.json")
 	require.NoError(t, err)
@@ -21,26 +21,26 @@
 	return topology
 }
 
-const goodRequest = `{"at_us":5,"caller":"sorter-1","group":"sorters","service":"returdesk","cost_us":1800,"idempotent":true,"deadline_ms":500,"key":"optional","zone":"odense-hal-a"}`
+const validRequest = `{"at_us":5,"caller":"sorter-1","group":"sorters","service":"returdesk","cost_us":1800,"idempotent":true,"deadline_ms":500,"key":"optional","zone":"odense-hal-a"}`
 
 func TestReadTrace(t *testing.T) {
 	cases := map[string]struct {
 		lines string
 		want  string
 	}{
-		"request and fault":  {goodRequest + "\n\n" + `{"at_us":5,"fault":"straggle","target":"returdesk-3","factor":8,"for_ms":2000}`, ""},
-		"fault without time": {goodRequest + "\n" + `{"fault":"drain","target":"returdesk-3"}`, "line 2: at_us: got 0"},
-		"unknown field":      {goodRequest + "\n" + `{"at_us":6,"servce":"returdesk"}`, `line 2: json: unknown field "servce"`},
-		"out of order":       {goodRequest + "\n" + strings.Replace(goodRequest, ":5,", ":4,", 1), "line 2: at_us: got 4"},
-		"no cost":            {strings.Replace(goodRequest, "1800", "0", 1), "line 1: cost_us: got 0"},
-		"cost past bounds":   {strings.Replace(goodRequest, "1800", "9000000000", 1), "line 1: cost_us: got 9000000000"},
-		"negative deadline":  {strings.Replace(goodRequest, ":500", ":-1", 1), "line 1: deadline_ms: got -1"},
-		"no zone":            {strings.Replace(goodRequest, "odense-hal-a", "", 1), "line 1: zone"},
+		"request and fault":  {validRequest + "\n\n" + `{"at_us":5,"fault":"straggle","target":"returdesk-3","factor":8,"for_ms":2000}`, ""},
+		"fault without time": {validRequest + "\n" + `{"fault":"drain","target":"returdesk-3"}`, "line 2: at_us: got 0"},
+		"unknown field":      {validRequest + "\n" + `{"at_us":6,"servce":"returdesk"}`, `line 2: json: unknown field "servce"`},
+		"out of order":       {validRequest + "\n" + strings.Replace(validRequest, ":5,", ":4,", 1), "line 2: at_us: got 4"},
+		"no cost":            {strings.Replace(validRequest, "1800", "0", 1), "line 1: cost_us: got 0"},
+		"cost past bounds":   {strings.Replace(validRequest, "1800", "9000000000", 1), "line 1: cost_us: got 9000000000"},
+		"negative deadline":  {strings.Replace(validRequest, ":500", ":-1", 1), "line 1: deadline_ms: got -1"},
+		"no zone":            {strings.Replace(validRequest, "odense-hal-a", "", 1), "line 1: zone"},
 		"unknown fault":      {`{"at_us":0,"fault":"melt","target":"returdesk-3"}`, "line 1: fault: got melt"},
 		"fault with request": {`{"at_us":0,"fault":"drain","target":"returdesk-3","service":"returdesk"}`, "line 1: a fault line"},
-		"request with fault": {strings.Replace(goodRequest, `"key"`, `"factor":2,"key"`, 1), "line 1: target, factor"},
-		"broken JSON":        {goodRequest + "\n{", "line 2: unexpected EOF"},
-		"two values":         {goodRequest + goodRequest, "line 1: more than one JSON value"},
+		"request with fault": {strings.Replace(validRequest, `"key"`, `"factor":2,"key"`, 1), "line 1: target, factor"},
+		"broken JSON":        {validRequest + "\n{", "line 2: unexpected EOF"},
+		"two values":         {validRequest + validRequest, "line 1: more than one JSON value"},
 		"empty":              {"", "no lines"},
 	}
 	for name, tc := range cases {
@@ -85,10 +85,10 @@
 }
 
 func TestTraceAgainstTopology(t *testing.T) {
-	topology := shipped(t, "cooperative")
+	topology := loadTopology(t, "cooperative")
 	for _, line := range []string{
-		strings.Replace(goodRequest, "returdesk", "returdisk", 1),
-		strings.Replace(goodRequest, "odense-hal-a", "gibeon", 1),
+		strings.Replace(validRequest, "returdesk", "returdisk", 1),
+		strings.Replace(validRequest, "odense-hal-a", "gibeon", 1),
 		`{"at_us":0,"fault":"crash","target":"returdesk-7"}`,
 		`{"at_us":0,"fault":"partition_zone","target":"returdesk-1"}`,
 	} {
@@ -101,7 +101,7 @@
 }
 
 func TestGeneratedTraceIsReadBack(t *testing.T) {
-	topology := shipped(t, "cooperative")
+	topology := loadTopology(t, "cooperative")
 	scenario, ok := FindScenario("straggle+drain")
 	require.True(t, ok)
 	g := scenario.Generator(topology, 7)
--- a/replay/generate.go
+++ b/replay/generate.go
@@ -42,21 +42,21 @@
 	Until time.Duration
 }
 
-// class is how the requests of a group look.
-type class struct {
-	// part is the group's part of the service's steady load in slot time.
-	part float64
-	// mean and sigma shape the log-normal cost.
-	mean  time.Duration
-	sigma float64
-	// once is the part of requests that are not idempotent.
-	once     float64
-	deadline time.Duration
-	callers  int
-}
-
-// classes hold the groups of the two shipped topologies.
-var classes = map[groupKey]class{
+// requestProfile is how the requests of a group look.
+type requestProfile struct {
+	// loadShare is the group's part of the service's steady load in slot time.
+	loadShare float64
+	// meanCost and sigma shape the log-normal cost.
+	meanCost time.Duration
+	sigma    float64
+	// nonIdempotentShare is the part of requests that are not idempotent.
+	nonIdempotentShare float64
+	deadline           time.Duration
+	callers            int
+}
+
+// requestProfiles hold the groups of the two shipped topologies.
+var requestProfiles = map[groupKey]requestProfile{
 	{"returdesk", "sorters"}:         {0.70, 2 * time.Millisecond, 0.6, 0.05, 2 * time.Second, 40},
 	{"returdesk", "internal-checks"}: {0.15, 2 * time.Millisecond, 0.6, 0, 5 * time.Second, 4},
 	{"returdesk", "members"}:         {0.15, 3 * time.Millisecond, 0.6, 0, 2 * time.Second, 20},
@@ -70,12 +70,12 @@
 	{"sheds", "gangs"}:               {0.50, 3 * time.Millisecond, 0.6, 0, 2 * time.Second, 20},
 }
 
-// classOf returns the class of a group; an unknown one gets an even part.
-func classOf(s *Service, g model.GroupName) class {
-	if c, ok := classes[groupKey{s.Name, g}]; ok {
+// profileOf returns the class of a group; an unknown one gets an even part.
+func profileOf(s *Service, g model.GroupName) requestProfile {
+	if c, ok := requestProfiles[groupKey{s.Name, g}]; ok {
 		return c
 	}
-	return class{1 / float64(len(s.Groups)), 2 * time.Millisecond, 0.6, 0, 2 * time.Second, 10}
+	return requestProfile{1 / float64(len(s.Groups)), 2 * time.Millisecond, 0.6, 0, 2 * time.Second, 10}
 }
 
 // Write generates the trace as JSON lines.
@@ -99,16 +99,16 @@
 		for _, group := range s.Groups {
 			stream++
 			rng := rand.New(rand.NewPCG(g.Seed, stream))
-			c := classOf(s, group.Name)
-			events = g.arrivals(events, rng, s, group.Name, c, g.Load*c.part, 0, g.Duration)
-			events = g.surges(events, rng, s, group.Name, c)
+			c := profileOf(s, group.Name)
+			events = g.arrivals(events, rng, s, group.Name, c, g.Load*c.loadShare, 0, g.Duration)
+			events = g.surgeArrivals(events, rng, s, group.Name, c)
 		}
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.AtUs, b.AtUs) })
 	return events
 }
 
-func (g *Generator) surges(events []Event, rng *rand.Rand, s *Service, group model.GroupName, c class) []Event {
+func (g *Generator) surgeArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, c requestProfile) []Event {
 	for _, surge := range g.Surges {
 		if surge.Service == s.Name && surge.Group == group {
 			events = g.arrivals(events, rng, s, group, c, surge.Load, surge.From, surge.Until)
@@ -118,8 +118,8 @@
 }
 
 // arrivals appends Poisson arrivals that offer the given share of the slots.
-func (g *Generator) arrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, c class, load float64, from, until time.Duration) []Event {
-	rate := load * float64(slotsOf(s)) / c.mean.Seconds()
+func (g *Generator) arrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, c requestProfile, load float64, from, until time.Duration) []Event {
+	rate := load * float64(totalSlots(s)) / c.meanCost.Seconds()
 	if rate <= 0 {
 		return events
 	}
@@ -135,7 +135,7 @@
 			Group:      group,
 			Service:    s.Name,
 			CostUs:     c.cost(rng),
-			Idempotent: rng.Float64() >= c.once,
+			Idempotent: rng.Float64() >= c.nonIdempotentShare,
 			DeadlineMs: c.deadline.Milliseconds(),
 			Zone:       g.Topology.Zones[rng.IntN(len(g.Topology.Zones))],
 		})
@@ -143,12 +143,12 @@
 }
 
 // cost draws a log-normal cost with the class's mean.
-func (c class) cost(rng *rand.Rand) int64 {
-	median := float64(c.mean.Microseconds()) / math.Exp(c.sigma*c.sigma/2)
+func (c requestProfile) cost(rng *rand.Rand) int64 {
+	median := float64(c.meanCost.Microseconds()) / math.Exp(c.sigma*c.sigma/2)
 	return max(int64(median*math.Exp(c.sigma*rng.NormFloat64())), 1)
 }
 
-func slotsOf(s *Service) int {
+func totalSlots(s *Service) int {
 	slots := 0
 	for _, u := range s.Upstreams {
 		slots += u.Slots
@@ -171,45 +171,45 @@
 // Scenarios returns the named traces.
 func Scenarios() []Scenario {
 	list := []Scenario{
-		{Name: "steady-70", Load: 0.70, Duration: steadyTime},
-		{Name: "steady-85", Load: 0.85, Duration: steadyTime},
-		{Name: "steady-95", Load: 0.95, Duration: steadyTime},
-		{Name: "booking-rush", Load: 0.60, Duration: steadyTime, Surges: []Surge{
+		{Name: "steady-70", Load: 0.70, Duration: scenarioDuration},
+		{Name: "steady-85", Load: 0.85, Duration: scenarioDuration},
+		{Name: "steady-95", Load: 0.95, Duration: scenarioDuration},
+		{Name: "booking-rush", Load: 0.60, Duration: scenarioDuration, Surges: []Surge{
 			{"bookings", "farmers", 1.2, 500 * time.Millisecond, 1500 * time.Millisecond},
 			{"sheds", "farmers", 0.3, 500 * time.Millisecond, 1500 * time.Millisecond},
 		}},
-		{Name: "archive-surge", Load: 0.60, Duration: steadyTime, Surges: []Surge{
+		{Name: "archive-surge", Load: 0.60, Duration: scenarioDuration, Surges: []Surge{
 			{"sporarkiv", "archive-search", 2, 500 * time.Millisecond, 1500 * time.Millisecond},
 		}},
 	}
 	for _, f := range []Fault{Straggle, Drain, FailFast, ColdStart, Crash, Misreport, PartitionZone, LogDown, PauseDaemon} {
-		list = append(list, faulty(f))
+		list = append(list, faultScenario(f))
 	}
 	for _, pair := range [][]Fault{
 		{Straggle, Drain}, {FailFast, Crash}, {Crash, LogDown}, {PartitionZone, LogDown},
 		{Straggle, Misreport}, {PauseDaemon, Drain},
 	} {
-		list = append(list, faulty(pair...))
+		list = append(list, faultScenario(pair...))
 	}
 	return list
 }
 
 const (
-	steadyTime = 3 * time.Second
+	scenarioDuration = 3 * time.Second
 	// faultLoad leaves the pool able to carry on without one upstream.
-	faultLoad  = 0.70
-	faultFrom  = time.Second
-	faultTime  = 1500 * time.Millisecond
-	slowFactor = 8
-	lieFactor  = 0.1
+	faultLoad       = 0.70
+	faultStart      = time.Second
+	faultDuration   = 1500 * time.Millisecond
+	slowdownFactor  = 8
+	misreportFactor = 0.1
 )
 
-func faulty(faults ...Fault) Scenario {
+func faultScenario(faults ...Fault) Scenario {
 	names := make([]string, len(faults))
 	for i, f := range faults {
 		names[i] = strings.ReplaceAll(string(f), "_", "-")
 	}
-	return Scenario{Name: strings.Join(names, "+"), Load: faultLoad, Duration: steadyTime, Faults: faults}
+	return Scenario{Name: strings.Join(names, "+"), Load: faultLoad, Duration: scenarioDuration, Faults: faults}
 }
 
 // Generator returns the scenario's generator for a topology. The faults of a
@@ -217,7 +217,7 @@
 func (s Scenario) Generator(t *Topology, seed uint64) *Generator {
 	g := &Generator{Topology: t, Load: s.Load, Duration: s.Duration, Surges: s.Surges, Seed: seed}
 	for i, f := range s.Faults {
-		e := Event{AtUs: faultFrom.Microseconds(), Fault: f, ForMs: faultTime.Milliseconds(), Factor: 1}
+		e := Event{AtUs: faultStart.Microseconds(), Fault: f, ForMs: faultDuration.Milliseconds(), Factor: 1}
 		switch f {
 		case LogDown:
 		case PartitionZone:
@@ -227,9 +227,9 @@
 		}
 		switch f {
 		case Straggle, ColdStart:
-			e.Factor = slowFactor
+			e.Factor = slowdownFactor
 		case Misreport:
-			e.Factor = lieFactor
+			e.Factor = misreportFactor
 		}
 		g.Faults = append(g.Faults, e)
 	}
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -14,22 +14,22 @@
 // guard is the guard of one daemon: the real admission and limit before a fake
 // upstream.
 type guard struct {
-	sim         *sim
+	sim         *simulation
 	index       int
 	upstream    model.Upstream
 	spec        *Service
 	controller  *admission.Controller
 	limiter     *limit.Limiter
 	monitor     *measure.Monitor
-	calls       map[admission.ID]*call
+	attempts    map[admission.ID]*attempt
 	effects     []admission.Effect
 	running     int
-	polls       int
+	pollCount   int
 	pausedUntil model.Instant
 	fake        fakeUpstream
 }
 
-func newGuard(s *sim, index int, spec *Service, u Upstream, name string) *guard {
+func newGuard(s *simulation, index int, spec *Service, u Upstream, name string) *guard {
 	g := &guard{
 		sim:   s,
 		index: index,
@@ -42,8 +42,8 @@
 			Daemon:      model.DaemonID(name),
 			Slots:       u.Slots,
 		},
-		calls: make(map[admission.ID]*call),
-		fake:  newFakeUpstream(u, spec),
+		attempts: make(map[admission.ID]*attempt),
+		fake:     newFakeUpstream(u, spec),
 	}
 	g.monitor = measure.NewMonitor(0, measure.Options{
 		Share:  spec.MeasuringBudget,
@@ -70,130 +70,130 @@
 }
 
 // arrive hands a call to the admission.
-func (g *guard) arrive(c *call) {
-	if c.incarnation != g.upstream.Incarnation {
-		g.answer(c, outcome.NotRunBecause(outcome.ReasonNoUpstream), false)
+func (g *guard) arrive(a *attempt) {
+	if a.incarnation != g.upstream.Incarnation {
+		g.sendReply(a, outcome.NotRunBecause(outcome.ReasonNoUpstream), false)
 		return
 	}
 	now := g.sim.now
-	id := admission.ID(c.id)
-	g.calls[id] = c
-	c.waiting = true
-	g.effects = g.controller.Arrive(now, admission.Arrival{ID: id, Request: c.req.model()}, g.effects[:0])
-	g.apply()
-	if !c.waiting {
+	id := admission.ID(a.id)
+	g.attempts[id] = a
+	a.waiting = true
+	g.effects = g.controller.Arrive(now, admission.Arrival{ID: id, Request: a.req.model()}, g.effects[:0])
+	g.applyEffects()
+	if !a.waiting {
 		return
 	}
-	if c.choice.QueueTimeout == 0 {
-		g.giveBack(c)
+	if a.choice.QueueTimeout == 0 {
+		g.reject(a)
 		return
 	}
-	until := c.req.deadline()
-	if c.choice.QueueTimeout > 0 {
-		until = min(until, now.Add(c.choice.QueueTimeout))
+	until := a.req.deadline()
+	if a.choice.QueueTimeout > 0 {
+		until = min(until, now.Add(a.choice.QueueTimeout))
 	}
-	g.sim.queue.add(task{at: max(until, now), kind: expire, daemon: g.index, call: c, stamp: c.stamp})
+	g.sim.queue.add(task{at: max(until, now), kind: taskExpire, daemon: g.index, attempt: a, stamp: a.generation})
 }
 
-// giveBack withdraws a waiting call whose patience has ended.
-func (g *guard) giveBack(c *call) {
-	if !g.controller.Withdraw(g.sim.now, admission.ID(c.id)) {
+// reject withdraws a waiting call whose patience has ended.
+func (g *guard) reject(a *attempt) {
+	if !g.controller.Withdraw(g.sim.now, admission.ID(a.id)) {
 		return
 	}
-	c.waiting = false
-	delete(g.calls, admission.ID(c.id))
-	g.answer(c, outcome.NotRunBecause(outcome.ReasonWithdrawn), false)
+	a.waiting = false
+	delete(g.attempts, admission.ID(a.id))
+	g.sendReply(a, outcome.NotRunBecause(outcome.ReasonWithdrawn), false)
 }
 
-func (g *guard) expire(c *call, stamp uint32) {
-	if !c.waiting || c.stamp != stamp {
+func (g *guard) expire(a *attempt, stamp uint32) {
+	if !a.waiting || a.generation != stamp {
 		return
 	}
-	if g.sim.now < c.req.deadline() {
-		g.giveBack(c)
+	if g.sim.now < a.req.deadline() {
+		g.reject(a)
 		return
 	}
 	g.effects = g.controller.Expire(g.sim.now, g.effects[:0])
-	g.apply()
+	g.applyEffects()
 }
 
-// apply carries out the collected effects.
-func (g *guard) apply() {
+// applyEffects carries out the collected effects.
+func (g *guard) applyEffects() {
 	effects := g.effects
 	g.effects = nil
 	for _, e := range effects {
-		c := g.calls[e.ID]
-		if c == nil {
+		a := g.attempts[e.ID]
+		if a == nil {
 			continue
 		}
-		c.waiting = false
+		a.waiting = false
 		if e.Kind == admission.Refuse {
-			delete(g.calls, e.ID)
-			g.answer(c, e.Outcome, false)
+			delete(g.attempts, e.ID)
+			g.sendReply(a, e.Outcome, false)
 			continue
 		}
-		g.start(c)
+		g.start(a)
 	}
 	g.effects = effects
 }
 
 // start runs a call in the fake upstream.
-func (g *guard) start(c *call) {
+func (g *guard) start(a *attempt) {
 	now := g.sim.now
-	c.started, c.running = now, true
+	a.started, a.running = now, true
 	g.running++
 	g.monitor.SetRunning(g.running)
-	took, o, failed := g.fake.run(now, c)
-	c.reply = routing.Reply{Outcome: o, Failed: failed}
+	took, o, failed := g.fake.run(now, a)
+	a.reply = routing.Reply{Outcome: o, Failed: failed}
 	if o.Kind != outcome.NotRun {
-		c.req.runs++
+		a.req.executions++
 	}
-	g.sim.queue.add(task{at: now.Add(took), kind: finish, daemon: g.index, call: c, stamp: c.stamp})
+	g.sim.queue.add(task{at: now.Add(took), kind: taskFinish, daemon: g.index, attempt: a, stamp: a.generation})
 }
 
-func (g *guard) finish(c *call, stamp uint32) {
-	if !c.running || c.stamp != stamp {
+func (g *guard) finish(a *attempt, stamp uint32) {
+	if !a.running || a.generation != stamp {
 		return
 	}
 	now := g.sim.now
-	c.running = false
+	a.running = false
 	g.running--
 	g.monitor.SetRunning(g.running)
 	g.fake.release(now)
-	delete(g.calls, admission.ID(c.id))
-	res := admission.Result{Outcome: c.reply.Outcome, SlotTime: now.Sub(c.started), Failed: c.reply.Failed}
-	g.sim.book.used(c.req, res.SlotTime)
-	g.effects = g.controller.Finish(now, admission.ID(c.id), res, g.effects[:0])
-	g.answer(c, c.reply.Outcome, c.reply.Failed)
-	g.apply()
+	delete(g.attempts, admission.ID(a.id))
+	res := admission.Result{Outcome: a.reply.Outcome, SlotTime: now.Sub(a.started), Failed: a.reply.Failed}
+	g.sim.collector.addSlotTime(a.req, res.SlotTime)
+	g.effects = g.controller.Finish(now, admission.ID(a.id), res, g.effects[:0])
+	g.sendReply(a, a.reply.Outcome, a.reply.Failed)
+	g.applyEffects()
 }
 
-// answer sends a reply with the exact load to the call's entry.
-func (g *guard) answer(c *call, o outcome.Outcome, failed bool) {
+// sendReply sends a reply with the exact load to the call's entry.
+func (g *guard) sendReply(a *attempt, o outcome.Outcome, failed bool) {
 	s := g.sim
-	c.reply = routing.Reply{Outcome: o, Failed: failed, Load: g.loadFor(c.req.model().Group), HasLoad: true}
-	entry := c.req.entry.index
+	a.reply = routing.Reply{Outcome: o, Failed: failed, Load: g.loadFor(a.req.model().Group), HasLoad: true}
+	entry := a.req.entry.index
 	d := s.delay(g.index, entry)
-	if s.severed(g.index, entry) {
-		c.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonConnectionLost)}
+	if s.partitioned(g.index, entry) {
+		a.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonConnectionLost)}
 		d = connectTimeout
 	}
-	s.queue.add(task{at: s.now.Add(d), kind: reply, daemon: entry, call: c})
+	s.queue.add(task{at: s.now.Add(d), kind: taskReply, daemon: entry, attempt: a})
 }
 
 func (g *guard) loadFor(group model.GroupName) model.Load {
 	return g.monitor.Annotate(g.limiter.Annotate(g.controller.LoadFor(g.sim.now, group)))
 }
 
-// lose ends every running call as a crash does.
-func (g *guard) lose() {
-	for _, c := range g.inOrder() {
-		if !c.running {
+// crashRunning ends every running call as a crash does.
+func (g *guard) crashRunning() {
+	for _, a := range g.attemptsByID() {
+		if !a.running {
 			continue
 		}
-		c.stamp++
-		c.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonUpstreamCrashed), Failed: true}
-		g.sim.queue.add(task{at: g.sim.now, kind: finish, daemon: g.index, call: c, stamp: c.stamp})
+		a.generation++
+		a.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonUpstreamCrashed), Failed: true}
+		g.sim.queue.add(task{at: g.sim.now, kind: taskFinish, daemon: g.index, attempt: a, stamp: a.generation})
 	}
 }
 
@@ -201,18 +201,18 @@
 func (g *guard) drain() {
 	g.upstream.Draining = true
 	g.effects = g.controller.Drain(g.sim.now, g.effects[:0])
-	g.apply()
+	g.applyEffects()
 }
 
-// rejoin starts the next incarnation. Calls of the last one are settled first.
-func (g *guard) rejoin() {
+// restart starts the next incarnation. Calls of the last one are settled first.
+func (g *guard) restart() {
 	g.drain()
-	g.lose()
-	g.sim.after(time.Nanosecond, func() {
+	g.crashRunning()
+	g.sim.schedule(time.Nanosecond, func() {
 		g.upstream.Incarnation++
 		g.upstream.Draining = false
 		g.fake.crashed = false
 		g.reset()
-		g.sim.announce()
+		g.sim.announceMembership()
 	})
 }
--- a/replay/hedge.go
+++ b/replay/hedge.go
@@ -8,25 +8,25 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// hedgeLater sends the request a second time when the call outlasts the
+// scheduleHedge sends the request a second time when the call outlasts the
 // router's delay.
-func (e *entry) hedgeLater(c *call) {
-	router := e.routers[c.req.event.Service]
-	delay, ok := router.HedgeDelay(c.req.model())
+func (e *entry) scheduleHedge(a *attempt) {
+	router := e.routers[a.req.event.Service]
+	delay, ok := router.HedgeDelay(a.req.model())
 	if !ok {
 		return
 	}
-	e.sim.queue.add(task{at: e.sim.now.Add(delay), kind: hedge, daemon: e.index, call: c})
+	e.sim.queue.add(task{at: e.sim.now.Add(delay), kind: taskHedge, daemon: e.index, attempt: a})
 }
 
 // hedge sends the request to a second upstream while the first call is out.
-func (e *entry) hedge(c *call) {
-	req := c.req
-	if req.done || len(req.calls) != 1 || req.calls[0] != c {
+func (e *entry) hedge(a *attempt) {
+	req := a.req
+	if req.done || len(req.attempts) != 1 || req.attempts[0] != a {
 		return
 	}
-	exclude := append(slices.Clone(req.tried), c.guard.upstream.ID)
-	choice, ok := e.routers[req.event.Service].Hedge(e.sim.now, c.guard.upstream.ID, c.sent, exclude)
+	exclude := append(slices.Clone(req.tried), a.guard.upstream.ID)
+	choice, ok := e.routers[req.event.Service].Hedge(e.sim.now, a.guard.upstream.ID, a.sent, exclude)
 	if !ok {
 		return
 	}
@@ -36,32 +36,32 @@
 // cancel withdraws the calls of a request that is settled.
 func (e *entry) cancel(req *request) {
 	s := e.sim
-	for _, c := range req.calls {
-		if s.severed(e.index, c.guard.index) {
+	for _, a := range req.attempts {
+		if s.partitioned(e.index, a.guard.index) {
 			continue
 		}
-		s.queue.add(task{at: s.now.Add(s.delay(e.index, c.guard.index)), kind: cancel, daemon: c.guard.index, call: c})
+		s.queue.add(task{at: s.now.Add(s.delay(e.index, a.guard.index)), kind: taskCancel, daemon: a.guard.index, attempt: a})
 	}
 }
 
-// drop forgets a call whose reply has come.
-func (s *sim) drop(c *call) {
-	c.req.calls = slices.DeleteFunc(c.req.calls, func(other *call) bool { return other == c })
+// removeAttempt forgets a call whose reply has come.
+func (s *simulation) removeAttempt(a *attempt) {
+	a.req.attempts = slices.DeleteFunc(a.req.attempts, func(other *attempt) bool { return other == a })
 }
 
 // cancel withdraws a waiting call, or ends a running one as an upstream that
 // accepts cancellation does.
-func (g *guard) cancel(c *call) {
+func (g *guard) cancel(a *attempt) {
 	switch {
-	case c.waiting:
-		if g.controller.Withdraw(g.sim.now, admission.ID(c.id)) {
-			c.waiting = false
-			delete(g.calls, admission.ID(c.id))
-			g.answer(c, outcome.NotRunBecause(outcome.ReasonCancelled), false)
+	case a.waiting:
+		if g.controller.Withdraw(g.sim.now, admission.ID(a.id)) {
+			a.waiting = false
+			delete(g.attempts, admission.ID(a.id))
+			g.sendReply(a, outcome.NotRunBecause(outcome.ReasonCancelled), false)
 		}
-	case c.running:
-		c.stamp++
-		c.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonCancelled)}
-		g.finish(c, c.stamp)
+	case a.running:
+		a.generation++
+		a.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonCancelled)}
+		g.finish(a, a.generation)
 	}
 }
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -8,22 +8,22 @@
 	"github.com/dottereltiller/dottereltiller/latency"
 )
 
-// ideal fills in the bound from one central queue per service with perfect
+// addIdealBound fills in the bound from one central queue per service with perfect
 // knowledge and no network: requests are taken in order of arrival, and each
 // goes to the slot that completes it first, knowing when every slot becomes
 // free and how fast every upstream runs. It learns of a fault when it begins,
 // and then knows how long it lasts.
-func ideal(t *Topology, events []Event, r *Result) {
+func addIdealBound(t *Topology, events []Event, r *Result) {
 	total := latency.NewHistogram()
 	groups := make(map[groupKey]*latency.Histogram)
-	central := newCentral(t)
+	central := newCentralQueue(t)
 	for i := range events {
 		e := &events[i]
 		if e.Fault != "" {
-			central.fault(e)
+			central.applyFault(e)
 			continue
 		}
-		d := central.place(e)
+		d := central.assign(e)
 		k := groupKey{e.Service, e.Group}
 		if groups[k] == nil {
 			groups[k] = latency.NewHistogram()
@@ -38,25 +38,25 @@
 	}
 }
 
-// central is the central queue of each service.
-type central struct {
-	servers map[model.ServiceName][]*server
-	byName  map[string]*server
+// centralQueue is the centralQueue queue of each service.
+type centralQueue struct {
+	servers       map[model.ServiceName][]*server
+	serversByName map[string]*server
 }
 
 // server is an upstream as the central queue sees it.
 type server struct {
 	// free holds the instants at which the slots become free, as a heap.
-	free   instants
+	free   instantHeap
 	faults faultState
-	// outUntil is the instant from which the upstream works again.
-	outUntil model.Instant
+	// unavailableUntil is the instant from which the upstream works again.
+	unavailableUntil model.Instant
 	// straggleUntil is the end of the present straggle.
 	straggleUntil model.Instant
 }
 
-func newCentral(t *Topology) *central {
-	c := &central{servers: make(map[model.ServiceName][]*server), byName: make(map[string]*server)}
+func newCentralQueue(t *Topology) *centralQueue {
+	c := &centralQueue{servers: make(map[model.ServiceName][]*server), serversByName: make(map[string]*server)}
 	for i := range t.Services {
 		s := &t.Services[i]
 		for j, u := range s.Upstreams {
@@ -64,21 +64,21 @@
 			if u.RealSlots > 0 {
 				slots = u.RealSlots
 			}
-			sv := &server{free: make(instants, slots), faults: faultState{straggle: 1}}
+			sv := &server{free: make(instantHeap, slots), faults: faultState{straggle: 1}}
 			c.servers[s.Name] = append(c.servers[s.Name], sv)
-			c.byName[upstreamName(s.Name, j)] = sv
+			c.serversByName[upstreamName(s.Name, j)] = sv
 		}
 	}
 	return c
 }
 
-func (c *central) place(e *Event) time.Duration {
+func (c *centralQueue) assign(e *Event) time.Duration {
 	now := instant(e.AtUs)
 	cost := time.Duration(e.CostUs) * time.Microsecond
 	var best *server
 	var bestEnd model.Instant
 	for _, s := range c.servers[e.Service] {
-		start := max(now, s.free[0], s.outUntil)
+		start := max(now, s.free[0], s.unavailableUntil)
 		end := start.Add(time.Duration(float64(cost) * s.slowdown(start)))
 		if best == nil || end < bestEnd {
 			best, bestEnd = s, end
@@ -97,8 +97,8 @@
 	return f.slowdown(at)
 }
 
-func (c *central) fault(e *Event) {
-	s := c.byName[e.Target]
+func (c *centralQueue) applyFault(e *Event) {
+	s := c.serversByName[e.Target]
 	if s == nil {
 		return
 	}
@@ -114,25 +114,25 @@
 	case ColdStart:
 		s.faults.cold, s.faults.coldFrom, s.faults.coldUntil = e.Factor, now, now.Add(max(lasting, time.Second))
 	case FailFast, Drain, Crash:
-		s.outUntil = until
+		s.unavailableUntil = until
 	case Recover:
 		s.faults = faultState{straggle: 1}
-		s.outUntil = now
+		s.unavailableUntil = now
 	}
 }
 
-// instants is a heap of instants.
-type instants []model.Instant
+// instantHeap is a heap of instants.
+type instantHeap []model.Instant
 
-func (h instants) Len() int           { return len(h) }
-func (h instants) Less(i, j int) bool { return h[i] < h[j] }
-func (h instants) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h instantHeap) Len() int           { return len(h) }
+func (h instantHeap) Less(i, j int) bool { return h[i] < h[j] }
+func (h instantHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface; the number of slots never changes.
-func (h *instants) Push(x any) { *h = append(*h, x.(model.Instant)) }
+func (h *instantHeap) Push(x any) { *h = append(*h, x.(model.Instant)) }
 
 // Pop implements heap.Interface.
-func (h *instants) Pop() any {
+func (h *instantHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -7,58 +7,58 @@
 	"github.com/dottereltiller/dottereltiller/core/slots"
 )
 
-// reach has a guard take a request.
-func (m *mesh) reach(j *job, alternative time.Duration) {
-	n := j.at
-	if n.away {
-		m.giveBack(j, false)
+// arriveAtGuard has a guard take a request.
+func (m *mesh) arriveAtGuard(j *meshRequest, alternative time.Duration) {
+	n := j.guard
+	if n.down {
+		m.reject(j, false)
 		return
 	}
-	if m.policy == fewestStraight {
+	if m.policy == useLeastOutstandingWithoutGuards {
 		m.start(n, j)
 		return
 	}
 	m.load(n)
-	took := m.now.Sub(j.began)
+	took := m.now.Sub(j.arrivedAt)
 	it, admission, _ := n.queue.Admit(m.now, slots.Arrival{
-		Rank: j.rank, Urgent: j.rank == 0, ServiceTime: m.usual(j), Alternative: alternative,
+		Rank: j.rank, Urgent: j.rank == 0, ServiceTime: m.expectedServiceTime(j), Alternative: alternative,
 		UntilTarget: max(j.target-took, 0), UntilDeadline: j.deadline - took,
-	}, slots.Performance{Slowdown: n.slow})
+	}, slots.Performance{Slowdown: n.slowdown})
 	if admission != slots.Admitted {
-		m.giveBack(j, admission == slots.Full)
+		m.reject(j, admission == slots.Full)
 		return
 	}
 	m.nextID++
 	it.ID = m.nextID
 	n.waiting[it.ID] = j
 	n.queue.Add(it)
-	m.pump(n)
+	m.startWaiting(n)
 }
 
-func (m *mesh) giveBack(j *job, full bool) {
-	from := j.at
+func (m *mesh) reject(j *meshRequest, full bool) {
+	from := j.guard
 	l := m.load(from)
-	m.after(nearTicks, func() {
-		m.done(j, from, &l)
-		j.tried[from.key] = true
-		j.givenBack++
+	m.schedule(localDelayTicks, func() {
+		m.attemptDone(j, from, &l)
+		j.rejectedBy[from.key] = true
+		j.rejections++
 		if full {
-			j.full++
+			j.fullGuards++
 		}
 		m.place(j)
 	})
 }
 
-func (m *mesh) done(j *job, from *meshNode, l *placement.Load) {
-	if m.policy == byPlacement {
+func (m *mesh) attemptDone(j *meshRequest, from *meshNode, l *placement.Load) {
+	if m.policy == usePlacement {
 		j.entry.placer.Done(m.now, from.key, l)
 	}
-	j.entry.mine[from]--
+	j.entry.outstanding[from]--
 }
 
-func (m *mesh) pump(n *meshNode) {
+func (m *mesh) startWaiting(n *meshNode) {
 	for {
-		d, ok := n.queue.Next(m.now, n.slow)
+		d, ok := n.queue.Next(m.now, n.slowdown)
 		if !ok {
 			return
 		}
@@ -68,57 +68,57 @@
 		case slots.Start:
 			m.start(n, j)
 		case slots.DeadlineUnreachable:
-			m.done(j, n, nil)
+			m.attemptDone(j, n, nil)
 			m.refuse(j)
 		default:
-			m.giveBack(j, d.Reason == slots.TooLate)
+			m.reject(j, d.Reason == slots.TooLate)
 		}
 	}
 }
 
 // start hands a request to an upstream, which resets the connection of one too many.
-func (m *mesh) start(n *meshNode, j *job) {
-	if len(n.runs) >= n.slots+m.queue {
+func (m *mesh) start(n *meshNode, j *meshRequest) {
+	if len(n.running) >= n.slots+m.upstreamQueue {
 		m.resets++
-		m.done(j, n, nil)
+		m.attemptDone(j, n, nil)
 		return
 	}
-	n.runs = append(n.runs, j)
+	n.running = append(n.running, j)
 }
 
-// work lets an upstream work for a tick.
-func (m *mesh) work(n *meshNode) {
-	speed := n.speeds[m.ticks]
+// runUpstream lets an upstream work for a tick.
+func (m *mesh) runUpstream(n *meshNode) {
+	speed := n.speeds[m.tick]
 	if n.coldUntil > m.now {
-		speed /= coldFactor
+		speed /= coldSlowdown
 	}
-	if float64(len(n.runs)) >= kneeShare*float64(n.slots) {
-		speed /= kneeFactor
+	if float64(len(n.running)) >= kneeUtilization*float64(n.slots) {
+		speed /= kneeSlowdown
 	}
-	kept := n.runs[:0]
-	for i, j := range n.runs {
+	kept := n.running[:0]
+	for i, j := range n.running {
 		if i >= n.slots {
 			kept = append(kept, j)
 			continue
 		}
-		if j.left -= speed * tick.Seconds(); j.left > 0 {
+		if j.remaining -= speed * tickLength.Seconds(); j.remaining > 0 {
 			kept = append(kept, j)
 			continue
 		}
 		n.queue.Finish()
-		m.finish(j)
+		m.recordFinish(j)
 	}
-	n.runs = kept
-	m.pump(n)
+	n.running = kept
+	m.startWaiting(n)
 }
 
-// noisyRun is how long requests run on the mean beside the usual neighbours.
-const noisyRun = 210 * time.Millisecond
+// meanNoisyServiceTime is how long requests run on the mean beside the usual neighbours.
+const meanNoisyServiceTime = 210 * time.Millisecond
 
-func (m *mesh) finish(j *job) {
-	l := m.load(j.at)
-	m.done(j, j.at, &l)
-	switch took := m.now.Sub(j.began); {
+func (m *mesh) recordFinish(j *meshRequest) {
+	l := m.load(j.guard)
+	m.attemptDone(j, j.guard, &l)
+	switch took := m.now.Sub(j.arrivedAt); {
 	case took <= j.target:
 		m.inTime++
 	default:
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -20,68 +20,68 @@
 // and are slow after a start.
 
 const (
-	tick = time.Millisecond
-	// noiseEvery is how long a neighbour stays or is away, noiseFactor how much
+	tickLength = time.Millisecond
+	// noisePeriodTicks is how long a neighbour stays or is away, noiseSlowdown how much
 	// longer work takes beside one.
-	noiseEvery  = 300
-	noiseFactor = 4.0
-	// kneeShare of the slots can be busy before all runs take kneeFactor times as
+	noisePeriodTicks = 300
+	noiseSlowdown    = 4.0
+	// kneeUtilization of the slots can be busy before all runs take kneeSlowdown times as
 	// long.
-	kneeShare  = 0.8
-	kneeFactor = 1.7
-	// coldTicks is how long an upstream is slow after its start, coldFactor how
+	kneeUtilization = 0.8
+	kneeSlowdown    = 1.7
+	// coldTicks is how long an upstream is slow after its start, coldSlowdown how
 	// much.
-	coldTicks  = 3000
-	coldFactor = 2.0
-	// nearTicks and farTicks are the ways to a guard, farAskTicks the time to ask
+	coldTicks    = 3000
+	coldSlowdown = 2.0
+	// localDelayTicks and remoteDelayTicks are the ways to a guard, remoteQueryTicks the time to ask
 	// guards of other zones.
-	nearTicks        = 1
-	farTicks         = 2
-	farAskTicks      = 3
-	meshWork         = 160 * time.Millisecond
+	localDelayTicks  = 1
+	remoteDelayTicks = 2
+	remoteQueryTicks = 3
+	meshServiceTime  = 160 * time.Millisecond
 	meshTarget       = 500 * time.Millisecond
 	meshDeadline     = 1200 * time.Millisecond
-	meshTicks        = 20_000
+	meshLengthTicks  = 20_000
 	meshZones        = 3
 	upstreamsPerZone = 4
 )
 
-// pattern is a load and how the upstreams are disturbed.
-type pattern struct {
+// workload is a load and how the upstreams are disturbed.
+type workload struct {
 	// rate is the requests a second to all entries.
 	rate float64
 	// slots of each upstream, and the share of time that it has a neighbour.
 	slots int
 	noise float64
-	// restarted upstreams start anew after five seconds.
-	restarted int
-	// untold upstreams do not say how slow they are.
-	untold bool
-	// queue is how many requests wait at an upstream itself. One that comes when
+	// restartedUpstreams upstreams start anew after five seconds.
+	restartedUpstreams int
+	// hideSlowdown upstreams do not say how slow they are.
+	hideSlowdown bool
+	// upstreamQueue is how many requests wait at an upstream itself. One that comes when
 	// all slots and the queue are taken has its connection reset.
-	queue int
-	// perZone is the number of upstreams of a zone. Default: upstreamsPerZone.
-	perZone int
-	// together callers come in one tick every togetherEvery, besides the rate.
-	together int
-	// returns is how often a refused caller comes back, at the time it was told, or
+	upstreamQueue int
+	// zoneSize is the number of upstreams of a zone. Default: upstreamsPerZone.
+	zoneSize int
+	// burst callers come in one tick every burstPeriodTicks, besides the rate.
+	burst int
+	// callerRetries is how often a refused caller comes back, at the time it was told, or
 	// as told without the spread of the advice.
-	returns  int
-	unspread bool
+	callerRetries int
+	noJitter      bool
 	// recorded replaces the rate, the upstreams and the kinds of requests by those
 	// of a day.
 	recorded *recordedService
 }
 
-// policy chooses where a request goes. The zero value is the product's.
-type policy uint8
+// routingPolicy chooses where a request goes. The zero value is the product's.
+type routingPolicy uint8
 
 const (
-	byPlacement policy = iota
-	byChance
-	byFewest
-	// fewestStraight sends to the upstream itself, without a guard.
-	fewestStraight
+	usePlacement routingPolicy = iota
+	useRandom
+	useLeastOutstanding
+	// useLeastOutstandingWithoutGuards sends to the upstream itself, without a guard.
+	useLeastOutstandingWithoutGuards
 )
 
 type meshNode struct {
@@ -90,82 +90,82 @@
 	speeds []float64
 	placer *placement.Placer
 	queue  *slots.Queue
-	// slow is what the guard knows, from slowAt.
-	slow      float64
-	slowAt    model.Instant
-	slots     int
-	coldUntil model.Instant
-	// away is set while the upstream is not there.
-	away    bool
-	mine    map[*meshNode]int
-	runs    []*job
-	waiting map[uint64]*job
+	// slowdown is what the guard knows, from slowdownAt.
+	slowdown   float64
+	slowdownAt model.Instant
+	slots      int
+	coldUntil  model.Instant
+	// down is set while the upstream is not there.
+	down        bool
+	outstanding map[*meshNode]int
+	running     []*meshRequest
+	waiting     map[uint64]*meshRequest
 }
 
-type job struct {
+type meshRequest struct {
 	requestKind
-	entry, at *meshNode
-	began     model.Instant
-	left      float64
-	givenBack int
-	full      int
-	tried     map[string]bool
-	// returned counts how often its caller has come back.
-	returned int
+	entry, guard *meshNode
+	arrivedAt    model.Instant
+	remaining    float64
+	rejections   int
+	fullGuards   int
+	rejectedBy   map[string]bool
+	// retries counts how often its caller has come back.
+	retries int
 }
 
 type mesh struct {
-	pattern
-	policy policy
-	rng    *rand.Rand
-	kinds  []requestKind
-	now    model.Instant
-	ticks  int
-	length int
-	nodes  []*meshNode
-	due    map[int][]func()
-	nextID uint64
-	sent   int
-	inTime int
-	late   int
-	turned int
-	resets int
+	workload
+	policy      routingPolicy
+	rng         *rand.Rand
+	kinds       []requestKind
+	now         model.Instant
+	tick        int
+	lengthTicks int
+	nodes       []*meshNode
+	scheduled   map[int][]func()
+	nextID      uint64
+	sent        int
+	inTime      int
+	late        int
+	refused     int
+	resets      int
 }
 
-func newMesh(p pattern, how policy, seed uint64) *mesh {
+func newMesh(p workload, how routingPolicy, seed uint64) *mesh {
 	m := &mesh{
-		pattern: p, policy: how, rng: rand.New(rand.NewPCG(seed, 0)), due: map[int][]func(){},
-		kinds: usualKinds(), length: meshTicks,
+		workload: p, policy: how, rng: rand.New(rand.NewPCG(seed, 0)), scheduled: map[int][]func(){},
+		kinds: defaultKinds(), lengthTicks: meshLengthTicks,
 	}
 	noise := rand.New(rand.NewPCG(seed, 1))
 	if p.recorded != nil {
-		m.kinds, m.length = p.recorded.kinds(), p.recorded.ticks()
+		m.kinds, m.lengthTicks = p.recorded.kinds(), p.recorded.ticks()
 		for _, u := range p.recorded.Upstreams {
-			m.add(u.Zone, u.limit(speeds(noise, p.noise, m.length)))
+			m.addNode(u.Zone, u.applyDowntime(drawSpeeds(noise, p.noise, m.lengthTicks)))
 		}
 	} else {
 		for z := range meshZones {
-			for range cmp.Or(p.perZone, upstreamsPerZone) {
-				m.add(model.AvailabilityZone(rune('a'+z)), speeds(noise, p.noise, m.length))
+			for range cmp.Or(p.zoneSize, upstreamsPerZone) {
+				m.addNode(model.AvailabilityZone(rune('a'+z)), drawSpeeds(noise, p.noise, m.lengthTicks))
 			}
 		}
 	}
-	m.inform()
+	m.updateUpstreams()
 	return m
 }
 
-func (m *mesh) add(zone model.AvailabilityZone, speeds []float64) {
+func (m *mesh) addNode(zone model.AvailabilityZone, speeds []float64) {
 	n := &meshNode{
 		key: fmt.Sprint(zone, len(m.nodes)), zone: zone, speeds: speeds,
-		slots: m.slots, queue: slots.New(placement.DefaultLimit(m.slots)), slow: 1,
-		mine: map[*meshNode]int{}, waiting: map[uint64]*job{},
+		slots: m.slots, queue: slots.New(placement.DefaultLimit(m.slots)), slowdown: 1,
+		outstanding: map[*meshNode]int{}, waiting: map[uint64]*meshRequest{},
 	}
 	n.placer = placement.New(placement.Options{Zone: zone, Rand: m.rng.Float64})
 	m.nodes = append(m.nodes, n)
 }
 
-// inform tells all entries which upstreams there are.
-func (m *mesh) inform() {
+// updateUpstreams tells all entries which upstreams there are.
+func (m *mesh) updateUpstreams() {
 	for _, n := range m.nodes {
 		n.placer.SetUpstreams(m.candidates())
 	}
@@ -174,7 +174,7 @@
 func (m *mesh) candidates() []placement.Upstream {
 	var ups []placement.Upstream
 	for _, n := range m.nodes {
-		if n.away {
+		if n.down {
 			continue
 		}
 		ups = append(ups, placement.Upstream{Key: n.key, Zone: n.zone, Slots: n.slots, ColdUntil: n.coldUntil})
@@ -182,15 +182,15 @@
 	return ups
 }
 
-// speeds draws how fast an upstream is at each tick, 1 being as usual.
-func speeds(rng *rand.Rand, share float64, ticks int) []float64 {
+// drawSpeeds draws how fast an upstream is at each tick, 1 being as usual.
+func drawSpeeds(rng *rand.Rand, share float64, ticks int) []float64 {
 	out := make([]float64, 2*ticks)
-	phase, speed := rng.IntN(noiseEvery), 1.0
+	phase, speed := rng.IntN(noisePeriodTicks), 1.0
 	for i := range out {
-		if (i+phase)%noiseEvery == 0 {
+		if (i+phase)%noisePeriodTicks == 0 {
 			speed = 1
 			if rng.Float64() < share {
-				speed = 1 / noiseFactor
+				speed = 1 / noiseSlowdown
 			}
 		}
 		out[i] = speed
@@ -201,27 +201,27 @@
 // play runs the pattern and returns the share of requests served within their target.
 func (m *mesh) play() float64 {
 	const restartAt = 5000
-	for m.ticks = 0; m.ticks < m.length+int(meshDeadline/tick); m.ticks++ {
-		m.now = model.Instant(0).Add(time.Duration(m.ticks) * tick)
-		if m.ticks == restartAt {
+	for m.tick = 0; m.tick < m.lengthTicks+int(meshDeadline/tickLength); m.tick++ {
+		m.now = model.Instant(0).Add(time.Duration(m.tick) * tickLength)
+		if m.tick == restartAt {
 			m.restart()
 		}
-		for _, f := range m.due[m.ticks] {
+		for _, f := range m.scheduled[m.tick] {
 			f()
 		}
-		delete(m.due, m.ticks)
-		m.comeAndGo()
+		delete(m.scheduled, m.tick)
+		m.updateAvailability()
 		for _, n := range m.nodes {
-			m.work(n)
+			m.runUpstream(n)
 		}
-		if m.ticks >= m.length {
+		if m.tick >= m.lengthTicks {
 			continue
 		}
 		for range m.arrivals() {
 			m.arrive()
 		}
-		if m.ticks%togetherEvery == togetherEvery/2 {
-			for range m.together {
+		if m.tick%burstPeriodTicks == burstPeriodTicks/2 {
+			for range m.burst {
 				m.arrive()
 			}
 		}
@@ -233,9 +233,9 @@
 func (m *mesh) arrivals() int {
 	rate := m.rate
 	if m.recorded != nil {
-		rate = m.recorded.rateAt(m.ticks)
+		rate = m.recorded.rateAtTick(m.tick)
 	}
-	n, left := 0, math.Exp(-rate*tick.Seconds())
+	n, left := 0, math.Exp(-rate*tickLength.Seconds())
 	for p := m.rng.Float64(); p > left; p *= m.rng.Float64() {
 		n++
 	}
@@ -243,123 +243,125 @@
 }
 
 func (m *mesh) restart() {
-	for _, n := range m.nodes[:m.restarted] {
-		n.coldUntil = m.now.Add(coldTicks * tick)
+	for _, n := range m.nodes[:m.restartedUpstreams] {
+		n.coldUntil = m.now.Add(coldTicks * tickLength)
 	}
-	m.inform()
+	m.updateUpstreams()
 }
 
-// comeAndGo takes away the upstreams that are gone at this tick, with what they
+// updateAvailability takes away the upstreams that are gone at this tick, with what they
 // run, and brings back those that are there.
-func (m *mesh) comeAndGo() {
+func (m *mesh) updateAvailability() {
 	changed := false
 	for _, n := range m.nodes {
-		if away := n.speeds[m.ticks] == 0; away != n.away {
-			n.away, changed = away, true
-			m.abandon(n)
+		if away := n.speeds[m.tick] == 0; away != n.down {
+			n.down, changed = away, true
+			m.dropRequests(n)
 		}
 	}
 	if changed {
-		m.inform()
+		m.updateUpstreams()
 	}
 }
 
-// abandon gives up what an upstream runs and hands back what waits for it.
-func (m *mesh) abandon(n *meshNode) {
-	for _, j := range n.runs {
+// dropRequests gives up what an upstream runs and hands back what waits for it.
+func (m *mesh) dropRequests(n *meshNode) {
+	for _, j := range n.running {
 		n.queue.Finish()
-		m.done(j, n, nil)
-		m.turned++
+		m.attemptDone(j, n, nil)
+		m.refused++
 	}
-	n.runs = nil
+	n.running = nil
 	for _, id := range slices.Sorted(maps.Keys(n.waiting)) {
 		n.queue.Remove(id)
-		m.giveBack(n.waiting[id], false)
+		m.reject(n.waiting[id], false)
 	}
 	clear(n.waiting)
 }
 
-func (m *mesh) after(ticks int, f func()) { m.due[m.ticks+ticks] = append(m.due[m.ticks+ticks], f) }
+func (m *mesh) schedule(ticks int, f func()) {
+	m.scheduled[m.tick+ticks] = append(m.scheduled[m.tick+ticks], f)
+}
 
 func (m *mesh) arrive() {
-	j := &job{entry: m.nodes[m.rng.IntN(len(m.nodes))], began: m.now, tried: map[string]bool{}}
-	j.requestKind, j.left = m.draw()
+	j := &meshRequest{entry: m.nodes[m.rng.IntN(len(m.nodes))], arrivedAt: m.now, rejectedBy: map[string]bool{}}
+	j.requestKind, j.remaining = m.drawRequest()
 	m.sent++
 	m.place(j)
 }
 
 // place sends a request to an upstream or turns it away.
-func (m *mesh) place(j *job) {
-	if m.now.Sub(j.began) >= j.deadline {
-		m.turned++
+func (m *mesh) place(j *meshRequest) {
+	if m.now.Sub(j.arrivedAt) >= j.deadline {
+		m.refused++
 		return
 	}
-	if j.full >= placement.MaxFullGuards {
+	if j.fullGuards >= placement.MaxFullGuards {
 		m.refuse(j)
 		return
 	}
-	if len(j.tried) == len(m.nodes) {
-		clear(j.tried)
+	if len(j.rejectedBy) == len(m.nodes) {
+		clear(j.rejectedBy)
 	}
 	to, alternative, ticks, ok := m.choose(j)
 	if !ok {
 		m.refuse(j)
 		return
 	}
-	j.at = to
+	j.guard = to
 	if to.zone == j.entry.zone {
-		ticks += nearTicks
+		ticks += localDelayTicks
 	} else {
-		ticks += farTicks
+		ticks += remoteDelayTicks
 	}
-	m.after(ticks, func() { m.reach(j, alternative) })
+	m.schedule(ticks, func() { m.arriveAtGuard(j, alternative) })
 }
 
-func (m *mesh) choose(j *job) (to *meshNode, alternative time.Duration, ticks int, ok bool) {
+func (m *mesh) choose(j *meshRequest) (to *meshNode, alternative time.Duration, ticks int, ok bool) {
 	switch m.policy {
-	case byChance:
+	case useRandom:
 		return m.nodes[m.rng.IntN(len(m.nodes))], 0, 0, true
-	case byFewest, fewestStraight:
+	case useLeastOutstanding, useLeastOutstandingWithoutGuards:
 		to = m.nodes[m.rng.IntN(len(m.nodes))]
 		for _, n := range m.nodes {
-			if j.entry.mine[n] < j.entry.mine[to] {
+			if j.entry.outstanding[n] < j.entry.outstanding[to] {
 				to = n
 			}
 		}
-		j.entry.mine[to]++
+		j.entry.outstanding[to]++
 		return to, 0, 0, true
 	}
 	ask := placement.Request{
-		ServiceTime: m.usual(j), Target: j.target - m.now.Sub(j.began),
-		Exclude: func(u placement.Upstream) bool { return j.tried[u.Key] },
+		ServiceTime: m.expectedServiceTime(j), Target: j.target - m.now.Sub(j.arrivedAt),
+		Exclude: func(u placement.Upstream) bool { return j.rejectedBy[u.Key] },
 	}
 	p := j.entry.placer
-	m.inquire(p, ask, j.rank, true, placement.MaxLocalQueries)
+	m.queryLoads(p, ask, j.rank, true, placement.MaxLocalQueries)
 	if !p.LocalMeetsTarget(m.now, ask) {
-		m.inquire(p, ask, j.rank, false, placement.MaxRemoteQueries)
-		ticks = farAskTicks
+		m.queryLoads(p, ask, j.rank, false, placement.MaxRemoteQueries)
+		ticks = remoteQueryTicks
 	}
 	c, ok := p.Choose(m.now, ask)
 	if !ok {
 		return nil, 0, 0, false
 	}
-	took := m.now.Sub(j.began)
-	if c.MissesDeadline(j.deadline-took) || c.MissesTarget(j.full, j.target-took) {
+	took := m.now.Sub(j.arrivedAt)
+	if c.MissesDeadline(j.deadline-took) || c.MissesTarget(j.fullGuards, j.target-took) {
 		p.Done(m.now, c.Upstream.Key, nil)
 		return nil, 0, 0, false
 	}
-	if j.givenBack < placement.MaxRejections {
+	if j.rejections < placement.MaxRejections {
 		alternative = c.Alternative
 	}
 	return m.node(c.Upstream.Key), alternative, ticks, true
 }
 
-// usual returns how long such requests usually run, as far as entries know.
-func (m *mesh) usual(j *job) time.Duration {
-	if m.untold {
-		return noisyRun
+// expectedServiceTime returns how long such requests usually run, as far as entries know.
+func (m *mesh) expectedServiceTime(j *meshRequest) time.Duration {
+	if m.hideSlowdown {
+		return meanNoisyServiceTime
 	}
-	return j.work
+	return j.serviceTime
 }
 
 func (m *mesh) node(key string) *meshNode {
@@ -371,7 +373,7 @@
 	return nil
 }
 
-func (m *mesh) inquire(p *placement.Placer, ask placement.Request, rank int, near bool, most int) {
+func (m *mesh) queryLoads(p *placement.Placer, ask placement.Request, rank int, near bool, most int) {
 	for _, up := range p.QueryTargets(m.now, ask, near, placement.MaxLoadAge, most) {
 		n := m.node(up.Key)
 		l := m.load(n)
@@ -381,13 +383,13 @@
 }
 
 func (m *mesh) load(n *meshNode) placement.Load {
-	if m.untold {
-		n.slowAt = m.now
-	} else if m.now.Sub(n.slowAt) >= placement.MaxSlowdownAge {
-		n.slow, n.slowAt = 1/n.speeds[m.ticks], m.now
+	if m.hideSlowdown {
+		n.slowdownAt = m.now
+	} else if m.now.Sub(n.slowdownAt) >= placement.MaxSlowdownAge {
+		n.slowdown, n.slowdownAt = 1/n.speeds[m.tick], m.now
 	}
 	return placement.Load{
 		Running: n.queue.Running(), Waiting: n.queue.Waiting(), Limit: n.queue.Limit(),
-		Slowdown: n.slow, SlowdownAge: m.now.Sub(n.slowAt),
+		Slowdown: n.slowdown, SlowdownAge: m.now.Sub(n.slowdownAt),
 	}
 }
--- a/replay/outcomes_test.go
+++ b/replay/outcomes_test.go
@@ -13,9 +13,9 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// stated is a row of testdata/replay/outcomes.json: the outcome stated for the
+// expectedOutcome is a row of testdata/replay/outcomes.json: the outcome stated for the
 // default policy on a generated trace. Latencies are ratios to the ideal.
-type stated struct {
+type expectedOutcome struct {
 	Topology string `json:"topology"`
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
@@ -29,11 +29,11 @@
 	Unknown int64 `json:"unknown"`
 }
 
-func outcomes(t *testing.T) []stated {
+func readExpectedOutcomes(t *testing.T) []expectedOutcome {
 	t.Helper()
 	data, err := os.ReadFile("../testdata/replay/outcomes.json")
 	require.NoError(t, err)
-	var rows []stated
+	var rows []expectedOutcome
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	require.NoError(t, dec.Decode(&rows))
@@ -41,7 +41,7 @@
 	return rows
 }
 
-func generated(t *testing.T, topology *Topology, name string, seed uint64) []Event {
+func generateEvents(t *testing.T, topology *Topology, name string, seed uint64) []Event {
 	t.Helper()
 	scenario, ok := FindScenario(name)
 	require.True(t, ok, name)
@@ -50,14 +50,14 @@
 
 func ratio(got, ideal int64) float64 { return float64(got) / float64(ideal) }
 
-// TestStatedOutcomes holds the default policy to its stated outcomes. Replay is
+// TestExpectedOutcomes holds the default policy to its stated outcomes. Replay is
 // deterministic, so a worse policy fails here on every run.
-func TestStatedOutcomes(t *testing.T) {
-	for _, want := range outcomes(t) {
+func TestExpectedOutcomes(t *testing.T) {
+	for _, want := range readExpectedOutcomes(t) {
 		t.Run(want.Topology+"/"+want.Scenario, func(t *testing.T) {
 			t.Parallel()
-			topology := shipped(t, want.Topology)
-			events := generated(t, topology, want.Scenario, want.Seed)
+			topology := loadTopology(t, want.Topology)
+			events := generateEvents(t, topology, want.Scenario, want.Seed)
 			r := mustRun(t, topology, events, Options{Seed: want.Seed})
 			total := r.Total
 			assert.EqualValues(t, total.Requests, total.Answered+total.NotRun+total.Unknown)
@@ -80,38 +80,38 @@
 	}
 }
 
-// beaten lists the traces on which the default policy is held against every
+// comparedScenarios lists the traces on which the default policy is held against every
 // baseline. Overloads are left out: there all policies wait for the same queue.
-var beaten = []string{"steady-85", "steady-95", "straggle", "fail-fast"}
+var comparedScenarios = []string{"steady-85", "steady-95", "straggle", "fail-fast"}
 
-// asGood is the ratio up to which two figures count as equal: another seed moves
+// tieTolerance is the ratio up to which two figures count as equal: another seed moves
 // them by as much.
-const asGood = 1.02
+const tieTolerance = 1.02
 
-// TestBeatsEveryBaseline holds the default policy's total p99 and p99.9 against
+// TestDefaultPolicyAtLeastAsGoodAsBaselines holds the default policy's total p99 and p99.9 against
 // those of the other policies in the same run.
-func TestBeatsEveryBaseline(t *testing.T) {
-	for _, name := range beaten {
+func TestDefaultPolicyAtLeastAsGoodAsBaselines(t *testing.T) {
+	for _, name := range comparedScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			topology := shipped(t, "kalahari")
-			events := generated(t, topology, name, 1)
+			topology := loadTopology(t, "kalahari")
+			events := generateEvents(t, topology, name, 1)
 			own := mustRun(t, topology, events, Options{Seed: 1}).Total
 			for _, baseline := range routing.Names()[1:] {
 				other := mustRun(t, topology, events, Options{Routing: baseline, Seed: 1}).Total
-				assert.LessOrEqual(t, ratio(own.P99, other.P99), asGood, "p99 against %s", baseline)
-				assert.LessOrEqual(t, ratio(own.P999, other.P999), asGood, "p99.9 against %s", baseline)
+				assert.LessOrEqual(t, ratio(own.P99, other.P99), tieTolerance, "p99 against %s", baseline)
+				assert.LessOrEqual(t, ratio(own.P999, other.P999), tieTolerance, "p99.9 against %s", baseline)
 			}
 		})
 	}
 }
 
-// TestLongRunOfMixedCostsKeepsEveryUpstream replays 20 s of cheap lookups beside
+// TestMixedCostsKeepAllUpstreamsInUse replays 20 s of cheap lookups beside
 // costly searches. An upstream that ran several searches at once once looked
 // like a straggler, was left by every entry and never tried again.
-func TestLongRunOfMixedCostsKeepsEveryUpstream(t *testing.T) {
+func TestMixedCostsKeepAllUpstreamsInUse(t *testing.T) {
 	t.Parallel()
-	topology := shipped(t, "cooperative")
+	topology := loadTopology(t, "cooperative")
 	topology.Services = topology.Services[1:]
 	scenario, _ := FindScenario("steady-85")
 	g := scenario.Generator(topology, 1)
--- a/replay/queue.go
+++ b/replay/queue.go
@@ -9,12 +9,12 @@
 // task is something that happens at a virtual instant. Tasks at one instant
 // happen in the order they were scheduled.
 type task struct {
-	at    model.Instant
-	order uint64
-	kind  taskKind
+	at       model.Instant
+	sequence uint64
+	kind     taskKind
 	// daemon is the index of the daemon that acts, or noDaemon.
-	daemon int
-	call   *call
+	daemon  int
+	attempt *attempt
 	// stamp must equal the call's when a finish is due; a crash raises it.
 	stamp uint32
 	run   func()
@@ -23,22 +23,22 @@
 type taskKind uint8
 
 const (
-	// arrive: a trace's request reaches its entry.
-	arrive taskKind = iota + 1
-	// reach: a call reaches the guard.
-	reach
-	// finish: the upstream ends a run.
-	finish
-	// expire: a waiting call's patience or deadline ends.
-	expire
-	// reply: an answer reaches the entry.
-	reply
-	// hedge: a call has outlasted its hedge delay.
-	hedge
-	// cancel: a cancellation reaches the guard.
-	cancel
-	// act: a fault begins or ends, or a view spreads.
-	act
+	// taskRequestArrival: a trace's request reaches its entry.
+	taskRequestArrival taskKind = iota + 1
+	// taskAttemptArrival: a call reaches the guard.
+	taskAttemptArrival
+	// taskFinish: the upstream ends a run.
+	taskFinish
+	// taskExpire: a waiting call's patience or deadline ends.
+	taskExpire
+	// taskReply: an answer reaches the entry.
+	taskReply
+	// taskHedge: a call has outlasted its hedge delay.
+	taskHedge
+	// taskCancel: a cancellation reaches the guard.
+	taskCancel
+	// taskFunc: a fault begins or ends, or a view spreads.
+	taskFunc
 )
 
 const noDaemon = -1
@@ -51,7 +51,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 func (h taskHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *taskHeap) Push(x any)   { *h = append(*h, x.(*task)) }
@@ -64,16 +64,16 @@
 	return t
 }
 
-// queue holds the tasks to come and reuses the done ones.
-type queue struct {
-	tasks taskHeap
-	order uint64
-	free  []*task
+// taskQueue holds the tasks to come and reuses the done ones.
+type taskQueue struct {
+	tasks        taskHeap
+	lastSequence uint64
+	free         []*task
 }
 
-func (q *queue) add(t task) {
-	q.order++
-	t.order = q.order
+func (q *taskQueue) add(t task) {
+	q.lastSequence++
+	t.sequence = q.lastSequence
 	var p *task
 	if n := len(q.free); n > 0 {
 		p, q.free = q.free[n-1], q.free[:n-1]
@@ -84,15 +84,15 @@
 	heap.Push(&q.tasks, p)
 }
 
-// next returns the instant of the next task.
-func (q *queue) next() (model.Instant, bool) {
+// nextInstant returns the instant of the next task.
+func (q *taskQueue) nextInstant() (model.Instant, bool) {
 	if len(q.tasks) == 0 {
 		return 0, false
 	}
 	return q.tasks[0].at, true
 }
 
-func (q *queue) pop() task {
+func (q *taskQueue) pop() task {
 	p := heap.Pop(&q.tasks).(*task)
 	t := *p
 	*p = task{}
--- a/replay/recorded_test.go
+++ b/replay/recorded_test.go
@@ -42,18 +42,18 @@
 // recordedKind is a kind of requests; Share is their number for each request of the
 // day.
 type recordedKind struct {
-	Share      float64 `json:"share"`
-	WorkMs     float64 `json:"work_ms"`
-	TargetMs   float64 `json:"target_ms"`
-	DeadlineMs float64 `json:"deadline_ms"`
-	Rank       int     `json:"rank"`
+	Share         float64 `json:"share"`
+	ServiceTimeMs float64 `json:"work_ms"`
+	TargetMs      float64 `json:"target_ms"`
+	DeadlineMs    float64 `json:"deadline_ms"`
+	Rank          int     `json:"rank"`
 }
 
-const ticksPerSecond = int(time.Second / tick)
+const ticksPerSecond = int(time.Second / tickLength)
 
 func (s *recordedService) ticks() int { return len(s.day.Rates) * s.day.WindowS * ticksPerSecond }
 
-func (s *recordedService) rateAt(t int) float64 {
+func (s *recordedService) rateAtTick(t int) float64 {
 	share := 0.0
 	for _, k := range s.Kinds {
 		share += k.Share
@@ -66,22 +66,22 @@
 	var out []requestKind
 	for _, k := range s.Kinds {
 		out = append(out, requestKind{
-			share: k.Share, work: millis(k.WorkMs), target: millis(k.TargetMs), deadline: millis(k.DeadlineMs), rank: k.Rank,
+			share: k.Share, serviceTime: millis(k.ServiceTimeMs), target: millis(k.TargetMs), deadline: millis(k.DeadlineMs), rank: k.Rank,
 		})
 	}
 	return out
 }
 
-// limit takes away the speed of an upstream where it was not there, and a part of it
+// applyDowntime takes away the speed of an upstream where it was not there, and a part of it
 // after each start but the first.
-func (u *recordedUpstream) limit(speeds []float64) []float64 {
+func (u *recordedUpstream) applyDowntime(speeds []float64) []float64 {
 	out := make([]float64, len(speeds))
 	for _, up := range u.Up {
 		from, to := int(up[0]*float64(ticksPerSecond)), int(up[1]*float64(ticksPerSecond))
 		for t := from; t < min(to, len(out)); t++ {
 			out[t] = speeds[t]
 			if from > 0 && t < from+coldTicks {
-				out[t] /= coldFactor
+				out[t] /= coldSlowdown
 			}
 		}
 	}
@@ -120,11 +120,11 @@
 			var ours, best, all float64
 			for i := range day.Services {
 				s := &day.Services[i]
-				p := pattern{slots: s.Slots, noise: s.Noise, recorded: s}
-				m := newMesh(p, byPlacement, 1)
+				p := workload{slots: s.Slots, noise: s.Noise, recorded: s}
+				m := newMesh(p, usePlacement, 1)
 				share := m.play()
 				sent := float64(m.sent)
-				ours, best, all = ours+share*sent, best+central(p, 1)*sent, all+sent
+				ours, best, all = ours+share*sent, best+centralQueueShare(p, 1)*sent, all+sent
 			}
 			t.Logf("within target: %.3f, central queue %.3f", ours/all, best/all)
 			require.GreaterOrEqual(t, ours, ofCentral*best)
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -12,8 +12,8 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// one returns a topology of one zone and one service with the given upstreams.
-func one(upstreams ...Upstream) *Topology {
+// singleZoneTopology returns a topology of one zone and one service with the given upstreams.
+func singleZoneTopology(upstreams ...Upstream) *Topology {
 	for i := range upstreams {
 		upstreams[i].Zone = "a"
 	}
@@ -23,7 +23,7 @@
 	}
 }
 
-func ask(atUs, costUs int64) Event {
+func newRequest(atUs, costUs int64) Event {
 	return Event{AtUs: atUs, Service: "s", Group: "g", CostUs: costUs, Idempotent: true, DeadlineMs: 1000, Zone: "a"}
 }
 
@@ -34,44 +34,44 @@
 	return r
 }
 
-func TestRunByHand(t *testing.T) {
+func TestRunSmallTraces(t *testing.T) {
 	cases := map[string]struct {
 		topology *Topology
 		events   []Event
-		want     Figures
+		want     Stats
 	}{
 		"second waits for the slot": {
-			one(Upstream{Slots: 1}), []Event{ask(0, 1000), ask(0, 1000)},
-			Figures{Answered: 2, Latency: Latency{P50: 1000, Max: 2000}, Ideal: Latency{P50: 1000, Max: 2000}},
+			singleZoneTopology(Upstream{Slots: 1}), []Event{newRequest(0, 1000), newRequest(0, 1000)},
+			Stats{Answered: 2, Latency: Latency{P50: 1000, Max: 2000}, Ideal: Latency{P50: 1000, Max: 2000}},
 		},
 		"waiting past the deadline is not run": {
-			one(Upstream{Slots: 1}), []Event{ask(0, 2_000_000), ask(0, 1000)},
-			Figures{NotRun: 1, Unknown: 1, Ideal: Latency{P50: 2_000_000, Max: 2_001_000}},
+			singleZoneTopology(Upstream{Slots: 1}), []Event{newRequest(0, 2_000_000), newRequest(0, 1000)},
+			Stats{NotRun: 1, Unknown: 1, Ideal: Latency{P50: 2_000_000, Max: 2_001_000}},
 		},
 		"crash loses what runs": {
-			one(Upstream{Slots: 1}),
-			[]Event{ask(0, 5000), {AtUs: 1000, Fault: Crash, Target: "s-1"}},
-			Figures{Unknown: 1, Ideal: Latency{P50: 5000, Max: 5000}},
+			singleZoneTopology(Upstream{Slots: 1}),
+			[]Event{newRequest(0, 5000), {AtUs: 1000, Fault: Crash, Target: "s-1"}},
+			Stats{Unknown: 1, Ideal: Latency{P50: 5000, Max: 5000}},
 		},
 		"refused by a failing upstream": {
-			one(Upstream{Slots: 1}),
-			[]Event{{Fault: FailFast, Target: "s-1", ForMs: 1}, ask(0, 1000)},
-			Figures{NotRun: 1, Ideal: Latency{P50: 2000, Max: 2000}},
+			singleZoneTopology(Upstream{Slots: 1}),
+			[]Event{{Fault: FailFast, Target: "s-1", ForMs: 1}, newRequest(0, 1000)},
+			Stats{NotRun: 1, Ideal: Latency{P50: 2000, Max: 2000}},
 		},
 		"drained by the operator": {
-			one(Upstream{Slots: 1}),
-			[]Event{{Fault: Drain, Target: "s-1", ForMs: 1}, ask(0, 1000)},
-			Figures{NotRun: 1, Ideal: Latency{P50: 2000, Max: 2000}},
+			singleZoneTopology(Upstream{Slots: 1}),
+			[]Event{{Fault: Drain, Target: "s-1", ForMs: 1}, newRequest(0, 1000)},
+			Stats{NotRun: 1, Ideal: Latency{P50: 2000, Max: 2000}},
 		},
 		"straggler": {
-			one(Upstream{Slots: 1}),
-			[]Event{{Fault: Straggle, Target: "s-1", Factor: 8}, ask(0, 1000)},
-			Figures{Answered: 1, Latency: Latency{P50: 8000, Max: 8000}, Ideal: Latency{P50: 8000, Max: 8000}},
+			singleZoneTopology(Upstream{Slots: 1}),
+			[]Event{{Fault: Straggle, Target: "s-1", Factor: 8}, newRequest(0, 1000)},
+			Stats{Answered: 1, Latency: Latency{P50: 8000, Max: 8000}, Ideal: Latency{P50: 8000, Max: 8000}},
 		},
 		"paused daemon": {
-			one(Upstream{Slots: 1}),
-			[]Event{ask(0, 1000), {AtUs: 500, Fault: PauseDaemon, Target: "s-1", ForMs: 10}},
-			Figures{Answered: 1, Latency: Latency{P50: 10_500, Max: 10_500}, Ideal: Latency{P50: 1000, Max: 1000}},
+			singleZoneTopology(Upstream{Slots: 1}),
+			[]Event{newRequest(0, 1000), {AtUs: 500, Fault: PauseDaemon, Target: "s-1", ForMs: 10}},
+			Stats{Answered: 1, Latency: Latency{P50: 10_500, Max: 10_500}, Ideal: Latency{P50: 1000, Max: 1000}},
 		},
 	}
 	for name, tc := range cases {
@@ -100,18 +100,18 @@
 
 func TestCrashedUpstreamComesBackAsNewIncarnation(t *testing.T) {
 	events := []Event{
-		ask(0, 5000),
+		newRequest(0, 5000),
 		{AtUs: 1000, Fault: Crash, Target: "s-1", ForMs: 10},
-		ask(600_000, 1000),
+		newRequest(600_000, 1000),
 	}
-	r := mustRun(t, one(Upstream{Slots: 1}), events, Options{})
+	r := mustRun(t, singleZoneTopology(Upstream{Slots: 1}), events, Options{})
 	assert.EqualValues(t, 1, r.Total.Answered)
 	assert.EqualValues(t, 1, r.Total.Unknown)
 }
 
 func TestNonIdempotentNeverRunsTwiceThroughCrashes(t *testing.T) {
 	t.Parallel()
-	topology := shipped(t, "kalahari")
+	topology := loadTopology(t, "kalahari")
 	scenario, _ := FindScenario("crash+log-down")
 	events := scenario.Generator(topology, 3).Events()
 	for i := range events {
@@ -125,7 +125,7 @@
 
 func TestSameSeedSameBytes(t *testing.T) {
 	t.Parallel()
-	topology := shipped(t, "kalahari")
+	topology := loadTopology(t, "kalahari")
 	scenario, _ := FindScenario("fail-fast+crash")
 	g := scenario.Generator(topology, 1)
 	g.Duration = 1200 * time.Millisecond
@@ -140,14 +140,14 @@
 }
 
 func TestUnknownPolicy(t *testing.T) {
-	_, err := Run(one(Upstream{Slots: 1}), []Event{ask(0, 1)}, Options{Routing: "best"})
+	_, err := Run(singleZoneTopology(Upstream{Slots: 1}), []Event{newRequest(0, 1)}, Options{Routing: "best"})
 	var unknown *routing.UnknownPolicyError
 	require.ErrorAs(t, err, &unknown)
 	assert.Equal(t, "best", unknown.Name)
 }
 
 func BenchmarkReplayMillionRequests(b *testing.B) {
-	topology := shipped(b, "cooperative")
+	topology := loadTopology(b, "cooperative")
 	scenario, _ := FindScenario("steady-85")
 	g := scenario.Generator(topology, 1)
 	g.Duration *= 16
--- a/replay/result.go
+++ b/replay/result.go
@@ -13,8 +13,8 @@
 // Latency holds percentiles in microseconds.
 type Latency = latency.Percentiles
 
-// Figures are the outcome of a replay for one group, or for all.
-type Figures struct {
+// Stats are the outcome of a replay for one group, or for all.
+type Stats struct {
 	// Service and Group are empty in the total.
 	Service  model.ServiceName `json:"service,omitempty"`
 	Group    model.GroupName   `json:"group,omitempty"`
@@ -38,8 +38,8 @@
 
 // Result is the outcome of a replay.
 type Result struct {
-	Total  Figures   `json:"total"`
-	Groups []Figures `json:"groups"`
+	Total  Stats   `json:"total"`
+	Groups []Stats `json:"groups"`
 }
 
 // groupKey names a group of a service.
@@ -48,47 +48,49 @@
 	group   model.GroupName
 }
 
-// account collects the figures of one group.
-type account struct {
-	Figures
-	latency *latency.Histogram
-	slot    time.Duration
+// groupCollector collects the figures of one group.
+type groupCollector struct {
+	Stats
+	latency  *latency.Histogram
+	slotTime time.Duration
 }
 
-// book collects the figures of a replay.
-type book struct {
-	total  *account
-	groups map[groupKey]*account
+// collector collects the figures of a replay.
+type collector struct {
+	total  *groupCollector
+	groups map[groupKey]*groupCollector
 }
 
-func newAccount() *account { return &account{latency: latency.NewHistogram()} }
+func newGroupCollector() *groupCollector { return &groupCollector{latency: latency.NewHistogram()} }
 
-func newBook() *book { return &book{total: newAccount(), groups: make(map[groupKey]*account)} }
+func newCollector() *collector {
+	return &collector{total: newGroupCollector(), groups: make(map[groupKey]*groupCollector)}
+}
 
-func (b *book) group(req *request) *account {
+func (b *collector) groupOf(req *request) *groupCollector {
 	k := groupKey{req.event.Service, req.event.Group}
 	a := b.groups[k]
 	if a == nil {
-		a = newAccount()
+		a = newGroupCollector()
 		a.Service, a.Group = k.service, k.group
 		b.groups[k] = a
 	}
 	return a
 }
 
-func (b *book) end(req *request, o outcome.Outcome, latency time.Duration) {
-	b.total.end(req, o, latency)
-	b.group(req).end(req, o, latency)
+func (b *collector) add(req *request, o outcome.Outcome, latency time.Duration) {
+	b.total.add(req, o, latency)
+	b.groupOf(req).add(req, o, latency)
 }
 
-func (b *book) used(req *request, d time.Duration) {
-	b.total.slot += d
-	b.group(req).slot += d
+func (b *collector) addSlotTime(req *request, d time.Duration) {
+	b.total.slotTime += d
+	b.groupOf(req).slotTime += d
 }
 
-func (a *account) end(req *request, o outcome.Outcome, latency time.Duration) {
+func (a *groupCollector) add(req *request, o outcome.Outcome, latency time.Duration) {
 	a.Requests++
-	if !req.event.Idempotent && req.runs > 1 {
+	if !req.event.Idempotent && req.executions > 1 {
 		a.RunsTwice++
 	}
 	switch o.Kind {
@@ -103,35 +105,35 @@
 }
 
 // result closes the book.
-func (b *book) result(s *sim) *Result {
+func (b *collector) result(s *simulation) *Result {
 	slot := make(map[model.ServiceName]time.Duration)
 	for k, a := range b.groups {
-		slot[k.service] += a.slot
+		slot[k.service] += a.slotTime
 	}
-	r := &Result{Total: b.total.close(b.total.slot), Groups: []Figures{}}
+	r := &Result{Total: b.total.summarize(b.total.slotTime), Groups: []Stats{}}
 	r.Total.MeasuringShare = s.measuringShare(s.guards)
 	for k, a := range b.groups {
-		f := a.close(slot[k.service])
+		f := a.summarize(slot[k.service])
 		f.MeasuringShare = s.measuringShare(s.services[k.service].guards)
 		r.Groups = append(r.Groups, f)
 	}
-	slices.SortFunc(r.Groups, func(a, b Figures) int {
+	slices.SortFunc(r.Groups, func(a, b Stats) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Group, b.Group))
 	})
 	return r
 }
 
-func (a *account) close(service time.Duration) Figures {
-	f := a.Figures
+func (a *groupCollector) summarize(service time.Duration) Stats {
+	f := a.Stats
 	f.Latency = a.latency.Percentiles()
 	if service > 0 {
-		f.SlotTimeShare = float64(a.slot) / float64(service)
+		f.SlotTimeShare = float64(a.slotTime) / float64(service)
 	}
 	return f
 }
 
 // measuringShare is the part of the guards' capacity that measuring took.
-func (s *sim) measuringShare(guards []*guard) float64 {
+func (s *simulation) measuringShare(guards []*guard) float64 {
 	spent, slots := time.Duration(0), 0
 	for _, g := range guards {
 		spent += g.monitor.Spent()
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -18,26 +18,26 @@
 	Seed uint64
 }
 
-// sim is one replay under way.
-type sim struct {
-	topology *Topology
-	opts     Options
-	rng      *rand.Rand
-	now      model.Instant
-	queue    queue
-	guards   []*guard
-	entries  []*entry
-	byName   map[string]*guard
-	byZone   map[model.AvailabilityZone][]*entry
-	turn     map[model.AvailabilityZone]int
-	services map[model.ServiceName]*service
-	cut      map[model.AvailabilityZone]bool
-	logDown  bool
-	held     []func()
-	nextID   uint64
+// simulation is one replay under way.
+type simulation struct {
+	topology          *Topology
+	opts              Options
+	rng               *rand.Rand
+	now               model.Instant
+	queue             taskQueue
+	guards            []*guard
+	entries           []*entry
+	guardsByName      map[string]*guard
+	entriesByZone     map[model.AvailabilityZone][]*entry
+	nextEntry         map[model.AvailabilityZone]int
+	services          map[model.ServiceName]*service
+	partitionedZones  map[model.AvailabilityZone]bool
+	logDown           bool
+	heldAnnouncements []func()
+	nextID            uint64
 	// end is the instant of the trace's last event.
-	end  model.Instant
-	book *book
+	end       model.Instant
+	collector *collector
 }
 
 // service is a service of the topology with its guards.
@@ -52,30 +52,30 @@
 	if len(events) == 0 {
 		return nil, errNoEvents
 	}
-	s, err := newSim(t, opts)
+	s, err := newSimulation(t, opts)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.checkTargets(events); err != nil {
+	if err := s.checkEvents(events); err != nil {
 		return nil, err
 	}
 	s.run(events)
-	r := s.book.result(s)
-	ideal(t, events, r)
+	r := s.collector.result(s)
+	addIdealBound(t, events, r)
 	return r, nil
 }
 
-func newSim(t *Topology, opts Options) (*sim, error) {
-	s := &sim{
-		topology: t,
-		opts:     opts,
-		rng:      rand.New(rand.NewPCG(opts.Seed, seedStream)),
-		byName:   make(map[string]*guard),
-		byZone:   make(map[model.AvailabilityZone][]*entry),
-		turn:     make(map[model.AvailabilityZone]int),
-		services: make(map[model.ServiceName]*service),
-		cut:      make(map[model.AvailabilityZone]bool),
-		book:     newBook(),
+func newSimulation(t *Topology, opts Options) (*simulation, error) {
+	s := &simulation{
+		topology:         t,
+		opts:             opts,
+		rng:              rand.New(rand.NewPCG(opts.Seed, seedStream)),
+		guardsByName:     make(map[string]*guard),
+		entriesByZone:    make(map[model.AvailabilityZone][]*entry),
+		nextEntry:        make(map[model.AvailabilityZone]int),
+		services:         make(map[model.ServiceName]*service),
+		partitionedZones: make(map[model.AvailabilityZone]bool),
+		collector:        newCollector(),
 	}
 	for i := range t.Services {
 		s.addService(&t.Services[i])
@@ -86,22 +86,22 @@
 			return nil, err
 		}
 		s.entries = append(s.entries, e)
-		s.byZone[e.zone] = append(s.byZone[e.zone], e)
+		s.entriesByZone[e.zone] = append(s.entriesByZone[e.zone], e)
 	}
-	s.spread()
+	s.updateRouters()
 	return s, nil
 }
 
 // seedStream separates the replay's random choices from the routers'.
 const seedStream = 0x9e3779b97f4a7c15
 
-func (s *sim) addService(spec *Service) {
+func (s *simulation) addService(spec *Service) {
 	svc := &service{spec: spec}
 	s.services[spec.Name] = svc
 	for i, u := range spec.Upstreams {
 		g := newGuard(s, len(s.guards), spec, u, upstreamName(spec.Name, i))
 		s.guards = append(s.guards, g)
-		s.byName[string(g.upstream.ID)] = g
+		s.guardsByName[string(g.upstream.ID)] = g
 		svc.guards = append(svc.guards, g)
 	}
 }
@@ -109,8 +109,8 @@
 // upstreamName names the i-th upstream of a service, from 0.
 func upstreamName(s model.ServiceName, i int) string { return fmt.Sprintf("%s-%d", s, i+1) }
 
-// checkTargets refuses a trace that does not fit the topology.
-func (s *sim) checkTargets(events []Event) error {
+// checkEvents refuses a trace that does not fit the topology.
+func (s *simulation) checkEvents(events []Event) error {
 	for i := range events {
 		e := &events[i]
 		switch {
@@ -121,7 +121,7 @@
 			}
 		case e.Fault == Recover && s.topology.hasZone(model.AvailabilityZone(e.Target)):
 		case e.Fault != "":
-			if s.byName[e.Target] == nil {
+			if s.guardsByName[e.Target] == nil {
 				return &FieldError{"target", e.Target, "the topology has no such upstream"}
 			}
 		case !s.topology.hasZone(e.Zone):
@@ -133,17 +133,17 @@
 	return nil
 }
 
-func (s *sim) run(events []Event) {
+func (s *simulation) run(events []Event) {
 	s.end = instant(events[len(events)-1].AtUs)
 	for _, g := range s.guards {
-		s.after(g.monitor.NextPoll().Sub(0), g.poll)
+		s.schedule(g.monitor.NextPoll().Sub(0), g.poll)
 	}
 	i := 0
 	for {
-		at, any := s.queue.next()
+		at, any := s.queue.nextInstant()
 		if i < len(events) && (!any || instant(events[i].AtUs) <= at) {
 			s.now = instant(events[i].AtUs)
-			s.begin(&events[i])
+			s.processEvent(&events[i])
 			i++
 			continue
 		}
@@ -160,25 +160,25 @@
 	return model.Instant(time.Duration(us) * time.Microsecond)
 }
 
-func (s *sim) begin(e *Event) {
+func (s *simulation) processEvent(e *Event) {
 	if e.Fault != "" {
-		s.fault(e)
+		s.startFault(e)
 		return
 	}
-	zone := s.byZone[e.Zone]
+	zone := s.entriesByZone[e.Zone]
 	if len(zone) == 0 {
 		zone = s.entries
 	}
-	entry := zone[s.turn[e.Zone]%len(zone)]
-	s.turn[e.Zone]++
+	entry := zone[s.nextEntry[e.Zone]%len(zone)]
+	s.nextEntry[e.Zone]++
 	req := &request{event: e, entry: entry, arrived: s.now, last: outcome.NotRunBecause(outcome.ReasonNoUpstream)}
-	c := &call{req: req}
-	s.dispatch(task{kind: arrive, daemon: entry.index, call: c})
+	a := &attempt{req: req}
+	s.dispatch(task{kind: taskRequestArrival, daemon: entry.index, attempt: a})
 }
 
 // dispatch carries out a task, or holds it back while its daemon is paused.
-func (s *sim) dispatch(t task) {
-	if t.daemon != noDaemon && t.kind != act {
+func (s *simulation) dispatch(t task) {
+	if t.daemon != noDaemon && t.kind != taskFunc {
 		if until := s.guards[t.daemon].pausedUntil; until > s.now {
 			t.at = until
 			s.queue.add(t)
@@ -186,31 +186,31 @@
 		}
 	}
 	switch t.kind {
-	case arrive:
-		t.call.req.entry.place(t.call.req)
-	case reach:
-		t.call.guard.arrive(t.call)
-	case finish:
-		t.call.guard.finish(t.call, t.stamp)
-	case expire:
-		t.call.guard.expire(t.call, t.stamp)
-	case reply:
-		t.call.req.entry.settle(t.call)
-	case hedge:
-		t.call.req.entry.hedge(t.call)
-	case cancel:
-		t.call.guard.cancel(t.call)
-	case act:
+	case taskRequestArrival:
+		t.attempt.req.entry.place(t.attempt.req)
+	case taskAttemptArrival:
+		t.attempt.guard.arrive(t.attempt)
+	case taskFinish:
+		t.attempt.guard.finish(t.attempt, t.stamp)
+	case taskExpire:
+		t.attempt.guard.expire(t.attempt, t.stamp)
+	case taskReply:
+		t.attempt.req.entry.handleReply(t.attempt)
+	case taskHedge:
+		t.attempt.req.entry.hedge(t.attempt)
+	case taskCancel:
+		t.attempt.guard.cancel(t.attempt)
+	case taskFunc:
 		t.run()
 	}
 }
 
-func (s *sim) after(d time.Duration, run func()) {
-	s.queue.add(task{at: s.now.Add(d), kind: act, daemon: noDaemon, run: run})
+func (s *simulation) schedule(d time.Duration, run func()) {
+	s.queue.add(task{at: s.now.Add(d), kind: taskFunc, daemon: noDaemon, run: run})
 }
 
 // delay is the one-way delay between two daemons.
-func (s *sim) delay(a, b int) time.Duration {
+func (s *simulation) delay(a, b int) time.Duration {
 	za, zb := s.guards[a].upstream.Zone, s.guards[b].upstream.Zone
 	switch {
 	case a == b:
@@ -222,35 +222,35 @@
 	}
 }
 
-// severed reports whether a partition cuts the two daemons apart.
-func (s *sim) severed(a, b int) bool {
+// partitioned reports whether a partition cuts the two daemons apart.
+func (s *simulation) partitioned(a, b int) bool {
 	za, zb := s.guards[a].upstream.Zone, s.guards[b].upstream.Zone
-	return za != zb && (s.cut[za] || s.cut[zb])
+	return za != zb && (s.partitionedZones[za] || s.partitionedZones[zb])
 }
 
-// spread hands the membership view to every entry, as the log would.
-func (s *sim) spread() {
+// updateRouters hands the membership view to every entry, as the log would.
+func (s *simulation) updateRouters() {
 	for _, e := range s.entries {
 		for name, svc := range s.services {
-			e.routers[name].SetUpstreams(s.now, svc.view())
+			e.routers[name].SetUpstreams(s.now, svc.upstreams())
 		}
 	}
 }
 
-// announce spreads a change of membership after the log's delay, or when the
+// announceMembership spreads a change of membership after the log's delay, or when the
 // log comes back.
-func (s *sim) announce() {
+func (s *simulation) announceMembership() {
 	if s.logDown {
-		s.held = append(s.held, s.announce)
+		s.heldAnnouncements = append(s.heldAnnouncements, s.announceMembership)
 		return
 	}
-	s.after(spreadDelay, s.spread)
+	s.schedule(membershipDelay, s.updateRouters)
 }
 
-// spreadDelay is the time that a membership change takes over the log.
-const spreadDelay = 250 * time.Millisecond
+// membershipDelay is the time that a membership change takes over the log.
+const membershipDelay = 250 * time.Millisecond
 
-func (svc *service) view() []model.Upstream {
+func (svc *service) upstreams() []model.Upstream {
 	ups := make([]model.Upstream, 0, len(svc.guards))
 	for _, g := range svc.guards {
 		ups = append(ups, g.upstream)
@@ -258,7 +258,7 @@
 	return ups
 }
 
-func (s *sim) routingOptions(i int, zone model.AvailabilityZone, self model.DaemonID) routing.Options {
+func (s *simulation) routingOptions(i int, zone model.AvailabilityZone, self model.DaemonID) routing.Options {
 	delays := make(map[model.AvailabilityZone]time.Duration, len(s.topology.Zones))
 	for _, z := range s.topology.Zones {
 		delays[z] = time.Duration(s.topology.Delay.BetweenZones)
--- a/replay/topology.go
+++ b/replay/topology.go
@@ -147,15 +147,15 @@
 	if errors.As(e.cause, &mismatch) {
 		return mismatch.Offset
 	}
-	if i := bytes.Index(data, []byte(culprit(e.cause))); i > 0 {
+	if i := bytes.Index(data, []byte(offendingText(e.cause))); i > 0 {
 		return int64(i)
 	}
 	return e.offset
 }
 
-// culprit returns the text of the field or value that an error without a
+// offendingText returns the text of the field or value that an error without a
 // position names.
-func culprit(err error) string {
+func offendingText(err error) string {
 	text := err.Error()
 	if field, ok := strings.CutPrefix(text, "json: unknown field "); ok {
 		return field
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -40,7 +40,7 @@
 	PauseDaemon Fault = "pause_daemon"
 )
 
-var faults = map[Fault]bool{
+var knownFaults = map[Fault]bool{
 	Straggle: true, Drain: true, FailFast: true, ColdStart: true, Crash: true,
 	Recover: true, Misreport: true, PartitionZone: true, LogDown: true, PauseDaemon: true,
 }
@@ -72,8 +72,8 @@
 
 const defaultDeadlineMs = 10_000
 
-// maxLine bounds one line of a trace, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a trace, in bytes.
+const maxLineBytes = 1 << 20
 
 var errNoEvents = errors.New("trace holds no lines")
 
@@ -81,7 +81,7 @@
 // as a *LineError.
 func ReadTrace(r io.Reader) ([]Event, error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	names := make(interner)
 	var events []Event
 	line := 0
@@ -144,7 +144,7 @@
 }
 
 func (e *Event) checkFault() error {
-	if !faults[e.Fault] {
+	if !knownFaults[e.Fault] {
 		return &FieldError{"fault", e.Fault, "unknown fault"}
 	}
 	if e.Service != "" || e.Caller != "" || e.Group != "" || e.CostUs != 0 || e.Key != "" {
@@ -165,7 +165,7 @@
 // interner keeps one copy of each name, so that long traces stay small.
 type interner map[string]string
 
-func (n interner) one(s string) string {
+func (n interner) canonical(s string) string {
 	if kept, ok := n[s]; ok {
 		return kept
 	}
@@ -174,8 +174,8 @@
 }
 
 func (n interner) intern(e *Event) {
-	e.Caller = model.CallerName(n.one(string(e.Caller)))
-	e.Group = model.GroupName(n.one(string(e.Group)))
-	e.Service = model.ServiceName(n.one(string(e.Service)))
-	e.Zone = model.AvailabilityZone(n.one(string(e.Zone)))
+	e.Caller = model.CallerName(n.canonical(string(e.Caller)))
+	e.Group = model.GroupName(n.canonical(string(e.Group)))
+	e.Service = model.ServiceName(n.canonical(string(e.Service)))
+	e.Zone = model.AvailabilityZone(n.canonical(string(e.Zone)))
 }
--- a/replay/upstream.go
+++ b/replay/upstream.go
@@ -13,17 +13,17 @@
 // fakeUpstream is slots, a service-time source and its faults.
 type fakeUpstream struct {
 	spec        *Service
-	real        int
+	realSlots   int
 	running     int
 	connections int
 	faults      faultState
 	crashed     bool
 	// history holds what ran since the report lag ago, oldest first.
-	history []moment
+	history []runningSample
 }
 
-// moment is the number of requests running from an instant on.
-type moment struct {
+// runningSample is the number of requests running from an instant on.
+type runningSample struct {
 	at      model.Instant
 	running int
 }
@@ -46,35 +46,35 @@
 	if real == 0 {
 		real = u.Slots
 	}
-	return fakeUpstream{spec: spec, real: real, faults: faultState{straggle: 1, misreport: 1}}
+	return fakeUpstream{spec: spec, realSlots: real, faults: faultState{straggle: 1, misreport: 1}}
 }
 
 // run starts a request and tells how long it takes and how it ends.
-func (f *fakeUpstream) run(now model.Instant, c *call) (time.Duration, outcome.Outcome, bool) {
-	f.change(now, 1)
+func (f *fakeUpstream) run(now model.Instant, a *attempt) (time.Duration, outcome.Outcome, bool) {
+	f.adjustRunning(now, 1)
 	switch {
 	case f.crashed:
 		return rejectTime, outcome.NotRunBecause(outcome.ReasonConnect), true
 	case f.faults.failFast:
 		return rejectTime, outcome.NotRunBecause(outcome.ReasonUpstreamRefused), true
 	}
-	took := time.Duration(c.req.event.CostUs) * time.Microsecond
-	crowd := max(1, float64(f.running)/float64(f.real))
+	took := time.Duration(a.req.event.CostUs) * time.Microsecond
+	crowd := max(1, float64(f.running)/float64(f.realSlots))
 	took = time.Duration(float64(took) * crowd * f.faults.slowdown(now))
-	return took + f.connect(), outcome.Done(), false
+	return took + f.connectionDelay(), outcome.Done(), false
 }
 
-func (f *fakeUpstream) release(now model.Instant) { f.change(now, -1) }
+func (f *fakeUpstream) release(now model.Instant) { f.adjustRunning(now, -1) }
 
-// change counts a request that starts or ends.
-func (f *fakeUpstream) change(now model.Instant, n int) {
+// adjustRunning counts a request that starts or ends.
+func (f *fakeUpstream) adjustRunning(now model.Instant, n int) {
 	f.running += n
-	f.history = append(f.history, moment{now, f.running})
-	f.forget(now)
+	f.history = append(f.history, runningSample{now, f.running})
+	f.trimHistory(now)
 }
 
-// forget drops what is older than the report lag, but for the newest of it.
-func (f *fakeUpstream) forget(now model.Instant) {
+// trimHistory drops what is older than the report lag, but for the newest of it.
+func (f *fakeUpstream) trimHistory(now model.Instant) {
 	then := now.Add(-time.Duration(f.spec.ReportLag))
 	old := 0
 	for old+1 < len(f.history) && f.history[old+1].at <= then {
@@ -85,8 +85,8 @@
 	}
 }
 
-// report is what the upstream says it runs: late, and times the lie.
-func (f *fakeUpstream) report(now model.Instant) int {
+// reportedRunning is what the upstream says it runs: late, and times the lie.
+func (f *fakeUpstream) reportedRunning(now model.Instant) int {
 	then := now.Add(-time.Duration(f.spec.ReportLag))
 	said := 0
 	for _, m := range f.history {
@@ -98,8 +98,8 @@
 	return int(math.Round(float64(said) * f.faults.misreport))
 }
 
-// connect returns the cost of a new connection when none is idle.
-func (f *fakeUpstream) connect() time.Duration {
+// connectionDelay returns the cost of a new connection when none is idle.
+func (f *fakeUpstream) connectionDelay() time.Duration {
 	if f.running <= f.connections || f.connections >= f.spec.Connections {
 		return 0
 	}
@@ -117,13 +117,13 @@
 	return factor
 }
 
-// inOrder returns the guard's calls by id, so that the order does not depend
+// attemptsByID returns the guard's calls by id, so that the order does not depend
 // on the map.
-func (g *guard) inOrder() []*call {
-	calls := make([]*call, 0, len(g.calls))
-	for _, c := range g.calls {
-		calls = append(calls, c)
+func (g *guard) attemptsByID() []*attempt {
+	attempts := make([]*attempt, 0, len(g.attempts))
+	for _, a := range g.attempts {
+		attempts = append(attempts, a)
 	}
-	slices.SortFunc(calls, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
-	return calls
+	slices.SortFunc(attempts, func(x, y *attempt) int { return cmp.Compare(x.id, y.id) })
+	return attempts
 }
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -38,14 +38,14 @@
 }
 
 func TestDrawResultsOfLoadAndReplay(t *testing.T) {
-	bounded := replay.Figures{Service: "returdesk", Group: "sorters"}
+	bounded := replay.Stats{Service: "returdesk", Group: "sorters"}
 	bounded.Latency = replay.Latency{P50: 1, P99: 2, P999: 3, Max: 4}
 	bounded.Ideal = replay.Latency{P50: 1, P99: 1, P999: 2, Max: 2}
 	var results []Result
 	for _, c := range []struct{ file, label string }{
 		{write(t, "random.json", loadResult(9000)), ""},
 		{write(t, "new.json", loadResult(2000)), "expected completion"},
-		{write(t, "replayed.json", replay.Result{Groups: []replay.Figures{bounded}}), ""},
+		{write(t, "replayed.json", replay.Result{Groups: []replay.Stats{bounded}}), ""},
 	} {
 		r, err := Read(c.file, c.label)
 		require.NoError(t, err)
