--- a/latency/doc.go
+++ b/latency/doc.go
@@ -1,5 +1,6 @@
-// Package latency records durations and gives their percentiles.
+// Package latency records durations in histograms and computes percentiles.
 //
-// A Histogram keeps three significant digits from a microsecond to two hours;
-// what lies beyond counts as the nearest of the two.
+// A Histogram keeps durations from one microsecond to two hours with a precision
+// of three significant digits. Shorter and longer durations are recorded as the
+// nearest of these two limits.
 package latency
--- a/latency/histogram.go
+++ b/latency/histogram.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	lowestUs  = 1
-	highestUs = int64(2 * time.Hour / time.Microsecond)
-	digits    = 3
+	minUs             = 1
+	maxUs             = int64(2 * time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
 // Percentiles are durations in microseconds.
@@ -27,22 +27,23 @@
 
 // NewHistogram returns an empty Histogram.
 func NewHistogram() *Histogram {
-	return &Histogram{hdr: hdrhistogram.New(lowestUs, highestUs, digits)}
+	return &Histogram{hdr: hdrhistogram.New(minUs, maxUs, significantDigits)}
 }
 
 // Record adds a duration.
 func (h *Histogram) Record(d time.Duration) {
-	// A value within the bounds is never refused.
-	_ = h.hdr.RecordValue(min(max(d.Microseconds(), lowestUs), highestUs))
+	// RecordValue fails only for values out of range.
+	_ = h.hdr.RecordValue(min(max(d.Microseconds(), minUs), maxUs))
 }
 
 // Count returns the number of durations recorded.
 func (h *Histogram) Count() int64 { return h.hdr.TotalCount() }
 
-// Reset empties the Histogram.
+// Reset removes all recorded durations.
 func (h *Histogram) Reset() { h.hdr.Reset() }
 
-// Percentiles returns the percentiles, all 0 when nothing was recorded.
+// Percentiles returns the percentiles of the recorded durations, all 0 if there
+// are none.
 func (h *Histogram) Percentiles() Percentiles {
 	return Percentiles{
 		P50:  h.hdr.ValueAtQuantile(50),
--- /dev/null
+++ b/load/collector.go
@@ -0,0 +1,191 @@
+package load
+
+import (
+	"cmp"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/core/model"
+	"github.com/dottereltiller/dottereltiller/core/outcome"
+	"github.com/dottereltiller/dottereltiller/latency"
+)
+
+const (
+	// pointInterval is the time that one point of a series covers.
+	pointInterval = time.Second
+	// maxWrongAnswers is the maximum number of wrong answers that a result
+	// describes. It counts the others.
+	maxWrongAnswers = 10
+)
+
+// sample is the measurement of one completed request.
+type sample struct {
+	request *Request
+	reply   Reply
+	// due is the time from the start of the run until the request was due.
+	due time.Duration
+	// sendLag and latency are the times from then until the request was sent and
+	// until its response was complete.
+	sendLag time.Duration
+	latency time.Duration
+}
+
+// groupKey identifies a group of a service.
+type groupKey struct {
+	service model.ServiceName
+	group   model.GroupName
+}
+
+// collector accumulates the samples of a run. It is safe for concurrent use.
+type collector struct {
+	mu           sync.Mutex
+	total        *groupCollector
+	groups       map[groupKey]*groupCollector
+	sendLag      *latency.Histogram
+	held         int64
+	wrongAnswers []string
+	wrongCount   int64
+}
+
+// groupCollector accumulates the samples of one group.
+type groupCollector struct {
+	stats    Figures
+	latency  *latency.Histogram
+	slotTime time.Duration
+	points   []*pointCollector
+}
+
+// pointCollector accumulates the samples of the requests due in one interval.
+type pointCollector struct {
+	Point
+	latency *latency.Histogram
+}
+
+func newGroupCollector() *groupCollector { return &groupCollector{latency: latency.NewHistogram()} }
+
+func newCollector(p Plan) *collector {
+	c := &collector{total: newGroupCollector(), groups: make(map[groupKey]*groupCollector), sendLag: latency.NewHistogram()}
+	for _, s := range p.Sources {
+		k := groupKey{s.Service, s.Group}
+		if c.groups[k] == nil {
+			c.groups[k] = newGroupCollector()
+			c.groups[k].stats.Service, c.groups[k].stats.Group = k.service, k.group
+		}
+	}
+	return c
+}
+
+// countHeld counts a request that waits because of the plan's max_in_flight.
+func (c *collector) countHeld() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.held++
+}
+
+func (c *collector) add(s sample) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sendLag.Record(s.sendLag)
+	c.total.add(s)
+	c.groups[groupKey{s.request.Service, s.request.Group}].add(s)
+	if s.reply.Wrong == "" {
+		return
+	}
+	c.wrongCount++
+	if len(c.wrongAnswers) < maxWrongAnswers {
+		c.wrongAnswers = append(c.wrongAnswers, s.request.Name+": "+s.reply.Wrong)
+	}
+}
+
+func (a *groupCollector) add(s sample) {
+	p := a.pointAt(s.due)
+	a.stats.Requests++
+	if s.reply.Reason != "" {
+		if a.stats.Reasons == nil {
+			a.stats.Reasons = make(map[string]int64)
+		}
+		a.stats.Reasons[s.reply.Reason]++
+	}
+	switch s.reply.Kind {
+	case outcome.Answered:
+		a.stats.Answered++
+		p.Answered++
+		a.slotTime += time.Duration(s.request.Cost)
+		p.SlotTimeUs += time.Duration(s.request.Cost).Microseconds()
+		a.latency.Record(s.latency)
+		p.latency.Record(s.latency)
+	case outcome.NotRun:
+		a.stats.NotRun++
+		p.NotRun++
+	default:
+		a.stats.Unknown++
+		p.Unknown++
+	}
+}
+
+// pointAt returns the collector of the interval that contains a due time.
+func (a *groupCollector) pointAt(due time.Duration) *pointCollector {
+	index := int(due / pointInterval)
+	for len(a.points) <= index {
+		at := int64(len(a.points)) * pointInterval.Milliseconds()
+		a.points = append(a.points, &pointCollector{Point: Point{AtMs: at}, latency: latency.NewHistogram()})
+	}
+	return a.points[index]
+}
+
+func (c *collector) progress(elapsed time.Duration, inFlight int) Progress {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	f := c.total.stats
+	return Progress{
+		Elapsed:  elapsed,
+		Requests: f.Requests,
+		Answered: f.Answered,
+		NotRun:   f.NotRun,
+		Unknown:  f.Unknown,
+		InFlight: inFlight,
+		P99:      time.Duration(c.total.latency.Percentiles().P99) * time.Microsecond,
+	}
+}
+
+func (c *collector) result(p Plan) *Result {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	serviceSlotTime := make(map[model.ServiceName]time.Duration)
+	for k, a := range c.groups {
+		serviceSlotTime[k.service] += a.slotTime
+	}
+	r := &Result{
+		DurationMs:   time.Duration(p.Duration).Milliseconds(),
+		Seed:         p.Seed,
+		Total:        c.total.summarize(c.total.slotTime),
+		Groups:       []Figures{},
+		SendLagP99Us: c.sendLag.Percentiles().P99,
+		Held:         c.held,
+		Wrong:        c.wrongCount,
+		WrongAnswers: c.wrongAnswers,
+	}
+	for k, a := range c.groups {
+		r.Groups = append(r.Groups, a.summarize(serviceSlotTime[k.service]))
+	}
+	slices.SortFunc(r.Groups, func(a, b Figures) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Group, b.Group))
+	})
+	return r
+}
+
+// summarize computes the results of the group. The argument is the slot time of
+// the whole service.
+func (a *groupCollector) summarize(serviceSlotTime time.Duration) Figures {
+	f := a.stats
+	f.Latency = a.latency.Percentiles()
+	if serviceSlotTime > 0 {
+		f.SlotTimeShare = a.slotTime.Seconds() / serviceSlotTime.Seconds()
+	}
+	for _, p := range a.points {
+		p.Latency = p.latency.Percentiles()
+		f.Series = append(f.Series, p.Point)
+	}
+	return f
+}
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,10 +1,12 @@
-// Package load sends load to a running system and measures what callers see.
+// Package load is an open-loop load generator. It sends requests to running
+// daemons and measures latencies and outcomes as callers see them.
 //
-// The load is open loop: requests are due at times fixed by the plan and its
-// seed, whatever the answers do, as with many independent callers. Latency is
-// counted from the time a request was due. So a system that stalls is charged
-// for every request that was due meanwhile, also where the sender itself was
-// held up; this corrects for coordinated omission.
+// The plan and its seed fix the times at which requests are due. These times do
+// not depend on the responses, as with many independent callers. Latency is
+// measured from the time at which a request was due. When the system stalls, the
+// delay therefore counts for every request that was due during the stall, even if
+// the load generator could send the request only later. This avoids coordinated
+// omission.
 //
-// What was sent can be recorded as a trace for package replay.
+// The requests of a run can be recorded as a trace for package replay.
 package load
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -32,15 +32,16 @@
 	}
 }
 
-// senderFunc is a Sender.
+// senderFunc is a Sender that calls a function.
 type senderFunc func(ctx context.Context, r *Request) Reply
 
 func (f senderFunc) Send(ctx context.Context, r *Request) Reply { return f(ctx, r) }
 
-// TestAStallIsChargedToEveryRequestThatWasDue lets the system stand still for a
-// second. A closed loop would notice with one slow request.
-func TestAStallIsChargedToEveryRequestThatWasDue(t *testing.T) {
-	for name, limit := range map[string]int{"free sender": 4096, "held sender": 1} {
+// TestStallCountsForEveryRequestDue checks that a stall of one second delays every
+// request due during the stall. A closed-loop load generator would measure only one
+// slow request.
+func TestStallCountsForEveryRequestDue(t *testing.T) {
+	for name, limit := range map[string]int{"4096 requests in flight": 4096, "1 request in flight": 1} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
 				p := testPlan(200, 10*time.Second)
@@ -68,7 +69,7 @@
 	}
 }
 
-func TestTheSameSeedSendsAtTheSameTimes(t *testing.T) {
+func TestEqualSeedsSendAtEqualTimes(t *testing.T) {
 	record := func(seed uint64) string {
 		var out bytes.Buffer
 		bubble.Run(t, func(t *testing.T) {
@@ -110,7 +111,7 @@
 				case 1:
 					return Reply{Kind: outcome.Unknown, Reason: "connection-lost"}
 				case 2:
-					return Reply{Kind: outcome.Answered, Wrong: "got another one's"}
+					return Reply{Kind: outcome.Answered, Wrong: "response to another request"}
 				}
 				return Reply{Kind: outcome.Answered}
 			}),
@@ -121,13 +122,13 @@
 		require.Equal(t, map[string]int64{"queue-full": f.NotRun, "connection-lost": f.Unknown}, f.Reasons)
 		require.InDelta(t, f.Requests/2, f.Answered, 2)
 		require.InDelta(t, f.Requests/4, res.Wrong, 2)
-		require.Len(t, res.WrongAnswers, maxWrong)
+		require.Len(t, res.WrongAnswers, maxWrongAnswers)
 		require.InDelta(t, 1, f.SlotTimeShare, 1e-9)
 		require.EqualValues(t, 2, reports.Load())
 	})
 }
 
-func TestACancelledRunReturnsWhatItHas(t *testing.T) {
+func TestCancelledRunReturnsPartialResult(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		p := testPlan(100, time.Hour)
 		p.MaxInFlight = 2
@@ -145,19 +146,19 @@
 	})
 }
 
-func TestPlansThatAreWrongAreRefusedByField(t *testing.T) {
+func TestInvalidPlansReturnFieldErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Plan)
 		want   string
 	}{
-		"no duration": {func(p *Plan) { p.Duration = 0 }, `duration: must be more than 0 and at most 24h0m0s (got 0s)`},
-		"no targets":  {func(p *Plan) { p.Targets = nil }, `targets: name at least one daemon (got [])`},
-		"no port":     {func(p *Plan) { p.Targets[0].Address = "a" }, `targets[0].address: want host:port (got "a")`},
-		"half TLS":    {func(p *Plan) { p.TLS.Certificate = "c.pem" }, `tls.authority: must be set (got "")`},
-		"no sources":  {func(p *Plan) { p.Sources = nil }, `sources: name at least one source (got [])`},
-		"no service":  {func(p *Plan) { p.Sources[0].Service = "" }, `sources[0].service: must be set (got "")`},
-		"path":        {func(p *Plan) { p.Sources[0].Path = "x" }, `sources[0].path: must start with / (got "x")`},
-		"rate":        {func(p *Plan) { p.Sources[0].Rate = 0 }, `sources[0].rate: must be more than 0 and at most 1e6 (got 0)`},
+		"no duration":   {func(p *Plan) { p.Duration = 0 }, `duration: must be more than 0 and at most 24h0m0s (got 0s)`},
+		"no targets":    {func(p *Plan) { p.Targets = nil }, `targets: name at least one daemon (got [])`},
+		"no port":       {func(p *Plan) { p.Targets[0].Address = "a" }, `targets[0].address: want host:port (got "a")`},
+		"half TLS":      {func(p *Plan) { p.TLS.Certificate = "c.pem" }, `tls.authority: must be set (got "")`},
+		"no sources":    {func(p *Plan) { p.Sources = nil }, `sources: name at least one source (got [])`},
+		"no service":    {func(p *Plan) { p.Sources[0].Service = "" }, `sources[0].service: must be set (got "")`},
+		"relative path": {func(p *Plan) { p.Sources[0].Path = "x" }, `sources[0].path: must start with / (got "x")`},
+		"zero rate":     {func(p *Plan) { p.Sources[0].Rate = 0 }, `sources[0].rate: must be more than 0 and at most 1e6 (got 0)`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := testPlan(1, time.Second)
@@ -167,13 +168,14 @@
 	}
 }
 
-// TestHTTPSender answers as a daemon before a stand-in upstream would.
+// TestHTTPSender sends requests to a server that responds like a daemon with a
+// stand-in upstream.
 func TestHTTPSender(t *testing.T) {
-	var seen []*http.Request
+	var received []*http.Request
 	daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		seen = append(seen, r)
+		received = append(received, r)
 		switch r.URL.Path {
-		case "/cut":
+		case "/truncated":
 			w.Header().Set("Content-Length", "100")
 			w.Header().Set(wire.HeaderOutcome, "answered")
 			_, _ = w.Write([]byte("half"))
@@ -203,28 +205,30 @@
 		})
 	}
 	require.Equal(t, Reply{Kind: outcome.Answered}, send("/", "0-7"))
-	h := seen[0].Header
+	h := received[0].Header
 	require.Equal(t, []string{"returdesk", "0-7", "1ms", "1s", "false", "Bearer secret", "a-key"}, []string{
 		h.Get("Dottereltiller-Service"), h.Get("X-Request"), h.Get("X-Cost"), h.Get("Dottereltiller-Timeout"),
 		h.Get("Dottereltiller-Idempotent"), h.Get("Authorization"), h.Get("Idempotency-Key"),
 	})
 	require.Equal(t, `got "0-7 0-7.0" for "0-8 0-8.0"`, send("/", "0-8").Wrong)
-	require.Equal(t, Reply{Kind: outcome.Unknown, Reason: "truncated"}, send("/cut", "0-7"))
+	require.Equal(t, Reply{Kind: outcome.Unknown, Reason: "truncated"}, send("/truncated", "0-7"))
 	require.Equal(t, Reply{Kind: outcome.NotRun, Reason: "queue-full"}, send("/full", "0-7"))
-	require.Equal(t, Reply{Kind: outcome.Unknown, Reason: noOutcome}, send("/silent", "0-7"))
+	require.Equal(t, Reply{Kind: outcome.Unknown, Reason: reasonNoOutcome}, send("/silent", "0-7"))
 	daemon.Close()
-	s.Close() // a connection kept from before would make the outcome unknown
+	s.Close() // on a connection that is still open the outcome would be unknown
 	require.Equal(t, Reply{Kind: outcome.NotRun, Reason: "connect-failed"}, send("/", "0-7"))
 }
 
-func TestResultsKeepTheNamesOfReplay(t *testing.T) {
-	var ours, theirs map[string]any
-	for to, v := range map[*map[string]any]any{&ours: Figures{}, &theirs: replay.Stats{}} {
+// TestResultFieldsMatchReplay checks that load results have no required JSON field
+// that replay results lack, because package report reads both.
+func TestResultFieldsMatchReplay(t *testing.T) {
+	var loadFields, replayFields map[string]any
+	for to, v := range map[*map[string]any]any{&loadFields: Figures{}, &replayFields: replay.Stats{}} {
 		data, err := json.Marshal(v)
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal(data, to))
 	}
-	for name := range ours {
-		require.Contains(t, theirs, name)
+	for name := range loadFields {
+		require.Contains(t, replayFields, name)
 	}
 }
--- a/load/plan.go
+++ b/load/plan.go
@@ -14,37 +14,40 @@
 	"github.com/dottereltiller/dottereltiller/strictjson"
 )
 
-// Plan is a load. Its JSON form is a plan file.
+// Plan describes a load test. Its JSON form is a plan file.
 type Plan struct {
-	// Targets are the daemons, taken in turn.
+	// Targets are the daemons that receive the requests, in turn.
 	Targets []Target `json:"targets"`
-	// Duration is how long requests are due.
+	// Duration is the time during which requests are due.
 	Duration policy.Duration `json:"duration"`
-	// Seed fixes the times at which requests are due.
+	// Seed seeds the random times at which requests are due.
 	Seed uint64 `json:"seed"`
-	// MaxInFlight bounds the requests under way. Default: 4096.
+	// MaxInFlight is the maximum number of requests in flight. Further requests
+	// wait until one completes. Default: 4096.
 	MaxInFlight int      `json:"max_in_flight"`
 	Sources     []Source `json:"sources"`
-	// TLS connects by TLS when it names an authority. A certificate with its
-	// key proves the caller.
+	// TLS enables TLS if it names a certificate authority. The certificate, if
+	// there is one, authenticates the caller.
 	TLS settings.TLS `json:"tls"`
 }
 
-// Target is a daemon's address for callers.
+// Target is a daemon.
 type Target struct {
+	// Address is the daemon's host and port for callers.
 	Address string `json:"address"`
-	// Zone is the availability zone that a recorded trace names.
+	// Zone is the daemon's availability zone. It is used only in recorded
+	// traces.
 	Zone model.AvailabilityZone `json:"zone"`
 }
 
-// Source is one stream of requests with exponential gaps between them.
+// Source is a stream of equal requests with Poisson arrivals.
 type Source struct {
 	Service model.ServiceName `json:"service"`
-	// Group and Caller name the source in results and in a recorded trace. The
-	// system derives the group that it charges from the token.
+	// Group and Caller identify the source in results and recorded traces. They
+	// are not sent: daemons derive the group from the token.
 	Group  model.GroupName  `json:"group"`
 	Caller model.CallerName `json:"caller"`
-	// Token is a bearer token. Empty sends none.
+	// Token is the bearer token to send, if any.
 	Token string `json:"token"`
 	// Method defaults to GET, Path to "/".
 	Method string `json:"method"`
@@ -53,18 +56,19 @@
 	Rate float64 `json:"rate"`
 	// BodyBytes is the size of the request's body.
 	BodyBytes int `json:"body_bytes"`
-	// Cost is the slot time of one request. Stand-in upstreams take it from a
-	// header. Zero means unknown.
+	// Cost is the service time of one request. It is sent in a header that
+	// stand-in upstreams obey. Zero means unknown.
 	Cost policy.Duration `json:"cost"`
-	// Deadline is sent to the daemon. Zero leaves it to the service.
+	// Deadline is sent to the daemon. If it is zero, the default of the service
+	// applies.
 	Deadline policy.Duration `json:"deadline"`
-	// Idempotent tells the daemon whether a request may run more than once.
-	// Unset leaves it to the configuration of the service.
+	// Idempotent is sent to the daemon and says whether a request may be executed
+	// more than once. If it is not set, the configuration of the service decides.
 	Idempotent *bool `json:"idempotent"`
-	// Keyed sends a new idempotency key with every request.
+	// Keyed adds a new idempotency key to every request.
 	Keyed bool `json:"keyed"`
-	// Verify checks that the answer is the whole answer of a stand-in upstream
-	// to this very request.
+	// Verify checks that each response is the complete response of a stand-in
+	// upstream to this request. It works with stand-in upstreams only.
 	Verify bool `json:"verify"`
 }
 
@@ -91,27 +95,27 @@
 }
 
 // Check fills in defaults and returns a *strictjson.FieldError for the first
-// field that is wrong.
+// invalid field.
 func (p *Plan) Check() error {
 	if p.MaxInFlight <= 0 {
 		p.MaxInFlight = defaultMaxInFlight
 	}
 	if d := time.Duration(p.Duration); d <= 0 || d > maxDuration {
-		return wrong("duration", d.String(), "must be more than 0 and at most "+maxDuration.String())
+		return fieldError("duration", d.String(), "must be more than 0 and at most "+maxDuration.String())
 	}
 	if len(p.Targets) == 0 {
-		return wrong("targets", "[]", "name at least one daemon")
+		return fieldError("targets", "[]", "name at least one daemon")
 	}
 	for i, t := range p.Targets {
 		if _, _, err := net.SplitHostPort(t.Address); err != nil {
-			return wrong(fmt.Sprintf("targets[%d].address", i), strconv.Quote(t.Address), "want host:port")
+			return fieldError(fmt.Sprintf("targets[%d].address", i), strconv.Quote(t.Address), "want host:port")
 		}
 	}
 	if p.TLS.Enabled() && p.TLS.Authority == "" {
-		return wrong("tls.authority", `""`, "must be set")
+		return fieldError("tls.authority", `""`, "must be set")
 	}
 	if len(p.Sources) == 0 {
-		return wrong("sources", "[]", "name at least one source")
+		return fieldError("sources", "[]", "name at least one source")
 	}
 	for i := range p.Sources {
 		if err := p.Sources[i].check(fmt.Sprintf("sources[%d]", i)); err != nil {
@@ -130,30 +134,31 @@
 	}
 	switch {
 	case s.Service == "":
-		return wrong(path+".service", `""`, "must be set")
+		return fieldError(path+".service", `""`, "must be set")
 	case s.Path[0] != '/':
-		return wrong(path+".path", strconv.Quote(s.Path), "must start with /")
+		return fieldError(path+".path", strconv.Quote(s.Path), "must start with /")
 	case s.Rate <= 0 || s.Rate > maxRate:
-		return wrong(path+".rate", strconv.FormatFloat(s.Rate, 'g', -1, 64), "must be more than 0 and at most 1e6")
+		return fieldError(path+".rate", strconv.FormatFloat(s.Rate, 'g', -1, 64), "must be more than 0 and at most 1e6")
 	case s.BodyBytes < 0:
-		return wrong(path+".body_bytes", strconv.Itoa(s.BodyBytes), "must not be negative")
+		return fieldError(path+".body_bytes", strconv.Itoa(s.BodyBytes), "must not be negative")
 	case s.Cost < 0:
-		return wrong(path+".cost", time.Duration(s.Cost).String(), "must not be negative")
+		return fieldError(path+".cost", time.Duration(s.Cost).String(), "must not be negative")
 	case s.Deadline < 0:
-		return wrong(path+".deadline", time.Duration(s.Deadline).String(), "must not be negative")
+		return fieldError(path+".deadline", time.Duration(s.Deadline).String(), "must not be negative")
 	}
 	return nil
 }
 
-// mayRepeat reports whether the source's requests are idempotent: as stated, or
-// by their method.
-func (s *Source) mayRepeat() bool {
+// isIdempotent returns Idempotent, or whether the method is idempotent if that is
+// not set.
+func (s *Source) isIdempotent() bool {
 	if s.Idempotent != nil {
 		return *s.Idempotent
 	}
 	return s.Method != http.MethodPost && s.Method != http.MethodPatch
 }
 
-func wrong(path, value, message string) error {
+// fieldError returns an error about the field at a path of the plan.
+func fieldError(path, value, message string) error {
 	return &strictjson.FieldError{Path: path, Value: value, Message: message}
 }
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -12,15 +12,15 @@
 	"github.com/dottereltiller/dottereltiller/replay"
 )
 
-// Recorder keeps the requests of a run as events of a trace. It holds one event
-// for each request in memory.
+// Recorder records the requests of a run as events of a trace. It keeps all
+// events in memory.
 type Recorder struct {
 	mu     sync.Mutex
 	events []replay.Event
 }
 
-// add keeps a request. Where the plan states no cost, the time to its answer
-// stands for it, waiting included.
+// add records a request. If the plan does not state its cost, the recorded cost is
+// the time until its response, which includes time spent waiting.
 func (r *Recorder) add(req *Request, due, took time.Duration) {
 	cost := time.Duration(req.Cost)
 	if cost == 0 {
@@ -32,7 +32,7 @@
 		Group:      req.Group,
 		Service:    req.Service,
 		CostUs:     max(cost.Microseconds(), 1),
-		Idempotent: req.mayRepeat(),
+		Idempotent: req.isIdempotent(),
 		DeadlineMs: time.Duration(req.Deadline).Milliseconds(),
 		Key:        req.Key,
 		Zone:       req.Target.Zone,
--- a/load/result.go
+++ b/load/result.go
@@ -12,10 +12,10 @@
 	"github.com/dottereltiller/dottereltiller/latency"
 )
 
-// Latency holds percentiles in microseconds.
+// Latency holds latency percentiles in microseconds.
 type Latency = latency.Percentiles
 
-// Figures are what the callers of one group saw, or all callers.
+// Figures are the results of a run for one group of a service, or in total.
 type Figures struct {
 	// Service and Group are empty in the total.
 	Service  model.ServiceName `json:"service,omitempty"`
@@ -24,19 +24,21 @@
 	Answered int64             `json:"answered"`
 	NotRun   int64             `json:"not_run"`
 	Unknown  int64             `json:"unknown"`
-	// Reasons counts what was not answered by reason.
+	// Reasons counts the requests that were not answered by reason.
 	Reasons map[string]int64 `json:"reasons,omitempty"`
-	// Latency covers answered requests, from the time they were due.
+	// Latency covers answered requests only. It is measured from the time at
+	// which they were due.
 	Latency
-	// SlotTimeShare is the group's part of the slot time of its service, by
-	// the costs that the plan states.
+	// SlotTimeShare is the group's share of the slot time of its service,
+	// computed from the costs that the plan states.
 	SlotTimeShare float64 `json:"slot_time_share"`
-	// Series holds one point for each second.
+	// Series holds one point for each second of the run.
 	Series []Point `json:"series,omitempty"`
 }
 
-// Point is the part of the figures that was due in one second.
+// Point holds the results of the requests that were due in one second.
 type Point struct {
+	// AtMs is the start of that second since the start of the run.
 	AtMs     int64 `json:"at_ms"`
 	Answered int64 `json:"answered"`
 	NotRun   int64 `json:"not_run"`
@@ -45,22 +47,25 @@
 	SlotTimeUs int64 `json:"slot_time_us"`
 }
 
-// Result is the outcome of a run.
+// Result is the result of a run.
 type Result struct {
 	DurationMs int64     `json:"duration_ms"`
 	Seed       uint64    `json:"seed"`
 	Total      Figures   `json:"total"`
 	Groups     []Figures `json:"groups"`
-	// SendLagP99Us is how late the sender itself was; it is part of latency.
+	// SendLagP99Us is the p99 of the time from when a request was due until it
+	// was sent. Latencies include this time.
 	SendLagP99Us int64 `json:"send_lag_p99_us"`
-	// Held counts requests held back by the plan's max_in_flight.
+	// Held counts the requests that had to wait because of the plan's
+	// max_in_flight.
 	Held int64 `json:"held"`
-	// Wrong counts answers that were not the whole answer to their request.
+	// Wrong counts the responses that failed verification. WrongAnswers
+	// describes the first of them.
 	Wrong        int64    `json:"wrong"`
 	WrongAnswers []string `json:"wrong_answers,omitempty"`
 }
 
-// Progress is the state of a run.
+// Progress holds intermediate results of a run.
 type Progress struct {
 	Elapsed  time.Duration
 	Requests int64
@@ -68,7 +73,7 @@
 	NotRun   int64
 	Unknown  int64
 	InFlight int
-	// P99 covers the whole run so far.
+	// P99 is the p99 latency since the start of the run.
 	P99 time.Duration
 }
 
@@ -78,7 +83,7 @@
 		p.Elapsed.Seconds(), p.Requests, p.Answered, p.NotRun, p.Unknown, p.InFlight, p.P99.Seconds()*1000)
 }
 
-// Print writes the figures as a table.
+// Print writes the results as a table.
 func (r *Result) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, "service\tgroup\trequests\tanswered\tnot run\tunknown\tp50 ms\tp99 ms\tp99.9 ms\tmax ms\tslot time\t")
@@ -90,9 +95,9 @@
 		return err
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.Total.Reasons)) {
-		_, _ = fmt.Fprintf(w, "not answered for %s: %d\n", reason, r.Total.Reasons[reason])
+		_, _ = fmt.Fprintf(w, "not answered, reason %s: %d\n", reason, r.Total.Reasons[reason])
 	}
-	_, err := fmt.Fprintf(w, "latency counts from when a request was due; the sender itself was up to %.2f ms late (p99), held back %d\n",
+	_, err := fmt.Fprintf(w, "latency is measured from when a request was due; p99 of the delay until it was sent: %.2f ms; requests held by max_in_flight: %d\n",
 		ms(r.SendLagP99Us), r.Held)
 	return err
 }
--- a/load/run.go
+++ b/load/run.go
@@ -10,44 +10,44 @@
 	"github.com/google/uuid"
 )
 
-// Request is one request that is due.
+// Request is one request of a run.
 type Request struct {
 	*Source
 	// Name is unique within the run.
 	Name   string
 	Target Target
-	// Due is when the plan has it sent.
+	// Due is the time at which the plan wants the request to be sent.
 	Due time.Time
-	// Key is the idempotency key, empty when there is none.
+	// Key is the idempotency key, if any.
 	Key string
 }
 
-// Sender sends requests. It is called from many goroutines at once.
+// Sender sends requests. It must be safe for concurrent use.
 type Sender interface {
-	// Send sends a request once and returns when its whole answer is there.
+	// Send sends a request once, without retries, and returns when the response
+	// is complete.
 	Send(ctx context.Context, r *Request) Reply
 }
 
 // Options configure a run.
 type Options struct {
-	// Sender sends the requests. Nil means an HTTPSender.
+	// Sender sends the requests. Default: an HTTPSender.
 	Sender Sender
-	// Progress is called about once a second with the figures so far. Nil
-	// reports nothing.
+	// Progress, if set, is called about once a second with intermediate results.
 	Progress func(Progress)
-	// Observe is called with every request that has ended, from many goroutines
-	// at once. Nil observes nothing.
+	// Observe, if set, is called with every completed request. It must be safe
+	// for concurrent use.
 	Observe func(*Request, Reply)
-	// Recorder keeps what was sent. Nil keeps nothing.
+	// Recorder, if set, records the requests.
 	Recorder *Recorder
 }
 
 const progressInterval = time.Second
 
-// Run sends the load of a checked plan and returns what callers saw. When the
-// context ends it sends no more, lets what is under way end with it, and
-// returns the figures so far. The error tells that the plan's certificates
-// cannot be used.
+// Run executes a plan, which must have passed Check, and returns the result. If
+// the context is cancelled, Run sends no further requests, cancels those in
+// flight and returns the results so far. It returns an error only if the plan's
+// certificates cannot be used.
 func Run(ctx context.Context, p Plan, o Options) (*Result, error) {
 	if o.Sender == nil {
 		s, err := NewHTTPSender(p.TLS)
@@ -58,34 +58,36 @@
 		o.Sender = s
 	}
 	r := &run{
-		plan:     p,
-		opts:     o,
-		start:    time.Now(),
-		book:     newBook(p),
-		inFlight: make(chan struct{}, p.MaxInFlight),
+		plan:      p,
+		opts:      o,
+		start:     time.Now(),
+		collector: newCollector(p),
+		inFlight:  make(chan struct{}, p.MaxInFlight),
 	}
 	stop := r.reportProgress(ctx)
 	var sources sync.WaitGroup
 	for i := range p.Sources {
-		sources.Go(func() { r.source(ctx, i) })
+		sources.Go(func() { r.runSource(ctx, i) })
 	}
 	sources.Wait()
 	r.requests.Wait()
 	stop()
-	return r.book.result(p), nil
+	return r.collector.result(p), nil
 }
 
 type run struct {
-	plan     Plan
-	opts     Options
-	start    time.Time
-	book     *book
+	plan      Plan
+	opts      Options
+	start     time.Time
+	collector *collector
+	// inFlight holds one element for each request in flight. Its capacity limits
+	// their number.
 	inFlight chan struct{}
 	requests sync.WaitGroup
 }
 
-// source sends the requests of one source as they fall due.
-func (r *run) source(ctx context.Context, index int) {
+// runSource sends the requests of one source, each at the time when it is due.
+func (r *run) runSource(ctx context.Context, index int) {
 	s := &r.plan.Sources[index]
 	random := rand.New(rand.NewPCG(r.plan.Seed, uint64(index)))
 	due := time.Duration(0)
@@ -94,7 +96,7 @@
 		if due >= time.Duration(r.plan.Duration) || !sleepUntil(ctx, r.start.Add(due)) {
 			return
 		}
-		req := r.request(s, index, n, due)
+		req := r.newRequest(s, index, n, due)
 		if !r.acquire(ctx) {
 			return
 		}
@@ -102,7 +104,7 @@
 	}
 }
 
-func (r *run) request(s *Source, index, n int, due time.Duration) *Request {
+func (r *run) newRequest(s *Source, index, n int, due time.Duration) *Request {
 	req := &Request{
 		Source: s,
 		Name:   strconv.Itoa(index) + "-" + strconv.Itoa(n),
@@ -115,15 +117,15 @@
 	return req
 }
 
-// acquire waits while the most allowed requests are under way. The wait counts
-// as latency of the request.
+// acquire waits until another request may be in flight. Latency includes this
+// wait. It returns false if the context is cancelled.
 func (r *run) acquire(ctx context.Context) bool {
 	select {
 	case r.inFlight <- struct{}{}:
 		return true
 	default:
 	}
-	r.book.held()
+	r.collector.countHeld()
 	select {
 	case r.inFlight <- struct{}{}:
 		return true
@@ -137,11 +139,11 @@
 	sent := time.Now()
 	reply := r.opts.Sender.Send(ctx, req)
 	done := time.Now()
-	r.book.add(sample{
+	r.collector.add(sample{
 		request: req,
 		reply:   reply,
 		due:     req.Due.Sub(r.start),
-		lag:     sent.Sub(req.Due),
+		sendLag: sent.Sub(req.Due),
 		latency: done.Sub(req.Due),
 	})
 	if r.opts.Observe != nil {
@@ -152,6 +154,8 @@
 	}
 }
 
+// sleepUntil waits until the given time. It returns false if the context is
+// cancelled before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -163,7 +167,7 @@
 	}
 }
 
-// reportProgress reports until the returned function is called.
+// reportProgress calls Options.Progress regularly until stop is called.
 func (r *run) reportProgress(ctx context.Context) (stop func()) {
 	if r.opts.Progress == nil {
 		return func() {}
@@ -171,14 +175,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		tick := time.NewTicker(progressInterval)
-		defer tick.Stop()
+		ticker := time.NewTicker(progressInterval)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-tick.C:
-				r.opts.Progress(r.book.progress(time.Since(r.start), len(r.inFlight)))
+			case <-ticker.C:
+				r.opts.Progress(r.collector.progress(time.Since(r.start), len(r.inFlight)))
 			}
 		}
 	})
--- a/load/sender.go
+++ b/load/sender.go
@@ -17,38 +17,38 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Reply is what a caller was told.
+// Reply is the result of a request as the caller sees it.
 type Reply struct {
 	Kind outcome.Kind
-	// Reason is empty when the request was answered.
+	// Reason says why the request was not answered.
 	Reason string
-	// Wrong tells in what way the answer is not the whole answer to the
-	// request. Empty when it is, or when that is not checked.
+	// Wrong describes how the response differs from the expected one. It is
+	// empty if it does not, or if Source.Verify is not set.
 	Wrong string
 }
 
-// HTTPSender sends requests to daemons, each exactly once.
+// HTTPSender sends each request once, over HTTP.
 type HTTPSender struct {
 	client *hop.Client
 }
 
 const (
-	senderConns = 16 << 10
-	senderIdle  = 1024
-	dialTimeout = 5 * time.Second
-	// noOutcome is the reason of an answer that names no outcome.
-	noOutcome = "no-outcome"
+	maxConns     = 16 << 10
+	maxIdleConns = 1024
+	dialTimeout  = 5 * time.Second
+	// reasonNoOutcome is the Reason for a response without an outcome header.
+	reasonNoOutcome = "no-outcome"
 )
 
-// NewHTTPSender returns an HTTPSender that connects as the files tell, in
-// plaintext when they name none. Close ends it.
+// NewHTTPSender returns an HTTPSender that uses TLS with the given files, or
+// plaintext if there are none. Call Close when done.
 func NewHTTPSender(files settings.TLS) (*HTTPSender, error) {
 	dial, err := identity.CallerDialer("tls", files, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &HTTPSender{client: hop.NewClient(hop.Options{
-		MaxConns: senderConns, MaxIdleConns: senderIdle, Dial: dial,
+		MaxConns: maxConns, MaxIdleConns: maxIdleConns, Dial: dial,
 	})}, nil
 }
 
@@ -57,13 +57,13 @@
 
 // Send implements Sender.
 func (s *HTTPSender) Send(ctx context.Context, r *Request) Reply {
-	body := bodyOf(r)
+	body := requestBody(r)
 	resp, o, err := s.client.Do(ctx, hop.Request{
 		Address:       r.Target.Address,
 		Method:        r.Method,
 		Target:        r.Path,
 		Host:          r.Target.Address,
-		Header:        headerOf(r),
+		Header:        requestHeader(r),
 		Body:          strings.NewReader(body),
 		ContentLength: int64(len(body)),
 	})
@@ -73,24 +73,24 @@
 	defer func() { _ = resp.Body.Close() }()
 	if !r.Verify {
 		_, err = io.Copy(io.Discard, resp.Body)
-		return replyOf(resp, err)
+		return newReply(resp, err)
 	}
-	answer, err := io.ReadAll(resp.Body)
-	reply := replyOf(resp, err)
-	if want := r.Name + " " + body; reply.Kind == outcome.Answered && string(answer) != want {
-		reply.Wrong = fmt.Sprintf("got %q for %q", cut(string(answer)), cut(want))
+	got, err := io.ReadAll(resp.Body)
+	reply := newReply(resp, err)
+	if want := r.Name + " " + body; reply.Kind == outcome.Answered && string(got) != want {
+		reply.Wrong = fmt.Sprintf("got %q for %q", truncate(string(got)), truncate(want))
 	}
 	return reply
 }
 
-func bodyOf(r *Request) string {
+func requestBody(r *Request) string {
 	if r.BodyBytes <= 0 {
 		return ""
 	}
 	return strings.Repeat(r.Name+".", r.BodyBytes/(len(r.Name)+1)+1)[:r.BodyBytes]
 }
 
-func headerOf(r *Request) http.Header {
+func requestHeader(r *Request) http.Header {
 	h := make(http.Header, 8)
 	h.Set(wire.HeaderService, string(r.Service))
 	h.Set(standin.HeaderRequest, r.Name)
@@ -112,24 +112,26 @@
 	return h
 }
 
-// replyOf reads the outcome that the daemon states. An answer that breaks off
-// is unknown, whatever its headers say.
-func replyOf(resp *http.Response, err error) Reply {
+// newReply returns the outcome from the response headers. If reading the body
+// failed, the response is truncated and the outcome unknown whatever the headers
+// say.
+func newReply(resp *http.Response, err error) Reply {
 	if err != nil {
 		return Reply{Kind: outcome.Unknown, Reason: string(outcome.ReasonTruncated)}
 	}
 	kind, ok := outcome.ParseKind(resp.Header.Get(wire.HeaderOutcome))
 	if !ok {
-		return Reply{Kind: outcome.Unknown, Reason: noOutcome}
+		return Reply{Kind: outcome.Unknown, Reason: reasonNoOutcome}
 	}
 	return Reply{Kind: kind, Reason: resp.Header.Get(wire.HeaderReason)}
 }
 
-const maxQuoted = 80
+// maxQuotedLength is the maximum length, in bytes, of a body quoted in Reply.Wrong.
+const maxQuotedLength = 80
 
-func cut(s string) string {
-	if len(s) > maxQuoted {
-		return s[:maxQuoted] + "..."
+func truncate(s string) string {
+	if len(s) > maxQuotedLength {
+		return s[:maxQuotedLength] + "..."
 	}
 	return s
 }
