--- a/replay/result.go
+++ b/replay/result.go
@@ -111,14 +111,14 @@
 
 // result computes the result of the replay, except for the ideal bound.
 func (c *collector) result(s *simulation) *Result {
-	slot := make(map[model.ServiceName]time.Duration)
+	serviceSlotTime := make(map[model.ServiceName]time.Duration)
 	for k, a := range c.groups {
-		slot[k.service] += a.slotTime
+		serviceSlotTime[k.service] += a.slotTime
 	}
 	r := &Result{Total: c.total.summarize(c.total.slotTime), Groups: []Stats{}}
 	r.Total.MeasuringShare = s.measuringShare(s.guards)
 	for k, a := range c.groups {
-		f := a.summarize(slot[k.service])
+		f := a.summarize(serviceSlotTime[k.service])
 		f.MeasuringShare = s.measuringShare(s.services[k.service].guards)
 		r.Groups = append(r.Groups, f)
 	}
@@ -130,11 +130,11 @@
 
 // summarize computes the results of the group. The argument is the slot time of
 // the whole service.
-func (a *groupCollector) summarize(service time.Duration) Stats {
+func (a *groupCollector) summarize(serviceSlotTime time.Duration) Stats {
 	f := a.Stats
 	f.Latency = a.latency.Percentiles()
-	if service > 0 {
-		f.SlotTimeShare = float64(a.slotTime) / float64(service)
+	if serviceSlotTime > 0 {
+		f.SlotTimeShare = float64(a.slotTime) / float64(serviceSlotTime)
 	}
 	return f
 }
