--- a/report/doc.go
+++ b/report/doc.go
@@ -1,8 +1,8 @@
-// Package report draws the results of load runs and replays.
+// Package report draws plots of the results of load runs and replays.
 //
-// Several results are drawn side by side, for example one for each routing
-// policy. For every group there is a plot of its percentiles, next to the bound
-// from one central queue where a replay states it; results that hold a series,
-// as those of load runs do, also give latency over time for each group and
+// A plot compares several results, for example one for each routing policy. Every
+// group gets a plot of its latency percentiles, which also shows the ideal bound
+// if a replay computed it. Results with a time series, such as those of load runs,
+// also get a plot of p99 latency over time for each group, and plots of the groups'
 // shares of slot time over time for each service.
 package report
--- a/report/draw.go
+++ b/report/draw.go
@@ -13,7 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Formats of plots.
+// Image formats of plots.
 const (
 	FormatSVG = "svg"
 	FormatPNG = "png"
@@ -24,13 +24,13 @@
 	height = 10 * vg.Centimeter
 )
 
-// Draw writes the plots of the results into a directory and returns the files
-// written. Format is FormatSVG or FormatPNG.
+// Draw writes the plots of the results to a directory, which it creates if needed,
+// and returns the paths of the files. The format is FormatSVG or FormatPNG.
 func Draw(results []Result, dir, format string) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	w := &writer{dir: dir, format: format}
+	w := &plotWriter{dir: dir, format: format}
 	for _, k := range groupsOf(results) {
 		p, err := percentilesPlot(results, k)
 		if err := w.save(p, err, "percentiles", k.String()); err != nil {
@@ -52,15 +52,16 @@
 	return w.files, nil
 }
 
-type writer struct {
+// plotWriter saves plots and collects the paths of their files.
+type plotWriter struct {
 	dir    string
 	format string
 	files  []string
 }
 
-// save writes a plot under a name made of the parts. A nil plot has nothing to
-// show and is left out.
-func (w *writer) save(p *plot.Plot, err error, parts ...string) error {
+// save writes a plot to a file whose name joins the parts. It returns err if that
+// is not nil, and does nothing if there is no plot.
+func (w *plotWriter) save(p *plot.Plot, err error, parts ...string) error {
 	if err != nil || p == nil {
 		return err
 	}
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// fileName replaces what is not safe in the name of a file.
+// fileName replaces characters that are not safe in file names.
 func fileName(s string) string {
 	return strings.Map(func(r rune) rune {
 		switch {
--- a/report/plots.go
+++ b/report/plots.go
@@ -25,15 +25,16 @@
 
 const (
 	padding = 3 * vg.Millimeter
-	// wideRange is the ratio of the largest to the smallest value from which
-	// the y axis is logarithmic.
-	wideRange = 20
+	// logScaleRatio is the ratio of the largest to the smallest value from which
+	// the y axis becomes logarithmic.
+	logScaleRatio = 20
 )
 
-// scale starts the y axis at 0, or makes it logarithmic where the values, which
-// are positive, lie far apart. It is called once all lines are there.
-func scale(p *plot.Plot) {
-	if p.Y.Max/p.Y.Min < wideRange {
+// scaleYAxis makes the y axis start at 0, or makes it logarithmic if the range of
+// the values is large. The values must be positive. It must be called after all
+// lines have been added.
+func scaleYAxis(p *plot.Plot) {
+	if p.Y.Max/p.Y.Min < logScaleRatio {
 		p.Y.Min = 0
 		return
 	}
@@ -41,7 +42,8 @@
 	p.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 }
 
-// addLine adds a line in the n-th colour.
+// addLine adds a line and its legend. The colour and the dashes depend on n, the
+// number of lines before it.
 func addLine(p *plot.Plot, points plotter.XYs, n int, label string) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
@@ -54,14 +56,15 @@
 	return nil
 }
 
-// percentilesPlot shows p50, p99, p99.9 and the maximum of a group for every
-// result, and the bound where one is stated.
+// percentilesPlot draws p50, p99, p99.9 and the maximum of a group, one line for
+// each result and one for its ideal bound if it has one. It returns nil if there is
+// nothing to draw.
 func percentilesPlot(results []Result, k groupKey) (*plot.Plot, error) {
 	p := newPlot(k.String()+": latency", "", "ms")
 	p.NominalX("p50", "p99", "p99.9", "max")
 	drawn := 0
 	for _, r := range results {
-		f, ok := r.find(k)
+		f, ok := r.statsOf(k)
 		if !ok || f.P50 <= 0 {
 			continue
 		}
@@ -80,7 +83,7 @@
 	if drawn == 0 {
 		return nil, nil
 	}
-	scale(p)
+	scaleYAxis(p)
 	return p, nil
 }
 
@@ -95,13 +98,13 @@
 
 func milliseconds(us int64) float64 { return float64(us) / 1000 }
 
-// latencyPlot shows p99 of a group over time, one line for each result. It is
-// nil when no result has a series.
+// latencyPlot draws the p99 of a group over time, one line for each result. It
+// returns nil if no result has a series.
 func latencyPlot(results []Result, k groupKey) (*plot.Plot, error) {
 	p := newPlot(k.String()+": p99 of the requests due in each second", "s", "ms")
 	drawn := 0
 	for _, r := range results {
-		f, _ := r.find(k)
+		f, _ := r.statsOf(k)
 		var points plotter.XYs
 		for _, point := range f.Series {
 			if point.P99 > 0 {
@@ -119,14 +122,14 @@
 	if drawn == 0 {
 		return nil, nil
 	}
-	scale(p)
+	scaleYAxis(p)
 	return p, nil
 }
 
 func seconds(p load.Point) float64 { return float64(p.AtMs) / 1000 }
 
-// sharePlot shows how the groups of a service shared its slot time over time.
-// It is nil when the result has no series for the service.
+// sharePlot draws each group's share of a service's slot time over time. It returns
+// nil if the result has no series for the service.
 func sharePlot(r Result, s model.ServiceName) (*plot.Plot, error) {
 	p := newPlot(string(s)+": share of slot time, "+r.Label, "s", "%")
 	p.Y.Min, p.Y.Max = 0, 100
@@ -156,7 +159,8 @@
 	return p, nil
 }
 
-// slotTimes returns the slot time of a service for each point of the series.
+// slotTimes returns the total slot time of a service at each time of the series, by
+// Point.AtMs.
 func slotTimes(r Result, s model.ServiceName) map[int64]int64 {
 	totals := make(map[int64]int64)
 	for _, f := range r.Groups {
--- a/report/read.go
+++ b/report/read.go
@@ -13,24 +13,26 @@
 	"github.com/dottereltiller/dottereltiller/load"
 )
 
-// Result is what is drawn of one result file, of a load run or of a replay.
+// Result holds the contents of a result file that are drawn. The file comes from a
+// load run or a replay.
 type Result struct {
 	// Label names the result in legends.
-	Label  string    `json:"-"`
-	Groups []Figures `json:"groups"`
+	Label  string  `json:"-"`
+	Groups []Stats `json:"groups"`
 }
 
-// Figures are the figures of one group.
-type Figures struct {
+// Stats are the results of one group.
+type Stats struct {
 	load.Figures
-	// Ideal is the bound from one central queue; zero when not stated.
+	// Ideal is the latency of one central queue with perfect knowledge. Only
+	// replays compute it; otherwise it is zero.
 	Ideal load.Latency `json:"ideal"`
 }
 
 var errNoGroups = errors.New("not a result of load or replay: no groups")
 
-// Read reads a result file. Label defaults to the file's name without its
-// extension.
+// Read reads a result file. The default of label is the name of the file without
+// its extension.
 func Read(path, label string) (Result, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -50,7 +52,7 @@
 	return r, nil
 }
 
-// groupKey names a group of a service.
+// groupKey identifies a group of a service.
 type groupKey struct {
 	service model.ServiceName
 	group   model.GroupName
@@ -58,16 +60,17 @@
 
 func (k groupKey) String() string { return string(k.service) + " " + string(k.group) }
 
-func (r Result) find(k groupKey) (Figures, bool) {
+// statsOf returns the results of a group, and whether there are any.
+func (r Result) statsOf(k groupKey) (Stats, bool) {
 	for _, f := range r.Groups {
 		if f.Service == k.service && f.Group == k.group {
 			return f, true
 		}
 	}
-	return Figures{}, false
+	return Stats{}, false
 }
 
-// groupsOf returns every group of the results, sorted.
+// groupsOf returns all groups that occur in the results, sorted by name.
 func groupsOf(results []Result) []groupKey {
 	var keys []groupKey
 	for _, r := range results {
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -13,7 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/replay"
 )
 
-func write(t *testing.T, name string, v any) string {
+// writeJSON writes a value to a file in a temporary directory and returns its path.
+func writeJSON(t *testing.T, name string, v any) string {
 	t.Helper()
 	data, err := json.Marshal(v)
 	require.NoError(t, err)
@@ -22,30 +23,31 @@
 	return path
 }
 
+// loadResult returns a result with two groups whose p99 latency is the given one.
 func loadResult(p99 int64) load.Result {
-	figures := func(group string, slot int64) load.Figures {
+	groupStats := func(group string, slotTimeUs int64) load.Figures {
 		l := load.Latency{P50: 1000, P99: p99, P999: p99 + 1, Max: p99 + 2}
 		return load.Figures{
 			Service: "sporarkiv", Group: model.GroupName("g" + group), Requests: 10, Answered: 10, Latency: l,
 			Series: []load.Point{
-				{AtMs: 0, Latency: l, SlotTimeUs: slot},
+				{AtMs: 0, Latency: l, SlotTimeUs: slotTimeUs},
 				{AtMs: 1000},
-				{AtMs: 2000, Latency: l, SlotTimeUs: 100 - slot},
+				{AtMs: 2000, Latency: l, SlotTimeUs: 100 - slotTimeUs},
 			},
 		}
 	}
-	return load.Result{Groups: []load.Figures{figures("members", 80), figures("searches", 20)}}
+	return load.Result{Groups: []load.Figures{groupStats("members", 80), groupStats("searches", 20)}}
 }
 
-func TestDrawResultsOfLoadAndReplay(t *testing.T) {
-	bounded := replay.Stats{Service: "returdesk", Group: "sorters"}
-	bounded.Latency = replay.Latency{P50: 1, P99: 2, P999: 3, Max: 4}
-	bounded.Ideal = replay.Latency{P50: 1, P99: 1, P999: 2, Max: 2}
+func TestDrawLoadAndReplayResults(t *testing.T) {
+	replayed := replay.Stats{Service: "returdesk", Group: "sorters"}
+	replayed.Latency = replay.Latency{P50: 1, P99: 2, P999: 3, Max: 4}
+	replayed.Ideal = replay.Latency{P50: 1, P99: 1, P999: 2, Max: 2}
 	var results []Result
 	for _, c := range []struct{ file, label string }{
-		{write(t, "random.json", loadResult(9000)), ""},
-		{write(t, "new.json", loadResult(2000)), "expected completion"},
-		{write(t, "replayed.json", replay.Result{Groups: []replay.Stats{bounded}}), ""},
+		{writeJSON(t, "random.json", loadResult(9000)), ""},
+		{writeJSON(t, "new.json", loadResult(2000)), "expected completion"},
+		{writeJSON(t, "replayed.json", replay.Result{Groups: []replay.Stats{replayed}}), ""},
 	} {
 		r, err := Read(c.file, c.label)
 		require.NoError(t, err)
@@ -75,11 +77,11 @@
 	require.Contains(t, string(data), "replayed (bound)")
 }
 
-func TestFilesThatAreNoResultsAreRefused(t *testing.T) {
+func TestReadInvalidFiles(t *testing.T) {
 	_, err := Read(filepath.Join(t.TempDir(), "absent.json"), "")
 	require.ErrorIs(t, err, os.ErrNotExist)
-	_, err = Read(write(t, "other.json", map[string]int{"a": 1}), "")
+	_, err = Read(writeJSON(t, "other.json", map[string]int{"a": 1}), "")
 	require.ErrorIs(t, err, errNoGroups)
-	_, err = Read(write(t, "list.json", []int{1}), "")
+	_, err = Read(writeJSON(t, "list.json", []int{1}), "")
 	require.ErrorContains(t, err, "cannot unmarshal array")
 }
