--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -7,21 +7,21 @@
 	"text/tabwriter"
 )
 
-// CapacityOptions choose what Capacity measures.
+// CapacityOptions selects what Capacity measures.
 type CapacityOptions struct {
-	// StateOnly leaves out the measurements that start daemons.
+	// StateOnly skips the measurements that need running daemons.
 	StateOnly bool
 }
 
-// Capacity measures every slope that docs/CAPACITY.md uses.
+// Capacity measures the slopes that docs/CAPACITY.md uses.
 func Capacity(ctx context.Context, opts CapacityOptions) ([]Slope, error) {
-	measures := stateMeasures()
+	measures := stateMeasurements()
 	if !opts.StateOnly {
-		measures = append(measures, controlMeasures()...)
+		measures = append(measures, daemonMeasurements()...)
 	}
 	slopes := make([]Slope, 0, len(measures))
 	for _, m := range measures {
-		s, err := m.slope(ctx)
+		s, err := m.fitSlope(ctx)
 		if err != nil {
 			return slopes, fmt.Errorf("%s: %w", m.name, err)
 		}
--- a/bench/control.go
+++ b/bench/control.go
@@ -11,45 +11,46 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// daemonSizes are deployments that one process can hold.
+// daemonSizes are the numbers of daemons to measure. One process must be able to
+// run that many.
 var daemonSizes = []int{32, 48, 64, 96}
 
-// settle is how long a deployment is left alone before it is measured, and
-// watch is how long it is measured.
+// settleTime is the time between the start of a deployment and the measurement, and
+// measuringTime the duration of the measurement.
 const (
-	settle = 2 * time.Second
-	watch  = 5 * time.Second
+	settleTime    = 2 * time.Second
+	measuringTime = 5 * time.Second
 )
 
-// controlMeasures measures what a daemon spends when no caller calls.
-func controlMeasures() []measure {
-	return []measure{
-		{"control of one daemon at rest", "us of CPU a second", "daemon", daemonSizes, restingCPU},
+// daemonMeasurements returns the measurements that need running daemons.
+func daemonMeasurements() []measurement {
+	return []measurement{
+		{"control of one daemon at rest", "us of CPU a second", "daemon", daemonSizes, idleCPU},
 	}
 }
 
-// restingCPU returns the processor time of one daemon a second, in
-// microseconds. The stand-ins' time is counted in.
-func restingCPU(ctx context.Context, n int) (float64, error) {
-	d, err := startFleet(ctx, n)
+// idleCPU runs n daemons without load and returns the CPU time that each uses per
+// second, in microseconds. This includes the time of the stand-in upstreams.
+func idleCPU(ctx context.Context, n int) (float64, error) {
+	d, err := startDaemons(ctx, n)
 	if err != nil {
 		return 0, err
 	}
 	defer d.Stop()
-	if err := sleep(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return 0, err
 	}
 	before, start := processCPU(), time.Now()
-	if err := sleep(ctx, watch); err != nil {
+	if err := sleep(ctx, measuringTime); err != nil {
 		return 0, err
 	}
 	used := processCPU() - before
 	return used.Seconds() / time.Since(start).Seconds() / float64(n) * 1e6, nil
 }
 
-// startFleet starts n daemons over five zones with an upstream each, in
-// services of eight.
-func startFleet(ctx context.Context, n int) (*local.Deployment, error) {
+// startDaemons starts n daemons in five zones. Each has one upstream, and eight
+// upstreams form a service.
+func startDaemons(ctx context.Context, n int) (*local.Deployment, error) {
 	const perService = 8
 	opts := local.Options{
 		Zones:       []model.AvailabilityZone{"a", "b", "c", "d", "e"},
@@ -66,6 +67,7 @@
 	return local.Start(ctx, opts)
 }
 
+// sleep waits for d, or returns the context's error when that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -75,7 +77,8 @@
 	}
 }
 
-// processCPU returns the processor time that this process has used.
+// processCPU returns the CPU time that this process has used, or 0 if that cannot
+// be determined.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,4 +1,5 @@
-// Package bench measures the running system on loopback: what forwarding adds
-// to a call, what a daemon costs at rest, and the slopes from which
-// docs/CAPACITY.md works out the costs at full size.
+// Package bench runs daemons and stand-in upstreams on the loopback interface and
+// measures the latency that forwarding adds and the CPU time of an idle daemon. It
+// also measures how memory and CPU time grow with the size of a deployment;
+// docs/CAPACITY.md extrapolates from these slopes.
 package bench
--- a/bench/forward.go
+++ b/bench/forward.go
@@ -21,23 +21,23 @@
 
 // ForwardOptions configure Forward.
 type ForwardOptions struct {
-	// Rate is the number of calls a second on each of the two paths.
+	// Rate is the number of requests a second on each of the two paths.
 	// Default: 1000.
 	Rate int
-	// Duration is the length of the measurement. Default: 5s.
+	// Duration is the duration of the measurement. Default: 5s.
 	Duration time.Duration
-	// Cost is how long the upstream runs a call. Default: 1ms.
+	// Cost is the service time of a request at the upstream. Default: 1ms.
 	Cost time.Duration
 }
 
-// ForwardResult compares calls sent straight to an upstream with calls sent
-// through an entry and a guard in two daemons.
+// ForwardResult compares requests sent directly to an upstream with requests
+// forwarded by two daemons: the entry of one and the guard of the other.
 type ForwardResult struct {
 	Calls     int64               `json:"calls"`
 	Failed    int64               `json:"failed"`
 	Direct    latency.Percentiles `json:"direct"`
 	Forwarded latency.Percentiles `json:"forwarded"`
-	// Added is the difference at each quantile.
+	// Added is Forwarded minus Direct for each percentile, without the maximum.
 	Added latency.Percentiles `json:"added"`
 }
 
@@ -46,33 +46,34 @@
 	defaultDuration = 5 * time.Second
 	defaultCost     = time.Millisecond
 	benchSlots      = 64
-	warmUp          = 500 * time.Millisecond
+	warmUpTime      = 500 * time.Millisecond
 )
 
-// near and far are the services of the measurement: the upstream of near is
-// called through the daemon beside the upstream of far.
+// calledService and callingService are the services of the measurement. Forwarded
+// requests for calledService are sent to the daemon of callingService's upstream.
 const (
-	near model.ServiceName = "near"
-	far  model.ServiceName = "far"
+	calledService  model.ServiceName = "near"
+	callingService model.ServiceName = "far"
 )
 
-// Forward measures what forwarding adds, both paths in turn in one run.
+// Forward measures the latency of both paths, direct and forwarded, at the same
+// time.
 func Forward(ctx context.Context, opts ForwardOptions) (ForwardResult, error) {
 	opts = opts.withDefaults()
 	defer debug.SetGCPercent(debug.SetGCPercent(settings.Defaults().Process.GCPercent))
-	d, err := startPair(ctx)
+	d, err := startTwoDaemons(ctx)
 	if err != nil {
 		return ForwardResult{}, err
 	}
 	defer d.Stop()
-	direct := newProbe("http://"+d.Nodes[0].Upstream.Address()+"/x", opts.Cost)
-	forwarded := newProbe("http://"+d.Nodes[1].Daemon.CallerAddress()+"/x", opts.Cost)
+	direct := newLoadClient("http://"+d.Nodes[0].Upstream.Address()+"/x", opts.Cost)
+	forwarded := newLoadClient("http://"+d.Nodes[1].Daemon.CallerAddress()+"/x", opts.Cost)
 	defer direct.close()
 	defer forwarded.close()
-	runPair(ctx, direct, forwarded, opts.Rate, warmUp)
+	runBoth(ctx, direct, forwarded, opts.Rate, warmUpTime)
 	direct.reset()
 	forwarded.reset()
-	runPair(ctx, direct, forwarded, opts.Rate, opts.Duration)
+	runBoth(ctx, direct, forwarded, opts.Rate, opts.Duration)
 	return compare(direct, forwarded), ctx.Err()
 }
 
@@ -89,32 +90,36 @@
 	return o
 }
 
-func startPair(ctx context.Context) (*local.Deployment, error) {
+// startTwoDaemons starts two daemons, one with an upstream of calledService and one
+// with an upstream of callingService.
+func startTwoDaemons(ctx context.Context) (*local.Deployment, error) {
 	return local.Start(ctx, local.Options{
 		Zones:    []model.AvailabilityZone{"a"},
-		Services: []local.Service{{Name: near, Upstreams: 1, Slots: benchSlots}, {Name: far, Upstreams: 1, Slots: benchSlots}},
+		Services: []local.Service{{Name: calledService, Upstreams: 1, Slots: benchSlots}, {Name: callingService, Upstreams: 1, Slots: benchSlots}},
 		Documents: []policy.Document{
-			{Kind: policy.KindService, Name: string(near), Spec: []byte(`{}`)},
-			{Kind: policy.KindService, Name: string(far), Spec: []byte(`{}`)},
+			{Kind: policy.KindService, Name: string(calledService), Spec: []byte(`{}`)},
+			{Kind: policy.KindService, Name: string(callingService), Spec: []byte(`{}`)},
 			{Kind: policy.KindSharingPolicy, Name: "all", Spec: []byte(
 				`{"services":"","default_group":"all","groups":[{"name":"all","callers":"","weight":1}]}`)},
 		},
 	})
 }
 
-func runPair(ctx context.Context, a, b *probe, rate int, d time.Duration) {
+// runBoth runs two clients at the same time.
+func runBoth(ctx context.Context, a, b *loadClient, rate int, d time.Duration) {
 	var wg sync.WaitGroup
 	wg.Go(func() { a.run(ctx, rate, d) })
 	wg.Go(func() { b.run(ctx, rate, d) })
 	wg.Wait()
 }
 
-func compare(direct, forwarded *probe) ForwardResult {
+// compare computes the result from the two clients.
+func compare(direct, forwarded *loadClient) ForwardResult {
 	r := ForwardResult{
-		Calls:     direct.hist.Count() + forwarded.hist.Count(),
+		Calls:     direct.latencies.Count() + forwarded.latencies.Count(),
 		Failed:    direct.failed + forwarded.failed,
-		Direct:    direct.hist.Percentiles(),
-		Forwarded: forwarded.hist.Percentiles(),
+		Direct:    direct.latencies.Percentiles(),
+		Forwarded: forwarded.latencies.Percentiles(),
 	}
 	r.Added = latency.Percentiles{
 		P50:  r.Forwarded.P50 - r.Direct.P50,
@@ -124,85 +129,89 @@
 	return r
 }
 
-// probe sends calls to one address, open loop, and records their latency from
-// the time they were due.
-type probe struct {
+// loadClient sends requests to one address at a constant rate, open-loop, and
+// records their latency.
+type loadClient struct {
 	url    string
 	cost   string
 	client *http.Client
 
-	mu     sync.Mutex
-	hist   *latency.Histogram
-	failed int64
+	mu        sync.Mutex
+	latencies *latency.Histogram
+	failed    int64
 }
 
 const (
-	idleConns = 256
+	maxIdleConns = 256
 )
 
-func newProbe(url string, cost time.Duration) *probe {
-	return &probe{
-		url:    url,
-		cost:   cost.String(),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns}},
-		hist:   latency.NewHistogram(),
+func newLoadClient(url string, cost time.Duration) *loadClient {
+	return &loadClient{
+		url:       url,
+		cost:      cost.String(),
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
+		latencies: latency.NewHistogram(),
 	}
 }
 
-func (p *probe) close() { p.client.CloseIdleConnections() }
+func (c *loadClient) close() { c.client.CloseIdleConnections() }
 
-func (p *probe) reset() {
-	p.hist.Reset()
-	p.failed = 0
+func (c *loadClient) reset() {
+	c.latencies.Reset()
+	c.failed = 0
 }
 
-func (p *probe) run(ctx context.Context, rate int, d time.Duration) {
+// run sends requests at the given rate for the given duration and waits for the
+// responses.
+func (c *loadClient) run(ctx context.Context, rate int, d time.Duration) {
 	var wg sync.WaitGroup
 	start := time.Now()
-	gap := time.Second / time.Duration(rate)
+	interval := time.Second / time.Duration(rate)
 	for n := 0; ctx.Err() == nil; n++ {
-		due := start.Add(time.Duration(n) * gap)
+		due := start.Add(time.Duration(n) * interval)
 		if due.Sub(start) >= d {
 			break
 		}
 		time.Sleep(time.Until(due))
-		wg.Go(func() { p.call(ctx, time.Now()) })
+		wg.Go(func() { c.callAndRecord(ctx, time.Now()) })
 	}
 	wg.Wait()
 }
 
-func (p *probe) call(ctx context.Context, due time.Time) {
-	err := p.exchange(ctx)
-	took := time.Since(due)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// callAndRecord sends a request and records its latency or its failure.
+func (c *loadClient) callAndRecord(ctx context.Context, start time.Time) {
+	err := c.call(ctx)
+	took := time.Since(start)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		p.failed++
+		c.failed++
 		return
 	}
-	p.hist.Record(took)
+	c.latencies.Record(took)
 }
 
-func (p *probe) exchange(ctx context.Context) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
+// call sends one request and reads the response.
+func (c *loadClient) call(ctx context.Context) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
 		return err
 	}
-	req.Header.Set(wire.HeaderService, string(near))
-	req.Header.Set(standin.HeaderCost, p.cost)
-	resp, err := p.client.Do(req)
+	req.Header.Set(wire.HeaderService, string(calledService))
+	req.Header.Set(standin.HeaderCost, c.cost)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %s", resp.Status)
+		return fmt.Errorf("unexpected status %s", resp.Status)
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
 	return err
 }
 
-// PrintForward writes a result as a table.
+// PrintForward writes the result of Forward as a table.
 func PrintForward(w io.Writer, r ForwardResult) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(t, "%d calls, %d failed\tp50 ms\tp99 ms\tp99.9 ms\t\n", r.Calls, r.Failed)
--- a/bench/forward_test.go
+++ b/bench/forward_test.go
@@ -16,52 +16,54 @@
 	require.Positive(t, res.Forwarded.P50)
 }
 
-// BenchmarkForward calls an upstream through two daemons, one call at a time.
-// The allocations are those of the caller, both daemons and the upstream.
+// BenchmarkForward sends requests to an upstream through two daemons, one at a time.
+// The reported allocations include those of the client, both daemons and the
+// upstream.
 func BenchmarkForward(b *testing.B) {
-	d, err := startPair(b.Context())
+	d, err := startTwoDaemons(b.Context())
 	require.NoError(b, err)
 	defer d.Stop()
-	p := newProbe("http://"+d.Nodes[1].Daemon.CallerAddress()+"/x", time.Nanosecond)
-	defer p.close()
-	benchmarkCalls(b, p)
+	client := newLoadClient("http://"+d.Nodes[1].Daemon.CallerAddress()+"/x", time.Nanosecond)
+	defer client.close()
+	benchmarkCalls(b, client)
 }
 
-// benchmarkCalls sends one call at a time and reports the processor time of the
-// whole process besides.
-func benchmarkCalls(b *testing.B, p *probe) {
+// benchmarkCalls sends one request at a time. It also reports the CPU time of the
+// whole process per request.
+func benchmarkCalls(b *testing.B, client *loadClient) {
 	b.ReportAllocs()
 	before := processCPU()
 	for b.Loop() {
-		if err := p.exchange(b.Context()); err != nil {
+		if err := client.call(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 	}
 	b.ReportMetric(float64((processCPU()-before).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-// BenchmarkDirect is the same call without the system.
+// BenchmarkDirect sends the same requests to the upstream directly.
 func BenchmarkDirect(b *testing.B) {
-	d, err := startPair(b.Context())
+	d, err := startTwoDaemons(b.Context())
 	require.NoError(b, err)
 	defer d.Stop()
-	p := newProbe("http://"+d.Nodes[0].Upstream.Address()+"/x", time.Nanosecond)
-	defer p.close()
-	benchmarkCalls(b, p)
+	client := newLoadClient("http://"+d.Nodes[0].Upstream.Address()+"/x", time.Nanosecond)
+	defer client.close()
+	benchmarkCalls(b, client)
 }
 
-// maxForwardAllocs bounds the allocations of one forwarded call over the caller,
-// both daemons and the upstream. Measured: 357; the rest leaves room for the
-// daemons' own rounds and for the race detector, which empties pools.
+// maxForwardAllocs is the maximum number of allocations per forwarded request in the
+// client, both daemons and the upstream together. A typical value is 357. The difference
+// allows for the daemons' background work and for the race detector, which empties
+// sync.Pools.
 const maxForwardAllocs = 500
 
 func TestForwardAllocations(t *testing.T) {
-	d, err := startPair(t.Context())
+	d, err := startTwoDaemons(t.Context())
 	require.NoError(t, err)
 	defer d.Stop()
-	p := newProbe("http://"+d.Nodes[1].Daemon.CallerAddress()+"/x", time.Nanosecond)
-	defer p.close()
-	allocs := testing.AllocsPerRun(1000, func() { err = p.exchange(t.Context()) })
+	client := newLoadClient("http://"+d.Nodes[1].Daemon.CallerAddress()+"/x", time.Nanosecond)
+	defer client.close()
+	allocs := testing.AllocsPerRun(1000, func() { err = client.call(t.Context()) })
 	require.NoError(t, err)
 	t.Logf("%.0f allocations a call", allocs)
 	require.Less(t, allocs, float64(maxForwardAllocs))
--- a/bench/slope.go
+++ b/bench/slope.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Point is one measured size.
+// Point is the value measured at one size.
 type Point struct {
 	Size  int     `json:"size"`
 	Value float64 `json:"value"`
@@ -13,14 +13,15 @@
 
 // Slope is a straight line fitted to measured points by least squares.
 type Slope struct {
-	// Name says what is measured, Unit in what, and Per against what.
+	// Name says what was measured, Unit is the unit of the values, and Per the
+	// unit of size, for example upstream.
 	Name string `json:"name"`
 	Unit string `json:"unit"`
 	Per  string `json:"per"`
-	// Slope is the growth for each unit of size, Intercept the value at none.
+	// Slope is the increase per unit of size, Intercept the value at size 0.
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
-	// FitError is the largest distance of a point from the line, as a share of
+	// FitError is the largest difference between a point and the line, divided by
 	// the largest value.
 	FitError float64 `json:"fit_error"`
 	Points   []Point `json:"points"`
@@ -29,15 +30,17 @@
 // At returns the line's value at a size.
 func (s Slope) At(size float64) float64 { return s.Intercept + s.Slope*size }
 
-// measure is something whose cost grows with a size.
-type measure struct {
+// measurement measures a cost at several sizes. Its fields name, unit and per are
+// those of Slope.
+type measurement struct {
 	name, unit, per string
 	sizes           []int
-	// run measures the cost at one size.
+	// run returns the cost at one size.
 	run func(ctx context.Context, size int) (float64, error)
 }
 
-func (m measure) slope(ctx context.Context) (Slope, error) {
+// fitSlope measures the cost at all sizes and fits a line.
+func (m measurement) fitSlope(ctx context.Context) (Slope, error) {
 	s := Slope{Name: m.name, Unit: m.unit, Per: m.per}
 	for _, n := range m.sizes {
 		v, err := m.run(ctx, n)
@@ -50,7 +53,7 @@
 	return s, nil
 }
 
-// fit sets the line from the points by least squares.
+// fit computes the line from the points by least squares.
 func (s *Slope) fit() {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(s.Points))
@@ -65,10 +68,11 @@
 		s.Slope = (n*sxy - sx*sy) / d
 	}
 	s.Intercept = (sy - s.Slope*sx) / n
-	s.FitError = s.worstFit()
+	s.FitError = s.maxFitError()
 }
 
-func (s *Slope) worstFit() float64 {
+// maxFitError returns FitError.
+func (s *Slope) maxFitError() float64 {
 	var worst, largest float64
 	for _, p := range s.Points {
 		worst = math.Max(worst, math.Abs(p.Value-s.At(float64(p.Size))))
--- a/bench/slope_test.go
+++ b/bench/slope_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSlopeFitsALine(t *testing.T) {
+func TestFitSlope(t *testing.T) {
 	cases := map[string]struct {
 		value            func(n int) float64
 		slope, intercept float64
@@ -19,8 +19,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			m := measure{sizes: []int{1, 2, 4, 6}, run: func(_ context.Context, n int) (float64, error) { return c.value(n), nil }}
-			s, err := m.slope(t.Context())
+			m := measurement{sizes: []int{1, 2, 4, 6}, run: func(_ context.Context, n int) (float64, error) { return c.value(n), nil }}
+			s, err := m.fitSlope(t.Context())
 			require.NoError(t, err)
 			if c.exact {
 				require.InDelta(t, c.slope, s.Slope, 1e-9)
@@ -33,10 +33,10 @@
 	}
 }
 
-func TestCapacityMeasuresStateThatGrows(t *testing.T) {
+func TestCapacityMeasuresGrowingState(t *testing.T) {
 	slopes, err := Capacity(t.Context(), CapacityOptions{StateOnly: true})
 	require.NoError(t, err)
-	require.Len(t, slopes, len(stateMeasures()))
+	require.Len(t, slopes, len(stateMeasurements()))
 	for _, s := range slopes {
 		if s.Unit == "bytes" {
 			require.Positive(t, s.Slope, s.Name)
--- a/bench/state.go
+++ b/bench/state.go
@@ -15,30 +15,30 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// Sizes of the measurements. The largest stays below the target, so that the
-// page's figures are worked out and not read off.
+// Sizes of the measurements. All are below the sizes that docs/CAPACITY.md gives
+// values for, so that its values are extrapolated from the slopes.
 var (
 	upstreamSizes = []int{100, 200, 400, 800}
 	documentSizes = []int{100, 200, 400, 800}
 	changeSizes   = []int{500, 1000, 2000, 4000}
 )
 
-// stateMeasures measures what the decision packages hold and how long their
-// work takes.
-func stateMeasures() []measure {
-	return []measure{
+// stateMeasurements returns measurements of the memory and the CPU time that the
+// packages for membership, routing and configuration use. They need no daemons.
+func stateMeasurements() []measurement {
+	return []measurement{
 		{"membership view", "bytes", "upstream", upstreamSizes, directoryBytes},
 		{"router of one service", "bytes", "upstream", upstreamSizes, routerBytes},
-		{"routing decision", "ns", "upstream", upstreamSizes, pickTime},
+		{"routing decision", "ns", "upstream", upstreamSizes, decisionTime},
 		{"configuration in force", "bytes", "document", documentSizes, configurationBytes},
 		{"compiling the configuration", "us", "document", documentSizes, compileTime},
-		{"folding changes", "us", "change", changeSizes, foldTime},
+		{"folding changes", "us", "change", changeSizes, applyTime},
 		{"membership event on the wire", "bytes", "event", upstreamSizes, eventBytes},
 	}
 }
 
-// heapOf returns the heap bytes that a value built by f holds.
-func heapOf(f func() any) float64 {
+// heapBytes returns the number of heap bytes that the value returned by f occupies.
+func heapBytes(f func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -49,18 +49,19 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// timeOf returns the least mean duration of f over a few rounds of n calls.
-func timeOf(n int, f func()) time.Duration {
+// minMeanDuration calls f n times in each of several rounds and returns the mean
+// duration of a call in the fastest round.
+func minMeanDuration(n int, f func()) time.Duration {
 	const rounds = 5
-	best := time.Duration(1<<63 - 1)
+	shortest := time.Duration(1<<63 - 1)
 	for range rounds {
 		start := time.Now()
 		for range n {
 			f()
 		}
-		best = min(best, time.Since(start)/time.Duration(n))
+		shortest = min(shortest, time.Since(start)/time.Duration(n))
 	}
-	return best
+	return shortest
 }
 
 func upstream(i int) model.Upstream {
@@ -83,7 +84,7 @@
 }
 
 func directoryBytes(_ context.Context, n int) (float64, error) {
-	return heapOf(func() any {
+	return heapBytes(func() any {
 		d := member.NewDirectory()
 		for _, u := range upstreams(n) {
 			d.Apply(member.Event{Upstream: u, State: member.Joined})
@@ -103,7 +104,7 @@
 
 func routerBytes(_ context.Context, n int) (float64, error) {
 	var err error
-	bytes := heapOf(func() any {
+	bytes := heapBytes(func() any {
 		var r *routing.Router
 		r, err = newRouter(n)
 		return r
@@ -111,7 +112,7 @@
 	return bytes, err
 }
 
-func pickTime(_ context.Context, n int) (float64, error) {
+func decisionTime(_ context.Context, n int) (float64, error) {
 	const calls = 20000
 	r, err := newRouter(n)
 	if err != nil {
@@ -119,7 +120,7 @@
 	}
 	now := model.Instant(0)
 	req := model.Request{Service: "service-0", Deadline: 1 << 62}
-	took := timeOf(calls, func() {
+	took := minMeanDuration(calls, func() {
 		now = now.Add(time.Microsecond)
 		if u, ok := r.Pick(now, req, nil); ok {
 			r.Done(now, u.ID, routing.Reply{Latency: time.Millisecond})
@@ -128,8 +129,9 @@
 	return float64(took.Nanoseconds()), nil
 }
 
-// documents returns n documents in the proportion of the target: mostly
-// callers, a service for each ten and a policy for each service.
+// documents returns n configuration documents in the proportions of a full-size
+// deployment: of ten documents, one is a service, one is its sharing policy and the
+// others are callers.
 func documents(n int) []policy.Document {
 	docs := make([]policy.Document, 0, n)
 	for i := range n {
@@ -156,7 +158,7 @@
 
 func configurationBytes(_ context.Context, n int) (float64, error) {
 	var problems []policy.Problem
-	bytes := heapOf(func() any {
+	bytes := heapBytes(func() any {
 		var set *policy.Set
 		set, problems = policy.Compile(documents(n))
 		return set
@@ -167,7 +169,7 @@
 func compileTime(_ context.Context, n int) (float64, error) {
 	docs := documents(n)
 	var problems []policy.Problem
-	took := timeOf(3, func() { _, problems = policy.Compile(docs) })
+	took := minMeanDuration(3, func() { _, problems = policy.Compile(docs) })
 	return float64(took.Nanoseconds()) / 1e3, firstProblem(problems)
 }
 
@@ -178,7 +180,7 @@
 	return problems[0]
 }
 
-func foldTime(_ context.Context, n int) (float64, error) {
+func applyTime(_ context.Context, n int) (float64, error) {
 	raw, err := json.Marshal(document(0))
 	if err != nil {
 		return 0, err
@@ -195,15 +197,15 @@
 		}
 	}
 	var version model.Version
-	took := timeOf(1, func() {
-		folder := configuration.NewStateMachine()
+	took := minMeanDuration(1, func() {
+		machine := configuration.NewStateMachine()
 		for i, r := range records {
-			folder.ApplyRecord(uint64(i), r)
+			machine.ApplyRecord(uint64(i), r)
 		}
-		version = folder.Version()
+		version = machine.Version()
 	})
 	if version != model.Version(n) {
-		return 0, fmt.Errorf("folded to version %d of %d", version, n)
+		return 0, fmt.Errorf("applied %d changes, but the version is %d", n, version)
 	}
 	return float64(took.Nanoseconds()) / 1e3, nil
 }
