--- a/load/load_test.go
+++ b/load/load_test.go
@@ -151,14 +151,14 @@
 		change func(*Plan)
 		want   string
 	}{
-		"no duration":   {func(p *Plan) { p.Duration = 0 }, `duration: must be more than 0 and at most 24h0m0s (got 0s)`},
-		"no targets":    {func(p *Plan) { p.Targets = nil }, `targets: name at least one daemon (got [])`},
-		"no port":       {func(p *Plan) { p.Targets[0].Address = "a" }, `targets[0].address: want host:port (got "a")`},
-		"half TLS":      {func(p *Plan) { p.TLS.Certificate = "c.pem" }, `tls.authority: must be set (got "")`},
-		"no sources":    {func(p *Plan) { p.Sources = nil }, `sources: name at least one source (got [])`},
-		"no service":    {func(p *Plan) { p.Sources[0].Service = "" }, `sources[0].service: must be set (got "")`},
-		"relative path": {func(p *Plan) { p.Sources[0].Path = "x" }, `sources[0].path: must start with / (got "x")`},
-		"zero rate":     {func(p *Plan) { p.Sources[0].Rate = 0 }, `sources[0].rate: must be more than 0 and at most 1e6 (got 0)`},
+		"no duration": {func(p *Plan) { p.Duration = 0 }, `duration: must be more than 0 and at most 24h0m0s (got 0s)`},
+		"no targets":  {func(p *Plan) { p.Targets = nil }, `targets: name at least one daemon (got [])`},
+		"no port":     {func(p *Plan) { p.Targets[0].Address = "a" }, `targets[0].address: want host:port (got "a")`},
+		"half TLS":    {func(p *Plan) { p.TLS.Certificate = "c.pem" }, `tls.authority: must be set (got "")`},
+		"no sources":  {func(p *Plan) { p.Sources = nil }, `sources: name at least one source (got [])`},
+		"no service":  {func(p *Plan) { p.Sources[0].Service = "" }, `sources[0].service: must be set (got "")`},
+		"path":        {func(p *Plan) { p.Sources[0].Path = "x" }, `sources[0].path: must start with / (got "x")`},
+		"rate":        {func(p *Plan) { p.Sources[0].Rate = 0 }, `sources[0].rate: must be more than 0 and at most 1e6 (got 0)`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := testPlan(1, time.Second)
