--- a/bench/forward.go
+++ b/bench/forward.go
@@ -45,7 +45,7 @@
 	defaultRate     = 1000
 	defaultDuration = 5 * time.Second
 	defaultCost     = time.Millisecond
-	benchSlots      = 64
+	upstreamSlots   = 64
 	warmUpTime      = 500 * time.Millisecond
 )
 
@@ -95,7 +95,7 @@
 func startTwoDaemons(ctx context.Context) (*local.Deployment, error) {
 	return local.Start(ctx, local.Options{
 		Zones:    []model.AvailabilityZone{"a"},
-		Services: []local.Service{{Name: calledService, Upstreams: 1, Slots: benchSlots}, {Name: callingService, Upstreams: 1, Slots: benchSlots}},
+		Services: []local.Service{{Name: calledService, Upstreams: 1, Slots: upstreamSlots}, {Name: callingService, Upstreams: 1, Slots: upstreamSlots}},
 		Documents: []policy.Document{
 			{Kind: policy.KindService, Name: string(calledService), Spec: []byte(`{}`)},
 			{Kind: policy.KindService, Name: string(callingService), Spec: []byte(`{}`)},
--- a/bench/slope.go
+++ b/bench/slope.go
@@ -71,7 +71,7 @@
 	s.FitError = s.maxFitError()
 }
 
-// maxFitError returns FitError.
+// maxFitError computes FitError from the points and the line.
 func (s *Slope) maxFitError() float64 {
 	var worst, largest float64
 	for _, p := range s.Points {
--- a/bench/state.go
+++ b/bench/state.go
@@ -205,7 +205,7 @@
 		version = machine.Version()
 	})
 	if version != model.Version(n) {
-		return 0, fmt.Errorf("applied %d changes, but the version is %d", n, version)
+		return 0, fmt.Errorf("version is %d after %d changes", version, n)
 	}
 	return float64(took.Nanoseconds()) / 1e3, nil
 }
