--- a/load/collector.go
+++ b/load/collector.go
@@ -98,40 +98,40 @@
 	}
 }
 
-func (a *groupCollector) add(s sample) {
-	p := a.pointAt(s.due)
-	a.stats.Requests++
+func (g *groupCollector) add(s sample) {
+	p := g.pointAt(s.due)
+	g.stats.Requests++
 	if s.reply.Reason != "" {
-		if a.stats.Reasons == nil {
-			a.stats.Reasons = make(map[string]int64)
+		if g.stats.Reasons == nil {
+			g.stats.Reasons = make(map[string]int64)
 		}
-		a.stats.Reasons[s.reply.Reason]++
+		g.stats.Reasons[s.reply.Reason]++
 	}
 	switch s.reply.Kind {
 	case outcome.Answered:
-		a.stats.Answered++
+		g.stats.Answered++
 		p.Answered++
-		a.slotTime += time.Duration(s.request.Cost)
+		g.slotTime += time.Duration(s.request.Cost)
 		p.SlotTimeUs += time.Duration(s.request.Cost).Microseconds()
-		a.latency.Record(s.latency)
+		g.latency.Record(s.latency)
 		p.latency.Record(s.latency)
 	case outcome.NotRun:
-		a.stats.NotRun++
+		g.stats.NotRun++
 		p.NotRun++
 	default:
-		a.stats.Unknown++
+		g.stats.Unknown++
 		p.Unknown++
 	}
 }
 
 // pointAt returns the collector of the interval that contains a due time.
-func (a *groupCollector) pointAt(due time.Duration) *pointCollector {
+func (g *groupCollector) pointAt(due time.Duration) *pointCollector {
 	index := int(due / pointInterval)
-	for len(a.points) <= index {
-		at := int64(len(a.points)) * pointInterval.Milliseconds()
-		a.points = append(a.points, &pointCollector{Point: Point{AtMs: at}, latency: latency.NewHistogram()})
+	for len(g.points) <= index {
+		at := int64(len(g.points)) * pointInterval.Milliseconds()
+		g.points = append(g.points, &pointCollector{Point: Point{AtMs: at}, latency: latency.NewHistogram()})
 	}
-	return a.points[index]
+	return g.points[index]
 }
 
 func (c *collector) progress(elapsed time.Duration, inFlight int) Progress {
@@ -153,8 +153,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	serviceSlotTime := make(map[model.ServiceName]time.Duration)
-	for k, a := range c.groups {
-		serviceSlotTime[k.service] += a.slotTime
+	for k, g := range c.groups {
+		serviceSlotTime[k.service] += g.slotTime
 	}
 	r := &Result{
 		DurationMs:   time.Duration(p.Duration).Milliseconds(),
@@ -166,8 +166,8 @@
 		Wrong:        c.wrongCount,
 		WrongAnswers: c.wrongAnswers,
 	}
-	for k, a := range c.groups {
-		r.Groups = append(r.Groups, a.summarize(serviceSlotTime[k.service]))
+	for k, g := range c.groups {
+		r.Groups = append(r.Groups, g.summarize(serviceSlotTime[k.service]))
 	}
 	slices.SortFunc(r.Groups, func(a, b Figures) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Group, b.Group))
@@ -177,15 +177,15 @@
 
 // summarize computes the results of the group. The argument is the slot time of
 // the whole service.
-func (a *groupCollector) summarize(serviceSlotTime time.Duration) Figures {
-	f := a.stats
-	f.Latency = a.latency.Percentiles()
+func (g *groupCollector) summarize(serviceSlotTime time.Duration) Figures {
+	stats := g.stats
+	stats.Latency = g.latency.Percentiles()
 	if serviceSlotTime > 0 {
-		f.SlotTimeShare = a.slotTime.Seconds() / serviceSlotTime.Seconds()
+		stats.SlotTimeShare = g.slotTime.Seconds() / serviceSlotTime.Seconds()
 	}
-	for _, p := range a.points {
+	for _, p := range g.points {
 		p.Latency = p.latency.Percentiles()
-		f.Series = append(f.Series, p.Point)
+		stats.Series = append(stats.Series, p.Point)
 	}
-	return f
+	return stats
 }
--- a/load/run.go
+++ b/load/run.go
@@ -75,6 +75,7 @@
 	return r.collector.result(p), nil
 }
 
+// run is the state of one run of a plan.
 type run struct {
 	plan      Plan
 	opts      Options
@@ -134,6 +135,7 @@
 	}
 }
 
+// send sends a request and records the sample.
 func (r *run) send(ctx context.Context, req *Request) {
 	defer func() { <-r.inFlight }()
 	sent := time.Now()
