--- a/load/collector.go
+++ b/load/collector.go
@@ -14,8 +14,8 @@
 const (
 	// pointInterval is the time that one point of a series covers.
 	pointInterval = time.Second
-	// maxWrongAnswers is the maximum number of wrong answers that a result
-	// describes. It counts the others.
+	// maxWrongAnswers is the maximum number of wrong responses that a result
+	// describes. Further ones are only counted.
 	maxWrongAnswers = 10
 )
 
@@ -25,8 +25,8 @@
 	reply   Reply
 	// due is the time from the start of the run until the request was due.
 	due time.Duration
-	// sendLag and latency are the times from then until the request was sent and
-	// until its response was complete.
+	// sendLag is the time from when the request was due until it was sent,
+	// latency the time from when it was due until its response was complete.
 	sendLag time.Duration
 	latency time.Duration
 }
@@ -44,7 +44,7 @@
 	groups       map[groupKey]*groupCollector
 	sendLag      *latency.Histogram
 	held         int64
-	wrongAnswers []string
+	wrongAnswers []string // descriptions of the first wrong responses
 	wrongCount   int64
 }
 
--- a/load/plan.go
+++ b/load/plan.go
@@ -40,7 +40,7 @@
 	Zone model.AvailabilityZone `json:"zone"`
 }
 
-// Source is a stream of equal requests with Poisson arrivals.
+// Source is a stream of requests of one kind with Poisson arrivals.
 type Source struct {
 	Service model.ServiceName `json:"service"`
 	// Group and Caller identify the source in results and recorded traces. They
--- a/replay/fairness_test.go
+++ b/replay/fairness_test.go
@@ -32,10 +32,10 @@
 	// turn. Their offered load is the given share of the service's 36 slots.
 	generate := func(group model.GroupName, from []model.AvailabilityZone, load float64) []Event {
 		var events []Event
-		gap := int64(costUs / (36 * load))
-		for i := int64(0); i*gap < duration.Microseconds(); i++ {
+		intervalUs := int64(costUs / (36 * load))
+		for i := int64(0); i*intervalUs < duration.Microseconds(); i++ {
 			events = append(events, Event{
-				AtUs: i * gap, Service: "s", Group: group, CostUs: costUs, Idempotent: true,
+				AtUs: i * intervalUs, Service: "s", Group: group, CostUs: costUs, Idempotent: true,
 				DeadlineMs: 300, Zone: from[i%int64(len(from))],
 			})
 		}
--- a/replay/poll.go
+++ b/replay/poll.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// pollBytes is the size of a poll and its report.
+	// pollBytes is the size of a poll's request and response together.
 	pollBytes = 400
 	// pollReserveFactor is the slot time that is reserved for a poll, as a
 	// multiple of the report cost.
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -77,6 +77,7 @@
 	ForMs int64 `json:"for_ms,omitempty"`
 }
 
+// defaultDeadlineMs is the default of Event.DeadlineMs.
 const defaultDeadlineMs = 10_000
 
 // maxLineBytes is the maximum length of one line of a trace.
