--- a/replay/faults.go
+++ b/replay/faults.go
@@ -6,53 +6,59 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// fault begins a fault and schedules its end.
-func (s *sim) fault(e *Event) {
-	lasting := time.Duration(e.ForMs) * time.Millisecond
-	end := s.beginFault(e, lasting)
-	if lasting > 0 && end != nil {
-		s.after(lasting, end)
+// startFault applies the fault of a trace event and schedules its end.
+func (s *simulation) startFault(e *Event) {
+	duration := time.Duration(e.ForMs) * time.Millisecond
+	end := s.applyFault(e, duration)
+	if duration > 0 && end != nil {
+		s.schedule(duration, end)
 	}
 }
 
-// beginFault returns what ends the fault, nil when it ends by itself.
-func (s *sim) beginFault(e *Event, lasting time.Duration) func() {
+// applyFault applies a fault and returns the function that ends it, or nil if
+// the fault needs none.
+func (s *simulation) applyFault(e *Event, duration time.Duration) func() {
 	switch e.Fault {
 	case LogDown:
 		s.logDown = true
-		return s.logUp
+		return s.restoreLog
 	case PartitionZone:
 		zone := model.AvailabilityZone(e.Target)
-		s.cut[zone] = true
-		return func() { delete(s.cut, zone) }
+		s.partitionedZones[zone] = true
+		return func() { delete(s.partitionedZones, zone) }
 	case Recover:
 		s.recover(e.Target)
 		return nil
 	}
-	return s.byName[e.Target].fault(e, lasting)
+	return s.guardsByName[e.Target].applyFault(e, duration)
 }
 
-func (s *sim) logUp() {
+// restoreLog ends LogDown and makes the announcements held back meanwhile.
+func (s *simulation) restoreLog() {
 	s.logDown = false
-	held := s.held
-	s.held = nil
-	for _, run := range held {
-		run()
+	held := s.heldAnnouncements
+	s.heldAnnouncements = nil
+	for _, announce := range held {
+		announce()
 	}
 }
 
-func (s *sim) recover(target string) {
-	delete(s.cut, model.AvailabilityZone(target))
+// recover ends the faults of a zone or an upstream, or LogDown when the target
+// is empty.
+func (s *simulation) recover(target string) {
+	delete(s.partitionedZones, model.AvailabilityZone(target))
 	if target == "" {
-		s.logUp()
+		s.restoreLog()
 		return
 	}
-	if g := s.byName[target]; g != nil {
+	if g := s.guardsByName[target]; g != nil {
 		g.recover()
 	}
 }
 
-func (g *guard) fault(e *Event, lasting time.Duration) func() {
+// applyFault applies a fault to the guard or its upstream and returns the
+// function that ends it, or nil if the fault ends by itself.
+func (g *guard) applyFault(e *Event, duration time.Duration) func() {
 	f := &g.fake.faults
 	now := g.sim.now
 	switch e.Fault {
@@ -60,7 +66,7 @@
 		f.straggle = e.Factor
 		return func() { f.straggle = 1 }
 	case ColdStart:
-		f.cold, f.coldFrom, f.coldUntil = e.Factor, now, now.Add(max(lasting, time.Second))
+		f.cold, f.coldFrom, f.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
 		return nil
 	case FailFast:
 		f.failFast = true
@@ -70,32 +76,33 @@
 		return func() { f.misreport = 1 }
 	case Drain:
 		g.drain()
-		g.sim.announce()
-		return g.rejoin
+		g.sim.announceMembership()
+		return g.restart
 	case Crash:
 		g.fake.crashed = true
 		g.fake.connections = 0
-		g.lose()
-		return g.rejoin
+		g.crashRunning()
+		return g.restart
 	case PauseDaemon:
 		g.pausedUntil = forever
-		if lasting > 0 {
-			g.pausedUntil = now.Add(lasting)
+		if duration > 0 {
+			g.pausedUntil = now.Add(duration)
 		}
 		return nil
 	}
 	return nil
 }
 
-// forever is past the end of every trace.
+// forever is an instant after the end of every trace.
 const forever = model.Instant(1 << 62)
 
-// recover ends every fault of the upstream.
+// recover ends every fault of the upstream and of its daemon. After a crash or
+// a drain the upstream restarts as a new incarnation.
 func (g *guard) recover() {
-	back := g.fake.crashed || g.upstream.Draining
+	mustRestart := g.fake.crashed || g.upstream.Draining
 	g.fake.faults = faultState{straggle: 1, misreport: 1}
 	g.pausedUntil = 0
-	if back {
-		g.rejoin()
+	if mustRestart {
+		g.restart()
 	}
 }
--- a/replay/generate.go
+++ b/replay/generate.go
@@ -15,48 +15,49 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Generator makes a trace for a topology: Poisson arrivals with log-normal
-// costs, and faults. The same fields give the same trace.
+// Generator generates a trace for a topology: requests with Poisson arrivals
+// and log-normal costs, and faults. Equal fields give equal traces.
 type Generator struct {
-	// Topology is the deployment that the trace loads.
+	// Topology is the deployment that receives the requests.
 	Topology *Topology
-	// Load is the offered share of every service's slots.
+	// Load is the offered load of every service as a share of its slots.
 	Load float64
 	// Duration is the length of the trace.
 	Duration time.Duration
-	// Surges add load for a while.
+	// Surges add load during part of the trace.
 	Surges []Surge
-	// Faults are added at their times.
+	// Faults are the fault events of the trace.
 	Faults []Event
 	// Seed seeds the random choices.
 	Seed uint64
 }
 
-// Surge is a burst of one group at one service.
+// Surge is additional load from one group on one service.
 type Surge struct {
 	Service model.ServiceName
 	Group   model.GroupName
-	// Load is the added share of the service's slots.
+	// Load is the additional offered load as a share of the service's slots.
 	Load  float64
 	From  time.Duration
 	Until time.Duration
 }
 
-// class is how the requests of a group look.
-type class struct {
-	// part is the group's part of the service's steady load in slot time.
-	part float64
-	// mean and sigma shape the log-normal cost.
-	mean  time.Duration
-	sigma float64
-	// once is the part of requests that are not idempotent.
-	once     float64
-	deadline time.Duration
-	callers  int
+// requestProfile describes the requests that a group sends to a service.
+type requestProfile struct {
+	// loadShare is the group's share of the service's steady load in slot time.
+	loadShare float64
+	// meanCost and sigma are the parameters of the log-normal cost.
+	meanCost time.Duration
+	sigma    float64
+	// nonIdempotentShare is the share of requests that are not idempotent.
+	nonIdempotentShare float64
+	deadline           time.Duration
+	callers            int
 }
 
-// classes hold the groups of the two shipped topologies.
-var classes = map[groupKey]class{
+// requestProfiles holds the profiles of the groups in the two topologies under
+// testdata/replay.
+var requestProfiles = map[groupKey]requestProfile{
 	{"returdesk", "sorters"}:         {0.70, 2 * time.Millisecond, 0.6, 0.05, 2 * time.Second, 40},
 	{"returdesk", "internal-checks"}: {0.15, 2 * time.Millisecond, 0.6, 0, 5 * time.Second, 4},
 	{"returdesk", "members"}:         {0.15, 3 * time.Millisecond, 0.6, 0, 2 * time.Second, 20},
@@ -70,12 +71,13 @@
 	{"sheds", "gangs"}:               {0.50, 3 * time.Millisecond, 0.6, 0, 2 * time.Second, 20},
 }
 
-// classOf returns the class of a group; an unknown one gets an even part.
-func classOf(s *Service, g model.GroupName) class {
-	if c, ok := classes[groupKey{s.Name, g}]; ok {
-		return c
+// profileOf returns the profile of a group. A group without a profile of its
+// own gets an equal share of the load.
+func profileOf(s *Service, g model.GroupName) requestProfile {
+	if p, ok := requestProfiles[groupKey{s.Name, g}]; ok {
+		return p
 	}
-	return class{1 / float64(len(s.Groups)), 2 * time.Millisecond, 0.6, 0, 2 * time.Second, 10}
+	return requestProfile{1 / float64(len(s.Groups)), 2 * time.Millisecond, 0.6, 0, 2 * time.Second, 10}
 }
 
 // Write generates the trace as JSON lines.
@@ -99,27 +101,28 @@
 		for _, group := range s.Groups {
 			stream++
 			rng := rand.New(rand.NewPCG(g.Seed, stream))
-			c := classOf(s, group.Name)
-			events = g.arrivals(events, rng, s, group.Name, c, g.Load*c.part, 0, g.Duration)
-			events = g.surges(events, rng, s, group.Name, c)
+			p := profileOf(s, group.Name)
+			events = g.arrivals(events, rng, s, group.Name, p, g.Load*p.loadShare, 0, g.Duration)
+			events = g.surgeArrivals(events, rng, s, group.Name, p)
 		}
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.AtUs, b.AtUs) })
 	return events
 }
 
-func (g *Generator) surges(events []Event, rng *rand.Rand, s *Service, group model.GroupName, c class) []Event {
+func (g *Generator) surgeArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile) []Event {
 	for _, surge := range g.Surges {
 		if surge.Service == s.Name && surge.Group == group {
-			events = g.arrivals(events, rng, s, group, c, surge.Load, surge.From, surge.Until)
+			events = g.arrivals(events, rng, s, group, p, surge.Load, surge.From, surge.Until)
 		}
 	}
 	return events
 }
 
-// arrivals appends Poisson arrivals that offer the given share of the slots.
-func (g *Generator) arrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, c class, load float64, from, until time.Duration) []Event {
-	rate := load * float64(slotsOf(s)) / c.mean.Seconds()
+// arrivals appends Poisson arrivals whose offered load is the given share of
+// the service's slots.
+func (g *Generator) arrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile, load float64, from, until time.Duration) []Event {
+	rate := load * float64(totalSlots(s)) / p.meanCost.Seconds()
 	if rate <= 0 {
 		return events
 	}
@@ -131,24 +134,24 @@
 		}
 		events = append(events, Event{
 			AtUs:       int64(at * 1e6),
-			Caller:     model.CallerName(fmt.Sprintf("%s-%d", group, 1+rng.IntN(c.callers))),
+			Caller:     model.CallerName(fmt.Sprintf("%s-%d", group, 1+rng.IntN(p.callers))),
 			Group:      group,
 			Service:    s.Name,
-			CostUs:     c.cost(rng),
-			Idempotent: rng.Float64() >= c.once,
-			DeadlineMs: c.deadline.Milliseconds(),
+			CostUs:     p.cost(rng),
+			Idempotent: rng.Float64() >= p.nonIdempotentShare,
+			DeadlineMs: p.deadline.Milliseconds(),
 			Zone:       g.Topology.Zones[rng.IntN(len(g.Topology.Zones))],
 		})
 	}
 }
 
-// cost draws a log-normal cost with the class's mean.
-func (c class) cost(rng *rand.Rand) int64 {
-	median := float64(c.mean.Microseconds()) / math.Exp(c.sigma*c.sigma/2)
-	return max(int64(median*math.Exp(c.sigma*rng.NormFloat64())), 1)
+// cost draws a log-normal cost in microseconds with mean meanCost.
+func (p requestProfile) cost(rng *rand.Rand) int64 {
+	median := float64(p.meanCost.Microseconds()) / math.Exp(p.sigma*p.sigma/2)
+	return max(int64(median*math.Exp(p.sigma*rng.NormFloat64())), 1)
 }
 
-func slotsOf(s *Service) int {
+func totalSlots(s *Service) int {
 	slots := 0
 	for _, u := range s.Upstreams {
 		slots += u.Slots
@@ -156,68 +159,71 @@
 	return slots
 }
 
-// Scenario is a named trace.
+// Scenario describes a trace, except for the topology and the seed.
 type Scenario struct {
 	Name string
 	// Load is the steady load as a share of the slots.
 	Load     float64
 	Duration time.Duration
-	// Surges and Faults return those of the scenario for a topology.
-	Surges []Surge
-	// Faults name the faults that begin together; see scenarioFaults.
+	Surges   []Surge
+	// Faults are the faults that begin together. Scenario.Generator chooses
+	// their targets.
 	Faults []Fault
 }
 
-// Scenarios returns the named traces.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	list := []Scenario{
-		{Name: "steady-70", Load: 0.70, Duration: steadyTime},
-		{Name: "steady-85", Load: 0.85, Duration: steadyTime},
-		{Name: "steady-95", Load: 0.95, Duration: steadyTime},
-		{Name: "booking-rush", Load: 0.60, Duration: steadyTime, Surges: []Surge{
+		{Name: "steady-70", Load: 0.70, Duration: scenarioDuration},
+		{Name: "steady-85", Load: 0.85, Duration: scenarioDuration},
+		{Name: "steady-95", Load: 0.95, Duration: scenarioDuration},
+		{Name: "booking-rush", Load: 0.60, Duration: scenarioDuration, Surges: []Surge{
 			{"bookings", "farmers", 1.2, 500 * time.Millisecond, 1500 * time.Millisecond},
 			{"sheds", "farmers", 0.3, 500 * time.Millisecond, 1500 * time.Millisecond},
 		}},
-		{Name: "archive-surge", Load: 0.60, Duration: steadyTime, Surges: []Surge{
+		{Name: "archive-surge", Load: 0.60, Duration: scenarioDuration, Surges: []Surge{
 			{"sporarkiv", "archive-search", 2, 500 * time.Millisecond, 1500 * time.Millisecond},
 		}},
 	}
 	for _, f := range []Fault{Straggle, Drain, FailFast, ColdStart, Crash, Misreport, PartitionZone, LogDown, PauseDaemon} {
-		list = append(list, faulty(f))
+		list = append(list, faultScenario(f))
 	}
 	for _, pair := range [][]Fault{
 		{Straggle, Drain}, {FailFast, Crash}, {Crash, LogDown}, {PartitionZone, LogDown},
 		{Straggle, Misreport}, {PauseDaemon, Drain},
 	} {
-		list = append(list, faulty(pair...))
+		list = append(list, faultScenario(pair...))
 	}
 	return list
 }
 
 const (
-	steadyTime = 3 * time.Second
-	// faultLoad leaves the pool able to carry on without one upstream.
-	faultLoad  = 0.70
-	faultFrom  = time.Second
-	faultTime  = 1500 * time.Millisecond
-	slowFactor = 8
-	lieFactor  = 0.1
+	scenarioDuration = 3 * time.Second
+	// faultLoad is low enough for the other upstreams to carry the load when
+	// one fails.
+	faultLoad       = 0.70
+	faultStart      = time.Second
+	faultDuration   = 1500 * time.Millisecond
+	slowdownFactor  = 8
+	misreportFactor = 0.1
 )
 
-func faulty(faults ...Fault) Scenario {
+// faultScenario returns a scenario of steady load in which the faults begin
+// together.
+func faultScenario(faults ...Fault) Scenario {
 	names := make([]string, len(faults))
 	for i, f := range faults {
 		names[i] = strings.ReplaceAll(string(f), "_", "-")
 	}
-	return Scenario{Name: strings.Join(names, "+"), Load: faultLoad, Duration: steadyTime, Faults: faults}
+	return Scenario{Name: strings.Join(names, "+"), Load: faultLoad, Duration: scenarioDuration, Faults: faults}
 }
 
-// Generator returns the scenario's generator for a topology. The faults of a
-// pair hit different upstreams of the topology's first service.
+// Generator returns the scenario's generator for a topology. Faults that begin
+// together affect different upstreams of the topology's first service.
 func (s Scenario) Generator(t *Topology, seed uint64) *Generator {
 	g := &Generator{Topology: t, Load: s.Load, Duration: s.Duration, Surges: s.Surges, Seed: seed}
 	for i, f := range s.Faults {
-		e := Event{AtUs: faultFrom.Microseconds(), Fault: f, ForMs: faultTime.Milliseconds(), Factor: 1}
+		e := Event{AtUs: faultStart.Microseconds(), Fault: f, ForMs: faultDuration.Milliseconds(), Factor: 1}
 		switch f {
 		case LogDown:
 		case PartitionZone:
@@ -227,9 +233,9 @@
 		}
 		switch f {
 		case Straggle, ColdStart:
-			e.Factor = slowFactor
+			e.Factor = slowdownFactor
 		case Misreport:
-			e.Factor = lieFactor
+			e.Factor = misreportFactor
 		}
 		g.Faults = append(g.Faults, e)
 	}
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -8,22 +8,22 @@
 	"github.com/dottereltiller/dottereltiller/latency"
 )
 
-// ideal fills in the bound from one central queue per service with perfect
-// knowledge and no network: requests are taken in order of arrival, and each
-// goes to the slot that completes it first, knowing when every slot becomes
-// free and how fast every upstream runs. It learns of a fault when it begins,
-// and then knows how long it lasts.
-func ideal(t *Topology, events []Event, r *Result) {
+// addIdealBound sets the Ideal latencies of a result: those of one central queue
+// per service with perfect knowledge and no network. The queue assigns requests
+// in order of arrival, each to the slot that completes it first. It knows when
+// every slot becomes free and how fast every upstream runs. It learns of a fault
+// when the fault begins, and knows from then on how long it lasts.
+func addIdealBound(t *Topology, events []Event, r *Result) {
 	total := latency.NewHistogram()
 	groups := make(map[groupKey]*latency.Histogram)
-	central := newCentral(t)
+	central := newCentralQueue(t)
 	for i := range events {
 		e := &events[i]
 		if e.Fault != "" {
-			central.fault(e)
+			central.applyFault(e)
 			continue
 		}
-		d := central.place(e)
+		d := central.assign(e)
 		k := groupKey{e.Service, e.Group}
 		if groups[k] == nil {
 			groups[k] = latency.NewHistogram()
@@ -38,25 +38,25 @@
 	}
 }
 
-// central is the central queue of each service.
-type central struct {
-	servers map[model.ServiceName][]*server
-	byName  map[string]*server
+// centralQueue simulates one central queue for each service.
+type centralQueue struct {
+	servers       map[model.ServiceName][]*server
+	serversByName map[string]*server
 }
 
-// server is an upstream as the central queue sees it.
+// server is an upstream of the central queue.
 type server struct {
 	// free holds the instants at which the slots become free, as a heap.
-	free   instants
+	free   instantHeap
 	faults faultState
-	// outUntil is the instant from which the upstream works again.
-	outUntil model.Instant
-	// straggleUntil is the end of the present straggle.
+	// unavailableUntil is the end of the last FailFast, Drain or Crash.
+	unavailableUntil model.Instant
+	// straggleUntil is the end of the last Straggle.
 	straggleUntil model.Instant
 }
 
-func newCentral(t *Topology) *central {
-	c := &central{servers: make(map[model.ServiceName][]*server), byName: make(map[string]*server)}
+func newCentralQueue(t *Topology) *centralQueue {
+	c := &centralQueue{servers: make(map[model.ServiceName][]*server), serversByName: make(map[string]*server)}
 	for i := range t.Services {
 		s := &t.Services[i]
 		for j, u := range s.Upstreams {
@@ -64,21 +64,23 @@
 			if u.RealSlots > 0 {
 				slots = u.RealSlots
 			}
-			sv := &server{free: make(instants, slots), faults: faultState{straggle: 1}}
+			sv := &server{free: make(instantHeap, slots), faults: faultState{straggle: 1}}
 			c.servers[s.Name] = append(c.servers[s.Name], sv)
-			c.byName[upstreamName(s.Name, j)] = sv
+			c.serversByName[upstreamName(s.Name, j)] = sv
 		}
 	}
 	return c
 }
 
-func (c *central) place(e *Event) time.Duration {
+// assign assigns a request to the slot that completes it first and returns the
+// request's latency.
+func (c *centralQueue) assign(e *Event) time.Duration {
 	now := instant(e.AtUs)
 	cost := time.Duration(e.CostUs) * time.Microsecond
 	var best *server
 	var bestEnd model.Instant
 	for _, s := range c.servers[e.Service] {
-		start := max(now, s.free[0], s.outUntil)
+		start := max(now, s.free[0], s.unavailableUntil)
 		end := start.Add(time.Duration(float64(cost) * s.slowdown(start)))
 		if best == nil || end < bestEnd {
 			best, bestEnd = s, end
@@ -89,6 +91,8 @@
 	return bestEnd.Sub(now)
 }
 
+// slowdown returns the factor on the service time of a request that starts at
+// the given instant.
 func (s *server) slowdown(at model.Instant) float64 {
 	f := s.faults
 	if at >= s.straggleUntil {
@@ -97,42 +101,43 @@
 	return f.slowdown(at)
 }
 
-func (c *central) fault(e *Event) {
-	s := c.byName[e.Target]
+func (c *centralQueue) applyFault(e *Event) {
+	s := c.serversByName[e.Target]
 	if s == nil {
 		return
 	}
 	now := instant(e.AtUs)
-	lasting := time.Duration(e.ForMs) * time.Millisecond
+	duration := time.Duration(e.ForMs) * time.Millisecond
 	until := forever
-	if lasting > 0 {
-		until = now.Add(lasting)
+	if duration > 0 {
+		until = now.Add(duration)
 	}
 	switch e.Fault {
 	case Straggle:
 		s.faults.straggle, s.straggleUntil = e.Factor, until
 	case ColdStart:
-		s.faults.cold, s.faults.coldFrom, s.faults.coldUntil = e.Factor, now, now.Add(max(lasting, time.Second))
+		s.faults.cold, s.faults.coldFrom, s.faults.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
 	case FailFast, Drain, Crash:
-		s.outUntil = until
+		s.unavailableUntil = until
 	case Recover:
 		s.faults = faultState{straggle: 1}
-		s.outUntil = now
+		s.unavailableUntil = now
 	}
 }
 
-// instants is a heap of instants.
-type instants []model.Instant
+// instantHeap is a min-heap of instants; it implements heap.Interface.
+type instantHeap []model.Instant
 
-func (h instants) Len() int           { return len(h) }
-func (h instants) Less(i, j int) bool { return h[i] < h[j] }
-func (h instants) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h instantHeap) Len() int           { return len(h) }
+func (h instantHeap) Less(i, j int) bool { return h[i] < h[j] }
+func (h instantHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push implements heap.Interface; the number of slots never changes.
-func (h *instants) Push(x any) { *h = append(*h, x.(model.Instant)) }
+// Push implements heap.Interface. It is never called, as the number of slots
+// does not change.
+func (h *instantHeap) Push(x any) { *h = append(*h, x.(model.Instant)) }
 
-// Pop implements heap.Interface.
-func (h *instants) Pop() any {
+// Pop implements heap.Interface. It is never called either.
+func (h *instantHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -7,119 +7,129 @@
 	"github.com/dottereltiller/dottereltiller/core/slots"
 )
 
-// reach has a guard take a request.
-func (m *mesh) reach(j *job, alternative time.Duration) {
-	n := j.at
-	if n.away {
-		m.giveBack(j, false)
+// arriveAtGuard queues a request at its guard, or rejects it.
+func (m *mesh) arriveAtGuard(r *meshRequest, alternative time.Duration) {
+	n := r.guard
+	if n.down {
+		m.reject(r, false)
 		return
 	}
-	if m.policy == fewestStraight {
-		m.start(n, j)
+	if m.policy == useLeastOutstandingWithoutGuards {
+		m.start(n, r)
 		return
 	}
 	m.load(n)
-	took := m.now.Sub(j.began)
-	it, admission, _ := n.queue.Admit(m.now, slots.Arrival{
-		Rank: j.rank, Urgent: j.rank == 0, ServiceTime: m.usual(j), Alternative: alternative,
-		UntilTarget: max(j.target-took, 0), UntilDeadline: j.deadline - took,
-	}, slots.Performance{Slowdown: n.slow})
+	took := m.now.Sub(r.arrivedAt)
+	item, admission, _ := n.queue.Admit(m.now, slots.Arrival{
+		Rank: r.rank, Urgent: r.rank == 0, ServiceTime: m.expectedServiceTime(r), Alternative: alternative,
+		UntilTarget: max(r.target-took, 0), UntilDeadline: r.deadline - took,
+	}, slots.Performance{Slowdown: n.slowdown})
 	if admission != slots.Admitted {
-		m.giveBack(j, admission == slots.Full)
+		m.reject(r, admission == slots.Full)
 		return
 	}
 	m.nextID++
-	it.ID = m.nextID
-	n.waiting[it.ID] = j
-	n.queue.Add(it)
-	m.pump(n)
+	item.ID = m.nextID
+	n.waiting[item.ID] = r
+	n.queue.Add(item)
+	m.startWaiting(n)
 }
 
-func (m *mesh) giveBack(j *job, full bool) {
-	from := j.at
+// reject returns a request unexecuted from its guard to its entry, which places it
+// again. The argument full says that the guard's queue was too long for the request to
+// complete in time.
+func (m *mesh) reject(r *meshRequest, full bool) {
+	from := r.guard
 	l := m.load(from)
-	m.after(nearTicks, func() {
-		m.done(j, from, &l)
-		j.tried[from.key] = true
-		j.givenBack++
+	m.schedule(localDelayTicks, func() {
+		m.attemptDone(r, from, &l)
+		r.rejectedBy[from.key] = true
+		r.rejections++
 		if full {
-			j.full++
+			r.fullGuards++
 		}
-		m.place(j)
+		m.place(r)
 	})
 }
 
-func (m *mesh) done(j *job, from *meshNode, l *placement.Load) {
-	if m.policy == byPlacement {
-		j.entry.placer.Done(m.now, from.key, l)
+// attemptDone tells the entry that a request sent to a node has ended there. The load
+// is nil if there was no reply.
+func (m *mesh) attemptDone(r *meshRequest, from *meshNode, l *placement.Load) {
+	if m.policy == usePlacement {
+		r.entry.placer.Done(m.now, from.key, l)
 	}
-	j.entry.mine[from]--
+	r.entry.outstanding[from]--
 }
 
-func (m *mesh) pump(n *meshNode) {
+// startWaiting starts, refuses or rejects the requests in a guard's queue for which the
+// queue returns a decision.
+func (m *mesh) startWaiting(n *meshNode) {
 	for {
-		d, ok := n.queue.Next(m.now, n.slow)
+		d, ok := n.queue.Next(m.now, n.slowdown)
 		if !ok {
 			return
 		}
-		j := n.waiting[d.ID]
+		r := n.waiting[d.ID]
 		delete(n.waiting, d.ID)
 		switch d.Reason {
 		case slots.Start:
-			m.start(n, j)
+			m.start(n, r)
 		case slots.DeadlineUnreachable:
-			m.done(j, n, nil)
-			m.refuse(j)
+			m.attemptDone(r, n, nil)
+			m.refuse(r)
 		default:
-			m.giveBack(j, d.Reason == slots.TooLate)
+			m.reject(r, d.Reason == slots.TooLate)
 		}
 	}
 }
 
-// start hands a request to an upstream, which resets the connection of one too many.
-func (m *mesh) start(n *meshNode, j *job) {
-	if len(n.runs) >= n.slots+m.queue {
+// start sends a request to an upstream. The upstream resets the connection if its
+// slots and its own queue are full.
+func (m *mesh) start(n *meshNode, r *meshRequest) {
+	if len(n.running) >= n.slots+m.upstreamQueue {
 		m.resets++
-		m.done(j, n, nil)
+		m.attemptDone(r, n, nil)
 		return
 	}
-	n.runs = append(n.runs, j)
+	n.running = append(n.running, r)
 }
 
-// work lets an upstream work for a tick.
-func (m *mesh) work(n *meshNode) {
-	speed := n.speeds[m.ticks]
+// runUpstream simulates one tick of an upstream: it advances the requests in its slots
+// and completes those that have no service time remaining.
+func (m *mesh) runUpstream(n *meshNode) {
+	speed := n.speeds[m.tick]
 	if n.coldUntil > m.now {
-		speed /= coldFactor
+		speed /= coldSlowdown
 	}
-	if float64(len(n.runs)) >= kneeShare*float64(n.slots) {
-		speed /= kneeFactor
+	if float64(len(n.running)) >= kneeUtilization*float64(n.slots) {
+		speed /= kneeSlowdown
 	}
-	kept := n.runs[:0]
-	for i, j := range n.runs {
+	kept := n.running[:0]
+	for i, r := range n.running {
 		if i >= n.slots {
-			kept = append(kept, j)
+			kept = append(kept, r)
 			continue
 		}
-		if j.left -= speed * tick.Seconds(); j.left > 0 {
-			kept = append(kept, j)
+		if r.remaining -= speed * tickLength.Seconds(); r.remaining > 0 {
+			kept = append(kept, r)
 			continue
 		}
 		n.queue.Finish()
-		m.finish(j)
+		m.recordFinish(r)
 	}
-	n.runs = kept
-	m.pump(n)
+	n.running = kept
+	m.startWaiting(n)
 }
 
-// noisyRun is how long requests run on the mean beside the usual neighbours.
-const noisyRun = 210 * time.Millisecond
+// meanNoisyServiceTime is the mean service time of requests with the usual noise.
+const meanNoisyServiceTime = 210 * time.Millisecond
 
-func (m *mesh) finish(j *job) {
-	l := m.load(j.at)
-	m.done(j, j.at, &l)
-	switch took := m.now.Sub(j.began); {
-	case took <= j.target:
+// recordFinish counts a served request as in time or late.
+func (m *mesh) recordFinish(r *meshRequest) {
+	l := m.load(r.guard)
+	m.attemptDone(r, r.guard, &l)
+	switch took := m.now.Sub(r.arrivedAt); {
+	case took <= r.target:
 		m.inTime++
 	default:
 		m.late++
--- a/replay/queue.go
+++ b/replay/queue.go
@@ -6,44 +6,48 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// task is something that happens at a virtual instant. Tasks at one instant
-// happen in the order they were scheduled.
+// task is a scheduled step of the simulation. Tasks due at the same instant run
+// in the order in which they were scheduled.
 type task struct {
-	at    model.Instant
-	order uint64
-	kind  taskKind
-	// daemon is the index of the daemon that acts, or noDaemon.
-	daemon int
-	call   *call
-	// stamp must equal the call's when a finish is due; a crash raises it.
-	stamp uint32
-	run   func()
+	at model.Instant
+	// sequence numbers the tasks in the order in which they were scheduled.
+	sequence uint64
+	kind     taskKind
+	// daemon is the index of the daemon that the task runs on, or noDaemon.
+	daemon  int
+	attempt *attempt
+	// generation is the attempt's generation when the task was scheduled.
+	// taskFinish and taskExpire are ignored if it has changed since.
+	generation uint32
+	run        func()
 }
 
 type taskKind uint8
 
 const (
-	// arrive: a trace's request reaches its entry.
-	arrive taskKind = iota + 1
-	// reach: a call reaches the guard.
-	reach
-	// finish: the upstream ends a run.
-	finish
-	// expire: a waiting call's patience or deadline ends.
-	expire
-	// reply: an answer reaches the entry.
-	reply
-	// hedge: a call has outlasted its hedge delay.
-	hedge
-	// cancel: a cancellation reaches the guard.
-	cancel
-	// act: a fault begins or ends, or a view spreads.
-	act
+	// taskRequestArrival: a request of the trace arrives at its entry.
+	taskRequestArrival taskKind = iota + 1
+	// taskAttemptArrival: an attempt arrives at its guard.
+	taskAttemptArrival
+	// taskFinish: the upstream finishes executing an attempt.
+	taskFinish
+	// taskExpire: a waiting attempt's queue timeout or deadline expires.
+	taskExpire
+	// taskReply: a guard's reply arrives at the entry.
+	taskReply
+	// taskHedge: an attempt's hedge delay has passed.
+	taskHedge
+	// taskCancel: a cancellation arrives at the guard.
+	taskCancel
+	// taskFunc: the task's run function is called, for example to end a fault,
+	// to poll an upstream or to update the routers.
+	taskFunc
 )
 
+// noDaemon is the daemon of tasks that do not depend on a daemon.
 const noDaemon = -1
 
-// taskHeap orders tasks by time; it implements heap.Interface.
+// taskHeap is a min-heap of tasks by time; it implements heap.Interface.
 type taskHeap []*task
 
 func (h taskHeap) Len() int { return len(h) }
@@ -51,7 +55,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 func (h taskHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *taskHeap) Push(x any)   { *h = append(*h, x.(*task)) }
@@ -64,16 +68,17 @@
 	return t
 }
 
-// queue holds the tasks to come and reuses the done ones.
-type queue struct {
-	tasks taskHeap
-	order uint64
-	free  []*task
+// taskQueue is the priority queue of scheduled tasks.
+type taskQueue struct {
+	tasks        taskHeap
+	lastSequence uint64
+	// free holds tasks that were taken out, for reuse.
+	free []*task
 }
 
-func (q *queue) add(t task) {
-	q.order++
-	t.order = q.order
+func (q *taskQueue) add(t task) {
+	q.lastSequence++
+	t.sequence = q.lastSequence
 	var p *task
 	if n := len(q.free); n > 0 {
 		p, q.free = q.free[n-1], q.free[:n-1]
@@ -84,15 +89,16 @@
 	heap.Push(&q.tasks, p)
 }
 
-// next returns the instant of the next task.
-func (q *queue) next() (model.Instant, bool) {
+// nextInstant returns the instant of the next task, and whether there is one.
+func (q *taskQueue) nextInstant() (model.Instant, bool) {
 	if len(q.tasks) == 0 {
 		return 0, false
 	}
 	return q.tasks[0].at, true
 }
 
-func (q *queue) pop() task {
+// pop removes the next task and returns it.
+func (q *taskQueue) pop() task {
 	p := heap.Pop(&q.tasks).(*task)
 	t := *p
 	*p = task{}
--- /dev/null
+++ b/replay/request_kinds_test.go
@@ -0,0 +1,40 @@
+package replay_test
+
+import (
+	"math"
+	"time"
+)
+
+// requestKind is a kind of requests. Shares are relative to the sum of the shares of
+// all kinds.
+type requestKind struct {
+	share                         float64
+	serviceTime, target, deadline time.Duration
+	rank                          int
+}
+
+// defaultKinds returns two kinds that differ only in their priority rank: 30% of the
+// requests have rank 0, which is served first, and 70% rank 1.
+func defaultKinds() []requestKind {
+	return []requestKind{
+		{share: 0.3, serviceTime: meshServiceTime, target: meshTarget, deadline: meshDeadline, rank: 0},
+		{share: 0.7, serviceTime: meshServiceTime, target: meshTarget, deadline: meshDeadline, rank: 1},
+	}
+}
+
+// drawRequest draws the kind and the service time of a request. The service time is in
+// seconds at usual speed and has a log-normal distribution.
+func (m *mesh) drawRequest() (requestKind, float64) {
+	total := 0.0
+	for _, k := range m.kinds {
+		total += k.share
+	}
+	at, kind := m.rng.Float64()*total, m.kinds[len(m.kinds)-1]
+	for _, k := range m.kinds {
+		if at -= k.share; at < 0 {
+			kind = k
+			break
+		}
+	}
+	return kind, kind.serviceTime.Seconds() * math.Exp(0.3*m.rng.NormFloat64())
+}
--- a/replay/result.go
+++ b/replay/result.go
@@ -10,11 +10,11 @@
 	"github.com/dottereltiller/dottereltiller/latency"
 )
 
-// Latency holds percentiles in microseconds.
+// Latency holds latency percentiles in microseconds.
 type Latency = latency.Percentiles
 
-// Figures are the outcome of a replay for one group, or for all.
-type Figures struct {
+// Stats are the results of a replay for one group of a service, or in total.
+type Stats struct {
 	// Service and Group are empty in the total.
 	Service  model.ServiceName `json:"service,omitempty"`
 	Group    model.GroupName   `json:"group,omitempty"`
@@ -24,114 +24,123 @@
 	Unknown  int64             `json:"unknown"`
 	// RunsTwice counts non-idempotent requests that ran more than once.
 	RunsTwice int64 `json:"runs_twice"`
-	// Latency covers answered requests, from the entry and back.
+	// Latency is measured at the entry, from the arrival of a request to its
+	// response. It covers answered requests only.
 	Latency
-	// SlotTimeShare is the group's part of the slot time that its service used.
+	// SlotTimeShare is the group's share of the slot time that its service used.
 	SlotTimeShare float64 `json:"slot_time_share"`
-	// MeasuringShare is the part of the service's capacity, slots times the
-	// length of the trace, that measuring took. It is the service's for each of
-	// its groups.
+	// MeasuringShare is the share of the service's capacity, slots times the
+	// length of the trace, that measuring took. It is counted by service, so
+	// all groups of a service have the same value.
 	MeasuringShare float64 `json:"measuring_share"`
-	// Ideal is the bound from one central queue with perfect knowledge.
+	// Ideal is the latency of one central queue with perfect knowledge and no
+	// network.
 	Ideal Latency `json:"ideal"`
 }
 
 // Result is the outcome of a replay.
 type Result struct {
-	Total  Figures   `json:"total"`
-	Groups []Figures `json:"groups"`
+	Total  Stats   `json:"total"`
+	Groups []Stats `json:"groups"`
 }
 
-// groupKey names a group of a service.
+// groupKey identifies a group of a service.
 type groupKey struct {
 	service model.ServiceName
 	group   model.GroupName
 }
 
-// account collects the figures of one group.
-type account struct {
-	Figures
-	latency *latency.Histogram
-	slot    time.Duration
+// groupCollector accumulates the results of one group.
+type groupCollector struct {
+	Stats
+	latency  *latency.Histogram
+	slotTime time.Duration
 }
 
-// book collects the figures of a replay.
-type book struct {
-	total  *account
-	groups map[groupKey]*account
+// collector accumulates the results of a replay.
+type collector struct {
+	total  *groupCollector
+	groups map[groupKey]*groupCollector
 }
 
-func newAccount() *account { return &account{latency: latency.NewHistogram()} }
+func newGroupCollector() *groupCollector { return &groupCollector{latency: latency.NewHistogram()} }
 
-func newBook() *book { return &book{total: newAccount(), groups: make(map[groupKey]*account)} }
+func newCollector() *collector {
+	return &collector{total: newGroupCollector(), groups: make(map[groupKey]*groupCollector)}
+}
 
-func (b *book) group(req *request) *account {
+// groupOf returns the collector of the request's group and creates it if needed.
+func (c *collector) groupOf(req *request) *groupCollector {
 	k := groupKey{req.event.Service, req.event.Group}
-	a := b.groups[k]
-	if a == nil {
-		a = newAccount()
-		a.Service, a.Group = k.service, k.group
-		b.groups[k] = a
+	g := c.groups[k]
+	if g == nil {
+		g = newGroupCollector()
+		g.Service, g.Group = k.service, k.group
+		c.groups[k] = g
 	}
-	return a
+	return g
 }
 
-func (b *book) end(req *request, o outcome.Outcome, latency time.Duration) {
-	b.total.end(req, o, latency)
-	b.group(req).end(req, o, latency)
+// add records a completed request.
+func (c *collector) add(req *request, o outcome.Outcome, latency time.Duration) {
+	c.total.add(req, o, latency)
+	c.groupOf(req).add(req, o, latency)
 }
 
-func (b *book) used(req *request, d time.Duration) {
-	b.total.slot += d
-	b.group(req).slot += d
+// addSlotTime records the slot time of one execution of a request.
+func (c *collector) addSlotTime(req *request, d time.Duration) {
+	c.total.slotTime += d
+	c.groupOf(req).slotTime += d
 }
 
-func (a *account) end(req *request, o outcome.Outcome, latency time.Duration) {
-	a.Requests++
-	if !req.event.Idempotent && req.runs > 1 {
-		a.RunsTwice++
+func (g *groupCollector) add(req *request, o outcome.Outcome, latency time.Duration) {
+	g.Requests++
+	if !req.event.Idempotent && req.executions > 1 {
+		g.RunsTwice++
 	}
 	switch o.Kind {
 	case outcome.Answered:
-		a.Answered++
-		a.latency.Record(latency)
+		g.Answered++
+		g.latency.Record(latency)
 	case outcome.NotRun:
-		a.NotRun++
+		g.NotRun++
 	default:
-		a.Unknown++
+		g.Unknown++
 	}
 }
 
-// result closes the book.
-func (b *book) result(s *sim) *Result {
-	slot := make(map[model.ServiceName]time.Duration)
-	for k, a := range b.groups {
-		slot[k.service] += a.slot
+// result computes the result of the replay, except for the ideal bound.
+func (c *collector) result(s *simulation) *Result {
+	serviceSlotTime := make(map[model.ServiceName]time.Duration)
+	for k, g := range c.groups {
+		serviceSlotTime[k.service] += g.slotTime
 	}
-	r := &Result{Total: b.total.close(b.total.slot), Groups: []Figures{}}
+	r := &Result{Total: c.total.summarize(c.total.slotTime), Groups: []Stats{}}
 	r.Total.MeasuringShare = s.measuringShare(s.guards)
-	for k, a := range b.groups {
-		f := a.close(slot[k.service])
-		f.MeasuringShare = s.measuringShare(s.services[k.service].guards)
-		r.Groups = append(r.Groups, f)
+	for k, g := range c.groups {
+		stats := g.summarize(serviceSlotTime[k.service])
+		stats.MeasuringShare = s.measuringShare(s.services[k.service].guards)
+		r.Groups = append(r.Groups, stats)
 	}
-	slices.SortFunc(r.Groups, func(a, b Figures) int {
+	slices.SortFunc(r.Groups, func(a, b Stats) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Group, b.Group))
 	})
 	return r
 }
 
-func (a *account) close(service time.Duration) Figures {
-	f := a.Figures
-	f.Latency = a.latency.Percentiles()
-	if service > 0 {
-		f.SlotTimeShare = float64(a.slot) / float64(service)
+// summarize computes the results of the group. The argument is the slot time of
+// the whole service.
+func (g *groupCollector) summarize(serviceSlotTime time.Duration) Stats {
+	stats := g.Stats
+	stats.Latency = g.latency.Percentiles()
+	if serviceSlotTime > 0 {
+		stats.SlotTimeShare = float64(g.slotTime) / float64(serviceSlotTime)
 	}
-	return f
+	return stats
 }
 
-// measuringShare is the part of the guards' capacity that measuring took.
-func (s *sim) measuringShare(guards []*guard) float64 {
+// measuringShare returns the share of the guards' capacity that measuring took.
+func (s *simulation) measuringShare(guards []*guard) float64 {
 	spent, slots := time.Duration(0), 0
 	for _, g := range guards {
 		spent += g.monitor.Spent()
--- /dev/null
+++ b/replay/retry_after_test.go
@@ -0,0 +1,62 @@
+package replay_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/dottereltiller/dottereltiller/core/retry"
+)
+
+const (
+	// burstPeriodTicks is the number of ticks between two bursts of requests.
+	burstPeriodTicks = 4000
+	// minRetryAfter is the smallest Retry-After value before jitter.
+	minRetryAfter = 100 * time.Millisecond
+)
+
+// refuse refuses a request. If the caller has retries left, it retries after the
+// Retry-After value.
+func (m *mesh) refuse(r *meshRequest) {
+	m.refused++
+	if r.retries >= m.callerRetries {
+		return
+	}
+	retryAfter, random := max(r.serviceTime, minRetryAfter), m.rng.Float64()
+	if !m.noJitter {
+		retryAfter = retry.JitteredRetryAfter(retryAfter, random)
+	}
+	retried := &meshRequest{
+		requestKind: r.requestKind, entry: r.entry, remaining: r.remaining, rejectedBy: map[string]bool{}, retries: r.retries + 1,
+	}
+	m.schedule(int(retryAfter/tickLength), func() {
+		retried.arrivedAt = m.now
+		m.place(retried)
+	})
+}
+
+// TestRetryAfterJitterSpreadsBursts checks that jitter in the Retry-After value makes
+// more requests succeed in time after a burst. More requests arrive in one tick than
+// the upstreams have capacity for, as after a power failure. The refused callers retry
+// after the Retry-After value; without jitter they all retry at the same time.
+func TestRetryAfterJitterSpreadsBursts(t *testing.T) {
+	const seeds, retries = 8, 3
+	for name, w := range map[string]workload{
+		"large burst, almost no other load": {rate: 1, slots: 6, noise: 0.25, burst: 400, callerRetries: retries},
+		"large burst, normal load":          {rate: 100, slots: 6, noise: 0.25, burst: 400, callerRetries: retries},
+		"small burst, normal load":          {rate: 100, slots: 6, noise: 0.25, burst: 200, callerRetries: retries},
+	} {
+		t.Run(name, func(t *testing.T) {
+			unjittered := w
+			unjittered.noJitter = true
+			var withJitter, withoutJitter float64
+			for seed := range uint64(seeds) {
+				withJitter += newMesh(w, usePlacement, seed).play() / seeds
+				withoutJitter += newMesh(unjittered, usePlacement, seed).play() / seeds
+			}
+			t.Logf("share within target: %.3f with jitter, %.3f without", withJitter, withoutJitter)
+			require.Greater(t, withJitter, withoutJitter)
+		})
+	}
+}
--- /dev/null
+++ b/replay/zone_size_test.go
@@ -0,0 +1,25 @@
+package replay_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestLargerZonesServeNoLess checks that the share of requests served within their
+// target does not fall when zones have more upstreams and proportionally more load.
+// Before it sends a request, an entry queries the load of only a few upstreams.
+func TestLargerZonesServeNoLess(t *testing.T) {
+	const few, many = upstreamsPerZone, 30
+	for name, ratePerUpstream := range map[string]float64{"normal load": 7, "heavy load": 14} {
+		t.Run(name, func(t *testing.T) {
+			play := func(perZone int) float64 {
+				w := workload{rate: ratePerUpstream * float64(meshZones*perZone), slots: 6, noise: 0.25, zoneSize: perZone}
+				return newMesh(w, usePlacement, 1).play()
+			}
+			small, large := play(few), play(many)
+			t.Logf("share within target: %.3f with %d upstreams in a zone, %.3f with %d", small, few, large, many)
+			require.GreaterOrEqual(t, large, small)
+		})
+	}
+}
