--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -62,7 +62,7 @@
 	off("refusal after a full guard", edits.New(placer, "return fullGuards > 0 && left != 0 && c.Expected > left", "return fullGuards > 99 && left != 0 && c.Expected > left")),
 	off("the urgent's longer wait", edits.New(admit, "share = urgentUsefulShare", "share = usefulShare + 0*urgentUsefulShare")),
 	kept("replay TestCallersRefusedTogether", off("the spread of advice", edits.New("core/retry/retry_after.go", "retryAfterSpread = 0.5", "retryAfterSpread = 0.0"))),
-	kept("sidecar TestCrashingRequestIsQuarantined", off("quarantine", edits.New("sidecar/quarantine.go", "	if !s.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if s.store != nil {\n		return nil\n	}\n	remaining"))),
+	kept("sidecar TestCrashingRequestIsQuarantined", off("quarantine", edits.New("sidecar/quarantine.go", "	if !q.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if q.store != nil {\n		return nil\n	}\n	remaining"))),
 	kept("sidecar TestLastUpstreamServesWhileItsDaemonStops", off("serving through a stopping daemon", edits.New(placer, "	case includeStopping:\n		return v.unreachableUntil <= now\n", "	case includeStopping:\n		return v.unreachableUntil <= now && !v.upstream.Stopping\n"))),
 	off("relays", edits.New("sidecar/peers.go", "relaysPerZone = 2", "relaysPerZone = 1 << 20")),
 }
--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -37,46 +37,47 @@
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
-func (c *antiEntropy) String() string { return "comparer" }
+func (a *antiEntropy) String() string { return "comparer" }
 
 // Serve runs anti-entropy rounds until the context ends.
-func (c *antiEntropy) Serve(ctx context.Context) error { return interval.Run(ctx, roundTick, c.tick) }
+func (a *antiEntropy) Serve(ctx context.Context) error { return interval.Run(ctx, roundTick, a.tick) }
 
-func (c *antiEntropy) tick() {
-	if !c.due() {
+func (a *antiEntropy) tick() {
+	if !a.due() {
 		return
 	}
-	if m, ok := c.d.follower.targets.AntiEntropyPeer(c.d.peers.members()); ok {
-		c.d.datagrams.sendOneWay(kindDigest, m.Address, c.d.peers.digest().encode())
+	if m, ok := a.d.follower.targets.AntiEntropyPeer(a.d.peers.members()); ok {
+		a.d.datagrams.sendOneWay(kindDigest, m.Address, a.d.peers.digest().encode())
 	}
 }
 
-// due reports whether to start a round now. It counts the round as one without a difference;
-// the count is reset when received records supersede those held here.
-func (c *antiEntropy) due() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	due := c.pace.Due(c.d.now())
+// due reports whether to start a round now. It counts the round as one without a difference.
+// speedUp resets the count when received records supersede those held here.
+func (a *antiEntropy) due() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	due := a.pace.Due(a.d.now())
 	if due {
-		c.pace.RecordAgreement()
+		a.pace.RecordAgreement()
 	}
 	return due
 }
 
-// speedUp shortens the interval between rounds until several in a row find no difference.
-func (c *antiEntropy) speedUp() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.pace.Reset()
+// speedUp shortens the interval between rounds until several in a row find no difference. It
+// is called after receiving newer records, and when a peer is reachable again.
+func (a *antiEntropy) speedUp() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.pace.Reset()
 }
 
-// receiveDigest handles a digest from another daemon. It replies with a summary of the buckets that
-// differ, in random order, as not all of them may fit.
-func (c *antiEntropy) receiveDigest(from string, body []byte) {
+// receiveDigest handles a digest from another daemon. It replies with a summary of the
+// buckets that differ. It takes them in random order, as not all of them may fit.
+func (a *antiEntropy) receiveDigest(from string, body []byte) {
 	if len(body) != digestBuckets*bucketHashBytes {
 		return
 	}
-	records := c.d.peers.records()
+	records := a.d.peers.records()
 	var differing []int
 	for i, sum := range digestOf(records) {
 		if sum != binary.BigEndian.Uint32(body[i*bucketHashBytes:]) {
@@ -87,39 +88,39 @@
 		return
 	}
 	rand.Shuffle(len(differing), func(i, j int) { differing[i], differing[j] = differing[j], differing[i] })
-	c.d.datagrams.sendOneWay(kindSummary, from, newSummary(records, differing).encode())
+	a.d.datagrams.sendOneWay(kindSummary, from, newSummary(records, differing).encode())
 }
 
-// receiveSummary handles a summary from another daemon. It sends the records that are newer here and
-// requests those that are newer there.
-func (c *antiEntropy) receiveSummary(from string, body []byte) {
+// receiveSummary handles a summary from another daemon. It sends the records that are newer
+// here and requests those that are newer there.
+func (a *antiEntropy) receiveSummary(from string, body []byte) {
 	s, ok := decodeSummary(body)
 	if !ok {
 		return
 	}
-	newer, wanted := s.diff(c.d.peers.records())
-	c.sendRecords(from, newer)
+	newer, wanted := s.diff(a.d.peers.records())
+	a.sendRecords(from, newer)
 	if len(wanted) > 0 {
-		c.d.datagrams.sendOneWay(kindRecordRequest, from, encodeRecordRequest(wanted))
+		a.d.datagrams.sendOneWay(kindRecordRequest, from, encodeRecordRequest(wanted))
 	}
 }
 
 // sendRequested sends the records that another daemon requested.
-func (c *antiEntropy) sendRequested(from string, body []byte) {
+func (a *antiEntropy) sendRequested(from string, body []byte) {
 	requested := decodeRecordRequest(body)
 	var found []Record
-	for _, r := range c.d.peers.records() {
+	for _, r := range a.d.peers.records() {
 		if requested[addressHash(r.Address)] {
 			found = append(found, r)
 		}
 	}
-	c.sendRecords(from, found)
+	a.sendRecords(from, found)
 }
 
 // sendRecords sends records to a daemon that lacks them or holds older ones.
-func (c *antiEntropy) sendRecords(to string, records []Record) {
+func (a *antiEntropy) sendRecords(to string, records []Record) {
 	for _, b := range packRecords(records) {
-		c.d.datagrams.sendOneWay(kindMissingRecords, to, b)
+		a.d.datagrams.sendOneWay(kindMissingRecords, to, b)
 	}
 }
 
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -30,11 +30,11 @@
 	slices.SortStableFunc(list, func(a, b DirectoryEntry) int {
 		return cmp.Compare(p.zoneDistance(a.Zone), p.zoneDistance(b.Zone))
 	})
-	for _, l := range list {
-		if l.Address == p.local.Address || p.all[l.Address] != nil {
+	for _, e := range list {
+		if e.Address == p.local.Address || p.all[e.Address] != nil {
 			continue
 		}
-		p.startSync(p.addPeer(Record{Address: l.Address, Zone: l.Zone}))
+		p.startSync(p.addPeer(Record{Address: e.Address, Zone: e.Zone}))
 	}
 	if len(p.all) == 0 {
 		p.firstContactOnce.Do(func() { close(p.firstContact) })
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -41,8 +41,8 @@
 	var list []DirectoryEntry
 	zoneOf := make(map[string]model.AvailabilityZone)
 	for i := range daemons {
-		l := DirectoryEntry{Address: fmt.Sprint("d", i), Zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
-		list, zoneOf[l.Address] = append(list, l), l.Zone
+		e := DirectoryEntry{Address: fmt.Sprint("d", i), Zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
+		list, zoneOf[e.Address] = append(list, e), e.Zone
 	}
 	selections := make(map[string]int)
 	for range starts {
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -28,7 +28,8 @@
 	versions  versions
 	// mu serializes changes and guards the field changed, a channel that is closed and
 	// replaced at each change.
-	mu       sync.Mutex
+	mu sync.Mutex
+	// onChange holds the functions that are called, with mu held, when a table takes effect.
 	onChange []func(*route.Table)
 	changed  chan struct{}
 }
@@ -144,8 +145,8 @@
 	}
 }
 
-// onPeerVersion handles the version that another daemon announced. If it is newer than the one in
-// force, it is fetched from that daemon: at once if the daemon is in the local zone or no
+// onPeerVersion handles the version that another daemon announced. If it is newer than the one
+// in force, it is fetched from that daemon: at once if the daemon is in the local zone or no
 // configuration is in force yet, otherwise after remoteZoneFetchDelay.
 func (d *Daemon) onPeerVersion(address string, v model.Version) {
 	if v <= d.config.version() {
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -57,7 +57,8 @@
 	// configuration store. Zero means that one does.
 	storeLostSince atomic.Int64
 	inFlight       inFlightRequests
-	// aborting is closed when the grace period is over and the requests in flight are aborted.
+	// aborting is closed when draining is over, graceMargin before the end of the grace period
+	// at the latest. Requests still in flight are aborted then.
 	aborting chan struct{}
 }
 
@@ -190,20 +191,20 @@
 
 // Report implements Registry.
 func (d *Daemon) Report(r lifecycle.Report) lifecycle.Effect {
-	v := d.guard.handleReport(r, "report")
-	if v == lifecycle.Started || v == lifecycle.Changed {
+	effect := d.guard.handleReport(r, "report")
+	if effect == lifecycle.Started || effect == lifecycle.Changed {
 		d.announceState()
 	}
-	return v
+	return effect
 }
 
 // Leave implements Registry.
 func (d *Daemon) Leave(i lifecycle.Incarnation) lifecycle.Effect {
-	v := d.guard.deregister(i)
-	if v == lifecycle.Changed {
+	effect := d.guard.deregister(i)
+	if effect == lifecycle.Changed {
 		d.announceState()
 	}
-	return v
+	return effect
 }
 
 // ReportRejected implements Registry.
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -104,8 +104,8 @@
 			b.Report(readyReport("b1", 1, 1, "b")) // stale: must change nothing
 			c := &Call{ID: "x", Method: http.MethodGet, Target: "/safe/", Host: "h", Header: http.Header{},
 				Service: "b", Upstream: lifecycle.Incarnation{ID: "b1", Born: 1}, Idempotent: true, Deadline: time.Second}
-			a := b.guard.Do(t.Context(), c)
-			require.Equal(t, "not-run", a.Outcome.Kind.String())
+			result := b.guard.Do(t.Context(), c)
+			require.Equal(t, "not-run", result.Outcome.Kind.String())
 			require.Empty(t, b.upstream.requests())
 		})
 	}
@@ -287,7 +287,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	r := bufio.NewReader(conn)
-	ask := func(id string) *http.Response {
+	send := func(id string) *http.Response {
 		_, err := io.WriteString(conn, "GET /safe/ HTTP/1.1\r\nHost: h\r\nT-Id: "+id+"\r\nT-Deadline: 5000\r\n\r\n")
 		require.NoError(t, err)
 		resp, err := http.ReadResponse(r, nil)
@@ -296,12 +296,12 @@
 		require.NoError(t, err)
 		return resp
 	}
-	require.False(t, ask("one").Close)
+	require.False(t, send("one").Close)
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); a.stop() }()
 	eventually(t, "the daemon is stopping", a.stopping.Load)
 	eventually(t, "the other daemon knows", func() bool { r, ok := b.peers.recordOf(a.opts.Addresses.Peers); return ok && r.Stopping })
-	resp := ask("two")
+	resp := send("two")
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	require.True(t, resp.Close, "the caller must send nothing more on the connection")
 	<-stopped
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -37,7 +37,7 @@
 	key     string
 	address string
 	sent    model.Instant
-	// replies receives the reply. If it is nil, late is called with the reply instead.
+	// replies receives the reply. If it is nil, onLate is called with the reply instead.
 	replies chan<- queryReply
 	onLate  func(queryReply)
 }
@@ -55,11 +55,12 @@
 	kindLoadQuery = 1
 	// kindLoadReply replies to kindLoadQuery with the load that such a request would find.
 	kindLoadReply = 2
-	// kindRecordPush pushes one packed record, and kindRecordAck, without a body, acknowledges it.
+	// kindRecordPush pushes one packed record, and kindRecordAck, without a body, acknowledges
+	// it.
 	kindRecordPush = 3
 	kindRecordAck  = 4
-	// kindVersion announces a new version of the configuration. Its body is the address to fetch
-	// it from.
+	// kindVersion announces a new version of the configuration. Its body is the address to
+	// fetch it from.
 	kindVersion = 5
 	// kindSuspects carries a message of package quarantine about requests that are suspected
 	// of crashing upstreams.
@@ -69,15 +70,15 @@
 	kindHeartbeat = 7
 	// kindRelayedRecords relays, inside a zone, records of daemons of remote zones.
 	kindRelayedRecords = 8
-	// kindDigest carries a digest of all records. kindSummary replies with a summary of
-	// the buckets that differ, kindRecordRequest requests records by the hashes of their addresses,
+	// kindDigest carries a digest of all records. kindSummary replies with a summary of the
+	// buckets that differ, kindRecordRequest requests records by the hashes of their addresses,
 	// and kindMissingRecords carries records that the receiver lacks or has in an older version.
 	kindDigest         = 9
 	kindSummary        = 10
 	kindRecordRequest  = 11
 	kindMissingRecords = 12
-	// datagramHeaderBytes is the length of the header. loadQueryBytes and loadReplyBytes are the lengths of whole
-	// datagrams of kindLoadQuery and kindLoadReply.
+	// datagramHeaderBytes is the length of the header. loadQueryBytes and loadReplyBytes are
+	// the lengths of whole datagrams of kindLoadQuery and kindLoadReply.
 	datagramHeaderBytes = 13
 	loadQueryBytes      = datagramHeaderBytes + 5
 	loadReplyBytes      = datagramHeaderBytes + 13
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -40,10 +40,10 @@
 	replies := d.datagrams.queryLoads(loadQuery{
 		upstreams: []placement.Upstream{up}, rank: 2, kind: 7, timeout: timeout,
 		tooFar: func(placement.Upstream) bool { return tooFar },
-		onLate: func(h queryReply) {
-			require.Equal(t, "far", h.key)
-			require.Positive(t, h.roundTrip)
-			late <- h.load
+		onLate: func(q queryReply) {
+			require.Equal(t, "far", q.key)
+			require.Positive(t, q.roundTrip)
+			late <- q.load
 		},
 	})
 	require.Empty(t, replies)
@@ -84,12 +84,12 @@
 			s.placer.ObserveRTT("far", c.roundTrip)
 			s.responded["far"] = true
 			r := &forwarder{entry: d.entry, service: s, request: &request{route: &route.Route{}}}
-			ask := placement.Request{ServiceTime: time.Millisecond}
+			req := placement.Request{ServiceTime: time.Millisecond}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			r.queryLoads(ask, false, 2, remoteZoneTimeout)
+			r.queryLoads(req, false, 2, remoteZoneTimeout)
 			var queried []string
-			for _, up := range s.placer.QueryTargets(d.now(), ask, false, 0, 2) {
+			for _, up := range s.placer.QueryTargets(d.now(), req, false, 0, 2) {
 				queried = append(queried, up.Key)
 			}
 			require.ElementsMatch(t, c.want, queried)
--- a/sidecar/doc.go
+++ b/sidecar/doc.go
@@ -12,5 +12,5 @@
 // its record and announces every change. State that must survive the loss of all daemons is
 // kept by a Directory and a Source, which the deployment supplies.
 //
-// An Edge translates between the daemon and the headers that callers and upstreams use.
+// A HeaderCodec reads and writes the headers that callers and upstreams use.
 package sidecar
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -30,7 +30,7 @@
 	require.Eventually(t, ok, waitLimit, 2*time.Millisecond, what)
 }
 
-// testCodec implements Edge with headers named T-*.
+// testCodec implements HeaderCodec with headers named T-*.
 type testCodec struct{}
 
 var errNoID = errors.New("no id")
@@ -43,11 +43,11 @@
 	return Attempt{ID: h.Get("T-Id"), Deadline: time.Duration(ms) * time.Millisecond}, nil
 }
 
-func (testCodec) WriteRequestInfo(h http.Header, d RequestInfo) {
-	h.Set("T-Id", d.ID)
-	h.Set("T-Deadline", strconv.FormatInt(d.Deadline.Milliseconds(), 10))
-	h.Set("T-Caller", string(d.Caller))
-	h.Set("T-Expect", string(d.Upstream))
+func (testCodec) WriteRequestInfo(h http.Header, info RequestInfo) {
+	h.Set("T-Id", info.ID)
+	h.Set("T-Deadline", strconv.FormatInt(info.Deadline.Milliseconds(), 10))
+	h.Set("T-Caller", string(info.Caller))
+	h.Set("T-Expect", string(info.Upstream))
 }
 
 func (testCodec) ReadResponseInfo(status int, h http.Header) ResponseInfo {
@@ -130,16 +130,16 @@
 	return doc.(route.Document), nil
 }
 
-func (s *source) Watch(ctx context.Context, f ConfigConsumer) error {
+func (s *source) Watch(ctx context.Context, c ConfigConsumer) error {
 	for {
-		if err := f.AwaitTurn(ctx); err != nil {
+		if err := c.AwaitTurn(ctx); err != nil {
 			return err
 		}
 		s.store.mu.Lock()
 		doc, changed, down := s.store.doc, s.store.changed, s.store.down || s.disconnected.Load()
 		s.store.mu.Unlock()
 		if down {
-			f.StoreReachable(false)
+			c.StoreReachable(false)
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -147,9 +147,9 @@
 			}
 			continue
 		}
-		f.StoreReachable(true)
+		c.StoreReachable(true)
 		if doc.Version > 0 {
-			f.Receive(encodeDocument(doc), "store")
+			c.Receive(encodeDocument(doc), "store")
 		}
 		select {
 		case <-ctx.Done():
@@ -159,13 +159,13 @@
 	}
 }
 
-func (s *store) Announce(_ context.Context, l DirectoryEntry) error {
+func (s *store) Announce(_ context.Context, e DirectoryEntry) error {
 	if err := s.checkUp(); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries[l.Address] = l
+	s.entries[e.Address] = e
 	s.announcements++
 	return nil
 }
@@ -177,8 +177,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []DirectoryEntry
-	for _, l := range s.entries {
-		out = append(out, l)
+	for _, e := range s.entries {
+		out = append(out, e)
 	}
 	return out, nil
 }
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -89,8 +89,8 @@
 		return err
 	}
 	j.listed = true
-	for _, l := range list {
-		j.announced = j.announced || l.Address == j.d.opts.Addresses.Peers
+	for _, e := range list {
+		j.announced = j.announced || e.Address == j.d.opts.Addresses.Peers
 	}
 	j.d.peers.addListed(list)
 	return nil
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -47,8 +47,8 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: answered %d", e.Path, e.Status) }
 
-// sendSync sends a message and returns the reply. The error is a *hop.RequestError if the daemon
-// was not reached, and a *StatusError if it rejected the message.
+// sendSync sends a message and returns the reply. The error is a *hop.RequestError if the
+// daemon was not reached, and a *StatusError if it rejected the message.
 func sendSync(ctx context.Context, pool *hop.Pool, m syncMessage) (reply syncMessage, err error) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -111,7 +111,7 @@
 	resolveTimeLeftParam    = "left-ms"
 )
 
-// encode returns the question as a URL query.
+// encode returns the request as a URL query.
 func (q resolveRequest) encode() string {
 	v := url.Values{}
 	v.Set(resolveKeyParam, q.key)
@@ -133,9 +133,9 @@
 // arrived. After that it is abandoned, as its connection may never deliver anything.
 const resolveArrivalTimeout = 500 * time.Millisecond
 
-// sendResolveRequest asks a guard, over a new connection, to resolve the outcome of an attempt: the
-// guard cancels the attempt if it has not started. It returns false if the guard was not
-// reached.
+// sendResolveRequest asks a guard, over a new connection, to resolve the outcome of an
+// attempt: the guard cancels the attempt if it has not started. It returns false if the guard
+// was not reached.
 func sendResolveRequest(ctx context.Context, pool *hop.Pool, q resolveRequest) (*Result, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -283,9 +283,10 @@
 	}
 }
 
-// sync handles a syncMessage: it merges the records of the sender and replies with the local
-// record, the record that was held of the sender before, and all other records if the sender
-// wants them.
+// sync handles a syncMessage. It merges the records received. If the sender is in a remote
+// zone and its own record is new here, that record is relayed inside the local zone. The reply
+// holds the local record, the record that was held of the sender before, and all other records
+// if the sender wants them.
 func (p peerHandler) sync(w http.ResponseWriter, r *http.Request) {
 	var m syncMessage
 	if !readMessage(w, r, maxSyncBytes, &m) {
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -19,7 +19,8 @@
 	hedged        tally.Counter
 	retriesDenied tally.Counter
 	resolved      tally.Counter
-	// requestsCut counts the requests whose connection this daemon closed before it had responded.
+	// requestsCut counts the requests whose connection this daemon closed before it had
+	// responded.
 	requestsCut tally.Counter
 	// panics counts panics while requests were served, in handlers and in the goroutines that
 	// they start.
--- a/sidecar/options.go
+++ b/sidecar/options.go
@@ -81,9 +81,9 @@
 type HeaderCodec interface {
 	// ReadAttempt reads the headers of a caller's request.
 	ReadAttempt(h http.Header) (Attempt, error)
-	// WriteRequestInfo sets the headers of a request to an upstream that only daemons may set, replacing
-	// any that the caller sent.
-	WriteRequestInfo(h http.Header, d RequestInfo)
+	// WriteRequestInfo sets the headers of a request to an upstream that only daemons may set,
+	// replacing any that the caller sent.
+	WriteRequestInfo(h http.Header, info RequestInfo)
 	// ReadResponseInfo reads the headers of an upstream's response.
 	ReadResponseInfo(status int, h http.Header) ResponseInfo
 	// SetAttemptID sets the id of the request on a response that the daemon itself made.
@@ -131,8 +131,8 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is the current service time relative to the usual one, which is 1. Zero means not
-	// reported.
+	// Slowdown is the current service time relative to the usual one, which is 1. Zero means
+	// not reported.
 	Slowdown float64
 }
 
@@ -148,9 +148,9 @@
 
 // Source reads the configuration from its store.
 type Source interface {
-	// Watch passes every document that it reads to the follower until the context ends, and
+	// Watch passes every document that it reads to the consumer until the context ends, and
 	// reports the success of each call to the store. It calls AwaitTurn before each call.
-	Watch(ctx context.Context, f ConfigConsumer) error
+	Watch(ctx context.Context, c ConfigConsumer) error
 	// Decode parses a document.
 	Decode(raw []byte) (route.Document, error)
 }
@@ -158,7 +158,7 @@
 // Directory lets daemons find each other.
 type Directory interface {
 	// Announce writes the entry of this daemon.
-	Announce(ctx context.Context, l DirectoryEntry) error
+	Announce(ctx context.Context, e DirectoryEntry) error
 	// List returns all entries that can be parsed.
 	List(ctx context.Context) ([]DirectoryEntry, error)
 	// Remove deletes the entry of this daemon.
--- a/sidecar/pack.go
+++ b/sidecar/pack.go
@@ -19,7 +19,7 @@
 
 // packRecords encodes records as a sequence of JSON values, compresses them (RFC 1951), and
 // splits them into datagram bodies. A record that does not fit any datagram is left out; it
-// must be fetched from its daemon over a connection.
+// is exchanged over connections only.
 func packRecords(records []Record) [][]byte {
 	if len(records) == 0 {
 		return nil
--- a/sidecar/panics.go
+++ b/sidecar/panics.go
@@ -11,8 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/inbound"
 )
 
-// attemptComponent is the value of the log field part for a panic in the goroutine of an attempt,
-// outside of the handlers.
+// attemptComponent is the value of the log field part for a panic in the goroutine of an
+// attempt, outside of the handlers.
 const attemptComponent = "attempt"
 
 // reportPanics logs and counts the panics of a handler before net/http closes the connection.
@@ -30,9 +30,9 @@
 		slog.String("error", fmt.Sprint(v)), slog.String("stack", string(debug.Stack())))
 }
 
-// recoverPanic calls do and returns its result; if do panics, the result is an unknown outcome, as
-// the request may have run. net/http recovers panics only in its own goroutines: a panic in
-// any other goroutine would end the process and with it all requests in flight.
+// recoverPanic calls do and returns its result; if do panics, the result is an unknown
+// outcome, as the request may have run. net/http recovers panics only in its own goroutines: a
+// panic in any other goroutine would end the process and with it all requests in flight.
 func recoverPanic(requestID string, panicked func(component, requestID string, v any), do func() *Result) (result *Result) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -77,10 +77,10 @@
 			ready++
 		}
 	}
-	unheard := len(missing)
+	unknown := len(missing)
 	slices.Sort(missing)
-	missing = missing[:min(unheard, maxNamedPeers)]
+	missing = missing[:min(unknown, maxNamedPeers)]
 	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.learned.unlogged), slog.Int("ready", ready),
-		slog.Int("peers", len(p.all)), slog.Int("unheard", unheard), slog.String("missing", strings.Join(missing, " ")))
+		slog.Int("peers", len(p.all)), slog.Int("unheard", unknown), slog.String("missing", strings.Join(missing, " ")))
 	p.learned.unlogged = 0
 }
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -15,7 +15,7 @@
 
 // Record is the state that a daemon announces about itself and its upstream. Only that daemon
 // writes it. Of two records of a daemon, the one with the higher (Incarnation, Sequence)
-// supersedes the other.
+// supersedes the other. The record that a daemon writes is its local record.
 type Record struct {
 	Address     string                 `json:"a"`
 	Incarnation int64                  `json:"i"`
@@ -57,9 +57,10 @@
 	syncing bool
 	// needsFullSync is set while the peer is to be asked for all of its records.
 	needsFullSync bool
-	// verifiedAt is when the peer was last contacted because it had not answered a query.
+	// verifiedAt is when the peer was last contacted because it had not replied to a load
+	// query.
 	verifiedAt model.Instant
-	// unreachable is set while the peer is unreachable, which began at unreachableSince.
+	// unreachable is set while the peer cannot be reached, which began at unreachableSince.
 	unreachable      bool
 	unreachableSince model.Instant
 }
@@ -67,14 +68,14 @@
 const (
 	// syncTimeout bounds one request to another daemon.
 	syncTimeout = 1500 * time.Millisecond
-	// minSyncBackoff and maxSyncBackoff bound the backoff after a failed exchange. A daemon that
-	// restarts is back within one or two seconds.
+	// minSyncBackoff and maxSyncBackoff bound the backoff after a failed exchange. A daemon
+	// that restarts is back within one or two seconds.
 	minSyncBackoff = 100 * time.Millisecond
 	maxSyncBackoff = 2 * time.Second
 	// fastRetryPeriod is how long an unreachable daemon is retried with a backoff of at most
-	// maxSyncBackoff; after that, lostSyncBackoff bounds the backoff. Retries must go on, because two
-	// regions that lose their connection for minutes have no other way to find each other: no
-	// daemon restarts, and so none announces itself again.
+	// maxSyncBackoff; after that, lostSyncBackoff bounds the backoff. Retries must go on,
+	// because two regions that lose their connection for minutes have no other way to find each
+	// other: no daemon restarts, and so none announces itself again.
 	fastRetryPeriod = time.Minute
 	lostSyncBackoff = 15 * time.Second
 	// forgetAfter is how long an unreachable daemon is retried before it is forgotten.
@@ -119,20 +120,22 @@
 	random func() float64
 
 	mu sync.Mutex
-	// local is the local record.
+	// local is the record of this daemon.
 	local Record
 	// predecessor is the record that others hold of the previous daemon at this address.
 	predecessor Record
 	// all holds the other daemons by address.
 	all map[string]*peer
-	// generation counts the changes to the known daemons, asked those of them that were asked
+	// generation counts the changes to the records held, the local one included, and to the
+	// set of reachable peers. fullSyncs counts the peers that addPeer has chosen to be asked
 	// for all records.
 	generation uint64
 	fullSyncs  int
 	learned    learnedLimiter
 	// announced is set once the local record has been pushed to other daemons.
 	announced bool
-	ctx       context.Context
+	// ctx ends when the daemon stops, and ends the goroutines that run syncLoop.
+	ctx context.Context
 	// firstContact is closed after the first successful exchange with another daemon, or when
 	// there is no other daemon.
 	firstContact     chan struct{}
@@ -142,9 +145,9 @@
 	directoryReadOnce sync.Once
 }
 
-func newPeers(own Record, now func() model.Instant, d *decision.Log) *peers {
+func newPeers(local Record, now func() model.Instant, d *decision.Log) *peers {
 	return &peers{
-		now: now, decisions: d, local: own,
+		now: now, decisions: d, local: local,
 		all:           make(map[string]*peer),
 		random:        rand.Float64,
 		ctx:           context.Background(),
@@ -156,7 +159,7 @@
 	}
 }
 
-// localRecord returns the local record.
+// localRecord returns the record of this daemon.
 func (p *peers) localRecord() Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -84,7 +84,8 @@
 }
 
 // TestLocalRecordSurvivesClockSetBack gives a peer a record of the daemon whose incarnation
-// comes from a clock that was ahead. Later records of the daemon must still supersede it.
+// comes from a clock that was ahead, as if the daemon had restarted after its clock was set
+// back. Later records of the daemon must still supersede it.
 func TestLocalRecordSurvivesClockSetBack(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -35,49 +35,49 @@
 }
 
 func newCrashQuarantine(d *Daemon) *crashQuarantine {
-	s := &crashQuarantine{d: d, changed: make(chan struct{}, 1)}
-	s.store = quarantine.NewStore(quarantine.Options{
+	q := &crashQuarantine{d: d, changed: make(chan struct{}, 1)}
+	q.store = quarantine.NewStore(quarantine.Options{
 		Rule: func(model.ServiceName) core.Rule {
 			return core.Rule{Crashes: quarantineThreshold, Duration: quarantineDuration}
 		},
-		OnUpdate: s.signalChange,
+		OnUpdate: q.signalChange,
 		Scope:    telemetry.OrNoop(d.opts.Scope).SubScope("quarantine"),
 		Logger:   d.opts.Logger,
 	})
-	s.gossip = &quarantine.Gossip{
-		Store:           s.store,
+	q.gossip = &quarantine.Gossip{
+		Store:           q.store,
 		Selector:        d.follower.targets,
 		Members:         d.peers.members,
 		Send:            func(address string, m []byte) { d.datagrams.sendOneWay(kindSuspects, address, m) },
 		MaxMessageBytes: maxDatagramBody,
 	}
-	return s
+	return q
 }
 
 // signalChange makes Serve send the changes to other daemons soon.
-func (s *crashQuarantine) signalChange() {
+func (q *crashQuarantine) signalChange() {
 	select {
-	case s.changed <- struct{}{}:
+	case q.changed <- struct{}{}:
 	default:
 	}
 }
 
 // recordCrash records that the local upstream crashed while it ran a request.
-func (s *crashQuarantine) recordCrash(r lostRun) {
-	s.d.opts.Decisions.Write(decision.Suspected, r.id, slog.String("upstream", string(r.upstream.ID)),
+func (q *crashQuarantine) recordCrash(r lostRun) {
+	q.d.opts.Decisions.Write(decision.Suspected, r.id, slog.String("upstream", string(r.upstream.ID)),
 		slog.Int64("born", r.upstream.Born), slog.String("fingerprint", r.fingerprint.String()))
-	s.store.RecordCrash(r.fingerprint, r.request, core.Crash{
+	q.store.RecordCrash(r.fingerprint, r.request, core.Crash{
 		Upstream: r.upstream.ID, Incarnation: model.Incarnation(r.upstream.Born),
 	})
 }
 
 // check returns the refusal of a quarantined request, nil for any other request. Crashes
 // that other daemons report afterwards only affect further attempts of the request.
-func (s *crashQuarantine) check(req *request) *Result {
-	if !s.store.HasRecords() {
+func (q *crashQuarantine) check(req *request) *Result {
+	if !q.store.HasRecords() {
 		return nil
 	}
-	remaining, refused := s.store.RefusedFor(req.fingerprint())
+	remaining, refused := q.store.RefusedFor(req.fingerprint())
 	if !refused {
 		return nil
 	}
@@ -86,9 +86,9 @@
 
 // clearSuspicion records that an upstream survived a request, which clears the request of
 // suspicion.
-func (s *crashQuarantine) clearSuspicion(req *request) {
-	if s.store.HasRecords() {
-		s.store.RecordResponse(req.fingerprint())
+func (q *crashQuarantine) clearSuspicion(req *request) {
+	if q.store.HasRecords() {
+		q.store.RecordResponse(req.fingerprint())
 	}
 }
 
@@ -102,26 +102,26 @@
 	return *r.cachedFingerprint
 }
 
-// fingerprintInput returns the properties of a request that its fingerprint covers. The caller is not
-// one of them, because another caller may send the same request through any daemon.
+// fingerprintInput returns the properties of a request that its fingerprint covers. The caller
+// is not one of them, because the request may come again from another caller, at any daemon.
 func fingerprintInput(s model.ServiceName, method, target string, body []byte) core.Request {
 	return core.Request{Service: s, Method: method, Target: target, Body: body, Length: int64(len(body))}
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
-func (s *crashQuarantine) String() string { return "suspects" }
+func (q *crashQuarantine) String() string { return "suspects" }
 
 // Serve exchanges suspected requests with other daemons until the context ends.
-func (s *crashQuarantine) Serve(ctx context.Context) error {
+func (q *crashQuarantine) Serve(ctx context.Context) error {
 	tick := time.NewTicker(gossipTick)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.changed:
+		case <-q.changed:
 		case <-tick.C:
 		}
-		s.gossip.Tick(s.d.now())
+		q.gossip.Tick(q.d.now())
 	}
 }
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -69,10 +69,10 @@
 	byZone map[string]int
 }
 
-func (t *pushCounts) count(zone string) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.byZone[zone]
+func (c *pushCounts) count(zone string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byZone[zone]
 }
 
 // TestAnnouncementsGrowWithZones changes the record of one daemon: it must be pushed to all
@@ -145,8 +145,8 @@
 	require.LessOrEqual(t, messages, 2*records/5)
 }
 
-// TestEqualRecordsHaveEqualDigests checks that two daemons with equal records find no
-// difference.
+// TestEqualRecordsHaveEqualDigests checks that the digests of two daemons with equal records
+// are equal: rounds between them end there, and no records are sent.
 func TestEqualRecordsHaveEqualDigests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "b", "b1"), startReady(t, s, "b", "b2")
--- a/sidecar/summary.go
+++ b/sidecar/summary.go
@@ -29,12 +29,12 @@
 
 func recordVersionOf(r *Record) recordVersion { return recordVersion{r.Incarnation, r.Sequence} }
 
-// supersedes reports whether a record of version s replaces one of version old.
-func (s recordVersion) supersedes(old recordVersion) bool {
-	if s.incarnation != old.incarnation {
-		return s.incarnation > old.incarnation
+// supersedes reports whether a record of version v replaces one of version old.
+func (v recordVersion) supersedes(old recordVersion) bool {
+	if v.incarnation != old.incarnation {
+		return v.incarnation > old.incarnation
 	}
-	return s.sequence > old.sequence
+	return v.sequence > old.sequence
 }
 
 // newSummary returns a summary of as many of the wanted buckets as fit a datagram, and of the
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -44,7 +44,7 @@
 	return bytes
 }
 
-// reconcile runs one anti-entropy round between two daemons, as comparer does, and returns
+// reconcile runs one anti-entropy round between two daemons, as antiEntropy does, and returns
 // the bytes of all datagrams.
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -8,7 +8,8 @@
 )
 
 // syncLoop pushes the local record to a peer, with retries, until the peer has the current
-// one.
+// one. It uses a datagram, and a connection if the datagram is not acknowledged or the peer is
+// to be asked for all records.
 func (p *peers) syncLoop(q *peer) {
 	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxSyncBackoff}
 	for {
@@ -67,7 +68,8 @@
 }
 
 // exchangeFailed records a failed exchange. It reports whether to retry, and the bound of the
-// backoff before that.
+// backoff before that. A peer that is gone for good, or unreachable for forgetAfter, is
+// forgotten instead.
 func (p *peers) exchangeFailed(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -90,7 +90,7 @@
 
 // deltaFrom returns the delta from a version to the document in force. If the version is not
 // kept, the delta starts from the empty document. A nil delta means that the document itself
-// is to be sent.
+// is to be sent, because it is small or the delta is no smaller.
 func (v *versions) deltaFrom(version model.Version) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -171,8 +171,8 @@
 	return raw, nil
 }
 
-// config responds with the document in force, or with a delta (status 226, RFC 3229) if the
-// request states a version.
+// config responds with the document in force, or with a delta to it (status 226, RFC 3229) if
+// the request states a version and a delta saves bytes.
 func (p peerHandler) config(w http.ResponseWriter, r *http.Request) {
 	versions := &p.d.config.versions
 	raw := versions.newest()
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -82,7 +82,7 @@
 		plan:  cuts, want: "mixed",
 	},
 	"requests that crash upstreams are served": {
-		edits: []edits.Edit{edits.New("sidecar/quarantine.go", "	if !s.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if s.store != nil {\n		return nil\n	}\n	remaining")},
+		edits: []edits.Edit{edits.New("sidecar/quarantine.go", "	if !q.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if q.store != nil {\n		return nil\n	}\n	remaining")},
 		plan:  poisons, want: "poison",
 	},
 	"a reload ends the process": {
