--- a/sidecar/candidates.go
+++ b/sidecar/candidates.go
@@ -10,7 +10,7 @@
 )
 
 // candidates returns the ready upstreams of a service, including the local upstream, and
-// the endpoint of each by its key.
+// the endpoint of each by its key. Upstreams of unreachable daemons are left out.
 func (p *peers) candidates(service model.ServiceName) ([]placement.Upstream, map[string]endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -143,12 +143,12 @@
 
 // applyReport sets the concurrency limit from the newest report, and resets the state of
 // the upstream if a new incarnation has started. g.mu is held.
-func (g *guard) applyReport(v lifecycle.Effect) {
-	if v != lifecycle.Started && v != lifecycle.Changed {
+func (g *guard) applyReport(effect lifecycle.Effect) {
+	if effect != lifecycle.Started && effect != lifecycle.Changed {
 		return
 	}
 	g.queue.SetLimit(placement.DefaultLimit(g.tracker.Current().Slots))
-	if v != lifecycle.Started {
+	if effect != lifecycle.Started {
 		return
 	}
 	g.pool.Close()
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -113,7 +113,7 @@
 	},
 	"slots that are not told at the start stay unknown": {
 		edits: []edits.Edit{
-			edits.New("sidecar/guard.go", "if v != lifecycle.Started && v != lifecycle.Changed {", "if v != lifecycle.Started {"),
+			edits.New("sidecar/guard.go", "if effect != lifecycle.Started && effect != lifecycle.Changed {", "if effect != lifecycle.Started {"),
 			edits.New("sidecar/healthcheck.go", "report.Slots = g.slotsFromPeers(report.Incarnation)", "report.Slots = 1"),
 		},
 		plan: untold, want: "recovery",
