--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -58,7 +58,7 @@
 		plan: doubles, want: "mixed",
 	},
 	"an unknown end is followed by another send": {
-		edits: []edits.Edit{edits.New("sidecar/forward.go", "if a.Outcome.Kind == outcome.Unknown && !r.request.route.Idempotent {", "if a.Outcome.Kind > outcome.Unknown+9 {")},
+		edits: []edits.Edit{edits.New("sidecar/forward.go", "if result.Outcome.Kind == outcome.Unknown && !f.request.route.Idempotent {", "if result.Outcome.Kind > outcome.Unknown+9 {")},
 		plan:  allLose, want: "twice",
 	},
 	"a lost run counts as not run": {
@@ -113,7 +113,7 @@
 	},
 	"slots that are not told at the start stay unknown": {
 		edits: []edits.Edit{
-			edits.New("sidecar/guard.go", "if v != lifecycle.Started && v != lifecycle.Changed {", "if v != lifecycle.Started {"),
+			edits.New("sidecar/guard.go", "if effect != lifecycle.Started && effect != lifecycle.Changed {", "if effect != lifecycle.Started {"),
 			edits.New("sidecar/healthcheck.go", "report.Slots = g.slotsFromPeers(report.Incarnation)", "report.Slots = 1"),
 		},
 		plan: untold, want: "recovery",
