--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -40,7 +40,8 @@
 	Outcome outcome.Outcome
 	// SlotTime is how long the request held its slot, in wall-clock time.
 	SlotTime time.Duration
-	// Failed is set when the upstream answered with a server error.
+	// Failed is set when the upstream answered with a server error, or when the
+	// attempt failed without having been cancelled.
 	Failed bool
 }
 
@@ -48,7 +49,8 @@
 type Group struct {
 	Name model.GroupName
 	// Weight is the group's share of slot time relative to the other groups. A
-	// request of a group of weight 0 starts only when no other group waits.
+	// request of a group of weight 0 starts only when no group with a weight above
+	// 0 has a request that may start.
 	Weight float64
 	// QueueBound is the largest number of waiting requests of the group.
 	QueueBound int
--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -6,7 +6,9 @@
 //
 // A Controller keeps the number of running requests within the upstream's
 // concurrency limit and queues the others; package fairqueue defines their
-// order. A waiting request can be withdrawn. It then has certainly not run.
+// order. The order is decided only when a slot becomes free, so a new
+// configuration also applies to requests that already wait. A waiting request
+// can be withdrawn. It then has certainly not run.
 //
 // Three rules decide which request is refused:
 //
--- a/core/admission/observe_test.go
+++ b/core/admission/observe_test.go
@@ -13,10 +13,10 @@
 // recordingLimiter is a Limiter that records the observed slot times.
 type recordingLimiter struct{ observedTimes []time.Duration }
 
-func (o *recordingLimiter) Limit() int { return 4 }
+func (l *recordingLimiter) Limit() int { return 4 }
 
-func (o *recordingLimiter) Observe(_ model.Instant, used time.Duration, _ int, _ bool) {
-	o.observedTimes = append(o.observedTimes, used)
+func (l *recordingLimiter) Observe(_ model.Instant, slotTime time.Duration, _ int, _ bool) {
+	l.observedTimes = append(l.observedTimes, slotTime)
 }
 
 func TestLimiterIgnoresCancelledRequests(t *testing.T) {
--- a/core/fairqueue/charge.go
+++ b/core/fairqueue/charge.go
@@ -189,6 +189,8 @@
 	if g == nil || g.waiting == 0 || g.class == q.background {
 		return 0
 	}
+	// Callers take turns, so each of them starts at most as many requests before
+	// the new one as its caller has waiting, plus one.
 	rounds := 1
 	if c := g.callers[callerName]; c != nil {
 		rounds = c.waiting + 1
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -182,6 +182,6 @@
 	c.ready.remove(g)
 	c.weight -= g.weight
 	if c.ready.len() == 0 {
-		c.weight = 0
+		c.weight = 0 // discards the rounding errors of the sum
 	}
 }
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -9,8 +9,9 @@
 // GroupConfig is the configuration of one group.
 type GroupConfig struct {
 	Group model.GroupName
-	// Weight is relative to the other groups' weights. Zero and below mean
-	// that the group runs only when no other group waits.
+	// Weight is relative to the other groups' weights. Zero and below mean that
+	// the group's requests start only when no group with a weight above zero has
+	// a request that may start.
 	Weight float64
 	// QueueBound is the largest number of waiting requests. Default:
 	// Options.QueueBound.
--- a/core/policy/doc.go
+++ b/core/policy/doc.go
@@ -14,7 +14,8 @@
 // highest priority applies to it; among policies of equal priority, the one
 // whose name sorts first. Within a policy, a caller belongs to the first group
 // whose selector matches it, or else to the default group. Set.Explain reports
-// which rule decided.
+// which rule decided. The rules do not depend on the order of the documents, so
+// every daemon resolves overlaps in the same way.
 //
 // It is a problem when two documents have the same kind and name, or when a
 // host, token or certificate name belongs to two documents. Compile reports all
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -100,8 +100,8 @@
 	// caller, and is allowed only for the default group.
 	Callers string `json:"callers"`
 	// Weight is the group's share of slot time relative to the other groups, at
-	// least 0. Requests of a group of weight 0 start only when no other group
-	// waits.
+	// least 0. Requests of a group of weight 0 start only when no group with a
+	// weight above 0 has a request that may start.
 	Weight float64 `json:"weight"`
 	// QueueBound is the largest number of waiting requests at one upstream.
 	// Default: 128.
--- a/core/policy/service.go
+++ b/core/policy/service.go
@@ -10,7 +10,8 @@
 )
 
 // Service is a compiled Service document with the sharing policy that applies to
-// it. Only its cache of group lookups changes after Compile.
+// it. Only its cache of group lookups changes after Compile, atomically, so it is
+// safe for concurrent use.
 type Service struct {
 	Name     model.ServiceName
 	Deadline time.Duration
--- a/core/route/document.go
+++ b/core/route/document.go
@@ -28,8 +28,8 @@
 	Idempotent bool
 	// Timeout is the longest time that a request may take. Zero means no limit.
 	Timeout time.Duration
-	// TargetLatency is the latency that responses should stay within. Zero means that
-	// the configuration sets none.
+	// TargetLatency is the latency that responses should stay within. Zero means
+	// that the configuration sets none.
 	TargetLatency time.Duration
 	// MaxAttempts is the largest number of upstreams that one request may be
 	// sent to, at least 1.
@@ -41,7 +41,8 @@
 	Split []WeightedService
 }
 
-// WeightedService is a service in a traffic split with its weight, which is at least 0.
+// WeightedService is a service in a traffic split with its weight, which is at
+// least 0.
 type WeightedService struct {
 	Service model.ServiceName
 	Weight  float64
@@ -97,14 +98,14 @@
 		return newError("timeout", "is negative")
 	}
 	totalWeight := 0.0
-	for _, p := range r.Split {
-		if p.Service == "" {
+	for _, service := range r.Split {
+		if service.Service == "" {
 			return newError("split", "names an empty service")
 		}
-		if p.Weight < 0 {
+		if service.Weight < 0 {
 			return newError("split", "has a negative weight")
 		}
-		totalWeight += p.Weight
+		totalWeight += service.Weight
 	}
 	if totalWeight <= 0 {
 		return newError("split", "has no service with a weight above zero")
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -54,7 +54,7 @@
 		"empty prefix":                  {func(r *Route) { r.Prefix = "" }, "prefix"},
 		"no attempts":                   {func(r *Route) { r.MaxAttempts = 0 }, "attempts"},
 		"negative timeout":              {func(r *Route) { r.Timeout = -1 }, "timeout"},
-		"no parts":                      {func(r *Route) { r.Split = nil }, "split"},
+		"empty split":                   {func(r *Route) { r.Split = nil }, "split"},
 		"negative weight":               {func(r *Route) { r.Split = []WeightedService{{"s", 2}, {"t", -1}} }, "split"},
 		"nothing has weight":            {func(r *Route) { r.Split = []WeightedService{{"s", 0}} }, "split"},
 		"empty service":                 {func(r *Route) { r.Split = splitTo("") }, "split"},
@@ -102,13 +102,13 @@
 
 func TestSplitStateSurvivesNewVersion(t *testing.T) {
 	var splitter Splitter
-	parts := []WeightedService{{"a", 50}, {"b", 50}}
-	first := splitter.Pick(&Route{Name: "r", Split: parts})
+	split := []WeightedService{{"a", 50}, {"b", 50}}
+	first := splitter.Pick(&Route{Name: "r", Split: split})
 	second := splitter.Pick(&Route{Name: "r", Split: []WeightedService{{"a", 50}, {"b", 50}}})
 	require.NotEqual(t, first, second)
 }
 
-func TestUrgentRanks(t *testing.T) {
+func TestAboveLowestPriority(t *testing.T) {
 	tableWithRanks := func(ranks ...int) *Table {
 		var doc Document
 		for _, rank := range ranks {
@@ -122,5 +122,5 @@
 	}
 	require.True(t, tableWithRanks(0, 1, 2).AboveLowestPriority(1))
 	require.False(t, tableWithRanks(0, 1, 2).AboveLowestPriority(2))
-	require.False(t, tableWithRanks(1, 1).AboveLowestPriority(1), "with a single rank no request is urgent")
+	require.False(t, tableWithRanks(1, 1).AboveLowestPriority(1), "with a single rank no request is above the lowest priority")
 }
--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -17,13 +17,14 @@
 
 // splitState is the state of smooth weighted round robin over one split.
 type splitState struct {
-	parts []WeightedService
-	// currentWeights holds the current weight of each part; see Splitter.Pick.
+	split []WeightedService
+	// currentWeights holds the current weight of each service; see Splitter.Pick.
 	currentWeights []float64
 }
 
 // maxStates is the largest number of states kept. When it is exceeded all states
-// are reset, which costs each split at most one request of exactness.
+// are reset. This shifts the shares of a split by no more than Pick deviates from
+// them anyway: one request for two services, n-1 requests for n services.
 const maxStates = 4096
 
 // Pick returns the service for the next request of a route. It adds to the
@@ -37,9 +38,9 @@
 	}
 	state := s.state(r)
 	totalWeight := 0.0
-	for i, part := range r.Split {
-		totalWeight += part.Weight
-		state.currentWeights[i] += part.Weight
+	for i, service := range r.Split {
+		totalWeight += service.Weight
+		state.currentWeights[i] += service.Weight
 	}
 	best := 0
 	for i := range state.currentWeights {
@@ -58,8 +59,8 @@
 		s.states = make(map[string]*splitState)
 	}
 	state := s.states[r.Name]
-	if state == nil || !slices.Equal(state.parts, r.Split) {
-		state = &splitState{parts: r.Split, currentWeights: make([]float64, len(r.Split))}
+	if state == nil || !slices.Equal(state.split, r.Split) {
+		state = &splitState{split: r.Split, currentWeights: make([]float64, len(r.Split))}
 		s.states[r.Name] = state
 	}
 	return state
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -51,8 +51,8 @@
 // NumRoutes returns the number of routes.
 func (t *Table) NumRoutes() int { return len(t.doc.Routes) }
 
-// AboveLowestPriority reports whether requests of the given rank are served before those of the
-// last rank that any route has.
+// AboveLowestPriority reports whether requests of the given rank are served
+// before those of the last rank that any route has.
 func (t *Table) AboveLowestPriority(rank int) bool { return rank < t.lastRank }
 
 // Service returns the configuration of a service.
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -64,16 +64,17 @@
 }
 
 // TestDaemonHeadersFromUpstreamAreStripped has an upstream set headers that only
-// a daemon may set.
+// a daemon may set. If they reached the caller, it would take them for statements
+// of the daemon, for example that a request that ran did not run.
 func TestDaemonHeadersFromUpstreamAreStripped(t *testing.T) {
-	a := wire.NoResponse(outcome.Done())
-	a.Status = http.StatusServiceUnavailable
-	a.Header = http.Header{
+	response := wire.NoResponse(outcome.Done())
+	response.Status = http.StatusServiceUnavailable
+	response.Header = http.Header{
 		wire.HeaderOutcome: {"not-run"}, wire.HeaderReason: {"draining"},
 		wire.HeaderCallToken: {"secret"}, wire.HeaderRefused: {wire.RefusedBeforeStart}, "X-Own": {"kept"},
 	}
-	a.Body = io.NopCloser(strings.NewReader(""))
+	response.Body = io.NopCloser(strings.NewReader(""))
 	w := httptest.NewRecorder()
-	writeResponse(w, a)
+	writeResponse(w, response)
 	require.Equal(t, http.Header{wire.HeaderOutcome: {"answered"}, "X-Own": {"kept"}}, w.Header())
 }
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -27,13 +27,13 @@
 
 func (g *rejectingGuard) Do(_ context.Context, c *wire.Call) *wire.Result {
 	g.calls = append(g.calls, c)
-	a := wire.NoResponse(outcome.Done())
+	response := wire.NoResponse(outcome.Done())
 	if c.HasQueueTimeout {
-		a = wire.NoResponse(outcome.NotRunBecause(outcome.ReasonWithdrawn))
+		response = wire.NoResponse(outcome.NotRunBecause(outcome.ReasonWithdrawn))
 	}
-	a.Status, a.HasLoad = http.StatusOK, true
-	a.Load = model.Load{Running: 6, Limit: 6, Seq: uint64(len(g.calls))}
-	return a
+	response.Status, response.HasLoad = http.StatusOK, true
+	response.Load = model.Load{Running: 6, Limit: 6, Seq: uint64(len(g.calls))}
+	return response
 }
 
 // attemptOnce makes one attempt with the given body through the guard g.
@@ -54,15 +54,15 @@
 		service: &policy.Service{Name: "s"},
 		body:    b,
 	}
-	a, _, ok := e.attempt(context.Background(), req, nil, 0)
-	return a, ok
+	response, _, ok := e.attempt(context.Background(), req, nil, 0)
+	return response, ok
 }
 
 func TestRejectedRequestTriesOtherUpstreamsAndThenWaits(t *testing.T) {
 	g := &rejectingGuard{}
-	a, ok := attemptOnce(g, &body{data: []byte("x"), length: 1})
+	response, ok := attemptOnce(g, &body{data: []byte("x"), length: 1})
 	assert.True(t, ok)
-	assert.Equal(t, outcome.Answered, a.Outcome.Kind)
+	assert.Equal(t, outcome.Answered, response.Outcome.Kind)
 	assert.Len(t, g.calls, routing.MaxRejections+1)
 	assert.False(t, g.calls[routing.MaxRejections].HasQueueTimeout, "the last call waits until its deadline")
 	assert.NotEqual(t, g.calls[0].ID, g.calls[1].ID, "each call has its own ID")
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -51,7 +51,7 @@
 	// Keyed forwards non-idempotent requests with an idempotency key. Nil means
 	// that they are refused.
 	Keyed KeyedForwarder
-	// MaxKeyedBody bounds the bodies of requests that are passed to KeyedForwarder, in
+	// MaxKeyedBody bounds the bodies of requests that are passed to Keyed, in
 	// bytes. These bodies are buffered. Default: 256 KiB.
 	MaxKeyedBody int64
 }
@@ -106,16 +106,16 @@
 	ctx, cancel := context.WithTimeout(r.Context(), req.timeout)
 	defer cancel()
 	// The outcome stays unknown until the complete response has been written.
-	result := outcome.UnknownBecause(outcome.ReasonTruncated)
+	o := outcome.UnknownBecause(outcome.ReasonTruncated)
 	startedAt := e.opts.Now()
-	defer func() { e.metrics.recordRequest(req, result, e.opts.Now().Sub(startedAt)) }()
+	defer func() { e.metrics.recordRequest(req, o, e.opts.Now().Sub(startedAt)) }()
 	response := e.answerWithinCeiling(ctx, req)
 	if req.releaseCeiling != nil {
 		defer req.releaseCeiling()
 	}
 	writeResponse(w, response)
-	result = response.Outcome
-	e.clearCrashes(req, result)
+	o = response.Outcome
+	e.clearCrashes(req, o)
 }
 
 // answerWithinCeiling forwards the request, or refuses it when its group is at
@@ -146,7 +146,7 @@
 	body       *body
 	// depth is the nesting depth: the number of calls that led to this one.
 	depth int
-	// releaseCeiling releases what Ceilings.Enter reserved. It is nil when no
+	// releaseCeiling releases what Ceilings.TryAcquire acquired. It is nil when no
 	// ceilings are enforced.
 	releaseCeiling func()
 	// cachedFingerprint holds the result of fingerprint.
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -70,7 +70,7 @@
 	return e.sendOnce(ctx, req, choice, attempt, true)
 }
 
-// succeeded reports whether the response was answered without a server error, so
+// succeeded reports whether the request was answered without a server error, so
 // that no other attempt is needed.
 func succeeded(response *wire.Result) bool {
 	return response != nil && response.Outcome.Kind == outcome.Answered && response.Status < http.StatusInternalServerError
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -27,28 +27,28 @@
 	cancelled     int
 }
 
-func (g *forwarderWithStuckUpstream) Do(ctx context.Context, c *wire.Call) *wire.Result {
-	g.mu.Lock()
-	g.calls[c.Upstream]++
-	seq, stuck := uint64(g.calls[c.Upstream]), c.Upstream == g.stuckUpstream
-	g.mu.Unlock()
+func (f *forwarderWithStuckUpstream) Do(ctx context.Context, c *wire.Call) *wire.Result {
+	f.mu.Lock()
+	f.calls[c.Upstream]++
+	seq, stuck := uint64(f.calls[c.Upstream]), c.Upstream == f.stuckUpstream
+	f.mu.Unlock()
 	if stuck {
 		<-ctx.Done()
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		g.cancelled++
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.cancelled++
 		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonCancelled))
 	}
 	time.Sleep(time.Millisecond)
-	a := wire.NoResponse(outcome.Done())
-	a.Status, a.HasLoad = http.StatusOK, true
-	a.Load = model.Load{Limit: 6, ServiceTime: time.Millisecond, Seq: seq}
-	return a
+	response := wire.NoResponse(outcome.Done())
+	response.Status, response.HasLoad = http.StatusOK, true
+	response.Load = model.Load{Limit: 6, ServiceTime: time.Millisecond, Seq: seq}
+	return response
 }
 
 // newWarmEntry returns an entry whose router has learned the usual latency of
 // both upstreams, and a request to send.
-func newWarmEntry(g *forwarderWithStuckUpstream, idempotent bool) (*Entry, *request) {
+func newWarmEntry(f *forwarderWithStuckUpstream, idempotent bool) (*Entry, *request) {
 	origin := time.Now()
 	now := func() model.Instant { return model.Instant(time.Since(origin)) }
 	view := staticView{
@@ -58,7 +58,7 @@
 	e := New(Options{
 		Now:     now,
 		Routers: NewRouters(view, now, routing.Options{Zone: "a", Seed: 1}),
-		Local:   g,
+		Local:   f,
 		Self:    "self",
 	})
 	req := &request{
@@ -68,43 +68,43 @@
 		idempotent: idempotent,
 	}
 	for range 1000 {
-		a, _, _ := e.attempt(context.Background(), req, nil, 0)
-		_ = a.Body.Close()
+		response, _, _ := e.attempt(context.Background(), req, nil, 0)
+		_ = response.Body.Close()
 	}
 	return e, req
 }
 
 func TestStuckIdempotentRequestIsHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		g := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
-		e, req := newWarmEntry(g, true)
-		g.stuckUpstream = "s-1"
-		before := g.calls["s-1"]
+		f := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
+		e, req := newWarmEntry(f, true)
+		f.stuckUpstream = "s-1"
+		before := f.calls["s-1"]
 		for range 10 {
-			a, _, ok := e.attempt(context.Background(), req, nil, 0)
+			response, _, ok := e.attempt(context.Background(), req, nil, 0)
 			assert.True(t, ok)
-			assert.Equal(t, outcome.Answered, a.Outcome.Kind)
-			assert.NoError(t, a.Body.Close())
+			assert.Equal(t, outcome.Answered, response.Outcome.Kind)
+			assert.NoError(t, response.Body.Close())
 		}
-		assert.Greater(t, g.calls["s-1"], before, "the stuck upstream was tried")
-		assert.Equal(t, g.calls["s-1"]-before, g.cancelled, "every stuck call was cancelled")
+		assert.Greater(t, f.calls["s-1"], before, "the stuck upstream was tried")
+		assert.Equal(t, f.calls["s-1"]-before, f.cancelled, "every stuck call was cancelled")
 	})
 }
 
 func TestNonIdempotentRequestIsNeverHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		g := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
-		e, req := newWarmEntry(g, false)
-		total := g.calls["s-1"] + g.calls["s-2"]
-		g.stuckUpstream = "s-1"
+		f := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
+		e, req := newWarmEntry(f, false)
+		total := f.calls["s-1"] + f.calls["s-2"]
+		f.stuckUpstream = "s-1"
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		sent := 0
-		for g.cancelled == 0 {
-			a, _, _ := e.attempt(ctx, req, nil, 0)
-			_ = a.Body.Close()
+		for f.cancelled == 0 {
+			response, _, _ := e.attempt(ctx, req, nil, 0)
+			_ = response.Body.Close()
 			sent++
 		}
-		assert.Equal(t, total+sent, g.calls["s-1"]+g.calls["s-2"], "one call for each request")
+		assert.Equal(t, total+sent, f.calls["s-1"]+f.calls["s-2"], "one call for each request")
 	})
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -13,9 +13,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// KeyedForwarder forwards non-idempotent calls that have an idempotency key to the daemon
-// that owns the key. The body is passed separately from the call, since it may
-// have to be sent more than once.
+// KeyedForwarder forwards non-idempotent calls that have an idempotency key to
+// the daemon that owns the key. The body is passed separately from the call, since
+// it may have to be sent more than once.
 type KeyedForwarder interface {
 	Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result
 }
@@ -83,8 +83,8 @@
 	return &body{data: data, length: int64(len(data))}, err
 }
 
-// ForwardKeyed forwards a call to an upstream as if its caller had sent it to this entry.
-// This daemon must own the idempotency key of the call and have claimed it.
+// ForwardKeyed forwards a call to an upstream as if its caller had sent it to this
+// entry. This daemon must own the idempotency key of the call and have claimed it.
 func (e *Entry) ForwardKeyed(ctx context.Context, c *wire.Call) *wire.Result {
 	inForce := e.opts.Config()
 	if inForce == nil {
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -92,9 +92,9 @@
 		Deadline: time.Now().Add(call.Timeout), TimeLeft: call.Timeout,
 	})
 	w := c.send(index+1, map[string]string{wire.HeaderCallToken: token})
-	a := wire.NoResponse(outcome.Done())
-	a.Status, a.Header = w.Code, w.Header()
-	return a
+	response := wire.NoResponse(outcome.Done())
+	response.Status, response.Header = w.Code, w.Header()
+	return response
 }
 
 func (c *serviceChain) send(index int, headers map[string]string) *httptest.ResponseRecorder {
@@ -110,15 +110,15 @@
 
 // respondOK is a last service that answers with status 200.
 func respondOK(*wire.Call) *wire.Result {
-	a := wire.NoResponse(outcome.Done())
-	a.Status, a.Header = http.StatusOK, make(http.Header)
-	return a
+	response := wire.NoResponse(outcome.Done())
+	response.Status, response.Header = http.StatusOK, make(http.Header)
+	return response
 }
 
 // benchToken returns the header of a nested call on behalf of the caller "bench".
-func (c *serviceChain) benchToken(depth int, left time.Duration) map[string]string {
+func (c *serviceChain) benchToken(depth int, remaining time.Duration) map[string]string {
 	return map[string]string{wire.HeaderCallToken: c.tokens.Sign(calltoken.Token{
-		Caller: "bench", Group: "sorters", Depth: depth, Deadline: time.Now().Add(left), TimeLeft: left,
+		Caller: "bench", Group: "sorters", Depth: depth, Deadline: time.Now().Add(remaining), TimeLeft: remaining,
 	})}
 }
 
@@ -146,10 +146,10 @@
 	c := newServiceChain(t, calltoken.MaxDepth, respondOK)
 	require.Equal(t, http.StatusOK, c.send(0, c.benchToken(0, 3*time.Second)).Code)
 	require.Len(t, c.timeouts, calltoken.MaxDepth)
-	for i, left := range c.timeouts {
-		require.LessOrEqual(t, left, 3*time.Second)
+	for i, timeout := range c.timeouts {
+		require.LessOrEqual(t, timeout, 3*time.Second)
 		if i > 0 {
-			require.LessOrEqual(t, left, c.timeouts[i-1], "call %d", i)
+			require.LessOrEqual(t, timeout, c.timeouts[i-1], "call %d", i)
 		}
 		require.EqualValues(t, "sorters", c.groups[i], "call %d", i)
 	}
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -20,8 +20,8 @@
 	RefusedFor(quarantine.Fingerprint) (time.Duration, bool)
 	// RecordCrash records that an upstream crashed while it ran a request.
 	RecordCrash(quarantine.Fingerprint, quarantine.Request, quarantine.Crash)
-	// RecordResponse records that a request was answered completely, so that it is no
-	// longer suspected.
+	// RecordResponse records that a request was answered completely, so that it is
+	// no longer suspected.
 	RecordResponse(quarantine.Fingerprint)
 }
 
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -38,8 +38,8 @@
 		}
 		return respondOK(call)
 	})
-	fakeQuarantine := &quarantineStub{crashes: make(map[quarantine.Fingerprint][]quarantine.Crash)}
-	c.entry.opts.Quarantine = fakeQuarantine
+	stub := &quarantineStub{crashes: make(map[quarantine.Fingerprint][]quarantine.Crash)}
+	c.entry.opts.Quarantine = stub
 	w := c.send(0, nil)
 	require.Equal(t, "unknown", w.Header().Get(wire.HeaderOutcome))
 	require.EqualValues(t, outcome.ReasonUpstreamCrashed, w.Header().Get(wire.HeaderReason))
@@ -56,5 +56,5 @@
 		"the fingerprint does not cover the headers")
 	c.path = "/other"
 	require.Equal(t, http.StatusOK, c.send(0, nil).Code)
-	require.Len(t, fakeQuarantine.answered, 1, "a complete response is reported to the quarantine")
+	require.Len(t, stub.answered, 1, "a complete response is reported to the quarantine")
 }
--- a/entry/remote.go
+++ b/entry/remote.go
@@ -49,12 +49,12 @@
 		}
 		return wire.NoResponse(o)
 	}
-	a, err := wire.ReadResult(resp, c.ID)
+	response, err := wire.ReadResult(resp, c.ID)
 	if err != nil {
 		_ = resp.Body.Close()
 		return wire.NoResponse(readErrorOutcome(err))
 	}
-	return a
+	return response
 }
 
 // readErrorOutcome returns the outcome of a call whose response could not be
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -35,8 +35,8 @@
 		budgets:   make(map[model.ServiceName]*retry.Budget),
 	}
 	scope = telemetry.OrNoop(scope)
-	for _, v := range []retry.Decision{retry.Allowed, retry.BudgetExhausted, retry.TooManyFailures, retry.DeadlineTooClose} {
-		r.decisions[v] = scope.Tagged(map[string]string{"verdict": v.String()}).Counter("retries")
+	for _, decision := range []retry.Decision{retry.Allowed, retry.BudgetExhausted, retry.TooManyFailures, retry.DeadlineTooClose} {
+		r.decisions[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
 	}
 	return r
 }
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -55,12 +55,13 @@
 	}
 }
 
-// SetPolicySource sets the function that returns the name of a service's routing policy;
-// an empty name means the default. It must be called before the first request.
+// SetPolicySource sets the function that returns the name of a service's routing
+// policy; an empty name means the default. It must be called before the first
+// request.
 func (r *Routers) SetPolicySource(policyOf func(model.ServiceName) string) { r.policyOf = policyOf }
 
-// SetMetricsScope sets the scope of the routing metrics. It must be called before the
-// first request.
+// SetMetricsScope sets the scope of the routing metrics. It must be called before
+// the first request.
 func (r *Routers) SetMetricsScope(scope tally.Scope) { r.scope = scope }
 
 // Place chooses the upstream for a request that guards have rejected the given
--- a/entry/routing_counters.go
+++ b/entry/routing_counters.go
@@ -11,7 +11,7 @@
 type routingCounters struct {
 	// exported holds the statistics as of the last update.
 	exported                          routing.Stats
-	picks, bounces, spills            tally.Counter
+	picks, rejections, crossZone      tally.Counter
 	ejections, panics                 tally.Counter
 	hedges, hedgesRefused, noUpstream tally.Counter
 }
@@ -20,8 +20,8 @@
 	scope = scope.Tagged(map[string]string{"service": string(s)})
 	return &routingCounters{
 		picks:         scope.Counter("picks"),
-		bounces:       scope.Counter("bounces"),
-		spills:        scope.Counter("spills"),
+		rejections:    scope.Counter("bounces"),
+		crossZone:     scope.Counter("spills"),
 		ejections:     scope.Counter("ejections"),
 		panics:        scope.Counter("panics"),
 		hedges:        scope.Counter("hedges"),
@@ -35,8 +35,8 @@
 	last := c.exported
 	c.exported = stats
 	addTo(c.picks, stats.Picks-last.Picks)
-	addTo(c.bounces, stats.Rejections-last.Rejections)
-	addTo(c.spills, stats.CrossZone-last.CrossZone)
+	addTo(c.rejections, stats.Rejections-last.Rejections)
+	addTo(c.crossZone, stats.CrossZone-last.CrossZone)
 	addTo(c.ejections, stats.Ejections-last.Ejections)
 	addTo(c.panics, stats.Panics-last.Panics)
 	addTo(c.hedges, stats.Hedges-last.Hedges)
--- a/guard/body.go
+++ b/guard/body.go
@@ -15,8 +15,9 @@
 type slotReleasingBody struct {
 	body        io.ReadCloser
 	releaseSlot func(o outcome.Outcome, failed bool)
-	failed      bool
-	once        sync.Once
+	// failed is set when the upstream answered with a server error.
+	failed bool
+	once   sync.Once
 	// stopWatching unregisters the function that runs when the call's context
 	// ends.
 	stopWatching func() bool
--- a/guard/crash.go
+++ b/guard/crash.go
@@ -16,17 +16,17 @@
 // detectCrash checks, when the connection of a call was lost, whether the upstream
 // has crashed: then nothing listens at its address any more. It returns the outcome
 // with the reason changed accordingly. The outcome stays unknown in either case.
-func (u *upstreamProxy) detectCrash(result outcome.Outcome) outcome.Outcome {
-	if result.Kind != outcome.Unknown || result.Reason != outcome.ReasonConnectionLost {
-		return result
+func (u *upstreamProxy) detectCrash(o outcome.Outcome) outcome.Outcome {
+	if o.Kind != outcome.Unknown || o.Reason != outcome.ReasonConnectionLost {
+		return o
 	}
 	conn, err := net.DialTimeout("tcp", u.upstream.Address, crashCheckTimeout)
 	if err == nil {
 		_ = conn.Close()
-		return result
+		return o
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		result.Reason = outcome.ReasonUpstreamCrashed
+		o.Reason = outcome.ReasonUpstreamCrashed
 	}
-	return result
+	return o
 }
--- a/guard/crash_test.go
+++ b/guard/crash_test.go
@@ -54,9 +54,9 @@
 			})
 			up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 1}
 			g.Attach(membership.LocalUpstream{Upstream: up, Address: ln.Addr().String()})
-			a := g.Do(context.Background(), newCall("/crash"))
-			require.Equal(t, outcome.UnknownBecause(tt.want), a.Outcome)
-			require.NoError(t, a.Body.Close())
+			response := g.Do(context.Background(), newCall("/crash"))
+			require.Equal(t, outcome.UnknownBecause(tt.want), response.Outcome)
+			require.NoError(t, response.Body.Close())
 		})
 	}
 }
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -66,6 +66,7 @@
 }
 
 // Attach adds an upstream or replaces its previous incarnation, which is drained.
+// It does nothing when the same incarnation is attached already.
 func (g *Guard) Attach(upstream membership.LocalUpstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// MeasuringSlotTime returns for each upstream the slot time that polling its load reports
-// has taken.
+// MeasuringSlotTime returns for each upstream the slot time that polling its load
+// reports has taken.
 func (g *Guard) MeasuringSlotTime() map[model.UpstreamID]time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -94,9 +94,9 @@
 				}
 				w.WriteHeader(tt.status)
 			}))
-			a := g.Do(context.Background(), newCall("/"))
-			require.Equal(t, tt.want, a.Outcome)
-			require.NoError(t, a.Body.Close())
+			response := g.Do(context.Background(), newCall("/"))
+			require.Equal(t, tt.want, response.Outcome)
+			require.NoError(t, response.Body.Close())
 			require.Zero(t, g.Loads("s")["s-1"].Running)
 		})
 	}
