--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -37,9 +37,10 @@
 // Controller queues, starts and refuses the requests for one upstream. It is not
 // safe for concurrent use.
 type Controller struct {
-	opts         Options
-	queue        *fairqueue.Queue
-	limiter      Limiter
+	opts    Options
+	queue   *fairqueue.Queue
+	limiter Limiter
+	// seq is the sequence number of the load; see model.Load.
 	seq          uint64
 	draining     bool
 	groupConfigs []fairqueue.GroupConfig
--- a/core/fairqueue/estimate.go
+++ b/core/fairqueue/estimate.go
@@ -29,6 +29,7 @@
 	sample := float64(slotTime)
 	e.updated = now
 	if !e.hasSample {
+		// Half of the first sample as its deviation, as in RFC 6298.
 		e.mean, e.meanDeviation, e.hasSample = sample, sample/2, true
 		return
 	}
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -20,8 +20,9 @@
 // Queue orders requests by weighted fair queueing. It is not safe for concurrent
 // use.
 type Queue struct {
-	opts         Options
-	groups       map[model.GroupName]*group
+	opts   Options
+	groups map[model.GroupName]*group
+	// unconfigured is the number of groups without a GroupConfig.
 	unconfigured int
 
 	// byBacklog holds the groups with waiting requests, largest backlog first.
--- a/core/policy/set.go
+++ b/core/policy/set.go
@@ -25,8 +25,10 @@
 	tokens   map[[sha256.Size]byte]Caller
 	// certificates holds callers by the subject name of their certificate.
 	certificates map[string]Caller
-	policies     []sharingPolicy
-	labels       map[model.ServiceName]model.Labels
+	// policies is sorted by priority, highest first, then by name.
+	policies []sharingPolicy
+	// labels holds the labels of each service.
+	labels map[model.ServiceName]model.Labels
 }
 
 // Service returns the service with the given name.
--- a/entry/body.go
+++ b/entry/body.go
@@ -14,6 +14,7 @@
 type body struct {
 	data   []byte
 	stream io.Reader
+	// length is the length of the body, -1 when unknown.
 	length int64
 }
 
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -55,9 +55,10 @@
 	return firstResponse.CancelOnClose(cancelFirst)
 }
 
-// sendHedge sends the request to a second upstream. It returns nil when there is
-// no other upstream, when the hedge budget is exhausted, or when ctx has been
-// cancelled because the first attempt has ended.
+// sendHedge sends the request to a second upstream. It returns nil when the router
+// does not allow a hedge, for example because the hedge budget is exhausted (see
+// routing.Router.Hedge), or when ctx has been cancelled because the first attempt
+// has ended.
 func (e *Entry) sendHedge(ctx context.Context, req *request, first routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Result {
 	if ctx.Err() != nil {
 		return nil
