--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -28,9 +28,9 @@
 	// burstTime sets the capacity of the token bucket: the tokens that the
 	// daemon's share of the rate adds in this time, but at least one.
 	burstTime = 100 * time.Millisecond
-	// initialShare is the daemon's share of a ceiling during the first
-	// initialPeriod of its demand, because reports of other daemons may still
-	// be on their way. A concurrency share is at least one slot in that period.
+	// initialShare is the daemon's share of a ceiling until it has reported
+	// demand for initialPeriod, because reports of other daemons may still be
+	// on their way. A concurrency share is at least one slot in that time.
 	// After it, initialShare remains the minimum share of a rate.
 	initialShare  = 1.0 / 32
 	initialPeriod = 3 * time.Second
@@ -90,9 +90,9 @@
 	c.updateShares()
 }
 
-// TryAcquire admits or refuses one request. An admitted request counts as in flight
-// until Release is called. For a refused request TryAcquire returns false and the time
-// after which the caller may retry.
+// TryAcquire admits or refuses one request. An admitted request counts as in
+// flight until Release is called. For a refused request TryAcquire returns false
+// and the time after which the caller may retry.
 func (c *Ceiling) TryAcquire(now model.Instant) (time.Duration, bool) {
 	c.arrivals++
 	c.refill(now)
@@ -130,7 +130,8 @@
 }
 
 // Merge stores the report of another daemon. It returns false when the report is
-// invalid, not newer than the stored one, or over the limit on daemons.
+// invalid, names this daemon itself, is not newer than the stored one, or is over
+// the limit on daemons.
 func (c *Ceiling) Merge(now model.Instant, r Report) bool {
 	if r.Daemon == c.self || !(r.Demand >= 0) || math.IsInf(float64(r.Demand), 0) {
 		return false
@@ -142,9 +143,9 @@
 // own.
 func (c *Ceiling) Reports() []Report {
 	out := make([]Report, 0, len(c.reports.byDaemon))
-	for _, h := range c.reports.byDaemon {
-		if !h.expired {
-			out = append(out, h.Report)
+	for _, r := range c.reports.byDaemon {
+		if !r.expired {
+			out = append(out, r.Report)
 		}
 	}
 	return out
@@ -152,12 +153,12 @@
 
 // updateDemand adds the arrivals since the last tick to the moving average.
 func (c *Ceiling) updateDemand(now model.Instant) {
-	passed := now.Sub(c.lastTick)
-	if passed <= 0 {
+	elapsed := now.Sub(c.lastTick)
+	if elapsed <= 0 {
 		return
 	}
-	retained := math.Exp2(-float64(passed) / float64(demandHalfLife))
-	rate := float64(c.arrivals) / passed.Seconds()
+	retained := math.Exp2(-float64(elapsed) / float64(demandHalfLife))
+	rate := float64(c.arrivals) / elapsed.Seconds()
 	c.demand = retained*c.demand + (1-retained)*rate
 	if c.demand < idleDemand {
 		c.demand = 0
@@ -189,8 +190,8 @@
 // updateShares computes this daemon's shares from the reports.
 func (c *Ceiling) updateShares() {
 	own := 0.0
-	if h, ok := c.reports.byDaemon[c.self]; ok {
-		own = float64(h.Demand)
+	if r, ok := c.reports.byDaemon[c.self]; ok {
+		own = float64(r.Demand)
 	}
 	others := c.reports.demandOfOthers(c.self)
 	if own == 0 || c.lastTick.Sub(c.demandSince) < initialPeriod {
@@ -204,10 +205,10 @@
 
 // refill adds the tokens for the time since the last refill.
 func (c *Ceiling) refill(now model.Instant) {
-	passed := now.Sub(c.lastRefill)
-	if passed <= 0 {
+	elapsed := now.Sub(c.lastRefill)
+	if elapsed <= 0 {
 		return
 	}
-	c.tokens = min(c.tokens+c.rate*passed.Seconds(), max(1, c.rate*burstTime.Seconds()))
+	c.tokens = min(c.tokens+c.rate*elapsed.Seconds(), max(1, c.rate*burstTime.Seconds()))
 	c.lastRefill = now
 }
--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -160,15 +160,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 500).Draw(t, "slots")
 		demands := rapid.SliceOfN(rapid.Float32Range(0, 1e6), 1, 30).Draw(t, "demands")
-		l := reportTable{byDaemon: make(map[Daemon]receivedReport)}
+		table := reportTable{byDaemon: make(map[Daemon]receivedReport)}
 		anyDemand := false
 		for i, d := range demands {
-			l.merge(0, Report{Daemon: Daemon(i), Demand: d, Stamp: 1})
+			table.merge(0, Report{Daemon: Daemon(i), Demand: d, Stamp: 1})
 			anyDemand = anyDemand || d > 0
 		}
 		sum := 0
 		for i := range demands {
-			sum += l.slotsOf(Daemon(i), total)
+			sum += table.slotsOf(Daemon(i), total)
 		}
 		if !anyDemand {
 			total = 0
--- a/core/ceiling/reports.go
+++ b/core/ceiling/reports.go
@@ -121,14 +121,14 @@
 	slices.SortFunc(shares, func(a, b share) int {
 		return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(a.daemon, b.daemon))
 	})
-	for i, p := range shares {
-		if p.daemon != self {
+	for i, s := range shares {
+		if s.daemon != self {
 			continue
 		}
 		if i < remaining {
-			return p.whole + 1
+			return s.whole + 1
 		}
-		return p.whole
+		return s.whole
 	}
 	return 0
 }
--- a/core/claims/doc.go
+++ b/core/claims/doc.go
@@ -12,10 +12,10 @@
 // An owner is one incarnation of a daemon. It accepts a key if its Ledger, built
 // from the log, shows that it owns the interval of the key's timestamp. This
 // check reads no clock, so a pause, a delayed packet or a lost reply cannot lead
-// to two owners that accept the same key. An interval is never reassigned while
-// its owner is running. When the owner's process ends, the outcome of the keys
-// in its intervals is unknown, unless the owner sealed its Table, handed it over
-// to a successor and appended a Transfer.
+// to two owners that accept the same key. An interval is never taken away from
+// its owner. Only the owner can pass it on, by sealing its Table, handing the
+// claims over to a successor and appending a Transfer. If the owner's process
+// ends without that, the outcome of the keys in its intervals is unknown.
 //
 // The Ledger applies the log, the Planner decides when to append a Grant, and the
 // Table holds the claims of one owner. This package does no I/O, starts no
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -24,10 +24,9 @@
 // they must not be changed.
 type handover struct {
 	Version int
-	// Lives has an entry for the incarnation of the sending owner, and for each
-	// earlier owner whose claims the sender holds. It is set only in the last
-	// part, so that the successor does not use the claims before it has all of
-	// them.
+	// Lives describes the sending owner and each earlier owner whose claims the
+	// sender holds, by incarnation. It is set only in the last part, so that the
+	// successor does not use the claims before it has all of them.
 	Lives  map[uint64]earlier
 	Claims []handedClaim
 }
@@ -37,7 +36,7 @@
 	// Floor is the timestamp below which claims may have been deleted.
 	Floor Stamp
 	// Until is the end of the earlier owner's last interval. Once the table's own
-	// floor has reached it, the entry for the earlier owner can be deleted.
+	// floor has reached it, the table need not know the earlier owner any longer.
 	Until Stamp
 }
 
@@ -102,8 +101,8 @@
 	return b.Bytes(), err
 }
 
-// exportOwners returns the entries for this owner and for the earlier owners whose
-// claims are part of the handover.
+// exportOwners describes this owner and the earlier owners whose claims are part
+// of the handover, by incarnation.
 func (t *Table) exportOwners(l *Ledger) map[uint64]earlier {
 	owners := make(map[uint64]earlier, len(t.priorOwners)+1)
 	for incarnation, e := range t.priorOwners {
@@ -114,9 +113,9 @@
 	return owners
 }
 
-// exportFloor returns the minimum floor for the exported entries of earlier
-// owners. It is this table's own floor, because this table may have deleted
-// claims of the earlier owners itself.
+// exportFloor returns the lowest floor with which an earlier owner is exported. It
+// is this table's own floor, because this table may have deleted claims of the
+// earlier owners itself.
 func (t *Table) exportFloor() Stamp {
 	if t.mutation == omitExportFloor {
 		return 0
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -10,8 +10,8 @@
 	Incomplete Ownership = iota
 	// Owned means that the timestamp is in an interval that has an owner.
 	Owned
-	// Unassigned means that the timestamp is at or beyond the range's frontier and has
-	// not been granted yet.
+	// Unassigned means that the timestamp is at or beyond the range's frontier
+	// and has not been granted yet.
 	Unassigned
 	// Pruned means that the timestamp is below the oldest interval that the
 	// Ledger keeps.
@@ -117,7 +117,8 @@
 func (l *Ledger) Skip(offset uint64) { l.Apply(offset, Record{}) }
 
 // restore replaces the state with a checkpoint and sets Next back to the offset at
-// which it was taken. If the log no longer keeps that record, the caller must call
+// which it was taken, because the records since then are not part of its state and
+// must be applied again. If the log no longer keeps them, the caller must call
 // Reset. Unusable checkpoints are ignored.
 func (l *Ledger) restore(c *Checkpoint) {
 	if c == nil || len(c.Ranges) != len(l.ranges) || c.Offset >= l.next {
@@ -221,8 +222,8 @@
 	return s.Frontier, Owner{}
 }
 
-// OwnedUntil returns the end of the last interval that an incarnation owns, or zero if
-// it owns none.
+// OwnedUntil returns the end of the last interval that an incarnation owns, or
+// zero if it owns none.
 func (l *Ledger) OwnedUntil(incarnation uint64) Stamp {
 	var end Stamp
 	for i := range l.ranges {
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -84,8 +84,7 @@
 	// incarnations is the number of incarnations started so far.
 	incarnations uint64
 	eventCounts  map[string]int
-	// violation describes the first violated invariant. It is empty if there is
-	// none.
+	// violation describes the first violated invariant, or is empty.
 	violation string
 }
 
@@ -245,8 +244,8 @@
 // outdated, ledger.
 func (w *world) submit(n *node) {
 	k := w.rng.IntN(w.profile.keys)
-	in, standing := n.ledger.Lookup(w.keys[k].Range(modelRanges), w.keys[k].Stamp())
-	if standing != Owned {
+	in, ownership := n.ledger.Lookup(w.keys[k].Range(modelRanges), w.keys[k].Stamp())
+	if ownership != Owned {
 		return
 	}
 	w.submissions = append(w.submissions, submission{key: k, target: in.Owner.Daemon})
@@ -278,9 +277,9 @@
 // submission.
 func (w *world) arrive(s *submission) bool {
 	s.node = w.nodes[s.target[0]-'a']
-	v, _ := s.node.table.Begin(s.node.ledger, Request{ID: ID{Key: w.keys[s.key]}})
-	w.eventCounts[v.String()]++
-	switch v {
+	decision, _ := s.node.table.Begin(s.node.ledger, Request{ID: ID{Key: w.keys[s.key]}})
+	w.eventCounts[decision.String()]++
+	switch decision {
 	case Run:
 		s.phase = beforeSend
 		return false
--- a/core/claims/record.go
+++ b/core/claims/record.go
@@ -5,8 +5,8 @@
 // Owner is one incarnation of a daemon.
 type Owner struct {
 	Daemon model.DaemonID
-	// Incarnation identifies the incarnation. It is chosen at random when the process
-	// starts and is never zero.
+	// Incarnation distinguishes the incarnations of one daemon. It is chosen at
+	// random when the process starts and is never zero.
 	Incarnation uint64
 }
 
--- a/core/claims/record_test.go
+++ b/core/claims/record_test.go
@@ -10,7 +10,7 @@
 )
 
 func drawOwner(t *rapid.T) Owner {
-	return Owner{Daemon: model.DaemonID(rapid.String().Draw(t, "daemon")), Incarnation: rapid.Uint64().Draw(t, "life")}
+	return Owner{Daemon: model.DaemonID(rapid.String().Draw(t, "daemon")), Incarnation: rapid.Uint64().Draw(t, "incarnation")}
 }
 
 // drawRecord generates a random record of any kind.
@@ -27,14 +27,14 @@
 	case 1:
 		return Record{Transfer: &Transfer{From: rapid.Uint64().Draw(t, "from"), To: drawOwner(t)}}
 	}
-	c := &Checkpoint{Offset: rapid.Uint64().Draw(t, "at")}
+	c := &Checkpoint{Offset: rapid.Uint64().Draw(t, "offset")}
 	owners := []Owner{drawOwner(t), drawOwner(t)}
 	for range rapid.IntRange(0, 3).Draw(t, "ranges") {
 		s := RangeState{Frontier: Stamp(stamp.Draw(t, "frontier"))}
 		for range rapid.IntRange(0, 3).Draw(t, "intervals") {
 			in := Interval{From: Stamp(stamp.Draw(t, "from")), Until: Stamp(stamp.Draw(t, "until")), Owner: rapid.SampledFrom(owners).Draw(t, "owner")}
-			for range rapid.IntRange(0, 2).Draw(t, "via") {
-				in.PriorOwners = append(in.PriorOwners, rapid.Uint64().Draw(t, "life"))
+			for range rapid.IntRange(0, 2).Draw(t, "prior owners") {
+				in.PriorOwners = append(in.PriorOwners, rapid.Uint64().Draw(t, "incarnation"))
 			}
 			s.Intervals = append(s.Intervals, in)
 		}
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -59,11 +59,11 @@
 )
 
 // String returns the name of the decision, used as a metric tag.
-func (v Decision) String() string {
+func (d Decision) String() string {
 	return [...]string{
 		"not-owner", "sealed", "owner-lost", "expired", "full", "run",
 		"in-progress", "replay", "answer-gone", "outcome-unknown", "mismatch",
-	}[v]
+	}[d]
 }
 
 // Limits are the size limits of a Table.
@@ -175,11 +175,11 @@
 		return Sealed, nil
 	}
 	stamp := r.ID.Key.Stamp()
-	in, standing := l.Lookup(r.ID.Key.Range(l.Ranges()), stamp)
-	if standing == Pruned {
+	in, ownership := l.Lookup(r.ID.Key.Range(l.Ranges()), stamp)
+	if ownership == Pruned {
 		return Expired, nil
 	}
-	if standing != Owned || !t.owns(in.Owner) {
+	if ownership != Owned || !t.owns(in.Owner) {
 		return NotOwner, nil
 	}
 	floor, ok := t.floorOf(in.PriorOwners)
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -30,13 +30,13 @@
 func TestTableReplaysOnlyTheSameRequest(t *testing.T) {
 	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
 	r := newRequest(50, 1, "sorter-1")
-	begin := func(r Request) Decision { v, _ := table.Begin(l, r); return v }
+	begin := func(r Request) Decision { decision, _ := table.Begin(l, r); return decision }
 
 	require.Equal(t, Run, begin(r))
 	require.Equal(t, InProgress, begin(r))
 	table.Finish(r.ID, outcome.Answered, &Answer{Status: 201, Body: []byte("released")})
-	v, a := table.Begin(l, r)
-	require.Equal(t, Replay, v)
+	decision, a := table.Begin(l, r)
+	require.Equal(t, Replay, decision)
 	require.Equal(t, "released", string(a.Body))
 
 	changed := r
@@ -54,29 +54,29 @@
 	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{})
 	r := newRequest(50, 1, "")
 	for range 2 {
-		v, _ := table.Begin(l, r)
-		require.Equal(t, Run, v)
+		decision, _ := table.Begin(l, r)
+		require.Equal(t, Run, decision)
 		table.Finish(r.ID, outcome.NotRun, nil)
 	}
-	v, _ := table.Begin(l, r)
-	require.Equal(t, Run, v)
+	decision, _ := table.Begin(l, r)
+	require.Equal(t, Run, decision)
 	table.Finish(r.ID, outcome.Unknown, nil)
-	v, _ = table.Begin(l, r)
-	require.Equal(t, OutcomeUnknown, v)
+	decision, _ = table.Begin(l, r)
+	require.Equal(t, OutcomeUnknown, decision)
 }
 
 func TestTableLimitsClaimsPerGroup(t *testing.T) {
 	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{Claims: 4, GroupClaims: 2})
 	decisions := map[Decision]int{}
 	for i := range 5 {
-		v, _ := table.Begin(l, newRequest(50, i, ""))
-		decisions[v]++
+		decision, _ := table.Begin(l, newRequest(50, i, ""))
+		decisions[decision]++
 	}
 	require.Equal(t, map[Decision]int{Run: 2, Full: 3}, decisions)
 	other := newRequest(50, 9, "")
 	other.Group = "members"
-	v, _ := table.Begin(l, other)
-	require.Equal(t, Run, v, "a full group leaves capacity for other groups")
+	decision, _ := table.Begin(l, other)
+	require.Equal(t, Run, decision, "a full group leaves capacity for other groups")
 }
 
 func TestTableEvictsAnswersOfLargestGroup(t *testing.T) {
@@ -84,8 +84,8 @@
 	run := func(n, size int, g model.GroupName) Request {
 		r := newRequest(50, n, "")
 		r.Group = g
-		v, _ := table.Begin(l, r)
-		require.Equal(t, Run, v)
+		decision, _ := table.Begin(l, r)
+		require.Equal(t, Run, decision)
 		table.Finish(r.ID, outcome.Answered, &Answer{Body: make([]byte, size)})
 		require.LessOrEqual(t, table.AnswerBytes(), 1000)
 		return r
@@ -93,12 +93,12 @@
 	first, second := run(1, 350, "searches"), run(2, 350, "searches")
 	sorter := run(3, 350, "sorters")
 	for r, want := range map[*Request]Decision{&first: AnswerGone, &second: Replay, &sorter: Replay} {
-		v, _ := table.Begin(l, *r)
-		require.Equal(t, want, v)
+		decision, _ := table.Begin(l, *r)
+		require.Equal(t, want, decision)
 	}
 	large := run(4, 801, "sorters")
-	v, _ := table.Begin(l, large)
-	require.Equal(t, AnswerGone, v)
+	decision, _ := table.Begin(l, large)
+	require.Equal(t, AnswerGone, decision)
 }
 
 func TestHandoverTransfersClaimsAndAnswers(t *testing.T) {
@@ -117,18 +117,18 @@
 	require.NoError(t, to.Import(parts[0]), "a second delivery changes nothing")
 	require.Equal(t, 2, to.Len())
 
-	v, _ := to.Begin(l, done)
-	require.Equal(t, NotOwner, v, "before the transfer is on the log")
+	decision, _ := to.Begin(l, done)
+	require.Equal(t, NotOwner, decision, "before the transfer is on the log")
 	l.Apply(1, Record{Transfer: &Transfer{From: self.Incarnation, To: successor}})
-	v, a := to.Begin(l, done)
-	require.Equal(t, Replay, v)
+	decision, a := to.Begin(l, done)
+	require.Equal(t, Replay, decision)
 	require.Equal(t, "paid", string(a.Body))
-	v, _ = to.Begin(l, inFlight)
-	require.Equal(t, OutcomeUnknown, v)
-	v, _ = to.Begin(l, newRequest(39, 4, "a"))
-	require.Equal(t, Expired, v, "the earlier owner may have deleted the claim")
-	v, _ = to.Begin(l, fresh)
-	require.Equal(t, Run, v)
+	decision, _ = to.Begin(l, inFlight)
+	require.Equal(t, OutcomeUnknown, decision)
+	decision, _ = to.Begin(l, newRequest(39, 4, "a"))
+	require.Equal(t, Expired, decision, "the earlier owner may have deleted the claim")
+	decision, _ = to.Begin(l, fresh)
+	require.Equal(t, Run, decision)
 }
 
 func TestHandoverTakesEffectAfterLastPart(t *testing.T) {
@@ -145,13 +145,13 @@
 	require.Greater(t, len(parts), 1)
 	l.Apply(1, Record{Transfer: &Transfer{From: self.Incarnation, To: successor}})
 	for _, part := range parts {
-		v, _ := to.Begin(l, newRequest(50, 9, ""))
-		require.Equal(t, OwnerLost, v)
+		decision, _ := to.Begin(l, newRequest(50, 9, ""))
+		require.Equal(t, OwnerLost, decision)
 		require.NoError(t, to.Import(part))
 	}
 	require.Equal(t, 5, to.Len())
-	v, _ := to.Begin(l, newRequest(50, 9, ""))
-	require.Equal(t, Run, v)
+	decision, _ := to.Begin(l, newRequest(50, 9, ""))
+	require.Equal(t, Run, decision)
 }
 
 func TestHandoverIsRejectedAsAWhole(t *testing.T) {
@@ -205,8 +205,8 @@
 	ownedRanges := func() map[model.DaemonID]int {
 		owned := map[model.DaemonID]int{}
 		for r := range Range(64) {
-			in, standing := l.Lookup(r, now)
-			require.Equal(t, Owned, standing, "range %d has no owner", r)
+			in, ownership := l.Lookup(r, now)
+			require.Equal(t, Owned, ownership, "range %d has no owner", r)
 			owned[in.Owner.Daemon]++
 		}
 		return owned
@@ -245,8 +245,8 @@
 	}
 	owned := map[model.DaemonID]int{}
 	for r := range Range(64) {
-		in, standing := l.Lookup(r, 1_010_000)
-		require.Equal(t, Owned, standing, "range %d", r)
+		in, ownership := l.Lookup(r, 1_010_000)
+		require.Equal(t, Owned, ownership, "range %d", r)
 		owned[in.Owner.Daemon]++
 	}
 	require.Greater(t, owned["b:1"], 16, "%v", owned)
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -12,9 +12,11 @@
 
 // Change is a configuration change proposed by an operator.
 type Change struct {
-	// ID is globally unique. A change that is appended twice is applied once.
+	// ID is globally unique and never reused. A change that is appended twice is
+	// applied once.
 	ID string `json:"id"`
-	// Base is the version that the change modifies.
+	// Base is the version that the operator saw when preparing the change. The
+	// change is accepted only if that is still the current version.
 	Base   model.Version `json:"base"`
 	Author string        `json:"author,omitempty"`
 	// Comment is the reason for the change, for the history.
@@ -50,11 +52,11 @@
 var decisionNames = [...]string{"none", "accepted", "superseded", "duplicate", "invalid", "ignored", "out of order"}
 
 // String returns the name of the decision.
-func (v Decision) String() string {
-	if int(v) < len(decisionNames) {
-		return decisionNames[v]
+func (d Decision) String() string {
+	if int(d) < len(decisionNames) {
+		return decisionNames[d]
 	}
-	return "decision " + strconv.Itoa(int(v))
+	return "decision " + strconv.Itoa(int(d))
 }
 
 // Result is the result of applying one record.
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -39,14 +39,14 @@
 	data []byte
 }
 
-// digest summarizes the state of a StateMachine, so that another daemon can determine
-// which records it lacks.
+// digest summarizes the state of a StateMachine, so that another daemon can
+// determine which records it lacks.
 type digest struct {
 	next    uint64
 	version uint64
 	chain   [chainPrefixSize]byte
-	// partialID is the id of the checkpoint that the StateMachine is receiving, and
-	// partialBytes how much of it has been received.
+	// partialID is the id of the checkpoint that the StateMachine is receiving,
+	// and partialBytes how much of it has been received.
 	partialID    uint64
 	partialBytes uint64
 }
@@ -137,8 +137,8 @@
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = binary.BigEndian.AppendUint64(b, uint64(len(data)))
 	b = binary.BigEndian.AppendUint64(b, from)
-	part := data[from:]
-	return append(b, part[:min(len(part), limit-chunkHeaderSize)]...)
+	rest := data[from:]
+	return append(b, rest[:min(len(rest), limit-chunkHeaderSize)]...)
 }
 
 // checkpointFor returns the cached checkpoint in encoded form, for a daemon whose
@@ -166,8 +166,9 @@
 	errChunk = errors.New("config checkpoint cannot be read")
 )
 
-// ApplyDelta applies a delta and returns the results of the records that it applied.
-// It skips records that do not follow the StateMachine's own prefix of the log.
+// ApplyDelta applies a delta and returns the results of the records that it
+// applied. It skips records that do not follow the StateMachine's own prefix of
+// the log.
 func (m *StateMachine) ApplyDelta(delta []byte) ([]Result, error) {
 	if len(delta) == 0 {
 		return nil, errDelta
@@ -229,8 +230,8 @@
 	id := binary.BigEndian.Uint64(delta[1:])
 	size := binary.BigEndian.Uint64(delta[9:])
 	from := binary.BigEndian.Uint64(delta[17:])
-	part := delta[chunkHeaderSize:]
-	if size > maxUncompressedCheckpoint || from > size || uint64(len(part)) > size-from {
+	chunk := delta[chunkHeaderSize:]
+	if size > maxUncompressedCheckpoint || from > size || uint64(len(chunk)) > size-from {
 		return errDelta
 	}
 	if from == 0 && (m.partial.id != id || m.partial.size != size) {
@@ -239,7 +240,7 @@
 	if m.partial.id != id || m.partial.size != size || from != uint64(len(m.partial.data)) {
 		return nil
 	}
-	m.partial.data = append(m.partial.data, part...)
+	m.partial.data = append(m.partial.data, chunk...)
 	if uint64(len(m.partial.data)) < size {
 		return nil
 	}
--- a/core/config/doc.go
+++ b/core/config/doc.go
@@ -10,8 +10,10 @@
 //
 // A State depends only on the records below its Next offset. A State may
 // therefore be replaced only by a State with a larger Next. A StateMachine applies
-// records only if they follow its own prefix of the log without a gap. It sends
-// other daemons either the records themselves or a complete State as a
-// checkpoint. Accepted changes form a hash chain, so that two daemons with
-// different contents for the same version detect the conflict.
+// records only if they follow its own prefix of the log without a gap, and
+// restores a checkpoint from the log only if the log still keeps all records that
+// follow the checkpoint's state. It sends other daemons either the records
+// themselves or a complete State as a checkpoint. Accepted changes form a hash
+// chain, so that two daemons with different contents for the same version detect
+// the conflict.
 package config
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -47,11 +47,11 @@
 	c := *w
 	c.log, c.expected, c.steps = slices.Clone(w.log), slices.Clone(w.expected), slices.Clone(w.steps)
 	for i, d := range w.daemons {
-		f := *d
-		f.state = d.state.clone()
-		f.recent.records = slices.Clone(d.recent.records)
-		f.partial.data = slices.Clone(d.partial.data)
-		c.daemons[i] = &f
+		m := *d
+		m.state = d.state.clone()
+		m.recent.records = slices.Clone(d.recent.records)
+		m.partial.data = slices.Clone(d.partial.data)
+		c.daemons[i] = &m
 	}
 	return &c
 }
@@ -81,16 +81,16 @@
 }
 
 // readLog applies all records on the log, restoring a checkpoint first if needed.
-func (w *world) readLog(f *StateMachine) {
-	if f.NeedsCheckpoint(uint64(w.oldest)) {
+func (w *world) readLog(m *StateMachine) {
+	if m.NeedsCheckpoint(uint64(w.oldest)) {
 		for o := w.oldest; o < len(w.log); o++ {
-			if f.RestoreCheckpoint(uint64(o), uint64(w.oldest), w.log[o]) {
+			if m.RestoreCheckpoint(uint64(o), uint64(w.oldest), w.log[o]) {
 				break
 			}
 		}
 	}
-	for o := max(int(f.Next()), w.oldest); o < len(w.log); o++ {
-		f.ApplyRecord(uint64(o), w.log[o])
+	for o := max(int(m.Next()), w.oldest); o < len(w.log); o++ {
+		m.ApplyRecord(uint64(o), w.log[o])
 	}
 }
 
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -97,7 +97,8 @@
 // offset of the oldest record on the log. It returns false for a checkpoint that
 // a paused writer appended so late that the log had already been trimmed beyond
 // its state. Such a checkpoint must not be used, because the changes accepted in
-// the gap are unknown.
+// the gap are unknown. It also returns false for a state that claims to be ahead
+// of the record that contains it.
 func (s State) Covers(offset, oldest uint64) bool {
 	return s.Next >= oldest && s.Next <= offset
 }
--- a/core/config/statemachine.go
+++ b/core/config/statemachine.go
@@ -15,8 +15,8 @@
 // on its argument, because all daemons must reach the same decision.
 type Validate func(put map[DocumentKey]json.RawMessage) error
 
-// StateMachine is the replicated state machine: it applies log records to a State and
-// exchanges state with other daemons. It is not safe for concurrent use.
+// StateMachine is the replicated state machine: it applies log records to a State
+// and exchanges state with other daemons. It is not safe for concurrent use.
 type StateMachine struct {
 	validate Validate
 	state    State
@@ -34,8 +34,8 @@
 // multiples of it, so that all daemons cache the same ones.
 const checkpointInterval = 64
 
-// NewStateMachine returns a StateMachine that has not applied any record. A nil Validate
-// accepts all documents.
+// NewStateMachine returns a StateMachine that has not applied any record. A nil
+// Validate accepts all documents.
 func NewStateMachine(v Validate) *StateMachine {
 	if v == nil {
 		v = func(map[DocumentKey]json.RawMessage) error { return nil }
@@ -86,6 +86,7 @@
 	}
 	decision, problem := m.decide(c)
 	if decision != Duplicate {
+		// A repeated change is a Duplicate even if it was not accepted before.
 		m.recordID(c.ID)
 	}
 	if decision == Accepted {
@@ -175,18 +176,19 @@
 
 func hashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-func (m *StateMachine) result(v Decision, c *Change, problem error) Result {
-	return Result{Decision: v, Change: c, Version: m.state.Version, Problem: problem}
+func (m *StateMachine) result(d Decision, c *Change, problem error) Result {
+	return Result{Decision: d, Change: c, Version: m.state.Version, Problem: problem}
 }
 
-// NeedsCheckpoint reports whether the log no longer keeps the next record to apply, given
-// the offset of the oldest record that it keeps. In that case the StateMachine must be
-// restored from a checkpoint with RestoreCheckpoint.
+// NeedsCheckpoint reports whether the log no longer keeps the next record to
+// apply, given the offset of the oldest record that it keeps. In that case the
+// StateMachine must be restored from a checkpoint with RestoreCheckpoint.
 func (m *StateMachine) NeedsCheckpoint(oldest uint64) bool { return m.state.Next < oldest }
 
-// RestoreCheckpoint restores the StateMachine from the record at an offset, if that record is a
-// checkpoint from which all following records are still on the log. It reports
-// whether it did. The oldest argument is the offset of the oldest record that
+// RestoreCheckpoint restores the StateMachine from the record at an offset. It
+// returns false and changes nothing if the record is not a checkpoint, if the log
+// no longer keeps all records that follow the checkpoint's state, or if Adopt
+// rejects that state. The oldest argument is the offset of the oldest record that
 // the log keeps.
 func (m *StateMachine) RestoreCheckpoint(offset, oldest uint64, record []byte) bool {
 	s, ok := ReadCheckpoint(record)
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -12,8 +12,8 @@
 	// Self is the daemon that holds the Directory. It is empty if the Directory
 	// does not belong to a daemon.
 	Self model.DaemonID
-	// Incarnation is the incarnation number of Self. It must be larger than that of any
-	// earlier incarnation.
+	// Incarnation is the incarnation number of Self. It must be larger than that
+	// of any earlier incarnation.
 	Incarnation model.Incarnation
 	// MaxUpstreams is the maximum number of upstreams held, including those that
 	// have left. It also bounds the number of daemons, since each daemon held has
@@ -26,9 +26,9 @@
 	// kept. It is also the time after which the upstreams of a dead daemon are
 	// marked as left. Default: 1h.
 	TombstoneRetention time.Duration
-	// StartupGrace is how long after its start Self waits for its upstreams to announce
-	// themselves. After that it marks upstreams of its earlier incarnation as
-	// left. Default: 30s.
+	// StartupGrace is how long after its start Self waits for its upstreams to
+	// announce themselves. After that it marks upstreams of its earlier
+	// incarnation as left. Default: 30s.
 	StartupGrace time.Duration
 }
 
@@ -36,7 +36,7 @@
 	defaultMaxUpstreams       = 8192
 	defaultSuspicionTimeout   = 3 * time.Second
 	defaultTombstoneRetention = time.Hour
-	defaultGrace              = 30 * time.Second
+	defaultStartupGrace       = 30 * time.Second
 )
 
 // Directory holds, for each upstream and each daemon, the record with the
@@ -98,7 +98,7 @@
 		o.TombstoneRetention = defaultTombstoneRetention
 	}
 	if o.StartupGrace <= 0 {
-		o.StartupGrace = defaultGrace
+		o.StartupGrace = defaultStartupGrace
 	}
 	return &Directory{
 		opts:               o,
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -6,8 +6,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Incarnation returns the current incarnation number of Self. It increases when Self
-// refutes a report that it is suspect or dead.
+// Incarnation returns the current incarnation number of Self. It increases when
+// Self refutes a report that it is suspect or dead.
 func (d *Directory) Incarnation() model.Incarnation { return d.incarnation }
 
 // Health returns the health of a daemon. A daemon without a liveness record
@@ -155,8 +155,8 @@
 }
 
 // removeUnannounced marks upstreams as left that name Self as their daemon but
-// have not been announced since Self started. It does nothing before StartupGrace has
-// passed, because running upstreams need time to announce themselves again.
+// have not been announced since Self started. It does nothing before StartupGrace
+// has passed, because running upstreams need time to announce themselves again.
 func (d *Directory) removeUnannounced() bool {
 	if d.opts.Self == "" || d.now.Sub(d.startedAt) < d.opts.StartupGrace {
 		return false
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -28,15 +28,15 @@
 	Unix int64 `json:"unix,omitempty"`
 }
 
-// newer reports whether a takes precedence over b.
-func (a Event) newer(b Event) bool {
-	if a.Upstream.Incarnation != b.Upstream.Incarnation {
-		return a.Upstream.Incarnation > b.Upstream.Incarnation
+// newer reports whether e takes precedence over other.
+func (e Event) newer(other Event) bool {
+	if e.Upstream.Incarnation != other.Upstream.Incarnation {
+		return e.Upstream.Incarnation > other.Upstream.Incarnation
 	}
-	if a.Epoch != b.Epoch {
-		return a.Epoch > b.Epoch
+	if e.Epoch != other.Epoch {
+		return e.Epoch > other.Epoch
 	}
-	return a.State > b.State
+	return e.State > other.State
 }
 
 // Limits on the fields of an event.
@@ -48,8 +48,8 @@
 
 // valid reports whether an event received from outside is complete and within
 // the limits.
-func (a Event) valid() bool {
-	u := a.Upstream
+func (e Event) valid() bool {
+	u := e.Upstream
 	for _, name := range []string{string(u.ID), string(u.Service), string(u.Daemon)} {
 		if name == "" || len(name) > maxName {
 			return false
@@ -60,7 +60,7 @@
 			return false
 		}
 	}
-	return len(u.Zone) <= maxName && len(u.Labels) <= maxLabels && u.Slots > 0 && u.Slots <= maxSlots && a.State >= Joined && a.State <= Left
+	return len(u.Zone) <= maxName && len(u.Labels) <= maxLabels && u.Slots > 0 && u.Slots <= maxSlots && e.State >= Joined && e.State <= Left
 }
 
 // Health is the state of a daemon as determined by failure detection.
@@ -69,7 +69,8 @@
 // The health states, from best to worst.
 const (
 	Alive Health = iota + 1
-	// Suspect daemons did not respond, neither to this daemon nor to others.
+	// Suspect daemons did not respond, neither directly nor through other
+	// daemons.
 	Suspect
 	// Dead daemons stayed suspect for SuspicionTimeout.
 	Dead
@@ -82,14 +83,14 @@
 	Health      Health            `json:"health"`
 }
 
-// newer reports whether a takes precedence over b.
-func (a Liveness) newer(b Liveness) bool {
-	if a.Incarnation != b.Incarnation {
-		return a.Incarnation > b.Incarnation
+// newer reports whether l takes precedence over other.
+func (l Liveness) newer(other Liveness) bool {
+	if l.Incarnation != other.Incarnation {
+		return l.Incarnation > other.Incarnation
 	}
-	return a.Health > b.Health
+	return l.Health > other.Health
 }
 
-func (a Liveness) valid() bool {
-	return a.Daemon != "" && len(a.Daemon) <= maxName && a.Health >= Alive && a.Health <= Dead
+func (l Liveness) valid() bool {
+	return l.Daemon != "" && len(l.Daemon) <= maxName && l.Health >= Alive && l.Health <= Dead
 }
--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -22,10 +22,10 @@
 	b = appendText(b, string(r.Caller))
 	b = appendText(b, r.Request)
 	b = binary.AppendUvarint(b, uint64(len(r.Crashes)))
-	for _, d := range r.Crashes {
-		b = appendText(b, string(d.Crash.Upstream))
-		b = binary.AppendUvarint(b, uint64(d.Crash.Incarnation))
-		b = binary.AppendUvarint(b, uint64(d.At))
+	for _, c := range r.Crashes {
+		b = appendText(b, string(c.Crash.Upstream))
+		b = binary.AppendUvarint(b, uint64(c.Crash.Incarnation))
+		b = binary.AppendUvarint(b, uint64(c.At))
 	}
 	for _, at := range []int64{r.ClearedAt, r.QuarantinedAt, r.Until} {
 		b = binary.AppendUvarint(b, uint64(at))
@@ -95,10 +95,10 @@
 		return r
 	}
 	for range crashes {
-		s := CrashReport{Crash: Crash{Upstream: model.UpstreamID(d.text())}}
-		s.Crash.Incarnation = model.Incarnation(d.number())
-		s.At = int64(d.number())
-		r.Crashes = append(r.Crashes, s)
+		c := CrashReport{Crash: Crash{Upstream: model.UpstreamID(d.text())}}
+		c.Crash.Incarnation = model.Incarnation(d.number())
+		c.At = int64(d.number())
+		r.Crashes = append(r.Crashes, c)
 	}
 	r.ClearedAt, r.QuarantinedAt, r.Until = int64(d.number()), int64(d.number()), int64(d.number())
 	return r
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -12,7 +12,8 @@
 // Requests that only happened to run beside the cause of a crash must not be
 // quarantined. Three rules protect them. A suspected request that later gets a
 // complete response is cleared. When a request is quarantined, its crashes are
-// removed from the records of all other requests. And when more than
+// removed from the records of the service's other requests, which lifts the
+// suspicion from those that only ran beside it. And when more than
 // maxQuarantinedTogether requests ran during the same crashes, none of them is
 // quarantined until another crash distinguishes them.
 //
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -28,8 +28,9 @@
 	Length int64
 }
 
-// FingerprintOf returns the fingerprint of a request: SHA-256 truncated to 128 bits, so that
-// nobody can construct a different request with the same fingerprint.
+// FingerprintOf returns the fingerprint of a request: SHA-256 truncated to 128
+// bits, so that nobody can construct a different request with the same
+// fingerprint.
 func FingerprintOf(r Request) Fingerprint {
 	h := sha256.New()
 	part := func(b []byte) {
@@ -86,9 +87,9 @@
 }
 
 // compare orders crash reports by time, then by upstream and incarnation.
-func (s CrashReport) compare(o CrashReport) int {
-	return cmp.Or(cmp.Compare(s.At, o.At), cmp.Compare(s.Crash.Upstream, o.Crash.Upstream),
-		cmp.Compare(s.Crash.Incarnation, o.Crash.Incarnation))
+func (c CrashReport) compare(o CrashReport) int {
+	return cmp.Or(cmp.Compare(c.At, o.At), cmp.Compare(c.Crash.Upstream, o.Crash.Upstream),
+		cmp.Compare(c.Crash.Incarnation, o.Crash.Incarnation))
 }
 
 // Record is the state that daemons store and exchange for one fingerprint.
@@ -104,9 +105,10 @@
 	// ClearedAt is when the request last got a complete response or was released
 	// by an operator, in Unix milliseconds. Crashes up to then do not count.
 	ClearedAt int64 `json:"cleared,omitempty"`
-	// QuarantinedAt is when the request was quarantined and Until is the end of
-	// the quarantine, in Unix milliseconds. The quarantine is lifted when
-	// ClearedAt is not earlier than QuarantinedAt.
+	// QuarantinedAt is the time of the newest crash in the record when the request
+	// was quarantined, and Until is the end of the quarantine, in Unix
+	// milliseconds. The quarantine is lifted when ClearedAt is not earlier than
+	// QuarantinedAt.
 	QuarantinedAt int64 `json:"condemned,omitempty"`
 	Until         int64 `json:"until,omitempty"`
 }
@@ -117,9 +119,9 @@
 // pruneCleared removes the crashes up to ClearedAt and returns the others.
 func (r *Record) pruneCleared() []CrashReport {
 	n := 0
-	for _, d := range r.Crashes {
-		if d.At > r.ClearedAt {
-			r.Crashes[n] = d
+	for _, c := range r.Crashes {
+		if c.At > r.ClearedAt {
+			r.Crashes[n] = c
 			n++
 		}
 	}
@@ -128,9 +130,9 @@
 }
 
 // hasCrash reports whether the record contains the given crash.
-func (r *Record) hasCrash(d Crash) bool {
-	for _, s := range r.Crashes {
-		if s.Crash == d {
+func (r *Record) hasCrash(crash Crash) bool {
+	for _, c := range r.Crashes {
+		if c.Crash == crash {
 			return true
 		}
 	}
@@ -159,8 +161,8 @@
 // lastUpdate returns the newest time in the record, except Until.
 func (r *Record) lastUpdate() int64 {
 	t := max(r.ClearedAt, r.QuarantinedAt)
-	for _, d := range r.Crashes {
-		t = max(t, d.At)
+	for _, c := range r.Crashes {
+		t = max(t, c.At)
 	}
 	return t
 }
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -43,8 +43,8 @@
 type Table struct {
 	opts    Options
 	records map[Fingerprint]*Record
-	// unsent contains the records that have changed since MarkSent was last called
-	// for them.
+	// unsent contains the records that have changed since MarkSent was last
+	// called for them.
 	unsent map[Fingerprint]struct{}
 	// version increases with every change.
 	version uint64
@@ -70,13 +70,13 @@
 	return r.Until, true
 }
 
-// RecordCrash records that an upstream crashed while it was running a request. Whether
-// the request is quarantined is decided in Evaluate.
-func (t *Table) RecordCrash(now int64, f Fingerprint, req Request, d Crash) {
+// RecordCrash records that an upstream crashed while it was running a request.
+// Whether the request is quarantined is decided in Evaluate.
+func (t *Table) RecordCrash(now int64, f Fingerprint, req Request, crash Crash) {
 	text := req.Method + " " + req.Target
 	t.Merge(now, Record{
 		Fingerprint: f, Service: req.Service, Caller: req.Caller, Request: text[:min(len(text), maxRequestBytes)],
-		Crashes: []CrashReport{{Crash: d, At: now}},
+		Crashes: []CrashReport{{Crash: crash, At: now}},
 	})
 }
 
@@ -94,6 +94,7 @@
 		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	for _, r := range candidates {
+		// The quarantine of an earlier candidate may have removed crashes of r.
 		if t.isDue(now, r) {
 			t.quarantine(r)
 		}
@@ -122,6 +123,7 @@
 	if r == nil {
 		return false
 	}
+	// QuarantinedAt may come from a daemon whose clock is ahead of this one.
 	t.clear(max(now, r.QuarantinedAt), r)
 	return true
 }
@@ -134,7 +136,7 @@
 	t.markChanged(r)
 }
 
-// markChanged must be called after each change of a record.
+// markChanged adds a changed record to those that Unsent returns.
 func (t *Table) markChanged(r *Record) {
 	t.unsent[r.Fingerprint] = struct{}{}
 	t.version++
@@ -158,7 +160,8 @@
 	return out
 }
 
-// MarkSent records that the current state of a record was sent to the other daemons.
+// MarkSent records that the current state of a record was sent to the other
+// daemons.
 func (t *Table) MarkSent(f Fingerprint) { delete(t.unsent, f) }
 
 // List returns all records, the most recently updated first. Record.Refused
@@ -208,14 +211,14 @@
 // request of the service that is already under quarantine.
 func (t *Table) unattributed(now int64, in Record) []CrashReport {
 	var out []CrashReport
-	for _, d := range in.Crashes {
+	for _, c := range in.Crashes {
 		attributed := false
 		for _, r := range t.records {
 			other := r.Service == in.Service && r.Fingerprint != in.Fingerprint
-			attributed = attributed || other && r.Refused(now) && r.hasCrash(d.Crash)
+			attributed = attributed || other && r.Refused(now) && r.hasCrash(c.Crash)
 		}
 		if !attributed {
-			out = append(out, d)
+			out = append(out, c)
 		}
 	}
 	return out
@@ -231,13 +234,13 @@
 	if in.QuarantinedAt > r.QuarantinedAt {
 		r.QuarantinedAt, r.Until, changed = in.QuarantinedAt, in.Until, true
 	}
-	for _, d := range in.Crashes {
-		i := slices.IndexFunc(r.Crashes, func(s CrashReport) bool { return s.Crash == d.Crash })
+	for _, c := range in.Crashes {
+		i := slices.IndexFunc(r.Crashes, func(own CrashReport) bool { return own.Crash == c.Crash })
 		switch {
-		case i >= 0 && d.At > r.Crashes[i].At:
-			r.Crashes[i].At, changed = d.At, true
-		case i < 0 && d.At > r.ClearedAt && r.shouldKeep(d):
-			r.Crashes, changed = append(r.Crashes, d), true
+		case i >= 0 && c.At > r.Crashes[i].At:
+			r.Crashes[i].At, changed = c.At, true
+		case i < 0 && c.At > r.ClearedAt && r.shouldKeep(c):
+			r.Crashes, changed = append(r.Crashes, c), true
 		}
 	}
 	r.pruneCleared()
@@ -246,8 +249,8 @@
 }
 
 // shouldKeep reports whether a crash would be among the oldest maxCrashes.
-func (r *Record) shouldKeep(d CrashReport) bool {
-	return len(r.Crashes) < maxCrashes || d.compare(slices.MaxFunc(r.Crashes, CrashReport.compare)) < 0
+func (r *Record) shouldKeep(c CrashReport) bool {
+	return len(r.Crashes) < maxCrashes || c.compare(slices.MaxFunc(r.Crashes, CrashReport.compare)) < 0
 }
 
 // add adds an empty record for the request of another record. It returns nil if
@@ -280,22 +283,23 @@
 
 // quarantine quarantines a request together with the other requests that ran
 // during all of its crashes. It does nothing if there are more than
-// maxQuarantinedTogether of them, because most would be refused by mistake.
+// maxQuarantinedTogether of them: the crashes do not tell which one is the cause,
+// and most would be refused by mistake.
 func (t *Table) quarantine(r *Record) {
 	rule := t.opts.Rule(r.Service)
-	suspects := t.inSameCrashes(r)
-	if len(suspects) > maxQuarantinedTogether {
+	suspected := t.inSameCrashes(r)
+	if len(suspected) > maxQuarantinedTogether {
 		return
 	}
 	crashes := slices.Clone(r.Crashes)
-	for _, s := range suspects {
-		for _, d := range s.Crashes {
-			s.QuarantinedAt = max(s.QuarantinedAt, d.At)
+	for _, s := range suspected {
+		for _, c := range s.Crashes {
+			s.QuarantinedAt = max(s.QuarantinedAt, c.At)
 		}
 		s.Until = s.QuarantinedAt + rule.Duration.Milliseconds()
 		t.markChanged(s)
 	}
-	t.removeCrashes(r.Service, crashes, suspects)
+	t.removeCrashes(r.Service, crashes, suspected)
 }
 
 // inSameCrashes returns the requests of the service, including r itself, that ran
@@ -306,7 +310,7 @@
 		if o.Service != r.Service {
 			continue
 		}
-		if !slices.ContainsFunc(r.Crashes, func(d CrashReport) bool { return !o.hasCrash(d.Crash) }) {
+		if !slices.ContainsFunc(r.Crashes, func(c CrashReport) bool { return !o.hasCrash(c.Crash) }) {
 			out = append(out, o)
 		}
 	}
@@ -320,8 +324,8 @@
 		if r.Service != s || slices.Contains(quarantined, r) {
 			continue
 		}
-		r.Crashes = slices.DeleteFunc(r.Crashes, func(d CrashReport) bool {
-			return slices.ContainsFunc(crashes, func(e CrashReport) bool { return e.Crash == d.Crash })
+		r.Crashes = slices.DeleteFunc(r.Crashes, func(c CrashReport) bool {
+			return slices.ContainsFunc(crashes, func(removed CrashReport) bool { return removed.Crash == c.Crash })
 		})
 	}
 }
