--- /dev/null
+++ b/soak/inject.go
@@ -0,0 +1,212 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"os/exec"
+	"strconv"
+	"syscall"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/platform/platformtest"
+)
+
+func commandContext(ctx context.Context, name string, args ...string) *exec.Cmd {
+	return exec.CommandContext(ctx, name, args...)
+}
+
+var storeFaults = map[string]platformtest.StoreFault{
+	"busy": platformtest.StoreUnavailable, "many": platformtest.StoreRateLimited, "silent": platformtest.StoreHangs,
+	"slow": platformtest.StoreSlow, "lost": platformtest.StoreLosesReplies, "late": platformtest.StoreAppendsLate,
+}
+
+// partialFailureShare is the share of requests that a failing upstream fails.
+const partialFailureShare = 0.4
+
+// plannedKinds kinds are no excuse for a lost request.
+var plannedKinds = map[string]bool{kindTerm: true, kindReload: true, kindConfig: true, kindDrain: true, kindInvalidRecords: true}
+
+// inject plays one fault and undoes it when its time is over.
+func (h *harness) inject(f Fault) {
+	var m *machine
+	if f.VM > 0 {
+		m = h.machines[f.VM-1]
+	}
+	if !plannedKinds[f.Kind] {
+		// A kill is over once the process is back, links and upstreams once the
+		// fault is undone; whoever deals with this VM is disturbed as well.
+		for _, x := range h.machines {
+			x.disturb(f.Duration + restartAllowance)
+		}
+	}
+	switch f.Kind {
+	case kindKill:
+		m.signal(syscall.SIGKILL)
+	case kindTerm:
+		m.signal(syscall.SIGTERM)
+	case kindReload:
+		m.signal(syscall.SIGHUP)
+	case kindPause:
+		m.signal(syscall.SIGSTOP)
+		time.Sleep(f.Duration)
+		m.signal(syscall.SIGCONT)
+	case kindPeerProxy:
+		h.withProxyMode(m.peerProxy, f)
+	case kindUpstreamProxy:
+		h.withProxyMode(m.upstreamProxy, f)
+	case kindStoreProxy:
+		h.withProxyMode(m.storeProxy, f)
+	case kindStore:
+		h.injectStoreFault(f)
+	case kindUpstream:
+		h.injectUpstreamFault(m, f)
+	case kindCrash:
+		h.crashUpstream(m, f)
+	case kindDrain:
+		h.drainUpstream(m, f)
+	case kindConfig:
+		h.publish()
+	case kindPoison:
+		h.sendPoison(f)
+	case kindKillAll:
+		for _, x := range h.machines {
+			x.signal(syscall.SIGKILL)
+		}
+		h.check.resetCrashCounts()
+	case kindReplace:
+		h.replaceVM(m, f)
+	case kindInvalidRecords:
+		h.store.Put(platformtest.TopicOperator, platformtest.Record{Key: "config", Value: []byte("\xff{")})
+		h.store.Put(platformtest.TopicOperator, platformtest.Record{Key: "config", Value: []byte(`{"version":"r1","routes":7}`)})
+		h.store.Put(platformtest.TopicDaemons, platformtest.Record{Key: "127.0.0.1:1", Value: []byte(`{"address":3}`)})
+	}
+}
+
+// restartAllowance covers the start of a process after a fault.
+const restartAllowance = 2 * time.Second
+
+func (h *harness) withProxyMode(l *proxy, f Fault) {
+	l.setMode(f.Mode)
+	time.Sleep(f.Duration)
+	l.setMode("")
+}
+
+func (h *harness) injectStoreFault(f Fault) {
+	if f.Mode == "forget" {
+		h.store.Truncate(platformtest.TopicOperator)
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.store.PutConfig(h.configLocked())
+		return
+	}
+	h.store.Fail(storeFaults[f.Mode])
+	time.Sleep(f.Duration)
+	h.store.Fail(platformtest.StoreHealthy)
+}
+
+// injectUpstreamFault makes an upstream fail some of its requests, or all of them all if
+// the fault names none.
+func (h *harness) injectUpstreamFault(m *machine, f Fault) {
+	share, which := partialFailureShare, []*machine{m}
+	if m == nil {
+		share, which = 1, h.machines
+	}
+	for _, m := range which {
+		m.upstream.Fail(platformtest.UpstreamFault(f.Mode), share)
+	}
+	time.Sleep(f.Duration)
+	for _, m := range which {
+		m.upstream.Fail(platformtest.UpstreamHealthy, 0)
+	}
+}
+
+// crashUpstream crashes an upstream and starts it again.
+func (h *harness) crashUpstream(m *machine, f Fault) {
+	id := m.upstream.ID()
+	m.upstream.Crash()
+	time.Sleep(f.Duration)
+	if f.Mode == "new-id" {
+		id = h.newUpstreamID(f.VM)
+	}
+	_ = m.upstream.Start(id)
+}
+
+// drainUpstream has an upstream leave as planned, and another take its place.
+func (h *harness) drainUpstream(m *machine, f Fault) {
+	life := m.upstream.Incarnation()
+	if m.upstream.Drain() {
+		h.check.recordDrain(life)
+	}
+	time.Sleep(drainAllowance + f.Duration)
+	if m.upstream.Incarnation() != life {
+		return
+	}
+	m.upstream.Crash()
+	_ = m.upstream.Start(h.newUpstreamID(f.VM))
+}
+
+// callerStopDelay is how long before a VM is replaced its callers send nothing more.
+const callerStopDelay = 200 * time.Millisecond
+
+// replaceVM ends a VM and starts another one of the group's other service under its
+// address. Connections to the old one break, or go silent if it falls dark.
+func (h *harness) replaceVM(m *machine, f Fault) {
+	if !m.replacing.CompareAndSwap(false, true) {
+		return
+	}
+	defer m.replacing.Store(false)
+	time.Sleep(callerStopDelay)
+	if f.Mode == "dark" {
+		m.peerProxy.setMode("silent")
+	}
+	m.changeService(h.otherService(m))
+	m.signal(syscall.SIGKILL)
+	m.upstream.Crash()
+	time.Sleep(f.Duration)
+	m.peerProxy.setMode("")
+	_ = m.upstream.Start(h.newUpstreamID(f.VM))
+	time.Sleep(restartAllowance)
+}
+
+// otherService returns the service of the VM's group that it does not belong to, or its
+// own where too few would be left of that.
+func (h *harness) otherService(m *machine) string {
+	own, left := m.service(), 0
+	for _, x := range h.machines {
+		if x != m && x.group == m.group && x.service() == own {
+			left++
+		}
+	}
+	switch {
+	case left < minVMsPerService:
+		return own
+	case own == serviceOf(m.group, 0):
+		return serviceOf(m.group, 1)
+	default:
+		return serviceOf(m.group, 0)
+	}
+}
+
+// minVMsPerService VMs of a service are left when one goes to the other: with fewer there
+// would be no room for the callers of eight VMs.
+const minVMsPerService = 3
+
+// poisonInterval is the time between two sends of a request that crashes upstreams.
+const poisonInterval = 300 * time.Millisecond
+
+// sendPoison sends a request that crashes upstreams to one daemon after another, until
+// the plan ends.
+func (h *harness) sendPoison(f Fault) {
+	key := strconv.FormatInt(f.At.Milliseconds(), 10)
+	path := "/safe/" + platformtest.CrashPath + key
+	for n := 0; time.Since(h.startedAt) < h.plan.Length; n++ {
+		m := h.machines[n%len(h.machines)]
+		attempt := fmt.Sprintf("%s%s-%d", poisonAttemptPrefix, key, n)
+		h.check.recordSent(attempt, m.service(), false)
+		h.check.recordPoison(attempt, key, m.undisturbed)
+		if r, err := m.caller.Send(context.Background(), path, attempt, false, requestDeadline); err == nil {
+			h.check.checkResponse(attempt, r)
+		}
+		time.Sleep(poisonInterval)
+	}
+}
--- a/soak/pages.go
+++ b/soak/metrics.go
@@ -11,7 +11,7 @@
 )
 
 func isReady(ctx context.Context, m *machine) bool {
-	body, err := get(ctx, m.vm.ReadyURL())
+	body, err := getPage(ctx, m.vm.ReadyURL())
 	if err != nil {
 		return false
 	}
@@ -19,8 +19,8 @@
 	return true
 }
 
-// get returns the body of a page, which is to be closed. Any status but 200 is an error.
-func get(ctx context.Context, url string) (io.ReadCloser, error) {
+// getPage returns the body of a page, which is to be closed. Any status but 200 is an error.
+func getPage(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -38,9 +38,9 @@
 
 // readCounter reads one counter in the Prometheus text format. It is 0 where there is none.
 func readCounter(ctx context.Context, url, name string, labels ...string) (float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, deadline)
+	ctx, cancel := context.WithTimeout(ctx, requestDeadline)
 	defer cancel()
-	body, err := get(ctx, url)
+	body, err := getPage(ctx, url)
 	if err != nil {
 		return 0, err
 	}
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -22,101 +22,101 @@
 	edits []edits.Edit
 	// plan is drawn by nobody: it holds the faults under which the mutant fails.
 	plan string
-	// want begins the violation.
-	want string
+	// wantViolation begins the violation.
+	wantViolation string
 }
 
 // Plans in which a kind of fault comes again and again.
 const (
-	headOfPlan = "soak 950 8 30000\n"
-	drains     = headOfPlan + "3000 drain 1 - 300\n3500 drain 2 - 300\n4000 drain 3 - 300\n9000 drain 4 - 300\n"
-	allLose    = headOfPlan + "3000 upstream 0 lose 4000\n"
-	doubles    = headOfPlan + "3000 upstream 1 double 9000\n3000 upstream 2 double 9000\n3000 upstream 3 double 9000\n"
-	cuts       = headOfPlan + "3000 upstream 1 cut 8000\n3000 upstream 2 cut 8000\n"
-	failures   = headOfPlan + "3000 upstream 0 err 11000\n"
-	stops      = headOfPlan + "3000 term 1 - 300\n6000 term 2 - 300\n9000 term 3 - 300\n12000 term 4 - 300\n15000 term 5 - 300\n"
-	reloads    = headOfPlan + "3000 reload 1 - 300\n4000 reload 2 - 300\n5000 reload 3 - 300\n6000 reload 4 - 300\n"
-	sheds      = headOfPlan + "3000 upstream 0 shed 4000\n"
-	poisons    = headOfPlan + "3000 poison 0 - 300\n"
-	replaced   = headOfPlan + "4000 replace 2 dark 300\n4000 replace 4 dark 300\n10000 replace 6 dark 300\n14000 replace 2 dark 300\n"
-	silences   = headOfPlan + "4000 peers 2 silent 1000\n4000 peers 4 silent 1000\n8000 peers 6 silent 1000\n8000 peers 8 silent 1000\n12000 peers 2 silent 1000\n12000 peers 4 silent 1000\n"
-	untold     = headOfPlan + "500 upstream 0 untold 29000\n6000 herd 0 - 300\n"
-	killers    = headOfPlan + "2000 poison 0 - 300\n4000 poison 0 - 300\n6000 poison 0 - 300\n8000 poison 0 - 300\n10000 poison 0 - 300\n12000 poison 0 - 300\n"
-	versions   = headOfPlan + "3000 store 0 silent 3000\n9000 config 0 - 300\n13000 config 0 - 300\n17000 config 0 - 300\n"
+	planHeader           = "soak 950 8 30000\n"
+	planDrains           = planHeader + "3000 drain 1 - 300\n3500 drain 2 - 300\n4000 drain 3 - 300\n9000 drain 4 - 300\n"
+	planLostResponses    = planHeader + "3000 upstream 0 lose 4000\n"
+	planDoubledResponses = planHeader + "3000 upstream 1 double 9000\n3000 upstream 2 double 9000\n3000 upstream 3 double 9000\n"
+	planCutResponses     = planHeader + "3000 upstream 1 cut 8000\n3000 upstream 2 cut 8000\n"
+	planUpstreamErrors   = planHeader + "3000 upstream 0 err 11000\n"
+	planStops            = planHeader + "3000 term 1 - 300\n6000 term 2 - 300\n9000 term 3 - 300\n12000 term 4 - 300\n15000 term 5 - 300\n"
+	planReloads          = planHeader + "3000 reload 1 - 300\n4000 reload 2 - 300\n5000 reload 3 - 300\n6000 reload 4 - 300\n"
+	planShedding         = planHeader + "3000 upstream 0 shed 4000\n"
+	planPoison           = planHeader + "3000 poison 0 - 300\n"
+	planVMsReplaced      = planHeader + "4000 replace 2 dark 300\n4000 replace 4 dark 300\n10000 replace 6 dark 300\n14000 replace 2 dark 300\n"
+	planSilentPeers      = planHeader + "4000 peers 2 silent 1000\n4000 peers 4 silent 1000\n8000 peers 6 silent 1000\n8000 peers 8 silent 1000\n12000 peers 2 silent 1000\n12000 peers 4 silent 1000\n"
+	planUnreportedSlots  = planHeader + "500 upstream 0 untold 29000\n6000 herd 0 - 300\n"
+	planManyPoisons      = planHeader + "2000 poison 0 - 300\n4000 poison 0 - 300\n6000 poison 0 - 300\n8000 poison 0 - 300\n10000 poison 0 - 300\n12000 poison 0 - 300\n"
+	planNewConfigs       = planHeader + "3000 store 0 silent 3000\n9000 config 0 - 300\n13000 config 0 - 300\n17000 config 0 - 300\n"
 )
 
 var mutants = map[string]mutant{
 	"drained upstreams get requests": {
 		edits: []edits.Edit{edits.New("platform/reports.go", `"draining": lifecycle.Draining}`, `"draining": lifecycle.Ready}`)},
-		plan:  drains, want: "drain",
+		plan:  planDrains, wantViolation: "drain",
 	},
 	"answers that belong to nobody are taken": {
 		edits: []edits.Edit{
 			edits.New("hop/pool.go", "|| l.strayed || l.reader.Buffered() > 0", ""),
 			edits.New("sidecar/run.go", "return r.ID == c.ID || r.ID == \"\" && (r.NotRun || r.Misdirected)", "return r.ID != \"\" || c.ID != \"\""),
 		},
-		plan: doubles, want: "mixed",
+		plan: planDoubledResponses, wantViolation: "mixed",
 	},
 	"an unknown end is followed by another send": {
 		edits: []edits.Edit{edits.New("sidecar/forward.go", "if a.Outcome.Kind == outcome.Unknown && !r.request.route.Idempotent {", "if a.Outcome.Kind > outcome.Unknown+9 {")},
-		plan:  allLose, want: "twice",
+		plan:  planLostResponses, wantViolation: "twice",
 	},
 	"a lost run counts as not run": {
 		edits: []edits.Edit{edits.New("sidecar/run.go", "case !lost.Sent:", "case lost != nil:")},
-		plan:  allLose, want: "twice",
+		plan:  planLostResponses, wantViolation: "twice",
 	},
 	"re-sends know no budget": {
 		edits: []edits.Edit{edits.New("sidecar/retries.go", "	if !s.retryLimiter.take(now, 1, daemons, started) {\n		return nil\n	}\n", "	if daemons > 0 {\n		return &retryCharge{service: s}\n	}\n")},
-		plan:  failures, want: "budget",
+		plan:  planUpstreamErrors, wantViolation: "budget",
 	},
 	"a stop cuts what runs": {
 		edits: []edits.Edit{edits.New("sidecar/daemon.go", "drainEnd := deadline.Add(-graceMargin)", "drainEnd := began")},
-		plan:  stops, want: "lost",
+		plan:  planStops, wantViolation: "lost",
 	},
 	"connections of requests in hand are closed": {
 		edits: []edits.Edit{edits.New("sidecar/entry.go", "	e.respond(w, req, e.forward(req))\n", "	a := e.forward(req)\n	if req.id[len(req.id)-1] == '7' {\n		panic(http.ErrAbortHandler)\n	}\n	e.respond(w, req, a)\n")},
-		plan:  reloads, want: "unanswered",
+		plan:  planReloads, wantViolation: "unanswered",
 	},
 	"answers that break off are delivered": {
 		edits: []edits.Edit{edits.New("hop/exchange.go", "if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxReply+1)); err != nil {\n		return nil, err\n	}", "_, _ = io.Copy(&buf, io.LimitReader(resp.Body, maxReply+1))")},
-		plan:  cuts, want: "mixed",
+		plan:  planCutResponses, wantViolation: "mixed",
 	},
 	"requests that crash upstreams are served": {
 		edits: []edits.Edit{edits.New("sidecar/quarantine.go", "	if !s.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if s.store != nil {\n		return nil\n	}\n	remaining")},
-		plan:  poisons, want: "poison",
+		plan:  planPoison, wantViolation: "poison",
 	},
 	"a reload ends the process": {
 		edits: []edits.Edit{
 			edits.New("cmd/internal/hangup/hangup.go", "signal.Notify(c, syscall.SIGHUP)", "signal.Notify(c, syscall.SIGUSR1)"),
 			edits.New("cmd/internal/hangup/early_cgo.go", "inherited = signal(SIGHUP, SIG_IGN);", "inherited = SIG_DFL;"),
 		},
-		plan: reloads, want: "ended",
+		plan: planReloads, wantViolation: "ended",
 	},
 	"a refusal tells no time to come back": {
 		edits: []edits.Edit{edits.New("sidecar/entry.go", "if result.Outcome.RetryAfter > 0 {", "if result.Outcome.RetryAfter < 0 {")},
-		plan:  sheds, want: "advice",
+		plan:  planShedding, wantViolation: "advice",
 	},
 	"new versions are not read": {
 		edits: []edits.Edit{edits.New("platform/source.go", "	s.next = next\n	take(records, f)\n", "	s.next = next\n	take(records[:0], f)\n")},
-		plan:  versions, want: "late",
+		plan:  planNewConfigs, wantViolation: "late",
 	},
 	"another daemon at the address proves what the one before did": {
 		edits: []edits.Edit{edits.New("sidecar/messages.go", "if q.incarnation != p.d.peers.localRecord().Incarnation {", "if q.incarnation == 0 {")},
-		plan:  replaced, want: "twice",
+		plan:  planVMsReplaced, wantViolation: "twice",
 	},
 	"attempts are forgotten before their time": {
 		edits: []edits.Edit{
 			edits.New("sidecar/attempts.go", "a.retainUntil = t.now().Add(retentionPeriod(deadline))", "a.retainUntil = t.now()"),
 			edits.New("sidecar/attempts.go", "return a.result != nil || a.cancelled && !early", "return true"),
 		},
-		plan: silences, want: "twice",
+		plan: planSilentPeers, wantViolation: "twice",
 	},
 	"slots that are not told at the start stay unknown": {
 		edits: []edits.Edit{
 			edits.New("sidecar/guard.go", "if v != lifecycle.Started && v != lifecycle.Changed {", "if v != lifecycle.Started {"),
 			edits.New("sidecar/healthcheck.go", "report.Slots = g.slotsFromPeers(report.Incarnation)", "report.Slots = 1"),
 		},
-		plan: untold, want: "recovery",
+		plan: planUnreportedSlots, wantViolation: "recovery",
 	},
 	"the whole table of suspects is sent to everybody each second": {
 		edits: []edits.Edit{
@@ -124,11 +124,11 @@
 			edits.New("quarantine/exchange.go", "return binary.BigEndian.AppendUint64([]byte{kindOpening}, s.sum())", "whole, _ := appendRecords([]byte{kindRecords}, s.table.List(), 64<<10)\n	return whole"),
 			edits.New("core/gossip/anti_entropy_timer.go", "longInterval  = 10 * time.Second", "longInterval  = time.Second"),
 		},
-		plan: killers, want: "control",
+		plan: planManyPoisons, wantViolation: "control",
 	},
 	"only the caller's daemon is named": {
 		edits: []edits.Edit{edits.New("sidecar/run.go", "Caller: c.Caller, Upstream: c.Upstream.ID", "Caller: c.Service + \"x\", Upstream: c.Upstream.ID")},
-		plan:  sheds, want: "caller",
+		plan:  planShedding, wantViolation: "caller",
 	},
 }
 
@@ -138,16 +138,16 @@
 func TestMutantsApply(t *testing.T) {
 	for name, m := range mutants {
 		t.Run(name, func(t *testing.T) {
-			overlay(t, m)
+			writeOverlay(t, m)
 			_, err := Read(strings.NewReader(m.plan))
 			require.NoError(t, err)
 		})
 	}
 }
 
-// overlay writes the edited files and returns the file that has the compiler take
+// writeOverlay writes the edited files and returns the file that has the compiler take
 // them.
-func overlay(t *testing.T, m mutant) string {
+func writeOverlay(t *testing.T, m mutant) string {
 	t.Helper()
 	dir := t.TempDir()
 	changed, err := edits.Changed(root, m.edits)
@@ -179,7 +179,7 @@
 			t.Parallel()
 			dir := t.TempDir()
 			binary := filepath.Join(dir, "mutant")
-			build := exec.Command("go", "build", "-overlay", overlay(t, m), "-o", binary, "./cmd/dottereltillerd")
+			build := exec.Command("go", "build", "-overlay", writeOverlay(t, m), "-o", binary, "./cmd/dottereltillerd")
 			build.Dir = root
 			out, err := build.CombinedOutput()
 			require.NoError(t, err, string(out))
@@ -189,7 +189,7 @@
 			p.Seed += uint64(i)
 			r, err := Run(t.Context(), p, Options{Binary: binary, Dir: dir})
 			require.NoError(t, err)
-			require.Contains(t, strings.Join(r.Violations, "\n"), m.want+":")
+			require.Contains(t, strings.Join(r.Violations, "\n"), m.wantViolation+":")
 		})
 	}
 }
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -15,16 +15,16 @@
 	// At is the time from the start of traffic.
 	At time.Duration
 	// Kind is what happens, VM the machine that it happens to (0 for the store and
-	// the configuration), Mode the variant, For how long.
-	Kind string
-	VM   int
-	Mode string
-	For  time.Duration
+	// the configuration), Mode the variant, Duration how long.
+	Kind     string
+	VM       int
+	Mode     string
+	Duration time.Duration
 }
 
 // String returns the line of a fault in a plan.
 func (f Fault) String() string {
-	return fmt.Sprintf("%d %s %d %s %d", f.At.Milliseconds(), f.Kind, f.VM, f.Mode, f.For.Milliseconds())
+	return fmt.Sprintf("%d %s %d %s %d", f.At.Milliseconds(), f.Kind, f.VM, f.Mode, f.Duration.Milliseconds())
 }
 
 // Plan is a soak that can be played again.
@@ -37,80 +37,80 @@
 
 // The kinds of faults.
 const (
-	kindKill     = "kill"
-	kindTerm     = "term"
-	kindPause    = "pause"
-	kindReload   = "reload"
-	kindPeers    = "peers"     // the proxy before a daemon's address for others
-	kindApp      = "app"       // the proxy between a daemon and its upstream
-	kindStoreVia = "store-via" // the proxy between a daemon and the store
-	kindStore    = "store"
-	kindUpstream = "upstream"
-	kindCrash    = "crash"
-	kindDrain    = "drain"
-	kindConfig   = "config"
-	kindForeign  = "foreign" // records of another writer in the store
-	kindPoison   = "poison"  // a request that crashes upstreams, sent again and again
-	kindHerd     = "herd"    // all daemons are killed at once
-	kindReplace  = "replace" // a VM goes, and another of another service has its address
+	kindKill           = "kill"
+	kindTerm           = "term"
+	kindPause          = "pause"
+	kindReload         = "reload"
+	kindPeerProxy      = "peers"     // the proxy before a daemon's address for others
+	kindUpstreamProxy  = "app"       // the proxy between a daemon and its upstream
+	kindStoreProxy     = "store-via" // the proxy between a daemon and the store
+	kindStore          = "store"
+	kindUpstream       = "upstream"
+	kindCrash          = "crash"
+	kindDrain          = "drain"
+	kindConfig         = "config"
+	kindInvalidRecords = "foreign" // records of another writer in the store
+	kindPoison         = "poison"  // a request that crashes upstreams, sent again and again
+	kindKillAll        = "herd"    // all daemons are killed at once
+	kindReplace        = "replace" // a VM goes, and another of another service has its address
 )
 
-// modes lists the variants of each kind. A dash means that there are none.
-var modes = map[string][]string{
+// faultModes lists the variants of each kind. A dash means that there are none.
+var faultModes = map[string][]string{
 	kindKill: {"-"}, kindTerm: {"-"}, kindPause: {"-"}, kindReload: {"-"},
-	kindPeers:    {"delay", "reset", "silent", "half", "trickle"},
-	kindApp:      {"delay", "reset", "silent"},
-	kindStoreVia: {"reset", "silent", "half"},
-	kindStore:    {"busy", "many", "silent", "slow", "lost", "late", "forget"},
-	kindUpstream: {"lose", "shed", "err", "hang", "cut", "double", "slow", "untold"},
-	kindCrash:    {"same-id", "new-id"}, kindDrain: {"-"}, kindConfig: {"-"}, kindForeign: {"-"}, kindPoison: {"-"}, kindHerd: {"-"},
+	kindPeerProxy:     {"delay", "reset", "silent", "half", "trickle"},
+	kindUpstreamProxy: {"delay", "reset", "silent"},
+	kindStoreProxy:    {"reset", "silent", "half"},
+	kindStore:         {"busy", "many", "silent", "slow", "lost", "late", "forget"},
+	kindUpstream:      {"lose", "shed", "err", "hang", "cut", "double", "slow", "untold"},
+	kindCrash:         {"same-id", "new-id"}, kindDrain: {"-"}, kindConfig: {"-"}, kindInvalidRecords: {"-"}, kindPoison: {"-"}, kindKillAll: {"-"},
 	kindReplace: {"gone", "dark"},
 }
 
-// general kinds may name no VM: they happen to none, or to all of them.
-var general = map[string]bool{
-	kindStore: true, kindConfig: true, kindForeign: true, kindPoison: true, kindUpstream: true, kindHerd: true,
+// vmOptionalKinds kinds may name no VM: they happen to none, or to all of them.
+var vmOptionalKinds = map[string]bool{
+	kindStore: true, kindConfig: true, kindInvalidRecords: true, kindPoison: true, kindUpstream: true, kindKillAll: true,
 }
 
-// weights tells how often each kind is drawn.
-var weights = []struct {
+// kindWeights tells how often each kind is drawn.
+var kindWeights = []struct {
 	kind string
 	n    int
 }{
-	{kindKill, 4}, {kindTerm, 4}, {kindPause, 2}, {kindReload, 2}, {kindPeers, 5}, {kindApp, 2}, {kindStoreVia, 3},
-	{kindStore, 4}, {kindUpstream, 5}, {kindCrash, 3}, {kindDrain, 3}, {kindConfig, 5}, {kindForeign, 1}, {kindPoison, 1},
-	{kindHerd, 1}, {kindReplace, 2},
+	{kindKill, 4}, {kindTerm, 4}, {kindPause, 2}, {kindReload, 2}, {kindPeerProxy, 5}, {kindUpstreamProxy, 2}, {kindStoreProxy, 3},
+	{kindStore, 4}, {kindUpstream, 5}, {kindCrash, 3}, {kindDrain, 3}, {kindConfig, 5}, {kindInvalidRecords, 1}, {kindPoison, 1},
+	{kindKillAll, 1}, {kindReplace, 2},
 }
 
 const (
-	// calmStart and calmEnd are free of faults; recovery is judged in the latter.
-	calmStart = 2 * time.Second
-	calmEnd   = 12 * time.Second
-	// faultEvery is the mean time between two faults, each of which lasts between
-	// minFault and maxFault.
-	faultEvery = 500 * time.Millisecond
-	minFault   = 300 * time.Millisecond
-	maxFault   = 4 * time.Second
-	// plannedPart of a plan has planned work only: what must not be lost then is
+	// faultFreeStart and faultFreeEnd are free of faults; recovery is judged in the latter.
+	faultFreeStart = 2 * time.Second
+	faultFreeEnd   = 12 * time.Second
+	// meanFaultInterval is the mean time between two faults, each of which lasts between
+	// minFaultDuration and maxFaultDuration.
+	meanFaultInterval = 500 * time.Millisecond
+	minFaultDuration  = 300 * time.Millisecond
+	maxFaultDuration  = 4 * time.Second
+	// plannedOnlyDivisor of a plan has planned work only: what must not be lost then is
 	// not judged beside anything unplanned.
-	plannedPart = 3
+	plannedOnlyDivisor = 3
 )
 
 // Draw returns the plan of a seed.
 func Draw(seed uint64, vms int, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := Plan{Seed: seed, VMs: vms, Length: length}
-	at := calmStart
+	at := faultFreeStart
 	for {
-		at += time.Duration(rng.ExpFloat64() * float64(faultEvery)).Round(time.Millisecond)
-		if at >= length-calmEnd {
+		at += time.Duration(rng.ExpFloat64() * float64(meanFaultInterval)).Round(time.Millisecond)
+		if at >= length-faultFreeEnd {
 			return p
 		}
-		kind := drawKind(rng, at < length/plannedPart)
-		f := Fault{At: at, Kind: kind, Mode: modes[kind][rng.IntN(len(modes[kind]))]}
-		f.For = (minFault + time.Duration(rng.Float64()*float64(maxFault-minFault))).Round(time.Millisecond)
-		f.For = min(f.For, length-calmEnd-at)
-		if kind == kindUpstream || !general[kind] {
+		kind := drawKind(rng, at < length/plannedOnlyDivisor)
+		f := Fault{At: at, Kind: kind, Mode: faultModes[kind][rng.IntN(len(faultModes[kind]))]}
+		f.Duration = (minFaultDuration + time.Duration(rng.Float64()*float64(maxFaultDuration-minFaultDuration))).Round(time.Millisecond)
+		f.Duration = min(f.Duration, length-faultFreeEnd-at)
+		if kind == kindUpstream || !vmOptionalKinds[kind] {
 			f.VM = 1 + rng.IntN(vms)
 		}
 		p.Faults = append(p.Faults, f)
@@ -121,15 +121,15 @@
 func drawKind(rng *rand.Rand, plannedOnly bool) string {
 	for {
 		total := 0
-		for _, w := range weights {
+		for _, w := range kindWeights {
 			total += w.n
 		}
 		n := rng.IntN(total)
-		for _, w := range weights {
+		for _, w := range kindWeights {
 			if n -= w.n; n >= 0 {
 				continue
 			}
-			if plannedOnly && !planned[w.kind] {
+			if plannedOnly && !plannedKinds[w.kind] {
 				break
 			}
 			return w.kind
@@ -183,10 +183,10 @@
 		if _, err := fmt.Sscanf(text, "%d %s %d %s %d", &at, &f.Kind, &f.VM, &f.Mode, &length); err != nil {
 			return p, bad
 		}
-		if !slices.Contains(modes[f.Kind], f.Mode) || f.VM < 0 || f.VM > p.VMs || f.VM == 0 && !general[f.Kind] {
+		if !slices.Contains(faultModes[f.Kind], f.Mode) || f.VM < 0 || f.VM > p.VMs || f.VM == 0 && !vmOptionalKinds[f.Kind] {
 			return p, bad
 		}
-		f.At, f.For = time.Duration(at)*time.Millisecond, time.Duration(length)*time.Millisecond
+		f.At, f.Duration = time.Duration(at)*time.Millisecond, time.Duration(length)*time.Millisecond
 		p.Faults = append(p.Faults, f)
 	}
 	if p.VMs == 0 {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// link is a proxy for TCP and UDP in front of one address.
-type link struct {
+// proxy is a proxy for TCP and UDP in front of one address.
+type proxy struct {
 	address string
 	target  string
 	tcp     net.Listener
@@ -16,49 +16,49 @@
 	mu    sync.Mutex
 	mode  string
 	conns map[net.Conn]bool
-	// deaf holds the connections that were open when they went silent; they stay
+	// silenced holds the connections that were open when they went silent; they stay
 	// so for good.
-	deaf map[net.Conn]bool
-	// flows holds a socket for each sender of datagrams.
-	flows map[string]net.Conn
+	silenced map[net.Conn]bool
+	// udpConns holds a socket for each sender of datagrams.
+	udpConns map[string]net.Conn
 }
 
 const (
-	delayBy      = 60 * time.Millisecond
-	trickleBytes = 16
-	trickleEvery = 5 * time.Millisecond
-	copyBytes    = 32 << 10
+	delayTime         = 60 * time.Millisecond
+	trickleChunkBytes = 16
+	trickleInterval   = 5 * time.Millisecond
+	copyBufferBytes   = 32 << 10
 )
 
-func newLink(address, target string) (*link, error) {
-	l := &link{address: address, target: target, conns: make(map[net.Conn]bool), deaf: make(map[net.Conn]bool), flows: make(map[string]net.Conn)}
+func newProxy(address, target string) (*proxy, error) {
+	p := &proxy{address: address, target: target, conns: make(map[net.Conn]bool), silenced: make(map[net.Conn]bool), udpConns: make(map[string]net.Conn)}
 	var err error
-	if l.tcp, err = net.Listen("tcp", address); err != nil {
+	if p.tcp, err = net.Listen("tcp", address); err != nil {
 		return nil, err
 	}
 	udp, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, err
 	}
-	if l.udp, err = net.ListenUDP("udp4", udp); err != nil {
+	if p.udp, err = net.ListenUDP("udp4", udp); err != nil {
 		return nil, err
 	}
-	go l.accept()
-	go l.datagrams()
-	return l, nil
+	go p.accept()
+	go p.relayDatagrams()
+	return p, nil
 }
 
-// set changes what happens to what passes. Empty means that it passes.
-func (l *link) set(mode string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.mode = mode
-	for c := range l.conns {
+// setMode changes what happens to what passes. Empty means that it passes.
+func (p *proxy) setMode(mode string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.mode = mode
+	for c := range p.conns {
 		switch mode {
 		case "reset":
 			reset(c)
 		case "silent":
-			l.deaf[c] = true
+			p.silenced[c] = true
 		}
 	}
 }
@@ -70,80 +70,80 @@
 	_ = c.Close()
 }
 
-func (l *link) current(c net.Conn) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.deaf[c] {
+func (p *proxy) modeOf(c net.Conn) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.silenced[c] {
 		return "silent"
 	}
-	return l.mode
+	return p.mode
 }
 
-func (l *link) close() {
-	_ = l.tcp.Close()
-	_ = l.udp.Close()
-	l.set("reset")
+func (p *proxy) close() {
+	_ = p.tcp.Close()
+	_ = p.udp.Close()
+	p.setMode("reset")
 }
 
-func (l *link) accept() {
+func (p *proxy) accept() {
 	for {
-		c, err := l.tcp.Accept()
+		c, err := p.tcp.Accept()
 		if err != nil {
 			return
 		}
-		go l.serve(c)
+		go p.serve(c)
 	}
 }
 
-func (l *link) serve(in net.Conn) {
+func (p *proxy) serve(in net.Conn) {
 	defer func() { _ = in.Close() }()
-	if l.current(nil) == "reset" {
+	if p.modeOf(nil) == "reset" {
 		reset(in)
 		return
 	}
-	out, err := net.DialTimeout("tcp", l.target, time.Second)
+	out, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		reset(in)
 		return
 	}
-	l.track(in, out, true)
-	defer l.track(in, out, false)
+	p.track(in, out, true)
+	defer p.track(in, out, false)
 	var wg sync.WaitGroup
-	wg.Go(func() { l.copy(out, in, in, false) })
-	wg.Go(func() { l.copy(in, out, in, true) })
+	wg.Go(func() { p.relay(out, in, in, false) })
+	wg.Go(func() { p.relay(in, out, in, true) })
 	wg.Wait()
 }
 
-func (l *link) track(in, out net.Conn, open bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *proxy) track(in, out net.Conn, open bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, c := range []net.Conn{in, out} {
 		if open {
-			l.conns[c] = true
+			p.conns[c] = true
 		} else {
-			delete(l.conns, c)
-			delete(l.deaf, c)
+			delete(p.conns, c)
+			delete(p.silenced, c)
 		}
 	}
 }
 
-// copy passes on what comes, in the mode of the moment. In half mode what goes
+// relay passes on what comes, in the mode of the moment. In half mode what goes
 // back is dropped.
-func (l *link) copy(dst, src, key net.Conn, back bool) {
-	buf := make([]byte, copyBytes)
+func (p *proxy) relay(dst, src, key net.Conn, back bool) {
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := src.Read(buf)
-		switch mode := l.current(key); {
+		switch mode := p.modeOf(key); {
 		case mode == "silent" || mode == "half" && back:
 			// What is lost on the way is lost for good.
-			l.mu.Lock()
-			l.deaf[key] = true
-			l.mu.Unlock()
+			p.mu.Lock()
+			p.silenced[key] = true
+			p.mu.Unlock()
 			if err != nil {
-				time.Sleep(maxFault)
+				time.Sleep(maxFaultDuration)
 			}
 		case mode == "delay":
-			time.Sleep(delayBy)
+			time.Sleep(delayTime)
 			_, _ = dst.Write(buf[:n])
 		case mode == "trickle":
 			trickle(dst, buf[:n])
@@ -151,14 +151,14 @@
 			_, _ = dst.Write(buf[:n])
 		}
 		if err != nil {
-			l.end(dst, err)
+			p.propagateClose(dst, err)
 			return
 		}
 	}
 }
 
-// end passes on how a connection ended.
-func (l *link) end(dst net.Conn, err error) {
+// propagateClose passes on how a connection ended.
+func (p *proxy) propagateClose(dst net.Conn, err error) {
 	if t, ok := dst.(*net.TCPConn); ok && err.Error() == "EOF" {
 		_ = t.CloseWrite()
 		return
@@ -168,75 +168,75 @@
 
 func trickle(dst net.Conn, b []byte) {
 	for len(b) > 0 {
-		n := min(len(b), trickleBytes)
+		n := min(len(b), trickleChunkBytes)
 		if _, err := dst.Write(b[:n]); err != nil {
 			return
 		}
 		b = b[n:]
-		time.Sleep(trickleEvery)
+		time.Sleep(trickleInterval)
 	}
 }
 
 const (
-	// datagramBytes is more than a datagram of a daemon.
-	datagramBytes = 2 << 10
-	// flowIdle is how long the socket of a sender is kept that gets no answer: with
+	// datagramBufferBytes is more than a datagram of a daemon.
+	datagramBufferBytes = 2 << 10
+	// udpIdleTimeout is how long the socket of a sender is kept that gets no answer: with
 	// a hundred daemons each link has a hundred senders.
-	flowIdle = 3 * time.Second
+	udpIdleTimeout = 3 * time.Second
 )
 
-// datagrams passes datagrams on, each sender over a socket of its own.
-func (l *link) datagrams() {
-	buf := make([]byte, datagramBytes)
+// relayDatagrams passes datagrams on, each sender over a socket of its own.
+func (p *proxy) relayDatagrams() {
+	buf := make([]byte, datagramBufferBytes)
 	for {
-		n, from, err := l.udp.ReadFromUDP(buf)
+		n, from, err := p.udp.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		if mode := l.current(nil); mode == "silent" || mode == "reset" {
+		if mode := p.modeOf(nil); mode == "silent" || mode == "reset" {
 			continue
 		}
-		if out := l.flow(from); out != nil {
+		if out := p.udpConn(from); out != nil {
 			_, _ = out.Write(buf[:n])
 		}
 	}
 }
 
-// flow returns the socket of a sender, nil when there can be none.
-func (l *link) flow(from *net.UDPAddr) net.Conn {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// udpConn returns the socket of a sender, nil when there can be none.
+func (p *proxy) udpConn(from *net.UDPAddr) net.Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	key := from.String()
-	if out := l.flows[key]; out != nil {
+	if out := p.udpConns[key]; out != nil {
 		return out
 	}
-	out, err := net.Dial("udp4", l.target)
+	out, err := net.Dial("udp4", p.target)
 	if err != nil {
 		return nil
 	}
-	l.flows[key] = out
-	go l.answers(out, key, from)
+	p.udpConns[key] = out
+	go p.relayReplies(out, key, from)
 	return out
 }
 
-// answers passes answers back until there is none for a while, or the target is not
+// relayReplies passes answers back until there is none for a while, or the target is not
 // there.
-func (l *link) answers(out net.Conn, key string, to *net.UDPAddr) {
+func (p *proxy) relayReplies(out net.Conn, key string, to *net.UDPAddr) {
 	defer func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		delete(l.flows, key)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.udpConns, key)
 		_ = out.Close()
 	}()
-	buf := make([]byte, datagramBytes)
+	buf := make([]byte, datagramBufferBytes)
 	for {
-		_ = out.SetReadDeadline(time.Now().Add(flowIdle))
+		_ = out.SetReadDeadline(time.Now().Add(udpIdleTimeout))
 		n, err := out.Read(buf)
 		if err != nil {
 			return
 		}
-		if mode := l.current(nil); mode != "silent" && mode != "half" {
-			_, _ = l.udp.WriteToUDP(buf[:n], to)
+		if mode := p.modeOf(nil); mode != "silent" && mode != "half" {
+			_, _ = p.udp.WriteToUDP(buf[:n], to)
 		}
 	}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDatagramsPassAfterTheTargetRestarts has answers come back although the target
+// TestProxyRelaysDatagramsAfterTargetRestart has answers come back although the target
 // was gone for a while.
-func TestDatagramsPassAfterTheTargetRestarts(t *testing.T) {
+func TestProxyRelaysDatagramsAfterTargetRestart(t *testing.T) {
 	const address, target = "127.99.0.1:7760", "127.99.0.1:7660"
-	l, err := newLink(address, target)
+	l, err := newProxy(address, target)
 	require.NoError(t, err)
 	t.Cleanup(l.close)
 	echo := func() *net.UDPConn {
@@ -21,7 +21,7 @@
 		conn, err := net.ListenUDP("udp4", to)
 		require.NoError(t, err)
 		go func() {
-			buf := make([]byte, datagramBytes)
+			buf := make([]byte, datagramBufferBytes)
 			for {
 				n, from, err := conn.ReadFromUDP(buf)
 				if err != nil {
@@ -39,7 +39,7 @@
 		_, err := sender.Write([]byte("hello"))
 		require.NoError(t, err)
 		require.NoError(t, sender.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
-		n, err := sender.Read(make([]byte, datagramBytes))
+		n, err := sender.Read(make([]byte, datagramBufferBytes))
 		return err == nil && n == len("hello")
 	}
 	first := echo()
@@ -53,11 +53,11 @@
 	require.Eventually(t, answered, 10*time.Second, time.Millisecond)
 }
 
-// TestSoaksOfOneSeedDoNotShareAddresses has two run beside each other.
-func TestSoaksOfOneSeedDoNotShareAddresses(t *testing.T) {
-	one, two := &world{plan: Plan{Seed: 99}}, &world{plan: Plan{Seed: 99}}
-	for _, w := range []*world{one, two} {
-		ln, err := w.listen()
+// TestParallelSoaksUseDifferentAddresses has two run beside each other.
+func TestParallelSoaksUseDifferentAddresses(t *testing.T) {
+	one, two := &harness{plan: Plan{Seed: 99}}, &harness{plan: Plan{Seed: 99}}
+	for _, h := range []*harness{one, two} {
+		ln, err := h.listen()
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = ln.Close() })
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -45,50 +45,50 @@
 }
 
 const (
-	grace       = 5 * time.Second
-	startWait   = 60 * time.Second
-	serviceWait = 60 * time.Second
-	deadline    = 2500 * time.Millisecond
-	// longDeadline is that of the requests that run for seconds.
-	longDeadline = 30 * time.Second
-	defaultRate  = 10
-	// defaultTotal is the requests a second in all that one machine of 8 cores serves
+	gracePeriod     = 5 * time.Second
+	startTimeout    = 60 * time.Second
+	servingTimeout  = 60 * time.Second
+	requestDeadline = 2500 * time.Millisecond
+	// longRequestDeadline is that of the requests that run for seconds.
+	longRequestDeadline = 30 * time.Second
+	defaultRate         = 10
+	// defaultTotalRate is the requests a second in all that one machine of 8 cores serves
 	// beside the work of a hundred daemons.
-	defaultTotal = 480
-	// recoveredShare of the requests must be served at the end, from judgeLast
+	defaultTotalRate = 480
+	// minServedShare of the requests must be served at the end, from recoveryWindow
 	// before it on.
-	recoveredShare = 0.95
-	judgeLast      = 5 * time.Second
-	// oneInUnsafe requests is not idempotent, and one in oneInLong runs for seconds
+	minServedShare = 0.95
+	recoveryWindow = 5 * time.Second
+	// unsafeRequestInterval requests is not idempotent, and one in longRequestInterval runs for seconds
 	// beside.
-	oneInUnsafe = 3
-	oneInLong   = 40
-	// variety is how many different requests of each kind there are.
-	variety = 2000
-	// probeEvery is the time between two looks at which configuration is in force.
-	probeEvery = 250 * time.Millisecond
+	unsafeRequestInterval = 3
+	longRequestInterval   = 40
+	// distinctPaths is how many different requests of each kind there are.
+	distinctPaths = 2000
+	// configCheckInterval is the time between two looks at which configuration is in force.
+	configCheckInterval = 250 * time.Millisecond
 )
 
-// world is a running soak.
-type world struct {
+// harness is a running soak.
+type harness struct {
 	plan     Plan
 	opts     Options
 	check    *checker
 	store    *platformtest.Store
 	server   *http.Server
 	machines []*machine
-	// net is the part of the loopback addresses that the soak has taken.
-	net   int
-	began time.Time
-	ids   atomic.Int64
+	// loopbackNet is the part of the loopback addresses that the soak has taken.
+	loopbackNet int
+	startedAt   time.Time
+	upstreamIDs atomic.Int64
 	// version is the newest configuration, published when.
-	mu        sync.Mutex
-	version   int
-	published time.Time
-	requests  atomic.Int64
-	served    atomic.Int64
-	lateAll   atomic.Int64
-	lateWell  atomic.Int64
+	mu            sync.Mutex
+	version       int
+	publishedAt   time.Time
+	requests      atomic.Int64
+	served        atomic.Int64
+	finalRequests atomic.Int64
+	finalServed   atomic.Int64
 }
 
 var errNotReady = errors.New("a daemon did not become ready")
@@ -96,95 +96,97 @@
 // Run plays a plan. The error tells that it could not be played.
 func Run(ctx context.Context, p Plan, o Options) (Result, error) {
 	if o.Rate <= 0 {
-		o.Rate = max(min(defaultRate, defaultTotal/max(p.VMs, 1)), 1)
+		o.Rate = max(min(defaultRate, defaultTotalRate/max(p.VMs, 1)), 1)
 	}
 	if o.Out == nil {
 		o.Out = io.Discard
 	}
-	w := &world{plan: p, opts: o, check: newChecker(), store: platformtest.NewStore()}
-	defer w.close()
-	w.check.untimed = o.SafetyOnly
-	if err := w.build(ctx); err != nil {
+	h := &harness{plan: p, opts: o, check: newChecker(), store: platformtest.NewStore()}
+	defer h.close()
+	h.check.safetyOnly = o.SafetyOnly
+	if err := h.startAll(ctx); err != nil {
 		return Result{}, err
 	}
-	w.play(ctx)
-	if err := w.awaitService(ctx); err != nil {
+	h.playPlan(ctx)
+	if err := h.awaitServing(ctx); err != nil {
 		return Result{}, err
 	}
-	w.checkControl(ctx)
-	w.stop()
-	w.check.budget()
-	return Result{Violations: w.check.found(), Requests: int(w.requests.Load()), Served: int(w.served.Load())}, ctx.Err()
+	h.checkControlTraffic(ctx)
+	h.stopDaemons()
+	h.check.checkRetryBudget()
+	return Result{Violations: h.check.allViolations(), Requests: int(h.requests.Load()), Served: int(h.served.Load())}, ctx.Err()
 }
 
-// nets is how many soaks fit beside each other on the loopback addresses.
-const nets = 100
+// maxParallelSoaks is how many soaks fit beside each other on the loopback addresses.
+const maxParallelSoaks = 100
 
 // ip returns the address of a VM, or for 0 of the store.
-func (w *world) ip(number int) string {
+func (h *harness) ip(number int) string {
 	const firstNet, hosts = 100, 250
-	return fmt.Sprintf("127.%d.%d.%d", firstNet+w.net, number/hosts, 1+number%hosts)
+	return fmt.Sprintf("127.%d.%d.%d", firstNet+h.loopbackNet, number/hosts, 1+number%hosts)
 }
 
 // listen takes addresses that no other soak has, beginning with those of the seed, and
 // listens on the store's.
-func (w *world) listen() (net.Listener, error) {
-	ln, _, err := loopback.ListenFirstFree(w.plan.Seed, nets, func(n int) string {
-		w.net = n
-		return w.ip(0) + ":8142"
+func (h *harness) listen() (net.Listener, error) {
+	ln, _, err := loopback.ListenFirstFree(h.plan.Seed, maxParallelSoaks, func(n int) string {
+		h.loopbackNet = n
+		return h.ip(0) + ":8142"
 	})
 	return ln, err
 }
 
-func (w *world) build(ctx context.Context) error {
-	ln, err := w.listen()
+func (h *harness) startAll(ctx context.Context) error {
+	ln, err := h.listen()
 	if err != nil {
 		return err
 	}
 	storeAddress := ln.Addr().String()
-	w.server = &http.Server{Handler: w.store}
-	go func() { _ = w.server.Serve(ln) }()
-	w.publish()
-	for i := 1; i <= w.plan.VMs; i++ {
-		m, err := newMachine(i, groups(w.plan.VMs), w.ip(i), w.opts.Dir, w.opts.Binary, storeAddress, w.check)
+	h.server = &http.Server{Handler: h.store}
+	go func() { _ = h.server.Serve(ln) }()
+	h.publish()
+	for i := 1; i <= h.plan.VMs; i++ {
+		m, err := newMachine(i, groupCount(h.plan.VMs), h.ip(i), h.opts.Dir, h.opts.Binary, storeAddress, h.check)
 		if err != nil {
 			return err
 		}
-		w.machines = append(w.machines, m)
+		h.machines = append(h.machines, m)
 		if err := m.start(); err != nil {
 			return err
 		}
-		if err := m.upstream.Start(w.id(i)); err != nil {
+		if err := m.upstream.Start(h.newUpstreamID(i)); err != nil {
 			return err
 		}
 	}
-	return w.awaitReady(ctx)
+	return h.awaitReady(ctx)
 }
 
-// id returns a new id for an upstream of a VM.
-func (w *world) id(number int) string { return fmt.Sprintf("i-%d-%d", number, w.ids.Add(1)) }
+// newUpstreamID returns a new id for an upstream of a VM.
+func (h *harness) newUpstreamID(number int) string {
+	return fmt.Sprintf("i-%d-%d", number, h.upstreamIDs.Add(1))
+}
 
-func (w *world) awaitReady(ctx context.Context) error {
-	end := time.Now().Add(startWait)
-	for _, m := range w.machines {
+func (h *harness) awaitReady(ctx context.Context) error {
+	end := time.Now().Add(startTimeout)
+	for _, m := range h.machines {
 		for !isReady(ctx, m) {
 			if time.Now().After(end) || ctx.Err() != nil {
 				return errNotReady
 			}
-			time.Sleep(restartAfter / 10)
+			time.Sleep(restartDelay / 10)
 		}
 	}
 	return nil
 }
 
-// awaitService waits until every daemon serves again.
-func (w *world) awaitService(ctx context.Context) error {
-	end := time.Now().Add(serviceWait)
-	for _, m := range w.machines {
+// awaitServing waits until every daemon serves again.
+func (h *harness) awaitServing(ctx context.Context) error {
+	end := time.Now().Add(servingTimeout)
+	for _, m := range h.machines {
 		for i := 0; ; i++ {
 			attempt := fmt.Sprintf("probe-last-%s-%d", m.vm.Name, i)
-			w.check.send(attempt, m.service(), false)
-			r, err := m.caller.Send(ctx, "/safe/x", attempt, false, deadline)
+			h.check.recordSent(attempt, m.service(), false)
+			r, err := m.caller.Send(ctx, "/safe/x", attempt, false, requestDeadline)
 			if err == nil && r.Status == http.StatusOK {
 				break
 			}
@@ -192,199 +194,199 @@
 				return ctx.Err()
 			}
 			if time.Now().After(end) {
-				w.check.report("recovery: %s does not serve", m.vm.Name)
+				h.check.addViolation("recovery: %s does not serve", m.vm.Name)
 				return nil
 			}
-			time.Sleep(probeEvery)
+			time.Sleep(configCheckInterval)
 		}
 	}
 	return nil
 }
 
-func (w *world) publish() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.published = time.Now()
-	w.store.PutConfig(w.document())
+func (h *harness) publish() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.version++
+	h.publishedAt = time.Now()
+	h.store.PutConfig(h.configLocked())
 }
 
-// document returns the newest configuration. The lock is held.
-func (w *world) document() []byte {
+// configLocked returns the newest configuration. The lock is held.
+func (h *harness) configLocked() []byte {
 	var called []string
-	for g := range groups(w.plan.VMs) {
+	for g := range groupCount(h.plan.VMs) {
 		called = append(called, serviceOf(g, 0))
 	}
-	return platformtest.Document(w.version, called...)
+	return platformtest.Document(h.version, called...)
 }
 
-func (w *world) newest() (int, time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.version, w.published
+func (h *harness) latestConfig() (int, time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.version, h.publishedAt
 }
 
-// play runs callers and faults for the length of the plan.
-func (w *world) play(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, w.plan.Length)
+// playPlan runs callers and faults for the length of the plan.
+func (h *harness) playPlan(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, h.plan.Length)
 	defer cancel()
-	w.began = time.Now()
+	h.startedAt = time.Now()
 	var wg sync.WaitGroup
-	for _, m := range w.machines {
-		wg.Go(func() { w.call(ctx, m) })
-		wg.Go(func() { w.probe(ctx, m) })
+	for _, m := range h.machines {
+		wg.Go(func() { h.runCallers(ctx, m) })
+		wg.Go(func() { h.checkConfigInForce(ctx, m) })
 	}
-	for _, f := range w.plan.Faults {
+	for _, f := range h.plan.Faults {
 		select {
-		case <-time.After(time.Until(w.began.Add(f.At))):
-			_, _ = fmt.Fprintln(w.opts.Out, f)
-			wg.Go(func() { w.inflict(f) })
+		case <-time.After(time.Until(h.startedAt.Add(f.At))):
+			_, _ = fmt.Fprintln(h.opts.Out, f)
+			wg.Go(func() { h.inject(f) })
 		case <-ctx.Done():
 		}
 	}
 	wg.Wait()
-	if all, well := w.lateAll.Load(), w.lateWell.Load(); !w.opts.SafetyOnly && all > 0 && float64(well) < recoveredShare*float64(all) {
-		w.check.report("recovery: %d of %d requests were served at the end", well, all)
+	if all, well := h.finalRequests.Load(), h.finalServed.Load(); !h.opts.SafetyOnly && all > 0 && float64(well) < minServedShare*float64(all) {
+		h.check.addViolation("recovery: %d of %d requests were served at the end", well, all)
 	}
 }
 
-// call sends requests at the rate until the context ends, and waits for the last.
-func (w *world) call(ctx context.Context, m *machine) {
+// runCallers sends requests at the rate until the context ends, and waits for the last.
+func (h *harness) runCallers(ctx context.Context, m *machine) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	ticker := time.NewTicker(time.Second / time.Duration(w.opts.Rate))
+	ticker := time.NewTicker(time.Second / time.Duration(h.opts.Rate))
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			wg.Go(func() { w.request(m) })
+			wg.Go(func() { h.sendRequest(m) })
 		}
 	}
 }
 
-func (w *world) request(m *machine) {
-	if m.away.Load() {
+func (h *harness) sendRequest(m *machine) {
+	if m.replacing.Load() {
 		return
 	}
-	n := w.requests.Add(1)
-	unsafe, path, left := n%oneInUnsafe == 0, fmt.Sprintf("/safe/x%d", n%variety), deadline
+	n := h.requests.Add(1)
+	unsafe, path, left := n%unsafeRequestInterval == 0, fmt.Sprintf("/safe/x%d", n%distinctPaths), requestDeadline
 	switch {
-	case n%oneInLong == 0:
-		unsafe, path, left = true, platformtest.LongPath+"x", longDeadline
+	case n%longRequestInterval == 0:
+		unsafe, path, left = true, platformtest.LongPath+"x", longRequestDeadline
 	case unsafe:
-		path = fmt.Sprintf("/unsafe/x%d", n%variety)
+		path = fmt.Sprintf("/unsafe/x%d", n%distinctPaths)
 	}
 	attempt := fmt.Sprintf("r%d", n)
-	w.check.send(attempt, m.service(), unsafe)
-	calmBefore := w.calm()
-	lifeBefore, stoppingBefore := m.state()
+	h.check.recordSent(attempt, m.service(), unsafe)
+	calmBefore := h.undisturbed()
+	lifeBefore, stoppingBefore := m.incarnationState()
 	sent := time.Now()
-	last := sent.Sub(w.began) > w.plan.Length-judgeLast
+	last := sent.Sub(h.startedAt) > h.plan.Length-recoveryWindow
 	r, err := m.caller.Send(context.Background(), path, attempt, unsafe, left)
-	life, stopping := m.state()
-	if calmBefore && w.calm() && w.check.ranOnce(attempt) {
+	life, stopping := m.incarnationState()
+	if calmBefore && h.undisturbed() && h.check.wasExecuted(attempt) {
 		switch {
-		case stopping && !m.outran(sent) && brokenOff(r, err):
-			w.check.report("lost: %s ran and was cut by a planned stop: %d %v", attempt, r.Status, err)
-		case err != nil && brokenOff(r, err) && !stoppingBefore && !stopping && life == lifeBefore:
-			w.check.report("unanswered: %s ran and its connection to %s was closed without an answer: %v", attempt, m.vm.Name, err)
+		case stopping && !m.ranUntilGraceEnd(sent) && abortedByDaemon(r, err):
+			h.check.addViolation("lost: %s ran and was cut by a planned stop: %d %v", attempt, r.Status, err)
+		case err != nil && abortedByDaemon(r, err) && !stoppingBefore && !stopping && life == lifeBefore:
+			h.check.addViolation("unanswered: %s ran and its connection to %s was closed without an answer: %v", attempt, m.vm.Name, err)
 		}
 	}
 	if err == nil {
-		w.check.answer(attempt, r)
+		h.check.checkResponse(attempt, r)
 	}
 	well := err == nil && r.Status == http.StatusOK
 	if well {
-		w.served.Add(1)
+		h.served.Add(1)
 	}
 	if last {
-		w.lateAll.Add(1)
+		h.finalRequests.Add(1)
 		if well {
-			w.lateWell.Add(1)
+			h.finalServed.Add(1)
 		}
 	}
 }
 
-// brokenOff reports whether a daemon ended a request that ran, without an answer or with
+// abortedByDaemon reports whether a daemon ended a request that ran, without an answer or with
 // one of its own because it stops.
-func brokenOff(r platformtest.Result, err error) bool {
+func abortedByDaemon(r platformtest.Result, err error) bool {
 	if err != nil {
 		return !errors.Is(err, context.DeadlineExceeded)
 	}
 	return r.Status == http.StatusBadGateway && strings.TrimSpace(r.Body) == string(outcome.ReasonDraining)
 }
 
-// calm reports whether nothing unplanned has disturbed any VM of late.
-func (w *world) calm() bool {
-	for _, m := range w.machines {
-		if !m.calm() {
+// undisturbed reports whether nothing unplanned has disturbed any VM of late.
+func (h *harness) undisturbed() bool {
+	for _, m := range h.machines {
+		if !m.undisturbed() {
 			return false
 		}
 	}
 	return true
 }
 
-// probe looks which configuration is in force at a daemon: it must be there in
+// checkConfigInForce looks which configuration is in force at a daemon: it must be there in
 // time, and never go back within one life of the process.
-func (w *world) probe(ctx context.Context, m *machine) {
+func (h *harness) checkConfigInForce(ctx context.Context, m *machine) {
 	seen, seenLife := 0, 0
 	for i := 0; ctx.Err() == nil; i++ {
-		time.Sleep(probeEvery)
-		if m.away.Load() {
+		time.Sleep(configCheckInterval)
+		if m.replacing.Load() {
 			continue
 		}
-		version, published := w.newest()
-		due := time.Since(published) > configBound && m.calm()
-		life, stopping := m.state()
+		version, published := h.latestConfig()
+		due := time.Since(published) > maxConfigDelay && m.undisturbed()
+		life, stopping := m.incarnationState()
 		attempt := fmt.Sprintf("probe-%s-%d", m.vm.Name, i)
-		w.check.send(attempt, m.service(), false)
-		r, err := m.caller.Send(ctx, fmt.Sprintf("/v%d/x", version), attempt, false, deadline)
-		if after, _ := m.state(); err != nil || stopping || life != after {
+		h.check.recordSent(attempt, m.service(), false)
+		r, err := m.caller.Send(ctx, fmt.Sprintf("/v%d/x", version), attempt, false, requestDeadline)
+		if after, _ := m.incarnationState(); err != nil || stopping || life != after {
 			continue
 		}
-		w.check.answer(attempt, r)
+		h.check.checkResponse(attempt, r)
 		switch {
 		case r.Status == http.StatusNotFound && life == seenLife && seen >= version:
-			w.check.report("back: %s no longer knew version %d", m.vm.Name, version)
-		case r.Status == http.StatusNotFound && due && m.calm() && !w.opts.SafetyOnly:
-			w.check.report("late: %s did not know version %d %s after it was published", m.vm.Name, version, time.Since(published).Round(time.Millisecond))
+			h.check.addViolation("back: %s no longer knew version %d", m.vm.Name, version)
+		case r.Status == http.StatusNotFound && due && m.undisturbed() && !h.opts.SafetyOnly:
+			h.check.addViolation("late: %s did not know version %d %s after it was published", m.vm.Name, version, time.Since(published).Round(time.Millisecond))
 		case r.Status != http.StatusNotFound && r.Status != http.StatusServiceUnavailable:
 			seen, seenLife = version, life
 		}
 	}
 }
 
-// stop stops all daemons at once and expects them to end well in time.
-func (w *world) stop() {
-	for _, m := range w.machines {
-		m.end(syscall.SIGTERM)
+// stopDaemons stops all daemons at once and expects them to end well in time.
+func (h *harness) stopDaemons() {
+	for _, m := range h.machines {
+		m.stopForGood(syscall.SIGTERM)
 	}
-	end := time.After(grace + time.Second)
-	for _, m := range w.machines {
-		if life, stopped := m.state(); stopped && life == 0 {
+	end := time.After(gracePeriod + time.Second)
+	for _, m := range h.machines {
+		if life, stopped := m.incarnationState(); stopped && life == 0 {
 			continue
 		}
 		select {
-		case err := <-m.exits:
-			if err != nil && w.calm() {
-				w.check.report("stop: %s ended with %v", m.vm.Name, err)
+		case err := <-m.exitErr:
+			if err != nil && h.undisturbed() {
+				h.check.addViolation("stop: %s ended with %v", m.vm.Name, err)
 			}
 		case <-end:
-			w.check.report("stop: %s was still there after its grace time", m.vm.Name)
+			h.check.addViolation("stop: %s was still there after its grace time", m.vm.Name)
 			return
 		}
 	}
 }
 
-func (w *world) close() {
-	for _, m := range w.machines {
-		m.end(syscall.SIGKILL)
+func (h *harness) close() {
+	for _, m := range h.machines {
+		m.stopForGood(syscall.SIGKILL)
 		m.close()
 	}
-	if w.server != nil {
-		_ = w.server.Close()
+	if h.server != nil {
+		_ = h.server.Close()
 	}
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"github.com/dottereltiller/dottereltiller/platform/platformtest"
 )
 
-func TestPlanReadsBack(t *testing.T) {
+func TestPlanRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		p := Draw(seed, 5, time.Minute)
 		require.Equal(t, p, Draw(seed, 5, time.Minute), "a seed draws one plan")
@@ -25,13 +25,13 @@
 		require.NoError(t, err)
 		require.Equal(t, p, again)
 		for _, f := range p.Faults {
-			require.LessOrEqual(t, f.At+f.For, p.Length-calmEnd)
-			require.True(t, f.At >= p.Length/plannedPart || planned[f.Kind], "first planned work alone")
+			require.LessOrEqual(t, f.At+f.Duration, p.Length-faultFreeEnd)
+			require.True(t, f.At >= p.Length/plannedOnlyDivisor || plannedKinds[f.Kind], "first planned work alone")
 		}
 	}
 }
 
-func TestBadPlans(t *testing.T) {
+func TestReadRejectsInvalidPlans(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":           "",
 		"no head":         "3000 kill 1 - 100\n",
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestShrink finds the two faults of many that make a plan fail.
-func TestShrink(t *testing.T) {
+// TestShrinkFindsFailingFaults finds the two faults of many that make a plan fail.
+func TestShrinkFindsFailingFaults(t *testing.T) {
 	p := Draw(1, 5, 2*time.Minute)
 	a, b := p.Faults[7], p.Faults[len(p.Faults)-3]
 	has := func(p Plan, f Fault) bool {
@@ -65,8 +65,8 @@
 	require.Equal(t, []Fault{a, b}, got.Faults)
 }
 
-// TestCheckerFinds has each broken promise seen.
-func TestCheckerFinds(t *testing.T) {
+// TestCheckerFindsViolations has each broken promise seen.
+func TestCheckerFindsViolations(t *testing.T) {
 	body, seal := platformtest.ResponseBody("x")
 	good := platformtest.Result{Status: 200, Body: body, Seal: seal, Attempt: "x"}
 	up := &platformtest.Upstream{}
@@ -74,61 +74,71 @@
 		steps func(c *checker)
 		want  string
 	}{
-		"all is well": {func(c *checker) { c.send("x", "a", true); c.RequestStarted(up, "x", "a"); c.answer("x", good) }, ""},
+		"all is well": {func(c *checker) {
+			c.recordSent("x", "a", true)
+			c.RequestStarted(up, "x", "a")
+			c.checkResponse("x", good)
+		}, ""},
 		"idempotent requests may run again": {func(c *checker) {
-			c.send("x", "a", false)
+			c.recordSent("x", "a", false)
 			c.RequestStarted(up, "x", "a")
 			c.RequestStarted(up, "x", "a")
 		}, ""},
 		"ran twice": {func(c *checker) {
-			c.send("x", "a", true)
+			c.recordSent("x", "a", true)
 			c.RequestStarted(up, "x", "a")
 			c.RequestStarted(up, "x", "a")
 		}, "twice"},
 		"nobody asked": {func(c *checker) { c.RequestStarted(up, "x", "a") }, "unasked"},
-		"of another":   {func(c *checker) { c.send("x", "a", true); c.RequestStarted(up, "x", "b") }, "caller"},
+		"of another":   {func(c *checker) { c.recordSent("x", "a", true); c.RequestStarted(up, "x", "b") }, "caller"},
 		"promised, then ran": {func(c *checker) {
-			c.send("x", "a", true)
-			c.answer("x", platformtest.Result{Status: 503, RetryAfter: 1})
+			c.recordSent("x", "a", true)
+			c.checkResponse("x", platformtest.Result{Status: 503, RetryAfter: 1})
 			c.RequestStarted(up, "x", "a")
 		}, "promise"},
 		"ran, then promised": {func(c *checker) {
-			c.send("x", "a", true)
+			c.recordSent("x", "a", true)
 			c.RequestStarted(up, "x", "a")
-			c.answer("x", platformtest.Result{Status: 429})
+			c.checkResponse("x", platformtest.Result{Status: 429})
 		}, "promise"},
 		"half an answer": {func(c *checker) {
-			c.send("x", "a", false)
+			c.recordSent("x", "a", false)
 			c.RequestStarted(up, "x", "a")
 			bad := good
 			bad.Body = body[:4]
-			c.answer("x", bad)
+			c.checkResponse("x", bad)
 		}, "mixed"},
-		"answered, never ran": {func(c *checker) { c.send("x", "a", false); c.answer("x", good) }, "mixed"},
-		"not found":           {func(c *checker) { c.send("x", "a", false); c.answer("x", platformtest.Result{Status: 404}) }, "denied"},
-		"no advice":           {func(c *checker) { c.send("x", "a", false); c.answer("x", platformtest.Result{Status: 503}) }, "advice"},
+		"answered, never ran": {func(c *checker) { c.recordSent("x", "a", false); c.checkResponse("x", good) }, "mixed"},
+		"not found": {func(c *checker) {
+			c.recordSent("x", "a", false)
+			c.checkResponse("x", platformtest.Result{Status: 404})
+		}, "denied"},
+		"no advice": {func(c *checker) {
+			c.recordSent("x", "a", false)
+			c.checkResponse("x", platformtest.Result{Status: 503})
+		}, "advice"},
 		"after its drain": {func(c *checker) {
-			c.send("x", "a", false)
-			c.drained[up.Incarnation()] = time.Now().Add(-2 * drainBound)
+			c.recordSent("x", "a", false)
+			c.drainedAt[up.Incarnation()] = time.Now().Add(-2 * drainAllowance)
 			c.RequestStarted(up, "x", "a")
 		}, "drain"},
 		"repeats beyond the budget": {func(c *checker) {
-			c.send("x", "a", false)
-			for range int(budgetSlack) + 3 {
+			c.recordSent("x", "a", false)
+			for range int(retryBudgetSlack) + 3 {
 				c.RequestStarted(up, "x", "a")
 			}
-			c.budget()
+			c.checkRetryBudget()
 		}, "budget"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ck := newChecker()
 			c.steps(ck)
 			if c.want == "" {
-				require.Empty(t, ck.found())
+				require.Empty(t, ck.allViolations())
 				return
 			}
-			require.NotEmpty(t, ck.found())
-			require.Contains(t, ck.found()[0], c.want+":")
+			require.NotEmpty(t, ck.allViolations())
+			require.Contains(t, ck.allViolations()[0], c.want+":")
 		})
 	}
 }
@@ -164,23 +174,23 @@
 	}
 }
 
-// TestCrashesAreCountedWhereTimeIsNot judges a request that goes on crashing upstreams by
+// TestCheckerBoundsCrashesWithSafetyOnly judges a request that goes on crashing upstreams by
 // their number where the machine may be slow.
-func TestCrashesAreCountedWhereTimeIsNot(t *testing.T) {
-	for runs, want := range map[int]int{mostCrashes: 0, mostCrashes + 1: 1, mostCrashes + 5: 1} {
+func TestCheckerBoundsCrashesWithSafetyOnly(t *testing.T) {
+	for runs, want := range map[int]int{maxCrashes: 0, maxCrashes + 1: 1, maxCrashes + 5: 1} {
 		c := newChecker()
-		c.untimed = true
+		c.safetyOnly = true
 		for range runs {
-			c.send("p", "a", false)
-			c.sendPoison("p", "key", func() bool { return true })
-			c.requests["p"].at = time.Now().Add(time.Hour)
-			c.crash(c.requests["p"])
+			c.recordSent("p", "a", false)
+			c.recordPoison("p", "key", func() bool { return true })
+			c.requests["p"].sentAt = time.Now().Add(time.Hour)
+			c.recordCrash(c.requests["p"])
 		}
-		require.Len(t, c.found(), want, runs)
-		c.forgotten()
-		for range mostCrashes {
-			c.crash(c.requests["p"])
+		require.Len(t, c.allViolations(), want, runs)
+		c.resetCrashCounts()
+		for range maxCrashes {
+			c.recordCrash(c.requests["p"])
 		}
-		require.Len(t, c.found(), want, "as many again after all daemons were killed")
+		require.Len(t, c.allViolations(), want, "as many again after all daemons were killed")
 	}
 }
--- a/soak/start_test.go
+++ b/soak/start_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHangupBeforeAProgramCatchesIt guards against a reload ending a daemon that has just
+// TestHangupBeforeHandlerIsInstalled guards against a reload ending a daemon that has just
 // been started again, and against first starts hiding one that never catches the signal.
-func TestHangupBeforeAProgramCatchesIt(t *testing.T) {
+func TestHangupBeforeHandlerIsInstalled(t *testing.T) {
 	if signal.Ignored(syscall.SIGHUP) {
 		t.Skip("the test itself was started with SIGHUP ignored")
 	}
@@ -20,9 +20,9 @@
 		start func(*exec.Cmd) error
 		ends  syscall.Signal
 	}{
-		{"first", startFirst, syscall.SIGHUP},
-		{"again", startAgain, syscall.SIGTERM},
-		{"first after that", startFirst, syscall.SIGHUP},
+		{"first", startDefault, syscall.SIGHUP},
+		{"again", startIgnoringHangup, syscall.SIGTERM},
+		{"first after that", startDefault, syscall.SIGHUP},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const starts = 20
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -19,41 +19,41 @@
 	// vm changes its service when the VM is replaced.
 	vm platformtest.VM
 	// group is that of its services.
-	group    int
-	binary   string
-	settings string
-	check    *checker
-	log      *os.File
-	upstream *platformtest.Upstream
-	peers    *link
-	app      *link
-	store    *link
-	caller   platformtest.Caller
+	group         int
+	binary        string
+	settings      string
+	check         *checker
+	log           *os.File
+	upstream      *platformtest.Upstream
+	peerProxy     *proxy
+	upstreamProxy *proxy
+	storeProxy    *proxy
+	caller        platformtest.Caller
 
-	// away is set while the VM is being replaced: it has no callers.
-	away atomic.Bool
+	// replacing is set while the VM is being replaced: it has no callers.
+	replacing atomic.Bool
 
 	mu sync.Mutex
 	// process is nil between an end and the next start.
-	process *exec.Cmd
-	life    int
+	process     *exec.Cmd
+	incarnation int
 	// stopping is set from a signal to stop until the process has ended.
 	stopping bool
 	// stoppedAt is when the last signal to stop was sent.
 	stoppedAt time.Time
-	// started is when the process was started.
-	started time.Time
+	// startedTime is when the process was started.
+	startedTime time.Time
 	// killed is set once the process has been killed.
 	killed bool
-	// ended is set once no further process is to be started.
-	ended bool
-	exits chan error
-	// disturbed is until when something unplanned disturbed the VM.
-	disturbed time.Time
+	// noRestart is set once no further process is to be started.
+	noRestart bool
+	exitErr   chan error
+	// disturbedUntil is until when something unplanned disturbed the VM.
+	disturbedUntil time.Time
 }
 
-// restartAfter is the pause between the end of a process and the next start.
-const restartAfter = 300 * time.Millisecond
+// restartDelay is the pause between the end of a process and the next start.
+const restartDelay = 300 * time.Millisecond
 
 // The ports of a VM, and those of the proxies before them.
 const (
@@ -66,11 +66,11 @@
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zones = 3
 	group := number % groups
-	m := &machine{group: group, check: check, binary: binary, exits: make(chan error, 1), vm: platformtest.VM{
+	m := &machine{group: group, check: check, binary: binary, exitErr: make(chan error, 1), vm: platformtest.VM{
 		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groups%zones), Service: serviceOf(group, number/groups%2),
 		Outbound: at(portOutbound), Ready: at(portReady), Control: at(portControl), Upstream: at(proxyUpstream), Store: at(proxyStore),
 		InternalPort: portInternal, Advertised: at(proxyPeers), Bootstrap: true,
-		GraceS: grace.Seconds(), RetryBudgetRatio: budgetRatio, RetryBudgetSlack: budgetSlack, RetryBudgetWindowS: budgetSpan.Seconds(),
+		GraceS: gracePeriod.Seconds(), RetryBudgetRatio: retryBudgetRatio, RetryBudgetSlack: retryBudgetSlack, RetryBudgetWindowS: retryBudgetWindow.Seconds(),
 	}}
 	m.settings = filepath.Join(dir, m.vm.Name+".yaml")
 	var err error
@@ -78,14 +78,14 @@
 		return nil, err
 	}
 	for _, l := range []struct {
-		to            **link
+		to            **proxy
 		address, real string
 	}{
-		{&m.peers, at(proxyPeers), at(portInternal)},
-		{&m.app, at(proxyUpstream), at(portUpstream)},
-		{&m.store, at(proxyStore), store},
+		{&m.peerProxy, at(proxyPeers), at(portInternal)},
+		{&m.upstreamProxy, at(proxyUpstream), at(portUpstream)},
+		{&m.storeProxy, at(proxyStore), store},
 	} {
-		if *l.to, err = newLink(l.address, l.real); err != nil {
+		if *l.to, err = newProxy(l.address, l.real); err != nil {
 			return nil, err
 		}
 	}
@@ -97,10 +97,10 @@
 	return m, nil
 }
 
-// groups returns into how many groups the VMs fall. Each has two services, and its
+// groupCount returns into how many groups the VMs fall. Each has two services, and its
 // callers call the first of them. Were all of a hundred VMs to call each other, the
 // connections through the proxies, two files each, would exceed 20,000 files.
-func groups(vms int) int {
+func groupCount(vms int) int {
 	const most = 48
 	return (vms + most - 1) / most
 }
@@ -113,9 +113,9 @@
 	m.mu.Lock()
 	text, service := m.vm.Settings(), m.vm.Service
 	m.vm.Bootstrap = false
-	startProgram := startAgain
-	if m.life == 0 {
-		startProgram = startFirst
+	startProgram := startIgnoringHangup
+	if m.incarnation == 0 {
+		startProgram = startDefault
 	}
 	m.mu.Unlock()
 	if err := os.WriteFile(m.settings, []byte(text), 0o600); err != nil {
@@ -128,37 +128,37 @@
 		return err
 	}
 	m.mu.Lock()
-	m.process, m.stopping, m.killed, m.started = cmd, false, false, time.Now()
-	m.life++
+	m.process, m.stopping, m.killed, m.startedTime = cmd, false, false, time.Now()
+	m.incarnation++
 	if m.vm.Service != service {
 		// The VM was replaced meanwhile; the next start takes the new settings.
 		m.killed = true
 		_ = cmd.Process.Kill()
 	}
 	m.mu.Unlock()
-	go m.await(cmd)
+	go m.awaitExit(cmd)
 	return nil
 }
 
-func (m *machine) await(cmd *exec.Cmd) {
+func (m *machine) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	m.mu.Lock()
 	m.process = nil
-	ended, told := m.ended, m.stopping || m.killed
+	ended, told := m.noRestart, m.stopping || m.killed
 	m.mu.Unlock()
 	if !ended && !told {
-		m.check.report("ended: %s ended though nothing told it to: %v", m.vm.Name, err)
+		m.check.addViolation("ended: %s ended though nothing told it to: %v", m.vm.Name, err)
 	}
 	if ended {
-		m.exits <- err
+		m.exitErr <- err
 		return
 	}
-	time.Sleep(restartAfter)
+	time.Sleep(restartDelay)
 	m.mu.Lock()
-	ended = m.ended
+	ended = m.noRestart
 	m.mu.Unlock()
 	if ended || m.start() != nil {
-		m.exits <- err
+		m.exitErr <- err
 	}
 }
 
@@ -166,7 +166,7 @@
 func (m *machine) startedAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.started
+	return m.startedTime
 }
 
 // metricsURL is where the daemon serves its figures.
@@ -181,8 +181,8 @@
 	return m.vm.Service
 }
 
-// move has the next daemon and the next upstream belong to another service.
-func (m *machine) move(service string) {
+// changeService has the next daemon and the next upstream belong to another service.
+func (m *machine) changeService(service string) {
 	m.mu.Lock()
 	m.vm.Service = service
 	m.mu.Unlock()
@@ -203,49 +203,49 @@
 	_ = m.process.Process.Signal(s)
 }
 
-// state returns which life the process is in and whether it is stopping.
-func (m *machine) state() (life int, stopping bool) {
+// incarnationState returns which life the process is in and whether it is stopping.
+func (m *machine) incarnationState() (life int, stopping bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.life, m.stopping || m.process == nil
+	return m.incarnation, m.stopping || m.process == nil
 }
 
 const (
-	// stopTakes is how long after a signal to stop a request may come that runs until
-	// the process ends, and lastOfGrace the part of its grace time in which it is still
+	// maxArrivalAfterStop is how long after a signal to stop a request may come that runs until
+	// the process ends, and graceTailDivisor the part of its grace time in which it is still
 	// running then.
-	stopTakes   = 3 * time.Second
-	lastOfGrace = 6
+	maxArrivalAfterStop = 3 * time.Second
+	graceTailDivisor    = 6
 )
 
-// outran reports whether a request that was sent at a time, and ends now, ran until the
+// ranUntilGraceEnd reports whether a request that was sent at a time, and ends now, ran until the
 // end of the grace time of a planned stop: nothing could have waited for it.
-func (m *machine) outran(sent time.Time) bool {
+func (m *machine) ranUntilGraceEnd(sent time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.stoppedAt.IsZero() && sent.Sub(m.stoppedAt) <= stopTakes && time.Since(m.stoppedAt) >= grace-grace/lastOfGrace
+	return !m.stoppedAt.IsZero() && sent.Sub(m.stoppedAt) <= maxArrivalAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
 }
 
 // disturb notes that something unplanned goes on for a time.
 func (m *machine) disturb(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if until := time.Now().Add(d); until.After(m.disturbed) {
-		m.disturbed = until
+	if until := time.Now().Add(d); until.After(m.disturbedUntil) {
+		m.disturbedUntil = until
 	}
 }
 
-// calm reports whether nothing unplanned has disturbed the VM of late.
-func (m *machine) calm() bool {
+// undisturbed reports whether nothing unplanned has disturbed the VM of late.
+func (m *machine) undisturbed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.disturbed) > calmFor
+	return time.Since(m.disturbedUntil) > quietPeriod
 }
 
-// end has no further process started, and stops the one there is.
-func (m *machine) end(s syscall.Signal) {
+// stopForGood has no further process started, and stops the one there is.
+func (m *machine) stopForGood(s syscall.Signal) {
 	m.mu.Lock()
-	m.ended = true
+	m.noRestart = true
 	none := m.process == nil
 	m.mu.Unlock()
 	if none {
@@ -257,7 +257,7 @@
 
 func (m *machine) close() {
 	m.upstream.Crash()
-	for _, l := range []*link{m.peers, m.app, m.store} {
+	for _, l := range []*proxy{m.peerProxy, m.upstreamProxy, m.storeProxy} {
 		if l != nil {
 			l.close()
 		}
