--- a/soak/check.go
+++ b/soak/check.go
@@ -10,36 +10,40 @@
 )
 
 const (
-	// drainAllowance is how long after an acknowledged drain a request may still come.
+	// drainAllowance is how long after an acknowledged drain a request may still start.
 	drainAllowance = 2 * time.Second
-	// maxConfigDelay is how long after it was published a configuration may take.
+	// maxConfigDelay is how long after its publication a configuration may take to be in
+	// force at a daemon.
 	maxConfigDelay = 2 * time.Second
-	// quietPeriod is how long nothing must have disturbed a VM for bounds to hold.
+	// quietPeriod is how long a VM must have been without unplanned faults before time
+	// bounds are checked.
 	quietPeriod = 3 * time.Second
-	// retryBudgetWindow, retryBudgetRatio and retryBudgetSlack bound re-sends.
+	// Within retryBudgetWindow, retries may not exceed retryBudgetRatio of the requests
+	// plus retryBudgetSlack.
 	retryBudgetWindow = 10 * time.Second
 	retryBudgetRatio  = 0.2
 	retryBudgetSlack  = 40.0
-	// maxViolations bounds those that are kept.
+	// maxViolations bounds the violations that are recorded.
 	maxViolations = 20
 )
 
-// requestRecord is what is known of one request of a caller.
+// requestRecord is the history of one request of a caller.
 type requestRecord struct {
 	sentAt          time.Time
 	unsafe          bool
 	service         string
 	executions      int
 	toldNotExecuted bool
-	// crashKey names a request that crashes upstreams, calm tells whether its daemon
-	// is undisturbed.
-	crashKey    string
+	// crashKey identifies a request that crashes upstreams; it is empty for all others.
+	crashKey string
+	// undisturbed reports whether the VM of the request's daemon has been without
+	// unplanned faults for quietPeriod. It is set together with crashKey.
 	undisturbed func() bool
 }
 
-// checker holds what callers and upstreams see to the promises.
+// checker checks what callers and upstreams observe against the guarantees of the system.
 type checker struct {
-	// safetyOnly leaves out what depends on how fast the machine is.
+	// safetyOnly skips the checks that depend on the speed of the machine.
 	safetyOnly bool
 
 	mu          sync.Mutex
@@ -51,21 +55,24 @@
 	violations  []string
 }
 
-// crashCount are the runs of a request that crashes upstreams.
+// crashCount counts the crashes caused by one request.
 type crashCount struct {
-	total       int
+	total int
+	// thresholdAt is when the crash number quarantineThreshold happened.
 	thresholdAt time.Time
-	late        int
+	// late counts the crashes that the quarantine should have prevented.
+	late int
 }
 
 const (
-	// quarantineThreshold must be known everywhere quietPeriod later, and maxLateCrashes may
-	// follow then.
+	// quarantineThreshold is the number of crashes after which a request must be
+	// quarantined at every daemon within quietPeriod. Later attempts of the request may
+	// cause at most maxLateCrashes.
 	quarantineThreshold = 3
 	maxLateCrashes      = 3
 	poisonAttemptPrefix = "poison-"
-	// maxCrashes bounds the upstreams that one request crashes, however slow the
-	// machine is: 8 to 10 at a load average of 90 on 8 cores, and 21 to 23 without a
+	// maxCrashes bounds the crashes caused by one request on a machine of any speed. At a
+	// load average of 90 on 8 cores there are 8 to 10 crashes, and 21 to 23 without a
 	// quarantine.
 	maxCrashes = 16
 )
@@ -80,21 +87,21 @@
 	}
 }
 
-// addViolation notes a violation found elsewhere.
+// addViolation records a violation found outside the checker.
 func (c *checker) addViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addViolationLocked(format, args...)
 }
 
-// allViolations returns the violations.
+// allViolations returns the recorded violations.
 func (c *checker) allViolations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...)
 }
 
-// recordSent notes a request that is about to be sent.
+// recordSent records a request that is about to be sent.
 func (c *checker) recordSent(attempt, service string, unsafe bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,31 +116,32 @@
 	defer c.mu.Unlock()
 	s := c.requests[attempt]
 	if s == nil {
-		c.addViolationLocked("unasked: %s ran at %s, which nobody sent", attempt, u.ID())
+		c.addViolationLocked("unasked: %s ran at %s and was never sent", attempt, u.ID())
 		return
 	}
 	s.executions++
 	switch {
 	case s.executions > 1 && s.unsafe:
-		c.addViolationLocked("twice: %s ran %d times, the last at %s", attempt, s.executions, u.ID())
+		c.addViolationLocked("twice: non-idempotent request %s ran %d times, the last time at %s", attempt, s.executions, u.ID())
 	case s.executions > 1:
 		c.repeatTimes = append(c.repeatTimes, time.Now())
 	}
 	if s.toldNotExecuted && s.unsafe {
-		c.addViolationLocked("promise: %s ran at %s after its caller was told that it never would", attempt, u.ID())
+		c.addViolationLocked("promise: %s ran at %s after its caller was told that it was not executed", attempt, u.ID())
 	}
 	if s.crashKey != "" {
 		c.recordCrash(s)
 	}
 	if caller != s.service {
-		c.addViolationLocked("caller: %s came from %s and ran as of %s", attempt, s.service, caller)
+		c.addViolationLocked("caller: %s was sent by service %s and reached the upstream as sent by %s", attempt, s.service, caller)
 	}
 	if at, ok := c.drainedAt[u.Incarnation()]; ok && time.Since(at) > drainAllowance {
-		c.addViolationLocked("drain: %s ran at %s %s after its leaving was acknowledged", attempt, u.ID(), time.Since(at).Round(time.Millisecond))
+		c.addViolationLocked("drain: %s ran at %s %s after the drain was acknowledged", attempt, u.ID(), time.Since(at).Round(time.Millisecond))
 	}
 }
 
-// recordPoison notes that a request crashes upstreams.
+// recordPoison records that a request crashes upstreams. Attempts with the same key are
+// attempts of one request.
 func (c *checker) recordPoison(attempt, key string, calm func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +151,7 @@
 	}
 }
 
-// recordCrash notes that a request crashes the upstream that runs it. c.mu is held.
+// recordCrash counts one crash caused by a request and checks the bounds. c.mu is held.
 func (c *checker) recordCrash(s *requestRecord) {
 	k := c.crashes[s.crashKey]
 	k.total++
@@ -158,13 +166,13 @@
 		k.thresholdAt = time.Now()
 	case k.total > quarantineThreshold && s.sentAt.Sub(k.thresholdAt) > quietPeriod && s.undisturbed():
 		if k.late++; k.late == maxLateCrashes+1 {
-			c.addViolationLocked("poison: a request went on crashing upstreams %s after its third crash, %d in all", s.sentAt.Sub(k.thresholdAt).Round(time.Millisecond), k.total)
+			c.addViolationLocked("poison: a request still crashed upstreams %s after its third crash, %d crashes in total", s.sentAt.Sub(k.thresholdAt).Round(time.Millisecond), k.total)
 		}
 	}
 }
 
-// resetCrashCounts notes that all daemons were killed at once. What they knew of requests that crash
-// upstreams was in their memory only, so the number of crashes is bounded from here on anew.
+// resetCrashCounts restarts the counts that are bounded by maxCrashes. It is called when all
+// daemons are killed at once: they keep the quarantine in memory only, so it is lost.
 func (c *checker) resetCrashCounts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,15 +184,15 @@
 	}
 }
 
-// recordDrain notes that the leaving of an incarnation was acknowledged. Another one may
-// have its id.
-func (c *checker) recordDrain(id string) {
+// recordDrain records that the drain of an upstream's incarnation was acknowledged. Drains
+// are recorded by incarnation because a later incarnation may have the same upstream id.
+func (c *checker) recordDrain(incarnation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drainedAt[id] = time.Now()
+	c.drainedAt[incarnation] = time.Now()
 }
 
-// wasExecuted reports whether a request has run.
+// wasExecuted reports whether a request has run at least once.
 func (c *checker) wasExecuted(attempt string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +200,7 @@
 	return s != nil && s.executions > 0
 }
 
-// checkResponse holds an answer to the request that it was given to.
+// checkResponse checks the response to an attempt.
 func (c *checker) checkResponse(attempt string, r platformtest.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,25 +209,26 @@
 	switch {
 	case r.Status >= 200 && r.Status < 300:
 		if r.Body != body || r.Seal != seal || r.Attempt != attempt {
-			c.addViolationLocked("mixed: %s got %q with seal %q of %q", attempt, r.Body, r.Seal, r.Attempt)
+			c.addViolationLocked("mixed: %s received the body %q with seal %q of attempt %q", attempt, r.Body, r.Seal, r.Attempt)
 		}
 		if s.executions == 0 {
-			c.addViolationLocked("mixed: %s was answered and never ran", attempt)
+			c.addViolationLocked("mixed: %s was answered but never ran", attempt)
 		}
 	case r.NotExecuted():
 		s.toldNotExecuted = true
 		if s.unsafe && s.executions > 0 {
-			c.addViolationLocked("promise: %s was told %d though it ran", attempt, r.Status)
+			c.addViolationLocked("promise: %s got status %d (not executed) although it ran", attempt, r.Status)
 		}
 		if r.Status == 503 && r.RetryAfter <= 0 {
-			c.addViolationLocked("advice: %s was told 503 without a time to come back", attempt)
+			c.addViolationLocked("advice: %s got status 503 without Retry-After", attempt)
 		}
 	case r.Status == 404 && !strings.Contains(attempt, "probe"):
-		c.addViolationLocked("denied: %s got 404 for a route that was always there", attempt)
+		c.addViolationLocked("denied: %s got status 404 for a route that always exists", attempt)
 	}
 }
 
-// checkRetryBudget holds the repeats of every span to the budget.
+// checkRetryBudget checks that the repeated executions in every window stay within the
+// retry budget.
 func (c *checker) checkRetryBudget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,7 +245,7 @@
 			}
 		}
 		if repeats > retryBudgetRatio*requests+retryBudgetSlack {
-			c.addViolationLocked("budget: %.0f repeats for %.0f requests in a span", repeats, requests)
+			c.addViolationLocked("budget: %.0f repeated executions for %.0f requests in one window", repeats, requests)
 			return
 		}
 	}
--- a/soak/controltraffic.go
+++ b/soak/controltraffic.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	// maxQuarantineBytesPerSecond bounds what a daemon sends to others of requests that may crash
-	// upstreams, in bytes a second: all that control may take in a deployment of 1,700
-	// daemons. maxQuarantineBurstBytes, in bytes, lets short lives begin with a comparison.
+	// maxQuarantineBytesPerSecond bounds the quarantine records (of suspected requests) that
+	// a daemon sends to its peers. It is the whole limit of control traffic of a daemon in a
+	// deployment of 1,700 daemons. maxQuarantineBurstBytes allows daemons that ran only for
+	// a short time an anti-entropy exchange at the start.
 	maxQuarantineBytesPerSecond = 19_000.0
 	maxQuarantineBurstBytes     = 12 * 1400.0
 )
 
-// checkControlTraffic holds the daemons' own count of what they sent to the bound.
+// checkControlTraffic checks the bytes of quarantine records that the daemons report as sent
+// in their metrics.
 func (h *harness) checkControlTraffic(ctx context.Context) {
 	for _, m := range h.machines {
 		sent, err := readCounter(ctx, m.metricsURL(), "dottereltiller_control_bytes", `direction="sent"`, `kind="suspects"`)
@@ -23,7 +25,7 @@
 		}
 		up := time.Since(m.startedAt())
 		if sent > maxQuarantineBurstBytes+maxQuarantineBytesPerSecond*up.Seconds() {
-			h.check.addViolation("control: %s sent %.0f bytes about suspects in %s", m.vm.Name, sent, up.Round(time.Second))
+			h.check.addViolation("control: %s sent %.0f bytes of quarantine records in %s", m.vm.Name, sent, up.Round(time.Second))
 		}
 	}
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,10 +1,12 @@
-// Package soak runs real daemons as separate processes on loopback addresses and
-// injects faults from outside them, drawn from a seed, while callers send requests
-// and what callers and upstreams see is held to the promises.
+// Package soak is a randomized fault injection test. It runs real daemons as separate
+// processes on loopback addresses and injects faults from outside the processes, drawn
+// from a seed, while callers send requests. A checker compares what callers and upstreams
+// observe with the guarantees of the system and records violations.
 //
-// A Plan is a list of faults with their times; it can be printed, played again and
-// shrunk to the faults that matter. Around each daemon stand a stand-in upstream, a
-// stand-in store shared by all, and a proxy in front of each of its addresses that
-// can delay, reset, silence or trickle what passes. Processes are stopped, paused,
-// killed and told to reload by signals, and are started again when they end.
+// A Plan is a list of faults with their times. It can be printed, replayed and shrunk to
+// the faults that cause a violation. Each daemon has a stand-in upstream; all daemons
+// share a stand-in store. A fault-injecting proxy in front of the daemon's peer address,
+// the upstream and the store can delay, reset, drop or slow down traffic. Processes
+// are stopped, paused, killed and told to reload by signals, and are restarted when they
+// exit.
 package soak
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -20,21 +20,22 @@
 	"slow": platformtest.StoreSlow, "lost": platformtest.StoreLosesReplies, "late": platformtest.StoreAppendsLate,
 }
 
-// partialFailureShare is the share of requests that a failing upstream fails.
+// partialFailureShare is the share of requests that fail at a single faulty upstream.
 const partialFailureShare = 0.4
 
-// plannedKinds kinds are no excuse for a lost request.
+// plannedKinds are the faults that operators cause on purpose. They must not lose requests.
 var plannedKinds = map[string]bool{kindTerm: true, kindReload: true, kindConfig: true, kindDrain: true, kindInvalidRecords: true}
 
-// inject plays one fault and undoes it when its time is over.
+// inject injects one fault and removes it after the duration of the fault.
 func (h *harness) inject(f Fault) {
 	var m *machine
 	if f.VM > 0 {
 		m = h.machines[f.VM-1]
 	}
 	if !plannedKinds[f.Kind] {
-		// A kill is over once the process is back, links and upstreams once the
-		// fault is undone; whoever deals with this VM is disturbed as well.
+		// A kill affects the VM until its process has restarted, a fault of a proxy or
+		// an upstream until the fault is removed. All other VMs exchange messages and
+		// requests with the faulty VM, so they are disturbed as well.
 		for _, x := range h.machines {
 			x.disturb(f.Duration + restartAllowance)
 		}
@@ -82,7 +83,7 @@
 	}
 }
 
-// restartAllowance covers the start of a process after a fault.
+// restartAllowance is the time that a process needs to start after a fault.
 const restartAllowance = 2 * time.Second
 
 func (h *harness) withProxyMode(l *proxy, f Fault) {
@@ -104,8 +105,8 @@
 	h.store.Fail(platformtest.StoreHealthy)
 }
 
-// injectUpstreamFault makes an upstream fail some of its requests, or all of them all if
-// the fault names none.
+// injectUpstreamFault makes one upstream fail partialFailureShare of its requests. If the
+// fault names no VM, m is nil and all upstreams fail all requests.
 func (h *harness) injectUpstreamFault(m *machine, f Fault) {
 	share, which := partialFailureShare, []*machine{m}
 	if m == nil {
@@ -120,7 +121,7 @@
 	}
 }
 
-// crashUpstream crashes an upstream and starts it again.
+// crashUpstream crashes an upstream and restarts it.
 func (h *harness) crashUpstream(m *machine, f Fault) {
 	id := m.upstream.ID()
 	m.upstream.Crash()
@@ -131,25 +132,26 @@
 	_ = m.upstream.Start(id)
 }
 
-// drainUpstream has an upstream leave as planned, and another take its place.
+// drainUpstream drains an upstream and then replaces it by a new one.
 func (h *harness) drainUpstream(m *machine, f Fault) {
-	life := m.upstream.Incarnation()
+	incarnation := m.upstream.Incarnation()
 	if m.upstream.Drain() {
-		h.check.recordDrain(life)
+		h.check.recordDrain(incarnation)
 	}
 	time.Sleep(drainAllowance + f.Duration)
-	if m.upstream.Incarnation() != life {
+	if m.upstream.Incarnation() != incarnation {
 		return
 	}
 	m.upstream.Crash()
 	_ = m.upstream.Start(h.newUpstreamID(f.VM))
 }
 
-// callerStopDelay is how long before a VM is replaced its callers send nothing more.
+// callerStopDelay is the time between the end of a VM's own calls and its replacement.
 const callerStopDelay = 200 * time.Millisecond
 
-// replaceVM ends a VM and starts another one of the group's other service under its
-// address. Connections to the old one break, or go silent if it falls dark.
+// replaceVM kills a VM and starts a new one under the same address, which belongs to the
+// other service of the group. Connections to the old VM break. In mode dark the network
+// drops their traffic instead, so that peers see no connection error.
 func (h *harness) replaceVM(m *machine, f Fault) {
 	if !m.replacing.CompareAndSwap(false, true) {
 		return
@@ -168,8 +170,8 @@
 	time.Sleep(restartAllowance)
 }
 
-// otherService returns the service of the VM's group that it does not belong to, or its
-// own where too few would be left of that.
+// otherService returns the service of the VM's group to which the VM does not belong, or the
+// current service of the VM if fewer than minVMsPerService other VMs would remain in it.
 func (h *harness) otherService(m *machine) string {
 	own, left := m.service(), 0
 	for _, x := range h.machines {
@@ -187,11 +189,11 @@
 	}
 }
 
-// minVMsPerService VMs of a service are left when one goes to the other: with fewer there
-// would be no room for the callers of eight VMs.
+// minVMsPerService VMs of a service must remain when a VM changes to the other service:
+// fewer would not have enough capacity for the callers of eight VMs.
 const minVMsPerService = 3
 
-// poisonInterval is the time between two sends of a request that crashes upstreams.
+// poisonInterval is the time between two attempts of a request that crashes upstreams.
 const poisonInterval = 300 * time.Millisecond
 
 // sendPoison sends a request that crashes upstreams to one daemon after another, until
--- a/soak/metrics.go
+++ b/soak/metrics.go
@@ -10,6 +10,7 @@
 	"strings"
 )
 
+// isReady reports whether the daemon of a VM reports itself ready.
 func isReady(ctx context.Context, m *machine) bool {
 	body, err := getPage(ctx, m.vm.ReadyURL())
 	if err != nil {
@@ -19,7 +20,7 @@
 	return true
 }
 
-// getPage returns the body of a page, which is to be closed. Any status but 200 is an error.
+// getPage returns the body of a page; the caller closes it. Any status but 200 is an error.
 func getPage(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -31,12 +32,12 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, fmt.Errorf("%s: answered %d", url, resp.StatusCode)
+		return nil, fmt.Errorf("%s: status %d", url, resp.StatusCode)
 	}
 	return resp.Body, nil
 }
 
-// readCounter reads one counter in the Prometheus text format. It is 0 where there is none.
+// readCounter fetches a metrics page and returns the value of a counter as findCounter does.
 func readCounter(ctx context.Context, url, name string, labels ...string) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestDeadline)
 	defer cancel()
@@ -48,6 +49,8 @@
 	return findCounter(body, name, labels)
 }
 
+// findCounter returns the value of the first series with the name and all labels in the
+// Prometheus text format, or 0 if there is none.
 func findCounter(r io.Reader, name string, labels []string) (float64, error) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
--- a/soak/metrics_test.go
+++ b/soak/metrics_test.go
@@ -17,10 +17,10 @@
 		labels []string
 		want   float64
 	}{
-		"one of two": {[]string{`direction="sent"`, `kind="b"`}, 3500},
-		"another":    {[]string{`kind="a"`}, 2},
-		"not there":  {[]string{`kind="c"`}, 0},
-		"no labels":  {nil, 2},
+		"second series": {[]string{`direction="sent"`, `kind="b"`}, 3500},
+		"first series":  {[]string{`kind="a"`}, 2},
+		"no match":      {[]string{`kind="c"`}, 0},
+		"no labels":     {nil, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := findCounter(strings.NewReader(text), "x", c.labels)
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -15,18 +15,17 @@
 	"github.com/dottereltiller/dottereltiller/edits"
 )
 
-// mutant is the daemon with a deliberate fault. It shows that the checks see what
-// they are for.
+// mutant is the daemon with a deliberate bug that the checker must find (mutation testing).
 type mutant struct {
-	// edits replace text of source files; each must be there exactly once.
+	// edits replace text of source files. The old text must occur exactly once.
 	edits []edits.Edit
-	// plan is drawn by nobody: it holds the faults under which the mutant fails.
+	// plan is written by hand and holds the faults under which the bug shows.
 	plan string
-	// wantViolation begins the violation.
+	// wantViolation is the kind of violation, the text before its colon.
 	wantViolation string
 }
 
-// Plans in which a kind of fault comes again and again.
+// Plans that repeat one kind of fault.
 const (
 	planHeader           = "soak 950 8 30000\n"
 	planDrains           = planHeader + "3000 drain 1 - 300\n3500 drain 2 - 300\n4000 drain 3 - 300\n9000 drain 4 - 300\n"
@@ -46,38 +45,38 @@
 )
 
 var mutants = map[string]mutant{
-	"drained upstreams get requests": {
+	"drained upstreams receive requests": {
 		edits: []edits.Edit{edits.New("platform/reports.go", `"draining": lifecycle.Draining}`, `"draining": lifecycle.Ready}`)},
 		plan:  planDrains, wantViolation: "drain",
 	},
-	"answers that belong to nobody are taken": {
+	"responses to other requests are accepted": {
 		edits: []edits.Edit{
 			edits.New("hop/pool.go", "|| l.strayed || l.reader.Buffered() > 0", ""),
 			edits.New("sidecar/run.go", "return r.ID == c.ID || r.ID == \"\" && (r.NotRun || r.Misdirected)", "return r.ID != \"\" || c.ID != \"\""),
 		},
 		plan: planDoubledResponses, wantViolation: "mixed",
 	},
-	"an unknown end is followed by another send": {
+	"non-idempotent requests are retried after an unknown outcome": {
 		edits: []edits.Edit{edits.New("sidecar/forward.go", "if a.Outcome.Kind == outcome.Unknown && !r.request.route.Idempotent {", "if a.Outcome.Kind > outcome.Unknown+9 {")},
 		plan:  planLostResponses, wantViolation: "twice",
 	},
-	"a lost run counts as not run": {
+	"a lost response counts as not executed": {
 		edits: []edits.Edit{edits.New("sidecar/run.go", "case !lost.Sent:", "case lost != nil:")},
 		plan:  planLostResponses, wantViolation: "twice",
 	},
-	"re-sends know no budget": {
+	"retries have no budget": {
 		edits: []edits.Edit{edits.New("sidecar/retries.go", "	if !s.retryLimiter.take(now, 1, daemons, started) {\n		return nil\n	}\n", "	if daemons > 0 {\n		return &retryCharge{service: s}\n	}\n")},
 		plan:  planUpstreamErrors, wantViolation: "budget",
 	},
-	"a stop cuts what runs": {
+	"a stop aborts executing requests": {
 		edits: []edits.Edit{edits.New("sidecar/daemon.go", "drainEnd := deadline.Add(-graceMargin)", "drainEnd := began")},
 		plan:  planStops, wantViolation: "lost",
 	},
-	"connections of requests in hand are closed": {
+	"connections of requests in flight are closed": {
 		edits: []edits.Edit{edits.New("sidecar/entry.go", "	e.respond(w, req, e.forward(req))\n", "	a := e.forward(req)\n	if req.id[len(req.id)-1] == '7' {\n		panic(http.ErrAbortHandler)\n	}\n	e.respond(w, req, a)\n")},
 		plan:  planReloads, wantViolation: "unanswered",
 	},
-	"answers that break off are delivered": {
+	"truncated responses are delivered": {
 		edits: []edits.Edit{edits.New("hop/exchange.go", "if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxReply+1)); err != nil {\n		return nil, err\n	}", "_, _ = io.Copy(&buf, io.LimitReader(resp.Body, maxReply+1))")},
 		plan:  planCutResponses, wantViolation: "mixed",
 	},
@@ -92,33 +91,33 @@
 		},
 		plan: planReloads, wantViolation: "ended",
 	},
-	"a refusal tells no time to come back": {
+	"a refusal has no Retry-After value": {
 		edits: []edits.Edit{edits.New("sidecar/entry.go", "if result.Outcome.RetryAfter > 0 {", "if result.Outcome.RetryAfter < 0 {")},
 		plan:  planShedding, wantViolation: "advice",
 	},
-	"new versions are not read": {
+	"new configurations are not read": {
 		edits: []edits.Edit{edits.New("platform/source.go", "	s.next = next\n	take(records, f)\n", "	s.next = next\n	take(records[:0], f)\n")},
 		plan:  planNewConfigs, wantViolation: "late",
 	},
-	"another daemon at the address proves what the one before did": {
+	"a new daemon answers for the previous one at its address": {
 		edits: []edits.Edit{edits.New("sidecar/messages.go", "if q.incarnation != p.d.peers.localRecord().Incarnation {", "if q.incarnation == 0 {")},
 		plan:  planVMsReplaced, wantViolation: "twice",
 	},
-	"attempts are forgotten before their time": {
+	"attempts are forgotten before the end of their retention": {
 		edits: []edits.Edit{
 			edits.New("sidecar/attempts.go", "a.retainUntil = t.now().Add(retentionPeriod(deadline))", "a.retainUntil = t.now()"),
 			edits.New("sidecar/attempts.go", "return a.result != nil || a.cancelled && !early", "return true"),
 		},
 		plan: planSilentPeers, wantViolation: "twice",
 	},
-	"slots that are not told at the start stay unknown": {
+	"slots missing from the first report stay unknown": {
 		edits: []edits.Edit{
 			edits.New("sidecar/guard.go", "if v != lifecycle.Started && v != lifecycle.Changed {", "if v != lifecycle.Started {"),
 			edits.New("sidecar/healthcheck.go", "report.Slots = g.slotsFromPeers(report.Incarnation)", "report.Slots = 1"),
 		},
 		plan: planUnreportedSlots, wantViolation: "recovery",
 	},
-	"the whole table of suspects is sent to everybody each second": {
+	"the whole quarantine table is sent to all peers every second": {
 		edits: []edits.Edit{
 			edits.New("quarantine/gossip.go", "if m, ok := g.Selector.AntiEntropyPeer(g.Members()); ok {", "for _, m := range g.Members() {"),
 			edits.New("quarantine/exchange.go", "return binary.BigEndian.AppendUint64([]byte{kindOpening}, s.sum())", "whole, _ := appendRecords([]byte{kindRecords}, s.table.List(), 64<<10)\n	return whole"),
@@ -126,7 +125,7 @@
 		},
 		plan: planManyPoisons, wantViolation: "control",
 	},
-	"only the caller's daemon is named": {
+	"the caller's service is not forwarded": {
 		edits: []edits.Edit{edits.New("sidecar/run.go", "Caller: c.Caller, Upstream: c.Upstream.ID", "Caller: c.Service + \"x\", Upstream: c.Upstream.ID")},
 		plan:  planShedding, wantViolation: "caller",
 	},
@@ -134,7 +133,7 @@
 
 const root = ".."
 
-// TestMutantsApply holds the deliberate faults to the source as it is.
+// TestMutantsApply guards against mutants whose edits no longer apply to the source.
 func TestMutantsApply(t *testing.T) {
 	for name, m := range mutants {
 		t.Run(name, func(t *testing.T) {
@@ -145,32 +144,32 @@
 	}
 }
 
-// writeOverlay writes the edited files and returns the file that has the compiler take
-// them.
+// writeOverlay writes the edited files and returns the path of an overlay file with which go
+// build uses them in place of the originals.
 func writeOverlay(t *testing.T, m mutant) string {
 	t.Helper()
 	dir := t.TempDir()
 	changed, err := edits.Changed(root, m.edits)
 	require.NoError(t, err)
-	replaced := map[string]string{}
+	replacements := map[string]string{}
 	for file, text := range changed {
 		original, err := filepath.Abs(filepath.Join(root, file))
 		require.NoError(t, err)
-		replaced[original] = filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
-		require.NoError(t, os.WriteFile(replaced[original], []byte(text), 0o600))
+		replacements[original] = filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
+		require.NoError(t, os.WriteFile(replacements[original], []byte(text), 0o600))
 	}
-	text, err := json.Marshal(map[string]any{"Replace": replaced})
+	text, err := json.Marshal(map[string]any{"Replace": replacements})
 	require.NoError(t, err)
 	path := filepath.Join(dir, "overlay.json")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	return path
 }
 
-// TestMutantsAreFound plays each deliberate fault. It takes minutes, so it runs only
-// where DOTTERELTILLER_MUTANTS is set.
+// TestMutantsAreFound runs a soak with each mutant and expects its violation. It takes
+// minutes, so it runs only if DOTTERELTILLER_MUTANTS is set.
 func TestMutantsAreFound(t *testing.T) {
 	if os.Getenv("DOTTERELTILLER_MUTANTS") == "" {
-		t.Skip("takes minutes; set DOTTERELTILLER_MUTANTS to play the deliberate faults")
+		t.Skip("takes minutes; set DOTTERELTILLER_MUTANTS to run the mutants")
 	}
 	names := slices.Sorted(maps.Keys(mutants))
 	for i, name := range names {
@@ -185,7 +184,7 @@
 			require.NoError(t, err, string(out))
 			p, err := Read(strings.NewReader(m.plan))
 			require.NoError(t, err)
-			// The seed chooses the addresses.
+			// The seed determines the loopback addresses, so parallel runs use different ones.
 			p.Seed += uint64(i)
 			r, err := Run(t.Context(), p, Options{Binary: binary, Dir: dir})
 			require.NoError(t, err)
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -10,15 +10,18 @@
 	"time"
 )
 
-// Fault is one fault of a plan.
+// Fault is one fault injection of a plan.
 type Fault struct {
-	// At is the time from the start of traffic.
+	// At is the time from the start of the traffic.
 	At time.Duration
-	// Kind is what happens, VM the machine that it happens to (0 for the store and
-	// the configuration), Mode the variant, Duration how long.
-	Kind     string
-	VM       int
-	Mode     string
+	// Kind is the kind of fault.
+	Kind string
+	// VM is the number of the VM with the fault, from 1. It is 0 for a fault of the store,
+	// of the configuration or of all VMs.
+	VM int
+	// Mode is the variant of the kind.
+	Mode string
+	// Duration is how long the fault lasts.
 	Duration time.Duration
 }
 
@@ -27,7 +30,7 @@
 	return fmt.Sprintf("%d %s %d %s %d", f.At.Milliseconds(), f.Kind, f.VM, f.Mode, f.Duration.Milliseconds())
 }
 
-// Plan is a soak that can be played again.
+// Plan describes a soak run completely, so that it can be replayed.
 type Plan struct {
 	Seed   uint64
 	VMs    int
@@ -41,7 +44,7 @@
 	kindTerm           = "term"
 	kindPause          = "pause"
 	kindReload         = "reload"
-	kindPeerProxy      = "peers"     // the proxy before a daemon's address for others
+	kindPeerProxy      = "peers"     // the proxy in front of the address for other daemons
 	kindUpstreamProxy  = "app"       // the proxy between a daemon and its upstream
 	kindStoreProxy     = "store-via" // the proxy between a daemon and the store
 	kindStore          = "store"
@@ -49,10 +52,10 @@
 	kindCrash          = "crash"
 	kindDrain          = "drain"
 	kindConfig         = "config"
-	kindInvalidRecords = "foreign" // records of another writer in the store
-	kindPoison         = "poison"  // a request that crashes upstreams, sent again and again
+	kindInvalidRecords = "foreign" // records of an unknown writer in the store, which are invalid
+	kindPoison         = "poison"  // a request that crashes upstreams, sent repeatedly
 	kindKillAll        = "herd"    // all daemons are killed at once
-	kindReplace        = "replace" // a VM goes, and another of another service has its address
+	kindReplace        = "replace" // a VM is replaced by one of another service at the same address
 )
 
 // faultModes lists the variants of each kind. A dash means that there are none.
@@ -67,12 +70,13 @@
 	kindReplace: {"gone", "dark"},
 }
 
-// vmOptionalKinds kinds may name no VM: they happen to none, or to all of them.
+// vmOptionalKinds are the kinds with an optional VM: without one, the fault concerns no
+// single VM or all of them.
 var vmOptionalKinds = map[string]bool{
 	kindStore: true, kindConfig: true, kindInvalidRecords: true, kindPoison: true, kindUpstream: true, kindKillAll: true,
 }
 
-// kindWeights tells how often each kind is drawn.
+// kindWeights are the relative frequencies with which the kinds are drawn.
 var kindWeights = []struct {
 	kind string
 	n    int
@@ -83,20 +87,21 @@
 }
 
 const (
-	// faultFreeStart and faultFreeEnd are free of faults; recovery is judged in the latter.
+	// faultFreeStart and faultFreeEnd are the lengths of the periods without faults at the
+	// start and the end of a plan. Recovery is checked in the latter.
 	faultFreeStart = 2 * time.Second
 	faultFreeEnd   = 12 * time.Second
-	// meanFaultInterval is the mean time between two faults, each of which lasts between
+	// meanFaultInterval is the mean time between two faults. Each fault lasts between
 	// minFaultDuration and maxFaultDuration.
 	meanFaultInterval = 500 * time.Millisecond
 	minFaultDuration  = 300 * time.Millisecond
 	maxFaultDuration  = 4 * time.Second
-	// plannedOnlyDivisor of a plan has planned work only: what must not be lost then is
-	// not judged beside anything unplanned.
+	// The first 1/plannedOnlyDivisor of a plan has faults of plannedKinds only. Whether
+	// they lose requests cannot be checked while unplanned faults are injected.
 	plannedOnlyDivisor = 3
 )
 
-// Draw returns the plan of a seed.
+// Draw returns a plan of random faults. The same arguments give the same plan.
 func Draw(seed uint64, vms int, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := Plan{Seed: seed, VMs: vms, Length: length}
@@ -117,7 +122,7 @@
 	}
 }
 
-// drawKind draws a kind of fault.
+// drawKind draws a kind of fault according to kindWeights.
 func drawKind(rng *rand.Rand, plannedOnly bool) string {
 	for {
 		total := 0
@@ -137,7 +142,7 @@
 	}
 }
 
-// WriteTo writes a plan as text that Read reads.
+// WriteTo writes a plan in the text format of Read.
 func (p *Plan) WriteTo(w io.Writer) (int64, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "soak %d %d %d\n", p.Seed, p.VMs, p.Length.Milliseconds())
@@ -148,19 +153,19 @@
 	return int64(n), err
 }
 
-// PlanError is a line of a plan that cannot be read.
+// PlanError reports an invalid line of a plan. Line is 0 if there is no plan at all.
 type PlanError struct {
 	Line int
 	Text string
 }
 
-// Error names the line.
+// Error returns the number and the text of the line.
 func (e *PlanError) Error() string {
-	return fmt.Sprintf("plan: line %d: cannot use %q", e.Line, e.Text)
+	return fmt.Sprintf("plan: line %d: invalid line %q", e.Line, e.Text)
 }
 
-// Read reads a plan. Lines that begin with # are comments. The error is a
-// *PlanError where a line cannot be used.
+// Read parses a plan. Lines that begin with # are comments. The error is a *PlanError if a
+// line is invalid.
 func Read(r io.Reader) (Plan, error) {
 	var p Plan
 	s := bufio.NewScanner(r)
@@ -195,8 +200,8 @@
 	return p, s.Err()
 }
 
-// Shrink drops faults, halves first and then one by one, for as long as fails
-// reports that the plan still fails.
+// Shrink returns a smaller plan that still fails. It removes blocks of faults, halving the
+// block size down to single faults, and keeps each removal after which fails reports true.
 func Shrink(p Plan, fails func(Plan) bool) Plan {
 	for size := (len(p.Faults) + 1) / 2; size >= 1; size /= 2 {
 		for from := 0; from < len(p.Faults); {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// proxy is a proxy for TCP and UDP in front of one address.
+// proxy forwards TCP connections and UDP datagrams from one address to another and injects
+// network faults.
 type proxy struct {
 	address string
 	target  string
@@ -16,10 +17,10 @@
 	mu    sync.Mutex
 	mode  string
 	conns map[net.Conn]bool
-	// silenced holds the connections that were open when they went silent; they stay
-	// so for good.
+	// silenced holds the connections that have lost data in a silent or half mode. They
+	// carry no more data, also after the mode has changed.
 	silenced map[net.Conn]bool
-	// udpConns holds a socket for each sender of datagrams.
+	// udpConns holds a socket to the target for each sender of datagrams, by its address.
 	udpConns map[string]net.Conn
 }
 
@@ -48,7 +49,7 @@
 	return p, nil
 }
 
-// setMode changes what happens to what passes. Empty means that it passes.
+// setMode sets the fault to inject. The empty mode forwards all traffic.
 func (p *proxy) setMode(mode string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,6 +64,7 @@
 	}
 }
 
+// reset closes a connection with a TCP RST.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -70,6 +72,7 @@
 	_ = c.Close()
 }
 
+// modeOf returns the mode that applies to a connection, or to datagrams if c is nil.
 func (p *proxy) modeOf(c net.Conn) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,17 +130,17 @@
 	}
 }
 
-// relay passes on what comes, in the mode of the moment. In half mode what goes
-// back is dropped.
-func (p *proxy) relay(dst, src, key net.Conn, back bool) {
+// relay copies data from src to dst in the current mode of the connection from the client.
+// In half mode it drops the data from the target to the client.
+func (p *proxy) relay(dst, src, client net.Conn, toClient bool) {
 	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := src.Read(buf)
-		switch mode := p.modeOf(key); {
-		case mode == "silent" || mode == "half" && back:
-			// What is lost on the way is lost for good.
+		switch mode := p.modeOf(client); {
+		case mode == "silent" || mode == "half" && toClient:
+			// TCP delivers no data after a gap, so the connection stays silent.
 			p.mu.Lock()
-			p.silenced[key] = true
+			p.silenced[client] = true
 			p.mu.Unlock()
 			if err != nil {
 				time.Sleep(maxFaultDuration)
@@ -157,7 +160,8 @@
 	}
 }
 
-// propagateClose passes on how a connection ended.
+// propagateClose closes dst in the way the other side of the proxy was closed: by EOF or
+// else by a reset.
 func (p *proxy) propagateClose(dst net.Conn, err error) {
 	if t, ok := dst.(*net.TCPConn); ok && err.Error() == "EOF" {
 		_ = t.CloseWrite()
@@ -178,14 +182,14 @@
 }
 
 const (
-	// datagramBufferBytes is more than a datagram of a daemon.
+	// datagramBufferBytes is larger than any datagram of a daemon.
 	datagramBufferBytes = 2 << 10
-	// udpIdleTimeout is how long the socket of a sender is kept that gets no answer: with
-	// a hundred daemons each link has a hundred senders.
+	// udpIdleTimeout is how long the socket of a sender stays open without a reply: with a
+	// hundred daemons each proxy has a hundred senders, and as many sockets.
 	udpIdleTimeout = 3 * time.Second
 )
 
-// relayDatagrams passes datagrams on, each sender over a socket of its own.
+// relayDatagrams forwards datagrams to the target, with one socket for each sender.
 func (p *proxy) relayDatagrams() {
 	buf := make([]byte, datagramBufferBytes)
 	for {
@@ -202,7 +206,7 @@
 	}
 }
 
-// udpConn returns the socket of a sender, nil when there can be none.
+// udpConn returns the socket for a sender. It is nil if the socket cannot be opened.
 func (p *proxy) udpConn(from *net.UDPAddr) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,8 +223,8 @@
 	return out
 }
 
-// relayReplies passes answers back until there is none for a while, or the target is not
-// there.
+// relayReplies forwards replies of the target to a sender. It ends after udpIdleTimeout
+// without a reply, or when the target is not listening.
 func (p *proxy) relayReplies(out net.Conn, key string, to *net.UDPAddr) {
 	defer func() {
 		p.mu.Lock()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProxyRelaysDatagramsAfterTargetRestart has answers come back although the target
-// was gone for a while.
+// TestProxyRelaysDatagramsAfterTargetRestart guards against a proxy whose socket for a sender
+// stays unusable after the target has been down.
 func TestProxyRelaysDatagramsAfterTargetRestart(t *testing.T) {
 	const address, target = "127.99.0.1:7760", "127.99.0.1:7660"
 	l, err := newProxy(address, target)
@@ -53,7 +53,8 @@
 	require.Eventually(t, answered, 10*time.Second, time.Millisecond)
 }
 
-// TestParallelSoaksUseDifferentAddresses has two run beside each other.
+// TestParallelSoaksUseDifferentAddresses guards against address conflicts between two soaks
+// with the same seed that run at the same time.
 func TestParallelSoaksUseDifferentAddresses(t *testing.T) {
 	one, two := &harness{plan: Plan{Seed: 99}}, &harness{plan: Plan{Seed: 99}}
 	for _, h := range []*harness{one, two} {
--- a/soak/run.go
+++ b/soak/run.go
@@ -21,23 +21,23 @@
 
 // Options configure a run.
 type Options struct {
-	// Binary is the daemon's program.
+	// Binary is the path of the daemon's executable.
 	Binary string
-	// Dir takes settings and logs.
+	// Dir is the directory for the settings and logs of the daemons.
 	Dir string
-	// Out is told how it goes. Nil tells nobody.
+	// Out receives a line for each injected fault. Nil discards them.
 	Out io.Writer
-	// SafetyOnly leaves out the checks that depend on how fast the machine is:
-	// whether a configuration is in force in time, how many requests are served at
-	// the end, and how soon requests that crash upstreams are refused; of the last
-	// the number of crashes is checked instead.
+	// SafetyOnly skips the checks that depend on the speed of the machine: whether a
+	// configuration is in force in time, how many requests are served at the end, and
+	// how soon requests that crash upstreams are refused. For the last, the number of
+	// crashes is checked instead.
 	SafetyOnly bool
-	// Rate is the requests a second of each VM's callers. Default: 10, and less where
-	// all of them together would send more than 480.
+	// Rate is the number of requests a second that the callers of one VM send. Default:
+	// 10, or less if the callers of all VMs together would send more than 480.
 	Rate int
 }
 
-// Result is how a soak ended.
+// Result is the result of a soak.
 type Result struct {
 	Violations []string
 	Requests   int
@@ -49,27 +49,28 @@
 	startTimeout    = 60 * time.Second
 	servingTimeout  = 60 * time.Second
 	requestDeadline = 2500 * time.Millisecond
-	// longRequestDeadline is that of the requests that run for seconds.
+	// longRequestDeadline is the deadline of the requests that run for seconds.
 	longRequestDeadline = 30 * time.Second
 	defaultRate         = 10
-	// defaultTotalRate is the requests a second in all that one machine of 8 cores serves
-	// beside the work of a hundred daemons.
+	// defaultTotalRate is the total number of requests a second that a machine of 8 cores
+	// serves while it runs a hundred daemons.
 	defaultTotalRate = 480
-	// minServedShare of the requests must be served at the end, from recoveryWindow
-	// before it on.
+	// minServedShare of the requests that are sent in the last recoveryWindow of a plan
+	// must be served.
 	minServedShare = 0.95
 	recoveryWindow = 5 * time.Second
-	// unsafeRequestInterval requests is not idempotent, and one in longRequestInterval runs for seconds
-	// beside.
+	// Every unsafeRequestInterval-th request is not idempotent. In addition, every
+	// longRequestInterval-th request runs for seconds.
 	unsafeRequestInterval = 3
 	longRequestInterval   = 40
-	// distinctPaths is how many different requests of each kind there are.
+	// distinctPaths is the number of different paths of idempotent requests, and of others.
 	distinctPaths = 2000
-	// configCheckInterval is the time between two looks at which configuration is in force.
+	// configCheckInterval is the time between two checks of the configuration in force at
+	// a daemon.
 	configCheckInterval = 250 * time.Millisecond
 )
 
-// harness is a running soak.
+// harness is the state of a running soak.
 type harness struct {
 	plan     Plan
 	opts     Options
@@ -77,11 +78,11 @@
 	store    *platformtest.Store
 	server   *http.Server
 	machines []*machine
-	// loopbackNet is the part of the loopback addresses that the soak has taken.
+	// loopbackNet is the number of the loopback network that the soak uses.
 	loopbackNet int
 	startedAt   time.Time
 	upstreamIDs atomic.Int64
-	// version is the newest configuration, published when.
+	// mu guards version and publishedAt, which belong to the newest configuration.
 	mu            sync.Mutex
 	version       int
 	publishedAt   time.Time
@@ -93,7 +94,7 @@
 
 var errNotReady = errors.New("a daemon did not become ready")
 
-// Run plays a plan. The error tells that it could not be played.
+// Run executes a plan. An error means that the plan could not be executed to its end.
 func Run(ctx context.Context, p Plan, o Options) (Result, error) {
 	if o.Rate <= 0 {
 		o.Rate = max(min(defaultRate, defaultTotalRate/max(p.VMs, 1)), 1)
@@ -117,17 +118,18 @@
 	return Result{Violations: h.check.allViolations(), Requests: int(h.requests.Load()), Served: int(h.served.Load())}, ctx.Err()
 }
 
-// maxParallelSoaks is how many soaks fit beside each other on the loopback addresses.
+// maxParallelSoaks is the number of soaks that can run at the same time, each in its own
+// loopback network.
 const maxParallelSoaks = 100
 
-// ip returns the address of a VM, or for 0 of the store.
+// ip returns the IP address of a VM, or of the store for number 0.
 func (h *harness) ip(number int) string {
 	const firstNet, hosts = 100, 250
 	return fmt.Sprintf("127.%d.%d.%d", firstNet+h.loopbackNet, number/hosts, 1+number%hosts)
 }
 
-// listen takes addresses that no other soak has, beginning with those of the seed, and
-// listens on the store's.
+// listen reserves a loopback network that no other soak uses by listening on the store's
+// address. It tries the networks in turn, from the one that the seed determines.
 func (h *harness) listen() (net.Listener, error) {
 	ln, _, err := loopback.ListenFirstFree(h.plan.Seed, maxParallelSoaks, func(n int) string {
 		h.loopbackNet = n
@@ -136,6 +138,7 @@
 	return ln, err
 }
 
+// startAll starts the store and all VMs, and waits until the daemons are ready.
 func (h *harness) startAll(ctx context.Context) error {
 	ln, err := h.listen()
 	if err != nil {
@@ -161,7 +164,7 @@
 	return h.awaitReady(ctx)
 }
 
-// newUpstreamID returns a new id for an upstream of a VM.
+// newUpstreamID returns an unused id for an upstream of a VM.
 func (h *harness) newUpstreamID(number int) string {
 	return fmt.Sprintf("i-%d-%d", number, h.upstreamIDs.Add(1))
 }
@@ -179,7 +182,7 @@
 	return nil
 }
 
-// awaitServing waits until every daemon serves again.
+// awaitServing waits until every daemon serves a request after the last fault.
 func (h *harness) awaitServing(ctx context.Context) error {
 	end := time.Now().Add(servingTimeout)
 	for _, m := range h.machines {
@@ -194,7 +197,7 @@
 				return ctx.Err()
 			}
 			if time.Now().After(end) {
-				h.check.addViolation("recovery: %s does not serve", m.vm.Name)
+				h.check.addViolation("recovery: %s does not serve requests", m.vm.Name)
 				return nil
 			}
 			time.Sleep(configCheckInterval)
@@ -203,6 +206,7 @@
 	return nil
 }
 
+// publish publishes a new version of the configuration.
 func (h *harness) publish() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -211,22 +215,23 @@
 	h.store.PutConfig(h.configLocked())
 }
 
-// configLocked returns the newest configuration. The lock is held.
+// configLocked returns the newest configuration. h.mu is held.
 func (h *harness) configLocked() []byte {
-	var called []string
+	var calledServices []string
 	for g := range groupCount(h.plan.VMs) {
-		called = append(called, serviceOf(g, 0))
+		calledServices = append(calledServices, serviceOf(g, 0))
 	}
-	return platformtest.Document(h.version, called...)
+	return platformtest.Document(h.version, calledServices...)
 }
 
+// latestConfig returns the newest version and when it was published.
 func (h *harness) latestConfig() (int, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version, h.publishedAt
 }
 
-// playPlan runs callers and faults for the length of the plan.
+// playPlan sends requests and injects the faults of the plan for its length.
 func (h *harness) playPlan(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.plan.Length)
 	defer cancel()
@@ -245,12 +250,13 @@
 		}
 	}
 	wg.Wait()
-	if all, well := h.finalRequests.Load(), h.finalServed.Load(); !h.opts.SafetyOnly && all > 0 && float64(well) < minServedShare*float64(all) {
-		h.check.addViolation("recovery: %d of %d requests were served at the end", well, all)
+	if sent, served := h.finalRequests.Load(), h.finalServed.Load(); !h.opts.SafetyOnly && sent > 0 && float64(served) < minServedShare*float64(sent) {
+		h.check.addViolation("recovery: %d of %d requests were served at the end", served, sent)
 	}
 }
 
-// runCallers sends requests at the rate until the context ends, and waits for the last.
+// runCallers sends requests to one daemon at the configured rate until the context ends, and
+// waits for all of them.
 func (h *harness) runCallers(ctx context.Context, m *machine) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -266,51 +272,52 @@
 	}
 }
 
+// sendRequest sends one request to the daemon of a VM and checks the response.
 func (h *harness) sendRequest(m *machine) {
 	if m.replacing.Load() {
 		return
 	}
 	n := h.requests.Add(1)
-	unsafe, path, left := n%unsafeRequestInterval == 0, fmt.Sprintf("/safe/x%d", n%distinctPaths), requestDeadline
+	unsafe, path, timeout := n%unsafeRequestInterval == 0, fmt.Sprintf("/safe/x%d", n%distinctPaths), requestDeadline
 	switch {
 	case n%longRequestInterval == 0:
-		unsafe, path, left = true, platformtest.LongPath+"x", longRequestDeadline
+		unsafe, path, timeout = true, platformtest.LongPath+"x", longRequestDeadline
 	case unsafe:
 		path = fmt.Sprintf("/unsafe/x%d", n%distinctPaths)
 	}
 	attempt := fmt.Sprintf("r%d", n)
 	h.check.recordSent(attempt, m.service(), unsafe)
-	calmBefore := h.undisturbed()
-	lifeBefore, stoppingBefore := m.incarnationState()
-	sent := time.Now()
-	last := sent.Sub(h.startedAt) > h.plan.Length-recoveryWindow
-	r, err := m.caller.Send(context.Background(), path, attempt, unsafe, left)
-	life, stopping := m.incarnationState()
-	if calmBefore && h.undisturbed() && h.check.wasExecuted(attempt) {
+	undisturbedBefore := h.undisturbed()
+	incarnationBefore, stoppingBefore := m.incarnationState()
+	sentAt := time.Now()
+	inRecoveryWindow := sentAt.Sub(h.startedAt) > h.plan.Length-recoveryWindow
+	r, err := m.caller.Send(context.Background(), path, attempt, unsafe, timeout)
+	incarnation, stopping := m.incarnationState()
+	if undisturbedBefore && h.undisturbed() && h.check.wasExecuted(attempt) {
 		switch {
-		case stopping && !m.ranUntilGraceEnd(sent) && abortedByDaemon(r, err):
-			h.check.addViolation("lost: %s ran and was cut by a planned stop: %d %v", attempt, r.Status, err)
-		case err != nil && abortedByDaemon(r, err) && !stoppingBefore && !stopping && life == lifeBefore:
-			h.check.addViolation("unanswered: %s ran and its connection to %s was closed without an answer: %v", attempt, m.vm.Name, err)
+		case stopping && !m.ranUntilGraceEnd(sentAt) && abortedByDaemon(r, err):
+			h.check.addViolation("lost: %s ran and was aborted by a planned stop: status %d, error %v", attempt, r.Status, err)
+		case err != nil && abortedByDaemon(r, err) && !stoppingBefore && !stopping && incarnation == incarnationBefore:
+			h.check.addViolation("unanswered: %s ran and its connection to %s was closed without a response: %v", attempt, m.vm.Name, err)
 		}
 	}
 	if err == nil {
 		h.check.checkResponse(attempt, r)
 	}
-	well := err == nil && r.Status == http.StatusOK
-	if well {
+	served := err == nil && r.Status == http.StatusOK
+	if served {
 		h.served.Add(1)
 	}
-	if last {
+	if inRecoveryWindow {
 		h.finalRequests.Add(1)
-		if well {
+		if served {
 			h.finalServed.Add(1)
 		}
 	}
 }
 
-// abortedByDaemon reports whether a daemon ended a request that ran, without an answer or with
-// one of its own because it stops.
+// abortedByDaemon reports whether a daemon ended an executing request without the upstream's
+// response: by closing the connection, or with a 502 whose reason is that the daemon drains.
 func abortedByDaemon(r platformtest.Result, err error) bool {
 	if err != nil {
 		return !errors.Is(err, context.DeadlineExceeded)
@@ -318,7 +325,7 @@
 	return r.Status == http.StatusBadGateway && strings.TrimSpace(r.Body) == string(outcome.ReasonDraining)
 }
 
-// undisturbed reports whether nothing unplanned has disturbed any VM of late.
+// undisturbed reports whether all VMs have been without unplanned faults for quietPeriod.
 func (h *harness) undisturbed() bool {
 	for _, m := range h.machines {
 		if !m.undisturbed() {
@@ -328,53 +335,54 @@
 	return true
 }
 
-// checkConfigInForce looks which configuration is in force at a daemon: it must be there in
-// time, and never go back within one life of the process.
+// checkConfigInForce regularly checks the configuration in force at a daemon: a new version
+// must be in force in time, and an incarnation of the process must not return to an older one.
 func (h *harness) checkConfigInForce(ctx context.Context, m *machine) {
-	seen, seenLife := 0, 0
+	seenVersion, seenIncarnation := 0, 0
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(configCheckInterval)
 		if m.replacing.Load() {
 			continue
 		}
 		version, published := h.latestConfig()
-		due := time.Since(published) > maxConfigDelay && m.undisturbed()
-		life, stopping := m.incarnationState()
+		overdue := time.Since(published) > maxConfigDelay && m.undisturbed()
+		incarnation, stopping := m.incarnationState()
 		attempt := fmt.Sprintf("probe-%s-%d", m.vm.Name, i)
 		h.check.recordSent(attempt, m.service(), false)
 		r, err := m.caller.Send(ctx, fmt.Sprintf("/v%d/x", version), attempt, false, requestDeadline)
-		if after, _ := m.incarnationState(); err != nil || stopping || life != after {
+		if after, _ := m.incarnationState(); err != nil || stopping || incarnation != after {
 			continue
 		}
 		h.check.checkResponse(attempt, r)
 		switch {
-		case r.Status == http.StatusNotFound && life == seenLife && seen >= version:
-			h.check.addViolation("back: %s no longer knew version %d", m.vm.Name, version)
-		case r.Status == http.StatusNotFound && due && m.undisturbed() && !h.opts.SafetyOnly:
-			h.check.addViolation("late: %s did not know version %d %s after it was published", m.vm.Name, version, time.Since(published).Round(time.Millisecond))
+		case r.Status == http.StatusNotFound && incarnation == seenIncarnation && seenVersion >= version:
+			h.check.addViolation("back: %s no longer had version %d in force", m.vm.Name, version)
+		case r.Status == http.StatusNotFound && overdue && m.undisturbed() && !h.opts.SafetyOnly:
+			h.check.addViolation("late: %s did not have version %d in force %s after its publication", m.vm.Name, version, time.Since(published).Round(time.Millisecond))
 		case r.Status != http.StatusNotFound && r.Status != http.StatusServiceUnavailable:
-			seen, seenLife = version, life
+			seenVersion, seenIncarnation = version, incarnation
 		}
 	}
 }
 
-// stopDaemons stops all daemons at once and expects them to end well in time.
+// stopDaemons stops all daemons at the same time and checks that they exit without an error
+// within the grace period.
 func (h *harness) stopDaemons() {
 	for _, m := range h.machines {
 		m.stopForGood(syscall.SIGTERM)
 	}
 	end := time.After(gracePeriod + time.Second)
 	for _, m := range h.machines {
-		if life, stopped := m.incarnationState(); stopped && life == 0 {
+		if incarnation, stopped := m.incarnationState(); stopped && incarnation == 0 {
 			continue
 		}
 		select {
 		case err := <-m.exitErr:
 			if err != nil && h.undisturbed() {
-				h.check.addViolation("stop: %s ended with %v", m.vm.Name, err)
+				h.check.addViolation("stop: %s exited with %v", m.vm.Name, err)
 			}
 		case <-end:
-			h.check.addViolation("stop: %s was still there after its grace time", m.vm.Name)
+			h.check.addViolation("stop: %s was still running after its grace period", m.vm.Name)
 			return
 		}
 	}
@@ -390,7 +398,7 @@
 	}
 }
 
-// Build builds the daemon's program into a directory.
+// Build compiles the daemon into a directory and returns the path of the executable.
 func Build(ctx context.Context, dir string) (string, error) {
 	path := dir + "/dottereltillerd"
 	cmd := commandContext(ctx, "go", "build", "-o", path, "github.com/dottereltiller/dottereltiller/cmd/dottereltillerd")
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -17,7 +17,7 @@
 func TestPlanRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		p := Draw(seed, 5, time.Minute)
-		require.Equal(t, p, Draw(seed, 5, time.Minute), "a seed draws one plan")
+		require.Equal(t, p, Draw(seed, 5, time.Minute), "the same seed draws the same plan")
 		var text bytes.Buffer
 		_, err := p.WriteTo(&text)
 		require.NoError(t, err)
@@ -26,7 +26,7 @@
 		require.Equal(t, p, again)
 		for _, f := range p.Faults {
 			require.LessOrEqual(t, f.At+f.Duration, p.Length-faultFreeEnd)
-			require.True(t, f.At >= p.Length/plannedOnlyDivisor || plannedKinds[f.Kind], "first planned work alone")
+			require.True(t, f.At >= p.Length/plannedOnlyDivisor || plannedKinds[f.Kind], "the first part has planned faults only")
 		}
 	}
 }
@@ -34,12 +34,12 @@
 func TestReadRejectsInvalidPlans(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":           "",
-		"no head":         "3000 kill 1 - 100\n",
+		"no header":       "3000 kill 1 - 100\n",
 		"unknown kind":    "soak 1 3 20000\n3000 eat 1 - 100\n",
 		"unknown mode":    "soak 1 3 20000\n3000 kill 1 hard 100\n",
-		"no such machine": "soak 1 3 20000\n3000 kill 4 - 100\n",
-		"cut short":       "soak 1 3 20000\n3000 kill\n",
-		"no machine":      "soak 1 3 20000\n3000 kill 0 - 100\n",
+		"VM out of range": "soak 1 3 20000\n3000 kill 4 - 100\n",
+		"truncated line":  "soak 1 3 20000\n3000 kill\n",
+		"missing VM":      "soak 1 3 20000\n3000 kill 0 - 100\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Read(strings.NewReader(text))
@@ -49,11 +49,11 @@
 	}
 }
 
-// TestShrinkFindsFailingFaults finds the two faults of many that make a plan fail.
+// TestShrinkFindsFailingFaults shrinks a plan of many faults to the two that make it fail.
 func TestShrinkFindsFailingFaults(t *testing.T) {
 	p := Draw(1, 5, 2*time.Minute)
 	a, b := p.Faults[7], p.Faults[len(p.Faults)-3]
-	has := func(p Plan, f Fault) bool {
+	contains := func(p Plan, f Fault) bool {
 		for _, x := range p.Faults {
 			if x == f {
 				return true
@@ -61,68 +61,69 @@
 		}
 		return false
 	}
-	got := Shrink(p, func(p Plan) bool { return has(p, a) && has(p, b) })
+	got := Shrink(p, func(p Plan) bool { return contains(p, a) && contains(p, b) })
 	require.Equal(t, []Fault{a, b}, got.Faults)
 }
 
-// TestCheckerFindsViolations has each broken promise seen.
+// TestCheckerFindsViolations guards against a checker that misses one kind of violation.
 func TestCheckerFindsViolations(t *testing.T) {
 	body, seal := platformtest.ResponseBody("x")
 	good := platformtest.Result{Status: 200, Body: body, Seal: seal, Attempt: "x"}
 	up := &platformtest.Upstream{}
 	for name, c := range map[string]struct {
 		steps func(c *checker)
-		want  string
+		// want is the kind of violation, empty for none.
+		want string
 	}{
-		"all is well": {func(c *checker) {
+		"no violation": {func(c *checker) {
 			c.recordSent("x", "a", true)
 			c.RequestStarted(up, "x", "a")
 			c.checkResponse("x", good)
 		}, ""},
-		"idempotent requests may run again": {func(c *checker) {
+		"idempotent request runs twice": {func(c *checker) {
 			c.recordSent("x", "a", false)
 			c.RequestStarted(up, "x", "a")
 			c.RequestStarted(up, "x", "a")
 		}, ""},
-		"ran twice": {func(c *checker) {
+		"non-idempotent request runs twice": {func(c *checker) {
 			c.recordSent("x", "a", true)
 			c.RequestStarted(up, "x", "a")
 			c.RequestStarted(up, "x", "a")
 		}, "twice"},
-		"nobody asked": {func(c *checker) { c.RequestStarted(up, "x", "a") }, "unasked"},
-		"of another":   {func(c *checker) { c.recordSent("x", "a", true); c.RequestStarted(up, "x", "b") }, "caller"},
-		"promised, then ran": {func(c *checker) {
+		"never sent":   {func(c *checker) { c.RequestStarted(up, "x", "a") }, "unasked"},
+		"wrong caller": {func(c *checker) { c.recordSent("x", "a", true); c.RequestStarted(up, "x", "b") }, "caller"},
+		"reported not executed, then ran": {func(c *checker) {
 			c.recordSent("x", "a", true)
 			c.checkResponse("x", platformtest.Result{Status: 503, RetryAfter: 1})
 			c.RequestStarted(up, "x", "a")
 		}, "promise"},
-		"ran, then promised": {func(c *checker) {
+		"ran, then reported not executed": {func(c *checker) {
 			c.recordSent("x", "a", true)
 			c.RequestStarted(up, "x", "a")
 			c.checkResponse("x", platformtest.Result{Status: 429})
 		}, "promise"},
-		"half an answer": {func(c *checker) {
+		"truncated response": {func(c *checker) {
 			c.recordSent("x", "a", false)
 			c.RequestStarted(up, "x", "a")
 			bad := good
 			bad.Body = body[:4]
 			c.checkResponse("x", bad)
 		}, "mixed"},
-		"answered, never ran": {func(c *checker) { c.recordSent("x", "a", false); c.checkResponse("x", good) }, "mixed"},
-		"not found": {func(c *checker) {
+		"response without execution": {func(c *checker) { c.recordSent("x", "a", false); c.checkResponse("x", good) }, "mixed"},
+		"route not found": {func(c *checker) {
 			c.recordSent("x", "a", false)
 			c.checkResponse("x", platformtest.Result{Status: 404})
 		}, "denied"},
-		"no advice": {func(c *checker) {
+		"no Retry-After": {func(c *checker) {
 			c.recordSent("x", "a", false)
 			c.checkResponse("x", platformtest.Result{Status: 503})
 		}, "advice"},
-		"after its drain": {func(c *checker) {
+		"request after a drain": {func(c *checker) {
 			c.recordSent("x", "a", false)
 			c.drainedAt[up.Incarnation()] = time.Now().Add(-2 * drainAllowance)
 			c.RequestStarted(up, "x", "a")
 		}, "drain"},
-		"repeats beyond the budget": {func(c *checker) {
+		"retry budget exceeded": {func(c *checker) {
 			c.recordSent("x", "a", false)
 			for range int(retryBudgetSlack) + 3 {
 				c.RequestStarted(up, "x", "a")
@@ -143,8 +144,8 @@
 	}
 }
 
-// TestSoak plays a short plan against real daemons, and every plan that has failed
-// before.
+// TestSoak runs a short plan against real daemons, and every plan in testdata, each of which
+// has failed before.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -174,8 +175,8 @@
 	}
 }
 
-// TestCheckerBoundsCrashesWithSafetyOnly judges a request that goes on crashing upstreams by
-// their number where the machine may be slow.
+// TestCheckerBoundsCrashesWithSafetyOnly guards against a missed quarantine on a slow machine:
+// without time bounds, the number of crashes that one request causes must be bounded.
 func TestCheckerBoundsCrashesWithSafetyOnly(t *testing.T) {
 	for runs, want := range map[int]int{maxCrashes: 0, maxCrashes + 1: 1, maxCrashes + 5: 1} {
 		c := newChecker()
@@ -191,6 +192,6 @@
 		for range maxCrashes {
 			c.recordCrash(c.requests["p"])
 		}
-		require.Len(t, c.allViolations(), want, "as many again after all daemons were killed")
+		require.Len(t, c.allViolations(), want, "the count restarts after all daemons were killed")
 	}
 }
--- a/soak/start.go
+++ b/soak/start.go
@@ -8,20 +8,20 @@
 	"syscall"
 )
 
-// startMutex has one program started at a time: what this process ignores is inherited by
-// every program that it starts.
+// startMutex serializes the starts of programs. A program inherits the signals that this
+// process ignores, and startIgnoringHangup changes them for the time of a start.
 var startMutex sync.Mutex
 
-// startDefault starts a program with the signals that this process has.
+// startDefault starts a program with the current signal dispositions of this process.
 func startDefault(cmd *exec.Cmd) error {
 	startMutex.Lock()
 	defer startMutex.Unlock()
 	return cmd.Start()
 }
 
-// startIgnoringHangup starts a program with SIGHUP ignored until the program catches it. A reload
-// of a VM whose daemon has just been started again may come before that. A SIGHUP to this
-// process is lost during the start.
+// startIgnoringHangup starts a program that ignores SIGHUP until it installs its handler. A
+// reload fault may send SIGHUP to a daemon that has just been restarted and has no handler
+// yet. A SIGHUP to this process during the start is lost.
 func startIgnoringHangup(cmd *exec.Cmd) error {
 	startMutex.Lock()
 	defer startMutex.Unlock()
@@ -32,8 +32,9 @@
 	return cmd.Start()
 }
 
-// hangupChannel returns the channel by which SIGHUP ends this process: after signal.Ignore
-// neither signal.Reset nor signal.Stop brings the default action back.
+// hangupChannel returns a channel for signal.Notify; a SIGHUP on it ends this process. It
+// stands in for the default action, which neither signal.Reset nor signal.Stop restores
+// after signal.Ignore.
 var hangupChannel = sync.OnceValue(func() chan<- os.Signal {
 	c := make(chan os.Signal, 1)
 	go func() {
--- a/soak/start_test.go
+++ b/soak/start_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHangupBeforeHandlerIsInstalled guards against a reload ending a daemon that has just
-// been started again, and against first starts hiding one that never catches the signal.
+// TestHangupBeforeHandlerIsInstalled guards against a reload that ends a daemon which has just
+// been restarted. A first start must not ignore SIGHUP: that would hide a daemon which never
+// installs a handler.
 func TestHangupBeforeHandlerIsInstalled(t *testing.T) {
 	if signal.Ignored(syscall.SIGHUP) {
 		t.Skip("the test itself was started with SIGHUP ignored")
@@ -18,24 +19,24 @@
 	for _, c := range []struct {
 		name  string
 		start func(*exec.Cmd) error
-		ends  syscall.Signal
+		want  syscall.Signal
 	}{
-		{"first", startDefault, syscall.SIGHUP},
-		{"again", startIgnoringHangup, syscall.SIGTERM},
-		{"first after that", startDefault, syscall.SIGHUP},
+		{"default", startDefault, syscall.SIGHUP},
+		{"ignoring hangup", startIgnoringHangup, syscall.SIGTERM},
+		{"default after ignoring hangup", startDefault, syscall.SIGHUP},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const starts = 20
 			for range starts {
-				// It catches no signal.
+				// sleep installs no signal handlers.
 				cmd := exec.Command("sleep", "60")
 				require.NoError(t, c.start(cmd))
 				require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 				require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 				_ = cmd.Wait()
 				got := cmd.ProcessState.Sys().(syscall.WaitStatus).Signal()
-				// Of two signals that wait the lower one is taken first.
-				require.Equal(t, c.ends, got)
+				// Of two pending signals the one with the lower number is delivered first.
+				require.Equal(t, c.want, got)
 			}
 			require.False(t, signal.Ignored(syscall.SIGHUP))
 		})
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -14,11 +14,12 @@
 	"github.com/dottereltiller/dottereltiller/platform/platformtest"
 )
 
-// machine is one VM: the daemon's process, its upstream and the proxies around it.
+// machine is one VM: the daemon's process, its upstream, and the proxies in front of its
+// addresses.
 type machine struct {
-	// vm changes its service when the VM is replaced.
+	// vm holds the addresses and settings. Its service changes when the VM is replaced.
 	vm platformtest.VM
-	// group is that of its services.
+	// group is the number of the VM's group, see groupCount.
 	group         int
 	binary        string
 	settings      string
@@ -30,38 +31,41 @@
 	storeProxy    *proxy
 	caller        platformtest.Caller
 
-	// replacing is set while the VM is being replaced: it has no callers.
+	// replacing is set while the VM is being replaced. It has no callers then.
 	replacing atomic.Bool
 
 	mu sync.Mutex
-	// process is nil between an end and the next start.
-	process     *exec.Cmd
+	// process is nil between the exit of a process and the next start.
+	process *exec.Cmd
+	// incarnation counts the starts of the process.
 	incarnation int
-	// stopping is set from a signal to stop until the process has ended.
+	// stopping is set from a SIGTERM to the process until the next start.
 	stopping bool
-	// stoppedAt is when the last signal to stop was sent.
+	// stoppedAt is when the last SIGTERM was sent.
 	stoppedAt time.Time
-	// startedTime is when the process was started.
+	// startedTime is when the process was started last.
 	startedTime time.Time
-	// killed is set once the process has been killed.
+	// killed is set from a SIGKILL to the process until the next start.
 	killed bool
-	// noRestart is set once no further process is to be started.
+	// noRestart is set when no further process may be started.
 	noRestart bool
-	exitErr   chan error
-	// disturbedUntil is until when something unplanned disturbed the VM.
+	// exitErr receives the exit error of the last process.
+	exitErr chan error
+	// disturbedUntil is the end of the last unplanned fault that affects the VM.
 	disturbedUntil time.Time
 }
 
-// restartDelay is the pause between the end of a process and the next start.
+// restartDelay is the pause between the exit of a process and the next start.
 const restartDelay = 300 * time.Millisecond
 
-// The ports of a VM, and those of the proxies before them.
+// The ports of a VM and of the proxies in front of them.
 const (
 	portOutbound, portReady, portControl, portInternal, portUpstream = 8141, 8140, 8146, 7660, 8147
 	portMetrics                                                      = 9102
 	proxyPeers, proxyUpstream, proxyStore                            = 7760, 8247, 8342
 )
 
+// newMachine creates a VM and starts its proxies. The daemon and the upstream are not started.
 func newMachine(number, groups int, ip, dir, binary, store string, check *checker) (*machine, error) {
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zones = 3
@@ -77,15 +81,15 @@
 	if m.log, err = os.Create(filepath.Join(dir, m.vm.Name+".log")); err != nil {
 		return nil, err
 	}
-	for _, l := range []struct {
-		to            **proxy
-		address, real string
+	for _, x := range []struct {
+		field           **proxy
+		address, target string
 	}{
 		{&m.peerProxy, at(proxyPeers), at(portInternal)},
 		{&m.upstreamProxy, at(proxyUpstream), at(portUpstream)},
 		{&m.storeProxy, at(proxyStore), store},
 	} {
-		if *l.to, err = newProxy(l.address, l.real); err != nil {
+		if *x.field, err = newProxy(x.address, x.target); err != nil {
 			return nil, err
 		}
 	}
@@ -97,18 +101,19 @@
 	return m, nil
 }
 
-// groupCount returns into how many groups the VMs fall. Each has two services, and its
-// callers call the first of them. Were all of a hundred VMs to call each other, the
-// connections through the proxies, two files each, would exceed 20,000 files.
+// groupCount returns the number of groups into which the VMs are divided. Each group has two
+// services, and the callers of its VMs call the first of them. The groups limit the open
+// files: if each of a hundred VMs called all others, the connections through the proxies
+// would need more than 20,000 files, two for each connection.
 func groupCount(vms int) int {
-	const most = 48
-	return (vms + most - 1) / most
+	const maxGroupVMs = 48
+	return (vms + maxGroupVMs - 1) / maxGroupVMs
 }
 
-// serviceOf names the services of a group.
+// serviceOf returns the name of one of the two services of a group, by its number 0 or 1.
 func serviceOf(group, n int) string { return string(rune('a' + 2*group + n)) }
 
-// start starts the daemon, and again whenever it ends.
+// start starts the daemon and restarts it whenever it exits.
 func (m *machine) start() error {
 	m.mu.Lock()
 	text, service := m.vm.Settings(), m.vm.Service
@@ -131,7 +136,7 @@
 	m.process, m.stopping, m.killed, m.startedTime = cmd, false, false, time.Now()
 	m.incarnation++
 	if m.vm.Service != service {
-		// The VM was replaced meanwhile; the next start takes the new settings.
+		// The VM was replaced during the start. The next start uses the new settings.
 		m.killed = true
 		_ = cmd.Process.Kill()
 	}
@@ -140,24 +145,26 @@
 	return nil
 }
 
+// awaitExit waits until the process exits and restarts it unless noRestart is set. An exit
+// without a signal is a violation.
 func (m *machine) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	m.mu.Lock()
 	m.process = nil
-	ended, told := m.noRestart, m.stopping || m.killed
+	noRestart, signalled := m.noRestart, m.stopping || m.killed
 	m.mu.Unlock()
-	if !ended && !told {
-		m.check.addViolation("ended: %s ended though nothing told it to: %v", m.vm.Name, err)
+	if !noRestart && !signalled {
+		m.check.addViolation("ended: %s exited without a signal from the test: %v", m.vm.Name, err)
 	}
-	if ended {
+	if noRestart {
 		m.exitErr <- err
 		return
 	}
 	time.Sleep(restartDelay)
 	m.mu.Lock()
-	ended = m.noRestart
+	noRestart = m.noRestart
 	m.mu.Unlock()
-	if ended || m.start() != nil {
+	if noRestart || m.start() != nil {
 		m.exitErr <- err
 	}
 }
@@ -169,7 +176,7 @@
 	return m.startedTime
 }
 
-// metricsURL is where the daemon serves its figures.
+// metricsURL returns the URL of the daemon's metrics page.
 func (m *machine) metricsURL() string {
 	return fmt.Sprintf("http://%s:%d/metrics", m.vm.IP, portMetrics)
 }
@@ -181,7 +188,7 @@
 	return m.vm.Service
 }
 
-// changeService has the next daemon and the next upstream belong to another service.
+// changeService sets the service of the daemon and the upstream from their next starts on.
 func (m *machine) changeService(service string) {
 	m.mu.Lock()
 	m.vm.Service = service
@@ -189,7 +196,7 @@
 	m.upstream.SetService(service)
 }
 
-// signal sends a signal to the process, if there is one.
+// signal sends a signal to the process if it is running.
 func (m *machine) signal(s syscall.Signal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -203,30 +210,32 @@
 	_ = m.process.Process.Signal(s)
 }
 
-// incarnationState returns which life the process is in and whether it is stopping.
-func (m *machine) incarnationState() (life int, stopping bool) {
+// incarnationState returns the incarnation of the process and whether the process is stopping
+// or not running.
+func (m *machine) incarnationState() (incarnation int, stopping bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.incarnation, m.stopping || m.process == nil
 }
 
 const (
-	// maxArrivalAfterStop is how long after a signal to stop a request may come that runs until
-	// the process ends, and graceTailDivisor the part of its grace time in which it is still
-	// running then.
+	// A request may keep running until a stopping process exits if it arrives within
+	// maxArrivalAfterStop after the SIGTERM and still runs in the last 1/graceTailDivisor
+	// of the grace period.
 	maxArrivalAfterStop = 3 * time.Second
 	graceTailDivisor    = 6
 )
 
-// ranUntilGraceEnd reports whether a request that was sent at a time, and ends now, ran until the
-// end of the grace time of a planned stop: nothing could have waited for it.
+// ranUntilGraceEnd reports whether a request that was sent at sent and ends now ran until the
+// end of the grace period of a planned stop. The daemon could not have waited for its
+// response.
 func (m *machine) ranUntilGraceEnd(sent time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.stoppedAt.IsZero() && sent.Sub(m.stoppedAt) <= maxArrivalAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
 }
 
-// disturb notes that something unplanned goes on for a time.
+// disturb records that an unplanned fault affects the VM for the duration d from now.
 func (m *machine) disturb(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -235,20 +244,21 @@
 	}
 }
 
-// undisturbed reports whether nothing unplanned has disturbed the VM of late.
+// undisturbed reports whether the VM has been without unplanned faults for quietPeriod.
 func (m *machine) undisturbed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.disturbedUntil) > quietPeriod
 }
 
-// stopForGood has no further process started, and stops the one there is.
+// stopForGood prevents further starts and sends a signal to the running process, which it
+// resumes first if it is paused.
 func (m *machine) stopForGood(s syscall.Signal) {
 	m.mu.Lock()
 	m.noRestart = true
-	none := m.process == nil
+	notRunning := m.process == nil
 	m.mu.Unlock()
-	if none {
+	if notRunning {
 		return
 	}
 	m.signal(syscall.SIGCONT)
@@ -257,9 +267,9 @@
 
 func (m *machine) close() {
 	m.upstream.Crash()
-	for _, l := range []*proxy{m.peerProxy, m.upstreamProxy, m.storeProxy} {
-		if l != nil {
-			l.close()
+	for _, p := range []*proxy{m.peerProxy, m.upstreamProxy, m.storeProxy} {
+		if p != nil {
+			p.close()
 		}
 	}
 	_ = m.log.Close()
