--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -15,33 +15,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cell is one play.
-type cell struct {
-	// Mechanism is the one that is off, empty for the code as it is.
+// trialResult is the result of one trial.
+type trialResult struct {
+	// Mechanism is the disabled mechanism, empty for the baseline.
 	Mechanism string `json:"mechanism"`
 	Site      string `json:"site"`
 	Day       string `json:"day"`
 	Seed      string `json:"seed"`
-	// Worth is what the day's program counts: credit less prices.
-	Worth float64 `json:"worth"`
-	// Broken are the rules that the play broke.
-	Broken []string `json:"broken,omitempty"`
+	// Score is the credit of the day minus the costs, as the benchmark program computes it.
+	Score float64 `json:"worth"`
+	// Violations are the rules that were violated in the trial.
+	Violations []string `json:"broken,omitempty"`
 }
 
-// play names a cell.
-type play struct{ mechanism, site, day, seed string }
+// trialKey identifies a trial.
+type trialKey struct{ mechanism, site, day, seed string }
 
-func (c *cell) play() play { return play{c.Mechanism, c.Site, c.Day, c.Seed} }
+func (c *trialResult) key() trialKey { return trialKey{c.Mechanism, c.Site, c.Day, c.Seed} }
 
-// results are the cells of a file that is appended to. They are safe for concurrent use.
+// results holds the trial results of a file and appends new ones to it. It is safe for
+// concurrent use.
 type results struct {
 	mu    sync.Mutex
 	path  string
-	cells map[play]cell
+	byKey map[trialKey]trialResult
 }
 
 func openResults(path string) (*results, error) {
-	r := &results{path: path, cells: make(map[play]cell)}
+	r := &results{path: path, byKey: make(map[trialKey]trialResult)}
 	f, err := os.Open(path)
 	if os.IsNotExist(err) {
 		return r, nil
@@ -52,26 +53,26 @@
 	defer func() { _ = f.Close() }()
 	s := bufio.NewScanner(f)
 	for s.Scan() {
-		var c cell
-		// The last line of a run that was stopped may be cut.
+		var c trialResult
+		// The last line of an interrupted run may be truncated.
 		if json.Unmarshal(s.Bytes(), &c) == nil {
-			r.cells[c.play()] = c
+			r.byKey[c.key()] = c
 		}
 	}
 	return r, s.Err()
 }
 
-func (r *results) has(p play) bool {
+func (r *results) contains(p trialKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, ok := r.cells[p]
+	_, ok := r.byKey[p]
 	return ok
 }
 
-func (r *results) add(c cell) error {
+func (r *results) add(c trialResult) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cells[c.play()] = c
+	r.byKey[c.key()] = c
 	line, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -85,48 +86,49 @@
 	return err
 }
 
-// row is what a mechanism is worth on a site: the mean of the differences in pairs when it
-// is off, with its standard error.
-type row struct {
-	mechanism, site string
-	pairs           int
-	mean, deviation float64
-	broken          []string
+// summary describes the effect of disabling a mechanism on a site: the mean score difference
+// to the baseline over all days and seeds, with its standard error.
+type summary struct {
+	mechanism, site     string
+	pairs               int
+	mean, standardError float64
+	newViolations       []string
 }
 
-// rows compares each mechanism with the code as it is.
-func (r *results) rows() []row {
+// summaries compares the trials of each mechanism with the baseline.
+func (r *results) summaries() []summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	type key struct{ mechanism, site string }
 	diffs := make(map[key][]float64)
-	broken := make(map[key][]string)
-	for p, c := range r.cells {
-		base, ok := r.cells[play{unchanged, p.site, p.day, p.seed}]
-		if p.mechanism == unchanged || !ok {
+	newViolations := make(map[key][]string)
+	for p, c := range r.byKey {
+		base, ok := r.byKey[trialKey{baseline, p.site, p.day, p.seed}]
+		if p.mechanism == baseline || !ok {
 			continue
 		}
 		k := key{p.mechanism, p.site}
-		diffs[k] = append(diffs[k], c.Worth-base.Worth)
-		for _, rule := range c.Broken {
-			if !slices.Contains(base.Broken, rule) && !slices.Contains(broken[k], rule) {
-				broken[k] = append(broken[k], rule)
+		diffs[k] = append(diffs[k], c.Score-base.Score)
+		for _, rule := range c.Violations {
+			if !slices.Contains(base.Violations, rule) && !slices.Contains(newViolations[k], rule) {
+				newViolations[k] = append(newViolations[k], rule)
 			}
 		}
 	}
-	var out []row
+	var out []summary
 	for k, d := range diffs {
-		mean, deviation := meanOf(d)
-		out = append(out, row{mechanism: k.mechanism, site: k.site, pairs: len(d), mean: mean, deviation: deviation, broken: broken[k]})
+		mean, standardError := meanAndStandardError(d)
+		out = append(out, summary{mechanism: k.mechanism, site: k.site, pairs: len(d), mean: mean, standardError: standardError, newViolations: newViolations[k]})
 	}
-	slices.SortFunc(out, func(a, b row) int {
+	slices.SortFunc(out, func(a, b summary) int {
 		return strings.Compare(a.mechanism+"\x00"+a.site, b.mechanism+"\x00"+b.site)
 	})
 	return out
 }
 
-// meanOf returns the mean and its standard error, which is 0 for a single figure.
-func meanOf(d []float64) (mean, deviation float64) {
+// meanAndStandardError returns the mean of values and its standard error, which is 0 for a
+// single value.
+func meanAndStandardError(d []float64) (mean, standardError float64) {
 	for _, x := range d {
 		mean += x / float64(len(d))
 	}
@@ -140,27 +142,28 @@
 	return mean, math.Sqrt(sum / float64(len(d)-1) / float64(len(d)))
 }
 
-func (r *row) String() string {
-	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", r.mechanism, r.site, r.pairs, r.mean, r.deviation, strings.Join(r.broken, " "))
+func (r *summary) String() string {
+	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", r.mechanism, r.site, r.pairs, r.mean, r.standardError, strings.Join(r.newViolations, " "))
 }
 
-func TestMeanOf(t *testing.T) {
-	mean, deviation := meanOf([]float64{1, 2, 3})
+func TestMeanAndStandardError(t *testing.T) {
+	mean, standardError := meanAndStandardError([]float64{1, 2, 3})
 	require.InDelta(t, 2, mean, 1e-9)
-	require.InDelta(t, 1/math.Sqrt(3), deviation, 1e-9)
-	_, alone := meanOf([]float64{4})
-	require.Zero(t, alone)
+	require.InDelta(t, 1/math.Sqrt(3), standardError, 1e-9)
+	_, single := meanAndStandardError([]float64{4})
+	require.Zero(t, single)
 }
 
-// TestResultsGoOn reads a file whose last line was cut, and compares in pairs.
-func TestResultsGoOn(t *testing.T) {
+// TestResultsResumeAfterTruncatedLine guards against an interrupted run that cannot be resumed
+// because the last line of its file is truncated.
+func TestResultsResumeAfterTruncatedLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out.jsonl")
 	r, err := openResults(path)
 	require.NoError(t, err)
-	for _, c := range []cell{
-		{Site: "s", Day: "d", Seed: "1", Worth: 0.5}, {Site: "s", Day: "d", Seed: "2", Worth: 0.6},
-		{Mechanism: "m", Site: "s", Day: "d", Seed: "1", Worth: 0.4, Broken: []string{"TWICE"}},
-		{Mechanism: "m", Site: "s", Day: "d", Seed: "2", Worth: 0.4}, {Mechanism: "m", Site: "other", Day: "d", Seed: "2", Worth: 1},
+	for _, c := range []trialResult{
+		{Site: "s", Day: "d", Seed: "1", Score: 0.5}, {Site: "s", Day: "d", Seed: "2", Score: 0.6},
+		{Mechanism: "m", Site: "s", Day: "d", Seed: "1", Score: 0.4, Violations: []string{"TWICE"}},
+		{Mechanism: "m", Site: "s", Day: "d", Seed: "2", Score: 0.4}, {Mechanism: "m", Site: "other", Day: "d", Seed: "2", Score: 1},
 	} {
 		require.NoError(t, r.add(c))
 	}
@@ -169,11 +172,11 @@
 	_, err = f.WriteString(`{"mechanism":"m","si`)
 	require.NoError(t, err)
 	require.NoError(t, f.Close())
-	again, err := openResults(path)
+	reopened, err := openResults(path)
 	require.NoError(t, err)
-	require.True(t, again.has(play{"m", "s", "d", "2"}))
-	require.False(t, again.has(play{"m", "s", "d", "3"}))
-	rows := again.rows()
+	require.True(t, reopened.contains(trialKey{"m", "s", "d", "2"}))
+	require.False(t, reopened.contains(trialKey{"m", "s", "d", "3"}))
+	rows := reopened.summaries()
 	require.Len(t, rows, 1)
 	require.Equal(t, "| m | s | 2 | -0.1500 ± 0.0500 | TWICE |", rows[0].String())
 }
--- /dev/null
+++ b/ablation/trial_test.go
@@ -0,0 +1,314 @@
+package ablation
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io/fs"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/dottereltiller/dottereltiller/edits"
+)
+
+// baseline is the mechanism name of trials with the unchanged source.
+const baseline = ""
+
+// envList returns the comma-separated values of an environment variable, or of a default.
+func envList(name, fallback string) []string {
+	text := os.Getenv(name)
+	if text == "" {
+		text = fallback
+	}
+	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' })
+}
+
+// cloneWithEdits clones the last commit into a directory and applies edits.
+func cloneWithEdits(ctx context.Context, dir string, list []edits.Edit) error {
+	source, err := filepath.Abs(root)
+	if err != nil {
+		return err
+	}
+	if out, err := exec.CommandContext(ctx, "git", "clone", "-q", source, dir).CombinedOutput(); err != nil {
+		return fmt.Errorf("%w: %s", err, out)
+	}
+	changed, err := edits.Changed(dir, list)
+	if err != nil {
+		return err
+	}
+	for file, text := range changed {
+		if err := os.WriteFile(filepath.Join(dir, file), []byte(text), 0o600); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// trialReport is the report of the benchmark program on one day.
+type trialReport struct {
+	Score      float64        `json:"G"`
+	Violations map[string]any `json:"breaks"`
+}
+
+// runTrial replays a day with the source in a scratch copy.
+func runTrial(ctx context.Context, bench, dir, site string, p trialKey) (trialResult, error) {
+	file := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", p.site, p.day, p.seed))
+	why := "ablation: the code as it is"
+	if p.mechanism != baseline {
+		why = "trial of the ablation, off: " + p.mechanism
+	}
+	cmd := exec.CommandContext(ctx, bench, "run", site, p.day, "--seed", p.seed, "--no-cpu", "--report", file, "--why", why)
+	cmd.Dir = dir
+	out, runErr := cmd.CombinedOutput()
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return trialResult{}, fmt.Errorf("%w: %s", runErr, out)
+	}
+	var r trialReport
+	if err := json.Unmarshal(text, &r); err != nil {
+		return trialResult{}, err
+	}
+	c := trialResult{Mechanism: p.mechanism, Site: p.site, Day: p.day, Seed: p.seed, Score: r.Score}
+	for rule := range r.Violations {
+		c.Violations = append(c.Violations, rule)
+	}
+	slices.Sort(c.Violations)
+	return c, nil
+}
+
+// journalFiles returns the paths of the files in the journal of a copy, relative to the
+// journal.
+func journalFiles(dir string) ([]string, error) {
+	root := filepath.Join(dir, "journal")
+	var out []string
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		name, err := filepath.Rel(root, path)
+		out = append(out, name)
+		return err
+	})
+	return out, err
+}
+
+// copyNewJournalFiles copies the files that trials added to the journal of a scratch copy
+// (entries and the sources that they name) to a directory. It overwrites earlier copies,
+// because an entry may have been copied while its trial was still running.
+func copyNewJournalFiles(c scratchCopy, to string) error {
+	names, err := journalFiles(c.dir)
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		if slices.Contains(c.initialJournal, name) {
+			continue
+		}
+		text, err := os.ReadFile(filepath.Join(c.dir, "journal", name))
+		if err != nil {
+			return err
+		}
+		target := filepath.Join(to, name)
+		if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
+			return err
+		}
+		if err := os.WriteFile(target, text, 0o644); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// dayNamePattern matches the name of a day in a site file.
+var dayNamePattern = regexp.MustCompile(`(?m)^\[\[day\]\]\nname = "([^"]+)"`)
+
+// dayNames returns the days of a site file to replay: those in ABLATION_DAYS, or else all whose
+// names do not begin with quiet.
+func dayNames(site string) ([]string, error) {
+	if named := envList("ABLATION_DAYS", ""); len(named) > 0 {
+		return named, nil
+	}
+	text, err := os.ReadFile(site)
+	if err != nil {
+		return nil, err
+	}
+	var out []string
+	for _, m := range dayNamePattern.FindAllStringSubmatch(string(text), -1) {
+		if !strings.HasPrefix(m[1], "quiet") {
+			out = append(out, m[1])
+		}
+	}
+	return out, nil
+}
+
+// planTrials returns the trials to run, and the site files by site. The trials of one day and
+// seed follow each other, so that each is close to its baseline.
+func planTrials(sites []string) ([]trialKey, map[string]string, error) {
+	files := make(map[string]string)
+	names := []string{baseline}
+	only := envList("ABLATION_ONLY", "")
+	for _, m := range mechanisms {
+		if len(only) == 0 || slices.Contains(only, m.name) {
+			names = append(names, m.name)
+		}
+	}
+	var out []trialKey
+	for _, file := range sites {
+		site := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
+		files[site] = file
+		days, err := dayNames(file)
+		if err != nil {
+			return nil, nil, err
+		}
+		for _, seed := range envList("ABLATION_SEEDS", "11,12") {
+			for _, day := range days {
+				for _, name := range names {
+					out = append(out, trialKey{name, site, day, seed})
+				}
+			}
+		}
+	}
+	return out, files, nil
+}
+
+// scratchCopy is a clone of the repository.
+type scratchCopy struct {
+	dir string
+	// initialJournal holds the files of the copy's journal before any trial.
+	initialJournal []string
+}
+
+// scratchCopies creates scratch copies, one for each mechanism.
+type scratchCopies struct {
+	mu          sync.Mutex
+	dir         string
+	byMechanism map[string]scratchCopy
+}
+
+// forMechanism returns the scratch copy with a mechanism disabled.
+func (c *scratchCopies) forMechanism(ctx context.Context, name string) (scratchCopy, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if scratch, ok := c.byMechanism[name]; ok {
+		return scratch, nil
+	}
+	var disableEdits []edits.Edit
+	for _, m := range mechanisms {
+		if m.name == name {
+			disableEdits = m.disableEdits
+		}
+	}
+	scratch := scratchCopy{dir: filepath.Join(c.dir, strconv.Itoa(len(c.byMechanism)))}
+	if err := cloneWithEdits(ctx, scratch.dir, disableEdits); err != nil {
+		return scratch, err
+	}
+	var err error
+	if scratch.initialJournal, err = journalFiles(scratch.dir); err != nil {
+		return scratch, err
+	}
+	c.byMechanism[name] = scratch
+	return scratch, nil
+}
+
+// TestAblation replays every day with each mechanism disabled and prints a table of the score
+// differences. See the package documentation for its environment variables.
+func TestAblation(t *testing.T) {
+	bench := os.Getenv("ABLATION_BENCH")
+	if bench == "" {
+		t.Skip("takes hours; see the package's documentation")
+	}
+	out := os.Getenv("ABLATION_OUT")
+	if out == "" {
+		out = filepath.Join(os.TempDir(), "ablation.jsonl")
+	}
+	journal := os.Getenv("ABLATION_JOURNAL")
+	finished, err := openResults(out)
+	require.NoError(t, err)
+	trials, siteFiles, err := planTrials(envList("ABLATION_SITES", ""))
+	require.NoError(t, err)
+	jobs, err := strconv.Atoi(envList("ABLATION_JOBS", "4")[0])
+	require.NoError(t, err)
+	copies := &scratchCopies{dir: t.TempDir(), byMechanism: make(map[string]scratchCopy)}
+	startedAt, queue := time.Now(), make(chan trialKey)
+	var wg sync.WaitGroup
+	for range jobs {
+		wg.Go(func() {
+			for p := range queue {
+				scratch, err := copies.forMechanism(t.Context(), p.mechanism)
+				if err != nil {
+					t.Errorf("%+v: %v", p, err)
+					continue
+				}
+				c, err := runTrial(t.Context(), bench, scratch.dir, siteFiles[p.site], p)
+				if err != nil {
+					t.Errorf("%+v: %v", p, err)
+					continue
+				}
+				if err := finished.add(c); err != nil {
+					t.Errorf("%+v: %v", p, err)
+				}
+				if journal == "" {
+					continue
+				}
+				if err := copyNewJournalFiles(scratch, journal); err != nil {
+					t.Errorf("%+v: %v", p, err)
+				}
+			}
+		})
+	}
+	for i, p := range trials {
+		if finished.contains(p) {
+			continue
+		}
+		queue <- p
+		if i%10 == 0 {
+			t.Logf("%d of %d trials started after %s", i+1, len(trials), time.Since(startedAt).Round(time.Second))
+		}
+	}
+	close(queue)
+	wg.Wait()
+	for _, r := range finished.summaries() {
+		fmt.Println(r.String())
+	}
+}
+
+// TestNewJournalFilesAreCopied guards against lost journal entries of trials, and against copies
+// of entries that were in the journal before.
+func TestNewJournalFilesAreCopied(t *testing.T) {
+	dir, targetDir := t.TempDir(), t.TempDir()
+	to := filepath.Join(targetDir, "journal")
+	write := func(name, text string) {
+		require.NoError(t, os.WriteFile(filepath.Join(dir, "journal", name), []byte(text), 0o600))
+	}
+	require.NoError(t, os.MkdirAll(filepath.Join(dir, "journal", "blobs"), 0o700))
+	write("old.json", "{}")
+	write("blobs/old.txt", "old")
+	initial, err := journalFiles(dir)
+	require.NoError(t, err)
+	c := scratchCopy{dir: dir, initialJournal: initial}
+	write("new.json", "begun")
+	require.NoError(t, copyNewJournalFiles(c, to))
+	write("new.json", "ended")
+	write("blobs/new.txt", "new")
+	require.NoError(t, copyNewJournalFiles(c, to))
+
+	names, err := journalFiles(targetDir)
+	require.NoError(t, err)
+	copied := make(map[string]string)
+	for _, name := range names {
+		text, err := os.ReadFile(filepath.Join(to, name))
+		require.NoError(t, err)
+		copied[filepath.ToSlash(name)] = string(text)
+	}
+	require.Equal(t, map[string]string{"new.json": "ended", "blobs/new.txt": "new"}, copied)
+}
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -125,7 +125,7 @@
 		},
 		plan: planManyPoisons, wantViolation: "control",
 	},
-	"the caller's service is not forwarded": {
+	"a wrong caller is forwarded": {
 		edits: []edits.Edit{edits.New("sidecar/run.go", "Caller: c.Caller, Upstream: c.Upstream.ID", "Caller: c.Service + \"x\", Upstream: c.Upstream.ID")},
 		plan:  planShedding, wantViolation: "caller",
 	},
