--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -82,7 +82,7 @@
 		t.Run(m.name, func(t *testing.T) {
 			require.False(t, seen[m.name])
 			seen[m.name] = true
-			_, err := edits.Changed(root, m.disableEdits)
+			_, err := edits.Apply(root, m.disableEdits)
 			require.NoError(t, err)
 		})
 	}
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -42,7 +42,7 @@
 	if out, err := exec.CommandContext(ctx, "git", "clone", "-q", source, dir).CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
-	changed, err := edits.Changed(dir, list)
+	changed, err := edits.Apply(dir, list)
 	if err != nil {
 		return err
 	}
--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -21,8 +21,8 @@
 	maxLines   = 400
 )
 
-// source is one Go file of the workspace.
-type source struct {
+// sourceFile is one Go file of the workspace.
+type sourceFile struct {
 	path    string
 	pkg     string
 	test    bool
@@ -30,9 +30,9 @@
 	lines   int
 }
 
-func sources(t *testing.T) []source {
+func sourceFiles(t *testing.T) []sourceFile {
 	t.Helper()
-	var out []source
+	var out []sourceFile
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -51,7 +51,7 @@
 		if err != nil {
 			return err
 		}
-		s := source{path: path, test: strings.HasSuffix(path, "_test.go"), lines: bytes.Count(data, []byte("\n"))}
+		s := sourceFile{path: path, test: strings.HasSuffix(path, "_test.go"), lines: bytes.Count(data, []byte("\n"))}
 		s.pkg = strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), root+"/")
 		for _, i := range f.Imports {
 			p, err := strconv.Unquote(i.Path.Value)
@@ -70,7 +70,7 @@
 
 // TestCoreImports holds core to the standard library, xxhash and itself.
 func TestCoreImports(t *testing.T) {
-	for _, s := range sources(t) {
+	for _, s := range sourceFiles(t) {
 		if s.test || !strings.HasPrefix(s.pkg, "core/") {
 			continue
 		}
@@ -83,8 +83,8 @@
 	}
 }
 
-// forbidden lists imports that would tie the daemon's parts to each other.
-var forbidden = map[string][]string{
+// forbiddenImports lists imports that would tie the daemon's parts to each other.
+var forbiddenImports = map[string][]string{
 	"wire":          {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer"},
 	"hop":           {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer", "wire"},
 	"sidecar":       {"platform", "daemon", "entry", "guard", "owner", "membership", "configuration", "peer", "recordlog"},
@@ -99,29 +99,29 @@
 	"configuration": {"entry", "guard", "owner", "daemon", "membership"},
 }
 
-// TestPartsMeetThroughInterfaces holds the parts of the daemon apart: only
+// TestComponentsDoNotImportEachOther holds the parts of the daemon apart: only
 // package daemon knows them all.
-func TestPartsMeetThroughInterfaces(t *testing.T) {
-	for _, s := range sources(t) {
+func TestComponentsDoNotImportEachOther(t *testing.T) {
+	for _, s := range sourceFiles(t) {
 		if s.test {
 			continue
 		}
-		for _, part := range forbidden[s.pkg] {
+		for _, part := range forbiddenImports[s.pkg] {
 			require.NotContains(t, s.imports, modulePath+part, s.path)
 		}
 	}
 }
 
-// TestFilesStaySmall bounds the length of every file.
-func TestFilesStaySmall(t *testing.T) {
-	for _, s := range sources(t) {
+// TestFileLength bounds the length of every file.
+func TestFileLength(t *testing.T) {
+	for _, s := range sourceFiles(t) {
 		require.LessOrEqual(t, s.lines, maxLines, s.path)
 	}
 }
 
-// TestNoReadyMadeProxy keeps the standard library's proxy out.
-func TestNoReadyMadeProxy(t *testing.T) {
-	for _, s := range sources(t) {
+// TestNoStandardLibraryProxy keeps the standard library's proxy out.
+func TestNoStandardLibraryProxy(t *testing.T) {
+	for _, s := range sourceFiles(t) {
 		require.NotContains(t, s.imports, "net/http/httputil", s.path)
 	}
 }
@@ -139,10 +139,10 @@
 	"app-addr", "retry-budget-ratio", "keyed.", "DOTTERELTILLER_NODE_FILE",
 }
 
-// TestOnlyThePlatformKnowsItsNames holds every spelling of the users' platform to
+// TestPlatformNamesOnlyInPlatformPackage holds every spelling of the users' platform to
 // the package that translates, and that package to the daemon's command.
-func TestOnlyThePlatformKnowsItsNames(t *testing.T) {
-	for _, s := range sources(t) {
+func TestPlatformNamesOnlyInPlatformPackage(t *testing.T) {
+	for _, s := range sourceFiles(t) {
 		if s.pkg == "platform" || s.pkg == "platform/platformtest" || s.pkg == "architecture" {
 			continue
 		}
--- a/bubble/bubble_test.go
+++ b/bubble/bubble_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestProcessorsAreGivenBack(t *testing.T) {
+func TestProcessorsAreRestored(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	bubble.Run(t, func(t *testing.T) {
 		require.Equal(t, 1, runtime.GOMAXPROCS(0))
--- a/edits/edits.go
+++ b/edits/edits.go
@@ -32,9 +32,9 @@
 	return fmt.Sprintf("%s: %q is there %d times, want once", e.Edit.File, e.Edit.Old, e.Count)
 }
 
-// Changed returns the text of the files that the edits change, by their paths from the
+// Apply returns the text of the files that the edits change, by their paths from the
 // root. Edits of one file follow each other. An edit that does not apply is a *CountError.
-func Changed(root string, list []Edit) (map[string]string, error) {
+func Apply(root string, list []Edit) (map[string]string, error) {
 	out := make(map[string]string)
 	for _, e := range list {
 		text, ok := out[e.File]
--- a/edits/edits_test.go
+++ b/edits/edits_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestChanged(t *testing.T) {
+func TestApply(t *testing.T) {
 	root := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(root, "a"), []byte("one two three two"), 0o600))
 	for name, c := range map[string]struct {
@@ -22,7 +22,7 @@
 		"not there":        {[]Edit{{"a", "four", "4"}}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := Changed(root, c.edits)
+			got, err := Apply(root, c.edits)
 			if c.want == "" {
 				var e *CountError
 				require.ErrorAs(t, err, &e)
@@ -34,6 +34,6 @@
 			require.Equal(t, map[string]string{"a": c.want}, got)
 		})
 	}
-	_, err := Changed(root, []Edit{{"missing", "x", "y"}})
+	_, err := Apply(root, []Edit{{"missing", "x", "y"}})
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -149,7 +149,7 @@
 func writeOverlay(t *testing.T, m mutant) string {
 	t.Helper()
 	dir := t.TempDir()
-	changed, err := edits.Changed(root, m.edits)
+	changed, err := edits.Apply(root, m.edits)
 	require.NoError(t, err)
 	replacements := map[string]string{}
 	for file, text := range changed {
