--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -107,7 +107,7 @@
 		if err != nil {
 			return
 		}
-		s := f.next()
+		s := f.nextScript()
 		if !s.Unread {
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
@@ -117,22 +117,22 @@
 			_, _ = io.Copy(io.Discard, conn)
 			return
 		}
-		if !s.answer(conn) {
+		if !s.writeTo(conn) {
 			return
 		}
 	}
 }
 
-// next counts a request and returns the script for it.
-func (f *Faulty) next() Script {
+// nextScript counts a request and returns the script for it.
+func (f *Faulty) nextScript() Script {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests++
 	return f.script
 }
 
-// answer sends the answer and reports whether the connection goes on.
-func (s Script) answer(conn net.Conn) bool {
+// writeTo sends the answer and reports whether the connection goes on.
+func (s Script) writeTo(conn net.Conn) bool {
 	if s.Cut < 0 || s.Cut > len(s.Answer) {
 		_, err := conn.Write(s.Answer)
 		return err == nil
--- a/standin/run.go
+++ b/standin/run.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	renewInterval = time.Second
+	announceInterval = time.Second
 	// drainTimeout bounds the wait for requests that run when the stand-in
 	// leaves.
-	drainTimeout = 30 * time.Second
-	idleInterval = 20 * time.Millisecond
+	drainTimeout      = 30 * time.Second
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// errBusy tells that requests still ran when the stand-in was closed.
-var errBusy = errors.New("requests still ran when the upstream left")
+// errRequestsRunning tells that requests still ran when the stand-in was closed.
+var errRequestsRunning = errors.New("requests still ran when the upstream left")
 
 // Run announces the stand-in to the daemon at an admin address and renews the
 // announcement until the context ends. Then it announces that it leaves, waits
 // for what runs, and closes. A daemon that does not answer is asked again;
 // failed is told of it.
 func (u *Upstream) Run(ctx context.Context, admin string, incarnation uint64, failed func(error)) error {
-	tick := time.NewTicker(renewInterval)
+	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	for {
 		if err := u.Announce(ctx, admin, incarnation, false); err != nil && ctx.Err() == nil {
@@ -30,14 +30,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(u.leave(admin, incarnation), u.Close())
+			return errors.Join(u.drain(admin, incarnation), u.Close())
 		case <-tick.C:
 		}
 	}
 }
 
-// leave announces the end and waits until nothing runs.
-func (u *Upstream) leave(admin string, incarnation uint64) error {
+// drain announces the end and waits until nothing runs.
+func (u *Upstream) drain(admin string, incarnation uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := u.Announce(ctx, admin, incarnation, true); err != nil {
@@ -46,8 +46,8 @@
 	for len(u.slots) > 0 {
 		select {
 		case <-ctx.Done():
-			return errBusy
-		case <-time.After(idleInterval):
+			return errRequestsRunning
+		case <-time.After(drainPollInterval):
 		}
 	}
 	return nil
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -19,11 +19,11 @@
 	HeaderCost = "X-Cost"
 	// HeaderRequest names the request; the answer carries it back.
 	HeaderRequest = "X-Request"
-	// HeaderAnswerBytes is the number of bytes sent after the usual answer.
-	HeaderAnswerBytes = "X-Answer-Bytes"
+	// HeaderExtraBytes is the number of bytes sent after the usual answer.
+	HeaderExtraBytes = "X-Answer-Bytes"
 )
 
-const defaultCost = time.Millisecond
+const defaultServiceTime = time.Millisecond
 
 // LoadPath is where a stand-in reports its load.
 const LoadPath = "/standin/load"
@@ -91,46 +91,46 @@
 		return
 	}
 	defer func() { <-u.slots }()
-	u.count(name)
+	u.countRun(name)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	select {
-	case <-time.After(costOf(r)):
+	case <-time.After(serviceTimeOf(r)):
 	case <-r.Context().Done():
 		return
 	}
 	w.Header().Set(HeaderRequest, name)
 	_, _ = fmt.Fprintf(w, "%s %s", name, body)
-	if more, err := strconv.ParseInt(r.Header.Get(HeaderAnswerBytes), 10, 64); err == nil {
-		_, _ = io.CopyN(w, zeros{}, more)
+	if more, err := strconv.ParseInt(r.Header.Get(HeaderExtraBytes), 10, 64); err == nil {
+		_, _ = io.CopyN(w, zeroReader{}, more)
 	}
 }
 
-// maxNames bounds the requests whose runs are counted; later names are not.
-const maxNames = 1 << 20
+// maxCountedRequests bounds the requests whose runs are counted; later names are not.
+const maxCountedRequests = 1 << 20
 
-func (u *Upstream) count(name string) {
+func (u *Upstream) countRun(name string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if _, known := u.runs[name]; known || len(u.runs) < maxNames {
+	if _, known := u.runs[name]; known || len(u.runs) < maxCountedRequests {
 		u.runs[name]++
 	}
 }
 
-func costOf(r *http.Request) time.Duration {
+func serviceTimeOf(r *http.Request) time.Duration {
 	cost, err := time.ParseDuration(r.Header.Get(HeaderCost))
 	if err != nil {
-		return defaultCost
+		return defaultServiceTime
 	}
 	return cost
 }
 
-// zeros reads as zero bytes without end.
-type zeros struct{}
+// zeroReader reads as zero bytes without end.
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) {
+func (zeroReader) Read(p []byte) (int, error) {
 	clear(p)
 	return len(p), nil
 }
