--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	callerPort    = 7000
-	peerPort      = 7001
-	adminPort     = 7002
-	slots         = 6
-	conditionWait = 30 * time.Second
-	conditionPoll = 20 * time.Millisecond
-	renewInterval = 300 * time.Millisecond
+	callerPort            = 7000
+	peerPort              = 7001
+	adminPort             = 7002
+	slots                 = 6
+	conditionTimeout      = 30 * time.Second
+	conditionPollInterval = 20 * time.Millisecond
+	announceInterval      = 300 * time.Millisecond
 )
 
 var zones = []string{"odense-hal-a", "odense-hal-b", "svendborg-lager"}
@@ -48,8 +48,8 @@
 	upstream *standin.Upstream
 	cmd      *exec.Cmd
 	stderr   *os.File
-	// leaving is set once the upstream has announced that it leaves.
-	leaving atomic.Bool
+	// draining is set once the upstream has announced that it leaves.
+	draining atomic.Bool
 }
 
 // cluster is a deployment of real daemons.
@@ -62,8 +62,8 @@
 	logAddr string
 	// logReads and logAppends count the requests to the log.
 	logReads, logAppends atomic.Int64
-	stop                 context.CancelFunc
-	renewer              sync.WaitGroup
+	stopAnnouncing       context.CancelFunc
+	announcers           sync.WaitGroup
 }
 
 func startCluster(t testing.TB, services map[string]int) *cluster {
@@ -91,17 +91,17 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c.stop = cancel
+	c.stopAnnouncing = cancel
 	for _, v := range c.vms {
-		c.renewer.Go(func() { v.renew(ctx) })
+		c.announcers.Go(func() { v.keepAnnouncing(ctx) })
 	}
 	t.Cleanup(c.close)
 	return c
 }
 
 func (c *cluster) close() {
-	c.stop()
-	c.renewer.Wait()
+	c.stopAnnouncing()
+	c.announcers.Wait()
 	for _, v := range c.vms {
 		v.kill()
 	}
@@ -173,15 +173,15 @@
 	_ = v.stderr.Close()
 }
 
-// drain asks the daemon to end and returns its exit code.
-func (v *vm) drain() int {
+// stop asks the daemon to end and returns its exit code.
+func (v *vm) stop() int {
 	v.signal(syscall.SIGTERM)
 	_ = v.cmd.Wait()
 	_ = v.stderr.Close()
 	return v.cmd.ProcessState.ExitCode()
 }
 
-func (v *vm) lines() string {
+func (v *vm) logOutput() string {
 	data, err := os.ReadFile(v.stderr.Name())
 	if err != nil {
 		return err.Error()
@@ -189,18 +189,18 @@
 	return string(data)
 }
 
-func (v *vm) callers() string { return fmt.Sprintf("%s:%d", v.ip, callerPort) }
-func (v *vm) admin() string   { return fmt.Sprintf("%s:%d", v.ip, adminPort) }
+func (v *vm) callerAddress() string { return fmt.Sprintf("%s:%d", v.ip, callerPort) }
+func (v *vm) adminAddress() string  { return fmt.Sprintf("%s:%d", v.ip, adminPort) }
 
-// renew announces the upstream to its daemon again and again.
-func (v *vm) renew(ctx context.Context) {
+// keepAnnouncing announces the upstream to its daemon again and again.
+func (v *vm) keepAnnouncing(ctx context.Context) {
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, renewInterval)
-		_ = v.upstream.Announce(call, v.admin(), 1, v.leaving.Load())
+		call, cancel := context.WithTimeout(ctx, announceInterval)
+		_ = v.upstream.Announce(call, v.adminAddress(), 1, v.draining.Load())
 		cancel()
 		select {
 		case <-ctx.Done():
-		case <-time.After(renewInterval):
+		case <-time.After(announceInterval):
 		}
 	}
 }
@@ -209,7 +209,7 @@
 // answer.
 func (v *vm) status() (daemon.Status, bool) {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + v.admin() + "/status")
+	resp, err := client.Get("http://" + v.adminAddress() + "/status")
 	if err != nil {
 		return daemon.Status{}, false
 	}
@@ -225,8 +225,8 @@
 	return uint64(s.Version), ok
 }
 
-// usable counts the upstreams that the daemon sees and that do not leave.
-func (v *vm) usable() int {
+// usableUpstreams counts the upstreams that the daemon sees and that do not leave.
+func (v *vm) usableUpstreams() int {
 	s, _ := v.status()
 	n := 0
 	for _, svc := range s.Services {
@@ -262,14 +262,14 @@
 // await waits for a condition; the bound only ends a test that hangs.
 func (c *cluster) await(what string, condition func() bool) {
 	c.t.Helper()
-	deadline := time.Now().Add(conditionWait)
+	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			for _, v := range c.vms {
-				c.t.Logf("%s:\n%s", v.upstream.ID, v.lines())
+				c.t.Logf("%s:\n%s", v.upstream.ID, v.logOutput())
 			}
 			require.FailNow(c.t, "condition never held", what)
 		}
-		time.Sleep(conditionPoll)
+		time.Sleep(conditionPollInterval)
 	}
 }
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -20,34 +20,34 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// answer is what a caller was told about one sending of a request.
-type answer struct {
+// attemptResult is what a caller was told about one sending of a request.
+type attemptResult struct {
 	kind   outcome.Kind
 	reason string
-	// whole is false when an answer was not the caller's own or not whole.
-	whole bool
-	// transport is set when the connection to the daemon failed after it was
+	// valid is false when an answer was not the caller's own or not whole.
+	valid bool
+	// connectionFailed is set when the connection to the daemon failed after it was
 	// made; refused when it could not be made, so that nothing was sent.
-	transport bool
-	refused   bool
+	connectionFailed bool
+	notConnected     bool
 	// err is what the caller's HTTP client said when there was no answer.
 	err error
 }
 
-// record is the history of one request: it may be sent several times.
-type record struct {
+// requestRecord is the history of one request: it may be sent several times.
+type requestRecord struct {
 	name       string
 	idempotent bool
 	key        string
-	answers    []answer
+	results    []attemptResult
 }
 
-func (r *record) last() answer { return r.answers[len(r.answers)-1] }
+func (r *requestRecord) last() attemptResult { return r.results[len(r.results)-1] }
 
-// everUnproved reports whether any sending ended without proof either way.
-func (r *record) everUnproved() bool {
-	for _, a := range r.answers {
-		if a.transport || a.kind == outcome.Unknown {
+// hasUnknownOutcome reports whether any sending ended without proof either way.
+func (r *requestRecord) hasUnknownOutcome() bool {
+	for _, a := range r.results {
+		if a.connectionFailed || a.kind == outcome.Unknown {
 			return true
 		}
 	}
@@ -57,24 +57,24 @@
 // history collects records.
 type history struct {
 	mu      sync.Mutex
-	records []*record
+	records []*requestRecord
 	serial  int
 }
 
-func (h *history) add(r *record) {
+func (h *history) add(r *requestRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.records = append(h.records, r)
 }
 
-func (h *history) next() int {
+func (h *history) nextSerial() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.serial++
 	return h.serial
 }
 
-func (h *history) count(match func(*record) bool) int {
+func (h *history) count(match func(*requestRecord) bool) int {
 	n := 0
 	for _, r := range h.records {
 		if match(r) {
@@ -86,12 +86,12 @@
 
 const (
 	workers     = 16
-	maxSendings = 3
+	maxAttempts = 3
 	callTimeout = 4 * time.Second
 )
 
 // kinds of request that the load mixes.
-var mix = []struct {
+var requestKinds = []struct {
 	service, method, path string
 	keyed                 bool
 }{
@@ -101,15 +101,15 @@
 	{"returdesk", http.MethodPost, "/release/2", true},
 }
 
-// load sends n requests through daemons that target picks and records them.
-func (c *cluster) load(h *history, n int, target func(*rand.Rand) *vm) {
+// sendRequests sends n requests through daemons that target picks and records them.
+func (c *cluster) sendRequests(h *history, n int, target func(*rand.Rand) *vm) {
 	var wg sync.WaitGroup
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workers}}
 	for w := range workers {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(w), uint64(n)))
 			for range n / workers {
-				h.add(c.request(h, client, rng, target))
+				h.add(c.sendWithRetries(h, client, rng, target))
 			}
 		})
 	}
@@ -119,23 +119,23 @@
 
 func (c *cluster) anyVM(rng *rand.Rand) *vm { return c.vms[rng.IntN(len(c.vms))] }
 
-// request sends one request, again through another daemon where the caller may.
-func (c *cluster) request(h *history, client *http.Client, rng *rand.Rand, target func(*rand.Rand) *vm) *record {
-	m := mix[rng.IntN(len(mix))]
-	r := &record{name: fmt.Sprintf("r%d", h.next()), idempotent: m.method == http.MethodGet}
+// sendWithRetries sends one request, again through another daemon where the caller may.
+func (c *cluster) sendWithRetries(h *history, client *http.Client, rng *rand.Rand, target func(*rand.Rand) *vm) *requestRecord {
+	m := requestKinds[rng.IntN(len(requestKinds))]
+	r := &requestRecord{name: fmt.Sprintf("r%d", h.nextSerial()), idempotent: m.method == http.MethodGet}
 	if m.keyed {
 		r.key = uuid.Must(uuid.NewV7()).String()
 	}
 	var last *vm
-	for range maxSendings {
+	for range maxAttempts {
 		v := target(rng)
 		for v == last && len(c.vms) > 1 {
 			v = c.anyVM(rng)
 		}
 		last = v
-		a := send(client, "http://"+v.callers()+m.path, m.service, m.method, r)
-		r.answers = append(r.answers, a)
-		mayRepeat := r.idempotent || r.key != "" || a.refused || (a.kind == outcome.NotRun && !a.transport)
+		a := sendAttempt(client, "http://"+v.callerAddress()+m.path, m.service, m.method, r)
+		r.results = append(r.results, a)
+		mayRepeat := r.idempotent || r.key != "" || a.notConnected || (a.kind == outcome.NotRun && !a.connectionFailed)
 		if a.kind == outcome.Answered || !mayRepeat {
 			break
 		}
@@ -143,14 +143,14 @@
 	return r
 }
 
-func send(client *http.Client, url, service, method string, r *record) answer {
+func sendAttempt(client *http.Client, url, service, method string, r *requestRecord) attemptResult {
 	var body io.Reader
 	if method != http.MethodGet {
 		body = io.MultiReader(strings.NewReader(r.name))
 	}
 	req, err := http.NewRequest(method, url, body)
 	if err != nil {
-		return answer{transport: true}
+		return attemptResult{connectionFailed: true}
 	}
 	req.Header.Set(wire.HeaderService, service)
 	req.Header.Set(standin.HeaderRequest, r.name)
@@ -160,32 +160,32 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return failure(err)
+		return resultOfError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return answer{transport: true, err: err}
+		return attemptResult{connectionFailed: true, err: err}
 	}
 	kind, ok := outcome.ParseKind(resp.Header.Get(wire.HeaderOutcome))
-	a := answer{kind: kind, reason: resp.Header.Get(wire.HeaderReason), whole: ok}
+	a := attemptResult{kind: kind, reason: resp.Header.Get(wire.HeaderReason), valid: ok}
 	if kind == outcome.Answered {
-		a.whole = strings.HasPrefix(string(data), r.name+" ") && resp.Header.Get(standin.HeaderRequest) == r.name
+		a.valid = strings.HasPrefix(string(data), r.name+" ") && resp.Header.Get(standin.HeaderRequest) == r.name
 	}
 	return a
 }
 
-// failure tells a connection that could not be made from one that broke.
-func failure(err error) answer {
+// resultOfError tells a connection that could not be made from one that broke.
+func resultOfError(err error) attemptResult {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return answer{kind: outcome.NotRun, refused: true, whole: true, err: err}
+		return attemptResult{kind: outcome.NotRun, notConnected: true, valid: true, err: err}
 	}
-	return answer{transport: true, err: err}
+	return attemptResult{connectionFailed: true, err: err}
 }
 
-// runs returns how often each request ran, over all upstreams.
-func (c *cluster) runs() map[string]int {
+// executions returns how often each request ran, over all upstreams.
+func (c *cluster) executions() map[string]int {
 	total := make(map[string]int)
 	for _, v := range c.vms {
 		for name, n := range v.upstream.Runs() {
@@ -198,50 +198,50 @@
 // checkInvariants checks a history against what the upstreams ran.
 func (c *cluster) checkInvariants(t *testing.T, h *history) {
 	t.Helper()
-	runs := c.runs()
+	runs := c.executions()
 	for _, r := range h.records {
-		for _, a := range r.answers {
-			if !a.transport {
-				require.True(t, a.whole, "request %s: answer not whole or not its own: %+v", r.name, a)
+		for _, a := range r.results {
+			if !a.connectionFailed {
+				require.True(t, a.valid, "request %s: answer not whole or not its own: %+v", r.name, a)
 			}
 		}
 		if !r.idempotent {
-			require.LessOrEqual(t, runs[r.name], 1, "request %s (key %q) ran more than once: %+v", r.name, r.key, r.answers)
+			require.LessOrEqual(t, runs[r.name], 1, "request %s (key %q) ran more than once: %+v", r.name, r.key, r.results)
 		}
 		if r.last().kind == outcome.Answered {
 			require.GreaterOrEqual(t, runs[r.name], 1, "request %s: answered but never ran", r.name)
 		}
-		if !r.everUnproved() && r.last().kind == outcome.NotRun {
-			require.Zero(t, runs[r.name], "request %s: told not run but ran: %+v", r.name, r.answers)
+		if !r.hasUnknownOutcome() && r.last().kind == outcome.NotRun {
+			require.Zero(t, runs[r.name], "request %s: told not run but ran: %+v", r.name, r.results)
 		}
 	}
 }
 
-// failures counts the requests that were not answered by their last reason.
-func (h *history) failures() map[string]int {
+// failureReasons counts the requests that were not answered by their last reason.
+func (h *history) failureReasons() map[string]int {
 	reasons := make(map[string]int)
 	for _, r := range h.records {
 		if a := r.last(); a.kind != outcome.Answered {
-			reasons[fmt.Sprintf("%s %s transport=%t refused=%t %v", a.kind, a.reason, a.transport, a.refused, a.err)]++
+			reasons[fmt.Sprintf("%s %s transport=%t refused=%t %v", a.kind, a.reason, a.connectionFailed, a.notConnected, a.err)]++
 		}
 	}
 	return reasons
 }
 
-// checkNothingCut checks requests that were sent while daemons drained. Each
+// checkDrainLosesNothing checks requests that were sent while daemons drained. Each
 // must have been answered, but for one case: a non-idempotent request without a
 // key on a kept connection that the daemon closed at the same moment. HTTP/1.1
 // gives the caller no proof then, so it may not send again; such a request must
 // not have run, or the drain would have cut it in flight.
-func (c *cluster) checkNothingCut(records []*record) {
+func (c *cluster) checkDrainLosesNothing(records []*requestRecord) {
 	c.t.Helper()
-	runs := c.runs()
+	runs := c.executions()
 	for _, r := range records {
 		if isAnswered(r) {
 			continue
 		}
-		crossed := r.last().transport && !r.idempotent && r.key == ""
-		require.True(c.t, crossed, "request %s (key %q) failed while a daemon drained: %+v", r.name, r.key, r.answers)
-		require.Zero(c.t, runs[r.name], "request %s was cut while it ran: %+v", r.name, r.answers)
+		crossed := r.last().connectionFailed && !r.idempotent && r.key == ""
+		require.True(c.t, crossed, "request %s (key %q) failed while a daemon drained: %+v", r.name, r.key, r.results)
+		require.Zero(c.t, runs[r.name], "request %s was cut while it ran: %+v", r.name, r.results)
 	}
 }
--- a/proctest/resting_test.go
+++ b/proctest/idle_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restingBytes is what a daemon at rest may hold in memory, by the aim for the
+// maxIdleBytes is what a daemon at rest may hold in memory, by the aim for the
 // full size.
-const restingBytes = 32 << 20
+const maxIdleBytes = 32 << 20
 
 // clockTicks is the unit of processor time in /proc, which Linux fixes at 100
 // a second for user space.
@@ -38,8 +38,8 @@
 	return 0
 }
 
-// cpu returns the processor time that the daemon's process has used.
-func (v *vm) cpu() time.Duration {
+// cpuTime returns the processor time that the daemon's process has used.
+func (v *vm) cpuTime() time.Duration {
 	v.t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", v.cmd.Process.Pid))
 	require.NoError(v.t, err)
@@ -54,10 +54,10 @@
 	return time.Duration(ticks) * time.Second / clockTicks
 }
 
-// counter returns the sum of a counter over its labels.
-func (v *vm) counter(name string) float64 {
+// sumCounter returns the sum of a counter over its labels.
+func (v *vm) sumCounter(name string) float64 {
 	v.t.Helper()
-	resp, err := http.Get("http://" + v.admin() + "/metrics")
+	resp, err := http.Get("http://" + v.adminAddress() + "/metrics")
 	require.NoError(v.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	total := 0.0
@@ -73,36 +73,36 @@
 	return total
 }
 
-// TestDaemonAtRestStaysSmall bounds the memory of daemons that nobody calls.
-func TestDaemonAtRestStaysSmall(t *testing.T) {
+// TestIdleDaemonMemory bounds the memory of daemons that nobody calls.
+func TestIdleDaemonMemory(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 3})
 	c.awaitVersion(c.publish(documents("3s")))
 	for _, v := range c.vms {
-		require.Less(t, v.residentBytes(), int64(restingBytes), v.upstream.ID)
+		require.Less(t, v.residentBytes(), int64(maxIdleBytes), v.upstream.ID)
 	}
 }
 
-// BenchmarkDaemonAtRest reports what one daemon spends a second when nobody
+// BenchmarkIdleDaemon reports what one daemon spends a second when nobody
 // calls, by the number of daemons.
-func BenchmarkDaemonAtRest(b *testing.B) {
+func BenchmarkIdleDaemon(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			c := startCluster(b, map[string]int{"returdesk": n / 2, "sporarkiv": n / 2})
 			c.awaitVersion(c.publish(documents("3s")))
 			time.Sleep(8 * time.Second)
 			for b.Loop() {
-				c.reportRest(b, 10*time.Second)
+				c.reportIdleCost(b, 10*time.Second)
 			}
 		})
 	}
 }
 
-func (c *cluster) reportRest(b *testing.B, watch time.Duration) {
-	cpu, bytes := c.totals()
+func (c *cluster) reportIdleCost(b *testing.B, watch time.Duration) {
+	cpu, bytes := c.totalUsage()
 	reads, appends := c.logReads.Load(), c.logAppends.Load()
 	start := time.Now()
 	time.Sleep(watch)
-	cpuAfter, bytesAfter := c.totals()
+	cpuAfter, bytesAfter := c.totalUsage()
 	elapsed := time.Since(start).Seconds()
 	seconds := elapsed * float64(len(c.vms))
 	var rss int64
@@ -116,10 +116,10 @@
 	b.ReportMetric(float64(rss)/(1<<20), "maxMiB")
 }
 
-func (c *cluster) totals() (cpu time.Duration, bytes float64) {
+func (c *cluster) totalUsage() (cpu time.Duration, bytes float64) {
 	for _, v := range c.vms {
-		cpu += v.cpu()
-		bytes += v.counter("dottereltiller_peer_bytes")
+		cpu += v.cpuTime()
+		bytes += v.sumCounter("dottereltiller_peer_bytes")
 	}
 	return cpu, bytes
 }
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -40,71 +40,71 @@
 	c.awaitServing(h)
 
 	t.Log("no fault")
-	c.load(h, phaseRequests, c.anyVM)
-	require.Zero(t, h.count(func(r *record) bool { return !isAnswered(r) }), "a request failed without a fault")
+	c.sendRequests(h, phaseRequests, c.anyVM)
+	require.Zero(t, h.count(func(r *requestRecord) bool { return !isAnswered(r) }), "a request failed without a fault")
 
 	t.Log("daemon drained and started again")
 	before := len(h.records)
-	c.during(h, phaseRequests, func() { require.Zero(t, c.vms[3].drain(), c.vms[3].lines()) })
-	c.checkNothingCut(h.records[before:])
+	c.withFault(h, phaseRequests, func() { require.Zero(t, c.vms[3].stop(), c.vms[3].logOutput()) })
+	c.checkDrainLosesNothing(h.records[before:])
 	c.vms[3].start()
 	c.awaitVersion(first)
 	c.awaitServing(h)
 
 	t.Log("daemon killed and started again")
-	c.during(h, phaseRequests, func() { c.vms[0].kill() })
+	c.withFault(h, phaseRequests, func() { c.vms[0].kill() })
 	c.vms[0].start()
 	c.awaitVersion(first)
 
 	t.Log("daemon paused and resumed")
-	c.during(h, pauseRequests, func() { c.vms[1].signal(syscall.SIGSTOP) })
+	c.withFault(h, pauseRequests, func() { c.vms[1].signal(syscall.SIGSTOP) })
 	c.vms[1].signal(syscall.SIGCONT)
 
 	t.Log("log down, daemon killed and started meanwhile, then a new version")
 	c.logDown.Store(true)
-	c.during(h, phaseRequests, func() { c.vms[2].kill() })
+	c.withFault(h, phaseRequests, func() { c.vms[2].kill() })
 	c.logDown.Store(false)
 	c.vms[2].start()
 	second := c.publish(documents("4s"))
 	require.Greater(t, second, first)
 	c.awaitVersion(second)
-	c.load(h, phaseRequests, c.anyVM)
+	c.sendRequests(h, phaseRequests, c.anyVM)
 	c.checkInvariants(t, h)
 }
 
-// TestLeavingUpstreamGetsNoNewWork lets an upstream leave while callers send.
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+// TestDrainingUpstreamReceivesNoNewRequests lets an upstream leave while callers send.
+func TestDrainingUpstreamReceivesNoNewRequests(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 1})
 	c.awaitVersion(c.publish(documents("3s")))
 	h := &history{}
 	c.awaitServing(h)
 	leaver := c.vms[0]
-	leaver.leaving.Store(true)
+	leaver.draining.Store(true)
 	c.await("the leaving upstream gets no new work", func() bool {
 		before := len(leaver.upstream.Runs())
-		c.load(h, phaseRequests/4, c.anyVM)
+		c.sendRequests(h, phaseRequests/4, c.anyVM)
 		return len(leaver.upstream.Runs()) == before
 	})
 	before := len(leaver.upstream.Runs())
-	c.load(h, phaseRequests, c.anyVM)
+	c.sendRequests(h, phaseRequests, c.anyVM)
 	require.Len(t, leaver.upstream.Runs(), before, "new work after the upstream had left")
 	c.checkInvariants(t, h)
 }
 
-// during applies a fault while callers send n requests and waits until they are
+// withFault applies a fault while callers send n requests and waits until they are
 // done.
-func (c *cluster) during(h *history, n int, fault func()) {
+func (c *cluster) withFault(h *history, n int, fault func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.load(h, n, c.anyVM)
+		c.sendRequests(h, n, c.anyVM)
 	}()
 	fault()
 	<-done
-	c.t.Logf("%d of %d answered, others: %v", h.count(isAnswered), len(h.records), h.failures())
+	c.t.Logf("%d of %d answered, others: %v", h.count(isAnswered), len(h.records), h.failureReasons())
 }
 
-func isAnswered(r *record) bool { return r.last().kind == outcome.Answered }
+func isAnswered(r *requestRecord) bool { return r.last().kind == outcome.Answered }
 
 // awaitServing waits until every daemon sees every upstream and answers calls to
 // both services. A daemon that knew one upstream only would rightly have none
@@ -112,29 +112,29 @@
 func (c *cluster) awaitServing(h *history) {
 	c.t.Helper()
 	for _, v := range c.vms {
-		c.await(v.upstream.ID+" sees all upstreams", func() bool { return v.usable() == len(c.vms) })
+		c.await(v.upstream.ID+" sees all upstreams", func() bool { return v.usableUpstreams() == len(c.vms) })
 		c.await(v.upstream.ID+" answers", func() bool {
-			probe := &history{serial: h.next() * 1_000_000}
-			c.load(probe, workers, func(*rand.Rand) *vm { return v })
-			return probe.count(func(r *record) bool { return !isAnswered(r) }) == 0
+			probe := &history{serial: h.nextSerial() * 1_000_000}
+			c.sendRequests(probe, workers, func(*rand.Rand) *vm { return v })
+			return probe.count(func(r *requestRecord) bool { return !isAnswered(r) }) == 0
 		})
 	}
 }
 
-// TestRollingRestartFailsNothing drains and starts every daemon in turn while
+// TestRollingRestartLosesNoRequests drains and starts every daemon in turn while
 // callers send.
-func TestRollingRestartFailsNothing(t *testing.T) {
+func TestRollingRestartLosesNoRequests(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 3})
 	version := c.publish(documents("3s"))
 	c.awaitVersion(version)
 	h := &history{}
 	c.awaitServing(h)
 	for _, v := range c.vms {
-		c.during(h, phaseRequests, func() { require.Zero(t, v.drain(), v.lines()) })
+		c.withFault(h, phaseRequests, func() { require.Zero(t, v.stop(), v.logOutput()) })
 		v.start()
 		c.awaitVersion(version)
 		c.awaitServing(h)
 	}
-	c.checkNothingCut(h.records)
+	c.checkDrainLosesNothing(h.records)
 	c.checkInvariants(t, h)
 }
