--- a/demo/demo.go
+++ b/demo/demo.go
@@ -54,7 +54,7 @@
 	if opts.Duration <= 0 {
 		opts.Duration = defaultDuration
 	}
-	res, err := measure(ctx, opts.Duration)
+	res, err := runLoad(ctx, opts.Duration)
 	if err != nil {
 		return err
 	}
@@ -72,9 +72,9 @@
 	return ctx.Err()
 }
 
-// measure starts the deployment, sends the load, stops the deployment and
+// runLoad starts the deployment, sends the load, stops the deployment and
 // checks what is left.
-func measure(ctx context.Context, d time.Duration) (*Result, error) {
+func runLoad(ctx context.Context, d time.Duration) (*Result, error) {
 	var docs []policy.Document
 	if err := json.Unmarshal(documents, &docs); err != nil {
 		return nil, err
@@ -84,25 +84,25 @@
 		return nil, err
 	}
 	defer c.Stop()
-	plan, err := planFor(c, d)
+	plan, err := loadPlan(c, d)
 	if err != nil {
 		return nil, err
 	}
 	seen := newObserver()
-	before, began := measured(c), time.Now()
+	before, began := measuringSlotTime(c), time.Now()
 	figures, err := load.Run(ctx, plan, load.Options{Observe: seen.observe})
 	if err != nil {
 		return nil, err
 	}
-	res := newResult(figures, shares(c, before, time.Since(began)))
+	res := newResult(figures, measuringShares(c, before, time.Since(began)))
 	res.Violations = append(res.Violations, res.checkVersions(c)...)
 	c.Stop()
-	res.Violations = append(res.Violations, seen.violations(runsOf(c))...)
+	res.Violations = append(res.Violations, seen.violations(executions(c))...)
 	return res, nil
 }
 
-// measured returns the slot time that measuring has taken from each upstream.
-func measured(c *local.Deployment) map[model.UpstreamID]time.Duration {
+// measuringSlotTime returns the slot time that measuring has taken from each upstream.
+func measuringSlotTime(c *local.Deployment) map[model.UpstreamID]time.Duration {
 	all := make(map[model.UpstreamID]time.Duration)
 	for _, n := range c.Nodes {
 		maps.Copy(all, n.Daemon.Guard.MeasuringSlotTime())
@@ -110,11 +110,11 @@
 	return all
 }
 
-// shares returns the part of each service's capacity that measuring took since
+// measuringShares returns the part of each service's capacity that measuring took since
 // before.
-func shares(c *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
+func measuringShares(c *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
 	spent := make(map[model.ServiceName]time.Duration)
-	now := measured(c)
+	now := measuringSlotTime(c)
 	for _, n := range c.Nodes {
 		id := model.UpstreamID(n.Upstream.ID)
 		spent[model.ServiceName(n.Upstream.Service)] += now[id] - before[id]
@@ -126,8 +126,8 @@
 	return out
 }
 
-// runsOf returns how often each request ran, over all upstreams.
-func runsOf(c *local.Deployment) map[string]int {
+// executions returns how often each request ran, over all upstreams.
+func executions(c *local.Deployment) map[string]int {
 	all := make(map[string]int)
 	for _, n := range c.Nodes {
 		for name, runs := range n.Upstream.Runs() {
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -33,7 +33,7 @@
 	require.EqualValues(t, 1, res.VersionInForce)
 }
 
-func TestACancelledRunEndsWithoutViolations(t *testing.T) {
+func TestCancelledRunReportsNoViolations(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	err := Run(ctx, &bytes.Buffer{}, Options{Duration: time.Hour})
--- a/demo/observer.go
+++ b/demo/observer.go
@@ -12,21 +12,21 @@
 
 // observer remembers what callers were told of each request.
 type observer struct {
-	mu   sync.Mutex
-	told map[string]told
+	mu       sync.Mutex
+	outcomes map[string]callerOutcome
 }
 
-type told struct {
+type callerOutcome struct {
 	kind       outcome.Kind
 	idempotent bool
 }
 
-func newObserver() *observer { return &observer{told: make(map[string]told)} }
+func newObserver() *observer { return &observer{outcomes: make(map[string]callerOutcome)} }
 
 func (o *observer) observe(r *load.Request, reply load.Reply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.told[r.Name] = told{kind: reply.Kind, idempotent: r.Method != http.MethodPost}
+	o.outcomes[r.Name] = callerOutcome{kind: reply.Kind, idempotent: r.Method != http.MethodPost}
 }
 
 // violations compares what callers were told with how often each request ran.
@@ -34,7 +34,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
-	for name, t := range o.told {
+	for name, t := range o.outcomes {
 		ran := runs[name]
 		switch {
 		case !t.idempotent && ran > 1:
@@ -46,7 +46,7 @@
 		}
 	}
 	for name := range runs {
-		if _, ok := o.told[name]; !ok {
+		if _, ok := o.outcomes[name]; !ok {
 			out = append(out, fmt.Sprintf("request %s ran and was never sent", name))
 		}
 	}
--- a/demo/plan.go
+++ b/demo/plan.go
@@ -37,8 +37,8 @@
 // maxInFlight bounds the load.
 const maxInFlight = 4096
 
-// planFor returns the load on a deployment.
-func planFor(c *local.Deployment, d time.Duration) (load.Plan, error) {
+// loadPlan returns the load on a deployment.
+func loadPlan(c *local.Deployment, d time.Duration) (load.Plan, error) {
 	p := load.Plan{Duration: policy.Duration(d), Seed: 1, MaxInFlight: maxInFlight, Sources: sources}
 	for _, n := range c.Nodes {
 		p.Targets = append(p.Targets, load.Target{
