--- a/local/deployment.go
+++ b/local/deployment.go
@@ -97,9 +97,9 @@
 }
 
 // Stop ends every daemon and upstream. Further calls do nothing.
-func (d *Deployment) Stop() { d.stop.Do(d.end) }
+func (d *Deployment) Stop() { d.stop.Do(d.shutdown) }
 
-func (d *Deployment) end() {
+func (d *Deployment) shutdown() {
 	d.cancel()
 	for _, n := range d.Nodes {
 		<-n.done
@@ -145,8 +145,8 @@
 	if err != nil {
 		return err
 	}
-	n := &Node{Upstream: up, settings: d.settingsIn(d.opts.Zones[i%len(d.opts.Zones)])}
-	if err := n.run(ctx, d.opts.Logger); err != nil {
+	n := &Node{Upstream: up, settings: d.settingsForZone(d.opts.Zones[i%len(d.opts.Zones)])}
+	if err := n.startDaemon(ctx, d.opts.Logger); err != nil {
 		_ = up.Close()
 		return err
 	}
@@ -154,8 +154,8 @@
 	return up.Announce(ctx, n.Daemon.AdminAddress(), 1, false)
 }
 
-// run starts a daemon with the node's settings.
-func (n *Node) run(ctx context.Context, logger *slog.Logger) error {
+// startDaemon starts a daemon with the node's settings.
+func (n *Node) startDaemon(ctx context.Context, logger *slog.Logger) error {
 	dm, err := daemon.New(n.settings, logger)
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 	n.stop()
 	stopped := <-n.done
 	n.settings.Listen = listen
-	if err := n.run(d.ctx, d.opts.Logger); err != nil {
+	if err := n.startDaemon(d.ctx, d.opts.Logger); err != nil {
 		n.done <- err
 		return errors.Join(stopped, err)
 	}
@@ -188,7 +188,7 @@
 	return errors.Join(stopped, d.awaitReady(ctx))
 }
 
-func (d *Deployment) settingsIn(zone model.AvailabilityZone) settings.Settings {
+func (d *Deployment) settingsForZone(zone model.AvailabilityZone) settings.Settings {
 	s := settings.Defaults()
 	s.Zone = zone
 	s.Listen = settings.Listen{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Admin: "127.0.0.1:0"}
