--- a/soak/run.go
+++ b/soak/run.go
@@ -27,10 +27,9 @@
 	Dir string
 	// Out receives a line for each injected fault. Nil discards them.
 	Out io.Writer
-	// SafetyOnly skips the checks that depend on the speed of the machine: whether a
-	// configuration is in force in time, how many requests are served at the end, and
-	// how soon requests that crash upstreams are refused. For the last, the number of
-	// crashes is checked instead.
+	// SafetyOnly skips the checks that depend on the speed of the machine: when a configuration
+	// is in force, how many requests are served at the end, and how soon requests that crash
+	// upstreams are refused. For the last, the number of crashes is checked instead.
 	SafetyOnly bool
 	// Rate is the number of requests a second that the callers of one VM send. Default:
 	// 10, or less if the callers of all VMs together would send more than 480.
@@ -52,21 +51,18 @@
 	// longRequestDeadline is the deadline of the requests that run for seconds.
 	longRequestDeadline = 30 * time.Second
 	defaultRate         = 10
-	// defaultTotalRate is the total number of requests a second that a machine of 8 cores
-	// serves while it runs a hundred daemons.
+	// defaultTotalRate is the requests a second that 8 cores serve with a hundred daemons.
 	defaultTotalRate = 480
-	// minServedShare of the requests that are sent in the last recoveryWindow of a plan
-	// must be served.
+	// minServedShare of the requests in the last recoveryWindow of a plan must be served.
 	minServedShare = 0.95
 	recoveryWindow = 5 * time.Second
-	// Every unsafeRequestInterval-th request is not idempotent. In addition, every
-	// longRequestInterval-th request runs for seconds.
+	// Every unsafeRequestInterval-th request is not idempotent, and every
+	// longRequestInterval-th one runs for seconds.
 	unsafeRequestInterval = 3
 	longRequestInterval   = 40
 	// distinctPaths is the number of different paths of idempotent requests, and of others.
 	distinctPaths = 2000
-	// configCheckInterval is the time between two checks of the configuration in force at
-	// a daemon.
+	// configCheckInterval is the time between two checks of a daemon's configuration.
 	configCheckInterval = 250 * time.Millisecond
 )
 
@@ -118,8 +114,7 @@
 	return Result{Violations: h.check.allViolations(), Requests: int(h.requests.Load()), Served: int(h.served.Load())}, ctx.Err()
 }
 
-// maxParallelSoaks is the number of soaks that can run at the same time, each in its own
-// loopback network.
+// maxParallelSoaks is the number of loopback networks, of which each running soak uses one.
 const maxParallelSoaks = 100
 
 // ip returns the IP address of a VM, or of the store for number 0.
@@ -128,8 +123,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", firstNet+h.loopbackNet, number/hosts, 1+number%hosts)
 }
 
-// listen reserves a loopback network that no other soak uses by listening on the store's
-// address. It tries the networks in turn, from the one that the seed determines.
+// listen reserves a free loopback network by listening on the store's address in it. It tries
+// all networks in turn, from the one that the seed determines.
 func (h *harness) listen() (net.Listener, error) {
 	ln, _, err := loopback.ListenFirstFree(h.plan.Seed, maxParallelSoaks, func(n int) string {
 		h.loopbackNet = n
@@ -255,8 +250,7 @@
 	}
 }
 
-// runCallers sends requests to one daemon at the configured rate until the context ends, and
-// waits for all of them.
+// runCallers sends requests to one daemon at the configured rate and waits for all of them.
 func (h *harness) runCallers(ctx context.Context, m *machine) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -365,8 +359,7 @@
 	}
 }
 
-// stopDaemons stops all daemons at the same time and checks that they exit without an error
-// within the grace period.
+// stopDaemons stops all daemons and checks that they exit cleanly within the grace period.
 func (h *harness) stopDaemons() {
 	for _, m := range h.machines {
 		m.stopForGood(syscall.SIGTERM)
