--- a/edits/edits.go
+++ b/edits/edits.go
@@ -1,5 +1,5 @@
-// Package edits changes the text of source files, for trials of the code with a
-// deliberate change: a fault that checks must find, or a mechanism switched off.
+// Package edits applies text replacements to source files. Mutation tests use it to insert
+// bugs that the checks must find, and ablation studies to disable a mechanism.
 package edits
 
 import (
@@ -9,34 +9,36 @@
 	"strings"
 )
 
-// Edit replaces text in a source file.
+// Edit is one text replacement in a source file.
 type Edit struct {
-	// File is the path from the root of the source, with slashes.
+	// File is the slash-separated path from the root of the source.
 	File string
-	// Old must be in the file exactly once.
+	// Old is the text to replace. It must occur exactly once in the file.
 	Old string
+	// New is the text that replaces Old.
 	New string
 }
 
-// New returns the edit of a file that puts a text in the place of an old one.
-func New(file, old, text string) Edit { return Edit{File: file, Old: old, New: text} }
+// New returns an edit that replaces old by replacement in a file.
+func New(file, old, replacement string) Edit { return Edit{File: file, Old: old, New: replacement} }
 
-// CountError tells that the text to replace is not in its file exactly once.
+// CountError reports that the text to replace does not occur exactly once in its file.
 type CountError struct {
 	Edit  Edit
 	Count int
 }
 
-// Error names the file, the text and how often it is there.
+// Error returns the file, the text and the number of its occurrences.
 func (e *CountError) Error() string {
-	return fmt.Sprintf("%s: %q is there %d times, want once", e.Edit.File, e.Edit.Old, e.Count)
+	return fmt.Sprintf("%s: %q occurs %d times, want once", e.Edit.File, e.Edit.Old, e.Count)
 }
 
-// Apply returns the text of the files that the edits change, by their paths from the
-// root. Edits of one file follow each other. An edit that does not apply is a *CountError.
-func Apply(root string, list []Edit) (map[string]string, error) {
+// Apply returns the edited text of every file that the edits change, by its path from the
+// root. It does not write the files. Edits of the same file are applied in order. The error
+// is a *CountError if the old text of an edit does not occur exactly once.
+func Apply(root string, edits []Edit) (map[string]string, error) {
 	out := make(map[string]string)
-	for _, e := range list {
+	for _, e := range edits {
 		text, ok := out[e.File]
 		if !ok {
 			source, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(e.File)))
--- a/edits/edits_test.go
+++ b/edits/edits_test.go
@@ -16,10 +16,10 @@
 		want  string
 		count int
 	}{
-		"one":              {[]Edit{{"a", "one", "1"}}, "1 two three two", 0},
-		"after each other": {[]Edit{{"a", "one two", "two"}, {"a", "two three", "3"}}, "3 two", 0},
-		"twice there":      {[]Edit{{"a", "two", "2"}}, "", 2},
-		"not there":        {[]Edit{{"a", "four", "4"}}, "", 0},
+		"single edit":       {[]Edit{{"a", "one", "1"}}, "1 two three two", 0},
+		"edits in sequence": {[]Edit{{"a", "one two", "two"}, {"a", "two three", "3"}}, "3 two", 0},
+		"old text twice":    {[]Edit{{"a", "two", "2"}}, "", 2},
+		"old text missing":  {[]Edit{{"a", "four", "4"}}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Apply(root, c.edits)
