--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -30,6 +30,7 @@
 	lines   int
 }
 
+// sourceFiles returns all Go files of the workspace except generated protocol code.
 func sourceFiles(t *testing.T) []sourceFile {
 	t.Helper()
 	var out []sourceFile
@@ -68,7 +69,8 @@
 	return out
 }
 
-// TestCoreImports holds core to the standard library, xxhash and itself.
+// TestCoreImports checks that core imports only itself, xxhash and the standard library
+// without I/O and concurrency packages.
 func TestCoreImports(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.test || !strings.HasPrefix(s.pkg, "core/") {
@@ -78,12 +80,13 @@
 			allowed := isStandard(i) || strings.HasPrefix(i, corePath) || i == "github.com/cespare/xxhash/v2"
 			require.True(t, allowed, "%s imports %s", s.path, i)
 			banned := i == "net" || i == "net/http" || i == "os" || i == "sync" || i == "context"
-			require.False(t, banned, "%s imports %s: decisions do no I/O and start no goroutines", s.path, i)
+			require.False(t, banned, "%s imports %s: core must not do I/O or start goroutines", s.path, i)
 		}
 	}
 }
 
-// forbiddenImports lists imports that would tie the daemon's parts to each other.
+// forbiddenImports lists, by package, the packages that it must not import, so that the
+// components of the daemon do not depend on each other.
 var forbiddenImports = map[string][]string{
 	"wire":          {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer"},
 	"hop":           {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer", "wire"},
@@ -99,39 +102,42 @@
 	"configuration": {"entry", "guard", "owner", "daemon", "membership"},
 }
 
-// TestComponentsDoNotImportEachOther holds the parts of the daemon apart: only
-// package daemon knows them all.
+// TestComponentsDoNotImportEachOther checks forbiddenImports. Only package daemon imports
+// all components and connects them through interfaces.
 func TestComponentsDoNotImportEachOther(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.test {
 			continue
 		}
-		for _, part := range forbiddenImports[s.pkg] {
-			require.NotContains(t, s.imports, modulePath+part, s.path)
+		for _, pkg := range forbiddenImports[s.pkg] {
+			require.NotContains(t, s.imports, modulePath+pkg, s.path)
 		}
 	}
 }
 
-// TestFileLength bounds the length of every file.
+// TestFileLength checks that no file is longer than maxLines.
 func TestFileLength(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		require.LessOrEqual(t, s.lines, maxLines, s.path)
 	}
 }
 
-// TestNoStandardLibraryProxy keeps the standard library's proxy out.
+// TestNoStandardLibraryProxy checks that no file uses the reverse proxy of the standard
+// library.
 func TestNoStandardLibraryProxy(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		require.NotContains(t, s.imports, "net/http/httputil", s.path)
 	}
 }
 
+// isStandard reports whether an import path belongs to the standard library: the first
+// element of any other path contains a dot.
 func isStandard(path string) bool {
 	first, _, _ := strings.Cut(path, "/")
 	return !strings.Contains(first, ".")
 }
 
-// platformNames are spellings of the users' platform: headers, fields and paths.
+// platformNames are headers, fields and paths that the users' platform defines.
 var platformNames = []string{
 	"X-Attempt-Id", "X-Deadline-Ms", "X-Caller-Service", "X-Expect-Instance", "X-Not-Executed", "X-Instance-Id",
 	"X-Server-Load", "X-Response-Seal", "/-/", "log-append", "log-newest", "log-read", "heartbeat-addr",
@@ -139,8 +145,9 @@
 	"app-addr", "retry-budget-ratio", "keyed.", "DOTTERELTILLER_NODE_FILE",
 }
 
-// TestPlatformNamesOnlyInPlatformPackage holds every spelling of the users' platform to
-// the package that translates, and that package to the daemon's command.
+// TestPlatformNamesOnlyInPlatformPackage checks that names of the users' platform occur only
+// in package platform, which translates them, and that only the daemon's command imports
+// that package.
 func TestPlatformNamesOnlyInPlatformPackage(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.pkg == "platform" || s.pkg == "platform/platformtest" || s.pkg == "architecture" {
--- a/architecture/doc.go
+++ b/architecture/doc.go
@@ -1,3 +1,3 @@
-// Package architecture checks the direction of imports and the size of files.
-// It has no code of its own outside its tests.
+// Package architecture checks the imports between packages, the use of platform names and
+// the length of files. It consists of tests only.
 package architecture
