--- a/bubble/bubble.go
+++ b/bubble/bubble.go
@@ -1,12 +1,12 @@
 // Package bubble runs tests in virtual time.
 //
-// It is testing/synctest on one processor. The race detector of Go 1.26 keeps
-// one context for all timers of a bubble. A channel timer that comes due while
-// no goroutine blocks on it fires in whichever goroutine receives from it next,
-// so two such goroutines that run at once corrupt the context, and the process
-// dies in the detector. One processor keeps them apart; goroutines still
-// interleave, and races are still found, since the detector goes by the order
-// of events and not by the clock.
+// It uses testing/synctest with GOMAXPROCS set to 1, to work around a bug: the race
+// detector of Go 1.26 has one context for all timers of a bubble. A channel timer
+// that expires while no goroutine is blocked on it fires in the goroutine that
+// receives from it next. Two such goroutines that run in parallel corrupt the
+// context, and the race detector crashes the process. With one processor they
+// cannot run in parallel. Goroutines still interleave, and the detector still finds
+// races, because it uses the order of events and not the time.
 package bubble
 
 import (
@@ -16,8 +16,8 @@
 )
 
 // Run calls f in a new bubble and waits for the bubble's goroutines to end, as
-// synctest.Test does. The whole process has one processor meanwhile, so callers
-// must not run in parallel with each other.
+// synctest.Test does. GOMAXPROCS of the whole process is 1 during the call, so
+// calls must not run in parallel.
 func Run(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	processors := runtime.GOMAXPROCS(1)
--- a/bubble/bubble_test.go
+++ b/bubble/bubble_test.go
@@ -11,9 +11,10 @@
 	"github.com/dottereltiller/dottereltiller/bubble"
 )
 
-// Timers that come due while their goroutines wait for something else fire in
-// the receivers. Under the race detector with more processors this ends the
-// process: "ThreadSanitizer: CHECK failed", or a segmentation fault in SlotLock.
+// TestOverdueTimersFireInManyGoroutines guards against crashes of the race
+// detector. The tickers expire while their goroutines sleep, so they fire in the
+// receiving goroutines. With more than one processor the race detector then ends
+// the process: "ThreadSanitizer: CHECK failed", or a segmentation fault in SlotLock.
 func TestOverdueTimersFireInManyGoroutines(t *testing.T) {
 	bubble.Run(t, func(*testing.T) {
 		var wg sync.WaitGroup
