--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,4 +1,5 @@
-// Package standin is a small upstream for demonstrations and tests. It runs a
-// bounded number of requests at once, announces itself to its daemon, and
-// counts how often each request ran.
+// Package standin provides stand-in upstreams for demonstrations and tests.
+// Upstream executes a bounded number of requests at once, announces itself to its
+// daemon, and counts the executions of each request. Faulty sends scripted,
+// possibly malformed responses.
 package standin
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -8,24 +8,25 @@
 	"sync"
 )
 
-// Script is what a Faulty does with each request.
+// Script determines how a Faulty treats requests.
 type Script struct {
-	// Answer is sent as it is.
+	// Answer holds the raw bytes of the response.
 	Answer []byte
-	// Cut ends the connection after that many bytes of Answer; a negative Cut
-	// sends all of it and keeps the connection.
+	// Cut is the number of bytes of Answer after which the connection is closed.
+	// If Cut is negative or larger than Answer, all of Answer is sent and the
+	// connection stays open.
 	Cut int
-	// Reset ends the connection by a reset in place of an orderly close.
+	// Reset closes the connection by a TCP RST instead of a FIN.
 	Reset bool
-	// Unread answers without reading the request's body.
+	// Unread sends the response without reading the request's body.
 	Unread bool
-	// Hang answers nothing and waits until the other side goes.
+	// Hang sends no response and waits until the client closes the connection.
 	Hang bool
 }
 
-// Faulty is an upstream that reads whole requests and answers with prepared
-// bytes, cut off where its script says. It speaks no HTTP of its own, so that
-// it can misbehave at each byte.
+// Faulty is an upstream that responds to each request with the raw bytes of its
+// script, truncated where the script says. It does not use an HTTP server, so that
+// a response can break off at any byte.
 type Faulty struct {
 	listener net.Listener
 
@@ -46,31 +47,31 @@
 	return f, nil
 }
 
-// Address is the stand-in's host:port.
+// Address returns the host:port of the upstream.
 func (f *Faulty) Address() string { return f.listener.Addr().String() }
 
-// Play replaces the script.
+// Play sets the script for the following requests.
 func (f *Faulty) Play(s Script) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.script = s
 }
 
-// Requests returns how many requests were read.
+// Requests returns the number of requests received.
 func (f *Faulty) Requests() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.requests
 }
 
-// Conns returns how many connections are open.
+// Conns returns the number of open connections.
 func (f *Faulty) Conns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// Close stops the stand-in.
+// Close stops listening and closes all connections.
 func (f *Faulty) Close() error {
 	err := f.listener.Close()
 	f.mu.Lock()
@@ -123,7 +124,7 @@
 	}
 }
 
-// nextScript counts a request and returns the script for it.
+// nextScript counts a request and returns the current script.
 func (f *Faulty) nextScript() Script {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,7 +132,7 @@
 	return f.script
 }
 
-// writeTo sends the answer and reports whether the connection goes on.
+// writeTo sends the scripted response and reports whether the connection stays open.
 func (s Script) writeTo(conn net.Conn) bool {
 	if s.Cut < 0 || s.Cut > len(s.Answer) {
 		_, err := conn.Write(s.Answer)
--- a/standin/run.go
+++ b/standin/run.go
@@ -8,19 +8,18 @@
 
 const (
 	announceInterval = time.Second
-	// drainTimeout bounds the wait for requests that run when the stand-in
-	// leaves.
+	// drainTimeout bounds the wait for executing requests at the end of Run.
 	drainTimeout      = 30 * time.Second
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// errRequestsRunning tells that requests still ran when the stand-in was closed.
-var errRequestsRunning = errors.New("requests still ran when the upstream left")
+// errRequestsRunning reports that requests were still executing after drainTimeout.
+var errRequestsRunning = errors.New("requests still running at the end of the drain timeout")
 
-// Run announces the stand-in to the daemon at an admin address and renews the
-// announcement until the context ends. Then it announces that it leaves, waits
-// for what runs, and closes. A daemon that does not answer is asked again;
-// failed is told of it.
+// Run announces the upstream to the daemon at an admin address and repeats the
+// announcement regularly until the context ends. Then it announces that the
+// upstream drains, waits for executing requests, and closes the upstream. After a
+// failed announcement it calls failed and continues.
 func (u *Upstream) Run(ctx context.Context, admin string, incarnation uint64, failed func(error)) error {
 	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
@@ -36,7 +35,7 @@
 	}
 }
 
-// drain announces the end and waits until nothing runs.
+// drain announces that the upstream drains and waits for the executing requests.
 func (u *Upstream) drain(admin string, incarnation uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -13,36 +13,39 @@
 	"time"
 )
 
-// Headers that drive a stand-in.
+// Request headers that control an Upstream.
 const (
-	// HeaderCost is how long the request runs, as a duration.
+	// HeaderCost is the service time of the request, as a Go duration.
 	HeaderCost = "X-Cost"
-	// HeaderRequest names the request; the answer carries it back.
+	// HeaderRequest is the name of the request. The response has the same header.
 	HeaderRequest = "X-Request"
-	// HeaderExtraBytes is the number of bytes sent after the usual answer.
+	// HeaderExtraBytes is the number of zero bytes to append to the response body.
 	HeaderExtraBytes = "X-Answer-Bytes"
 )
 
 const defaultServiceTime = time.Millisecond
 
-// LoadPath is where a stand-in reports its load.
+// LoadPath is the path at which an Upstream reports its load.
 const LoadPath = "/standin/load"
 
-// Upstream is a stand-in upstream listening on loopback.
+// Upstream is a stand-in upstream that listens on a loopback address.
 type Upstream struct {
 	ID      string
 	Service string
-	Slots   int
+	// Slots is the number of requests that may execute at once.
+	Slots int
 
+	// slots holds an element for each executing request.
 	slots    chan struct{}
 	listener net.Listener
 	server   *http.Server
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// runs counts the executions by request name.
 	runs map[string]int
 }
 
-// Start starts a stand-in on a loopback port.
+// Start starts an upstream on a loopback port.
 func Start(id, service string, slots int) (*Upstream, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,13 +62,13 @@
 	return u, nil
 }
 
-// Address is the stand-in's host:port.
+// Address returns the host:port of the upstream.
 func (u *Upstream) Address() string { return u.listener.Addr().String() }
 
-// Close stops the stand-in.
+// Close closes the listener and all connections.
 func (u *Upstream) Close() error { return u.server.Close() }
 
-// Runs returns how often each request ran.
+// Runs returns the number of executions of each request by its name.
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -76,9 +79,9 @@
 	return out
 }
 
-// ServeHTTP runs one request: it holds a slot for the asked time and answers
-// with the request's name and body. A cancelled request ends early and without
-// an answer.
+// ServeHTTP executes one request: it waits for a slot, holds the slot for the time
+// in HeaderCost, and responds with the request's name and body. A cancelled request
+// ends early without a response.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == LoadPath {
 		_, _ = fmt.Fprintf(w, `{"running": %d}`, len(u.slots))
@@ -103,12 +106,13 @@
 	}
 	w.Header().Set(HeaderRequest, name)
 	_, _ = fmt.Fprintf(w, "%s %s", name, body)
-	if more, err := strconv.ParseInt(r.Header.Get(HeaderExtraBytes), 10, 64); err == nil {
-		_, _ = io.CopyN(w, zeroReader{}, more)
+	if extra, err := strconv.ParseInt(r.Header.Get(HeaderExtraBytes), 10, 64); err == nil {
+		_, _ = io.CopyN(w, zeroReader{}, extra)
 	}
 }
 
-// maxCountedRequests bounds the requests whose runs are counted; later names are not.
+// maxCountedRequests bounds the number of names whose executions are counted. Further
+// names are ignored.
 const maxCountedRequests = 1 << 20
 
 func (u *Upstream) countRun(name string) {
@@ -127,7 +131,7 @@
 	return cost
 }
 
-// zeroReader reads as zero bytes without end.
+// zeroReader is an endless stream of zero bytes.
 type zeroReader struct{}
 
 func (zeroReader) Read(p []byte) (int, error) {
@@ -135,7 +139,8 @@
 	return len(p), nil
 }
 
-// Announce tells the daemon at an admin address about the stand-in.
+// Announce registers the upstream with the daemon at an admin address, or renews its
+// registration.
 func (u *Upstream) Announce(ctx context.Context, admin string, incarnation uint64, draining bool) error {
 	body, err := json.Marshal(map[string]any{
 		"service": u.Service, "address": u.Address(), "slots": u.Slots,
@@ -149,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	// A connection kept from the daemon's earlier life would be reset.
+	// A kept-alive connection would fail after a restart of the daemon.
 	req.Close = true
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -157,7 +162,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("announce %s: daemon answered %s", u.ID, resp.Status)
+		return fmt.Errorf("announce %s: daemon responded with %s", u.ID, resp.Status)
 	}
 	return nil
 }
