--- a/demo/demo.go
+++ b/demo/demo.go
@@ -18,7 +18,7 @@
 //go:embed documents.json
 var documents []byte
 
-// The co-operative of the brief.
+// The availability zones and services of the demonstration.
 var (
 	zones    = []model.AvailabilityZone{"odense-hal-a", "odense-hal-b", "svendborg-lager"}
 	services = []local.Service{
@@ -37,7 +37,7 @@
 
 const defaultDuration = 3 * time.Second
 
-// ViolationError tells which invariants did not hold.
+// ViolationError reports the invariants that did not hold.
 type ViolationError struct {
 	Violations []string
 }
@@ -47,8 +47,8 @@
 	return fmt.Sprintf("%d violations of invariants, such as: %s", len(e.Violations), e.Violations[0])
 }
 
-// Run runs the demo and prints its table to w. It returns an error when the
-// system could not be started, the context ended, or an invariant did not hold
+// Run runs the demonstration and prints a table of results to w. It returns an error if
+// the deployment could not be started, the context ended, or an invariant did not hold
 // (a *ViolationError).
 func Run(ctx context.Context, w io.Writer, opts Options) error {
 	if opts.Duration <= 0 {
@@ -72,8 +72,8 @@
 	return ctx.Err()
 }
 
-// runLoad starts the deployment, sends the load, stops the deployment and
-// checks what is left.
+// runLoad starts the deployment, sends the load, stops the deployment and checks the
+// invariants.
 func runLoad(ctx context.Context, d time.Duration) (*Result, error) {
 	var docs []policy.Document
 	if err := json.Unmarshal(documents, &docs); err != nil {
@@ -88,20 +88,21 @@
 	if err != nil {
 		return nil, err
 	}
-	seen := newObserver()
-	before, began := measuringSlotTime(c), time.Now()
-	figures, err := load.Run(ctx, plan, load.Options{Observe: seen.observe})
+	callers := newObserver()
+	before, startedAt := measuringSlotTime(c), time.Now()
+	figures, err := load.Run(ctx, plan, load.Options{Observe: callers.observe})
 	if err != nil {
 		return nil, err
 	}
-	res := newResult(figures, measuringShares(c, before, time.Since(began)))
+	res := newResult(figures, measuringShares(c, before, time.Since(startedAt)))
 	res.Violations = append(res.Violations, res.checkVersions(c)...)
 	c.Stop()
-	res.Violations = append(res.Violations, seen.violations(executions(c))...)
+	res.Violations = append(res.Violations, callers.violations(executions(c))...)
 	return res, nil
 }
 
-// measuringSlotTime returns the slot time that measuring has taken from each upstream.
+// measuringSlotTime returns the slot time of each upstream that the daemons have used to
+// measure its load.
 func measuringSlotTime(c *local.Deployment) map[model.UpstreamID]time.Duration {
 	all := make(map[model.UpstreamID]time.Duration)
 	for _, n := range c.Nodes {
@@ -110,8 +111,8 @@
 	return all
 }
 
-// measuringShares returns the part of each service's capacity that measuring took since
-// before.
+// measuringShares returns the share of each service's slot time that load measurements
+// used in the elapsed time. before is the result of measuringSlotTime at its start.
 func measuringShares(c *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
 	spent := make(map[model.ServiceName]time.Duration)
 	now := measuringSlotTime(c)
@@ -126,7 +127,7 @@
 	return out
 }
 
-// executions returns how often each request ran, over all upstreams.
+// executions returns the number of executions of each request at all upstreams.
 func executions(c *local.Deployment) map[string]int {
 	all := make(map[string]int)
 	for _, n := range c.Nodes {
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -42,22 +42,22 @@
 
 func TestViolationsAreFound(t *testing.T) {
 	o := newObserver()
-	tell := func(name, method string, kind outcome.Kind) {
+	observe := func(name, method string, kind outcome.Kind) {
 		o.observe(&load.Request{Name: name, Source: &load.Source{Method: method}}, load.Reply{Kind: kind})
 	}
-	tell("fine", http.MethodGet, outcome.Answered)
-	tell("repeated", http.MethodGet, outcome.Answered)
-	tell("perhaps", http.MethodPost, outcome.Unknown)
-	tell("refused", http.MethodPost, outcome.NotRun)
-	require.Empty(t, o.violations(map[string]int{"fine": 1, "repeated": 2, "perhaps": 1}))
-
-	tell("twice", http.MethodPost, outcome.Unknown)
-	tell("lied", http.MethodGet, outcome.NotRun)
-	tell("made up", http.MethodGet, outcome.Answered)
+	observe("fine", http.MethodGet, outcome.Answered)
+	observe("repeated", http.MethodGet, outcome.Answered)
+	observe("unknown", http.MethodPost, outcome.Unknown)
+	observe("refused", http.MethodPost, outcome.NotRun)
+	require.Empty(t, o.violations(map[string]int{"fine": 1, "repeated": 2, "unknown": 1}))
+
+	observe("twice", http.MethodPost, outcome.Unknown)
+	observe("executed", http.MethodGet, outcome.NotRun)
+	observe("never-ran", http.MethodGet, outcome.Answered)
 	require.Equal(t, []string{
 		"non-idempotent request twice ran 2 times",
-		"request lied ran although its caller was told it did not",
-		"request made up was answered and never ran",
-		"request nobody's ran and was never sent",
-	}, o.violations(map[string]int{"fine": 1, "repeated": 1, "twice": 2, "lied": 1, "nobody's": 1}))
+		"request executed ran although its caller was told it did not",
+		"request never-ran was answered but never ran",
+		"request never-sent ran but was never sent",
+	}, o.violations(map[string]int{"fine": 1, "repeated": 1, "twice": 2, "executed": 1, "never-sent": 1}))
 }
--- a/demo/observer.go
+++ b/demo/observer.go
@@ -10,12 +10,13 @@
 	"github.com/dottereltiller/dottereltiller/load"
 )
 
-// observer remembers what callers were told of each request.
+// observer records the outcome of each request as its caller received it.
 type observer struct {
 	mu       sync.Mutex
 	outcomes map[string]callerOutcome
 }
 
+// callerOutcome is the outcome that the caller of a request received.
 type callerOutcome struct {
 	kind       outcome.Kind
 	idempotent bool
@@ -23,13 +24,15 @@
 
 func newObserver() *observer { return &observer{outcomes: make(map[string]callerOutcome)} }
 
+// observe records the reply to a request.
 func (o *observer) observe(r *load.Request, reply load.Reply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.outcomes[r.Name] = callerOutcome{kind: reply.Kind, idempotent: r.Method != http.MethodPost}
 }
 
-// violations compares what callers were told with how often each request ran.
+// violations compares the recorded outcomes with the executions of each request and
+// returns the violated invariants.
 func (o *observer) violations(runs map[string]int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -42,12 +45,12 @@
 		case t.kind == outcome.NotRun && ran > 0:
 			out = append(out, fmt.Sprintf("request %s ran although its caller was told it did not", name))
 		case t.kind == outcome.Answered && ran == 0:
-			out = append(out, fmt.Sprintf("request %s was answered and never ran", name))
+			out = append(out, fmt.Sprintf("request %s was answered but never ran", name))
 		}
 	}
 	for name := range runs {
 		if _, ok := o.outcomes[name]; !ok {
-			out = append(out, fmt.Sprintf("request %s ran and was never sent", name))
+			out = append(out, fmt.Sprintf("request %s ran but was never sent", name))
 		}
 	}
 	sort.Strings(out)
--- a/demo/plan.go
+++ b/demo/plan.go
@@ -9,8 +9,8 @@
 	"github.com/dottereltiller/dottereltiller/local"
 )
 
-// sources are the groups' streams of requests. Searches ask for more than all
-// of sporarkiv's slots; members must not notice.
+// sources are the request streams of the groups. Searches need more than all slots of
+// service sporarkiv, and must not slow down the group members.
 var sources = []load.Source{
 	{
 		Service: "returdesk", Group: "sorters", Caller: "sorting-bench", Token: "demo-sorters",
@@ -34,10 +34,10 @@
 	},
 }
 
-// maxInFlight bounds the load.
+// maxInFlight bounds the requests in flight.
 const maxInFlight = 4096
 
-// loadPlan returns the load on a deployment.
+// loadPlan returns the plan of a load of duration d on a deployment.
 func loadPlan(c *local.Deployment, d time.Duration) (load.Plan, error) {
 	p := load.Plan{Duration: policy.Duration(d), Seed: 1, MaxInFlight: maxInFlight, Sources: sources}
 	for _, n := range c.Nodes {
--- a/demo/result.go
+++ b/demo/result.go
@@ -10,11 +10,11 @@
 	"github.com/dottereltiller/dottereltiller/local"
 )
 
-// GroupResult is what one group saw.
+// GroupResult holds the results of one group.
 type GroupResult struct {
 	load.Figures
-	// MeasuringShare is the part of the service's capacity that measuring its
-	// load took.
+	// MeasuringShare is the share of the service's slot time that load measurements
+	// used.
 	MeasuringShare float64 `json:"measuring_share"`
 }
 
@@ -35,16 +35,17 @@
 		g.Series = nil
 		r.Groups = append(r.Groups, GroupResult{Figures: g, MeasuringShare: measuring[g.Service]})
 	}
-	for _, wrong := range f.WrongAnswers {
-		r.Violations = append(r.Violations, "wrong answer to request "+wrong)
+	for _, request := range f.WrongAnswers {
+		r.Violations = append(r.Violations, "wrong answer to request "+request)
 	}
-	if missing := f.Wrong - int64(len(f.WrongAnswers)); missing > 0 {
-		r.Violations = append(r.Violations, fmt.Sprintf("%d more wrong answers", missing))
+	if unlisted := f.Wrong - int64(len(f.WrongAnswers)); unlisted > 0 {
+		r.Violations = append(r.Violations, fmt.Sprintf("%d more wrong answers", unlisted))
 	}
 	return r
 }
 
-// checkVersions reports the daemons whose version differs from the first one's.
+// checkVersions returns a violation for each daemon whose version in force differs from
+// that of the first daemon, and sets VersionInForce.
 func (r *Result) checkVersions(c *local.Deployment) []string {
 	var out []string
 	for i, n := range c.Nodes {
@@ -74,9 +75,10 @@
 		_, err := fmt.Fprintf(w, "%d violations of invariants\n", len(r.Violations))
 		return err
 	}
-	_, err := fmt.Fprintf(w, "held: every answer whole and its own; \"not run\" true; no non-idempotent request run twice; version %d in force in every zone\n",
+	_, err := fmt.Fprintf(w, "all invariants hold: every response is complete and belongs to its request; no request reported as not run has run; no non-idempotent request ran twice; version %d is in force in every zone\n",
 		r.VersionInForce)
 	return err
 }
 
+// ms converts microseconds to milliseconds.
 func ms(us int64) float64 { return float64(us) / 1000 }
