--- a/local/deployment.go
+++ b/local/deployment.go
@@ -33,9 +33,9 @@
 // Service is one service of a deployment.
 type Service struct {
 	Name model.ServiceName
-	// Upstreams is the number of upstreams, spread over the zones in turn.
+	// Upstreams is the number of upstreams, assigned to the zones in turn.
 	Upstreams int
-	// Slots is the number of requests that one upstream runs at once.
+	// Slots is the number of requests that one upstream executes at once.
 	Slots int
 }
 
@@ -45,16 +45,16 @@
 	Services  []Service
 	Documents []policy.Document
 	// LogInterval is the time between two reads of the log. Default: 50ms, so
-	// that a deployment is soon ready.
+	// that a deployment is ready quickly.
 	LogInterval time.Duration
-	// Settings changes the settings of each daemon before it starts. Nil
-	// changes nothing.
+	// Settings may change the settings of each daemon before the daemon starts.
+	// Nil keeps the defaults.
 	Settings func(*settings.Settings)
-	// Logger receives the daemons' lines. Nil discards them.
+	// Logger receives the log entries of the daemons. Nil discards them.
 	Logger *slog.Logger
 }
 
-// Node is one VM: an upstream and the daemon beside it.
+// Node is one VM: an upstream and its daemon.
 type Node struct {
 	Daemon   *daemon.Daemon
 	Upstream *standin.Upstream
@@ -66,7 +66,7 @@
 
 // Deployment is a running deployment. Stop ends it.
 type Deployment struct {
-	// Log is the log behind LogAddress.
+	// Log is the record log that is served at LogAddress.
 	Log        *recordlog.Memory
 	LogAddress string
 	Nodes      []*Node
@@ -78,8 +78,8 @@
 	stop    sync.Once
 }
 
-// Start starts a deployment, publishes its documents and waits until every
-// daemon has them in force and sees every upstream.
+// Start starts a deployment, publishes its documents and waits until the documents
+// are in force at every daemon and every daemon knows all upstreams.
 func Start(ctx context.Context, opts Options) (*Deployment, error) {
 	if opts.LogInterval <= 0 {
 		opts.LogInterval = defaultLogInterval
@@ -96,7 +96,7 @@
 	return d, nil
 }
 
-// Stop ends every daemon and upstream. Further calls do nothing.
+// Stop stops all daemons and upstreams. Further calls do nothing.
 func (d *Deployment) Stop() { d.stop.Do(d.shutdown) }
 
 func (d *Deployment) shutdown() {
@@ -154,7 +154,7 @@
 	return up.Announce(ctx, n.Daemon.AdminAddress(), 1, false)
 }
 
-// startDaemon starts a daemon with the node's settings.
+// startDaemon creates and starts a daemon with the node's settings.
 func (n *Node) startDaemon(ctx context.Context, logger *slog.Logger) error {
 	dm, err := daemon.New(n.settings, logger)
 	if err != nil {
@@ -166,9 +166,10 @@
 	return nil
 }
 
-// Restart stops the node's daemon in good order and starts a new one on the same
-// addresses, to which the upstream announces itself. It returns what the stopped
-// daemon returned, once every daemon sees every upstream at work again.
+// Restart stops the node's daemon gracefully and starts a new one on the same
+// addresses, to which the upstream announces itself. It waits until every daemon
+// knows all upstreams and none of them drains. The error includes that of the
+// stopped daemon.
 func (d *Deployment) Restart(ctx context.Context, n *Node) error {
 	listen := settings.Listen{
 		Callers: n.Daemon.CallerAddress(),
@@ -207,7 +208,7 @@
 		return err
 	}
 	if res.Verdict != config.Accepted {
-		return fmt.Errorf("documents not accepted: verdict %d", res.Verdict)
+		return fmt.Errorf("publish documents: not accepted: verdict %d", res.Verdict)
 	}
 	return nil
 }
@@ -225,6 +226,8 @@
 	return nil
 }
 
+// ready reports whether every daemon has a configuration in force and knows all
+// upstreams, and no upstream drains.
 func (d *Deployment) ready() bool {
 	for _, n := range d.Nodes {
 		if n.Daemon.Config.Current() == nil {
@@ -232,8 +235,8 @@
 		}
 		for _, s := range d.opts.Services {
 			ups, _ := n.Daemon.Members.Upstreams(s.Name)
-			drains := func(u model.Upstream) bool { return u.Draining }
-			if len(ups) != s.Upstreams || slices.ContainsFunc(ups, drains) {
+			isDraining := func(u model.Upstream) bool { return u.Draining }
+			if len(ups) != s.Upstreams || slices.ContainsFunc(ups, isDraining) {
 				return false
 			}
 		}
@@ -241,5 +244,5 @@
 	return true
 }
 
-// Logger returns what the daemons log to.
+// Logger returns the logger of the daemons.
 func (d *Deployment) Logger() *slog.Logger { return d.opts.Logger }
--- a/local/doc.go
+++ b/local/doc.go
@@ -1,4 +1,4 @@
-// Package local runs a small deployment in one process on loopback: the log
-// stand-in, and for each upstream a stand-in with its daemon. Demonstrations,
-// benchmarks and tests of the whole path use it.
+// Package local runs a small deployment in one process on loopback: an in-memory
+// record log, and stand-in upstreams with one daemon each. Demonstrations,
+// benchmarks and end-to-end tests use it.
 package local
