--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -38,7 +38,7 @@
 
 var zones = []string{"odense-hal-a", "odense-hal-b", "svendborg-lager"}
 
-// vm is one VM: a daemon process and, in this process, its upstream.
+// vm is one VM: a daemon process, and its upstream, which runs in the test process.
 type vm struct {
 	t        testing.TB
 	ip       string
@@ -48,7 +48,7 @@
 	upstream *standin.Upstream
 	cmd      *exec.Cmd
 	stderr   *os.File
-	// draining is set once the upstream has announced that it leaves.
+	// draining makes the announcements report that the upstream drains.
 	draining atomic.Bool
 }
 
@@ -57,7 +57,7 @@
 	t   testing.TB
 	vms []*vm
 	log *recordlog.Memory
-	// logDown makes the log refuse every request.
+	// logDown makes the log respond to every request with status 503.
 	logDown atomic.Bool
 	logAddr string
 	// logReads and logAppends count the requests to the log.
@@ -66,6 +66,8 @@
 	announcers           sync.WaitGroup
 }
 
+// startCluster starts a daemon and an upstream for each instance of a service. services
+// holds the number of upstreams by service.
 func startCluster(t testing.TB, services map[string]int) *cluster {
 	t.Helper()
 	if testing.Short() {
@@ -74,13 +76,13 @@
 	c := &cluster{t: t, log: &recordlog.Memory{}}
 	c.startLog()
 	binary := buildDaemon(t)
-	octet, err := loopback.OwnNetwork()
+	network, err := loopback.OwnNetwork()
 	require.NoError(t, err)
 	n := 0
 	for _, service := range []string{"returdesk", "sporarkiv"} {
 		for i := range services[service] {
 			n++
-			v := &vm{t: t, ip: fmt.Sprintf("127.%d.%d.%d", octet, i%len(zones)+1, n), zone: zones[i%len(zones)], binary: binary}
+			v := &vm{t: t, ip: fmt.Sprintf("127.%d.%d.%d", network, i%len(zones)+1, n), zone: zones[i%len(zones)], binary: binary}
 			up, err := standin.Start(fmt.Sprintf("%s-%d", service, i+1), service, slots)
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = up.Close() })
@@ -107,6 +109,7 @@
 	}
 }
 
+// startLog serves the log over HTTP.
 func (c *cluster) startLog() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
@@ -136,6 +139,7 @@
 	return binary
 }
 
+// writeSettings writes the settings file of a daemon and returns its path.
 func (c *cluster) writeSettings(v *vm) string {
 	address := func(port int) string { return fmt.Sprintf("%s:%d", v.ip, port) }
 	data, err := json.Marshal(map[string]any{
@@ -152,8 +156,8 @@
 	return path
 }
 
-// start starts the daemon process. Its lines go to a file that is shown when
-// the test fails.
+// start starts the daemon process. Its log goes to a file, which is printed if a
+// condition of await does not become true.
 func (v *vm) start() {
 	v.t.Helper()
 	stderr, err := os.CreateTemp(v.t.TempDir(), "stderr")
@@ -166,14 +170,14 @@
 
 func (v *vm) signal(s syscall.Signal) { require.NoError(v.t, v.cmd.Process.Signal(s)) }
 
-// kill ends the daemon at once.
+// kill kills the daemon process.
 func (v *vm) kill() {
 	_ = v.cmd.Process.Kill()
 	_ = v.cmd.Wait()
 	_ = v.stderr.Close()
 }
 
-// stop asks the daemon to end and returns its exit code.
+// stop sends SIGTERM to the daemon, which then drains, and returns its exit code.
 func (v *vm) stop() int {
 	v.signal(syscall.SIGTERM)
 	_ = v.cmd.Wait()
@@ -181,6 +185,7 @@
 	return v.cmd.ProcessState.ExitCode()
 }
 
+// logOutput returns the log of the daemon process.
 func (v *vm) logOutput() string {
 	data, err := os.ReadFile(v.stderr.Name())
 	if err != nil {
@@ -192,7 +197,8 @@
 func (v *vm) callerAddress() string { return fmt.Sprintf("%s:%d", v.ip, callerPort) }
 func (v *vm) adminAddress() string  { return fmt.Sprintf("%s:%d", v.ip, adminPort) }
 
-// keepAnnouncing announces the upstream to its daemon again and again.
+// keepAnnouncing announces the upstream to its daemon at announceInterval until the
+// context ends.
 func (v *vm) keepAnnouncing(ctx context.Context) {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, announceInterval)
@@ -205,8 +211,8 @@
 	}
 }
 
-// status returns what the daemon says of itself, and false when it does not
-// answer.
+// status returns the status page of the daemon, and false if the daemon does not
+// respond.
 func (v *vm) status() (daemon.Status, bool) {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + v.adminAddress() + "/status")
@@ -219,13 +225,15 @@
 	return s, err == nil
 }
 
-// version returns the version that the daemon says is in force.
+// version returns the configuration version in force at the daemon, and false if the
+// daemon does not respond.
 func (v *vm) version() (uint64, bool) {
 	s, ok := v.status()
 	return uint64(s.Version), ok
 }
 
-// usableUpstreams counts the upstreams that the daemon sees and that do not leave.
+// usableUpstreams returns the number of upstreams that the daemon knows and that do
+// not drain.
 func (v *vm) usableUpstreams() int {
 	s, _ := v.status()
 	n := 0
@@ -239,7 +247,7 @@
 	return n
 }
 
-// publish publishes documents and returns the accepted version.
+// publish publishes configuration documents and returns the accepted version.
 func (c *cluster) publish(docs []policy.Document) uint64 {
 	c.t.Helper()
 	res, err := operator.Publish(c.t.Context(), recordlog.NewClient(c.logAddr), "proctest", docs)
@@ -248,7 +256,7 @@
 	return uint64(res.Version)
 }
 
-// awaitVersion waits until every daemon has at least the version in force.
+// awaitVersion waits until a version or a newer one is in force at every daemon.
 func (c *cluster) awaitVersion(version uint64) {
 	c.t.Helper()
 	for _, v := range c.vms {
@@ -259,7 +267,7 @@
 	}
 }
 
-// await waits for a condition; the bound only ends a test that hangs.
+// await waits until a condition holds. The timeout only ends a test that would hang.
 func (c *cluster) await(what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
@@ -268,7 +276,7 @@
 			for _, v := range c.vms {
 				c.t.Logf("%s:\n%s", v.upstream.ID, v.logOutput())
 			}
-			require.FailNow(c.t, "condition never held", what)
+			require.FailNow(c.t, "condition did not become true", what)
 		}
 		time.Sleep(conditionPollInterval)
 	}
--- a/proctest/doc.go
+++ b/proctest/doc.go
@@ -1,7 +1,8 @@
-// Package proctest holds the tests that run real daemon processes over TCP, on
-// separate loopback addresses, and check the system's invariants from the
-// histories that callers and upstreams record: who was told what, and what ran
-// how often. The tests kill, pause and drain processes and take the log away.
+// Package proctest contains tests that run real daemon processes over TCP, on
+// separate loopback addresses, while they kill, pause and drain processes and make
+// the record log unavailable. The tests check the invariants of the system from
+// histories: callers record the results of their requests, and upstreams count the
+// executions of each request.
 //
-// The package has no code of its own outside its tests.
+// The package consists of tests only.
 package proctest
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -20,21 +20,22 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// attemptResult is what a caller was told about one sending of a request.
+// attemptResult is the result of one attempt of a request, as the caller received it.
 type attemptResult struct {
 	kind   outcome.Kind
 	reason string
-	// valid is false when an answer was not the caller's own or not whole.
+	// valid is false if a response was incomplete or belonged to another request.
 	valid bool
-	// connectionFailed is set when the connection to the daemon failed after it was
-	// made; refused when it could not be made, so that nothing was sent.
+	// connectionFailed is set if an established connection to the daemon failed.
 	connectionFailed bool
-	notConnected     bool
-	// err is what the caller's HTTP client said when there was no answer.
+	// notConnected is set if no connection to the daemon could be established, so that
+	// nothing was sent.
+	notConnected bool
+	// err is the error of the HTTP client if there was no response.
 	err error
 }
 
-// requestRecord is the history of one request: it may be sent several times.
+// requestRecord holds the results of all attempts of one request.
 type requestRecord struct {
 	name       string
 	idempotent bool
@@ -44,7 +45,7 @@
 
 func (r *requestRecord) last() attemptResult { return r.results[len(r.results)-1] }
 
-// hasUnknownOutcome reports whether any sending ended without proof either way.
+// hasUnknownOutcome reports whether it is unknown for any attempt if the request ran.
 func (r *requestRecord) hasUnknownOutcome() bool {
 	for _, a := range r.results {
 		if a.connectionFailed || a.kind == outcome.Unknown {
@@ -54,7 +55,7 @@
 	return false
 }
 
-// history collects records.
+// history collects the records of all requests.
 type history struct {
 	mu      sync.Mutex
 	records []*requestRecord
@@ -90,7 +91,7 @@
 	callTimeout = 4 * time.Second
 )
 
-// kinds of request that the load mixes.
+// requestKinds are the kinds of requests from which sendRequests draws at random.
 var requestKinds = []struct {
 	service, method, path string
 	keyed                 bool
@@ -101,7 +102,8 @@
 	{"returdesk", http.MethodPost, "/release/2", true},
 }
 
-// sendRequests sends n requests through daemons that target picks and records them.
+// sendRequests sends n requests to the daemons of the VMs that target returns and adds
+// their records to a history.
 func (c *cluster) sendRequests(h *history, n int, target func(*rand.Rand) *vm) {
 	var wg sync.WaitGroup
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workers}}
@@ -119,30 +121,32 @@
 
 func (c *cluster) anyVM(rng *rand.Rand) *vm { return c.vms[rng.IntN(len(c.vms))] }
 
-// sendWithRetries sends one request, again through another daemon where the caller may.
+// sendWithRetries sends one request. If an attempt fails and a retry is safe, it tries
+// another daemon, with up to maxAttempts attempts.
 func (c *cluster) sendWithRetries(h *history, client *http.Client, rng *rand.Rand, target func(*rand.Rand) *vm) *requestRecord {
 	m := requestKinds[rng.IntN(len(requestKinds))]
 	r := &requestRecord{name: fmt.Sprintf("r%d", h.nextSerial()), idempotent: m.method == http.MethodGet}
 	if m.keyed {
 		r.key = uuid.Must(uuid.NewV7()).String()
 	}
-	var last *vm
+	var lastVM *vm
 	for range maxAttempts {
 		v := target(rng)
-		for v == last && len(c.vms) > 1 {
+		for v == lastVM && len(c.vms) > 1 {
 			v = c.anyVM(rng)
 		}
-		last = v
+		lastVM = v
 		a := sendAttempt(client, "http://"+v.callerAddress()+m.path, m.service, m.method, r)
 		r.results = append(r.results, a)
-		mayRepeat := r.idempotent || r.key != "" || a.notConnected || (a.kind == outcome.NotRun && !a.connectionFailed)
-		if a.kind == outcome.Answered || !mayRepeat {
+		mayRetry := r.idempotent || r.key != "" || a.notConnected || (a.kind == outcome.NotRun && !a.connectionFailed)
+		if a.kind == outcome.Answered || !mayRetry {
 			break
 		}
 	}
 	return r
 }
 
+// sendAttempt sends a request once and returns the result.
 func sendAttempt(client *http.Client, url, service, method string, r *requestRecord) attemptResult {
 	var body io.Reader
 	if method != http.MethodGet {
@@ -175,7 +179,8 @@
 	return a
 }
 
-// resultOfError tells a connection that could not be made from one that broke.
+// resultOfError returns the result of an attempt without a response. It distinguishes
+// a connection that could not be established from one that failed later.
 func resultOfError(err error) attemptResult {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -184,7 +189,7 @@
 	return attemptResult{connectionFailed: true, err: err}
 }
 
-// executions returns how often each request ran, over all upstreams.
+// executions returns the number of executions of each request at all upstreams.
 func (c *cluster) executions() map[string]int {
 	total := make(map[string]int)
 	for _, v := range c.vms {
@@ -195,14 +200,15 @@
 	return total
 }
 
-// checkInvariants checks a history against what the upstreams ran.
+// checkInvariants checks the results in a history against the executions at the
+// upstreams.
 func (c *cluster) checkInvariants(t *testing.T, h *history) {
 	t.Helper()
 	runs := c.executions()
 	for _, r := range h.records {
 		for _, a := range r.results {
 			if !a.connectionFailed {
-				require.True(t, a.valid, "request %s: answer not whole or not its own: %+v", r.name, a)
+				require.True(t, a.valid, "request %s: response incomplete or of another request: %+v", r.name, a)
 			}
 		}
 		if !r.idempotent {
@@ -212,12 +218,13 @@
 			require.GreaterOrEqual(t, runs[r.name], 1, "request %s: answered but never ran", r.name)
 		}
 		if !r.hasUnknownOutcome() && r.last().kind == outcome.NotRun {
-			require.Zero(t, runs[r.name], "request %s: told not run but ran: %+v", r.name, r.results)
+			require.Zero(t, runs[r.name], "request %s: reported as not run but ran: %+v", r.name, r.results)
 		}
 	}
 }
 
-// failureReasons counts the requests that were not answered by their last reason.
+// failureReasons counts the requests without the outcome answered, by the result of the
+// last attempt.
 func (h *history) failureReasons() map[string]int {
 	reasons := make(map[string]int)
 	for _, r := range h.records {
@@ -228,11 +235,11 @@
 	return reasons
 }
 
-// checkDrainLosesNothing checks requests that were sent while daemons drained. Each
-// must have been answered, but for one case: a non-idempotent request without a
-// key on a kept connection that the daemon closed at the same moment. HTTP/1.1
-// gives the caller no proof then, so it may not send again; such a request must
-// not have run, or the drain would have cut it in flight.
+// checkDrainLosesNothing checks the requests that were sent while daemons drained. Each
+// must have the outcome answered, with one exception: a non-idempotent request without
+// an idempotency key on a keep-alive connection that the daemon closed at the same
+// moment. HTTP/1.1 does not tell the caller whether such a request ran, so the caller
+// may not retry. The request must not have run, or else the drain aborted it in flight.
 func (c *cluster) checkDrainLosesNothing(records []*requestRecord) {
 	c.t.Helper()
 	runs := c.executions()
@@ -240,8 +247,8 @@
 		if isAnswered(r) {
 			continue
 		}
-		crossed := r.last().connectionFailed && !r.idempotent && r.key == ""
-		require.True(c.t, crossed, "request %s (key %q) failed while a daemon drained: %+v", r.name, r.key, r.results)
-		require.Zero(c.t, runs[r.name], "request %s was cut while it ran: %+v", r.name, r.results)
+		closedWhileSending := r.last().connectionFailed && !r.idempotent && r.key == ""
+		require.True(c.t, closedWhileSending, "request %s (key %q) failed while a daemon drained: %+v", r.name, r.key, r.results)
+		require.Zero(c.t, runs[r.name], "request %s was aborted while it ran: %+v", r.name, r.results)
 	}
 }
--- a/proctest/idle_test.go
+++ b/proctest/idle_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// maxIdleBytes is what a daemon at rest may hold in memory, by the aim for the
-// full size.
+// maxIdleBytes bounds the resident memory of an idle daemon. It is the target for a
+// deployment of full size.
 const maxIdleBytes = 32 << 20
 
-// clockTicks is the unit of processor time in /proc, which Linux fixes at 100
-// a second for user space.
+// clockTicks is the number of clock ticks a second in which /proc reports processor
+// time. Linux fixes it at 100 for user space.
 const clockTicks = 100
 
 // residentBytes returns the resident memory of the daemon's process.
@@ -54,7 +54,7 @@
 	return time.Duration(ticks) * time.Second / clockTicks
 }
 
-// sumCounter returns the sum of a counter over its labels.
+// sumCounter returns the sum of a counter over all label values.
 func (v *vm) sumCounter(name string) float64 {
 	v.t.Helper()
 	resp, err := http.Get("http://" + v.adminAddress() + "/metrics")
@@ -73,7 +73,7 @@
 	return total
 }
 
-// TestIdleDaemonMemory bounds the memory of daemons that nobody calls.
+// TestIdleDaemonMemory checks the resident memory of daemons without requests.
 func TestIdleDaemonMemory(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 3})
 	c.awaitVersion(c.publish(documents("3s")))
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkIdleDaemon reports what one daemon spends a second when nobody
-// calls, by the number of daemons.
+// BenchmarkIdleDaemon reports the resource usage of one daemon without requests, for
+// several numbers of daemons.
 func BenchmarkIdleDaemon(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -97,25 +97,28 @@
 	}
 }
 
-func (c *cluster) reportIdleCost(b *testing.B, watch time.Duration) {
+// reportIdleCost reports the usage of processor, memory, peer traffic and log requests
+// over a period.
+func (c *cluster) reportIdleCost(b *testing.B, period time.Duration) {
 	cpu, bytes := c.totalUsage()
 	reads, appends := c.logReads.Load(), c.logAppends.Load()
 	start := time.Now()
-	time.Sleep(watch)
+	time.Sleep(period)
 	cpuAfter, bytesAfter := c.totalUsage()
 	elapsed := time.Since(start).Seconds()
-	seconds := elapsed * float64(len(c.vms))
+	daemonSeconds := elapsed * float64(len(c.vms))
 	var rss int64
 	for _, v := range c.vms {
 		rss = max(rss, v.residentBytes())
 	}
-	b.ReportMetric((cpuAfter-cpu).Seconds()/seconds*100, "%core")
-	b.ReportMetric((bytesAfter-bytes)/seconds, "peerB/s")
+	b.ReportMetric((cpuAfter-cpu).Seconds()/daemonSeconds*100, "%core")
+	b.ReportMetric((bytesAfter-bytes)/daemonSeconds, "peerB/s")
 	b.ReportMetric(float64(c.logReads.Load()-reads)/elapsed, "reads/s")
 	b.ReportMetric(float64(c.logAppends.Load()-appends)/elapsed, "appends/s")
 	b.ReportMetric(float64(rss)/(1<<20), "maxMiB")
 }
 
+// totalUsage returns the processor time and the bytes of peer traffic of all daemons.
 func (c *cluster) totalUsage() (cpu time.Duration, bytes float64) {
 	for _, v := range c.vms {
 		cpu += v.cpuTime()
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -12,6 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
+// documents returns a configuration in which all services have a deadline.
 func documents(deadline string) []policy.Document {
 	service := json.RawMessage(`{"deadline":"` + deadline + `"}`)
 	return []policy.Document{
@@ -22,16 +23,15 @@
 	}
 }
 
-// Numbers of requests sent during one fault. Fewer are sent while a daemon is
-// paused, because callers wait out their own timeout there.
+// The numbers of requests during one fault. There are fewer while a daemon is paused,
+// because callers of the paused daemon wait until their timeout.
 const (
 	phaseRequests = 480
 	pauseRequests = 160
 )
 
-// TestInvariantsUnderProcessFaults kills, pauses and drains daemons and takes
-// the log away while callers send, and checks the invariants from the
-// histories.
+// TestInvariantsUnderProcessFaults kills, pauses and drains daemons and makes the log
+// unavailable while callers send requests, and checks the invariants from the history.
 func TestInvariantsUnderProcessFaults(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 6, "sporarkiv": 6})
 	first := c.publish(documents("3s"))
@@ -43,7 +43,7 @@
 	c.sendRequests(h, phaseRequests, c.anyVM)
 	require.Zero(t, h.count(func(r *requestRecord) bool { return !isAnswered(r) }), "a request failed without a fault")
 
-	t.Log("daemon drained and started again")
+	t.Log("daemon drained and restarted")
 	before := len(h.records)
 	c.withFault(h, phaseRequests, func() { require.Zero(t, c.vms[3].stop(), c.vms[3].logOutput()) })
 	c.checkDrainLosesNothing(h.records[before:])
@@ -51,7 +51,7 @@
 	c.awaitVersion(first)
 	c.awaitServing(h)
 
-	t.Log("daemon killed and started again")
+	t.Log("daemon killed and restarted")
 	c.withFault(h, phaseRequests, func() { c.vms[0].kill() })
 	c.vms[0].start()
 	c.awaitVersion(first)
@@ -60,7 +60,7 @@
 	c.withFault(h, pauseRequests, func() { c.vms[1].signal(syscall.SIGSTOP) })
 	c.vms[1].signal(syscall.SIGCONT)
 
-	t.Log("log down, daemon killed and started meanwhile, then a new version")
+	t.Log("daemon killed while the log is unavailable and restarted, then a new version")
 	c.logDown.Store(true)
 	c.withFault(h, phaseRequests, func() { c.vms[2].kill() })
 	c.logDown.Store(false)
@@ -72,27 +72,27 @@
 	c.checkInvariants(t, h)
 }
 
-// TestDrainingUpstreamReceivesNoNewRequests lets an upstream leave while callers send.
+// TestDrainingUpstreamReceivesNoNewRequests guards against requests to an upstream that
+// has announced that it drains.
 func TestDrainingUpstreamReceivesNoNewRequests(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 1})
 	c.awaitVersion(c.publish(documents("3s")))
 	h := &history{}
 	c.awaitServing(h)
-	leaver := c.vms[0]
-	leaver.draining.Store(true)
-	c.await("the leaving upstream gets no new work", func() bool {
-		before := len(leaver.upstream.Runs())
+	drained := c.vms[0]
+	drained.draining.Store(true)
+	c.await("the draining upstream receives no new requests", func() bool {
+		before := len(drained.upstream.Runs())
 		c.sendRequests(h, phaseRequests/4, c.anyVM)
-		return len(leaver.upstream.Runs()) == before
+		return len(drained.upstream.Runs()) == before
 	})
-	before := len(leaver.upstream.Runs())
+	before := len(drained.upstream.Runs())
 	c.sendRequests(h, phaseRequests, c.anyVM)
-	require.Len(t, leaver.upstream.Runs(), before, "new work after the upstream had left")
+	require.Len(t, drained.upstream.Runs(), before, "new requests to the drained upstream")
 	c.checkInvariants(t, h)
 }
 
-// withFault applies a fault while callers send n requests and waits until they are
-// done.
+// withFault calls fault while callers send n requests, and waits for the requests.
 func (c *cluster) withFault(h *history, n int, fault func()) {
 	done := make(chan struct{})
 	go func() {
@@ -101,28 +101,28 @@
 	}()
 	fault()
 	<-done
-	c.t.Logf("%d of %d answered, others: %v", h.count(isAnswered), len(h.records), h.failureReasons())
+	c.t.Logf("%d of %d requests answered, others: %v", h.count(isAnswered), len(h.records), h.failureReasons())
 }
 
 func isAnswered(r *requestRecord) bool { return r.last().kind == outcome.Answered }
 
-// awaitServing waits until every daemon sees every upstream and answers calls to
-// both services. A daemon that knew one upstream only would rightly have none
-// once that one drains.
+// awaitServing waits until every daemon knows all upstreams and serves requests for
+// both services. A daemon that knows only one upstream would correctly have none left
+// when that upstream drains.
 func (c *cluster) awaitServing(h *history) {
 	c.t.Helper()
 	for _, v := range c.vms {
-		c.await(v.upstream.ID+" sees all upstreams", func() bool { return v.usableUpstreams() == len(c.vms) })
-		c.await(v.upstream.ID+" answers", func() bool {
-			probe := &history{serial: h.nextSerial() * 1_000_000}
-			c.sendRequests(probe, workers, func(*rand.Rand) *vm { return v })
-			return probe.count(func(r *requestRecord) bool { return !isAnswered(r) }) == 0
+		c.await(v.upstream.ID+" knows all upstreams", func() bool { return v.usableUpstreams() == len(c.vms) })
+		c.await(v.upstream.ID+" serves requests", func() bool {
+			warmUp := &history{serial: h.nextSerial() * 1_000_000}
+			c.sendRequests(warmUp, workers, func(*rand.Rand) *vm { return v })
+			return warmUp.count(func(r *requestRecord) bool { return !isAnswered(r) }) == 0
 		})
 	}
 }
 
-// TestRollingRestartLosesNoRequests drains and starts every daemon in turn while
-// callers send.
+// TestRollingRestartLosesNoRequests drains and restarts every daemon in turn while
+// callers send requests.
 func TestRollingRestartLosesNoRequests(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 3})
 	version := c.publish(documents("3s"))
