--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -10,17 +10,15 @@
 
 // mechanism is a part of the daemon's decisions that can be disabled.
 type mechanism struct {
-	name         string
-	disableEdits []edits.Edit
+	name  string
+	edits []edits.Edit
 	// coveringTest names the test that fails without the mechanism. It is empty for a
 	// mechanism that no guarantee depends on.
 	coveringTest string
 }
 
 // disabledBy returns a mechanism and the edits that disable it.
-func disabledBy(name string, list ...edits.Edit) mechanism {
-	return mechanism{name: name, disableEdits: list}
-}
+func disabledBy(name string, list ...edits.Edit) mechanism { return mechanism{name: name, edits: list} }
 
 // coveredBy sets the covering test of a mechanism.
 func coveredBy(test string, m mechanism) mechanism {
@@ -51,7 +49,7 @@
 	disabledBy("load queries before an attempt", noLocalQueries, noRemoteQueries),
 	disabledBy("load queries to remote zones", noRemoteQueries),
 	disabledBy("rejections by the guard", edits.New(figures, "MaxRejections = 2", "MaxRejections = 0")),
-	disabledBy("hedging", edits.New(choose, "if !r.request.route.Idempotent || len(r.inFlight) != 1 ||", "if !r.request.route.Idempotent || len(r.inFlight) < 9 ||")),
+	disabledBy("hedges", edits.New(choose, "if !r.request.route.Idempotent || len(r.inFlight) != 1 ||", "if !r.request.route.Idempotent || len(r.inFlight) < 9 ||")),
 	disabledBy("newest request first", edits.New(queue, "return a.Arrived > b.Arrived", "return a.Arrived < b.Arrived")),
 	coveredBy("core/slots TestKindsShareWorkEqually", disabledBy("fair sharing between kinds", edits.New(queue, "case aTag != bTag:", "case aTag < 0 && bTag < 0:"))),
 	coveredBy("core/slots TestNoRankStarves", disabledBy("reserved starts for the last rank", edits.New(queue, "lastRankFirst := q.starts%lastRankInterval == lastRankInterval-1", "lastRankFirst := q.starts < 0"))),
@@ -82,7 +80,7 @@
 		t.Run(m.name, func(t *testing.T) {
 			require.False(t, seen[m.name])
 			seen[m.name] = true
-			_, err := edits.Apply(root, m.disableEdits)
+			_, err := edits.Apply(root, m.edits)
 			require.NoError(t, err)
 		})
 	}
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -205,7 +205,7 @@
 	var disableEdits []edits.Edit
 	for _, m := range mechanisms {
 		if m.name == name {
-			disableEdits = m.disableEdits
+			disableEdits = m.edits
 		}
 	}
 	scratch := scratchCopy{dir: filepath.Join(c.dir, strconv.Itoa(len(c.byMechanism)))}
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -127,7 +127,7 @@
 	m.upstream.Crash()
 	time.Sleep(f.Duration)
 	if f.Mode == "new-id" {
-		id = h.newUpstreamID(f.VM)
+		id = h.newID(f.VM)
 	}
 	_ = m.upstream.Start(id)
 }
@@ -143,7 +143,7 @@
 		return
 	}
 	m.upstream.Crash()
-	_ = m.upstream.Start(h.newUpstreamID(f.VM))
+	_ = m.upstream.Start(h.newID(f.VM))
 }
 
 // callerStopDelay is the time between the end of a VM's own calls and its replacement.
@@ -166,7 +166,7 @@
 	m.upstream.Crash()
 	time.Sleep(f.Duration)
 	m.peerProxy.setMode("")
-	_ = m.upstream.Start(h.newUpstreamID(f.VM))
+	_ = m.upstream.Start(h.newID(f.VM))
 	time.Sleep(restartAllowance)
 }
 
--- a/soak/run.go
+++ b/soak/run.go
@@ -77,7 +77,7 @@
 	// loopbackNet is the number of the loopback network that the soak uses.
 	loopbackNet int
 	startedAt   time.Time
-	upstreamIDs atomic.Int64
+	lastID      atomic.Int64
 	// mu guards version and publishedAt, which belong to the newest configuration.
 	mu            sync.Mutex
 	version       int
@@ -152,17 +152,15 @@
 		if err := m.start(); err != nil {
 			return err
 		}
-		if err := m.upstream.Start(h.newUpstreamID(i)); err != nil {
+		if err := m.upstream.Start(h.newID(i)); err != nil {
 			return err
 		}
 	}
 	return h.awaitReady(ctx)
 }
 
-// newUpstreamID returns an unused id for an upstream of a VM.
-func (h *harness) newUpstreamID(number int) string {
-	return fmt.Sprintf("i-%d-%d", number, h.upstreamIDs.Add(1))
-}
+// newID returns an unused id for an upstream of a VM.
+func (h *harness) newID(number int) string { return fmt.Sprintf("i-%d-%d", number, h.lastID.Add(1)) }
 
 func (h *harness) awaitReady(ctx context.Context) error {
 	end := time.Now().Add(startTimeout)
