--- a/soak/check.go
+++ b/soak/check.go
@@ -15,8 +15,8 @@
 	// maxConfigDelay is how long after its publication a configuration may take to be in
 	// force at a daemon.
 	maxConfigDelay = 2 * time.Second
-	// quietPeriod is how long a VM must have been without unplanned faults before time
-	// bounds are checked.
+	// quietPeriod is how long VMs must have been without unplanned faults before checks
+	// apply that unplanned faults may violate.
 	quietPeriod = 3 * time.Second
 	// Within retryBudgetWindow, retries may not exceed retryBudgetRatio of the requests
 	// plus retryBudgetSlack.
@@ -46,13 +46,18 @@
 	// safetyOnly skips the checks that depend on the speed of the machine.
 	safetyOnly bool
 
-	mu          sync.Mutex
-	requests    map[string]*requestRecord
+	mu sync.Mutex
+	// requests holds the records by attempt id.
+	requests map[string]*requestRecord
+	// repeatTimes are the times of the repeated executions of idempotent requests.
 	repeatTimes []time.Time
-	sendTimes   []time.Time
-	drainedAt   map[string]time.Time
-	crashes     map[string]*crashCount
-	violations  []string
+	// sendTimes are the times at which callers sent requests.
+	sendTimes []time.Time
+	// drainedAt holds the times of acknowledged drains by upstream incarnation.
+	drainedAt map[string]time.Time
+	// crashes holds the crash counts by crashKey.
+	crashes    map[string]*crashCount
+	violations []string
 }
 
 // crashCount counts the crashes caused by one request.
@@ -81,6 +86,7 @@
 	return &checker{requests: make(map[string]*requestRecord), drainedAt: make(map[string]time.Time), crashes: make(map[string]*crashCount)}
 }
 
+// addViolationLocked records a violation. c.mu is held.
 func (c *checker) addViolationLocked(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
@@ -142,10 +148,10 @@
 
 // recordPoison records that a request crashes upstreams. Attempts with the same key are
 // attempts of one request.
-func (c *checker) recordPoison(attempt, key string, calm func() bool) {
+func (c *checker) recordPoison(attempt, key string, undisturbed func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests[attempt].crashKey, c.requests[attempt].undisturbed = key, calm
+	c.requests[attempt].crashKey, c.requests[attempt].undisturbed = key, undisturbed
 	if c.crashes[key] == nil {
 		c.crashes[key] = &crashCount{}
 	}
--- a/soak/control.go
+++ b/soak/control.go
@@ -17,15 +17,15 @@
 // checkControlTraffic checks the bytes of quarantine records that the daemons report as sent
 // in their metrics.
 func (h *harness) checkControlTraffic(ctx context.Context) {
-	for _, m := range h.machines {
+	for _, m := range h.vms {
 		sent, err := readCounter(ctx, m.metricsURL(), "dottereltiller_control_bytes", `direction="sent"`, `kind="suspects"`)
 		if err != nil {
-			h.check.addViolation("metrics: %s: %v", m.vm.Name, err)
+			h.check.addViolation("metrics: %s: %v", m.config.Name, err)
 			continue
 		}
 		up := time.Since(m.startedAt())
 		if sent > maxQuarantineBurstBytes+maxQuarantineBytesPerSecond*up.Seconds() {
-			h.check.addViolation("control: %s sent %.0f bytes of quarantine records in %s", m.vm.Name, sent, up.Round(time.Second))
+			h.check.addViolation("control: %s sent %.0f bytes of quarantine records in %s", m.config.Name, sent, up.Round(time.Second))
 		}
 	}
 }
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -15,6 +15,7 @@
 	return exec.CommandContext(ctx, name, args...)
 }
 
+// storeFaults maps the modes of store faults, except forget, to faults of the stand-in store.
 var storeFaults = map[string]platformtest.StoreFault{
 	"busy": platformtest.StoreUnavailable, "many": platformtest.StoreRateLimited, "silent": platformtest.StoreHangs,
 	"slow": platformtest.StoreSlow, "lost": platformtest.StoreLosesReplies, "late": platformtest.StoreAppendsLate,
@@ -23,20 +24,21 @@
 // partialFailureShare is the share of requests that fail at a single faulty upstream.
 const partialFailureShare = 0.4
 
-// plannedKinds are the faults that operators cause on purpose. They must not lose requests.
+// plannedKinds are the kinds that do not count as unplanned faults: operations that operators
+// plan, and invalid records in the store. They must not lose requests.
 var plannedKinds = map[string]bool{kindTerm: true, kindReload: true, kindConfig: true, kindDrain: true, kindInvalidRecords: true}
 
 // inject injects one fault and removes it after the duration of the fault.
 func (h *harness) inject(f Fault) {
-	var m *machine
+	var m *vm
 	if f.VM > 0 {
-		m = h.machines[f.VM-1]
+		m = h.vms[f.VM-1]
 	}
 	if !plannedKinds[f.Kind] {
 		// A kill affects the VM until its process has restarted, a fault of a proxy or
 		// an upstream until the fault is removed. All other VMs exchange messages and
 		// requests with the faulty VM, so they are disturbed as well.
-		for _, x := range h.machines {
+		for _, x := range h.vms {
 			x.disturb(f.Duration + restartAllowance)
 		}
 	}
@@ -70,7 +72,7 @@
 	case kindPoison:
 		h.sendPoison(f)
 	case kindKillAll:
-		for _, x := range h.machines {
+		for _, x := range h.vms {
 			x.signal(syscall.SIGKILL)
 		}
 		h.check.resetCrashCounts()
@@ -86,12 +88,15 @@
 // restartAllowance is the time that a process needs to start after a fault.
 const restartAllowance = 2 * time.Second
 
-func (h *harness) withProxyMode(l *proxy, f Fault) {
-	l.setMode(f.Mode)
+// withProxyMode sets the mode of a proxy for the duration of a fault.
+func (h *harness) withProxyMode(p *proxy, f Fault) {
+	p.setMode(f.Mode)
 	time.Sleep(f.Duration)
-	l.setMode("")
+	p.setMode("")
 }
 
+// injectStoreFault makes the store fail for the duration of a fault. In mode forget it instead
+// truncates the operator's topic and publishes the current configuration again.
 func (h *harness) injectStoreFault(f Fault) {
 	if f.Mode == "forget" {
 		h.store.Truncate(platformtest.TopicOperator)
@@ -107,22 +112,22 @@
 
 // injectUpstreamFault makes one upstream fail partialFailureShare of its requests. If the
 // fault names no VM, m is nil and all upstreams fail all requests.
-func (h *harness) injectUpstreamFault(m *machine, f Fault) {
-	share, which := partialFailureShare, []*machine{m}
+func (h *harness) injectUpstreamFault(m *vm, f Fault) {
+	share, affected := partialFailureShare, []*vm{m}
 	if m == nil {
-		share, which = 1, h.machines
+		share, affected = 1, h.vms
 	}
-	for _, m := range which {
+	for _, m := range affected {
 		m.upstream.Fail(platformtest.UpstreamFault(f.Mode), share)
 	}
 	time.Sleep(f.Duration)
-	for _, m := range which {
+	for _, m := range affected {
 		m.upstream.Fail(platformtest.UpstreamHealthy, 0)
 	}
 }
 
 // crashUpstream crashes an upstream and restarts it.
-func (h *harness) crashUpstream(m *machine, f Fault) {
+func (h *harness) crashUpstream(m *vm, f Fault) {
 	id := m.upstream.ID()
 	m.upstream.Crash()
 	time.Sleep(f.Duration)
@@ -133,7 +138,7 @@
 }
 
 // drainUpstream drains an upstream and then replaces it by a new one.
-func (h *harness) drainUpstream(m *machine, f Fault) {
+func (h *harness) drainUpstream(m *vm, f Fault) {
 	incarnation := m.upstream.Incarnation()
 	if m.upstream.Drain() {
 		h.check.recordDrain(incarnation)
@@ -152,7 +157,7 @@
 // replaceVM kills a VM and starts a new one under the same address, which belongs to the
 // other service of the group. Connections to the old VM break. In mode dark the network
 // drops their traffic instead, so that peers see no connection error.
-func (h *harness) replaceVM(m *machine, f Fault) {
+func (h *harness) replaceVM(m *vm, f Fault) {
 	if !m.replacing.CompareAndSwap(false, true) {
 		return
 	}
@@ -172,17 +177,17 @@
 
 // otherService returns the service of the VM's group to which the VM does not belong, or the
 // current service of the VM if fewer than minVMsPerService other VMs would remain in it.
-func (h *harness) otherService(m *machine) string {
-	own, left := m.service(), 0
-	for _, x := range h.machines {
-		if x != m && x.group == m.group && x.service() == own {
-			left++
+func (h *harness) otherService(m *vm) string {
+	current, remaining := m.service(), 0
+	for _, x := range h.vms {
+		if x != m && x.group == m.group && x.service() == current {
+			remaining++
 		}
 	}
 	switch {
-	case left < minVMsPerService:
-		return own
-	case own == serviceOf(m.group, 0):
+	case remaining < minVMsPerService:
+		return current
+	case current == serviceOf(m.group, 0):
 		return serviceOf(m.group, 1)
 	default:
 		return serviceOf(m.group, 0)
@@ -202,7 +207,7 @@
 	key := strconv.FormatInt(f.At.Milliseconds(), 10)
 	path := "/safe/" + platformtest.CrashPath + key
 	for n := 0; time.Since(h.startedAt) < h.plan.Length; n++ {
-		m := h.machines[n%len(h.machines)]
+		m := h.vms[n%len(h.vms)]
 		attempt := fmt.Sprintf("%s%s-%d", poisonAttemptPrefix, key, n)
 		h.check.recordSent(attempt, m.service(), false)
 		h.check.recordPoison(attempt, key, m.undisturbed)
--- a/soak/metrics.go
+++ b/soak/metrics.go
@@ -11,8 +11,8 @@
 )
 
 // isReady reports whether the daemon of a VM reports itself ready.
-func isReady(ctx context.Context, m *machine) bool {
-	body, err := getPage(ctx, m.vm.ReadyURL())
+func isReady(ctx context.Context, m *vm) bool {
+	body, err := getPage(ctx, m.config.ReadyURL())
 	if err != nil {
 		return false
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -27,8 +27,8 @@
 	Dir string
 	// Out receives a line for each injected fault. Nil discards them.
 	Out io.Writer
-	// SafetyOnly skips the checks that depend on the speed of the machine: when a configuration
-	// is in force, how many requests are served at the end, and how soon requests that crash
+	// SafetyOnly skips the checks that depend on the speed of the machine: how soon a
+	// configuration is in force, how many requests are served at the end, and how soon requests that crash
 	// upstreams are refused. For the last, the number of crashes is checked instead.
 	SafetyOnly bool
 	// Rate is the number of requests a second that the callers of one VM send. Default:
@@ -60,7 +60,7 @@
 	// longRequestInterval-th one runs for seconds.
 	unsafeRequestInterval = 3
 	longRequestInterval   = 40
-	// distinctPaths is the number of different paths of idempotent requests, and of others.
+	// distinctPaths is the number of paths of idempotent requests, and as many of others.
 	distinctPaths = 2000
 	// configCheckInterval is the time between two checks of a daemon's configuration.
 	configCheckInterval = 250 * time.Millisecond
@@ -68,12 +68,12 @@
 
 // harness is the state of a running soak.
 type harness struct {
-	plan     Plan
-	opts     Options
-	check    *checker
-	store    *platformtest.Store
-	server   *http.Server
-	machines []*machine
+	plan   Plan
+	opts   Options
+	check  *checker
+	store  *platformtest.Store
+	server *http.Server
+	vms    []*vm
 	// loopbackNet is the number of the loopback network that the soak uses.
 	loopbackNet int
 	startedAt   time.Time
@@ -104,7 +104,7 @@
 	if err := h.startAll(ctx); err != nil {
 		return Result{}, err
 	}
-	h.playPlan(ctx)
+	h.executePlan(ctx)
 	if err := h.awaitServing(ctx); err != nil {
 		return Result{}, err
 	}
@@ -144,11 +144,11 @@
 	go func() { _ = h.server.Serve(ln) }()
 	h.publish()
 	for i := 1; i <= h.plan.VMs; i++ {
-		m, err := newMachine(i, groupCount(h.plan.VMs), h.ip(i), h.opts.Dir, h.opts.Binary, storeAddress, h.check)
+		m, err := newVM(i, groupCount(h.plan.VMs), h.ip(i), h.opts.Dir, h.opts.Binary, storeAddress, h.check)
 		if err != nil {
 			return err
 		}
-		h.machines = append(h.machines, m)
+		h.vms = append(h.vms, m)
 		if err := m.start(); err != nil {
 			return err
 		}
@@ -164,7 +164,7 @@
 
 func (h *harness) awaitReady(ctx context.Context) error {
 	end := time.Now().Add(startTimeout)
-	for _, m := range h.machines {
+	for _, m := range h.vms {
 		for !isReady(ctx, m) {
 			if time.Now().After(end) || ctx.Err() != nil {
 				return errNotReady
@@ -178,9 +178,9 @@
 // awaitServing waits until every daemon serves a request after the last fault.
 func (h *harness) awaitServing(ctx context.Context) error {
 	end := time.Now().Add(servingTimeout)
-	for _, m := range h.machines {
+	for _, m := range h.vms {
 		for i := 0; ; i++ {
-			attempt := fmt.Sprintf("probe-last-%s-%d", m.vm.Name, i)
+			attempt := fmt.Sprintf("probe-last-%s-%d", m.config.Name, i)
 			h.check.recordSent(attempt, m.service(), false)
 			r, err := m.caller.Send(ctx, "/safe/x", attempt, false, requestDeadline)
 			if err == nil && r.Status == http.StatusOK {
@@ -190,7 +190,7 @@
 				return ctx.Err()
 			}
 			if time.Now().After(end) {
-				h.check.addViolation("recovery: %s does not serve requests", m.vm.Name)
+				h.check.addViolation("recovery: %s does not serve requests", m.config.Name)
 				return nil
 			}
 			time.Sleep(configCheckInterval)
@@ -224,13 +224,13 @@
 	return h.version, h.publishedAt
 }
 
-// playPlan sends requests and injects the faults of the plan for its length.
-func (h *harness) playPlan(ctx context.Context) {
+// executePlan sends requests and injects the faults of the plan for its length.
+func (h *harness) executePlan(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.plan.Length)
 	defer cancel()
 	h.startedAt = time.Now()
 	var wg sync.WaitGroup
-	for _, m := range h.machines {
+	for _, m := range h.vms {
 		wg.Go(func() { h.runCallers(ctx, m) })
 		wg.Go(func() { h.checkConfigInForce(ctx, m) })
 	}
@@ -249,7 +249,7 @@
 }
 
 // runCallers sends requests to one daemon at the configured rate and waits for all of them.
-func (h *harness) runCallers(ctx context.Context, m *machine) {
+func (h *harness) runCallers(ctx context.Context, m *vm) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	ticker := time.NewTicker(time.Second / time.Duration(h.opts.Rate))
@@ -265,7 +265,7 @@
 }
 
 // sendRequest sends one request to the daemon of a VM and checks the response.
-func (h *harness) sendRequest(m *machine) {
+func (h *harness) sendRequest(m *vm) {
 	if m.replacing.Load() {
 		return
 	}
@@ -290,7 +290,7 @@
 		case stopping && !m.ranUntilGraceEnd(sentAt) && abortedByDaemon(r, err):
 			h.check.addViolation("lost: %s ran and was aborted by a planned stop: status %d, error %v", attempt, r.Status, err)
 		case err != nil && abortedByDaemon(r, err) && !stoppingBefore && !stopping && incarnation == incarnationBefore:
-			h.check.addViolation("unanswered: %s ran and its connection to %s was closed without a response: %v", attempt, m.vm.Name, err)
+			h.check.addViolation("unanswered: %s ran and its connection to %s was closed without a response: %v", attempt, m.config.Name, err)
 		}
 	}
 	if err == nil {
@@ -319,7 +319,7 @@
 
 // undisturbed reports whether all VMs have been without unplanned faults for quietPeriod.
 func (h *harness) undisturbed() bool {
-	for _, m := range h.machines {
+	for _, m := range h.vms {
 		if !m.undisturbed() {
 			return false
 		}
@@ -329,7 +329,7 @@
 
 // checkConfigInForce regularly checks the configuration in force at a daemon: a new version
 // must be in force in time, and an incarnation of the process must not return to an older one.
-func (h *harness) checkConfigInForce(ctx context.Context, m *machine) {
+func (h *harness) checkConfigInForce(ctx context.Context, m *vm) {
 	seenVersion, seenIncarnation := 0, 0
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(configCheckInterval)
@@ -339,7 +339,7 @@
 		version, published := h.latestConfig()
 		overdue := time.Since(published) > maxConfigDelay && m.undisturbed()
 		incarnation, stopping := m.incarnationState()
-		attempt := fmt.Sprintf("probe-%s-%d", m.vm.Name, i)
+		attempt := fmt.Sprintf("probe-%s-%d", m.config.Name, i)
 		h.check.recordSent(attempt, m.service(), false)
 		r, err := m.caller.Send(ctx, fmt.Sprintf("/v%d/x", version), attempt, false, requestDeadline)
 		if after, _ := m.incarnationState(); err != nil || stopping || incarnation != after {
@@ -348,9 +348,9 @@
 		h.check.checkResponse(attempt, r)
 		switch {
 		case r.Status == http.StatusNotFound && incarnation == seenIncarnation && seenVersion >= version:
-			h.check.addViolation("back: %s no longer had version %d in force", m.vm.Name, version)
+			h.check.addViolation("back: %s no longer had version %d in force", m.config.Name, version)
 		case r.Status == http.StatusNotFound && overdue && m.undisturbed() && !h.opts.SafetyOnly:
-			h.check.addViolation("late: %s did not have version %d in force %s after its publication", m.vm.Name, version, time.Since(published).Round(time.Millisecond))
+			h.check.addViolation("late: %s did not have version %d in force %s after its publication", m.config.Name, version, time.Since(published).Round(time.Millisecond))
 		case r.Status != http.StatusNotFound && r.Status != http.StatusServiceUnavailable:
 			seenVersion, seenIncarnation = version, incarnation
 		}
@@ -359,28 +359,28 @@
 
 // stopDaemons stops all daemons and checks that they exit cleanly within the grace period.
 func (h *harness) stopDaemons() {
-	for _, m := range h.machines {
+	for _, m := range h.vms {
 		m.stopForGood(syscall.SIGTERM)
 	}
 	end := time.After(gracePeriod + time.Second)
-	for _, m := range h.machines {
+	for _, m := range h.vms {
 		if incarnation, stopped := m.incarnationState(); stopped && incarnation == 0 {
 			continue
 		}
 		select {
 		case err := <-m.exitErr:
 			if err != nil && h.undisturbed() {
-				h.check.addViolation("stop: %s exited with %v", m.vm.Name, err)
+				h.check.addViolation("stop: %s exited with %v", m.config.Name, err)
 			}
 		case <-end:
-			h.check.addViolation("stop: %s was still running after its grace period", m.vm.Name)
+			h.check.addViolation("stop: %s was still running after its grace period", m.config.Name)
 			return
 		}
 	}
 }
 
 func (h *harness) close() {
-	for _, m := range h.machines {
+	for _, m := range h.vms {
 		m.stopForGood(syscall.SIGKILL)
 		m.close()
 	}
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -14,17 +14,17 @@
 	"github.com/dottereltiller/dottereltiller/platform/platformtest"
 )
 
-// machine is one VM: the daemon's process, its upstream, and the proxies in front of its
+// vm is one simulated VM: the daemon's process, its upstream, and the proxies in front of its
 // addresses.
-type machine struct {
-	// vm holds the addresses and settings. Its service changes when the VM is replaced.
-	vm platformtest.VM
+type vm struct {
+	// config holds the addresses and settings. Its service changes when the VM is replaced.
+	config platformtest.VM
 	// group is the number of the VM's group, see groupCount.
 	group         int
 	binary        string
-	settings      string
+	settingsPath  string
 	check         *checker
-	log           *os.File
+	logFile       *os.File
 	upstream      *platformtest.Upstream
 	peerProxy     *proxy
 	upstreamProxy *proxy
@@ -65,20 +65,20 @@
 	proxyPeers, proxyUpstream, proxyStore                            = 7760, 8247, 8342
 )
 
-// newMachine creates a VM and starts its proxies. The daemon and the upstream are not started.
-func newMachine(number, groups int, ip, dir, binary, store string, check *checker) (*machine, error) {
+// newVM creates a VM and starts its proxies. The daemon and the upstream are not started.
+func newVM(number, groups int, ip, dir, binary, store string, check *checker) (*vm, error) {
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zones = 3
 	group := number % groups
-	m := &machine{group: group, check: check, binary: binary, exitErr: make(chan error, 1), vm: platformtest.VM{
+	m := &vm{group: group, check: check, binary: binary, exitErr: make(chan error, 1), config: platformtest.VM{
 		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groups%zones), Service: serviceOf(group, number/groups%2),
 		Outbound: at(portOutbound), Ready: at(portReady), Control: at(portControl), Upstream: at(proxyUpstream), Store: at(proxyStore),
 		InternalPort: portInternal, Advertised: at(proxyPeers), Bootstrap: true,
 		GraceS: gracePeriod.Seconds(), RetryBudgetRatio: retryBudgetRatio, RetryBudgetSlack: retryBudgetSlack, RetryBudgetWindowS: retryBudgetWindow.Seconds(),
 	}}
-	m.settings = filepath.Join(dir, m.vm.Name+".yaml")
+	m.settingsPath = filepath.Join(dir, m.config.Name+".yaml")
 	var err error
-	if m.log, err = os.Create(filepath.Join(dir, m.vm.Name+".log")); err != nil {
+	if m.logFile, err = os.Create(filepath.Join(dir, m.config.Name+".log")); err != nil {
 		return nil, err
 	}
 	for _, x := range []struct {
@@ -94,10 +94,10 @@
 		}
 	}
 	m.upstream = &platformtest.Upstream{
-		Service: m.vm.Service, Zone: m.vm.Zone, Address: at(portUpstream), Reported: at(proxyUpstream), Control: m.vm.Control,
+		Service: m.config.Service, Zone: m.config.Zone, Address: at(portUpstream), Reported: at(proxyUpstream), Control: m.config.Control,
 		Slots: 6, ServiceTime: 20 * time.Millisecond, Observer: check,
 	}
-	m.caller = platformtest.Caller{Address: m.vm.Outbound, Service: serviceOf(group, 0), Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
+	m.caller = platformtest.Caller{Address: m.config.Outbound, Service: serviceOf(group, 0), Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	return m, nil
 }
 
@@ -114,28 +114,28 @@
 func serviceOf(group, n int) string { return string(rune('a' + 2*group + n)) }
 
 // start starts the daemon and restarts it whenever it exits.
-func (m *machine) start() error {
+func (m *vm) start() error {
 	m.mu.Lock()
-	text, service := m.vm.Settings(), m.vm.Service
-	m.vm.Bootstrap = false
+	text, service := m.config.Settings(), m.config.Service
+	m.config.Bootstrap = false
 	startProgram := startIgnoringHangup
 	if m.incarnation == 0 {
 		startProgram = startDefault
 	}
 	m.mu.Unlock()
-	if err := os.WriteFile(m.settings, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(m.settingsPath, []byte(text), 0o600); err != nil {
 		return err
 	}
 	cmd := exec.Command(m.binary)
-	cmd.Env = []string{platformtest.Env(m.settings)}
-	cmd.Stdout, cmd.Stderr = m.log, m.log
+	cmd.Env = []string{platformtest.Env(m.settingsPath)}
+	cmd.Stdout, cmd.Stderr = m.logFile, m.logFile
 	if err := startProgram(cmd); err != nil {
 		return err
 	}
 	m.mu.Lock()
 	m.process, m.stopping, m.killed, m.startedTime = cmd, false, false, time.Now()
 	m.incarnation++
-	if m.vm.Service != service {
+	if m.config.Service != service {
 		// The VM was replaced during the start. The next start uses the new settings.
 		m.killed = true
 		_ = cmd.Process.Kill()
@@ -147,14 +147,14 @@
 
 // awaitExit waits until the process exits and restarts it unless noRestart is set. An exit
 // without a signal is a violation.
-func (m *machine) awaitExit(cmd *exec.Cmd) {
+func (m *vm) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	m.mu.Lock()
 	m.process = nil
 	noRestart, signalled := m.noRestart, m.stopping || m.killed
 	m.mu.Unlock()
 	if !noRestart && !signalled {
-		m.check.addViolation("ended: %s exited without a signal from the test: %v", m.vm.Name, err)
+		m.check.addViolation("ended: %s exited without a signal from the test: %v", m.config.Name, err)
 	}
 	if noRestart {
 		m.exitErr <- err
@@ -170,34 +170,34 @@
 }
 
 // startedAt returns when the process was started last.
-func (m *machine) startedAt() time.Time {
+func (m *vm) startedAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.startedTime
 }
 
 // metricsURL returns the URL of the daemon's metrics page.
-func (m *machine) metricsURL() string {
-	return fmt.Sprintf("http://%s:%d/metrics", m.vm.IP, portMetrics)
+func (m *vm) metricsURL() string {
+	return fmt.Sprintf("http://%s:%d/metrics", m.config.IP, portMetrics)
 }
 
 // service returns the service that the VM belongs to.
-func (m *machine) service() string {
+func (m *vm) service() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.vm.Service
+	return m.config.Service
 }
 
 // changeService sets the service of the daemon and the upstream from their next starts on.
-func (m *machine) changeService(service string) {
+func (m *vm) changeService(service string) {
 	m.mu.Lock()
-	m.vm.Service = service
+	m.config.Service = service
 	m.mu.Unlock()
 	m.upstream.SetService(service)
 }
 
 // signal sends a signal to the process if it is running.
-func (m *machine) signal(s syscall.Signal) {
+func (m *vm) signal(s syscall.Signal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.process == nil {
@@ -212,7 +212,7 @@
 
 // incarnationState returns the incarnation of the process and whether the process is stopping
 // or not running.
-func (m *machine) incarnationState() (incarnation int, stopping bool) {
+func (m *vm) incarnationState() (incarnation int, stopping bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.incarnation, m.stopping || m.process == nil
@@ -226,17 +226,17 @@
 	graceTailDivisor    = 6
 )
 
-// ranUntilGraceEnd reports whether a request that was sent at sent and ends now ran until the
-// end of the grace period of a planned stop. The daemon could not have waited for its
-// response.
-func (m *machine) ranUntilGraceEnd(sent time.Time) bool {
+// ranUntilGraceEnd reports whether a request that was sent at the given time and ends now ran
+// until the end of the grace period of a planned stop. The daemon could not have waited for
+// its response.
+func (m *vm) ranUntilGraceEnd(sent time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.stoppedAt.IsZero() && sent.Sub(m.stoppedAt) <= maxArrivalAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
 }
 
 // disturb records that an unplanned fault affects the VM for the duration d from now.
-func (m *machine) disturb(d time.Duration) {
+func (m *vm) disturb(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if until := time.Now().Add(d); until.After(m.disturbedUntil) {
@@ -245,7 +245,7 @@
 }
 
 // undisturbed reports whether the VM has been without unplanned faults for quietPeriod.
-func (m *machine) undisturbed() bool {
+func (m *vm) undisturbed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.disturbedUntil) > quietPeriod
@@ -253,7 +253,7 @@
 
 // stopForGood prevents further starts and sends a signal to the running process, which it
 // resumes first if it is paused.
-func (m *machine) stopForGood(s syscall.Signal) {
+func (m *vm) stopForGood(s syscall.Signal) {
 	m.mu.Lock()
 	m.noRestart = true
 	notRunning := m.process == nil
@@ -265,12 +265,12 @@
 	m.signal(s)
 }
 
-func (m *machine) close() {
+func (m *vm) close() {
 	m.upstream.Crash()
 	for _, p := range []*proxy{m.peerProxy, m.upstreamProxy, m.storeProxy} {
 		if p != nil {
 			p.close()
 		}
 	}
-	_ = m.log.Close()
+	_ = m.logFile.Close()
 }
