--- a/local/deployment.go
+++ b/local/deployment.go
@@ -48,7 +48,7 @@
 	// that a deployment is ready quickly.
 	LogInterval time.Duration
 	// Settings may change the settings of each daemon before the daemon starts.
-	// Nil keeps the defaults.
+	// Nil changes no settings.
 	Settings func(*settings.Settings)
 	// Logger receives the log entries of the daemons. Nil discards them.
 	Logger *slog.Logger
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -131,6 +131,7 @@
 	c.t.Cleanup(func() { _ = srv.Close() })
 }
 
+// buildDaemon compiles the daemon and returns the path of the executable.
 func buildDaemon(t testing.TB) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "dottereltillerd")
@@ -256,7 +257,8 @@
 	return uint64(res.Version)
 }
 
-// awaitVersion waits until a version or a newer one is in force at every daemon.
+// awaitVersion waits until a configuration version, or a newer one, is in force at every
+// daemon.
 func (c *cluster) awaitVersion(version uint64) {
 	c.t.Helper()
 	for _, v := range c.vms {
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -39,13 +39,15 @@
 type requestRecord struct {
 	name       string
 	idempotent bool
-	key        string
-	results    []attemptResult
+	// key is the idempotency key, empty for none.
+	key     string
+	results []attemptResult
 }
 
 func (r *requestRecord) last() attemptResult { return r.results[len(r.results)-1] }
 
-// hasUnknownOutcome reports whether it is unknown for any attempt if the request ran.
+// hasUnknownOutcome reports whether any attempt ended without proof that the request ran
+// or that it did not run.
 func (r *requestRecord) hasUnknownOutcome() bool {
 	for _, a := range r.results {
 		if a.connectionFailed || a.kind == outcome.Unknown {
@@ -75,6 +77,7 @@
 	return h.serial
 }
 
+// count returns the number of records that match.
 func (h *history) count(match func(*requestRecord) bool) int {
 	n := 0
 	for _, r := range h.records {
@@ -229,7 +232,7 @@
 	reasons := make(map[string]int)
 	for _, r := range h.records {
 		if a := r.last(); a.kind != outcome.Answered {
-			reasons[fmt.Sprintf("%s %s transport=%t refused=%t %v", a.kind, a.reason, a.connectionFailed, a.notConnected, a.err)]++
+			reasons[fmt.Sprintf("%s %s connectionFailed=%t notConnected=%t %v", a.kind, a.reason, a.connectionFailed, a.notConnected, a.err)]++
 		}
 	}
 	return reasons
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// documents returns a configuration in which all services have a deadline.
+// documents returns a configuration with the same deadline for all services.
 func documents(deadline string) []policy.Document {
 	service := json.RawMessage(`{"deadline":"` + deadline + `"}`)
 	return []policy.Document{
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -58,7 +58,21 @@
 	kindReplace        = "replace" // a VM is replaced by one of another service at the same address
 )
 
-// faultModes lists the variants of each kind. A dash means that there are none.
+// faultModes lists the modes of each kind. A dash stands for the only mode of a kind.
+//
+// Proxies: delay and trickle slow traffic down, reset resets connections, silent drops all
+// traffic, and half drops the traffic from the target to the client.
+//
+// Store: busy and many respond with 503 and 429, silent never responds, slow responds late,
+// lost executes requests without a response, late executes them late without a response, and
+// forget loses the operator's records.
+//
+// Upstreams: lose executes requests and resets the connection, shed rejects requests without
+// execution, err executes requests with an error, hang never responds, cut truncates responses,
+// double sends a second response, slow takes ten times as long, and untold omits the load.
+//
+// Crash: the upstream restarts with the same-id or a new-id. Replace: the old VM is gone
+// (connections break) or dark (its peer traffic is dropped).
 var faultModes = map[string][]string{
 	kindKill: {"-"}, kindTerm: {"-"}, kindPause: {"-"}, kindReload: {"-"},
 	kindPeerProxy:     {"delay", "reset", "silent", "half", "trickle"},
