--- a/soak/plan.go
+++ b/soak/plan.go
@@ -175,7 +175,7 @@
 
 // Error returns the number and the text of the line.
 func (e *PlanError) Error() string {
-	return fmt.Sprintf("plan: line %d: invalid line %q", e.Line, e.Text)
+	return fmt.Sprintf("plan: line %d is invalid: %q", e.Line, e.Text)
 }
 
 // Read parses a plan. Lines that begin with # are comments. The error is a *PlanError if a
