--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -21,8 +21,8 @@
 	maxLines   = 400
 )
 
-// source is one Go file of the workspace.
-type source struct {
+// sourceFile is one Go file of the workspace.
+type sourceFile struct {
 	path    string
 	pkg     string
 	test    bool
@@ -30,9 +30,10 @@
 	lines   int
 }
 
-func sources(t *testing.T) []source {
+// sourceFiles returns all Go files of the workspace except generated protocol code.
+func sourceFiles(t *testing.T) []sourceFile {
 	t.Helper()
-	var out []source
+	var out []sourceFile
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -51,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		s := source{path: path, test: strings.HasSuffix(path, "_test.go"), lines: bytes.Count(data, []byte("\n"))}
+		s := sourceFile{path: path, test: strings.HasSuffix(path, "_test.go"), lines: bytes.Count(data, []byte("\n"))}
 		s.pkg = strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), root+"/")
 		for _, i := range f.Imports {
 			p, err := strconv.Unquote(i.Path.Value)
@@ -68,9 +69,10 @@
 	return out
 }
 
-// TestCoreImports holds core to the standard library, xxhash and itself.
+// TestCoreImports checks that core imports only itself, xxhash and the standard library
+// without I/O and concurrency packages.
 func TestCoreImports(t *testing.T) {
-	for _, s := range sources(t) {
+	for _, s := range sourceFiles(t) {
 		if s.test || !strings.HasPrefix(s.pkg, "core/") {
 			continue
 		}
@@ -78,13 +80,14 @@
 			allowed := isStandard(i) || strings.HasPrefix(i, corePath) || i == "github.com/cespare/xxhash/v2"
 			require.True(t, allowed, "%s imports %s", s.path, i)
 			banned := i == "net" || i == "net/http" || i == "os" || i == "sync" || i == "context"
-			require.False(t, banned, "%s imports %s: decisions do no I/O and start no goroutines", s.path, i)
+			require.False(t, banned, "%s imports %s: core must not do I/O or start goroutines", s.path, i)
 		}
 	}
 }
 
-// forbidden lists imports that would tie the daemon's parts to each other.
-var forbidden = map[string][]string{
+// forbiddenImports lists, by package, the packages that it must not import, so that the
+// components of the daemon do not depend on each other.
+var forbiddenImports = map[string][]string{
 	"wire":          {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer"},
 	"hop":           {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer", "wire"},
 	"sidecar":       {"platform", "daemon", "entry", "guard", "owner", "membership", "configuration", "peer", "recordlog"},
@@ -99,39 +102,42 @@
 	"configuration": {"entry", "guard", "owner", "daemon", "membership"},
 }
 
-// TestPartsMeetThroughInterfaces holds the parts of the daemon apart: only
-// package daemon knows them all.
-func TestPartsMeetThroughInterfaces(t *testing.T) {
-	for _, s := range sources(t) {
+// TestComponentsDoNotImportEachOther checks forbiddenImports. Only package daemon imports
+// all components and connects them through interfaces.
+func TestComponentsDoNotImportEachOther(t *testing.T) {
+	for _, s := range sourceFiles(t) {
 		if s.test {
 			continue
 		}
-		for _, part := range forbidden[s.pkg] {
-			require.NotContains(t, s.imports, modulePath+part, s.path)
+		for _, pkg := range forbiddenImports[s.pkg] {
+			require.NotContains(t, s.imports, modulePath+pkg, s.path)
 		}
 	}
 }
 
-// TestFilesStaySmall bounds the length of every file.
-func TestFilesStaySmall(t *testing.T) {
-	for _, s := range sources(t) {
+// TestFileLength checks that no file is longer than maxLines.
+func TestFileLength(t *testing.T) {
+	for _, s := range sourceFiles(t) {
 		require.LessOrEqual(t, s.lines, maxLines, s.path)
 	}
 }
 
-// TestNoReadyMadeProxy keeps the standard library's proxy out.
-func TestNoReadyMadeProxy(t *testing.T) {
-	for _, s := range sources(t) {
+// TestNoStandardLibraryProxy checks that no file uses the reverse proxy of the standard
+// library.
+func TestNoStandardLibraryProxy(t *testing.T) {
+	for _, s := range sourceFiles(t) {
 		require.NotContains(t, s.imports, "net/http/httputil", s.path)
 	}
 }
 
+// isStandard reports whether an import path belongs to the standard library: the first
+// element of any other path contains a dot.
 func isStandard(path string) bool {
 	first, _, _ := strings.Cut(path, "/")
 	return !strings.Contains(first, ".")
 }
 
-// platformNames are spellings of the users' platform: headers, fields and paths.
+// platformNames are headers, fields and paths that the users' platform defines.
 var platformNames = []string{
 	"X-Attempt-Id", "X-Deadline-Ms", "X-Caller-Service", "X-Expect-Instance", "X-Not-Executed", "X-Instance-Id",
 	"X-Server-Load", "X-Response-Seal", "/-/", "log-append", "log-newest", "log-read", "heartbeat-addr",
@@ -139,10 +145,11 @@
 	"app-addr", "retry-budget-ratio", "keyed.", "DOTTERELTILLER_NODE_FILE",
 }
 
-// TestOnlyThePlatformKnowsItsNames holds every spelling of the users' platform to
-// the package that translates, and that package to the daemon's command.
-func TestOnlyThePlatformKnowsItsNames(t *testing.T) {
-	for _, s := range sources(t) {
+// TestPlatformNamesOnlyInPlatformPackage checks that names of the users' platform occur only
+// in package platform, which translates them, and that only the daemon's command imports
+// that package.
+func TestPlatformNamesOnlyInPlatformPackage(t *testing.T) {
+	for _, s := range sourceFiles(t) {
 		if s.pkg == "platform" || s.pkg == "platform/platformtest" || s.pkg == "architecture" {
 			continue
 		}
--- a/edits/edits_test.go
+++ b/edits/edits_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestChanged(t *testing.T) {
+func TestApply(t *testing.T) {
 	root := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(root, "a"), []byte("one two three two"), 0o600))
 	for name, c := range map[string]struct {
@@ -16,13 +16,13 @@
 		want  string
 		count int
 	}{
-		"one":              {[]Edit{{"a", "one", "1"}}, "1 two three two", 0},
-		"after each other": {[]Edit{{"a", "one two", "two"}, {"a", "two three", "3"}}, "3 two", 0},
-		"twice there":      {[]Edit{{"a", "two", "2"}}, "", 2},
-		"not there":        {[]Edit{{"a", "four", "4"}}, "", 0},
+		"single edit":       {[]Edit{{"a", "one", "1"}}, "1 two three two", 0},
+		"edits in sequence": {[]Edit{{"a", "one two", "two"}, {"a", "two three", "3"}}, "3 two", 0},
+		"old text twice":    {[]Edit{{"a", "two", "2"}}, "", 2},
+		"old text missing":  {[]Edit{{"a", "four", "4"}}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := Changed(root, c.edits)
+			got, err := Apply(root, c.edits)
 			if c.want == "" {
 				var e *CountError
 				require.ErrorAs(t, err, &e)
@@ -34,6 +34,6 @@
 			require.Equal(t, map[string]string{"a": c.want}, got)
 		})
 	}
-	_, err := Changed(root, []Edit{{"missing", "x", "y"}})
+	_, err := Apply(root, []Edit{{"missing", "x", "y"}})
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/proctest/resting_test.go
+++ b/proctest/idle_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restingBytes is what a daemon at rest may hold in memory, by the aim for the
-// full size.
-const restingBytes = 32 << 20
+// maxIdleBytes bounds the resident memory of an idle daemon. It is the target for a
+// deployment of full size.
+const maxIdleBytes = 32 << 20
 
-// clockTicks is the unit of processor time in /proc, which Linux fixes at 100
-// a second for user space.
+// clockTicks is the number of clock ticks a second in which /proc reports processor
+// time. Linux fixes it at 100 for user space.
 const clockTicks = 100
 
 // residentBytes returns the resident memory of the daemon's process.
@@ -38,8 +38,8 @@
 	return 0
 }
 
-// cpu returns the processor time that the daemon's process has used.
-func (v *vm) cpu() time.Duration {
+// cpuTime returns the processor time that the daemon's process has used.
+func (v *vm) cpuTime() time.Duration {
 	v.t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", v.cmd.Process.Pid))
 	require.NoError(v.t, err)
@@ -54,10 +54,10 @@
 	return time.Duration(ticks) * time.Second / clockTicks
 }
 
-// counter returns the sum of a counter over its labels.
-func (v *vm) counter(name string) float64 {
+// sumCounter returns the sum of a counter over all label values.
+func (v *vm) sumCounter(name string) float64 {
 	v.t.Helper()
-	resp, err := http.Get("http://" + v.admin() + "/metrics")
+	resp, err := http.Get("http://" + v.adminAddress() + "/metrics")
 	require.NoError(v.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	total := 0.0
@@ -73,53 +73,56 @@
 	return total
 }
 
-// TestDaemonAtRestStaysSmall bounds the memory of daemons that nobody calls.
-func TestDaemonAtRestStaysSmall(t *testing.T) {
+// TestIdleDaemonMemory checks the resident memory of daemons without requests.
+func TestIdleDaemonMemory(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 3})
 	c.awaitVersion(c.publish(documents("3s")))
 	for _, v := range c.vms {
-		require.Less(t, v.residentBytes(), int64(restingBytes), v.upstream.ID)
+		require.Less(t, v.residentBytes(), int64(maxIdleBytes), v.upstream.ID)
 	}
 }
 
-// BenchmarkDaemonAtRest reports what one daemon spends a second when nobody
-// calls, by the number of daemons.
-func BenchmarkDaemonAtRest(b *testing.B) {
+// BenchmarkIdleDaemon reports the resource usage of one daemon without requests, for
+// several numbers of daemons.
+func BenchmarkIdleDaemon(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			c := startCluster(b, map[string]int{"returdesk": n / 2, "sporarkiv": n / 2})
 			c.awaitVersion(c.publish(documents("3s")))
 			time.Sleep(8 * time.Second)
 			for b.Loop() {
-				c.reportRest(b, 10*time.Second)
+				c.reportIdleCost(b, 10*time.Second)
 			}
 		})
 	}
 }
 
-func (c *cluster) reportRest(b *testing.B, watch time.Duration) {
-	cpu, bytes := c.totals()
+// reportIdleCost reports the usage of processor, memory, peer traffic and log requests
+// over a period.
+func (c *cluster) reportIdleCost(b *testing.B, period time.Duration) {
+	cpu, bytes := c.totalUsage()
 	reads, appends := c.logReads.Load(), c.logAppends.Load()
 	start := time.Now()
-	time.Sleep(watch)
-	cpuAfter, bytesAfter := c.totals()
+	time.Sleep(period)
+	cpuAfter, bytesAfter := c.totalUsage()
 	elapsed := time.Since(start).Seconds()
-	seconds := elapsed * float64(len(c.vms))
+	daemonSeconds := elapsed * float64(len(c.vms))
 	var rss int64
 	for _, v := range c.vms {
 		rss = max(rss, v.residentBytes())
 	}
-	b.ReportMetric((cpuAfter-cpu).Seconds()/seconds*100, "%core")
-	b.ReportMetric((bytesAfter-bytes)/seconds, "peerB/s")
+	b.ReportMetric((cpuAfter-cpu).Seconds()/daemonSeconds*100, "%core")
+	b.ReportMetric((bytesAfter-bytes)/daemonSeconds, "peerB/s")
 	b.ReportMetric(float64(c.logReads.Load()-reads)/elapsed, "reads/s")
 	b.ReportMetric(float64(c.logAppends.Load()-appends)/elapsed, "appends/s")
 	b.ReportMetric(float64(rss)/(1<<20), "maxMiB")
 }
 
-func (c *cluster) totals() (cpu time.Duration, bytes float64) {
+// totalUsage returns the processor time and the bytes of peer traffic of all daemons.
+func (c *cluster) totalUsage() (cpu time.Duration, bytes float64) {
 	for _, v := range c.vms {
-		cpu += v.cpu()
-		bytes += v.counter("dottereltiller_peer_bytes")
+		cpu += v.cpuTime()
+		bytes += v.sumCounter("dottereltiller_peer_bytes")
 	}
 	return cpu, bytes
 }
--- a/soak/control.go
+++ b/soak/control.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	// suspectsRate bounds what a daemon sends to others of requests that may crash
-	// upstreams, in bytes a second: all that control may take in a deployment of 1,700
-	// daemons. suspectsBurst, in bytes, lets short lives begin with a comparison.
-	suspectsRate  = 19_000.0
-	suspectsBurst = 12 * 1400.0
+	// maxQuarantineBytesPerSecond bounds the quarantine records (of suspected requests) that
+	// a daemon sends to its peers. It is the whole limit of control traffic of a daemon in a
+	// deployment of 1,700 daemons. maxQuarantineBurstBytes allows daemons that ran only for
+	// a short time an anti-entropy exchange at the start.
+	maxQuarantineBytesPerSecond = 19_000.0
+	maxQuarantineBurstBytes     = 12 * 1400.0
 )
 
-// checkControl holds the daemons' own count of what they sent to the bound.
-func (w *world) checkControl(ctx context.Context) {
-	for _, m := range w.machines {
+// checkControlTraffic checks the bytes of quarantine records that the daemons report as sent
+// in their metrics.
+func (h *harness) checkControlTraffic(ctx context.Context) {
+	for _, m := range h.vms {
 		sent, err := readCounter(ctx, m.metricsURL(), "dottereltiller_control_bytes", `direction="sent"`, `kind="suspects"`)
 		if err != nil {
-			w.check.report("metrics: %s: %v", m.vm.Name, err)
+			h.check.addViolation("metrics: %s: %v", m.config.Name, err)
 			continue
 		}
 		up := time.Since(m.startedAt())
-		if sent > suspectsBurst+suspectsRate*up.Seconds() {
-			w.check.report("control: %s sent %.0f bytes about suspects in %s", m.vm.Name, sent, up.Round(time.Second))
+		if sent > maxQuarantineBurstBytes+maxQuarantineBytesPerSecond*up.Seconds() {
+			h.check.addViolation("control: %s sent %.0f bytes of quarantine records in %s", m.config.Name, sent, up.Round(time.Second))
 		}
 	}
 }
--- /dev/null
+++ b/soak/inject.go
@@ -0,0 +1,219 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"os/exec"
+	"strconv"
+	"syscall"
+	"time"
+
+	"github.com/dottereltiller/dottereltiller/platform/platformtest"
+)
+
+func commandContext(ctx context.Context, name string, args ...string) *exec.Cmd {
+	return exec.CommandContext(ctx, name, args...)
+}
+
+// storeFaults maps the modes of store faults, except forget, to faults of the stand-in store.
+var storeFaults = map[string]platformtest.StoreFault{
+	"busy": platformtest.StoreUnavailable, "many": platformtest.StoreRateLimited, "silent": platformtest.StoreHangs,
+	"slow": platformtest.StoreSlow, "lost": platformtest.StoreLosesReplies, "late": platformtest.StoreAppendsLate,
+}
+
+// partialFailureShare is the share of requests that fail at a single faulty upstream.
+const partialFailureShare = 0.4
+
+// plannedKinds are the kinds that do not count as unplanned faults: operations that operators
+// plan, and invalid records in the store. They must not lose requests.
+var plannedKinds = map[string]bool{kindTerm: true, kindReload: true, kindConfig: true, kindDrain: true, kindInvalidRecords: true}
+
+// inject injects one fault and removes it after the duration of the fault.
+func (h *harness) inject(f Fault) {
+	var m *vm
+	if f.VM > 0 {
+		m = h.vms[f.VM-1]
+	}
+	if !plannedKinds[f.Kind] {
+		// A kill affects the VM until its process has restarted, a fault of a proxy or
+		// an upstream until the fault is removed. All other VMs exchange messages and
+		// requests with the faulty VM, so they are disturbed as well.
+		for _, x := range h.vms {
+			x.disturb(f.Duration + restartAllowance)
+		}
+	}
+	switch f.Kind {
+	case kindKill:
+		m.signal(syscall.SIGKILL)
+	case kindTerm:
+		m.signal(syscall.SIGTERM)
+	case kindReload:
+		m.signal(syscall.SIGHUP)
+	case kindPause:
+		m.signal(syscall.SIGSTOP)
+		time.Sleep(f.Duration)
+		m.signal(syscall.SIGCONT)
+	case kindPeerProxy:
+		h.withProxyMode(m.peerProxy, f)
+	case kindUpstreamProxy:
+		h.withProxyMode(m.upstreamProxy, f)
+	case kindStoreProxy:
+		h.withProxyMode(m.storeProxy, f)
+	case kindStore:
+		h.injectStoreFault(f)
+	case kindUpstream:
+		h.injectUpstreamFault(m, f)
+	case kindCrash:
+		h.crashUpstream(m, f)
+	case kindDrain:
+		h.drainUpstream(m, f)
+	case kindConfig:
+		h.publish()
+	case kindPoison:
+		h.sendPoison(f)
+	case kindKillAll:
+		for _, x := range h.vms {
+			x.signal(syscall.SIGKILL)
+		}
+		h.check.resetCrashCounts()
+	case kindReplace:
+		h.replaceVM(m, f)
+	case kindInvalidRecords:
+		h.store.Put(platformtest.TopicOperator, platformtest.Record{Key: "config", Value: []byte("\xff{")})
+		h.store.Put(platformtest.TopicOperator, platformtest.Record{Key: "config", Value: []byte(`{"version":"r1","routes":7}`)})
+		h.store.Put(platformtest.TopicDaemons, platformtest.Record{Key: "127.0.0.1:1", Value: []byte(`{"address":3}`)})
+	}
+}
+
+// restartAllowance is the time that a process needs to start after a fault.
+const restartAllowance = 2 * time.Second
+
+// withProxyMode sets the mode of a proxy for the duration of a fault.
+func (h *harness) withProxyMode(p *proxy, f Fault) {
+	p.setMode(f.Mode)
+	time.Sleep(f.Duration)
+	p.setMode("")
+}
+
+// injectStoreFault makes the store fail for the duration of a fault. In mode forget it instead
+// truncates the operator's topic and publishes the current configuration again.
+func (h *harness) injectStoreFault(f Fault) {
+	if f.Mode == "forget" {
+		h.store.Truncate(platformtest.TopicOperator)
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.store.PutConfig(h.configLocked())
+		return
+	}
+	h.store.Fail(storeFaults[f.Mode])
+	time.Sleep(f.Duration)
+	h.store.Fail(platformtest.StoreHealthy)
+}
+
+// injectUpstreamFault makes one upstream fail partialFailureShare of its requests. If the
+// fault names no VM, m is nil and all upstreams fail all requests.
+func (h *harness) injectUpstreamFault(m *vm, f Fault) {
+	share, affected := partialFailureShare, []*vm{m}
+	if m == nil {
+		share, affected = 1, h.vms
+	}
+	for _, m := range affected {
+		m.upstream.Fail(platformtest.UpstreamFault(f.Mode), share)
+	}
+	time.Sleep(f.Duration)
+	for _, m := range affected {
+		m.upstream.Fail(platformtest.UpstreamHealthy, 0)
+	}
+}
+
+// crashUpstream crashes an upstream and restarts it.
+func (h *harness) crashUpstream(m *vm, f Fault) {
+	id := m.upstream.ID()
+	m.upstream.Crash()
+	time.Sleep(f.Duration)
+	if f.Mode == "new-id" {
+		id = h.newID(f.VM)
+	}
+	_ = m.upstream.Start(id)
+}
+
+// drainUpstream drains an upstream and then replaces it by a new one.
+func (h *harness) drainUpstream(m *vm, f Fault) {
+	incarnation := m.upstream.Incarnation()
+	if m.upstream.Drain() {
+		h.check.recordDrain(incarnation)
+	}
+	time.Sleep(drainAllowance + f.Duration)
+	if m.upstream.Incarnation() != incarnation {
+		return
+	}
+	m.upstream.Crash()
+	_ = m.upstream.Start(h.newID(f.VM))
+}
+
+// callerStopDelay is the time between the end of a VM's own calls and its replacement.
+const callerStopDelay = 200 * time.Millisecond
+
+// replaceVM kills a VM and starts a new one under the same address, which belongs to the
+// other service of the group. Connections to the old VM break. In mode dark the network
+// drops their traffic instead, so that peers see no connection error.
+func (h *harness) replaceVM(m *vm, f Fault) {
+	if !m.replacing.CompareAndSwap(false, true) {
+		return
+	}
+	defer m.replacing.Store(false)
+	time.Sleep(callerStopDelay)
+	if f.Mode == "dark" {
+		m.peerProxy.setMode("silent")
+	}
+	m.changeService(h.otherService(m))
+	m.signal(syscall.SIGKILL)
+	m.upstream.Crash()
+	time.Sleep(f.Duration)
+	m.peerProxy.setMode("")
+	_ = m.upstream.Start(h.newID(f.VM))
+	time.Sleep(restartAllowance)
+}
+
+// otherService returns the service of the VM's group to which the VM does not belong, or the
+// current service of the VM if fewer than minVMsPerService other VMs would remain in it.
+func (h *harness) otherService(m *vm) string {
+	current, remaining := m.service(), 0
+	for _, x := range h.vms {
+		if x != m && x.group == m.group && x.service() == current {
+			remaining++
+		}
+	}
+	switch {
+	case remaining < minVMsPerService:
+		return current
+	case current == serviceOf(m.group, 0):
+		return serviceOf(m.group, 1)
+	default:
+		return serviceOf(m.group, 0)
+	}
+}
+
+// minVMsPerService VMs of a service must remain when a VM changes to the other service:
+// fewer would not have enough capacity for the callers of eight VMs.
+const minVMsPerService = 3
+
+// poisonInterval is the time between two attempts of a request that crashes upstreams.
+const poisonInterval = 300 * time.Millisecond
+
+// sendPoison sends a request that crashes upstreams to one daemon after another, until
+// the plan ends.
+func (h *harness) sendPoison(f Fault) {
+	key := strconv.FormatInt(f.At.Milliseconds(), 10)
+	path := "/safe/" + platformtest.CrashPath + key
+	for n := 0; time.Since(h.startedAt) < h.plan.Length; n++ {
+		m := h.vms[n%len(h.vms)]
+		attempt := fmt.Sprintf("%s%s-%d", poisonAttemptPrefix, key, n)
+		h.check.recordSent(attempt, m.service(), false)
+		h.check.recordPoison(attempt, key, m.undisturbed)
+		if r, err := m.caller.Send(context.Background(), path, attempt, false, requestDeadline); err == nil {
+			h.check.checkResponse(attempt, r)
+		}
+		time.Sleep(poisonInterval)
+	}
+}
--- a/soak/pages.go
+++ b/soak/metrics.go
@@ -10,8 +10,9 @@
 	"strings"
 )
 
-func isReady(ctx context.Context, m *machine) bool {
-	body, err := get(ctx, m.vm.ReadyURL())
+// isReady reports whether the daemon of a VM reports itself ready.
+func isReady(ctx context.Context, m *vm) bool {
+	body, err := getPage(ctx, m.config.ReadyURL())
 	if err != nil {
 		return false
 	}
@@ -19,8 +20,8 @@
 	return true
 }
 
-// get returns the body of a page, which is to be closed. Any status but 200 is an error.
-func get(ctx context.Context, url string) (io.ReadCloser, error) {
+// getPage returns the body of a page; the caller closes it. Any status but 200 is an error.
+func getPage(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -31,16 +32,16 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, fmt.Errorf("%s: answered %d", url, resp.StatusCode)
+		return nil, fmt.Errorf("%s: status %d", url, resp.StatusCode)
 	}
 	return resp.Body, nil
 }
 
-// readCounter reads one counter in the Prometheus text format. It is 0 where there is none.
+// readCounter fetches a metrics page and returns the value of a counter as findCounter does.
 func readCounter(ctx context.Context, url, name string, labels ...string) (float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, deadline)
+	ctx, cancel := context.WithTimeout(ctx, requestDeadline)
 	defer cancel()
-	body, err := get(ctx, url)
+	body, err := getPage(ctx, url)
 	if err != nil {
 		return 0, err
 	}
@@ -48,6 +49,8 @@
 	return findCounter(body, name, labels)
 }
 
+// findCounter returns the value of the first series with the name and all labels in the
+// Prometheus text format, or 0 if there is none.
 func findCounter(r io.Reader, name string, labels []string) (float64, error) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -10,24 +10,27 @@
 	"time"
 )
 
-// Fault is one fault of a plan.
+// Fault is one fault injection of a plan.
 type Fault struct {
-	// At is the time from the start of traffic.
+	// At is the time from the start of the traffic.
 	At time.Duration
-	// Kind is what happens, VM the machine that it happens to (0 for the store and
-	// the configuration), Mode the variant, For how long.
+	// Kind is the kind of fault.
 	Kind string
-	VM   int
+	// VM is the number of the VM with the fault, from 1. It is 0 for a fault of the store,
+	// of the configuration or of all VMs.
+	VM int
+	// Mode is the variant of the kind.
 	Mode string
-	For  time.Duration
+	// Duration is how long the fault lasts.
+	Duration time.Duration
 }
 
 // String returns the line of a fault in a plan.
 func (f Fault) String() string {
-	return fmt.Sprintf("%d %s %d %s %d", f.At.Milliseconds(), f.Kind, f.VM, f.Mode, f.For.Milliseconds())
+	return fmt.Sprintf("%d %s %d %s %d", f.At.Milliseconds(), f.Kind, f.VM, f.Mode, f.Duration.Milliseconds())
 }
 
-// Plan is a soak that can be played again.
+// Plan describes a soak run completely, so that it can be replayed.
 type Plan struct {
 	Seed   uint64
 	VMs    int
@@ -37,99 +40,115 @@
 
 // The kinds of faults.
 const (
-	kindKill     = "kill"
-	kindTerm     = "term"
-	kindPause    = "pause"
-	kindReload   = "reload"
-	kindPeers    = "peers"     // the proxy before a daemon's address for others
-	kindApp      = "app"       // the proxy between a daemon and its upstream
-	kindStoreVia = "store-via" // the proxy between a daemon and the store
-	kindStore    = "store"
-	kindUpstream = "upstream"
-	kindCrash    = "crash"
-	kindDrain    = "drain"
-	kindConfig   = "config"
-	kindForeign  = "foreign" // records of another writer in the store
-	kindPoison   = "poison"  // a request that crashes upstreams, sent again and again
-	kindHerd     = "herd"    // all daemons are killed at once
-	kindReplace  = "replace" // a VM goes, and another of another service has its address
+	kindKill           = "kill"
+	kindTerm           = "term"
+	kindPause          = "pause"
+	kindReload         = "reload"
+	kindPeerProxy      = "peers"     // the proxy in front of the address for other daemons
+	kindUpstreamProxy  = "app"       // the proxy between a daemon and its upstream
+	kindStoreProxy     = "store-via" // the proxy between a daemon and the store
+	kindStore          = "store"
+	kindUpstream       = "upstream"
+	kindCrash          = "crash"
+	kindDrain          = "drain"
+	kindConfig         = "config"
+	kindInvalidRecords = "foreign" // records of an unknown writer in the store, which are invalid
+	kindPoison         = "poison"  // a request that crashes upstreams, sent repeatedly
+	kindKillAll        = "herd"    // all daemons are killed at once
+	kindReplace        = "replace" // a VM is replaced by one of another service at the same address
 )
 
-// modes lists the variants of each kind. A dash means that there are none.
-var modes = map[string][]string{
+// faultModes lists the modes of each kind. A dash stands for the only mode of a kind.
+//
+// Proxies: delay and trickle slow traffic down, reset resets connections, silent drops all
+// traffic, and half drops the traffic from the target to the client.
+//
+// Store: busy and many respond with 503 and 429, silent never responds, slow responds late,
+// lost executes requests without a response, late executes them late without a response, and
+// forget loses the operator's records.
+//
+// Upstreams: lose executes requests and resets the connection, shed rejects requests without
+// execution, err executes requests with an error, hang never responds, cut truncates responses,
+// double sends a second response, slow takes ten times as long, and untold omits the load.
+//
+// Crash: the upstream restarts with the same-id or a new-id. Replace: the old VM is gone
+// (connections break) or dark (its peer traffic is dropped).
+var faultModes = map[string][]string{
 	kindKill: {"-"}, kindTerm: {"-"}, kindPause: {"-"}, kindReload: {"-"},
-	kindPeers:    {"delay", "reset", "silent", "half", "trickle"},
-	kindApp:      {"delay", "reset", "silent"},
-	kindStoreVia: {"reset", "silent", "half"},
-	kindStore:    {"busy", "many", "silent", "slow", "lost", "late", "forget"},
-	kindUpstream: {"lose", "shed", "err", "hang", "cut", "double", "slow", "untold"},
-	kindCrash:    {"same-id", "new-id"}, kindDrain: {"-"}, kindConfig: {"-"}, kindForeign: {"-"}, kindPoison: {"-"}, kindHerd: {"-"},
+	kindPeerProxy:     {"delay", "reset", "silent", "half", "trickle"},
+	kindUpstreamProxy: {"delay", "reset", "silent"},
+	kindStoreProxy:    {"reset", "silent", "half"},
+	kindStore:         {"busy", "many", "silent", "slow", "lost", "late", "forget"},
+	kindUpstream:      {"lose", "shed", "err", "hang", "cut", "double", "slow", "untold"},
+	kindCrash:         {"same-id", "new-id"}, kindDrain: {"-"}, kindConfig: {"-"}, kindInvalidRecords: {"-"}, kindPoison: {"-"}, kindKillAll: {"-"},
 	kindReplace: {"gone", "dark"},
 }
 
-// general kinds may name no VM: they happen to none, or to all of them.
-var general = map[string]bool{
-	kindStore: true, kindConfig: true, kindForeign: true, kindPoison: true, kindUpstream: true, kindHerd: true,
+// vmOptionalKinds are the kinds with an optional VM: without one, the fault concerns no
+// single VM or all of them.
+var vmOptionalKinds = map[string]bool{
+	kindStore: true, kindConfig: true, kindInvalidRecords: true, kindPoison: true, kindUpstream: true, kindKillAll: true,
 }
 
-// weights tells how often each kind is drawn.
-var weights = []struct {
+// kindWeights are the relative frequencies with which the kinds are drawn.
+var kindWeights = []struct {
 	kind string
 	n    int
 }{
-	{kindKill, 4}, {kindTerm, 4}, {kindPause, 2}, {kindReload, 2}, {kindPeers, 5}, {kindApp, 2}, {kindStoreVia, 3},
-	{kindStore, 4}, {kindUpstream, 5}, {kindCrash, 3}, {kindDrain, 3}, {kindConfig, 5}, {kindForeign, 1}, {kindPoison, 1},
-	{kindHerd, 1}, {kindReplace, 2},
+	{kindKill, 4}, {kindTerm, 4}, {kindPause, 2}, {kindReload, 2}, {kindPeerProxy, 5}, {kindUpstreamProxy, 2}, {kindStoreProxy, 3},
+	{kindStore, 4}, {kindUpstream, 5}, {kindCrash, 3}, {kindDrain, 3}, {kindConfig, 5}, {kindInvalidRecords, 1}, {kindPoison, 1},
+	{kindKillAll, 1}, {kindReplace, 2},
 }
 
 const (
-	// calmStart and calmEnd are free of faults; recovery is judged in the latter.
-	calmStart = 2 * time.Second
-	calmEnd   = 12 * time.Second
-	// faultEvery is the mean time between two faults, each of which lasts between
-	// minFault and maxFault.
-	faultEvery = 500 * time.Millisecond
-	minFault   = 300 * time.Millisecond
-	maxFault   = 4 * time.Second
-	// plannedPart of a plan has planned work only: what must not be lost then is
-	// not judged beside anything unplanned.
-	plannedPart = 3
+	// faultFreeStart and faultFreeEnd are the lengths of the periods without faults at the
+	// start and the end of a plan. Recovery is checked in the latter.
+	faultFreeStart = 2 * time.Second
+	faultFreeEnd   = 12 * time.Second
+	// meanFaultInterval is the mean time between two faults. Each fault lasts between
+	// minFaultDuration and maxFaultDuration.
+	meanFaultInterval = 500 * time.Millisecond
+	minFaultDuration  = 300 * time.Millisecond
+	maxFaultDuration  = 4 * time.Second
+	// The first 1/plannedOnlyDivisor of a plan has faults of plannedKinds only. Whether
+	// they lose requests cannot be checked while unplanned faults are injected.
+	plannedOnlyDivisor = 3
 )
 
-// Draw returns the plan of a seed.
+// Draw returns a plan of random faults. The same arguments give the same plan.
 func Draw(seed uint64, vms int, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := Plan{Seed: seed, VMs: vms, Length: length}
-	at := calmStart
+	at := faultFreeStart
 	for {
-		at += time.Duration(rng.ExpFloat64() * float64(faultEvery)).Round(time.Millisecond)
-		if at >= length-calmEnd {
+		at += time.Duration(rng.ExpFloat64() * float64(meanFaultInterval)).Round(time.Millisecond)
+		if at >= length-faultFreeEnd {
 			return p
 		}
-		kind := drawKind(rng, at < length/plannedPart)
-		f := Fault{At: at, Kind: kind, Mode: modes[kind][rng.IntN(len(modes[kind]))]}
-		f.For = (minFault + time.Duration(rng.Float64()*float64(maxFault-minFault))).Round(time.Millisecond)
-		f.For = min(f.For, length-calmEnd-at)
-		if kind == kindUpstream || !general[kind] {
+		kind := drawKind(rng, at < length/plannedOnlyDivisor)
+		f := Fault{At: at, Kind: kind, Mode: faultModes[kind][rng.IntN(len(faultModes[kind]))]}
+		f.Duration = (minFaultDuration + time.Duration(rng.Float64()*float64(maxFaultDuration-minFaultDuration))).Round(time.Millisecond)
+		f.Duration = min(f.Duration, length-faultFreeEnd-at)
+		if kind == kindUpstream || !vmOptionalKinds[kind] {
 			f.VM = 1 + rng.IntN(vms)
 		}
 		p.Faults = append(p.Faults, f)
 	}
 }
 
-// drawKind draws a kind of fault.
+// drawKind draws a kind of fault according to kindWeights.
 func drawKind(rng *rand.Rand, plannedOnly bool) string {
 	for {
 		total := 0
-		for _, w := range weights {
+		for _, w := range kindWeights {
 			total += w.n
 		}
 		n := rng.IntN(total)
-		for _, w := range weights {
+		for _, w := range kindWeights {
 			if n -= w.n; n >= 0 {
 				continue
 			}
-			if plannedOnly && !planned[w.kind] {
+			if plannedOnly && !plannedKinds[w.kind] {
 				break
 			}
 			return w.kind
@@ -137,7 +156,7 @@
 	}
 }
 
-// WriteTo writes a plan as text that Read reads.
+// WriteTo writes a plan in the text format of Read.
 func (p *Plan) WriteTo(w io.Writer) (int64, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "soak %d %d %d\n", p.Seed, p.VMs, p.Length.Milliseconds())
@@ -148,19 +167,19 @@
 	return int64(n), err
 }
 
-// PlanError is a line of a plan that cannot be read.
+// PlanError reports an invalid line of a plan. Line is 0 if there is no plan at all.
 type PlanError struct {
 	Line int
 	Text string
 }
 
-// Error names the line.
+// Error returns the number and the text of the line.
 func (e *PlanError) Error() string {
-	return fmt.Sprintf("plan: line %d: cannot use %q", e.Line, e.Text)
+	return fmt.Sprintf("plan: line %d is invalid: %q", e.Line, e.Text)
 }
 
-// Read reads a plan. Lines that begin with # are comments. The error is a
-// *PlanError where a line cannot be used.
+// Read parses a plan. Lines that begin with # are comments. The error is a *PlanError if a
+// line is invalid.
 func Read(r io.Reader) (Plan, error) {
 	var p Plan
 	s := bufio.NewScanner(r)
@@ -183,10 +202,10 @@
 		if _, err := fmt.Sscanf(text, "%d %s %d %s %d", &at, &f.Kind, &f.VM, &f.Mode, &length); err != nil {
 			return p, bad
 		}
-		if !slices.Contains(modes[f.Kind], f.Mode) || f.VM < 0 || f.VM > p.VMs || f.VM == 0 && !general[f.Kind] {
+		if !slices.Contains(faultModes[f.Kind], f.Mode) || f.VM < 0 || f.VM > p.VMs || f.VM == 0 && !vmOptionalKinds[f.Kind] {
 			return p, bad
 		}
-		f.At, f.For = time.Duration(at)*time.Millisecond, time.Duration(length)*time.Millisecond
+		f.At, f.Duration = time.Duration(at)*time.Millisecond, time.Duration(length)*time.Millisecond
 		p.Faults = append(p.Faults, f)
 	}
 	if p.VMs == 0 {
@@ -195,8 +214,8 @@
 	return p, s.Err()
 }
 
-// Shrink drops faults, halves first and then one by one, for as long as fails
-// reports that the plan still fails.
+// Shrink returns a smaller plan that still fails. It removes blocks of faults, halving the
+// block size down to single faults, and keeps each removal after which fails reports true.
 func Shrink(p Plan, fails func(Plan) bool) Plan {
 	for size := (len(p.Faults) + 1) / 2; size >= 1; size /= 2 {
 		for from := 0; from < len(p.Faults); {
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -14,183 +14,190 @@
 	"github.com/dottereltiller/dottereltiller/platform/platformtest"
 )
 
-// machine is one VM: the daemon's process, its upstream and the proxies around it.
-type machine struct {
-	// vm changes its service when the VM is replaced.
-	vm platformtest.VM
-	// group is that of its services.
-	group    int
-	binary   string
-	settings string
-	check    *checker
-	log      *os.File
-	upstream *platformtest.Upstream
-	peers    *link
-	app      *link
-	store    *link
-	caller   platformtest.Caller
+// vm is one simulated VM: the daemon's process, its upstream, and the proxies in front of its
+// addresses.
+type vm struct {
+	// config holds the addresses and settings. Its service changes when the VM is replaced.
+	config platformtest.VM
+	// group is the number of the VM's group, see groupCount.
+	group         int
+	binary        string
+	settingsPath  string
+	check         *checker
+	logFile       *os.File
+	upstream      *platformtest.Upstream
+	peerProxy     *proxy
+	upstreamProxy *proxy
+	storeProxy    *proxy
+	caller        platformtest.Caller
 
-	// away is set while the VM is being replaced: it has no callers.
-	away atomic.Bool
+	// replacing is set while the VM is being replaced. It has no callers then.
+	replacing atomic.Bool
 
 	mu sync.Mutex
-	// process is nil between an end and the next start.
+	// process is nil between the exit of a process and the next start.
 	process *exec.Cmd
-	life    int
-	// stopping is set from a signal to stop until the process has ended.
+	// incarnation counts the starts of the process.
+	incarnation int
+	// stopping is set from a SIGTERM to the process until the next start.
 	stopping bool
-	// stoppedAt is when the last signal to stop was sent.
+	// stoppedAt is when the last SIGTERM was sent.
 	stoppedAt time.Time
-	// started is when the process was started.
-	started time.Time
-	// killed is set once the process has been killed.
+	// startedTime is when the process was started last.
+	startedTime time.Time
+	// killed is set from a SIGKILL to the process until the next start.
 	killed bool
-	// ended is set once no further process is to be started.
-	ended bool
-	exits chan error
-	// disturbed is until when something unplanned disturbed the VM.
-	disturbed time.Time
+	// noRestart is set when no further process may be started.
+	noRestart bool
+	// exitErr receives the exit error of the last process.
+	exitErr chan error
+	// disturbedUntil is the end of the last unplanned fault that affects the VM.
+	disturbedUntil time.Time
 }
 
-// restartAfter is the pause between the end of a process and the next start.
-const restartAfter = 300 * time.Millisecond
+// restartDelay is the pause between the exit of a process and the next start.
+const restartDelay = 300 * time.Millisecond
 
-// The ports of a VM, and those of the proxies before them.
+// The ports of a VM and of the proxies in front of them.
 const (
 	portOutbound, portReady, portControl, portInternal, portUpstream = 8141, 8140, 8146, 7660, 8147
 	portMetrics                                                      = 9102
 	proxyPeers, proxyUpstream, proxyStore                            = 7760, 8247, 8342
 )
 
-func newMachine(number, groups int, ip, dir, binary, store string, check *checker) (*machine, error) {
+// newVM creates a VM and starts its proxies. The daemon and the upstream are not started.
+func newVM(number, groups int, ip, dir, binary, store string, check *checker) (*vm, error) {
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zones = 3
 	group := number % groups
-	m := &machine{group: group, check: check, binary: binary, exits: make(chan error, 1), vm: platformtest.VM{
+	m := &vm{group: group, check: check, binary: binary, exitErr: make(chan error, 1), config: platformtest.VM{
 		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groups%zones), Service: serviceOf(group, number/groups%2),
 		Outbound: at(portOutbound), Ready: at(portReady), Control: at(portControl), Upstream: at(proxyUpstream), Store: at(proxyStore),
 		InternalPort: portInternal, Advertised: at(proxyPeers), Bootstrap: true,
-		GraceS: grace.Seconds(), RetryBudgetRatio: budgetRatio, RetryBudgetSlack: budgetSlack, RetryBudgetWindowS: budgetSpan.Seconds(),
+		GraceS: gracePeriod.Seconds(), RetryBudgetRatio: retryBudgetRatio, RetryBudgetSlack: retryBudgetSlack, RetryBudgetWindowS: retryBudgetWindow.Seconds(),
 	}}
-	m.settings = filepath.Join(dir, m.vm.Name+".yaml")
+	m.settingsPath = filepath.Join(dir, m.config.Name+".yaml")
 	var err error
-	if m.log, err = os.Create(filepath.Join(dir, m.vm.Name+".log")); err != nil {
+	if m.logFile, err = os.Create(filepath.Join(dir, m.config.Name+".log")); err != nil {
 		return nil, err
 	}
-	for _, l := range []struct {
-		to            **link
-		address, real string
+	for _, x := range []struct {
+		field           **proxy
+		address, target string
 	}{
-		{&m.peers, at(proxyPeers), at(portInternal)},
-		{&m.app, at(proxyUpstream), at(portUpstream)},
-		{&m.store, at(proxyStore), store},
+		{&m.peerProxy, at(proxyPeers), at(portInternal)},
+		{&m.upstreamProxy, at(proxyUpstream), at(portUpstream)},
+		{&m.storeProxy, at(proxyStore), store},
 	} {
-		if *l.to, err = newLink(l.address, l.real); err != nil {
+		if *x.field, err = newProxy(x.address, x.target); err != nil {
 			return nil, err
 		}
 	}
 	m.upstream = &platformtest.Upstream{
-		Service: m.vm.Service, Zone: m.vm.Zone, Address: at(portUpstream), Reported: at(proxyUpstream), Control: m.vm.Control,
+		Service: m.config.Service, Zone: m.config.Zone, Address: at(portUpstream), Reported: at(proxyUpstream), Control: m.config.Control,
 		Slots: 6, ServiceTime: 20 * time.Millisecond, Observer: check,
 	}
-	m.caller = platformtest.Caller{Address: m.vm.Outbound, Service: serviceOf(group, 0), Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
+	m.caller = platformtest.Caller{Address: m.config.Outbound, Service: serviceOf(group, 0), Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	return m, nil
 }
 
-// groups returns into how many groups the VMs fall. Each has two services, and its
-// callers call the first of them. Were all of a hundred VMs to call each other, the
-// connections through the proxies, two files each, would exceed 20,000 files.
-func groups(vms int) int {
-	const most = 48
-	return (vms + most - 1) / most
+// groupCount returns the number of groups into which the VMs are divided. Each group has two
+// services, and the callers of its VMs call the first of them. The groups limit the open
+// files: if each of a hundred VMs called all others, the connections through the proxies
+// would need more than 20,000 files, two for each connection.
+func groupCount(vms int) int {
+	const maxGroupVMs = 48
+	return (vms + maxGroupVMs - 1) / maxGroupVMs
 }
 
-// serviceOf names the services of a group.
+// serviceOf returns the name of one of the two services of a group, by its number 0 or 1.
 func serviceOf(group, n int) string { return string(rune('a' + 2*group + n)) }
 
-// start starts the daemon, and again whenever it ends.
-func (m *machine) start() error {
+// start starts the daemon and restarts it whenever it exits.
+func (m *vm) start() error {
 	m.mu.Lock()
-	text, service := m.vm.Settings(), m.vm.Service
-	m.vm.Bootstrap = false
-	startProgram := startAgain
-	if m.life == 0 {
-		startProgram = startFirst
+	text, service := m.config.Settings(), m.config.Service
+	m.config.Bootstrap = false
+	startProgram := startIgnoringHangup
+	if m.incarnation == 0 {
+		startProgram = startDefault
 	}
 	m.mu.Unlock()
-	if err := os.WriteFile(m.settings, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(m.settingsPath, []byte(text), 0o600); err != nil {
 		return err
 	}
 	cmd := exec.Command(m.binary)
-	cmd.Env = []string{platformtest.Env(m.settings)}
-	cmd.Stdout, cmd.Stderr = m.log, m.log
+	cmd.Env = []string{platformtest.Env(m.settingsPath)}
+	cmd.Stdout, cmd.Stderr = m.logFile, m.logFile
 	if err := startProgram(cmd); err != nil {
 		return err
 	}
 	m.mu.Lock()
-	m.process, m.stopping, m.killed, m.started = cmd, false, false, time.Now()
-	m.life++
-	if m.vm.Service != service {
-		// The VM was replaced meanwhile; the next start takes the new settings.
+	m.process, m.stopping, m.killed, m.startedTime = cmd, false, false, time.Now()
+	m.incarnation++
+	if m.config.Service != service {
+		// The VM was replaced during the start. The next start uses the new settings.
 		m.killed = true
 		_ = cmd.Process.Kill()
 	}
 	m.mu.Unlock()
-	go m.await(cmd)
+	go m.awaitExit(cmd)
 	return nil
 }
 
-func (m *machine) await(cmd *exec.Cmd) {
+// awaitExit waits until the process exits and restarts it unless noRestart is set. An exit
+// without a signal is a violation.
+func (m *vm) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	m.mu.Lock()
 	m.process = nil
-	ended, told := m.ended, m.stopping || m.killed
+	noRestart, signalled := m.noRestart, m.stopping || m.killed
 	m.mu.Unlock()
-	if !ended && !told {
-		m.check.report("ended: %s ended though nothing told it to: %v", m.vm.Name, err)
+	if !noRestart && !signalled {
+		m.check.addViolation("ended: %s exited without a signal from the test: %v", m.config.Name, err)
 	}
-	if ended {
-		m.exits <- err
+	if noRestart {
+		m.exitErr <- err
 		return
 	}
-	time.Sleep(restartAfter)
+	time.Sleep(restartDelay)
 	m.mu.Lock()
-	ended = m.ended
+	noRestart = m.noRestart
 	m.mu.Unlock()
-	if ended || m.start() != nil {
-		m.exits <- err
+	if noRestart || m.start() != nil {
+		m.exitErr <- err
 	}
 }
 
 // startedAt returns when the process was started last.
-func (m *machine) startedAt() time.Time {
+func (m *vm) startedAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.started
+	return m.startedTime
 }
 
-// metricsURL is where the daemon serves its figures.
-func (m *machine) metricsURL() string {
-	return fmt.Sprintf("http://%s:%d/metrics", m.vm.IP, portMetrics)
+// metricsURL returns the URL of the daemon's metrics page.
+func (m *vm) metricsURL() string {
+	return fmt.Sprintf("http://%s:%d/metrics", m.config.IP, portMetrics)
 }
 
 // service returns the service that the VM belongs to.
-func (m *machine) service() string {
+func (m *vm) service() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.vm.Service
+	return m.config.Service
 }
 
-// move has the next daemon and the next upstream belong to another service.
-func (m *machine) move(service string) {
+// changeService sets the service of the daemon and the upstream from their next starts on.
+func (m *vm) changeService(service string) {
 	m.mu.Lock()
-	m.vm.Service = service
+	m.config.Service = service
 	m.mu.Unlock()
 	m.upstream.SetService(service)
 }
 
-// signal sends a signal to the process, if there is one.
-func (m *machine) signal(s syscall.Signal) {
+// signal sends a signal to the process if it is running.
+func (m *vm) signal(s syscall.Signal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.process == nil {
@@ -203,64 +210,67 @@
 	_ = m.process.Process.Signal(s)
 }
 
-// state returns which life the process is in and whether it is stopping.
-func (m *machine) state() (life int, stopping bool) {
+// incarnationState returns the incarnation of the process and whether the process is stopping
+// or not running.
+func (m *vm) incarnationState() (incarnation int, stopping bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.life, m.stopping || m.process == nil
+	return m.incarnation, m.stopping || m.process == nil
 }
 
 const (
-	// stopTakes is how long after a signal to stop a request may come that runs until
-	// the process ends, and lastOfGrace the part of its grace time in which it is still
-	// running then.
-	stopTakes   = 3 * time.Second
-	lastOfGrace = 6
+	// A request may keep running until a stopping process exits if it arrives within
+	// maxArrivalAfterStop after the SIGTERM and still runs in the last 1/graceTailDivisor
+	// of the grace period.
+	maxArrivalAfterStop = 3 * time.Second
+	graceTailDivisor    = 6
 )
 
-// outran reports whether a request that was sent at a time, and ends now, ran until the
-// end of the grace time of a planned stop: nothing could have waited for it.
-func (m *machine) outran(sent time.Time) bool {
+// ranUntilGraceEnd reports whether a request that was sent at the given time and ends now ran
+// until the end of the grace period of a planned stop. The daemon could not have waited for
+// its response.
+func (m *vm) ranUntilGraceEnd(sent time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.stoppedAt.IsZero() && sent.Sub(m.stoppedAt) <= stopTakes && time.Since(m.stoppedAt) >= grace-grace/lastOfGrace
+	return !m.stoppedAt.IsZero() && sent.Sub(m.stoppedAt) <= maxArrivalAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
 }
 
-// disturb notes that something unplanned goes on for a time.
-func (m *machine) disturb(d time.Duration) {
+// disturb records that an unplanned fault affects the VM for the duration d from now.
+func (m *vm) disturb(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if until := time.Now().Add(d); until.After(m.disturbed) {
-		m.disturbed = until
+	if until := time.Now().Add(d); until.After(m.disturbedUntil) {
+		m.disturbedUntil = until
 	}
 }
 
-// calm reports whether nothing unplanned has disturbed the VM of late.
-func (m *machine) calm() bool {
+// undisturbed reports whether the VM has been without unplanned faults for quietPeriod.
+func (m *vm) undisturbed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.disturbed) > calmFor
+	return time.Since(m.disturbedUntil) > quietPeriod
 }
 
-// end has no further process started, and stops the one there is.
-func (m *machine) end(s syscall.Signal) {
+// stopForGood prevents further starts and sends a signal to the running process, which it
+// resumes first if it is paused.
+func (m *vm) stopForGood(s syscall.Signal) {
 	m.mu.Lock()
-	m.ended = true
-	none := m.process == nil
+	m.noRestart = true
+	notRunning := m.process == nil
 	m.mu.Unlock()
-	if none {
+	if notRunning {
 		return
 	}
 	m.signal(syscall.SIGCONT)
 	m.signal(s)
 }
 
-func (m *machine) close() {
+func (m *vm) close() {
 	m.upstream.Crash()
-	for _, l := range []*link{m.peers, m.app, m.store} {
-		if l != nil {
-			l.close()
+	for _, p := range []*proxy{m.peerProxy, m.upstreamProxy, m.storeProxy} {
+		if p != nil {
+			p.close()
 		}
 	}
-	_ = m.log.Close()
+	_ = m.logFile.Close()
 }
--- a/standin/run.go
+++ b/standin/run.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	renewInterval = time.Second
-	// drainTimeout bounds the wait for requests that run when the stand-in
-	// leaves.
-	drainTimeout = 30 * time.Second
-	idleInterval = 20 * time.Millisecond
+	announceInterval = time.Second
+	// drainTimeout bounds the wait for executing requests at the end of Run.
+	drainTimeout      = 30 * time.Second
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// errBusy tells that requests still ran when the stand-in was closed.
-var errBusy = errors.New("requests still ran when the upstream left")
+// errRequestsRunning reports that requests were still executing after drainTimeout.
+var errRequestsRunning = errors.New("requests still running at the end of the drain timeout")
 
-// Run announces the stand-in to the daemon at an admin address and renews the
-// announcement until the context ends. Then it announces that it leaves, waits
-// for what runs, and closes. A daemon that does not answer is asked again;
-// failed is told of it.
+// Run announces the upstream to the daemon at an admin address and repeats the
+// announcement regularly until the context ends. Then it announces that the
+// upstream drains, waits for executing requests, and closes the upstream. After a
+// failed announcement it calls failed and continues.
 func (u *Upstream) Run(ctx context.Context, admin string, incarnation uint64, failed func(error)) error {
-	tick := time.NewTicker(renewInterval)
+	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	for {
 		if err := u.Announce(ctx, admin, incarnation, false); err != nil && ctx.Err() == nil {
@@ -30,14 +29,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(u.leave(admin, incarnation), u.Close())
+			return errors.Join(u.drain(admin, incarnation), u.Close())
 		case <-tick.C:
 		}
 	}
 }
 
-// leave announces the end and waits until nothing runs.
-func (u *Upstream) leave(admin string, incarnation uint64) error {
+// drain announces that the upstream drains and waits for the executing requests.
+func (u *Upstream) drain(admin string, incarnation uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := u.Announce(ctx, admin, incarnation, true); err != nil {
@@ -46,8 +45,8 @@
 	for len(u.slots) > 0 {
 		select {
 		case <-ctx.Done():
-			return errBusy
-		case <-time.After(idleInterval):
+			return errRequestsRunning
+		case <-time.After(drainPollInterval):
 		}
 	}
 	return nil
