--- a/daemon/announce.go
+++ b/daemon/announce.go
@@ -21,9 +21,12 @@
 // Announcement is the body of the request with which an upstream registers at the
 // daemon of its VM, and later renews or changes its registration.
 type Announcement struct {
-	Service     model.ServiceName `json:"service"`
-	Address     string            `json:"address"`
-	Slots       int               `json:"slots"`
+	Service model.ServiceName `json:"service"`
+	// Address is the host:port of the upstream.
+	Address string `json:"address"`
+	// Slots is the number of requests that the upstream can run concurrently.
+	Slots int `json:"slots"`
+	// Incarnation is at least 1 and increases with each start of the upstream.
 	Incarnation model.Incarnation `json:"incarnation"`
 	Labels      model.Labels      `json:"labels,omitempty"`
 	Draining    bool              `json:"draining,omitempty"`
--- a/daemon/conns_test.go
+++ b/daemon/conns_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestRequestsOnClosedConnectionsAreNotForwarded guards against forwarding a request whose
-// caller can no longer receive a response. This happens when a server that is shutting
-// down closes a connection as unused while a request is being read from it.
+// TestRequestsOnClosedConnectionsAreNotForwarded guards against forwarding a request
+// whose caller can no longer receive a response. This happens when a server that is
+// shutting down closes a connection as unused while a request is being read from it.
 func TestRequestsOnClosedConnectionsAreNotForwarded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -110,8 +110,9 @@
 }
 
 // peerHandler returns the handler of the peer address. Requests with the header
-// wire.HeaderDestination are calls for the guard or the owner; all others are control messages for
-// the peer service. Both handlers authenticate the other daemon by the peer secret.
+// wire.HeaderDestination are calls for the guard or the owner; all others are control
+// messages for the peer service. Both handlers authenticate the other daemon by the
+// peer secret.
 func (d *Daemon) peerHandler() http.Handler {
 	control := peer.Handler(d.PeerService, d.settings.Peers.Secret)
 	calls := d.callHandler()
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -11,7 +11,8 @@
 )
 
 // AbortedRequestsError is returned by Serve when a shutdown aborted requests in
-// flight, because settings.Process.ShutdownTimeout expired or AbortDrain was called.
+// flight, because settings.Process.ShutdownTimeout expired or AbortDrain was called,
+// as dottereltillerd does at a second signal.
 type AbortedRequestsError struct {
 	// CallerRequests is the number of aborted requests of callers, PeerCalls the
 	// number of aborted calls of other daemons.
@@ -98,7 +99,7 @@
 // the outcome "not run", once the daemon is draining. The entries that sent them then
 // pick other upstreams. Calls in flight are not affected.
 func (d *Daemon) rejectWhileDraining(next http.Handler) http.Handler {
-	refused := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
+	rejected := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !d.peers.conns.draining.Load() {
 			next.ServeHTTP(w, r)
@@ -109,7 +110,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		refused.Inc(1)
+		rejected.Inc(1)
 		wire.WriteResult(w, wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)), c.ID)
 	})
 }
--- a/daemon/response_test.go
+++ b/daemon/response_test.go
@@ -40,8 +40,8 @@
 	for _, n := range d.Nodes {
 		require.Eventually(t, func() bool {
 			before := f.Requests()
-			a := sendRequest(t, n.Daemon.CallerAddress(), http.MethodGet, "")
-			return a.outcome == outcome.Answered && f.Requests() == before+1
+			got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodGet, "")
+			return got.outcome == outcome.Answered && f.Requests() == before+1
 		}, waitLimit, pollInterval)
 	}
 	return d, f
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -155,14 +155,14 @@
 	return len(p), nil
 }
 
-// limitConnections returns a ConnState hook that closes new connections while max
-// connections are open.
-func limitConnections(max int, refused tally.Counter) func(net.Conn, http.ConnState) {
+// limitConnections returns a ConnState hook that closes new connections while
+// maxOpen connections are open.
+func limitConnections(maxOpen int, refused tally.Counter) func(net.Conn, http.ConnState) {
 	var open atomic.Int64
 	return func(conn net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
-			if open.Add(1) > int64(max) {
+			if open.Add(1) > int64(maxOpen) {
 				refused.Inc(1)
 				_ = conn.Close()
 			}
--- a/daemon/stall.go
+++ b/daemon/stall.go
@@ -25,7 +25,8 @@
 // ServeHTTP implements http.Handler.
 func (l *stallLimiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	limited := &limitedWriter{ResponseWriter: w, limiter: l, control: http.NewResponseController(w)}
-	// Clear the deadline that the previous request on this connection set.
+	// Clear the deadline that the previous request on this connection set, which
+	// would abort this one.
 	_ = limited.control.SetWriteDeadline(time.Time{})
 	if l.closeChunked && r.ProtoMajor == 1 && len(r.TransferEncoding) > 0 {
 		// When a request has both Transfer-Encoding: chunked and Content-Length,
@@ -47,7 +48,8 @@
 	}
 }
 
-// limitedWriter sets a deadline for every write of the response.
+// limitedWriter gives every write of the response a deadline, as a rule one timeout
+// away.
 type limitedWriter struct {
 	http.ResponseWriter
 	limiter *stallLimiter
@@ -70,7 +72,8 @@
 	return n, err
 }
 
-// FlushError flushes the response. http.ResponseController calls it.
+// FlushError flushes the response with the deadline of a write. http.ResponseController
+// calls it.
 func (w *limitedWriter) FlushError() error {
 	w.extendDeadline()
 	err := w.control.Flush()
@@ -92,7 +95,7 @@
 	_ = w.control.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// limitedBody sets a deadline for every read of the request body.
+// limitedBody gives every read of the request body a deadline, one timeout away.
 type limitedBody struct {
 	body   io.ReadCloser
 	writer *limitedWriter
--- a/daemon/tree_test.go
+++ b/daemon/tree_test.go
@@ -46,33 +46,33 @@
 	running  chan struct{}
 }
 
-func (p *flakyComponent) String() string { return "flaky" }
+func (c *flakyComponent) String() string { return "flaky" }
 
-func (p *flakyComponent) Serve(ctx context.Context) error {
-	n := int(p.starts.Add(1)) - 1
-	if n < len(p.failures) {
-		return p.failures[n]()
+func (c *flakyComponent) Serve(ctx context.Context) error {
+	n := int(c.starts.Add(1)) - 1
+	if n < len(c.failures) {
+		return c.failures[n]()
 	}
-	close(p.running)
+	close(c.running)
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 func TestFailedComponentIsRestartedAndCounted(t *testing.T) {
-	p := &flakyComponent{running: make(chan struct{}), failures: []func() error{
+	c := &flakyComponent{running: make(chan struct{}), failures: []func() error{
 		func() error { return errors.New("first") },
 		func() error { panic("second") },
 	}}
 	scope := tally.NewTestScope("", nil)
 	tr := newSupervisorTree("test", discardLogger(), scope)
-	tr.Add(p)
+	tr.Add(c)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := tr.root.ServeBackground(ctx)
-	<-p.running
+	<-c.running
 	cancel()
 	<-done
 
-	require.EqualValues(t, 3, p.starts.Load())
+	require.EqualValues(t, 3, c.starts.Load())
 	require.EqualValues(t, 2, scope.Snapshot().Counters()["restarts+part=flaky"].Value())
 	status := tr.status()
 	require.Len(t, status, 1)
@@ -81,18 +81,18 @@
 }
 
 func TestABrokenInvariantIsNotRestarted(t *testing.T) {
-	p := &flakyComponent{running: make(chan struct{}), failures: []func() error{
+	c := &flakyComponent{running: make(chan struct{}), failures: []func() error{
 		func() error { invariant.Violated("running at most limit", "%d > %d", 7, 6); return nil },
 	}}
 	tr := newSupervisorTree("test", discardLogger(), tally.NoopScope)
-	tr.Add(p)
+	tr.Add(c)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := tr.root.ServeBackground(ctx)
 	broken := <-tr.fatal
 	cancel()
 	<-done
 
-	require.EqualValues(t, 1, p.starts.Load())
+	require.EqualValues(t, 1, c.starts.Load())
 	require.EqualError(t, broken, `flaky: broken invariant "running at most limit": 7 > 6`)
 	require.Contains(t, broken.Dump(), "tree_test.go")
 	require.Contains(t, broken.Dump(), "all goroutines:")
--- a/daemon/zones.go
+++ b/daemon/zones.go
@@ -60,6 +60,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, versionQueryTimeout)
 	defer cancel()
+	// A message with a digest makes the other daemon respond with its own digests.
+	// The value of the digest does not matter.
 	topic := &peerv1.TopicMessage{Topic: inForceTopicName, Digest: []byte{0}}
 	resp, err := d.PeerClient.Exchange(ctx, p.ID, &peerv1.ExchangeRequest{From: string(d.ID()), Topics: []*peerv1.TopicMessage{topic}})
 	if err != nil {
--- a/delta/delta.go
+++ b/delta/delta.go
@@ -37,7 +37,8 @@
 // Apply returns the document that results from applying delta to base. It
 // returns ErrTooLarge if the document is larger than maxSize bytes, and another
 // error if the delta is malformed, was made for a different base or has a wrong
-// checksum.
+// checksum. For an empty delta, which Encode never returns, it returns an empty
+// document.
 func Apply(base, delta []byte, maxSize int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -80,6 +80,7 @@
 
 // TestCorruptDeltaNeverYieldsWrongDocument applies deltas with a flipped byte
 // and a cut end. The result must be an error or the document that was encoded.
+// A delta cut to no bytes is not checked: Apply returns an empty document for it.
 func TestCorruptDeltaNeverYieldsWrongDocument(t *testing.T) {
 	base, target := routesDocument(1, 50, nil), routesDocument(2, 50, map[int]string{3: "other"})
 	d, err := Encode(base, target)
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -187,8 +187,9 @@
 	p.closeExpired()
 }
 
-// closeExpired closes the connections that have been idle for too long, which
-// are the first ones of p.idle. p.mu is held.
+// closeExpired closes connections that have been idle for too long. It begins
+// with the one that has been idle longest, p.idle[0], and ends at the first one
+// that is still fit for use. p.mu is held.
 func (p *Pool) closeExpired() {
 	n := 0
 	for n < len(p.idle) && !p.idle[n].idleWithin(0) {
--- a/identity/caller_test.go
+++ b/identity/caller_test.go
@@ -17,8 +17,8 @@
 // the subject name of its certificate.
 type callerList []policy.Caller
 
-func (n callerList) find(name string) (policy.Caller, bool) {
-	for _, c := range n {
+func (l callerList) find(name string) (policy.Caller, bool) {
+	for _, c := range l {
 		if string(c.Name) == name {
 			return c, true
 		}
@@ -26,8 +26,8 @@
 	return policy.Caller{}, false
 }
 
-func (n callerList) CallerByToken(token string) (policy.Caller, bool)      { return n.find(token) }
-func (n callerList) CallerByCertificate(name string) (policy.Caller, bool) { return n.find(name) }
+func (l callerList) CallerByToken(token string) (policy.Caller, bool)      { return l.find(token) }
+func (l callerList) CallerByCertificate(name string) (policy.Caller, bool) { return l.find(name) }
 
 func TestCaller(t *testing.T) {
 	callers := callerList{{Name: "sorting-bench"}, {Name: "member-portal"}}
--- a/peer/client.go
+++ b/peer/client.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// To returns a client of the control messages of one daemon.
+// To returns an RPC client that sends control messages to one daemon.
 func (c *Client) To(d model.DaemonID) peerv1connect.PeerServiceClient {
 	return peerv1connect.NewPeerServiceClient(c.http, "http://"+string(d), c.options...)
 }
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -16,7 +16,7 @@
 	peerv1 "github.com/dottereltiller/dottereltiller/proto/dottereltiller/peer/v1"
 )
 
-// Peer is another daemon.
+// Peer is a daemon with its availability zone.
 type Peer struct {
 	ID   model.DaemonID
 	Zone model.AvailabilityZone
@@ -33,11 +33,13 @@
 	Self model.DaemonID
 	// Zone is the availability zone of this daemon.
 	Zone model.AvailabilityZone
-	// Peers returns the other daemons that are known at present. The Exchanger
-	// does not modify the slice.
+	// Peers returns the daemons that are known at present. Self may be among
+	// them. The Exchanger does not modify the slice. A changed list must be a
+	// new slice, because the Exchanger compares address and length only.
 	Peers func() []Peer
 	// Unreachable returns daemons that are considered dead. Some rounds try one
-	// of them. Nil means none.
+	// of them, so that the two sides of a healed partition find each other
+	// again. Nil means none.
 	Unreachable func() []Peer
 	// OnResult, if set, is called with the result of the round with each peer.
 	OnResult func(Peer, error)
@@ -45,7 +47,7 @@
 	BootstrapPeers []Peer
 	// Transport reaches the peers.
 	Transport Transport
-	// Interval is the mean time between two rounds. Default: 1s.
+	// Interval is the mean time between two regular rounds. Default: 1s.
 	Interval time.Duration
 	// Fanout is the number of peers in a regular round. Default: 2.
 	Fanout int
@@ -62,7 +64,7 @@
 	MaxDeltaBytes int
 	// Timeout limits the exchange with one peer in a round. Default: 1s.
 	Timeout time.Duration
-	// Seed seeds the random choice of peers.
+	// Seed seeds the random choice of peers and the jitter of the interval.
 	Seed uint64
 	// Metrics receives counts of rounds, deltas and bytes. Nil means none.
 	Metrics tally.Scope
--- a/peer/exchanger_test.go
+++ b/peer/exchanger_test.go
@@ -196,7 +196,7 @@
 // fullSizeTopic always returns a delta of the maximum size.
 type fullSizeTopic struct{ maxValueTopic }
 
-func (s *fullSizeTopic) Delta(_ []byte, limit int) []byte { return make([]byte, limit) }
+func (f *fullSizeTopic) Delta(_ []byte, limit int) []byte { return make([]byte, limit) }
 
 func TestByteBudgetLimitsDeltas(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -11,6 +11,8 @@
 	triggersLimited, bytes                       tally.Counter
 }
 
+// newMetrics creates the metrics in a sub-scope of s. The names and labels of metrics
+// are fixed, also where a field is named differently.
 func newMetrics(s tally.Scope) metrics {
 	if s == nil {
 		s = tally.NoopScope
--- a/peer/reader.go
+++ b/peer/reader.go
@@ -38,8 +38,8 @@
 	return rank
 }
 
-// SamplePerZone returns up to n peers of each availability zone, chosen
-// pseudo-randomly by seed.
+// SamplePerZone returns up to n peers of each availability zone, sorted by zone.
+// Within a zone they are chosen and ordered pseudo-randomly by seed.
 func SamplePerZone(peers []Peer, n int, seed uint64) []Peer {
 	sorted := slices.Clone(peers)
 	key := func(p Peer) uint64 { return xxhash.Sum64String(string(p.ID)) ^ seed }
--- a/trace/span.go
+++ b/trace/span.go
@@ -82,7 +82,7 @@
 // Do implements Forwarder.
 func (g TracedGuard) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	ctx, span := Start(ctx, "guard")
-	a := g.Next.Do(ctx, c)
-	span.End(a.Outcome)
-	return a
+	result := g.Next.Do(ctx, c)
+	span.End(result.Outcome)
+	return result
 }
--- a/wire/header.go
+++ b/wire/header.go
@@ -38,7 +38,8 @@
 // from the responses of upstreams.
 const internalPrefix = "Dottereltiller-Hop-"
 
-// Internal headers.
+// Internal headers. Their names on the wire are fixed, also where a constant is
+// named differently.
 const (
 	// HeaderDestination names the component of the receiving daemon that is to
 	// handle the call.
