--- a/bench/forward.go
+++ b/bench/forward.go
@@ -198,7 +198,7 @@
 		return err
 	}
 	req.Header.Set(wire.HeaderService, string(calledService))
-	req.Header.Set(standin.HeaderCost, c.cost)
+	req.Header.Set(standin.HeaderServiceTime, c.cost)
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return err
--- a/cmd/dottereltiller/soak.go
+++ b/cmd/dottereltiller/soak.go
@@ -75,12 +75,12 @@
 // plan reads the plan file or, without one, generates a random plan.
 func (c *soakCmd) plan() (soak.Plan, error) {
 	if c.Plan == "" {
-		return soak.Draw(c.Seed, c.Processes, c.For), nil
+		return soak.RandomPlan(c.Seed, c.Processes, c.For), nil
 	}
 	f, err := os.Open(c.Plan)
 	if err != nil {
 		return soak.Plan{}, err
 	}
 	defer func() { _ = f.Close() }()
-	return soak.Read(f)
+	return soak.ReadPlan(f)
 }
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -37,7 +37,7 @@
 
 // newDaemonWithHangingUpstream creates one more daemon for a deployment, without
 // running it, and an upstream that never responds.
-func newDaemonWithHangingUpstream(t *testing.T, d *local.Deployment) (*daemon.Daemon, *standin.Faulty) {
+func newDaemonWithHangingUpstream(t *testing.T, d *local.Deployment) (*daemon.Daemon, *standin.FaultyUpstream) {
 	t.Helper()
 	s := settings.Defaults()
 	s.Zone = "odense-hal-a"
@@ -47,10 +47,10 @@
 	s.Process.DrainTime = policy.Duration(100 * time.Millisecond)
 	extra, err := daemon.New(s, d.Logger())
 	require.NoError(t, err)
-	f, err := standin.StartFaulty()
+	f, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = f.Close() })
-	f.Play(standin.Script{Hang: true})
+	f.SetScript(standin.Script{Hang: true})
 	return extra, f
 }
 
--- a/daemon/response_test.go
+++ b/daemon/response_test.go
@@ -21,12 +21,12 @@
 const pollInterval = 5 * time.Millisecond
 
 // startWithFaultyUpstream starts two daemons and drains their regular upstreams, so
-// that a standin.Faulty on the VM of the second daemon is the only upstream of the
-// service.
-func startWithFaultyUpstream(t *testing.T) (*local.Deployment, *standin.Faulty) {
+// that a standin.FaultyUpstream on the VM of the second daemon is the only upstream of
+// the service.
+func startWithFaultyUpstream(t *testing.T) (*local.Deployment, *standin.FaultyUpstream) {
 	t.Helper()
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
-	f, err := standin.StartFaulty()
+	f, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = f.Close() })
 	ctx := t.Context()
@@ -36,7 +36,7 @@
 	code, body := putAnnouncement(t, d.Nodes[1].Daemon.AdminAddress(), "faulty",
 		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, f.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
-	f.Play(standin.Script{Answer: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), Cut: -1})
+	f.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), CutAfter: -1})
 	for _, n := range d.Nodes {
 		require.Eventually(t, func() bool {
 			before := f.Requests()
@@ -105,7 +105,7 @@
 		for _, n := range d.Nodes {
 			t.Run(fmt.Sprintf("%s/%s", name, n.Upstream.ID), func(t *testing.T) {
 				for cut := range len(response) {
-					f.Play(standin.Script{Answer: []byte(response), Cut: cut, Reset: cut%2 == 0})
+					f.SetScript(standin.Script{Response: []byte(response), CutAfter: cut, Reset: cut%2 == 0})
 					before := f.Requests()
 					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					if got.err == nil {
@@ -113,7 +113,7 @@
 					}
 					require.Equal(t, before+1, f.Requests(), "the request must be sent exactly once")
 				}
-				f.Play(standin.Script{Answer: []byte(response), Cut: -1})
+				f.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
 				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				require.NoError(t, got.err)
 				require.Equal(t, outcome.Answered, got.outcome)
@@ -137,9 +137,9 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(response), Cut: -1})
+				f.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
 				sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
-				f.Play(standin.Script{Answer: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), Cut: -1})
+				f.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), CutAfter: -1})
 				for range 3 {
 					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					require.NoError(t, got.err)
@@ -166,7 +166,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(response), Cut: len(response)})
+				f.SetScript(standin.Script{Response: []byte(response), CutAfter: len(response)})
 				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				if got.err == nil {
 					require.Equal(t, outcome.Unknown, got.outcome, "%+v", got)
@@ -181,7 +181,7 @@
 // checks that no goroutine is left over.
 func TestCancelledCallReleasesConnectionAndSlot(t *testing.T) {
 	d, f := startWithFaultyUpstream(t)
-	f.Play(standin.Script{Hang: true})
+	f.SetScript(standin.Script{Hang: true})
 	for _, n := range d.Nodes {
 		before := f.Requests()
 		ctx, cancel := context.WithCancel(t.Context())
@@ -234,7 +234,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.Play(standin.Script{Answer: []byte(tc.response), Cut: -1})
+				f.SetScript(standin.Script{Response: []byte(tc.response), CutAfter: -1})
 				for range 2 {
 					got := sendRequest(t, n.Daemon.CallerAddress(), tc.method, "")
 					require.NoError(t, got.err)
--- a/hop/unsolicited_test.go
+++ b/hop/unsolicited_test.go
@@ -19,11 +19,11 @@
 // each, and counts the attempts that were given the second response of an
 // earlier one.
 func countUnsolicited(t *testing.T, c *Client, attempts int) int64 {
-	upstream, err := standin.StartFaulty()
+	upstream, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
 	defer func() { _ = upstream.Close() }()
 	defer c.CloseIdle()
-	upstream.Play(standin.Script{Answer: []byte(doubleResponse), Cut: -1})
+	upstream.SetScript(standin.Script{Response: []byte(doubleResponse), CutAfter: -1})
 	var wrong atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
--- a/load/sender.go
+++ b/load/sender.go
@@ -95,7 +95,7 @@
 	h.Set(wire.HeaderService, string(r.Service))
 	h.Set(standin.HeaderRequest, r.Name)
 	if r.Cost > 0 {
-		h.Set(standin.HeaderCost, time.Duration(r.Cost).String())
+		h.Set(standin.HeaderServiceTime, time.Duration(r.Cost).String())
 	}
 	if r.Deadline > 0 {
 		h.Set(wire.HeaderTimeout, time.Duration(r.Deadline).String())
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -161,7 +161,7 @@
 	}
 	req.Header.Set(wire.HeaderService, service)
 	req.Header.Set(standin.HeaderRequest, r.name)
-	req.Header.Set(standin.HeaderCost, "2ms")
+	req.Header.Set(standin.HeaderServiceTime, "2ms")
 	if r.key != "" {
 		req.Header.Set(wire.HeaderIdempotencyKey, r.key)
 	}
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -138,7 +138,7 @@
 	for name, m := range mutants {
 		t.Run(name, func(t *testing.T) {
 			writeOverlay(t, m)
-			_, err := Read(strings.NewReader(m.plan))
+			_, err := ReadPlan(strings.NewReader(m.plan))
 			require.NoError(t, err)
 		})
 	}
@@ -182,7 +182,7 @@
 			build.Dir = root
 			out, err := build.CombinedOutput()
 			require.NoError(t, err, string(out))
-			p, err := Read(strings.NewReader(m.plan))
+			p, err := ReadPlan(strings.NewReader(m.plan))
 			require.NoError(t, err)
 			// The seed determines the loopback addresses, so parallel runs use different ones.
 			p.Seed += uint64(i)
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -115,8 +115,8 @@
 	plannedOnlyDivisor = 3
 )
 
-// Draw returns a plan of random faults. The same arguments give the same plan.
-func Draw(seed uint64, vms int, length time.Duration) Plan {
+// RandomPlan returns a plan of random faults. The same arguments give the same plan.
+func RandomPlan(seed uint64, vms int, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := Plan{Seed: seed, VMs: vms, Length: length}
 	at := faultFreeStart
@@ -156,7 +156,7 @@
 	}
 }
 
-// WriteTo writes a plan in the text format of Read.
+// WriteTo writes a plan in the text format of ReadPlan.
 func (p *Plan) WriteTo(w io.Writer) (int64, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "soak %d %d %d\n", p.Seed, p.VMs, p.Length.Milliseconds())
@@ -178,9 +178,9 @@
 	return fmt.Sprintf("plan: line %d is invalid: %q", e.Line, e.Text)
 }
 
-// Read parses a plan. Lines that begin with # are comments. The error is a *PlanError if a
+// ReadPlan parses a plan. Lines that begin with # are comments. The error is a *PlanError if a
 // line is invalid.
-func Read(r io.Reader) (Plan, error) {
+func ReadPlan(r io.Reader) (Plan, error) {
 	var p Plan
 	s := bufio.NewScanner(r)
 	for line := 1; s.Scan(); line++ {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -16,12 +16,12 @@
 
 func TestPlanRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
-		p := Draw(seed, 5, time.Minute)
-		require.Equal(t, p, Draw(seed, 5, time.Minute), "the same seed draws the same plan")
+		p := RandomPlan(seed, 5, time.Minute)
+		require.Equal(t, p, RandomPlan(seed, 5, time.Minute), "the same seed draws the same plan")
 		var text bytes.Buffer
 		_, err := p.WriteTo(&text)
 		require.NoError(t, err)
-		again, err := Read(strings.NewReader("# a comment\n" + text.String()))
+		again, err := ReadPlan(strings.NewReader("# a comment\n" + text.String()))
 		require.NoError(t, err)
 		require.Equal(t, p, again)
 		for _, f := range p.Faults {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestReadRejectsInvalidPlans(t *testing.T) {
+func TestReadPlanRejectsInvalidPlans(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":           "",
 		"no header":       "3000 kill 1 - 100\n",
@@ -42,7 +42,7 @@
 		"missing VM":      "soak 1 3 20000\n3000 kill 0 - 100\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Read(strings.NewReader(text))
+			_, err := ReadPlan(strings.NewReader(text))
 			var e *PlanError
 			require.ErrorAs(t, err, &e)
 		})
@@ -51,7 +51,7 @@
 
 // TestShrinkFindsFailingFaults shrinks a plan of many faults to the two that make it fail.
 func TestShrinkFindsFailingFaults(t *testing.T) {
-	p := Draw(1, 5, 2*time.Minute)
+	p := RandomPlan(1, 5, 2*time.Minute)
 	a, b := p.Faults[7], p.Faults[len(p.Faults)-3]
 	contains := func(p Plan, f Fault) bool {
 		for _, x := range p.Faults {
@@ -151,13 +151,13 @@
 		t.Skip("starts processes")
 	}
 	const vms, length, seed = 4, 24 * time.Second, 7
-	plans := map[string]Plan{fmt.Sprint("seed ", seed): Draw(seed, vms, length)}
+	plans := map[string]Plan{fmt.Sprint("seed ", seed): RandomPlan(seed, vms, length)}
 	files, err := filepath.Glob("../testdata/soak/*.plan")
 	require.NoError(t, err)
 	for _, name := range files {
 		f, err := os.Open(name)
 		require.NoError(t, err)
-		plans[filepath.Base(name)], err = Read(f)
+		plans[filepath.Base(name)], err = ReadPlan(f)
 		require.NoError(t, err)
 		require.NoError(t, f.Close())
 	}
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -8,26 +8,26 @@
 	"sync"
 )
 
-// Script determines how a Faulty treats requests.
+// Script determines how a FaultyUpstream treats requests.
 type Script struct {
-	// Answer holds the raw bytes of the response.
-	Answer []byte
-	// Cut is the number of bytes of Answer after which the connection is closed.
-	// If Cut is negative or larger than Answer, all of Answer is sent and the
-	// connection stays open.
-	Cut int
+	// Response holds the raw bytes of the response.
+	Response []byte
+	// CutAfter is the number of bytes of Response after which the connection is closed.
+	// If CutAfter is negative or larger than the length of Response, all of Response is
+	// sent and the connection stays open.
+	CutAfter int
 	// Reset closes the connection by a TCP RST instead of a FIN.
 	Reset bool
-	// Unread sends the response without reading the request's body.
-	Unread bool
+	// SkipBody sends the response without reading the request's body.
+	SkipBody bool
 	// Hang sends no response and waits until the client closes the connection.
 	Hang bool
 }
 
-// Faulty is an upstream that responds to each request with the raw bytes of its
-// script, truncated where the script says. It does not use an HTTP server, so that
-// a response can break off at any byte.
-type Faulty struct {
+// FaultyUpstream is an upstream that reads each request and responds with the raw bytes
+// of its script, truncated where the script says. It does not use an HTTP server, so
+// that a response can be malformed in any way and break off at any byte.
+type FaultyUpstream struct {
 	listener net.Listener
 
 	mu       sync.Mutex
@@ -36,43 +36,43 @@
 	conns    map[net.Conn]struct{}
 }
 
-// StartFaulty starts a Faulty on a loopback port.
-func StartFaulty() (*Faulty, error) {
+// StartFaultyUpstream starts a FaultyUpstream on a loopback port.
+func StartFaultyUpstream() (*FaultyUpstream, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f := &Faulty{listener: ln, conns: make(map[net.Conn]struct{})}
+	f := &FaultyUpstream{listener: ln, conns: make(map[net.Conn]struct{})}
 	go f.accept()
 	return f, nil
 }
 
 // Address returns the host:port of the upstream.
-func (f *Faulty) Address() string { return f.listener.Addr().String() }
+func (f *FaultyUpstream) Address() string { return f.listener.Addr().String() }
 
-// Play sets the script for the following requests.
-func (f *Faulty) Play(s Script) {
+// SetScript sets the script for the following requests.
+func (f *FaultyUpstream) SetScript(s Script) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.script = s
 }
 
 // Requests returns the number of requests received.
-func (f *Faulty) Requests() int {
+func (f *FaultyUpstream) Requests() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.requests
 }
 
 // Conns returns the number of open connections.
-func (f *Faulty) Conns() int {
+func (f *FaultyUpstream) Conns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
 // Close stops listening and closes all connections.
-func (f *Faulty) Close() error {
+func (f *FaultyUpstream) Close() error {
 	err := f.listener.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	return err
 }
 
-func (f *Faulty) accept() {
+func (f *FaultyUpstream) accept() {
 	for {
 		conn, err := f.listener.Accept()
 		if err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (f *Faulty) serve(conn net.Conn) {
+func (f *FaultyUpstream) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
 		f.mu.Lock()
@@ -109,7 +109,7 @@
 			return
 		}
 		s := f.nextScript()
-		if !s.Unread {
+		if !s.SkipBody {
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
 			}
@@ -125,7 +125,7 @@
 }
 
 // nextScript counts a request and returns the current script.
-func (f *Faulty) nextScript() Script {
+func (f *FaultyUpstream) nextScript() Script {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests++
@@ -134,11 +134,11 @@
 
 // writeTo sends the scripted response and reports whether the connection stays open.
 func (s Script) writeTo(conn net.Conn) bool {
-	if s.Cut < 0 || s.Cut > len(s.Answer) {
-		_, err := conn.Write(s.Answer)
+	if s.CutAfter < 0 || s.CutAfter > len(s.Response) {
+		_, err := conn.Write(s.Response)
 		return err == nil
 	}
-	_, _ = conn.Write(s.Answer[:s.Cut])
+	_, _ = conn.Write(s.Response[:s.CutAfter])
 	if tcp, ok := conn.(*net.TCPConn); ok && s.Reset {
 		_ = tcp.SetLinger(0)
 	}
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -15,8 +15,8 @@
 
 // Request headers that control an Upstream.
 const (
-	// HeaderCost is the service time of the request, as a Go duration.
-	HeaderCost = "X-Cost"
+	// HeaderServiceTime is the service time of the request, as a Go duration.
+	HeaderServiceTime = "X-Cost"
 	// HeaderRequest is the name of the request. The response has the same header.
 	HeaderRequest = "X-Request"
 	// HeaderExtraBytes is the number of zero bytes to append to the response body.
@@ -80,8 +80,8 @@
 }
 
 // ServeHTTP executes one request: it waits for a slot, holds the slot for the time
-// in HeaderCost, and responds with the request's name and body. A cancelled request
-// ends early without a response.
+// in HeaderServiceTime, and responds with the request's name and body. A cancelled
+// request ends early without a response.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == LoadPath {
 		_, _ = fmt.Fprintf(w, `{"running": %d}`, len(u.slots))
@@ -124,11 +124,11 @@
 }
 
 func serviceTimeOf(r *http.Request) time.Duration {
-	cost, err := time.ParseDuration(r.Header.Get(HeaderCost))
+	serviceTime, err := time.ParseDuration(r.Header.Get(HeaderServiceTime))
 	if err != nil {
 		return defaultServiceTime
 	}
-	return cost
+	return serviceTime
 }
 
 // zeroReader is an endless stream of zero bytes.
