--- a/ablation/doc.go
+++ b/ablation/doc.go
@@ -3,10 +3,10 @@
 //
 // A mechanism is disabled by an edit of the source in a scratch copy of the last commit. A
 // benchmark program replays recorded days (of a site file) with each copy and with the
-// unchanged source, the baseline, using the same seeds. The score differences to the
-// baseline give a mean with its standard error. A test that always runs checks that the
-// edits still apply. The trials take hours, so they run only if ABLATION_BENCH names the
-// benchmark program:
+// unchanged source, the baseline, using the same seeds. Each trial is paired with the
+// baseline of its day and seed, and the score differences of the pairs give a mean with its
+// standard error. A test that always runs checks that the edits still apply. The trials take
+// hours, so they run only if ABLATION_BENCH names the benchmark program:
 //
 //	ABLATION_BENCH=PROGRAM ABLATION_SITES=FILE,FILE go test ./ablation -run TestAblation -timeout 0 -v
 //
--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -31,7 +31,7 @@
 // trialKey identifies a trial.
 type trialKey struct{ mechanism, site, day, seed string }
 
-func (c *trialResult) key() trialKey { return trialKey{c.Mechanism, c.Site, c.Day, c.Seed} }
+func (r *trialResult) key() trialKey { return trialKey{r.Mechanism, r.Site, r.Day, r.Seed} }
 
 // results holds the trial results of a file and appends new ones to it. It is safe for
 // concurrent use.
@@ -53,27 +53,27 @@
 	defer func() { _ = f.Close() }()
 	s := bufio.NewScanner(f)
 	for s.Scan() {
-		var c trialResult
+		var result trialResult
 		// The last line of an interrupted run may be truncated.
-		if json.Unmarshal(s.Bytes(), &c) == nil {
-			r.byKey[c.key()] = c
+		if json.Unmarshal(s.Bytes(), &result) == nil {
+			r.byKey[result.key()] = result
 		}
 	}
 	return r, s.Err()
 }
 
-func (r *results) contains(p trialKey) bool {
+func (r *results) contains(k trialKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, ok := r.byKey[p]
+	_, ok := r.byKey[k]
 	return ok
 }
 
-func (r *results) add(c trialResult) error {
+func (r *results) add(result trialResult) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.byKey[c.key()] = c
-	line, err := json.Marshal(c)
+	r.byKey[result.key()] = result
+	line, err := json.Marshal(result)
 	if err != nil {
 		return err
 	}
@@ -87,29 +87,33 @@
 }
 
 // summary describes the effect of disabling a mechanism on a site: the mean score difference
-// to the baseline over all days and seeds, with its standard error.
+// between paired trials, with its standard error. A pair is a trial without the mechanism and
+// the baseline of the same day and seed.
 type summary struct {
 	mechanism, site     string
 	pairs               int
 	mean, standardError float64
-	newViolations       []string
+	// newViolations are the rules that were violated without the mechanism but not in the
+	// baseline of the same pair.
+	newViolations []string
 }
 
-// summaries compares the trials of each mechanism with the baseline.
+// summaries compares the trials of each mechanism with their baselines. It leaves out trials
+// whose baseline is missing.
 func (r *results) summaries() []summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	type key struct{ mechanism, site string }
 	diffs := make(map[key][]float64)
 	newViolations := make(map[key][]string)
-	for p, c := range r.byKey {
-		base, ok := r.byKey[trialKey{baseline, p.site, p.day, p.seed}]
-		if p.mechanism == baseline || !ok {
+	for trial, result := range r.byKey {
+		base, ok := r.byKey[trialKey{baseline, trial.site, trial.day, trial.seed}]
+		if trial.mechanism == baseline || !ok {
 			continue
 		}
-		k := key{p.mechanism, p.site}
-		diffs[k] = append(diffs[k], c.Score-base.Score)
-		for _, rule := range c.Violations {
+		k := key{trial.mechanism, trial.site}
+		diffs[k] = append(diffs[k], result.Score-base.Score)
+		for _, rule := range result.Violations {
 			if !slices.Contains(base.Violations, rule) && !slices.Contains(newViolations[k], rule) {
 				newViolations[k] = append(newViolations[k], rule)
 			}
@@ -142,8 +146,8 @@
 	return mean, math.Sqrt(sum / float64(len(d)-1) / float64(len(d)))
 }
 
-func (r *summary) String() string {
-	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", r.mechanism, r.site, r.pairs, r.mean, r.standardError, strings.Join(r.newViolations, " "))
+func (s *summary) String() string {
+	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", s.mechanism, s.site, s.pairs, s.mean, s.standardError, strings.Join(s.newViolations, " "))
 }
 
 func TestMeanAndStandardError(t *testing.T) {
@@ -155,7 +159,8 @@
 }
 
 // TestResultsResumeAfterTruncatedLine guards against an interrupted run that cannot be resumed
-// because the last line of its file is truncated.
+// because the last line of its file is truncated, and against differences between trials that
+// are not a pair.
 func TestResultsResumeAfterTruncatedLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out.jsonl")
 	r, err := openResults(path)
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -61,29 +61,29 @@
 }
 
 // runTrial replays a day with the source in a scratch copy.
-func runTrial(ctx context.Context, bench, dir, site string, p trialKey) (trialResult, error) {
-	file := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", p.site, p.day, p.seed))
+func runTrial(ctx context.Context, bench, dir, site string, k trialKey) (trialResult, error) {
+	file := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
 	why := "ablation: the code as it is"
-	if p.mechanism != baseline {
-		why = "trial of the ablation, off: " + p.mechanism
+	if k.mechanism != baseline {
+		why = "trial of the ablation, off: " + k.mechanism
 	}
-	cmd := exec.CommandContext(ctx, bench, "run", site, p.day, "--seed", p.seed, "--no-cpu", "--report", file, "--why", why)
+	cmd := exec.CommandContext(ctx, bench, "run", site, k.day, "--seed", k.seed, "--no-cpu", "--report", file, "--why", why)
 	cmd.Dir = dir
 	out, runErr := cmd.CombinedOutput()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return trialResult{}, fmt.Errorf("%w: %s", runErr, out)
 	}
-	var r trialReport
-	if err := json.Unmarshal(text, &r); err != nil {
+	var report trialReport
+	if err := json.Unmarshal(text, &report); err != nil {
 		return trialResult{}, err
 	}
-	c := trialResult{Mechanism: p.mechanism, Site: p.site, Day: p.day, Seed: p.seed, Score: r.Score}
-	for rule := range r.Violations {
-		c.Violations = append(c.Violations, rule)
+	result := trialResult{Mechanism: k.mechanism, Site: k.site, Day: k.day, Seed: k.seed, Score: report.Score}
+	for rule := range report.Violations {
+		result.Violations = append(result.Violations, rule)
 	}
-	slices.Sort(c.Violations)
-	return c, nil
+	slices.Sort(result.Violations)
+	return result, nil
 }
 
 // journalFiles returns the paths of the files in the journal of a copy, relative to the
@@ -152,7 +152,7 @@
 }
 
 // planTrials returns the trials to run, and the site files by site. The trials of one day and
-// seed follow each other, so that each is close to its baseline.
+// seed follow each other, so that each runs at about the same time as its baseline.
 func planTrials(sites []string) ([]trialKey, map[string]string, error) {
 	files := make(map[string]string)
 	names := []string{baseline}
@@ -243,34 +243,34 @@
 	var wg sync.WaitGroup
 	for range jobs {
 		wg.Go(func() {
-			for p := range queue {
-				scratch, err := copies.forMechanism(t.Context(), p.mechanism)
+			for k := range queue {
+				scratch, err := copies.forMechanism(t.Context(), k.mechanism)
 				if err != nil {
-					t.Errorf("%+v: %v", p, err)
+					t.Errorf("%+v: %v", k, err)
 					continue
 				}
-				c, err := runTrial(t.Context(), bench, scratch.dir, siteFiles[p.site], p)
+				result, err := runTrial(t.Context(), bench, scratch.dir, siteFiles[k.site], k)
 				if err != nil {
-					t.Errorf("%+v: %v", p, err)
+					t.Errorf("%+v: %v", k, err)
 					continue
 				}
-				if err := finished.add(c); err != nil {
-					t.Errorf("%+v: %v", p, err)
+				if err := finished.add(result); err != nil {
+					t.Errorf("%+v: %v", k, err)
 				}
 				if journal == "" {
 					continue
 				}
 				if err := copyNewJournalFiles(scratch, journal); err != nil {
-					t.Errorf("%+v: %v", p, err)
+					t.Errorf("%+v: %v", k, err)
 				}
 			}
 		})
 	}
-	for i, p := range trials {
-		if finished.contains(p) {
+	for i, k := range trials {
+		if finished.contains(k) {
 			continue
 		}
-		queue <- p
+		queue <- k
 		if i%10 == 0 {
 			t.Logf("%d of %d trials started after %s", i+1, len(trials), time.Since(startedAt).Round(time.Second))
 		}
--- a/demo/observer.go
+++ b/demo/observer.go
@@ -37,14 +37,14 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
-	for name, t := range o.outcomes {
+	for name, got := range o.outcomes {
 		ran := runs[name]
 		switch {
-		case !t.idempotent && ran > 1:
+		case !got.idempotent && ran > 1:
 			out = append(out, fmt.Sprintf("non-idempotent request %s ran %d times", name, ran))
-		case t.kind == outcome.NotRun && ran > 0:
+		case got.kind == outcome.NotRun && ran > 0:
 			out = append(out, fmt.Sprintf("request %s ran although its caller was told it did not", name))
-		case t.kind == outcome.Answered && ran == 0:
+		case got.kind == outcome.Answered && ran == 0:
 			out = append(out, fmt.Sprintf("request %s was answered but never ran", name))
 		}
 	}
--- a/demo/plan.go
+++ b/demo/plan.go
@@ -9,8 +9,9 @@
 	"github.com/dottereltiller/dottereltiller/local"
 )
 
-// sources are the request streams of the groups. Searches need more than all slots of
-// service sporarkiv, and must not slow down the group members.
+// sources are the request streams of the groups. The searches need more slots than service
+// sporarkiv has: 40 of 36, for 2,000 requests a second of 20 ms. They must not slow down the
+// requests of group members to the same service.
 var sources = []load.Source{
 	{
 		Service: "returdesk", Group: "sorters", Caller: "sorting-bench", Token: "demo-sorters",
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -180,7 +180,7 @@
 	stopped := <-n.done
 	n.settings.Listen = listen
 	if err := n.startDaemon(d.ctx, d.opts.Logger); err != nil {
-		n.done <- err
+		n.done <- err // Stop still waits for a value.
 		return errors.Join(stopped, err)
 	}
 	if err := n.Upstream.Announce(ctx, n.Daemon.AdminAddress(), 1, false); err != nil {
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -24,7 +24,8 @@
 type attemptResult struct {
 	kind   outcome.Kind
 	reason string
-	// valid is false if a response was incomplete or belonged to another request.
+	// valid is false if a response was incomplete, belonged to another request or did not
+	// state its outcome.
 	valid bool
 	// connectionFailed is set if an established connection to the daemon failed.
 	connectionFailed bool
--- a/soak/check.go
+++ b/soak/check.go
@@ -27,14 +27,15 @@
 	maxViolations = 20
 )
 
-// requestRecord is the history of one request of a caller.
+// requestRecord is the history of a request that a caller sent once, with one attempt id.
 type requestRecord struct {
 	sentAt          time.Time
 	unsafe          bool
 	service         string
 	executions      int
 	toldNotExecuted bool
-	// crashKey identifies a request that crashes upstreams; it is empty for all others.
+	// crashKey identifies a request that crashes upstreams and is sent with many attempt ids.
+	// It is empty for all other requests.
 	crashKey string
 	// undisturbed reports whether the VM of the request's daemon has been without
 	// unplanned faults for quietPeriod. It is set together with crashKey.
@@ -120,34 +121,34 @@
 func (c *checker) RequestStarted(u *platformtest.Upstream, attempt, caller string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.requests[attempt]
-	if s == nil {
+	rec := c.requests[attempt]
+	if rec == nil {
 		c.addViolationLocked("unasked: %s ran at %s and was never sent", attempt, u.ID())
 		return
 	}
-	s.executions++
+	rec.executions++
 	switch {
-	case s.executions > 1 && s.unsafe:
-		c.addViolationLocked("twice: non-idempotent request %s ran %d times, the last time at %s", attempt, s.executions, u.ID())
-	case s.executions > 1:
+	case rec.executions > 1 && rec.unsafe:
+		c.addViolationLocked("twice: non-idempotent request %s ran %d times, the last time at %s", attempt, rec.executions, u.ID())
+	case rec.executions > 1:
 		c.repeatTimes = append(c.repeatTimes, time.Now())
 	}
-	if s.toldNotExecuted && s.unsafe {
+	if rec.toldNotExecuted && rec.unsafe {
 		c.addViolationLocked("promise: %s ran at %s after its caller was told that it was not executed", attempt, u.ID())
 	}
-	if s.crashKey != "" {
-		c.recordCrash(s)
+	if rec.crashKey != "" {
+		c.recordCrash(rec)
 	}
-	if caller != s.service {
-		c.addViolationLocked("caller: %s was sent by service %s and reached the upstream as sent by %s", attempt, s.service, caller)
+	if caller != rec.service {
+		c.addViolationLocked("caller: %s was sent by service %s and reached the upstream as sent by %s", attempt, rec.service, caller)
 	}
 	if at, ok := c.drainedAt[u.Incarnation()]; ok && time.Since(at) > drainAllowance {
 		c.addViolationLocked("drain: %s ran at %s %s after the drain was acknowledged", attempt, u.ID(), time.Since(at).Round(time.Millisecond))
 	}
 }
 
-// recordPoison records that a request crashes upstreams. Attempts with the same key are
-// attempts of one request.
+// recordPoison records that a request crashes upstreams. Attempts with the same key belong to
+// one request.
 func (c *checker) recordPoison(attempt, key string, undisturbed func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,8 +159,8 @@
 }
 
 // recordCrash counts one crash caused by a request and checks the bounds. c.mu is held.
-func (c *checker) recordCrash(s *requestRecord) {
-	k := c.crashes[s.crashKey]
+func (c *checker) recordCrash(rec *requestRecord) {
+	k := c.crashes[rec.crashKey]
 	k.total++
 	if c.safetyOnly {
 		if k.total == maxCrashes+1 {
@@ -170,9 +171,9 @@
 	switch {
 	case k.total == quarantineThreshold:
 		k.thresholdAt = time.Now()
-	case k.total > quarantineThreshold && s.sentAt.Sub(k.thresholdAt) > quietPeriod && s.undisturbed():
+	case k.total > quarantineThreshold && rec.sentAt.Sub(k.thresholdAt) > quietPeriod && rec.undisturbed():
 		if k.late++; k.late == maxLateCrashes+1 {
-			c.addViolationLocked("poison: a request still crashed upstreams %s after its third crash, %d crashes in total", s.sentAt.Sub(k.thresholdAt).Round(time.Millisecond), k.total)
+			c.addViolationLocked("poison: a request still crashed upstreams %s after its third crash, %d crashes in total", rec.sentAt.Sub(k.thresholdAt).Round(time.Millisecond), k.total)
 		}
 	}
 }
@@ -202,27 +203,27 @@
 func (c *checker) wasExecuted(attempt string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.requests[attempt]
-	return s != nil && s.executions > 0
+	rec := c.requests[attempt]
+	return rec != nil && rec.executions > 0
 }
 
 // checkResponse checks the response to an attempt.
 func (c *checker) checkResponse(attempt string, r platformtest.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.requests[attempt]
+	rec := c.requests[attempt]
 	body, seal := platformtest.ResponseBody(attempt)
 	switch {
 	case r.Status >= 200 && r.Status < 300:
 		if r.Body != body || r.Seal != seal || r.Attempt != attempt {
 			c.addViolationLocked("mixed: %s received the body %q with seal %q of attempt %q", attempt, r.Body, r.Seal, r.Attempt)
 		}
-		if s.executions == 0 {
+		if rec.executions == 0 {
 			c.addViolationLocked("mixed: %s was answered but never ran", attempt)
 		}
 	case r.NotExecuted():
-		s.toldNotExecuted = true
-		if s.unsafe && s.executions > 0 {
+		rec.toldNotExecuted = true
+		if rec.unsafe && rec.executions > 0 {
 			c.addViolationLocked("promise: %s got status %d (not executed) although it ran", attempt, r.Status)
 		}
 		if r.Status == 503 && r.RetryAfter <= 0 {
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -16,8 +16,8 @@
 	At time.Duration
 	// Kind is the kind of fault.
 	Kind string
-	// VM is the number of the VM with the fault, from 1. It is 0 for a fault of the store,
-	// of the configuration or of all VMs.
+	// VM is the number of the VM with the fault, from 1. It is 0 for a fault that concerns
+	// no single VM, see vmOptionalKinds.
 	VM int
 	// Mode is the variant of the kind.
 	Mode string
@@ -60,16 +60,17 @@
 
 // faultModes lists the modes of each kind. A dash stands for the only mode of a kind.
 //
-// Proxies: delay and trickle slow traffic down, reset resets connections, silent drops all
-// traffic, and half drops the traffic from the target to the client.
+// Proxies: delay and trickle slow connections down, reset resets connections and drops
+// datagrams, silent drops all traffic, and half drops the traffic from the target to the client.
 //
 // Store: busy and many respond with 503 and 429, silent never responds, slow responds late,
-// lost executes requests without a response, late executes them late without a response, and
+// lost executes appends without a response, late executes appends late without a response, and
 // forget loses the operator's records.
 //
-// Upstreams: lose executes requests and resets the connection, shed rejects requests without
-// execution, err executes requests with an error, hang never responds, cut truncates responses,
-// double sends a second response, slow takes ten times as long, and untold omits the load.
+// Upstreams: lose executes requests and closes the connection without a response, shed rejects
+// requests without execution, err executes requests and responds with status 500, hang executes
+// requests and never responds, cut truncates responses, double sends a second response, slow
+// takes ten times as long, and untold omits the load.
 //
 // Crash: the upstream restarts with the same-id or a new-id. Replace: the old VM is gone
 // (connections break) or dark (its peer traffic is dropped).
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -17,8 +17,8 @@
 	mu    sync.Mutex
 	mode  string
 	conns map[net.Conn]bool
-	// silenced holds the connections that have lost data in a silent or half mode. They
-	// carry no more data, also after the mode has changed.
+	// silenced holds the connections that were open when the mode became silent, and those
+	// that have lost data in mode half. They carry no more data, also after the mode changes.
 	silenced map[net.Conn]bool
 	// udpConns holds a socket to the target for each sender of datagrams, by its address.
 	udpConns map[string]net.Conn
@@ -143,6 +143,7 @@
 			p.silenced[client] = true
 			p.mu.Unlock()
 			if err != nil {
+				// The close is not propagated either while the fault lasts.
 				time.Sleep(maxFaultDuration)
 			}
 		case mode == "delay":
@@ -184,8 +185,8 @@
 const (
 	// datagramBufferBytes is larger than any datagram of a daemon.
 	datagramBufferBytes = 2 << 10
-	// udpIdleTimeout is how long the socket of a sender stays open without a reply: with a
-	// hundred daemons each proxy has a hundred senders, and as many sockets.
+	// udpIdleTimeout is how long the socket of a sender stays open without a reply. It limits
+	// the open sockets: with a hundred daemons each proxy has a hundred senders.
 	udpIdleTimeout = 3 * time.Second
 )
 
--- a/soak/run.go
+++ b/soak/run.go
@@ -27,8 +27,8 @@
 	Dir string
 	// Out receives a line for each injected fault. Nil discards them.
 	Out io.Writer
-	// SafetyOnly skips the checks that depend on the speed of the machine: how soon a
-	// configuration is in force, how many requests are served at the end, and how soon requests that crash
+	// SafetyOnly skips the checks that depend on the speed of the machine: how soon a configuration
+	// is in force, how many requests are served at the end, and how soon requests that crash
 	// upstreams are refused. For the last, the number of crashes is checked instead.
 	SafetyOnly bool
 	// Rate is the number of requests a second that the callers of one VM send. Default:
@@ -36,7 +36,7 @@
 	Rate int
 }
 
-// Result is the result of a soak.
+// Result holds the violations that a soak found and its numbers of requests.
 type Result struct {
 	Violations []string
 	Requests   int
@@ -51,16 +51,16 @@
 	// longRequestDeadline is the deadline of the requests that run for seconds.
 	longRequestDeadline = 30 * time.Second
 	defaultRate         = 10
-	// defaultTotalRate is the requests a second that 8 cores serve with a hundred daemons.
+	// defaultTotalRate is the total requests a second that 8 cores serve beside a hundred daemons.
 	defaultTotalRate = 480
 	// minServedShare of the requests in the last recoveryWindow of a plan must be served.
 	minServedShare = 0.95
 	recoveryWindow = 5 * time.Second
-	// Every unsafeRequestInterval-th request is not idempotent, and every
-	// longRequestInterval-th one runs for seconds.
+	// Every unsafeRequestInterval-th request is not idempotent. Every
+	// longRequestInterval-th one runs for seconds and is not idempotent either.
 	unsafeRequestInterval = 3
 	longRequestInterval   = 40
-	// distinctPaths is the number of paths of idempotent requests, and as many of others.
+	// distinctPaths is the number of paths under /safe/, and also of those under /unsafe/.
 	distinctPaths = 2000
 	// configCheckInterval is the time between two checks of a daemon's configuration.
 	configCheckInterval = 250 * time.Millisecond
@@ -84,7 +84,7 @@
 	publishedAt   time.Time
 	requests      atomic.Int64
 	served        atomic.Int64
-	finalRequests atomic.Int64
+	finalRequests atomic.Int64 // the requests sent in the last recoveryWindow
 	finalServed   atomic.Int64
 }
 
@@ -329,6 +329,7 @@
 
 // checkConfigInForce regularly checks the configuration in force at a daemon: a new version
 // must be in force in time, and an incarnation of the process must not return to an older one.
+// Version n adds a route for /vn/: daemons with an older version respond with status 404.
 func (h *harness) checkConfigInForce(ctx context.Context, m *vm) {
 	seenVersion, seenIncarnation := 0, 0
 	for i := 0; ctx.Err() == nil; i++ {
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -45,7 +45,8 @@
 	stoppedAt time.Time
 	// startedTime is when the process was started last.
 	startedTime time.Time
-	// killed is set from a SIGKILL to the process until the next start.
+	// killed is set from a SIGKILL to the process until the next start. An exit while stopping
+	// or killed is set is no violation.
 	killed bool
 	// noRestart is set when no further process may be started.
 	noRestart bool
@@ -120,6 +121,7 @@
 	m.config.Bootstrap = false
 	startProgram := startIgnoringHangup
 	if m.incarnation == 0 {
+		// To ignore SIGHUP here as well would hide a daemon that never handles the signal.
 		startProgram = startDefault
 	}
 	m.mu.Unlock()
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -13,10 +13,10 @@
 	// Response holds the raw bytes of the response.
 	Response []byte
 	// CutAfter is the number of bytes of Response after which the connection is closed.
-	// If CutAfter is negative or larger than the length of Response, all of Response is
-	// sent and the connection stays open.
+	// If it is 0, nothing is sent. If it is negative or larger than the length of
+	// Response, all of Response is sent and the connection stays open.
 	CutAfter int
-	// Reset closes the connection by a TCP RST instead of a FIN.
+	// Reset makes CutAfter close the connection with a TCP RST instead of a FIN.
 	Reset bool
 	// SkipBody sends the response without reading the request's body.
 	SkipBody bool
