--- a/demo/plan.go
+++ b/demo/plan.go
@@ -10,8 +10,8 @@
 )
 
 // sources are the request streams of the groups. The searches need more slots than service
-// sporarkiv has: 40 of 36, for 2,000 requests a second of 20 ms. They must not slow down the
-// requests of group members to the same service.
+// sporarkiv has: 2,000 requests a second of 20 ms need 40 slots, and it has 36. They must not
+// slow down the requests of the group named members to the same service.
 var sources = []load.Source{
 	{
 		Service: "returdesk", Group: "sorters", Caller: "sorting-bench", Token: "demo-sorters",
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -5,8 +5,7 @@
 //
 // A Plan is a list of faults with their times. It can be printed, replayed and shrunk to
 // the faults that cause a violation. Each daemon has a stand-in upstream; all daemons
-// share a stand-in store. A fault-injecting proxy in front of the daemon's peer address,
-// the upstream and the store can delay, reset, drop or slow down traffic. Processes
-// are stopped, paused, killed and told to reload by signals, and are restarted when they
-// exit.
+// share a stand-in store. Proxies in front of each daemon's peer address, its upstream and
+// the store can delay, reset, drop or slow down traffic. Processes are stopped, paused,
+// killed and told to reload by signals, and are restarted when they exit.
 package soak
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -18,7 +18,8 @@
 	mode  string
 	conns map[net.Conn]bool
 	// silenced holds the connections that were open when the mode became silent, and those
-	// that have lost data in mode half. They carry no more data, also after the mode changes.
+	// that have lost data in mode silent or half. They carry no more data, also after the mode
+	// changes.
 	silenced map[net.Conn]bool
 	// udpConns holds a socket to the target for each sender of datagrams, by its address.
 	udpConns map[string]net.Conn
