--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -24,7 +24,8 @@
 type attemptResult struct {
 	kind   outcome.Kind
 	reason string
-	// valid is false if a response was incomplete or belonged to another request.
+	// valid is false if a response was incomplete, belonged to another request or did not
+	// state its outcome.
 	valid bool
 	// connectionFailed is set if an established connection to the daemon failed.
 	connectionFailed bool
@@ -161,7 +162,7 @@
 	}
 	req.Header.Set(wire.HeaderService, service)
 	req.Header.Set(standin.HeaderRequest, r.name)
-	req.Header.Set(standin.HeaderCost, "2ms")
+	req.Header.Set(standin.HeaderServiceTime, "2ms")
 	if r.key != "" {
 		req.Header.Set(wire.HeaderIdempotencyKey, r.key)
 	}
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -16,8 +16,8 @@
 	At time.Duration
 	// Kind is the kind of fault.
 	Kind string
-	// VM is the number of the VM with the fault, from 1. It is 0 for a fault of the store,
-	// of the configuration or of all VMs.
+	// VM is the number of the VM with the fault, from 1. It is 0 for a fault that concerns
+	// no single VM, see vmOptionalKinds.
 	VM int
 	// Mode is the variant of the kind.
 	Mode string
@@ -60,16 +60,17 @@
 
 // faultModes lists the modes of each kind. A dash stands for the only mode of a kind.
 //
-// Proxies: delay and trickle slow traffic down, reset resets connections, silent drops all
-// traffic, and half drops the traffic from the target to the client.
+// Proxies: delay and trickle slow connections down, reset resets connections and drops
+// datagrams, silent drops all traffic, and half drops the traffic from the target to the client.
 //
 // Store: busy and many respond with 503 and 429, silent never responds, slow responds late,
-// lost executes requests without a response, late executes them late without a response, and
+// lost executes appends without a response, late executes appends late without a response, and
 // forget loses the operator's records.
 //
-// Upstreams: lose executes requests and resets the connection, shed rejects requests without
-// execution, err executes requests with an error, hang never responds, cut truncates responses,
-// double sends a second response, slow takes ten times as long, and untold omits the load.
+// Upstreams: lose executes requests and closes the connection without a response, shed rejects
+// requests without execution, err executes requests and responds with status 500, hang executes
+// requests and never responds, cut truncates responses, double sends a second response, slow
+// takes ten times as long, and untold omits the load.
 //
 // Crash: the upstream restarts with the same-id or a new-id. Replace: the old VM is gone
 // (connections break) or dark (its peer traffic is dropped).
@@ -115,8 +116,8 @@
 	plannedOnlyDivisor = 3
 )
 
-// Draw returns a plan of random faults. The same arguments give the same plan.
-func Draw(seed uint64, vms int, length time.Duration) Plan {
+// RandomPlan returns a plan of random faults. The same arguments give the same plan.
+func RandomPlan(seed uint64, vms int, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := Plan{Seed: seed, VMs: vms, Length: length}
 	at := faultFreeStart
@@ -156,7 +157,7 @@
 	}
 }
 
-// WriteTo writes a plan in the text format of Read.
+// WriteTo writes a plan in the text format of ReadPlan.
 func (p *Plan) WriteTo(w io.Writer) (int64, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "soak %d %d %d\n", p.Seed, p.VMs, p.Length.Milliseconds())
@@ -178,9 +179,9 @@
 	return fmt.Sprintf("plan: line %d is invalid: %q", e.Line, e.Text)
 }
 
-// Read parses a plan. Lines that begin with # are comments. The error is a *PlanError if a
+// ReadPlan parses a plan. Lines that begin with # are comments. The error is a *PlanError if a
 // line is invalid.
-func Read(r io.Reader) (Plan, error) {
+func ReadPlan(r io.Reader) (Plan, error) {
 	var p Plan
 	s := bufio.NewScanner(r)
 	for line := 1; s.Scan(); line++ {
