--- a/cmd/dottereltiller/quarantine.go
+++ b/cmd/dottereltiller/quarantine.go
@@ -26,14 +26,14 @@
 }
 
 func (c *quarantineListCmd) run(ctx context.Context) error {
-	entries, err := operator.ListQuarantined(ctx, c.Admin)
+	records, err := operator.ListQuarantined(ctx, c.Admin)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(entries)
+		return json.NewEncoder(os.Stdout).Encode(records)
 	}
-	operator.WriteQuarantined(os.Stdout, entries)
+	operator.WriteQuarantined(os.Stdout, records)
 	return nil
 }
 
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -204,7 +204,7 @@
 					winner, loser = 1, 0
 				}
 				require.NoError(t, errs[winner])
-				require.Equal(t, config.Accepted, results[winner].Verdict)
+				require.Equal(t, config.Accepted, results[winner].Decision)
 				require.EqualValues(t, 2, results[winner].Version)
 				var superseded *operator.SupersededError
 				require.ErrorAs(t, errs[loser], &superseded)
@@ -301,9 +301,9 @@
 	require.Nil(t, s.Current())
 	view, err := operator.NewView(t.Context(), log)
 	require.NoError(t, err)
-	require.Equal(t, config.Invalid, view.Entries()[0].Verdict)
+	require.Equal(t, config.Invalid, view.Entries()[0].Decision)
 	require.ErrorContains(t, view.Entries()[0].Problem, "dead_line")
-	require.Equal(t, config.Invalid, view.Entries()[1].Verdict)
+	require.Equal(t, config.Invalid, view.Entries()[1].Decision)
 }
 
 // BenchmarkApplyRecords applies 10,000 changes over 77 services with the
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -206,8 +206,8 @@
 	if err != nil {
 		return err
 	}
-	if res.Verdict != config.Accepted {
-		return fmt.Errorf("documents not accepted: verdict %d", res.Verdict)
+	if res.Decision != config.Accepted {
+		return fmt.Errorf("documents not accepted: decision %d", res.Decision)
 	}
 	return nil
 }
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -33,14 +33,16 @@
 
 // Result is the result of publishing a proposal.
 type Result struct {
-	// Verdict is the decision about the change.
-	Verdict config.Decision
+	// Decision is what the state machine decided about the change. It is zero if that is
+	// not known.
+	Decision config.Decision
 	// Version is the version that the change made if it was accepted, otherwise the current
 	// version.
 	Version model.Version
 	// ChangeID is empty if the proposal had no differences and nothing was published.
 	ChangeID string
-	// Changes are the differences to the version on the log.
+	// Changes are the differences to the version that was current when the proposal was
+	// prepared.
 	Changes []Difference
 }
 
@@ -71,17 +73,17 @@
 	}
 	change, diffs, err := prepare(view, p)
 	if err != nil {
-		return Result{Verdict: config.Invalid, Version: view.State().Version}, err
+		return Result{Decision: config.Invalid, Version: view.State().Version}, err
 	}
 	if len(diffs) == 0 {
-		return Result{Verdict: config.Accepted, Version: view.State().Version}, nil
+		return Result{Decision: config.Accepted, Version: view.State().Version}, nil
 	}
 	entry, err := appendAndReadBack(ctx, view, change)
 	if err != nil {
 		return Result{ChangeID: change.ID, Changes: diffs}, err
 	}
-	res := Result{Verdict: entry.Verdict, Version: entry.Version, ChangeID: change.ID, Changes: diffs}
-	switch entry.Verdict {
+	res := Result{Decision: entry.Decision, Version: entry.Version, ChangeID: change.ID, Changes: diffs}
+	switch entry.Decision {
 	case config.Accepted:
 		return res, nil
 	case config.Superseded:
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -22,16 +22,16 @@
 
 // ListQuarantined queries a daemon at its admin address for the requests that are suspected
 // of crashing upstreams, or refused because they do.
-func ListQuarantined(ctx context.Context, admin string) ([]store.Entry, error) {
+func ListQuarantined(ctx context.Context, admin string) ([]store.ListedRecord, error) {
 	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
 		return nil, err
 	}
-	var entries []store.Entry
-	if err := json.Unmarshal(body, &entries); err != nil {
+	var records []store.ListedRecord
+	if err := json.Unmarshal(body, &records); err != nil {
 		return nil, fmt.Errorf("daemon %s: %w", admin, err)
 	}
-	return entries, nil
+	return records, nil
 }
 
 // ReleaseQuarantined removes a request from the quarantine. The daemon relays the release to
@@ -75,19 +75,19 @@
 	return body, nil
 }
 
-// WriteQuarantined prints entries as a table.
-func WriteQuarantined(w io.Writer, entries []store.Entry) {
+// WriteQuarantined prints the records of a quarantine as a table.
+func WriteQuarantined(w io.Writer, records []store.ListedRecord) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "fingerprint\tstate\tservice\tcaller\tdeaths\tuntil\trequest")
-	for _, e := range entries {
+	for _, r := range records {
 		state, until := "suspected", "-"
 		switch {
-		case e.Refused:
-			state, until = "refused", time.UnixMilli(e.Until).UTC().Format(time.RFC3339)
-		case len(e.Crashes) == 0:
+		case r.Refused:
+			state, until = "refused", time.UnixMilli(r.Until).UTC().Format(time.RFC3339)
+		case len(r.Crashes) == 0:
 			state = "cleared"
 		}
-		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Fingerprint, state, e.Service, callerLabel(e.Caller), len(e.Crashes), until, e.Request)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", r.Fingerprint, state, r.Service, callerLabel(r.Caller), len(r.Crashes), until, r.Request)
 	}
 	_ = t.Flush()
 }
--- a/operator/view.go
+++ b/operator/view.go
@@ -14,11 +14,11 @@
 // HistoryEntry is one change on the log and how it was decided.
 type HistoryEntry struct {
 	Offset uint64
-	// Verdict is the decision of the state machine. Version is the current version after
-	// it.
-	Verdict config.Decision
-	Version model.Version
-	Change  config.Change
+	// Decision is what the state machine decided about the change. Version is the current
+	// version after that.
+	Decision config.Decision
+	Version  model.Version
+	Change   config.Change
 	// Problem states why the change is invalid. It is nil for other changes.
 	Problem error
 }
@@ -85,7 +85,7 @@
 	res := v.stateMachine.ApplyRecord(uint64(r.Offset), r.Data)
 	if res.Change != nil {
 		v.entries = append(v.entries, HistoryEntry{
-			Offset: uint64(r.Offset), Verdict: res.Decision, Version: res.Version,
+			Offset: uint64(r.Offset), Decision: res.Decision, Version: res.Version,
 			Change: *res.Change, Problem: res.Problem,
 		})
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-// restoreCheckpoint restores the state machine from the first checkpoint at or after oldest that
-// covers all records before oldest. It returns ErrNoCheckpoint if there is none.
+// restoreCheckpoint restores the state machine from the first checkpoint at or after oldest
+// that covers all records before oldest. It returns ErrNoCheckpoint if there is none.
 func (v *View) restoreCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
 		batch, err := v.log.Read(ctx, recordlog.StreamConfig, from, maxRecordsPerRead)
@@ -119,7 +119,7 @@
 // the first record was decided; later ones are duplicates.
 func (v *View) findChange(id string) (HistoryEntry, bool) {
 	for _, e := range v.entries {
-		if e.Change.ID == id && e.Verdict != config.Duplicate {
+		if e.Change.ID == id && e.Decision != config.Duplicate {
 			return e, true
 		}
 	}
@@ -129,7 +129,7 @@
 // changeOfVersion returns the change that created a version.
 func (v *View) changeOfVersion(version model.Version) (HistoryEntry, bool) {
 	for _, e := range v.entries {
-		if e.Verdict == config.Accepted && e.Version == version {
+		if e.Decision == config.Accepted && e.Version == version {
 			return e, true
 		}
 	}
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -244,7 +244,7 @@
 	c.t.Helper()
 	res, err := operator.Publish(c.t.Context(), recordlog.NewClient(c.logAddr), "proctest", docs)
 	require.NoError(c.t, err)
-	require.Equal(c.t, config.Accepted, res.Verdict)
+	require.Equal(c.t, config.Accepted, res.Decision)
 	return uint64(res.Version)
 }
 
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -14,7 +14,8 @@
 // Each summary covers a span of fingerprints: it holds the first and the last
 // one, and a hash of each record in between. The receiver of a summary sends
 // the records that the sender lacks, and requests those that it lacks itself.
-// So the traffic is proportional to the difference of the tables.
+// So the traffic is proportional to the difference of the tables. The letters
+// are part of the wire format and therefore do not follow the names.
 const (
 	kindDigest        = 'o'
 	kindInSync        = 'a'
@@ -39,8 +40,9 @@
 
 func prefixOf(f quarantine.Fingerprint) fingerprintPrefix { return fingerprintPrefix(f[:prefixBytes]) }
 
-// Opening returns the message that starts anti-entropy with another daemon.
-func (s *Store) Opening() []byte {
+// DigestMessage returns the message that starts anti-entropy with another
+// daemon: the checksum of the whole table.
+func (s *Store) DigestMessage() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return binary.BigEndian.AppendUint64([]byte{kindDigest}, s.checksum())
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -42,7 +42,7 @@
 	}
 	if g.antiEntropyDue(now) {
 		if m, ok := g.Selector.AntiEntropyPeer(g.Members()); ok {
-			g.Send(m.Address, g.Store.Opening())
+			g.Send(m.Address, g.Store.DigestMessage())
 		}
 	}
 }
@@ -95,7 +95,7 @@
 
 // SendDigest starts anti-entropy with one daemon, for example with the first
 // one that a starting daemon reaches.
-func (g *Gossip) SendDigest(address string) { g.Send(address, g.Store.Opening()) }
+func (g *Gossip) SendDigest(address string) { g.Send(address, g.Store.DigestMessage()) }
 
 // Receive handles a message of another daemon and sends the replies.
 func (g *Gossip) Receive(from string, message []byte) {
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -103,10 +103,10 @@
 }
 
 // RecordCrash records that an upstream crashed while it ran a request.
-func (s *Store) RecordCrash(f quarantine.Fingerprint, r quarantine.Request, d quarantine.Crash) {
+func (s *Store) RecordCrash(f quarantine.Fingerprint, r quarantine.Request, c quarantine.Crash) {
 	s.crashes.Inc(1)
 	s.update(func(now int64) {
-		s.table.RecordCrash(now, f, r, d)
+		s.table.RecordCrash(now, f, r, c)
 		s.newCrash = true
 	})
 }
@@ -124,8 +124,8 @@
 	return known
 }
 
-// Entry is one record as operators see it.
-type Entry struct {
+// ListedRecord is a record of the table as listed for operators.
+type ListedRecord struct {
 	quarantine.Record
 	// Refused is set while all daemons refuse the request. Otherwise the
 	// request is only suspected.
@@ -133,14 +133,14 @@
 }
 
 // List returns all records, newest first.
-func (s *Store) List() []Entry {
+func (s *Store) List() []ListedRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	records := s.table.List()
-	out := make([]Entry, 0, len(records))
+	out := make([]ListedRecord, 0, len(records))
 	for _, r := range records {
-		out = append(out, Entry{Record: r, Refused: r.Refused(now)})
+		out = append(out, ListedRecord{Record: r, Refused: r.Refused(now)})
 	}
 	return out
 }
@@ -182,7 +182,8 @@
 	}
 }
 
-// logChanges logs each request that is newly refused or no longer refused.
+// logChanges logs each request that is newly refused or no longer refused. s.mu
+// is held.
 func (s *Store) logChanges(now int64) {
 	refused := make(map[quarantine.Fingerprint]bool)
 	for _, r := range s.table.List() {
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -27,7 +27,7 @@
 		kindRecordPush: packRecords(others[:1])[0], kindRelayedRecords: packRecords(others)[0], kindMissingRecords: packRecords(others)[0],
 		kindHeartbeat: append([]byte{1}, "127.0.0.1:9"...), kindDigest: digestOf(others).encode(),
 		kindSummary:       newSummary(others, []int{0, 1, 2, bucketOf(others[0].Address)}).encode(),
-		kindRecordRequest: encodeRecordRequest([]uint32{1, addressHash(o.Addresses.Peers)}), kindSuspects: d.quarantine.store.Opening(),
+		kindRecordRequest: encodeRecordRequest([]uint32{1, addressHash(o.Addresses.Peers)}), kindSuspects: d.quarantine.store.DigestMessage(),
 	}
 	for kind, body := range bodies {
 		f.Add(append(append([]byte{kind}, make([]byte, datagramHeaderBytes-1)...), body...))
