--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -92,9 +92,9 @@
 }
 
 // TryAcquire admits a request of a group at a service, or refuses it. If ok is
-// true, leave must be called when the request has ended. Otherwise wait is the
-// Retry-After value for the caller.
-func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (leave func(), wait time.Duration, ok bool) {
+// true, release must be called when the request has ended. Otherwise wait is
+// the Retry-After value for the caller.
+func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (release func(), wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.ceilings[ceiling.Key{Service: service, Group: group}]
--- a/ceiling/store_test.go
+++ b/ceiling/store_test.go
@@ -42,9 +42,9 @@
 		for range requests / 4 {
 			f.now = f.now.Add(time.Second / time.Duration(requests))
 			for _, s := range f.stores {
-				if leave, _, ok := s.TryAcquire("s", "g"); ok {
+				if release, _, ok := s.TryAcquire("s", "g"); ok {
 					admitted++
-					leave()
+					release()
 				}
 			}
 		}
@@ -82,9 +82,9 @@
 
 func TestGroupWithoutCeilingIsNotLimited(t *testing.T) {
 	s := newFleet(1, ceiling.Limits{Rate: 1e-9}).stores[0]
-	leave, _, ok := s.TryAcquire("s", "other")
+	release, _, ok := s.TryAcquire("s", "other")
 	require.True(t, ok)
-	leave()
+	release()
 	_, _, ok = s.TryAcquire("s", "g")
 	require.True(t, ok, "the first request is admitted")
 	_, wait, ok := s.TryAcquire("s", "g")
--- a/configuration/metrics.go
+++ b/configuration/metrics.go
@@ -30,9 +30,9 @@
 		compileErrors:      s.Counter("versions_unusable"),
 		version:            s.Gauge("version"),
 	}
-	for v := range m.decisions {
-		name := config.Decision(v).String()
-		m.decisions[v] = s.Tagged(map[string]string{"verdict": name}).Counter("records")
+	for d := range m.decisions {
+		name := config.Decision(d).String()
+		m.decisions[d] = s.Tagged(map[string]string{"verdict": name}).Counter("records")
 	}
 	return m
 }
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -322,9 +322,9 @@
 		},
 		"a truncated response": {
 			first: func() *wire.Result {
-				a := textResult("")
-				a.Body, a.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader("half"), failingReader{})), 8
-				return a
+				result := textResult("")
+				result.Body, result.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader("half"), failingReader{})), 8
+				return result
 			},
 			want: outcome.UnknownBecause(outcome.ReasonTruncated), second: outcome.UnknownBecause(outcome.ReasonKeyOutcome), runs: 1,
 		},
@@ -333,9 +333,9 @@
 			var once sync.Once
 			d.setHandler(func(c *wire.Call) *wire.Result {
 				d.count(c)
-				a := textResult("second")
-				once.Do(func() { a = tc.first() })
-				return a
+				result := textResult("second")
+				once.Do(func() { result = tc.first() })
+				return result
 			})
 			key := d.keyOwnedBy(d.nodes[1])
 			r := d.nodes[0].submit(key, "", "x", testTimeout)
@@ -355,10 +355,10 @@
 func TestTruncatedLargeResponseReturnsError(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	d.setHandler(func(*wire.Call) *wire.Result {
-		a := textResult("")
-		a.Body = io.NopCloser(io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failingReader{}))
-		a.ContentLength = 200 << 10
-		return a
+		result := textResult("")
+		result.Body = io.NopCloser(io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failingReader{}))
+		result.ContentLength = 200 << 10
+		return result
 	})
 	for _, node := range d.nodes {
 		key := d.keyOwnedBy(d.nodes[1])
--- a/owner/route.go
+++ b/owner/route.go
@@ -29,8 +29,8 @@
 	return retryTimeouts{ownerLost: 2 * time.Second, unassigned: time.Second}
 }
 
-// maxSuspects bounds the number of suspected owners that are remembered.
-const maxSuspects = 1024
+// maxSuspectedOwners bounds the number of suspected owners that are remembered.
+const maxSuspectedOwners = 1024
 
 // Submit sends a keyed call with its body to the owner of the key and returns
 // the result. It retries while the owner is moving or unreachable, which is
@@ -202,7 +202,7 @@
 			delete(s.suspectedOwners, suspected)
 		}
 	}
-	if len(s.suspectedOwners) < maxSuspects {
+	if len(s.suspectedOwners) < maxSuspectedOwners {
 		s.suspectedOwners[incarnation] = time.Now()
 	}
 }
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -136,8 +136,8 @@
 // outcomeOf returns the outcome for a decision by which a submission is neither
 // executed nor gets a response. Only claims.Full proves that the key has not
 // been executed.
-func outcomeOf(v claims.Decision) outcome.Outcome {
-	switch v {
+func outcomeOf(d claims.Decision) outcome.Outcome {
+	switch d {
 	case claims.Full:
 		return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonQueueFull, RetryAfter: retryAfter}
 	case claims.NotOwner:
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -52,37 +52,37 @@
 )
 
 func newTestNetwork(daemons int) *testNetwork {
-	m := &testNetwork{now: time.UnixMilli(1_000_000), rng: rand.New(rand.NewPCG(1, uint64(daemons))), byName: make(map[string]*testDaemon)}
+	network := &testNetwork{now: time.UnixMilli(1_000_000), rng: rand.New(rand.NewPCG(1, uint64(daemons))), byName: make(map[string]*testDaemon)}
 	for i := range daemons {
-		m.add(i)
+		network.add(i)
 	}
-	return m
+	return network
 }
 
-func (m *testNetwork) add(i int) {
+func (network *testNetwork) add(i int) {
 	d := &testDaemon{name: fmt.Sprint("d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
 	d.Gossip = &Gossip{
 		Store: NewStore(Options{
 			Rule:      func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Crashes: 3, Duration: time.Minute} },
-			WallClock: func() time.Time { return m.now },
+			WallClock: func() time.Time { return network.now },
 			Logger:    slog.New(slog.DiscardHandler),
 		}),
-		Selector:        gossip.PeerSelector{Zone: d.zone, RandIntN: m.rng.IntN},
+		Selector:        gossip.PeerSelector{Zone: d.zone, RandIntN: network.rng.IntN},
 		MaxMessageBytes: maxTestMessageBytes,
-		Members:         func() []gossip.Member { return m.others(d) },
-		Send:            func(to string, message []byte) { m.send(d, m.byName[to], message) },
+		Members:         func() []gossip.Member { return network.others(d) },
+		Send:            func(to string, message []byte) { network.send(d, network.byName[to], message) },
 	}
-	m.daemons = append(m.daemons, d)
-	m.byName[d.name] = d
+	network.daemons = append(network.daemons, d)
+	network.byName[d.name] = d
 }
 
 // others returns all daemons except d.
-func (m *testNetwork) others(d *testDaemon) []gossip.Member {
-	if len(d.others) == len(m.daemons)-1 {
+func (network *testNetwork) others(d *testDaemon) []gossip.Member {
+	if len(d.others) == len(network.daemons)-1 {
 		return d.others
 	}
 	d.others = nil
-	for _, o := range m.daemons {
+	for _, o := range network.daemons {
 		if o != d {
 			d.others = append(d.others, gossip.Member{Address: o.name, Zone: o.zone})
 		}
@@ -90,50 +90,50 @@
 	return d.others
 }
 
-func (m *testNetwork) send(from, to *testDaemon, message []byte) {
+func (network *testNetwork) send(from, to *testDaemon, message []byte) {
 	from.sentBytes += len(message)
-	m.sentBytes += len(message)
-	m.maxSentBytes = max(m.maxSentBytes, from.sentBytes)
+	network.sentBytes += len(message)
+	network.maxSentBytes = max(network.maxSentBytes, from.sentBytes)
 	if from.zone != to.zone {
-		m.crossZoneBytes += len(message)
+		network.crossZoneBytes += len(message)
 	}
-	separated := from.zone != to.zone && (from.zone == m.partitioned || to.zone == m.partitioned)
-	if !separated && m.rng.Float64() >= m.lossRate {
-		m.inTransit = append(m.inTransit, datagram{from: from, to: to, message: message})
+	separated := from.zone != to.zone && (from.zone == network.partitioned || to.zone == network.partitioned)
+	if !separated && network.rng.Float64() >= network.lossRate {
+		network.inTransit = append(network.inTransit, datagram{from: from, to: to, message: message})
 	}
 }
 
 // advance advances the clock step by step, delivering messages and calling
 // Tick.
-func (m *testNetwork) advance(d time.Duration) {
-	for end := m.now.Add(d); m.now.Before(end); {
-		m.now = m.now.Add(step)
-		arrived := m.inTransit
-		m.inTransit = nil
+func (network *testNetwork) advance(d time.Duration) {
+	for end := network.now.Add(d); network.now.Before(end); {
+		network.now = network.now.Add(step)
+		arrived := network.inTransit
+		network.inTransit = nil
 		for _, p := range arrived {
 			p.to.Receive(p.from.name, p.message)
 		}
-		for _, d := range m.daemons {
-			if d.Store.HasRecords() && m.now.UnixMilli()%100 == 0 {
+		for _, d := range network.daemons {
+			if d.Store.HasRecords() && network.now.UnixMilli()%100 == 0 {
 				d.Store.update(d.Store.evaluate)
 			}
-			d.Tick(model.Instant(m.now.UnixNano()))
+			d.Tick(model.Instant(network.now.UnixNano()))
 		}
 	}
 }
 
-func (m *testNetwork) resetCounters() {
-	m.sentBytes, m.crossZoneBytes, m.maxSentBytes = 0, 0, 0
-	for _, d := range m.daemons {
+func (network *testNetwork) resetCounters() {
+	network.sentBytes, network.crossZoneBytes, network.maxSentBytes = 0, 0, 0
+	for _, d := range network.daemons {
 		d.sentBytes = 0
 	}
 }
 
 // countRefusing returns how many daemons, of one zone or of all, refuse a
 // request.
-func (m *testNetwork) countRefusing(target string, zone model.AvailabilityZone) int {
+func (network *testNetwork) countRefusing(target string, zone model.AvailabilityZone) int {
 	n := 0
-	for _, d := range m.daemons {
+	for _, d := range network.daemons {
 		if d.Store.refusesTarget(target) && (zone == "" || d.zone == zone) {
 			n++
 		}
@@ -143,27 +143,27 @@
 
 // crashThreeUpstreams has a request crash three upstreams at daemons that are
 // stride positions apart, one a second.
-func (m *testNetwork) crashThreeUpstreams(target string, stride int) {
+func (network *testNetwork) crashThreeUpstreams(target string, stride int) {
 	for i := range 3 {
-		m.daemons[(stride*i+1)%len(m.daemons)].Store.recordTestCrash(target, i)
-		m.advance(time.Second)
+		network.daemons[(stride*i+1)%len(network.daemons)].Store.recordTestCrash(target, i)
+		network.advance(time.Second)
 	}
 }
 
 // crashManyUpstreams crashes many upstreams at once, each while it runs several
 // requests. All of these requests receive a response elsewhere 500 ms later.
-func (m *testNetwork) crashManyUpstreams(upstreams int) {
+func (network *testNetwork) crashManyUpstreams(upstreams int) {
 	const requests = 4
 	for i := range upstreams {
 		for j := range requests {
-			m.daemons[i%len(m.daemons)].Store.recordTestCrash(fmt.Sprintf("/crash/%d/%d", i, j), 1000+i)
+			network.daemons[i%len(network.daemons)].Store.recordTestCrash(fmt.Sprintf("/crash/%d/%d", i, j), 1000+i)
 		}
 	}
-	m.advance(500 * time.Millisecond)
+	network.advance(500 * time.Millisecond)
 	for i := range upstreams {
 		for j := range requests {
 			f := quarantine.FingerprintOf(newRequest(fmt.Sprintf("/crash/%d/%d", i, j)))
-			m.daemons[(3*i+j)%len(m.daemons)].Store.RecordResponse(f)
+			network.daemons[(3*i+j)%len(network.daemons)].Store.RecordResponse(f)
 		}
 	}
 }
@@ -171,11 +171,11 @@
 func TestCrashingRequestIsRefusedByAllWithinTwoSeconds(t *testing.T) {
 	for _, n := range []int{2, 10, 100, 300} {
 		t.Run(fmt.Sprint(n, " daemons"), func(t *testing.T) {
-			m := newTestNetwork(n)
-			m.lossRate = 0.02
-			m.crashThreeUpstreams("/crashing", 7)
-			m.advance(time.Second)
-			require.Equal(t, n, m.countRefusing("/crashing", ""))
+			network := newTestNetwork(n)
+			network.lossRate = 0.02
+			network.crashThreeUpstreams("/crashing", 7)
+			network.advance(time.Second)
+			require.Equal(t, n, network.countRefusing("/crashing", ""))
 		})
 	}
 }
@@ -185,28 +185,28 @@
 // requests that merely ran at an upstream that crashed.
 func TestCrashingRequestIsRefusedDuringMassCrash(t *testing.T) {
 	const daemons = 300
-	m := newTestNetwork(daemons)
-	m.crashManyUpstreams(40)
-	m.crashThreeUpstreams("/crashing", 7)
-	m.advance(time.Second)
-	require.Equal(t, daemons, m.countRefusing("/crashing", ""))
+	network := newTestNetwork(daemons)
+	network.crashManyUpstreams(40)
+	network.crashThreeUpstreams("/crashing", 7)
+	network.advance(time.Second)
+	require.Equal(t, daemons, network.countRefusing("/crashing", ""))
 }
 
 // TestReconnectedZoneLearnsOfQuarantine quarantines a request while a zone is
 // partitioned from the others.
 func TestReconnectedZoneLearnsOfQuarantine(t *testing.T) {
 	const daemons = 100
-	m := newTestNetwork(daemons)
-	m.partitioned = "z0"
-	m.crashThreeUpstreams("/crashing", zones)
-	m.advance(30 * time.Second)
-	require.Equal(t, daemons-daemons/zones, m.countRefusing("/crashing", ""))
-	m.partitioned = ""
-	for _, d := range m.daemons {
+	network := newTestNetwork(daemons)
+	network.partitioned = "z0"
+	network.crashThreeUpstreams("/crashing", zones)
+	network.advance(30 * time.Second)
+	require.Equal(t, daemons-daemons/zones, network.countRefusing("/crashing", ""))
+	network.partitioned = ""
+	for _, d := range network.daemons {
 		d.ResetAntiEntropy() // as when the daemon reaches others again
 	}
-	m.advance(2 * time.Second)
-	require.Equal(t, daemons, m.countRefusing("/crashing", ""))
+	network.advance(2 * time.Second)
+	require.Equal(t, daemons, network.countRefusing("/crashing", ""))
 }
 
 // TestBytesSentGrowWithChanges crashes many upstreams at once. The bytes that a
@@ -221,12 +221,12 @@
 	)
 	crossZoneBytes := make(map[int]int)
 	for _, n := range []int{10, 100, 300, 1000} {
-		m := newTestNetwork(n)
-		m.crashManyUpstreams(upstreams)
-		m.advance(seconds * time.Second)
-		require.LessOrEqual(t, m.maxSentBytes, seconds*maxBytesPerSecond, "%d daemons", n)
-		crossZoneBytes[n] = m.crossZoneBytes
-		t.Logf("%d daemons: %d bytes sent by each on average, %d at most, %d between zones in total", n, m.sentBytes/n, m.maxSentBytes, m.crossZoneBytes)
+		network := newTestNetwork(n)
+		network.crashManyUpstreams(upstreams)
+		network.advance(seconds * time.Second)
+		require.LessOrEqual(t, network.maxSentBytes, seconds*maxBytesPerSecond, "%d daemons", n)
+		crossZoneBytes[n] = network.crossZoneBytes
+		t.Logf("%d daemons: %d bytes sent by each on average, %d at most, %d between zones in total", n, network.sentBytes/n, network.maxSentBytes, network.crossZoneBytes)
 	}
 	require.Less(t, crossZoneBytes[1000]/1000, crossZoneBytes[10]/10, "bytes between zones for each daemon")
 }
@@ -240,46 +240,46 @@
 		// that the tables are equal; doubled for random variation.
 		maxIdleBytes = 2 * daemons * (1 + digestBytes + 1)
 	)
-	m := newTestNetwork(daemons)
-	m.crashManyUpstreams(30)
-	m.advance(30 * time.Second)
-	m.resetCounters()
-	m.advance(10 * time.Second)
-	require.LessOrEqual(t, m.sentBytes, maxIdleBytes)
-	require.Positive(t, m.sentBytes)
-	for _, d := range m.daemons {
-		require.Equal(t, m.daemons[0].Store.Digest(), d.Store.Digest())
+	network := newTestNetwork(daemons)
+	network.crashManyUpstreams(30)
+	network.advance(30 * time.Second)
+	network.resetCounters()
+	network.advance(10 * time.Second)
+	require.LessOrEqual(t, network.sentBytes, maxIdleBytes)
+	require.Positive(t, network.sentBytes)
+	for _, d := range network.daemons {
+		require.Equal(t, network.daemons[0].Store.Digest(), d.Store.Digest())
 	}
 }
 
 // TestNewDaemonLearnsOfQuarantine starts a daemon that sends its digest to one
 // other daemon.
 func TestNewDaemonLearnsOfQuarantine(t *testing.T) {
-	m := newTestNetwork(20)
-	m.crashThreeUpstreams("/crashing", 7)
-	m.advance(30 * time.Second)
-	m.add(20)
-	m.daemons[20].SendDigest("d3")
-	m.advance(100 * time.Millisecond)
-	require.Equal(t, 21, m.countRefusing("/crashing", ""))
+	network := newTestNetwork(20)
+	network.crashThreeUpstreams("/crashing", 7)
+	network.advance(30 * time.Second)
+	network.add(20)
+	network.daemons[20].SendDigest("d3")
+	network.advance(100 * time.Millisecond)
+	require.Equal(t, 21, network.countRefusing("/crashing", ""))
 }
 
 // TestFullTablesConverge records more crashes than a table holds.
 func TestFullTablesConverge(t *testing.T) {
-	m := newTestNetwork(5)
+	network := newTestNetwork(5)
 	for i := range 1200 {
-		m.daemons[i%5].Store.recordTestCrash(fmt.Sprint("/", i), i)
+		network.daemons[i%5].Store.recordTestCrash(fmt.Sprint("/", i), i)
 		if i%100 == 0 {
-			m.advance(100 * time.Millisecond)
+			network.advance(100 * time.Millisecond)
 		}
 	}
-	m.advance(40 * time.Second)
-	for _, d := range m.daemons {
-		require.Equal(t, m.daemons[0].Store.Digest(), d.Store.Digest())
+	network.advance(40 * time.Second)
+	for _, d := range network.daemons {
+		require.Equal(t, network.daemons[0].Store.Digest(), d.Store.Digest())
 	}
-	m.resetCounters()
-	m.advance(10 * time.Second)
-	require.Less(t, m.sentBytes, 1000)
+	network.resetCounters()
+	network.advance(10 * time.Second)
+	require.Less(t, network.sentBytes, 1000)
 }
 
 // TestMalformedMessagesAreIgnored requires that a malformed message gets no
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -38,9 +38,9 @@
 	l.limiter.SetLimit(rate.Limit(min(share, maxDaemonAppendsPerSecond)))
 }
 
-// Append implements Log. It waits until the rate limit admits the append. When
-// the context ends before that, it returns an AppendError that is not
-// uncertain: the records have not been appended.
+// Append implements Log. It waits until the rate limit admits the append. If the
+// context ends before that, or its deadline is too near, Append returns an
+// AppendError that is not uncertain: the records have not been appended.
 func (l *RateLimitedLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	if err := l.limiter.Wait(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: errors.Join(ErrRateLimited, err)}
--- a/why/unanswered.go
+++ b/why/unanswered.go
@@ -126,12 +126,12 @@
 
 // WriteText writes the number of requests for each ExecutionCount, then the requests, as
 // text.
-func (l *UnansweredRequests) WriteText(w io.Writer) error {
+func (u *UnansweredRequests) WriteText(w io.Writer) error {
 	requestsByCount := make(map[ExecutionCount]int)
-	for _, r := range l.Requests {
+	for _, r := range u.Requests {
 		requestsByCount[r.Executions]++
 	}
-	_, err := fmt.Fprintf(w, "upstream %s: %d requests that must not run twice got no answer there\n", l.Upstream, len(l.Requests))
+	_, err := fmt.Fprintf(w, "upstream %s: %d requests that must not run twice got no answer there\n", u.Upstream, len(u.Requests))
 	if err != nil {
 		return err
 	}
@@ -140,18 +140,18 @@
 			return err
 		}
 	}
-	for _, r := range l.Requests {
+	for _, r := range u.Requests {
 		_, err := fmt.Fprintf(w, "%s  %-24s %s  ran %s, told %s, upstreams %s\n", r.Time.Format(time.RFC3339Nano), r.Entry, r.Request,
 			r.Executions, r.CallerStatus, strings.Join(r.Upstreams, " "))
 		if err != nil {
 			return err
 		}
 	}
-	if l.UnreadableLines > 0 {
-		_, err = fmt.Fprintf(w, "%d lines could not be read\n", l.UnreadableLines)
+	if u.UnreadableLines > 0 {
+		_, err = fmt.Fprintf(w, "%d lines could not be read\n", u.UnreadableLines)
 	}
 	return err
 }
 
 // WriteJSON writes the requests as one JSON object.
-func (l *UnansweredRequests) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(l) }
+func (u *UnansweredRequests) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(u) }
