--- a/controltest/race_test.go
+++ b/controltest/race_test.go
@@ -5,7 +5,7 @@
 // Fleet sizes and the number of samples are smaller under the race detector,
 // which takes several times as long.
 const (
-	medium  = 20
-	largest = 40
-	samples = 200
+	mediumFleet  = 20
+	largestFleet = 40
+	samples      = 200
 )
