--- a/demo/demo.go
+++ b/demo/demo.go
@@ -90,11 +90,11 @@
 	}
 	seen := newObserver()
 	before, began := measured(c), time.Now()
-	figures, err := load.Run(ctx, plan, load.Options{Observe: seen.observe})
+	loadResult, err := load.Run(ctx, plan, load.Options{Observe: seen.observe})
 	if err != nil {
 		return nil, err
 	}
-	res := newResult(figures, shares(c, before, time.Since(began)))
+	res := newResult(loadResult, shares(c, before, time.Since(began)))
 	res.Violations = append(res.Violations, res.checkVersions(c)...)
 	c.Stop()
 	res.Violations = append(res.Violations, seen.violations(runsOf(c))...)
--- a/demo/result.go
+++ b/demo/result.go
@@ -12,7 +12,7 @@
 
 // GroupResult is what one group saw.
 type GroupResult struct {
-	load.Figures
+	load.Stats
 	// MeasuringShare is the part of the service's capacity that measuring its
 	// load took.
 	MeasuringShare float64 `json:"measuring_share"`
@@ -21,24 +21,24 @@
 // Result is the outcome of a run.
 type Result struct {
 	Groups []GroupResult `json:"groups"`
-	Total  load.Figures  `json:"total"`
+	Total  load.Stats    `json:"total"`
 	// Violations lists the invariants that did not hold.
 	Violations []string `json:"violations"`
 	// VersionInForce is the configuration version in force in every zone.
 	VersionInForce model.Version `json:"version_in_force"`
 }
 
-func newResult(f *load.Result, measuring map[model.ServiceName]float64) *Result {
-	r := &Result{Total: f.Total, Violations: []string{}}
+func newResult(loadResult *load.Result, measuring map[model.ServiceName]float64) *Result {
+	r := &Result{Total: loadResult.Total, Violations: []string{}}
 	r.Total.Series = nil
-	for _, g := range f.Groups {
+	for _, g := range loadResult.Groups {
 		g.Series = nil
-		r.Groups = append(r.Groups, GroupResult{Figures: g, MeasuringShare: measuring[g.Service]})
+		r.Groups = append(r.Groups, GroupResult{Stats: g, MeasuringShare: measuring[g.Service]})
 	}
-	for _, wrong := range f.WrongAnswers {
+	for _, wrong := range loadResult.WrongAnswers {
 		r.Violations = append(r.Violations, "wrong answer to request "+wrong)
 	}
-	if missing := f.Wrong - int64(len(f.WrongAnswers)); missing > 0 {
+	if missing := loadResult.Wrong - int64(len(loadResult.WrongAnswers)); missing > 0 {
 		r.Violations = append(r.Violations, fmt.Sprintf("%d more wrong answers", missing))
 	}
 	return r
--- a/load/collector.go
+++ b/load/collector.go
@@ -50,7 +50,7 @@
 
 // groupCollector accumulates the samples of one group.
 type groupCollector struct {
-	stats    Figures
+	stats    Stats
 	latency  *latency.Histogram
 	slotTime time.Duration
 	points   []*pointCollector
@@ -137,13 +137,13 @@
 func (c *collector) progress(elapsed time.Duration, inFlight int) Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.total.stats
+	stats := c.total.stats
 	return Progress{
 		Elapsed:  elapsed,
-		Requests: f.Requests,
-		Answered: f.Answered,
-		NotRun:   f.NotRun,
-		Unknown:  f.Unknown,
+		Requests: stats.Requests,
+		Answered: stats.Answered,
+		NotRun:   stats.NotRun,
+		Unknown:  stats.Unknown,
 		InFlight: inFlight,
 		P99:      time.Duration(c.total.latency.Percentiles().P99) * time.Microsecond,
 	}
@@ -160,7 +160,7 @@
 		DurationMs:   time.Duration(p.Duration).Milliseconds(),
 		Seed:         p.Seed,
 		Total:        c.total.summarize(c.total.slotTime),
-		Groups:       []Figures{},
+		Groups:       []Stats{},
 		SendLagP99Us: c.sendLag.Percentiles().P99,
 		Held:         c.held,
 		Wrong:        c.wrongCount,
@@ -169,7 +169,7 @@
 	for k, g := range c.groups {
 		r.Groups = append(r.Groups, g.summarize(serviceSlotTime[k.service]))
 	}
-	slices.SortFunc(r.Groups, func(a, b Figures) int {
+	slices.SortFunc(r.Groups, func(a, b Stats) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Group, b.Group))
 	})
 	return r
@@ -177,7 +177,7 @@
 
 // summarize computes the results of the group. The argument is the slot time of
 // the whole service.
-func (g *groupCollector) summarize(serviceSlotTime time.Duration) Figures {
+func (g *groupCollector) summarize(serviceSlotTime time.Duration) Stats {
 	stats := g.stats
 	stats.Latency = g.latency.Percentiles()
 	if serviceSlotTime > 0 {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -223,7 +223,7 @@
 // that replay results lack, because package report reads both.
 func TestResultFieldsMatchReplay(t *testing.T) {
 	var loadFields, replayFields map[string]any
-	for to, v := range map[*map[string]any]any{&loadFields: Figures{}, &replayFields: replay.Stats{}} {
+	for to, v := range map[*map[string]any]any{&loadFields: Stats{}, &replayFields: replay.Stats{}} {
 		data, err := json.Marshal(v)
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal(data, to))
--- a/load/result.go
+++ b/load/result.go
@@ -15,8 +15,8 @@
 // Latency holds latency percentiles in microseconds.
 type Latency = latency.Percentiles
 
-// Figures are the results of a run for one group of a service, or in total.
-type Figures struct {
+// Stats are the results of a run for one group of a service, or in total.
+type Stats struct {
 	// Service and Group are empty in the total.
 	Service  model.ServiceName `json:"service,omitempty"`
 	Group    model.GroupName   `json:"group,omitempty"`
@@ -49,10 +49,10 @@
 
 // Result is the result of a run.
 type Result struct {
-	DurationMs int64     `json:"duration_ms"`
-	Seed       uint64    `json:"seed"`
-	Total      Figures   `json:"total"`
-	Groups     []Figures `json:"groups"`
+	DurationMs int64   `json:"duration_ms"`
+	Seed       uint64  `json:"seed"`
+	Total      Stats   `json:"total"`
+	Groups     []Stats `json:"groups"`
 	// SendLagP99Us is the p99 of the time from when a request was due until it
 	// was sent. Latencies include this time.
 	SendLagP99Us int64 `json:"send_lag_p99_us"`
@@ -87,8 +87,8 @@
 func (r *Result) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, "service\tgroup\trequests\tanswered\tnot run\tunknown\tp50 ms\tp99 ms\tp99.9 ms\tmax ms\tslot time\t")
-	for _, f := range r.Groups {
-		printRow(t, string(f.Service), string(f.Group), f)
+	for _, stats := range r.Groups {
+		printRow(t, string(stats.Service), string(stats.Group), stats)
 	}
 	printRow(t, "all", "", r.Total)
 	if err := t.Flush(); err != nil {
@@ -102,9 +102,10 @@
 	return err
 }
 
-func printRow(w io.Writer, service, group string, f Figures) {
+func printRow(w io.Writer, service, group string, stats Stats) {
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f%%\t\n", service, group,
-		f.Requests, f.Answered, f.NotRun, f.Unknown, ms(f.P50), ms(f.P99), ms(f.P999), ms(f.Max), 100*f.SlotTimeShare)
+		stats.Requests, stats.Answered, stats.NotRun, stats.Unknown,
+		ms(stats.P50), ms(stats.P99), ms(stats.P999), ms(stats.Max), 100*stats.SlotTimeShare)
 }
 
 func ms(us int64) float64 { return float64(us) / 1000 }
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -33,8 +33,8 @@
 	}
 	r.Total.Ideal = total.Percentiles()
 	for i := range r.Groups {
-		f := &r.Groups[i]
-		f.Ideal = groups[groupKey{f.Service, f.Group}].Percentiles()
+		stats := &r.Groups[i]
+		stats.Ideal = groups[groupKey{stats.Service, stats.Group}].Percentiles()
 	}
 }
 
--- a/report/plots.go
+++ b/report/plots.go
@@ -64,18 +64,18 @@
 	p.NominalX("p50", "p99", "p99.9", "max")
 	drawn := 0
 	for _, r := range results {
-		f, ok := r.statsOf(k)
-		if !ok || f.P50 <= 0 {
+		stats, ok := r.statsOf(k)
+		if !ok || stats.P50 <= 0 {
 			continue
 		}
-		if err := addLine(p, percentilesOf(f.Latency), drawn, r.Label); err != nil {
+		if err := addLine(p, percentilesOf(stats.Latency), drawn, r.Label); err != nil {
 			return nil, err
 		}
 		drawn++
-		if f.Ideal.P50 <= 0 {
+		if stats.Ideal.P50 <= 0 {
 			continue
 		}
-		if err := addLine(p, percentilesOf(f.Ideal), drawn, r.Label+" (bound)"); err != nil {
+		if err := addLine(p, percentilesOf(stats.Ideal), drawn, r.Label+" (bound)"); err != nil {
 			return nil, err
 		}
 		drawn++
@@ -104,9 +104,9 @@
 	p := newPlot(k.String()+": p99 of the requests due in each second", "s", "ms")
 	drawn := 0
 	for _, r := range results {
-		f, _ := r.statsOf(k)
+		stats, _ := r.statsOf(k)
 		var points plotter.XYs
-		for _, point := range f.Series {
+		for _, point := range stats.Series {
 			if point.P99 > 0 {
 				points = append(points, plotter.XY{X: seconds(point), Y: milliseconds(point.P99)})
 			}
@@ -135,12 +135,12 @@
 	p.Y.Min, p.Y.Max = 0, 100
 	totals := slotTimes(r, s)
 	drawn := 0
-	for _, f := range r.Groups {
-		if f.Service != s || len(f.Series) == 0 {
+	for _, stats := range r.Groups {
+		if stats.Service != s || len(stats.Series) == 0 {
 			continue
 		}
 		var points plotter.XYs
-		for _, point := range f.Series {
+		for _, point := range stats.Series {
 			if total := totals[point.AtMs]; total > 0 {
 				points = append(points, plotter.XY{X: seconds(point), Y: 100 * float64(point.SlotTimeUs) / float64(total)})
 			}
@@ -148,7 +148,7 @@
 		if len(points) == 0 {
 			continue
 		}
-		if err := addLine(p, points, drawn, string(f.Group)); err != nil {
+		if err := addLine(p, points, drawn, string(stats.Group)); err != nil {
 			return nil, err
 		}
 		drawn++
@@ -163,11 +163,11 @@
 // Point.AtMs.
 func slotTimes(r Result, s model.ServiceName) map[int64]int64 {
 	totals := make(map[int64]int64)
-	for _, f := range r.Groups {
-		if f.Service != s {
+	for _, stats := range r.Groups {
+		if stats.Service != s {
 			continue
 		}
-		for _, point := range f.Series {
+		for _, point := range stats.Series {
 			totals[point.AtMs] += point.SlotTimeUs
 		}
 	}
--- a/report/read.go
+++ b/report/read.go
@@ -23,7 +23,7 @@
 
 // Stats are the results of one group.
 type Stats struct {
-	load.Figures
+	load.Stats
 	// Ideal is the latency of one central queue with perfect knowledge. Only
 	// replays compute it; otherwise it is zero.
 	Ideal load.Latency `json:"ideal"`
@@ -62,9 +62,9 @@
 
 // statsOf returns the results of a group, and whether there are any.
 func (r Result) statsOf(k groupKey) (Stats, bool) {
-	for _, f := range r.Groups {
-		if f.Service == k.service && f.Group == k.group {
-			return f, true
+	for _, stats := range r.Groups {
+		if stats.Service == k.service && stats.Group == k.group {
+			return stats, true
 		}
 	}
 	return Stats{}, false
@@ -74,8 +74,8 @@
 func groupsOf(results []Result) []groupKey {
 	var keys []groupKey
 	for _, r := range results {
-		for _, f := range r.Groups {
-			k := groupKey{f.Service, f.Group}
+		for _, stats := range r.Groups {
+			k := groupKey{stats.Service, stats.Group}
 			if !slices.Contains(keys, k) {
 				keys = append(keys, k)
 			}
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -25,9 +25,9 @@
 
 // loadResult returns a result with two groups whose p99 latency is the given one.
 func loadResult(p99 int64) load.Result {
-	groupStats := func(group string, slotTimeUs int64) load.Figures {
+	groupStats := func(group string, slotTimeUs int64) load.Stats {
 		l := load.Latency{P50: 1000, P99: p99, P999: p99 + 1, Max: p99 + 2}
-		return load.Figures{
+		return load.Stats{
 			Service: "sporarkiv", Group: model.GroupName("g" + group), Requests: 10, Answered: 10, Latency: l,
 			Series: []load.Point{
 				{AtMs: 0, Latency: l, SlotTimeUs: slotTimeUs},
@@ -36,7 +36,7 @@
 			},
 		}
 	}
-	return load.Result{Groups: []load.Figures{groupStats("members", 80), groupStats("searches", 20)}}
+	return load.Result{Groups: []load.Stats{groupStats("members", 80), groupStats("searches", 20)}}
 }
 
 func TestDrawLoadAndReplayResults(t *testing.T) {
