--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -15,12 +15,12 @@
 
 // Capacity measures the slopes that docs/CAPACITY.md uses.
 func Capacity(ctx context.Context, opts CapacityOptions) ([]Slope, error) {
-	measures := stateMeasurements()
+	measurements := stateMeasurements()
 	if !opts.StateOnly {
-		measures = append(measures, daemonMeasurements()...)
+		measurements = append(measurements, daemonMeasurements()...)
 	}
-	slopes := make([]Slope, 0, len(measures))
-	for _, m := range measures {
+	slopes := make([]Slope, 0, len(measurements))
+	for _, m := range measurements {
 		s, err := m.fitSlope(ctx)
 		if err != nil {
 			return slopes, fmt.Errorf("%s: %w", m.name, err)
--- a/bench/forward.go
+++ b/bench/forward.go
@@ -24,7 +24,7 @@
 	// Rate is the number of requests a second on each of the two paths.
 	// Default: 1000.
 	Rate int
-	// Duration is the duration of the measurement. Default: 5s.
+	// Duration is the time during which requests are sent. Default: 5s.
 	Duration time.Duration
 	// Cost is the service time of a request at the upstream. Default: 1ms.
 	Cost time.Duration
@@ -37,7 +37,7 @@
 	Failed    int64               `json:"failed"`
 	Direct    latency.Percentiles `json:"direct"`
 	Forwarded latency.Percentiles `json:"forwarded"`
-	// Added is Forwarded minus Direct for each percentile, without the maximum.
+	// Added is Forwarded minus Direct for each percentile. Added.Max is not set.
 	Added latency.Percentiles `json:"added"`
 }
 
@@ -129,8 +129,9 @@
 	return r
 }
 
-// loadClient sends requests to one address at a constant rate, open-loop, and
-// records their latency.
+// loadClient sends requests to one address at a constant rate, whether or not
+// earlier ones have completed (open loop), and records the time from sending each
+// to its response.
 type loadClient struct {
 	url    string
 	cost   string
--- a/bench/slope.go
+++ b/bench/slope.go
@@ -13,8 +13,8 @@
 
 // Slope is a straight line fitted to measured points by least squares.
 type Slope struct {
-	// Name says what was measured, Unit is the unit of the values, and Per the
-	// unit of size, for example upstream.
+	// Name says what was measured. Unit is the unit of the values, for example
+	// bytes, and Per the unit of size, for example upstream.
 	Name string `json:"name"`
 	Unit string `json:"unit"`
 	Per  string `json:"per"`
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -37,9 +37,9 @@
 
 func (f senderFunc) Send(ctx context.Context, r *Request) Reply { return f(ctx, r) }
 
-// TestStallCountsForEveryRequestDue checks that a stall of one second delays every
-// request due during the stall. A closed-loop load generator would measure only one
-// slow request.
+// TestStallCountsForEveryRequestDue checks that a stall of one second counts in the
+// latency of every request due during the stall. A closed-loop load generator would
+// measure only one slow request.
 func TestStallCountsForEveryRequestDue(t *testing.T) {
 	for name, limit := range map[string]int{"4096 requests in flight": 4096, "1 request in flight": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -117,13 +117,13 @@
 			}),
 		})
 		require.NoError(t, err)
-		f := res.Groups[0]
-		require.Equal(t, f.Requests, f.Answered+f.NotRun+f.Unknown)
-		require.Equal(t, map[string]int64{"queue-full": f.NotRun, "connection-lost": f.Unknown}, f.Reasons)
-		require.InDelta(t, f.Requests/2, f.Answered, 2)
-		require.InDelta(t, f.Requests/4, res.Wrong, 2)
+		stats := res.Groups[0]
+		require.Equal(t, stats.Requests, stats.Answered+stats.NotRun+stats.Unknown)
+		require.Equal(t, map[string]int64{"queue-full": stats.NotRun, "connection-lost": stats.Unknown}, stats.Reasons)
+		require.InDelta(t, stats.Requests/2, stats.Answered, 2)
+		require.InDelta(t, stats.Requests/4, res.Wrong, 2)
 		require.Len(t, res.WrongAnswers, maxWrongAnswers)
-		require.InDelta(t, 1, f.SlotTimeShare, 1e-9)
+		require.InDelta(t, 1, stats.SlotTimeShare, 1e-9)
 		require.EqualValues(t, 2, reports.Load())
 	})
 }
@@ -215,7 +215,7 @@
 	require.Equal(t, Reply{Kind: outcome.NotRun, Reason: "queue-full"}, send("/full", "0-7"))
 	require.Equal(t, Reply{Kind: outcome.Unknown, Reason: reasonNoOutcome}, send("/silent", "0-7"))
 	daemon.Close()
-	s.Close() // on a connection that is still open the outcome would be unknown
+	s.Close() // a request on a kept-alive connection would fail with outcome unknown instead
 	require.Equal(t, Reply{Kind: outcome.NotRun, Reason: "connect-failed"}, send("/", "0-7"))
 }
 
--- a/load/plan.go
+++ b/load/plan.go
@@ -31,7 +31,7 @@
 	TLS settings.TLS `json:"tls"`
 }
 
-// Target is a daemon.
+// Target is a daemon that receives requests.
 type Target struct {
 	// Address is the daemon's host and port for callers.
 	Address string `json:"address"`
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// isIdempotent returns Idempotent, or whether the method is idempotent if that is
-// not set.
+// isIdempotent reports whether the requests are idempotent: as Idempotent says or, if
+// that is nil, by their method.
 func (s *Source) isIdempotent() bool {
 	if s.Idempotent != nil {
 		return *s.Idempotent
--- a/load/result.go
+++ b/load/result.go
@@ -24,7 +24,7 @@
 	Answered int64             `json:"answered"`
 	NotRun   int64             `json:"not_run"`
 	Unknown  int64             `json:"unknown"`
-	// Reasons counts the requests that were not answered by reason.
+	// Reasons counts, by reason, the requests that were not answered.
 	Reasons map[string]int64 `json:"reasons,omitempty"`
 	// Latency covers answered requests only. It is measured from the time at
 	// which they were due.
@@ -38,7 +38,7 @@
 
 // Point holds the results of the requests that were due in one second.
 type Point struct {
-	// AtMs is the start of that second since the start of the run.
+	// AtMs is when that second begins, in milliseconds since the start of the run.
 	AtMs     int64 `json:"at_ms"`
 	Answered int64 `json:"answered"`
 	NotRun   int64 `json:"not_run"`
--- a/load/run.go
+++ b/load/run.go
@@ -118,8 +118,9 @@
 	return req
 }
 
-// acquire waits until another request may be in flight. Latency includes this
-// wait. It returns false if the context is cancelled.
+// acquire waits until fewer than MaxInFlight requests are in flight and counts one
+// more. Latency includes this wait. It returns false if the context is cancelled
+// first.
 func (r *run) acquire(ctx context.Context) bool {
 	select {
 	case r.inFlight <- struct{}{}:
@@ -157,7 +158,7 @@
 }
 
 // sleepUntil waits until the given time. It returns false if the context is
-// cancelled before.
+// cancelled first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -169,7 +170,7 @@
 	}
 }
 
-// reportProgress calls Options.Progress regularly until stop is called.
+// reportProgress calls Options.Progress every progressInterval until stop is called.
 func (r *run) reportProgress(ctx context.Context) (stop func()) {
 	if r.opts.Progress == nil {
 		return func() {}
--- a/load/sender.go
+++ b/load/sender.go
@@ -83,6 +83,8 @@
 	return reply
 }
 
+// requestBody returns a body of BodyBytes bytes. It repeats the name of the request,
+// so that Source.Verify detects the response to another request.
 func requestBody(r *Request) string {
 	if r.BodyBytes <= 0 {
 		return ""
--- a/replay/entry.go
+++ b/replay/entry.go
@@ -29,7 +29,8 @@
 	// tried lists the upstreams whose attempts have finished, without those
 	// whose guard rejected the request.
 	tried []model.UpstreamID
-	// rejections counts the guards that returned the request unexecuted.
+	// rejections counts the attempts that a guard rejected, that is, returned
+	// unexecuted.
 	rejections int
 	// executions counts how often an upstream executed the request.
 	executions int
@@ -74,8 +75,8 @@
 	return e, nil
 }
 
-// place sends the request to the upstream that the router chooses. When there
-// is none left it completes the request with the outcome so far.
+// place sends the request to the upstream that the router chooses. If the router
+// has none left, place completes the request with the outcome so far.
 func (e *entry) place(req *request) {
 	choice, ok := e.routers[req.event.Service].Place(e.sim.now, req.model(), req.tried, req.rejections)
 	if !ok {
@@ -159,6 +160,8 @@
 	return req.arrived.Add(time.Duration(req.event.DeadlineMs) * time.Millisecond)
 }
 
+// model returns the request in the form that the routers and the admission
+// controllers take.
 func (req *request) model() model.Request {
 	return model.Request{
 		Service:    req.event.Service,
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -21,11 +21,11 @@
 	controller  *admission.Controller
 	limiter     *limit.Limiter
 	monitor     *measure.Monitor
-	attempts    map[admission.ID]*attempt
-	effects     []admission.Effect
+	attempts    map[admission.ID]*attempt // waiting and running ones
+	effects     []admission.Effect        // buffer for results of the controller, reused
 	running     int
 	pollCount   int
-	pausedUntil model.Instant
+	pausedUntil model.Instant // the daemon is paused until then
 	fake        fakeUpstream
 }
 
@@ -59,12 +59,12 @@
 	g.limiter = limit.New(limit.Options{Slots: g.upstream.Slots})
 	g.controller = admission.New(admission.Options{Slots: g.upstream.Slots, Limiter: g.limiter})
 	groups := make([]admission.Group, 0, len(g.spec.Groups))
-	for _, sp := range g.spec.Groups {
-		bound := sp.QueueBound
+	for _, group := range g.spec.Groups {
+		bound := group.QueueBound
 		if bound == 0 {
 			bound = defaultQueueBound
 		}
-		groups = append(groups, admission.Group{Name: sp.Name, Weight: sp.Weight, QueueBound: bound})
+		groups = append(groups, admission.Group{Name: group.Name, Weight: group.Weight, QueueBound: bound})
 	}
 	g.controller.Configure(g.sim.now, groups)
 }
@@ -96,7 +96,7 @@
 }
 
 // reject returns a waiting attempt to its entry unexecuted. It is called when
-// the queue timeout has expired.
+// the queue timeout has expired, or on arrival if that timeout is 0.
 func (g *guard) reject(a *attempt) {
 	if !g.controller.Withdraw(g.sim.now, admission.ID(a.id)) {
 		return
--- a/replay/hedge.go
+++ b/replay/hedge.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// removeAttempt removes an attempt whose reply has arrived from the attempts in
-// flight of its request.
+// removeAttempt removes an attempt from its request's attempts in flight. It is
+// called when the reply has arrived.
 func (s *simulation) removeAttempt(a *attempt) {
 	a.req.attempts = slices.DeleteFunc(a.req.attempts, func(other *attempt) bool { return other == a })
 }
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -7,7 +7,8 @@
 	"github.com/dottereltiller/dottereltiller/core/slots"
 )
 
-// arriveAtGuard queues a request at its guard, or rejects it.
+// arriveAtGuard queues a request at its guard, or rejects it. Without guards it starts
+// the request at once.
 func (m *mesh) arriveAtGuard(r *meshRequest, alternative time.Duration) {
 	n := r.guard
 	if n.down {
@@ -36,8 +37,8 @@
 }
 
 // reject returns a request unexecuted from its guard to its entry, which places it
-// again. The argument full says that the guard's queue was too long for the request to
-// complete in time.
+// again. If full is set, the guard's queue was too long for the request to complete in
+// time.
 func (m *mesh) reject(r *meshRequest, full bool) {
 	from := r.guard
 	l := m.load(from)
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -374,7 +374,7 @@
 }
 
 // queryLoads updates the loads that an entry's placer holds, of up to limit upstreams of
-// its own zone (if local) or of the others.
+// the entry's zone (if local) or of other zones.
 func (m *mesh) queryLoads(p *placement.Placer, req placement.Request, rank int, local bool, limit int) {
 	for _, up := range p.QueryTargets(m.now, req, local, placement.MaxLoadAge, limit) {
 		n := m.node(up.Key)
--- a/replay/noisy_upstreams_test.go
+++ b/replay/noisy_upstreams_test.go
@@ -11,8 +11,9 @@
 // centralQueueShare returns the share of requests within their target that one central
 // queue reaches. The queue knows the present and future speed of every upstream. It
 // assigns each request to the slot where it ends first, and refuses the request if it
-// would miss its target there. It uses only as many slots of an upstream as
-// placement.DefaultLimit, so that no upstream slows down because most slots are busy.
+// would miss its target there. It uses only placement.DefaultLimit slots of an
+// upstream, which are too few to slow it down unless it has just two slots. The queue does
+// not simulate that slowdown.
 func centralQueueShare(w workload, seed uint64) float64 {
 	m := newMesh(w, usePlacement, seed)
 	// free holds the tick at which each slot of each upstream becomes free.
--- a/replay/poll.go
+++ b/replay/poll.go
@@ -14,8 +14,8 @@
 	pollReserveFactor = 4
 )
 
-// poll requests the upstream's load report if the monitor allows it, and then
-// schedules the next poll. Polling ends with the trace.
+// poll requests the upstream's load report if the measuring budget allows it, and
+// then schedules the next poll. Polling ends with the trace.
 func (g *guard) poll() {
 	s := g.sim
 	if s.now > s.end {
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// instant converts microseconds since the start of the trace.
+// instant converts microseconds since the start of the trace to an Instant.
 func instant(us int64) model.Instant {
 	return model.Instant(time.Duration(us) * time.Microsecond)
 }
@@ -174,11 +174,11 @@
 		s.startFault(e)
 		return
 	}
-	zone := s.entriesByZone[e.Zone]
-	if len(zone) == 0 {
-		zone = s.entries
+	entries := s.entriesByZone[e.Zone]
+	if len(entries) == 0 {
+		entries = s.entries
 	}
-	entry := zone[s.nextEntry[e.Zone]%len(zone)]
+	entry := entries[s.nextEntry[e.Zone]%len(entries)]
 	s.nextEntry[e.Zone]++
 	req := &request{event: e, entry: entry, arrived: s.now, last: outcome.NotRunBecause(outcome.ReasonNoUpstream)}
 	a := &attempt{req: req}
@@ -287,5 +287,6 @@
 	}
 }
 
-// routerSeedStep is the difference between the seeds of consecutive routers.
+// routerSeedStep is the difference between the seeds of consecutive entries. It
+// makes the random choices of their routers independent.
 const routerSeedStep = 1_000_003
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -24,7 +24,7 @@
 	// executing them.
 	FailFast Fault = "fail_fast"
 	// ColdStart multiplies service times by a factor that decreases linearly
-	// to 1 while the fault lasts.
+	// to 1 while the fault lasts, but over at least one second.
 	ColdStart Fault = "cold_start"
 	// Crash ends all running requests and refuses connections; the upstream
 	// restarts as a new incarnation when the fault ends.
@@ -36,8 +36,8 @@
 	Misreport Fault = "misreport"
 	// PartitionZone cuts the connections between a zone and all others.
 	PartitionZone Fault = "partition_zone"
-	// LogDown makes the membership log unavailable, so that entries receive no
-	// membership changes.
+	// LogDown makes the membership log unavailable, so that entries receive
+	// membership changes only after the fault.
 	LogDown Fault = "log_down"
 	// PauseDaemon pauses the daemon on the VM of an upstream.
 	PauseDaemon Fault = "pause_daemon"
@@ -73,7 +73,7 @@
 	// Factor is used by Straggle, ColdStart and Misreport. Default: 1.
 	Factor float64 `json:"factor,omitempty"`
 	// ForMs is the duration of the fault in milliseconds. Zero means until
-	// Recover or the end of the trace.
+	// Recover or the end of the trace, and one second for ColdStart.
 	ForMs int64 `json:"for_ms,omitempty"`
 }
 
@@ -86,7 +86,7 @@
 var errNoEvents = errors.New("trace holds no lines")
 
 // ReadTrace reads a trace of JSON lines, which must be in order of time. An
-// invalid line is returned as a *LineError.
+// invalid line is reported as a *LineError.
 func ReadTrace(r io.Reader) ([]Event, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
--- a/replay/upstream.go
+++ b/replay/upstream.go
@@ -54,11 +54,11 @@
 const failureTime = 50 * time.Microsecond
 
 func newFakeUpstream(u Upstream, spec *Service) fakeUpstream {
-	real := u.RealSlots
-	if real == 0 {
-		real = u.Slots
+	realSlots := u.RealSlots
+	if realSlots == 0 {
+		realSlots = u.Slots
 	}
-	return fakeUpstream{spec: spec, realSlots: real, faults: faultState{straggle: 1, misreport: 1}}
+	return fakeUpstream{spec: spec, realSlots: realSlots, faults: faultState{straggle: 1, misreport: 1}}
 }
 
 // run starts an attempt. It returns the duration and the outcome of the
--- a/report/plots.go
+++ b/report/plots.go
@@ -42,7 +42,7 @@
 	p.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 }
 
-// addLine adds a line and its legend. The colour and the dashes depend on n, the
+// addLine adds a line and its legend entry. The colour and the dashes depend on n, the
 // number of lines before it.
 func addLine(p *plot.Plot, points plotter.XYs, n int, label string) error {
 	line, err := plotter.NewLine(points)
