--- a/demo/demo.go
+++ b/demo/demo.go
@@ -90,11 +90,11 @@
 	}
 	callers := newObserver()
 	before, startedAt := measuringSlotTime(c), time.Now()
-	figures, err := load.Run(ctx, plan, load.Options{Observe: callers.observe})
+	loadResult, err := load.Run(ctx, plan, load.Options{Observe: callers.observe})
 	if err != nil {
 		return nil, err
 	}
-	res := newResult(figures, measuringShares(c, before, time.Since(startedAt)))
+	res := newResult(loadResult, measuringShares(c, before, time.Since(startedAt)))
 	res.Violations = append(res.Violations, res.checkVersions(c)...)
 	c.Stop()
 	res.Violations = append(res.Violations, callers.violations(executions(c))...)
