--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -65,7 +65,7 @@
 	coveredBy("core/placement TestMissesDeadline", disabledBy("early refusal", edits.New(figures, "maxRefusalAge = 30 * time.Millisecond", "maxRefusalAge = 0 * time.Millisecond"))),
 	disabledBy("refusal after a full guard", edits.New(placer, "return fullGuards > 0 && left != 0 && c.Expected > left", "return fullGuards > 99 && left != 0 && c.Expected > left")),
 	disabledBy("the urgent's longer wait", edits.New(admit, "share = urgentUsefulShare", "share = usefulShare + 0*urgentUsefulShare")),
-	coveredBy("replay TestRetryAfterJitterSpreadsBursts", disabledBy("the spread of advice", edits.New("core/retry/retry_after.go", "retryAfterSpread = 0.5", "retryAfterSpread = 0.0"))),
+	coveredBy("replay TestRetryAfterJitterSpreadsBursts", disabledBy("the spread of advice", edits.New("core/retry/retry_after.go", "retryAfterJitter = 0.5", "retryAfterJitter = 0.0"))),
 	coveredBy("sidecar TestCrashingRequestIsQuarantined", disabledBy("quarantine", edits.New("sidecar/quarantine.go", "	if !q.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if q.store != nil {\n		return nil\n	}\n	remaining"))),
 	coveredBy("sidecar TestLastUpstreamServesWhileItsDaemonStops", disabledBy("serving through a stopping daemon", edits.New(placer, "	case includeStopping:\n		return v.unreachableUntil <= now\n", "	case includeStopping:\n		return v.unreachableUntil <= now && !v.upstream.Stopping\n"))),
 	disabledBy("relays", edits.New("sidecar/peers.go", "relaysPerZone = 2", "relaysPerZone = 1 << 20")),
--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestArriveRefusesRequestThatCannotMeetItsDeadline gives the controller a slot
-// time of 10 ms to learn and queues ten requests ahead of the arriving one.
+// TestArriveRefusesRequestThatCannotMeetItsDeadline lets the controller observe a slot
+// time of 10 ms and queues ten requests ahead of the arriving one.
 func TestArriveRefusesRequestThatCannotMeetItsDeadline(t *testing.T) {
 	c := New(Options{Slots: 1})
 	c.Arrive(0, arrival(1, "a", 1000*ms), nil)
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestGroupIsIsolatedFromOverloadOfAnother measures the latency of a group that
-// stays within its share, alone and beside a group that offers ten times the
+// stays within its share, alone and together with a group that offers ten times the
 // capacity of the upstream.
 func TestGroupIsIsolatedFromOverloadOfAnother(t *testing.T) {
 	groups := []Group{{Name: "victim", Weight: 8}, {Name: "overloading", Weight: 1}}
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -98,7 +98,7 @@
 	require.Positive(t, sim.refused["free"][outcome.ReasonDeadline])
 }
 
-// TestCallersOfOneGroupShareEqually runs a caller beside one that sends ten
+// TestCallersOfOneGroupShareEqually runs a caller together with one that sends ten
 // times as many, longer requests. Both must get the same slot time.
 func TestCallersOfOneGroupShareEqually(t *testing.T) {
 	sim := newSimulator(t, 4, Options{}, Group{Name: "g", Weight: 1, QueueBound: 200})
@@ -110,7 +110,7 @@
 	require.InEpsilon(t, sim.slotTimeByCaller["light"].Seconds(), sim.slotTimeByCaller["heavy"].Seconds(), 0.05)
 }
 
-// TestManyCallersGetNoLargerShare runs a group of 200 callers beside a group of
+// TestManyCallersGetNoLargerShare runs a group of 200 callers together with a group of
 // one caller. Both groups have the same weight and must get the same slot time.
 func TestManyCallersGetNoLargerShare(t *testing.T) {
 	sim := newSimulator(t, 6, Options{TotalBound: 4096}, Group{Name: "many", Weight: 1}, Group{Name: "one", Weight: 1})
@@ -126,7 +126,7 @@
 	require.InEpsilon(t, sim.slotTimeByWindow["one"][1].Seconds(), sim.slotTimeByWindow["many"][1].Seconds(), 0.05)
 }
 
-// TestLongRequestsAreChargedTheirSlotTime runs a group of short requests beside a
+// TestLongRequestsAreChargedTheirSlotTime runs a group of short requests together with a
 // group that also sends a few long ones. The controller cannot distinguish long
 // from short requests in advance, but both groups must get the same slot time.
 func TestLongRequestsAreChargedTheirSlotTime(t *testing.T) {
--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -117,11 +117,11 @@
 
 // Tick updates the demand and the shares. It must be called several times per
 // second. It returns a report and true when a report to the other daemons is
-// due. The stamp is the wall clock in milliseconds.
-func (c *Ceiling) Tick(now model.Instant, stamp uint64) (Report, bool) {
+// due. The timestamp is the wall clock in milliseconds.
+func (c *Ceiling) Tick(now model.Instant, timestamp uint64) (Report, bool) {
 	c.updateDemand(now)
 	c.reports.expire(now, c.self)
-	r, due := c.nextReport(now, stamp)
+	r, due := c.nextReport(now, timestamp)
 	if due {
 		c.reports.merge(now, r)
 	}
@@ -169,7 +169,7 @@
 // nextReport returns this daemon's report and true when its demand has changed
 // by more than reportThreshold or the last report is older than reportInterval.
 // A daemon whose demand has ended sends a single report of zero.
-func (c *Ceiling) nextReport(now model.Instant, stamp uint64) (Report, bool) {
+func (c *Ceiling) nextReport(now model.Instant, timestamp uint64) (Report, bool) {
 	changed := math.Abs(c.demand-c.reportedDemand) > reportThreshold*max(c.reportedDemand, idleDemand)
 	old := c.demand > 0 && now.Sub(c.reportedAt) >= reportInterval
 	if c.hasReported && !changed && !old || !c.hasReported && c.demand == 0 {
@@ -184,7 +184,7 @@
 		c.reportedDemand = c.demand
 	}
 	c.reportedAt, c.hasReported = now, true
-	return Report{Key: c.key, Daemon: c.self, Demand: float32(c.reportedDemand), Stamp: stamp}, true
+	return Report{Key: c.key, Daemon: c.self, Demand: float32(c.reportedDemand), Stamp: timestamp}, true
 }
 
 // updateShares computes this daemon's shares from the reports.
--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -19,16 +19,16 @@
 	)
 	for _, n := range []int{10, 100, 500, 1000, 1700} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
-			var appends, bytes, plans int
+			var appends, bytes, planCalls int
 			for b.Loop() {
-				appends, bytes, plans = 0, 0, 0
+				appends, bytes, planCalls = 0, 0, 0
 				l := NewLedger(DefaultRanges, 0)
 				planners := newPlanners(n)
 				offset := uint64(0)
 				start := Stamp(1_700_000_000_000)
 				for now := start; now < start+Stamp(virtual.Milliseconds()); now += Stamp(tick.Milliseconds()) {
 					for _, p := range planners {
-						plans++
+						planCalls++
 						if g := p.Plan(l, now); g != nil {
 							r := Record{Grant: g}
 							appends++
@@ -41,7 +41,7 @@
 			}
 			b.ReportMetric(float64(appends)/virtual.Seconds(), "appends/s")
 			b.ReportMetric(float64(bytes)/virtual.Seconds(), "bytes/s")
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(plans), "ns/plan")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(planCalls), "ns/plan")
 		})
 	}
 }
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -20,8 +20,8 @@
 )
 
 // handover is one part of the table that a sealed owner sends to its successor.
-// It is encoded with gob, which writes out the names of the types and fields:
-// they must not be changed.
+// It is encoded with gob, which writes out the names of the types and fields, so
+// these names must not be changed.
 type handover struct {
 	Version int
 	// Lives describes the sending owner and each earlier owner whose claims the
--- a/core/fairqueue/charge.go
+++ b/core/fairqueue/charge.go
@@ -81,7 +81,8 @@
 }
 
 // updateBacklog recomputes the group's backlog: the expected slot time of its
-// waiting requests divided by its weight.
+// waiting requests divided by its weight, or, for a group of weight zero, their
+// number multiplied by backgroundBacklogFactor.
 func (q *Queue) updateBacklog(g *group) {
 	if g.class == q.background {
 		g.backlog = backgroundBacklogFactor * float64(g.waiting)
@@ -189,8 +190,8 @@
 	if g == nil || g.waiting == 0 || g.class == q.background {
 		return 0
 	}
-	// Callers take turns, so each of them starts at most as many requests before
-	// the new one as its caller has waiting, plus one.
+	// Callers take turns. If the caller of the new request has n requests waiting,
+	// each caller of the group starts at most n+1 requests before the new one.
 	rounds := 1
 	if c := g.callers[callerName]; c != nil {
 		rounds = c.waiting + 1
--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -4,7 +4,7 @@
 // excess requests then queue inside the upstream, where they can be neither withdrawn
 // nor reordered. A Limiter compares the slot times (how long a request occupies a slot)
 // of requests that ran at the limit with those of uncontended requests, which ran
-// beside few others. If requests at the limit take clearly longer, they contend for
+// together with few others. If requests at the limit take clearly longer, they contend for
 // resources and the limit is lowered. Otherwise it is raised again, one step at a time.
 //
 // The comparison uses a low quantile instead of the mean. Contention slows down all
--- a/core/measure/doc.go
+++ b/core/measure/doc.go
@@ -1,5 +1,5 @@
 // Package measure keeps the cost of measuring an upstream within a budget, and decides
-// how far the load that an upstream reports about itself is trusted.
+// to what extent the load that an upstream reports about itself is trusted.
 //
 // # Budget
 //
@@ -17,9 +17,9 @@
 // running there. A report of the upstream may be late or false. A Trust compares each
 // report with what the guard observed during the time that the report may refer to. A
 // report of fewer requests than were certainly running is contradicted. A report of
-// additional requests from elsewhere is trusted, in part, only if requests are really
-// slowed down. Trusted reports can only increase the load that is reported to entries,
-// which choose the upstreams.
+// additional requests, which must come from elsewhere, is partly trusted, and only if the
+// guard's own requests take clearly longer than usual. Trusted reports can only increase
+// the load that is reported to entries, which choose the upstreams.
 //
 // # Schedule
 //
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -189,7 +189,7 @@
 // isOldTombstone reports whether the event is a tombstone (the event of an
 // upstream that has left) older than half of TombstoneRetention. Other daemons
 // will delete such a tombstone soon. Accepting one that is not stored here would
-// only prolong its spread.
+// only delay the time when no daemon holds it any longer.
 func (d *Directory) isOldTombstone(e Event) bool {
 	return e.State == Left && d.wallSeconds > 0 && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention/2
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -129,7 +129,8 @@
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 	require.EqualValues(t, 1, d.Events()[0].Epoch)
 
-	// An upstream of an earlier incarnation of this daemon is never announced.
+	// An upstream of an earlier incarnation of this daemon is not announced again. It is
+	// removed after the grace period.
 	d.Apply(event("old", "d", 1, Joined))
 	d.Tick(seconds(20), 1020)
 	require.Len(t, d.Upstreams("s"), 2, "the upstream may still be announced during the grace period")
@@ -298,7 +299,7 @@
 	for i := range 200 {
 		all = append(all, model.Upstream{ID: model.UpstreamID(fmt.Sprintf("u%03d", i))})
 	}
-	chosen := map[model.UpstreamID]int{}
+	selections := map[model.UpstreamID]int{}
 	const daemons, n = 400, 20
 	for i := range daemons {
 		self := model.DaemonID(fmt.Sprint("d", i))
@@ -308,14 +309,14 @@
 		fewer := Subset(self, all[:199], n)
 		kept := 0
 		for _, u := range full {
-			chosen[u.ID]++
+			selections[u.ID]++
 			if slices.ContainsFunc(fewer, func(v model.Upstream) bool { return v.ID == u.ID }) {
 				kept++
 			}
 		}
 		require.GreaterOrEqual(t, kept, n-1)
 	}
-	for id, count := range chosen {
+	for id, count := range selections {
 		require.InDelta(t, daemons*n/200, count, daemons*n/200*0.7, "%s", id)
 	}
 }
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Kind is one of the three outcomes. The zero value is Unknown, so that an Outcome that
-// has not been set claims nothing that is not proved.
+// has not been set does not claim that the request ran or that it did not.
 type Kind uint8
 
 // The possible outcomes. The package comment defines them.
@@ -131,8 +131,8 @@
 }
 
 // After returns the outcome of a request whose previous attempts had the outcome
-// earlier and whose last attempt had the outcome o. If an earlier attempt is Unknown, a
-// later NotRun proves nothing about the request.
+// earlier and whose last attempt had the outcome o. If an earlier attempt is Unknown, the
+// request may have run even if the last attempt is NotRun, so the result is Unknown.
 func (o Outcome) After(earlier Outcome) Outcome {
 	if o.Kind == NotRun && earlier.Kind == Unknown {
 		return earlier
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -24,7 +24,7 @@
 }
 
 const (
-	// loadHalfLife is the age at which a reported slowdown or load counts half. The
+	// loadHalfLife is the age at which a reported slowdown or load has half its weight. The
 	// other processes on a shared VM start and stop working a few times a second.
 	loadHalfLife = 150 * time.Millisecond
 	// initialSlowdown is the mean slowdown assumed before any has been reported.
@@ -87,8 +87,8 @@
 	// is the value that inFlight had when load was reported.
 	inFlight       int
 	inFlightAtLoad int
-	// meanOthers is the moving average of the number of requests of other entries
-	// there.
+	// meanOthers is the moving average of the number of requests that other entries
+	// have at the upstream.
 	meanOthers float64
 	// unreachableUntil is the end of the period in which the upstream is avoided
 	// because it could not be reached.
--- a/core/placement/parameters.go
+++ b/core/placement/parameters.go
@@ -6,8 +6,9 @@
 // their simulation in package replay.
 const (
 	// MaxLocalQueries is how many guards of the local zone are sent a load query before a
-	// request is sent. MaxRemoteQueries is how many of other zones are queried if the
-	// local zone is not good enough.
+	// request is sent. MaxRemoteQueries is how many guards of other zones are sent one if
+	// no upstream of the local zone is expected to meet the target well (see
+	// Placer.LocalMeetsTarget).
 	MaxLocalQueries  = 4
 	MaxRemoteQueries = 3
 	// MaxLoadAge is the age up to which a known load is used without a load query.
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestOldSlowdownIsForgotten has loads that are 3 seconds old. They must no longer
-// count: the expected times of the two upstreams differ by less than a factor of two,
+// matter: the expected times of the two upstreams differ by less than a factor of two,
 // although one was four times as slow as the other.
 func TestOldSlowdownIsForgotten(t *testing.T) {
 	p := newPlacer("local", "local")
@@ -169,7 +169,7 @@
 }
 
 // TestFastFailingUpstreamIsAvoided has an upstream that fails every request at once. It
-// never has any requests running, and must not be preferred as idle.
+// never has any requests running, and must not be preferred because it looks idle.
 func TestFastFailingUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", Load{Limit: 4, Slowdown: 1, FailureRate: 0.9})
@@ -241,7 +241,8 @@
 }
 
 // TestStoppingUpstreamIsLastResort covers a service whose last upstream belongs to a
-// daemon that is about to stop. Refusing its requests until then would help nobody.
+// daemon that is about to stop. Until it stops, its upstream can still serve
+// requests, so they must not be refused.
 func TestStoppingUpstreamIsLastResort(t *testing.T) {
 	p := New(Options{Zone: "local", Rand: midpoint})
 	stopping := Upstream{Key: "a", Zone: "local", Slots: 6, Stopping: true}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -40,8 +40,8 @@
 	// DefaultCrossZonePenalty is a few round trips between zones. Callers gain nothing
 	// from a request to another zone that saves less.
 	DefaultCrossZonePenalty = 40 * time.Millisecond
-	// targetShare is the share of the target latency within which an upstream of the
-	// local zone is good enough.
+	// An upstream of the local zone is chosen over those of other zones if it is expected
+	// to respond within targetShare of the target latency.
 	targetShare = 0.85
 	// jitter spreads the requests of entries that know the same loads.
 	jitter = 0.1
@@ -50,9 +50,9 @@
 	unreachablePause = 300 * time.Millisecond
 	// queryJitter spreads the load queries of entries that know the same loads.
 	queryJitter = 0.5
-	// rttSmoothing is the divisor with which a round-trip time rises. A lasting
-	// increase is learned within a few hundred load queries, which a loaded entry sends
-	// in less than a second.
+	// rttSmoothing limits how fast the stored round-trip time rises: a longer measurement
+	// raises it by the difference divided by rttSmoothing. It follows a lasting increase
+	// within a few hundred load queries, which a loaded entry sends in less than a second.
 	rttSmoothing = 64
 	// othersWeight makes the mean number of requests of other entries cover about 8
 	// loads.
@@ -89,10 +89,10 @@
 	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
-// MissesDeadline reports whether the request is known to miss its deadline on every
-// upstream, judged by the chosen one and only if its load is recent. A guard with a free
-// slot would accept the request all the same and keep its caller waiting in vain. left is
-// the time until the deadline.
+// MissesDeadline reports whether the request is expected to miss its deadline on every
+// upstream: it would miss it on the chosen upstream, whose load is recent. A guard with a
+// free slot would accept the request although it cannot complete in time. left is the
+// time until the deadline.
 func (c *Choice) MissesDeadline(left time.Duration) bool {
 	return c.Age < maxRefusalAge && c.Expected > left
 }
@@ -292,7 +292,8 @@
 }
 
 // ObserveRTT records the round-trip time of a load query to the guard of an upstream.
-// Longer times than the known one count little, as they may include a wait for a CPU.
+// A time longer than the stored one changes it only a little, as it may include a wait
+// for a CPU.
 func (p *Placer) ObserveRTT(key string, took time.Duration) {
 	v := p.views[key]
 	if v == nil {
@@ -335,7 +336,8 @@
 	p.updateLoad(now, v, *load)
 }
 
-// updateLoad records the load of an upstream. An upstream that reports a load is reachable.
+// updateLoad records the load of an upstream and clears the effect of MarkUnreachable,
+// since an upstream whose guard reports a load is reachable.
 func (p *Placer) updateLoad(now model.Instant, v *view, load Load) {
 	v.load, v.loadAt, v.hasLoad, v.inFlightAtLoad = load, now, true, v.inFlight
 	v.unreachableUntil = 0
@@ -346,8 +348,8 @@
 	}
 }
 
-// MarkUnreachable records that an upstream could not be reached. It is avoided for a
-// while unless no other candidate is left.
+// MarkUnreachable records that an upstream could not be reached. For unreachablePause,
+// the upstream is chosen only if there is no other candidate.
 func (p *Placer) MarkUnreachable(now model.Instant, key string) {
 	if v := p.views[key]; v != nil {
 		v.unreachableUntil = now.Add(unreachablePause)
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -86,8 +86,8 @@
 
 // QuarantineSpec says when a request is quarantined, and for how long.
 type QuarantineSpec struct {
-	// Crashes is the number of upstream crashes while they run the request, after
-	// which it is quarantined. Default: 2.
+	// Crashes is the number of crashes of upstreams that were running the request
+	// after which the request is quarantined. Default: 2.
 	Crashes int `json:"deaths,omitempty"`
 	// Duration is how long the quarantine lasts. Default: "10m".
 	Duration Duration `json:"duration,omitempty"`
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -9,13 +9,13 @@
 // during enough distinct crashes is quarantined: for a time, all daemons refuse
 // requests with its fingerprint.
 //
-// Requests that only happened to run beside the cause of a crash must not be
-// quarantined. Three rules protect them. A suspected request that later gets a
-// complete response is cleared. When a request is quarantined, its crashes are
-// removed from the records of the service's other requests, which lifts the
-// suspicion from those that only ran beside it. And when more than
-// maxQuarantinedTogether requests ran during the same crashes, none of them is
-// quarantined until another crash distinguishes them.
+// Requests that only happened to run at the same time as the cause of a crash
+// must not be quarantined. Three rules protect them. A suspected request that
+// later gets a complete response is cleared. When a request is quarantined, its
+// crashes are removed from the records of the service's other requests, so that
+// those that only ran at the same time are no longer suspected. And when more
+// than maxQuarantinedTogether requests ran during the same crashes, none of them
+// is quarantined until another crash distinguishes them.
 //
 // A Table is a set of records that daemons exchange in any order: which requests
 // ran during which crash, when a request was cleared or released by an operator,
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -104,8 +104,8 @@
 // isDue reports whether a request that is not yet quarantined ran during enough
 // crashes, and whether reportDelay has passed since its last update.
 func (t *Table) isDue(now int64, r *Record) bool {
-	enough := len(r.Crashes) >= max(t.opts.Rule(r.Service).Crashes, 1)
-	return enough && !r.Refused(now) && now >= r.lastUpdate()+reportDelay.Milliseconds()
+	enoughCrashes := len(r.Crashes) >= max(t.opts.Rule(r.Service).Crashes, 1)
+	return enoughCrashes && !r.Refused(now) && now >= r.lastUpdate()+reportDelay.Milliseconds()
 }
 
 // RecordResponse records that a request got a complete response. This clears the
--- a/core/retry/backoff.go
+++ b/core/retry/backoff.go
@@ -15,9 +15,9 @@
 // retry has number 1. The wait is uniformly distributed between zero and a bound that
 // doubles with each retry (full jitter); random is a number from 0 to below 1. Backoff
 // returns false if the wait would take more than a quarter of the remaining time.
-func Backoff(retry int, remaining time.Duration, random float64) (time.Duration, bool) {
+func Backoff(retryNumber int, remaining time.Duration, random float64) (time.Duration, bool) {
 	bound := maxBackoff
-	if shift := retry - 1; shift < 10 {
+	if shift := retryNumber - 1; shift < 10 {
 		bound = min(backoffBase<<max(shift, 0), maxBackoff)
 	}
 	wait := time.Duration(random * float64(bound))
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -12,7 +12,7 @@
 	initialTokens = 10
 	// maxTokens is the capacity of the token bucket.
 	maxTokens = 50
-	// halfLife is the age at which an attempt counts half.
+	// halfLife is the age at which an attempt has half its weight in the failure rate.
 	halfLife = time.Second
 	// Retries are disabled while more than maxFailureRate of the recent attempts
 	// failed. minAttempts is the number of recent attempts needed to decide that.
--- a/core/retry/retry_after.go
+++ b/core/retry/retry_after.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// retryAfterSpread is the width of the range from which JitteredRetryAfter draws, as a
+// retryAfterJitter is the width of the range from which JitteredRetryAfter draws, as a
 // share of mean.
-const retryAfterSpread = 0.5
+const retryAfterJitter = 0.5
 
 // JitteredRetryAfter returns the time after which a refused caller should retry: a random
 // time around mean. When upstreams are lost or a burst arrives, many callers are refused
 // at the same moment. Without jitter they would all retry at the same moment and be
 // refused again. random is a number from 0 to below 1.
 func JitteredRetryAfter(mean time.Duration, random float64) time.Duration {
-	return time.Duration(float64(mean) * (1 - retryAfterSpread/2 + retryAfterSpread*random))
+	return time.Duration(float64(mean) * (1 - retryAfterJitter/2 + retryAfterJitter*random))
 }
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -7,19 +7,19 @@
 )
 
 // windowBuckets is the number of buckets that the span of a WindowBudget is divided into.
-// A retry counts until its whole bucket has left the span, at most one bucket width too
-// long and never too short, so the budget is never exceeded.
+// A retry counts until its whole bucket has left the span. It thus counts up to one bucket
+// width longer than the span but never shorter, so the budget is never exceeded.
 const windowBuckets = 10
 
-// WindowBudget is one daemon's part of a retry budget that all daemons share: within any
+// WindowBudget is one daemon's share of a retry budget that all daemons share: within any
 // span, the number of retries is at most ratio times the number of requests in that
-// span plus a slack. Each daemon counts its own requests and gets an equal part of the
+// span plus a slack. Each daemon counts its own requests and gets an equal share of the
 // slack, so the daemons together stay within the budget without communicating. A
 // WindowBudget is not safe for concurrent use.
 type WindowBudget struct {
 	ratio float64
 	slack float64
-	// share is the part of the budget that may be used.
+	// share is the fraction of the budget that may be used.
 	share       float64
 	bucketWidth time.Duration
 	// bucket is the number of the current bucket, counted from the origin of time.
@@ -28,16 +28,16 @@
 	retries  [windowBuckets + 1]float64
 }
 
-// NewWindowBudget returns a WindowBudget over the given span. slack is this daemon's part
+// NewWindowBudget returns a WindowBudget over the given span. slack is this daemon's share
 // of the slack.
 func NewWindowBudget(span time.Duration, ratio, slack float64) *WindowBudget {
 	return &WindowBudget{ratio: ratio, slack: slack, share: 1, bucketWidth: max(span/windowBuckets, time.Millisecond)}
 }
 
-// SetSlack changes this daemon's part of the slack.
+// SetSlack changes this daemon's share of the slack.
 func (w *WindowBudget) SetSlack(slack float64) { w.slack = slack }
 
-// SetShare changes the part of the budget that may be used, which is initially 1.
+// SetShare changes the fraction of the budget that may be used, which is initially 1.
 func (w *WindowBudget) SetShare(share float64) { w.share = share }
 
 // CountRequest counts the first attempt at a request.
--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -23,15 +23,16 @@
 }
 
 // maxStates is the largest number of states kept. When it is exceeded all states
-// are reset. This shifts the shares of a split by no more than Pick deviates from
-// them anyway: one request for two services, n-1 requests for n services.
+// are reset. A reset shifts the number of requests of a service by at most as much
+// as Pick can deviate from its share: one request in a split between two services,
+// n-1 requests in a split between n services.
 const maxStates = 4096
 
 // Pick returns the service for the next request of a route. It adds to the
 // current weight of each service the weight of the service, picks the service
-// with the largest current weight, and subtracts the total weight from it. No
-// service of a split between two is ever more than one request off its share, and
-// no service of a split between n more than n-1 requests.
+// with the largest current weight, and subtracts the total weight from it. The
+// number of requests that a service has got never differs from its share by more than
+// one in a split between two services, and n-1 in a split between n services.
 func (s *Splitter) Pick(r *Route) model.ServiceName {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
@@ -52,8 +53,8 @@
 	return r.Split[best].Service
 }
 
-// state returns the state of the route's split. It is a new one when the split
-// has changed.
+// state returns the state of the route's split, or a new state if the split has
+// changed.
 func (s *Splitter) state(r *Route) *splitState {
 	if s.states == nil || len(s.states) > maxStates {
 		s.states = make(map[string]*splitState)
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -91,15 +91,16 @@
 	return float64(max(c.load.Running+c.load.Waiting-c.inFlightAtLoad, 0))
 }
 
-// loadHalfLife is the age, in typical service times, at which the requests of other
-// entries in a load count half.
+// loadHalfLife is the age of a load, in typical service times, at which the number of
+// other entries' requests that it reports has half its weight.
 const loadHalfLife = 2
 
 // estimatedRequests estimates how many requests are at the upstream now. This entry's
 // own requests are known exactly. The number of requests of other entries decays from
-// the last reported value towards the mean over all upstreams. That mean is capped at a
-// full upstream without a queue: an upstream that all entries have stopped using is
-// probably idle, and only a request sent there can confirm it.
+// the last reported value towards the mean over all upstreams. That mean is capped at the
+// limit of the upstream, that is at a full upstream without a queue: an upstream that all
+// entries have stopped using is probably idle, and only a request sent there can confirm
+// it.
 func (c *candidate) estimatedRequests(now model.Instant, p *pool) float64 {
 	meanOthers := min(p.meanOthersPerSlot, 1) * float64(c.limit())
 	if !c.hasLoad {
@@ -157,7 +158,7 @@
 const stragglerRatio = 2
 
 // stragglerHalfLife is the age of a load at which the excess service time of a
-// straggler counts half, so that an upstream that gets no requests is tried again.
+// straggler has half its weight, so that an upstream that gets no requests is tried again.
 const stragglerHalfLife = 250 * time.Millisecond
 
 // slowdown returns the ratio of the upstream's service time to the median. It is 1 for
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -27,11 +27,12 @@
 	// the requests of entries that see the same upstream idle.
 	jitter = 0.05
 	// maxRejectionRTT is the longest round trip, as a share of the typical service
-	// time, at which a rejection is cheap.
+	// time, at which a request may be rejected and sent elsewhere instead of waiting.
 	maxRejectionRTT = 0.25
-	// saturation is the number of requests at the best upstream, as a multiple of its
-	// limit, from which a request queues there immediately. All upstreams are then so
-	// full that rejections would only cost round trips.
+	// saturation is the number of requests at the chosen upstream, as a multiple of its
+	// limit, from which a new request may wait in its queue until the deadline. As the
+	// best upstream was chosen, all are then so full that rejections would only cost
+	// round trips.
 	saturation = 2
 	// defaultServiceTime is the typical service time assumed until one is known, in
 	// nanoseconds.
@@ -54,8 +55,8 @@
 	return s.best
 }
 
-// queueTimeout returns zero while a rejection is cheap and another upstream may have a
-// free slot.
+// queueTimeout returns zero if the round trip is at most maxRejectionRTT and another
+// upstream may have a free slot. Otherwise the request may wait until its deadline.
 func (p *expectedCompletion) queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration {
 	if 2*float64(c.oneWayDelay) > maxRejectionRTT*r.pool.typicalServiceTime() {
 		return WaitForDeadline
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -38,7 +38,8 @@
 	tokens float64
 }
 
-// quantileEstimate follows the hedgeQuantile of a stream of latencies, in nanoseconds.
+// quantileEstimate is a running estimate of the hedgeQuantile of the latencies added to
+// it, in nanoseconds.
 type quantileEstimate struct {
 	value float64
 	// n is the number of latencies added so far.
@@ -73,12 +74,13 @@
 	return time.Duration(max(q.value, minHedgeDelay*r.pool.typicalServiceTime())), true
 }
 
-// Hedge chooses the upstream for the second copy of a request, and counts that copy as
-// sent. The first copy has been outstanding for longer than HedgeDelay; first is the
-// upstream to which it was sent, and sent is when. Upstreams in exclude already have the
-// request. The queue timeout of the second copy is zero, so it only uses a free slot.
-// Hedge returns false if the first upstream is not slow (then only this request takes
-// long), if the budget is used up, or if no other upstream is usable.
+// Hedge chooses the upstream for the second copy of a request and counts that copy as
+// sent. It is called when the first copy, sent to the upstream first at the instant sent,
+// has had no response for HedgeDelay. Upstreams in exclude are not chosen, because they
+// already have the request. The queue timeout of the second copy is zero, so it only uses
+// a free slot. Hedge returns false if the first upstream is not slow, so that the delay
+// is due to the request itself, if the budget is used up, or if no other upstream is
+// usable.
 func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sent model.Instant, exclude []model.UpstreamID) (Choice, bool) {
 	if !r.upstreamSlow(now, first, sent) {
 		return Choice{}, false
@@ -97,9 +99,9 @@
 	return Choice{Upstream: c.upstream, QueueTimeout: 0}, true
 }
 
-// upstreamSlow reports whether the upstream itself is slow or failing, and not only the
-// request that was sent to it at the given instant. An upstream that has replied to
-// nothing since then counts as slow.
+// upstreamSlow reports whether an upstream that was sent a request at the given instant
+// is itself slow or failing, as opposed to the request being a long one. An upstream that
+// has sent no reply since then counts as slow.
 func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sent model.Instant) bool {
 	c := r.byID[id]
 	if c == nil {
@@ -113,9 +115,9 @@
 	r.hedging.tokens = min(r.hedging.tokens+r.opts.HedgeBudget, hedgeBurst)
 }
 
-// recordLatency updates the latency estimate of the request's group. A request that was
-// cancelled because its hedge completed first counts with the time it had taken by
-// then.
+// recordLatency updates the latency estimate of the request's group. The latency of a
+// request that was cancelled because its hedge completed first is the time until the
+// cancellation.
 func (r *Router) recordLatency(reply Reply) {
 	cancelled := reply.Outcome.Reason == outcome.ReasonCancelled
 	if reply.Hedge || reply.Failed || reply.Outcome.Kind != outcome.Answered && !cancelled {
--- a/core/routing/queue_share.go
+++ b/core/routing/queue_share.go
@@ -12,8 +12,9 @@
 // avoid the upstream.
 type queueShares map[model.GroupName]float64
 
-// recordQueueShare stores the share from a load that was reported to the group. A short
-// queue says little about the share, so the previous value is kept then.
+// recordQueueShare stores the queue share of a group from a load in a reply to a request
+// of that group. If the queue is not longer than the upstream's limit, it says little
+// about the share and the previous value is kept.
 func (c *candidate) recordQueueShare(g model.GroupName, load model.Load) {
 	if g == "" || load.Waiting <= load.Limit {
 		return
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -4,18 +4,18 @@
 //
 // Requests with a lower rank start first. Within a rank, requests that can still meet
 // their target latency start first. Among these, the kinds of requests get equal shares
-// of the work, so that many requests of one kind do not starve the others, and within a
-// kind the newest request starts first. While the upstream has enough capacity, the
-// order hardly matters, since all requests meet their targets. Under overload, most
-// waiting requests will miss their targets in any order. Oldest first would complete
-// each request shortly after its target. Newest first completes in time those that it
-// starts, and the others are refused early. Requests that can no longer meet their
-// target start last. They share the work between the kinds too; within a kind, the one
-// that had to start earliest comes first.
+// of the service time, so that many requests of one kind do not starve the others, and
+// within a kind the newest request starts first. While the upstream has enough capacity,
+// the order hardly matters, since all requests meet their targets. Under overload, most
+// waiting requests will miss their targets in any order. If the oldest started first, each
+// would complete shortly after its target. If the newest starts first, the requests that
+// start meet their targets and the others are refused early. Requests that can no longer
+// meet their target start last. Among these, the kinds also get equal shares of the
+// service time, and within a kind the request that had to start earliest comes first.
 //
 // To prevent starvation, every eighth start goes to the last rank. A request that can
-// no longer complete before its deadline is refused at once, because running it would
-// help nobody.
+// no longer complete before its deadline is refused at once, because its response
+// would come too late for its caller.
 package slots
 
 import (
@@ -29,12 +29,13 @@
 	ID uint64
 	// Rank is the priority of the request; 0 starts first.
 	Rank int
-	// Kind identifies the route of the request. The kinds of one rank share the work
-	// equally.
+	// Kind identifies the route of the request. All kinds of one rank get equal shares
+	// of the service time.
 	Kind Kind
 	// ServiceTime is the usual service time of the request.
 	ServiceTime time.Duration
-	// Arrived, Target and Deadline are instants. A zero Target means that there is none.
+	// Arrived is when the request entered the queue. Target and Deadline are when it
+	// should and must complete. A zero Target means that it has no target.
 	Arrived  model.Instant
 	Target   model.Instant
 	Deadline model.Instant
@@ -71,8 +72,8 @@
 }
 
 const (
-	// lastRankInterval is how often the last rank has its turn: one start in eight
-	// leaves seven eighths of the capacity to the regular order of ranks.
+	// lastRankInterval is the number of starts of which one goes to the last rank. One in
+	// eight leaves seven eighths of the capacity to the regular order of ranks.
 	lastRankInterval = 8
 )
 
@@ -103,8 +104,9 @@
 func (q *Queue) SetLimit(n int) { q.limit = max(n, 1) }
 
 // Ahead returns how many requests run now or would start before a new request of the
-// given rank and kind. Of its own rank, those are all waiting requests of its kind and
-// at most as many plus one of each other kind, since the kinds take turns.
+// given rank and kind. All waiting requests of a lower rank do. Of the same rank, all n
+// waiting requests of the same kind do, and at most n+1 of each other kind, since the
+// kinds take turns.
 func (q *Queue) Ahead(rank int, kind Kind) int {
 	n := q.running
 	waitingByKind := map[Kind]int{}
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -80,17 +80,17 @@
 }
 
 // TestKindsShareWorkEqually has many requests of one kind and a few older ones of another
-// kind of the same rank. The second kind gets half of the work until its requests run out,
-// although newer requests usually start first. A kind whose requests take longer has fewer
-// turns.
+// kind of the same rank. The second kind gets half of the service time until its requests
+// run out, although newer requests usually start first. A kind whose requests take longer
+// starts fewer of them.
 func TestKindsShareWorkEqually(t *testing.T) {
 	const frequent, rare = 1, 2
 	for name, c := range map[string]struct {
 		serviceTime int
 		turns       []int
 	}{
-		"equal work":                         {10, []int{1, 3, 5}},
-		"three times the work of the others": {30, []int{1, 5, 9}},
+		"equal service times":                        {10, []int{1, 3, 5}},
+		"three times the service time of the others": {30, []int{1, 5, 9}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := New(1)
@@ -139,8 +139,8 @@
 }
 
 // TestNewestFirstMeetsTargetsUnderOverload has twice as many requests as there is
-// capacity for. Each request that is started meets its target; oldest first would start
-// each request too late.
+// capacity for. Each request that is started meets its target. If the oldest started
+// first, each would start too late.
 func TestNewestFirstMeetsTargetsUnderOverload(t *testing.T) {
 	const interval, serviceTime, target, requests = 10, 20, 100, 200
 	q := New(1)
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -173,9 +173,9 @@
 	return !e.reaches && now.Sub(e.failingSince) >= yieldAfter && len(e.cell) > maxConcurrentTries
 }
 
-// countWatchers counts other daemons by their latest heartbeats: others reach the
-// store, of which earlier come before this daemon in the cell, and trying do not reach
-// it.
+// countWatchers counts the other watchers by their latest heartbeats. others is the number
+// of those that reach the store, earlier the number of those among them that come before
+// this daemon in the cell, and trying the number of those that do not reach the store.
 func (e *Elector) countWatchers(now model.Instant) (earlier, others, trying int) {
 	for address, hb := range e.heartbeats {
 		switch {
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -16,7 +16,7 @@
 	// step is the time step of the simulation.
 	step = 20 * time.Millisecond
 	// pollWait is how long a read of the store waits for a new version. readTimeout is
-	// when a read without a response is given up.
+	// how long a daemon waits for the response to a read.
 	pollWait    = 1500 * time.Millisecond
 	readTimeout = 2900 * time.Millisecond
 	// minRetry and maxRetry bound the delay after a failed read.
