--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -57,7 +57,7 @@
 	disabledBy("cold starts", edits.New(load, "slowdown = max(slowdown, coldSlowdown)", "slowdown = max(slowdown, 1)")),
 	disabledBy("learned work", edits.New(entry, "	e.serviceTimes[route] = known\n", "	_ = known\n")),
 	disabledBy("the price of a crossing", edits.New(placer, "DefaultCrossZonePenalty = 40 * time.Millisecond", "DefaultCrossZonePenalty = time.Nanosecond")),
-	disabledBy("avoidance", edits.New(placer, "v.unreachableUntil = now.Add(unreachablePause)", "v.unreachableUntil = now.Add(0 * unreachablePause)")),
+	disabledBy("avoidance", edits.New(placer, "c.unreachableUntil = now.Add(unreachablePause)", "c.unreachableUntil = now.Add(0 * unreachablePause)")),
 	coveredBy("sidecar TestHealthResponsesDoNotDecideRouting", disabledBy("the failing share", edits.New(load, "maxFailureRate = 0.95", "maxFailureRate = 0.0"))),
 	coveredBy("sidecar TestRetryBudgetAfterDaemonRestarts", disabledBy("the budget's part after starts", edits.New(retries, "return min(1, (1/retryBudgetMargin-1)/started)", "return min(1, 1+started)"))),
 	coveredBy("sidecar TestRetriesAreChargedForNestedCalls", disabledBy("calls in the budget", edits.New(retries, "for _, o := range e.otherServices(s) {", "for _, o := range e.otherServices(s)[:0] {"))),
@@ -67,7 +67,7 @@
 	disabledBy("the urgent's longer wait", edits.New(admit, "share = urgentUsefulShare", "share = usefulShare + 0*urgentUsefulShare")),
 	coveredBy("replay TestRetryAfterJitterSpreadsBursts", disabledBy("the spread of advice", edits.New("core/retry/retry_after.go", "retryAfterJitter = 0.5", "retryAfterJitter = 0.0"))),
 	coveredBy("sidecar TestCrashingRequestIsQuarantined", disabledBy("quarantine", edits.New("sidecar/quarantine.go", "	if !q.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if q.store != nil {\n		return nil\n	}\n	remaining"))),
-	coveredBy("sidecar TestLastUpstreamServesWhileItsDaemonStops", disabledBy("serving through a stopping daemon", edits.New(placer, "	case includeStopping:\n		return v.unreachableUntil <= now\n", "	case includeStopping:\n		return v.unreachableUntil <= now && !v.upstream.Stopping\n"))),
+	coveredBy("sidecar TestLastUpstreamServesWhileItsDaemonStops", disabledBy("serving through a stopping daemon", edits.New(placer, "	case includeStopping:\n		return c.unreachableUntil <= now\n", "	case includeStopping:\n		return c.unreachableUntil <= now && !c.upstream.Stopping\n"))),
 	disabledBy("relays", edits.New("sidecar/peers.go", "relaysPerZone = 2", "relaysPerZone = 1 << 20")),
 }
 
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -65,10 +65,11 @@
 // Labels are the key-value pairs of callers and upstreams.
 type Labels map[string]string
 
-// Load is what a guard knows exactly about its upstream at one moment. All replies and
-// probe responses carry it.
+// Load is the state of an upstream at one moment, as its guard has measured it. All
+// replies and probe responses carry a Load.
 type Load struct {
-	// Running counts requests that are running in the upstream.
+	// Running counts requests that are running in the upstream. The guard knows its own
+	// exactly, and may add requests from elsewhere; see package measure.
 	Running int32
 	// Waiting counts requests that are queued at the guard.
 	Waiting int32
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -31,7 +31,7 @@
 	initialSlowdown = 1.5
 	// meanSlowdownWeight makes the mean slowdown of a service cover about 64 responses.
 	meanSlowdownWeight = 1.0 / 64
-	// coldSlowdown is the lowest slowdown assumed of an upstream that reports that it
+	// coldSlowdown is the lowest slowdown assumed for an upstream that reports that it
 	// has just started, since its caches are still filling and its code is still being
 	// compiled.
 	coldSlowdown = 2.0
@@ -42,8 +42,8 @@
 	// maxUtilization is the share of its slots that an upstream may fill, because
 	// servers slow down near saturation.
 	maxUtilization = 0.8
-	// saturatedSlowdown is the slowdown of an upstream whose slots are all busy: 1.7,
-	// as recorded of services with 6 slots.
+	// saturatedSlowdown is the slowdown of an upstream whose slots are all busy. The
+	// value was recorded on services with 6 slots.
 	saturatedSlowdown = 1.7
 )
 
@@ -60,7 +60,7 @@
 
 // ExpectedTime returns the time until a request is expected to complete at an upstream.
 // serviceTime is the usual service time of the request, and ahead the number of requests
-// that are already there. slowdown, limit and failureRate are the values to assume of the
+// that are already there. slowdown, limit and failureRate are the estimates for the
 // upstream.
 func ExpectedTime(serviceTime time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
 	runTime := float64(serviceTime) * slowdown
@@ -76,8 +76,8 @@
 	return math.Exp2(-float64(max(age, 0)) / float64(loadHalfLife))
 }
 
-// view holds what this entry knows about one upstream.
-type view struct {
+// candidate holds what this entry knows about one upstream.
+type candidate struct {
 	upstream Upstream
 	// load was reported at loadAt. hasLoad is false if no load has been reported yet.
 	load    Load
@@ -97,40 +97,40 @@
 
 // slowdown returns the slowdown to expect now. mean is the mean slowdown of the
 // service.
-func (v *view) slowdown(now model.Instant, mean float64) float64 {
+func (c *candidate) slowdown(now model.Instant, mean float64) float64 {
 	slowdown := mean
-	if v.hasLoad && v.load.Slowdown > 0 {
-		weight := loadDecay(now.Sub(v.loadAt) + v.load.SlowdownAge)
-		slowdown = mean + (v.load.Slowdown-mean)*weight
+	if c.hasLoad && c.load.Slowdown > 0 {
+		weight := loadDecay(now.Sub(c.loadAt) + c.load.SlowdownAge)
+		slowdown = mean + (c.load.Slowdown-mean)*weight
 	}
-	if v.upstream.ColdUntil > now {
+	if c.upstream.ColdUntil > now {
 		slowdown = max(slowdown, coldSlowdown)
 	}
 	return slowdown
 }
 
 // expectedRequests estimates how many requests are at the upstream now.
-func (v *view) expectedRequests(now model.Instant) int {
-	if !v.hasLoad {
-		return v.inFlight
+func (c *candidate) expectedRequests(now model.Instant) int {
+	if !c.hasLoad {
+		return c.inFlight
 	}
-	weight := loadDecay(now.Sub(v.loadAt))
-	othersAtLoad := max(float64(v.load.Running+v.load.Waiting-v.inFlightAtLoad), 0)
-	return v.inFlight + int(math.Round(v.meanOthers+(othersAtLoad-v.meanOthers)*weight))
+	weight := loadDecay(now.Sub(c.loadAt))
+	othersAtLoad := max(float64(c.load.Running+c.load.Waiting-c.inFlightAtLoad), 0)
+	return c.inFlight + int(math.Round(c.meanOthers+(othersAtLoad-c.meanOthers)*weight))
 }
 
 // limit returns the concurrency limit of the upstream.
-func (v *view) limit() int {
-	if v.hasLoad && v.load.Limit > 0 {
-		return v.load.Limit
+func (c *candidate) limit() int {
+	if c.hasLoad && c.load.Limit > 0 {
+		return c.load.Limit
 	}
-	return DefaultLimit(v.upstream.Slots)
+	return DefaultLimit(c.upstream.Slots)
 }
 
 // failureRate returns the failure rate to expect now.
-func (v *view) failureRate(now model.Instant) float64 {
-	if !v.hasLoad {
+func (c *candidate) failureRate(now model.Instant) float64 {
+	if !c.hasLoad {
 		return 0
 	}
-	return v.load.FailureRate * failureDecay(now.Sub(v.loadAt))
+	return c.load.FailureRate * failureDecay(now.Sub(c.loadAt))
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -100,9 +100,10 @@
 // Placer chooses among the upstreams of one service. It is not safe for concurrent use.
 type Placer struct {
 	opts Options
-	// views holds the candidates by key, order in the order in which they were given.
-	views map[string]*view
-	order []*view
+	// candidates is indexed by key. order holds the candidates in the order in which they
+	// were given.
+	candidates map[string]*candidate
+	order      []*candidate
 	// meanSlowdown is the mean slowdown of the service.
 	meanSlowdown float64
 	// roundTrips holds the round-trip time to the guards of each zone.
@@ -117,23 +118,23 @@
 	if opts.Rand == nil {
 		opts.Rand = rand.Float64
 	}
-	return &Placer{opts: opts, views: make(map[string]*view), meanSlowdown: initialSlowdown, roundTrips: make(map[model.AvailabilityZone]time.Duration)}
+	return &Placer{opts: opts, candidates: make(map[string]*candidate), meanSlowdown: initialSlowdown, roundTrips: make(map[model.AvailabilityZone]time.Duration)}
 }
 
 // SetUpstreams replaces the candidates. What is known about candidates that remain is kept.
 func (p *Placer) SetUpstreams(ups []Upstream) {
-	views := make(map[string]*view, len(ups))
+	candidates := make(map[string]*candidate, len(ups))
 	p.order = p.order[:0]
 	for _, up := range ups {
-		v := p.views[up.Key]
-		if v == nil {
-			v = &view{}
+		c := p.candidates[up.Key]
+		if c == nil {
+			c = &candidate{}
 		}
-		v.upstream = up
-		views[up.Key] = v
-		p.order = append(p.order, v)
+		c.upstream = up
+		candidates[up.Key] = c
+		p.order = append(p.order, c)
 	}
-	p.views = views
+	p.candidates = candidates
 }
 
 // Len returns the number of candidates.
@@ -143,8 +144,8 @@
 // has not been called yet.
 func (p *Placer) Outstanding() int {
 	n := 0
-	for _, v := range p.order {
-		n += v.inFlight
+	for _, c := range p.order {
+		n += c.inFlight
 	}
 	return n
 }
@@ -158,15 +159,15 @@
 // are returned, except that the last of the n is drawn at random from the others.
 func (p *Placer) QueryTargets(now model.Instant, req Request, local bool, maxAge time.Duration, n int) []Upstream {
 	var stale []scoredCandidate
-	for _, v := range p.order {
-		if (v.upstream.Zone == p.opts.Zone) != local || !preferredOnly.allows(v, now) {
+	for _, c := range p.order {
+		if (c.upstream.Zone == p.opts.Zone) != local || !preferredOnly.allows(c, now) {
 			continue
 		}
-		if req.Exclude != nil && req.Exclude(v.upstream) || v.hasLoad && now.Sub(v.loadAt) < maxAge {
+		if req.Exclude != nil && req.Exclude(c.upstream) || c.hasLoad && now.Sub(c.loadAt) < maxAge {
 			continue
 		}
-		t := p.expected(now, req, v)
-		stale = append(stale, scoredCandidate{view: v, time: t, score: time.Duration(float64(t) * (1 + queryJitter*p.opts.Rand()))})
+		t := p.expected(now, req, c)
+		stale = append(stale, scoredCandidate{candidate: c, time: t, score: time.Duration(float64(t) * (1 + queryJitter*p.opts.Rand()))})
 	}
 	slices.SortFunc(stale, func(a, b scoredCandidate) int { return cmp.Compare(a.score, b.score) })
 	if len(stale) > n {
@@ -176,7 +177,7 @@
 	}
 	ups := make([]Upstream, len(stale))
 	for i := range stale {
-		ups[i] = stale[i].view.upstream
+		ups[i] = stale[i].candidate.upstream
 	}
 	return ups
 }
@@ -185,7 +186,7 @@
 // well within the target latency.
 func (p *Placer) LocalMeetsTarget(now model.Instant, req Request) bool {
 	_, _, bestLocal := p.findBest(now, req, preferredOnly)
-	if bestLocal.view == nil {
+	if bestLocal.candidate == nil {
 		return false
 	}
 	return req.Target <= 0 || bestLocal.time < time.Duration(targetShare*float64(req.Target))
@@ -193,8 +194,8 @@
 
 // UpdateLoad records the load of an upstream.
 func (p *Placer) UpdateLoad(now model.Instant, key string, load Load) {
-	if v := p.views[key]; v != nil {
-		p.updateLoad(now, v, load)
+	if c := p.candidates[key]; c != nil {
+		p.updateLoad(now, c, load)
 	}
 }
 
@@ -203,31 +204,31 @@
 // candidate is excluded.
 func (p *Placer) Choose(now model.Instant, req Request) (Choice, bool) {
 	var best, second, bestLocal scoredCandidate
-	for e := preferredOnly; e <= includeUnreachable && best.view == nil; e++ {
+	for e := preferredOnly; e <= includeUnreachable && best.candidate == nil; e++ {
 		best, second, bestLocal = p.findBest(now, req, e)
 	}
-	if best.view == nil {
+	if best.candidate == nil {
 		return Choice{}, false
 	}
 	chosen, alternative := best, second
-	if bestLocal.view != nil && bestLocal.view != best.view && req.Target > 0 && bestLocal.time < time.Duration(targetShare*float64(req.Target)) {
+	if bestLocal.candidate != nil && bestLocal.candidate != best.candidate && req.Target > 0 && bestLocal.time < time.Duration(targetShare*float64(req.Target)) {
 		chosen, alternative = bestLocal, best
 	}
-	chosen.view.inFlight++
-	age := now.Sub(chosen.view.loadAt)
-	if !chosen.view.hasLoad {
+	chosen.candidate.inFlight++
+	age := now.Sub(chosen.candidate.loadAt)
+	if !chosen.candidate.hasLoad {
 		age = math.MaxInt64
 	}
-	return Choice{Upstream: chosen.view.upstream, Expected: chosen.time, Alternative: alternative.time, Age: age}, true
+	return Choice{Upstream: chosen.candidate.upstream, Expected: chosen.time, Alternative: alternative.time, Age: age}, true
 }
 
 // scoredCandidate is a candidate with the expected time of the request and a score, by
 // which candidates are compared. The score is that time with jitter and, in findBest,
 // the cross-zone penalty.
 type scoredCandidate struct {
-	view  *view
-	score time.Duration
-	time  time.Duration
+	candidate *candidate
+	score     time.Duration
+	time      time.Duration
 }
 
 // eligibility says which candidates may be chosen. Higher values allow more of them and
@@ -246,12 +247,12 @@
 )
 
 // allows reports whether the candidate may be chosen.
-func (e eligibility) allows(v *view, now model.Instant) bool {
+func (e eligibility) allows(c *candidate, now model.Instant) bool {
 	switch e {
 	case preferredOnly:
-		return v.unreachableUntil <= now && !v.upstream.Stopping
+		return c.unreachableUntil <= now && !c.upstream.Stopping
 	case includeStopping:
-		return v.unreachableUntil <= now
+		return c.unreachableUntil <= now
 	default:
 		return true
 	}
@@ -259,27 +260,27 @@
 
 // findBest returns the best candidate, the second best, and the best one of the local zone.
 func (p *Placer) findBest(now model.Instant, req Request, e eligibility) (best, second, bestLocal scoredCandidate) {
-	for _, v := range p.order {
-		if !e.allows(v, now) {
+	for _, c := range p.order {
+		if !e.allows(c, now) {
 			continue
 		}
-		if req.Exclude != nil && req.Exclude(v.upstream) {
+		if req.Exclude != nil && req.Exclude(c.upstream) {
 			continue
 		}
-		t := p.expected(now, req, v)
-		c := scoredCandidate{view: v, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
-		local := v.upstream.Zone == p.opts.Zone
+		t := p.expected(now, req, c)
+		scored := scoredCandidate{candidate: c, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
+		local := c.upstream.Zone == p.opts.Zone
 		if !local {
-			c.score += p.opts.CrossZonePenalty
+			scored.score += p.opts.CrossZonePenalty
 		}
 		switch {
-		case best.view == nil || c.score < best.score:
-			best, second = c, best
-		case second.view == nil || c.score < second.score:
-			second = c
+		case best.candidate == nil || scored.score < best.score:
+			best, second = scored, best
+		case second.candidate == nil || scored.score < second.score:
+			second = scored
 		}
-		if local && (bestLocal.view == nil || c.score < bestLocal.score) {
-			bestLocal = c
+		if local && (bestLocal.candidate == nil || scored.score < bestLocal.score) {
+			bestLocal = scored
 		}
 	}
 	return best, second, bestLocal
@@ -287,23 +288,23 @@
 
 // expected returns the time until the request would complete at an upstream, including
 // the round trip to its zone.
-func (p *Placer) expected(now model.Instant, req Request, v *view) time.Duration {
-	return p.roundTrips[v.upstream.Zone] + ExpectedTime(req.ServiceTime, v.slowdown(now, p.meanSlowdown), v.expectedRequests(now), v.limit(), v.failureRate(now))
+func (p *Placer) expected(now model.Instant, req Request, c *candidate) time.Duration {
+	return p.roundTrips[c.upstream.Zone] + ExpectedTime(req.ServiceTime, c.slowdown(now, p.meanSlowdown), c.expectedRequests(now), c.limit(), c.failureRate(now))
 }
 
 // ObserveRTT records the round-trip time of a load query to the guard of an upstream.
 // A time longer than the stored one changes it only a little, as it may include a wait
 // for a CPU.
 func (p *Placer) ObserveRTT(key string, took time.Duration) {
-	v := p.views[key]
-	if v == nil {
+	c := p.candidates[key]
+	if c == nil {
 		return
 	}
-	rtt, known := p.roundTrips[v.upstream.Zone]
+	rtt, known := p.roundTrips[c.upstream.Zone]
 	if known && took > rtt {
 		took = rtt + (took-rtt)/rttSmoothing
 	}
-	p.roundTrips[v.upstream.Zone] = took
+	p.roundTrips[c.upstream.Zone] = took
 }
 
 // ZonesBeyondRTT returns the zones whose round-trip time is longer than rtt. It returns
@@ -325,24 +326,24 @@
 // Done records the end of a request that Choose has placed. load is nil if the guard
 // reported none.
 func (p *Placer) Done(now model.Instant, key string, load *Load) {
-	v := p.views[key]
-	if v == nil {
+	c := p.candidates[key]
+	if c == nil {
 		return
 	}
-	v.inFlight = max(v.inFlight-1, 0)
+	c.inFlight = max(c.inFlight-1, 0)
 	if load == nil {
 		return
 	}
-	p.updateLoad(now, v, *load)
+	p.updateLoad(now, c, *load)
 }
 
 // updateLoad records the load of an upstream and clears the effect of MarkUnreachable,
 // since an upstream whose guard reports a load is reachable.
-func (p *Placer) updateLoad(now model.Instant, v *view, load Load) {
-	v.load, v.loadAt, v.hasLoad, v.inFlightAtLoad = load, now, true, v.inFlight
-	v.unreachableUntil = 0
-	others := max(float64(load.Running+load.Waiting-v.inFlight), 0)
-	v.meanOthers += (others - v.meanOthers) * othersWeight
+func (p *Placer) updateLoad(now model.Instant, c *candidate, load Load) {
+	c.load, c.loadAt, c.hasLoad, c.inFlightAtLoad = load, now, true, c.inFlight
+	c.unreachableUntil = 0
+	others := max(float64(load.Running+load.Waiting-c.inFlight), 0)
+	c.meanOthers += (others - c.meanOthers) * othersWeight
 	if load.Slowdown > 0 {
 		p.meanSlowdown += (load.Slowdown - p.meanSlowdown) * meanSlowdownWeight
 	}
@@ -351,7 +352,7 @@
 // MarkUnreachable records that an upstream could not be reached. For unreachablePause,
 // the upstream is chosen only if there is no other candidate.
 func (p *Placer) MarkUnreachable(now model.Instant, key string) {
-	if v := p.views[key]; v != nil {
-		v.unreachableUntil = now.Add(unreachablePause)
+	if c := p.candidates[key]; c != nil {
+		c.unreachableUntil = now.Add(unreachablePause)
 	}
 }
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -53,9 +53,9 @@
 	volunteerFrom model.Instant
 
 	watching bool
-	// reaches is set if this daemon's last call to the store succeeded. failingSince is
+	// reachesStore is set if this daemon's last call to the store succeeded. failingSince is
 	// when its calls began to fail, or when it began to watch.
-	reaches      bool
+	reachesStore bool
 	failingSince model.Instant
 	// yieldUntil is when this daemon may watch again after it has yielded.
 	yieldUntil model.Instant
@@ -96,22 +96,22 @@
 	}
 }
 
-// RecordHeartbeat records a heartbeat received from another daemon. reaches is set if that
-// daemon reaches the store.
-func (e *Elector) RecordHeartbeat(now model.Instant, from string, reaches bool) {
+// RecordHeartbeat records a heartbeat received from another daemon. reachesStore is set if
+// that daemon reaches the store.
+func (e *Elector) RecordHeartbeat(now model.Instant, from string, reachesStore bool) {
 	if from != e.self && slices.Contains(e.cell, from) {
-		e.heartbeats[from] = heartbeat{at: now, reachesStore: reaches}
+		e.heartbeats[from] = heartbeat{at: now, reachesStore: reachesStore}
 	}
 }
 
 // RecordStoreCall records whether a call to the store succeeded. If the result differs
 // from the last one, the next heartbeat is due at once.
 func (e *Elector) RecordStoreCall(now model.Instant, ok bool) {
-	if e.reaches && !ok {
+	if e.reachesStore && !ok {
 		e.failingSince = now
 	}
-	if ok != e.reaches {
-		e.reaches = ok
+	if ok != e.reachesStore {
+		e.reachesStore = ok
 		e.TriggerHeartbeat()
 	}
 }
@@ -136,7 +136,7 @@
 	wasWatching := e.watching
 	e.watching = e.shouldWatch(now)
 	if e.watching && !wasWatching {
-		e.reaches, e.failingSince, e.lastHeartbeat = false, now, 0
+		e.reachesStore, e.failingSince, e.lastHeartbeat = false, now, 0
 	}
 	return e.watching
 }
@@ -170,7 +170,7 @@
 // shouldYield reports whether this daemon has tried to reach the store for long enough
 // and there are other daemons that could try.
 func (e *Elector) shouldYield(now model.Instant) bool {
-	return !e.reaches && now.Sub(e.failingSince) >= yieldAfter && len(e.cell) > maxConcurrentTries
+	return !e.reachesStore && now.Sub(e.failingSince) >= yieldAfter && len(e.cell) > maxConcurrentTries
 }
 
 // countWatchers counts the other watchers by their latest heartbeats. others is the number
@@ -195,7 +195,7 @@
 // StoreUnreachable reports whether no daemon of the cell, including this one, is known to
 // reach the store.
 func (e *Elector) StoreUnreachable(now model.Instant) bool {
-	if e.watching && e.reaches {
+	if e.watching && e.reachesStore {
 		return false
 	}
 	_, others, _ := e.countWatchers(now)
@@ -203,7 +203,7 @@
 }
 
 // ReachesStore reports whether this daemon watches the store and reaches it.
-func (e *Elector) ReachesStore() bool { return e.watching && e.reaches }
+func (e *Elector) ReachesStore() bool { return e.watching && e.reachesStore }
 
 // CellPeers returns the other daemons of the cell, to which heartbeats are sent.
 func (e *Elector) CellPeers() []string {
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -145,12 +145,12 @@
 	if !d.elector.HeartbeatDue(d.fleet.now) {
 		return
 	}
-	reaches := d.elector.ReachesStore()
+	reachesStore := d.elector.ReachesStore()
 	for _, other := range d.elector.CellPeers() {
 		to := d.fleet.byName[other]
 		d.heartbeatsSent++
 		d.fleet.send(d, to, func() {
-			to.elector.RecordHeartbeat(to.fleet.now, d.name, reaches)
+			to.elector.RecordHeartbeat(to.fleet.now, d.name, reachesStore)
 			to.applyVersion(d.version)
 		})
 	}
