--- a/core/ceiling/doc.go
+++ b/core/ceiling/doc.go
@@ -11,7 +11,7 @@
 //
 // Reports spread by gossip and therefore arrive late. While demand moves from
 // some daemons to others, the daemons that gained demand still have small
-// shares and those that lost demand still hold large ones, so the group gets
+// shares and the daemons that lost demand still have large shares, so the group gets
 // less than its ceiling until the reports have spread. The group exceeds its
 // ceiling only while some daemon does not know the demand of another. Two rules
 // limit this: a daemon with new demand starts with a small share
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -96,7 +96,7 @@
 // it did not run.
 func UnknownBecause(r Reason) Outcome { return Outcome{Kind: Unknown, Reason: r} }
 
-// Done returns the outcome of a complete response.
+// Done returns the outcome Answered, of a request with a complete response.
 func Done() Outcome { return Outcome{Kind: Answered} }
 
 // RetryElsewhere reports whether an immediate attempt at another upstream may succeed. It
--- a/core/placement/failure_rate.go
+++ b/core/placement/failure_rate.go
@@ -11,8 +11,8 @@
 	// failureWeight makes the failure rate cover about 8 requests.
 	failureWeight = 1.0 / 8
 	// failureHalfLife is the time in which a failure rate halves. An upstream that
-	// fails every request is tried again after three half-lives, and then after every
-	// one or two of them for as long as it keeps failing. That affects well under 1% of
+	// fails every request is tried again after three half-lives, and then every one or
+	// two half-lives for as long as it keeps failing. These trials are well under 1% of
 	// requests.
 	failureHalfLife = 2 * time.Second
 )
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -81,10 +81,11 @@
 }
 
 // MissesTarget reports whether a request should be refused rather than sent to the chosen
-// upstream: fullGuards guards, at least one, have rejected it for lack of capacity, and it
-// would miss its target there. It would then take a slot from requests that can still meet
-// theirs, and its caller is better off retrying later. left is the time until the target,
-// or zero if there is none.
+// upstream: at least one guard has rejected it for lack of capacity, and it is expected to
+// miss its target at the chosen upstream. There it would take a slot from requests that
+// can still meet their targets, and its caller is better off retrying later. fullGuards is
+// the number of such rejections. left is the time until the target, or zero if there is
+// none.
 func (c *Choice) MissesTarget(fullGuards int, left time.Duration) bool {
 	return fullGuards > 0 && left != 0 && c.Expected > left
 }
