--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -16,7 +16,7 @@
 	// step is the time step of the simulation.
 	step = 20 * time.Millisecond
 	// pollWait is how long a read of the store waits for a new version. readTimeout is
-	// when a read without a response is given up.
+	// how long a daemon waits for the response to a read.
 	pollWait    = 1500 * time.Millisecond
 	readTimeout = 2900 * time.Millisecond
 	// minRetry and maxRetry bound the delay after a failed read.
@@ -145,12 +145,12 @@
 	if !d.elector.HeartbeatDue(d.fleet.now) {
 		return
 	}
-	reaches := d.elector.ReachesStore()
+	reachesStore := d.elector.ReachesStore()
 	for _, other := range d.elector.CellPeers() {
 		to := d.fleet.byName[other]
 		d.heartbeatsSent++
 		d.fleet.send(d, to, func() {
-			to.elector.RecordHeartbeat(to.fleet.now, d.name, reaches)
+			to.elector.RecordHeartbeat(to.fleet.now, d.name, reachesStore)
 			to.applyVersion(d.version)
 		})
 	}
