--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -28,17 +28,17 @@
 
 // The source files that contain the mechanisms.
 const (
-	placer  = "core/placement/placer.go"
-	load    = "core/placement/load.go"
-	figures = "core/placement/parameters.go"
-	queue   = "core/slots/slots.go"
-	admit   = "core/slots/admit.go"
-	choose  = "sidecar/choose.go"
-	entry   = "sidecar/entry.go"
-	retries = "sidecar/retries.go"
+	placer     = "core/placement/placer.go"
+	load       = "core/placement/load.go"
+	parameters = "core/placement/parameters.go"
+	queue      = "core/slots/slots.go"
+	admit      = "core/slots/admit.go"
+	choose     = "sidecar/choose.go"
+	entry      = "sidecar/entry.go"
+	retries    = "sidecar/retries.go"
 )
 
-// Edits that remove the load queries to one kind of zone.
+// Edits that remove the load queries to the local zone, or to the remote zones.
 var (
 	noLocalQueries  = edits.New(choose, "f.queryLoads(req, true, placement.MaxLocalQueries, localZoneTimeout)", "_ = localZoneTimeout")
 	noRemoteQueries = edits.New(choose, "		f.queryLoads(req, false, placement.MaxRemoteQueries, remoteZoneTimeout)\n", "		_ = remoteZoneTimeout\n")
@@ -48,7 +48,7 @@
 var mechanisms = []mechanism{
 	disabledBy("questions before sending", noLocalQueries, noRemoteQueries),
 	disabledBy("questions to other zones", noRemoteQueries),
-	disabledBy("giving back", edits.New(figures, "MaxRejections = 2", "MaxRejections = 0")),
+	disabledBy("giving back", edits.New(parameters, "MaxRejections = 2", "MaxRejections = 0")),
 	disabledBy("hedges", edits.New(choose, "if !f.request.route.Idempotent || len(f.inFlight) != 1 ||", "if !f.request.route.Idempotent || len(f.inFlight) < 9 ||")),
 	disabledBy("newest first", edits.New(queue, "return a.Arrived > b.Arrived", "return a.Arrived < b.Arrived")),
 	coveredBy("core/slots TestKindsShareWorkEqually", disabledBy("turns between kinds", edits.New(queue, "case aTag != bTag:", "case aTag < 0 && bTag < 0:"))),
@@ -62,7 +62,7 @@
 	coveredBy("sidecar TestRetryBudgetAfterDaemonRestarts", disabledBy("the budget's part after starts", edits.New(retries, "return min(1, (1/retryBudgetMargin-1)/started)", "return min(1, 1+started)"))),
 	coveredBy("sidecar TestRetriesAreChargedForNestedCalls", disabledBy("calls in the budget", edits.New(retries, "for _, o := range e.otherServices(s) {", "for _, o := range e.otherServices(s)[:0] {"))),
 	disabledBy("the budget's margin", edits.New(retries, "retryBudgetMargin = 0.75", "retryBudgetMargin = 0.999")),
-	coveredBy("core/placement TestMissesDeadline", disabledBy("early refusal", edits.New(figures, "maxRefusalAge = 30 * time.Millisecond", "maxRefusalAge = 0 * time.Millisecond"))),
+	coveredBy("core/placement TestMissesDeadline", disabledBy("early refusal", edits.New(parameters, "maxRefusalAge = 30 * time.Millisecond", "maxRefusalAge = 0 * time.Millisecond"))),
 	disabledBy("refusal after a full guard", edits.New(placer, "return fullGuards > 0 && left != 0 && c.Expected > left", "return fullGuards > 99 && left != 0 && c.Expected > left")),
 	disabledBy("the urgent's longer wait", edits.New(admit, "share = urgentUsefulShare", "share = usefulShare + 0*urgentUsefulShare")),
 	coveredBy("replay TestRetryAfterJitterSpreadsBursts", disabledBy("the spread of advice", edits.New("core/retry/retry_after.go", "retryAfterSpread = 0.5", "retryAfterSpread = 0.0"))),
--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -154,8 +154,8 @@
 	mean, standardError := meanAndStandardError([]float64{1, 2, 3})
 	require.InDelta(t, 2, mean, 1e-9)
 	require.InDelta(t, 1/math.Sqrt(3), standardError, 1e-9)
-	_, single := meanAndStandardError([]float64{4})
-	require.Zero(t, single)
+	_, errorOfSingleValue := meanAndStandardError([]float64{4})
+	require.Zero(t, errorOfSingleValue)
 }
 
 // TestResultsResumeAfterTruncatedLine guards against an interrupted run that cannot be resumed
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -135,8 +135,8 @@
 // dayNames returns the days of a site file to replay: those in ABLATION_DAYS, or else all whose
 // names do not begin with quiet.
 func dayNames(site string) ([]string, error) {
-	if named := envList("ABLATION_DAYS", ""); len(named) > 0 {
-		return named, nil
+	if selectedDays := envList("ABLATION_DAYS", ""); len(selectedDays) > 0 {
+		return selectedDays, nil
 	}
 	text, err := os.ReadFile(site)
 	if err != nil {
--- a/cmd/dottereltiller/diff.go
+++ b/cmd/dottereltiller/diff.go
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// documentsToCompare returns the documents of version --to, or those that result from putting
-// the files on top of before.
+// documentsToCompare returns the documents of version --to or, without --to, the documents in
+// before with those in the files added or replaced. With --prune it returns only the latter.
 func (c *diffCmd) documentsToCompare(ctx context.Context, before operator.Documents) (operator.Documents, error) {
 	if c.To != 0 {
 		return c.documentsAt(ctx, c.To)
--- a/cmd/dottereltiller/publish.go
+++ b/cmd/dottereltiller/publish.go
@@ -64,7 +64,7 @@
 	defer cancel()
 	if c.DryRun {
 		plan, err := operator.Plan(logCtx, c.client(), p)
-		operator.WriteDiff(os.Stdout, plan.Changes)
+		operator.WriteDiff(os.Stdout, plan.Differences)
 		return err
 	}
 	res, err := operator.Propose(logCtx, c.client(), p)
@@ -79,7 +79,7 @@
 	var superseded *operator.SupersededError
 	if errors.As(err, &superseded) {
 		fmt.Println("differences between the current version and this change:")
-		operator.WriteDiff(os.Stdout, superseded.Changes)
+		operator.WriteDiff(os.Stdout, superseded.Differences)
 	}
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 		fmt.Printf("nothing to change: version %d holds these documents\n", res.Version)
 		return nil
 	}
-	operator.WriteDiff(os.Stdout, res.Changes)
+	operator.WriteDiff(os.Stdout, res.Differences)
 	fmt.Printf("accepted as version %d (change %s)\n", res.Version, res.ChangeID)
 	return nil
 }
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -53,9 +53,9 @@
 const killTimeout = 10 * time.Second
 
 // TestSIGHUPHasInheritedActionOutsideThePlatform checks that a daemon that does not run on the
-// platform handles SIGHUP as inherited from its parent: it is ended by the signal, or ignores
-// it if the parent did. It guards against restoring the ignored state that package hangup sets
-// while the program starts.
+// platform has the action for SIGHUP that it inherited: it ignores the signal if its parent
+// ignored it, otherwise the signal ends the daemon. The test guards against restoring the
+// ignored state that package hangup sets while the program starts.
 func TestSIGHUPHasInheritedActionOutsideThePlatform(t *testing.T) {
 	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	for name, ignored := range map[string]bool{"started as usual": false, "started with SIGHUP ignored": true} {
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -210,7 +210,7 @@
 				require.ErrorAs(t, errs[loser], &superseded)
 				require.Equal(t, fmt.Sprint("op-race-", winner), superseded.By)
 				require.Equal(t, results[winner].ChangeID, superseded.ByChange)
-				require.Len(t, superseded.Changes, 1, "the changes that the losing proposal would still make")
+				require.Len(t, superseded.Differences, 1, "the changes that the losing proposal would still make")
 				f.log.SetFaults(recordlog.Faults{})
 				time.Sleep(5 * time.Second)
 				synctest.Wait()
--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -56,7 +56,7 @@
 	maxBytesPerSecond   = 19 << 10 // per daemon, sent and received
 	maxReadsPerSecond   = 300      // of all daemons together
 	maxAppendsPerSecond = 10       // of all daemons together
-	maxTimeToForce      = 3 * time.Second
+	maxTimeUntilInForce = 3 * time.Second
 )
 
 // TestIdleCost measures the cost of the control plane while nothing changes.
@@ -101,7 +101,7 @@
 		name  string
 		size  int
 		fault func(f *fleet, on bool)
-		// within bounds the 99th percentile; maxTimeToForce bounds the maximum.
+		// within bounds the 99th percentile; maxTimeUntilInForce bounds the maximum.
 		within time.Duration
 	}{
 		{"healthy", 10, func(*fleet, bool) {}, time.Second},
@@ -129,7 +129,7 @@
 						time.Sleep(100 * time.Millisecond)
 						c.fault(f, true)
 					}
-					time.Sleep(maxTimeToForce)
+					time.Sleep(maxTimeUntilInForce)
 					synctest.Wait()
 					c.fault(f, false)
 					if down && len(f.timesInForce(v)) == 0 {
@@ -142,7 +142,7 @@
 				t.Logf("%s, %d daemons, %d samples: p50 %v, p99 %v, max %v", c.name, c.size, len(allDelays),
 					percentile(allDelays, 0.5), percentile(allDelays, 0.99), allDelays[len(allDelays)-1])
 				require.LessOrEqual(t, percentile(allDelays, 0.99), c.within)
-				require.LessOrEqual(t, allDelays[len(allDelays)-1], maxTimeToForce)
+				require.LessOrEqual(t, allDelays[len(allDelays)-1], maxTimeUntilInForce)
 			})
 		})
 	}
@@ -192,7 +192,7 @@
 				for i := range restarted {
 					f.start(i)
 				}
-				recovery := f.waitFor(t, c.within, func() bool { return f.allAtVersion(v) && f.allSeeAll() })
+				recovery := f.waitFor(t, c.within, func() bool { return f.allAtVersion(v) && f.allUpstreamsSeenByAll() })
 				t.Logf("%s, %d of %d daemons restarted: recovered after %v with %d reads and %d appends, %d KB a restarted daemon, %d KB a survivor",
 					name, restarted, largestFleet, recovery, f.logReads.Load()-readsBefore, f.logAppends.Load()-appendsBefore,
 					f.sentBytesOf(f.nodes[:restarted])/int64(restarted)/1024, (f.sentBytesOf(f.nodes[restarted:])-survivors)/int64(largestFleet-restarted)/1024)
@@ -243,10 +243,10 @@
 				dead := f.nodes[size-1]
 				f.kill(size - 1)
 				alive := &fleet{nodes: f.nodes[:size-1]}
-				removed := f.waitFor(t, 15*time.Second, func() bool { return alive.countConsideringDead(dead.ID) == size-1 })
+				removalDelay := f.waitFor(t, 15*time.Second, func() bool { return alive.countConsideringDead(dead.ID) == size-1 })
 				f.start(size - 1)
-				rejoined := f.waitFor(t, 15*time.Second, f.allSeeAll)
-				t.Logf("%d daemons: considered dead everywhere after %v, seen everywhere %v after its restart", size, removed, rejoined)
+				rejoinDelay := f.waitFor(t, 15*time.Second, f.allUpstreamsSeenByAll)
+				t.Logf("%d daemons: considered dead everywhere after %v, seen everywhere %v after its restart", size, removalDelay, rejoinDelay)
 			})
 		})
 	}
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-func (f *fleet) allSeeAll() bool {
+func (f *fleet) allUpstreamsSeenByAll() bool {
 	for _, n := range f.nodes {
 		if ups, _ := n.registry.Upstreams("s"); len(ups) != len(f.nodes) {
 			return false
@@ -136,7 +136,7 @@
 		for i := range f.nodes {
 			f.start(i)
 		}
-		f.waitFor(t, time.Minute, f.allSeeAll)
+		f.waitFor(t, time.Minute, f.allUpstreamsSeenByAll)
 		time.Sleep(30 * time.Second)
 		test(t, f)
 		cancel()
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -45,34 +45,34 @@
 	s.Log.Address = d.LogAddress
 	s.Peers.Secret = "local"
 	s.Process.DrainTime = policy.Duration(100 * time.Millisecond)
-	extra, err := daemon.New(s, d.Logger())
+	newDaemon, err := daemon.New(s, d.Logger())
 	require.NoError(t, err)
 	f, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = f.Close() })
 	f.SetScript(standin.Script{Hang: true})
-	return extra, f
+	return newDaemon, f
 }
 
 func TestStopWaitsForRequestsUntilAborted(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, nil)
-	extra, f := newDaemonWithHangingUpstream(t, d)
-	stop, done := serveInBackground(t, extra)
+	drainingDaemon, f := newDaemonWithHangingUpstream(t, d)
+	stop, done := serveInBackground(t, drainingDaemon)
 	require.NoError(t, d.Nodes[0].Upstream.Announce(t.Context(), d.Nodes[0].Daemon.AdminAddress(), 1, true))
-	code, body := putAnnouncement(t, extra.AdminAddress(), "faulty",
+	code, body := putAnnouncement(t, drainingDaemon.AdminAddress(), "faulty",
 		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, f.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
 	require.Eventually(t, func() bool {
-		ups, _ := extra.Members.Upstreams("returdesk")
-		return extra.Config.Current() != nil && len(ups) > 0
+		ups, _ := drainingDaemon.Members.Upstreams("returdesk")
+		return drainingDaemon.Config.Current() != nil && len(ups) > 0
 	}, waitLimit, pollInterval)
 
 	responses := make(chan callerResponse, 1)
-	go func() { responses <- sendRequest(t, extra.CallerAddress(), http.MethodPost, "release") }()
+	go func() { responses <- sendRequest(t, drainingDaemon.CallerAddress(), http.MethodPost, "release") }()
 	require.Eventually(t, func() bool { return f.Requests() == 1 }, waitLimit, pollInterval)
 	stop()
 	require.Eventually(t, func() bool {
-		resp, err := http.Get("http://" + extra.AdminAddress() + "/readyz")
+		resp, err := http.Get("http://" + drainingDaemon.AdminAddress() + "/readyz")
 		if err != nil {
 			return false
 		}
@@ -84,7 +84,7 @@
 		require.Fail(t, "the shutdown did not wait for the request in flight", "%v", err)
 	case <-time.After(200 * time.Millisecond):
 	}
-	extra.AbortDrain()
+	drainingDaemon.AbortDrain()
 	var aborted *daemon.AbortedRequestsError
 	require.ErrorAs(t, <-done, &aborted)
 	require.Equal(t, 1, aborted.CallerRequests)
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -39,8 +39,8 @@
 		s.Gauge("limit").Update(float64(load.Limit))
 		s.Gauge("failing").Update(float64(load.FailureRate))
 	}
-	for id, spent := range g.daemon.Guard.MeasuringSlotTime() {
+	for id, slotTime := range g.daemon.Guard.MeasuringSlotTime() {
 		s := g.scope.SubScope("guard").Tagged(map[string]string{"upstream": string(id)})
-		s.Gauge("measuring_seconds").Update(spent.Seconds())
+		s.Gauge("measuring_seconds").Update(slotTime.Seconds())
 	}
 }
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -188,16 +188,16 @@
 
 func TestUnusableFileIsNamedInTheError(t *testing.T) {
 	a := newCertAuthority(t)
-	good := a.issue("daemon")
+	valid := a.issue("daemon")
 	for name, c := range map[string]struct {
 		files settings.TLS
 		want  string
 	}{
-		"no certificate":             {settings.TLS{Certificate: "absent.pem", Key: good.Key}, `callers.tls.certificate: open absent.pem: no such file or directory (got "absent.pem")`},
-		"no key":                     {settings.TLS{Certificate: good.Certificate, Key: "absent.key"}, `callers.tls.key: open absent.key: no such file or directory (got "absent.key")`},
-		"no authority":               {settings.TLS{Certificate: good.Certificate, Key: good.Key, Authority: "absent"}, `callers.tls.authority: open absent: no such file or directory (got "absent")`},
-		"key as authority":           {settings.TLS{Certificate: good.Certificate, Key: good.Key, Authority: good.Key}, `callers.tls.authority: no certificate in PEM form`},
-		"key of another certificate": {settings.TLS{Certificate: good.Certificate, Key: a.issue("other").Key}, `callers.tls.certificate: tls: private key does not match public key`},
+		"no certificate":             {settings.TLS{Certificate: "absent.pem", Key: valid.Key}, `callers.tls.certificate: open absent.pem: no such file or directory (got "absent.pem")`},
+		"no key":                     {settings.TLS{Certificate: valid.Certificate, Key: "absent.key"}, `callers.tls.key: open absent.key: no such file or directory (got "absent.key")`},
+		"no authority":               {settings.TLS{Certificate: valid.Certificate, Key: valid.Key, Authority: "absent"}, `callers.tls.authority: open absent: no such file or directory (got "absent")`},
+		"key as authority":           {settings.TLS{Certificate: valid.Certificate, Key: valid.Key, Authority: valid.Key}, `callers.tls.authority: no certificate in PEM form`},
+		"key of another certificate": {settings.TLS{Certificate: valid.Certificate, Key: a.issue("other").Key}, `callers.tls.certificate: tls: private key does not match public key`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings.Defaults()
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -29,15 +29,15 @@
 }
 
 func TestEncodeApply(t *testing.T) {
-	const many = 1600
+	const routeCount = 1600
 	for name, c := range map[string]struct {
 		base, target []byte
 		maxDeltaSize int
 	}{
-		"the same":               {routesDocument(1, many, nil), routesDocument(1, many, nil), 100},
-		"one route of many":      {routesDocument(1, many, nil), routesDocument(2, many, map[int]string{800: "other"}), 300},
-		"first and last":         {routesDocument(1, many, nil), routesDocument(2, many, map[int]string{0: "a", many - 1: "b"}), 300},
-		"a tenth more routes":    {routesDocument(1, many, nil), routesDocument(2, many*11/10, nil), 60_000},
+		"the same":               {routesDocument(1, routeCount, nil), routesDocument(1, routeCount, nil), 100},
+		"one route of many":      {routesDocument(1, routeCount, nil), routesDocument(2, routeCount, map[int]string{800: "other"}), 300},
+		"first and last":         {routesDocument(1, routeCount, nil), routesDocument(2, routeCount, map[int]string{0: "a", routeCount - 1: "b"}), 300},
+		"a tenth more routes":    {routesDocument(1, routeCount, nil), routesDocument(2, routeCount*11/10, nil), 60_000},
 		"unrelated base":         {[]byte("abc"), routesDocument(1, 10, nil), 1000},
 		"empty base":             {nil, routesDocument(1, 10, nil), 1000},
 		"empty target":           {routesDocument(1, 10, nil), nil, 100},
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -90,11 +90,11 @@
 	}
 	callers := newObserver()
 	before, startedAt := measuringSlotTime(c), time.Now()
-	figures, err := load.Run(ctx, plan, load.Options{Observe: callers.observe})
+	loadResult, err := load.Run(ctx, plan, load.Options{Observe: callers.observe})
 	if err != nil {
 		return nil, err
 	}
-	res := newResult(figures, measuringShares(c, before, time.Since(startedAt)))
+	res := newResult(loadResult, measuringShares(c, before, time.Since(startedAt)))
 	res.Violations = append(res.Violations, res.checkVersions(c)...)
 	c.Stop()
 	res.Violations = append(res.Violations, callers.violations(executions(c))...)
@@ -114,15 +114,15 @@
 // measuringShares returns the share of each service's slot time that load measurements
 // used in the elapsed time. before is the result of measuringSlotTime at its start.
 func measuringShares(c *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
-	spent := make(map[model.ServiceName]time.Duration)
+	slotTime := make(map[model.ServiceName]time.Duration)
 	now := measuringSlotTime(c)
 	for _, n := range c.Nodes {
 		id := model.UpstreamID(n.Upstream.ID)
-		spent[model.ServiceName(n.Upstream.Service)] += now[id] - before[id]
+		slotTime[model.ServiceName(n.Upstream.Service)] += now[id] - before[id]
 	}
 	out := make(map[model.ServiceName]float64)
 	for _, s := range services {
-		out[s.Name] = spent[s.Name].Seconds() / (elapsed.Seconds() * float64(s.Upstreams*s.Slots))
+		out[s.Name] = slotTime[s.Name].Seconds() / (elapsed.Seconds() * float64(s.Upstreams*s.Slots))
 	}
 	return out
 }
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -152,8 +152,8 @@
 }
 
 // reserve counts a connection that is about to be opened, and reports whether
-// it may be opened. If the limit is reached it closes an idle connection in
-// exchange.
+// it may be opened. If the limit is reached, it first closes an idle
+// connection, and returns false if there is none.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/hop/replay.go
+++ b/hop/replay.go
@@ -12,7 +12,7 @@
 // request has one of these headers.
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// lowercaseNames maps the same headers to a spelling that the Transport does
+// lowercaseNames maps the idempotencyHeaders to a spelling that the Transport does
 // not recognize. Servers compare header names without regard to case.
 var lowercaseNames = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
--- a/inbound/conn_test.go
+++ b/inbound/conn_test.go
@@ -20,11 +20,11 @@
 		"TLS":       (*httptest.Server).StartTLS,
 	} {
 		t.Run(name, func(t *testing.T) {
-			opened, observed := make(chan net.Conn, 1), make(chan [2]bool, 1)
+			opened, closedByServer := make(chan net.Conn, 1), make(chan [2]bool, 1)
 			s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 				before := ClosedByServer(r.Context())
 				_ = (<-opened).Close()
-				observed <- [2]bool{before, ClosedByServer(r.Context())}
+				closedByServer <- [2]bool{before, ClosedByServer(r.Context())}
 			}))
 			s.Listener = NewListener(s.Listener)
 			s.Config.ConnContext = ConnContext
@@ -40,7 +40,7 @@
 				_, err = io.Copy(io.Discard, resp.Body)
 			}
 			require.Error(t, err)
-			require.Equal(t, [2]bool{false, true}, <-observed)
+			require.Equal(t, [2]bool{false, true}, <-closedByServer)
 		})
 	}
 }
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -156,13 +156,13 @@
 
 // startDaemon creates and starts a daemon with the node's settings.
 func (n *Node) startDaemon(ctx context.Context, logger *slog.Logger) error {
-	dm, err := daemon.New(n.settings, logger)
+	newDaemon, err := daemon.New(n.settings, logger)
 	if err != nil {
 		return err
 	}
 	ctx, n.stop = context.WithCancel(ctx)
-	n.Daemon, n.done = dm, make(chan error, 1)
-	go func(done chan<- error) { done <- dm.Serve(ctx) }(n.done)
+	n.Daemon, n.done = newDaemon, make(chan error, 1)
+	go func(done chan<- error) { done <- newDaemon.Serve(ctx) }(n.done)
 	return nil
 }
 
--- a/membership/check.go
+++ b/membership/check.go
@@ -73,11 +73,11 @@
 		r.metrics.checksDirect.Inc(1)
 		return
 	}
-	reached, alive := r.pingIndirectly(ctx, d)
+	responded, alive := r.pingIndirectly(ctx, d)
 	switch {
 	case alive:
 		r.metrics.checksIndirect.Inc(1)
-	case !reached:
+	case !responded:
 		r.metrics.checksInconclusive.Inc(1)
 	default:
 		r.markSuspect(d)
@@ -111,10 +111,10 @@
 	return true
 }
 
-// pingIndirectly asks other daemons to ping d. reached is set if any of them
+// pingIndirectly asks other daemons to ping d. responded is set if any of them
 // responded, alive if one of them reached d. If there are no other daemons to
-// ask, reached is set, so that the failed direct ping alone decides.
-func (r *Registry) pingIndirectly(ctx context.Context, d model.DaemonID) (reached, alive bool) {
+// ask, responded is set, so that the failed direct ping alone decides.
+func (r *Registry) pingIndirectly(ctx context.Context, d model.DaemonID) (responded, alive bool) {
 	helpers := r.chooseHelpers(d)
 	if len(helpers) == 0 {
 		return true, false
@@ -133,12 +133,12 @@
 	}
 	for range helpers {
 		resp := <-responses
-		reached = reached || resp != nil
+		responded = responded || resp != nil
 		if resp.GetAlive() {
 			return true, true
 		}
 	}
-	return reached, false
+	return responded, false
 }
 
 // chooseHelpers chooses live daemons for indirect pings of d. It prefers
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -158,8 +158,8 @@
 	return time.Since(start)
 }
 
-// except returns all nodes except the given ones.
-func (f *fleet) except(excluded ...*node) []*node {
+// allExcept returns all nodes except the given ones.
+func (f *fleet) allExcept(excluded ...*node) []*node {
 	var out []*node
 	for _, n := range f.nodes {
 		keep := true
--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -71,7 +71,7 @@
 	runWithFleet(t, 40, func(t *testing.T, f *fleet) {
 		n := f.nodes[9]
 		f.kill(n)
-		alive := f.except(n)
+		alive := f.allExcept(n)
 		elapsed := f.waitFor(t, 12*time.Second, "considered dead", func() bool { return countHealth(alive, n.ID, member.Dead) == 39 })
 		require.Greater(t, elapsed, 2*time.Second, "the daemon is suspected before it is considered dead")
 		require.Equal(t, 39*39, f.countEligible(alive, "s"))
@@ -85,7 +85,7 @@
 	runWithFleet(t, 40, func(t *testing.T, f *fleet) {
 		n := f.nodes[9]
 		f.network.SetUnresponsive(n.ID, true)
-		alive := f.except(n)
+		alive := f.allExcept(n)
 		f.waitFor(t, 12*time.Second, "considered dead", func() bool { return countHealth(alive, n.ID, member.Dead) == 39 })
 		f.network.SetUnresponsive(n.ID, false)
 		f.waitFor(t, 8*time.Second, "the upstream is eligible again", func() bool { return f.countEligible(f.nodes, "s") == 40*40 })
@@ -111,7 +111,7 @@
 		f.kill(n)
 		f.nodes[0].registry.ReportUnreachable(n.ID)
 		elapsed := f.waitFor(t, 8*time.Second, "considered dead", func() bool {
-			return countHealth(f.except(n), n.ID, member.Dead) == 99
+			return countHealth(f.allExcept(n), n.ID, member.Dead) == 99
 		})
 		require.Less(t, elapsed, 7*time.Second)
 	})
@@ -119,11 +119,11 @@
 
 func TestZonePartitionHeals(t *testing.T) {
 	runWithFleet(t, 50, func(t *testing.T, f *fleet) {
-		inside, outside := f.inZone(zone(2)), f.except(f.inZone(zone(2))...)
+		partitioned, others := f.inZone(zone(2)), f.allExcept(f.inZone(zone(2))...)
 		f.partitionZone(zone(2), true)
-		f.waitFor(t, 30*time.Second, "other zones exclude the partitioned zone", func() bool { return f.countEligible(outside, "s") == 40*40 })
+		f.waitFor(t, 30*time.Second, "other zones exclude the partitioned zone", func() bool { return f.countEligible(others, "s") == 40*40 })
 		time.Sleep(time.Minute)
-		require.Equal(t, 10*50, f.countEligible(inside, "s"), "the partitioned daemons consider nobody dead")
+		require.Equal(t, 10*50, f.countEligible(partitioned, "s"), "the partitioned daemons consider nobody dead")
 		f.partitionZone(zone(2), false)
 		f.waitFor(t, 15*time.Second, "all daemons see all upstreams again", func() bool { return f.countEligible(f.nodes, "s") == 50*50 })
 	})
@@ -131,9 +131,9 @@
 
 func TestSplitFleetMergesAgain(t *testing.T) {
 	runWithFleet(t, 40, func(t *testing.T, f *fleet) {
-		half := f.nodes[:20]
+		oneSide := f.nodes[:20]
 		setSplit := func(split bool) {
-			for _, a := range half {
+			for _, a := range oneSide {
 				for _, b := range f.nodes[20:] {
 					f.network.SetBlocked(a.ID, b.ID, split)
 					f.network.SetBlocked(b.ID, a.ID, split)
@@ -145,7 +145,7 @@
 		// On each side half of the upstreams are dead. Dead upstreams are
 		// excluded unless they are more than half of the service.
 		require.Equal(t, 40*20, f.countEligible(f.nodes, "s"))
-		half[0].announce(member.Left, 0)
+		oneSide[0].announce(member.Left, 0)
 		setSplit(false)
 		f.waitFor(t, 20*time.Second, "all daemons see all upstreams again", func() bool { return f.countEligible(f.nodes, "s") == 40*39 })
 	})
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -37,8 +37,8 @@
 	// By, ByChange and ByComment are the author, id and comment of the change
 	// that came first. They are empty if the log no longer holds it.
 	By, ByChange, ByComment string
-	// Changes are the differences that the proposal would make to the current version.
-	Changes []Difference
+	// Differences are the differences that the proposal would make to the current version.
+	Differences []Difference
 }
 
 // Error names the change that came first and its author.
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -35,7 +35,7 @@
 	log := &recordlog.Memory{}
 	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s"), serviceDocument("b", "1s")}})
 	res := propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s"), serviceDocument("b", "1s")}})
-	require.Len(t, res.Changes, 1)
+	require.Len(t, res.Differences, 1)
 	view, err := NewView(t.Context(), log)
 	require.NoError(t, err)
 	require.Len(t, view.Entries()[1].Change.Put, 1)
@@ -45,14 +45,14 @@
 	require.EqualValues(t, 2, res.Version)
 
 	res = propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}, Prune: true})
-	require.Equal(t, []Difference{{Key: "Service/b", Before: res.Changes[0].Before}}, res.Changes)
+	require.Equal(t, []Difference{{Key: "Service/b", Before: res.Differences[0].Before}}, res.Differences)
 }
 
 func TestPlanPublishesNothing(t *testing.T) {
 	log := &recordlog.Memory{}
 	plan, err := Plan(t.Context(), log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 	require.NoError(t, err)
-	require.Len(t, plan.Changes, 1)
+	require.Len(t, plan.Differences, 1)
 	view, err := NewView(t.Context(), log)
 	require.NoError(t, err)
 	require.Empty(t, view.Entries())
@@ -177,7 +177,7 @@
 	require.ErrorIs(t, StartOver(t.Context(), log, 2), ErrLogReadable)
 	res := propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "3s")}})
 	require.EqualValues(t, 3, res.Version)
-	require.Len(t, res.Changes, 1)
+	require.Len(t, res.Differences, 1)
 }
 
 func TestWriteDiff(t *testing.T) {
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -41,9 +41,9 @@
 	Version model.Version
 	// ChangeID is empty if the proposal had no differences and nothing was published.
 	ChangeID string
-	// Changes are the differences to the version that was current when the proposal was
+	// Differences are the differences to the version that was current when the proposal was
 	// prepared.
-	Changes []Difference
+	Differences []Difference
 }
 
 // Publish proposes the documents as a change of the current version and reads the log to
@@ -60,7 +60,7 @@
 		return Result{}, err
 	}
 	_, diffs, err := prepare(view, p)
-	return Result{Version: view.State().Version, Changes: diffs}, err
+	return Result{Version: view.State().Version, Differences: diffs}, err
 }
 
 // Propose publishes a proposal. It returns an *InvalidError if the change is not valid, a
@@ -80,9 +80,9 @@
 	}
 	entry, err := appendAndReadBack(ctx, view, change)
 	if err != nil {
-		return Result{ChangeID: change.ID, Changes: diffs}, err
+		return Result{ChangeID: change.ID, Differences: diffs}, err
 	}
-	res := Result{Decision: entry.Decision, Version: entry.Version, ChangeID: change.ID, Changes: diffs}
+	res := Result{Decision: entry.Decision, Version: entry.Version, ChangeID: change.ID, Differences: diffs}
 	switch entry.Decision {
 	case config.Accepted:
 		return res, nil
@@ -181,7 +181,7 @@
 	for k, d := range c.Put {
 		rebased[k] = d
 	}
-	out.Changes = Diff(v.State().Documents, rebased)
+	out.Differences = Diff(v.State().Documents, rebased)
 	return out
 }
 
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -35,7 +35,7 @@
 }
 
 // ReleaseQuarantined removes a request from the quarantine. The daemon relays the release to
-// the other daemons. It accepts this call only from its own VM.
+// the other daemons. A daemon accepts this request only from its own VM.
 func ReleaseQuarantined(ctx context.Context, admin string, f quarantine.Fingerprint) error {
 	_, err := callAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
 	return err
--- a/operator/status.go
+++ b/operator/status.go
@@ -26,8 +26,8 @@
 	Silent []model.DaemonID `json:"silent,omitempty"`
 }
 
-// Lags reports whether a version is not known to be in force at every queried daemon.
-// Daemons that did not respond may serve an older version.
+// Lags reports whether at least one queried daemon serves an older version than v or did
+// not respond. A daemon that did not respond may serve an older version.
 func (z ZoneStatus) Lags(v model.Version) bool { return z.Oldest < v || z.Answered < z.Asked }
 
 // pollInterval is the time between two queries of Await.
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -38,7 +38,7 @@
 // the log. The daemon must keep serving requests until Drain returns, so that
 // other daemons learn that the keys have moved. Drain may be called only once.
 func (s *Service) Drain(ctx context.Context) error {
-	s.seal()
+	s.sealTable()
 	s.awaitExecutions(ctx)
 	s.readGrants(ctx)
 	if s.ownedUntil() == 0 {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (s *Service) seal() {
+func (s *Service) sealTable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Seal()
@@ -122,12 +122,12 @@
 	}
 	candidates := s.opts.Candidates()
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	tried := 0
+	triedCount := 0
 	for _, d := range candidates {
 		if d == s.opts.Self {
 			continue
 		}
-		if tried++; tried > maxSuccessors {
+		if triedCount++; triedCount > maxSuccessors {
 			break
 		}
 		if incarnation, err := s.handOverTo(ctx, d, chunks); err == nil {
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -66,16 +66,16 @@
 		close(e.ready)
 		return
 	}
-	rest := &streamedBody{Reader: io.MultiReader(bytes.NewReader(head), result.Body), body: result.Body}
-	rest.onEnd = func(o outcome.Outcome) {
+	streamed := &streamedBody{Reader: io.MultiReader(bytes.NewReader(head), result.Body), body: result.Body}
+	streamed.onEnd = func(o outcome.Outcome) {
 		cancel()
 		s.finish(id, e, o, nil)
 	}
-	result.Body = rest
+	result.Body = streamed
 	if err == nil && e.offerStreamed() {
 		e.streamed = result
 	} else {
-		_ = rest.Close()
+		_ = streamed.Close()
 	}
 	close(e.ready)
 }
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -153,8 +153,8 @@
 		frontier, _ := d.nodes[0].ledger.Frontier(r)
 		lastGranted = max(lastGranted, frontier)
 	}
-	d.waitFor("all grants have ended", func() bool { return d.nodes[0].stamp() > lastGranted })
-	ungrantedKey := claims.NewKey(d.nodes[0].stamp(), [10]byte{9: 1})
+	d.waitFor("all grants have ended", func() bool { return d.nodes[0].currentTimestamp() > lastGranted })
+	ungrantedKey := claims.NewKey(d.nodes[0].currentTimestamp(), [10]byte{9: 1})
 	require.Equal(t, outcome.ReasonKeyNotOwned, d.nodes[0].submit(ungrantedKey, "", "x", testTimeout).outcome.Reason)
 	newKey, live := d.nodes[0].NewKey()
 	require.True(t, live, "NewKey uses timestamps that the grants cover")
@@ -328,7 +328,7 @@
 				source := turn / 7 % 2
 				key, _ := n.NewKey()
 				if source == 1 {
-					key = randomKey(n.stamp())
+					key = randomKey(n.currentTimestamp())
 				}
 				r := n.submit(key, "", "x", testTimeout)
 				sent[source].Add(1)
@@ -349,7 +349,7 @@
 		n := d.nodes[0]
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.ledger.OwnedUntil(crashedIncarnation) < n.stamp()
+		return n.ledger.OwnedUntil(crashedIncarnation) < n.currentTimestamp()
 	})
 	close(stop)
 	wg.Wait()
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -15,10 +15,10 @@
 // log is down, it is the last timestamp that they cover. The second result is
 // false if no such key was found; the key is then valid but has no owner yet.
 func (s *Service) NewKey() (claims.Key, bool) {
-	now := s.stamp()
+	now := s.currentTimestamp()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, timestamp := range s.candidateStamps(now) {
+	for _, timestamp := range s.candidateTimestamps(now) {
 		for range maxKeyAttempts {
 			if k := randomKey(timestamp); s.hasLiveOwner(k) {
 				return k, true
@@ -34,10 +34,10 @@
 	return claims.NewKey(timestamp, random)
 }
 
-// candidateStamps returns the current timestamp. If that is beyond all grants,
+// candidateTimestamps returns the current timestamp. If that is beyond all grants,
 // it also returns the last timestamps that are granted, as far as these are no
 // older than half of the retention. s.mu is held.
-func (s *Service) candidateStamps(now claims.Stamp) []claims.Stamp {
+func (s *Service) candidateTimestamps(now claims.Stamp) []claims.Stamp {
 	timestamps := []claims.Stamp{now}
 	oldest := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
 	var furthest claims.Stamp
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -108,7 +108,7 @@
 		MaxBodyBytes:     1 << 10,
 		MaxResponseBytes: 1 << 10,
 	})
-	n.retryTimeouts = retryTimeouts{ownerLost: 300 * time.Millisecond, unassigned: 200 * time.Millisecond}
+	n.retryTimeouts = retryTimeouts{ownerUnreachable: 300 * time.Millisecond, unassigned: 200 * time.Millisecond}
 	n.server = httptest.NewUnstartedServer(n.Service)
 	_ = n.server.Listener.Close()
 	n.server.Listener = ln
@@ -371,16 +371,16 @@
 	d := deploy(t, 2, time.Minute)
 	now := claims.Stamp(time.Now().UnixMilli())
 	for name, tc := range map[string]struct {
-		stamp claims.Stamp
-		body  string
-		want  outcome.Outcome
+		timestamp claims.Stamp
+		body      string
+		want      outcome.Outcome
 	}{
 		"too old":         {now - claims.Stamp(DefaultRetention.Milliseconds()) - 60_000, "x", outcome.UnknownBecause(outcome.ReasonKeyExpired)},
 		"from the future": {now + 3_600_000, "x", outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonKeyNotOwned, RetryAfter: retryAfter}},
 		"body too large":  {now, strings.Repeat("x", 2<<10), outcome.NotRunBecause(outcome.ReasonTooLarge)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			key := claims.NewKey(tc.stamp, [10]byte{9: 1})
+			key := claims.NewKey(tc.timestamp, [10]byte{9: 1})
 			require.Equal(t, tc.want, d.nodes[0].submit(key, "", tc.body, testTimeout).outcome)
 			require.Zero(t, d.executionsOf(key))
 		})
--- a/owner/route.go
+++ b/owner/route.go
@@ -17,16 +17,17 @@
 
 // retryTimeouts bound how long the routing side retries a submission.
 type retryTimeouts struct {
-	// ownerLost applies while the owner is unreachable or responds that it does
-	// not own the key. After that the owner counts as lost.
-	ownerLost time.Duration
+	// ownerUnreachable applies while the owner is unreachable or responds that
+	// it does not own the key. After that the submission is unresolved
+	// with outcome.ReasonKeyOwnerLost.
+	ownerUnreachable time.Duration
 	// unassigned applies while the timestamp of the key is beyond all grants,
 	// or the ledger is incomplete.
 	unassigned time.Duration
 }
 
 func defaultRetryTimeouts() retryTimeouts {
-	return retryTimeouts{ownerLost: 2 * time.Second, unassigned: time.Second}
+	return retryTimeouts{ownerUnreachable: 2 * time.Second, unassigned: time.Second}
 }
 
 // maxSuspectedOwners bounds the number of suspected owners that are remembered.
@@ -189,7 +190,7 @@
 	if _, suspected := s.suspectedOwners[incarnation]; suspected {
 		return 0
 	}
-	return s.retryTimeouts.ownerLost
+	return s.retryTimeouts.ownerUnreachable
 }
 
 // suspectOwner remembers that an owner could not be reached, so that NewKey
--- a/owner/service.go
+++ b/owner/service.go
@@ -128,8 +128,10 @@
 	}
 }
 
-// stamp returns the current time as the timestamp of a key.
-func (s *Service) stamp() claims.Stamp { return claims.Stamp(max(0, s.opts.WallClock().UnixMilli())) }
+// currentTimestamp returns the current time as the timestamp of a key.
+func (s *Service) currentTimestamp() claims.Stamp {
+	return claims.Stamp(max(0, s.opts.WallClock().UnixMilli()))
+}
 
 // The grants are read again after the grant duration divided by readsPerGrant.
 // Between reads the ledger lags by less than grants extend into the future, and
@@ -181,7 +183,7 @@
 		return nil
 	}
 	var out []claims.Record
-	if g := s.planner.Plan(s.ledger, s.stamp()); g != nil {
+	if g := s.planner.Plan(s.ledger, s.currentTimestamp()); g != nil {
 		out = append(out, claims.Record{Grant: g})
 	}
 	// The owner of the first range appends the checkpoints.
@@ -203,7 +205,7 @@
 
 // expire removes the claims whose retention has ended.
 func (s *Service) expire() {
-	now := s.stamp()
+	now := s.currentTimestamp()
 	retention := claims.Stamp(s.opts.Retention.Milliseconds())
 	if now <= retention {
 		return
--- a/peer/service.go
+++ b/peer/service.go
@@ -76,7 +76,8 @@
 	return serveMessage(ctx, h.s.HandOver, r)
 }
 
-// serveMessage handles a message with f, which may be nil.
+// serveMessage handles a message with f. If f is nil, it returns an error with
+// connect.CodeUnimplemented.
 func serveMessage[Q, R any](ctx context.Context, f func(context.Context, *Q) (*R, error), r *connect.Request[Q]) (*connect.Response[R], error) {
 	if f == nil {
 		return nil, connect.NewError(connect.CodeUnimplemented, errUnimplemented)
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -44,9 +44,9 @@
 	require.Zero(t, h.count(func(r *requestRecord) bool { return !isAnswered(r) }), "a request failed without a fault")
 
 	t.Log("daemon drained and restarted")
-	before := len(h.records)
+	recordsBefore := len(h.records)
 	c.withFault(h, phaseRequests, func() { require.Zero(t, c.vms[3].stop(), c.vms[3].logOutput()) })
-	c.checkDrainLosesNothing(h.records[before:])
+	c.checkDrainLosesNothing(h.records[recordsBefore:])
 	c.vms[3].start()
 	c.awaitVersion(first)
 	c.awaitServing(h)
@@ -82,13 +82,13 @@
 	drained := c.vms[0]
 	drained.draining.Store(true)
 	c.await("the draining upstream receives no new requests", func() bool {
-		before := len(drained.upstream.Runs())
+		runsBefore := len(drained.upstream.Runs())
 		c.sendRequests(h, phaseRequests/4, c.anyVM)
-		return len(drained.upstream.Runs()) == before
+		return len(drained.upstream.Runs()) == runsBefore
 	})
-	before := len(drained.upstream.Runs())
+	runsBefore := len(drained.upstream.Runs())
 	c.sendRequests(h, phaseRequests, c.anyVM)
-	require.Len(t, drained.upstream.Runs(), before, "new requests to the drained upstream")
+	require.Len(t, drained.upstream.Runs(), runsBefore, "new requests to the drained upstream")
 	c.checkInvariants(t, h)
 }
 
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -14,8 +14,9 @@
 // Each summary covers a span of fingerprints: it holds the first and the last
 // one, and a hash of each record in between. The receiver of a summary sends
 // the records that the sender lacks, and requests those that it lacks itself.
-// So the traffic is proportional to the difference of the tables. The letters
-// are part of the wire format and therefore do not follow the names.
+// So the traffic is proportional to the difference of the tables. The values of
+// the kinds are part of the wire format and must not change; not all of them are
+// initials of the names.
 const (
 	kindDigest        = 'o'
 	kindInSync        = 'a'
@@ -82,7 +83,7 @@
 	case kindRecordRequest:
 		return s.handleRecordRequest(body, limit), false
 	case kindRecords:
-		// Apply counts records that cannot be decoded.
+		// The error is dropped because Apply counts records that it cannot decode.
 		_ = s.Apply(body)
 	case kindInSync:
 		return nil, true
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -23,8 +23,8 @@
 	appendBurst               = 8
 )
 
-// ErrRateLimited is the cause of an append that the rate limit would have
-// delayed beyond the end of its context.
+// ErrRateLimited is the cause of the error of an append that the rate limit
+// would have delayed beyond the end of its context.
 var ErrRateLimited = errors.New("append rate limit reached")
 
 // NewRateLimitedLog returns a RateLimitedLog for a deployment of one daemon.
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -58,15 +58,15 @@
 }
 
 func TestClientReportsUncertainAppends(t *testing.T) {
-	losesReplies := NewFaultyLog(&Memory{})
-	losesReplies.SetFaults(Faults{LoseReplies: 1})
+	lossyLog := NewFaultyLog(&Memory{})
+	lossyLog.SetFaults(Faults{LoseReplies: 1})
 	unused, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		client    *Client
 		uncertain bool
 	}{
-		"response lost": {newTestClient(t, Handler(losesReplies)), true},
+		"response lost": {newTestClient(t, Handler(lossyLog)), true},
 		"no connection": {NewClient(unused), false},
 		"not found":     {newTestClient(t, http.NotFoundHandler()), false},
 		"connection aborted": {newTestClient(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
--- a/soak/check.go
+++ b/soak/check.go
@@ -18,8 +18,9 @@
 	// quietPeriod is how long VMs must have been without unplanned faults before checks
 	// apply that unplanned faults may violate.
 	quietPeriod = 3 * time.Second
-	// Within retryBudgetWindow, retries may not exceed retryBudgetRatio of the requests
-	// plus retryBudgetSlack.
+	// In each period of retryBudgetWindow that starts with a retry, retries may not exceed
+	// retryBudgetRatio of the requests plus retryBudgetSlack. The requests of the half window
+	// before the period count too.
 	retryBudgetWindow = 10 * time.Second
 	retryBudgetRatio  = 0.2
 	retryBudgetSlack  = 40.0
@@ -64,7 +65,7 @@
 // crashCount counts the crashes caused by one request.
 type crashCount struct {
 	total int
-	// thresholdAt is when the crash number quarantineThreshold happened.
+	// thresholdAt is when the total reached quarantineThreshold.
 	thresholdAt time.Time
 	// late counts the crashes that the quarantine should have prevented.
 	late int
--- a/soak/run.go
+++ b/soak/run.go
@@ -343,7 +343,7 @@
 		attempt := fmt.Sprintf("probe-%s-%d", m.config.Name, i)
 		h.check.recordSent(attempt, m.service(), false)
 		r, err := m.caller.Send(ctx, fmt.Sprintf("/v%d/x", version), attempt, false, requestDeadline)
-		if after, _ := m.incarnationState(); err != nil || stopping || incarnation != after {
+		if incarnationAfter, _ := m.incarnationState(); err != nil || stopping || incarnation != incarnationAfter {
 			continue
 		}
 		h.check.checkResponse(attempt, r)
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -15,8 +15,8 @@
 }
 
 // NewBoundedMetrics returns an empty BoundedMetrics. The function newMetric creates
-// the metric of a key. Once maxKeys keys are held, each further key is replaced by
-// overflowKey of it, so that further keys share the metrics of a few overflow keys.
+// the metric of a key. Once maxKeys keys are held, the function overflowKey maps each
+// further key to an overflow key, so that further keys share a few metrics.
 func NewBoundedMetrics[K comparable, M any](maxKeys int, overflowKey func(K) K, newMetric func(K) M) *BoundedMetrics[K, M] {
 	return &BoundedMetrics[K, M]{maxKeys: maxKeys, overflowKey: overflowKey, newMetric: newMetric, metrics: make(map[K]M)}
 }
