--- a/entry/answer.go
+++ b/entry/answer.go
@@ -13,8 +13,8 @@
 )
 
 // writeResponse writes the response to the caller. When the upstream's body is
-// truncated it aborts the connection, so that the caller does not take the
-// response for complete.
+// truncated it aborts the connection, so that the caller does not mistake the
+// response for a complete one.
 func writeResponse(w http.ResponseWriter, response *wire.Result) {
 	defer func() { _ = response.Body.Close() }()
 	if response.Outcome.Kind != outcome.Answered {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -21,7 +21,7 @@
 		if !ok {
 			return nil, "", false
 		}
-		response := e.send(ctx, req, choice, tried, number)
+		response := e.sendWithHedge(ctx, req, choice, tried, number)
 		if !choice.Rejected(response.Outcome) || ctx.Err() != nil {
 			return response, choice.Upstream.ID, true
 		}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -109,7 +109,7 @@
 	o := outcome.UnknownBecause(outcome.ReasonTruncated)
 	startedAt := e.opts.Now()
 	defer func() { e.metrics.recordRequest(req, o, e.opts.Now().Sub(startedAt)) }()
-	response := e.answerWithinCeiling(ctx, req)
+	response := e.handleWithinCeiling(ctx, req)
 	if req.releaseCeiling != nil {
 		defer req.releaseCeiling()
 	}
@@ -118,9 +118,9 @@
 	e.clearCrashes(req, o)
 }
 
-// answerWithinCeiling forwards the request, or refuses it when its group is at
+// handleWithinCeiling forwards the request, or refuses it when its group is at
 // its ceiling.
-func (e *Entry) answerWithinCeiling(ctx context.Context, req *request) *wire.Result {
+func (e *Entry) handleWithinCeiling(ctx context.Context, req *request) *wire.Result {
 	if e.opts.Ceilings == nil {
 		return e.handle(ctx, req)
 	}
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -11,11 +11,11 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// send sends the request to the chosen upstream. When the router gives a hedge
+// sendWithHedge sends the request to the chosen upstream. When the router gives a hedge
 // delay, and there is no response within it, the request is also sent to a second
 // upstream. The first successful response is returned and the other attempt is
 // cancelled. The router gives a delay only for idempotent requests.
-func (e *Entry) send(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Result {
+func (e *Entry) sendWithHedge(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Result {
 	delay, ok := e.opts.Routers.HedgeDelay(req.modelRequest(attempt))
 	if !ok || !req.body.replayable() {
 		return e.sendOnce(ctx, req, choice, attempt, false)
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -66,7 +66,7 @@
 // refused, or when it was withdrawn from the queue because its queue timeout
 // expired or its context ended.
 func (u *upstreamProxy) admit(ctx context.Context, c *wire.Call) (admission.ID, *outcome.Outcome) {
-	id, effect := u.arrive(c)
+	id, effect := u.submit(c)
 	if c.HasQueueTimeout && c.QueueTimeout <= 0 && u.withdraw(id) {
 		return id, withdrawnOutcome()
 	}
@@ -92,9 +92,9 @@
 	return id, withdrawnOutcome()
 }
 
-// arrive passes the call to the controller. The effect that starts or refuses the
+// submit passes the call to the controller. The effect that starts or refuses the
 // call is sent to the returned channel.
-func (u *upstreamProxy) arrive(c *wire.Call) (admission.ID, <-chan admission.Effect) {
+func (u *upstreamProxy) submit(c *wire.Call) (admission.ID, <-chan admission.Effect) {
 	effect := make(chan admission.Effect, 1)
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/sidecar/abort_test.go
+++ b/sidecar/abort_test.go
@@ -93,7 +93,7 @@
 		}
 		attempt := &attemptState{cancel: cancel, sentAt: now, acknowledged: make(chan struct{})}
 		r.inFlight = []*attemptState{attempt}
-		r.results <- attemptResult{attempt: attempt, result: &Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Arrived: true}}
+		r.results <- attemptResult{attempt: attempt, result: &Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Delivered: true}}
 		require.Equal(t, outcome.Answered, r.waitForResult().Outcome.Kind)
 	}
 }
--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -46,13 +46,13 @@
 	if !a.due() {
 		return
 	}
-	if m, ok := a.d.follower.targets.AntiEntropyPeer(a.d.peers.members()); ok {
+	if m, ok := a.d.follower.peerSelector.AntiEntropyPeer(a.d.peers.members()); ok {
 		a.d.datagrams.sendOneWay(kindDigest, m.Address, a.d.peers.digest().encode())
 	}
 }
 
-// due reports whether to start a round now. It counts the round as one without a difference.
-// speedUp resets the count when received records supersede those held here.
+// due reports whether to start a round now. It counts the new round as one without a
+// difference. speedUp resets that count when this daemon receives newer records.
 func (a *antiEntropy) due() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,8 +105,8 @@
 	}
 }
 
-// sendRequested sends the records that another daemon requested.
-func (a *antiEntropy) sendRequested(from string, body []byte) {
+// sendRequestedRecords sends the records that another daemon requested.
+func (a *antiEntropy) sendRequestedRecords(from string, body []byte) {
 	requested := decodeRecordRequest(body)
 	var found []Record
 	for _, r := range a.d.peers.records() {
--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -183,7 +183,9 @@
 	})
 }
 
-// TestLargeResponsesAreNotRetained checks that large responses do not stay in memory.
+// TestLargeResponsesAreNotRetained checks which responses the table of attempts still holds
+// after they were returned to the entry: neither large ones, nor those of attempts whose
+// outcome is not going to be queried.
 func TestLargeResponsesAreNotRetained(t *testing.T) {
 	for name, c := range map[string]struct {
 		size      int
--- a/sidecar/bodies.go
+++ b/sidecar/bodies.go
@@ -14,7 +14,7 @@
 	used  atomic.Int64
 }
 
-// defaultBodyBytes is the limit if the options set none.
+// defaultBodyBytes limits the memory for request bodies if Options.MaxBodyBytes is not set.
 const defaultBodyBytes = 64 << 20
 
 func newBodyLimiter(limit int64) *bodyLimiter {
--- a/sidecar/bodies_test.go
+++ b/sidecar/bodies_test.go
@@ -38,17 +38,17 @@
 	const limit = 100
 	a.bodyLimiter.limit = limit
 	a.bodyLimiter.used.Store(limit - 1)
-	resp, body := a.ask(t, http.MethodPost, "/unsafe/", "pay")
+	resp, body := a.sendRequest(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Equal(t, "no-memory\n", body)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	a.bodyLimiter.used.Store(0)
-	resp, _ = a.ask(t, http.MethodPost, "/unsafe/", strings.Repeat("x", limit+1))
+	resp, _ = a.sendRequest(t, http.MethodPost, "/unsafe/", strings.Repeat("x", limit+1))
 	require.Equal(t, http.StatusRequestEntityTooLarge, resp.StatusCode)
 
 	b.bodyLimiter.limit = limit
 	b.bodyLimiter.used.Store(limit - 1)
-	resp, _ = a.ask(t, http.MethodPost, "/unsafe/", "pay")
+	resp, _ = a.sendRequest(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Empty(t, b.upstream.requests())
 	b.bodyLimiter.used.Store(0)
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -15,7 +15,7 @@
 // not two. The caller holds p.mu.
 func (p *peers) startSync(q *peer) {
 	if q.needsFullSync || p.announced && q.record.Zone == p.local.Zone {
-		p.scheduleSend(q)
+		p.schedulePush(q)
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	if replacement != nil {
 		replacement.needsFullSync = true
-		p.scheduleSend(replacement)
+		p.schedulePush(replacement)
 	}
 }
 
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -74,9 +74,9 @@
 	// CallsPerRun is the recent average number of requests to other services that the
 	// upstream sends while it serves one request.
 	CallsPerRun float64
-	// Arrived reports whether the upstream may have received the request, even if it
+	// Delivered reports whether the upstream may have received the request, even if it
 	// refused to run it.
-	Arrived bool
+	Delivered bool
 	// Version is the version of the configuration in force at the guard.
 	Version model.Version
 }
@@ -88,7 +88,7 @@
 
 // unknownResult returns the result of an attempt that may have run.
 func unknownResult(r outcome.Reason) *Result {
-	return &Result{Outcome: outcome.UnknownBecause(r), Header: http.Header{}, Arrived: true}
+	return &Result{Outcome: outcome.UnknownBecause(r), Header: http.Header{}, Delivered: true}
 }
 
 // callHeader carries the encoded fields of a call or a result between daemons. The name
@@ -158,7 +158,7 @@
 		reason = "-"
 	}
 	return fmt.Sprintf("%s %s %t %d %d %d %d %d %d %d %d/%d",
-		r.Outcome.Kind, reason, r.Arrived, load.Running, load.Waiting, load.Limit,
+		r.Outcome.Kind, reason, r.Delivered, load.Running, load.Waiting, load.Limit,
 		int(load.Slowdown*ratioScale), load.SlowdownAge.Milliseconds(), int(load.FailureRate*ratioScale), int(r.CallsPerRun*ratioScale), r.ServiceTime.Microseconds(), r.Version)
 }
 
@@ -173,7 +173,7 @@
 		return nil, &FieldError{Field: "answer", Value: s}
 	}
 	kind, ok := outcome.ParseKind(fields[0])
-	arrived, err := strconv.ParseBool(fields[2])
+	delivered, err := strconv.ParseBool(fields[2])
 	serviceTime, version, found := strings.Cut(fields[10], "/")
 	if !ok || err != nil || !found {
 		return nil, &FieldError{Field: "answer", Value: s}
@@ -184,7 +184,7 @@
 	}
 	result := &Result{
 		Outcome:     outcome.Outcome{Kind: kind},
-		Arrived:     arrived,
+		Delivered:   delivered,
 		ServiceTime: time.Duration(ints[6]) * time.Microsecond,
 		Version:     model.Version(ints[7]),
 		CallsPerRun: float64(ints[8]) / ratioScale,
--- a/sidecar/callsperrun.go
+++ b/sidecar/callsperrun.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// recentCallsPerRun is callsPerRun for callers that do not hold g.mu.
-func (g *guard) recentCallsPerRun() float64 {
+// currentCallsPerRun locks g.mu and returns callsPerRun.
+func (g *guard) currentCallsPerRun() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.callsPerRun()
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -53,10 +53,10 @@
 	// is over or has timed out.
 	ready    atomic.Bool
 	stopping atomic.Bool
-	// storeLostSince is the model.Instant since which no daemon of the cell has reached the
+	// storeUnreachableSince is the model.Instant since which no daemon of the cell has reached the
 	// configuration store. Zero means that one does.
-	storeLostSince atomic.Int64
-	inFlight       inFlightRequests
+	storeUnreachableSince atomic.Int64
+	inFlight              inFlightRequests
 	// aborting is closed when draining is over, graceMargin before the end of the grace period
 	// at the latest. Requests still in flight are aborted then.
 	aborting chan struct{}
@@ -249,9 +249,9 @@
 	componentStopTimeout = 150 * time.Millisecond
 	// logFlushTimeout bounds the wait for log lines to be written at the end.
 	logFlushTimeout = 100 * time.Millisecond
-	// refusalPeriod is how long a daemon that forwards nothing more still responds before it
-	// closes its connections, so that the senders of requests already on their way learn that
-	// they have not run.
+	// refusalPeriod is the time between the end of forwarding and the closing of the
+	// connections. Requests that arrive in this time are refused, so that their senders learn
+	// that the requests have not run.
 	refusalPeriod = 50 * time.Millisecond
 	// closedConnLogWait bounds the wait for the log lines of requests whose connections were
 	// closed without a response.
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -27,7 +27,7 @@
 	a := startReady(t, s, "a", "a1")
 	b := startReady(t, s, "b", "b1")
 	a.waitForCandidates(t, "b", 1)
-	resp, text := a.ask(t, http.MethodPost, "/unsafe/x%2Fy?q=%20", "body")
+	resp, text := a.sendRequest(t, http.MethodPost, "/unsafe/x%2Fy?q=%20", "body")
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	require.Equal(t, "answer of b1", text)
 	require.Equal(t, "seal of b1", resp.Header.Get("T-Seal"))
@@ -73,7 +73,7 @@
 	m := &member{Daemon: d}
 	t.Cleanup(func() { d.tunables.Store(&Tunables{}); cancel(); <-done })
 
-	resp, _ := m.ask(t, http.MethodGet, "/safe/", "")
+	resp, _ := m.sendRequest(t, http.MethodGet, "/safe/", "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration no route is known to be missing")
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	require.False(t, d.ready.Load())
@@ -87,7 +87,7 @@
 }
 
 // TestDrainedUpstreamGetsNoRequest sends a call to a guard that has acknowledged that its
-// upstream leaves, as an entry does that has not learned of it yet.
+// upstream leaves. Entries that have not received this update yet send such calls.
 func TestDrainedUpstreamGetsNoRequest(t *testing.T) {
 	for name, leave := range map[string]func(m *member){
 		"draining": func(m *member) {
@@ -353,9 +353,8 @@
 	require.NotEmpty(t, b1.upstream.requests())
 }
 
-// TestFinishedRequestsAreNotOutstanding guards against outstanding counts of upstreams that
-// outlive their requests: neither a request that timed out nor one that another upstream
-// answered may still count.
+// TestFinishedRequestsAreNotOutstanding checks that a request no longer counts as outstanding
+// at an upstream after it has timed out or another upstream has answered it.
 func TestFinishedRequestsAreNotOutstanding(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 300*time.Millisecond))
 	a := startReady(t, s, "a", "a1")
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -53,7 +53,8 @@
 	// kindLoadQuery queries the load of an upstream. Its body holds the rank and the kind of a
 	// request and a hash that identifies the upstream.
 	kindLoadQuery = 1
-	// kindLoadReply replies to kindLoadQuery with the load that such a request would find.
+	// kindLoadReply carries the reply to a load query: the load of the upstream, counting as
+	// waiting only the requests that would be served before the one described in the query.
 	kindLoadReply = 2
 	// kindRecordPush pushes one packed record, and kindRecordAck, without a body, acknowledges
 	// it.
@@ -126,7 +127,7 @@
 // announceVersion announces the version in force to some of the other daemons, which announce
 // it in turn.
 func (a *datagrams) announceVersion() {
-	for _, m := range a.d.follower.targets.PushTargets(a.d.peers.members(), false) {
+	for _, m := range a.d.follower.peerSelector.PushTargets(a.d.peers.members(), false) {
 		a.sendOneWay(kindVersion, m.Address, []byte(a.d.opts.Addresses.Peers))
 	}
 }
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -36,7 +36,7 @@
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// request is a caller's request and what the entry has learned while forwarding it.
+// request is a caller's request and the state of its forwarding.
 type request struct {
 	httpRequest *http.Request
 	id          string
@@ -210,7 +210,7 @@
 	}
 	e.daemon.metrics.recordResponse(string(req.service), routeName, result.Outcome, took)
 	if req.connectionClosed() {
-		e.daemon.metrics.requestsCut.Inc(1)
+		e.daemon.metrics.closedUnanswered.Inc(1)
 	}
 	if e.daemon.stopping.Load() {
 		// Asks the caller to send no further request on this connection. Idle connections
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -366,8 +366,8 @@
 
 var lastRequestID atomic.Int64
 
-// ask sends a request to the daemon's address for callers.
-func (m *member) ask(t *testing.T, method, path, body string) (*http.Response, string) {
+// sendRequest sends a request to the daemon's address for callers.
+func (m *member) sendRequest(t *testing.T, method, path, body string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+m.opts.Addresses.Callers+path, nil)
 	require.NoError(t, err)
@@ -388,11 +388,11 @@
 }
 
 func (m *member) get(t *testing.T, path string) (int, string) {
-	resp, text := m.ask(t, http.MethodGet, path, "")
+	resp, text := m.sendRequest(t, http.MethodGet, path, "")
 	return resp.StatusCode, text
 }
 
 func (m *member) post(t *testing.T, path string) (int, string) {
-	resp, text := m.ask(t, http.MethodPost, path, "pay")
+	resp, text := m.sendRequest(t, http.MethodPost, path, "pay")
 	return resp.StatusCode, text
 }
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -29,8 +29,9 @@
 // store; otherwise versions come from the watchers of its cell (see package watch), or from
 // any daemon while no watcher reaches the store.
 type configFollower struct {
-	d       *Daemon
-	targets gossip.PeerSelector
+	d *Daemon
+	// peerSelector picks the peers for configuration polls and for anti-entropy rounds.
+	peerSelector gossip.PeerSelector
 
 	mu      sync.Mutex
 	elector *watch.Elector
@@ -46,7 +47,7 @@
 
 func newConfigFollower(d *Daemon) *configFollower {
 	return &configFollower{
-		d: d, targets: gossip.PeerSelector{Zone: d.opts.Zone, RandIntN: randomInt},
+		d: d, peerSelector: gossip.PeerSelector{Zone: d.opts.Zone, RandIntN: randomInt},
 		elector:      watch.New(d.opts.Addresses.Peers, d.now(), rand.Float64),
 		watchStarted: make(chan struct{}),
 	}
@@ -167,10 +168,10 @@
 // recordStoreState records since when no daemon of the cell has reached the store.
 func (f *configFollower) recordStoreState(now model.Instant, unreachable bool) {
 	if !unreachable {
-		f.d.storeLostSince.Store(0)
+		f.d.storeUnreachableSince.Store(0)
 		return
 	}
-	f.d.storeLostSince.CompareAndSwap(0, int64(now))
+	f.d.storeUnreachableSince.CompareAndSwap(0, int64(now))
 }
 
 // sendHeartbeats sends a heartbeat to the other daemons of the cell if one is due.
@@ -190,7 +191,7 @@
 // pollPeer exchanges records with one other daemon and fetches its configuration if that is
 // newer.
 func (f *configFollower) pollPeer(ctx context.Context) {
-	m, ok := f.targets.AntiEntropyPeer(f.d.peers.members())
+	m, ok := f.peerSelector.AntiEntropyPeer(f.d.peers.members())
 	if !ok {
 		return
 	}
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -253,13 +253,13 @@
 		f.entry.recordServiceTime(f.request.route.Name, result.ServiceTime)
 	}
 	switch {
-	case result.Arrived:
+	case result.Delivered:
 		f.deliveredCount++
 		f.request.deliveredCount = f.deliveredCount
 	default:
 		attempt.charge.refund(now)
 	}
-	if !result.Arrived {
+	if !result.Delivered {
 		f.undeliveredCount++
 	}
 	switch result.Outcome.Reason {
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -22,8 +22,8 @@
 		{"config_version", "version of the configuration in force", func() float64 { return float64(d.config.version()) }},
 		{"config_age_seconds", "how long the configuration has been in force", func() float64 { return d.config.age().Seconds() }},
 		{"config_source_watched", "1 while this daemon watches the store of the configuration", func() float64 { return boolToFloat(d.follower.watchesStore()) }},
-		{"config_source_lost", "1 while no daemon of the cell reaches the store of the configuration", func() float64 { return boolToFloat(d.storeLostFor() > 0) }},
-		{"config_source_lost_seconds", "for how long none has", func() float64 { return d.storeLostFor().Seconds() }},
+		{"config_source_lost", "1 while no daemon of the cell reaches the store of the configuration", func() float64 { return boolToFloat(d.storeUnreachableFor() > 0) }},
+		{"config_source_lost_seconds", "for how long none has", func() float64 { return d.storeUnreachableFor().Seconds() }},
 		{"peers_known", "daemons known, this one included", func() float64 { return float64(d.peers.size()) }},
 		{"peers_lost", "daemons that cannot be reached", func() float64 { return float64(d.peers.size() - 1 - len(d.peers.members())) }},
 		{"peers_lost_seconds", "how long the longest lost of them has been out of reach", func() float64 { return d.peers.longestUnreachable().Seconds() }},
@@ -33,7 +33,7 @@
 		{"upstream_slow", "how long work takes there, 1 being as usual", func() float64 { return d.guard.currentLoad().Slowdown }},
 		{"upstream_slow_age_seconds", "age of that figure", func() float64 { return d.guard.currentLoad().SlowdownAge.Seconds() }},
 		{"upstream_failing", "recent share of failed runs", func() float64 { return d.guard.currentLoad().FailureRate }},
-		{"upstream_calls_per_run", "calls to other services for each run of late", d.guard.recentCallsPerRun},
+		{"upstream_calls_per_run", "calls to other services for each run of late", d.guard.currentCallsPerRun},
 		{"upstream_ready", "1 while the own upstream takes requests", func() float64 {
 			cur, _ := d.guard.currentReport()
 			return boolToFloat(cur.State == lifecycle.Ready)
@@ -42,10 +42,10 @@
 	}
 }
 
-// storeLostFor returns for how long no daemon of the cell has reached the configuration
+// storeUnreachableFor returns for how long no daemon of the cell has reached the configuration
 // store, zero if one does.
-func (d *Daemon) storeLostFor() time.Duration {
-	if since := d.storeLostSince.Load(); since != 0 {
+func (d *Daemon) storeUnreachableFor() time.Duration {
+	if since := d.storeUnreachableSince.Load(); since != 0 {
 		return d.now().Sub(model.Instant(since))
 	}
 	return 0
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -39,7 +39,7 @@
 	// isUrgent reports whether any route is served after the routes of the given rank.
 	isUrgent func(rank int) bool
 	// onPanic is called when a panic was recovered while a request was served.
-	onPanic func(part, request string, v any)
+	onPanic func(component, requestID string, v any)
 	service model.ServiceName
 	metrics *metrics
 
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -59,10 +59,10 @@
 	switch {
 	case g.slowdownReported:
 	case g.loadUnreported():
-		// The slowdown of such an upstream is included in the service times measured.
+		// The measured service times include the slowdown of an upstream that does not report it.
 		l.Slowdown, l.SlowdownAge = 1, 0
 	default:
-		// Zero means unknown.
+		// Zero marks the slowdown as unknown.
 		l.Slowdown = 0
 	}
 	return l
--- a/sidecar/inflight.go
+++ b/sidecar/inflight.go
@@ -36,12 +36,12 @@
 	return r.n
 }
 
-// closeIfIdle stops admitting requests if none is in flight and nothingElse confirms that no
+// closeIfIdle stops admitting requests if none is in flight and otherwiseIdle reports that no
 // other work is left. It reports whether admission has stopped.
-func (r *inFlightRequests) closeIfIdle(nothingElse func() bool) bool {
+func (r *inFlightRequests) closeIfIdle(otherwiseIdle func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.closed = r.closed || (r.n == 0 && nothingElse())
+	r.closed = r.closed || (r.n == 0 && otherwiseIdle())
 	return r.closed
 }
 
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -17,8 +17,8 @@
 
 // startedWithin returns the number of known daemons, this one included, and the share of them
 // that started within the span according to their own clocks. A daemon whose clock is ahead
-// by more than the span counts as started long ago. A daemon that is listed but has not been
-// heard of counts as just started.
+// by more than the span counts as started long ago. A daemon that is in the directory but
+// whose record has not been received counts as just started.
 func (p *peers) startedWithin(span time.Duration) (daemons int, share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -263,8 +263,8 @@
 	writePeerResult(w, r.Method, p.runAcknowledged(w, c.ID, func() *Result { return p.d.guard.Do(r.Context(), c) }))
 }
 
-// acknowledgeAfter is how long a call may take before its sender is told that it has arrived.
-// A sender that hears nothing for ackTimeout considers the link broken.
+// acknowledgeAfter is how long a call may take before its arrival is acknowledged to the sender.
+// A sender that receives no acknowledgement within ackTimeout considers the link broken.
 const acknowledgeAfter = 10 * time.Millisecond
 
 // runAcknowledged runs do and returns its result. If that takes longer than acknowledgeAfter,
@@ -298,7 +298,7 @@
 			p.d.relay.add(newer)
 		}
 	}
-	p.d.peers.handlePull(m.From.Address)
+	p.d.peers.handleSyncRequest(m.From.Address)
 	p.d.onPeerVersion(m.From.Address, m.Version)
 	reply := syncMessage{From: p.d.peers.localRecord(), Version: p.d.config.version()}
 	if previous.Sequence > 0 {
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -19,9 +19,9 @@
 	hedged        tally.Counter
 	retriesDenied tally.Counter
 	resolved      tally.Counter
-	// requestsCut counts the requests whose connection this daemon closed before it had
+	// closedUnanswered counts the requests whose connection this daemon closed before it had
 	// responded.
-	requestsCut tally.Counter
+	closedUnanswered tally.Counter
 	// panics counts panics while requests were served, in handlers and in the goroutines that
 	// they start.
 	panics   tally.Counter
@@ -56,19 +56,19 @@
 func newMetrics(scope tally.Scope) *metrics {
 	scope = telemetry.OrNoop(scope)
 	return &metrics{
-		rejected:      scope.Counter("given_back"),
-		healthChecks:  scope.Counter("probes"),
-		connsOpened:   scope.Counter("upstream_connections"),
-		retried:       scope.Counter("resent"),
-		hedged:        scope.Counter("hedged"),
-		retriesDenied: scope.Counter("resend_budget_empty"),
-		resolved:      scope.Counter("settled"),
-		requestsCut:   scope.Counter("requests_cut"),
-		panics:        scope.Counter("handlers_panicked"),
-		outcomes:      telemetry.NewOutcomeCounter(scope, "requests"),
-		traffic:       newControlTraffic(scope),
-		latencies:     newTimers(scope),
-		stages:        newTimers(scope),
+		rejected:         scope.Counter("given_back"),
+		healthChecks:     scope.Counter("probes"),
+		connsOpened:      scope.Counter("upstream_connections"),
+		retried:          scope.Counter("resent"),
+		hedged:           scope.Counter("hedged"),
+		retriesDenied:    scope.Counter("resend_budget_empty"),
+		resolved:         scope.Counter("settled"),
+		closedUnanswered: scope.Counter("requests_cut"),
+		panics:           scope.Counter("handlers_panicked"),
+		outcomes:         telemetry.NewOutcomeCounter(scope, "requests"),
+		traffic:          newControlTraffic(scope),
+		latencies:        newTimers(scope),
+		stages:           newTimers(scope),
 	}
 }
 
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -32,8 +32,8 @@
 	// Stopping is set while the daemon is about to stop. It still accepts calls if no other
 	// daemon can.
 	Stopping bool `json:"x,omitempty"`
-	// Departed holds the last incarnations of upstreams beside the daemon that left. If the
-	// daemon restarts, it learns of them from its peers.
+	// Departed holds the newest of the incarnations that lifecycle.Tracker.Departed returns.
+	// A restarted daemon gets them back from its peers.
 	Departed []lifecycle.Incarnation `json:"d,omitempty"`
 }
 
@@ -186,10 +186,10 @@
 		zone := q.record.Zone
 		switch {
 		case zone == p.local.Zone:
-			p.scheduleSend(q)
+			p.schedulePush(q)
 		case !q.unreachable && !q.record.Stopping && relays[zone] < relaysPerZone:
 			relays[zone]++
-			p.scheduleSend(q)
+			p.schedulePush(q)
 		}
 	}
 }
@@ -203,10 +203,10 @@
 	}
 }
 
-// handlePull handles an exchange that another daemon started. The reply carries the local
+// handleSyncRequest handles an exchange that another daemon started. The reply carries the local
 // record, so no push to that daemon is due, unless this daemon still needs a full sync from
 // it.
-func (p *peers) handlePull(address string) {
+func (p *peers) handleSyncRequest(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.all[address]
@@ -217,8 +217,8 @@
 	p.markReachable(q)
 }
 
-// scheduleSend schedules a push of the local record to a peer. The caller holds p.mu.
-func (p *peers) scheduleSend(q *peer) {
+// schedulePush schedules a push of the local record to a peer. The caller holds p.mu.
+func (p *peers) schedulePush(q *peer) {
 	q.pushDue = true
 	if q.syncing || p.ctx.Err() != nil {
 		return
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -130,8 +130,9 @@
 	require.False(t, a.datagrams.pushRecord(freePort(t), a.peers.localRecord()), "nothing listens there")
 }
 
-// TestNewVersionsSpread gives a new version to one of several daemons. All must get it,
-// though nobody sends a request.
+// TestNewVersionsSpread applies a new version of the configuration at one of several daemons.
+// All others must get it even without traffic, that is without the messages of requests, which
+// carry the version too.
 func TestNewVersionsSpread(t *testing.T) {
 	const daemons = 4
 	s := newStore(documentOf(1, "a"))
@@ -169,7 +170,8 @@
 func TestStartedWithin(t *testing.T) {
 	const (
 		span = 10 * time.Second
-		// onlyListed is the age of a daemon that is listed but has not been heard of.
+		// onlyListed is the age of a daemon that is in the directory but whose record has not
+		// been received.
 		onlyListed = time.Duration(-1)
 	)
 	for name, c := range map[string]struct {
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -46,7 +46,7 @@
 	})
 	q.gossip = &quarantine.Gossip{
 		Store:           q.store,
-		Selector:        d.follower.targets,
+		Selector:        d.follower.peerSelector,
 		Members:         d.peers.members,
 		Send:            func(address string, m []byte) { d.datagrams.sendOneWay(kindSuspects, address, m) },
 		MaxMessageBytes: maxDatagramBody,
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -69,7 +69,7 @@
 		a.waitForCandidates(t, "b", upstreams)
 	}
 	for i := range quarantineThreshold {
-		callers[i%2].ask(t, http.MethodPost, "/unsafe/", crashingBody)
+		callers[i%2].sendRequest(t, http.MethodPost, "/unsafe/", crashingBody)
 		require.Eventually(t, func() bool { return countRan(members, crashingBody) == i+1 }, waitLimit, time.Millisecond)
 	}
 	for _, a := range callers {
@@ -81,7 +81,7 @@
 			}
 			return false
 		}, waitLimit, time.Millisecond)
-		resp, body := a.ask(t, http.MethodPost, "/unsafe/", crashingBody)
+		resp, body := a.sendRequest(t, http.MethodPost, "/unsafe/", crashingBody)
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 		require.Equal(t, "quarantined\n", body)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -39,7 +39,7 @@
 		return
 	}
 	p.markUnreachable(other, err)
-	p.scheduleSend(other)
+	p.schedulePush(other)
 }
 
 // verifyReachable sends the local record to a daemon that did not reply to a load query.
@@ -52,7 +52,7 @@
 		return
 	}
 	other.verifiedAt = p.now()
-	p.scheduleSend(other)
+	p.schedulePush(other)
 }
 
 // markUnreachable marks a peer as unreachable. p.mu is held.
--- a/sidecar/receive.go
+++ b/sidecar/receive.go
@@ -33,7 +33,7 @@
 	kindRelayedRecords: (*datagrams).handleRelayedRecords,
 	kindDigest:         func(a *datagrams, m datagram) { a.d.antiEntropy.receiveDigest(m.sender.String(), m.body()) },
 	kindSummary:        func(a *datagrams, m datagram) { a.d.antiEntropy.receiveSummary(m.sender.String(), m.body()) },
-	kindRecordRequest:  func(a *datagrams, m datagram) { a.d.antiEntropy.sendRequested(m.sender.String(), m.body()) },
+	kindRecordRequest:  func(a *datagrams, m datagram) { a.d.antiEntropy.sendRequestedRecords(m.sender.String(), m.body()) },
 	kindMissingRecords: func(a *datagrams, m datagram) { a.mergeRecords(unpackRecords(m.body())) },
 }
 
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -10,9 +10,9 @@
 
 const (
 	// retryBudgetMargin is the share of the budget that is used. The rest covers two
-	// errors of the estimate: executions that fail, and so are repeated, are mostly those
-	// that send requests to other services, and so cause more of these than the average
-	// execution; and daemons that crash lose their counts.
+	// errors of the estimate. First, the executions that fail and are retried are mostly
+	// those that send requests to other services, so a retry causes more nested requests
+	// than the average execution. Second, daemons that crash lose their counts.
 	retryBudgetMargin = 0.75
 )
 
@@ -48,9 +48,9 @@
 	r.window.CountRequest(now)
 }
 
-// take charges n retries if the budget allows them. Each daemon gets the same part of the
-// slack: daemons is their number, and started is the fraction of them that has started
-// within the span of the budget.
+// take charges n retries and reports true if the budget allows them. The slack of the budget
+// is divided equally among all daemons, whose number is daemons. started is the fraction of
+// the daemons that started within the last RetryBudget.Span; see budgetShareAfterStarts.
 func (r *retryLimiter) take(now model.Instant, n float64, daemons int, started float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -23,8 +23,8 @@
 	// connection resets it on the next request, and then it is unknown whether the
 	// request ran.
 	maxIdleNonIdempotent = time.Second
-	// noLoadRecheck is how long an upstream that responded without reporting its load gets
-	// no health check to obtain it. Most of these upstreams never report it, and each
+	// noLoadRecheck is how long no health check is sent to obtain the load of an upstream
+	// that responded without reporting it. Most of these upstreams never report it, and each
 	// health check is one more request to them.
 	noLoadRecheck = 10 * time.Second
 	// The upstream is logged as failing at a failure rate of failingRate, and as
@@ -145,12 +145,12 @@
 		return notRunResult(outcome.ReasonNoUpstream)
 	case info.NotRun:
 		result := notRunResult(outcome.ReasonUpstreamRefused)
-		result.Arrived = true
+		result.Delivered = true
 		return result
 	case !info.Intact:
 		return unknownResult(outcome.ReasonTruncated)
 	}
-	return &Result{Outcome: outcome.Done(), Status: reply.Status, Header: endToEndHeaders(reply.Header), Body: reply.Body, Arrived: true}
+	return &Result{Outcome: outcome.Done(), Status: reply.Status, Header: endToEndHeaders(reply.Header), Body: reply.Body, Delivered: true}
 }
 
 // handleWrongUpstream handles a response from a different upstream at the address of the
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -21,8 +21,8 @@
 	// outcomeQueryMargin.
 	outcomeQueryFactor = 3
 	outcomeQueryMargin = 250 * time.Millisecond
-	// outcomeQueryRetryDelay is the pause before an outcome query is repeated that did
-	// not reach the guard.
+	// outcomeQueryRetryDelay is the pause before repeating an outcome query that did not
+	// reach the guard.
 	outcomeQueryRetryDelay = 250 * time.Millisecond
 )
 
@@ -143,7 +143,7 @@
 			go func() {
 				var reached bool
 				result := recoverPanic(c.ID, e.daemon.recordPanic, func() (result *Result) {
-					result, reached = e.queryOutcome(ctx, pool, attempt, c)
+					result, reached = e.resolveOutcome(ctx, pool, attempt, c)
 					return e.dropExpiredProof(result, sentAt, c)
 				})
 				queried <- reply{result, reached}
@@ -195,9 +195,9 @@
 	return result
 }
 
-// queryOutcome queries the outcome of a call, and cancels the call if it has not started.
-// It returns false if the guard was not reached.
-func (e *entry) queryOutcome(ctx context.Context, pool *hop.Pool, attempt *attemptState, c *Call) (*Result, bool) {
+// resolveOutcome sends an outcome query: the guard returns the outcome of the call, and cancels
+// the call if it has not started. resolveOutcome returns false if the guard was not reached.
+func (e *entry) resolveOutcome(ctx context.Context, pool *hop.Pool, attempt *attemptState, c *Call) (*Result, bool) {
 	e.daemon.metrics.resolved.Inc(1)
 	result, reached := sendResolveRequest(ctx, pool, resolveRequest{key: c.Key(), incarnation: attempt.endpoint.daemonIncarnation, timeLeft: c.Deadline})
 	e.daemon.opts.Decisions.Write(decision.Withdrawn, c.ID, slog.String("upstream", attempt.choice.Upstream.Key),
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -22,7 +22,7 @@
 	defaultMaxHeaderBytes = 64 << 10
 	defaultHeaderTimeout  = 10 * time.Second
 	// idleCloseDelay is how much longer than its timeout an idle connection of a caller is
-	// kept, so that a request sent just in time does not cross the close.
+	// kept, so that a request sent just before the timeout arrives before the close.
 	idleCloseDelay = time.Second
 )
 
--- a/sidecar/stopping_test.go
+++ b/sidecar/stopping_test.go
@@ -122,7 +122,7 @@
 	a.entry.recordServiceTime("unsafe", time.Minute)
 	go a.stop()
 	eventually(t, "the daemon is stopping", a.stopping.Load)
-	resp, _ := a.ask(t, http.MethodPost, "/unsafe/", "pay")
+	resp, _ := a.sendRequest(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	status, _ := a.get(t, "/safe/")
