--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -31,8 +31,8 @@
 	value quarantine.Fingerprint
 }
 
-// quarantineRequest returns the parts of the request that its fingerprint covers.
-func (r *request) quarantineRequest() quarantine.Request {
+// fingerprintInput returns the parts of the request that its fingerprint covers.
+func (r *request) fingerprintInput() quarantine.Request {
 	return quarantine.Request{
 		Service: r.service.Name,
 		Caller:  r.caller.Name,
@@ -44,7 +44,7 @@
 }
 
 func (r *request) fingerprint() quarantine.Fingerprint {
-	r.cachedFingerprint.once.Do(func() { r.cachedFingerprint.value = quarantine.FingerprintOf(r.quarantineRequest()) })
+	r.cachedFingerprint.once.Do(func() { r.cachedFingerprint.value = quarantine.FingerprintOf(r.fingerprintInput()) })
 	return r.cachedFingerprint.value
 }
 
@@ -65,7 +65,7 @@
 func (e *Entry) recordCrash(req *request, upstream model.Upstream, response *wire.Result) {
 	if e.opts.Quarantine != nil && response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
 		crash := quarantine.Crash{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
-		e.opts.Quarantine.RecordCrash(req.fingerprint(), req.quarantineRequest(), crash)
+		e.opts.Quarantine.RecordCrash(req.fingerprint(), req.fingerprintInput(), crash)
 	}
 }
 
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -21,7 +21,7 @@
 // pollOnce polls an upstream that responds with the given status and body. It
 // returns the result that the poll was counted under, the number of requests that
 // the upstream received, and the guard.
-func pollOnce(t *testing.T, budget float64, status int, body string) (result string, hits int32, g *Guard) {
+func pollOnce(t *testing.T, budget float64, status int, body string) (result string, requestCount int32, g *Guard) {
 	t.Helper()
 	var received atomic.Int32
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,11 +60,11 @@
 
 func TestPoll(t *testing.T) {
 	cases := map[string]struct {
-		budget float64
-		status int
-		body   string
-		want   string
-		hits   int32
+		budget       float64
+		status       int
+		body         string
+		want         string
+		requestCount int32
 	}{
 		"report agrees":    {0.01, 200, `{"running": 0, "other": true}`, "agreed", 1},
 		"report too high":  {0.01, 200, `{"running": 60}`, "unsupported", 1},
@@ -78,11 +78,11 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			result, hits, g := pollOnce(t, tc.budget, tc.status, tc.body)
+			result, requestCount, g := pollOnce(t, tc.budget, tc.status, tc.body)
 			assert.Equal(t, tc.want, result)
-			assert.Equal(t, tc.hits, hits)
+			assert.Equal(t, tc.requestCount, requestCount)
 			slotTime := g.MeasuringSlotTime()["s-1"]
-			assert.Equal(t, tc.hits > 0, slotTime > 0)
+			assert.Equal(t, tc.requestCount > 0, slotTime > 0)
 			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "at most one burst of the budget")
 			assert.Zero(t, g.Loads("s")["s-1"].Running, "a report that the observed load does not support adds no running requests")
 		})
--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -142,8 +142,8 @@
 // addressHash returns the hash that identifies an address in summaries and record requests.
 func addressHash(address string) uint32 { return uint32(xxhash.Sum64String(address) >> 32) }
 
-// inDigest reports whether a record takes part in anti-entropy. Records of daemons that are
-// gone for good do not, because daemons drop them at different times.
+// inDigest reports whether a record takes part in anti-entropy. Records of daemons that
+// are stopping and whose upstream is gone do not, because daemons drop them at different times.
 func (r *Record) inDigest() bool { return r.Sequence > 0 && !(r.Stopping && r.State == lifecycle.Gone) }
 
 // digestHash returns the hash of the address and version of a record.
--- a/sidecar/attempts.go
+++ b/sidecar/attempts.go
@@ -49,8 +49,8 @@
 // attempt is the state of one call at the guard.
 type attempt struct {
 	key string
-	// retainUntil is when the attempt expires. One that still waits or runs is kept
-	// longer.
+	// retainUntil is when the attempt expires. An attempt that still waits or
+	// runs is kept longer.
 	retainUntil model.Instant
 	// withdrawn is closed when the attempt is cancelled before its start.
 	withdrawn chan struct{}
@@ -92,7 +92,8 @@
 	return a
 }
 
-// evict removes expired attempts, and others while the table is full. t.mu is held.
+// evict removes the expired attempts and, while the table is full, also those closest to
+// expiry. t.mu is held.
 func (t *attemptTable) evict() {
 	now := t.now()
 	for len(t.byExpiry) > 0 {
--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -23,7 +23,7 @@
 	for name, c := range map[string]struct {
 		setUp func(t *testing.T, table *attemptTable)
 		want  outcome.Kind
-		// mayStart tells whether the attempt may start after the outcome query.
+		// mayStart reports whether the attempt may start after the outcome query.
 		mayStart bool
 	}{
 		"unknown attempt is cancelled before it arrives": {func(*testing.T, *attemptTable) {}, outcome.NotRun, false},
@@ -43,8 +43,8 @@
 			c.setUp(t, table)
 			require.Equal(t, c.want, table.resolve(t.Context(), "k", time.Second).Outcome.Kind)
 			if !c.mayStart {
-				attempt, known := table.register("k", time.Second)
-				require.True(t, known)
+				attempt, duplicate := table.register("k", time.Second)
+				require.True(t, duplicate)
 				require.Equal(t, outcome.NotRun, attempt.duplicateResult().Outcome.Kind)
 			}
 		})
@@ -139,8 +139,8 @@
 		attempt.finish(&Result{Outcome: outcome.Done()})
 	}
 	*now = now.Add(time.Minute)
-	attempt, known := table.register("k", time.Minute)
-	require.True(t, known)
+	attempt, duplicate := table.register("k", time.Minute)
+	require.True(t, duplicate)
 	require.False(t, attempt.start())
 }
 
--- a/sidecar/callsperrun.go
+++ b/sidecar/callsperrun.go
@@ -1,7 +1,7 @@
 package sidecar
 
-// countCall counts a request from this VM to another service. Requests of the local upstream
-// and of other callers on the VM are counted alike.
+// countCall counts a request from this VM to another service. The caller may be the local
+// upstream or any other process on the VM.
 func (g *guard) countCall() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -93,7 +93,8 @@
 
 // hedge sends an idempotent request to a second upstream if that one is expected to
 // respond in time and the retry budget allows it. In time means within the target latency,
-// or within the deadline if the route has no target or the first timer has fired before.
+// or within the deadline if the route has no target or the first hedge timer has fired
+// already.
 func (f *forwarder) hedge() {
 	if !f.request.route.Idempotent || len(f.inFlight) != 1 || f.deliveredCount+1 >= f.request.maxAttempts() {
 		return
--- a/sidecar/correction_test.go
+++ b/sidecar/correction_test.go
@@ -180,14 +180,14 @@
 	p.merge([]Record{{Address: "far", Incarnation: 1, Sequence: 1, Service: "b", State: lifecycle.Ready}})
 	remote := p.all["far"]
 	for _, c := range []struct {
-		lostFor  time.Duration
-		retry    bool
-		maxDelay time.Duration
-	}{{0, true, maxSyncBackoff}, {30 * time.Second, true, maxSyncBackoff}, {20 * time.Minute, true, lostSyncBackoff}, {2 * time.Hour, false, 0}} {
-		now = model.Instant(c.lostFor)
+		unreachableFor time.Duration
+		retry          bool
+		maxDelay       time.Duration
+	}{{0, true, maxSyncBackoff}, {30 * time.Second, true, maxSyncBackoff}, {20 * time.Minute, true, unreachableSyncBackoff}, {2 * time.Hour, false, 0}} {
+		now = model.Instant(c.unreachableFor)
 		retry, maxDelay := p.exchangeFailed(remote, errNotAcknowledged)
-		require.Equal(t, c.retry, retry, c.lostFor)
-		require.Equal(t, c.maxDelay, maxDelay, c.lostFor)
+		require.Equal(t, c.retry, retry, c.unreachableFor)
+		require.Equal(t, c.maxDelay, maxDelay, c.unreachableFor)
 	}
 	require.Empty(t, p.all)
 }
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -93,14 +93,14 @@
 	if len(c.lostRuns) == 0 {
 		return
 	}
-	at := c.now()
-	if at.Sub(c.lostRuns[len(c.lostRuns)-1].lostAt) < responseSlack {
+	respondedAt := c.now()
+	if respondedAt.Sub(c.lostRuns[len(c.lostRuns)-1].lostAt) < responseSlack {
 		// The upstream may have sent the response shortly before the latest loss. In
 		// either case it was running before that loss, and only that is recorded.
-		at = at.Add(-responseSlack)
+		respondedAt = respondedAt.Add(-responseSlack)
 	}
-	if n := len(c.respondedAt); n == 0 || c.respondedAt[n-1] < c.lostRuns[len(c.lostRuns)-1].lostAt && at > c.respondedAt[n-1] {
-		c.respondedAt = append(c.respondedAt, at)
+	if n := len(c.respondedAt); n == 0 || c.respondedAt[n-1] < c.lostRuns[len(c.lostRuns)-1].lostAt && respondedAt > c.respondedAt[n-1] {
+		c.respondedAt = append(c.respondedAt, respondedAt)
 	}
 }
 
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -215,10 +215,10 @@
 // announceState writes the state of the local upstream into the local record and announces
 // that.
 func (d *Daemon) announceState() {
-	cur, departed := d.guard.currentReport()
+	current, departed := d.guard.currentReport()
 	d.peers.updateLocal(func(r *Record) {
-		r.Service, r.Upstream, r.State, r.Slots = cur.Service, cur.Incarnation, cur.State, cur.Slots
-		r.ColdMS = cur.WarmupLeft.Milliseconds()
+		r.Service, r.Upstream, r.State, r.Slots = current.Service, current.Incarnation, current.State, current.Slots
+		r.ColdMS = current.WarmupLeft.Milliseconds()
 		r.Departed = departed[max(len(departed)-maxDeparted, 0):]
 	})
 }
@@ -340,8 +340,8 @@
 	d.guard.setStopDeadline(d.now().Add(drainEnd.Sub(began)))
 	d.stopping.Store(true)
 	d.opts.Decisions.Write(decision.Stopping, "", slog.Int("in_flight", d.inFlight.count()))
-	cur, _ := d.guard.currentReport()
-	if cur.State == lifecycle.Gone {
+	current, _ := d.guard.currentReport()
+	if current.State == lifecycle.Gone {
 		ctx, cancel := context.WithTimeout(context.Background(), syncTimeout)
 		go func() {
 			defer cancel()
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -15,9 +15,9 @@
 	"github.com/dottereltiller/dottereltiller/core/placement"
 )
 
-// datagrams exchanges UDP datagrams with other daemons. Load queries and pushed records are
-// answered by a reply; nobody waits for a reply to any other kind. A lost datagram costs only
-// the wait for its reply.
+// datagrams exchanges UDP datagrams with other daemons. The senders of load queries
+// and pushed records wait for a reply; for other kinds no reply is awaited. A lost datagram
+// costs only the wait for its reply.
 //
 // Every datagram starts with a header: its kind, an id that the reply repeats, and the
 // version of the configuration in force at the sender. A daemon that cannot reach the store
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -346,11 +346,11 @@
 }
 
 // logDecision logs a retry or a hedge.
-func (f *forwarder) logDecision(k decision.Kind, attempt *attemptState, more ...slog.Attr) {
+func (f *forwarder) logDecision(k decision.Kind, attempt *attemptState, extra ...slog.Attr) {
 	f.entry.daemon.opts.Decisions.Write(k, f.request.id, append([]slog.Attr{
 		slog.String("service", string(f.request.service)), slog.String("upstream", attempt.choice.Upstream.Key),
 		slog.Int("sends", f.deliveredCount), slog.Float64("budget_left", f.service.retryLimiter.left(f.entry.daemon.now())),
-	}, more...)...)
+	}, extra...)...)
 }
 
 // finalResult returns the result of the request when no further attempt is allowed.
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -102,13 +102,13 @@
 	previous := g.tracker.Current()
 	effect := g.tracker.Observe(r)
 	g.applyReport(effect)
-	cur := g.tracker.Current()
+	current := g.tracker.Current()
 	g.mu.Unlock()
 	if effect == lifecycle.Started && previous.State == lifecycle.Ready {
 		g.crashes.handleCrash(previous.Incarnation)
 	}
 	if effect == lifecycle.Started || effect == lifecycle.Changed {
-		g.logState(cur, cause)
+		g.logState(current, cause)
 	}
 	g.dispatch()
 	return effect
@@ -118,16 +118,17 @@
 func (g *guard) deregister(i lifecycle.Incarnation) lifecycle.Effect {
 	g.mu.Lock()
 	effect := g.tracker.Leave(i)
-	cur := g.tracker.Current()
+	current := g.tracker.Current()
 	g.mu.Unlock()
 	if effect == lifecycle.Changed {
-		g.logState(cur, "deregistered")
+		g.logState(current, "deregistered")
 	}
 	g.dispatch()
 	return effect
 }
 
-// restoreDeparted marks incarnations as departed that other daemons remember as such.
+// restoreDeparted marks the incarnations as departed that other daemons have recorded as
+// departed.
 func (g *guard) restoreDeparted(departed []lifecycle.Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -176,8 +177,8 @@
 // ends, a waiting call is cancelled before its start, and a running call is cancelled if
 // it is idempotent.
 func (g *guard) Do(ctx context.Context, c *Call) *Result {
-	attempt, known := g.registerCall(c)
-	if known {
+	attempt, duplicate := g.registerCall(c)
+	if duplicate {
 		return g.withLoad(attempt.duplicateResult())
 	}
 	if c.Alternative > 0 {
@@ -232,8 +233,8 @@
 func (g *guard) admit(c *Call) (uint64, <-chan slots.DequeueReason, func() *Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	cur := g.tracker.Current()
-	if reason := g.rejectReason(cur, c); reason != outcome.ReasonNone {
+	current := g.tracker.Current()
+	if reason := g.rejectReason(current, c); reason != outcome.ReasonNone {
 		return 0, nil, func() *Result { return notRunResult(reason) }
 	}
 	item, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
@@ -262,13 +263,13 @@
 }
 
 // rejectReason returns why a call cannot run here, or ReasonNone. g.mu is held.
-func (g *guard) rejectReason(cur lifecycle.Report, c *Call) outcome.Reason {
+func (g *guard) rejectReason(current lifecycle.Report, c *Call) outcome.Reason {
 	switch {
 	case g.closed, !g.endsBeforeStop(c):
 		return outcome.ReasonDraining
-	case cur.State == lifecycle.Unknown, cur.Service != c.Service, !sameIncarnation(cur.Incarnation, c.Upstream):
+	case current.State == lifecycle.Unknown, current.Service != c.Service, !sameIncarnation(current.Incarnation, c.Upstream):
 		return outcome.ReasonNoUpstream
-	case cur.State != lifecycle.Ready:
+	case current.State != lifecycle.Ready:
 		return outcome.ReasonDraining
 	default:
 		return outcome.ReasonNone
--- a/sidecar/inquire.go
+++ b/sidecar/inquire.go
@@ -162,8 +162,8 @@
 	g.refreshSlowdown(ctx)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	cur := g.tracker.Current()
-	if g.closed || cur.State != lifecycle.Ready || q.upstreamHash != hashUpstreamKey(upstreamKey(g.opts.Addresses.Peers, cur.ID)) {
+	current := g.tracker.Current()
+	if g.closed || current.State != lifecycle.Ready || q.upstreamHash != hashUpstreamKey(upstreamKey(g.opts.Addresses.Peers, current.ID)) {
 		return placement.Load{}, false
 	}
 	l := g.load()
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -16,7 +16,7 @@
 )
 
 // maxAnnounceBackoff bounds the pause between two attempts to write the directory entry once
-// other daemons are known: the entry then only serves daemons that start later.
+// other daemons are known: from then on, only daemons that start later need the entry.
 const maxAnnounceBackoff = 5 * time.Second
 
 // joiner enters this daemon into the directory, finds the other daemons, and marks this one
@@ -98,7 +98,7 @@
 
 // discoverUpstream asks the local upstream for its identity, unless the upstream reports
 // first or the whole system starts for the first time. It first waits for an exchange with
-// another daemon, as other daemons remember whether the upstream was leaving.
+// another daemon, whose records state whether the upstream was leaving.
 func (j *joiner) discoverUpstream(ctx context.Context) {
 	if j.d.opts.Bootstrap {
 		return
@@ -108,7 +108,7 @@
 		return
 	}
 	j.d.guard.discoverUpstream()
-	if cur, _ := j.d.guard.currentReport(); cur.State != lifecycle.Unknown {
+	if current, _ := j.d.guard.currentReport(); current.State != lifecycle.Unknown {
 		j.d.announceState()
 	}
 }
--- a/sidecar/options.go
+++ b/sidecar/options.go
@@ -98,7 +98,7 @@
 	Deadline time.Duration
 }
 
-// RequestInfo holds what an upstream is told in the headers of a request.
+// RequestInfo holds the values that a daemon sends to an upstream in the headers of a request.
 type RequestInfo struct {
 	ID string
 	// Deadline is the remaining time.
@@ -118,7 +118,8 @@
 	// Misdirected is set if another upstream than the expected one responded. The request has
 	// not run.
 	Misdirected bool
-	// Intact is set if, as far as its headers show, the response is as the upstream sent it.
+	// Intact is set unless the headers show that the response may have been altered after the
+	// upstream sent it.
 	Intact bool
 	// Instance is the upstream that responded. Empty means not stated.
 	Instance model.UpstreamID
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -21,7 +21,7 @@
 	Incarnation int64                  `json:"i"`
 	Sequence    uint64                 `json:"n"`
 	Zone        model.AvailabilityZone `json:"z"`
-	// Service, Upstream, State and Slots describe the upstream beside the daemon.
+	// Service, Upstream, State and Slots describe the daemon's upstream.
 	Service  model.ServiceName     `json:"s,omitempty"`
 	Upstream lifecycle.Incarnation `json:"u,omitzero"`
 	State    lifecycle.State       `json:"st,omitempty"`
@@ -73,13 +73,13 @@
 	minSyncBackoff = 100 * time.Millisecond
 	maxSyncBackoff = 2 * time.Second
 	// fastRetryPeriod is how long an unreachable daemon is retried with a backoff of at most
-	// maxSyncBackoff; after that, lostSyncBackoff bounds the backoff. Retries must go on,
+	// maxSyncBackoff; after that, unreachableSyncBackoff bounds the backoff. Retries must go on,
 	// because two regions that lose their connection for minutes have no other way to find each
 	// other: no daemon restarts, and so none announces itself again.
-	fastRetryPeriod = time.Minute
-	lostSyncBackoff = 15 * time.Second
-	// forgetAfter is how long an unreachable daemon is retried before it is forgotten.
-	forgetAfter = time.Hour
+	fastRetryPeriod        = time.Minute
+	unreachableSyncBackoff = 15 * time.Second
+	// removeAfter is how long an unreachable daemon is retried before its record is removed.
+	removeAfter = time.Hour
 	// restartCheckers is how many daemons, on average, try to reach a daemon that stopped as
 	// planned, and restartCheckDelay is how long after its stop they begin. The daemon may
 	// restart while the store is unavailable, and then it knows no other daemon.
@@ -288,7 +288,7 @@
 	q.coldUntil = p.now().Add(time.Duration(r.ColdMS) * time.Millisecond)
 	p.generation++
 	if restarted {
-		// The restarted daemon has forgotten this one, and the old connections are dead.
+		// The restarted daemon has no record of this one, and the old connections are broken.
 		q.pool.Close()
 		q.pool = newPeerPool(r.Address)
 		p.startSync(q)
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -43,7 +43,7 @@
 }
 
 // verifyReachable sends the local record to a daemon that did not reply to a load query.
-// This tells a lost datagram from an unreachable daemon.
+// This distinguishes a lost datagram from an unreachable daemon.
 func (p *peers) verifyReachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -8,8 +8,8 @@
 
 const (
 	// relayDelay is how long a record waits for others so that they share a datagram, and
-	// relayJitter bounds the random delay on top. The relay of a zone whose delay ends first
-	// sends the record, and the others drop it.
+	// relayJitter bounds the random delay on top. Of the relays of a zone, the one whose
+	// delay ends first sends the record, and the others drop it.
 	relayDelay  = 20 * time.Millisecond
 	relayJitter = 80 * time.Millisecond
 )
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -157,15 +157,15 @@
 // local upstream. The expected upstream is marked as departed.
 func (g *guard) handleWrongUpstream(c *Call, found model.UpstreamID) {
 	g.mu.Lock()
-	cur := g.tracker.Current()
-	if cur.ID != c.Upstream.ID || found == cur.ID {
+	current := g.tracker.Current()
+	if current.ID != c.Upstream.ID || found == current.ID {
 		g.mu.Unlock()
 		return
 	}
-	g.tracker.Leave(cur.Incarnation)
-	cur = g.tracker.Current()
+	g.tracker.Leave(current.Incarnation)
+	current = g.tracker.Current()
 	g.mu.Unlock()
-	g.logState(cur, "address taken by "+string(found))
+	g.logState(current, "address taken by "+string(found))
 }
 
 // recordLoad stores the load that the upstream reported. l is nil if it reported none.
--- a/sidecar/summary.go
+++ b/sidecar/summary.go
@@ -67,20 +67,20 @@
 // here or missing on the other side, and the address hashes of those that are newer on the
 // other side or missing here.
 func (s *summary) diff(records []Record) (newer []Record, wanted []uint32) {
-	ours := make(map[uint32]recordVersion, len(s.entries))
+	localVersions := make(map[uint32]recordVersion, len(s.entries))
 	for i := range records {
 		r := &records[i]
 		if !r.inDigest() || s.bucketSet&(1<<bucketOf(r.Address)) == 0 {
 			continue
 		}
 		hash := addressHash(r.Address)
-		ours[hash] = recordVersionOf(r)
-		if theirs, ok := s.entries[hash]; !ok || recordVersionOf(r).supersedes(theirs) {
+		localVersions[hash] = recordVersionOf(r)
+		if remoteVersion, ok := s.entries[hash]; !ok || recordVersionOf(r).supersedes(remoteVersion) {
 			newer = append(newer, *r)
 		}
 	}
-	for hash, theirs := range s.entries {
-		if known, ok := ours[hash]; !ok || theirs.supersedes(known) {
+	for hash, remoteVersion := range s.entries {
+		if localVersion, ok := localVersions[hash]; !ok || remoteVersion.supersedes(localVersion) {
 			wanted = append(wanted, hash)
 		}
 	}
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -48,11 +48,11 @@
 // the bytes of all datagrams.
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
-	theirs, ours := digestOf(responder.records()), digestOf(initiator.records())
-	bytes := datagramHeaderBytes + len(ours.encode())
+	responderDigest, initiatorDigest := digestOf(responder.records()), digestOf(initiator.records())
+	bytes := datagramHeaderBytes + len(initiatorDigest.encode())
 	var differing []int
-	for i := range ours {
-		if ours[i] != theirs[i] {
+	for i := range initiatorDigest {
+		if initiatorDigest[i] != responderDigest[i] {
 			differing = append(differing, i)
 		}
 	}
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -68,8 +68,8 @@
 }
 
 // exchangeFailed records a failed exchange. It reports whether to retry, and the bound of the
-// backoff before that. A peer that is gone for good, or unreachable for forgetAfter, is
-// forgotten instead.
+// backoff before that. A peer that is stopping and whose upstream is gone, or that has been
+// unreachable for removeAfter, is removed instead.
 func (p *peers) exchangeFailed(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,15 +81,15 @@
 		p.replaceBootstrapPeer(q)
 	}
 	gone := q.record.Stopping && q.record.State == lifecycle.Gone
-	lostFor := p.now().Sub(q.unreachableSince)
+	unreachableFor := p.now().Sub(q.unreachableSince)
 	switch {
-	case gone || lostFor >= forgetAfter:
+	case gone || unreachableFor >= removeAfter:
 		delete(p.all, q.record.Address)
 		q.pool.Close()
 		q.syncing = false
 		return false, 0
-	case lostFor >= fastRetryPeriod:
-		return true, lostSyncBackoff
+	case unreachableFor >= fastRetryPeriod:
+		return true, unreachableSyncBackoff
 	default:
 		return true, maxSyncBackoff
 	}
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -26,9 +26,9 @@
 	maxPlainDocumentBytes = 1 << 10
 	// maxDocumentBytes bounds a document that is restored from a delta.
 	maxDocumentBytes = 16 << 20
-	// haveParam is the query parameter with the version that the requesting daemon has in
+	// heldVersionParam is the query parameter with the version that the requesting daemon has in
 	// force.
-	haveParam = "have"
+	heldVersionParam = "have"
 )
 
 // storedDocument is a version of the configuration as it was read from the store.
@@ -123,15 +123,15 @@
 // version in force here, only the delta is transferred. The error is a *hop.RequestError, a
 // *StatusError or a *DeltaError.
 func (c *configuration) fetch(ctx context.Context, pool *hop.Pool, from string) ([]byte, error) {
-	have := c.version()
-	base := c.versions.document(have)
-	raw, err := fetchSince(ctx, pool, have, base)
+	heldVersion := c.version()
+	base := c.versions.document(heldVersion)
+	raw, err := fetchSince(ctx, pool, heldVersion, base)
 	if err == nil || base == nil || !errors.As(err, new(*DeltaError)) {
 		return raw, err
 	}
 	// The other daemon holds a different document under the same version.
-	c.decisions.Write(decision.ConfigRefused, "", slog.Uint64("version", uint64(have)),
-		slog.Uint64("in_force", uint64(have)), slog.String("from", from), slog.String("error", err.Error()))
+	c.decisions.Write(decision.ConfigRefused, "", slog.Uint64("version", uint64(heldVersion)),
+		slog.Uint64("in_force", uint64(heldVersion)), slog.String("from", from), slog.String("error", err.Error()))
 	return fetchSince(ctx, pool, 0, nil)
 }
 
@@ -148,10 +148,10 @@
 // Unwrap returns the cause of the failure.
 func (e *DeltaError) Unwrap() error { return e.Err }
 
-// fetchSince requests the document in force from a daemon. base is the document of version
-// have, nil if there is none here.
-func fetchSince(ctx context.Context, pool *hop.Pool, have model.Version, base []byte) ([]byte, error) {
-	query := url.Values{haveParam: {strconv.FormatUint(uint64(have), 10)}}
+// fetchSince requests the document in force from a daemon. base is the document of
+// heldVersion, or nil if this daemon does not hold that version.
+func fetchSince(ctx context.Context, pool *hop.Pool, heldVersion model.Version, base []byte) ([]byte, error) {
+	query := url.Values{heldVersionParam: {strconv.FormatUint(uint64(heldVersion), 10)}}
 	path := pathConfig + "?" + query.Encode()
 	r, err := requestPeer(ctx, pool, http.MethodGet, path, nil)
 	if err != nil {
@@ -166,7 +166,7 @@
 	}
 	raw, err := delta.Apply(base, r.Body, maxDocumentBytes)
 	if err != nil {
-		return nil, &DeltaError{From: have, Err: err}
+		return nil, &DeltaError{From: heldVersion, Err: err}
 	}
 	return raw, nil
 }
@@ -180,7 +180,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if d := p.deltaFrom(r.URL.Query().Get(haveParam)); d != nil {
+	if d := p.deltaFrom(r.URL.Query().Get(heldVersionParam)); d != nil {
 		w.WriteHeader(http.StatusIMUsed)
 		_, _ = w.Write(d)
 		return
@@ -190,13 +190,13 @@
 
 // deltaFrom returns the delta from a version in decimal digits, or nil if there is none.
 func (p peerHandler) deltaFrom(version string) []byte {
-	have, err := strconv.ParseUint(version, 10, 64)
+	heldVersion, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
 		return nil
 	}
-	d, err := p.d.config.versions.deltaFrom(model.Version(have))
+	d, err := p.d.config.versions.deltaFrom(model.Version(heldVersion))
 	if err != nil {
-		p.d.opts.Logger.Error("computing the configuration delta failed", "have", have, "error", err)
+		p.d.opts.Logger.Error("computing the configuration delta failed", "have", heldVersion, "error", err)
 	}
 	return d
 }
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -69,23 +69,23 @@
 func TestFetchTransfersDelta(t *testing.T) {
 	const newest, compressed = 9, 25_000
 	for name, c := range map[string]struct {
-		have        int
+		heldVersion int
 		conflicting bool
 		maxBytes    int
 	}{
-		"one version behind":                    {have: 8, maxBytes: 200},
-		"three versions behind":                 {have: 6, maxBytes: 300},
-		"further behind than versions are kept": {have: 5, maxBytes: compressed},
-		"nothing in force":                      {have: 0, maxBytes: compressed},
-		"different document of that version":    {have: 8, conflicting: true, maxBytes: compressed + 500},
+		"one version behind":                    {heldVersion: 8, maxBytes: 200},
+		"three versions behind":                 {heldVersion: 6, maxBytes: 300},
+		"further behind than versions are kept": {heldVersion: 5, maxBytes: compressed},
+		"nothing in force":                      {heldVersion: 0, maxBytes: compressed},
+		"different document of that version":    {heldVersion: 8, conflicting: true, maxBytes: compressed + 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent int
 			pool := serveVersions(t, configWithVersions(newest), &sent)
-			config := configWithVersions(c.have)
+			config := configWithVersions(c.heldVersion)
 			if c.conflicting {
 				config = configWithVersions(0)
-				config.apply(append(largeDocument(c.have), "something else\n"...), "test")
+				config.apply(append(largeDocument(c.heldVersion), "something else\n"...), "test")
 			}
 			raw, err := config.fetch(t.Context(), pool, "test")
 			require.NoError(t, err)
