--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -33,7 +33,8 @@
 // a call in time.
 var errNotAcknowledged = errors.New("call not acknowledged")
 
-// attemptState is an attempt in flight.
+// attemptState is the entry's state of an attempt in flight. The guard keeps its own state of
+// the same attempt in the type attempt.
 type attemptState struct {
 	choice       placement.Choice
 	endpoint     endpoint
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -36,7 +36,7 @@
 	// slotsFromPeers returns the number of slots of an upstream that does not report it,
 	// from the records of other daemons. Zero means unknown.
 	slotsFromPeers func(lifecycle.Incarnation) int
-	// isUrgent reports whether any route is served after the routes of the given rank.
+	// isUrgent reports whether at least one route has a lower priority than the given rank.
 	isUrgent func(rank int) bool
 	// onPanic is called when a panic was recovered while a request was served.
 	onPanic func(component, requestID string, v any)
@@ -184,13 +184,13 @@
 	if c.Alternative > 0 {
 		g.refreshSlowdown(ctx)
 	}
-	id, exit, rejected := g.enqueue(c)
+	id, dequeued, rejected := g.enqueue(c)
 	if rejected != nil {
 		attempt.finish(rejected)
 		return g.withLoad(rejected)
 	}
 	arrived := g.now()
-	if result := g.waitForStart(ctx, c, attempt, id, exit); result != nil {
+	if result := g.waitForStart(ctx, c, attempt, id, dequeued); result != nil {
 		attempt.finish(result)
 		return g.withLoad(result)
 	}
@@ -220,12 +220,12 @@
 // enqueue admits a call to the queue and starts it if there is a free slot, or returns
 // the result of its rejection.
 func (g *guard) enqueue(c *Call) (uint64, <-chan slots.DequeueReason, *Result) {
-	id, exit, reject := g.admit(c)
+	id, dequeued, reject := g.admit(c)
 	if reject != nil {
 		return 0, nil, reject()
 	}
 	g.dispatch()
-	return id, exit, nil
+	return id, dequeued, nil
 }
 
 // admit adds a call to the queue, or returns a function that rejects it. The function
@@ -246,10 +246,10 @@
 	}
 	g.nextID++
 	item.ID = g.nextID
-	exit := make(chan slots.DequeueReason, 1)
-	g.waiters[item.ID] = exit
+	dequeued := make(chan slots.DequeueReason, 1)
+	g.waiters[item.ID] = dequeued
 	g.queue.Add(item)
-	return item.ID, exit, nil
+	return item.ID, dequeued, nil
 }
 
 // rejectionResult logs that the queue did not admit a call, and returns the result.
@@ -297,22 +297,22 @@
 }
 
 // waitForStart returns nil when the call may start, or the result if it may not.
-func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, exit <-chan slots.DequeueReason) *Result {
+func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, dequeued <-chan slots.DequeueReason) *Result {
 	select {
-	case reason := <-exit:
-		return g.exitResult(c, reason)
+	case reason := <-dequeued:
+		return g.dequeueResult(c, reason)
 	case <-ctx.Done():
 	case <-attempt.withdrawn:
 	}
 	if g.cancelWaiting(id) {
 		return notRunResult(outcome.ReasonWithdrawn)
 	}
-	return g.exitResult(c, <-exit)
+	return g.dequeueResult(c, <-dequeued)
 }
 
-// exitResult returns nil if a call left the queue to start, or the result of its
+// dequeueResult returns nil if a call left the queue to start, or the result of its
 // rejection.
-func (g *guard) exitResult(c *Call, reason slots.DequeueReason) *Result {
+func (g *guard) dequeueResult(c *Call, reason slots.DequeueReason) *Result {
 	switch reason {
 	case slots.Start:
 		return nil
--- a/sidecar/stopping_test.go
+++ b/sidecar/stopping_test.go
@@ -67,11 +67,11 @@
 	require.Nil(t, rejected)
 	require.NotEmpty(t, runningExit)
 	call := newCall()
-	id, exit, rejected := g.enqueue(call)
+	id, dequeued, rejected := g.enqueue(call)
 	require.Nil(t, rejected)
-	require.Empty(t, exit)
+	require.Empty(t, dequeued)
 	g.stopAdmitting()
-	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, exit)
+	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, dequeued)
 	require.Equal(t, outcome.NotRun, got.Outcome.Kind)
 }
 
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -180,7 +180,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if d := p.deltaFrom(r.URL.Query().Get(heldVersionParam)); d != nil {
+	if d := p.deltaFromParam(r.URL.Query().Get(heldVersionParam)); d != nil {
 		w.WriteHeader(http.StatusIMUsed)
 		_, _ = w.Write(d)
 		return
@@ -188,8 +188,9 @@
 	_, _ = w.Write(raw)
 }
 
-// deltaFrom returns the delta from a version in decimal digits, or nil if there is none.
-func (p peerHandler) deltaFrom(version string) []byte {
+// deltaFromParam returns the delta from the version that a heldVersionParam states, or nil if
+// there is none.
+func (p peerHandler) deltaFromParam(version string) []byte {
 	heldVersion, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
 		return nil
