--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// maxLearnedLines is how many upstreams get a log line of their own when they are first
-	// known to be ready within learnedWindow. When a whole deployment starts, a line for
-	// every pair of daemons would only repeat what the daemon of each upstream logs itself.
-	maxLearnedLines = 16
-	learnedWindow   = time.Second
+	// maxReadyLines is how many upstreams get a log line of their own in each readyLogWindow
+	// when their first report says that they are ready. When a whole deployment starts, a
+	// line for every pair of daemons would only repeat what the daemon of each upstream logs
+	// itself.
+	maxReadyLines  = 16
+	readyLogWindow = time.Second
 	// maxNamedPeers bounds the daemons that one log line names.
 	maxNamedPeers = 16
 )
 
-// learnedLimiter limits the log lines about upstreams that are first known to be ready.
-type learnedLimiter struct {
+// readyLogLimiter limits the log lines about upstreams whose first report says that they are
+// ready.
+type readyLogLimiter struct {
 	// windowStart is when the current window began, and lines how many upstreams have been
 	// logged individually in it.
 	windowStart model.Instant
@@ -33,11 +35,11 @@
 }
 
 // allow reports whether an upstream gets a log line of its own.
-func (l *learnedLimiter) allow(now model.Instant) bool {
-	if now.Sub(l.windowStart) >= learnedWindow {
+func (l *readyLogLimiter) allow(now model.Instant) bool {
+	if now.Sub(l.windowStart) >= readyLogWindow {
 		l.windowStart, l.lines = now, 0
 	}
-	if l.lines >= maxLearnedLines {
+	if l.lines >= maxReadyLines {
 		return false
 	}
 	l.lines++
@@ -49,10 +51,10 @@
 // change. The caller holds p.mu.
 func (p *peers) logPeerState(previous, current *Record) {
 	firstReady := previous.Upstream == (lifecycle.Incarnation{}) && current.State == lifecycle.Ready && !current.Stopping
-	if firstReady && !p.learned.allow(p.now()) {
-		p.learned.unlogged++
-		if p.learned.unlogged == 1 {
-			time.AfterFunc(learnedWindow, p.logLearned)
+	if firstReady && !p.readyLog.allow(p.now()) {
+		p.readyLog.unlogged++
+		if p.readyLog.unlogged == 1 {
+			time.AfterFunc(readyLogWindow, p.logReadySummary)
 		}
 		return
 	}
@@ -61,10 +63,10 @@
 		slog.String("state", current.State.String()), slog.Bool("stopping", current.Stopping))
 }
 
-// logLearned writes one summary line for the upstreams that got no line of their own. It
+// logReadySummary writes one summary line for the upstreams that got no line of their own. It
 // names the peers whose upstreams are still unknown: the state of all others is known from
 // their own lines.
-func (p *peers) logLearned() {
+func (p *peers) logReadySummary() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ready := 0
@@ -80,7 +82,7 @@
 	unknown := len(missing)
 	slices.Sort(missing)
 	missing = missing[:min(unknown, maxNamedPeers)]
-	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.learned.unlogged), slog.Int("ready", ready),
+	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.readyLog.unlogged), slog.Int("ready", ready),
 		slog.Int("peers", len(p.all)), slog.Int("unheard", unknown), slog.String("missing", strings.Join(missing, " ")))
-	p.learned.unlogged = 0
+	p.readyLog.unlogged = 0
 }
--- a/sidecar/peerlog_test.go
+++ b/sidecar/peerlog_test.go
@@ -75,9 +75,9 @@
 					time.Sleep(startDuration / time.Duration(daemons))
 				}
 			}
-			time.Sleep(2 * learnedWindow)
+			time.Sleep(2 * readyLogWindow)
 			lines := l.closeAndRead(t)
-			individual := min(daemons-1, maxLearnedLines)
+			individual := min(daemons-1, maxReadyLines)
 			require.Len(t, lines[decision.PeerState], individual, daemons)
 			rest := daemons - 1 - individual
 			if rest == 0 {
@@ -106,7 +106,7 @@
 			}
 			l.merge(stateRecords(n, 1, s))
 		}
-		time.Sleep(2 * learnedWindow)
+		time.Sleep(2 * readyLogWindow)
 		line := l.closeAndRead(t)[decision.PeersLearned][0]
 		require.EqualValues(t, 2, line["unheard"])
 		require.Equal(t, "d040 d090", line["missing"])
@@ -131,15 +131,15 @@
 				for n := range daemons {
 					l.merge(stateRecords(n, 1, lifecycle.Ready))
 				}
-				time.Sleep(2 * learnedWindow)
+				time.Sleep(2 * readyLogWindow)
 				for n := range daemons {
 					r := stateRecords(n, 2, lifecycle.Ready)
 					change(&r[0])
 					l.merge(r)
 				}
-				time.Sleep(2 * learnedWindow)
+				time.Sleep(2 * readyLogWindow)
 				lines := l.closeAndRead(t)
-				require.Len(t, lines[decision.PeerState], maxLearnedLines+daemons)
+				require.Len(t, lines[decision.PeerState], maxReadyLines+daemons)
 				require.Len(t, lines[decision.PeersLearned], 1)
 			})
 		})
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -131,7 +131,7 @@
 	// for all records.
 	generation uint64
 	fullSyncs  int
-	learned    learnedLimiter
+	readyLog   readyLogLimiter
 	// announced is set once the local record has been pushed to other daemons.
 	announced bool
 	// ctx ends when the daemon stops, and ends the goroutines that run syncLoop.
