--- a/sidecar/callsperrun.go
+++ b/sidecar/callsperrun.go
@@ -1,7 +1,7 @@
 package sidecar
 
-// countCall counts a request from this VM to another service. Requests of the local upstream
-// and of other callers on the VM are counted alike.
+// countCall counts a request from this VM to another service. The caller may be the local
+// upstream or any other process on the VM.
 func (g *guard) countCall() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -24,8 +24,8 @@
 	}
 }
 
-// recentCallsPerRun is callsPerRun for callers that do not hold g.mu.
-func (g *guard) recentCallsPerRun() float64 {
+// currentCallsPerRun locks g.mu and returns callsPerRun.
+func (g *guard) currentCallsPerRun() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.callsPerRun()
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -15,9 +15,9 @@
 	"github.com/dottereltiller/dottereltiller/core/placement"
 )
 
-// datagrams exchanges UDP datagrams with other daemons. Load queries and pushed records are
-// answered by a reply; nobody waits for a reply to any other kind. A lost datagram costs only
-// the wait for its reply.
+// datagrams exchanges UDP datagrams with other daemons. The senders of load queries
+// and pushed records wait for a reply; for other kinds no reply is awaited. A lost datagram
+// costs only the wait for its reply.
 //
 // Every datagram starts with a header: its kind, an id that the reply repeats, and the
 // version of the configuration in force at the sender. A daemon that cannot reach the store
@@ -53,7 +53,8 @@
 	// kindLoadQuery queries the load of an upstream. Its body holds the rank and the kind of a
 	// request and a hash that identifies the upstream.
 	kindLoadQuery = 1
-	// kindLoadReply replies to kindLoadQuery with the load that such a request would find.
+	// kindLoadReply carries the reply to a load query: the load of the upstream, counting as
+	// waiting only the requests that would be served before the one described in the query.
 	kindLoadReply = 2
 	// kindRecordPush pushes one packed record, and kindRecordAck, without a body, acknowledges
 	// it.
@@ -126,7 +127,7 @@
 // announceVersion announces the version in force to some of the other daemons, which announce
 // it in turn.
 func (a *datagrams) announceVersion() {
-	for _, m := range a.d.follower.targets.PushTargets(a.d.peers.members(), false) {
+	for _, m := range a.d.follower.peerSelector.PushTargets(a.d.peers.members(), false) {
 		a.sendOneWay(kindVersion, m.Address, []byte(a.d.opts.Addresses.Peers))
 	}
 }
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -33,7 +33,8 @@
 // a call in time.
 var errNotAcknowledged = errors.New("call not acknowledged")
 
-// attemptState is an attempt in flight.
+// attemptState is the entry's state of an attempt in flight. The guard keeps its own state of
+// the same attempt in the type attempt.
 type attemptState struct {
 	choice       placement.Choice
 	endpoint     endpoint
@@ -253,13 +254,13 @@
 		f.entry.recordServiceTime(f.request.route.Name, result.ServiceTime)
 	}
 	switch {
-	case result.Arrived:
+	case result.Delivered:
 		f.deliveredCount++
 		f.request.deliveredCount = f.deliveredCount
 	default:
 		attempt.charge.refund(now)
 	}
-	if !result.Arrived {
+	if !result.Delivered {
 		f.undeliveredCount++
 	}
 	switch result.Outcome.Reason {
@@ -346,11 +347,11 @@
 }
 
 // logDecision logs a retry or a hedge.
-func (f *forwarder) logDecision(k decision.Kind, attempt *attemptState, more ...slog.Attr) {
+func (f *forwarder) logDecision(k decision.Kind, attempt *attemptState, extra ...slog.Attr) {
 	f.entry.daemon.opts.Decisions.Write(k, f.request.id, append([]slog.Attr{
 		slog.String("service", string(f.request.service)), slog.String("upstream", attempt.choice.Upstream.Key),
 		slog.Int("sends", f.deliveredCount), slog.Float64("budget_left", f.service.retryLimiter.left(f.entry.daemon.now())),
-	}, more...)...)
+	}, extra...)...)
 }
 
 // finalResult returns the result of the request when no further attempt is allowed.
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -36,10 +36,10 @@
 	// slotsFromPeers returns the number of slots of an upstream that does not report it,
 	// from the records of other daemons. Zero means unknown.
 	slotsFromPeers func(lifecycle.Incarnation) int
-	// isUrgent reports whether any route is served after the routes of the given rank.
+	// isUrgent reports whether at least one route has a lower priority than the given rank.
 	isUrgent func(rank int) bool
 	// onPanic is called when a panic was recovered while a request was served.
-	onPanic func(part, request string, v any)
+	onPanic func(component, requestID string, v any)
 	service model.ServiceName
 	metrics *metrics
 
@@ -102,13 +102,13 @@
 	previous := g.tracker.Current()
 	effect := g.tracker.Observe(r)
 	g.applyReport(effect)
-	cur := g.tracker.Current()
+	current := g.tracker.Current()
 	g.mu.Unlock()
 	if effect == lifecycle.Started && previous.State == lifecycle.Ready {
 		g.crashes.handleCrash(previous.Incarnation)
 	}
 	if effect == lifecycle.Started || effect == lifecycle.Changed {
-		g.logState(cur, cause)
+		g.logState(current, cause)
 	}
 	g.dispatch()
 	return effect
@@ -118,16 +118,17 @@
 func (g *guard) deregister(i lifecycle.Incarnation) lifecycle.Effect {
 	g.mu.Lock()
 	effect := g.tracker.Leave(i)
-	cur := g.tracker.Current()
+	current := g.tracker.Current()
 	g.mu.Unlock()
 	if effect == lifecycle.Changed {
-		g.logState(cur, "deregistered")
+		g.logState(current, "deregistered")
 	}
 	g.dispatch()
 	return effect
 }
 
-// restoreDeparted marks incarnations as departed that other daemons remember as such.
+// restoreDeparted marks the incarnations as departed that other daemons have recorded as
+// departed.
 func (g *guard) restoreDeparted(departed []lifecycle.Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -176,20 +177,20 @@
 // ends, a waiting call is cancelled before its start, and a running call is cancelled if
 // it is idempotent.
 func (g *guard) Do(ctx context.Context, c *Call) *Result {
-	attempt, known := g.registerCall(c)
-	if known {
+	attempt, duplicate := g.registerCall(c)
+	if duplicate {
 		return g.withLoad(attempt.duplicateResult())
 	}
 	if c.Alternative > 0 {
 		g.refreshSlowdown(ctx)
 	}
-	id, exit, rejected := g.enqueue(c)
+	id, dequeued, rejected := g.enqueue(c)
 	if rejected != nil {
 		attempt.finish(rejected)
 		return g.withLoad(rejected)
 	}
 	arrived := g.now()
-	if result := g.waitForStart(ctx, c, attempt, id, exit); result != nil {
+	if result := g.waitForStart(ctx, c, attempt, id, dequeued); result != nil {
 		attempt.finish(result)
 		return g.withLoad(result)
 	}
@@ -219,12 +220,12 @@
 // enqueue admits a call to the queue and starts it if there is a free slot, or returns
 // the result of its rejection.
 func (g *guard) enqueue(c *Call) (uint64, <-chan slots.DequeueReason, *Result) {
-	id, exit, reject := g.admit(c)
+	id, dequeued, reject := g.admit(c)
 	if reject != nil {
 		return 0, nil, reject()
 	}
 	g.dispatch()
-	return id, exit, nil
+	return id, dequeued, nil
 }
 
 // admit adds a call to the queue, or returns a function that rejects it. The function
@@ -232,8 +233,8 @@
 func (g *guard) admit(c *Call) (uint64, <-chan slots.DequeueReason, func() *Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	cur := g.tracker.Current()
-	if reason := g.rejectReason(cur, c); reason != outcome.ReasonNone {
+	current := g.tracker.Current()
+	if reason := g.rejectReason(current, c); reason != outcome.ReasonNone {
 		return 0, nil, func() *Result { return notRunResult(reason) }
 	}
 	item, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
@@ -245,10 +246,10 @@
 	}
 	g.nextID++
 	item.ID = g.nextID
-	exit := make(chan slots.DequeueReason, 1)
-	g.waiters[item.ID] = exit
+	dequeued := make(chan slots.DequeueReason, 1)
+	g.waiters[item.ID] = dequeued
 	g.queue.Add(item)
-	return item.ID, exit, nil
+	return item.ID, dequeued, nil
 }
 
 // rejectionResult logs that the queue did not admit a call, and returns the result.
@@ -262,13 +263,13 @@
 }
 
 // rejectReason returns why a call cannot run here, or ReasonNone. g.mu is held.
-func (g *guard) rejectReason(cur lifecycle.Report, c *Call) outcome.Reason {
+func (g *guard) rejectReason(current lifecycle.Report, c *Call) outcome.Reason {
 	switch {
 	case g.closed, !g.endsBeforeStop(c):
 		return outcome.ReasonDraining
-	case cur.State == lifecycle.Unknown, cur.Service != c.Service, !sameIncarnation(cur.Incarnation, c.Upstream):
+	case current.State == lifecycle.Unknown, current.Service != c.Service, !sameIncarnation(current.Incarnation, c.Upstream):
 		return outcome.ReasonNoUpstream
-	case cur.State != lifecycle.Ready:
+	case current.State != lifecycle.Ready:
 		return outcome.ReasonDraining
 	default:
 		return outcome.ReasonNone
@@ -296,22 +297,22 @@
 }
 
 // waitForStart returns nil when the call may start, or the result if it may not.
-func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, exit <-chan slots.DequeueReason) *Result {
+func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, dequeued <-chan slots.DequeueReason) *Result {
 	select {
-	case reason := <-exit:
-		return g.exitResult(c, reason)
+	case reason := <-dequeued:
+		return g.dequeueResult(c, reason)
 	case <-ctx.Done():
 	case <-attempt.withdrawn:
 	}
 	if g.cancelWaiting(id) {
 		return notRunResult(outcome.ReasonWithdrawn)
 	}
-	return g.exitResult(c, <-exit)
+	return g.dequeueResult(c, <-dequeued)
 }
 
-// exitResult returns nil if a call left the queue to start, or the result of its
+// dequeueResult returns nil if a call left the queue to start, or the result of its
 // rejection.
-func (g *guard) exitResult(c *Call, reason slots.DequeueReason) *Result {
+func (g *guard) dequeueResult(c *Call, reason slots.DequeueReason) *Result {
 	switch reason {
 	case slots.Start:
 		return nil
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -21,7 +21,7 @@
 	Incarnation int64                  `json:"i"`
 	Sequence    uint64                 `json:"n"`
 	Zone        model.AvailabilityZone `json:"z"`
-	// Service, Upstream, State and Slots describe the upstream beside the daemon.
+	// Service, Upstream, State and Slots describe the daemon's upstream.
 	Service  model.ServiceName     `json:"s,omitempty"`
 	Upstream lifecycle.Incarnation `json:"u,omitzero"`
 	State    lifecycle.State       `json:"st,omitempty"`
@@ -32,8 +32,8 @@
 	// Stopping is set while the daemon is about to stop. It still accepts calls if no other
 	// daemon can.
 	Stopping bool `json:"x,omitempty"`
-	// Departed holds the last incarnations of upstreams beside the daemon that left. If the
-	// daemon restarts, it learns of them from its peers.
+	// Departed holds the newest of the incarnations that lifecycle.Tracker.Departed returns.
+	// A restarted daemon gets them back from its peers.
 	Departed []lifecycle.Incarnation `json:"d,omitempty"`
 }
 
@@ -73,13 +73,13 @@
 	minSyncBackoff = 100 * time.Millisecond
 	maxSyncBackoff = 2 * time.Second
 	// fastRetryPeriod is how long an unreachable daemon is retried with a backoff of at most
-	// maxSyncBackoff; after that, lostSyncBackoff bounds the backoff. Retries must go on,
+	// maxSyncBackoff; after that, unreachableSyncBackoff bounds the backoff. Retries must go on,
 	// because two regions that lose their connection for minutes have no other way to find each
 	// other: no daemon restarts, and so none announces itself again.
-	fastRetryPeriod = time.Minute
-	lostSyncBackoff = 15 * time.Second
-	// forgetAfter is how long an unreachable daemon is retried before it is forgotten.
-	forgetAfter = time.Hour
+	fastRetryPeriod        = time.Minute
+	unreachableSyncBackoff = 15 * time.Second
+	// removeAfter is how long an unreachable daemon is retried before its record is removed.
+	removeAfter = time.Hour
 	// restartCheckers is how many daemons, on average, try to reach a daemon that stopped as
 	// planned, and restartCheckDelay is how long after its stop they begin. The daemon may
 	// restart while the store is unavailable, and then it knows no other daemon.
@@ -131,7 +131,7 @@
 	// for all records.
 	generation uint64
 	fullSyncs  int
-	learned    learnedLimiter
+	readyLog   readyLogLimiter
 	// announced is set once the local record has been pushed to other daemons.
 	announced bool
 	// ctx ends when the daemon stops, and ends the goroutines that run syncLoop.
@@ -186,10 +186,10 @@
 		zone := q.record.Zone
 		switch {
 		case zone == p.local.Zone:
-			p.scheduleSend(q)
+			p.schedulePush(q)
 		case !q.unreachable && !q.record.Stopping && relays[zone] < relaysPerZone:
 			relays[zone]++
-			p.scheduleSend(q)
+			p.schedulePush(q)
 		}
 	}
 }
@@ -203,10 +203,10 @@
 	}
 }
 
-// handlePull handles an exchange that another daemon started. The reply carries the local
+// handleSyncRequest handles an exchange that another daemon started. The reply carries the local
 // record, so no push to that daemon is due, unless this daemon still needs a full sync from
 // it.
-func (p *peers) handlePull(address string) {
+func (p *peers) handleSyncRequest(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.all[address]
@@ -217,8 +217,8 @@
 	p.markReachable(q)
 }
 
-// scheduleSend schedules a push of the local record to a peer. The caller holds p.mu.
-func (p *peers) scheduleSend(q *peer) {
+// schedulePush schedules a push of the local record to a peer. The caller holds p.mu.
+func (p *peers) schedulePush(q *peer) {
 	q.pushDue = true
 	if q.syncing || p.ctx.Err() != nil {
 		return
@@ -288,7 +288,7 @@
 	q.coldUntil = p.now().Add(time.Duration(r.ColdMS) * time.Millisecond)
 	p.generation++
 	if restarted {
-		// The restarted daemon has forgotten this one, and the old connections are dead.
+		// The restarted daemon has no record of this one, and the old connections are broken.
 		q.pool.Close()
 		q.pool = newPeerPool(r.Address)
 		p.startSync(q)
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -39,11 +39,11 @@
 		return
 	}
 	p.markUnreachable(other, err)
-	p.scheduleSend(other)
+	p.schedulePush(other)
 }
 
 // verifyReachable sends the local record to a daemon that did not reply to a load query.
-// This tells a lost datagram from an unreachable daemon.
+// This distinguishes a lost datagram from an unreachable daemon.
 func (p *peers) verifyReachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +52,7 @@
 		return
 	}
 	other.verifiedAt = p.now()
-	p.scheduleSend(other)
+	p.schedulePush(other)
 }
 
 // markUnreachable marks a peer as unreachable. p.mu is held.
--- a/sidecar/stopping_test.go
+++ b/sidecar/stopping_test.go
@@ -67,11 +67,11 @@
 	require.Nil(t, rejected)
 	require.NotEmpty(t, runningExit)
 	call := newCall()
-	id, exit, rejected := g.enqueue(call)
+	id, dequeued, rejected := g.enqueue(call)
 	require.Nil(t, rejected)
-	require.Empty(t, exit)
+	require.Empty(t, dequeued)
 	g.stopAdmitting()
-	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, exit)
+	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, dequeued)
 	require.Equal(t, outcome.NotRun, got.Outcome.Kind)
 }
 
@@ -122,7 +122,7 @@
 	a.entry.recordServiceTime("unsafe", time.Minute)
 	go a.stop()
 	eventually(t, "the daemon is stopping", a.stopping.Load)
-	resp, _ := a.ask(t, http.MethodPost, "/unsafe/", "pay")
+	resp, _ := a.sendRequest(t, http.MethodPost, "/unsafe/", "pay")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	status, _ := a.get(t, "/safe/")
