--- a/core/claims/answer.go
+++ b/core/claims/answer.go
@@ -52,7 +52,7 @@
 
 // put retains the answer of a claim and evicts older answers as needed. It
 // reports whether the answer was retained.
-func (ac *answerCache) put(c *claim, a *Answer) bool {
+func (ac *answerCache) retain(c *claim, a *Answer) bool {
 	size := a.Size()
 	if size > ac.groupLimit || size > ac.totalLimit {
 		return false
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -159,6 +159,6 @@
 	}
 	c.state = answered
 	if hc.Answer != nil {
-		t.answers.put(c, hc.Answer)
+		t.answers.retain(c, hc.Answer)
 	}
 }
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -183,12 +183,12 @@
 	}
 	for i := range l.ranges {
 		for j := range l.ranges[i].Intervals {
-			in := &l.ranges[i].Intervals[j]
-			if in.Owner.Incarnation != t.From {
+			interval := &l.ranges[i].Intervals[j]
+			if interval.Owner.Incarnation != t.From {
 				continue
 			}
-			in.Owner = t.To
-			in.PriorOwners = append(in.PriorOwners[:len(in.PriorOwners):len(in.PriorOwners)], t.From)
+			interval.Owner = t.To
+			interval.PriorOwners = append(interval.PriorOwners[:len(interval.PriorOwners):len(interval.PriorOwners)], t.From)
 		}
 	}
 }
@@ -204,9 +204,9 @@
 		return Interval{}, Unassigned
 	}
 	for i := len(s.Intervals) - 1; i >= 0; i-- {
-		in := s.Intervals[i]
-		if stamp >= in.From && stamp < in.Until {
-			return in, Owned
+		interval := s.Intervals[i]
+		if stamp >= interval.From && stamp < interval.Until {
+			return interval, Owned
 		}
 	}
 	return Interval{}, Pruned
@@ -227,9 +227,9 @@
 func (l *Ledger) OwnedUntil(incarnation uint64) Stamp {
 	var end Stamp
 	for i := range l.ranges {
-		for _, in := range l.ranges[i].Intervals {
-			if in.Owner.Incarnation == incarnation {
-				end = max(end, in.Until)
+		for _, interval := range l.ranges[i].Intervals {
+			if interval.Owner.Incarnation == incarnation {
+				end = max(end, interval.Until)
 			}
 		}
 	}
@@ -242,9 +242,9 @@
 		return c
 	}
 	c.Intervals = make([]Interval, len(s.Intervals))
-	for i, in := range s.Intervals {
-		in.PriorOwners = append([]uint64(nil), in.PriorOwners...)
-		c.Intervals[i] = in
+	for i, interval := range s.Intervals {
+		interval.PriorOwners = append([]uint64(nil), interval.PriorOwners...)
+		c.Intervals[i] = interval
 	}
 	return c
 }
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -74,9 +74,9 @@
 	// oldest is the offset of the oldest record that the log keeps.
 	oldest int
 	// appends are the records on the way to the log.
-	appends []Record
-	nodes   [modelDaemons]*node
-	keys    [modelKeys]Key
+	pendingAppends []Record
+	nodes          [modelDaemons]*node
+	keys           [modelKeys]Key
 	// runs counts the executions of each key.
 	runs        [modelKeys]int
 	submissions []submission
@@ -157,8 +157,8 @@
 	n := w.nodes[i]
 	k := w.rng.IntN(100)
 	for _, a := range []struct {
-		share int
-		do    func(*node)
+		percent int
+		perform func(*node)
 	}{
 		{w.profile.poll, w.poll},
 		{w.profile.proposeGrant, w.proposeGrant},
@@ -172,11 +172,11 @@
 		{w.profile.checkpoint, w.checkpoint},
 		{w.profile.trim, w.trim},
 	} {
-		if k < a.share {
-			a.do(n)
+		if k < a.percent {
+			a.perform(n)
 			return
 		}
-		k -= a.share
+		k -= a.percent
 	}
 	n.table.Expire(Stamp(w.rng.IntN(modelStamps / 2)))
 }
@@ -225,30 +225,30 @@
 	if w.mutation == applyUnloggedGrants {
 		n.ledger.grant(g)
 	}
-	w.appends = append(w.appends, Record{Grant: g})
+	w.pendingAppends = append(w.pendingAppends, Record{Grant: g})
 }
 
 // deliverAppend writes one of the pending appends to the log, or loses it.
 func (w *world) deliverAppend(*node) {
-	if len(w.appends) == 0 {
+	if len(w.pendingAppends) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.appends))
+	i := w.rng.IntN(len(w.pendingAppends))
 	if w.rng.IntN(8) > 0 {
-		w.log = append(w.log, w.appends[i])
+		w.log = append(w.log, w.pendingAppends[i])
 	}
-	w.appends = append(w.appends[:i], w.appends[i+1:]...)
+	w.pendingAppends = append(w.pendingAppends[:i], w.pendingAppends[i+1:]...)
 }
 
 // submit submits a key at an entry, which routes it according to its own, possibly
 // outdated, ledger.
 func (w *world) submit(n *node) {
 	k := w.rng.IntN(w.profile.keys)
-	in, ownership := n.ledger.Lookup(w.keys[k].Range(modelRanges), w.keys[k].Stamp())
+	interval, ownership := n.ledger.Lookup(w.keys[k].Range(modelRanges), w.keys[k].Stamp())
 	if ownership != Owned {
 		return
 	}
-	w.submissions = append(w.submissions, submission{key: k, target: in.Owner.Daemon})
+	w.submissions = append(w.submissions, submission{key: k, target: interval.Owner.Daemon})
 }
 
 // advance performs the next step of one submission. The arrival at the owner, the
@@ -259,16 +259,16 @@
 	}
 	i := w.rng.IntN(len(w.submissions))
 	s := &w.submissions[i]
-	done := true
+	ended := true
 	switch s.phase {
 	case toOwner:
-		done = w.arrive(s)
+		ended = w.arrive(s)
 	case beforeSend:
-		done = w.send(s)
+		ended = w.send(s)
 	case afterSend:
 		w.finish(s)
 	}
-	if done {
+	if ended {
 		w.submissions = append(w.submissions[:i], w.submissions[i+1:]...)
 	}
 }
@@ -294,12 +294,12 @@
 }
 
 // running reports whether the node has not crashed.
-func (w *world) running(n *node) bool { return w.nodes[n.table.Self().Daemon[0]-'a'] == n }
+func (w *world) isAlive(n *node) bool { return w.nodes[n.table.Self().Daemon[0]-'a'] == n }
 
 // send runs the request, or reports that it did not run. It returns true if that
 // ends the submission.
 func (w *world) send(s *submission) bool {
-	if !w.running(s.node) {
+	if !w.isAlive(s.node) {
 		return true
 	}
 	if w.rng.IntN(4) == 0 {
@@ -317,7 +317,7 @@
 
 // finish records a random outcome for a request that has run.
 func (w *world) finish(s *submission) {
-	if !w.running(s.node) {
+	if !w.isAlive(s.node) {
 		return
 	}
 	kind := outcome.Answered
@@ -379,7 +379,7 @@
 		to = &o
 	}
 	if to != nil && *to != n.table.Self() {
-		w.appends = append(w.appends, Record{Transfer: &Transfer{From: n.table.Self().Incarnation, To: *to}})
+		w.pendingAppends = append(w.pendingAppends, Record{Transfer: &Transfer{From: n.table.Self().Incarnation, To: *to}})
 		w.eventCounts["transfer"]++
 	}
 }
@@ -387,7 +387,7 @@
 // checkpoint requests the append of a checkpoint.
 func (w *world) checkpoint(n *node) {
 	if n.ledger.Complete() {
-		w.appends = append(w.appends, Record{Checkpoint: n.ledger.Checkpoint()})
+		w.pendingAppends = append(w.pendingAppends, Record{Checkpoint: n.ledger.Checkpoint()})
 	}
 }
 
--- a/core/claims/record_test.go
+++ b/core/claims/record_test.go
@@ -32,11 +32,11 @@
 	for range rapid.IntRange(0, 3).Draw(t, "ranges") {
 		s := RangeState{Frontier: Stamp(stamp.Draw(t, "frontier"))}
 		for range rapid.IntRange(0, 3).Draw(t, "intervals") {
-			in := Interval{From: Stamp(stamp.Draw(t, "from")), Until: Stamp(stamp.Draw(t, "until")), Owner: rapid.SampledFrom(owners).Draw(t, "owner")}
+			interval := Interval{From: Stamp(stamp.Draw(t, "from")), Until: Stamp(stamp.Draw(t, "until")), Owner: rapid.SampledFrom(owners).Draw(t, "owner")}
 			for range rapid.IntRange(0, 2).Draw(t, "prior owners") {
-				in.PriorOwners = append(in.PriorOwners, rapid.Uint64().Draw(t, "incarnation"))
+				interval.PriorOwners = append(interval.PriorOwners, rapid.Uint64().Draw(t, "incarnation"))
 			}
-			s.Intervals = append(s.Intervals, in)
+			s.Intervals = append(s.Intervals, interval)
 		}
 		c.Ranges = append(c.Ranges, s)
 	}
--- a/core/claims/schedules_test.go
+++ b/core/claims/schedules_test.go
@@ -83,7 +83,7 @@
 		mutation mutation
 		// from is the first seed to try. It is not 1 where the first schedule that
 		// detects the mutation has a much larger seed.
-		from uint64
+		startSeed uint64
 	}{
 		"grant accepted with a wrong base":                   {skipFrontierCheck, 1},
 		"state kept after the log was trimmed":               {keepStateAfterTrim, 1},
@@ -98,7 +98,7 @@
 		"grant applied before it is on the log":              {applyUnloggedGrants, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			seed, violation, _ := exploreAll(tc.from, 400_000, tc.mutation)
+			seed, violation, _ := exploreAll(tc.startSeed, 400_000, tc.mutation)
 			require.NotEmpty(t, violation, "no schedule detected the mutation")
 			t.Logf("seed %d: %s", seed, violation)
 		})
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -135,9 +135,9 @@
 	claims  map[ID]*claim
 	byStamp stampHeap
 	// groups holds the number of claims of each group.
-	groups  map[model.GroupName]int
-	answers *answerCache
-	sealed  bool
+	claimsPerGroup map[model.GroupName]int
+	answers        *answerCache
+	sealed         bool
 	// floor is the timestamp below which claims have been deleted.
 	floor Stamp
 	// priorOwners holds the earlier owners, by incarnation, whose claims were
@@ -150,12 +150,12 @@
 func NewTable(self Owner, limits Limits) *Table {
 	limits = limits.withDefaults()
 	return &Table{
-		self:        self,
-		limits:      limits,
-		claims:      make(map[ID]*claim),
-		groups:      make(map[model.GroupName]int),
-		answers:     newAnswerCache(limits.GroupAnswerBytes, limits.AnswerBytes),
-		priorOwners: make(map[uint64]earlier),
+		self:           self,
+		limits:         limits,
+		claims:         make(map[ID]*claim),
+		claimsPerGroup: make(map[model.GroupName]int),
+		answers:        newAnswerCache(limits.GroupAnswerBytes, limits.AnswerBytes),
+		priorOwners:    make(map[uint64]earlier),
 	}
 }
 
@@ -175,14 +175,14 @@
 		return Sealed, nil
 	}
 	stamp := r.ID.Key.Stamp()
-	in, ownership := l.Lookup(r.ID.Key.Range(l.Ranges()), stamp)
+	interval, ownership := l.Lookup(r.ID.Key.Range(l.Ranges()), stamp)
 	if ownership == Pruned {
 		return Expired, nil
 	}
-	if ownership != Owned || !t.owns(in.Owner) {
+	if ownership != Owned || !t.owns(interval.Owner) {
 		return NotOwner, nil
 	}
-	floor, ok := t.floorOf(in.PriorOwners)
+	floor, ok := t.floorOf(interval.PriorOwners)
 	if !ok {
 		return OwnerLost, nil
 	}
@@ -192,7 +192,7 @@
 	if stamp < floor {
 		return Expired, nil
 	}
-	if len(t.claims) >= t.limits.Claims || t.groups[r.Group] >= t.limits.GroupClaims {
+	if len(t.claims) >= t.limits.Claims || t.claimsPerGroup[r.Group] >= t.limits.GroupClaims {
 		return Full, nil
 	}
 	t.insert(&claim{id: r.ID, group: r.Group, digest: r.Digest})
@@ -258,7 +258,7 @@
 	case outcome.Answered:
 		c.state = answered
 		if a != nil {
-			t.answers.put(c, a)
+			t.answers.retain(c, a)
 		}
 	default:
 		c.state = outcomeUnknown
@@ -287,7 +287,7 @@
 
 func (t *Table) insert(c *claim) {
 	t.claims[c.id] = c
-	t.groups[c.group]++
+	t.claimsPerGroup[c.group]++
 	heap.Push(&t.byStamp, c)
 }
 
@@ -295,9 +295,9 @@
 	delete(t.claims, c.id)
 	heap.Remove(&t.byStamp, c.heapIndex)
 	t.answers.discard(c)
-	t.groups[c.group]--
-	if t.groups[c.group] == 0 {
-		delete(t.groups, c.group)
+	t.claimsPerGroup[c.group]--
+	if t.claimsPerGroup[c.group] == 0 {
+		delete(t.claimsPerGroup, c.group)
 	}
 }
 
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -104,9 +104,9 @@
 func TestHandoverTransfersClaimsAndAnswers(t *testing.T) {
 	successor := Owner{Daemon: "127.0.0.1:7002", Incarnation: 12}
 	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
-	done, inFlight, fresh := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
-	from.Begin(l, done)
-	from.Finish(done.ID, outcome.Answered, &Answer{Status: 200, Body: []byte("paid")})
+	answeredRequest, inFlight, neverSubmitted := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
+	from.Begin(l, answeredRequest)
+	from.Finish(answeredRequest.ID, outcome.Answered, &Answer{Status: 200, Body: []byte("paid")})
 	from.Begin(l, inFlight)
 	from.Expire(40)
 	from.Seal()
@@ -117,17 +117,17 @@
 	require.NoError(t, to.Import(parts[0]), "a second delivery changes nothing")
 	require.Equal(t, 2, to.Len())
 
-	decision, _ := to.Begin(l, done)
+	decision, _ := to.Begin(l, answeredRequest)
 	require.Equal(t, NotOwner, decision, "before the transfer is on the log")
 	l.Apply(1, Record{Transfer: &Transfer{From: self.Incarnation, To: successor}})
-	decision, a := to.Begin(l, done)
+	decision, a := to.Begin(l, answeredRequest)
 	require.Equal(t, Replay, decision)
 	require.Equal(t, "paid", string(a.Body))
 	decision, _ = to.Begin(l, inFlight)
 	require.Equal(t, OutcomeUnknown, decision)
 	decision, _ = to.Begin(l, newRequest(39, 4, "a"))
 	require.Equal(t, Expired, decision, "the earlier owner may have deleted the claim")
-	decision, _ = to.Begin(l, fresh)
+	decision, _ = to.Begin(l, neverSubmitted)
 	require.Equal(t, Run, decision)
 }
 
@@ -205,9 +205,9 @@
 	ownedRanges := func() map[model.DaemonID]int {
 		owned := map[model.DaemonID]int{}
 		for r := range Range(64) {
-			in, ownership := l.Lookup(r, now)
+			interval, ownership := l.Lookup(r, now)
 			require.Equal(t, Owned, ownership, "range %d has no owner", r)
-			owned[in.Owner.Daemon]++
+			owned[interval.Owner.Daemon]++
 		}
 		return owned
 	}
@@ -245,9 +245,9 @@
 	}
 	owned := map[model.DaemonID]int{}
 	for r := range Range(64) {
-		in, ownership := l.Lookup(r, 1_010_000)
+		interval, ownership := l.Lookup(r, 1_010_000)
 		require.Equal(t, Owned, ownership, "range %d", r)
-		owned[in.Owner.Daemon]++
+		owned[interval.Owner.Daemon]++
 	}
 	require.Greater(t, owned["b:1"], 16, "%v", owned)
 }
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -41,7 +41,7 @@
 
 // digest summarizes the state of a StateMachine, so that another daemon can
 // determine which records it lacks.
-type digest struct {
+type stateDigest struct {
 	next    uint64
 	version uint64
 	chain   [chainPrefixSize]byte
@@ -62,11 +62,11 @@
 	return binary.BigEndian.AppendUint64(b, uint64(len(m.partial.data)))
 }
 
-func parseDigest(b []byte) (digest, bool) {
+func parseStateDigest(b []byte) (stateDigest, bool) {
 	if len(b) != digestSize {
-		return digest{}, false
+		return stateDigest{}, false
 	}
-	d := digest{next: binary.BigEndian.Uint64(b), version: binary.BigEndian.Uint64(b[8:])}
+	d := stateDigest{next: binary.BigEndian.Uint64(b), version: binary.BigEndian.Uint64(b[8:])}
 	copy(d.chain[:], b[16:])
 	d.partialID = binary.BigEndian.Uint64(b[16+chainPrefixSize:])
 	d.partialBytes = binary.BigEndian.Uint64(b[24+chainPrefixSize:])
@@ -76,14 +76,14 @@
 // Conflicts reports whether the daemon that sent the digest has a different hash
 // chain at the same offset. It returns false if it cannot compare the two.
 func (m *StateMachine) Conflicts(peerDigest []byte) bool {
-	d, ok := parseDigest(peerDigest)
+	d, ok := parseStateDigest(peerDigest)
 	if !ok || d.next > m.state.Next {
 		return false
 	}
 	if d.next == m.state.Next {
 		return d.chain != [chainPrefixSize]byte(m.state.Chain[:chainPrefixSize])
 	}
-	records, ok := m.recent.from(d.next)
+	records, ok := m.recent.startingAt(d.next)
 	return ok && d.chain != [chainPrefixSize]byte(records[0].chainBefore[:chainPrefixSize])
 }
 
@@ -92,16 +92,16 @@
 // of a checkpoint. It returns nil if the daemon lacks nothing or its state
 // conflicts.
 func (m *StateMachine) Delta(peerDigest []byte, limit int) []byte {
-	d, ok := parseDigest(peerDigest)
+	d, ok := parseStateDigest(peerDigest)
 	if !ok || d.next >= m.state.Next || m.Conflicts(peerDigest) {
 		return nil
 	}
-	if records, ok := m.recent.from(d.next); ok {
+	if records, ok := m.recent.startingAt(d.next); ok {
 		if delta := encodeRecords(d.next, records, limit); delta != nil {
 			return delta
 		}
 	}
-	return m.chunk(d, limit)
+	return m.nextChunk(d, limit)
 }
 
 // encodeRecords returns a delta with as many records as fit into limit bytes, or
@@ -123,21 +123,21 @@
 
 // chunk returns the next chunk of the checkpoint that the sender of the digest
 // needs, continuing after the bytes that it has already received.
-func (m *StateMachine) chunk(d digest, limit int) []byte {
+func (m *StateMachine) nextChunk(d stateDigest, limit int) []byte {
 	data := m.checkpointFor(d.next)
 	if data == nil || limit <= chunkHeaderSize {
 		return nil
 	}
 	id := xxhash.Sum64(data)
-	var from uint64
+	var start uint64
 	if d.partialID == id && d.partialBytes < uint64(len(data)) {
-		from = d.partialBytes
+		start = d.partialBytes
 	}
 	b := []byte{deltaChunk}
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = binary.BigEndian.AppendUint64(b, uint64(len(data)))
-	b = binary.BigEndian.AppendUint64(b, from)
-	rest := data[from:]
+	b = binary.BigEndian.AppendUint64(b, start)
+	rest := data[start:]
 	return append(b, rest[:min(len(rest), limit-chunkHeaderSize)]...)
 }
 
@@ -146,9 +146,9 @@
 // current state if the cached one is not ahead of that daemon, or if the records
 // that follow it are no longer kept.
 func (m *StateMachine) checkpointFor(next uint64) []byte {
-	_, continuable := m.recent.from(m.cached.state.Next)
-	continuable = continuable || m.cached.state.Next == m.state.Next
-	if m.cached.state.Next <= next || !continuable {
+	_, canContinue := m.recent.startingAt(m.cached.state.Next)
+	canContinue = canContinue || m.cached.state.Next == m.state.Next
+	if m.cached.state.Next <= next || !canContinue {
 		m.cached = cachedCheckpoint{state: m.state.clone()}
 	}
 	if m.cached.encoded == nil {
@@ -229,15 +229,15 @@
 	}
 	id := binary.BigEndian.Uint64(delta[1:])
 	size := binary.BigEndian.Uint64(delta[9:])
-	from := binary.BigEndian.Uint64(delta[17:])
+	start := binary.BigEndian.Uint64(delta[17:])
 	chunk := delta[chunkHeaderSize:]
-	if size > maxUncompressedCheckpoint || from > size || uint64(len(chunk)) > size-from {
+	if size > maxUncompressedCheckpoint || start > size || uint64(len(chunk)) > size-start {
 		return errDelta
 	}
-	if from == 0 && (m.partial.id != id || m.partial.size != size) {
+	if start == 0 && (m.partial.id != id || m.partial.size != size) {
 		m.partial = partialCheckpoint{id: id, size: size}
 	}
-	if m.partial.id != id || m.partial.size != size || from != uint64(len(m.partial.data)) {
+	if m.partial.id != id || m.partial.size != size || start != uint64(len(m.partial.data)) {
 		return nil
 	}
 	m.partial.data = append(m.partial.data, chunk...)
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -72,7 +72,7 @@
 }
 
 // write appends a change.
-func (w *world) write(id string, base model.Version) {
+func (w *world) appendChange(id string, base model.Version) {
 	record, _, err := EncodeChange(Change{ID: id, Base: base, Put: map[DocumentKey]json.RawMessage{"Service/s": json.RawMessage(`"` + id + `"`)}})
 	if err != nil {
 		panic(err)
@@ -99,7 +99,7 @@
 var checkpoints = map[string][]byte{}
 
 // encoded returns the encoded checkpoint of a state.
-func encoded(s State) []byte {
+func encodeCheckpoint(s State) []byte {
 	key := fmt.Sprintf("%d %x %v", s.Next, s.Chain, s.IDs)
 	if checkpoints[key] == nil {
 		checkpoints[key], _ = s.Checkpoint()
@@ -116,7 +116,7 @@
 	var out []action
 	add := func(name string, do func(*world)) { out = append(out, action{name, do}) }
 	for base := range model.Version(3) {
-		add(fmt.Sprint("change on ", base), func(w *world) { w.write(fmt.Sprintf("<%d>", len(w.log)), base) })
+		add(fmt.Sprint("change on ", base), func(w *world) { w.appendChange(fmt.Sprintf("<%d>", len(w.log)), base) })
 	}
 	add("repeat the first record", func(w *world) {
 		if len(w.log) > 0 && w.oldest == 0 {
@@ -128,7 +128,7 @@
 	})
 	add("writer takes a checkpoint and pauses", func(w *world) {
 		w.writerState = w.daemons[0].State()
-		w.writerCheckpoint = encoded(w.writerState)
+		w.writerCheckpoint = encodeCheckpoint(w.writerState)
 	})
 	add("writer resumes", func(w *world) {
 		if w.writerCheckpoint != nil {
@@ -235,13 +235,13 @@
 			dir := t.TempDir()
 			mutant := filepath.Join(dir, m.file)
 			require.NoError(t, os.WriteFile(mutant, []byte(strings.Replace(string(source), m.old, m.new, 1)), 0o600))
-			here, err := os.Getwd()
+			packageDir, err := os.Getwd()
 			require.NoError(t, err)
-			overlay, err := json.Marshal(map[string]map[string]string{"Replace": {filepath.Join(here, m.file): mutant}})
+			overlay, err := json.Marshal(map[string]map[string]string{"Replace": {filepath.Join(packageDir, m.file): mutant}})
 			require.NoError(t, err)
-			list := filepath.Join(dir, "overlay.json")
-			require.NoError(t, os.WriteFile(list, overlay, 0o600))
-			out, err := exec.Command("go", "test", "-vet=off", "-overlay", list, "-run", "TestShortHistoriesMatchSpecification", ".").CombinedOutput()
+			overlayFile := filepath.Join(dir, "overlay.json")
+			require.NoError(t, os.WriteFile(overlayFile, overlay, 0o600))
+			out, err := exec.Command("go", "test", "-vet=off", "-overlay", overlayFile, "-run", "TestShortHistoriesMatchSpecification", ".").CombinedOutput()
 			require.Error(t, err, "the exploration passed")
 			require.Contains(t, string(out), "after [", "the exploration found a history: %s", out)
 		})
--- a/core/config/recent.go
+++ b/core/config/recent.go
@@ -2,7 +2,7 @@
 
 // recent is a bounded buffer of the last applied records, from which other
 // daemons are updated.
-type recent struct {
+type recordBuffer struct {
 	// first is the offset of records[0].
 	first   uint64
 	records []recentRecord
@@ -23,7 +23,7 @@
 )
 
 // add appends a record and removes the oldest ones beyond the limits.
-func (r *recent) add(offset uint64, data []byte, chainBefore Digest) {
+func (r *recordBuffer) add(offset uint64, data []byte, chainBefore Digest) {
 	if len(r.records) == 0 {
 		r.first = offset
 	}
@@ -39,7 +39,7 @@
 
 // from returns the records starting at an offset. It returns false if the buffer
 // does not contain the record at that offset.
-func (r *recent) from(offset uint64) ([]recentRecord, bool) {
+func (r *recordBuffer) startingAt(offset uint64) ([]recentRecord, bool) {
 	if len(r.records) == 0 || offset < r.first {
 		return nil, false
 	}
--- a/core/config/statemachine.go
+++ b/core/config/statemachine.go
@@ -13,16 +13,16 @@
 
 // Validate checks the documents that a change puts. Its result must depend only
 // on its argument, because all daemons must reach the same decision.
-type Validate func(put map[DocumentKey]json.RawMessage) error
+type Validator func(put map[DocumentKey]json.RawMessage) error
 
 // StateMachine is the replicated state machine: it applies log records to a State
 // and exchanges state with other daemons. It is not safe for concurrent use.
 type StateMachine struct {
-	validate Validate
+	validate Validator
 	state    State
 	// size is the total size of the documents and their keys.
 	size   int
-	recent recent
+	recent recordBuffer
 	// cached is the checkpoint that is sent to other daemons.
 	cached cachedCheckpoint
 	// partial is a checkpoint that is being received from another daemon.
@@ -36,7 +36,7 @@
 
 // NewStateMachine returns a StateMachine that has not applied any record. A nil
 // Validate accepts all documents.
-func NewStateMachine(v Validate) *StateMachine {
+func NewStateMachine(v Validator) *StateMachine {
 	if v == nil {
 		v = func(map[DocumentKey]json.RawMessage) error { return nil }
 	}
@@ -217,7 +217,7 @@
 	}
 	m.state = s.clone()
 	m.size = s.size()
-	m.recent = recent{}
+	m.recent = recordBuffer{}
 	m.cached = cachedCheckpoint{state: s.clone()}
 	m.partial = partialCheckpoint{}
 	return nil
--- a/core/config/statemachine_test.go
+++ b/core/config/statemachine_test.go
@@ -38,9 +38,9 @@
 func TestDecisionForEachChange(t *testing.T) {
 	first := Change{ID: "1", Put: put("Service/a", `"x"`)}
 	large := json.RawMessage(`"` + strings.Repeat("x", MaxChange-200) + `"`)
-	full := []Change{}
+	tooLarge := []Change{}
 	for i := range MaxState/MaxChange + 1 {
-		full = append(full, Change{ID: fmt.Sprint("l", i), Base: model.Version(i), Put: map[DocumentKey]json.RawMessage{DocumentKey(fmt.Sprint("Service/", i)): large}})
+		tooLarge = append(tooLarge, Change{ID: fmt.Sprint("l", i), Base: model.Version(i), Put: map[DocumentKey]json.RawMessage{DocumentKey(fmt.Sprint("Service/", i)): large}})
 	}
 	for name, c := range map[string]struct {
 		changes []Change
@@ -53,7 +53,7 @@
 		"repeated":                {[]Change{first, first, {ID: "2", Base: 1}, first}, []Decision{Accepted, Duplicate, Accepted, Duplicate}, 2},
 		"base does not exist yet": {[]Change{{ID: "2", Base: 1}, first, {ID: "2", Base: 1}}, []Decision{Invalid, Accepted, Duplicate}, 1},
 		"documents do not parse":  {[]Change{{ID: "1", Put: put("Service/a", `"bad"`)}, {ID: "2"}}, []Decision{Invalid, Accepted}, 1},
-		"too large":               {full, []Decision{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
+		"too large":               {tooLarge, []Decision{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := NewStateMachine(rejectBad)
@@ -72,10 +72,10 @@
 	good := record(t, Change{ID: "1"})
 	damaged := append([]byte(nil), good...)
 	damaged[len(damaged)-1] ^= 1
-	newer := append([]byte(nil), good...)
-	newer[1] = 9
+	unknownCodec := append([]byte(nil), good...)
+	unknownCodec[1] = 9
 	m := NewStateMachine(nil)
-	for i, r := range [][]byte{nil, []byte("{}"), damaged, newer} {
+	for i, r := range [][]byte{nil, []byte("{}"), damaged, unknownCodec} {
 		res := m.ApplyRecord(uint64(i), r)
 		require.Equal(t, Ignored, res.Decision)
 		require.Error(t, res.Problem)
@@ -90,13 +90,13 @@
 	m.ApplyRecord(1, record(t, Change{ID: "2", Base: 1}))
 	ahead := m.State()
 	ahead.Next = 9
-	other := ahead
-	other.Chain[0] ^= 1
-	older := ahead
-	older.Version = 1
+	otherChain := ahead
+	otherChain.Chain[0] ^= 1
+	lowerVersion := ahead
+	lowerVersion.Version = 1
 	require.ErrorIs(t, m.Adopt(m.State()), ErrStale)
-	require.ErrorIs(t, m.Adopt(other), ErrConflict)
-	require.ErrorIs(t, m.Adopt(older), ErrConflict)
+	require.ErrorIs(t, m.Adopt(otherChain), ErrConflict)
+	require.ErrorIs(t, m.Adopt(lowerVersion), ErrConflict)
 	require.NoError(t, m.Adopt(ahead))
 	require.EqualValues(t, 9, m.Next())
 }
