--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -171,8 +171,8 @@
 // A daemon whose demand has ended sends a single report of zero.
 func (c *Ceiling) nextReport(now model.Instant, timestamp uint64) (Report, bool) {
 	changed := math.Abs(c.demand-c.reportedDemand) > reportThreshold*max(c.reportedDemand, idleDemand)
-	old := c.demand > 0 && now.Sub(c.reportedAt) >= reportInterval
-	if c.hasReported && !changed && !old || !c.hasReported && c.demand == 0 {
+	overdue := c.demand > 0 && now.Sub(c.reportedAt) >= reportInterval
+	if c.hasReported && !changed && !overdue || !c.hasReported && c.demand == 0 {
 		return Report{}, false
 	}
 	if c.reportedDemand == 0 {
--- a/core/ceiling/reports.go
+++ b/core/ceiling/reports.go
@@ -38,7 +38,7 @@
 // receivedReport is a report with the time at which this daemon received it.
 type receivedReport struct {
 	Report
-	at model.Instant
+	receivedAt model.Instant
 	// expired is set once the report is older than expireAfter.
 	expired bool
 }
@@ -58,14 +58,14 @@
 	if !known && len(t.byDaemon) >= maxDaemons {
 		return false
 	}
-	t.byDaemon[r.Daemon] = receivedReport{Report: r, at: now}
+	t.byDaemon[r.Daemon] = receivedReport{Report: r, receivedAt: now}
 	return true
 }
 
 // expire marks or deletes old reports. Reports of self never expire.
 func (t *reportTable) expire(now model.Instant, self Daemon) {
 	for d, report := range t.byDaemon {
-		age := now.Sub(report.at)
+		age := now.Sub(report.receivedAt)
 		switch {
 		case d == self || age <= expireAfter:
 		case age > deleteAfter:
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -152,7 +152,7 @@
 		return false
 	}
 	old, known := d.events.get(e.Upstream.ID)
-	if known && !e.newer(old) {
+	if known && !e.overrides(old) {
 		return false
 	}
 	if !known && (d.isOldTombstone(e) || !d.ensureCapacity()) {
@@ -218,7 +218,7 @@
 // Self did not announce. It announces the upstream again with a higher epoch.
 func (d *Directory) refute(e Event) {
 	own, ok := d.announced[e.Upstream.ID]
-	if !ok || !e.newer(own) || own.Upstream.Incarnation != e.Upstream.Incarnation {
+	if !ok || !e.overrides(own) || own.Upstream.Incarnation != e.Upstream.Incarnation {
 		return
 	}
 	own.Epoch = e.Epoch + 1
@@ -292,7 +292,7 @@
 // returns it.
 func (d *Directory) Logged(e Event) {
 	stored, ok := d.events.get(e.Upstream.ID)
-	if ok && !stored.newer(e) {
+	if ok && !stored.overrides(e) {
 		delete(d.unlogged, e.Upstream.ID)
 	}
 }
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -63,7 +63,7 @@
 // setLiveness stores a liveness record if it takes precedence over the stored one.
 func (d *Directory) setLiveness(l Liveness) bool {
 	old, known := d.liveness.get(l.Daemon)
-	if known && !l.newer(old) {
+	if known && !l.overrides(old) {
 		return false
 	}
 	d.liveness.set(l.Daemon, l)
@@ -115,7 +115,7 @@
 	if now.Sub(d.lastSweep) >= sweepInterval {
 		d.lastSweep = now
 		changed = d.expireDeadDaemons() || changed
-		changed = d.removeUnannounced() || changed
+		changed = d.markUnannouncedLeft() || changed
 		d.deleteOldTombstones()
 	}
 	return changed
@@ -157,7 +157,7 @@
 // removeUnannounced marks upstreams as left that name Self as their daemon but
 // have not been announced since Self started. It does nothing before StartupGrace
 // has passed, because running upstreams need time to announce themselves again.
-func (d *Directory) removeUnannounced() bool {
+func (d *Directory) markUnannouncedLeft() bool {
 	if d.opts.Self == "" || d.now.Sub(d.startedAt) < d.opts.StartupGrace {
 		return false
 	}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -29,7 +29,7 @@
 }
 
 // newer reports whether e takes precedence over other.
-func (e Event) newer(other Event) bool {
+func (e Event) overrides(other Event) bool {
 	if e.Upstream.Incarnation != other.Upstream.Incarnation {
 		return e.Upstream.Incarnation > other.Upstream.Incarnation
 	}
@@ -41,9 +41,9 @@
 
 // Limits on the fields of an event.
 const (
-	maxName   = 253
-	maxLabels = 32
-	maxSlots  = 1 << 20
+	maxNameBytes = 253
+	maxLabels    = 32
+	maxSlots     = 1 << 20
 )
 
 // valid reports whether an event received from outside is complete and within
@@ -51,16 +51,16 @@
 func (e Event) valid() bool {
 	u := e.Upstream
 	for _, name := range []string{string(u.ID), string(u.Service), string(u.Daemon)} {
-		if name == "" || len(name) > maxName {
+		if name == "" || len(name) > maxNameBytes {
 			return false
 		}
 	}
 	for k, v := range u.Labels {
-		if len(k) > maxName || len(v) > maxName {
+		if len(k) > maxNameBytes || len(v) > maxNameBytes {
 			return false
 		}
 	}
-	return len(u.Zone) <= maxName && len(u.Labels) <= maxLabels && u.Slots > 0 && u.Slots <= maxSlots && e.State >= Joined && e.State <= Left
+	return len(u.Zone) <= maxNameBytes && len(u.Labels) <= maxLabels && u.Slots > 0 && u.Slots <= maxSlots && e.State >= Joined && e.State <= Left
 }
 
 // Health is the state of a daemon as determined by failure detection.
@@ -84,7 +84,7 @@
 }
 
 // newer reports whether l takes precedence over other.
-func (l Liveness) newer(other Liveness) bool {
+func (l Liveness) overrides(other Liveness) bool {
 	if l.Incarnation != other.Incarnation {
 		return l.Incarnation > other.Incarnation
 	}
@@ -92,5 +92,5 @@
 }
 
 func (l Liveness) valid() bool {
-	return l.Daemon != "" && len(l.Daemon) <= maxName && l.Health >= Alive && l.Health <= Dead
+	return l.Daemon != "" && len(l.Daemon) <= maxNameBytes && l.Health >= Alive && l.Health <= Dead
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -31,8 +31,8 @@
 func seconds(n int) model.Instant { return model.Instant(n) * model.Instant(time.Second) }
 
 func TestApplyKeepsEventWithHighestPrecedence(t *testing.T) {
-	epoch := event("a", "d", 1, Joined)
-	epoch.Epoch = 1
+	higherEpoch := event("a", "d", 1, Joined)
+	higherEpoch.Epoch = 1
 	for name, c := range map[string]struct {
 		events []Event
 		view   []string
@@ -42,7 +42,7 @@
 		"left before joined":                 {[]Event{event("a", "d", 1, Left), event("a", "d", 1, Joined)}, nil},
 		"next incarnation":                   {[]Event{event("a", "d", 1, Left), event("a", "d", 2, Joined)}, []string{"a"}},
 		"late event of an older incarnation": {[]Event{event("a", "d", 2, Joined), event("a", "d", 1, Left)}, []string{"a"}},
-		"higher epoch":                       {[]Event{event("a", "d", 1, Left), epoch}, []string{"a"}},
+		"higher epoch":                       {[]Event{event("a", "d", 1, Left), higherEpoch}, []string{"a"}},
 		"moved to another daemon":            {[]Event{event("a", "d", 1, Joined), event("a", "e", 2, Joined)}, []string{"a"}},
 		"no slots":                           {[]Event{{State: Joined, Upstream: model.Upstream{ID: "a", Service: "s", Daemon: "d"}}}, nil},
 	} {
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -23,8 +23,8 @@
 
 // row is a record with its insertion number.
 type row[V any] struct {
-	value V
-	seq   uint64
+	record V
+	seq    uint64
 }
 
 func newTable[K ~string, V any](hashOf func(V) uint64) table[K, V] {
@@ -37,19 +37,19 @@
 
 func (t *table[K, V]) get(k K) (V, bool) {
 	r, ok := t.rows[k]
-	return r.value, ok
+	return r.record, ok
 }
 
 func (t *table[K, V]) set(k K, v V) {
 	t.remove(k)
 	t.seq++
-	t.rows[k] = row[V]{value: v, seq: t.seq}
+	t.rows[k] = row[V]{record: v, seq: t.seq}
 	t.hashes[bucketOf(k)] ^= t.hashOf(v)
 }
 
 func (t *table[K, V]) remove(k K) {
 	if old, ok := t.rows[k]; ok {
-		t.hashes[bucketOf(k)] ^= t.hashOf(old.value)
+		t.hashes[bucketOf(k)] ^= t.hashOf(old.record)
 		delete(t.rows, k)
 	}
 }
@@ -59,7 +59,7 @@
 func (t *table[K, V]) all() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for k, r := range t.rows {
-			if !yield(k, r.value) {
+			if !yield(k, r.record) {
 				return
 			}
 		}
@@ -93,7 +93,7 @@
 	slices.SortFunc(rows, func(a, b row[V]) int { return int(int64(b.seq) - int64(a.seq)) })
 	out := make([]V, len(rows))
 	for i, r := range rows {
-		out[i] = r.value
+		out[i] = r.record
 	}
 	return out
 }
--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -27,8 +27,8 @@
 		b = binary.AppendUvarint(b, uint64(c.Crash.Incarnation))
 		b = binary.AppendUvarint(b, uint64(c.At))
 	}
-	for _, at := range []int64{r.ClearedAt, r.QuarantinedAt, r.Until} {
-		b = binary.AppendUvarint(b, uint64(at))
+	for _, timestamp := range []int64{r.ClearedAt, r.QuarantinedAt, r.Until} {
+		b = binary.AppendUvarint(b, uint64(timestamp))
 	}
 	return b
 }
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -214,8 +214,8 @@
 	for _, c := range in.Crashes {
 		attributed := false
 		for _, r := range t.records {
-			other := r.Service == in.Service && r.Fingerprint != in.Fingerprint
-			attributed = attributed || other && r.Refused(now) && r.hasCrash(c.Crash)
+			isOther := r.Service == in.Service && r.Fingerprint != in.Fingerprint
+			attributed = attributed || isOther && r.Refused(now) && r.hasCrash(c.Crash)
 		}
 		if !attributed {
 			out = append(out, c)
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -66,14 +66,14 @@
 // upstreams at intervals shorter than reportDelay and is never quarantined.
 func TestRapidCrashesDoNotDelayQuarantine(t *testing.T) {
 	table := newTable()
-	const every, crashes = 100, 30
+	const interval, crashes = 100, 30
 	for i := range crashes {
-		now := int64(1000 + i*every)
+		now := int64(1000 + i*interval)
 		table.RecordCrash(now, FingerprintOf(request("/crash")), request("/crash"), crash(i))
 		table.Evaluate(now)
 	}
-	require.True(t, refused(table, 1000+(maxCrashes-1)*every+reportDelay.Milliseconds()+every, "/crash"))
-	require.EqualValues(t, 1000+(maxCrashes-1)*every, table.List()[0].QuarantinedAt, "quarantined for its oldest crashes")
+	require.True(t, refused(table, 1000+(maxCrashes-1)*interval+reportDelay.Milliseconds()+interval, "/crash"))
+	require.EqualValues(t, 1000+(maxCrashes-1)*interval, table.List()[0].QuarantinedAt, "quarantined for its oldest crashes")
 }
 
 func TestAnsweredRequestIsCleared(t *testing.T) {
@@ -195,11 +195,11 @@
 		f := FingerprintOf(r)
 		require.False(t, seen[f], "%+v", r)
 		seen[f] = true
-		var back Fingerprint
+		var parsed Fingerprint
 		text, err := f.MarshalText()
 		require.NoError(t, err)
-		require.NoError(t, back.UnmarshalText(text))
-		require.Equal(t, f, back)
+		require.NoError(t, parsed.UnmarshalText(text))
+		require.Equal(t, f, parsed)
 	}
 	require.Error(t, new(Fingerprint).UnmarshalText([]byte("xyz")))
 }
