--- a/core/claims/answer.go
+++ b/core/claims/answer.go
@@ -39,8 +39,9 @@
 	groups     map[model.GroupName]*groupAnswers
 }
 
-// groupAnswers holds the claims of one group that have retained answers, the
-// oldest first. It may also contain claims whose answer was discarded.
+// groupAnswers holds the claims of one group that have retained answers, in the
+// order in which the answers were retained. It may also contain claims whose
+// answer was discarded.
 type groupAnswers struct {
 	usedBytes int
 	claims    []*claim
@@ -50,8 +51,8 @@
 	return &answerCache{groupLimit: groupLimit, totalLimit: totalLimit, groups: make(map[model.GroupName]*groupAnswers)}
 }
 
-// put retains the answer of a claim and evicts older answers as needed. It
-// reports whether the answer was retained.
+// retain stores the answer of a claim and evicts older answers to stay within the
+// limits. It reports whether the answer is still stored after that.
 func (ac *answerCache) retain(c *claim, a *Answer) bool {
 	size := a.Size()
 	if size > ac.groupLimit || size > ac.totalLimit {
@@ -116,8 +117,8 @@
 	}
 }
 
-// largestGroup returns the group whose answers use the most bytes. Ties go to the
-// group that is first by name.
+// largestGroup returns the group whose answers use the most bytes. If several
+// groups use the most, it returns the first of them in the order of names.
 func (ac *answerCache) largestGroup() model.GroupName {
 	var name model.GroupName
 	most := -1
--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -11,7 +11,8 @@
 )
 
 // BenchmarkGrants simulates the grant renewals of many daemons for ten minutes of
-// virtual time and reports the resulting load on the log.
+// virtual time. It reports the appends and bytes per second on the log, and the
+// time per call of Plan.
 func BenchmarkGrants(b *testing.B) {
 	const (
 		virtual = 10 * time.Minute
@@ -90,7 +91,8 @@
 	}
 }
 
-// BenchmarkCheckpoint reports the size of a checkpoint with 1,700 daemons.
+// BenchmarkCheckpoint reports the size of an encoded checkpoint of a Ledger in which
+// 1,700 daemons have requested grants.
 func BenchmarkCheckpoint(b *testing.B) {
 	l := NewLedger(DefaultRanges, 0)
 	for _, p := range newPlanners(1700) {
--- a/core/claims/codec.go
+++ b/core/claims/codec.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// ownersOf returns the distinct owners of a checkpoint in order of appearance,
-// and the index of each in that list.
+// ownersOf returns the distinct owners of a checkpoint in order of appearance, and
+// the index of each owner in this list.
 func ownersOf(c *Checkpoint) ([]Owner, map[Owner]int) {
 	var owners []Owner
 	index := make(map[Owner]int)
@@ -125,8 +125,8 @@
 	return owners, index
 }
 
-// reader decodes the fields of a record. After malformed input, failed is set and
-// the decoded values must be discarded.
+// reader decodes the fields of a record. When the input is malformed, failed is set
+// and all decoded values must be discarded.
 type reader struct {
 	b      []byte
 	failed bool
@@ -153,8 +153,8 @@
 	return v
 }
 
-// count reads the length of the list that follows. Each item takes at least one
-// byte, so a length beyond the remaining input is malformed.
+// count reads the length of the list that follows in the input. Each item takes at
+// least one byte, so a length larger than the remaining input is malformed.
 func (r *reader) count() int {
 	n := r.uint()
 	if n > maxItems || n > uint64(len(r.b)) {
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -19,14 +19,15 @@
 	claimBytes = 128
 )
 
-// handover is one part of the table that a sealed owner sends to its successor.
-// It is encoded with gob, which writes out the names of the types and fields, so
-// these names must not be changed.
+// handover is one part of the table that a sealed owner sends to its successor. It
+// is encoded with gob. Gob writes out the names of the types and fields, so these
+// names must not be changed.
 type handover struct {
 	Version int
 	// Lives describes the sending owner and each earlier owner whose claims the
-	// sender holds, by incarnation. It is set only in the last part, so that the
-	// successor does not use the claims before it has all of them.
+	// sender holds. Its keys are the incarnations of these owners. Lives is set only
+	// in the last part. The successor therefore does not use the claims before it
+	// has all of them.
 	Lives  map[uint64]earlier
 	Claims []handedClaim
 }
@@ -35,8 +36,9 @@
 type earlier struct {
 	// Floor is the timestamp below which claims may have been deleted.
 	Floor Stamp
-	// Until is the end of the earlier owner's last interval. Once the table's own
-	// floor has reached it, the table need not know the earlier owner any longer.
+	// Until is the end of the earlier owner's last interval. When the table's own
+	// floor reaches Until, the table forgets the earlier owner, because all keys of
+	// that owner have expired.
 	Until Stamp
 }
 
@@ -50,15 +52,15 @@
 	Answer   *Answer
 }
 
-// Seal permanently stops the table from accepting submissions.
+// Seal permanently stops the table from accepting submissions and handovers.
 func (t *Table) Seal() { t.sealed = true }
 
 // IsSealed reports whether Seal has been called.
 func (t *Table) IsSealed() bool { return t.sealed }
 
-// Export returns the contents of the sealed table for a successor, in parts that
-// must be imported in order. The outcome of a claim whose request is still
-// running is exported as unknown.
+// Export returns the contents of the table for a successor, in parts that must be
+// imported in order. It panics if the table is not sealed. If the request of a
+// claim is still running, the claim is exported with an unknown outcome.
 func (t *Table) Export(l *Ledger) ([][]byte, error) {
 	if !t.sealed {
 		panic("claims: export of a table that is not sealed")
@@ -101,8 +103,8 @@
 	return b.Bytes(), err
 }
 
-// exportOwners describes this owner and the earlier owners whose claims are part
-// of the handover, by incarnation.
+// exportOwners returns the descriptions of this owner and of the earlier owners
+// whose claims are part of the handover. The keys are their incarnations.
 func (t *Table) exportOwners(l *Ledger) map[uint64]earlier {
 	owners := make(map[uint64]earlier, len(t.priorOwners)+1)
 	for incarnation, e := range t.priorOwners {
@@ -113,9 +115,9 @@
 	return owners
 }
 
-// exportFloor returns the lowest floor with which an earlier owner is exported. It
-// is this table's own floor, because this table may have deleted claims of the
-// earlier owners itself.
+// exportFloor returns the minimum for the floors of the earlier owners in a
+// handover. The minimum is this table's own floor, because this table may itself
+// have deleted claims of the earlier owners below its own floor.
 func (t *Table) exportFloor() Stamp {
 	if t.mutation == omitExportFloor {
 		return 0
@@ -123,10 +125,10 @@
 	return t.floor
 }
 
-// Import adds one part of a sealed owner's table. The claims take effect once all
-// parts are imported and the Transfer is on the log. If the importing table is
-// itself sealed, or has no capacity for all claims of the part, Import returns
-// ErrHandover and adds none of them.
+// Import adds one part of a sealed owner's table. The claims take effect when all
+// parts have been imported and the Ledger has applied the Transfer. Import returns
+// an error that wraps ErrHandover, and adds nothing, if the part is malformed, if the
+// importing table is itself sealed, or if it has no capacity for the whole part.
 func (t *Table) Import(data []byte) error {
 	var h handover
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&h); err != nil {
--- a/core/claims/key.go
+++ b/core/claims/key.go
@@ -56,7 +56,9 @@
 	return k, nil
 }
 
-// NewKey returns the UUIDv7 made of a timestamp and 10 random bytes.
+// NewKey returns the UUIDv7 that consists of a timestamp and 10 random bytes. The
+// bits of the UUID version and variant replace some of the random bits. A timestamp
+// above MaxStamp is replaced by MaxStamp.
 func NewKey(stamp Stamp, random [10]byte) Key {
 	var k Key
 	var b [8]byte
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -29,8 +29,9 @@
 	noMutation mutation = iota
 	// skipFrontierCheck accepts a Grant whose Base is not the frontier.
 	skipFrontierCheck
-	// keepStateAfterTrim keeps the state when the log was trimmed beyond Next, and
-	// does not apply the records since a Checkpoint again.
+	// keepStateAfterTrim keeps the Ledger's state when the log was trimmed beyond
+	// Next. After a Checkpoint was restored, it also does not apply again the
+	// records since the Checkpoint's Offset.
 	keepStateAfterTrim
 	// skipPriorOwnerCheck accepts keys although claims of an earlier owner are
 	// missing.
@@ -45,26 +46,30 @@
 	releaseUnknownOutcome
 	// omitRunningClaims leaves claims of running requests out of a handover.
 	omitRunningClaims
-	// checkLastPriorOwnerOnly requires only the claims of the last earlier owner.
+	// checkLastPriorOwnerOnly accepts keys if the claims of the last earlier owner
+	// were imported, even if claims of other earlier owners are missing.
 	checkLastPriorOwnerOnly
-	// omitExportFloor leaves the table's own floor out of a handover.
+	// omitExportFloor exports the floors of earlier owners without raising them to
+	// the table's own floor.
 	omitExportFloor
 )
 
-// Ledger is the state machine that computes interval ownership from the log of
-// grants. Apply must be called with every record from Next on, in log order. A
+// Ledger is the state machine that computes from the log which owner holds which
+// interval. Apply must be called with every record from Next on, in log order. A
 // Ledger is not safe for concurrent use.
 type Ledger struct {
 	ranges []RangeState
-	next   uint64
-	// complete reports whether the state includes all records below next.
+	// next is the offset of the next record to apply.
+	next uint64
+	// complete is set if the state includes all records below next.
 	complete bool
 	mutation mutation
 }
 
 // NewLedger returns a Ledger for a number of ranges. The argument oldest is the
-// offset of the oldest record that the log keeps. If it is 0, the Ledger starts
-// with empty ranges. Otherwise it is usable only after it has read a Checkpoint.
+// offset of the oldest record that the log keeps. If oldest is 0, the Ledger starts
+// with empty ranges. Otherwise the Ledger is usable only after it has read a
+// Checkpoint.
 func NewLedger(ranges int, oldest uint64) *Ledger {
 	l := &Ledger{ranges: make([]RangeState, ranges)}
 	l.Reset(oldest)
@@ -116,10 +121,10 @@
 // Skip advances past an unreadable record.
 func (l *Ledger) Skip(offset uint64) { l.Apply(offset, Record{}) }
 
-// restore replaces the state with a checkpoint and sets Next back to the offset at
-// which it was taken, because the records since then are not part of its state and
-// must be applied again. If the log no longer keeps them, the caller must call
-// Reset. Unusable checkpoints are ignored.
+// restore replaces the state with a checkpoint and sets Next to the checkpoint's
+// Offset. The records between Offset and the checkpoint record are not part of the
+// checkpoint, so they must be applied again. If the log no longer keeps them, the
+// caller must call Reset. Unusable checkpoints are ignored.
 func (l *Ledger) restore(c *Checkpoint) {
 	if c == nil || len(c.Ranges) != len(l.ranges) || c.Offset >= l.next {
 		return
@@ -156,8 +161,9 @@
 	}
 }
 
-// extend assigns the timestamps from base up to until to an owner, by extending
-// the last interval if that owner already holds it.
+// extend assigns the timestamps from base up to, but not including, until to an
+// owner. It lengthens the last interval if that interval belongs to the same owner,
+// was never transferred and ends at base. Otherwise it appends a new interval.
 func (s *RangeState) extend(base, until Stamp, o Owner) {
 	if until <= base || until > MaxStamp {
 		return
@@ -213,7 +219,7 @@
 }
 
 // Frontier returns the end of a range's last interval, and the owner of that
-// interval.
+// interval. For a range without intervals, the owner is the zero Owner.
 func (l *Ledger) Frontier(r Range) (Stamp, Owner) {
 	s := &l.ranges[r]
 	if n := len(s.Intervals); n > 0 {
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -9,22 +9,23 @@
 )
 
 // The model runs the real Ledgers and Tables of a few daemons through a random
-// schedule. A submission goes from an entry, the daemon that accepted the
-// caller's request, to the owner of its key. Each step of an entry and of an
-// owner is a separate action, so that a pause can occur between any two steps.
-// Log appends, submissions and handovers are delayed, lost and reordered at
-// random.
+// schedule. An entry is the daemon that accepts a caller's request. The entry sends
+// a submission to the owner of the request's key. Each step of an entry and of an
+// owner is a separate action, so a pause can occur between any two steps. Log
+// appends, submissions and handovers are delayed, lost and reordered at random.
 const (
-	modelDaemons  = 4
-	modelRanges   = 2
-	modelKeys     = 10
-	modelSteps    = 160
+	modelDaemons = 4
+	modelRanges  = 2
+	modelKeys    = 10
+	modelSteps   = 160
+	// modelMaxGrant is how far a grant may reach beyond the largest frontier of its ranges.
 	modelMaxGrant = 8
-	modelStamps   = 40
+	// modelStamps is the number of different timestamps that keys may have.
+	modelStamps = 40
 )
 
-// applyUnloggedGrants makes a daemon apply a grant when it requests it, before the
-// grant is on the log.
+// applyUnloggedGrants makes a daemon apply a grant as soon as the daemon requests
+// it, before the grant is on the log.
 const applyUnloggedGrants mutation = 1 << 10
 
 // node is one incarnation of a daemon.
@@ -39,7 +40,7 @@
 type phase uint8
 
 const (
-	// toOwner submissions are on the way to the owner.
+	// toOwner submissions are on the way from the entry to the owner.
 	toOwner phase = iota
 	// beforeSend submissions have a claim but were not yet sent to an upstream.
 	beforeSend
@@ -47,14 +48,13 @@
 	afterSend
 )
 
-// submission is one submission of a key on its way from the entry to the owner and
-// the upstream.
+// submission is one submission of a key. It goes from the entry to the owner to the upstream.
 type submission struct {
 	// key is an index of world.keys.
 	key    int
 	phase  phase
 	target model.DaemonID
-	// node is the incarnation of the target that received the submission.
+	// node is the incarnation of the target that received the submission, if any did.
 	node *node
 }
 
@@ -73,7 +73,7 @@
 	log      []Record
 	// oldest is the offset of the oldest record that the log keeps.
 	oldest int
-	// appends are the records on the way to the log.
+	// pendingAppends are the records on the way to the log.
 	pendingAppends []Record
 	nodes          [modelDaemons]*node
 	keys           [modelKeys]Key
@@ -114,8 +114,8 @@
 	return w.violation
 }
 
-// grantInitialStamps grants half of the timestamps to one node, so that some keys
-// can be run from the beginning of a schedule.
+// grantInitialStamps grants the lower half of the timestamps to one node. Some keys
+// can therefore run from the beginning of a schedule.
 func (w *world) grantInitialStamps(n *node) {
 	g := &Grant{Owner: n.table.Self(), Until: modelStamps / 2}
 	for r := range Range(modelRanges) {
@@ -137,11 +137,11 @@
 	w.nodes[i] = n
 }
 
-// profile holds the probability of each action in percent. The field keys is the
-// number of keys in use.
+// profile holds the probability of each action in percent. An action is a method of world.
 type profile struct {
 	poll, proposeGrant, deliverAppend, submit, advance, drain, deliverHandover, appendTransfer, crash, checkpoint, trim int
-	keys                                                                                                                int
+	// keys is the number of keys in use.
+	keys int
 }
 
 // profiles favor different failures. The seed of a schedule selects the profile.
@@ -151,7 +151,8 @@
 	{poll: 30, proposeGrant: 8, deliverAppend: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keys: 4},
 }
 
-// step performs a random action, for most actions on a random node.
+// step performs a random action on a random node. Some actions ignore the node. If it draws none
+// of the actions in the profile, step expires claims of the node.
 func (w *world) step() {
 	i := w.rng.IntN(modelDaemons)
 	n := w.nodes[i]
@@ -208,8 +209,7 @@
 	}
 }
 
-// proposeGrant requests one or both ranges. The record may reach the log much later
-// or never.
+// proposeGrant requests one or both ranges. The record may reach the log much later or never.
 func (w *world) proposeGrant(n *node) {
 	if !n.ledger.Complete() || n.table.IsSealed() {
 		return
@@ -240,8 +240,7 @@
 	w.pendingAppends = append(w.pendingAppends[:i], w.pendingAppends[i+1:]...)
 }
 
-// submit submits a key at an entry, which routes it according to its own, possibly
-// outdated, ledger.
+// submit submits a key at an entry. The entry finds the owner in its ledger, which may be outdated.
 func (w *world) submit(n *node) {
 	k := w.rng.IntN(w.profile.keys)
 	interval, ownership := n.ledger.Lookup(w.keys[k].Range(modelRanges), w.keys[k].Stamp())
@@ -251,8 +250,8 @@
 	w.submissions = append(w.submissions, submission{key: k, target: interval.Owner.Daemon})
 }
 
-// advance performs the next step of one submission. The arrival at the owner, the
-// execution, and the recording of the outcome are separate steps.
+// advance performs the next step of one random submission. The arrival at the
+// owner, the execution, and the recording of the outcome are separate steps.
 func (w *world) advance(*node) {
 	if len(w.submissions) == 0 {
 		return
@@ -273,8 +272,7 @@
 	}
 }
 
-// arrive submits the key to its owner's table. It returns true if that ends the
-// submission.
+// arrive submits the key to the target's table. It returns true if the submission has ended.
 func (w *world) arrive(s *submission) bool {
 	s.node = w.nodes[s.target[0]-'a']
 	decision, _ := s.node.table.Begin(s.node.ledger, Request{ID: ID{Key: w.keys[s.key]}})
@@ -293,11 +291,11 @@
 	return true
 }
 
-// running reports whether the node has not crashed.
+// isAlive reports whether the node is still the current incarnation of its daemon.
 func (w *world) isAlive(n *node) bool { return w.nodes[n.table.Self().Daemon[0]-'a'] == n }
 
-// send runs the request, or reports that it did not run. It returns true if that
-// ends the submission.
+// send runs the request, or reports that the request did not run. It returns true
+// if the submission has ended. If the node has crashed, the submission is lost.
 func (w *world) send(s *submission) bool {
 	if !w.isAlive(s.node) {
 		return true
@@ -348,7 +346,8 @@
 	}
 }
 
-// deliverHandover delivers a handover, possibly twice, or loses it or its reply.
+// deliverHandover delivers a random pending handover, or loses the handover or its
+// reply. The handover may stay pending, so that it is delivered again.
 func (w *world) deliverHandover(*node) {
 	if len(w.handovers) == 0 {
 		return
@@ -367,8 +366,8 @@
 	}
 }
 
-// appendTransfer appends a transfer to the successor that has imported the claims.
-// To model a faulty daemon, it sometimes names an owner that has not imported them.
+// appendTransfer requests the append of a transfer to the successor that has imported the claims.
+// To model a faulty daemon, the transfer sometimes names an owner that has not imported them.
 func (w *world) appendTransfer(n *node) {
 	if !n.table.IsSealed() {
 		return
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -8,22 +8,22 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Planner decides when an owner requests a Grant of further timestamps. It is not
-// relevant for safety: a wrong clock, or daemons that disagree about which
-// daemons are alive, can cause unnecessary grants but never a second execution
-// of a request.
+// Planner decides when an owner requests a Grant of further timestamps. The
+// Planner is not relevant for safety. A wrong clock can cause unnecessary grants,
+// and so can daemons that disagree about which daemons are alive. Neither ever
+// causes a second execution of a request.
 //
 // The candidates of a range are ranked by rendezvous hashing. The first candidate
-// extends the range when half of the grant length is left, and each further
-// candidate an eighth of the grant length later than the one before. If a
-// candidate crashes, the next one therefore takes over without failure detection.
-// A range whose last grant had already ended when the Planner started is treated
-// as if it became due for renewal at that time.
+// extends the range when half of the grant length is left. Each further candidate
+// waits an eighth of the grant length longer than the candidate before it. If a
+// candidate crashes, the next candidate therefore takes over without failure
+// detection. If the last grant of a range had already ended when the Planner
+// started, the range is due for renewal at the start.
 //
-// For one sixteenth of the grant length after its start, a Planner requests
-// grants of only a sixteenth of the full length. Otherwise the daemon that starts
-// first, and does not know the other candidates yet, would own every range for a
-// full grant length.
+// A Planner has a startup phase, which lasts one sixteenth of the grant length.
+// During this phase it requests grants of only a sixteenth of the full length. The
+// daemon that starts first does not know the other candidates yet. With full
+// grants, that daemon would own every range for a full grant length.
 type Planner struct {
 	self Owner
 	// fullLength is the length of a grant after the startup phase.
@@ -35,20 +35,22 @@
 }
 
 const (
-	// The first candidate renews a range when the grant length divided by
-	// renewDivisor is left. Each further candidate waits longer by the grant
+	// renewDivisor sets when the first candidate renews a range: when the grant
+	// length divided by renewDivisor is left.
+	renewDivisor = 2
+	// rankDelayDivisor sets how much longer each further candidate waits: the grant
 	// length divided by rankDelayDivisor.
-	renewDivisor     = 2
 	rankDelayDivisor = 8
-	// The startup phase of a Planner, and the grants that it requests during that
-	// phase, have the length of a full grant divided by startupDivisor.
+	// startupDivisor sets the length of a Planner's startup phase, and of the grants
+	// that it requests during that phase. Both are the full grant length divided by
+	// startupDivisor.
 	startupDivisor = 16
 	// notCandidate is the rank of a daemon that is not a candidate.
 	notCandidate = 1<<16 - 1
 )
 
 // NewPlanner returns a Planner for an owner. The grant argument is the full length
-// of a grant. SetCandidates must be called before Plan.
+// of a grant. Until SetCandidates is called, Plan returns nil.
 func NewPlanner(self Owner, ranges int, grant time.Duration) *Planner {
 	p := &Planner{self: self, fullLength: Stamp(grant.Milliseconds()), ranks: make([]uint16, ranges)}
 	p.SetCandidates(nil)
@@ -72,7 +74,9 @@
 	}
 }
 
-// rankOf returns the number of candidates with a higher hash score for a range.
+// rankOf returns the rank of a candidate for a range: the number of candidates that
+// have a higher hash score. The argument own is the hash of the candidate's id, and
+// hashes are the hashes of all candidates' ids.
 func rankOf(own uint64, hashes []uint64, r uint64) uint16 {
 	score := mix(own ^ mix(r))
 	rank := 0
@@ -102,8 +106,9 @@
 	}
 	length := p.lengthAt(now)
 	g := &Grant{Owner: p.self, Until: now + length}
-	// A range that lapsed before the Planner started is treated as if it ended at
-	// assumedEnd, so that it becomes due for the first candidate at the start.
+	// If a range's last interval ended before the Planner started, the interval is
+	// assumed to end at assumedEnd. The range is then due for the first candidate at
+	// the start.
 	assumedEnd := min(p.startedAt, now) + length/renewDivisor - 1
 	due := false
 	for r := range p.ranks {
@@ -129,10 +134,10 @@
 	return p.fullLength
 }
 
-// isDue reports whether a candidate should now extend a range whose last interval
-// ends at end with a grant of the given length. If early is set, the range is due
-// an eighth of the length sooner for the first candidate, so that one record
-// renews several ranges that become due at nearly the same time.
+// isDue reports whether a candidate should extend a range now. The last interval of
+// the range ends at end, and length is the length of the grant. If early is set, the
+// range is due an eighth of the length sooner for the first candidate. One record
+// then renews several ranges that become due at nearly the same time.
 func isDue(rank uint16, length, end, now Stamp, early bool) bool {
 	if rank == notCandidate {
 		return false
--- a/core/claims/record.go
+++ b/core/claims/record.go
@@ -17,9 +17,9 @@
 	Base Stamp
 }
 
-// Grant requests for an owner the timestamps from the frontier of each listed
-// range up to, but not including, Until. An extension whose Base is not the
-// current frontier is ignored; the other extensions still apply.
+// Grant requests timestamps for an owner. In each listed range it requests the
+// timestamps from the frontier up to, but not including, Until. An extension whose
+// Base is not the current frontier is ignored. The other extensions still apply.
 type Grant struct {
 	Owner      Owner
 	Until      Stamp
@@ -27,7 +27,7 @@
 }
 
 // Transfer assigns all intervals of a sealed owner to the successor that has
-// imported its claims.
+// imported the owner's claims.
 type Transfer struct {
 	// From is the incarnation of the sealed owner.
 	From uint64
@@ -51,14 +51,14 @@
 
 // Interval is a contiguous interval of timestamps with one owner.
 type Interval struct {
-	// From is the first timestamp of the interval, Until the first timestamp after
-	// it.
-	From  Stamp
+	// From is the first timestamp of the interval.
+	From Stamp
+	// Until is the first timestamp after the interval.
 	Until Stamp
 	Owner Owner
 	// PriorOwners are the incarnations that owned the interval before, the oldest
 	// first. The owner may use the interval only if it has the claims of all of
-	// them.
+	// these incarnations.
 	PriorOwners []uint64
 }
 
--- a/core/claims/schedules_test.go
+++ b/core/claims/schedules_test.go
@@ -15,8 +15,9 @@
 	firstSeed = flag.Uint64("claims.seed", 1, "seed of the first schedule")
 )
 
-// exploreAll runs up to count schedules and stops when one violates an invariant.
-// It returns the seed and the violation, and how often each event occurred.
+// exploreAll runs up to count schedules, with consecutive seeds from first on, and
+// stops when a schedule violates an invariant. It returns the seed and the violation
+// of this schedule, and how often each event occurred in all schedules.
 func exploreAll(first uint64, count int, m mutation) (uint64, string, map[string]int) {
 	var (
 		next           atomic.Int64
@@ -65,6 +66,8 @@
 }
 
 // TestRegressionSchedules runs the schedules that have found a fault in the past.
+// Each schedule must pass now, and must fail again when the mutation brings the
+// fault back.
 func TestRegressionSchedules(t *testing.T) {
 	for name, seed := range map[string]uint64{
 		"successor deletes imported claims, then hands its table over": 127153,
@@ -81,8 +84,8 @@
 func TestSchedulesDetectEachMutation(t *testing.T) {
 	for name, tc := range map[string]struct {
 		mutation mutation
-		// from is the first seed to try. It is not 1 where the first schedule that
-		// detects the mutation has a much larger seed.
+		// startSeed is the first seed to try. It is usually 1. It is larger if no
+		// schedule with a small seed detects the mutation.
 		startSeed uint64
 	}{
 		"grant accepted with a wrong base":                   {skipFrontierCheck, 1},
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -14,8 +14,8 @@
 	Key    Key
 }
 
-// Digest is a digest of the content of a request. It serves to detect a key that
-// is reused for a different request.
+// Digest is a hash of the content of a request. The owner compares digests to
+// detect that a key is reused for a different request.
 type Digest [16]byte
 
 // Request is one submission of a request with an idempotency key. A retry with
@@ -68,21 +68,24 @@
 
 // Limits are the size limits of a Table.
 type Limits struct {
-	// Claims is the maximum number of claims in total, GroupClaims the maximum
-	// per group. Defaults: 65,536 and half of Claims.
-	Claims      int
+	// Claims is the maximum number of claims in total. Default: 65,536.
+	Claims int
+	// GroupClaims is the maximum number of claims per group. Default: half of
+	// Claims.
 	GroupClaims int
-	// AnswerBytes is the maximum size of all retained answers, GroupAnswerBytes
-	// the maximum per group. Defaults: 4 MiB and half of AnswerBytes.
-	AnswerBytes      int
+	// AnswerBytes is the maximum total size of the retained answers. Default:
+	// 4 MiB.
+	AnswerBytes int
+	// GroupAnswerBytes is the maximum size of the retained answers of a group.
+	// Default: half of AnswerBytes.
 	GroupAnswerBytes int
 }
 
 const (
 	defaultClaims      = 1 << 16
 	defaultAnswerBytes = 4 << 20
-	// groupDivisor sets the default limit per group: the total limit divided by
-	// groupDivisor.
+	// groupDivisor sets the default limits per group. They are the total limits
+	// divided by groupDivisor.
 	groupDivisor = 2
 	// maxPriorOwners is the maximum number of earlier owners whose claims a table
 	// holds.
@@ -134,14 +137,14 @@
 	limits  Limits
 	claims  map[ID]*claim
 	byStamp stampHeap
-	// groups holds the number of claims of each group.
+	// claimsPerGroup is the number of claims of each group.
 	claimsPerGroup map[model.GroupName]int
 	answers        *answerCache
 	sealed         bool
 	// floor is the timestamp below which claims have been deleted.
 	floor Stamp
-	// priorOwners holds the earlier owners, by incarnation, whose claims were
-	// imported completely.
+	// priorOwners holds the earlier owners whose claims were imported completely.
+	// Its keys are the incarnations of these owners.
 	priorOwners map[uint64]earlier
 	mutation    mutation
 }
@@ -165,11 +168,12 @@
 // Len returns the number of claims.
 func (t *Table) Len() int { return len(t.claims) }
 
-// AnswerBytes returns the total size of the retained answers.
+// AnswerBytes returns the total size of the retained answers in bytes.
 func (t *Table) AnswerBytes() int { return t.answers.usedBytes }
 
-// Begin decides on a submission. After Run the caller must call Finish when the
-// request has ended. The Answer is non-nil only with Replay.
+// Begin decides on a submission. If the decision is Run, the caller must run the
+// request and call Finish when the request has ended. If the decision is Replay,
+// Begin also returns the retained Answer. Otherwise the Answer is nil.
 func (t *Table) Begin(l *Ledger, r Request) (Decision, *Answer) {
 	if t.sealed && t.mutation != ignoreSeal {
 		return Sealed, nil
@@ -207,9 +211,10 @@
 	return o == t.self
 }
 
-// floorOf returns the timestamp below which this owner or an earlier one may have
-// deleted claims, for an interval that the given incarnations owned before. It
-// returns false if the claims of one of them are missing.
+// floorOf returns the floor of an interval. Below this timestamp, claims of the
+// interval may have been deleted, either by this owner or by an earlier one. The
+// argument holds the incarnations that owned the interval before. If the claims of
+// any of these incarnations are missing, floorOf returns false.
 func (t *Table) floorOf(incarnations []uint64) (Stamp, bool) {
 	floor := t.floor
 	if t.mutation == ignoreFloor {
@@ -228,7 +233,9 @@
 	return floor, true
 }
 
-// decisionFor returns the decision on a further submission of the claimed key.
+// decisionFor returns the decision on a further submission of the claim's key. The
+// argument is the digest of the submitted request. For Replay it also returns the
+// retained answer.
 func (c *claim) decisionFor(d Digest) (Decision, *Answer) {
 	switch {
 	case c.digest != d:
@@ -244,9 +251,9 @@
 	}
 }
 
-// Finish records the outcome of a request that Begin allowed to run. If the
-// request certainly did not run, its claim is deleted, so that a retry can run
-// it. The answer may be nil if it is too large to retain.
+// Finish records the outcome of a request for which Begin returned Run. If the
+// request certainly did not run, its claim is deleted, so that a retry can run the
+// request. The answer is nil if there is none or if it is too large to retain.
 func (t *Table) Finish(id ID, kind outcome.Kind, a *Answer) {
 	c := t.claims[id]
 	if c == nil || c.state != running {
@@ -268,8 +275,8 @@
 	}
 }
 
-// Expire deletes the claims with timestamps below floor. From then on Begin
-// returns Expired for all keys with such timestamps.
+// Expire deletes the claims with timestamps below floor. From then on Begin returns
+// Expired for all keys with such timestamps for which it would otherwise return Run.
 func (t *Table) Expire(floor Stamp) {
 	if floor <= t.floor {
 		return
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -21,8 +21,8 @@
 	return l
 }
 
-// newRequest returns a request whose key has the given timestamp and is unique for
-// each n.
+// newRequest returns a request whose key has the given timestamp. For the same
+// timestamp, different values of n give different keys.
 func newRequest(stamp Stamp, n int, caller model.CallerName) Request {
 	return Request{ID: ID{Caller: caller, Key: NewKey(stamp, [10]byte{9: byte(n), 8: byte(n >> 8)})}, Group: "sorters"}
 }
@@ -220,9 +220,10 @@
 	require.Len(t, ownedRanges(), 2, "other daemons take over the ranges of a silent owner without a gap")
 }
 
-// TestPlannerStartedFirstLeavesRangesToOthers guards against the daemon that
-// starts first, and does not know other candidates yet, owning every range for a
-// full grant length. The short grants during startup prevent this.
+// TestPlannerStartedFirstLeavesRangesToOthers guards against a daemon that owns
+// every range for a full grant length. The daemon that starts first does not know
+// the other candidates yet, so it requests all ranges. Its grants during startup are
+// short to prevent this.
 func TestPlannerStartedFirstLeavesRangesToOthers(t *testing.T) {
 	const grantLength = 60 * time.Second
 	l := NewLedger(64, 0)
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -37,15 +37,16 @@
 	// Superseded means that the base of the change is older than the current
 	// version.
 	Superseded
-	// Duplicate means that a change with the same ID was applied before.
+	// Duplicate means that there was an earlier change with the same ID, whether
+	// or not it was accepted.
 	Duplicate
 	// Invalid means that the documents of the change do not compile, that its
 	// base does not exist yet, or that the configuration would become too large.
 	Invalid
 	// Ignored means that the record is a checkpoint or is unreadable.
 	Ignored
-	// OutOfOrder means that the offset of the record is not the next one. The
-	// record was not applied.
+	// OutOfOrder means that the offset of the record is not that of the next
+	// record to apply. The record was not applied.
 	OutOfOrder
 )
 
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -20,11 +20,12 @@
 	chainPrefixSize = 8
 	// digestSize is the size of an encoded digest, which has five fields.
 	digestSize = 8 + 8 + chainPrefixSize + 8 + 8
-	// chunkHeaderSize is the size of the header of a chunk: the kind of delta, the
-	// checkpoint's id and size, and the offset of the chunk in the checkpoint.
+	// chunkHeaderSize is the size of the header of a chunk. The header consists of
+	// the kind of delta, the checkpoint's id and size, and the offset of the chunk
+	// in the checkpoint.
 	chunkHeaderSize = 1 + 8 + 8 + 8
-	// recordsHeaderSize is the size of the header of a delta of records: the kind
-	// of delta and the offset of the first record.
+	// recordsHeaderSize is the size of the header of a delta of records. The header
+	// consists of the kind of delta and the offset of the first record.
 	recordsHeaderSize = 1 + 8
 	// lengthPrefixSize is the size of the length before each record.
 	lengthPrefixSize = 4
@@ -39,15 +40,16 @@
 	data []byte
 }
 
-// digest summarizes the state of a StateMachine, so that another daemon can
-// determine which records it lacks.
+// stateDigest summarizes the state of a StateMachine. From this summary, another
+// daemon determines which records the StateMachine lacks.
 type stateDigest struct {
 	next    uint64
 	version uint64
-	chain   [chainPrefixSize]byte
-	// partialID is the id of the checkpoint that the StateMachine is receiving,
-	// and partialBytes how much of it has been received.
-	partialID    uint64
+	// chain is the prefix of the head of the hash chain.
+	chain [chainPrefixSize]byte
+	// partialID is the id of the checkpoint that the StateMachine is receiving.
+	partialID uint64
+	// partialBytes is the number of bytes of this checkpoint received so far.
 	partialBytes uint64
 }
 
@@ -74,7 +76,8 @@
 }
 
 // Conflicts reports whether the daemon that sent the digest has a different hash
-// chain at the same offset. It returns false if it cannot compare the two.
+// chain at the same offset. It returns false if the digest is malformed, or if the
+// hash chain at that offset is not known here.
 func (m *StateMachine) Conflicts(peerDigest []byte) bool {
 	d, ok := parseStateDigest(peerDigest)
 	if !ok || d.next > m.state.Next {
@@ -88,9 +91,9 @@
 }
 
 // Delta returns an update for the daemon that sent the digest, in at most limit
-// bytes: the records that follow its own or, if these are no longer kept, a chunk
-// of a checkpoint. It returns nil if the daemon lacks nothing or its state
-// conflicts.
+// bytes. The update holds the records that follow the records of that daemon. If
+// these are no longer kept, or not even one of them fits, the update is a chunk of a
+// checkpoint. Delta returns nil if the daemon lacks nothing or its state conflicts.
 func (m *StateMachine) Delta(peerDigest []byte, limit int) []byte {
 	d, ok := parseStateDigest(peerDigest)
 	if !ok || d.next >= m.state.Next || m.Conflicts(peerDigest) {
@@ -121,8 +124,9 @@
 	return b
 }
 
-// chunk returns the next chunk of the checkpoint that the sender of the digest
-// needs, continuing after the bytes that it has already received.
+// nextChunk returns a delta with the next chunk of the checkpoint that the sender of
+// the digest needs. The chunk begins after the bytes that the sender has already
+// received.
 func (m *StateMachine) nextChunk(d stateDigest, limit int) []byte {
 	data := m.checkpointFor(d.next)
 	if data == nil || limit <= chunkHeaderSize {
@@ -141,10 +145,11 @@
 	return append(b, rest[:min(len(rest), limit-chunkHeaderSize)]...)
 }
 
-// checkpointFor returns the cached checkpoint in encoded form, for a daemon whose
-// next offset is given. It first replaces the cached checkpoint with one of the
-// current state if the cached one is not ahead of that daemon, or if the records
-// that follow it are no longer kept.
+// checkpointFor returns an encoded checkpoint for a daemon whose next offset is
+// given, or nil if the state cannot be encoded. It returns the cached checkpoint if
+// that checkpoint is ahead of the daemon and the records that follow it are still
+// kept. Otherwise it first replaces the cached checkpoint with one of the current
+// state.
 func (m *StateMachine) checkpointFor(next uint64) []byte {
 	_, canContinue := m.recent.startingAt(m.cached.state.Next)
 	canContinue = canContinue || m.cached.state.Next == m.state.Next
@@ -167,8 +172,9 @@
 )
 
 // ApplyDelta applies a delta and returns the results of the records that it
-// applied. It skips records that do not follow the StateMachine's own prefix of
-// the log.
+// applied. It skips records whose offset is not that of the next record to apply.
+// It returns an error if the delta is malformed, or if the delta completes a
+// checkpoint that cannot be read or conflicts with the current state.
 func (m *StateMachine) ApplyDelta(delta []byte) ([]Result, error) {
 	if len(delta) == 0 {
 		return nil, errDelta
@@ -219,10 +225,10 @@
 	return first, records, nil
 }
 
-// applyChunk adds a chunk to the partial checkpoint and adopts the checkpoint
-// when it is complete. The first chunk of a different checkpoint discards the
-// partial one. Other chunks that do not continue the partial checkpoint are
-// ignored.
+// applyChunk adds a chunk to the partial checkpoint. When the checkpoint is
+// complete, the StateMachine adopts its state. The first chunk of a different
+// checkpoint replaces the partial checkpoint. Other chunks that do not continue the
+// partial checkpoint are ignored.
 func (m *StateMachine) applyChunk(delta []byte) error {
 	if len(delta) <= chunkHeaderSize {
 		return errDelta
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -15,26 +15,28 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// world is one state of a model of a small deployment: a log to which operators
-// append concurrently, a checkpoint writer that may pause, and two daemons that
-// read the log, exchange deltas and restart.
+// world is one state of a model of a small deployment. The model consists of a log
+// to which operators append concurrently, a checkpoint writer that may pause, and
+// two daemons. The daemons read the log and exchange deltas, and daemon 1 may
+// restart.
 type world struct {
 	log [][]byte
 	// oldest is the offset of the oldest record that the log keeps.
 	oldest int
-	// writerCheckpoint is the checkpoint that the paused writer will append, and
-	// writerState the state that it contains.
+	// writerCheckpoint is the encoded checkpoint that the paused writer will append.
 	writerCheckpoint []byte
-	writerState      State
-	daemons          [2]*StateMachine
-	// expected holds, for each prefix of the log, the state that the rules
-	// prescribe, computed without the code under test.
+	// writerState is the state that writerCheckpoint contains.
+	writerState State
+	daemons     [2]*StateMachine
+	// expected holds the expected state after each prefix of the log. The index is
+	// the length of the prefix.
 	expected []expectedState
 	// steps are the names of the actions that led to this state.
 	steps []string
 }
 
-// expectedState is the state that the rules prescribe.
+// expectedState is the state that the rules of the package prescribe. The model
+// computes it without the code under test.
 type expectedState struct {
 	version model.Version
 	// lastAccepted is the ID of the last accepted change.
@@ -71,7 +73,7 @@
 	w.expected = append(w.expected, s)
 }
 
-// write appends a change.
+// appendChange encodes a change and appends it to the log.
 func (w *world) appendChange(id string, base model.Version) {
 	record, _, err := EncodeChange(Change{ID: id, Base: base, Put: map[DocumentKey]json.RawMessage{"Service/s": json.RawMessage(`"` + id + `"`)}})
 	if err != nil {
@@ -80,7 +82,8 @@
 	w.append(record, id, base)
 }
 
-// readLog applies all records on the log, restoring a checkpoint first if needed.
+// readLog applies all records on the log to a daemon. If the log no longer keeps the
+// daemon's next record, readLog first restores a checkpoint.
 func (w *world) readLog(m *StateMachine) {
 	if m.NeedsCheckpoint(uint64(w.oldest)) {
 		for o := w.oldest; o < len(w.log); o++ {
@@ -94,11 +97,12 @@
 	}
 }
 
-// checkpoints caches encoded checkpoints. The exploration reaches only a few
-// different states.
+// checkpoints caches encoded checkpoints, to speed up the exploration. The
+// exploration reaches only a few different states.
 var checkpoints = map[string][]byte{}
 
-// encoded returns the encoded checkpoint of a state.
+// encodeCheckpoint returns the encoded checkpoint of a state, from the cache if
+// possible.
 func encodeCheckpoint(s State) []byte {
 	key := fmt.Sprintf("%d %x %v", s.Next, s.Chain, s.IDs)
 	if checkpoints[key] == nil {
@@ -154,8 +158,10 @@
 	return out
 }
 
-// check compares each daemon with the expected state at its offset, and with its
-// own earlier state, which it must not fall behind unless it was restarted.
+// check compares each daemon with the expected state at its offset. It also checks
+// that the version and the next offset of a daemon are not lower than before the
+// last action. The argument restarted is set if the last action restarted daemon 1.
+// Daemon 1 is then exempt from the second check.
 func (w *world) check(before *world, restarted bool) error {
 	for i, d := range w.daemons {
 		if d.Next() > uint64(len(w.log)) {
@@ -185,7 +191,7 @@
 	return b.String()
 }
 
-// modelDepth is the number of actions in the longest histories explored.
+// modelDepth is the maximum number of actions in a history.
 const modelDepth = 6
 
 // TestShortHistoriesMatchSpecification explores all histories of up to modelDepth
@@ -217,8 +223,8 @@
 	require.Len(t, versions, 4, "versions 0 to 3 are reached")
 }
 
-// TestModelDetectsMissingChecks removes one check at a time from the source and
-// runs TestShortHistoriesMatchSpecification on the result, which must fail.
+// TestModelDetectsMissingChecks removes one check at a time from the source. For
+// each changed source it runs TestShortHistoriesMatchSpecification, which must fail.
 func TestModelDetectsMissingChecks(t *testing.T) {
 	for name, m := range map[string]struct{ file, old, new string }{
 		"base not compared":                 {"statemachine.go", "if c.Base < m.state.Version {", "if false {"},
--- a/core/config/recent.go
+++ b/core/config/recent.go
@@ -1,7 +1,7 @@
 package config
 
-// recent is a bounded buffer of the last applied records, from which other
-// daemons are updated.
+// recordBuffer is a bounded buffer of the last applied records. Deltas for other
+// daemons are made from these records.
 type recordBuffer struct {
 	// first is the offset of records[0].
 	first   uint64
@@ -37,8 +37,8 @@
 	}
 }
 
-// from returns the records starting at an offset. It returns false if the buffer
-// does not contain the record at that offset.
+// startingAt returns the records from the given offset on. It returns false if the
+// buffer does not contain the record at that offset.
 func (r *recordBuffer) startingAt(offset uint64) ([]recentRecord, bool) {
 	if len(r.records) == 0 || offset < r.first {
 		return nil, false
@@ -50,8 +50,9 @@
 	return r.records[skip:], true
 }
 
-// cachedCheckpoint is a state that is sent to other daemons in chunks. All chunks
-// must come from the same state, while the current state changes.
+// cachedCheckpoint is a state that is sent to other daemons in chunks. The current
+// state may change between two chunks, but all chunks must come from the same
+// state. The state is therefore kept here.
 type cachedCheckpoint struct {
 	state State
 	// encoded is the encoded checkpoint. It is nil until it is first needed.
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -27,8 +27,8 @@
 }
 
 // maxIDs is the maximum length of State.IDs. A change that is repeated after more
-// than maxIDs other changes is no longer recognized as a duplicate, but is still
-// not accepted again, because its base is no longer current.
+// than maxIDs other changes is no longer recognized as a duplicate. The repeated
+// change is still not accepted again, because its base is no longer current.
 const maxIDs = 128
 
 func (s State) clone() State {
@@ -37,7 +37,7 @@
 	return s
 }
 
-// size returns the total size of the documents and their keys.
+// size returns the total size of the documents and their keys in bytes.
 func (s State) size() int {
 	n := 0
 	for k, d := range s.Documents {
@@ -92,13 +92,15 @@
 	return s, true
 }
 
-// Covers reports whether the log still keeps all records that follow the state,
-// given the offset of the checkpoint record that contains the state and the
-// offset of the oldest record on the log. It returns false for a checkpoint that
-// a paused writer appended so late that the log had already been trimmed beyond
-// its state. Such a checkpoint must not be used, because the changes accepted in
-// the gap are unknown. It also returns false for a state that claims to be ahead
-// of the record that contains it.
+// Covers reports whether the log still keeps all records that follow the state. The
+// offset argument is the offset of the checkpoint record that contains the state,
+// and oldest is the offset of the oldest record on the log.
+//
+// A writer that was paused may append a checkpoint late, when the log has already
+// been trimmed beyond the checkpoint's state. Covers returns false for such a
+// checkpoint. The checkpoint must not be used, because the changes accepted in the
+// gap are unknown. Covers also returns false for a state that claims to be ahead of
+// the record that contains the state.
 func (s State) Covers(offset, oldest uint64) bool {
 	return s.Next >= oldest && s.Next <= offset
 }
--- a/core/config/statemachine.go
+++ b/core/config/statemachine.go
@@ -11,8 +11,9 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Validate checks the documents that a change puts. Its result must depend only
-// on its argument, because all daemons must reach the same decision.
+// Validator checks the documents that a change puts, and returns the reason if they
+// are invalid. Its result must depend only on its argument, because all daemons must
+// reach the same decision.
 type Validator func(put map[DocumentKey]json.RawMessage) error
 
 // StateMachine is the replicated state machine: it applies log records to a State
@@ -20,22 +21,22 @@
 type StateMachine struct {
 	validate Validator
 	state    State
-	// size is the total size of the documents and their keys.
+	// size is the total size of the documents and their keys in bytes.
 	size   int
 	recent recordBuffer
-	// cached is the checkpoint that is sent to other daemons.
+	// cached is the checkpoint that is sent to other daemons in chunks.
 	cached cachedCheckpoint
 	// partial is a checkpoint that is being received from another daemon.
 	partial partialCheckpoint
 }
 
 // checkpointInterval is the number of records between two states that are cached
-// as checkpoints for other daemons. States are cached at the offsets that are
-// multiples of it, so that all daemons cache the same ones.
+// as checkpoints for other daemons. A state is cached when its Next is a multiple of
+// checkpointInterval, so that all daemons cache the same states.
 const checkpointInterval = 64
 
 // NewStateMachine returns a StateMachine that has not applied any record. A nil
-// Validate accepts all documents.
+// Validator accepts all documents.
 func NewStateMachine(v Validator) *StateMachine {
 	if v == nil {
 		v = func(map[DocumentKey]json.RawMessage) error { return nil }
@@ -52,7 +53,8 @@
 // Next returns the offset of the next record to apply.
 func (m *StateMachine) Next() uint64 { return m.state.Next }
 
-// ApplyRecord applies the record at an offset, which must be equal to Next.
+// ApplyRecord applies the record at an offset and returns the result. If the offset
+// is not Next, the decision is OutOfOrder and nothing is applied.
 func (m *StateMachine) ApplyRecord(offset uint64, record []byte) Result {
 	if offset != m.state.Next {
 		return m.result(OutOfOrder, nil, nil)
@@ -118,7 +120,7 @@
 }
 
 // sizeIncrease returns by how many bytes a change increases the total size of the
-// documents and keys. It is negative if they become smaller.
+// documents and keys. The result is negative if the total size decreases.
 func (m *StateMachine) sizeIncrease(c Change) int {
 	n := 0
 	for k, d := range c.Put {
@@ -185,11 +187,11 @@
 // StateMachine must be restored from a checkpoint with RestoreCheckpoint.
 func (m *StateMachine) NeedsCheckpoint(oldest uint64) bool { return m.state.Next < oldest }
 
-// RestoreCheckpoint restores the StateMachine from the record at an offset. It
-// returns false and changes nothing if the record is not a checkpoint, if the log
-// no longer keeps all records that follow the checkpoint's state, or if Adopt
-// rejects that state. The oldest argument is the offset of the oldest record that
-// the log keeps.
+// RestoreCheckpoint replaces the state with that of the checkpoint record at an
+// offset, and reports whether it did so. The oldest argument is the offset of the
+// oldest record that the log keeps. RestoreCheckpoint returns false and changes
+// nothing if the record is not a checkpoint, if State.Covers returns false, or if
+// Adopt returns an error.
 func (m *StateMachine) RestoreCheckpoint(offset, oldest uint64, record []byte) bool {
 	s, ok := ReadCheckpoint(record)
 	return ok && s.Covers(offset, oldest) && m.Adopt(s) == nil
@@ -204,7 +206,8 @@
 	ErrConflict = errors.New("state conflicts with the current state")
 )
 
-// Adopt replaces the current state with a state that has applied more records.
+// Adopt replaces the current state with a state that has applied more records. If it
+// returns ErrStale or ErrConflict, the current state has not changed.
 func (m *StateMachine) Adopt(s State) error {
 	if s.Next <= m.state.Next {
 		return ErrStale
--- a/core/config/statemachine_test.go
+++ b/core/config/statemachine_test.go
@@ -25,7 +25,7 @@
 	return map[DocumentKey]json.RawMessage{DocumentKey(key): json.RawMessage(text)}
 }
 
-// rejectBad is a Validate function that rejects the document "bad".
+// rejectBad is a Validator that rejects the document "bad".
 func rejectBad(docs map[DocumentKey]json.RawMessage) error {
 	for _, d := range docs {
 		if string(d) == `"bad"` {
