--- a/core/calltoken/doc.go
+++ b/core/calltoken/doc.go
@@ -1,6 +1,7 @@
-// Package calltoken signs and verifies the tokens that pass the group, deadline
-// and call depth of a request on to the calls that its upstream makes in turn
-// (nested calls).
+// Package calltoken signs and verifies call tokens. An upstream that runs a
+// request may itself call other services; such a call is a nested call. The token
+// carries the group, the deadline and the call depth of the request over to its
+// nested calls.
 //
 // # Concept
 //
@@ -11,7 +12,8 @@
 // derived from the secret that all daemons share, so an upstream can neither
 // claim another group nor extend a deadline. A token expires at its deadline.
 //
-// The deadline is a wall-clock time because it is read on other machines. The
-// token also holds the time that was left when it was signed, so that a daemon
-// whose clock is behind never extends the deadline.
+// The deadline is a wall-clock time because other machines read it. A daemon whose
+// clock is behind would compute too much remaining time and thus extend the
+// deadline. The token therefore also holds the time that was left when it was
+// signed, and a nested call never gets a longer timeout than that.
 package calltoken
--- a/core/calltoken/token.go
+++ b/core/calltoken/token.go
@@ -21,7 +21,8 @@
 	Caller model.CallerName
 	// Group is the group to which the parent call was accounted.
 	Group model.GroupName
-	// Depth is the number of calls above the nested one, at least 1.
+	// Depth is the number of calls in the chain above the nested call. It is at
+	// least 1.
 	Depth int
 	// Deadline is the deadline of the parent call, with microsecond precision.
 	Deadline time.Time
@@ -29,8 +30,10 @@
 	TimeLeft time.Duration
 }
 
-// Remaining returns the longest timeout that a nested call may have. It never
-// exceeds TimeLeft, even if the clocks of the two machines differ.
+// Remaining returns the longest timeout that a nested call may have: the time from
+// now to the deadline, but never more than TimeLeft. TimeLeft limits the timeout
+// when the clocks of the two machines differ. After the deadline the result is
+// negative.
 func (t Token) Remaining(now time.Time) time.Duration { return min(t.Deadline.Sub(now), t.TimeLeft) }
 
 const (
@@ -79,8 +82,9 @@
 	return base64.RawURLEncoding.EncodeToString(s.appendSignature(b))
 }
 
-// Verify decodes a token that was signed with the same secret. Its errors are
-// of type *Error.
+// Verify checks the signature of an encoded token and returns the decoded token.
+// The token must have been signed with the same secret. Verify does not check the
+// deadline. All its errors are of type *Error.
 func (s *Signer) Verify(text string) (Token, error) {
 	if s == nil {
 		return Token{}, &Error{Reason: "no shared secret configured"}
@@ -128,8 +132,8 @@
 	return append(b, s...)
 }
 
-// reader decodes the fields of a token. After a malformed field, failed is set
-// and the remaining results must be discarded.
+// reader decodes the fields of a token. When a field is malformed, failed is set
+// and all decoded values must be discarded.
 type reader struct {
 	rest   []byte
 	failed bool
--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -25,20 +25,23 @@
 const (
 	// demandHalfLife is the half-life of the moving average of demand.
 	demandHalfLife = time.Second
-	// burstTime sets the capacity of the token bucket: the tokens that the
-	// daemon's share of the rate adds in this time, but at least one.
+	// burstTime sets the capacity of the token bucket. The bucket holds the
+	// tokens that the daemon's share of the rate adds in burstTime, but at least
+	// one token.
 	burstTime = 100 * time.Millisecond
-	// initialShare is the daemon's share of a ceiling until it has reported
-	// demand for initialPeriod, because reports of other daemons may still be
-	// on their way. A concurrency share is at least one slot in that time.
-	// After it, initialShare remains the minimum share of a rate.
-	initialShare  = 1.0 / 32
+	// initialShare is the fraction of a ceiling that a daemon gets until it has
+	// reported demand for initialPeriod. Until then, its concurrency share is at
+	// least one slot. Later, initialShare remains the minimum share of a rate.
+	initialShare = 1.0 / 32
+	// initialPeriod begins when the reported demand of a daemon rises above zero.
+	// Reports of other daemons may still be on their way during this period.
 	initialPeriod = 3 * time.Second
-	// A daemon sends a report when its demand has changed by more than
-	// reportThreshold, relative to the reported demand, and at least once per
-	// reportInterval.
+	// reportThreshold is the change of demand, relative to the reported demand,
+	// above which a daemon sends a new report.
 	reportThreshold = 0.1
-	reportInterval  = 3 * time.Second
+	// reportInterval is the longest time between two reports of a daemon that has
+	// demand.
+	reportInterval = 3 * time.Second
 	// idleDemand is the demand in requests per second below which a daemon
 	// reports no demand.
 	idleDemand = 0.01
@@ -90,9 +93,9 @@
 	c.updateShares()
 }
 
-// TryAcquire admits or refuses one request. An admitted request counts as in
-// flight until Release is called. For a refused request TryAcquire returns false
-// and the time after which the caller may retry.
+// TryAcquire admits or refuses one request. For an admitted request it returns
+// true, and the request counts as in flight until Release is called. For a refused
+// request it returns false and the time after which the caller may retry.
 func (c *Ceiling) TryAcquire(now model.Instant) (time.Duration, bool) {
 	c.arrivals++
 	c.refill(now)
@@ -116,8 +119,8 @@
 func (c *Ceiling) Share() (rate float64, slots int) { return c.rate, c.slots }
 
 // Tick updates the demand and the shares. It must be called several times per
-// second. It returns a report and true when a report to the other daemons is
-// due. The timestamp is the wall clock in milliseconds.
+// second. When a report to the other daemons is due, Tick returns the report and
+// true. The timestamp argument is the wall clock in milliseconds.
 func (c *Ceiling) Tick(now model.Instant, timestamp uint64) (Report, bool) {
 	c.updateDemand(now)
 	c.reports.expire(now, c.self)
@@ -129,9 +132,10 @@
 	return r, due
 }
 
-// Merge stores the report of another daemon. It returns false when the report is
-// invalid, names this daemon itself, is not newer than the stored one, or is over
-// the limit on daemons.
+// Merge stores the report of another daemon. It returns false if it does not store
+// the report. It ignores reports with an invalid demand, reports that name this
+// daemon itself, and reports that are not newer than the stored one. When reports
+// of maxDaemons daemons are stored, it also ignores reports of further daemons.
 func (c *Ceiling) Merge(now model.Instant, r Report) bool {
 	if r.Daemon == c.self || !(r.Demand >= 0) || math.IsInf(float64(r.Demand), 0) {
 		return false
@@ -166,9 +170,10 @@
 	c.arrivals, c.lastTick = 0, now
 }
 
-// nextReport returns this daemon's report and true when its demand has changed
-// by more than reportThreshold or the last report is older than reportInterval.
-// A daemon whose demand has ended sends a single report of zero.
+// nextReport returns this daemon's report and true if a report is due. While the
+// daemon has demand, a report is due when the demand has changed by more than
+// reportThreshold, and when the last report is reportInterval old. When the demand
+// ends, the daemon sends a single report of zero.
 func (c *Ceiling) nextReport(now model.Instant, timestamp uint64) (Report, bool) {
 	changed := math.Abs(c.demand-c.reportedDemand) > reportThreshold*max(c.reportedDemand, idleDemand)
 	overdue := c.demand > 0 && now.Sub(c.reportedAt) >= reportInterval
--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestRateCeilingError checks how far the admitted rate of twelve daemons is
-// from the ceiling in the steady state, and while all demand moves from three
-// daemons to six others.
+// TestRateCeilingError checks how far the admitted rate of twelve daemons is from
+// the ceiling. It checks the steady state, and the time in which all demand moves
+// from three daemons to six others.
 func TestRateCeilingError(t *testing.T) {
 	const ceiling = 600
 	f := newFleet(12, Limits{Rate: ceiling})
--- a/core/ceiling/doc.go
+++ b/core/ceiling/doc.go
@@ -9,16 +9,17 @@
 // own demand divided by the sum of all reported demand. Daemons that hold the
 // same reports compute shares that add up to exactly the ceiling.
 //
-// Reports spread by gossip and therefore arrive late. While demand moves from
-// some daemons to others, the daemons that gained demand still have small
-// shares and the daemons that lost demand still have large shares, so the group gets
-// less than its ceiling until the reports have spread. The group exceeds its
-// ceiling only while some daemon does not know the demand of another. Two rules
-// limit this: a daemon with new demand starts with a small share
-// (initialShare), and a daemon whose last report is older than expireAfter no
-// longer counts. docs/design/sharing.md lists the measured error.
+// Reports spread by gossip and therefore arrive late. When demand moves from some
+// daemons to others, the daemons that gained demand still have small shares for a
+// while, and the daemons that lost demand still have large ones. Until the reports
+// have spread, the group therefore gets less than its ceiling. The group exceeds
+// its ceiling only while some daemon does not know the demand of another. Two
+// rules limit the excess. A daemon with new demand starts with a small share
+// (initialShare). A daemon whose last report is older than expireAfter no longer
+// counts in the sum of demand. docs/design/sharing.md lists the measured error.
 //
-// Rejected alternatives: equal shares refuse most requests when the demand
-// arrives at only a few daemons; subtracting the reported usage of the others
-// from the ceiling lets every daemon claim the same unused capacity at once.
+// Two alternatives were rejected. With equal shares, most requests are refused
+// when the demand arrives at only a few daemons. If each daemon subtracted the
+// reported usage of the others from the ceiling, all daemons would claim the same
+// unused capacity at once.
 package ceiling
--- a/core/ceiling/reports.go
+++ b/core/ceiling/reports.go
@@ -27,11 +27,12 @@
 	// maxDaemons is the maximum number of daemons stored for one ceiling.
 	// Reports of additional daemons are ignored.
 	maxDaemons = 4096
-	// expireAfter is the age at which a daemon's last report stops counting.
+	// expireAfter is the age after which a daemon's last report no longer counts
+	// in the sum of demand.
 	expireAfter = 10 * time.Second
 	// deleteAfter is the age at which an expired report is deleted. Until then
-	// it is kept, so that the same report is recognized as old when a peer
-	// sends it again.
+	// the report is kept: if a peer sends the same report again, this daemon must
+	// recognize that it is old.
 	deleteAfter = 3 * expireAfter
 )
 
@@ -48,8 +49,9 @@
 	byDaemon map[Daemon]receivedReport
 }
 
-// merge stores a report. It returns false when the report is not newer than the
-// stored one, or when its daemon is unknown and the table is full.
+// merge stores a report. It returns false, and stores nothing, if the report is not
+// newer than the stored one. It also returns false if the table is full and holds
+// no report of the same daemon.
 func (t *reportTable) merge(now model.Instant, r Report) bool {
 	old, known := t.byDaemon[r.Daemon]
 	if known && old.Stamp >= r.Stamp {
@@ -62,7 +64,8 @@
 	return true
 }
 
-// expire marks or deletes old reports. Reports of self never expire.
+// expire marks reports older than expireAfter as expired, and deletes those older
+// than deleteAfter. Reports of self never expire.
 func (t *reportTable) expire(now model.Instant, self Daemon) {
 	for d, report := range t.byDaemon {
 		age := now.Sub(report.receivedAt)
@@ -88,11 +91,11 @@
 	return sum
 }
 
-// slotsOf returns the slots of one daemon when total slots are divided in
-// proportion to demand by the largest-remainder method: each daemon gets its
-// exact share rounded down, and the remaining slots go to the daemons with the
-// largest remainders. Daemons that hold the same reports thus compute slots that
-// add up to total.
+// slotsOf returns the slots of one daemon when all slots are divided among the
+// daemons in proportion to demand. It uses the largest-remainder method. Each
+// daemon first gets its exact share rounded down. The slots that remain go to the
+// daemons with the largest remainders. Daemons that hold the same reports
+// therefore compute slots that add up to total.
 func (t *reportTable) slotsOf(self Daemon, total int) int {
 	type share struct {
 		daemon    Daemon
--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -4,10 +4,10 @@
 // Each start of an upstream process is a new incarnation, identified by the
 // upstream's id and the start time of the process. A restarted process may reuse
 // the id of its predecessor. Reports of one incarnation carry an increasing
-// sequence number. Because reports may arrive late and out of order, the report
-// with the highest (start time, sequence number) wins. An incarnation that has
-// left never returns, and an incarnation that is draining never becomes ready
-// again.
+// sequence number. Reports may arrive late and out of order. Of two reports, the one
+// with the later start time wins. If the start times are equal, the report with the
+// higher sequence number wins. An incarnation that has left never returns, and an
+// incarnation that is draining never becomes ready again.
 package lifecycle
 
 import (
@@ -71,30 +71,34 @@
 	WarmupLeft time.Duration
 }
 
-// Effect is the effect of a report on a Tracker.
+// Effect tells what a report or a call of Leave has changed in a Tracker.
 type Effect uint8
 
 // The effects of a report.
 const (
-	// Stale reports are out of date and were ignored.
+	// Stale reports are out of date and were ignored. Leave also returns Stale
+	// when the state of the current incarnation did not change.
 	Stale Effect = iota
 	// Same reports changed neither the state nor the slots.
 	Same
 	// Changed reports changed the state of the current incarnation or its slots.
 	Changed
-	// Started reports are the first report of a newer incarnation.
+	// Started reports come from a newer incarnation, which became the current one.
 	Started
 )
 
 // maxDeparted is the maximum number of departed incarnations that a Tracker
-// stores. An address has one upstream at a time and reports are late by seconds
-// at most, so even a few would be enough.
+// stores. Even a few would be enough: an address has one upstream at a time, and
+// reports are late by seconds at most.
 const maxDeparted = 64
 
 // Tracker holds the lifecycle state of the upstream at one address. It is not
 // safe for concurrent use. The zero value is an empty Tracker, ready to use.
 type Tracker struct {
-	current  Report
+	// current is the newest report.
+	current Report
+	// departed holds the incarnations that Departed returns, in the order in
+	// which they were added.
 	departed []Incarnation
 }
 
@@ -102,7 +106,7 @@
 // been received.
 func (t *Tracker) Current() Report { return t.current }
 
-// Observe applies a report unless it is stale.
+// Observe applies a report and returns its effect. It ignores a stale report.
 func (t *Tracker) Observe(r Report) Effect {
 	if t.hasDeparted(r.Incarnation) && r.State < Gone {
 		return Stale
@@ -127,8 +131,9 @@
 	return Started
 }
 
-// Leave records that an incarnation leaves permanently. If Born is zero and the
-// current incarnation has the same id, Leave applies to the current incarnation.
+// Leave records that an incarnation leaves permanently. It returns Changed if the
+// state of the current incarnation became Gone, and Stale otherwise. If Born is
+// zero, Leave applies to the current incarnation, provided that its id is the same.
 func (t *Tracker) Leave(i Incarnation) Effect {
 	if i.Born == 0 && i.ID == t.current.ID {
 		i.Born = t.current.Born
@@ -175,7 +180,8 @@
 }
 
 // supersedes reports whether a report comes from a newer incarnation than the
-// current one. If either start time is unknown, a different id counts as newer.
+// current one. The later start time is newer. If either start time is unknown, an
+// incarnation with a different id counts as newer.
 func (t *Tracker) supersedes(r Report) bool {
 	if r.Born != 0 && t.current.Born != 0 {
 		return r.Born > t.current.Born
@@ -194,8 +200,8 @@
 	return false
 }
 
-// markDeparted adds an incarnation to the departed ones. When maxDeparted are
-// stored, the one that was added first is removed.
+// markDeparted adds an incarnation to the departed ones. If there are already
+// maxDeparted of them, it removes the incarnation that was added first.
 func (t *Tracker) markDeparted(i Incarnation) {
 	if t.hasDeparted(i) {
 		return
--- a/core/lifecycle/lifecycle_test.go
+++ b/core/lifecycle/lifecycle_test.go
@@ -76,9 +76,10 @@
 	require.Equal(t, Ready, tr.Current().State)
 }
 
-// TestRestore guards against an upstream becoming ready again after it has left,
-// when its daemon is killed right after acknowledging the leave. The restarted
-// daemon restores the departed incarnations from other daemons.
+// TestRestore guards against an upstream that becomes ready again after it has
+// left. Its daemon is killed right after it acknowledged the leave, and the
+// restarted daemon knows of the leave only from other daemons. It must restore the
+// departed incarnations that they have stored.
 func TestRestore(t *testing.T) {
 	var tr Tracker
 	tr.Restore([]Incarnation{{ID: "a", Born: 1}})
--- a/core/member/codec.go
+++ b/core/member/codec.go
@@ -18,8 +18,8 @@
 // codecVersion is the first byte of an encoding. After it come the number of
 // events, the events, the number of liveness records and the liveness records.
 // Numbers are encoded as varints. The first occurrence of a string is encoded as
-// a zero, its length and its bytes. Further occurrences are encoded as its
-// index, counted from 1, among the distinct strings.
+// a zero, the string's length and the string's bytes. Each further occurrence is
+// encoded as the string's index in the list of distinct strings, counted from 1.
 const codecVersion = 1
 
 // maxStrings is the maximum number of distinct strings in one encoding.
@@ -42,7 +42,8 @@
 }
 
 type encoder struct {
-	buf     []byte
+	buf []byte
+	// indexes holds the index of each distinct string encoded so far.
 	indexes map[string]uint64
 }
 
@@ -111,7 +112,8 @@
 // decoder decodes records. After malformed input, failed is set and all further
 // reads return zero values.
 type decoder struct {
-	rest    []byte
+	rest []byte
+	// strings holds the distinct strings decoded so far.
 	strings []string
 	failed  bool
 }
@@ -131,8 +133,8 @@
 	return n
 }
 
-// count reads the number of items that follow. Each item takes at least one
-// byte, so a count larger than the remaining input is malformed.
+// count reads the number of items that follow in the input. Each item takes at
+// least one byte, so a count larger than the remaining input is malformed.
 func (d *decoder) count() int {
 	n := d.number()
 	if n > uint64(len(d.rest)) {
--- a/core/member/delta.go
+++ b/core/member/delta.go
@@ -30,10 +30,12 @@
 }
 
 // Delta returns encoded records that the sender of a digest may lack, in at most
-// limit bytes. It returns nil if there are none. A quarter of the records are
-// the newest ones. The others rotate through the remaining records from call to
-// call, because a bucket differs until its last record has arrived: if only the
-// newest were chosen, every call would send the same records again.
+// limit bytes. It returns nil if there are no such records or none of them fits.
+//
+// If not all records fit, a quarter of the selected records are the newest ones. The
+// others rotate through the remaining records from call to call. The rotation is
+// needed because a bucket differs until its last record has arrived. If Delta
+// selected only the newest records, every call would send the same records again.
 func (d *Directory) Delta(digest []byte, limit int) []byte {
 	if len(digest) != 2*tableDigestSize {
 		return nil
@@ -50,9 +52,9 @@
 	return nil
 }
 
-// selectRotating returns at most n of the given records: n/4 from the front, and
-// the others from the remaining records, starting at index start and wrapping
-// around.
+// selectRotating returns at most n of the given records. It takes n/4 records from
+// the front. It takes the others from the remaining records, starting at index start
+// and wrapping around.
 func selectRotating[V any](all []V, n, start int) []V {
 	if len(all) <= n {
 		return all
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -23,12 +23,13 @@
 	// dead. Default: 3s.
 	SuspicionTimeout time.Duration
 	// TombstoneRetention is how long the event of an upstream that has left is
-	// kept. It is also the time after which the upstreams of a dead daemon are
-	// marked as left. Default: 1h.
+	// kept. Such an event is called a tombstone. TombstoneRetention is also the
+	// time after which the upstreams of a dead daemon are marked as left. Default:
+	// 1h.
 	TombstoneRetention time.Duration
 	// StartupGrace is how long after its start Self waits for its upstreams to
-	// announce themselves. After that it marks upstreams of its earlier
-	// incarnation as left. Default: 30s.
+	// announce themselves. After StartupGrace, Self marks as left the upstreams of
+	// its earlier incarnation that have not announced themselves. Default: 30s.
 	StartupGrace time.Duration
 }
 
@@ -47,11 +48,12 @@
 	events   table[model.UpstreamID, Event]
 	liveness table[model.DaemonID, Liveness]
 	services map[model.ServiceName]*service
-	// suspectedSince and deadSince hold the time at which a daemon became
-	// suspect or dead.
+	// suspectedSince holds the time at which each suspect daemon became suspect.
 	suspectedSince map[model.DaemonID]model.Instant
-	deadSince      map[model.DaemonID]model.Instant
-	// announced holds the events that Self announced.
+	// deadSince holds the time at which each dead daemon became dead.
+	deadSince map[model.DaemonID]model.Instant
+	// announced holds the events that Self announced, except for upstreams that
+	// have left.
 	announced map[model.UpstreamID]Event
 	// upstreamsPerDaemon counts the upstreams held for each daemon. No state is
 	// kept for daemons without upstreams.
@@ -61,16 +63,18 @@
 	unlogged map[model.UpstreamID]model.Instant
 	// incarnation is the current incarnation number of Self.
 	incarnation model.Incarnation
-	// now and wallSeconds are the times passed to the last Tick.
-	now         model.Instant
+	// now is the monotonic time passed to the last Tick.
+	now model.Instant
+	// wallSeconds is the time in Unix seconds passed to the last Tick.
 	wallSeconds int64
-	// startedAt is the time of the first Tick; started is set from then on.
-	started   bool
+	// started is set by the first Tick.
+	started bool
+	// startedAt is the time of the first Tick.
 	startedAt model.Instant
 	// lastSweep is when all records were last scanned.
 	lastSweep model.Instant
-	// deltaCursor is where the next Delta continues in its rotation through
-	// records that do not fit into one delta.
+	// deltaCursor is the index at which the next Delta continues its rotation
+	// through records that do not fit into one delta.
 	deltaCursor int
 	// generation increases with every change of the view.
 	generation uint64
@@ -79,7 +83,8 @@
 // service indexes the upstreams of one service that have not left.
 type service struct {
 	ids map[model.UpstreamID]bool
-	// sorted caches the view, ordered by ID. It is nil when it must be rebuilt.
+	// sorted caches the result of Upstreams, ordered by ID. It is nil when it must
+	// be rebuilt.
 	sorted []model.Upstream
 }
 
@@ -122,8 +127,8 @@
 func (d *Directory) Len() int { return d.events.len() }
 
 // Announce applies an event of an upstream that belongs to Self, and reports
-// whether it took effect. If the Directory holds a later state of the same
-// incarnation that Self did not announce, the event gets a higher epoch to
+// whether the event took effect. The Directory may hold a later state of the same
+// incarnation that Self did not announce. The event then gets a higher epoch to
 // override that state.
 func (d *Directory) Announce(e Event) bool {
 	e.Unix = d.wallSeconds
@@ -145,8 +150,10 @@
 	return applied
 }
 
-// Apply applies an event and reports whether it took effect. It rejects an event
-// that is invalid or does not take precedence over the stored event.
+// Apply applies an event and reports whether the event took effect. It ignores an
+// event that is invalid or does not take precedence over the stored event. It also
+// ignores the event of an unknown upstream if the event is an old tombstone or the
+// Directory is full.
 func (d *Directory) Apply(e Event) bool {
 	if !e.valid() {
 		return false
@@ -188,15 +195,15 @@
 
 // isOldTombstone reports whether the event is a tombstone (the event of an
 // upstream that has left) older than half of TombstoneRetention. Other daemons
-// will delete such a tombstone soon. Accepting one that is not stored here would
-// only delay the time when no daemon holds it any longer.
+// will delete such a tombstone soon. If this daemon stored the tombstone again, it
+// would only take longer until no daemon holds the tombstone.
 func (d *Directory) isOldTombstone(e Event) bool {
 	return e.State == Left && d.wallSeconds > 0 && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention/2
 }
 
-// ensureCapacity reports whether another upstream can be added. At the limit it
-// deletes the upstream that left first. If no upstream has left, it returns
-// false.
+// ensureCapacity reports whether another upstream can be added. If MaxUpstreams are
+// held, it makes space by deleting the upstream that left first. If none has left,
+// it returns false.
 func (d *Directory) ensureCapacity() bool {
 	if d.events.len() < d.opts.MaxUpstreams {
 		return true
@@ -214,8 +221,10 @@
 	return true
 }
 
-// refute overrides an event that claims a state for an upstream of Self which
-// Self did not announce. It announces the upstream again with a higher epoch.
+// refute overrides an event with a state that Self did not announce for its own
+// upstream. Such an event takes precedence over the event that Self announced for
+// the same incarnation. refute applies the announced event again with a higher
+// epoch.
 func (d *Directory) refute(e Event) {
 	own, ok := d.announced[e.Upstream.ID]
 	if !ok || !e.overrides(own) || own.Upstream.Incarnation != e.Upstream.Incarnation {
@@ -255,8 +264,8 @@
 }
 
 // Upstreams returns the upstreams of a service that have not left, ordered by
-// ID. It omits those whose daemon is dead, unless they are more than half of the
-// service; then it returns all. The slice is shared and must not be modified.
+// ID. It omits the upstreams whose daemon is dead. However, if these are more than
+// half of the service, it omits none. The slice is shared and must not be modified.
 func (d *Directory) Upstreams(name model.ServiceName) []model.Upstream {
 	s := d.services[name]
 	if s == nil {
@@ -288,8 +297,9 @@
 	return live
 }
 
-// Logged records that an event was read from the log, so that Unlogged no longer
-// returns it.
+// Logged records that an event was read from the log. From then on Unlogged does not
+// return the stored event of that upstream, unless the stored event takes precedence
+// over the event from the log.
 func (d *Directory) Logged(e Event) {
 	stored, ok := d.events.get(e.Upstream.ID)
 	if ok && !stored.overrides(e) {
@@ -297,8 +307,8 @@
 	}
 }
 
-// Unlogged returns the events that arrived at least age ago and have not yet
-// been read from the log, ordered by upstream ID.
+// Unlogged returns the stored events that have not yet been read from the log and
+// that arrived at least age ago. They are ordered by upstream ID.
 func (d *Directory) Unlogged(age time.Duration) []Event {
 	var out []Event
 	for id, since := range d.unlogged {
--- a/core/member/doc.go
+++ b/core/member/doc.go
@@ -12,12 +12,13 @@
 // the log. It follows SWIM: for each daemon the Directory keeps the Liveness with
 // the highest precedence, first by incarnation number, then by health, where
 // dead precedes suspect and suspect precedes alive. A daemon that learns that
-// others consider it suspect or dead refutes this by increasing its incarnation
-// number. The view omits the upstreams of dead daemons, unless that would omit
-// more than half of a service: in that case the observer is more likely at fault
-// than all those daemons.
+// others consider it suspect or dead refutes this claim by increasing its
+// incarnation number. The view omits the upstreams of dead daemons. However, if
+// more than half of a service's upstreams belong to dead daemons, the view omits
+// none of them. The observer is then more likely at fault than all those daemons.
 //
 // For anti-entropy, records are distributed over buckets by the hash of their
 // id. A digest consists of the hashes of all buckets. A daemon sends a peer the
-// records of the buckets in which their digests differ, the newest first.
+// records of the buckets in which their digests differ. If not all of these records
+// fit into one message, Directory.Delta selects some of them.
 package member
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -19,8 +19,8 @@
 	return Alive
 }
 
-// Suspect marks a daemon as suspect because it did not respond. It returns false
-// if nothing changed. A daemon that is already suspect or dead is not changed.
+// Suspect marks a daemon as suspect because it did not respond. It does not change a
+// daemon that is already suspect or dead. It returns false if nothing changed.
 func (d *Directory) Suspect(id model.DaemonID) bool {
 	l, _ := d.liveness.get(id)
 	if l.Health > Alive {
@@ -29,9 +29,9 @@
 	return d.ApplyLiveness(Liveness{Daemon: id, Incarnation: l.Incarnation, Health: Suspect})
 }
 
-// Answered records that a daemon responded and which incarnation number it
-// reported. It returns false if that number was already known or the daemon has
-// no liveness record.
+// Answered records that a daemon responded with the given incarnation number. A
+// higher number than the known one makes the daemon alive. Answered returns false if
+// nothing changed: the number is not higher, or the daemon has no liveness record.
 func (d *Directory) Answered(id model.DaemonID, incarnation model.Incarnation) bool {
 	l, known := d.liveness.get(id)
 	if !known || incarnation <= l.Incarnation {
@@ -40,9 +40,9 @@
 	return d.ApplyLiveness(Liveness{Daemon: id, Incarnation: incarnation, Health: Alive})
 }
 
-// ApplyLiveness applies a liveness record and reports whether it took effect.
-// Records of daemons without upstreams are ignored. A record that reports Self as
-// suspect or dead is refuted: Self gets a higher incarnation number.
+// ApplyLiveness applies a liveness record and reports whether any record changed. It
+// ignores records of daemons without upstreams. It refutes a record that reports
+// Self as suspect or dead: Self gets a higher incarnation number.
 func (d *Directory) ApplyLiveness(l Liveness) bool {
 	if !l.valid() {
 		return false
@@ -60,7 +60,8 @@
 	return d.setLiveness(l)
 }
 
-// setLiveness stores a liveness record if it takes precedence over the stored one.
+// setLiveness stores a liveness record if it takes precedence over the stored one,
+// and reports whether it did so.
 func (d *Directory) setLiveness(l Liveness) bool {
 	old, known := d.liveness.get(l.Daemon)
 	if known && !l.overrides(old) {
@@ -121,7 +122,8 @@
 	return changed
 }
 
-// expireSuspicions declares daemons dead that were suspect for SuspicionTimeout.
+// expireSuspicions declares dead the daemons that have been suspect for
+// SuspicionTimeout. It reports whether any record changed.
 func (d *Directory) expireSuspicions() bool {
 	changed := false
 	for id, since := range d.suspectedSince {
@@ -135,8 +137,8 @@
 	return changed
 }
 
-// expireDeadDaemons marks the upstreams of daemons that were dead for
-// TombstoneRetention as left.
+// expireDeadDaemons marks as left the upstreams of daemons that have been dead for
+// TombstoneRetention. It reports whether any record changed.
 func (d *Directory) expireDeadDaemons() bool {
 	changed := false
 	for id, since := range d.deadSince {
@@ -154,9 +156,10 @@
 	return changed
 }
 
-// removeUnannounced marks upstreams as left that name Self as their daemon but
+// markUnannouncedLeft marks as left the upstreams that name Self as their daemon but
 // have not been announced since Self started. It does nothing before StartupGrace
-// has passed, because running upstreams need time to announce themselves again.
+// has passed, because running upstreams need time to announce themselves again. It
+// reports whether any record changed.
 func (d *Directory) markUnannouncedLeft() bool {
 	if d.opts.Self == "" || d.now.Sub(d.startedAt) < d.opts.StartupGrace {
 		return false
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -10,8 +10,11 @@
 
 // The states.
 const (
+	// Joined upstreams are members of their service.
 	Joined State = iota + 1
+	// Draining upstreams are still members, but are about to leave.
 	Draining
+	// Left upstreams are no longer members.
 	Left
 )
 
@@ -19,8 +22,9 @@
 type Event struct {
 	Upstream model.Upstream `json:"upstream"`
 	State    State          `json:"state"`
-	// Epoch starts at 0. The upstream's daemon increments it to override a state
-	// that other daemons hold for this incarnation and that it did not announce.
+	// Epoch starts at 0. Other daemons may hold a state for this incarnation that
+	// the upstream's daemon did not announce. The upstream's daemon then increments
+	// Epoch to override that state.
 	Epoch uint64 `json:"epoch,omitempty"`
 	// Unix is the wall clock of the announcing daemon in Unix seconds. It is
 	// used only to decide when the event of an upstream that has left can be
@@ -28,7 +32,7 @@
 	Unix int64 `json:"unix,omitempty"`
 }
 
-// newer reports whether e takes precedence over other.
+// overrides reports whether e takes precedence over other.
 func (e Event) overrides(other Event) bool {
 	if e.Upstream.Incarnation != other.Upstream.Incarnation {
 		return e.Upstream.Incarnation > other.Upstream.Incarnation
@@ -41,9 +45,12 @@
 
 // Limits on the fields of an event.
 const (
+	// maxNameBytes is the maximum length of ids, names, label keys and label values.
 	maxNameBytes = 253
-	maxLabels    = 32
-	maxSlots     = 1 << 20
+	// maxLabels is the maximum number of labels.
+	maxLabels = 32
+	// maxSlots is the maximum number of slots of an upstream.
+	maxSlots = 1 << 20
 )
 
 // valid reports whether an event received from outside is complete and within
@@ -68,6 +75,7 @@
 
 // The health states, from best to worst.
 const (
+	// Alive daemons respond, as far as is known.
 	Alive Health = iota + 1
 	// Suspect daemons did not respond, neither directly nor through other
 	// daemons.
@@ -83,7 +91,7 @@
 	Health      Health            `json:"health"`
 }
 
-// newer reports whether l takes precedence over other.
+// overrides reports whether l takes precedence over other.
 func (l Liveness) overrides(other Liveness) bool {
 	if l.Incarnation != other.Incarnation {
 		return l.Incarnation > other.Incarnation
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -79,14 +79,15 @@
 	require.False(t, observer.Suspect("d"), "already suspect")
 	require.Equal(t, []string{"a", "b"}, ids(observer.Upstreams("s")), "the upstream of a suspect daemon is still in the view")
 
-	// The suspect daemon learns of it and refutes it with a higher incarnation
-	// number.
+	// The suspect daemon learns that it is suspect. It refutes this with a higher
+	// incarnation number.
 	suspect.ApplyAll(recordsOf(observer))
 	require.EqualValues(t, 8, suspect.Incarnation())
 	observer.ApplyAll(recordsOf(suspect))
 	require.Equal(t, Alive, observer.Health("d"))
 
-	// A daemon that stays suspect for SuspicionTimeout is dead until it refutes.
+	// A daemon that stays suspect for SuspicionTimeout is dead until it refutes
+	// its death with a higher incarnation number.
 	observer.Suspect("d")
 	observer.Tick(seconds(2), 1002)
 	require.Equal(t, Suspect, observer.Health("d"))
@@ -129,8 +130,8 @@
 	require.Equal(t, []string{"a"}, ids(d.Upstreams("s")))
 	require.EqualValues(t, 1, d.Events()[0].Epoch)
 
-	// An upstream of an earlier incarnation of this daemon is not announced again. It is
-	// removed after the grace period.
+	// An upstream of an earlier incarnation of this daemon is not announced again.
+	// The upstream leaves the view after StartupGrace.
 	d.Apply(event("old", "d", 1, Joined))
 	d.Tick(seconds(20), 1020)
 	require.Len(t, d.Upstreams("s"), 2, "the upstream may still be announced during the grace period")
--- a/core/member/subset.go
+++ b/core/member/subset.go
@@ -9,9 +9,10 @@
 )
 
 // Subset selects at most n upstreams of a service for one daemon to call, and
-// returns them in their original order. It uses rendezvous hashing: the subset of
-// a daemon is stable, an upstream that joins or leaves changes it by at most one
-// member, and across all daemons every upstream is selected about equally often.
+// returns them in their original order. If n is not positive, it returns all
+// upstreams. Subset uses rendezvous hashing, so the subset of a daemon is stable: an
+// upstream that joins or leaves changes the subset by at most one member. Across all
+// daemons, every upstream is selected about equally often.
 func Subset(self model.DaemonID, all []model.Upstream, n int) []model.Upstream {
 	if n <= 0 || len(all) <= n {
 		return all
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -14,14 +14,16 @@
 // table is a map of records that maintains a hash of each bucket of records. The
 // hash of a bucket is the XOR of the hashes of its records.
 type table[K ~string, V any] struct {
-	rows   map[K]row[V]
+	rows map[K]row[V]
+	// hashOf returns the hash of a record.
 	hashOf func(V) uint64
+	// hashes holds the hash of each bucket.
 	hashes [buckets]uint64
 	// seq is the number of calls to set so far.
 	seq uint64
 }
 
-// row is a record with its insertion number.
+// row is a record together with the number of the call to set that stored it.
 type row[V any] struct {
 	record V
 	seq    uint64
@@ -98,8 +100,8 @@
 	return out
 }
 
-// eventHash returns a hash of the fields that determine the precedence of an
-// event.
+// eventHash returns a hash of the upstream's ID and of the fields that determine the
+// precedence of the event.
 func eventHash(e Event) uint64 {
 	u := e.Upstream
 	b := make([]byte, 0, 64)
--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -13,9 +13,10 @@
 // ErrRecord is returned for bytes that are not valid encoded records.
 var ErrRecord = errors.New("quarantine records cannot be read")
 
-// Append appends the encoding of the record to b: the fingerprint, service,
-// caller and request, the crashes, and the times. Numbers are encoded as varints
-// and strings with a length prefix. Equal records have equal encodings.
+// Append appends the encoding of the record to b and returns the result. The
+// encoding consists of the fingerprint, service, caller and request, the crashes,
+// and the times. Numbers are encoded as varints and strings with a length prefix.
+// Equal records have equal encodings.
 func (r *Record) Append(b []byte) []byte {
 	b = append(b, r.Fingerprint[:]...)
 	b = appendText(b, string(r.Service))
@@ -104,10 +105,10 @@
 	return r
 }
 
-// normalizeCrashes sorts the crashes, so that their order does not depend on the
-// order of arrival, and keeps the oldest maxCrashes. Newer crashes are dropped
-// because each of them would delay the quarantine by another reportDelay: a
-// request that keeps crashing upstreams would never be quarantined.
+// normalizeCrashes sorts the crashes and keeps only the oldest maxCrashes. The
+// sorted order does not depend on the order of arrival. Newer crashes are dropped
+// because each of them would delay the quarantine by another reportDelay. A
+// request that keeps crashing upstreams would then never be quarantined.
 func (r *Record) normalizeCrashes() {
 	slices.SortFunc(r.Crashes, CrashReport.compare)
 	r.Crashes = r.Crashes[:min(len(r.Crashes), maxCrashes)]
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -10,16 +10,16 @@
 // requests with its fingerprint.
 //
 // Requests that only happened to run at the same time as the cause of a crash
-// must not be quarantined. Three rules protect them. A suspected request that
-// later gets a complete response is cleared. When a request is quarantined, its
-// crashes are removed from the records of the service's other requests, so that
-// those that only ran at the same time are no longer suspected. And when more
-// than maxQuarantinedTogether requests ran during the same crashes, none of them
-// is quarantined until another crash distinguishes them.
+// must not be quarantined. Three rules protect them. First, a suspected request
+// that later gets a complete response is cleared. Second, when a request is
+// quarantined, its crashes are removed from the records of the service's other
+// requests. Requests that only ran at the same time are then no longer suspected.
+// Third, when more than maxQuarantinedTogether requests ran during the same
+// crashes, none of them is quarantined until another crash distinguishes them.
 //
-// A Table is a set of records that daemons exchange in any order: which requests
-// ran during which crash, when a request was cleared or released by an operator,
-// and until when it is quarantined. For each of these the newest value wins, so
-// Tables that have merged the same records agree. The size of a Table and of
-// each record is bounded.
+// A Table is a set of records that daemons exchange in any order. A record holds
+// the crashes during which a request was running, the time at which the request
+// was last cleared or released by an operator, and the end of its quarantine. For
+// each of these the newest value wins. Tables that have merged the same records
+// therefore agree. The size of a Table and of each record is bounded.
 package quarantine
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -22,15 +22,15 @@
 	Caller  model.CallerName
 	Method  string
 	Target  string
-	// Body is the complete body. It is nil for a streamed body, of which the
-	// fingerprint covers only the Length.
+	// Body is the complete body, or nil for a streamed body. Of a streamed body
+	// the fingerprint covers only the Length.
 	Body   []byte
 	Length int64
 }
 
-// FingerprintOf returns the fingerprint of a request: SHA-256 truncated to 128
-// bits, so that nobody can construct a different request with the same
-// fingerprint.
+// FingerprintOf returns the fingerprint of a request, a SHA-256 truncated to 128
+// bits. A cryptographic hash is used so that nobody can construct a different
+// request with the same fingerprint.
 func FingerprintOf(r Request) Fingerprint {
 	h := sha256.New()
 	part := func(b []byte) {
@@ -99,21 +99,22 @@
 	Caller      model.CallerName  `json:"caller"`
 	// Request is method and target, truncated to maxRequestBytes.
 	Request string `json:"request"`
-	// Crashes are the oldest crashes, at most maxCrashes, during which the
-	// request was running since it was cleared.
+	// Crashes are the crashes during which the request was running since it was
+	// last cleared. Only the oldest maxCrashes are kept.
 	Crashes []CrashReport `json:"deaths,omitempty"`
 	// ClearedAt is when the request last got a complete response or was released
-	// by an operator, in Unix milliseconds. Crashes up to then do not count.
+	// by an operator, in Unix milliseconds. Crashes up to ClearedAt do not count.
 	ClearedAt int64 `json:"cleared,omitempty"`
 	// QuarantinedAt is the time of the newest crash in the record when the request
-	// was quarantined, and Until is the end of the quarantine, in Unix
-	// milliseconds. The quarantine is lifted when ClearedAt is not earlier than
-	// QuarantinedAt.
+	// was quarantined, in Unix milliseconds. If ClearedAt is at or after
+	// QuarantinedAt, the quarantine is lifted.
 	QuarantinedAt int64 `json:"condemned,omitempty"`
-	Until         int64 `json:"until,omitempty"`
+	// Until is the end of the quarantine in Unix milliseconds.
+	Until int64 `json:"until,omitempty"`
 }
 
-// Refused reports whether the request is under quarantine at the given time.
+// Refused reports whether the request is under quarantine at the given time, in
+// Unix milliseconds.
 func (r *Record) Refused(now int64) bool { return r.QuarantinedAt > r.ClearedAt && now < r.Until }
 
 // pruneCleared removes the crashes up to ClearedAt and returns the others.
@@ -153,7 +154,8 @@
 	return c
 }
 
-// expired reports whether the quarantine and the retention have both ended.
+// expired reports whether the record can be deleted. That is the case when its
+// retention and its quarantine have both ended.
 func (r *Record) expired(now int64) bool {
 	return max(r.lastUpdate()+retention.Milliseconds(), r.Until) < now
 }
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -11,8 +11,8 @@
 const (
 	// maxRecords is the maximum number of records in a Table. A full Table
 	// evicts the record with the fewest crashes, and of several such records
-	// the oldest. Records under quarantine are never evicted. A Table that
-	// contains only such records accepts no others.
+	// the oldest. Records under quarantine are never evicted. A full Table that
+	// contains only records under quarantine accepts no others.
 	maxRecords = 1024
 	// maxCrashes is the maximum number of crashes stored per request.
 	maxCrashes = 4
@@ -24,9 +24,9 @@
 	// retention is how long a record is kept after its last update. A record
 	// under quarantine is kept at least until the quarantine ends.
 	retention = 30 * time.Minute
-	// reportDelay is how long the reports of the other requests that ran during
-	// a crash may take to arrive. No request is quarantined until this time has
-	// passed since its last crash.
+	// reportDelay is the time allowed for the arrival of crash reports from other
+	// daemons. Such reports show which other requests ran during the same crash.
+	// No request is quarantined until reportDelay has passed since its last crash.
 	reportDelay = 500 * time.Millisecond
 	// maxClockSkew is how far in the future the times of a peer's record may be.
 	maxClockSkew = time.Minute
@@ -61,7 +61,8 @@
 // Version returns a number that increases with every change of the table.
 func (t *Table) Version() uint64 { return t.version }
 
-// Refused reports whether a request is under quarantine, and until when.
+// Refused reports whether a request is under quarantine. If it is, Refused also
+// returns the end of the quarantine.
 func (t *Table) Refused(now int64, f Fingerprint) (until int64, ok bool) {
 	r := t.records[f]
 	if r == nil || !r.Refused(now) {
@@ -108,8 +109,9 @@
 	return enoughCrashes && !r.Refused(now) && now >= r.lastUpdate()+reportDelay.Milliseconds()
 }
 
-// RecordResponse records that a request got a complete response. This clears the
-// crashes recorded for it so far. It does not lift a quarantine.
+// RecordResponse records that a request got a complete response. The response
+// clears the crashes recorded for the request so far. It does not lift a
+// quarantine.
 func (t *Table) RecordResponse(now int64, f Fingerprint) {
 	if r := t.records[f]; r != nil && !r.Refused(now) && len(r.pruneCleared()) > 0 {
 		t.clear(now, r)
@@ -128,8 +130,8 @@
 	return true
 }
 
-// clear removes the crashes of a record up to the given time and lifts a
-// quarantine that began no later.
+// clear removes the crashes of a record up to the given time. If QuarantinedAt is
+// not later than that time, clear also lifts the quarantine.
 func (t *Table) clear(at int64, r *Record) {
 	r.ClearedAt = at
 	r.pruneCleared()
@@ -186,9 +188,9 @@
 	}
 }
 
-// Merge merges a record, of this daemon or another, into the table and reports
-// whether anything changed. It ignores records whose times are more than
-// maxClockSkew in the future.
+// Merge merges a record into the table and reports whether anything changed. The
+// record may come from this daemon or another one. Merge ignores records whose
+// times, except Until, are more than maxClockSkew in the future.
 func (t *Table) Merge(now int64, in Record) bool {
 	if in.lastUpdate() > now+maxClockSkew.Milliseconds() {
 		return false
@@ -207,8 +209,10 @@
 	return true
 }
 
-// unattributed returns the crashes of a record that are not attributed to another
-// request of the service that is already under quarantine.
+// unattributed returns the crashes of a record that may count against its request.
+// It leaves out the crashes that are recorded for another request of the same
+// service that is already under quarantine: such crashes are attributed to that
+// request.
 func (t *Table) unattributed(now int64, in Record) []CrashReport {
 	var out []CrashReport
 	for _, c := range in.Crashes {
@@ -248,13 +252,14 @@
 	return changed
 }
 
-// shouldKeep reports whether a crash would be among the oldest maxCrashes.
+// shouldKeep reports whether a crash that is not yet in the record would be among
+// its oldest maxCrashes.
 func (r *Record) shouldKeep(c CrashReport) bool {
 	return len(r.Crashes) < maxCrashes || c.compare(slices.MaxFunc(r.Crashes, CrashReport.compare)) < 0
 }
 
-// add adds an empty record for the request of another record. It returns nil if
-// there is no space.
+// add adds to the table an empty record for the same request as the given record,
+// and returns it. It returns nil if the table is full and nothing can be evicted.
 func (t *Table) add(now int64, in Record) *Record {
 	if len(t.records) >= maxRecords && !t.evict(now, &in) {
 		return nil
@@ -264,9 +269,10 @@
 	return r
 }
 
-// evict deletes the least important record that is not under quarantine. If the
-// new record is even less important, evict deletes nothing and returns false, so
-// that the full tables of all daemons hold the same records.
+// evict deletes the least important record that is not under quarantine, to make
+// space for the new record. If the new record is even less important, evict
+// deletes nothing and returns false. The full tables of all daemons therefore hold
+// the same records.
 func (t *Table) evict(now int64, in *Record) bool {
 	var least *Record
 	for _, r := range t.records {
@@ -282,9 +288,9 @@
 }
 
 // quarantine quarantines a request together with the other requests that ran
-// during all of its crashes. It does nothing if there are more than
-// maxQuarantinedTogether of them: the crashes do not tell which one is the cause,
-// and most would be refused by mistake.
+// during all of its crashes. If these are more than maxQuarantinedTogether
+// requests in total, quarantine does nothing: the crashes do not tell which
+// request is the cause, and most of the requests would be refused by mistake.
 func (t *Table) quarantine(r *Record) {
 	rule := t.opts.Rule(r.Service)
 	suspected := t.inSameCrashes(r)
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -62,8 +62,8 @@
 	require.False(t, refused(table, 62_000, "/crash"), "after the quarantine has ended")
 }
 
-// TestRapidCrashesDoNotDelayQuarantine guards against a request that crashes
-// upstreams at intervals shorter than reportDelay and is never quarantined.
+// TestRapidCrashesDoNotDelayQuarantine guards against a request that is never
+// quarantined because it crashes upstreams at intervals shorter than reportDelay.
 func TestRapidCrashesDoNotDelayQuarantine(t *testing.T) {
 	table := newTable()
 	const interval, crashes = 100, 30
@@ -120,8 +120,9 @@
 	require.False(t, table.Release(3000, FingerprintOf(request("/unknown"))))
 }
 
-// TestMergeOrderDoesNotMatter merges the same records into two tables in
-// different orders, into one of them twice.
+// TestMergeOrderDoesNotMatter merges the same records into two tables in different
+// orders, and merges them into the second table twice. Both tables must then
+// refuse the same requests.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 50 {
