--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -52,6 +52,7 @@
 // Ceiling enforces one daemon's share of a ceiling. It is not safe for
 // concurrent use.
 type Ceiling struct {
+	// key is the hash of the ceiling's Key.
 	key     uint64
 	self    Daemon
 	limits  Limits
--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -155,7 +155,9 @@
 	require.GreaterOrEqual(t, f.maxInFlight, ceiling-1, "steady: ceiling not used up")
 }
 
-// TestSlotSharesSumToTotal divides random numbers of slots by random demand.
+// TestSlotSharesSumToTotal divides a random number of slots among daemons with
+// random demand. The slots of all daemons must add up to the total, or to zero if no
+// daemon has demand.
 func TestSlotSharesSumToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 500).Draw(t, "slots")
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -144,7 +144,7 @@
 	keys int
 }
 
-// profiles favor different failures. The seed of a schedule selects the profile.
+// Each of the profiles favors different failures. The seed of a schedule selects the profile.
 var profiles = [...]profile{
 	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keys: modelKeys},
 	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keys: 2},
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -19,9 +19,11 @@
 	// change is accepted only if that is still the current version.
 	Base   model.Version `json:"base"`
 	Author string        `json:"author,omitempty"`
-	// Comment is the reason for the change, for the history.
+	// Comment is the operator's reason for the change. It is kept only for the
+	// history of changes.
 	Comment string `json:"comment,omitempty"`
-	// UnixMilli is the operator's wall clock, for the history only.
+	// UnixMilli is the operator's wall clock in Unix milliseconds. It is kept only
+	// for the history of changes.
 	UnixMilli int64                           `json:"unix_ms,omitempty"`
 	Put       map[DocumentKey]json.RawMessage `json:"put,omitempty"`
 	Delete    []DocumentKey                   `json:"delete,omitempty"`
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -111,6 +111,7 @@
 	return checkpoints[key]
 }
 
+// action is a change of the model's state, by which a history grows by one step.
 type action struct {
 	name string
 	do   func(*world)
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -18,8 +18,9 @@
 	Next uint64 `json:"next"`
 	// Chain is the head of the hash chain over all accepted changes.
 	Chain Digest `json:"chain"`
-	// ChangeID and Author identify the change that created this version.
-	ChangeID  string                          `json:"change_id"`
+	// ChangeID is the ID of the change that created this version.
+	ChangeID string `json:"change_id"`
+	// Author is the author of the change that created this version.
 	Author    string                          `json:"author"`
 	Documents map[DocumentKey]json.RawMessage `json:"documents"`
 	// IDs are the hashes of the ids of the last changes, oldest first.
--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -66,8 +66,8 @@
 	// Slots is the number of requests that the upstream runs concurrently. Zero
 	// means unknown.
 	Slots int
-	// WarmupLeft is the remaining warm-up time, during which the upstream is slow
-	// after its start.
+	// WarmupLeft is the remaining warm-up time. An upstream is slow during the
+	// warm-up after its start.
 	WarmupLeft time.Duration
 }
 
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -58,8 +58,8 @@
 	// upstreamsPerDaemon counts the upstreams held for each daemon. No state is
 	// kept for daemons without upstreams.
 	upstreamsPerDaemon map[model.DaemonID]int
-	// unlogged holds the events that have not yet been read from the log, with
-	// the time at which they arrived.
+	// unlogged holds the upstreams whose stored event has not yet been read from
+	// the log. The value is the time at which the event arrived.
 	unlogged map[model.UpstreamID]model.Instant
 	// incarnation is the current incarnation number of Self.
 	incarnation model.Incarnation
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -104,9 +104,11 @@
 // sweepInterval is the interval between scans of all records.
 const sweepInterval = 5 * time.Second
 
-// Tick sets the current time, as a monotonic clock reading and in Unix seconds,
-// and runs the timeouts that have expired. It reports whether any record
-// changed. It must be called at least once per second.
+// Tick sets the current time, as a monotonic clock reading and in Unix seconds. It
+// then applies the timeouts that have expired: it declares daemons dead, marks
+// upstreams as left and deletes old tombstones. It reports whether a daemon was
+// declared dead or an upstream marked as left. Tick must be called at least once per
+// second.
 func (d *Directory) Tick(now model.Instant, unix int64) bool {
 	if !d.started {
 		d.started, d.startedAt = true, now
