--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestRateCeilingError checks how far the admitted rate of twelve daemons is
-// from the ceiling in the steady state, and while all demand moves from three
-// daemons to six others.
+// TestRateCeilingError checks how far the admitted rate of twelve daemons is from
+// the ceiling. It checks the steady state, and the time in which all demand moves
+// from three daemons to six others.
 func TestRateCeilingError(t *testing.T) {
 	const ceiling = 600
 	f := newFleet(12, Limits{Rate: ceiling})
@@ -155,7 +155,9 @@
 	require.GreaterOrEqual(t, f.maxInFlight, ceiling-1, "steady: ceiling not used up")
 }
 
-// TestSlotSharesSumToTotal divides random numbers of slots by random demand.
+// TestSlotSharesSumToTotal divides a random number of slots among daemons with
+// random demand. The slots of all daemons must add up to the total, or to zero if no
+// daemon has demand.
 func TestSlotSharesSumToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 500).Draw(t, "slots")
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -21,8 +21,8 @@
 	return l
 }
 
-// newRequest returns a request whose key has the given timestamp and is unique for
-// each n.
+// newRequest returns a request whose key has the given timestamp. For the same
+// timestamp, different values of n give different keys.
 func newRequest(stamp Stamp, n int, caller model.CallerName) Request {
 	return Request{ID: ID{Caller: caller, Key: NewKey(stamp, [10]byte{9: byte(n), 8: byte(n >> 8)})}, Group: "sorters"}
 }
@@ -104,9 +104,9 @@
 func TestHandoverTransfersClaimsAndAnswers(t *testing.T) {
 	successor := Owner{Daemon: "127.0.0.1:7002", Incarnation: 12}
 	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
-	done, inFlight, fresh := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
-	from.Begin(l, done)
-	from.Finish(done.ID, outcome.Answered, &Answer{Status: 200, Body: []byte("paid")})
+	answeredRequest, inFlight, neverSubmitted := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
+	from.Begin(l, answeredRequest)
+	from.Finish(answeredRequest.ID, outcome.Answered, &Answer{Status: 200, Body: []byte("paid")})
 	from.Begin(l, inFlight)
 	from.Expire(40)
 	from.Seal()
@@ -117,17 +117,17 @@
 	require.NoError(t, to.Import(parts[0]), "a second delivery changes nothing")
 	require.Equal(t, 2, to.Len())
 
-	decision, _ := to.Begin(l, done)
+	decision, _ := to.Begin(l, answeredRequest)
 	require.Equal(t, NotOwner, decision, "before the transfer is on the log")
 	l.Apply(1, Record{Transfer: &Transfer{From: self.Incarnation, To: successor}})
-	decision, a := to.Begin(l, done)
+	decision, a := to.Begin(l, answeredRequest)
 	require.Equal(t, Replay, decision)
 	require.Equal(t, "paid", string(a.Body))
 	decision, _ = to.Begin(l, inFlight)
 	require.Equal(t, OutcomeUnknown, decision)
 	decision, _ = to.Begin(l, newRequest(39, 4, "a"))
 	require.Equal(t, Expired, decision, "the earlier owner may have deleted the claim")
-	decision, _ = to.Begin(l, fresh)
+	decision, _ = to.Begin(l, neverSubmitted)
 	require.Equal(t, Run, decision)
 }
 
@@ -205,9 +205,9 @@
 	ownedRanges := func() map[model.DaemonID]int {
 		owned := map[model.DaemonID]int{}
 		for r := range Range(64) {
-			in, ownership := l.Lookup(r, now)
+			interval, ownership := l.Lookup(r, now)
 			require.Equal(t, Owned, ownership, "range %d has no owner", r)
-			owned[in.Owner.Daemon]++
+			owned[interval.Owner.Daemon]++
 		}
 		return owned
 	}
@@ -220,9 +220,10 @@
 	require.Len(t, ownedRanges(), 2, "other daemons take over the ranges of a silent owner without a gap")
 }
 
-// TestPlannerStartedFirstLeavesRangesToOthers guards against the daemon that
-// starts first, and does not know other candidates yet, owning every range for a
-// full grant length. The short grants during startup prevent this.
+// TestPlannerStartedFirstLeavesRangesToOthers guards against a daemon that owns
+// every range for a full grant length. The daemon that starts first does not know
+// the other candidates yet, so it requests all ranges. Its grants during startup are
+// short to prevent this.
 func TestPlannerStartedFirstLeavesRangesToOthers(t *testing.T) {
 	const grantLength = 60 * time.Second
 	l := NewLedger(64, 0)
@@ -245,9 +246,9 @@
 	}
 	owned := map[model.DaemonID]int{}
 	for r := range Range(64) {
-		in, ownership := l.Lookup(r, 1_010_000)
+		interval, ownership := l.Lookup(r, 1_010_000)
 		require.Equal(t, Owned, ownership, "range %d", r)
-		owned[in.Owner.Daemon]++
+		owned[interval.Owner.Daemon]++
 	}
 	require.Greater(t, owned["b:1"], 16, "%v", owned)
 }
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -19,9 +19,11 @@
 	// change is accepted only if that is still the current version.
 	Base   model.Version `json:"base"`
 	Author string        `json:"author,omitempty"`
-	// Comment is the reason for the change, for the history.
+	// Comment is the operator's reason for the change. It is kept only for the
+	// history of changes.
 	Comment string `json:"comment,omitempty"`
-	// UnixMilli is the operator's wall clock, for the history only.
+	// UnixMilli is the operator's wall clock in Unix milliseconds. It is kept only
+	// for the history of changes.
 	UnixMilli int64                           `json:"unix_ms,omitempty"`
 	Put       map[DocumentKey]json.RawMessage `json:"put,omitempty"`
 	Delete    []DocumentKey                   `json:"delete,omitempty"`
@@ -37,15 +39,16 @@
 	// Superseded means that the base of the change is older than the current
 	// version.
 	Superseded
-	// Duplicate means that a change with the same ID was applied before.
+	// Duplicate means that there was an earlier change with the same ID, whether
+	// or not it was accepted.
 	Duplicate
 	// Invalid means that the documents of the change do not compile, that its
 	// base does not exist yet, or that the configuration would become too large.
 	Invalid
 	// Ignored means that the record is a checkpoint or is unreadable.
 	Ignored
-	// OutOfOrder means that the offset of the record is not the next one. The
-	// record was not applied.
+	// OutOfOrder means that the offset of the record is not that of the next
+	// record to apply. The record was not applied.
 	OutOfOrder
 )
 
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -20,11 +20,12 @@
 	chainPrefixSize = 8
 	// digestSize is the size of an encoded digest, which has five fields.
 	digestSize = 8 + 8 + chainPrefixSize + 8 + 8
-	// chunkHeaderSize is the size of the header of a chunk: the kind of delta, the
-	// checkpoint's id and size, and the offset of the chunk in the checkpoint.
+	// chunkHeaderSize is the size of the header of a chunk. The header consists of
+	// the kind of delta, the checkpoint's id and size, and the offset of the chunk
+	// in the checkpoint.
 	chunkHeaderSize = 1 + 8 + 8 + 8
-	// recordsHeaderSize is the size of the header of a delta of records: the kind
-	// of delta and the offset of the first record.
+	// recordsHeaderSize is the size of the header of a delta of records. The header
+	// consists of the kind of delta and the offset of the first record.
 	recordsHeaderSize = 1 + 8
 	// lengthPrefixSize is the size of the length before each record.
 	lengthPrefixSize = 4
@@ -39,15 +40,16 @@
 	data []byte
 }
 
-// digest summarizes the state of a StateMachine, so that another daemon can
-// determine which records it lacks.
-type digest struct {
+// stateDigest summarizes the state of a StateMachine. From this summary, another
+// daemon determines which records the StateMachine lacks.
+type stateDigest struct {
 	next    uint64
 	version uint64
-	chain   [chainPrefixSize]byte
-	// partialID is the id of the checkpoint that the StateMachine is receiving,
-	// and partialBytes how much of it has been received.
-	partialID    uint64
+	// chain is the prefix of the head of the hash chain.
+	chain [chainPrefixSize]byte
+	// partialID is the id of the checkpoint that the StateMachine is receiving.
+	partialID uint64
+	// partialBytes is the number of bytes of this checkpoint received so far.
 	partialBytes uint64
 }
 
@@ -62,11 +64,11 @@
 	return binary.BigEndian.AppendUint64(b, uint64(len(m.partial.data)))
 }
 
-func parseDigest(b []byte) (digest, bool) {
+func parseStateDigest(b []byte) (stateDigest, bool) {
 	if len(b) != digestSize {
-		return digest{}, false
+		return stateDigest{}, false
 	}
-	d := digest{next: binary.BigEndian.Uint64(b), version: binary.BigEndian.Uint64(b[8:])}
+	d := stateDigest{next: binary.BigEndian.Uint64(b), version: binary.BigEndian.Uint64(b[8:])}
 	copy(d.chain[:], b[16:])
 	d.partialID = binary.BigEndian.Uint64(b[16+chainPrefixSize:])
 	d.partialBytes = binary.BigEndian.Uint64(b[24+chainPrefixSize:])
@@ -74,34 +76,35 @@
 }
 
 // Conflicts reports whether the daemon that sent the digest has a different hash
-// chain at the same offset. It returns false if it cannot compare the two.
+// chain at the same offset. It returns false if the digest is malformed, or if the
+// hash chain at that offset is not known here.
 func (m *StateMachine) Conflicts(peerDigest []byte) bool {
-	d, ok := parseDigest(peerDigest)
+	d, ok := parseStateDigest(peerDigest)
 	if !ok || d.next > m.state.Next {
 		return false
 	}
 	if d.next == m.state.Next {
 		return d.chain != [chainPrefixSize]byte(m.state.Chain[:chainPrefixSize])
 	}
-	records, ok := m.recent.from(d.next)
+	records, ok := m.recent.startingAt(d.next)
 	return ok && d.chain != [chainPrefixSize]byte(records[0].chainBefore[:chainPrefixSize])
 }
 
 // Delta returns an update for the daemon that sent the digest, in at most limit
-// bytes: the records that follow its own or, if these are no longer kept, a chunk
-// of a checkpoint. It returns nil if the daemon lacks nothing or its state
-// conflicts.
+// bytes. The update holds the records that follow the records of that daemon. If
+// these are no longer kept, or not even one of them fits, the update is a chunk of a
+// checkpoint. Delta returns nil if the daemon lacks nothing or its state conflicts.
 func (m *StateMachine) Delta(peerDigest []byte, limit int) []byte {
-	d, ok := parseDigest(peerDigest)
+	d, ok := parseStateDigest(peerDigest)
 	if !ok || d.next >= m.state.Next || m.Conflicts(peerDigest) {
 		return nil
 	}
-	if records, ok := m.recent.from(d.next); ok {
+	if records, ok := m.recent.startingAt(d.next); ok {
 		if delta := encodeRecords(d.next, records, limit); delta != nil {
 			return delta
 		}
 	}
-	return m.chunk(d, limit)
+	return m.nextChunk(d, limit)
 }
 
 // encodeRecords returns a delta with as many records as fit into limit bytes, or
@@ -121,34 +124,36 @@
 	return b
 }
 
-// chunk returns the next chunk of the checkpoint that the sender of the digest
-// needs, continuing after the bytes that it has already received.
-func (m *StateMachine) chunk(d digest, limit int) []byte {
+// nextChunk returns a delta with the next chunk of the checkpoint that the sender of
+// the digest needs. The chunk begins after the bytes that the sender has already
+// received.
+func (m *StateMachine) nextChunk(d stateDigest, limit int) []byte {
 	data := m.checkpointFor(d.next)
 	if data == nil || limit <= chunkHeaderSize {
 		return nil
 	}
 	id := xxhash.Sum64(data)
-	var from uint64
+	var start uint64
 	if d.partialID == id && d.partialBytes < uint64(len(data)) {
-		from = d.partialBytes
+		start = d.partialBytes
 	}
 	b := []byte{deltaChunk}
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = binary.BigEndian.AppendUint64(b, uint64(len(data)))
-	b = binary.BigEndian.AppendUint64(b, from)
-	rest := data[from:]
+	b = binary.BigEndian.AppendUint64(b, start)
+	rest := data[start:]
 	return append(b, rest[:min(len(rest), limit-chunkHeaderSize)]...)
 }
 
-// checkpointFor returns the cached checkpoint in encoded form, for a daemon whose
-// next offset is given. It first replaces the cached checkpoint with one of the
-// current state if the cached one is not ahead of that daemon, or if the records
-// that follow it are no longer kept.
+// checkpointFor returns an encoded checkpoint for a daemon whose next offset is
+// given, or nil if the state cannot be encoded. It returns the cached checkpoint if
+// that checkpoint is ahead of the daemon and the records that follow it are still
+// kept. Otherwise it first replaces the cached checkpoint with one of the current
+// state.
 func (m *StateMachine) checkpointFor(next uint64) []byte {
-	_, continuable := m.recent.from(m.cached.state.Next)
-	continuable = continuable || m.cached.state.Next == m.state.Next
-	if m.cached.state.Next <= next || !continuable {
+	_, canContinue := m.recent.startingAt(m.cached.state.Next)
+	canContinue = canContinue || m.cached.state.Next == m.state.Next
+	if m.cached.state.Next <= next || !canContinue {
 		m.cached = cachedCheckpoint{state: m.state.clone()}
 	}
 	if m.cached.encoded == nil {
@@ -167,8 +172,9 @@
 )
 
 // ApplyDelta applies a delta and returns the results of the records that it
-// applied. It skips records that do not follow the StateMachine's own prefix of
-// the log.
+// applied. It skips records whose offset is not that of the next record to apply.
+// It returns an error if the delta is malformed, or if the delta completes a
+// checkpoint that cannot be read or conflicts with the current state.
 func (m *StateMachine) ApplyDelta(delta []byte) ([]Result, error) {
 	if len(delta) == 0 {
 		return nil, errDelta
@@ -219,25 +225,25 @@
 	return first, records, nil
 }
 
-// applyChunk adds a chunk to the partial checkpoint and adopts the checkpoint
-// when it is complete. The first chunk of a different checkpoint discards the
-// partial one. Other chunks that do not continue the partial checkpoint are
-// ignored.
+// applyChunk adds a chunk to the partial checkpoint. When the checkpoint is
+// complete, the StateMachine adopts its state. The first chunk of a different
+// checkpoint replaces the partial checkpoint. Other chunks that do not continue the
+// partial checkpoint are ignored.
 func (m *StateMachine) applyChunk(delta []byte) error {
 	if len(delta) <= chunkHeaderSize {
 		return errDelta
 	}
 	id := binary.BigEndian.Uint64(delta[1:])
 	size := binary.BigEndian.Uint64(delta[9:])
-	from := binary.BigEndian.Uint64(delta[17:])
+	start := binary.BigEndian.Uint64(delta[17:])
 	chunk := delta[chunkHeaderSize:]
-	if size > maxUncompressedCheckpoint || from > size || uint64(len(chunk)) > size-from {
+	if size > maxUncompressedCheckpoint || start > size || uint64(len(chunk)) > size-start {
 		return errDelta
 	}
-	if from == 0 && (m.partial.id != id || m.partial.size != size) {
+	if start == 0 && (m.partial.id != id || m.partial.size != size) {
 		m.partial = partialCheckpoint{id: id, size: size}
 	}
-	if m.partial.id != id || m.partial.size != size || from != uint64(len(m.partial.data)) {
+	if m.partial.id != id || m.partial.size != size || start != uint64(len(m.partial.data)) {
 		return nil
 	}
 	m.partial.data = append(m.partial.data, chunk...)
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -10,8 +10,11 @@
 
 // The states.
 const (
+	// Joined upstreams are members of their service.
 	Joined State = iota + 1
+	// Draining upstreams are still members, but are about to leave.
 	Draining
+	// Left upstreams are no longer members.
 	Left
 )
 
@@ -19,8 +22,9 @@
 type Event struct {
 	Upstream model.Upstream `json:"upstream"`
 	State    State          `json:"state"`
-	// Epoch starts at 0. The upstream's daemon increments it to override a state
-	// that other daemons hold for this incarnation and that it did not announce.
+	// Epoch starts at 0. Other daemons may hold a state for this incarnation that
+	// the upstream's daemon did not announce. The upstream's daemon then increments
+	// Epoch to override that state.
 	Epoch uint64 `json:"epoch,omitempty"`
 	// Unix is the wall clock of the announcing daemon in Unix seconds. It is
 	// used only to decide when the event of an upstream that has left can be
@@ -28,8 +32,8 @@
 	Unix int64 `json:"unix,omitempty"`
 }
 
-// newer reports whether e takes precedence over other.
-func (e Event) newer(other Event) bool {
+// overrides reports whether e takes precedence over other.
+func (e Event) overrides(other Event) bool {
 	if e.Upstream.Incarnation != other.Upstream.Incarnation {
 		return e.Upstream.Incarnation > other.Upstream.Incarnation
 	}
@@ -41,9 +45,12 @@
 
 // Limits on the fields of an event.
 const (
-	maxName   = 253
+	// maxNameBytes is the maximum length of ids, names, label keys and label values.
+	maxNameBytes = 253
+	// maxLabels is the maximum number of labels.
 	maxLabels = 32
-	maxSlots  = 1 << 20
+	// maxSlots is the maximum number of slots of an upstream.
+	maxSlots = 1 << 20
 )
 
 // valid reports whether an event received from outside is complete and within
@@ -51,16 +58,16 @@
 func (e Event) valid() bool {
 	u := e.Upstream
 	for _, name := range []string{string(u.ID), string(u.Service), string(u.Daemon)} {
-		if name == "" || len(name) > maxName {
+		if name == "" || len(name) > maxNameBytes {
 			return false
 		}
 	}
 	for k, v := range u.Labels {
-		if len(k) > maxName || len(v) > maxName {
+		if len(k) > maxNameBytes || len(v) > maxNameBytes {
 			return false
 		}
 	}
-	return len(u.Zone) <= maxName && len(u.Labels) <= maxLabels && u.Slots > 0 && u.Slots <= maxSlots && e.State >= Joined && e.State <= Left
+	return len(u.Zone) <= maxNameBytes && len(u.Labels) <= maxLabels && u.Slots > 0 && u.Slots <= maxSlots && e.State >= Joined && e.State <= Left
 }
 
 // Health is the state of a daemon as determined by failure detection.
@@ -68,6 +75,7 @@
 
 // The health states, from best to worst.
 const (
+	// Alive daemons respond, as far as is known.
 	Alive Health = iota + 1
 	// Suspect daemons did not respond, neither directly nor through other
 	// daemons.
@@ -83,8 +91,8 @@
 	Health      Health            `json:"health"`
 }
 
-// newer reports whether l takes precedence over other.
-func (l Liveness) newer(other Liveness) bool {
+// overrides reports whether l takes precedence over other.
+func (l Liveness) overrides(other Liveness) bool {
 	if l.Incarnation != other.Incarnation {
 		return l.Incarnation > other.Incarnation
 	}
@@ -92,5 +100,5 @@
 }
 
 func (l Liveness) valid() bool {
-	return l.Daemon != "" && len(l.Daemon) <= maxName && l.Health >= Alive && l.Health <= Dead
+	return l.Daemon != "" && len(l.Daemon) <= maxNameBytes && l.Health >= Alive && l.Health <= Dead
 }
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -62,18 +62,18 @@
 	require.False(t, refused(table, 62_000, "/crash"), "after the quarantine has ended")
 }
 
-// TestRapidCrashesDoNotDelayQuarantine guards against a request that crashes
-// upstreams at intervals shorter than reportDelay and is never quarantined.
+// TestRapidCrashesDoNotDelayQuarantine guards against a request that is never
+// quarantined because it crashes upstreams at intervals shorter than reportDelay.
 func TestRapidCrashesDoNotDelayQuarantine(t *testing.T) {
 	table := newTable()
-	const every, crashes = 100, 30
+	const interval, crashes = 100, 30
 	for i := range crashes {
-		now := int64(1000 + i*every)
+		now := int64(1000 + i*interval)
 		table.RecordCrash(now, FingerprintOf(request("/crash")), request("/crash"), crash(i))
 		table.Evaluate(now)
 	}
-	require.True(t, refused(table, 1000+(maxCrashes-1)*every+reportDelay.Milliseconds()+every, "/crash"))
-	require.EqualValues(t, 1000+(maxCrashes-1)*every, table.List()[0].QuarantinedAt, "quarantined for its oldest crashes")
+	require.True(t, refused(table, 1000+(maxCrashes-1)*interval+reportDelay.Milliseconds()+interval, "/crash"))
+	require.EqualValues(t, 1000+(maxCrashes-1)*interval, table.List()[0].QuarantinedAt, "quarantined for its oldest crashes")
 }
 
 func TestAnsweredRequestIsCleared(t *testing.T) {
@@ -120,8 +120,9 @@
 	require.False(t, table.Release(3000, FingerprintOf(request("/unknown"))))
 }
 
-// TestMergeOrderDoesNotMatter merges the same records into two tables in
-// different orders, into one of them twice.
+// TestMergeOrderDoesNotMatter merges the same records into two tables in different
+// orders, and merges them into the second table twice. Both tables must then
+// refuse the same requests.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 50 {
@@ -195,11 +196,11 @@
 		f := FingerprintOf(r)
 		require.False(t, seen[f], "%+v", r)
 		seen[f] = true
-		var back Fingerprint
+		var parsed Fingerprint
 		text, err := f.MarshalText()
 		require.NoError(t, err)
-		require.NoError(t, back.UnmarshalText(text))
-		require.Equal(t, f, back)
+		require.NoError(t, parsed.UnmarshalText(text))
+		require.Equal(t, f, parsed)
 	}
 	require.Error(t, new(Fingerprint).UnmarshalText([]byte("xyz")))
 }
