--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -59,7 +59,7 @@
 	disabledBy("the price of a crossing", edits.New(placer, "DefaultCrossZonePenalty = 40 * time.Millisecond", "DefaultCrossZonePenalty = time.Nanosecond")),
 	disabledBy("avoidance", edits.New(placer, "c.unreachableUntil = now.Add(unreachablePause)", "c.unreachableUntil = now.Add(0 * unreachablePause)")),
 	coveredBy("sidecar TestHealthResponsesDoNotDecideRouting", disabledBy("the failing share", edits.New(load, "maxFailureRate = 0.95", "maxFailureRate = 0.0"))),
-	coveredBy("sidecar TestRetryBudgetAfterDaemonRestarts", disabledBy("the budget's part after starts", edits.New(retries, "return min(1, (1/retryBudgetMargin-1)/started)", "return min(1, 1+started)"))),
+	coveredBy("sidecar TestRetryBudgetAfterDaemonRestarts", disabledBy("the budget's part after starts", edits.New(retries, "return min(1, (1/retryBudgetMargin-1)/startedFraction)", "return min(1, 1+startedFraction)"))),
 	coveredBy("sidecar TestRetriesAreChargedForNestedCalls", disabledBy("calls in the budget", edits.New(retries, "for _, o := range e.otherServices(s) {", "for _, o := range e.otherServices(s)[:0] {"))),
 	disabledBy("the budget's margin", edits.New(retries, "retryBudgetMargin = 0.75", "retryBudgetMargin = 0.999")),
 	coveredBy("core/placement TestMissesDeadline", disabledBy("early refusal", edits.New(parameters, "maxRefusalAge = 30 * time.Millisecond", "maxRefusalAge = 0 * time.Millisecond"))),
--- a/sidecar/abort_test.go
+++ b/sidecar/abort_test.go
@@ -75,10 +75,10 @@
 // is replaced by an error because it arrived while the daemon aborted the requests in flight.
 func TestReceivedResponsesAreDeliveredDuringAbort(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
-	s := m.entry.stateOf("a")
+	s := m.entry.serviceStateOf("a")
 	table := m.config.table()
 	eventually(t, "a configuration is in force", func() bool { table = m.config.table(); return table != nil })
-	rt, ok := table.Lookup("h", "/safe/")
+	matched, ok := table.Lookup("h", "/safe/")
 	require.True(t, ok)
 	original := m.aborting
 	defer func() { m.aborting = original }()
@@ -87,14 +87,14 @@
 	for range 64 {
 		ctx, cancel := context.WithCancel(t.Context())
 		now := m.now()
-		r := &forwarder{
-			entry: m.entry, service: s, results: make(chan attemptResult, 1), excluded: make(map[string]bool),
-			request: &request{route: rt, service: "a", ctx: ctx, startedAt: now, deadline: now.Add(minDeadline * 1000)},
+		f := &forwarder{
+			entry: m.entry, serviceState: s, results: make(chan attemptResult, 1), excluded: make(map[string]bool),
+			request: &request{route: matched, service: "a", ctx: ctx, startedAt: now, deadline: now.Add(minTimeLeft * 1000)},
 		}
 		attempt := &attemptState{cancel: cancel, sentAt: now, acknowledged: make(chan struct{})}
-		r.inFlight = []*attemptState{attempt}
-		r.results <- attemptResult{attempt: attempt, result: &Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Delivered: true}}
-		require.Equal(t, outcome.Answered, r.waitForResult().Outcome.Kind)
+		f.inFlight = []*attemptState{attempt}
+		f.results <- attemptResult{attempt: attempt, result: &Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Delivered: true}}
+		require.Equal(t, outcome.Answered, f.waitForResult().Outcome.Kind)
 	}
 }
 
--- a/sidecar/addresses_test.go
+++ b/sidecar/addresses_test.go
@@ -8,8 +8,8 @@
 	"github.com/dottereltiller/dottereltiller/loopback"
 )
 
-// freePort returns a loopback address with a port that nothing listens on.
-func freePort(t testing.TB) string {
+// unusedAddress returns a loopback address with a port that nothing listens on.
+func unusedAddress(t testing.TB) string {
 	t.Helper()
 	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
--- a/sidecar/attempts.go
+++ b/sidecar/attempts.go
@@ -26,7 +26,7 @@
 
 // retentionPeriod returns how long after a call was sent the sender may rely on a guard's
 // statement that the call has not run. Later, the guard may have evicted the attempt.
-func retentionPeriod(deadline time.Duration) time.Duration { return deadline + retentionPastDeadline }
+func retentionPeriod(timeLeft time.Duration) time.Duration { return timeLeft + retentionPastDeadline }
 
 // attemptTable is the guard's table of attempts that must not run twice. A sender whose
 // connection broke queries the outcome of its attempt over another connection. An
@@ -52,9 +52,9 @@
 	// retainUntil is when the attempt expires. An attempt that still waits or
 	// runs is kept longer.
 	retainUntil model.Instant
-	// withdrawn is closed when the attempt is cancelled before its start.
-	withdrawn chan struct{}
-	done      chan struct{}
+	// cancelSignal is closed when the attempt is cancelled before its start.
+	cancelSignal chan struct{}
+	finished     chan struct{}
 
 	mu        sync.Mutex
 	cancelled bool
@@ -67,26 +67,26 @@
 }
 
 func newAttempt(key string) *attempt {
-	return &attempt{key: key, withdrawn: make(chan struct{}), done: make(chan struct{})}
+	return &attempt{key: key, cancelSignal: make(chan struct{}), finished: make(chan struct{})}
 }
 
 // register adds an attempt that has the given time until its deadline. It returns true if
 // the attempt is in the table already: the sender cancelled it before the call arrived,
 // or the call arrived twice.
-func (t *attemptTable) register(key string, deadline time.Duration) (*attempt, bool) {
+func (t *attemptTable) register(key string, timeLeft time.Duration) (*attempt, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a := t.byKey[key]; a != nil {
 		return a, true
 	}
 	t.evict()
-	return t.add(key, deadline), false
+	return t.add(key, timeLeft), false
 }
 
 // add adds an attempt to the table. t.mu is held.
-func (t *attemptTable) add(key string, deadline time.Duration) *attempt {
+func (t *attemptTable) add(key string, timeLeft time.Duration) *attempt {
 	a := newAttempt(key)
-	a.retainUntil = t.now().Add(retentionPeriod(deadline))
+	a.retainUntil = t.now().Add(retentionPeriod(timeLeft))
 	t.byKey[key] = a
 	heap.Push(&t.byExpiry, a)
 	return a
@@ -118,11 +118,11 @@
 	}
 }
 
-// resolve returns the result of an attempt. An attempt that has not started, or has not
-// arrived yet, is cancelled. If the attempt is running, resolve waits until the attempt or
+// cancelOrAwait returns the result of an attempt. An attempt that has not started, or has not
+// arrived yet, is cancelled. If the attempt is running, cancelOrAwait waits until the attempt or
 // the context ends. timeLeft is the time that the attempt had until its deadline when it
 // was sent.
-func (t *attemptTable) resolve(ctx context.Context, key string, timeLeft time.Duration) *Result {
+func (t *attemptTable) cancelOrAwait(ctx context.Context, key string, timeLeft time.Duration) *Result {
 	t.mu.Lock()
 	a := t.byKey[key]
 	if a == nil {
@@ -159,7 +159,7 @@
 	}
 	if !a.cancelled {
 		a.cancelled = true
-		close(a.withdrawn)
+		close(a.cancelSignal)
 	}
 	return true
 }
@@ -195,7 +195,7 @@
 	defer a.mu.Unlock()
 	if a.result == nil {
 		a.result = result
-		close(a.done)
+		close(a.finished)
 	}
 }
 
@@ -215,7 +215,7 @@
 // first.
 func (a *attempt) wait(ctx context.Context) *Result {
 	select {
-	case <-a.done:
+	case <-a.finished:
 	case <-ctx.Done():
 	}
 	a.mu.Lock()
--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -41,7 +41,7 @@
 		t.Run(name, func(t *testing.T) {
 			table, _ := newTestAttempts()
 			c.setUp(t, table)
-			require.Equal(t, c.want, table.resolve(t.Context(), "k", time.Second).Outcome.Kind)
+			require.Equal(t, c.want, table.cancelOrAwait(t.Context(), "k", time.Second).Outcome.Kind)
 			if !c.mayStart {
 				attempt, duplicate := table.register("k", time.Second)
 				require.True(t, duplicate)
@@ -57,9 +57,9 @@
 	require.True(t, attempt.start())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.Equal(t, outcome.Unknown, table.resolve(ctx, "k", time.Second).Outcome.Kind, "a running attempt has no outcome yet")
+	require.Equal(t, outcome.Unknown, table.cancelOrAwait(ctx, "k", time.Second).Outcome.Kind, "a running attempt has no outcome yet")
 	got := make(chan *Result)
-	go func() { got <- table.resolve(t.Context(), "k", time.Second) }()
+	go func() { got <- table.cancelOrAwait(t.Context(), "k", time.Second) }()
 	attempt.finish(&Result{Outcome: outcome.Done()})
 	require.Equal(t, outcome.Answered, (<-got).Outcome.Kind)
 }
@@ -82,15 +82,15 @@
 	}
 	require.LessOrEqual(t, len(table.byExpiry), maxRetainedAttempts+2, "the table is limited")
 	require.Len(t, table.byKey, len(table.byExpiry))
-	require.Equal(t, outcome.Unknown, table.resolve(t.Context(), "first", time.Second).Outcome.Kind)
-	require.Equal(t, outcome.Unknown, table.resolve(t.Context(), "never received", time.Second).Outcome.Kind)
+	require.Equal(t, outcome.Unknown, table.cancelOrAwait(t.Context(), "first", time.Second).Outcome.Kind)
+	require.Equal(t, outcome.Unknown, table.cancelOrAwait(t.Context(), "never received", time.Second).Outcome.Kind)
 	require.False(t, running.cancel(), "running attempts stay in the table")
 	require.Same(t, waiting, table.byKey["waits"])
 	running.finish(&Result{Outcome: outcome.Done()})
 	waiting.finish(notRunResult(outcome.ReasonQueueFull))
 
 	*now = now.Add(3 * retentionPeriod(time.Second))
-	require.Equal(t, outcome.NotRun, table.resolve(t.Context(), "later", time.Second).Outcome.Kind)
+	require.Equal(t, outcome.NotRun, table.cancelOrAwait(t.Context(), "later", time.Second).Outcome.Kind)
 	require.Len(t, table.byExpiry, 1, "expired attempts are removed")
 }
 
@@ -124,7 +124,7 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 			defer cancel()
-			require.Equal(t, c.want, table.resolve(ctx, "k", c.deadline).Outcome.Kind)
+			require.Equal(t, c.want, table.cancelOrAwait(ctx, "k", c.deadline).Outcome.Kind)
 		})
 	}
 }
@@ -133,7 +133,7 @@
 // after an outcome query has reported that it has not run.
 func TestCancelledAttemptsStayCancelled(t *testing.T) {
 	table, now := newTestAttempts()
-	require.Equal(t, outcome.NotRun, table.resolve(t.Context(), "k", time.Minute).Outcome.Kind)
+	require.Equal(t, outcome.NotRun, table.cancelOrAwait(t.Context(), "k", time.Minute).Outcome.Kind)
 	for i := range 2 * maxRetainedAttempts {
 		attempt, _ := table.register(fmt.Sprint(i), time.Second)
 		attempt.finish(&Result{Outcome: outcome.Done()})
@@ -175,7 +175,7 @@
 				started = attempt.start()
 			} else if step == 1 {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Nanosecond)
-				cancelled = table.resolve(ctx, "k", time.Second).Outcome.Kind == outcome.NotRun || cancelled
+				cancelled = table.cancelOrAwait(ctx, "k", time.Second).Outcome.Kind == outcome.NotRun || cancelled
 				cancel()
 			}
 			require.False(t, started && cancelled)
@@ -202,7 +202,7 @@
 			attempt.start()
 			attempt.finish(&Result{Outcome: outcome.Done(), Body: make([]byte, c.size)})
 			attempt.discardBody(c.keepSmall)
-			require.Equal(t, c.want, table.resolve(t.Context(), "k", time.Second).Outcome.Kind)
+			require.Equal(t, c.want, table.cancelOrAwait(t.Context(), "k", time.Second).Outcome.Kind)
 		})
 	}
 }
--- a/sidecar/bodies.go
+++ b/sidecar/bodies.go
@@ -28,15 +28,15 @@
 	// errBodyMemoryExhausted is returned when the buffered bodies leave too little memory
 	// for another one.
 	errBodyMemoryExhausted = errors.New("not enough memory for another request body")
-	// errTooLarge is returned for a body that alone exceeds the limit.
-	errTooLarge = errors.New("request body exceeds the memory limit for all bodies")
+	// errBodyTooLarge is returned for a body that alone exceeds the limit.
+	errBodyTooLarge = errors.New("request body exceeds the memory limit for all bodies")
 )
 
 // bufferedBody is a request body and the memory that is accounted for it.
 type bufferedBody struct {
-	bytes   []byte
-	size    int64
-	limiter *bodyLimiter
+	bytes          []byte
+	accountedBytes int64
+	limiter        *bodyLimiter
 }
 
 // read reads a whole body. If there is too little memory for the body, it returns
@@ -56,8 +56,8 @@
 // and on nil.
 func (b *bufferedBody) release() {
 	if b != nil {
-		b.limiter.used.Add(-b.size)
-		b.size = 0
+		b.limiter.used.Add(-b.accountedBytes)
+		b.accountedBytes = 0
 	}
 }
 
@@ -70,11 +70,11 @@
 
 func (r *limitedReader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
-	r.size += int64(n)
+	r.accountedBytes += int64(n)
 	used := r.limiter.used.Add(int64(n))
 	switch {
-	case r.size > r.limiter.limit:
-		return 0, errTooLarge
+	case r.accountedBytes > r.limiter.limit:
+		return 0, errBodyTooLarge
 	case used > r.limiter.limit:
 		return 0, errBodyMemoryExhausted
 	}
--- a/sidecar/bodies_test.go
+++ b/sidecar/bodies_test.go
@@ -23,7 +23,7 @@
 	first.release()
 	second.release()
 	_, err = b.read(strings.NewReader("12345678901"))
-	require.ErrorIs(t, err, errTooLarge)
+	require.ErrorIs(t, err, errBodyTooLarge)
 	_, err = b.read(iotest.ErrReader(errors.New("gone")))
 	require.EqualError(t, err, "gone")
 	require.Zero(t, b.used.Load())
--- a/sidecar/call_test.go
+++ b/sidecar/call_test.go
@@ -38,16 +38,16 @@
 }
 
 func TestInvalidCallEncodings(t *testing.T) {
-	good := (&Call{ID: "r1", Service: "a", Upstream: lifecycle.Incarnation{ID: "i-1"}}).encode()
+	validEncoding := (&Call{ID: "r1", Service: "a", Upstream: lifecycle.Incarnation{ID: "i-1"}}).encode()
 	fields := func(change func(f []string)) string {
-		f := strings.Split(good, " ")
+		f := strings.Split(validEncoding, " ")
 		change(f)
 		return strings.Join(f, " ")
 	}
 	for name, s := range map[string]string{
 		"empty":           "",
-		"a field missing": good[:strings.LastIndex(good, " ")],
-		"an extra field":  good + " 1",
+		"a field missing": validEncoding[:strings.LastIndex(validEncoding, " ")],
+		"an extra field":  validEncoding + " 1",
 		"empty id":        fields(func(f []string) { f[0] = "" }),
 		"not a number":    fields(func(f []string) { f[7] = "first" }),
 		"not a boolean":   fields(func(f []string) { f[6] = "maybe" }),
--- a/sidecar/callsperrun.go
+++ b/sidecar/callsperrun.go
@@ -9,17 +9,17 @@
 }
 
 const (
-	// runWindow bounds the runs that callsPerRun averages over: when that many are counted,
+	// maxRunCount bounds the runs that callsPerRun averages over: when that many are counted,
 	// the counts of runs and calls are halved. With fewer than minRuns, callsPerRun returns
 	// assumedCallsPerRun.
-	runWindow          = 128
+	maxRunCount        = 128
 	minRuns            = 8
 	assumedCallsPerRun = 1
 )
 
 // countRun counts a request that the local upstream runs. The caller holds g.mu.
 func (g *guard) countRun() {
-	if g.runCount++; g.runCount >= runWindow {
+	if g.runCount++; g.runCount >= maxRunCount {
 		g.runCount, g.callCount = g.runCount/2, g.callCount/2
 	}
 }
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -59,11 +59,11 @@
 	for _, n := range []int{6, 22, 64, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := placement.New(placement.Options{Zone: "zone-0"})
-			var ups []placement.Upstream
+			var upstreams []placement.Upstream
 			for i := range n {
-				ups = append(ups, placement.Upstream{Key: fmt.Sprint(i), Zone: model.AvailabilityZone(fmt.Sprint("zone-", i%5)), Slots: 6})
+				upstreams = append(upstreams, placement.Upstream{Key: fmt.Sprint(i), Zone: model.AvailabilityZone(fmt.Sprint("zone-", i%5)), Slots: 6})
 			}
-			p.SetUpstreams(ups)
+			p.SetUpstreams(upstreams)
 			for i := range n {
 				p.UpdateLoad(0, fmt.Sprint(i), placement.Load{Running: i % 4, Limit: 4, Slowdown: 1})
 			}
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -28,21 +28,21 @@
 		Target:      f.request.targetTime.Sub(now),
 		Exclude:     func(u placement.Upstream) bool { return f.excluded[u.Key] },
 	}
-	f.service.mu.Lock()
-	defer f.service.mu.Unlock()
-	f.entry.refreshCandidates(f.service, f.request.service)
-	f.request.candidateCount = f.service.placer.Len()
+	f.serviceState.mu.Lock()
+	defer f.serviceState.mu.Unlock()
+	f.entry.refreshCandidates(f.serviceState, f.request.service)
+	f.request.candidateCount = f.serviceState.placer.Len()
 	f.queryLoads(req, true, placement.MaxLocalQueries, localZoneTimeout)
-	if now = f.entry.daemon.now(); !f.service.placer.LocalMeetsTarget(now, req) {
+	if now = f.entry.daemon.now(); !f.serviceState.placer.LocalMeetsTarget(now, req) {
 		f.queryLoads(req, false, placement.MaxRemoteQueries, remoteZoneTimeout)
 		now = f.entry.daemon.now()
 	}
-	c, ok := f.service.placer.Choose(now, req)
+	choice, ok := f.serviceState.placer.Choose(now, req)
 	if !ok {
 		return nil, false
 	}
-	f.request.expectedTime, f.request.upstreamKey = c.Expected, c.Upstream.Key
-	return &attemptState{choice: c, endpoint: f.service.endpoints[c.Upstream.Key], acknowledged: make(chan struct{})}, true
+	f.request.expectedTime, f.request.upstreamKey = choice.Expected, choice.Upstream.Key
+	return &attemptState{choice: choice, endpoint: f.serviceState.endpoints[choice.Upstream.Key], acknowledged: make(chan struct{})}, true
 }
 
 // queryLoads queries the loads of upstreams, either in the local availability zone or in
@@ -52,24 +52,24 @@
 // entry and on return, but released in between.
 func (f *forwarder) queryLoads(req placement.Request, local bool, maxQueries int, timeout time.Duration) {
 	now := f.entry.daemon.now()
-	upstreams := f.service.placer.QueryTargets(now, req, local, placement.MaxLoadAge, maxQueries)
-	if len(upstreams) == 0 || len(upstreams) == 1 && f.service.placer.Len() == 1 {
+	upstreams := f.serviceState.placer.QueryTargets(now, req, local, placement.MaxLoadAge, maxQueries)
+	if len(upstreams) == 0 || len(upstreams) == 1 && f.serviceState.placer.Len() == 1 {
 		return
 	}
-	beyondTimeout := f.service.placer.ZonesBeyondRTT(timeout)
-	f.service.mu.Unlock()
+	beyondTimeout := f.serviceState.placer.ZonesBeyondRTT(timeout)
+	f.serviceState.mu.Unlock()
 	replies := f.entry.daemon.datagrams.queryLoads(loadQuery{
 		upstreams: upstreams, rank: f.request.route.Rank, kind: kindOf(f.request.route),
-		timeout: timeout, onLate: f.service.lateLoadHandler(f.entry.daemon.now), tooFar: func(u placement.Upstream) bool { return beyondTimeout[u.Zone] },
+		timeout: timeout, onLate: f.serviceState.lateLoadHandler(f.entry.daemon.now), tooFar: func(u placement.Upstream) bool { return beyondTimeout[u.Zone] },
 	})
-	f.service.mu.Lock()
+	f.serviceState.mu.Lock()
 	now = f.entry.daemon.now()
 	for _, up := range upstreams {
 		if reply, ok := replies[up.Key]; ok {
-			f.service.recordLoad(now, reply)
-			f.service.responded[up.Key] = true
-		} else if !beyondTimeout[up.Zone] && (local || f.service.responded[up.Key]) {
-			f.service.placer.MarkUnreachable(now, up.Key)
+			f.serviceState.recordLoad(now, reply)
+			f.serviceState.responded[up.Key] = true
+		} else if !beyondTimeout[up.Zone] && (local || f.serviceState.responded[up.Key]) {
+			f.serviceState.placer.MarkUnreachable(now, up.Key)
 			f.entry.daemon.peers.verifyReachable(string(up.Daemon))
 		}
 	}
@@ -111,7 +111,7 @@
 		latestEnd = f.request.deadline
 	}
 	if now.Add(attempt.choice.Expected) <= latestEnd {
-		attempt.charge = f.entry.takeRetry(f.service, now)
+		attempt.charge = f.entry.chargeRetry(f.serviceState, now)
 	}
 	if attempt.charge == nil {
 		f.releaseChoice(attempt)
--- a/sidecar/correction_test.go
+++ b/sidecar/correction_test.go
@@ -17,8 +17,8 @@
 // send it ordinary load. A wrong state that causes requests to be refused must be
 // corrected even though no request runs.
 
-// correctedWithin is how long a wrong state may last.
-const correctedWithin = 5 * time.Second
+// maxCorrectionTime is how long a wrong state may last.
+const maxCorrectionTime = 5 * time.Second
 
 // newIdleGuard returns a guard that uses the given clock and sends no health checks.
 func newIdleGuard(now *model.Instant) *guard {
@@ -53,9 +53,9 @@
 		"very high slowdown": {
 			func(g *guard) { g.slowdown, g.slowdownAt, g.slowdownReported = 100, g.now(), true },
 			func(g *guard) bool {
-				id, _, rejected := g.enqueue(newCall())
+				id, _, rejection := g.enqueue(newCall())
 				_ = g.cancelWaiting(id)
-				return rejected == nil && !g.wouldDrop()
+				return rejection == nil && !g.wouldDrop()
 			},
 		},
 		"failure rate of 1": {
@@ -74,7 +74,7 @@
 			require.False(t, c.corrected(g))
 			r := readyReport("b1", 1, 1, "b")
 			r.Slots = 14
-			for end := now.Add(correctedWithin); now < end; now = now.Add(500 * time.Millisecond) {
+			for end := now.Add(maxCorrectionTime); now < end; now = now.Add(500 * time.Millisecond) {
 				r.Sequence++
 				g.handleReport(r, "report")
 			}
@@ -141,13 +141,13 @@
 	p := placement.New(placement.Options{Zone: "z"})
 	p.SetUpstreams([]placement.Upstream{{Key: "a", Zone: "z", Slots: 6}, {Key: "b", Zone: "z", Slots: 1}})
 	p.MarkUnreachable(0, "a")
-	for now := model.Instant(0).Add(correctedWithin); ; now = now.Add(time.Millisecond) {
+	for now := model.Instant(0).Add(maxCorrectionTime); ; now = now.Add(time.Millisecond) {
 		c, ok := p.Choose(now, placement.Request{ServiceTime: time.Millisecond})
 		require.True(t, ok)
 		if c.Upstream.Key == "a" {
 			return
 		}
-		require.Less(t, now, model.Instant(0).Add(2*correctedWithin))
+		require.Less(t, now, model.Instant(0).Add(2*maxCorrectionTime))
 	}
 }
 
@@ -157,11 +157,11 @@
 	b := RetryBudget{Ratio: 0.2, Slack: 50, Span: 10 * time.Second}
 	r := newRetryLimiter(b)
 	now := model.Instant(time.Hour)
-	for r.take(now, 1, 2, 1) {
+	for r.tryCharge(now, 1, 2, 1) {
 	}
-	require.False(t, r.take(now, 1, 2, 1))
+	require.False(t, r.tryCharge(now, 1, 2, 1))
 	now = now.Add(b.Span + time.Second)
-	require.True(t, r.take(now, 1, 2, 1))
+	require.True(t, r.tryCharge(now, 1, 2, 1))
 }
 
 // cancelledContext returns a cancelled context, with which peers send nothing.
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -24,9 +24,9 @@
 
 	mu       sync.Mutex
 	lostRuns []lostRun
-	// respondedAt holds, for each series of lost runs, when the upstream first responded
+	// responseTimes holds, for each series of lost runs, when the upstream first responded
 	// after it, oldest first.
-	respondedAt []model.Instant
+	responseTimes []model.Instant
 }
 
 // lostRun is an execution whose connection was lost.
@@ -80,8 +80,8 @@
 
 // dropOldResponses removes the responses that precede all lost runs kept. c.mu is held.
 func (c *crashDetector) dropOldResponses() {
-	for len(c.respondedAt) > 0 && c.respondedAt[0] < c.lostRuns[0].lostAt {
-		c.respondedAt = c.respondedAt[1:]
+	for len(c.responseTimes) > 0 && c.responseTimes[0] < c.lostRuns[0].lostAt {
+		c.responseTimes = c.responseTimes[1:]
 	}
 }
 
@@ -99,15 +99,15 @@
 		// either case it was running before that loss, and only that is recorded.
 		respondedAt = respondedAt.Add(-responseSlack)
 	}
-	if n := len(c.respondedAt); n == 0 || c.respondedAt[n-1] < c.lostRuns[len(c.lostRuns)-1].lostAt && respondedAt > c.respondedAt[n-1] {
-		c.respondedAt = append(c.respondedAt, respondedAt)
+	if n := len(c.responseTimes); n == 0 || c.responseTimes[n-1] < c.lostRuns[len(c.lostRuns)-1].lostAt && respondedAt > c.responseTimes[n-1] {
+		c.responseTimes = append(c.responseTimes, respondedAt)
 	}
 }
 
-// handleCrash handles the crash of an incarnation that has been replaced by a new one. It
+// reportCrash handles the crash of an incarnation that has been replaced by a new one. It
 // reports the burst with the longest silence, because a restart takes longer than the next
 // response of an upstream that kept running.
-func (c *crashDetector) handleCrash(i lifecycle.Incarnation) { c.report(c.removeRuns(i, longestBurst)) }
+func (c *crashDetector) reportCrash(i lifecycle.Incarnation) { c.report(c.removeRuns(i, longestBurst)) }
 
 // report passes lost runs to onCrash.
 func (c *crashDetector) report(runs []lostRun) {
@@ -160,7 +160,7 @@
 		matching = matching[len(b.runs):]
 	}
 	if len(remaining) == 0 {
-		c.respondedAt = nil
+		c.responseTimes = nil
 	}
 	if len(bursts) == 0 {
 		return nil
@@ -171,7 +171,7 @@
 // firstBurst returns the burst at the beginning of a list of lost runs. c.mu is held.
 func (c *crashDetector) firstBurst(runs []lostRun) burst {
 	silenceEnd := c.now()
-	for _, at := range c.respondedAt {
+	for _, at := range c.responseTimes {
 		if at > runs[0].lostAt {
 			silenceEnd = at
 			break
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -215,7 +215,7 @@
 // announceState writes the state of the local upstream into the local record and announces
 // that.
 func (d *Daemon) announceState() {
-	current, departed := d.guard.currentReport()
+	current, departed := d.guard.reportAndDeparted()
 	d.peers.updateLocal(func(r *Record) {
 		r.Service, r.Upstream, r.State, r.Slots = current.Service, current.Incarnation, current.State, current.Slots
 		r.ColdMS = current.WarmupLeft.Milliseconds()
@@ -340,7 +340,7 @@
 	d.guard.setStopDeadline(d.now().Add(drainEnd.Sub(began)))
 	d.stopping.Store(true)
 	d.opts.Decisions.Write(decision.Stopping, "", slog.Int("in_flight", d.inFlight.count()))
-	current, _ := d.guard.currentReport()
+	current, _ := d.guard.reportAndDeparted()
 	if current.State == lifecycle.Gone {
 		ctx, cancel := context.WithTimeout(context.Background(), syncTimeout)
 		go func() {
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -370,7 +370,7 @@
 		_, _ = a.get(t, "/safe/")
 		_, _ = a.post(t, "/unsafe/")
 	}
-	svc := a.entry.stateOf("b")
+	svc := a.entry.serviceStateOf("b")
 	eventually(t, "no request is outstanding", func() bool {
 		svc.mu.Lock()
 		defer svc.mu.Unlock()
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -76,14 +76,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := startReady(t, newStore(documentOf(1, "a")), "a", "a1")
-			s := d.entry.stateOf("elsewhere")
+			s := d.entry.serviceStateOf("elsewhere")
 			s.placer.SetUpstreams([]placement.Upstream{
-				{Key: "far", Zone: "abroad", Daemon: model.DaemonID(freePort(t))},
-				{Key: "other", Zone: "third", Daemon: model.DaemonID(freePort(t))},
+				{Key: "far", Zone: "abroad", Daemon: model.DaemonID(unusedAddress(t))},
+				{Key: "other", Zone: "third", Daemon: model.DaemonID(unusedAddress(t))},
 			})
 			s.placer.ObserveRTT("far", c.roundTrip)
 			s.responded["far"] = true
-			r := &forwarder{entry: d.entry, service: s, request: &request{route: &route.Route{}}}
+			r := &forwarder{entry: d.entry, serviceState: s, request: &request{route: &route.Route{}}}
 			req := placement.Request{ServiceTime: time.Millisecond}
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -99,18 +99,18 @@
 		e.respond(w, req, refuse(outcome.ReasonDraining, noUpstreamRetryAfter))
 		return
 	}
-	defer e.daemon.inFlight.done()
+	defer e.daemon.inFlight.end()
 	defer func() { req.buffer.release() }()
-	refused := e.matchRoute(req, attempt)
-	if refused == nil && e.daemon.stopping.Load() {
+	refusal := e.matchRoute(req, attempt)
+	if refusal == nil && e.daemon.stopping.Load() {
 		timeLeft := req.deadline.Sub(req.startedAt)
-		refused = e.daemon.guard.refuseIfTooLong(e.serviceTimeOf(req.route.Name, timeLeft), timeLeft)
+		refusal = e.daemon.guard.refuseIfTooLong(e.serviceTimeOf(req.route.Name, timeLeft), timeLeft)
 	}
-	if refused == nil {
-		refused = e.readBody(w, req)
+	if refusal == nil {
+		refusal = e.readBody(w, req)
 	}
-	if refused != nil {
-		e.respond(w, req, refused)
+	if refusal != nil {
+		e.respond(w, req, refusal)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), req.deadline.Sub(e.daemon.now()))
@@ -167,7 +167,7 @@
 	body, err := e.daemon.bodyLimiter.read(http.MaxBytesReader(w, req.httpRequest.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &tooLarge), errors.Is(err, errTooLarge):
+	case errors.As(err, &tooLarge), errors.Is(err, errBodyTooLarge):
 		return notRunResult(outcome.ReasonTooLarge)
 	case errors.Is(err, errBodyMemoryExhausted):
 		return refuse(outcome.ReasonNoMemory, jittered(minRetryAfter))
@@ -203,12 +203,12 @@
 
 // respond sends the response to the caller and logs how the request ended.
 func (e *entry) respond(w http.ResponseWriter, req *request, result *Result) {
-	took := e.daemon.now().Sub(req.startedAt)
+	elapsed := e.daemon.now().Sub(req.startedAt)
 	routeName := "none"
 	if req.route != nil {
 		routeName = req.route.Name
 	}
-	e.daemon.metrics.recordResponse(string(req.service), routeName, result.Outcome, took)
+	e.daemon.metrics.recordResponse(string(req.service), routeName, result.Outcome, elapsed)
 	if req.connectionClosed() {
 		e.daemon.metrics.closedUnanswered.Inc(1)
 	}
@@ -220,7 +220,7 @@
 	if result.Outcome.Kind == outcome.Answered {
 		copyHeader(w.Header(), result.Header)
 		writeResponse(w, req.httpRequest.Method, result)
-		e.logOutcome(decision.Answered, req, routeName, result, result.Status, took)
+		e.logOutcome(decision.Answered, req, routeName, result, result.Status, elapsed)
 		return
 	}
 	status := statusOf(result.Outcome)
@@ -236,7 +236,7 @@
 	if result.Outcome.Kind == outcome.NotRun {
 		kind = decision.Refused
 	}
-	e.logOutcome(kind, req, routeName, result, status, took)
+	e.logOutcome(kind, req, routeName, result, status, elapsed)
 }
 
 // formatSeconds formats a duration for the Retry-After header, as seconds with a
@@ -247,14 +247,14 @@
 }
 
 // logOutcome logs the outcome of a request. Of the answered ones, only a sample is logged.
-func (e *entry) logOutcome(k decision.Kind, req *request, routeName string, result *Result, status int, took time.Duration) {
+func (e *entry) logOutcome(k decision.Kind, req *request, routeName string, result *Result, status int, elapsed time.Duration) {
 	if k == decision.Answered && !req.connectionClosed() && !e.daemon.opts.Decisions.Sampled(req.id) {
 		return
 	}
 	e.daemon.opts.Decisions.Write(k, req.id,
 		slog.String("route", routeName), slog.String("service", string(req.service)), slog.String("upstream", req.upstreamKey),
 		slog.String("reason", string(result.Outcome.Reason)), slog.Int("status", status),
-		slog.Int64("retry_after_ms", result.Outcome.RetryAfter.Milliseconds()), slog.Int64("took_ms", took.Milliseconds()),
+		slog.Int64("retry_after_ms", result.Outcome.RetryAfter.Milliseconds()), slog.Int64("took_ms", elapsed.Milliseconds()),
 		slog.Int("sends", req.deliveredCount), slog.Int("given_back", req.rejectionCount), slog.Int("candidates", req.candidateCount),
 		slog.Int64("expected_ms", req.expectedTime.Milliseconds()), slog.Uint64("config", uint64(e.daemon.config.version())),
 		slog.Bool("idempotent", req.route != nil && req.route.Idempotent), slog.Bool("cut", req.connectionClosed()))
@@ -278,8 +278,8 @@
 	callsPerRun float64
 }
 
-// stateOf returns the state of a service, and creates it if necessary.
-func (e *entry) stateOf(name model.ServiceName) *serviceState {
+// serviceStateOf returns the state of a service, and creates it if necessary.
+func (e *entry) serviceStateOf(name model.ServiceName) *serviceState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.services[name]
@@ -299,7 +299,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.services {
-		s.retryLimiter.set(b)
+		s.retryLimiter.setBudget(b)
 	}
 }
 
@@ -309,7 +309,7 @@
 	defer e.mu.Unlock()
 	left, found := 0.0, false
 	for _, s := range e.services {
-		if n := s.retryLimiter.left(e.daemon.now()); !found || n < left {
+		if n := s.retryLimiter.remaining(e.daemon.now()); !found || n < left {
 			left, found = n, true
 		}
 	}
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -208,7 +208,7 @@
 func newUpstream(t testing.TB, id string) *upstream {
 	u := &upstream{id: id}
 	// Tests close this server and expect that nothing else listens on its address then.
-	ln, err := net.Listen("tcp", freePort(t))
+	ln, err := net.Listen("tcp", unusedAddress(t))
 	require.NoError(t, err)
 	u.server = httptest.NewUnstartedServer(u)
 	_ = u.server.Listener.Close()
@@ -287,7 +287,7 @@
 func optionsFor(t testing.TB, s *store, up *upstream, service model.ServiceName) Options {
 	return Options{
 		Addresses: Addresses{
-			Callers: freePort(t), Peers: freePort(t), Control: freePort(t), Ready: freePort(t), Upstream: up.address(),
+			Callers: unusedAddress(t), Peers: unusedAddress(t), Control: unusedAddress(t), Ready: unusedAddress(t), Upstream: up.address(),
 		},
 		Zone: "z", Bootstrap: true, ReadyPath: "/ready",
 		Tunables:  Tunables{Service: service, Retries: RetryBudget{Ratio: 0.2, Slack: 50, Span: 10 * time.Second}, GracePeriod: 5 * time.Second},
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -58,11 +58,11 @@
 
 // forwarder forwards one request. It keeps the state of all attempts of the request.
 type forwarder struct {
-	entry       *entry
-	request     *request
-	service     *serviceState
-	serviceTime time.Duration
-	results     chan attemptResult
+	entry        *entry
+	request      *request
+	serviceState *serviceState
+	serviceTime  time.Duration
+	results      chan attemptResult
 	// unacknowledged receives the attempts that were not acknowledged in time.
 	unacknowledged chan *attemptState
 	inFlight       []*attemptState
@@ -74,8 +74,8 @@
 	deliveredCount   int
 	startedCount     int
 	undeliveredCount int
-	// fullCount counts the guards that rejected the request for lack of capacity.
-	fullCount int
+	// queueFullCount counts the guards that rejected the request for lack of capacity.
+	queueFullCount int
 	// bestFailure is the most informative unsuccessful result so far.
 	bestFailure        *Result
 	lateHedgeScheduled bool
@@ -87,14 +87,14 @@
 // forward sends a request to upstreams until one has responded or no further attempt is
 // allowed.
 func (e *entry) forward(req *request) *Result {
-	s := e.stateOf(req.service)
+	s := e.serviceStateOf(req.service)
 	s.retryLimiter.countRequest(req.startedAt)
 	if req.service != e.daemon.service() {
 		e.daemon.guard.countCall()
 	}
 	capacity := req.maxAttempts() + maxUndelivered + placement.MaxRejections + 1
 	f := &forwarder{
-		entry: e, request: req, service: s, serviceTime: e.serviceTimeOf(req.route.Name, req.deadline.Sub(req.startedAt)),
+		entry: e, request: req, serviceState: s, serviceTime: e.serviceTimeOf(req.route.Name, req.deadline.Sub(req.startedAt)),
 		results: make(chan attemptResult, capacity), unacknowledged: make(chan *attemptState, capacity), excluded: make(map[string]bool),
 	}
 	defer f.cancelAll()
@@ -111,11 +111,11 @@
 	for {
 		select {
 		case finished := <-f.results:
-			if result := f.handleResult(finished); result != nil {
+			if result := f.finishAttempt(finished); result != nil {
 				return result
 			}
 		case attempt := <-f.unacknowledged:
-			f.handleUnacknowledged(attempt)
+			f.hedgeUnacknowledged(attempt)
 		case <-timer.C:
 			f.hedge()
 			if !f.lateHedgeScheduled {
@@ -130,13 +130,13 @@
 	}
 }
 
-// handleUnacknowledged handles an attempt that was not acknowledged in time. An
+// hedgeUnacknowledged handles an attempt that was not acknowledged in time. An
 // idempotent request is hedged. For others, sendNonIdempotent queries the outcome.
-func (f *forwarder) handleUnacknowledged(attempt *attemptState) {
+func (f *forwarder) hedgeUnacknowledged(attempt *attemptState) {
 	now := f.entry.daemon.now()
-	f.service.mu.Lock()
-	f.service.placer.MarkUnreachable(now, attempt.choice.Upstream.Key)
-	f.service.mu.Unlock()
+	f.serviceState.mu.Lock()
+	f.serviceState.placer.MarkUnreachable(now, attempt.choice.Upstream.Key)
+	f.serviceState.mu.Unlock()
 	f.entry.daemon.peers.reportUnreachable(attempt.endpoint.address, errNotAcknowledged)
 	f.hedge()
 }
@@ -161,7 +161,7 @@
 func (f *forwarder) shutdownResult() *Result {
 	select {
 	case finished := <-f.results:
-		if result := f.handleResult(finished); result != nil {
+		if result := f.finishAttempt(finished); result != nil {
 			return result
 		}
 	default:
@@ -169,9 +169,9 @@
 	return f.abandonedResult(outcome.ReasonDraining)
 }
 
-// finalShutdownResult returns the result of a request that has no attempt in flight when
+// idleShutdownResult returns the result of a request that has no attempt in flight when
 // the daemon ends.
-func (f *forwarder) finalShutdownResult() *Result {
+func (f *forwarder) idleShutdownResult() *Result {
 	if f.bestFailure == nil {
 		return refuse(outcome.ReasonDraining, noUpstreamRetryAfter)
 	}
@@ -195,9 +195,9 @@
 	}
 }
 
-// handleResult handles the end of an attempt. It returns the result of the request, or
+// finishAttempt handles the end of an attempt. It returns the result of the request, or
 // nil if other attempts are in flight or a new one was started.
-func (f *forwarder) handleResult(finished attemptResult) *Result {
+func (f *forwarder) finishAttempt(finished attemptResult) *Result {
 	f.removeInFlight(finished.attempt)
 	result := finished.result
 	f.recordResult(finished.attempt, result)
@@ -241,15 +241,15 @@
 // the result of an attempt.
 func (f *forwarder) recordResult(attempt *attemptState, result *Result) {
 	now := f.entry.daemon.now()
-	f.service.mu.Lock()
-	f.service.placer.Done(now, attempt.choice.Upstream.Key, result.Load)
+	f.serviceState.mu.Lock()
+	f.serviceState.placer.Done(now, attempt.choice.Upstream.Key, result.Load)
 	if result.Load != nil {
-		f.service.callsPerRun = result.CallsPerRun
+		f.serviceState.callsPerRun = result.CallsPerRun
 	}
 	if result.Load == nil && result.Outcome.Kind != outcome.Answered {
-		f.service.placer.MarkUnreachable(now, attempt.choice.Upstream.Key)
+		f.serviceState.placer.MarkUnreachable(now, attempt.choice.Upstream.Key)
 	}
-	f.service.mu.Unlock()
+	f.serviceState.mu.Unlock()
 	if result.Outcome.Kind == outcome.Answered && result.Status < http.StatusInternalServerError && result.ServiceTime > 0 {
 		f.entry.recordServiceTime(f.request.route.Name, result.ServiceTime)
 	}
@@ -268,7 +268,7 @@
 		f.request.rejectionCount++
 	case outcome.ReasonQueueFull:
 		f.request.rejectionCount++
-		f.fullCount++
+		f.queueFullCount++
 	}
 	f.mayHaveRun = f.mayHaveRun || result.Outcome.Kind != outcome.NotRun
 }
@@ -291,7 +291,7 @@
 		return unknownResult(outcome.ReasonCancelled)
 	}
 	if f.entry.daemon.isAborting() {
-		return f.finalShutdownResult()
+		return f.idleShutdownResult()
 	}
 	if result := f.entry.daemon.quarantine.check(f.request); result != nil {
 		if f.bestFailure == nil {
@@ -299,13 +299,13 @@
 		}
 		return f.finalResult()
 	}
-	if f.deliveredCount >= f.request.maxAttempts() || f.undeliveredCount > maxUndelivered || f.fullCount >= placement.MaxFullGuards {
+	if f.deliveredCount >= f.request.maxAttempts() || f.undeliveredCount > maxUndelivered || f.queueFullCount >= placement.MaxFullGuards {
 		return f.finalResult()
 	}
 	now := f.entry.daemon.now()
 	var charge *retryCharge
 	if f.deliveredCount > 0 {
-		if charge = f.entry.takeRetry(f.service, now); charge == nil {
+		if charge = f.entry.chargeRetry(f.serviceState, now); charge == nil {
 			f.entry.daemon.metrics.retriesDenied.Inc(1)
 			return f.finalResult()
 		}
@@ -325,7 +325,7 @@
 		f.releaseChoice(attempt)
 		return refuse(outcome.ReasonQueueFull, jittered(max(attempt.choice.Expected/2, minRetryAfter)))
 	}
-	if f.request.targetTime > 0 && attempt.choice.MissesTarget(f.fullCount, f.request.targetTime.Sub(now)) {
+	if f.request.targetTime > 0 && attempt.choice.MissesTarget(f.queueFullCount, f.request.targetTime.Sub(now)) {
 		f.releaseChoice(attempt)
 		charge.refund(now)
 		return f.finalResult()
@@ -341,16 +341,16 @@
 
 // releaseChoice tells the placer that an attempt is no longer in flight, or was not sent.
 func (f *forwarder) releaseChoice(attempt *attemptState) {
-	f.service.mu.Lock()
-	defer f.service.mu.Unlock()
-	f.service.placer.Done(f.entry.daemon.now(), attempt.choice.Upstream.Key, nil)
+	f.serviceState.mu.Lock()
+	defer f.serviceState.mu.Unlock()
+	f.serviceState.placer.Done(f.entry.daemon.now(), attempt.choice.Upstream.Key, nil)
 }
 
 // logDecision logs a retry or a hedge.
 func (f *forwarder) logDecision(k decision.Kind, attempt *attemptState, extra ...slog.Attr) {
 	f.entry.daemon.opts.Decisions.Write(k, f.request.id, append([]slog.Attr{
 		slog.String("service", string(f.request.service)), slog.String("upstream", attempt.choice.Upstream.Key),
-		slog.Int("sends", f.deliveredCount), slog.Float64("budget_left", f.service.retryLimiter.left(f.entry.daemon.now())),
+		slog.Int("sends", f.deliveredCount), slog.Float64("budget_left", f.serviceState.retryLimiter.remaining(f.entry.daemon.now())),
 	}, extra...)...)
 }
 
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -35,7 +35,7 @@
 		{"upstream_failing", "recent share of failed runs", func() float64 { return d.guard.currentLoad().FailureRate }},
 		{"upstream_calls_per_run", "calls to other services for each run of late", d.guard.currentCallsPerRun},
 		{"upstream_ready", "1 while the own upstream takes requests", func() float64 {
-			current, _ := d.guard.currentReport()
+			current, _ := d.guard.reportAndDeparted()
 			return boolToFloat(current.State == lifecycle.Ready)
 		}},
 		{"resends_left", "re-sends that the tightest budget holds", d.entry.retriesLeft},
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -105,10 +105,10 @@
 	current := g.tracker.Current()
 	g.mu.Unlock()
 	if effect == lifecycle.Started && previous.State == lifecycle.Ready {
-		g.crashes.handleCrash(previous.Incarnation)
+		g.crashes.reportCrash(previous.Incarnation)
 	}
 	if effect == lifecycle.Started || effect == lifecycle.Changed {
-		g.logState(current, cause)
+		g.logUpstreamState(current, cause)
 	}
 	g.dispatch()
 	return effect
@@ -121,7 +121,7 @@
 	current := g.tracker.Current()
 	g.mu.Unlock()
 	if effect == lifecycle.Changed {
-		g.logState(current, "deregistered")
+		g.logUpstreamState(current, "deregistered")
 	}
 	g.dispatch()
 	return effect
@@ -135,8 +135,8 @@
 	g.tracker.Restore(departed)
 }
 
-// logState logs the state of the upstream and the cause of the change.
-func (g *guard) logState(r lifecycle.Report, cause string) {
+// logUpstreamState logs the state of the upstream and the cause of the change.
+func (g *guard) logUpstreamState(r lifecycle.Report, cause string) {
 	g.opts.Decisions.Write(decision.UpstreamState, "",
 		slog.String("upstream", string(r.ID)), slog.Int64("born", r.Born), slog.Uint64("sequence", r.Sequence),
 		slog.String("state", r.State.String()), slog.String("cause", cause))
@@ -157,9 +157,9 @@
 	g.slowdownReported, g.failures, g.failingLogged = false, placement.FailureRate{}, false
 }
 
-// currentReport returns the newest report of the upstream and the incarnations that have
+// reportAndDeparted returns the newest report of the upstream and the incarnations that have
 // departed.
-func (g *guard) currentReport() (lifecycle.Report, []lifecycle.Incarnation) {
+func (g *guard) reportAndDeparted() (lifecycle.Report, []lifecycle.Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	departed := g.tracker.Departed()
@@ -184,24 +184,24 @@
 	if c.Alternative > 0 {
 		g.refreshSlowdown(ctx)
 	}
-	id, dequeued, rejected := g.enqueue(c)
-	if rejected != nil {
-		attempt.finish(rejected)
-		return g.withLoad(rejected)
+	id, dequeueReason, rejection := g.enqueue(c)
+	if rejection != nil {
+		attempt.finish(rejection)
+		return g.withLoad(rejection)
 	}
-	arrived := g.now()
-	if result := g.waitForStart(ctx, c, attempt, id, dequeued); result != nil {
+	arrivedAt := g.now()
+	if result := g.waitForStart(ctx, c, attempt, id, dequeueReason); result != nil {
 		attempt.finish(result)
 		return g.withLoad(result)
 	}
 	if c.Idempotent {
-		result := g.runCall(ctx, c, attempt, arrived)
+		result := g.runCall(ctx, c, attempt, arrivedAt)
 		attempt.discardBody(false)
 		return g.withLoad(result)
 	}
 	// A non-idempotent run continues after the connection to its sender has broken. The
 	// sender then queries the outcome over another connection.
-	go g.runCall(context.WithoutCancel(ctx), c, attempt, arrived)
+	go g.runCall(context.WithoutCancel(ctx), c, attempt, arrivedAt)
 	result := attempt.wait(ctx)
 	attempt.discardBody(result.Outcome.Kind != outcome.Answered || len(result.Body) <= maxRetainedBody)
 	return g.withLoad(result)
@@ -220,12 +220,12 @@
 // enqueue admits a call to the queue and starts it if there is a free slot, or returns
 // the result of its rejection.
 func (g *guard) enqueue(c *Call) (uint64, <-chan slots.DequeueReason, *Result) {
-	id, dequeued, reject := g.admit(c)
+	id, dequeueReason, reject := g.admit(c)
 	if reject != nil {
 		return 0, nil, reject()
 	}
 	g.dispatch()
-	return id, dequeued, nil
+	return id, dequeueReason, nil
 }
 
 // admit adds a call to the queue, or returns a function that rejects it. The function
@@ -237,28 +237,28 @@
 	if reason := g.rejectReason(current, c); reason != outcome.ReasonNone {
 		return 0, nil, func() *Result { return notRunResult(reason) }
 	}
-	item, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
+	item, admission, expectedTime := g.queue.Admit(g.now(), slots.Arrival{
 		Rank: c.Rank, Kind: c.Kind, Urgent: g.isUrgent(c.Rank), ServiceTime: c.ServiceTime,
 		UntilTarget: c.TimeToTarget, UntilDeadline: c.Deadline, Alternative: c.Alternative,
 	}, slots.Performance{Slowdown: g.currentSlowdown(), FailureRate: g.failures.At(g.now())})
 	if admission != slots.Admitted {
-		return 0, nil, func() *Result { return g.rejectionResult(c, admission, expected) }
+		return 0, nil, func() *Result { return g.rejectionResult(c, admission, expectedTime) }
 	}
 	g.nextID++
 	item.ID = g.nextID
-	dequeued := make(chan slots.DequeueReason, 1)
-	g.waiters[item.ID] = dequeued
+	dequeueReason := make(chan slots.DequeueReason, 1)
+	g.waiters[item.ID] = dequeueReason
 	g.queue.Add(item)
-	return item.ID, dequeued, nil
+	return item.ID, dequeueReason, nil
 }
 
 // rejectionResult logs that the queue did not admit a call, and returns the result.
-func (g *guard) rejectionResult(c *Call, admission slots.Admission, expected time.Duration) *Result {
+func (g *guard) rejectionResult(c *Call, admission slots.Admission, expectedTime time.Duration) *Result {
 	if admission == slots.SlowerHere {
-		g.logRejection(c, "slower-here", expected)
+		g.logRejection(c, "slower-here", expectedTime)
 		return notRunResult(outcome.ReasonWithdrawn)
 	}
-	g.logRejection(c, "full", expected)
+	g.logRejection(c, "full", expectedTime)
 	return notRunResult(outcome.ReasonQueueFull)
 }
 
@@ -283,31 +283,31 @@
 }
 
 // logRejection counts and logs the rejection of a call.
-func (g *guard) logRejection(c *Call, reason string, expected time.Duration) {
+func (g *guard) logRejection(c *Call, reason string, expectedTime time.Duration) {
 	g.metrics.rejected.Inc(1)
 	g.mu.Lock()
 	slowdown, age := g.currentSlowdown(), g.now().Sub(g.slowdownAt)
 	running, waiting, limit := g.queue.Running(), g.queue.Waiting(), g.queue.Limit()
 	g.mu.Unlock()
 	g.opts.Decisions.Write(decision.Rejected, c.ID,
-		slog.String("reason", reason), slog.Int64("expected_ms", expected.Milliseconds()),
+		slog.String("reason", reason), slog.Int64("expected_ms", expectedTime.Milliseconds()),
 		slog.Int64("alternative_ms", c.Alternative.Milliseconds()), slog.Float64("slow", slowdown),
 		slog.Int64("slow_age_ms", age.Milliseconds()), slog.Int("running", running),
 		slog.Int("waiting", waiting), slog.Int("limit", limit))
 }
 
 // waitForStart returns nil when the call may start, or the result if it may not.
-func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, dequeued <-chan slots.DequeueReason) *Result {
+func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, dequeueReason <-chan slots.DequeueReason) *Result {
 	select {
-	case reason := <-dequeued:
+	case reason := <-dequeueReason:
 		return g.dequeueResult(c, reason)
 	case <-ctx.Done():
-	case <-attempt.withdrawn:
+	case <-attempt.cancelSignal:
 	}
 	if g.cancelWaiting(id) {
 		return notRunResult(outcome.ReasonWithdrawn)
 	}
-	return g.dequeueResult(c, <-dequeued)
+	return g.dequeueResult(c, <-dequeueReason)
 }
 
 // dequeueResult returns nil if a call left the queue to start, or the result of its
--- a/sidecar/guardstop.go
+++ b/sidecar/guardstop.go
@@ -68,9 +68,9 @@
 // rejectAllWaiting rejects every call that waits, with the reason of an expired queue
 // timeout: the entry then picks another upstream. g.mu is held.
 func (g *guard) rejectAllWaiting() {
-	for id, dequeued := range g.waiters {
+	for id, dequeueReason := range g.waiters {
 		if g.queue.Remove(id) {
-			dequeued <- slots.QueueTimeoutExpired
+			dequeueReason <- slots.QueueTimeoutExpired
 			delete(g.waiters, id)
 		}
 	}
--- a/sidecar/health_test.go
+++ b/sidecar/health_test.go
@@ -22,7 +22,7 @@
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	for name, c := range map[string]struct {
 		health      int
-		handle      func(http.ResponseWriter, *http.Request)
+		handler     func(http.ResponseWriter, *http.Request)
 		minRequests int
 		maxRequests int
 	}{
@@ -38,7 +38,7 @@
 			a.waitForCandidates(t, "b", 2)
 			a.allowRetries()
 			b1.upstream.setHealth(c.health)
-			b1.upstream.setHandler(c.handle)
+			b1.upstream.setHandler(c.handler)
 			for range requests {
 				status, _ := a.get(t, "/safe/")
 				require.Equal(t, http.StatusOK, status)
--- a/sidecar/idleconns_test.go
+++ b/sidecar/idleconns_test.go
@@ -31,7 +31,7 @@
 	}))
 	s.setLimits(route.Limits{IdleTimeout: idleTimeout})
 	var err error
-	s.listener, err = net.Listen("tcp", freePort(t))
+	s.listener, err = net.Listen("tcp", unusedAddress(t))
 	require.NoError(t, err)
 	go func() { _ = s.Serve(t.Context()) }()
 	t.Cleanup(s.close)
--- a/sidecar/inflight.go
+++ b/sidecar/inflight.go
@@ -22,8 +22,8 @@
 	return true
 }
 
-// done marks a request as completed.
-func (r *inFlightRequests) done() {
+// end marks a request as completed.
+func (r *inFlightRequests) end() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.n--
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -108,7 +108,7 @@
 		return
 	}
 	j.d.guard.discoverUpstream()
-	if current, _ := j.d.guard.currentReport(); current.State != lifecycle.Unknown {
+	if current, _ := j.d.guard.reportAndDeparted(); current.State != lifecycle.Unknown {
 		j.d.announceState()
 	}
 }
--- a/sidecar/keepalive_test.go
+++ b/sidecar/keepalive_test.go
@@ -32,7 +32,7 @@
 
 func startFaultyUpstream(t *testing.T, id string) *faultyUpstream {
 	t.Helper()
-	ln, err := net.Listen("tcp", freePort(t))
+	ln, err := net.Listen("tcp", unusedAddress(t))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	u := &faultyUpstream{id: id, ln: ln}
@@ -71,14 +71,14 @@
 
 // reply writes a response with the headers of an upstream and the additional headers in
 // more.
-func (u *faultyUpstream) reply(c net.Conn, req *http.Request, status, more string) {
+func (u *faultyUpstream) reply(c net.Conn, req *http.Request, status, extraHeaders string) {
 	const body = "some text"
 	sentBody := body
 	if req.Method == http.MethodHead {
 		sentBody = ""
 	}
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %s\r\nT-Instance: %s\r\nT-Slow: %.2f\r\nT-Id: %s\r\nT-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s",
-		status, u.id, 0.5+2*rand.Float64(), req.Header.Get("T-Id"), more, len(body), sentBody)
+		status, u.id, 0.5+2*rand.Float64(), req.Header.Get("T-Id"), extraHeaders, len(body), sentBody)
 }
 
 // respondFaultily sends a random response, faulty or correct, or closes the connection.
@@ -98,8 +98,8 @@
 		_, _ = io.WriteString(c, "\x00\x01 garbage\r\n\r\n\xff")
 		return false
 	case 4, 5, 6, 7:
-		status := []string{"000 a", "099 b", "+12 c", "199 d", "600 e", "999 f", "204 g", "304 h", "101 i", "500 j", "503 k", "421 l"}
-		u.reply(c, req, status[rand.IntN(len(status))], "")
+		statuses := []string{"000 a", "099 b", "+12 c", "199 d", "600 e", "999 f", "204 g", "304 h", "101 i", "500 j", "503 k", "421 l"}
+		u.reply(c, req, statuses[rand.IntN(len(statuses))], "")
 		return false
 	case 8:
 		u.reply(c, req, "200 OK", "")
@@ -216,9 +216,9 @@
 // 90s.
 func TestKeepAliveRequestsAreAnsweredUnderFaults(t *testing.T) {
 	duration := 2 * time.Second
-	if text := os.Getenv("STRESS"); text != "" {
+	if stressDuration := os.Getenv("STRESS"); stressDuration != "" {
 		var err error
-		duration, err = time.ParseDuration(text)
+		duration, err = time.ParseDuration(stressDuration)
 		require.NoError(t, err)
 	}
 	const callers, daemons = 120, 2
--- a/sidecar/inquire.go
+++ b/sidecar/loadquery.go
@@ -94,7 +94,7 @@
 		}
 	}
 	if len(lateIDs) > 0 {
-		a.redirectLate(lateIDs)
+		a.redirectLateReplies(lateIDs)
 	}
 	a.collectReplies(incoming, ids, replies, query)
 	return replies
@@ -104,13 +104,13 @@
 // datagram to ids. The reply goes to the channel, or to query.onLate if the channel is
 // nil.
 func (a *datagrams) sendLoadQuery(up placement.Upstream, query loadQuery, replies chan<- queryReply, ids *[]uint32) {
-	to, err := netip.ParseAddrPort(string(up.Daemon))
+	recipient, err := netip.ParseAddrPort(string(up.Daemon))
 	if err != nil {
 		return
 	}
 	id := a.register(pendingQuery{key: up.Key, address: string(up.Daemon), replies: replies, onLate: query.onLate})
 	*ids = append(*ids, id)
-	a.transmit(query.messageFor(up).appendTo(a.header(kindLoadQuery, id)), to)
+	a.transmit(query.messageFor(up).appendTo(a.header(kindLoadQuery, id)), recipient)
 }
 
 // collectReplies adds the replies that arrive before the timeout expires.
@@ -125,14 +125,14 @@
 		case reply := <-incoming:
 			replies[reply.key] = reply
 		case <-timer.C:
-			a.redirectLate(ids)
+			a.redirectLateReplies(ids)
 			return
 		}
 	}
 }
 
-// redirectLate passes replies that arrive from now on to onLate, for lateReplyWindow.
-func (a *datagrams) redirectLate(ids []uint32) {
+// redirectLateReplies passes replies that arrive from now on to onLate, for lateReplyWindow.
+func (a *datagrams) redirectLateReplies(ids []uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, id := range ids {
@@ -146,12 +146,12 @@
 
 // sendLoad replies with the load of the local upstream. It sends nothing if the local
 // upstream is not the one queried or is not ready, as if the daemon were unreachable.
-func (a *datagrams) sendLoad(id uint32, q loadQueryMessage, to netip.AddrPort) {
+func (a *datagrams) sendLoad(id uint32, q loadQueryMessage, recipient netip.AddrPort) {
 	load, ok := a.d.guard.loadFor(q)
 	if !ok {
 		return
 	}
-	a.transmit(appendLoad(a.header(kindLoadReply, id), load), to)
+	a.transmit(appendLoad(a.header(kindLoadReply, id), load), recipient)
 }
 
 // loadFor returns the load as a request would find it. It returns false if the local
@@ -186,11 +186,11 @@
 }
 
 func decodeLoad(b []byte) placement.Load {
-	const first = datagramHeaderBytes
-	field := func(i int) int { return int(binary.BigEndian.Uint16(b[first+2*i:])) }
+	const bodyStart = datagramHeaderBytes
+	field := func(i int) int { return int(binary.BigEndian.Uint16(b[bodyStart+2*i:])) }
 	return placement.Load{
 		Running: field(0), Waiting: field(1), Limit: field(2),
 		Slowdown: float64(field(3)) / ratioScale, SlowdownAge: time.Duration(field(4)) * time.Millisecond,
-		FailureRate: float64(b[first+2*5]) / ratioScale,
+		FailureRate: float64(b[bodyStart+2*5]) / ratioScale,
 	}
 }
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -239,7 +239,7 @@
 		return
 	}
 	writePeerResult(w, r.Method, p.runAcknowledged(w, "", func() *Result {
-		return p.d.guard.withLoad(p.d.guard.attempts.resolve(r.Context(), q.key, q.timeLeft))
+		return p.d.guard.withLoad(p.d.guard.attempts.cancelOrAwait(r.Context(), q.key, q.timeLeft))
 	}))
 }
 
@@ -251,7 +251,7 @@
 		return
 	}
 	body, err := p.d.bodyLimiter.read(r.Body)
-	if errors.Is(err, errBodyMemoryExhausted) || errors.Is(err, errTooLarge) {
+	if errors.Is(err, errBodyMemoryExhausted) || errors.Is(err, errBodyTooLarge) {
 		writePeerResult(w, r.Method, p.d.guard.withLoad(notRunResult(outcome.ReasonNoMemory)))
 		return
 	}
--- a/sidecar/panics.go
+++ b/sidecar/panics.go
@@ -33,12 +33,12 @@
 // recoverPanic calls do and returns its result; if do panics, the result is an unknown
 // outcome, as the request may have run. net/http recovers panics only in its own goroutines: a
 // panic in any other goroutine would end the process and with it all requests in flight.
-func recoverPanic(requestID string, panicked func(component, requestID string, v any), do func() *Result) (result *Result) {
+func recoverPanic(requestID string, onPanic func(component, requestID string, v any), run func() *Result) (result *Result) {
 	defer func() {
 		if v := recover(); v != nil {
-			panicked(attemptComponent, requestID, v)
+			onPanic(attemptComponent, requestID, v)
 			result = unknownResult(outcome.ReasonInternal)
 		}
 	}()
-	return do()
+	return run()
 }
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -127,7 +127,7 @@
 	old := a.peers.localRecord()
 	old.Incarnation--
 	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, old), "an older record is not acknowledged")
-	require.False(t, a.datagrams.pushRecord(freePort(t), a.peers.localRecord()), "nothing listens there")
+	require.False(t, a.datagrams.pushRecord(unusedAddress(t), a.peers.localRecord()), "nothing listens there")
 }
 
 // TestNewVersionsSpread applies a new version of the configuration at one of several daemons.
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -43,7 +43,7 @@
 	return false
 }
 
-func countRan(members []*member, body string) int {
+func countMembersThatRan(members []*member, body string) int {
 	n := 0
 	for _, m := range members {
 		if m.upstream.hasRun(body) {
@@ -70,7 +70,7 @@
 	}
 	for i := range quarantineThreshold {
 		callers[i%2].sendRequest(t, http.MethodPost, "/unsafe/", crashingBody)
-		require.Eventually(t, func() bool { return countRan(members, crashingBody) == i+1 }, waitLimit, time.Millisecond)
+		require.Eventually(t, func() bool { return countMembersThatRan(members, crashingBody) == i+1 }, waitLimit, time.Millisecond)
 	}
 	for _, a := range callers {
 		require.Eventually(t, func() bool {
@@ -86,7 +86,7 @@
 		require.Equal(t, "quarantined\n", body)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	}
-	require.Equal(t, quarantineThreshold, countRan(members, crashingBody))
+	require.Equal(t, quarantineThreshold, countMembersThatRan(members, crashingBody))
 	status, _ := callers[0].post(t, "/unsafe/")
 	require.Equal(t, http.StatusOK, status, "another request is served")
 }
@@ -127,9 +127,9 @@
 	c.recordLoss(lostRun{id: "two", upstream: incarnation(1)})
 	c.recordLoss(lostRun{id: "other incarnation", upstream: incarnation(2)})
 	require.Empty(t, reported, "the upstream still listens")
-	c.handleCrash(incarnation(1))
+	c.reportCrash(incarnation(1))
 	require.Equal(t, []string{"one", "two"}, reported)
-	c.handleCrash(incarnation(1))
+	c.reportCrash(incarnation(1))
 	require.Len(t, reported, 2)
 	up.server.Close()
 	c.recordLoss(lostRun{id: "three", upstream: incarnation(2)})
@@ -172,7 +172,7 @@
 					crashes.recordResponse()
 				}
 			}
-			crashes.handleCrash(incarnation(1))
+			crashes.reportCrash(incarnation(1))
 			require.Equal(t, c.want, reported)
 		})
 	}
@@ -200,7 +200,7 @@
 	c.recordLoss(lostRun{id: "crashed", upstream: incarnation(1)})
 	now = now.Add(time.Millisecond)
 	c.recordLoss(lostRun{id: "concurrent", upstream: incarnation(1)})
-	c.handleCrash(incarnation(1))
+	c.reportCrash(incarnation(1))
 	require.Equal(t, []string{"crashed", "concurrent"}, reported)
 }
 
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -26,12 +26,12 @@
 
 func newRetryLimiter(b RetryBudget) *retryLimiter {
 	r := &retryLimiter{}
-	r.set(b)
+	r.setBudget(b)
 	return r
 }
 
-// set changes the budget. Counts under a different budget are discarded.
-func (r *retryLimiter) set(b RetryBudget) {
+// setBudget changes the budget. Counts under a different budget are discarded.
+func (r *retryLimiter) setBudget(b RetryBudget) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.window != nil && r.budget == b {
@@ -48,14 +48,14 @@
 	r.window.CountRequest(now)
 }
 
-// take charges n retries and reports true if the budget allows them. The slack of the budget
+// tryCharge charges n retries and reports true if the budget allows them. The slack of the budget
 // is divided equally among all daemons, whose number is daemons. started is the fraction of
 // the daemons that started within the last RetryBudget.Span; see budgetShareAfterStarts.
-func (r *retryLimiter) take(now model.Instant, n float64, daemons int, started float64) bool {
+func (r *retryLimiter) tryCharge(now model.Instant, n float64, daemons int, startedFraction float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.window.SetSlack(r.slack / float64(max(daemons, 1)))
-	r.window.SetShare(budgetShareAfterStarts(started))
+	r.window.SetShare(budgetShareAfterStarts(startedFraction))
 	return r.window.Take(now, n)
 }
 
@@ -64,8 +64,8 @@
 // used retryBudgetMargin of the budget, and those that restarted have lost their counts.
 // What they use again must fit into the rest of the budget. If up to a third of the
 // daemons restart, the share stays 1.
-func budgetShareAfterStarts(started float64) float64 {
-	return min(1, (1/retryBudgetMargin-1)/started)
+func budgetShareAfterStarts(startedFraction float64) float64 {
+	return min(1, (1/retryBudgetMargin-1)/startedFraction)
 }
 
 // retryCharge is what one retry took from the retry budgets. A nil charge took nothing.
@@ -76,18 +76,18 @@
 	callsPerRun   float64
 }
 
-// takeRetry charges one retry to the budget of a service, and the nested requests that
+// chargeRetry charges one retry to the budget of a service, and the nested requests that
 // its execution will send to the budgets of all other services. It returns nil and
 // charges nothing if any of the budgets is exhausted.
-func (e *entry) takeRetry(s *serviceState, now model.Instant) *retryCharge {
-	daemons, started := e.daemon.peers.startedWithin(s.retryLimiter.span())
+func (e *entry) chargeRetry(s *serviceState, now model.Instant) *retryCharge {
+	daemons, startedFraction := e.daemon.peers.startedWithin(s.retryLimiter.span())
 	nestedCalls := s.currentCallsPerRun()
-	if !s.retryLimiter.take(now, 1, daemons, started) {
+	if !s.retryLimiter.tryCharge(now, 1, daemons, startedFraction) {
 		return nil
 	}
 	charge := &retryCharge{service: s, callsPerRun: nestedCalls}
 	for _, o := range e.otherServices(s) {
-		if !o.retryLimiter.take(now, nestedCalls, daemons, started) {
+		if !o.retryLimiter.tryCharge(now, nestedCalls, daemons, startedFraction) {
 			charge.refund(now)
 			return nil
 		}
@@ -142,8 +142,8 @@
 	return r.budget.Span
 }
 
-// left returns how many retries the budget allows now.
-func (r *retryLimiter) left(now model.Instant) float64 {
+// remaining returns how many retries the budget allows now.
+func (r *retryLimiter) remaining(now model.Instant) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.window.Remaining(now)
--- a/sidecar/retries_test.go
+++ b/sidecar/retries_test.go
@@ -15,22 +15,22 @@
 func TestRetriesAreChargedForNestedCalls(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
-	caller, callee := a.entry.stateOf("caller"), a.entry.stateOf("callee")
+	caller, callee := a.entry.serviceStateOf("caller"), a.entry.serviceStateOf("callee")
 	caller.callsPerRun = 4
 	a.peers.local.Incarnation -= time.Hour.Milliseconds()
 	now := a.now()
-	taken := 0
+	takenCount := 0
 	var last *retryCharge
-	for r := a.entry.takeRetry(caller, now); r != nil; r = a.entry.takeRetry(caller, now) {
+	for r := a.entry.chargeRetry(caller, now); r != nil; r = a.entry.chargeRetry(caller, now) {
 		last = r
-		taken++
+		takenCount++
 	}
 	slack := 50 * retryBudgetMargin
-	require.Equal(t, int(slack/caller.callsPerRun), taken)
-	require.InDelta(t, slack-float64(taken), caller.retryLimiter.left(now), 1e-6, "a denied retry is not charged")
+	require.Equal(t, int(slack/caller.callsPerRun), takenCount)
+	require.InDelta(t, slack-float64(takenCount), caller.retryLimiter.remaining(now), 1e-6, "a denied retry is not charged")
 	last.refund(now)
-	require.NotNil(t, a.entry.takeRetry(caller, now))
-	require.True(t, a.entry.takeRetry(callee, now) != nil || callee.retryLimiter.left(now) < 1)
+	require.NotNil(t, a.entry.chargeRetry(caller, now))
+	require.True(t, a.entry.chargeRetry(callee, now) != nil || callee.retryLimiter.remaining(now) < 1)
 }
 
 // TestRefundMatchesCharge changes the number of nested calls, and adds a service, between
@@ -38,22 +38,22 @@
 func TestRefundMatchesCharge(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
-	caller, callee := a.entry.stateOf("caller"), a.entry.stateOf("callee")
+	caller, callee := a.entry.serviceStateOf("caller"), a.entry.serviceStateOf("callee")
 	now := a.now()
 	a.peers.local.Incarnation -= time.Hour.Milliseconds()
-	require.True(t, callee.retryLimiter.take(now, 0, 1, 0))
-	before := callee.retryLimiter.left(now)
+	require.True(t, callee.retryLimiter.tryCharge(now, 0, 1, 0))
+	before := callee.retryLimiter.remaining(now)
 	caller.callsPerRun = 4
-	charge := a.entry.takeRetry(caller, now)
+	charge := a.entry.chargeRetry(caller, now)
 	require.NotNil(t, charge)
-	require.InDelta(t, before-4, callee.retryLimiter.left(now), 1e-6)
+	require.InDelta(t, before-4, callee.retryLimiter.remaining(now), 1e-6)
 	caller.callsPerRun = 1
-	added := a.entry.stateOf("later")
-	require.True(t, added.retryLimiter.take(now, 0, 1, 0))
-	addedBefore := added.retryLimiter.left(now)
+	added := a.entry.serviceStateOf("later")
+	require.True(t, added.retryLimiter.tryCharge(now, 0, 1, 0))
+	addedBefore := added.retryLimiter.remaining(now)
 	charge.refund(now)
-	require.InDelta(t, before, callee.retryLimiter.left(now), 1e-6)
-	require.InDelta(t, addedBefore, added.retryLimiter.left(now), 1e-6)
+	require.InDelta(t, before, callee.retryLimiter.remaining(now), 1e-6)
+	require.InDelta(t, addedBefore, added.retryLimiter.remaining(now), 1e-6)
 	(*retryCharge)(nil).refund(now)
 }
 
@@ -62,9 +62,9 @@
 func TestRetriesWhileCallsPerRunChanges(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
-	caller, callee := a.entry.stateOf("caller"), a.entry.stateOf("callee")
-	require.True(t, callee.retryLimiter.take(a.now(), 0, 1, 0))
-	before := callee.retryLimiter.left(a.now())
+	caller, callee := a.entry.serviceStateOf("caller"), a.entry.serviceStateOf("callee")
+	require.True(t, callee.retryLimiter.tryCharge(a.now(), 0, 1, 0))
+	before := callee.retryLimiter.remaining(a.now())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -75,10 +75,10 @@
 		}
 	}()
 	for range 1000 {
-		a.entry.takeRetry(caller, a.now())
+		a.entry.chargeRetry(caller, a.now())
 	}
 	<-done
-	require.LessOrEqual(t, callee.retryLimiter.left(a.now()), before, "a denied retry is refunded")
+	require.LessOrEqual(t, callee.retryLimiter.remaining(a.now()), before, "a denied retry is refunded")
 }
 
 // TestRetryBudgetAfterDaemonRestarts restarts daemons that have just exhausted their
@@ -86,7 +86,7 @@
 // often as they may. All retries together must stay within the budget. One turn is a
 // tenth of a second.
 func TestRetryBudgetAfterDaemonRestarts(t *testing.T) {
-	const daemons, turns, perTurn = 9, 100, 10
+	const daemons, turns, requestsPerTurn = 9, 100, 10
 	budget := RetryBudget{Ratio: 0.2, Slack: 50, Span: 10 * time.Second}
 	for restarted, want := range map[int]float64{0: 1, 3: 1, 6: 1.0 / 2, 9: 1.0 / 3} {
 		t.Run(fmt.Sprint(restarted), func(t *testing.T) {
@@ -96,35 +96,35 @@
 			for i := range limiters {
 				limiters[i] = newRetryLimiter(budget)
 			}
-			turn := func() {
+			advanceTurn := func() {
 				for _, r := range limiters {
-					for range perTurn {
+					for range requestsPerTurn {
 						r.countRequest(now)
 					}
 				}
 				now = now.Add(budget.Span / turns)
 			}
-			burst := func(started float64) (sent int) {
+			exhaustBudgets := func(startedFraction float64) (sent int) {
 				for _, r := range limiters {
-					for r.take(now, 1, daemons, started) {
+					for r.tryCharge(now, 1, daemons, startedFraction) {
 						sent++
 					}
 				}
 				return sent
 			}
 			for range turns {
-				turn()
+				advanceTurn()
 			}
-			sent := burst(0)
+			sent := exhaustBudgets(0)
 			require.Positive(t, sent)
 			for i := range restarted {
 				limiters[i] = newRetryLimiter(budget)
 			}
 			for range turns - 1 {
-				turn()
-				sent += burst(float64(restarted) / daemons)
+				advanceTurn()
+				sent += exhaustBudgets(float64(restarted) / daemons)
 			}
-			require.LessOrEqual(t, float64(sent), budget.Slack+budget.Ratio*daemons*perTurn*(turns-1))
+			require.LessOrEqual(t, float64(sent), budget.Slack+budget.Ratio*daemons*requestsPerTurn*(turns-1))
 		})
 	}
 }
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -23,31 +23,31 @@
 	// connection resets it on the next request, and then it is unknown whether the
 	// request ran.
 	maxIdleNonIdempotent = time.Second
-	// noLoadRecheck is how long no health check is sent to obtain the load of an upstream
+	// noLoadRecheckInterval is how long no health check is sent to obtain the load of an upstream
 	// that responded without reporting it. Most of these upstreams never report it, and each
 	// health check is one more request to them.
-	noLoadRecheck = 10 * time.Second
+	noLoadRecheckInterval = 10 * time.Second
 	// The upstream is logged as failing at a failure rate of failingRate, and as
 	// recovered at recoveredRate. The two differ so that random fluctuation does not
 	// cause many log entries.
 	failingRate   = 0.5
 	recoveredRate = 0.1
-	// minDeadline is the least time that a request must have left to be sent to the
+	// minTimeLeft is the least time that a request must have left to be sent to the
 	// upstream.
-	minDeadline = 2 * time.Millisecond
+	minTimeLeft = 2 * time.Millisecond
 )
 
 // runCall sends a call to the upstream unless it was cancelled or its deadline is too
 // close, and stores the result.
-func (g *guard) runCall(ctx context.Context, c *Call, attempt *attempt, arrived model.Instant) *Result {
-	timeLeft := c.Deadline - g.now().Sub(arrived)
+func (g *guard) runCall(ctx context.Context, c *Call, attempt *attempt, arrivedAt model.Instant) *Result {
+	timeLeft := c.Deadline - g.now().Sub(arrivedAt)
 	result := notRunResult(outcome.ReasonDeadline)
 	switch {
-	case timeLeft < minDeadline:
+	case timeLeft < minTimeLeft:
 	case inbound.ClosedByClient(ctx), !attempt.start():
 		result = notRunResult(outcome.ReasonWithdrawn)
 	default:
-		result = recoverPanic(c.ID, g.onPanic, func() *Result { return g.sendToUpstream(ctx, c, timeLeft, g.now().Sub(arrived)) })
+		result = recoverPanic(c.ID, g.onPanic, func() *Result { return g.sendToUpstream(ctx, c, timeLeft, g.now().Sub(arrivedAt)) })
 	}
 	g.mu.Lock()
 	g.queue.Finish()
@@ -125,10 +125,10 @@
 // interpretResponse returns the result of a call. If there is a response, info holds what
 // the upstream reported in its headers.
 func (g *guard) interpretResponse(ctx context.Context, c *Call, info ResponseInfo, reply *hop.PoolResponse, err error) *Result {
-	var lost *hop.RequestError
-	if errors.As(err, &lost) {
+	var requestErr *hop.RequestError
+	if errors.As(err, &requestErr) {
 		switch {
-		case !lost.Sent:
+		case !requestErr.Sent:
 			return notRunResult(outcome.ReasonConnect)
 		case errors.Is(ctx.Err(), context.Canceled):
 			return unknownResult(outcome.ReasonCancelled)
@@ -155,17 +155,17 @@
 
 // handleWrongUpstream handles a response from a different upstream at the address of the
 // local upstream. The expected upstream is marked as departed.
-func (g *guard) handleWrongUpstream(c *Call, found model.UpstreamID) {
+func (g *guard) handleWrongUpstream(c *Call, respondingID model.UpstreamID) {
 	g.mu.Lock()
 	current := g.tracker.Current()
-	if current.ID != c.Upstream.ID || found == current.ID {
+	if current.ID != c.Upstream.ID || respondingID == current.ID {
 		g.mu.Unlock()
 		return
 	}
 	g.tracker.Leave(current.Incarnation)
 	current = g.tracker.Current()
 	g.mu.Unlock()
-	g.logState(current, "address taken by "+string(found))
+	g.logUpstreamState(current, "address taken by "+string(respondingID))
 }
 
 // recordLoad stores the load that the upstream reported. l is nil if it reported none.
@@ -174,7 +174,7 @@
 	defer g.mu.Unlock()
 	if l == nil {
 		if !g.slowdownReported {
-			g.nextHealthCheck = g.now().Add(noLoadRecheck)
+			g.nextHealthCheck = g.now().Add(noLoadRecheckInterval)
 		}
 		return
 	}
@@ -206,14 +206,14 @@
 	rate := g.failures.At(g.now())
 	switch {
 	case !g.failingLogged && rate >= failingRate:
-		g.logFailing(decision.UpstreamFailing, rate)
+		g.logFailureChange(decision.UpstreamFailing, rate)
 	case g.failingLogged && rate <= recoveredRate:
-		g.logFailing(decision.UpstreamRecovered, rate)
+		g.logFailureChange(decision.UpstreamRecovered, rate)
 	}
 }
 
-// logFailing logs that the upstream is failing or has recovered. g.mu is held.
-func (g *guard) logFailing(k decision.Kind, rate float64) {
+// logFailureChange logs that the upstream is failing or has recovered. g.mu is held.
+func (g *guard) logFailureChange(k decision.Kind, rate float64) {
 	g.failingLogged = k == decision.UpstreamFailing
 	g.opts.Decisions.Write(k, "", slog.String("upstream", string(g.tracker.Current().ID)), slog.Float64("failing", rate))
 }
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -98,12 +98,12 @@
 	reply, err := pool.Do(ctx, hop.PoolRequest{
 		Method: c.Method, Target: c.Target, Host: c.Host, Header: h, Body: c.Body, OnInformational: attempt.acknowledge,
 	})
-	var lost *hop.RequestError
-	if errors.As(err, &lost) {
-		if ctx.Err() == nil && !lost.Reused {
+	var requestErr *hop.RequestError
+	if errors.As(err, &requestErr) {
+		if ctx.Err() == nil && !requestErr.Reused {
 			e.daemon.peers.reportUnreachable(attempt.endpoint.address, err)
 		}
-		if !lost.Sent {
+		if !requestErr.Sent {
 			return notRunResult(outcome.ReasonConnect), true
 		}
 		return unknownResult(outcome.ReasonConnectionLost), false
@@ -121,44 +121,44 @@
 		// complete reports whether a complete result was received from the daemon.
 		complete bool
 	}
-	direct := make(chan reply, 1)
+	directReplies := make(chan reply, 1)
 	go func() {
 		var complete bool
 		result := recoverPanic(c.ID, e.daemon.recordPanic, func() (result *Result) {
 			result, complete = e.sendOnConnection(ctx, pool, attempt, c)
 			return result
 		})
-		direct <- reply{result, complete}
+		directReplies <- reply{result, complete}
 	}()
 	sentAt := e.bootClock()
 	queryTimer := time.NewTimer(time.Duration(outcomeQueryFactor*float64(attempt.choice.Expected)) + outcomeQueryMargin)
 	defer queryTimer.Stop()
 	ackTimer := time.NewTimer(ackTimeout)
 	defer ackTimer.Stop()
-	queried := make(chan reply, 1)
+	queryReplies := make(chan reply, 1)
 	querying, guardReached := false, false
-	queryOnce := func() {
+	startQuery := func() {
 		if !querying && ctx.Err() == nil {
 			querying = true
 			go func() {
 				var reached bool
 				result := recoverPanic(c.ID, e.daemon.recordPanic, func() (result *Result) {
-					result, reached = e.resolveOutcome(ctx, pool, attempt, c)
+					result, reached = e.queryOutcome(ctx, pool, attempt, c)
 					return e.dropExpiredProof(result, sentAt, c)
 				})
-				queried <- reply{result, reached}
+				queryReplies <- reply{result, reached}
 			}()
 		}
 	}
 	for broken := false; ; {
 		select {
-		case got := <-direct:
+		case got := <-directReplies:
 			if got.complete || guardReached || ctx.Err() != nil {
 				return got.result
 			}
 			broken = true
-			queryOnce()
-		case got := <-queried:
+			startQuery()
+		case got := <-queryReplies:
 			if got.result.Outcome.Kind != outcome.Unknown || broken {
 				return got.result
 			}
@@ -172,12 +172,12 @@
 			// The request has ended, so nobody uses the result.
 			return unknownResult(outcome.ReasonCancelled)
 		case <-queryTimer.C:
-			queryOnce()
+			startQuery()
 		case <-ackTimer.C:
 			select {
 			case <-attempt.acknowledged:
 			default:
-				queryOnce()
+				startQuery()
 			}
 		}
 	}
@@ -195,9 +195,9 @@
 	return result
 }
 
-// resolveOutcome sends an outcome query: the guard returns the outcome of the call, and cancels
-// the call if it has not started. resolveOutcome returns false if the guard was not reached.
-func (e *entry) resolveOutcome(ctx context.Context, pool *hop.Pool, attempt *attemptState, c *Call) (*Result, bool) {
+// queryOutcome sends an outcome query: the guard returns the outcome of the call, and cancels
+// the call if it has not started. queryOutcome returns false if the guard was not reached.
+func (e *entry) queryOutcome(ctx context.Context, pool *hop.Pool, attempt *attemptState, c *Call) (*Result, bool) {
 	e.daemon.metrics.resolved.Inc(1)
 	result, reached := sendResolveRequest(ctx, pool, resolveRequest{key: c.Key(), incarnation: attempt.endpoint.daemonIncarnation, timeLeft: c.Deadline})
 	e.daemon.opts.Decisions.Write(decision.Withdrawn, c.ID, slog.String("upstream", attempt.choice.Upstream.Key),
--- a/sidecar/stopping_test.go
+++ b/sidecar/stopping_test.go
@@ -63,15 +63,15 @@
 	r := readyReport("b1", 1, 1, "b")
 	r.Slots = 1
 	g.handleReport(r, "report")
-	_, runningExit, rejected := g.enqueue(newCall())
-	require.Nil(t, rejected)
-	require.NotEmpty(t, runningExit)
+	_, firstDequeueReason, rejection := g.enqueue(newCall())
+	require.Nil(t, rejection)
+	require.NotEmpty(t, firstDequeueReason)
 	call := newCall()
-	id, dequeued, rejected := g.enqueue(call)
-	require.Nil(t, rejected)
-	require.Empty(t, dequeued)
+	id, dequeueReason, rejection := g.enqueue(call)
+	require.Nil(t, rejection)
+	require.Empty(t, dequeueReason)
 	g.stopAdmitting()
-	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, dequeued)
+	got := g.waitForStart(t.Context(), call, newAttempt("k"), id, dequeueReason)
 	require.Equal(t, outcome.NotRun, got.Outcome.Kind)
 }
 
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -61,11 +61,11 @@
 		plan:  planLostResponses, wantViolation: "twice",
 	},
 	"a lost response counts as not executed": {
-		edits: []edits.Edit{edits.New("sidecar/run.go", "case !lost.Sent:", "case lost != nil:")},
+		edits: []edits.Edit{edits.New("sidecar/run.go", "case !requestErr.Sent:", "case requestErr != nil:")},
 		plan:  planLostResponses, wantViolation: "twice",
 	},
 	"retries have no budget": {
-		edits: []edits.Edit{edits.New("sidecar/retries.go", "	if !s.retryLimiter.take(now, 1, daemons, started) {\n		return nil\n	}\n", "	if daemons > 0 {\n		return &retryCharge{service: s}\n	}\n")},
+		edits: []edits.Edit{edits.New("sidecar/retries.go", "	if !s.retryLimiter.tryCharge(now, 1, daemons, startedFraction) {\n		return nil\n	}\n", "	if daemons > 0 {\n		return &retryCharge{service: s}\n	}\n")},
 		plan:  planUpstreamErrors, wantViolation: "budget",
 	},
 	"a stop aborts executing requests": {
@@ -105,7 +105,7 @@
 	},
 	"attempts are forgotten before the end of their retention": {
 		edits: []edits.Edit{
-			edits.New("sidecar/attempts.go", "a.retainUntil = t.now().Add(retentionPeriod(deadline))", "a.retainUntil = t.now()"),
+			edits.New("sidecar/attempts.go", "a.retainUntil = t.now().Add(retentionPeriod(timeLeft))", "a.retainUntil = t.now()"),
 			edits.New("sidecar/attempts.go", "return a.result != nil || a.cancelled && !early", "return true"),
 		},
 		plan: planSilentPeers, wantViolation: "twice",
