--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -13,6 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
+// newTestAttempts returns an empty table and the current time of its clock, which tests change.
 func newTestAttempts() (*attemptTable, *model.Instant) {
 	now := new(model.Instant)
 	return newAttemptTable(func() model.Instant { return *now }), now
@@ -21,6 +22,7 @@
 func TestResolveAttempt(t *testing.T) {
 	done := &Result{Outcome: outcome.Done(), Status: 200}
 	for name, c := range map[string]struct {
+		// setUp brings the attempt into the state in which its outcome is queried.
 		setUp func(t *testing.T, table *attemptTable)
 		want  outcome.Kind
 		// mayStart reports whether the attempt may start after the outcome query.
@@ -41,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			table, _ := newTestAttempts()
 			c.setUp(t, table)
-			require.Equal(t, c.want, table.resolve(t.Context(), "k", time.Second).Outcome.Kind)
+			require.Equal(t, c.want, table.cancelOrAwait(t.Context(), "k", time.Second).Outcome.Kind)
 			if !c.mayStart {
 				attempt, duplicate := table.register("k", time.Second)
 				require.True(t, duplicate)
@@ -57,16 +59,17 @@
 	require.True(t, attempt.start())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.Equal(t, outcome.Unknown, table.resolve(ctx, "k", time.Second).Outcome.Kind, "a running attempt has no outcome yet")
+	require.Equal(t, outcome.Unknown, table.cancelOrAwait(ctx, "k", time.Second).Outcome.Kind, "a running attempt has no outcome yet")
 	got := make(chan *Result)
-	go func() { got <- table.resolve(t.Context(), "k", time.Second) }()
+	go func() { got <- table.cancelOrAwait(t.Context(), "k", time.Second) }()
 	attempt.finish(&Result{Outcome: outcome.Done()})
 	require.Equal(t, outcome.Answered, (<-got).Outcome.Kind)
 }
 
-// TestEvictedAttemptsAreUnknown fills the table beyond its limit. The outcome of an
-// attempt that was evicted early, or that may have been, is unknown. Attempts that run or
-// wait are never evicted.
+// TestEvictedAttemptsAreUnknown guards against the report that an attempt has not run when it
+// has run and was then evicted. It fills the table beyond its limit. The outcome of every
+// attempt that may have been evicted early is unknown. Attempts that run or wait are never
+// evicted.
 func TestEvictedAttemptsAreUnknown(t *testing.T) {
 	table, now := newTestAttempts()
 	completed, _ := table.register("first", time.Second)
@@ -82,21 +85,21 @@
 	}
 	require.LessOrEqual(t, len(table.byExpiry), maxRetainedAttempts+2, "the table is limited")
 	require.Len(t, table.byKey, len(table.byExpiry))
-	require.Equal(t, outcome.Unknown, table.resolve(t.Context(), "first", time.Second).Outcome.Kind)
-	require.Equal(t, outcome.Unknown, table.resolve(t.Context(), "never received", time.Second).Outcome.Kind)
+	require.Equal(t, outcome.Unknown, table.cancelOrAwait(t.Context(), "first", time.Second).Outcome.Kind)
+	require.Equal(t, outcome.Unknown, table.cancelOrAwait(t.Context(), "never received", time.Second).Outcome.Kind)
 	require.False(t, running.cancel(), "running attempts stay in the table")
 	require.Same(t, waiting, table.byKey["waits"])
 	running.finish(&Result{Outcome: outcome.Done()})
 	waiting.finish(notRunResult(outcome.ReasonQueueFull))
 
 	*now = now.Add(3 * retentionPeriod(time.Second))
-	require.Equal(t, outcome.NotRun, table.resolve(t.Context(), "later", time.Second).Outcome.Kind)
+	require.Equal(t, outcome.NotRun, table.cancelOrAwait(t.Context(), "later", time.Second).Outcome.Kind)
 	require.Len(t, table.byExpiry, 1, "expired attempts are removed")
 }
 
-// TestAttemptsAreRetainedPastTheirDeadlines guards against requests with long deadlines
-// that run twice: if their attempts were evicted while the sender still waits, an outcome
-// query would report that they had not run.
+// TestAttemptsAreRetainedPastTheirDeadlines guards against requests with long deadlines that run
+// twice. If their attempts were evicted while the sender still waits, an outcome query would
+// report that they had not run.
 func TestAttemptsAreRetainedPastTheirDeadlines(t *testing.T) {
 	for name, c := range map[string]struct {
 		deadline time.Duration
@@ -124,16 +127,17 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 			defer cancel()
-			require.Equal(t, c.want, table.resolve(ctx, "k", c.deadline).Outcome.Kind)
+			require.Equal(t, c.want, table.cancelOrAwait(ctx, "k", c.deadline).Outcome.Kind)
 		})
 	}
 }
 
-// TestCancelledAttemptsStayCancelled lets a call arrive shortly before its deadline,
-// after an outcome query has reported that it has not run.
+// TestCancelledAttemptsStayCancelled guards against a call that runs after an outcome query has
+// reported that it has not run. The call arrives shortly before its deadline, after the table
+// was full.
 func TestCancelledAttemptsStayCancelled(t *testing.T) {
 	table, now := newTestAttempts()
-	require.Equal(t, outcome.NotRun, table.resolve(t.Context(), "k", time.Minute).Outcome.Kind)
+	require.Equal(t, outcome.NotRun, table.cancelOrAwait(t.Context(), "k", time.Minute).Outcome.Kind)
 	for i := range 2 * maxRetainedAttempts {
 		attempt, _ := table.register(fmt.Sprint(i), time.Second)
 		attempt.finish(&Result{Outcome: outcome.Done()})
@@ -144,9 +148,9 @@
 	require.False(t, attempt.start())
 }
 
-// TestProofOfNotRunExpiresDuringSuspension suspends the VM of a sender. By the monotonic
-// clock of the sender hardly any time has passed, but the guard evicted the attempt long
-// ago.
+// TestProofOfNotRunExpiresDuringSuspension guards against a request that runs twice because the
+// VM of its sender was suspended. By the monotonic clock of the sender hardly any time has
+// passed, but the guard evicted the attempt long ago.
 func TestProofOfNotRunExpiresDuringSuspension(t *testing.T) {
 	for name, c := range map[string]struct {
 		elapsed time.Duration
@@ -175,7 +179,7 @@
 				started = attempt.start()
 			} else if step == 1 {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Nanosecond)
-				cancelled = table.resolve(ctx, "k", time.Second).Outcome.Kind == outcome.NotRun || cancelled
+				cancelled = table.cancelOrAwait(ctx, "k", time.Second).Outcome.Kind == outcome.NotRun || cancelled
 				cancel()
 			}
 			require.False(t, started && cancelled)
@@ -184,8 +188,8 @@
 }
 
 // TestLargeResponsesAreNotRetained checks which responses the table of attempts still holds
-// after they were returned to the entry: neither large ones, nor those of attempts whose
-// outcome is not going to be queried.
+// after they were returned to the entry. It holds neither large responses nor those of attempts
+// whose outcome will not be queried.
 func TestLargeResponsesAreNotRetained(t *testing.T) {
 	for name, c := range map[string]struct {
 		size      int
@@ -202,7 +206,7 @@
 			attempt.start()
 			attempt.finish(&Result{Outcome: outcome.Done(), Body: make([]byte, c.size)})
 			attempt.discardBody(c.keepSmall)
-			require.Equal(t, c.want, table.resolve(t.Context(), "k", time.Second).Outcome.Kind)
+			require.Equal(t, c.want, table.cancelOrAwait(t.Context(), "k", time.Second).Outcome.Kind)
 		})
 	}
 }
--- a/sidecar/bodies_test.go
+++ b/sidecar/bodies_test.go
@@ -23,14 +23,14 @@
 	first.release()
 	second.release()
 	_, err = b.read(strings.NewReader("12345678901"))
-	require.ErrorIs(t, err, errTooLarge)
+	require.ErrorIs(t, err, errBodyTooLarge)
 	_, err = b.read(iotest.ErrReader(errors.New("gone")))
 	require.EqualError(t, err, "gone")
 	require.Zero(t, b.used.Load())
 }
 
-// TestRequestsBeyondBodyMemoryAreRefused exhausts the body memory of the daemon of the
-// caller, then that of the daemon of the upstream.
+// TestRequestsBeyondBodyMemoryAreRefused exhausts the body memory of the caller's daemon, then
+// that of the upstream's daemon.
 func TestRequestsBeyondBodyMemoryAreRefused(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
--- a/sidecar/call_test.go
+++ b/sidecar/call_test.go
@@ -38,16 +38,16 @@
 }
 
 func TestInvalidCallEncodings(t *testing.T) {
-	good := (&Call{ID: "r1", Service: "a", Upstream: lifecycle.Incarnation{ID: "i-1"}}).encode()
+	validEncoding := (&Call{ID: "r1", Service: "a", Upstream: lifecycle.Incarnation{ID: "i-1"}}).encode()
 	fields := func(change func(f []string)) string {
-		f := strings.Split(good, " ")
+		f := strings.Split(validEncoding, " ")
 		change(f)
 		return strings.Join(f, " ")
 	}
 	for name, s := range map[string]string{
 		"empty":           "",
-		"a field missing": good[:strings.LastIndex(good, " ")],
-		"an extra field":  good + " 1",
+		"a field missing": validEncoding[:strings.LastIndex(validEncoding, " ")],
+		"an extra field":  validEncoding + " 1",
 		"empty id":        fields(func(f []string) { f[0] = "" }),
 		"not a number":    fields(func(f []string) { f[7] = "first" }),
 		"not a boolean":   fields(func(f []string) { f[6] = "maybe" }),
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestKindOfRoute checks that routes have different kinds, and that the kind depends
-// only on the name of the route and so is the same on all daemons.
+// TestKindOfRoute checks that different routes have different kinds. The kind must depend only
+// on the name of the route, so that it is the same on all daemons.
 func TestKindOfRoute(t *testing.T) {
 	lookup, book := &route.Route{Name: "lookup", Rank: 1}, &route.Route{Name: "book", Rank: 1}
 	require.NotEqual(t, kindOf(lookup), kindOf(book))
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -15,6 +15,7 @@
 // The benchmarks in this file provide the values of docs/CAPACITY.md: what a daemon
 // stores and sends per other daemon, per candidate and per route.
 
+// recordOf returns the record of the i-th daemon.
 func recordOf(i int) Record {
 	return Record{
 		Address: fmt.Sprintf("10.1.%d.%d:7460", i/250, i%250), Incarnation: 1_790_000_000_000, Sequence: 7, Zone: "zone-a",
@@ -23,6 +24,7 @@
 	}
 }
 
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -59,11 +61,11 @@
 	for _, n := range []int{6, 22, 64, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := placement.New(placement.Options{Zone: "zone-0"})
-			var ups []placement.Upstream
+			var upstreams []placement.Upstream
 			for i := range n {
-				ups = append(ups, placement.Upstream{Key: fmt.Sprint(i), Zone: model.AvailabilityZone(fmt.Sprint("zone-", i%5)), Slots: 6})
+				upstreams = append(upstreams, placement.Upstream{Key: fmt.Sprint(i), Zone: model.AvailabilityZone(fmt.Sprint("zone-", i%5)), Slots: 6})
 			}
-			p.SetUpstreams(ups)
+			p.SetUpstreams(upstreams)
 			for i := range n {
 				p.UpdateLoad(0, fmt.Sprint(i), placement.Load{Running: i % 4, Limit: 4, Slowdown: 1})
 			}
@@ -78,6 +80,7 @@
 	}
 }
 
+// documentOfRoutes returns a configuration document with n more routes than documentOf.
 func documentOfRoutes(n int) route.Document {
 	doc := documentOf(1, "b")
 	for i := range n {
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -23,14 +23,14 @@
 	maxUndelivered = 6
 	// maxAttemptsPerRequest limits the attempts of a request regardless of its route.
 	maxAttemptsPerRequest = 64
-	// upstreamRefusedRetryAfter is the Retry-After value if upstreams refused a request
-	// although their guards kept them below their concurrency limit. Such refusals are
+	// upstreamRefusedRetryAfter is the Retry-After value for a request that upstreams refused,
+	// although their guards kept them below their concurrency limits. Such refusals are
 	// short-lived.
 	upstreamRefusedRetryAfter = 50 * time.Millisecond
 )
 
-// errNotAcknowledged is why a daemon is considered unreachable if it does not acknowledge
-// a call in time.
+// errNotAcknowledged is logged as the reason why a daemon is considered unreachable if it does
+// not acknowledge a call in time.
 var errNotAcknowledged = errors.New("call not acknowledged")
 
 // attemptState is the entry's state of an attempt in flight. The guard keeps its own state of
@@ -41,13 +41,14 @@
 	attemptIndex int
 	sentAt       model.Instant
 	cancel       context.CancelFunc
-	// charge is what the attempt took from the retry budgets.
+	// charge is what the attempt took from the retry budgets, nil if nothing.
 	charge *retryCharge
 	// acknowledged is closed once the daemon of the upstream has acknowledged the call.
 	acknowledged    chan struct{}
 	acknowledgeOnce sync.Once
 }
 
+// acknowledge marks the call as acknowledged. It may be called more than once.
 func (a *attemptState) acknowledge() { a.acknowledgeOnce.Do(func() { close(a.acknowledged) }) }
 
 // attemptResult is an attempt and its result.
@@ -58,26 +59,28 @@
 
 // forwarder forwards one request. It keeps the state of all attempts of the request.
 type forwarder struct {
-	entry       *entry
-	request     *request
-	service     *serviceState
-	serviceTime time.Duration
-	results     chan attemptResult
+	entry        *entry
+	request      *request
+	serviceState *serviceState
+	serviceTime  time.Duration
+	results      chan attemptResult
 	// unacknowledged receives the attempts that were not acknowledged in time.
 	unacknowledged chan *attemptState
 	inFlight       []*attemptState
 	// excluded holds the keys of upstreams that are excluded from further attempts.
 	excluded map[string]bool
-	// mayHaveRun is set when an attempt has run or may have run; deliveredCount counts
-	// the attempts that reached an upstream or may have reached one.
-	mayHaveRun       bool
-	deliveredCount   int
-	startedCount     int
+	// mayHaveRun is set when an attempt has run or may have run.
+	mayHaveRun bool
+	// deliveredCount counts the attempts that reached an upstream or may have reached one.
+	deliveredCount int
+	startedCount   int
+	// undeliveredCount counts the attempts that ended without reaching an upstream.
 	undeliveredCount int
-	// fullCount counts the guards that rejected the request for lack of capacity.
-	fullCount int
-	// bestFailure is the most informative unsuccessful result so far.
-	bestFailure        *Result
+	// queueFullCount counts the attempts that guards rejected because their queues were full.
+	queueFullCount int
+	// bestFailure is the unsuccessful result to report to the caller if no attempt succeeds.
+	bestFailure *Result
+	// lateHedgeScheduled is set once the first hedge timer has fired.
 	lateHedgeScheduled bool
 }
 
@@ -87,14 +90,14 @@
 // forward sends a request to upstreams until one has responded or no further attempt is
 // allowed.
 func (e *entry) forward(req *request) *Result {
-	s := e.stateOf(req.service)
+	s := e.serviceStateOf(req.service)
 	s.retryLimiter.countRequest(req.startedAt)
 	if req.service != e.daemon.service() {
 		e.daemon.guard.countCall()
 	}
 	capacity := req.maxAttempts() + maxUndelivered + placement.MaxRejections + 1
 	f := &forwarder{
-		entry: e, request: req, service: s, serviceTime: e.serviceTimeOf(req.route.Name, req.deadline.Sub(req.startedAt)),
+		entry: e, request: req, serviceState: s, serviceTime: e.serviceTimeOf(req.route.Name, req.deadline.Sub(req.startedAt)),
 		results: make(chan attemptResult, capacity), unacknowledged: make(chan *attemptState, capacity), excluded: make(map[string]bool),
 	}
 	defer f.cancelAll()
@@ -111,11 +114,11 @@
 	for {
 		select {
 		case finished := <-f.results:
-			if result := f.handleResult(finished); result != nil {
+			if result := f.finishAttempt(finished); result != nil {
 				return result
 			}
 		case attempt := <-f.unacknowledged:
-			f.handleUnacknowledged(attempt)
+			f.hedgeUnacknowledged(attempt)
 		case <-timer.C:
 			f.hedge()
 			if !f.lateHedgeScheduled {
@@ -130,18 +133,19 @@
 	}
 }
 
-// handleUnacknowledged handles an attempt that was not acknowledged in time. An
-// idempotent request is hedged. For others, sendNonIdempotent queries the outcome.
-func (f *forwarder) handleUnacknowledged(attempt *attemptState) {
+// hedgeUnacknowledged is called when an attempt was not acknowledged in time. It marks the
+// daemon of the attempt as unreachable and hedges the request if it is idempotent. For any other
+// request, sendNonIdempotent queries the outcome.
+func (f *forwarder) hedgeUnacknowledged(attempt *attemptState) {
 	now := f.entry.daemon.now()
-	f.service.mu.Lock()
-	f.service.placer.MarkUnreachable(now, attempt.choice.Upstream.Key)
-	f.service.mu.Unlock()
+	f.serviceState.mu.Lock()
+	f.serviceState.placer.MarkUnreachable(now, attempt.choice.Upstream.Key)
+	f.serviceState.mu.Unlock()
 	f.entry.daemon.peers.reportUnreachable(attempt.endpoint.address, errNotAcknowledged)
 	f.hedge()
 }
 
-// hedgeDelay returns the time until the oldest attempt in flight may be hedged.
+// hedgeDelay returns the time until the oldest attempt in flight may be hedged, at least 1 ms.
 func (f *forwarder) hedgeDelay(factor float64) time.Duration {
 	due := f.inFlight[0].sentAt.Add(time.Duration(factor*float64(f.inFlight[0].choice.Expected)) + hedgeMargin)
 	return max(due.Sub(f.entry.daemon.now()), time.Millisecond)
@@ -156,12 +160,12 @@
 	return f.abandonedResult(outcome.ReasonDeadline)
 }
 
-// shutdownResult returns the result of a request that is still in flight when the daemon
-// ends. A result that has arrived is used.
+// shutdownResult returns the result of a request that has an attempt in flight when the daemon
+// ends. If the result of an attempt has arrived already, it is used.
 func (f *forwarder) shutdownResult() *Result {
 	select {
 	case finished := <-f.results:
-		if result := f.handleResult(finished); result != nil {
+		if result := f.finishAttempt(finished); result != nil {
 			return result
 		}
 	default:
@@ -169,17 +173,17 @@
 	return f.abandonedResult(outcome.ReasonDraining)
 }
 
-// finalShutdownResult returns the result of a request that has no attempt in flight when
+// idleShutdownResult returns the result of a request that has no attempt in flight when
 // the daemon ends.
-func (f *forwarder) finalShutdownResult() *Result {
+func (f *forwarder) idleShutdownResult() *Result {
 	if f.bestFailure == nil {
 		return refuse(outcome.ReasonDraining, noUpstreamRetryAfter)
 	}
 	return f.finalResult()
 }
 
-// abandonedResult returns the result of a request whose attempts are no longer waited for:
-// an earlier response of an upstream, or else an unknown outcome.
+// abandonedResult returns the result of a request whose attempts in flight are given up. It is
+// an earlier response of an upstream, or else an unknown outcome with the given reason.
 func (f *forwarder) abandonedResult(reason outcome.Reason) *Result {
 	if f.bestFailure != nil && f.bestFailure.Outcome.Kind == outcome.Answered {
 		return f.bestFailure
@@ -195,9 +199,9 @@
 	}
 }
 
-// handleResult handles the end of an attempt. It returns the result of the request, or
-// nil if other attempts are in flight or a new one was started.
-func (f *forwarder) handleResult(finished attemptResult) *Result {
+// finishAttempt records the end of an attempt. It returns the result of the request, or nil if
+// other attempts are in flight or a new one was started.
+func (f *forwarder) finishAttempt(finished attemptResult) *Result {
 	f.removeInFlight(finished.attempt)
 	result := finished.result
 	f.recordResult(finished.attempt, result)
@@ -237,19 +241,19 @@
 	}
 }
 
-// recordResult updates the state of the upstream, of the route and of the request from
-// the result of an attempt.
+// recordResult updates the state of the upstream, the service time of the route and the counts
+// of the request from the result of an attempt.
 func (f *forwarder) recordResult(attempt *attemptState, result *Result) {
 	now := f.entry.daemon.now()
-	f.service.mu.Lock()
-	f.service.placer.Done(now, attempt.choice.Upstream.Key, result.Load)
+	f.serviceState.mu.Lock()
+	f.serviceState.placer.Done(now, attempt.choice.Upstream.Key, result.Load)
 	if result.Load != nil {
-		f.service.callsPerRun = result.CallsPerRun
+		f.serviceState.callsPerRun = result.CallsPerRun
 	}
 	if result.Load == nil && result.Outcome.Kind != outcome.Answered {
-		f.service.placer.MarkUnreachable(now, attempt.choice.Upstream.Key)
+		f.serviceState.placer.MarkUnreachable(now, attempt.choice.Upstream.Key)
 	}
-	f.service.mu.Unlock()
+	f.serviceState.mu.Unlock()
 	if result.Outcome.Kind == outcome.Answered && result.Status < http.StatusInternalServerError && result.ServiceTime > 0 {
 		f.entry.recordServiceTime(f.request.route.Name, result.ServiceTime)
 	}
@@ -268,21 +272,22 @@
 		f.request.rejectionCount++
 	case outcome.ReasonQueueFull:
 		f.request.rejectionCount++
-		f.fullCount++
+		f.queueFullCount++
 	}
 	f.mayHaveRun = f.mayHaveRun || result.Outcome.Kind != outcome.NotRun
 }
 
-// keepFailure keeps the failure to report to the caller. A response of an upstream is
-// preferred to an unknown outcome, and an unknown outcome to a refusal.
+// keepFailure stores a result in bestFailure unless the present one is preferred. A response of
+// an upstream is preferred to an unknown outcome. An unknown outcome is preferred to a refusal.
 func (f *forwarder) keepFailure(result *Result) {
 	if f.bestFailure == nil || result.Outcome.Kind == outcome.Answered || f.bestFailure.Outcome.Kind == outcome.NotRun {
 		f.bestFailure = result
 	}
 }
 
-// startNext starts another attempt after the previous one ended for the given reason. It
-// returns the result of the request if no attempt can be started.
+// startNext starts another attempt and returns nil. If no attempt can be started, it returns the
+// result of the request. previousReason is why the previous attempt ended, or ReasonNone for the
+// first attempt.
 func (f *forwarder) startNext(previousReason outcome.Reason) *Result {
 	if f.request.ctx.Err() != nil {
 		return f.timeoutResult()
@@ -291,7 +296,7 @@
 		return unknownResult(outcome.ReasonCancelled)
 	}
 	if f.entry.daemon.isAborting() {
-		return f.finalShutdownResult()
+		return f.idleShutdownResult()
 	}
 	if result := f.entry.daemon.quarantine.check(f.request); result != nil {
 		if f.bestFailure == nil {
@@ -299,21 +304,21 @@
 		}
 		return f.finalResult()
 	}
-	if f.deliveredCount >= f.request.maxAttempts() || f.undeliveredCount > maxUndelivered || f.fullCount >= placement.MaxFullGuards {
+	if f.deliveredCount >= f.request.maxAttempts() || f.undeliveredCount > maxUndelivered || f.queueFullCount >= placement.MaxFullGuards {
 		return f.finalResult()
 	}
 	now := f.entry.daemon.now()
 	var charge *retryCharge
 	if f.deliveredCount > 0 {
-		if charge = f.entry.takeRetry(f.service, now); charge == nil {
+		if charge = f.entry.chargeRetry(f.serviceState, now); charge == nil {
 			f.entry.daemon.metrics.retriesDenied.Inc(1)
 			return f.finalResult()
 		}
 	}
 	attempt, ok := f.chooseUpstream(now)
 	if !ok && previousReason == outcome.ReasonWithdrawn || !ok && f.deliveredCount == 0 && len(f.excluded) > 0 {
-		// No other upstream is left. One whose guard rejected the request is better than
-		// none, so the excluded ones may be chosen again.
+		// No other upstream is left. An upstream whose guard rejected the request is better than
+		// none, so the excluded upstreams may be chosen again.
 		clear(f.excluded)
 		attempt, ok = f.chooseUpstream(now)
 	}
@@ -325,7 +330,7 @@
 		f.releaseChoice(attempt)
 		return refuse(outcome.ReasonQueueFull, jittered(max(attempt.choice.Expected/2, minRetryAfter)))
 	}
-	if f.request.targetTime > 0 && attempt.choice.MissesTarget(f.fullCount, f.request.targetTime.Sub(now)) {
+	if f.request.targetTime > 0 && attempt.choice.MissesTarget(f.queueFullCount, f.request.targetTime.Sub(now)) {
 		f.releaseChoice(attempt)
 		charge.refund(now)
 		return f.finalResult()
@@ -339,18 +344,19 @@
 	return nil
 }
 
-// releaseChoice tells the placer that an attempt is no longer in flight, or was not sent.
+// releaseChoice tells the placer that an attempt is not in flight, because it was cancelled or
+// never sent.
 func (f *forwarder) releaseChoice(attempt *attemptState) {
-	f.service.mu.Lock()
-	defer f.service.mu.Unlock()
-	f.service.placer.Done(f.entry.daemon.now(), attempt.choice.Upstream.Key, nil)
+	f.serviceState.mu.Lock()
+	defer f.serviceState.mu.Unlock()
+	f.serviceState.placer.Done(f.entry.daemon.now(), attempt.choice.Upstream.Key, nil)
 }
 
 // logDecision logs a retry or a hedge.
 func (f *forwarder) logDecision(k decision.Kind, attempt *attemptState, extra ...slog.Attr) {
 	f.entry.daemon.opts.Decisions.Write(k, f.request.id, append([]slog.Attr{
 		slog.String("service", string(f.request.service)), slog.String("upstream", attempt.choice.Upstream.Key),
-		slog.Int("sends", f.deliveredCount), slog.Float64("budget_left", f.service.retryLimiter.left(f.entry.daemon.now())),
+		slog.Int("sends", f.deliveredCount), slog.Float64("budget_left", f.serviceState.retryLimiter.remaining(f.entry.daemon.now())),
 	}, extra...)...)
 }
 
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -19,8 +19,8 @@
 	// healthCheckTimeout limits the wait for a health response. A healthy upstream
 	// responds at once.
 	healthCheckTimeout = 50 * time.Millisecond
-	// startHealthCheckTimeout is the limit while the daemon starts, when no request waits
-	// for the response.
+	// startHealthCheckTimeout limits the wait for a health response while the daemon starts. It
+	// is longer than healthCheckTimeout, as no request waits for the response then.
 	startHealthCheckTimeout = 500 * time.Millisecond
 )
 
@@ -33,12 +33,12 @@
 	configVersion func() model.Version
 	// healthPath returns the path of health checks, empty if there is none.
 	healthPath func() string
-	// slotsFromPeers returns the number of slots of an upstream that does not report it,
-	// from the records of other daemons. Zero means unknown.
+	// slotsFromPeers returns the number of slots of an upstream according to the records of
+	// other daemons, zero if unknown. It is used for an upstream that does not report its slots.
 	slotsFromPeers func(lifecycle.Incarnation) int
 	// isUrgent reports whether at least one route has a lower priority than the given rank.
 	isUrgent func(rank int) bool
-	// onPanic is called when a panic was recovered while a request was served.
+	// onPanic is called with the recovered value after a panic while a request was served.
 	onPanic func(component, requestID string, v any)
 	service model.ServiceName
 	metrics *metrics
@@ -47,33 +47,39 @@
 	tracker lifecycle.Tracker
 	pool    *hop.Pool
 	queue   *slots.Queue
-	// waiters holds a channel for each call in the queue, which receives why the call left
-	// the queue.
-	waiters          map[uint64]chan slots.DequeueReason
-	nextID           uint64
-	wakeTimer        *time.Timer
-	slowdown         float64
-	slowdownAt       model.Instant
+	// waiters holds a channel for each call in the queue, by the id of its queue item. The
+	// channel receives why the call left the queue.
+	waiters   map[uint64]chan slots.DequeueReason
+	nextID    uint64
+	wakeTimer *time.Timer
+	// slowdown is the latest slowdown that the upstream reported, initially 1. A slowdown of 1
+	// means the usual service time.
+	slowdown float64
+	// slowdownAt is when slowdown was reported.
+	slowdownAt model.Instant
+	// slowdownReported is set once the current incarnation has reported its slowdown.
 	slowdownReported bool
 	// nextHealthCheck is the earliest time of the next health check of an upstream that
 	// does not report its load.
 	nextHealthCheck model.Instant
 	failures        placement.FailureRate
-	// failingLogged is set after the failure of the upstream was logged, until its
-	// recovery is logged.
-	failingLogged   bool
+	// failingLogged is set when the log says that the upstream is failing, and cleared when it
+	// says that the upstream has recovered.
+	failingLogged bool
+	// healthCheckDone is closed when the current health check ends. It is nil if there is none.
 	healthCheckDone chan struct{}
-	// runCount counts the recent requests sent to the local upstream, callCount those sent
-	// from this VM to other services, by the upstream or by other callers. Their ratio
-	// estimates the calls per run.
-	runCount  float64
+	// runCount counts the recent requests that were sent to the local upstream.
+	runCount float64
+	// callCount counts the recent requests that the upstream or other callers sent from this VM
+	// to other services. The ratio of callCount to runCount estimates the calls per run.
 	callCount float64
-	// stopDeadline is when a stopping daemon ends at the latest, zero if the daemon is
-	// not stopping. No further call starts once closed is set.
+	// stopDeadline is when a stopping daemon ends at the latest, zero if the daemon is not
+	// stopping.
 	stopDeadline model.Instant
-	closed       bool
-	attempts     *attemptTable
-	crashes      *crashDetector
+	// closed is set when no further call may start.
+	closed   bool
+	attempts *attemptTable
+	crashes  *crashDetector
 }
 
 func newGuard(o *Options, now func() model.Instant, m *metrics) *guard {
@@ -96,7 +102,8 @@
 	return hop.NewPool(g.opts.Addresses.Upstream, hop.PoolOptions{OnDial: g.metrics.countUpstreamConn})
 }
 
-// handleReport handles a status report of the upstream.
+// handleReport applies a status report of the upstream and returns its effect. cause says in the
+// log where the report came from.
 func (g *guard) handleReport(r lifecycle.Report, cause string) lifecycle.Effect {
 	g.mu.Lock()
 	previous := g.tracker.Current()
@@ -105,45 +112,46 @@
 	current := g.tracker.Current()
 	g.mu.Unlock()
 	if effect == lifecycle.Started && previous.State == lifecycle.Ready {
-		g.crashes.handleCrash(previous.Incarnation)
+		g.crashes.reportCrash(previous.Incarnation)
 	}
 	if effect == lifecycle.Started || effect == lifecycle.Changed {
-		g.logState(current, cause)
+		g.logUpstreamState(current, cause)
 	}
 	g.dispatch()
 	return effect
 }
 
-// deregister handles the deregistration of an incarnation.
+// deregister records that an incarnation leaves permanently. It returns the effect on the state
+// of the upstream.
 func (g *guard) deregister(i lifecycle.Incarnation) lifecycle.Effect {
 	g.mu.Lock()
 	effect := g.tracker.Leave(i)
 	current := g.tracker.Current()
 	g.mu.Unlock()
 	if effect == lifecycle.Changed {
-		g.logState(current, "deregistered")
+		g.logUpstreamState(current, "deregistered")
 	}
 	g.dispatch()
 	return effect
 }
 
-// restoreDeparted marks the incarnations as departed that other daemons have recorded as
-// departed.
+// restoreDeparted marks incarnations as departed that have departed according to the records of
+// other daemons.
 func (g *guard) restoreDeparted(departed []lifecycle.Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tracker.Restore(departed)
 }
 
-// logState logs the state of the upstream and the cause of the change.
-func (g *guard) logState(r lifecycle.Report, cause string) {
+// logUpstreamState logs the state of the upstream and the cause of the change.
+func (g *guard) logUpstreamState(r lifecycle.Report, cause string) {
 	g.opts.Decisions.Write(decision.UpstreamState, "",
 		slog.String("upstream", string(r.ID)), slog.Int64("born", r.Born), slog.Uint64("sequence", r.Sequence),
 		slog.String("state", r.State.String()), slog.String("cause", cause))
 }
 
-// applyReport sets the concurrency limit from the newest report, and resets the state of
-// the upstream if a new incarnation has started. g.mu is held.
+// applyReport sets the concurrency limit from the newest report. If a new incarnation has
+// started, it also resets what the guard knows of the upstream. g.mu is held.
 func (g *guard) applyReport(effect lifecycle.Effect) {
 	if effect != lifecycle.Started && effect != lifecycle.Changed {
 		return
@@ -157,9 +165,9 @@
 	g.slowdownReported, g.failures, g.failingLogged = false, placement.FailureRate{}, false
 }
 
-// currentReport returns the newest report of the upstream and the incarnations that have
+// reportAndDeparted returns the newest report of the upstream and the incarnations that have
 // departed.
-func (g *guard) currentReport() (lifecycle.Report, []lifecycle.Incarnation) {
+func (g *guard) reportAndDeparted() (lifecycle.Report, []lifecycle.Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	departed := g.tracker.Departed()
@@ -173,9 +181,9 @@
 	g.service = s
 }
 
-// Do runs a call on the upstream at most once and returns the result. When the context
-// ends, a waiting call is cancelled before its start, and a running call is cancelled if
-// it is idempotent.
+// Do runs a call on the upstream at most once and returns the result. When the context ends, a
+// waiting call is cancelled before its start. A running call is cancelled only if it is
+// idempotent.
 func (g *guard) Do(ctx context.Context, c *Call) *Result {
 	attempt, duplicate := g.registerCall(c)
 	if duplicate {
@@ -184,32 +192,32 @@
 	if c.Alternative > 0 {
 		g.refreshSlowdown(ctx)
 	}
-	id, dequeued, rejected := g.enqueue(c)
-	if rejected != nil {
-		attempt.finish(rejected)
-		return g.withLoad(rejected)
+	id, dequeueReason, rejection := g.enqueue(c)
+	if rejection != nil {
+		attempt.finish(rejection)
+		return g.withLoad(rejection)
 	}
-	arrived := g.now()
-	if result := g.waitForStart(ctx, c, attempt, id, dequeued); result != nil {
+	arrivedAt := g.now()
+	if result := g.waitForStart(ctx, c, attempt, id, dequeueReason); result != nil {
 		attempt.finish(result)
 		return g.withLoad(result)
 	}
 	if c.Idempotent {
-		result := g.runCall(ctx, c, attempt, arrived)
+		result := g.runCall(ctx, c, attempt, arrivedAt)
 		attempt.discardBody(false)
 		return g.withLoad(result)
 	}
-	// A non-idempotent run continues after the connection to its sender has broken. The
-	// sender then queries the outcome over another connection.
-	go g.runCall(context.WithoutCancel(ctx), c, attempt, arrived)
+	// A non-idempotent run continues after the connection to its sender has broken. The sender
+	// then queries the outcome over another connection.
+	go g.runCall(context.WithoutCancel(ctx), c, attempt, arrivedAt)
 	result := attempt.wait(ctx)
 	attempt.discardBody(result.Outcome.Kind != outcome.Answered || len(result.Body) <= maxRetainedBody)
 	return g.withLoad(result)
 }
 
-// registerCall adds a non-idempotent call to the table of attempts. Idempotent calls are
-// not added, as their outcome is never queried. It returns true if the call was
-// registered before.
+// registerCall returns the attempt of a call. It adds the attempt of a non-idempotent call to
+// the table of attempts, and returns true if the table held it already. The outcome of an
+// idempotent call is never queried, so its attempt is not added.
 func (g *guard) registerCall(c *Call) (*attempt, bool) {
 	if c.Idempotent {
 		return newAttempt(c.Key()), false
@@ -217,19 +225,21 @@
 	return g.attempts.register(c.Key(), c.Deadline)
 }
 
-// enqueue admits a call to the queue and starts it if there is a free slot, or returns
-// the result of its rejection.
+// enqueue adds a call to the queue, and starts it if there is a free slot. It returns the id of
+// the call in the queue and a channel that receives why the call leaves the queue. If the call
+// is not admitted, enqueue returns the result of its rejection instead.
 func (g *guard) enqueue(c *Call) (uint64, <-chan slots.DequeueReason, *Result) {
-	id, dequeued, reject := g.admit(c)
+	id, dequeueReason, reject := g.admit(c)
 	if reject != nil {
 		return 0, nil, reject()
 	}
 	g.dispatch()
-	return id, dequeued, nil
+	return id, dequeueReason, nil
 }
 
-// admit adds a call to the queue, or returns a function that rejects it. The function
-// must be called without holding g.mu.
+// admit adds a call to the queue without starting it. It returns the same id and channel as
+// enqueue. If the call is not admitted, admit returns a function that returns the rejection. The
+// function may lock g.mu, so the caller must not hold it.
 func (g *guard) admit(c *Call) (uint64, <-chan slots.DequeueReason, func() *Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -237,28 +247,29 @@
 	if reason := g.rejectReason(current, c); reason != outcome.ReasonNone {
 		return 0, nil, func() *Result { return notRunResult(reason) }
 	}
-	item, admission, expected := g.queue.Admit(g.now(), slots.Arrival{
+	item, admission, expectedTime := g.queue.Admit(g.now(), slots.Arrival{
 		Rank: c.Rank, Kind: c.Kind, Urgent: g.isUrgent(c.Rank), ServiceTime: c.ServiceTime,
 		UntilTarget: c.TimeToTarget, UntilDeadline: c.Deadline, Alternative: c.Alternative,
 	}, slots.Performance{Slowdown: g.currentSlowdown(), FailureRate: g.failures.At(g.now())})
 	if admission != slots.Admitted {
-		return 0, nil, func() *Result { return g.rejectionResult(c, admission, expected) }
+		return 0, nil, func() *Result { return g.rejectionResult(c, admission, expectedTime) }
 	}
 	g.nextID++
 	item.ID = g.nextID
-	dequeued := make(chan slots.DequeueReason, 1)
-	g.waiters[item.ID] = dequeued
+	dequeueReason := make(chan slots.DequeueReason, 1)
+	g.waiters[item.ID] = dequeueReason
 	g.queue.Add(item)
-	return item.ID, dequeued, nil
+	return item.ID, dequeueReason, nil
 }
 
-// rejectionResult logs that the queue did not admit a call, and returns the result.
-func (g *guard) rejectionResult(c *Call, admission slots.Admission, expected time.Duration) *Result {
+// rejectionResult logs that the queue did not admit a call, and returns the result. expectedTime
+// is how long the call was expected to take here.
+func (g *guard) rejectionResult(c *Call, admission slots.Admission, expectedTime time.Duration) *Result {
 	if admission == slots.SlowerHere {
-		g.logRejection(c, "slower-here", expected)
+		g.logRejection(c, "slower-here", expectedTime)
 		return notRunResult(outcome.ReasonWithdrawn)
 	}
-	g.logRejection(c, "full", expected)
+	g.logRejection(c, "full", expectedTime)
 	return notRunResult(outcome.ReasonQueueFull)
 }
 
@@ -276,42 +287,43 @@
 	}
 }
 
-// sameIncarnation reports whether a and b may be the same incarnation. An unknown start
-// time matches any.
+// sameIncarnation reports whether a and b may be the same incarnation. An unknown start time,
+// which is zero, matches any.
 func sameIncarnation(a, b lifecycle.Incarnation) bool {
 	return a.ID == b.ID && (a.Born == b.Born || a.Born == 0 || b.Born == 0)
 }
 
 // logRejection counts and logs the rejection of a call.
-func (g *guard) logRejection(c *Call, reason string, expected time.Duration) {
+func (g *guard) logRejection(c *Call, reason string, expectedTime time.Duration) {
 	g.metrics.rejected.Inc(1)
 	g.mu.Lock()
 	slowdown, age := g.currentSlowdown(), g.now().Sub(g.slowdownAt)
 	running, waiting, limit := g.queue.Running(), g.queue.Waiting(), g.queue.Limit()
 	g.mu.Unlock()
 	g.opts.Decisions.Write(decision.Rejected, c.ID,
-		slog.String("reason", reason), slog.Int64("expected_ms", expected.Milliseconds()),
+		slog.String("reason", reason), slog.Int64("expected_ms", expectedTime.Milliseconds()),
 		slog.Int64("alternative_ms", c.Alternative.Milliseconds()), slog.Float64("slow", slowdown),
 		slog.Int64("slow_age_ms", age.Milliseconds()), slog.Int("running", running),
 		slog.Int("waiting", waiting), slog.Int("limit", limit))
 }
 
-// waitForStart returns nil when the call may start, or the result if it may not.
-func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, dequeued <-chan slots.DequeueReason) *Result {
+// waitForStart waits until a call may start, and returns nil. If the call is cancelled or
+// rejected instead, it returns the result.
+func (g *guard) waitForStart(ctx context.Context, c *Call, attempt *attempt, id uint64, dequeueReason <-chan slots.DequeueReason) *Result {
 	select {
-	case reason := <-dequeued:
+	case reason := <-dequeueReason:
 		return g.dequeueResult(c, reason)
 	case <-ctx.Done():
-	case <-attempt.withdrawn:
+	case <-attempt.cancelSignal:
 	}
 	if g.cancelWaiting(id) {
 		return notRunResult(outcome.ReasonWithdrawn)
 	}
-	return g.dequeueResult(c, <-dequeued)
+	return g.dequeueResult(c, <-dequeueReason)
 }
 
-// dequeueResult returns nil if a call left the queue to start, or the result of its
-// rejection.
+// dequeueResult returns nil if a call left the queue to start. Otherwise it returns the result
+// of the rejection.
 func (g *guard) dequeueResult(c *Call, reason slots.DequeueReason) *Result {
 	switch reason {
 	case slots.Start:
@@ -339,8 +351,9 @@
 	return true
 }
 
-// dispatch carries out all decisions that the queue can make now: it starts waiting calls
-// and rejects those that need not wait any longer.
+// dispatch starts waiting calls as long as slots are free. It rejects waiting calls that would
+// end too late or whose queue timeout has expired. It sets wakeTimer to the time of the next
+// such decision.
 func (g *guard) dispatch() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/sidecar/health_test.go
+++ b/sidecar/health_test.go
@@ -15,14 +15,14 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// TestHealthResponsesDoNotDecideRouting lets one of two upstreams respond wrongly to
-// health checks. Routing must depend on the results of requests instead.
+// TestHealthResponsesDoNotDecideRouting lets one of two upstreams respond wrongly to health
+// checks. Routing must depend on the results of requests, not on health checks.
 func TestHealthResponsesDoNotDecideRouting(t *testing.T) {
 	const requests = 300
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	for name, c := range map[string]struct {
 		health      int
-		handle      func(http.ResponseWriter, *http.Request)
+		handler     func(http.ResponseWriter, *http.Request)
 		minRequests int
 		maxRequests int
 	}{
@@ -38,7 +38,7 @@
 			a.waitForCandidates(t, "b", 2)
 			a.allowRetries()
 			b1.upstream.setHealth(c.health)
-			b1.upstream.setHandler(c.handle)
+			b1.upstream.setHandler(c.handler)
 			for range requests {
 				status, _ := a.get(t, "/safe/")
 				require.Equal(t, http.StatusOK, status)
@@ -46,8 +46,8 @@
 			got := len(b1.upstream.requests())
 			t.Logf("%d of %d requests", got, requests)
 			require.GreaterOrEqual(t, got, c.minRequests)
-			// On a busy processor the other upstream is slow at times, and hedges are
-			// sent to this one.
+			// On a busy processor the other upstream is slow at times. Its requests are then
+			// hedged, and the hedges are sent to b1.
 			require.LessOrEqual(t, got-a.hedges(), c.maxRequests)
 			b1.upstream.setHandler(nil)
 			require.Eventually(t, func() bool {
--- a/sidecar/keepalive_test.go
+++ b/sidecar/keepalive_test.go
@@ -23,8 +23,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// faultyUpstream answers most requests correctly. The others fail in all ways in which a
-// response on a connection can be faulty.
+// faultyUpstream answers most requests correctly. Its other responses have all the faults that a
+// response on a connection can have.
 type faultyUpstream struct {
 	id string
 	ln net.Listener
@@ -32,7 +32,7 @@
 
 func startFaultyUpstream(t *testing.T, id string) *faultyUpstream {
 	t.Helper()
-	ln, err := net.Listen("tcp", freePort(t))
+	ln, err := net.Listen("tcp", unusedAddress(t))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	u := &faultyUpstream{id: id, ln: ln}
@@ -69,16 +69,15 @@
 	}
 }
 
-// reply writes a response with the headers of an upstream and the additional headers in
-// more.
-func (u *faultyUpstream) reply(c net.Conn, req *http.Request, status, more string) {
+// reply writes a response with the headers of an upstream, followed by extraHeaders.
+func (u *faultyUpstream) reply(c net.Conn, req *http.Request, status, extraHeaders string) {
 	const body = "some text"
 	sentBody := body
 	if req.Method == http.MethodHead {
 		sentBody = ""
 	}
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %s\r\nT-Instance: %s\r\nT-Slow: %.2f\r\nT-Id: %s\r\nT-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s",
-		status, u.id, 0.5+2*rand.Float64(), req.Header.Get("T-Id"), more, len(body), sentBody)
+		status, u.id, 0.5+2*rand.Float64(), req.Header.Get("T-Id"), extraHeaders, len(body), sentBody)
 }
 
 // respondFaultily sends a random response, faulty or correct, or closes the connection.
@@ -98,8 +97,8 @@
 		_, _ = io.WriteString(c, "\x00\x01 garbage\r\n\r\n\xff")
 		return false
 	case 4, 5, 6, 7:
-		status := []string{"000 a", "099 b", "+12 c", "199 d", "600 e", "999 f", "204 g", "304 h", "101 i", "500 j", "503 k", "421 l"}
-		u.reply(c, req, status[rand.IntN(len(status))], "")
+		statuses := []string{"000 a", "099 b", "+12 c", "199 d", "600 e", "999 f", "204 g", "304 h", "101 i", "500 j", "503 k", "421 l"}
+		u.reply(c, req, statuses[rand.IntN(len(statuses))], "")
 		return false
 	case 8:
 		u.reply(c, req, "200 OK", "")
@@ -136,6 +135,7 @@
 	lastError  *atomic.Value
 }
 
+// run opens one connection after the other and uses each until the context ends.
 func (c *keepAliveCaller) run(ctx context.Context, name string) {
 	for ctx.Err() == nil {
 		conn, err := net.Dial("tcp", c.address)
@@ -147,8 +147,8 @@
 	}
 }
 
-// useConnection sends requests until the daemon announces that it closes the connection,
-// or until the caller closes it.
+// useConnection sends requests over a connection until the daemon announces that it closes the
+// connection, or until the caller wants to close it.
 func (c *keepAliveCaller) useConnection(ctx context.Context, conn net.Conn, name string) {
 	in := bufio.NewReader(conn)
 	for ctx.Err() == nil {
@@ -209,16 +209,15 @@
 	}
 }
 
-// TestKeepAliveRequestsAreAnsweredUnderFaults guards against requests on persistent
-// connections that get no response. Many callers send requests while upstreams fail in
-// all ways, their reports, the configuration and the settings change, and invalid
-// datagrams arrive. The environment variable STRESS sets the duration, for example to
-// 90s.
+// TestKeepAliveRequestsAreAnsweredUnderFaults guards against requests on persistent connections
+// that get no response. Many callers send requests while upstreams fail in all ways. Meanwhile
+// the reports of the upstreams, the configuration and the settings change, and invalid datagrams
+// arrive. The environment variable STRESS sets the duration, for example to 90s.
 func TestKeepAliveRequestsAreAnsweredUnderFaults(t *testing.T) {
 	duration := 2 * time.Second
-	if text := os.Getenv("STRESS"); text != "" {
+	if stressDuration := os.Getenv("STRESS"); stressDuration != "" {
 		var err error
-		duration, err = time.ParseDuration(text)
+		duration, err = time.ParseDuration(stressDuration)
 		require.NoError(t, err)
 	}
 	const callers, daemons = 120, 2
--- a/sidecar/unanswered_test.go
+++ b/sidecar/unanswered_test.go
@@ -49,8 +49,8 @@
 	return slices.DeleteFunc(slices.Clone(l.entries), func(f map[string]any) bool { return f["msg"] != string(k) })
 }
 
-// joinWithLog is like join, but records the decision log. The daemon runs until the test
-// ends or stops it.
+// joinWithLog starts a daemon of service "a" with a ready upstream, and records its decision log
+// in l. The daemon runs until the test ends or stops it.
 func joinWithLog(t *testing.T, s *store, id string, l *logRecorder) *member {
 	t.Helper()
 	up := newUpstream(t, id)
@@ -93,8 +93,8 @@
 	return resp, err
 }
 
-// TestHandlerPanicsAreLogged makes a handler for callers panic. The caller only sees that
-// the connection is closed.
+// TestHandlerPanicsAreLogged makes a handler for callers panic. The caller sees only that the
+// connection is closed, so the log must show the panic.
 func TestHandlerPanicsAreLogged(t *testing.T) {
 	l := &logRecorder{}
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", l)
@@ -142,8 +142,8 @@
 	require.EqualValues(t, 1, m.scope.Snapshot().Counters()["requests_cut+"].Value())
 }
 
-// TestDisconnectingCallersAreNotCountedAsAborted closes the connection from the side of
-// the caller.
+// TestDisconnectingCallersAreNotCountedAsAborted closes the connection of a running request from
+// the side of the caller. The log must not say that the daemon closed it.
 func TestDisconnectingCallersAreNotCountedAsAborted(t *testing.T) {
 	_, l, caller := startWithRunningRequest(t)
 	require.NoError(t, caller.conn.Close())
@@ -239,11 +239,11 @@
 	require.True(t, requests.begin())
 	require.False(t, requests.closeIfIdle(func() bool { return true }), "one request is in flight")
 	require.True(t, requests.begin())
-	requests.done()
-	requests.done()
+	requests.end()
+	requests.end()
 	require.False(t, requests.closeIfIdle(func() bool { return false }), "the guard is busy")
 	require.True(t, requests.begin())
-	requests.done()
+	requests.end()
 	require.True(t, requests.closeIfIdle(func() bool { return true }))
 	require.False(t, requests.begin())
 }
@@ -254,17 +254,17 @@
 	now := model.Instant(time.Hour)
 	g := newIdleGuard(&now)
 	g.handleReport(readyReport("b1", 1, 1, "b"), "report")
-	_, dequeued, rejected := g.enqueue(newCall())
-	require.Nil(t, rejected)
-	require.NotEmpty(t, dequeued)
+	_, dequeueReason, rejection := g.enqueue(newCall())
+	require.Nil(t, rejection)
+	require.NotEmpty(t, dequeueReason)
 	require.False(t, g.stopIfIdle(), "one call is running")
-	_, _, rejected = g.enqueue(newCall())
-	require.Nil(t, rejected)
+	_, _, rejection = g.enqueue(newCall())
+	require.Nil(t, rejection)
 	g.queue.Finish()
 	g.queue.Finish()
 	require.True(t, g.stopIfIdle())
-	_, _, rejected = g.enqueue(newCall())
-	require.Equal(t, outcome.ReasonDraining, rejected.Outcome.Reason)
+	_, _, rejection = g.enqueue(newCall())
+	require.Equal(t, outcome.ReasonDraining, rejection.Outcome.Reason)
 }
 
 // panickingCodec panics when a request is sent to the upstream.
