--- a/sidecar/abort_test.go
+++ b/sidecar/abort_test.go
@@ -21,7 +21,7 @@
 	m.callerServer.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(w, r)
 		// net/http flushes a small response only after the handler has returned.
-		closed <- m.closeIfIdle()
+		closed <- m.stopForwardingIfIdle()
 	})
 	caller := dialCallers(t, m)
 	caller.send(t, "one")
@@ -42,7 +42,7 @@
 	b.peerServer.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(w, r)
 		if r.Header.Get(callHeader) != "" {
-			closed <- b.closeIfIdle()
+			closed <- b.stopForwardingIfIdle()
 		}
 	})
 	status, _ := a.get(t, "/unsafe/")
--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -32,8 +32,8 @@
 type antiEntropy struct {
 	d *Daemon
 
-	mu   sync.Mutex
-	pace gossip.AntiEntropyTimer
+	mu    sync.Mutex
+	timer gossip.AntiEntropyTimer
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
@@ -46,7 +46,7 @@
 	if !a.due() {
 		return
 	}
-	if m, ok := a.d.follower.peerSelector.AntiEntropyPeer(a.d.peers.members()); ok {
+	if m, ok := a.d.follower.peerSelector.AntiEntropyPeer(a.d.peers.reachableMembers()); ok {
 		a.d.datagrams.sendOneWay(kindDigest, m.Address, a.d.peers.digest().encode())
 	}
 }
@@ -56,9 +56,9 @@
 func (a *antiEntropy) due() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	due := a.pace.Due(a.d.now())
+	due := a.timer.Due(a.d.now())
 	if due {
-		a.pace.RecordAgreement()
+		a.timer.RecordAgreement()
 	}
 	return due
 }
@@ -68,12 +68,12 @@
 func (a *antiEntropy) speedUp() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pace.Reset()
+	a.timer.Reset()
 }
 
 // receiveDigest handles a digest from another daemon. It replies with a summary of the
 // buckets that differ. It takes them in random order, as not all of them may fit.
-func (a *antiEntropy) receiveDigest(from string, body []byte) {
+func (a *antiEntropy) receiveDigest(sender string, body []byte) {
 	if len(body) != digestBuckets*bucketHashBytes {
 		return
 	}
@@ -88,25 +88,25 @@
 		return
 	}
 	rand.Shuffle(len(differing), func(i, j int) { differing[i], differing[j] = differing[j], differing[i] })
-	a.d.datagrams.sendOneWay(kindSummary, from, newSummary(records, differing).encode())
+	a.d.datagrams.sendOneWay(kindSummary, sender, newSummary(records, differing).encode())
 }
 
 // receiveSummary handles a summary from another daemon. It sends the records that are newer
 // here and requests those that are newer there.
-func (a *antiEntropy) receiveSummary(from string, body []byte) {
+func (a *antiEntropy) receiveSummary(sender string, body []byte) {
 	s, ok := decodeSummary(body)
 	if !ok {
 		return
 	}
 	newer, wanted := s.diff(a.d.peers.records())
-	a.sendRecords(from, newer)
+	a.sendRecords(sender, newer)
 	if len(wanted) > 0 {
-		a.d.datagrams.sendOneWay(kindRecordRequest, from, encodeRecordRequest(wanted))
+		a.d.datagrams.sendOneWay(kindRecordRequest, sender, encodeRecordRequest(wanted))
 	}
 }
 
 // sendRequestedRecords sends the records that another daemon requested.
-func (a *antiEntropy) sendRequestedRecords(from string, body []byte) {
+func (a *antiEntropy) sendRequestedRecords(sender string, body []byte) {
 	requested := decodeRecordRequest(body)
 	var found []Record
 	for _, r := range a.d.peers.records() {
@@ -114,13 +114,13 @@
 			found = append(found, r)
 		}
 	}
-	a.sendRecords(from, found)
+	a.sendRecords(sender, found)
 }
 
 // sendRecords sends records to a daemon that lacks them or holds older ones.
-func (a *antiEntropy) sendRecords(to string, records []Record) {
+func (a *antiEntropy) sendRecords(recipient string, records []Record) {
 	for _, b := range packRecords(records) {
-		a.d.datagrams.sendOneWay(kindMissingRecords, to, b)
+		a.d.datagrams.sendOneWay(kindMissingRecords, recipient, b)
 	}
 }
 
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -8,35 +8,35 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// startSync schedules the first exchange with a new peer: either this daemon asks the peer
+// scheduleFirstExchange schedules the first exchange with a new peer: either this daemon asks the peer
 // for all records, or it only pushes the local record. A peer of a remote zone gets no push,
 // as it learns of this daemon from the daemons that it asks for all records. Until the local
 // record has been announced once, pushes wait, so that a start takes one message per peer and
 // not two. The caller holds p.mu.
-func (p *peers) startSync(q *peer) {
+func (p *peers) scheduleFirstExchange(q *peer) {
 	if q.needsFullSync || p.announced && q.record.Zone == p.local.Zone {
 		p.schedulePush(q)
 	}
 }
 
-// addListed adds the daemons of the directory. Daemons of the local zone come first and the
+// addDirectoryEntries adds the daemons of the directory. Daemons of the local zone come first and the
 // order is random otherwise, because the first daemons added are asked for all records: that
 // traffic should not cross zones, nor should all starting daemons choose the same few peers.
-func (p *peers) addListed(list []DirectoryEntry) {
+func (p *peers) addDirectoryEntries(entries []DirectoryEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list = slices.Clone(list)
-	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	slices.SortStableFunc(list, func(a, b DirectoryEntry) int {
+	entries = slices.Clone(entries)
+	rand.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
+	slices.SortStableFunc(entries, func(a, b DirectoryEntry) int {
 		return cmp.Compare(p.zoneDistance(a.Zone), p.zoneDistance(b.Zone))
 	})
-	for _, e := range list {
-		if e.Address == p.local.Address || p.all[e.Address] != nil {
+	for _, e := range entries {
+		if e.Address == p.local.Address || p.others[e.Address] != nil {
 			continue
 		}
-		p.startSync(p.addPeer(Record{Address: e.Address, Zone: e.Zone}))
+		p.scheduleFirstExchange(p.addPeer(Record{Address: e.Address, Zone: e.Zone}))
 	}
-	if len(p.all) == 0 {
+	if len(p.others) == 0 {
 		p.firstContactOnce.Do(func() { close(p.firstContact) })
 	}
 }
@@ -54,7 +54,7 @@
 func (p *peers) replaceBootstrapPeer(failed *peer) {
 	failed.needsFullSync = false
 	var replacement *peer
-	for _, q := range p.all {
+	for _, q := range p.others {
 		if q.unreachable || q.needsFullSync || q == failed {
 			continue
 		}
@@ -73,11 +73,11 @@
 // unavailable. The caller holds p.mu.
 func (p *peers) addPeer(r Record) *peer {
 	q := &peer{record: r, pool: newPeerPool(r.Address)}
-	q.needsFullSync = p.fullSyncs < bootstrapPeers
+	q.needsFullSync = p.fullSyncCount < bootstrapPeers
 	if q.needsFullSync {
-		p.fullSyncs++
+		p.fullSyncCount++
 	}
-	p.all[r.Address] = q
+	p.others[r.Address] = q
 	p.generation++
 	return q
 }
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -17,7 +17,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
-	for address, q := range p.all {
+	for address, q := range p.others {
 		if q.needsFullSync {
 			out = append(out, address)
 		}
@@ -47,7 +47,7 @@
 	selections := make(map[string]int)
 	for range starts {
 		p := isolatedPeers(t, "z3")
-		p.addListed(list)
+		p.addDirectoryEntries(list)
 		selected := p.pendingFullSyncs()
 		require.Len(t, selected, bootstrapPeers)
 		for _, address := range selected {
@@ -65,11 +65,11 @@
 // exist: the third one must be asked for all records instead.
 func TestUnreachableBootstrapPeerIsReplaced(t *testing.T) {
 	p := isolatedPeers(t, "z")
-	p.addListed([]DirectoryEntry{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
+	p.addDirectoryEntries([]DirectoryEntry{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
 	for range bootstrapPeers {
 		for _, address := range p.pendingFullSyncs() {
 			if address != "there" {
-				p.exchangeFailed(p.all[address], errStoreDown)
+				p.recordFailedExchange(p.others[address], errStoreDown)
 			}
 		}
 	}
--- a/sidecar/candidates.go
+++ b/sidecar/candidates.go
@@ -28,7 +28,7 @@
 		endpoints[up.Key] = endpoint{address: r.Address, daemonIncarnation: r.Incarnation, upstream: r.Upstream}
 	}
 	add(&p.local, 0)
-	for _, other := range p.all {
+	for _, other := range p.others {
 		if !other.unreachable {
 			add(&other.record, other.coldUntil)
 		}
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -40,7 +40,7 @@
 				for i := range records {
 					records[i] = recordOf(i + 1)
 				}
-				p.fullSyncs = bootstrapPeers
+				p.fullSyncCount = bootstrapPeers
 				p.merge(records)
 				records = nil
 				b.ReportMetric((heapBytes()-before)/float64(n), "heap-B/daemon")
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -25,7 +25,7 @@
 	source    Source
 	decisions *decision.Log
 	current   atomic.Pointer[activeConfig]
-	versions  versions
+	history   documentHistory
 	// mu serializes changes and guards the field changed, a channel that is closed and
 	// replaced at each change.
 	mu sync.Mutex
@@ -65,7 +65,7 @@
 // apply puts a document into force if it is newer than the configuration in force. It reports
 // whether the document is a valid configuration. from names the origin of the document in log
 // lines.
-func (c *configuration) apply(raw []byte, from string) bool {
+func (c *configuration) apply(raw []byte, origin string) bool {
 	doc, err := c.source.Decode(raw)
 	if err == nil && doc.Version <= c.version() {
 		return true
@@ -76,7 +76,7 @@
 	}
 	if err != nil {
 		c.decisions.Write(decision.ConfigRefused, "", slog.Uint64("version", uint64(doc.Version)),
-			slog.Uint64("in_force", uint64(c.version())), slog.String("from", from), slog.String("error", err.Error()))
+			slog.Uint64("in_force", uint64(c.version())), slog.String("from", origin), slog.String("error", err.Error()))
 		return false
 	}
 	c.mu.Lock()
@@ -85,10 +85,10 @@
 	if doc.Version <= previous {
 		return true
 	}
-	c.versions.add(doc.Version, raw)
+	c.history.add(doc.Version, raw)
 	c.current.Store(&activeConfig{table: table, since: time.Now()})
 	c.decisions.Write(decision.ConfigInForce, "", slog.Uint64("version", uint64(doc.Version)),
-		slog.Uint64("previous", uint64(previous)), slog.Int("routes", table.NumRoutes()), slog.String("from", from))
+		slog.Uint64("previous", uint64(previous)), slog.Int("routes", table.NumRoutes()), slog.String("from", origin))
 	for _, f := range c.onChange {
 		f(table)
 	}
@@ -141,7 +141,7 @@
 // than the one in force, it is fetched from the watcher after a random delay.
 func (d *Daemon) onWatcherVersion(address string, v model.Version) {
 	if v > d.config.version() {
-		time.AfterFunc(rand.N(fetchJitter), func() { d.fetch(address, v) })
+		time.AfterFunc(rand.N(fetchJitter), func() { d.startFetch(address, v) })
 	}
 }
 
@@ -153,15 +153,15 @@
 		return
 	}
 	if d.config.version() > 0 && d.peers.inRemoteZone(address) {
-		time.AfterFunc(remoteZoneFetchDelay, func() { d.fetch(address, v) })
+		time.AfterFunc(remoteZoneFetchDelay, func() { d.startFetch(address, v) })
 		return
 	}
-	d.fetch(address, v)
+	d.startFetch(address, v)
 }
 
-// fetch starts to fetch a version from a daemon, unless that version or a newer one is in
+// startFetch starts to fetch a version from a daemon, unless that version or a newer one is in
 // force or another fetch is running.
-func (d *Daemon) fetch(address string, v model.Version) {
+func (d *Daemon) startFetch(address string, v model.Version) {
 	if v <= d.config.version() || !d.fetching.CompareAndSwap(false, true) {
 		return
 	}
--- a/sidecar/correction_test.go
+++ b/sidecar/correction_test.go
@@ -178,16 +178,16 @@
 	p := newPeers(Record{Address: "own", Incarnation: 1, Sequence: 1}, func() model.Instant { return now }, nil)
 	p.ctx = cancelledContext(t)
 	p.merge([]Record{{Address: "far", Incarnation: 1, Sequence: 1, Service: "b", State: lifecycle.Ready}})
-	remote := p.all["far"]
+	remote := p.others["far"]
 	for _, c := range []struct {
 		unreachableFor time.Duration
 		retry          bool
 		maxDelay       time.Duration
 	}{{0, true, maxSyncBackoff}, {30 * time.Second, true, maxSyncBackoff}, {20 * time.Minute, true, unreachableSyncBackoff}, {2 * time.Hour, false, 0}} {
 		now = model.Instant(c.unreachableFor)
-		retry, maxDelay := p.exchangeFailed(remote, errNotAcknowledged)
+		retry, maxDelay := p.recordFailedExchange(remote, errNotAcknowledged)
 		require.Equal(t, c.retry, retry, c.unreachableFor)
 		require.Equal(t, c.maxDelay, maxDelay, c.unreachableFor)
 	}
-	require.Empty(t, p.all)
+	require.Empty(t, p.others)
 }
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -81,7 +81,7 @@
 	d.peers = newPeers(Record{
 		Address: o.Addresses.Peers, Incarnation: d.startedAt.UnixMilli(), Sequence: 1, Zone: o.Zone, Service: o.Service,
 	}, d.now, o.Decisions)
-	d.peers.version = d.config.version
+	d.peers.configVersion = d.config.version
 	d.peers.onVersion = d.onPeerVersion
 	d.peers.restoreDeparted = d.guard.restoreDeparted
 	d.guard.slotsFromPeers = d.peers.inferSlots
@@ -270,7 +270,7 @@
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	d.peers.ctx = serveCtx
-	supervisor := suture.New("sidecar", suture.Spec{FailureBackoff: restartBackoff, EventHook: d.logEvent, Timeout: componentStopTimeout})
+	supervisor := suture.New("sidecar", suture.Spec{FailureBackoff: restartBackoff, EventHook: d.logSupervisorEvent, Timeout: componentStopTimeout})
 	for _, s := range d.servers {
 		supervisor.Add(s)
 	}
@@ -283,16 +283,16 @@
 	d.opts.Decisions.Write(decision.Started, "", slog.String("address", d.opts.Addresses.Peers),
 		slog.String("zone", string(d.opts.Zone)), slog.String("service", string(d.service())),
 		slog.Int64("incarnation", d.peers.localRecord().Incarnation), slog.String("version", telemetry.Version()))
-	done := supervisor.ServeBackground(serveCtx)
+	supervisorErr := supervisor.ServeBackground(serveCtx)
 	select {
 	case <-ctx.Done():
-	case err := <-done:
+	case err := <-supervisorErr:
 		return err
 	}
 	deadline := d.drain()
 	stop()
 	d.closeServers()
-	<-done
+	<-supervisorErr
 	// The handlers of requests that were closed without a response still write their log
 	// lines.
 	d.awaitResponses(time.Now().Add(min(closedConnLogWait, time.Until(deadline))))
@@ -310,22 +310,22 @@
 	}
 }
 
-// closeIfIdle stops forwarding requests if none is in flight, and reports whether it has
+// stopForwardingIfIdle stops forwarding requests if none is in flight, and reports whether it has
 // stopped. A request counts as in flight until net/http has written its response.
-func (d *Daemon) closeIfIdle() bool {
+func (d *Daemon) stopForwardingIfIdle() bool {
 	return d.inFlight.closeIfIdle(func() bool {
-		return d.callerServer.activeConns() == 0 && d.peerServer.activeConns() == 0 && d.guard.stopIfIdle()
+		return d.callerServer.numActiveConns() == 0 && d.peerServer.numActiveConns() == 0 && d.guard.stopIfIdle()
 	})
 }
 
 // awaitResponses waits until no connection waits for a response, or until the deadline.
 func (d *Daemon) awaitResponses(deadline time.Time) {
-	for d.callerServer.activeConns()+d.peerServer.activeConns() > 0 && time.Now().Before(deadline) {
+	for d.callerServer.numActiveConns()+d.peerServer.numActiveConns() > 0 && time.Now().Before(deadline) {
 		time.Sleep(responsePollInterval)
 	}
 }
 
-func (d *Daemon) logEvent(e suture.Event) {
+func (d *Daemon) logSupervisorEvent(e suture.Event) {
 	if d.opts.Logger != nil && e.Type() != suture.EventTypeStopTimeout {
 		d.opts.Logger.Error("component failed", "event", e.String())
 	}
@@ -367,7 +367,7 @@
 		}
 		if time.Since(began) > minDrainTime {
 			d.callerServer.stopAccepting()
-			if d.closeIfIdle() {
+			if d.stopForwardingIfIdle() {
 				return
 			}
 		}
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -111,14 +111,14 @@
 	defer stop()
 	buf := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := a.conn.ReadFromUDPAddrPort(buf)
+		n, sender, err := a.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return suture.ErrDoNotRestart
 		}
 		if err != nil {
 			return err
 		}
-		a.receive(buf[:n], from)
+		a.receive(buf[:n], sender)
 	}
 }
 
@@ -127,16 +127,16 @@
 // announceVersion announces the version in force to some of the other daemons, which announce
 // it in turn.
 func (a *datagrams) announceVersion() {
-	for _, m := range a.d.follower.peerSelector.PushTargets(a.d.peers.members(), false) {
+	for _, m := range a.d.follower.peerSelector.PushTargets(a.d.peers.reachableMembers(), false) {
 		a.sendOneWay(kindVersion, m.Address, []byte(a.d.opts.Addresses.Peers))
 	}
 }
 
 // sendHeartbeat informs a daemon that this daemon watches the store and whether it reaches
 // the store.
-func (a *datagrams) sendHeartbeat(address string, reaches bool) {
+func (a *datagrams) sendHeartbeat(address string, reachesStore bool) {
 	body := []byte{0}
-	if reaches {
+	if reachesStore {
 		body[0] = 1
 	}
 	a.sendOneWay(kindHeartbeat, address, append(body, a.d.opts.Addresses.Peers...))
@@ -144,16 +144,16 @@
 
 // sendOneWay sends a datagram that needs no reply. The datagram may be lost.
 func (a *datagrams) sendOneWay(kind byte, address string, body []byte) {
-	if to, err := netip.ParseAddrPort(address); err == nil {
-		a.transmit(append(a.header(kind, 0), body...), to)
+	if recipient, err := netip.ParseAddrPort(address); err == nil {
+		a.transmit(append(a.header(kind, 0), body...), recipient)
 	}
 }
 
 // transmit sends a datagram. It ignores send errors, as the datagram could be lost on the way
 // as well.
-func (a *datagrams) transmit(b []byte, to netip.AddrPort) {
+func (a *datagrams) transmit(b []byte, recipient netip.AddrPort) {
 	a.d.metrics.traffic.countSent(b)
-	_, _ = a.conn.WriteToUDPAddrPort(b, to)
+	_, _ = a.conn.WriteToUDPAddrPort(b, recipient)
 }
 
 // header returns the header of a datagram, with capacity for the body of kindLoadReply.
@@ -172,7 +172,7 @@
 
 // pushRecord sends a record to a daemon and reports whether the daemon acknowledged it.
 func (a *datagrams) pushRecord(address string, r Record) bool {
-	to, err := netip.ParseAddrPort(address)
+	recipient, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return false
 	}
@@ -186,7 +186,7 @@
 	for range pushAttempts {
 		id := a.register(pendingQuery{key: address, address: address, replies: acks})
 		ids = append(ids, id)
-		a.transmit(append(a.header(kindRecordPush, id), bodies[0]...), to)
+		a.transmit(append(a.header(kindRecordPush, id), bodies[0]...), recipient)
 		select {
 		case <-acks:
 			return true
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -49,7 +49,7 @@
 	require.Empty(t, replies)
 
 	buf := make([]byte, maxDatagramBytes)
-	n, from, err := remote.ReadFromUDPAddrPort(buf)
+	n, sender, err := remote.ReadFromUDPAddrPort(buf)
 	require.NoError(t, err)
 	require.Equal(t, loadQueryBytes, n)
 	require.EqualValues(t, 2, buf[datagramHeaderBytes], "rank")
@@ -57,7 +57,7 @@
 	reply := append([]byte{kindLoadReply}, buf[1:datagramHeaderBytes]...)
 	want := placement.Load{Running: 3, Waiting: 1, Limit: 4, Slowdown: 1.5}
 	for range 2 {
-		_, err = remote.WriteToUDPAddrPort(appendLoad(reply[:datagramHeaderBytes:datagramHeaderBytes], want), from)
+		_, err = remote.WriteToUDPAddrPort(appendLoad(reply[:datagramHeaderBytes:datagramHeaderBytes], want), sender)
 		require.NoError(t, err)
 	}
 	require.Equal(t, want, <-late)
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -25,9 +25,9 @@
 // waitLimit bounds the wait for a condition.
 const waitLimit = 20 * time.Second
 
-func eventually(t testing.TB, what string, ok func() bool) {
+func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, ok, waitLimit, 2*time.Millisecond, what)
+	require.Eventually(t, condition, waitLimit, 2*time.Millisecond, what)
 }
 
 // testCodec implements HeaderCodec with headers named T-*.
@@ -194,15 +194,15 @@
 type upstream struct {
 	id     string
 	server *httptest.Server
-	// silent suppresses the load header. It does not change.
-	silent bool
+	// omitsLoad suppresses the load header. It does not change.
+	omitsLoad bool
 	// mu guards the fields below. handle serves requests; nil means respondOK.
 	mu       sync.Mutex
-	handle   func(w http.ResponseWriter, r *http.Request)
+	handler  func(w http.ResponseWriter, r *http.Request)
 	received []*http.Request
 	bodies   []string
-	// health is the status of the health check. Zero means 200.
-	health int
+	// healthStatus is the status of the health check. Zero means 200.
+	healthStatus int
 }
 
 func newUpstream(t testing.TB, id string) *upstream {
@@ -223,13 +223,13 @@
 func (u *upstream) setHandler(h func(w http.ResponseWriter, r *http.Request)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.handle = h
+	u.handler = h
 }
 
 func (u *upstream) setHealth(status int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.health = status
+	u.healthStatus = status
 }
 
 func (u *upstream) requests() []*http.Request {
@@ -240,20 +240,20 @@
 
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("T-Instance", u.id)
-	if !u.silent {
+	if !u.omitsLoad {
 		w.Header().Set("T-Slow", "1")
 	}
 	if r.URL.Path == "/health" {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		w.WriteHeader(max(u.health, http.StatusOK))
+		w.WriteHeader(max(u.healthStatus, http.StatusOK))
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
 	u.mu.Lock()
 	u.received = append(u.received, r)
 	u.bodies = append(u.bodies, string(body))
-	handle := u.handle
+	handle := u.handler
 	u.mu.Unlock()
 	w.Header().Set("T-Id", r.Header.Get("T-Id"))
 	if handle != nil {
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -65,7 +65,9 @@
 }
 
 // Receive implements ConfigConsumer.
-func (f *configFollower) Receive(raw []byte, from string) bool { return f.d.config.apply(raw, from) }
+func (f *configFollower) Receive(raw []byte, origin string) bool {
+	return f.d.config.apply(raw, origin)
+}
 
 // AwaitTurn implements ConfigConsumer.
 func (f *configFollower) AwaitTurn(ctx context.Context) error {
@@ -105,10 +107,10 @@
 }
 
 // receiveHeartbeat records the heartbeat of a watcher.
-func (f *configFollower) receiveHeartbeat(address string, reaches bool) {
+func (f *configFollower) receiveHeartbeat(address string, reachesStore bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.elector.RecordHeartbeat(f.d.now(), address, reaches)
+	f.elector.RecordHeartbeat(f.d.now(), address, reachesStore)
 }
 
 // watchLoop repeatedly decides whether this daemon watches the store, sends heartbeats, and
@@ -181,17 +183,17 @@
 		f.mu.Unlock()
 		return
 	}
-	reaches, others := f.elector.ReachesStore(), f.elector.CellPeers()
+	reachesStore, others := f.elector.ReachesStore(), f.elector.CellPeers()
 	f.mu.Unlock()
 	for _, address := range others {
-		f.d.datagrams.sendHeartbeat(address, reaches)
+		f.d.datagrams.sendHeartbeat(address, reachesStore)
 	}
 }
 
 // pollPeer exchanges records with one other daemon and fetches its configuration if that is
 // newer.
 func (f *configFollower) pollPeer(ctx context.Context) {
-	m, ok := f.peerSelector.AntiEntropyPeer(f.d.peers.members())
+	m, ok := f.peerSelector.AntiEntropyPeer(f.d.peers.reachableMembers())
 	if !ok {
 		return
 	}
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -35,14 +35,14 @@
 	for _, message := range []string{"s", "w", "r", "a"} {
 		f.Add(append(append([]byte{kindSuspects}, make([]byte, datagramHeaderBytes-1)...), message+"0123456789abcdef0123456789abcdef"...))
 	}
-	from := netip.MustParseAddrPort("127.0.0.1:9")
+	sender := netip.MustParseAddrPort("127.0.0.1:9")
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if len(b) >= datagramHeaderBytes {
 			// Clears the version, as the daemon would fetch a newer configuration from
 			// the sender.
 			binary.BigEndian.PutUint64(b[5:], 0)
 		}
-		d.datagrams.receive(b, from)
+		d.datagrams.receive(b, sender)
 	})
 }
 
--- a/sidecar/idledaemons_test.go
+++ b/sidecar/idledaemons_test.go
@@ -29,11 +29,11 @@
 			}
 			time.Sleep(settleTime)
 			for b.Loop() {
-				cpu, sent := cpuTime(b), controlBytes(all, "", "sent")
+				cpuBefore, sentBefore := cpuTime(b), controlBytes(all, "", "sent")
 				time.Sleep(interval)
 				daemonSeconds := interval.Seconds() * float64(daemons)
-				b.ReportMetric(100*(cpuTime(b)-cpu).Seconds()/daemonSeconds, "%core/daemon")
-				b.ReportMetric(float64(controlBytes(all, "", "sent")-sent)/daemonSeconds, "B/s/daemon")
+				b.ReportMetric(100*(cpuTime(b)-cpuBefore).Seconds()/daemonSeconds, "%core/daemon")
+				b.ReportMetric(float64(controlBytes(all, "", "sent")-sentBefore)/daemonSeconds, "B/s/daemon")
 			}
 		})
 	}
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -23,10 +23,10 @@
 // as ready.
 type joiner struct {
 	d *Daemon
-	// announced is set once the directory holds the entry of this daemon, listed once all
+	// hasEntry is set once the directory holds the entry of this daemon, listed once all
 	// entries have been read after that.
-	announced bool
-	listed    bool
+	hasEntry  bool
+	hasListed bool
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
@@ -52,7 +52,7 @@
 			return
 		}
 		j.d.opts.Decisions.Write(decision.AnnounceFailed, "", slog.String("error", err.Error()))
-		if j.d.peers.size() > 1 {
+		if j.d.peers.numDaemons() > 1 {
 			backoff.Max = maxAnnounceBackoff
 		}
 		if backoff.Wait(ctx) != nil {
@@ -67,16 +67,16 @@
 // the next call resumes at the step that failed.
 func (j *joiner) announceAndList(ctx context.Context) error {
 	var err error
-	if !j.announced && !j.d.opts.Bootstrap {
+	if !j.hasEntry && !j.d.opts.Bootstrap {
 		err = j.list(ctx)
 	}
-	if !j.announced {
+	if !j.hasEntry {
 		self := j.d.peers.localRecord()
 		announceErr := j.d.opts.Directory.Announce(ctx, DirectoryEntry{Address: self.Address, Zone: self.Zone})
-		j.announced, j.listed = announceErr == nil, false
+		j.hasEntry, j.hasListed = announceErr == nil, false
 		err = announceErr
 	}
-	if !j.listed && (j.announced || j.d.opts.Bootstrap) {
+	if !j.hasListed && (j.hasEntry || j.d.opts.Bootstrap) {
 		err = errors.Join(err, j.list(ctx))
 	}
 	return err
@@ -88,11 +88,11 @@
 	if err != nil {
 		return err
 	}
-	j.listed = true
+	j.hasListed = true
 	for _, e := range list {
-		j.announced = j.announced || e.Address == j.d.opts.Addresses.Peers
+		j.hasEntry = j.hasEntry || e.Address == j.d.opts.Addresses.Peers
 	}
-	j.d.peers.addListed(list)
+	j.d.peers.addDirectoryEntries(list)
 	return nil
 }
 
@@ -103,7 +103,7 @@
 	if j.d.opts.Bootstrap {
 		return
 	}
-	j.awaitPeer(ctx, discoveryWait)
+	j.awaitFirstContact(ctx, discoveryWait)
 	if !j.d.config.waitFor(ctx, func(*route.Table) bool { return j.d.healthPath() != "" }) {
 		return
 	}
@@ -113,8 +113,8 @@
 	}
 }
 
-// awaitPeer waits for the first exchange with another daemon, at most for the timeout.
-func (j *joiner) awaitPeer(ctx context.Context, timeout time.Duration) {
+// awaitFirstContact waits for the first exchange with another daemon, at most for the timeout.
+func (j *joiner) awaitFirstContact(ctx context.Context, timeout time.Duration) {
 	select {
 	case <-j.d.peers.firstContact:
 	case <-time.After(timeout):
@@ -124,7 +124,7 @@
 
 // becomeReady marks the daemon as ready once it can serve requests.
 func (j *joiner) becomeReady(ctx context.Context) {
-	j.awaitPeer(ctx, readinessWait)
+	j.awaitFirstContact(ctx, readinessWait)
 	time.AfterFunc(readinessWait, j.d.peers.announceOnce)
 	if j.d.config.waitFor(ctx, func(*route.Table) bool { return true }) {
 		j.d.ready.Store(true)
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -8,45 +8,45 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// size returns the number of known daemons, this one included.
-func (p *peers) size() int {
+// numDaemons returns the number of known daemons, this one included.
+func (p *peers) numDaemons() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.all) + 1
+	return len(p.others) + 1
 }
 
-// startedWithin returns the number of known daemons, this one included, and the share of them
+// daemonsAndStartedShare returns the number of known daemons, this one included, and the share of them
 // that started within the span according to their own clocks. A daemon whose clock is ahead
 // by more than the span counts as started long ago. A daemon that is in the directory but
 // whose record has not been received counts as just started.
-func (p *peers) startedWithin(span time.Duration) (daemons int, share float64) {
+func (p *peers) daemonsAndStartedShare(span time.Duration) (daemons int, share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	since := time.Now().Add(-span).UnixMilli()
-	started := 0
+	windowStart := time.Now().Add(-span).UnixMilli()
+	recentlyStarted := 0
 	count := func(r *Record) {
-		if r.Incarnation > since && r.Incarnation <= since+2*span.Milliseconds() {
-			started++
+		if r.Incarnation > windowStart && r.Incarnation <= windowStart+2*span.Milliseconds() {
+			recentlyStarted++
 		}
 	}
 	count(&p.local)
-	for _, q := range p.all {
+	for _, q := range p.others {
 		if q.record.Sequence == 0 && !q.unreachable {
-			started++
+			recentlyStarted++
 			continue
 		}
 		count(&q.record)
 	}
-	daemons = len(p.all) + 1
-	return daemons, float64(started) / float64(daemons)
+	daemons = len(p.others) + 1
+	return daemons, float64(recentlyStarted) / float64(daemons)
 }
 
-// members returns the daemons that are reachable.
-func (p *peers) members() []gossip.Member {
+// reachableMembers returns the daemons that are reachable.
+func (p *peers) reachableMembers() []gossip.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]gossip.Member, 0, len(p.all))
-	for address, q := range p.all {
+	out := make([]gossip.Member, 0, len(p.others))
+	for address, q := range p.others {
 		if !q.unreachable {
 			out = append(out, gossip.Member{Address: address, Zone: q.record.Zone})
 		}
@@ -57,26 +57,26 @@
 // zoneMembers returns the addresses of the daemons of the local zone that are reachable and
 // not stopping, this one included, the number of zones, and the current generation. It
 // returns no addresses if the given generation is still current.
-func (p *peers) zoneMembers(generation uint64) (addresses []string, zones int, current uint64) {
+func (p *peers) zoneMembers(lastGeneration uint64) (addresses []string, zones int, current uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.generation == generation {
-		return nil, 0, generation
+	if p.generation == lastGeneration {
+		return nil, 0, lastGeneration
 	}
-	seen := map[model.AvailabilityZone]bool{p.local.Zone: true}
+	zoneSet := map[model.AvailabilityZone]bool{p.local.Zone: true}
 	if !p.local.Stopping {
 		addresses = append(addresses, p.local.Address)
 	}
-	for address, q := range p.all {
+	for address, q := range p.others {
 		if q.unreachable || q.record.Stopping {
 			continue
 		}
-		seen[q.record.Zone] = true
+		zoneSet[q.record.Zone] = true
 		if q.record.Zone == p.local.Zone {
 			addresses = append(addresses, address)
 		}
 	}
-	return addresses, len(seen), p.generation
+	return addresses, len(zoneSet), p.generation
 }
 
 // zonePeers returns the other daemons of the local zone that are reachable.
@@ -84,7 +84,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
-	for address, q := range p.all {
+	for address, q := range p.others {
 		if !q.unreachable && q.record.Zone == p.local.Zone {
 			out = append(out, address)
 		}
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -19,9 +19,9 @@
 // The paths of requests between daemons. Calls, which use the path of the caller's request,
 // are recognized by callHeader instead.
 const (
-	pathSync   = "/sync"
-	pathSettle = "/settle"
-	pathConfig = "/config"
+	pathSync    = "/sync"
+	pathResolve = "/settle"
+	pathConfig  = "/config"
 )
 
 // syncMessage is both request and response of an exchange of records between two daemons.
@@ -142,7 +142,7 @@
 	arrivalTimer := time.AfterFunc(resolveArrivalTimeout, cancel)
 	defer arrivalTimer.Stop()
 	r, err := pool.Do(ctx, hop.PoolRequest{
-		Method: http.MethodPost, Target: pathSettle + "?" + q.encode(), Host: peerHost,
+		Method: http.MethodPost, Target: pathResolve + "?" + q.encode(), Host: peerHost,
 		Header: http.Header{}, MaxIdleTime: -1, OnInformational: func() { arrivalTimer.Stop() },
 	})
 	if err != nil {
@@ -217,7 +217,7 @@
 	switch r.URL.Path {
 	case pathSync:
 		p.sync(w, r)
-	case pathSettle:
+	case pathResolve:
 		p.resolve(w, r)
 	case pathConfig:
 		p.config(w, r)
--- a/sidecar/noload_test.go
+++ b/sidecar/noload_test.go
@@ -18,7 +18,7 @@
 	var members []*member
 	for _, id := range []string{"b1", "b2"} {
 		up := newUpstream(t, id)
-		up.silent = true
+		up.omitsLoad = true
 		up.setHandler(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(duration)
 			respondOK(w, id)
--- a/sidecar/options.go
+++ b/sidecar/options.go
@@ -140,7 +140,7 @@
 // ConfigConsumer receives the documents that a Source reads.
 type ConfigConsumer interface {
 	// Receive offers a document and reports whether it is a valid configuration.
-	Receive(raw []byte, from string) bool
+	Receive(raw []byte, origin string) bool
 	// StoreReachable reports whether a call to the store succeeded.
 	StoreReachable(ok bool)
 	// AwaitTurn blocks until this daemon is elected to read from the store.
--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -70,19 +70,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ready := 0
-	var missing []string
-	for address, q := range p.all {
+	var unknown []string
+	for address, q := range p.others {
 		switch {
 		case q.record.Upstream == (lifecycle.Incarnation{}):
-			missing = append(missing, address)
+			unknown = append(unknown, address)
 		case q.record.State == lifecycle.Ready:
 			ready++
 		}
 	}
-	unknown := len(missing)
-	slices.Sort(missing)
-	missing = missing[:min(unknown, maxNamedPeers)]
+	numUnknown := len(unknown)
+	slices.Sort(unknown)
+	unknown = unknown[:min(numUnknown, maxNamedPeers)]
 	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.readyLog.unlogged), slog.Int("ready", ready),
-		slog.Int("peers", len(p.all)), slog.Int("unheard", unknown), slog.String("missing", strings.Join(missing, " ")))
+		slog.Int("peers", len(p.others)), slog.Int("unheard", numUnknown), slog.String("missing", strings.Join(unknown, " ")))
 	p.readyLog.unlogged = 0
 }
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -101,8 +101,8 @@
 type peers struct {
 	now       func() model.Instant
 	decisions *decision.Log
-	// version returns the version of the configuration in force.
-	version func() model.Version
+	// configVersion returns the version of the configuration in force.
+	configVersion func() model.Version
 	// onVersion is called with the configuration version that a daemon has.
 	onVersion func(address string, v model.Version)
 	// pushByDatagram sends a record to a daemon without a connection, and reports whether the
@@ -124,14 +124,14 @@
 	local Record
 	// predecessor is the record that others hold of the previous daemon at this address.
 	predecessor Record
-	// all holds the other daemons by address.
-	all map[string]*peer
+	// others holds the other daemons by address.
+	others map[string]*peer
 	// generation counts the changes to the records held, the local one included, and to the
 	// set of reachable peers. fullSyncs counts the peers that addPeer has chosen to be asked
 	// for all records.
-	generation uint64
-	fullSyncs  int
-	readyLog   readyLogLimiter
+	generation    uint64
+	fullSyncCount int
+	readyLog      readyLogLimiter
 	// announced is set once the local record has been pushed to other daemons.
 	announced bool
 	// ctx ends when the daemon stops, and ends the goroutines that run syncLoop.
@@ -148,7 +148,7 @@
 func newPeers(local Record, now func() model.Instant, d *decision.Log) *peers {
 	return &peers{
 		now: now, decisions: d, local: local,
-		all:           make(map[string]*peer),
+		others:        make(map[string]*peer),
 		random:        rand.Float64,
 		ctx:           context.Background(),
 		firstContact:  make(chan struct{}),
@@ -182,7 +182,7 @@
 	p.announced = true
 	relays := make(map[model.AvailabilityZone]int)
 	// Map iteration starts at a random element, so the relays vary.
-	for _, q := range p.all {
+	for _, q := range p.others {
 		zone := q.record.Zone
 		switch {
 		case zone == p.local.Zone:
@@ -209,7 +209,7 @@
 func (p *peers) handleSyncRequest(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.all[address]
+	q := p.others[address]
 	if q == nil {
 		return
 	}
@@ -270,10 +270,10 @@
 // mergePeer merges a record of another daemon and reports whether it superseded the one held.
 // The caller holds p.mu.
 func (p *peers) mergePeer(r *Record) bool {
-	q := p.all[r.Address]
+	q := p.others[r.Address]
 	if q == nil {
 		q = p.addPeer(Record{Address: r.Address, Zone: r.Zone})
-		p.startSync(q)
+		p.scheduleFirstExchange(q)
 	} else if !r.supersedes(&q.record) {
 		return false
 	}
@@ -291,9 +291,9 @@
 		// The restarted daemon has no record of this one, and the old connections are broken.
 		q.pool.Close()
 		q.pool = newPeerPool(r.Address)
-		p.startSync(q)
+		p.scheduleFirstExchange(q)
 	}
-	if r.Stopping && !wasStopping && r.State != lifecycle.Gone && p.random()*float64(len(p.all)) < restartCheckers {
+	if r.Stopping && !wasStopping && r.State != lifecycle.Gone && p.random()*float64(len(p.others)) < restartCheckers {
 		time.AfterFunc(restartCheckDelay, func() { p.reportUnreachable(r.Address, errStopped) })
 	}
 	if stateChanged {
@@ -312,7 +312,7 @@
 		return p.predecessor.Slots
 	}
 	largest := 0
-	for _, q := range p.all {
+	for _, q := range p.others {
 		if q.record.Service == p.local.Service {
 			largest = max(largest, q.record.Slots)
 		}
@@ -325,7 +325,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	records := []Record{p.local}
-	for _, q := range p.all {
+	for _, q := range p.others {
 		if q.record.Sequence > 0 {
 			records = append(records, q.record)
 		}
@@ -337,7 +337,7 @@
 func (p *peers) recordOf(address string) (Record, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.all[address]
+	q := p.others[address]
 	if q == nil {
 		return Record{}, false
 	}
@@ -348,7 +348,7 @@
 func (p *peers) pool(address string) *hop.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if q := p.all[address]; q != nil {
+	if q := p.others[address]; q != nil {
 		return q.pool
 	}
 	return nil
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -187,7 +187,7 @@
 		"one of three only listed": {[]time.Duration{time.Minute, onlyListed, time.Hour}, 1.0 / 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &peers{all: map[string]*peer{}}
+			p := &peers{others: map[string]*peer{}}
 			for i, age := range c.ages {
 				r := Record{Incarnation: time.Now().Add(-age).UnixMilli(), Sequence: 1}
 				if age == onlyListed {
@@ -196,10 +196,10 @@
 				if i == 0 {
 					p.local = r
 				} else {
-					p.all[strconv.Itoa(i)] = &peer{record: r}
+					p.others[strconv.Itoa(i)] = &peer{record: r}
 				}
 			}
-			daemons, share := p.startedWithin(span)
+			daemons, share := p.daemonsAndStartedShare(span)
 			require.Equal(t, len(c.ages), daemons)
 			require.InDelta(t, c.want, share, 1e-9)
 		})
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -47,7 +47,7 @@
 	q.gossip = &quarantine.Gossip{
 		Store:           q.store,
 		Selector:        d.follower.peerSelector,
-		Members:         d.peers.members,
+		Members:         d.peers.reachableMembers,
 		Send:            func(address string, m []byte) { d.datagrams.sendOneWay(kindSuspects, address, m) },
 		MaxMessageBytes: maxDatagramBody,
 	}
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -21,7 +21,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var longest time.Duration
-	for _, other := range p.all {
+	for _, other := range p.others {
 		if other.unreachable {
 			longest = max(longest, p.now().Sub(other.unreachableSince))
 		}
@@ -34,7 +34,7 @@
 func (p *peers) reportUnreachable(address string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	other := p.all[address]
+	other := p.others[address]
 	if other == nil || other.unreachable {
 		return
 	}
@@ -47,7 +47,7 @@
 func (p *peers) verifyReachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	other := p.all[address]
+	other := p.others[address]
 	if other == nil || other.unreachable || other.verifiedAt != 0 && p.now().Sub(other.verifiedAt) < verifyInterval {
 		return
 	}
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -89,7 +89,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			p.ctx = ctx
-			p.fullSyncs = bootstrapPeers
+			p.fullSyncCount = bootstrapPeers
 			zoneByAddress := make(map[string]string)
 			for i := 1; i < n; i++ {
 				r := Record{Address: fmt.Sprint("d", i), Incarnation: 1, Sequence: 1, Zone: model.AvailabilityZone(zoneOf(i))}
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -80,7 +80,7 @@
 // its execution will send to the budgets of all other services. It returns nil and
 // charges nothing if any of the budgets is exhausted.
 func (e *entry) takeRetry(s *serviceState, now model.Instant) *retryCharge {
-	daemons, started := e.daemon.peers.startedWithin(s.retryLimiter.span())
+	daemons, started := e.daemon.peers.daemonsAndStartedShare(s.retryLimiter.span())
 	nestedCalls := s.currentCallsPerRun()
 	if !s.retryLimiter.take(now, 1, daemons, started) {
 		return nil
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -109,8 +109,8 @@
 	s.idle[c] = i
 }
 
-// activeConns returns the number of connections that wait for a response.
-func (s *server) activeConns() int {
+// numActiveConns returns the number of connections that wait for a response.
+func (s *server) numActiveConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.active)
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -14,7 +14,7 @@
 	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxSyncBackoff}
 	for {
 		p.mu.Lock()
-		if !q.pushDue || p.ctx.Err() != nil || p.all[q.record.Address] != q {
+		if !q.pushDue || p.ctx.Err() != nil || p.others[q.record.Address] != q {
 			q.syncing = false
 			p.mu.Unlock()
 			return
@@ -24,18 +24,18 @@
 		pool, address := q.pool, q.record.Address
 		p.mu.Unlock()
 		if !message.WantAll && p.pushByDatagram(address, message.From) {
-			p.pushAcknowledged(q)
+			p.recordPushAck(q)
 			backoff.Reset()
 			continue
 		}
-		message.Version = p.version()
+		message.Version = p.configVersion()
 		reply, err := sendSync(p.ctx, pool, message)
 		if err == nil {
-			p.exchangeSucceeded(q, address, reply)
+			p.recordExchange(q, address, reply)
 			backoff.Reset()
 			continue
 		}
-		retry, maxBackoff := p.exchangeFailed(q, err)
+		retry, maxBackoff := p.recordFailedExchange(q, err)
 		if !retry {
 			return
 		}
@@ -45,15 +45,15 @@
 	}
 }
 
-// pushAcknowledged marks a peer as reachable after it acknowledged a push.
-func (p *peers) pushAcknowledged(q *peer) {
+// recordPushAck marks a peer as reachable after it acknowledged a push.
+func (p *peers) recordPushAck(q *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.markReachable(q)
 }
 
-// exchangeSucceeded merges the reply of a peer.
-func (p *peers) exchangeSucceeded(q *peer, address string, reply syncMessage) {
+// recordExchange merges the reply of a peer.
+func (p *peers) recordExchange(q *peer, address string, reply syncMessage) {
 	p.mu.Lock()
 	p.markReachable(q)
 	fullSync := q.needsFullSync
@@ -67,10 +67,10 @@
 	p.firstContactOnce.Do(func() { close(p.firstContact) })
 }
 
-// exchangeFailed records a failed exchange. It reports whether to retry, and the bound of the
+// recordFailedExchange records a failed exchange. It reports whether to retry, and the bound of the
 // backoff before that. A peer that is stopping and whose upstream is gone, or that has been
 // unreachable for removeAfter, is removed instead.
-func (p *peers) exchangeFailed(q *peer, err error) (retry bool, maxBackoff time.Duration) {
+func (p *peers) recordFailedExchange(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q.pushDue = true
@@ -84,7 +84,7 @@
 	unreachableFor := p.now().Sub(q.unreachableSince)
 	switch {
 	case gone || unreachableFor >= removeAfter:
-		delete(p.all, q.record.Address)
+		delete(p.others, q.record.Address)
 		q.pool.Close()
 		q.syncing = false
 		return false, 0
--- a/sidecar/traffic.go
+++ b/sidecar/traffic.go
@@ -24,9 +24,9 @@
 
 // pathNames maps the paths of control messages to their names in metrics.
 var pathNames = map[string]string{
-	pathSync:   "sync",
-	pathSettle: "settle",
-	pathConfig: "configuration",
+	pathSync:    "sync",
+	pathResolve: "settle",
+	pathConfig:  "configuration",
 }
 
 // controlTraffic counts the bytes of control messages between daemons by kind. Calls are
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -40,16 +40,16 @@
 	deltas map[model.Version][]byte
 }
 
-// versions keeps the newest documents, so that a daemon with a recent version can be sent a
+// documentHistory keeps the newest documents, so that a daemon with a recent version can be sent a
 // delta. The zero value is empty. It is safe for concurrent use.
-type versions struct {
+type documentHistory struct {
 	mu sync.Mutex
 	// documents are sorted by ascending version.
 	documents []storedDocument
 }
 
 // add stores a document that has come into force.
-func (v *versions) add(version model.Version, raw []byte) {
+func (v *documentHistory) add(version model.Version, raw []byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if n := len(v.documents); n > 0 {
@@ -62,7 +62,7 @@
 }
 
 // newest returns the document in force, or nil.
-func (v *versions) newest() []byte {
+func (v *documentHistory) newest() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.documents) == 0 {
@@ -72,14 +72,14 @@
 }
 
 // document returns the document of a version, or nil if it is not kept.
-func (v *versions) document(version model.Version) []byte {
+func (v *documentHistory) document(version model.Version) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.documentLocked(version)
 }
 
 // documentLocked is document for callers that hold v.mu.
-func (v *versions) documentLocked(version model.Version) []byte {
+func (v *documentHistory) documentLocked(version model.Version) []byte {
 	for _, document := range v.documents {
 		if document.version == version {
 			return document.raw
@@ -91,7 +91,7 @@
 // deltaFrom returns the delta from a version to the document in force. If the version is not
 // kept, the delta starts from the empty document. A nil delta means that the document itself
 // is to be sent, because it is small or the delta is no smaller.
-func (v *versions) deltaFrom(version model.Version) ([]byte, error) {
+func (v *documentHistory) deltaFrom(version model.Version) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.documents) == 0 {
@@ -122,16 +122,16 @@
 // fetch returns the document that another daemon has in force. If that daemon keeps the
 // version in force here, only the delta is transferred. The error is a *hop.RequestError, a
 // *StatusError or a *DeltaError.
-func (c *configuration) fetch(ctx context.Context, pool *hop.Pool, from string) ([]byte, error) {
+func (c *configuration) fetch(ctx context.Context, pool *hop.Pool, address string) ([]byte, error) {
 	heldVersion := c.version()
-	base := c.versions.document(heldVersion)
+	base := c.history.document(heldVersion)
 	raw, err := fetchSince(ctx, pool, heldVersion, base)
 	if err == nil || base == nil || !errors.As(err, new(*DeltaError)) {
 		return raw, err
 	}
 	// The other daemon holds a different document under the same version.
 	c.decisions.Write(decision.ConfigRefused, "", slog.Uint64("version", uint64(heldVersion)),
-		slog.Uint64("in_force", uint64(heldVersion)), slog.String("from", from), slog.String("error", err.Error()))
+		slog.Uint64("in_force", uint64(heldVersion)), slog.String("from", address), slog.String("error", err.Error()))
 	return fetchSince(ctx, pool, 0, nil)
 }
 
@@ -174,7 +174,7 @@
 // config responds with the document in force, or with a delta to it (status 226, RFC 3229) if
 // the request states a version and a delta saves bytes.
 func (p peerHandler) config(w http.ResponseWriter, r *http.Request) {
-	versions := &p.d.config.versions
+	versions := &p.d.config.history
 	raw := versions.newest()
 	if raw == nil {
 		w.WriteHeader(http.StatusNotFound)
@@ -195,7 +195,7 @@
 	if err != nil {
 		return nil
 	}
-	d, err := p.d.config.versions.deltaFrom(model.Version(heldVersion))
+	d, err := p.d.config.history.deltaFrom(model.Version(heldVersion))
 	if err != nil {
 		p.d.opts.Logger.Error("computing the configuration delta failed", "have", heldVersion, "error", err)
 	}
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -98,7 +98,7 @@
 // TestSmallDocumentsAreSentWhole checks that no delta is computed for a document of a few
 // bytes.
 func TestSmallDocumentsAreSentWhole(t *testing.T) {
-	var v versions
+	var v documentHistory
 	v.add(1, []byte("one"))
 	v.add(2, []byte("two"))
 	d, err := v.deltaFrom(1)
@@ -110,7 +110,7 @@
 // TestKeptVersionsAreBounded brings more versions into force than are kept.
 func TestKeptVersionsAreBounded(t *testing.T) {
 	c := configWithVersions(100)
-	require.Len(t, c.versions.documents, keptVersions)
-	require.NotNil(t, c.versions.document(100))
-	require.Nil(t, c.versions.document(100-keptVersions))
+	require.Len(t, c.history.documents, keptVersions)
+	require.NotNil(t, c.history.document(100))
+	require.Nil(t, c.history.document(100-keptVersions))
 }
