--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -15,24 +15,27 @@
 )
 
 const (
-	// digestBuckets is the number of buckets into which a digest divides the records, by a
-	// hash of the daemon's address. bucketHashBytes is the encoded size of the hash of one
-	// bucket.
-	digestBuckets   = 32
+	// digestBuckets is the number of buckets in a digest. A hash of a daemon's address selects
+	// the bucket of its record.
+	digestBuckets = 32
+	// bucketHashBytes is the encoded size of the hash of one bucket. The bucket set of a summary
+	// has the same size.
 	bucketHashBytes = 4
 	// roundTick is how often a daemon checks whether the next anti-entropy round is due.
 	roundTick = 500 * time.Millisecond
 )
 
 // antiEntropy runs the anti-entropy protocol. In each round it compares the records held here
-// with those of one other daemon, so that a daemon that missed a change still learns of it.
-// The initiator sends a digest, the responder replies with a summary of the buckets that
-// differ, and the initiator then sends the records that are newer on its side and requests
-// those that are newer on the other.
+// with those of one other daemon. A daemon that missed a change learns of it in this way.
+//
+// A round has three steps. The initiator sends a digest. The responder replies with a summary of
+// the buckets that differ. The initiator then sends the records that are newer on its side and
+// requests those that are newer on the other side.
 type antiEntropy struct {
 	d *Daemon
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// timer determines when the next round is due.
 	timer gossip.AntiEntropyTimer
 }
 
@@ -42,6 +45,7 @@
 // Serve runs anti-entropy rounds until the context ends.
 func (a *antiEntropy) Serve(ctx context.Context) error { return interval.Run(ctx, roundTick, a.tick) }
 
+// tick sends a digest to one other daemon if a round is due.
 func (a *antiEntropy) tick() {
 	if !a.due() {
 		return
@@ -51,8 +55,9 @@
 	}
 }
 
-// due reports whether to start a round now. It counts the new round as one without a
-// difference. speedUp resets that count when this daemon receives newer records.
+// due reports whether to start a round now. If a round starts, due counts it in advance as a
+// round that finds no difference. If this daemon receives newer records after that, speedUp
+// resets the count.
 func (a *antiEntropy) due() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -63,16 +68,17 @@
 	return due
 }
 
-// speedUp shortens the interval between rounds until several in a row find no difference. It
-// is called after receiving newer records, and when a peer is reachable again.
+// speedUp shortens the interval between rounds until several rounds in a row find no difference.
+// It is called after newer records were received, and when a peer is reachable again.
 func (a *antiEntropy) speedUp() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.timer.Reset()
 }
 
-// receiveDigest handles a digest from another daemon. It replies with a summary of the
-// buckets that differ. It takes them in random order, as not all of them may fit.
+// receiveDigest compares a digest from another daemon with the records held here. It replies
+// with a summary of the buckets that differ. The buckets are in random order, because the
+// summary may not have room for all of them.
 func (a *antiEntropy) receiveDigest(sender string, body []byte) {
 	if len(body) != digestBuckets*bucketHashBytes {
 		return
@@ -91,8 +97,8 @@
 	a.d.datagrams.sendOneWay(kindSummary, sender, newSummary(records, differing).encode())
 }
 
-// receiveSummary handles a summary from another daemon. It sends the records that are newer
-// here and requests those that are newer there.
+// receiveSummary compares a summary from another daemon with the records held here. It sends
+// that daemon the records that are newer here, and requests those that are newer there.
 func (a *antiEntropy) receiveSummary(sender string, body []byte) {
 	s, ok := decodeSummary(body)
 	if !ok {
@@ -105,7 +111,8 @@
 	}
 }
 
-// sendRequestedRecords sends the records that another daemon requested.
+// sendRequestedRecords sends the records that another daemon requested. The body of the request
+// holds the hashes of their addresses.
 func (a *antiEntropy) sendRequestedRecords(sender string, body []byte) {
 	requested := decodeRecordRequest(body)
 	var found []Record
@@ -124,7 +131,7 @@
 	}
 }
 
-// digest holds one hash for each bucket, the XOR of the hashes of its records.
+// digest holds one hash for each bucket: the XOR of the hashes of the records in the bucket.
 type digest [digestBuckets]uint32
 
 // encode returns the digest as the body of a datagram.
@@ -136,17 +143,20 @@
 	return b
 }
 
-// bucketOf returns the bucket of the daemon with an address.
+// bucketOf returns the index of the bucket for the record of the daemon at an address.
 func bucketOf(address string) int { return int(xxhash.Sum64String(address) % digestBuckets) }
 
 // addressHash returns the hash that identifies an address in summaries and record requests.
 func addressHash(address string) uint32 { return uint32(xxhash.Sum64String(address) >> 32) }
 
-// inDigest reports whether a record takes part in anti-entropy. Records of daemons that
-// are stopping and whose upstream is gone do not, because daemons drop them at different times.
+// inDigest reports whether a record takes part in anti-entropy. The record of a stopping daemon
+// whose upstream is gone does not, because daemons drop such a record at different times. A
+// record with the sequence number 0 does not either: it stands for a daemon whose own record has
+// not been received.
 func (r *Record) inDigest() bool { return r.Sequence > 0 && !(r.Stopping && r.State == lifecycle.Gone) }
 
-// digestHash returns the hash of the address and version of a record.
+// digestHash returns the hash of the address, the incarnation and the sequence number of a
+// record.
 func (r *Record) digestHash() uint32 {
 	b := append(make([]byte, 0, len(r.Address)+2*binary.MaxVarintLen64), r.Address...)
 	b = binary.AppendVarint(b, r.Incarnation)
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -8,20 +8,22 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// scheduleFirstExchange schedules the first exchange with a new peer: either this daemon asks the peer
-// for all records, or it only pushes the local record. A peer of a remote zone gets no push,
-// as it learns of this daemon from the daemons that it asks for all records. Until the local
-// record has been announced once, pushes wait, so that a start takes one message per peer and
-// not two. The caller holds p.mu.
+// scheduleFirstExchange schedules the first exchange with a new peer. If the peer is to be asked
+// for all records, the exchange is a request for them. Otherwise it is a push of the local
+// record.
+//
+// A peer of a remote zone gets no push: it learns of this daemon from the daemons that this
+// daemon asks for all records. Until the local record has been announced once, pushes wait. A
+// start then takes one message per peer instead of two. The caller holds p.mu.
 func (p *peers) scheduleFirstExchange(q *peer) {
 	if q.needsFullSync || p.announced && q.record.Zone == p.local.Zone {
 		p.schedulePush(q)
 	}
 }
 
-// addDirectoryEntries adds the daemons of the directory. Daemons of the local zone come first and the
-// order is random otherwise, because the first daemons added are asked for all records: that
-// traffic should not cross zones, nor should all starting daemons choose the same few peers.
+// addDirectoryEntries adds the daemons that the directory lists. Daemons of the local zone come
+// first. The order is random otherwise. The first daemons added are asked for all records: that
+// traffic should not cross zones, and starting daemons should not all choose the same few peers.
 func (p *peers) addDirectoryEntries(entries []DirectoryEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,8 +51,8 @@
 	return 1
 }
 
-// replaceBootstrapPeer asks another daemon for all records in place of one that cannot be
-// reached. It prefers a daemon of the local zone. The caller holds p.mu.
+// replaceBootstrapPeer is called when a peer that was to be asked for all records cannot be
+// reached. It chooses another peer to ask, preferably of the local zone. The caller holds p.mu.
 func (p *peers) replaceBootstrapPeer(failed *peer) {
 	failed.needsFullSync = false
 	var replacement *peer
@@ -68,8 +70,8 @@
 	}
 }
 
-// addPeer adds a daemon to the known ones. The first bootstrapPeers daemons are asked for all
-// records, whether they came from the directory or from a peer, as the directory may be
+// addPeer adds a daemon to the known ones. The first bootstrapPeers daemons added are asked for
+// all records. They may come from the directory or from a peer, because the directory may be
 // unavailable. The caller holds p.mu.
 func (p *peers) addPeer(r Record) *peer {
 	q := &peer{record: r, pool: newPeerPool(r.Address)}
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -25,7 +25,8 @@
 	return out
 }
 
-// isolatedPeers returns peers whose goroutines end at once, as their context is cancelled.
+// isolatedPeers returns the peers of a daemon whose context is cancelled, so that no exchange
+// starts.
 func isolatedPeers(t *testing.T, zone model.AvailabilityZone) *peers {
 	p := newPeers(Record{Address: "self", Zone: zone}, func() model.Instant { return 1 }, decision.New(decision.Options{Handler: slog.DiscardHandler}))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -61,8 +62,8 @@
 	}
 }
 
-// TestUnreachableBootstrapPeerIsReplaced has the directory list two daemons that no longer
-// exist: the third one must be asked for all records instead.
+// TestUnreachableBootstrapPeerIsReplaced lists three daemons in the directory, two of which no
+// longer exist. The third one must be asked for all records instead.
 func TestUnreachableBootstrapPeerIsReplaced(t *testing.T) {
 	p := isolatedPeers(t, "z")
 	p.addDirectoryEntries([]DirectoryEntry{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -25,13 +25,15 @@
 	source    Source
 	decisions *decision.Log
 	current   atomic.Pointer[activeConfig]
-	history   documentHistory
-	// mu serializes changes and guards the field changed, a channel that is closed and
-	// replaced at each change.
+	// history holds the newest documents, for computing deltas.
+	history documentHistory
+	// mu serializes changes and guards changed.
 	mu sync.Mutex
-	// onChange holds the functions that are called, with mu held, when a table takes effect.
+	// onChange holds the functions that are called when a table takes effect. They are called
+	// with mu held.
 	onChange []func(*route.Table)
-	changed  chan struct{}
+	// changed is closed and replaced at each change.
+	changed chan struct{}
 }
 
 func newConfiguration(source Source, decisions *decision.Log) *configuration {
@@ -63,8 +65,8 @@
 }
 
 // apply puts a document into force if it is newer than the configuration in force. It reports
-// whether the document is a valid configuration. from names the origin of the document in log
-// lines.
+// whether the document is valid. Of a document that is not newer, it checks only the encoding.
+// origin names the origin of the document in log lines.
 func (c *configuration) apply(raw []byte, origin string) bool {
 	doc, err := c.source.Decode(raw)
 	if err == nil && doc.Version <= c.version() {
@@ -102,8 +104,8 @@
 	c.changed = make(chan struct{})
 }
 
-// recheckWaiters makes every waitFor check its condition again, after a change to something
-// other than the configuration that the condition depends on.
+// recheckWaiters makes every waitFor check its condition again. It is called after a change
+// outside the configuration that a condition depends on.
 func (c *configuration) recheckWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,25 +131,27 @@
 }
 
 const (
-	// remoteZoneFetchDelay is how long a daemon that learned of a new version from a remote
-	// zone waits for its local zone to deliver it before it fetches the version across zones.
+	// remoteZoneFetchDelay is how long a daemon waits before it fetches a new version from a
+	// remote zone. In the meantime, daemons of the local zone may deliver that version.
 	remoteZoneFetchDelay = 300 * time.Millisecond
-	// fetchJitter spreads the fetches of the daemons that a watcher notifies at the same
-	// moment. Most of them get the version from other daemons before their delay is over.
+	// fetchJitter bounds the random delay before a daemon fetches a version that a watcher
+	// announced. A watcher notifies many daemons at the same moment, and the delay spreads their
+	// fetches. Most of them get the version from other daemons before their delay is over.
 	fetchJitter = 100 * time.Millisecond
 )
 
-// onWatcherVersion handles the version that a watcher of the store announced. If it is newer
-// than the one in force, it is fetched from the watcher after a random delay.
+// onWatcherVersion is called with the version that a watcher of the store announced. A version
+// newer than the one in force is fetched from the watcher after a random delay.
 func (d *Daemon) onWatcherVersion(address string, v model.Version) {
 	if v > d.config.version() {
 		time.AfterFunc(rand.N(fetchJitter), func() { d.startFetch(address, v) })
 	}
 }
 
-// onPeerVersion handles the version that another daemon announced. If it is newer than the one
-// in force, it is fetched from that daemon: at once if the daemon is in the local zone or no
-// configuration is in force yet, otherwise after remoteZoneFetchDelay.
+// onPeerVersion is called with the version that another daemon announced. A version newer than
+// the one in force is fetched from that daemon. The fetch starts at once if the daemon is in the
+// local zone or no configuration is in force yet. Otherwise it starts after
+// remoteZoneFetchDelay.
 func (d *Daemon) onPeerVersion(address string, v model.Version) {
 	if v <= d.config.version() {
 		return
@@ -159,8 +163,8 @@
 	d.startFetch(address, v)
 }
 
-// startFetch starts to fetch a version from a daemon, unless that version or a newer one is in
-// force or another fetch is running.
+// startFetch starts to fetch a version from a daemon. It does nothing if that version or a newer
+// one is in force, or if another fetch is running.
 func (d *Daemon) startFetch(address string, v model.Version) {
 	if v <= d.config.version() || !d.fetching.CompareAndSwap(false, true) {
 		return
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -19,9 +19,11 @@
 
 // Registry receives what the local upstream reports about itself.
 type Registry interface {
-	// Report handles a state report. A stale report changes nothing.
+	// Report records a state report of the upstream and returns what it changed. A stale report
+	// changes nothing.
 	Report(r lifecycle.Report) lifecycle.Effect
-	// Leave handles the final deregistration of an incarnation of the upstream.
+	// Leave records the final deregistration of an incarnation of the upstream and returns what
+	// it changed.
 	Leave(i lifecycle.Incarnation) lifecycle.Effect
 	// ReportRejected logs a report that could not be parsed.
 	ReportRejected(id string, err error)
@@ -44,21 +46,23 @@
 	entry       *entry
 	datagrams   *datagrams
 	servers     []*server
-	// callerServer serves local callers, peerServer other daemons.
+	// callerServer serves local callers.
 	callerServer *server
-	peerServer   *server
+	// peerServer serves other daemons.
+	peerServer *server
 	// fetching is set while a configuration is being fetched from another daemon.
 	fetching atomic.Bool
-	// ready is set once a configuration is in force and the first exchange with other daemons
-	// is over or has timed out.
-	ready    atomic.Bool
+	// ready is set once a configuration is in force and the wait for the first exchange with
+	// another daemon is over. The wait ends after readinessWait at the latest.
+	ready atomic.Bool
+	// stopping is set when draining begins.
 	stopping atomic.Bool
-	// storeUnreachableSince is the model.Instant since which no daemon of the cell has reached the
-	// configuration store. Zero means that one does.
+	// storeUnreachableSince is the model.Instant since which no daemon of the cell (see package
+	// watch) has reached the configuration store. Zero means that some daemon reaches it.
 	storeUnreachableSince atomic.Int64
 	inFlight              inFlightRequests
-	// aborting is closed when draining is over, graceMargin before the end of the grace period
-	// at the latest. Requests still in flight are aborted then.
+	// aborting is closed when draining is over, at the latest graceMargin before the end of the
+	// grace period. Requests still in flight are then aborted.
 	aborting chan struct{}
 }
 
@@ -106,8 +110,8 @@
 
 func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.startedAt)) }
 
-// service returns the service of the local upstream, which is also that of the callers on
-// this VM.
+// service returns the service of the local upstream. Callers on this VM belong to the same
+// service.
 func (d *Daemon) service() model.ServiceName { return d.tunables.Load().Service }
 
 // Reconfigure replaces the options that may change at runtime. They apply from the next
@@ -119,6 +123,8 @@
 	d.config.recheckWaiters()
 }
 
+// healthPath returns the path of the health check of the local upstream. It is empty if the
+// configuration states none.
 func (d *Daemon) healthPath() string {
 	t := d.config.table()
 	if t == nil {
@@ -212,8 +218,8 @@
 	d.opts.Decisions.Write(decision.ReportRefused, "", slog.String("upstream", id), slog.String("error", err.Error()))
 }
 
-// announceState writes the state of the local upstream into the local record and announces
-// that.
+// announceState copies the state of the local upstream into the local record and announces the
+// record.
 func (d *Daemon) announceState() {
 	current, departed := d.guard.currentReport()
 	d.peers.updateLocal(func(r *Record) {
@@ -224,11 +230,11 @@
 }
 
 const (
-	// discoveryWait bounds how long a starting daemon waits for the first exchange with
-	// another daemon before it asks the local upstream for its identity.
+	// discoveryWait bounds how long a starting daemon waits for the first exchange with another
+	// daemon. After the wait, it asks the local upstream for its identity.
 	discoveryWait = 500 * time.Millisecond
-	// readinessWait bounds how long a starting daemon waits for the first exchange with
-	// another daemon before it reports itself ready.
+	// readinessWait bounds how long a starting daemon waits for the first exchange with another
+	// daemon. After the wait, it reports itself ready.
 	readinessWait = 1500 * time.Millisecond
 	// restartBackoff is the pause before a component that keeps failing is restarted.
 	restartBackoff = time.Second
@@ -241,17 +247,17 @@
 	// drainPollInterval is how often a stopping daemon checks whether it has drained.
 	drainPollInterval = 25 * time.Millisecond
 	// queueFlushMargin is how long before the end of draining a stopping daemon rejects the
-	// requests that wait for the local upstream, so that their senders learn in time that
-	// they have not run.
+	// requests that wait for the local upstream. Their senders then learn in time that the
+	// requests have not run.
 	queueFlushMargin = 300 * time.Millisecond
-	// componentStopTimeout bounds the wait for the components to stop. It lies within
+	// componentStopTimeout bounds the wait for the components to stop. It is shorter than
 	// graceMargin, so that a component that hangs does not keep the process alive.
 	componentStopTimeout = 150 * time.Millisecond
 	// logFlushTimeout bounds the wait for log lines to be written at the end.
 	logFlushTimeout = 100 * time.Millisecond
 	// refusalPeriod is the time between the end of forwarding and the closing of the
-	// connections. Requests that arrive in this time are refused, so that their senders learn
-	// that the requests have not run.
+	// connections. Requests that arrive in this time are refused. Their senders then learn that
+	// the requests have not run.
 	refusalPeriod = 50 * time.Millisecond
 	// closedConnLogWait bounds the wait for the log lines of requests whose connections were
 	// closed without a response.
@@ -293,8 +299,8 @@
 	stop()
 	d.closeServers()
 	<-supervisorErr
-	// The handlers of requests that were closed without a response still write their log
-	// lines.
+	// Some requests were aborted by closing their connections without a response. Their handlers
+	// still write log lines.
 	d.awaitResponses(time.Now().Add(min(closedConnLogWait, time.Until(deadline))))
 	d.opts.Decisions.Close(min(logFlushTimeout, max(time.Until(deadline), 0)))
 	return nil
@@ -310,8 +316,8 @@
 	}
 }
 
-// stopForwardingIfIdle stops forwarding requests if none is in flight, and reports whether it has
-// stopped. A request counts as in flight until net/http has written its response.
+// stopForwardingIfIdle stops forwarding requests if none is in flight, and reports whether it
+// did. A request counts as in flight until net/http has written its response.
 func (d *Daemon) stopForwardingIfIdle() bool {
 	return d.inFlight.closeIfIdle(func() bool {
 		return d.callerServer.numActiveConns() == 0 && d.peerServer.numActiveConns() == 0 && d.guard.stopIfIdle()
@@ -325,13 +331,15 @@
 	}
 }
 
+// logSupervisorEvent logs the failure of a component. It does not log that a component stops too
+// slowly.
 func (d *Daemon) logSupervisorEvent(e suture.Event) {
 	if d.opts.Logger != nil && e.Type() != suture.EventTypeStopTimeout {
 		d.opts.Logger.Error("component failed", "event", e.String())
 	}
 }
 
-// drain announces that the daemon is stopping, waits for the requests in flight, and aborts
+// drain announces that the daemon is stopping and waits for the requests in flight. It aborts
 // those that remain when draining is over. It returns the end of the grace period.
 func (d *Daemon) drain() (deadline time.Time) {
 	began := time.Now()
@@ -357,9 +365,9 @@
 	return deadline
 }
 
-// awaitIdle waits until minDrainTime has passed and no request is in flight, or until
-// drainEnd. When it returns, the daemon forwards no further request, as its connection would
-// be closed without a response.
+// awaitIdle waits until minDrainTime has passed and no request is in flight, but at most until
+// drainEnd. After that, the daemon forwards no request, because the connection of the request
+// would be closed without a response.
 func (d *Daemon) awaitIdle(began, drainEnd time.Time) {
 	for time.Now().Before(drainEnd) {
 		if time.Until(drainEnd) < queueFlushMargin {
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -20,8 +20,8 @@
 
 func newReader(s string) io.Reader { return strings.NewReader(s) }
 
-// TestRequestReachesOtherDaemon sends a request through the daemon of one service to an
-// upstream of another.
+// TestRequestReachesOtherDaemon sends a request to a daemon of service a. The request must reach
+// the upstream of service b through the daemon of that upstream.
 func TestRequestReachesOtherDaemon(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -41,8 +41,8 @@
 	require.Empty(t, seen[0].Header.Get(callHeader))
 }
 
-// TestCallerCannotForgeItsService sends headers that only daemons may set: the upstream must
-// be given the true service of the caller.
+// TestCallerCannotForgeItsService sends headers that only daemons may set. The upstream must
+// receive the true service of the caller.
 func TestCallerCannotForgeItsService(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a := startReady(t, s, "a", "a1")
@@ -86,8 +86,9 @@
 	require.Equal(t, http.StatusNotFound, status)
 }
 
-// TestDrainedUpstreamGetsNoRequest sends a call to a guard that has acknowledged that its
-// upstream leaves. Entries that have not received this update yet send such calls.
+// TestDrainedUpstreamGetsNoRequest guards against calls that run in an upstream that is draining
+// or has deregistered. Entries that do not know the new state of the upstream yet still send
+// such calls. The guard must reject them.
 func TestDrainedUpstreamGetsNoRequest(t *testing.T) {
 	for name, leave := range map[string]func(m *member){
 		"draining": func(m *member) {
@@ -111,7 +112,8 @@
 	}
 }
 
-// TestNonIdempotentIsNotRetried has upstreams run a request and lose the response.
+// TestNonIdempotentIsNotRetried has both upstreams run a request and lose the response. A
+// request that is not idempotent must not be sent again.
 func TestNonIdempotentIsNotRetried(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -126,7 +128,8 @@
 	require.Len(t, append(b1.upstream.requests(), b2.upstream.requests()...), 5)
 }
 
-// TestIdempotentIsRetried has one of two upstreams lose or spoil every response.
+// TestIdempotentIsRetried has one of two upstreams lose or spoil every response. Idempotent
+// requests must be retried at the other upstream.
 func TestIdempotentIsRetried(t *testing.T) {
 	for name, faulty := range map[string]func(http.ResponseWriter, *http.Request){
 		"closes connection": hangUp,
@@ -165,16 +168,16 @@
 	return a
 }
 
-// allowRetries raises the retry budget of a daemon, for tests that are not about the budget:
-// a daemon that has just started has a small one, and on a busy processor hedges use it up.
+// allowRetries raises the retry budget of a daemon, for tests that are not about the budget. A
+// daemon that has just started has a small budget. On a busy processor, hedges use it up.
 func (m *member) allowRetries() {
 	t := m.opts.Tunables
 	t.Retries.Slack = 100_000
 	m.Reconfigure(t)
 }
 
-// TestUnexecutedRequestIsRetriedElsewhere retries a request that an upstream has not run.
-// That is safe even if the request is not idempotent.
+// TestUnexecutedRequestIsRetriedElsewhere sends requests that one of two upstreams does not run.
+// They must be retried at the other upstream. That is safe even if a request is not idempotent.
 func TestUnexecutedRequestIsRetriedElsewhere(t *testing.T) {
 	a := startWithFaultyUpstream(t, shedRequest)
 	for range 6 {
@@ -184,7 +187,8 @@
 	}
 }
 
-// TestRetriesStayWithinBudget calls a service whose upstreams all fail.
+// TestRetriesStayWithinBudget calls a service whose upstreams all fail. The number of retries
+// must stay within the retry budget.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -224,8 +228,8 @@
 	require.Contains(t, []string{"98", "99", "100", "97", "96", "95"}, b.upstream.requests()[0].Header.Get("T-Deadline"))
 }
 
-// TestCallerDisconnectCancelsRun closes a caller's connection. The idempotent request, which
-// another daemon's upstream runs, must be cancelled.
+// TestCallerDisconnectCancelsRun closes a caller's connection while another daemon's upstream
+// runs the request. The request is idempotent, so it must be cancelled.
 func TestCallerDisconnectCancelsRun(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -241,7 +245,8 @@
 	<-cancelled
 }
 
-// TestStopDrainsRequestsInFlight stops a daemon while its upstream runs a request.
+// TestStopDrainsRequestsInFlight stops a daemon while its upstream runs a request. The request
+// must still be answered.
 func TestStopDrainsRequestsInFlight(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -277,8 +282,9 @@
 	<-stopped
 }
 
-// TestIdleConnectionsAreServedWhileStopping sends a request on a connection that was idle
-// when the daemon was told to stop: such a request may already be on its way.
+// TestIdleConnectionsAreServedWhileStopping sends a request on a connection that was idle when
+// the daemon was told to stop. The request must be served, because a caller may have sent it
+// before it learned of the stop.
 func TestIdleConnectionsAreServedWhileStopping(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
@@ -307,8 +313,8 @@
 	<-stopped
 }
 
-// listenUnresponsive accepts connections and requests and never responds, like a daemon
-// behind a broken link. It counts the requests.
+// listenUnresponsive starts a listener that accepts connections and requests and never responds,
+// like a daemon behind a broken link. It returns the number of requests received so far.
 func listenUnresponsive(t *testing.T, address string) *atomic.Int64 {
 	ln, err := net.Listen("tcp", address)
 	require.NoError(t, err)
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -15,13 +15,13 @@
 	"github.com/dottereltiller/dottereltiller/core/placement"
 )
 
-// datagrams exchanges UDP datagrams with other daemons. The senders of load queries
-// and pushed records wait for a reply; for other kinds no reply is awaited. A lost datagram
-// costs only the wait for its reply.
+// datagrams exchanges UDP datagrams with other daemons. The sender of a load query or of a
+// pushed record waits for a reply. Senders of other kinds do not wait. A lost datagram costs
+// only the wait for its reply.
 //
-// Every datagram starts with a header: its kind, an id that the reply repeats, and the
-// version of the configuration in force at the sender. A daemon that cannot reach the store
-// learns of a newer version from the header. The body depends on the kind; see the kind
+// Every datagram starts with a header: its kind, an id that the reply repeats, and the version
+// of the configuration in force at the sender. A daemon that cannot reach the store learns of a
+// newer version from the header. The body depends on the kind. It is described at the kind
 // constants.
 type datagrams struct {
 	d    *Daemon
@@ -32,20 +32,25 @@
 	pending map[uint32]pendingQuery
 }
 
-// pendingQuery is a query that waits for its reply.
+// pendingQuery is a load query or a pushed record that waits for its reply.
 type pendingQuery struct {
-	key     string
+	// key identifies the queried upstream. For a pushed record, it is the address of the
+	// receiver.
+	key string
+	// address is the daemon that the query was sent to.
 	address string
 	sent    model.Instant
-	// replies receives the reply. If it is nil, onLate is called with the reply instead.
+	// replies receives the reply. If replies is nil, onLate is called with the reply instead.
 	replies chan<- queryReply
 	onLate  func(queryReply)
 }
 
-// queryReply is the reply to a query and the time from the query to the reply.
+// queryReply is the reply to a pendingQuery.
 type queryReply struct {
-	key       string
-	load      placement.Load
+	// key identifies the queried upstream.
+	key  string
+	load placement.Load
+	// roundTrip is the time from the query to the reply.
 	roundTrip time.Duration
 }
 
@@ -53,36 +58,40 @@
 	// kindLoadQuery queries the load of an upstream. Its body holds the rank and the kind of a
 	// request and a hash that identifies the upstream.
 	kindLoadQuery = 1
-	// kindLoadReply carries the reply to a load query: the load of the upstream, counting as
-	// waiting only the requests that would be served before the one described in the query.
+	// kindLoadReply replies to a load query with the load of the upstream. Of the waiting
+	// requests, it counts only those that would be served before the request that the query
+	// describes.
 	kindLoadReply = 2
-	// kindRecordPush pushes one packed record, and kindRecordAck, without a body, acknowledges
-	// it.
+	// kindRecordPush pushes one packed record.
 	kindRecordPush = 3
-	kindRecordAck  = 4
-	// kindVersion announces a new version of the configuration. Its body is the address to
-	// fetch it from.
+	// kindRecordAck acknowledges a pushed record. It has no body.
+	kindRecordAck = 4
+	// kindVersion announces a new version of the configuration. Its body is the address of the
+	// daemon to fetch the version from.
 	kindVersion = 5
-	// kindSuspects carries a message of package quarantine about requests that are suspected
-	// of crashing upstreams.
+	// kindSuspects carries a message of package quarantine. The message is about requests that
+	// are suspected of crashing upstreams.
 	kindSuspects = 6
-	// kindHeartbeat is sent by a daemon that watches the store. The body is one byte, 1 if
-	// the daemon reaches the store and 0 if not, followed by the daemon's address.
+	// kindHeartbeat is sent by a daemon that watches the store. The body starts with one byte: 1
+	// if the daemon reaches the store and 0 if not. The daemon's address follows.
 	kindHeartbeat = 7
-	// kindRelayedRecords relays, inside a zone, records of daemons of remote zones.
+	// kindRelayedRecords carries records of daemons of remote zones. It is sent inside a zone,
+	// by a daemon that relays the records.
 	kindRelayedRecords = 8
-	// kindDigest carries a digest of all records. kindSummary replies with a summary of the
-	// buckets that differ, kindRecordRequest requests records by the hashes of their addresses,
-	// and kindMissingRecords carries records that the receiver lacks or has in an older version.
-	kindDigest         = 9
-	kindSummary        = 10
-	kindRecordRequest  = 11
+	// kindDigest carries a digest of all records.
+	kindDigest = 9
+	// kindSummary replies to a digest with a summary of the buckets that differ.
+	kindSummary = 10
+	// kindRecordRequest requests records by the hashes of their addresses.
+	kindRecordRequest = 11
+	// kindMissingRecords carries records that the receiver lacks or has in an older version.
 	kindMissingRecords = 12
-	// datagramHeaderBytes is the length of the header. loadQueryBytes and loadReplyBytes are
-	// the lengths of whole datagrams of kindLoadQuery and kindLoadReply.
+	// datagramHeaderBytes is the length of the header.
 	datagramHeaderBytes = 13
-	loadQueryBytes      = datagramHeaderBytes + 5
-	loadReplyBytes      = datagramHeaderBytes + 13
+	// loadQueryBytes is the length of a kindLoadQuery datagram, header included.
+	loadQueryBytes = datagramHeaderBytes + 5
+	// loadReplyBytes is the length of a kindLoadReply datagram, header included.
+	loadReplyBytes = datagramHeaderBytes + 13
 	// maxDatagramBytes bounds a datagram so that it fits an Ethernet frame. A record that
 	// does not fit is sent over a connection.
 	maxDatagramBytes = 1400
@@ -124,16 +133,16 @@
 
 func (a *datagrams) close() { _ = a.conn.Close() }
 
-// announceVersion announces the version in force to some of the other daemons, which announce
-// it in turn.
+// announceVersion announces the version in force to some of the other daemons. Each of them
+// announces the version in turn.
 func (a *datagrams) announceVersion() {
 	for _, m := range a.d.follower.peerSelector.PushTargets(a.d.peers.reachableMembers(), false) {
 		a.sendOneWay(kindVersion, m.Address, []byte(a.d.opts.Addresses.Peers))
 	}
 }
 
-// sendHeartbeat informs a daemon that this daemon watches the store and whether it reaches
-// the store.
+// sendHeartbeat sends a heartbeat to a daemon. The heartbeat says that this daemon watches the
+// store, and whether it reaches the store.
 func (a *datagrams) sendHeartbeat(address string, reachesStore bool) {
 	body := []byte{0}
 	if reachesStore {
@@ -149,8 +158,8 @@
 	}
 }
 
-// transmit sends a datagram. It ignores send errors, as the datagram could be lost on the way
-// as well.
+// transmit sends a datagram. It ignores send errors, because a datagram can also be lost on the
+// way.
 func (a *datagrams) transmit(b []byte, recipient netip.AddrPort) {
 	a.d.metrics.traffic.countSent(b)
 	_, _ = a.conn.WriteToUDPAddrPort(b, recipient)
@@ -164,9 +173,10 @@
 
 const (
 	// pushAttempts is how often a record is pushed by datagram before it is sent over a
-	// connection. pushAckTimeout bounds the wait for each acknowledgement: a round trip
+	// connection.
+	pushAttempts = 2
+	// pushAckTimeout bounds the wait for each acknowledgement. It allows for a round trip
 	// between regions plus a scheduling delay on a busy processor.
-	pushAttempts   = 2
 	pushAckTimeout = 100 * time.Millisecond
 )
 
@@ -206,7 +216,7 @@
 	return a.nextID
 }
 
-// cancel drops queries that got no reply.
+// cancel drops the queries with the given ids that got no reply.
 func (a *datagrams) cancel(ids []uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -13,9 +13,9 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestLateLoadRepliesAreRecorded queries a guard that is further away than the timeout
-// allows, for example in another region. The caller goes on without its load, which is
-// recorded when the reply arrives.
+// TestLateLoadRepliesAreRecorded queries the load of a guard that is further away than the
+// timeout allows, for example in another region. The caller goes on without the load. When the
+// reply arrives, the load must be recorded.
 func TestLateLoadRepliesAreRecorded(t *testing.T) {
 	for name, c := range map[string]struct {
 		timeout time.Duration
@@ -28,8 +28,8 @@
 	}
 }
 
-// queryDistantGuard queries the load of a guard that replies only after the query has
-// returned, and then replies twice.
+// queryDistantGuard queries the load of a guard that replies only after queryLoads has returned.
+// The guard then replies twice.
 func queryDistantGuard(t *testing.T, timeout time.Duration, tooFar bool) {
 	d := startReady(t, newStore(documentOf(1, "a")), "a", "a1")
 	remote, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -64,8 +64,9 @@
 	require.Empty(t, late, "a duplicate reply is ignored")
 }
 
-// TestDistantGuardsAreNotMarkedSilent queries a guard that is known to be too far away to
-// reply in time. It must be queried again, unlike a guard that should have replied.
+// TestDistantGuardsAreNotMarkedSilent queries a guard that does not reply within the timeout. If
+// the guard is known to be too far away to reply in time, it must be queried again. If it should
+// have replied, it must not be queried again.
 func TestDistantGuardsAreNotMarkedSilent(t *testing.T) {
 	for name, c := range map[string]struct {
 		roundTrip time.Duration
--- a/sidecar/finallog_test.go
+++ b/sidecar/finallog_test.go
@@ -14,9 +14,9 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// TestRequestsDuringFinalLogFlushAreAnswered stops a daemon whose log output nobody reads,
-// and sends requests on connections that are still open as soon as its guard rejects new
-// work. Requests that are then forwarded to the other daemon and run there must be answered.
+// TestRequestsDuringFinalLogFlushAreAnswered stops a daemon whose log output nobody reads. As
+// soon as its guard rejects new work, callers send requests on connections that are still open.
+// Some of these requests are forwarded to the other daemon and run there. They must be answered.
 func TestRequestsDuringFinalLogFlushAreAnswered(t *testing.T) {
 	const conns, runTime = 20, 150 * time.Millisecond
 	s := newStore(documentOf(1, "a"))
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// documents maps the raw form of a document, which is only its version and a pointer, to the
-// document.
+// documents maps the raw form of each document to the document. The raw form consists only of
+// the version and a pointer.
 var documents sync.Map
 
 func encodeDocument(doc route.Document) []byte {
@@ -196,8 +196,9 @@
 	server *httptest.Server
 	// omitsLoad suppresses the load header. It does not change.
 	omitsLoad bool
-	// mu guards the fields below. handle serves requests; nil means respondOK.
-	mu       sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// handler serves requests. Nil means respondOK.
 	handler  func(w http.ResponseWriter, r *http.Request)
 	received []*http.Request
 	bodies   []string
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -17,28 +17,30 @@
 	// electionTick is how often a daemon checks whether it should watch the store.
 	electionTick = 100 * time.Millisecond
 	// peerPollInterval is how often another daemon is asked for its configuration while no
-	// watcher of the cell reaches the store. It is that short because a change must be in
+	// watcher of the cell reaches the store. The interval is short because a change must be in
 	// force within two seconds.
 	peerPollInterval = 400 * time.Millisecond
-	// directoryWait bounds the wait for the list of daemons at startup. Until the list is
-	// there, the daemon does not know whether others watch the store.
+	// directoryWait bounds the wait for the list of daemons at startup. Without the list, the
+	// daemon does not know whether others watch the store.
 	directoryWait = time.Second
 )
 
-// configFollower keeps the configuration up to date. If this daemon is a watcher, it reads the
-// store; otherwise versions come from the watchers of its cell (see package watch), or from
-// any daemon while no watcher reaches the store.
+// configFollower keeps the configuration up to date. A watcher reads the configuration from the
+// store. Any other daemon gets new versions from the watchers of its cell (see package watch).
+// While no watcher of the cell reaches the store, a daemon gets new versions from any other
+// daemon.
 type configFollower struct {
 	d *Daemon
 	// peerSelector picks the peers for configuration polls and for anti-entropy rounds.
 	peerSelector gossip.PeerSelector
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// elector decides whether this daemon watches the store.
 	elector *watch.Elector
-	// generation is the peers.generation from which the members of the elector were taken.
+	// generation is the value of peers.generation when the members of elector were last set.
 	generation uint64
-	// watchStarted is closed when this daemon starts to watch the store, and replaced when it
-	// stops.
+	// watchStarted is closed when this daemon starts to watch the store. It is replaced when the
+	// daemon stops watching.
 	watchStarted chan struct{}
 	isWatching   bool
 	// lastPeerPoll is when another daemon was last asked for its configuration.
@@ -190,8 +192,8 @@
 	}
 }
 
-// pollPeer exchanges records with one other daemon and fetches its configuration if that is
-// newer.
+// pollPeer exchanges records with one other daemon. If that daemon has a newer configuration,
+// this daemon fetches it.
 func (f *configFollower) pollPeer(ctx context.Context) {
 	m, ok := f.peerSelector.AntiEntropyPeer(f.d.peers.reachableMembers())
 	if !ok {
--- a/sidecar/follow_test.go
+++ b/sidecar/follow_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestFewDaemonsWatchStore checks that three daemons of a zone watch the store and that
-// others take over when they end.
+// TestFewDaemonsWatchStore checks that three daemons of a zone watch the store. When these three
+// end, others must take over.
 func TestFewDaemonsWatchStore(t *testing.T) {
 	const (
 		daemons = 7
@@ -49,7 +49,7 @@
 	eventually(t, "other daemons take over", func() bool { return len(watchers(survivors)) == wanted })
 }
 
-// TestRestartKeepsDirectoryEntry restarts a daemon that has an entry in the directory: the
+// TestRestartKeepsDirectoryEntry restarts a daemon that has an entry in the directory. The
 // daemon must not write the entry again.
 func TestRestartKeepsDirectoryEntry(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -38,7 +38,7 @@
 	sender := netip.MustParseAddrPort("127.0.0.1:9")
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if len(b) >= datagramHeaderBytes {
-			// Clears the version, as the daemon would fetch a newer configuration from
+			// The version is cleared, because the daemon would fetch a newer configuration from
 			// the sender.
 			binary.BigEndian.PutUint64(b[5:], 0)
 		}
@@ -46,8 +46,8 @@
 	})
 }
 
-// FuzzFields decodes arbitrary encodings of calls and results. A decoded result must be
-// decodable again after encoding.
+// FuzzFields decodes arbitrary strings as calls and results. A decoded result must be decodable
+// again after encoding.
 func FuzzFields(f *testing.F) {
 	f.Add((&Call{ID: "r1", Service: "a", Caller: "b", Upstream: lifecycle.Incarnation{ID: "a1"}}).encode())
 	f.Add(unknownResult("connection-lost").encode())
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -16,23 +16,25 @@
 )
 
 // maxAnnounceBackoff bounds the pause between two attempts to write the directory entry once
-// other daemons are known: from then on, only daemons that start later need the entry.
+// other daemons are known. From then on, only daemons that start later need the entry.
 const maxAnnounceBackoff = 5 * time.Second
 
-// joiner enters this daemon into the directory, finds the other daemons, and marks this one
-// as ready.
+// joiner writes the directory entry of this daemon, finds the other daemons, and marks this
+// daemon as ready.
 type joiner struct {
 	d *Daemon
-	// hasEntry is set once the directory holds the entry of this daemon, listed once all
-	// entries have been read after that.
-	hasEntry  bool
+	// hasEntry is set once the directory holds the entry of this daemon.
+	hasEntry bool
+	// hasListed is set once all directory entries have been read. It is reset when this daemon
+	// tries to write its own entry: the entries are then read again.
 	hasListed bool
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
 func (j *joiner) String() string { return "joiner" }
 
-// Serve joins once. It returns when the daemon is ready, and is not restarted.
+// Serve joins once. It returns when the daemon is ready, its entry is written and
+// discoverUpstream has ended. It is not restarted.
 func (j *joiner) Serve(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { j.discoverUpstream(ctx) })
@@ -61,10 +63,10 @@
 	}
 }
 
-// announceAndList writes the directory entry of this daemon unless it is there, and then
-// reads all entries: of two daemons that start together, the later one is certain to see the
-// earlier one. An entry that the previous incarnation wrote is still valid. After a failure,
-// the next call resumes at the step that failed.
+// announceAndList writes the directory entry of this daemon unless it is there, and then reads
+// all entries. In this order, the later of two daemons that start together is certain to see the
+// earlier one. An entry that the previous incarnation wrote is still valid. After a failure, the
+// next call resumes at the step that failed.
 func (j *joiner) announceAndList(ctx context.Context) error {
 	var err error
 	if !j.hasEntry && !j.d.opts.Bootstrap {
@@ -96,9 +98,10 @@
 	return nil
 }
 
-// discoverUpstream asks the local upstream for its identity, unless the upstream reports
-// first or the whole system starts for the first time. It first waits for an exchange with
-// another daemon, whose records state whether the upstream was leaving.
+// discoverUpstream asks the local upstream for its identity. The answer is dropped if the
+// upstream has reported by then. Nothing is asked if the whole system starts for the first time.
+// discoverUpstream first waits for an exchange with another daemon, because records of other
+// daemons state whether the upstream was leaving.
 func (j *joiner) discoverUpstream(ctx context.Context) {
 	if j.d.opts.Bootstrap {
 		return
@@ -122,7 +125,9 @@
 	}
 }
 
-// becomeReady marks the daemon as ready once it can serve requests.
+// becomeReady marks the daemon as ready once a configuration is in force. Before that, it waits
+// for the first exchange with another daemon, at most for readinessWait. It also schedules the
+// announcement of the local record, in case no change of the record announces it earlier.
 func (j *joiner) becomeReady(ctx context.Context) {
 	j.awaitFirstContact(ctx, readinessWait)
 	time.AfterFunc(readinessWait, j.d.peers.announceOnce)
--- a/sidecar/massstart_test.go
+++ b/sidecar/massstart_test.go
@@ -11,16 +11,16 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// BenchmarkMassStart starts many daemons at once in five zones. It reports, by kind of
-// message, the bytes that each sends until all know each other and the anti-entropy protocol
-// has slowed down.
+// BenchmarkMassStart starts many daemons at once in five zones. It reports, by kind of message,
+// the bytes that each daemon sends. Traffic is counted until all daemons know each other and
+// anti-entropy rounds have become rare.
 func BenchmarkMassStart(b *testing.B) {
 	const (
 		zones = 5
-		// reportDelay is how long after its start an upstream reports, and settleTime how
-		// long traffic is counted after all daemons know each other.
+		// reportDelay is how long after its start an upstream reports.
 		reportDelay = 200 * time.Millisecond
-		settleTime  = 8 * time.Second
+		// settleTime is how long traffic is counted after all daemons know each other.
+		settleTime = 8 * time.Second
 	)
 	for _, n := range []int{30, 90, 180} {
 		b.Run(fmt.Sprint(n, " daemons"), func(b *testing.B) {
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -15,10 +15,12 @@
 	return len(p.others) + 1
 }
 
-// daemonsAndStartedShare returns the number of known daemons, this one included, and the share of them
-// that started within the span according to their own clocks. A daemon whose clock is ahead
-// by more than the span counts as started long ago. A daemon that is in the directory but
-// whose record has not been received counts as just started.
+// daemonsAndStartedShare returns the number of known daemons, this one included, and the share
+// of them that started within the span.
+//
+// Start times are those of the daemons' own clocks. A daemon whose clock is ahead by more than
+// the span counts as started long ago. A daemon that is in the directory but whose record has
+// not been received counts as just started, unless it is unreachable.
 func (p *peers) daemonsAndStartedShare(span time.Duration) (daemons int, share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +43,7 @@
 	return daemons, float64(recentlyStarted) / float64(daemons)
 }
 
-// reachableMembers returns the daemons that are reachable.
+// reachableMembers returns the other daemons that are reachable.
 func (p *peers) reachableMembers() []gossip.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,9 +56,10 @@
 	return out
 }
 
-// zoneMembers returns the addresses of the daemons of the local zone that are reachable and
-// not stopping, this one included, the number of zones, and the current generation. It
-// returns no addresses if the given generation is still current.
+// zoneMembers returns the addresses of the daemons of the local zone that are reachable and not
+// stopping. This daemon is included. It also returns the number of zones that have such daemons,
+// and the current generation. If lastGeneration is still current, it returns no addresses and no
+// zones.
 func (p *peers) zoneMembers(lastGeneration uint64) (addresses []string, zones int, current uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -16,8 +16,8 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// The paths of requests between daemons. Calls, which use the path of the caller's request,
-// are recognized by callHeader instead.
+// The paths of requests between daemons. Calls use the path of the caller's request instead, and
+// are recognized by callHeader.
 const (
 	pathSync    = "/sync"
 	pathResolve = "/settle"
@@ -26,10 +26,13 @@
 
 // syncMessage is both request and response of an exchange of records between two daemons.
 type syncMessage struct {
+	// From is the local record of the sender.
 	From Record `json:"f"`
-	// WantAll requests all records of the receiver; Records carries records.
-	WantAll bool          `json:"w,omitempty"`
-	Records []Record      `json:"k,omitempty"`
+	// WantAll requests all records of the receiver.
+	WantAll bool `json:"w,omitempty"`
+	// Records holds further records that the sender has.
+	Records []Record `json:"k,omitempty"`
+	// Version is the version of the configuration in force at the sender.
 	Version model.Version `json:"v"`
 }
 
@@ -47,8 +50,8 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: answered %d", e.Path, e.Status) }
 
-// sendSync sends a message and returns the reply. The error is a *hop.RequestError if the
-// daemon was not reached, and a *StatusError if it rejected the message.
+// sendSync sends a message and returns the reply. The error is a *hop.RequestError if the daemon
+// was not reached. It is a *StatusError if the daemon responded with a status other than 200.
 func sendSync(ctx context.Context, pool *hop.Pool, m syncMessage) (reply syncMessage, err error) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -64,8 +67,8 @@
 	return reply, json.Unmarshal(r.Body, &reply)
 }
 
-// readMessage decodes a request body of at most maxBytes. If that fails, it responds with
-// status 400 and returns false.
+// readMessage decodes a JSON request body of at most maxBytes into m. If that fails, it responds
+// with status 400 and returns false.
 func readMessage(w http.ResponseWriter, r *http.Request, maxBytes int64, m any) bool {
 	err := json.NewDecoder(io.LimitReader(r.Body, maxBytes)).Decode(m)
 	if err != nil {
@@ -95,8 +98,9 @@
 	return pool.Do(ctx, hop.PoolRequest{Method: method, Target: path, Host: peerHost, Header: http.Header{}, Body: body})
 }
 
-// resolveRequest asks a guard to resolve the outcome of an attempt.
+// resolveRequest asks a guard for the final outcome of an attempt whose result has not arrived.
 type resolveRequest struct {
+	// key identifies the attempt.
 	key string
 	// incarnation is the incarnation of the daemon that the attempt was sent to.
 	incarnation int64
@@ -129,13 +133,13 @@
 	return resolveRequest{key: v.Get(resolveKeyParam), incarnation: values[0], timeLeft: time.Duration(values[1]) * time.Millisecond}, nil
 }
 
-// resolveArrivalTimeout is how long a resolveRequest may go without a sign that it has
-// arrived. After that it is abandoned, as its connection may never deliver anything.
+// resolveArrivalTimeout is how long a resolveRequest may go without a sign that it has arrived.
+// After that, the request is abandoned, as its connection may never deliver anything.
 const resolveArrivalTimeout = 500 * time.Millisecond
 
-// sendResolveRequest asks a guard, over a new connection, to resolve the outcome of an
-// attempt: the guard cancels the attempt if it has not started. It returns false if the guard
-// was not reached.
+// sendResolveRequest asks a guard over a new connection for the final outcome of an attempt. The
+// guard cancels the attempt if it has not started. sendResolveRequest returns the result of the
+// attempt. It returns false if the guard was not reached or its response was lost.
 func sendResolveRequest(ctx context.Context, pool *hop.Pool, q resolveRequest) (*Result, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -151,7 +155,8 @@
 	return resultFromReply(r), true
 }
 
-// resultFromReply decodes the result of a call from the response of another daemon.
+// resultFromReply decodes the result of a call from the response of another daemon. If that
+// fails, the outcome is unknown.
 func resultFromReply(r *hop.PoolResponse) *Result {
 	result, err := decodeResult(r.Header.Get(callHeader))
 	if err != nil {
@@ -175,8 +180,8 @@
 	writeResponse(w, method, result)
 }
 
-// copyHeader copies a header, and prevents net/http from adding a Date or Content-Type that
-// the source does not have.
+// copyHeader copies the fields of src to dst. It also prevents net/http from adding a Date or
+// Content-Type that src does not have.
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
 		dst[name] = values
@@ -188,7 +193,7 @@
 	}
 }
 
-// writeResponse writes the status and the body, with the Content-Length.
+// writeResponse writes the status and the body of a result, and sets the Content-Length.
 func writeResponse(w http.ResponseWriter, method string, result *Result) {
 	if method != http.MethodHead && bodyAllowed(result.Status) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(result.Body)))
@@ -226,8 +231,8 @@
 	}
 }
 
-// resolve responds with the outcome of an attempt. If the attempt was sent to a previous
-// daemon at this address, the outcome is unknown here.
+// resolve responds with the final outcome of an attempt. If the attempt was sent to a previous
+// daemon at this address, it responds that the outcome is unknown.
 func (p peerHandler) resolve(w http.ResponseWriter, r *http.Request) {
 	q, err := decodeResolveRequest(r.URL.Query())
 	if err != nil {
@@ -243,7 +248,8 @@
 	}))
 }
 
-// call handles a call from the entry of another daemon.
+// call passes a call from the entry of another daemon to the guard, and responds with the
+// result.
 func (p peerHandler) call(w http.ResponseWriter, r *http.Request, encoded string) {
 	c, err := decodeCall(encoded)
 	if err != nil {
@@ -267,8 +273,8 @@
 // A sender that receives no acknowledgement within ackTimeout considers the link broken.
 const acknowledgeAfter = 10 * time.Millisecond
 
-// runAcknowledged runs do and returns its result. If that takes longer than acknowledgeAfter,
-// it first sends an informational response (status 102).
+// runAcknowledged runs do and returns its result. If do takes longer than acknowledgeAfter,
+// runAcknowledged first sends an informational response (status 102).
 func (p peerHandler) runAcknowledged(w http.ResponseWriter, requestID string, do func() *Result) *Result {
 	done := make(chan *Result, 1)
 	go func() { done <- recoverPanic(requestID, p.d.recordPanic, do) }()
@@ -283,10 +289,11 @@
 	}
 }
 
-// sync handles a syncMessage. It merges the records received. If the sender is in a remote
-// zone and its own record is new here, that record is relayed inside the local zone. The reply
-// holds the local record, the record that was held of the sender before, and all other records
-// if the sender wants them.
+// sync merges the records of a syncMessage and replies. If the sender is in a remote zone and
+// its own record is new here, that record is relayed inside the local zone.
+//
+// The reply holds the local record and the record of the sender that was held here before. If
+// the sender wants all records, the reply also holds all others.
 func (p peerHandler) sync(w http.ResponseWriter, r *http.Request) {
 	var m syncMessage
 	if !readMessage(w, r, maxSyncBytes, &m) {
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -28,10 +28,10 @@
 	outcomes *telemetry.OutcomeCounter
 	traffic  *controlTraffic
 
-	// latencies holds a histogram for each route, stages one for each service and stage of a
-	// request.
+	// latencies holds a histogram for each route.
 	latencies *timers
-	stages    *timers
+	// stages holds a histogram for each service and stage of a request.
+	stages *timers
 }
 
 // The stages of a request. Each name is also the name of a histogram.
@@ -40,17 +40,17 @@
 	stageChoose = "choose"
 	// stageSend lasts from the start of an attempt until its result arrives.
 	stageSend = "send"
-	// stageGuard is the wait in the queue of the guard, stageUpstream the execution in the
-	// upstream.
-	stageGuard    = "guard_wait"
+	// stageGuard is the wait in the queue of the guard.
+	stageGuard = "guard_wait"
+	// stageUpstream is the execution in the upstream.
 	stageUpstream = "upstream_run"
-	// stageLoadAge is not a stage of its own but shares the histograms: it is the age of the
-	// load values by which the upstream was chosen.
+	// stageLoadAge is not a stage, but it is recorded in the same histograms. It is the age of
+	// the load values by which the upstream was chosen.
 	stageLoadAge = "load_age"
 )
 
-// maxTimers bounds the histograms of a set. Further combinations of labels share one
-// histogram for each name.
+// maxTimers bounds the number of histograms in a set. Once a set is full, all further
+// combinations of labels share one histogram for each name.
 const maxTimers = 256
 
 func newMetrics(scope tally.Scope) *metrics {
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -74,8 +74,8 @@
 	require.Positive(t, readGauge("peers_lost_seconds"))
 }
 
-// controlBytes sums the bytes that members counted for a kind of message, or for all kinds if
-// it is empty.
+// controlBytes sums the bytes that members counted for a kind of message in one direction. An
+// empty kind means all kinds.
 func controlBytes(all []*member, kind, direction string) int64 {
 	var n int64
 	for _, m := range all {
--- a/sidecar/options.go
+++ b/sidecar/options.go
@@ -17,8 +17,8 @@
 type Options struct {
 	Addresses Addresses
 	Zone      model.AvailabilityZone
-	// Bootstrap marks the first start of the whole system, when no other daemon can hold state
-	// from earlier.
+	// Bootstrap marks the first start of the whole system. No other daemon can then hold state
+	// from an earlier start.
 	Bootstrap bool
 	Tunables
 	// MaxBodyBytes bounds the memory for the bodies of the requests in flight. Default: 64 MiB.
@@ -34,8 +34,8 @@
 	Scope     tally.Scope
 	// Metrics serves the metrics endpoint. Nil disables it.
 	Metrics http.Handler
-	// Logger receives the log lines of requests and components. It must not block while its
-	// output is not read.
+	// Logger receives the log lines of requests and components. It must not block if nobody
+	// reads its output.
 	Logger *slog.Logger
 }
 
@@ -49,15 +49,16 @@
 	GracePeriod time.Duration
 }
 
-// Addresses holds the addresses that the daemon listens on and that of the local upstream,
-// all as host:port.
+// Addresses holds the addresses that the daemon listens on and the address of the local
+// upstream, all as host:port.
 type Addresses struct {
 	// Callers accepts the requests of local callers and of the upstream.
 	Callers string
 	// Peers is the address at which other daemons reach this one. It also identifies this
 	// daemon among them.
 	Peers string
-	// PeerBind is the address that is bound for Peers. Empty means Peers itself.
+	// PeerBind is the address to listen on for other daemons, if it differs from Peers. Empty
+	// means Peers.
 	PeerBind string
 	// Control accepts the reports of the upstream.
 	Control string
@@ -69,8 +70,8 @@
 	Upstream string
 }
 
-// RetryBudget bounds retries to a service: within any Span, at most Ratio times the number
-// of requests, plus Slack.
+// RetryBudget bounds the retries to a service. Within any Span, there are at most Ratio times as
+// many retries as requests, plus Slack.
 type RetryBudget struct {
 	Ratio float64
 	Slack float64
@@ -81,16 +82,17 @@
 type HeaderCodec interface {
 	// ReadAttempt reads the headers of a caller's request.
 	ReadAttempt(h http.Header) (Attempt, error)
-	// WriteRequestInfo sets the headers of a request to an upstream that only daemons may set,
-	// replacing any that the caller sent.
+	// WriteRequestInfo sets those headers of a request to an upstream that only daemons may set.
+	// It replaces any that the caller sent.
 	WriteRequestInfo(h http.Header, info RequestInfo)
 	// ReadResponseInfo reads the headers of an upstream's response.
 	ReadResponseInfo(status int, h http.Header) ResponseInfo
-	// SetAttemptID sets the id of the request on a response that the daemon itself made.
+	// SetAttemptID sets the id of the caller's attempt on a response that the daemon itself
+	// made.
 	SetAttemptID(h http.Header, id string)
 }
 
-// Attempt holds what a caller states about its request.
+// Attempt holds what the headers of a caller's request state.
 type Attempt struct {
 	// ID identifies this attempt of the caller. It is unique.
 	ID string
@@ -115,15 +117,15 @@
 	ID string
 	// NotRun is set if the upstream has not run the request.
 	NotRun bool
-	// Misdirected is set if another upstream than the expected one responded. The request has
-	// not run.
+	// Misdirected is set if the response came from another upstream than the expected one. The
+	// request has not run.
 	Misdirected bool
 	// Intact is set unless the headers show that the response may have been altered after the
 	// upstream sent it.
 	Intact bool
 	// Instance is the upstream that responded. Empty means not stated.
 	Instance model.UpstreamID
-	// Load is nil if not stated.
+	// Load is the load that the upstream states. Nil means not stated.
 	Load *UpstreamLoad
 }
 
@@ -132,16 +134,18 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is the current service time relative to the usual one, which is 1. Zero means
-	// not reported.
+	// Slowdown is the current service time divided by the usual one: 1 means as fast as usual.
+	// Zero means not reported.
 	Slowdown float64
 }
 
 // ConfigConsumer receives the documents that a Source reads.
 type ConfigConsumer interface {
-	// Receive offers a document and reports whether it is a valid configuration.
+	// Receive offers a document and reports whether it is a valid configuration. origin names
+	// the origin of the document in log lines.
 	Receive(raw []byte, origin string) bool
-	// StoreReachable reports whether a call to the store succeeded.
+	// StoreReachable is called after each call to the store. ok states whether that call
+	// succeeded.
 	StoreReachable(ok bool)
 	// AwaitTurn blocks until this daemon is elected to read from the store.
 	AwaitTurn(ctx context.Context) error
@@ -149,8 +153,8 @@
 
 // Source reads the configuration from its store.
 type Source interface {
-	// Watch passes every document that it reads to the consumer until the context ends, and
-	// reports the success of each call to the store. It calls AwaitTurn before each call.
+	// Watch passes every document that it reads to the consumer until the context ends. It calls
+	// AwaitTurn before each call to the store, and StoreReachable after it.
 	Watch(ctx context.Context, c ConfigConsumer) error
 	// Decode parses a document.
 	Decode(raw []byte) (route.Document, error)
--- a/sidecar/pack.go
+++ b/sidecar/pack.go
@@ -18,8 +18,8 @@
 	`{"a":"10.0.0.1:7420","i":1770000000000,"n":1,"z":"","s":"","u":{"ID":"i-","Born":1770000000000},"st":2,"sl":6,"c":3000}`)
 
 // packRecords encodes records as a sequence of JSON values, compresses them (RFC 1951), and
-// splits them into datagram bodies. A record that does not fit any datagram is left out; it
-// is exchanged over connections only.
+// splits them into datagram bodies. A record that does not fit any datagram is left out. Such a
+// record is exchanged over connections only.
 func packRecords(records []Record) [][]byte {
 	if len(records) == 0 {
 		return nil
--- a/sidecar/pack_test.go
+++ b/sidecar/pack_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestOversizedRecordsAreOmitted packs one record that fits no datagram among others: only
-// that one is left out.
+// TestOversizedRecordsAreOmitted packs many records, one of which fits no datagram. Only that
+// record may be left out.
 func TestOversizedRecordsAreOmitted(t *testing.T) {
 	records := sampleRecords(20)
 	var longName strings.Builder
@@ -76,7 +76,8 @@
 	require.Empty(t, packRecords(nil))
 }
 
-// TestUnpackToleratesCorruptData unpacks corrupted and truncated bodies.
+// TestUnpackToleratesCorruptData checks that unpacking corrupted or truncated bodies does not
+// panic and does not disturb later unpacking.
 func TestUnpackToleratesCorruptData(t *testing.T) {
 	body := packRecords(sampleRecords(5))[0]
 	rapid.Check(t, func(t *rapid.T) {
--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -13,10 +13,12 @@
 
 const (
 	// maxReadyLines is how many upstreams get a log line of their own in each readyLogWindow
-	// when their first report says that they are ready. When a whole deployment starts, a
-	// line for every pair of daemons would only repeat what the daemon of each upstream logs
-	// itself.
-	maxReadyLines  = 16
+	// when their first report says that they are ready. Without the limit, the start of a whole
+	// deployment would log a line for every pair of daemons. These lines would only repeat what
+	// the daemon of each upstream logs itself.
+	maxReadyLines = 16
+	// readyLogWindow is the period to which maxReadyLines applies. A summary line is written one
+	// such period after the first upstream that got no line of its own.
 	readyLogWindow = time.Second
 	// maxNamedPeers bounds the daemons that one log line names.
 	maxNamedPeers = 16
@@ -25,12 +27,12 @@
 // readyLogLimiter limits the log lines about upstreams whose first report says that they are
 // ready.
 type readyLogLimiter struct {
-	// windowStart is when the current window began, and lines how many upstreams have been
-	// logged individually in it.
+	// windowStart is when the current window began.
 	windowStart model.Instant
-	lines       int
-	// unlogged counts the upstreams that got no line of their own and will be covered by one
-	// summary line.
+	// lines is how many upstreams got a line of their own in the current window.
+	lines int
+	// unlogged counts the upstreams that got no line of their own. One summary line will cover
+	// them.
 	unlogged int
 }
 
@@ -46,9 +48,9 @@
 	return true
 }
 
-// logPeerState logs a change of the known state of a peer's upstream. Only the first report
-// that an upstream is ready may go into a summary line; a line is written for every other
-// change. The caller holds p.mu.
+// logPeerState logs a change in the state of a peer or of its upstream. The first report that an
+// upstream is ready may go into a summary line. Every other change gets a line of its own. The
+// caller holds p.mu.
 func (p *peers) logPeerState(previous, current *Record) {
 	firstReady := previous.Upstream == (lifecycle.Incarnation{}) && current.State == lifecycle.Ready && !current.Stopping
 	if firstReady && !p.readyLog.allow(p.now()) {
@@ -63,9 +65,9 @@
 		slog.String("state", current.State.String()), slog.Bool("stopping", current.Stopping))
 }
 
-// logReadySummary writes one summary line for the upstreams that got no line of their own. It
-// names the peers whose upstreams are still unknown: the state of all others is known from
-// their own lines.
+// logReadySummary writes one summary line for the upstreams that got no line of their own. The
+// line names the peers whose upstreams are still unknown. The state of any other upstream is in
+// its own line. Without such a line, the upstream is ready.
 func (p *peers) logReadySummary() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/peerlog_test.go
+++ b/sidecar/peerlog_test.go
@@ -17,15 +17,15 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// loggedPeers is the state of one daemon's peers and the log lines written about them.
+// loggedPeers holds the peers of one daemon and the log lines written about them.
 type loggedPeers struct {
 	*peers
 	out bytes.Buffer
 	log *decision.Log
 }
 
-// newLoggedPeers returns the state of a daemon without peers. It uses the virtual time of the
-// bubble.
+// newLoggedPeers returns the peers of a daemon that knows no other daemon. Its clock is the
+// virtual time of the bubble.
 func newLoggedPeers() *loggedPeers {
 	l := &loggedPeers{}
 	l.log = decision.New(decision.Options{Handler: slog.NewJSONHandler(&l.out, nil)})
@@ -51,8 +51,8 @@
 	return out
 }
 
-// stateRecords returns one record, that of peer n with an upstream in state s. For the state
-// Unknown, the record names no upstream.
+// stateRecords returns a single record: that of peer n, with an upstream in state s. For the
+// state Unknown, the record names no upstream.
 func stateRecords(n int, sequence uint64, s lifecycle.State) []Record {
 	r := Record{Address: fmt.Sprintf("d%03d", n), Incarnation: 1, Sequence: sequence, State: s}
 	if s != lifecycle.Unknown {
@@ -61,9 +61,9 @@
 	return []Record{r}
 }
 
-// TestMassStartLogsFewLines guards against a number of log lines that grows with the square
-// of the number of daemons: when a whole deployment started, each daemon logged a line about
-// every other one.
+// TestMassStartLogsFewLines guards against a number of log lines that grows with the square of
+// the number of daemons. When a whole deployment started, each daemon logged a line about every
+// other one.
 func TestMassStartLogsFewLines(t *testing.T) {
 	for _, daemons := range []int{10, 100, 295, 1700} {
 		bubble.Run(t, func(t *testing.T) {
@@ -114,8 +114,8 @@
 	})
 }
 
-// TestStateChangesAreLoggedIndividually changes the state of many known upstreams or daemons
-// at once: every change must get a log line of its own.
+// TestStateChangesAreLoggedIndividually changes the state of many known upstreams or daemons at
+// once. Every change must get a log line of its own.
 func TestStateChangesAreLoggedIndividually(t *testing.T) {
 	for name, change := range map[string]func(*Record){
 		"drained":   func(r *Record) { r.State = lifecycle.Draining },
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -15,7 +15,7 @@
 
 // Record is the state that a daemon announces about itself and its upstream. Only that daemon
 // writes it. Of two records of a daemon, the one with the higher (Incarnation, Sequence)
-// supersedes the other. The record that a daemon writes is its local record.
+// supersedes the other. The local record is the record of the daemon itself.
 type Record struct {
 	Address     string                 `json:"a"`
 	Incarnation int64                  `json:"i"`
@@ -26,13 +26,14 @@
 	Upstream lifecycle.Incarnation `json:"u,omitzero"`
 	State    lifecycle.State       `json:"st,omitempty"`
 	Slots    int                   `json:"sl,omitempty"`
-	// ColdMS is how many more milliseconds the upstream is expected to be slow after its
-	// start.
+	// ColdMS is how many more milliseconds the upstream is expected to be slow because it has
+	// just started.
 	ColdMS int64 `json:"c,omitempty"`
-	// Stopping is set while the daemon is about to stop. It still accepts calls if no other
-	// daemon can.
+	// Stopping is set while the daemon is about to stop. The daemon still accepts calls, for the
+	// case that no other daemon can.
 	Stopping bool `json:"x,omitempty"`
-	// Departed holds the newest of the incarnations that lifecycle.Tracker.Departed returns.
+	// Departed holds incarnations of the daemon's upstream that have left, started to drain or
+	// were replaced. It holds only the newest of those that lifecycle.Tracker.Departed returns.
 	// A restarted daemon gets them back from its peers.
 	Departed []lifecycle.Incarnation `json:"d,omitempty"`
 }
@@ -51,48 +52,54 @@
 	// coldUntil is when the upstream of the peer is expected to be as fast as usual.
 	coldUntil model.Instant
 	pool      *hop.Pool
-	// pushDue is set while the peer does not have the current local record, syncing while a
-	// goroutine runs syncLoop for the peer.
+	// pushDue is set while the peer does not have the current local record.
 	pushDue bool
+	// syncing is set while a goroutine runs syncLoop for the peer.
 	syncing bool
 	// needsFullSync is set while the peer is to be asked for all of its records.
 	needsFullSync bool
 	// verifiedAt is when the peer was last contacted because it had not replied to a load
 	// query.
 	verifiedAt model.Instant
-	// unreachable is set while the peer cannot be reached, which began at unreachableSince.
-	unreachable      bool
+	// unreachable is set while the peer cannot be reached.
+	unreachable bool
+	// unreachableSince is when the peer became unreachable.
 	unreachableSince model.Instant
 }
 
 const (
 	// syncTimeout bounds one request to another daemon.
 	syncTimeout = 1500 * time.Millisecond
-	// minSyncBackoff and maxSyncBackoff bound the backoff after a failed exchange. A daemon
-	// that restarts is back within one or two seconds.
+	// minSyncBackoff is the shortest backoff after a failed exchange.
 	minSyncBackoff = 100 * time.Millisecond
+	// maxSyncBackoff is the longest backoff after a failed exchange in the first
+	// fastRetryPeriod. A daemon that restarts is back within one or two seconds.
 	maxSyncBackoff = 2 * time.Second
 	// fastRetryPeriod is how long an unreachable daemon is retried with a backoff of at most
-	// maxSyncBackoff; after that, unreachableSyncBackoff bounds the backoff. Retries must go on,
+	// maxSyncBackoff.
+	fastRetryPeriod = time.Minute
+	// unreachableSyncBackoff bounds the backoff after fastRetryPeriod. Retries must go on,
 	// because two regions that lose their connection for minutes have no other way to find each
-	// other: no daemon restarts, and so none announces itself again.
-	fastRetryPeriod        = time.Minute
+	// other. No daemon restarts in that case, and so none announces itself again.
 	unreachableSyncBackoff = 15 * time.Second
 	// removeAfter is how long an unreachable daemon is retried before its record is removed.
 	removeAfter = time.Hour
 	// restartCheckers is how many daemons, on average, try to reach a daemon that stopped as
-	// planned, and restartCheckDelay is how long after its stop they begin. The daemon may
-	// restart while the store is unavailable, and then it knows no other daemon.
-	restartCheckers   = 3
+	// planned. That daemon may restart while the store is unavailable. It then knows no other
+	// daemon.
+	restartCheckers = 3
+	// restartCheckDelay is the time between the announcement of a planned stop and the first
+	// attempt to reach the daemon again.
 	restartCheckDelay = 2500 * time.Millisecond
 	// bootstrapPeers is how many daemons a starting daemon asks for all records.
 	bootstrapPeers = 2
-	// relaysPerZone is how many daemons of each remote zone a change is pushed to.
+	// relaysPerZone is how many daemons of each remote zone a change is pushed to. They relay
+	// the change inside their zone.
 	relaysPerZone = 2
 	// peerIdleTimeout is how long idle connections between daemons are kept.
 	peerIdleTimeout = 20 * time.Second
-	// peerDialTimeout bounds connecting to a daemon: a few round trips between regions. A
-	// daemon that is cut off from the network does not respond at all.
+	// peerDialTimeout bounds connecting to a daemon. It allows for a few round trips between
+	// regions. A daemon that is cut off from the network does not respond at all.
 	peerDialTimeout = 150 * time.Millisecond
 )
 
@@ -108,12 +115,12 @@
 	// pushByDatagram sends a record to a daemon without a connection, and reports whether the
 	// daemon acknowledged it.
 	pushByDatagram func(address string, r Record) bool
-	// onReachable is called when a daemon is reachable again, onFullSync when a daemon has
-	// returned all of its records.
+	// onReachable is called when a daemon is reachable again.
 	onReachable func()
-	onFullSync  func(address string)
-	// restoreDeparted is called with the departed upstreams of this VM that other daemons
-	// know of.
+	// onFullSync is called when a daemon has returned all of its records.
+	onFullSync func(address string)
+	// restoreDeparted is called with departed incarnations of the local upstream that another
+	// daemon has on record.
 	restoreDeparted func([]lifecycle.Incarnation)
 
 	// random returns a random number in [0, 1).
@@ -122,25 +129,27 @@
 	mu sync.Mutex
 	// local is the record of this daemon.
 	local Record
-	// predecessor is the record that others hold of the previous daemon at this address.
+	// predecessor is the record that other daemons hold of the previous daemon at this address.
 	predecessor Record
 	// others holds the other daemons by address.
 	others map[string]*peer
-	// generation counts the changes to the records held, the local one included, and to the
-	// set of reachable peers. fullSyncs counts the peers that addPeer has chosen to be asked
-	// for all records.
-	generation    uint64
+	// generation counts the changes to the records held, the local one included, and to the set
+	// of reachable peers.
+	generation uint64
+	// fullSyncCount counts the peers that addPeer has chosen to be asked for all records.
 	fullSyncCount int
-	readyLog      readyLogLimiter
-	// announced is set once the local record has been pushed to other daemons.
+	// readyLog limits the log lines about upstreams that become ready.
+	readyLog readyLogLimiter
+	// announced is set once the local record has been announced to other daemons.
 	announced bool
-	// ctx ends when the daemon stops, and ends the goroutines that run syncLoop.
+	// ctx ends when the daemon stops. The goroutines that run syncLoop then end.
 	ctx context.Context
 	// firstContact is closed after the first successful exchange with another daemon, or when
 	// there is no other daemon.
 	firstContact     chan struct{}
 	firstContactOnce sync.Once
-	// directoryRead is closed after the first attempt to read the directory.
+	// directoryRead is closed after the first attempt to read the directory, whether or not it
+	// succeeds.
 	directoryRead     chan struct{}
 	directoryReadOnce sync.Once
 }
@@ -176,8 +185,9 @@
 	p.announceToAll()
 }
 
-// announceToAll schedules a push of the local record to all daemons of the local zone and to
-// relaysPerZone daemons of each remote zone, which relay it there. The caller holds p.mu.
+// announceToAll schedules a push of the local record to all daemons of the local zone. It also
+// schedules a push to relaysPerZone daemons of each remote zone, which relay the record there.
+// The caller holds p.mu.
 func (p *peers) announceToAll() {
 	p.announced = true
 	relays := make(map[model.AvailabilityZone]int)
@@ -194,7 +204,7 @@
 	}
 }
 
-// announceOnce announces the local record unless that has already happened.
+// announceOnce announces the local record if it has not been announced yet.
 func (p *peers) announceOnce() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,9 +213,9 @@
 	}
 }
 
-// handleSyncRequest handles an exchange that another daemon started. The reply carries the local
-// record, so no push to that daemon is due, unless this daemon still needs a full sync from
-// it.
+// handleSyncRequest is called when another daemon has started an exchange. The reply carries the
+// local record, which makes a push to that daemon unnecessary. A push is due only if this daemon
+// still needs a full sync from that daemon.
 func (p *peers) handleSyncRequest(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -249,10 +259,10 @@
 	return newer
 }
 
-// mergeLocal handles a record that another daemon holds of this daemon's address, from this
-// or a previous incarnation. If its incarnation is higher than the current one, the clock of
-// the previous incarnation was ahead, and this daemon raises its own incarnation above it.
-// The caller holds p.mu.
+// mergeLocal merges a record of this daemon that another daemon holds. The record may come from
+// a previous incarnation of this daemon. If the incarnation of the record is higher than the
+// current one, the clock of the previous incarnation was ahead. This daemon then raises its own
+// incarnation above that of the record. The caller holds p.mu.
 func (p *peers) mergeLocal(held *Record) {
 	if held.Incarnation > p.local.Incarnation {
 		p.local.Incarnation = held.Incarnation + 1
@@ -302,9 +312,9 @@
 	return true
 }
 
-// inferSlots infers the slots of an upstream of this VM that does not report them: the number
-// that it reported to the previous daemon here or, failing that, the largest one among
-// upstreams of the service. Zero means unknown.
+// inferSlots infers the slots of an upstream of this VM that does not report them. It returns
+// the number that the upstream reported to the previous daemon at this address. If that is
+// unknown, it returns the largest number among upstreams of the service. Zero means unknown.
 func (p *peers) inferSlots(i lifecycle.Incarnation) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -333,7 +343,7 @@
 	return records
 }
 
-// recordOf returns the record of a daemon.
+// recordOf returns the record of another daemon, and whether that daemon is known.
 func (p *peers) recordOf(address string) (Record, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -26,8 +26,8 @@
 	a.waitForCandidates(t, "b", 1)
 }
 
-// TestConfigVersionsOnlyRise publishes older, equal, missing and invalid documents: none may
-// replace the one in force.
+// TestConfigVersionsOnlyRise publishes older, equal, missing and invalid documents. None of them
+// may replace the document in force.
 func TestConfigVersionsOnlyRise(t *testing.T) {
 	s := newStore(documentOf(5, "a"))
 	a := startReady(t, s, "a", "a1")
@@ -47,21 +47,22 @@
 	eventually(t, "the newer version is in force", func() bool { return a.config.version() == 6 })
 }
 
-// TestConfigurationComesFromPeers disconnects one daemon from the store.
+// TestConfigurationComesFromPeers disconnects one daemon from the store. It must get a new
+// version of the configuration from the other daemon.
 func TestConfigurationComesFromPeers(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
 	a.waitForCandidates(t, "a", 2)
 	b.waitForCandidates(t, "a", 2)
 	b.source.disconnected.Store(true)
-	s.publish(documentOf(1, "a")) // wakes its source, which then finds the store unreachable
+	s.publish(documentOf(1, "a")) // wakes the source of b, which then finds the store unreachable
 	time.Sleep(20 * time.Millisecond)
 	s.publish(documentOf(2, "a"))
 	eventually(t, "the new version is in force", func() bool { return b.config.version() == 2 })
 }
 
-// TestRestartWithStoreDown restarts a daemon that must learn everything from its peers: the
-// configuration, the other daemons, and that its upstream is leaving.
+// TestRestartWithStoreDown restarts a daemon while the store is down. It must learn the
+// configuration, the other daemons, and that its upstream is leaving, all from its peers.
 func TestRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -83,9 +84,9 @@
 	require.Equal(t, lifecycle.Stale, restarted.Report(readyReport("b1", 1, 9, "b")))
 }
 
-// TestLocalRecordSurvivesClockSetBack gives a peer a record of the daemon whose incarnation
-// comes from a clock that was ahead, as if the daemon had restarted after its clock was set
-// back. Later records of the daemon must still supersede it.
+// TestLocalRecordSurvivesClockSetBack gives a peer a record of the daemon with an incarnation in
+// the future. That happens if the daemon restarts after its clock, which was ahead, has been set
+// back. Later records of the daemon must still supersede the record.
 func TestLocalRecordSurvivesClockSetBack(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -102,8 +103,8 @@
 }
 
 // TestLoadQueriesCarryConfigVersion guards against a daemon that keeps an old configuration
-// because its long poll of the store hangs without an error: it must learn of the new version
-// from load queries.
+// because its long poll of the store hangs without an error. The daemon must learn of the new
+// version from load queries.
 func TestLoadQueriesCarryConfigVersion(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
@@ -131,8 +132,8 @@
 }
 
 // TestNewVersionsSpread applies a new version of the configuration at one of several daemons.
-// All others must get it even without traffic, that is without the messages of requests, which
-// carry the version too.
+// All others must get it without any requests. The messages that belong to requests carry the
+// version too, and would hide a failure.
 func TestNewVersionsSpread(t *testing.T) {
 	const daemons = 4
 	s := newStore(documentOf(1, "a"))
@@ -149,9 +150,9 @@
 	}
 }
 
-// TestPlannedRestartWithStoreDown restarts a daemon that stopped as planned. Nobody calls it,
-// as its record says that it has stopped, so the other daemons must reconnect to it on their
-// own.
+// TestPlannedRestartWithStoreDown restarts a daemon that stopped as planned while the store is
+// down. No daemon calls it, because its record says that it has stopped. The other daemons must
+// reconnect to it on their own.
 func TestPlannedRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -170,8 +171,8 @@
 func TestStartedWithin(t *testing.T) {
 	const (
 		span = 10 * time.Second
-		// onlyListed is the age of a daemon that is in the directory but whose record has not
-		// been received.
+		// onlyListed stands for the age of a daemon that is in the directory but whose record
+		// has not been received.
 		onlyListed = time.Duration(-1)
 	)
 	for name, c := range map[string]struct {
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// relayDelay is how long a record waits for others so that they share a datagram, and
-	// relayJitter bounds the random delay on top. Of the relays of a zone, the one whose
-	// delay ends first sends the record, and the others drop it.
-	relayDelay  = 20 * time.Millisecond
+	// relayDelay is how long a record waits for others, so that they share a datagram.
+	relayDelay = 20 * time.Millisecond
+	// relayJitter bounds the random delay on top of relayDelay. Of the relays of a zone, the one
+	// whose delay ends first sends the record. The others then drop it.
 	relayJitter = 80 * time.Millisecond
 )
 
@@ -20,9 +20,11 @@
 type relay struct {
 	// zonePeers returns the reachable daemons of the local zone.
 	zonePeers func() []string
-	send      func(address string, body []byte)
+	// send sends a datagram body to a daemon.
+	send func(address string, body []byte)
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// pending holds the records that wait to be relayed, by the address of their daemon.
 	pending map[string]Record
 }
 
@@ -37,7 +39,8 @@
 	r.pending[rec.Address] = rec
 }
 
-// dropRelayed drops pending records that another daemon of the zone has just relayed.
+// dropRelayed drops pending records that another daemon of the zone has just relayed. A pending
+// record that is newer than the relayed one is kept.
 func (r *relay) dropRelayed(records []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestMissedChangesAreRepaired lets only one daemon of a zone learn of a change: anti-entropy
-// must bring it to the others.
+// TestMissedChangesAreRepaired lets only one daemon of a zone learn of a change. Anti-entropy
+// must bring the change to the other daemon of the zone.
 func TestMissedChangesAreRepaired(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b, c := startInZone(t, s, "x", "b", "x1"), startInZone(t, s, "y", "b", "y1"), startInZone(t, s, "y", "b", "y2")
@@ -75,9 +75,9 @@
 	return c.byZone[zone]
 }
 
-// TestAnnouncementsGrowWithZones changes the record of one daemon: it must be pushed to all
-// daemons of the local zone, and to the same number of daemons in each remote zone whatever
-// the size of the deployment.
+// TestAnnouncementsGrowWithZones changes the record of one daemon. The record must be pushed to
+// all daemons of the local zone. In each remote zone, the number of pushes must be the same
+// whatever the size of the deployment.
 func TestAnnouncementsGrowWithZones(t *testing.T) {
 	const zones = 5
 	zoneOf := func(i int) string { return fmt.Sprint("z", i%zones) }
@@ -145,8 +145,8 @@
 	require.LessOrEqual(t, messages, 2*records/5)
 }
 
-// TestEqualRecordsHaveEqualDigests checks that the digests of two daemons with equal records
-// are equal: rounds between them end there, and no records are sent.
+// TestEqualRecordsHaveEqualDigests checks that two daemons with equal records have equal
+// digests. A round between them then ends after the digest, and no records are sent.
 func TestEqualRecordsHaveEqualDigests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "b", "b1"), startReady(t, s, "b", "b2")
@@ -159,7 +159,8 @@
 	require.Empty(t, unpackRecords([]byte("{broken")))
 }
 
-// TestRelaySkipsRecordsSentByAnother has another relay of the zone send a record first.
+// TestRelaySkipsRecordsSentByAnother has another relay of the zone send a record first. The
+// record must not be sent again, unless the relayed one is older.
 func TestRelaySkipsRecordsSentByAnother(t *testing.T) {
 	const seq = 5
 	for name, c := range map[string]struct {
--- a/sidecar/replaced_test.go
+++ b/sidecar/replaced_test.go
@@ -27,8 +27,8 @@
 	return replacement
 }
 
-// isFree reports whether a UDP socket can be bound to an address. A write in progress
-// keeps the socket of a daemon open for a moment after the daemon has ended.
+// isFree reports whether a UDP socket can be bound to an address. After a daemon has ended, a
+// write in progress can keep its socket open for a moment.
 func isFree(address string) bool {
 	conn, err := net.ListenPacket("udp4", address)
 	if err != nil {
@@ -37,8 +37,7 @@
 	return conn.Close() == nil
 }
 
-// attemptTo returns an attempt at the only upstream of service b, from the current view
-// of a daemon.
+// attemptTo returns an attempt at the only upstream of service b that a daemon knows.
 func attemptTo(t *testing.T, m *member) *attemptState {
 	t.Helper()
 	upstreams, endpoints := m.peers.candidates("b")
@@ -48,9 +47,9 @@
 	}
 }
 
-// TestReplacedDaemonYieldsUnknownOutcome replaces the VM of a guard. The daemon that has
-// its address afterwards has never received the call, so its statement that the call has
-// not run proves nothing.
+// TestReplacedDaemonYieldsUnknownOutcome replaces the VM of a guard. The daemon that has the
+// address afterwards has never received the call. Its statement that the call has not run proves
+// nothing.
 func TestReplacedDaemonYieldsUnknownOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		replace bool
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -17,12 +17,14 @@
 )
 
 const (
-	// defaultMaxHeaderBytes and defaultHeaderTimeout bound request headers until a
-	// configuration sets other limits.
+	// defaultMaxHeaderBytes bounds the size of request headers until a configuration sets
+	// another limit.
 	defaultMaxHeaderBytes = 64 << 10
-	defaultHeaderTimeout  = 10 * time.Second
-	// idleCloseDelay is how much longer than its timeout an idle connection of a caller is
-	// kept, so that a request sent just before the timeout arrives before the close.
+	// defaultHeaderTimeout bounds the time to read request headers until a configuration sets
+	// another limit.
+	defaultHeaderTimeout = 10 * time.Second
+	// idleCloseDelay is how much longer than the idle timeout an idle connection of a caller is
+	// kept. A request sent just before the timeout then arrives before the close.
 	idleCloseDelay = time.Second
 )
 
@@ -33,8 +35,9 @@
 	listener net.Listener
 
 	mu sync.Mutex
-	// idle holds the idle connections. limits may change while the server runs.
-	idle   map[net.Conn]*idleConn
+	// idle holds the idle connections.
+	idle map[net.Conn]*idleConn
+	// limits are the limits advertised to callers. They may change while the server runs.
 	limits route.Limits
 	// active holds the connections whose request has been read and whose response has not
 	// been written completely.
@@ -67,9 +70,9 @@
 // server runs. trackConn closes idle connections instead.
 const noIdleTimeout = 24 * time.Hour
 
-// setLimits sets the limits that are advertised to callers. A longer idle timeout also
-// applies to connections that are idle already, since callers go by the newest value. A
-// shorter one does not, since some callers may not know it yet.
+// setLimits sets the limits that are advertised to callers. Callers go by the newest value that
+// they know. A longer idle timeout therefore also applies to connections that are idle already.
+// A shorter one does not, because some callers may not know it yet.
 func (s *server) setLimits(l route.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +119,8 @@
 	return len(s.active)
 }
 
-// closeIdle closes a connection whose idle timer has fired, unless the connection has been in
-// use since the timer was set.
+// closeIdle closes a connection whose idle timer has fired. It does nothing if the connection
+// has been in use since the timer was set.
 func (s *server) closeIdle(c net.Conn, expected *idleConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -17,8 +17,8 @@
 	"github.com/dottereltiller/dottereltiller/inbound"
 )
 
-// TestIdleTimeoutChangeAppliesToIdleConnections changes the idle timeout while a connection
-// is idle: a longer one must apply to it, a shorter one must not.
+// TestIdleTimeoutChangeAppliesToIdleConnections changes the idle timeout while a connection is
+// idle. A longer timeout must apply to the connection, a shorter one must not.
 func TestIdleTimeoutChangeAppliesToIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after time.Duration
@@ -48,8 +48,8 @@
 	}
 }
 
-// newServerWithIdleConn returns a server with an idle timeout of one hour, an idle connection
-// of it, and that connection's timer.
+// newServerWithIdleConn returns a server with an idle timeout of one hour, an idle connection of
+// the server, and the idleConn of that connection.
 func newServerWithIdleConn(t *testing.T) (*server, net.Conn, *idleConn) {
 	t.Helper()
 	s := newServer("callers", http.NotFoundHandler())
@@ -60,9 +60,9 @@
 	return s, conn, s.idle[conn]
 }
 
-// TestIdleTimersCloseNoConnectionInUse guards against a forwarded request that gets no
-// response: the idle timer of its connection is due, and fires only after the request has
-// been read.
+// TestIdleTimersCloseNoConnectionInUse guards against a forwarded request that gets no response
+// because its connection is closed. That happens if the idle timer of the connection is due and
+// fires only after the request has been read.
 func TestIdleTimersCloseNoConnectionInUse(t *testing.T) {
 	s, conn, idle := newServerWithIdleConn(t)
 	s.trackConn(conn, http.StateActive)
@@ -75,8 +75,8 @@
 	require.Error(t, conn.SetDeadline(time.Time{}), "the connection is closed")
 }
 
-// acceptConn returns the context of requests on a new connection, and both ends of the
-// connection.
+// acceptConn opens a connection. It returns the context of requests on the connection, and both
+// of its ends.
 func acceptConn(t *testing.T) (ctx context.Context, conn, other net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,8 +98,7 @@
 }
 
 // TestRequestsOnClosedConnectionsAreNotForwarded guards against forwarding a request whose
-// caller can get no response, because its connection was closed just after the request was
-// read.
+// caller can get no response. The connection is closed just after the request was read.
 func TestRequestsOnClosedConnectionsAreNotForwarded(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
 	ctx, conn, _ := acceptConn(t)
@@ -111,8 +110,8 @@
 }
 
 // TestRequestsOfDisconnectedCallersAreNotForwarded guards against requests that reach an
-// upstream long after their callers have disconnected: on a busy processor, net/http notices
-// the close late.
+// upstream long after their callers have disconnected. On a busy processor, net/http notices the
+// close late.
 func TestRequestsOfDisconnectedCallersAreNotForwarded(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
 	ctx, _, caller := acceptConn(t)
@@ -122,8 +121,8 @@
 	require.Empty(t, m.upstream.requests())
 }
 
-// TestCallsOfDisconnectedSendersAreNotRun has a sender disconnect before the guard has
-// started its call: the call must not run.
+// TestCallsOfDisconnectedSendersAreNotRun has a sender disconnect before the guard has started
+// its call. The call must not run.
 func TestCallsOfDisconnectedSendersAreNotRun(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
--- a/sidecar/stalledlog_test.go
+++ b/sidecar/stalledlog_test.go
@@ -28,8 +28,8 @@
 	return len(p), nil
 }
 
-// TestStalledLogBlocksNoRequest has a request quarantined while nobody reads the log output:
-// requests must still be served.
+// TestStalledLogBlocksNoRequest has a request quarantined while nobody reads the log output.
+// Other requests must still be served.
 func TestStalledLogBlocksNoRequest(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	o := optionsFor(t, s, newUpstream(t, "a1"), "a")
--- a/sidecar/summary.go
+++ b/sidecar/summary.go
@@ -3,25 +3,26 @@
 import "encoding/binary"
 
 const (
-	// summaryEntryBytes is the encoded size of an entry of a summary, and addressHashBytes
-	// that of an address hash in a record request.
+	// summaryEntryBytes is the encoded size of an entry of a summary.
 	summaryEntryBytes = 4 + 8 + 8
-	addressHashBytes  = 4
-	// maxSummaryEntries and maxRequestedHashes are the numbers that fit one datagram.
-	maxSummaryEntries  = (maxDatagramBody - bucketHashBytes) / summaryEntryBytes
+	// addressHashBytes is the encoded size of an address hash in a record request.
+	addressHashBytes = 4
+	// maxSummaryEntries is how many entries of a summary fit one datagram.
+	maxSummaryEntries = (maxDatagramBody - bucketHashBytes) / summaryEntryBytes
+	// maxRequestedHashes is how many address hashes of a record request fit one datagram.
 	maxRequestedHashes = maxDatagramBody / addressHashBytes
 )
 
-// summary lists which version of each record a daemon holds, for some of the buckets of the
+// summary states the versions of the records that a daemon holds in some of the buckets of a
 // digest.
 type summary struct {
-	// bucketSet has a bit for each bucket that the summary covers.
+	// bucketSet has a bit for each bucket. The bit is set if the summary covers the bucket.
 	bucketSet uint32
 	// entries holds the versions of the records, by the hash of the address.
 	entries map[uint32]recordVersion
 }
 
-// recordVersion orders the records of one daemon.
+// recordVersion is the version of a record. It orders the records of one daemon.
 type recordVersion struct {
 	incarnation int64
 	sequence    uint64
@@ -37,9 +38,9 @@
 	return v.sequence > old.sequence
 }
 
-// newSummary returns a summary of as many of the wanted buckets as fit a datagram, and of the
-// first one in any case. A bucket too large for a datagram is truncated; for the entries left
-// out, this daemon will be sent records that it already has.
+// newSummary returns a summary of as many of the wanted buckets as fit a datagram. The first
+// bucket is always covered. If it is too large for a datagram, some of its entries are left out.
+// The receiver then sends the records of these entries, although this daemon already has them.
 func newSummary(records []Record, wanted []int) *summary {
 	byBucket := make(map[int][]*Record)
 	for i := range records {
@@ -63,9 +64,9 @@
 	return s
 }
 
-// diff compares a summary with the records held here. It returns the records that are newer
-// here or missing on the other side, and the address hashes of those that are newer on the
-// other side or missing here.
+// diff compares a summary from another daemon with the records held here. It returns the records
+// that are newer here or missing there. It also returns the address hashes of the records that
+// are newer there or missing here.
 func (s *summary) diff(records []Record) (newer []Record, wanted []uint32) {
 	localVersions := make(map[uint32]recordVersion, len(s.entries))
 	for i := range records {
@@ -113,7 +114,8 @@
 	return s, true
 }
 
-// encodeRecordRequest encodes a record request for the records with these address hashes.
+// encodeRecordRequest encodes a request for the records with these address hashes. It leaves out
+// hashes that do not fit a datagram.
 func encodeRecordRequest(hashes []uint32) []byte {
 	hashes = hashes[:min(len(hashes), maxRequestedHashes)]
 	b := make([]byte, 0, len(hashes)*addressHashBytes)
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -30,7 +30,8 @@
 	return out
 }
 
-// merge sends records through datagrams, merges them and returns the bytes sent.
+// merge packs records into datagram bodies, unpacks and merges them, and returns the bytes of
+// the datagrams.
 func (t recordTable) merge(records []Record) int {
 	bytes := 0
 	for _, b := range packRecords(records) {
@@ -44,8 +45,8 @@
 	return bytes
 }
 
-// reconcile runs one anti-entropy round between two daemons, as antiEntropy does, and returns
-// the bytes of all datagrams.
+// reconcile runs one anti-entropy round between two tables, as antiEntropy does between daemons.
+// It returns the bytes of all datagrams.
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
 	responderDigest, initiatorDigest := digestOf(responder.records()), digestOf(initiator.records())
@@ -78,9 +79,9 @@
 	return bytes + initiator.merge(requested)
 }
 
-// TestAntiEntropyCostIsBounded changes one record among many. The bytes that two daemons
-// exchange until they agree are bounded by the size of a digest and of the summary of one
-// bucket.
+// TestAntiEntropyCostIsBounded changes one record among many. It bounds the bytes that two
+// daemons exchange until they agree. The bound is about the size of a digest plus the summary of
+// one bucket.
 func TestAntiEntropyCostIsBounded(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 1000, 1700} {
 		for name, change := range map[string]func(a, b recordTable, r Record){
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestTablesConverge starts with tables that have only one record in common, as after a start
-// of all daemons at once.
+// TestTablesConverge starts with tables that have only one record in common, as after a start of
+// all daemons at once. Repeated rounds must make all tables equal.
 func TestTablesConverge(t *testing.T) {
 	const daemons, rounds = 60, 12
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -121,8 +122,8 @@
 	}
 }
 
-// TestTruncatedSummariesConverge uses buckets that fit no datagram: repeated comparisons must
-// still converge.
+// TestTruncatedSummariesConverge uses buckets whose summaries fit no datagram. Repeated rounds
+// must still make the tables equal.
 func TestTruncatedSummariesConverge(t *testing.T) {
 	const n = 4000
 	records := sampleRecords(n)
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -7,9 +7,9 @@
 	"github.com/dottereltiller/dottereltiller/pause"
 )
 
-// syncLoop pushes the local record to a peer, with retries, until the peer has the current
-// one. It uses a datagram, and a connection if the datagram is not acknowledged or the peer is
-// to be asked for all records.
+// syncLoop pushes the local record to a peer, with retries, until the peer has the current local
+// record. It pushes by datagram first. If the datagram is not acknowledged, it uses a
+// connection. It uses only a connection if the peer is to be asked for all records.
 func (p *peers) syncLoop(q *peer) {
 	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxSyncBackoff}
 	for {
@@ -40,19 +40,19 @@
 			return
 		}
 		backoff.Max = maxBackoff
-		// The loop checks the context itself.
+		// The error is ignored: the loop checks the context itself.
 		_ = backoff.Wait(p.ctx)
 	}
 }
 
-// recordPushAck marks a peer as reachable after it acknowledged a push.
+// recordPushAck marks a peer as reachable after the peer acknowledged a push.
 func (p *peers) recordPushAck(q *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.markReachable(q)
 }
 
-// recordExchange merges the reply of a peer.
+// recordExchange marks a peer as reachable after an exchange and merges the reply.
 func (p *peers) recordExchange(q *peer, address string, reply syncMessage) {
 	p.mu.Lock()
 	p.markReachable(q)
@@ -67,9 +67,9 @@
 	p.firstContactOnce.Do(func() { close(p.firstContact) })
 }
 
-// recordFailedExchange records a failed exchange. It reports whether to retry, and the bound of the
-// backoff before that. A peer that is stopping and whose upstream is gone, or that has been
-// unreachable for removeAfter, is removed instead.
+// recordFailedExchange records a failed exchange. It returns whether to retry, and the maximum
+// of the backoff before the retry. Two kinds of peers are removed instead: a stopping peer whose
+// upstream is gone, and a peer that has been unreachable for removeAfter.
 func (p *peers) recordFailedExchange(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -18,11 +18,12 @@
 )
 
 const (
-	// keptVersions is how many documents are kept as bases of deltas, including the one in
-	// force.
+	// keptVersions is how many documents are kept, including the one in force. Deltas can start
+	// from any of them.
 	keptVersions = 4
-	// maxPlainDocumentBytes is the size up to which a document is sent as it is: computing a
-	// delta would cost more processor time than the saved bytes are worth.
+	// maxPlainDocumentBytes is the size up to which a document is sent as it is. For a document
+	// of that size, computing a delta would cost more processor time than the saved bytes are
+	// worth.
 	maxPlainDocumentBytes = 1 << 10
 	// maxDocumentBytes bounds a document that is restored from a delta.
 	maxDocumentBytes = 16 << 20
@@ -35,13 +36,13 @@
 type storedDocument struct {
 	version model.Version
 	raw     []byte
-	// deltas caches the deltas to this document, by the version that they start from. The
-	// delta from version 0 is the compressed document.
+	// deltas caches the deltas to this document. The key is the version that the delta starts
+	// from. The delta from version 0 is the compressed document.
 	deltas map[model.Version][]byte
 }
 
-// documentHistory keeps the newest documents, so that a daemon with a recent version can be sent a
-// delta. The zero value is empty. It is safe for concurrent use.
+// documentHistory keeps the newest documents. A daemon that has one of them can be sent a delta.
+// The zero value is empty. It is safe for concurrent use.
 type documentHistory struct {
 	mu sync.Mutex
 	// documents are sorted by ascending version.
@@ -61,7 +62,7 @@
 	}
 }
 
-// newest returns the document in force, or nil.
+// newest returns the document in force, or nil if there is none.
 func (v *documentHistory) newest() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -89,8 +90,10 @@
 }
 
 // deltaFrom returns the delta from a version to the document in force. If the version is not
-// kept, the delta starts from the empty document. A nil delta means that the document itself
-// is to be sent, because it is small or the delta is no smaller.
+// kept, the delta starts from the empty document.
+//
+// A nil delta means that the document itself is to be sent. It is nil if the document is small,
+// if the delta is no smaller, or if there is no document.
 func (v *documentHistory) deltaFrom(version model.Version) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -119,9 +122,9 @@
 	return d, nil
 }
 
-// fetch returns the document that another daemon has in force. If that daemon keeps the
-// version in force here, only the delta is transferred. The error is a *hop.RequestError, a
-// *StatusError or a *DeltaError.
+// fetch returns the document that another daemon has in force. If that daemon keeps the version
+// in force here, only a delta is transferred. The error is a *hop.RequestError, a *StatusError
+// or a *DeltaError.
 func (c *configuration) fetch(ctx context.Context, pool *hop.Pool, address string) ([]byte, error) {
 	heldVersion := c.version()
 	base := c.history.document(heldVersion)
@@ -171,8 +174,8 @@
 	return raw, nil
 }
 
-// config responds with the document in force, or with a delta to it (status 226, RFC 3229) if
-// the request states a version and a delta saves bytes.
+// config responds with the document in force. It responds with a delta instead (status 226, RFC
+// 3229) if the request states a version and the delta saves bytes.
 func (p peerHandler) config(w http.ResponseWriter, r *http.Request) {
 	versions := &p.d.config.history
 	raw := versions.newest()
@@ -188,8 +191,8 @@
 	_, _ = w.Write(raw)
 }
 
-// deltaFromParam returns the delta from the version that a heldVersionParam states, or nil if
-// there is none.
+// deltaFromParam returns the delta from the version stated in a heldVersionParam. It returns nil
+// if there is no delta or the version is not a number.
 func (p peerHandler) deltaFromParam(version string) []byte {
 	heldVersion, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -40,7 +40,8 @@
 	return route.Document{Version: v, Routes: documentOf(1, "a").Routes}, err
 }
 
-// configWithVersions returns a configuration that had the versions 1 to newest in force.
+// configWithVersions returns a configuration in which the versions 1 to newest have been in
+// force, one after the other.
 func configWithVersions(newest int) *configuration {
 	c := newConfiguration(versionSource{}, nil)
 	for v := 1; v <= newest; v++ {
@@ -49,8 +50,8 @@
 	return c
 }
 
-// serveVersions serves the documents of a configuration as a daemon does, and counts the
-// bytes sent.
+// serveVersions serves the documents of a configuration as a daemon does. It adds the bytes sent
+// to *sent.
 func serveVersions(t *testing.T, c *configuration, sent *int) *hop.Pool {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
