--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -67,9 +67,7 @@
 }
 
 // Receive implements ConfigConsumer.
-func (f *configFollower) Receive(raw []byte, origin string) bool {
-	return f.d.config.apply(raw, origin)
-}
+func (f *configFollower) Receive(raw []byte, from string) bool { return f.d.config.apply(raw, from) }
 
 // AwaitTurn implements ConfigConsumer.
 func (f *configFollower) AwaitTurn(ctx context.Context) error {
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -104,7 +104,7 @@
 	key string
 	// incarnation is the incarnation of the daemon that the attempt was sent to.
 	incarnation int64
-	// timeLeft is the time that remained until the deadline of the attempt when it was sent.
+	// timeLeft is the time that the attempt had until its deadline when the attempt was sent.
 	timeLeft time.Duration
 }
 
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -167,8 +167,8 @@
 	a.waitForCandidates(t, "b", 1)
 }
 
-// TestStartedWithin checks the share of recently started daemons.
-func TestStartedWithin(t *testing.T) {
+// TestDaemonsAndStartedShare checks the number of daemons and the share of recently started ones.
+func TestDaemonsAndStartedShare(t *testing.T) {
 	const (
 		span = 10 * time.Second
 		// onlyListed stands for the age of a daemon that is in the directory but whose record
