--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -15,25 +15,28 @@
 )
 
 const (
-	// digestBuckets is the number of buckets into which a digest divides the records, by a
-	// hash of the daemon's address. bucketHashBytes is the encoded size of the hash of one
-	// bucket.
-	digestBuckets   = 32
+	// digestBuckets is the number of buckets in a digest. A hash of a daemon's address selects
+	// the bucket of its record.
+	digestBuckets = 32
+	// bucketHashBytes is the encoded size of the hash of one bucket. The bucket set of a summary
+	// has the same size.
 	bucketHashBytes = 4
 	// roundTick is how often a daemon checks whether the next anti-entropy round is due.
 	roundTick = 500 * time.Millisecond
 )
 
 // antiEntropy runs the anti-entropy protocol. In each round it compares the records held here
-// with those of one other daemon, so that a daemon that missed a change still learns of it.
-// The initiator sends a digest, the responder replies with a summary of the buckets that
-// differ, and the initiator then sends the records that are newer on its side and requests
-// those that are newer on the other.
+// with those of one other daemon. A daemon that missed a change learns of it in this way.
+//
+// A round has three steps. The initiator sends a digest. The responder replies with a summary of
+// the buckets that differ. The initiator then sends the records that are newer on its side and
+// requests those that are newer on the other side.
 type antiEntropy struct {
 	d *Daemon
 
-	mu   sync.Mutex
-	pace gossip.AntiEntropyTimer
+	mu sync.Mutex
+	// timer determines when the next round is due.
+	timer gossip.AntiEntropyTimer
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
@@ -42,38 +45,41 @@
 // Serve runs anti-entropy rounds until the context ends.
 func (a *antiEntropy) Serve(ctx context.Context) error { return interval.Run(ctx, roundTick, a.tick) }
 
+// tick sends a digest to one other daemon if a round is due.
 func (a *antiEntropy) tick() {
 	if !a.due() {
 		return
 	}
-	if m, ok := a.d.follower.peerSelector.AntiEntropyPeer(a.d.peers.members()); ok {
+	if m, ok := a.d.follower.peerSelector.AntiEntropyPeer(a.d.peers.reachableMembers()); ok {
 		a.d.datagrams.sendOneWay(kindDigest, m.Address, a.d.peers.digest().encode())
 	}
 }
 
-// due reports whether to start a round now. It counts the new round as one without a
-// difference. speedUp resets that count when this daemon receives newer records.
+// due reports whether to start a round now. If a round starts, due counts it in advance as a
+// round that finds no difference. If this daemon receives newer records after that, speedUp
+// resets the count.
 func (a *antiEntropy) due() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	due := a.pace.Due(a.d.now())
+	due := a.timer.Due(a.d.now())
 	if due {
-		a.pace.RecordAgreement()
+		a.timer.RecordAgreement()
 	}
 	return due
 }
 
-// speedUp shortens the interval between rounds until several in a row find no difference. It
-// is called after receiving newer records, and when a peer is reachable again.
+// speedUp shortens the interval between rounds until several rounds in a row find no difference.
+// It is called after newer records were received, and when a peer is reachable again.
 func (a *antiEntropy) speedUp() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pace.Reset()
+	a.timer.Reset()
 }
 
-// receiveDigest handles a digest from another daemon. It replies with a summary of the
-// buckets that differ. It takes them in random order, as not all of them may fit.
-func (a *antiEntropy) receiveDigest(from string, body []byte) {
+// receiveDigest compares a digest from another daemon with the records held here. It replies
+// with a summary of the buckets that differ. The buckets are in random order, because the
+// summary may not have room for all of them.
+func (a *antiEntropy) receiveDigest(sender string, body []byte) {
 	if len(body) != digestBuckets*bucketHashBytes {
 		return
 	}
@@ -88,25 +94,26 @@
 		return
 	}
 	rand.Shuffle(len(differing), func(i, j int) { differing[i], differing[j] = differing[j], differing[i] })
-	a.d.datagrams.sendOneWay(kindSummary, from, newSummary(records, differing).encode())
+	a.d.datagrams.sendOneWay(kindSummary, sender, newSummary(records, differing).encode())
 }
 
-// receiveSummary handles a summary from another daemon. It sends the records that are newer
-// here and requests those that are newer there.
-func (a *antiEntropy) receiveSummary(from string, body []byte) {
+// receiveSummary compares a summary from another daemon with the records held here. It sends
+// that daemon the records that are newer here, and requests those that are newer there.
+func (a *antiEntropy) receiveSummary(sender string, body []byte) {
 	s, ok := decodeSummary(body)
 	if !ok {
 		return
 	}
 	newer, wanted := s.diff(a.d.peers.records())
-	a.sendRecords(from, newer)
+	a.sendRecords(sender, newer)
 	if len(wanted) > 0 {
-		a.d.datagrams.sendOneWay(kindRecordRequest, from, encodeRecordRequest(wanted))
+		a.d.datagrams.sendOneWay(kindRecordRequest, sender, encodeRecordRequest(wanted))
 	}
 }
 
-// sendRequestedRecords sends the records that another daemon requested.
-func (a *antiEntropy) sendRequestedRecords(from string, body []byte) {
+// sendRequestedRecords sends the records that another daemon requested. The body of the request
+// holds the hashes of their addresses.
+func (a *antiEntropy) sendRequestedRecords(sender string, body []byte) {
 	requested := decodeRecordRequest(body)
 	var found []Record
 	for _, r := range a.d.peers.records() {
@@ -114,17 +121,17 @@
 			found = append(found, r)
 		}
 	}
-	a.sendRecords(from, found)
+	a.sendRecords(sender, found)
 }
 
 // sendRecords sends records to a daemon that lacks them or holds older ones.
-func (a *antiEntropy) sendRecords(to string, records []Record) {
+func (a *antiEntropy) sendRecords(recipient string, records []Record) {
 	for _, b := range packRecords(records) {
-		a.d.datagrams.sendOneWay(kindMissingRecords, to, b)
+		a.d.datagrams.sendOneWay(kindMissingRecords, recipient, b)
 	}
 }
 
-// digest holds one hash for each bucket, the XOR of the hashes of its records.
+// digest holds one hash for each bucket: the XOR of the hashes of the records in the bucket.
 type digest [digestBuckets]uint32
 
 // encode returns the digest as the body of a datagram.
@@ -136,17 +143,20 @@
 	return b
 }
 
-// bucketOf returns the bucket of the daemon with an address.
+// bucketOf returns the index of the bucket for the record of the daemon at an address.
 func bucketOf(address string) int { return int(xxhash.Sum64String(address) % digestBuckets) }
 
 // addressHash returns the hash that identifies an address in summaries and record requests.
 func addressHash(address string) uint32 { return uint32(xxhash.Sum64String(address) >> 32) }
 
-// inDigest reports whether a record takes part in anti-entropy. Records of daemons that
-// are stopping and whose upstream is gone do not, because daemons drop them at different times.
+// inDigest reports whether a record takes part in anti-entropy. The record of a stopping daemon
+// whose upstream is gone does not, because daemons drop such a record at different times. A
+// record with the sequence number 0 does not either: it stands for a daemon whose own record has
+// not been received.
 func (r *Record) inDigest() bool { return r.Sequence > 0 && !(r.Stopping && r.State == lifecycle.Gone) }
 
-// digestHash returns the hash of the address and version of a record.
+// digestHash returns the hash of the address, the incarnation and the sequence number of a
+// record.
 func (r *Record) digestHash() uint32 {
 	b := append(make([]byte, 0, len(r.Address)+2*binary.MaxVarintLen64), r.Address...)
 	b = binary.AppendVarint(b, r.Incarnation)
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -17,7 +17,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
-	for address, q := range p.all {
+	for address, q := range p.others {
 		if q.needsFullSync {
 			out = append(out, address)
 		}
@@ -25,7 +25,8 @@
 	return out
 }
 
-// isolatedPeers returns peers whose goroutines end at once, as their context is cancelled.
+// isolatedPeers returns the peers of a daemon whose context is cancelled, so that no exchange
+// starts.
 func isolatedPeers(t *testing.T, zone model.AvailabilityZone) *peers {
 	p := newPeers(Record{Address: "self", Zone: zone}, func() model.Instant { return 1 }, decision.New(decision.Options{Handler: slog.DiscardHandler}))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -47,7 +48,7 @@
 	selections := make(map[string]int)
 	for range starts {
 		p := isolatedPeers(t, "z3")
-		p.addListed(list)
+		p.addDirectoryEntries(list)
 		selected := p.pendingFullSyncs()
 		require.Len(t, selected, bootstrapPeers)
 		for _, address := range selected {
@@ -61,15 +62,15 @@
 	}
 }
 
-// TestUnreachableBootstrapPeerIsReplaced has the directory list two daemons that no longer
-// exist: the third one must be asked for all records instead.
+// TestUnreachableBootstrapPeerIsReplaced lists three daemons in the directory, two of which no
+// longer exist. The third one must be asked for all records instead.
 func TestUnreachableBootstrapPeerIsReplaced(t *testing.T) {
 	p := isolatedPeers(t, "z")
-	p.addListed([]DirectoryEntry{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
+	p.addDirectoryEntries([]DirectoryEntry{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
 	for range bootstrapPeers {
 		for _, address := range p.pendingFullSyncs() {
 			if address != "there" {
-				p.exchangeFailed(p.all[address], errStoreDown)
+				p.recordFailedExchange(p.others[address], errStoreDown)
 			}
 		}
 	}
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -24,8 +24,8 @@
 		{"config_source_watched", "1 while this daemon watches the store of the configuration", func() float64 { return boolToFloat(d.follower.watchesStore()) }},
 		{"config_source_lost", "1 while no daemon of the cell reaches the store of the configuration", func() float64 { return boolToFloat(d.storeUnreachableFor() > 0) }},
 		{"config_source_lost_seconds", "for how long none has", func() float64 { return d.storeUnreachableFor().Seconds() }},
-		{"peers_known", "daemons known, this one included", func() float64 { return float64(d.peers.size()) }},
-		{"peers_lost", "daemons that cannot be reached", func() float64 { return float64(d.peers.size() - 1 - len(d.peers.members())) }},
+		{"peers_known", "daemons known, this one included", func() float64 { return float64(d.peers.numDaemons()) }},
+		{"peers_lost", "daemons that cannot be reached", func() float64 { return float64(d.peers.numDaemons() - 1 - len(d.peers.reachableMembers())) }},
 		{"peers_lost_seconds", "how long the longest lost of them has been out of reach", func() float64 { return d.peers.longestUnreachable().Seconds() }},
 		{"upstream_running", "requests that run in the own upstream", func() float64 { return float64(d.guard.currentLoad().Running) }},
 		{"upstream_waiting", "requests that wait for it", func() float64 { return float64(d.guard.currentLoad().Waiting) }},
@@ -43,7 +43,7 @@
 }
 
 // storeUnreachableFor returns for how long no daemon of the cell has reached the configuration
-// store, zero if one does.
+// store. It returns zero if one does.
 func (d *Daemon) storeUnreachableFor() time.Duration {
 	if since := d.storeUnreachableSince.Load(); since != 0 {
 		return d.now().Sub(model.Instant(since))
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -22,7 +22,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var longest time.Duration
-	for _, other := range p.all {
+	for _, other := range p.others {
 		if other.unreachable {
 			longest = max(longest, p.now().Sub(other.unreachableSince))
 		}
@@ -35,7 +35,7 @@
 func (p *peers) reportUnreachable(address string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	other := p.all[address]
+	other := p.others[address]
 	if other == nil || other.unreachable {
 		return
 	}
@@ -48,7 +48,7 @@
 func (p *peers) verifyReachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	other := p.all[address]
+	other := p.others[address]
 	if other == nil || other.unreachable || other.verifiedAt != 0 && p.now().Sub(other.verifiedAt) < verifyInterval {
 		return
 	}
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -84,7 +84,7 @@
 // that the retry will cause to the budget of each other service. If any of the budgets is
 // exhausted, it charges nothing and returns nil.
 func (e *entry) chargeRetry(s *serviceState, now model.Instant) *retryCharge {
-	daemons, startedFraction := e.daemon.peers.startedWithin(s.retryLimiter.span())
+	daemons, startedFraction := e.daemon.peers.daemonsAndStartedShare(s.retryLimiter.span())
 	nestedCalls := s.currentCallsPerRun()
 	if !s.retryLimiter.tryCharge(now, 1, daemons, startedFraction) {
 		return nil
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -40,7 +40,8 @@
 	return route.Document{Version: v, Routes: documentOf(1, "a").Routes}, err
 }
 
-// configWithVersions returns a configuration that had the versions 1 to newest in force.
+// configWithVersions returns a configuration in which the versions 1 to newest have been in
+// force, one after the other.
 func configWithVersions(newest int) *configuration {
 	c := newConfiguration(versionSource{}, nil)
 	for v := 1; v <= newest; v++ {
@@ -49,8 +50,8 @@
 	return c
 }
 
-// serveVersions serves the documents of a configuration as a daemon does, and counts the
-// bytes sent.
+// serveVersions serves the documents of a configuration as a daemon does. It adds the bytes sent
+// to *sent.
 func serveVersions(t *testing.T, c *configuration, sent *int) *hop.Pool {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
@@ -98,7 +99,7 @@
 // TestSmallDocumentsAreSentWhole checks that no delta is computed for a document of a few
 // bytes.
 func TestSmallDocumentsAreSentWhole(t *testing.T) {
-	var v versions
+	var v documentHistory
 	v.add(1, []byte("one"))
 	v.add(2, []byte("two"))
 	d, err := v.deltaFrom(1)
@@ -110,7 +111,7 @@
 // TestKeptVersionsAreBounded brings more versions into force than are kept.
 func TestKeptVersionsAreBounded(t *testing.T) {
 	c := configWithVersions(100)
-	require.Len(t, c.versions.documents, keptVersions)
-	require.NotNil(t, c.versions.document(100))
-	require.Nil(t, c.versions.document(100-keptVersions))
+	require.Len(t, c.history.documents, keptVersions)
+	require.NotNil(t, c.history.document(100))
+	require.Nil(t, c.history.document(100-keptVersions))
 }
