--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -19,7 +19,7 @@
 // EffectKind says what the caller of the Controller must do with a request.
 type EffectKind uint8
 
-// The effects.
+// The kinds of Effect.
 const (
 	// Start sends the request to the upstream now.
 	Start EffectKind = iota + 1
@@ -40,17 +40,18 @@
 	Outcome outcome.Outcome
 	// SlotTime is how long the request held its slot, in wall-clock time.
 	SlotTime time.Duration
-	// Failed is set when the upstream answered with a server error, or when the
-	// attempt failed without having been cancelled.
+	// Failed is set when the upstream answered with a server error. It is also set
+	// when the attempt failed for any reason other than a cancellation.
 	Failed bool
 }
 
-// Group is the configuration of one group at the upstream.
+// Group is the configuration of one group at the upstream. A group is a set of
+// callers that share the upstream's slots with other groups by weight.
 type Group struct {
 	Name model.GroupName
-	// Weight is the group's share of slot time relative to the other groups. A
-	// request of a group of weight 0 starts only when no group with a weight above
-	// 0 has a request that may start.
+	// Weight is the group's share of slot time relative to the other groups. Groups
+	// of weight 0 come last: their requests start only when no other group has a
+	// request that may start.
 	Weight float64
 	// QueueBound is the largest number of waiting requests of the group.
 	QueueBound int
@@ -63,9 +64,10 @@
 type Limiter interface {
 	// Limit returns the number of requests that may run at once, at least 1.
 	Limit() int
-	// Observe records a request that ended after it held a slot for slotTime.
-	// running is the number of requests that ran until then, including this one.
-	// Requests that were cut short without a failure, for example because the
-	// caller cancelled, are not reported: their slot time is not representative.
+	// Observe records the end of a request. slotTime is how long the request held
+	// its slot. running is the number of requests that were running just before
+	// the end, including the ended one. Observe is not called for a request that
+	// was cut short without a failure, for example because the caller cancelled
+	// it. The slot time of such a request is not representative.
 	Observe(now model.Instant, slotTime time.Duration, running int, failed bool)
 }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -27,10 +27,11 @@
 const (
 	defaultQueueBound = 128
 	defaultTotalBound = 1024
-	// estimateMaxAge is how long after the last ended request of a group the
-	// slot time estimate of the group may refuse requests. An older estimate is
-	// ignored, so that a request runs and updates it. Otherwise an estimate that
-	// is too high would refuse every request of the group for ever.
+	// estimateMaxAge is the largest age of a group's slot time estimate at which
+	// requests may be refused because of the estimate. The age is the time since a
+	// request of the group last ended. An older estimate is ignored, so that a
+	// request runs and updates the estimate. Otherwise an estimate that is too
+	// high would cause every request of the group to be refused for ever.
 	estimateMaxAge = time.Second
 )
 
@@ -41,8 +42,10 @@
 	queue   *fairqueue.Queue
 	limiter Limiter
 	// seq is the sequence number of the load; see model.Load.
-	seq          uint64
-	draining     bool
+	seq uint64
+	// draining is set once Drain has been called.
+	draining bool
+	// groupConfigs is a buffer that Configure reuses.
 	groupConfigs []fairqueue.GroupConfig
 }
 
@@ -76,9 +79,10 @@
 	c.queue.Configure(c.groupConfigs)
 }
 
-// Arrive starts, queues or refuses a request. To keep the queue bounds it may
-// refuse a request that already waits instead of the arriving one. A request for
-// which no effect is returned waits.
+// Arrive starts, queues or refuses a request. It appends the resulting effects to
+// the given slice and returns the slice. Without an effect for it, the request
+// waits. When a queue bound is exceeded, Arrive may refuse a request that already
+// waits instead of the arriving request.
 func (c *Controller) Arrive(now model.Instant, a Arrival, effects []Effect) []Effect {
 	c.seq++
 	if c.draining {
@@ -100,7 +104,9 @@
 	return c.enforceBounds(a.Request.Group, effects)
 }
 
-// Finish records the end of a started request and starts waiting requests.
+// Finish records the end of a started request and starts waiting requests. It
+// appends the resulting effects to the given slice and returns the slice. It
+// ignores an ID that no running request has.
 func (c *Controller) Finish(now model.Instant, id ID, result Result, effects []Effect) []Effect {
 	running := c.queue.Running()
 	if !c.queue.Done(now, fairqueue.ID(id), result.SlotTime) {
@@ -113,9 +119,9 @@
 	return c.startWaiting(now, effects)
 }
 
-// Withdraw removes a waiting request from the queue. When it reports true the
-// request did not run and no effect for it follows. It reports false when the
-// request does not wait.
+// Withdraw removes a waiting request from the queue. It reports false when the
+// request does not wait. If Withdraw reports true, the request did not run, and no
+// call returns an effect for the request any more.
 func (c *Controller) Withdraw(now model.Instant, id ID) bool {
 	if !c.queue.Remove(fairqueue.ID(id)) {
 		return false
@@ -150,14 +156,15 @@
 	}
 }
 
-// LoadFor is Load with Ahead computed for a new request of the given group.
+// LoadFor returns the current load. Its Ahead is the estimated number of waiting
+// requests that would start before a new request of the given group.
 func (c *Controller) LoadFor(now model.Instant, group model.GroupName) model.Load {
 	load := c.Load(now)
 	load.Ahead = int32(c.queue.EstimateAhead(group))
 	return load
 }
 
-// Load returns the current load. Its Ahead counts all waiting requests.
+// Load returns the current load. Its Ahead is the number of all waiting requests.
 func (c *Controller) Load(now model.Instant) model.Load {
 	return model.Load{
 		Running:     int32(c.queue.Running()),
@@ -194,9 +201,11 @@
 	return effects
 }
 
-// cannotEndInTime reports whether the next request should be refused because
-// requests of its group usually run longer than the time left to its deadline.
-// It reports false when no other request waits for the slot.
+// cannotEndInTime reports whether item, whose turn it is, should be refused because
+// it would probably end after its deadline. This is so when less time is left until
+// the deadline than requests of the group usually run (Estimate.Upper).
+// cannotEndInTime reports false when no other request waits for the slot, or when
+// the group has no estimate that is recent enough.
 func (c *Controller) cannotEndInTime(now model.Instant, item fairqueue.Item) bool {
 	if c.queue.Len() == 0 {
 		return false
@@ -209,7 +218,7 @@
 }
 
 // estimateWait estimates how long an arriving request would wait. It returns 0
-// when a slot is free.
+// when a slot is free or no estimate is possible.
 func (c *Controller) estimateWait(r model.Request) time.Duration {
 	if c.queue.Running() < c.limit() {
 		return 0
@@ -217,9 +226,9 @@
 	return c.queue.EstimateWait(r.Group, r.Caller, c.limit())
 }
 
-// enforceBounds refuses one waiting request if the group exceeds its queue bound
-// and one if the whole queue exceeds TotalBound. Each arrival adds at most one
-// request, so this keeps both bounds.
+// enforceBounds refuses one waiting request if the group exceeds its queue bound.
+// It refuses one more if the whole queue still exceeds TotalBound. Each arrival adds
+// at most one request, so calling enforceBounds on each arrival keeps both bounds.
 func (c *Controller) enforceBounds(group model.GroupName, effects []Effect) []Effect {
 	if c.queue.OverBound(group) {
 		wait := c.queue.EstimateWait(group, "", c.limit())
--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -8,18 +8,18 @@
 // concurrency limit and queues the others; package fairqueue defines their
 // order. The order is decided only when a slot becomes free, so a new
 // configuration also applies to requests that already wait. A waiting request
-// can be withdrawn. It then has certainly not run.
+// can be withdrawn from the queue. A withdrawn request has certainly not run.
 //
 // Three rules decide which request is refused:
 //
-//   - When a group exceeds its queue bound, the oldest waiting request of the
-//     group's caller with the longest queue is refused.
-//   - When the whole queue is full, the same is done in the group whose backlog
-//     is largest relative to its weight.
-//   - A request that cannot meet its deadline is refused early: on arrival, when
-//     the requests of its group that are ahead of it take too long; and when its
-//     turn comes, when the time left is shorter than requests of its group
-//     usually run and other requests wait for the slot.
+//   - When a group exceeds its queue bound, the controller selects the caller of
+//     the group with the most waiting requests, and refuses the oldest of these.
+//   - When the whole queue is full, the controller does the same in the group
+//     whose backlog is largest relative to its weight.
+//   - A request that cannot meet its deadline is refused early. On arrival, it is
+//     refused when the requests of its group that are ahead of it take too long.
+//     When its turn comes, it is refused when requests of its group usually run
+//     longer than the time left and other requests wait for the slot.
 //
 // The Controller has no goroutines and no clock. The caller passes in the
 // current time and carries out the effects that each call returns.
--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -6,7 +6,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// fixedLimit is a Limiter that never changes.
+// fixedLimit is a Limiter whose limit never changes.
 type fixedLimit int
 
 func (l fixedLimit) Limit() int { return int(l) }
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -34,9 +34,10 @@
 	}
 }
 
-// TestRecoveryAfterBurst offers five times the capacity for three seconds and
-// 60% of it from one second after the burst on. In this second phase no request
-// may be refused, and the p99 latency must be close to that without a burst.
+// TestRecoveryAfterBurst offers five times the capacity for three seconds. One
+// second after this burst it starts to offer 60% of the capacity. In this second
+// phase no request may be refused, and the p99 latency must be close to that of a
+// run without the burst.
 func TestRecoveryAfterBurst(t *testing.T) {
 	groups := []Group{{Name: "burst", Weight: 1}, {Name: "after", Weight: 1}}
 	after := workload{
@@ -56,8 +57,8 @@
 }
 
 // TestGroupIsIsolatedFromOverloadOfAnother measures the latency of a group that
-// stays within its share, alone and together with a group that offers ten times the
-// capacity of the upstream.
+// stays within its share. It compares a run of this group alone with a run in which
+// a second group offers ten times the capacity of the upstream.
 func TestGroupIsIsolatedFromOverloadOfAnother(t *testing.T) {
 	groups := []Group{{Name: "victim", Weight: 8}, {Name: "overloading", Weight: 1}}
 	victim := workload{
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -13,7 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// longDeadline is a deadline that no simulated request reaches.
+// longDeadline is a timeout so long that no simulated request reaches its deadline.
 const longDeadline = time.Hour
 
 // TestShareWithinFivePercent generates groups that are always backlogged and
@@ -67,10 +67,10 @@
 	})
 }
 
-// TestNoGroupStarves overloads an upstream with two groups of very different
-// weights above 0 and without effective deadlines. In every second the lighter
-// group must still get about 1% of the slot time, the minimum that
-// fairqueue.MinWeightRatio grants.
+// TestNoGroupStarves overloads an upstream with two groups. Both weights are above
+// 0, but very different, and no request reaches its deadline. In every second the
+// lighter group must still get about 1% of the slot time. This is the minimum that
+// fairqueue.MinWeightRatio guarantees.
 func TestNoGroupStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heavyWeight := rapid.Float64Range(1, 1e9).Draw(t, "weight")
@@ -98,8 +98,9 @@
 	require.Positive(t, sim.refused["free"][outcome.ReasonDeadline])
 }
 
-// TestCallersOfOneGroupShareEqually runs a caller together with one that sends ten
-// times as many, longer requests. Both must get the same slot time.
+// TestCallersOfOneGroupShareEqually runs two callers of one group. The heavy caller
+// sends ten times as many requests as the light one, and longer ones. Both callers
+// must get the same slot time.
 func TestCallersOfOneGroupShareEqually(t *testing.T) {
 	sim := newSimulator(t, 4, Options{}, Group{Name: "g", Weight: 1, QueueBound: 200})
 	base := workload{group: "g", slotTime: constant(2 * time.Millisecond), interval: 800 * time.Microsecond, deadline: longDeadline, to: 4 * time.Second}
--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -12,20 +12,28 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// workload is an open-loop stream of requests of one caller.
+// workload is an open-loop stream of requests of one caller: requests arrive at a
+// fixed interval, whether or not earlier requests have ended.
 type workload struct {
-	group    model.GroupName
-	caller   model.CallerName
+	group  model.GroupName
+	caller model.CallerName
+	// interval is the time between two arrivals.
 	interval time.Duration
+	// slotTime draws the slot time of a request.
 	slotTime func(*rand.Rand) time.Duration
+	// deadline is the time from the arrival of a request to its deadline.
 	deadline time.Duration
+	// from and to are the instants of the first arrival and of the end of the
+	// stream, as times since the start of the simulation.
 	from, to time.Duration
 }
 
+// constant returns a slotTime function for requests that all run for d.
 func constant(d time.Duration) func(*rand.Rand) time.Duration {
 	return func(*rand.Rand) time.Duration { return d }
 }
 
+// exponential returns a slotTime function with exponentially distributed values.
 func exponential(mean time.Duration) func(*rand.Rand) time.Duration {
 	return func(r *rand.Rand) time.Duration {
 		return max(time.Duration(r.ExpFloat64()*float64(mean)), time.Microsecond)
@@ -44,13 +52,17 @@
 	ended    bool
 }
 
+// event is the arrival or the end of a job.
 type event struct {
-	at     model.Instant
-	seq    uint64
-	job    *job
+	at model.Instant
+	// seq orders events of the same instant.
+	seq uint64
+	job *job
+	// finish is set for the end of the job, and not set for its arrival.
 	finish bool
 }
 
+// eventHeap implements heap.Interface with the earliest event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -81,19 +93,23 @@
 	lastSeq    uint64
 	jobs       map[ID]*job
 	nextID     ID
-	// hasMaxRunning is set when a group has a limit on its running requests, so
-	// that a slot may be idle while requests wait.
+	// hasMaxRunning is set when a group has a limit on its running requests. A
+	// slot may then be idle while requests wait.
 	hasMaxRunning bool
-	effects       []Effect
+	// effects holds the effects of the current step.
+	effects []Effect
 
-	// slotTimeByWindow holds for each group the slot time used in each window.
-	// inTimeByWindow holds the number of requests that ended by their deadline.
+	// slotTimeByWindow holds the slot time that each group used in each window.
 	slotTimeByWindow map[model.GroupName][]time.Duration
 	slotTimeByCaller map[model.CallerName]time.Duration
-	latency          map[model.GroupName][]time.Duration
-	inTimeByWindow   map[model.GroupName][]int
-	refused          map[model.GroupName]map[outcome.Reason]int
-	totalSlotTime    map[model.GroupName]time.Duration
+	// latency holds the latencies of the requests that ended by their deadline.
+	latency map[model.GroupName][]time.Duration
+	// inTimeByWindow holds for each group and window the number of requests that
+	// ended by their deadline.
+	inTimeByWindow map[model.GroupName][]int
+	// refused holds the number of refused requests by group and reason.
+	refused       map[model.GroupName]map[outcome.Reason]int
+	totalSlotTime map[model.GroupName]time.Duration
 }
 
 // window is the period over which slot time and goodput are counted.
@@ -196,7 +212,7 @@
 			continue
 		}
 		j.running, j.started = true, s.now
-		// The upstream aborts the request at its deadline.
+		// The upstream aborts a request that still runs at its deadline.
 		s.schedule(min(s.now.Add(j.slotTime), max(j.deadline, s.now)), j, true)
 		if s.now.Add(j.slotTime) > j.deadline {
 			j.deadline-- // aborted: finishJob must not count it as ended in time
@@ -214,6 +230,7 @@
 	}
 }
 
+// addAt adds v to s[i]. It first extends s with zeros up to index i if needed.
 func addAt[T int | time.Duration](s []T, i int, v T) []T {
 	for len(s) <= i {
 		s = append(s, 0)
--- a/core/admission/surge_test.go
+++ b/core/admission/surge_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestSurgeOfOneGroupDoesNotSlowOthers simulates surges of one group at an
-// upstream with six slots and compares the p99 latency of another group, the
-// victim, with a run without the surge. The names of the groups come from two
-// example deployments.
+// upstream with six slots. It compares the p99 latency of another group, the
+// victim, with and without the surge. The names of the groups come from two example
+// deployments.
 func TestSurgeOfOneGroupDoesNotSlowOthers(t *testing.T) {
 	const duration = 8 * time.Second
 	ms := time.Millisecond
@@ -22,9 +22,9 @@
 		groups []Group
 		victim workload
 		surge  []workload
-		// ratio is the largest allowed quotient of the victim's p99 with and
-		// without the surge. It is near 1 where the requests of the surge are
-		// not longer than those of the victim.
+		// ratio is the largest allowed ratio of the victim's p99 latency with the
+		// surge to its p99 latency without the surge. It is near 1 where the
+		// requests of the surge are not longer than those of the victim.
 		ratio float64
 	}{
 		{
@@ -81,7 +81,7 @@
 	}
 }
 
-// manyCallers returns the workloads of n callers of one group that each send a
+// manyCallers returns the workloads of n callers of one group. Each caller sends a
 // request every two seconds.
 func manyCallers(n int, duration time.Duration) []workload {
 	workloads := make([]workload, 0, n)
--- a/core/fairqueue/charge.go
+++ b/core/fairqueue/charge.go
@@ -80,9 +80,9 @@
 	return id
 }
 
-// updateBacklog recomputes the group's backlog: the expected slot time of its
-// waiting requests divided by its weight, or, for a group of weight zero, their
-// number multiplied by backgroundBacklogFactor.
+// updateBacklog recomputes the group's backlog. This is the expected slot time of
+// the group's waiting requests divided by the weight. For a group of weight zero it
+// is the number of waiting requests multiplied by backgroundBacklogFactor.
 func (q *Queue) updateBacklog(g *group) {
 	if g.class == q.background {
 		g.backlog = backgroundBacklogFactor * float64(g.waiting)
@@ -104,7 +104,8 @@
 	q.byNextCharge.push(e)
 }
 
-// finish ends a running entry and corrects its charge to the slot time it used.
+// finish ends a running entry and corrects its charge to slotTime, the slot time
+// that the request used.
 func (q *Queue) finish(e *entry, slotTime time.Duration) {
 	c := e.caller
 	q.byNextCharge.remove(e)
@@ -117,8 +118,8 @@
 	q.releaseIfIdle(c)
 }
 
-// ChargeRunning charges running requests for the time that they have run beyond
-// their charge. Each time it doubles the charge, so that a long request is
+// ChargeRunning charges each running request again that has run for as long as it
+// has been charged for. It doubles the charge each time, so that a long request is
 // charged only a few times.
 func (q *Queue) ChargeRunning(now model.Instant) {
 	for q.byNextCharge.len() > 0 {
@@ -131,8 +132,9 @@
 	}
 }
 
-// charge adds slot time to an entry and its group, and advances the virtual
-// times of its caller and group.
+// charge adds d to the slot time charged to an entry and to its group. It advances
+// the virtual times of the entry's caller and group accordingly. A negative d
+// reduces the charge.
 func (q *Queue) charge(e *entry, d time.Duration) {
 	c, g := e.caller, e.caller.group
 	e.charged += d
@@ -143,9 +145,10 @@
 	g.class.ready.fix(g)
 }
 
-// Estimate returns the expected slot time of a group's next request. It comes
-// from the group's ended requests, from those of all groups when the group has
-// none, or else from initialEstimate.
+// Estimate returns the expected slot time of a group's next request, derived from
+// the group's ended requests. When the group has none, the estimate is derived from
+// the ended requests of all groups. When no request has ended at all, the estimate
+// is initialEstimate.
 func (q *Queue) Estimate(name model.GroupName) Estimate {
 	if g := q.findGroup(name); g != nil && g.slotTime.hasSample {
 		return g.slotTime.estimate()
@@ -158,13 +161,14 @@
 	return Estimate{Mean: initialEstimate, Upper: initialEstimate}
 }
 
-// MeanSlotTime returns the recent mean slot time over all groups, 0 when no
-// request has ended yet.
+// MeanSlotTime returns the recent mean slot time over all groups. It returns 0 when
+// no request has ended yet.
 func (q *Queue) MeanSlotTime() time.Duration { return time.Duration(q.slotTime.mean) }
 
 // EstimateAhead estimates how many of the waiting requests would start before a
-// new request of the given group: all waiting requests of the group itself, and
-// as many requests of the other groups as their weights allow in the same time.
+// new request of the given group. These are all waiting requests of the group
+// itself, and as many requests of the other groups as their weights allow in the
+// same time. For a group of weight zero they are all waiting requests.
 func (q *Queue) EstimateAhead(name model.GroupName) int {
 	weight, ownWaiting := q.minWeight, 0
 	if g := q.findGroup(name); g != nil {
@@ -181,10 +185,10 @@
 	return ownWaiting + int(math.Round(othersAhead))
 }
 
-// EstimateWait estimates how long a new request would wait, given the number of
-// slots and assuming that every group with waiting requests stays backlogged. It
-// returns 0 when the group has no waiting requests and when it has weight zero,
-// for which no estimate is possible.
+// EstimateWait estimates how long a new request would wait at an upstream with the
+// given number of slots. It assumes that every group with waiting requests stays
+// backlogged. It returns 0 when the group has no waiting requests. It also returns 0
+// for a group of weight zero, for which no estimate is possible.
 func (q *Queue) EstimateWait(name model.GroupName, callerName model.CallerName, slots int) time.Duration {
 	g := q.findGroup(name)
 	if g == nil || g.waiting == 0 || g.class == q.background {
--- a/core/fairqueue/doc.go
+++ b/core/fairqueue/doc.go
@@ -7,9 +7,10 @@
 // divided by its weight. The next request comes from the waiting group whose
 // virtual time is lowest, so that backlogged groups get slot time in proportion
 // to their weights. A group that becomes active after an idle period starts no
-// earlier than the system virtual time, so it accumulates no credit while idle.
-// A group whose virtual time is ahead of the system virtual time keeps it, so it
-// cannot escape its charges by going idle. Inside a group the same rule divides
+// earlier than the system virtual time, the virtual time of the group served last.
+// The group therefore accumulates no credit while it is idle. A group whose virtual
+// time is ahead of the system virtual time keeps its virtual time, so it cannot
+// escape its charges by going idle. Inside a group the same rule divides
 // the group's slot time equally among its callers. A group therefore gains
 // nothing by using many callers, and a caller gains nothing by sending more
 // requests than the others.
@@ -21,9 +22,10 @@
 // exactly the slot time that they used.
 //
 // A weight above zero counts as at least one hundredth of the largest weight
-// (MinWeightRatio), so that no such group starves. Groups of weight zero form
-// the background class: their requests start only when no group of the
-// foreground class has a request that may start.
+// (MinWeightRatio), so that no group with a weight above zero starves. Groups of
+// weight zero form the background class. The other groups form the foreground class.
+// The requests of the background class start only when no group of the foreground
+// class has a request that may start.
 //
 // A group may have a limit on its running requests, so that the long requests
 // of one group never hold all slots. A slot stays idle while requests wait only
--- a/core/fairqueue/estimate.go
+++ b/core/fairqueue/estimate.go
@@ -19,17 +19,19 @@
 // estimator keeps exponentially weighted moving averages of the slot time and
 // of its deviation from the mean.
 type estimator struct {
-	mean          float64
-	meanDeviation float64
+	mean          float64 // in nanoseconds
+	meanDeviation float64 // in nanoseconds
 	hasSample     bool
-	updated       model.Instant
+	// updated is the instant of the last sample.
+	updated model.Instant
 }
 
+// observe adds the slot time of a request that ended at the instant now.
 func (e *estimator) observe(now model.Instant, slotTime time.Duration) {
 	sample := float64(slotTime)
 	e.updated = now
 	if !e.hasSample {
-		// Half of the first sample as its deviation, as in RFC 6298.
+		// The deviation starts at half of the first sample, as in RFC 6298.
 		e.mean, e.meanDeviation, e.hasSample = sample, sample/2, true
 		return
 	}
@@ -48,9 +50,10 @@
 	// Upper is a slot time that few requests exceed.
 	Upper time.Duration
 	// Updated is when a request of the group last ended. It is valid only when
-	// Known is true, that is when at least one request of the group has ended.
+	// Known is true.
 	Updated model.Instant
-	Known   bool
+	// Known reports whether at least one request of the group has ended.
+	Known bool
 }
 
 func (e *estimator) estimate() Estimate {
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -19,14 +19,15 @@
 
 	running bool
 	started model.Instant
+	// charged is the slot time charged for the request so far.
 	charged time.Duration
 	// nextChargeIndex is the position in Queue.byNextCharge while the request
 	// runs.
 	nextChargeIndex int
 }
 
-// nextCharge returns the instant at which the running time reaches the charge,
-// so that the request must be charged again.
+// nextCharge returns the instant at which the request will have run for as long as
+// it has been charged for. The request must be charged again then.
 func (e *entry) nextCharge() model.Instant { return e.started.Add(e.charged) }
 
 // caller is the queue of one caller within a group.
@@ -34,24 +35,30 @@
 	name  model.CallerName
 	group *group
 
-	// virtualTime is the slot time charged to the caller. virtualTimeIndex and
-	// lengthIndex are the positions in group.byVirtualTime and group.byLength.
-	// seq breaks ties between equal virtual times.
-	virtualTime      float64
+	// virtualTime is the slot time charged to the caller, in nanoseconds.
+	virtualTime float64
+	// virtualTimeIndex is the position in group.byVirtualTime.
 	virtualTimeIndex int
-	lengthIndex      int
-	seq              uint64
+	// lengthIndex is the position in group.byLength.
+	lengthIndex int
+	// seq breaks ties between equal virtual times.
+	seq uint64
 
+	// head and tail are the oldest and the newest waiting request.
 	head, tail *entry
-	waiting    int
-	running    int
+	// waiting is the number of waiting requests.
+	waiting int
+	// running is the number of running requests.
+	running int
 
-	// idlePrev and idleNext link the group's idle callers whose virtual time is
-	// ahead of the group's system virtual time, longest idle first.
+	// idlePrev and idleNext link the callers in the group's idle list, longest idle
+	// first. The list holds the idle callers whose virtual time is ahead of the
+	// group's system virtual time.
 	idlePrev, idleNext *caller
 	inIdleList         bool
 }
 
+// append adds a waiting request at the end of the caller's queue.
 func (c *caller) append(e *entry) {
 	e.prev, e.next = c.tail, nil
 	if c.tail == nil {
@@ -63,6 +70,7 @@
 	c.waiting++
 }
 
+// unlink removes a waiting request from the caller's queue.
 func (c *caller) unlink(e *entry) {
 	if e.prev == nil {
 		c.head = e.next
@@ -83,38 +91,48 @@
 	name  model.GroupName
 	class *priorityClass
 	// weight is the effective weight as a fraction of the largest weight.
-	weight     float64
-	bound      int
+	weight float64
+	// bound is the largest number of waiting requests of the group.
+	bound int
+	// configured reports whether the group has a GroupConfig.
 	configured bool
 	// maxRunning is GroupConfig.MaxRunning.
 	maxRunning int
 
 	// virtualTime is the slot time charged to the group divided by its weight.
 	virtualTime float64
-	// readyIndex is the position in the heap of the group's class while one of
-	// its requests may start. seq breaks ties between equal virtual times.
+	// readyIndex is the position in priorityClass.ready while one of the group's
+	// requests may start, and notInHeap otherwise.
 	readyIndex int
-	seq        uint64
-	// backlog is the expected slot time of the waiting requests divided by the
-	// weight; backlogIndex is the group's position in Queue.byBacklog.
-	backlog      float64
+	// seq breaks ties between equal virtual times.
+	seq uint64
+	// backlog is set by updateBacklog.
+	backlog float64
+	// backlogIndex is the position in Queue.byBacklog.
 	backlogIndex int
 
-	// byVirtualTime and byLength hold the callers with waiting requests, the
-	// first ordered by virtual time, the second by number of waiting requests.
+	callers map[model.CallerName]*caller
+	// byVirtualTime holds the callers with waiting requests, lowest virtual time
+	// first.
+	byVirtualTime indexHeap[*caller]
+	// byLength holds the callers with waiting requests, most waiting requests
+	// first.
+	byLength indexHeap[*caller]
 	// systemVirtualTime is the virtual time of the caller served last.
-	callers           map[model.CallerName]*caller
-	byVirtualTime     indexHeap[*caller]
-	byLength          indexHeap[*caller]
 	systemVirtualTime float64
-	idleHead          *caller
-	idleTail          *caller
-	idleCount         int
+	// idleHead and idleTail are the ends of the idle list; see caller.idleNext.
+	idleHead  *caller
+	idleTail  *caller
+	idleCount int
 
-	waiting  int
-	running  int
+	// waiting is the number of waiting requests.
+	waiting int
+	// running is the number of running requests.
+	running int
+	// slotTime estimates the slot time of the group's requests.
 	slotTime estimator
-	charged  time.Duration
+	// charged is the slot time charged to the group so far.
+	charged time.Duration
 }
 
 func newGroup(name model.GroupName) *group {
@@ -134,7 +152,7 @@
 	}
 }
 
-// ready reports whether the group is in the heap of its class.
+// ready reports whether the group is in the ready heap of its class.
 func (g *group) ready() bool { return g.readyIndex != notInHeap }
 
 // mayStart reports whether one of the group's requests may start.
@@ -146,13 +164,14 @@
 // Queue has two classes: the foreground holds the groups with a weight above
 // zero, the background those of weight zero.
 type priorityClass struct {
-	// ready holds the groups with a request that may start, ordered by virtual
-	// time. systemVirtualTime is the virtual time of the group served last.
-	ready             indexHeap[*group]
+	// ready holds the groups with a request that may start, lowest virtual time
+	// first.
+	ready indexHeap[*group]
+	// systemVirtualTime is the virtual time of the group served last.
 	systemVirtualTime float64
-	// weight is the sum of the weights of the groups in the ready heap. waiting
-	// is the number of waiting requests of all groups of the class.
-	weight  float64
+	// weight is the sum of the weights of the groups in the ready heap.
+	weight float64
+	// waiting is the number of waiting requests of all groups of the class.
 	waiting int
 }
 
@@ -163,7 +182,8 @@
 	}}
 }
 
-// servedBefore orders by virtual time and breaks ties by sequence number.
+// servedBefore reports whether A is served before B. The lower virtual time comes
+// first. If both are equal, the lower sequence number comes first.
 func servedBefore(virtualTimeA, virtualTimeB float64, seqA, seqB uint64) bool {
 	if virtualTimeA != virtualTimeB {
 		return virtualTimeA < virtualTimeB
@@ -171,6 +191,8 @@
 	return seqA < seqB
 }
 
+// add puts a group into the ready heap. It raises the group's virtual time to the
+// system virtual time, so that the group gets no credit for the time before.
 func (c *priorityClass) add(g *group, seq uint64) {
 	g.virtualTime = max(g.virtualTime, c.systemVirtualTime)
 	g.seq = seq
@@ -178,6 +200,7 @@
 	c.weight += g.weight
 }
 
+// remove takes a group out of the ready heap.
 func (c *priorityClass) remove(g *group) {
 	c.ready.remove(g)
 	c.weight -= g.weight
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -9,9 +9,10 @@
 // GroupConfig is the configuration of one group.
 type GroupConfig struct {
 	Group model.GroupName
-	// Weight is relative to the other groups' weights. Zero and below mean that
-	// the group's requests start only when no group with a weight above zero has
-	// a request that may start.
+	// Weight is the group's share of slot time relative to the other groups. A
+	// weight of zero or below puts the group into the background class. Its
+	// requests start only when no group of the foreground class has a request that
+	// may start.
 	Weight float64
 	// QueueBound is the largest number of waiting requests. Default:
 	// Options.QueueBound.
@@ -81,8 +82,9 @@
 // validWeight reports whether a weight is above zero and finite.
 func validWeight(weight float64) bool { return weight > 0 && !math.IsInf(weight, 0) }
 
-// setConfig sets the weight and queue bound of a group. Weight 0 moves the group
-// to the background class; a bound of 0 or below means Options.QueueBound.
+// setConfig sets the effective weight and the queue bound of a group. A weight of 0
+// moves the group to the background class. A bound of 0 or below means
+// Options.QueueBound.
 func (q *Queue) setConfig(g *group, weight float64, bound int) {
 	if bound <= 0 {
 		bound = q.opts.QueueBound
@@ -114,8 +116,9 @@
 	return g
 }
 
-// findGroup returns the group of the given name, the overflow group when the
-// name is unknown and no further unconfigured group may be added, or nil.
+// findGroup returns the group of the given name. When the name is unknown and no
+// further unconfigured group may be added, it returns the overflow group. It returns
+// nil when there is no such group.
 func (q *Queue) findGroup(name model.GroupName) *group {
 	if g := q.groups[name]; g != nil {
 		return g
@@ -126,7 +129,8 @@
 	return nil
 }
 
-// findOrAddGroup is findGroup, but adds the group when there is none.
+// findOrAddGroup returns the group that findGroup returns, and adds the group first
+// when there is none.
 func (q *Queue) findOrAddGroup(name model.GroupName) *group {
 	if g := q.groups[name]; g != nil {
 		return g
--- a/core/fairqueue/heap.go
+++ b/core/fairqueue/heap.go
@@ -21,6 +21,7 @@
 	h.siftUp(len(h.items) - 1)
 }
 
+// remove does nothing when x is not in the heap.
 func (h *indexHeap[T]) remove(x T) {
 	i := *h.index(x)
 	if i == notInHeap {
@@ -45,6 +46,7 @@
 	}
 }
 
+// restore moves the element at i up or down until the heap order holds.
 func (h *indexHeap[T]) restore(i int) {
 	if !h.siftDown(i) {
 		h.siftUp(i)
--- a/core/fairqueue/idle.go
+++ b/core/fairqueue/idle.go
@@ -1,14 +1,14 @@
 package fairqueue
 
-// maxIdleCallers is the largest number of idle callers that a group keeps
-// because their virtual time is ahead of the group's system virtual time. When
-// it is exceeded, the caller that has been idle for longest is dropped and with
-// it the excess slot time charged to it.
+// maxIdleCallers is the largest length of a group's idle list. The list keeps idle
+// callers whose virtual time is ahead of the group's system virtual time. When the
+// list grows longer, the caller that has been idle for longest is dropped. The
+// excess slot time charged to this caller is then forgotten.
 const maxIdleCallers = 256
 
 // releaseIfIdle frees a caller that has no requests left. A caller whose virtual
-// time is ahead of the group's system virtual time is kept in the idle list, so
-// that it cannot reset its charges by going idle.
+// time is ahead of the group's system virtual time is kept in the idle list.
+// Otherwise a caller could reset its charges by going idle.
 func (q *Queue) releaseIfIdle(c *caller) {
 	g := c.group
 	if c.waiting > 0 || c.running > 0 || c.inIdleList {
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -9,7 +9,7 @@
 // ID identifies one request in a Queue. The caller never reuses an ID.
 type ID uint64
 
-// Item is a request that waits.
+// Item is a request as it is passed to Push and returned by Pop.
 type Item struct {
 	ID       ID
 	Group    model.GroupName
@@ -25,25 +25,34 @@
 	// unconfigured is the number of groups without a GroupConfig.
 	unconfigured int
 
+	// foreground holds the groups with a weight above zero.
+	foreground *priorityClass
+	// background holds the groups of weight zero.
+	background *priorityClass
 	// byBacklog holds the groups with waiting requests, largest backlog first.
+	byBacklog indexHeap[*group]
 	// byDeadline holds the waiting requests, earliest deadline first.
-	// byNextCharge holds the running requests, by the instant at which they must
-	// be charged again.
-	foreground   *priorityClass
-	background   *priorityClass
-	byBacklog    indexHeap[*group]
-	byDeadline   indexHeap[*entry]
+	byDeadline indexHeap[*entry]
+	// byNextCharge holds the running requests. The request that must be charged
+	// again at the earliest instant comes first.
 	byNextCharge indexHeap[*entry]
 
-	entries  map[ID]*entry
-	waiting  int
-	running  int
-	lastSeq  uint64
+	// entries holds all waiting and running requests.
+	entries map[ID]*entry
+	// waiting is the number of waiting requests.
+	waiting int
+	// running is the number of running requests.
+	running int
+	// lastSeq is the last sequence number given to a caller or group.
+	lastSeq uint64
+	// slotTime estimates the slot time of the requests of all groups.
 	slotTime estimator
 	// minWeight is the smallest effective weight of the configured groups. It is
 	// also the weight of groups without a GroupConfig.
 	minWeight float64
 
+	// freeEntries and freeCallers hold unused structs for reuse, to avoid
+	// allocations.
 	freeEntries []*entry
 	freeCallers []*caller
 }
@@ -100,8 +109,8 @@
 	q.enqueue(e)
 }
 
-// Pop starts the next request and returns it. The estimated slot time is charged
-// to the group of the request. Pop reports false when no request may start.
+// Pop starts the next request and returns it. It charges the estimated slot time to
+// the request's group. It reports false when no request may start.
 func (q *Queue) Pop(now model.Instant) (Item, bool) {
 	q.ChargeRunning(now)
 	class := q.foreground
@@ -121,8 +130,8 @@
 	return Item{ID: e.id, Group: g.name, Caller: c.name, Deadline: e.deadline}, true
 }
 
-// Done ends a started request that held its slot for slotTime, and corrects its
-// charge to that time. It reports false for an unknown request.
+// Done ends a started request and corrects its charge to slotTime, the time that it
+// held its slot. It reports false when no running request has this ID.
 func (q *Queue) Done(now model.Instant, id ID, slotTime time.Duration) bool {
 	e := q.entries[id]
 	if e == nil || !e.running {
@@ -135,8 +144,8 @@
 	return true
 }
 
-// CancelStart ends a request that Pop returned but that was not run. The charge
-// for it is undone.
+// CancelStart ends a request that Pop returned but that was not run. It undoes the
+// charge for the request.
 func (q *Queue) CancelStart(id ID) {
 	if e := q.entries[id]; e != nil && e.running {
 		q.finish(e, 0)
@@ -155,7 +164,7 @@
 }
 
 // RemoveExpired removes one waiting request whose deadline has passed. It
-// reports false when there is none.
+// reports false when there is no such request.
 func (q *Queue) RemoveExpired(now model.Instant) (ID, bool) {
 	if q.byDeadline.len() == 0 || q.byDeadline.top().deadline > now {
 		return 0, false
@@ -177,10 +186,10 @@
 	return g != nil && g.waiting > g.bound
 }
 
-// DropOldest removes the oldest waiting request of the group's caller with the
-// longest queue: the caller that sends most loses a request, and its oldest
-// request usually has the least time left. It reports false when the group has
-// no waiting requests.
+// DropOldest selects the group's caller with the most waiting requests, and removes
+// the oldest of these. The caller that sends most therefore loses a request, and its
+// oldest request usually has the least time left. DropOldest reports false when the
+// group has no waiting requests.
 func (q *Queue) DropOldest(name model.GroupName) (ID, bool) {
 	g := q.findGroup(name)
 	if g == nil || g.waiting == 0 {
@@ -189,10 +198,10 @@
 	return q.discard(g.byLength.top().head), true
 }
 
-// DropFromLargestBacklog removes the oldest waiting request of the caller with the
-// longest queue, in the group with the largest backlog: the expected slot time of
-// its waiting requests divided by its weight. It reports false when no request
-// waits.
+// DropFromLargestBacklog does the same as DropOldest in the group with the largest
+// backlog. The backlog is the expected slot time of the group's waiting requests
+// divided by the group's weight. DropFromLargestBacklog reports false when no
+// request waits.
 func (q *Queue) DropFromLargestBacklog() (ID, bool) {
 	if q.byBacklog.len() == 0 {
 		return 0, false
--- a/core/fairqueue/queue_test.go
+++ b/core/fairqueue/queue_test.go
@@ -12,9 +12,9 @@
 )
 
 // TestQueueAgainstModel compares the queue with a simple model under random
-// operations: each pushed request is popped, removed or dropped exactly once,
-// the requests of one caller start in the order in which they were pushed, and
-// the charges of ended requests equal the slot time used.
+// operations. Each pushed request must be popped, removed or dropped exactly once.
+// The requests of one caller must start in the order in which they were pushed. The
+// charges of ended requests must equal the slot time that they used.
 func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Options{})
@@ -124,8 +124,8 @@
 	})
 }
 
-// runningCharges returns what the running requests of a group have been charged
-// so far.
+// runningCharges returns the slot time that has been charged so far for the running
+// requests of a group.
 func runningCharges(q *Queue, name model.GroupName) time.Duration {
 	var d time.Duration
 	for _, e := range q.entries {
