--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -94,7 +94,7 @@
 	require.Empty(t, c.Arrive(10*ms, arrival(21, "a", 300*ms), nil), "a request with enough time left waits")
 }
 
-func TestWithdrawTakesOnlyWaitingRequests(t *testing.T) {
+func TestWithdrawRemovesOnlyWaitingRequests(t *testing.T) {
 	c := New(Options{Slots: 1})
 	c.Arrive(0, arrival(1, "a", 99*ms), nil)
 	c.Arrive(0, arrival(2, "a", 99*ms), nil)
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -10,7 +10,7 @@
 const (
 	overloadSlots    = 6
 	overloadSlotTime = 5 * time.Millisecond
-	overloadDeadline = 200 * time.Millisecond
+	overloadTimeout  = 200 * time.Millisecond
 	overloadSeconds  = 10
 )
 
@@ -21,7 +21,7 @@
 	interval := time.Duration(float64(overloadSlotTime) / overloadSlots / multiple)
 	sim.run(workload{
 		group: "g", caller: "c", slotTime: exponential(overloadSlotTime), interval: interval,
-		deadline: overloadDeadline, to: overloadSeconds * time.Second,
+		timeout: overloadTimeout, stopAt: overloadSeconds * time.Second,
 	})
 	t.Logf("%vx: %d in time, refused %v", multiple, sum(sim.inTimeByWindow["g"]), sim.refused["g"])
 	return sum(sim.inTimeByWindow["g"])
@@ -42,10 +42,10 @@
 	groups := []Group{{Name: "burst", Weight: 1}, {Name: "after", Weight: 1}}
 	after := workload{
 		group: "after", slotTime: exponential(overloadSlotTime), interval: overloadSlotTime / overloadSlots * 10 / 6,
-		deadline: overloadDeadline, from: 4 * time.Second, to: 8 * time.Second,
+		timeout: overloadTimeout, startAt: 4 * time.Second, stopAt: 8 * time.Second,
 	}
 	burst := after
-	burst.group, burst.interval, burst.from, burst.to = "burst", overloadSlotTime/overloadSlots/5, 0, 3*time.Second
+	burst.group, burst.interval, burst.startAt, burst.stopAt = "burst", overloadSlotTime/overloadSlots/5, 0, 3*time.Second
 	baseline := newSimulator(t, overloadSlots, Options{}, groups...)
 	baseline.run(after)
 	sim := newSimulator(t, overloadSlots, Options{}, groups...)
@@ -63,16 +63,16 @@
 	groups := []Group{{Name: "victim", Weight: 8}, {Name: "overloading", Weight: 1}}
 	victim := workload{
 		group: "victim", caller: "v", slotTime: exponential(overloadSlotTime), interval: overloadSlotTime / overloadSlots * 10 / 5,
-		deadline: time.Second, to: overloadSeconds * time.Second,
+		timeout: time.Second, stopAt: overloadSeconds * time.Second,
 	}
 	overloading := victim
 	overloading.group, overloading.caller, overloading.interval = "overloading", "n", overloadSlotTime/overloadSlots/10
 	alone := newSimulator(t, overloadSlots, Options{}, groups...)
 	alone.run(victim)
-	beside := newSimulator(t, overloadSlots, Options{}, groups...)
-	beside.run(victim, overloading)
-	aloneP99, besideP99 := quantile(alone.latency["victim"], 0.99), quantile(beside.latency["victim"], 0.99)
-	t.Logf("victim's p99 %v alone, %v beside the overloading group, ratio %.3f", aloneP99, besideP99, float64(besideP99)/float64(aloneP99))
-	require.Empty(t, beside.refused["victim"])
-	require.LessOrEqual(t, float64(besideP99), 1.1*float64(aloneP99))
+	withOverload := newSimulator(t, overloadSlots, Options{}, groups...)
+	withOverload.run(victim, overloading)
+	aloneP99, withOverloadP99 := quantile(alone.latency["victim"], 0.99), quantile(withOverload.latency["victim"], 0.99)
+	t.Logf("victim's p99 %v alone, %v beside the overloading group, ratio %.3f", aloneP99, withOverloadP99, float64(withOverloadP99)/float64(aloneP99))
+	require.Empty(t, withOverload.refused["victim"])
+	require.LessOrEqual(t, float64(withOverloadP99), 1.1*float64(aloneP99))
 }
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -13,8 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// longDeadline is a timeout so long that no simulated request reaches its deadline.
-const longDeadline = time.Hour
+// longTimeout is a timeout so long that no simulated request reaches its deadline.
+const longTimeout = time.Hour
 
 // TestShareWithinFivePercent generates groups that are always backlogged and
 // checks that each gets its weighted share of the slot time in every second.
@@ -45,7 +45,7 @@
 			for c := range callers {
 				workloads = append(workloads, workload{
 					group: name, caller: model.CallerName(fmt.Sprint(name, c)), slotTime: slotTime,
-					interval: time.Duration(interval), deadline: longDeadline, to: seconds * time.Second,
+					interval: time.Duration(interval), timeout: longTimeout, stopAt: seconds * time.Second,
 				})
 			}
 		}
@@ -53,12 +53,12 @@
 		sim.run(workloads...)
 		// The queues fill during the first second. From then on every group is
 		// backlogged.
-		for w := 1; w < seconds; w++ {
+		for second := 1; second < seconds; second++ {
 			for _, g := range groups {
 				want := float64(slots) * window.Seconds() * g.Weight / totalWeight
-				got := sim.slotTimeByWindow[g.Name][w].Seconds()
+				got := sim.slotTimeByWindow[g.Name][second].Seconds()
 				worst = max(worst, math.Abs(got/want-1))
-				require.InEpsilon(t, want, got, 0.05, "group %s in second %d", g.Name, w)
+				require.InEpsilon(t, want, got, 0.05, "group %s in second %d", g.Name, second)
 			}
 		}
 		for _, g := range groups {
@@ -76,22 +76,22 @@
 		heavyWeight := rapid.Float64Range(1, 1e9).Draw(t, "weight")
 		groups := []Group{{Name: "heavy", Weight: heavyWeight}, {Name: "light", Weight: 1e-9}}
 		sim := newSimulator(t, 4, Options{}, groups...)
-		both := workload{slotTime: constant(2 * time.Millisecond), interval: 400 * time.Microsecond, deadline: longDeadline, to: 2 * time.Second}
-		a, b := both, both
-		a.group, b.group = "heavy", "light"
-		sim.run(a, b)
-		for w := range 2 {
-			share := sim.slotTimeByWindow["light"][w].Seconds() / (4 * window.Seconds())
-			require.GreaterOrEqual(t, share, 0.009, "second %d", w)
-			require.LessOrEqual(t, share, 0.012, "second %d", w)
+		base := workload{slotTime: constant(2 * time.Millisecond), interval: 400 * time.Microsecond, timeout: longTimeout, stopAt: 2 * time.Second}
+		heavy, light := base, base
+		heavy.group, light.group = "heavy", "light"
+		sim.run(heavy, light)
+		for second := range 2 {
+			share := sim.slotTimeByWindow["light"][second].Seconds() / (4 * window.Seconds())
+			require.GreaterOrEqual(t, share, 0.009, "second %d", second)
+			require.LessOrEqual(t, share, 0.012, "second %d", second)
 		}
 	})
 }
 
 func TestWeightZeroRunsOnlyWhenNothingElseWaits(t *testing.T) {
 	sim := newSimulator(t, 2, Options{}, Group{Name: "paid", Weight: 1}, Group{Name: "free", Weight: 0})
-	busy := workload{group: "paid", slotTime: constant(time.Millisecond), interval: 400 * time.Microsecond, deadline: time.Second, to: time.Second}
-	free := workload{group: "free", slotTime: constant(time.Millisecond), interval: 3 * time.Millisecond, deadline: 300 * time.Millisecond, to: 3 * time.Second}
+	busy := workload{group: "paid", slotTime: constant(time.Millisecond), interval: 400 * time.Microsecond, timeout: time.Second, stopAt: time.Second}
+	free := workload{group: "free", slotTime: constant(time.Millisecond), interval: 3 * time.Millisecond, timeout: 300 * time.Millisecond, stopAt: 3 * time.Second}
 	sim.run(busy, free)
 	require.Less(t, sim.slotTimeByWindow["free"][0], 20*time.Millisecond, "while the other group is backlogged")
 	require.Greater(t, sim.slotTimeByWindow["free"][2], 300*time.Millisecond, "alone")
@@ -103,7 +103,7 @@
 // must get the same slot time.
 func TestCallersOfOneGroupShareEqually(t *testing.T) {
 	sim := newSimulator(t, 4, Options{}, Group{Name: "g", Weight: 1, QueueBound: 200})
-	base := workload{group: "g", slotTime: constant(2 * time.Millisecond), interval: 800 * time.Microsecond, deadline: longDeadline, to: 4 * time.Second}
+	base := workload{group: "g", slotTime: constant(2 * time.Millisecond), interval: 800 * time.Microsecond, timeout: longTimeout, stopAt: 4 * time.Second}
 	light, heavy := base, base
 	light.caller, heavy.caller = "light", "heavy"
 	heavy.interval, heavy.slotTime = 80*time.Microsecond, constant(5*time.Millisecond)
@@ -116,7 +116,7 @@
 func TestManyCallersGetNoLargerShare(t *testing.T) {
 	sim := newSimulator(t, 6, Options{TotalBound: 4096}, Group{Name: "many", Weight: 1}, Group{Name: "one", Weight: 1})
 	var workloads []workload
-	many := workload{group: "many", slotTime: constant(2 * time.Millisecond), interval: 20 * time.Millisecond, deadline: longDeadline, to: 3 * time.Second}
+	many := workload{group: "many", slotTime: constant(2 * time.Millisecond), interval: 20 * time.Millisecond, timeout: longTimeout, stopAt: 3 * time.Second}
 	for i := range 200 {
 		many.caller = model.CallerName(fmt.Sprint("c", i))
 		workloads = append(workloads, many)
@@ -132,13 +132,13 @@
 // from short requests in advance, but both groups must get the same slot time.
 func TestLongRequestsAreChargedTheirSlotTime(t *testing.T) {
 	sim := newSimulator(t, 6, Options{}, Group{Name: "short", Weight: 1}, Group{Name: "mixed", Weight: 1})
-	short := workload{group: "short", slotTime: constant(time.Millisecond), interval: 200 * time.Microsecond, deadline: longDeadline, to: 6 * time.Second}
+	short := workload{group: "short", slotTime: constant(time.Millisecond), interval: 200 * time.Microsecond, timeout: longTimeout, stopAt: 6 * time.Second}
 	mixedShort := short
 	mixedShort.group, mixedShort.caller = "mixed", "a"
 	mixedLong := mixedShort
 	mixedLong.slotTime, mixedLong.interval = constant(40*time.Millisecond), 20*time.Millisecond
 	sim.run(short, mixedShort, mixedLong)
-	for w := 1; w < 5; w++ {
-		require.InEpsilon(t, sim.slotTimeByWindow["short"][w].Seconds(), sim.slotTimeByWindow["mixed"][w].Seconds(), 0.05, "second %d", w)
+	for second := 1; second < 5; second++ {
+		require.InEpsilon(t, sim.slotTimeByWindow["short"][second].Seconds(), sim.slotTimeByWindow["mixed"][second].Seconds(), 0.05, "second %d", second)
 	}
 }
--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -21,11 +21,11 @@
 	interval time.Duration
 	// slotTime draws the slot time of a request.
 	slotTime func(*rand.Rand) time.Duration
-	// deadline is the time from the arrival of a request to its deadline.
-	deadline time.Duration
-	// from and to are the instants of the first arrival and of the end of the
-	// stream, as times since the start of the simulation.
-	from, to time.Duration
+	// timeout is the time from the arrival of a request to its deadline.
+	timeout time.Duration
+	// startAt and stopAt are times since the start of the simulation. The first
+	// request arrives at startAt, and no request arrives at stopAt or later.
+	startAt, stopAt time.Duration
 }
 
 // constant returns a slotTime function for requests that all run for d.
@@ -140,10 +140,10 @@
 }
 
 func (s *simulator) scheduleArrivals(w *workload) {
-	for t := w.from; t < w.to; t += w.interval {
+	for t := w.startAt; t < w.stopAt; t += w.interval {
 		s.nextID++
 		j := &job{id: s.nextID, workload: w, slotTime: w.slotTime(s.rng), arrived: model.Instant(t)}
-		j.deadline = j.arrived.Add(w.deadline)
+		j.deadline = j.arrived.Add(w.timeout)
 		s.jobs[j.id] = j
 		s.schedule(j.arrived, j, false)
 	}
@@ -220,13 +220,14 @@
 	}
 }
 
-// addSlotTime divides the slot time of one run among the windows that it spans.
-func (s *simulator) addSlotTime(group model.GroupName, from, to model.Instant) {
-	for from < to {
-		index := from / model.Instant(window)
-		end := min(to, (index+1)*model.Instant(window))
-		s.slotTimeByWindow[group] = addAt(s.slotTimeByWindow[group], int(index), end.Sub(from))
-		from = end
+// addSlotTime divides the slot time of one run, from start to end, among the windows
+// that the run spans.
+func (s *simulator) addSlotTime(group model.GroupName, start, end model.Instant) {
+	for start < end {
+		index := start / model.Instant(window)
+		partEnd := min(end, (index+1)*model.Instant(window))
+		s.slotTimeByWindow[group] = addAt(s.slotTimeByWindow[group], int(index), partEnd.Sub(start))
+		start = partEnd
 	}
 }
 
--- a/core/admission/surge_test.go
+++ b/core/admission/surge_test.go
@@ -22,23 +22,23 @@
 		groups []Group
 		victim workload
 		surge  []workload
-		// ratio is the largest allowed ratio of the victim's p99 latency with the
+		// maxRatio is the largest allowed ratio of the victim's p99 latency with the
 		// surge to its p99 latency without the surge. It is near 1 where the
 		// requests of the surge are not longer than those of the victim.
-		ratio float64
+		maxRatio float64
 	}{
 		{
 			"archive searches against sorters",
 			[]Group{{Name: "sorters", Weight: 8}, {Name: "searches", Weight: 1, QueueBound: 64}},
-			workload{group: "sorters", caller: "bench", slotTime: exponential(3 * ms), interval: ms, deadline: 2 * time.Second, to: duration},
-			[]workload{{group: "searches", caller: "portal", slotTime: exponential(3 * ms), interval: 50 * time.Microsecond, deadline: 2 * time.Second, to: duration}},
+			workload{group: "sorters", caller: "bench", slotTime: exponential(3 * ms), interval: ms, timeout: 2 * time.Second, stopAt: duration},
+			[]workload{{group: "searches", caller: "portal", slotTime: exponential(3 * ms), interval: 50 * time.Microsecond, timeout: 2 * time.Second, stopAt: duration}},
 			1.1,
 		},
 		{
 			"archive searches ten times as long as lookups",
 			[]Group{{Name: "sorters", Weight: 8}, {Name: "searches", Weight: 1, QueueBound: 64}},
-			workload{group: "sorters", caller: "bench", slotTime: exponential(2 * ms), interval: ms, deadline: 2 * time.Second, to: duration},
-			[]workload{{group: "searches", caller: "portal", slotTime: exponential(20 * ms), interval: ms, deadline: 2 * time.Second, to: duration}},
+			workload{group: "sorters", caller: "bench", slotTime: exponential(2 * ms), interval: ms, timeout: 2 * time.Second, stopAt: duration},
+			[]workload{{group: "searches", caller: "portal", slotTime: exponential(20 * ms), interval: ms, timeout: 2 * time.Second, stopAt: duration}},
 			// A running search cannot be preempted, so the victim's latency
 			// includes the wait for a slot to become free.
 			2.6,
@@ -46,21 +46,21 @@
 		{
 			"long archive searches held to half of the slots",
 			[]Group{{Name: "sorters", Weight: 8}, {Name: "searches", Weight: 1, QueueBound: 64, MaxRunning: 3}},
-			workload{group: "sorters", caller: "bench", slotTime: exponential(2 * ms), interval: ms, deadline: 2 * time.Second, to: duration},
-			[]workload{{group: "searches", caller: "portal", slotTime: exponential(20 * ms), interval: ms, deadline: 2 * time.Second, to: duration}},
+			workload{group: "sorters", caller: "bench", slotTime: exponential(2 * ms), interval: ms, timeout: 2 * time.Second, stopAt: duration},
+			[]workload{{group: "searches", caller: "portal", slotTime: exponential(20 * ms), interval: ms, timeout: 2 * time.Second, stopAt: duration}},
 			1.3,
 		},
 		{
 			"morning rush of bookings against shed checks",
 			[]Group{{Name: "sheds", Weight: 2}, {Name: "bookings", Weight: 3}},
-			workload{group: "sheds", caller: "gang", slotTime: exponential(4 * ms), interval: 2 * ms, deadline: time.Second, to: duration},
-			[]workload{{group: "bookings", caller: "farm", slotTime: exponential(4 * ms), interval: 70 * time.Microsecond, deadline: time.Second, from: time.Second, to: 3 * time.Second}},
+			workload{group: "sheds", caller: "gang", slotTime: exponential(4 * ms), interval: 2 * ms, timeout: time.Second, stopAt: duration},
+			[]workload{{group: "bookings", caller: "farm", slotTime: exponential(4 * ms), interval: 70 * time.Microsecond, timeout: time.Second, startAt: time.Second, stopAt: 3 * time.Second}},
 			1.1,
 		},
 		{
 			"ten thousand connections of one group",
 			[]Group{{Name: "sorters", Weight: 1}, {Name: "crowd", Weight: 1}},
-			workload{group: "sorters", caller: "bench", slotTime: exponential(3 * ms), interval: 2 * ms, deadline: time.Second, to: duration},
+			workload{group: "sorters", caller: "bench", slotTime: exponential(3 * ms), interval: 2 * ms, timeout: time.Second, stopAt: duration},
 			manyCallers(10_000, duration),
 			1.1,
 		},
@@ -75,7 +75,7 @@
 			baselineP99, surgeP99 := quantile(baseline.latency[group], 0.99), quantile(withSurge.latency[group], 0.99)
 			t.Logf("p99 %v alone, %v with the surge: %.3f", baselineP99, surgeP99, float64(surgeP99)/float64(baselineP99))
 			require.Empty(t, withSurge.refused[group], "no request of the victim is refused")
-			require.LessOrEqual(t, float64(surgeP99), tt.ratio*float64(baselineP99))
+			require.LessOrEqual(t, float64(surgeP99), tt.maxRatio*float64(baselineP99))
 			require.Positive(t, withSurge.totalSlotTime[tt.surge[0].group], "some requests of the surge run too")
 		})
 	}
@@ -88,7 +88,7 @@
 	for i := range n {
 		workloads = append(workloads, workload{
 			group: "crowd", caller: model.CallerName(fmt.Sprint("c", i)), slotTime: exponential(3 * time.Millisecond),
-			interval: 2 * time.Second, deadline: time.Second, from: time.Duration(i) * 10 * time.Microsecond, to: duration,
+			interval: 2 * time.Second, timeout: time.Second, startAt: time.Duration(i) * 10 * time.Microsecond, stopAt: duration,
 		})
 	}
 	return workloads
@@ -101,7 +101,7 @@
 	goodputAt := func(multiple float64) int {
 		sim := newSimulator(t, overloadSlots, Options{}, Group{Name: "g", Weight: 1})
 		interval := time.Duration(float64(overloadSlotTime) / overloadSlots / multiple)
-		sim.run(workload{group: "g", caller: "c", slotTime: exponential(overloadSlotTime), interval: interval, deadline: 6 * overloadSlotTime, to: overloadSeconds * time.Second})
+		sim.run(workload{group: "g", caller: "c", slotTime: exponential(overloadSlotTime), interval: interval, timeout: 6 * overloadSlotTime, stopAt: overloadSeconds * time.Second})
 		return sum(sim.inTimeByWindow["g"])
 	}
 	base := goodputAt(1)
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -92,8 +92,8 @@
 	class *priorityClass
 	// weight is the effective weight as a fraction of the largest weight.
 	weight float64
-	// bound is the largest number of waiting requests of the group.
-	bound int
+	// queueBound is the largest number of waiting requests of the group.
+	queueBound int
 	// configured reports whether the group has a GroupConfig.
 	configured bool
 	// maxRunning is GroupConfig.MaxRunning.
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -89,7 +89,7 @@
 	if bound <= 0 {
 		bound = q.opts.QueueBound
 	}
-	g.bound = bound
+	g.queueBound = bound
 	class := q.foreground
 	if weight == 0 {
 		class, weight = q.background, 1
@@ -111,7 +111,7 @@
 
 func (q *Queue) addGroup(name model.GroupName) *group {
 	g := newGroup(name)
-	g.class, g.weight, g.bound = q.foreground, q.minWeight, q.opts.QueueBound
+	g.class, g.weight, g.queueBound = q.foreground, q.minWeight, q.opts.QueueBound
 	q.groups[name] = g
 	return g
 }
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -64,12 +64,12 @@
 	QueueBound int
 }
 
-const defaultBound = 128
+const defaultQueueBound = 128
 
 // New returns an empty Queue.
 func New(opts Options) *Queue {
 	if opts.QueueBound <= 0 {
-		opts.QueueBound = defaultBound
+		opts.QueueBound = defaultQueueBound
 	}
 	return &Queue{
 		opts:       opts,
@@ -183,7 +183,7 @@
 // OverBound reports whether a group has more waiting requests than its bound.
 func (q *Queue) OverBound(name model.GroupName) bool {
 	g := q.findGroup(name)
-	return g != nil && g.waiting > g.bound
+	return g != nil && g.waiting > g.queueBound
 }
 
 // DropOldest selects the group's caller with the most waiting requests, and removes
--- a/core/fairqueue/queue_test.go
+++ b/core/fairqueue/queue_test.go
@@ -23,22 +23,22 @@
 		lastStarted := make(map[string]ID)
 		slotTime := make(map[model.GroupName]time.Duration)
 		var now model.Instant
-		var next ID
-		name := rapid.IntRange(0, 3)
+		var lastID ID
+		nameIndex := rapid.IntRange(0, 3)
 		removeWaiting := func(id ID) {
 			require.Contains(t, waiting, id)
 			delete(waiting, id)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
-				next++
+				lastID++
 				item := Item{
-					ID:       next,
-					Group:    model.GroupName(fmt.Sprint("g", name.Draw(t, "group"))),
-					Caller:   model.CallerName(fmt.Sprint("c", name.Draw(t, "caller"))),
+					ID:       lastID,
+					Group:    model.GroupName(fmt.Sprint("g", nameIndex.Draw(t, "group"))),
+					Caller:   model.CallerName(fmt.Sprint("c", nameIndex.Draw(t, "caller"))),
 					Deadline: now + model.Instant(rapid.IntRange(1, 1000).Draw(t, "deadline")),
 				}
-				waiting[next] = item
+				waiting[lastID] = item
 				q.Push(item)
 			},
 			"pop": func(t *rapid.T) {
