--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -25,8 +25,8 @@
 	maxNameLength             = 253
 )
 
-// Compile checks the documents and builds a Set. It returns a nil Set when there
-// are problems.
+// Compile checks the documents and builds a Set from them. When it finds problems,
+// it returns all of them, sorted, and a nil Set.
 func Compile(docs []Document) (*Set, []Problem) {
 	c := &compiler{set: &Set{
 		services:     make(map[model.ServiceName]*Service),
@@ -61,6 +61,7 @@
 	problems []Problem
 }
 
+// addProblem records a problem with the value at the given JSON path of a document.
 func (c *compiler) addProblem(d Document, path, value, message string) {
 	c.problems = append(c.problems, Problem{Document: d.Key(), Path: path, Value: value, Message: message})
 }
@@ -125,6 +126,8 @@
 	}
 }
 
+// addHost maps a host to the service that the document declares. path is the JSON
+// path of the host in the document.
 func (c *compiler) addHost(d Document, path, host string) {
 	key := strings.ToLower(host)
 	owner, taken := c.set.hosts[key]
@@ -173,15 +176,15 @@
 	}
 }
 
-// checkShare checks an optional value that must be between 0 and 1.
+// checkShare records a problem when a value is set and not between 0 and 1.
 func (c *compiler) checkShare(d Document, path string, v *float64) {
 	if v != nil && !(*v >= 0 && *v <= 1) {
 		c.addProblem(d, path, fmt.Sprint(*v), "want 0 to 1")
 	}
 }
 
-// decode decodes the spec of a document into spec. It reports false and records
-// problems when the spec is missing or malformed.
+// decode decodes the spec of a document into spec, a pointer to a struct. It reports
+// false and records problems when the spec is missing or malformed.
 func (c *compiler) decode(d Document, spec any) bool {
 	problemsBefore := len(c.problems)
 	if len(d.Spec) == 0 {
--- a/core/policy/doc.go
+++ b/core/policy/doc.go
@@ -11,11 +11,12 @@
 // Selector.
 //
 // When several policies select the same service, only the policy with the
-// highest priority applies to it; among policies of equal priority, the one
-// whose name sorts first. Within a policy, a caller belongs to the first group
-// whose selector matches it, or else to the default group. Set.Explain reports
-// which rule decided. The rules do not depend on the order of the documents, so
-// every daemon resolves overlaps in the same way.
+// highest priority applies to it. Among policies of equal priority, the policy
+// whose name sorts first applies. Within a policy, a caller belongs to the first
+// group whose selector matches the caller's labels. If no selector matches, the
+// caller belongs to the default group. Set.Explain reports which rule decided. The
+// rules do not depend on the order of the documents, so all daemons choose the same
+// policy and group.
 //
 // It is a problem when two documents have the same kind and name, or when a
 // host, token or certificate name belongs to two documents. Compile reports all
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -28,12 +28,12 @@
 type ServiceSpec struct {
 	// Hosts are the host names of the service, in addition to its own name.
 	Hosts []string `json:"hosts,omitempty"`
-	// Deadline caps the time of a request, and applies when the request sets no
-	// timeout. Default: "10s".
+	// Deadline is the longest time that a request may take. It is also the timeout
+	// of requests that set none. Default: "10s".
 	Deadline Duration `json:"deadline,omitempty"`
-	// NonIdempotent matches the requests that must run at most once. Requests
-	// with the methods POST and PATCH are non-idempotent too, unless Idempotent
-	// matches them.
+	// NonIdempotent matches requests that must run at most once. Requests with the
+	// methods POST and PATCH must also run at most once, unless Idempotent matches
+	// them.
 	NonIdempotent []Route `json:"non_idempotent,omitempty"`
 	// Idempotent matches requests that may run more than once although their
 	// method is POST or PATCH. NonIdempotent takes precedence.
@@ -41,12 +41,13 @@
 	// Routing is the name of the routing policy. Default: the default of package
 	// routing.
 	Routing string `json:"routing,omitempty"`
-	// MeasuringBudget is the share of each upstream's slot time that polling its
-	// load report may take, 0 to 1. Default: 0.005.
+	// MeasuringBudget is the share of each upstream's slot time that may be spent
+	// on polling the upstream's load report, 0 to 1. Default: 0.005.
 	MeasuringBudget *float64 `json:"measuring_budget,omitempty"`
 }
 
-// Route matches requests by method and path prefix. Empty fields match all.
+// Route matches requests by method and path prefix. An empty field matches all
+// requests.
 type Route struct {
 	Methods    []string `json:"methods,omitempty"`
 	PathPrefix string   `json:"path_prefix,omitempty"`
@@ -62,32 +63,36 @@
 
 // SharingPolicySpec is the spec of a SharingPolicy document.
 type SharingPolicySpec struct {
-	// Services selects services by their labels; empty selects all.
+	// Services is a Selector for the labels of services. The empty selector selects
+	// all services.
 	Services string `json:"services"`
 	// Priority decides which policy applies when several select a service. The
 	// highest wins.
 	Priority int `json:"priority,omitempty"`
-	// Groups are tried in order. The first group that selects a caller applies.
+	// Groups are the groups of the policy. A caller belongs to the first group that
+	// selects it.
 	Groups []GroupSpec `json:"groups"`
-	// DefaultGroup is the group of callers that no group selects. When it is
-	// empty, such callers are refused.
+	// DefaultGroup is the group of callers that no group selects. When DefaultGroup
+	// is empty, such callers are refused.
 	DefaultGroup model.GroupName `json:"default_group,omitempty"`
-	// DeadlineClasses defines the deadlines that GroupSpec.DeadlineClass refers
-	// to by name.
+	// DeadlineClasses holds deadlines by name. GroupSpec.DeadlineClass refers to
+	// these names.
 	DeadlineClasses map[string]Duration `json:"deadline_classes,omitempty"`
-	// MeasuringBudget is the default for services that set no MeasuringBudget.
+	// MeasuringBudget is the measuring budget of services that set none; see
+	// ServiceSpec.MeasuringBudget.
 	MeasuringBudget *float64 `json:"measuring_budget,omitempty"`
 	// RetryShare is the retry budget of an entry: the number of retries to a
 	// service as a share of the requests to it, 0 to 1. Default: 0.1.
 	RetryShare *float64 `json:"retry_share,omitempty"`
-	// Quarantine says when a request that crashes upstreams is quarantined.
+	// Quarantine says when a request that crashes upstreams is quarantined, that is
+	// refused for some time.
 	Quarantine *QuarantineSpec `json:"quarantine,omitempty"`
 }
 
 // QuarantineSpec says when a request is quarantined, and for how long.
 type QuarantineSpec struct {
-	// Crashes is the number of crashes of upstreams that were running the request
-	// after which the request is quarantined. Default: 2.
+	// Crashes is the number of crashes after which a request is quarantined. Only
+	// crashes of upstreams that were running the request count. Default: 2.
 	Crashes int `json:"deaths,omitempty"`
 	// Duration is how long the quarantine lasts. Default: "10m".
 	Duration Duration `json:"duration,omitempty"`
@@ -96,23 +101,23 @@
 // GroupSpec declares one group of a SharingPolicy.
 type GroupSpec struct {
 	Name model.GroupName `json:"name"`
-	// Callers selects callers by their labels. An empty selector selects no
-	// caller, and is allowed only for the default group.
+	// Callers is a Selector for the labels of callers. Here, an empty selector
+	// selects no caller. It is allowed only for the default group.
 	Callers string `json:"callers"`
 	// Weight is the group's share of slot time relative to the other groups, at
-	// least 0. Requests of a group of weight 0 start only when no group with a
-	// weight above 0 has a request that may start.
+	// least 0. Groups of weight 0 come last: their requests start only when no
+	// other group has a request that may start.
 	Weight float64 `json:"weight"`
-	// QueueBound is the largest number of waiting requests at one upstream.
-	// Default: 128.
+	// QueueBound is the largest number of the group's requests that wait at one
+	// upstream. Default: 128.
 	QueueBound int `json:"queue_bound,omitempty"`
 	// SlotsPerUpstream is the largest number of slots that the group may hold at
 	// one upstream, even when other slots are free. It keeps the long requests
 	// of one group from making all other groups wait. Zero means no limit.
 	SlotsPerUpstream int `json:"slots_per_upstream,omitempty"`
-	// DeadlineClass is the key in DeadlineClasses of the deadline that caps the
-	// group's requests. It applies to requests that set no timeout. Default: the
-	// service's deadline.
+	// DeadlineClass is a key of SharingPolicySpec.DeadlineClasses. The deadline of
+	// this class is the longest time that a request of the group may take. It is
+	// also the timeout of requests that set none. Default: the service's deadline.
 	DeadlineClass string `json:"deadline_class,omitempty"`
 	// RatePerSecond limits the rate of the group's requests over all daemons.
 	// Zero means no limit.
--- a/core/policy/duration.go
+++ b/core/policy/duration.go
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// MarshalJSON writes the duration with its unit.
+// MarshalJSON writes the duration as a string with units.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
--- a/core/policy/explain.go
+++ b/core/policy/explain.go
@@ -19,28 +19,31 @@
 	Groups []GroupStep `json:"groups"`
 	// Group is the caller's group. It is empty when the caller is refused.
 	Group model.GroupName `json:"group"`
-	// Share is the group's weight divided by the sum of all weights. It is the
-	// group's part of each upstream's slot time when all groups are backlogged.
+	// Share is the group's weight divided by the sum of the weights of all groups.
+	// When all groups have waiting requests, the group gets this share of each
+	// upstream's slot time.
 	Share float64 `json:"share"`
-	// Deadline caps the time of the group's requests.
+	// Deadline is the longest time that a request of the group may take.
 	Deadline time.Duration `json:"deadline"`
 }
 
 // PolicyStep describes whether a sharing policy applies to the service and why.
-// Wins is set for the policy that applies.
 type PolicyStep struct {
 	Name     string `json:"name"`
 	Priority int    `json:"priority"`
-	Wins     bool   `json:"wins"`
-	Why      string `json:"why"`
+	// Wins is set for the policy that applies to the service.
+	Wins bool `json:"wins"`
+	// Why is the reason for Wins, as a text for the operator.
+	Why string `json:"why"`
 }
 
-// GroupStep describes whether a group is the caller's group and why. Wins is set
-// for the caller's group.
+// GroupStep describes whether a group is the caller's group and why.
 type GroupStep struct {
 	Name model.GroupName `json:"name"`
-	Wins bool            `json:"wins"`
-	Why  string          `json:"why"`
+	// Wins is set for the caller's group.
+	Wins bool `json:"wins"`
+	// Why is the reason for Wins, as a text for the operator.
+	Why string `json:"why"`
 }
 
 // NotFoundError reports that no document of the kind has the name.
@@ -54,9 +57,9 @@
 	return fmt.Sprintf("no %s is named %q", e.Kind, e.Name)
 }
 
-// Explain returns the group that a caller belongs to at a service and the reason.
-// The empty name stands for a caller without credentials. The error is a
-// *NotFoundError.
+// Explain returns the group that a caller belongs to at a service, with the reasons.
+// The empty caller name stands for a caller without credentials. When the caller or
+// the service does not exist, the error is a *NotFoundError.
 func (s *Set) Explain(caller model.CallerName, service model.ServiceName) (Explanation, error) {
 	svc, ok := s.services[service]
 	if !ok {
--- a/core/policy/parse.go
+++ b/core/policy/parse.go
@@ -6,8 +6,8 @@
 )
 
 // Parse decodes the contents of a file that holds one document or a list of
-// documents. It reports unknown fields and values of the wrong type outside the
-// specs, and identifies documents by their key. Compile checks the specs.
+// documents. It returns a problem for each unknown field and each value of the wrong
+// type. It does not look into the specs of the documents, which Compile checks.
 func Parse(data []byte) ([]Document, []Problem) {
 	var items []json.RawMessage
 	if json.Unmarshal(data, &items) != nil {
--- a/core/policy/problem.go
+++ b/core/policy/problem.go
@@ -12,7 +12,7 @@
 	Document string
 	// Path is the JSON path of the field, such as "spec.groups[1].weight".
 	Path string
-	// Value is the offending value as written.
+	// Value is the invalid value as written in the document.
 	Value string
 	// Message says what is wrong.
 	Message string
--- a/core/policy/selector.go
+++ b/core/policy/selector.go
@@ -24,6 +24,7 @@
 	terms []term
 }
 
+// operation is the way in which a term compares a label with its values.
 type operation uint8
 
 const (
@@ -33,13 +34,15 @@
 	opNotExists
 )
 
+// term is one condition of a selector. For example, opIn with one value stands for
+// key=value. opExists and opNotExists have no values.
 type term struct {
 	key    string
 	op     operation
 	values []string
 }
 
-// ParseSelector parses a selector.
+// ParseSelector parses a selector in the syntax described at Selector.
 func ParseSelector(s string) (Selector, error) {
 	sel := Selector{text: s}
 	if strings.TrimSpace(s) == "" {
@@ -64,7 +67,8 @@
 // Matches reports whether the labels satisfy every term.
 func (s Selector) Matches(labels model.Labels) bool { return s.firstUnmatched(labels) == nil }
 
-// firstUnmatched returns the first term that the labels do not satisfy, or nil.
+// firstUnmatched returns the first term that the labels do not satisfy. It returns
+// nil when they satisfy all terms.
 func (s Selector) firstUnmatched(labels model.Labels) *term {
 	for i := range s.terms {
 		if !s.terms[i].matches(labels) {
@@ -153,6 +157,8 @@
 	return term{}, fmt.Errorf("term %q: unknown operator %q, want in or notin", s, fields[1])
 }
 
+// newTerm returns a term, or an error that quotes text when the key or a value is
+// invalid.
 func newTerm(text, key string, op operation, values ...string) (term, error) {
 	t := term{key: strings.TrimSpace(key), op: op}
 	if !validLabelKey(t.key) {
--- a/core/policy/service.go
+++ b/core/policy/service.go
@@ -10,15 +10,16 @@
 )
 
 // Service is a compiled Service document with the sharing policy that applies to
-// it. Only its cache of group lookups changes after Compile, atomically, so it is
-// safe for concurrent use.
+// it. It is safe for concurrent use: after Compile, only the cache of group lookups
+// changes, and the cache is updated atomically.
 type Service struct {
 	Name     model.ServiceName
 	Deadline time.Duration
 	Routing  string
-	// Policy is the name of the sharing policy, empty when no policy selects the
-	// service.
+	// Policy is the name of the sharing policy that applies. It is empty when no
+	// policy selects the service.
 	Policy string
+	// Groups are the groups of the sharing policy.
 	Groups []GroupSpec
 	// MeasuringBudget is nil when neither the service nor the policy sets one.
 	MeasuringBudget *float64
@@ -27,13 +28,14 @@
 	// Quarantine is the quarantine rule, with defaults applied.
 	Quarantine QuarantineSpec
 
-	spec            ServiceSpec
-	defaultGroup    model.GroupName
+	spec         ServiceSpec
+	defaultGroup model.GroupName
+	// selectors holds the parsed GroupSpec.Callers of each group in Groups.
 	selectors       []Selector
 	deadlineClasses map[string]Duration
-	// groupCache holds a value for each caller, indexed by Caller.cacheIndex: the
-	// index of the caller's group plus one, noGroup when no selector matches the
-	// caller, 0 when the group has not been looked up yet.
+	// groupCache holds the result of matchIndex for each caller, at the index
+	// Caller.cacheIndex. The value is 0 until the group of the caller has been
+	// looked up.
 	groupCache []atomic.Int32
 }
 
@@ -47,7 +49,8 @@
 	return s.groupAt(s.matchIndex(labels))
 }
 
-// GroupOf is GroupByLabels for a caller of the same Set. It caches the result.
+// GroupOf returns the group of a caller of the same Set at the service, as
+// GroupByLabels does. It caches the result.
 func (s *Service) GroupOf(c Caller) (model.GroupName, bool) {
 	if c.cacheIndex >= len(s.groupCache) {
 		return s.GroupByLabels(c.Labels)
@@ -61,7 +64,8 @@
 	return s.groupAt(index)
 }
 
-// GroupSpec returns the spec of the group with the given name.
+// GroupSpec returns the spec of the group with the given name. It reports false when
+// the sharing policy has no such group.
 func (s *Service) GroupSpec(name model.GroupName) (GroupSpec, bool) {
 	i := slices.IndexFunc(s.Groups, func(g GroupSpec) bool { return g.Name == name })
 	if i < 0 {
@@ -70,7 +74,8 @@
 	return s.Groups[i], true
 }
 
-// DeadlineOf returns the longest time that a request of a group may take.
+// DeadlineOf returns the longest time that a request of a group may take. This is
+// the deadline of the group's deadline class, or else that of the service.
 func (s *Service) DeadlineOf(name model.GroupName) time.Duration {
 	if g, ok := s.GroupSpec(name); ok && g.DeadlineClass != "" {
 		return time.Duration(s.deadlineClasses[g.DeadlineClass])
@@ -78,8 +83,8 @@
 	return s.Deadline
 }
 
-// matchIndex returns one plus the index of the first group that selects the
-// labels, or noGroup.
+// matchIndex returns one plus the index of the first group whose selector matches
+// the labels. It returns noGroup when no selector matches.
 func (s *Service) matchIndex(labels model.Labels) int32 {
 	for i, sel := range s.selectors {
 		if !sel.Empty() && sel.Matches(labels) {
@@ -89,8 +94,8 @@
 	return noGroup
 }
 
-// groupAt returns the name of the group for a result of matchIndex. For noGroup
-// it returns the default group.
+// groupAt returns the name of the group for a result of matchIndex. For noGroup it
+// returns the default group, and reports false when there is none.
 func (s *Service) groupAt(i int32) (model.GroupName, bool) {
 	if i > 0 {
 		return s.Groups[i-1].Name, true
--- a/core/policy/set.go
+++ b/core/policy/set.go
@@ -12,17 +12,19 @@
 type Caller struct {
 	Name   model.CallerName
 	Labels model.Labels
-	// cacheIndex is the caller's index in Service.groupCache; 0 is the anonymous
-	// caller.
+	// cacheIndex is the caller's index in Service.groupCache. The anonymous caller
+	// has index 0.
 	cacheIndex int
 }
 
 // Set is a compiled configuration. It is immutable.
 type Set struct {
 	services map[model.ServiceName]*Service
-	hosts    map[string]model.ServiceName
-	callers  map[model.CallerName]Caller
-	tokens   map[[sha256.Size]byte]Caller
+	// hosts holds the service of each host, in lower case.
+	hosts   map[string]model.ServiceName
+	callers map[model.CallerName]Caller
+	// tokens holds callers by the SHA-256 digest of their bearer tokens.
+	tokens map[[sha256.Size]byte]Caller
 	// certificates holds callers by the subject name of their certificate.
 	certificates map[string]Caller
 	// policies is sorted by priority, highest first, then by name.
--- a/core/policy/sharing.go
+++ b/core/policy/sharing.go
@@ -13,9 +13,11 @@
 
 // sharingPolicy is a SharingPolicy document with its selectors parsed.
 type sharingPolicy struct {
-	name      string
-	spec      SharingPolicySpec
-	services  Selector
+	name string
+	spec SharingPolicySpec
+	// services selects the services that the policy may apply to.
+	services Selector
+	// selectors holds the parsed GroupSpec.Callers of each group.
 	selectors []Selector
 }
 
@@ -38,6 +40,7 @@
 	c.set.policies = append(c.set.policies, p)
 }
 
+// parseSelector parses a selector, and records a problem when the text is invalid.
 func (c *compiler) parseSelector(d Document, path, text string) Selector {
 	s, err := ParseSelector(text)
 	if err != nil {
@@ -84,6 +87,7 @@
 	return selectors
 }
 
+// checkGroup checks a group of a policy and returns its selector.
 func (c *compiler) checkGroup(d Document, path string, g *GroupSpec, spec SharingPolicySpec) Selector {
 	selector := c.parseSelector(d, path+".callers", g.Callers)
 	if strings.TrimSpace(g.Callers) == "" && g.Name != spec.DefaultGroup {
@@ -103,7 +107,7 @@
 	return selector
 }
 
-// checkNumber checks that a value is finite and not negative.
+// checkNumber records a problem when a value is negative or not finite.
 func (c *compiler) checkNumber(d Document, path string, v float64) {
 	if !(v >= 0) || math.IsInf(v, 0) {
 		c.addProblem(d, path, fmt.Sprint(v), "must not be negative")
--- a/core/policy/strict.go
+++ b/core/policy/strict.go
@@ -9,14 +9,16 @@
 	"strings"
 )
 
-// strictChecker compares JSON with the Go type it will be decoded into and
-// reports every unknown field and every value of the wrong type with its path.
+// strictChecker compares JSON with the Go type that it will be decoded into.
 type strictChecker struct {
+	// report is called for every unknown field and every value of the wrong type.
 	report func(path, value, message string)
 }
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
+// check compares the JSON value at path with type t. It does not look into a value
+// that stays raw JSON.
 func (s strictChecker) check(path string, raw json.RawMessage, t reflect.Type) {
 	switch {
 	case t == reflect.TypeFor[json.RawMessage]():
@@ -86,7 +88,7 @@
 	}
 }
 
-// jsonFields returns the types of the fields of a struct by JSON name.
+// jsonFields returns the type of each field of the struct type t by JSON name.
 func jsonFields(t reflect.Type) map[string]reflect.Type {
 	fields := make(map[string]reflect.Type, t.NumField())
 	for field := range t.Fields() {
@@ -120,8 +122,8 @@
 // maxOneLine is the length in bytes at which oneLine truncates a value.
 const maxOneLine = 80
 
-// oneLine returns a JSON value on one line for an error message, truncated when
-// it is long.
+// oneLine returns a JSON value on one line for an error message. A value longer than
+// maxOneLine is truncated.
 func oneLine(raw json.RawMessage) string {
 	var b bytes.Buffer
 	if json.Compact(&b, raw) != nil {
--- a/core/route/document.go
+++ b/core/route/document.go
@@ -34,8 +34,8 @@
 	// MaxAttempts is the largest number of upstreams that one request may be
 	// sent to, at least 1.
 	MaxAttempts int
-	// Rank is the priority rank of the route's requests when they wait for the
-	// same upstream as others; 0 is served first.
+	// Rank is the priority of the route's requests among the requests that wait for
+	// the same upstream. Rank 0 is served first.
 	Rank int
 	// Split is the traffic split. It has at least one element.
 	Split []WeightedService
@@ -67,7 +67,8 @@
 	IdleTimeout   time.Duration
 }
 
-// Error reports that a configuration is invalid and cannot be put in force.
+// Error reports an invalid field of a route in a configuration. The configuration
+// cannot be put in force.
 type Error struct {
 	Version model.Version
 	Route   string
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -72,8 +72,8 @@
 }
 
 // TestSplitSharesAreExact checks the shares of a split after every request, since
-// operators compare them over short periods. Each service must be within one
-// request of its share for two services, and within n-1 requests for n services.
+// operators compare them over short periods. With two services, each must be within
+// one request of its share. With n services, each must be within n-1 requests.
 func TestSplitSharesAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -10,14 +10,17 @@
 
 // Table is a validated configuration, indexed for lookups.
 type Table struct {
-	doc      Document
+	doc Document
+	// hosts holds the routes of each normalized host, longest prefix first.
 	hosts    map[string][]*Route
 	services map[model.ServiceName]*Service
-	// lastRank is the largest rank of any route, the last to be served.
+	// lastRank is the largest rank of any route. Requests of this rank are served
+	// last.
 	lastRank int
 }
 
-// New checks a configuration and returns its Table. The error is an *Error.
+// New checks a configuration and returns its Table. The error for an invalid
+// configuration is an *Error.
 func New(doc Document) (*Table, error) {
 	t := &Table{
 		doc:      doc,
@@ -51,8 +54,8 @@
 // NumRoutes returns the number of routes.
 func (t *Table) NumRoutes() int { return len(t.doc.Routes) }
 
-// AboveLowestPriority reports whether requests of the given rank are served
-// before those of the last rank that any route has.
+// AboveLowestPriority reports whether rank has a higher priority than the largest
+// rank of any route, that is whether rank is the smaller number.
 func (t *Table) AboveLowestPriority(rank int) bool { return rank < t.lastRank }
 
 // Service returns the configuration of a service.
@@ -61,8 +64,9 @@
 	return s, ok
 }
 
-// Lookup returns the route of a request: of the routes for the host, the route
-// with the longest prefix that the path starts with. Paths are case-sensitive.
+// Lookup returns the route of a request. Of the routes for the host, it selects the
+// route with the longest prefix that the path starts with. Paths are case-sensitive.
+// Lookup reports false when no route matches.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
 	for _, r := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
