--- a/entry/answer.go
+++ b/entry/answer.go
@@ -13,8 +13,8 @@
 )
 
 // writeResponse writes the response to the caller. When the upstream's body is
-// truncated it aborts the connection, so that the caller does not mistake the
-// response for a complete one.
+// truncated, writeResponse aborts the connection to the caller. Otherwise the caller
+// could take the truncated response for a complete one.
 func writeResponse(w http.ResponseWriter, response *wire.Result) {
 	defer func() { _ = response.Body.Close() }()
 	if response.Outcome.Kind != outcome.Answered {
@@ -31,9 +31,9 @@
 	}
 }
 
-// stripDaemonHeaders removes the headers that only a daemon may set on responses
-// to callers, and those that are meant for daemons only. An upstream may have
-// copied them from the response to a nested call.
+// stripDaemonHeaders removes headers from an upstream's response: those that only a
+// daemon may set on responses to callers, and those that are meant for daemons only.
+// The upstream may have copied such headers from the response to a nested call.
 func stripDaemonHeaders(h http.Header) {
 	for _, name := range []string{wire.HeaderOutcome, wire.HeaderReason, wire.HeaderCallToken, wire.HeaderRefused} {
 		h.Del(name)
@@ -54,17 +54,18 @@
 
 const (
 	problemTypePrefix = "https://dottereltiller.example/problems/"
-	// defaultRetryAfter is the Retry-After value when a retry may succeed but the
-	// outcome holds no value.
+	// defaultRetryAfter is the Retry-After value of responses with status 429 or 503
+	// whose outcome holds no value.
 	defaultRetryAfter = time.Second
 )
 
-// titles are the problem titles of the outcomes other than Answered.
+// titles holds the problem title of each kind of outcome other than Answered.
 var titles = map[outcome.Kind]string{
 	outcome.NotRun:  "The request did not run",
 	outcome.Unknown: "It is not known whether the request ran",
 }
 
+// writeProblem writes a problem response for an outcome other than Answered.
 func writeProblem(w http.ResponseWriter, o outcome.Outcome) {
 	p := problem{
 		Type:       problemTypePrefix + string(o.Reason),
@@ -86,7 +87,8 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// retryAfterSeconds returns the Retry-After value in whole seconds, 0 for none.
+// retryAfterSeconds returns the Retry-After value in whole seconds, rounded up. It
+// returns 0 when the response gets no such header.
 func retryAfterSeconds(o outcome.Outcome) int {
 	retryAfter := o.RetryAfter
 	if status := statusOf(o); retryAfter <= 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
@@ -95,8 +97,8 @@
 	return int(math.Ceil(retryAfter.Seconds()))
 }
 
-// statusByReason holds the HTTP status of the reasons for which the general
-// status of the outcome is too unspecific.
+// statusByReason holds the HTTP status of the reasons that have a more specific
+// status than 502 or 503; see statusOf.
 var statusByReason = map[outcome.Reason]int{
 	outcome.ReasonNoService:        http.StatusNotFound,
 	outcome.ReasonUnauthenticated:  http.StatusUnauthorized,
@@ -118,8 +120,9 @@
 	outcome.ReasonKeyMismatch:      http.StatusUnprocessableEntity,
 }
 
-// statusOf returns the HTTP status for an outcome other than Answered: that of
-// its reason, or else 503 when the request did not run and 502 when it may have.
+// statusOf returns the HTTP status for an outcome other than Answered. This is the
+// status of its reason in statusByReason. For other reasons it is 503 when the request
+// did not run, and 502 when the request may have run.
 func statusOf(o outcome.Outcome) int {
 	if status, ok := statusByReason[o.Reason]; ok {
 		return status
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -64,8 +64,9 @@
 }
 
 // TestDaemonHeadersFromUpstreamAreStripped has an upstream set headers that only
-// a daemon may set. If they reached the caller, it would take them for statements
-// of the daemon, for example that a request that ran did not run.
+// a daemon may set. If such headers reached the caller, the caller would believe
+// that the daemon had set them. It could conclude that a request that did run had
+// not run.
 func TestDaemonHeadersFromUpstreamAreStripped(t *testing.T) {
 	response := wire.NoResponse(outcome.Done())
 	response.Status = http.StatusServiceUnavailable
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -12,9 +12,9 @@
 
 // attempt sends the request to an upstream that is not in tried and returns the
 // response and the upstream. A guard may reject a request that does not start
-// within its queue timeout. Such a request did not run, so attempt sends it to
-// the next upstream that the router chooses. attempt reports false when no
-// upstream may take the request.
+// within its queue timeout. A rejected request did not run, so attempt sends it to
+// the next upstream that the router chooses. attempt reports false when the router
+// finds no upstream for the request. number is the number of the attempt, from 0.
 func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, number int) (*wire.Result, model.UpstreamID, bool) {
 	for rejections := req.initialRejections(); ; rejections++ {
 		choice, ok := e.opts.Routers.Place(req.modelRequest(number), tried, rejections)
@@ -29,10 +29,9 @@
 	}
 }
 
-// initialRejections returns the number of rejections that the router is to assume
-// for the first choice. A body that cannot be replayed can be sent only once. Its
-// request starts with the maximum, so that it waits at the first guard instead of
-// being rejected.
+// initialRejections returns the number of rejections at which an attempt starts to
+// count. For a body that cannot be replayed, this is the maximum: such a request can
+// be sent only once. It must wait at the first guard instead of being rejected.
 func (r *request) initialRejections() int {
 	if r.body.replayable() {
 		return 0
@@ -41,7 +40,8 @@
 }
 
 // sendOnce sends the request to the chosen upstream and reports the result to
-// the router.
+// the router. hedge says whether the request is sent as a hedge, that is as a second
+// copy of a request whose response is late.
 func (e *Entry) sendOnce(ctx context.Context, req *request, choice routing.Choice, attempt int, hedge bool) *wire.Result {
 	upstream := choice.Upstream
 	call := req.call(upstream, attempt)
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -22,7 +22,7 @@
 func (v staticView) Generation() uint64                                     { return 1 }
 
 // rejectingGuard rejects every call that has a queue timeout, and answers all
-// others.
+// other calls. It records all calls.
 type rejectingGuard struct{ calls []*wire.Call }
 
 func (g *rejectingGuard) Do(_ context.Context, c *wire.Call) *wire.Result {
--- a/entry/body.go
+++ b/entry/body.go
@@ -10,16 +10,18 @@
 )
 
 // body is a request body. A small body is buffered, so that it can be replayed
-// for a retry. A larger one is streamed and can be sent only once.
+// for a retry. A larger body is streamed and can be sent only once.
 type body struct {
-	data   []byte
+	// data is the content of a buffered body.
+	data []byte
+	// stream is the reader of a streamed body. It is nil for a buffered body.
 	stream io.Reader
 	// length is the length of the body, -1 when unknown.
 	length int64
 }
 
-// readBody reads a body whose Content-Length is length, -1 when unknown. It
-// returns the reason when the request must be refused.
+// readBody reads a body whose Content-Length is length, -1 when unknown. It returns
+// ReasonNone, or the reason for which the request must be refused.
 func readBody(r io.Reader, length int64) (*body, outcome.Reason) {
 	if length == 0 {
 		return &body{}, outcome.ReasonNone
@@ -44,8 +46,8 @@
 	return outcome.ReasonBadRequest
 }
 
-// reader returns a reader of the body for one attempt, and its length. The reader
-// is nil when there is no body.
+// reader returns a reader of the body for one attempt, and the length of the body. The
+// reader is nil when there is no body.
 func (b *body) reader() (io.Reader, int64) {
 	switch {
 	case b.stream != nil:
--- a/entry/classify.go
+++ b/entry/classify.go
@@ -10,8 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// classify determines the service, caller, group and deadline of a request. It
-// returns an outcome when the request must be refused.
+// classify determines the service, caller, group and deadline of a request, and reads
+// its body. When the request must be refused, classify returns only an outcome.
 func (e *Entry) classify(w http.ResponseWriter, r *http.Request) (*request, *outcome.Outcome) {
 	inForce := e.opts.Config()
 	if inForce == nil {
@@ -59,8 +59,9 @@
 	return &o
 }
 
-// serviceOf returns the service that the service header names, or else the
-// service of the request's host.
+// serviceOf returns the service that the request's service header names. Without this
+// header, it returns the service of the request's host. It reports false when there
+// is no such service.
 func serviceOf(set *policy.Set, r *http.Request) (*policy.Service, bool) {
 	name := model.ServiceName(r.Header.Get(wire.HeaderService))
 	if name == "" {
@@ -72,8 +73,8 @@
 	return set.Service(name)
 }
 
-// timeoutOf returns the timeout of a request: the value of its timeout header, at
-// most limit, or limit when there is no such header. It reports false when the
+// timeoutOf returns the timeout of a request. This is the value of its timeout header,
+// but at most limit. Without this header it is limit. timeoutOf reports false when the
 // header is invalid.
 func timeoutOf(r *http.Request, limit time.Duration) (time.Duration, bool) {
 	s := r.Header.Get(wire.HeaderTimeout)
@@ -87,8 +88,9 @@
 	return min(d, limit), true
 }
 
-// idempotentOf reports whether a request may run more than once, as its header
-// says or else the configuration of the service.
+// idempotentOf reports whether a request may run more than once. The request's
+// idempotent header decides. Without a valid value there, the configuration of the
+// service decides.
 func idempotentOf(r *http.Request, svc *policy.Service) bool {
 	switch r.Header.Get(wire.HeaderIdempotent) {
 	case "true":
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -16,8 +16,10 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Forwarder forwards a call to the guard of its upstream.
+// Forwarder forwards calls to a guard.
 type Forwarder interface {
+	// Do forwards a call and returns the response. The caller must close the
+	// response's body.
 	Do(ctx context.Context, c *wire.Call) *wire.Result
 }
 
@@ -30,9 +32,9 @@
 	Config func() *configuration.InForce
 	// Routers chooses upstreams.
 	Routers *Routers
-	// Local forwards to the guard of this daemon. Remote returns the Forwarder
-	// to the guard of another daemon.
-	Local  Forwarder
+	// Local forwards calls to the guard of this daemon.
+	Local Forwarder
+	// Remote returns the Forwarder to the guard of another daemon.
 	Remote func(model.DaemonID) Forwarder
 	// Self is the ID of this daemon.
 	Self model.DaemonID
@@ -43,13 +45,14 @@
 	// Quarantine keeps track of the requests that crash upstreams. Nil means that
 	// no request is quarantined.
 	Quarantine Quarantine
-	// Tokens verifies the call tokens of nested calls, that is of requests that an
-	// upstream makes while it serves a request. Nil means that they are refused.
+	// Tokens verifies the call tokens of nested calls. A nested call is a request
+	// that an upstream makes while it serves another request. Nil means that nested
+	// calls are refused.
 	Tokens *calltoken.Signer
 	// Scope receives the metrics. Nil means that none are recorded.
 	Scope tally.Scope
 	// Keyed forwards non-idempotent requests with an idempotency key. Nil means
-	// that they are refused.
+	// that such requests are refused.
 	Keyed KeyedForwarder
 	// MaxKeyedBody bounds the bodies of requests that are passed to Keyed, in
 	// bytes. These bodies are buffered. Default: 256 KiB.
@@ -59,9 +62,9 @@
 // Ceilings enforces the ceilings of groups: limits on the rate and concurrency of
 // a group's requests over all daemons.
 type Ceilings interface {
-	// TryAcquire reports whether a request of the group may proceed. If so, release
-	// must be called once the request has ended. If not, wait is the time after
-	// which the caller may try again.
+	// TryAcquire reports in ok whether a request of the group may proceed. If ok is
+	// true, release must be called once the request has ended. If ok is false, wait
+	// is the time after which the caller may try again.
 	TryAcquire(model.ServiceName, model.GroupName) (release func(), wait time.Duration, ok bool)
 }
 
@@ -105,7 +108,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), req.timeout)
 	defer cancel()
-	// The outcome stays unknown until the complete response has been written.
+	// The recorded outcome is unknown unless the complete response is written.
 	o := outcome.UnknownBecause(outcome.ReasonTruncated)
 	startedAt := e.opts.Now()
 	defer func() { e.metrics.recordRequest(req, o, e.opts.Now().Sub(startedAt)) }()
@@ -144,7 +147,7 @@
 	timeout    time.Duration
 	deadline   model.Instant
 	body       *body
-	// depth is the nesting depth: the number of calls that led to this one.
+	// depth is the nesting depth: the number of calls that led to this request.
 	depth int
 	// releaseCeiling releases what Ceilings.TryAcquire acquired. It is nil when no
 	// ceilings are enforced.
@@ -155,8 +158,8 @@
 	crashes int
 }
 
-// forward sends the request to upstreams until one answers or no further retry
-// is allowed.
+// forward sends the request to one upstream after another until the request is
+// answered or no further retry is allowed. It returns the last response.
 func (e *Entry) forward(ctx context.Context, req *request) *wire.Result {
 	var tried []model.UpstreamID
 	last := wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoUpstream))
@@ -179,7 +182,7 @@
 	}
 }
 
-// forwarder returns the Forwarder to the guard of an upstream.
+// forwarder returns the Forwarder for the guard of an upstream.
 func (e *Entry) forwarder(upstream model.Upstream) Forwarder {
 	if upstream.Daemon == e.opts.Self {
 		return e.opts.Local
@@ -187,6 +190,8 @@
 	return e.opts.Remote(upstream.Daemon)
 }
 
+// modelRequest returns the request as the router needs it. attempt is the number of
+// the attempt, from 0.
 func (r *request) modelRequest(attempt int) model.Request {
 	return model.Request{
 		Service:    r.service.Name,
@@ -198,7 +203,8 @@
 	}
 }
 
-// call returns the call that forwards the request to an upstream.
+// call returns the call that forwards the request to an upstream. attempt is the
+// number of the attempt, from 0.
 func (r *request) call(upstream model.Upstream, attempt int) *wire.Call {
 	h := r.http.Header.Clone()
 	wire.StripInternalHeaders(h)
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -11,10 +11,11 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// sendWithHedge sends the request to the chosen upstream. When the router gives a hedge
-// delay, and there is no response within it, the request is also sent to a second
-// upstream. The first successful response is returned and the other attempt is
-// cancelled. The router gives a delay only for idempotent requests.
+// sendWithHedge sends the request to the chosen upstream. The router gives a hedge
+// delay for some idempotent requests. If there is no response within this delay,
+// sendWithHedge also sends the request to a second upstream; this second attempt is
+// the hedge. sendWithHedge returns the first successful response and cancels the
+// other attempt.
 func (e *Entry) sendWithHedge(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Result {
 	delay, ok := e.opts.Routers.HedgeDelay(req.modelRequest(attempt))
 	if !ok || !req.body.replayable() {
@@ -55,10 +56,10 @@
 	return firstResponse.CancelOnClose(cancelFirst)
 }
 
-// sendHedge sends the request to a second upstream. It returns nil when the router
-// does not allow a hedge, for example because the hedge budget is exhausted (see
-// routing.Router.Hedge), or when ctx has been cancelled because the first attempt
-// has ended.
+// sendHedge sends the request to a second upstream. It returns nil when the first
+// attempt has ended and ctx has been cancelled for this reason. It also returns nil
+// when the router does not allow a hedge, for example because the hedge budget is
+// exhausted; see routing.Router.Hedge.
 func (e *Entry) sendHedge(ctx context.Context, req *request, first routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Result {
 	if ctx.Err() != nil {
 		return nil
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -46,8 +46,8 @@
 	return response
 }
 
-// newWarmEntry returns an entry whose router has learned the usual latency of
-// both upstreams, and a request to send.
+// newWarmEntry returns an entry with two upstreams and a request to send. The entry's
+// router has already learned the usual latency of both upstreams.
 func newWarmEntry(f *forwarderWithStuckUpstream, idempotent bool) (*Entry, *request) {
 	origin := time.Now()
 	now := func() model.Instant { return model.Instant(time.Since(origin)) }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -15,16 +15,18 @@
 
 // KeyedForwarder forwards non-idempotent calls that have an idempotency key to
 // the daemon that owns the key. The body is passed separately from the call, since
-// it may have to be sent more than once.
+// the body may have to be sent more than once.
 type KeyedForwarder interface {
+	// Submit forwards a call and returns the response. The caller must close the
+	// response's body.
 	Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result
 }
 
 const defaultMaxKeyedBody = 256 << 10
 
 // handle forwards a request and returns the response. A non-idempotent request
-// with an idempotency key goes to the owner of the key, any other request to an
-// upstream.
+// with an idempotency key is forwarded to the daemon that owns the key. Any other
+// request is forwarded to an upstream.
 func (e *Entry) handle(ctx context.Context, req *request) *wire.Result {
 	if req.idempotent || len(req.http.Header[wire.HeaderIdempotencyKey]) == 0 {
 		return e.forward(ctx, req)
@@ -33,7 +35,7 @@
 }
 
 // handleKeyed checks the idempotency key of a request and forwards the request to
-// the owner of the key.
+// the daemon that owns the key.
 func (e *Entry) handleKeyed(ctx context.Context, req *request) *wire.Result {
 	if e.opts.Keyed == nil {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNotReady))
@@ -54,8 +56,8 @@
 	return e.opts.Keyed.Submit(ctx, c, body)
 }
 
-// readAll returns the complete body. It returns a reason to refuse the request
-// when the body is longer than limit bytes or cannot be read.
+// readAll returns the complete body and ReasonNone. When the body is longer than limit
+// bytes or cannot be read, readAll returns the reason to refuse the request.
 func (b *body) readAll(limit int64) ([]byte, outcome.Reason) {
 	if b.length > limit {
 		return nil, outcome.ReasonTooLarge
@@ -83,8 +85,9 @@
 	return &body{data: data, length: int64(len(data))}, err
 }
 
-// ForwardKeyed forwards a call to an upstream as if its caller had sent it to this
-// entry. This daemon must own the idempotency key of the call and have claimed it.
+// ForwardKeyed forwards a call with an idempotency key to an upstream, in the same way
+// as a request that the caller has sent to this entry. This daemon must own the key,
+// and must have claimed the key for the call; see package claims.
 func (e *Entry) ForwardKeyed(ctx context.Context, c *wire.Call) *wire.Result {
 	inForce := e.opts.Config()
 	if inForce == nil {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -12,9 +12,12 @@
 
 // metrics counts the outcomes of requests and attempts and records latencies.
 type metrics struct {
-	refused  *telemetry.OutcomeCounter
+	// refused counts the requests that classify refused or that ask for an upgrade.
+	refused *telemetry.OutcomeCounter
+	// attempts counts the outcomes of attempts, including hedges.
 	attempts *telemetry.OutcomeCounter
-	groups   *telemetry.BoundedMetrics[groupKey, *groupMetrics]
+	// groups holds the metrics of classified requests.
+	groups *telemetry.BoundedMetrics[groupKey, *groupMetrics]
 }
 
 type groupKey struct {
@@ -29,7 +32,7 @@
 }
 
 // maxGroupMetrics is the largest number of groups that have metrics of their own
-// during the lifetime of the process. Further groups are counted together.
+// during the lifetime of the process. Further groups are counted together as "other".
 const maxGroupMetrics = 4096
 
 func newMetrics(scope tally.Scope) *metrics {
--- a/entry/nested.go
+++ b/entry/nested.go
@@ -14,17 +14,19 @@
 // requester identifies the caller on whose behalf a request is made.
 type requester struct {
 	caller policy.Caller
-	// depth is the nesting depth: the number of calls that led to this one.
+	// depth is the nesting depth: the number of calls that led to this request.
 	depth int
-	// nested is set when the request has a call token. remaining is then the time
-	// left to the deadline in the token.
-	nested    bool
+	// nested is set when the request has a call token.
+	nested bool
+	// remaining is the time left until the deadline in the call token. It is valid
+	// only when nested is set.
 	remaining time.Duration
 }
 
-// requesterOf identifies the caller on whose behalf a request is made: the caller
-// named in its call token, if it has one, or else the caller that its credentials
-// identify. It returns a reason when the request must be refused.
+// requesterOf identifies the caller on whose behalf a request is made. If the request
+// has a call token, this is the caller named in the token. Otherwise it is the caller
+// that the request's credentials identify. requesterOf returns ReasonNone, or the
+// reason for which the request must be refused.
 func (e *Entry) requesterOf(set *policy.Set, r *http.Request) (requester, outcome.Reason) {
 	tokens := r.Header[wire.HeaderCallToken]
 	if len(tokens) == 0 {
@@ -52,8 +54,8 @@
 	return result, outcome.ReasonNone
 }
 
-// capTimeout caps the timeout of a nested call by the time that the outer request
-// has left.
+// capTimeout returns the timeout of the request. The timeout of a nested call is
+// capped by the time that the outer request has left.
 func (r requester) capTimeout(requested time.Duration) time.Duration {
 	if r.nested {
 		return min(requested, r.remaining)
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -32,13 +32,16 @@
 	path        string
 	lastService func(*wire.Call) *wire.Result
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// timeouts holds the timeouts of all calls to upstreams.
 	timeouts []time.Duration
-	groups   []model.GroupName
+	// groups holds the groups of all calls to upstreams.
+	groups []model.GroupName
+	// attempts is the number of calls to the last service.
 	attempts atomic.Int64
 }
 
-// chainDeadline is the deadline of every service of a serviceChain.
+// chainDeadline is the deadline setting of every service of a serviceChain.
 const chainDeadline = 5 * time.Second
 
 func newServiceChain(t *testing.T, length int, lastService func(*wire.Call) *wire.Result) *serviceChain {
@@ -72,9 +75,9 @@
 	return c
 }
 
-// Do simulates the guard and the upstream. It calls the next service with the
-// token that a guard would have issued, and returns the response, even a failure,
-// as the upstream's own.
+// Do simulates the guard and the upstream. The upstream calls the next service with
+// the call token that a guard would have issued. It then returns the status and the
+// headers of the response as its own, even if the nested call failed.
 func (c *serviceChain) Do(_ context.Context, call *wire.Call) *wire.Result {
 	c.mu.Lock()
 	c.timeouts = append(c.timeouts, call.Timeout)
@@ -97,6 +100,7 @@
 	return response
 }
 
+// send sends a request to the service at index and returns the response.
 func (c *serviceChain) send(index int, headers map[string]string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodGet, c.path, nil)
 	r.Header.Set(wire.HeaderService, fmt.Sprint("s", index))
@@ -115,7 +119,7 @@
 	return response
 }
 
-// benchToken returns the header of a nested call on behalf of the caller "bench".
+// benchToken returns the headers of a nested call on behalf of the caller "bench".
 func (c *serviceChain) benchToken(depth int, remaining time.Duration) map[string]string {
 	return map[string]string{wire.HeaderCallToken: c.tokens.Sign(calltoken.Token{
 		Caller: "bench", Group: "sorters", Depth: depth, Deadline: time.Now().Add(remaining), TimeLeft: remaining,
@@ -191,9 +195,9 @@
 	require.LessOrEqual(t, c.timeouts[0], chainDeadline)
 }
 
-// TestForgedGroupHeadersAreIgnored sends the headers that daemons use among each
-// other to name a call's group. A caller must not be able to choose its group with
-// them.
+// TestForgedGroupHeadersAreIgnored has a caller send the headers with which daemons
+// tell each other the group of a call. The caller must not be able to choose its
+// group with these headers.
 func TestForgedGroupHeadersAreIgnored(t *testing.T) {
 	c := newServiceChain(t, 1, respondOK)
 	forged := map[string]string{wire.HeaderGroup: "sorters", "Dottereltiller-Hop-Group": "sorters", "Dottereltiller-Hop-Caller": "bench"}
@@ -205,9 +209,9 @@
 	}
 }
 
-// TestNestedNotRunOutcomeIsNotPassedToOuterCaller has an upstream copy the refusal
-// of a nested call, with all its headers, into its own response. The outer request
-// did run, so its outcome must not be "not run".
+// TestNestedNotRunOutcomeIsNotPassedToOuterCaller has a nested call refused. The
+// upstream copies the refusal, with all its headers, into its own response. The outer
+// request did run, so the outcome of the outer request must not be "not run".
 func TestNestedNotRunOutcomeIsNotPassedToOuterCaller(t *testing.T) {
 	c := newServiceChain(t, 2, func(*wire.Call) *wire.Result {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonQuarantined))
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -10,18 +10,18 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// Quarantine keeps track of requests that crash upstreams and says which are
-// refused.
+// Quarantine keeps track of requests that crash upstreams and says which requests
+// are quarantined, that is refused for some time.
 type Quarantine interface {
 	// HasRecords reports whether any request is suspected of crashing upstreams or
-	// is quarantined. If not, no other method needs to be called.
+	// is quarantined. If not, RefusedFor and RecordResponse need not be called.
 	HasRecords() bool
 	// RefusedFor reports whether a request is quarantined, and for how much longer.
 	RefusedFor(quarantine.Fingerprint) (time.Duration, bool)
 	// RecordCrash records that an upstream crashed while it ran a request.
 	RecordCrash(quarantine.Fingerprint, quarantine.Request, quarantine.Crash)
-	// RecordResponse records that a request was answered completely, so that it is
-	// no longer suspected.
+	// RecordResponse records that a request was answered completely. The request is
+	// then no longer suspected.
 	RecordResponse(quarantine.Fingerprint)
 }
 
@@ -43,13 +43,14 @@
 	}
 }
 
+// fingerprint returns the fingerprint by which the quarantine identifies the request.
 func (r *request) fingerprint() quarantine.Fingerprint {
 	r.cachedFingerprint.once.Do(func() { r.cachedFingerprint.value = quarantine.FingerprintOf(r.fingerprintInput()) })
 	return r.cachedFingerprint.value
 }
 
-// quarantined reports whether the request is refused because it crashes
-// upstreams, and returns the outcome in that case.
+// quarantined reports whether the request is refused because it is quarantined. If
+// so, it returns the outcome of the request.
 func (e *Entry) quarantined(req *request) (outcome.Outcome, bool) {
 	if e.opts.Quarantine == nil || !e.opts.Quarantine.HasRecords() {
 		return outcome.Outcome{}, false
@@ -60,8 +61,8 @@
 	return o, refused
 }
 
-// recordCrash reports to the quarantine that the upstream crashed while it ran
-// the request, if the response says so.
+// recordCrash checks whether the response says that the upstream crashed while it ran
+// the request. If so, recordCrash reports the crash to the quarantine.
 func (e *Entry) recordCrash(req *request, upstream model.Upstream, response *wire.Result) {
 	if e.opts.Quarantine != nil && response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
 		crash := quarantine.Crash{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
@@ -69,8 +70,9 @@
 	}
 }
 
-// clearCrashes reports to the quarantine that the request was answered
-// completely, so that crashes recorded for it are forgotten.
+// clearCrashes reports to the quarantine that the request was answered completely.
+// The quarantine then forgets the crashes recorded for the request. clearCrashes does
+// nothing for any outcome other than Answered.
 func (e *Entry) clearCrashes(req *request, o outcome.Outcome) {
 	if e.opts.Quarantine != nil && o.Kind == outcome.Answered && e.opts.Quarantine.HasRecords() {
 		e.opts.Quarantine.RecordResponse(req.fingerprint())
--- a/entry/remote.go
+++ b/entry/remote.go
@@ -15,12 +15,12 @@
 	Client *hop.Client
 	// Secret authenticates this daemon to the others.
 	Secret string
-	// OnUnreachable is called with the ID of a daemon when a call to it failed
-	// before the call's context ended. It may be nil.
+	// OnUnreachable is called with the ID of a daemon when a call to this daemon
+	// failed before the call's context ended. It may be nil.
 	OnUnreachable func(model.DaemonID)
 }
 
-// To returns the Forwarder to the guard of a daemon.
+// To returns the Forwarder for the guard of a daemon.
 func (r *Remote) To(d model.DaemonID) Forwarder { return remoteGuard{remote: r, daemon: d} }
 
 type remoteGuard struct {
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -20,11 +20,13 @@
 // retryBudgets holds the retry budget of each service. It is safe for concurrent
 // use.
 type retryBudgets struct {
-	now       func() model.Instant
+	now func() model.Instant
+	// decisions counts the decisions on retries.
 	decisions map[retry.Decision]tally.Counter
 
 	mu sync.Mutex
-	// budgets is bounded, since it holds only services of the configuration.
+	// budgets holds the retry budget of each service that has received requests.
+	// Its size is bounded, since it holds only services of the configuration.
 	budgets map[model.ServiceName]*retry.Budget
 }
 
@@ -41,7 +43,7 @@
 	return r
 }
 
-// countRequest counts a request to a service, which adds to its retry budget.
+// countRequest counts a request to a service. This adds to the service's retry budget.
 func (r *retryBudgets) countRequest(s *policy.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,8 +56,8 @@
 	b.CountRequest()
 }
 
-// countAttempt counts an attempt and whether it failed. countRequest must have
-// been called for the service.
+// countAttempt counts an attempt as failed or not failed. countRequest must have been
+// called for the service before.
 func (r *retryBudgets) countAttempt(s *policy.Service, response *wire.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,9 +65,9 @@
 	r.budgets[s.Name].CountAttempt(r.now(), failed)
 }
 
-// backoff returns how long to wait before a retry, and whether a retry is
-// allowed. A retry after an attempt that put no load on any upstream needs no
-// budget.
+// backoff returns how long to wait before a retry, and whether the retry is allowed.
+// o is the outcome of the attempt before the retry. If this attempt put no load on any
+// upstream, the retry needs no budget and is allowed until the deadline.
 func (r *retryBudgets) backoff(req *request, retryNumber int, o outcome.Outcome) (time.Duration, bool) {
 	if o.FreeToRetry() {
 		return 0, req.deadline > r.now()
@@ -81,8 +83,8 @@
 	return wait, decision == retry.Allowed
 }
 
-// waitForRetry reports whether to retry the request after an attempt. If so, it
-// returns after the backoff.
+// waitForRetry reports whether the request should be retried after an attempt with the
+// given response. If so, it returns only after the backoff.
 func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Result, attempt int) bool {
 	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.RetryElsewhere() {
 		return false
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -10,19 +10,22 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// View is the part of the membership view that Routers needs: the upstreams of a
-// service, and a generation that changes whenever any upstream does.
+// View is the part of the membership view that Routers needs.
 type View interface {
+	// Upstreams returns the upstreams of a service and the current generation.
 	Upstreams(model.ServiceName) ([]model.Upstream, uint64)
+	// Generation returns a number that changes whenever any upstream changes.
 	Generation() uint64
 }
 
 // Routers holds a routing.Router for each service that the entry has received
 // requests for. It is safe for concurrent use.
 type Routers struct {
-	view     View
-	now      func() model.Instant
-	opts     routing.Options
+	view View
+	now  func() model.Instant
+	opts routing.Options
+	// policyOf returns the name of a service's routing policy; see
+	// SetPolicySource.
 	policyOf func(model.ServiceName) string
 	scope    tally.Scope
 
@@ -34,10 +37,12 @@
 type serviceRouter struct {
 	mu     sync.Mutex
 	router *routing.Router
+	// policy is the name of the routing policy. It is empty for the default policy.
 	policy string
 	// generation is the generation of the view that the router's upstreams come
 	// from. It is valid when upstreamsLoaded is set.
-	generation      uint64
+	generation uint64
+	// upstreamsLoaded reports whether the router has been given its upstreams.
 	upstreamsLoaded bool
 	counters        *routingCounters
 }
@@ -56,16 +61,17 @@
 }
 
 // SetPolicySource sets the function that returns the name of a service's routing
-// policy; an empty name means the default. It must be called before the first
-// request.
+// policy. An empty name means the default policy. SetPolicySource must be called
+// before the first request.
 func (r *Routers) SetPolicySource(policyOf func(model.ServiceName) string) { r.policyOf = policyOf }
 
 // SetMetricsScope sets the scope of the routing metrics. It must be called before
 // the first request.
 func (r *Routers) SetMetricsScope(scope tally.Scope) { r.scope = scope }
 
-// Place chooses the upstream for a request that guards have rejected the given
-// number of times. See routing.Router.Place.
+// Place chooses the upstream for a request. The upstreams in exclude are not chosen.
+// rejections is how many times guards have rejected the request so far. See
+// routing.Router.Place.
 func (r *Routers) Place(req model.Request, exclude []model.UpstreamID, rejections int) (routing.Choice, bool) {
 	s := r.service(req.Service)
 	s.mu.Lock()
@@ -74,8 +80,9 @@
 	return s.router.Place(r.now(), req, exclude, rejections)
 }
 
-// HedgeDelay returns how long to wait for a response before the request is
-// hedged, and whether it may be hedged. See routing.Router.HedgeDelay.
+// HedgeDelay returns how long to wait for a response before the request is hedged,
+// that is sent to a second upstream too. It reports false when the request may not be
+// hedged. See routing.Router.HedgeDelay.
 func (r *Routers) HedgeDelay(req model.Request) (time.Duration, bool) {
 	s := r.service(req.Service)
 	s.mu.Lock()
@@ -101,6 +108,7 @@
 	s.counters.update(s.router.Stats())
 }
 
+// service returns the router of a service, and creates it if there is none.
 func (r *Routers) service(name model.ServiceName) *serviceRouter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,8 +136,8 @@
 	s.upstreamsLoaded = true
 }
 
-// rebuild replaces the router by one with the named policy. An unknown name, which
-// configuration checks rule out, means the default policy.
+// rebuild replaces the router by a new router with the named policy. An unknown name
+// means the default policy, but the checks of the configuration exclude this case.
 func (s *serviceRouter) rebuild(r *Routers, name string) {
 	opts := r.opts
 	if name != "" {
--- a/entry/routing_counters.go
+++ b/entry/routing_counters.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// update adds to the counters what has changed since the last update.
+// update adds the increase of each statistic since the last update to its counter.
 func (c *routingCounters) update(stats routing.Stats) {
 	last := c.exported
 	c.exported = stats
--- a/entry/upgrade.go
+++ b/entry/upgrade.go
@@ -6,9 +6,9 @@
 )
 
 // requestsUpgrade reports whether a request asks to switch to a protocol other
-// than HTTP. Such requests are refused: after a switch there are no HTTP responses
-// that could be matched to calls. An offer of HTTP/2 (h2c) is ignored, as RFC 9110
-// allows.
+// than HTTP. Such requests are refused, since after a switch there are no HTTP
+// responses that could be matched to calls. An offer to switch to HTTP/2 (h2c) is
+// ignored, as RFC 9110 allows.
 func requestsUpgrade(r *http.Request) bool {
 	for _, line := range r.Header["Upgrade"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/guard/body.go
+++ b/guard/body.go
@@ -10,10 +10,12 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// slotReleasingBody is a response body that releases the upstream's slot once it
-// has been read completely, has been closed, or the call's context has ended.
+// slotReleasingBody is a response body that releases the upstream's slot. It does so
+// once the body has been read completely or closed, or the call's context has ended.
 type slotReleasingBody struct {
-	body        io.ReadCloser
+	body io.ReadCloser
+	// releaseSlot releases the slot. o is the outcome of the call, and failed says
+	// whether the attempt failed.
 	releaseSlot func(o outcome.Outcome, failed bool)
 	// failed is set when the upstream answered with a server error.
 	failed bool
@@ -23,9 +25,9 @@
 	stopWatching func() bool
 }
 
-// releaseWhenDone releases the slot when the call's context ends, so that a caller
-// that does not read the body cannot hold the slot. The end of the context also
-// cancels the request to the upstream.
+// releaseWhenDone makes the slot be released when ctx, the call's context, ends.
+// Otherwise a caller that does not read the body could hold the slot for ever. The end
+// of the context also cancels the request to the upstream.
 func (b *slotReleasingBody) releaseWhenDone(ctx context.Context) {
 	b.stopWatching = context.AfterFunc(ctx, func() { b.releaseOnce(outcome.UnknownBecause(outcome.ReasonCancelled)) })
 }
@@ -42,30 +44,33 @@
 	return n, err
 }
 
-// Close implements io.Closer. It discards the rest of the body and releases the
-// slot.
+// Close implements io.Closer. It closes the body without reading the rest, and
+// releases the slot.
 func (b *slotReleasingBody) Close() error {
 	err := b.body.Close()
 	b.finish(outcome.UnknownBecause(outcome.ReasonCancelled))
 	return err
 }
 
+// finish releases the slot and stops watching the call's context.
 func (b *slotReleasingBody) finish(o outcome.Outcome) {
 	b.stopWatching()
 	b.releaseOnce(o)
 }
 
+// releaseOnce releases the slot unless it has been released already.
 func (b *slotReleasingBody) releaseOnce(o outcome.Outcome) {
 	b.once.Do(func() { b.releaseSlot(o, b.failed || o.Kind != outcome.Answered) })
 }
 
 // maxBufferedResponse is the largest response body, in bytes, that is read
-// completely before the response is returned. Its slot is released without waiting
-// for the caller to read the body.
+// completely before the response is returned. The slot of such a response is released
+// without waiting for the caller to read the body.
 const maxBufferedResponse = 64 << 10
 
-// bufferSmallResponse reads the body of a response into memory when its length is
-// known and at most maxBufferedResponse.
+// bufferSmallResponse reads the body of a response into memory when the length of the
+// body is known and at most maxBufferedResponse. It returns the response with the
+// buffered body. Other responses are returned unchanged.
 func bufferSmallResponse(response *wire.Result) *wire.Result {
 	if response.ContentLength < 0 || response.ContentLength > maxBufferedResponse {
 		return response
--- a/guard/crash.go
+++ b/guard/crash.go
@@ -13,9 +13,10 @@
 // is still listening.
 const crashCheckTimeout = 250 * time.Millisecond
 
-// detectCrash checks, when the connection of a call was lost, whether the upstream
-// has crashed: then nothing listens at its address any more. It returns the outcome
-// with the reason changed accordingly. The outcome stays unknown in either case.
+// detectCrash checks whether the upstream has crashed when the connection of a call
+// was lost. After a crash, nothing listens at the upstream's address any more. If so,
+// detectCrash returns the outcome with the reason ReasonUpstreamCrashed. Otherwise it
+// returns the outcome unchanged. The kind of the outcome stays unknown in both cases.
 func (u *upstreamProxy) detectCrash(o outcome.Outcome) outcome.Outcome {
 	if o.Kind != outcome.Unknown || o.Reason != outcome.ReasonConnectionLost {
 		return o
--- a/guard/crash_test.go
+++ b/guard/crash_test.go
@@ -18,8 +18,8 @@
 )
 
 // TestLostConnectionDistinguishesCrashFromReset has an upstream read a request and
-// close the connection. In one case the upstream also stops listening, as after a
-// crash.
+// close the connection. In one case the upstream also stops listening, as it would
+// after a crash. Only this case must be reported as a crash.
 func TestLostConnectionDistinguishesCrashFromReset(t *testing.T) {
 	tests := []struct {
 		name           string
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -25,12 +25,13 @@
 	Groups func(model.ServiceName) []admission.Group
 	// Hop configures the connections to upstreams.
 	Hop hop.Options
-	// MeasuringBudget returns the share of each upstream's slot time that polling
-	// load reports may take at a service. Nil means DefaultMeasuringBudget for all
-	// services.
+	// MeasuringBudget returns, for a service, the share of each upstream's slot time
+	// that may be spent on polling the upstream's load report. Nil means
+	// DefaultMeasuringBudget for all services.
 	MeasuringBudget func(model.ServiceName) float64
-	// Tokens signs the call tokens that upstreams pass on in nested calls, the
-	// requests that they make while they serve a call. Nil means no tokens.
+	// Tokens signs the call tokens that upstreams pass on in nested calls. A nested
+	// call is a request that an upstream makes while it serves a call. Nil means no
+	// tokens.
 	Tokens *calltoken.Signer
 	// Scope receives the metrics. Nil means that none are recorded.
 	Scope tally.Scope
@@ -42,7 +43,8 @@
 	opts   Options
 	client *hop.Client
 	poller *poller
-	calls  *telemetry.OutcomeCounter
+	// calls counts the outcomes of calls.
+	calls *telemetry.OutcomeCounter
 
 	mu        sync.RWMutex
 	upstreams map[model.UpstreamID]*upstreamProxy
@@ -65,8 +67,9 @@
 	}
 }
 
-// Attach adds an upstream or replaces its previous incarnation, which is drained.
-// It does nothing when the same incarnation is attached already.
+// Attach adds an upstream. If an earlier incarnation of the upstream is attached,
+// Attach replaces and drains it. It does nothing when the same incarnation is attached
+// already.
 func (g *Guard) Attach(upstream membership.LocalUpstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,7 +118,7 @@
 	return loads
 }
 
-// Do admits a call, sends it to the upstream at most once and returns the
+// Do admits a call, sends the call to its upstream at most once, and returns the
 // response. The caller must close the response's body.
 func (g *Guard) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	u := g.upstream(c.Upstream)
@@ -136,8 +139,8 @@
 	return g.upstreams[id]
 }
 
-// Expire refuses waiting calls whose deadline has passed. A waiting call also ends
-// with its own context; Expire removes it from the queue earlier.
+// Expire refuses waiting calls whose deadline has passed. Without Expire, such a call
+// would leave the queue later, when its own context ends.
 func (g *Guard) Expire() {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -148,9 +151,11 @@
 
 const (
 	// expireInterval is the time between two runs of Serve's loop while calls
-	// wait. When no calls wait the interval is idleExpireInterval, which is often
-	// enough to poll load reports: each wake-up costs CPU time on an idle VM.
-	expireInterval     = 5 * time.Millisecond
+	// wait.
+	expireInterval = 5 * time.Millisecond
+	// idleExpireInterval is the time between two runs of Serve's loop while no
+	// calls wait. It is short enough for polling load reports. A shorter interval
+	// would waste CPU time on an idle VM, since each wake-up costs CPU time.
 	idleExpireInterval = 50 * time.Millisecond
 )
 
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -16,29 +16,32 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// DefaultMeasuringBudget is the share of slot time that polling load reports may
-// take at a service whose configuration sets no budget.
+// DefaultMeasuringBudget is the share of each upstream's slot time that may be spent
+// on polling load reports, at a service whose configuration sets no share.
 const DefaultMeasuringBudget = 0.005
 
 const (
-	// pollTimeout bounds the duration of a poll, and thus the slot time that it
-	// can take.
+	// pollTimeout bounds the duration of a poll, and thus the slot time that the
+	// poll can take.
 	pollTimeout = 10 * time.Millisecond
-	// maxReportBytes bounds the size of a load report. pollOverheadBytes is the
-	// assumed size of everything else that a poll transfers.
-	maxReportBytes    = 4 << 10
+	// maxReportBytes is the largest size of a load report.
+	maxReportBytes = 4 << 10
+	// pollOverheadBytes is the assumed size of everything that a poll transfers
+	// besides the load report.
 	pollOverheadBytes = 512
-	// maxReportedRunning bounds the number of running requests that is accepted
-	// from a report.
+	// maxReportedRunning caps the number of running requests in a report.
 	maxReportedRunning = 1 << 20
 )
 
 // maxPollCost is the largest possible cost of a poll. It covers two connections,
-// since a lost connection is opened a second time.
+// since a connection that was lost is opened again.
 var maxPollCost = measure.Cost{SlotTime: pollTimeout, Connections: 2, Bytes: maxReportBytes + pollOverheadBytes}
 
-// loadReport is the body of an upstream's load report. Other fields are ignored.
+// loadReport is the body of an upstream's load report, the upstream's own statement of
+// its load. Other fields are ignored.
 type loadReport struct {
+	// Running is the number of requests that run in the upstream. It is nil when
+	// the report has no such field.
 	Running *int `json:"running"`
 }
 
@@ -77,8 +80,8 @@
 	}
 }
 
-// MeasuringSlotTime returns for each upstream the slot time that polling its load
-// reports has taken.
+// MeasuringSlotTime returns, for each upstream, the slot time that has been spent so
+// far on polling the upstream's load report.
 func (g *Guard) MeasuringSlotTime() map[model.UpstreamID]time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -96,7 +99,8 @@
 }
 
 // reservePoll reserves the largest possible cost of a poll in the measuring budget.
-// It reports false when no poll is due, one is running or the budget is exhausted.
+// It reports false when no poll is due, when a poll is running, or when the budget is
+// exhausted. It also reports false when the upstream has no load report.
 func (u *upstreamProxy) reservePoll(p *poller) (measure.Reservation, bool) {
 	if u.upstream.LoadPath == "" {
 		return measure.Reservation{}, false
@@ -115,7 +119,8 @@
 	return reservation, ok
 }
 
-// poll fetches one report and charges its cost to the reservation.
+// poll fetches the load report of an upstream, passes it to the upstream's monitor, and
+// charges the cost of the poll to the reservation.
 func (p *poller) poll(ctx context.Context, u *upstreamProxy, reservation *measure.Reservation) {
 	startedAt := u.now()
 	report, cost, err := p.fetch(ctx, "http://"+u.upstream.Address+u.upstream.LoadPath)
@@ -134,8 +139,9 @@
 	p.count(pollResult(before, u.monitor.Counts()))
 }
 
-// pollResult returns the result of a poll as the metric tag names it, from the
-// monitor's counts before and after the report.
+// pollResult returns the result of a successful poll as a value of the metric tag
+// "result". before and after are the monitor's counts before and after it received the
+// report.
 func pollResult(before, after measure.Counts) string {
 	switch {
 	case after.Contradicted != before.Contradicted:
@@ -147,13 +153,15 @@
 	}
 }
 
+// count adds one to the metric that counts polls with the given result.
 func (p *poller) count(result string) {
 	p.scope.Tagged(map[string]string{"result": result}).Counter("polls").Inc(1)
 }
 
 var errNoRunningCount = errors.New("load report has no valid number of running requests")
 
-// fetch fetches a report. The returned cost has no slot time; poll adds it.
+// fetch fetches a report and returns the report and the cost of the poll. The slot
+// time is missing from the cost; poll adds the slot time.
 func (p *poller) fetch(ctx context.Context, url string) (measure.Report, measure.Cost, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -18,9 +18,9 @@
 	"github.com/dottereltiller/dottereltiller/membership"
 )
 
-// pollOnce polls an upstream that responds with the given status and body. It
-// returns the result that the poll was counted under, the number of requests that
-// the upstream received, and the guard.
+// pollOnce polls an upstream that responds with the given status and body. result is
+// the value of the metric tag "result" under which the poll was counted. requestCount
+// is the number of requests that the upstream received.
 func pollOnce(t *testing.T, budget float64, status int, body string) (result string, requestCount int32, g *Guard) {
 	t.Helper()
 	var received atomic.Int32
--- a/guard/queue_timeout_test.go
+++ b/guard/queue_timeout_test.go
@@ -19,8 +19,8 @@
 )
 
 // newBusyGuard returns a guard for an upstream whose only slot is taken until
-// release is called. The paths of the requests that the upstream receives are sent
-// to the channel executed.
+// release is called. The upstream sends the path of each request that it receives to
+// the channel executed.
 func newBusyGuard(t *testing.T) (g *Guard, executed chan string, release func()) {
 	t.Helper()
 	executed = make(chan string, 10)
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -36,8 +36,8 @@
 }
 
 // TestSlowReaderReleasesSlotAtDeadline receives a response that is too large for
-// any buffer, and neither reads nor closes its body before the deadline. The slot
-// must then be free for the next call.
+// any buffer. Before the deadline, the test neither reads nor closes the body of the
+// response. After the deadline, the slot must be free for the next call.
 func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
 	const large = 32 << 20
 	cancelled := make(chan struct{})
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -28,13 +28,16 @@
 	mu         sync.Mutex
 	controller *admission.Controller
 	limiter    *limit.Limiter
-	monitor    *measure.Monitor
+	// monitor decides when to poll the load report, and evaluates the reports.
+	monitor *measure.Monitor
 	// polling is set while a poll of the load report is in progress.
 	polling bool
-	// pending holds for each waiting call the channel that its effect is sent to.
+	// pending holds a channel for each waiting call. The effect that starts or
+	// refuses the call is sent to this channel.
 	pending map[admission.ID]chan admission.Effect
 	nextID  admission.ID
-	// effects is the buffer for the effects that the controller returns.
+	// effects holds the effects that the controller returned last. The slice is
+	// reused.
 	effects []admission.Effect
 }
 
@@ -62,9 +65,9 @@
 	return u.withLoad(u.send(ctx, id, c), c.Group)
 }
 
-// admit waits until the call may start. It returns an outcome when the call is
-// refused, or when it was withdrawn from the queue because its queue timeout
-// expired or its context ended.
+// admit waits until the call may start, and then returns a nil outcome. It returns an
+// outcome when the call is refused. It also returns an outcome when the call was
+// withdrawn from the queue because its queue timeout expired or its context ended.
 func (u *upstreamProxy) admit(ctx context.Context, c *wire.Call) (admission.ID, *outcome.Outcome) {
 	id, effect := u.submit(c)
 	if c.HasQueueTimeout && c.QueueTimeout <= 0 && u.withdraw(id) {
@@ -107,15 +110,16 @@
 	return id, effect
 }
 
-// withdrawnOutcome returns the outcome that rejects a call that was withdrawn from
-// the queue. The entry may then choose another upstream.
+// withdrawnOutcome returns the outcome of a call that was withdrawn from the queue.
+// With this outcome the guard rejects the call, and the entry may choose another
+// upstream.
 func withdrawnOutcome() *outcome.Outcome {
 	o := outcome.NotRunBecause(outcome.ReasonWithdrawn)
 	return &o
 }
 
-// refusedOutcome returns the outcome of an effect that refuses a call, and nil for
-// an effect that starts it.
+// refusedOutcome returns the outcome of an effect that refuses a call. It returns nil
+// for an effect that starts a call.
 func refusedOutcome(e admission.Effect) *outcome.Outcome {
 	if e.Kind == admission.Start {
 		return nil
@@ -123,6 +127,7 @@
 	return &e.Outcome
 }
 
+// requestOf returns the call as the controller needs it.
 func requestOf(c *wire.Call, now model.Instant) model.Request {
 	return model.Request{
 		Service:    c.Service,
@@ -159,6 +164,7 @@
 	return true
 }
 
+// finish releases the slot of a started call.
 func (u *upstreamProxy) finish(id admission.ID, result admission.Result) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -203,9 +209,9 @@
 	return response
 }
 
-// send forwards a started call to the upstream. The slot is released when the
-// attempt has failed, or when the body of the response has been read or closed or
-// the call's context has ended.
+// send forwards a started call to the upstream and returns the response. When the
+// attempt fails, send releases the slot. Otherwise the slot is released when the body
+// of the response has been read or closed, or when the call's context has ended.
 func (u *upstreamProxy) send(ctx context.Context, id admission.ID, c *wire.Call) *wire.Result {
 	ctx, span := trace.Start(ctx, "upstream")
 	span.SetCallAttributes(c)
