--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -86,13 +86,13 @@
 func (c *Controller) Arrive(now model.Instant, a Arrival, effects []Effect) []Effect {
 	c.seq++
 	if c.draining {
-		return append(effects, refuse(a.ID, outcome.ReasonDraining))
+		return append(effects, refusal(a.ID, outcome.ReasonDraining))
 	}
 	if a.Request.Deadline <= now {
-		return append(effects, refuse(a.ID, outcome.ReasonDeadline))
+		return append(effects, refusal(a.ID, outcome.ReasonDeadline))
 	}
 	if wait := c.estimateWait(a.Request); wait > 0 && now.Add(wait) >= a.Request.Deadline {
-		return append(effects, refuseWithRetryAfter(a.ID, outcome.ReasonDeadline, wait))
+		return append(effects, refusalWithRetryAfter(a.ID, outcome.ReasonDeadline, wait))
 	}
 	c.queue.Push(fairqueue.Item{
 		ID:       fairqueue.ID(a.ID),
@@ -138,7 +138,7 @@
 			return effects
 		}
 		c.seq++
-		effects = append(effects, refuse(ID(id), outcome.ReasonDeadline))
+		effects = append(effects, refusal(ID(id), outcome.ReasonDeadline))
 	}
 }
 
@@ -152,7 +152,7 @@
 		if !ok {
 			return effects
 		}
-		effects = append(effects, refuse(ID(id), outcome.ReasonDraining))
+		effects = append(effects, refusal(ID(id), outcome.ReasonDraining))
 	}
 }
 
@@ -193,7 +193,7 @@
 		}
 		if c.cannotEndInTime(now, item) {
 			c.queue.CancelStart(item.ID)
-			effects = append(effects, refuse(ID(item.ID), outcome.ReasonDeadline))
+			effects = append(effects, refusal(ID(item.ID), outcome.ReasonDeadline))
 			continue
 		}
 		effects = append(effects, Effect{ID: ID(item.ID), Kind: Start})
@@ -233,23 +233,23 @@
 	if c.queue.OverBound(group) {
 		wait := c.queue.EstimateWait(group, "", c.limit())
 		if id, ok := c.queue.DropOldest(group); ok {
-			effects = append(effects, refuseWithRetryAfter(ID(id), outcome.ReasonQueueFull, wait))
+			effects = append(effects, refusalWithRetryAfter(ID(id), outcome.ReasonQueueFull, wait))
 		}
 	}
 	if c.queue.Len() > c.opts.TotalBound {
 		if id, ok := c.queue.DropFromLargestBacklog(); ok {
-			effects = append(effects, refuse(ID(id), outcome.ReasonShed))
+			effects = append(effects, refusal(ID(id), outcome.ReasonShed))
 		}
 	}
 	return effects
 }
 
-func refuse(id ID, r outcome.Reason) Effect {
+func refusal(id ID, r outcome.Reason) Effect {
 	return Effect{ID: id, Kind: Refuse, Outcome: outcome.NotRunBecause(r)}
 }
 
-func refuseWithRetryAfter(id ID, r outcome.Reason, wait time.Duration) Effect {
-	e := refuse(id, r)
+func refusalWithRetryAfter(id ID, r outcome.Reason, wait time.Duration) Effect {
+	e := refusal(id, r)
 	e.Outcome.RetryAfter = wait
 	return e
 }
--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -58,8 +58,8 @@
 	// seq orders events of the same instant.
 	seq uint64
 	job *job
-	// finish is set for the end of the job, and not set for its arrival.
-	finish bool
+	// isEnd is set for the end of the job, and not set for its arrival.
+	isEnd bool
 }
 
 // eventHeap implements heap.Interface with the earliest event first.
@@ -134,9 +134,9 @@
 	return sim
 }
 
-func (s *simulator) schedule(at model.Instant, j *job, finish bool) {
+func (s *simulator) schedule(at model.Instant, j *job, isEnd bool) {
 	s.lastSeq++
-	heap.Push(&s.events, event{at: at, seq: s.lastSeq, job: j, finish: finish})
+	heap.Push(&s.events, event{at: at, seq: s.lastSeq, job: j, isEnd: isEnd})
 }
 
 func (s *simulator) scheduleArrivals(w *workload) {
@@ -157,7 +157,7 @@
 	for s.events.Len() > 0 {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		if e.finish {
+		if e.isEnd {
 			s.finishJob(e.job)
 		} else {
 			s.arriveJob(e.job)
--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	defaultDeadline           = 10 * time.Second
+	defaultTimeout            = 10 * time.Second
 	defaultQueueBound         = 128
 	defaultRetryShare         = 0.1
 	defaultQuarantineCrashes  = 2
@@ -29,12 +29,12 @@
 // it returns all of them, sorted, and a nil Set.
 func Compile(docs []Document) (*Set, []Problem) {
 	c := &compiler{set: &Set{
-		services:     make(map[model.ServiceName]*Service),
-		hosts:        make(map[string]model.ServiceName),
-		callers:      make(map[model.CallerName]Caller),
-		tokens:       make(map[[sha256.Size]byte]Caller),
-		certificates: make(map[string]Caller),
-		labels:       make(map[model.ServiceName]model.Labels),
+		services:      make(map[model.ServiceName]*Service),
+		hosts:         make(map[string]model.ServiceName),
+		callers:       make(map[model.CallerName]Caller),
+		tokens:        make(map[[sha256.Size]byte]Caller),
+		certificates:  make(map[string]Caller),
+		serviceLabels: make(map[model.ServiceName]model.Labels),
 	}}
 	sorted := slices.Clone(docs)
 	slices.SortStableFunc(sorted, func(a, b Document) int { return cmp.Compare(a.Key(), b.Key()) })
@@ -101,7 +101,7 @@
 	}
 	svc := &Service{
 		Name:            model.ServiceName(d.Name),
-		Deadline:        time.Duration(spec.Deadline),
+		Timeout:         time.Duration(spec.Deadline),
 		Routing:         spec.Routing,
 		MeasuringBudget: spec.MeasuringBudget,
 		RetryShare:      defaultRetryShare,
@@ -112,14 +112,14 @@
 	if spec.Routing != "" && !slices.Contains(routing.Names(), spec.Routing) {
 		c.addProblem(d, "spec.routing", spec.Routing, "want one of "+strings.Join(routing.Names(), ", "))
 	}
-	if svc.Deadline < 0 {
-		c.addProblem(d, "spec.deadline", svc.Deadline.String(), "must not be negative")
+	if svc.Timeout < 0 {
+		c.addProblem(d, "spec.deadline", svc.Timeout.String(), "must not be negative")
 	}
-	if svc.Deadline == 0 {
-		svc.Deadline = defaultDeadline
+	if svc.Timeout == 0 {
+		svc.Timeout = defaultTimeout
 	}
 	c.set.services[svc.Name] = svc
-	c.set.labels[svc.Name] = d.Labels
+	c.set.serviceLabels[svc.Name] = d.Labels
 	c.addHost(d, "name", d.Name)
 	for i, h := range spec.Hosts {
 		c.addHost(d, fmt.Sprintf("spec.hosts[%d]", i), h)
--- a/core/policy/explain.go
+++ b/core/policy/explain.go
@@ -73,7 +73,7 @@
 	e.Policies = s.explainPolicies(service)
 	e.Group, _ = svc.GroupOf(c)
 	e.Groups = svc.explainGroups(c.Labels, e.Group)
-	e.Deadline = svc.DeadlineOf(e.Group)
+	e.Deadline = svc.TimeoutOf(e.Group)
 	total := 0.0
 	for _, g := range svc.Groups {
 		total += g.Weight
@@ -92,7 +92,7 @@
 	winner := ""
 	for _, p := range s.policies {
 		step := PolicyStep{Name: p.name, Priority: p.spec.Priority}
-		switch unmatched := p.services.firstUnmatched(s.labels[service]); {
+		switch unmatched := p.services.firstUnmatched(s.serviceLabels[service]); {
 		case unmatched != nil:
 			step.Why = fmt.Sprintf("does not select the service: %s does not hold", unmatched)
 		case winner != "":
--- a/core/policy/selector.go
+++ b/core/policy/selector.go
@@ -175,13 +175,13 @@
 }
 
 const (
-	maxKeyLength   = 253
-	maxValueLength = 63
+	maxLabelKeyLength   = 253
+	maxLabelValueLength = 63
 )
 
-func validLabelKey(s string) bool { return s != "" && len(s) <= maxKeyLength && validChars(s) }
+func validLabelKey(s string) bool { return s != "" && len(s) <= maxLabelKeyLength && validChars(s) }
 
-func validLabelValue(s string) bool { return len(s) <= maxValueLength && validChars(s) }
+func validLabelValue(s string) bool { return len(s) <= maxLabelValueLength && validChars(s) }
 
 // validChars reports whether s consists of letters, digits and "-_./" only.
 func validChars(s string) bool {
--- a/core/policy/service.go
+++ b/core/policy/service.go
@@ -13,9 +13,11 @@
 // it. It is safe for concurrent use: after Compile, only the cache of group lookups
 // changes, and the cache is updated atomically.
 type Service struct {
-	Name     model.ServiceName
-	Deadline time.Duration
-	Routing  string
+	Name model.ServiceName
+	// Timeout is ServiceSpec.Deadline, with the default applied.
+	Timeout time.Duration
+	// Routing is ServiceSpec.Routing.
+	Routing string
 	// Policy is the name of the sharing policy that applies. It is empty when no
 	// policy selects the service.
 	Policy string
@@ -74,13 +76,13 @@
 	return s.Groups[i], true
 }
 
-// DeadlineOf returns the longest time that a request of a group may take. This is
+// TimeoutOf returns the longest time that a request of a group may take. This is
 // the deadline of the group's deadline class, or else that of the service.
-func (s *Service) DeadlineOf(name model.GroupName) time.Duration {
+func (s *Service) TimeoutOf(name model.GroupName) time.Duration {
 	if g, ok := s.GroupSpec(name); ok && g.DeadlineClass != "" {
 		return time.Duration(s.deadlineClasses[g.DeadlineClass])
 	}
-	return s.Deadline
+	return s.Timeout
 }
 
 // matchIndex returns one plus the index of the first group whose selector matches
--- a/core/policy/set.go
+++ b/core/policy/set.go
@@ -29,8 +29,8 @@
 	certificates map[string]Caller
 	// policies is sorted by priority, highest first, then by name.
 	policies []sharingPolicy
-	// labels holds the labels of each service.
-	labels map[model.ServiceName]model.Labels
+	// serviceLabels holds the labels of each service.
+	serviceLabels map[model.ServiceName]model.Labels
 }
 
 // Service returns the service with the given name.
--- a/core/policy/sharing.go
+++ b/core/policy/sharing.go
@@ -121,7 +121,7 @@
 		return cmp.Or(cmp.Compare(b.spec.Priority, a.spec.Priority), cmp.Compare(a.name, b.name))
 	})
 	for name, svc := range c.set.services {
-		i := slices.IndexFunc(c.set.policies, func(p sharingPolicy) bool { return p.services.Matches(c.set.labels[name]) })
+		i := slices.IndexFunc(c.set.policies, func(p sharingPolicy) bool { return p.services.Matches(c.set.serviceLabels[name]) })
 		if i >= 0 {
 			svc.applyPolicy(c.set.policies[i])
 		}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -14,14 +14,15 @@
 // response and the upstream. A guard may reject a request that does not start
 // within its queue timeout. A rejected request did not run, so attempt sends it to
 // the next upstream that the router chooses. attempt reports false when the router
-// finds no upstream for the request. number is the number of the attempt, from 0.
-func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, number int) (*wire.Result, model.UpstreamID, bool) {
+// finds no upstream for the request. The parameter attempt is the number of the attempt,
+// from 0.
+func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, attempt int) (*wire.Result, model.UpstreamID, bool) {
 	for rejections := req.initialRejections(); ; rejections++ {
-		choice, ok := e.opts.Routers.Place(req.modelRequest(number), tried, rejections)
+		choice, ok := e.opts.Routers.Place(req.modelRequest(attempt), tried, rejections)
 		if !ok {
 			return nil, "", false
 		}
-		response := e.sendWithHedge(ctx, req, choice, tried, number)
+		response := e.sendWithHedge(ctx, req, choice, tried, attempt)
 		if !choice.Rejected(response.Outcome) || ctx.Err() != nil {
 			return response, choice.Upstream.ID, true
 		}
--- a/entry/classify.go
+++ b/entry/classify.go
@@ -15,27 +15,27 @@
 func (e *Entry) classify(w http.ResponseWriter, r *http.Request) (*request, *outcome.Outcome) {
 	inForce := e.opts.Config()
 	if inForce == nil {
-		return nil, refuse(outcome.ReasonNotReady)
+		return nil, refusedBecause(outcome.ReasonNotReady)
 	}
 	svc, ok := serviceOf(inForce.Set, r)
 	if !ok {
-		return nil, refuse(outcome.ReasonNoService)
+		return nil, refusedBecause(outcome.ReasonNoService)
 	}
 	requester, reason := e.requesterOf(inForce.Set, r)
 	if reason != outcome.ReasonNone {
-		return nil, refuse(reason)
+		return nil, refusedBecause(reason)
 	}
 	group, ok := svc.GroupOf(requester.caller)
 	if !ok {
-		return nil, refuse(outcome.ReasonForbidden)
+		return nil, refusedBecause(outcome.ReasonForbidden)
 	}
-	timeout, ok := timeoutOf(r, svc.DeadlineOf(group))
+	timeout, ok := timeoutOf(r, svc.TimeoutOf(group))
 	if !ok {
-		return nil, refuse(outcome.ReasonBadRequest)
+		return nil, refusedBecause(outcome.ReasonBadRequest)
 	}
 	timeout = requester.capTimeout(timeout)
 	if r.ContentLength > e.opts.MaxBody {
-		return nil, refuse(outcome.ReasonTooLarge)
+		return nil, refusedBecause(outcome.ReasonTooLarge)
 	}
 	req := &request{
 		http:       r,
@@ -49,12 +49,12 @@
 	}
 	req.body, reason = readBody(http.MaxBytesReader(w, r.Body, e.opts.MaxBody), r.ContentLength)
 	if reason != outcome.ReasonNone {
-		return nil, refuse(reason)
+		return nil, refusedBecause(reason)
 	}
 	return req, nil
 }
 
-func refuse(r outcome.Reason) *outcome.Outcome {
+func refusedBecause(r outcome.Reason) *outcome.Outcome {
 	o := outcome.NotRunBecause(r)
 	return &o
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -99,7 +99,7 @@
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req, refusal := e.classify(w, r)
 	if requestsUpgrade(r) {
-		refusal = refuse(outcome.ReasonUpgradeForbidden)
+		refusal = refusedBecause(outcome.ReasonUpgradeForbidden)
 	}
 	if refusal != nil {
 		e.metrics.refused.Count(*refusal)
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -79,15 +79,15 @@
 		f := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
 		e, req := newWarmEntry(f, true)
 		f.stuckUpstream = "s-1"
-		before := f.calls["s-1"]
+		callsBefore := f.calls["s-1"]
 		for range 10 {
 			response, _, ok := e.attempt(context.Background(), req, nil, 0)
 			assert.True(t, ok)
 			assert.Equal(t, outcome.Answered, response.Outcome.Kind)
 			assert.NoError(t, response.Body.Close())
 		}
-		assert.Greater(t, f.calls["s-1"], before, "the stuck upstream was tried")
-		assert.Equal(t, f.calls["s-1"]-before, f.cancelled, "every stuck call was cancelled")
+		assert.Greater(t, f.calls["s-1"], callsBefore, "the stuck upstream was tried")
+		assert.Equal(t, f.calls["s-1"]-callsBefore, f.cancelled, "every stuck call was cancelled")
 	})
 }
 
@@ -95,7 +95,7 @@
 	bubble.Run(t, func(t *testing.T) {
 		f := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
 		e, req := newWarmEntry(f, false)
-		total := f.calls["s-1"] + f.calls["s-2"]
+		callsBefore := f.calls["s-1"] + f.calls["s-2"]
 		f.stuckUpstream = "s-1"
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
@@ -105,6 +105,6 @@
 			_ = response.Body.Close()
 			sent++
 		}
-		assert.Equal(t, total+sent, f.calls["s-1"]+f.calls["s-2"], "one call for each request")
+		assert.Equal(t, callsBefore+sent, f.calls["s-1"]+f.calls["s-2"], "one call for each request")
 	})
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -37,8 +37,8 @@
 
 func newMetrics(scope tally.Scope) *metrics {
 	scope = telemetry.OrNoop(scope)
-	other := func(groupKey) groupKey { return groupKey{"other", "other"} }
-	add := func(k groupKey) *groupMetrics {
+	overflowKey := func(groupKey) groupKey { return groupKey{"other", "other"} }
+	newGroupMetrics := func(k groupKey) *groupMetrics {
 		scope := scope.Tagged(map[string]string{"service": string(k.service), "group": string(k.group)})
 		return &groupMetrics{
 			requests: telemetry.NewOutcomeCounter(scope, "requests"),
@@ -48,7 +48,7 @@
 	return &metrics{
 		refused:  telemetry.NewOutcomeCounter(scope, "refused"),
 		attempts: telemetry.NewOutcomeCounter(scope, "attempts"),
-		groups:   telemetry.NewBoundedMetrics(maxGroupMetrics, other, add),
+		groups:   telemetry.NewBoundedMetrics(maxGroupMetrics, overflowKey, newGroupMetrics),
 	}
 }
 
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -41,8 +41,8 @@
 	attempts atomic.Int64
 }
 
-// chainDeadline is the deadline setting of every service of a serviceChain.
-const chainDeadline = 5 * time.Second
+// chainTimeout is the deadline setting of every service of a serviceChain.
+const chainTimeout = 5 * time.Second
 
 func newServiceChain(t *testing.T, length int, lastService func(*wire.Call) *wire.Result) *serviceChain {
 	c := &serviceChain{t: t, tokens: calltoken.NewSigner("secret"), length: length, path: "/", lastService: lastService}
@@ -119,8 +119,8 @@
 	return response
 }
 
-// benchToken returns the headers of a nested call on behalf of the caller "bench".
-func (c *serviceChain) benchToken(depth int, remaining time.Duration) map[string]string {
+// benchTokenHeader returns the headers of a nested call on behalf of the caller "bench".
+func (c *serviceChain) benchTokenHeader(depth int, remaining time.Duration) map[string]string {
 	return map[string]string{wire.HeaderCallToken: c.tokens.Sign(calltoken.Token{
 		Caller: "bench", Group: "sorters", Depth: depth, Deadline: time.Now().Add(remaining), TimeLeft: remaining,
 	})}
@@ -148,7 +148,7 @@
 
 func TestNestedCallsInheritDeadlineAndGroup(t *testing.T) {
 	c := newServiceChain(t, calltoken.MaxDepth, respondOK)
-	require.Equal(t, http.StatusOK, c.send(0, c.benchToken(0, 3*time.Second)).Code)
+	require.Equal(t, http.StatusOK, c.send(0, c.benchTokenHeader(0, 3*time.Second)).Code)
 	require.Len(t, c.timeouts, calltoken.MaxDepth)
 	for i, timeout := range c.timeouts {
 		require.LessOrEqual(t, timeout, 3*time.Second)
@@ -171,8 +171,8 @@
 		{"token of wrong format", map[string]string{wire.HeaderCallToken: "sorters"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
 		{"empty token", map[string]string{wire.HeaderCallToken: ""}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
 		{"token signed with another secret", map[string]string{wire.HeaderCallToken: otherSecret}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
-		{"too deep", c.benchToken(calltoken.MaxDepth, time.Second), http.StatusBadRequest, outcome.ReasonDepth},
-		{"past its deadline", c.benchToken(1, -time.Second), http.StatusGatewayTimeout, outcome.ReasonDeadline},
+		{"too deep", c.benchTokenHeader(calltoken.MaxDepth, time.Second), http.StatusBadRequest, outcome.ReasonDepth},
+		{"past its deadline", c.benchTokenHeader(1, -time.Second), http.StatusGatewayTimeout, outcome.ReasonDeadline},
 		{"bad credentials without a token", map[string]string{"Authorization": "Bearer x"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
 		{"deadline of zero", map[string]string{wire.HeaderTimeout: "0s"}, http.StatusBadRequest, outcome.ReasonBadRequest},
 		{"negative deadline", map[string]string{wire.HeaderTimeout: "-1s"}, http.StatusBadRequest, outcome.ReasonBadRequest},
@@ -192,7 +192,7 @@
 func TestHugeTimeoutIsCapped(t *testing.T) {
 	c := newServiceChain(t, 1, respondOK)
 	require.Equal(t, http.StatusOK, c.send(0, map[string]string{wire.HeaderTimeout: "2000000h"}).Code)
-	require.LessOrEqual(t, c.timeouts[0], chainDeadline)
+	require.LessOrEqual(t, c.timeouts[0], chainTimeout)
 }
 
 // TestForgedGroupHeadersAreIgnored has a caller send the headers with which daemons
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -21,8 +21,8 @@
 // use.
 type retryBudgets struct {
 	now func() model.Instant
-	// decisions counts the decisions on retries.
-	decisions map[retry.Decision]tally.Counter
+	// decisionCounters holds the counter of each decision on a retry.
+	decisionCounters map[retry.Decision]tally.Counter
 
 	mu sync.Mutex
 	// budgets holds the retry budget of each service that has received requests.
@@ -32,13 +32,13 @@
 
 func newRetryBudgets(now func() model.Instant, scope tally.Scope) *retryBudgets {
 	r := &retryBudgets{
-		now:       now,
-		decisions: make(map[retry.Decision]tally.Counter),
-		budgets:   make(map[model.ServiceName]*retry.Budget),
+		now:              now,
+		decisionCounters: make(map[retry.Decision]tally.Counter),
+		budgets:          make(map[model.ServiceName]*retry.Budget),
 	}
 	scope = telemetry.OrNoop(scope)
 	for _, decision := range []retry.Decision{retry.Allowed, retry.BudgetExhausted, retry.TooManyFailures, retry.DeadlineTooClose} {
-		r.decisions[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
+		r.decisionCounters[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
 	}
 	return r
 }
@@ -79,7 +79,7 @@
 		decision = r.budgets[req.service.Name].Allow(r.now())
 		r.mu.Unlock()
 	}
-	r.decisions[decision].Inc(1)
+	r.decisionCounters[decision].Inc(1)
 	return wait, decision == retry.Allowed
 }
 
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -138,10 +138,10 @@
 
 // rebuild replaces the router by a new router with the named policy. An unknown name
 // means the default policy, but the checks of the configuration exclude this case.
-func (s *serviceRouter) rebuild(r *Routers, name string) {
+func (s *serviceRouter) rebuild(r *Routers, policy string) {
 	opts := r.opts
-	if name != "" {
-		opts.Policy = name
+	if policy != "" {
+		opts.Policy = policy
 	}
 	router, err := routing.New(opts)
 	if err != nil {
@@ -151,6 +151,6 @@
 	if err != nil {
 		panic(err)
 	}
-	s.router, s.policy, s.upstreamsLoaded = router, name, false
+	s.router, s.policy, s.upstreamsLoaded = router, policy, false
 	s.counters.exported = routing.Stats{}
 }
--- a/entry/routers_test.go
+++ b/entry/routers_test.go
@@ -15,9 +15,9 @@
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6},
 		{ID: "s-2", Service: "s", Incarnation: 1, Slots: 6},
 	}
-	name := routing.RoundRobin
+	policyName := routing.RoundRobin
 	r := NewRouters(view, func() model.Instant { return 0 }, routing.Options{Seed: 1})
-	r.SetPolicySource(func(model.ServiceName) string { return name })
+	r.SetPolicySource(func(model.ServiceName) string { return policyName })
 	scope := tally.NewTestScope("", nil)
 	r.SetMetricsScope(scope)
 	place := func() model.Upstream {
@@ -31,7 +31,7 @@
 	}
 	assert.Equal(t, []model.UpstreamID{"s-1", "s-2", "s-1", "s-2"}, order)
 
-	name = "no-such-policy"
+	policyName = "no-such-policy"
 	up := place()
 	r.Done(up, routing.Reply{})
 	assert.Equal(t, int64(1), scope.Snapshot().Counters()["picks+service=s"].Value(), "the counts of the new router start at zero")
--- a/guard/body.go
+++ b/guard/body.go
@@ -25,10 +25,10 @@
 	stopWatching func() bool
 }
 
-// releaseWhenDone makes the slot be released when ctx, the call's context, ends.
+// releaseAtContextEnd makes the slot be released when ctx, the call's context, ends.
 // Otherwise a caller that does not read the body could hold the slot for ever. The end
 // of the context also cancels the request to the upstream.
-func (b *slotReleasingBody) releaseWhenDone(ctx context.Context) {
+func (b *slotReleasingBody) releaseAtContextEnd(ctx context.Context) {
 	b.stopWatching = context.AfterFunc(ctx, func() { b.releaseOnce(outcome.UnknownBecause(outcome.ReasonCancelled)) })
 }
 
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -169,7 +169,7 @@
 			return ctx.Err()
 		case <-timer.C:
 			g.Expire()
-			g.poll(ctx)
+			g.startDuePolls(ctx)
 			timer.Reset(g.nextInterval())
 		}
 	}
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// poll starts a poll of each upstream for which one is due.
-func (g *Guard) poll(ctx context.Context) {
+// startDuePolls starts a poll of each upstream for which a poll is due.
+func (g *Guard) startDuePolls(ctx context.Context) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	for _, u := range g.upstreams {
@@ -113,7 +113,7 @@
 	refusedBefore := u.monitor.Refused()
 	reservation, ok := u.monitor.BeginPoll(u.now(), maxPollCost)
 	if u.monitor.Refused() != refusedBefore {
-		p.count("over-budget")
+		p.countPoll("over-budget")
 	}
 	u.polling = ok
 	return reservation, ok
@@ -131,12 +131,12 @@
 	cost.SlotTime = now.Sub(startedAt)
 	if err != nil {
 		u.monitor.PollFailed(now, reservation, cost)
-		p.count("failed")
+		p.countPoll("failed")
 		return
 	}
 	before := u.monitor.Counts()
 	u.monitor.PollSucceeded(now, reservation, cost, report, u.limiter.Slowed())
-	p.count(pollResult(before, u.monitor.Counts()))
+	p.countPoll(pollResult(before, u.monitor.Counts()))
 }
 
 // pollResult returns the result of a successful poll as a value of the metric tag
@@ -153,8 +153,8 @@
 	}
 }
 
-// count adds one to the metric that counts polls with the given result.
-func (p *poller) count(result string) {
+// countPoll adds one to the metric that counts polls with the given result.
+func (p *poller) countPoll(result string) {
 	p.scope.Tagged(map[string]string{"result": result}).Counter("polls").Inc(1)
 }
 
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -42,10 +42,10 @@
 	g.poller.timeout = time.Minute
 	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6}
 	g.Attach(membership.LocalUpstream{Upstream: up, Address: upstream.Listener.Addr().String(), LoadPath: "/load"})
-	g.poll(context.Background())
+	g.startDuePolls(context.Background())
 	assert.Zero(t, received.Load(), "no poll is due yet")
 	now.Store(int64(time.Minute))
-	g.poll(context.Background())
+	g.startDuePolls(context.Background())
 	require.Eventually(t, func() bool {
 		for _, c := range scope.Snapshot().Counters() {
 			if c.Value() > 0 {
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -69,7 +69,7 @@
 // outcome when the call is refused. It also returns an outcome when the call was
 // withdrawn from the queue because its queue timeout expired or its context ended.
 func (u *upstreamProxy) admit(ctx context.Context, c *wire.Call) (admission.ID, *outcome.Outcome) {
-	id, effect := u.submit(c)
+	id, effectCh := u.submit(c)
 	if c.HasQueueTimeout && c.QueueTimeout <= 0 && u.withdraw(id) {
 		return id, withdrawnOutcome()
 	}
@@ -80,13 +80,13 @@
 		queueTimeout = timer.C
 	}
 	select {
-	case e := <-effect:
+	case e := <-effectCh:
 		return id, refusedOutcome(e)
 	case <-queueTimeout:
 	case <-ctx.Done():
 	}
 	if !u.withdraw(id) {
-		return id, refusedOutcome(<-effect)
+		return id, refusedOutcome(<-effectCh)
 	}
 	if ctx.Err() == context.DeadlineExceeded {
 		o := outcome.NotRunBecause(outcome.ReasonDeadline)
@@ -98,16 +98,16 @@
 // submit passes the call to the controller. The effect that starts or refuses the
 // call is sent to the returned channel.
 func (u *upstreamProxy) submit(c *wire.Call) (admission.ID, <-chan admission.Effect) {
-	effect := make(chan admission.Effect, 1)
+	effectCh := make(chan admission.Effect, 1)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := u.now()
 	u.nextID++
 	id := u.nextID
-	u.pending[id] = effect
+	u.pending[id] = effectCh
 	u.effects = u.controller.Arrive(now, admission.Arrival{ID: id, Request: requestOf(c, now)}, u.effects[:0])
 	u.dispatch()
-	return id, effect
+	return id, effectCh
 }
 
 // withdrawnOutcome returns the outcome of a call that was withdrawn from the queue.
@@ -251,7 +251,7 @@
 		releaseSlot: release,
 		failed:      httpResponse.StatusCode >= http.StatusInternalServerError,
 	}
-	body.releaseWhenDone(ctx)
+	body.releaseAtContextEnd(ctx)
 	response.Body = body
 	return bufferSmallResponse(response)
 }
