--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -50,8 +50,8 @@
 type Group struct {
 	Name model.GroupName
 	// Weight is the group's share of slot time relative to the other groups. Groups
-	// of weight 0 come last: their requests start only when no other group has a
-	// request that may start.
+	// of weight 0 come last. Their requests start only when no group with a weight
+	// above 0 has a request that may start.
 	Weight float64
 	// QueueBound is the largest number of waiting requests of the group.
 	QueueBound int
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -13,8 +13,8 @@
 	// Slots is the number of requests that the upstream has announced it can
 	// run at once. Default: 1.
 	Slots int
-	// QueueBound is the queue bound of groups that are not configured or set no
-	// bound. Default: 128.
+	// QueueBound is the largest number of waiting requests of a group that is not
+	// configured or sets no bound of its own. Default: 128.
 	QueueBound int
 	// TotalBound is the largest number of waiting requests of all groups
 	// together. Default: 1024.
@@ -80,9 +80,9 @@
 }
 
 // Arrive starts, queues or refuses a request. It appends the resulting effects to
-// the given slice and returns the slice. Without an effect for it, the request
-// waits. When a queue bound is exceeded, Arrive may refuse a request that already
-// waits instead of the arriving request.
+// the given slice and returns the slice. A request that gets no effect waits. When a
+// queue bound is exceeded, Arrive may refuse a request that already waits instead of
+// the arriving request.
 func (c *Controller) Arrive(now model.Instant, a Arrival, effects []Effect) []Effect {
 	c.seq++
 	if c.draining {
@@ -121,7 +121,7 @@
 
 // Withdraw removes a waiting request from the queue. It reports false when the
 // request does not wait. If Withdraw reports true, the request did not run, and no
-// call returns an effect for the request any more.
+// later call returns an effect for the request.
 func (c *Controller) Withdraw(now model.Instant, id ID) bool {
 	if !c.queue.Remove(fairqueue.ID(id)) {
 		return false
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -14,8 +14,8 @@
 	overloadSeconds  = 10
 )
 
-// goodput offers a multiple of the upstream's capacity and returns the number of
-// requests that ended within their deadline.
+// goodput simulates a load of the given multiple of the upstream's capacity. It
+// returns the number of requests that ended by their deadline.
 func goodput(t *testing.T, multiple float64) int {
 	sim := newSimulator(t, overloadSlots, Options{}, Group{Name: "g", Weight: 1})
 	interval := time.Duration(float64(overloadSlotTime) / overloadSlots / multiple)
--- a/core/fairqueue/charge.go
+++ b/core/fairqueue/charge.go
@@ -168,7 +168,7 @@
 // EstimateAhead estimates how many of the waiting requests would start before a
 // new request of the given group. These are all waiting requests of the group
 // itself, and as many requests of the other groups as their weights allow in the
-// same time. For a group of weight zero they are all waiting requests.
+// same time. For a group of weight zero, these are all requests that wait.
 func (q *Queue) EstimateAhead(name model.GroupName) int {
 	weight, ownWaiting := q.minWeight, 0
 	if g := q.findGroup(name); g != nil {
--- a/core/fairqueue/doc.go
+++ b/core/fairqueue/doc.go
@@ -15,11 +15,11 @@
 // nothing by using many callers, and a caller gains nothing by sending more
 // requests than the others.
 //
-// The slot time of a request is unknown until the request ends. The queue
-// charges the recent mean of the group when the request starts, charges again
-// each time the running time reaches the charge so far, and corrects the charge
-// when the request ends. The sum of the charges of ended requests is therefore
-// exactly the slot time that they used.
+// The slot time of a request is unknown until the request ends. When the request
+// starts, the queue charges the recent mean slot time of the group. Each time the
+// running time reaches the charge so far, the queue charges again. When the request
+// ends, the queue corrects the charge to the slot time used. The sum of the charges of
+// ended requests is therefore exactly the slot time that they used.
 //
 // A weight above zero counts as at least one hundredth of the largest weight
 // (MinWeightRatio), so that no group with a weight above zero starves. Groups of
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -106,7 +106,7 @@
 	readyIndex int
 	// seq breaks ties between equal virtual times.
 	seq uint64
-	// backlog is set by updateBacklog.
+	// backlog is the group's backlog; see updateBacklog.
 	backlog float64
 	// backlogIndex is the position in Queue.byBacklog.
 	backlogIndex int
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// findOrAddGroup returns the group that findGroup returns, and adds the group first
-// when there is none.
+// findOrAddGroup returns the group that findGroup returns. When findGroup finds no
+// group, findOrAddGroup adds the missing group and returns it.
 func (q *Queue) findOrAddGroup(name model.GroupName) *group {
 	if g := q.groups[name]; g != nil {
 		return g
--- a/core/fairqueue/heap.go
+++ b/core/fairqueue/heap.go
@@ -21,7 +21,7 @@
 	h.siftUp(len(h.items) - 1)
 }
 
-// remove does nothing when x is not in the heap.
+// remove removes x from the heap. It does nothing when x is not in the heap.
 func (h *indexHeap[T]) remove(x T) {
 	i := *h.index(x)
 	if i == notInHeap {
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -59,8 +59,8 @@
 
 // Options configure a Queue.
 type Options struct {
-	// QueueBound is the queue bound of groups whose configuration sets none.
-	// Default: 128.
+	// QueueBound is the largest number of waiting requests of a group whose
+	// configuration sets no bound. Default: 128.
 	QueueBound int
 }
 
--- a/core/policy/doc.go
+++ b/core/policy/doc.go
@@ -18,8 +18,7 @@
 // rules do not depend on the order of the documents, so all daemons choose the same
 // policy and group.
 //
-// It is a problem when two documents have the same kind and name, or when a
-// host, token or certificate name belongs to two documents. Compile reports all
-// problems at once, each with document, JSON path and value, and then returns no
-// Set.
+// Two documents must not have the same kind and name. A host, token or certificate
+// name must not belong to two documents. Compile reports all such problems at once,
+// each with document, JSON path and value. It then returns no Set.
 package policy
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -57,7 +57,8 @@
 type CallerSpec struct {
 	// TokenSHA256 holds the hex SHA-256 digests of the caller's bearer tokens.
 	TokenSHA256 []string `json:"token_sha256,omitempty"`
-	// CertificateNames are subject names accepted in a client certificate.
+	// CertificateNames are the certificate subject names of the caller. A client
+	// certificate with one of these names identifies the caller.
 	CertificateNames []string `json:"certificate_names,omitempty"`
 }
 
@@ -81,8 +82,8 @@
 	// MeasuringBudget is the measuring budget of services that set none; see
 	// ServiceSpec.MeasuringBudget.
 	MeasuringBudget *float64 `json:"measuring_budget,omitempty"`
-	// RetryShare is the retry budget of an entry: the number of retries to a
-	// service as a share of the requests to it, 0 to 1. Default: 0.1.
+	// RetryShare is the retry budget of an entry. It is the number of retries to a
+	// service as a share of the requests to the service, 0 to 1. Default: 0.1.
 	RetryShare *float64 `json:"retry_share,omitempty"`
 	// Quarantine says when a request that crashes upstreams is quarantined, that is
 	// refused for some time.
@@ -91,8 +92,8 @@
 
 // QuarantineSpec says when a request is quarantined, and for how long.
 type QuarantineSpec struct {
-	// Crashes is the number of crashes after which a request is quarantined. Only
-	// crashes of upstreams that were running the request count. Default: 2.
+	// Crashes is the number of crashes after which a request is quarantined. A crash
+	// is counted when the upstream that crashed was running the request. Default: 2.
 	Crashes int `json:"deaths,omitempty"`
 	// Duration is how long the quarantine lasts. Default: "10m".
 	Duration Duration `json:"duration,omitempty"`
@@ -105,8 +106,8 @@
 	// selects no caller. It is allowed only for the default group.
 	Callers string `json:"callers"`
 	// Weight is the group's share of slot time relative to the other groups, at
-	// least 0. Groups of weight 0 come last: their requests start only when no
-	// other group has a request that may start.
+	// least 0. Groups of weight 0 come last. Their requests start only when no
+	// group with a weight above 0 has a request that may start.
 	Weight float64 `json:"weight"`
 	// QueueBound is the largest number of the group's requests that wait at one
 	// upstream. Default: 128.
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -5,7 +5,7 @@
 // which is immutable and safe for concurrent use. Table.Lookup selects a route by
 // host and longest path prefix. A Splitter then distributes the requests of a
 // route among the services of its traffic split by smooth weighted round robin.
-// A split is therefore exact even for few requests. In a split between two services,
+// The split is exact even for few requests. In a split between two services,
 // the number of requests that each has got differs by at most one from its share. In
 // a split between n services, the difference is at most n-1. The state of a split is
 // kept when a new configuration does not change the split.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -34,7 +34,7 @@
 	Routers *Routers
 	// Local forwards calls to the guard of this daemon.
 	Local Forwarder
-	// Remote returns the Forwarder to the guard of another daemon.
+	// Remote returns the Forwarder for the guard of another daemon.
 	Remote func(model.DaemonID) Forwarder
 	// Self is the ID of this daemon.
 	Self model.DaemonID
@@ -149,8 +149,8 @@
 	body       *body
 	// depth is the nesting depth: the number of calls that led to this request.
 	depth int
-	// releaseCeiling releases what Ceilings.TryAcquire acquired. It is nil when no
-	// ceilings are enforced.
+	// releaseCeiling is the release function that Ceilings.TryAcquire returned. It
+	// is nil when no ceilings are enforced or the request was refused.
 	releaseCeiling func()
 	// cachedFingerprint holds the result of fingerprint.
 	cachedFingerprint lazyFingerprint
@@ -190,8 +190,8 @@
 	return e.opts.Remote(upstream.Daemon)
 }
 
-// modelRequest returns the request as the router needs it. attempt is the number of
-// the attempt, from 0.
+// modelRequest returns the request in the form that the router takes. attempt is the
+// number of the attempt, from 0.
 func (r *request) modelRequest(attempt int) model.Request {
 	return model.Request{
 		Service:    r.service.Name,
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -11,11 +11,11 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// sendWithHedge sends the request to the chosen upstream. The router gives a hedge
-// delay for some idempotent requests. If there is no response within this delay,
-// sendWithHedge also sends the request to a second upstream; this second attempt is
-// the hedge. sendWithHedge returns the first successful response and cancels the
-// other attempt.
+// sendWithHedge sends the request to the chosen upstream. The router may give a hedge
+// delay for the request, but only if the request is idempotent. If there is no response
+// within this delay, sendWithHedge also sends the request to a second upstream. This
+// second attempt is the hedge. sendWithHedge returns the first successful response and
+// cancels the other attempt.
 func (e *Entry) sendWithHedge(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Result {
 	delay, ok := e.opts.Routers.HedgeDelay(req.modelRequest(attempt))
 	if !ok || !req.body.replayable() {
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -76,8 +76,8 @@
 }
 
 // Do simulates the guard and the upstream. The upstream calls the next service with
-// the call token that a guard would have issued. It then returns the status and the
-// headers of the response as its own, even if the nested call failed.
+// the call token that a guard would have issued. The upstream then returns the status
+// and the headers of the response as its own, even if the nested call failed.
 func (c *serviceChain) Do(_ context.Context, call *wire.Call) *wire.Result {
 	c.mu.Lock()
 	c.timeouts = append(c.timeouts, call.Timeout)
--- a/guard/body.go
+++ b/guard/body.go
@@ -25,14 +25,15 @@
 	stopWatching func() bool
 }
 
-// releaseAtContextEnd makes the slot be released when ctx, the call's context, ends.
-// Otherwise a caller that does not read the body could hold the slot for ever. The end
+// releaseAtContextEnd registers a function that releases the slot when ctx, the call's
+// context, ends. Without this function, a caller that does not read the body could hold the slot for ever. The end
 // of the context also cancels the request to the upstream.
 func (b *slotReleasingBody) releaseAtContextEnd(ctx context.Context) {
 	b.stopWatching = context.AfterFunc(ctx, func() { b.releaseOnce(outcome.UnknownBecause(outcome.ReasonCancelled)) })
 }
 
-// Read implements io.Reader. It releases the slot at the end of the body.
+// Read implements io.Reader. It releases the slot at the end of the body, and when
+// reading the body fails.
 func (b *slotReleasingBody) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	switch {
@@ -44,8 +45,8 @@
 	return n, err
 }
 
-// Close implements io.Closer. It closes the body without reading the rest, and
-// releases the slot.
+// Close implements io.Closer. It discards the rest of the body and releases the
+// slot.
 func (b *slotReleasingBody) Close() error {
 	err := b.body.Close()
 	b.finish(outcome.UnknownBecause(outcome.ReasonCancelled))
--- a/guard/crash.go
+++ b/guard/crash.go
@@ -13,10 +13,11 @@
 // is still listening.
 const crashCheckTimeout = 250 * time.Millisecond
 
-// detectCrash checks whether the upstream has crashed when the connection of a call
-// was lost. After a crash, nothing listens at the upstream's address any more. If so,
-// detectCrash returns the outcome with the reason ReasonUpstreamCrashed. Otherwise it
-// returns the outcome unchanged. The kind of the outcome stays unknown in both cases.
+// detectCrash takes the outcome of a failed call. If the connection was lost, it checks
+// whether the upstream has crashed. After a crash, nothing listens at the upstream's
+// address any more. In this case detectCrash changes the reason of the outcome to
+// ReasonUpstreamCrashed. The kind of the outcome stays unknown. Any other outcome is
+// returned unchanged.
 func (u *upstreamProxy) detectCrash(o outcome.Outcome) outcome.Outcome {
 	if o.Kind != outcome.Unknown || o.Reason != outcome.ReasonConnectionLost {
 		return o
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -127,7 +127,7 @@
 	return &e.Outcome
 }
 
-// requestOf returns the call as the controller needs it.
+// requestOf returns the call in the form that the controller takes.
 func requestOf(c *wire.Call, now model.Instant) model.Request {
 	return model.Request{
 		Service:    c.Service,
