--- a/core/admission/observe_test.go
+++ b/core/admission/observe_test.go
@@ -11,12 +11,12 @@
 )
 
 // recordingLimiter is a Limiter that records the observed slot times.
-type recordingLimiter struct{ observedTimes []time.Duration }
+type recordingLimiter struct{ observedSlotTimes []time.Duration }
 
 func (l *recordingLimiter) Limit() int { return 4 }
 
 func (l *recordingLimiter) Observe(_ model.Instant, slotTime time.Duration, _ int, _ bool) {
-	l.observedTimes = append(l.observedTimes, slotTime)
+	l.observedSlotTimes = append(l.observedSlotTimes, slotTime)
 }
 
 func TestLimiterIgnoresCancelledRequests(t *testing.T) {
@@ -32,5 +32,5 @@
 		c.Arrive(0, Arrival{ID: id, Request: model.Request{Deadline: 10}}, nil)
 		c.Finish(1, id, result, nil)
 	}
-	assert.Equal(t, []time.Duration{1, 3}, limiter.observedTimes)
+	assert.Equal(t, []time.Duration{1, 3}, limiter.observedSlotTimes)
 }
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -71,7 +71,7 @@
 
 func TestCompileReportsProblems(t *testing.T) {
 	policyWith := func(spec string) Document { return newDocument(KindSharingPolicy, "p", "", spec) }
-	group := func(fields string) Document {
+	policyWithGroupFields := func(fields string) Document {
 		return policyWith(`{"services":"x=y","groups":[{"name":"g","callers":"a=b","weight":1` + fields + `}]}`)
 	}
 	tests := []struct {
@@ -84,7 +84,7 @@
 		{"no spec", []Document{{Kind: KindCaller, Name: "c"}}, "Caller/c: spec: must be set (got nothing)"},
 		{"unknown field", []Document{newDocument(KindCaller, "c", "", `{"tokens":[1]}`)}, "Caller/c: spec.tokens: unknown field, want one of certificate_names, token_sha256 (got [1])"},
 		{"field in the wrong case", []Document{newDocument(KindCaller, "c", "", `{"Token_SHA256":[]}`)}, "Caller/c: spec.Token_SHA256: unknown field, want one of certificate_names, token_sha256 (got [])"},
-		{"wrong type", []Document{group(`,"queue_bound":"many"`)}, `SharingPolicy/p: spec.groups[0].queue_bound: want a whole number (got "many")`},
+		{"wrong type", []Document{policyWithGroupFields(`,"queue_bound":"many"`)}, `SharingPolicy/p: spec.groups[0].queue_bound: want a whole number (got "many")`},
 		{"duration without a unit", []Document{newDocument(KindService, "s", "", `{"deadline":5}`)}, `Service/s: spec.deadline: duration 5: want a string with a unit such as "250ms" (got 5)`},
 		{"negative deadline", []Document{newDocument(KindService, "s", "", `{"deadline":"-1s"}`)}, "Service/s: spec.deadline: must not be negative (got -1s)"},
 		{"negative weight", []Document{policyWith(`{"services":"","groups":[{"name":"g","callers":"a","weight":-1}]}`)}, "SharingPolicy/p: spec.groups[0].weight: must not be negative (got -1)"},
@@ -92,7 +92,7 @@
 		{"bad selector", []Document{policyWith(`{"services":"a of (b)","groups":[{"name":"g","callers":"a","weight":1}]}`)}, `SharingPolicy/p: spec.services: term "a of (b)": unknown operator "of", want in or notin (got "a of (b)")`},
 		{"group that selects nobody", []Document{policyWith(`{"services":"","groups":[{"name":"g","callers":"","weight":1}]}`)}, `SharingPolicy/p: spec.groups[0].callers: selects nobody; only the default group may be empty (got "")`},
 		{"group twice", []Document{policyWith(`{"services":"","groups":[{"name":"g","callers":"a","weight":1},{"name":"g","callers":"b","weight":1}]}`)}, "SharingPolicy/p: spec.groups[1].name: declared more than once (got g)"},
-		{"unknown class", []Document{group(`,"deadline_class":"slow"`)}, "SharingPolicy/p: spec.groups[0].deadline_class: no such class in deadline_classes (got slow)"},
+		{"unknown class", []Document{policyWithGroupFields(`,"deadline_class":"slow"`)}, "SharingPolicy/p: spec.groups[0].deadline_class: no such class in deadline_classes (got slow)"},
 		{"unknown default group", []Document{policyWith(`{"services":"","default_group":"d","groups":[{"name":"g","callers":"a","weight":1}]}`)}, "SharingPolicy/p: spec.default_group: no such group in this policy (got d)"},
 		{"document twice", []Document{newDocument(KindCaller, "c", "", `{}`), newDocument(KindCaller, "c", "", `{}`)}, "Caller/c: name: declared more than once (got c)"},
 		{"host twice", []Document{newDocument(KindService, "a", "", `{"hosts":["H"]}`), newDocument(KindService, "b", "", `{"hosts":["h"]}`)}, "Service/b: spec.hosts[0]: already names service a (got h)"},
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -90,10 +90,10 @@
 		picks := map[model.ServiceName]float64{}
 		for n := 1; n <= 200; n++ {
 			picks[splitter.Pick(&r)]++
-			for _, p := range r.Split {
-				require.InDelta(t, float64(n)*p.Weight/totalWeight, picks[p.Service], float64(len(weights))-1+1e-6)
-				if p.Weight == 0 {
-					require.Zero(t, picks[p.Service])
+			for _, service := range r.Split {
+				require.InDelta(t, float64(n)*service.Weight/totalWeight, picks[service.Service], float64(len(weights))-1+1e-6)
+				if service.Weight == 0 {
+					require.Zero(t, picks[service.Service])
 				}
 			}
 		}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -79,9 +79,9 @@
 
 // Entry is the HTTP handler for callers' requests. It is safe for concurrent use.
 type Entry struct {
-	opts    Options
-	metrics *metrics
-	retries *retryBudgets
+	opts         Options
+	metrics      *metrics
+	retryBudgets *retryBudgets
 }
 
 // New returns an Entry.
@@ -92,7 +92,7 @@
 	if opts.MaxKeyedBody <= 0 {
 		opts.MaxKeyedBody = defaultMaxKeyedBody
 	}
-	return &Entry{opts: opts, metrics: newMetrics(opts.Scope), retries: newRetryBudgets(opts.Now, opts.Scope)}
+	return &Entry{opts: opts, metrics: newMetrics(opts.Scope), retryBudgets: newRetryBudgets(opts.Now, opts.Scope)}
 }
 
 // ServeHTTP implements http.Handler.
@@ -112,7 +112,7 @@
 	o := outcome.UnknownBecause(outcome.ReasonTruncated)
 	startedAt := e.opts.Now()
 	defer func() { e.metrics.recordRequest(req, o, e.opts.Now().Sub(startedAt)) }()
-	response := e.handleWithinCeiling(ctx, req)
+	response := e.forwardWithinCeiling(ctx, req)
 	if req.releaseCeiling != nil {
 		defer req.releaseCeiling()
 	}
@@ -121,11 +121,11 @@
 	e.clearCrashes(req, o)
 }
 
-// handleWithinCeiling forwards the request, or refuses it when its group is at
+// forwardWithinCeiling forwards the request, or refuses it when its group is at
 // its ceiling.
-func (e *Entry) handleWithinCeiling(ctx context.Context, req *request) *wire.Result {
+func (e *Entry) forwardWithinCeiling(ctx context.Context, req *request) *wire.Result {
 	if e.opts.Ceilings == nil {
-		return e.handle(ctx, req)
+		return e.forwardOrSubmit(ctx, req)
 	}
 	release, wait, ok := e.opts.Ceilings.TryAcquire(req.service.Name, req.group)
 	if !ok {
@@ -134,7 +134,7 @@
 		return wire.NoResponse(o)
 	}
 	req.releaseCeiling = release
-	return e.handle(ctx, req)
+	return e.forwardOrSubmit(ctx, req)
 }
 
 // request is a caller's request after classification.
@@ -163,7 +163,7 @@
 func (e *Entry) forward(ctx context.Context, req *request) *wire.Result {
 	var tried []model.UpstreamID
 	last := wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoUpstream))
-	e.retries.countRequest(req.service)
+	e.retryBudgets.countRequest(req.service)
 	for attempt := 0; ; attempt++ {
 		if o, refused := e.quarantined(req); refused {
 			return wire.NoResponse(o.After(last.Outcome))
@@ -173,7 +173,7 @@
 			return last
 		}
 		tried = append(tried, upstream)
-		e.retries.countAttempt(req.service, response)
+		e.retryBudgets.countAttempt(req.service, response)
 		response.Outcome, last = response.Outcome.After(last.Outcome), response
 		if !e.waitForRetry(ctx, req, response, attempt) {
 			return last
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -24,19 +24,19 @@
 
 const defaultMaxKeyedBody = 256 << 10
 
-// handle forwards a request and returns the response. A non-idempotent request
+// forwardOrSubmit forwards a request and returns the response. A non-idempotent request
 // with an idempotency key is forwarded to the daemon that owns the key. Any other
 // request is forwarded to an upstream.
-func (e *Entry) handle(ctx context.Context, req *request) *wire.Result {
+func (e *Entry) forwardOrSubmit(ctx context.Context, req *request) *wire.Result {
 	if req.idempotent || len(req.http.Header[wire.HeaderIdempotencyKey]) == 0 {
 		return e.forward(ctx, req)
 	}
-	return e.handleKeyed(ctx, req)
+	return e.submitKeyed(ctx, req)
 }
 
-// handleKeyed checks the idempotency key of a request and forwards the request to
+// submitKeyed checks the idempotency key of a request and forwards the request to
 // the daemon that owns the key.
-func (e *Entry) handleKeyed(ctx context.Context, req *request) *wire.Result {
+func (e *Entry) submitKeyed(ctx context.Context, req *request) *wire.Result {
 	if e.opts.Keyed == nil {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNotReady))
 	}
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -100,7 +100,7 @@
 			return false
 		}
 	}
-	wait, ok := e.retries.backoff(req, attempt+1, response.Outcome)
+	wait, ok := e.retryBudgets.backoff(req, attempt+1, response.Outcome)
 	if !ok || wait <= 0 {
 		return ok
 	}
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -29,8 +29,8 @@
 	policyOf func(model.ServiceName) string
 	scope    tally.Scope
 
-	mu       sync.Mutex
-	services map[model.ServiceName]*serviceRouter
+	mu      sync.Mutex
+	routers map[model.ServiceName]*serviceRouter
 }
 
 // serviceRouter is the router of one service.
@@ -56,7 +56,7 @@
 		opts:     opts,
 		policyOf: func(model.ServiceName) string { return "" },
 		scope:    tally.NoopScope,
-		services: make(map[model.ServiceName]*serviceRouter),
+		routers:  make(map[model.ServiceName]*serviceRouter),
 	}
 }
 
@@ -73,7 +73,7 @@
 // rejections is how many times guards have rejected the request so far. See
 // routing.Router.Place.
 func (r *Routers) Place(req model.Request, exclude []model.UpstreamID, rejections int) (routing.Choice, bool) {
-	s := r.service(req.Service)
+	s := r.routerFor(req.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.refresh(s, req.Service)
@@ -84,7 +84,7 @@
 // that is sent to a second upstream too. It reports false when the request may not be
 // hedged. See routing.Router.HedgeDelay.
 func (r *Routers) HedgeDelay(req model.Request) (time.Duration, bool) {
-	s := r.service(req.Service)
+	s := r.routerFor(req.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.HedgeDelay(req)
@@ -93,7 +93,7 @@
 // Hedge chooses a second upstream for a request that was sent to the first at
 // the given instant. See routing.Router.Hedge.
 func (r *Routers) Hedge(first model.Upstream, sentAt model.Instant, exclude []model.UpstreamID) (routing.Choice, bool) {
-	s := r.service(first.Service)
+	s := r.routerFor(first.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.Hedge(r.now(), first.ID, sentAt, exclude)
@@ -101,22 +101,22 @@
 
 // Done records the result of an attempt.
 func (r *Routers) Done(upstream model.Upstream, reply routing.Reply) {
-	s := r.service(upstream.Service)
+	s := r.routerFor(upstream.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.router.Done(r.now(), upstream.ID, reply)
 	s.counters.update(s.router.Stats())
 }
 
-// service returns the router of a service, and creates it if there is none.
-func (r *Routers) service(name model.ServiceName) *serviceRouter {
+// routerFor returns the router of a service, and creates it if there is none.
+func (r *Routers) routerFor(name model.ServiceName) *serviceRouter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.services[name]
+	s := r.routers[name]
 	if s == nil {
 		s = &serviceRouter{counters: newRoutingCounters(r.scope, name)}
 		s.rebuild(r, r.policyOf(name))
-		r.services[name] = s
+		r.routers[name] = s
 	}
 	return s
 }
--- a/guard/body.go
+++ b/guard/body.go
@@ -26,8 +26,8 @@
 }
 
 // releaseAtContextEnd registers a function that releases the slot when ctx, the call's
-// context, ends. Without this function, a caller that does not read the body could hold the slot for ever. The end
-// of the context also cancels the request to the upstream.
+// context, ends. Without this function, a caller that does not read the body could hold
+// the slot for ever. The end of the context also cancels the request to the upstream.
 func (b *slotReleasingBody) releaseAtContextEnd(ctx context.Context) {
 	b.stopWatching = context.AfterFunc(ctx, func() { b.releaseOnce(outcome.UnknownBecause(outcome.ReasonCancelled)) })
 }
