--- a/core/fairqueue/queue_test.go
+++ b/core/fairqueue/queue_test.go
@@ -12,9 +12,9 @@
 )
 
 // TestQueueAgainstModel compares the queue with a simple model under random
-// operations: each pushed request is popped, removed or dropped exactly once,
-// the requests of one caller start in the order in which they were pushed, and
-// the charges of ended requests equal the slot time used.
+// operations. Each pushed request must be popped, removed or dropped exactly once.
+// The requests of one caller must start in the order in which they were pushed. The
+// charges of ended requests must equal the slot time that they used.
 func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Options{})
@@ -23,22 +23,22 @@
 		lastStarted := make(map[string]ID)
 		slotTime := make(map[model.GroupName]time.Duration)
 		var now model.Instant
-		var next ID
-		name := rapid.IntRange(0, 3)
+		var lastID ID
+		nameIndex := rapid.IntRange(0, 3)
 		removeWaiting := func(id ID) {
 			require.Contains(t, waiting, id)
 			delete(waiting, id)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
-				next++
+				lastID++
 				item := Item{
-					ID:       next,
-					Group:    model.GroupName(fmt.Sprint("g", name.Draw(t, "group"))),
-					Caller:   model.CallerName(fmt.Sprint("c", name.Draw(t, "caller"))),
+					ID:       lastID,
+					Group:    model.GroupName(fmt.Sprint("g", nameIndex.Draw(t, "group"))),
+					Caller:   model.CallerName(fmt.Sprint("c", nameIndex.Draw(t, "caller"))),
 					Deadline: now + model.Instant(rapid.IntRange(1, 1000).Draw(t, "deadline")),
 				}
-				waiting[next] = item
+				waiting[lastID] = item
 				q.Push(item)
 			},
 			"pop": func(t *rapid.T) {
@@ -124,8 +124,8 @@
 	})
 }
 
-// runningCharges returns what the running requests of a group have been charged
-// so far.
+// runningCharges returns the slot time that has been charged so far for the running
+// requests of a group.
 func runningCharges(q *Queue, name model.GroupName) time.Duration {
 	var d time.Duration
 	for _, e := range q.entries {
--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	defaultDeadline           = 10 * time.Second
+	defaultTimeout            = 10 * time.Second
 	defaultQueueBound         = 128
 	defaultRetryShare         = 0.1
 	defaultQuarantineCrashes  = 2
@@ -25,16 +25,16 @@
 	maxNameLength             = 253
 )
 
-// Compile checks the documents and builds a Set. It returns a nil Set when there
-// are problems.
+// Compile checks the documents and builds a Set from them. When it finds problems,
+// it returns all of them, sorted, and a nil Set.
 func Compile(docs []Document) (*Set, []Problem) {
 	c := &compiler{set: &Set{
-		services:     make(map[model.ServiceName]*Service),
-		hosts:        make(map[string]model.ServiceName),
-		callers:      make(map[model.CallerName]Caller),
-		tokens:       make(map[[sha256.Size]byte]Caller),
-		certificates: make(map[string]Caller),
-		labels:       make(map[model.ServiceName]model.Labels),
+		services:      make(map[model.ServiceName]*Service),
+		hosts:         make(map[string]model.ServiceName),
+		callers:       make(map[model.CallerName]Caller),
+		tokens:        make(map[[sha256.Size]byte]Caller),
+		certificates:  make(map[string]Caller),
+		serviceLabels: make(map[model.ServiceName]model.Labels),
 	}}
 	sorted := slices.Clone(docs)
 	slices.SortStableFunc(sorted, func(a, b Document) int { return cmp.Compare(a.Key(), b.Key()) })
@@ -61,6 +61,7 @@
 	problems []Problem
 }
 
+// addProblem records a problem with the value at the given JSON path of a document.
 func (c *compiler) addProblem(d Document, path, value, message string) {
 	c.problems = append(c.problems, Problem{Document: d.Key(), Path: path, Value: value, Message: message})
 }
@@ -100,7 +101,7 @@
 	}
 	svc := &Service{
 		Name:            model.ServiceName(d.Name),
-		Deadline:        time.Duration(spec.Deadline),
+		Timeout:         time.Duration(spec.Deadline),
 		Routing:         spec.Routing,
 		MeasuringBudget: spec.MeasuringBudget,
 		RetryShare:      defaultRetryShare,
@@ -111,20 +112,22 @@
 	if spec.Routing != "" && !slices.Contains(routing.Names(), spec.Routing) {
 		c.addProblem(d, "spec.routing", spec.Routing, "want one of "+strings.Join(routing.Names(), ", "))
 	}
-	if svc.Deadline < 0 {
-		c.addProblem(d, "spec.deadline", svc.Deadline.String(), "must not be negative")
+	if svc.Timeout < 0 {
+		c.addProblem(d, "spec.deadline", svc.Timeout.String(), "must not be negative")
 	}
-	if svc.Deadline == 0 {
-		svc.Deadline = defaultDeadline
+	if svc.Timeout == 0 {
+		svc.Timeout = defaultTimeout
 	}
 	c.set.services[svc.Name] = svc
-	c.set.labels[svc.Name] = d.Labels
+	c.set.serviceLabels[svc.Name] = d.Labels
 	c.addHost(d, "name", d.Name)
 	for i, h := range spec.Hosts {
 		c.addHost(d, fmt.Sprintf("spec.hosts[%d]", i), h)
 	}
 }
 
+// addHost maps a host to the service that the document declares. path is the JSON
+// path of the host in the document.
 func (c *compiler) addHost(d Document, path, host string) {
 	key := strings.ToLower(host)
 	owner, taken := c.set.hosts[key]
@@ -173,15 +176,15 @@
 	}
 }
 
-// checkShare checks an optional value that must be between 0 and 1.
+// checkShare records a problem when a value is set and not between 0 and 1.
 func (c *compiler) checkShare(d Document, path string, v *float64) {
 	if v != nil && !(*v >= 0 && *v <= 1) {
 		c.addProblem(d, path, fmt.Sprint(*v), "want 0 to 1")
 	}
 }
 
-// decode decodes the spec of a document into spec. It reports false and records
-// problems when the spec is missing or malformed.
+// decode decodes the spec of a document into spec, a pointer to a struct. It reports
+// false and records problems when the spec is missing or malformed.
 func (c *compiler) decode(d Document, spec any) bool {
 	problemsBefore := len(c.problems)
 	if len(d.Spec) == 0 {
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -72,8 +72,8 @@
 }
 
 // TestSplitSharesAreExact checks the shares of a split after every request, since
-// operators compare them over short periods. Each service must be within one
-// request of its share for two services, and within n-1 requests for n services.
+// operators compare them over short periods. With two services, each must be within
+// one request of its share. With n services, each must be within n-1 requests.
 func TestSplitSharesAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
@@ -90,10 +90,10 @@
 		picks := map[model.ServiceName]float64{}
 		for n := 1; n <= 200; n++ {
 			picks[splitter.Pick(&r)]++
-			for _, p := range r.Split {
-				require.InDelta(t, float64(n)*p.Weight/totalWeight, picks[p.Service], float64(len(weights))-1+1e-6)
-				if p.Weight == 0 {
-					require.Zero(t, picks[p.Service])
+			for _, service := range r.Split {
+				require.InDelta(t, float64(n)*service.Weight/totalWeight, picks[service.Service], float64(len(weights))-1+1e-6)
+				if service.Weight == 0 {
+					require.Zero(t, picks[service.Service])
 				}
 			}
 		}
--- a/entry/classify.go
+++ b/entry/classify.go
@@ -10,32 +10,32 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// classify determines the service, caller, group and deadline of a request. It
-// returns an outcome when the request must be refused.
+// classify determines the service, caller, group and deadline of a request, and reads
+// its body. When the request must be refused, classify returns only an outcome.
 func (e *Entry) classify(w http.ResponseWriter, r *http.Request) (*request, *outcome.Outcome) {
 	inForce := e.opts.Config()
 	if inForce == nil {
-		return nil, refuse(outcome.ReasonNotReady)
+		return nil, refusedBecause(outcome.ReasonNotReady)
 	}
 	svc, ok := serviceOf(inForce.Set, r)
 	if !ok {
-		return nil, refuse(outcome.ReasonNoService)
+		return nil, refusedBecause(outcome.ReasonNoService)
 	}
 	requester, reason := e.requesterOf(inForce.Set, r)
 	if reason != outcome.ReasonNone {
-		return nil, refuse(reason)
+		return nil, refusedBecause(reason)
 	}
 	group, ok := svc.GroupOf(requester.caller)
 	if !ok {
-		return nil, refuse(outcome.ReasonForbidden)
+		return nil, refusedBecause(outcome.ReasonForbidden)
 	}
-	timeout, ok := timeoutOf(r, svc.DeadlineOf(group))
+	timeout, ok := timeoutOf(r, svc.TimeoutOf(group))
 	if !ok {
-		return nil, refuse(outcome.ReasonBadRequest)
+		return nil, refusedBecause(outcome.ReasonBadRequest)
 	}
 	timeout = requester.capTimeout(timeout)
 	if r.ContentLength > e.opts.MaxBody {
-		return nil, refuse(outcome.ReasonTooLarge)
+		return nil, refusedBecause(outcome.ReasonTooLarge)
 	}
 	req := &request{
 		http:       r,
@@ -49,18 +49,19 @@
 	}
 	req.body, reason = readBody(http.MaxBytesReader(w, r.Body, e.opts.MaxBody), r.ContentLength)
 	if reason != outcome.ReasonNone {
-		return nil, refuse(reason)
+		return nil, refusedBecause(reason)
 	}
 	return req, nil
 }
 
-func refuse(r outcome.Reason) *outcome.Outcome {
+func refusedBecause(r outcome.Reason) *outcome.Outcome {
 	o := outcome.NotRunBecause(r)
 	return &o
 }
 
-// serviceOf returns the service that the service header names, or else the
-// service of the request's host.
+// serviceOf returns the service that the request's service header names. Without this
+// header, it returns the service of the request's host. It reports false when there
+// is no such service.
 func serviceOf(set *policy.Set, r *http.Request) (*policy.Service, bool) {
 	name := model.ServiceName(r.Header.Get(wire.HeaderService))
 	if name == "" {
@@ -72,8 +73,8 @@
 	return set.Service(name)
 }
 
-// timeoutOf returns the timeout of a request: the value of its timeout header, at
-// most limit, or limit when there is no such header. It reports false when the
+// timeoutOf returns the timeout of a request. This is the value of its timeout header,
+// but at most limit. Without this header it is limit. timeoutOf reports false when the
 // header is invalid.
 func timeoutOf(r *http.Request, limit time.Duration) (time.Duration, bool) {
 	s := r.Header.Get(wire.HeaderTimeout)
@@ -87,8 +88,9 @@
 	return min(d, limit), true
 }
 
-// idempotentOf reports whether a request may run more than once, as its header
-// says or else the configuration of the service.
+// idempotentOf reports whether a request may run more than once. The request's
+// idempotent header decides. Without a valid value there, the configuration of the
+// service decides.
 func idempotentOf(r *http.Request, svc *policy.Service) bool {
 	switch r.Header.Get(wire.HeaderIdempotent) {
 	case "true":
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -12,9 +12,12 @@
 
 // metrics counts the outcomes of requests and attempts and records latencies.
 type metrics struct {
-	refused  *telemetry.OutcomeCounter
+	// refused counts the requests that classify refused or that ask for an upgrade.
+	refused *telemetry.OutcomeCounter
+	// attempts counts the outcomes of attempts, including hedges.
 	attempts *telemetry.OutcomeCounter
-	groups   *telemetry.BoundedMetrics[groupKey, *groupMetrics]
+	// groups holds the metrics of classified requests.
+	groups *telemetry.BoundedMetrics[groupKey, *groupMetrics]
 }
 
 type groupKey struct {
@@ -29,13 +32,13 @@
 }
 
 // maxGroupMetrics is the largest number of groups that have metrics of their own
-// during the lifetime of the process. Further groups are counted together.
+// during the lifetime of the process. Further groups are counted together as "other".
 const maxGroupMetrics = 4096
 
 func newMetrics(scope tally.Scope) *metrics {
 	scope = telemetry.OrNoop(scope)
-	other := func(groupKey) groupKey { return groupKey{"other", "other"} }
-	add := func(k groupKey) *groupMetrics {
+	overflowKey := func(groupKey) groupKey { return groupKey{"other", "other"} }
+	newGroupMetrics := func(k groupKey) *groupMetrics {
 		scope := scope.Tagged(map[string]string{"service": string(k.service), "group": string(k.group)})
 		return &groupMetrics{
 			requests: telemetry.NewOutcomeCounter(scope, "requests"),
@@ -45,7 +48,7 @@
 	return &metrics{
 		refused:  telemetry.NewOutcomeCounter(scope, "refused"),
 		attempts: telemetry.NewOutcomeCounter(scope, "attempts"),
-		groups:   telemetry.NewBoundedMetrics(maxGroupMetrics, other, add),
+		groups:   telemetry.NewBoundedMetrics(maxGroupMetrics, overflowKey, newGroupMetrics),
 	}
 }
 
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -20,28 +20,30 @@
 // retryBudgets holds the retry budget of each service. It is safe for concurrent
 // use.
 type retryBudgets struct {
-	now       func() model.Instant
-	decisions map[retry.Decision]tally.Counter
+	now func() model.Instant
+	// decisionCounters holds the counter of each decision on a retry.
+	decisionCounters map[retry.Decision]tally.Counter
 
 	mu sync.Mutex
-	// budgets is bounded, since it holds only services of the configuration.
+	// budgets holds the retry budget of each service that has received requests.
+	// Its size is bounded, since it holds only services of the configuration.
 	budgets map[model.ServiceName]*retry.Budget
 }
 
 func newRetryBudgets(now func() model.Instant, scope tally.Scope) *retryBudgets {
 	r := &retryBudgets{
-		now:       now,
-		decisions: make(map[retry.Decision]tally.Counter),
-		budgets:   make(map[model.ServiceName]*retry.Budget),
+		now:              now,
+		decisionCounters: make(map[retry.Decision]tally.Counter),
+		budgets:          make(map[model.ServiceName]*retry.Budget),
 	}
 	scope = telemetry.OrNoop(scope)
 	for _, decision := range []retry.Decision{retry.Allowed, retry.BudgetExhausted, retry.TooManyFailures, retry.DeadlineTooClose} {
-		r.decisions[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
+		r.decisionCounters[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
 	}
 	return r
 }
 
-// countRequest counts a request to a service, which adds to its retry budget.
+// countRequest counts a request to a service. This adds to the service's retry budget.
 func (r *retryBudgets) countRequest(s *policy.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,8 +56,8 @@
 	b.CountRequest()
 }
 
-// countAttempt counts an attempt and whether it failed. countRequest must have
-// been called for the service.
+// countAttempt counts an attempt as failed or not failed. countRequest must have been
+// called for the service before.
 func (r *retryBudgets) countAttempt(s *policy.Service, response *wire.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,9 +65,9 @@
 	r.budgets[s.Name].CountAttempt(r.now(), failed)
 }
 
-// backoff returns how long to wait before a retry, and whether a retry is
-// allowed. A retry after an attempt that put no load on any upstream needs no
-// budget.
+// backoff returns how long to wait before a retry, and whether the retry is allowed.
+// o is the outcome of the attempt before the retry. If this attempt put no load on any
+// upstream, the retry needs no budget and is allowed until the deadline.
 func (r *retryBudgets) backoff(req *request, retryNumber int, o outcome.Outcome) (time.Duration, bool) {
 	if o.FreeToRetry() {
 		return 0, req.deadline > r.now()
@@ -77,12 +79,12 @@
 		decision = r.budgets[req.service.Name].Allow(r.now())
 		r.mu.Unlock()
 	}
-	r.decisions[decision].Inc(1)
+	r.decisionCounters[decision].Inc(1)
 	return wait, decision == retry.Allowed
 }
 
-// waitForRetry reports whether to retry the request after an attempt. If so, it
-// returns after the backoff.
+// waitForRetry reports whether the request should be retried after an attempt with the
+// given response. If so, it returns only after the backoff.
 func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Result, attempt int) bool {
 	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.RetryElsewhere() {
 		return false
@@ -98,7 +100,7 @@
 			return false
 		}
 	}
-	wait, ok := e.retries.backoff(req, attempt+1, response.Outcome)
+	wait, ok := e.retryBudgets.backoff(req, attempt+1, response.Outcome)
 	if !ok || wait <= 0 {
 		return ok
 	}
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -10,34 +10,39 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// View is the part of the membership view that Routers needs: the upstreams of a
-// service, and a generation that changes whenever any upstream does.
+// View is the part of the membership view that Routers needs.
 type View interface {
+	// Upstreams returns the upstreams of a service and the current generation.
 	Upstreams(model.ServiceName) ([]model.Upstream, uint64)
+	// Generation returns a number that changes whenever any upstream changes.
 	Generation() uint64
 }
 
 // Routers holds a routing.Router for each service that the entry has received
 // requests for. It is safe for concurrent use.
 type Routers struct {
-	view     View
-	now      func() model.Instant
-	opts     routing.Options
+	view View
+	now  func() model.Instant
+	opts routing.Options
+	// policyOf returns the name of a service's routing policy; see
+	// SetPolicySource.
 	policyOf func(model.ServiceName) string
 	scope    tally.Scope
 
-	mu       sync.Mutex
-	services map[model.ServiceName]*serviceRouter
+	mu      sync.Mutex
+	routers map[model.ServiceName]*serviceRouter
 }
 
 // serviceRouter is the router of one service.
 type serviceRouter struct {
 	mu     sync.Mutex
 	router *routing.Router
+	// policy is the name of the routing policy. It is empty for the default policy.
 	policy string
 	// generation is the generation of the view that the router's upstreams come
 	// from. It is valid when upstreamsLoaded is set.
-	generation      uint64
+	generation uint64
+	// upstreamsLoaded reports whether the router has been given its upstreams.
 	upstreamsLoaded bool
 	counters        *routingCounters
 }
@@ -51,33 +56,35 @@
 		opts:     opts,
 		policyOf: func(model.ServiceName) string { return "" },
 		scope:    tally.NoopScope,
-		services: make(map[model.ServiceName]*serviceRouter),
+		routers:  make(map[model.ServiceName]*serviceRouter),
 	}
 }
 
 // SetPolicySource sets the function that returns the name of a service's routing
-// policy; an empty name means the default. It must be called before the first
-// request.
+// policy. An empty name means the default policy. SetPolicySource must be called
+// before the first request.
 func (r *Routers) SetPolicySource(policyOf func(model.ServiceName) string) { r.policyOf = policyOf }
 
 // SetMetricsScope sets the scope of the routing metrics. It must be called before
 // the first request.
 func (r *Routers) SetMetricsScope(scope tally.Scope) { r.scope = scope }
 
-// Place chooses the upstream for a request that guards have rejected the given
-// number of times. See routing.Router.Place.
+// Place chooses the upstream for a request. The upstreams in exclude are not chosen.
+// rejections is how many times guards have rejected the request so far. See
+// routing.Router.Place.
 func (r *Routers) Place(req model.Request, exclude []model.UpstreamID, rejections int) (routing.Choice, bool) {
-	s := r.service(req.Service)
+	s := r.routerFor(req.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.refresh(s, req.Service)
 	return s.router.Place(r.now(), req, exclude, rejections)
 }
 
-// HedgeDelay returns how long to wait for a response before the request is
-// hedged, and whether it may be hedged. See routing.Router.HedgeDelay.
+// HedgeDelay returns how long to wait for a response before the request is hedged,
+// that is sent to a second upstream too. It reports false when the request may not be
+// hedged. See routing.Router.HedgeDelay.
 func (r *Routers) HedgeDelay(req model.Request) (time.Duration, bool) {
-	s := r.service(req.Service)
+	s := r.routerFor(req.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.HedgeDelay(req)
@@ -86,7 +93,7 @@
 // Hedge chooses a second upstream for a request that was sent to the first at
 // the given instant. See routing.Router.Hedge.
 func (r *Routers) Hedge(first model.Upstream, sentAt model.Instant, exclude []model.UpstreamID) (routing.Choice, bool) {
-	s := r.service(first.Service)
+	s := r.routerFor(first.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.Hedge(r.now(), first.ID, sentAt, exclude)
@@ -94,21 +101,22 @@
 
 // Done records the result of an attempt.
 func (r *Routers) Done(upstream model.Upstream, reply routing.Reply) {
-	s := r.service(upstream.Service)
+	s := r.routerFor(upstream.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.router.Done(r.now(), upstream.ID, reply)
 	s.counters.update(s.router.Stats())
 }
 
-func (r *Routers) service(name model.ServiceName) *serviceRouter {
+// routerFor returns the router of a service, and creates it if there is none.
+func (r *Routers) routerFor(name model.ServiceName) *serviceRouter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.services[name]
+	s := r.routers[name]
 	if s == nil {
 		s = &serviceRouter{counters: newRoutingCounters(r.scope, name)}
 		s.rebuild(r, r.policyOf(name))
-		r.services[name] = s
+		r.routers[name] = s
 	}
 	return s
 }
@@ -128,12 +136,12 @@
 	s.upstreamsLoaded = true
 }
 
-// rebuild replaces the router by one with the named policy. An unknown name, which
-// configuration checks rule out, means the default policy.
-func (s *serviceRouter) rebuild(r *Routers, name string) {
+// rebuild replaces the router by a new router with the named policy. An unknown name
+// means the default policy, but the checks of the configuration exclude this case.
+func (s *serviceRouter) rebuild(r *Routers, policy string) {
 	opts := r.opts
-	if name != "" {
-		opts.Policy = name
+	if policy != "" {
+		opts.Policy = policy
 	}
 	router, err := routing.New(opts)
 	if err != nil {
@@ -143,6 +151,6 @@
 	if err != nil {
 		panic(err)
 	}
-	s.router, s.policy, s.upstreamsLoaded = router, name, false
+	s.router, s.policy, s.upstreamsLoaded = router, policy, false
 	s.counters.exported = routing.Stats{}
 }
--- a/guard/crash.go
+++ b/guard/crash.go
@@ -13,9 +13,11 @@
 // is still listening.
 const crashCheckTimeout = 250 * time.Millisecond
 
-// detectCrash checks, when the connection of a call was lost, whether the upstream
-// has crashed: then nothing listens at its address any more. It returns the outcome
-// with the reason changed accordingly. The outcome stays unknown in either case.
+// detectCrash takes the outcome of a failed call. If the connection was lost, it checks
+// whether the upstream has crashed. After a crash, nothing listens at the upstream's
+// address any more. In this case detectCrash changes the reason of the outcome to
+// ReasonUpstreamCrashed. The kind of the outcome stays unknown. Any other outcome is
+// returned unchanged.
 func (u *upstreamProxy) detectCrash(o outcome.Outcome) outcome.Outcome {
 	if o.Kind != outcome.Unknown || o.Reason != outcome.ReasonConnectionLost {
 		return o
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -18,9 +18,9 @@
 	"github.com/dottereltiller/dottereltiller/membership"
 )
 
-// pollOnce polls an upstream that responds with the given status and body. It
-// returns the result that the poll was counted under, the number of requests that
-// the upstream received, and the guard.
+// pollOnce polls an upstream that responds with the given status and body. result is
+// the value of the metric tag "result" under which the poll was counted. requestCount
+// is the number of requests that the upstream received.
 func pollOnce(t *testing.T, budget float64, status int, body string) (result string, requestCount int32, g *Guard) {
 	t.Helper()
 	var received atomic.Int32
@@ -42,10 +42,10 @@
 	g.poller.timeout = time.Minute
 	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6}
 	g.Attach(membership.LocalUpstream{Upstream: up, Address: upstream.Listener.Addr().String(), LoadPath: "/load"})
-	g.poll(context.Background())
+	g.startDuePolls(context.Background())
 	assert.Zero(t, received.Load(), "no poll is due yet")
 	now.Store(int64(time.Minute))
-	g.poll(context.Background())
+	g.startDuePolls(context.Background())
 	require.Eventually(t, func() bool {
 		for _, c := range scope.Snapshot().Counters() {
 			if c.Value() > 0 {
