--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -29,7 +29,8 @@
 		origin  bool
 		// local is the number of selected daemons in the local zone. The number in other
 		// zones is between minRemote and maxRemote.
-		local, minRemote, maxRemote int
+		local                int
+		minRemote, maxRemote int
 	}{
 		"forwarded":           {newMembers(5, 30), false, fanOut, 0, 1},
 		"origin":              {newMembers(5, 30), true, fanOut, 4, 4},
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -69,7 +69,8 @@
 	// contendedWindows counts consecutive windows above shrinkRatio. stableWindows
 	// counts windows between the two ratios; a window below growRatio sets it to
 	// growAfter.
-	contendedWindows, stableWindows int
+	contendedWindows int
+	stableWindows    int
 }
 
 // New returns a Limiter whose initial limit is the announced number of slots.
@@ -180,7 +181,8 @@
 // ring holds the latest uncontended slot times, in nanoseconds.
 type ring struct {
 	samples [uncontendedSize]float64
-	next, n int
+	next    int
+	n       int
 }
 
 // add stores a slot time in place of the oldest one.
--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -16,7 +16,8 @@
 	nextPoll model.Instant
 	// currentWindow began with the last report, previousWindow with the one before. A
 	// report may be late, so it is compared with both.
-	currentWindow, previousWindow runningRange
+	currentWindow  runningRange
+	previousWindow runningRange
 	// running is the current number of running requests.
 	running int
 }
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -20,7 +20,9 @@
 	// Agreed counts reports that are consistent with the observation, Contradicted
 	// those with fewer requests than were certainly running, and Unsupported those with
 	// additional requests although nothing was slowed down.
-	Agreed, Contradicted, Unsupported uint64
+	Agreed       uint64
+	Contradicted uint64
+	Unsupported  uint64
 }
 
 const (
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -47,13 +47,17 @@
 type Stats struct {
 	// Picks counts placed requests, Rejections rejected requests, and CrossZone requests
 	// placed in another zone.
-	Picks, Rejections, CrossZone uint64
+	Picks      uint64
+	Rejections uint64
+	CrossZone  uint64
 	// Ejections counts ejections of upstreams. Panics counts placements for which
 	// ejections were ignored because too many upstreams were ejected.
-	Ejections, Panics uint64
+	Ejections uint64
+	Panics    uint64
 	// Hedges counts hedged requests. HedgesRefused counts hedges that the budget did
 	// not allow.
-	Hedges, HedgesRefused uint64
+	Hedges        uint64
+	HedgesRefused uint64
 	// NoUpstream counts requests for which no upstream was usable.
 	NoUpstream uint64
 }
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -55,11 +55,12 @@
 	// nextReadAt is when the next read may start. readUntil is when the pending read
 	// ends, and hung tells whether it gets no response. retryDelay is the delay after
 	// the next failed read.
-	nextReadAt, readUntil model.Instant
-	reading               bool
-	hung                  bool
-	retryDelay            time.Duration
-	heartbeatsSent        int
+	nextReadAt     model.Instant
+	readUntil      model.Instant
+	reading        bool
+	hung           bool
+	retryDelay     time.Duration
+	heartbeatsSent int
 }
 
 // newFleet returns n running daemons, spread over all zones.
