--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -1,13 +1,13 @@
 // Package placement chooses the upstream that is expected to complete a request first.
 //
 // An entry, which accepts the requests of callers, has a Placer for each service. The
-// guard of an upstream, the proxy in front of it, enforces its concurrency limit and
-// reports its Load.
+// guard, the proxy in front of an upstream, enforces the upstream's concurrency limit and
+// reports the upstream's Load.
 //
 // Upstreams share their VMs with other processes, so their speed changes several times
-// a second and its mean says little. What counts is how slow an upstream is now and how
-// old that information is. A Load contains both: the slowdown (service time relative to
-// the usual one) and its age. The expected time of a request is its usual service time
+// a second and its mean says little. A Placer needs to know how slow an upstream is now
+// and how old that information is. A Load contains both: the slowdown (service time
+// relative to the usual one) and its age. The expected time of a request is its usual service time
 // multiplied by the slowdown, plus the wait for the requests that are already there. As
 // the information ages, the slowdown decays towards the mean of the service.
 //
--- a/core/placement/failure_rate.go
+++ b/core/placement/failure_rate.go
@@ -17,12 +17,14 @@
 	failureHalfLife = 2 * time.Second
 )
 
-// FailureRate is the recent failure rate of an upstream. It decays with time, as an
-// upstream that gets no requests because it has failed would otherwise never be tried
-// again. The zero value is a failure rate of 0.
+// FailureRate is the recent failure rate of an upstream. It decays with time. Otherwise an
+// upstream that gets no requests because it has failed would never be tried again. The
+// zero value is a failure rate of 0.
 type FailureRate struct {
+	// rate is the failure rate at the instant at.
 	rate float64
-	at   model.Instant
+	// at is when the last result was recorded.
+	at model.Instant
 }
 
 // Record records the result of a request.
@@ -39,7 +41,8 @@
 // At returns the failure rate at the given instant, from 0 to 1.
 func (f *FailureRate) At(now model.Instant) float64 { return f.rate * failureDecay(now.Sub(f.at)) }
 
-// failureDecay returns the fraction of a failure rate that is left at an age.
+// failureDecay returns the fraction, from 0 to 1, that is left of a failure rate of the
+// given age.
 func failureDecay(age time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(failureHalfLife))
 }
--- a/core/placement/failure_rate_test.go
+++ b/core/placement/failure_rate_test.go
@@ -26,8 +26,8 @@
 }
 
 // TestUpstreamIsChosenAgainAfterOneFailure guards against a failure rate that does not
-// decay. An upstream that had failed one request while others were idle was expected to
-// take an eighth longer forever, and was never chosen again.
+// decay. With such a rate, an upstream that had failed one request was expected to take an
+// eighth longer forever. It was never chosen again while others were idle.
 func TestUpstreamIsChosenAgainAfterOneFailure(t *testing.T) {
 	p := New(Options{Zone: "local", Rand: rand.New(rand.NewPCG(1, 1)).Float64})
 	p.SetUpstreams([]Upstream{{Key: "a", Zone: "local", Slots: 6}, {Key: "b", Zone: "local", Slots: 6}})
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -9,8 +9,9 @@
 
 // Load is the state of an upstream as its guard reports it.
 type Load struct {
-	// Running counts requests in the upstream, Waiting those queued at its guard.
+	// Running counts requests that are running in the upstream.
 	Running int
+	// Waiting counts requests that are queued at the upstream's guard.
 	Waiting int
 	// Limit is how many requests the guard lets run concurrently.
 	Limit int
@@ -24,23 +25,24 @@
 }
 
 const (
-	// loadHalfLife is the age at which a reported slowdown or load has half its weight. The
-	// other processes on a shared VM start and stop working a few times a second.
+	// loadHalfLife is the age at which a reported slowdown or number of requests has half
+	// its weight. The other processes on a shared VM start and stop working a few times a
+	// second.
 	loadHalfLife = 150 * time.Millisecond
 	// initialSlowdown is the mean slowdown assumed before any has been reported.
 	initialSlowdown = 1.5
 	// meanSlowdownWeight makes the mean slowdown of a service cover about 64 responses.
 	meanSlowdownWeight = 1.0 / 64
-	// coldSlowdown is the lowest slowdown assumed for an upstream that reports that it
-	// has just started, since its caches are still filling and its code is still being
-	// compiled.
+	// coldSlowdown is the lowest slowdown assumed for an upstream that has just started
+	// (see Upstream.ColdUntil). The caches of such an upstream are still filling, and its
+	// code is still being compiled.
 	coldSlowdown = 2.0
-	// maxFailureRate bounds the effect of failures on the expected time. An upstream
-	// that fails every request still gets a trial request now and then, which shows
-	// when it has recovered.
+	// maxFailureRate bounds the failure rate from which the expected time is calculated.
+	// An upstream that fails every request therefore still gets a trial request now and
+	// then, which shows when it has recovered.
 	maxFailureRate = 0.95
-	// maxUtilization is the share of its slots that an upstream may fill, because
-	// servers slow down near saturation.
+	// maxUtilization is the share of its slots that an upstream may fill. Servers slow
+	// down near saturation.
 	maxUtilization = 0.8
 	// saturatedSlowdown is the slowdown of an upstream whose slots are all busy. The
 	// value was recorded on services with 6 slots.
@@ -79,13 +81,14 @@
 // candidate holds what this entry knows about one upstream.
 type candidate struct {
 	upstream Upstream
-	// load was reported at loadAt. hasLoad is false if no load has been reported yet.
-	load    Load
+	// load is the latest reported load. It is not set while hasLoad is false.
+	load Load
+	// loadAt is when load was reported.
 	loadAt  model.Instant
 	hasLoad bool
-	// inFlight counts this entry's unfinished requests at the upstream. inFlightAtLoad
-	// is the value that inFlight had when load was reported.
-	inFlight       int
+	// inFlight counts this entry's unfinished requests at the upstream.
+	inFlight int
+	// inFlightAtLoad is the value that inFlight had when load was reported.
 	inFlightAtLoad int
 	// meanOthers is the moving average of the number of requests that other entries
 	// have at the upstream.
@@ -95,8 +98,8 @@
 	unreachableUntil model.Instant
 }
 
-// slowdown returns the slowdown to expect now. mean is the mean slowdown of the
-// service.
+// slowdown returns the slowdown to expect of the upstream now. mean is the mean slowdown
+// of the service.
 func (c *candidate) slowdown(now model.Instant, mean float64) float64 {
 	slowdown := mean
 	if c.hasLoad && c.load.Slowdown > 0 {
@@ -109,7 +112,9 @@
 	return slowdown
 }
 
-// expectedRequests estimates how many requests are at the upstream now.
+// expectedRequests estimates how many requests are at the upstream now. This entry's own
+// requests are known exactly. The number of other entries' requests decays from the last
+// reported value towards meanOthers.
 func (c *candidate) expectedRequests(now model.Instant) int {
 	if !c.hasLoad {
 		return c.inFlight
@@ -127,7 +132,7 @@
 	return DefaultLimit(c.upstream.Slots)
 }
 
-// failureRate returns the failure rate to expect now.
+// failureRate returns the failure rate to expect of the upstream now.
 func (c *candidate) failureRate(now model.Instant) float64 {
 	if !c.hasLoad {
 		return 0
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// serviceTime is the usual service time of the test requests, target their target
-	// latency.
+	// serviceTime is the usual service time of the test requests.
 	serviceTime = 100 * time.Millisecond
-	target      = 400 * time.Millisecond
+	// target is the target latency of the test requests.
+	target = 400 * time.Millisecond
 )
 
 // at returns the instant ms milliseconds after the origin.
 func at(ms int) model.Instant { return model.Instant(0).Add(time.Duration(ms) * time.Millisecond) }
 
-// midpoint replaces the random number generator, so that choices are reproducible.
+// midpoint replaces the random number generator in Options.Rand, so that choices are
+// reproducible.
 func midpoint() float64 { return 0.5 }
 
 // newPlacer returns a Placer in zone "local" with one upstream for each given zone, named
@@ -37,7 +38,7 @@
 // idle returns the load of an idle upstream with the given slowdown.
 func idle(slowdown float64) Load { return Load{Limit: 4, Slowdown: slowdown} }
 
-// choose places a request with the usual service time and target, and fails the test if
+// choose places a request with the constants serviceTime and target. It fails the test if
 // no upstream is usable.
 func choose(t *testing.T, p *Placer, now model.Instant) Choice {
 	t.Helper()
@@ -46,8 +47,9 @@
 	return c
 }
 
-// TestLimitStaysBelowSaturation includes upstreams with 2 slots, the exception: they
-// have more throughput with both slots busy, in spite of the slowdown, than with one.
+// TestLimitStaysBelowSaturation checks that the limit is below the number of slots, except
+// for 1 or 2 slots. An upstream with 2 slots has more throughput with both slots busy, in
+// spite of the slowdown, than with one.
 func TestLimitStaysBelowSaturation(t *testing.T) {
 	for slots, want := range map[int]int{0: 1, 1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 6: 4, 10: 7, 100: 79} {
 		require.Equal(t, want, DefaultLimit(slots), "%d slots", slots)
@@ -63,9 +65,9 @@
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
-// TestOldSlowdownIsForgotten has loads that are 3 seconds old. They must no longer
-// matter: the expected times of the two upstreams differ by less than a factor of two,
-// although one was four times as slow as the other.
+// TestOldSlowdownIsForgotten has loads that are 3 seconds old and must no longer matter.
+// One upstream was four times as slow as the other, but the expected times of the two must
+// differ by less than a factor of two.
 func TestOldSlowdownIsForgotten(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(4))
@@ -78,8 +80,8 @@
 	require.Less(t, max(first.Expected, second.Expected), 2*min(first.Expected, second.Expected))
 }
 
-// TestFullUpstreamIsAvoided counts the requests that this entry itself has sent since
-// the loads were reported.
+// TestFullUpstreamIsAvoided checks that an upstream counts as full because of the requests
+// that this entry itself has sent since the loads were reported.
 func TestFullUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(1))
@@ -119,10 +121,9 @@
 	require.Equal(t, "a", c.Upstream.Key, "a gain of 20 ms is less than the cross-zone penalty")
 }
 
-// TestRoundTripTimeCounts covers deployments over several regions. Of two remote zones
-// that would meet the target, the one in the local region is chosen, although its
-// upstream is a little slower. The alternative time that a guard is sent includes the
-// round trip.
+// TestRoundTripTimeCounts covers deployments over several regions. Two remote zones would
+// meet the target. The zone in the local region must be chosen, although its upstream is a
+// little slower. Choice.Alternative, which the guard is sent, must include the round trip.
 func TestRoundTripTimeCounts(t *testing.T) {
 	const near, far = 3 * time.Millisecond, 45 * time.Millisecond
 	p := newPlacer("local", "region", "abroad")
@@ -168,8 +169,8 @@
 	return float64(c.Expected-serviceTime) / float64(time.Millisecond)
 }
 
-// TestFastFailingUpstreamIsAvoided has an upstream that fails every request at once. It
-// never has any requests running, and must not be preferred because it looks idle.
+// TestFastFailingUpstreamIsAvoided has an upstream that fails most requests at once. Such
+// an upstream has no requests running, and must not be preferred because it looks idle.
 func TestFastFailingUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", Load{Limit: 4, Slowdown: 1, FailureRate: 0.9})
@@ -199,7 +200,7 @@
 	}
 	p.MarkUnreachable(at(2), "b")
 	_, ok := p.Choose(at(3), Request{ServiceTime: serviceTime})
-	require.True(t, ok, "one is tried although none is reachable")
+	require.True(t, ok, "an upstream is tried although none is reachable")
 	p.UpdateLoad(at(4), "a", idle(1))
 	require.Equal(t, "a", choose(t, p, at(5)).Upstream.Key)
 }
@@ -261,8 +262,9 @@
 	require.Equal(t, "a", choose(t, p, at(4)).Upstream.Key, "there is no other upstream")
 }
 
-// TestMissesTarget covers a burst that fills a service: guards have rejected the request
-// for lack of capacity, and at the next one it is expected to complete too late as well.
+// TestMissesTarget covers a burst that fills a service. Guards have rejected the request
+// for lack of capacity, and the request is expected to miss its target at the next guard
+// as well.
 func TestMissesTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		fullGuards       int
@@ -282,8 +284,8 @@
 	}
 }
 
-// TestMissesDeadline has the entry refuse a request that is known to miss its deadline
-// on every upstream although slots are free. A guard would accept it.
+// TestMissesDeadline checks that a request is refused that would miss its deadline on
+// every upstream. Slots are free, so a guard would accept the request.
 func TestMissesDeadline(t *testing.T) {
 	const slowdown, left = 20, time.Second
 	p := newPlacer("local", "local")
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -18,7 +18,7 @@
 	Daemon model.DaemonID
 	Zone   model.AvailabilityZone
 	Slots  int
-	// ColdUntil is the expected end of the slow phase after the upstream's start.
+	// ColdUntil is the expected end of the slow phase after the start of the upstream.
 	ColdUntil model.Instant
 	// Stopping is set if the upstream's daemon is about to stop. The upstream still
 	// serves requests, but is chosen only if no other can be.
@@ -40,22 +40,24 @@
 	// DefaultCrossZonePenalty is a few round trips between zones. Callers gain nothing
 	// from a request to another zone that saves less.
 	DefaultCrossZonePenalty = 40 * time.Millisecond
-	// An upstream of the local zone is chosen over those of other zones if it is expected
-	// to respond within targetShare of the target latency.
+	// targetShare is the share of the target latency within which an upstream of the local
+	// zone must be expected to respond to be chosen over those of other zones.
 	targetShare = 0.85
-	// jitter spreads the requests of entries that know the same loads.
+	// jitter is the largest share by which an expected time is randomly increased. It
+	// spreads the requests of entries that know the same loads.
 	jitter = 0.1
 	// unreachablePause is how long an upstream is avoided after it could not be
 	// reached. Its daemon is usually back within a second or two.
 	unreachablePause = 300 * time.Millisecond
-	// queryJitter spreads the load queries of entries that know the same loads.
+	// queryJitter replaces jitter where the targets of load queries are selected. It
+	// spreads the load queries of entries that know the same loads.
 	queryJitter = 0.5
 	// rttSmoothing limits how fast the stored round-trip time rises: a longer measurement
-	// raises it by the difference divided by rttSmoothing. It follows a lasting increase
-	// within a few hundred load queries, which a loaded entry sends in less than a second.
+	// raises the stored time by the difference divided by rttSmoothing. The stored time
+	// follows a lasting increase within a few hundred load queries. A loaded entry sends
+	// that many in less than a second.
 	rttSmoothing = 64
-	// othersWeight makes the mean number of requests of other entries cover about 8
-	// loads.
+	// othersWeight makes candidate.meanOthers cover about 8 loads.
 	othersWeight = 1.0 / 8
 )
 
@@ -65,7 +67,7 @@
 	ServiceTime time.Duration
 	// Target is the target latency. Zero means none.
 	Target time.Duration
-	// Exclude reports whether the upstream must not be used.
+	// Exclude reports whether the given upstream must not be used. Nil excludes none.
 	Exclude func(Upstream) bool
 }
 
@@ -73,27 +75,30 @@
 type Choice struct {
 	Upstream Upstream
 	// Expected is the time until the request is expected to complete at Upstream.
-	// Alternative is that time for the best other upstream, or zero if there is none.
-	Expected    time.Duration
+	Expected time.Duration
+	// Alternative is the time until the request is expected to complete at the best other
+	// upstream. It is zero if there is no other.
 	Alternative time.Duration
-	// Age is the age of the load from which Expected was calculated.
+	// Age is the age of the load from which Expected was calculated. It is math.MaxInt64
+	// if no load is known.
 	Age time.Duration
 }
 
 // MissesTarget reports whether a request should be refused rather than sent to the chosen
-// upstream: at least one guard has rejected it for lack of capacity, and it is expected to
-// miss its target at the chosen upstream. There it would take a slot from requests that
-// can still meet their targets, and its caller is better off retrying later. fullGuards is
-// the number of such rejections. left is the time until the target, or zero if there is
-// none.
+// upstream. It does so if at least one guard has rejected the request for lack of capacity
+// and the chosen upstream is expected to miss the target. There, the request would take a
+// slot from requests that can still meet their targets, and its caller is better off
+// retrying later. fullGuards is the number of rejections for lack of capacity. left is the
+// time until the target, or zero if there is none.
 func (c *Choice) MissesTarget(fullGuards int, left time.Duration) bool {
 	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
-// MissesDeadline reports whether the request is expected to miss its deadline on every
-// upstream: it would miss it on the chosen upstream, whose load is recent. A guard with a
-// free slot would accept the request although it cannot complete in time. left is the
-// time until the deadline.
+// MissesDeadline reports whether a request should be refused because it is expected to
+// miss its deadline on every upstream. It does so if the load of the chosen upstream is
+// recent and the request would miss its deadline there. A guard with a free slot would
+// accept the request although it cannot complete in time. left is the time until the
+// deadline.
 func (c *Choice) MissesDeadline(left time.Duration) bool {
 	return c.Age < maxRefusalAge && c.Expected > left
 }
@@ -101,10 +106,10 @@
 // Placer chooses among the upstreams of one service. It is not safe for concurrent use.
 type Placer struct {
 	opts Options
-	// candidates is indexed by key. order holds the candidates in the order in which they
-	// were given.
+	// candidates holds the candidates by Upstream.Key.
 	candidates map[string]*candidate
-	order      []*candidate
+	// order holds the same candidates in the order in which SetUpstreams was given them.
+	order []*candidate
 	// meanSlowdown is the mean slowdown of the service.
 	meanSlowdown float64
 	// roundTrips holds the round-trip time to the guards of each zone.
@@ -154,10 +159,10 @@
 // MeanSlowdown returns the mean slowdown of the service.
 func (p *Placer) MeanSlowdown() float64 { return p.meanSlowdown }
 
-// QueryTargets returns up to n upstreams to which to send a load query: those of the local
-// zone if local is set, otherwise those of other zones. Upstreams whose load is younger
-// than maxAge are left out. If more than n remain, those with the shortest expected times
-// are returned, except that the last of the n is drawn at random from the others.
+// QueryTargets returns up to n upstreams to which to send a load query. If local is set,
+// they are upstreams of the local zone, otherwise of other zones. Upstreams whose load is
+// younger than maxAge are left out. If more than n remain, the n-1 with the shortest
+// expected times are returned, and one that is drawn at random from the others.
 func (p *Placer) QueryTargets(now model.Instant, req Request, local bool, maxAge time.Duration, n int) []Upstream {
 	var stale []scoredCandidate
 	for _, c := range p.order {
@@ -184,7 +189,8 @@
 }
 
 // LocalMeetsTarget reports whether an upstream of the local zone is expected to respond
-// well within the target latency.
+// well within the target latency (see targetShare). For a request without a target, it
+// reports whether the local zone has a usable upstream.
 func (p *Placer) LocalMeetsTarget(now model.Instant, req Request) bool {
 	_, _, bestLocal := p.findBest(now, req, preferredOnly)
 	if bestLocal.candidate == nil {
@@ -223,13 +229,14 @@
 	return Choice{Upstream: chosen.candidate.upstream, Expected: chosen.time, Alternative: alternative.time, Age: age}, true
 }
 
-// scoredCandidate is a candidate with the expected time of the request and a score, by
-// which candidates are compared. The score is that time with jitter and, in findBest,
-// the cross-zone penalty.
+// scoredCandidate is a candidate for a request, with its score.
 type scoredCandidate struct {
 	candidate *candidate
-	score     time.Duration
-	time      time.Duration
+	// score is the value by which candidates are compared; lower is better. It is the
+	// expected time with jitter and, in findBest, the cross-zone penalty.
+	score time.Duration
+	// time is the expected time until the request completes.
+	time time.Duration
 }
 
 // eligibility says which candidates may be chosen. Higher values allow more of them and
@@ -259,7 +266,8 @@
 	}
 }
 
-// findBest returns the best candidate, the second best, and the best one of the local zone.
+// findBest returns the best candidate, the second best, and the best candidate of the
+// local zone. If there is no such candidate, the candidate field of the result is nil.
 func (p *Placer) findBest(now model.Instant, req Request, e eligibility) (best, second, bestLocal scoredCandidate) {
 	for _, c := range p.order {
 		if !e.allows(c, now) {
@@ -293,9 +301,9 @@
 	return p.roundTrips[c.upstream.Zone] + ExpectedTime(req.ServiceTime, c.slowdown(now, p.meanSlowdown), c.expectedRequests(now), c.limit(), c.failureRate(now))
 }
 
-// ObserveRTT records the round-trip time of a load query to the guard of an upstream.
-// A time longer than the stored one changes it only a little, as it may include a wait
-// for a CPU.
+// ObserveRTT records the round-trip time of a load query to the guard of an upstream. A
+// measurement that is longer than the stored time raises that time only a little, as the
+// measurement may include a wait for a CPU.
 func (p *Placer) ObserveRTT(key string, took time.Duration) {
 	c := p.candidates[key]
 	if c == nil {
@@ -338,8 +346,8 @@
 	p.updateLoad(now, c, *load)
 }
 
-// updateLoad records the load of an upstream and clears the effect of MarkUnreachable,
-// since an upstream whose guard reports a load is reachable.
+// updateLoad records the load of an upstream. It also ends the pause that MarkUnreachable
+// began, since an upstream whose guard reports a load is reachable.
 func (p *Placer) updateLoad(now model.Instant, c *candidate, load Load) {
 	c.load, c.loadAt, c.hasLoad, c.inFlightAtLoad = load, now, true, c.inFlight
 	c.unreachableUntil = 0
--- a/core/retry/backoff.go
+++ b/core/retry/backoff.go
@@ -3,18 +3,20 @@
 import "time"
 
 const (
-	// backoffBase bounds the first wait. The bound doubles with each retry up to
-	// maxBackoff.
+	// backoffBase is the longest wait before the first retry. The longest wait doubles
+	// with each retry.
 	backoffBase = 2 * time.Millisecond
-	maxBackoff  = 100 * time.Millisecond
-	// A wait may take at most 1/remainingDivisor of the time that remains.
+	// maxBackoff is the longest wait before any retry.
+	maxBackoff = 100 * time.Millisecond
+	// remainingDivisor bounds a wait to 1/remainingDivisor of the time that remains.
 	remainingDivisor = 4
 )
 
-// Backoff returns how long to wait before the retry with the given number; the first
+// Backoff returns how long to wait before the retry with the given number. The first
 // retry has number 1. The wait is uniformly distributed between zero and a bound that
-// doubles with each retry (full jitter); random is a number from 0 to below 1. Backoff
-// returns false if the wait would take more than a quarter of the remaining time.
+// doubles with each retry (full jitter). random is a number from 0 to below 1. Backoff
+// returns false if the wait would take more than a quarter of the remaining time, or if
+// no time remains.
 func Backoff(retryNumber int, remaining time.Duration, random float64) (time.Duration, bool) {
 	bound := maxBackoff
 	if shift := retryNumber - 1; shift < 10 {
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -14,14 +14,15 @@
 	maxTokens = 50
 	// halfLife is the age at which an attempt has half its weight in the failure rate.
 	halfLife = time.Second
-	// Retries are disabled while more than maxFailureRate of the recent attempts
-	// failed. minAttempts is the number of recent attempts needed to decide that.
+	// maxFailureRate is the share of recent attempts that may fail. While more fail,
+	// retries are disabled.
 	maxFailureRate = 0.5
-	minAttempts    = 20
+	// minAttempts is the number of recent attempts needed to compare their failures with
+	// maxFailureRate.
+	minAttempts = 20
 )
 
-// Decision is the result of Budget.Allow or, if a retry is not attempted because of its
-// Backoff, DeadlineTooClose.
+// Decision says whether a retry may be sent and, if not, why.
 type Decision uint8
 
 // The possible values of a Decision.
@@ -32,7 +33,8 @@
 	BudgetExhausted
 	// TooManyFailures means that too many of the recent attempts failed.
 	TooManyFailures
-	// DeadlineTooClose means that too little time remains until the deadline.
+	// DeadlineTooClose means that Backoff has returned false because too little time
+	// remains until the deadline. Allow never returns this value.
 	DeadlineTooClose
 )
 
@@ -58,8 +60,9 @@
 	// share is the number of tokens that each request adds.
 	share  float64
 	tokens float64
-	// attempts and failures are recent counts, halved every halfLife.
+	// attempts counts recent attempts. The count is halved every halfLife.
 	attempts float64
+	// failures counts the failed ones among the recent attempts in the same way.
 	failures float64
 	// decayedAt is the instant up to which attempts and failures have been decayed.
 	decayedAt model.Instant
@@ -81,7 +84,8 @@
 	}
 }
 
-// CountRequest counts a new request. Retries must not be counted here.
+// CountRequest counts a new request, which adds its share of a token. The caller must not
+// count retries with CountRequest.
 func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.share, maxTokens) }
 
 // CountAttempt counts an attempt, which may be a retry, and whether it failed.
@@ -93,8 +97,8 @@
 	}
 }
 
-// Allow takes a token for a retry if retries are allowed now. It returns Allowed,
-// BudgetExhausted or TooManyFailures.
+// Allow decides whether a retry may be sent now, and takes a token if so. It returns
+// Allowed, BudgetExhausted or TooManyFailures.
 func (b *Budget) Allow(now model.Instant) Decision {
 	b.decay(now)
 	if b.attempts >= minAttempts && b.failures > maxFailureRate*b.attempts {
@@ -107,7 +111,7 @@
 	return Allowed
 }
 
-// decay reduces the counts of attempts and failures according to their age.
+// decay reduces attempts and failures according to the time since the last decay.
 func (b *Budget) decay(now model.Instant) {
 	if now <= b.decayedAt {
 		return
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -9,8 +9,8 @@
 // attempts fail, retries are disabled, because the problem is then not limited to one
 // upstream.
 //
-// Backoff returns a random delay before an allowed retry. It returns false if the delay
-// would leave too little time until the deadline.
+// Backoff returns a random delay before a retry. It returns false if the delay would leave
+// too little time until the deadline.
 //
 // A WindowBudget is one daemon's share of a retry budget that all daemons share.
 package retry
--- a/core/retry/retry_after.go
+++ b/core/retry/retry_after.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// retryAfterJitter is the width of the range from which JitteredRetryAfter draws, as a
-// share of mean.
+// retryAfterJitter is the width of the range of times that JitteredRetryAfter returns, as
+// a share of the mean.
 const retryAfterJitter = 0.5
 
 // JitteredRetryAfter returns the time after which a refused caller should retry: a random
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -10,7 +10,9 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// TestBudgetBoundsRetries checks random sequences of successful and failed requests.
+// TestBudgetBoundsRetries checks the number of retries in random sequences of successful
+// and failed requests. At most the given share of requests may be retried, apart from the
+// initial tokens.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -7,15 +7,15 @@
 )
 
 // windowBuckets is the number of buckets that the span of a WindowBudget is divided into.
-// A retry counts until its whole bucket has left the span. It thus counts up to one bucket
-// width longer than the span but never shorter, so the budget is never exceeded.
+// A retry counts until its whole bucket has left the span. The retry thus counts for at
+// least the span and at most one bucket width longer, so the budget is never exceeded.
 const windowBuckets = 10
 
-// WindowBudget is one daemon's share of a retry budget that all daemons share: within any
-// span, the number of retries is at most ratio times the number of requests in that
-// span plus a slack. Each daemon counts its own requests and gets an equal share of the
-// slack, so the daemons together stay within the budget without communicating. A
-// WindowBudget is not safe for concurrent use.
+// WindowBudget is one daemon's share of a retry budget that all daemons share. Within any
+// time window of a given length, the span, the budget allows ratio times the number of
+// requests in that window plus a slack. Each daemon counts its own requests and gets an
+// equal share of the slack. The daemons together thus stay within the budget without
+// communicating. A WindowBudget is not safe for concurrent use.
 type WindowBudget struct {
 	ratio float64
 	slack float64
@@ -23,9 +23,11 @@
 	share       float64
 	bucketWidth time.Duration
 	// bucket is the number of the current bucket, counted from the origin of time.
-	bucket   int64
+	bucket int64
+	// requests counts the requests in each bucket. See index for the current bucket.
 	requests [windowBuckets + 1]float64
-	retries  [windowBuckets + 1]float64
+	// retries counts the retries in each bucket.
+	retries [windowBuckets + 1]float64
 }
 
 // NewWindowBudget returns a WindowBudget over the given span. slack is this daemon's share
@@ -78,7 +80,8 @@
 // index returns the position of the current bucket in the arrays.
 func (w *WindowBudget) index() int { return int(w.bucket % (windowBuckets + 1)) }
 
-// advance moves on to the bucket that contains now, and clears the buckets in between.
+// advance makes the bucket that contains now the current one. It clears that bucket and
+// those that have been skipped.
 func (w *WindowBudget) advance(now model.Instant) {
 	current := int64(now) / int64(w.bucketWidth)
 	if current <= w.bucket {
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -63,7 +63,7 @@
 		}
 		for _, end := range retries {
 			from := end.Add(-span)
-			// A request may count up to one bucket width longer than the span.
+			// A request may count for up to one bucket width longer than the span.
 			allowed := ratio*countBetween(requests, from.Add(-span/windowBuckets), end) + slack
 			require.LessOrEqual(t, countBetween(retries, from, end), allowed+1e-6)
 		}
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// warmUp places 10,000 requests, so that all state of the Router is allocated.
+// warmUp places 10,000 requests, so that all state of the Router is allocated. It returns
+// the last load that it recorded.
 func warmUp(r *Router, load model.Load) model.Load {
 	for i := range 10_000 {
 		load.Seq++
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -10,20 +10,24 @@
 type candidate struct {
 	upstream    model.Upstream
 	oneWayDelay time.Duration
-	load        model.Load
-	loadAt      model.Instant
-	hasLoad     bool
-	// inFlight counts this entry's unfinished requests at the upstream. inFlightAtLoad
-	// is the value that inFlight had when load was received.
-	inFlight       int32
+	// load is the latest load received. It is not set while hasLoad is false.
+	load model.Load
+	// loadAt is when load was received.
+	loadAt  model.Instant
+	hasLoad bool
+	// inFlight counts this entry's unfinished requests at the upstream.
+	inFlight int32
+	// inFlightAtLoad is the value that inFlight had when load was received.
 	inFlightAtLoad int32
-	// unanswered counts the requests sent since the last reply, plus one if older ones
-	// are still in flight. silentSince is the time of the last reply or, if no request
-	// was in flight then, of the next request.
-	unanswered  int32
+	// unanswered counts the requests sent since the last reply. All requests that were
+	// already in flight at that reply count as one request together.
+	unanswered int32
+	// silentSince is when the wait for the next reply began. If requests were in flight
+	// at the last reply, it is the time of that reply. Otherwise it is the time at which
+	// the next request was sent.
 	silentSince model.Instant
 	// lastReplyAt is when the last reply that carried a load was received. Only the
-	// upstream's daemon sends loads, so its zone was reachable then.
+	// upstream's daemon sends loads, so the upstream's zone was reachable at that time.
 	lastReplyAt model.Instant
 	// rampEnd is the instant from which the upstream may use its full capacity. See
 	// rampFraction.
@@ -37,27 +41,29 @@
 
 // pool holds the statistics over all candidates.
 type pool struct {
-	// medianServiceTime estimates the median over the upstreams of the mean service time,
-	// in nanoseconds.
+	// medianServiceTime estimates the median of the upstreams' mean service times, in
+	// nanoseconds.
 	medianServiceTime float64
 	// meanOthersPerSlot is the mean number of requests per slot that other entries have
 	// at an upstream.
 	meanOthersPerSlot float64
-	// ejected counts the upstreams that are ejected because of failed requests,
-	// unreachable those that are ejected because a connection attempt failed, and
-	// healthy those whose failure rate is below healthyBelow.
-	ejected     int
+	// ejected counts the upstreams that are ejected because of failed requests.
+	ejected int
+	// unreachable counts the upstreams that are ejected because a connection attempt
+	// failed.
 	unreachable int
-	healthy     int
-	// placingGroup is the group of the request that is being placed, or empty.
+	// healthy counts the upstreams whose failure rate is below healthyBelow.
+	healthy int
+	// placingGroup is the group of the request that is being placed. It is empty while
+	// no request is being placed.
 	placingGroup model.GroupName
 }
 
 const (
 	// othersWeight is the weight of a new value in the moving average
-	// meanOthersPerSlot.
+	// pool.meanOthersPerSlot.
 	othersWeight = 1.0 / 64
-	// medianStep is the relative change of the median estimate for each new value.
+	// medianStep is the relative change of pool.medianServiceTime for each new value.
 	medianStep = 0.01
 )
 
@@ -91,16 +97,17 @@
 	return float64(max(c.load.Running+c.load.Waiting-c.inFlightAtLoad, 0))
 }
 
-// loadHalfLife is the age of a load, in typical service times, at which the number of
-// other entries' requests that it reports has half its weight.
+// loadHalfLife is the age at which a load has half its weight in the estimated number of
+// other entries' requests. The unit is the typical service time.
 const loadHalfLife = 2
 
 // estimatedRequests estimates how many requests are at the upstream now. This entry's
 // own requests are known exactly. The number of requests of other entries decays from
 // the last reported value towards the mean over all upstreams. That mean is capped at the
-// limit of the upstream, that is at a full upstream without a queue: an upstream that all
-// entries have stopped using is probably idle, and only a request sent there can confirm
-// it.
+// limit of the upstream, which corresponds to a full upstream without a queue. The reason
+// for the cap: an upstream that all entries have stopped using is probably idle, and only
+// a request sent there can confirm that. Of the requests beyond saturation, only those
+// that delay the request being placed are included (see requestsAheadOf).
 func (c *candidate) estimatedRequests(now model.Instant, p *pool) float64 {
 	meanOthers := min(p.meanOthersPerSlot, 1) * float64(c.limit())
 	if !c.hasLoad {
@@ -134,16 +141,18 @@
 }
 
 const (
-	// An upstream is considered stuck when at least stuckUnanswered requests are
-	// unanswered and the silence has lasted longer than stuckSilence typical service
-	// times plus the round trip.
+	// stuckUnanswered is the number of unanswered requests from which an upstream may
+	// count as stuck. The silence must also be long enough; see stuckSilence.
 	stuckUnanswered = 2
-	stuckSilence    = 4
+	// stuckSilence is the longest silence that is expected of an upstream, in typical
+	// service times and in addition to the round trip. An upstream that is silent for
+	// longer counts as stuck.
+	stuckSilence = 4
 )
 
-// excessSilence returns for how many nanoseconds the upstream has been silent beyond
-// the expected time. It detects a slow upstream, a paused daemon or a broken link
-// before any reply can show the problem.
+// excessSilence returns by how many nanoseconds the silence of the upstream exceeds the
+// expected time. It returns 0 for an upstream that is not stuck. Excess silence reveals a
+// slow upstream, a paused daemon or a broken link before any reply can.
 func (c *candidate) excessSilence(now model.Instant, p *pool) float64 {
 	if c.unanswered < stuckUnanswered {
 		return 0
@@ -152,17 +161,19 @@
 	return max(float64(now.Sub(c.silentSince))-expected, 0)
 }
 
-// stragglerRatio is the ratio of an upstream's service time to the median from which
-// the upstream counts as a straggler. A lower ratio is attributed to the mix of
+// stragglerRatio is the lowest ratio of an upstream's service time to the median at
+// which the upstream counts as a straggler. A lower ratio is attributed to the mix of
 // requests.
 const stragglerRatio = 2
 
 // stragglerHalfLife is the age of a load at which the excess service time of a
-// straggler has half its weight, so that an upstream that gets no requests is tried again.
+// straggler has half its weight. Without this decay, a straggler that gets no requests
+// would never be tried again.
 const stragglerHalfLife = 250 * time.Millisecond
 
-// slowdown returns the ratio of the upstream's service time to the median. It is 1 for
-// an upstream that is not a straggler.
+// slowdown returns the ratio of the upstream's service time to the median. The excess of
+// the ratio over 1 decays with the age of the load. slowdown returns 1 for an upstream that
+// is not a straggler.
 func (c *candidate) slowdown(now model.Instant, p *pool) float64 {
 	if p.medianServiceTime == 0 {
 		return 1
@@ -176,7 +187,7 @@
 }
 
 // rampFraction returns the fraction of its capacity that a newly joined upstream may
-// use now.
+// use now. ramp is the time that a new upstream takes to reach its full capacity.
 func (c *candidate) rampFraction(now model.Instant, ramp time.Duration) float64 {
 	if now >= c.rampEnd {
 		return 1
--- a/core/routing/doc.go
+++ b/core/routing/doc.go
@@ -3,16 +3,17 @@
 // A Router belongs to one entry (the proxy that receives requests from callers) and one
 // service. For each upstream it stores the latest load reported in a reply, the number
 // of requests this entry has in flight there, and the results of recent attempts. A
-// policy picks among the upstreams. The Router skips upstreams that are draining, that
-// the caller excludes, or that are ejected because they fail while others do not
-// (outlier ejection). When more than half of the reachable upstreams are ejected, it
-// ignores the ejections, so that the remaining upstreams are not overloaded.
+// policy picks among the upstreams. The Router skips draining upstreams and those that the
+// caller excludes. It ejects upstreams that fail while others do not (outlier ejection),
+// and skips ejected upstreams too. When more than half of the reachable upstreams are
+// ejected, the Router ignores the ejections, so that the remaining upstreams are not
+// overloaded.
 //
 // # Late binding through rejections
 //
 // The load that an entry knows is always slightly out of date. The default policy,
-// expected-completion, therefore sends a request to the best-ranked upstream with a
-// queue timeout of zero. The guard (the proxy in front of the upstream) either starts
+// expected-completion, therefore sends a request to the upstream with the best score, with
+// a queue timeout of zero. The guard (the proxy in front of the upstream) either starts
 // the request at once or rejects it at once; the rejection proves that the request did
 // not run and carries the current load. After MaxRejections rejections the request waits
 // in the queue of the upstream where it is expected to complete first. A rejection thus
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -8,31 +8,34 @@
 
 // expectedCompletion picks the upstream where the request is expected to complete
 // first. The estimate adds the round trip, the wait for a slot, the slowdown of the
-// upstream and the time for which it has been unexpectedly silent. While the request
-// may still be rejected, its queue timeout is zero (see the package comment).
+// upstream and the time for which it has been unexpectedly silent. queueTimeout usually
+// returns zero for a request that may still be rejected (see the package comment).
 type expectedCompletion struct{}
 
 const (
 	// maxFullScan is the largest pool in which every candidate is scored. In a larger
-	// pool only a random sample is scored: sampleLocal candidates of the local zone and
-	// sampleRemote of other zones.
-	maxFullScan  = 16
-	sampleLocal  = 8
+	// pool only a random sample is scored.
+	maxFullScan = 16
+	// sampleLocal is the number of candidates of the local zone in the sample.
+	sampleLocal = 8
+	// sampleRemote is the number of candidates of other zones in the sample.
 	sampleRemote = 4
 	// occupancyCost is the penalty, in typical service times, of an upstream whose slots
-	// are all occupied: the fuller an upstream, the likelier its last slot is taken
-	// before the request arrives.
+	// are all occupied. A partly occupied upstream gets a proportional part of the
+	// penalty. The fuller an upstream is, the likelier its last slot is taken before the
+	// request arrives.
 	occupancyCost = 0.2
 	// jitter bounds the random part of a score, in typical service times. It spreads
 	// the requests of entries that see the same upstream idle.
 	jitter = 0.05
 	// maxRejectionRTT is the longest round trip, as a share of the typical service
-	// time, at which a request may be rejected and sent elsewhere instead of waiting.
+	// time, at which a request gets a queue timeout of zero. Over a longer round trip, a
+	// rejection would cost too much time.
 	maxRejectionRTT = 0.25
-	// saturation is the number of requests at the chosen upstream, as a multiple of its
-	// limit, from which a new request may wait in its queue until the deadline. As the
-	// best upstream was chosen, all are then so full that rejections would only cost
-	// round trips.
+	// saturation is the number of requests, as a multiple of the limit, from which an
+	// upstream counts as saturated. A request placed at a saturated upstream may wait
+	// there until its deadline. The best upstream was chosen, so all others are as full,
+	// and rejections would only cost round trips.
 	saturation = 2
 	// defaultServiceTime is the typical service time assumed until one is known, in
 	// nanoseconds.
@@ -55,8 +58,8 @@
 	return s.best
 }
 
-// queueTimeout returns zero if the round trip is at most maxRejectionRTT and another
-// upstream may have a free slot. Otherwise the request may wait until its deadline.
+// queueTimeout returns zero if the round trip is at most maxRejectionRTT and the chosen
+// upstream is not saturated. Otherwise it returns WaitForDeadline.
 func (p *expectedCompletion) queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration {
 	if 2*float64(c.oneWayDelay) > maxRejectionRTT*r.pool.typicalServiceTime() {
 		return WaitForDeadline
@@ -69,8 +72,8 @@
 
 func (p *expectedCompletion) hedges() bool { return true }
 
-// typicalServiceTime returns the median over the upstreams of the mean service time, in
-// nanoseconds.
+// typicalServiceTime returns the median of the upstreams' mean service times, in
+// nanoseconds. It returns defaultServiceTime while the median is unknown.
 func (p *pool) typicalServiceTime() float64 {
 	if p.medianServiceTime == 0 {
 		return defaultServiceTime
@@ -88,8 +91,8 @@
 	score     float64
 }
 
-// sample scores n random candidates, with replacement, or all of them if there are no
-// more than n.
+// sample scores n random candidates, which are drawn with replacement. If there are at
+// most n candidates, it scores each of them once.
 func (s *search) sample(from []*candidate, n int) {
 	if len(from) <= n {
 		for _, c := range from {
@@ -113,7 +116,7 @@
 	}
 }
 
-// score returns the expected time until the request completes at the candidate, less
+// score returns the expected time until the request completes at the candidate, minus
 // the typical service time, in nanoseconds. Lower is better.
 func (r *Router) score(now model.Instant, c *candidate) float64 {
 	serviceTime := r.pool.typicalServiceTime()
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -8,24 +8,28 @@
 )
 
 const (
-	// failureWeight is the weight of a new result in the moving average of failures.
+	// failureWeight is the weight of a new result in the moving average
+	// health.failureRate.
 	failureWeight = 1.0 / 4
-	// An upstream is ejected when its failure rate is above ejectThreshold and at least
-	// minHealthyShare of the pool has a failure rate below healthyBelow. A kind of
-	// request that fails on every upstream leaves none of them healthy and therefore
-	// ejects none.
-	ejectThreshold  = 0.5
-	healthyBelow    = 0.25
+	// ejectThreshold is the failure rate above which an upstream is ejected, provided
+	// that enough others are healthy (see minHealthyShare).
+	ejectThreshold = 0.5
+	// healthyBelow is the failure rate below which an upstream counts as healthy.
+	healthyBelow = 0.25
+	// minHealthyShare is the share of the pool that must be healthy for an ejection. A
+	// kind of request that fails on every upstream leaves none of them healthy and
+	// therefore ejects none.
 	minHealthyShare = 1.0 / 3
-	// baseEjectionTime is doubled with each consecutive ejection, up to
-	// maxEjectionTime.
+	// baseEjectionTime is the length of the first ejection. The length doubles with each
+	// consecutive ejection.
 	baseEjectionTime = 200 * time.Millisecond
-	maxEjectionTime  = 10 * time.Second
-	// baseUnreachableTime is the first ejection time of an upstream to which no
+	// maxEjectionTime is the longest ejection.
+	maxEjectionTime = 10 * time.Second
+	// baseUnreachableTime is the length of the first ejection of an upstream to which no
 	// connection can be made.
 	baseUnreachableTime = 500 * time.Millisecond
-	// Ejections are ignored (panic mode) while more than panicThreshold of the reachable
-	// upstreams are ejected.
+	// panicThreshold is the share of the reachable upstreams that may be ejected. While
+	// more are ejected, ejections are ignored (panic mode).
 	panicThreshold = 0.5
 )
 
@@ -35,10 +39,11 @@
 	// unhealthy is set if failureRate is at least healthyBelow.
 	unhealthy bool
 	ejected   bool
-	// ejectionTime is the duration of the last ejection, or 0 after a successful
-	// attempt. trialAt is when a trial request is allowed.
+	// ejectionTime is the duration of the last ejection. It is 0 if no ejection has
+	// occurred since the last successful trial request.
 	ejectionTime time.Duration
-	trialAt      model.Instant
+	// trialAt is the instant from which a trial request is allowed.
+	trialAt model.Instant
 	// unreachable is set on upstreams that are ejected because a connection attempt
 	// failed. Sending requests to them would not relieve an overloaded pool, so they do
 	// not count towards panic mode.
@@ -50,8 +55,8 @@
 	return now >= c.trialAt && c.inFlight == 0
 }
 
-// failed reports whether the reply shows a failure of the upstream. Rejections that are
-// the guard's own decision, such as load shedding, are not failures of the upstream.
+// failed reports whether the reply shows a failure of the upstream. A rejection that the
+// guard itself decided, for example to shed load, is not a failure of the upstream.
 func (reply Reply) failed() bool {
 	if reply.Failed {
 		return true
@@ -97,7 +102,8 @@
 	}
 }
 
-// eject ejects the upstream. Each consecutive ejection lasts twice as long.
+// eject ejects the upstream. Each consecutive ejection lasts twice as long. eject does
+// nothing if the upstream is ejected and its trial request is not due yet.
 func (r *Router) eject(now model.Instant, c *candidate) {
 	if c.ejected && now < c.trialAt {
 		return
@@ -107,8 +113,8 @@
 	c.trialAt = now.Add(c.ejectionTime)
 }
 
-// ejectUnreachable ejects an upstream after a failed connection attempt. If no other
-// upstream of its zone has replied within zoneReplyTimeout, the whole zone is ejected.
+// ejectUnreachable ejects an upstream after a failed connection attempt. If zoneReplied
+// reports false, the whole zone of the upstream is ejected.
 func (r *Router) ejectUnreachable(now model.Instant, c *candidate) {
 	if c.ejected && now < c.trialAt {
 		return
@@ -127,7 +133,7 @@
 }
 
 // zoneReplied reports whether another upstream of the candidate's zone has replied
-// recently. The entry's local zone always counts as reachable.
+// within zoneReplyTimeout. It always reports true for the entry's own zone.
 func (r *Router) zoneReplied(now model.Instant, c *candidate) bool {
 	if c.upstream.Zone == r.opts.Zone {
 		return true
@@ -154,7 +160,8 @@
 	r.countEjected(c, 1)
 }
 
-// countEjected adds n to the pool counter that the candidate belongs to, if it is
+// countEjected adds n to the pool's count of unreachable upstreams or of other ejected
+// upstreams, whichever includes the candidate. It does nothing if the candidate is not
 // ejected.
 func (r *Router) countEjected(c *candidate, n int) {
 	switch {
@@ -189,7 +196,8 @@
 }
 
 // panicking reports whether so many upstreams are ejected that the others would be
-// overloaded. Ejections are then ignored.
+// overloaded. In that case the caller ignores the ejections, and panicking counts the
+// placement in Stats.Panics.
 func (r *Router) panicking() bool {
 	reachable := len(r.candidates) - r.pool.unreachable
 	if r.pool.ejected == 0 || float64(r.pool.ejected) <= panicThreshold*float64(reachable) {
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// hedgeQuantile is the latency quantile of its group that a request must exceed to
-	// be hedged.
+	// hedgeQuantile is the quantile of the latencies of a group that a request of the
+	// group must exceed to be hedged, that is to be sent to a second upstream as well.
 	hedgeQuantile = 0.98
 	// quantileStep is the relative step by which the quantile estimate falls. The step
-	// up is larger by hedgeQuantile/(1-hedgeQuantile), so that the estimate settles at
-	// the quantile.
+	// up is larger by the factor hedgeQuantile/(1-hedgeQuantile), so that the estimate
+	// settles at the quantile.
 	quantileStep = 0.001
 	// hedgeSamples is the number of latencies needed before requests of a group are
 	// hedged.
@@ -27,14 +27,16 @@
 	minHedgeDelay = 2
 )
 
-// defaultHedgeBudget is the number of hedges allowed per request.
+// defaultHedgeBudget is the default of Options.HedgeBudget.
 const defaultHedgeBudget = 0.02
 
 // hedging holds the latency estimates and the hedge budget.
 type hedging struct {
+	// groups holds the estimates of up to maxHedgeGroups groups.
 	groups map[model.GroupName]*quantileEstimate
 	// shared is the estimate of the groups that have none of their own.
 	shared quantileEstimate
+	// tokens is the number of hedges that the budget allows now.
 	tokens float64
 }
 
@@ -60,9 +62,9 @@
 }
 
 // HedgeDelay returns how long to wait for a response before a second copy of the
-// request is sent to another upstream. It returns false if the request must not be
-// hedged: it is not idempotent, the policy does not hedge, or too few latencies are
-// known.
+// request, the hedge, is sent to another upstream. HedgeDelay returns false if the request
+// must not be hedged: it is not idempotent, hedging is disabled, the policy does not hedge,
+// or too few latencies are known.
 func (r *Router) HedgeDelay(req model.Request) (time.Duration, bool) {
 	if !req.Idempotent || !r.policy.hedges() || r.opts.HedgeBudget <= 0 {
 		return 0, false
@@ -75,12 +77,15 @@
 }
 
 // Hedge chooses the upstream for the second copy of a request and counts that copy as
-// sent. It is called when the first copy, sent to the upstream first at the instant sent,
-// has had no response for HedgeDelay. Upstreams in exclude are not chosen, because they
-// already have the request. The queue timeout of the second copy is zero, so it only uses
-// a free slot. Hedge returns false if the first upstream is not slow, so that the delay
-// is due to the request itself, if the budget is used up, or if no other upstream is
-// usable.
+// sent. The caller must have waited for HedgeDelay without a response to the first copy.
+// first is the upstream of the first copy, and sent is the instant at which that copy was
+// sent. Upstreams in exclude are not chosen, because they already have the request. The
+// queue timeout of the second copy is zero, so the second copy only uses a free slot.
+//
+// Hedge returns false in each of these cases:
+//   - The first upstream is not slow, so the delay is due to the request itself.
+//   - The hedge budget is used up.
+//   - No other upstream is usable.
 func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sent model.Instant, exclude []model.UpstreamID) (Choice, bool) {
 	if !r.upstreamSlow(now, first, sent) {
 		return Choice{}, false
@@ -99,9 +104,9 @@
 	return Choice{Upstream: c.upstream, QueueTimeout: 0}, true
 }
 
-// upstreamSlow reports whether an upstream that was sent a request at the given instant
-// is itself slow or failing, as opposed to the request being a long one. An upstream that
-// has sent no reply since then counts as slow.
+// upstreamSlow reports whether an upstream is itself slow or failing. If it is not, the
+// request that was sent to it at the instant sent is a long one. An upstream that has sent
+// no reply since then, or that has left, counts as slow.
 func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sent model.Instant) bool {
 	c := r.byID[id]
 	if c == nil {
@@ -115,9 +120,10 @@
 	r.hedging.tokens = min(r.hedging.tokens+r.opts.HedgeBudget, hedgeBurst)
 }
 
-// recordLatency updates the latency estimate of the request's group. The latency of a
-// request that was cancelled because its hedge completed first is the time until the
-// cancellation.
+// recordLatency updates the latency estimate of the request's group. It ignores replies
+// to hedges and replies without a successful response, except for cancelled requests: a
+// request is cancelled when its hedge completes first, and its latency is the time until
+// the cancellation.
 func (r *Router) recordLatency(reply Reply) {
 	cancelled := reply.Outcome.Reason == outcome.ReasonCancelled
 	if reply.Hedge || reply.Failed || reply.Outcome.Kind != outcome.Answered && !cancelled {
--- a/core/routing/least_outstanding.go
+++ b/core/routing/least_outstanding.go
@@ -3,7 +3,8 @@
 import "github.com/dottereltiller/dottereltiller/core/model"
 
 // leastOutstanding picks the upstream with the fewest in-flight requests of this entry.
-// The scan starts at a random candidate, and ties go to the first one scanned.
+// The scan starts at a random candidate. Among equals, the first scanned candidate is
+// picked.
 type leastOutstanding struct{ waitsAtUpstream }
 
 func (leastOutstanding) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -17,7 +17,7 @@
 	Random             = "random"
 )
 
-// Names returns the names of all policies. The default is first.
+// Names returns the names of all routing policies. The default policy is first.
 func Names() []string {
 	return []string{ExpectedCompletion, TwoChoices, LeastOutstanding, RoundRobin, Random}
 }
@@ -29,16 +29,17 @@
 	// Zone is the availability zone of the entry.
 	Zone model.AvailabilityZone
 	// Self is the ID of the daemon that the entry belongs to. The delay to upstreams of
-	// that daemon is 0. If Self is empty, no upstream belongs to it.
+	// that daemon is 0. If Self is empty, the daemon of every upstream counts as another
+	// one.
 	Self model.DaemonID
-	// ZoneDelay holds the one-way delay to each zone. For zones that are not in the map
-	// it is 0 (local zone) or DefaultZoneDelay (other zones).
+	// ZoneDelay holds the one-way delay to each zone. For zones that are not in the map,
+	// the delay is 0 (local zone) or DefaultZoneDelay (other zones).
 	ZoneDelay map[model.AvailabilityZone]time.Duration
 	// Ramp is how long an upstream that joins a running pool takes to reach its full
 	// share of requests. Default: 2s. A negative value disables ramping.
 	Ramp time.Duration
-	// HedgeBudget is the number of hedges allowed per request. Default: 0.02. A
-	// negative value disables hedging.
+	// HedgeBudget is the number of hedges (second copies of slow requests) allowed per
+	// request. Default: 0.02. A negative value disables hedging.
 	HedgeBudget float64
 	// Seed seeds the random number generator.
 	Seed uint64
--- a/core/routing/queue_share.go
+++ b/core/routing/queue_share.go
@@ -3,7 +3,7 @@
 import "github.com/dottereltiller/dottereltiller/core/model"
 
 // maxQueueShares bounds the number of groups whose queue share is stored per upstream.
-// For other groups all waiting requests count.
+// For other groups, all waiting requests count as starting before the next request.
 const maxQueueShares = 64
 
 // queueShares holds, for each group, the share of the requests waiting at an upstream
@@ -12,9 +12,9 @@
 // avoid the upstream.
 type queueShares map[model.GroupName]float64
 
-// recordQueueShare stores the queue share of a group from a load in a reply to a request
-// of that group. If the queue is not longer than the upstream's limit, it says little
-// about the share and the previous value is kept.
+// recordQueueShare stores the queue share of group g. load was received in a reply to a
+// request of that group. If the queue is not longer than the upstream's limit, the
+// previous share is kept, because so short a queue says little about the share.
 func (c *candidate) recordQueueShare(g model.GroupName, load model.Load) {
 	if g == "" || load.Waiting <= load.Limit {
 		return
@@ -28,10 +28,10 @@
 	c.queueShares[g] = min(float64(load.Ahead)/float64(load.Waiting), 1)
 }
 
-// requestsAheadOf returns how many of the requests at the upstream count against it
-// when a request of the given group is placed. Up to saturation all of them count,
-// since routing should avoid queueing altogether. Of the requests beyond saturation,
-// only those that would start before the group's next request count.
+// requestsAheadOf returns how many of the given number of requests at the upstream are
+// included in its score when a request of group g is placed. Up to saturation all of them
+// are included, since routing should avoid queueing altogether. Of the requests beyond
+// saturation, only those that would start before the group's next request are included.
 func (c *candidate) requestsAheadOf(requests float64, g model.GroupName) float64 {
 	full := saturation * float64(c.limit())
 	if requests <= full {
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -27,36 +27,40 @@
 	Outcome outcome.Outcome
 	// Failed is set if the upstream responded with a server error.
 	Failed bool
-	// Load is the load that the guard reported. HasLoad is false if it reported none.
-	Load    model.Load
+	// Load is the load that the guard reported.
+	Load model.Load
+	// HasLoad is set if the guard reported a load.
 	HasLoad bool
 	// Latency is the time from sending the request to receiving the response headers.
 	Latency time.Duration
-	// Group is the group of the request. Hedge is set on the reply to a hedge.
+	// Group is the group of the request.
 	Group model.GroupName
+	// Hedge is set on the reply to a hedge, the second copy of a slow request.
 	Hedge bool
 }
 
-// Rejected reports whether o means that the guard rejected the request, without running
-// it, because its queue timeout had expired.
+// Rejected reports whether the guard rejected the request, without running it, because
+// its queue timeout had expired. o is the outcome of the attempt.
 func (c Choice) Rejected(o outcome.Outcome) bool {
 	return c.QueueTimeout >= 0 && o.Kind == outcome.NotRun && o.Reason == outcome.ReasonWithdrawn
 }
 
 // Stats counts events since the Router was created.
 type Stats struct {
-	// Picks counts placed requests, Rejections rejected requests, and CrossZone requests
-	// placed in another zone.
-	Picks      uint64
+	// Picks counts placements. A request is placed again after each rejection.
+	Picks uint64
+	// Rejections counts placements that the guard rejected.
 	Rejections uint64
-	CrossZone  uint64
-	// Ejections counts ejections of upstreams. Panics counts placements for which
-	// ejections were ignored because too many upstreams were ejected.
+	// CrossZone counts placements in another zone.
+	CrossZone uint64
+	// Ejections counts ejections of upstreams.
 	Ejections uint64
-	Panics    uint64
-	// Hedges counts hedged requests. HedgesRefused counts hedges that the budget did
-	// not allow.
-	Hedges        uint64
+	// Panics counts placements for which ejections were ignored because too many
+	// upstreams were ejected.
+	Panics uint64
+	// Hedges counts hedged requests.
+	Hedges uint64
+	// HedgesRefused counts hedges that the budget did not allow.
 	HedgesRefused uint64
 	// NoUpstream counts requests for which no upstream was usable.
 	NoUpstream uint64
@@ -69,8 +73,9 @@
 	policy     policy
 	rng        *rand.Rand
 	candidates []*candidate
-	// local are the candidates in the entry's zone, remote all others.
-	local   []*candidate
+	// local holds the candidates in the entry's zone.
+	local []*candidate
+	// remote holds the candidates in other zones.
 	remote  []*candidate
 	byID    map[model.UpstreamID]*candidate
 	pool    pool
@@ -81,7 +86,8 @@
 	hadUpstreams bool
 }
 
-// New returns a Router without upstreams. The only error is *UnknownPolicyError.
+// New returns a Router without upstreams. It returns an *UnknownPolicyError if
+// opts.Policy is not the name of a policy.
 func New(opts Options) (*Router, error) {
 	p, err := newPolicy(opts.Policy)
 	if err != nil {
@@ -105,8 +111,8 @@
 // Stats returns the counters.
 func (r *Router) Stats() Stats { return r.stats }
 
-// SetUpstreams replaces the candidates. The state of an upstream is kept as long as its
-// incarnation stays the same.
+// SetUpstreams replaces the candidates. The Router keeps what it knows about an upstream
+// as long as the incarnation of the upstream stays the same.
 func (r *Router) SetUpstreams(now model.Instant, ups []model.Upstream) {
 	byID := make(map[model.UpstreamID]*candidate, len(ups))
 	r.candidates, r.local, r.remote = r.candidates[:0], r.local[:0], r.remote[:0]
@@ -130,7 +136,7 @@
 }
 
 // candidateFor returns the existing candidate of the upstream's incarnation, or a new
-// one. A new candidate ramps up if the pool has been in use before.
+// one. A new candidate ramps up if the Router has had upstreams before.
 func (r *Router) candidateFor(now model.Instant, u model.Upstream) *candidate {
 	c := r.byID[u.ID]
 	if c == nil || c.upstream.Incarnation != u.Incarnation {
@@ -144,7 +150,7 @@
 	return c
 }
 
-// delay returns the one-way delay to the upstream.
+// delay returns the one-way delay to the upstream (see Options.ZoneDelay).
 func (r *Router) delay(u model.Upstream) time.Duration {
 	if u.Daemon == r.opts.Self && u.Daemon != "" {
 		return 0
@@ -158,14 +164,15 @@
 	return DefaultZoneDelay
 }
 
-// Pick is like Place, but the request waits at the chosen upstream until its deadline.
+// Pick is like Place, but returns only the upstream. The request may wait there until
+// its deadline.
 func (r *Router) Pick(now model.Instant, req model.Request, exclude []model.UpstreamID) (model.Upstream, bool) {
 	c, ok := r.Place(now, req, exclude, MaxRejections)
 	return c.Upstream, ok
 }
 
-// MaxRejections is how many times guards may reject a request. After that it waits in
-// the queue of the upstream to which it is sent.
+// MaxRejections is how many times guards may reject a request. After that, the request
+// waits in the queue of the next upstream to which it is sent.
 const MaxRejections = 3
 
 // Place chooses the upstream for a request and counts the request as sent. Upstreams in
@@ -226,8 +233,8 @@
 	}
 }
 
-// Observe records a load that was received from a probe or a peer. Done records those
-// received with replies. A load older than the known one is ignored.
+// Observe records a load that was received from a probe or a peer. Loads in replies are
+// recorded by Done. A load that is older than the known one is ignored.
 func (r *Router) Observe(now model.Instant, id model.UpstreamID, load model.Load) {
 	c := r.byID[id]
 	if c == nil || load.Seq < c.load.Seq {
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -31,7 +31,7 @@
 	return ups
 }
 
-// newRouter returns a Router in zone a over n upstreams.
+// newRouter returns a Router of an entry in zone a, with the named policy and n upstreams.
 func newRouter(t testing.TB, name string, n int) *Router {
 	t.Helper()
 	r, err := New(Options{Policy: name, Zone: "a", Seed: 1})
@@ -50,8 +50,9 @@
 	return Reply{Outcome: outcome.NotRunBecause(outcome.ReasonUpstreamRefused), Failed: true}
 }
 
-// countPlacements places n requests, each of which is replied to before the next one,
-// and returns how many requests each upstream received.
+// countPlacements places n requests one after the other and returns how many of them
+// each upstream received. reply returns the reply of the given upstream, which Done
+// records before the next request is placed.
 func countPlacements(r *Router, now model.Instant, n int, reply func(model.UpstreamID) Reply) map[model.UpstreamID]int {
 	got := make(map[model.UpstreamID]int)
 	for range n {
@@ -93,9 +94,9 @@
 	}
 }
 
-// TestFastFailingUpstreamIsEjected has an upstream that fails at once. As it replies
-// faster than the others it looks idle, and without ejection it would attract most of
-// the requests.
+// TestFastFailingUpstreamIsEjected has an upstream that fails all requests at once. The
+// upstream replies faster than the others and therefore looks idle. Without ejection, it
+// would attract most of the requests.
 func TestFastFailingUpstreamIsEjected(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
