--- a/core/gossip/anti_entropy_timer.go
+++ b/core/gossip/anti_entropy_timer.go
@@ -8,9 +8,10 @@
 
 const (
 	// shortInterval is the time between two comparisons while some daemon may lack an
-	// update, longInterval that while all daemons seem to agree.
+	// update.
 	shortInterval = time.Second
-	longInterval  = 10 * time.Second
+	// longInterval is the time between two comparisons while all daemons seem to agree.
+	longInterval = 10 * time.Second
 	// requiredAgreements is the number of consecutive comparisons without a difference
 	// after which longInterval is used.
 	requiredAgreements = 3
@@ -19,11 +20,14 @@
 // AntiEntropyTimer determines when to compare digests with another daemon. It is not
 // safe for concurrent use.
 type AntiEntropyTimer struct {
-	agreements     int
+	// agreements counts the comparisons without a difference since the last Reset.
+	agreements int
+	// lastComparison is when the last comparison took place. Zero means never.
 	lastComparison model.Instant
 }
 
-// Due reports whether a comparison is due, and if so records that it takes place now.
+// Due reports whether a comparison is due. If so, it records that the comparison takes
+// place now.
 func (t *AntiEntropyTimer) Due(now model.Instant) bool {
 	interval := shortInterval
 	if t.agreements >= requiredAgreements {
@@ -39,6 +43,6 @@
 // RecordAgreement records a comparison that found no difference.
 func (t *AntiEntropyTimer) RecordAgreement() { t.agreements++ }
 
-// Reset restores the short interval after a change of the state, or if other daemons
-// may have missed an update.
+// Reset restores the short interval. It is called after a change of the state, and when
+// other daemons may have missed an update.
 func (t *AntiEntropyTimer) Reset() { t.agreements = 0 }
--- a/core/gossip/doc.go
+++ b/core/gossip/doc.go
@@ -7,9 +7,9 @@
 // a few daemons of its own availability zone and, with a small probability, to one of
 // another zone. The daemon where the update originates sends it to one daemon of each
 // zone. The traffic between zones therefore grows with the number of zones and hardly
-// with the number of daemons. Updates lost by the push are found by anti-entropy: a
-// daemon compares digests of the state with one other daemon at a time. After several
-// comparisons without a difference, it compares less often.
+// with the number of daemons. Daemons that a push has missed get the update by
+// anti-entropy: a daemon compares digests of the state with one other daemon at a time.
+// After several comparisons without a difference, the daemon compares less often.
 //
 // Both algorithms are described in Demers et al., Epidemic Algorithms for Replicated
 // Database Maintenance, PODC 1987.
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -27,9 +27,9 @@
 	for name, c := range map[string]struct {
 		members []Member
 		origin  bool
-		// local is the number of selected daemons in the local zone. The number in other
-		// zones is between minRemote and maxRemote.
-		local                int
+		// local is the number of selected daemons in the local zone.
+		local int
+		// minRemote and maxRemote bound the number of selected daemons in other zones.
 		minRemote, maxRemote int
 	}{
 		"forwarded":           {newMembers(5, 30), false, fanOut, 0, 1},
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -17,36 +17,40 @@
 }
 
 const (
-	// windowSize is the number of samples at the limit that one decision is based on,
-	// uncontendedSize the number of uncontended samples that are kept, and
-	// minUncontended the number of those that a decision needs.
-	windowSize      = 256
+	// windowSize is the number of samples at the limit on which one decision is based.
+	// These samples are called a window.
+	windowSize = 256
+	// uncontendedSize is the number of uncontended samples that are kept.
 	uncontendedSize = 128
-	minUncontended  = 64
-	// comparedQuantile is the quantile that is compared between the two kinds of
-	// samples.
+	// minUncontended is the number of uncontended samples that a decision needs.
+	minUncontended = 64
+	// comparedQuantile is the quantile of the slot times that is compared between samples
+	// at the limit and uncontended samples.
 	comparedQuantile = 0.1
-	// The slot time at the limit is divided by the uncontended slot time. The limit is
-	// lowered if this ratio is above shrinkRatio, and raised if it is below growRatio.
+	// shrinkRatio is the ratio of the slot time at the limit to the uncontended slot time
+	// above which the limit is lowered (see shrinkAfter).
 	shrinkRatio = 1.5
-	growRatio   = 1.2
+	// growRatio is the ratio of the same slot times below which the limit is raised.
+	growRatio = 1.2
 	// shrinkAfter is the number of consecutive windows above shrinkRatio that lower the
-	// limit. growAfter is the number of windows between the two ratios that raise it,
-	// so that a limit lowered by mistake rises again.
+	// limit.
 	shrinkAfter = 2
-	growAfter   = 8
+	// growAfter is the number of windows between the two ratios that raise the limit, so
+	// that a limit lowered by mistake rises again.
+	growAfter = 8
 	// meanWeight makes the recent mean slot time cover about 32 requests.
 	meanWeight = 1.0 / 32
 	// longTermWeight makes the long-term mean slot time cover about 2048 requests.
-	// Requests count as slowed if the recent mean is more than slowedRatio times the
-	// long-term mean.
 	longTermWeight = 1.0 / 2048
-	slowedRatio    = 1.5
+	// slowedRatio is the ratio of the recent mean to the long-term mean above which
+	// requests count as slowed.
+	slowedRatio = 1.5
 	// failureWeight makes the failure rate cover about 8 requests.
 	failureWeight = 1.0 / 8
-	// After probeEvery windows without an uncontended sample, probeLength requests run
-	// at half the limit.
-	probeEvery  = 32
+	// probeEvery is the number of windows without an uncontended sample after which a
+	// probe begins: requests run at half the limit.
+	probeEvery = 32
+	// probeLength is the number of uncontended samples that end a probe.
 	probeLength = 32
 )
 
@@ -56,21 +60,23 @@
 	opts        Options
 	limit       int
 	uncontended ring
-	// atLimit[:atLimitCount] are the slot times of the current window, in nanoseconds.
+	// atLimit holds the slot times of the current window, in nanoseconds. Its first
+	// atLimitCount elements are in use.
 	atLimit      [windowSize]float64
 	atLimitCount int
 	recentMean   mean
 	longTermMean mean
 	failureRate  float64
 	// windowsWithoutUncontended counts the windows since the last uncontended sample.
-	// probeRemaining counts the samples that the current probe still needs.
 	windowsWithoutUncontended int
-	probeRemaining            int
-	// contendedWindows counts consecutive windows above shrinkRatio. stableWindows
-	// counts windows between the two ratios; a window below growRatio sets it to
-	// growAfter.
+	// probeRemaining counts the samples that the current probe still needs. It is 0 if no
+	// probe is running.
+	probeRemaining int
+	// contendedWindows counts consecutive windows above shrinkRatio.
 	contendedWindows int
-	stableWindows    int
+	// stableWindows counts windows between growRatio and shrinkRatio. A window below
+	// growRatio sets it to growAfter, so that the limit is raised at once.
+	stableWindows int
 }
 
 // New returns a Limiter whose initial limit is the announced number of slots.
@@ -82,7 +88,8 @@
 	return &Limiter{opts: opts, limit: min(opts.Slots, opts.Max)}
 }
 
-// Limit returns the number of requests that may run concurrently, at least 1.
+// Limit returns the number of requests that may run concurrently, at least 1. During a
+// probe it is half of the usual number.
 func (l *Limiter) Limit() int {
 	if l.probeRemaining > 0 {
 		return max(l.limit/2, 1)
@@ -91,7 +98,7 @@
 }
 
 // Observe records a request that held a slot for slotTime. running is the number of
-// requests that were running when it ended, including itself.
+// requests that were running when the request ended, including itself.
 func (l *Limiter) Observe(now model.Instant, slotTime time.Duration, running int, failed bool) {
 	l.observeFailure(failed)
 	if failed || slotTime <= 0 {
@@ -123,7 +130,7 @@
 }
 
 // Slowed reports whether recent requests have taken clearly longer than the long-term
-// mean.
+// mean (see slowedRatio).
 func (l *Limiter) Slowed() bool { return l.recentMean.value > slowedRatio*l.longTermMean.value }
 
 // observeFailure updates the failure rate.
@@ -159,8 +166,9 @@
 	l.adjustLimit()
 }
 
-// adjustLimit lowers the limit after consecutive contended windows. It raises the limit
-// after one window below growRatio or several between the two ratios.
+// adjustLimit lowers the limit after shrinkAfter consecutive contended windows. It raises
+// the limit after one window below growRatio, or after growAfter windows between growRatio
+// and shrinkRatio.
 func (l *Limiter) adjustLimit() {
 	switch {
 	case l.contendedWindows >= shrinkAfter:
@@ -181,8 +189,10 @@
 // ring holds the latest uncontended slot times, in nanoseconds.
 type ring struct {
 	samples [uncontendedSize]float64
-	next    int
-	n       int
+	// next is the index at which the next slot time is stored.
+	next int
+	// n is the number of stored slot times.
+	n int
 }
 
 // add stores a slot time in place of the oldest one.
@@ -201,10 +211,12 @@
 // mean is an exponentially weighted mean. The first values have equal weights.
 type mean struct {
 	value float64
-	n     int
+	// n is the number of values added so far.
+	n int
 }
 
-// add updates the mean with a value.
+// add updates the mean with the value x. weight is the weight of x once enough values have
+// been added.
 func (m *mean) add(x, weight float64) {
 	m.n++
 	m.value += (x - m.value) * max(1/float64(m.n), weight)
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -11,15 +11,16 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// sharedUpstream runs up to capacity requests at full speed. With more, it slows all of
-// them down in proportion.
+// sharedUpstream runs up to capacity requests at full speed. If more requests run, it
+// slows all of them down in proportion.
 type sharedUpstream struct {
 	capacity float64
+	// slowdown is a factor by which all requests take longer, whatever their number.
 	slowdown float64
 }
 
-// simulate feeds n requests with log-normal costs to the limiter. Most run at the
-// limit, and every eighth at half of it.
+// simulate has the limiter observe n requests with log-normal slot times. Most requests run
+// at the limit, and every eighth runs at half of the limit.
 func simulate(l *Limiter, u sharedUpstream, n int, rng *rand.Rand) {
 	for i := range n {
 		running := l.Limit()
--- a/core/measure/budget.go
+++ b/core/measure/budget.go
@@ -16,7 +16,7 @@
 	Bytes int
 }
 
-// Prices convert connections and bytes to slot time.
+// Prices are the rates at which connections and bytes are converted to slot time.
 type Prices struct {
 	// Connection is the slot time charged for a new connection. Default: 1ms.
 	Connection time.Duration
@@ -32,7 +32,8 @@
 	// Slots is the announced number of slots, at least 1.
 	Slots int
 	// Burst is the slot time that may be charged at once. Default: 20ms.
-	Burst  time.Duration
+	Burst time.Duration
+	// Prices are the slot times charged for connections and bytes.
 	Prices Prices
 }
 
@@ -52,8 +53,10 @@
 	// addition to a full burst.
 	reserved   time.Duration
 	refilledAt model.Instant
-	charged    time.Duration
-	refused    uint64
+	// charged is the slot time charged so far, including pending reservations.
+	charged time.Duration
+	// refused counts the measurements that the budget did not allow.
+	refused uint64
 }
 
 // Reservation is the slot time reserved for a measurement.
@@ -83,8 +86,8 @@
 	return b
 }
 
-// Reserve reserves the largest possible cost of a measurement. It returns false, and
-// counts a refusal, if the budget does not allow that cost now.
+// Reserve reserves slot time for maxCost, the largest possible cost of a measurement. It
+// returns false, and counts a refusal, if the budget does not allow that cost now.
 func (b *Budget) Reserve(now model.Instant, maxCost Cost) (Reservation, bool) {
 	b.refill(now)
 	slotTime := b.slotTime(maxCost)
@@ -113,7 +116,7 @@
 	b.tokens += unused
 }
 
-// SetShare changes Options.Share from now on.
+// SetShare changes the share of slot time that measuring may take (see Options.Share).
 func (b *Budget) SetShare(now model.Instant, share float64) {
 	b.refill(now)
 	b.opts.Share = min(max(share, 0), 1)
--- a/core/measure/doc.go
+++ b/core/measure/doc.go
@@ -16,10 +16,11 @@
 // The guard, the proxy in front of the upstream, knows exactly how many requests it has
 // running there. A report of the upstream may be late or false. A Trust compares each
 // report with what the guard observed during the time that the report may refer to. A
-// report of fewer requests than were certainly running is contradicted. A report of
-// additional requests, which must come from elsewhere, is partly trusted, and only if the
-// guard's own requests take clearly longer than usual. Trusted reports can only increase
-// the load that is reported to entries, which choose the upstreams.
+// report of fewer requests than were certainly running is contradicted. A report of more
+// requests than the guard had running refers to requests from elsewhere. Such a report is
+// trusted only if the guard's own requests take clearly longer than usual, and then only in
+// part. Trusted reports can only increase the load that the guard reports to entries, the
+// proxies that choose the upstreams.
 //
 // # Schedule
 //
--- a/core/measure/measure_test.go
+++ b/core/measure/measure_test.go
@@ -14,10 +14,11 @@
 // ms is one millisecond.
 const ms = time.Millisecond
 
-// charge is the slot time that one measurement was finally charged, and the instant at
-// which the measurement began.
+// charge is the charge for one measurement.
 type charge struct {
-	at          model.Instant
+	// at is when the measurement began.
+	at model.Instant
+	// slotTime is the slot time charged, which Settle may reduce.
 	slotTime    time.Duration
 	reservation *Reservation
 }
--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -14,11 +14,12 @@
 	trust    *Trust
 	schedule Schedule
 	nextPoll model.Instant
-	// currentWindow began with the last report, previousWindow with the one before. A
-	// report may be late, so it is compared with both.
-	currentWindow  runningRange
+	// currentWindow covers the time since the last report. A report may be late, so it is
+	// compared with both windows.
+	currentWindow runningRange
+	// previousWindow covers the time between the last two reports.
 	previousWindow runningRange
-	// running is the current number of running requests.
+	// running is the number of requests that the guard has running now.
 	running int
 }
 
@@ -43,9 +44,9 @@
 // NextPoll returns the instant at which the next poll is due.
 func (m *Monitor) NextPoll() model.Instant { return m.nextPoll }
 
-// BeginPoll reserves the largest possible cost of a poll. It returns false if no poll is
-// due yet, or if the budget does not allow one. In the second case the next poll is due
-// after the longest interval of the schedule.
+// BeginPoll reserves slot time for maxCost, the largest possible cost of a poll. It returns
+// false if no poll is due yet, or if the budget does not allow a poll. In the second case
+// the next poll is due after the longest interval of the schedule.
 func (m *Monitor) BeginPoll(now model.Instant, maxCost Cost) (Reservation, bool) {
 	if now < m.nextPoll {
 		return Reservation{}, false
@@ -76,8 +77,8 @@
 // SetShare changes the share of slot time that measuring may take from now on.
 func (m *Monitor) SetShare(now model.Instant, share float64) { m.budget.SetShare(now, share) }
 
-// Annotate returns the load with the requests from elsewhere added that the upstream is
-// trusted to be running.
+// Annotate returns load with the requests from elsewhere added to Running. Their number is
+// the one that Trust.External returns.
 func (m *Monitor) Annotate(load model.Load) model.Load {
 	load.Running += int32(m.trust.External(int(load.Limit)))
 	return load
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -7,9 +7,11 @@
 }
 
 // Observation is what the guard knows for certain about the time that a report may
-// refer to: the lowest and the highest number of its requests that were running.
+// refer to.
 type Observation struct {
+	// MinRunning is the lowest number of the guard's requests that were running.
 	MinRunning int
+	// MaxRunning is the highest number of the guard's requests that were running.
 	MaxRunning int
 	// Slowed is set if requests took clearly longer than usual.
 	Slowed bool
@@ -17,29 +19,31 @@
 
 // Counts are the results of comparing reports with observations.
 type Counts struct {
-	// Agreed counts reports that are consistent with the observation, Contradicted
-	// those with fewer requests than were certainly running, and Unsupported those with
-	// additional requests although nothing was slowed down.
-	Agreed       uint64
+	// Agreed counts reports that are consistent with the observation.
+	Agreed uint64
+	// Contradicted counts reports of fewer requests than were certainly running.
 	Contradicted uint64
-	Unsupported  uint64
+	// Unsupported counts reports of additional requests from elsewhere although the
+	// guard's own requests were not slowed down.
+	Unsupported uint64
 }
 
 const (
+	// initialTrust is the trust before the first report.
 	initialTrust = 0.5
 	// agreementGain is added to the trust after a report that agrees.
 	agreementGain = 0.1
-	// contradictedFactor and unsupportedFactor are the factors by which trust is
-	// reduced.
+	// contradictedFactor is multiplied with the trust after a contradicted report.
 	contradictedFactor = 0.5
-	unsupportedFactor  = 0.8
+	// unsupportedFactor is multiplied with the trust after an unsupported report.
+	unsupportedFactor = 0.8
 	// maxExternalShare is the largest share of the slots that can count as occupied by
 	// requests from elsewhere. A false report thus never makes an upstream look full.
 	maxExternalShare = 0.5
 )
 
-// Trust weights the load reports of one upstream. Use NewTrust to create one. It is not
-// safe for concurrent use.
+// Trust tracks how far the load reports of one upstream can be trusted. Use NewTrust to
+// create a Trust. It is not safe for concurrent use.
 type Trust struct {
 	// trust is the weight of a report, from 0 to 1.
 	trust float64
@@ -49,10 +53,10 @@
 	counts   Counts
 }
 
-// NewTrust returns a Trust with a weight of one half.
+// NewTrust returns a Trust that gives reports a weight of one half.
 func NewTrust() *Trust { return &Trust{trust: initialTrust} }
 
-// Observe compares a report with an observation and updates the weight.
+// Observe compares a report with an observation and updates the weight of reports.
 func (t *Trust) Observe(r Report, observed Observation) {
 	external := max(r.Running-observed.MaxRunning, 0)
 	t.external = 0
@@ -70,8 +74,9 @@
 	}
 }
 
-// External returns the number of requests from elsewhere that an upstream with the
-// given number of slots is trusted to be running.
+// External returns the number of requests from elsewhere that the upstream is assumed to
+// be running. slots is the number of slots of the upstream, which bounds the result (see
+// maxExternalShare).
 func (t *Trust) External(slots int) int {
 	return int(min(t.Discrepancy(), maxExternalShare*float64(slots)))
 }
@@ -80,5 +85,5 @@
 func (t *Trust) Counts() Counts { return t.counts }
 
 // Discrepancy returns by how many requests the last report exceeded the observation,
-// weighted by trust. It is 0 if that report was not credible.
+// multiplied by the weight of reports. It is 0 if the last report was not credible.
 func (t *Trust) Discrepancy() float64 { return t.external * t.trust }
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -31,8 +31,8 @@
 // same when the upstream restarts, while its Incarnation changes.
 type UpstreamID string
 
-// Incarnation is the incarnation number of an upstream or daemon. It rises with every
-// restart. Zero means unknown.
+// Incarnation distinguishes the runs of an upstream or daemon between two restarts. The
+// number rises with every restart. Zero means unknown.
 type Incarnation uint64
 
 // DaemonID identifies a daemon. It is the peer address (host:port) of the daemon's VM,
@@ -69,13 +69,14 @@
 // replies and probe responses carry a Load.
 type Load struct {
 	// Running counts requests that are running in the upstream. The guard knows its own
-	// exactly, and may add requests from elsewhere; see package measure.
+	// requests exactly. It may add an estimate of requests from elsewhere; see package
+	// measure.
 	Running int32
 	// Waiting counts requests that are queued at the guard.
 	Waiting int32
 	// Ahead is how many of the waiting requests would start before a new request of the
-	// group to which the load is reported. If it is reported to no group, Ahead equals
-	// Waiting.
+	// group to which the load is reported. If the load is reported to no group, Ahead
+	// equals Waiting.
 	Ahead int32
 	// Limit is the number of requests that the guard lets run concurrently.
 	Limit int32
@@ -85,8 +86,8 @@
 	FailureRate float32
 	// Draining is set if the upstream accepts no new requests.
 	Draining bool
-	// Seq rises with every change at the guard within one incarnation, so that a load
-	// from a reordered reply never replaces a newer one.
+	// Seq rises with every change of the load within one incarnation of the upstream.
+	// Because of it, the load in a delayed reply never replaces a newer load.
 	Seq uint64
 }
 
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// ParseKind is the inverse of Kind.String. For any other text it returns Unknown and
-// false.
+// ParseKind returns the Kind with the given name, as returned by Kind.String. It returns
+// Unknown and false if no Kind has this name.
 func ParseKind(s string) (Kind, bool) {
 	switch s {
 	case "not-run":
@@ -44,7 +44,7 @@
 // stable, documented in docs/CALLERS.md, and used as metric labels.
 type Reason string
 
-// The possible reasons.
+// The possible reasons. Reason.Detail describes each of them.
 const (
 	ReasonNone             Reason = ""
 	ReasonNoService        Reason = "no-such-service"
@@ -89,18 +89,17 @@
 	RetryAfter time.Duration
 }
 
-// NotRunBecause returns an outcome that proves that the request did not run.
+// NotRunBecause returns the outcome NotRun, of a request that provably did not run.
 func NotRunBecause(r Reason) Outcome { return Outcome{Kind: NotRun, Reason: r} }
 
-// UnknownBecause returns an outcome that proves neither that the request ran nor that
-// it did not run.
+// UnknownBecause returns the outcome Unknown, of a request that may or may not have run.
 func UnknownBecause(r Reason) Outcome { return Outcome{Kind: Unknown, Reason: r} }
 
 // Done returns the outcome Answered, of a request with a complete response.
 func Done() Outcome { return Outcome{Kind: Answered} }
 
-// RetryElsewhere reports whether an immediate attempt at another upstream may succeed. It
-// does not say whether such an attempt is safe; see MayRetry.
+// RetryElsewhere reports whether an immediate attempt at another upstream may succeed.
+// MayRetry reports whether such an attempt is safe.
 func (o Outcome) RetryElsewhere() bool {
 	switch o.Reason {
 	case ReasonNoUpstream, ReasonQueueFull, ReasonShed, ReasonDraining, ReasonWithdrawn,
@@ -118,7 +117,8 @@
 	return o.Kind == NotRun && (o.Reason == ReasonDraining || o.Reason == ReasonWithdrawn)
 }
 
-// MayRetry reports whether sending the request again is safe.
+// MayRetry reports whether sending the request again is safe. idempotent is set if the
+// request may run twice.
 func (o Outcome) MayRetry(idempotent bool) bool {
 	switch o.Kind {
 	case NotRun:
@@ -130,9 +130,9 @@
 	}
 }
 
-// After returns the outcome of a request whose previous attempts had the outcome
-// earlier and whose last attempt had the outcome o. If an earlier attempt is Unknown, the
-// request may have run even if the last attempt is NotRun, so the result is Unknown.
+// After returns the outcome of a request. earlier is the outcome of its previous attempts
+// together, and o the outcome of its last attempt. If earlier is Unknown, the request may
+// have run. The result is therefore Unknown even if the last attempt did not run.
 func (o Outcome) After(earlier Outcome) Outcome {
 	if o.Kind == NotRun && earlier.Kind == Unknown {
 		return earlier
--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -8,34 +8,39 @@
 )
 
 const (
-	// A request is rejected if its expected time here is more than slowerFactor times
-	// the time at the best other upstream, plus slowerMargin. The rejection costs a round
-	// trip, and the load of the other upstream is older than the load known here.
+	// slowerFactor is part of the bound above which a request is rejected as SlowerHere.
+	// The bound is slowerFactor times the expected time at the best other upstream, plus
+	// slowerMargin. A small advantage of the other upstream is not enough: the rejection
+	// costs a round trip, and the load of the other upstream is older than the load known
+	// here.
 	slowerFactor = 1.25
+	// slowerMargin is added to the bound for SlowerHere.
 	slowerMargin = 10 * time.Millisecond
-	// usefulShare is the share of its remaining time that a request may take if it
-	// cannot meet its target. Beyond that, its caller is better off retrying later.
-	// urgentUsefulShare applies to requests before the last rank, such as nested calls
-	// whose parent fails without them: refusing one wastes the work already done for
-	// its parent. In a mesh whose nested calls were short of slots, with parents of
-	// 60 ms and calls of 15 ms, the larger share increased the value of the completed
-	// requests by a tenth.
-	usefulShare       = 0.5
+	// usefulShare is the share of the time until its deadline that a request may take if
+	// it cannot meet its target. Beyond that, its caller is better off retrying later.
+	usefulShare = 0.5
+	// urgentUsefulShare replaces usefulShare for requests before the last rank, such as
+	// nested calls whose parent fails without them. Refusing a nested call wastes the work
+	// already done for its parent. In a mesh whose nested calls were short of slots, with
+	// parents of 60 ms and calls of 15 ms, the larger share increased the value of the
+	// completed requests by a tenth.
 	urgentUsefulShare = 0.85
 )
 
 // Arrival is a request that arrives at an upstream's guard.
 type Arrival struct {
-	// Rank and Kind are those of the Item.
+	// Rank is the priority of the request; see Item.Rank.
 	Rank int
+	// Kind identifies the route of the request; see Item.Kind.
 	Kind Kind
 	// Urgent is set if the request's rank comes before the last one.
 	Urgent bool
 	// ServiceTime is the usual service time of the request.
 	ServiceTime time.Duration
-	// UntilTarget is the time left until the target of the request, or zero if it has
-	// none. UntilDeadline is the time left until its deadline.
-	UntilTarget   time.Duration
+	// UntilTarget is the time left until the target of the request. It is zero if the
+	// request has no target.
+	UntilTarget time.Duration
+	// UntilDeadline is the time left until the deadline of the request.
 	UntilDeadline time.Duration
 	// Alternative is the expected time until the request would complete at another
 	// upstream. Zero means that no other upstream can take it.
@@ -44,9 +49,9 @@
 
 // Performance is the current speed and reliability of the upstream.
 type Performance struct {
-	// Slowdown is the service time relative to the usual one, which is 1. FailureRate is
-	// the recent failure rate, from 0 to 1.
-	Slowdown    float64
+	// Slowdown is the service time relative to the usual one, which is 1.
+	Slowdown float64
+	// FailureRate is the recent failure rate, from 0 to 1.
 	FailureRate float64
 }
 
@@ -57,14 +62,15 @@
 const (
 	// Admitted means that the request may enter the queue.
 	Admitted Admission = iota
-	// SlowerHere means that the request would complete sooner at another upstream.
+	// SlowerHere means that the request would complete clearly sooner at another upstream.
 	SlowerHere
 	// Full means that the request would complete too late to be worth the wait.
 	Full
 )
 
-// Admit decides whether a request may enter the queue. It returns the Item to add if
-// so, and the expected time until the request completes.
+// Admit decides whether a request may enter the queue. If it may, Admit returns the Item
+// that the caller must pass to Add. The duration is the expected time until the request
+// completes.
 func (q *Queue) Admit(now model.Instant, a Arrival, p Performance) (Item, Admission, time.Duration) {
 	expected := placement.ExpectedTime(a.ServiceTime, p.Slowdown, q.Ahead(a.Rank, a.Kind), q.limit, p.FailureRate)
 	if a.Alternative > 0 && expected > time.Duration(slowerFactor*float64(a.Alternative))+slowerMargin {
--- a/core/slots/shares.go
+++ b/core/slots/shares.go
@@ -10,9 +10,10 @@
 // request's usual service time. The kind with the lowest tag starts next. A kind earns no
 // credit while it has no waiting requests.
 type fairShares struct {
-	// virtualTime is the start tag of the last request that was started.
+	// virtualTime is the start tag of the request that was started last.
 	virtualTime time.Duration
-	// finishTags holds the tags of the kinds that are ahead of virtualTime.
+	// finishTags holds the tags of the kinds whose tags are greater than virtualTime. The
+	// tag of all other kinds is virtualTime.
 	finishTags map[Kind]time.Duration
 }
 
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -3,15 +3,17 @@
 // proxy in front of it.
 //
 // Requests with a lower rank start first. Within a rank, requests that can still meet
-// their target latency start first. Among these, the kinds of requests get equal shares
-// of the service time, so that many requests of one kind do not starve the others, and
-// within a kind the newest request starts first. While the upstream has enough capacity,
-// the order hardly matters, since all requests meet their targets. Under overload, most
-// waiting requests will miss their targets in any order. If the oldest started first, each
-// would complete shortly after its target. If the newest starts first, the requests that
-// start meet their targets and the others are refused early. Requests that can no longer
-// meet their target start last. Among these, the kinds also get equal shares of the
-// service time, and within a kind the request that had to start earliest comes first.
+// their target latency start before those that cannot. A kind is the set of the requests
+// of one route. In both classes, the kinds get equal shares of the service time, so that
+// many requests of one kind do not starve the others.
+//
+// Of one kind, among the requests that can meet their targets, the newest starts first.
+// While the upstream has enough capacity, the order hardly matters, since all requests meet
+// their targets. Under overload, most waiting requests will miss their targets in any
+// order. If the oldest started first, each would complete shortly after its target. If the
+// newest starts first, the requests that start meet their targets and the others are
+// refused early. Among the requests that can no longer meet their targets, the one that
+// should have started earliest comes first.
 //
 // To prevent starvation, every eighth start goes to the last rank. A request that can
 // no longer complete before its deadline is refused at once, because its response
@@ -34,17 +36,19 @@
 	Kind Kind
 	// ServiceTime is the usual service time of the request.
 	ServiceTime time.Duration
-	// Arrived is when the request entered the queue. Target and Deadline are when it
-	// should and must complete. A zero Target means that it has no target.
-	Arrived  model.Instant
-	Target   model.Instant
+	// Arrived is when the request entered the queue.
+	Arrived model.Instant
+	// Target is when the request should complete. Zero means that it has no target.
+	Target model.Instant
+	// Deadline is when the request must complete.
 	Deadline model.Instant
-	// UsefulUntil is when the request must complete to be worth waiting for. After that
-	// it runs only if a slot is free at once. Zero means that only Deadline counts.
+	// UsefulUntil is when the request must complete to be worth waiting for. A request
+	// that would complete later runs only if a slot is free at once. Zero means that only
+	// Deadline counts.
 	UsefulUntil model.Instant
-	// WaitUntil is when the queue timeout of the request expires. If it has not started
-	// by then, it is rejected, so that its entry can choose another upstream. Zero means
-	// that there is no timeout.
+	// WaitUntil is when the queue timeout of the request expires. If the request has not
+	// started by then, the guard rejects it, so that its entry can choose another
+	// upstream. Zero means that there is no timeout.
 	WaitUntil model.Instant
 }
 
@@ -61,7 +65,8 @@
 	// QueueTimeoutExpired means that the queue timeout of the request has expired.
 	QueueTimeoutExpired
 	// TooLate means that the request would complete too late to be worth the wait.
-	// Other requests make better use of the slot, and the sender can react sooner.
+	// Other requests make better use of the slot. The early rejection also leaves the
+	// sender time to try another upstream or to refuse the request.
 	TooLate
 )
 
@@ -72,8 +77,8 @@
 }
 
 const (
-	// lastRankInterval is the number of starts of which one goes to the last rank. One in
-	// eight leaves seven eighths of the capacity to the regular order of ranks.
+	// lastRankInterval is the number of starts of which exactly one goes to the last rank.
+	// With one in eight, seven eighths of the capacity follow the regular order of ranks.
 	lastRankInterval = 8
 )
 
@@ -104,9 +109,9 @@
 func (q *Queue) SetLimit(n int) { q.limit = max(n, 1) }
 
 // Ahead returns how many requests run now or would start before a new request of the
-// given rank and kind. All waiting requests of a lower rank do. Of the same rank, all n
-// waiting requests of the same kind do, and at most n+1 of each other kind, since the
-// kinds take turns.
+// given rank and kind. All waiting requests of a lower rank would start before it. So would
+// the waiting requests of the same rank and kind. If their number is n, at most n+1 requests
+// of each other kind of the rank would, since the kinds take turns.
 func (q *Queue) Ahead(rank int, kind Kind) int {
 	n := q.running
 	waitingByKind := map[Kind]int{}
@@ -142,8 +147,9 @@
 // Finish records that a running request has ended.
 func (q *Queue) Finish() { q.running = max(q.running-1, 0) }
 
-// Next returns a request that leaves the queue now, if any, and the reason. slowdown is
-// the current service time relative to the usual one.
+// Next removes a request that must leave the queue now and returns it with the reason. It
+// returns false if there is no such request. slowdown is the current service time relative
+// to the usual one.
 func (q *Queue) Next(now model.Instant, slowdown float64) (Decision, bool) {
 	for i := range q.items {
 		it := &q.items[i]
@@ -167,8 +173,8 @@
 	return q.dequeue(best, Start), true
 }
 
-// NextWakeup returns the next instant at which Next may return a request although no
-// other event has occurred. Zero means never.
+// NextWakeup returns the next instant at which Next may return a request even if no
+// request arrives or ends before. Zero means that there is no such instant.
 func (q *Queue) NextWakeup(slowdown float64) model.Instant {
 	var wakeup model.Instant
 	for i := range q.items {
@@ -187,7 +193,7 @@
 	return wakeup
 }
 
-// sharesOf returns the fair shares of a rank.
+// sharesOf returns the fair shares of a rank, creating them if necessary.
 func (q *Queue) sharesOf(rank int) *fairShares {
 	shares, ok := q.sharesByRank[rank]
 	if !ok {
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -79,10 +79,10 @@
 	}
 }
 
-// TestKindsShareWorkEqually has many requests of one kind and a few older ones of another
-// kind of the same rank. The second kind gets half of the service time until its requests
-// run out, although newer requests usually start first. A kind whose requests take longer
-// starts fewer of them.
+// TestKindsShareWorkEqually has many requests of one kind and a few older requests of
+// another kind of the same rank. The second kind must get half of the service time until
+// its requests run out, although newer requests usually start first. If the requests of a
+// kind take longer, fewer of them start.
 func TestKindsShareWorkEqually(t *testing.T) {
 	const frequent, rare = 1, 2
 	for name, c := range map[string]struct {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestIdleKindEarnsNoCredit has a kind arrive that was idle for a long time. It must
-// not occupy all slots until it has caught up with the others.
+// TestIdleKindEarnsNoCredit has requests of a kind arrive that had no requests for a long
+// time. They must not occupy all slots until their kind has caught up with the others.
 func TestIdleKindEarnsNoCredit(t *testing.T) {
 	q := New(1)
 	for i := range uint64(50) {
@@ -139,8 +139,8 @@
 }
 
 // TestNewestFirstMeetsTargetsUnderOverload has twice as many requests as there is
-// capacity for. Each request that is started meets its target. If the oldest started
-// first, each would start too late.
+// capacity for. Each request that is started must meet its target. If the oldest request
+// started first, each would start too late.
 func TestNewestFirstMeetsTargetsUnderOverload(t *testing.T) {
 	const interval, serviceTime, target, requests = 10, 20, 100, 200
 	q := New(1)
@@ -230,7 +230,7 @@
 }
 
 // TestFreeSlotRunsLateRequest has a request that cannot meet its target, and a free
-// slot. The request runs, as no other request has to wait for it.
+// slot. The request must run, as no other request has to wait for it.
 func TestFreeSlotRunsLateRequest(t *testing.T) {
 	q := New(1)
 	late := newItem(1, 0, 100, 50)
@@ -251,9 +251,9 @@
 	require.Zero(t, q.NextWakeup(1))
 }
 
-// TestEveryRequestLeavesOnce has random arrivals, ends and removals. No request
-// leaves the queue twice, the limit is never exceeded, and the queue is empty at the
-// end.
+// TestEveryRequestLeavesOnce has requests arrive, end and be removed at random. No request
+// may leave the queue twice, the limit must never be exceeded, and the queue must be empty
+// at the end.
 func TestEveryRequestLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(rapid.IntRange(1, 5).Draw(t, "limit"))
--- a/core/watch/doc.go
+++ b/core/watch/doc.go
@@ -11,8 +11,8 @@
 // The first daemons of each cell watch the store. If their heartbeats stop, or say that
 // the store cannot be reached, other daemons volunteer at random, but only a few at
 // once, so that an unreachable store does not receive calls from all daemons. A daemon
-// that has not reached the store for yieldAfter stops watching for a limited time, so
-// that other daemons can try if the store serves only some of them. If daemons disagree
+// that has not reached the store for yieldAfter stops watching for a limited time. Other
+// daemons can then try, in case the store serves only some daemons. If daemons disagree
 // about the members of the cell or do not receive each other's heartbeats, there are more
 // watchers than needed, never fewer.
 package watch
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -11,21 +11,22 @@
 	// HeartbeatInterval is the time between two heartbeats of a watcher if nothing
 	// changes.
 	HeartbeatInterval = 400 * time.Millisecond
-	// heartbeatTimeout is the time after the last heartbeat at which a daemon no longer
+	// heartbeatTimeout is the time after its last heartbeat from which a daemon no longer
 	// counts as a watcher.
 	heartbeatTimeout = 3 * HeartbeatInterval
-	// meanVolunteers is the mean number of daemons of a cell that volunteer each time
-	// the daemons check whether there are too few watchers.
+	// meanVolunteers is the mean number of daemons of a cell that volunteer each time the
+	// daemons find that there are too few watchers.
 	meanVolunteers = 2
 	// minWatchers is the lowest number of watchers in all zones together.
 	minWatchers = 3
 	// maxConcurrentTries is how many daemons of a cell may keep trying at the same time
 	// while they cannot reach the store.
 	maxConcurrentTries = 2
-	// yieldAfter is how long a daemon tries to reach the store before it yields: it stops
-	// watching so that others can try. maxYield bounds the time until its next try.
+	// yieldAfter is how long a daemon tries to reach the store before it yields, that is
+	// stops watching so that others can try.
 	yieldAfter = 2 * time.Second
-	maxYield   = 10 * time.Second
+	// maxYield is the longest time for which a daemon yields.
+	maxYield = 10 * time.Second
 	// maxCellSize bounds the number of daemons to which one watcher sends heartbeats.
 	maxCellSize = 64
 )
@@ -44,28 +45,30 @@
 	// randFloat returns random numbers from 0 to below 1.
 	randFloat func() float64
 	// cell holds the sorted addresses of the daemons in the cell, including this one.
-	// wantedWatchers is how many of them should watch.
-	cell           []string
+	cell []string
+	// wantedWatchers is how many daemons of the cell should watch.
 	wantedWatchers int
-	heartbeats     map[string]heartbeat
-	// volunteerFrom is when this daemon may first volunteer. After its start it first
-	// waits for heartbeats of the existing watchers.
+	// heartbeats holds the last heartbeat of each other daemon of the cell, by address.
+	heartbeats map[string]heartbeat
+	// volunteerFrom is when this daemon may first volunteer. After its start, the daemon
+	// first waits for heartbeats of the existing watchers.
 	volunteerFrom model.Instant
 
 	watching bool
-	// reachesStore is set if this daemon's last call to the store succeeded. failingSince is
-	// when its calls began to fail, or when it began to watch.
+	// reachesStore is set if this daemon's last call to the store succeeded.
 	reachesStore bool
+	// failingSince is when this daemon's calls to the store began to fail. Before the first
+	// successful call, it is when the daemon began to watch.
 	failingSince model.Instant
 	// yieldUntil is when this daemon may watch again after it has yielded.
 	yieldUntil model.Instant
-	// lastHeartbeat is when the last heartbeat was sent. Zero means that one is due
-	// now.
+	// lastHeartbeat is when this daemon sent its last heartbeat. Zero means that the next
+	// heartbeat is due now.
 	lastHeartbeat model.Instant
 }
 
-// New returns the Elector of the daemon with the address self, which starts now.
-// randFloat returns random numbers from 0 to below 1.
+// New returns the Elector of the daemon with the address self. now is the start of the
+// daemon. randFloat returns random numbers from 0 to below 1.
 func New(self string, now model.Instant, randFloat func() float64) *Elector {
 	return &Elector{
 		self: self, randFloat: randFloat, cell: []string{self}, wantedWatchers: 1,
@@ -73,8 +76,9 @@
 	}
 }
 
-// SetMembers sets the daemons of the local zone that are reachable and not about to stop,
-// including this one, and the number of zones.
+// SetMembers sets the members of the local zone and the number of zones. zoneMembers are
+// the addresses of the daemons that are reachable and not about to stop, including this
+// one.
 func (e *Elector) SetMembers(zoneMembers []string, zones int) {
 	ordered := slices.Clone(zoneMembers)
 	slices.Sort(ordered)
@@ -96,8 +100,8 @@
 	}
 }
 
-// RecordHeartbeat records a heartbeat received from another daemon. reachesStore is set if
-// that daemon reaches the store.
+// RecordHeartbeat records a heartbeat received from the daemon with the address from.
+// reachesStore is set if that daemon reaches the store.
 func (e *Elector) RecordHeartbeat(now model.Instant, from string, reachesStore bool) {
 	if from != e.self && slices.Contains(e.cell, from) {
 		e.heartbeats[from] = heartbeat{at: now, reachesStore: reachesStore}
@@ -105,7 +109,7 @@
 }
 
 // RecordStoreCall records whether a call to the store succeeded. If the result differs
-// from the last one, the next heartbeat is due at once.
+// from that of the last call, the next heartbeat is due at once.
 func (e *Elector) RecordStoreCall(now model.Instant, ok bool) {
 	if e.reachesStore && !ok {
 		e.failingSince = now
@@ -120,8 +124,8 @@
 // version, or when the store has become reachable or unreachable.
 func (e *Elector) TriggerHeartbeat() { e.lastHeartbeat = 0 }
 
-// HeartbeatDue reports whether a heartbeat is due, and if so records that it is sent
-// now.
+// HeartbeatDue reports whether a heartbeat is due. If so, it records that the heartbeat is
+// sent now.
 func (e *Elector) HeartbeatDue(now model.Instant) bool {
 	if !e.watching || e.lastHeartbeat != 0 && now.Sub(e.lastHeartbeat) < HeartbeatInterval {
 		return false
@@ -142,8 +146,9 @@
 }
 
 // shouldWatch decides whether this daemon watches the store. A watcher stops when enough
-// daemons before it in the cell reach the store, or when it yields. Apart from the first
-// daemons of the cell, daemons volunteer at random while there are too few watchers.
+// daemons before it in the cell reach the store, or when it yields. Otherwise the first
+// daemons of the cell always watch. The other daemons volunteer at random while there are
+// too few watchers.
 func (e *Elector) shouldWatch(now model.Instant) bool {
 	if now < e.yieldUntil {
 		return false
@@ -174,8 +179,8 @@
 }
 
 // countWatchers counts the other watchers by their latest heartbeats. others is the number
-// of those that reach the store, earlier the number of those among them that come before
-// this daemon in the cell, and trying the number of those that do not reach the store.
+// of watchers that reach the store. earlier is how many of these come before this daemon in
+// the cell. trying is the number of watchers that do not reach the store.
 func (e *Elector) countWatchers(now model.Instant) (earlier, others, trying int) {
 	for address, hb := range e.heartbeats {
 		switch {
--- a/core/watch/elector_test.go
+++ b/core/watch/elector_test.go
@@ -14,7 +14,8 @@
 // maxPropagation is the longest time allowed until all daemons have a new version.
 const maxPropagation = 2 * time.Second
 
-// TestVersionsReachAllDaemons publishes a version after each of several disturbances.
+// TestVersionsReachAllDaemons publishes a version after a disturbance. All daemons must get
+// it within maxPropagation.
 func TestVersionsReachAllDaemons(t *testing.T) {
 	for name, disturb := range map[string]func(f *fleet){
 		"no disturbance": func(*fleet) {},
@@ -73,7 +74,7 @@
 }
 
 // TestVersionsAreForwardedImmediately publishes versions at various times between two
-// heartbeats. None of them is delayed until the next heartbeat.
+// heartbeats. No version may be delayed until the next heartbeat.
 func TestVersionsAreForwardedImmediately(t *testing.T) {
 	const (
 		versions = 20
@@ -93,7 +94,7 @@
 }
 
 // TestVersionsAfterHungReads has the store accept reads without responding, and then
-// recover. Versions reach all daemons in time once the hung reads have timed out.
+// recover. A version must reach all daemons in time once the hung reads have timed out.
 func TestVersionsAfterHungReads(t *testing.T) {
 	for _, n := range fleetSizes {
 		f := newFleet(n)
@@ -106,7 +107,7 @@
 }
 
 // TestIsolatedDaemonWatches has a daemon that is partitioned from all others but
-// reaches the store.
+// reaches the store. The daemon must watch the store itself.
 func TestIsolatedDaemonWatches(t *testing.T) {
 	f := newFleet(10)
 	f.advance(5 * time.Second)
@@ -127,11 +128,12 @@
 func TestStoreCallsAreBounded(t *testing.T) {
 	const (
 		seconds = 30
-		// normalCalls is the number of calls of one watcher in that time, allowing one
-		// more at the start.
+		// normalCalls is the largest number of calls of one watcher in the given number of
+		// seconds, including one more at the start.
 		normalCalls = int(seconds*time.Second/pollWait) + 2
-		// unavailableCalls covers the daemons of a cell that may try at the same time,
-		// including the shorter delays at the beginning of each daemon's turn.
+		// unavailableCalls is the largest number of calls of a cell while the store is
+		// unavailable. It covers the daemons that may try at the same time, and the shorter
+		// delays at the beginning of each daemon's turn.
 		unavailableCalls = 4 * maxConcurrentTries * seconds
 	)
 	for _, n := range fleetSizes {
@@ -150,7 +152,8 @@
 	}
 }
 
-// TestHeartbeatsAreBounded bounds the heartbeats of a watcher for all fleet sizes.
+// TestHeartbeatsAreBounded checks that the number of heartbeats of a watcher does not grow
+// with the fleet beyond the size of a cell.
 func TestHeartbeatsAreBounded(t *testing.T) {
 	const seconds = 10
 	for _, n := range fleetSizes {
@@ -180,8 +183,8 @@
 	require.Zero(t, f.countOutdated())
 }
 
-// TestReturningDaemonReplacesItsSubstitute restarts the first daemon of a cell. It
-// watches again, and the daemon that had replaced it stops watching.
+// TestReturningDaemonReplacesItsSubstitute restarts the first daemon of a cell. That daemon
+// must watch again, and the daemon that had replaced it must stop watching.
 func TestReturningDaemonReplacesItsSubstitute(t *testing.T) {
 	f := newFleet(300)
 	f.advance(5 * time.Second)
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -15,14 +15,17 @@
 const (
 	// step is the time step of the simulation.
 	step = 20 * time.Millisecond
-	// pollWait is how long a read of the store waits for a new version. readTimeout is
-	// how long a daemon waits for the response to a read.
-	pollWait    = 1500 * time.Millisecond
+	// pollWait is how long a read of the store waits for a new version.
+	pollWait = 1500 * time.Millisecond
+	// readTimeout is how long a daemon waits for the response to a read.
 	readTimeout = 2900 * time.Millisecond
-	// minRetry and maxRetry bound the delay after a failed read.
+	// minRetry is the delay after the first failed read. The delay doubles with each
+	// further failed read.
 	minRetry = 100 * time.Millisecond
+	// maxRetry is the longest delay after a failed read.
 	maxRetry = time.Second
-	zones    = 5
+	// zones is the number of availability zones.
+	zones = 5
 )
 
 // fleet simulates daemons that watch a store, in virtual time. A message arrives in the
@@ -32,13 +35,16 @@
 	rng     *rand.Rand
 	daemons []*daemon
 	byName  map[string]*daemon
+	// version is the latest version in the store.
 	version int
-	// storeServes tells whether the store serves a daemon. storeHangs tells whether it
-	// accepts the daemon's reads but never responds.
+	// storeServes reports whether the store serves a daemon.
 	storeServes func(*daemon) bool
-	storeHangs  func(*daemon) bool
-	storeCalls  int
-	// inTransit holds the messages sent in the last step.
+	// storeHangs reports whether the store accepts a daemon's reads but never responds.
+	storeHangs func(*daemon) bool
+	// storeCalls counts the reads that daemons have started.
+	storeCalls int
+	// inTransit holds a function for each message sent in the last step. The function
+	// delivers the message.
 	inTransit []func()
 }
 
@@ -48,17 +54,20 @@
 	name    string
 	zone    model.AvailabilityZone
 	elector *Elector
+	// version is the version that the daemon has in force.
 	version int
 	down    bool
-	// A partitioned daemon exchanges no messages with others.
+	// partitioned is set if the daemon exchanges no messages with others.
 	partitioned bool
-	// nextReadAt is when the next read may start. readUntil is when the pending read
-	// ends, and hung tells whether it gets no response. retryDelay is the delay after
-	// the next failed read.
-	nextReadAt     model.Instant
-	readUntil      model.Instant
-	reading        bool
-	hung           bool
+	// nextReadAt is when the next read may start.
+	nextReadAt model.Instant
+	// readUntil is when the pending read ends at the latest.
+	readUntil model.Instant
+	// reading is set while a read is pending.
+	reading bool
+	// hung is set if the pending read gets no response.
+	hung bool
+	// retryDelay is the delay after the next failed read.
 	retryDelay     time.Duration
 	heartbeatsSent int
 }
@@ -84,7 +93,7 @@
 	*d = daemon{fleet: d.fleet, name: d.name, zone: d.zone, elector: New(d.name, d.fleet.now, d.fleet.rng.Float64), retryDelay: minRetry}
 }
 
-// updateMembers tells all daemons the current members of their zones.
+// updateMembers tells all daemons which members of their zones are reachable.
 func (f *fleet) updateMembers() {
 	for _, d := range f.daemons {
 		var zone []string
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -121,7 +121,7 @@
 		edits: []edits.Edit{
 			edits.New("quarantine/gossip.go", "if m, ok := g.Selector.AntiEntropyPeer(g.Members()); ok {", "for _, m := range g.Members() {"),
 			edits.New("quarantine/exchange.go", "return binary.BigEndian.AppendUint64([]byte{kindDigest}, s.checksum())", "whole, _ := appendRecords([]byte{kindRecords}, s.table.List(), 64<<10)\n	return whole"),
-			edits.New("core/gossip/anti_entropy_timer.go", "longInterval  = 10 * time.Second", "longInterval  = time.Second"),
+			edits.New("core/gossip/anti_entropy_timer.go", "longInterval = 10 * time.Second", "longInterval = time.Second"),
 		},
 		plan: planManyPoisons, wantViolation: "control",
 	},
