--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -25,8 +25,8 @@
 func TestPushTargets(t *testing.T) {
 	selector := PeerSelector{Zone: "z0", RandIntN: rand.New(rand.NewPCG(1, 1)).IntN}
 	for name, c := range map[string]struct {
-		members []Member
-		origin  bool
+		members  []Member
+		isOrigin bool
 		// local is the number of selected daemons in the local zone.
 		local int
 		// minRemote and maxRemote bound the number of selected daemons in other zones.
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			for range 100 {
 				local, seen := 0, make(map[Member]bool)
-				for _, m := range selector.PushTargets(c.members, c.origin) {
+				for _, m := range selector.PushTargets(c.members, c.isOrigin) {
 					require.False(t, seen[m], "each member is selected at most once")
 					seen[m] = true
 					if m.Zone == selector.Zone {
--- a/core/gossip/peer_selector.go
+++ b/core/gossip/peer_selector.go
@@ -32,13 +32,13 @@
 	RandIntN func(n int) int
 }
 
-// PushTargets returns the daemons to which to send an update. origin is set if the update
+// PushTargets returns the daemons to which to send an update. isOrigin is set if the update
 // originates at this daemon.
-func (s PeerSelector) PushTargets(members []Member, origin bool) []Member {
+func (s PeerSelector) PushTargets(members []Member, isOrigin bool) []Member {
 	local, remote := s.splitByZone(members)
 	out := s.sample(local, fanOut)
 	switch {
-	case origin:
+	case isOrigin:
 		out = append(out, onePerZone(s.sample(remote, len(remote)))...)
 	case s.chooseCrossZone():
 		out = append(out, s.sample(remote, 1)...)
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -34,23 +34,23 @@
 
 func TestLimiterFindsTheUpstreamsCapacity(t *testing.T) {
 	cases := map[string]struct {
-		u         sharedUpstream
+		upstream  sharedUpstream
 		max       int
 		low, high int
 	}{
-		"announced slots are correct":  {u: sharedUpstream{capacity: 6, slowdown: 1}, low: 6, high: 6},
-		"announces twice its capacity": {u: sharedUpstream{capacity: 3, slowdown: 1}, low: 2, high: 5},
-		"straggler keeps its limit":    {u: sharedUpstream{capacity: 6, slowdown: 8}, low: 6, high: 6},
-		"announces too few slots":      {u: sharedUpstream{capacity: 12, slowdown: 1}, max: 12, low: 10, high: 12},
-		"one slot":                     {u: sharedUpstream{capacity: 1, slowdown: 1}, low: 1, high: 4},
+		"announced slots are correct":  {upstream: sharedUpstream{capacity: 6, slowdown: 1}, low: 6, high: 6},
+		"announces twice its capacity": {upstream: sharedUpstream{capacity: 3, slowdown: 1}, low: 2, high: 5},
+		"straggler keeps its limit":    {upstream: sharedUpstream{capacity: 6, slowdown: 8}, low: 6, high: 6},
+		"announces too few slots":      {upstream: sharedUpstream{capacity: 12, slowdown: 1}, max: 12, low: 10, high: 12},
+		"one slot":                     {upstream: sharedUpstream{capacity: 1, slowdown: 1}, low: 1, high: 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			l := New(Options{Slots: 6, Max: tc.max})
-			simulate(l, tc.u, 50_000, rng)
+			simulate(l, tc.upstream, 50_000, rng)
 			for range 100 {
-				simulate(l, tc.u, 64, rng)
+				simulate(l, tc.upstream, 64, rng)
 				assert.LessOrEqual(t, l.limit, tc.high)
 				assert.GreaterOrEqual(t, l.limit, tc.low)
 			}
--- a/core/measure/measure_test.go
+++ b/core/measure/measure_test.go
@@ -106,7 +106,7 @@
 			for range 100 {
 				trust.Observe(tc.report, tc.observed)
 			}
-			assert.Equal(t, tc.external, trust.External(6))
+			assert.Equal(t, tc.external, trust.ExternalRequests(6))
 			assert.Equal(t, tc.counts, trust.Counts())
 		})
 	}
--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -78,9 +78,9 @@
 func (m *Monitor) SetShare(now model.Instant, share float64) { m.budget.SetShare(now, share) }
 
 // Annotate returns load with the requests from elsewhere added to Running. Their number is
-// the one that Trust.External returns.
+// the one that Trust.ExternalRequests returns.
 func (m *Monitor) Annotate(load model.Load) model.Load {
-	load.Running += int32(m.trust.External(int(load.Limit)))
+	load.Running += int32(m.trust.ExternalRequests(int(load.Limit)))
 	return load
 }
 
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -74,10 +74,10 @@
 	}
 }
 
-// External returns the number of requests from elsewhere that the upstream is assumed to
+// ExternalRequests returns the number of requests from elsewhere that the upstream is assumed to
 // be running. slots is the number of slots of the upstream, which bounds the result (see
 // maxExternalShare).
-func (t *Trust) External(slots int) int {
+func (t *Trust) ExternalRequests(slots int) int {
 	return int(min(t.Discrepancy(), maxExternalShare*float64(slots)))
 }
 
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -173,7 +173,7 @@
 			continue
 		}
 		t := p.expected(now, req, c)
-		stale = append(stale, scoredCandidate{candidate: c, time: t, score: time.Duration(float64(t) * (1 + queryJitter*p.opts.Rand()))})
+		stale = append(stale, scoredCandidate{candidate: c, expected: t, score: time.Duration(float64(t) * (1 + queryJitter*p.opts.Rand()))})
 	}
 	slices.SortFunc(stale, func(a, b scoredCandidate) int { return cmp.Compare(a.score, b.score) })
 	if len(stale) > n {
@@ -196,7 +196,7 @@
 	if bestLocal.candidate == nil {
 		return false
 	}
-	return req.Target <= 0 || bestLocal.time < time.Duration(targetShare*float64(req.Target))
+	return req.Target <= 0 || bestLocal.expected < time.Duration(targetShare*float64(req.Target))
 }
 
 // UpdateLoad records the load of an upstream.
@@ -218,7 +218,7 @@
 		return Choice{}, false
 	}
 	chosen, alternative := best, second
-	if bestLocal.candidate != nil && bestLocal.candidate != best.candidate && req.Target > 0 && bestLocal.time < time.Duration(targetShare*float64(req.Target)) {
+	if bestLocal.candidate != nil && bestLocal.candidate != best.candidate && req.Target > 0 && bestLocal.expected < time.Duration(targetShare*float64(req.Target)) {
 		chosen, alternative = bestLocal, best
 	}
 	chosen.candidate.inFlight++
@@ -226,7 +226,7 @@
 	if !chosen.candidate.hasLoad {
 		age = math.MaxInt64
 	}
-	return Choice{Upstream: chosen.candidate.upstream, Expected: chosen.time, Alternative: alternative.time, Age: age}, true
+	return Choice{Upstream: chosen.candidate.upstream, Expected: chosen.expected, Alternative: alternative.expected, Age: age}, true
 }
 
 // scoredCandidate is a candidate for a request, with its score.
@@ -235,8 +235,8 @@
 	// score is the value by which candidates are compared; lower is better. It is the
 	// expected time with jitter and, in findBest, the cross-zone penalty.
 	score time.Duration
-	// time is the expected time until the request completes.
-	time time.Duration
+	// expected is the expected time until the request completes.
+	expected time.Duration
 }
 
 // eligibility says which candidates may be chosen. Higher values allow more of them and
@@ -277,7 +277,7 @@
 			continue
 		}
 		t := p.expected(now, req, c)
-		scored := scoredCandidate{candidate: c, time: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
+		scored := scoredCandidate{candidate: c, expected: t, score: time.Duration(float64(t) * (1 + jitter*p.opts.Rand()))}
 		local := c.upstream.Zone == p.opts.Zone
 		if !local {
 			scored.score += p.opts.CrossZonePenalty
@@ -303,7 +303,7 @@
 
 // ObserveRTT records the round-trip time of a load query to the guard of an upstream. A
 // measurement that is longer than the stored time raises that time only a little, as the
-// measurement may include a wait for a CPU.
+// measurement may include a wait for a CPU. took is the measurement.
 func (p *Placer) ObserveRTT(key string, took time.Duration) {
 	c := p.candidates[key]
 	if c == nil {
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -64,12 +64,12 @@
 
 func TestBackoff(t *testing.T) {
 	tests := []struct {
-		name      string
-		retry     int
-		remaining time.Duration
-		random    float64
-		wait      time.Duration
-		ok        bool
+		name        string
+		retryNumber int
+		remaining   time.Duration
+		random      float64
+		wait        time.Duration
+		ok          bool
 	}{
 		{"first", 1, time.Second, 0.5, time.Millisecond, true},
 		{"third", 3, time.Second, 0.5, 4 * time.Millisecond, true},
@@ -80,7 +80,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			wait, ok := Backoff(tt.retry, tt.remaining, tt.random)
+			wait, ok := Backoff(tt.retryNumber, tt.remaining, tt.random)
 			require.Equal(t, tt.wait, wait)
 			require.Equal(t, tt.ok, ok)
 		})
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -37,15 +37,15 @@
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(1, 6).Draw(t, "daemons")
-		windows := make([]*WindowBudget, daemons)
-		for i := range windows {
-			windows[i] = NewWindowBudget(span, ratio, slack/float64(daemons))
+		budgets := make([]*WindowBudget, daemons)
+		for i := range budgets {
+			budgets[i] = NewWindowBudget(span, ratio, slack/float64(daemons))
 		}
 		var requests, retries []model.Instant
 		now := model.Instant(0)
 		for range 400 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
-			w := windows[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
+			w := budgets[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			if rapid.Bool().Draw(t, "request") {
 				w.CountRequest(now)
 				requests = append(requests, now)
@@ -53,9 +53,9 @@
 				retries = append(retries, now)
 			}
 		}
-		countBetween := func(at []model.Instant, from, to model.Instant) (n float64) {
-			for _, i := range at {
-				if i >= from && i <= to {
+		countBetween := func(instants []model.Instant, start, end model.Instant) (n float64) {
+			for _, i := range instants {
+				if i >= start && i <= end {
 					n++
 				}
 			}
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -26,9 +26,9 @@
 	// at the last reply, it is the time of that reply. Otherwise it is the time at which
 	// the next request was sent.
 	silentSince model.Instant
-	// lastReplyAt is when the last reply that carried a load was received. Only the
+	// lastLoadReplyAt is when the last reply that carried a load was received. Only the
 	// upstream's daemon sends loads, so the upstream's zone was reachable at that time.
-	lastReplyAt model.Instant
+	lastLoadReplyAt model.Instant
 	// rampEnd is the instant from which the upstream may use its full capacity. See
 	// rampFraction.
 	rampEnd     model.Instant
@@ -47,13 +47,13 @@
 	// meanOthersPerSlot is the mean number of requests per slot that other entries have
 	// at an upstream.
 	meanOthersPerSlot float64
-	// ejected counts the upstreams that are ejected because of failed requests.
-	ejected int
-	// unreachable counts the upstreams that are ejected because a connection attempt
+	// ejectedCount counts the upstreams that are ejected because of failed requests.
+	ejectedCount int
+	// unreachableCount counts the upstreams that are ejected because a connection attempt
 	// failed.
-	unreachable int
-	// healthy counts the upstreams whose failure rate is below healthyBelow.
-	healthy int
+	unreachableCount int
+	// healthyCount counts the upstreams whose failure rate is below healthyBelow.
+	healthyCount int
 	// placingGroup is the group of the request that is being placed. It is empty while
 	// no request is being placed.
 	placingGroup model.GroupName
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -16,10 +16,10 @@
 	// maxFullScan is the largest pool in which every candidate is scored. In a larger
 	// pool only a random sample is scored.
 	maxFullScan = 16
-	// sampleLocal is the number of candidates of the local zone in the sample.
-	sampleLocal = 8
-	// sampleRemote is the number of candidates of other zones in the sample.
-	sampleRemote = 4
+	// localSampleSize is the number of candidates of the local zone in the sample.
+	localSampleSize = 8
+	// remoteSampleSize is the number of candidates of other zones in the sample.
+	remoteSampleSize = 4
 	// occupancyCost is the penalty, in typical service times, of an upstream whose slots
 	// are all occupied. A partly occupied upstream gets a proportional part of the
 	// penalty. The fuller an upstream is, the likelier its last slot is taken before the
@@ -50,10 +50,10 @@
 		}
 		return s.best
 	}
-	s.sample(r.local, sampleLocal)
-	s.sample(r.remote, sampleRemote)
+	s.sample(r.local, localSampleSize)
+	s.sample(r.remote, remoteSampleSize)
 	if s.best == nil {
-		return r.random(now, exclude, panicking)
+		return r.randomUsable(now, exclude, panicking)
 	}
 	return s.best
 }
@@ -88,20 +88,20 @@
 	exclude   []model.UpstreamID
 	panicking bool
 	best      *candidate
-	score     float64
+	bestScore float64
 }
 
 // sample scores n random candidates, which are drawn with replacement. If there are at
 // most n candidates, it scores each of them once.
-func (s *search) sample(from []*candidate, n int) {
-	if len(from) <= n {
-		for _, c := range from {
+func (s *search) sample(candidates []*candidate, n int) {
+	if len(candidates) <= n {
+		for _, c := range candidates {
 			s.consider(c)
 		}
 		return
 	}
 	for range n {
-		s.consider(from[s.r.rng.IntN(len(from))])
+		s.consider(candidates[s.r.rng.IntN(len(candidates))])
 	}
 }
 
@@ -111,8 +111,8 @@
 		return
 	}
 	score := s.r.score(s.now, c)
-	if s.best == nil || score < s.score {
-		s.best, s.score = c, score
+	if s.best == nil || score < s.bestScore {
+		s.best, s.bestScore = c, score
 	}
 }
 
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -79,7 +79,7 @@
 // a successful attempt.
 func (r *Router) updateHealth(now model.Instant, c *candidate, reply Reply) {
 	if reply.HasLoad {
-		c.lastReplyAt = now
+		c.lastLoadReplyAt = now
 	}
 	if !reply.conclusive() {
 		return
@@ -97,7 +97,7 @@
 		r.restore(c)
 	case c.ejected:
 		r.eject(now, c)
-	case c.failureRate > ejectThreshold && float64(r.pool.healthy) >= minHealthyShare*float64(len(r.candidates)):
+	case c.failureRate > ejectThreshold && float64(r.pool.healthyCount) >= minHealthyShare*float64(len(r.candidates)):
 		r.eject(now, c)
 	}
 }
@@ -113,14 +113,14 @@
 	c.trialAt = now.Add(c.ejectionTime)
 }
 
-// ejectUnreachable ejects an upstream after a failed connection attempt. If zoneReplied
+// ejectUnreachable ejects an upstream after a failed connection attempt. If zoneReachable
 // reports false, the whole zone of the upstream is ejected.
 func (r *Router) ejectUnreachable(now model.Instant, c *candidate) {
 	if c.ejected && now < c.trialAt {
 		return
 	}
 	duration := min(max(2*c.ejectionTime, baseUnreachableTime), maxEjectionTime)
-	zoneReachable := r.zoneReplied(now, c)
+	zoneReachable := r.zoneReachable(now, c)
 	for _, other := range r.candidates {
 		sameZone := other.upstream.Zone == c.upstream.Zone
 		if other != c && (zoneReachable || !sameZone) {
@@ -132,14 +132,14 @@
 	}
 }
 
-// zoneReplied reports whether another upstream of the candidate's zone has replied
+// zoneReachable reports whether another upstream of the candidate's zone has replied
 // within zoneReplyTimeout. It always reports true for the entry's own zone.
-func (r *Router) zoneReplied(now model.Instant, c *candidate) bool {
+func (r *Router) zoneReachable(now model.Instant, c *candidate) bool {
 	if c.upstream.Zone == r.opts.Zone {
 		return true
 	}
 	for _, other := range r.candidates {
-		if other != c && other.upstream.Zone == c.upstream.Zone && now.Sub(other.lastReplyAt) < zoneReplyTimeout {
+		if other != c && other.upstream.Zone == c.upstream.Zone && now.Sub(other.lastLoadReplyAt) < zoneReplyTimeout {
 			return true
 		}
 	}
@@ -160,15 +160,15 @@
 	r.countEjected(c, 1)
 }
 
-// countEjected adds n to the pool's count of unreachable upstreams or of other ejected
+// countEjected adds delta to the pool's count of unreachable upstreams or of other ejected
 // upstreams, whichever includes the candidate. It does nothing if the candidate is not
 // ejected.
-func (r *Router) countEjected(c *candidate, n int) {
+func (r *Router) countEjected(c *candidate, delta int) {
 	switch {
 	case c.unreachable:
-		r.pool.unreachable += n
+		r.pool.unreachableCount += delta
 	case c.ejected:
-		r.pool.ejected += n
+		r.pool.ejectedCount += delta
 	}
 }
 
@@ -189,9 +189,9 @@
 	}
 	c.unhealthy = unhealthy
 	if unhealthy {
-		r.pool.healthy--
+		r.pool.healthyCount--
 	} else {
-		r.pool.healthy++
+		r.pool.healthyCount++
 	}
 }
 
@@ -199,8 +199,8 @@
 // overloaded. In that case the caller ignores the ejections, and panicking counts the
 // placement in Stats.Panics.
 func (r *Router) panicking() bool {
-	reachable := len(r.candidates) - r.pool.unreachable
-	if r.pool.ejected == 0 || float64(r.pool.ejected) <= panicThreshold*float64(reachable) {
+	reachable := len(r.candidates) - r.pool.unreachableCount
+	if r.pool.ejectedCount == 0 || float64(r.pool.ejectedCount) <= panicThreshold*float64(reachable) {
 		return false
 	}
 	r.stats.Panics++
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -15,9 +15,9 @@
 	// up is larger by the factor hedgeQuantile/(1-hedgeQuantile), so that the estimate
 	// settles at the quantile.
 	quantileStep = 0.001
-	// hedgeSamples is the number of latencies needed before requests of a group are
+	// minHedgeSamples is the number of latencies needed before requests of a group are
 	// hedged.
-	hedgeSamples = 200
+	minHedgeSamples = 200
 	// maxHedgeGroups bounds the number of groups with their own latency estimate. All
 	// other groups share one estimate.
 	maxHedgeGroups = 64
@@ -32,8 +32,8 @@
 
 // hedging holds the latency estimates and the hedge budget.
 type hedging struct {
-	// groups holds the estimates of up to maxHedgeGroups groups.
-	groups map[model.GroupName]*quantileEstimate
+	// estimates holds the estimates of up to maxHedgeGroups groups.
+	estimates map[model.GroupName]*quantileEstimate
 	// shared is the estimate of the groups that have none of their own.
 	shared quantileEstimate
 	// tokens is the number of hedges that the budget allows now.
@@ -49,12 +49,12 @@
 }
 
 // add updates the estimate with a latency.
-func (q *quantileEstimate) add(x float64) {
+func (q *quantileEstimate) add(latency float64) {
 	q.n++
 	switch {
 	case q.value == 0:
-		q.value = x
-	case x > q.value:
+		q.value = latency
+	case latency > q.value:
 		q.value *= 1 + quantileStep*hedgeQuantile/(1-hedgeQuantile)
 	default:
 		q.value *= 1 - quantileStep
@@ -70,7 +70,7 @@
 		return 0, false
 	}
 	q := r.hedging.estimate(req.Group)
-	if q.n < hedgeSamples {
+	if q.n < minHedgeSamples {
 		return 0, false
 	}
 	return time.Duration(max(q.value, minHedgeDelay*r.pool.typicalServiceTime())), true
@@ -78,7 +78,7 @@
 
 // Hedge chooses the upstream for the second copy of a request and counts that copy as
 // sent. The caller must have waited for HedgeDelay without a response to the first copy.
-// first is the upstream of the first copy, and sent is the instant at which that copy was
+// first is the upstream of the first copy, and sentAt is the instant at which that copy was
 // sent. Upstreams in exclude are not chosen, because they already have the request. The
 // queue timeout of the second copy is zero, so the second copy only uses a free slot.
 //
@@ -86,8 +86,8 @@
 //   - The first upstream is not slow, so the delay is due to the request itself.
 //   - The hedge budget is used up.
 //   - No other upstream is usable.
-func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sent model.Instant, exclude []model.UpstreamID) (Choice, bool) {
-	if !r.upstreamSlow(now, first, sent) {
+func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sentAt model.Instant, exclude []model.UpstreamID) (Choice, bool) {
+	if !r.upstreamSlow(now, first, sentAt) {
 		return Choice{}, false
 	}
 	if r.hedging.tokens < 1 {
@@ -105,14 +105,14 @@
 }
 
 // upstreamSlow reports whether an upstream is itself slow or failing. If it is not, the
-// request that was sent to it at the instant sent is a long one. An upstream that has sent
+// request that was sent to it at the instant sentAt is a long one. An upstream that has sent
 // no reply since then, or that has left, counts as slow.
-func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sent model.Instant) bool {
+func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sentAt model.Instant) bool {
 	c := r.byID[id]
 	if c == nil {
 		return true
 	}
-	return c.ejected || c.slowdown(now, &r.pool) > 1 || c.lastReplyAt < sent
+	return c.ejected || c.slowdown(now, &r.pool) > 1 || c.lastLoadReplyAt < sentAt
 }
 
 // addHedgeTokens credits the hedge budget for one request.
@@ -134,7 +134,7 @@
 
 // estimate returns the latency estimate to use for a group.
 func (h *hedging) estimate(g model.GroupName) *quantileEstimate {
-	if q := h.groups[g]; q != nil {
+	if q := h.estimates[g]; q != nil {
 		return q
 	}
 	return &h.shared
@@ -143,13 +143,13 @@
 // estimateToUpdate returns the group's own estimate, creating it if necessary. It
 // returns the shared one if there are too many groups.
 func (h *hedging) estimateToUpdate(g model.GroupName) *quantileEstimate {
-	if q := h.groups[g]; q != nil {
+	if q := h.estimates[g]; q != nil {
 		return q
 	}
-	if len(h.groups) >= maxHedgeGroups {
+	if len(h.estimates) >= maxHedgeGroups {
 		return &h.shared
 	}
 	q := &quantileEstimate{}
-	h.groups[g] = q
+	h.estimates[g] = q
 	return q
 }
--- a/core/routing/least_outstanding.go
+++ b/core/routing/least_outstanding.go
@@ -24,7 +24,7 @@
 		}
 	}
 	if best == nil {
-		return r.random(now, exclude, panicking)
+		return r.randomUsable(now, exclude, panicking)
 	}
 	return best
 }
--- a/core/routing/queue_share.go
+++ b/core/routing/queue_share.go
@@ -33,13 +33,13 @@
 // are included, since routing should avoid queueing altogether. Of the requests beyond
 // saturation, only those that would start before the group's next request are included.
 func (c *candidate) requestsAheadOf(requests float64, g model.GroupName) float64 {
-	full := saturation * float64(c.limit())
-	if requests <= full {
+	saturated := saturation * float64(c.limit())
+	if requests <= saturated {
 		return requests
 	}
 	share, known := c.queueShares[g]
 	if !known {
 		return requests
 	}
-	return full + share*(requests-full)
+	return saturated + share*(requests-saturated)
 }
--- a/core/routing/random.go
+++ b/core/routing/random.go
@@ -6,5 +6,5 @@
 type random struct{ waitsAtUpstream }
 
 func (random) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
-	return r.random(now, exclude, panicking)
+	return r.randomUsable(now, exclude, panicking)
 }
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -104,7 +104,7 @@
 		policy:  p,
 		rng:     rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
 		byID:    make(map[model.UpstreamID]*candidate),
-		hedging: hedging{groups: make(map[model.GroupName]*quantileEstimate)},
+		hedging: hedging{estimates: make(map[model.GroupName]*quantileEstimate)},
 	}, nil
 }
 
@@ -116,7 +116,7 @@
 func (r *Router) SetUpstreams(now model.Instant, ups []model.Upstream) {
 	byID := make(map[model.UpstreamID]*candidate, len(ups))
 	r.candidates, r.local, r.remote = r.candidates[:0], r.local[:0], r.remote[:0]
-	r.pool.ejected, r.pool.unreachable, r.pool.healthy = 0, 0, 0
+	r.pool.ejectedCount, r.pool.unreachableCount, r.pool.healthyCount = 0, 0, 0
 	for _, u := range ups {
 		c := r.candidateFor(now, u)
 		byID[u.ID] = c
@@ -128,7 +128,7 @@
 		}
 		r.countEjected(c, 1)
 		if !c.unhealthy {
-			r.pool.healthy++
+			r.pool.healthyCount++
 		}
 	}
 	r.byID = byID
@@ -140,7 +140,7 @@
 func (r *Router) candidateFor(now model.Instant, u model.Upstream) *candidate {
 	c := r.byID[u.ID]
 	if c == nil || c.upstream.Incarnation != u.Incarnation {
-		c = &candidate{lastReplyAt: longAgo}
+		c = &candidate{lastLoadReplyAt: longAgo}
 		if r.hadUpstreams && r.opts.Ramp > 0 {
 			c.rampEnd = now.Add(r.opts.Ramp)
 		}
@@ -209,7 +209,7 @@
 		return r.policy.choose(r, now, exclude, true)
 	}
 	c := r.policy.choose(r, now, exclude, false)
-	if c == nil && r.pool.ejected+r.pool.unreachable > 0 {
+	if c == nil && r.pool.ejectedCount+r.pool.unreachableCount > 0 {
 		return r.policy.choose(r, now, exclude, true)
 	}
 	return c
@@ -267,8 +267,8 @@
 // randomTries is the number of random candidates that are tried before a scan of all.
 const randomTries = 8
 
-// random returns a random usable candidate, or nil if there is none.
-func (r *Router) random(now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
+// randomUsable returns a random usable candidate, or nil if there is none.
+func (r *Router) randomUsable(now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
 	n := len(r.candidates)
 	if n == 0 {
 		return nil
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -115,16 +115,16 @@
 
 func TestEjectedUpstreamIsRetriedAndRestored(t *testing.T) {
 	r := newRouter(t, RoundRobin, 3)
-	failS1 := func(id model.UpstreamID) Reply {
+	replyFailingS1 := func(id model.UpstreamID) Reply {
 		if id == "s-1" {
 			return refusedReply()
 		}
 		return answeredReply(model.Load{})
 	}
-	countPlacements(r, 0, 100, failS1)
-	assert.Zero(t, countPlacements(r, 100*ms, 30, failS1)["s-1"], "ejected for 200 ms")
-	assert.Equal(t, 1, countPlacements(r, 300*ms, 30, failS1)["s-1"], "one trial request, which fails")
-	assert.Zero(t, countPlacements(r, 600*ms, 30, failS1)["s-1"], "ejected for 400 ms")
+	countPlacements(r, 0, 100, replyFailingS1)
+	assert.Zero(t, countPlacements(r, 100*ms, 30, replyFailingS1)["s-1"], "ejected for 200 ms")
+	assert.Equal(t, 1, countPlacements(r, 300*ms, 30, replyFailingS1)["s-1"], "one trial request, which fails")
+	assert.Zero(t, countPlacements(r, 600*ms, 30, replyFailingS1)["s-1"], "ejected for 400 ms")
 	succeed := func(model.UpstreamID) Reply { return answeredReply(model.Load{}) }
 	assert.Equal(t, 10, countPlacements(r, 1000*ms, 30, succeed)["s-1"], "the trial request succeeds")
 }
@@ -330,7 +330,7 @@
 		reply.Group = model.GroupName(fmt.Sprint("g", i))
 		r.Done(0, "s-1", reply)
 	}
-	assert.Len(t, r.hedging.groups, maxHedgeGroups)
+	assert.Len(t, r.hedging.estimates, maxHedgeGroups)
 }
 
 func TestStragglerIsTriedAgainAfterItsLoadAges(t *testing.T) {
--- a/core/routing/two_choices.go
+++ b/core/routing/two_choices.go
@@ -7,7 +7,7 @@
 type twoChoices struct{ waitsAtUpstream }
 
 func (twoChoices) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
-	a, b := r.random(now, exclude, panicking), r.random(now, exclude, panicking)
+	a, b := r.randomUsable(now, exclude, panicking), r.randomUsable(now, exclude, panicking)
 	if a == nil || b == nil {
 		return a
 	}
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -129,8 +129,8 @@
 	return n
 }
 
-// Add adds a request to the queue. Next decides when it leaves.
-func (q *Queue) Add(i Item) { q.items = append(q.items, i) }
+// Add adds a request to the queue. Next decides when the request leaves.
+func (q *Queue) Add(item Item) { q.items = append(q.items, item) }
 
 // Remove removes a waiting request. It returns false if the request is not in the
 // queue.
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -149,10 +149,10 @@
 	arrived := map[uint64]model.Instant{}
 	for n := range requests {
 		now := at(n * interval)
-		i := newItem(uint64(n+1), 0, serviceTime, n*interval+target)
-		i.Arrived, i.Deadline, i.UsefulUntil = now, now.Add(3*target*ms), now.Add(3*target*ms)
-		q.Add(i)
-		arrived[i.ID] = now
+		item := newItem(uint64(n+1), 0, serviceTime, n*interval+target)
+		item.Arrived, item.Deadline, item.UsefulUntil = now, now.Add(3*target*ms), now.Add(3*target*ms)
+		q.Add(item)
+		arrived[item.ID] = now
 		for busyUntil <= now {
 			if served > 0 {
 				q.Finish()
@@ -196,11 +196,11 @@
 }
 
 func TestDequeueReasons(t *testing.T) {
-	newBusyQueue := func(i Item) *Queue {
+	newBusyQueue := func(item Item) *Queue {
 		q := New(1)
 		q.Add(newItem(99, 0, 10, 500))
 		_, _ = q.Next(at(0), 1)
-		q.Add(i)
+		q.Add(item)
 		return q
 	}
 	for name, c := range map[string]struct {
@@ -215,9 +215,9 @@
 		"would complete too late to be useful":               {func(i *Item) { i.UsefulUntil = at(500) }, 1, 401, TooLate},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := newItem(1, 0, 100, 500)
-			c.change(&i)
-			q := newBusyQueue(i)
+			item := newItem(1, 0, 100, 500)
+			c.change(&item)
+			q := newBusyQueue(item)
 			wakeup := q.NextWakeup(c.slowdown)
 			require.LessOrEqual(t, wakeup, at(c.now), "the queue wakes up in time")
 			_, early := q.Next(wakeup.Add(-2*ms), c.slowdown)
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -33,7 +33,7 @@
 
 // heartbeat is the last heartbeat received from another daemon.
 type heartbeat struct {
-	at model.Instant
+	receivedAt model.Instant
 	// reachesStore is set if that daemon reaches the store.
 	reachesStore bool
 }
@@ -104,18 +104,18 @@
 // reachesStore is set if that daemon reaches the store.
 func (e *Elector) RecordHeartbeat(now model.Instant, from string, reachesStore bool) {
 	if from != e.self && slices.Contains(e.cell, from) {
-		e.heartbeats[from] = heartbeat{at: now, reachesStore: reachesStore}
+		e.heartbeats[from] = heartbeat{receivedAt: now, reachesStore: reachesStore}
 	}
 }
 
 // RecordStoreCall records whether a call to the store succeeded. If the result differs
 // from that of the last call, the next heartbeat is due at once.
-func (e *Elector) RecordStoreCall(now model.Instant, ok bool) {
-	if e.reachesStore && !ok {
+func (e *Elector) RecordStoreCall(now model.Instant, succeeded bool) {
+	if e.reachesStore && !succeeded {
 		e.failingSince = now
 	}
-	if ok != e.reachesStore {
-		e.reachesStore = ok
+	if succeeded != e.reachesStore {
+		e.reachesStore = succeeded
 		e.TriggerHeartbeat()
 	}
 }
@@ -158,14 +158,14 @@
 		e.yieldUntil = now.Add(min(time.Duration(turns-1)*yieldAfter, maxYield))
 		return false
 	}
-	earlier, others, trying := e.countWatchers(now)
+	earlier, reaching, trying := e.countWatchers(now)
 	position := slices.Index(e.cell, e.self)
 	switch {
 	case earlier >= e.wantedWatchers:
 		return false
 	case position < e.wantedWatchers || e.watching:
 		return true
-	case others >= e.wantedWatchers || trying >= maxConcurrentTries || now < e.volunteerFrom:
+	case reaching >= e.wantedWatchers || trying >= maxConcurrentTries || now < e.volunteerFrom:
 		return false
 	default:
 		return e.randFloat()*float64(len(e.cell)) < meanVolunteers
@@ -178,23 +178,23 @@
 	return !e.reachesStore && now.Sub(e.failingSince) >= yieldAfter && len(e.cell) > maxConcurrentTries
 }
 
-// countWatchers counts the other watchers by their latest heartbeats. others is the number
+// countWatchers counts the other watchers by their latest heartbeats. reaching is the number
 // of watchers that reach the store. earlier is how many of these come before this daemon in
 // the cell. trying is the number of watchers that do not reach the store.
-func (e *Elector) countWatchers(now model.Instant) (earlier, others, trying int) {
+func (e *Elector) countWatchers(now model.Instant) (earlier, reaching, trying int) {
 	for address, hb := range e.heartbeats {
 		switch {
-		case now.Sub(hb.at) >= heartbeatTimeout:
+		case now.Sub(hb.receivedAt) >= heartbeatTimeout:
 		case !hb.reachesStore:
 			trying++
 		default:
-			others++
+			reaching++
 			if address < e.self {
 				earlier++
 			}
 		}
 	}
-	return earlier, others, trying
+	return earlier, reaching, trying
 }
 
 // StoreUnreachable reports whether no daemon of the cell, including this one, is known to
@@ -203,8 +203,8 @@
 	if e.watching && e.reachesStore {
 		return false
 	}
-	_, others, _ := e.countWatchers(now)
-	return others == 0
+	_, reaching, _ := e.countWatchers(now)
+	return reaching == 0
 }
 
 // ReachesStore reports whether this daemon watches the store and reaches it.
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -119,8 +119,8 @@
 }
 
 // advance runs the simulation for the given time.
-func (f *fleet) advance(d time.Duration) {
-	for end := f.now.Add(d); f.now < end; {
+func (f *fleet) advance(duration time.Duration) {
+	for end := f.now.Add(duration); f.now < end; {
 		f.now = f.now.Add(step)
 		due := f.inTransit
 		f.inTransit = nil
