--- a/core/gossip/peer_selector.go
+++ b/core/gossip/peer_selector.go
@@ -10,11 +10,11 @@
 	// fanOut is the number of daemons to which each daemon sends a new update. The push
 	// then reaches all but 2% of the daemons.
 	fanOut = 4
-	// maxPushZones bounds the number of other zones to which a daemon sends an update that
-	// originates at it.
+	// maxPushZones bounds the number of other zones to which a daemon sends its own
+	// updates.
 	maxPushZones = 8
-	// crossZoneShare is the probability that a daemon sends an update to another zone,
-	// and that it compares digests with a daemon of another zone.
+	// crossZoneShare is the probability that a daemon selects a daemon of another zone,
+	// either to push an update or to compare digests.
 	crossZoneShare = 1.0 / 8
 )
 
--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -2,10 +2,11 @@
 //
 // An upstream announces its number of slots, and that number may be too high. The
 // excess requests then queue inside the upstream, where they can be neither withdrawn
-// nor reordered. A Limiter compares the slot times (how long a request occupies a slot)
-// of requests that ran at the limit with those of uncontended requests, which ran
-// together with few others. If requests at the limit take clearly longer, they contend for
-// resources and the limit is lowered. Otherwise it is raised again, one step at a time.
+// nor reordered. A Limiter observes slot times: how long each request occupies a slot. It
+// compares the slot times of requests that ran at the limit with those of uncontended
+// requests, which ran together with few others. If requests at the limit take clearly
+// longer, they contend for resources and the limit is lowered. Otherwise the limit is
+// raised again, one step at a time.
 //
 // The comparison uses a low quantile instead of the mean. Contention slows down all
 // requests alike, whereas a surge of costly requests raises the mean but hardly affects
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -11,8 +11,8 @@
 type Options struct {
 	// Slots is the announced number of slots, at least 1. It is the initial limit.
 	Slots int
-	// Max is the largest allowed limit. Default: Slots, so that an upstream never runs
-	// more requests than it announced.
+	// Max is the largest allowed limit. Default: Slots. With the default, an upstream
+	// never runs more requests than it has announced slots.
 	Max int
 }
 
@@ -27,16 +27,16 @@
 	// comparedQuantile is the quantile of the slot times that is compared between samples
 	// at the limit and uncontended samples.
 	comparedQuantile = 0.1
-	// shrinkRatio is the ratio of the slot time at the limit to the uncontended slot time
-	// above which the limit is lowered (see shrinkAfter).
+	// shrinkRatio is the ratio above which the limit is lowered (see shrinkAfter). The
+	// ratio is the slot time at the limit divided by the uncontended slot time.
 	shrinkRatio = 1.5
-	// growRatio is the ratio of the same slot times below which the limit is raised.
+	// growRatio is the value of the same ratio below which the limit is raised.
 	growRatio = 1.2
 	// shrinkAfter is the number of consecutive windows above shrinkRatio that lower the
 	// limit.
 	shrinkAfter = 2
-	// growAfter is the number of windows between the two ratios that raise the limit, so
-	// that a limit lowered by mistake rises again.
+	// growAfter is the number of windows between growRatio and shrinkRatio that raise the
+	// limit. A limit lowered by mistake thus rises again.
 	growAfter = 8
 	// meanWeight makes the recent mean slot time cover about 32 requests.
 	meanWeight = 1.0 / 32
@@ -180,7 +180,7 @@
 	}
 }
 
-// lowQuantile returns the comparedQuantile of the samples. It sorts them in place.
+// lowQuantile returns the comparedQuantile of the samples. It sorts samples in place.
 func lowQuantile(samples []float64) float64 {
 	slices.Sort(samples)
 	return samples[int(comparedQuantile*float64(len(samples)))]
@@ -195,7 +195,7 @@
 	n int
 }
 
-// add stores a slot time in place of the oldest one.
+// add stores a slot time. If the ring is full, the oldest slot time is overwritten.
 func (r *ring) add(x float64) {
 	r.samples[r.next] = x
 	r.next = (r.next + 1) % uncontendedSize
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -11,8 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// sharedUpstream runs up to capacity requests at full speed. If more requests run, it
-// slows all of them down in proportion.
+// sharedUpstream is a simulated upstream that runs up to capacity requests at full speed.
+// If more requests run, all of them slow down in proportion.
 type sharedUpstream struct {
 	capacity float64
 	// slowdown is a factor by which all requests take longer, whatever their number.
--- a/core/measure/doc.go
+++ b/core/measure/doc.go
@@ -1,5 +1,5 @@
-// Package measure keeps the cost of measuring an upstream within a budget, and decides
-// to what extent the load that an upstream reports about itself is trusted.
+// Package measure keeps the cost of measuring an upstream within a budget. It also decides
+// how far to trust the load that an upstream reports about itself.
 //
 // # Budget
 //
@@ -7,9 +7,9 @@
 // upstream is converted to slot time and charged to the Budget: the time for which a poll
 // or probe occupies the upstream, the connections opened, and the bytes transferred. The
 // largest possible cost is reserved before a measurement, so that a slow response
-// cannot exceed the budget, and the unused part is returned afterwards. The budget is a
-// share of the upstream's capacity and a hard limit: within any time window, the
-// charges are at most that share of the window's slot time plus one burst.
+// cannot exceed the budget. The unused part is returned afterwards. The budget is a share
+// of the upstream's capacity and a hard limit: within any time window, the charges are at
+// most that share of the window's slot time plus one burst.
 //
 // # Trust
 //
@@ -25,7 +25,7 @@
 // # Schedule
 //
 // A Schedule polls seldom while reports and observations agree, and often while they
-// differ, so that the budget is spent where a report is most informative.
+// differ. The budget is thus spent where a report is most informative.
 //
-// A Monitor combines the three for one upstream.
+// A Monitor combines a Budget, a Trust and a Schedule for one upstream.
 package measure
--- a/core/measure/measure_test.go
+++ b/core/measure/measure_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestNoWindowExceedsTheBudget draws random sequences of reservations and settlements,
-// and checks the charges of every time window that begins and ends with a reservation.
+// TestNoWindowExceedsTheBudget draws random sequences of reservations and settlements. It
+// checks the charges of every time window that begins and ends with a reservation.
 func TestNoWindowExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 0.2).Draw(t, "share")
--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -6,16 +6,16 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Monitor measures one upstream for one service. It decides when to poll the upstream's
-// load report within the budget, and how much the report adds to the load that the
-// guard knows exactly. It is not safe for concurrent use.
+// Monitor measures one upstream for one service. It decides, within the budget, when to
+// poll the upstream for a load report. It also decides how much a report adds to the load
+// that the guard knows exactly. A Monitor is not safe for concurrent use.
 type Monitor struct {
 	budget   *Budget
 	trust    *Trust
 	schedule Schedule
 	nextPoll model.Instant
-	// currentWindow covers the time since the last report. A report may be late, so it is
-	// compared with both windows.
+	// currentWindow covers the time since the last report. A new report may be late, so the
+	// report is compared with currentWindow and previousWindow.
 	currentWindow runningRange
 	// previousWindow covers the time between the last two reports.
 	previousWindow runningRange
@@ -77,8 +77,7 @@
 // SetShare changes the share of slot time that measuring may take from now on.
 func (m *Monitor) SetShare(now model.Instant, share float64) { m.budget.SetShare(now, share) }
 
-// Annotate returns load with the requests from elsewhere added to Running. Their number is
-// the one that Trust.ExternalRequests returns.
+// Annotate returns load with the result of Trust.ExternalRequests added to Running.
 func (m *Monitor) Annotate(load model.Load) model.Load {
 	load.Running += int32(m.trust.ExternalRequests(int(load.Limit)))
 	return load
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// ExternalRequests returns the number of requests from elsewhere that the upstream is assumed to
-// be running. slots is the number of slots of the upstream, which bounds the result (see
+// ExternalRequests returns how many requests from elsewhere the upstream is assumed to be
+// running. slots is the number of slots of the upstream, which bounds the result (see
 // maxExternalShare).
 func (t *Trust) ExternalRequests(slots int) int {
 	return int(min(t.Discrepancy(), maxExternalShare*float64(slots)))
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -58,7 +58,7 @@
 	// Slots is the announced number of concurrent requests, at least 1.
 	Slots  int
 	Labels Labels
-	// Draining is set once the upstream has announced that it is about to leave.
+	// Draining is set once the upstream has announced that it is about to stop serving.
 	Draining bool
 }
 
@@ -87,7 +87,7 @@
 	// Draining is set if the upstream accepts no new requests.
 	Draining bool
 	// Seq rises with every change of the load within one incarnation of the upstream.
-	// Because of it, the load in a delayed reply never replaces a newer load.
+	// Entries compare Seq, so that the load in a delayed reply never replaces a newer load.
 	Seq uint64
 }
 
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Kind is one of the three outcomes. The zero value is Unknown, so that an Outcome that
-// has not been set does not claim that the request ran or that it did not.
+// Kind is one of the three outcomes. The zero value is Unknown, so an Outcome that has not
+// been set makes no claim about whether the request ran.
 type Kind uint8
 
 // The possible outcomes. The package comment defines them.
--- a/core/placement/failure_rate.go
+++ b/core/placement/failure_rate.go
@@ -10,10 +10,10 @@
 const (
 	// failureWeight makes the failure rate cover about 8 requests.
 	failureWeight = 1.0 / 8
-	// failureHalfLife is the time in which a failure rate halves. An upstream that
-	// fails every request is tried again after three half-lives, and then every one or
-	// two half-lives for as long as it keeps failing. These trials are well under 1% of
-	// requests.
+	// failureHalfLife is the time in which a failure rate halves. An upstream that fails
+	// every request is tried again after three half-lives. While the upstream keeps
+	// failing, further trials follow every one or two half-lives. All trials together are
+	// well under 1% of requests.
 	failureHalfLife = 2 * time.Second
 )
 
--- a/core/placement/parameters.go
+++ b/core/placement/parameters.go
@@ -16,8 +16,8 @@
 	MaxLoadAge = 15 * time.Millisecond
 	// MaxSlowdownAge is the age from which a measured slowdown of an upstream is out of
 	// date. A guard then measures the slowdown anew before it responds to a load query.
-	// It does the same before it accepts a request that could also go to another
-	// upstream. Shared VMs change their speed every few hundred milliseconds, so an older
+	// It also does so before it accepts a request that could go to another upstream
+	// instead. Shared VMs change their speed every few hundred milliseconds, so an older
 	// value is wrong one time in four.
 	MaxSlowdownAge = 80 * time.Millisecond
 	// MaxRejections is how often guards may reject a request before the next guard must
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -66,8 +66,8 @@
 }
 
 // TestOldSlowdownIsForgotten has loads that are 3 seconds old and must no longer matter.
-// One upstream was four times as slow as the other, but the expected times of the two must
-// differ by less than a factor of two.
+// One upstream was four times as slow as the other. The expected times of the two must
+// differ by less than a factor of two now.
 func TestOldSlowdownIsForgotten(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(4))
@@ -80,8 +80,8 @@
 	require.Less(t, max(first.Expected, second.Expected), 2*min(first.Expected, second.Expected))
 }
 
-// TestFullUpstreamIsAvoided checks that an upstream counts as full because of the requests
-// that this entry itself has sent since the loads were reported.
+// TestFullUpstreamIsAvoided has the entry send more requests than an upstream has slots
+// without a new load report. The requests that the entry itself has sent must count.
 func TestFullUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(1))
@@ -145,7 +145,7 @@
 }
 
 // TestShortestRoundTripCounts checks that load replies delayed by a busy processor do
-// not raise the round-trip time, but that a lasting increase is learned.
+// not raise the stored round-trip time. A lasting increase must raise it.
 func TestShortestRoundTripCounts(t *testing.T) {
 	p := newPlacer("local")
 	p.UpdateLoad(at(0), "a", idle(1))
@@ -242,8 +242,8 @@
 }
 
 // TestStoppingUpstreamIsLastResort covers a service whose last upstream belongs to a
-// daemon that is about to stop. Until it stops, its upstream can still serve
-// requests, so they must not be refused.
+// daemon that is about to stop. Until the daemon stops, its upstream can still serve
+// requests, so requests must not be refused.
 func TestStoppingUpstreamIsLastResort(t *testing.T) {
 	p := New(Options{Zone: "local", Rand: midpoint})
 	stopping := Upstream{Key: "a", Zone: "local", Slots: 6, Stopping: true}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -40,8 +40,8 @@
 	// DefaultCrossZonePenalty is a few round trips between zones. Callers gain nothing
 	// from a request to another zone that saves less.
 	DefaultCrossZonePenalty = 40 * time.Millisecond
-	// targetShare is the share of the target latency within which an upstream of the local
-	// zone must be expected to respond to be chosen over those of other zones.
+	// targetShare is a share of the target latency. An upstream of the local zone that is
+	// expected to respond within this share is chosen over those of other zones.
 	targetShare = 0.85
 	// jitter is the largest share by which an expected time is randomly increased. It
 	// spreads the requests of entries that know the same loads.
@@ -85,20 +85,20 @@
 }
 
 // MissesTarget reports whether a request should be refused rather than sent to the chosen
-// upstream. It does so if at least one guard has rejected the request for lack of capacity
-// and the chosen upstream is expected to miss the target. There, the request would take a
-// slot from requests that can still meet their targets, and its caller is better off
-// retrying later. fullGuards is the number of rejections for lack of capacity. left is the
+// upstream. Two conditions must hold: at least one guard has rejected the request for lack
+// of capacity, and the chosen upstream is expected to miss the target. There, the request
+// would take a slot from requests that can still meet their targets. Its caller is better
+// off retrying later. fullGuards is the number of rejections for lack of capacity. left is the
 // time until the target, or zero if there is none.
 func (c *Choice) MissesTarget(fullGuards int, left time.Duration) bool {
 	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
-// MissesDeadline reports whether a request should be refused because it is expected to
-// miss its deadline on every upstream. It does so if the load of the chosen upstream is
-// recent and the request would miss its deadline there. A guard with a free slot would
-// accept the request although it cannot complete in time. left is the time until the
-// deadline.
+// MissesDeadline reports whether a request should be refused because it is expected to miss
+// its deadline on every upstream. Two conditions must hold: the request would miss its
+// deadline on the chosen upstream, and the load of that upstream is recent. A guard with a
+// free slot would accept the request although it cannot complete in time. left is the time
+// until the deadline.
 func (c *Choice) MissesDeadline(left time.Duration) bool {
 	return c.Age < maxRefusalAge && c.Expected > left
 }
@@ -161,8 +161,8 @@
 
 // QueryTargets returns up to n upstreams to which to send a load query. If local is set,
 // they are upstreams of the local zone, otherwise of other zones. Upstreams whose load is
-// younger than maxAge are left out. If more than n remain, the n-1 with the shortest
-// expected times are returned, and one that is drawn at random from the others.
+// younger than maxAge are left out. If more than n remain, the result holds the n-1 with
+// the shortest expected times and one that is drawn at random from the others.
 func (p *Placer) QueryTargets(now model.Instant, req Request, local bool, maxAge time.Duration, n int) []Upstream {
 	var stale []scoredCandidate
 	for _, c := range p.order {
@@ -301,9 +301,9 @@
 	return p.roundTrips[c.upstream.Zone] + ExpectedTime(req.ServiceTime, c.slowdown(now, p.meanSlowdown), c.expectedRequests(now), c.limit(), c.failureRate(now))
 }
 
-// ObserveRTT records the round-trip time of a load query to the guard of an upstream. A
-// measurement that is longer than the stored time raises that time only a little, as the
-// measurement may include a wait for a CPU. took is the measurement.
+// ObserveRTT records took, the round-trip time of a load query to the guard of an
+// upstream. If took is longer than the stored time, the stored time rises only a little,
+// because took may include a wait for a CPU.
 func (p *Placer) ObserveRTT(key string, took time.Duration) {
 	c := p.candidates[key]
 	if c == nil {
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -3,9 +3,9 @@
 // # Concept
 //
 // A retry adds load to a service that has just failed a request, so retries are limited
-// by a Budget. Each entry (the proxy that accepts the requests of callers) has one for
-// each service. Each request adds a fraction of a token, each retry takes a whole token,
-// and a limited number of tokens can be saved up. While more than half of the recent
+// by a Budget. Each entry (the proxy that accepts the requests of callers) has a Budget
+// for each service. Each request adds a fraction of a token, and each retry takes a whole
+// token. A limited number of tokens can be saved up. While more than half of the recent
 // attempts fail, retries are disabled, because the problem is then not limited to one
 // upstream.
 //
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -88,7 +88,7 @@
 }
 
 // TestRetryAfterIsJittered checks that callers refused together get different retry
-// times, around the intended one.
+// times, distributed around the mean.
 func TestRetryAfterIsJittered(t *testing.T) {
 	const mean = 100 * time.Millisecond
 	first, last := JitteredRetryAfter(mean, 0), JitteredRetryAfter(mean, 0.999)
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -11,11 +11,11 @@
 // least the span and at most one bucket width longer, so the budget is never exceeded.
 const windowBuckets = 10
 
-// WindowBudget is one daemon's share of a retry budget that all daemons share. Within any
-// time window of a given length, the span, the budget allows ratio times the number of
-// requests in that window plus a slack. Each daemon counts its own requests and gets an
-// equal share of the slack. The daemons together thus stay within the budget without
-// communicating. A WindowBudget is not safe for concurrent use.
+// WindowBudget is one daemon's share of a retry budget that all daemons share. The budget
+// bounds the retries in any time window of a given length, the span. It allows ratio times
+// the number of requests in the window, plus a slack. Each daemon counts its own requests
+// and gets an equal share of the slack. The daemons together thus stay within the budget
+// without communicating. A WindowBudget is not safe for concurrent use.
 type WindowBudget struct {
 	ratio float64
 	slack float64
@@ -80,8 +80,8 @@
 // index returns the position of the current bucket in the arrays.
 func (w *WindowBudget) index() int { return int(w.bucket % (windowBuckets + 1)) }
 
-// advance makes the bucket that contains now the current one. It clears that bucket and
-// those that have been skipped.
+// advance makes the bucket that contains now the current bucket. It clears that bucket and
+// all buckets between the previous one and it.
 func (w *WindowBudget) advance(now model.Instant) {
 	current := int64(now) / int64(w.bucketWidth)
 	if current <= w.bucket {
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestWindowsTogetherStayWithinTheBudget has several daemons take retries at random
-// times, and checks that all of them together stay within the whole budget in every
-// span.
+// times. In every span, the retries of all daemons together must stay within the whole
+// budget.
 func TestWindowsTogetherStayWithinTheBudget(t *testing.T) {
 	const (
 		span  = 10 * time.Second
--- a/core/routing/doc.go
+++ b/core/routing/doc.go
@@ -1,12 +1,12 @@
 // Package routing chooses the upstream for each request.
 //
 // A Router belongs to one entry (the proxy that receives requests from callers) and one
-// service. For each upstream it stores the latest load reported in a reply, the number
-// of requests this entry has in flight there, and the results of recent attempts. A
+// service. For each upstream, the Router stores the latest load reported in a reply, the
+// number of requests in flight there from this entry, and the results of recent attempts. A
 // policy picks among the upstreams. The Router skips draining upstreams and those that the
 // caller excludes. It ejects upstreams that fail while others do not (outlier ejection),
 // and skips ejected upstreams too. When more than half of the reachable upstreams are
-// ejected, the Router ignores the ejections, so that the remaining upstreams are not
+// ejected, the Router ignores the ejections. The remaining upstreams would otherwise be
 // overloaded.
 //
 // # Late binding through rejections
@@ -14,8 +14,8 @@
 // The load that an entry knows is always slightly out of date. The default policy,
 // expected-completion, therefore sends a request to the upstream with the best score, with
 // a queue timeout of zero. The guard (the proxy in front of the upstream) either starts
-// the request at once or rejects it at once; the rejection proves that the request did
-// not run and carries the current load. After MaxRejections rejections the request waits
+// the request at once or rejects it at once. A rejection proves that the request did not
+// run, and it carries the current load. After MaxRejections rejections the request waits
 // in the queue of the upstream where it is expected to complete first. A rejection thus
 // serves as a load query and needs no extra message. See Choice.QueueTimeout.
 //
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -28,14 +28,14 @@
 	// jitter bounds the random part of a score, in typical service times. It spreads
 	// the requests of entries that see the same upstream idle.
 	jitter = 0.05
-	// maxRejectionRTT is the longest round trip, as a share of the typical service
-	// time, at which a request gets a queue timeout of zero. Over a longer round trip, a
-	// rejection would cost too much time.
+	// maxRejectionRTT is the longest round trip at which a request gets a queue timeout of
+	// zero, as a share of the typical service time. Over a longer round trip, a rejection
+	// would cost too much time.
 	maxRejectionRTT = 0.25
 	// saturation is the number of requests, as a multiple of the limit, from which an
 	// upstream counts as saturated. A request placed at a saturated upstream may wait
-	// there until its deadline. The best upstream was chosen, so all others are as full,
-	// and rejections would only cost round trips.
+	// there until its deadline. As the best upstream was chosen, all others are about as
+	// full, and rejections would only cost round trips.
 	saturation = 2
 	// defaultServiceTime is the typical service time assumed until one is known, in
 	// nanoseconds.
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -44,9 +44,9 @@
 	ejectionTime time.Duration
 	// trialAt is the instant from which a trial request is allowed.
 	trialAt model.Instant
-	// unreachable is set on upstreams that are ejected because a connection attempt
-	// failed. Sending requests to them would not relieve an overloaded pool, so they do
-	// not count towards panic mode.
+	// unreachable is set if the upstream is ejected because a connection attempt failed.
+	// Requests sent to an unreachable upstream would not relieve an overloaded pool, so
+	// such upstreams do not count towards panic mode.
 	unreachable bool
 }
 
@@ -75,8 +75,8 @@
 	return reply.failed() || reply.Outcome.Kind == outcome.Answered
 }
 
-// updateHealth ejects an upstream that fails while others do not, and restores it after
-// a successful attempt.
+// updateHealth updates the health of an upstream after a reply. It ejects an upstream that
+// fails while others do not, and ends the ejection after a successful attempt.
 func (r *Router) updateHealth(now model.Instant, c *candidate, reply Reply) {
 	if reply.HasLoad {
 		c.lastLoadReplyAt = now
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// hedgeQuantile is the quantile of the latencies of a group that a request of the
-	// group must exceed to be hedged, that is to be sent to a second upstream as well.
+	// hedgeQuantile is a quantile of the latencies of a group. A request of the group that
+	// takes longer is hedged: a second copy of it is sent to another upstream.
 	hedgeQuantile = 0.98
 	// quantileStep is the relative step by which the quantile estimate falls. The step
 	// up is larger by the factor hedgeQuantile/(1-hedgeQuantile), so that the estimate
@@ -61,8 +61,8 @@
 	}
 }
 
-// HedgeDelay returns how long to wait for a response before a second copy of the
-// request, the hedge, is sent to another upstream. HedgeDelay returns false if the request
+// HedgeDelay returns how long to wait for a response before the request is hedged, that is
+// before a second copy is sent to another upstream. HedgeDelay returns false if the request
 // must not be hedged: it is not idempotent, hedging is disabled, the policy does not hedge,
 // or too few latencies are known.
 func (r *Router) HedgeDelay(req model.Request) (time.Duration, bool) {
@@ -141,7 +141,7 @@
 }
 
 // estimateToUpdate returns the group's own estimate, creating it if necessary. It
-// returns the shared one if there are too many groups.
+// returns the shared estimate if there are too many groups.
 func (h *hedging) estimateToUpdate(g model.GroupName) *quantileEstimate {
 	if q := h.estimates[g]; q != nil {
 		return q
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -29,8 +29,8 @@
 	// Zone is the availability zone of the entry.
 	Zone model.AvailabilityZone
 	// Self is the ID of the daemon that the entry belongs to. The delay to upstreams of
-	// that daemon is 0. If Self is empty, the daemon of every upstream counts as another
-	// one.
+	// that daemon is 0. If Self is empty, no upstream counts as belonging to the entry's
+	// daemon.
 	Self model.DaemonID
 	// ZoneDelay holds the one-way delay to each zone. For zones that are not in the map,
 	// the delay is 0 (local zone) or DefaultZoneDelay (other zones).
--- a/core/routing/queue_share.go
+++ b/core/routing/queue_share.go
@@ -8,8 +8,8 @@
 
 // queueShares holds, for each group, the share of the requests waiting at an upstream
 // that would start before the group's next request. With fair queueing, the long queue
-// of a group that exceeds its share hardly delays the other groups, so they need not
-// avoid the upstream.
+// of a group that exceeds its share hardly delays the other groups. The other groups
+// therefore need not avoid the upstream.
 type queueShares map[model.GroupName]float64
 
 // recordQueueShare stores the queue share of group g. load was received in a reply to a
@@ -28,10 +28,10 @@
 	c.queueShares[g] = min(float64(load.Ahead)/float64(load.Waiting), 1)
 }
 
-// requestsAheadOf returns how many of the given number of requests at the upstream are
-// included in its score when a request of group g is placed. Up to saturation all of them
-// are included, since routing should avoid queueing altogether. Of the requests beyond
-// saturation, only those that would start before the group's next request are included.
+// requestsAheadOf returns the part of the requests at the upstream that matters when a
+// request of group g is placed. Up to saturation all requests matter, since routing should
+// avoid queueing altogether. Of the requests beyond saturation, only those that would start
+// before the group's next request matter.
 func (c *candidate) requestsAheadOf(requests float64, g model.GroupName) float64 {
 	saturated := saturation * float64(c.limit())
 	if requests <= saturated {
--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -21,9 +21,9 @@
 	usefulShare = 0.5
 	// urgentUsefulShare replaces usefulShare for requests before the last rank, such as
 	// nested calls whose parent fails without them. Refusing a nested call wastes the work
-	// already done for its parent. In a mesh whose nested calls were short of slots, with
-	// parents of 60 ms and calls of 15 ms, the larger share increased the value of the
-	// completed requests by a tenth.
+	// already done for its parent. In a mesh with parents of 60 ms and nested calls of
+	// 15 ms, the nested calls were short of slots. The larger share there increased the
+	// value of the completed requests by a tenth.
 	urgentUsefulShare = 0.85
 )
 
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -1,11 +1,11 @@
-// Package slots decides which of the requests that wait for an upstream starts next,
-// and which of them need not wait any longer. They wait at the upstream's guard, the
-// proxy in front of it.
+// Package slots decides which of the requests that wait for an upstream starts next. It
+// also decides which requests must not wait any longer. Requests wait at the guard, the
+// proxy in front of the upstream.
 //
 // Requests with a lower rank start first. Within a rank, requests that can still meet
 // their target latency start before those that cannot. A kind is the set of the requests
-// of one route. In both classes, the kinds get equal shares of the service time, so that
-// many requests of one kind do not starve the others.
+// of one route. Within both classes, the kinds get equal shares of the service time. Many
+// requests of one kind thus do not starve the other kinds.
 //
 // Of one kind, among the requests that can meet their targets, the newest starts first.
 // While the upstream has enough capacity, the order hardly matters, since all requests meet
@@ -16,8 +16,8 @@
 // should have started earliest comes first.
 //
 // To prevent starvation, every eighth start goes to the last rank. A request that can
-// no longer complete before its deadline is refused at once, because its response
-// would come too late for its caller.
+// no longer complete before its deadline is refused at once. Its response would come too
+// late for its caller.
 package slots
 
 import (
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestNoRankStarves checks that during a flood of urgent requests every eighth start
-// goes to the last rank, and there to the newest request that can still meet its
-// target.
+// TestNoRankStarves has a flood of urgent requests. Every eighth start must go to the last
+// rank. Within that rank, the newest request that can still meet its target must start
+// first.
 func TestNoRankStarves(t *testing.T) {
 	q := New(1)
 	late := newItem(1, 9, 10, 5)
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -14,16 +14,16 @@
 	// heartbeatTimeout is the time after its last heartbeat from which a daemon no longer
 	// counts as a watcher.
 	heartbeatTimeout = 3 * HeartbeatInterval
-	// meanVolunteers is the mean number of daemons of a cell that volunteer each time the
-	// daemons find that there are too few watchers.
+	// meanVolunteers is the mean number of volunteers in a cell each time its daemons find
+	// that there are too few watchers.
 	meanVolunteers = 2
 	// minWatchers is the lowest number of watchers in all zones together.
 	minWatchers = 3
-	// maxConcurrentTries is how many daemons of a cell may keep trying at the same time
-	// while they cannot reach the store.
+	// maxConcurrentTries is how many daemons of a cell may try to reach the store at the
+	// same time without success.
 	maxConcurrentTries = 2
-	// yieldAfter is how long a daemon tries to reach the store before it yields, that is
-	// stops watching so that others can try.
+	// yieldAfter is how long a daemon tries to reach the store before it yields. A daemon
+	// that yields stops watching for a while, so that others can try.
 	yieldAfter = 2 * time.Second
 	// maxYield is the longest time for which a daemon yields.
 	maxYield = 10 * time.Second
--- a/core/watch/elector_test.go
+++ b/core/watch/elector_test.go
@@ -15,7 +15,7 @@
 const maxPropagation = 2 * time.Second
 
 // TestVersionsReachAllDaemons publishes a version after a disturbance. All daemons must get
-// it within maxPropagation.
+// the version within maxPropagation.
 func TestVersionsReachAllDaemons(t *testing.T) {
 	for name, disturb := range map[string]func(f *fleet){
 		"no disturbance": func(*fleet) {},
