--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -12,7 +12,7 @@
 	// Slots is the announced number of slots, at least 1. It is the initial limit.
 	Slots int
 	// Max is the largest allowed limit. Default: Slots. With the default, an upstream
-	// never runs more requests than it has announced slots.
+	// never runs more requests than the number of slots that it announced.
 	Max int
 }
 
--- a/core/placement/failure_rate.go
+++ b/core/placement/failure_rate.go
@@ -21,16 +21,16 @@
 // upstream that gets no requests because it has failed would never be tried again. The
 // zero value is a failure rate of 0.
 type FailureRate struct {
-	// rate is the failure rate at updatedAt.
+	// rate is the failure rate at the instant at.
 	rate float64
-	// updatedAt is when the last result was recorded.
-	updatedAt model.Instant
+	// at is when the last result was recorded.
+	at model.Instant
 }
 
 // Record records the result of a request.
 func (f *FailureRate) Record(now model.Instant, failed bool) {
 	f.rate = f.At(now)
-	f.updatedAt = now
+	f.at = now
 	sample := 0.0
 	if failed {
 		sample = 1
@@ -39,9 +39,7 @@
 }
 
 // At returns the failure rate at the given instant, from 0 to 1.
-func (f *FailureRate) At(now model.Instant) float64 {
-	return f.rate * failureDecay(now.Sub(f.updatedAt))
-}
+func (f *FailureRate) At(now model.Instant) float64 { return f.rate * failureDecay(now.Sub(f.at)) }
 
 // failureDecay returns the fraction, from 0 to 1, that is left of a failure rate of the
 // given age.
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -104,9 +104,10 @@
 	return Choice{Upstream: c.upstream, QueueTimeout: 0}, true
 }
 
-// upstreamSlow reports whether an upstream is itself slow or failing. If it is not, the
-// request that was sent to it at the instant sentAt is a long one. An upstream that has sent
-// no reply since then, or that has left, counts as slow.
+// upstreamSlow reports whether an upstream that has not responded to a request is itself
+// slow or failing. If not, the request is a long one. sentAt is when the request was sent.
+// An upstream that has sent no reply since sentAt counts as slow, and so does an upstream
+// that is no longer a candidate.
 func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sentAt model.Instant) bool {
 	c := r.byID[id]
 	if c == nil {
@@ -121,9 +122,9 @@
 }
 
 // recordLatency updates the latency estimate of the request's group. It ignores replies
-// to hedges and replies without a successful response, except for cancelled requests: a
-// request is cancelled when its hedge completes first, and its latency is the time until
-// the cancellation.
+// to hedges and replies without a successful response. The exception is a request that was
+// cancelled because its hedge completed first: its latency is the time until the
+// cancellation.
 func (r *Router) recordLatency(reply Reply) {
 	cancelled := reply.Outcome.Reason == outcome.ReasonCancelled
 	if reply.Hedge || reply.Failed || reply.Outcome.Kind != outcome.Answered && !cancelled {
--- a/core/routing/queue_share.go
+++ b/core/routing/queue_share.go
@@ -28,10 +28,10 @@
 	c.queueShares[g] = min(float64(load.Ahead)/float64(load.Waiting), 1)
 }
 
-// requestsAheadOf returns the part of the requests at the upstream that matters when a
-// request of group g is placed. Up to saturation all requests matter, since routing should
-// avoid queueing altogether. Of the requests beyond saturation, only those that would start
-// before the group's next request matter.
+// requestsAheadOf returns how many requests are assumed to be ahead of a new request of
+// group g. requests is the number of requests at the upstream. Up to saturation, all of
+// them are counted, since routing should avoid queueing altogether. Beyond saturation, only
+// those are counted that would start before the group's next request.
 func (c *candidate) requestsAheadOf(requests float64, g model.GroupName) float64 {
 	saturated := saturation * float64(c.limit())
 	if requests <= saturated {
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -109,9 +109,12 @@
 func (q *Queue) SetLimit(n int) { q.limit = max(n, 1) }
 
 // Ahead returns how many requests run now or would start before a new request of the
-// given rank and kind. All waiting requests of a lower rank would start before it. So would
-// the waiting requests of the same rank and kind. If their number is n, at most n+1 requests
-// of each other kind of the rank would, since the kinds take turns.
+// given rank and kind. It counts:
+//   - the running requests;
+//   - the waiting requests of lower ranks;
+//   - the n waiting requests of the same rank and kind;
+//   - at most n+1 waiting requests of each other kind of the same rank, since the kinds
+//     take turns.
 func (q *Queue) Ahead(rank int, kind Kind) int {
 	n := q.running
 	waitingByKind := map[Kind]int{}
@@ -147,9 +150,9 @@
 // Finish records that a running request has ended.
 func (q *Queue) Finish() { q.running = max(q.running-1, 0) }
 
-// Next removes a request that must leave the queue now and returns it with the reason. It
-// returns false if there is no such request. slowdown is the current service time relative
-// to the usual one.
+// Next removes a request that leaves the queue now: it starts, or it must not wait any
+// longer. Next returns the request and the reason, or false if no request leaves now.
+// slowdown is the current service time relative to the usual one.
 func (q *Queue) Next(now model.Instant, slowdown float64) (Decision, bool) {
 	for i := range q.items {
 		it := &q.items[i]
