--- a/core/measure/schedule.go
+++ b/core/measure/schedule.go
@@ -17,8 +17,7 @@
 
 // Next returns the time until the next poll. discrepancy is the value of
 // Trust.Discrepancy. slowed is set if requests take clearly longer than usual. The next
-// report may explain that, so slowed shortens the time as much as one more request of
-// discrepancy.
+// report may explain that, so slowed adds 1 to the discrepancy.
 func (s Schedule) Next(discrepancy float64, slowed bool) time.Duration {
 	longest, shortest := s.MaxInterval, s.MinInterval
 	if longest <= 0 {
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -33,9 +33,9 @@
 	initialTrust = 0.5
 	// agreementGain is added to the trust after a report that agrees.
 	agreementGain = 0.1
-	// contradictedFactor is multiplied with the trust after a contradicted report.
+	// contradictedFactor is the factor by which a contradicted report reduces the trust.
 	contradictedFactor = 0.5
-	// unsupportedFactor is multiplied with the trust after an unsupported report.
+	// unsupportedFactor is the factor by which an unsupported report reduces the trust.
 	unsupportedFactor = 0.8
 	// maxExternalShare is the largest share of the slots that can count as occupied by
 	// requests from elsewhere. A false report thus never makes an upstream look full.
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -31,8 +31,8 @@
 // same when the upstream restarts, while its Incarnation changes.
 type UpstreamID string
 
-// Incarnation distinguishes the runs of an upstream or daemon between two restarts. The
-// number rises with every restart. Zero means unknown.
+// Incarnation numbers the runs of an upstream or daemon. It rises with every restart. Zero
+// means unknown.
 type Incarnation uint64
 
 // DaemonID identifies a daemon. It is the peer address (host:port) of the daemon's VM,
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -80,8 +80,9 @@
 	require.Less(t, max(first.Expected, second.Expected), 2*min(first.Expected, second.Expected))
 }
 
-// TestFullUpstreamIsAvoided has the entry send more requests than an upstream has slots
-// without a new load report. The requests that the entry itself has sent must count.
+// TestFullUpstreamIsAvoided has the entry send more requests than the limit of one upstream
+// allows, without a new load report in between. The entry must count the requests that it
+// has sent itself.
 func TestFullUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(1))
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -267,7 +267,7 @@
 }
 
 // findBest returns the best candidate, the second best, and the best candidate of the
-// local zone. If there is no such candidate, the candidate field of the result is nil.
+// local zone. The candidate field of a result is nil if there is no such candidate.
 func (p *Placer) findBest(now model.Instant, req Request, e eligibility) (best, second, bestLocal scoredCandidate) {
 	for _, c := range p.order {
 		if !e.allows(c, now) {
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -62,7 +62,7 @@
 	tokens float64
 	// attempts counts recent attempts. The count is halved every halfLife.
 	attempts float64
-	// failures counts the failed ones among the recent attempts in the same way.
+	// failures counts recent failed attempts. The count is also halved every halfLife.
 	failures float64
 	// decayedAt is the instant up to which attempts and failures have been decayed.
 	decayedAt model.Instant
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -81,7 +81,7 @@
 func (w *WindowBudget) index() int { return int(w.bucket % (windowBuckets + 1)) }
 
 // advance makes the bucket that contains now the current bucket. It clears that bucket and
-// all buckets between the previous one and it.
+// the buckets that were skipped.
 func (w *WindowBudget) advance(now model.Instant) {
 	current := int64(now) / int64(w.bucketWidth)
 	if current <= w.bucket {
