--- a/core/gossip/peer_selector.go
+++ b/core/gossip/peer_selector.go
@@ -10,11 +10,11 @@
 	// fanOut is the number of daemons to which each daemon sends a new update. The push
 	// then reaches all but 2% of the daemons.
 	fanOut = 4
-	// maxPushZones bounds the number of other zones to which the origin of an update
-	// sends it.
+	// maxPushZones bounds the number of other zones to which a daemon sends its own
+	// updates.
 	maxPushZones = 8
-	// crossZoneShare is the probability that a daemon sends an update to another zone,
-	// and that it compares digests with a daemon of another zone.
+	// crossZoneShare is the probability that a daemon selects a daemon of another zone,
+	// either to push an update or to compare digests.
 	crossZoneShare = 1.0 / 8
 )
 
@@ -32,13 +32,13 @@
 	RandIntN func(n int) int
 }
 
-// PushTargets returns the daemons to which to send an update. origin is set if the update
+// PushTargets returns the daemons to which to send an update. isOrigin is set if the update
 // originates at this daemon.
-func (s PeerSelector) PushTargets(members []Member, origin bool) []Member {
+func (s PeerSelector) PushTargets(members []Member, isOrigin bool) []Member {
 	local, remote := s.splitByZone(members)
 	out := s.sample(local, fanOut)
 	switch {
-	case origin:
+	case isOrigin:
 		out = append(out, onePerZone(s.sample(remote, len(remote)))...)
 	case s.chooseCrossZone():
 		out = append(out, s.sample(remote, 1)...)
--- a/core/measure/measure_test.go
+++ b/core/measure/measure_test.go
@@ -14,10 +14,11 @@
 // ms is one millisecond.
 const ms = time.Millisecond
 
-// charge is the slot time that one measurement was finally charged, and the instant at
-// which the measurement began.
+// charge is the charge for one measurement.
 type charge struct {
-	at          model.Instant
+	// at is when the measurement began.
+	at model.Instant
+	// slotTime is the slot time charged, which Settle may reduce.
 	slotTime    time.Duration
 	reservation *Reservation
 }
@@ -31,8 +32,8 @@
 	}
 }
 
-// TestNoWindowExceedsTheBudget draws random sequences of reservations and settlements,
-// and checks the charges of every time window that begins and ends with a reservation.
+// TestNoWindowExceedsTheBudget draws random sequences of reservations and settlements. It
+// checks the charges of every time window that begins and ends with a reservation.
 func TestNoWindowExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 0.2).Draw(t, "share")
@@ -105,7 +106,7 @@
 			for range 100 {
 				trust.Observe(tc.report, tc.observed)
 			}
-			assert.Equal(t, tc.external, trust.External(6))
+			assert.Equal(t, tc.external, trust.ExternalRequests(6))
 			assert.Equal(t, tc.counts, trust.Counts())
 		})
 	}
--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -6,18 +6,20 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Monitor measures one upstream for one service. It decides when to poll the upstream's
-// load report within the budget, and how much the report adds to the load that the
-// guard knows exactly. It is not safe for concurrent use.
+// Monitor measures one upstream for one service. It decides, within the budget, when to
+// poll the upstream for a load report. It also decides how much a report adds to the load
+// that the guard knows exactly. A Monitor is not safe for concurrent use.
 type Monitor struct {
 	budget   *Budget
 	trust    *Trust
 	schedule Schedule
 	nextPoll model.Instant
-	// currentWindow began with the last report, previousWindow with the one before. A
-	// report may be late, so it is compared with both.
-	currentWindow, previousWindow runningRange
-	// running is the current number of running requests.
+	// currentWindow covers the time since the last report. A new report may be late, so the
+	// report is compared with currentWindow and previousWindow.
+	currentWindow runningRange
+	// previousWindow covers the time between the last two reports.
+	previousWindow runningRange
+	// running is the number of requests that the guard has running now.
 	running int
 }
 
@@ -42,9 +44,9 @@
 // NextPoll returns the instant at which the next poll is due.
 func (m *Monitor) NextPoll() model.Instant { return m.nextPoll }
 
-// BeginPoll reserves the largest possible cost of a poll. It returns false if no poll is
-// due yet, or if the budget does not allow one. In the second case the next poll is due
-// after the longest interval of the schedule.
+// BeginPoll reserves slot time for maxCost, the largest possible cost of a poll. It returns
+// false if no poll is due yet, or if the budget does not allow a poll. In the second case
+// the next poll is due after the longest interval of the schedule.
 func (m *Monitor) BeginPoll(now model.Instant, maxCost Cost) (Reservation, bool) {
 	if now < m.nextPoll {
 		return Reservation{}, false
@@ -75,10 +77,9 @@
 // SetShare changes the share of slot time that measuring may take from now on.
 func (m *Monitor) SetShare(now model.Instant, share float64) { m.budget.SetShare(now, share) }
 
-// Annotate returns the load with the requests from elsewhere added that the upstream is
-// trusted to be running.
+// Annotate returns load with the result of Trust.ExternalRequests added to Running.
 func (m *Monitor) Annotate(load model.Load) model.Load {
-	load.Running += int32(m.trust.External(int(load.Limit)))
+	load.Running += int32(m.trust.ExternalRequests(int(load.Limit)))
 	return load
 }
 
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -10,7 +10,9 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// TestBudgetBoundsRetries checks random sequences of successful and failed requests.
+// TestBudgetBoundsRetries checks the number of retries in random sequences of successful
+// and failed requests. At most the given share of requests may be retried, apart from the
+// initial tokens.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
@@ -62,12 +64,12 @@
 
 func TestBackoff(t *testing.T) {
 	tests := []struct {
-		name      string
-		retry     int
-		remaining time.Duration
-		random    float64
-		wait      time.Duration
-		ok        bool
+		name        string
+		retryNumber int
+		remaining   time.Duration
+		random      float64
+		wait        time.Duration
+		ok          bool
 	}{
 		{"first", 1, time.Second, 0.5, time.Millisecond, true},
 		{"third", 3, time.Second, 0.5, 4 * time.Millisecond, true},
@@ -78,7 +80,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			wait, ok := Backoff(tt.retry, tt.remaining, tt.random)
+			wait, ok := Backoff(tt.retryNumber, tt.remaining, tt.random)
 			require.Equal(t, tt.wait, wait)
 			require.Equal(t, tt.ok, ok)
 		})
@@ -86,7 +88,7 @@
 }
 
 // TestRetryAfterIsJittered checks that callers refused together get different retry
-// times, around the intended one.
+// times, distributed around the mean.
 func TestRetryAfterIsJittered(t *testing.T) {
 	const mean = 100 * time.Millisecond
 	first, last := JitteredRetryAfter(mean, 0), JitteredRetryAfter(mean, 0.999)
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// hedgeQuantile is the latency quantile of its group that a request must exceed to
-	// be hedged.
+	// hedgeQuantile is a quantile of the latencies of a group. A request of the group that
+	// takes longer is hedged: a second copy of it is sent to another upstream.
 	hedgeQuantile = 0.98
 	// quantileStep is the relative step by which the quantile estimate falls. The step
-	// up is larger by hedgeQuantile/(1-hedgeQuantile), so that the estimate settles at
-	// the quantile.
+	// up is larger by the factor hedgeQuantile/(1-hedgeQuantile), so that the estimate
+	// settles at the quantile.
 	quantileStep = 0.001
-	// hedgeSamples is the number of latencies needed before requests of a group are
+	// minHedgeSamples is the number of latencies needed before requests of a group are
 	// hedged.
-	hedgeSamples = 200
+	minHedgeSamples = 200
 	// maxHedgeGroups bounds the number of groups with their own latency estimate. All
 	// other groups share one estimate.
 	maxHedgeGroups = 64
@@ -27,14 +27,16 @@
 	minHedgeDelay = 2
 )
 
-// defaultHedgeBudget is the number of hedges allowed per request.
+// defaultHedgeBudget is the default of Options.HedgeBudget.
 const defaultHedgeBudget = 0.02
 
 // hedging holds the latency estimates and the hedge budget.
 type hedging struct {
-	groups map[model.GroupName]*quantileEstimate
+	// estimates holds the estimates of up to maxHedgeGroups groups.
+	estimates map[model.GroupName]*quantileEstimate
 	// shared is the estimate of the groups that have none of their own.
 	shared quantileEstimate
+	// tokens is the number of hedges that the budget allows now.
 	tokens float64
 }
 
@@ -47,42 +49,45 @@
 }
 
 // add updates the estimate with a latency.
-func (q *quantileEstimate) add(x float64) {
+func (q *quantileEstimate) add(latency float64) {
 	q.n++
 	switch {
 	case q.value == 0:
-		q.value = x
-	case x > q.value:
+		q.value = latency
+	case latency > q.value:
 		q.value *= 1 + quantileStep*hedgeQuantile/(1-hedgeQuantile)
 	default:
 		q.value *= 1 - quantileStep
 	}
 }
 
-// HedgeDelay returns how long to wait for a response before a second copy of the
-// request is sent to another upstream. It returns false if the request must not be
-// hedged: it is not idempotent, the policy does not hedge, or too few latencies are
-// known.
+// HedgeDelay returns how long to wait for a response before the request is hedged, that is
+// before a second copy is sent to another upstream. HedgeDelay returns false if the request
+// must not be hedged: it is not idempotent, hedging is disabled, the policy does not hedge,
+// or too few latencies are known.
 func (r *Router) HedgeDelay(req model.Request) (time.Duration, bool) {
 	if !req.Idempotent || !r.policy.hedges() || r.opts.HedgeBudget <= 0 {
 		return 0, false
 	}
 	q := r.hedging.estimate(req.Group)
-	if q.n < hedgeSamples {
+	if q.n < minHedgeSamples {
 		return 0, false
 	}
 	return time.Duration(max(q.value, minHedgeDelay*r.pool.typicalServiceTime())), true
 }
 
 // Hedge chooses the upstream for the second copy of a request and counts that copy as
-// sent. It is called when the first copy, sent to the upstream first at the instant sent,
-// has had no response for HedgeDelay. Upstreams in exclude are not chosen, because they
-// already have the request. The queue timeout of the second copy is zero, so it only uses
-// a free slot. Hedge returns false if the first upstream is not slow, so that the delay
-// is due to the request itself, if the budget is used up, or if no other upstream is
-// usable.
-func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sent model.Instant, exclude []model.UpstreamID) (Choice, bool) {
-	if !r.upstreamSlow(now, first, sent) {
+// sent. The caller must have waited for HedgeDelay without a response to the first copy.
+// first is the upstream of the first copy, and sentAt is the instant at which that copy was
+// sent. Upstreams in exclude are not chosen, because they already have the request. The
+// queue timeout of the second copy is zero, so the second copy only uses a free slot.
+//
+// Hedge returns false in each of these cases:
+//   - The first upstream is not slow, so the delay is due to the request itself.
+//   - The hedge budget is used up.
+//   - No other upstream is usable.
+func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sentAt model.Instant, exclude []model.UpstreamID) (Choice, bool) {
+	if !r.upstreamSlow(now, first, sentAt) {
 		return Choice{}, false
 	}
 	if r.hedging.tokens < 1 {
@@ -99,15 +104,16 @@
 	return Choice{Upstream: c.upstream, QueueTimeout: 0}, true
 }
 
-// upstreamSlow reports whether an upstream that was sent a request at the given instant
-// is itself slow or failing, as opposed to the request being a long one. An upstream that
-// has sent no reply since then counts as slow.
-func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sent model.Instant) bool {
+// upstreamSlow reports whether an upstream that has not responded to a request is itself
+// slow or failing. If not, the request is a long one. sentAt is when the request was sent.
+// An upstream that has sent no reply since sentAt counts as slow, and so does an upstream
+// that is no longer a candidate.
+func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sentAt model.Instant) bool {
 	c := r.byID[id]
 	if c == nil {
 		return true
 	}
-	return c.ejected || c.slowdown(now, &r.pool) > 1 || c.lastReplyAt < sent
+	return c.ejected || c.slowdown(now, &r.pool) > 1 || c.lastLoadReplyAt < sentAt
 }
 
 // addHedgeTokens credits the hedge budget for one request.
@@ -115,8 +121,9 @@
 	r.hedging.tokens = min(r.hedging.tokens+r.opts.HedgeBudget, hedgeBurst)
 }
 
-// recordLatency updates the latency estimate of the request's group. The latency of a
-// request that was cancelled because its hedge completed first is the time until the
+// recordLatency updates the latency estimate of the request's group. It ignores replies
+// to hedges and replies without a successful response. The exception is a request that was
+// cancelled because its hedge completed first: its latency is the time until the
 // cancellation.
 func (r *Router) recordLatency(reply Reply) {
 	cancelled := reply.Outcome.Reason == outcome.ReasonCancelled
@@ -128,22 +135,22 @@
 
 // estimate returns the latency estimate to use for a group.
 func (h *hedging) estimate(g model.GroupName) *quantileEstimate {
-	if q := h.groups[g]; q != nil {
+	if q := h.estimates[g]; q != nil {
 		return q
 	}
 	return &h.shared
 }
 
 // estimateToUpdate returns the group's own estimate, creating it if necessary. It
-// returns the shared one if there are too many groups.
+// returns the shared estimate if there are too many groups.
 func (h *hedging) estimateToUpdate(g model.GroupName) *quantileEstimate {
-	if q := h.groups[g]; q != nil {
+	if q := h.estimates[g]; q != nil {
 		return q
 	}
-	if len(h.groups) >= maxHedgeGroups {
+	if len(h.estimates) >= maxHedgeGroups {
 		return &h.shared
 	}
 	q := &quantileEstimate{}
-	h.groups[g] = q
+	h.estimates[g] = q
 	return q
 }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestNoRankStarves checks that during a flood of urgent requests every eighth start
-// goes to the last rank, and there to the newest request that can still meet its
-// target.
+// TestNoRankStarves has a flood of urgent requests. Every eighth start must go to the last
+// rank. Within that rank, the newest request that can still meet its target must start
+// first.
 func TestNoRankStarves(t *testing.T) {
 	q := New(1)
 	late := newItem(1, 9, 10, 5)
@@ -79,10 +79,10 @@
 	}
 }
 
-// TestKindsShareWorkEqually has many requests of one kind and a few older ones of another
-// kind of the same rank. The second kind gets half of the service time until its requests
-// run out, although newer requests usually start first. A kind whose requests take longer
-// starts fewer of them.
+// TestKindsShareWorkEqually has many requests of one kind and a few older requests of
+// another kind of the same rank. The second kind must get half of the service time until
+// its requests run out, although newer requests usually start first. If the requests of a
+// kind take longer, fewer of them start.
 func TestKindsShareWorkEqually(t *testing.T) {
 	const frequent, rare = 1, 2
 	for name, c := range map[string]struct {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestIdleKindEarnsNoCredit has a kind arrive that was idle for a long time. It must
-// not occupy all slots until it has caught up with the others.
+// TestIdleKindEarnsNoCredit has requests of a kind arrive that had no requests for a long
+// time. They must not occupy all slots until their kind has caught up with the others.
 func TestIdleKindEarnsNoCredit(t *testing.T) {
 	q := New(1)
 	for i := range uint64(50) {
@@ -139,8 +139,8 @@
 }
 
 // TestNewestFirstMeetsTargetsUnderOverload has twice as many requests as there is
-// capacity for. Each request that is started meets its target. If the oldest started
-// first, each would start too late.
+// capacity for. Each request that is started must meet its target. If the oldest request
+// started first, each would start too late.
 func TestNewestFirstMeetsTargetsUnderOverload(t *testing.T) {
 	const interval, serviceTime, target, requests = 10, 20, 100, 200
 	q := New(1)
@@ -149,10 +149,10 @@
 	arrived := map[uint64]model.Instant{}
 	for n := range requests {
 		now := at(n * interval)
-		i := newItem(uint64(n+1), 0, serviceTime, n*interval+target)
-		i.Arrived, i.Deadline, i.UsefulUntil = now, now.Add(3*target*ms), now.Add(3*target*ms)
-		q.Add(i)
-		arrived[i.ID] = now
+		item := newItem(uint64(n+1), 0, serviceTime, n*interval+target)
+		item.Arrived, item.Deadline, item.UsefulUntil = now, now.Add(3*target*ms), now.Add(3*target*ms)
+		q.Add(item)
+		arrived[item.ID] = now
 		for busyUntil <= now {
 			if served > 0 {
 				q.Finish()
@@ -196,11 +196,11 @@
 }
 
 func TestDequeueReasons(t *testing.T) {
-	newBusyQueue := func(i Item) *Queue {
+	newBusyQueue := func(item Item) *Queue {
 		q := New(1)
 		q.Add(newItem(99, 0, 10, 500))
 		_, _ = q.Next(at(0), 1)
-		q.Add(i)
+		q.Add(item)
 		return q
 	}
 	for name, c := range map[string]struct {
@@ -215,9 +215,9 @@
 		"would complete too late to be useful":               {func(i *Item) { i.UsefulUntil = at(500) }, 1, 401, TooLate},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := newItem(1, 0, 100, 500)
-			c.change(&i)
-			q := newBusyQueue(i)
+			item := newItem(1, 0, 100, 500)
+			c.change(&item)
+			q := newBusyQueue(item)
 			wakeup := q.NextWakeup(c.slowdown)
 			require.LessOrEqual(t, wakeup, at(c.now), "the queue wakes up in time")
 			_, early := q.Next(wakeup.Add(-2*ms), c.slowdown)
@@ -230,7 +230,7 @@
 }
 
 // TestFreeSlotRunsLateRequest has a request that cannot meet its target, and a free
-// slot. The request runs, as no other request has to wait for it.
+// slot. The request must run, as no other request has to wait for it.
 func TestFreeSlotRunsLateRequest(t *testing.T) {
 	q := New(1)
 	late := newItem(1, 0, 100, 50)
@@ -251,9 +251,9 @@
 	require.Zero(t, q.NextWakeup(1))
 }
 
-// TestEveryRequestLeavesOnce has random arrivals, ends and removals. No request
-// leaves the queue twice, the limit is never exceeded, and the queue is empty at the
-// end.
+// TestEveryRequestLeavesOnce has requests arrive, end and be removed at random. No request
+// may leave the queue twice, the limit must never be exceeded, and the queue must be empty
+// at the end.
 func TestEveryRequestLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(rapid.IntRange(1, 5).Draw(t, "limit"))
