--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -87,8 +87,8 @@
 	require.NoError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
 		received := bytes.Clone(d)
-		at := rapid.IntRange(0, len(d)-1).Draw(t, "at")
-		received[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
+		flippedIndex := rapid.IntRange(0, len(d)-1).Draw(t, "at")
+		received[flippedIndex] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
 		received = received[:rapid.IntRange(0, len(d)).Draw(t, "length")]
 		if got, err := Apply(base, received, maxDocumentSize); err == nil && len(received) > 0 {
 			require.True(t, bytes.Equal(target, got))
@@ -101,20 +101,20 @@
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{120, 1600} {
 		base, target := routesDocument(1, n, nil), routesDocument(2, n, map[int]string{n / 2: "other"})
-		for name, from := range map[string][]byte{"change": base, "whole": nil} {
-			d, err := Encode(from, target)
+		for name, receiverBase := range map[string][]byte{"change": base, "whole": nil} {
+			d, err := Encode(receiverBase, target)
 			require.NoError(b, err)
 			size := fmt.Sprintf("%s of %d B in %d B", name, len(target), len(d))
 			b.Run("encode/"+size, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					_, _ = Encode(from, target)
+					_, _ = Encode(receiverBase, target)
 				}
 			})
 			b.Run("apply/"+size, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					_, _ = Apply(from, d, maxDocumentSize)
+					_, _ = Apply(receiverBase, d, maxDocumentSize)
 				}
 			})
 		}
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -110,7 +110,7 @@
 	defer stop()
 	failure := &RequestError{Reused: c.requests > 0}
 	c.requests++
-	written, err := c.send(r)
+	writeDone, err := c.send(r)
 	failure.Sent = c.wroteBytes
 	if err != nil {
 		return nil, failure.withCause(ctx, err)
@@ -120,7 +120,7 @@
 		return nil, failure.withCause(ctx, err)
 	}
 	select {
-	case err = <-written:
+	case err = <-writeDone:
 		c.reusable = c.reusable && err == nil
 	default:
 		// The response arrived before the whole body was written.
@@ -146,21 +146,21 @@
 // background. The channel receives one value, the error or nil, when the whole
 // request is written.
 func (c *pooledConn) send(r *PoolRequest) (<-chan error, error) {
-	written := make(chan error, 1)
+	writeDone := make(chan error, 1)
 	head := r.encodeHead()
 	if len(r.Body) <= maxInlineBody {
 		err := c.write(append(head, r.Body...))
-		written <- err
-		return written, err
+		writeDone <- err
+		return writeDone, err
 	}
 	if err := c.write(head); err != nil {
-		return written, err
+		return writeDone, err
 	}
 	go func() {
 		_, err := c.conn.Write(r.Body)
-		written <- err
+		writeDone <- err
 	}()
-	return written, nil
+	return writeDone, nil
 }
 
 // write writes to the connection and records whether any byte was written.
@@ -233,8 +233,8 @@
 // updateReuse derives from a response whether the connection can be reused, and
 // for how long it may stay idle.
 func (c *pooledConn) updateReuse(resp *http.Response) {
-	endsWithClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	c.reusable = !resp.Close && !endsWithClose && resp.StatusCode != http.StatusSwitchingProtocols
+	bodyEndsAtClose := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	c.reusable = !resp.Close && !bodyEndsAtClose && resp.StatusCode != http.StatusSwitchingProtocols
 	if timeout, ok := parseKeepAlive(resp.Header.Get("Keep-Alive")); ok {
 		c.idleTimeout = timeout
 	}
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -110,7 +110,7 @@
 		if c == nil {
 			break
 		}
-		if c.idleWithin(maxIdle) && c.noUnreadData() {
+		if c.idleWithin(maxIdle) && c.readWouldBlock() {
 			c.wroteBytes = false
 			return c, nil
 		}
@@ -255,9 +255,9 @@
 	return idle < time.Duration(idleTimeoutFraction*float64(c.idleTimeout))
 }
 
-// noUnreadData reports whether the server has neither closed the connection nor
+// readWouldBlock reports whether the server has neither closed the connection nor
 // sent anything since the last response.
-func (c *pooledConn) noUnreadData() bool {
+func (c *pooledConn) readWouldBlock() bool {
 	conn, ok := c.conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -266,14 +266,14 @@
 	if err != nil {
 		return false
 	}
-	noData := false
+	wouldBlock := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		noData = err == syscall.EAGAIN
+		wouldBlock = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && noData
+	return err == nil && wouldBlock
 }
 
 // headLimiter limits the size of the response head, which http.ReadResponse
--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -148,7 +148,7 @@
 			defer p.Close()
 			_, err := p.Do(t.Context(), requestWithID("1"))
 			require.NoError(t, err)
-			waitForUnreadData(p)
+			waitForReadable(p)
 			resp, err := p.Do(t.Context(), requestWithID("2"))
 			require.NoError(t, err)
 			require.Equal(t, "2", resp.Header.Get("Id"))
@@ -157,14 +157,14 @@
 	}
 }
 
-// waitForUnreadData waits until the idle connection has unread data or was
+// waitForReadable waits until the idle connection has unread data or was
 // closed by the server, or for 100ms.
-func waitForUnreadData(p *Pool) {
+func waitForReadable(p *Pool) {
 	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
-		noData := len(p.idle) > 0 && p.idle[0].noUnreadData()
+		wouldBlock := len(p.idle) > 0 && p.idle[0].readWouldBlock()
 		p.mu.Unlock()
-		if !noData {
+		if !wouldBlock {
 			return
 		}
 	}
@@ -237,7 +237,7 @@
 	_, err := p.Do(t.Context(), requestWithID("1"))
 	require.NoError(t, err)
 	<-closed
-	waitForUnreadData(p)
+	waitForReadable(p)
 	_, err = p.Do(t.Context(), requestWithID("2"))
 	require.NoError(t, err)
 	require.Equal(t, 2, s.connections())
--- a/hop/replay.go
+++ b/hop/replay.go
@@ -47,13 +47,13 @@
 // setReplayable sets the body of a request as an ordinary client does, so that
 // the Transport can retry the request.
 func setReplayable(req *http.Request, body io.Reader) {
-	data, ok := body.(*bytes.Reader)
+	reader, ok := body.(*bytes.Reader)
 	if !ok {
 		return
 	}
-	req.Body = io.NopCloser(data)
+	req.Body = io.NopCloser(reader)
 	req.GetBody = func() (io.ReadCloser, error) {
-		rewound := *data
+		rewound := *reader
 		_, _ = rewound.Seek(0, io.SeekStart)
 		return io.NopCloser(&rewound), nil
 	}
--- a/hop/replay_test.go
+++ b/hop/replay_test.go
@@ -148,12 +148,12 @@
 // Content-Length exactly if their method requires one.
 func TestContentLengthOfEmptyBody(t *testing.T) {
 	for method, want := range map[string]struct {
-		length string
-		coding []string
+		contentLength    string
+		transferEncoding []string
 	}{
-		http.MethodPost:   {length: "0"},
-		http.MethodPut:    {length: "0"},
-		http.MethodPatch:  {length: "0"},
+		http.MethodPost:   {contentLength: "0"},
+		http.MethodPut:    {contentLength: "0"},
+		http.MethodPatch:  {contentLength: "0"},
 		http.MethodGet:    {},
 		http.MethodHead:   {},
 		http.MethodDelete: {},
@@ -164,8 +164,8 @@
 			defer c.CloseIdle()
 			received := sendToDroppingServer(t, c, dropMethods["closed"], method, nil)
 			require.Len(t, received, 1)
-			require.Equal(t, want.length, received[0].Header.Get("Content-Length"))
-			require.Equal(t, want.coding, received[0].TransferEncoding)
+			require.Equal(t, want.contentLength, received[0].Header.Get("Content-Length"))
+			require.Equal(t, want.transferEncoding, received[0].TransferEncoding)
 		})
 	}
 }
--- a/identity/caller_test.go
+++ b/identity/caller_test.go
@@ -29,7 +29,7 @@
 func (l callerList) CallerByToken(token string) (policy.Caller, bool)      { return l.find(token) }
 func (l callerList) CallerByCertificate(name string) (policy.Caller, bool) { return l.find(name) }
 
-func TestCaller(t *testing.T) {
+func TestAuthenticateCaller(t *testing.T) {
 	callers := callerList{{Name: "sorting-bench"}, {Name: "member-portal"}}
 	for name, c := range map[string]struct {
 		authorization []string
--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -64,19 +64,19 @@
 	return ClaimNetwork(first, networks)
 })
 
-// lastHost counts the addresses returned by UnusedAddress.
-var lastHost atomic.Int64
+// addressCount counts the addresses returned by UnusedAddress.
+var addressCount atomic.Int64
 
 // UnusedAddress returns an address in the network of this process that nobody
 // listens on, a different one on each call. Unlike a port that was opened and
 // closed again, it cannot be taken by another process or another test. The
 // error is that of OwnNetwork.
 func UnusedAddress() (string, error) {
-	const hosts, port = 250, 7000
+	const hostsPerSubnet, port = 250, 7000
 	network, err := OwnNetwork()
 	if err != nil {
 		return "", err
 	}
-	n := lastHost.Add(1)
-	return fmt.Sprintf("127.%d.%d.%d:%d", network, n/hosts, 1+n%hosts, port), nil
+	n := addressCount.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d:%d", network, n/hostsPerSubnet, 1+n%hostsPerSubnet, port), nil
 }
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -27,10 +27,10 @@
 // contain the process ID, so that the test can run in several processes at
 // once.
 func TestAllNetworksInUse(t *testing.T) {
-	const first, networks, hosts = 250, 4, 250
+	const first, networks, hostsPerSubnet = 250, 4, 250
 	pid := os.Getpid()
 	address := func(n int) string {
-		return fmt.Sprintf("127.%d.%d.%d:%d", first+n, pid/hosts%hosts, 1+pid%hosts, claimPort)
+		return fmt.Sprintf("127.%d.%d.%d:%d", first+n, pid/hostsPerSubnet%hostsPerSubnet, 1+pid%hostsPerSubnet, claimPort)
 	}
 	seen := map[int]bool{}
 	for range networks {
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -38,11 +38,11 @@
 	}
 	bound := min(low<<min(b.failures, maxDoublings), high)
 	b.failures++
-	random := rand.Int64N
+	int64N := rand.Int64N
 	if rng != nil {
-		random = rng.Int64N
+		int64N = rng.Int64N
 	}
-	return bound/2 + time.Duration(random(int64(bound/2)+1))
+	return bound/2 + time.Duration(int64N(int64(bound/2)+1))
 }
 
 // Wait counts a failure and sleeps for the duration that Next returns. If the
--- a/peer/choose.go
+++ b/peer/choose.go
@@ -40,13 +40,13 @@
 	local, remote := slices.Clone(e.neighbours.local), slices.Clone(e.neighbours.remote)
 	var chosen []Peer
 	for len(chosen) < n && len(local)+len(remote) > 0 {
-		from := &remote
+		candidates := &remote
 		if len(remote) == 0 || len(chosen) == 0 && len(local) > 0 {
-			from = &local
+			candidates = &local
 		}
-		i := e.rng.IntN(len(*from))
-		chosen = append(chosen, (*from)[i])
-		*from = slices.Delete(*from, i, i+1)
+		i := e.rng.IntN(len(*candidates))
+		chosen = append(chosen, (*candidates)[i])
+		*candidates = slices.Delete(*candidates, i, i+1)
 	}
 	return append(chosen, e.chooseUnreachable()...)
 }
@@ -96,14 +96,14 @@
 			n.remote = append(n.remote, p)
 		}
 	}
-	n.local = e.highestHashes(n.local, maxLocalNeighbours)
-	n.remote = e.highestHashes(n.remote, maxRemoteNeighbours)
+	n.local = e.peersWithHighestHash(n.local, maxLocalNeighbours)
+	n.remote = e.peersWithHighestHash(n.remote, maxRemoteNeighbours)
 	return n
 }
 
-// highestHashes returns the n peers with the highest rendezvous hash for this
+// peersWithHighestHash returns the n peers with the highest rendezvous hash for this
 // daemon.
-func (e *Exchanger) highestHashes(peers []Peer, n int) []Peer {
+func (e *Exchanger) peersWithHighestHash(peers []Peer, n int) []Peer {
 	hash := func(p Peer) uint64 { return hashPair(e.opts.Self, p.ID) }
 	slices.SortFunc(peers, func(a, b Peer) int { return compareUint(hash(b), hash(a)) })
 	return slices.Clip(peers[:min(n, len(peers))])
--- a/peer/exchanger_test.go
+++ b/peer/exchanger_test.go
@@ -79,8 +79,8 @@
 	e.net.mu.Lock()
 	e.net.requests++
 	node := e.net.nodes[to]
-	a, b := e.net.zones[e.from], e.net.zones[to]
-	isolated := a != b && (a == e.net.isolatedZone || b == e.net.isolatedZone)
+	fromZone, toZone := e.net.zones[e.from], e.net.zones[to]
+	isolated := fromZone != toZone && (fromZone == e.net.isolatedZone || toZone == e.net.isolatedZone)
 	e.net.mu.Unlock()
 	time.Sleep(e.net.delay)
 	if isolated || node == nil {
@@ -265,10 +265,10 @@
 	e.Register(&maxValueTopic{})
 	srv := httptest.NewServer(Handler(&Service{Exchanger: e}, "secret"))
 	defer srv.Close()
-	var bytes atomic.Int64
+	var connBytes atomic.Int64
 	c := NewClientWithDial("secret", func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return countingConn{conn, &bytes}, err
+		return countingConn{conn, &connBytes}, err
 	})
 	defer c.Close()
 	topics := e.digests()
@@ -278,7 +278,7 @@
 		_, err := c.Exchange(t.Context(), to, &peerv1.ExchangeRequest{From: string(to), Zone: "odense-hal-a", Topics: topics})
 		require.NoError(t, err)
 	}
-	overhead := bytes.Load()/messages - 2*int64(topicBytes(topics))
+	overhead := connBytes.Load()/messages - 2*int64(topicBytes(topics))
 	t.Logf("%d bytes of overhead per message", overhead)
 	require.InDelta(t, messageOverhead, overhead, messageOverhead*0.15)
 }
--- a/peer/round.go
+++ b/peer/round.go
@@ -234,10 +234,10 @@
 
 // topicBytes returns the approximate size of topics in a message.
 func topicBytes(topics []*peerv1.TopicMessage) int {
-	const perTopic = 8
+	const overheadPerTopic = 8
 	n := 0
 	for _, t := range topics {
-		n += len(t.Topic) + len(t.Digest) + len(t.Delta) + perTopic
+		n += len(t.Topic) + len(t.Digest) + len(t.Delta) + overheadPerTopic
 	}
 	return n
 }
--- a/peer/service.go
+++ b/peer/service.go
@@ -28,7 +28,7 @@
 // Handler returns the HTTP handler of a Service. It rejects messages without
 // the secret.
 func Handler(s *Service, secret string) http.Handler {
-	_, h := peerv1connect.NewPeerServiceHandler(service{s},
+	_, h := peerv1connect.NewPeerServiceHandler(connectAdapter{s},
 		connect.WithInterceptors(authenticate(secret)),
 		connect.WithReadMaxBytes(maxMessageBytes))
 	return h
@@ -57,23 +57,23 @@
 	}
 }
 
-// service adapts a Service to connect.
-type service struct{ s *Service }
+// connectAdapter adapts a Service to connect.
+type connectAdapter struct{ s *Service }
 
-func (h service) Exchange(_ context.Context, r *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
-	return connect.NewResponse(h.s.Exchanger.Handle(r.Msg)), nil
+func (a connectAdapter) Exchange(_ context.Context, r *connect.Request[peerv1.ExchangeRequest]) (*connect.Response[peerv1.ExchangeResponse], error) {
+	return connect.NewResponse(a.s.Exchanger.Handle(r.Msg)), nil
 }
 
-func (h service) Probe(ctx context.Context, r *connect.Request[peerv1.ProbeRequest]) (*connect.Response[peerv1.ProbeResponse], error) {
-	return serveMessage(ctx, h.s.Probe, r)
+func (a connectAdapter) Probe(ctx context.Context, r *connect.Request[peerv1.ProbeRequest]) (*connect.Response[peerv1.ProbeResponse], error) {
+	return serveMessage(ctx, a.s.Probe, r)
 }
 
-func (h service) Ping(ctx context.Context, r *connect.Request[peerv1.PingRequest]) (*connect.Response[peerv1.PingResponse], error) {
-	return serveMessage(ctx, h.s.Ping, r)
+func (a connectAdapter) Ping(ctx context.Context, r *connect.Request[peerv1.PingRequest]) (*connect.Response[peerv1.PingResponse], error) {
+	return serveMessage(ctx, a.s.Ping, r)
 }
 
-func (h service) HandOver(ctx context.Context, r *connect.Request[peerv1.HandOverRequest]) (*connect.Response[peerv1.HandOverResponse], error) {
-	return serveMessage(ctx, h.s.HandOver, r)
+func (a connectAdapter) HandOver(ctx context.Context, r *connect.Request[peerv1.HandOverRequest]) (*connect.Response[peerv1.HandOverResponse], error) {
+	return serveMessage(ctx, a.s.HandOver, r)
 }
 
 // serveMessage handles a message with f. If f is nil, it returns an error with
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -32,8 +32,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse([]byte(c.text))
-			var field *FieldError
-			require.ErrorAs(t, err, &field)
+			var fieldErr *FieldError
+			require.ErrorAs(t, err, &fieldErr)
 			require.Equal(t, c.want, err.Error())
 		})
 	}
--- a/strictjson/strictjson_test.go
+++ b/strictjson/strictjson_test.go
@@ -38,8 +38,8 @@
 		t.Run(name, func(t *testing.T) {
 			var d document
 			err := Unmarshal([]byte(c.text), &d)
-			var field *FieldError
-			require.ErrorAs(t, err, &field)
+			var fieldErr *FieldError
+			require.ErrorAs(t, err, &fieldErr)
 			require.Equal(t, c.want, err.Error())
 		})
 	}
--- a/wire/header.go
+++ b/wire/header.go
@@ -237,16 +237,16 @@
 		return model.Load{}, invalid
 	}
 	// Counts are non-negative int32 values.
-	const bits = 31
-	running, err1 := strconv.ParseUint(fields[0], 10, bits)
-	waiting, err2 := strconv.ParseUint(fields[1], 10, bits)
-	limit, err3 := strconv.ParseUint(fields[2], 10, bits)
-	serviceTime, err4 := strconv.ParseUint(fields[3], 10, 63)
-	failureRate, err5 := strconv.ParseFloat(fields[4], 32)
-	draining, err6 := strconv.ParseBool(fields[5])
-	seq, err7 := strconv.ParseUint(fields[6], 10, 64)
-	ahead, err8 := strconv.ParseUint(fields[7], 10, bits)
-	if errors.Join(err1, err2, err3, err4, err5, err6, err7, err8) != nil {
+	const countBits = 31
+	running, errRunning := strconv.ParseUint(fields[0], 10, countBits)
+	waiting, errWaiting := strconv.ParseUint(fields[1], 10, countBits)
+	limit, errLimit := strconv.ParseUint(fields[2], 10, countBits)
+	serviceTime, errServiceTime := strconv.ParseUint(fields[3], 10, 63)
+	failureRate, errFailureRate := strconv.ParseFloat(fields[4], 32)
+	draining, errDraining := strconv.ParseBool(fields[5])
+	seq, errSeq := strconv.ParseUint(fields[6], 10, 64)
+	ahead, errAhead := strconv.ParseUint(fields[7], 10, countBits)
+	if errors.Join(errRunning, errWaiting, errLimit, errServiceTime, errFailureRate, errDraining, errSeq, errAhead) != nil {
 		return model.Load{}, invalid
 	}
 	// The negated comparison is also true for NaN.
