--- a/hop/client.go
+++ b/hop/client.go
@@ -41,14 +41,14 @@
 	bufferSize            = 4 << 10
 )
 
-// Client sends attempts to any number of addresses. It is safe for concurrent
-// use.
+// Client sends attempts to any number of addresses. An attempt is one try to
+// execute a request. A Client is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
-	// unprotected switches off the protection against retries by the Transport
-	// and against unsolicited responses. Tests set it to show that the
-	// Transport then sends some attempts twice and delivers responses to the
-	// wrong attempt.
+	// unprotected turns off the protection against retries by the Transport and
+	// the protection against unsolicited responses. Only tests set it. They
+	// show that the Transport then sends some attempts twice and delivers some
+	// responses to the wrong attempt.
 	unprotected bool
 }
 
@@ -115,9 +115,9 @@
 // for a tunnel, and TRACE, which echoes the request that the server received.
 var ErrMethod = errors.New("method is not forwarded")
 
-// Do sends the attempt once. On success it returns the response, whose body
-// must be closed. On failure the outcome is NotRun if no byte was written, and
-// Unknown otherwise.
+// Do sends the attempt once. On success it returns the response and the outcome
+// Answered; the caller must close the response body. On failure the outcome is
+// NotRun if no byte was written, and Unknown otherwise.
 func (c *Client) Do(ctx context.Context, r Request) (*http.Response, outcome.Outcome, error) {
 	target, err := url.ParseRequestURI(r.Target)
 	if err != nil {
@@ -159,7 +159,7 @@
 // CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
-// attemptConn records which connection the Transport uses for an attempt.
+// attemptConn records which connection the Transport uses for one attempt.
 type attemptConn struct {
 	conn atomic.Pointer[countingConn]
 	// writtenBefore is the number of bytes written to conn before the attempt.
@@ -177,9 +177,9 @@
 	a.conn.Store(conn)
 }
 
-// responseIsUnsolicited reports whether the response to the attempt is
-// unsolicited: it arrived although no byte of the attempt was written. The
-// connection is then sealed.
+// responseIsUnsolicited reports whether a response arrived although no byte of
+// the attempt was written. Such a response belongs to no attempt. The method
+// then also seals the connection.
 func (a *attemptConn) responseIsUnsolicited() bool {
 	conn := a.conn.Load()
 	return conn != nil && !a.unprotected && conn.sealIfUnsent(a.writtenBefore.Load())
--- a/hop/conn.go
+++ b/hop/conn.go
@@ -17,22 +17,25 @@
 	errUnsolicited = errors.New("connection holds an unsolicited response")
 )
 
-// countingConn is a connection of a Transport that counts the bytes written and
-// can be sealed against further writes.
+// countingConn is a connection of a Transport. It counts the bytes written. It
+// can be sealed: every later write then fails with errSealed.
 //
-// It also detects unread bytes on a reused connection, which the Transport
-// would take for the response to its next request. Once the Transport has
-// consumed all bytes it blocks in Read. The first write of an attempt on a
-// reused connection therefore waits up to readerTimeout for a Read in progress,
-// and seals the connection if there is none.
+// A countingConn also detects unread bytes on a reused connection. The
+// Transport would take these bytes for the response to its next request. Once
+// the Transport has consumed all bytes, it blocks in Read. The first write of
+// an attempt on a reused connection therefore waits until a Read is in
+// progress. If none is in progress after readerTimeout, the write seals the
+// connection and fails.
 type countingConn struct {
 	net.Conn
 	// reading is set while a Read is in progress.
 	reading atomic.Bool
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// written is the number of bytes written so far.
 	written int64
-	sealed  bool
+	// sealed makes all further writes fail.
+	sealed bool
 	// checkUnread makes the next write check for unread bytes.
 	checkUnread bool
 }
@@ -50,15 +53,17 @@
 	// readerTimeout is how long the Transport may take from the end of a
 	// response to its next Read.
 	readerTimeout = 20 * time.Millisecond
-	// readerPollInterval is the time between two checks.
+	// readerPollInterval is the time between two checks whether a Read is in
+	// progress.
 	readerPollInterval = 50 * time.Microsecond
-	// maxYields is how often waitForReader yields the processor before it
+	// maxYields is how many times waitForReader yields the processor before it
 	// begins to sleep between checks.
 	maxYields = 32
 )
 
-// waitForReader waits until the Transport is blocked in Read, and reports
-// whether that happened within readerTimeout. If so, no unread bytes are left.
+// waitForReader waits until the Transport is blocked in Read, at most for
+// readerTimeout. It reports whether the Transport is blocked in Read, which
+// means that no unread bytes are left.
 func (c *countingConn) waitForReader() bool {
 	for range maxYields {
 		if c.reading.Load() {
@@ -101,9 +106,9 @@
 	return c.written
 }
 
-// sealIfUnsent seals the connection if no byte was written since writtenBefore
-// was taken, and reports whether it did. No byte can be written after it
-// returned true.
+// sealIfUnsent seals the connection if no byte was written since beginAttempt
+// returned writtenBefore. It reports whether it sealed the connection. If so,
+// no byte can be written any more.
 func (c *countingConn) sealIfUnsent(writtenBefore int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/hop/doc.go
+++ b/hop/doc.go
@@ -3,14 +3,15 @@
 // executed it.
 //
 // A Client sends to many addresses and streams bodies. A Pool holds the
-// connections to one address and buffers bodies in memory. It also checks which
-// request a response belongs to, and does not deliver a response that belongs
-// to none.
+// connections to one address and buffers bodies in memory. A Pool also checks
+// whether a response belongs to the request, and discards one that does not.
 //
 // A Client wraps a net/http Transport whose connections count the bytes
 // written. If no byte of a failed attempt was written, the attempt provably did
-// not run; its connection is then sealed, so that no byte can follow. The
-// Transport never retries an attempt on its own: bodies cannot be rewound, and
-// an Idempotency-Key is sent under a spelling that the Transport does not
-// recognize as permission to retry.
+// not run. The Client then seals the connection, so that no byte can be written
+// later.
+//
+// The Transport never retries an attempt on its own, for two reasons. Bodies
+// cannot be rewound. The name of an Idempotency-Key header is sent in a spelling
+// that the Transport does not recognize as permission to retry.
 package hop
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -20,8 +20,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdleTime is how long a connection may have been idle to be used for
-	// the request. Zero allows any idle connection that the Pool still keeps; a
+	// MaxIdleTime limits how long the connection used for the request may have
+	// been idle. Zero allows any idle connection that the Pool still keeps. A
 	// negative value requires a new connection.
 	MaxIdleTime time.Duration
 	// Accept reports whether a response belongs to this request. Other
@@ -38,8 +38,8 @@
 	Body   []byte
 }
 
-// RequestError reports a request that got no complete response, and how far it
-// came.
+// RequestError is the error of a request that got no complete response. Sent
+// and ResponseStarted tell how far the exchange came.
 type RequestError struct {
 	// Sent is set if the server may have received bytes of the request.
 	Sent bool
@@ -47,10 +47,11 @@
 	ResponseStarted bool
 	// Reused is set if the connection had carried a request before.
 	Reused bool
-	Err    error
+	// Err is the cause.
+	Err error
 }
 
-// Error says how far the request came, and gives the cause.
+// Error tells how far the exchange came, and gives the cause.
 func (e *RequestError) Error() string {
 	switch {
 	case e.ResponseStarted:
@@ -68,12 +69,12 @@
 const (
 	// maxResponseBody limits the response body held in memory, in bytes.
 	maxResponseBody = 16 << 20
-	// maxUnmatched is how many responses to other requests are discarded before
-	// the connection is closed.
+	// maxUnmatched is the number of responses to other requests that are
+	// discarded before the connection is closed.
 	maxUnmatched = 3
-	// maxInlineBody is the largest body that is written before the response is
-	// read, in bytes. A larger body is written concurrently, so that an early
-	// response is noticed.
+	// maxInlineBody is the size, in bytes, of the largest body that is written
+	// before the response is read. A larger body is written while the response
+	// is read, so that a response that arrives early is noticed.
 	maxInlineBody = 2 << 10
 )
 
@@ -132,8 +133,8 @@
 	return resp, nil
 }
 
-// withCause sets the cause to the error of the context if it has ended, else to
-// err.
+// withCause sets the cause and returns e. The cause is the error of the context
+// if the context has ended, and err otherwise.
 func (e *RequestError) withCause(ctx context.Context, err error) error {
 	e.Err = err
 	if ctx.Err() != nil {
@@ -142,9 +143,10 @@
 	return e
 }
 
-// send writes the request. A body larger than maxInlineBody is written in the
-// background. The channel receives one value, the error or nil, when the whole
-// request is written.
+// send writes the request. It writes a body larger than maxInlineBody in the
+// background. The channel receives the result of writing the body: nil when the
+// whole request is written, or an error. The second result is the error of the
+// bytes that send writes before it returns.
 func (c *pooledConn) send(r *PoolRequest) (<-chan error, error) {
 	writeDone := make(chan error, 1)
 	head := r.encodeHead()
@@ -170,8 +172,9 @@
 	return err
 }
 
-// receive reads responses until one belongs to the request. It sets
-// failure.ResponseStarted once the headers of that response are received.
+// receive reads responses until one belongs to the request, and returns that
+// one. It sets failure.ResponseStarted once the headers of that response are
+// received.
 func (c *pooledConn) receive(r *PoolRequest, failure *RequestError) (*PoolResponse, error) {
 	for range maxUnmatched {
 		resp, err := c.readResponse(r)
@@ -196,7 +199,9 @@
 	return nil, errNoMatchingResponse
 }
 
-// readResponse reads status line and headers of the next final response.
+// readResponse reads the status line and the headers of the next final
+// response. It calls r.OnInformational for each informational (1xx) response
+// before the final one.
 func (c *pooledConn) readResponse(r *PoolRequest) (*http.Response, error) {
 	defer c.headLimit.clearLimit()
 	for {
@@ -240,7 +245,8 @@
 	}
 }
 
-// parseKeepAlive returns the timeout parameter of a Keep-Alive header.
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header. It
+// reports false if the header has no valid timeout.
 func parseKeepAlive(header string) (time.Duration, bool) {
 	for _, field := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -32,13 +32,14 @@
 	defaultPoolIdleTimeout = 8 * time.Second
 	defaultTCPUserTimeout  = 1500 * time.Millisecond
 	// keepAliveInterval is the time between TCP keep-alive probes on an idle
-	// connection. The connection is closed after keepAliveCount probes without
-	// a reply. A dead network path is detected within two seconds.
+	// connection.
 	keepAliveInterval = time.Second
-	keepAliveCount    = 2
-	// idleTimeoutFraction is the fraction of an idle timeout for which a
-	// connection is used, so that a request is not sent just as the server
-	// closes the connection.
+	// keepAliveCount is the number of probes without a reply after which the
+	// connection is closed. A dead network path is detected within two seconds.
+	keepAliveCount = 2
+	// idleTimeoutFraction is the part of its idle timeout during which an idle
+	// connection may be reused. Near the end of the timeout the server could
+	// close the connection just as a request is sent.
 	idleTimeoutFraction = 0.7
 )
 
@@ -50,7 +51,8 @@
 	opts    PoolOptions
 	dialer  net.Dialer
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the idle connections, in the order in which they became idle.
 	idle []*pooledConn
 	// numOpen counts the connections that are open or being opened, idle ones
 	// included.
@@ -119,7 +121,8 @@
 	return p.dial(ctx)
 }
 
-// popIdle returns the connection that became idle last, or nil.
+// popIdle removes and returns the connection that became idle last. It returns
+// nil if no connection is idle.
 func (p *Pool) popIdle() *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,9 +154,9 @@
 	return &pooledConn{conn: conn, headLimit: limiter, reader: bufio.NewReaderSize(limiter, bufferSize), idleTimeout: p.opts.IdleTimeout}, nil
 }
 
-// reserve counts a connection that is about to be opened, and reports whether
-// it may be opened. If the limit is reached, it first closes an idle
-// connection, and returns false if there is none.
+// reserve reports whether a connection may be opened. If so, it counts the
+// connection in numOpen. At the limit it first closes the connection that has
+// been idle longest. If no connection is idle then, it returns false.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,6 +173,7 @@
 }
 
 // put returns a connection to the pool, or closes it if it cannot be reused.
+// The argument ok tells whether the last exchange on it succeeded.
 func (p *Pool) put(c *pooledConn, ok bool) {
 	c.idleSince = time.Now()
 	if !ok || !c.reusable || c.unmatched || c.reader.Buffered() > 0 {
@@ -187,9 +191,9 @@
 	p.closeExpired()
 }
 
-// closeExpired closes connections that have been idle for too long. It begins
-// with the one that has been idle longest, p.idle[0], and ends at the first one
-// that is still fit for use. p.mu is held.
+// closeExpired closes the connections that have been idle for too long. It
+// begins with p.idle[0], which has been idle longest. It stops at the first
+// connection that may still be reused. The caller holds p.mu.
 func (p *Pool) closeExpired() {
 	n := 0
 	for n < len(p.idle) && !p.idle[n].idleWithin(0) {
@@ -200,7 +204,7 @@
 	p.numOpen -= n
 }
 
-// discard closes a connection.
+// discard closes a connection and no longer counts it in numOpen.
 func (p *Pool) discard(c *pooledConn) {
 	c.close()
 	p.mu.Lock()
@@ -227,26 +231,28 @@
 	// reader reads from headLimit.
 	reader    *bufio.Reader
 	headLimit *headLimiter
-	// requests counts the requests carried. wroteBytes is set once a byte of
-	// the current request was written.
-	requests   int
+	// requests counts the requests sent on the connection.
+	requests int
+	// wroteBytes is set once a byte of the current request was written.
 	wroteBytes bool
 	// reusable is set after a response that leaves the connection open.
-	// unmatched is set after a response that belongs to another request than
-	// the current one.
-	reusable    bool
-	unmatched   bool
+	reusable bool
+	// unmatched is set after a response that does not belong to the request.
+	unmatched bool
+	// idleTimeout is the timeout that the server announced, or else
+	// PoolOptions.IdleTimeout.
 	idleTimeout time.Duration
-	idleSince   time.Time
-	closeOnce   sync.Once
+	// idleSince is when the last exchange ended.
+	idleSince time.Time
+	closeOnce sync.Once
 }
 
 // close closes the connection. It may be called more than once.
 func (c *pooledConn) close() { c.closeOnce.Do(func() { _ = c.conn.Close() }) }
 
-// idleWithin reports whether the connection is still fit for use: it has been
-// idle for at most maxIdle (0 means no limit) and for less than
-// idleTimeoutFraction of its idle timeout.
+// idleWithin reports whether the connection has been idle briefly enough to be
+// reused. The limit is idleTimeoutFraction of its idle timeout. If maxIdle is
+// not 0, the connection must also have been idle for at most maxIdle.
 func (c *pooledConn) idleWithin(maxIdle time.Duration) bool {
 	idle := time.Since(c.idleSince)
 	if maxIdle > 0 && idle > maxIdle {
@@ -255,8 +261,9 @@
 	return idle < time.Duration(idleTimeoutFraction*float64(c.idleTimeout))
 }
 
-// readWouldBlock reports whether the server has neither closed the connection nor
-// sent anything since the last response.
+// readWouldBlock reports whether a read from the connection would block. A read
+// does not block if the server has closed the connection or has sent anything
+// since the last response.
 func (c *pooledConn) readWouldBlock() bool {
 	conn, ok := c.conn.(syscall.Conn)
 	if !ok {
@@ -276,17 +283,21 @@
 	return err == nil && wouldBlock
 }
 
-// headLimiter limits the size of the response head, which http.ReadResponse
-// does not.
+// headLimiter is a reader that limits the size of a response head, that is, the
+// status line and the headers. http.ReadResponse has no such limit.
 type headLimiter struct {
-	source    io.Reader
-	limited   bool
+	source  io.Reader
+	limited bool
+	// remaining is the number of bytes that may still be read while limited is
+	// set.
 	remaining int
 }
 
-// setLimit allows n more bytes to be read. clearLimit removes the limit.
+// setLimit allows n more bytes to be read.
 func (h *headLimiter) setLimit(n int) { h.limited, h.remaining = true, n }
-func (h *headLimiter) clearLimit()    { h.limited = false }
+
+// clearLimit removes the limit.
+func (h *headLimiter) clearLimit() { h.limited = false }
 
 // Read implements io.Reader.
 func (h *headLimiter) Read(p []byte) (int, error) {
--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -106,11 +106,12 @@
 	require.Equal(t, 1, s.connections())
 }
 
-// TestPoolMatchesResponsesToRequests checks that a request is not given a
-// response, or other bytes, that belong to an earlier request on the
-// connection.
+// TestPoolMatchesResponsesToRequests has the server send bytes that belong to
+// an earlier request on the connection, or none at all. The next request must
+// still get its own response.
 func TestPoolMatchesResponsesToRequests(t *testing.T) {
 	for name, c := range map[string]struct {
+		// first handles the first connection.
 		first func(c net.Conn, r *bufio.Reader)
 		// conns is the number of connections that two requests use.
 		conns int
@@ -157,8 +158,8 @@
 	}
 }
 
-// waitForReadable waits until the idle connection has unread data or was
-// closed by the server, or for 100ms.
+// waitForReadable waits until the server has sent data on the idle connection or
+// has closed it, at most for 100ms.
 func waitForReadable(p *Pool) {
 	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
@@ -171,8 +172,8 @@
 }
 
 // TestPoolReportsProgressOfFailedRequest checks that a failed request reports
-// whether it was sent and whether its response had started. Callers are told
-// that a request did not run only if it was not sent.
+// whether it was sent and whether its response had started. Only a request that
+// was not sent may be reported to the caller as not run.
 func TestPoolReportsProgressOfFailedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		handle                func(c net.Conn, r *bufio.Reader)
@@ -363,8 +364,8 @@
 	}
 }
 
-// TestEndlessHeadersAreRejected has the server send headers without end. The
-// Pool must close the connection well before it has read them all.
+// TestEndlessHeadersAreRejected has the server send response headers until it
+// has sent maxSent bytes. The Pool must close the connection well before.
 func TestEndlessHeadersAreRejected(t *testing.T) {
 	const maxSent = 64 << 20
 	sent := make(chan int, 1)
--- a/hop/replay.go
+++ b/hop/replay.go
@@ -7,20 +7,23 @@
 )
 
 // idempotencyHeaders are the headers that the Transport takes as permission to
-// retry a request. It retries a request if the body is absent, http.NoBody or
-// can be rewound, and either the method is GET, HEAD, OPTIONS or TRACE or the
-// request has one of these headers.
+// retry a request. The Transport retries a request only if it can send the body
+// again: the body is absent, is http.NoBody or can be rewound. In addition, the
+// method must be GET, HEAD, OPTIONS or TRACE, or the request must have one of
+// these headers.
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// lowercaseNames maps the idempotencyHeaders to a spelling that the Transport does
-// not recognize. Servers compare header names without regard to case.
+// lowercaseNames maps each of the idempotencyHeaders to a spelling that the
+// Transport does not recognize. Servers still do, because they compare header
+// names without regard to case.
 var lowercaseNames = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
 
-// setNotReplayable sets the body of a request, and renames headers, so that the
-// Transport does not retry the request once its first byte was written.
+// setNotReplayable sets the body of a request and renames the
+// idempotencyHeaders. The Transport then does not retry the request once its
+// first byte was written.
 func setNotReplayable(req *http.Request, body io.Reader) {
 	for _, name := range idempotencyHeaders {
 		if values, ok := req.Header[name]; ok {
@@ -33,8 +36,9 @@
 		// The wrapper hides all methods of the body other than Read.
 		req.Body = io.NopCloser(onlyReader{body})
 	case req.Method == http.MethodGet || req.Method == http.MethodHead || req.Method == http.MethodOptions:
-		// An empty body that is not http.NoBody. The Transport detects that
-		// it is empty and sends no body.
+		// The Transport does not retry a request with this body, because it is
+		// not http.NoBody. The Transport still detects that the body is empty,
+		// and sends none.
 		req.Body = emptyBody{}
 	default:
 		// Requests with other methods are not replayable once the headers
@@ -45,7 +49,7 @@
 }
 
 // setReplayable sets the body of a request as an ordinary client does, so that
-// the Transport can retry the request.
+// the Transport can retry the request. It is used if Client.unprotected is set.
 func setReplayable(req *http.Request, body io.Reader) {
 	reader, ok := body.(*bytes.Reader)
 	if !ok {
--- a/hop/replay_test.go
+++ b/hop/replay_test.go
@@ -20,10 +20,11 @@
 type droppingServer struct {
 	listener net.Listener
 	mu       sync.Mutex
-	// received holds the other requests, each with its body.
+	// received holds the requests for paths other than /warm, each with its
+	// body.
 	received []*http.Request
-	// drop drops a connection. It may write the first byte of a response
-	// before.
+	// drop drops a connection. It may first write the first byte of a
+	// response.
 	drop func(net.Conn)
 }
 
@@ -81,8 +82,8 @@
 	"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
 }
 
-// sendToDroppingServer sends one attempt over a reused connection, which is
-// when the Transport retries, and returns the requests that the server
+// sendToDroppingServer sends one attempt over a reused connection, because the
+// Transport retries only there. It returns the requests that the server
 // received.
 func sendToDroppingServer(t *testing.T, c *Client, drop func(net.Conn), method string, body []byte) []*http.Request {
 	d := startDroppingServer(t, drop)
--- a/hop/unsolicited_test.go
+++ b/hop/unsolicited_test.go
@@ -16,8 +16,8 @@
 const doubleResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmineHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 
 // countUnsolicited sends attempts to an upstream that sends two responses to
-// each, and counts the attempts that were given the second response of an
-// earlier one.
+// each attempt. It returns the number of attempts to which the Client delivered
+// the second response to an earlier attempt.
 func countUnsolicited(t *testing.T, c *Client, attempts int) int64 {
 	upstream, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
@@ -47,8 +47,9 @@
 
 // TestUnsolicitedResponseIsNotDelivered checks that no attempt is given a
 // response that was left over from an earlier attempt on the same connection.
-// It needs many attempts, because the Transport drops a connection with unread
-// bytes itself unless the next attempt is quicker.
+// The Transport itself drops a connection with unread bytes, unless the next
+// attempt is sent before the Transport has noticed the bytes. The test therefore
+// needs many attempts.
 func TestUnsolicitedResponseIsNotDelivered(t *testing.T) {
 	const attempts, rounds = 800, 100
 	require.Zero(t, countUnsolicited(t, NewClient(Options{}), attempts))
