--- a/delta/delta.go
+++ b/delta/delta.go
@@ -13,8 +13,8 @@
 // limit.
 var ErrTooLarge = errors.New("delta: document is too large")
 
-// Encode returns the delta from base to target. With an empty base it is the
-// compressed target.
+// Encode returns the delta from base to target. With an empty base, the delta is
+// the compressed target.
 func Encode(base, target []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -35,10 +35,10 @@
 }
 
 // Apply returns the document that results from applying delta to base. It
-// returns ErrTooLarge if the document is larger than maxSize bytes, and another
-// error if the delta is malformed, was made for a different base or has a wrong
-// checksum. For an empty delta, which Encode never returns, it returns an empty
-// document.
+// returns ErrTooLarge if the document is larger than maxSize bytes. It returns
+// another error if the delta is malformed, was made for a different base or has
+// a wrong checksum. For an empty delta it returns an empty document; Encode
+// never returns an empty delta.
 func Apply(base, delta []byte, maxSize int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
@@ -64,12 +64,12 @@
 	return target, nil
 }
 
-// documentID returns the dictionary ID by which a frame refers to its base
-// document. It is never 0, which means no dictionary.
+// documentID returns the dictionary ID by which a Zstandard frame refers to its
+// base document. The ID is never 0, because 0 means that there is no dictionary.
 func documentID(document []byte) uint32 { return max(uint32(xxhash.Sum64(document)), 1) }
 
-// windowSize returns a window size for size bytes: a power of two within the
-// limits of Zstandard.
+// windowSize returns the Zstandard window size for size bytes of base and
+// target. It is a power of two within the limits of Zstandard.
 func windowSize(size int) int {
 	return min(max(1<<bits.Len(uint(size)), zstd.MinWindowSize), zstd.MaxWindowSize)
 }
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -12,8 +12,9 @@
 
 const maxDocumentSize = 4 << 20
 
-// routesDocument returns a document with its version at the start and n routes.
-// The map replaces the targets of the routes with these indexes.
+// routesDocument returns a document that starts with its version and lists n
+// routes. The map targets holds the targets of some routes by route index; the
+// other routes have a default target.
 func routesDocument(version, n int, targets map[int]string) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":"%d","routes":[`, version)
@@ -78,9 +79,10 @@
 	require.ErrorIs(t, err, ErrTooLarge)
 }
 
-// TestCorruptDeltaNeverYieldsWrongDocument applies deltas with a flipped byte
-// and a cut end. The result must be an error or the document that was encoded.
-// A delta cut to no bytes is not checked: Apply returns an empty document for it.
+// TestCorruptDeltaNeverYieldsWrongDocument applies deltas in which a byte is
+// changed and the end is cut off. The result must be an error or the document
+// that was encoded. A delta cut to no bytes is not checked, because Apply returns
+// an empty document for it.
 func TestCorruptDeltaNeverYieldsWrongDocument(t *testing.T) {
 	base, target := routesDocument(1, 50, nil), routesDocument(2, 50, map[int]string{3: "other"})
 	d, err := Encode(base, target)
@@ -96,8 +98,8 @@
 	})
 }
 
-// BenchmarkDelta encodes and applies the change of one route, and a whole
-// document for a receiver without a base.
+// BenchmarkDelta encodes and applies the change of one route. It does the same
+// with a whole document, for a receiver without a base.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{120, 1600} {
 		base, target := routesDocument(1, n, nil), routesDocument(2, n, map[int]string{n / 2: "other"})
--- a/inbound/conn_test.go
+++ b/inbound/conn_test.go
@@ -14,6 +14,7 @@
 )
 
 // TestClosedByServer closes the connection of a request while its handler runs.
+// ClosedByServer must return false before and true afterwards.
 func TestClosedByServer(t *testing.T) {
 	for name, start := range map[string]func(*httptest.Server){
 		"plaintext": (*httptest.Server).Start,
@@ -45,8 +46,8 @@
 	}
 }
 
-// acceptConn opens a connection. It returns the context of a request on the
-// server's end, and the client's end.
+// acceptConn opens a connection. It returns the client's end, and the context
+// that a request on the server's end has.
 func acceptConn(t *testing.T) (context.Context, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/inbound/handler.go
+++ b/inbound/handler.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// AbortClosed returns a handler that aborts a request if the server has closed
-// its connection since the request was read, because the client would get no
-// response. The server has to use NewListener and ConnContext.
+// AbortClosed returns a handler that calls next. It aborts a request instead if
+// the server has closed the connection since the request was read: the client
+// would get no response. The server has to use NewListener and ConnContext.
 func AbortClosed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if ClosedByServer(r.Context()) {
@@ -14,9 +14,9 @@
 	})
 }
 
-// ReportPanics returns a handler that calls onPanic when next panics, before
-// net/http closes the connection. It does not report http.ErrAbortHandler, with
-// which a handler closes the connection on purpose.
+// ReportPanics returns a handler that calls next. If next panics, the handler
+// calls onPanic before net/http closes the connection. It does not report
+// http.ErrAbortHandler, with which a handler closes the connection on purpose.
 func ReportPanics(next http.Handler, onPanic func(r *http.Request, v any)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -20,10 +20,11 @@
 // ErrNoFreeNetwork is returned when every network is in use.
 var ErrNoFreeNetwork = errors.New("loopback: all networks are in use")
 
-// ListenFirstFree listens in the first free one of n networks and returns the
-// number of that network, from 0 to n-1. It tries them in order, beginning with
-// number start modulo n. The function address returns the address to listen on
-// in a network. The error is ErrNoFreeNetwork or an error of net.Listen.
+// ListenFirstFree listens in the first free one of n networks. It returns the
+// listener and the number of that network, from 0 to n-1. It tries the networks
+// in order, beginning with number start modulo n. The function address returns
+// the address to listen on in a network. The error is ErrNoFreeNetwork or an
+// error of net.Listen.
 func ListenFirstFree(start uint64, n int, address func(number int) string) (net.Listener, int, error) {
 	for i := range uint64(n) {
 		number := int((start + i) % uint64(n))
@@ -39,11 +40,12 @@
 // other ports.
 const claimPort = 6999
 
-// claimListeners keeps the listeners reachable until the process ends.
+// claimListeners holds the listeners of ClaimNetwork until the process ends.
+// Unreachable listeners would be closed by the garbage collector.
 var claimListeners []net.Listener
 
-// ClaimNetwork claims one of the n networks 127.N.0.0/16 from N = first on that
-// no other process has claimed, and returns its N. The error is that of
+// ClaimNetwork claims a network 127.N.0.0/16 that is not claimed yet, with N
+// from first to first+n-1, and returns its N. The error is that of
 // ListenFirstFree. ClaimNetwork is not safe for concurrent use.
 func ClaimNetwork(first, n int) (int, error) {
 	ln, number, err := ListenFirstFree(uint64(os.Getpid()), n, func(number int) string {
@@ -57,8 +59,8 @@
 }
 
 // OwnNetwork returns N of the network 127.N.0.0/16 of this process. The first
-// call claims it, from the networks 20 to 99 that all tests share. The error is
-// that of ClaimNetwork.
+// call claims the network; N is from 20 to 99. All tests share these networks.
+// The error is that of ClaimNetwork.
 var OwnNetwork = sync.OnceValues(func() (int, error) {
 	const first, networks = 20, 80
 	return ClaimNetwork(first, networks)
@@ -68,9 +70,9 @@
 var addressCount atomic.Int64
 
 // UnusedAddress returns an address in the network of this process that nobody
-// listens on, a different one on each call. Unlike a port that was opened and
-// closed again, it cannot be taken by another process or another test. The
-// error is that of OwnNetwork.
+// listens on, a different one on each call. No other process or test can listen
+// on it, as could happen with a port that was opened and closed again. The error
+// is that of OwnNetwork.
 func UnusedAddress() (string, error) {
 	const hostsPerSubnet, port = 250, 7000
 	network, err := OwnNetwork()
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestAllNetworksInUse listens in every network, then once more. The addresses
-// contain the process ID, so that the test can run in several processes at
+// depend on the process ID, so that the test can run in several processes at
 // once.
 func TestAllNetworksInUse(t *testing.T) {
 	const first, networks, hostsPerSubnet = 250, 4, 250
@@ -54,8 +54,8 @@
 	require.Equal(t, first, again)
 }
 
-// TestUnusedAddressesDiffer takes so many addresses that their third byte
-// changes too.
+// TestUnusedAddressesDiffer gets so many addresses that their third byte changes
+// too.
 func TestUnusedAddressesDiffer(t *testing.T) {
 	const addresses = 600
 	seen := map[string]bool{}
--- a/pause/doc.go
+++ b/pause/doc.go
@@ -1,5 +1,5 @@
-// Package pause implements exponential backoff for the system's own calls, such
-// as those to the metadata store, which are retried until one succeeds. Each
-// wait has a random part, so that daemons that failed at the same time do not
-// retry at the same time.
+// Package pause implements exponential backoff. It serves calls of the system
+// itself that are retried until one succeeds, such as calls to the metadata
+// store. Each wait has a random part, so that daemons whose calls failed at the
+// same time do not retry at the same time.
 package pause
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -13,6 +13,7 @@
 	// Min and Max bound the wait. Defaults: DefaultMin (100ms) and DefaultMax
 	// (3s).
 	Min, Max time.Duration
+	// failures counts the failures since the last success.
 	failures int
 }
 
@@ -25,9 +26,10 @@
 // maxDoublings keeps the shift in Next from overflowing.
 const maxDoublings = 16
 
-// Next counts a failure and returns how long to wait: a random duration between
-// half of a bound and the whole bound. The bound starts at Min and doubles with
-// each failure up to Max. If rng is nil, the global random source is used.
+// Next counts a failure and returns how long to wait before the next retry. The
+// wait is a random duration between half of a bound and the whole bound. The
+// bound starts at Min and doubles with each failure, up to Max. If rng is nil,
+// the global random source is used.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
 	low, high := b.Min, b.Max
 	if low <= 0 {
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -72,6 +72,8 @@
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
+// decodeValue decodes raw, the JSON value at path, into v. Fields of nested
+// structs are checked one by one.
 func decodeValue(path string, raw json.RawMessage, v reflect.Value) error {
 	hasUnmarshaler := reflect.PointerTo(v.Type()).Implements(unmarshalerType)
 	switch {
@@ -86,6 +88,7 @@
 	}
 }
 
+// decodeLeaf decodes a value that is not checked field by field.
 func decodeLeaf(path string, raw json.RawMessage, v reflect.Value) error {
 	if string(raw) == "null" {
 		return &FieldError{Path: path, Value: "null", Message: "want " + describeType(v.Type())}
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// fieldsByName returns the fields of the struct v by JSON name.
+// fieldsByName returns the fields of the struct v, keyed by JSON name.
 func fieldsByName(v reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value)
 	for i := range v.NumField() {
@@ -170,6 +173,8 @@
 	return path + "." + name
 }
 
+// describeType returns what JSON value an error message asks for when the Go
+// type of the field is t.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
--- a/wire/header.go
+++ b/wire/header.go
@@ -15,31 +15,45 @@
 // Headers of requests and responses that daemons exchange with callers and
 // upstreams. docs/CALLERS.md explains them.
 const (
-	HeaderService    = "Dottereltiller-Service"
-	HeaderTimeout    = "Dottereltiller-Timeout"
+	// HeaderService names the service that the caller calls.
+	HeaderService = "Dottereltiller-Service"
+	// HeaderTimeout is the time left until the deadline of the request, as a Go
+	// duration.
+	HeaderTimeout = "Dottereltiller-Timeout"
+	// HeaderIdempotent is "true" if the request may be executed more than once,
+	// else "false".
 	HeaderIdempotent = "Dottereltiller-Idempotent"
-	HeaderOutcome    = "Dottereltiller-Outcome"
-	HeaderReason     = "Dottereltiller-Reason"
-	HeaderCallToken  = "Dottereltiller-Call"
-	HeaderGroup      = "Dottereltiller-Group"
+	// HeaderOutcome is the outcome kind of a response to a caller.
+	HeaderOutcome = "Dottereltiller-Outcome"
+	// HeaderReason is the reason for the outcome.
+	HeaderReason = "Dottereltiller-Reason"
+	// HeaderCallToken carries a signed token from the guard to the upstream. The
+	// upstream passes the token on in the requests that it sends while it
+	// executes the call.
+	HeaderCallToken = "Dottereltiller-Call"
+	// HeaderGroup is not read by daemons: a caller cannot choose its group.
+	HeaderGroup = "Dottereltiller-Group"
 	// HeaderRefused marks a response with status 429 or 503 by which an
 	// upstream refuses a request that it has not started to execute. Its value
-	// is RefusedBeforeStart. Daemons do not forward it to callers.
-	HeaderRefused        = "Dottereltiller-Refused"
+	// is RefusedBeforeStart. Daemons do not forward the header to callers.
+	HeaderRefused = "Dottereltiller-Refused"
+	// HeaderIdempotencyKey is the caller's idempotency key.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	HeaderReplayed       = "Dottereltiller-Replayed"
+	// HeaderReplayed is "true" on a retained response that is sent again because
+	// the caller repeated a request with an idempotency key.
+	HeaderReplayed = "Dottereltiller-Replayed"
 )
 
 // RefusedBeforeStart is the value of HeaderRefused.
 const RefusedBeforeStart = "before-start"
 
 // internalPrefix starts the name of every internal header. Internal headers are
-// used between daemons only; they are removed from the requests of callers and
-// from the responses of upstreams.
+// used between daemons only. Daemons remove them from the requests of callers
+// and from the responses of upstreams.
 const internalPrefix = "Dottereltiller-Hop-"
 
-// Internal headers. Their names on the wire are fixed, also where a constant is
-// named differently.
+// Names of internal headers. Daemons of all versions use the same names, so a
+// name stays even where it differs from that of its constant.
 const (
 	// HeaderDestination names the component of the receiving daemon that is to
 	// handle the call.
@@ -65,15 +79,18 @@
 	headerLoad         = internalPrefix + "Load"
 )
 
-// Values of HeaderDestination. The owner is the component that executes the
-// requests whose idempotency keys belong to its daemon.
+// Values of HeaderDestination.
 const (
+	// DestinationGuard is the guard: the proxy in front of the upstreams of the
+	// receiving daemon's VM.
 	DestinationGuard = "guard"
+	// DestinationOwner is the owner: the component that executes the requests
+	// whose idempotency keys belong to the receiving daemon.
 	DestinationOwner = "owner"
 )
 
-// ErrIDMismatch is returned for a response that carries the ID of another call,
-// or none.
+// ErrIDMismatch is returned for a response that carries the ID of another call
+// or no ID.
 var ErrIDMismatch = errors.New("response does not carry the id of this call")
 
 // HeaderError reports an internal header with an invalid value.
@@ -85,7 +102,7 @@
 // Error returns the name and the value of the header.
 func (e *HeaderError) Error() string { return fmt.Sprintf("header %s: bad value %q", e.Name, e.Value) }
 
-// StripInternalHeaders removes all internal headers.
+// StripInternalHeaders removes all internal headers from h.
 func StripInternalHeaders(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(name, internalPrefix) {
@@ -94,9 +111,9 @@
 	}
 }
 
-// SetInternalHeaders encodes the call as internal headers. It uses an internal
-// header for the Idempotency-Key too, because net/http retries a request that
-// has the standard header when the connection is lost.
+// SetInternalHeaders encodes the call as internal headers. The idempotency key
+// gets an internal header too. If it were sent as Idempotency-Key, net/http
+// would retry the request when the connection is lost.
 func (c *Call) SetInternalHeaders(h http.Header) {
 	h.Set(headerID, c.ID)
 	h.Set(headerUpstream, string(c.Upstream))
@@ -117,7 +134,8 @@
 	}
 }
 
-// ReadCall decodes a Call from a request that another daemon sent.
+// ReadCall decodes a Call from a request that another daemon sent. It removes
+// the internal headers from the request. Its errors are of type *HeaderError.
 func ReadCall(r *http.Request) (*Call, error) {
 	header := r.Header
 	parser := headerParser{header: header}
@@ -155,8 +173,8 @@
 	return c, nil
 }
 
-// SetInternalHeaders encodes the result, other than the upstream's response, as
-// internal headers. The id is that of the Call.
+// SetInternalHeaders encodes the result as internal headers, except for the
+// upstream's response. The id is that of the Call.
 func (r *Result) SetInternalHeaders(h http.Header, id string) {
 	h.Set(headerID, id)
 	h.Set(headerOutcome, r.Outcome.Kind.String())
@@ -172,7 +190,8 @@
 }
 
 // ReadResult decodes the Result from the response to the Call with the given
-// id. A response with another id is rejected with ErrIDMismatch.
+// id. It returns ErrIDMismatch for a response without this id, and a
+// *HeaderError for an invalid internal header.
 func ReadResult(resp *http.Response, id string) (*Result, error) {
 	header := resp.Header
 	if header.Get(headerID) != id {
@@ -228,15 +247,15 @@
 	return string(b)
 }
 
-// parseLoad decodes the output of formatLoad. It rejects values that no guard
-// can have, such as negative ones.
+// parseLoad decodes the output of formatLoad. It returns a *HeaderError for a
+// value that no guard sends, such as a negative number.
 func parseLoad(s string) (model.Load, error) {
 	invalid := &HeaderError{Name: headerLoad, Value: s}
 	fields := strings.Fields(s)
 	if len(fields) != numLoadFields {
 		return model.Load{}, invalid
 	}
-	// Counts are non-negative int32 values.
+	// Counts are non-negative int32 values, which have 31 bits.
 	const countBits = 31
 	running, errRunning := strconv.ParseUint(fields[0], 10, countBits)
 	waiting, errWaiting := strconv.ParseUint(fields[1], 10, countBits)
@@ -265,13 +284,14 @@
 	}, nil
 }
 
-// headerParser parses the values of internal headers and keeps the first error.
+// headerParser parses the values of internal headers. It keeps the error of the
+// first invalid value.
 type headerParser struct {
 	header http.Header
 	err    error
 }
 
-// uint returns the value of a header as a number, 0 if the header is absent.
+// uint returns the value of a header as a number, or 0 if the header is absent.
 func (p *headerParser) uint(name string) uint64 {
 	s := p.header.Get(name)
 	if s == "" {
@@ -287,8 +307,8 @@
 // maxDuration is the longest duration accepted from another daemon.
 const maxDuration = 24 * time.Hour
 
-// duration returns the value of a header as a multiple of unit, 0 if the header
-// is absent.
+// duration returns the value of a header, which is a number of units. It returns
+// 0 if the header is absent or invalid.
 func (p *headerParser) duration(name string, unit time.Duration) time.Duration {
 	n := p.uint(name)
 	if n > uint64(maxDuration/unit) {
@@ -307,8 +327,8 @@
 	"Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// StripHopByHopHeaders removes hop-by-hop headers, including those listed in
-// Connection.
+// StripHopByHopHeaders removes the hop-by-hop headers from h, including the
+// headers that the Connection header lists.
 func StripHopByHopHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/wire/http.go
+++ b/wire/http.go
@@ -11,8 +11,9 @@
 )
 
 // WriteResult writes a result as the response to the daemon that sent the call,
-// and closes its body. If reading the body fails, WriteResult aborts the
-// connection, so that the other daemon sees the response as truncated.
+// and closes the result's body. The id is that of the Call. If the body cannot
+// be copied, WriteResult aborts the connection. The other daemon then sees that
+// the response is truncated.
 func WriteResult(w http.ResponseWriter, r *Result, id string) {
 	defer func() { _ = r.Body.Close() }()
 	header := w.Header()
@@ -44,7 +45,7 @@
 }
 
 // trailerBody copies the trailers of a response to its Result at the end of the
-// body. They are not known before.
+// body. The trailers are not known earlier.
 type trailerBody struct {
 	io.ReadCloser
 	resp   *http.Response
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// onlyReader and onlyWriter hide WriterTo and ReaderFrom, with which
-// io.CopyBuffer would not use its buffer.
+// onlyReader hides the io.WriterTo of a reader and onlyWriter the io.ReaderFrom
+// of a writer. With either of them io.CopyBuffer would not use its buffer.
 type (
 	onlyReader struct{ io.Reader }
 	onlyWriter struct{ io.Writer }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -14,34 +14,39 @@
 // guard, or to the daemon that owns the request's idempotency key.
 type Call struct {
 	// ID identifies this attempt and is never used again. The response repeats
-	// it.
+	// the ID.
 	ID string
-	// Method, Target, Host, Header, Body and ContentLength are those of the
-	// caller's request. Target is the request target in origin form.
-	// ContentLength is -1 when unknown. Body is nil for a request without a
-	// body. The receiver of a Call owns Header and may change it.
-	Method        string
-	Target        string
-	Host          string
-	Header        http.Header
-	Body          io.Reader
+	// Method is the HTTP method of the caller's request.
+	Method string
+	// Target is the target of the caller's request in origin form.
+	Target string
+	// Host is the host of the caller's request.
+	Host string
+	// Header holds the headers of the caller's request. The receiver of a Call
+	// owns Header and may change it.
+	Header http.Header
+	// Body is the body of the caller's request, or nil if it has none.
+	Body io.Reader
+	// ContentLength is the length of Body in bytes, or -1 if it is unknown.
 	ContentLength int64
 
-	// Service is the service called, Group the group of callers that the
-	// request is charged to.
+	// Service is the service called.
 	Service model.ServiceName
-	Group   model.GroupName
-	Caller  model.CallerName
-	// Upstream and Incarnation identify the upstream process that is to execute
-	// the request.
-	Upstream    model.UpstreamID
+	// Group is the group of callers that the request is charged to.
+	Group model.GroupName
+	// Caller is the caller, or empty if the caller is anonymous.
+	Caller model.CallerName
+	// Upstream is the upstream that is to execute the request.
+	Upstream model.UpstreamID
+	// Incarnation tells which process of the upstream is to execute the request:
+	// it rises with every restart of the upstream.
 	Incarnation model.Incarnation
 	// Idempotent marks a request that may be executed more than once.
 	Idempotent bool
-	// Attempt counts the attempts for the request, from 0.
+	// Attempt is the number of this attempt among those for the request, from 0.
 	Attempt int
-	// Depth is the number of calls that this one is nested in: 0 unless an
-	// upstream sent the request while executing another.
+	// Depth is the number of calls in which this call is nested. A call is
+	// nested in another one if the upstream that executes the other one sent it.
 	Depth int
 	// Key is the caller's idempotency key, or empty if the request has none.
 	Key string
@@ -49,9 +54,10 @@
 	Timeout time.Duration
 	// QueueTimeout is the longest time that the call may wait in the guard's
 	// queue. A call that has not started by then is rejected with outcome
-	// NotRun and reason "withdrawn". With 0 it is rejected unless it can start
-	// at once. QueueTimeout is ignored unless HasQueueTimeout is set.
-	QueueTimeout    time.Duration
+	// NotRun and reason "withdrawn". With 0, a call that cannot start at once is
+	// rejected.
+	QueueTimeout time.Duration
+	// HasQueueTimeout is set if QueueTimeout applies.
 	HasQueueTimeout bool
 }
 
@@ -59,25 +65,29 @@
 // response.
 type Result struct {
 	Outcome outcome.Outcome
-	// Status, Header, Body and ContentLength are the upstream's response. They
-	// are meaningful only when Outcome is Answered. That outcome is final once
-	// Body has been read to io.EOF. Any other read error means that the
-	// response is truncated and its outcome Unknown; a caller that has already
-	// been sent a part of the response must see it as truncated.
-	Status        int
-	Header        http.Header
-	Body          io.ReadCloser
+	// Status is the status code of the upstream's response. It is set only if
+	// Outcome is Answered; so are Header and ContentLength.
+	Status int
+	// Header holds the headers of the upstream's response.
+	Header http.Header
+	// Body is the body of the upstream's response. The outcome Answered is final
+	// once Body has been read to io.EOF. Any other read error means that the
+	// response is truncated and that its outcome is Unknown. If a part of the
+	// response has already been sent to the caller, the caller must see that the
+	// response is truncated.
+	Body io.ReadCloser
+	// ContentLength is the length of Body in bytes, or -1 if it is unknown.
 	ContentLength int64
 	// Trailer is set once Body has been read to io.EOF.
 	Trailer http.Header
-	// Load is the exact load of the upstream, as reported by its guard. It is
-	// present only if HasLoad is set.
-	Load    model.Load
+	// Load is the exact load of the upstream, as reported by its guard.
+	Load model.Load
+	// HasLoad is set if the guard reported a load.
 	HasLoad bool
 }
 
-// CancelOnClose makes closing the body also call cancel, and returns the
-// result.
+// CancelOnClose makes the Close method of the body call cancel too. It returns
+// the result.
 func (r *Result) CancelOnClose(cancel context.CancelFunc) *Result {
 	r.Body = &cancelingBody{ReadCloser: r.Body, cancel: cancel}
 	return r
