--- a/hop/client.go
+++ b/hop/client.go
@@ -178,8 +178,8 @@
 }
 
 // responseIsUnsolicited reports whether a response arrived although no byte of
-// the attempt was written. Such a response belongs to no attempt. The method
-// then also seals the connection.
+// the attempt was written. Such a response does not belong to the attempt. If
+// there is one, the method also seals the connection.
 func (a *attemptConn) responseIsUnsolicited() bool {
 	conn := a.conn.Load()
 	return conn != nil && !a.unprotected && conn.sealIfUnsent(a.writtenBefore.Load())
--- a/identity/caller.go
+++ b/identity/caller.go
@@ -19,10 +19,10 @@
 
 const bearerPrefix = "bearer "
 
-// AuthenticateCaller returns the caller of a request, the zero Caller when it is
-// anonymous. It reports false when the token or certificate is unknown, the
-// Authorization header is malformed, or token and certificate belong to different
-// callers.
+// AuthenticateCaller returns the caller of a request. The zero Caller is an
+// anonymous one. AuthenticateCaller reports false in three cases: the token or
+// certificate is unknown, the Authorization header is malformed, or token and
+// certificate belong to different callers.
 func AuthenticateCaller(callers CallerStore, r *http.Request) (policy.Caller, bool) {
 	byCertificate, hasCertificate, ok := callerByCertificate(callers, r)
 	if !ok {
@@ -43,8 +43,8 @@
 }
 
 // callerByCertificate returns the caller to which the verified client certificate
-// of a request belongs. hasCertificate is false when the request has none, and ok is
-// false when the certificate belongs to no caller.
+// of a request belongs. hasCertificate tells whether the request has such a
+// certificate. ok is false only when it has one that belongs to no caller.
 func callerByCertificate(callers CallerStore, r *http.Request) (c policy.Caller, hasCertificate, ok bool) {
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
 		return policy.Caller{}, false, true
--- a/identity/credentials.go
+++ b/identity/credentials.go
@@ -14,8 +14,8 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// FileError reports a file that the settings name and that cannot be read or
-// parsed.
+// FileError reports a file that cannot be read or parsed. The settings name the
+// file.
 type FileError struct {
 	// Path is the JSON path of the setting that names the file.
 	Path string
@@ -119,9 +119,10 @@
 }
 
 // CallerDialer returns a function with which a caller connects to daemons, with a
-// timeout for each connection. It uses TLS when the section names a certificate
-// authority, and sends the section's certificate, if any, as client certificate.
-// The path is the JSON path of the section, for error messages.
+// timeout for each connection. The function uses TLS when files names a
+// certificate authority, otherwise plaintext. With TLS it sends the certificate
+// in files, if any, as client certificate. The path is the JSON path of files in
+// the settings, for error messages.
 func CallerDialer(path string, files settings.TLS, timeout time.Duration) (DialFunc, error) {
 	dialer := &net.Dialer{Timeout: timeout}
 	if files.Authority == "" {
--- a/identity/doc.go
+++ b/identity/doc.go
@@ -1,11 +1,11 @@
 // Package identity authenticates callers and daemons.
 //
-// A caller authenticates itself with a bearer token, of which the configuration
-// holds only the hash, or with a client certificate whose subject name the
-// configuration lists. A caller without a token and a certificate is anonymous
-// and has no labels. A caller with an unknown token or certificate is refused
-// and not treated as anonymous, so that nobody is put into a group with a forged
-// or outdated credential.
+// A caller authenticates itself with a bearer token or with a client certificate.
+// The configuration holds only the hash of a token, and lists the subject names of
+// certificates. A caller with neither token nor certificate is anonymous and has
+// no labels. A caller with an unknown token or certificate is refused; it is not
+// treated as anonymous. So nobody gets into a group by a forged or outdated
+// credential.
 //
 // Daemons authenticate each other by a shared secret and, when TLS is configured,
 // also by certificates of one certificate authority. TLS is required on addresses
--- a/peer/choose.go
+++ b/peer/choose.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// maxLocalNeighbours and maxRemoteNeighbours are the number of neighbours
-	// in this daemon's availability zone and in other zones. Regular rounds
-	// choose peers from the neighbours only: a small stable set keeps its
-	// connections in use. Each daemon is also a neighbour of about as many
-	// others, so that the network of daemons stays connected.
-	maxLocalNeighbours  = 4
+	// maxLocalNeighbours limits the neighbours in this daemon's availability
+	// zone.
+	maxLocalNeighbours = 4
+	// maxRemoteNeighbours limits the neighbours in other availability zones.
 	maxRemoteNeighbours = 12
 	// unreachableProbability is the probability that a round also tries an
 	// unreachable peer.
 	unreachableProbability = 0.1
 )
 
-// neighbours are the peers that rounds choose from.
+// neighbours are the peers that rounds choose from. They are a small stable set,
+// so that the connections to them stay in use. Each daemon is also a neighbour
+// of about as many others, so that the network of daemons stays connected.
 type neighbours struct {
-	// chosenFrom is the list of peers that they were chosen from.
+	// chosenFrom is the list of peers that the neighbours were chosen from.
 	chosenFrom []Peer
-	// local are in this daemon's availability zone, remote in other zones.
+	// local holds the neighbours in this daemon's availability zone, remote those
+	// in other zones.
 	local, remote []Peer
 }
 
-// choosePeers returns up to n random neighbours: one local neighbour first,
-// then remote ones, then local ones again if there are too few. With
-// unreachableProbability it adds an unreachable peer.
+// choosePeers returns up to n random neighbours. The first is a local neighbour,
+// the next are remote ones. More local ones follow if there are too few remote
+// ones. With unreachableProbability, choosePeers adds an unreachable peer.
 func (e *Exchanger) choosePeers(n int) []Peer {
 	peers := e.opts.Peers()
 	e.mu.Lock()
@@ -65,8 +66,8 @@
 }
 
 // updateNeighbours chooses the neighbours again if the list of peers has
-// changed. If the list contains no other daemon, they are chosen from the
-// bootstrap peers. e.mu is held.
+// changed. If the list contains no other daemon, the neighbours are chosen from
+// the bootstrap peers. e.mu is held.
 func (e *Exchanger) updateNeighbours(peers []Peer) {
 	if e.neighbours.chosenFrom != nil && sameSlice(e.neighbours.chosenFrom, peers) {
 		return
@@ -101,8 +102,8 @@
 	return n
 }
 
-// peersWithHighestHash returns the n peers with the highest rendezvous hash for this
-// daemon.
+// peersWithHighestHash returns the n peers with the highest hash of the pair of
+// this daemon and the peer (rendezvous hashing). It sorts the peers in place.
 func (e *Exchanger) peersWithHighestHash(peers []Peer, n int) []Peer {
 	hash := func(p Peer) uint64 { return hashPair(e.opts.Self, p.ID) }
 	slices.SortFunc(peers, func(a, b Peer) int { return compareUint(hash(b), hash(a)) })
--- a/peer/client.go
+++ b/peer/client.go
@@ -53,8 +53,8 @@
 		options: []connect.ClientOption{
 			connect.WithInterceptors(authenticate(secret)),
 			connect.WithReadMaxBytes(maxMessageBytes),
-			// Messages are small and compact already; a gzip writer for each
-			// would cost more than the rest of a round.
+			// Gzip is turned off. Messages are small and compact already; a gzip
+			// writer for each would cost more than the rest of a round.
 			connect.WithAcceptCompression("gzip", nil, nil),
 		},
 	}
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,22 +1,23 @@
-// Package peer exchanges control messages between daemons over connect-go:
-// anti-entropy rounds, load queries, liveness pings and the handover of a
-// draining key owner.
+// Package peer exchanges control messages between daemons over connect-go. The
+// messages are anti-entropy rounds, load queries, liveness pings, and the
+// handover of idempotency keys by an owner that is draining.
 //
-// The state that rounds replicate is split into topics. A Topic summarizes its
-// state in a digest, computes the delta that the sender of another digest
-// lacks, and applies such deltas. The exchange treats digests and deltas as
-// opaque bytes.
+// Rounds replicate state that is split into topics. A Topic summarizes its state
+// in a digest. From the digest of another daemon it computes a delta: the part of
+// the state that the other daemon lacks. It also applies deltas from other
+// daemons. The exchange treats digests and deltas as opaque bytes.
 //
 // An Exchanger runs a round at every interval with a few random neighbours, one
 // of them in its own availability zone and the others in other zones.
 // Neighbours are a stable subset of the peers, so that connections are reused.
-// A round is push-pull: the request carries the digests of the requester; the
-// response carries the digests of the responder and the deltas that the
-// requester lacks; a second request carries the deltas that the responder
-// lacks.
 //
-// A daemon starts an extra round at once when a round changes one of its
-// digests, or when TriggerRound is called, so that updates spread like an
-// epidemic. A rate limiter bounds these extra rounds, and a token bucket bounds
-// the bytes of all rounds together.
+// A round is push-pull: it has three messages with each neighbour. The request
+// carries the digests of the requester. The response carries the digests of the
+// responder and the deltas that the requester lacks. A second request carries
+// the deltas that the responder lacks.
+//
+// A daemon starts an extra round at once, called a triggered round, in two
+// cases: a round has changed one of its digests, or TriggerRound was called.
+// Updates therefore spread like an epidemic. A rate limiter bounds the triggered
+// rounds, and a token bucket bounds the bytes of all rounds together.
 package peer
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -80,23 +80,27 @@
 	defaultMaxDeltaBytes   = 16 << 10
 	defaultTimeout         = time.Second
 
-	// triggeredRoundsPerSecond and triggeredRoundsBurst limit the rate of
-	// triggered rounds.
+	// triggeredRoundsPerSecond limits the rate of triggered rounds.
 	triggeredRoundsPerSecond = 2
-	triggeredRoundsBurst     = 4
-	// triggerDelay is the wait before a triggered round, so that one round
-	// serves several triggers in short succession.
+	// triggeredRoundsBurst is the number of triggered rounds that may start in
+	// direct succession, as the burst of triggerLimiter.
+	triggeredRoundsBurst = 4
+	// triggerDelay is the wait before a triggered round. All triggers during the
+	// wait are served by that round.
 	triggerDelay = 20 * time.Millisecond
 )
 
 // Exchanger runs anti-entropy rounds. It is safe for concurrent use.
 type Exchanger struct {
-	opts           Options
-	byteBudget     *rate.Limiter
+	opts Options
+	// byteBudget is the token bucket for the bytes of rounds.
+	byteBudget *rate.Limiter
+	// triggerLimiter limits the rate of triggered rounds.
 	triggerLimiter *rate.Limiter
-	// triggered receives a value when a round was requested.
-	triggered  chan struct{}
-	metrics    metrics
+	// triggered holds a value while a triggered round is requested.
+	triggered chan struct{}
+	metrics   metrics
+	// totalBytes is the result of TotalBytes.
 	totalBytes atomic.Int64
 
 	mu     sync.Mutex
@@ -105,7 +109,8 @@
 	// topicNames are the keys of topics in the order of registration.
 	topicNames []string
 	neighbours neighbours
-	lastRound  time.Time
+	// lastRound is the result of LastRound.
+	lastRound time.Time
 }
 
 // NewExchanger returns an Exchanger without topics.
@@ -211,9 +216,9 @@
 	return time.Duration(float64(e.opts.Interval) * (1 - jitter/2 + jitter*e.rng.Float64()))
 }
 
-// triggeredRound waits for triggerDelay and runs one round for all triggers
-// until then. If the rate limit is exceeded it does nothing, and the update is
-// sent in the next regular round.
+// triggeredRound waits for triggerDelay and then runs one round. The round also
+// serves the triggers that came during the wait. If the rate limit is exceeded,
+// triggeredRound does nothing, and the update is sent in the next regular round.
 func (e *Exchanger) triggeredRound(ctx context.Context) {
 	if !e.triggerLimiter.Allow() {
 		e.metrics.triggersLimited.Inc(1)
--- a/peer/exchanger_test.go
+++ b/peer/exchanger_test.go
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// network connects exchangers in one process, with a delay. One availability
-// zone can be isolated from the others.
+// network connects exchangers in one process. It delays every request. One
+// availability zone can be isolated from the others.
 type network struct {
 	mu           sync.Mutex
 	delay        time.Duration
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -2,17 +2,20 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics counts the rounds and deltas by result and the bytes of rounds. Limited
-// rounds and deltas were cut down because the byte budget was exhausted; limited
-// triggers were dropped by the rate limit.
+// metrics counts the rounds and deltas by result, and the bytes of rounds.
 type metrics struct {
-	rounds, roundsFailed, roundsLimited          tally.Counter
+	// roundsLimited counts the rounds that used only one peer because the byte
+	// budget was exhausted.
+	rounds, roundsFailed, roundsLimited tally.Counter
+	// deltasLimited counts the deltas that were limited to minDeltaBytes because
+	// the byte budget was exhausted.
 	deltasApplied, deltasRejected, deltasLimited tally.Counter
-	triggersLimited, bytes                       tally.Counter
+	// triggersLimited counts the triggers that the rate limit dropped.
+	triggersLimited, bytes tally.Counter
 }
 
 // newMetrics creates the metrics in a sub-scope of s. The names and labels of metrics
-// are fixed, also where a field is named differently.
+// must not change, even where a field has another name.
 func newMetrics(s tally.Scope) metrics {
 	if s == nil {
 		s = tally.NoopScope
--- a/peer/reader.go
+++ b/peer/reader.go
@@ -10,20 +10,21 @@
 )
 
 // logReadersPerZone is the number of daemons in an availability zone that read
-// the record log often. With three, a zone still follows the log on its own
-// when two of them fail at once.
+// the record log often. With three, a zone still follows the log on its own when
+// two of the three fail at once.
 const logReadersPerZone = 3
 
-// IsLogReader reports whether a daemon is one of the few in its availability
-// zone that read the record log often and send what they read to the others in
-// rounds.
+// IsLogReader reports whether a daemon is a log reader. The few log readers of an
+// availability zone read the record log often, and send what they read to the
+// other daemons in rounds.
 func IsLogReader(self model.DaemonID, zone model.AvailabilityZone, peers []Peer) bool {
 	return RendezvousRank(self, zone, peers) < logReadersPerZone
 }
 
-// RendezvousRank returns the position of a daemon among those of its
-// availability zone, from 0, when they are ordered by a hash of their names. A
-// daemon that is added or removed moves the others by at most one position.
+// RendezvousRank returns the position of a daemon, from 0, among the daemons of
+// its availability zone. They are ordered by a hash of their names, the highest
+// hash first. A daemon that is added or removed moves the others by at most one
+// position.
 func RendezvousRank(self model.DaemonID, zone model.AvailabilityZone, peers []Peer) int {
 	selfHash := xxhash.Sum64String(string(self))
 	rank := 0
@@ -39,7 +40,7 @@
 }
 
 // SamplePerZone returns up to n peers of each availability zone, sorted by zone.
-// Within a zone they are chosen and ordered pseudo-randomly by seed.
+// The seed determines which peers of a zone are chosen and in which order.
 func SamplePerZone(peers []Peer, n int, seed uint64) []Peer {
 	sorted := slices.Clone(peers)
 	key := func(p Peer) uint64 { return xxhash.Sum64String(string(p.ID)) ^ seed }
--- a/peer/round.go
+++ b/peer/round.go
@@ -22,10 +22,10 @@
 	maxTopicsPerMessage = 32
 )
 
-// Round runs one round with up to n peers and waits for its end. The first peer
-// gets a head start and the others follow in parallel: they then need not send
-// again what the first has sent already. When the byte budget is exhausted the
-// round uses the first peer only.
+// Round runs one round with up to n peers and waits until it has ended. It starts
+// with the first peer, waits up to firstPeerWait, and then starts with the others
+// in parallel. The others need not send again what the first peer has sent by
+// then. If the byte budget is exhausted, the number of peers is limited to one.
 func (e *Exchanger) Round(ctx context.Context, n int) {
 	if e.byteBudget.Tokens() <= 0 {
 		e.metrics.roundsLimited.Inc(1)
@@ -60,7 +60,8 @@
 	}
 }
 
-// exchange runs one push-pull round with a peer.
+// exchange runs one round with a peer: it gets the deltas that this daemon lacks
+// and sends those that the peer lacks.
 func (e *Exchanger) exchange(ctx context.Context, p Peer) {
 	ctx, cancel := context.WithTimeout(ctx, e.opts.Timeout)
 	defer cancel()
@@ -89,7 +90,8 @@
 	e.opts.OnResult(p, err)
 }
 
-// sendTopics sends one message to a peer and charges its bytes.
+// sendTopics sends one message to a peer. It charges the bytes of the message and
+// of its response.
 func (e *Exchanger) sendTopics(ctx context.Context, p Peer, topics []*peerv1.TopicMessage) (*peerv1.ExchangeResponse, error) {
 	req := &peerv1.ExchangeRequest{From: string(e.opts.Self), Zone: string(e.opts.Zone), Topics: topics}
 	resp, err := e.opts.Transport.Exchange(ctx, p.ID, req)
@@ -97,7 +99,9 @@
 	return resp, err
 }
 
-// Handle applies the deltas of a peer's message and returns the response.
+// Handle applies the deltas of a peer's message and returns the response. If the
+// message carries digests, the response carries the digests of this daemon and
+// the deltas that the peer lacks; otherwise the response is empty.
 func (e *Exchanger) Handle(req *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
 	e.apply(req.GetTopics())
 	resp := &peerv1.ExchangeResponse{}
@@ -109,8 +113,7 @@
 	return resp
 }
 
-// hasDigest reports whether a message carries digests. Only such a message is
-// answered with digests and deltas.
+// hasDigest reports whether a message carries at least one digest.
 func hasDigest(topics []*peerv1.TopicMessage) bool {
 	for _, t := range topics {
 		if t.Digest != nil {
@@ -129,8 +132,8 @@
 	return messages
 }
 
-// nonNil replaces nil by an empty slice, since a nil digest in a message means
-// that it has none.
+// nonNil replaces nil by an empty slice, because a nil digest means that the
+// message has no digest.
 func nonNil(b []byte) []byte {
 	if b == nil {
 		return []byte{}
@@ -138,8 +141,9 @@
 	return b
 }
 
-// deltas returns the deltas that a peer with the given digests lacks, as long
-// as the byte budget allows.
+// deltas returns the deltas that a peer with the given digests lacks. Each delta
+// is limited to MaxDeltaBytes and to the rest of the byte budget, but may always
+// have minDeltaBytes.
 func (e *Exchanger) deltas(digests []*peerv1.TopicMessage) []*peerv1.TopicMessage {
 	var messages []*peerv1.TopicMessage
 	for _, m := range limitTopics(digests) {
@@ -159,7 +163,7 @@
 	return messages
 }
 
-// apply applies a peer's deltas. If that changes the digest of a topic it
+// apply applies a peer's deltas. If a delta changes the digest of its topic, apply
 // triggers a round, which forwards the update.
 func (e *Exchanger) apply(messages []*peerv1.TopicMessage) {
 	changed := false
@@ -207,7 +211,7 @@
 	e.lastRound = time.Now()
 }
 
-// chargeBytes counts n bytes and takes them from the token bucket, which may
+// chargeBytes counts n bytes and takes them from the byte budget. The budget may
 // become negative.
 func (e *Exchanger) chargeBytes(n int) {
 	e.metrics.bytes.Inc(int64(n))
--- a/peer/service.go
+++ b/peer/service.go
@@ -39,8 +39,8 @@
 	errUnimplemented   = errors.New("message not implemented by this daemon")
 )
 
-// authenticate returns an interceptor that adds the secret to messages sent and
-// rejects received messages without it.
+// authenticate returns an interceptor for clients and servers. It adds the secret
+// to messages sent, and rejects received messages without the secret.
 func authenticate(secret string) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
--- a/settings/checker.go
+++ b/settings/checker.go
@@ -15,6 +15,7 @@
 	firstError *FieldError
 }
 
+// result returns the error of the first invalid field, or nil.
 func (c *checker) result() error {
 	if c.firstError == nil {
 		return nil
--- a/settings/keys.go
+++ b/settings/keys.go
@@ -10,18 +10,18 @@
 // daemon, its owner, which makes sure that a non-idempotent request with the key
 // runs at most once.
 type Keys struct {
-	// Grant is how far ahead of the present time a daemon's ownership reaches. An
-	// owner appends an extension to the log before its grant ends. A longer grant
-	// lets keyed requests survive a longer outage of the log, but the keys of an
-	// owner that crashed stay without an owner for as long.
+	// Grant is how far ahead of the present time a daemon's ownership of its keys
+	// reaches. An owner appends an extension to the log before its grant ends. With
+	// a longer grant, requests with a key survive a longer outage of the log. But
+	// if an owner crashes, its keys stay without an owner until the grant ends.
 	Grant policy.Duration `json:"grant"`
 	// Retention is how long a key is remembered, counted from the timestamp in
 	// the key.
 	Retention policy.Duration `json:"retention"`
 	// MaxClaims bounds the number of keys that are remembered.
 	MaxClaims int `json:"max_claims"`
-	// MaxAnswersBytes bounds the total size of the responses that are retained
-	// and sent again when a caller repeats a request.
+	// MaxAnswersBytes bounds the total size of the retained responses. A retained
+	// response is sent again when the caller repeats the request.
 	MaxAnswersBytes int `json:"max_answers_bytes"`
 	// MaxAnswerBytes is the size of the largest single response that is retained.
 	MaxAnswerBytes int64 `json:"max_answer_bytes"`
--- a/settings/network.go
+++ b/settings/network.go
@@ -35,7 +35,7 @@
 type Log struct {
 	// Address is host:port of the log server.
 	Address string `json:"address"`
-	// Interval is the polling interval of the log.
+	// Interval is the time between two reads of the log.
 	Interval policy.Duration `json:"interval"`
 }
 
@@ -55,8 +55,10 @@
 // TLS holds the names of files in PEM format. The files are read once, at the
 // start. When all names are empty, connections are in plaintext.
 type TLS struct {
+	// Certificate is this side's certificate.
 	Certificate string `json:"certificate"`
-	Key         string `json:"key"`
+	// Key is the private key of Certificate.
+	Key string `json:"key"`
 	// Authority is the certificate authority that verifies the other side's
 	// certificate.
 	Authority string `json:"authority"`
--- a/settings/process.go
+++ b/settings/process.go
@@ -10,19 +10,20 @@
 
 // Process configures shutdown and memory of the daemon's process.
 type Process struct {
-	// ShutdownTimeout bounds the whole shutdown. Requests still in flight when it
-	// ends are aborted.
+	// ShutdownTimeout bounds the whole shutdown. Requests that are still in flight
+	// at its end are aborted.
 	ShutdownTimeout policy.Duration `json:"shutdown_timeout"`
-	// DrainTime is how long at most, at the beginning of the shutdown, the daemon
-	// still accepts callers' requests while it asks callers and other daemons to
-	// close their connections. It is part of ShutdownTimeout.
+	// DrainTime bounds the first part of the shutdown. In this part the daemon
+	// still accepts callers' requests, and asks callers and other daemons to close
+	// their connections. DrainTime is part of ShutdownTimeout.
 	DrainTime policy.Duration `json:"drain_time"`
 	// MemoryLimitBytes is the soft memory limit of the Go runtime, as GOMEMLIMIT.
 	// 0 means no limit.
 	MemoryLimitBytes int64 `json:"memory_limit_bytes"`
 	// GCPercent is how far the heap may grow before the next garbage collection,
-	// in percent of the live heap, as GOGC. A larger value uses more memory but
-	// makes collections rarer. Each collection adds to the tail latency of calls.
+	// in percent of the live heap, as GOGC. With a larger value the daemon uses
+	// more memory and collects less often. Each collection adds to the tail
+	// latency of calls.
 	GCPercent int `json:"gc_percent"`
 }
 
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// BoundedMetrics holds one metric for each key, with a limit on the number of keys,
-// so that keys from the network cannot create metrics without end. It is safe for
+// BoundedMetrics holds one metric for each key. It limits the number of keys, so
+// that keys from the network cannot create metrics without end. It is safe for
 // concurrent use and does not allocate for a key that it holds.
 type BoundedMetrics[K comparable, M any] struct {
 	maxKeys     int
--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -2,6 +2,7 @@
 //
 // Every decision is counted by reason. Each component gets a tally.Scope in its
 // options and counts there; Metrics serves all scopes to Prometheus. Spans are
-// recorded by package trace. The log has lines only for changes of state, so the
-// on-call person looks at metrics first, then at spans, then at the log.
+// recorded by package trace. The log has lines only for changes of state.
+// Operators on call therefore look at metrics first, then at spans, then at the
+// log.
 package telemetry
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -15,8 +15,8 @@
 // Prefix is the prefix of all metric names.
 const Prefix = "dottereltiller"
 
-// reportInterval is the default report interval: served values are at most this
-// old.
+// reportInterval is the default report interval: the time between two updates of
+// the values that are served. Served values are at most this old.
 const reportInterval = time.Second
 
 // latencyBuckets are the histogram buckets of timers, in seconds.
@@ -63,9 +63,9 @@
 	return &Metrics{Scope: scope, reporter: reporter, registry: registry, closer: closer}
 }
 
-// sanitizeOptions returns the default rules for names, and allows dashes, dots,
-// colons and slashes in label values, so that reasons are spelled as in the
-// responses to callers.
+// sanitizeOptions returns the rules for characters in names and label values.
+// Those for names are the defaults. Label values may also contain dashes, dots,
+// colons and slashes, so that reasons are spelled as in the responses to callers.
 func sanitizeOptions() *tally.SanitizeOptions {
 	options := promreporter.DefaultSanitizerOpts
 	options.ValueCharacters.Characters = []rune{'_', '-', '.', ':', '/'}
--- a/telemetry/outcomes.go
+++ b/telemetry/outcomes.go
@@ -18,8 +18,8 @@
 }
 
 // maxOutcomes bounds the pairs of kind and reason that have a counter of their own.
-// Reasons are constants of package outcome, far fewer than this; only a faulty peer
-// can send others.
+// Reasons are constants of package outcome, which has far fewer than maxOutcomes.
+// Only a faulty peer can send other reasons.
 const maxOutcomes = 256
 
 // NewOutcomeCounter returns an OutcomeCounter that counts under the given name in
--- a/trace/render.go
+++ b/trace/render.go
@@ -41,7 +41,7 @@
 func (r Record) elapsed() time.Duration { return time.Duration(r.DurationUs) * time.Microsecond }
 
 // Complete reports whether the entry span is the only root. Otherwise a span is
-// missing, for example since a Ring has overwritten it.
+// missing, for example because a Ring has overwritten it.
 func (t *Tree) Complete() bool { return len(t.Roots) == 1 && t.Roots[0].Name == entrySpanName }
 
 // BuildTrees groups records into one tree for each trace. The records may come from
--- a/trace/ring.go
+++ b/trace/ring.go
@@ -26,10 +26,12 @@
 
 // Ring is a ring buffer of the most recent records. It is safe for concurrent use.
 type Ring struct {
-	mu        sync.Mutex
-	records   []Record
+	mu      sync.Mutex
+	records []Record
+	// nextIndex is the index in records that the next record is stored at.
 	nextIndex int
-	wrapped   bool
+	// wrapped is set once all of records is in use.
+	wrapped bool
 }
 
 // NewRing returns a Ring that holds up to size records. With size 0 it drops all
--- a/trace/span.go
+++ b/trace/span.go
@@ -74,7 +74,7 @@
 }
 
 // TracedGuard records a span around each call to the guard in the same process.
-// For calls from other daemons Tracer.Handler does the same.
+// Tracer.Handler records the span for a call from another daemon.
 type TracedGuard struct {
 	Next Forwarder
 }
--- a/wire/header.go
+++ b/wire/header.go
@@ -21,7 +21,7 @@
 	// duration.
 	HeaderTimeout = "Dottereltiller-Timeout"
 	// HeaderIdempotent is "true" if the request may be executed more than once,
-	// else "false".
+	// and "false" if not. Without it the configuration of the service decides.
 	HeaderIdempotent = "Dottereltiller-Idempotent"
 	// HeaderOutcome is the outcome kind of a response to a caller.
 	HeaderOutcome = "Dottereltiller-Outcome"
@@ -52,8 +52,8 @@
 // and from the responses of upstreams.
 const internalPrefix = "Dottereltiller-Hop-"
 
-// Names of internal headers. Daemons of all versions use the same names, so a
-// name stays even where it differs from that of its constant.
+// Names of internal headers. A name must not change, even where it differs from
+// that of its constant.
 const (
 	// HeaderDestination names the component of the receiving daemon that is to
 	// handle the call.
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -45,8 +45,8 @@
 	Idempotent bool
 	// Attempt is the number of this attempt among those for the request, from 0.
 	Attempt int
-	// Depth is the number of calls in which this call is nested. A call is
-	// nested in another one if the upstream that executes the other one sent it.
+	// Depth is the number of calls in which this call is nested. It is 0 unless
+	// an upstream sent the request while it executed another one.
 	Depth int
 	// Key is the caller's idempotency key, or empty if the request has none.
 	Key string
@@ -65,8 +65,8 @@
 // response.
 type Result struct {
 	Outcome outcome.Outcome
-	// Status is the status code of the upstream's response. It is set only if
-	// Outcome is Answered; so are Header and ContentLength.
+	// Status is the status code of the upstream's response. Status, Header, Body
+	// and ContentLength are meaningful only if Outcome is Answered.
 	Status int
 	// Header holds the headers of the upstream's response.
 	Header http.Header
