--- a/hop/replay_test.go
+++ b/hop/replay_test.go
@@ -103,7 +103,7 @@
 	return d.requests()
 }
 
-var methods = []string{
+var httpMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, "PROPFIND", "RELEASE",
 }
@@ -112,7 +112,7 @@
 // an attempt whose connection is dropped after the server received the request.
 func TestNoReplayAfterDroppedConnection(t *testing.T) {
 	for name, drop := range dropMethods {
-		for _, method := range methods {
+		for _, method := range httpMethods {
 			for _, body := range [][]byte{nil, []byte("two parcels")} {
 				t.Run(fmt.Sprintf("%s/%s/%d bytes", name, method, len(body)), func(t *testing.T) {
 					c := NewClient(Options{})
@@ -133,7 +133,7 @@
 // TestTransportReplaysUnprotectedAttempts shows that the protection is needed:
 // without it the Transport sends each of these attempts more than once.
 func TestTransportReplaysUnprotectedAttempts(t *testing.T) {
-	for _, method := range methods {
+	for _, method := range httpMethods {
 		for _, body := range [][]byte{nil, []byte("two parcels")} {
 			t.Run(fmt.Sprintf("%s/%d bytes", method, len(body)), func(t *testing.T) {
 				c := NewClient(Options{})
