--- a/exitcode/exitcode.go
+++ b/exitcode/exitcode.go
@@ -14,8 +14,8 @@
 	// Invariant means that the daemon stopped because an internal invariant was
 	// violated; see package core/invariant.
 	Invariant = 3
-	// Interrupted means that the user interrupted the program. It is 128 plus the
-	// number of SIGINT, the convention of shells.
+	// Interrupted means that the user interrupted the program. By the convention of
+	// shells it is 128 plus the number of the signal SIGINT.
 	Interrupted = 130
 )
 
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -16,8 +16,8 @@
 type PoolOptions struct {
 	// DialTimeout limits the time to connect. Default: 1s.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept if the server does not
-	// announce a shorter timeout. Default: 8s.
+	// IdleTimeout is how long an idle connection is kept. A timeout that the
+	// server announces in a Keep-Alive header takes its place. Default: 8s.
 	IdleTimeout time.Duration
 	// TCPUserTimeout is how long sent bytes may stay unacknowledged before the
 	// connection is closed. Default: 1500ms.
@@ -75,8 +75,9 @@
 }
 
 // NewDialer returns a dialer whose connections are closed within a bounded time
-// when the network path is dead: after userTimeout if sent bytes stay
-// unacknowledged, and by TCP keep-alive if the connection is idle.
+// if the network path is dead. A connection with unacknowledged bytes is closed
+// after userTimeout. An idle connection is closed by TCP keep-alive. The timeout
+// limits the time to connect.
 func NewDialer(timeout, userTimeout time.Duration) net.Dialer {
 	return net.Dialer{
 		Timeout: timeout,
--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -53,8 +53,8 @@
 }
 
 // ClosedByServer reports whether the server has closed the connection of the
-// request with the given context. net/http itself reports this only after the
-// handler has returned.
+// request with the given context. net/http itself reports the close only after
+// the handler has returned.
 func ClosedByServer(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*trackedConn)
 	return ok && c.closedByServer.Load()
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -41,7 +41,8 @@
 	// of them, so that the two sides of a healed partition find each other
 	// again. Nil means none.
 	Unreachable func() []Peer
-	// OnResult, if set, is called with the result of the round with each peer.
+	// OnResult, if set, is called for each peer of a round with the error of the
+	// exchange, or nil.
 	OnResult func(Peer, error)
 	// BootstrapPeers are used as long as Peers returns no other daemon.
 	BootstrapPeers []Peer
--- a/peer/round.go
+++ b/peer/round.go
@@ -197,7 +197,7 @@
 	return out
 }
 
-// topic returns the topic with a name, or nil.
+// topic returns the topic with the given name, or nil.
 func (e *Exchanger) topic(name string) Topic {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/settings/process.go
+++ b/settings/process.go
@@ -66,7 +66,7 @@
 	c.oneOf("logging.level", l.Level, "debug", "info", "warn", "error")
 }
 
-// SlogLevel returns Level as a slog.Level, slog.LevelInfo when it is not valid.
+// SlogLevel returns Level as a slog.Level, or slog.LevelInfo if Level is not valid.
 func (l Logging) SlogLevel() slog.Level {
 	var level slog.Level
 	if level.UnmarshalText([]byte(l.Level)) != nil {
@@ -83,11 +83,11 @@
 	// Endpoint is host:port of a collector that accepts OTLP over HTTP.
 	Endpoint string `json:"endpoint"`
 	// Sample is the share, 0 to 1, of the requests without a traceparent header
-	// that are traced. For other requests the caller's sampled flag decides.
-	// 0 turns tracing off for all requests.
+	// that are traced. If a request has the header, the sampled flag in it decides.
+	// 0 turns tracing off for all requests, with or without the header.
 	Sample float64 `json:"sample"`
-	// Keep is the number of recent spans that the daemon holds in memory, where
-	// "dottereltiller trace" reads them.
+	// Keep is the number of recent spans that the daemon holds in memory.
+	// "dottereltiller trace" reads these spans.
 	Keep int `json:"keep"`
 }
 
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// decodeLeaf decodes a value that is not checked field by field.
+// decodeLeaf decodes a value as a whole with json.Unmarshal.
 func decodeLeaf(path string, raw json.RawMessage, v reflect.Value) error {
 	if string(raw) == "null" {
 		return &FieldError{Path: path, Value: "null", Message: "want " + describeType(v.Type())}
@@ -173,8 +173,8 @@
 	return path + "." + name
 }
 
-// describeType returns what JSON value an error message asks for when the Go
-// type of the field is t.
+// describeType describes the JSON values that a Go type accepts, for error
+// messages.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -87,7 +87,8 @@
 	require.Empty(t, serveTraced(tr, ""))
 }
 
-// traceAttempt makes the calls to this package that forwarding one attempt makes.
+// traceAttempt makes the same calls to this package as the code that forwards an
+// attempt.
 func traceAttempt(ctx context.Context, call *wire.Call) {
 	ctx, span := Start(ctx, "attempt")
 	span.SetCallAttributes(call)
--- a/trace/tracer.go
+++ b/trace/tracer.go
@@ -37,8 +37,8 @@
 	// Stdout is the writer that ExporterStdout writes spans to.
 	Stdout io.Writer
 	// SampleRatio is the share, 0 to 1, of the requests without a traceparent
-	// header that are traced. For other requests the caller's sampled flag
-	// decides. 0 turns tracing off for all requests.
+	// header that are traced. If a request has the header, the sampled flag in it
+	// decides. 0 turns tracing off for all requests, with or without the header.
 	SampleRatio float64
 	// RecentSpans is the number of spans that Tracer.Recent holds.
 	RecentSpans int
