--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -106,9 +106,9 @@
 	require.Equal(t, 1, s.connections())
 }
 
-// TestPoolMatchesResponsesToRequests has the server send bytes that belong to
-// an earlier request on the connection, or none at all. The next request must
-// still get its own response.
+// TestPoolMatchesResponsesToRequests has the first connection deliver a second
+// response to a request, stray bytes, or a response that ends the connection.
+// The next request must still get its own response.
 func TestPoolMatchesResponsesToRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		// first handles the first connection.
--- a/hop/replay.go
+++ b/hop/replay.go
@@ -14,8 +14,8 @@
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
 // lowercaseNames maps each of the idempotencyHeaders to a spelling that the
-// Transport does not recognize. Servers still do, because they compare header
-// names without regard to case.
+// Transport does not recognize. Servers recognize the spelling, because they
+// compare header names without regard to case.
 var lowercaseNames = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
--- a/hop/replay_test.go
+++ b/hop/replay_test.go
@@ -23,7 +23,7 @@
 	// received holds the requests for paths other than /warm, each with its
 	// body.
 	received []*http.Request
-	// drop drops a connection. It may first write the first byte of a
+	// drop drops a connection. Before that it may write the first byte of a
 	// response.
 	drop func(net.Conn)
 }
--- a/wire/header.go
+++ b/wire/header.go
@@ -13,7 +13,7 @@
 )
 
 // Headers of requests and responses that daemons exchange with callers and
-// upstreams. docs/CALLERS.md explains them.
+// upstreams. docs/CALLERS.md explains how callers and upstreams use them.
 const (
 	// HeaderService names the service that the caller calls.
 	HeaderService = "Dottereltiller-Service"
@@ -59,7 +59,9 @@
 	// handle the call.
 	HeaderDestination = internalPrefix + "Kind"
 	// HeaderAuth carries the secret by which daemons authenticate each other.
-	HeaderAuth         = internalPrefix + "Auth"
+	HeaderAuth = internalPrefix + "Auth"
+	// headerID and the headers below hold the fields of a Call or a Result that
+	// have the same name as the constant.
 	headerID           = internalPrefix + "Id"
 	headerUpstream     = internalPrefix + "Upstream"
 	headerIncarnation  = internalPrefix + "Incarnation"
