--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -106,11 +106,12 @@
 	require.Equal(t, 1, s.connections())
 }
 
-// TestPoolMatchesResponsesToRequests checks that a request is not given a
-// response, or other bytes, that belong to an earlier request on the
-// connection.
+// TestPoolMatchesResponsesToRequests has the first connection deliver a second
+// response to a request, stray bytes, or a response that ends the connection.
+// The next request must still get its own response.
 func TestPoolMatchesResponsesToRequests(t *testing.T) {
 	for name, c := range map[string]struct {
+		// first handles the first connection.
 		first func(c net.Conn, r *bufio.Reader)
 		// conns is the number of connections that two requests use.
 		conns int
@@ -148,7 +149,7 @@
 			defer p.Close()
 			_, err := p.Do(t.Context(), requestWithID("1"))
 			require.NoError(t, err)
-			waitForUnreadData(p)
+			waitForReadable(p)
 			resp, err := p.Do(t.Context(), requestWithID("2"))
 			require.NoError(t, err)
 			require.Equal(t, "2", resp.Header.Get("Id"))
@@ -157,22 +158,22 @@
 	}
 }
 
-// waitForUnreadData waits until the idle connection has unread data or was
-// closed by the server, or for 100ms.
-func waitForUnreadData(p *Pool) {
+// waitForReadable waits until the server has sent data on the idle connection or
+// has closed it, at most for 100ms.
+func waitForReadable(p *Pool) {
 	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
-		noData := len(p.idle) > 0 && p.idle[0].noUnreadData()
+		wouldBlock := len(p.idle) > 0 && p.idle[0].readWouldBlock()
 		p.mu.Unlock()
-		if !noData {
+		if !wouldBlock {
 			return
 		}
 	}
 }
 
 // TestPoolReportsProgressOfFailedRequest checks that a failed request reports
-// whether it was sent and whether its response had started. Callers are told
-// that a request did not run only if it was not sent.
+// whether it was sent and whether its response had started. Only a request that
+// was not sent may be reported to the caller as not run.
 func TestPoolReportsProgressOfFailedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		handle                func(c net.Conn, r *bufio.Reader)
@@ -237,7 +238,7 @@
 	_, err := p.Do(t.Context(), requestWithID("1"))
 	require.NoError(t, err)
 	<-closed
-	waitForUnreadData(p)
+	waitForReadable(p)
 	_, err = p.Do(t.Context(), requestWithID("2"))
 	require.NoError(t, err)
 	require.Equal(t, 2, s.connections())
@@ -363,8 +364,8 @@
 	}
 }
 
-// TestEndlessHeadersAreRejected has the server send headers without end. The
-// Pool must close the connection well before it has read them all.
+// TestEndlessHeadersAreRejected has the server send response headers until it
+// has sent maxSent bytes. The Pool must close the connection well before.
 func TestEndlessHeadersAreRejected(t *testing.T) {
 	const maxSent = 64 << 20
 	sent := make(chan int, 1)
--- a/hop/replay_test.go
+++ b/hop/replay_test.go
@@ -20,10 +20,11 @@
 type droppingServer struct {
 	listener net.Listener
 	mu       sync.Mutex
-	// received holds the other requests, each with its body.
+	// received holds the requests for paths other than /warm, each with its
+	// body.
 	received []*http.Request
-	// drop drops a connection. It may write the first byte of a response
-	// before.
+	// drop drops a connection. Before that it may write the first byte of a
+	// response.
 	drop func(net.Conn)
 }
 
@@ -81,8 +82,8 @@
 	"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
 }
 
-// sendToDroppingServer sends one attempt over a reused connection, which is
-// when the Transport retries, and returns the requests that the server
+// sendToDroppingServer sends one attempt over a reused connection, because the
+// Transport retries only there. It returns the requests that the server
 // received.
 func sendToDroppingServer(t *testing.T, c *Client, drop func(net.Conn), method string, body []byte) []*http.Request {
 	d := startDroppingServer(t, drop)
@@ -102,7 +103,7 @@
 	return d.requests()
 }
 
-var methods = []string{
+var httpMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, "PROPFIND", "RELEASE",
 }
@@ -111,7 +112,7 @@
 // an attempt whose connection is dropped after the server received the request.
 func TestNoReplayAfterDroppedConnection(t *testing.T) {
 	for name, drop := range dropMethods {
-		for _, method := range methods {
+		for _, method := range httpMethods {
 			for _, body := range [][]byte{nil, []byte("two parcels")} {
 				t.Run(fmt.Sprintf("%s/%s/%d bytes", name, method, len(body)), func(t *testing.T) {
 					c := NewClient(Options{})
@@ -132,7 +133,7 @@
 // TestTransportReplaysUnprotectedAttempts shows that the protection is needed:
 // without it the Transport sends each of these attempts more than once.
 func TestTransportReplaysUnprotectedAttempts(t *testing.T) {
-	for _, method := range methods {
+	for _, method := range httpMethods {
 		for _, body := range [][]byte{nil, []byte("two parcels")} {
 			t.Run(fmt.Sprintf("%s/%d bytes", method, len(body)), func(t *testing.T) {
 				c := NewClient(Options{})
@@ -148,12 +149,12 @@
 // Content-Length exactly if their method requires one.
 func TestContentLengthOfEmptyBody(t *testing.T) {
 	for method, want := range map[string]struct {
-		length string
-		coding []string
+		contentLength    string
+		transferEncoding []string
 	}{
-		http.MethodPost:   {length: "0"},
-		http.MethodPut:    {length: "0"},
-		http.MethodPatch:  {length: "0"},
+		http.MethodPost:   {contentLength: "0"},
+		http.MethodPut:    {contentLength: "0"},
+		http.MethodPatch:  {contentLength: "0"},
 		http.MethodGet:    {},
 		http.MethodHead:   {},
 		http.MethodDelete: {},
@@ -164,8 +165,8 @@
 			defer c.CloseIdle()
 			received := sendToDroppingServer(t, c, dropMethods["closed"], method, nil)
 			require.Len(t, received, 1)
-			require.Equal(t, want.length, received[0].Header.Get("Content-Length"))
-			require.Equal(t, want.coding, received[0].TransferEncoding)
+			require.Equal(t, want.contentLength, received[0].Header.Get("Content-Length"))
+			require.Equal(t, want.transferEncoding, received[0].TransferEncoding)
 		})
 	}
 }
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -24,13 +24,13 @@
 }
 
 // TestAllNetworksInUse listens in every network, then once more. The addresses
-// contain the process ID, so that the test can run in several processes at
+// depend on the process ID, so that the test can run in several processes at
 // once.
 func TestAllNetworksInUse(t *testing.T) {
-	const first, networks, hosts = 250, 4, 250
+	const first, networks, hostsPerSubnet = 250, 4, 250
 	pid := os.Getpid()
 	address := func(n int) string {
-		return fmt.Sprintf("127.%d.%d.%d:%d", first+n, pid/hosts%hosts, 1+pid%hosts, claimPort)
+		return fmt.Sprintf("127.%d.%d.%d:%d", first+n, pid/hostsPerSubnet%hostsPerSubnet, 1+pid%hostsPerSubnet, claimPort)
 	}
 	seen := map[int]bool{}
 	for range networks {
@@ -54,8 +54,8 @@
 	require.Equal(t, first, again)
 }
 
-// TestUnusedAddressesDiffer takes so many addresses that their third byte
-// changes too.
+// TestUnusedAddressesDiffer gets so many addresses that their third byte changes
+// too.
 func TestUnusedAddressesDiffer(t *testing.T) {
 	const addresses = 600
 	seen := map[string]bool{}
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -13,6 +13,7 @@
 	// Min and Max bound the wait. Defaults: DefaultMin (100ms) and DefaultMax
 	// (3s).
 	Min, Max time.Duration
+	// failures counts the failures since the last success.
 	failures int
 }
 
@@ -25,9 +26,10 @@
 // maxDoublings keeps the shift in Next from overflowing.
 const maxDoublings = 16
 
-// Next counts a failure and returns how long to wait: a random duration between
-// half of a bound and the whole bound. The bound starts at Min and doubles with
-// each failure up to Max. If rng is nil, the global random source is used.
+// Next counts a failure and returns how long to wait before the next retry. The
+// wait is a random duration between half of a bound and the whole bound. The
+// bound starts at Min and doubles with each failure, up to Max. If rng is nil,
+// the global random source is used.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
 	low, high := b.Min, b.Max
 	if low <= 0 {
@@ -38,11 +40,11 @@
 	}
 	bound := min(low<<min(b.failures, maxDoublings), high)
 	b.failures++
-	random := rand.Int64N
+	int64N := rand.Int64N
 	if rng != nil {
-		random = rng.Int64N
+		int64N = rng.Int64N
 	}
-	return bound/2 + time.Duration(random(int64(bound/2)+1))
+	return bound/2 + time.Duration(int64N(int64(bound/2)+1))
 }
 
 // Wait counts a failure and sleeps for the duration that Next returns. If the
--- a/settings/process.go
+++ b/settings/process.go
@@ -10,19 +10,20 @@
 
 // Process configures shutdown and memory of the daemon's process.
 type Process struct {
-	// ShutdownTimeout bounds the whole shutdown. Requests still in flight when it
-	// ends are aborted.
+	// ShutdownTimeout bounds the whole shutdown. Requests that are still in flight
+	// at its end are aborted.
 	ShutdownTimeout policy.Duration `json:"shutdown_timeout"`
-	// DrainTime is how long at most, at the beginning of the shutdown, the daemon
-	// still accepts callers' requests while it asks callers and other daemons to
-	// close their connections. It is part of ShutdownTimeout.
+	// DrainTime bounds the first part of the shutdown. In this part the daemon
+	// still accepts callers' requests, and asks callers and other daemons to close
+	// their connections. DrainTime is part of ShutdownTimeout.
 	DrainTime policy.Duration `json:"drain_time"`
 	// MemoryLimitBytes is the soft memory limit of the Go runtime, as GOMEMLIMIT.
 	// 0 means no limit.
 	MemoryLimitBytes int64 `json:"memory_limit_bytes"`
 	// GCPercent is how far the heap may grow before the next garbage collection,
-	// in percent of the live heap, as GOGC. A larger value uses more memory but
-	// makes collections rarer. Each collection adds to the tail latency of calls.
+	// in percent of the live heap, as GOGC. With a larger value the daemon uses
+	// more memory and collects less often. Each collection adds to the tail
+	// latency of calls.
 	GCPercent int `json:"gc_percent"`
 }
 
@@ -65,7 +66,7 @@
 	c.oneOf("logging.level", l.Level, "debug", "info", "warn", "error")
 }
 
-// SlogLevel returns Level as a slog.Level, slog.LevelInfo when it is not valid.
+// SlogLevel returns Level as a slog.Level, or slog.LevelInfo if Level is not valid.
 func (l Logging) SlogLevel() slog.Level {
 	var level slog.Level
 	if level.UnmarshalText([]byte(l.Level)) != nil {
@@ -82,11 +83,11 @@
 	// Endpoint is host:port of a collector that accepts OTLP over HTTP.
 	Endpoint string `json:"endpoint"`
 	// Sample is the share, 0 to 1, of the requests without a traceparent header
-	// that are traced. For other requests the caller's sampled flag decides.
-	// 0 turns tracing off for all requests.
+	// that are traced. If a request has the header, the sampled flag in it decides.
+	// 0 turns tracing off for all requests, with or without the header.
 	Sample float64 `json:"sample"`
-	// Keep is the number of recent spans that the daemon holds in memory, where
-	// "dottereltiller trace" reads them.
+	// Keep is the number of recent spans that the daemon holds in memory.
+	// "dottereltiller trace" reads these spans.
 	Keep int `json:"keep"`
 }
 
