--- a/cmd/dottereltiller/diff.go
+++ b/cmd/dottereltiller/diff.go
@@ -19,7 +19,7 @@
 }
 
 func (c *diffCmd) run(ctx context.Context) error {
-	ctx, cancel := c.context(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	if (c.To == 0) == (len(c.Files) == 0) {
 		return usageError{errors.New("either files or --to is required")}
--- a/cmd/dottereltiller/history.go
+++ b/cmd/dottereltiller/history.go
@@ -17,7 +17,7 @@
 }
 
 func (c *historyCmd) run(ctx context.Context) error {
-	ctx, cancel := c.context(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	view, err := operator.NewView(ctx, c.client())
 	if err != nil {
--- a/cmd/dottereltiller/logflags.go
+++ b/cmd/dottereltiller/logflags.go
@@ -21,7 +21,7 @@
 
 func (f logFlags) client() recordlog.Log { return recordlog.NewClient(f.Log) }
 
-func (f logFlags) context(ctx context.Context) (context.Context, context.CancelFunc) {
+func (f logFlags) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, f.Timeout)
 }
 
--- a/cmd/dottereltiller/publish.go
+++ b/cmd/dottereltiller/publish.go
@@ -18,7 +18,7 @@
 	WaitTimeout time.Duration `arg:"--wait-timeout" default:"30s" help:"timeout of --wait"`
 }
 
-func (f waitFlags) check() error {
+func (f waitFlags) checkWaitFlags() error {
 	if f.Wait && f.Daemon == "" {
 		return usageError{errors.New("--wait needs --daemon")}
 	}
@@ -50,7 +50,7 @@
 }
 
 func (c *publishCmd) run(ctx context.Context) error {
-	if err := c.check(); err != nil {
+	if err := c.checkWaitFlags(); err != nil {
 		return err
 	}
 	docs, err := readDocuments(c.Files)
@@ -60,7 +60,7 @@
 	p := operator.Proposal{
 		Author: c.author(), Comment: c.Comment, Documents: docs, Prune: c.Prune, Base: model.Version(c.Base),
 	}
-	logCtx, cancel := c.context(ctx)
+	logCtx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	if c.DryRun {
 		plan, err := operator.Plan(logCtx, c.client(), p)
--- a/cmd/dottereltiller/rollback.go
+++ b/cmd/dottereltiller/rollback.go
@@ -16,10 +16,10 @@
 }
 
 func (c *rollbackCmd) run(ctx context.Context) error {
-	if err := c.check(); err != nil {
+	if err := c.checkWaitFlags(); err != nil {
 		return err
 	}
-	logCtx, cancel := c.context(ctx)
+	logCtx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	if c.Comment == "" {
 		c.Comment = fmt.Sprintf("roll back to version %d", c.To)
--- a/cmd/dottereltiller/startover.go
+++ b/cmd/dottereltiller/startover.go
@@ -14,7 +14,7 @@
 }
 
 func (c *startOverCmd) run(ctx context.Context) error {
-	ctx, cancel := c.context(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	if err := operator.StartOver(ctx, c.client(), model.Version(c.Version)); err != nil {
 		return err
--- a/cmd/dottereltiller/status.go
+++ b/cmd/dottereltiller/status.go
@@ -29,11 +29,11 @@
 	if err != nil {
 		return err
 	}
-	var state daemon.Status
-	if err := admin.Get(ctx, c.Daemon, "/status", &state); err != nil {
+	var status daemon.Status
+	if err := admin.Get(ctx, c.Daemon, "/status", &status); err != nil {
 		return err
 	}
-	if err := c.print(statusReport{Zones: zones, Daemon: state}); err != nil {
+	if err := c.print(statusReport{Zones: zones, Daemon: status}); err != nil {
 		return err
 	}
 	return checkZones(zones)
--- a/cmd/dottereltiller/why.go
+++ b/cmd/dottereltiller/why.go
@@ -20,12 +20,12 @@
 var errWhyArgs = errors.New("a request id, --upstream, --lost or --config is required, and the log files of the daemons")
 
 func (c *whyCmd) run(context.Context) error {
-	files, request := c.Args, ""
+	files, requestID := c.Args, ""
 	if c.Upstream == "" && c.Lost == "" && c.Config == 0 {
 		if len(files) == 0 {
 			return usageError{errWhyArgs}
 		}
-		request, files = files[0], files[1:]
+		requestID, files = files[0], files[1:]
 	}
 	if len(files) == 0 {
 		return usageError{errWhyArgs}
@@ -51,7 +51,7 @@
 	case c.Config != 0:
 		timeline = log.ConfigurationTimeline(c.Config)
 	default:
-		timeline = log.RequestTimeline(request)
+		timeline = log.RequestTimeline(requestID)
 	}
 	if c.JSON {
 		return timeline.WriteJSON(os.Stdout)
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -26,7 +26,7 @@
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(settings, []byte("not: [settings\n"), 0o600))
-	ignoredFirst := 0
+	startsSeenIgnoring := 0
 	for range starts {
 		cmd := exec.Command(program)
 		cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+settings)
@@ -39,18 +39,18 @@
 		_ = cmd.Wait()
 		require.Equal(t, exitcode.Usage, cmd.ProcessState.ExitCode(), "%s", cmd.ProcessState)
 		if ignored {
-			ignoredFirst++
+			startsSeenIgnoring++
 		}
 	}
-	require.Positive(t, ignoredFirst, "SIGHUP was never seen ignored in %d starts", starts)
+	require.Positive(t, startsSeenIgnoring, "SIGHUP was never seen ignored in %d starts", starts)
 }
 
 // TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that the signal does not stay ignored after the
 // start, because reloads would be lost.
 func TestSIGHUPIsCaughtOnceTheRuntimeRuns(t *testing.T) {
-	cmd, w := startBlockedOnSettings(t)
+	cmd, pipe := startBlockedOnSettings(t)
 	ignored, caught := hangupActions(t, cmd.Process.Pid)
-	require.NoError(t, w.Close())
+	require.NoError(t, pipe.Close())
 	_ = cmd.Wait()
 	require.False(t, ignored)
 	require.True(t, caught)
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -35,13 +35,13 @@
 // The daemon must not be ended by the signal: it reads the rest, which is invalid, and exits
 // with exitcode.Usage.
 func TestSIGHUPWhileReadingSettings(t *testing.T) {
-	cmd, w := startBlockedOnSettings(t)
+	cmd, pipe := startBlockedOnSettings(t)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	// Long enough for the signal to end a process that does not catch it.
 	time.Sleep(50 * time.Millisecond)
-	_, err := w.WriteString("not: [settings\n")
+	_, err := pipe.WriteString("not: [settings\n")
 	require.NoError(t, err)
-	require.NoError(t, w.Close())
+	require.NoError(t, pipe.Close())
 	err = cmd.Wait()
 	var exited *exec.ExitError
 	require.True(t, errors.As(err, &exited), "%v", err)
--- a/cmd/dottereltillerd/logreader_test.go
+++ b/cmd/dottereltillerd/logreader_test.go
@@ -31,18 +31,18 @@
 		GraceS: 1, RetryBudgetRatio: 0.2, RetryBudgetSlack: 10, RetryBudgetWindowS: 10,
 	}
 	path := writeSettings(t, vm.Settings())
-	out, in, err := os.Pipe()
+	logReader, logWriter, err := os.Pipe()
 	require.NoError(t, err)
 	cmd := exec.Command(program)
 	cmd.Env = append(os.Environ(), platformtest.Env(path))
-	cmd.Stdout = in
+	cmd.Stdout = logWriter
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	require.NoError(t, in.Close())
-	awaitLine(t, bufio.NewReader(out), "daemon started")
-	require.NoError(t, out.Close())
+	require.NoError(t, logWriter.Close())
+	awaitLine(t, bufio.NewReader(logReader), "daemon started")
+	require.NoError(t, logReader.Close())
 
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	select {
--- a/cmd/dottereltillerd/main_test.go
+++ b/cmd/dottereltillerd/main_test.go
@@ -40,14 +40,14 @@
 func runProgram(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	cmd := exec.Command(program, args...)
-	var out, errs bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &errs
+	var outBuf, errBuf bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &outBuf, &errBuf
 	err := cmd.Run()
 	var exited *exec.ExitError
 	if err != nil && !errors.As(err, &exited) {
 		t.Fatal(err)
 	}
-	return cmd.ProcessState.ExitCode(), out.String(), errs.String()
+	return cmd.ProcessState.ExitCode(), outBuf.String(), errBuf.String()
 }
 
 // writeSettings writes a settings file and returns its path.
--- a/cmd/dottereltillerd/stop_test.go
+++ b/cmd/dottereltillerd/stop_test.go
@@ -25,9 +25,9 @@
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
 	lines := bufio.NewReader(out)
-	peers := awaitLine(t, lines, "daemon started")["id"].(string)
+	peerAddress := awaitLine(t, lines, "daemon started")["id"].(string)
 
-	conn, err := net.Dial("tcp", peers)
+	conn, err := net.Dial("tcp", peerAddress)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	_, err = fmt.Fprint(conn, "POST /dottereltiller.peer.v1.PeerService/Ping HTTP/1.1\r\nHost: d\r\n"+
--- a/operator/check.go
+++ b/operator/check.go
@@ -25,27 +25,27 @@
 // a *CheckError that names file, document, JSON path and value of each problem.
 func Check(files []File) (*policy.Set, error) {
 	var docs []policy.Document
-	var found CheckError
-	pathOf := make(map[string]string)
+	var checkErr CheckError
+	pathByKey := make(map[string]string)
 	for _, f := range files {
 		parsed, problems := policy.Parse(f.Data)
-		found.addProblems(f.Path, problems)
+		checkErr.addProblems(f.Path, problems)
 		for _, d := range parsed {
-			if _, ok := pathOf[d.Key()]; !ok {
-				pathOf[d.Key()] = f.Path
+			if _, ok := pathByKey[d.Key()]; !ok {
+				pathByKey[d.Key()] = f.Path
 			}
 		}
 		docs = append(docs, parsed...)
 	}
-	if len(found.Problems) > 0 {
-		return nil, &found
+	if len(checkErr.Problems) > 0 {
+		return nil, &checkErr
 	}
 	set, problems := policy.Compile(docs)
 	for _, p := range problems {
-		found.addProblems(pathOf[p.Document], []policy.Problem{p})
+		checkErr.addProblems(pathByKey[p.Document], []policy.Problem{p})
 	}
-	if len(found.Problems) > 0 {
-		return nil, &found
+	if len(checkErr.Problems) > 0 {
+		return nil, &checkErr
 	}
 	return set, nil
 }
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	_, diffs, err := prepare(view, p)
+	_, diffs, err := prepareChange(view, p)
 	return Result{Version: view.State().Version, Differences: diffs}, err
 }
 
@@ -71,7 +71,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	change, diffs, err := prepare(view, p)
+	change, diffs, err := prepareChange(view, p)
 	if err != nil {
 		return Result{Decision: config.Invalid, Version: view.State().Version}, err
 	}
@@ -93,9 +93,9 @@
 	}
 }
 
-// prepare turns a proposal into a change and returns it with its differences to the current
+// prepareChange turns a proposal into a change and returns it with its differences to the current
 // version.
-func prepare(v *View, p Proposal) (config.Change, []Difference, error) {
+func prepareChange(v *View, p Proposal) (config.Change, []Difference, error) {
 	state := v.State()
 	after, err := Merge(state.Documents, p.Documents, p.Prune)
 	if err != nil {
@@ -168,8 +168,8 @@
 // what c would change in the current version.
 func newSupersededError(v *View, c config.Change) error {
 	out := &SupersededError{ChangeID: c.ID, Base: c.Base, Current: v.State().Version}
-	if by, ok := v.changeOfVersion(c.Base + 1); ok {
-		out.By, out.ByChange, out.ByComment = by.Change.Author, by.Change.ID, by.Change.Comment
+	if winner, ok := v.changeOfVersion(c.Base + 1); ok {
+		out.By, out.ByChange, out.ByComment = winner.Change.Author, winner.Change.ID, winner.Change.Comment
 	}
 	rebased := make(Documents)
 	for k, d := range v.State().Documents {
@@ -186,12 +186,12 @@
 }
 
 // Rollback proposes the documents of an earlier version as a new version.
-func Rollback(ctx context.Context, log recordlog.Log, to model.Version, p Proposal) (Result, error) {
-	old, err := StateAt(ctx, log, to)
+func Rollback(ctx context.Context, log recordlog.Log, version model.Version, p Proposal) (Result, error) {
+	earlier, err := StateAt(ctx, log, version)
 	if err != nil {
 		return Result{}, err
 	}
-	p.Documents = configuration.Documents(old)
+	p.Documents = configuration.Documents(earlier)
 	p.Prune = true
 	return Propose(ctx, log, p)
 }
