--- a/operator/check.go
+++ b/operator/check.go
@@ -21,8 +21,8 @@
 // Error lists the problems, one per line.
 func (e *CheckError) Error() string { return strings.Join(e.Problems, "\n") }
 
-// Check parses the documents in files and compiles them as one configuration. Its error is
-// a *CheckError that names file, document, JSON path and value of each problem.
+// Check parses the documents in files and compiles them as one configuration. The error is a
+// *CheckError that names the file, the document, the JSON path and the value of each problem.
 func Check(files []File) (*policy.Set, error) {
 	var docs []policy.Document
 	var checkErr CheckError
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -13,11 +13,11 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// Documents maps the keys of configuration documents to the documents as compact JSON.
+// Documents holds configuration documents as compact JSON, by their keys.
 type Documents map[config.DocumentKey]json.RawMessage
 
-// Merge returns the documents in before with docs added or replaced. With prune, it returns
-// only docs.
+// Merge returns the documents in before together with docs. A document in docs replaces the one
+// in before with the same key. If prune is true, Merge returns only docs.
 func Merge(before Documents, docs []policy.Document, prune bool) (Documents, error) {
 	after := make(Documents)
 	if !prune {
@@ -33,14 +33,14 @@
 	return after, nil
 }
 
-// Difference is one document that differs between two configurations. Before is nil if the
-// document was added, After is nil if it was deleted.
+// Difference is one document that differs between two configurations.
 type Difference struct {
-	Key           config.DocumentKey
+	Key config.DocumentKey
+	// Before is nil if the document was added. After is nil if the document was deleted.
 	Before, After json.RawMessage
 }
 
-// Diff returns the documents that differ, ordered by key.
+// Diff returns the documents that differ between before and after, ordered by key.
 func Diff(before, after Documents) []Difference {
 	keys := make(map[config.DocumentKey]bool)
 	for k := range before {
@@ -58,8 +58,8 @@
 	return out
 }
 
-// WriteDiff prints differences line by line, removed lines with "-" and added
-// ones with "+".
+// WriteDiff prints the key of each differing document, then its removed lines after "-" and its
+// added lines after "+". It compares only whether a line occurs, not where.
 func WriteDiff(w io.Writer, diffs []Difference) {
 	for _, d := range diffs {
 		_, _ = fmt.Fprintln(w, d.Key)
@@ -77,7 +77,8 @@
 	}
 }
 
-// indentedLines returns the lines of indented JSON.
+// indentedLines indents raw and returns its lines. If raw is not valid JSON, it is returned as one
+// line.
 func indentedLines(raw json.RawMessage) []string {
 	if raw == nil {
 		return nil
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -6,6 +6,6 @@
 // of the configuration has accepted it. A lost reply to an append is handled in the
 // same way: the change is looked up on the log by its id. Appending the same change
 // again is safe, because the state machine applies an id only once. If the change is
-// not found before the timeout, its outcome is reported as unknown together with its
-// id, so that the operator can look for it later.
+// not found before the timeout, its outcome is reported as unknown. The report contains
+// the id, so that the operator can look for the change later.
 package operator
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -8,10 +8,13 @@
 
 // The exit codes of the commands that publish.
 const (
+	// ExitSuperseded means that another change with the same base version came first.
 	ExitSuperseded = 3
-	ExitInvalid    = 4
-	ExitUnknown    = 5
-	// ExitLagging means that a change was accepted but is not in force everywhere yet.
+	// ExitInvalid means that the change is not valid.
+	ExitInvalid = 4
+	// ExitUnknown means that it is not known whether the change was accepted.
+	ExitUnknown = 5
+	// ExitLagging means that the change was accepted but is not in force everywhere yet.
 	ExitLagging = 6
 )
 
@@ -32,12 +35,14 @@
 // same base version came first.
 type SupersededError struct {
 	ChangeID string
-	Base     model.Version
-	Current  model.Version
+	// Base is the version that the change is based on.
+	Base model.Version
+	// Current is the current version.
+	Current model.Version
 	// By, ByChange and ByComment are the author, id and comment of the change
-	// that came first. They are empty if the log no longer holds it.
+	// that came first. They are empty if the log no longer holds that change.
 	By, ByChange, ByComment string
-	// Differences are the differences that the proposal would make to the current version.
+	// Differences are the differences that the change would make to the current version.
 	Differences []Difference
 }
 
@@ -56,7 +61,7 @@
 	Err      error
 }
 
-// Error contains the id of the change to look for.
+// Error contains the id of the change, by which the operator can look for it.
 func (e *UnknownError) Error() string {
 	return fmt.Sprintf("unknown: change %s may or may not have been accepted; look for it with \"history\": %v", e.ChangeID, e.Err)
 }
@@ -67,14 +72,14 @@
 // ExitCode returns ExitUnknown.
 func (e *UnknownError) ExitCode() int { return ExitUnknown }
 
-// LaggingError lists the availability zones in which a version is not yet in force at every
-// daemon.
+// LaggingError reports that a version is not yet in force at every daemon.
 type LaggingError struct {
 	Version model.Version
-	Zones   []ZoneStatus
+	// Zones is the last known status of all availability zones.
+	Zones []ZoneStatus
 }
 
-// Error names the zones.
+// Error names the zones in which the version is not yet in force at every daemon.
 func (e *LaggingError) Error() string {
 	text := fmt.Sprintf("version %d is accepted but not yet in force everywhere:", e.Version)
 	for _, z := range e.Zones {
--- a/operator/examples_test.go
+++ b/operator/examples_test.go
@@ -13,6 +13,7 @@
 // TestExamplesAreValid compiles the deployments that docs/SHARING.md describes and checks
 // one caller's group in each.
 func TestExamplesAreValid(t *testing.T) {
+	// For each deployment: a caller, a service and the group that the caller must belong to.
 	for deployment, want := range map[string][3]string{
 		"fyn":    {"archive-search", "returdesk", "searches"},
 		"hardap": {"season-report", "sheds", "reports"},
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -30,7 +30,8 @@
 	_, _ = fmt.Fprintf(w, "group %s: %.1f%% of each upstream when all groups are busy, deadline %v\n", e.Group, 100*e.Share, e.Deadline)
 }
 
-// winnerMark returns the prefix of a line, with a star for the policy or group that applies.
+// winnerMark returns the prefix of a line. The prefix has a star if the policy or group in the
+// line applies.
 func winnerMark(wins bool) string {
 	if wins {
 		return "  *"
@@ -63,6 +64,7 @@
 	_ = t.Flush()
 }
 
+// writeAssignment prints the row for one service and caller.
 func writeAssignment(w io.Writer, set *policy.Set, e policy.Explanation) {
 	svc, _ := set.Service(e.Service)
 	winner := svc.Policy
--- a/operator/linearizable_test.go
+++ b/operator/linearizable_test.go
@@ -17,10 +17,11 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// proposeInput is the input of one proposal: its base version.
+// proposeInput holds what versionRegister needs to know of a proposal.
 type proposeInput struct{ baseVersion model.Version }
 
-// proposeOutput is the result of one proposal.
+// proposeOutput is the result of one proposal. decision is one of the names that decisionName
+// returns.
 type proposeOutput struct {
 	decision string
 	version  model.Version
@@ -51,7 +52,7 @@
 
 // TestProposalsAreLinearizable lets operators publish concurrently on a log that loses
 // replies, duplicates appends and is sometimes unavailable. The results of all proposals
-// must be consistent with one order of changes.
+// must be consistent with a single order of the changes.
 func TestProposalsAreLinearizable(t *testing.T) {
 	for seed := range 5 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -87,8 +88,8 @@
 	}
 }
 
-// proposeOnCurrent proposes a change based on the version that it reads first. Changes of
-// other operators may be accepted between the read and the proposal.
+// proposeOnCurrent reads the current version and proposes a change based on it. Changes of other
+// operators may be accepted between the read and the proposal.
 func proposeOnCurrent(ctx context.Context, log recordlog.Log, client, i int) porcupine.Operation {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
@@ -107,6 +108,7 @@
 	return op
 }
 
+// decisionName returns the decision about a proposal, given the error of Propose.
 func decisionName(err error) string {
 	var superseded *SupersededError
 	switch {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// unreadableAfterAppend is a log that loses the reply to every append and fails all reads
-// after the first append.
+// unreadableAfterAppend is a log whose appends fail without showing whether they took effect, as
+// if their replies were lost. After the first append, all reads fail.
 type unreadableAfterAppend struct {
 	recordlog.Log
 	unreadable atomic.Bool
@@ -136,7 +136,7 @@
 	})
 }
 
-// failingAppends is a log whose appends all fail without any effect.
+// failingAppends is a log whose appends all fail and certainly add no records.
 type failingAppends struct {
 	recordlog.Log
 	attempts int
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -21,10 +21,10 @@
 type Proposal struct {
 	Author  string
 	Comment string
-	// Documents are added or replace those with the same key. Documents that are already in
-	// force unchanged do not become part of the published change.
+	// Documents are added to the configuration. They replace documents with the same key. The
+	// published change contains only those that differ from the current version.
 	Documents []policy.Document
-	// Prune deletes every document that is not among Documents.
+	// Prune also deletes every document that is not among Documents.
 	Prune bool
 	// Base is the version that the proposal is based on. Zero means the current version on
 	// the log.
@@ -33,27 +33,26 @@
 
 // Result is the result of publishing a proposal.
 type Result struct {
-	// Decision is what the state machine decided about the change. It is zero if that is
-	// not known.
+	// Decision is what the state machine decided about the change. Zero means not known.
 	Decision config.Decision
-	// Version is the version that the change made if it was accepted, otherwise the current
-	// version.
+	// Version is the version that the change made. If the change was not accepted, it is the
+	// current version.
 	Version model.Version
-	// ChangeID is empty if the proposal had no differences and nothing was published.
+	// ChangeID is the id of the published change. It is empty if nothing was published because
+	// the proposal had no differences.
 	ChangeID string
-	// Differences are the differences to the version that was current when the proposal was
-	// prepared.
+	// Differences are the differences between the proposal and the version that was current
+	// when the proposal was made.
 	Differences []Difference
 }
 
-// Publish proposes the documents as a change of the current version and reads the log to
-// find out whether the change was accepted.
+// Publish calls Propose with a proposal that adds or replaces docs in the current version.
 func Publish(ctx context.Context, log recordlog.Log, author string, docs []policy.Document) (Result, error) {
 	return Propose(ctx, log, Proposal{Author: author, Documents: docs})
 }
 
-// Plan returns what a proposal would change, without publishing it. It returns an
-// *InvalidError if the resulting configuration does not compile.
+// Plan returns the differences that a proposal would make, and the current version. It publishes
+// nothing. It returns an *InvalidError if the resulting configuration does not compile.
 func Plan(ctx context.Context, log recordlog.Log, p Proposal) (Result, error) {
 	view, err := NewView(ctx, log)
 	if err != nil {
@@ -63,9 +62,11 @@
 	return Result{Version: view.State().Version, Differences: diffs}, err
 }
 
-// Propose publishes a proposal. It returns an *InvalidError if the change is not valid, a
-// *SupersededError if another change came first, and an *UnknownError if it is not known
-// whether the change was accepted.
+// Propose publishes a proposal and reads the log to find out whether the change was accepted. Its
+// errors include:
+//   - *InvalidError: the change is not valid;
+//   - *SupersededError: another change with the same base version came first;
+//   - *UnknownError: it is not known whether the change was accepted.
 func Propose(ctx context.Context, log recordlog.Log, p Proposal) (Result, error) {
 	view, err := NewView(ctx, log)
 	if err != nil {
@@ -93,8 +94,8 @@
 	}
 }
 
-// prepareChange turns a proposal into a change and returns it with its differences to the current
-// version.
+// prepareChange turns a proposal into a change. It returns the change and the differences that it
+// makes to the current version. The error is an *InvalidError.
 func prepareChange(v *View, p Proposal) (config.Change, []Difference, error) {
 	state := v.State()
 	after, err := Merge(state.Documents, p.Documents, p.Prune)
@@ -128,8 +129,9 @@
 	return c, diffs, nil
 }
 
-// appendAndReadBack appends a change and reads the log, repeatedly, until the change is found
-// there. It may append the change more than once; only the first record counts.
+// appendAndReadBack appends a change to the log and reads the log, and repeats both until it finds
+// the change there. It may append the change more than once; only the first record counts. If the
+// context ends first and an append may have taken effect, it returns an *UnknownError.
 func appendAndReadBack(ctx context.Context, v *View, c config.Change) (HistoryEntry, error) {
 	record, _, err := config.EncodeChange(c)
 	if err != nil {
@@ -157,15 +159,15 @@
 	}
 }
 
-// mayHaveBeenAppended reports whether an append that returned err, which may be nil, can have
-// reached the log.
+// mayHaveBeenAppended reports whether an append may have taken effect. err is the error of the
+// append, or nil if the append succeeded.
 func mayHaveBeenAppended(err error) bool {
 	var failed *recordlog.AppendError
 	return !errors.As(err, &failed) || failed.Uncertain
 }
 
-// newSupersededError returns a *SupersededError that names the change that came first and
-// what c would change in the current version.
+// newSupersededError returns a *SupersededError for the change c. It names the change that came
+// first and the differences that c would make to the current version.
 func newSupersededError(v *View, c config.Change) error {
 	out := &SupersededError{ChangeID: c.ID, Base: c.Base, Current: v.State().Version}
 	if winner, ok := v.changeOfVersion(c.Base + 1); ok {
@@ -185,7 +187,8 @@
 	return out
 }
 
-// Rollback proposes the documents of an earlier version as a new version.
+// Rollback proposes the documents of an earlier version as a new version. It overwrites the
+// Documents and Prune of p.
 func Rollback(ctx context.Context, log recordlog.Log, version model.Version, p Proposal) (Result, error) {
 	earlier, err := StateAt(ctx, log, version)
 	if err != nil {
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -16,12 +16,12 @@
 
 const (
 	quarantinePath = "/v1/quarantine"
-	// maxAdminResponse limits the length of a response body, in bytes.
+	// maxAdminResponse is the maximum length of a response body in bytes.
 	maxAdminResponse = 4 << 20
 )
 
-// ListQuarantined queries a daemon at its admin address for the requests that are suspected
-// of crashing upstreams, or refused because they do.
+// ListQuarantined returns the requests in the quarantine: those suspected of crashing upstreams
+// and those refused because they crash upstreams. It queries the daemon at an admin address.
 func ListQuarantined(ctx context.Context, admin string) ([]store.ListedRecord, error) {
 	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
@@ -34,8 +34,9 @@
 	return records, nil
 }
 
-// ReleaseQuarantined removes a request from the quarantine. The daemon relays the release to
-// the other daemons. A daemon accepts this request only from its own VM.
+// ReleaseQuarantined removes the request with a fingerprint from the quarantine. It calls the
+// daemon at an admin address, which relays the release to the other daemons. A daemon accepts
+// this call only from its own VM.
 func ReleaseQuarantined(ctx context.Context, admin string, f quarantine.Fingerprint) error {
 	_, err := callAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
 	return err
@@ -47,13 +48,13 @@
 	Message string
 }
 
-// Error returns status and message.
+// Error names the status and the message.
 func (e *AdminError) Error() string {
 	return fmt.Sprintf("daemon responded with status %d: %s", e.Status, e.Message)
 }
 
-// callAdmin sends a request to a daemon's admin interface and returns the response body. It
-// returns an *AdminError if the status is 400 or above.
+// callAdmin sends a request to a daemon's admin interface and returns the response body. If the
+// status is 400 or above, it returns an *AdminError.
 func callAdmin(ctx context.Context, method, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return body, nil
 }
 
-// WriteQuarantined prints the records of a quarantine as a table.
+// WriteQuarantined prints a table of the requests in the quarantine.
 func WriteQuarantined(w io.Writer, records []store.ListedRecord) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "fingerprint\tstate\tservice\tcaller\tdeaths\tuntil\trequest")
--- a/operator/startover.go
+++ b/operator/startover.go
@@ -11,15 +11,18 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// ErrLogReadable means that the configuration can be read from the log, so that there is no
-// reason to start over.
+// ErrLogReadable means that there is no reason to start over, because the configuration can be
+// read from the log.
 var ErrLogReadable = errors.New("the configuration can be read from the log: publish as usual")
 
-// StartOver appends a checkpoint with an empty configuration to a log that was trimmed and
-// holds no checkpoint that covers the missing records. Use it only if no daemon holds the
-// configuration any more: a daemon that still holds it would not adopt the empty one. version
-// is the version of the empty configuration; it must be at least as high as any version that
-// was ever accepted.
+// StartOver appends a checkpoint with an empty configuration to a log that has lost the
+// configuration: the log was trimmed, and no checkpoint covers the missing records. Use StartOver
+// only if no daemon holds the configuration any more. A daemon that still holds it would not adopt
+// the empty configuration.
+//
+// version is the version of the empty configuration. It must be at least as high as any version
+// that was ever accepted. If the configuration can be read from the log, StartOver returns
+// ErrLogReadable.
 func StartOver(ctx context.Context, log recordlog.Log, version model.Version) error {
 	if version == 0 {
 		return &InvalidError{Problem: errors.New("the version must be at least the highest that was ever accepted")}
@@ -50,7 +53,7 @@
 	return err
 }
 
-// endOfLog returns the offset that follows the newest record.
+// endOfLog returns the offset after the newest record of the configuration stream.
 func endOfLog(ctx context.Context, log recordlog.Log) (recordlog.Offset, error) {
 	batch, err := log.Read(ctx, recordlog.StreamConfig, 0, 1)
 	var trimmed *recordlog.TrimmedError
--- a/operator/status.go
+++ b/operator/status.go
@@ -13,27 +13,27 @@
 type ZoneStatus struct {
 	Zone model.AvailabilityZone `json:"zone"`
 	// Asked is the number of daemons of the zone that were queried: all or a random sample.
-	// Answered is how many of them responded.
-	Asked    int `json:"asked"`
+	Asked int `json:"asked"`
+	// Answered is the number of queried daemons that responded.
 	Answered int `json:"answered"`
-	// Oldest and Newest are the lowest and highest version in force at the daemons that
-	// responded.
+	// Oldest is the lowest version in force at the daemons that responded.
 	Oldest model.Version `json:"oldest_version"`
+	// Newest is the highest version in force at the daemons that responded.
 	Newest model.Version `json:"newest_version"`
-	// Behind lists up to 8 daemons with a version below the newest of all zones.
+	// Behind lists up to 8 daemons whose version is below the newest version of all zones.
 	Behind []model.DaemonID `json:"behind,omitempty"`
 	// Silent lists up to 8 daemons that did not respond.
 	Silent []model.DaemonID `json:"silent,omitempty"`
 }
 
-// Lags reports whether at least one queried daemon serves an older version than v or did
-// not respond. A daemon that did not respond may serve an older version.
+// Lags reports whether v may not be in force yet at some queried daemon: the daemon serves an
+// older version than v, or did not respond.
 func (z ZoneStatus) Lags(v model.Version) bool { return z.Oldest < v || z.Answered < z.Asked }
 
 // pollInterval is the time between two queries of Await.
 const pollInterval = 200 * time.Millisecond
 
-// Zones queries a daemon at its admin address for the status of every zone.
+// Zones returns the status of every zone, as collected by the daemon at an admin address.
 func Zones(ctx context.Context, address string) ([]ZoneStatus, error) {
 	var zones []ZoneStatus
 	err := admin.Get(ctx, address, "/v1/zones", &zones)
@@ -60,7 +60,8 @@
 	}
 }
 
-// inForce reports whether a version is in force in all zones. It is false without zones.
+// inForce reports whether a version is in force in all zones. It returns false if there are no
+// zones.
 func inForce(zones []ZoneStatus, v model.Version) bool {
 	for _, z := range zones {
 		if z.Lags(v) {
--- a/operator/view.go
+++ b/operator/view.go
@@ -13,13 +13,14 @@
 
 // HistoryEntry is one change on the log and how it was decided.
 type HistoryEntry struct {
+	// Offset is the offset of the change on the log.
 	Offset uint64
-	// Decision is what the state machine decided about the change. Version is the current
-	// version after that.
+	// Decision is what the state machine decided about the change.
 	Decision config.Decision
-	Version  model.Version
-	Change   config.Change
-	// Problem states why the change is invalid. It is nil for other changes.
+	// Version is the current version after the decision.
+	Version model.Version
+	Change  config.Change
+	// Problem states why the change is invalid. It is nil for valid changes.
 	Problem error
 }
 
@@ -28,10 +29,11 @@
 	log          recordlog.Log
 	stateMachine *config.StateMachine
 	entries      []HistoryEntry
-	// keepVersion is the version whose state is stored in keptState when it is reached.
-	// Zero means none.
+	// keepVersion is the version whose state is kept in keptState. Zero means none.
 	keepVersion model.Version
-	keptState   *config.State
+	// keptState is the state after the change that made keepVersion. It is nil until that
+	// change is read.
+	keptState *config.State
 }
 
 // maxRecordsPerRead is the maximum number of records requested from the log at once.
@@ -57,7 +59,8 @@
 // missing records.
 var ErrNoCheckpoint = errors.New("the log was trimmed and holds no checkpoint that covers the missing records: the daemons may still hold the configuration")
 
-// Advance reads the records that were appended since the last read.
+// Advance reads the records that were appended since the last read. If the log no longer keeps
+// some of them, it continues from a checkpoint on the log, or returns ErrNoCheckpoint.
 func (v *View) Advance(ctx context.Context) error {
 	for {
 		batch, err := v.log.Read(ctx, recordlog.StreamConfig, recordlog.Offset(v.stateMachine.Next()), maxRecordsPerRead)
@@ -80,7 +83,8 @@
 	}
 }
 
-// apply applies a record to the state machine and adds its change to the history.
+// apply applies a record to the state machine. If the record holds a change, apply adds it to the
+// history.
 func (v *View) apply(r recordlog.Record) {
 	res := v.stateMachine.ApplyRecord(uint64(r.Offset), r.Data)
 	if res.Change != nil {
@@ -115,8 +119,8 @@
 	}
 }
 
-// findChange returns the change with an id. If the change was appended more than once, only
-// the first record was decided; later ones are duplicates.
+// findChange returns the change with an id, and whether it was found. A change may have been
+// appended more than once. It was decided at its first record; the later records are duplicates.
 func (v *View) findChange(id string) (HistoryEntry, bool) {
 	for _, e := range v.entries {
 		if e.Change.ID == id && e.Decision != config.Duplicate {
@@ -126,7 +130,7 @@
 	return HistoryEntry{}, false
 }
 
-// changeOfVersion returns the change that created a version.
+// changeOfVersion returns the change that made a version, and whether it was found.
 func (v *View) changeOfVersion(version model.Version) (HistoryEntry, bool) {
 	for _, e := range v.entries {
 		if e.Decision == config.Accepted && e.Version == version {
@@ -136,8 +140,8 @@
 	return HistoryEntry{}, false
 }
 
-// StateAt returns the configuration of a version. It fails if the log does not hold the
-// changes that lead to that version.
+// StateAt returns the configuration of a version. It returns an error if the log does not hold the
+// change that made that version.
 func StateAt(ctx context.Context, log recordlog.Log, version model.Version) (config.State, error) {
 	v, err := newView(ctx, log, version)
 	if err != nil {
