--- a/cmd/dottereltiller/args_test.go
+++ b/cmd/dottereltiller/args_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestRepeatedFlagsAccumulate checks that flags that may be repeated keep all their values.
-// Without the tag "separate" go-arg keeps only the last.
+// Without the tag "separate", go-arg keeps only the last value.
 func TestRepeatedFlagsAccumulate(t *testing.T) {
 	parse := func(line ...string) args {
 		var a args
--- a/cmd/dottereltiller/diff.go
+++ b/cmd/dottereltiller/diff.go
@@ -38,8 +38,9 @@
 	return nil
 }
 
-// documentsToCompare returns the documents of version --to or, without --to, the documents in
-// before with those in the files added or replaced. With --prune it returns only the latter.
+// documentsToCompare returns the documents to compare before with. With --to, they are the
+// documents of that version. With files and --prune, they are the documents in the files. With
+// files only, they are before with the documents in the files added or replaced.
 func (c *diffCmd) documentsToCompare(ctx context.Context, before operator.Documents) (operator.Documents, error) {
 	if c.To != 0 {
 		return c.documentsAt(ctx, c.To)
@@ -51,7 +52,7 @@
 	return operator.Merge(before, docs, c.Prune)
 }
 
-// documentsAt returns the documents of a version; zero means the current one.
+// documentsAt returns the documents of version v. Zero means the current version.
 func (c *diffCmd) documentsAt(ctx context.Context, v uint64) (operator.Documents, error) {
 	if v != 0 {
 		s, err := operator.StateAt(ctx, c.client(), model.Version(v))
--- a/cmd/dottereltiller/docs_test.go
+++ b/cmd/dottereltiller/docs_test.go
@@ -14,11 +14,11 @@
 
 const repositoryRoot = "../.."
 
-// commandLine matches a line that calls the dottereltiller command.
+// commandLine matches a line that calls the dottereltiller command, and captures the arguments.
 var commandLine = regexp.MustCompile(`^\s*(?:\$ )?(?:go run \./cmd/dottereltiller|dottereltiller) (.*)$`)
 
-// commandsInPages returns, for each Markdown page of the repository, the arguments of all
-// calls of the command in fenced code blocks.
+// commandsInPages returns the calls of the command in each Markdown page of the repository, by the
+// path of the page. See commandsInPage.
 func commandsInPages(t *testing.T) map[string][]string {
 	t.Helper()
 	commands := make(map[string][]string)
@@ -37,7 +37,8 @@
 	return commands
 }
 
-// commandsInPage returns the arguments of the calls in the text of one page.
+// commandsInPage returns the calls of the command in the fenced code blocks of a page. Each element
+// holds the arguments of one call as one string.
 func commandsInPage(page string) []string {
 	var out []string
 	fenced := false
@@ -54,7 +55,7 @@
 	return out
 }
 
-// splitArguments splits a command line into its arguments, up to the first comment, pipe,
+// splitArguments splits a command line into its arguments. It stops before the first comment, pipe,
 // redirection, & or &&.
 func splitArguments(line string) []string {
 	var out []string
@@ -87,8 +88,8 @@
 	require.Positive(t, found)
 }
 
-// TestDocumentedFilesExist checks that the files under testdata/ and examples/ that the
-// commands in the documentation use exist.
+// TestDocumentedFilesExist checks that the commands in the documentation use only existing files
+// under testdata/ and examples/.
 func TestDocumentedFilesExist(t *testing.T) {
 	for page, lines := range commandsInPages(t) {
 		for _, line := range lines {
--- a/cmd/dottereltiller/explain.go
+++ b/cmd/dottereltiller/explain.go
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// loadPolicies compiles the documents in the files or, without files, those on the log.
+// loadPolicies compiles the documents in the files or, without files, the current documents on the
+// log.
 func (c *explainCmd) loadPolicies(ctx context.Context) (*policy.Set, error) {
 	if len(c.Files) > 0 {
 		return checkFiles(c.Files)
--- a/cmd/dottereltiller/load.go
+++ b/cmd/dottereltiller/load.go
@@ -60,7 +60,8 @@
 	return ctx.Err()
 }
 
-// plan returns the plan of the plan file or of the flags, with --duration and --seed applied.
+// plan returns the plan in the plan file or, without a plan file, the plan that the flags define.
+// --duration and --seed override the values in the plan.
 func (c *loadCmd) plan() (load.Plan, error) {
 	plan := c.planFromFlags()
 	if c.Plan != "" {
@@ -88,7 +89,7 @@
 	return plan, nil
 }
 
-// planFromFlags returns a plan with one source of requests.
+// planFromFlags returns the plan that the flags define. The plan has one source of requests.
 func (c *loadCmd) planFromFlags() load.Plan {
 	plan := load.Plan{
 		Duration: policy.Duration(defaultLoadDuration),
--- a/cmd/dottereltiller/logflags.go
+++ b/cmd/dottereltiller/logflags.go
@@ -13,7 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// logFlags are the flags of commands that use the platform's log.
+// logFlags holds the flags of commands that use the platform's log.
 type logFlags struct {
 	Log     string        `arg:"--log,required,env:DOTTERELTILLER_LOG" placeholder:"HOST:PORT" help:"address of the platform's log"`
 	Timeout time.Duration `arg:"--timeout" default:"15s" help:"timeout for all operations on the log"`
@@ -21,17 +21,18 @@
 
 func (f logFlags) client() recordlog.Log { return recordlog.NewClient(f.Log) }
 
+// withTimeout returns ctx with the timeout of --timeout.
 func (f logFlags) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, f.Timeout)
 }
 
-// authorFlags are the flags for the author and the comment of a published change.
+// authorFlags holds the flags for the author and the comment of a published change.
 type authorFlags struct {
 	Author  string `arg:"--author,env:DOTTERELTILLER_AUTHOR" help:"author of the change; default: the name of the current user"`
 	Comment string `arg:"-m,--comment" help:"reason for the change, shown by the history command"`
 }
 
-// author returns the value of --author or the name of the current user.
+// author returns the value of --author or, without --author, the name of the current user.
 func (f authorFlags) author() string {
 	if f.Author != "" {
 		return f.Author
@@ -42,7 +43,7 @@
 	return "unknown"
 }
 
-// usageError is an error in flags or input files. The command exits with exitUsage.
+// usageError is an error in flags or input files. It makes the command exit with exitUsage.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
@@ -53,7 +54,8 @@
 const exitUsage = 2
 
 // readDocuments reads documents from files and from the *.json files of directories. Each
-// file holds one document or a list of documents.
+// file holds one document or a list of documents. It returns an error if two documents have the
+// same key.
 func readDocuments(paths []string) ([]policy.Document, error) {
 	var docs []policy.Document
 	for _, p := range paths {
--- a/cmd/dottereltiller/main.go
+++ b/cmd/dottereltiller/main.go
@@ -19,12 +19,12 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-// command is one subcommand.
+// command is implemented by the struct of each subcommand.
 type command interface {
 	run(ctx context.Context) error
 }
 
-// args lists the subcommands. Each field is a pointer that implements command.
+// args lists the subcommands. The type of each field implements command.
 type args struct {
 	Bench *benchCmd `arg:"subcommand:bench" help:"measure the latency and the resource usage of daemons on this machine"`
 	Demo  *demoCmd  `arg:"subcommand:demo" help:"run a small deployment in this process and check its behavior"`
@@ -71,7 +71,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// After the first signal, restore the default action, so that a second signal ends the
+	// Restore the default action after the first signal, so that a second signal ends the
 	// process at once.
 	context.AfterFunc(ctx, stop)
 	err := cmd.run(ctx)
--- a/cmd/dottereltiller/platform.go
+++ b/cmd/dottereltiller/platform.go
@@ -20,8 +20,8 @@
 // headerTimeout is the timeout for reading the headers of a request.
 const headerTimeout = 5 * time.Second
 
-// run serves a fake of the platform's log until it is interrupted. PUT /v1/faults changes the
-// faults that it injects.
+// run serves a fake of the platform's log until the command is interrupted. PUT /v1/faults changes
+// the faults that the fake injects.
 func (c *platformCmd) run(ctx context.Context) error {
 	log := recordlog.NewFaultyLog(&recordlog.Memory{Retention: c.Retention})
 	log.SetFaults(recordlog.Faults{Latency: c.Latency, Down: c.Down})
--- a/cmd/dottereltiller/publish.go
+++ b/cmd/dottereltiller/publish.go
@@ -11,13 +11,14 @@
 	"github.com/dottereltiller/dottereltiller/operator"
 )
 
-// waitFlags are the flags of commands that can wait until a version is in force.
+// waitFlags holds the flags of commands that can wait until a version is in force.
 type waitFlags struct {
 	Wait        bool          `arg:"--wait" help:"wait until the version is in force in every availability zone"`
 	Daemon      string        `arg:"--daemon,env:DOTTERELTILLER_DAEMON" placeholder:"HOST:PORT" help:"admin address of any daemon, for --wait"`
 	WaitTimeout time.Duration `arg:"--wait-timeout" default:"30s" help:"timeout of --wait"`
 }
 
+// checkWaitFlags returns a usageError if --wait is set without --daemon.
 func (f waitFlags) checkWaitFlags() error {
 	if f.Wait && f.Daemon == "" {
 		return usageError{errors.New("--wait needs --daemon")}
@@ -25,7 +26,7 @@
 	return nil
 }
 
-// await waits until a version is in force, if --wait is set.
+// await waits until a version is in force in every zone. Without --wait, it returns at once.
 func (f waitFlags) await(ctx context.Context, v model.Version) error {
 	if !f.Wait {
 		return nil
@@ -74,7 +75,7 @@
 	return c.await(ctx, res.Version)
 }
 
-// printResult prints the result of a proposal and returns err.
+// printResult prints the result of a proposal. err is the error of the proposal, which it returns.
 func printResult(res operator.Result, err error) error {
 	var superseded *operator.SupersededError
 	if errors.As(err, &superseded) {
--- a/cmd/dottereltiller/quarantine.go
+++ b/cmd/dottereltiller/quarantine.go
@@ -15,7 +15,7 @@
 	Release *quarantineReleaseCmd `arg:"subcommand:release" help:"remove a request from the quarantine at all daemons; must run on the VM of the daemon named by --admin"`
 }
 
-// run is called only if the subcommand is missing.
+// run returns an error, because it is called only if neither list nor release is given.
 func (c *quarantineCmd) run(context.Context) error {
 	return usageError{errors.New("missing subcommand: list or release")}
 }
--- a/cmd/dottereltiller/replay.go
+++ b/cmd/dottereltiller/replay.go
@@ -24,10 +24,11 @@
 	Duration time.Duration `arg:"--duration" help:"duration of the generated trace; default: that of the scenario"`
 }
 
-// inputError is an error in flags or input files. The command exits with code 2.
+// inputError is an error in flags or input files. It makes the command exit with code 2.
 type inputError struct{ error }
 
-// ExitCode returns the exit code. exitcode.Of, which main calls, uses this method.
+// ExitCode returns the exit code for wrong usage or input. main calls exitcode.Of, which uses this
+// method.
 func (inputError) ExitCode() int { return 2 }
 
 // Unwrap returns the cause.
--- a/cmd/dottereltiller/soak.go
+++ b/cmd/dottereltiller/soak.go
@@ -72,7 +72,7 @@
 	return errViolations
 }
 
-// plan reads the plan file or, without one, generates a random plan.
+// plan returns the plan in the plan file or, without a plan file, a random plan.
 func (c *soakCmd) plan() (soak.Plan, error) {
 	if c.Plan == "" {
 		return soak.RandomPlan(c.Seed, c.Processes, c.For), nil
--- a/cmd/dottereltiller/status.go
+++ b/cmd/dottereltiller/status.go
@@ -20,8 +20,8 @@
 	Timeout time.Duration `arg:"--timeout" default:"10s" help:"timeout of the command"`
 }
 
-// run prints a line for each zone, then the services as known to the daemon. It returns an
-// error if a zone does not have the newest version or a daemon does not respond.
+// run prints a line for each zone, then the services as known to the daemon. It returns an error
+// if the newest version is not in force in every zone, or if a daemon does not respond.
 func (c *statusCmd) run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -64,8 +64,8 @@
 	return t.Flush()
 }
 
-// checkZones returns a *operator.LaggingError if the newest version is not in force in all
-// zones.
+// checkZones returns an *operator.LaggingError if the newest version is not in force in all zones
+// or a queried daemon did not respond.
 func checkZones(zones []operator.ZoneStatus) error {
 	var newest model.Version
 	for _, z := range zones {
--- a/cmd/dottereltiller/status_daemon.go
+++ b/cmd/dottereltiller/status_daemon.go
@@ -26,7 +26,7 @@
 	return t.Flush()
 }
 
-// formatGroups returns the groups of a service with their weights.
+// formatGroups returns the groups of a service with their weights, such as "a:3 b:1".
 func formatGroups(svc daemon.ServiceStatus) string {
 	var out []string
 	for _, g := range svc.Groups {
@@ -35,7 +35,7 @@
 	return strings.Join(out, " ")
 }
 
-// upstreamsByZone returns the number of upstreams in each zone.
+// upstreamsByZone returns the number of upstreams of a service in each zone, such as "z1:2 z2:3".
 func upstreamsByZone(svc daemon.ServiceStatus) string {
 	counts := make(map[string]int)
 	for _, up := range svc.Upstreams {
--- a/cmd/dottereltiller/trace.go
+++ b/cmd/dottereltiller/trace.go
@@ -17,8 +17,8 @@
 	JSON    bool     `arg:"--json" help:"print the spans as a JSON list"`
 }
 
-// run fetches the spans that the daemons hold and prints them as traces. Daemons that do not
-// respond are reported on standard error; it is an error only if none responds.
+// run fetches the spans that the daemons hold and prints them as traces. It prints an error for
+// each daemon that does not respond, and fails only if none responds.
 func (c *traceCmd) run(ctx context.Context) error {
 	var records []trace.Record
 	var failed []error
--- a/cmd/dottereltiller/upstream.go
+++ b/cmd/dottereltiller/upstream.go
@@ -16,7 +16,7 @@
 	Daemon  string `arg:"--daemon,env:DOTTERELTILLER_DAEMON" default:"127.0.0.1:8082" placeholder:"HOST:PORT" help:"admin address of the daemon on the same VM"`
 }
 
-// run serves a fake upstream until it is interrupted, then drains it.
+// run serves a fake upstream until the command is interrupted, then drains the upstream.
 func (c *upstreamCmd) run(ctx context.Context) error {
 	if c.Slots < 1 {
 		return usageError{fmt.Errorf("--slots: must be at least 1 (got %d)", c.Slots)}
--- a/cmd/dottereltiller/validate.go
+++ b/cmd/dottereltiller/validate.go
@@ -13,8 +13,8 @@
 	Files []string `arg:"positional,required" placeholder:"FILE" help:"files or directories with the documents to check"`
 }
 
-// run prints the policy of each service and the group of each caller there. If the documents
-// are not valid, it returns all problems as an error.
+// run prints the policy of each service and the group of each caller at that service. If the
+// documents are not valid, it returns all problems as one error.
 func (c *validateCmd) run(context.Context) error {
 	set, err := checkFiles(c.Files)
 	if err != nil {
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -19,9 +19,9 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// TestSIGHUPBeforeTheRuntimeStarts sends SIGHUP to daemons whose Go runtime has not installed
-// its signal handlers yet. The signal must be ignored until then; its default action would
-// end the process.
+// TestSIGHUPBeforeTheRuntimeStarts sends SIGHUP to daemons whose Go runtime may not have installed
+// its signal handlers yet. Until the runtime has, the process must ignore the signal: the default
+// action would end the process.
 func TestSIGHUPBeforeTheRuntimeStarts(t *testing.T) {
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
@@ -45,8 +45,8 @@
 	require.Positive(t, startsSeenIgnoring, "SIGHUP was never seen ignored in %d starts", starts)
 }
 
-// TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that the signal does not stay ignored after the
-// start, because reloads would be lost.
+// TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that SIGHUP does not stay ignored after the start.
+// Reloads that it requests would be lost.
 func TestSIGHUPIsCaughtOnceTheRuntimeRuns(t *testing.T) {
 	cmd, pipe := startBlockedOnSettings(t)
 	ignored, caught := hangupActions(t, cmd.Process.Pid)
@@ -56,8 +56,8 @@
 	require.True(t, caught)
 }
 
-// hangupActions reports whether a process ignores or catches SIGHUP, according to /proc. A
-// process that has ended is reported as catching it.
+// hangupActions reports whether a process ignores SIGHUP and whether it catches SIGHUP, according
+// to /proc. A process that has ended is reported as catching SIGHUP.
 func hangupActions(t *testing.T, pid int) (ignored, caught bool) {
 	t.Helper()
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -17,8 +17,8 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// startBlockedOnSettings starts a daemon that reads its settings from a named pipe. It returns
-// the process and the writing end of the pipe once the daemon has opened the pipe.
+// startBlockedOnSettings starts a daemon that reads its settings from a named pipe. It waits until
+// the daemon has opened the pipe, and returns the process and the writing end of the pipe.
 func startBlockedOnSettings(t *testing.T) (*exec.Cmd, *os.File) {
 	t.Helper()
 	pipe := filepath.Join(t.TempDir(), "settings.yaml")
@@ -32,12 +32,12 @@
 }
 
 // TestSIGHUPWhileReadingSettings sends SIGHUP to a daemon that is still reading its settings.
-// The daemon must not be ended by the signal: it reads the rest, which is invalid, and exits
-// with exitcode.Usage.
+// The signal must not end the daemon. The daemon must read the settings to their end and exit with
+// exitcode.Usage, because the settings are invalid.
 func TestSIGHUPWhileReadingSettings(t *testing.T) {
 	cmd, pipe := startBlockedOnSettings(t)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
-	// Long enough for the signal to end a process that does not catch it.
+	// The wait is long enough for the signal to end a process that does not catch it.
 	time.Sleep(50 * time.Millisecond)
 	_, err := pipe.WriteString("not: [settings\n")
 	require.NoError(t, err)
@@ -53,9 +53,9 @@
 const killTimeout = 10 * time.Second
 
 // TestSIGHUPHasInheritedActionOutsideThePlatform checks that a daemon that does not run on the
-// platform has the action for SIGHUP that it inherited: it ignores the signal if its parent
-// ignored it, otherwise the signal ends the daemon. The test guards against restoring the
-// ignored state that package hangup sets while the program starts.
+// platform has the action for SIGHUP that it inherited. If its parent ignored SIGHUP, the daemon
+// ignores it too. Otherwise SIGHUP ends the daemon. Package hangup ignores SIGHUP while the program
+// starts; the test fails if the daemon takes that for the inherited action.
 func TestSIGHUPHasInheritedActionOutsideThePlatform(t *testing.T) {
 	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	for name, ignored := range map[string]bool{"started as usual": false, "started with SIGHUP ignored": true} {
@@ -67,8 +67,9 @@
 				signal.Ignore(syscall.SIGHUP)
 			}
 			err = cmd.Start()
-			// Signals that this process catches have their default action in the
-			// programs that it starts; signals that it ignores stay ignored there.
+			// Programs that this process starts inherit the signals that it ignores.
+			// Signals that it catches have their default action in those programs.
+			// So Notify ends the effect of Ignore on later programs.
 			signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 			require.NoError(t, err)
 			defer time.AfterFunc(killTimeout, func() { _ = cmd.Process.Kill() }).Stop()
--- a/cmd/dottereltillerd/logreader_test.go
+++ b/cmd/dottereltillerd/logreader_test.go
@@ -18,7 +18,8 @@
 )
 
 // TestDaemonSurvivesClosedStdout closes the pipe to which a daemon on the platform writes its
-// log, and makes it write one more line. The daemon must keep running and stop cleanly.
+// log, and makes the daemon write one more line. The daemon must keep running and stop cleanly.
+// By default, SIGPIPE would end the daemon when it writes that line.
 func TestDaemonSurvivesClosedStdout(t *testing.T) {
 	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
@@ -58,7 +59,7 @@
 }
 
 // TestDaemonStopsWithClosedStderr closes the pipe to which a daemon that does not run on the
-// platform writes its log, and stops the daemon. It must exit with code 0.
+// platform writes its log, and stops the daemon. The daemon must exit with code 0.
 func TestDaemonStopsWithClosedStderr(t *testing.T) {
 	cmd := exec.Command(program, "--settings", writeSettings(t, `{`+validSettings+`,
 		"listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`))
--- a/cmd/dottereltillerd/main.go
+++ b/cmd/dottereltillerd/main.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// exit prints the error, and a state dump if an invariant was violated, and ends the process.
+// exit prints the error and ends the process with an exit code. If an invariant was violated, it
+// also prints a state dump.
 func exit(err error, code int) {
 	fmt.Fprintln(os.Stderr, "dottereltillerd:", err)
 	var violation *daemon.InvariantError
@@ -76,7 +77,8 @@
 	os.Exit(code)
 }
 
-// checkCertificates loads the certificates named in the settings and exits if one is invalid.
+// checkCertificates loads the certificates named in the settings. If one is invalid, it ends the
+// process with an error.
 func checkCertificates(s settings.Settings) {
 	if _, err := identity.Load("callers.tls", s.Callers.TLS); err != nil {
 		exit(err, exitcode.Of(err))
@@ -94,7 +96,7 @@
 	fmt.Println(string(text))
 }
 
-// run runs a daemon that is not on the platform until it is stopped by a signal.
+// run runs a daemon that is not on the users' platform until a signal stops the daemon.
 func run(s settings.Settings) error {
 	ignoreBrokenPipe()
 	signals := make(chan os.Signal, 2)
@@ -132,9 +134,9 @@
 	}
 }
 
-// ignoreBrokenPipe makes writes to a closed pipe return an error. By default, the Go runtime
-// ends the process on SIGPIPE after such a write to standard output or standard error, so a
-// log collector that exits would end the daemon.
+// ignoreBrokenPipe makes writes to a closed pipe return an error. By default, the Go runtime ends
+// the process on SIGPIPE after such a write to standard output or standard error. A log collector
+// that exits would thus end the daemon.
 func ignoreBrokenPipe() { signal.Ignore(syscall.SIGPIPE) }
 
 // handleSignals stops the daemon at the first signal and aborts the requests in flight at the
--- a/cmd/dottereltillerd/main_test.go
+++ b/cmd/dottereltillerd/main_test.go
@@ -36,7 +36,7 @@
 	os.Exit(code)
 }
 
-// runProgram runs the program to its end and returns its exit code and output.
+// runProgram runs the daemon's binary to its end and returns its exit code and output.
 func runProgram(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	cmd := exec.Command(program, args...)
@@ -61,8 +61,8 @@
 // validSettings holds the required settings, as the members of a JSON object.
 const validSettings = `"zone": "odense-hal-a", "log": {"address": "127.0.0.1:1"}, "peers": {"secret": "s"}`
 
-// TestStartupErrors checks exit code and error message for common mistakes in flags and
-// settings, and that valid ones are accepted.
+// TestStartupErrors checks the exit code and the error message for common mistakes in flags and
+// settings. Valid flags and settings must be accepted.
 func TestStartupErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -99,8 +99,8 @@
 	require.Equal(t, string(want), strings.TrimSpace(stdout))
 }
 
-// TestSIGTERMStopsTheDaemonCleanly starts a daemon, with no log server listening, and stops it:
-// it must exit with code 0 and without an error line.
+// TestSIGTERMStopsTheDaemonCleanly starts a daemon whose log server is not running, and stops the
+// daemon. The daemon must exit with code 0 and log no line of level ERROR after the signal.
 func TestSIGTERMStopsTheDaemonCleanly(t *testing.T) {
 	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	cmd := exec.Command(program, "--settings", path)
--- a/cmd/dottereltillerd/stop_test.go
+++ b/cmd/dottereltillerd/stop_test.go
@@ -15,7 +15,8 @@
 )
 
 // TestSecondSignalReportsAbortedRequests keeps a call of another daemon in flight, so that the
-// daemon waits after the first signal. The second signal must abort the call and report it.
+// daemon keeps running after the first signal. The second signal must make the daemon abort the
+// call and report the aborted call.
 func TestSecondSignalReportsAbortedRequests(t *testing.T) {
 	cmd := exec.Command(program, "--settings", writeSettings(t, `{`+validSettings+`,
 		"listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"},
@@ -47,7 +48,7 @@
 	require.Contains(t, string(rest), "abandoned 0 of callers, 1 calls of other daemons, 0 keyed runs")
 }
 
-// awaitLine reads log lines until one contains msg, and returns that line decoded.
+// awaitLine reads log lines until one contains msg. It returns the fields of that line.
 func awaitLine(t *testing.T, lines *bufio.Reader, msg string) map[string]any {
 	t.Helper()
 	for {
--- a/cmd/internal/hangup/early_cgo.go
+++ b/cmd/internal/hangup/early_cgo.go
@@ -7,8 +7,8 @@
 
 static void (*inherited)(int);
 
-// Runs before the Go runtime, which takes milliseconds to start. The runtime does not change
-// the action of an ignored signal until signal.Notify is called for it.
+// Ignores SIGHUP before the Go runtime starts, which takes milliseconds. The runtime does not change
+// the action of an ignored signal until signal.Notify is called for that signal.
 __attribute__((constructor)) static void ignore_hangup(void) {
 	inherited = signal(SIGHUP, SIG_IGN);
 }
@@ -17,6 +17,6 @@
 */
 import "C"
 
-// restore sets the inherited action of SIGHUP again. signal.Reset cannot do this: it regards
-// the action set by the constructor as the inherited one.
+// restore restores the inherited action of SIGHUP. signal.Reset cannot do this: it takes the action
+// that the constructor has set for the inherited one.
 func restore() { C.restore_hangup() }
--- a/cmd/internal/hangup/early_nocgo.go
+++ b/cmd/internal/hangup/early_nocgo.go
@@ -2,6 +2,6 @@
 
 package hangup
 
-// restore does nothing: without the cgo constructor, signal.Reset restores the inherited
-// action.
+// restore does nothing. Without the constructor in early_cgo.go, signal.Reset already restores the
+// inherited action.
 func restore() {}
--- a/cmd/internal/hangup/hangup.go
+++ b/cmd/internal/hangup/hangup.go
@@ -1,9 +1,9 @@
 // Package hangup catches SIGHUP from the start of the process on. On the platform, SIGHUP
-// requests a reload of the settings; its default action would end a process that does not
+// requests a reload of the settings. Its default action would end a process that does not
 // catch it yet.
 //
-// In a program built with cgo the signal is ignored from before the Go runtime starts until
-// the runtime catches it.
+// The Go runtime can catch a signal only after the runtime has started. A program built with cgo
+// ignores SIGHUP until then.
 package hangup
 
 import (
@@ -12,8 +12,8 @@
 	"syscall"
 )
 
-// Signals receives a value for each SIGHUP. A signal that arrives while another one has not
-// been received yet is dropped.
+// Signals receives a value for each SIGHUP. It holds one value: while the value of an earlier signal
+// has not been received, further signals are dropped.
 var Signals = catch()
 
 func catch() <-chan os.Signal {
@@ -22,8 +22,9 @@
 	return c
 }
 
-// RestoreInherited stops catching SIGHUP and restores the action that the process inherited
-// when it was started: the default action, which ends the process, or to ignore the signal.
+// RestoreInherited stops catching SIGHUP and restores the action that the process inherited when
+// it was started. This is either the default action, which ends the process, or to ignore the
+// signal.
 func RestoreInherited() {
 	signal.Reset(syscall.SIGHUP)
 	restore()
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -20,8 +20,9 @@
 	maxAdminResponse = 4 << 20
 )
 
-// ListQuarantined returns the requests in the quarantine: those suspected of crashing upstreams
-// and those refused because they crash upstreams. It queries the daemon at an admin address.
+// ListQuarantined returns the requests that a daemon lists in its quarantine: those suspected of
+// crashing upstreams, those refused because they crash upstreams, and those cleared since. admin is
+// the admin address of the daemon.
 func ListQuarantined(ctx context.Context, admin string) ([]store.ListedRecord, error) {
 	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
--- a/operator/view.go
+++ b/operator/view.go
@@ -20,7 +20,7 @@
 	// Version is the current version after the decision.
 	Version model.Version
 	Change  config.Change
-	// Problem states why the change is invalid. It is nil for valid changes.
+	// Problem states why the change is invalid. It is nil for all other changes.
 	Problem error
 }
 
