--- a/cmd/dottereltiller/publish.go
+++ b/cmd/dottereltiller/publish.go
@@ -75,7 +75,8 @@
 	return c.await(ctx, res.Version)
 }
 
-// printResult prints the result of a proposal. err is the error of the proposal, which it returns.
+// printResult prints the result of a proposal. err is the error of the proposal;
+// printResult returns it.
 func printResult(res operator.Result, err error) error {
 	var superseded *operator.SupersededError
 	if errors.As(err, &superseded) {
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -46,7 +46,7 @@
 }
 
 // TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that SIGHUP does not stay ignored after the start.
-// Reloads that it requests would be lost.
+// If it did, requests to reload the settings would be lost.
 func TestSIGHUPIsCaughtOnceTheRuntimeRuns(t *testing.T) {
 	cmd, pipe := startBlockedOnSettings(t)
 	ignored, caught := hangupActions(t, cmd.Process.Pid)
--- a/cmd/internal/hangup/early_cgo.go
+++ b/cmd/internal/hangup/early_cgo.go
@@ -7,8 +7,9 @@
 
 static void (*inherited)(int);
 
-// Ignores SIGHUP before the Go runtime starts, which takes milliseconds. The runtime does not change
-// the action of an ignored signal until signal.Notify is called for that signal.
+// Ignores SIGHUP before the Go runtime starts. The start of the runtime takes milliseconds. The
+// runtime does not change the action of an ignored signal until signal.Notify is called for that
+// signal.
 __attribute__((constructor)) static void ignore_hangup(void) {
 	inherited = signal(SIGHUP, SIG_IGN);
 }
--- a/operator/linearizable_test.go
+++ b/operator/linearizable_test.go
@@ -17,7 +17,7 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// proposeInput holds what versionRegister needs to know of a proposal.
+// proposeInput is the input of one proposal: the version that the proposal is based on.
 type proposeInput struct{ baseVersion model.Version }
 
 // proposeOutput is the result of one proposal. decision is one of the names that decisionName
--- a/operator/startover.go
+++ b/operator/startover.go
@@ -21,8 +21,8 @@
 // the empty configuration.
 //
 // version is the version of the empty configuration. It must be at least as high as any version
-// that was ever accepted. If the configuration can be read from the log, StartOver returns
-// ErrLogReadable.
+// that was ever accepted. If version is zero, StartOver returns an *InvalidError. If the
+// configuration can be read from the log, it returns ErrLogReadable.
 func StartOver(ctx context.Context, log recordlog.Log, version model.Version) error {
 	if version == 0 {
 		return &InvalidError{Problem: errors.New("the version must be at least the highest that was ever accepted")}
