--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -26,7 +26,7 @@
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(settings, []byte("not: [settings\n"), 0o600))
-	startsSeenIgnoring := 0
+	startsWithHangupIgnored := 0
 	for range starts {
 		cmd := exec.Command(program)
 		cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+settings)
@@ -39,10 +39,10 @@
 		_ = cmd.Wait()
 		require.Equal(t, exitcode.Usage, cmd.ProcessState.ExitCode(), "%s", cmd.ProcessState)
 		if ignored {
-			startsSeenIgnoring++
+			startsWithHangupIgnored++
 		}
 	}
-	require.Positive(t, startsSeenIgnoring, "SIGHUP was never seen ignored in %d starts", starts)
+	require.Positive(t, startsWithHangupIgnored, "SIGHUP was never seen ignored in %d starts", starts)
 }
 
 // TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that SIGHUP does not stay ignored after the start.
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -76,9 +76,9 @@
 
 func TestProposeErrorsHaveExitCodes(t *testing.T) {
 	for name, c := range map[string]struct {
-		proposal       Proposal
-		readFailsAfter bool
-		want           int
+		proposal             Proposal
+		readsFailAfterAppend bool
+		want                 int
 	}{
 		"superseded":   {Proposal{Base: 1, Documents: []policy.Document{serviceDocument("a", "3s")}}, false, ExitSuperseded},
 		"invalid":      {Proposal{Documents: []policy.Document{serviceDocument("a", "3 hours")}}, false, ExitInvalid},
@@ -90,7 +90,7 @@
 				var log recordlog.Log = &recordlog.Memory{}
 				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
 				propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "2s")}})
-				if c.readFailsAfter {
+				if c.readsFailAfterAppend {
 					log = &unreadableAfterAppend{Log: log}
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -132,18 +132,18 @@
 		var unknown *UnknownError
 		require.Error(t, err)
 		require.False(t, errors.As(err, &unknown))
-		require.Greater(t, log.attempts, 1, "the append is retried")
+		require.Greater(t, log.appends, 1, "the append is retried")
 	})
 }
 
 // failingAppends is a log whose appends all fail and certainly add no records.
 type failingAppends struct {
 	recordlog.Log
-	attempts int
+	appends int
 }
 
 func (f *failingAppends) Append(context.Context, string, [][]byte) (recordlog.Offset, error) {
-	f.attempts++
+	f.appends++
 	return 0, &recordlog.AppendError{Err: errors.New("refused")}
 }
 
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -10,8 +10,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/dottereltiller/dottereltiller/core/quarantine"
-	store "github.com/dottereltiller/dottereltiller/quarantine"
+	core "github.com/dottereltiller/dottereltiller/core/quarantine"
+	"github.com/dottereltiller/dottereltiller/quarantine"
 )
 
 const (
@@ -23,12 +23,12 @@
 // ListQuarantined returns the requests that a daemon lists in its quarantine: those suspected of
 // crashing upstreams, those refused because they crash upstreams, and those cleared since. admin is
 // the admin address of the daemon.
-func ListQuarantined(ctx context.Context, admin string) ([]store.ListedRecord, error) {
+func ListQuarantined(ctx context.Context, admin string) ([]quarantine.ListedRecord, error) {
 	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
 		return nil, err
 	}
-	var records []store.ListedRecord
+	var records []quarantine.ListedRecord
 	if err := json.Unmarshal(body, &records); err != nil {
 		return nil, fmt.Errorf("daemon %s: %w", admin, err)
 	}
@@ -38,7 +38,7 @@
 // ReleaseQuarantined removes the request with a fingerprint from the quarantine. It calls the
 // daemon at an admin address, which relays the release to the other daemons. A daemon accepts
 // this call only from its own VM.
-func ReleaseQuarantined(ctx context.Context, admin string, f quarantine.Fingerprint) error {
+func ReleaseQuarantined(ctx context.Context, admin string, f core.Fingerprint) error {
 	_, err := callAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
 	return err
 }
@@ -78,7 +78,7 @@
 }
 
 // WriteQuarantined prints a table of the requests in the quarantine.
-func WriteQuarantined(w io.Writer, records []store.ListedRecord) {
+func WriteQuarantined(w io.Writer, records []quarantine.ListedRecord) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "fingerprint\tstate\tservice\tcaller\tdeaths\tuntil\trequest")
 	for _, r := range records {
