--- a/cmd/dottereltiller/publish.go
+++ b/cmd/dottereltiller/publish.go
@@ -11,21 +11,22 @@
 	"github.com/dottereltiller/dottereltiller/operator"
 )
 
-// waitFlags are the flags of commands that can wait until a version is in force.
+// waitFlags holds the flags of commands that can wait until a version is in force.
 type waitFlags struct {
 	Wait        bool          `arg:"--wait" help:"wait until the version is in force in every availability zone"`
 	Daemon      string        `arg:"--daemon,env:DOTTERELTILLER_DAEMON" placeholder:"HOST:PORT" help:"admin address of any daemon, for --wait"`
 	WaitTimeout time.Duration `arg:"--wait-timeout" default:"30s" help:"timeout of --wait"`
 }
 
-func (f waitFlags) check() error {
+// checkWaitFlags returns a usageError if --wait is set without --daemon.
+func (f waitFlags) checkWaitFlags() error {
 	if f.Wait && f.Daemon == "" {
 		return usageError{errors.New("--wait needs --daemon")}
 	}
 	return nil
 }
 
-// await waits until a version is in force, if --wait is set.
+// await waits until a version is in force in every zone. Without --wait, it returns at once.
 func (f waitFlags) await(ctx context.Context, v model.Version) error {
 	if !f.Wait {
 		return nil
@@ -50,7 +51,7 @@
 }
 
 func (c *publishCmd) run(ctx context.Context) error {
-	if err := c.check(); err != nil {
+	if err := c.checkWaitFlags(); err != nil {
 		return err
 	}
 	docs, err := readDocuments(c.Files)
@@ -60,7 +61,7 @@
 	p := operator.Proposal{
 		Author: c.author(), Comment: c.Comment, Documents: docs, Prune: c.Prune, Base: model.Version(c.Base),
 	}
-	logCtx, cancel := c.context(ctx)
+	logCtx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	if c.DryRun {
 		plan, err := operator.Plan(logCtx, c.client(), p)
@@ -74,7 +75,8 @@
 	return c.await(ctx, res.Version)
 }
 
-// printResult prints the result of a proposal and returns err.
+// printResult prints the result of a proposal. err is the error of the proposal;
+// printResult returns it.
 func printResult(res operator.Result, err error) error {
 	var superseded *operator.SupersededError
 	if errors.As(err, &superseded) {
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -19,14 +19,14 @@
 	"github.com/dottereltiller/dottereltiller/platform"
 )
 
-// TestSIGHUPBeforeTheRuntimeStarts sends SIGHUP to daemons whose Go runtime has not installed
-// its signal handlers yet. The signal must be ignored until then; its default action would
-// end the process.
+// TestSIGHUPBeforeTheRuntimeStarts sends SIGHUP to daemons whose Go runtime may not have installed
+// its signal handlers yet. Until the runtime has, the process must ignore the signal: the default
+// action would end the process.
 func TestSIGHUPBeforeTheRuntimeStarts(t *testing.T) {
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(settings, []byte("not: [settings\n"), 0o600))
-	ignoredFirst := 0
+	startsWithHangupIgnored := 0
 	for range starts {
 		cmd := exec.Command(program)
 		cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+settings)
@@ -39,25 +39,25 @@
 		_ = cmd.Wait()
 		require.Equal(t, exitcode.Usage, cmd.ProcessState.ExitCode(), "%s", cmd.ProcessState)
 		if ignored {
-			ignoredFirst++
+			startsWithHangupIgnored++
 		}
 	}
-	require.Positive(t, ignoredFirst, "SIGHUP was never seen ignored in %d starts", starts)
+	require.Positive(t, startsWithHangupIgnored, "SIGHUP was never seen ignored in %d starts", starts)
 }
 
-// TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that the signal does not stay ignored after the
-// start, because reloads would be lost.
+// TestSIGHUPIsCaughtOnceTheRuntimeRuns checks that SIGHUP does not stay ignored after the start.
+// If it did, requests to reload the settings would be lost.
 func TestSIGHUPIsCaughtOnceTheRuntimeRuns(t *testing.T) {
-	cmd, w := startBlockedOnSettings(t)
+	cmd, pipe := startBlockedOnSettings(t)
 	ignored, caught := hangupActions(t, cmd.Process.Pid)
-	require.NoError(t, w.Close())
+	require.NoError(t, pipe.Close())
 	_ = cmd.Wait()
 	require.False(t, ignored)
 	require.True(t, caught)
 }
 
-// hangupActions reports whether a process ignores or catches SIGHUP, according to /proc. A
-// process that has ended is reported as catching it.
+// hangupActions reports whether a process ignores SIGHUP and whether it catches SIGHUP, according
+// to /proc. A process that has ended is reported as catching SIGHUP.
 func hangupActions(t *testing.T, pid int) (ignored, caught bool) {
 	t.Helper()
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/dottereltillerd/logreader_test.go
+++ b/cmd/dottereltillerd/logreader_test.go
@@ -18,7 +18,8 @@
 )
 
 // TestDaemonSurvivesClosedStdout closes the pipe to which a daemon on the platform writes its
-// log, and makes it write one more line. The daemon must keep running and stop cleanly.
+// log, and makes the daemon write one more line. The daemon must keep running and stop cleanly.
+// By default, SIGPIPE would end the daemon when it writes that line.
 func TestDaemonSurvivesClosedStdout(t *testing.T) {
 	address, err := loopback.UnusedAddress()
 	require.NoError(t, err)
@@ -31,18 +32,18 @@
 		GraceS: 1, RetryBudgetRatio: 0.2, RetryBudgetSlack: 10, RetryBudgetWindowS: 10,
 	}
 	path := writeSettings(t, vm.Settings())
-	out, in, err := os.Pipe()
+	logReader, logWriter, err := os.Pipe()
 	require.NoError(t, err)
 	cmd := exec.Command(program)
 	cmd.Env = append(os.Environ(), platformtest.Env(path))
-	cmd.Stdout = in
+	cmd.Stdout = logWriter
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	require.NoError(t, in.Close())
-	awaitLine(t, bufio.NewReader(out), "daemon started")
-	require.NoError(t, out.Close())
+	require.NoError(t, logWriter.Close())
+	awaitLine(t, bufio.NewReader(logReader), "daemon started")
+	require.NoError(t, logReader.Close())
 
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	select {
@@ -58,7 +59,7 @@
 }
 
 // TestDaemonStopsWithClosedStderr closes the pipe to which a daemon that does not run on the
-// platform writes its log, and stops the daemon. It must exit with code 0.
+// platform writes its log, and stops the daemon. The daemon must exit with code 0.
 func TestDaemonStopsWithClosedStderr(t *testing.T) {
 	cmd := exec.Command(program, "--settings", writeSettings(t, `{`+validSettings+`,
 		"listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`))
