--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -18,8 +18,8 @@
 	r := chi.NewRouter()
 	r.Get("/healthz", d.healthz)
 	r.Get("/readyz", d.readyz)
-	r.Get("/status", d.status)
-	r.Get("/v1/zones", d.zones)
+	r.Get("/status", d.serveStatus)
+	r.Get("/v1/zones", d.serveZones)
 	r.Get("/traces", d.tracer.ServeRecent)
 	r.Handle("/metrics", d.Metrics.Handler())
 	r.Get("/v1/quarantine", d.listQuarantine)
@@ -43,7 +43,7 @@
 
 // readyz responds 200 when the daemon can serve callers, else 503.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
-	h := d.health()
+	h := d.readiness()
 	status := http.StatusOK
 	if !h.OK {
 		status = http.StatusServiceUnavailable
@@ -51,8 +51,8 @@
 	writeJSON(w, status, h)
 }
 
-// health returns whether the daemon is ready to serve callers and, if not, why.
-func (d *Daemon) health() Health {
+// readiness returns whether the daemon is ready to serve callers and, if not, why.
+func (d *Daemon) readiness() Health {
 	var reasons []string
 	if d.stopping.Load() {
 		reasons = append(reasons, "stopping")
--- a/daemon/admin_test.go
+++ b/daemon/admin_test.go
@@ -15,11 +15,11 @@
 func TestChangesAreAllowedOnlyFromThisVM(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
 	h := d.adminHandler()
-	status := func(method, path, from string) int {
+	status := func(method, path, remoteAddr string) int {
 		r := httptest.NewRequest(method, path, nil)
-		r.RemoteAddr = from
-		own := &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 8082}
-		r = r.WithContext(context.WithValue(r.Context(), http.LocalAddrContextKey, own))
+		r.RemoteAddr = remoteAddr
+		ownAddr := &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 8082}
+		r = r.WithContext(context.WithValue(r.Context(), http.LocalAddrContextKey, ownAddr))
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
 		return w.Code
--- a/daemon/caller_errors_test.go
+++ b/daemon/caller_errors_test.go
@@ -18,7 +18,7 @@
 // reach the upstream.
 func TestCallerErrorsAreReportedAndCounted(t *testing.T) {
 	d := startSingle(t, func(s *settings.Settings) { s.Callers.MaxBodyBytes = 100 })
-	n := d.Nodes[0].Daemon
+	daemon := d.Nodes[0].Daemon
 	cases := map[string]struct {
 		host, header, value, body string
 		status                    int
@@ -31,7 +31,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			req, err := http.NewRequest(http.MethodPut, "http://"+n.CallerAddress(), strings.NewReader(c.body))
+			req, err := http.NewRequest(http.MethodPut, "http://"+daemon.CallerAddress(), strings.NewReader(c.body))
 			require.NoError(t, err)
 			req.Host = c.host
 			if c.header != "" {
@@ -49,15 +49,15 @@
 	}
 	for _, c := range cases {
 		line := fmt.Sprintf(`dottereltiller_entry_refused{outcome="not-run",reason="%s"} 1`, c.reason)
-		require.Eventually(t, func() bool { return strings.Contains(metricsOf(t, n.AdminAddress()), line) },
+		require.Eventually(t, func() bool { return strings.Contains(fetchMetrics(t, daemon.AdminAddress()), line) },
 			waitLimit, 50*time.Millisecond, line)
 	}
 	require.Empty(t, d.Nodes[0].Upstream.Runs())
 }
 
-func metricsOf(t *testing.T, admin string) string {
+func fetchMetrics(t *testing.T, adminAddress string) string {
 	t.Helper()
-	resp, err := http.Get("http://" + admin + "/metrics")
+	resp, err := http.Get("http://" + adminAddress + "/metrics")
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -176,10 +176,10 @@
 	running := func() int32 { return n.Daemon.Guard.Loads("")["returdesk-1"].Running }
 	require.Eventually(t, func() bool { return running() == 1 }, waitLimit, time.Millisecond)
 	require.Eventually(t, func() bool { return running() == 0 }, waitLimit, time.Millisecond)
-	got, err := io.Copy(io.Discard, conn)
-	require.Less(t, got, int64(64<<20))
+	receivedBytes, err := io.Copy(io.Discard, conn)
+	require.Less(t, receivedBytes, int64(64<<20))
 	if err == nil {
-		require.Positive(t, got)
+		require.Positive(t, receivedBytes)
 	}
 }
 
@@ -239,7 +239,7 @@
 func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
 	d := startSingle(t, func(s *settings.Settings) { s.Callers.MaxConnections = 2 })
 	address := d.Nodes[0].Daemon.CallerAddress()
-	succeeds := func(conn net.Conn) bool {
+	requestSucceeds := func(conn net.Conn) bool {
 		_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\n\r\n")
 		if err != nil {
 			return false
@@ -252,12 +252,12 @@
 		return err == nil && resp.StatusCode == http.StatusOK
 	}
 	first, second := dial(t, address), dial(t, address)
-	require.True(t, succeeds(first))
-	require.True(t, succeeds(second))
-	require.False(t, succeeds(dial(t, address)))
-	require.True(t, succeeds(second), "connections within the limit stay usable")
+	require.True(t, requestSucceeds(first))
+	require.True(t, requestSucceeds(second))
+	require.False(t, requestSucceeds(dial(t, address)))
+	require.True(t, requestSucceeds(second), "connections within the limit stay usable")
 	require.NoError(t, first.Close())
-	require.Eventually(t, func() bool { return succeeds(dial(t, address)) }, waitLimit, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return requestSucceeds(dial(t, address)) }, waitLimit, 5*time.Millisecond)
 }
 
 // TestCancelledRequestEndsAtTheUpstream closes the caller's connection while the
--- a/daemon/conns.go
+++ b/daemon/conns.go
@@ -57,20 +57,20 @@
 // closeUnused closes the connections that have been open for at least minAge and have
 // never carried a request. Connection pools of clients open such connections in
 // advance. http.Server.Shutdown would wait 5 seconds for a first request on each.
-func (t *connTracker) closeUnused(age time.Duration) {
+func (t *connTracker) closeUnused(minAge time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for conn, acceptedAt := range t.conns {
-		if !acceptedAt.IsZero() && time.Since(acceptedAt) >= age {
+		if !acceptedAt.IsZero() && time.Since(acceptedAt) >= minAge {
 			_ = conn.Close()
 		}
 	}
 }
 
-// wrap returns a handler that counts the requests in flight. While the server is
+// countInFlight returns a handler that counts the requests in flight. While the server is
 // draining, the handler also sets the header Connection: close on each response. On
 // HTTP/2, net/http then sends GOAWAY.
-func (t *connTracker) wrap(next http.Handler) http.Handler {
+func (t *connTracker) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		t.inFlight.Add(1)
 		defer t.inFlight.Add(-1)
@@ -107,13 +107,13 @@
 // and waits for the requests in flight. If the context ends first, shutdown returns an
 // error and leaves the remaining connections open.
 func (t *connTracker) shutdown(ctx context.Context, s *http.Server) error {
-	done := make(chan error, 1)
-	go func() { done <- s.Shutdown(ctx) }()
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- s.Shutdown(ctx) }()
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case err := <-done:
+		case err := <-shutdownErr:
 			return err
 		case <-ticker.C:
 			t.closeUnused(maxUnusedAge)
--- a/daemon/conns_test.go
+++ b/daemon/conns_test.go
@@ -51,11 +51,11 @@
 		name: "callers", listener: ln, maxConnections: 1,
 		handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { forwarded <- struct{}{} }),
 	})
-	wrapped, requestRead := s.http.Handler, make(chan struct{})
+	originalHandler, requestRead := s.http.Handler, make(chan struct{})
 	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer close(requestRead)
 		require.NoError(t, s.http.Close())
-		wrapped.ServeHTTP(w, r)
+		originalHandler.ServeHTTP(w, r)
 	})
 	go func() { _ = s.Serve(t.Context()) }()
 	resp, err := http.Get("http://" + ln.Addr().String())
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -72,7 +72,7 @@
 	peerTLS *identity.Credentials
 
 	supervisor *supervisorTree
-	peersLn    net.Listener
+	peerLn     net.Listener
 	callerLn   net.Listener
 	adminLn    net.Listener
 	callers    *server
@@ -148,7 +148,7 @@
 }
 
 // ID returns the daemon's ID, which is the peer address it listens on.
-func (d *Daemon) ID() model.DaemonID { return model.DaemonID(d.peersLn.Addr().String()) }
+func (d *Daemon) ID() model.DaemonID { return model.DaemonID(d.peerLn.Addr().String()) }
 
 // CallerAddress returns the address that callers connect to.
 func (d *Daemon) CallerAddress() string { return d.callerLn.Addr().String() }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -91,10 +91,10 @@
 
 	code, body = get(t, admin+"/status")
 	require.Equal(t, http.StatusOK, code)
-	var st Status
-	require.NoError(t, json.Unmarshal([]byte(body), &st))
-	require.Equal(t, d.ID(), st.Daemon)
-	require.Contains(t, st.Components, ComponentStatus{Name: "callers"})
+	var daemonStatus Status
+	require.NoError(t, json.Unmarshal([]byte(body), &daemonStatus))
+	require.Equal(t, d.ID(), daemonStatus.Daemon)
+	require.Contains(t, daemonStatus.Components, ComponentStatus{Name: "callers"})
 }
 
 func TestABrokenInvariantInARequestStopsTheDaemon(t *testing.T) {
--- a/daemon/docs_test.go
+++ b/daemon/docs_test.go
@@ -20,9 +20,9 @@
 	require.Greater(t, len(names), 20)
 
 	d := startSingle(t, nil)
-	n := d.Nodes[0].Daemon
+	daemon := d.Nodes[0].Daemon
 	for _, host := range []string{"returdesk.fyn", "nobody.fyn"} {
-		req, err := http.NewRequest(http.MethodGet, "http://"+n.CallerAddress(), nil)
+		req, err := http.NewRequest(http.MethodGet, "http://"+daemon.CallerAddress(), nil)
 		require.NoError(t, err)
 		req.Host = host
 		resp, err := http.DefaultClient.Do(req)
@@ -30,14 +30,14 @@
 		_ = resp.Body.Close()
 	}
 	missing := func() []string {
-		metrics := metricsOf(t, n.AdminAddress())
-		var out []string
+		metrics := fetchMetrics(t, daemon.AdminAddress())
+		var missingNames []string
 		for _, name := range names {
 			if !strings.Contains(metrics, "# TYPE "+name[1]+" ") {
-				out = append(out, name[1])
+				missingNames = append(missingNames, name[1])
 			}
 		}
-		return out
+		return missingNames
 	}
 	for end := time.Now().Add(waitLimit); len(missing()) > 0 && time.Now().Before(end); {
 		time.Sleep(100 * time.Millisecond)
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -63,8 +63,8 @@
 	for _, s := range []*server{d.callers, d.peers} {
 		go func() { stopped <- s.shutdown(ctx) }()
 	}
-	first, second := <-stopped, <-stopped
-	if first == nil && second == nil {
+	firstErr, secondErr := <-stopped, <-stopped
+	if firstErr == nil && secondErr == nil {
 		return nil
 	}
 	aborted := &AbortedRequestsError{
@@ -83,9 +83,9 @@
 // their connections, for at most process.drain_time. It returns when both the handover
 // and this wait have ended.
 func (d *Daemon) handOverKeysAndDrain(ctx context.Context) {
-	handedOver := make(chan struct{})
+	handoverEnded := make(chan struct{})
 	go func() {
-		defer close(handedOver)
+		defer close(handoverEnded)
 		if err := d.Owner.Drain(ctx); err != nil {
 			d.logger.Warn("keys not handed over", "error", err)
 		}
@@ -94,7 +94,7 @@
 	defer cancel()
 	d.peers.conns.waitUntilClosed(drainCtx)
 	d.callers.conns.waitUntilClosed(drainCtx)
-	<-handedOver
+	<-handoverEnded
 }
 
 // rejectWhileDraining rejects calls from other daemons for this VM's upstreams, with
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -47,20 +47,20 @@
 	s.Process.DrainTime = policy.Duration(100 * time.Millisecond)
 	newDaemon, err := daemon.New(s, d.Logger())
 	require.NoError(t, err)
-	f, err := standin.StartFaultyUpstream()
+	faulty, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = f.Close() })
-	f.SetScript(standin.Script{Hang: true})
-	return newDaemon, f
+	t.Cleanup(func() { _ = faulty.Close() })
+	faulty.SetScript(standin.Script{Hang: true})
+	return newDaemon, faulty
 }
 
 func TestStopWaitsForRequestsUntilAborted(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, nil)
-	drainingDaemon, f := newDaemonWithHangingUpstream(t, d)
+	drainingDaemon, faulty := newDaemonWithHangingUpstream(t, d)
 	stop, done := serveInBackground(t, drainingDaemon)
 	require.NoError(t, d.Nodes[0].Upstream.Announce(t.Context(), d.Nodes[0].Daemon.AdminAddress(), 1, true))
 	code, body := putAnnouncement(t, drainingDaemon.AdminAddress(), "faulty",
-		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, f.Address()))
+		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, faulty.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
 	require.Eventually(t, func() bool {
 		ups, _ := drainingDaemon.Members.Upstreams("returdesk")
@@ -69,7 +69,7 @@
 
 	responses := make(chan callerResponse, 1)
 	go func() { responses <- sendRequest(t, drainingDaemon.CallerAddress(), http.MethodPost, "release") }()
-	require.Eventually(t, func() bool { return f.Requests() == 1 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return faulty.Requests() == 1 }, waitLimit, pollInterval)
 	stop()
 	require.Eventually(t, func() bool {
 		resp, err := http.Get("http://" + drainingDaemon.AdminAddress() + "/readyz")
@@ -129,9 +129,9 @@
 	}
 }
 
-// do sends one request to daemon i. It marks the daemon as draining if the response asks
+// send sends one request to daemon i. It marks the daemon as draining if the response asks
 // to close the connection.
-func (r *restartLoad) do(client *http.Client, i int, req *http.Request) (callerResponse, error) {
+func (r *restartLoad) send(client *http.Client, i int, req *http.Request) (callerResponse, error) {
 	req.Host = "returdesk.fyn"
 	resp, err := client.Do(req)
 	if err != nil {
@@ -161,7 +161,7 @@
 			method = http.MethodGet
 		case 1:
 			req, _ := http.NewRequest(http.MethodPost, url+daemon.KeysPath, nil)
-			got, err := r.do(client, i, req)
+			got, err := r.send(client, i, req)
 			var issued struct{ Key string }
 			if err != nil || json.Unmarshal([]byte(got.body), &issued) != nil {
 				r.fail("no key: %v %q", err, got.body)
@@ -174,7 +174,7 @@
 		if key != "" {
 			req.Header.Set(wire.HeaderIdempotencyKey, key)
 		}
-		got, err := r.do(client, i, req)
+		got, err := r.send(client, i, req)
 		if err != nil || got.outcome != outcome.Answered || got.body != name+" "+name {
 			r.fail("request %s through daemon %d: %v %s %s %q", name, i, err, got.outcome, got.header.Get(wire.HeaderReason), got.body)
 		}
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -28,7 +28,7 @@
 
 func (g *gauges) report() {
 	ready := 0.0
-	if g.daemon.health().OK {
+	if g.daemon.readiness().OK {
 		ready = 1
 	}
 	g.scope.SubScope("process").Gauge("ready").Update(ready)
--- a/daemon/keys_test.go
+++ b/daemon/keys_test.go
@@ -92,12 +92,12 @@
 		runs += n.Upstream.Runs()["once"]
 	}
 	require.Equal(t, 1, runs)
-	requireMetricsOf(t, "../docs/KEYS.md", d)
+	requireDocumentedMetrics(t, "../docs/KEYS.md", d)
 }
 
-// requireMetricsOf checks that each metric that a page of the documentation names is
+// requireDocumentedMetrics checks that each metric that a page of the documentation names is
 // served by at least one daemon.
-func requireMetricsOf(t *testing.T, page string, d *local.Deployment) {
+func requireDocumentedMetrics(t *testing.T, page string, d *local.Deployment) {
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
 	names := regexp.MustCompile("`(dottereltiller_[a-z_]+)").FindAllStringSubmatch(string(text), -1)
@@ -105,7 +105,7 @@
 	for _, name := range names {
 		require.Eventually(t, func() bool {
 			return slices.ContainsFunc(d.Nodes, func(n *local.Node) bool {
-				return strings.Contains(metricsOf(t, n.Daemon.AdminAddress()), "# TYPE "+name[1]+" ")
+				return strings.Contains(fetchMetrics(t, n.Daemon.AdminAddress()), "# TYPE "+name[1]+" ")
 			})
 		}, waitLimit, 100*time.Millisecond, name[1])
 	}
@@ -137,9 +137,9 @@
 					key = obtainKey(b, a)
 					b.StartTimer()
 				}
-				began := time.Now()
+				startedAt := time.Now()
 				got := postKeyed(b, a, key, "bench", "x")
-				_ = hist.RecordValue(time.Since(began).Microseconds())
+				_ = hist.RecordValue(time.Since(startedAt).Microseconds())
 				if got.outcome != outcome.Answered {
 					b.Fatalf("not answered: %+v", got)
 				}
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -35,7 +35,7 @@
 		listener *net.Listener
 	}{
 		{"listen.callers", d.settings.Listen.Callers, &d.callerLn},
-		{"listen.peers", d.settings.Listen.Peers, &d.peersLn},
+		{"listen.peers", d.settings.Listen.Peers, &d.peerLn},
 		{"listen.admin", d.settings.Listen.Admin, &d.adminLn},
 	} {
 		ln, err := net.Listen("tcp", l.address)
@@ -102,7 +102,7 @@
 	})
 	d.peers = newServer(serverOptions{
 		name:           "peers",
-		listener:       d.peersLn,
+		listener:       d.peerLn,
 		handler:        d.supervisor.recoverPanics("peers", peers),
 		headerTimeout:  peerHeaderTimeout,
 		idleTimeout:    peerIdleTimeout,
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -28,7 +28,7 @@
 	require.NoError(t, err)
 	require.Empty(t, entries[0].Crashes)
 
-	var refused *operator.AdminError
-	require.ErrorAs(t, operator.ReleaseQuarantined(context.Background(), d.AdminAddress(), core.Fingerprint{}), &refused)
-	require.Equal(t, 404, refused.Status)
+	var adminErr *operator.AdminError
+	require.ErrorAs(t, operator.ReleaseQuarantined(context.Background(), d.AdminAddress(), core.Fingerprint{}), &adminErr)
+	require.Equal(t, 404, adminErr.Status)
 }
--- a/daemon/response_test.go
+++ b/daemon/response_test.go
@@ -27,25 +27,25 @@
 func startWithFaultyUpstream(t *testing.T) (*local.Deployment, *standin.FaultyUpstream) {
 	t.Helper()
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
-	f, err := standin.StartFaultyUpstream()
+	faulty, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = f.Close() })
+	t.Cleanup(func() { _ = faulty.Close() })
 	ctx := t.Context()
 	for i, n := range d.Nodes {
 		require.NoError(t, n.Upstream.Announce(ctx, n.Daemon.AdminAddress(), 1, true), i)
 	}
 	code, body := putAnnouncement(t, d.Nodes[1].Daemon.AdminAddress(), "faulty",
-		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, f.Address()))
+		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, faulty.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
-	f.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), CutAfter: -1})
+	faulty.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), CutAfter: -1})
 	for _, n := range d.Nodes {
 		require.Eventually(t, func() bool {
-			before := f.Requests()
+			before := faulty.Requests()
 			got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodGet, "")
-			return got.outcome == outcome.Answered && f.Requests() == before+1
+			return got.outcome == outcome.Answered && faulty.Requests() == before+1
 		}, waitLimit, pollInterval)
 	}
-	return d, f
+	return d, faulty
 }
 
 func putAnnouncement(t *testing.T, admin, id, body string) (int, string) {
@@ -73,11 +73,11 @@
 
 func sendRequest(t *testing.T, address, method, body string) callerResponse {
 	t.Helper()
-	var in io.Reader
+	var bodyReader io.Reader
 	if body != "" {
-		in = strings.NewReader(body)
+		bodyReader = strings.NewReader(body)
 	}
-	req, err := http.NewRequest(method, "http://"+address+"/x", in)
+	req, err := http.NewRequest(method, "http://"+address+"/x", bodyReader)
 	require.NoError(t, err)
 	req.Host = "returdesk.fyn"
 	resp, err := http.DefaultTransport.RoundTrip(req)
@@ -102,20 +102,20 @@
 // byte, for requests through one daemon and through two. The caller must see an error or
 // the outcome "unknown". The request must not be sent twice.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for name, response := range completeResponses {
 		for _, n := range d.Nodes {
 			t.Run(fmt.Sprintf("%s/%s", name, n.Upstream.ID), func(t *testing.T) {
 				for cut := range len(response) {
-					f.SetScript(standin.Script{Response: []byte(response), CutAfter: cut, Reset: cut%2 == 0})
-					before := f.Requests()
+					faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: cut, Reset: cut%2 == 0})
+					before := faulty.Requests()
 					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					if got.err == nil {
 						require.Equal(t, outcome.Unknown, got.outcome, "cut after %d bytes: %+v", cut, got)
 					}
-					require.Equal(t, before+1, f.Requests(), "the request must be sent exactly once")
+					require.Equal(t, before+1, faulty.Requests(), "the request must be sent exactly once")
 				}
-				f.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
+				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
 				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				require.NoError(t, got.err)
 				require.Equal(t, outcome.Answered, got.outcome)
@@ -131,7 +131,7 @@
 // TestSurplusResponseNeverReachesTheNextRequest has the upstream send more bytes than
 // one response. The surplus bytes must not become the response to the next request.
 func TestSurplusResponseNeverReachesTheNextRequest(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for name, response := range map[string]string{
 		"two responses":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
 		"surplus bytes":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none and more",
@@ -139,9 +139,9 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
+				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
 				sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
-				f.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), CutAfter: -1})
+				faulty.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), CutAfter: -1})
 				for range 3 {
 					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					require.NoError(t, got.err)
@@ -155,7 +155,7 @@
 }
 
 func TestAmbiguousResponsesAreNotForwarded(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for name, response := range map[string]string{
 		"two lengths":       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
 		"signed length":     "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
@@ -168,7 +168,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.SetScript(standin.Script{Response: []byte(response), CutAfter: len(response)})
+				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: len(response)})
 				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				if got.err == nil {
 					require.Equal(t, outcome.Unknown, got.outcome, "%+v", got)
@@ -182,10 +182,10 @@
 // upstream. The daemon must release the connection to the upstream and the slot.
 // TestMain checks that no goroutine is left over.
 func TestCancelledCallReleasesConnectionAndSlot(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
-	f.SetScript(standin.Script{Hang: true})
+	d, faulty := startWithFaultyUpstream(t)
+	faulty.SetScript(standin.Script{Hang: true})
 	for _, n := range d.Nodes {
-		before := f.Requests()
+		before := faulty.Requests()
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() {
@@ -194,19 +194,19 @@
 			_, err := http.DefaultTransport.RoundTrip(req)
 			done <- err
 		}()
-		require.Eventually(t, func() bool { return f.Requests() == before+1 }, waitLimit, pollInterval)
+		require.Eventually(t, func() bool { return faulty.Requests() == before+1 }, waitLimit, pollInterval)
 		cancel()
 		require.ErrorIs(t, <-done, context.Canceled)
 		require.Eventually(t, func() bool {
-			return f.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
+			return faulty.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
 		}, waitLimit, pollInterval, "connection and slot must be released")
 	}
 }
 
 func TestUpgradesOtherThanH2CAreRefused(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for upgrade, status := range map[string]int{"websocket": http.StatusNotImplemented, "h2c": http.StatusOK, "h2c, foo/1": http.StatusNotImplemented} {
-		before := f.Requests()
+		before := faulty.Requests()
 		req, err := http.NewRequest(http.MethodGet, "http://"+d.Nodes[0].Daemon.CallerAddress()+"/x", nil)
 		require.NoError(t, err)
 		req.Host = "returdesk.fyn"
@@ -218,13 +218,13 @@
 		require.Equal(t, status, resp.StatusCode, upgrade)
 		if status != http.StatusOK {
 			require.Equal(t, outcome.NotRun.String(), resp.Header.Get(wire.HeaderOutcome))
-			require.Equal(t, before, f.Requests())
+			require.Equal(t, before, faulty.Requests())
 		}
 	}
 }
 
 func TestResponsesWithoutBody(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for name, tc := range map[string]struct {
 		method, response, length string
 		status                   int
@@ -236,7 +236,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.SetScript(standin.Script{Response: []byte(tc.response), CutAfter: -1})
+				faulty.SetScript(standin.Script{Response: []byte(tc.response), CutAfter: -1})
 				for range 2 {
 					got := sendRequest(t, n.Daemon.CallerAddress(), tc.method, "")
 					require.NoError(t, got.err)
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -84,7 +84,7 @@
 		address:  o.listener.Addr().String(),
 		listener: o.listener,
 		http: &http.Server{
-			Handler:           inbound.AbortClosed(conns.wrap(o.handler)),
+			Handler:           inbound.AbortClosed(conns.countInFlight(o.handler)),
 			ReadHeaderTimeout: o.headerTimeout,
 			IdleTimeout:       o.idleTimeout,
 			MaxHeaderBytes:    o.maxHeaderBytes,
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -84,7 +84,7 @@
 	Draining    bool                   `json:"draining,omitempty"`
 }
 
-func (d *Daemon) status(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, d.Status())
 }
 
@@ -95,7 +95,7 @@
 		Zone:       d.settings.Zone,
 		Build:      telemetry.Version(),
 		Uptime:     policy.Duration(time.Since(d.startedAt).Round(time.Millisecond)),
-		Health:     d.health(),
+		Health:     d.readiness(),
 		Config:     d.Config.Status(),
 		Loads:      loadStatuses(d.Guard.Loads("")),
 		Components: d.supervisor.status(),
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -43,20 +43,20 @@
 		Subject: pkix.Name{CommonName: "authority"}, IsCA: true,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
-	a.key = newKey(t)
-	der := sign(t, template, template, a.key, a.key)
+	a.key = newPrivateKey(t)
+	der := createCertificate(t, template, template, a.key, a.key)
 	a.cert, _ = x509.ParseCertificate(der)
-	a.file = a.write("authority.pem", "CERTIFICATE", der)
+	a.file = a.writePEM("authority.pem", "CERTIFICATE", der)
 	return a
 }
 
-func newKey(t *testing.T) *ecdsa.PrivateKey {
+func newPrivateKey(t *testing.T) *ecdsa.PrivateKey {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	return key
 }
 
-func sign(t *testing.T, template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) []byte {
+func createCertificate(t *testing.T, template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) []byte {
 	template.SerialNumber = big.NewInt(time.Now().UnixNano())
 	template.NotBefore = time.Now().Add(-time.Hour)
 	template.NotAfter = time.Now().Add(time.Hour)
@@ -65,18 +65,18 @@
 	return der
 }
 
-func (a *certAuthority) write(name, kind string, der []byte) string {
-	path := filepath.Join(a.dir, name)
-	require.NoError(a.t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
+func (a *certAuthority) writePEM(fileName, blockType string, der []byte) string {
+	path := filepath.Join(a.dir, fileName)
+	require.NoError(a.t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), 0o600))
 	return path
 }
 
 // issue creates a certificate with the given common name. It returns settings with the
 // paths of the certificate, of its key and of this authority's certificate.
-func (a *certAuthority) issue(name string) settings.TLS {
-	key := newKey(a.t)
-	der := sign(a.t, &x509.Certificate{
-		Subject:     pkix.Name{CommonName: name},
+func (a *certAuthority) issue(commonName string) settings.TLS {
+	key := newPrivateKey(a.t)
+	der := createCertificate(a.t, &x509.Certificate{
+		Subject:     pkix.Name{CommonName: commonName},
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
@@ -84,20 +84,21 @@
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	require.NoError(a.t, err)
 	return settings.TLS{
-		Certificate: a.write(name+".pem", "CERTIFICATE", der),
-		Key:         a.write(name+".key", "EC PRIVATE KEY", keyDER),
+		Certificate: a.writePEM(commonName+".pem", "CERTIFICATE", der),
+		Key:         a.writePEM(commonName+".key", "EC PRIVATE KEY", keyDER),
 		Authority:   a.file,
 	}
 }
 
-// client returns an HTTP client that accepts server certificates of this authority. The
-// client sends the certificate that files names. If files is empty, it sends none.
-func (a *certAuthority) client(files settings.TLS) *http.Client {
+// newHTTPClient returns an HTTP client that accepts server certificates of this authority.
+// The client sends the certificate that clientCert names. If clientCert is empty, the client
+// sends none.
+func (a *certAuthority) newHTTPClient(clientCert settings.TLS) *http.Client {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	config := &tls.Config{RootCAs: pool}
-	if files.Enabled() {
-		cert, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
+	if clientCert.Enabled() {
+		cert, err := tls.LoadX509KeyPair(clientCert.Certificate, clientCert.Key)
 		require.NoError(a.t, err)
 		config.Certificates = []tls.Certificate{cert}
 	}
@@ -110,11 +111,11 @@
 	trusted, untrusted := newCertAuthority(t), newCertAuthority(t)
 	d := startSingle(t, func(s *settings.Settings) { s.Callers.TLS = trusted.issue("daemon") })
 	url := "https://" + d.Nodes[0].Daemon.CallerAddress()
-	status := func(files settings.TLS) (int, error) {
+	requestStatus := func(clientCert settings.TLS) (int, error) {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
 		require.NoError(t, err)
 		req.Host = "returdesk.fyn"
-		resp, err := trusted.client(files).Do(req)
+		resp, err := trusted.newHTTPClient(clientCert).Do(req)
 		if err != nil {
 			return 0, err
 		}
@@ -123,13 +124,13 @@
 		return resp.StatusCode, nil
 	}
 
-	code, err := status(trusted.issue("sorter"))
+	code, err := requestStatus(trusted.issue("sorter"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code)
-	code, err = status(settings.TLS{})
+	code, err = requestStatus(settings.TLS{})
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code, "an anonymous caller gets the default group")
-	code, err = status(trusted.issue("stranger"))
+	code, err = requestStatus(trusted.issue("stranger"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusUnauthorized, code)
 	plan := load.Plan{
@@ -143,7 +144,7 @@
 	require.NoError(t, err)
 	require.Positive(t, res.Total.Answered)
 	require.Equal(t, res.Total.Requests, res.Total.Answered)
-	_, err = status(untrusted.issue("sorter"))
+	_, err = requestStatus(untrusted.issue("sorter"))
 	require.Error(t, err, "a certificate of another authority must not be accepted")
 }
 
@@ -175,8 +176,8 @@
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	require.Positive(t, d.Nodes[1].Upstream.Runs()["r"]+d.Nodes[1].Upstream.Runs()[""], "one daemon must have forwarded a request to the other")
 
-	peers := string(d.Nodes[1].Daemon.ID())
-	conn, err := tls.Dial("tcp", peers, &tls.Config{InsecureSkipVerify: true})
+	peerAddress := string(d.Nodes[1].Daemon.ID())
+	conn, err := tls.Dial("tcp", peerAddress, &tls.Config{InsecureSkipVerify: true})
 	if err == nil {
 		// In TLS 1.3 a client without the required certificate gets the error only
 		// from its first read.
@@ -186,7 +187,7 @@
 	require.ErrorContains(t, err, "certificate required")
 	untrustedPeer, err := identity.Load("peers.tls", untrusted.issue("stranger"))
 	require.NoError(t, err)
-	_, err = untrustedPeer.PeerDialer(waitLimit)(t.Context(), "tcp", peers)
+	_, err = untrustedPeer.PeerDialer(waitLimit)(t.Context(), "tcp", peerAddress)
 	require.ErrorContains(t, err, "unknown authority")
 }
 
@@ -210,8 +211,8 @@
 			s.Peers.Secret = "secret"
 			s.Callers.TLS = c.files
 			_, err := daemon.New(s, telemetry.NewLogger(os.Stderr, "text", 0))
-			var file *identity.FileError
-			require.ErrorAs(t, err, &file)
+			var fileErr *identity.FileError
+			require.ErrorAs(t, err, &fileErr)
 			require.ErrorContains(t, err, c.want)
 		})
 	}
--- a/daemon/tracing_test.go
+++ b/daemon/tracing_test.go
@@ -46,7 +46,7 @@
 		var out []string
 		for _, tree := range trees {
 			for _, root := range tree.Roots {
-				out = append(out, lastPath(root))
+				out = append(out, lastChildPath(root))
 			}
 		}
 		return out
@@ -58,17 +58,17 @@
 	}, waitLimit, 5*time.Millisecond)
 	forwarded := slices.ContainsFunc(trees, func(tree *trace.Tree) bool {
 		root := tree.Roots[0]
-		last := root.Children[len(root.Children)-1].Children[0]
-		return last.Daemon != root.Daemon
+		guardSpan := root.Children[len(root.Children)-1].Children[0]
+		return guardSpan.Daemon != root.Daemon
 	})
 	require.True(t, forwarded, "one of the requests must be forwarded from one daemon to the other")
 }
 
-// lastPath follows the last child of each span, beginning at n. It returns the names of
+// lastChildPath follows the last child of each span, beginning at n. It returns the names of
 // the spans on this path.
-func lastPath(n *trace.Node) string {
+func lastChildPath(n *trace.Node) string {
 	if len(n.Children) == 0 {
 		return n.Name
 	}
-	return n.Name + "/" + lastPath(n.Children[len(n.Children)-1])
+	return n.Name + "/" + lastChildPath(n.Children[len(n.Children)-1])
 }
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -93,7 +93,7 @@
 
 // Add adds a component to the tree.
 func (t *supervisorTree) Add(c component) {
-	s := &supervisedComponent{component: c, supervisor: t, restarts: t.scope.Tagged(map[string]string{"part": c.String()}).Counter("restarts")}
+	s := &supervisedComponent{component: c, tree: t, restarts: t.scope.Tagged(map[string]string{"part": c.String()}).Counter("restarts")}
 	t.mu.Lock()
 	t.components = append(t.components, s)
 	t.mu.Unlock()
@@ -157,8 +157,8 @@
 // supervisedComponent wraps a component. It counts and logs the component's failures
 // and converts its panics into errors.
 type supervisedComponent struct {
-	component  component
-	supervisor *supervisorTree
+	component component
+	tree      *supervisorTree
 	// restarts counts in metrics what failures counts for /status.
 	restarts tally.Counter
 
@@ -184,7 +184,7 @@
 	}
 	var broken *InvariantError
 	if errors.As(err, &broken) {
-		s.supervisor.reportFatal(broken)
+		s.tree.reportFatal(broken)
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -201,7 +201,7 @@
 	s.lastError.Store(&line)
 	s.failures.Add(1)
 	s.restarts.Inc(1)
-	s.supervisor.logger.Error("component failed", "part", s.String(), "error", message)
+	s.tree.logger.Error("component failed", "part", s.String(), "error", message)
 }
 
 func (s *supervisedComponent) serveRecoveringPanics(ctx context.Context) (err error) {
--- a/daemon/tree_test.go
+++ b/daemon/tree_test.go
@@ -113,19 +113,19 @@
 			invariant.Violated("a name", "a detail")
 		}
 	}))
-	serve := func(path string) {
+	requireAborted := func(path string) {
 		require.PanicsWithValue(t, http.ErrAbortHandler, func() {
 			h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, path, nil))
 		})
 	}
-	counted := func() int64 { return scope.Snapshot().Counters()["handler_panics+part=callers"].Value() }
+	panicCount := func() int64 { return scope.Snapshot().Counters()["handler_panics+part=callers"].Value() }
 
-	serve("/abort")
-	require.Zero(t, counted())
-	serve("/panic")
-	require.EqualValues(t, 1, counted())
+	requireAborted("/abort")
+	require.Zero(t, panicCount())
+	requireAborted("/panic")
+	require.EqualValues(t, 1, panicCount())
 	require.Empty(t, tr.fatal)
-	serve("/broken")
-	require.EqualValues(t, 1, counted())
+	requireAborted("/broken")
+	require.EqualValues(t, 1, panicCount())
 	require.Equal(t, "a name", (<-tr.fatal).Broken.Name)
 }
--- a/daemon/zones.go
+++ b/daemon/zones.go
@@ -32,8 +32,8 @@
 	ok bool
 }
 
-// zones serves the configuration versions in force in each availability zone.
-func (d *Daemon) zones(w http.ResponseWriter, r *http.Request) {
+// serveZones serves the configuration versions in force in each availability zone.
+func (d *Daemon) serveZones(w http.ResponseWriter, r *http.Request) {
 	writeJSON(w, http.StatusOK, summarizeZones(d.queryZones(r.Context())))
 }
 
@@ -101,9 +101,9 @@
 	return out
 }
 
-// addReply adds one reply to the status of its zone. newest is the newest version in all
-// zones.
-func addReply(z *operator.ZoneStatus, reply versionReply, newest model.Version) {
+// addReply adds one reply to z, the status of its zone. newestAnywhere is the newest version
+// in all zones.
+func addReply(z *operator.ZoneStatus, reply versionReply, newestAnywhere model.Version) {
 	z.Asked++
 	if !reply.ok {
 		z.Silent = appendListed(z.Silent, reply.peer.ID)
@@ -114,7 +114,7 @@
 	}
 	z.Answered++
 	z.Newest = max(z.Newest, reply.version)
-	if reply.version < newest {
+	if reply.version < newestAnywhere {
 		z.Behind = appendListed(z.Behind, reply.peer.ID)
 	}
 }
--- a/why/timeline.go
+++ b/why/timeline.go
@@ -70,12 +70,12 @@
 	if len(requestLines) == 0 {
 		return t
 	}
-	from, to := requestLines[0].Time.Add(-contextWindow), requestLines[len(requestLines)-1].Time.Add(contextWindow)
+	windowStart, windowEnd := requestLines[0].Time.Add(-contextWindow), requestLines[len(requestLines)-1].Time.Add(contextWindow)
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		if line.Request == id {
 			t.add(line, false)
-		} else if line.Request == "" && !line.Time.Before(from) && !line.Time.After(to) && mayExplain(line, daemons, upstreams) {
+		} else if line.Request == "" && !line.Time.Before(windowStart) && !line.Time.After(windowEnd) && mayExplain(line, daemons, upstreams) {
 			t.add(line, true)
 		}
 	}
@@ -141,19 +141,19 @@
 	for i := range l.Lines {
 		line := &l.Lines[i]
 		kind := decision.Kind(line.Kind)
-		at, errAt := strconv.ParseUint(line.Get("version"), 10, 64)
-		before, errBefore := strconv.ParseUint(line.Get("previous"), 10, 64)
-		reached := errAt == nil && errBefore == nil && at >= version && before < version
-		if kind == decision.ConfigInForce && reached || kind == decision.ConfigRefused && at == version {
+		newVersion, newVersionErr := strconv.ParseUint(line.Get("version"), 10, 64)
+		previousVersion, previousVersionErr := strconv.ParseUint(line.Get("previous"), 10, 64)
+		reachesVersion := newVersionErr == nil && previousVersionErr == nil && newVersion >= version && previousVersion < version
+		if kind == decision.ConfigInForce && reachesVersion || kind == decision.ConfigRefused && newVersion == version {
 			t.add(line, false)
 		}
 	}
 	return t
 }
 
-// add appends a line. context is true for lines that are not about the subject itself.
-func (t *Timeline) add(l *Line, context bool) {
-	e := Event{Time: l.Time, Daemon: l.Daemon, Kind: l.Kind, Fields: make(map[string]string, len(l.Fields)), orderedFields: l.Fields, Context: context}
+// add appends a line. isContext is true for lines that are not about the subject itself.
+func (t *Timeline) add(l *Line, isContext bool) {
+	e := Event{Time: l.Time, Daemon: l.Daemon, Kind: l.Kind, Fields: make(map[string]string, len(l.Fields)), orderedFields: l.Fields, Context: isContext}
 	for _, f := range l.Fields {
 		e.Fields[f.Name] = f.Value
 	}
--- a/why/unanswered.go
+++ b/why/unanswered.go
@@ -55,7 +55,7 @@
 	linesByRequest := make(map[string][]*Line)
 	for i := range l.Lines {
 		line := &l.Lines[i]
-		if hasUnknownExecution(line, upstream) {
+		if recordsNoResponse(line, upstream) {
 			linesByRequest[line.Request] = nil
 		}
 	}
@@ -74,9 +74,9 @@
 	return out
 }
 
-// hasUnknownExecution reports whether a line records that the upstream gave no response to
+// recordsNoResponse reports whether a line records that the upstream gave no response to
 // a non-idempotent request.
-func hasUnknownExecution(l *Line, upstream string) bool {
+func recordsNoResponse(l *Line, upstream string) bool {
 	if l.Request == "" || l.Get("idempotent") != "false" || upstreamID(l.Get("upstream")) != upstream {
 		return false
 	}
@@ -129,16 +129,16 @@
 // WriteText writes as text the number of requests for each ExecutionCount, then the
 // requests.
 func (u *UnansweredRequests) WriteText(w io.Writer) error {
-	requestsByCount := make(map[ExecutionCount]int)
+	requestCounts := make(map[ExecutionCount]int)
 	for _, r := range u.Requests {
-		requestsByCount[r.Executions]++
+		requestCounts[r.Executions]++
 	}
 	_, err := fmt.Fprintf(w, "upstream %s: %d requests that must not run twice got no answer there\n", u.Upstream, len(u.Requests))
 	if err != nil {
 		return err
 	}
 	for _, c := range []ExecutionCount{NotAtAll, Once, AtMostOnce, PerhapsTwice} {
-		if _, err := fmt.Fprintf(w, "%6d ran %s\n", requestsByCount[c], c); err != nil {
+		if _, err := fmt.Fprintf(w, "%6d ran %s\n", requestCounts[c], c); err != nil {
 			return err
 		}
 	}
--- a/why/unanswered_test.go
+++ b/why/unanswered_test.go
@@ -27,21 +27,21 @@
 	require.NoError(t, l.Read("x", strings.NewReader(log)))
 	l.Sort()
 	got := l.Unanswered("u1")
-	counts := make(map[string]ExecutionCount)
+	executions := make(map[string]ExecutionCount)
 	for _, r := range got.Requests {
-		counts[r.Request] = r.Executions
+		executions[r.Request] = r.Executions
 	}
 	require.Equal(t, map[string]ExecutionCount{
 		"unsafe": AtMostOnce, "guard gone": AtMostOnce, "entry gone": AtMostOnce, "twice": PerhapsTwice, "late answer": Once,
-	}, counts)
+	}, executions)
 	require.Equal(t, "502", got.Requests[0].CallerStatus)
 	require.Equal(t, "a", got.Requests[0].Entry)
 	require.Equal(t, []string{"u1", "u2"}, got.Requests[3].Upstreams)
-	var text, json bytes.Buffer
+	var text, jsonText bytes.Buffer
 	require.NoError(t, got.WriteText(&text))
 	require.Contains(t, text.String(), "5 requests")
 	require.Contains(t, text.String(), "3 ran at most once")
-	require.NoError(t, got.WriteJSON(&json))
-	require.Contains(t, json.String(), `"fate":"perhaps twice"`)
+	require.NoError(t, got.WriteJSON(&jsonText))
+	require.Contains(t, jsonText.String(), `"fate":"perhaps twice"`)
 	require.Empty(t, l.Unanswered("no-such-upstream").Requests)
 }
--- a/why/why_test.go
+++ b/why/why_test.go
@@ -62,12 +62,12 @@
 	require.False(t, timeline.Events[2].Context)
 	require.InDelta(t, 505, timeline.Events[2].AtMS, 0.01)
 	require.Equal(t, "full", timeline.Events[2].Fields["reason"])
-	var text, json bytes.Buffer
+	var text, jsonText bytes.Buffer
 	require.NoError(t, timeline.WriteText(&text))
 	require.Contains(t, text.String(), "outcome: request failed with 504")
 	require.Contains(t, text.String(), "2 lines could not be read")
-	require.NoError(t, timeline.WriteJSON(&json))
-	require.Contains(t, json.String(), `"about":"request r1"`)
+	require.NoError(t, timeline.WriteJSON(&jsonText))
+	require.Contains(t, jsonText.String(), `"about":"request r1"`)
 }
 
 func TestTimelineOfUnknownRequest(t *testing.T) {
