--- a/daemon/announce.go
+++ b/daemon/announce.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// isFromThisVM reports whether a request was sent from this VM. The IP address of the
-// sender is then a loopback address or equal to the local address of the connection.
+// isFromThisVM reports whether a request was sent from this VM. That is the case if the
+// sender's IP address is a loopback address or the local address of the connection.
 func isFromThisVM(r *http.Request) bool {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -135,8 +135,8 @@
 // TestRequestOfACallerThatStopsSendingIsAborted sends part of a request body and then
 // nothing. One request is for a known service, which needs the whole body. The other is
 // for an unknown host and is refused without the body. The daemon must respond to both
-// and close each connection after the stall timeout. The same holds for the addresses of
-// peers and admin.
+// and close each connection after the stall timeout. The servers for peers and admin must
+// do the same.
 func TestRequestOfACallerThatStopsSendingIsAborted(t *testing.T) {
 	d := startSingle(t, setShortStallTimeout)
 	for host, status := range map[string]string{"returdesk.fyn": "400", "nobody.fyn": "404"} {
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -86,7 +86,7 @@
 }
 
 // announceDraining tells some peers that this VM's upstreams are draining. Those peers
-// tell the other daemons. A shutdown calls it before it closes the listeners.
+// tell the other daemons. A shutdown calls announceDraining before it closes the listeners.
 func (d *Daemon) announceDraining(ctx context.Context) {
 	d.Members.DrainAll()
 	ctx, cancel := context.WithTimeout(ctx, drainNoticeTimeout)
@@ -95,8 +95,8 @@
 }
 
 // readsLogOften reports whether this daemon reads the log at its short polling
-// interval. The few log readers of each availability zone always do. Any other daemon
-// does while its last gossip round with a peer is older than maxRoundAge.
+// interval. The few log readers of each availability zone always do so. Any other daemon
+// does so only while its last gossip round with a peer is older than maxRoundAge.
 func (d *Daemon) readsLogOften() bool {
 	if time.Since(d.Exchanger.LastRound()) > maxRoundAge {
 		return true
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -193,8 +193,8 @@
 // Close releases the resources of a daemon on which Serve was never called.
 func (d *Daemon) Close() { d.releaseResources() }
 
-// LibraryLogWriter returns a writer for the standard logger, to which libraries log. It
-// counts the lines and discards them. Clients can cause such lines at will, so these
+// LibraryLogWriter returns a writer for the standard logger, to which libraries log. The
+// writer counts the lines and discards them. Clients can cause such lines at will, so the
 // lines must not reach the daemon's log.
 func (d *Daemon) LibraryLogWriter() io.Writer {
 	return lineCounter{d.scope("process").Counter("library_lines")}
@@ -204,7 +204,7 @@
 // "dottereltiller_<component>_...".
 func (d *Daemon) scope(component string) tally.Scope { return d.Metrics.Scope.SubScope(component) }
 
-// now returns the time since New was called. It is the clock of the components.
+// now returns the time since New was called. The components use it as their clock.
 func (d *Daemon) now() model.Instant { return model.Instant(time.Since(d.startedAt)) }
 
 // admissionGroups returns the groups of a service under the configuration in force, or
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -36,7 +36,7 @@
 }
 
 // newDaemonWithHangingUpstream creates another daemon for a deployment and an upstream
-// that never responds. It does not run the daemon.
+// that never responds. It neither runs the daemon nor announces the upstream.
 func newDaemonWithHangingUpstream(t *testing.T, d *local.Deployment) (*daemon.Daemon, *standin.FaultyUpstream) {
 	t.Helper()
 	s := settings.Defaults()
@@ -54,6 +54,9 @@
 	return newDaemon, faulty
 }
 
+// TestStopWaitsForRequestsUntilAborted stops a daemon while a request hangs at its upstream.
+// The shutdown must wait for the request until AbortDrain is called. Serve must then report
+// the request as aborted.
 func TestStopWaitsForRequestsUntilAborted(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, nil)
 	drainingDaemon, faulty := newDaemonWithHangingUpstream(t, d)
--- a/daemon/keys_test.go
+++ b/daemon/keys_test.go
@@ -40,8 +40,8 @@
 	return issued.Key
 }
 
-// postKeyed sends a POST request with an idempotency key, or without one if key is
-// empty. The upstream counts the runs of the request under name.
+// postKeyed sends a POST request with an idempotency key. If key is empty, the request has
+// none. The upstream counts the runs of the request under name.
 func postKeyed(t testing.TB, address, key, name, body string) callerResponse {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/release", strings.NewReader(body))
 	require.NoError(t, err)
@@ -58,6 +58,9 @@
 	return callerResponse{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
 }
 
+// TestKeyedRequestsRunOnceOverHTTP sends the same request with the same idempotency key
+// twice to each of three daemons. The request must run once, and all other responses must
+// be marked as replayed. The cases send keys or bodies that must be refused.
 func TestKeyedRequestsRunOnceOverHTTP(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 3, nil)
 	addresses := []string{d.Nodes[0].Daemon.CallerAddress(), d.Nodes[1].Daemon.CallerAddress(), d.Nodes[2].Daemon.CallerAddress()}
--- a/daemon/response_test.go
+++ b/daemon/response_test.go
@@ -90,7 +90,7 @@
 	return callerResponse{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
 }
 
-// completeResponses holds responses of an upstream that end as HTTP/1.1 requires.
+// completeResponses holds complete responses of an upstream, by the name of the case.
 var completeResponses = map[string]string{
 	"length":      "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
 	"chunked":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\n\r\n",
--- a/daemon/stall.go
+++ b/daemon/stall.go
@@ -88,9 +88,9 @@
 func (w *limitedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // extendDeadline sets the deadline of the next write to one timeout from now. If the
-// request body has not been read to its end, the deadline is two timeouts from now:
-// net/http reads the rest of the body before the first write, which may take up to one
-// timeout itself.
+// handler has not read the request body to its end, the deadline is two timeouts from now.
+// net/http then reads the rest of the body before the first write, and that read may take
+// up to one timeout itself.
 func (w *limitedWriter) extendDeadline() {
 	timeout := w.limiter.timeout
 	if w.body != nil && w.body.extendDeadline() {
@@ -99,8 +99,8 @@
 	_ = w.control.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// limitedBody sets a deadline before every read of the request body, one timeout from
-// then.
+// limitedBody sets a deadline before every read of the request body. The deadline is one
+// timeout after the start of the read.
 type limitedBody struct {
 	body   io.ReadCloser
 	writer *limitedWriter
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -107,6 +107,9 @@
 	return &http.Client{Transport: transport}
 }
 
+// TestCallersAuthenticateByCertificate sends requests with and without client certificates.
+// A known certificate name and no certificate must be accepted. An unknown name and a
+// certificate of another authority must be refused.
 func TestCallersAuthenticateByCertificate(t *testing.T) {
 	trusted, untrusted := newCertAuthority(t), newCertAuthority(t)
 	d := startSingle(t, func(s *settings.Settings) { s.Callers.TLS = trusted.issue("daemon") })
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -223,8 +223,8 @@
 	return fmt.Errorf("%s: panic: %v\n%s", component, v, stack)
 }
 
-// recoverPanics returns a handler that calls next and counts and logs its panics. A panic
-// aborts only the request. If the panic is a violated invariant, the daemon also stops.
+// recoverPanics returns a handler that calls next. A panic of next aborts only the request
+// and is counted and logged. A violated invariant stops the daemon.
 func (t *supervisorTree) recoverPanics(name string, next http.Handler) http.Handler {
 	panics := t.scope.Tagged(map[string]string{"part": name}).Counter("handler_panics")
 	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlePanic(name, panics, v) })
--- a/decision/log.go
+++ b/decision/log.go
@@ -137,9 +137,9 @@
 	l.enqueue(class, newRecord(now, k, class, request, attrs), l.opts.Handler)
 }
 
-// admit reports whether the rate limit allows a line of class c now, and takes a token for
-// the line. State lines are always admitted and take none, since they are as rare as the
-// changes that they report. l.mu is held.
+// admit reports whether the rate limit allows a line of class c now. If so, it takes a token
+// for the line. State lines need no token and are always admitted, since they are as rare as
+// the changes that they report. l.mu is held.
 func (l *Log) admit(c Class, now time.Time) bool {
 	maxTokens := l.opts.LinesPerSecond * burstSeconds
 	l.tokens = min(maxTokens, l.tokens+now.Sub(l.tokensUpdatedAt).Seconds()*l.opts.LinesPerSecond)
--- a/why/timeline.go
+++ b/why/timeline.go
@@ -12,10 +12,10 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// contextWindow limits which state changes the timeline of a request includes. The period
-// begins this long before the first line of the request and ends this long after the last.
-// Daemons correct outdated state within a few seconds, so changes outside this period did
-// not affect the request.
+// contextWindow limits which state changes the timeline of a request includes. Their period
+// begins contextWindow before the first line of the request and ends contextWindow after the
+// last. Daemons correct outdated state within a few seconds, so changes outside this period
+// did not affect the request.
 const contextWindow = 5 * time.Second
 
 // Timeline is a list of decision lines about one subject, ordered by time.
@@ -101,7 +101,7 @@
 }
 
 // mayExplain reports whether a line records a state change that may have affected a
-// request. daemons and upstreams are those that handled the request.
+// request. daemons and upstreams are the ones that handled the request.
 func mayExplain(l *Line, daemons, upstreams map[string]bool) bool {
 	switch decision.Kind(l.Kind) {
 	case decision.UpstreamState, decision.PeerState:
--- a/why/unanswered_test.go
+++ b/why/unanswered_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnansweredRequests reads lines of several daemons. Upstream u1 crashed while it ran
-// their requests. Each request id says what is special about the request.
+// TestUnansweredRequests reads lines of several daemons about requests at upstream u1, which
+// crashed while it ran some of them. Each request id names its case.
 func TestUnansweredRequests(t *testing.T) {
 	const log = `{"time":"2026-01-01T00:00:01Z","msg":"run failed","daemon":"g","request":"unsafe","upstream":"u1","outcome":"unknown","reason":"connection-lost","status":0,"idempotent":false}
 {"time":"2026-01-01T00:00:01.1Z","msg":"request failed","daemon":"a","request":"unsafe","upstream":"10.0.0.1:7 u1","status":502,"idempotent":false}
--- a/why/why_test.go
+++ b/why/why_test.go
@@ -104,9 +104,9 @@
 	})
 }
 
-// TestRequestTimelineIncludesPeersLearned writes the line "peers learned", which stands for
-// many upstreams, at two daemons. The timeline of a request must include only the line of
-// the daemon that handled the request.
+// TestRequestTimelineIncludesPeersLearned adds the line "peers learned", which stands for
+// many upstreams, to the logs of two daemons. The timeline of a request must include only
+// the line of the daemon that handled the request.
 func TestRequestTimelineIncludesPeersLearned(t *testing.T) {
 	l := readTestLogs(t)
 	const line = `{"time":"2026-01-01T00:00:00.930Z","level":"INFO","msg":"peers learned","learned":278,"ready":294,"peers":294,"unheard":0,"missing":""}`
