--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -78,18 +78,18 @@
 
 func TestADaemonWithoutTheLogIsAliveButNotReady(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
-	admin := "http://" + d.AdminAddress()
+	adminURL := "http://" + d.AdminAddress()
 
-	code, _ := get(t, admin+"/healthz")
+	code, _ := get(t, adminURL+"/healthz")
 	require.Equal(t, http.StatusOK, code)
-	code, body := get(t, admin+"/readyz")
+	code, body := get(t, adminURL+"/readyz")
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	require.JSONEq(t, `{"ok":false,"lacking":["no configuration in force"]}`, body)
 	code, body = get(t, "http://"+d.CallerAddress()+"/")
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	require.Contains(t, body, `"reason":"not-ready"`)
 
-	code, body = get(t, admin+"/status")
+	code, body = get(t, adminURL+"/status")
 	require.Equal(t, http.StatusOK, code)
 	var daemonStatus Status
 	require.NoError(t, json.Unmarshal([]byte(body), &daemonStatus))
@@ -112,13 +112,13 @@
 	s := testSettings()
 	s.Listen.Callers = address
 	d, _ := startDaemon(t, s)
-	admin := "http://" + d.AdminAddress()
+	adminURL := "http://" + d.AdminAddress()
 	code, _ := get(t, "http://"+d.CallerAddress()+"/")
 	require.Equal(t, http.StatusServiceUnavailable, code)
 
 	require.NoError(t, d.callerLn.Close())
 	restarted := func() bool {
-		_, body := get(t, admin+"/status")
+		_, body := get(t, adminURL+"/status")
 		return strings.Contains(body, `"name":"callers","restarts":1`)
 	}
 	require.Eventually(t, restarted, waitLimit, pollInterval)
--- a/daemon/response_test.go
+++ b/daemon/response_test.go
@@ -48,9 +48,9 @@
 	return d, faulty
 }
 
-func putAnnouncement(t *testing.T, admin, id, body string) (int, string) {
+func putAnnouncement(t *testing.T, adminAddress, id, body string) (int, string) {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodPut, "http://"+admin+"/v1/upstreams/"+id, strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+adminAddress+"/v1/upstreams/"+id, strings.NewReader(body))
 	require.NoError(t, err)
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
