--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -54,8 +54,8 @@
 		case <-ctx.Done():
 		}
 	}()
-	d.callers.conns.draining.Store(true)
-	d.peers.conns.draining.Store(true)
+	d.callers.tracker.draining.Store(true)
+	d.peers.tracker.draining.Store(true)
 	for _, f := range d.beforeStop {
 		f(ctx)
 	}
@@ -68,8 +68,8 @@
 		return nil
 	}
 	aborted := &AbortedRequestsError{
-		CallerRequests: int(d.callers.conns.inFlight.Load()),
-		PeerCalls:      int(d.peers.conns.inFlight.Load()),
+		CallerRequests: int(d.callers.tracker.inFlight.Load()),
+		PeerCalls:      int(d.peers.tracker.inFlight.Load()),
 		KeyedRequests:  d.Owner.RunningCount(),
 		Waited:         time.Since(startedAt),
 	}
@@ -92,8 +92,8 @@
 	}()
 	drainCtx, cancel := context.WithTimeout(ctx, time.Duration(d.settings.Process.DrainTime))
 	defer cancel()
-	d.peers.conns.waitUntilClosed(drainCtx)
-	d.callers.conns.waitUntilClosed(drainCtx)
+	d.peers.tracker.waitUntilClosed(drainCtx)
+	d.callers.tracker.waitUntilClosed(drainCtx)
 	<-handoverEnded
 }
 
@@ -103,7 +103,7 @@
 func (d *Daemon) rejectWhileDraining(next http.Handler) http.Handler {
 	rejected := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !d.peers.conns.draining.Load() {
+		if !d.peers.tracker.draining.Load() {
 			next.ServeHTTP(w, r)
 			return
 		}
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -102,8 +102,8 @@
 	// draining[i] is set once daemon i has asked a caller to close its connection. It
 	// is cleared when the daemon has restarted.
 	draining []atomic.Bool
-	// sent counts the finished requests, without those that obtain a key.
-	sent atomic.Int64
+	// finishedRequests does not count the requests that obtain a key.
+	finishedRequests atomic.Int64
 	// nextDaemon picks daemons round-robin.
 	nextDaemon atomic.Int64
 	// nextName numbers the requests.
@@ -122,8 +122,8 @@
 	}
 }
 
-// target returns the index of a daemon that is not draining.
-func (r *restartLoad) target(addresses []string) int {
+// pickDaemon returns the index of a daemon that is not draining.
+func (r *restartLoad) pickDaemon(addresses []string) int {
 	for {
 		i := int(r.nextDaemon.Add(1)) % len(addresses)
 		if !r.draining[i].Load() {
@@ -155,7 +155,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		i := r.target(addresses)
+		i := r.pickDaemon(addresses)
 		url := "http://" + addresses[i]
 		name := fmt.Sprintf("%d-%d", workload, r.nextName.Add(1))
 		method, key := http.MethodPost, ""
@@ -181,7 +181,7 @@
 		if err != nil || got.outcome != outcome.Answered || got.body != name+" "+name {
 			r.fail("request %s through daemon %d: %v %s %s %q", name, i, err, got.outcome, got.header.Get(wire.HeaderReason), got.body)
 		}
-		r.sent.Add(1)
+		r.finishedRequests.Add(1)
 	}
 }
 
@@ -212,13 +212,13 @@
 		wg.Go(func() { r.worker(ctx, i%3, addresses) })
 	}
 	for i, n := range d.Nodes {
-		before := r.sent.Load()
-		require.Eventually(t, func() bool { return r.sent.Load() > before+100 }, waitLimit, pollInterval)
+		before := r.finishedRequests.Load()
+		require.Eventually(t, func() bool { return r.finishedRequests.Load() > before+100 }, waitLimit, pollInterval)
 		require.NoError(t, d.Restart(t.Context(), n))
 		r.draining[i].Store(false)
 	}
-	before := r.sent.Load()
-	require.Eventually(t, func() bool { return r.sent.Load() > before+100 }, waitLimit, pollInterval)
+	before := r.finishedRequests.Load()
+	require.Eventually(t, func() bool { return r.finishedRequests.Load() > before+100 }, waitLimit, pollInterval)
 	stop()
 	wg.Wait()
 	require.Empty(t, r.failures)
@@ -229,5 +229,5 @@
 			}
 		}
 	}
-	t.Logf("%d requests over a rolling restart of %d daemons", r.sent.Load(), len(d.Nodes))
+	t.Logf("%d requests over a rolling restart of %d daemons", r.finishedRequests.Load(), len(d.Nodes))
 }
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -63,7 +63,7 @@
 	options serverOptions
 	address string
 	http    *http.Server
-	conns   *connTracker
+	tracker *connTracker
 
 	mu sync.Mutex
 	// listener is the listener for the first run. It is nil once Serve has used it.
@@ -77,21 +77,21 @@
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(o.http2 && o.tls != nil)
 	protocols.SetUnencryptedHTTP2(o.http2 && o.tls == nil)
-	conns := newConnTracker()
+	tracker := newConnTracker()
 	return &server{
 		options:  o,
-		conns:    conns,
+		tracker:  tracker,
 		address:  o.listener.Addr().String(),
 		listener: o.listener,
 		http: &http.Server{
-			Handler:           inbound.AbortClosed(conns.countInFlight(o.handler)),
+			Handler:           inbound.AbortClosed(tracker.countInFlight(o.handler)),
 			ReadHeaderTimeout: o.headerTimeout,
 			IdleTimeout:       o.idleTimeout,
 			MaxHeaderBytes:    o.maxHeaderBytes,
 			TLSConfig:         o.tls,
 			Protocols:         protocols,
 			ConnContext:       inbound.ConnContext,
-			ConnState:         chainConnStateHooks(conns.trackState, limitConnections(o.maxConnections, o.refusedConns)),
+			ConnState:         chainConnStateHooks(tracker.trackState, limitConnections(o.maxConnections, o.refusedConns)),
 			ErrorLog:          log.New(lineCounter{o.connErrors}, "", 0),
 		},
 	}
@@ -128,7 +128,7 @@
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
-	return s.conns.shutdown(ctx, s.http)
+	return s.tracker.shutdown(ctx, s.http)
 }
 
 // close closes the listener of a server that was never run.
--- a/daemon/zones.go
+++ b/daemon/zones.go
@@ -28,8 +28,8 @@
 type versionReply struct {
 	peer    peer.Peer
 	version model.Version
-	// ok is false if the daemon sent no valid reply. The version is then not set.
-	ok bool
+	// valid is false if the daemon sent no valid reply. The version is then 0.
+	valid bool
 }
 
 // serveZones serves the configuration versions in force in each availability zone.
@@ -58,7 +58,7 @@
 func (d *Daemon) queryVersion(ctx context.Context, p peer.Peer) versionReply {
 	if p.ID == d.ID() {
 		v, _ := binary.Uvarint(inForceTopic{d.Config}.Digest())
-		return versionReply{peer: p, version: model.Version(v), ok: true}
+		return versionReply{peer: p, version: model.Version(v), valid: true}
 	}
 	ctx, cancel := context.WithTimeout(ctx, versionQueryTimeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	for _, t := range resp.GetTopics() {
 		if t.GetTopic() == inForceTopicName {
 			v, n := binary.Uvarint(t.GetDigest())
-			return versionReply{peer: p, version: model.Version(v), ok: n > 0}
+			return versionReply{peer: p, version: model.Version(v), valid: n > 0}
 		}
 	}
 	return versionReply{peer: p}
@@ -105,7 +105,7 @@
 // in all zones.
 func addReply(z *operator.ZoneStatus, reply versionReply, newestAnywhere model.Version) {
 	z.Asked++
-	if !reply.ok {
+	if !reply.valid {
 		z.Silent = appendListed(z.Silent, reply.peer.ID)
 		return
 	}
