--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -8,17 +8,18 @@
 )
 
 // adminHandler returns the handler of the admin address, for operators, monitoring
-// and the upstreams of this VM. Requests from other hosts can only read.
+// and the upstreams of this VM. Requests from other hosts may only read.
 func (d *Daemon) adminHandler() http.Handler {
-	// Create the counters now, so that /metrics serves them before the first refusal.
+	// Create the counters of refused announcements now, so that /metrics serves them
+	// before the first refusal.
 	for _, reason := range []string{reasonUnreadable, reasonInvalid, reasonTooMany} {
 		d.refusedAnnouncementsCounter(reason)
 	}
 	r := chi.NewRouter()
 	r.Get("/healthz", d.healthz)
 	r.Get("/readyz", d.readyz)
-	r.Get("/status", d.status)
-	r.Get("/v1/zones", d.zones)
+	r.Get("/status", d.serveStatus)
+	r.Get("/v1/zones", d.serveZones)
 	r.Get("/traces", d.tracer.ServeRecent)
 	r.Handle("/metrics", d.Metrics.Handler())
 	r.Get("/v1/quarantine", d.listQuarantine)
@@ -34,15 +35,15 @@
 	NotReadyReasons []string `json:"lacking,omitempty"`
 }
 
-// healthz responds 200 as long as the process can serve HTTP. It does not depend on
-// the state of single components, which the supervisor restarts.
+// healthz responds 200 as long as the process can serve HTTP. Failed components do not
+// change the response, since the supervisor restarts them.
 func (d *Daemon) healthz(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, Health{OK: true})
 }
 
 // readyz responds 200 when the daemon can serve callers, else 503.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
-	h := d.health()
+	h := d.readiness()
 	status := http.StatusOK
 	if !h.OK {
 		status = http.StatusServiceUnavailable
@@ -50,7 +51,8 @@
 	writeJSON(w, status, h)
 }
 
-func (d *Daemon) health() Health {
+// readiness returns whether the daemon is ready to serve callers and, if not, why.
+func (d *Daemon) readiness() Health {
 	var reasons []string
 	if d.stopping.Load() {
 		reasons = append(reasons, "stopping")
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -24,8 +24,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// serveInBackground runs a daemon. It returns a function that stops it, and a channel
-// that receives the result of Serve.
+// serveInBackground runs a daemon. It returns a function that stops the daemon, and a
+// channel that receives the result of Serve.
 func serveInBackground(t *testing.T, d *daemon.Daemon) (stop func(), done <-chan error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -35,8 +35,8 @@
 	return cancel, out
 }
 
-// newDaemonWithHangingUpstream creates one more daemon for a deployment, without
-// running it, and an upstream that never responds.
+// newDaemonWithHangingUpstream creates another daemon for a deployment and an upstream
+// that never responds. It neither runs the daemon nor announces the upstream.
 func newDaemonWithHangingUpstream(t *testing.T, d *local.Deployment) (*daemon.Daemon, *standin.FaultyUpstream) {
 	t.Helper()
 	s := settings.Defaults()
@@ -47,20 +47,23 @@
 	s.Process.DrainTime = policy.Duration(100 * time.Millisecond)
 	newDaemon, err := daemon.New(s, d.Logger())
 	require.NoError(t, err)
-	f, err := standin.StartFaultyUpstream()
+	faulty, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = f.Close() })
-	f.SetScript(standin.Script{Hang: true})
-	return newDaemon, f
+	t.Cleanup(func() { _ = faulty.Close() })
+	faulty.SetScript(standin.Script{Hang: true})
+	return newDaemon, faulty
 }
 
+// TestStopWaitsForRequestsUntilAborted stops a daemon while a request hangs at its upstream.
+// The shutdown must wait for the request until AbortDrain is called. Serve must then report
+// the request as aborted.
 func TestStopWaitsForRequestsUntilAborted(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, nil)
-	drainingDaemon, f := newDaemonWithHangingUpstream(t, d)
+	drainingDaemon, faulty := newDaemonWithHangingUpstream(t, d)
 	stop, done := serveInBackground(t, drainingDaemon)
 	require.NoError(t, d.Nodes[0].Upstream.Announce(t.Context(), d.Nodes[0].Daemon.AdminAddress(), 1, true))
 	code, body := putAnnouncement(t, drainingDaemon.AdminAddress(), "faulty",
-		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, f.Address()))
+		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, faulty.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
 	require.Eventually(t, func() bool {
 		ups, _ := drainingDaemon.Members.Upstreams("returdesk")
@@ -69,7 +72,7 @@
 
 	responses := make(chan callerResponse, 1)
 	go func() { responses <- sendRequest(t, drainingDaemon.CallerAddress(), http.MethodPost, "release") }()
-	require.Eventually(t, func() bool { return f.Requests() == 1 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return faulty.Requests() == 1 }, waitLimit, pollInterval)
 	stop()
 	require.Eventually(t, func() bool {
 		resp, err := http.Get("http://" + drainingDaemon.AdminAddress() + "/readyz")
@@ -96,18 +99,21 @@
 // restartLoad sends requests to the daemons of a deployment while they are restarted.
 type restartLoad struct {
 	deployment *local.Deployment
-	// draining is set for the daemons that have asked their callers to close the
-	// connection.
+	// draining[i] is set once daemon i has asked a caller to close its connection. It
+	// is cleared when the daemon has restarted.
 	draining []atomic.Bool
-	sent     atomic.Int64
-	// nextDaemon picks daemons round-robin, nextName numbers the requests.
+	// finishedRequests does not count the requests that obtain a key.
+	finishedRequests atomic.Int64
+	// nextDaemon picks daemons round-robin.
 	nextDaemon atomic.Int64
-	nextName   atomic.Int64
+	// nextName numbers the requests.
+	nextName atomic.Int64
 
 	mu       sync.Mutex
 	failures []string
 }
 
+// fail records a failure. It keeps only the first 10.
 func (r *restartLoad) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,8 +122,8 @@
 	}
 }
 
-// target returns the index of a daemon that is not draining.
-func (r *restartLoad) target(addresses []string) int {
+// pickDaemon returns the index of a daemon that is not draining.
+func (r *restartLoad) pickDaemon(addresses []string) int {
 	for {
 		i := int(r.nextDaemon.Add(1)) % len(addresses)
 		if !r.draining[i].Load() {
@@ -126,9 +132,9 @@
 	}
 }
 
-// do sends one request and marks the daemon as draining when the response asks to
-// close the connection.
-func (r *restartLoad) do(client *http.Client, i int, req *http.Request) (callerResponse, error) {
+// send sends one request to daemon i. It marks the daemon as draining if the response asks
+// to close the connection.
+func (r *restartLoad) send(client *http.Client, i int, req *http.Request) (callerResponse, error) {
 	req.Host = "returdesk.fyn"
 	resp, err := client.Do(req)
 	if err != nil {
@@ -143,13 +149,13 @@
 	return callerResponse{status: resp.StatusCode, outcome: kind, body: string(text), header: resp.Header}, err
 }
 
-// worker sends requests until ctx is done. With workload 0 it sends GET requests, with 1
-// POST requests with an idempotency key, and with 2 POST requests without a key.
+// worker sends requests until ctx is done. Workload 0 is GET requests. Workload 1 is POST
+// requests with an idempotency key. Workload 2 is POST requests without a key.
 func (r *restartLoad) worker(ctx context.Context, workload int, addresses []string) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		i := r.target(addresses)
+		i := r.pickDaemon(addresses)
 		url := "http://" + addresses[i]
 		name := fmt.Sprintf("%d-%d", workload, r.nextName.Add(1))
 		method, key := http.MethodPost, ""
@@ -158,7 +164,7 @@
 			method = http.MethodGet
 		case 1:
 			req, _ := http.NewRequest(http.MethodPost, url+daemon.KeysPath, nil)
-			got, err := r.do(client, i, req)
+			got, err := r.send(client, i, req)
 			var issued struct{ Key string }
 			if err != nil || json.Unmarshal([]byte(got.body), &issued) != nil {
 				r.fail("no key: %v %q", err, got.body)
@@ -171,18 +177,18 @@
 		if key != "" {
 			req.Header.Set(wire.HeaderIdempotencyKey, key)
 		}
-		got, err := r.do(client, i, req)
+		got, err := r.send(client, i, req)
 		if err != nil || got.outcome != outcome.Answered || got.body != name+" "+name {
 			r.fail("request %s through daemon %d: %v %s %s %q", name, i, err, got.outcome, got.header.Get(wire.HeaderReason), got.body)
 		}
-		r.sent.Add(1)
+		r.finishedRequests.Add(1)
 	}
 }
 
 // TestRollingRestartFailsNoRequest restarts every daemon in turn under a load of
-// idempotent, keyed and plain non-idempotent requests. Callers use other daemons once
-// a daemon asks them to close the connection, and return to it after its restart. No
-// request may fail, and no non-idempotent request may run twice.
+// idempotent GET requests and of non-idempotent POST requests with and without keys. When
+// a daemon asks callers to close the connection, they use other daemons until it has
+// restarted. No request may fail, and no non-idempotent request may run twice.
 func TestRollingRestartFailsNoRequest(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 4, func(s *settings.Settings) {
 		s.Process.DrainTime = policy.Duration(400 * time.Millisecond)
@@ -206,13 +212,13 @@
 		wg.Go(func() { r.worker(ctx, i%3, addresses) })
 	}
 	for i, n := range d.Nodes {
-		before := r.sent.Load()
-		require.Eventually(t, func() bool { return r.sent.Load() > before+100 }, waitLimit, pollInterval)
+		before := r.finishedRequests.Load()
+		require.Eventually(t, func() bool { return r.finishedRequests.Load() > before+100 }, waitLimit, pollInterval)
 		require.NoError(t, d.Restart(t.Context(), n))
 		r.draining[i].Store(false)
 	}
-	before := r.sent.Load()
-	require.Eventually(t, func() bool { return r.sent.Load() > before+100 }, waitLimit, pollInterval)
+	before := r.finishedRequests.Load()
+	require.Eventually(t, func() bool { return r.finishedRequests.Load() > before+100 }, waitLimit, pollInterval)
 	stop()
 	wg.Wait()
 	require.Empty(t, r.failures)
@@ -223,5 +229,5 @@
 			}
 		}
 	}
-	t.Logf("%d requests over a rolling restart of %d daemons", r.sent.Load(), len(d.Nodes))
+	t.Logf("%d requests over a rolling restart of %d daemons", r.finishedRequests.Load(), len(d.Nodes))
 }
--- a/daemon/keys_test.go
+++ b/daemon/keys_test.go
@@ -40,6 +40,8 @@
 	return issued.Key
 }
 
+// postKeyed sends a POST request with an idempotency key. If key is empty, the request has
+// none. The upstream counts the runs of the request under name.
 func postKeyed(t testing.TB, address, key, name, body string) callerResponse {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/release", strings.NewReader(body))
 	require.NoError(t, err)
@@ -56,6 +58,9 @@
 	return callerResponse{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
 }
 
+// TestKeyedRequestsRunOnceOverHTTP sends the same request with the same idempotency key
+// twice to each of three daemons. The request must run once, and all other responses must
+// be marked as replayed. The cases send keys or bodies that must be refused.
 func TestKeyedRequestsRunOnceOverHTTP(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 3, nil)
 	addresses := []string{d.Nodes[0].Daemon.CallerAddress(), d.Nodes[1].Daemon.CallerAddress(), d.Nodes[2].Daemon.CallerAddress()}
@@ -90,12 +95,12 @@
 		runs += n.Upstream.Runs()["once"]
 	}
 	require.Equal(t, 1, runs)
-	requireMetricsOf(t, "../docs/KEYS.md", d)
+	requireDocumentedMetrics(t, "../docs/KEYS.md", d)
 }
 
-// requireMetricsOf checks that each metric that a page of the documentation names is
+// requireDocumentedMetrics checks that each metric that a page of the documentation names is
 // served by at least one daemon.
-func requireMetricsOf(t *testing.T, page string, d *local.Deployment) {
+func requireDocumentedMetrics(t *testing.T, page string, d *local.Deployment) {
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
 	names := regexp.MustCompile("`(dottereltiller_[a-z_]+)").FindAllStringSubmatch(string(text), -1)
@@ -103,7 +108,7 @@
 	for _, name := range names {
 		require.Eventually(t, func() bool {
 			return slices.ContainsFunc(d.Nodes, func(n *local.Node) bool {
-				return strings.Contains(metricsOf(t, n.Daemon.AdminAddress()), "# TYPE "+name[1]+" ")
+				return strings.Contains(fetchMetrics(t, n.Daemon.AdminAddress()), "# TYPE "+name[1]+" ")
 			})
 		}, waitLimit, 100*time.Millisecond, name[1])
 	}
@@ -135,9 +140,9 @@
 					key = obtainKey(b, a)
 					b.StartTimer()
 				}
-				began := time.Now()
+				startedAt := time.Now()
 				got := postKeyed(b, a, key, "bench", "x")
-				_ = hist.RecordValue(time.Since(began).Microseconds())
+				_ = hist.RecordValue(time.Since(startedAt).Microseconds())
 				if got.outcome != outcome.Answered {
 					b.Fatalf("not answered: %+v", got)
 				}
--- a/daemon/response_test.go
+++ b/daemon/response_test.go
@@ -18,6 +18,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
+// pollInterval is the time between two checks of a condition that a test waits for.
 const pollInterval = 5 * time.Millisecond
 
 // startWithFaultyUpstream starts two daemons and drains their regular upstreams, so
@@ -26,30 +27,30 @@
 func startWithFaultyUpstream(t *testing.T) (*local.Deployment, *standin.FaultyUpstream) {
 	t.Helper()
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
-	f, err := standin.StartFaultyUpstream()
+	faulty, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = f.Close() })
+	t.Cleanup(func() { _ = faulty.Close() })
 	ctx := t.Context()
 	for i, n := range d.Nodes {
 		require.NoError(t, n.Upstream.Announce(ctx, n.Daemon.AdminAddress(), 1, true), i)
 	}
 	code, body := putAnnouncement(t, d.Nodes[1].Daemon.AdminAddress(), "faulty",
-		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, f.Address()))
+		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, faulty.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
-	f.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), CutAfter: -1})
+	faulty.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), CutAfter: -1})
 	for _, n := range d.Nodes {
 		require.Eventually(t, func() bool {
-			before := f.Requests()
+			before := faulty.Requests()
 			got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodGet, "")
-			return got.outcome == outcome.Answered && f.Requests() == before+1
+			return got.outcome == outcome.Answered && faulty.Requests() == before+1
 		}, waitLimit, pollInterval)
 	}
-	return d, f
+	return d, faulty
 }
 
-func putAnnouncement(t *testing.T, admin, id, body string) (int, string) {
+func putAnnouncement(t *testing.T, adminAddress, id, body string) (int, string) {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodPut, "http://"+admin+"/v1/upstreams/"+id, strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+adminAddress+"/v1/upstreams/"+id, strings.NewReader(body))
 	require.NoError(t, err)
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
@@ -72,11 +73,11 @@
 
 func sendRequest(t *testing.T, address, method, body string) callerResponse {
 	t.Helper()
-	var in io.Reader
+	var bodyReader io.Reader
 	if body != "" {
-		in = strings.NewReader(body)
+		bodyReader = strings.NewReader(body)
 	}
-	req, err := http.NewRequest(method, "http://"+address+"/x", in)
+	req, err := http.NewRequest(method, "http://"+address+"/x", bodyReader)
 	require.NoError(t, err)
 	req.Host = "returdesk.fyn"
 	resp, err := http.DefaultTransport.RoundTrip(req)
@@ -89,6 +90,7 @@
 	return callerResponse{resp.StatusCode, kind, string(text), resp.Header, resp.Trailer, err}
 }
 
+// completeResponses holds complete responses of an upstream, by the name of the case.
 var completeResponses = map[string]string{
 	"length":      "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
 	"chunked":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n6\r\n reply\r\n0\r\n\r\n",
@@ -96,24 +98,24 @@
 	"early hints": "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
 }
 
-// TestTruncatedResponseNeverLooksComplete truncates the upstream's response at each
+// TestTruncatedResponseNeverLooksComplete truncates the upstream's response after each
 // byte, for requests through one daemon and through two. The caller must see an error or
-// the outcome unknown, and the request must not be sent twice.
+// the outcome "unknown". The request must not be sent twice.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for name, response := range completeResponses {
 		for _, n := range d.Nodes {
 			t.Run(fmt.Sprintf("%s/%s", name, n.Upstream.ID), func(t *testing.T) {
 				for cut := range len(response) {
-					f.SetScript(standin.Script{Response: []byte(response), CutAfter: cut, Reset: cut%2 == 0})
-					before := f.Requests()
+					faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: cut, Reset: cut%2 == 0})
+					before := faulty.Requests()
 					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					if got.err == nil {
 						require.Equal(t, outcome.Unknown, got.outcome, "cut after %d bytes: %+v", cut, got)
 					}
-					require.Equal(t, before+1, f.Requests(), "the request must be sent exactly once")
+					require.Equal(t, before+1, faulty.Requests(), "the request must be sent exactly once")
 				}
-				f.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
+				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
 				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				require.NoError(t, got.err)
 				require.Equal(t, outcome.Answered, got.outcome)
@@ -127,9 +129,9 @@
 }
 
 // TestSurplusResponseNeverReachesTheNextRequest has the upstream send more bytes than
-// one response. The surplus must not be taken for the response to the next request.
+// one response. The surplus bytes must not become the response to the next request.
 func TestSurplusResponseNeverReachesTheNextRequest(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for name, response := range map[string]string{
 		"two responses":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
 		"surplus bytes":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none and more",
@@ -137,9 +139,9 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
+				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
 				sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
-				f.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), CutAfter: -1})
+				faulty.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), CutAfter: -1})
 				for range 3 {
 					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					require.NoError(t, got.err)
@@ -153,7 +155,7 @@
 }
 
 func TestAmbiguousResponsesAreNotForwarded(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for name, response := range map[string]string{
 		"two lengths":       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
 		"signed length":     "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
@@ -166,7 +168,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.SetScript(standin.Script{Response: []byte(response), CutAfter: len(response)})
+				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: len(response)})
 				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				if got.err == nil {
 					require.Equal(t, outcome.Unknown, got.outcome, "%+v", got)
@@ -177,13 +179,13 @@
 }
 
 // TestCancelledCallReleasesConnectionAndSlot cancels requests that hang at the
-// upstream. The connection to the upstream and the slot must be released. TestMain
-// checks that no goroutine is left over.
+// upstream. The daemon must release the connection to the upstream and the slot.
+// TestMain checks that no goroutine is left over.
 func TestCancelledCallReleasesConnectionAndSlot(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
-	f.SetScript(standin.Script{Hang: true})
+	d, faulty := startWithFaultyUpstream(t)
+	faulty.SetScript(standin.Script{Hang: true})
 	for _, n := range d.Nodes {
-		before := f.Requests()
+		before := faulty.Requests()
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() {
@@ -192,19 +194,19 @@
 			_, err := http.DefaultTransport.RoundTrip(req)
 			done <- err
 		}()
-		require.Eventually(t, func() bool { return f.Requests() == before+1 }, waitLimit, pollInterval)
+		require.Eventually(t, func() bool { return faulty.Requests() == before+1 }, waitLimit, pollInterval)
 		cancel()
 		require.ErrorIs(t, <-done, context.Canceled)
 		require.Eventually(t, func() bool {
-			return f.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
+			return faulty.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
 		}, waitLimit, pollInterval, "connection and slot must be released")
 	}
 }
 
 func TestUpgradesOtherThanH2CAreRefused(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for upgrade, status := range map[string]int{"websocket": http.StatusNotImplemented, "h2c": http.StatusOK, "h2c, foo/1": http.StatusNotImplemented} {
-		before := f.Requests()
+		before := faulty.Requests()
 		req, err := http.NewRequest(http.MethodGet, "http://"+d.Nodes[0].Daemon.CallerAddress()+"/x", nil)
 		require.NoError(t, err)
 		req.Host = "returdesk.fyn"
@@ -216,13 +218,13 @@
 		require.Equal(t, status, resp.StatusCode, upgrade)
 		if status != http.StatusOK {
 			require.Equal(t, outcome.NotRun.String(), resp.Header.Get(wire.HeaderOutcome))
-			require.Equal(t, before, f.Requests())
+			require.Equal(t, before, faulty.Requests())
 		}
 	}
 }
 
 func TestResponsesWithoutBody(t *testing.T) {
-	d, f := startWithFaultyUpstream(t)
+	d, faulty := startWithFaultyUpstream(t)
 	for name, tc := range map[string]struct {
 		method, response, length string
 		status                   int
@@ -234,7 +236,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				f.SetScript(standin.Script{Response: []byte(tc.response), CutAfter: -1})
+				faulty.SetScript(standin.Script{Response: []byte(tc.response), CutAfter: -1})
 				for range 2 {
 					got := sendRequest(t, n.Daemon.CallerAddress(), tc.method, "")
 					require.NoError(t, got.err)
--- a/daemon/zones.go
+++ b/daemon/zones.go
@@ -24,19 +24,21 @@
 	maxListedDaemons = 8
 )
 
-// versionReply is the reply of one daemon to a query for its configuration version in
-// force. Without a usable reply, ok is false.
+// versionReply is the result of asking one daemon for its configuration version in force.
 type versionReply struct {
 	peer    peer.Peer
 	version model.Version
-	ok      bool
+	// valid is false if the daemon sent no valid reply. The version is then 0.
+	valid bool
 }
 
-// zones serves the configuration versions in force in each availability zone.
-func (d *Daemon) zones(w http.ResponseWriter, r *http.Request) {
+// serveZones serves the configuration versions in force in each availability zone.
+func (d *Daemon) serveZones(w http.ResponseWriter, r *http.Request) {
 	writeJSON(w, http.StatusOK, summarizeZones(d.queryZones(r.Context())))
 }
 
+// queryZones asks a random sample of the daemons in each zone for their configuration
+// version in force.
 func (d *Daemon) queryZones(ctx context.Context) []versionReply {
 	queried := peer.SamplePerZone(d.Members.Peers(), maxQueriedPerZone, uint64(time.Now().UnixNano()))
 	replies := make([]versionReply, len(queried))
@@ -56,7 +58,7 @@
 func (d *Daemon) queryVersion(ctx context.Context, p peer.Peer) versionReply {
 	if p.ID == d.ID() {
 		v, _ := binary.Uvarint(inForceTopic{d.Config}.Digest())
-		return versionReply{peer: p, version: model.Version(v), ok: true}
+		return versionReply{peer: p, version: model.Version(v), valid: true}
 	}
 	ctx, cancel := context.WithTimeout(ctx, versionQueryTimeout)
 	defer cancel()
@@ -70,7 +72,7 @@
 	for _, t := range resp.GetTopics() {
 		if t.GetTopic() == inForceTopicName {
 			v, n := binary.Uvarint(t.GetDigest())
-			return versionReply{peer: p, version: model.Version(v), ok: n > 0}
+			return versionReply{peer: p, version: model.Version(v), valid: n > 0}
 		}
 	}
 	return versionReply{peer: p}
@@ -99,9 +101,11 @@
 	return out
 }
 
-func addReply(z *operator.ZoneStatus, reply versionReply, newest model.Version) {
+// addReply adds one reply to z, the status of its zone. newestAnywhere is the newest version
+// in all zones.
+func addReply(z *operator.ZoneStatus, reply versionReply, newestAnywhere model.Version) {
 	z.Asked++
-	if !reply.ok {
+	if !reply.valid {
 		z.Silent = appendListed(z.Silent, reply.peer.ID)
 		return
 	}
@@ -110,11 +114,12 @@
 	}
 	z.Answered++
 	z.Newest = max(z.Newest, reply.version)
-	if reply.version < newest {
+	if reply.version < newestAnywhere {
 		z.Behind = appendListed(z.Behind, reply.peer.ID)
 	}
 }
 
+// appendListed appends id to ids unless ids already has maxListedDaemons elements.
 func appendListed(ids []model.DaemonID, id model.DaemonID) []model.DaemonID {
 	if len(ids) >= maxListedDaemons {
 		return ids
