--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -30,28 +30,34 @@
 // Store enforces a daemon's shares of the ceilings. It is safe for concurrent
 // use.
 type Store struct {
-	opts       Options
-	self       ceiling.Daemon
-	refusals   tally.Counter
+	opts     Options
+	self     ceiling.Daemon
+	refusals tally.Counter
+	// unreadable counts deltas from peers that cannot be decoded.
 	unreadable tally.Counter
 
 	mu       sync.Mutex
 	ceilings map[ceiling.Key]*ceiling.Ceiling
-	byHash   map[uint64]*ceiling.Ceiling
+	// byHash holds the same ceilings by the keyHash of their key.
+	byHash map[uint64]*ceiling.Ceiling
 	// recent holds the reports that are relayed to other daemons. A report is
 	// removed after relayPeriod.
 	recent map[reportKey]recentReport
-	// deltas counts the non-empty results of Delta.
+	// deltas counts the non-empty results of Delta. It determines with which
+	// report the next result starts.
 	deltas uint64
 }
 
+// reportKey identifies the newest report of a daemon on a ceiling.
 type reportKey struct {
+	// key is the keyHash of the ceiling.
 	key    uint64
 	daemon ceiling.Daemon
 }
 
 type recentReport struct {
 	ceiling.Report
+	// since is when this daemon made or received the report.
 	since model.Instant
 }
 
@@ -72,8 +78,8 @@
 	}
 }
 
-// Configure replaces the ceilings in force. Ceilings that were in force before
-// keep their state.
+// Configure replaces the ceilings in force. A ceiling that was in force before
+// keeps its counts and the reports that it received.
 func (s *Store) Configure(limits map[ceiling.Key]ceiling.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +98,8 @@
 }
 
 // TryAcquire admits a request of a group at a service, or refuses it. If ok is
-// true, release must be called when the request has ended. Otherwise wait is
-// the Retry-After value for the caller.
+// true, the request is admitted, and release must be called when it has ended.
+// Otherwise wait is the Retry-After value for the caller.
 func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (release func(), wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,6 +130,8 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "ceiling" }
 
+// tick updates the shares, adds the reports of this daemon that are due to recent,
+// and removes old reports from it.
 func (s *Store) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,9 +152,10 @@
 type Share struct {
 	Service model.ServiceName `json:"service"`
 	Group   model.GroupName   `json:"group"`
-	// Rate and Concurrency are the share, not the whole ceiling.
-	Rate        float64 `json:"rate_per_second"`
-	Concurrency int     `json:"concurrency"`
+	// Rate is this daemon's share of the rate limit, in requests per second.
+	Rate float64 `json:"rate_per_second"`
+	// Concurrency is this daemon's share of the concurrency limit.
+	Concurrency int `json:"concurrency"`
 }
 
 // Shares returns this daemon's shares of the ceilings in force.
@@ -161,7 +170,8 @@
 	return out
 }
 
-// keyHash identifies a ceiling in reports. All daemons compute the same hash.
+// keyHash returns the hash that identifies a ceiling in reports. All daemons
+// compute the same hash.
 func keyHash(k ceiling.Key) uint64 {
 	b := binary.AppendUvarint(nil, uint64(len(k.Service)))
 	b = append(b, k.Service...)
--- a/ceiling/store_test.go
+++ b/ceiling/store_test.go
@@ -13,7 +13,7 @@
 
 var testKey = ceiling.Key{Service: "s", Group: "g"}
 
-// fleet is the stores of several daemons with a common clock.
+// fleet holds the stores of several daemons with a common clock.
 type fleet struct {
 	now    model.Instant
 	stores []*Store
@@ -33,9 +33,9 @@
 	return f
 }
 
-// runSecond simulates one second: every store receives the given number of
-// requests, one after the other, then exchanges reports with its neighbour. It
-// returns the number of admitted requests.
+// runSecond simulates one second. Every store receives the given number of
+// requests, one after the other, then exchanges deltas of at most limit bytes
+// with its neighbour. runSecond returns how many requests all stores admitted.
 func (f *fleet) runSecond(t *testing.T, requests, limit int) int {
 	admitted := 0
 	for range 4 {
--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -16,7 +16,8 @@
 var _ peer.Topic = (*Store)(nil)
 
 const (
-	// relayPeriod is how long a report is relayed after it was received.
+	// relayPeriod is how long a daemon relays a report after it made or received
+	// the report.
 	relayPeriod = 5 * time.Second
 	// reportBytes is the encoded length of a report: key, daemon, demand and
 	// timestamp.
@@ -48,9 +49,9 @@
 	return binary.BigEndian.AppendUint64(nil, sum)
 }
 
-// Delta implements peer.Topic. It returns recent reports. When they do not all
-// fit into the limit, each call starts at another report, so that all are
-// relayed over several rounds.
+// Delta implements peer.Topic. It returns recent reports, at most limit bytes.
+// Each call starts at another report. So all reports are relayed over several
+// rounds, even if they do not all fit into one delta.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
@@ -68,8 +69,9 @@
 	if n == 0 {
 		return nil
 	}
-	// The start is spread evenly instead of moving by one report a call, so
-	// that it does not synchronize with the peers' calls.
+	// The starts of successive calls are spread evenly over the reports. If the
+	// start moved by one report a call, it could synchronize with the peers'
+	// calls, and a peer would get the same few reports every time.
 	s.deltas++
 	start := int((s.deltas * goldenRatio) >> 33 % uint64(len(reports)))
 	out := make([]byte, 0, n*reportBytes)
@@ -80,7 +82,8 @@
 }
 
 // Apply implements peer.Topic. It ignores reports on ceilings that are not in
-// force at this daemon.
+// force at this daemon. It returns errPartialReport for a delta of the wrong
+// length.
 func (s *Store) Apply(delta []byte) error {
 	if len(delta)%reportBytes != 0 {
 		s.unreadable.Inc(1)
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,9 +1,10 @@
 // Package quarantine keeps a daemon's table of requests that crash upstreams
 // and exchanges it with the other daemons.
 //
-// The decisions are in package core/quarantine. A Store adds locking, the wall
-// clock, counters and the implementation of peer.Topic, by which a record
-// reaches every daemon within a few exchange rounds. Daemons that communicate
-// by datagrams use Gossip instead, which pushes changed records and reconciles
-// the rest by anti-entropy.
+// Package core/quarantine decides which requests are quarantined. A Store adds
+// locking, the wall clock, counters and the implementation of peer.Topic. By
+// this topic a record reaches every daemon within a few exchange rounds.
+// Daemons that communicate by datagrams use Gossip instead. It pushes changed
+// records at once and finds the remaining differences by anti-entropy, a
+// periodic comparison of two daemons' tables.
 package quarantine
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -8,35 +8,43 @@
 	"github.com/dottereltiller/dottereltiller/core/quarantine"
 )
 
-// Daemons that communicate by datagrams exchange records in the messages below.
-// The first byte of each message is its kind. Anti-entropy starts with a digest
-// of the whole table. A receiver with another digest replies with summaries.
-// Each summary covers a span of fingerprints: it holds the first and the last
-// one, and a hash of each record in between. The receiver of a summary sends
-// the records that the sender lacks, and requests those that it lacks itself.
-// So the traffic is proportional to the difference of the tables. The values of
-// the kinds are part of the wire format and must not change; not all of them are
-// initials of the names.
+// The kinds of messages between daemons that communicate by datagrams. The first
+// byte of each message is its kind. The values are part of the wire format and
+// must not change; not all of them are initials of the names.
+//
+// Anti-entropy starts with a digest message. If the receiver's table has another
+// digest, the receiver replies with summaries. The receiver of a summary sends
+// the records that the sender lacks, and requests the records that it lacks
+// itself. So the traffic is proportional to the difference of the tables.
 const (
-	kindDigest        = 'o'
-	kindInSync        = 'a'
-	kindSummary       = 's'
+	// kindDigest is a message with the digest of the sender's whole table.
+	kindDigest = 'o'
+	// kindInSync is the reply that both tables have the same digest.
+	kindInSync = 'a'
+	// kindSummary is a message that describes the records in one range of
+	// fingerprints. It holds the prefixes of the first and the last fingerprint
+	// of the range, then the fingerprint prefix and the hash of each record.
+	kindSummary = 's'
+	// kindRecordRequest is a message with the fingerprint prefixes of the
+	// records that the sender requests.
 	kindRecordRequest = 'w'
-	kindRecords       = 'r'
+	// kindRecords is a message with records.
+	kindRecords = 'r'
 )
 
 const (
 	digestBytes = 8
 	// prefixBytes is the length of the prefix by which summaries and record
 	// requests identify a fingerprint.
-	prefixBytes       = 8
+	prefixBytes = 8
+	// summaryEntryBytes is the length of a fingerprint prefix and a record hash.
 	summaryEntryBytes = prefixBytes + 4
-	// maxRecordMessages bounds the messages with records sent in reply to one
-	// message. The remaining records follow in later rounds.
+	// maxRecordMessages is the largest number of messages with records in reply
+	// to one message. The remaining records follow in later rounds.
 	maxRecordMessages = 4
 )
 
-// fingerprintPrefix is the first prefixBytes of a fingerprint.
+// fingerprintPrefix holds the first prefixBytes bytes of a fingerprint.
 type fingerprintPrefix [prefixBytes]byte
 
 func prefixOf(f quarantine.Fingerprint) fingerprintPrefix { return fingerprintPrefix(f[:prefixBytes]) }
@@ -50,9 +58,9 @@
 }
 
 // NextPush returns a message of at most limit bytes with changed records, the
-// most important first, and marks these records as sent. It returns nil if
-// nothing has changed. newCrash reports whether an upstream has crashed at this
-// daemon since the last push.
+// most important first, and marks these records as sent. It returns nil if no
+// record has changed since it was sent. newCrash reports whether RecordCrash was
+// called since the last push.
 func (s *Store) NextPush(limit int) (message []byte, newCrash bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +76,9 @@
 	return message, newCrash
 }
 
-// Receive handles a message and returns the replies, each of at most limit
-// bytes. inSync reports whether the message says that both tables are equal.
+// Receive applies a message from another daemon and returns the replies, each of
+// at most limit bytes. inSync reports whether the message says that the tables
+// of both daemons are equal.
 func (s *Store) Receive(message []byte, limit int) (replies [][]byte, inSync bool) {
 	if len(message) == 0 {
 		return nil, false
@@ -91,8 +100,8 @@
 	return nil, false
 }
 
-// handleDigest replies with summaries, or with the message that the tables are
-// equal.
+// handleDigest returns the replies to a digest: the message that the tables are
+// equal, or summaries of this daemon's table. It ignores a malformed digest.
 func (s *Store) handleDigest(digest []byte, limit int) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +114,8 @@
 	return s.summaries(limit)
 }
 
-// summaries returns summaries that together cover the whole table. s.mu is
-// held.
+// summaries returns summary messages of at most limit bytes that together cover
+// the whole table. s.mu is held.
 func (s *Store) summaries(limit int) [][]byte {
 	records := s.ordered()
 	capacity := (limit - 1 - 2*prefixBytes) / summaryEntryBytes
@@ -144,9 +153,10 @@
 	return records
 }
 
-// handleSummary returns the records that the sender of a summary lacks or has
-// with another hash, and a request for those that this daemon lacks or has with
-// another hash.
+// handleSummary returns the replies to a summary. It sends the records of the
+// range that the peer lacks, and requests those that this daemon lacks. A record
+// that has different hashes at the two daemons is both sent and requested. A
+// malformed summary is ignored.
 func (s *Store) handleSummary(body []byte, limit int) [][]byte {
 	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%summaryEntryBytes != 0 {
 		return nil
@@ -170,6 +180,8 @@
 			delete(peerSums, p)
 		}
 	}
+	// peerSums now holds only the records that this daemon lacks or has with
+	// another hash.
 	out := recordMessages(missingAtPeer, limit)
 	if request := recordRequest(peerSums, limit); request != nil {
 		out = append(out, request)
@@ -177,8 +189,8 @@
 	return out
 }
 
-// recordRequest returns a request for the records with the given fingerprint
-// prefixes, or nil if there are none.
+// recordRequest returns a request of at most limit bytes for the records whose
+// fingerprint prefixes are the keys of wanted, or nil if wanted is empty.
 func recordRequest(wanted map[fingerprintPrefix]uint32, limit int) []byte {
 	if len(wanted) == 0 {
 		return nil
@@ -193,7 +205,8 @@
 	return m
 }
 
-// handleRecordRequest returns the requested records.
+// handleRecordRequest returns messages with the requested records. It ignores a
+// malformed request.
 func (s *Store) handleRecordRequest(body []byte, limit int) [][]byte {
 	if len(body)%prefixBytes != 0 {
 		return nil
@@ -208,7 +221,8 @@
 	return recordMessages(records, limit)
 }
 
-// recordMessages splits records into at most maxRecordMessages messages.
+// recordMessages returns messages of at most limit bytes with the records. After
+// maxRecordMessages messages it leaves out the remaining records.
 func recordMessages(records []quarantine.Record, limit int) [][]byte {
 	var out [][]byte
 	for len(records) > 0 && len(out) < maxRecordMessages {
@@ -222,8 +236,8 @@
 	return out
 }
 
-// appendRecords appends as many records as fit into limit, and returns their
-// number.
+// appendRecords appends as many records to the message m as fit into limit bytes.
+// It returns the extended message and the number of records appended.
 func appendRecords(m []byte, records []quarantine.Record, limit int) ([]byte, int) {
 	for i := range records {
 		extended := records[i].Append(m)
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -27,15 +27,15 @@
 
 	mu    sync.Mutex
 	timer gossip.AntiEntropyTimer
-	// version is the version of the table at the last Tick. A change resets
-	// timer.
+	// version is the version of the table at the last Tick. If the version has
+	// changed at the next Tick, timer is reset.
 	version uint64
 	// lastPush is when records were last pushed. Zero means never.
 	lastPush model.Instant
 }
 
-// Tick sends the messages that are due. It has to be called when the Store
-// calls OnUpdate, and several times a second.
+// Tick sends the messages that are due. The caller must call it several times a
+// second, and also whenever the Store calls Options.OnUpdate.
 func (g *Gossip) Tick(now model.Instant) {
 	if g.pushDue(now) {
 		g.push()
@@ -47,7 +47,8 @@
 	}
 }
 
-// pushDue reports whether records may be pushed again, and notes the time.
+// pushDue reports whether minPushInterval has passed since the last push. If it
+// has, pushDue sets lastPush to now.
 func (g *Gossip) pushDue(now model.Instant) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,8 +59,8 @@
 	return true
 }
 
-// push sends changed records to some daemons. If nothing has changed, the next
-// push need not wait for minPushInterval.
+// push sends changed records to some daemons. If no record has changed, it resets
+// lastPush, so that the next push need not wait for minPushInterval.
 func (g *Gossip) push() {
 	message, newCrash := g.Store.NextPush(g.MaxMessageBytes)
 	if message == nil {
@@ -73,6 +74,8 @@
 	}
 }
 
+// antiEntropyDue reports whether a digest has to be sent now. If the table has
+// changed since the last call, it first returns to the short interval.
 func (g *Gossip) antiEntropyDue(now model.Instant) bool {
 	version := g.Store.Version()
 	g.mu.Lock()
@@ -84,7 +87,7 @@
 	return g.timer.Due(now)
 }
 
-// ResetAntiEntropy returns to the short anti-entropy interval. It is called
+// ResetAntiEntropy returns to the short anti-entropy interval. The caller uses it
 // when other daemons may have missed records, for example after they were
 // unreachable.
 func (g *Gossip) ResetAntiEntropy() {
@@ -97,7 +100,8 @@
 // one that a starting daemon reaches.
 func (g *Gossip) SendDigest(address string) { g.Send(address, g.Store.DigestMessage()) }
 
-// Receive handles a message of another daemon and sends the replies.
+// Receive applies a message from another daemon and sends the replies to the
+// address from.
 func (g *Gossip) Receive(from string, message []byte) {
 	replies, inSync := g.Store.Receive(message, g.MaxMessageBytes)
 	if inSync {
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -15,7 +15,7 @@
 )
 
 // testNetwork connects daemons of several zones that exchange records in
-// virtual time. A message takes one step.
+// virtual time. A message arrives one step after it was sent.
 type testNetwork struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -28,8 +28,12 @@
 	lossRate float64
 
 	inTransit []datagram
-	// Bytes sent: between zones, in total, and by the daemon that sent most.
-	crossZoneBytes, sentBytes, maxSentBytes int
+	// crossZoneBytes is the number of bytes sent between zones.
+	crossZoneBytes int
+	// sentBytes is the number of bytes sent by all daemons.
+	sentBytes int
+	// maxSentBytes is the number of bytes sent by the daemon that sent most.
+	maxSentBytes int
 }
 
 type testDaemon struct {
@@ -37,7 +41,8 @@
 	name      string
 	zone      model.AvailabilityZone
 	sentBytes int
-	others    []gossip.Member
+	// others caches the result of testNetwork.others.
+	others []gossip.Member
 }
 
 type datagram struct {
@@ -59,6 +64,7 @@
 	return network
 }
 
+// add adds the daemon with index i.
 func (network *testNetwork) add(i int) {
 	d := &testDaemon{name: fmt.Sprint("d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
 	d.Gossip = &Gossip{
@@ -103,8 +109,8 @@
 	}
 }
 
-// advance advances the clock step by step, delivering messages and calling
-// Tick.
+// advance advances the clock step by step. In each step it delivers the messages
+// of the step before and calls Tick of every daemon.
 func (network *testNetwork) advance(d time.Duration) {
 	for end := network.now.Add(d); network.now.Before(end); {
 		network.now = network.now.Add(step)
@@ -129,8 +135,8 @@
 	}
 }
 
-// countRefusing returns how many daemons, of one zone or of all, refuse a
-// request.
+// countRefusing returns how many daemons of a zone refuse a request. An empty zone
+// means all zones.
 func (network *testNetwork) countRefusing(target string, zone model.AvailabilityZone) int {
 	n := 0
 	for _, d := range network.daemons {
@@ -141,8 +147,8 @@
 	return n
 }
 
-// crashThreeUpstreams has a request crash three upstreams at daemons that are
-// stride positions apart, one a second.
+// crashThreeUpstreams records three crashes of upstreams by one request, one a
+// second. The daemons that record them are stride positions apart.
 func (network *testNetwork) crashThreeUpstreams(target string, stride int) {
 	for i := range 3 {
 		network.daemons[(stride*i+1)%len(network.daemons)].Store.recordTestCrash(target, i)
@@ -151,7 +157,8 @@
 }
 
 // crashManyUpstreams crashes many upstreams at once, each while it runs several
-// requests. All of these requests receive a response elsewhere 500 ms later.
+// requests. 500 ms later all of these requests receive a response from another
+// upstream, which shows that they did not cause the crashes.
 func (network *testNetwork) crashManyUpstreams(upstreams int) {
 	const requests = 4
 	for i := range upstreams {
@@ -193,7 +200,8 @@
 }
 
 // TestReconnectedZoneLearnsOfQuarantine quarantines a request while a zone is
-// partitioned from the others.
+// partitioned from the others. Once reconnected, the zone must refuse the
+// request within two seconds.
 func TestReconnectedZoneLearnsOfQuarantine(t *testing.T) {
 	const daemons = 100
 	network := newTestNetwork(daemons)
@@ -236,8 +244,9 @@
 func TestDaemonsInSyncSendLittle(t *testing.T) {
 	const (
 		daemons = 100
-		// Each daemon sends one digest in ten seconds and receives one reply
-		// that the tables are equal; doubled for random variation.
+		// maxIdleBytes bounds the bytes that all daemons send in ten seconds.
+		// Each daemon sends one digest and receives one reply that the tables
+		// are equal. The sum is doubled for random variation.
 		maxIdleBytes = 2 * daemons * (1 + digestBytes + 1)
 	)
 	network := newTestNetwork(daemons)
@@ -253,7 +262,7 @@
 }
 
 // TestNewDaemonLearnsOfQuarantine starts a daemon that sends its digest to one
-// other daemon.
+// other daemon. It must refuse the quarantined request 100 ms later.
 func TestNewDaemonLearnsOfQuarantine(t *testing.T) {
 	network := newTestNetwork(20)
 	network.crashThreeUpstreams("/crashing", 7)
@@ -264,7 +273,8 @@
 	require.Equal(t, 21, network.countRefusing("/crashing", ""))
 }
 
-// TestFullTablesConverge records more crashes than a table holds.
+// TestFullTablesConverge records more crashes than a table holds. The daemons must
+// still keep the same records, and then send almost nothing.
 func TestFullTablesConverge(t *testing.T) {
 	network := newTestNetwork(5)
 	for i := range 1200 {
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -33,26 +33,26 @@
 // Store is a daemon's table of suspected and quarantined requests. It is safe
 // for concurrent use.
 type Store struct {
-	opts       Options
-	crashes    tally.Counter
-	refusals   tally.Counter
+	opts     Options
+	crashes  tally.Counter
+	refusals tally.Counter
+	// unreadable counts deltas from peers that cannot be decoded.
 	unreadable tally.Counter
-	// nonEmpty is set while the table holds any record, so that the data path
-	// need not compute fingerprints while it holds none.
+	// nonEmpty is set while the table holds any record. While it is not set, the
+	// data path need not compute fingerprints.
 	nonEmpty atomic.Bool
 
 	mu    sync.Mutex
 	table *quarantine.Table
-	// loggedRefused holds the requests that were refused when logChanges last
-	// ran.
+	// loggedRefused holds the requests that were refused when logChanges was
+	// last called.
 	loggedRefused map[quarantine.Fingerprint]bool
 	// deltaStart is the index of the record at which the next Delta starts.
 	deltaStart int
 	// cachedChecksum is the checksum of the table at version checksumVersion.
 	cachedChecksum  uint64
 	checksumVersion uint64
-	// newCrash is set when an upstream has crashed at this daemon since the
-	// last call of NextPush.
+	// newCrash is set if RecordCrash was called since the last push.
 	newCrash bool
 }
 
@@ -116,8 +116,8 @@
 	s.update(func(now int64) { s.table.RecordResponse(now, f) })
 }
 
-// Release ends the suspicion or quarantine of a request. It returns false if
-// there is no record of the request.
+// Release ends the suspicion or quarantine of a request. It reports whether the
+// table had a record of the request.
 func (s *Store) Release(f quarantine.Fingerprint) bool {
 	known := false
 	s.update(func(now int64) { known = s.table.Release(now, f) })
@@ -147,7 +147,7 @@
 
 const tickInterval = 100 * time.Millisecond
 
-// Serve evaluates and expires records until the context ends.
+// Serve quarantines requests and deletes expired records until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
 	return interval.Run(ctx, tickInterval, func() {
 		if s.HasRecords() {
@@ -159,13 +159,15 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "quarantine" }
 
+// evaluate quarantines the requests that were running during enough crashes, and
+// deletes expired records. now is in Unix milliseconds.
 func (s *Store) evaluate(now int64) {
 	s.table.Evaluate(now)
 	s.table.Expire(now)
 }
 
-// update runs a change of the table. If the table has changed, it logs new and
-// ended quarantines and calls OnUpdate.
+// update calls f with s.mu held, to change the table. If f has changed it, update
+// logs new and ended quarantines and calls OnUpdate.
 func (s *Store) update(f func(now int64)) {
 	s.mu.Lock()
 	before := s.table.Version()
@@ -204,4 +206,5 @@
 	s.loggedRefused = refused
 }
 
+// now returns the wall-clock time in Unix milliseconds.
 func (s *Store) now() int64 { return s.opts.WallClock().UnixMilli() }
--- a/quarantine/store_test.go
+++ b/quarantine/store_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/quarantine"
 )
 
-// fleet is the stores of a few daemons with a common clock.
+// fleet holds the stores of a few daemons with a common clock.
 type fleet struct {
 	now    time.Time
 	stores []*Store
@@ -30,8 +30,8 @@
 	return f
 }
 
-// advance advances the clock, then runs an exchange round between neighbouring
-// stores.
+// advance advances the clock, then exchanges deltas of at most limit bytes between
+// neighbouring stores.
 func (f *fleet) advance(t *testing.T, d time.Duration, limit int) {
 	f.now = f.now.Add(d)
 	for i := range f.stores {
@@ -48,6 +48,7 @@
 	return quarantine.Request{Service: "s", Caller: "c", Method: "GET", Target: target}
 }
 
+// recordTestCrash records that an upstream crashed while it ran a request.
 func (s *Store) recordTestCrash(target string, upstream int) {
 	r := newRequest(target)
 	s.RecordCrash(quarantine.FingerprintOf(r), r, quarantine.Crash{Upstream: model.UpstreamID(fmt.Sprint("s-", upstream)), Incarnation: 1})
--- a/quarantine/topic.go
+++ b/quarantine/topic.go
@@ -24,8 +24,8 @@
 	return binary.BigEndian.AppendUint64(nil, s.checksum())
 }
 
-// checksum returns the XOR of the hashes of all records: equal for tables with
-// the same records, zero for an empty table. s.mu is held.
+// checksum returns the XOR of the hashes of all records. Tables with the same
+// records have the same checksum; that of an empty table is zero. s.mu is held.
 func (s *Store) checksum() uint64 {
 	if v := s.table.Version(); s.checksumVersion != v {
 		s.checksumVersion, s.cachedChecksum = v, 0
@@ -36,9 +36,9 @@
 	return s.cachedChecksum
 }
 
-// Delta implements peer.Topic. It returns records, newest first, if the digests
-// differ. If they do not all fit into the limit, the next call continues with
-// the records that were left out.
+// Delta implements peer.Topic. If the peer's digest differs from that of this
+// daemon, Delta returns records, newest first, of at most limit bytes. If they
+// do not all fit, the next call starts with the first record left out.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
@@ -55,7 +55,7 @@
 	return out
 }
 
-// Apply implements peer.Topic.
+// Apply implements peer.Topic. It returns an error if the delta cannot be decoded.
 func (s *Store) Apply(delta []byte) error {
 	records, err := quarantine.Decode(delta)
 	if err != nil {
--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -6,13 +6,15 @@
 	"time"
 )
 
-// Batcher is a Log that joins appends to the same stream which arrive within a
-// short window into one append. It is safe for concurrent use.
+// Batcher is a Log that merges several appends to the same stream into one
+// append. An append waits for Window so that others can be merged with it. A
+// Batcher is safe for concurrent use.
 type Batcher struct {
 	Log
-	// Window is how long an append waits for others to join it. Default: 10ms.
+	// Window is how long an append waits for others to be merged with it.
+	// Default: 10ms.
 	Window time.Duration
-	// Timeout bounds a joined append. Default: 3s.
+	// Timeout is the time limit of a merged append. Default: 3s.
 	Timeout time.Duration
 
 	mu      sync.Mutex
@@ -22,24 +24,30 @@
 const (
 	defaultWindow  = 10 * time.Millisecond
 	defaultTimeout = 3 * time.Second
-	// A batch takes no append that would give it more than maxBatchRecords
-	// records, and no further append once it has more than maxBatchBytes bytes.
+	// maxBatchRecords is the largest number of records to which appends are
+	// merged. A single append with more records still forms a batch.
 	maxBatchRecords = 256
-	maxBatchBytes   = 1 << 20
+	// maxBatchBytes is the size above which a batch accepts no further append.
+	maxBatchBytes = 1 << 20
 )
 
 // pendingBatch collects the records of several appends to one stream.
-// firstOffset and err are set before done is closed.
 type pendingBatch struct {
-	records     [][]byte
-	bytes       int
-	done        chan struct{}
+	records [][]byte
+	// bytes is the total size of records.
+	bytes int
+	// done is closed when the merged append has ended.
+	done chan struct{}
+	// firstOffset is the offset of the first record. It is set before done is
+	// closed.
 	firstOffset Offset
-	err         error
+	// err is the error of the merged append. It is set before done is closed.
+	err error
 }
 
-// Append implements Log. When the context ends before the joined append does,
-// it returns an uncertain AppendError: the records may have been appended.
+// Append implements Log. If the context ends before the merged append does,
+// Append returns an AppendError with Uncertain set, because the records may
+// still be appended.
 func (b *Batcher) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	joined, index := b.enqueue(stream, records)
 	select {
@@ -50,8 +58,8 @@
 	}
 }
 
-// enqueue adds the records to the pending batch of the stream. It returns the
-// batch and the index of the first of the records in it.
+// enqueue adds the records to the pending batch of the stream, or to a new batch
+// if that one is full. It returns the batch and the index of records[0] in it.
 func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,6 +80,7 @@
 	return current, index
 }
 
+// flush waits for Window, then appends the records of the batch to the log.
 func (b *Batcher) flush(stream string, current *pendingBatch) {
 	window, timeout := b.Window, b.Timeout
 	if window <= 0 {
--- a/recordlog/client.go
+++ b/recordlog/client.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// isDialError reports whether no connection was established, so that the
-// request was certainly not sent.
+// isDialError reports whether err is a failure to connect. In that case the
+// request has certainly not been sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/recordlog/faults.go
+++ b/recordlog/faults.go
@@ -8,31 +8,33 @@
 )
 
 // FaultyLog is a Log that injects the faults that the platform's log service is
-// known for. The faults can be changed at any time. The zero value of every
-// field of Faults means no fault.
+// known for. The faults can be changed at any time.
 type FaultyLog struct {
 	Log
 	mu     sync.Mutex
 	faults Faults
 }
 
-// Faults are the faults that a FaultyLog injects.
+// Faults are the faults that a FaultyLog injects. The zero value of each field
+// means that the log does not have this fault.
 type Faults struct {
 	// Down makes every append and read fail without effect.
 	Down bool `json:"down"`
 	// Latency is added to every append and read, in nanoseconds.
 	Latency time.Duration `json:"latency_ns"`
-	// LoseReplies is the number of following appends that take effect but
-	// return an error.
+	// LoseReplies is the number of appends, from the next one on, that take
+	// effect but return an error.
 	LoseReplies int `json:"lose_replies"`
-	// Duplicate is the number of following appends that take effect twice, as
-	// when a proxy in between retries the request.
+	// Duplicate is the number of appends, from the next one on, that take
+	// effect twice. A proxy that retries requests causes this fault.
 	Duplicate int `json:"duplicate"`
 }
 
 // The errors that a FaultyLog injects.
 var (
-	ErrDown      = errors.New("log is down")
+	// ErrDown is the error of every operation while Faults.Down is set.
+	ErrDown = errors.New("log is down")
+	// ErrReplyLost is the error of an append that Faults.LoseReplies applies to.
 	ErrReplyLost = errors.New("response was lost")
 )
 
@@ -71,8 +73,8 @@
 	return f.Log.Read(ctx, stream, from, limit)
 }
 
-// takeFaults returns the faults for the next operation and, when it is an
-// append that reaches the log, counts it against LoseReplies and Duplicate.
+// takeFaults returns the faults for the next operation. If that is an append and
+// the log is up, takeFaults decrements LoseReplies and Duplicate.
 func (f *FaultyLog) takeFaults(isAppend bool) Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -17,30 +17,35 @@
 const (
 	// MaxSystemAppendsPerSecond bounds the appends of all daemons together.
 	MaxSystemAppendsPerSecond = 300
-	// maxDaemonAppendsPerSecond bounds the share of one daemon, also when there
-	// are only a few.
+	// maxDaemonAppendsPerSecond is the upper limit for a single daemon. It is
+	// below the daemon's equal share when there are only a few daemons.
 	maxDaemonAppendsPerSecond = 20
-	appendBurst               = 8
+	// appendBurst is the number of appends that a daemon may make at once after
+	// a pause.
+	appendBurst = 8
 )
 
-// ErrRateLimited is the cause of the error of an append that the rate limit
-// would have delayed beyond the end of its context.
+// ErrRateLimited is wrapped in the error of an append that was not made because
+// the rate limit would have delayed it beyond the end of its context.
 var ErrRateLimited = errors.New("append rate limit reached")
 
-// NewRateLimitedLog returns a RateLimitedLog for a deployment of one daemon.
+// NewRateLimitedLog returns a RateLimitedLog with the limit that applies if this
+// is the only daemon. SetDaemonCount changes the limit.
 func NewRateLimitedLog(log Log) *RateLimitedLog {
 	return &RateLimitedLog{Log: log, limiter: rate.NewLimiter(maxDaemonAppendsPerSecond, appendBurst)}
 }
 
-// SetDaemonCount limits this process to its share of the appends of n daemons.
+// SetDaemonCount limits this process to an nth of MaxSystemAppendsPerSecond,
+// where n is the number of daemons.
 func (l *RateLimitedLog) SetDaemonCount(n int) {
 	share := float64(MaxSystemAppendsPerSecond) / float64(max(n, 1))
 	l.limiter.SetLimit(rate.Limit(min(share, maxDaemonAppendsPerSecond)))
 }
 
-// Append implements Log. It waits until the rate limit admits the append. If the
-// context ends before that, or its deadline is too near, Append returns an
-// AppendError that is not uncertain: the records have not been appended.
+// Append implements Log. It waits until the rate limit admits the append. Append
+// returns an AppendError that wraps ErrRateLimited if the context ends first or
+// its deadline is earlier than that. Uncertain is then not set, because the
+// records have not been appended.
 func (l *RateLimitedLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	if err := l.limiter.Wait(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: errors.Join(ErrRateLimited, err)}
--- a/recordlog/log.go
+++ b/recordlog/log.go
@@ -10,9 +10,12 @@
 
 // The streams that the daemons and the operator's command write.
 const (
-	StreamConfig     = "config"
+	// StreamConfig holds changes of the configuration, and checkpoints of it.
+	StreamConfig = "config"
+	// StreamMembership holds the events of upstreams: joined, draining, left.
 	StreamMembership = "membership"
-	StreamGrants     = "grants"
+	// StreamGrants holds the grants by which daemons own idempotency keys.
+	StreamGrants = "grants"
 )
 
 // Record is one record as read from a stream.
@@ -33,19 +36,19 @@
 // Log is the part of the platform's log service that the load balancer uses.
 type Log interface {
 	// Append appends records to a stream in one operation, in order, and
-	// returns the offset of the first. On an *AppendError with Uncertain set
-	// the records may have been appended.
+	// returns the offset of the first. If it returns an *AppendError with
+	// Uncertain set, the records may have been appended.
 	Append(ctx context.Context, stream string, records [][]byte) (Offset, error)
-	// Read returns up to limit records, starting at offset from. It returns a
-	// Batch without records at the end of the stream, and a *TrimmedError when
-	// the log no longer keeps the offset.
+	// Read returns up to limit records, starting at offset from. At the end of
+	// the stream it returns a Batch without records. If the log no longer keeps
+	// the record at from, it returns a *TrimmedError.
 	Read(ctx context.Context, stream string, from Offset, limit int) (Batch, error)
 }
 
 // AppendError is the error of a failed append.
 type AppendError struct {
 	Stream string
-	// Uncertain is set when the append may have taken effect.
+	// Uncertain is set if the records may have been appended all the same.
 	Uncertain bool
 	Err       error
 }
@@ -62,7 +65,8 @@
 // Unwrap returns the cause.
 func (e *AppendError) Unwrap() error { return e.Err }
 
-// TrimmedError is the error of a read below the oldest offset that is kept.
+// TrimmedError is the error of a read below the oldest offset that the log still
+// keeps.
 type TrimmedError struct {
 	Stream string
 	Oldest Offset
--- a/recordlog/memory.go
+++ b/recordlog/memory.go
@@ -57,7 +57,7 @@
 	return b, nil
 }
 
-// Trim drops the records of a stream that are below an offset.
+// Trim drops the records of a stream whose offset is below oldest.
 func (m *Memory) Trim(stream string, oldest Offset) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,6 +81,8 @@
 	}
 }
 
+// stream returns the stream with a name, and creates it if there is none. m.mu is
+// held.
 func (m *Memory) stream(name string) *memoryStream {
 	if m.streams == nil {
 		m.streams = make(map[string]*memoryStream)
@@ -93,4 +95,5 @@
 	return s
 }
 
+// next returns the offset of the next record to be appended.
 func (s *memoryStream) next() Offset { return s.oldest + Offset(len(s.records)) }
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -24,6 +24,7 @@
 	return NewClient(strings.TrimPrefix(srv.URL, "http://"))
 }
 
+// formatRecords formats each record of a batch as "offset:data".
 func formatRecords(b Batch) []string {
 	var out []string
 	for _, r := range b.Records {
@@ -194,7 +195,7 @@
 	})
 }
 
-// countingLog counts the appends to a Log.
+// countingLog wraps a Log and counts the appends to it.
 type countingLog struct {
 	Log
 	appends int
--- a/recordlog/server.go
+++ b/recordlog/server.go
@@ -10,7 +10,9 @@
 )
 
 const (
+	// maxAppendBytes bounds the body of an append request.
 	maxAppendBytes = 4 << 20
+	// maxReadRecords bounds the records in the response to a read.
 	maxReadRecords = 4096
 )
 
@@ -23,8 +25,8 @@
 	return r
 }
 
-// FaultHandler returns a handler that sets the faults of a log on PUT
-// /v1/faults, with Faults as JSON in the body. All other requests go to
+// FaultHandler returns a handler that serves a log whose faults can be set. A PUT
+// of a JSON-encoded Faults to /v1/faults sets them. All other requests go to
 // Handler.
 func FaultHandler(log *FaultyLog) http.Handler {
 	r := chi.NewRouter()
