--- a/configuration/documents.go
+++ b/configuration/documents.go
@@ -13,10 +13,10 @@
 // documents in the same way as every daemon does.
 func NewStateMachine() *config.StateMachine { return config.NewStateMachine(validate) }
 
-// validate checks each document on its own. The operator's command has compiled
-// the whole configuration before it proposed the change. A change is accepted
-// only if the configuration still is the one that the change was based on, so
-// the combination needs no second check here.
+// validate checks each document on its own. It need not check the documents in
+// combination: the operator's command compiled the whole configuration before it
+// proposed the change. A change is accepted only if the configuration has not
+// changed since.
 func validate(put map[config.DocumentKey]json.RawMessage) error {
 	keys := make([]config.DocumentKey, 0, len(put))
 	for k := range put {
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// Documents returns the documents of a state, ordered by key.
+// Documents returns the documents of a state, ordered by key. It leaves out
+// documents that cannot be decoded.
 func Documents(s config.State) []policy.Document {
 	docs := make([]policy.Document, 0, len(s.Documents))
 	for _, raw := range s.Documents {
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -22,7 +22,7 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// fleet is a number of daemons reduced to their configuration store and
+// fleet is a number of daemons. Each consists only of a configuration store and an
 // exchanger.
 type fleet struct {
 	t       testing.TB
@@ -36,9 +36,10 @@
 	appends atomic.Int64
 
 	mu sync.Mutex
-	// inForceAt is when each node first put each version in force.
+	// inForceAt holds, for each version and node, when the node first put the
+	// version in force.
 	inForceAt map[model.Version]map[model.DaemonID]time.Time
-	// chains is the hash chain of each version, the same at all nodes.
+	// chains holds the hash chain of each version. All nodes must have the same.
 	chains map[model.Version]string
 }
 
@@ -69,7 +70,7 @@
 
 func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("z", i)) }
 
-// start starts a node without any state, also after a stop.
+// start starts a node with an empty store. It also restarts a killed node.
 func (f *fleet) start(n *node) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	n.incarnation++
@@ -103,6 +104,8 @@
 	go func() { _ = exchanger.Serve(ctx) }()
 }
 
+// recordInForce records that a node put a version in force. It requires that all
+// nodes have the same hash chain for the version.
 func (f *fleet) recordInForce(id model.DaemonID, v model.Version, status configuration.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,13 +156,14 @@
 	return res
 }
 
+// proposal returns a proposal that adds a document with a name.
 func proposal(name string) operator.Proposal {
 	return operator.Proposal{Author: "op-" + name, Comment: "add " + name, Documents: []policy.Document{
 		{Kind: policy.KindService, Name: name, Spec: json.RawMessage(`{"deadline":"2s"}`)}}}
 }
 
-// delays returns, sorted, how long after start each node put a version in
-// force. It omits nodes that have not done so.
+// delays returns the time from start until each node put a version in force, in
+// ascending order. It omits nodes that have not put the version in force.
 func (f *fleet) delays(v model.Version, start time.Time) []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -45,9 +45,9 @@
 // log fails.
 const maxReaderBackoff = 2 * time.Second
 
-// nextDelay returns the time until the next read: with exponential backoff
-// after a failed read, otherwise an interval shortened at random by up to a
-// quarter.
+// nextDelay returns the time until the next read. After a failed read it grows by
+// exponential backoff. Otherwise it is Interval or IdleInterval, shortened at
+// random by up to a quarter.
 func (s *Store) nextDelay() time.Duration {
 	s.mu.Lock()
 	caughtUp, failing := s.status.CaughtUp, s.status.LogError != ""
@@ -68,6 +68,8 @@
 	return delay - time.Duration(s.rng.Int64N(int64(delay)/4+1))
 }
 
+// recordReadResult updates the status and the counters after a read that ended
+// with err.
 func (s *Store) recordReadResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,12 +90,12 @@
 	s.status.CaughtUp = true
 }
 
-// errLogTruncated is returned when the log ends before the records that have
-// been applied: it has lost records, or it is another log.
+// errLogTruncated is returned when the log ends before the last record that has
+// been applied. Either the log has lost records, or it is another log.
 var errLogTruncated = errors.New("the log ends before the records that have been applied")
 
-// errMissingRecords is returned when the log has dropped records that have not
-// been applied, and has no checkpoint that covers them.
+// errMissingRecords is returned when the log has dropped records that this daemon
+// has not applied, and no checkpoint on the log covers them.
 var errMissingRecords = errors.New("the log no longer keeps the next records, and has no checkpoint that covers them")
 
 // readToEnd applies all records up to the end of the log.
@@ -132,10 +134,10 @@
 	return s.machine.Next()
 }
 
-// recoverFromCheckpoint searches a log that has dropped the next record for a
-// checkpoint that covers the dropped records, and restores it. If there is
-// none, it returns errMissingRecords, and only peers can send the missing
-// records.
+// recoverFromCheckpoint is called when the log has dropped the next record to
+// apply. It searches the log for a checkpoint that covers the dropped records,
+// and restores the state from it. If there is no such checkpoint, it returns
+// errMissingRecords; then only peers can send the missing records.
 func (s *Store) recoverFromCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
 		batch, err := s.readBatch(ctx, uint64(from))
@@ -155,8 +157,9 @@
 	}
 }
 
-// adoptCheckpoint restores the state from a record if it is a checkpoint that
-// covers the dropped records. It reports whether the search is over.
+// adoptCheckpoint restores the state from a record if the record is a checkpoint
+// that covers all records before oldest. It reports whether the search for a
+// checkpoint is over.
 func (s *Store) adoptCheckpoint(r recordlog.Record, oldest recordlog.Offset) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,6 +173,7 @@
 	return true
 }
 
+// applyBatch applies records read from the log.
 func (s *Store) applyBatch(batch recordlog.Batch) {
 	before := s.nextOffset()
 	s.mu.Lock()
@@ -188,6 +192,7 @@
 	}
 }
 
+// recordDecision counts the decision on a record and logs an invalid change.
 func (s *Store) recordDecision(result config.Result) {
 	s.metrics.decisions[result.Decision].Inc(1)
 	if result.Decision == config.Invalid {
@@ -195,17 +200,19 @@
 	}
 }
 
-// scheduleCheckpoint notes the offset of a checkpoint on the log and draws at
-// random when this daemon appends the next one. s.mu is held.
+// scheduleCheckpoint stores the offset of a checkpoint on the log and sets when
+// this daemon appends the next one. That is a random time between half of
+// CheckpointInterval and all of it from now. s.mu is held.
 func (s *Store) scheduleCheckpoint(offset uint64) {
 	interval := s.opts.CheckpointInterval
 	s.lastCheckpoint = offset
 	s.checkpointDue = time.Now().Add(interval/2 + time.Duration(s.rng.Int64N(int64(interval/2)+1)))
 }
 
-// checkpoint appends the state as a checkpoint if the log has had none for a
-// long time or for many records. The log reader with the earliest time appends
-// it; the others read that checkpoint and do not append their own.
+// checkpoint appends the state as a checkpoint if checkpointDue has passed or
+// checkpointRecords records have followed the last checkpoint. The log reader
+// with the earliest checkpointDue appends it. The other log readers read that
+// checkpoint and append none themselves.
 func (s *Store) checkpoint(ctx context.Context) {
 	s.mu.Lock()
 	state := s.machine.State()
--- a/configuration/metrics.go
+++ b/configuration/metrics.go
@@ -7,11 +7,24 @@
 )
 
 type metrics struct {
-	reads, readsFailed, checkpointsAdopted tally.Counter
-	checkpoints, checkpointsFailed         tally.Counter
-	conflicts, compileErrors               tally.Counter
-	version                                tally.Gauge
-	decisions                              [config.OutOfOrder + 1]tally.Counter
+	// reads counts the reads that reached the end of the log.
+	reads       tally.Counter
+	readsFailed tally.Counter
+	// checkpointsAdopted counts the checkpoints from which the state was
+	// restored.
+	checkpointsAdopted tally.Counter
+	// checkpoints counts the checkpoints that this daemon appended.
+	checkpoints       tally.Counter
+	checkpointsFailed tally.Counter
+	// conflicts counts the digests of peers that applied the same records but
+	// have another state.
+	conflicts tally.Counter
+	// compileErrors counts the accepted versions that do not compile.
+	compileErrors tally.Counter
+	// version is the version in force.
+	version tally.Gauge
+	// decisions counts the records by the state machine's decision on them.
+	decisions [config.OutOfOrder + 1]tally.Counter
 }
 
 func newMetrics(s tally.Scope) metrics {
--- a/configuration/store.go
+++ b/configuration/store.go
@@ -24,6 +24,7 @@
 
 // Options configure a Store.
 type Options struct {
+	// Log is the platform's log.
 	Log recordlog.Log
 	// Interval is the time between two reads of the log by a log reader.
 	// Default: 200ms.
@@ -35,14 +36,16 @@
 	// be well below the retention of the log. Default: 10min.
 	CheckpointInterval time.Duration
 	// IsLogReader reports whether this daemon reads the log at Interval rather
-	// than IdleInterval. Nil means that it always does.
+	// than IdleInterval. Nil means that this daemon is always a log reader.
 	IsLogReader func() bool
-	// OnUpdate is called when records were read from the log, so that they are
-	// relayed to peers at once. Nil means no call.
+	// OnUpdate is called when new records were read from the log. It should
+	// start a relay of these records to peers. Nil means no call.
 	OnUpdate func()
 	// Seed seeds the random delays.
-	Seed   uint64
-	Scope  tally.Scope
+	Seed uint64
+	// Scope receives the metrics. Nil turns them off.
+	Scope tally.Scope
+	// Logger logs state changes. Nil means no logging.
 	Logger *slog.Logger
 }
 
@@ -53,14 +56,17 @@
 	// checkpointRecords is the number of records after the last checkpoint at
 	// which the next one is due, regardless of the time.
 	checkpointRecords = 1024
-	readLimit         = 1024
-	readTimeout       = 5 * time.Second
+	// readLimit is the maximum number of records in one read.
+	readLimit = 1024
+	// readTimeout bounds a read, and the append of a checkpoint.
+	readTimeout = 5 * time.Second
 )
 
 // Store holds the configuration in force. It is safe for concurrent use.
 type Store struct {
 	opts    Options
 	metrics metrics
+	// rng and backoff are used by Serve alone.
 	rng     *rand.Rand
 	backoff pause.Backoff
 
@@ -70,15 +76,15 @@
 	notifyMu  sync.Mutex
 	listeners []func(*InForce)
 
-	// mu guards the fields below. rng and backoff are used by Serve alone.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	machine *config.StateMachine
 	status  Status
 	// lastCheckpoint is the offset of the newest checkpoint read from the log.
 	lastCheckpoint uint64
-	// checkpointDue is when this daemon appends the next checkpoint. It is
-	// drawn at random once after each checkpoint, so that the log readers do
-	// not append at the same time.
+	// checkpointDue is when this daemon appends the next checkpoint. It is set
+	// to a random time after each checkpoint, so that the log readers do not
+	// append at the same time.
 	checkpointDue time.Time
 }
 
@@ -94,16 +100,16 @@
 	// Chain is a hash chain over all accepted changes.
 	Chain string `json:"chain"`
 	// CaughtUp is set once this daemon has read to the end of the log after its
-	// start. Until then a newer version may exist that no reachable peer had.
+	// start. Until then a newer version may exist that no reachable peer has.
 	CaughtUp bool `json:"sure"`
 	// LogRead is when the log was last read to its end. Zero means never.
 	LogRead time.Time `json:"log_read,omitzero"`
 	// LogError is the error of the last read, empty if it succeeded.
 	LogError string `json:"log_problem,omitempty"`
 	// CompileError is the reason why the newest accepted version does not
-	// compile, empty if it does.
+	// compile. It is empty if that version compiles.
 	CompileError string `json:"unusable,omitempty"`
-	// Conflict is set when a peer that applied the same records has another
+	// Conflict is set once a peer has applied the same records but has another
 	// state.
 	Conflict bool `json:"conflict,omitempty"`
 }
@@ -191,8 +197,8 @@
 	}
 }
 
-// setCompileError records why the newest accepted version does not compile; an
-// empty problem means that it does.
+// setCompileError records why the newest accepted version does not compile. An
+// empty problem means that it compiles.
 func (s *Store) setCompileError(v model.Version, problem string) {
 	s.mu.Lock()
 	changed := s.status.CompileError != problem
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -34,7 +34,8 @@
 func TestAcceptedChangeIsInForceEverywhereInTime(t *testing.T) {
 	const size = 60
 	for name, c := range map[string]struct {
-		fault   func(f *fleet)
+		fault func(f *fleet)
+		// daemons is the number of daemons at which the change must be in force.
 		daemons int
 		within  time.Duration
 	}{
@@ -131,8 +132,8 @@
 		f.publish("second")
 		time.Sleep(10 * time.Second)
 		f.memory.Trim(recordlog.StreamConfig, 2)
-		// A daemon that was paused appends a checkpoint that it encoded long
-		// before.
+		// This is the checkpoint of a daemon that was paused between encoding
+		// and appending it. The checkpoint is older than the trimmed records.
 		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{staleCheckpoint})
 		require.NoError(t, err)
 
@@ -221,7 +222,8 @@
 }
 
 // TestPairsOfFaultsNeverRestoreAnOlderVersion injects random pairs of faults
-// while operators publish changes and daemons restart.
+// while operators publish changes and daemons restart. No daemon may go back to
+// an older version, and in the end all daemons must have the same one.
 func TestPairsOfFaultsNeverRestoreAnOlderVersion(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/configuration/topic.go
+++ b/configuration/topic.go
@@ -20,7 +20,8 @@
 	return t.store.machine.Digest()
 }
 
-// Delta implements peer.Topic.
+// Delta implements peer.Topic. If the digest shows that the peer has another state
+// after the same records, Delta records the conflict and returns nil.
 func (t Topic) Delta(digest []byte, limit int) []byte {
 	s := t.store
 	s.mu.Lock()
@@ -32,7 +33,7 @@
 	return s.machine.Delta(digest, limit)
 }
 
-// Apply implements peer.Topic.
+// Apply implements peer.Topic. It returns an error if the delta cannot be applied.
 func (t Topic) Apply(delta []byte) error {
 	s := t.store
 	s.mu.Lock()
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// recordConflict records that a peer that applied the same records has another
-// state. s.mu is held.
+// recordConflict records that a peer has another state although it applied the
+// same records. s.mu is held.
 func (s *Store) recordConflict() {
 	s.metrics.conflicts.Inc(1)
 	if !s.status.Conflict {
--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -19,6 +19,7 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
+// publish publishes a new version and returns it with the time of its acceptance.
 func (f *fleet) publish(t *testing.T, i int) (model.Version, time.Time) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(f.ctx, time.Minute)
@@ -29,9 +30,8 @@
 	return res.Version, time.Now()
 }
 
-// delays returns, for each daemon, the time from the acceptance of a version
-// until it was in force there. It requires that the version is in force at all
-// daemons.
+// delays returns, for each daemon, the time from the acceptance of a version until
+// the daemon put the version in force. It requires that all daemons have done so.
 func (f *fleet) delays(t *testing.T, v model.Version, accepted time.Time) []time.Duration {
 	t.Helper()
 	f.mu.Lock()
@@ -44,6 +44,7 @@
 	return out
 }
 
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var u syscall.Rusage
@@ -51,7 +52,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Bounds for the control plane, which hold for every number of daemons tested.
+// Bounds for the control plane. They apply to every number of daemons tested.
 const (
 	maxBytesPerSecond   = 19 << 10 // per daemon, sent and received
 	maxReadsPerSecond   = 300      // of all daemons together
@@ -59,9 +60,9 @@
 	maxTimeUntilInForce = 3 * time.Second
 )
 
-// TestIdleCost measures the cost of the control plane while nothing changes.
-// Bytes are those of exchange rounds including message headers, counted at the
-// daemon that starts a round and at the one that responds.
+// TestIdleCost measures the cost of the control plane while nothing changes. It
+// counts the bytes of exchange rounds, including message headers. Each message
+// counts twice: at the daemon that starts the round and at the responder.
 func TestIdleCost(t *testing.T) {
 	for _, size := range []int{10, 30, mediumFleet, largestFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -95,13 +96,14 @@
 }
 
 // TestTimeUntilInForce measures the time from the acceptance of a change until
-// it is in force at each daemon.
+// each daemon has put the change in force.
 func TestTimeUntilInForce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		size  int
 		fault func(f *fleet, on bool)
-		// within bounds the 99th percentile; maxTimeUntilInForce bounds the maximum.
+		// within bounds the 99th percentile of the times. maxTimeUntilInForce
+		// bounds their maximum.
 		within time.Duration
 	}{
 		{"healthy", 10, func(*fleet, bool) {}, time.Second},
@@ -165,10 +167,10 @@
 	return sorted[min(len(sorted)-1, int(float64(len(sorted))*p))].Round(time.Millisecond)
 }
 
-// TestRecoveryAfterAMassRestart replaces five sixths of the daemons and
-// measures how long it takes until all daemons have the configuration and see
-// all upstreams again. While the log is down, the remaining daemons contact the
-// new ones, because these know no peers.
+// TestRecoveryAfterAMassRestart restarts five sixths of the daemons. It measures
+// how long it takes until all daemons have the configuration and see all
+// upstreams again. A restarted daemon knows no peers. While the log is down, it
+// depends on the remaining daemons to contact it.
 func TestRecoveryAfterAMassRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults recordlog.Faults
@@ -211,8 +213,8 @@
 	return true
 }
 
-// TestDrainingReachesEveryDaemon measures how long any daemon still considers a
-// draining upstream eligible while the log is down.
+// TestDrainingReachesEveryDaemon measures, while the log is down, how long it
+// takes until all daemons know that an upstream is draining.
 func TestDrainingReachesEveryDaemon(t *testing.T) {
 	for _, size := range []int{10, mediumFleet, largestFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -233,9 +235,9 @@
 	}
 }
 
-// TestDeadDaemonIsRemovedEverywhere measures how long it takes until every
-// daemon considers a stopped daemon dead, and until all daemons see its
-// upstream again after its restart.
+// TestDeadDaemonIsRemovedEverywhere stops a daemon and measures how long it takes
+// until all others consider it dead. Then it restarts the daemon and measures
+// how long it takes until all daemons see its upstream again.
 func TestDeadDaemonIsRemovedEverywhere(t *testing.T) {
 	for _, size := range []int{10, mediumFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/controltest/doc.go
+++ b/controltest/doc.go
@@ -1,6 +1,6 @@
-// Package controltest provides an in-process network between daemons and a
-// connection to the log that can be interrupted, for tests and benchmarks of
-// the control plane. It does not simulate the daemons: their components run
-// unchanged, on goroutines. Time is virtual when the caller runs them under
+// Package controltest provides, for tests and benchmarks of the control plane, an
+// in-process network between daemons and a connection to the log. Both can be
+// interrupted. The package does not simulate the daemons: their components run
+// unchanged, on goroutines. Time is virtual if the caller runs them under
 // testing/synctest.
 package controltest
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -21,8 +21,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// fleet is a number of daemons reduced to their control plane: configuration,
-// membership and the exchange between peers.
+// fleet is a number of daemons. Each consists only of its control plane:
+// configuration, membership and the exchange between peers.
 type fleet struct {
 	ctx                  context.Context
 	log                  *recordlog.FaultyLog
@@ -31,8 +31,8 @@
 	logReads, logAppends atomic.Int64
 
 	mu sync.Mutex
-	// inForceAt holds, for each version, the times at which daemons put it in
-	// force.
+	// inForceAt holds, for each version, the times at which daemons put the
+	// version in force.
 	inForceAt map[model.Version][]time.Time
 }
 
@@ -62,6 +62,7 @@
 	return f
 }
 
+// start starts or restarts daemon i with empty state, and announces its upstream.
 func (f *fleet) start(i int) {
 	n := f.nodes[i]
 	ctx, cancel := context.WithCancel(f.ctx)
@@ -97,11 +98,13 @@
 	registry.Announce(member.Event{Upstream: up, State: member.Joined}, 0)
 }
 
+// kill stops daemon i and makes it unreachable.
 func (f *fleet) kill(i int) {
 	f.nodes[i].cancel()
 	f.network.Attach(f.nodes[i].Peer, nil)
 }
 
+// disconnectLog disconnects the daemons of a zone from the log, or reconnects them.
 func (f *fleet) disconnectLog(z model.AvailabilityZone, disconnected bool) {
 	for _, n := range f.nodes {
 		if n.Zone == z {
@@ -119,6 +122,7 @@
 	return true
 }
 
+// waitFor polls until a condition holds, and returns how long that took.
 func (f *fleet) waitFor(t *testing.T, within time.Duration, condition func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -129,6 +133,8 @@
 	return time.Since(start)
 }
 
+// runWithFleet starts a fleet in virtual time and runs a test on it once every
+// daemon sees all upstreams.
 func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/controltest/log.go
+++ b/controltest/log.go
@@ -13,8 +13,8 @@
 // interrupted, and counts reads and appends.
 type LogConnection struct {
 	Log recordlog.Log
-	// Reads and Appends count the operations of all connections that share the
-	// counters.
+	// Reads and Appends count the operations, including failed ones. Several
+	// connections may share the counters.
 	Reads, Appends *atomic.Int64
 
 	mu           sync.Mutex
@@ -28,8 +28,9 @@
 	l.disconnected = disconnected
 }
 
-// waitReachable returns nil while the connection is up. While the connection is
-// interrupted, it fails after a timeout, as a request without a response does.
+// waitReachable returns nil at once while the connection is up. While the
+// connection is interrupted, it returns ErrUnreachable after a timeout, like a
+// request that gets no response.
 func (l *LogConnection) waitReachable(ctx context.Context) error {
 	const timeout = 2 * time.Second
 	l.mu.Lock()
--- a/controltest/network.go
+++ b/controltest/network.go
@@ -24,14 +24,19 @@
 	// delay is twice that.
 	Delay time.Duration
 
-	mu           sync.Mutex
+	mu sync.Mutex
+	// services holds the service of each daemon, nil if it is unreachable.
 	services     map[model.DaemonID]*peer.Service
 	zones        map[model.DaemonID]model.AvailabilityZone
 	partitioned  map[model.AvailabilityZone]bool
 	unresponsive map[model.DaemonID]bool
-	blocked      map[[2]model.DaemonID]bool
-	messages     int
-	bytes        int
+	// blocked holds the pairs of sender and receiver between which messages
+	// are dropped.
+	blocked map[[2]model.DaemonID]bool
+	// messages counts requests.
+	messages int
+	// bytes counts the bytes of requests and responses.
+	bytes int
 }
 
 // NewNetwork returns a Network without daemons.
@@ -46,8 +51,8 @@
 	}
 }
 
-// Attach makes a daemon reachable. With a nil service it makes the daemon
-// unreachable.
+// Attach makes a daemon reachable through the service s. If s is nil, it makes the
+// daemon unreachable.
 func (n *Network) Attach(p peer.Peer, s *peer.Service) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,15 +81,16 @@
 	n.blocked[[2]model.DaemonID{from, to}] = blocked
 }
 
-// Traffic returns the number of messages since the start and their total bytes,
-// requests and responses together, without the headers of the transport.
+// Traffic returns the traffic since the network was created. messages is the
+// number of requests. bytes is the total size of requests and responses, without
+// the headers of the transport.
 func (n *Network) Traffic() (messages, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.messages, n.bytes
 }
 
-// Endpoint returns the network as seen by one daemon.
+// Endpoint returns the Endpoint through which one daemon sends messages.
 func (n *Network) Endpoint(d model.DaemonID) Endpoint { return Endpoint{network: n, self: d} }
 
 // Endpoint sends the messages of one daemon.
@@ -116,9 +122,10 @@
 	return resp, e.respond(ctx, to, proto.Size(resp))
 }
 
-// deliver carries a request to a daemon and returns the daemon's service. When
-// the request is lost or the daemon does not respond, it returns when the
-// context ends.
+// deliver carries a request of size bytes to a daemon and returns the daemon's
+// service. It returns ErrUnreachable if the daemon is not attached. If the
+// request is dropped or the daemon is unresponsive, deliver blocks until the
+// context ends, and returns the error of the context.
 func (e Endpoint) deliver(ctx context.Context, to model.DaemonID, size int) (*peer.Service, error) {
 	if err := sleep(ctx, e.delay(to)); err != nil {
 		return nil, err
@@ -140,7 +147,8 @@
 	return s, nil
 }
 
-// respond carries a response back from a daemon.
+// respond carries a response of size bytes back from a daemon. If the response is
+// dropped, it blocks until the context ends, and returns the error of the context.
 func (e Endpoint) respond(ctx context.Context, from model.DaemonID, size int) error {
 	n := e.network
 	n.mu.Lock()
@@ -161,6 +169,7 @@
 	return za != zb && (n.partitioned[za] || n.partitioned[zb])
 }
 
+// delay returns the one-way delay between this daemon and another.
 func (e Endpoint) delay(to model.DaemonID) time.Duration {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
@@ -170,6 +179,7 @@
 	return e.network.Delay
 }
 
+// sleep waits for d. It returns the error of the context if that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/controltest/norace_test.go
+++ b/controltest/norace_test.go
@@ -2,10 +2,12 @@
 
 package controltest_test
 
-// Fleet sizes in daemons, and the number of delays that TestTimeUntilInForce
-// samples for each case.
 const (
-	mediumFleet  = 100
+	// mediumFleet is the number of daemons in a medium-sized fleet.
+	mediumFleet = 100
+	// largestFleet is the number of daemons in the largest fleet.
 	largestFleet = 300
-	samples      = 1000
+	// samples is the number of delays that TestTimeUntilInForce measures in each
+	// case.
+	samples = 1000
 )
--- a/controltest/race_test.go
+++ b/controltest/race_test.go
@@ -2,10 +2,14 @@
 
 package controltest_test
 
-// Fleet sizes and the number of samples are smaller under the race detector,
-// which takes several times as long.
+// These values are smaller than in norace_test.go, because tests under the race
+// detector take several times as long.
 const (
-	mediumFleet  = 20
+	// mediumFleet is the number of daemons in a medium-sized fleet.
+	mediumFleet = 20
+	// largestFleet is the number of daemons in the largest fleet.
 	largestFleet = 40
-	samples      = 200
+	// samples is the number of delays that TestTimeUntilInForce measures in each
+	// case.
+	samples = 200
 )
