--- a/membership/check.go
+++ b/membership/check.go
@@ -17,14 +17,16 @@
 }
 
 const (
+	// pingTimeout bounds a direct ping.
 	pingTimeout = 500 * time.Millisecond
 	// indirectPingTimeout bounds a ping that is sent through another daemon.
 	indirectPingTimeout = 1200 * time.Millisecond
-	// maxIndirectPings is the number of daemons that are asked to ping a daemon
-	// that does not respond.
+	// maxIndirectPings is the maximum number of helpers in a liveness check. A
+	// helper is a daemon that is asked to ping the daemon under check.
 	maxIndirectPings = 3
-	// maxChecks bounds the concurrent liveness checks. Further checks are
-	// dropped; the next failure to reach the daemon starts them again.
+	// maxChecks bounds the concurrent liveness checks. Beyond it, a check of
+	// another daemon is not started until that daemon is reported unreachable
+	// again.
 	maxChecks = 4
 )
 
@@ -36,8 +38,8 @@
 
 func (c *runningChecks) init() { c.daemons = make(map[model.DaemonID]bool) }
 
-// begin adds a daemon. It returns false if the daemon is being checked already
-// or too many checks are running.
+// begin adds a daemon. It returns false if the daemon is already being checked, or
+// if maxChecks checks are running.
 func (c *runningChecks) begin(d model.DaemonID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,6 +50,7 @@
 	return true
 }
 
+// end removes a daemon whose check has ended.
 func (c *runningChecks) end(d model.DaemonID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +58,8 @@
 }
 
 // ReportUnreachable reports that an exchange round or a call could not reach a
-// daemon. It starts a liveness check in the background.
+// daemon. If the daemon is considered alive, it starts a liveness check in the
+// background.
 func (r *Registry) ReportUnreachable(d model.DaemonID) {
 	if r.opts.Pinger == nil || d == r.opts.Self || r.Health(d) != member.Alive || !r.checks.begin(d) {
 		return
@@ -66,8 +70,9 @@
 	}()
 }
 
-// check marks a daemon as suspect if it responds neither to a direct ping nor
-// to indirect ones.
+// check checks the liveness of a daemon. It marks the daemon as suspect if the
+// daemon responds neither to a direct ping nor to the pings of helpers. If no
+// helper responds either, the check is inconclusive and changes nothing.
 func (r *Registry) check(ctx context.Context, d model.DaemonID) {
 	if r.pingDirectly(ctx, d) {
 		r.metrics.checksDirect.Inc(1)
@@ -84,7 +89,7 @@
 	}
 }
 
-// markSuspect marks a daemon as suspect and relays that to peers.
+// markSuspect marks a daemon as suspect and relays the suspicion to peers.
 func (r *Registry) markSuspect(d model.DaemonID) {
 	r.mu.Lock()
 	changed := r.directory.Suspect(d)
@@ -97,7 +102,8 @@
 	r.opts.OnUpdate()
 }
 
-// pingDirectly reports whether a daemon responds to a ping of this daemon.
+// pingDirectly pings a daemon from this daemon. It reports whether the daemon
+// responds.
 func (r *Registry) pingDirectly(ctx context.Context, d model.DaemonID) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -111,9 +117,10 @@
 	return true
 }
 
-// pingIndirectly asks other daemons to ping d. responded is set if any of them
-// responded, alive if one of them reached d. If there are no other daemons to
-// ask, responded is set, so that the failed direct ping alone decides.
+// pingIndirectly asks helpers to ping d. responded reports whether any helper
+// responded. alive reports whether a helper reached d. If there are no helpers,
+// responded is true and alive is false, so that the failed direct ping alone
+// makes d suspect.
 func (r *Registry) pingIndirectly(ctx context.Context, d model.DaemonID) (responded, alive bool) {
 	helpers := r.chooseHelpers(d)
 	if len(helpers) == 0 {
@@ -141,9 +148,9 @@
 	return responded, false
 }
 
-// chooseHelpers chooses live daemons for indirect pings of d. It prefers
-// daemons of other availability zones: if the local zone is cut off, they do
-// not respond, and no daemon is suspected.
+// chooseHelpers chooses live daemons at random as helpers for indirect pings of d.
+// If possible, all helpers are in other availability zones. So if the local zone
+// is cut off, no helper responds and no daemon is suspected.
 func (r *Registry) chooseHelpers(d model.DaemonID) []model.DaemonID {
 	var local, remote []model.DaemonID
 	for _, p := range r.Peers() {
@@ -165,15 +172,16 @@
 	return remote[:min(len(remote), maxIndirectPings)]
 }
 
-// RecordExchange handles the result of an exchange with a peer.
+// RecordExchange is called after an exchange with a peer. If the exchange failed,
+// it reports the peer as unreachable.
 func (r *Registry) RecordExchange(p peer.Peer, err error) {
 	if err != nil {
 		r.ReportUnreachable(p.ID)
 	}
 }
 
-// HandlePing handles a ping. If the request names another daemon as its target,
-// this daemon pings the target on behalf of the sender.
+// HandlePing responds to a ping. If the request names another daemon as its
+// target, this daemon pings the target and responds whether the target is alive.
 func (r *Registry) HandlePing(ctx context.Context, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
 	if target := model.DaemonID(req.GetTarget()); target != "" && target != r.opts.Self {
 		return &peerv1.PingResponse{Alive: r.opts.Pinger != nil && r.pingDirectly(ctx, target)}, nil
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -63,8 +63,8 @@
 	return n
 }
 
-// start starts a node without any state, also after a stop, and announces its
-// upstream.
+// start starts a node with an empty view and announces its upstream. It also
+// restarts a killed node.
 func (f *fleet) start(n *node) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	n.incarnation++
@@ -95,7 +95,8 @@
 	n.announce(member.Joined, 0)
 }
 
-// announce announces the upstream in a state. Joining starts a new incarnation.
+// announce announces the node's upstream in a state. In state Joined it starts a
+// new incarnation of the upstream.
 func (n *node) announce(s member.State, lease time.Duration) {
 	if s == member.Joined {
 		n.upstream.Incarnation++
@@ -103,11 +104,12 @@
 	n.registry.Announce(member.Event{Upstream: n.upstream, State: s}, lease)
 }
 
-// renew announces the same incarnation again, which renews its lease.
+// renew announces the same incarnation of the upstream again, to renew its lease.
 func (n *node) renew(lease time.Duration) {
 	n.registry.Announce(member.Event{Upstream: n.upstream, State: member.Joined}, lease)
 }
 
+// kill stops a node and makes it unreachable.
 func (f *fleet) kill(n *node) {
 	n.cancel()
 	f.network.Attach(n.Peer, nil)
@@ -130,8 +132,8 @@
 	})
 }
 
-// countEligible sums up, over some nodes, the upstreams of a service that each
-// node sees and that are not draining.
+// countEligible returns the sum, over the given nodes, of the number of upstreams
+// of a service that the node sees and that are not draining.
 func (f *fleet) countEligible(nodes []*node, s model.ServiceName) int {
 	count := 0
 	for _, n := range nodes {
@@ -145,7 +147,8 @@
 	return count
 }
 
-// waitFor polls until a condition holds, and returns how long it took.
+// waitFor polls until a condition holds, and returns how long that took. what
+// describes the condition in the failure message.
 func (f *fleet) waitFor(t *testing.T, within time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -203,7 +206,8 @@
 	return count
 }
 
-// countDistinctDigests returns the number of different digests over all views.
+// countDistinctDigests returns how many different digests the nodes have. The
+// number is 1 if all views are equal.
 func (f *fleet) countDistinctDigests() int {
 	seen := map[string]bool{}
 	for _, n := range f.nodes {
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -11,21 +11,24 @@
 )
 
 const (
-	readLimit  = 1024
+	// readLimit is the maximum number of records in one read.
+	readLimit = 1024
+	// logTimeout bounds a read to the end of the log, and each append.
 	logTimeout = 5 * time.Second
 	// maxReaderBackoff bounds the time between two reads of a log reader while
 	// the log fails.
 	maxReaderBackoff = 4 * time.Second
 	// maxEventsPerRecord bounds the events in one record of the log.
 	maxEventsPerRecord = 500
-	// writerDelay is the age at which the writer of a zone appends an event, so
-	// that several events share a batch. fallbackDelay is the age at which any
-	// other daemon appends an event of its own upstreams that is still missing
-	// from the log.
-	writerDelay   = time.Second
+	// writerDelay is the age at which the writer of a zone appends an event. The
+	// delay lets several events share a batch.
+	writerDelay = time.Second
+	// fallbackDelay is the age at which a daemon that is not the writer appends
+	// an event of its own upstreams, if the event is still missing from the log.
 	fallbackDelay = 20 * time.Second
 )
 
+// serveLog calls syncLog repeatedly until the context ends.
 func (r *Registry) serveLog(ctx context.Context) error {
 	// The random delay keeps daemons that start together from reading together.
 	timer := time.NewTimer(r.startDelay())
@@ -44,6 +47,7 @@
 	}
 }
 
+// startDelay returns a random delay below Interval.
 func (r *Registry) startDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,8 +68,9 @@
 	return err
 }
 
-// nextDelay returns the time until the log is read again: with exponential
-// backoff after an error, otherwise shortened at random by up to a quarter.
+// nextDelay returns the time until the log is read again, after a read that ended
+// with err. After an error the delay grows by exponential backoff. Otherwise it
+// is Interval or IdleInterval, shortened at random by up to a quarter.
 func (r *Registry) nextDelay(err error) time.Duration {
 	isReader := r.opts.IsLogReader()
 	r.mu.Lock()
@@ -87,8 +92,8 @@
 }
 
 // readToEnd applies the records up to the end of the log. It skips records that
-// the log has dropped: their events have been appended again since, or peers
-// know them.
+// the log has dropped. The events in them were appended again later, or peers
+// relay them.
 func (r *Registry) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
@@ -135,8 +140,8 @@
 }
 
 // appendMissing appends events that are missing from the log. The writer of a
-// zone appends those of its zone; other daemons append those of their own
-// upstreams, in case the writer fails to.
+// zone appends the events of its zone. Any other daemon appends the events of
+// its own upstreams, in case the writer does not.
 func (r *Registry) appendMissing(ctx context.Context) error {
 	events := r.dueEvents()
 	for len(events) > 0 {
@@ -149,7 +154,8 @@
 	return nil
 }
 
-// dueEvents returns the events that this daemon has to append now.
+// dueEvents returns the events that this daemon has to append now. When a
+// checkpoint is due, these are all events of the zone.
 func (r *Registry) dueEvents() []member.Event {
 	isWriter := r.isWriter()
 	r.mu.Lock()
@@ -170,12 +176,13 @@
 	return local
 }
 
-// isWriter reports whether this daemon appends the events of its zone. A daemon
-// that knows no peers does.
+// isWriter reports whether this daemon is the writer of its zone, which appends
+// the events of the zone. A daemon that knows no peers is a writer.
 func (r *Registry) isWriter() bool {
 	return peer.RendezvousRank(r.opts.Self, r.opts.Zone, r.Peers()) == 0
 }
 
+// inLocalZone returns the events whose upstream is in the zone of this daemon.
 func (r *Registry) inLocalZone(events []member.Event) []member.Event {
 	var out []member.Event
 	for _, e := range events {
@@ -186,15 +193,16 @@
 	return out
 }
 
-// scheduleCheckpoint draws at random when all events of the zone are appended
-// again.
+// scheduleCheckpoint sets checkpointDue, when all events of the zone are appended
+// again. It is a random time between half of CheckpointInterval and all of it
+// from now.
 func (r *Registry) scheduleCheckpoint() {
 	interval := r.opts.CheckpointInterval
 	r.checkpointDue = time.Now().Add(interval/2 + time.Duration(r.rng.Int64N(int64(interval/2)+1)))
 }
 
-// appendEvents appends events to the log. Events may be on the log twice, so
-// the caller simply repeats an append whose effect is uncertain.
+// appendEvents appends events to the log as one record. An event may be on the log
+// twice. So the caller may repeat an append that possibly took effect.
 func (r *Registry) appendEvents(ctx context.Context, events []member.Event) error {
 	data := member.Records{Events: events}.Encode()
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -7,17 +7,18 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// lease is the last announcement of a local upstream. With a zero duration it
-// never expires.
+// lease holds the last announcement of a local upstream.
 type lease struct {
-	event    member.Event
+	event member.Event
+	// duration is how long the lease is valid after an announcement. Zero means
+	// that the lease never expires.
 	duration time.Duration
 	expires  time.Time
 }
 
-// Announce applies an event of a local upstream. With a positive lease duration
-// the upstream has to announce itself again before the lease expires; otherwise
-// it counts as having left.
+// Announce applies an event of a local upstream. duration is the duration of the
+// upstream's lease. If it is positive, the upstream has to announce itself again
+// before the lease expires. Otherwise the Registry marks the upstream as left.
 func (r *Registry) Announce(e member.Event, duration time.Duration) {
 	r.mu.Lock()
 	if e.State == member.Left {
@@ -48,9 +49,9 @@
 	}
 }
 
-// expireLeases marks upstreams as left whose lease has expired, and returns
-// their IDs. If this process was paused, it extends every lease by the pause,
-// because renewals could not be received meanwhile. r.mu is held.
+// expireLeases marks the upstreams whose lease has expired as left, and returns
+// their IDs. If this process was paused, expireLeases first extends every lease
+// by the pause, because no renewal could be received meanwhile. r.mu is held.
 func (r *Registry) expireLeases(now time.Time) []model.UpstreamID {
 	pause := now.Sub(r.lastTick) - tickInterval
 	paused := !r.lastTick.IsZero() && pause > tickInterval
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -3,10 +3,31 @@
 import "github.com/uber-go/tally/v4"
 
 type metrics struct {
-	announced, expired, suspected                    tally.Counter
-	checksDirect, checksIndirect, checksInconclusive tally.Counter
-	appends, appended, logFailed, unreadable         tally.Counter
-	upstreams                                        tally.Gauge
+	// announced counts the announcements that changed the view.
+	announced tally.Counter
+	// expired counts the leases that expired.
+	expired tally.Counter
+	// suspected counts the liveness checks that made a daemon suspect.
+	suspected tally.Counter
+	// checksDirect counts the liveness checks in which the daemon responded to
+	// a direct ping.
+	checksDirect tally.Counter
+	// checksIndirect counts the liveness checks in which a helper reached the
+	// daemon.
+	checksIndirect tally.Counter
+	// checksInconclusive counts the liveness checks in which no helper
+	// responded.
+	checksInconclusive tally.Counter
+	// appends counts the appends to the log.
+	appends tally.Counter
+	// appended counts the events that were appended to the log.
+	appended tally.Counter
+	// logFailed counts the failed reads of the log and appends to it.
+	logFailed tally.Counter
+	// unreadable counts the records of the log that cannot be decoded.
+	unreadable tally.Counter
+	// upstreams is the number of upstreams in the view.
+	upstreams tally.Gauge
 }
 
 func newMetrics(s tally.Scope) metrics {
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -32,9 +32,11 @@
 
 // Options configure a Registry.
 type Options struct {
+	// Self is the ID of this daemon, Zone its availability zone.
 	Self model.DaemonID
 	Zone model.AvailabilityZone
-	Log  recordlog.Log
+	// Log is the platform's log.
+	Log recordlog.Log
 	// Pinger sends pings to other daemons. Nil turns off liveness checks.
 	Pinger Pinger
 	// Interval is the time between two reads of the log by a log reader.
@@ -48,15 +50,16 @@
 	// Default: 10min.
 	CheckpointInterval time.Duration
 	// IsLogReader reports whether this daemon reads the log at Interval rather
-	// than IdleInterval. Nil means that it always does.
+	// than IdleInterval. Nil means that this daemon is always a log reader.
 	IsLogReader func() bool
 	// OnUpdate is called when there are changes to relay to peers at once. Nil
 	// means no call.
 	OnUpdate func()
 	// OnLeaseExpired is called when the lease of a local upstream has expired.
+	// Nil means no call.
 	OnLeaseExpired func(model.UpstreamID)
-	// OnDaemonCount is called with the number of daemons in the view when it
-	// changes.
+	// OnDaemonCount is called with the number of daemons in the view when that
+	// number changes. Nil means no call.
 	OnDaemonCount func(daemons int)
 	// MaxUpstreams bounds the upstreams of one service that this daemon calls.
 	// Default: 64.
@@ -66,9 +69,11 @@
 	Directory member.Options
 	// Seed seeds the random delays and the choice of helpers for indirect
 	// pings.
-	Seed    uint64
+	Seed uint64
+	// Metrics receives the metrics. Nil turns them off.
 	Metrics tally.Scope
-	Logger  *slog.Logger
+	// Logger logs state changes. Nil means no logging.
+	Logger *slog.Logger
 }
 
 const (
@@ -79,12 +84,14 @@
 	tickInterval              = 500 * time.Millisecond
 )
 
-// Registry holds the membership view. It is safe for concurrent use.
+// Registry holds the membership view: the upstreams and daemons that this daemon
+// knows. It is safe for concurrent use.
 type Registry struct {
-	opts        Options
-	metrics     metrics
-	startTime   time.Time
-	checks      runningChecks
+	opts      Options
+	metrics   metrics
+	startTime time.Time
+	checks    runningChecks
+	// daemonCount is the number last passed to OnDaemonCount.
 	daemonCount atomic.Int64
 
 	mu          sync.RWMutex
@@ -96,20 +103,28 @@
 	subsets     map[model.ServiceName]subset
 
 	// The fields below are used only by the goroutine of serveLog.
-	nextOffset    recordlog.Offset
-	backoff       pause.Backoff
+
+	// nextOffset is the offset of the first record of the log that has not been
+	// applied.
+	nextOffset recordlog.Offset
+	backoff    pause.Backoff
+	// checkpointDue is when the writer of the zone appends all events of the
+	// zone again.
 	checkpointDue time.Time
-	logFailing    bool
+	// logFailing reports whether the last read of the log or append to it
+	// failed.
+	logFailing bool
 }
 
-// peerLists lists the daemons in the view at a generation.
+// peerLists lists the daemons in the view at a generation. The generation of the
+// view increases with every change.
 type peerLists struct {
 	generation  uint64
 	alive, dead []peer.Peer
 }
 
-// subset holds the upstreams of a service that this daemon calls, at a
-// generation of the view.
+// subset holds the upstreams of one service that this daemon calls. It is valid
+// for one generation of the view.
 type subset struct {
 	generation uint64
 	upstreams  []model.Upstream
@@ -196,15 +211,17 @@
 	return r.directory.Generation()
 }
 
-// Peers returns the daemons of the upstreams in the view, except those
-// considered dead. The slice is shared and must not be modified.
+// Peers returns the daemons of the upstreams in the view, except the daemons that
+// are considered dead. The slice is shared and must not be modified.
 func (r *Registry) Peers() []peer.Peer { return r.peerLists().alive }
 
-// DeadPeers returns the daemons that are considered dead. Occasional contact
-// with one of them lets the two sides of a healed partition find each other
-// again.
+// DeadPeers returns the daemons that are considered dead. A daemon has to contact
+// one of them occasionally: after a partition has healed, its two sides find each
+// other again in this way.
 func (r *Registry) DeadPeers() []peer.Peer { return r.peerLists().dead }
 
+// peerLists returns the lists of the current generation from the cache, or
+// rebuilds them.
 func (r *Registry) peerLists() peerLists {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -215,7 +232,7 @@
 	return r.cachedPeers
 }
 
-// listPeers builds the lists from the directory. r.mu is held.
+// listPeers builds the peerLists of a generation from the directory. r.mu is held.
 func (r *Registry) listPeers(generation uint64) peerLists {
 	lists := peerLists{generation: generation, alive: []peer.Peer{}}
 	seen := make(map[model.DaemonID]bool)
--- a/membership/topic.go
+++ b/membership/topic.go
@@ -29,7 +29,7 @@
 	return t.registry.directory.Delta(digest, limit)
 }
 
-// Apply implements peer.Topic.
+// Apply implements peer.Topic. It returns an error if the delta cannot be decoded.
 func (t Topic) Apply(delta []byte) error {
 	records, err := member.Decode(delta)
 	if err != nil {
