--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -14,11 +14,11 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// BenchmarkClaim compares claiming a key in the table of its owner with the
-// alternative of appending a record for each claim to the log. The in-memory
-// log responds at once, so the second case measures batching and the append
-// limit of one daemon. That limit is 20 a second for few daemons and 300 a
-// second for all daemons together.
+// BenchmarkClaim compares two ways to claim a key: in the table of its owner, and by
+// an append to the log for each claim. The in-memory log responds at once. So the
+// second case measures batching and the append limit of one daemon. That limit is
+// 20 a second if there are few daemons, and 300 a second for all daemons
+// together.
 func BenchmarkClaim(b *testing.B) {
 	const workers = 64
 	memory := &recordlog.Memory{}
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -19,24 +19,30 @@
 var ErrNoSuccessor = errors.New("no daemon accepted the claims; the outcome of their keys will be unknown")
 
 const (
-	// A drain waits for executions in flight for the time to its deadline
-	// divided by executionWaitDivisor. It hands over the claims of executions
-	// that have not finished by then with an unknown outcome.
+	// executionWaitDivisor sets how long a drain waits for executions in
+	// flight: the time to the deadline of the drain divided by
+	// executionWaitDivisor. If an execution has not finished by then, its claim
+	// is handed over with an unknown outcome.
 	executionWaitDivisor = 2
 	// maxSuccessors bounds the daemons that are asked to accept the claims.
-	maxSuccessors        = 8
+	maxSuccessors = 8
+	// transferPollInterval is the time between two attempts to append the
+	// transfer.
 	transferPollInterval = 10 * time.Millisecond
-	messageTimeout       = 2 * time.Second
+	// messageTimeout bounds one handover message.
+	messageTimeout = 2 * time.Second
 	// transferTimeout bounds the wait for the transfer to be on the log. If the
-	// daemon stops while the log is down, the transfer is missing and the
-	// outcome of the claims is "unknown".
+	// daemon stops while the log is down, the transfer is missing from the log.
+	// The outcome of the claims is then "unknown".
 	transferTimeout = 5 * time.Second
 )
 
-// Drain stops owning keys: it accepts no more submissions, waits for executions
-// in flight, hands the claims over to a successor and records the transfer on
-// the log. The daemon must keep serving requests until Drain returns, so that
-// other daemons learn that the keys have moved. Drain may be called only once.
+// Drain gives up the ownership of keys. It accepts no more submissions, waits for
+// executions in flight, hands the claims over to a successor and records the
+// transfer on the log. It returns ErrNoSuccessor if no daemon accepts the claims,
+// and the error of the context if the transfer does not get onto the log in time.
+// The daemon must keep serving requests until Drain returns, so that other
+// daemons learn that the keys have moved. Drain may be called only once.
 func (s *Service) Drain(ctx context.Context) error {
 	s.sealTable()
 	s.awaitExecutions(ctx)
@@ -58,6 +64,7 @@
 	return nil
 }
 
+// sealTable makes the claim table accept no more claims.
 func (s *Service) sealTable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +72,7 @@
 }
 
 // ownedUntil returns the end of the timestamps that are granted to this
-// incarnation, 0 if there are none.
+// incarnation. It returns 0 if none are granted.
 func (s *Service) ownedUntil() claims.Stamp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,8 +87,8 @@
 	return s.ledger.Complete() && s.ledger.OwnedUntil(s.self.Incarnation) == 0
 }
 
-// awaitExecutions waits for the executions in flight, for at most a fraction of
-// the time left.
+// awaitExecutions waits for the executions in flight. It waits for at most the
+// time to the deadline of ctx divided by executionWaitDivisor.
 func (s *Service) awaitExecutions(ctx context.Context) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
@@ -97,6 +104,7 @@
 	}
 }
 
+// inFlight returns the executions in flight.
 func (s *Service) inFlight() []*execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,9 +115,10 @@
 	return executions
 }
 
-// handOver sends the claims to the first daemon that accepts them all. It tries
-// daemons in random order, so that a rolling restart does not concentrate the
-// claims on a few of them.
+// handOver sends the claims to one daemon after the other until a daemon accepts
+// them all, and returns that daemon. The order is random, so that a rolling
+// restart does not concentrate the claims on a few daemons. If none of the first
+// maxSuccessors daemons accepts them, handOver returns ErrNoSuccessor.
 func (s *Service) handOver(ctx context.Context) (claims.Owner, error) {
 	if s.opts.Messenger == nil {
 		return claims.Owner{}, ErrNoSuccessor
@@ -137,8 +146,9 @@
 	return claims.Owner{}, ErrNoSuccessor
 }
 
-// handOverTo sends the chunks to one incarnation of a daemon and returns that
-// incarnation. A first message without claims asks for the incarnation.
+// handOverTo sends the chunks of the encoded claims to one incarnation of a daemon
+// and returns that incarnation. The first message has no claims and only asks for
+// the incarnation.
 func (s *Service) handOverTo(ctx context.Context, d model.DaemonID, chunks [][]byte) (uint64, error) {
 	incarnation := uint64(0)
 	for _, chunk := range append([][]byte{nil}, chunks...) {
@@ -160,9 +170,10 @@
 	return s.opts.Messenger.HandOver(ctx, d, req)
 }
 
-// appendTransfer appends the transfer until a read of the log shows it, for at
-// most transferTimeout. An append whose response was lost is repeated; a second
-// transfer has no effect, because no ownership is left to transfer.
+// appendTransfer appends the transfer repeatedly until a read of the log shows it,
+// for at most transferTimeout. So it also repeats an append whose response was
+// lost. A second transfer on the log has no effect, because no ownership is left
+// to transfer.
 func (s *Service) appendTransfer(ctx context.Context, successor claims.Owner) error {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -182,8 +193,8 @@
 }
 
 // HandOver imports the claims of another daemon that is draining. For a request
-// without claims it only returns the incarnation of this owner, and whether it
-// accepts claims.
+// without claims it only returns the incarnation of this owner and whether this
+// owner accepts claims.
 func (s *Service) HandOver(_ context.Context, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
 	resp := &peerv1.HandOverResponse{Life: s.self.Incarnation}
 	s.mu.Lock()
@@ -196,7 +207,7 @@
 	return resp, nil
 }
 
-// PeerMessenger sends handover messages through a peer client.
+// PeerMessenger is a Messenger that sends handover messages through a peer client.
 type PeerMessenger struct{ Client *peer.Client }
 
 // HandOver implements Messenger.
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -17,25 +17,30 @@
 
 // execution is one execution of a claimed request.
 type execution struct {
-	// ready is closed once streamed or outcome is set. done is closed once the
-	// claim is finished.
+	// ready is closed once streamed or outcome is set.
 	ready chan struct{}
-	done  chan struct{}
-	// outcome and retained are set before done is closed. retained is nil if
-	// there is no response or the response is too large to retain.
-	outcome  outcome.Outcome
+	// done is closed once the outcome is recorded in the claim.
+	done chan struct{}
+	// outcome is set before done is closed.
+	outcome outcome.Outcome
+	// retained is the response for retries. It is nil if there is no response
+	// or the response is too large to retain. It is set before done is closed.
 	retained *claims.Answer
-	// streamed is a response that is too large to retain and is streamed to the
-	// first submission. It is set before ready is closed.
+	// streamed is a response that is too large to retain. It is streamed to the
+	// first submission. It is set before ready is closed, and nil for other
+	// results.
 	streamed *wire.Result
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// abandoned is set when the first submission has stopped waiting.
 	abandoned bool
-	accepted  bool
+	// accepted is set when the first submission has to receive streamed.
+	accepted bool
 }
 
-// startExecution executes a claimed request. The execution continues when its
-// caller is gone, because later submissions of the key need the outcome too.
+// startExecution starts the execution of a claimed request. The execution
+// continues if the caller disconnects, because later submissions of the key need
+// the outcome too. s.mu is held.
 func (s *Service) startExecution(ctx context.Context, id claims.ID, c *wire.Call) *execution {
 	e := &execution{ready: make(chan struct{}), done: make(chan struct{})}
 	s.executions[id] = e
@@ -47,8 +52,8 @@
 	return e
 }
 
-// complete handles the result of an execution. A response that is too large to
-// retain is streamed to the first submission; the execution ends when the
+// complete finishes an execution with its result. A response that is too large to
+// retain is streamed to the first submission. The execution then ends when the
 // response has been read.
 func (s *Service) complete(id claims.ID, e *execution, result *wire.Result, cancel context.CancelFunc) {
 	if result.Outcome.Kind != outcome.Answered {
@@ -80,8 +85,8 @@
 	close(e.ready)
 }
 
-// offerStreamed reports whether the first submission is still waiting. If so,
-// the first submission takes the streamed response and must close it.
+// offerStreamed reports whether the first submission is still waiting. If it is,
+// the first submission receives the streamed response and must close it.
 func (e *execution) offerStreamed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,8 +95,8 @@
 }
 
 // abandon records that the first submission stops waiting. It returns false if
-// the streamed response was offered before; the first submission then still has
-// to take it.
+// the first submission may not stop, because it has to receive and close the
+// streamed response.
 func (e *execution) abandon() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,12 +119,14 @@
 // submission. The execution ends when the body has been read or closed.
 type streamedBody struct {
 	io.Reader
-	body  io.Closer
+	body io.Closer
+	// onEnd is called once, with the outcome of the execution.
 	onEnd func(outcome.Outcome)
 	once  sync.Once
 }
 
-// Read implements io.Reader. At the end of the response it ends the execution.
+// Read implements io.Reader. At the end of the response it ends the execution with
+// outcome answered, on an error with outcome unknown.
 func (b *streamedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	switch {
@@ -139,8 +146,8 @@
 	return err
 }
 
-// replayResponse returns a retained response, with the header that marks it as
-// replayed if replayed is set.
+// replayResponse returns a retained response as a result. If replayed is set, the
+// result has the header that marks a replayed response.
 func replayResponse(retained *claims.Answer, replayed bool) *wire.Result {
 	h := http.Header(maps.Clone(retained.Header))
 	if h == nil {
--- a/owner/ledger.go
+++ b/owner/ledger.go
@@ -10,24 +10,27 @@
 )
 
 const (
+	// readLimit is the maximum number of records in one read.
 	readLimit = 1024
-	// minReadInterval is the minimum time between two reads that requests
-	// cause, so that submissions with arbitrary keys cannot flood the log with
-	// reads.
+	// minReadInterval is the minimum time between the last read and a read that
+	// a request causes. Without it, submissions with arbitrary keys could flood
+	// the log with reads.
 	minReadInterval = 50 * time.Millisecond
-	readTimeout     = 2 * time.Second
+	// readTimeout bounds a read of the grants up to the end of the log.
+	readTimeout = 2 * time.Second
 )
 
-// refresh reads the grants, unless another read that began after this call has
-// completed. Concurrent calls share reads.
+// refresh brings the ledger up to date with the log. It reads the grants, unless
+// another read began after this call and has completed. So concurrent calls share
+// reads.
 func (s *Service) refresh(ctx context.Context) {
 	readsBefore := s.readCount.Load()
 	if !s.lockReads(ctx) {
 		return
 	}
 	defer s.unlockReads()
-	// The first read to complete may have begun before this call, so two must
-	// have completed.
+	// The first read that completes may have begun before this call. Only if two
+	// reads have completed since, the second certainly began after it.
 	const enough = 2
 	if s.readCount.Load() >= readsBefore+enough {
 		return
@@ -51,7 +54,7 @@
 	s.readToEnd(ctx)
 }
 
-// lockReads acquires readLock. It returns false if the context ends first.
+// lockReads acquires s.readLock. It returns false if the context ends first.
 func (s *Service) lockReads(ctx context.Context) bool {
 	select {
 	case s.readLock <- struct{}{}:
@@ -63,7 +66,8 @@
 
 func (s *Service) unlockReads() { <-s.readLock }
 
-// readToEnd applies the grants up to the end of the log. s.readLock is held.
+// readToEnd applies the grants up to the end of the log, and stops at the first
+// error. s.readLock is held.
 func (s *Service) readToEnd(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -82,8 +86,9 @@
 	s.readCount.Add(1)
 }
 
-// readBatch applies one batch of records and reports whether there is more to
-// read.
+// readBatch applies one batch of records and reports whether there may be more to
+// read. At the end of the log, if the ledger is still incomplete, it enlarges the
+// search window and starts the search for a checkpoint again. s.readLock is held.
 func (s *Service) readBatch(ctx context.Context) (bool, error) {
 	if !s.positioned {
 		return true, s.seekCheckpoint(ctx)
@@ -117,15 +122,17 @@
 
 const (
 	// initialSearchWindow is the number of newest records in which a new daemon
-	// searches for a checkpoint. While there is none, the window is multiplied
-	// by windowGrowth.
+	// first searches for a checkpoint.
 	initialSearchWindow = 1 << 14
-	windowGrowth        = 4
+	// windowGrowth is the factor by which the search window grows if it holds
+	// no checkpoint.
+	windowGrowth = 4
 )
 
-// seekCheckpoint resets the ledger to searchWindow records before the end of
-// the log, so that a new daemon need not read all records that are kept, or to
-// the oldest record if there are fewer.
+// seekCheckpoint resets the ledger to the offset searchWindow records before the
+// end of the log. So a new daemon need not read all records that the log keeps.
+// If the log keeps fewer records, the offset is that of the oldest one.
+// s.readLock is held.
 func (s *Service) seekCheckpoint(ctx context.Context) error {
 	oldest := recordlog.Offset(0)
 	batch, err := s.opts.Log.Read(ctx, recordlog.StreamGrants, oldest, 1)
@@ -148,7 +155,8 @@
 	return nil
 }
 
-// applyRecord applies one record to the ledger. s.mu is held.
+// applyRecord applies one record to the ledger. It skips a record that cannot be
+// decoded. s.mu is held.
 func (s *Service) applyRecord(rec recordlog.Record) {
 	r, err := claims.DecodeRecord(rec.Data)
 	if err != nil {
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -9,17 +9,23 @@
 
 // metrics are the counters and gauges of a Service.
 type metrics struct {
-	scope          tally.Scope
-	appended       tally.Counter
-	appendFailed   tally.Counter
-	readFailed     tally.Counter
-	trimmed        tally.Counter
-	badRecords     tally.Counter
+	scope tally.Scope
+	// appended counts the appended grants and checkpoints.
+	appended     tally.Counter
+	appendFailed tally.Counter
+	readFailed   tally.Counter
+	// trimmed counts the reads of records that the log no longer keeps.
+	trimmed tally.Counter
+	// badRecords counts the records that cannot be decoded.
+	badRecords tally.Counter
+	// resubmitted counts the retries by the routing side.
 	resubmitted    tally.Counter
 	handedOver     tally.Counter
 	handoverFailed tally.Counter
-	claims         tally.Gauge
-	responseBytes  tally.Gauge
+	// claims is the number of claims in the table.
+	claims tally.Gauge
+	// responseBytes is the total size of the retained responses.
+	responseBytes tally.Gauge
 }
 
 func newMetrics(scope tally.Scope) metrics {
@@ -38,10 +44,12 @@
 	}
 }
 
+// countDecision counts a submission to this owner by the decision on it.
 func (m metrics) countDecision(v claims.Decision) {
 	m.scope.Tagged(map[string]string{"verdict": v.String()}).Counter("submissions").Inc(1)
 }
 
+// countUnresolved counts a submission without a final outcome by its reason.
 func (m metrics) countUnresolved(r outcome.Reason) {
 	m.scope.Tagged(map[string]string{"reason": string(r)}).Counter("unsettled").Inc(1)
 }
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -6,14 +6,15 @@
 	"github.com/dottereltiller/dottereltiller/core/claims"
 )
 
-// maxKeyAttempts bounds the random keys tried for each timestamp in search of
-// one with a live owner.
+// maxKeyAttempts is the number of random keys that NewKey tries for each timestamp
+// until it finds a key with a live owner.
 const maxKeyAttempts = 64
 
-// NewKey returns a new key whose owner is considered alive. The timestamp of
-// the key is the current time. If the grants do not extend that far because the
-// log is down, it is the last timestamp that they cover. The second result is
-// false if no such key was found; the key is then valid but has no owner yet.
+// NewKey returns a new key whose owner is considered alive. The timestamp of the
+// key is the current time. If the grants end before the current time because the
+// log is down, the timestamp is one of the last that the grants cover. The second
+// result is false if NewKey found no such key. The returned key is valid all the
+// same, but may have no owner that is alive.
 func (s *Service) NewKey() (claims.Key, bool) {
 	now := s.currentTimestamp()
 	s.mu.Lock()
@@ -28,14 +29,16 @@
 	return randomKey(now), false
 }
 
+// randomKey returns a random key with a timestamp.
 func randomKey(timestamp claims.Stamp) claims.Key {
 	var random [10]byte
 	_, _ = rand.Read(random[:])
 	return claims.NewKey(timestamp, random)
 }
 
-// candidateTimestamps returns the current timestamp. If that is beyond all grants,
-// it also returns the last timestamps that are granted, as far as these are no
+// candidateTimestamps returns the timestamps that a new key may have, the preferred
+// one first. That is the current timestamp. If it is beyond all grants,
+// candidateTimestamps adds some of the last granted timestamps, but none that is
 // older than half of the retention. s.mu is held.
 func (s *Service) candidateTimestamps(now claims.Stamp) []claims.Stamp {
 	timestamps := []claims.Stamp{now}
--- a/owner/options.go
+++ b/owner/options.go
@@ -32,15 +32,16 @@
 	Execute func(context.Context, *wire.Call) *wire.Result
 	// Candidates returns the daemons that may own keys.
 	Candidates func() []model.DaemonID
-	// Client sends submissions to the owners of other daemons, authenticated
-	// with PeerSecret.
-	Client     *hop.Client
+	// Client sends submissions to owners in other daemons.
+	Client *hop.Client
+	// PeerSecret authenticates these submissions.
 	PeerSecret string
 	// Messenger sends the claims to another daemon when this one drains. Nil
 	// means that the claims are not handed over.
 	Messenger Messenger
-	// WallClock returns the wall-clock time. It affects only availability and
-	// retention, never how often a key is executed. Default: time.Now.
+	// WallClock returns the wall-clock time. A wrong clock affects only
+	// availability and retention, never how often a key is executed. Default:
+	// time.Now.
 	WallClock func() time.Time
 	// GrantDuration is how far beyond the current time a grant extends.
 	// Default: 60s.
@@ -48,7 +49,7 @@
 	// Retention is how long a claim is kept after the timestamp of its key.
 	// Default: 10m.
 	Retention time.Duration
-	// PollInterval is the time between two checks whether grants have to be
+	// PollInterval is the time between two checks whether the grants have to be
 	// read or renewed. Default: 1s.
 	PollInterval time.Duration
 	// CheckpointInterval is the longest time between two checkpoints on the
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -30,7 +30,8 @@
 	testTimeout = 10 * time.Second
 )
 
-// deployment is a few owners that share a log, each with an HTTP server.
+// deployment is a number of daemons that share a log. Each is reduced to its
+// Service and an HTTP server.
 type deployment struct {
 	t      *testing.T
 	memory *recordlog.Memory
@@ -41,7 +42,7 @@
 	mu sync.Mutex
 	// executions counts the executions of each key.
 	executions map[string]int
-	// handler acts as the upstream. Nil responds at once.
+	// handler acts as the upstream. Nil means an upstream that responds at once.
 	handler func(c *wire.Call) *wire.Result
 }
 
@@ -55,6 +56,8 @@
 	done   chan struct{}
 }
 
+// deploy starts n daemons whose grants last for a duration, and waits until all
+// ranges have owners.
 func deploy(t *testing.T, n int, grant time.Duration) *deployment {
 	d := &deployment{t: t, memory: &recordlog.Memory{}, grant: grant, executions: make(map[string]int)}
 	d.log = recordlog.NewFaultyLog(d.memory)
@@ -81,7 +84,7 @@
 	return d
 }
 
-// knowsAllOwners reports whether the node knows an owner of every range.
+// knowsAllOwners reports whether every range has an owner in the node's ledger.
 func (n *testNode) knowsAllOwners() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,7 +124,7 @@
 	}()
 }
 
-// kill stops the incarnation without a drain.
+// kill stops the current incarnation of the node without a drain.
 func (n *testNode) kill() {
 	n.stop()
 	<-n.done
@@ -130,7 +133,7 @@
 	n.opts.Client.CloseIdle()
 }
 
-// restart starts a new incarnation at the same address.
+// restart starts a new incarnation of the node at the same address.
 func (n *testNode) restart() {
 	ln, err := net.Listen("tcp", string(n.id))
 	require.NoError(n.d.t, err)
@@ -155,6 +158,7 @@
 	return nil, errors.New("no such daemon")
 }
 
+// execute executes a claimed request by the handler.
 func (d *deployment) execute(_ context.Context, c *wire.Call) *wire.Result {
 	d.mu.Lock()
 	handler := d.handler
@@ -166,6 +170,7 @@
 	return handler(c)
 }
 
+// count counts an execution of the key of a call.
 func (d *deployment) count(c *wire.Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -201,7 +206,8 @@
 	err      error
 }
 
-// submit submits a key with a body through a node and reads the whole response.
+// submit submits a request with a key and a body through the node and reads the
+// whole response.
 func (n *testNode) submit(key claims.Key, caller model.CallerName, body string, timeout time.Duration) submitResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -215,7 +221,7 @@
 	return submitResult{res.Outcome, string(data), res.Header.Get(wire.HeaderReplayed) == "true", err}
 }
 
-// keyOwnedBy returns a new key that a node owns.
+// keyOwnedBy returns a new key whose owner is the given node.
 func (d *deployment) keyOwnedBy(owner *testNode) claims.Key {
 	d.t.Helper()
 	for range 10_000 {
--- a/owner/route.go
+++ b/owner/route.go
@@ -15,14 +15,15 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryTimeouts bound how long the routing side retries a submission.
+// retryTimeouts are the times after which the routing side stops retrying a
+// submission.
 type retryTimeouts struct {
-	// ownerUnreachable applies while the owner is unreachable or responds that
-	// it does not own the key. After that the submission is unresolved
-	// with outcome.ReasonKeyOwnerLost.
+	// ownerUnreachable applies if the owner is unreachable or responds that it
+	// does not own the key. When it has passed, the outcome of the submission
+	// is unknown with outcome.ReasonKeyOwnerLost.
 	ownerUnreachable time.Duration
-	// unassigned applies while the timestamp of the key is beyond all grants,
-	// or the ledger is incomplete.
+	// unassigned applies if the ledger names no owner, because the timestamp of
+	// the key is beyond all grants or the ledger is incomplete.
 	unassigned time.Duration
 }
 
@@ -33,10 +34,10 @@
 // maxSuspectedOwners bounds the number of suspected owners that are remembered.
 const maxSuspectedOwners = 1024
 
-// Submit sends a keyed call with its body to the owner of the key and returns
-// the result. It retries while the owner is moving or unreachable, which is
-// safe because the owner recognizes the key. A submission that it cannot
-// resolve is unknown.
+// Submit sends a keyed call with its body to the owner of the key and returns the
+// result. It retries while the owner is unreachable or is handing over its
+// claims. Retries are safe because the owner recognizes the key. If Submit gets
+// no final outcome from an owner, the outcome is unknown.
 func (s *Service) Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
@@ -68,9 +69,9 @@
 	}
 }
 
-// isFinal reports whether an owner's outcome resolves the submission. The other
-// outcomes mean that the owner could not be reached, or that the daemon is not
-// the owner.
+// isFinal reports whether an outcome without a response is the final outcome of the
+// submission. The other outcomes mean that the owner could not be reached, or
+// that the daemon does not own the key or is handing it over.
 func isFinal(o outcome.Outcome) bool {
 	if o.Kind == outcome.NotRun {
 		return true
@@ -83,15 +84,16 @@
 	}
 }
 
-// These reasons are used only inside this package. reasonOwnerUnreachable means
-// that no response of the owner arrived, reasonOwnerMoving that the owner is
-// handing over its claims.
+// These reasons are used only inside this package.
 const (
+	// reasonOwnerUnreachable means that no response of the owner arrived.
 	reasonOwnerUnreachable outcome.Reason = "owner-unreached"
-	reasonOwnerMoving      outcome.Reason = "owner-moving"
+	// reasonOwnerMoving means that the owner is handing over its claims.
+	reasonOwnerMoving outcome.Reason = "owner-moving"
 )
 
-// giveUp returns the result of a submission that could not be resolved in time.
+// giveUp returns the result of a submission for which no final outcome arrived in
+// time. reason is the reason of the last attempt.
 func (s *Service) giveUp(ctx context.Context, o claims.Owner, ownership claims.Ownership, reason outcome.Reason) *wire.Result {
 	switch {
 	case ctx.Err() != nil:
@@ -104,6 +106,8 @@
 	}
 }
 
+// unresolved returns and counts the result of a submission without a final outcome:
+// unknown, with a reason.
 func (s *Service) unresolved(r outcome.Reason) *wire.Result {
 	s.metrics.countUnresolved(r)
 	o := outcome.Outcome{Kind: outcome.Unknown, Reason: r}
@@ -113,13 +117,15 @@
 	return wire.NoResponse(o)
 }
 
+// lookup returns the ownership of a key. If the key is owned, it also returns the
+// interval of granted timestamps that contains the key, with the owner.
 func (s *Service) lookup(key claims.Key) (claims.Interval, claims.Ownership) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Lookup(key.Range(s.opts.Ranges), key.Stamp())
 }
 
-// submitTo sends one submission to an owner.
+// submitTo sends one submission to an owner, which may be this daemon.
 func (s *Service) submitTo(ctx context.Context, o claims.Owner, c *wire.Call, body []byte) *wire.Result {
 	submission := *c
 	submission.ID = uuid.NewString()
@@ -138,8 +144,8 @@
 	return s.submitRemote(ctx, o.Daemon, &submission)
 }
 
-// submitRemote sends a submission to an owner in another daemon. It reads a
-// small response completely, so that the submission can be retried if the
+// submitRemote sends a submission to an owner in another daemon. It reads a small
+// response completely before it returns. So the submission can be retried if the
 // response is truncated.
 func (s *Service) submitRemote(ctx context.Context, to model.DaemonID, c *wire.Call) *wire.Result {
 	c.SetInternalHeaders(c.Header)
@@ -178,12 +184,14 @@
 	return result
 }
 
+// ownerUnreachable returns the result of an attempt that got no response.
 func ownerUnreachable() *wire.Result {
 	return wire.NoResponse(outcome.UnknownBecause(reasonOwnerUnreachable))
 }
 
-// retryTimeout returns how long an owner that does not respond is retried. A
-// suspected owner is tried only once more, after a refresh of the grants.
+// retryTimeout returns for how long Submit retries an owner that does not respond.
+// For a suspected owner it is 0: Submit then tries only once more, after a refresh
+// of the grants.
 func (s *Service) retryTimeout(incarnation uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,6 +216,7 @@
 	}
 }
 
+// clearSuspicion removes an owner that has responded from the suspected owners.
 func (s *Service) clearSuspicion(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/owner/service.go
+++ b/owner/service.go
@@ -25,29 +25,36 @@
 	ledger     *claims.Ledger
 	table      *claims.Table
 	executions map[claims.ID]*execution
-	// suspectedOwners holds, by incarnation, when an owner was found
-	// unreachable.
+	// suspectedOwners holds the incarnations of the owners that were found
+	// unreachable, and when.
 	suspectedOwners map[uint64]time.Time
 	// checkpointed is when a checkpoint was last read from the log.
 	checkpointed time.Time
 
-	// planner and candidates are used only by the goroutine of Serve.
-	planner    *claims.Planner
+	// planner decides when to append a grant. It is used only by Serve.
+	planner *claims.Planner
+	// candidates holds the last result of Options.Candidates, sorted. It is used
+	// only by Serve.
 	candidates []model.DaemonID
 
-	// readLock is a lock whose acquisition a context can cancel. It guards
-	// positioned, fromOldest, searchWindow and lastRead.
+	// readLock is a lock that is held during a read of the grants. Unlike with
+	// a mutex, a context can end the wait for it. It guards positioned,
+	// fromOldest, searchWindow and lastRead.
 	readLock chan struct{}
-	// positioned is set once the ledger is at the offset where reading starts,
-	// fromOldest if that is the oldest record that is kept.
-	positioned   bool
-	fromOldest   bool
+	// positioned is set once the ledger is at the offset where reading starts.
+	positioned bool
+	// fromOldest is set if reading starts at the oldest record that the log
+	// keeps.
+	fromOldest bool
+	// searchWindow is the number of newest records in which seekCheckpoint
+	// searches.
 	searchWindow recordlog.Offset
-	// readCount counts the reads of the grants. caughtUp is set once a read has
-	// reached the end of the log.
+	// readCount counts the reads of the grants, including failed ones.
 	readCount atomic.Uint64
-	lastRead  time.Time
-	caughtUp  atomic.Bool
+	// lastRead is when the last read of the grants ended.
+	lastRead time.Time
+	// caughtUp is set once a read has reached the end of the log.
+	caughtUp atomic.Bool
 }
 
 // New returns a Service that owns no keys yet.
@@ -78,9 +85,9 @@
 	// Ranges is the number of key ranges whose newest timestamps this owner has
 	// been granted.
 	Ranges int `json:"ranges"`
-	// Claims is the number of claims, AnswerBytes the total size of the
-	// retained responses.
-	Claims      int `json:"claims"`
+	// Claims is the number of claims.
+	Claims int `json:"claims"`
+	// AnswerBytes is the total size of the retained responses.
 	AnswerBytes int `json:"answer_bytes"`
 }
 
@@ -114,7 +121,7 @@
 	defer tick.Stop()
 	for {
 		s.refreshCandidates()
-		// If there is nothing to read, no grant or checkpoint is due either.
+		// If shouldRead is false, no grant or checkpoint is due.
 		if s.shouldRead(ctx) {
 			s.readGrants(ctx)
 			s.renew(ctx)
@@ -133,14 +140,16 @@
 	return claims.Stamp(max(0, s.opts.WallClock().UnixMilli()))
 }
 
-// The grants are read again after the grant duration divided by readsPerGrant.
-// Between reads the ledger lags by less than grants extend into the future, and
-// a request whose key has no owner in the ledger causes a read.
+// readsPerGrant is the number of reads of the grants in one grant duration. The
+// ledger may lag behind the log by the time between two reads. Grants extend
+// further than that into the future, so the ledger usually still names the owner
+// of a current key. If it names none, the request causes a read.
 const readsPerGrant = 6
 
-// shouldRead reports whether the grants have to be read: the last read was long
-// ago, or a record seems due for an append, which other daemons may have
-// appended meanwhile. So a daemon does not read the log in every interval.
+// shouldRead reports whether the grants have to be read, so that a daemon need not
+// read the log in every interval. They have to be read if the ledger is
+// incomplete or the last read was long ago. They also have to be read if a record
+// seems due for an append, because another daemon may have appended it meanwhile.
 func (s *Service) shouldRead(ctx context.Context) bool {
 	if !s.caughtUp.Load() || !s.ledgerComplete() || len(s.due()) > 0 {
 		return true
@@ -158,8 +167,8 @@
 	return s.ledger.Complete()
 }
 
-// renew appends a grant and a checkpoint if they are due. Only reading the log
-// shows whether an append took effect.
+// renew appends a grant and a checkpoint if they are due. After each append it reads
+// the log, because only a read shows whether the append took effect.
 func (s *Service) renew(ctx context.Context) {
 	if !s.caughtUp.Load() {
 		return
@@ -194,6 +203,7 @@
 	return out
 }
 
+// refreshCandidates passes the candidates to the planner if they have changed.
 func (s *Service) refreshCandidates() {
 	candidates := s.opts.Candidates()
 	slices.Sort(candidates)
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -14,11 +14,12 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryAfter is the Retry-After value for keys whose execution is in progress
-// or whose outcome cannot be resolved yet.
+// retryAfter is the Retry-After value of a response that tells the caller to retry
+// later, for example because the execution of the key is in progress.
 const retryAfter = time.Second
 
-// handleSubmission handles a submission as the owner of its key.
+// handleSubmission decides on a submission as the owner of its key. It executes the
+// request or waits for an earlier execution if necessary, and returns the result.
 func (s *Service) handleSubmission(ctx context.Context, c *wire.Call) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
@@ -60,14 +61,14 @@
 // beginResult is the decision on a submission.
 type beginResult struct {
 	decision claims.Decision
-	// execution is set for claims.Run and claims.InProgress, response for
-	// claims.Replay.
+	// execution is set if the decision is claims.Run or claims.InProgress.
 	execution *execution
-	response  *claims.Answer
+	// response is set if the decision is claims.Replay.
+	response *claims.Answer
 }
 
-// beginSubmission claims the key of a submission. It starts the execution if
-// this is the first submission of the key.
+// beginSubmission asks the claim table for the decision on a submission. For the
+// first submission of a key it claims the key and starts the execution.
 func (s *Service) beginSubmission(ctx context.Context, req claims.Request, c *wire.Call) beginResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +83,8 @@
 	return result
 }
 
-// awaitFirst waits, for the first submission, for the execution that it
-// started.
+// awaitFirst waits for an execution and returns its result to the first
+// submission, which started the execution.
 func awaitFirst(ctx context.Context, e *execution) *wire.Result {
 	select {
 	case <-e.ready:
@@ -103,7 +104,8 @@
 // waits for the execution. The rest is left for the response to the caller.
 const maxWaitPercent = 90
 
-// awaitEarlier waits for an execution that an earlier submission started.
+// awaitEarlier waits for an execution that an earlier submission started, and
+// returns its result. If the wait takes too long, the outcome is unknown.
 func awaitEarlier(ctx context.Context, e *execution, timeout time.Duration) *wire.Result {
 	timer := time.NewTimer(timeout * maxWaitPercent / 100)
 	defer timer.Stop()
@@ -116,8 +118,8 @@
 	return wire.NoResponse(inProgressOutcome())
 }
 
-// response returns the result of a finished execution. replayed marks a
-// retained response as replayed.
+// response returns the result of a finished execution. If replayed is set, a
+// retained response is marked as replayed.
 func (e *execution) response(replayed bool) *wire.Result {
 	switch {
 	case e.outcome.Kind != outcome.Answered:
@@ -133,9 +135,9 @@
 	return outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonKeyInProgress, RetryAfter: retryAfter}
 }
 
-// outcomeOf returns the outcome for a decision by which a submission is neither
-// executed nor gets a response. Only claims.Full proves that the key has not
-// been executed.
+// outcomeOf returns the outcome of a submission that by decision d is not executed
+// and gets no response. Only claims.Full proves that the key has not been
+// executed.
 func outcomeOf(d claims.Decision) outcome.Outcome {
 	switch d {
 	case claims.Full:
@@ -157,7 +159,8 @@
 	}
 }
 
-// readBody reads a body of at most limit bytes.
+// readBody reads a body of at most limit bytes. It returns the reason if the body
+// is larger or cannot be read, otherwise outcome.ReasonNone.
 func readBody(r io.Reader, limit int64) ([]byte, outcome.Reason) {
 	if r == nil {
 		return nil, outcome.ReasonNone
@@ -173,8 +176,8 @@
 	}
 }
 
-// requestDigest hashes the parts of a request in which two submissions of the
-// same key must agree.
+// requestDigest hashes the parts of a request that must be the same in all
+// submissions of a key.
 func requestDigest(c *wire.Call, body []byte) claims.Digest {
 	h := sha256.New()
 	for _, part := range []string{string(c.Service), c.Method, c.Target, c.Header.Get("Content-Type")} {
