--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -33,8 +33,8 @@
 	opts     Options
 	self     ceiling.Daemon
 	refusals tally.Counter
-	// unreadable counts deltas from peers that cannot be decoded.
-	unreadable tally.Counter
+	// unreadableDeltas counts deltas from peers that cannot be decoded.
+	unreadableDeltas tally.Counter
 
 	mu       sync.Mutex
 	ceilings map[ceiling.Key]*ceiling.Ceiling
@@ -43,22 +43,22 @@
 	// recent holds the reports that are relayed to other daemons. A report is
 	// removed after relayPeriod.
 	recent map[reportKey]recentReport
-	// deltas counts the non-empty results of Delta. It determines with which
+	// deltaCount counts the non-empty results of Delta. It determines with which
 	// report the next result starts.
-	deltas uint64
+	deltaCount uint64
 }
 
 // reportKey identifies the newest report of a daemon on a ceiling.
 type reportKey struct {
-	// key is the keyHash of the ceiling.
-	key    uint64
-	daemon ceiling.Daemon
+	// ceilingHash is the keyHash of the ceiling.
+	ceilingHash uint64
+	daemon      ceiling.Daemon
 }
 
 type recentReport struct {
 	ceiling.Report
-	// since is when this daemon made or received the report.
-	since model.Instant
+	// addedAt is when this daemon made or received the report.
+	addedAt model.Instant
 }
 
 // NewStore returns a Store without ceilings.
@@ -68,13 +68,13 @@
 	}
 	scope := telemetry.OrNoop(opts.Scope)
 	return &Store{
-		opts:       opts,
-		self:       ceiling.Daemon(xxhash.Sum64String(string(opts.Self))),
-		refusals:   scope.Counter("refusals"),
-		unreadable: scope.Counter("reports_unread"),
-		ceilings:   make(map[ceiling.Key]*ceiling.Ceiling),
-		byHash:     make(map[uint64]*ceiling.Ceiling),
-		recent:     make(map[reportKey]recentReport),
+		opts:             opts,
+		self:             ceiling.Daemon(xxhash.Sum64String(string(opts.Self))),
+		refusals:         scope.Counter("refusals"),
+		unreadableDeltas: scope.Counter("reports_unread"),
+		ceilings:         make(map[ceiling.Key]*ceiling.Ceiling),
+		byHash:           make(map[uint64]*ceiling.Ceiling),
+		recent:           make(map[reportKey]recentReport),
 	}
 }
 
@@ -138,11 +138,11 @@
 	now, timestamp := s.opts.Now(), uint64(s.opts.WallClock().UnixMilli())
 	for _, c := range s.ceilings {
 		if r, due := c.Tick(now, timestamp); due {
-			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, since: now}
+			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
 		}
 	}
 	for k, r := range s.recent {
-		if now.Sub(r.since) > relayPeriod || s.byHash[k.key] == nil {
+		if now.Sub(r.addedAt) > relayPeriod || s.byHash[k.ceilingHash] == nil {
 			delete(s.recent, k)
 		}
 	}
--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -22,9 +22,9 @@
 	// reportBytes is the encoded length of a report: key, daemon, demand and
 	// timestamp.
 	reportBytes = 8 + 8 + 4 + 8
-	// goldenRatio is 2^64 divided by the golden ratio, rounded to an odd
+	// fibonacciMultiplier is 2^64 divided by the golden ratio, rounded to an odd
 	// number. Its successive multiples are spread evenly (Fibonacci hashing).
-	goldenRatio = 0x9E3779B97F4A7C15
+	fibonacciMultiplier = 0x9E3779B97F4A7C15
 )
 
 // errPartialReport is returned for a delta whose length is no multiple of the
@@ -72,8 +72,8 @@
 	// The starts of successive calls are spread evenly over the reports. If the
 	// start moved by one report a call, it could synchronize with the peers'
 	// calls, and a peer would get the same few reports every time.
-	s.deltas++
-	start := int((s.deltas * goldenRatio) >> 33 % uint64(len(reports)))
+	s.deltaCount++
+	start := int((s.deltaCount * fibonacciMultiplier) >> 33 % uint64(len(reports)))
 	out := make([]byte, 0, n*reportBytes)
 	for i := range n {
 		out = appendReport(out, reports[(start+i)%len(reports)].Report)
@@ -86,7 +86,7 @@
 // length.
 func (s *Store) Apply(delta []byte) error {
 	if len(delta)%reportBytes != 0 {
-		s.unreadable.Inc(1)
+		s.unreadableDeltas.Inc(1)
 		return errPartialReport
 	}
 	s.mu.Lock()
@@ -96,7 +96,7 @@
 		r := readReport(b)
 		c := s.byHash[r.Key]
 		if c != nil && c.Merge(now, r) {
-			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, since: now}
+			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
 		}
 	}
 	return nil
--- a/configuration/documents.go
+++ b/configuration/documents.go
@@ -17,14 +17,14 @@
 // combination: the operator's command compiled the whole configuration before it
 // proposed the change. A change is accepted only if the configuration has not
 // changed since.
-func validate(put map[config.DocumentKey]json.RawMessage) error {
-	keys := make([]config.DocumentKey, 0, len(put))
-	for k := range put {
+func validate(documents map[config.DocumentKey]json.RawMessage) error {
+	keys := make([]config.DocumentKey, 0, len(documents))
+	for k := range documents {
 		keys = append(keys, k)
 	}
 	sort.Slice(keys, func(i, j int) bool { return keys[i] < keys[j] })
 	for _, k := range keys {
-		if err := validateDocument(k, put[k]); err != nil {
+		if err := validateDocument(k, documents[k]); err != nil {
 			return err
 		}
 	}
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -90,13 +90,13 @@
 		Peers: func() []peer.Peer { return f.peers }})
 	exchanger.Register(store.Topic())
 	n.store = store
-	var last model.Version
+	var lastVersion model.Version
 	store.OnChange(func(c *configuration.InForce) {
 		status := store.Status()
-		if c.Version <= last {
-			f.t.Errorf("%s went back from version %d to %d", n.ID, last, c.Version)
+		if c.Version <= lastVersion {
+			f.t.Errorf("%s went back from version %d to %d", n.ID, lastVersion, c.Version)
 		}
-		last = c.Version
+		lastVersion = c.Version
 		f.recordInForce(n.ID, c.Version, status)
 	})
 	f.network.Attach(n.Peer, &peer.Service{Exchanger: exchanger})
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -37,7 +37,7 @@
 	}
 	s.recordReadResult(err)
 	if err == nil && s.opts.IsLogReader() {
-		s.checkpoint(ctx)
+		s.appendDueCheckpoint(ctx)
 	}
 }
 
@@ -209,11 +209,11 @@
 	s.checkpointDue = time.Now().Add(interval/2 + time.Duration(s.rng.Int64N(int64(interval/2)+1)))
 }
 
-// checkpoint appends the state as a checkpoint if checkpointDue has passed or
-// checkpointRecords records have followed the last checkpoint. The log reader
-// with the earliest checkpointDue appends it. The other log readers read that
-// checkpoint and append none themselves.
-func (s *Store) checkpoint(ctx context.Context) {
+// appendDueCheckpoint appends the state as a checkpoint if checkpointDue has
+// passed or checkpointRecords records have followed the last checkpoint. The log
+// reader with the earliest checkpointDue appends it. The other log readers read
+// that checkpoint and append none themselves.
+func (s *Store) appendDueCheckpoint(ctx context.Context) {
 	s.mu.Lock()
 	state := s.machine.State()
 	due := time.Now().After(s.checkpointDue)
@@ -233,5 +233,5 @@
 		s.metrics.checkpointsFailed.Inc(1)
 		return
 	}
-	s.metrics.checkpoints.Inc(1)
+	s.metrics.checkpointsAppended.Inc(1)
 }
--- a/configuration/metrics.go
+++ b/configuration/metrics.go
@@ -13,9 +13,9 @@
 	// checkpointsAdopted counts the checkpoints from which the state was
 	// restored.
 	checkpointsAdopted tally.Counter
-	// checkpoints counts the checkpoints that this daemon appended.
-	checkpoints       tally.Counter
-	checkpointsFailed tally.Counter
+	// checkpointsAppended counts the checkpoints that this daemon appended.
+	checkpointsAppended tally.Counter
+	checkpointsFailed   tally.Counter
 	// conflicts counts the digests of peers that applied the same records but
 	// have another state.
 	conflicts tally.Counter
@@ -34,14 +34,14 @@
 	s = s.SubScope("config")
 	result := func(r string) tally.Scope { return s.Tagged(map[string]string{"result": r}) }
 	m := metrics{
-		reads:              result("done").Counter("reads"),
-		readsFailed:        result("failed").Counter("reads"),
-		checkpointsAdopted: s.Counter("checkpoints_adopted"),
-		checkpoints:        result("done").Counter("checkpoints"),
-		checkpointsFailed:  result("failed").Counter("checkpoints"),
-		conflicts:          s.Counter("conflicts"),
-		compileErrors:      s.Counter("versions_unusable"),
-		version:            s.Gauge("version"),
+		reads:               result("done").Counter("reads"),
+		readsFailed:         result("failed").Counter("reads"),
+		checkpointsAdopted:  s.Counter("checkpoints_adopted"),
+		checkpointsAppended: result("done").Counter("checkpoints"),
+		checkpointsFailed:   result("failed").Counter("checkpoints"),
+		conflicts:           s.Counter("conflicts"),
+		compileErrors:       s.Counter("versions_unusable"),
+		version:             s.Gauge("version"),
 	}
 	for d := range m.decisions {
 		name := config.Decision(d).String()
--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -70,14 +70,14 @@
 				const seconds = 60
 				cpuBefore := cpuTime(t)
 				messagesBefore, _ := f.network.Traffic()
-				readsBefore, appendsBefore, bytesBefore := f.logReads.Load(), f.logAppends.Load(), f.sentBytes()
+				readsBefore, appendsBefore, bytesBefore := f.logReads.Load(), f.logAppends.Load(), f.exchangedBytes()
 				time.Sleep(seconds * time.Second)
 				messagesAfter, _ := f.network.Traffic()
 				perDaemon := float64(seconds * size)
 				t.Logf("%d daemons, a second: %.0f bytes and %.2f messages a daemon, %.1f reads and %.2f appends in all; %.0f us of CPU a daemon",
-					size, float64(f.sentBytes()-bytesBefore)/perDaemon, float64(messagesAfter-messagesBefore)/perDaemon, float64(f.logReads.Load()-readsBefore)/seconds,
+					size, float64(f.exchangedBytes()-bytesBefore)/perDaemon, float64(messagesAfter-messagesBefore)/perDaemon, float64(f.logReads.Load()-readsBefore)/seconds,
 					float64(f.logAppends.Load()-appendsBefore)/seconds, float64((cpuTime(t)-cpuBefore).Microseconds())/perDaemon)
-				require.Less(t, float64(f.sentBytes()-bytesBefore)/perDaemon, float64(maxBytesPerSecond))
+				require.Less(t, float64(f.exchangedBytes()-bytesBefore)/perDaemon, float64(maxBytesPerSecond))
 				require.Less(t, (f.logReads.Load()-readsBefore)/seconds, int64(maxReadsPerSecond))
 				require.Less(t, (f.logAppends.Load()-appendsBefore)/seconds, int64(maxAppendsPerSecond))
 			})
@@ -85,9 +85,9 @@
 	}
 }
 
-func (f *fleet) sentBytes() int64 { return f.sentBytesOf(f.nodes) }
+func (f *fleet) exchangedBytes() int64 { return f.exchangedBytesOf(f.nodes) }
 
-func (f *fleet) sentBytesOf(nodes []*node) int64 {
+func (f *fleet) exchangedBytesOf(nodes []*node) int64 {
 	var total int64
 	for _, node := range nodes {
 		total += node.exchanger.TotalBytes()
@@ -120,21 +120,21 @@
 		t.Run(fmt.Sprint(c.name, " ", c.size), func(t *testing.T) {
 			runWithFleet(t, c.size, func(t *testing.T, f *fleet) {
 				var allDelays []time.Duration
-				down := c.name == "log down 100 ms after the change"
+				logGoesDown := c.name == "log down 100 ms after the change"
 				for i := range samples / c.size {
-					if !down {
+					if !logGoesDown {
 						c.fault(f, true)
 					}
 					time.Sleep(time.Duration(4000+37*i) * time.Millisecond)
 					v, accepted := f.publish(t, i)
-					if down {
+					if logGoesDown {
 						time.Sleep(100 * time.Millisecond)
 						c.fault(f, true)
 					}
 					time.Sleep(maxTimeUntilInForce)
 					synctest.Wait()
 					c.fault(f, false)
-					if down && len(f.timesInForce(v)) == 0 {
+					if logGoesDown && len(f.timesInForce(v)) == 0 {
 						continue // no daemon had read the change before the log went down
 					}
 					allDelays = append(allDelays, f.delays(t, v, accepted)...)
@@ -190,14 +190,14 @@
 				time.Sleep(time.Second)
 				f.log.SetFaults(c.faults)
 				readsBefore, appendsBefore := f.logReads.Load(), f.logAppends.Load()
-				survivors := f.sentBytesOf(f.nodes[restarted:])
+				survivorBytesBefore := f.exchangedBytesOf(f.nodes[restarted:])
 				for i := range restarted {
 					f.start(i)
 				}
 				recovery := f.waitFor(t, c.within, func() bool { return f.allAtVersion(v) && f.allUpstreamsSeenByAll() })
 				t.Logf("%s, %d of %d daemons restarted: recovered after %v with %d reads and %d appends, %d KB a restarted daemon, %d KB a survivor",
 					name, restarted, largestFleet, recovery, f.logReads.Load()-readsBefore, f.logAppends.Load()-appendsBefore,
-					f.sentBytesOf(f.nodes[:restarted])/int64(restarted)/1024, (f.sentBytesOf(f.nodes[restarted:])-survivors)/int64(largestFleet-restarted)/1024)
+					f.exchangedBytesOf(f.nodes[:restarted])/int64(restarted)/1024, (f.exchangedBytesOf(f.nodes[restarted:])-survivorBytesBefore)/int64(largestFleet-restarted)/1024)
 				require.Less(t, f.logAppends.Load()-appendsBefore, int64(restarted/2), "events are appended in batches")
 			})
 		})
@@ -220,16 +220,16 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				f.log.SetFaults(recordlog.Faults{Down: true})
-				var propagation []time.Duration
+				var propagationTimes []time.Duration
 				for i := range 5 {
 					time.Sleep(3 * time.Second)
 					upstreams, _ := f.nodes[i].registry.Upstreams("s")
 					local := upstreams[slices.IndexFunc(upstreams, func(v model.Upstream) bool { return v.Daemon == f.nodes[i].ID })]
 					f.nodes[i].registry.Announce(member.Event{Upstream: local, State: member.Draining}, 0)
-					propagation = append(propagation, f.waitFor(t, 2*time.Second, func() bool { return f.countDraining(local.ID) == size }))
+					propagationTimes = append(propagationTimes, f.waitFor(t, 2*time.Second, func() bool { return f.countDraining(local.ID) == size }))
 				}
-				slices.Sort(propagation)
-				t.Logf("%d daemons: known to all daemons after %v at best, %v at worst", size, propagation[0], propagation[len(propagation)-1])
+				slices.Sort(propagationTimes)
+				t.Logf("%d daemons: known to all daemons after %v at best, %v at worst", size, propagationTimes[0], propagationTimes[len(propagationTimes)-1])
 			})
 		})
 	}
@@ -244,8 +244,8 @@
 			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				dead := f.nodes[size-1]
 				f.kill(size - 1)
-				alive := &fleet{nodes: f.nodes[:size-1]}
-				removalDelay := f.waitFor(t, 15*time.Second, func() bool { return alive.countConsideringDead(dead.ID) == size-1 })
+				survivors := &fleet{nodes: f.nodes[:size-1]}
+				removalDelay := f.waitFor(t, 15*time.Second, func() bool { return survivors.countConsideringDead(dead.ID) == size-1 })
 				f.start(size - 1)
 				rejoinDelay := f.waitFor(t, 15*time.Second, f.allUpstreamsSeenByAll)
 				t.Logf("%d daemons: considered dead everywhere after %v, seen everywhere %v after its restart", size, removalDelay, rejoinDelay)
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -93,9 +93,9 @@
 	for _, server := range []interface{ Serve(context.Context) error }{store, registry, exchanger} {
 		go func() { _ = server.Serve(ctx) }()
 	}
-	up := model.Upstream{ID: model.UpstreamID(fmt.Sprintf("service-%d-%d", i/22, i)), Service: "s", Zone: n.Zone,
+	upstream := model.Upstream{ID: model.UpstreamID(fmt.Sprintf("service-%d-%d", i/22, i)), Service: "s", Zone: n.Zone,
 		Daemon: n.ID, Slots: 6, Incarnation: model.Incarnation(n.incarnation)}
-	registry.Announce(member.Event{Upstream: up, State: member.Joined}, 0)
+	registry.Announce(member.Event{Upstream: upstream, State: member.Joined}, 0)
 }
 
 // kill stops daemon i and makes it unreachable.
--- a/membership/check.go
+++ b/membership/check.go
@@ -66,14 +66,14 @@
 	}
 	go func() {
 		defer r.checks.end(d)
-		r.check(context.Background(), d)
+		r.checkLiveness(context.Background(), d)
 	}()
 }
 
-// check checks the liveness of a daemon. It marks the daemon as suspect if the
-// daemon responds neither to a direct ping nor to the pings of helpers. If no
-// helper responds either, the check is inconclusive and changes nothing.
-func (r *Registry) check(ctx context.Context, d model.DaemonID) {
+// checkLiveness pings a daemon directly, then through helpers. It marks the daemon
+// as suspect if the daemon responds to none of these pings. If no helper responds
+// either, the check is inconclusive and changes nothing.
+func (r *Registry) checkLiveness(ctx context.Context, d model.DaemonID) {
 	if r.pingDirectly(ctx, d) {
 		r.metrics.checksDirect.Inc(1)
 		return
@@ -97,7 +97,7 @@
 	if !changed {
 		return
 	}
-	r.metrics.suspected.Inc(1)
+	r.metrics.checksSuspected.Inc(1)
 	r.opts.Logger.Info("daemon does not respond, suspected", "daemon", d)
 	r.opts.OnUpdate()
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -33,13 +33,13 @@
 
 type node struct {
 	peer.Peer
-	upstream      model.Upstream
-	registry      *membership.Registry
-	bootstrap     []peer.Peer
-	logConn       *controltest.LogConnection
-	cancel        context.CancelFunc
-	incarnation   uint64
-	expiredLeases atomic.Int32
+	upstream       model.Upstream
+	registry       *membership.Registry
+	bootstrapPeers []peer.Peer
+	logConn        *controltest.LogConnection
+	cancel         context.CancelFunc
+	incarnation    uint64
+	expiredLeases  atomic.Int32
 }
 
 const zones = 5
@@ -85,7 +85,7 @@
 		OnUpdate:       func() { exchanger.TriggerRound() },
 		OnLeaseExpired: func(model.UpstreamID) { n.expiredLeases.Add(1) },
 	})
-	exchanger = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: endpoint, BootstrapPeers: n.bootstrap,
+	exchanger = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: endpoint, BootstrapPeers: n.bootstrapPeers,
 		Peers: registry.Peers, Unreachable: registry.DeadPeers, OnResult: registry.RecordExchange})
 	exchanger.Register(registry.Topic())
 	f.network.Attach(n.Peer, &peer.Service{Exchanger: exchanger, Ping: registry.HandlePing})
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -76,7 +76,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.metrics.logFailed.Inc(1)
+		r.metrics.logFailures.Inc(1)
 		r.backoff.Max = r.opts.IdleInterval
 		if isReader {
 			r.backoff.Max = maxReaderBackoff
@@ -126,7 +126,7 @@
 func (r *Registry) applyRecord(data []byte) int {
 	records, err := member.Decode(data)
 	if err != nil {
-		r.metrics.unreadable.Inc(1)
+		r.metrics.unreadableRecords.Inc(1)
 		return 0
 	}
 	r.mu.Lock()
@@ -210,7 +210,7 @@
 	_, err := r.opts.Log.Append(ctx, recordlog.StreamMembership, [][]byte{data})
 	if err == nil {
 		r.metrics.appends.Inc(1)
-		r.metrics.appended.Inc(int64(len(events)))
+		r.metrics.appendedEvents.Inc(int64(len(events)))
 	}
 	return err
 }
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -12,8 +12,8 @@
 	event member.Event
 	// duration is how long the lease is valid after an announcement. Zero means
 	// that the lease never expires.
-	duration time.Duration
-	expires  time.Time
+	duration  time.Duration
+	expiresAt time.Time
 }
 
 // Announce applies an event of a local upstream. duration is the duration of the
@@ -24,12 +24,12 @@
 	if e.State == member.Left {
 		delete(r.leases, e.Upstream.ID)
 	} else {
-		r.leases[e.Upstream.ID] = lease{event: e, duration: duration, expires: time.Now().Add(duration)}
+		r.leases[e.Upstream.ID] = lease{event: e, duration: duration, expiresAt: time.Now().Add(duration)}
 	}
 	changed := r.directory.Announce(e)
 	r.mu.Unlock()
 	if changed {
-		r.metrics.announced.Inc(1)
+		r.metrics.changedAnnouncements.Inc(1)
 		r.opts.OnUpdate()
 	}
 }
@@ -59,17 +59,17 @@
 	var expired []model.UpstreamID
 	for id, l := range r.leases {
 		if paused {
-			l.expires = l.expires.Add(pause)
+			l.expiresAt = l.expiresAt.Add(pause)
 			r.leases[id] = l
 		}
-		if l.duration <= 0 || now.Before(l.expires) {
+		if l.duration <= 0 || now.Before(l.expiresAt) {
 			continue
 		}
 		l.event.State = member.Left
 		r.directory.Announce(l.event)
 		delete(r.leases, id)
 		expired = append(expired, id)
-		r.metrics.expired.Inc(1)
+		r.metrics.expiredLeases.Inc(1)
 	}
 	return expired
 }
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -3,12 +3,12 @@
 import "github.com/uber-go/tally/v4"
 
 type metrics struct {
-	// announced counts the announcements that changed the view.
-	announced tally.Counter
-	// expired counts the leases that expired.
-	expired tally.Counter
-	// suspected counts the liveness checks that made a daemon suspect.
-	suspected tally.Counter
+	// changedAnnouncements counts the announcements that changed the view.
+	changedAnnouncements tally.Counter
+	// expiredLeases counts the leases that expired.
+	expiredLeases tally.Counter
+	// checksSuspected counts the liveness checks that made a daemon suspect.
+	checksSuspected tally.Counter
 	// checksDirect counts the liveness checks in which the daemon responded to
 	// a direct ping.
 	checksDirect tally.Counter
@@ -20,12 +20,12 @@
 	checksInconclusive tally.Counter
 	// appends counts the appends to the log.
 	appends tally.Counter
-	// appended counts the events that were appended to the log.
-	appended tally.Counter
-	// logFailed counts the failed reads of the log and appends to it.
-	logFailed tally.Counter
-	// unreadable counts the records of the log that cannot be decoded.
-	unreadable tally.Counter
+	// appendedEvents counts the events that were appended to the log.
+	appendedEvents tally.Counter
+	// logFailures counts the failed reads of the log and appends to it.
+	logFailures tally.Counter
+	// unreadableRecords counts the records of the log that cannot be decoded.
+	unreadableRecords tally.Counter
 	// upstreams is the number of upstreams in the view.
 	upstreams tally.Gauge
 }
@@ -39,16 +39,16 @@
 		return s.Tagged(map[string]string{"result": result}).Counter("checks")
 	}
 	return metrics{
-		announced:          s.Counter("announcements_changed"),
-		expired:            s.Counter("leases_expired"),
-		suspected:          check("suspected"),
-		checksDirect:       check("answered"),
-		checksIndirect:     check("answered_through_another"),
-		checksInconclusive: check("no_helper_answered"),
-		appends:            s.Counter("appends"),
-		appended:           s.Counter("events_appended"),
-		logFailed:          s.Counter("log_failed"),
-		unreadable:         s.Counter("records_unreadable"),
-		upstreams:          s.Gauge("upstreams"),
+		changedAnnouncements: s.Counter("announcements_changed"),
+		expiredLeases:        s.Counter("leases_expired"),
+		checksSuspected:      check("suspected"),
+		checksDirect:         check("answered"),
+		checksIndirect:       check("answered_through_another"),
+		checksInconclusive:   check("no_helper_answered"),
+		appends:              s.Counter("appends"),
+		appendedEvents:       s.Counter("events_appended"),
+		logFailures:          s.Counter("log_failed"),
+		unreadableRecords:    s.Counter("records_unreadable"),
+		upstreams:            s.Gauge("upstreams"),
 	}
 }
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -153,15 +153,15 @@
 
 func (o *Options) setDefaults() {
 	for _, d := range []struct {
-		value *time.Duration
-		def   time.Duration
+		target       *time.Duration
+		defaultValue time.Duration
 	}{
 		{&o.Interval, defaultInterval},
 		{&o.IdleInterval, defaultIdleInterval},
 		{&o.CheckpointInterval, defaultCheckpointInterval},
 	} {
-		if *d.value <= 0 {
-			*d.value = d.def
+		if *d.target <= 0 {
+			*d.target = d.defaultValue
 		}
 	}
 	if o.MaxUpstreams <= 0 {
@@ -213,16 +213,16 @@
 
 // Peers returns the daemons of the upstreams in the view, except the daemons that
 // are considered dead. The slice is shared and must not be modified.
-func (r *Registry) Peers() []peer.Peer { return r.peerLists().alive }
+func (r *Registry) Peers() []peer.Peer { return r.currentPeerLists().alive }
 
 // DeadPeers returns the daemons that are considered dead. A daemon has to contact
 // one of them occasionally: after a partition has healed, its two sides find each
 // other again in this way.
-func (r *Registry) DeadPeers() []peer.Peer { return r.peerLists().dead }
+func (r *Registry) DeadPeers() []peer.Peer { return r.currentPeerLists().dead }
 
-// peerLists returns the lists of the current generation from the cache, or
+// currentPeerLists returns the lists of the current generation from the cache, or
 // rebuilds them.
-func (r *Registry) peerLists() peerLists {
+func (r *Registry) currentPeerLists() peerLists {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	generation := r.directory.Generation()
@@ -254,7 +254,7 @@
 
 // reportDaemonCount calls OnDaemonCount if the number of daemons has changed.
 func (r *Registry) reportDaemonCount() {
-	lists := r.peerLists()
+	lists := r.currentPeerLists()
 	n := len(lists.alive) + len(lists.dead)
 	if r.daemonCount.Swap(int64(n)) != int64(n) {
 		r.opts.OnDaemonCount(n)
--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -186,7 +186,7 @@
 	runWithFleet(t, 20, func(t *testing.T, f *fleet) {
 		f.log.SetFaults(recordlog.Faults{Down: true})
 		n := f.add("new", zone(0))
-		n.bootstrap = []peer.Peer{f.nodes[11].Peer}
+		n.bootstrapPeers = []peer.Peer{f.nodes[11].Peer}
 		f.start(n)
 		f.waitFor(t, 6*time.Second, "every daemon sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == 21*21 })
 	})
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -50,7 +50,7 @@
 	if s.ownedUntil() == 0 {
 		return nil
 	}
-	successor, err := s.handOver(ctx)
+	successor, err := s.sendClaimsToSuccessor(ctx)
 	if err != nil {
 		s.metrics.handoverFailed.Inc(1)
 		return err
@@ -95,7 +95,7 @@
 		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/executionWaitDivisor)
 		defer cancel()
 	}
-	for _, e := range s.inFlight() {
+	for _, e := range s.executionsInFlight() {
 		select {
 		case <-e.done:
 		case <-ctx.Done():
@@ -104,8 +104,8 @@
 	}
 }
 
-// inFlight returns the executions in flight.
-func (s *Service) inFlight() []*execution {
+// executionsInFlight returns the executions in flight.
+func (s *Service) executionsInFlight() []*execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	executions := make([]*execution, 0, len(s.executions))
@@ -115,11 +115,11 @@
 	return executions
 }
 
-// handOver sends the claims to one daemon after the other until a daemon accepts
-// them all, and returns that daemon. The order is random, so that a rolling
-// restart does not concentrate the claims on a few daemons. If none of the first
-// maxSuccessors daemons accepts them, handOver returns ErrNoSuccessor.
-func (s *Service) handOver(ctx context.Context) (claims.Owner, error) {
+// sendClaimsToSuccessor sends the claims to one daemon after the other until a
+// daemon accepts them all, and returns that daemon. The order is random, so that
+// a rolling restart does not concentrate the claims on a few daemons. If none of
+// the first maxSuccessors daemons accepts them, it returns ErrNoSuccessor.
+func (s *Service) sendClaimsToSuccessor(ctx context.Context) (claims.Owner, error) {
 	if s.opts.Messenger == nil {
 		return claims.Owner{}, ErrNoSuccessor
 	}
@@ -139,17 +139,17 @@
 		if triedCount++; triedCount > maxSuccessors {
 			break
 		}
-		if incarnation, err := s.handOverTo(ctx, d, chunks); err == nil {
+		if incarnation, err := s.sendClaimsTo(ctx, d, chunks); err == nil {
 			return claims.Owner{Daemon: d, Incarnation: incarnation}, nil
 		}
 	}
 	return claims.Owner{}, ErrNoSuccessor
 }
 
-// handOverTo sends the chunks of the encoded claims to one incarnation of a daemon
+// sendClaimsTo sends the chunks of the encoded claims to one incarnation of a daemon
 // and returns that incarnation. The first message has no claims and only asks for
 // the incarnation.
-func (s *Service) handOverTo(ctx context.Context, d model.DaemonID, chunks [][]byte) (uint64, error) {
+func (s *Service) sendClaimsTo(ctx context.Context, d model.DaemonID, chunks [][]byte) (uint64, error) {
 	incarnation := uint64(0)
 	for _, chunk := range append([][]byte{nil}, chunks...) {
 		resp, err := s.sendHandOver(ctx, d, &peerv1.HandOverRequest{From: string(s.opts.Self), Claims: chunk, ToLife: incarnation})
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -59,7 +59,7 @@
 	if result.Outcome.Kind != outcome.Answered {
 		_ = result.Body.Close()
 		cancel()
-		s.finish(id, e, result.Outcome, nil)
+		s.recordOutcome(id, e, result.Outcome, nil)
 		close(e.ready)
 		return
 	}
@@ -67,14 +67,14 @@
 	if err == nil && int64(len(head)) <= s.opts.MaxResponseBytes {
 		_ = result.Body.Close()
 		cancel()
-		s.finish(id, e, outcome.Done(), &claims.Answer{Status: result.Status, Header: result.Header, Body: head, Trailer: result.Trailer})
+		s.recordOutcome(id, e, outcome.Done(), &claims.Answer{Status: result.Status, Header: result.Header, Body: head, Trailer: result.Trailer})
 		close(e.ready)
 		return
 	}
 	streamed := &streamedBody{Reader: io.MultiReader(bytes.NewReader(head), result.Body), body: result.Body}
 	streamed.onEnd = func(o outcome.Outcome) {
 		cancel()
-		s.finish(id, e, o, nil)
+		s.recordOutcome(id, e, o, nil)
 	}
 	result.Body = streamed
 	if err == nil && e.offerStreamed() {
@@ -104,9 +104,9 @@
 	return !e.accepted
 }
 
-// finish records the outcome and the retained response of an execution in the
-// claim of its key.
-func (s *Service) finish(id claims.ID, e *execution, o outcome.Outcome, retained *claims.Answer) {
+// recordOutcome records the outcome and the retained response of an execution in
+// the claim of its key.
+func (s *Service) recordOutcome(id claims.ID, e *execution, o outcome.Outcome, retained *claims.Answer) {
 	s.mu.Lock()
 	s.table.Finish(id, o.Kind, retained)
 	delete(s.executions, id)
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -48,9 +48,9 @@
 	defer cancel()
 	require.NoError(t, draining.Drain(ctx))
 	draining.kill()
-	again := d.nodes[0].submit(usedKey, "", "x", testTimeout)
-	require.True(t, again.replayed, "%+v after %+v", again, first)
-	require.Equal(t, first.body, again.body)
+	retry := d.nodes[0].submit(usedKey, "", "x", testTimeout)
+	require.True(t, retry.replayed, "%+v after %+v", retry, first)
+	require.Equal(t, first.body, retry.body)
 	require.Equal(t, outcome.Answered, d.nodes[1].submit(unusedKey, "", "x", testTimeout).outcome.Kind)
 	require.Equal(t, 1, d.executionsOf(usedKey))
 	require.Equal(t, 1, d.executionsOf(unusedKey))
@@ -61,7 +61,7 @@
 	d := deploy(t, 2, time.Minute)
 	finishExecution := make(chan struct{})
 	d.setHandler(func(c *wire.Call) *wire.Result {
-		d.count(c)
+		d.countExecution(c)
 		<-finishExecution
 		return textResult("slow")
 	})
@@ -75,9 +75,9 @@
 	close(finishExecution)
 	require.NoError(t, <-drained)
 	require.Equal(t, "slow", (<-submitted).body)
-	again := d.nodes[0].submit(key, "", "x", testTimeout)
-	require.Equal(t, "slow", again.body)
-	require.True(t, again.replayed)
+	retry := d.nodes[0].submit(key, "", "x", testTimeout)
+	require.Equal(t, "slow", retry.body)
+	require.True(t, retry.replayed)
 	require.Equal(t, 1, d.executionsOf(key))
 }
 
@@ -178,14 +178,14 @@
 	fresh.restart()
 	r := fresh.submit(key, "", "x", 3*time.Second)
 	require.Equal(t, outcome.ReasonKeyNotOwned, r.outcome.Reason, "without a checkpoint the daemon does not know the owners")
-	d.checkpoint()
+	d.appendCheckpoint()
 	d.waitFor("the checkpoint is applied", func() bool { _, ownership := fresh.lookup(key); return ownership == claims.Owned })
 	require.Equal(t, outcome.Answered, fresh.submit(key, "", "x", testTimeout).outcome.Kind)
 	require.Equal(t, 1, d.executionsOf(key))
 }
 
-// checkpoint appends a checkpoint of the first node's ledger to the log.
-func (d *deployment) checkpoint() {
+// appendCheckpoint appends a checkpoint of the first node's ledger to the log.
+func (d *deployment) appendCheckpoint() {
 	n := d.nodes[0]
 	n.mu.Lock()
 	rec := claims.Record{Checkpoint: n.ledger.Checkpoint()}
@@ -199,7 +199,7 @@
 	end := d.endOfLog()
 	for _, n := range d.nodes {
 		n.mu.Lock()
-		n.checkpointed = time.Now().Add(-DefaultCheckpointInterval - time.Second)
+		n.lastCheckpointRead = time.Now().Add(-DefaultCheckpointInterval - time.Second)
 		n.mu.Unlock()
 	}
 	d.waitFor("a checkpoint is appended", func() bool { return d.endOfLog() > end })
@@ -224,7 +224,7 @@
 				_, err := d.memory.Append(t.Context(), recordlog.StreamGrants, [][]byte{{0}})
 				require.NoError(t, err)
 			}
-			d.checkpoint()
+			d.appendCheckpoint()
 			for range recordsSince {
 				_, err := d.memory.Append(t.Context(), recordlog.StreamGrants, [][]byte{{0}})
 				require.NoError(t, err)
--- a/owner/ledger.go
+++ b/owner/ledger.go
@@ -31,8 +31,8 @@
 	defer s.unlockReads()
 	// The first read that completes may have begun before this call. Only if two
 	// reads have completed since, the second certainly began after it.
-	const enough = 2
-	if s.readCount.Load() >= readsBefore+enough {
+	const requiredReads = 2
+	if s.readCount.Load() >= readsBefore+requiredReads {
 		return
 	}
 	if wait := minReadInterval - time.Since(s.lastRead); wait > 0 {
@@ -99,7 +99,7 @@
 	batch, err := s.opts.Log.Read(ctx, recordlog.StreamGrants, from, readLimit)
 	var trimmed *recordlog.TrimmedError
 	if errors.As(err, &trimmed) {
-		s.metrics.trimmed.Inc(1)
+		s.metrics.trimmedReads.Inc(1)
 		s.opts.Logger.Warn("log no longer keeps the next grants, searching for a checkpoint", "next", from, "oldest", trimmed.Oldest)
 		s.positioned = false
 		return true, nil
@@ -160,12 +160,12 @@
 func (s *Service) applyRecord(rec recordlog.Record) {
 	r, err := claims.DecodeRecord(rec.Data)
 	if err != nil {
-		s.metrics.badRecords.Inc(1)
+		s.metrics.unreadableRecords.Inc(1)
 		s.ledger.Skip(uint64(rec.Offset))
 		return
 	}
 	if r.Checkpoint != nil {
-		s.checkpointed = time.Now()
+		s.lastCheckpointRead = time.Now()
 	}
 	s.ledger.Apply(uint64(rec.Offset), r)
 }
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -14,10 +14,10 @@
 	appended     tally.Counter
 	appendFailed tally.Counter
 	readFailed   tally.Counter
-	// trimmed counts the reads of records that the log no longer keeps.
-	trimmed tally.Counter
-	// badRecords counts the records that cannot be decoded.
-	badRecords tally.Counter
+	// trimmedReads counts the reads of records that the log no longer keeps.
+	trimmedReads tally.Counter
+	// unreadableRecords counts the records that cannot be decoded.
+	unreadableRecords tally.Counter
 	// resubmitted counts the retries by the routing side.
 	resubmitted    tally.Counter
 	handedOver     tally.Counter
@@ -30,17 +30,17 @@
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
-		scope:          scope,
-		appended:       scope.Counter("appends"),
-		appendFailed:   scope.Counter("appends_failed"),
-		readFailed:     scope.Counter("reads_failed"),
-		trimmed:        scope.Counter("reads_trimmed"),
-		badRecords:     scope.Counter("records_unreadable"),
-		resubmitted:    scope.Counter("resent_to_owner"),
-		handedOver:     scope.Counter("handovers"),
-		handoverFailed: scope.Counter("handovers_failed"),
-		claims:         scope.Gauge("claims"),
-		responseBytes:  scope.Gauge("answer_bytes"),
+		scope:             scope,
+		appended:          scope.Counter("appends"),
+		appendFailed:      scope.Counter("appends_failed"),
+		readFailed:        scope.Counter("reads_failed"),
+		trimmedReads:      scope.Counter("reads_trimmed"),
+		unreadableRecords: scope.Counter("records_unreadable"),
+		resubmitted:       scope.Counter("resent_to_owner"),
+		handedOver:        scope.Counter("handovers"),
+		handoverFailed:    scope.Counter("handovers_failed"),
+		claims:            scope.Gauge("claims"),
+		responseBytes:     scope.Gauge("answer_bytes"),
 	}
 }
 
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -51,12 +51,12 @@
 	if furthest > now || furthest <= oldest {
 		return timestamps
 	}
-	// The ends of the grants of different ranges are at most half a grant
+	// The ends of the grants of different ranges are at most half a grantDuration
 	// duration apart.
-	grant := claims.Stamp(s.opts.GrantDuration.Milliseconds())
+	grantDuration := claims.Stamp(s.opts.GrantDuration.Milliseconds())
 	const steps = 4
 	for i := range claims.Stamp(steps) {
-		if offset := 1 + i*grant/steps; furthest > offset+oldest {
+		if offset := 1 + i*grantDuration/steps; furthest > offset+oldest {
 			timestamps = append(timestamps, furthest-offset)
 		}
 	}
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -33,11 +33,11 @@
 // deployment is a number of daemons that share a log. Each is reduced to its
 // Service and an HTTP server.
 type deployment struct {
-	t      *testing.T
-	memory *recordlog.Memory
-	log    *recordlog.FaultyLog
-	grant  time.Duration
-	nodes  []*testNode
+	t             *testing.T
+	memory        *recordlog.Memory
+	log           *recordlog.FaultyLog
+	grantDuration time.Duration
+	nodes         []*testNode
 
 	mu sync.Mutex
 	// executions counts the executions of each key.
@@ -58,8 +58,8 @@
 
 // deploy starts n daemons whose grants last for a duration, and waits until all
 // ranges have owners.
-func deploy(t *testing.T, n int, grant time.Duration) *deployment {
-	d := &deployment{t: t, memory: &recordlog.Memory{}, grant: grant, executions: make(map[string]int)}
+func deploy(t *testing.T, n int, grantDuration time.Duration) *deployment {
+	d := &deployment{t: t, memory: &recordlog.Memory{}, grantDuration: grantDuration, executions: make(map[string]int)}
 	d.log = recordlog.NewFaultyLog(d.memory)
 	listeners := make([]net.Listener, n)
 	for i := range listeners {
@@ -105,7 +105,7 @@
 		Candidates:       func() []model.DaemonID { return n.d.ids() },
 		Client:           hop.NewClient(hop.Options{}),
 		Messenger:        n.d,
-		GrantDuration:    n.d.grant,
+		GrantDuration:    n.d.grantDuration,
 		PollInterval:     10 * time.Millisecond,
 		Ranges:           testRanges,
 		MaxBodyBytes:     1 << 10,
@@ -164,14 +164,14 @@
 	handler := d.handler
 	d.mu.Unlock()
 	if handler == nil {
-		d.count(c)
+		d.countExecution(c)
 		return textResult("done " + c.Key)
 	}
 	return handler(c)
 }
 
-// count counts an execution of the key of a call.
-func (d *deployment) count(c *wire.Call) {
+// countExecution counts an execution of the key of a call.
+func (d *deployment) countExecution(c *wire.Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.executions[c.Key]++
@@ -272,7 +272,7 @@
 	d := deploy(t, 2, time.Minute)
 	finishExecution := make(chan struct{})
 	d.setHandler(func(c *wire.Call) *wire.Result {
-		d.count(c)
+		d.countExecution(c)
 		<-finishExecution
 		return textResult("late")
 	})
@@ -294,7 +294,7 @@
 	d := deploy(t, 2, time.Minute)
 	finishExecution := make(chan struct{})
 	d.setHandler(func(c *wire.Call) *wire.Result {
-		d.count(c)
+		d.countExecution(c)
 		<-finishExecution
 		return textResult("kept")
 	})
@@ -338,7 +338,7 @@
 		t.Run(name, func(t *testing.T) {
 			var once sync.Once
 			d.setHandler(func(c *wire.Call) *wire.Result {
-				d.count(c)
+				d.countExecution(c)
 				result := textResult("second")
 				once.Do(func() { result = tc.first() })
 				return result
--- a/owner/route.go
+++ b/owner/route.go
@@ -43,25 +43,25 @@
 	if err != nil {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonKeyInvalid))
 	}
-	started := time.Now()
+	start := time.Now()
 	for refreshed := false; ; refreshed = true {
 		interval, ownership := s.lookup(key)
 		if ownership == claims.Pruned {
 			return s.unresolved(outcome.ReasonKeyExpired)
 		}
-		reason, wait := outcome.ReasonKeyNotOwned, s.retryTimeouts.unassigned
+		reason, timeout := outcome.ReasonKeyNotOwned, s.retryTimeouts.unassigned
 		if ownership == claims.Owned {
 			result := s.submitTo(ctx, interval.Owner, c, body)
 			if result.Outcome.Kind == outcome.Answered || isFinal(result.Outcome) {
 				s.clearSuspicion(interval.Owner.Incarnation)
 				return result
 			}
-			reason, wait = result.Outcome.Reason, s.retryTimeout(interval.Owner.Incarnation)
+			reason, timeout = result.Outcome.Reason, s.retryTimeout(interval.Owner.Incarnation)
 			if reason == reasonOwnerMoving {
-				wait = c.Timeout
+				timeout = c.Timeout
 			}
 		}
-		if refreshed && time.Since(started) >= wait || ctx.Err() != nil {
+		if refreshed && time.Since(start) >= timeout || ctx.Err() != nil {
 			return s.giveUp(ctx, interval.Owner, ownership, reason)
 		}
 		s.metrics.resubmitted.Inc(1)
--- a/owner/service.go
+++ b/owner/service.go
@@ -28,8 +28,8 @@
 	// suspectedOwners holds the incarnations of the owners that were found
 	// unreachable, and when.
 	suspectedOwners map[uint64]time.Time
-	// checkpointed is when a checkpoint was last read from the log.
-	checkpointed time.Time
+	// lastCheckpointRead is when a checkpoint was last read from the log.
+	lastCheckpointRead time.Time
 
 	// planner decides when to append a grant. It is used only by Serve.
 	planner *claims.Planner
@@ -62,18 +62,18 @@
 	o = o.withDefaults()
 	self := claims.Owner{Daemon: o.Self, Incarnation: newIncarnation()}
 	return &Service{
-		opts:            o,
-		self:            self,
-		metrics:         newMetrics(o.Scope),
-		retryTimeouts:   defaultRetryTimeouts(),
-		ledger:          claims.NewLedger(o.Ranges, 0),
-		table:           claims.NewTable(self, o.Limits),
-		executions:      make(map[claims.ID]*execution),
-		suspectedOwners: make(map[uint64]time.Time),
-		checkpointed:    time.Now(),
-		readLock:        make(chan struct{}, 1),
-		searchWindow:    initialSearchWindow,
-		planner:         claims.NewPlanner(self, o.Ranges, o.GrantDuration),
+		opts:               o,
+		self:               self,
+		metrics:            newMetrics(o.Scope),
+		retryTimeouts:      defaultRetryTimeouts(),
+		ledger:             claims.NewLedger(o.Ranges, 0),
+		table:              claims.NewTable(self, o.Limits),
+		executions:         make(map[claims.ID]*execution),
+		suspectedOwners:    make(map[uint64]time.Time),
+		lastCheckpointRead: time.Now(),
+		readLock:           make(chan struct{}, 1),
+		searchWindow:       initialSearchWindow,
+		planner:            claims.NewPlanner(self, o.Ranges, o.GrantDuration),
 	}
 }
 
@@ -151,7 +151,7 @@
 // incomplete or the last read was long ago. They also have to be read if a record
 // seems due for an append, because another daemon may have appended it meanwhile.
 func (s *Service) shouldRead(ctx context.Context) bool {
-	if !s.caughtUp.Load() || !s.ledgerComplete() || len(s.due()) > 0 {
+	if !s.caughtUp.Load() || !s.ledgerComplete() || len(s.dueRecords()) > 0 {
 		return true
 	}
 	if !s.lockReads(ctx) {
@@ -173,7 +173,7 @@
 	if !s.caughtUp.Load() {
 		return
 	}
-	for _, rec := range s.due() {
+	for _, rec := range s.dueRecords() {
 		_, err := s.opts.Log.Append(ctx, recordlog.StreamGrants, [][]byte{rec.Encode()})
 		if err != nil {
 			s.metrics.appendFailed.Inc(1)
@@ -184,8 +184,8 @@
 	}
 }
 
-// due returns the records that are due to be appended.
-func (s *Service) due() []claims.Record {
+// dueRecords returns the records that are due to be appended.
+func (s *Service) dueRecords() []claims.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.table.IsSealed() || !s.ledger.Complete() {
@@ -197,7 +197,7 @@
 	}
 	// The owner of the first range appends the checkpoints.
 	_, firstOwner := s.ledger.Frontier(0)
-	if firstOwner == s.self && time.Since(s.checkpointed) > s.opts.CheckpointInterval {
+	if firstOwner == s.self && time.Since(s.lastCheckpointRead) > s.opts.CheckpointInterval {
 		out = append(out, claims.Record{Checkpoint: s.ledger.Checkpoint()})
 	}
 	return out
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -97,7 +97,7 @@
 	if e.streamed != nil {
 		return e.streamed
 	}
-	return e.response(false)
+	return e.result(false)
 }
 
 // maxWaitPercent is the percentage of its timeout for which a later submission
@@ -111,16 +111,16 @@
 	defer timer.Stop()
 	select {
 	case <-e.done:
-		return e.response(true)
+		return e.result(true)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return wire.NoResponse(inProgressOutcome())
 }
 
-// response returns the result of a finished execution. If replayed is set, a
+// result returns the result of a finished execution. If replayed is set, a
 // retained response is marked as replayed.
-func (e *execution) response(replayed bool) *wire.Result {
+func (e *execution) result(replayed bool) *wire.Result {
 	switch {
 	case e.outcome.Kind != outcome.Answered:
 		return wire.NoResponse(e.outcome)
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -117,17 +117,17 @@
 // summaries returns summary messages of at most limit bytes that together cover
 // the whole table. s.mu is held.
 func (s *Store) summaries(limit int) [][]byte {
-	records := s.ordered()
-	capacity := (limit - 1 - 2*prefixBytes) / summaryEntryBytes
+	records := s.recordsByFingerprint()
+	maxEntries := (limit - 1 - 2*prefixBytes) / summaryEntryBytes
 	var out [][]byte
-	var from fingerprintPrefix
+	var first fingerprintPrefix
 	for {
-		n := min(capacity, len(records))
-		to := fingerprintPrefix(bytes.Repeat([]byte{0xff}, prefixBytes))
+		n := min(maxEntries, len(records))
+		last := fingerprintPrefix(bytes.Repeat([]byte{0xff}, prefixBytes))
 		if n < len(records) {
-			to = prefixOf(records[n-1].Fingerprint)
+			last = prefixOf(records[n-1].Fingerprint)
 		}
-		m := append(append([]byte{kindSummary}, from[:]...), to[:]...)
+		m := append(append([]byte{kindSummary}, first[:]...), last[:]...)
 		for i := range records[:n] {
 			m = appendSummaryEntry(m, &records[i])
 		}
@@ -135,7 +135,7 @@
 		if records = records[n:]; len(records) == 0 {
 			return out
 		}
-		from = prefixOf(records[0].Fingerprint)
+		first = prefixOf(records[0].Fingerprint)
 	}
 }
 
@@ -144,8 +144,8 @@
 	return binary.BigEndian.AppendUint32(append(m, p[:]...), uint32(r.Sum()))
 }
 
-// ordered returns the records ordered by fingerprint. s.mu is held.
-func (s *Store) ordered() []quarantine.Record {
+// recordsByFingerprint returns the records ordered by fingerprint. s.mu is held.
+func (s *Store) recordsByFingerprint() []quarantine.Record {
 	records := s.table.List()
 	slices.SortFunc(records, func(a, b quarantine.Record) int {
 		return slices.Compare(a.Fingerprint[:], b.Fingerprint[:])
@@ -161,7 +161,7 @@
 	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%summaryEntryBytes != 0 {
 		return nil
 	}
-	from, to := fingerprintPrefix(body[:prefixBytes]), fingerprintPrefix(body[prefixBytes:])
+	first, last := fingerprintPrefix(body[:prefixBytes]), fingerprintPrefix(body[prefixBytes:])
 	peerSums := make(map[fingerprintPrefix]uint32)
 	for e := range slices.Chunk(body[2*prefixBytes:], summaryEntryBytes) {
 		peerSums[fingerprintPrefix(e)] = binary.BigEndian.Uint32(e[prefixBytes:])
@@ -171,7 +171,7 @@
 	var missingAtPeer []quarantine.Record
 	for _, r := range s.table.List() {
 		p := prefixOf(r.Fingerprint)
-		if bytes.Compare(p[:], from[:]) < 0 || bytes.Compare(p[:], to[:]) > 0 {
+		if bytes.Compare(p[:], first[:]) < 0 || bytes.Compare(p[:], last[:]) > 0 {
 			continue
 		}
 		if sum, ok := peerSums[p]; !ok || sum != uint32(r.Sum()) {
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -59,13 +59,13 @@
 func newTestNetwork(daemons int) *testNetwork {
 	network := &testNetwork{now: time.UnixMilli(1_000_000), rng: rand.New(rand.NewPCG(1, uint64(daemons))), byName: make(map[string]*testDaemon)}
 	for i := range daemons {
-		network.add(i)
+		network.addDaemon(i)
 	}
 	return network
 }
 
-// add adds the daemon with index i.
-func (network *testNetwork) add(i int) {
+// addDaemon adds the daemon with index i.
+func (network *testNetwork) addDaemon(i int) {
 	d := &testDaemon{name: fmt.Sprint("d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
 	d.Gossip = &Gossip{
 		Store: NewStore(Options{
@@ -267,7 +267,7 @@
 	network := newTestNetwork(20)
 	network.crashThreeUpstreams("/crashing", 7)
 	network.advance(30 * time.Second)
-	network.add(20)
+	network.addDaemon(20)
 	network.daemons[20].SendDigest("d3")
 	network.advance(100 * time.Millisecond)
 	require.Equal(t, 21, network.countRefusing("/crashing", ""))
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -36,8 +36,8 @@
 	opts     Options
 	crashes  tally.Counter
 	refusals tally.Counter
-	// unreadable counts deltas from peers that cannot be decoded.
-	unreadable tally.Counter
+	// unreadableDeltas counts deltas from peers that cannot be decoded.
+	unreadableDeltas tally.Counter
 	// nonEmpty is set while the table holds any record. While it is not set, the
 	// data path need not compute fingerprints.
 	nonEmpty atomic.Bool
@@ -69,12 +69,12 @@
 	}
 	scope := telemetry.OrNoop(opts.Scope)
 	return &Store{
-		opts:          opts,
-		crashes:       scope.Counter("deaths"),
-		refusals:      scope.Counter("refusals"),
-		unreadable:    scope.Counter("records_unread"),
-		table:         quarantine.NewTable(quarantine.Options{Rule: opts.Rule}),
-		loggedRefused: make(map[quarantine.Fingerprint]bool),
+		opts:             opts,
+		crashes:          scope.Counter("deaths"),
+		refusals:         scope.Counter("refusals"),
+		unreadableDeltas: scope.Counter("records_unread"),
+		table:            quarantine.NewTable(quarantine.Options{Rule: opts.Rule}),
+		loggedRefused:    make(map[quarantine.Fingerprint]bool),
 	}
 }
 
--- a/quarantine/topic.go
+++ b/quarantine/topic.go
@@ -49,9 +49,9 @@
 	if len(records) == 0 {
 		return nil
 	}
-	from := s.deltaStart % len(records)
-	out, n := appendRecords(nil, slices.Concat(records[from:], records[:from]), limit)
-	s.deltaStart = (from + n) % len(records)
+	start := s.deltaStart % len(records)
+	out, n := appendRecords(nil, slices.Concat(records[start:], records[:start]), limit)
+	s.deltaStart = (start + n) % len(records)
 	return out
 }
 
@@ -59,7 +59,7 @@
 func (s *Store) Apply(delta []byte) error {
 	records, err := quarantine.Decode(delta)
 	if err != nil {
-		s.unreadable.Inc(1)
+		s.unreadableDeltas.Inc(1)
 		return err
 	}
 	s.update(func(now int64) {
--- a/recordlog/faults.go
+++ b/recordlog/faults.go
@@ -50,7 +50,7 @@
 
 // Append implements Log.
 func (f *FaultyLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	faults := f.takeFaults(true)
+	faults := f.consumeFaults(true)
 	if err := faults.inject(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: err}
 	}
@@ -66,16 +66,16 @@
 
 // Read implements Log.
 func (f *FaultyLog) Read(ctx context.Context, stream string, from Offset, limit int) (Batch, error) {
-	faults := f.takeFaults(false)
+	faults := f.consumeFaults(false)
 	if err := faults.inject(ctx); err != nil {
 		return Batch{}, err
 	}
 	return f.Log.Read(ctx, stream, from, limit)
 }
 
-// takeFaults returns the faults for the next operation. If that is an append and
-// the log is up, takeFaults decrements LoseReplies and Duplicate.
-func (f *FaultyLog) takeFaults(isAppend bool) Faults {
+// consumeFaults returns the faults for the next operation. If that is an append
+// and the log is up, consumeFaults decrements LoseReplies and Duplicate.
+func (f *FaultyLog) consumeFaults(isAppend bool) Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	faults := f.faults
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -154,10 +154,10 @@
 		}
 		wg.Wait()
 		require.Equal(t, 1, counting.appends)
-		read, err := memory.Read(t.Context(), "s", 0, 100)
+		batch, err := memory.Read(t.Context(), "s", 0, 100)
 		require.NoError(t, err)
 		for i, o := range offsets {
-			require.Equal(t, fmt.Sprint(i), string(read.Records[o].Data))
+			require.Equal(t, fmt.Sprint(i), string(batch.Records[o].Data))
 		}
 	})
 }
