--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -133,7 +133,7 @@
 		time.Sleep(10 * time.Second)
 		f.memory.Trim(recordlog.StreamConfig, 2)
 		// This is the checkpoint of a daemon that was paused between encoding
-		// and appending it. The checkpoint is older than the trimmed records.
+		// and appending it. It does not cover all of the trimmed records.
 		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{staleCheckpoint})
 		require.NoError(t, err)
 
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -154,8 +154,9 @@
 	return nil
 }
 
-// dueEvents returns the events that this daemon has to append now. When a
-// checkpoint is due, these are all events of the zone.
+// dueEvents returns the events that this daemon has to append now. If this daemon
+// is the writer of its zone and checkpointDue has passed, these are all events of
+// the zone, and dueEvents schedules the next checkpoint.
 func (r *Registry) dueEvents() []member.Event {
 	isWriter := r.isWriter()
 	r.mu.Lock()
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -32,8 +32,9 @@
 
 // Options configure a Registry.
 type Options struct {
-	// Self is the ID of this daemon, Zone its availability zone.
+	// Self is the ID of this daemon.
 	Self model.DaemonID
+	// Zone is the availability zone of this daemon.
 	Zone model.AvailabilityZone
 	// Log is the platform's log.
 	Log recordlog.Log
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -51,7 +51,7 @@
 	if furthest > now || furthest <= oldest {
 		return timestamps
 	}
-	// The ends of the grants of different ranges are at most half a grantDuration
+	// The ends of the grants of different ranges are at most half a grant
 	// duration apart.
 	grantDuration := claims.Stamp(s.opts.GrantDuration.Milliseconds())
 	const steps = 4
--- a/owner/service.go
+++ b/owner/service.go
@@ -46,8 +46,8 @@
 	// fromOldest is set if reading starts at the oldest record that the log
 	// keeps.
 	fromOldest bool
-	// searchWindow is the number of newest records in which seekCheckpoint
-	// searches.
+	// searchWindow is the number of newest records in which this daemon searches
+	// for a checkpoint.
 	searchWindow recordlog.Offset
 	// readCount counts the reads of the grants, including failed ones.
 	readCount atomic.Uint64
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -14,8 +14,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryAfter is the Retry-After value of a response that tells the caller to retry
-// later, for example because the execution of the key is in progress.
+// retryAfter is the Retry-After value of responses after which the caller may retry:
+// the execution of the key is in progress, the outcome cannot be known yet, or the
+// claim table is full.
 const retryAfter = time.Second
 
 // handleSubmission decides on a submission as the owner of its key. It executes the
