--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -71,7 +71,7 @@
 	}
 	// The starts of successive calls are spread evenly over the reports. If the
 	// start moved by one report a call, it could synchronize with the peers'
-	// calls, and a peer would get the same few reports every time.
+	// calls. A peer could then get the same few reports every time.
 	s.deltaCount++
 	start := int((s.deltaCount * fibonacciMultiplier) >> 33 % uint64(len(reports)))
 	out := make([]byte, 0, n*reportBytes)
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -123,8 +123,8 @@
 
 // applyRecord applies one record of the log. It returns the number of events
 // that were newer than those known before.
-func (r *Registry) applyRecord(data []byte) int {
-	records, err := member.Decode(data)
+func (r *Registry) applyRecord(record []byte) int {
+	records, err := member.Decode(record)
 	if err != nil {
 		r.metrics.unreadableRecords.Inc(1)
 		return 0
@@ -205,10 +205,10 @@
 // appendEvents appends events to the log as one record. An event may be on the log
 // twice. So the caller may repeat an append that possibly took effect.
 func (r *Registry) appendEvents(ctx context.Context, events []member.Event) error {
-	data := member.Records{Events: events}.Encode()
+	record := member.Records{Events: events}.Encode()
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
-	_, err := r.opts.Log.Append(ctx, recordlog.StreamMembership, [][]byte{data})
+	_, err := r.opts.Log.Append(ctx, recordlog.StreamMembership, [][]byte{record})
 	if err == nil {
 		r.metrics.appends.Inc(1)
 		r.metrics.appendedEvents.Inc(int64(len(events)))
--- a/owner/ledger.go
+++ b/owner/ledger.go
@@ -158,14 +158,14 @@
 // applyRecord applies one record to the ledger. It skips a record that cannot be
 // decoded. s.mu is held.
 func (s *Service) applyRecord(rec recordlog.Record) {
-	r, err := claims.DecodeRecord(rec.Data)
+	decoded, err := claims.DecodeRecord(rec.Data)
 	if err != nil {
 		s.metrics.unreadableRecords.Inc(1)
 		s.ledger.Skip(uint64(rec.Offset))
 		return
 	}
-	if r.Checkpoint != nil {
+	if decoded.Checkpoint != nil {
 		s.lastCheckpointRead = time.Now()
 	}
-	s.ledger.Apply(uint64(rec.Offset), r)
+	s.ledger.Apply(uint64(rec.Offset), decoded)
 }
--- a/owner/route.go
+++ b/owner/route.go
@@ -175,12 +175,12 @@
 	if result.ContentLength < 0 || result.ContentLength > s.opts.MaxResponseBytes {
 		return result
 	}
-	data, err := io.ReadAll(result.Body)
+	body, err := io.ReadAll(result.Body)
 	_ = result.Body.Close()
 	if err != nil {
 		return ownerUnreachable()
 	}
-	result.Body = io.NopCloser(bytes.NewReader(data))
+	result.Body = io.NopCloser(bytes.NewReader(body))
 	return result
 }
 
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -166,14 +166,14 @@
 	if r == nil {
 		return nil, outcome.ReasonNone
 	}
-	data, err := io.ReadAll(io.LimitReader(r, limit+1))
+	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	switch {
 	case err != nil:
 		return nil, outcome.ReasonBadRequest
-	case int64(len(data)) > limit:
+	case int64(len(body)) > limit:
 		return nil, outcome.ReasonTooLarge
 	default:
-		return data, outcome.ReasonNone
+		return body, outcome.ReasonNone
 	}
 }
 
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -5,6 +5,6 @@
 // locking, the wall clock, counters and the implementation of peer.Topic. By
 // this topic a record reaches every daemon within a few exchange rounds.
 // Daemons that communicate by datagrams use Gossip instead. It pushes changed
-// records at once and finds the remaining differences by anti-entropy, a
-// periodic comparison of two daemons' tables.
+// records. It finds the remaining differences by anti-entropy, a periodic
+// comparison of two daemons' tables.
 package quarantine
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -17,8 +17,8 @@
 const (
 	// MaxSystemAppendsPerSecond bounds the appends of all daemons together.
 	MaxSystemAppendsPerSecond = 300
-	// maxDaemonAppendsPerSecond is the upper limit for a single daemon. It is
-	// below the daemon's equal share when there are only a few daemons.
+	// maxDaemonAppendsPerSecond is the upper limit for a single daemon. It
+	// applies if there are only a few daemons, whose equal shares would be larger.
 	maxDaemonAppendsPerSecond = 20
 	// appendBurst is the number of appends that a daemon may make at once after
 	// a pause.
@@ -42,9 +42,9 @@
 	l.limiter.SetLimit(rate.Limit(min(share, maxDaemonAppendsPerSecond)))
 }
 
-// Append implements Log. It waits until the rate limit admits the append. Append
-// returns an AppendError that wraps ErrRateLimited if the context ends first or
-// its deadline is earlier than that. Uncertain is then not set, because the
+// Append implements Log. It waits until the rate limit admits the append. If the
+// context ends before that time, or its deadline is earlier, Append returns an
+// AppendError that wraps ErrRateLimited. Uncertain is then not set, because the
 // records have not been appended.
 func (l *RateLimitedLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	if err := l.limiter.Wait(ctx); err != nil {
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -61,14 +61,14 @@
 func TestClientReportsUncertainAppends(t *testing.T) {
 	lossyLog := NewFaultyLog(&Memory{})
 	lossyLog.SetFaults(Faults{LoseReplies: 1})
-	unused, err := loopback.UnusedAddress()
+	unusedAddress, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		client    *Client
 		uncertain bool
 	}{
 		"response lost": {newTestClient(t, Handler(lossyLog)), true},
-		"no connection": {NewClient(unused), false},
+		"no connection": {NewClient(unusedAddress), false},
 		"not found":     {newTestClient(t, http.NotFoundHandler()), false},
 		"connection aborted": {newTestClient(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
@@ -76,9 +76,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := c.client.Append(t.Context(), "s", [][]byte{[]byte("a")})
-			var failed *AppendError
-			require.ErrorAs(t, err, &failed)
-			require.Equal(t, c.uncertain, failed.Uncertain, "%v", err)
+			var appendErr *AppendError
+			require.ErrorAs(t, err, &appendErr)
+			require.Equal(t, c.uncertain, appendErr.Uncertain, "%v", err)
 		})
 	}
 }
@@ -168,9 +168,9 @@
 		defer cancel()
 		b := &Batcher{Log: &Memory{}, Window: time.Second}
 		_, err := b.Append(ctx, "s", [][]byte{[]byte("a")})
-		var failed *AppendError
-		require.ErrorAs(t, err, &failed)
-		require.True(t, failed.Uncertain)
+		var appendErr *AppendError
+		require.ErrorAs(t, err, &appendErr)
+		require.True(t, appendErr.Uncertain)
 		time.Sleep(2 * time.Second)
 	})
 }
@@ -187,8 +187,8 @@
 			_, err = limited.Append(ctx, "s", [][]byte{[]byte("a")})
 		}
 		require.ErrorIs(t, err, ErrRateLimited)
-		var failed *AppendError
-		require.True(t, errors.As(err, &failed) && !failed.Uncertain)
+		var appendErr *AppendError
+		require.True(t, errors.As(err, &appendErr) && !appendErr.Uncertain)
 		b, err := memory.Read(t.Context(), "s", 0, 1)
 		require.NoError(t, err)
 		require.InDelta(t, 100*MaxSystemAppendsPerSecond/1700+appendBurst, int(b.Next), 1)
