--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -16,14 +16,15 @@
 var _ peer.Topic = (*Store)(nil)
 
 const (
-	// relayPeriod is how long a report is relayed after it was received.
+	// relayPeriod is how long a daemon relays a report after it made or received
+	// the report.
 	relayPeriod = 5 * time.Second
 	// reportBytes is the encoded length of a report: key, daemon, demand and
 	// timestamp.
 	reportBytes = 8 + 8 + 4 + 8
-	// goldenRatio is 2^64 divided by the golden ratio, rounded to an odd
+	// fibonacciMultiplier is 2^64 divided by the golden ratio, rounded to an odd
 	// number. Its successive multiples are spread evenly (Fibonacci hashing).
-	goldenRatio = 0x9E3779B97F4A7C15
+	fibonacciMultiplier = 0x9E3779B97F4A7C15
 )
 
 // errPartialReport is returned for a delta whose length is no multiple of the
@@ -48,9 +49,9 @@
 	return binary.BigEndian.AppendUint64(nil, sum)
 }
 
-// Delta implements peer.Topic. It returns recent reports. When they do not all
-// fit into the limit, each call starts at another report, so that all are
-// relayed over several rounds.
+// Delta implements peer.Topic. It returns recent reports, at most limit bytes.
+// Each call starts at another report. So all reports are relayed over several
+// rounds, even if they do not all fit into one delta.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
@@ -68,10 +69,11 @@
 	if n == 0 {
 		return nil
 	}
-	// The start is spread evenly instead of moving by one report a call, so
-	// that it does not synchronize with the peers' calls.
-	s.deltas++
-	start := int((s.deltas * goldenRatio) >> 33 % uint64(len(reports)))
+	// The starts of successive calls are spread evenly over the reports. If the
+	// start moved by one report a call, it could synchronize with the peers'
+	// calls. A peer could then get the same few reports every time.
+	s.deltaCount++
+	start := int((s.deltaCount * fibonacciMultiplier) >> 33 % uint64(len(reports)))
 	out := make([]byte, 0, n*reportBytes)
 	for i := range n {
 		out = appendReport(out, reports[(start+i)%len(reports)].Report)
@@ -80,10 +82,11 @@
 }
 
 // Apply implements peer.Topic. It ignores reports on ceilings that are not in
-// force at this daemon.
+// force at this daemon. It returns errPartialReport for a delta of the wrong
+// length.
 func (s *Store) Apply(delta []byte) error {
 	if len(delta)%reportBytes != 0 {
-		s.unreadable.Inc(1)
+		s.unreadableDeltas.Inc(1)
 		return errPartialReport
 	}
 	s.mu.Lock()
@@ -93,7 +96,7 @@
 		r := readReport(b)
 		c := s.byHash[r.Key]
 		if c != nil && c.Merge(now, r) {
-			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, since: now}
+			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
 		}
 	}
 	return nil
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -7,28 +7,29 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// lease is the last announcement of a local upstream. With a zero duration it
-// never expires.
+// lease holds the last announcement of a local upstream.
 type lease struct {
-	event    member.Event
-	duration time.Duration
-	expires  time.Time
+	event member.Event
+	// duration is how long the lease is valid after an announcement. Zero means
+	// that the lease never expires.
+	duration  time.Duration
+	expiresAt time.Time
 }
 
-// Announce applies an event of a local upstream. With a positive lease duration
-// the upstream has to announce itself again before the lease expires; otherwise
-// it counts as having left.
+// Announce applies an event of a local upstream. duration is the duration of the
+// upstream's lease. If it is positive, the upstream has to announce itself again
+// before the lease expires. Otherwise the Registry marks the upstream as left.
 func (r *Registry) Announce(e member.Event, duration time.Duration) {
 	r.mu.Lock()
 	if e.State == member.Left {
 		delete(r.leases, e.Upstream.ID)
 	} else {
-		r.leases[e.Upstream.ID] = lease{event: e, duration: duration, expires: time.Now().Add(duration)}
+		r.leases[e.Upstream.ID] = lease{event: e, duration: duration, expiresAt: time.Now().Add(duration)}
 	}
 	changed := r.directory.Announce(e)
 	r.mu.Unlock()
 	if changed {
-		r.metrics.announced.Inc(1)
+		r.metrics.changedAnnouncements.Inc(1)
 		r.opts.OnUpdate()
 	}
 }
@@ -48,9 +49,9 @@
 	}
 }
 
-// expireLeases marks upstreams as left whose lease has expired, and returns
-// their IDs. If this process was paused, it extends every lease by the pause,
-// because renewals could not be received meanwhile. r.mu is held.
+// expireLeases marks the upstreams whose lease has expired as left, and returns
+// their IDs. If this process was paused, expireLeases first extends every lease
+// by the pause, because no renewal could be received meanwhile. r.mu is held.
 func (r *Registry) expireLeases(now time.Time) []model.UpstreamID {
 	pause := now.Sub(r.lastTick) - tickInterval
 	paused := !r.lastTick.IsZero() && pause > tickInterval
@@ -58,17 +59,17 @@
 	var expired []model.UpstreamID
 	for id, l := range r.leases {
 		if paused {
-			l.expires = l.expires.Add(pause)
+			l.expiresAt = l.expiresAt.Add(pause)
 			r.leases[id] = l
 		}
-		if l.duration <= 0 || now.Before(l.expires) {
+		if l.duration <= 0 || now.Before(l.expiresAt) {
 			continue
 		}
 		l.event.State = member.Left
 		r.directory.Announce(l.event)
 		delete(r.leases, id)
 		expired = append(expired, id)
-		r.metrics.expired.Inc(1)
+		r.metrics.expiredLeases.Inc(1)
 	}
 	return expired
 }
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -48,9 +48,9 @@
 	defer cancel()
 	require.NoError(t, draining.Drain(ctx))
 	draining.kill()
-	again := d.nodes[0].submit(usedKey, "", "x", testTimeout)
-	require.True(t, again.replayed, "%+v after %+v", again, first)
-	require.Equal(t, first.body, again.body)
+	retry := d.nodes[0].submit(usedKey, "", "x", testTimeout)
+	require.True(t, retry.replayed, "%+v after %+v", retry, first)
+	require.Equal(t, first.body, retry.body)
 	require.Equal(t, outcome.Answered, d.nodes[1].submit(unusedKey, "", "x", testTimeout).outcome.Kind)
 	require.Equal(t, 1, d.executionsOf(usedKey))
 	require.Equal(t, 1, d.executionsOf(unusedKey))
@@ -61,7 +61,7 @@
 	d := deploy(t, 2, time.Minute)
 	finishExecution := make(chan struct{})
 	d.setHandler(func(c *wire.Call) *wire.Result {
-		d.count(c)
+		d.countExecution(c)
 		<-finishExecution
 		return textResult("slow")
 	})
@@ -75,15 +75,16 @@
 	close(finishExecution)
 	require.NoError(t, <-drained)
 	require.Equal(t, "slow", (<-submitted).body)
-	again := d.nodes[0].submit(key, "", "x", testTimeout)
-	require.Equal(t, "slow", again.body)
-	require.True(t, again.replayed)
+	retry := d.nodes[0].submit(key, "", "x", testTimeout)
+	require.Equal(t, "slow", retry.body)
+	require.True(t, retry.replayed)
 	require.Equal(t, 1, d.executionsOf(key))
 }
 
-// failingMessenger fails a handover after a number of messages.
+// failingMessenger is a Messenger that fails after a number of messages.
 type failingMessenger struct {
 	Messenger
+	// remaining is the number of messages that are still delivered.
 	remaining atomic.Int64
 }
 
@@ -137,6 +138,7 @@
 	}
 }
 
+// endOfLog returns the offset after the newest record of the grants.
 func (d *deployment) endOfLog() recordlog.Offset {
 	b, err := d.memory.Read(d.t.Context(), recordlog.StreamGrants, 0, 1)
 	require.NoError(d.t, err)
@@ -176,14 +178,14 @@
 	fresh.restart()
 	r := fresh.submit(key, "", "x", 3*time.Second)
 	require.Equal(t, outcome.ReasonKeyNotOwned, r.outcome.Reason, "without a checkpoint the daemon does not know the owners")
-	d.checkpoint()
+	d.appendCheckpoint()
 	d.waitFor("the checkpoint is applied", func() bool { _, ownership := fresh.lookup(key); return ownership == claims.Owned })
 	require.Equal(t, outcome.Answered, fresh.submit(key, "", "x", testTimeout).outcome.Kind)
 	require.Equal(t, 1, d.executionsOf(key))
 }
 
-// checkpoint appends a checkpoint of the ledger of the first node.
-func (d *deployment) checkpoint() {
+// appendCheckpoint appends a checkpoint of the first node's ledger to the log.
+func (d *deployment) appendCheckpoint() {
 	n := d.nodes[0]
 	n.mu.Lock()
 	rec := claims.Record{Checkpoint: n.ledger.Checkpoint()}
@@ -197,7 +199,7 @@
 	end := d.endOfLog()
 	for _, n := range d.nodes {
 		n.mu.Lock()
-		n.checkpointed = time.Now().Add(-DefaultCheckpointInterval - time.Second)
+		n.lastCheckpointRead = time.Now().Add(-DefaultCheckpointInterval - time.Second)
 		n.mu.Unlock()
 	}
 	d.waitFor("a checkpoint is appended", func() bool { return d.endOfLog() > end })
@@ -208,8 +210,9 @@
 	require.NotNil(t, rec.Checkpoint)
 }
 
-// TestNewDaemonSearchesBackwardsForACheckpoint has a new daemon find the newest
-// checkpoint within the first search window or one that was enlarged.
+// TestNewDaemonSearchesBackwardsForACheckpoint requires that a new daemon finds the
+// newest checkpoint without reading the whole log. The checkpoint is within the
+// first search window or within an enlarged one.
 func TestNewDaemonSearchesBackwardsForACheckpoint(t *testing.T) {
 	for name, recordsSince := range map[string]int{"in the first window": 3, "in a larger window": 60} {
 		t.Run(name, func(t *testing.T) {
@@ -221,7 +224,7 @@
 				_, err := d.memory.Append(t.Context(), recordlog.StreamGrants, [][]byte{{0}})
 				require.NoError(t, err)
 			}
-			d.checkpoint()
+			d.appendCheckpoint()
 			for range recordsSince {
 				_, err := d.memory.Append(t.Context(), recordlog.StreamGrants, [][]byte{{0}})
 				require.NoError(t, err)
@@ -240,11 +243,13 @@
 }
 
 // TestRollingRestartUnderLoad drains and restarts every daemon while callers
-// submit each key twice, through different daemons.
+// submit each key twice, through different daemons. Every submission must get
+// the response of the only execution of its key.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	const daemons = 4
 	d := deploy(t, daemons, 2*time.Second)
-	// Submissions hold the read lock of their node, a restart the write lock.
+	// nodeInUse has a lock for each node. A submission through the node holds
+	// the read lock, a restart of the node the write lock.
 	var nodeInUse [daemons]sync.RWMutex
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -303,16 +308,17 @@
 }
 
 // TestCrashUnderLoadAffectsOnlyKeysOfThatOwner stops one of four owners under
-// load and counts the unknown outcomes until its ranges have other owners.
-// Callers take half of their keys from daemons and generate the other half
-// themselves.
+// load and counts the unknown outcomes until its ranges have other owners. Only
+// keys of the stopped owner may have an unknown outcome. Callers get half of
+// their keys from daemons and generate the other half themselves.
 func TestCrashUnderLoadAffectsOnlyKeysOfThatOwner(t *testing.T) {
 	const daemons, callers = 4, 8
 	d := deploy(t, daemons, 2*time.Second)
 	crashed := d.nodes[daemons-1]
 	crashedIncarnation := crashed.Incarnation()
 	stop := make(chan struct{})
-	// Index 0 counts keys from daemons, index 1 keys generated by callers.
+	// sent counts the submissions, unknown those with an unknown outcome. Index 0
+	// is for keys from daemons, index 1 for keys generated by callers.
 	var sent, unknown [2]atomic.Int64
 	var unexpected atomic.Pointer[submitResult]
 	var wg sync.WaitGroup
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -9,39 +9,47 @@
 
 // metrics are the counters and gauges of a Service.
 type metrics struct {
-	scope          tally.Scope
-	appended       tally.Counter
-	appendFailed   tally.Counter
-	readFailed     tally.Counter
-	trimmed        tally.Counter
-	badRecords     tally.Counter
+	scope tally.Scope
+	// appended counts the appended grants and checkpoints.
+	appended     tally.Counter
+	appendFailed tally.Counter
+	readFailed   tally.Counter
+	// trimmedReads counts the reads of records that the log no longer keeps.
+	trimmedReads tally.Counter
+	// unreadableRecords counts the records that cannot be decoded.
+	unreadableRecords tally.Counter
+	// resubmitted counts the retries by the routing side.
 	resubmitted    tally.Counter
 	handedOver     tally.Counter
 	handoverFailed tally.Counter
-	claims         tally.Gauge
-	responseBytes  tally.Gauge
+	// claims is the number of claims in the table.
+	claims tally.Gauge
+	// responseBytes is the total size of the retained responses.
+	responseBytes tally.Gauge
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
-		scope:          scope,
-		appended:       scope.Counter("appends"),
-		appendFailed:   scope.Counter("appends_failed"),
-		readFailed:     scope.Counter("reads_failed"),
-		trimmed:        scope.Counter("reads_trimmed"),
-		badRecords:     scope.Counter("records_unreadable"),
-		resubmitted:    scope.Counter("resent_to_owner"),
-		handedOver:     scope.Counter("handovers"),
-		handoverFailed: scope.Counter("handovers_failed"),
-		claims:         scope.Gauge("claims"),
-		responseBytes:  scope.Gauge("answer_bytes"),
+		scope:             scope,
+		appended:          scope.Counter("appends"),
+		appendFailed:      scope.Counter("appends_failed"),
+		readFailed:        scope.Counter("reads_failed"),
+		trimmedReads:      scope.Counter("reads_trimmed"),
+		unreadableRecords: scope.Counter("records_unreadable"),
+		resubmitted:       scope.Counter("resent_to_owner"),
+		handedOver:        scope.Counter("handovers"),
+		handoverFailed:    scope.Counter("handovers_failed"),
+		claims:            scope.Gauge("claims"),
+		responseBytes:     scope.Gauge("answer_bytes"),
 	}
 }
 
+// countDecision counts a submission to this owner by the decision on it.
 func (m metrics) countDecision(v claims.Decision) {
 	m.scope.Tagged(map[string]string{"verdict": v.String()}).Counter("submissions").Inc(1)
 }
 
+// countUnresolved counts a submission without a final outcome by its reason.
 func (m metrics) countUnresolved(r outcome.Reason) {
 	m.scope.Tagged(map[string]string{"reason": string(r)}).Counter("unsettled").Inc(1)
 }
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -14,11 +14,13 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryAfter is the Retry-After value for keys whose execution is in progress
-// or whose outcome cannot be resolved yet.
+// retryAfter is the Retry-After value of responses after which the caller may retry:
+// the execution of the key is in progress, the outcome cannot be known yet, or the
+// claim table is full.
 const retryAfter = time.Second
 
-// handleSubmission handles a submission as the owner of its key.
+// handleSubmission decides on a submission as the owner of its key. It executes the
+// request or waits for an earlier execution if necessary, and returns the result.
 func (s *Service) handleSubmission(ctx context.Context, c *wire.Call) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
@@ -60,14 +62,14 @@
 // beginResult is the decision on a submission.
 type beginResult struct {
 	decision claims.Decision
-	// execution is set for claims.Run and claims.InProgress, response for
-	// claims.Replay.
+	// execution is set if the decision is claims.Run or claims.InProgress.
 	execution *execution
-	response  *claims.Answer
+	// response is set if the decision is claims.Replay.
+	response *claims.Answer
 }
 
-// beginSubmission claims the key of a submission. It starts the execution if
-// this is the first submission of the key.
+// beginSubmission asks the claim table for the decision on a submission. For the
+// first submission of a key it claims the key and starts the execution.
 func (s *Service) beginSubmission(ctx context.Context, req claims.Request, c *wire.Call) beginResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +84,8 @@
 	return result
 }
 
-// awaitFirst waits, for the first submission, for the execution that it
-// started.
+// awaitFirst waits for an execution and returns its result to the first
+// submission, which started the execution.
 func awaitFirst(ctx context.Context, e *execution) *wire.Result {
 	select {
 	case <-e.ready:
@@ -96,29 +98,30 @@
 	if e.streamed != nil {
 		return e.streamed
 	}
-	return e.response(false)
+	return e.result(false)
 }
 
 // maxWaitPercent is the percentage of its timeout for which a later submission
 // waits for the execution. The rest is left for the response to the caller.
 const maxWaitPercent = 90
 
-// awaitEarlier waits for an execution that an earlier submission started.
+// awaitEarlier waits for an execution that an earlier submission started, and
+// returns its result. If the wait takes too long, the outcome is unknown.
 func awaitEarlier(ctx context.Context, e *execution, timeout time.Duration) *wire.Result {
 	timer := time.NewTimer(timeout * maxWaitPercent / 100)
 	defer timer.Stop()
 	select {
 	case <-e.done:
-		return e.response(true)
+		return e.result(true)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return wire.NoResponse(inProgressOutcome())
 }
 
-// response returns the result of a finished execution. replayed marks a
-// retained response as replayed.
-func (e *execution) response(replayed bool) *wire.Result {
+// result returns the result of a finished execution. If replayed is set, a
+// retained response is marked as replayed.
+func (e *execution) result(replayed bool) *wire.Result {
 	switch {
 	case e.outcome.Kind != outcome.Answered:
 		return wire.NoResponse(e.outcome)
@@ -133,9 +136,9 @@
 	return outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonKeyInProgress, RetryAfter: retryAfter}
 }
 
-// outcomeOf returns the outcome for a decision by which a submission is neither
-// executed nor gets a response. Only claims.Full proves that the key has not
-// been executed.
+// outcomeOf returns the outcome of a submission that by decision d is not executed
+// and gets no response. Only claims.Full proves that the key has not been
+// executed.
 func outcomeOf(d claims.Decision) outcome.Outcome {
 	switch d {
 	case claims.Full:
@@ -157,24 +160,25 @@
 	}
 }
 
-// readBody reads a body of at most limit bytes.
+// readBody reads a body of at most limit bytes. It returns the reason if the body
+// is larger or cannot be read, otherwise outcome.ReasonNone.
 func readBody(r io.Reader, limit int64) ([]byte, outcome.Reason) {
 	if r == nil {
 		return nil, outcome.ReasonNone
 	}
-	data, err := io.ReadAll(io.LimitReader(r, limit+1))
+	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	switch {
 	case err != nil:
 		return nil, outcome.ReasonBadRequest
-	case int64(len(data)) > limit:
+	case int64(len(body)) > limit:
 		return nil, outcome.ReasonTooLarge
 	default:
-		return data, outcome.ReasonNone
+		return body, outcome.ReasonNone
 	}
 }
 
-// requestDigest hashes the parts of a request in which two submissions of the
-// same key must agree.
+// requestDigest hashes the parts of a request that must be the same in all
+// submissions of a key.
 func requestDigest(c *wire.Call, body []byte) claims.Digest {
 	h := sha256.New()
 	for _, part := range []string{string(c.Service), c.Method, c.Target, c.Header.Get("Content-Type")} {
