--- a/core/calltoken/doc.go
+++ b/core/calltoken/doc.go
@@ -1,7 +1,7 @@
 // Package calltoken signs and verifies call tokens. An upstream that runs a
 // request may itself call other services; such a call is a nested call. The token
-// carries the group, the deadline and the call depth of the request over to its
-// nested calls.
+// carries the caller, the group, the deadline and the call depth of the request over
+// to its nested calls.
 //
 // # Concept
 //
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -127,8 +127,9 @@
 
 // Import adds one part of a sealed owner's table. The claims take effect when all
 // parts have been imported and the Ledger has applied the Transfer. Import returns
-// an error that wraps ErrHandover, and adds nothing, if the part is malformed, if the
-// importing table is itself sealed, or if it has no capacity for the whole part.
+// an error that wraps ErrHandover, and adds nothing, if the part is malformed or of
+// another version, if the importing table is itself sealed, or if the table has no
+// capacity for the whole part.
 func (t *Table) Import(data []byte) error {
 	var h handover
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&h); err != nil {
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -48,7 +48,8 @@
 	afterSend
 )
 
-// submission is one submission of a key. It goes from the entry to the owner to the upstream.
+// submission is one submission of a key. It goes from the entry to the owner, and from the
+// owner to an upstream.
 type submission struct {
 	// key is an index of world.keys.
 	key    int
@@ -144,7 +145,8 @@
 	keys int
 }
 
-// Each of the profiles favors different failures. The seed of a schedule selects the profile.
+// profiles are the profiles in use. Each makes different failures likely. The seed of a
+// schedule selects the profile.
 var profiles = [...]profile{
 	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keys: modelKeys},
 	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keys: 2},
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -17,8 +17,9 @@
 // extends the range when half of the grant length is left. Each further candidate
 // waits an eighth of the grant length longer than the candidate before it. If a
 // candidate crashes, the next candidate therefore takes over without failure
-// detection. If the last grant of a range had already ended when the Planner
-// started, the range is due for renewal at the start.
+// detection. A range that was already due for renewal when the Planner started,
+// for example because its last grant had ended, is treated as if it became due at
+// the start.
 //
 // A Planner has a startup phase, which lasts one sixteenth of the grant length.
 // During this phase it requests grants of only a sixteenth of the full length. The
@@ -106,9 +107,9 @@
 	}
 	length := p.lengthAt(now)
 	g := &Grant{Owner: p.self, Until: now + length}
-	// If a range's last interval ended before the Planner started, the interval is
-	// assumed to end at assumedEnd. The range is then due for the first candidate at
-	// the start.
+	// An interval that ends before assumedEnd is assumed to end at assumedEnd. Its
+	// range then becomes due for the first candidate when the Planner starts, and
+	// for each further candidate after its usual wait.
 	assumedEnd := min(p.startedAt, now) + length/renewDivisor - 1
 	due := false
 	for r := range p.ranks {
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -275,8 +275,8 @@
 	}
 }
 
-// Expire deletes the claims with timestamps below floor. From then on Begin returns
-// Expired for all keys with such timestamps for which it would otherwise return Run.
+// Expire deletes the claims with timestamps below floor. From then on, Begin returns
+// Expired instead of Run or Full for keys with such timestamps.
 func (t *Table) Expire(floor Stamp) {
 	if floor <= t.floor {
 		return
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -39,8 +39,8 @@
 	// Superseded means that the base of the change is older than the current
 	// version.
 	Superseded
-	// Duplicate means that there was an earlier change with the same ID, whether
-	// or not it was accepted.
+	// Duplicate means that one of the last changes, accepted or not, had the same
+	// ID (see State.IDs).
 	Duplicate
 	// Invalid means that the documents of the change do not compile, that its
 	// base does not exist yet, or that the configuration would become too large.
--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -83,7 +83,8 @@
 	Same
 	// Changed reports changed the state of the current incarnation or its slots.
 	Changed
-	// Started reports come from a newer incarnation, which became the current one.
+	// Started reports are the first report of an incarnation that became the
+	// current one.
 	Started
 )
 
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -67,7 +67,8 @@
 	recentMean   mean
 	longTermMean mean
 	failureRate  float64
-	// windowsWithoutUncontended counts the windows since the last uncontended sample.
+	// windowsWithoutUncontended counts the windows since the last uncontended sample or
+	// the start of the last probe.
 	windowsWithoutUncontended int
 	// probeRemaining counts the samples that the current probe still needs. It is 0 if no
 	// probe is running.
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -23,8 +23,8 @@
 	Agreed uint64
 	// Contradicted counts reports of fewer requests than were certainly running.
 	Contradicted uint64
-	// Unsupported counts reports of additional requests from elsewhere although the
-	// guard's own requests were not slowed down.
+	// Unsupported counts reports of additional requests from elsewhere that came while
+	// the guard's own requests were not slowed down.
 	Unsupported uint64
 }
 
@@ -33,9 +33,9 @@
 	initialTrust = 0.5
 	// agreementGain is added to the trust after a report that agrees.
 	agreementGain = 0.1
-	// contradictedFactor is the factor by which a contradicted report reduces the trust.
+	// contradictedFactor multiplies the trust after a contradicted report.
 	contradictedFactor = 0.5
-	// unsupportedFactor is the factor by which an unsupported report reduces the trust.
+	// unsupportedFactor multiplies the trust after an unsupported report.
 	unsupportedFactor = 0.8
 	// maxExternalShare is the largest share of the slots that can count as occupied by
 	// requests from elsewhere. A false report thus never makes an upstream look full.
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -152,8 +152,8 @@
 
 // Apply applies an event and reports whether the event took effect. It ignores an
 // event that is invalid or does not take precedence over the stored event. It also
-// ignores the event of an unknown upstream if the event is an old tombstone or the
-// Directory is full.
+// ignores the event of an unknown upstream if the event is an old tombstone, or if the
+// Directory is full and holds no upstream that has left.
 func (d *Directory) Apply(e Event) bool {
 	if !e.valid() {
 		return false
@@ -195,8 +195,8 @@
 
 // isOldTombstone reports whether the event is a tombstone (the event of an
 // upstream that has left) older than half of TombstoneRetention. Other daemons
-// will delete such a tombstone soon. If this daemon stored the tombstone again, it
-// would only take longer until no daemon holds the tombstone.
+// will delete such a tombstone soon. If this daemon stored a tombstone that it does not
+// hold, it would only take longer until no daemon holds the tombstone.
 func (d *Directory) isOldTombstone(e Event) bool {
 	return e.State == Left && d.wallSeconds > 0 && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention/2
 }
--- a/core/member/doc.go
+++ b/core/member/doc.go
@@ -19,6 +19,6 @@
 //
 // For anti-entropy, records are distributed over buckets by the hash of their
 // id. A digest consists of the hashes of all buckets. A daemon sends a peer the
-// records of the buckets in which their digests differ. If not all of these records
-// fit into one message, Directory.Delta selects some of them.
+// records of the buckets in which their digests differ, the newest first. If not all
+// of these records fit into one message, Directory.Delta selects some of them.
 package member
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -31,8 +31,8 @@
 // same when the upstream restarts, while its Incarnation changes.
 type UpstreamID string
 
-// Incarnation numbers the runs of an upstream or daemon. It rises with every restart. Zero
-// means unknown.
+// Incarnation is the number of one run of an upstream or daemon. It rises with every
+// restart. Zero means unknown.
 type Incarnation uint64
 
 // DaemonID identifies a daemon. It is the peer address (host:port) of the daemon's VM,
@@ -86,8 +86,9 @@
 	FailureRate float32
 	// Draining is set if the upstream accepts no new requests.
 	Draining bool
-	// Seq rises with every change of the load within one incarnation of the upstream.
-	// Entries compare Seq, so that the load in a delayed reply never replaces a newer load.
+	// Seq rises, within one incarnation of the upstream, with every event at the guard that
+	// changes the load, such as the arrival or the end of a request. Entries compare Seq,
+	// so that the load in a delayed reply never replaces a newer load.
 	Seq uint64
 }
 
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -117,8 +117,8 @@
 	return o.Kind == NotRun && (o.Reason == ReasonDraining || o.Reason == ReasonWithdrawn)
 }
 
-// MayRetry reports whether sending the request again is safe. idempotent is set if the
-// request may run twice.
+// MayRetry reports whether sending the request again is safe. idempotent is set if running
+// the request twice does no harm.
 func (o Outcome) MayRetry(idempotent bool) bool {
 	switch o.Kind {
 	case NotRun:
@@ -131,8 +131,9 @@
 }
 
 // After returns the outcome of a request. earlier is the outcome of its previous attempts
-// together, and o the outcome of its last attempt. If earlier is Unknown, the request may
-// have run. The result is therefore Unknown even if the last attempt did not run.
+// together, and o the outcome of its last attempt. The result is o, with one exception: if
+// earlier is Unknown and o is NotRun, the result is earlier. An earlier attempt may have
+// run the request in that case.
 func (o Outcome) After(earlier Outcome) Outcome {
 	if o.Kind == NotRun && earlier.Kind == Unknown {
 		return earlier
--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -9,7 +9,8 @@
 // how old that information is. A Load contains both: the slowdown (service time relative to
 // the usual one) and its age. The expected time of a request is its usual service time
 // multiplied by the slowdown, plus the wait for the requests that are already there. As the
-// information ages, the slowdown decays towards the mean of the service.
+// information ages, the slowdown decays towards the mean slowdown of
+// the service.
 //
 // A request to another availability zone costs latency and money. A Placer therefore
 // chooses an upstream of the local zone if that upstream is expected to respond well within
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -114,7 +114,7 @@
 
 // expectedRequests estimates how many requests are at the upstream now. This entry's own
 // requests are known exactly. The number of other entries' requests decays from the last
-// reported value towards meanOthers.
+// reported value towards meanOthers. It counts as 0 until a load has been reported.
 func (c *candidate) expectedRequests(now model.Instant) int {
 	if !c.hasLoad {
 		return c.inFlight
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -65,9 +65,9 @@
 	require.Equal(t, "b", choose(t, p, at(1)).Upstream.Key)
 }
 
-// TestOldSlowdownIsForgotten has loads that are 3 seconds old and must no longer matter.
-// One upstream was four times as slow as the other. The expected times of the two must
-// differ by less than a factor of two now.
+// TestOldSlowdownIsForgotten has loads that are 3 seconds old. According to them, one
+// upstream was four times as slow as the other. Such old loads must hardly matter: the
+// expected times of the two upstreams must differ by less than a factor of two.
 func TestOldSlowdownIsForgotten(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(4))
@@ -170,8 +170,9 @@
 	return float64(c.Expected-serviceTime) / float64(time.Millisecond)
 }
 
-// TestFastFailingUpstreamIsAvoided has an upstream that fails most requests at once. Such
-// an upstream has no requests running, and must not be preferred because it looks idle.
+// TestFastFailingUpstreamIsAvoided has an upstream that fails most requests immediately.
+// Such an upstream has no requests running, and must not be preferred because it looks
+// idle.
 func TestFastFailingUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", Load{Limit: 4, Slowdown: 1, FailureRate: 0.9})
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -161,8 +161,9 @@
 
 // QueryTargets returns up to n upstreams to which to send a load query. If local is set,
 // they are upstreams of the local zone, otherwise of other zones. Upstreams whose load is
-// younger than maxAge are left out. If more than n remain, the result holds the n-1 with
-// the shortest expected times and one that is drawn at random from the others.
+// younger than maxAge are left out, and so are unreachable, stopping and excluded ones. If
+// more than n remain, the result holds the n-1 with the shortest expected times (increased
+// at random, see queryJitter) and one that is drawn at random from the others.
 func (p *Placer) QueryTargets(now model.Instant, req Request, local bool, maxAge time.Duration, n int) []Upstream {
 	var stale []scoredCandidate
 	for _, c := range p.order {
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -10,9 +10,11 @@
 
 const (
 	// maxRecords is the maximum number of records in a Table. A full Table
-	// evicts the record with the fewest crashes, and of several such records
-	// the oldest. Records under quarantine are never evicted. A full Table that
-	// contains only records under quarantine accepts no others.
+	// evicts a record, preferably of a request that was never quarantined. Among
+	// these, it evicts the record with the fewest crashes, and of several such
+	// records the one whose last update is the oldest. Records under quarantine
+	// are never evicted. A full Table that contains only records under quarantine
+	// accepts no others.
 	maxRecords = 1024
 	// maxCrashes is the maximum number of crashes stored per request.
 	maxCrashes = 4
@@ -26,7 +28,8 @@
 	retention = 30 * time.Minute
 	// reportDelay is the time allowed for the arrival of crash reports from other
 	// daemons. Such reports show which other requests ran during the same crash.
-	// No request is quarantined until reportDelay has passed since its last crash.
+	// No request is quarantined until reportDelay has passed since its last crash or
+	// other update.
 	reportDelay = 500 * time.Millisecond
 	// maxClockSkew is how far in the future the times of a peer's record may be.
 	maxClockSkew = time.Minute
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// CountRequest counts a new request, which adds its share of a token. The caller must not
-// count retries with CountRequest.
+// CountRequest counts a new request and adds a fraction of a token for it (see SetShare).
+// The caller must not count retries with CountRequest.
 func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.share, maxTokens) }
 
 // CountAttempt counts an attempt, which may be a retry, and whether it failed.
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -146,7 +146,7 @@
 	stuckUnanswered = 2
 	// stuckSilence is the longest silence that is expected of an upstream, in typical
 	// service times and in addition to the round trip. An upstream that is silent for
-	// longer counts as stuck.
+	// longer counts as stuck if stuckUnanswered requests are unanswered.
 	stuckSilence = 4
 )
 
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -8,8 +8,9 @@
 
 // expectedCompletion picks the upstream where the request is expected to complete
 // first. The estimate adds the round trip, the wait for a slot, the slowdown of the
-// upstream and the time for which it has been unexpectedly silent. queueTimeout usually
-// returns zero for a request that may still be rejected (see the package comment).
+// upstream and the time for which it has been unexpectedly silent. The queue timeout of a
+// request that may still be rejected is zero (see the package comment), except in the cases
+// described at queueTimeout.
 type expectedCompletion struct{}
 
 const (
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -39,8 +39,8 @@
 	// unhealthy is set if failureRate is at least healthyBelow.
 	unhealthy bool
 	ejected   bool
-	// ejectionTime is the duration of the last ejection. It is 0 if no ejection has
-	// occurred since the last successful trial request.
+	// ejectionTime is the duration of the latest ejection. It is 0 while the upstream is
+	// not ejected.
 	ejectionTime time.Duration
 	// trialAt is the instant from which a trial request is allowed.
 	trialAt model.Instant
@@ -102,8 +102,9 @@
 	}
 }
 
-// eject ejects the upstream. Each consecutive ejection lasts twice as long. eject does
-// nothing if the upstream is ejected and its trial request is not due yet.
+// eject ejects the upstream. Each consecutive ejection lasts twice as long, up to
+// maxEjectionTime. eject does nothing if the upstream is ejected and its trial request is
+// not due yet.
 func (r *Router) eject(now model.Instant, c *candidate) {
 	if c.ejected && now < c.trialAt {
 		return
@@ -113,8 +114,8 @@
 	c.trialAt = now.Add(c.ejectionTime)
 }
 
-// ejectUnreachable ejects an upstream after a failed connection attempt. If zoneReachable
-// reports false, the whole zone of the upstream is ejected.
+// ejectUnreachable ejects an upstream after a failed connection attempt. If no other
+// upstream of its zone has replied recently, the whole zone is ejected (see zoneReachable).
 func (r *Router) ejectUnreachable(now model.Instant, c *candidate) {
 	if c.ejected && now < c.trialAt {
 		return
@@ -132,8 +133,9 @@
 	}
 }
 
-// zoneReachable reports whether another upstream of the candidate's zone has replied
-// within zoneReplyTimeout. It always reports true for the entry's own zone.
+// zoneReachable reports whether a reply with a load was received from another upstream of
+// the candidate's zone within the last zoneReplyTimeout. It always reports true for the
+// entry's own zone.
 func (r *Router) zoneReachable(now model.Instant, c *candidate) bool {
 	if c.upstream.Zone == r.opts.Zone {
 		return true
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -106,8 +106,8 @@
 
 // upstreamSlow reports whether an upstream that has not responded to a request is itself
 // slow or failing. If not, the request is a long one. sentAt is when the request was sent.
-// An upstream that has sent no reply since sentAt counts as slow, and so does an upstream
-// that is no longer a candidate.
+// An upstream that has sent no reply with a load since sentAt counts as slow, and so does
+// an upstream that is no longer a candidate.
 func (r *Router) upstreamSlow(now model.Instant, id model.UpstreamID, sentAt model.Instant) bool {
 	c := r.byID[id]
 	if c == nil {
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -62,7 +62,7 @@
 	Hedges uint64
 	// HedgesRefused counts hedges that the budget did not allow.
 	HedgesRefused uint64
-	// NoUpstream counts requests for which no upstream was usable.
+	// NoUpstream counts calls of Place for which no upstream was usable.
 	NoUpstream uint64
 }
 
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestFastFailingUpstreamIsEjected has an upstream that fails all requests at once. The
+// TestFastFailingUpstreamIsEjected has an upstream that fails each request immediately. The
 // upstream replies faster than the others and therefore looks idle. Without ejection, it
 // would attract most of the requests.
 func TestFastFailingUpstreamIsEjected(t *testing.T) {
--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -19,11 +19,11 @@
 	// usefulShare is the share of the time until its deadline that a request may take if
 	// it cannot meet its target. Beyond that, its caller is better off retrying later.
 	usefulShare = 0.5
-	// urgentUsefulShare replaces usefulShare for requests of all ranks but the last. Such
-	// requests are, for example, nested calls whose parent fails without them. Refusing a nested call wastes the work
-	// already done for its parent. In a mesh with parents of 60 ms and nested calls of
-	// 15 ms, the nested calls were short of slots. The larger share there increased the
-	// value of the completed requests by a tenth.
+	// urgentUsefulShare replaces usefulShare for requests of all ranks but the last. Nested
+	// calls are an example: their parent fails without them. Refusing a nested call wastes
+	// the work already done for its parent. The larger share increased the value of the
+	// completed requests by a tenth in a mesh whose nested calls were short of slots. There,
+	// parents took 60 ms and nested calls 15 ms.
 	urgentUsefulShare = 0.85
 )
 
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -3,9 +3,10 @@
 // proxy in front of the upstream.
 //
 // Requests with a lower rank start first. Within a rank, requests that can still meet
-// their target latency start before those that cannot. A kind is the set of the requests
-// of one route. Within both classes, the kinds get equal shares of the service time. Many
-// requests of one kind thus do not starve the other kinds.
+// their target latency start before those that cannot. All requests of one route are of
+// the same kind. Among the requests that can meet their targets, the kinds get equal shares
+// of the service time. The same holds among those that cannot. Many requests of one kind
+// thus do not starve the other kinds.
 //
 // Of one kind, among the requests that can meet their targets, the newest starts first.
 // While the upstream has enough capacity, the order hardly matters, since all requests meet
@@ -66,7 +67,7 @@
 	QueueTimeoutExpired
 	// TooLate means that the request would complete too late to be worth the wait.
 	// Other requests make better use of the slot. The early rejection also leaves the
-	// sender time to try another upstream or to refuse the request.
+	// request's entry time to try another upstream or to refuse the request.
 	TooLate
 )
 
@@ -77,8 +78,9 @@
 }
 
 const (
-	// lastRankInterval is the number of starts of which exactly one goes to the last rank.
-	// With one in eight, seven eighths of the capacity follow the regular order of ranks.
+	// lastRankInterval is the number of starts of which one goes to the last rank, even if
+	// requests of lower ranks wait. With one in eight, seven eighths of the capacity follow
+	// the regular order of ranks.
 	lastRankInterval = 8
 )
 
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -57,8 +57,8 @@
 	watching bool
 	// reachesStore is set if this daemon's last call to the store succeeded.
 	reachesStore bool
-	// failingSince is when this daemon's calls to the store began to fail. Before the first
-	// successful call, it is when the daemon began to watch.
+	// failingSince is when this daemon's calls to the store began to fail. If no call has
+	// succeeded since the daemon began to watch, it is when the daemon began to watch.
 	failingSince model.Instant
 	// yieldUntil is when this daemon may watch again after it has yielded.
 	yieldUntil model.Instant
--- a/core/watch/elector_test.go
+++ b/core/watch/elector_test.go
@@ -152,8 +152,9 @@
 	}
 }
 
-// TestHeartbeatsAreBounded checks that the number of heartbeats of a watcher does not grow
-// with the fleet beyond the size of a cell.
+// TestHeartbeatsAreBounded checks the number of heartbeats of a watcher for all fleet sizes.
+// A watcher may send about one heartbeat per HeartbeatInterval to each of at most maxCellSize
+// daemons.
 func TestHeartbeatsAreBounded(t *testing.T) {
 	const seconds = 10
 	for _, n := range fleetSizes {
