--- a/cmd/dottereltiller/trace.go
+++ b/cmd/dottereltiller/trace.go
@@ -17,8 +17,8 @@
 	JSON    bool     `arg:"--json" help:"print the spans as a JSON list"`
 }
 
-// run fetches the spans that the daemons hold and prints them as traces. It prints an error for
-// each daemon that does not respond, and fails only if none responds.
+// run fetches the spans that the daemons hold and prints them as traces. For each daemon that does
+// not respond, it prints an error to standard error. It fails only if none responds.
 func (c *traceCmd) run(ctx context.Context) error {
 	var records []trace.Record
 	var failed []error
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -20,8 +20,8 @@
 )
 
 // TestSIGHUPBeforeTheRuntimeStarts sends SIGHUP to daemons whose Go runtime may not have installed
-// its signal handlers yet. Until the runtime has, the process must ignore the signal: the default
-// action would end the process.
+// its signal handlers yet. Until they are installed, the process must ignore SIGHUP, because the
+// default action would end the process.
 func TestSIGHUPBeforeTheRuntimeStarts(t *testing.T) {
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -55,7 +55,7 @@
 // TestSIGHUPHasInheritedActionOutsideThePlatform checks that a daemon that does not run on the
 // platform has the action for SIGHUP that it inherited. If its parent ignored SIGHUP, the daemon
 // ignores it too. Otherwise SIGHUP ends the daemon. Package hangup ignores SIGHUP while the program
-// starts; the test fails if the daemon takes that for the inherited action.
+// starts. The test fails if the daemon restores this ignored state instead of the inherited action.
 func TestSIGHUPHasInheritedActionOutsideThePlatform(t *testing.T) {
 	path := writeSettings(t, `{`+validSettings+`, "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`)
 	for name, ignored := range map[string]bool{"started as usual": false, "started with SIGHUP ignored": true} {
--- a/cmd/internal/hangup/hangup.go
+++ b/cmd/internal/hangup/hangup.go
@@ -3,7 +3,7 @@
 // catch it yet.
 //
 // The Go runtime can catch a signal only after the runtime has started. A program built with cgo
-// ignores SIGHUP until then.
+// ignores SIGHUP from before the start of the runtime until the runtime catches the signal.
 package hangup
 
 import (
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -28,10 +28,10 @@
 	defaultQueueBound = 128
 	defaultTotalBound = 1024
 	// estimateMaxAge is the largest age of a group's slot time estimate at which
-	// requests may be refused because of the estimate. The age is the time since a
-	// request of the group last ended. An older estimate is ignored, so that a
-	// request runs and updates the estimate. Otherwise an estimate that is too
-	// high would cause every request of the group to be refused for ever.
+	// cannotEndInTime may use the estimate. The age is the time since a request of
+	// the group last ended. An older estimate is ignored, so that a request runs
+	// and updates the estimate. Otherwise an estimate that is too high would cause
+	// every request of the group to be refused for ever.
 	estimateMaxAge = time.Second
 )
 
@@ -202,10 +202,10 @@
 }
 
 // cannotEndInTime reports whether item, whose turn it is, should be refused because
-// it would probably end after its deadline. This is so when less time is left until
-// the deadline than requests of the group usually run (Estimate.Upper).
-// cannotEndInTime reports false when no other request waits for the slot, or when
-// the group has no estimate that is recent enough.
+// it may end after its deadline. This is so when less time is left until the deadline
+// than fairqueue.Estimate.Upper, a slot time that few requests of the group exceed.
+// cannotEndInTime reports false when no other request waits for the slot. It also
+// reports false when the group has no estimate that is recent enough.
 func (c *Controller) cannotEndInTime(now model.Instant, item fairqueue.Item) bool {
 	if c.queue.Len() == 0 {
 		return false
@@ -218,7 +218,7 @@
 }
 
 // estimateWait estimates how long an arriving request would wait. It returns 0
-// when a slot is free or no estimate is possible.
+// when a slot is free, and when fairqueue.Queue.EstimateWait returns 0.
 func (c *Controller) estimateWait(r model.Request) time.Duration {
 	if c.queue.Running() < c.limit() {
 		return 0
--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -18,8 +18,9 @@
 //     whose backlog is largest relative to its weight.
 //   - A request that cannot meet its deadline is refused early. On arrival, it is
 //     refused when the requests of its group that are ahead of it take too long.
-//     When its turn comes, it is refused when requests of its group usually run
-//     longer than the time left and other requests wait for the slot.
+//     When its turn comes, it is refused when the time left is shorter than a slot
+//     time that few requests of its group exceed (fairqueue.Estimate.Upper). It is
+//     not refused at its turn when no other request waits for the slot.
 //
 // The Controller has no goroutines and no clock. The caller passes in the
 // current time and carries out the effects that each call returns.
--- a/core/fairqueue/charge.go
+++ b/core/fairqueue/charge.go
@@ -118,9 +118,9 @@
 	q.releaseIfIdle(c)
 }
 
-// ChargeRunning charges each running request again that has run for as long as it
-// has been charged for. It doubles the charge each time, so that a long request is
-// charged only a few times.
+// ChargeRunning charges running requests again. A request is charged again once it
+// has run for as long as it has been charged for. Its charge is doubled each time,
+// so that a long request is charged only a few times.
 func (q *Queue) ChargeRunning(now model.Instant) {
 	for q.byNextCharge.len() > 0 {
 		e := q.byNextCharge.top()
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -90,7 +90,8 @@
 type group struct {
 	name  model.GroupName
 	class *priorityClass
-	// weight is the effective weight as a fraction of the largest weight.
+	// weight is the effective weight as a fraction of the largest weight. It is 1
+	// for groups of the background class.
 	weight float64
 	// queueBound is the largest number of waiting requests of the group.
 	queueBound int
@@ -192,7 +193,8 @@
 }
 
 // add puts a group into the ready heap. It raises the group's virtual time to the
-// system virtual time, so that the group gets no credit for the time before.
+// system virtual time if the group's is lower. The group therefore gets no credit
+// for the time before.
 func (c *priorityClass) add(g *group, seq uint64) {
 	g.virtualTime = max(g.virtualTime, c.systemVirtualTime)
 	g.seq = seq
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -59,8 +59,8 @@
 
 // Options configure a Queue.
 type Options struct {
-	// QueueBound is the largest number of waiting requests of a group whose
-	// configuration sets no bound. Default: 128.
+	// QueueBound is the largest number of waiting requests of a group that has no
+	// GroupConfig or whose GroupConfig sets no bound. Default: 128.
 	QueueBound int
 }
 
@@ -200,8 +200,8 @@
 
 // DropFromLargestBacklog does the same as DropOldest in the group with the largest
 // backlog. The backlog is the expected slot time of the group's waiting requests
-// divided by the group's weight. DropFromLargestBacklog reports false when no
-// request waits.
+// divided by the group's weight. Groups of weight zero have a larger backlog than all
+// other groups. DropFromLargestBacklog reports false when no request waits.
 func (q *Queue) DropFromLargestBacklog() (ID, bool) {
 	if q.byBacklog.len() == 0 {
 		return 0, false
--- a/core/policy/doc.go
+++ b/core/policy/doc.go
@@ -19,6 +19,6 @@
 // policy and group.
 //
 // Two documents must not have the same kind and name. A host, token or certificate
-// name must not belong to two documents. Compile reports all such problems at once,
-// each with document, JSON path and value. It then returns no Set.
+// name must not belong to two documents. Compile reports these and all other problems
+// at once, each with document, JSON path and value. It then returns no Set.
 package policy
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -82,8 +82,9 @@
 	// MeasuringBudget is the measuring budget of services that set none; see
 	// ServiceSpec.MeasuringBudget.
 	MeasuringBudget *float64 `json:"measuring_budget,omitempty"`
-	// RetryShare is the retry budget of an entry. It is the number of retries to a
-	// service as a share of the requests to the service, 0 to 1. Default: 0.1.
+	// RetryShare is the retry budget of an entry. In the long run, it bounds the
+	// number of retries to a service as a share of the requests to the service, 0 to
+	// 1. Default: 0.1. See retry.Budget.
 	RetryShare *float64 `json:"retry_share,omitempty"`
 	// Quarantine says when a request that crashes upstreams is quarantined, that is
 	// refused for some time.
--- a/core/policy/set.go
+++ b/core/policy/set.go
@@ -20,7 +20,7 @@
 // Set is a compiled configuration. It is immutable.
 type Set struct {
 	services map[model.ServiceName]*Service
-	// hosts holds the service of each host, in lower case.
+	// hosts holds the service of each host. The host names are in lower case.
 	hosts   map[string]model.ServiceName
 	callers map[model.CallerName]Caller
 	// tokens holds callers by the SHA-256 digest of their bearer tokens.
--- a/core/policy/strict.go
+++ b/core/policy/strict.go
@@ -12,13 +12,14 @@
 // strictChecker compares JSON with the Go type that it will be decoded into.
 type strictChecker struct {
 	// report is called for every unknown field and every value of the wrong type.
+	// path is the JSON path of the field or value.
 	report func(path, value, message string)
 }
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-// check compares the JSON value at path with type t. It does not look into a value
-// that stays raw JSON.
+// check compares the JSON value at path with type t. It accepts any value for the
+// type json.RawMessage.
 func (s strictChecker) check(path string, raw json.RawMessage, t reflect.Type) {
 	switch {
 	case t == reflect.TypeFor[json.RawMessage]():
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -97,8 +97,8 @@
 	return int(math.Ceil(retryAfter.Seconds()))
 }
 
-// statusByReason holds the HTTP status of the reasons that have a more specific
-// status than 502 or 503; see statusOf.
+// statusByReason holds the HTTP status of the reasons whose status does not depend on
+// the kind of the outcome; see statusOf. Most of them are more specific than 502 and 503.
 var statusByReason = map[outcome.Reason]int{
 	outcome.ReasonNoService:        http.StatusNotFound,
 	outcome.ReasonUnauthenticated:  http.StatusUnauthorized,
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -14,8 +14,9 @@
 // sendWithHedge sends the request to the chosen upstream. The router may give a hedge
 // delay for the request, but only if the request is idempotent. If there is no response
 // within this delay, sendWithHedge also sends the request to a second upstream. This
-// second attempt is the hedge. sendWithHedge returns the first successful response and
-// cancels the other attempt.
+// second attempt is the hedge. A request whose body cannot be replayed is not hedged.
+// sendWithHedge returns the first successful response and cancels the other attempt. If
+// neither attempt succeeds, it returns the response of the first attempt.
 func (e *Entry) sendWithHedge(ctx context.Context, req *request, choice routing.Choice, tried []model.UpstreamID, attempt int) *wire.Result {
 	delay, ok := e.opts.Routers.HedgeDelay(req.modelRequest(attempt))
 	if !ok || !req.body.replayable() {
@@ -56,10 +57,10 @@
 	return firstResponse.CancelOnClose(cancelFirst)
 }
 
-// sendHedge sends the request to a second upstream. It returns nil when the first
-// attempt has ended and ctx has been cancelled for this reason. It also returns nil
-// when the router does not allow a hedge, for example because the hedge budget is
-// exhausted; see routing.Router.Hedge.
+// sendHedge sends the request to a second upstream. It returns nil when ctx has been
+// cancelled, for example because the first attempt has ended. It also returns nil when
+// the router does not allow a hedge, for example because the hedge budget is exhausted;
+// see routing.Router.Hedge.
 func (e *Entry) sendHedge(ctx context.Context, req *request, first routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Result {
 	if ctx.Err() != nil {
 		return nil
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -66,8 +66,9 @@
 }
 
 // backoff returns how long to wait before a retry, and whether the retry is allowed.
-// o is the outcome of the attempt before the retry. If this attempt put no load on any
-// upstream, the retry needs no budget and is allowed until the deadline.
+// o is the outcome of the attempt before the retry. If o.FreeToRetry reports true, the
+// attempt put no load on any upstream. The retry then needs no budget and is allowed
+// until the deadline.
 func (r *retryBudgets) backoff(req *request, retryNumber int, o outcome.Outcome) (time.Duration, bool) {
 	if o.FreeToRetry() {
 		return 0, req.deadline > r.now()
--- a/entry/routing_counters.go
+++ b/entry/routing_counters.go
@@ -9,7 +9,8 @@
 
 // routingCounters exports the statistics of a router as counters.
 type routingCounters struct {
-	// exported holds the statistics as of the last update.
+	// exported holds the statistics as of the last update. Each counter below counts
+	// the field of routing.Stats with the same name.
 	exported                          routing.Stats
 	picks, rejections, crossZone      tally.Counter
 	ejections, panics                 tally.Counter
--- a/guard/crash.go
+++ b/guard/crash.go
@@ -15,9 +15,9 @@
 
 // detectCrash takes the outcome of a failed call. If the connection was lost, it checks
 // whether the upstream has crashed. After a crash, nothing listens at the upstream's
-// address any more. In this case detectCrash changes the reason of the outcome to
-// ReasonUpstreamCrashed. The kind of the outcome stays unknown. Any other outcome is
-// returned unchanged.
+// address any more, so a new connection is refused. If it is refused, detectCrash
+// changes the reason of the outcome to ReasonUpstreamCrashed. The kind of the outcome
+// stays unknown. Any other outcome is returned unchanged.
 func (u *upstreamProxy) detectCrash(o outcome.Outcome) outcome.Outcome {
 	if o.Kind != outcome.Unknown || o.Reason != outcome.ReasonConnectionLost {
 		return o
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -36,7 +36,7 @@
 	// Decision is what the state machine decided about the change. Zero means not known.
 	Decision config.Decision
 	// Version is the version that the change made. If the change was not accepted, it is the
-	// current version.
+	// current version. It is zero if it is not known whether the change was accepted.
 	Version model.Version
 	// ChangeID is the id of the published change. It is empty if nothing was published because
 	// the proposal had no differences.
