--- a/configuration/doc.go
+++ b/configuration/doc.go
@@ -13,6 +13,6 @@
 // whichever source is used.
 //
 // Until a Store has read to the end of the log once after its start, a newer
-// version than its own may exist. The Store then uses the version that peers
-// sent, and reports in its Status that it has not caught up.
+// version than its own may exist. During this time the Store uses the version
+// that peers sent, and reports in its Status that it has not caught up.
 package configuration
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -47,7 +47,8 @@
 
 // nextDelay returns the time until the next read. After a failed read it grows by
 // exponential backoff. Otherwise it is Interval or IdleInterval, shortened at
-// random by up to a quarter.
+// random by up to a quarter. IdleInterval applies to a daemon that has caught up
+// and is not a log reader.
 func (s *Store) nextDelay() time.Duration {
 	s.mu.Lock()
 	caughtUp, failing := s.status.CaughtUp, s.status.LogError != ""
@@ -200,9 +201,9 @@
 	}
 }
 
-// scheduleCheckpoint stores the offset of a checkpoint on the log and sets when
-// this daemon appends the next one. That is a random time between half of
-// CheckpointInterval and all of it from now. s.mu is held.
+// scheduleCheckpoint stores the offset of a checkpoint on the log, and sets
+// checkpointDue to a random time. That time is at least half of
+// CheckpointInterval and at most all of it from now. s.mu is held.
 func (s *Store) scheduleCheckpoint(offset uint64) {
 	interval := s.opts.CheckpointInterval
 	s.lastCheckpoint = offset
--- a/controltest/network.go
+++ b/controltest/network.go
@@ -123,9 +123,9 @@
 }
 
 // deliver carries a request of size bytes to a daemon and returns the daemon's
-// service. It returns ErrUnreachable if the daemon is not attached. If the
-// request is dropped or the daemon is unresponsive, deliver blocks until the
-// context ends, and returns the error of the context.
+// service. If the request is dropped or one of the two daemons is unresponsive,
+// deliver blocks until the context ends, and returns the error of the context.
+// Otherwise it returns ErrUnreachable if the receiver is not attached.
 func (e Endpoint) deliver(ctx context.Context, to model.DaemonID, size int) (*peer.Service, error) {
 	if err := sleep(ctx, e.delay(to)); err != nil {
 		return nil, err
@@ -179,7 +179,8 @@
 	return e.network.Delay
 }
 
-// sleep waits for d. It returns the error of the context if that ends first.
+// sleep waits for d. If the context ends first, it returns the error of the
+// context.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -70,7 +70,8 @@
 
 // nextDelay returns the time until the log is read again, after a read that ended
 // with err. After an error the delay grows by exponential backoff. Otherwise it
-// is Interval or IdleInterval, shortened at random by up to a quarter.
+// is Interval for a log reader and IdleInterval for any other daemon, shortened
+// at random by up to a quarter.
 func (r *Registry) nextDelay(err error) time.Duration {
 	isReader := r.opts.IsLogReader()
 	r.mu.Lock()
@@ -194,9 +195,8 @@
 	return out
 }
 
-// scheduleCheckpoint sets checkpointDue, when all events of the zone are appended
-// again. It is a random time between half of CheckpointInterval and all of it
-// from now.
+// scheduleCheckpoint sets checkpointDue to a random time. That time is at least half
+// of CheckpointInterval and at most all of it from now.
 func (r *Registry) scheduleCheckpoint() {
 	interval := r.opts.CheckpointInterval
 	r.checkpointDue = time.Now().Add(interval/2 + time.Duration(r.rng.Int64N(int64(interval/2)+1)))
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -17,8 +17,10 @@
 }
 
 // Announce applies an event of a local upstream. duration is the duration of the
-// upstream's lease. If it is positive, the upstream has to announce itself again
-// before the lease expires. Otherwise the Registry marks the upstream as left.
+// upstream's lease. If it is positive, the upstream has to renew the lease by
+// another announcement before the lease expires. The Registry marks an upstream
+// that does not do so as left. If duration is zero or negative, the lease never
+// expires.
 func (r *Registry) Announce(e member.Event, duration time.Duration) {
 	r.mu.Lock()
 	if e.State == member.Left {
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -26,7 +26,8 @@
 	logFailures tally.Counter
 	// unreadableRecords counts the records of the log that cannot be decoded.
 	unreadableRecords tally.Counter
-	// upstreams is the number of upstreams in the view.
+	// upstreams is the number of upstreams in the view, including those that
+	// have left.
 	upstreams tally.Gauge
 }
 
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -95,7 +95,7 @@
 }
 
 // abandon records that the first submission stops waiting. It returns false if
-// the first submission may not stop, because it has to receive and close the
+// the first submission must not stop, because it has to receive and close the
 // streamed response.
 func (e *execution) abandon() bool {
 	e.mu.Lock()
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -6,8 +6,8 @@
 	"github.com/dottereltiller/dottereltiller/core/claims"
 )
 
-// maxKeyAttempts is the number of random keys that NewKey tries for each timestamp
-// until it finds a key with a live owner.
+// maxKeyAttempts is the maximum number of random keys that NewKey tries for each
+// timestamp in search of a key with a live owner.
 const maxKeyAttempts = 64
 
 // NewKey returns a new key whose owner is considered alive. The timestamp of the
@@ -38,8 +38,8 @@
 
 // candidateTimestamps returns the timestamps that a new key may have, the preferred
 // one first. That is the current timestamp. If it is beyond all grants,
-// candidateTimestamps adds some of the last granted timestamps, but none that is
-// older than half of the retention. s.mu is held.
+// candidateTimestamps adds up to four of the last granted timestamps, but none
+// that is older than half of the retention. s.mu is held.
 func (s *Service) candidateTimestamps(now claims.Stamp) []claims.Stamp {
 	timestamps := []claims.Stamp{now}
 	oldest := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
--- a/owner/options.go
+++ b/owner/options.go
@@ -34,7 +34,7 @@
 	Candidates func() []model.DaemonID
 	// Client sends submissions to owners in other daemons.
 	Client *hop.Client
-	// PeerSecret authenticates these submissions.
+	// PeerSecret authenticates the submissions to owners in other daemons.
 	PeerSecret string
 	// Messenger sends the claims to another daemon when this one drains. Nil
 	// means that the claims are not handed over.
--- a/owner/route.go
+++ b/owner/route.go
@@ -35,9 +35,10 @@
 const maxSuspectedOwners = 1024
 
 // Submit sends a keyed call with its body to the owner of the key and returns the
-// result. It retries while the owner is unreachable or is handing over its
-// claims. Retries are safe because the owner recognizes the key. If Submit gets
-// no final outcome from an owner, the outcome is unknown.
+// result. It retries while the key has no known owner, and while the owner is
+// unreachable or is handing over its claims. Retries are safe because the owner
+// recognizes the key. If Submit gets no final outcome from an owner, the outcome
+// is unknown.
 func (s *Service) Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
@@ -70,8 +71,8 @@
 }
 
 // isFinal reports whether an outcome without a response is the final outcome of the
-// submission. The other outcomes mean that the owner could not be reached, or
-// that the daemon does not own the key or is handing it over.
+// submission. The outcome is not final if the owner could not be reached, does
+// not own the key after all, or is handing over its claims.
 func isFinal(o outcome.Outcome) bool {
 	if o.Kind == outcome.NotRun {
 		return true
@@ -202,7 +203,8 @@
 }
 
 // suspectOwner remembers that an owner could not be reached, so that NewKey
-// returns no keys of that owner.
+// returns no keys of that owner. It forgets suspicions that are older than
+// GrantDuration. If maxSuspectedOwners are remembered, it adds none.
 func (s *Service) suspectOwner(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/owner/service.go
+++ b/owner/service.go
@@ -147,9 +147,10 @@
 const readsPerGrant = 6
 
 // shouldRead reports whether the grants have to be read, so that a daemon need not
-// read the log in every interval. They have to be read if the ledger is
-// incomplete or the last read was long ago. They also have to be read if a record
-// seems due for an append, because another daemon may have appended it meanwhile.
+// read the log in every interval. They have to be read until a read has reached
+// the end of the log and the ledger is complete. Later they have to be read if
+// the last read was long ago. They also have to be read if a record seems due for
+// an append, because another daemon may have appended it meanwhile.
 func (s *Service) shouldRead(ctx context.Context) bool {
 	if !s.caughtUp.Load() || !s.ledgerComplete() || len(s.dueRecords()) > 0 {
 		return true
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -14,9 +14,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryAfter is the Retry-After value of responses after which the caller may retry:
-// the execution of the key is in progress, the outcome cannot be known yet, or the
-// claim table is full.
+// retryAfter is the Retry-After value of a response if a later retry may succeed.
+// That is the case if the execution of the key is in progress, the outcome cannot
+// be known yet, or the claim table is full.
 const retryAfter = time.Second
 
 // handleSubmission decides on a submission as the owner of its key. It executes the
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -157,8 +157,8 @@
 }
 
 // crashManyUpstreams crashes many upstreams at once, each while it runs several
-// requests. 500 ms later all of these requests receive a response from another
-// upstream, which shows that they did not cause the crashes.
+// requests. All of these requests receive a response from another upstream 500 ms
+// later. That shows that they did not cause the crashes.
 func (network *testNetwork) crashManyUpstreams(upstreams int) {
 	const requests = 4
 	for i := range upstreams {
--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -6,13 +6,12 @@
 	"time"
 )
 
-// Batcher is a Log that merges several appends to the same stream into one
-// append. An append waits for Window so that others can be merged with it. A
-// Batcher is safe for concurrent use.
+// Batcher is a Log that merges appends to the same stream that arrive within
+// Window into one append. It is safe for concurrent use.
 type Batcher struct {
 	Log
-	// Window is how long an append waits for others to be merged with it.
-	// Default: 10ms.
+	// Window is how long the first append of a batch waits for others to be
+	// merged with it. Default: 10ms.
 	Window time.Duration
 	// Timeout is the time limit of a merged append. Default: 3s.
 	Timeout time.Duration
@@ -24,8 +23,8 @@
 const (
 	defaultWindow  = 10 * time.Millisecond
 	defaultTimeout = 3 * time.Second
-	// maxBatchRecords is the largest number of records to which appends are
-	// merged. A single append with more records still forms a batch.
+	// maxBatchRecords is the largest number of records in a batch of several
+	// appends. A single append with more records forms a batch of its own.
 	maxBatchRecords = 256
 	// maxBatchBytes is the size above which a batch accepts no further append.
 	maxBatchBytes = 1 << 20
@@ -58,8 +57,9 @@
 	}
 }
 
-// enqueue adds the records to the pending batch of the stream, or to a new batch
-// if that one is full. It returns the batch and the index of records[0] in it.
+// enqueue adds the records to the pending batch of the stream. If there is none or
+// it has no room, it starts a new batch. It returns the batch and the index of
+// records[0] in it.
 func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -35,17 +35,18 @@
 	return &RateLimitedLog{Log: log, limiter: rate.NewLimiter(maxDaemonAppendsPerSecond, appendBurst)}
 }
 
-// SetDaemonCount limits this process to an nth of MaxSystemAppendsPerSecond,
-// where n is the number of daemons.
+// SetDaemonCount sets the limit of this process for a deployment of n daemons. The
+// limit is an nth of MaxSystemAppendsPerSecond, but at most
+// maxDaemonAppendsPerSecond.
 func (l *RateLimitedLog) SetDaemonCount(n int) {
 	share := float64(MaxSystemAppendsPerSecond) / float64(max(n, 1))
 	l.limiter.SetLimit(rate.Limit(min(share, maxDaemonAppendsPerSecond)))
 }
 
 // Append implements Log. It waits until the rate limit admits the append. If the
-// context ends before that time, or its deadline is earlier, Append returns an
-// AppendError that wraps ErrRateLimited. Uncertain is then not set, because the
-// records have not been appended.
+// context ends first, Append returns an AppendError that wraps ErrRateLimited. If
+// the deadline of the context would pass first, Append returns that error without
+// waiting. Uncertain is not set, because the records have not been appended.
 func (l *RateLimitedLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	if err := l.limiter.Wait(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: errors.Join(ErrRateLimited, err)}
--- a/recordlog/log.go
+++ b/recordlog/log.go
@@ -14,7 +14,8 @@
 	StreamConfig = "config"
 	// StreamMembership holds the events of upstreams: joined, draining, left.
 	StreamMembership = "membership"
-	// StreamGrants holds the grants by which daemons own idempotency keys.
+	// StreamGrants holds the grants by which daemons own idempotency keys, and
+	// transfers and checkpoints of them.
 	StreamGrants = "grants"
 )
 
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -314,7 +314,7 @@
 }
 
 // listenUnresponsive starts a listener that accepts connections and requests and never responds,
-// like a daemon behind a broken link. It returns the number of requests received so far.
+// like a daemon behind a broken link. It returns a counter of the requests received.
 func listenUnresponsive(t *testing.T, address string) *atomic.Int64 {
 	ln, err := net.Listen("tcp", address)
 	require.NoError(t, err)
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -167,7 +167,8 @@
 	return pollDue
 }
 
-// recordStoreState records since when no daemon of the cell has reached the store.
+// recordStoreState records whether a daemon of the cell reaches the store. If none does, it keeps
+// the time at which that began.
 func (f *configFollower) recordStoreState(now model.Instant, unreachable bool) {
 	if !unreachable {
 		f.d.storeUnreachableSince.Store(0)
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -57,9 +57,10 @@
 }
 
 // zoneMembers returns the addresses of the daemons of the local zone that are reachable and not
-// stopping. This daemon is included. It also returns the number of zones that have such daemons,
-// and the current generation. If lastGeneration is still current, it returns no addresses and no
-// zones.
+// stopping. This daemon is included, unless it is stopping. zoneMembers also returns the current
+// generation, and the number of zones in which any daemon is reachable and not stopping. The
+// local zone always counts. If lastGeneration is still current, it returns no addresses and 0 for
+// the number of zones.
 func (p *peers) zoneMembers(lastGeneration uint64) (addresses []string, zones int, current uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -12,13 +12,17 @@
 
 // metrics holds the metrics of a daemon.
 type metrics struct {
-	rejected      tally.Counter
-	healthChecks  tally.Counter
-	connsOpened   tally.Counter
-	retried       tally.Counter
-	hedged        tally.Counter
+	// rejected counts the calls that the guard rejected.
+	rejected     tally.Counter
+	healthChecks tally.Counter
+	// connsOpened counts the new connections to the local upstream.
+	connsOpened tally.Counter
+	retried     tally.Counter
+	hedged      tally.Counter
+	// retriesDenied counts the retries that the retry budget did not allow.
 	retriesDenied tally.Counter
-	resolved      tally.Counter
+	// resolved counts the resolveRequests that this daemon sent.
+	resolved tally.Counter
 	// closedUnanswered counts the requests whose connection this daemon closed before it had
 	// responded.
 	closedUnanswered tally.Counter
--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -66,8 +66,8 @@
 }
 
 // logReadySummary writes one summary line for the upstreams that got no line of their own. The
-// line names the peers whose upstreams are still unknown. The state of any other upstream is in
-// its own line. Without such a line, the upstream is ready.
+// line names the peers whose upstreams are still unknown, at most maxNamedPeers. Every other
+// upstream either has a line of its own that states its state, or is ready.
 func (p *peers) logReadySummary() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -47,8 +47,8 @@
 	eventually(t, "the newer version is in force", func() bool { return a.config.version() == 6 })
 }
 
-// TestConfigurationComesFromPeers disconnects one daemon from the store. It must get a new
-// version of the configuration from the other daemon.
+// TestConfigurationComesFromPeers disconnects one daemon from the store. This daemon must get a
+// new version of the configuration from the other one.
 func TestConfigurationComesFromPeers(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
@@ -61,8 +61,9 @@
 	eventually(t, "the new version is in force", func() bool { return b.config.version() == 2 })
 }
 
-// TestRestartWithStoreDown restarts a daemon while the store is down. It must learn the
-// configuration, the other daemons, and that its upstream is leaving, all from its peers.
+// TestRestartWithStoreDown restarts a daemon while the store is down. The daemon must learn
+// everything from its peers: the configuration, the other daemons, and that its upstream is
+// leaving.
 func TestRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestPlannedRestartWithStoreDown restarts a daemon that stopped as planned while the store is
-// down. No daemon calls it, because its record says that it has stopped. The other daemons must
+// TestPlannedRestartWithStoreDown stops a daemon as planned and starts it again, both while the
+// store is down. No daemon calls it, because its record says that it has stopped. The other daemons must
 // reconnect to it on their own.
 func TestPlannedRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -9,7 +9,8 @@
 
 // syncLoop pushes the local record to a peer, with retries, until the peer has the current local
 // record. It pushes by datagram first. If the datagram is not acknowledged, it uses a
-// connection. It uses only a connection if the peer is to be asked for all records.
+// connection. If the peer is to be asked for all records, it sends no datagram and uses a
+// connection at once.
 func (p *peers) syncLoop(q *peer) {
 	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxSyncBackoff}
 	for {
