--- a/bench/control.go
+++ b/bench/control.go
@@ -51,14 +51,14 @@
 // startDaemons starts n daemons in five zones. Each has one upstream, and eight
 // upstreams form a service.
 func startDaemons(ctx context.Context, n int) (*local.Deployment, error) {
-	const perService = 8
+	const upstreamsPerService = 8
 	opts := local.Options{
 		Zones:       []model.AvailabilityZone{"a", "b", "c", "d", "e"},
 		LogInterval: time.Duration(settings.Defaults().Log.Interval),
 	}
-	for i := 0; i < n; i += perService {
-		name := string(upstream(i / perService).Service)
-		size := min(perService, n-i)
+	for i := 0; i < n; i += upstreamsPerService {
+		name := string(upstream(i / upstreamsPerService).Service)
+		size := min(upstreamsPerService, n-i)
 		opts.Services = append(opts.Services, local.Service{Name: model.ServiceName(name), Upstreams: size, Slots: 6})
 		opts.Documents = append(opts.Documents, policy.Document{Kind: policy.KindService, Name: name, Spec: []byte(`{}`)})
 	}
--- a/bench/forward.go
+++ b/bench/forward.go
@@ -217,12 +217,12 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(t, "%d calls, %d failed\tp50 ms\tp99 ms\tp99.9 ms\t\n", r.Calls, r.Failed)
 	for _, row := range []struct {
-		name string
-		q    latency.Percentiles
+		name      string
+		latencies latency.Percentiles
 	}{{"direct", r.Direct}, {"forwarded", r.Forwarded}, {"added", r.Added}} {
-		_, _ = fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t\n", row.name, ms(row.q.P50), ms(row.q.P99), ms(row.q.P999))
+		_, _ = fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t\n", row.name, milliseconds(row.latencies.P50), milliseconds(row.latencies.P99), milliseconds(row.latencies.P999))
 	}
 	return t.Flush()
 }
 
-func ms(us int64) float64 { return float64(us) / 1e3 }
+func milliseconds(us int64) float64 { return float64(us) / 1e3 }
--- a/bench/state.go
+++ b/bench/state.go
@@ -141,14 +141,14 @@
 }
 
 func document(i int) policy.Document {
-	const block = 10
-	labels := model.Labels{"team": fmt.Sprintf("team-%d", i/block), "role": fmt.Sprintf("role-%d", i%block)}
+	const documentsPerTeam = 10
+	labels := model.Labels{"team": fmt.Sprintf("team-%d", i/documentsPerTeam), "role": fmt.Sprintf("role-%d", i%documentsPerTeam)}
 	name := fmt.Sprintf("name-%d", i)
-	switch i % block {
+	switch i % documentsPerTeam {
 	case 0:
 		return policy.Document{Kind: policy.KindService, Name: name, Labels: labels, Spec: json.RawMessage(`{"deadline":"2s"}`)}
 	case 1:
-		spec := fmt.Sprintf(`{"services":"team=team-%d","default_group":"rest","groups":[{"name":"first","callers":"role=role-2","weight":4},{"name":"rest","callers":"role=role-3","weight":1}]}`, i/block)
+		spec := fmt.Sprintf(`{"services":"team=team-%d","default_group":"rest","groups":[{"name":"first","callers":"role=role-2","weight":4},{"name":"rest","callers":"role=role-3","weight":1}]}`, i/documentsPerTeam)
 		return policy.Document{Kind: policy.KindSharingPolicy, Name: name, Labels: labels, Spec: json.RawMessage(spec)}
 	default:
 		spec := fmt.Sprintf(`{"token_sha256":["%064x"]}`, i)
--- a/load/result.go
+++ b/load/result.go
@@ -98,14 +98,14 @@
 		_, _ = fmt.Fprintf(w, "not answered, reason %s: %d\n", reason, r.Total.Reasons[reason])
 	}
 	_, err := fmt.Fprintf(w, "latency is measured from when a request was due; p99 of the delay until it was sent: %.2f ms; requests held by max_in_flight: %d\n",
-		ms(r.SendLagP99Us), r.Held)
+		milliseconds(r.SendLagP99Us), r.Held)
 	return err
 }
 
 func printRow(w io.Writer, service, group string, stats Stats) {
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f%%\t\n", service, group,
 		stats.Requests, stats.Answered, stats.NotRun, stats.Unknown,
-		ms(stats.P50), ms(stats.P99), ms(stats.P999), ms(stats.Max), 100*stats.SlotTimeShare)
+		milliseconds(stats.P50), milliseconds(stats.P99), milliseconds(stats.P999), milliseconds(stats.Max), 100*stats.SlotTimeShare)
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func milliseconds(us int64) float64 { return float64(us) / 1000 }
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -50,15 +50,15 @@
 			}
 			b.ReportMetric(ratio(r.Total.P99, r.Total.Ideal.P99), "p99/ideal")
 			b.ReportMetric(ratio(r.Total.P999, r.Total.Ideal.P999), "p99.9/ideal")
-			b.ReportMetric(worstGroup(r), "worst-group/ideal")
+			b.ReportMetric(worstGroupRatio(r), "worst-group/ideal")
 			b.ReportMetric(float64(r.Total.NotRun+r.Total.Unknown), "unanswered")
 			b.ReportMetric(r.Total.MeasuringShare, "measuring")
 		})
 	}
 }
 
-// worstGroup returns the largest ratio of a group's p99.9 to the ideal bound.
-func worstGroup(r *Result) float64 {
+// worstGroupRatio returns the largest ratio of a group's p99.9 to the ideal bound.
+func worstGroupRatio(r *Result) float64 {
 	worst := 0.0
 	for _, g := range r.Groups {
 		worst = max(worst, ratio(g.P999, g.Ideal.P999))
--- a/replay/entry.go
+++ b/replay/entry.go
@@ -20,12 +20,12 @@
 
 // request is a request of the trace and the state of its attempts.
 type request struct {
-	event   *Event
-	entry   *entry
-	arrived model.Instant
-	// last is the combined outcome of the finished attempts. It is NotRun
+	event     *Event
+	entry     *entry
+	arrivedAt model.Instant
+	// outcomeSoFar is the combined outcome of the finished attempts. It is NotRun
 	// before the first attempt.
-	last outcome.Outcome
+	outcomeSoFar outcome.Outcome
 	// tried lists the upstreams whose attempts have finished, without those
 	// whose guard rejected the request.
 	tried []model.UpstreamID
@@ -34,10 +34,10 @@
 	rejections int
 	// executions counts how often an upstream executed the request.
 	executions int
-	// attempts are the attempts in flight.
-	attempts []*attempt
-	// done is set once the caller has its response.
-	done bool
+	// inFlight are the attempts in flight.
+	inFlight []*attempt
+	// completed is set once the caller has its response.
+	completed bool
 }
 
 // attempt is one attempt at a request: the request sent to one guard.
@@ -48,9 +48,9 @@
 	// incarnation is that of the upstream when the router chose it.
 	incarnation model.Incarnation
 	choice      routing.Choice
-	hedge       bool
-	sent        model.Instant
-	started     model.Instant
+	isHedge     bool
+	sentAt      model.Instant
+	startedAt   model.Instant
 	running     bool
 	waiting     bool
 	// generation increases when a crash or a cancellation ends the execution
@@ -80,7 +80,7 @@
 func (e *entry) place(req *request) {
 	choice, ok := e.routers[req.event.Service].Place(e.sim.now, req.model(), req.tried, req.rejections)
 	if !ok {
-		e.complete(req, req.last)
+		e.complete(req, req.outcomeSoFar)
 		return
 	}
 	a := e.send(req, choice)
@@ -90,16 +90,16 @@
 // send starts an attempt at the chosen upstream.
 func (e *entry) send(req *request, choice routing.Choice) *attempt {
 	s := e.sim
-	s.nextID++
+	s.lastAttemptID++
 	a := &attempt{
-		id:          s.nextID,
+		id:          s.lastAttemptID,
 		req:         req,
 		guard:       s.guardsByName[string(choice.Upstream.ID)],
 		incarnation: choice.Upstream.Incarnation,
 		choice:      choice,
-		sent:        s.now,
+		sentAt:      s.now,
 	}
-	req.attempts = append(req.attempts, a)
+	req.inFlight = append(req.inFlight, a)
 	if s.partitioned(e.index, a.guard.index) {
 		a.reply = routing.Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)}
 		s.queue.add(task{at: s.now.Add(connectTimeout), kind: taskReply, daemon: e.index, attempt: a})
@@ -118,38 +118,38 @@
 func (e *entry) handleReply(a *attempt) {
 	req := a.req
 	e.sim.removeAttempt(a)
-	a.reply.Latency = e.sim.now.Sub(a.sent)
-	a.reply.Group, a.reply.Hedge = req.event.Group, a.hedge
+	a.reply.Latency = e.sim.now.Sub(a.sentAt)
+	a.reply.Group, a.reply.Hedge = req.event.Group, a.isHedge
 	e.routers[req.event.Service].Done(e.sim.now, a.guard.upstream.ID, a.reply)
 	o := a.reply.Outcome
 	failed := o.Kind != outcome.Answered || a.reply.Failed
-	if req.done || failed && a.hedge && len(req.attempts) > 0 {
+	if req.completed || failed && a.isHedge && len(req.inFlight) > 0 {
 		return
 	}
-	if a.choice.Rejected(o) && !a.hedge {
+	if a.choice.Rejected(o) && !a.isHedge {
 		req.rejections++
 		e.place(req)
 		return
 	}
 	req.tried = append(req.tried, a.guard.upstream.ID)
-	req.last = o.After(req.last)
-	if failed && len(req.attempts) > 0 {
+	req.outcomeSoFar = o.After(req.outcomeSoFar)
+	if failed && len(req.inFlight) > 0 {
 		return
 	}
 	if failed && len(req.tried) < maxAttempts && o.MayRetry(req.event.Idempotent) && e.sim.now < req.deadline() {
 		e.place(req)
 		return
 	}
-	e.complete(req, req.last)
+	e.complete(req, req.outcomeSoFar)
 }
 
 // complete records the outcome that the caller receives and cancels the
 // attempts still in flight.
 func (e *entry) complete(req *request, o outcome.Outcome) {
-	req.done = true
+	req.completed = true
 	e.cancel(req)
-	latency := e.sim.now.Sub(req.arrived)
-	limit := req.deadline().Sub(req.arrived)
+	latency := e.sim.now.Sub(req.arrivedAt)
+	limit := req.deadline().Sub(req.arrivedAt)
 	if latency > limit && o.Kind == outcome.Answered {
 		o = outcome.UnknownBecause(outcome.ReasonDeadline)
 	}
@@ -157,7 +157,7 @@
 }
 
 func (req *request) deadline() model.Instant {
-	return req.arrived.Add(time.Duration(req.event.DeadlineMs) * time.Millisecond)
+	return req.arrivedAt.Add(time.Duration(req.event.DeadlineMs) * time.Millisecond)
 }
 
 // model returns the request in the form that the routers and the admission
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -63,17 +63,17 @@
 	now := g.sim.now
 	switch e.Fault {
 	case Straggle:
-		f.straggle = e.Factor
-		return func() { f.straggle = 1 }
+		f.straggleFactor = e.Factor
+		return func() { f.straggleFactor = 1 }
 	case ColdStart:
-		f.cold, f.coldFrom, f.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
+		f.coldFactor, f.coldFrom, f.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
 		return nil
 	case FailFast:
 		f.failFast = true
 		return func() { f.failFast = false }
 	case Misreport:
-		f.misreport = e.Factor
-		return func() { f.misreport = 1 }
+		f.reportedLoadFactor = e.Factor
+		return func() { f.reportedLoadFactor = 1 }
 	case Drain:
 		g.drain()
 		g.sim.announceMembership()
@@ -100,7 +100,7 @@
 // a drain the upstream restarts as a new incarnation.
 func (g *guard) recover() {
 	mustRestart := g.fake.crashed || g.upstream.Draining
-	g.fake.faults = faultState{straggle: 1, misreport: 1}
+	g.fake.faults = faultState{straggleFactor: 1, reportedLoadFactor: 1}
 	g.pausedUntil = 0
 	if mustRestart {
 		g.restart()
--- a/replay/generate.go
+++ b/replay/generate.go
@@ -102,26 +102,26 @@
 			stream++
 			rng := rand.New(rand.NewPCG(g.Seed, stream))
 			p := profileOf(s, group.Name)
-			events = g.arrivals(events, rng, s, group.Name, p, g.Load*p.loadShare, 0, g.Duration)
-			events = g.surgeArrivals(events, rng, s, group.Name, p)
+			events = g.appendArrivals(events, rng, s, group.Name, p, g.Load*p.loadShare, 0, g.Duration)
+			events = g.appendSurgeArrivals(events, rng, s, group.Name, p)
 		}
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.AtUs, b.AtUs) })
 	return events
 }
 
-func (g *Generator) surgeArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile) []Event {
+func (g *Generator) appendSurgeArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile) []Event {
 	for _, surge := range g.Surges {
 		if surge.Service == s.Name && surge.Group == group {
-			events = g.arrivals(events, rng, s, group, p, surge.Load, surge.From, surge.Until)
+			events = g.appendArrivals(events, rng, s, group, p, surge.Load, surge.From, surge.Until)
 		}
 	}
 	return events
 }
 
-// arrivals appends Poisson arrivals whose offered load is the given share of
+// appendArrivals appends Poisson arrivals whose offered load is the given share of
 // the service's slots.
-func (g *Generator) arrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile, load float64, from, until time.Duration) []Event {
+func (g *Generator) appendArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile, load float64, from, until time.Duration) []Event {
 	rate := load * float64(totalSlots(s)) / p.meanCost.Seconds()
 	if rate <= 0 {
 		return events
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -144,7 +144,7 @@
 // start executes an attempt at the simulated upstream and schedules its end.
 func (g *guard) start(a *attempt) {
 	now := g.sim.now
-	a.started, a.running = now, true
+	a.startedAt, a.running = now, true
 	g.running++
 	g.monitor.SetRunning(g.running)
 	took, o, failed := g.fake.run(now, a)
@@ -167,7 +167,7 @@
 	g.monitor.SetRunning(g.running)
 	g.fake.release(now)
 	delete(g.attempts, admission.ID(a.id))
-	res := admission.Result{Outcome: a.reply.Outcome, SlotTime: now.Sub(a.started), Failed: a.reply.Failed}
+	res := admission.Result{Outcome: a.reply.Outcome, SlotTime: now.Sub(a.startedAt), Failed: a.reply.Failed}
 	g.sim.collector.addSlotTime(a.req, res.SlotTime)
 	g.effects = g.controller.Finish(now, admission.ID(a.id), res, g.effects[:0])
 	g.sendReply(a, a.reply.Outcome, a.reply.Failed)
--- a/replay/hedge.go
+++ b/replay/hedge.go
@@ -23,21 +23,21 @@
 // the only one in flight.
 func (e *entry) hedge(a *attempt) {
 	req := a.req
-	if req.done || len(req.attempts) != 1 || req.attempts[0] != a {
+	if req.completed || len(req.inFlight) != 1 || req.inFlight[0] != a {
 		return
 	}
 	exclude := append(slices.Clone(req.tried), a.guard.upstream.ID)
-	choice, ok := e.routers[req.event.Service].Hedge(e.sim.now, a.guard.upstream.ID, a.sent, exclude)
+	choice, ok := e.routers[req.event.Service].Hedge(e.sim.now, a.guard.upstream.ID, a.sentAt, exclude)
 	if !ok {
 		return
 	}
-	e.send(req, choice).hedge = true
+	e.send(req, choice).isHedge = true
 }
 
 // cancel sends cancellations for the attempts in flight of a completed request.
 func (e *entry) cancel(req *request) {
 	s := e.sim
-	for _, a := range req.attempts {
+	for _, a := range req.inFlight {
 		if s.partitioned(e.index, a.guard.index) {
 			continue
 		}
@@ -48,7 +48,7 @@
 // removeAttempt removes an attempt from its request's attempts in flight. It is
 // called when the reply has arrived.
 func (s *simulation) removeAttempt(a *attempt) {
-	a.req.attempts = slices.DeleteFunc(a.req.attempts, func(other *attempt) bool { return other == a })
+	a.req.inFlight = slices.DeleteFunc(a.req.inFlight, func(other *attempt) bool { return other == a })
 }
 
 // cancel withdraws a waiting attempt, or ends a running one as an upstream that
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -46,8 +46,8 @@
 
 // server is an upstream of the central queue.
 type server struct {
-	// free holds the instants at which the slots become free, as a heap.
-	free   instantHeap
+	// freeAt holds the instants at which the slots become free, as a heap.
+	freeAt instantHeap
 	faults faultState
 	// unavailableUntil is the end of the last FailFast, Drain or Crash.
 	unavailableUntil model.Instant
@@ -64,7 +64,7 @@
 			if u.RealSlots > 0 {
 				slots = u.RealSlots
 			}
-			sv := &server{free: make(instantHeap, slots), faults: faultState{straggle: 1}}
+			sv := &server{freeAt: make(instantHeap, slots), faults: faultState{straggleFactor: 1}}
 			c.servers[s.Name] = append(c.servers[s.Name], sv)
 			c.serversByName[upstreamName(s.Name, j)] = sv
 		}
@@ -80,14 +80,14 @@
 	var best *server
 	var bestEnd model.Instant
 	for _, s := range c.servers[e.Service] {
-		start := max(now, s.free[0], s.unavailableUntil)
+		start := max(now, s.freeAt[0], s.unavailableUntil)
 		end := start.Add(time.Duration(float64(cost) * s.slowdown(start)))
 		if best == nil || end < bestEnd {
 			best, bestEnd = s, end
 		}
 	}
-	best.free[0] = bestEnd
-	heap.Fix(&best.free, 0)
+	best.freeAt[0] = bestEnd
+	heap.Fix(&best.freeAt, 0)
 	return bestEnd.Sub(now)
 }
 
@@ -96,7 +96,7 @@
 func (s *server) slowdown(at model.Instant) float64 {
 	f := s.faults
 	if at >= s.straggleUntil {
-		f.straggle = 1
+		f.straggleFactor = 1
 	}
 	return f.slowdown(at)
 }
@@ -114,13 +114,13 @@
 	}
 	switch e.Fault {
 	case Straggle:
-		s.faults.straggle, s.straggleUntil = e.Factor, until
+		s.faults.straggleFactor, s.straggleUntil = e.Factor, until
 	case ColdStart:
-		s.faults.cold, s.faults.coldFrom, s.faults.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
+		s.faults.coldFactor, s.faults.coldFrom, s.faults.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
 	case FailFast, Drain, Crash:
 		s.unavailableUntil = until
 	case Recover:
-		s.faults = faultState{straggle: 1}
+		s.faults = faultState{straggleFactor: 1}
 		s.unavailableUntil = now
 	}
 }
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -29,8 +29,8 @@
 		m.reject(r, admission == slots.Full)
 		return
 	}
-	m.nextID++
-	item.ID = m.nextID
+	m.lastRequestID++
+	item.ID = m.lastRequestID
 	n.waiting[item.ID] = r
 	n.queue.Add(item)
 	m.startWaiting(n)
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -46,9 +46,9 @@
 
 // workload describes the load on a mesh and the disturbances of its upstreams.
 type workload struct {
-	rate  float64 // requests a second over all entries
-	slots int     // slots of each upstream
-	noise float64 // share of time that an upstream has a noisy neighbour
+	rate       float64 // requests a second over all entries
+	slots      int     // slots of each upstream
+	noiseShare float64 // share of time that an upstream has a noisy neighbour
 	// restartedUpstreams is the number of upstreams that restart after five seconds.
 	restartedUpstreams int
 	hideSlowdown       bool // guards and entries cannot measure how slow upstreams are
@@ -79,19 +79,19 @@
 
 // meshNode is a daemon, with an entry and a guard, and its upstream.
 type meshNode struct {
-	key         string
-	zone        model.AvailabilityZone
-	speeds      []float64 // by tick: 1 is the usual speed, at 0 the upstream is down
-	placer      *placement.Placer
-	queue       *slots.Queue
-	slowdown    float64       // last measured by the guard
-	slowdownAt  model.Instant // time of that measurement
-	slots       int
-	coldUntil   model.Instant
-	down        bool
-	outstanding map[*meshNode]int       // requests in flight from this entry to each node
-	running     []*meshRequest          // in the upstream, including its own queue
-	waiting     map[uint64]*meshRequest // in the guard's queue, by ID
+	key                string
+	zone               model.AvailabilityZone
+	speeds             []float64 // by tick: 1 is the usual speed, at 0 the upstream is down
+	placer             *placement.Placer
+	queue              *slots.Queue
+	slowdown           float64       // last measured by the guard
+	slowdownMeasuredAt model.Instant // time of that measurement
+	slots              int
+	coldUntil          model.Instant
+	down               bool
+	outstanding        map[*meshNode]int       // requests in flight from this entry to each node
+	running            []*meshRequest          // in the upstream, including its own queue
+	waiting            map[uint64]*meshRequest // in the guard's queue, by ID
 }
 
 // meshRequest is a request on its way through the mesh.
@@ -108,20 +108,20 @@
 
 type mesh struct {
 	workload
-	policy      routingPolicy
-	rng         *rand.Rand
-	kinds       []requestKind
-	now         model.Instant
-	tick        int // ticks since the start
-	lengthTicks int // ticks in which requests arrive
-	nodes       []*meshNode
-	scheduled   map[int][]func() // functions to call, by tick
-	nextID      uint64
-	sent        int // requests, without retries of callers
-	inTime      int // served within their target
-	late        int // served after their target
-	refused     int // not served
-	resets      int // connections reset by upstreams
+	policy        routingPolicy
+	rng           *rand.Rand
+	kinds         []requestKind
+	now           model.Instant
+	tick          int // ticks since the start
+	lengthTicks   int // ticks in which requests arrive
+	nodes         []*meshNode
+	scheduled     map[int][]func() // functions to call, by tick
+	lastRequestID uint64
+	sent          int // requests, without retries of callers
+	inTime        int // served within their target
+	late          int // served after their target
+	refused       int // not served
+	resets        int // connections reset by upstreams
 }
 
 func newMesh(w workload, policy routingPolicy, seed uint64) *mesh {
@@ -129,16 +129,16 @@
 		workload: w, policy: policy, rng: rand.New(rand.NewPCG(seed, 0)), scheduled: map[int][]func(){},
 		kinds: defaultKinds(), lengthTicks: meshLengthTicks,
 	}
-	noise := rand.New(rand.NewPCG(seed, 1))
+	noiseRNG := rand.New(rand.NewPCG(seed, 1))
 	if w.recorded != nil {
 		m.kinds, m.lengthTicks = w.recorded.kinds(), w.recorded.ticks()
 		for _, u := range w.recorded.Upstreams {
-			m.addNode(u.Zone, u.applyDowntime(drawSpeeds(noise, w.noise, m.lengthTicks)))
+			m.addNode(u.Zone, u.applyDowntime(drawSpeeds(noiseRNG, w.noiseShare, m.lengthTicks)))
 		}
 	} else {
 		for z := range meshZones {
 			for range cmp.Or(w.zoneSize, upstreamsPerZone) {
-				m.addNode(model.AvailabilityZone(rune('a'+z)), drawSpeeds(noise, w.noise, m.lengthTicks))
+				m.addNode(model.AvailabilityZone(rune('a'+z)), drawSpeeds(noiseRNG, w.noiseShare, m.lengthTicks))
 			}
 		}
 	}
@@ -191,13 +191,13 @@
 	return out
 }
 
-// play simulates the workload and returns the share of requests that were served
+// simulate simulates the workload and returns the share of requests that were served
 // within their target.
-func (m *mesh) play() float64 {
-	const restartAt = 5000
+func (m *mesh) simulate() float64 {
+	const restartTick = 5000
 	for m.tick = 0; m.tick < m.lengthTicks+int(meshDeadline/tickLength); m.tick++ {
 		m.now = model.Instant(0).Add(time.Duration(m.tick) * tickLength)
-		if m.tick == restartAt {
+		if m.tick == restartTick {
 			m.restart()
 		}
 		for _, f := range m.scheduled[m.tick] {
@@ -387,12 +387,12 @@
 // load returns the load that a guard reports, and updates the slowdown if it is too old.
 func (m *mesh) load(n *meshNode) placement.Load {
 	if m.hideSlowdown {
-		n.slowdownAt = m.now
-	} else if m.now.Sub(n.slowdownAt) >= placement.MaxSlowdownAge {
-		n.slowdown, n.slowdownAt = 1/n.speeds[m.tick], m.now
+		n.slowdownMeasuredAt = m.now
+	} else if m.now.Sub(n.slowdownMeasuredAt) >= placement.MaxSlowdownAge {
+		n.slowdown, n.slowdownMeasuredAt = 1/n.speeds[m.tick], m.now
 	}
 	return placement.Load{
 		Running: n.queue.Running(), Waiting: n.queue.Waiting(), Limit: n.queue.Limit(),
-		Slowdown: n.slowdown, SlowdownAge: m.now.Sub(n.slowdownAt),
+		Slowdown: n.slowdown, SlowdownAge: m.now.Sub(n.slowdownMeasuredAt),
 	}
 }
--- a/replay/noisy_upstreams_test.go
+++ b/replay/noisy_upstreams_test.go
@@ -63,13 +63,13 @@
 		// minShare is slightly below the share that the production policy reaches.
 		minShare float64
 	}{
-		"normal load":                       {workload{rate: 80, slots: 6, noise: 0.25}, 0.97},
-		"heavy load":                        {workload{rate: 125, slots: 6, noise: 0.25}, 0.965},
-		"overload":                          {workload{rate: 250, slots: 6, noise: 0.25}, 0.79},
-		"heavy noise":                       {workload{rate: 80, slots: 6, noise: 0.5}, 0.91},
-		"a third of the upstreams restarts": {workload{rate: 100, slots: 6, noise: 0.25, restartedUpstreams: 4}, 0.955},
-		"two slots":                         {workload{rate: 25, slots: 2, noise: 0.25}, 0.93},
-		"slowdown not reported":             {workload{rate: 80, slots: 6, noise: 0.25, hideSlowdown: true}, 0.945},
+		"normal load":                       {workload{rate: 80, slots: 6, noiseShare: 0.25}, 0.97},
+		"heavy load":                        {workload{rate: 125, slots: 6, noiseShare: 0.25}, 0.965},
+		"overload":                          {workload{rate: 250, slots: 6, noiseShare: 0.25}, 0.79},
+		"heavy noise":                       {workload{rate: 80, slots: 6, noiseShare: 0.5}, 0.91},
+		"a third of the upstreams restarts": {workload{rate: 100, slots: 6, noiseShare: 0.25, restartedUpstreams: 4}, 0.955},
+		"two slots":                         {workload{rate: 25, slots: 2, noiseShare: 0.25}, 0.93},
+		"slowdown not reported":             {workload{rate: 80, slots: 6, noiseShare: 0.25, hideSlowdown: true}, 0.945},
 		"many slots, no noise":              {workload{rate: 400, slots: 20}, 0.999},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -78,9 +78,9 @@
 			const seeds, tolerance = 3, 0.002
 			var production, random, leastOutstanding, central float64
 			for seed := range uint64(seeds) {
-				production += newMesh(c.workload, usePlacement, seed).play() / seeds
-				random += newMesh(c.workload, useRandom, seed).play() / seeds
-				leastOutstanding += newMesh(c.workload, useLeastOutstanding, seed).play() / seeds
+				production += newMesh(c.workload, usePlacement, seed).simulate() / seeds
+				random += newMesh(c.workload, useRandom, seed).simulate() / seeds
+				leastOutstanding += newMesh(c.workload, useLeastOutstanding, seed).simulate() / seeds
 				central += centralQueueShare(c.workload, seed) / seeds
 			}
 			t.Logf("share within target: %.3f; random %.3f, least outstanding %.3f, central queue %.3f", production, random, leastOutstanding, central)
@@ -104,14 +104,14 @@
 		// reset without guards.
 		minResetsWithoutGuards float64
 	}{
-		"load equal to capacity":      {workload{rate: 250, slots: 6, noise: 0.25, upstreamQueue: 12}, 0.15},
-		"load 1.5 times the capacity": {workload{rate: 375, slots: 6, noise: 0.25, upstreamQueue: 12}, 0.4},
-		"load twice the capacity":     {workload{rate: 500, slots: 6, noise: 0.25, upstreamQueue: 12}, 0.55},
-		"short upstream queue":        {workload{rate: 375, slots: 6, noise: 0.25, upstreamQueue: 2}, 0.4},
+		"load equal to capacity":      {workload{rate: 250, slots: 6, noiseShare: 0.25, upstreamQueue: 12}, 0.15},
+		"load 1.5 times the capacity": {workload{rate: 375, slots: 6, noiseShare: 0.25, upstreamQueue: 12}, 0.4},
+		"load twice the capacity":     {workload{rate: 500, slots: 6, noiseShare: 0.25, upstreamQueue: 12}, 0.55},
+		"short upstream queue":        {workload{rate: 375, slots: 6, noiseShare: 0.25, upstreamQueue: 2}, 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withGuards, withoutGuards := newMesh(c.workload, usePlacement, 1), newMesh(c.workload, useLeastOutstandingWithoutGuards, 1)
-			shareWith, shareWithout := withGuards.play(), withoutGuards.play()
+			shareWith, shareWithout := withGuards.simulate(), withoutGuards.simulate()
 			resets := float64(withoutGuards.resets) / float64(withoutGuards.sent)
 			t.Logf("share within target: %.3f; without guards %.3f, and %.3f reset", shareWith, shareWithout, resets)
 			require.Zero(t, withGuards.resets)
--- a/replay/recorded_test.go
+++ b/replay/recorded_test.go
@@ -133,9 +133,9 @@
 			var inTime, inTimeCentral, total float64
 			for i := range day.Services {
 				s := &day.Services[i]
-				w := workload{slots: s.Slots, noise: s.Noise, recorded: s}
+				w := workload{slots: s.Slots, noiseShare: s.Noise, recorded: s}
 				m := newMesh(w, usePlacement, 1)
-				share := m.play()
+				share := m.simulate()
 				sent := float64(m.sent)
 				inTime, inTimeCentral, total = inTime+share*sent, inTimeCentral+centralQueueShare(w, 1)*sent, total+sent
 			}
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// newRequest returns a request for the service of singleZoneTopology.
-func newRequest(atUs, costUs int64) Event {
+// newRequestEvent returns a request for the service of singleZoneTopology.
+func newRequestEvent(atUs, costUs int64) Event {
 	return Event{AtUs: atUs, Service: "s", Group: "g", CostUs: costUs, Idempotent: true, DeadlineMs: 1000, Zone: "a"}
 }
 
@@ -43,36 +43,36 @@
 		want     Stats
 	}{
 		"second waits for the slot": {
-			singleZoneTopology(Upstream{Slots: 1}), []Event{newRequest(0, 1000), newRequest(0, 1000)},
+			singleZoneTopology(Upstream{Slots: 1}), []Event{newRequestEvent(0, 1000), newRequestEvent(0, 1000)},
 			Stats{Answered: 2, Latency: Latency{P50: 1000, Max: 2000}, Ideal: Latency{P50: 1000, Max: 2000}},
 		},
 		"waiting past the deadline is not run": {
-			singleZoneTopology(Upstream{Slots: 1}), []Event{newRequest(0, 2_000_000), newRequest(0, 1000)},
+			singleZoneTopology(Upstream{Slots: 1}), []Event{newRequestEvent(0, 2_000_000), newRequestEvent(0, 1000)},
 			Stats{NotRun: 1, Unknown: 1, Ideal: Latency{P50: 2_000_000, Max: 2_001_000}},
 		},
 		"crash ends running requests": {
 			singleZoneTopology(Upstream{Slots: 1}),
-			[]Event{newRequest(0, 5000), {AtUs: 1000, Fault: Crash, Target: "s-1"}},
+			[]Event{newRequestEvent(0, 5000), {AtUs: 1000, Fault: Crash, Target: "s-1"}},
 			Stats{Unknown: 1, Ideal: Latency{P50: 5000, Max: 5000}},
 		},
 		"upstream fails fast": {
 			singleZoneTopology(Upstream{Slots: 1}),
-			[]Event{{Fault: FailFast, Target: "s-1", ForMs: 1}, newRequest(0, 1000)},
+			[]Event{{Fault: FailFast, Target: "s-1", ForMs: 1}, newRequestEvent(0, 1000)},
 			Stats{NotRun: 1, Ideal: Latency{P50: 2000, Max: 2000}},
 		},
 		"upstream is draining": {
 			singleZoneTopology(Upstream{Slots: 1}),
-			[]Event{{Fault: Drain, Target: "s-1", ForMs: 1}, newRequest(0, 1000)},
+			[]Event{{Fault: Drain, Target: "s-1", ForMs: 1}, newRequestEvent(0, 1000)},
 			Stats{NotRun: 1, Ideal: Latency{P50: 2000, Max: 2000}},
 		},
 		"straggler": {
 			singleZoneTopology(Upstream{Slots: 1}),
-			[]Event{{Fault: Straggle, Target: "s-1", Factor: 8}, newRequest(0, 1000)},
+			[]Event{{Fault: Straggle, Target: "s-1", Factor: 8}, newRequestEvent(0, 1000)},
 			Stats{Answered: 1, Latency: Latency{P50: 8000, Max: 8000}, Ideal: Latency{P50: 8000, Max: 8000}},
 		},
 		"paused daemon": {
 			singleZoneTopology(Upstream{Slots: 1}),
-			[]Event{newRequest(0, 1000), {AtUs: 500, Fault: PauseDaemon, Target: "s-1", ForMs: 10}},
+			[]Event{newRequestEvent(0, 1000), {AtUs: 500, Fault: PauseDaemon, Target: "s-1", ForMs: 10}},
 			Stats{Answered: 1, Latency: Latency{P50: 10_500, Max: 10_500}, Ideal: Latency{P50: 1000, Max: 1000}},
 		},
 	}
@@ -102,9 +102,9 @@
 
 func TestCrashedUpstreamRestartsAsNewIncarnation(t *testing.T) {
 	events := []Event{
-		newRequest(0, 5000),
+		newRequestEvent(0, 5000),
 		{AtUs: 1000, Fault: Crash, Target: "s-1", ForMs: 10},
-		newRequest(600_000, 1000),
+		newRequestEvent(600_000, 1000),
 	}
 	r := mustRun(t, singleZoneTopology(Upstream{Slots: 1}), events, Options{})
 	assert.EqualValues(t, 1, r.Total.Answered)
@@ -142,7 +142,7 @@
 }
 
 func TestUnknownPolicy(t *testing.T) {
-	_, err := Run(singleZoneTopology(Upstream{Slots: 1}), []Event{newRequest(0, 1)}, Options{Routing: "best"})
+	_, err := Run(singleZoneTopology(Upstream{Slots: 1}), []Event{newRequestEvent(0, 1)}, Options{Routing: "best"})
 	var unknown *routing.UnknownPolicyError
 	require.ErrorAs(t, err, &unknown)
 	assert.Equal(t, "best", unknown.Name)
--- a/replay/retry_after_test.go
+++ b/replay/retry_after_test.go
@@ -43,17 +43,17 @@
 func TestRetryAfterJitterSpreadsBursts(t *testing.T) {
 	const seeds, retries = 8, 3
 	for name, w := range map[string]workload{
-		"large burst, almost no other load": {rate: 1, slots: 6, noise: 0.25, burst: 400, callerRetries: retries},
-		"large burst, normal load":          {rate: 100, slots: 6, noise: 0.25, burst: 400, callerRetries: retries},
-		"small burst, normal load":          {rate: 100, slots: 6, noise: 0.25, burst: 200, callerRetries: retries},
+		"large burst, almost no other load": {rate: 1, slots: 6, noiseShare: 0.25, burst: 400, callerRetries: retries},
+		"large burst, normal load":          {rate: 100, slots: 6, noiseShare: 0.25, burst: 400, callerRetries: retries},
+		"small burst, normal load":          {rate: 100, slots: 6, noiseShare: 0.25, burst: 200, callerRetries: retries},
 	} {
 		t.Run(name, func(t *testing.T) {
 			unjittered := w
 			unjittered.noJitter = true
 			var withJitter, withoutJitter float64
 			for seed := range uint64(seeds) {
-				withJitter += newMesh(w, usePlacement, seed).play() / seeds
-				withoutJitter += newMesh(unjittered, usePlacement, seed).play() / seeds
+				withJitter += newMesh(w, usePlacement, seed).simulate() / seeds
+				withoutJitter += newMesh(unjittered, usePlacement, seed).simulate() / seeds
 			}
 			t.Logf("share within target: %.3f with jitter, %.3f without", withJitter, withoutJitter)
 			require.Greater(t, withJitter, withoutJitter)
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -36,7 +36,7 @@
 	logDown          bool
 	// heldAnnouncements holds the announcements that wait for the end of LogDown.
 	heldAnnouncements []func()
-	nextID            uint64
+	lastAttemptID     uint64
 	// end is the instant of the trace's last event.
 	end       model.Instant
 	collector *collector
@@ -180,7 +180,7 @@
 	}
 	entry := entries[s.nextEntry[e.Zone]%len(entries)]
 	s.nextEntry[e.Zone]++
-	req := &request{event: e, entry: entry, arrived: s.now, last: outcome.NotRunBecause(outcome.ReasonNoUpstream)}
+	req := &request{event: e, entry: entry, arrivedAt: s.now, outcomeSoFar: outcome.NotRunBecause(outcome.ReasonNoUpstream)}
 	a := &attempt{req: req}
 	s.dispatch(task{kind: taskRequestArrival, daemon: entry.index, attempt: a})
 }
--- a/replay/upstream.go
+++ b/replay/upstream.go
@@ -36,17 +36,17 @@
 // faultState holds the present faults that affect service times, failures and
 // load reports.
 type faultState struct {
-	// straggle is the factor of Straggle on service times, 1 without the fault.
-	straggle float64
-	// cold is the factor of ColdStart at coldFrom. It decreases linearly to 1 at
+	// straggleFactor is the factor of Straggle on service times, 1 without the fault.
+	straggleFactor float64
+	// coldFactor is the factor of ColdStart at coldFrom. It decreases linearly to 1 at
 	// coldUntil.
-	cold      float64
-	coldFrom  model.Instant
-	coldUntil model.Instant
-	failFast  bool
-	// misreport is the factor of Misreport on reported loads, 1 without the
+	coldFactor float64
+	coldFrom   model.Instant
+	coldUntil  model.Instant
+	failFast   bool
+	// reportedLoadFactor is the factor of Misreport on reported loads, 1 without the
 	// fault.
-	misreport float64
+	reportedLoadFactor float64
 }
 
 // failureTime is the time that a crashed upstream or one under FailFast takes to
@@ -58,7 +58,7 @@
 	if realSlots == 0 {
 		realSlots = u.Slots
 	}
-	return fakeUpstream{spec: spec, realSlots: realSlots, faults: faultState{straggle: 1, misreport: 1}}
+	return fakeUpstream{spec: spec, realSlots: realSlots, faults: faultState{straggleFactor: 1, reportedLoadFactor: 1}}
 }
 
 // run starts an attempt. It returns the duration and the outcome of the
@@ -113,7 +113,7 @@
 		}
 		running = sample.running
 	}
-	return int(math.Round(float64(running) * f.faults.misreport))
+	return int(math.Round(float64(running) * f.faults.reportedLoadFactor))
 }
 
 // openConnection opens a connection if none is idle and the limit allows it. It
@@ -128,10 +128,10 @@
 
 // slowdown returns the factor by which the faults multiply service times.
 func (s *faultState) slowdown(now model.Instant) float64 {
-	factor := s.straggle
+	factor := s.straggleFactor
 	if now < s.coldUntil {
 		remaining := float64(s.coldUntil.Sub(now)) / float64(s.coldUntil.Sub(s.coldFrom))
-		factor *= 1 + (s.cold-1)*remaining
+		factor *= 1 + (s.coldFactor-1)*remaining
 	}
 	return factor
 }
--- a/replay/zone_size_test.go
+++ b/replay/zone_size_test.go
@@ -14,8 +14,8 @@
 	for name, ratePerUpstream := range map[string]float64{"normal load": 7, "heavy load": 14} {
 		t.Run(name, func(t *testing.T) {
 			play := func(perZone int) float64 {
-				w := workload{rate: ratePerUpstream * float64(meshZones*perZone), slots: 6, noise: 0.25, zoneSize: perZone}
-				return newMesh(w, usePlacement, 1).play()
+				w := workload{rate: ratePerUpstream * float64(meshZones*perZone), slots: 6, noiseShare: 0.25, zoneSize: perZone}
+				return newMesh(w, usePlacement, 1).simulate()
 			}
 			small, large := play(few), play(many)
 			t.Logf("share within target: %.3f with %d upstreams in a zone, %.3f with %d", small, few, large, many)
--- a/report/draw.go
+++ b/report/draw.go
@@ -36,7 +36,7 @@
 		if err := w.save(p, err, "percentiles", k.String()); err != nil {
 			return nil, err
 		}
-		p, err = latencyPlot(results, k)
+		p, err = p99OverTimePlot(results, k)
 		if err := w.save(p, err, "latency", k.String()); err != nil {
 			return nil, err
 		}
--- a/report/plots.go
+++ b/report/plots.go
@@ -98,9 +98,9 @@
 
 func milliseconds(us int64) float64 { return float64(us) / 1000 }
 
-// latencyPlot draws the p99 of a group over time, one line for each result. It
+// p99OverTimePlot draws the p99 of a group over time, one line for each result. It
 // returns nil if no result has a series.
-func latencyPlot(results []Result, k groupKey) (*plot.Plot, error) {
+func p99OverTimePlot(results []Result, k groupKey) (*plot.Plot, error) {
 	p := newPlot(k.String()+": p99 of the requests due in each second", "s", "ms")
 	drawn := 0
 	for _, r := range results {
@@ -108,7 +108,7 @@
 		var points plotter.XYs
 		for _, point := range stats.Series {
 			if point.P99 > 0 {
-				points = append(points, plotter.XY{X: seconds(point), Y: milliseconds(point.P99)})
+				points = append(points, plotter.XY{X: startSeconds(point), Y: milliseconds(point.P99)})
 			}
 		}
 		if len(points) == 0 {
@@ -126,7 +126,7 @@
 	return p, nil
 }
 
-func seconds(p load.Point) float64 { return float64(p.AtMs) / 1000 }
+func startSeconds(p load.Point) float64 { return float64(p.AtMs) / 1000 }
 
 // sharePlot draws each group's share of a service's slot time over time. It returns
 // nil if the result has no series for the service.
@@ -142,7 +142,7 @@
 		var points plotter.XYs
 		for _, point := range stats.Series {
 			if total := totals[point.AtMs]; total > 0 {
-				points = append(points, plotter.XY{X: seconds(point), Y: 100 * float64(point.SlotTimeUs) / float64(total)})
+				points = append(points, plotter.XY{X: startSeconds(point), Y: 100 * float64(point.SlotTimeUs) / float64(total)})
 			}
 		}
 		if len(points) == 0 {
