--- a/bench/control.go
+++ b/bench/control.go
@@ -11,14 +11,14 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// daemonSizes are the numbers of daemons to measure. One process must be able to
-// run that many.
+// daemonSizes are the numbers of daemons with which idleCPU is measured. They are small
+// enough for one process to run that many daemons.
 var daemonSizes = []int{32, 48, 64, 96}
 
-// settleTime is the time between the start of a deployment and the measurement, and
-// measuringTime the duration of the measurement.
 const (
-	settleTime    = 2 * time.Second
+	// settleTime is the time between the start of a deployment and the measurement.
+	settleTime = 2 * time.Second
+	// measuringTime is the duration of the measurement.
 	measuringTime = 5 * time.Second
 )
 
@@ -29,8 +29,8 @@
 	}
 }
 
-// idleCPU runs n daemons without load and returns the CPU time that each uses per
-// second, in microseconds. This includes the time of the stand-in upstreams.
+// idleCPU runs n daemons without load. It returns the mean CPU time that one daemon uses
+// per second, in microseconds. The CPU time of the stand-in upstreams is included.
 func idleCPU(ctx context.Context, n int) (float64, error) {
 	d, err := startDaemons(ctx, n)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return used.Seconds() / time.Since(start).Seconds() / float64(n) * 1e6, nil
 }
 
-// startDaemons starts n daemons in five zones. Each has one upstream, and eight
+// startDaemons starts n daemons in five zones. Each daemon has one upstream, and eight
 // upstreams form a service.
 func startDaemons(ctx context.Context, n int) (*local.Deployment, error) {
 	const upstreamsPerService = 8
@@ -67,7 +67,7 @@
 	return local.Start(ctx, opts)
 }
 
-// sleep waits for d, or returns the context's error when that ends first.
+// sleep waits for d. It returns the context's error if the context ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/bench/forward.go
+++ b/bench/forward.go
@@ -21,8 +21,8 @@
 
 // ForwardOptions configure Forward.
 type ForwardOptions struct {
-	// Rate is the number of requests a second on each of the two paths.
-	// Default: 1000.
+	// Rate is the number of requests a second on each of the two paths, direct and
+	// forwarded. Default: 1000.
 	Rate int
 	// Duration is the time during which requests are sent. Default: 5s.
 	Duration time.Duration
@@ -31,11 +31,16 @@
 }
 
 // ForwardResult compares requests sent directly to an upstream with requests
-// forwarded by two daemons: the entry of one and the guard of the other.
+// forwarded by two daemons. The entry of the first daemon accepts a forwarded request.
+// The guard of the second daemon passes it to the upstream.
 type ForwardResult struct {
-	Calls     int64               `json:"calls"`
-	Failed    int64               `json:"failed"`
-	Direct    latency.Percentiles `json:"direct"`
+	// Calls counts the answered requests of both paths.
+	Calls int64 `json:"calls"`
+	// Failed counts the other requests of both paths.
+	Failed int64 `json:"failed"`
+	// Direct is the latency of the direct path.
+	Direct latency.Percentiles `json:"direct"`
+	// Forwarded is the latency of the forwarded path.
 	Forwarded latency.Percentiles `json:"forwarded"`
 	// Added is Forwarded minus Direct for each percentile. Added.Max is not set.
 	Added latency.Percentiles `json:"added"`
@@ -46,18 +51,20 @@
 	defaultDuration = 5 * time.Second
 	defaultCost     = time.Millisecond
 	upstreamSlots   = 64
-	warmUpTime      = 500 * time.Millisecond
+	// warmUpTime is the time for which requests are sent before the measurement.
+	warmUpTime = 500 * time.Millisecond
 )
 
-// calledService and callingService are the services of the measurement. Forwarded
-// requests for calledService are sent to the daemon of callingService's upstream.
 const (
-	calledService  model.ServiceName = "near"
+	// calledService is the service that all requests are for.
+	calledService model.ServiceName = "near"
+	// callingService is a second service, on another daemon. Forwarded requests are
+	// sent to this daemon, whose entry forwards them to the daemon of calledService.
 	callingService model.ServiceName = "far"
 )
 
 // Forward measures the latency of both paths, direct and forwarded, at the same
-// time.
+// time. It returns an error if the daemons do not start or the context ends early.
 func Forward(ctx context.Context, opts ForwardOptions) (ForwardResult, error) {
 	opts = opts.withDefaults()
 	defer debug.SetGCPercent(debug.SetGCPercent(settings.Defaults().Process.GCPercent))
@@ -129,9 +136,9 @@
 	return r
 }
 
-// loadClient sends requests to one address at a constant rate, whether or not
-// earlier ones have completed (open loop), and records the time from sending each
-// to its response.
+// loadClient sends requests to one address at a constant rate. It is an open-loop
+// client: it does not wait for earlier requests to complete. It records the time from
+// sending each request to the end of its response.
 type loadClient struct {
 	url    string
 	cost   string
--- a/bench/forward_test.go
+++ b/bench/forward_test.go
@@ -41,7 +41,7 @@
 	b.ReportMetric(float64((processCPU()-before).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-// BenchmarkDirect sends the same requests to the upstream directly.
+// BenchmarkDirect sends requests directly to an upstream, one at a time.
 func BenchmarkDirect(b *testing.B) {
 	d, err := startTwoDaemons(b.Context())
 	require.NoError(b, err)
--- a/bench/slope.go
+++ b/bench/slope.go
@@ -13,13 +13,15 @@
 
 // Slope is a straight line fitted to measured points by least squares.
 type Slope struct {
-	// Name says what was measured. Unit is the unit of the values, for example
-	// bytes, and Per the unit of size, for example upstream.
+	// Name says what was measured.
 	Name string `json:"name"`
+	// Unit is the unit of the values, for example bytes.
 	Unit string `json:"unit"`
-	Per  string `json:"per"`
-	// Slope is the increase per unit of size, Intercept the value at size 0.
-	Slope     float64 `json:"slope"`
+	// Per is the unit of the sizes, for example upstream.
+	Per string `json:"per"`
+	// Slope is the increase of the value per unit of size.
+	Slope float64 `json:"slope"`
+	// Intercept is the line's value at size 0.
 	Intercept float64 `json:"intercept"`
 	// FitError is the largest difference between a point and the line, divided by
 	// the largest value.
@@ -30,16 +32,16 @@
 // At returns the line's value at a size.
 func (s Slope) At(size float64) float64 { return s.Intercept + s.Slope*size }
 
-// measurement measures a cost at several sizes. Its fields name, unit and per are
-// those of Slope.
+// measurement measures a value at several sizes. Its fields name, unit and per have the
+// same meaning as those of Slope.
 type measurement struct {
 	name, unit, per string
 	sizes           []int
-	// run returns the cost at one size.
+	// run returns the value at one size.
 	run func(ctx context.Context, size int) (float64, error)
 }
 
-// fitSlope measures the cost at all sizes and fits a line.
+// fitSlope measures the value at all sizes and fits a line to them.
 func (m measurement) fitSlope(ctx context.Context) (Slope, error) {
 	s := Slope{Name: m.name, Unit: m.unit, Per: m.per}
 	for _, n := range m.sizes {
--- a/bench/state.go
+++ b/bench/state.go
@@ -15,8 +15,8 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// Sizes of the measurements. All are below the sizes that docs/CAPACITY.md gives
-// values for, so that its values are extrapolated from the slopes.
+// Sizes of the measurements. docs/CAPACITY.md gives values for larger sizes, which it
+// extrapolates from the slopes.
 var (
 	upstreamSizes = []int{100, 200, 400, 800}
 	documentSizes = []int{100, 200, 400, 800}
@@ -64,6 +64,7 @@
 	return shortest
 }
 
+// upstream returns the i-th upstream of a deployment with 77 services in five zones.
 func upstream(i int) model.Upstream {
 	return model.Upstream{
 		ID:          model.UpstreamID(fmt.Sprintf("service-%d-%d", i%77, i)),
@@ -83,6 +84,7 @@
 	return ups
 }
 
+// directoryBytes returns the memory that a directory of n upstreams uses.
 func directoryBytes(_ context.Context, n int) (float64, error) {
 	return heapBytes(func() any {
 		d := member.NewDirectory()
@@ -93,6 +95,7 @@
 	}), nil
 }
 
+// newRouter returns a router with n upstreams.
 func newRouter(n int) (*routing.Router, error) {
 	r, err := routing.New(routing.Options{Zone: "zone-0", Seed: 1})
 	if err != nil {
@@ -102,6 +105,7 @@
 	return r, nil
 }
 
+// routerBytes returns the memory that a router with n upstreams uses.
 func routerBytes(_ context.Context, n int) (float64, error) {
 	var err error
 	bytes := heapBytes(func() any {
@@ -112,6 +116,8 @@
 	return bytes, err
 }
 
+// decisionTime returns the time in nanoseconds that a router with n upstreams takes to
+// pick an upstream and to process the reply.
 func decisionTime(_ context.Context, n int) (float64, error) {
 	const calls = 20000
 	r, err := newRouter(n)
@@ -140,6 +146,8 @@
 	return docs
 }
 
+// document returns the i-th of these documents. Ten consecutive documents belong to the
+// same team.
 func document(i int) policy.Document {
 	const documentsPerTeam = 10
 	labels := model.Labels{"team": fmt.Sprintf("team-%d", i/documentsPerTeam), "role": fmt.Sprintf("role-%d", i%documentsPerTeam)}
@@ -156,6 +164,8 @@
 	}
 }
 
+// configurationBytes returns the memory that a compiled configuration of n documents
+// uses.
 func configurationBytes(_ context.Context, n int) (float64, error) {
 	var problems []policy.Problem
 	bytes := heapBytes(func() any {
@@ -166,6 +176,7 @@
 	return bytes, firstProblem(problems)
 }
 
+// compileTime returns the time in microseconds that it takes to compile n documents.
 func compileTime(_ context.Context, n int) (float64, error) {
 	docs := documents(n)
 	var problems []policy.Problem
@@ -173,6 +184,7 @@
 	return float64(took.Nanoseconds()) / 1e3, firstProblem(problems)
 }
 
+// firstProblem returns the first problem as an error, or nil if there is none.
 func firstProblem(problems []policy.Problem) error {
 	if len(problems) == 0 {
 		return nil
@@ -180,6 +192,8 @@
 	return problems[0]
 }
 
+// applyTime returns the time in microseconds that it takes to apply n configuration
+// changes to a new state machine.
 func applyTime(_ context.Context, n int) (float64, error) {
 	raw, err := json.Marshal(document(0))
 	if err != nil {
@@ -210,6 +224,7 @@
 	return float64(took.Nanoseconds()) / 1e3, nil
 }
 
+// eventBytes returns the encoded size of n membership events.
 func eventBytes(_ context.Context, n int) (float64, error) {
 	var r member.Records
 	for _, u := range upstreams(n) {
--- a/load/collector.go
+++ b/load/collector.go
@@ -25,9 +25,10 @@
 	reply   Reply
 	// due is the time from the start of the run until the request was due.
 	due time.Duration
-	// sendLag is the time from when the request was due until it was sent,
-	// latency the time from when it was due until its response was complete.
+	// sendLag is the time from when the request was due until it was sent.
 	sendLag time.Duration
+	// latency is the time from when the request was due until its response was
+	// complete.
 	latency time.Duration
 }
 
@@ -43,17 +44,17 @@
 	total        *groupCollector
 	groups       map[groupKey]*groupCollector
 	sendLag      *latency.Histogram
-	held         int64
+	held         int64    // requests that waited because of Plan.MaxInFlight
 	wrongAnswers []string // descriptions of the first wrong responses
-	wrongCount   int64
+	wrongCount   int64    // all wrong responses
 }
 
 // groupCollector accumulates the samples of one group.
 type groupCollector struct {
 	stats    Stats
 	latency  *latency.Histogram
-	slotTime time.Duration
-	points   []*pointCollector
+	slotTime time.Duration     // sum of the costs of the answered requests
+	points   []*pointCollector // one for each pointInterval since the start of the run
 }
 
 // pointCollector accumulates the samples of the requests due in one interval.
@@ -76,7 +77,7 @@
 	return c
 }
 
-// countHeld counts a request that waits because of the plan's max_in_flight.
+// countHeld counts a request that must wait because max_in_flight is reached.
 func (c *collector) countHeld() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +125,8 @@
 	}
 }
 
-// pointAt returns the collector of the interval that contains a due time.
+// pointAt returns the collector of the interval that contains a due time. It creates
+// the collectors up to that interval if needed.
 func (g *groupCollector) pointAt(due time.Duration) *pointCollector {
 	index := int(due / pointInterval)
 	for len(g.points) <= index {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -21,6 +21,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
+// testPlan returns a plan with one target and one source of the given rate.
 func testPlan(rate float64, d time.Duration) Plan {
 	return Plan{
 		Targets:  []Target{{Address: "127.0.0.1:1", Zone: "odense-hal-a"}},
@@ -49,9 +50,9 @@
 				require.NoError(t, p.Check())
 				start := time.Now()
 				res, err := Run(t.Context(), p, Options{Sender: senderFunc(func(context.Context, *Request) Reply {
-					const from, to = 4 * time.Second, 5 * time.Second
-					if at := time.Since(start); at >= from && at < to {
-						time.Sleep(to - at)
+					const stallStart, stallEnd = 4 * time.Second, 5 * time.Second
+					if elapsed := time.Since(start); elapsed >= stallStart && elapsed < stallEnd {
+						time.Sleep(stallEnd - elapsed)
 					}
 					time.Sleep(time.Millisecond)
 					return Reply{Kind: outcome.Answered}
@@ -195,12 +196,12 @@
 	require.NoError(t, err)
 	defer s.Close()
 	send := func(path, name string) Reply {
-		no := false
+		idempotent := false
 		return s.Send(t.Context(), &Request{
 			Name: name, Key: "a-key", Target: Target{Address: daemon.Listener.Addr().String()},
 			Source: &Source{
 				Service: "returdesk", Method: http.MethodPost, Path: path, BodyBytes: 5, Verify: true, Token: "secret",
-				Idempotent: &no, Cost: policy.Duration(time.Millisecond), Deadline: policy.Duration(time.Second),
+				Idempotent: &idempotent, Cost: policy.Duration(time.Millisecond), Deadline: policy.Duration(time.Second),
 			},
 		})
 	}
@@ -215,18 +216,18 @@
 	require.Equal(t, Reply{Kind: outcome.NotRun, Reason: "queue-full"}, send("/full", "0-7"))
 	require.Equal(t, Reply{Kind: outcome.Unknown, Reason: reasonNoOutcome}, send("/silent", "0-7"))
 	daemon.Close()
-	s.Close() // a request on a kept-alive connection would fail with outcome unknown instead
+	s.Close() // otherwise the request would use an open connection and have outcome unknown
 	require.Equal(t, Reply{Kind: outcome.NotRun, Reason: "connect-failed"}, send("/", "0-7"))
 }
 
-// TestResultFieldsMatchReplay checks that load results have no required JSON field
-// that replay results lack, because package report reads both.
+// TestResultFieldsMatchReplay checks that every required JSON field of load results
+// also exists in replay results. Package report reads both with the same type.
 func TestResultFieldsMatchReplay(t *testing.T) {
 	var loadFields, replayFields map[string]any
-	for to, v := range map[*map[string]any]any{&loadFields: Stats{}, &replayFields: replay.Stats{}} {
+	for fields, v := range map[*map[string]any]any{&loadFields: Stats{}, &replayFields: replay.Stats{}} {
 		data, err := json.Marshal(v)
 		require.NoError(t, err)
-		require.NoError(t, json.Unmarshal(data, to))
+		require.NoError(t, json.Unmarshal(data, fields))
 	}
 	for name := range loadFields {
 		require.Contains(t, replayFields, name)
--- a/load/plan.go
+++ b/load/plan.go
@@ -18,16 +18,19 @@
 type Plan struct {
 	// Targets are the daemons that receive the requests, in turn.
 	Targets []Target `json:"targets"`
-	// Duration is the time during which requests are due.
+	// Duration is the length of the period in which requests are due. The run ends
+	// when the last of them has completed.
 	Duration policy.Duration `json:"duration"`
 	// Seed seeds the random times at which requests are due.
 	Seed uint64 `json:"seed"`
 	// MaxInFlight is the maximum number of requests in flight. Further requests
-	// wait until one completes. Default: 4096.
-	MaxInFlight int      `json:"max_in_flight"`
-	Sources     []Source `json:"sources"`
-	// TLS enables TLS if it names a certificate authority. The certificate, if
-	// there is one, authenticates the caller.
+	// wait until another request completes. Default: 4096.
+	MaxInFlight int `json:"max_in_flight"`
+	// Sources are the streams of requests, which run at the same time.
+	Sources []Source `json:"sources"`
+	// TLS names the certificate files for connections to the targets. Connections
+	// use TLS if a certificate authority is set, and plaintext otherwise. The
+	// certificate is optional and authenticates the caller.
 	TLS settings.TLS `json:"tls"`
 }
 
@@ -42,33 +45,38 @@
 
 // Source is a stream of requests of one kind with Poisson arrivals.
 type Source struct {
+	// Service is the service that the requests are for.
 	Service model.ServiceName `json:"service"`
-	// Group and Caller identify the source in results and recorded traces. They
-	// are not sent: daemons derive the group from the token.
-	Group  model.GroupName  `json:"group"`
+	// Group is the group of callers to which results and recorded traces assign
+	// the requests. It is not sent: daemons derive the group from the token.
+	Group model.GroupName `json:"group"`
+	// Caller is the name of the caller in recorded traces. It is not sent.
 	Caller model.CallerName `json:"caller"`
 	// Token is the bearer token to send, if any.
 	Token string `json:"token"`
-	// Method defaults to GET, Path to "/".
+	// Method is the HTTP method of the requests. Default: GET.
 	Method string `json:"method"`
-	Path   string `json:"path"`
+	// Path is the URL path of the requests. Default: "/".
+	Path string `json:"path"`
 	// Rate is the mean number of requests a second.
 	Rate float64 `json:"rate"`
-	// BodyBytes is the size of the request's body.
+	// BodyBytes is the size of each request's body in bytes.
 	BodyBytes int `json:"body_bytes"`
-	// Cost is the service time of one request. It is sent in a header that
-	// stand-in upstreams obey. Zero means unknown.
+	// Cost is the time that an upstream needs to execute one request. It is sent
+	// in a header, from which stand-in upstreams (test servers, package standin)
+	// take it. Zero means that the cost is unknown.
 	Cost policy.Duration `json:"cost"`
-	// Deadline is sent to the daemon. If it is zero, the default of the service
-	// applies.
+	// Deadline is the time allowed for a request. It is sent to the daemon. If it
+	// is zero, the default of the service applies.
 	Deadline policy.Duration `json:"deadline"`
-	// Idempotent is sent to the daemon and says whether a request may be executed
-	// more than once. If it is not set, the configuration of the service decides.
+	// Idempotent says whether a request may be executed more than once. It is sent
+	// to the daemon. If it is nil, the configuration of the service decides.
 	Idempotent *bool `json:"idempotent"`
 	// Keyed adds a new idempotency key to every request.
 	Keyed bool `json:"keyed"`
-	// Verify checks that each response is the complete response of a stand-in
-	// upstream to this request. It works with stand-in upstreams only.
+	// Verify enables a check of every response: it must be complete and belong to
+	// the request that was sent. The check works only with stand-in upstreams,
+	// because their responses repeat the request.
 	Verify bool `json:"verify"`
 }
 
@@ -125,6 +133,8 @@
 	return nil
 }
 
+// check fills in defaults and returns an error for the first invalid field. The
+// path is the position of the source in the plan, for example sources[0].
 func (s *Source) check(path string) error {
 	if s.Method == "" {
 		s.Method = http.MethodGet
@@ -149,8 +159,8 @@
 	return nil
 }
 
-// isIdempotent reports whether the requests are idempotent: as Idempotent says or, if
-// that is nil, by their method.
+// isIdempotent reports whether the requests are idempotent. If Idempotent is nil, the
+// method decides: requests are idempotent unless they are POST or PATCH.
 func (s *Source) isIdempotent() bool {
 	if s.Idempotent != nil {
 		return *s.Idempotent
@@ -158,7 +168,8 @@
 	return s.Method != http.MethodPost && s.Method != http.MethodPatch
 }
 
-// fieldError returns an error about the field at a path of the plan.
+// fieldError returns an error for an invalid field of the plan. The path names the
+// field, for example sources[0].rate.
 func fieldError(path, value, message string) error {
 	return &strictjson.FieldError{Path: path, Value: value, Message: message}
 }
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -19,8 +19,10 @@
 	events []replay.Event
 }
 
-// add records a request. If the plan does not state its cost, the recorded cost is
-// the time until its response, which includes time spent waiting.
+// add records a request. due is the time from the start of the run until the request
+// was due. took is the time from sending the request until its response was complete.
+// If the plan does not state the cost, took is recorded as the cost, although it
+// includes time spent waiting.
 func (r *Recorder) add(req *Request, due, took time.Duration) {
 	cost := time.Duration(req.Cost)
 	if cost == 0 {
@@ -42,7 +44,7 @@
 	r.events = append(r.events, e)
 }
 
-// Write writes the trace as JSON lines in order of time.
+// Write writes the trace as JSON lines, in the order in which the requests were due.
 func (r *Recorder) Write(w io.Writer) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/load/result.go
+++ b/load/result.go
@@ -29,8 +29,9 @@
 	// Latency covers answered requests only. It is measured from the time at
 	// which they were due.
 	Latency
-	// SlotTimeShare is the group's share of the slot time of its service,
-	// computed from the costs that the plan states.
+	// SlotTimeShare is the group's share of the slot time of its service. Slot
+	// time is the time for which requests occupy slots of upstreams. It is computed
+	// from the costs that the plan states.
 	SlotTimeShare float64 `json:"slot_time_share"`
 	// Series holds one point for each second of the run.
 	Series []Point `json:"series,omitempty"`
@@ -38,17 +39,19 @@
 
 // Point holds the results of the requests that were due in one second.
 type Point struct {
-	// AtMs is when that second begins, in milliseconds since the start of the run.
+	// AtMs is the start of the second, in milliseconds since the start of the run.
 	AtMs     int64 `json:"at_ms"`
 	Answered int64 `json:"answered"`
 	NotRun   int64 `json:"not_run"`
 	Unknown  int64 `json:"unknown"`
 	Latency
+	// SlotTimeUs is the sum of the costs of the answered requests, in microseconds.
 	SlotTimeUs int64 `json:"slot_time_us"`
 }
 
 // Result is the result of a run.
 type Result struct {
+	// DurationMs is the plan's duration in milliseconds.
 	DurationMs int64   `json:"duration_ms"`
 	Seed       uint64  `json:"seed"`
 	Total      Stats   `json:"total"`
@@ -59,15 +62,16 @@
 	// Held counts the requests that had to wait because of the plan's
 	// max_in_flight.
 	Held int64 `json:"held"`
-	// Wrong counts the responses that failed verification. WrongAnswers
-	// describes the first of them.
-	Wrong        int64    `json:"wrong"`
+	// Wrong counts the responses that failed the check of Source.Verify.
+	Wrong int64 `json:"wrong"`
+	// WrongAnswers describes the first wrong responses.
 	WrongAnswers []string `json:"wrong_answers,omitempty"`
 }
 
 // Progress holds intermediate results of a run.
 type Progress struct {
-	Elapsed  time.Duration
+	Elapsed time.Duration
+	// Requests counts the completed requests, whatever their outcome.
 	Requests int64
 	Answered int64
 	NotRun   int64
--- a/load/run.go
+++ b/load/run.go
@@ -13,7 +13,7 @@
 // Request is one request of a run.
 type Request struct {
 	*Source
-	// Name is unique within the run.
+	// Name identifies the request within the run.
 	Name   string
 	Target Target
 	// Due is the time at which the plan wants the request to be sent.
@@ -87,7 +87,8 @@
 	requests sync.WaitGroup
 }
 
-// runSource sends the requests of one source, each at the time when it is due.
+// runSource sends the requests of one source, each at the time when it is due. The
+// index is the position of the source in the plan.
 func (r *run) runSource(ctx context.Context, index int) {
 	s := &r.plan.Sources[index]
 	random := rand.New(rand.NewPCG(r.plan.Seed, uint64(index)))
@@ -105,6 +106,8 @@
 	}
 }
 
+// newRequest returns the n-th request of a source, counted from 0. The requests of a
+// source go to the targets in turn.
 func (r *run) newRequest(s *Source, index, n int, due time.Duration) *Request {
 	req := &Request{
 		Source: s,
@@ -118,9 +121,9 @@
 	return req
 }
 
-// acquire waits until fewer than MaxInFlight requests are in flight and counts one
-// more. Latency includes this wait. It returns false if the context is cancelled
-// first.
+// acquire adds a request to those in flight. While MaxInFlight requests are in flight,
+// acquire waits for one to complete. Latency includes this wait. It returns false if
+// the context is cancelled first.
 func (r *run) acquire(ctx context.Context) bool {
 	select {
 	case r.inFlight <- struct{}{}:
@@ -139,21 +142,21 @@
 // send sends a request and records the sample.
 func (r *run) send(ctx context.Context, req *Request) {
 	defer func() { <-r.inFlight }()
-	sent := time.Now()
+	sentAt := time.Now()
 	reply := r.opts.Sender.Send(ctx, req)
-	done := time.Now()
+	completedAt := time.Now()
 	r.collector.add(sample{
 		request: req,
 		reply:   reply,
 		due:     req.Due.Sub(r.start),
-		sendLag: sent.Sub(req.Due),
-		latency: done.Sub(req.Due),
+		sendLag: sentAt.Sub(req.Due),
+		latency: completedAt.Sub(req.Due),
 	})
 	if r.opts.Observe != nil {
 		r.opts.Observe(req, reply)
 	}
 	if r.opts.Recorder != nil {
-		r.opts.Recorder.add(req, req.Due.Sub(r.start), done.Sub(sent))
+		r.opts.Recorder.add(req, req.Due.Sub(r.start), completedAt.Sub(sentAt))
 	}
 }
 
--- a/load/sender.go
+++ b/load/sender.go
@@ -19,15 +19,17 @@
 
 // Reply is the result of a request as the caller sees it.
 type Reply struct {
+	// Kind says whether the request was answered, was not run, or has an unknown
+	// outcome.
 	Kind outcome.Kind
 	// Reason says why the request was not answered.
 	Reason string
 	// Wrong describes how the response differs from the expected one. It is
-	// empty if it does not, or if Source.Verify is not set.
+	// empty if the response is correct or Source.Verify is not set.
 	Wrong string
 }
 
-// HTTPSender sends each request once, over HTTP.
+// HTTPSender is a Sender that uses HTTP.
 type HTTPSender struct {
 	client *hop.Client
 }
@@ -40,8 +42,9 @@
 	reasonNoOutcome = "no-outcome"
 )
 
-// NewHTTPSender returns an HTTPSender that uses TLS with the given files, or
-// plaintext if there are none. Call Close when done.
+// NewHTTPSender returns an HTTPSender. It uses TLS if files names a certificate
+// authority, and plaintext otherwise. An error means that the files cannot be used.
+// Call Close when done.
 func NewHTTPSender(files settings.TLS) (*HTTPSender, error) {
 	dial, err := identity.CallerDialer("tls", files, dialTimeout)
 	if err != nil {
@@ -83,8 +86,8 @@
 	return reply
 }
 
-// requestBody returns a body of BodyBytes bytes. It repeats the name of the request,
-// so that Source.Verify detects the response to another request.
+// requestBody returns a body of BodyBytes bytes. It consists of repetitions of the
+// request's name, so that Source.Verify detects a response to another request.
 func requestBody(r *Request) string {
 	if r.BodyBytes <= 0 {
 		return ""
@@ -114,9 +117,9 @@
 	return h
 }
 
-// newReply returns the outcome from the response headers. If reading the body
-// failed, the response is truncated and the outcome unknown whatever the headers
-// say.
+// newReply returns the outcome and the reason from the response headers. err is the
+// error from reading the body, if any. Such a response is truncated, and its outcome is
+// unknown whatever the headers say.
 func newReply(resp *http.Response, err error) Reply {
 	if err != nil {
 		return Reply{Kind: outcome.Unknown, Reason: string(outcome.ReasonTruncated)}
--- a/report/doc.go
+++ b/report/doc.go
@@ -1,8 +1,11 @@
 // Package report draws plots of the results of load runs and replays.
 //
 // A plot compares several results, for example one for each routing policy. Every
-// group gets a plot of its latency percentiles, which also shows the ideal bound
-// if a replay computed it. Results with a time series, such as those of load runs,
-// also get a plot of p99 latency over time for each group, and plots of the groups'
-// shares of slot time over time for each service.
+// group of callers gets a plot of its latency percentiles. This plot also shows the
+// ideal bound, a lower bound on latency, if a replay computed it.
+//
+// Some results, such as those of load runs, hold a time series. For them, each group
+// also gets a plot of its p99 latency over time. Each service gets plots of the groups'
+// shares of its slot time over time. Slot time is the time for which requests occupy
+// slots of upstreams.
 package report
--- a/report/draw.go
+++ b/report/draw.go
@@ -59,8 +59,8 @@
 	files  []string
 }
 
-// save writes a plot to a file whose name joins the parts. It returns err if that
-// is not nil, and does nothing if there is no plot.
+// save writes a plot to a file. The name of the file consists of the parts, joined by
+// hyphens. save returns err if err is not nil. It does nothing if p is nil.
 func (w *plotWriter) save(p *plot.Plot, err error, parts ...string) error {
 	if err != nil || p == nil {
 		return err
--- a/report/plots.go
+++ b/report/plots.go
@@ -25,14 +25,14 @@
 
 const (
 	padding = 3 * vg.Millimeter
-	// logScaleRatio is the ratio of the largest to the smallest value from which
-	// the y axis becomes logarithmic.
+	// logScaleRatio is the ratio of the largest to the smallest value at which the
+	// y axis becomes logarithmic. Below this ratio the axis is linear.
 	logScaleRatio = 20
 )
 
-// scaleYAxis makes the y axis start at 0, or makes it logarithmic if the range of
-// the values is large. The values must be positive. It must be called after all
-// lines have been added.
+// scaleYAxis makes the y axis start at 0. If the range of the values is large, it makes
+// the axis logarithmic instead. The values must be positive. scaleYAxis must be called
+// after all lines have been added.
 func scaleYAxis(p *plot.Plot) {
 	if p.Y.Max/p.Y.Min < logScaleRatio {
 		p.Y.Min = 0
@@ -56,31 +56,31 @@
 	return nil
 }
 
-// percentilesPlot draws p50, p99, p99.9 and the maximum of a group, one line for
-// each result and one for its ideal bound if it has one. It returns nil if there is
-// nothing to draw.
+// percentilesPlot draws p50, p99, p99.9 and the maximum of a group's latency. Each
+// result gets a line, and a second line for its ideal bound if it has one. The plot is
+// nil if there is nothing to draw.
 func percentilesPlot(results []Result, k groupKey) (*plot.Plot, error) {
 	p := newPlot(k.String()+": latency", "", "ms")
 	p.NominalX("p50", "p99", "p99.9", "max")
-	drawn := 0
+	lineCount := 0
 	for _, r := range results {
 		stats, ok := r.statsOf(k)
 		if !ok || stats.P50 <= 0 {
 			continue
 		}
-		if err := addLine(p, percentilesOf(stats.Latency), drawn, r.Label); err != nil {
+		if err := addLine(p, percentilesOf(stats.Latency), lineCount, r.Label); err != nil {
 			return nil, err
 		}
-		drawn++
+		lineCount++
 		if stats.Ideal.P50 <= 0 {
 			continue
 		}
-		if err := addLine(p, percentilesOf(stats.Ideal), drawn, r.Label+" (bound)"); err != nil {
+		if err := addLine(p, percentilesOf(stats.Ideal), lineCount, r.Label+" (bound)"); err != nil {
 			return nil, err
 		}
-		drawn++
+		lineCount++
 	}
-	if drawn == 0 {
+	if lineCount == 0 {
 		return nil, nil
 	}
 	scaleYAxis(p)
@@ -98,11 +98,11 @@
 
 func milliseconds(us int64) float64 { return float64(us) / 1000 }
 
-// p99OverTimePlot draws the p99 of a group over time, one line for each result. It
-// returns nil if no result has a series.
+// p99OverTimePlot draws the p99 latency of a group over time, one line for each result.
+// The plot is nil if no result has a series for the group.
 func p99OverTimePlot(results []Result, k groupKey) (*plot.Plot, error) {
 	p := newPlot(k.String()+": p99 of the requests due in each second", "s", "ms")
-	drawn := 0
+	lineCount := 0
 	for _, r := range results {
 		stats, _ := r.statsOf(k)
 		var points plotter.XYs
@@ -114,27 +114,29 @@
 		if len(points) == 0 {
 			continue
 		}
-		if err := addLine(p, points, drawn, r.Label); err != nil {
+		if err := addLine(p, points, lineCount, r.Label); err != nil {
 			return nil, err
 		}
-		drawn++
+		lineCount++
 	}
-	if drawn == 0 {
+	if lineCount == 0 {
 		return nil, nil
 	}
 	scaleYAxis(p)
 	return p, nil
 }
 
+// startSeconds returns the start of a point's interval, in seconds since the start of
+// the run.
 func startSeconds(p load.Point) float64 { return float64(p.AtMs) / 1000 }
 
-// sharePlot draws each group's share of a service's slot time over time. It returns
+// sharePlot draws each group's share of a service's slot time over time. The plot is
 // nil if the result has no series for the service.
 func sharePlot(r Result, s model.ServiceName) (*plot.Plot, error) {
 	p := newPlot(string(s)+": share of slot time, "+r.Label, "s", "%")
 	p.Y.Min, p.Y.Max = 0, 100
 	totals := slotTimes(r, s)
-	drawn := 0
+	lineCount := 0
 	for _, stats := range r.Groups {
 		if stats.Service != s || len(stats.Series) == 0 {
 			continue
@@ -148,19 +150,19 @@
 		if len(points) == 0 {
 			continue
 		}
-		if err := addLine(p, points, drawn, string(stats.Group)); err != nil {
+		if err := addLine(p, points, lineCount, string(stats.Group)); err != nil {
 			return nil, err
 		}
-		drawn++
+		lineCount++
 	}
-	if drawn == 0 {
+	if lineCount == 0 {
 		return nil, nil
 	}
 	return p, nil
 }
 
-// slotTimes returns the total slot time of a service at each time of the series, by
-// Point.AtMs.
+// slotTimes returns the slot time of a service, summed over its groups, for each point
+// of the series. The keys are the values of Point.AtMs. The unit is microseconds.
 func slotTimes(r Result, s model.ServiceName) map[int64]int64 {
 	totals := make(map[int64]int64)
 	for _, stats := range r.Groups {
--- a/report/read.go
+++ b/report/read.go
@@ -13,8 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/load"
 )
 
-// Result holds the contents of a result file that are drawn. The file comes from a
-// load run or a replay.
+// Result holds the part of a result file that is drawn. A load run or a replay writes
+// this file.
 type Result struct {
 	// Label names the result in legends.
 	Label  string  `json:"-"`
@@ -24,15 +24,15 @@
 // Stats are the results of one group.
 type Stats struct {
 	load.Stats
-	// Ideal is the latency of one central queue with perfect knowledge. Only
-	// replays compute it; otherwise it is zero.
+	// Ideal is the latency of one central queue with perfect knowledge, a lower
+	// bound. Only replays compute it. It is zero in the results of load runs.
 	Ideal load.Latency `json:"ideal"`
 }
 
 var errNoGroups = errors.New("not a result of load or replay: no groups")
 
-// Read reads a result file. The default of label is the name of the file without
-// its extension.
+// Read reads a result file. If label is empty, the name of the file without its
+// extension becomes the label. A file without groups is an error.
 func Read(path, label string) (Result, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -23,7 +23,8 @@
 	return path
 }
 
-// loadResult returns a result with two groups whose p99 latency is the given one.
+// loadResult returns a result with two groups that have the given p99 latency in
+// microseconds.
 func loadResult(p99 int64) load.Result {
 	groupStats := func(group string, slotTimeUs int64) load.Stats {
 		l := load.Latency{P50: 1000, P99: p99, P999: p99 + 1, Max: p99 + 2}
