--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -14,14 +14,15 @@
 	"drain", "crash", "partition-zone",
 }
 
-// delayedReportLag is the lag of load reports in the benchmarks named
+// delayedReportLag is the age of the load in load reports in the benchmarks named
 // steady-85-late-reports.
 const delayedReportLag = policy.Duration(500 * time.Millisecond)
 
-// BenchmarkPolicies replays the same traces with every routing policy. It
-// reports the total p99 and p99.9 and the worst group's p99.9 as ratios to the
-// ideal bound, the number of requests that were not answered and the share of
-// slot time that measuring took.
+// BenchmarkPolicies replays the same traces with every routing policy. It reports:
+//   - the total p99 and p99.9 as ratios to the ideal bound,
+//   - the worst group's p99.9 as a ratio to the ideal bound,
+//   - the number of requests that were not answered,
+//   - the share of slot time that measuring (requesting load reports) took.
 func BenchmarkPolicies(b *testing.B) {
 	for _, name := range []string{"cooperative", "kalahari"} {
 		topology := loadTopology(b, name)
@@ -57,7 +58,8 @@
 	}
 }
 
-// worstGroupRatio returns the largest ratio of a group's p99.9 to the ideal bound.
+// worstGroupRatio returns the largest ratio of a group's p99.9 to that group's ideal
+// bound.
 func worstGroupRatio(r *Result) float64 {
 	worst := 0.0
 	for _, g := range r.Groups {
@@ -66,8 +68,9 @@
 	return worst
 }
 
-// BenchmarkMeasuringFrontier reports the p99.9 of service sheds and the share of
-// slot time that measuring took, for several measuring budgets.
+// BenchmarkMeasuringFrontier replays traces with several measuring budgets of the
+// service sheds. It reports the p99.9 of the group farmers in this service as a ratio to
+// the ideal bound. It also reports the share of slot time that measuring took.
 func BenchmarkMeasuringFrontier(b *testing.B) {
 	for _, scenario := range []string{"steady-85", "misreport"} {
 		for _, budget := range []struct {
--- a/replay/entry.go
+++ b/replay/entry.go
@@ -8,11 +8,11 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// entry simulates the entry of one daemon: it accepts requests, picks upstreams
+// entry simulates the entry of one daemon. It accepts requests, picks upstreams
 // with the production routers and retries failed attempts.
 type entry struct {
 	sim   *simulation
-	index int
+	index int // of the daemon, in simulation.entries and simulation.guards
 	zone  model.AvailabilityZone
 	// routers holds one router for each service.
 	routers map[model.ServiceName]*routing.Router
@@ -24,19 +24,20 @@
 	entry     *entry
 	arrivedAt model.Instant
 	// outcomeSoFar is the combined outcome of the finished attempts. It is NotRun
-	// before the first attempt.
+	// until an attempt has finished.
 	outcomeSoFar outcome.Outcome
-	// tried lists the upstreams whose attempts have finished, without those
-	// whose guard rejected the request.
+	// tried lists the upstreams of the finished attempts. Attempts that a guard
+	// rejected are left out.
 	tried []model.UpstreamID
 	// rejections counts the attempts that a guard rejected, that is, returned
 	// unexecuted.
 	rejections int
-	// executions counts how often an upstream executed the request.
+	// executions counts the executions of the request at any upstream.
 	executions int
-	// inFlight are the attempts in flight.
+	// inFlight holds the attempts without a reply so far.
 	inFlight []*attempt
-	// completed is set once the caller has its response.
+	// completed is set when the caller has its response. Attempts may still be in
+	// flight then.
 	completed bool
 }
 
@@ -45,22 +46,24 @@
 	id    uint64
 	req   *request
 	guard *guard
-	// incarnation is that of the upstream when the router chose it.
+	// incarnation is the upstream's incarnation when the router chose it.
 	incarnation model.Incarnation
 	choice      routing.Choice
-	isHedge     bool
-	sentAt      model.Instant
-	startedAt   model.Instant
-	running     bool
-	waiting     bool
+	// isHedge is set if the attempt was sent while an earlier, slow attempt at the
+	// same request was still in flight.
+	isHedge   bool
+	sentAt    model.Instant
+	startedAt model.Instant
+	running   bool // in the upstream
+	waiting   bool // in the guard's queue
 	// generation increases when a crash or a cancellation ends the execution
-	// early. Tasks scheduled for an earlier generation are then ignored.
+	// early. Tasks that were scheduled for an earlier generation are ignored.
 	generation uint32
 	reply      routing.Reply
 }
 
-// maxAttempts bounds the attempts at one request. Attempts that a guard
-// rejected are not counted.
+// maxAttempts is the maximum number of attempts at one request. Attempts that a
+// guard rejected are not counted.
 const maxAttempts = 3
 
 func newEntry(s *simulation, index int, g *guard) (*entry, error) {
@@ -76,7 +79,7 @@
 }
 
 // place sends the request to the upstream that the router chooses. If the router
-// has none left, place completes the request with the outcome so far.
+// has no upstream left to try, place completes the request with outcomeSoFar.
 func (e *entry) place(req *request) {
 	choice, ok := e.routers[req.event.Service].Place(e.sim.now, req.model(), req.tried, req.rejections)
 	if !ok {
@@ -110,11 +113,14 @@
 }
 
 // connectTimeout is how long an entry waits for a connection to a zone that is
-// partitioned off, and how long it takes to detect that a connection is lost.
+// partitioned off. It is also the time after which an entry detects that a
+// connection is lost.
 const connectTimeout = 50 * time.Millisecond
 
-// handleReply processes the reply to an attempt. It retries the request when
-// that is safe and otherwise completes it.
+// handleReply processes the reply to an attempt. A request that a guard rejected is
+// placed again. A failed request is retried if that is safe. Otherwise the request is
+// completed. While another attempt at the request is in flight, a failure is not
+// retried, and the reply to the other attempt decides.
 func (e *entry) handleReply(a *attempt) {
 	req := a.req
 	e.sim.removeAttempt(a)
@@ -144,7 +150,7 @@
 }
 
 // complete records the outcome that the caller receives and cancels the
-// attempts still in flight.
+// attempts still in flight. An answer after the deadline is recorded as unknown.
 func (e *entry) complete(req *request, o outcome.Outcome) {
 	req.completed = true
 	e.cancel(req)
--- a/replay/fairness_test.go
+++ b/replay/fairness_test.go
@@ -13,9 +13,12 @@
 )
 
 // TestSendingFromOneZoneGainsNoSlotTime checks that a group cannot get more than
-// its share of slot time by sending all its requests from one zone. A group of
-// weight 1 overloads the service from one zone or from all, while a group of
-// weight 9 overloads it from all zones.
+// its share of slot time by sending all its requests from one zone. Two groups overload
+// the service at the same time. The heavy group (weight 9) sends from all zones. The
+// light group (weight 1) sends from all zones in one run and from one zone in another.
+//
+// The test also checks that the light group's overload hardly delays the heavy group
+// while the heavy group's load is within its share.
 func TestSendingFromOneZoneGainsNoSlotTime(t *testing.T) {
 	zones := []model.AvailabilityZone{"a", "b", "c"}
 	topology := &Topology{Zones: zones, Delay: Delay{BetweenZones: policy.Duration(time.Millisecond)}, Services: []Service{{
@@ -30,19 +33,19 @@
 	const duration, costUs = 4 * time.Second, 3000
 	// generate returns evenly spaced requests of a group, sent from the zones in
 	// turn. Their offered load is the given share of the service's 36 slots.
-	generate := func(group model.GroupName, from []model.AvailabilityZone, load float64) []Event {
+	generate := func(group model.GroupName, fromZones []model.AvailabilityZone, load float64) []Event {
 		var events []Event
 		intervalUs := int64(costUs / (36 * load))
 		for i := int64(0); i*intervalUs < duration.Microseconds(); i++ {
 			events = append(events, Event{
 				AtUs: i * intervalUs, Service: "s", Group: group, CostUs: costUs, Idempotent: true,
-				DeadlineMs: 300, Zone: from[i%int64(len(from))],
+				DeadlineMs: 300, Zone: fromZones[i%int64(len(fromZones))],
 			})
 		}
 		return events
 	}
-	// run replays the heavy group at the given load and, unless lightZones is
-	// empty, the light group at a load of 1.5 from these zones.
+	// run replays the heavy group at the given load and the light group at a load of
+	// 1.5. The light group sends from lightZones, or not at all if lightZones is empty.
 	run := func(heavyLoad float64, lightZones []model.AvailabilityZone) (heavy, light Stats) {
 		events := generate("heavy", zones, heavyLoad)
 		if len(lightZones) > 0 {
@@ -62,8 +65,9 @@
 	_, fromOne := run(1.5, zones[:1])
 	t.Logf("light group's share of slot time (entitled to 10%%): %.2f%% from all zones, %.2f%% from one zone", 100*fromAll.SlotTimeShare, 100*fromOne.SlotTimeShare)
 	require.LessOrEqual(t, fromOne.SlotTimeShare, 1.01*fromAll.SlotTimeShare)
-	// Half a percentage point comes from the end of the trace: while the queues
-	// drain, the groups no longer compete and shares are not enforced.
+	// The light group is entitled to 10%. Half a percentage point more comes from the
+	// end of the trace: while the queues drain, the groups no longer compete and
+	// shares are not enforced.
 	require.LessOrEqual(t, fromOne.SlotTimeShare, 0.11)
 
 	alone, _ := run(0.7, nil)
@@ -71,9 +75,9 @@
 	withOne, _ := run(0.7, zones[:1])
 	t.Logf("p99 of the heavy group within its share: %d us alone, %d us with the light group's overload from all zones, %d us from one zone", alone.P99, withAll.P99, withOne.P99)
 	require.Equal(t, alone.Answered, withOne.Answered, "requests of the heavy group lost")
-	// The heavy group waits for slots that the light group occupies, as running
-	// requests are not preempted. That wait is at most the cost of one request;
-	// the heavy group does not wait for the light group's queue.
+	// The heavy group waits for slots that the light group occupies, because running
+	// requests are not preempted. This wait is at most the cost of one request. The
+	// heavy group does not wait for the light group's queue.
 	require.LessOrEqual(t, withAll.P99, alone.P99+costUs)
 	require.LessOrEqual(t, withOne.P99, alone.P99+costUs)
 }
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// applyFault applies a fault and returns the function that ends it, or nil if
-// the fault needs none.
+// applyFault applies a fault and returns the function that ends it. The function is
+// nil if nothing needs to be done to end the fault.
 func (s *simulation) applyFault(e *Event, duration time.Duration) func() {
 	switch e.Fault {
 	case LogDown:
@@ -33,7 +33,7 @@
 	return s.guardsByName[e.Target].applyFault(e, duration)
 }
 
-// restoreLog ends LogDown and makes the announcements held back meanwhile.
+// restoreLog ends LogDown and makes the announcements that were held back during it.
 func (s *simulation) restoreLog() {
 	s.logDown = false
 	held := s.heldAnnouncements
@@ -43,8 +43,8 @@
 	}
 }
 
-// recover ends the faults of a zone or an upstream, or LogDown when the target
-// is empty.
+// recover ends the faults of the target, a zone or an upstream. An empty target
+// stands for the membership log and ends LogDown.
 func (s *simulation) recover(target string) {
 	delete(s.partitionedZones, model.AvailabilityZone(target))
 	if target == "" {
@@ -57,7 +57,7 @@
 }
 
 // applyFault applies a fault to the guard or its upstream and returns the
-// function that ends it, or nil if the fault ends by itself.
+// function that ends it. The function is nil if the fault ends by itself.
 func (g *guard) applyFault(e *Event, duration time.Duration) func() {
 	f := &g.fake.faults
 	now := g.sim.now
--- a/replay/formats_test.go
+++ b/replay/formats_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loadTopology reads a topology file from testdata/replay.
+// loadTopology reads the topology with the given name from testdata/replay.
 func loadTopology(t testing.TB, name string) *Topology {
 	t.Helper()
 	f, err := os.Open("../testdata/replay/" + name + ".topology.json")
@@ -26,7 +26,7 @@
 func TestReadTrace(t *testing.T) {
 	cases := map[string]struct {
 		lines string
-		// want is a part of the expected error, empty for a valid trace.
+		// want is a part of the expected error. It is empty for a valid trace.
 		want string
 	}{
 		"request and fault":  {validRequest + "\n\n" + `{"at_us":5,"fault":"straggle","target":"returdesk-3","factor":8,"for_ms":2000}`, ""},
@@ -60,7 +60,7 @@
 func TestReadTopology(t *testing.T) {
 	valid, err := os.ReadFile("../testdata/replay/kalahari.topology.json")
 	require.NoError(t, err)
-	// Each case replaces old by new in a valid topology; want is a part of the
+	// Each case replaces old by new in a valid topology. want is a part of the
 	// expected error.
 	cases := map[string]struct{ old, new, want string }{
 		"unknown field":         {`"connections": 200`, `"connectons": 200`, `line 23: json: unknown field "connectons"`},
@@ -72,7 +72,7 @@
 		"negative delay":        {`"1500us"`, `"-1500us"`, "delay"},
 		"negative weight":       {`"weight": 6`, `"weight": -6`, "services[0].groups[0]"},
 		"no zones":              {`"zones": [`, `"zones": [], "zones_": [`, "unknown field"},
-		// The empty want makes the test append a second JSON value.
+		// An empty want makes the test append a second JSON value to a valid topology.
 		"second JSON value": {`"kalahari"`, ``, ""},
 		"negative duration": {`"connection_cost": "1ms"`, `"connection_cost": "-1ms"`, "services[0]"},
 	}
--- a/replay/generate.go
+++ b/replay/generate.go
@@ -15,8 +15,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Generator generates a trace for a topology: requests with Poisson arrivals
-// and log-normal costs, and faults. Equal fields give equal traces.
+// Generator generates a trace for a topology. The trace holds faults and requests
+// with Poisson arrivals and log-normal costs. Equal fields give equal traces.
 type Generator struct {
 	// Topology is the deployment that receives the requests.
 	Topology *Topology
@@ -37,8 +37,10 @@
 	Service model.ServiceName
 	Group   model.GroupName
 	// Load is the additional offered load as a share of the service's slots.
-	Load  float64
-	From  time.Duration
+	Load float64
+	// From is the start of the surge, as time since the start of the trace.
+	From time.Duration
+	// Until is the end of the surge, as time since the start of the trace.
 	Until time.Duration
 }
 
@@ -46,13 +48,14 @@
 type requestProfile struct {
 	// loadShare is the group's share of the service's steady load in slot time.
 	loadShare float64
-	// meanCost and sigma are the parameters of the log-normal cost.
+	// meanCost is the mean of the log-normal cost of a request.
 	meanCost time.Duration
-	sigma    float64
+	// sigma is the standard deviation of the logarithm of the cost.
+	sigma float64
 	// nonIdempotentShare is the share of requests that are not idempotent.
 	nonIdempotentShare float64
 	deadline           time.Duration
-	callers            int
+	callers            int // number of callers in the group
 }
 
 // requestProfiles holds the profiles of the groups in the two topologies under
@@ -71,8 +74,9 @@
 	{"sheds", "gangs"}:               {0.50, 3 * time.Millisecond, 0.6, 0, 2 * time.Second, 20},
 }
 
-// profileOf returns the profile of a group. A group without a profile of its
-// own gets an equal share of the load.
+// profileOf returns the profile of a group. If requestProfiles does not list the
+// group, profileOf returns a default profile. In default profiles the groups of a
+// service have equal shares of the load.
 func profileOf(s *Service, g model.GroupName) requestProfile {
 	if p, ok := requestProfiles[groupKey{s.Name, g}]; ok {
 		return p
@@ -110,6 +114,7 @@
 	return events
 }
 
+// appendSurgeArrivals appends the additional requests that a group sends during surges.
 func (g *Generator) appendSurgeArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile) []Event {
 	for _, surge := range g.Surges {
 		if surge.Service == s.Name && surge.Group == group {
@@ -119,17 +124,17 @@
 	return events
 }
 
-// appendArrivals appends Poisson arrivals whose offered load is the given share of
-// the service's slots.
-func (g *Generator) appendArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile, load float64, from, until time.Duration) []Event {
+// appendArrivals appends requests with Poisson arrivals between start and end. Their
+// offered load is the given share of the service's slots.
+func (g *Generator) appendArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile, load float64, start, end time.Duration) []Event {
 	rate := load * float64(totalSlots(s)) / p.meanCost.Seconds()
 	if rate <= 0 {
 		return events
 	}
-	at := from.Seconds()
+	at := start.Seconds()
 	for {
 		at += rng.ExpFloat64() / rate
-		if at >= until.Seconds() {
+		if at >= end.Seconds() {
 			return events
 		}
 		events = append(events, Event{
@@ -145,7 +150,7 @@
 	}
 }
 
-// cost draws a log-normal cost in microseconds with mean meanCost.
+// cost draws a request's cost, in microseconds, from the log-normal distribution.
 func (p requestProfile) cost(rng *rand.Rand) int64 {
 	median := float64(p.meanCost.Microseconds()) / math.Exp(p.sigma*p.sigma/2)
 	return max(int64(median*math.Exp(p.sigma*rng.NormFloat64())), 1)
@@ -159,7 +164,8 @@
 	return slots
 }
 
-// Scenario describes a trace, except for the topology and the seed.
+// Scenario describes a trace. The topology and the seed are chosen later, when
+// Scenario.Generator is called.
 type Scenario struct {
 	Name string
 	// Load is the steady load as a share of the slots.
@@ -199,8 +205,8 @@
 
 const (
 	scenarioDuration = 3 * time.Second
-	// faultLoad is low enough for the other upstreams to carry the load when
-	// one fails.
+	// faultLoad is the load in scenarios with faults. When one upstream fails, the
+	// others can still carry this load.
 	faultLoad       = 0.70
 	faultStart      = time.Second
 	faultDuration   = 1500 * time.Millisecond
@@ -208,7 +214,7 @@
 	misreportFactor = 0.1
 )
 
-// faultScenario returns a scenario of steady load in which the faults begin
+// faultScenario returns a scenario of steady load in which the given faults begin
 // together.
 func faultScenario(faults ...Fault) Scenario {
 	names := make([]string, len(faults))
@@ -242,7 +248,7 @@
 	return g
 }
 
-// FindScenario returns the named scenario.
+// FindScenario returns the named scenario, and whether there is one.
 func FindScenario(name string) (Scenario, bool) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -15,15 +15,15 @@
 // concurrency limiter in front of a simulated upstream.
 type guard struct {
 	sim         *simulation
-	index       int
+	index       int // of the daemon, in simulation.guards and simulation.entries
 	upstream    model.Upstream
 	spec        *Service
 	controller  *admission.Controller
 	limiter     *limit.Limiter
 	monitor     *measure.Monitor
-	attempts    map[admission.ID]*attempt // waiting and running ones
-	effects     []admission.Effect        // buffer for results of the controller, reused
-	running     int
+	attempts    map[admission.ID]*attempt // waiting and running attempts
+	effects     []admission.Effect        // reused buffer for the controller's return values
+	running     int                       // number of running attempts
 	pollCount   int
 	pausedUntil model.Instant // the daemon is paused until then
 	fake        fakeUpstream
@@ -54,7 +54,8 @@
 	return g
 }
 
-// reset creates the limiter and the admission controller of a new incarnation.
+// reset creates the limiter and the admission controller for a new incarnation of
+// the upstream.
 func (g *guard) reset() {
 	g.limiter = limit.New(limit.Options{Slots: g.upstream.Slots})
 	g.controller = admission.New(admission.Options{Slots: g.upstream.Slots, Limiter: g.limiter})
@@ -69,7 +70,8 @@
 	g.controller.Configure(g.sim.now, groups)
 }
 
-// arrive submits an attempt to the admission controller.
+// arrive submits an attempt to the admission controller. If the attempt was meant
+// for an earlier incarnation of the upstream, it is returned unexecuted.
 func (g *guard) arrive(a *attempt) {
 	if a.incarnation != g.upstream.Incarnation {
 		g.sendReply(a, outcome.NotRunBecause(outcome.ReasonNoUpstream), false)
@@ -88,15 +90,15 @@
 		g.reject(a)
 		return
 	}
-	until := a.req.deadline()
+	expiresAt := a.req.deadline()
 	if a.choice.QueueTimeout > 0 {
-		until = min(until, now.Add(a.choice.QueueTimeout))
+		expiresAt = min(expiresAt, now.Add(a.choice.QueueTimeout))
 	}
-	g.sim.queue.add(task{at: max(until, now), kind: taskExpire, daemon: g.index, attempt: a, generation: a.generation})
+	g.sim.queue.add(task{at: max(expiresAt, now), kind: taskExpire, daemon: g.index, attempt: a, generation: a.generation})
 }
 
 // reject returns a waiting attempt to its entry unexecuted. It is called when
-// the queue timeout has expired, or on arrival if that timeout is 0.
+// the queue timeout has expired. If that timeout is 0, it is called on arrival.
 func (g *guard) reject(a *attempt) {
 	if !g.controller.Withdraw(g.sim.now, admission.ID(a.id)) {
 		return
@@ -106,8 +108,10 @@
 	g.sendReply(a, outcome.NotRunBecause(outcome.ReasonWithdrawn), false)
 }
 
-// expire handles the end of an attempt's queue timeout or deadline. It ignores
-// tasks of an earlier generation.
+// expire runs when the queue timeout or the deadline of an attempt has passed. After
+// the queue timeout it rejects the attempt. After the deadline it makes the controller
+// refuse all expired attempts. It ignores attempts that no longer wait and tasks of an
+// earlier generation.
 func (g *guard) expire(a *attempt, generation uint32) {
 	if !a.waiting || a.generation != generation {
 		return
@@ -120,8 +124,8 @@
 	g.applyEffects()
 }
 
-// applyEffects carries out the effects that the admission controller returned:
-// it starts or refuses waiting attempts.
+// applyEffects executes the decisions that the admission controller returned in
+// g.effects. Each decision starts or refuses a waiting attempt.
 func (g *guard) applyEffects() {
 	effects := g.effects
 	g.effects = nil
@@ -141,7 +145,8 @@
 	g.effects = effects
 }
 
-// start executes an attempt at the simulated upstream and schedules its end.
+// start begins to execute an attempt at the simulated upstream and schedules the end
+// of the execution.
 func (g *guard) start(a *attempt) {
 	now := g.sim.now
 	a.startedAt, a.running = now, true
@@ -188,11 +193,13 @@
 	s.queue.add(task{at: s.now.Add(d), kind: taskReply, daemon: entry, attempt: a})
 }
 
+// loadFor returns the load that the guard reports for a group.
 func (g *guard) loadFor(group model.GroupName) model.Load {
 	return g.monitor.Annotate(g.limiter.Annotate(g.controller.LoadFor(g.sim.now, group)))
 }
 
-// crashRunning ends every running attempt as a crash of the upstream would.
+// crashRunning ends every running attempt with an unknown outcome, as a crash of
+// the upstream does.
 func (g *guard) crashRunning() {
 	for _, a := range g.attemptsByID() {
 		if !a.running {
@@ -204,15 +211,16 @@
 	}
 }
 
-// drain makes the guard refuse new and waiting attempts. Running ones continue.
+// drain makes the guard refuse new and waiting attempts. Running attempts continue.
 func (g *guard) drain() {
 	g.upstream.Draining = true
 	g.effects = g.controller.Drain(g.sim.now, g.effects[:0])
 	g.applyEffects()
 }
 
-// restart ends all attempts of the present incarnation. The next incarnation
-// starts one nanosecond later, so that the attempts have ended by then.
+// restart ends all attempts of the current incarnation and schedules the start of
+// the next one. The next incarnation starts one nanosecond later, when all these
+// attempts have ended.
 func (g *guard) restart() {
 	g.drain()
 	g.crashRunning()
--- a/replay/hedge.go
+++ b/replay/hedge.go
@@ -8,8 +8,9 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// scheduleHedge schedules a hedge for when the attempt has taken as long as the
-// router's hedge delay. It does nothing if the router does not hedge.
+// scheduleHedge schedules a hedge for the attempt: a second attempt at another
+// upstream, sent when the first has taken as long as the router's hedge delay.
+// scheduleHedge does nothing if the router does not hedge.
 func (e *entry) scheduleHedge(a *attempt) {
 	router := e.routers[a.req.event.Service]
 	delay, ok := router.HedgeDelay(a.req.model())
@@ -20,7 +21,7 @@
 }
 
 // hedge sends the request to a second upstream if the given attempt is still
-// the only one in flight.
+// the only attempt in flight.
 func (e *entry) hedge(a *attempt) {
 	req := a.req
 	if req.completed || len(req.inFlight) != 1 || req.inFlight[0] != a {
@@ -34,7 +35,8 @@
 	e.send(req, choice).isHedge = true
 }
 
-// cancel sends cancellations for the attempts in flight of a completed request.
+// cancel sends cancellations for the attempts of a completed request that are still
+// in flight. Cancellations over a partitioned link are lost.
 func (e *entry) cancel(req *request) {
 	s := e.sim
 	for _, a := range req.inFlight {
@@ -46,13 +48,13 @@
 }
 
 // removeAttempt removes an attempt from its request's attempts in flight. It is
-// called when the reply has arrived.
+// called when the reply to the attempt has arrived.
 func (s *simulation) removeAttempt(a *attempt) {
 	a.req.inFlight = slices.DeleteFunc(a.req.inFlight, func(other *attempt) bool { return other == a })
 }
 
-// cancel withdraws a waiting attempt, or ends a running one as an upstream that
-// supports cancellation would.
+// cancel withdraws a waiting attempt. It ends a running attempt with an unknown
+// outcome, as an upstream that supports cancellation does.
 func (g *guard) cancel(a *attempt) {
 	switch {
 	case a.waiting:
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -8,11 +8,11 @@
 	"github.com/dottereltiller/dottereltiller/latency"
 )
 
-// addIdealBound sets the Ideal latencies of a result: those of one central queue
-// per service with perfect knowledge and no network. The queue assigns requests
-// in order of arrival, each to the slot that completes it first. It knows when
-// every slot becomes free and how fast every upstream runs. It learns of a fault
-// when the fault begins, and knows from then on how long it lasts.
+// addIdealBound sets the Ideal latencies of a result. They are the latencies of one
+// central queue per service, with perfect knowledge and no network. The queue assigns
+// requests in order of arrival, each to the slot that completes it first. It knows
+// when every slot becomes free and how fast every upstream runs. It learns of a fault
+// when the fault begins. From then on it knows how long the fault lasts.
 func addIdealBound(t *Topology, events []Event, r *Result) {
 	total := latency.NewHistogram()
 	groups := make(map[groupKey]*latency.Histogram)
@@ -46,7 +46,8 @@
 
 // server is an upstream of the central queue.
 type server struct {
-	// freeAt holds the instants at which the slots become free, as a heap.
+	// freeAt holds the instant at which each slot becomes free, as a heap with the
+	// earliest instant first.
 	freeAt instantHeap
 	faults faultState
 	// unavailableUntil is the end of the last FailFast, Drain or Crash.
@@ -101,6 +102,8 @@
 	return f.slowdown(at)
 }
 
+// applyFault applies a fault to its target. It ignores faults that do not change how
+// long requests take in the central queue.
 func (c *centralQueue) applyFault(e *Event) {
 	s := c.serversByName[e.Target]
 	if s == nil {
@@ -136,7 +139,7 @@
 // does not change.
 func (h *instantHeap) Push(x any) { *h = append(*h, x.(model.Instant)) }
 
-// Pop implements heap.Interface. It is never called either.
+// Pop implements heap.Interface. It is never called, for the same reason.
 func (h *instantHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -7,8 +7,9 @@
 	"github.com/dottereltiller/dottereltiller/core/slots"
 )
 
-// arriveAtGuard queues a request at its guard, or rejects it. Without guards it starts
-// the request at once.
+// arriveAtGuard queues a request at its guard, or rejects it. If the policy uses no
+// guards, it starts the request at once. alternative is the expected time to completion
+// at the next best node.
 func (m *mesh) arriveAtGuard(r *meshRequest, alternative time.Duration) {
 	n := r.guard
 	if n.down {
@@ -19,7 +20,7 @@
 		m.start(n, r)
 		return
 	}
-	m.load(n)
+	m.load(n) // updates n.slowdown if it is too old
 	took := m.now.Sub(r.arrivedAt)
 	item, admission, _ := n.queue.Admit(m.now, slots.Arrival{
 		Rank: r.rank, Urgent: r.rank == 0, ServiceTime: m.expectedServiceTime(r), Alternative: alternative,
@@ -37,14 +38,14 @@
 }
 
 // reject returns a request unexecuted from its guard to its entry, which places it
-// again. If full is set, the guard's queue was too long for the request to complete in
+// again. full is set if the guard's queue was too long for the request to complete in
 // time.
 func (m *mesh) reject(r *meshRequest, full bool) {
-	from := r.guard
-	l := m.load(from)
+	n := r.guard
+	l := m.load(n)
 	m.schedule(localDelayTicks, func() {
-		m.attemptDone(r, from, &l)
-		r.rejectedBy[from.key] = true
+		m.attemptDone(r, n, &l)
+		r.rejectedBy[n.key] = true
 		r.rejections++
 		if full {
 			r.fullGuards++
@@ -53,17 +54,17 @@
 	})
 }
 
-// attemptDone tells the entry that a request sent to a node has ended there. The load
-// is nil if there was no reply.
-func (m *mesh) attemptDone(r *meshRequest, from *meshNode, l *placement.Load) {
+// attemptDone tells the entry that a request sent to a node has ended there. l is the
+// load in the node's reply, or nil if there was no reply.
+func (m *mesh) attemptDone(r *meshRequest, n *meshNode, l *placement.Load) {
 	if m.policy == usePlacement {
-		r.entry.placer.Done(m.now, from.key, l)
+		r.entry.placer.Done(m.now, n.key, l)
 	}
-	r.entry.outstanding[from]--
+	r.entry.outstanding[n]--
 }
 
-// startWaiting starts, refuses or rejects the requests in a guard's queue for which the
-// queue returns a decision.
+// startWaiting removes requests from a guard's queue as long as the queue returns
+// decisions. It starts, refuses or rejects each request as decided.
 func (m *mesh) startWaiting(n *meshNode) {
 	for {
 		d, ok := n.queue.Next(m.now, n.slowdown)
@@ -95,8 +96,8 @@
 	n.running = append(n.running, r)
 }
 
-// runUpstream simulates one tick of an upstream: it advances the requests in its slots
-// and completes those that have no service time remaining.
+// runUpstream simulates one tick of an upstream. It advances the requests in the
+// upstream's slots and completes those that have no service time remaining.
 func (m *mesh) runUpstream(n *meshNode) {
 	speed := n.speeds[m.tick]
 	if n.coldUntil > m.now {
@@ -125,7 +126,8 @@
 // meanNoisyServiceTime is the mean service time of requests with the usual noise.
 const meanNoisyServiceTime = 210 * time.Millisecond
 
-// recordFinish counts a served request as in time or late.
+// recordFinish reports a served request to its entry and counts the request as in time
+// or late.
 func (m *mesh) recordFinish(r *meshRequest) {
 	l := m.load(r.guard)
 	m.attemptDone(r, r.guard, &l)
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -16,30 +16,25 @@
 
 // The mesh simulates sidecar daemons, each on the VM of one upstream, in steps of one
 // tick. The entries choose upstreams with core/placement. The guards limit concurrency
-// with core/slots. The upstreams behave like recorded ones: other load on the same host
-// ("noisy neighbours") changes their speed several times a second, they slow down when
-// most slots are busy, and they are slow for some time after a start.
+// with core/slots. The upstreams behave like recorded upstreams. Other load on the same
+// host ("noisy neighbours") changes their speed several times a second. They slow down
+// when most slots are busy. They are also slow for some time after a start.
 
 const (
-	tickLength = time.Millisecond
-	// noisePeriodTicks is the time after which a noisy neighbour may start or stop.
-	// While it runs, requests take noiseSlowdown times as long.
-	noisePeriodTicks = 300
-	noiseSlowdown    = 4.0
-	// kneeUtilization is the share of busy slots from which all requests take
-	// kneeSlowdown times as long.
-	kneeUtilization = 0.8
-	kneeSlowdown    = 1.7
-	// For coldTicks after an upstream's start requests take coldSlowdown times as long.
-	coldTicks        = 3000
-	coldSlowdown     = 2.0
-	localDelayTicks  = 1 // one-way delay to a guard in the entry's zone
-	remoteDelayTicks = 2 // one-way delay to a guard in another zone
-	remoteQueryTicks = 3 // round-trip time of load queries to other zones
-	meshServiceTime  = 160 * time.Millisecond
-	meshTarget       = 500 * time.Millisecond
-	meshDeadline     = 1200 * time.Millisecond
-	meshLengthTicks  = 20_000
+	tickLength       = time.Millisecond
+	noisePeriodTicks = 300                     // time between the ticks at which a noisy neighbour may start or stop
+	noiseSlowdown    = 4.0                     // factor on service times while a noisy neighbour runs
+	kneeUtilization  = 0.8                     // share of busy slots from which an upstream slows down
+	kneeSlowdown     = 1.7                     // factor on service times at kneeUtilization and above
+	coldTicks        = 3000                    // time after its start for which an upstream is slow
+	coldSlowdown     = 2.0                     // factor on service times during coldTicks
+	localDelayTicks  = 1                       // one-way delay to a guard in the entry's zone
+	remoteDelayTicks = 2                       // one-way delay to a guard in another zone
+	remoteQueryTicks = 3                       // round-trip time of load queries to other zones
+	meshServiceTime  = 160 * time.Millisecond  // median
+	meshTarget       = 500 * time.Millisecond  // time in which a request should be served
+	meshDeadline     = 1200 * time.Millisecond // time after which a request is given up
+	meshLengthTicks  = 20_000                  // time in which requests arrive
 	meshZones        = 3
 	upstreamsPerZone = 4
 )
@@ -58,11 +53,11 @@
 	zoneSize      int // upstreams in each zone. Default: upstreamsPerZone
 	burst         int // additional requests in one tick every burstPeriodTicks
 	// callerRetries is the number of times that a refused caller retries, each time
-	// after the Retry-After value. This value has no jitter if noJitter is set.
+	// after the Retry-After value.
 	callerRetries int
-	noJitter      bool
-	// recorded, if set, replaces the rate, the upstreams and the request kinds by those
-	// of a recorded day.
+	noJitter      bool // Retry-After values have no jitter
+	// recorded, if set, is the service of a recorded day. Its rates, upstreams and
+	// request kinds replace the usual ones.
 	recorded *recordedService
 }
 
@@ -73,7 +68,7 @@
 	usePlacement routingPolicy = iota // the production policy
 	useRandom
 	useLeastOutstanding
-	// useLeastOutstandingWithoutGuards sends requests to the upstreams directly.
+	// useLeastOutstandingWithoutGuards sends requests directly to the upstreams.
 	useLeastOutstandingWithoutGuards
 )
 
@@ -81,10 +76,10 @@
 type meshNode struct {
 	key                string
 	zone               model.AvailabilityZone
-	speeds             []float64 // by tick: 1 is the usual speed, at 0 the upstream is down
+	speeds             []float64 // by tick: 1 is the usual speed, 0 means that the upstream is down
 	placer             *placement.Placer
 	queue              *slots.Queue
-	slowdown           float64       // last measured by the guard
+	slowdown           float64       // factor on service times, last measured by the guard
 	slowdownMeasuredAt model.Instant // time of that measurement
 	slots              int
 	coldUntil          model.Instant
@@ -101,11 +96,12 @@
 	arrivedAt    model.Instant
 	remaining    float64 // service time left, in seconds at speed 1
 	rejections   int
-	fullGuards   int // rejections by guards whose queue was too long
-	rejectedBy   map[string]bool
-	retries      int // of the caller, so far
+	fullGuards   int             // rejections by guards whose queue was too long
+	rejectedBy   map[string]bool // keys of the nodes whose guards rejected the request
+	retries      int             // number of retries of the caller so far
 }
 
+// mesh is the state of one simulation.
 type mesh struct {
 	workload
 	policy        routingPolicy
@@ -124,6 +120,7 @@
 	resets        int // connections reset by upstreams
 }
 
+// newMesh returns a mesh before its first tick. Equal seeds give equal simulations.
 func newMesh(w workload, policy routingPolicy, seed uint64) *mesh {
 	m := &mesh{
 		workload: w, policy: policy, rng: rand.New(rand.NewPCG(seed, 0)), scheduled: map[int][]func(){},
@@ -146,6 +143,7 @@
 	return m
 }
 
+// addNode adds an upstream with the given speeds and its daemon.
 func (m *mesh) addNode(zone model.AvailabilityZone, speeds []float64) {
 	n := &meshNode{
 		key: fmt.Sprint(zone, len(m.nodes)), zone: zone, speeds: speeds,
@@ -163,6 +161,7 @@
 	}
 }
 
+// candidates returns the upstreams that are up, in the form that placers use.
 func (m *mesh) candidates() []placement.Upstream {
 	var ups []placement.Upstream
 	for _, n := range m.nodes {
@@ -174,8 +173,9 @@
 	return ups
 }
 
-// drawSpeeds draws the speed of an upstream at each tick. It has a noisy neighbour
-// for the given share of time. Otherwise its speed is 1.
+// drawSpeeds draws the speed of an upstream at each tick. The upstream has a noisy
+// neighbour for the given share of time. Otherwise its speed is 1. The result covers twice
+// the given ticks, because requests may complete after the last arrival.
 func drawSpeeds(rng *rand.Rand, share float64, ticks int) []float64 {
 	out := make([]float64, 2*ticks)
 	phase, speed := rng.IntN(noisePeriodTicks), 1.0
@@ -191,8 +191,7 @@
 	return out
 }
 
-// simulate simulates the workload and returns the share of requests that were served
-// within their target.
+// simulate runs the workload and returns the share of requests served within their target.
 func (m *mesh) simulate() float64 {
 	const restartTick = 5000
 	for m.tick = 0; m.tick < m.lengthTicks+int(meshDeadline/tickLength); m.tick++ {
@@ -244,7 +243,7 @@
 	m.updateUpstreams()
 }
 
-// updateAvailability stops or starts the upstreams whose speed has changed to or from 0.
+// updateAvailability stops upstreams whose speed fell to 0 and starts those whose speed rose from 0.
 func (m *mesh) updateAvailability() {
 	changed := false
 	for _, n := range m.nodes {
@@ -258,8 +257,8 @@
 	}
 }
 
-// dropRequests ends the requests that an upstream is running and rejects those that
-// wait in its guard's queue.
+// dropRequests ends the requests that an upstream is running and counts them as refused.
+// It rejects the requests that wait in the guard's queue.
 func (m *mesh) dropRequests(n *meshNode) {
 	for _, r := range n.running {
 		n.queue.Finish()
@@ -274,6 +273,7 @@
 	clear(n.waiting)
 }
 
+// schedule calls f after the given number of ticks.
 func (m *mesh) schedule(ticks int, f func()) {
 	m.scheduled[m.tick+ticks] = append(m.scheduled[m.tick+ticks], f)
 }
@@ -299,13 +299,13 @@
 	if len(r.rejectedBy) == len(m.nodes) {
 		clear(r.rejectedBy)
 	}
-	to, alternative, ticks, ok := m.choose(r)
+	chosen, alternative, ticks, ok := m.choose(r)
 	if !ok {
 		m.refuse(r)
 		return
 	}
-	r.guard = to
-	if to.zone == r.entry.zone {
+	r.guard = chosen
+	if chosen.zone == r.entry.zone {
 		ticks += localDelayTicks
 	} else {
 		ticks += remoteDelayTicks
@@ -313,22 +313,22 @@
 	m.schedule(ticks, func() { m.arriveAtGuard(r, alternative) })
 }
 
-// choose returns the node to send a request to, the expected time to completion at the
-// next best node (alternative) and the time spent on load queries (ticks). It returns
-// false if the request must be refused.
-func (m *mesh) choose(r *meshRequest) (to *meshNode, alternative time.Duration, ticks int, ok bool) {
+// choose chooses the node to send a request to. alternative is the expected time to
+// completion at the next best node. It is 0 if the guard must not reject the request.
+// ticks is the time spent on load queries. ok is false if the request must be refused.
+func (m *mesh) choose(r *meshRequest) (chosen *meshNode, alternative time.Duration, ticks int, ok bool) {
 	switch m.policy {
 	case useRandom:
 		return m.nodes[m.rng.IntN(len(m.nodes))], 0, 0, true
 	case useLeastOutstanding, useLeastOutstandingWithoutGuards:
-		to = m.nodes[m.rng.IntN(len(m.nodes))]
+		chosen = m.nodes[m.rng.IntN(len(m.nodes))]
 		for _, n := range m.nodes {
-			if r.entry.outstanding[n] < r.entry.outstanding[to] {
-				to = n
+			if r.entry.outstanding[n] < r.entry.outstanding[chosen] {
+				chosen = n
 			}
 		}
-		r.entry.outstanding[to]++
-		return to, 0, 0, true
+		r.entry.outstanding[chosen]++
+		return chosen, 0, 0, true
 	}
 	req := placement.Request{
 		ServiceTime: m.expectedServiceTime(r), Target: r.target - m.now.Sub(r.arrivedAt),
@@ -356,7 +356,7 @@
 }
 
 // expectedServiceTime returns the service time that daemons expect of a request. If
-// slowdowns are hidden, it includes the usual effect of noise.
+// hideSlowdown is set, this is a mean that includes the usual effect of noise.
 func (m *mesh) expectedServiceTime(r *meshRequest) time.Duration {
 	if m.hideSlowdown {
 		return meanNoisyServiceTime
@@ -373,8 +373,8 @@
 	return nil
 }
 
-// queryLoads updates the loads that an entry's placer holds, of up to limit upstreams of
-// the entry's zone (if local) or of other zones.
+// queryLoads passes the loads of up to limit upstreams to an entry's placer. They are in
+// the entry's zone if local is set, and in other zones otherwise.
 func (m *mesh) queryLoads(p *placement.Placer, req placement.Request, rank int, local bool, limit int) {
 	for _, up := range p.QueryTargets(m.now, req, local, placement.MaxLoadAge, limit) {
 		n := m.node(up.Key)
@@ -384,7 +384,8 @@
 	}
 }
 
-// load returns the load that a guard reports, and updates the slowdown if it is too old.
+// load returns the load that a guard reports. If the guard's last measurement of its
+// upstream's slowdown is too old, load first measures the slowdown anew.
 func (m *mesh) load(n *meshNode) placement.Load {
 	if m.hideSlowdown {
 		n.slowdownMeasuredAt = m.now
--- a/replay/noisy_upstreams_test.go
+++ b/replay/noisy_upstreams_test.go
@@ -11,15 +11,15 @@
 // centralQueueShare returns the share of requests within their target that one central
 // queue reaches. The queue knows the present and future speed of every upstream. It
 // assigns each request to the slot where it ends first, and refuses the request if it
-// would miss its target there. It uses only placement.DefaultLimit slots of an
-// upstream, which are too few to slow it down unless it has just two slots. The queue does
-// not simulate that slowdown.
+// would miss its target there. It uses only placement.DefaultLimit slots of each
+// upstream. With so few busy slots, only upstreams with two slots would slow down. The
+// queue does not simulate this slowdown.
 func centralQueueShare(w workload, seed uint64) float64 {
 	m := newMesh(w, usePlacement, seed)
-	// free holds the tick at which each slot of each upstream becomes free.
-	free := make([][]int, len(m.nodes))
-	for i := range free {
-		free[i] = make([]int, placement.DefaultLimit(w.slots))
+	// freeAt holds the tick at which each slot of each upstream becomes free.
+	freeAt := make([][]int, len(m.nodes))
+	for i := range freeAt {
+		freeAt[i] = make([]int, placement.DefaultLimit(w.slots))
 	}
 	inTime, sent := 0, 0
 	for m.tick = 0; m.tick < m.lengthTicks; m.tick++ {
@@ -28,14 +28,14 @@
 			kind, serviceSeconds := m.drawRequest()
 			node, slot, end := -1, -1, m.tick+int(kind.target/tickLength)+1
 			for i := range m.nodes {
-				for s := range free[i] {
-					if e := m.nodes[i].finishTick(max(free[i][s], m.tick), end, serviceSeconds); e < end {
+				for s := range freeAt[i] {
+					if e := m.nodes[i].finishTick(max(freeAt[i][s], m.tick), end, serviceSeconds); e < end {
 						node, slot, end = i, s, e
 					}
 				}
 			}
 			if node >= 0 {
-				free[node][slot] = end
+				freeAt[node][slot] = end
 				inTime++
 			}
 		}
@@ -55,8 +55,8 @@
 }
 
 // TestNoisyUpstreams checks the share of requests within their target for several
-// difficult workloads. It must not fall below a fixed value, nor below that of simpler
-// routing policies.
+// workloads. The share of the production policy must reach a fixed value and the share of
+// two simpler routing policies. It must not exceed the share of the central queue.
 func TestNoisyUpstreams(t *testing.T) {
 	for name, c := range map[string]struct {
 		workload
@@ -92,16 +92,16 @@
 	}
 }
 
-// TestNoResetsWhenFull checks that guards keep upstreams from resetting connections.
-// These upstreams reset a connection when their slots and their own queue are full,
-// and the caller then cannot know whether the request was executed. Without guards,
-// routing to the fewest outstanding requests causes many resets, and fewer requests
-// are served within their target.
+// TestNoResetsWhenFull checks that guards keep upstreams from resetting connections. An
+// upstream resets the connection of a new request when its slots and its own queue are
+// full. The caller then cannot know whether the request was executed. Without guards,
+// routing to the fewest outstanding requests causes many resets, and fewer requests are
+// served within their target.
 func TestNoResetsWhenFull(t *testing.T) {
 	for name, c := range map[string]struct {
 		workload
-		// minResetsWithoutGuards is the least share of requests that upstreams
-		// reset without guards.
+		// minResetsWithoutGuards is the least share of requests whose connections
+		// the upstreams reset in the mesh without guards.
 		minResetsWithoutGuards float64
 	}{
 		"load equal to capacity":      {workload{rate: 250, slots: 6, noiseShare: 0.25, upstreamQueue: 12}, 0.15},
--- a/replay/outcomes_test.go
+++ b/replay/outcomes_test.go
@@ -13,19 +13,22 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// expectedOutcome is an element of testdata/replay/outcomes.json: upper bounds on
-// the results of the default routing policy for a generated trace. Latencies are
-// ratios to the ideal bound.
+// expectedOutcome is an element of testdata/replay/outcomes.json. It holds upper
+// bounds on the results of the default routing policy for a generated trace.
+// Latencies are given as ratios to the ideal bound.
 type expectedOutcome struct {
 	Topology string `json:"topology"`
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
-	// P99 and P999 apply to all requests together, GroupP999 to each group.
-	P99       float64 `json:"p99"`
-	P999      float64 `json:"p999"`
+	// P99 is the bound on the p99 of all requests together.
+	P99 float64 `json:"p99"`
+	// P999 is the bound on the p99.9 of all requests together.
+	P999 float64 `json:"p999"`
+	// GroupP999 is the bound on the p99.9 of each group.
 	GroupP999 float64 `json:"group_p999"`
-	// NotRun and Unknown apply to the numbers of requests with these outcomes.
-	NotRun  int64 `json:"not_run"`
+	// NotRun is the bound on the number of requests with outcome not run.
+	NotRun int64 `json:"not_run"`
+	// Unknown is the bound on the number of requests with an unknown outcome.
 	Unknown int64 `json:"unknown"`
 }
 
@@ -41,6 +44,7 @@
 	return rows
 }
 
+// generateEvents returns the trace of the named scenario.
 func generateEvents(t *testing.T, topology *Topology, name string, seed uint64) []Event {
 	t.Helper()
 	scenario, ok := FindScenario(name)
@@ -48,11 +52,11 @@
 	return scenario.Generator(topology, seed).Events()
 }
 
-func ratio(got, ideal int64) float64 { return float64(got) / float64(ideal) }
+func ratio(a, b int64) float64 { return float64(a) / float64(b) }
 
 // TestExpectedOutcomes checks the results of the default routing policy against
-// the bounds in testdata. Replay is deterministic, so the test does not pass or
-// fail by chance.
+// the bounds in testdata/replay. A replay is deterministic, so the test does not pass
+// or fail by chance.
 func TestExpectedOutcomes(t *testing.T) {
 	for _, want := range readExpectedOutcomes(t) {
 		t.Run(want.Topology+"/"+want.Scenario, func(t *testing.T) {
@@ -82,12 +86,12 @@
 }
 
 // comparedScenarios are the scenarios in which the default policy is compared
-// with the other policies. They contain no overload, because under overload the
-// wait in the queues dominates whatever the policy.
+// with the other policies. None of them overloads a service, because under overload
+// the wait in the queues dominates the latency of every policy.
 var comparedScenarios = []string{"steady-85", "steady-95", "straggle", "fail-fast"}
 
-// tieTolerance is the ratio up to which two latencies count as equal: a different
-// seed changes them by as much.
+// tieTolerance is the ratio up to which two latencies are considered equal. A different
+// seed changes a latency by as much.
 const tieTolerance = 1.02
 
 // TestDefaultPolicyAtLeastAsGoodAsBaselines checks that the total p99 and p99.9 of
@@ -111,8 +115,8 @@
 
 // TestMixedCostsKeepAllUpstreamsInUse replays 20 s of cheap lookups mixed with
 // expensive searches. It guards against a past fault: an upstream that executed
-// several searches at once was mistaken for a straggler, and no entry ever sent
-// it a request again.
+// several searches at once was mistaken for a straggler, that is, a slow upstream. No
+// entry ever sent this upstream a request again.
 func TestMixedCostsKeepAllUpstreamsInUse(t *testing.T) {
 	t.Parallel()
 	topology := loadTopology(t, "cooperative")
--- a/replay/poll.go
+++ b/replay/poll.go
@@ -10,12 +10,12 @@
 	// pollBytes is the size of a poll's request and response together.
 	pollBytes = 400
 	// pollReserveFactor is the slot time that is reserved for a poll, as a
-	// multiple of the report cost.
+	// multiple of Service.ReportCost.
 	pollReserveFactor = 4
 )
 
-// poll requests the upstream's load report if the measuring budget allows it, and
-// then schedules the next poll. Polling ends with the trace.
+// poll requests a load report from the upstream if the measuring budget allows it. Then
+// it schedules the next poll. Polling stops at the end of the trace.
 func (g *guard) poll() {
 	s := g.sim
 	if s.now > s.end {
@@ -46,8 +46,8 @@
 	g.monitor.PollSucceeded(now, r, cost, report, g.limiter.Slowed())
 }
 
-// openPollConnections returns the number of connections that this poll opens:
-// one for the first poll, none for later polls, which reuse it.
+// openPollConnections counts a poll and returns the number of connections that it
+// opens. The first poll opens one connection, which later polls reuse.
 func (g *guard) openPollConnections() int {
 	if g.pollCount++; g.pollCount == 1 {
 		return 1
--- a/replay/queue.go
+++ b/replay/queue.go
@@ -16,10 +16,11 @@
 	// daemon is the index of the daemon that the task runs on, or noDaemon.
 	daemon  int
 	attempt *attempt
-	// generation is the attempt's generation when the task was scheduled.
-	// taskFinish and taskExpire are ignored if it has changed since.
+	// generation is the attempt's generation when the task was scheduled. If the
+	// attempt's generation has changed since, taskFinish and taskExpire are ignored.
 	generation uint32
-	run        func()
+	// run is the function that a taskFunc calls.
+	run func()
 }
 
 type taskKind uint8
@@ -39,8 +40,8 @@
 	taskHedge
 	// taskCancel: a cancellation arrives at the guard.
 	taskCancel
-	// taskFunc: the task's run function is called, for example to end a fault,
-	// to poll an upstream or to update the routers.
+	// taskFunc: the function task.run is called, for example to end a fault, to
+	// poll an upstream or to update the routers.
 	taskFunc
 )
 
@@ -72,7 +73,7 @@
 type taskQueue struct {
 	tasks        taskHeap
 	lastSequence uint64
-	// free holds tasks that were taken out, for reuse.
+	// free holds memory of popped tasks, for reuse.
 	free []*task
 }
 
--- a/replay/recorded_test.go
+++ b/replay/recorded_test.go
@@ -12,12 +12,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// recordedDay is the recording of a day of load: the request rates, the kinds of
+// recordedDay is the recording of a day of load. It holds the request rates, the kinds of
 // requests and the upstreams.
 type recordedDay struct {
-	// WindowS is the length of a time window in seconds. Rates holds the number of
-	// requests a second in each window.
-	WindowS  int               `json:"window_s"`
+	// WindowS is the length of a time window in seconds.
+	WindowS int `json:"window_s"`
+	// Rates holds the number of requests a second in each time window of the day.
 	Rates    []float64         `json:"rates"`
 	Services []recordedService `json:"services"`
 }
@@ -37,7 +37,8 @@
 // recordedUpstream is an upstream and the times when it was up.
 type recordedUpstream struct {
 	Zone model.AvailabilityZone `json:"zone"`
-	// Up holds intervals in seconds from the start of the day.
+	// Up holds the start and the end of each interval in which the upstream was up, in
+	// seconds from the start of the day.
 	Up [][2]float64 `json:"up"`
 }
 
@@ -47,17 +48,20 @@
 	// recordedDay.Rates. The shares of all kinds need not add up to 1.
 	Share         float64 `json:"share"`
 	ServiceTimeMs float64 `json:"work_ms"`
-	TargetMs      float64 `json:"target_ms"`
-	DeadlineMs    float64 `json:"deadline_ms"`
-	Rank          int     `json:"rank"`
+	// TargetMs is the time in which a request should be served.
+	TargetMs float64 `json:"target_ms"`
+	// DeadlineMs is the time after which a request is given up.
+	DeadlineMs float64 `json:"deadline_ms"`
+	// Rank is the priority rank. Rank 0 is served first.
+	Rank int `json:"rank"`
 }
 
 const ticksPerSecond = int(time.Second / tickLength)
 
-// ticks returns the length of the day.
+// ticks returns the length of the day in ticks.
 func (s *recordedService) ticks() int { return len(s.day.Rates) * s.day.WindowS * ticksPerSecond }
 
-// rateAtTick returns the number of requests a second that the service receives.
+// rateAtTick returns the number of requests a second that the service receives at a tick.
 func (s *recordedService) rateAtTick(t int) float64 {
 	share := 0.0
 	for _, k := range s.Kinds {
@@ -78,16 +82,16 @@
 	return out
 }
 
-// applyDowntime returns the speeds with those set to 0 at which the upstream was down.
-// After each start, except at the start of the day, they are reduced by coldSlowdown
-// for coldTicks.
+// applyDowntime returns a copy of the speeds that is 0 at ticks when the upstream was
+// down. For coldTicks after each start, the speeds are divided by coldSlowdown. This does
+// not apply to upstreams that were already up at the start of the day.
 func (u *recordedUpstream) applyDowntime(speeds []float64) []float64 {
 	out := make([]float64, len(speeds))
 	for _, up := range u.Up {
-		from, to := int(up[0]*float64(ticksPerSecond)), int(up[1]*float64(ticksPerSecond))
-		for t := from; t < min(to, len(out)); t++ {
+		startTick, stopTick := int(up[0]*float64(ticksPerSecond)), int(up[1]*float64(ticksPerSecond))
+		for t := startTick; t < min(stopTick, len(out)); t++ {
 			out[t] = speeds[t]
-			if from > 0 && t < from+coldTicks {
+			if startTick > 0 && t < startTick+coldTicks {
 				out[t] /= coldSlowdown
 			}
 		}
@@ -108,15 +112,19 @@
 }
 
 // TestRecordedDays simulates the recorded arrivals and upstreams of days with heavy
-// load. It compares the share of requests served within their target with that of one
-// central queue that knows all future speeds. The times with noisy neighbours are not
-// recorded but random. Requests that one service sends to another while it executes a
-// request count as separate requests. RECORDED_DAYS names a directory of recordings to
-// use instead of testdata/days.
+// load. It compares the share of requests served within their target with the share that
+// one central queue reaches. The central queue knows all future speeds. The times with
+// noisy neighbours are not recorded but drawn at random. A request that one service sends
+// to another while it executes a request counts as a separate request.
+//
+// The environment variable RECORDED_DAYS names a directory of recordings to use instead
+// of testdata/days.
 func TestRecordedDays(t *testing.T) {
-	// minRatio is the least ratio to the central queue's share. The recordings in
-	// testdata reach slightly more. The production policy may exceed the central queue
-	// by tolerance, which allows for random variation.
+	// minRatio is the least ratio of the production policy's share to the central
+	// queue's share. The recordings in testdata reach slightly more.
+	//
+	// tolerance is how much the production policy's share may exceed the central
+	// queue's share. It allows for random variation.
 	const minRatio, tolerance = 0.88, 0.005
 	dir := os.Getenv("RECORDED_DAYS")
 	if dir == "" {
@@ -128,8 +136,8 @@
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			day := readDay(t, file)
-			// Numbers of requests: within their target, within their target with the
-			// central queue, and in total.
+			// Numbers of requests over all services: within their target with the
+			// production policy, within their target with the central queue, and in total.
 			var inTime, inTimeCentral, total float64
 			for i := range day.Services {
 				s := &day.Services[i]
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -24,11 +24,13 @@
 	}
 }
 
-// newRequestEvent returns a request for the service of singleZoneTopology.
+// newRequestEvent returns the event of a request for the service of singleZoneTopology.
+// Its deadline is one second after its arrival.
 func newRequestEvent(atUs, costUs int64) Event {
 	return Event{AtUs: atUs, Service: "s", Group: "g", CostUs: costUs, Idempotent: true, DeadlineMs: 1000, Zone: "a"}
 }
 
+// mustRun replays the events and fails the test on an error.
 func mustRun(t testing.TB, topology *Topology, events []Event, opts Options) *Result {
 	t.Helper()
 	r, err := Run(topology, events, opts)
@@ -90,7 +92,8 @@
 	}
 }
 
-// assertNear allows for rounding to three significant digits in the histogram.
+// assertNear checks that got equals want, except for the rounding of the latency
+// histogram to three significant digits.
 func assertNear(t *testing.T, want, got int64) {
 	t.Helper()
 	if want == 0 {
--- a/replay/result.go
+++ b/replay/result.go
@@ -28,10 +28,11 @@
 	// response. It covers answered requests only.
 	Latency
 	// SlotTimeShare is the group's share of the slot time that its service used.
+	// Slot time is the time for which requests occupy slots of upstreams.
 	SlotTimeShare float64 `json:"slot_time_share"`
-	// MeasuringShare is the share of the service's capacity, slots times the
-	// length of the trace, that measuring took. It is counted by service, so
-	// all groups of a service have the same value.
+	// MeasuringShare is the share of the service's capacity that requesting load
+	// reports took. The capacity is the number of slots times the length of the
+	// trace. All groups of a service have the same value.
 	MeasuringShare float64 `json:"measuring_share"`
 	// Ideal is the latency of one central queue with perfect knowledge and no
 	// network.
@@ -109,7 +110,7 @@
 	}
 }
 
-// result computes the result of the replay, except for the ideal bound.
+// result returns the result of the replay, without the ideal bound.
 func (c *collector) result(s *simulation) *Result {
 	serviceSlotTime := make(map[model.ServiceName]time.Duration)
 	for k, g := range c.groups {
@@ -128,7 +129,7 @@
 	return r
 }
 
-// summarize computes the results of the group. The argument is the slot time of
+// summarize returns the results of the group. The argument is the slot time of
 // the whole service.
 func (g *groupCollector) summarize(serviceSlotTime time.Duration) Stats {
 	stats := g.Stats
@@ -139,7 +140,8 @@
 	return stats
 }
 
-// measuringShare returns the share of the guards' capacity that measuring took.
+// measuringShare returns the share of the guards' capacity that requesting load
+// reports took.
 func (s *simulation) measuringShare(guards []*guard) float64 {
 	spent, slots := time.Duration(0), 0
 	for _, g := range guards {
--- a/replay/retry_after_test.go
+++ b/replay/retry_after_test.go
@@ -16,8 +16,8 @@
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// refuse refuses a request. If the caller has retries left, it retries after the
-// Retry-After value.
+// refuse refuses a request. If the caller has retries left, the caller sends the request
+// again after the Retry-After value.
 func (m *mesh) refuse(r *meshRequest) {
 	m.refused++
 	if r.retries >= m.callerRetries {
@@ -37,9 +37,9 @@
 }
 
 // TestRetryAfterJitterSpreadsBursts checks that jitter in the Retry-After value makes
-// more requests succeed in time after a burst. More requests arrive in one tick than
-// the upstreams have capacity for, as after a power failure. The refused callers retry
-// after the Retry-After value; without jitter they all retry at the same time.
+// more requests succeed in time after a burst. In a burst, as after a power failure, more
+// requests arrive in one tick than the upstreams have capacity for. The refused callers
+// retry after the Retry-After value. Without jitter, they all retry at the same time.
 func TestRetryAfterJitterSpreadsBursts(t *testing.T) {
 	const seeds, retries = 8, 3
 	for name, w := range map[string]workload{
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -12,9 +12,9 @@
 
 // Options configure a replay.
 type Options struct {
-	// Routing names the routing policy. Default: the router's own.
+	// Routing names the routing policy. Default: the default policy of core/routing.
 	Routing string
-	// Seed seeds every random choice.
+	// Seed seeds all random choices.
 	Seed uint64
 }
 
@@ -29,14 +29,16 @@
 	entries       []*entry
 	guardsByName  map[string]*guard
 	entriesByZone map[model.AvailabilityZone][]*entry
-	// nextEntry is the round-robin position in the entries of a zone.
+	// nextEntry counts the requests sent to entries of a zone. It selects the next
+	// entry of entriesByZone in turn.
 	nextEntry        map[model.AvailabilityZone]int
 	services         map[model.ServiceName]*service
 	partitionedZones map[model.AvailabilityZone]bool
 	logDown          bool
 	// heldAnnouncements holds the announcements that wait for the end of LogDown.
 	heldAnnouncements []func()
-	lastAttemptID     uint64
+	// lastAttemptID is the ID of the newest attempt.
+	lastAttemptID uint64
 	// end is the instant of the trace's last event.
 	end       model.Instant
 	collector *collector
@@ -49,7 +51,9 @@
 }
 
 // Run replays the events and returns the result. Events must be in order of
-// time, as ReadTrace returns them.
+// time, as ReadTrace returns them. Run returns an error if there are no events, if
+// the routing policy is unknown, or if an event names something that the topology
+// does not have.
 func Run(t *Topology, events []Event, opts Options) (*Result, error) {
 	if len(events) == 0 {
 		return nil, errNoEvents
@@ -94,8 +98,9 @@
 	return s, nil
 }
 
-// seedStream gives the replay a random sequence of its own, so that it doesn't
-// share one with the routers.
+// seedStream is the second half of the seed of simulation.rng. It makes this
+// generator's sequence different from those of the routers, which use the same
+// Options.Seed.
 const seedStream = 0x9e3779b97f4a7c15
 
 func (s *simulation) addService(spec *Service) {
@@ -109,10 +114,11 @@
 	}
 }
 
-// upstreamName names the i-th upstream of a service, from 0.
+// upstreamName returns the name of a service's i-th upstream, where i counts from 0.
+// The numbers in the names count from 1.
 func upstreamName(s model.ServiceName, i int) string { return fmt.Sprintf("%s-%d", s, i+1) }
 
-// checkEvents returns an error if an event names a zone, an upstream or a
+// checkEvents returns a *FieldError if an event names a zone, an upstream or a
 // service that the topology does not have.
 func (s *simulation) checkEvents(events []Event) error {
 	for i := range events {
@@ -167,8 +173,9 @@
 	return model.Instant(time.Duration(us) * time.Microsecond)
 }
 
-// processEvent starts a fault, or sends a request to an entry of its zone, in
-// turn. A zone without entries uses the entries of all zones.
+// processEvent starts a fault or sends a request to an entry. The entries of the
+// request's zone receive requests in turn. If the zone has no entries, the entries
+// of all zones are used instead.
 func (s *simulation) processEvent(e *Event) {
 	if e.Fault != "" {
 		s.startFault(e)
@@ -185,8 +192,9 @@
 	s.dispatch(task{kind: taskRequestArrival, daemon: entry.index, attempt: a})
 }
 
-// dispatch runs a task. While the task's daemon is paused, it reschedules the
-// task to the end of the pause instead.
+// dispatch runs a task. If the task's daemon is paused, dispatch reschedules the
+// task to the end of the pause instead. Tasks of kind taskFunc are never
+// rescheduled.
 func (s *simulation) dispatch(t task) {
 	if t.daemon != noDaemon && t.kind != taskFunc {
 		if until := s.guards[t.daemon].pausedUntil; until > s.now {
@@ -215,12 +223,12 @@
 	}
 }
 
-// schedule calls run after the given virtual time, even if a daemon is paused.
+// schedule calls run after the given virtual duration, even if a daemon is paused.
 func (s *simulation) schedule(d time.Duration, run func()) {
 	s.queue.add(task{at: s.now.Add(d), kind: taskFunc, daemon: noDaemon, run: run})
 }
 
-// delay returns the one-way network delay between two daemons.
+// delay returns the one-way network delay between two daemons, given by their indexes.
 func (s *simulation) delay(a, b int) time.Duration {
 	za, zb := s.guards[a].upstream.Zone, s.guards[b].upstream.Zone
 	switch {
@@ -233,13 +241,14 @@
 	}
 }
 
-// partitioned reports whether a zone partition separates two daemons.
+// partitioned reports whether a zone partition separates two daemons, given by their
+// indexes.
 func (s *simulation) partitioned(a, b int) bool {
 	za, zb := s.guards[a].upstream.Zone, s.guards[b].upstream.Zone
 	return za != zb && (s.partitionedZones[za] || s.partitionedZones[zb])
 }
 
-// updateRouters gives every router the present upstreams of its service, as the
+// updateRouters passes the current upstreams of each service to all routers, as the
 // membership log does in production.
 func (s *simulation) updateRouters() {
 	for _, e := range s.entries {
@@ -250,7 +259,7 @@
 }
 
 // announceMembership updates the routers after membershipDelay. While LogDown
-// lasts it postpones the announcement to the end of the fault.
+// lasts, the announcement is postponed to the end of the fault.
 func (s *simulation) announceMembership() {
 	if s.logDown {
 		s.heldAnnouncements = append(s.heldAnnouncements, s.announceMembership)
@@ -263,7 +272,7 @@
 // entries through the log.
 const membershipDelay = 250 * time.Millisecond
 
-// upstreams returns the present state of the service's upstreams.
+// upstreams returns the current state of the service's upstreams.
 func (svc *service) upstreams() []model.Upstream {
 	ups := make([]model.Upstream, 0, len(svc.guards))
 	for _, g := range svc.guards {
@@ -272,6 +281,8 @@
 	return ups
 }
 
+// routingOptions returns the options for the routers of the i-th entry. zone is the
+// zone of the entry, and self is the ID of its daemon.
 func (s *simulation) routingOptions(i int, zone model.AvailabilityZone, self model.DaemonID) routing.Options {
 	delays := make(map[model.AvailabilityZone]time.Duration, len(s.topology.Zones))
 	for _, z := range s.topology.Zones {
--- a/replay/topology.go
+++ b/replay/topology.go
@@ -17,7 +17,8 @@
 type Topology struct {
 	// Zones lists the availability zones.
 	Zones []model.AvailabilityZone `json:"zones"`
-	Delay Delay                    `json:"delay"`
+	// Delay holds the network delays of the deployment.
+	Delay Delay `json:"delay"`
 	// Services lists the services and their upstreams.
 	Services []Service `json:"services"`
 }
@@ -29,7 +30,8 @@
 	// WithinZone is the delay between two VMs of one zone. Default: 0s.
 	WithinZone policy.Duration `json:"within_zone,omitempty"`
 	// Client is the delay from callers to the entry. Latencies do not include
-	// it, because it is the same for every routing policy and the ideal bound.
+	// this delay, because it is the same for every routing policy and for the
+	// ideal bound.
 	Client policy.Duration `json:"client,omitempty"`
 }
 
@@ -43,12 +45,12 @@
 	Connections int `json:"connections"`
 	// ConnectionCost is the time that it takes to open a connection.
 	ConnectionCost policy.Duration `json:"connection_cost,omitempty"`
-	// ReportLag is the age of the load in the upstream's load reports.
+	// ReportLag is the age of the load that an upstream's load reports contain.
 	ReportLag policy.Duration `json:"report_lag,omitempty"`
 	// ReportCost is the slot time that one load report takes. Default: 0s.
 	ReportCost policy.Duration `json:"report_cost,omitempty"`
-	// MeasuringBudget is the share of slot time that measuring may take, from 0
-	// to 1. Zero disables measuring.
+	// MeasuringBudget is the share of the slots' time that requesting load
+	// reports (measuring) may take, from 0 to 1. Zero disables measuring.
 	MeasuringBudget float64 `json:"measuring_budget"`
 	// Groups holds the weights of the groups. A group that is not listed has
 	// weight 1.
@@ -120,7 +122,7 @@
 	return &t, nil
 }
 
-// decodeError is an error of the JSON decoder and the input offset at which
+// decodeError holds an error of the JSON decoder and the input offset at which
 // decoding stopped.
 type decodeError struct {
 	cause  error
@@ -147,8 +149,9 @@
 	return 1 + bytes.Count(data[:offset], []byte("\n"))
 }
 
-// errorOffset returns the offset at which decoding failed. For an error without
-// a position it is the first place where the text that the error quotes occurs.
+// errorOffset returns the offset at which decoding failed. Some errors hold no
+// position but quote a text of the input. For these it returns the offset of the
+// first occurrence of the text.
 func errorOffset(data []byte, e *decodeError) int64 {
 	var syntax *json.SyntaxError
 	if errors.As(e.cause, &syntax) {
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -15,29 +15,30 @@
 
 // Faults of the simulated system.
 const (
-	// Straggle multiplies service times by the factor.
+	// Straggle multiplies service times by Event.Factor.
 	Straggle Fault = "straggle"
-	// Drain makes the upstream leave gracefully; it restarts as a new
-	// incarnation when the fault ends.
+	// Drain makes the upstream leave gracefully. When the fault ends, the
+	// upstream restarts as a new incarnation, that is, a new life under the same
+	// name.
 	Drain Fault = "drain"
 	// FailFast makes the upstream fail requests almost instantly, without
 	// executing them.
 	FailFast Fault = "fail_fast"
-	// ColdStart multiplies service times by a factor that decreases linearly
-	// to 1 while the fault lasts, but over at least one second.
+	// ColdStart multiplies service times by Event.Factor at first. The multiplier
+	// decreases linearly to 1 while the fault lasts, which is at least one second.
 	ColdStart Fault = "cold_start"
-	// Crash ends all running requests and refuses connections; the upstream
-	// restarts as a new incarnation when the fault ends.
+	// Crash ends all running requests and refuses connections. When the fault
+	// ends, the upstream restarts as a new incarnation.
 	Crash Fault = "crash"
 	// Recover ends every fault of the target at once.
 	Recover Fault = "recover"
-	// Misreport multiplies the load in the upstream's load reports by the
-	// factor.
+	// Misreport multiplies the load in the upstream's load reports by
+	// Event.Factor.
 	Misreport Fault = "misreport"
 	// PartitionZone cuts the connections between a zone and all others.
 	PartitionZone Fault = "partition_zone"
-	// LogDown makes the membership log unavailable, so that entries receive
-	// membership changes only after the fault.
+	// LogDown makes the membership log unavailable. Entries receive membership
+	// changes only after the fault.
 	LogDown Fault = "log_down"
 	// PauseDaemon pauses the daemon on the VM of an upstream.
 	PauseDaemon Fault = "pause_daemon"
@@ -48,32 +49,41 @@
 	Recover: true, Misreport: true, PartitionZone: true, LogDown: true, PauseDaemon: true,
 }
 
-// Event is one line of a trace: a request, or a fault when Fault is set.
+// Event is one line of a trace. It is a fault if Fault is set, and a request otherwise.
 type Event struct {
 	// AtUs is the time since the start of the trace, in microseconds.
 	AtUs int64 `json:"at_us"`
 
-	Caller  model.CallerName  `json:"caller,omitempty"`
-	Group   model.GroupName   `json:"group,omitempty"`
+	// The fields up to Zone describe a request.
+
+	Caller model.CallerName `json:"caller,omitempty"`
+	// Group is the group of callers that the caller belongs to.
+	Group model.GroupName `json:"group,omitempty"`
+	// Service is the service that the request is for.
 	Service model.ServiceName `json:"service,omitempty"`
 	// CostUs is the service time at an upstream without faults, in
 	// microseconds.
-	CostUs     int64 `json:"cost_us,omitempty"`
-	Idempotent bool  `json:"idempotent,omitempty"`
+	CostUs int64 `json:"cost_us,omitempty"`
+	// Idempotent is set if the request may be executed more than once.
+	Idempotent bool `json:"idempotent,omitempty"`
 	// DeadlineMs is the time from the request's arrival to its deadline, in
 	// milliseconds. Default: 10000.
-	DeadlineMs int64                  `json:"deadline_ms,omitempty"`
-	Key        string                 `json:"key,omitempty"`
-	Zone       model.AvailabilityZone `json:"zone,omitempty"`
+	DeadlineMs int64 `json:"deadline_ms,omitempty"`
+	// Key is the idempotency key. The simulation does not use it.
+	Key string `json:"key,omitempty"`
+	// Zone is the availability zone of the entry that receives the request.
+	Zone model.AvailabilityZone `json:"zone,omitempty"`
+
+	// The other fields describe a fault.
 
 	Fault Fault `json:"fault,omitempty"`
-	// Target is an upstream, or a zone for PartitionZone. Recover takes either.
-	// LogDown has no target.
+	// Target names the upstream that the fault affects. For PartitionZone it names
+	// a zone, and for Recover either. LogDown has no target.
 	Target string `json:"target,omitempty"`
 	// Factor is used by Straggle, ColdStart and Misreport. Default: 1.
 	Factor float64 `json:"factor,omitempty"`
-	// ForMs is the duration of the fault in milliseconds. Zero means until
-	// Recover or the end of the trace, and one second for ColdStart.
+	// ForMs is the duration of the fault in milliseconds. If it is zero, the fault
+	// lasts until Recover or the end of the trace. ColdStart then lasts one second.
 	ForMs int64 `json:"for_ms,omitempty"`
 }
 
@@ -85,15 +95,15 @@
 
 var errNoEvents = errors.New("trace holds no lines")
 
-// ReadTrace reads a trace of JSON lines, which must be in order of time. An
-// invalid line is reported as a *LineError.
+// ReadTrace reads a trace of JSON lines, which must be in order of time. It returns
+// a *LineError for an invalid line, and an error for a trace without events.
 func ReadTrace(r io.Reader) ([]Event, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	names := make(interner)
 	var events []Event
 	line := 0
-	last := int64(0)
+	previousAtUs := int64(0)
 	for scanner.Scan() {
 		line++
 		if len(scanner.Bytes()) == 0 {
@@ -103,10 +113,10 @@
 		if err := decodeStrict(scanner.Bytes(), &e); err != nil {
 			return nil, &LineError{Line: line, Err: err.cause}
 		}
-		if err := e.check(last); err != nil {
+		if err := e.check(previousAtUs); err != nil {
 			return nil, &LineError{Line: line, Err: err}
 		}
-		last = e.AtUs
+		previousAtUs = e.AtUs
 		names.intern(&e)
 		events = append(events, e)
 	}
@@ -119,8 +129,8 @@
 	return events, nil
 }
 
-// check fills in defaults and returns the first error in an event. The argument
-// is the time of the event before it.
+// check fills in defaults and returns the first error in an event. previousAtUs is
+// the time of the event before it.
 func (e *Event) check(previousAtUs int64) error {
 	if e.AtUs < previousAtUs {
 		return &FieldError{"at_us", e.AtUs, fmt.Sprintf("want at least %d, the time of the line before", previousAtUs)}
--- a/replay/upstream.go
+++ b/replay/upstream.go
@@ -10,47 +10,49 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// fakeUpstream simulates an upstream. It determines how long each request
-// takes from the number of running requests and the present faults.
+// fakeUpstream simulates an upstream. It computes the duration of each request from
+// the request's cost, the number of running requests and the current faults.
 type fakeUpstream struct {
 	spec *Service
 	// realSlots is the number of requests that run without slowing each other
 	// down.
 	realSlots   int
-	running     int
-	connections int
+	running     int // requests and load reports being executed
+	connections int // opened so far
 	faults      faultState
 	crashed     bool
-	// history holds the numbers of running requests over the past ReportLag,
-	// oldest first. Load reports are taken from it.
+	// history holds the numbers of running requests over at least the past
+	// ReportLag, oldest first. Load reports are computed from it.
 	history []runningSample
 }
 
-// runningSample is the number of running requests from an instant until that of
-// the next sample.
+// runningSample is the number of running requests from the instant at until the
+// instant of the next sample.
 type runningSample struct {
 	at      model.Instant
 	running int
 }
 
-// faultState holds the present faults that affect service times, failures and
+// faultState holds the current faults that affect service times, failures and
 // load reports.
 type faultState struct {
-	// straggleFactor is the factor of Straggle on service times, 1 without the fault.
+	// straggleFactor is the factor of Straggle on service times. Without the fault
+	// it is 1.
 	straggleFactor float64
-	// coldFactor is the factor of ColdStart at coldFrom. It decreases linearly to 1 at
-	// coldUntil.
+	// coldFactor is the factor of ColdStart on service times at the instant coldFrom.
+	// From then on the factor on service times decreases linearly. It reaches 1 at
+	// the instant coldUntil.
 	coldFactor float64
 	coldFrom   model.Instant
 	coldUntil  model.Instant
 	failFast   bool
-	// reportedLoadFactor is the factor of Misreport on reported loads, 1 without the
-	// fault.
+	// reportedLoadFactor is the factor of Misreport on reported loads. Without the
+	// fault it is 1.
 	reportedLoadFactor float64
 }
 
-// failureTime is the time that a crashed upstream or one under FailFast takes to
-// fail a request.
+// failureTime is the time that an upstream takes to fail a request after Crash or
+// during FailFast.
 const failureTime = 50 * time.Microsecond
 
 func newFakeUpstream(u Upstream, spec *Service) fakeUpstream {
@@ -62,7 +64,7 @@
 }
 
 // run starts an attempt. It returns the duration and the outcome of the
-// execution, and whether the outcome counts as a failure.
+// execution, and whether the execution failed.
 func (f *fakeUpstream) run(now model.Instant, a *attempt) (time.Duration, outcome.Outcome, bool) {
 	f.adjustRunning(now, 1)
 	switch {
@@ -77,7 +79,7 @@
 	return took + f.openConnection(), outcome.Done(), false
 }
 
-// release ends a request.
+// release removes a request from the running requests.
 func (f *fakeUpstream) release(now model.Instant) { f.adjustRunning(now, -1) }
 
 // adjustRunning adds delta to the number of running requests and records it in
@@ -88,9 +90,9 @@
 	f.trimHistory(now)
 }
 
-// trimHistory drops the samples that load reports no longer need: those older
-// than ReportLag, except for the newest of them. It waits until these are more
-// than half of the history.
+// trimHistory drops samples that load reports no longer need. A sample is no longer
+// needed if the next sample is at least ReportLag old. To save copying, trimHistory
+// does nothing until such samples are more than half of the history.
 func (f *fakeUpstream) trimHistory(now model.Instant) {
 	reportedAt := now.Add(-time.Duration(f.spec.ReportLag))
 	old := 0
@@ -102,8 +104,8 @@
 	}
 }
 
-// reportedRunning returns the number of running requests in a load report: the
-// number ReportLag ago, multiplied by the factor of Misreport.
+// reportedRunning returns the number of running requests that a load report
+// contains. It is the number of ReportLag ago, multiplied by the factor of Misreport.
 func (f *fakeUpstream) reportedRunning(now model.Instant) int {
 	reportedAt := now.Add(-time.Duration(f.spec.ReportLag))
 	running := 0
@@ -116,8 +118,8 @@
 	return int(math.Round(float64(running) * f.faults.reportedLoadFactor))
 }
 
-// openConnection opens a connection if none is idle and the limit allows it. It
-// returns the time that this takes, or 0 if it opens none.
+// openConnection opens a connection if none is idle and the limit allows another. It
+// returns the time that opening takes, or 0 if no connection is opened.
 func (f *fakeUpstream) openConnection() time.Duration {
 	if f.running <= f.connections || f.connections >= f.spec.Connections {
 		return 0
@@ -126,7 +128,7 @@
 	return time.Duration(f.spec.ConnectionCost)
 }
 
-// slowdown returns the factor by which the faults multiply service times.
+// slowdown returns the factor by which the faults multiply service times now.
 func (s *faultState) slowdown(now model.Instant) float64 {
 	factor := s.straggleFactor
 	if now < s.coldUntil {
