--- a/load/result.go
+++ b/load/result.go
@@ -30,8 +30,8 @@
 	// which they were due.
 	Latency
 	// SlotTimeShare is the group's share of the slot time of its service. Slot
-	// time is the time for which requests occupy slots of upstreams. It is computed
-	// from the costs that the plan states.
+	// time is the time for which requests occupy slots of upstreams. The share is
+	// computed from the costs that the plan states.
 	SlotTimeShare float64 `json:"slot_time_share"`
 	// Series holds one point for each second of the run.
 	Series []Point `json:"series,omitempty"`
--- a/load/sender.go
+++ b/load/sender.go
@@ -118,8 +118,8 @@
 }
 
 // newReply returns the outcome and the reason from the response headers. err is the
-// error from reading the body, if any. Such a response is truncated, and its outcome is
-// unknown whatever the headers say.
+// error from reading the body. If err is not nil, the response is truncated, and its
+// outcome is unknown whatever the headers say.
 func newReply(resp *http.Response, err error) Reply {
 	if err != nil {
 		return Reply{Kind: outcome.Unknown, Reason: string(outcome.ReasonTruncated)}
--- a/replay/fairness_test.go
+++ b/replay/fairness_test.go
@@ -61,23 +61,23 @@
 		}
 		return heavy, light
 	}
-	_, fromAll := run(1.5, zones)
-	_, fromOne := run(1.5, zones[:1])
-	t.Logf("light group's share of slot time (entitled to 10%%): %.2f%% from all zones, %.2f%% from one zone", 100*fromAll.SlotTimeShare, 100*fromOne.SlotTimeShare)
-	require.LessOrEqual(t, fromOne.SlotTimeShare, 1.01*fromAll.SlotTimeShare)
+	_, lightFromAll := run(1.5, zones)
+	_, lightFromOne := run(1.5, zones[:1])
+	t.Logf("light group's share of slot time (entitled to 10%%): %.2f%% from all zones, %.2f%% from one zone", 100*lightFromAll.SlotTimeShare, 100*lightFromOne.SlotTimeShare)
+	require.LessOrEqual(t, lightFromOne.SlotTimeShare, 1.01*lightFromAll.SlotTimeShare)
 	// The light group is entitled to 10%. Half a percentage point more comes from the
 	// end of the trace: while the queues drain, the groups no longer compete and
 	// shares are not enforced.
-	require.LessOrEqual(t, fromOne.SlotTimeShare, 0.11)
+	require.LessOrEqual(t, lightFromOne.SlotTimeShare, 0.11)
 
-	alone, _ := run(0.7, nil)
-	withAll, _ := run(0.7, zones)
-	withOne, _ := run(0.7, zones[:1])
-	t.Logf("p99 of the heavy group within its share: %d us alone, %d us with the light group's overload from all zones, %d us from one zone", alone.P99, withAll.P99, withOne.P99)
-	require.Equal(t, alone.Answered, withOne.Answered, "requests of the heavy group lost")
+	heavyAlone, _ := run(0.7, nil)
+	heavyWithAll, _ := run(0.7, zones)
+	heavyWithOne, _ := run(0.7, zones[:1])
+	t.Logf("p99 of the heavy group within its share: %d us alone, %d us with the light group's overload from all zones, %d us from one zone", heavyAlone.P99, heavyWithAll.P99, heavyWithOne.P99)
+	require.Equal(t, heavyAlone.Answered, heavyWithOne.Answered, "requests of the heavy group lost")
 	// The heavy group waits for slots that the light group occupies, because running
 	// requests are not preempted. This wait is at most the cost of one request. The
 	// heavy group does not wait for the light group's queue.
-	require.LessOrEqual(t, withAll.P99, alone.P99+costUs)
-	require.LessOrEqual(t, withOne.P99, alone.P99+costUs)
+	require.LessOrEqual(t, heavyWithAll.P99, heavyAlone.P99+costUs)
+	require.LessOrEqual(t, heavyWithOne.P99, heavyAlone.P99+costUs)
 }
--- a/replay/request_kinds_test.go
+++ b/replay/request_kinds_test.go
@@ -7,11 +7,11 @@
 
 // requestKind is a kind of requests.
 type requestKind struct {
-	share       float64       // relative to the sum of the shares of all kinds
-	serviceTime time.Duration // median at the usual speed
-	target      time.Duration // time in which a request should be served
-	deadline    time.Duration // time after which a request is given up
-	rank        int           // priority rank: 0 is served first
+	share float64 // relative to the sum of the shares of all kinds
+	// serviceTime is the median service time at the usual speed. A request should be
+	// served within target. It is given up after deadline.
+	serviceTime, target, deadline time.Duration
+	rank                          int // priority rank: 0 is served first
 }
 
 // defaultKinds returns two kinds that differ only in their priority rank: 30% of the
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -99,8 +99,8 @@
 }
 
 // seedStream is the second half of the seed of simulation.rng. It makes this
-// generator's sequence different from those of the routers, which use the same
-// Options.Seed.
+// generator's sequence different from the sequences of the routers, whose seeds also
+// derive from Options.Seed.
 const seedStream = 0x9e3779b97f4a7c15
 
 func (s *simulation) addService(spec *Service) {
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -71,7 +71,7 @@
 	DeadlineMs int64 `json:"deadline_ms,omitempty"`
 	// Key is the idempotency key. The simulation does not use it.
 	Key string `json:"key,omitempty"`
-	// Zone is the availability zone of the entry that receives the request.
+	// Zone is the availability zone in which the caller sends the request.
 	Zone model.AvailabilityZone `json:"zone,omitempty"`
 
 	// The other fields describe a fault.
