--- a/replay/faults.go
+++ b/replay/faults.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// applyFault applies a fault and returns the function that ends it, or nil if
-// the fault needs none.
+// applyFault applies a fault and returns the function that ends it. The function is
+// nil if nothing needs to be done to end the fault.
 func (s *simulation) applyFault(e *Event, duration time.Duration) func() {
 	switch e.Fault {
 	case LogDown:
@@ -33,7 +33,7 @@
 	return s.guardsByName[e.Target].applyFault(e, duration)
 }
 
-// restoreLog ends LogDown and makes the announcements held back meanwhile.
+// restoreLog ends LogDown and makes the announcements that were held back during it.
 func (s *simulation) restoreLog() {
 	s.logDown = false
 	held := s.heldAnnouncements
@@ -43,8 +43,8 @@
 	}
 }
 
-// recover ends the faults of a zone or an upstream, or LogDown when the target
-// is empty.
+// recover ends the faults of the target, a zone or an upstream. An empty target
+// stands for the membership log and ends LogDown.
 func (s *simulation) recover(target string) {
 	delete(s.partitionedZones, model.AvailabilityZone(target))
 	if target == "" {
@@ -57,23 +57,23 @@
 }
 
 // applyFault applies a fault to the guard or its upstream and returns the
-// function that ends it, or nil if the fault ends by itself.
+// function that ends it. The function is nil if the fault ends by itself.
 func (g *guard) applyFault(e *Event, duration time.Duration) func() {
 	f := &g.fake.faults
 	now := g.sim.now
 	switch e.Fault {
 	case Straggle:
-		f.straggle = e.Factor
-		return func() { f.straggle = 1 }
+		f.straggleFactor = e.Factor
+		return func() { f.straggleFactor = 1 }
 	case ColdStart:
-		f.cold, f.coldFrom, f.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
+		f.coldFactor, f.coldFrom, f.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
 		return nil
 	case FailFast:
 		f.failFast = true
 		return func() { f.failFast = false }
 	case Misreport:
-		f.misreport = e.Factor
-		return func() { f.misreport = 1 }
+		f.reportedLoadFactor = e.Factor
+		return func() { f.reportedLoadFactor = 1 }
 	case Drain:
 		g.drain()
 		g.sim.announceMembership()
@@ -100,7 +100,7 @@
 // a drain the upstream restarts as a new incarnation.
 func (g *guard) recover() {
 	mustRestart := g.fake.crashed || g.upstream.Draining
-	g.fake.faults = faultState{straggle: 1, misreport: 1}
+	g.fake.faults = faultState{straggleFactor: 1, reportedLoadFactor: 1}
 	g.pausedUntil = 0
 	if mustRestart {
 		g.restart()
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -8,11 +8,11 @@
 	"github.com/dottereltiller/dottereltiller/latency"
 )
 
-// addIdealBound sets the Ideal latencies of a result: those of one central queue
-// per service with perfect knowledge and no network. The queue assigns requests
-// in order of arrival, each to the slot that completes it first. It knows when
-// every slot becomes free and how fast every upstream runs. It learns of a fault
-// when the fault begins, and knows from then on how long it lasts.
+// addIdealBound sets the Ideal latencies of a result. They are the latencies of one
+// central queue per service, with perfect knowledge and no network. The queue assigns
+// requests in order of arrival, each to the slot that completes it first. It knows
+// when every slot becomes free and how fast every upstream runs. It learns of a fault
+// when the fault begins. From then on it knows how long the fault lasts.
 func addIdealBound(t *Topology, events []Event, r *Result) {
 	total := latency.NewHistogram()
 	groups := make(map[groupKey]*latency.Histogram)
@@ -46,8 +46,9 @@
 
 // server is an upstream of the central queue.
 type server struct {
-	// free holds the instants at which the slots become free, as a heap.
-	free   instantHeap
+	// freeAt holds the instant at which each slot becomes free, as a heap with the
+	// earliest instant first.
+	freeAt instantHeap
 	faults faultState
 	// unavailableUntil is the end of the last FailFast, Drain or Crash.
 	unavailableUntil model.Instant
@@ -64,7 +65,7 @@
 			if u.RealSlots > 0 {
 				slots = u.RealSlots
 			}
-			sv := &server{free: make(instantHeap, slots), faults: faultState{straggle: 1}}
+			sv := &server{freeAt: make(instantHeap, slots), faults: faultState{straggleFactor: 1}}
 			c.servers[s.Name] = append(c.servers[s.Name], sv)
 			c.serversByName[upstreamName(s.Name, j)] = sv
 		}
@@ -80,14 +81,14 @@
 	var best *server
 	var bestEnd model.Instant
 	for _, s := range c.servers[e.Service] {
-		start := max(now, s.free[0], s.unavailableUntil)
+		start := max(now, s.freeAt[0], s.unavailableUntil)
 		end := start.Add(time.Duration(float64(cost) * s.slowdown(start)))
 		if best == nil || end < bestEnd {
 			best, bestEnd = s, end
 		}
 	}
-	best.free[0] = bestEnd
-	heap.Fix(&best.free, 0)
+	best.freeAt[0] = bestEnd
+	heap.Fix(&best.freeAt, 0)
 	return bestEnd.Sub(now)
 }
 
@@ -96,11 +97,13 @@
 func (s *server) slowdown(at model.Instant) float64 {
 	f := s.faults
 	if at >= s.straggleUntil {
-		f.straggle = 1
+		f.straggleFactor = 1
 	}
 	return f.slowdown(at)
 }
 
+// applyFault applies a fault to its target. It ignores faults that do not change how
+// long requests take in the central queue.
 func (c *centralQueue) applyFault(e *Event) {
 	s := c.serversByName[e.Target]
 	if s == nil {
@@ -114,13 +117,13 @@
 	}
 	switch e.Fault {
 	case Straggle:
-		s.faults.straggle, s.straggleUntil = e.Factor, until
+		s.faults.straggleFactor, s.straggleUntil = e.Factor, until
 	case ColdStart:
-		s.faults.cold, s.faults.coldFrom, s.faults.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
+		s.faults.coldFactor, s.faults.coldFrom, s.faults.coldUntil = e.Factor, now, now.Add(max(duration, time.Second))
 	case FailFast, Drain, Crash:
 		s.unavailableUntil = until
 	case Recover:
-		s.faults = faultState{straggle: 1}
+		s.faults = faultState{straggleFactor: 1}
 		s.unavailableUntil = now
 	}
 }
@@ -136,7 +139,7 @@
 // does not change.
 func (h *instantHeap) Push(x any) { *h = append(*h, x.(model.Instant)) }
 
-// Pop implements heap.Interface. It is never called either.
+// Pop implements heap.Interface. It is never called, for the same reason.
 func (h *instantHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
--- a/replay/request_kinds_test.go
+++ b/replay/request_kinds_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// requestKind is a kind of requests. Shares are relative to the sum of the shares of
-// all kinds.
+// requestKind is a kind of requests.
 type requestKind struct {
-	share                         float64
+	share float64 // relative to the sum of the shares of all kinds
+	// serviceTime is the median service time at the usual speed. A request should be
+	// served within target. It is given up after deadline.
 	serviceTime, target, deadline time.Duration
-	rank                          int
+	rank                          int // priority rank: 0 is served first
 }
 
 // defaultKinds returns two kinds that differ only in their priority rank: 30% of the
