--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -188,8 +188,9 @@
 }
 
 // TestARequestMayRunLongerThanTheStallTimeout sends requests that take the upstream
-// longer than the stall timeout. The requests must succeed: the timeout limits only how
-// long the caller may make no progress in sending the request or receiving the response.
+// longer than the stall timeout. The requests must succeed. The timeout limits only the
+// time in which the caller makes no progress in sending the request or receiving the
+// response.
 func TestARequestMayRunLongerThanTheStallTimeout(t *testing.T) {
 	d := startSingle(t, setShortStallTimeout)
 	for _, http2 := range []bool{false, true} {
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -27,9 +27,9 @@
 	drainNoticeFanout = 6
 )
 
-// maxRoundAge is how old the last gossip round with a peer may be. Up to this age, the
-// daemon relies on its peers for updates and seldom reads the log. Beyond it, the daemon
-// reads the log often.
+// maxRoundAge is the age of the last gossip round above which every daemon reads the log
+// often. Up to this age, a daemon that is not a log reader of its availability zone relies
+// on its peers for updates. It then seldom reads the log.
 const maxRoundAge = 4 * time.Second
 
 // buildControl sets up the control plane of the daemon: the configuration store, the
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -40,8 +40,8 @@
 	// Metrics holds the daemon's metrics. Each component uses a sub-scope of its
 	// Scope.
 	Metrics *telemetry.Metrics
-	// Log is the client of the platform's log, which all daemons share. It limits
-	// this daemon's appends to its share of the log's append rate.
+	// Log is the client of the platform's log, to which all daemons append. The
+	// client limits this daemon to its share of the total append rate.
 	Log *recordlog.RateLimitedLog
 	// Config holds the configuration in force.
 	Config *configuration.Store
@@ -158,8 +158,8 @@
 
 // Serve runs the daemon until the context is done, then shuts it down. It returns nil
 // if all requests in flight finished, and an *AbortedRequestsError if the shutdown
-// aborted some of them. If an invariant is violated, Serve ends without draining and
-// returns an *InvariantError.
+// aborted some of them. If an invariant is violated before the context is done, Serve
+// ends without draining and returns an *InvariantError.
 func (d *Daemon) Serve(ctx context.Context) error {
 	defer d.releaseResources()
 	runCtx, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -102,7 +102,8 @@
 	// draining[i] is set once daemon i has asked a caller to close its connection. It
 	// is cleared when the daemon has restarted.
 	draining []atomic.Bool
-	// finishedRequests does not count the requests that obtain a key.
+	// finishedRequests counts the requests that have ended, except those that obtain
+	// a key.
 	finishedRequests atomic.Int64
 	// nextDaemon picks daemons round-robin.
 	nextDaemon atomic.Int64
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -51,8 +51,8 @@
 // one grant.
 const minChecksPerGrant = 20
 
-// ownerCandidates returns the daemons that may own keys. These are all daemons that have
-// an upstream in this daemon's membership view.
+// ownerCandidates returns the daemons that may own keys. These are the daemons that have
+// an upstream in this daemon's membership view and are not considered dead.
 func (d *Daemon) ownerCandidates() []model.DaemonID {
 	peers := d.Members.Peers()
 	out := make([]model.DaemonID, 0, len(peers))
--- a/daemon/keys_test.go
+++ b/daemon/keys_test.go
@@ -59,8 +59,8 @@
 }
 
 // TestKeyedRequestsRunOnceOverHTTP sends the same request with the same idempotency key
-// twice to each of three daemons. The request must run once, and all other responses must
-// be marked as replayed. The cases send keys or bodies that must be refused.
+// twice to each of three daemons. The request must run once, and all responses but the
+// first must be marked as replayed. The cases send keys or bodies that must be refused.
 func TestKeyedRequestsRunOnceOverHTTP(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 3, nil)
 	addresses := []string{d.Nodes[0].Daemon.CallerAddress(), d.Nodes[1].Daemon.CallerAddress(), d.Nodes[2].Daemon.CallerAddress()}
--- a/daemon/response_test.go
+++ b/daemon/response_test.go
@@ -98,9 +98,10 @@
 	"early hints": "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nwhole reply",
 }
 
-// TestTruncatedResponseNeverLooksComplete truncates the upstream's response after each
-// byte, for requests through one daemon and through two. The caller must see an error or
-// the outcome "unknown". The request must not be sent twice.
+// TestTruncatedResponseNeverLooksComplete truncates the upstream's response to every length
+// from 0 to one byte less than the whole. It sends the requests through one daemon and
+// through two. The caller must see an error or the outcome "unknown". The request must not
+// be sent twice.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
 	d, faulty := startWithFaultyUpstream(t)
 	for name, response := range completeResponses {
--- a/daemon/stall.go
+++ b/daemon/stall.go
@@ -27,14 +27,15 @@
 // ServeHTTP implements http.Handler.
 func (l *stallLimiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	limited := &limitedWriter{ResponseWriter: w, limiter: l, control: http.NewResponseController(w)}
-	// Clear the deadline that the previous request on this connection set. It would
-	// abort this request.
+	// Clear the deadline that the previous request on this connection set. That
+	// deadline would abort this request.
 	_ = limited.control.SetWriteDeadline(time.Time{})
 	if l.closeChunked && r.ProtoMajor == 1 && len(r.TransferEncoding) > 0 {
 		// When a request has both Transfer-Encoding: chunked and Content-Length,
 		// net/http ignores the length and hides the conflict. The bytes after such
 		// a request may be a smuggled request, so they must not be parsed
-		// (RFC 9112 section 6.1).
+		// (RFC 9112 section 6.1). Since the conflict is hidden, the connection is
+		// closed after every request with chunked encoding.
 		w.Header().Set("Connection", "close")
 	}
 	if r.ContentLength != 0 {
@@ -51,8 +52,8 @@
 	}
 }
 
-// limitedWriter sets a deadline before every write of the response. See extendDeadline
-// for its length.
+// limitedWriter sets a deadline before every write of the response. As a rule the deadline
+// is one timeout from the start of the write. See extendDeadline for the exception.
 type limitedWriter struct {
 	http.ResponseWriter
 	limiter *stallLimiter
@@ -136,7 +137,8 @@
 	return true
 }
 
-// markEnded records that a read returned err, which is io.EOF or another error.
+// markEnded records that a read returned err, which is io.EOF or another error. It counts
+// a stall if err reports an exceeded deadline. At io.EOF it clears the read deadline.
 func (b *limitedBody) markEnded(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -31,7 +31,8 @@
 
 // LoadStatus is the load of one upstream, as its guard measures it.
 type LoadStatus struct {
-	// Running is the number of requests that the upstream is running.
+	// Running is the number of requests that the upstream is running. It may include
+	// an estimate of requests that did not come through the guard.
 	Running int32 `json:"running"`
 	// Waiting is the number of requests that wait at the guard.
 	Waiting int32 `json:"waiting"`
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -25,7 +25,8 @@
 // component is a long-running component of the daemon.
 type component interface {
 	// Serve runs until the context is done. If it returns earlier, the component has
-	// failed and is restarted.
+	// failed and is restarted. A component that returns suture.ErrDoNotRestart has
+	// not failed and is not restarted.
 	Serve(ctx context.Context) error
 	// String returns the component's name.
 	String() string
@@ -159,10 +160,11 @@
 type supervisedComponent struct {
 	component component
 	tree      *supervisorTree
-	// restarts counts in metrics what failures counts for /status.
+	// restarts is the metric with the same count as failures.
 	restarts tally.Counter
 
-	// failures counts the failures. The supervisor restarts the component after each.
+	// failures counts the failures and is reported in /status. The supervisor restarts
+	// the component after each failure.
 	failures atomic.Int64
 	// lastError is the first line of the last failure's error message.
 	lastError atomic.Pointer[string]
@@ -224,7 +226,8 @@
 }
 
 // recoverPanics returns a handler that calls next. A panic of next aborts only the request
-// and is counted and logged. A violated invariant stops the daemon.
+// and is counted and logged. A panic with http.ErrAbortHandler also aborts the request, but
+// is neither counted nor logged. A violated invariant stops the daemon.
 func (t *supervisorTree) recoverPanics(name string, next http.Handler) http.Handler {
 	panics := t.scope.Tagged(map[string]string{"part": name}).Counter("handler_panics")
 	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlePanic(name, panics, v) })
--- a/decision/log.go
+++ b/decision/log.go
@@ -104,7 +104,8 @@
 }
 
 // Sampled reports whether plain lines about the request with this id are kept. If not,
-// callers need not build such lines.
+// callers can skip building such lines. The counters do not include a decision for which
+// Write is not called.
 func (l *Log) Sampled(request string) bool {
 	if l == nil {
 		return false
@@ -114,9 +115,10 @@
 	return h.Sum32()%l.opts.SampleOneIn == 0
 }
 
-// Write counts a decision of kind k and queues its line. It drops the line if the request
-// is not sampled, the rate limit is reached, the queue is full or the Log is closed. request
-// is the id of the request that the decision is about, or empty if there is none.
+// Write counts a decision of kind k and queues its line. It drops plain lines of requests
+// that are not sampled. It also drops plain and trouble lines beyond the rate limit. A line
+// of any class is dropped if the queue is full or the Log is closed. request is the id of
+// the request that the decision is about, or empty if there is none.
 func (l *Log) Write(k Kind, request string, attrs ...slog.Attr) {
 	if l == nil {
 		return
@@ -158,8 +160,8 @@
 	return true
 }
 
-// reportDropped queues a line with the numbers of lines dropped since the last such line.
-// It does nothing while more than half of the queue is in use, or within
+// reportDropped queues a line with the numbers of lines dropped since the last such line,
+// if there are any. It does nothing while more than half of the queue is in use, or within
 // dropReportInterval of the last such line. l.mu is held.
 func (l *Log) reportDropped(now time.Time) {
 	if l.dropped == [State + 1]int64{} || len(l.lines) > cap(l.lines)/2 || now.Sub(l.dropsReportedAt) < dropReportInterval {
--- a/decision/logger.go
+++ b/decision/logger.go
@@ -7,7 +7,7 @@
 
 // Logger returns a logger for lines that are not decisions. Its lines go through the queue
 // of l, so logging does not block while the output blocks. Like State lines, they are not
-// rate limited.
+// rate limited, but they are dropped when the queue is full.
 func (l *Log) Logger() *slog.Logger { return slog.New(queueHandler{log: l, next: l.opts.Handler}) }
 
 // queueHandler is a slog.Handler that queues records on a Log. The goroutine of the Log
--- a/why/read.go
+++ b/why/read.go
@@ -70,7 +70,8 @@
 	return s.Err()
 }
 
-// Sort orders the lines by time.
+// Sort orders the lines by time. Call it before the methods that return timelines or
+// unanswered requests, since these methods need ordered lines.
 func (l *Log) Sort() {
 	slices.SortStableFunc(l.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
--- a/why/timeline.go
+++ b/why/timeline.go
@@ -12,10 +12,9 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// contextWindow limits which state changes the timeline of a request includes. Their period
-// begins contextWindow before the first line of the request and ends contextWindow after the
-// last. Daemons correct outdated state within a few seconds, so changes outside this period
-// did not affect the request.
+// contextWindow is the time before the first line and after the last line of a request from
+// which its timeline includes state changes. Daemons correct outdated state within a few
+// seconds, so earlier and later changes did not affect the request.
 const contextWindow = 5 * time.Second
 
 // Timeline is a list of decision lines about one subject, ordered by time.
@@ -45,8 +44,9 @@
 
 // RequestTimeline returns the lines about a request and the lines about state changes that
 // may explain its outcome. These are changes of the upstreams to which the request was sent,
-// and changes of the configuration, the store and the peers at the daemons that handled the
-// request. See contextWindow for the period of these changes.
+// and changes at the daemons that handled the request. Changes at a daemon are those of its
+// configuration, its settings, the store and its peers, its start and stop, and dropped log
+// lines. See contextWindow for the period of these changes.
 func (l *Log) RequestTimeline(id string) Timeline {
 	t := Timeline{Subject: "request " + id, UnreadableLines: l.UnreadableLines}
 	var requestLines []Line
--- a/why/unanswered.go
+++ b/why/unanswered.go
@@ -28,8 +28,8 @@
 	Request string    `json:"request"`
 	Time    time.Time `json:"time"`
 	// Entry is the daemon that accepted the request from the caller. It is empty if no
-	// line records the end of the request there, such as when that daemon's log was not
-	// read.
+	// line records the end of the request at that daemon, for example because the
+	// daemon's log was not read.
 	Entry string `json:"entry,omitempty"`
 	// Upstreams are the upstreams that may have executed the request.
 	Upstreams []string `json:"upstreams"`
@@ -48,7 +48,7 @@
 }
 
 // Unanswered returns the non-idempotent requests to which the upstream gave no response,
-// with the number of executions of each. The requests are ordered by time. The lines of l
+// and how often each of them was executed. The requests are ordered by time. The lines of l
 // must be sorted.
 func (l *Log) Unanswered(upstream string) UnansweredRequests {
 	out := UnansweredRequests{Upstream: upstream, UnreadableLines: l.UnreadableLines}
@@ -97,8 +97,8 @@
 	}
 }
 
-// summarizeRequest returns what the lines of a request show: where it was executed, how
-// often, and what the caller received. The lines must be ordered by time.
+// summarizeRequest returns what the lines of a request show: where it may have been
+// executed, how often, and what the caller received. The lines must be ordered by time.
 func summarizeRequest(id string, lines []*Line) UnansweredRequest {
 	out := UnansweredRequest{Request: id, Time: lines[0].Time}
 	answered, refused := false, false
