--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -70,9 +70,9 @@
 var addressCount atomic.Int64
 
 // UnusedAddress returns an address in the network of this process that nobody
-// listens on, a different one on each call. No other process or test takes the
-// address; one could take a port that was opened and closed again. The error is
-// that of OwnNetwork.
+// listens on, a different one on each call. No other process or test can take the
+// address, unlike a port that was opened and closed again. The error is that of
+// OwnNetwork.
 func UnusedAddress() (string, error) {
 	const hostsPerSubnet, port = 250, 7000
 	network, err := OwnNetwork()
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -11,10 +11,10 @@
 // of them in its own availability zone and the others in other zones.
 // Neighbours are a stable subset of the peers, so that connections are reused.
 //
-// A round is push-pull: it has three messages with each neighbour. The request
-// carries the digests of the requester. The response carries the digests of the
-// responder and the deltas that the requester lacks. A second request carries
-// the deltas that the responder lacks.
+// A round is push-pull: it sends deltas both ways. The request carries the digests
+// of the requester. The response carries the digests of the responder and the
+// deltas that the requester lacks. If the responder lacks deltas too, a second
+// request carries them.
 //
 // A daemon starts an extra round at once, called a triggered round, in two
 // cases: a round has changed one of its digests, or TriggerRound was called.
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -83,8 +83,8 @@
 
 	// triggeredRoundsPerSecond limits the rate of triggered rounds.
 	triggeredRoundsPerSecond = 2
-	// triggeredRoundsBurst is the number of triggered rounds that may start in
-	// direct succession, as the burst of triggerLimiter.
+	// triggeredRoundsBurst is the burst size of triggerLimiter: how many triggered
+	// rounds may start in direct succession.
 	triggeredRoundsBurst = 4
 	// triggerDelay is the wait before a triggered round. All triggers during the
 	// wait are served by that round.
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -4,8 +4,8 @@
 
 // metrics counts the rounds and deltas by result, and the bytes of rounds.
 type metrics struct {
-	// roundsLimited counts the rounds that used only one peer because the byte
-	// budget was exhausted.
+	// roundsLimited counts the rounds that were limited to one neighbour because
+	// the byte budget was exhausted.
 	rounds, roundsFailed, roundsLimited tally.Counter
 	// deltasLimited counts the deltas that were limited to minDeltaBytes because
 	// the byte budget was exhausted.
--- a/peer/round.go
+++ b/peer/round.go
@@ -22,10 +22,11 @@
 	maxTopicsPerMessage = 32
 )
 
-// Round runs one round with up to n peers and waits until it has ended. It starts
-// with the first peer, waits up to firstPeerWait, and then starts with the others
-// in parallel. The others need not send again what the first peer has sent by
-// then. If the byte budget is exhausted, the number of peers is limited to one.
+// Round runs one round with the peers that choosePeers chooses, up to n neighbours
+// among them, and waits until the round has ended. It starts with the first peer,
+// waits up to firstPeerWait, and then starts with the others in parallel. The
+// others need not send again what the first peer has sent by then. If the byte
+// budget is exhausted, the number of neighbours is limited to one.
 func (e *Exchanger) Round(ctx context.Context, n int) {
 	if e.byteBudget.Tokens() <= 0 {
 		e.metrics.roundsLimited.Inc(1)
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -14,7 +14,7 @@
 	// upstream as well. The request is hedged when it has taken longer than hedgeFactor times
 	// its expected time plus hedgeMargin.
 	hedgeFactor = 1.4
-	// hedgeMargin is added to the delay of every hedge.
+	// hedgeMargin is the constant part of the delay, with hedgeFactor and with lateHedgeFactor.
 	hedgeMargin = 15 * time.Millisecond
 	// lateHedgeFactor replaces hedgeFactor when a hedge is considered for the second
 	// time. By then the request can no longer meet its target latency, and its upstream
@@ -23,7 +23,7 @@
 )
 
 // chooseUpstream chooses the upstream for the next attempt. It returns the attempt, which is not
-// started yet. It returns false if all candidates are excluded.
+// started yet. It returns false if there is no candidate or all candidates are excluded.
 func (f *forwarder) chooseUpstream(now model.Instant) (*attemptState, bool) {
 	req := placement.Request{
 		ServiceTime: f.serviceTime,
@@ -48,7 +48,8 @@
 }
 
 // queryLoads queries the loads of up to maxQueries upstreams and stores the replies. If local is
-// set, the upstreams are in the local availability zone, otherwise in remote ones.
+// set, the upstreams are in the local availability zone, otherwise in remote ones. A service's
+// only candidate is not queried.
 //
 // If a guard does not reply within the timeout, its upstream is avoided for a while. The
 // upstream is not avoided if its guard may be too far away to reply in time. This is assumed if
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -45,8 +45,9 @@
 	// maxBurstGap is the longest time between two lost runs that are attributed to the
 	// same crash.
 	maxBurstGap = 500 * time.Millisecond
-	// responseSlack is how long after a loss a response may be read that the upstream sent
-	// before the loss, over another connection.
+	// responseSlack is the longest delay between the sending and the reading of a response. A
+	// response that is read within this time after a loss may have been sent before the loss,
+	// over another connection.
 	responseSlack = 20 * time.Millisecond
 	// crashDialTimeout limits the time to connect to the upstream, which runs on the same
 	// VM.
@@ -107,8 +108,9 @@
 }
 
 // reportCrash reports the runs lost in the crash of an incarnation that a new one has replaced.
-// These are the runs of the burst with the longest silence. A restart takes longer than an
-// upstream that kept running needs until its next response.
+// These are the runs of the burst with the longest silence. The crash is assumed to have caused
+// the longest silence, because a restart takes longer than the next response of an upstream that
+// keeps running.
 func (c *crashDetector) reportCrash(i lifecycle.Incarnation) { c.report(c.removeRuns(i, longestBurst)) }
 
 // report passes lost runs to onCrash.
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -48,7 +48,7 @@
 	buffer    *bufferedBody
 	startedAt model.Instant
 	deadline  model.Instant
-	// targetTime is when the target latency is exceeded, zero if the route has none.
+	// targetTime is when the target latency of the route is exceeded, zero if the route has none.
 	targetTime model.Instant
 	ctx        context.Context
 	// rejectionCount counts the attempts that guards rejected.
@@ -319,7 +319,8 @@
 	return left
 }
 
-// refreshCandidates updates the candidates of a service if they may have changed. s.mu is held.
+// refreshCandidates updates the candidates of a service if the records or the reachability of
+// daemons have changed since the last update. s.mu is held.
 func (e *entry) refreshCandidates(s *serviceState, name model.ServiceName) {
 	generation := e.daemon.peers.currentGeneration()
 	if s.candidatesLoaded && generation == s.candidatesGeneration {
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -76,7 +76,8 @@
 	startedCount   int
 	// undeliveredCount counts the attempts that ended without reaching an upstream.
 	undeliveredCount int
-	// queueFullCount counts the attempts that guards rejected because their queues were full.
+	// queueFullCount counts the attempts that guards rejected for lack of capacity, that is with
+	// outcome.ReasonQueueFull.
 	queueFullCount int
 	// bestFailure is the unsuccessful result to report to the caller if no attempt succeeds.
 	bestFailure *Result
@@ -222,7 +223,8 @@
 	return f.startNext(reasonOf(result))
 }
 
-// reasonOf returns why an attempt failed, for the log.
+// reasonOf returns why an attempt failed. A response of the upstream, which then has a server
+// error as its status, counts as outcome.ReasonUpstreamRefused.
 func reasonOf(result *Result) outcome.Reason {
 	if result.Outcome.Kind == outcome.Answered {
 		return outcome.ReasonUpstreamRefused
@@ -277,8 +279,9 @@
 	f.mayHaveRun = f.mayHaveRun || result.Outcome.Kind != outcome.NotRun
 }
 
-// keepFailure stores a result in bestFailure unless the present one is preferred. A response of
-// an upstream is preferred to an unknown outcome. An unknown outcome is preferred to a refusal.
+// keepFailure stores a result in bestFailure unless the result that is stored there is
+// preferred. A response of an upstream is preferred to an unknown outcome. An unknown outcome is
+// preferred to a refusal.
 func (f *forwarder) keepFailure(result *Result) {
 	if f.bestFailure == nil || result.Outcome.Kind == outcome.Answered || f.bestFailure.Outcome.Kind == outcome.NotRun {
 		f.bestFailure = result
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -353,7 +353,8 @@
 
 // dispatch starts waiting calls as long as slots are free. It rejects waiting calls that would
 // end too late or whose queue timeout has expired. It sets wakeTimer to the time of the next
-// such decision.
+// such decision. If the upstream is no longer ready or the guard is closed, dispatch only rejects
+// all waiting calls.
 func (g *guard) dispatch() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -40,8 +40,8 @@
 	slowdownHalfLife = 500 * time.Millisecond
 )
 
-// currentSlowdown returns the service time of the upstream relative to the usual one. g.mu is
-// held.
+// currentSlowdown returns the service time of the upstream relative to the usual one, as last
+// reported and decayed since then. g.mu is held.
 func (g *guard) currentSlowdown() float64 {
 	pastMaxAge := g.now().Sub(g.slowdownAt) - slowdownMaxAge
 	if pastMaxAge <= 0 {
--- a/sidecar/guardstop.go
+++ b/sidecar/guardstop.go
@@ -16,8 +16,8 @@
 	g.mu.Unlock()
 }
 
-// maxDurationFactor times its expected duration is the longest that a request is assumed to run.
-// A stopping daemon does not start a request that it might have to abort.
+// maxDurationFactor is the longest duration assumed for a request, as a multiple of its expected
+// duration. A stopping daemon does not start a request that it might have to abort.
 const maxDurationFactor = 3
 
 // endsBeforeStop reports whether a call is sure to end before the daemon does. g.mu is
@@ -25,23 +25,23 @@
 func (g *guard) endsBeforeStop(c *Call) bool { return g.spareTime(c.ServiceTime, c.Deadline) >= 0 }
 
 // spareTime returns the time between the latest possible end of a request and the end of the
-// daemon. It is negative if the request might have to be aborted. If the daemon is not stopping,
-// spareTime returns deadline, the time left until the request times out. g.mu is held.
-func (g *guard) spareTime(serviceTime, deadline time.Duration) time.Duration {
+// daemon. It is negative if the request might have to be aborted. timeLeft is the time until the
+// request times out; spareTime returns it if the daemon is not stopping. g.mu is held.
+func (g *guard) spareTime(serviceTime, timeLeft time.Duration) time.Duration {
 	if g.stopDeadline == 0 {
-		return deadline
+		return timeLeft
 	}
-	maxDuration := min(deadline, time.Duration(maxDurationFactor*g.currentSlowdown()*float64(serviceTime)))
+	maxDuration := min(timeLeft, time.Duration(maxDurationFactor*g.currentSlowdown()*float64(serviceTime)))
 	return g.stopDeadline.Sub(g.now()) - maxDuration
 }
 
 // refuseIfTooLong returns a refusal for a request that may not finish before the daemon ends.
 // The Retry-After value is the time until the daemon has been replaced. For any other request,
 // it returns nil.
-func (g *guard) refuseIfTooLong(serviceTime, deadline time.Duration) *Result {
+func (g *guard) refuseIfTooLong(serviceTime, timeLeft time.Duration) *Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.spareTime(serviceTime, deadline) >= 0 {
+	if g.spareTime(serviceTime, timeLeft) >= 0 {
 		return nil
 	}
 	return refuse(outcome.ReasonDraining, max(g.stopDeadline.Sub(g.now()), 0)+noUpstreamRetryAfter)
@@ -65,8 +65,8 @@
 	return idle
 }
 
-// rejectAllWaiting rejects every waiting call with the reason of an expired queue timeout. For
-// this reason, the entry picks another upstream. g.mu is held.
+// rejectAllWaiting rejects every waiting call as if its queue timeout had expired. After such a
+// rejection, the entry picks another upstream. g.mu is held.
 func (g *guard) rejectAllWaiting() {
 	for id, dequeueReason := range g.waiters {
 		if g.queue.Remove(id) {
--- a/sidecar/healthcheck.go
+++ b/sidecar/healthcheck.go
@@ -11,7 +11,7 @@
 )
 
 // refreshSlowdown sends a health check to a ready upstream whose slowdown is unknown or older
-// than placement.MaxSlowdownAge. It waits until the upstream responds or the context ends.
+// than placement.MaxSlowdownAge. It waits until the health check or the context ends.
 // Concurrent callers wait for the same response. If the upstream is known not to report its
 // load, refreshSlowdown does nothing.
 func (g *guard) refreshSlowdown(ctx context.Context) {
--- a/sidecar/keepalive_test.go
+++ b/sidecar/keepalive_test.go
@@ -135,7 +135,8 @@
 	lastError  *atomic.Value
 }
 
-// run opens one connection after the other and uses each until the context ends.
+// run opens one connection after the other and sends requests over each. It returns when the
+// context ends or no connection can be opened.
 func (c *keepAliveCaller) run(ctx context.Context, name string) {
 	for ctx.Err() == nil {
 		conn, err := net.Dial("tcp", c.address)
--- a/sidecar/loadquery.go
+++ b/sidecar/loadquery.go
@@ -17,7 +17,8 @@
 	// localZoneTimeout limits the wait for load replies from the local availability zone. It
 	// allows for a few round trips and a scheduling delay on a busy processor.
 	localZoneTimeout = 5 * time.Millisecond
-	// remoteZoneTimeout is the same limit for load replies from remote availability zones.
+	// remoteZoneTimeout limits the wait for load replies from remote availability zones. It also
+	// allows for a few round trips and a scheduling delay.
 	remoteZoneTimeout = 12 * time.Millisecond
 	// lateReplyWindow is how long late replies are accepted after the wait for replies has
 	// ended. It is several round-trip times to another region.
@@ -36,7 +37,8 @@
 	kind slots.Kind
 	// timeout limits the wait for replies.
 	timeout time.Duration
-	// onLate is called with each reply that arrives after the wait has ended.
+	// onLate is called with each reply that arrives after the wait has ended, for at most
+	// lateReplyWindow.
 	onLate func(queryReply)
 	// tooFar reports whether the reply about an upstream cannot arrive within the timeout, for
 	// instance from another region. The query does not wait for such a reply but passes it to
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -113,8 +113,8 @@
 }
 
 // TestCrashReportsLatestBurst checks which lost runs are reported when the report of a new
-// incarnation reveals a crash. Only the runs lost shortly before the crash are reported. Earlier
-// runs and those of other incarnations are not.
+// incarnation reveals a crash. Only the runs that were lost shortly before this report are
+// passed to onCrash. Earlier runs and those of other incarnations are not.
 func TestCrashReportsLatestBurst(t *testing.T) {
 	var now model.Instant
 	var reported []string
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -31,8 +31,8 @@
 	// recoveredRate is the failure rate at which a failing upstream is logged as recovered. It
 	// is lower than failingRate so that random fluctuation does not cause many log entries.
 	recoveredRate = 0.1
-	// minTimeLeft is the least time until its deadline with which a request is sent to the
-	// upstream.
+	// minTimeLeft is the least time that a request must have left until its deadline. With less,
+	// the request is not sent to the upstream.
 	minTimeLeft = 2 * time.Millisecond
 )
 
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -20,7 +20,7 @@
 	// queried over a new connection. The query is sent if there is no result after
 	// outcomeQueryFactor times the expected time plus outcomeQueryMargin.
 	outcomeQueryFactor = 3
-	// outcomeQueryMargin is added to the delay of the first outcome query.
+	// outcomeQueryMargin is the constant part of this delay.
 	outcomeQueryMargin = 250 * time.Millisecond
 	// outcomeQueryRetryDelay is the pause after an outcome query that did not reach the guard.
 	// Then the query is repeated.
@@ -114,13 +114,14 @@
 	return result, true
 }
 
-// sendNonIdempotent sends a call that must not run twice. If the connection breaks or
-// there is no result for long, it queries the outcome over a new connection.
+// sendNonIdempotent sends a call that must not run twice. It queries the outcome over a new
+// connection in three cases: the connection breaks, the call is not acknowledged within
+// ackTimeout, or there is no result for long.
 func (e *entry) sendNonIdempotent(ctx context.Context, pool *hop.Pool, attempt *attemptState, c *Call) *Result {
 	type reply struct {
 		result *Result
-		// complete is set if result is a complete result from the daemon. For an outcome query,
-		// it is set if the guard was reached.
+		// complete is set unless the connection broke after the call may have been sent. For an
+		// outcome query, it is set if the guard was reached.
 		complete bool
 	}
 	directReplies := make(chan reply, 1)
--- a/wire/header.go
+++ b/wire/header.go
@@ -21,7 +21,8 @@
 	// duration.
 	HeaderTimeout = "Dottereltiller-Timeout"
 	// HeaderIdempotent is "true" if the request may be executed more than once,
-	// and "false" if not. Without it the configuration of the service decides.
+	// and "false" if not. Without one of these values the configuration of the
+	// service decides.
 	HeaderIdempotent = "Dottereltiller-Idempotent"
 	// HeaderOutcome is the outcome kind of a response to a caller.
 	HeaderOutcome = "Dottereltiller-Outcome"
@@ -60,8 +61,9 @@
 	HeaderDestination = internalPrefix + "Kind"
 	// HeaderAuth carries the secret by which daemons authenticate each other.
 	HeaderAuth = internalPrefix + "Auth"
-	// headerID and the headers below hold the fields of a Call or a Result that
-	// have the same name as the constant.
+	// headerID and the headers below hold fields of a Call, or of a Result and its
+	// Outcome. Each constant has the name of its field, except headerOutcome,
+	// which holds Outcome.Kind.
 	headerID           = internalPrefix + "Id"
 	headerUpstream     = internalPrefix + "Upstream"
 	headerIncarnation  = internalPrefix + "Incarnation"
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -80,7 +80,8 @@
 	ContentLength int64
 	// Trailer is set once Body has been read to io.EOF.
 	Trailer http.Header
-	// Load is the exact load of the upstream, as reported by its guard.
+	// Load is the exact load of the upstream, as reported by its guard. It is
+	// meaningful only if HasLoad is set.
 	Load model.Load
 	// HasLoad is set if the guard reported a load.
 	HasLoad bool
