--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -13,9 +13,9 @@
 	StateOnly bool
 }
 
-// Capacity measures how memory and CPU time grow with the size of a deployment. It
-// returns the slopes that docs/CAPACITY.md uses. If a measurement fails, Capacity
-// returns the slopes measured before it and an error.
+// Capacity measures how memory, CPU time and the size of membership messages grow with
+// the size of a deployment. It returns the slopes that docs/CAPACITY.md uses. If a
+// measurement fails, Capacity returns the slopes measured before it and an error.
 func Capacity(ctx context.Context, opts CapacityOptions) ([]Slope, error) {
 	measurements := stateMeasurements()
 	if !opts.StateOnly {
--- a/bench/forward.go
+++ b/bench/forward.go
@@ -31,8 +31,8 @@
 }
 
 // ForwardResult compares requests sent directly to an upstream with requests
-// forwarded by two daemons. The entry of the first daemon accepts a forwarded request.
-// The guard of the second daemon passes it to the upstream.
+// forwarded by two daemons. The entry of the first daemon accepts a request and forwards
+// it. The guard of the second daemon passes the request to the upstream.
 type ForwardResult struct {
 	// Calls counts the answered requests of both paths.
 	Calls int64 `json:"calls"`
--- a/bench/state.go
+++ b/bench/state.go
@@ -24,7 +24,8 @@
 )
 
 // stateMeasurements returns measurements of the memory and the CPU time that the
-// packages for membership, routing and configuration use. They need no daemons.
+// packages for membership, routing and configuration use. One more measures the size of
+// encoded membership events. They need no daemons.
 func stateMeasurements() []measurement {
 	return []measurement{
 		{"membership view", "bytes", "upstream", upstreamSizes, directoryBytes},
@@ -146,8 +147,8 @@
 	return docs
 }
 
-// document returns the i-th of these documents. Ten consecutive documents belong to the
-// same team.
+// document returns the i-th document of the list that documents returns. The team label
+// is the same for ten consecutive documents.
 func document(i int) policy.Document {
 	const documentsPerTeam = 10
 	labels := model.Labels{"team": fmt.Sprintf("team-%d", i/documentsPerTeam), "role": fmt.Sprintf("role-%d", i%documentsPerTeam)}
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,8 +1,10 @@
 // Package load is an open-loop load generator. It sends requests to running
 // daemons and measures latencies and outcomes as callers see them.
 //
-// The plan and its seed fix in advance when each request is due. A slow response
-// does not delay later requests, as with many independent callers.
+// The plan and its seed fix in advance when each request is due. These times do
+// not depend on the responses, as with many independent callers. A request is sent
+// late only if the load generator cannot keep up or Plan.MaxInFlight requests are in
+// flight.
 //
 // Latency is measured from the time at which a request was due, not from when it
 // was sent. A stall of the system therefore counts for every request due during
--- a/load/plan.go
+++ b/load/plan.go
@@ -63,8 +63,8 @@
 	// BodyBytes is the size of each request's body in bytes.
 	BodyBytes int `json:"body_bytes"`
 	// Cost is the time that an upstream needs to execute one request. It is sent
-	// in a header, from which stand-in upstreams (test servers, package standin)
-	// take it. Zero means that the cost is unknown.
+	// in a header. Stand-in upstreams, the test servers of package standin, take
+	// this time to execute the request. Zero means that the cost is unknown.
 	Cost policy.Duration `json:"cost"`
 	// Deadline is the time allowed for a request. It is sent to the daemon. If it
 	// is zero, the default of the service applies.
@@ -76,7 +76,7 @@
 	Keyed bool `json:"keyed"`
 	// Verify enables a check of every response: it must be complete and belong to
 	// the request that was sent. The check works only with stand-in upstreams,
-	// because their responses repeat the request.
+	// because their responses repeat the name and the body of the request.
 	Verify bool `json:"verify"`
 }
 
@@ -159,8 +159,9 @@
 	return nil
 }
 
-// isIdempotent reports whether the requests are idempotent. If Idempotent is nil, the
-// method decides: requests are idempotent unless they are POST or PATCH.
+// isIdempotent reports whether recorded traces list the requests as idempotent. If
+// Idempotent is nil, the method decides: requests are idempotent unless they are POST or
+// PATCH.
 func (s *Source) isIdempotent() bool {
 	if s.Idempotent != nil {
 		return *s.Idempotent
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -22,7 +22,8 @@
 //   - the total p99 and p99.9 as ratios to the ideal bound,
 //   - the worst group's p99.9 as a ratio to the ideal bound,
 //   - the number of requests that were not answered,
-//   - the share of slot time that measuring (requesting load reports) took.
+//   - the share of capacity that measuring (requesting load reports) took, as in
+//     Stats.MeasuringShare.
 func BenchmarkPolicies(b *testing.B) {
 	for _, name := range []string{"cooperative", "kalahari"} {
 		topology := loadTopology(b, name)
@@ -70,7 +71,8 @@
 
 // BenchmarkMeasuringFrontier replays traces with several measuring budgets of the
 // service sheds. It reports the p99.9 of the group farmers in this service as a ratio to
-// the ideal bound. It also reports the share of slot time that measuring took.
+// the ideal bound. It also reports the share of the service's capacity that measuring
+// took.
 func BenchmarkMeasuringFrontier(b *testing.B) {
 	for _, scenario := range []string{"steady-85", "misreport"} {
 		for _, budget := range []struct {
--- a/replay/doc.go
+++ b/replay/doc.go
@@ -20,5 +20,6 @@
 //
 // For comparison, the result also holds a lower bound on latency, the ideal
 // bound: the latency of one central queue with perfect knowledge and no network.
+// Field Ideal of Stats holds this bound.
 // The file formats are documented in docs/REPLAY.md.
 package replay
--- a/replay/entry.go
+++ b/replay/entry.go
@@ -12,7 +12,7 @@
 // with the production routers and retries failed attempts.
 type entry struct {
 	sim   *simulation
-	index int // of the daemon, in simulation.entries and simulation.guards
+	index int // position in simulation.entries; simulation.guards has the same order
 	zone  model.AvailabilityZone
 	// routers holds one router for each service.
 	routers map[model.ServiceName]*routing.Router
@@ -23,14 +23,15 @@
 	event     *Event
 	entry     *entry
 	arrivedAt model.Instant
-	// outcomeSoFar is the combined outcome of the finished attempts. It is NotRun
-	// until an attempt has finished.
+	// outcomeSoFar is the combined outcome of the attempts in tried. It is NotRun
+	// while tried is empty.
 	outcomeSoFar outcome.Outcome
-	// tried lists the upstreams of the finished attempts. Attempts that a guard
-	// rejected are left out.
+	// tried lists the upstreams of the finished attempts. It leaves out the attempts
+	// counted in rejections. It also leaves out hedges that failed while the other
+	// attempt was in flight.
 	tried []model.UpstreamID
 	// rejections counts the attempts that a guard rejected, that is, returned
-	// unexecuted.
+	// unexecuted. Hedges are not counted.
 	rejections int
 	// executions counts the executions of the request at any upstream.
 	executions int
@@ -62,8 +63,8 @@
 	reply      routing.Reply
 }
 
-// maxAttempts is the maximum number of attempts at one request. Attempts that a
-// guard rejected are not counted.
+// maxAttempts is the number of attempts after which a failed request is not retried.
+// Only the attempts in request.tried count, so rejected attempts do not.
 const maxAttempts = 3
 
 func newEntry(s *simulation, index int, g *guard) (*entry, error) {
@@ -117,10 +118,13 @@
 // connection is lost.
 const connectTimeout = 50 * time.Millisecond
 
-// handleReply processes the reply to an attempt. A request that a guard rejected is
-// placed again. A failed request is retried if that is safe. Otherwise the request is
-// completed. While another attempt at the request is in flight, a failure is not
-// retried, and the reply to the other attempt decides.
+// handleReply processes the reply to an attempt. If a guard rejected the attempt, the
+// request is placed again. A rejected hedge is treated as a failed attempt instead.
+//
+// After a failed attempt, the request is retried if that is safe, maxAttempts is not
+// reached and the deadline has not passed. Otherwise the request is completed. While
+// another attempt at the request is in flight, a failed attempt neither retries nor
+// completes the request. The reply to the other attempt decides.
 func (e *entry) handleReply(a *attempt) {
 	req := a.req
 	e.sim.removeAttempt(a)
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// recover ends the faults of the target, a zone or an upstream. An empty target
-// stands for the membership log and ends LogDown.
+// recover ends the faults of the target, a zone or an upstream. An empty target would
+// end LogDown, but checkEvents allows no Recover without a target.
 func (s *simulation) recover(target string) {
 	delete(s.partitionedZones, model.AvailabilityZone(target))
 	if target == "" {
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -15,7 +15,7 @@
 // concurrency limiter in front of a simulated upstream.
 type guard struct {
 	sim         *simulation
-	index       int // of the daemon, in simulation.guards and simulation.entries
+	index       int // position in simulation.guards; simulation.entries has the same order
 	upstream    model.Upstream
 	spec        *Service
 	controller  *admission.Controller
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -116,11 +116,11 @@
 	sent          int // requests, without retries of callers
 	inTime        int // served within their target
 	late          int // served after their target
-	refused       int // not served
+	refused       int // refusals, including those of callers' retries
 	resets        int // connections reset by upstreams
 }
 
-// newMesh returns a mesh before its first tick. Equal seeds give equal simulations.
+// newMesh returns a mesh before its first tick. Equal arguments give equal simulations.
 func newMesh(w workload, policy routingPolicy, seed uint64) *mesh {
 	m := &mesh{
 		workload: w, policy: policy, rng: rand.New(rand.NewPCG(seed, 0)), scheduled: map[int][]func(){},
@@ -174,8 +174,8 @@
 }
 
 // drawSpeeds draws the speed of an upstream at each tick. The upstream has a noisy
-// neighbour for the given share of time. Otherwise its speed is 1. The result covers twice
-// the given ticks, because requests may complete after the last arrival.
+// neighbour for the given share of time. Otherwise its speed is 1. The result covers
+// twice the given ticks, because requests may complete after the last arrival.
 func drawSpeeds(rng *rand.Rand, share float64, ticks int) []float64 {
 	out := make([]float64, 2*ticks)
 	phase, speed := rng.IntN(noisePeriodTicks), 1.0
@@ -191,7 +191,8 @@
 	return out
 }
 
-// simulate runs the workload and returns the share of requests served within their target.
+// simulate runs the workload and returns the share of requests served within their
+// target.
 func (m *mesh) simulate() float64 {
 	const restartTick = 5000
 	for m.tick = 0; m.tick < m.lengthTicks+int(meshDeadline/tickLength); m.tick++ {
@@ -235,7 +236,8 @@
 	return n
 }
 
-// restart makes the first restartedUpstreams upstreams slow for coldTicks.
+// restart makes the first restartedUpstreams upstreams slow for coldTicks, as after a
+// restart. Their requests are not dropped.
 func (m *mesh) restart() {
 	for _, n := range m.nodes[:m.restartedUpstreams] {
 		n.coldUntil = m.now.Add(coldTicks * tickLength)
@@ -243,7 +245,8 @@
 	m.updateUpstreams()
 }
 
-// updateAvailability stops upstreams whose speed fell to 0 and starts those whose speed rose from 0.
+// updateAvailability stops upstreams whose speed fell to 0. It starts upstreams whose
+// speed rose from 0.
 func (m *mesh) updateAvailability() {
 	changed := false
 	for _, n := range m.nodes {
@@ -313,9 +316,12 @@
 	m.schedule(ticks, func() { m.arriveAtGuard(r, alternative) })
 }
 
-// choose chooses the node to send a request to. alternative is the expected time to
-// completion at the next best node. It is 0 if the guard must not reject the request.
-// ticks is the time spent on load queries. ok is false if the request must be refused.
+// choose chooses the node to send a request to. ticks is the time spent on load queries.
+// ok is false if the request must be refused.
+//
+// alternative is the expected time to completion at the next best node, or 0 if there is
+// none. After placement.MaxRejections rejections it is 0 as well. The guard then cannot
+// reject the request because another node would be faster.
 func (m *mesh) choose(r *meshRequest) (chosen *meshNode, alternative time.Duration, ticks int, ok bool) {
 	switch m.policy {
 	case useRandom:
@@ -385,7 +391,8 @@
 }
 
 // load returns the load that a guard reports. If the guard's last measurement of its
-// upstream's slowdown is too old, load first measures the slowdown anew.
+// upstream's slowdown is too old, load first measures the slowdown anew. If hideSlowdown
+// is set, load never measures it and reports the initial slowdown, 1, as new.
 func (m *mesh) load(n *meshNode) placement.Load {
 	if m.hideSlowdown {
 		n.slowdownMeasuredAt = m.now
--- a/replay/noisy_upstreams_test.go
+++ b/replay/noisy_upstreams_test.go
@@ -12,8 +12,8 @@
 // queue reaches. The queue knows the present and future speed of every upstream. It
 // assigns each request to the slot where it ends first, and refuses the request if it
 // would miss its target there. It uses only placement.DefaultLimit slots of each
-// upstream. With so few busy slots, only upstreams with two slots would slow down. The
-// queue does not simulate this slowdown.
+// upstream. With so few busy slots, only upstreams with one or two slots would slow down.
+// The queue does not simulate this slowdown.
 func centralQueueShare(w workload, seed uint64) float64 {
 	m := newMesh(w, usePlacement, seed)
 	// freeAt holds the tick at which each slot of each upstream becomes free.
@@ -56,7 +56,8 @@
 
 // TestNoisyUpstreams checks the share of requests within their target for several
 // workloads. The share of the production policy must reach a fixed value and the share of
-// two simpler routing policies. It must not exceed the share of the central queue.
+// two simpler routing policies. It must not exceed the share of the central queue. The
+// comparisons allow a small tolerance.
 func TestNoisyUpstreams(t *testing.T) {
 	for name, c := range map[string]struct {
 		workload
--- a/replay/poll.go
+++ b/replay/poll.go
@@ -35,7 +35,8 @@
 	})
 }
 
-// finishPoll passes the result of a poll to the monitor.
+// finishPoll passes the result of a poll to the monitor. The poll has failed if the
+// upstream is down after a crash or the daemon is paused.
 func (g *guard) finishPoll(r *measure.Reservation, cost measure.Cost) {
 	now := g.sim.now
 	if g.fake.crashed || g.pausedUntil > now {
--- a/replay/result.go
+++ b/replay/result.go
@@ -32,7 +32,8 @@
 	SlotTimeShare float64 `json:"slot_time_share"`
 	// MeasuringShare is the share of the service's capacity that requesting load
 	// reports took. The capacity is the number of slots times the length of the
-	// trace. All groups of a service have the same value.
+	// trace. All groups of a service have the same value. The total covers all
+	// services.
 	MeasuringShare float64 `json:"measuring_share"`
 	// Ideal is the latency of one central queue with perfect knowledge and no
 	// network.
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -29,8 +29,8 @@
 	entries       []*entry
 	guardsByName  map[string]*guard
 	entriesByZone map[model.AvailabilityZone][]*entry
-	// nextEntry counts the requests sent to entries of a zone. It selects the next
-	// entry of entriesByZone in turn.
+	// nextEntry counts the requests of each zone so far. The count selects the entry
+	// for the zone's next request, so that entries take turns.
 	nextEntry        map[model.AvailabilityZone]int
 	services         map[model.ServiceName]*service
 	partitionedZones map[model.AvailabilityZone]bool
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -18,8 +18,8 @@
 	// Straggle multiplies service times by Event.Factor.
 	Straggle Fault = "straggle"
 	// Drain makes the upstream leave gracefully. When the fault ends, the
-	// upstream restarts as a new incarnation, that is, a new life under the same
-	// name.
+	// upstream restarts under the same name as a new incarnation. The number of the
+	// incarnation rises with every restart.
 	Drain Fault = "drain"
 	// FailFast makes the upstream fail requests almost instantly, without
 	// executing them.
@@ -84,6 +84,7 @@
 	Factor float64 `json:"factor,omitempty"`
 	// ForMs is the duration of the fault in milliseconds. If it is zero, the fault
 	// lasts until Recover or the end of the trace. ColdStart then lasts one second.
+	// Recover cannot end LogDown, which has no target.
 	ForMs int64 `json:"for_ms,omitempty"`
 }
 
--- a/replay/upstream.go
+++ b/replay/upstream.go
@@ -18,7 +18,7 @@
 	// down.
 	realSlots   int
 	running     int // requests and load reports being executed
-	connections int // opened so far
+	connections int // open connections; Crash closes all of them
 	faults      faultState
 	crashed     bool
 	// history holds the numbers of running requests over at least the past
@@ -51,8 +51,8 @@
 	reportedLoadFactor float64
 }
 
-// failureTime is the time that an upstream takes to fail a request after Crash or
-// during FailFast.
+// failureTime is the time that an upstream takes to fail a request during Crash or
+// FailFast.
 const failureTime = 50 * time.Microsecond
 
 func newFakeUpstream(u Upstream, spec *Service) fakeUpstream {
@@ -64,7 +64,8 @@
 }
 
 // run starts an attempt. It returns the duration and the outcome of the
-// execution, and whether the execution failed.
+// execution, and whether the outcome counts as a failure of the upstream. The
+// duration includes the time to open a connection if one is needed.
 func (f *fakeUpstream) run(now model.Instant, a *attempt) (time.Duration, outcome.Outcome, bool) {
 	f.adjustRunning(now, 1)
 	switch {
--- a/report/plots.go
+++ b/report/plots.go
@@ -30,9 +30,9 @@
 	logScaleRatio = 20
 )
 
-// scaleYAxis makes the y axis start at 0. If the range of the values is large, it makes
-// the axis logarithmic instead. The values must be positive. scaleYAxis must be called
-// after all lines have been added.
+// scaleYAxis makes the y axis start at 0. If the ratio of the largest to the smallest
+// value is at least logScaleRatio, it makes the axis logarithmic instead. The values must
+// be positive. scaleYAxis must be called after all lines have been added.
 func scaleYAxis(p *plot.Plot) {
 	if p.Y.Max/p.Y.Min < logScaleRatio {
 		p.Y.Min = 0
@@ -99,7 +99,7 @@
 func milliseconds(us int64) float64 { return float64(us) / 1000 }
 
 // p99OverTimePlot draws the p99 latency of a group over time, one line for each result.
-// The plot is nil if no result has a series for the group.
+// The plot is nil if no result has a series with answered requests for the group.
 func p99OverTimePlot(results []Result, k groupKey) (*plot.Plot, error) {
 	p := newPlot(k.String()+": p99 of the requests due in each second", "s", "ms")
 	lineCount := 0
@@ -131,7 +131,7 @@
 func startSeconds(p load.Point) float64 { return float64(p.AtMs) / 1000 }
 
 // sharePlot draws each group's share of a service's slot time over time. The plot is
-// nil if the result has no series for the service.
+// nil if the result has no series with slot time for the service.
 func sharePlot(r Result, s model.ServiceName) (*plot.Plot, error) {
 	p := newPlot(string(s)+": share of slot time, "+r.Label, "s", "%")
 	p.Y.Min, p.Y.Max = 0, 100
