--- a/soak/check.go
+++ b/soak/check.go
@@ -12,40 +12,46 @@
 const (
 	// drainAllowance is how long after an acknowledged drain a request may still start.
 	drainAllowance = 2 * time.Second
-	// maxConfigDelay is how long after its publication a configuration may take to be in
-	// force at a daemon.
+	// maxConfigDelay is how long a daemon may take to put a published configuration in force.
 	maxConfigDelay = 2 * time.Second
-	// quietPeriod is how long VMs must have been without unplanned faults before checks
-	// apply that unplanned faults may violate.
+	// quietPeriod is the time since the last unplanned fault after which all checks apply.
+	// Before that, checks are skipped that an unplanned fault alone may violate.
 	quietPeriod = 3 * time.Second
-	// In each period of retryBudgetWindow that starts with a retry, retries may not exceed
-	// retryBudgetRatio of the requests plus retryBudgetSlack. The requests of the half window
-	// before the period count too.
+	// retryBudgetWindow is the length of the windows in which retries are counted. A window
+	// starts at every retry.
 	retryBudgetWindow = 10 * time.Second
-	retryBudgetRatio  = 0.2
-	retryBudgetSlack  = 40.0
-	// maxViolations bounds the violations that are recorded.
+	// retryBudgetRatio is the number of retries that a window may have for each request. The
+	// requests of the window are counted, and those of the half window before it.
+	retryBudgetRatio = 0.2
+	// retryBudgetSlack is the number of further retries that a window may have.
+	retryBudgetSlack = 40.0
+	// maxViolations is the maximum number of violations that are recorded.
 	maxViolations = 20
 )
 
-// requestRecord is the history of a request that a caller sent once, with one attempt id.
+// requestRecord records what happened to one attempt of a caller to send a request. Each
+// attempt has its own attempt id.
 type requestRecord struct {
-	sentAt          time.Time
-	unsafe          bool
-	service         string
-	executions      int
+	sentAt time.Time
+	// unsafe is set if the request is not idempotent.
+	unsafe bool
+	// service is the service of the caller.
+	service string
+	// executions is the number of times that upstreams started the request.
+	executions int
+	// toldNotExecuted is set when the response tells the caller that the request did not run.
 	toldNotExecuted bool
-	// crashKey identifies a request that crashes upstreams and is sent with many attempt ids.
-	// It is empty for all other requests.
+	// crashKey identifies a request that crashes upstreams. Such a request is sent with many
+	// attempt ids. For all other requests crashKey is empty.
 	crashKey string
 	// undisturbed reports whether the VM of the request's daemon has been without
-	// unplanned faults for quietPeriod. It is set together with crashKey.
+	// unplanned faults for quietPeriod. It is nil if crashKey is empty.
 	undisturbed func() bool
 }
 
 // checker checks what callers and upstreams observe against the guarantees of the system.
 type checker struct {
-	// safetyOnly skips the checks that depend on the speed of the machine.
+	// safetyOnly turns off the checks that depend on the speed of the machine.
 	safetyOnly bool
 
 	mu sync.Mutex
@@ -72,15 +78,18 @@
 }
 
 const (
-	// quarantineThreshold is the number of crashes after which a request must be
-	// quarantined at every daemon within quietPeriod. Later attempts of the request may
-	// cause at most maxLateCrashes.
+	// quarantineThreshold is the number of crashes that one request may cause before it is
+	// quarantined. All daemons must have quarantined the request quietPeriod after the last
+	// of these crashes.
 	quarantineThreshold = 3
-	maxLateCrashes      = 3
+	// maxLateCrashes is the number of crashes that a request may still cause by attempts
+	// that are sent after this quietPeriod.
+	maxLateCrashes = 3
+	// poisonAttemptPrefix starts the attempt ids of requests that crash upstreams.
 	poisonAttemptPrefix = "poison-"
-	// maxCrashes bounds the crashes caused by one request on a machine of any speed. At a
-	// load average of 90 on 8 cores there are 8 to 10 crashes, and 21 to 23 without a
-	// quarantine.
+	// maxCrashes is the number of crashes that one request may cause on a machine of any
+	// speed. It is checked only if safetyOnly is set. At a load average of 90 on 8 cores a
+	// request causes 8 to 10 crashes, and 21 to 23 without a quarantine.
 	maxCrashes = 16
 )
 
@@ -88,14 +97,14 @@
 	return &checker{requests: make(map[string]*requestRecord), drainedAt: make(map[string]time.Time), crashes: make(map[string]*crashCount)}
 }
 
-// addViolationLocked records a violation. c.mu is held.
+// addViolationLocked records a violation. The caller must hold c.mu.
 func (c *checker) addViolationLocked(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// addViolation records a violation found outside the checker.
+// addViolation records a violation that was found by code outside the checker.
 func (c *checker) addViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +118,7 @@
 	return append([]string(nil), c.violations...)
 }
 
-// recordSent records a request that is about to be sent.
+// recordSent records an attempt that is about to be sent by a caller of a service.
 func (c *checker) recordSent(attempt, service string, unsafe bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +127,8 @@
 	c.sendTimes = append(c.sendTimes, now)
 }
 
-// RequestStarted implements platformtest.Observer.
+// RequestStarted records that an upstream has started a request, and checks that it was allowed
+// to. It implements platformtest.Observer.
 func (c *checker) RequestStarted(u *platformtest.Upstream, attempt, caller string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,8 +158,8 @@
 	}
 }
 
-// recordPoison records that a request crashes upstreams. Attempts with the same key belong to
-// one request.
+// recordPoison records that the request of an attempt crashes upstreams. Attempts with the same
+// key belong to one request. undisturbed is stored in the record of the attempt.
 func (c *checker) recordPoison(attempt, key string, undisturbed func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,7 +169,8 @@
 	}
 }
 
-// recordCrash counts one crash caused by a request and checks the bounds. c.mu is held.
+// recordCrash counts one crash that a request has caused and checks the bounds on crashes. The
+// caller must hold c.mu.
 func (c *checker) recordCrash(rec *requestRecord) {
 	k := c.crashes[rec.crashKey]
 	k.total++
@@ -179,8 +190,9 @@
 	}
 }
 
-// resetCrashCounts restarts the counts that are bounded by maxCrashes. It is called when all
-// daemons are killed at once: they keep the quarantine in memory only, so it is lost.
+// resetCrashCounts sets the crash counts to 0 if safetyOnly is set, that is, if they are bounded
+// by maxCrashes. It is called when all daemons are killed at once: daemons keep the quarantine
+// only in memory, so it is lost.
 func (c *checker) resetCrashCounts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,8 +247,8 @@
 	}
 }
 
-// checkRetryBudget checks that the repeated executions in every window stay within the
-// retry budget.
+// checkRetryBudget checks the retry budget in every window of retryBudgetWindow. It counts
+// repeated executions of idempotent requests as retries.
 func (c *checker) checkRetryBudget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/control.go
+++ b/soak/control.go
@@ -6,16 +6,19 @@
 )
 
 const (
-	// maxQuarantineBytesPerSecond bounds the quarantine records (of suspected requests) that
-	// a daemon sends to its peers. It is the whole limit of control traffic of a daemon in a
-	// deployment of 1,700 daemons. maxQuarantineBurstBytes allows daemons that ran only for
-	// a short time an anti-entropy exchange at the start.
+	// maxQuarantineBytesPerSecond is the rate at which a daemon may send quarantine records
+	// to its peers. A quarantine record tells which request is suspected of crashing
+	// upstreams. In a deployment of 1,700 daemons, all control traffic of a daemon must stay
+	// below this rate.
 	maxQuarantineBytesPerSecond = 19_000.0
-	maxQuarantineBurstBytes     = 12 * 1400.0
+	// maxQuarantineBurstBytes is the number of further bytes that a daemon may send. They
+	// suffice for an anti-entropy exchange (a comparison of the records with a peer) at the
+	// start of a daemon that has run only for a short time.
+	maxQuarantineBurstBytes = 12 * 1400.0
 )
 
-// checkControlTraffic checks the bytes of quarantine records that the daemons report as sent
-// in their metrics.
+// checkControlTraffic checks how many bytes of quarantine records each daemon has sent. It reads
+// the number from the metrics of the daemon.
 func (h *harness) checkControlTraffic(ctx context.Context) {
 	for _, m := range h.vms {
 		sent, err := readCounter(ctx, m.metricsURL(), "dottereltiller_control_bytes", `direction="sent"`, `kind="suspects"`)
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -15,7 +15,8 @@
 	return exec.CommandContext(ctx, name, args...)
 }
 
-// storeFaults maps the modes of store faults, except forget, to faults of the stand-in store.
+// storeFaults maps the mode of a store fault to the fault of the stand-in store. It does not hold
+// mode forget, which injectStoreFault implements itself.
 var storeFaults = map[string]platformtest.StoreFault{
 	"busy": platformtest.StoreUnavailable, "many": platformtest.StoreRateLimited, "silent": platformtest.StoreHangs,
 	"slow": platformtest.StoreSlow, "lost": platformtest.StoreLosesReplies, "late": platformtest.StoreAppendsLate,
@@ -24,8 +25,8 @@
 // partialFailureShare is the share of requests that fail at a single faulty upstream.
 const partialFailureShare = 0.4
 
-// plannedKinds are the kinds that do not count as unplanned faults: operations that operators
-// plan, and invalid records in the store. They must not lose requests.
+// plannedKinds are the kinds of faults that must not lose requests: operations that operators
+// plan, and invalid records in the store. Faults of all other kinds are unplanned.
 var plannedKinds = map[string]bool{kindTerm: true, kindReload: true, kindConfig: true, kindDrain: true, kindInvalidRecords: true}
 
 // inject injects one fault and removes it after the duration of the fault.
@@ -35,9 +36,9 @@
 		m = h.vms[f.VM-1]
 	}
 	if !plannedKinds[f.Kind] {
-		// A kill affects the VM until its process has restarted, a fault of a proxy or
-		// an upstream until the fault is removed. All other VMs exchange messages and
-		// requests with the faulty VM, so they are disturbed as well.
+		// A kill disturbs its VM until the process has restarted. A fault of a proxy or
+		// an upstream disturbs its VM until the fault is removed. All other VMs exchange
+		// messages and requests with the faulty VM, so they are disturbed as well.
 		for _, x := range h.vms {
 			x.disturb(f.Duration + restartAllowance)
 		}
@@ -95,8 +96,8 @@
 	p.setMode("")
 }
 
-// injectStoreFault makes the store fail for the duration of a fault. In mode forget it instead
-// truncates the operator's topic and publishes the current configuration again.
+// injectStoreFault makes the store fail for the duration of a fault. Mode forget has no duration:
+// the operator's topic is truncated, and the current configuration is published again.
 func (h *harness) injectStoreFault(f Fault) {
 	if f.Mode == "forget" {
 		h.store.Truncate(platformtest.TopicOperator)
@@ -110,8 +111,8 @@
 	h.store.Fail(platformtest.StoreHealthy)
 }
 
-// injectUpstreamFault makes one upstream fail partialFailureShare of its requests. If the
-// fault names no VM, m is nil and all upstreams fail all requests.
+// injectUpstreamFault makes the upstream of a VM fail partialFailureShare of its requests for the
+// duration of a fault. If m is nil, all upstreams fail all their requests.
 func (h *harness) injectUpstreamFault(m *vm, f Fault) {
 	share, affected := partialFailureShare, []*vm{m}
 	if m == nil {
@@ -126,7 +127,8 @@
 	}
 }
 
-// crashUpstream crashes an upstream and restarts it.
+// crashUpstream crashes an upstream and restarts it after the duration of the fault. In mode
+// new-id the upstream restarts with a new id.
 func (h *harness) crashUpstream(m *vm, f Fault) {
 	id := m.upstream.ID()
 	m.upstream.Crash()
@@ -137,7 +139,8 @@
 	_ = m.upstream.Start(id)
 }
 
-// drainUpstream drains an upstream and then replaces it by a new one.
+// drainUpstream drains an upstream and then replaces it by a new one. It leaves the upstream alone
+// if another fault has restarted it in the meantime.
 func (h *harness) drainUpstream(m *vm, f Fault) {
 	incarnation := m.upstream.Incarnation()
 	if m.upstream.Drain() {
@@ -151,12 +154,12 @@
 	_ = m.upstream.Start(h.newID(f.VM))
 }
 
-// callerStopDelay is the time between the end of a VM's own calls and its replacement.
+// callerStopDelay is how long replaceVM waits between stopping the callers of a VM and killing it.
 const callerStopDelay = 200 * time.Millisecond
 
-// replaceVM kills a VM and starts a new one under the same address, which belongs to the
-// other service of the group. Connections to the old VM break. In mode dark the network
-// drops their traffic instead, so that peers see no connection error.
+// replaceVM kills a VM and starts a new VM at the same address. The new VM belongs to the service
+// that otherService returns. In mode gone, connections to the old VM break. In mode dark, the
+// network drops the peer traffic of the VM, so that peers see no connection error.
 func (h *harness) replaceVM(m *vm, f Fault) {
 	if !m.replacing.CompareAndSwap(false, true) {
 		return
@@ -175,8 +178,8 @@
 	time.Sleep(restartAllowance)
 }
 
-// otherService returns the service of the VM's group to which the VM does not belong, or the
-// current service of the VM if fewer than minVMsPerService other VMs would remain in it.
+// otherService returns the service of the VM's group to which the VM does not belong. If fewer
+// than minVMsPerService VMs would remain in the current service, it returns the current service.
 func (h *harness) otherService(m *vm) string {
 	current, remaining := m.service(), 0
 	for _, x := range h.vms {
@@ -194,14 +197,14 @@
 	}
 }
 
-// minVMsPerService VMs of a service must remain when a VM changes to the other service:
-// fewer would not have enough capacity for the callers of eight VMs.
+// minVMsPerService is the number of VMs that must remain in a service when a VM changes to the
+// other service. Fewer VMs would not have enough capacity for the callers of eight VMs.
 const minVMsPerService = 3
 
 // poisonInterval is the time between two attempts of a request that crashes upstreams.
 const poisonInterval = 300 * time.Millisecond
 
-// sendPoison sends a request that crashes upstreams to one daemon after another, until
+// sendPoison sends a request that crashes upstreams (poison) to one daemon after another, until
 // the plan ends.
 func (h *harness) sendPoison(f Fault) {
 	key := strconv.FormatInt(f.At.Milliseconds(), 10)
--- a/soak/metrics.go
+++ b/soak/metrics.go
@@ -37,7 +37,7 @@
 	return resp.Body, nil
 }
 
-// readCounter fetches a metrics page and returns the value of a counter as findCounter does.
+// readCounter fetches a metrics page and returns the value that findCounter finds in it.
 func readCounter(ctx context.Context, url, name string, labels ...string) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestDeadline)
 	defer cancel()
@@ -49,8 +49,8 @@
 	return findCounter(body, name, labels)
 }
 
-// findCounter returns the value of the first series with the name and all labels in the
-// Prometheus text format, or 0 if there is none.
+// findCounter reads metrics in the Prometheus text format. It returns the value of the first
+// series that has the name and all the labels, or 0 if there is no such series.
 func findCounter(r io.Reader, name string, labels []string) (float64, error) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -15,17 +15,19 @@
 	"github.com/dottereltiller/dottereltiller/edits"
 )
 
-// mutant is the daemon with a deliberate bug that the checker must find (mutation testing).
+// mutant is a variant of the daemon with a deliberate bug, which the checker must find.
 type mutant struct {
-	// edits replace text of source files. The old text must occur exactly once.
+	// edits insert the bug by replacing text of source files. Each old text must occur exactly
+	// once in its file.
 	edits []edits.Edit
 	// plan is written by hand and holds the faults under which the bug shows.
 	plan string
-	// wantViolation is the kind of violation, the text before its colon.
+	// wantViolation is the kind of violation that the checker must record. The kind is the
+	// text before the first colon of a violation.
 	wantViolation string
 }
 
-// Plans that repeat one kind of fault.
+// The plans of the mutants, in the text format of ReadPlan.
 const (
 	planHeader           = "soak 950 8 30000\n"
 	planDrains           = planHeader + "3000 drain 1 - 300\n3500 drain 2 - 300\n4000 drain 3 - 300\n9000 drain 4 - 300\n"
@@ -131,9 +133,11 @@
 	},
 }
 
+// root is the root directory of the repository.
 const root = ".."
 
-// TestMutantsApply guards against mutants whose edits no longer apply to the source.
+// TestMutantsApply guards against mutants whose edits no longer apply to the source, and against
+// invalid plans.
 func TestMutantsApply(t *testing.T) {
 	for name, m := range mutants {
 		t.Run(name, func(t *testing.T) {
@@ -144,8 +148,9 @@
 	}
 }
 
-// writeOverlay writes the edited files and returns the path of an overlay file with which go
-// build uses them in place of the originals.
+// writeOverlay writes the edited files of a mutant and an overlay file that lists them. It returns
+// the path of the overlay file. With the overlay file, go build compiles the edited files in place
+// of the originals.
 func writeOverlay(t *testing.T, m mutant) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -184,7 +189,7 @@
 			require.NoError(t, err, string(out))
 			p, err := ReadPlan(strings.NewReader(m.plan))
 			require.NoError(t, err)
-			// The seed determines the loopback addresses, so parallel runs use different ones.
+			// The seed determines the loopback addresses, so parallel runs use different seeds.
 			p.Seed += uint64(i)
 			r, err := Run(t.Context(), p, Options{Binary: binary, Dir: dir})
 			require.NoError(t, err)
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -16,77 +16,80 @@
 	At time.Duration
 	// Kind is the kind of fault.
 	Kind string
-	// VM is the number of the VM with the fault, from 1. It is 0 for a fault that concerns
-	// no single VM, see vmOptionalKinds.
+	// VM is the number of the VM with the fault, from 1. It is 0 if the fault concerns no
+	// single VM. Only the kinds in vmOptionalKinds allow that.
 	VM int
-	// Mode is the variant of the kind.
+	// Mode is the variant of the fault, one of the faultModes of its kind.
 	Mode string
 	// Duration is how long the fault lasts.
 	Duration time.Duration
 }
 
-// String returns the line of a fault in a plan.
+// String returns the line of the fault in the text format of a plan. Times are in milliseconds.
 func (f Fault) String() string {
 	return fmt.Sprintf("%d %s %d %s %d", f.At.Milliseconds(), f.Kind, f.VM, f.Mode, f.Duration.Milliseconds())
 }
 
 // Plan describes a soak run completely, so that it can be replayed.
 type Plan struct {
-	Seed   uint64
-	VMs    int
+	// Seed determines the loopback addresses of the run. RandomPlan also draws the faults
+	// from it.
+	Seed uint64
+	// VMs is the number of VMs.
+	VMs int
+	// Length is how long callers send requests.
 	Length time.Duration
+	// Faults are the faults in the order in which they are injected.
 	Faults []Fault
 }
 
 // The kinds of faults.
 const (
-	kindKill           = "kill"
-	kindTerm           = "term"
-	kindPause          = "pause"
-	kindReload         = "reload"
-	kindPeerProxy      = "peers"     // the proxy in front of the address for other daemons
-	kindUpstreamProxy  = "app"       // the proxy between a daemon and its upstream
-	kindStoreProxy     = "store-via" // the proxy between a daemon and the store
-	kindStore          = "store"
-	kindUpstream       = "upstream"
-	kindCrash          = "crash"
-	kindDrain          = "drain"
-	kindConfig         = "config"
-	kindInvalidRecords = "foreign" // records of an unknown writer in the store, which are invalid
-	kindPoison         = "poison"  // a request that crashes upstreams, sent repeatedly
-	kindKillAll        = "herd"    // all daemons are killed at once
-	kindReplace        = "replace" // a VM is replaced by one of another service at the same address
+	kindKill           = "kill"      // a daemon receives SIGKILL
+	kindTerm           = "term"      // a daemon receives SIGTERM
+	kindPause          = "pause"     // a daemon is paused and resumed
+	kindReload         = "reload"    // a daemon receives SIGHUP
+	kindPeerProxy      = "peers"     // the proxy in front of the address for other daemons fails
+	kindUpstreamProxy  = "app"       // the proxy between a daemon and its upstream fails
+	kindStoreProxy     = "store-via" // the proxy between a daemon and the store fails
+	kindStore          = "store"     // the store fails
+	kindUpstream       = "upstream"  // one upstream or all upstreams fail requests
+	kindCrash          = "crash"     // an upstream crashes and restarts
+	kindDrain          = "drain"     // an upstream drains and is replaced
+	kindConfig         = "config"    // a new version of the configuration is published
+	kindInvalidRecords = "foreign"   // an unknown writer puts invalid records into the store
+	kindPoison         = "poison"    // a request that crashes upstreams is sent repeatedly
+	kindKillAll        = "herd"      // all daemons are killed at once
+	kindReplace        = "replace"   // a VM is replaced by one of another service at the same address
 )
 
 // faultModes lists the modes of each kind. A dash stands for the only mode of a kind.
-//
-// Proxies: delay and trickle slow connections down, reset resets connections and drops
-// datagrams, silent drops all traffic, and half drops the traffic from the target to the client.
-//
-// Store: busy and many respond with 503 and 429, silent never responds, slow responds late,
-// lost executes appends without a response, late executes appends late without a response, and
-// forget loses the operator's records.
-//
-// Upstreams: lose executes requests and closes the connection without a response, shed rejects
-// requests without execution, err executes requests and responds with status 500, hang executes
-// requests and never responds, cut truncates responses, double sends a second response, slow
-// takes ten times as long, and untold omits the load.
-//
-// Crash: the upstream restarts with the same-id or a new-id. Replace: the old VM is gone
-// (connections break) or dark (its peer traffic is dropped).
 var faultModes = map[string][]string{
 	kindKill: {"-"}, kindTerm: {"-"}, kindPause: {"-"}, kindReload: {"-"},
+	// The modes of all proxies: delay and trickle slow connections down. reset resets
+	// connections and drops datagrams. silent drops all traffic. half drops the traffic from
+	// the target to the client.
 	kindPeerProxy:     {"delay", "reset", "silent", "half", "trickle"},
 	kindUpstreamProxy: {"delay", "reset", "silent"},
 	kindStoreProxy:    {"reset", "silent", "half"},
-	kindStore:         {"busy", "many", "silent", "slow", "lost", "late", "forget"},
-	kindUpstream:      {"lose", "shed", "err", "hang", "cut", "double", "slow", "untold"},
-	kindCrash:         {"same-id", "new-id"}, kindDrain: {"-"}, kindConfig: {"-"}, kindInvalidRecords: {"-"}, kindPoison: {"-"}, kindKillAll: {"-"},
+	// The store responds with status 503 in mode busy and with 429 in mode many. silent
+	// never responds, and slow responds late. lost executes appends without a response.
+	// late executes appends late and without a response. forget loses the operator's records.
+	kindStore: {"busy", "many", "silent", "slow", "lost", "late", "forget"},
+	// The upstream executes requests in all modes except shed, which rejects requests without
+	// execution. lose closes the connection without a response. err responds with status 500.
+	// hang never responds. cut truncates responses. double sends a second response. slow
+	// takes ten times as long. untold omits the load from responses.
+	kindUpstream: {"lose", "shed", "err", "hang", "cut", "double", "slow", "untold"},
+	// The upstream restarts with the same id or with a new id.
+	kindCrash: {"same-id", "new-id"}, kindDrain: {"-"}, kindConfig: {"-"}, kindInvalidRecords: {"-"}, kindPoison: {"-"}, kindKillAll: {"-"},
+	// In mode gone the connections to the old VM break. In mode dark its peer traffic is
+	// dropped.
 	kindReplace: {"gone", "dark"},
 }
 
-// vmOptionalKinds are the kinds with an optional VM: without one, the fault concerns no
-// single VM or all of them.
+// vmOptionalKinds are the kinds whose faults may name no VM. Such a fault concerns all VMs or no
+// VM in particular.
 var vmOptionalKinds = map[string]bool{
 	kindStore: true, kindConfig: true, kindInvalidRecords: true, kindPoison: true, kindUpstream: true, kindKillAll: true,
 }
@@ -102,17 +105,20 @@
 }
 
 const (
-	// faultFreeStart and faultFreeEnd are the lengths of the periods without faults at the
-	// start and the end of a plan. Recovery is checked in the latter.
+	// faultFreeStart is the length of the period without faults at the start of a plan.
 	faultFreeStart = 2 * time.Second
-	faultFreeEnd   = 12 * time.Second
-	// meanFaultInterval is the mean time between two faults. Each fault lasts between
-	// minFaultDuration and maxFaultDuration.
+	// faultFreeEnd is the length of the period without faults at the end of a plan. Recovery
+	// from the faults is checked in this period.
+	faultFreeEnd = 12 * time.Second
+	// meanFaultInterval is the mean time between the starts of two faults.
 	meanFaultInterval = 500 * time.Millisecond
-	minFaultDuration  = 300 * time.Millisecond
-	maxFaultDuration  = 4 * time.Second
-	// The first 1/plannedOnlyDivisor of a plan has faults of plannedKinds only. Whether
-	// they lose requests cannot be checked while unplanned faults are injected.
+	// minFaultDuration is the shortest duration that is drawn for a fault.
+	minFaultDuration = 300 * time.Millisecond
+	// maxFaultDuration is the longest duration that is drawn for a fault.
+	maxFaultDuration = 4 * time.Second
+	// plannedOnlyDivisor gives the length of the first part of a plan, which has only faults
+	// of plannedKinds: the length of the plan divided by plannedOnlyDivisor. Whether planned
+	// faults lose requests cannot be checked while unplanned faults are injected.
 	plannedOnlyDivisor = 3
 )
 
@@ -137,7 +143,8 @@
 	}
 }
 
-// drawKind draws a kind of fault according to kindWeights.
+// drawKind draws a kind of fault according to kindWeights. With plannedOnly it draws only from
+// plannedKinds.
 func drawKind(rng *rand.Rand, plannedOnly bool) string {
 	for {
 		total := 0
@@ -157,7 +164,7 @@
 	}
 }
 
-// WriteTo writes a plan in the text format of ReadPlan.
+// WriteTo writes a plan in the text format of ReadPlan. It returns the number of bytes written.
 func (p *Plan) WriteTo(w io.Writer) (int64, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "soak %d %d %d\n", p.Seed, p.VMs, p.Length.Milliseconds())
@@ -168,9 +175,11 @@
 	return int64(n), err
 }
 
-// PlanError reports an invalid line of a plan. Line is 0 if there is no plan at all.
+// PlanError reports an invalid line of a plan, or that a text contains no plan.
 type PlanError struct {
+	// Line is the number of the line, from 1. It is 0 if there is no plan.
 	Line int
+	// Text is the text of the line.
 	Text string
 }
 
@@ -179,8 +188,9 @@
 	return fmt.Sprintf("plan: line %d is invalid: %q", e.Line, e.Text)
 }
 
-// ReadPlan parses a plan. Lines that begin with # are comments. The error is a *PlanError if a
-// line is invalid.
+// ReadPlan parses a plan. The first line is "soak SEED VMS LENGTH", with the length in
+// milliseconds. Each further line is a fault as Fault.String returns it. Empty lines and lines
+// that begin with # are skipped. The error is a *PlanError if a line is invalid or missing.
 func ReadPlan(r io.Reader) (Plan, error) {
 	var p Plan
 	s := bufio.NewScanner(r)
@@ -215,8 +225,10 @@
 	return p, s.Err()
 }
 
-// Shrink returns a smaller plan that still fails. It removes blocks of faults, halving the
-// block size down to single faults, and keeps each removal after which fails reports true.
+// Shrink removes faults from a failing plan and returns a smaller plan that still fails. It tries
+// to remove each block of faults in turn. A block is half of the faults at first, and the size is
+// halved until blocks are single faults. A removal is kept if fails reports that the remaining
+// plan fails.
 func Shrink(p Plan, fails func(Plan) bool) Plan {
 	for size := (len(p.Faults) + 1) / 2; size >= 1; size /= 2 {
 		for from := 0; from < len(p.Faults); {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -9,29 +9,36 @@
 // proxy forwards TCP connections and UDP datagrams from one address to another and injects
 // network faults.
 type proxy struct {
+	// address is the address at which the proxy listens.
 	address string
-	target  string
-	tcp     net.Listener
-	udp     *net.UDPConn
+	// target is the address to which the proxy forwards.
+	target string
+	tcp    net.Listener
+	udp    *net.UDPConn
 
-	mu    sync.Mutex
-	mode  string
+	mu sync.Mutex
+	// mode is the injected fault, one of the modes of proxies in faultModes, or empty.
+	mode string
+	// conns holds the open connections to clients and to the target.
 	conns map[net.Conn]bool
-	// silenced holds the connections that were open when the mode became silent, and those
-	// that have lost data in mode silent or half. They carry no more data, also after the mode
-	// changes.
+	// silenced holds connections that carry no more data, also after the mode has changed.
+	// They were open when the mode became silent, or have lost data in mode silent or half.
 	silenced map[net.Conn]bool
 	// udpConns holds a socket to the target for each sender of datagrams, by its address.
 	udpConns map[string]net.Conn
 }
 
 const (
-	delayTime         = 60 * time.Millisecond
+	// delayTime is how long mode delay holds back data.
+	delayTime = 60 * time.Millisecond
+	// trickleChunkBytes is the size of the pieces in which mode trickle sends data.
 	trickleChunkBytes = 16
-	trickleInterval   = 5 * time.Millisecond
-	copyBufferBytes   = 32 << 10
+	// trickleInterval is the pause of mode trickle after each piece.
+	trickleInterval = 5 * time.Millisecond
+	copyBufferBytes = 32 << 10
 )
 
+// newProxy starts a proxy that listens at an address for TCP connections and UDP datagrams.
 func newProxy(address, target string) (*proxy, error) {
 	p := &proxy{address: address, target: target, conns: make(map[net.Conn]bool), silenced: make(map[net.Conn]bool), udpConns: make(map[string]net.Conn)}
 	var err error
@@ -83,6 +90,7 @@
 	return p.mode
 }
 
+// close stops listening and resets all connections.
 func (p *proxy) close() {
 	_ = p.tcp.Close()
 	_ = p.udp.Close()
@@ -99,6 +107,7 @@
 	}
 }
 
+// serve forwards a connection of a client to the target and back until both directions are closed.
 func (p *proxy) serve(in net.Conn) {
 	defer func() { _ = in.Close() }()
 	if p.modeOf(nil) == "reset" {
@@ -118,6 +127,7 @@
 	wg.Wait()
 }
 
+// track adds two connections to the open connections if open is set, and else removes them.
 func (p *proxy) track(in, out net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,20 +141,20 @@
 	}
 }
 
-// relay copies data from src to dst in the current mode of the connection from the client.
-// In half mode it drops the data from the target to the client.
+// relay copies data from src to dst until src is closed. It applies the mode of client, which is
+// the connection from the client and thus src or dst. toClient tells that dst is client.
 func (p *proxy) relay(dst, src, client net.Conn, toClient bool) {
 	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := src.Read(buf)
 		switch mode := p.modeOf(client); {
 		case mode == "silent" || mode == "half" && toClient:
-			// TCP delivers no data after a gap, so the connection stays silent.
+			// TCP delivers no data after lost data, so the connection stays silent.
 			p.mu.Lock()
 			p.silenced[client] = true
 			p.mu.Unlock()
 			if err != nil {
-				// The close is not propagated either while the fault lasts.
+				// The close must not be propagated while the fault lasts.
 				time.Sleep(maxFaultDuration)
 			}
 		case mode == "delay":
@@ -162,8 +172,8 @@
 	}
 }
 
-// propagateClose closes dst in the way the other side of the proxy was closed: by EOF or
-// else by a reset.
+// propagateClose closes dst after a read on the other side of the proxy has failed with err.
+// After EOF it closes dst for writing. After any other error it resets dst.
 func (p *proxy) propagateClose(dst net.Conn, err error) {
 	if t, ok := dst.(*net.TCPConn); ok && err.Error() == "EOF" {
 		_ = t.CloseWrite()
@@ -172,6 +182,7 @@
 	reset(dst)
 }
 
+// trickle writes b to dst in small pieces, with a pause after each piece.
 func trickle(dst net.Conn, b []byte) {
 	for len(b) > 0 {
 		n := min(len(b), trickleChunkBytes)
@@ -186,8 +197,8 @@
 const (
 	// datagramBufferBytes is larger than any datagram of a daemon.
 	datagramBufferBytes = 2 << 10
-	// udpIdleTimeout is how long the socket of a sender stays open without a reply. It limits
-	// the open sockets: with a hundred daemons each proxy has a hundred senders.
+	// udpIdleTimeout is how long the socket for a sender stays open without a reply. The
+	// timeout limits the open sockets: with a hundred daemons each proxy has a hundred senders.
 	udpIdleTimeout = 3 * time.Second
 )
 
@@ -208,7 +219,8 @@
 	}
 }
 
-// udpConn returns the socket for a sender. It is nil if the socket cannot be opened.
+// udpConn returns the socket to the target for a sender of datagrams, and opens it if needed. It
+// returns nil if the socket cannot be opened.
 func (p *proxy) udpConn(from *net.UDPAddr) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,8 +237,8 @@
 	return out
 }
 
-// relayReplies forwards replies of the target to a sender. It ends after udpIdleTimeout
-// without a reply, or when the target is not listening.
+// relayReplies forwards replies of the target to a sender of datagrams. After udpIdleTimeout
+// without a reply, or if the target is not listening, it closes the socket and returns.
 func (p *proxy) relayReplies(out net.Conn, key string, to *net.UDPAddr) {
 	defer func() {
 		p.mu.Lock()
--- a/soak/run.go
+++ b/soak/run.go
@@ -29,38 +29,36 @@
 	Out io.Writer
 	// SafetyOnly skips the checks that depend on the speed of the machine: how soon a configuration
 	// is in force, how many requests are served at the end, and how soon requests that crash
-	// upstreams are refused. For the last, the number of crashes is checked instead.
+	// upstreams are refused. The number of crashes that such a request causes is checked instead.
 	SafetyOnly bool
-	// Rate is the number of requests a second that the callers of one VM send. Default:
-	// 10, or less if the callers of all VMs together would send more than 480.
+	// Rate is the number of requests a second that the callers of one VM send. The default is
+	// 10. It is less if the callers of all VMs together would send more than 480.
 	Rate int
 }
 
 // Result holds the violations that a soak found and its numbers of requests.
 type Result struct {
 	Violations []string
-	Requests   int
-	Served     int
+	Requests   int // the requests sent by callers, without probes
+	Served     int // the requests of callers that were answered with status 200
 }
 
 const (
-	gracePeriod     = 5 * time.Second
-	startTimeout    = 60 * time.Second
-	servingTimeout  = 60 * time.Second
-	requestDeadline = 2500 * time.Millisecond
+	gracePeriod     = 5 * time.Second         // the time that a daemon has to exit after SIGTERM
+	startTimeout    = 60 * time.Second        // the time until all daemons must be ready
+	servingTimeout  = 60 * time.Second        // the time until all daemons must serve requests at the end
+	requestDeadline = 2500 * time.Millisecond // the deadline of requests that run for a short time
 	// longRequestDeadline is the deadline of the requests that run for seconds.
 	longRequestDeadline = 30 * time.Second
-	defaultRate         = 10
-	// defaultTotalRate is the total requests a second that 8 cores serve beside a hundred daemons.
+	defaultRate         = 10 // the default of Options.Rate
+	// defaultTotalRate is how many requests a second 8 cores can serve beside a hundred daemons.
 	defaultTotalRate = 480
-	// minServedShare of the requests in the last recoveryWindow of a plan must be served.
-	minServedShare = 0.95
-	recoveryWindow = 5 * time.Second
-	// Every unsafeRequestInterval-th request is not idempotent. Every
-	// longRequestInterval-th one runs for seconds and is not idempotent either.
-	unsafeRequestInterval = 3
-	longRequestInterval   = 40
-	// distinctPaths is the number of paths under /safe/, and also of those under /unsafe/.
+	// minServedShare is the share of the requests in recoveryWindow that must be served.
+	minServedShare        = 0.95
+	recoveryWindow        = 5 * time.Second // the last part of a plan, in which recovery is checked
+	unsafeRequestInterval = 3               // one request in so many is not idempotent
+	longRequestInterval   = 40              // one request in so many is not idempotent and runs for seconds
+	// distinctPaths is the number of paths under /safe/, and also the number under /unsafe/.
 	distinctPaths = 2000
 	// configCheckInterval is the time between two checks of a daemon's configuration.
 	configCheckInterval = 250 * time.Millisecond
@@ -72,25 +70,25 @@
 	opts   Options
 	check  *checker
 	store  *platformtest.Store
-	server *http.Server
+	server *http.Server // the server of the store
 	vms    []*vm
 	// loopbackNet is the number of the loopback network that the soak uses.
 	loopbackNet int
-	startedAt   time.Time
-	lastID      atomic.Int64
+	startedAt   time.Time    // the start of the callers
+	lastID      atomic.Int64 // the number in the last upstream id, see newID
 	// mu guards version and publishedAt, which belong to the newest configuration.
 	mu            sync.Mutex
 	version       int
 	publishedAt   time.Time
-	requests      atomic.Int64
-	served        atomic.Int64
-	finalRequests atomic.Int64 // the requests sent in the last recoveryWindow
-	finalServed   atomic.Int64
+	requests      atomic.Int64 // see Result.Requests
+	served        atomic.Int64 // see Result.Served
+	finalRequests atomic.Int64 // the requests sent in recoveryWindow
+	finalServed   atomic.Int64 // the requests sent in recoveryWindow that were served
 }
 
 var errNotReady = errors.New("a daemon did not become ready")
 
-// Run executes a plan. An error means that the plan could not be executed to its end.
+// Run executes a plan. It returns an error if the plan could not be executed to its end.
 func Run(ctx context.Context, p Plan, o Options) (Result, error) {
 	if o.Rate <= 0 {
 		o.Rate = max(min(defaultRate, defaultTotalRate/max(p.VMs, 1)), 1)
@@ -123,8 +121,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", firstNet+h.loopbackNet, number/hosts, 1+number%hosts)
 }
 
-// listen reserves a free loopback network by listening on the store's address in it. It tries
-// all networks in turn, from the one that the seed determines.
+// listen reserves a free loopback network by listening on the store's address in the network. It
+// tries all networks in turn, starting with the network that the seed determines.
 func (h *harness) listen() (net.Listener, error) {
 	ln, _, err := loopback.ListenFirstFree(h.plan.Seed, maxParallelSoaks, func(n int) string {
 		h.loopbackNet = n
@@ -162,6 +160,7 @@
 // newID returns an unused id for an upstream of a VM.
 func (h *harness) newID(number int) string { return fmt.Sprintf("i-%d-%d", number, h.lastID.Add(1)) }
 
+// awaitReady waits until all daemons are ready. After startTimeout it returns errNotReady.
 func (h *harness) awaitReady(ctx context.Context) error {
 	end := time.Now().Add(startTimeout)
 	for _, m := range h.vms {
@@ -175,7 +174,7 @@
 	return nil
 }
 
-// awaitServing waits until every daemon serves a request after the last fault.
+// awaitServing waits until each daemon serves a request. After servingTimeout it adds a violation.
 func (h *harness) awaitServing(ctx context.Context) error {
 	end := time.Now().Add(servingTimeout)
 	for _, m := range h.vms {
@@ -208,7 +207,7 @@
 	h.store.PutConfig(h.configLocked())
 }
 
-// configLocked returns the newest configuration. h.mu is held.
+// configLocked returns the newest configuration. The caller must hold h.mu.
 func (h *harness) configLocked() []byte {
 	var calledServices []string
 	for g := range groupCount(h.plan.VMs) {
@@ -217,14 +216,14 @@
 	return platformtest.Document(h.version, calledServices...)
 }
 
-// latestConfig returns the newest version and when it was published.
+// latestConfig returns the newest version of the configuration and when it was published.
 func (h *harness) latestConfig() (int, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version, h.publishedAt
 }
 
-// executePlan sends requests and injects the faults of the plan for its length.
+// executePlan sends requests for the length of the plan and injects its faults meanwhile.
 func (h *harness) executePlan(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.plan.Length)
 	defer cancel()
@@ -248,7 +247,7 @@
 	}
 }
 
-// runCallers sends requests to one daemon at the configured rate and waits for all of them.
+// runCallers sends requests to one daemon until ctx ends, and then waits for the responses.
 func (h *harness) runCallers(ctx context.Context, m *vm) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -308,8 +307,8 @@
 	}
 }
 
-// abortedByDaemon reports whether a daemon ended an executing request without the upstream's
-// response: by closing the connection, or with a 502 whose reason is that the daemon drains.
+// abortedByDaemon reports whether a daemon aborted an executing request. The daemon has then closed
+// the connection, or responded with status 502 and the reason that it drains.
 func abortedByDaemon(r platformtest.Result, err error) bool {
 	if err != nil {
 		return !errors.Is(err, context.DeadlineExceeded)
@@ -327,9 +326,9 @@
 	return true
 }
 
-// checkConfigInForce regularly checks the configuration in force at a daemon: a new version
-// must be in force in time, and an incarnation of the process must not return to an older one.
-// Version n adds a route for /vn/: daemons with an older version respond with status 404.
+// checkConfigInForce regularly checks the version of the configuration in force at a daemon. A new
+// version must be in force within maxConfigDelay. A process must not return to an older version.
+// Version n adds a route for /vn/, so daemons with an older version respond with status 404.
 func (h *harness) checkConfigInForce(ctx context.Context, m *vm) {
 	seenVersion, seenIncarnation := 0, 0
 	for i := 0; ctx.Err() == nil; i++ {
@@ -380,6 +379,7 @@
 	}
 }
 
+// close kills all daemons and stops the VMs and the store.
 func (h *harness) close() {
 	for _, m := range h.vms {
 		m.stopForGood(syscall.SIGKILL)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -72,7 +72,7 @@
 	up := &platformtest.Upstream{}
 	for name, c := range map[string]struct {
 		steps func(c *checker)
-		// want is the kind of violation, empty for none.
+		// want is the kind of the expected violation. It is empty if none is expected.
 		want string
 	}{
 		"no violation": {func(c *checker) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestSoak runs a short plan against real daemons, and every plan in testdata, each of which
-// has failed before.
+// TestSoak runs a short random plan and every plan in testdata against real daemons. Each plan in
+// testdata has failed before.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -175,8 +175,9 @@
 	}
 }
 
-// TestCheckerBoundsCrashesWithSafetyOnly guards against a missed quarantine on a slow machine:
-// without time bounds, the number of crashes that one request causes must be bounded.
+// TestCheckerBoundsCrashesWithSafetyOnly guards against a checker that does not notice a missing
+// quarantine on a slow machine. With safetyOnly there are no time bounds, so the checker must bound
+// the number of crashes that one request causes.
 func TestCheckerBoundsCrashesWithSafetyOnly(t *testing.T) {
 	for runs, want := range map[int]int{maxCrashes: 0, maxCrashes + 1: 1, maxCrashes + 5: 1} {
 		c := newChecker()
--- a/soak/start.go
+++ b/soak/start.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// startMutex serializes the starts of programs. A program inherits the signals that this
-// process ignores, and startIgnoringHangup changes them for the time of a start.
+// startMutex serializes the starts of programs. A program inherits the ignored signals of this
+// process, and startIgnoringHangup changes the ignored signals during a start.
 var startMutex sync.Mutex
 
 // startDefault starts a program with the current signal dispositions of this process.
@@ -19,9 +19,9 @@
 	return cmd.Start()
 }
 
-// startIgnoringHangup starts a program that ignores SIGHUP until it installs its handler. A
+// startIgnoringHangup starts a program that ignores SIGHUP until it installs its own handler. A
 // reload fault may send SIGHUP to a daemon that has just been restarted and has no handler
-// yet. A SIGHUP to this process during the start is lost.
+// yet. While the program starts, this process ignores SIGHUP too, so a SIGHUP to it is lost.
 func startIgnoringHangup(cmd *exec.Cmd) error {
 	startMutex.Lock()
 	defer startMutex.Unlock()
@@ -32,9 +32,9 @@
 	return cmd.Start()
 }
 
-// hangupChannel returns a channel for signal.Notify; a SIGHUP on it ends this process. It
-// stands in for the default action, which neither signal.Reset nor signal.Stop restores
-// after signal.Ignore.
+// hangupChannel returns a channel for signal.Notify. A SIGHUP on the channel ends this process.
+// The channel replaces the default action of SIGHUP: neither signal.Reset nor signal.Stop restores
+// that action after signal.Ignore.
 var hangupChannel = sync.OnceValue(func() chan<- os.Signal {
 	c := make(chan os.Signal, 1)
 	go func() {
--- a/soak/start_test.go
+++ b/soak/start_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHangupBeforeHandlerIsInstalled guards against a reload that ends a daemon which has just
-// been restarted. A first start must not ignore SIGHUP: that would hide a daemon which never
-// installs a handler.
+// TestHangupBeforeHandlerIsInstalled guards against a reload (SIGHUP) that ends a daemon which has
+// just been restarted. Only restarts ignore SIGHUP. If first starts ignored SIGHUP as well, a
+// daemon that never installs a handler would go unnoticed.
 func TestHangupBeforeHandlerIsInstalled(t *testing.T) {
 	if signal.Ignored(syscall.SIGHUP) {
 		t.Skip("the test itself was started with SIGHUP ignored")
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -17,7 +17,7 @@
 // vm is one simulated VM: the daemon's process, its upstream, and the proxies in front of its
 // addresses.
 type vm struct {
-	// config holds the addresses and settings. Its service changes when the VM is replaced.
+	// config holds the addresses and settings. config.Service changes when the VM is replaced.
 	config platformtest.VM
 	// group is the number of the VM's group, see groupCount.
 	group         int
@@ -31,7 +31,7 @@
 	storeProxy    *proxy
 	caller        platformtest.Caller
 
-	// replacing is set while the VM is being replaced. It has no callers then.
+	// replacing is set while the VM is being replaced. Callers send it no requests meanwhile.
 	replacing atomic.Bool
 
 	mu sync.Mutex
@@ -39,18 +39,18 @@
 	process *exec.Cmd
 	// incarnation counts the starts of the process.
 	incarnation int
-	// stopping is set from a SIGTERM to the process until the next start.
+	// stopping is set from a SIGTERM to the process until the next start. Like killed, it
+	// tells that an exit of the process is no violation.
 	stopping bool
 	// stoppedAt is when the last SIGTERM was sent.
 	stoppedAt time.Time
 	// startedTime is when the process was started last.
 	startedTime time.Time
-	// killed is set from a SIGKILL to the process until the next start. An exit while stopping
-	// or killed is set is no violation.
+	// killed is set from a SIGKILL to the process until the next start.
 	killed bool
 	// noRestart is set when no further process may be started.
 	noRestart bool
-	// exitErr receives the exit error of the last process.
+	// exitErr receives the exit error of the last process, after which no other is started.
 	exitErr chan error
 	// disturbedUntil is the end of the last unplanned fault that affects the VM.
 	disturbedUntil time.Time
@@ -59,14 +59,15 @@
 // restartDelay is the pause between the exit of a process and the next start.
 const restartDelay = 300 * time.Millisecond
 
-// The ports of a VM and of the proxies in front of them.
+// The ports of a VM, and the ports of the proxies in front of its daemon, its upstream and the store.
 const (
 	portOutbound, portReady, portControl, portInternal, portUpstream = 8141, 8140, 8146, 7660, 8147
 	portMetrics                                                      = 9102
 	proxyPeers, proxyUpstream, proxyStore                            = 7760, 8247, 8342
 )
 
-// newVM creates a VM and starts its proxies. The daemon and the upstream are not started.
+// newVM creates a VM and starts its proxies, but not its daemon and its upstream. The VM with the
+// given number has the address ip. groups is the number of groups, see groupCount.
 func newVM(number, groups int, ip, dir, binary, store string, check *checker) (*vm, error) {
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zones = 3
@@ -104,8 +105,8 @@
 
 // groupCount returns the number of groups into which the VMs are divided. Each group has two
 // services, and the callers of its VMs call the first of them. The groups limit the open
-// files: if each of a hundred VMs called all others, the connections through the proxies
-// would need more than 20,000 files, two for each connection.
+// files. If each of a hundred VMs called all others, the connections through the proxies
+// would need more than 20,000 files: two for each connection.
 func groupCount(vms int) int {
 	const maxGroupVMs = 48
 	return (vms + maxGroupVMs - 1) / maxGroupVMs
@@ -114,14 +115,14 @@
 // serviceOf returns the name of one of the two services of a group, by its number 0 or 1.
 func serviceOf(group, n int) string { return string(rune('a' + 2*group + n)) }
 
-// start starts the daemon and restarts it whenever it exits.
+// start starts the daemon. When the daemon exits, it is restarted unless noRestart is set.
 func (m *vm) start() error {
 	m.mu.Lock()
 	text, service := m.config.Settings(), m.config.Service
 	m.config.Bootstrap = false
 	startProgram := startIgnoringHangup
 	if m.incarnation == 0 {
-		// To ignore SIGHUP here as well would hide a daemon that never handles the signal.
+		// If the first start ignored SIGHUP, a daemon without a handler would go unnoticed.
 		startProgram = startDefault
 	}
 	m.mu.Unlock()
@@ -147,8 +148,9 @@
 	return nil
 }
 
-// awaitExit waits until the process exits and restarts it unless noRestart is set. An exit
-// without a signal is a violation.
+// awaitExit waits until the process exits. An exit without a SIGTERM or SIGKILL from the test is a
+// violation. Then awaitExit starts the daemon again. If noRestart is set or the start fails, it
+// sends the exit error of the process to exitErr instead.
 func (m *vm) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	m.mu.Lock()
@@ -212,8 +214,8 @@
 	_ = m.process.Process.Signal(s)
 }
 
-// incarnationState returns the incarnation of the process and whether the process is stopping
-// or not running.
+// incarnationState returns the incarnation of the process, and whether the process has received
+// a SIGTERM or is not running.
 func (m *vm) incarnationState() (incarnation int, stopping bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -221,16 +223,19 @@
 }
 
 const (
-	// A request may keep running until a stopping process exits if it arrives within
-	// maxArrivalAfterStop after the SIGTERM and still runs in the last 1/graceTailDivisor
-	// of the grace period.
+	// maxArrivalAfterStop is the longest time between a SIGTERM and the sending of a request
+	// that the stopping daemon may still abort at the end of its grace period.
 	maxArrivalAfterStop = 3 * time.Second
-	graceTailDivisor    = 6
+	// graceTailDivisor gives the length of the last part of the grace period: the grace
+	// period divided by graceTailDivisor. A stopping daemon may abort requests that still run
+	// in this part.
+	graceTailDivisor = 6
 )
 
-// ranUntilGraceEnd reports whether a request that was sent at the given time and ends now ran
-// until the end of the grace period of a planned stop. The daemon could not have waited for
-// its response.
+// ranUntilGraceEnd reports whether a stopping daemon may have aborted a request that was sent at
+// the given time and ends now. The request must have been sent at most maxArrivalAfterStop after
+// the SIGTERM. It must still run in the last part of the grace period, see graceTailDivisor. The
+// daemon could not have waited for the response to such a request.
 func (m *vm) ranUntilGraceEnd(sent time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -253,8 +258,8 @@
 	return time.Since(m.disturbedUntil) > quietPeriod
 }
 
-// stopForGood prevents further starts and sends a signal to the running process, which it
-// resumes first if it is paused.
+// stopForGood prevents further starts and sends a signal to the running process. It resumes a
+// paused process first.
 func (m *vm) stopForGood(s syscall.Signal) {
 	m.mu.Lock()
 	m.noRestart = true
@@ -267,6 +272,7 @@
 	m.signal(s)
 }
 
+// close stops the upstream and the proxies of the VM and closes its log file.
 func (m *vm) close() {
 	m.upstream.Crash()
 	for _, p := range []*proxy{m.peerProxy, m.upstreamProxy, m.storeProxy} {
