--- a/soak/check.go
+++ b/soak/check.go
@@ -35,8 +35,8 @@
 	sentAt time.Time
 	// unsafe is set if the request is not idempotent.
 	unsafe bool
-	// service is the service of the caller.
-	service string
+	// callerService is the service of the caller.
+	callerService string
 	// executions is the number of times that upstreams started the request.
 	executions int
 	// toldNotExecuted is set when the response tells the caller that the request did not run.
@@ -123,7 +123,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.requests[attempt] = &requestRecord{sentAt: now, unsafe: unsafe, service: service}
+	c.requests[attempt] = &requestRecord{sentAt: now, unsafe: unsafe, callerService: service}
 	c.sendTimes = append(c.sendTimes, now)
 }
 
@@ -150,8 +150,8 @@
 	if rec.crashKey != "" {
 		c.recordCrash(rec)
 	}
-	if caller != rec.service {
-		c.addViolationLocked("caller: %s was sent by service %s and reached the upstream as sent by %s", attempt, rec.service, caller)
+	if caller != rec.callerService {
+		c.addViolationLocked("caller: %s was sent by service %s and reached the upstream as sent by %s", attempt, rec.callerService, caller)
 	}
 	if at, ok := c.drainedAt[u.Incarnation()]; ok && time.Since(at) > drainAllowance {
 		c.addViolationLocked("drain: %s ran at %s %s after the drain was acknowledged", attempt, u.ID(), time.Since(at).Round(time.Millisecond))
@@ -172,20 +172,20 @@
 // recordCrash counts one crash that a request has caused and checks the bounds on crashes. The
 // caller must hold c.mu.
 func (c *checker) recordCrash(rec *requestRecord) {
-	k := c.crashes[rec.crashKey]
-	k.total++
+	count := c.crashes[rec.crashKey]
+	count.total++
 	if c.safetyOnly {
-		if k.total == maxCrashes+1 {
+		if count.total == maxCrashes+1 {
 			c.addViolationLocked("poison: a request crashed upstreams more than %d times", maxCrashes)
 		}
 		return
 	}
 	switch {
-	case k.total == quarantineThreshold:
-		k.thresholdAt = time.Now()
-	case k.total > quarantineThreshold && rec.sentAt.Sub(k.thresholdAt) > quietPeriod && rec.undisturbed():
-		if k.late++; k.late == maxLateCrashes+1 {
-			c.addViolationLocked("poison: a request still crashed upstreams %s after its third crash, %d crashes in total", rec.sentAt.Sub(k.thresholdAt).Round(time.Millisecond), k.total)
+	case count.total == quarantineThreshold:
+		count.thresholdAt = time.Now()
+	case count.total > quarantineThreshold && rec.sentAt.Sub(count.thresholdAt) > quietPeriod && rec.undisturbed():
+		if count.late++; count.late == maxLateCrashes+1 {
+			c.addViolationLocked("poison: a request still crashed upstreams %s after its third crash, %d crashes in total", rec.sentAt.Sub(count.thresholdAt).Round(time.Millisecond), count.total)
 		}
 	}
 }
@@ -199,8 +199,8 @@
 	if !c.safetyOnly {
 		return
 	}
-	for _, k := range c.crashes {
-		k.total = 0
+	for _, count := range c.crashes {
+		count.total = 0
 	}
 }
 
@@ -252,15 +252,15 @@
 func (c *checker) checkRetryBudget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, from := range c.repeatTimes {
+	for _, windowStart := range c.repeatTimes {
 		repeats, requests := 0.0, 0.0
 		for _, t := range c.repeatTimes {
-			if !t.Before(from) && t.Sub(from) < retryBudgetWindow {
+			if !t.Before(windowStart) && t.Sub(windowStart) < retryBudgetWindow {
 				repeats++
 			}
 		}
 		for _, t := range c.sendTimes {
-			if d := t.Sub(from); d > -retryBudgetWindow/2 && d < retryBudgetWindow {
+			if d := t.Sub(windowStart); d > -retryBudgetWindow/2 && d < retryBudgetWindow {
 				requests++
 			}
 		}
--- a/soak/control.go
+++ b/soak/control.go
@@ -26,9 +26,9 @@
 			h.check.addViolation("metrics: %s: %v", m.config.Name, err)
 			continue
 		}
-		up := time.Since(m.startedAt())
-		if sent > maxQuarantineBurstBytes+maxQuarantineBytesPerSecond*up.Seconds() {
-			h.check.addViolation("control: %s sent %.0f bytes of quarantine records in %s", m.config.Name, sent, up.Round(time.Second))
+		uptime := time.Since(m.startedAt())
+		if sent > maxQuarantineBurstBytes+maxQuarantineBytesPerSecond*uptime.Seconds() {
+			h.check.addViolation("control: %s sent %.0f bytes of quarantine records in %s", m.config.Name, sent, uptime.Round(time.Second))
 		}
 	}
 }
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -96,8 +96,8 @@
 
 // kindWeights are the relative frequencies with which the kinds are drawn.
 var kindWeights = []struct {
-	kind string
-	n    int
+	kind   string
+	weight int
 }{
 	{kindKill, 4}, {kindTerm, 4}, {kindPause, 2}, {kindReload, 2}, {kindPeerProxy, 5}, {kindUpstreamProxy, 2}, {kindStoreProxy, 3},
 	{kindStore, 4}, {kindUpstream, 5}, {kindCrash, 3}, {kindDrain, 3}, {kindConfig, 5}, {kindInvalidRecords, 1}, {kindPoison, 1},
@@ -149,11 +149,11 @@
 	for {
 		total := 0
 		for _, w := range kindWeights {
-			total += w.n
+			total += w.weight
 		}
 		n := rng.IntN(total)
 		for _, w := range kindWeights {
-			if n -= w.n; n >= 0 {
+			if n -= w.weight; n >= 0 {
 				continue
 			}
 			if plannedOnly && !plannedKinds[w.kind] {
@@ -199,24 +199,24 @@
 		if text == "" || text[0] == '#' {
 			continue
 		}
-		bad := &PlanError{Line: line, Text: text}
+		planErr := &PlanError{Line: line, Text: text}
 		if p.VMs == 0 {
-			var ms int64
-			if _, err := fmt.Sscanf(text, "soak %d %d %d", &p.Seed, &p.VMs, &ms); err != nil || p.VMs < 1 || ms < 1 {
-				return p, bad
+			var lengthMs int64
+			if _, err := fmt.Sscanf(text, "soak %d %d %d", &p.Seed, &p.VMs, &lengthMs); err != nil || p.VMs < 1 || lengthMs < 1 {
+				return p, planErr
 			}
-			p.Length = time.Duration(ms) * time.Millisecond
+			p.Length = time.Duration(lengthMs) * time.Millisecond
 			continue
 		}
 		var f Fault
-		var at, length int64
-		if _, err := fmt.Sscanf(text, "%d %s %d %s %d", &at, &f.Kind, &f.VM, &f.Mode, &length); err != nil {
-			return p, bad
+		var atMs, durationMs int64
+		if _, err := fmt.Sscanf(text, "%d %s %d %s %d", &atMs, &f.Kind, &f.VM, &f.Mode, &durationMs); err != nil {
+			return p, planErr
 		}
 		if !slices.Contains(faultModes[f.Kind], f.Mode) || f.VM < 0 || f.VM > p.VMs || f.VM == 0 && !vmOptionalKinds[f.Kind] {
-			return p, bad
+			return p, planErr
 		}
-		f.At, f.Duration = time.Duration(at)*time.Millisecond, time.Duration(length)*time.Millisecond
+		f.At, f.Duration = time.Duration(atMs)*time.Millisecond, time.Duration(durationMs)*time.Millisecond
 		p.Faults = append(p.Faults, f)
 	}
 	if p.VMs == 0 {
@@ -231,13 +231,13 @@
 // plan fails.
 func Shrink(p Plan, fails func(Plan) bool) Plan {
 	for size := (len(p.Faults) + 1) / 2; size >= 1; size /= 2 {
-		for from := 0; from < len(p.Faults); {
-			less := p
-			less.Faults = slices.Concat(p.Faults[:from], p.Faults[min(from+size, len(p.Faults)):])
-			if fails(less) {
-				p = less
+		for start := 0; start < len(p.Faults); {
+			candidate := p
+			candidate.Faults = slices.Concat(p.Faults[:start], p.Faults[min(start+size, len(p.Faults)):])
+			if fails(candidate) {
+				p = candidate
 			} else {
-				from += size
+				start += size
 			}
 		}
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -45,11 +45,11 @@
 	if p.tcp, err = net.Listen("tcp", address); err != nil {
 		return nil, err
 	}
-	udp, err := net.ResolveUDPAddr("udp4", address)
+	udpAddress, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, err
 	}
-	if p.udp, err = net.ListenUDP("udp4", udp); err != nil {
+	if p.udp, err = net.ListenUDP("udp4", udpAddress); err != nil {
 		return nil, err
 	}
 	go p.accept()
@@ -206,14 +206,14 @@
 func (p *proxy) relayDatagrams() {
 	buf := make([]byte, datagramBufferBytes)
 	for {
-		n, from, err := p.udp.ReadFromUDP(buf)
+		n, sender, err := p.udp.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
 		if mode := p.modeOf(nil); mode == "silent" || mode == "reset" {
 			continue
 		}
-		if out := p.udpConn(from); out != nil {
+		if out := p.udpConn(sender); out != nil {
 			_, _ = out.Write(buf[:n])
 		}
 	}
@@ -221,10 +221,10 @@
 
 // udpConn returns the socket to the target for a sender of datagrams, and opens it if needed. It
 // returns nil if the socket cannot be opened.
-func (p *proxy) udpConn(from *net.UDPAddr) net.Conn {
+func (p *proxy) udpConn(sender *net.UDPAddr) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := from.String()
+	key := sender.String()
 	if out := p.udpConns[key]; out != nil {
 		return out
 	}
@@ -233,13 +233,13 @@
 		return nil
 	}
 	p.udpConns[key] = out
-	go p.relayReplies(out, key, from)
+	go p.relayReplies(out, key, sender)
 	return out
 }
 
 // relayReplies forwards replies of the target to a sender of datagrams. After udpIdleTimeout
 // without a reply, or if the target is not listening, it closes the socket and returns.
-func (p *proxy) relayReplies(out net.Conn, key string, to *net.UDPAddr) {
+func (p *proxy) relayReplies(out net.Conn, key string, sender *net.UDPAddr) {
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -254,7 +254,7 @@
 			return
 		}
 		if mode := p.modeOf(nil); mode != "silent" && mode != "half" {
-			_, _ = p.udp.WriteToUDP(buf[:n], to)
+			_, _ = p.udp.WriteToUDP(buf[:n], sender)
 		}
 	}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -12,22 +12,22 @@
 // stays unusable after the target has been down.
 func TestProxyRelaysDatagramsAfterTargetRestart(t *testing.T) {
 	const address, target = "127.99.0.1:7760", "127.99.0.1:7660"
-	l, err := newProxy(address, target)
+	p, err := newProxy(address, target)
 	require.NoError(t, err)
-	t.Cleanup(l.close)
-	echo := func() *net.UDPConn {
-		to, err := net.ResolveUDPAddr("udp4", target)
+	t.Cleanup(p.close)
+	startEcho := func() *net.UDPConn {
+		targetAddress, err := net.ResolveUDPAddr("udp4", target)
 		require.NoError(t, err)
-		conn, err := net.ListenUDP("udp4", to)
+		conn, err := net.ListenUDP("udp4", targetAddress)
 		require.NoError(t, err)
 		go func() {
 			buf := make([]byte, datagramBufferBytes)
 			for {
-				n, from, err := conn.ReadFromUDP(buf)
+				n, peer, err := conn.ReadFromUDP(buf)
 				if err != nil {
 					return
 				}
-				_, _ = conn.WriteToUDP(buf[:n], from)
+				_, _ = conn.WriteToUDP(buf[:n], peer)
 			}
 		}()
 		return conn
@@ -42,13 +42,13 @@
 		n, err := sender.Read(make([]byte, datagramBufferBytes))
 		return err == nil && n == len("hello")
 	}
-	first := echo()
+	first := startEcho()
 	require.Eventually(t, answered, 10*time.Second, time.Millisecond)
 	require.NoError(t, first.Close())
 	for range 3 {
 		require.False(t, answered())
 	}
-	second := echo()
+	second := startEcho()
 	t.Cleanup(func() { _ = second.Close() })
 	require.Eventually(t, answered, 10*time.Second, time.Millisecond)
 }
@@ -56,11 +56,11 @@
 // TestParallelSoaksUseDifferentAddresses guards against address conflicts between two soaks
 // with the same seed that run at the same time.
 func TestParallelSoaksUseDifferentAddresses(t *testing.T) {
-	one, two := &harness{plan: Plan{Seed: 99}}, &harness{plan: Plan{Seed: 99}}
-	for _, h := range []*harness{one, two} {
+	first, second := &harness{plan: Plan{Seed: 99}}, &harness{plan: Plan{Seed: 99}}
+	for _, h := range []*harness{first, second} {
 		ln, err := h.listen()
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = ln.Close() })
 	}
-	require.NotEqual(t, one.ip(1), two.ip(1))
+	require.NotEqual(t, first.ip(1), second.ip(1))
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -216,8 +216,8 @@
 	return platformtest.Document(h.version, calledServices...)
 }
 
-// latestConfig returns the newest version of the configuration and when it was published.
-func (h *harness) latestConfig() (int, time.Time) {
+// latestPublication returns the newest version of the configuration and when it was published.
+func (h *harness) latestPublication() (int, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version, h.publishedAt
@@ -279,16 +279,16 @@
 	attempt := fmt.Sprintf("r%d", n)
 	h.check.recordSent(attempt, m.service(), unsafe)
 	undisturbedBefore := h.undisturbed()
-	incarnationBefore, stoppingBefore := m.incarnationState()
+	incarnationBefore, stoppingOrExitedBefore := m.processState()
 	sentAt := time.Now()
 	inRecoveryWindow := sentAt.Sub(h.startedAt) > h.plan.Length-recoveryWindow
 	r, err := m.caller.Send(context.Background(), path, attempt, unsafe, timeout)
-	incarnation, stopping := m.incarnationState()
+	incarnation, stoppingOrExited := m.processState()
 	if undisturbedBefore && h.undisturbed() && h.check.wasExecuted(attempt) {
 		switch {
-		case stopping && !m.ranUntilGraceEnd(sentAt) && abortedByDaemon(r, err):
+		case stoppingOrExited && !m.ranUntilGraceEnd(sentAt) && abortedByDaemon(r, err):
 			h.check.addViolation("lost: %s ran and was aborted by a planned stop: status %d, error %v", attempt, r.Status, err)
-		case err != nil && abortedByDaemon(r, err) && !stoppingBefore && !stopping && incarnation == incarnationBefore:
+		case err != nil && abortedByDaemon(r, err) && !stoppingOrExitedBefore && !stoppingOrExited && incarnation == incarnationBefore:
 			h.check.addViolation("unanswered: %s ran and its connection to %s was closed without a response: %v", attempt, m.config.Name, err)
 		}
 	}
@@ -336,13 +336,13 @@
 		if m.replacing.Load() {
 			continue
 		}
-		version, published := h.latestConfig()
-		overdue := time.Since(published) > maxConfigDelay && m.undisturbed()
-		incarnation, stopping := m.incarnationState()
+		version, publishedAt := h.latestPublication()
+		overdue := time.Since(publishedAt) > maxConfigDelay && m.undisturbed()
+		incarnation, stoppingOrExited := m.processState()
 		attempt := fmt.Sprintf("probe-%s-%d", m.config.Name, i)
 		h.check.recordSent(attempt, m.service(), false)
 		r, err := m.caller.Send(ctx, fmt.Sprintf("/v%d/x", version), attempt, false, requestDeadline)
-		if incarnationAfter, _ := m.incarnationState(); err != nil || stopping || incarnation != incarnationAfter {
+		if incarnationAfter, _ := m.processState(); err != nil || stoppingOrExited || incarnation != incarnationAfter {
 			continue
 		}
 		h.check.checkResponse(attempt, r)
@@ -350,7 +350,7 @@
 		case r.Status == http.StatusNotFound && incarnation == seenIncarnation && seenVersion >= version:
 			h.check.addViolation("back: %s no longer had version %d in force", m.config.Name, version)
 		case r.Status == http.StatusNotFound && overdue && m.undisturbed() && !h.opts.SafetyOnly:
-			h.check.addViolation("late: %s did not have version %d in force %s after its publication", m.config.Name, version, time.Since(published).Round(time.Millisecond))
+			h.check.addViolation("late: %s did not have version %d in force %s after its publication", m.config.Name, version, time.Since(publishedAt).Round(time.Millisecond))
 		case r.Status != http.StatusNotFound && r.Status != http.StatusServiceUnavailable:
 			seenVersion, seenIncarnation = version, incarnation
 		}
@@ -362,9 +362,9 @@
 	for _, m := range h.vms {
 		m.stopForGood(syscall.SIGTERM)
 	}
-	end := time.After(gracePeriod + time.Second)
+	timeout := time.After(gracePeriod + time.Second)
 	for _, m := range h.vms {
-		if incarnation, stopped := m.incarnationState(); stopped && incarnation == 0 {
+		if incarnation, stoppingOrExited := m.processState(); stoppingOrExited && incarnation == 0 {
 			continue
 		}
 		select {
@@ -372,7 +372,7 @@
 			if err != nil && h.undisturbed() {
 				h.check.addViolation("stop: %s exited with %v", m.config.Name, err)
 			}
-		case <-end:
+		case <-timeout:
 			h.check.addViolation("stop: %s was still running after its grace period", m.config.Name)
 			return
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -179,16 +179,16 @@
 // quarantine on a slow machine. With safetyOnly there are no time bounds, so the checker must bound
 // the number of crashes that one request causes.
 func TestCheckerBoundsCrashesWithSafetyOnly(t *testing.T) {
-	for runs, want := range map[int]int{maxCrashes: 0, maxCrashes + 1: 1, maxCrashes + 5: 1} {
+	for crashes, want := range map[int]int{maxCrashes: 0, maxCrashes + 1: 1, maxCrashes + 5: 1} {
 		c := newChecker()
 		c.safetyOnly = true
-		for range runs {
+		for range crashes {
 			c.recordSent("p", "a", false)
 			c.recordPoison("p", "key", func() bool { return true })
 			c.requests["p"].sentAt = time.Now().Add(time.Hour)
 			c.recordCrash(c.requests["p"])
 		}
-		require.Len(t, c.allViolations(), want, runs)
+		require.Len(t, c.allViolations(), want, crashes)
 		c.resetCrashCounts()
 		for range maxCrashes {
 			c.recordCrash(c.requests["p"])
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -63,19 +63,19 @@
 const (
 	portOutbound, portReady, portControl, portInternal, portUpstream = 8141, 8140, 8146, 7660, 8147
 	portMetrics                                                      = 9102
-	proxyPeers, proxyUpstream, proxyStore                            = 7760, 8247, 8342
+	portPeerProxy, portUpstreamProxy, portStoreProxy                 = 7760, 8247, 8342
 )
 
 // newVM creates a VM and starts its proxies, but not its daemon and its upstream. The VM with the
 // given number has the address ip. groups is the number of groups, see groupCount.
 func newVM(number, groups int, ip, dir, binary, store string, check *checker) (*vm, error) {
-	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
+	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zones = 3
 	group := number % groups
 	m := &vm{group: group, check: check, binary: binary, exitErr: make(chan error, 1), config: platformtest.VM{
 		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groups%zones), Service: serviceOf(group, number/groups%2),
-		Outbound: at(portOutbound), Ready: at(portReady), Control: at(portControl), Upstream: at(proxyUpstream), Store: at(proxyStore),
-		InternalPort: portInternal, Advertised: at(proxyPeers), Bootstrap: true,
+		Outbound: addressAt(portOutbound), Ready: addressAt(portReady), Control: addressAt(portControl), Upstream: addressAt(portUpstreamProxy), Store: addressAt(portStoreProxy),
+		InternalPort: portInternal, Advertised: addressAt(portPeerProxy), Bootstrap: true,
 		GraceS: gracePeriod.Seconds(), RetryBudgetRatio: retryBudgetRatio, RetryBudgetSlack: retryBudgetSlack, RetryBudgetWindowS: retryBudgetWindow.Seconds(),
 	}}
 	m.settingsPath = filepath.Join(dir, m.config.Name+".yaml")
@@ -87,16 +87,16 @@
 		field           **proxy
 		address, target string
 	}{
-		{&m.peerProxy, at(proxyPeers), at(portInternal)},
-		{&m.upstreamProxy, at(proxyUpstream), at(portUpstream)},
-		{&m.storeProxy, at(proxyStore), store},
+		{&m.peerProxy, addressAt(portPeerProxy), addressAt(portInternal)},
+		{&m.upstreamProxy, addressAt(portUpstreamProxy), addressAt(portUpstream)},
+		{&m.storeProxy, addressAt(portStoreProxy), store},
 	} {
 		if *x.field, err = newProxy(x.address, x.target); err != nil {
 			return nil, err
 		}
 	}
 	m.upstream = &platformtest.Upstream{
-		Service: m.config.Service, Zone: m.config.Zone, Address: at(portUpstream), Reported: at(proxyUpstream), Control: m.config.Control,
+		Service: m.config.Service, Zone: m.config.Zone, Address: addressAt(portUpstream), Reported: addressAt(portUpstreamProxy), Control: m.config.Control,
 		Slots: 6, ServiceTime: 20 * time.Millisecond, Observer: check,
 	}
 	m.caller = platformtest.Caller{Address: m.config.Outbound, Service: serviceOf(group, 0), Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
@@ -214,9 +214,9 @@
 	_ = m.process.Process.Signal(s)
 }
 
-// incarnationState returns the incarnation of the process, and whether the process has received
+// processState returns the incarnation of the process, and whether the process has received
 // a SIGTERM or is not running.
-func (m *vm) incarnationState() (incarnation int, stopping bool) {
+func (m *vm) processState() (incarnation int, stoppingOrExited bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.incarnation, m.stopping || m.process == nil
@@ -236,10 +236,10 @@
 // the given time and ends now. The request must have been sent at most maxArrivalAfterStop after
 // the SIGTERM. It must still run in the last part of the grace period, see graceTailDivisor. The
 // daemon could not have waited for the response to such a request.
-func (m *vm) ranUntilGraceEnd(sent time.Time) bool {
+func (m *vm) ranUntilGraceEnd(sentAt time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.stoppedAt.IsZero() && sent.Sub(m.stoppedAt) <= maxArrivalAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
+	return !m.stoppedAt.IsZero() && sentAt.Sub(m.stoppedAt) <= maxArrivalAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
 }
 
 // disturb records that an unplanned fault affects the VM for the duration d from now.
