--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// root is the root directory of the repository.
 	root       = ".."
 	modulePath = "github.com/dottereltiller/dottereltiller/"
 	corePath   = modulePath + "core/"
@@ -23,11 +24,14 @@
 
 // sourceFile is one Go file of the workspace.
 type sourceFile struct {
-	path    string
-	pkg     string
-	test    bool
+	path string
+	// pkg is the slash-separated path of the file's directory, relative to root.
+	pkg  string
+	test bool
+	// imports holds the import paths.
 	imports []string
-	lines   int
+	// lines is the number of lines.
+	lines int
 }
 
 // sourceFiles returns all Go files of the workspace except generated protocol code.
@@ -69,8 +73,9 @@
 	return out
 }
 
-// TestCoreImports checks that core imports only itself, xxhash and the standard library
-// without I/O and concurrency packages.
+// TestCoreImports checks that the packages of core import only each other, xxhash and the
+// standard library. They must not import the packages of the standard library for I/O and
+// concurrency.
 func TestCoreImports(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.test || !strings.HasPrefix(s.pkg, "core/") {
@@ -85,8 +90,8 @@
 	}
 }
 
-// forbiddenImports lists, by package, the packages that it must not import, so that the
-// components of the daemon do not depend on each other.
+// forbiddenImports holds, for each package, the packages that it must not import. These rules
+// keep the components of the daemon independent of each other.
 var forbiddenImports = map[string][]string{
 	"wire":          {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer"},
 	"hop":           {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer", "wire"},
@@ -137,7 +142,7 @@
 	return !strings.Contains(first, ".")
 }
 
-// platformNames are headers, fields and paths that the users' platform defines.
+// platformNames are names of headers, fields and paths that the users' platform defines.
 var platformNames = []string{
 	"X-Attempt-Id", "X-Deadline-Ms", "X-Caller-Service", "X-Expect-Instance", "X-Not-Executed", "X-Instance-Id",
 	"X-Server-Load", "X-Response-Seal", "/-/", "log-append", "log-newest", "log-read", "heartbeat-addr",
@@ -146,8 +151,8 @@
 }
 
 // TestPlatformNamesOnlyInPlatformPackage checks that names of the users' platform occur only
-// in package platform, which translates them, and that only the daemon's command imports
-// that package.
+// in package platform, which translates them. Only the daemon's
+// command may import package platform.
 func TestPlatformNamesOnlyInPlatformPackage(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.pkg == "platform" || s.pkg == "platform/platformtest" || s.pkg == "architecture" {
--- a/bubble/bubble.go
+++ b/bubble/bubble.go
@@ -1,12 +1,12 @@
 // Package bubble runs tests in virtual time.
 //
 // It uses testing/synctest with GOMAXPROCS set to 1, to work around a bug: the race
-// detector of Go 1.26 has one context for all timers of a bubble. A channel timer
-// that expires while no goroutine is blocked on it fires in the goroutine that
-// receives from it next. Two such goroutines that run in parallel corrupt the
-// context, and the race detector crashes the process. With one processor they
-// cannot run in parallel. Goroutines still interleave, and the detector still finds
-// races, because it uses the order of events and not the time.
+// detector of Go 1.26 has one context for all timers of a bubble. If a channel timer
+// expires while no goroutine is blocked on it, it fires in the goroutine that
+// receives from the timer next. Two such goroutines that run in parallel corrupt the
+// context, and the race detector crashes the process. With one processor goroutines
+// cannot run in parallel. They still interleave, and the detector still finds races,
+// because it uses the order of events and not the time.
 package bubble
 
 import (
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -29,15 +29,15 @@
 
 // Options configure a run.
 type Options struct {
-	// JSON prints the result as one object on the last line.
+	// JSON prints the result as one JSON object on the last line, after the table.
 	JSON bool
-	// Duration is the length of the load. Default: 3s.
+	// Duration is how long requests are sent. Default: 3s.
 	Duration time.Duration
 }
 
 const defaultDuration = 3 * time.Second
 
-// ViolationError reports the invariants that did not hold.
+// ViolationError reports the violations of invariants that a run has found.
 type ViolationError struct {
 	Violations []string
 }
@@ -48,8 +48,8 @@
 }
 
 // Run runs the demonstration and prints a table of results to w. It returns an error if
-// the deployment could not be started, the context ended, or an invariant did not hold
-// (a *ViolationError).
+// the deployment could not be started or the context ended. The error is a
+// *ViolationError if an invariant did not hold.
 func Run(ctx context.Context, w io.Writer, opts Options) error {
 	if opts.Duration <= 0 {
 		opts.Duration = defaultDuration
@@ -101,8 +101,9 @@
 	return res, nil
 }
 
-// measuringSlotTime returns the slot time of each upstream that the daemons have used to
-// measure its load.
+// measuringSlotTime returns, for each upstream, the slot time that the daemons have used
+// to measure its load. Slot time is the time during which requests occupy slots, summed
+// over the slots.
 func measuringSlotTime(c *local.Deployment) map[model.UpstreamID]time.Duration {
 	all := make(map[model.UpstreamID]time.Duration)
 	for _, n := range c.Nodes {
@@ -111,8 +112,9 @@
 	return all
 }
 
-// measuringShares returns the share of each service's slot time that load measurements
-// used in the elapsed time. before is the result of measuringSlotTime at its start.
+// measuringShares returns, for each service, the share of its slot time that load
+// measurements used during a run. before is the result of measuringSlotTime at the start
+// of the run, and elapsed is the time since then.
 func measuringShares(c *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
 	slotTime := make(map[model.ServiceName]time.Duration)
 	now := measuringSlotTime(c)
--- a/demo/observer.go
+++ b/demo/observer.go
@@ -31,8 +31,8 @@
 	o.outcomes[r.Name] = callerOutcome{kind: reply.Kind, idempotent: r.Method != http.MethodPost}
 }
 
-// violations compares the recorded outcomes with the executions of each request and
-// returns the violated invariants.
+// violations compares the recorded outcomes with the number of executions of each
+// request, by its name. It returns a sorted message for each violation of an invariant.
 func (o *observer) violations(runs map[string]int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/demo/plan.go
+++ b/demo/plan.go
@@ -9,9 +9,10 @@
 	"github.com/dottereltiller/dottereltiller/local"
 )
 
-// sources are the request streams of the groups. The searches need more slots than service
-// sporarkiv has: 2,000 requests a second of 20 ms need 40 slots, and it has 36. They must not
-// slow down the requests of the group named members to the same service.
+// sources are the request streams of the groups. The group named searches needs more slots
+// than service sporarkiv has: 2,000 requests a second of 20 ms need 40 slots, and the service
+// has 36. The searches must not slow down the requests of the group named members to the same
+// service.
 var sources = []load.Source{
 	{
 		Service: "returdesk", Group: "sorters", Caller: "sorting-bench", Token: "demo-sorters",
@@ -35,10 +36,10 @@
 	},
 }
 
-// maxInFlight bounds the requests in flight.
+// maxInFlight is the maximum number of requests in flight from all sources.
 const maxInFlight = 4096
 
-// loadPlan returns the plan of a load of duration d on a deployment.
+// loadPlan returns the plan of a load of duration d, with all daemons of a deployment as targets.
 func loadPlan(c *local.Deployment, d time.Duration) (load.Plan, error) {
 	p := load.Plan{Duration: policy.Duration(d), Seed: 1, MaxInFlight: maxInFlight, Sources: sources}
 	for _, n := range c.Nodes {
--- a/demo/result.go
+++ b/demo/result.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/local"
 )
 
-// GroupResult holds the results of one group.
+// GroupResult holds the results of one group of callers at one service.
 type GroupResult struct {
 	load.Stats
 	// MeasuringShare is the share of the service's slot time that load measurements
@@ -18,7 +18,7 @@
 	MeasuringShare float64 `json:"measuring_share"`
 }
 
-// Result is the outcome of a run.
+// Result holds the results of a run.
 type Result struct {
 	Groups []GroupResult `json:"groups"`
 	Total  load.Stats    `json:"total"`
@@ -28,6 +28,8 @@
 	VersionInForce model.Version `json:"version_in_force"`
 }
 
+// newResult returns the results of a load, with a violation for each wrong answer. measuring
+// is the result of measuringShares.
 func newResult(loadResult *load.Result, measuring map[model.ServiceName]float64) *Result {
 	r := &Result{Total: loadResult.Total, Violations: []string{}}
 	r.Total.Series = nil
@@ -44,8 +46,8 @@
 	return r
 }
 
-// checkVersions returns a violation for each daemon whose version in force differs from
-// that of the first daemon, and sets VersionInForce.
+// checkVersions sets VersionInForce to the configuration version in force at the first
+// daemon. It returns a violation for each daemon that has another version or none in force.
 func (r *Result) checkVersions(c *local.Deployment) []string {
 	var out []string
 	for i, n := range c.Nodes {
@@ -60,6 +62,7 @@
 	return out
 }
 
+// print writes the results as a table, and then whether the invariants hold.
 func (r *Result) print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, "service\tgroup\tanswered\tnot run\tunknown\tp50 ms\tp99 ms\tp99.9 ms\tslot time\tmeasuring\t")
--- a/edits/edits.go
+++ b/edits/edits.go
@@ -33,9 +33,9 @@
 	return fmt.Sprintf("%s: %q occurs %d times, want once", e.Edit.File, e.Edit.Old, e.Count)
 }
 
-// Apply returns the edited text of every file that the edits change, by its path from the
-// root. It does not write the files. Edits of the same file are applied in order. The error
-// is a *CountError if the old text of an edit does not occur exactly once.
+// Apply returns the edited text of every file that the edits change, by Edit.File. It does not
+// write the files. Edits of the same file are applied in order. The error is a *CountError if
+// the old text of an edit does not occur exactly once.
 func Apply(root string, edits []Edit) (map[string]string, error) {
 	out := make(map[string]string)
 	for _, e := range edits {
--- a/latency/histogram.go
+++ b/latency/histogram.go
@@ -7,15 +7,17 @@
 )
 
 const (
+	// minUs and maxUs are the shortest and the longest recorded duration in microseconds.
 	minUs             = 1
 	maxUs             = int64(2 * time.Hour / time.Microsecond)
 	significantDigits = 3
 )
 
-// Percentiles are durations in microseconds.
+// Percentiles holds percentiles and the maximum of durations, in microseconds.
 type Percentiles struct {
-	P50  int64 `json:"p50_us"`
-	P99  int64 `json:"p99_us"`
+	P50 int64 `json:"p50_us"`
+	P99 int64 `json:"p99_us"`
+	// P999 is the 99.9th percentile.
 	P999 int64 `json:"p999_us"`
 	Max  int64 `json:"max_us"`
 }
@@ -30,9 +32,9 @@
 	return &Histogram{hdr: hdrhistogram.New(minUs, maxUs, significantDigits)}
 }
 
-// Record adds a duration.
+// Record adds a duration. Durations outside the recorded range are recorded as its nearest limit.
 func (h *Histogram) Record(d time.Duration) {
-	// RecordValue fails only for values out of range.
+	// RecordValue fails only for values out of range, and this value is in range.
 	_ = h.hdr.RecordValue(min(max(d.Microseconds(), minUs), maxUs))
 }
 
@@ -42,8 +44,8 @@
 // Reset removes all recorded durations.
 func (h *Histogram) Reset() { h.hdr.Reset() }
 
-// Percentiles returns the percentiles of the recorded durations, all 0 if there
-// are none.
+// Percentiles returns the percentiles of the recorded durations. All are 0 if no
+// duration is recorded.
 func (h *Histogram) Percentiles() Percentiles {
 	return Percentiles{
 		P50:  h.hdr.ValueAtQuantile(50),
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -23,11 +23,15 @@
 )
 
 const (
+	// readyTimeout bounds the wait until all daemons are ready.
 	readyTimeout = 10 * time.Second
+	// pollInterval is the time between two checks whether all daemons are ready.
 	pollInterval = 20 * time.Millisecond
 
+	// defaultLogInterval is the default of Options.LogInterval.
 	defaultLogInterval = 50 * time.Millisecond
-	drainTime          = 100 * time.Millisecond
+	// drainTime is the setting process.drain_time of the daemons.
+	drainTime = 100 * time.Millisecond
 )
 
 // Service is one service of a deployment.
@@ -41,11 +45,12 @@
 
 // Options describe a deployment.
 type Options struct {
-	Zones     []model.AvailabilityZone
-	Services  []Service
+	Zones    []model.AvailabilityZone
+	Services []Service
+	// Documents are the configuration documents to publish at the start.
 	Documents []policy.Document
-	// LogInterval is the time between two reads of the log. Default: 50ms, so
-	// that a deployment is ready quickly.
+	// LogInterval is the time between two reads of the log by a daemon. The default
+	// is 50ms, so that a deployment is ready quickly.
 	LogInterval time.Duration
 	// Settings may change the settings of each daemon before the daemon starts.
 	// Nil changes no settings.
@@ -60,8 +65,10 @@
 	Upstream *standin.Upstream
 
 	settings settings.Settings
-	stop     context.CancelFunc
-	done     chan error
+	// stop stops the daemon gracefully.
+	stop context.CancelFunc
+	// done receives the error of daemon.Serve when the daemon has stopped.
+	done chan error
 }
 
 // Deployment is a running deployment. Stop ends it.
@@ -71,8 +78,10 @@
 	LogAddress string
 	Nodes      []*Node
 
-	opts    Options
-	ctx     context.Context
+	opts Options
+	// ctx ends when the deployment is stopped. Restarted daemons run until then.
+	ctx context.Context
+	// logHTTP serves Log.
 	logHTTP *http.Server
 	cancel  context.CancelFunc
 	stop    sync.Once
@@ -129,6 +138,7 @@
 	return d.awaitReady(ctx)
 }
 
+// startLog serves the log on a loopback port.
 func (d *Deployment) startLog() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -140,6 +150,8 @@
 	return nil
 }
 
+// startNode starts the upstream of a service with index i and its daemon, and announces
+// the upstream to the daemon.
 func (d *Deployment) startNode(ctx context.Context, s Service, i int) error {
 	up, err := standin.Start(fmt.Sprintf("%s-%d", s.Name, i+1), string(s.Name), s.Slots)
 	if err != nil {
@@ -166,10 +178,10 @@
 	return nil
 }
 
-// Restart stops the node's daemon gracefully and starts a new one on the same
-// addresses, to which the upstream announces itself. It waits until every daemon
-// knows all upstreams and none of them drains. The error includes that of the
-// stopped daemon.
+// Restart stops the node's daemon gracefully, starts a new daemon on the same
+// addresses, and announces the upstream to the new daemon. It waits until every
+// daemon knows all upstreams and no upstream drains. The returned error includes
+// the error of the stopped daemon.
 func (d *Deployment) Restart(ctx context.Context, n *Node) error {
 	listen := settings.Listen{
 		Callers: n.Daemon.CallerAddress(),
@@ -180,7 +192,7 @@
 	stopped := <-n.done
 	n.settings.Listen = listen
 	if err := n.startDaemon(d.ctx, d.opts.Logger); err != nil {
-		n.done <- err // Stop still waits for a value.
+		n.done <- err // Stop receives a value from n.done.
 		return errors.Join(stopped, err)
 	}
 	if err := n.Upstream.Announce(ctx, n.Daemon.AdminAddress(), 1, false); err != nil {
@@ -244,5 +256,5 @@
 	return true
 }
 
-// Logger returns the logger of the daemons.
+// Logger returns the logger that the daemons use.
 func (d *Deployment) Logger() *slog.Logger { return d.opts.Logger }
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Script determines how a FaultyUpstream treats requests.
+// Script determines how a FaultyUpstream responds to requests.
 type Script struct {
 	// Response holds the raw bytes of the response.
 	Response []byte
@@ -16,17 +16,18 @@
 	// If it is 0, nothing is sent. If it is negative or larger than the length of
 	// Response, all of Response is sent and the connection stays open.
 	CutAfter int
-	// Reset makes CutAfter close the connection with a TCP RST instead of a FIN.
+	// Reset closes the connection after CutAfter bytes with a TCP RST instead of a FIN.
 	Reset bool
-	// SkipBody sends the response without reading the request's body.
+	// SkipBody makes the upstream respond without reading the request's body.
 	SkipBody bool
-	// Hang sends no response and waits until the client closes the connection.
+	// Hang makes the upstream send no response and wait until the client closes the
+	// connection.
 	Hang bool
 }
 
 // FaultyUpstream is an upstream that reads each request and responds with the raw bytes
-// of its script, truncated where the script says. It does not use an HTTP server, so
-// that a response can be malformed in any way and break off at any byte.
+// of its script. The script may truncate the response. FaultyUpstream does not use an
+// HTTP server, so that a response can be malformed in any way and break off at any byte.
 type FaultyUpstream struct {
 	listener net.Listener
 
--- a/standin/run.go
+++ b/standin/run.go
@@ -7,9 +7,11 @@
 )
 
 const (
+	// announceInterval is the time between two announcements of an upstream.
 	announceInterval = time.Second
 	// drainTimeout bounds the wait for executing requests at the end of Run.
-	drainTimeout      = 30 * time.Second
+	drainTimeout = 30 * time.Second
+	// drainPollInterval is the time between two checks for executing requests.
 	drainPollInterval = 20 * time.Millisecond
 )
 
@@ -17,9 +19,10 @@
 var errRequestsRunning = errors.New("requests still running at the end of the drain timeout")
 
 // Run announces the upstream to the daemon at an admin address and repeats the
-// announcement regularly until the context ends. Then it announces that the
-// upstream drains, waits for executing requests, and closes the upstream. After a
-// failed announcement it calls failed and continues.
+// announcement every second until the context ends. After a failed announcement it
+// calls failed with the error and continues. When the context has ended, Run
+// announces that the upstream drains, waits for executing requests, and closes the
+// upstream. It returns the errors of these last steps.
 func (u *Upstream) Run(ctx context.Context, admin string, incarnation uint64, failed func(error)) error {
 	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
@@ -35,7 +38,8 @@
 	}
 }
 
-// drain announces that the upstream drains and waits for the executing requests.
+// drain announces that the upstream drains and waits for the executing requests. It
+// returns errRequestsRunning after drainTimeout.
 func (u *Upstream) drain(admin string, incarnation uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -15,14 +15,17 @@
 
 // Request headers that control an Upstream.
 const (
-	// HeaderServiceTime is the service time of the request, as a Go duration.
+	// HeaderServiceTime holds the service time of the request, as a Go duration. The
+	// service time is how long the upstream takes to execute the request.
 	HeaderServiceTime = "X-Cost"
-	// HeaderRequest is the name of the request. The response has the same header.
+	// HeaderRequest holds the name that the caller gives to the request. The upstream
+	// copies the header to the response and counts executions by this name.
 	HeaderRequest = "X-Request"
-	// HeaderExtraBytes is the number of zero bytes to append to the response body.
+	// HeaderExtraBytes holds the number of zero bytes to append to the response body.
 	HeaderExtraBytes = "X-Answer-Bytes"
 )
 
+// defaultServiceTime is the service time of a request without a valid HeaderServiceTime.
 const defaultServiceTime = time.Millisecond
 
 // LoadPath is the path at which an Upstream reports its load.
@@ -30,12 +33,14 @@
 
 // Upstream is a stand-in upstream that listens on a loopback address.
 type Upstream struct {
-	ID      string
+	// ID is the id under which the upstream announces itself.
+	ID string
+	// Service is the name of the service to which the upstream belongs.
 	Service string
 	// Slots is the number of requests that may execute at once.
 	Slots int
 
-	// slots holds an element for each executing request.
+	// slots holds an element for each executing request. Its capacity is Slots.
 	slots    chan struct{}
 	listener net.Listener
 	server   *http.Server
@@ -45,7 +50,7 @@
 	runs map[string]int
 }
 
-// Start starts an upstream on a loopback port.
+// Start starts an upstream on a loopback port. It does not announce the upstream.
 func Start(id, service string, slots int) (*Upstream, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,7 +73,7 @@
 // Close closes the listener and all connections.
 func (u *Upstream) Close() error { return u.server.Close() }
 
-// Runs returns the number of executions of each request by its name.
+// Runs returns the number of executions of each request, by the name in HeaderRequest.
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -111,8 +116,8 @@
 	}
 }
 
-// maxCountedRequests bounds the number of names whose executions are counted. Further
-// names are ignored.
+// maxCountedRequests is the number of request names whose executions are counted.
+// Executions under further names are not counted.
 const maxCountedRequests = 1 << 20
 
 func (u *Upstream) countRun(name string) {
@@ -140,7 +145,8 @@
 }
 
 // Announce registers the upstream with the daemon at an admin address, or renews its
-// registration.
+// registration. With draining it tells the daemon to send no new requests to the
+// upstream. Any response but status 204 is an error.
 func (u *Upstream) Announce(ctx context.Context, admin string, incarnation uint64, draining bool) error {
 	body, err := json.Marshal(map[string]any{
 		"service": u.Service, "address": u.Address(), "slots": u.Slots,
