--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -12,8 +12,8 @@
 type mechanism struct {
 	name  string
 	edits []edits.Edit
-	// coveringTest names the test that fails without the mechanism. It is empty for a
-	// mechanism that no guarantee depends on.
+	// coveringTest names the package and the test that fails without the mechanism. It is
+	// empty if no guarantee depends on the mechanism.
 	coveringTest string
 }
 
@@ -26,7 +26,7 @@
 	return m
 }
 
-// The source files that contain the mechanisms.
+// The paths of the source files that contain the mechanisms.
 const (
 	placer     = "core/placement/placer.go"
 	load       = "core/placement/load.go"
@@ -38,9 +38,11 @@
 	retries    = "sidecar/retries.go"
 )
 
-// Edits that remove the load queries to the local zone, or to the remote zones.
 var (
-	noLocalQueries  = edits.New(choose, "f.queryLoads(req, true, placement.MaxLocalQueries, localZoneTimeout)", "_ = localZoneTimeout")
+	// noLocalQueries removes the load queries to the local zone. A load query asks a daemon for
+	// the load of its upstream before a request is sent.
+	noLocalQueries = edits.New(choose, "f.queryLoads(req, true, placement.MaxLocalQueries, localZoneTimeout)", "_ = localZoneTimeout")
+	// noRemoteQueries removes the load queries to the other zones.
 	noRemoteQueries = edits.New(choose, "		f.queryLoads(req, false, placement.MaxRemoteQueries, remoteZoneTimeout)\n", "		_ = remoteZoneTimeout\n")
 )
 
@@ -71,6 +73,7 @@
 	disabledBy("relays", edits.New("sidecar/peers.go", "relaysPerZone = 2", "relaysPerZone = 1 << 20")),
 }
 
+// root is the root directory of the repository.
 const root = ".."
 
 // TestEditsApply guards against edits that no longer apply to the source.
--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -19,12 +19,13 @@
 type trialResult struct {
 	// Mechanism is the disabled mechanism, empty for the baseline.
 	Mechanism string `json:"mechanism"`
-	Site      string `json:"site"`
-	Day       string `json:"day"`
-	Seed      string `json:"seed"`
+	// Site is the name of the site file without its extension.
+	Site string `json:"site"`
+	Day  string `json:"day"`
+	Seed string `json:"seed"`
 	// Score is the credit of the day minus the costs, as the benchmark program computes it.
 	Score float64 `json:"worth"`
-	// Violations are the rules that were violated in the trial.
+	// Violations are the names of the rules that were violated in the trial.
 	Violations []string `json:"broken,omitempty"`
 }
 
@@ -41,6 +42,8 @@
 	byKey map[trialKey]trialResult
 }
 
+// openResults reads the results of earlier runs from a file. If the file does not exist, there are
+// none.
 func openResults(path string) (*results, error) {
 	r := &results{path: path, byKey: make(map[trialKey]trialResult)}
 	f, err := os.Open(path)
@@ -69,6 +72,7 @@
 	return ok
 }
 
+// add adds a result and appends it to the file.
 func (r *results) add(result trialResult) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,20 +90,21 @@
 	return err
 }
 
-// summary describes the effect of disabling a mechanism on a site: the mean score difference
-// between paired trials, with its standard error. A pair is a trial without the mechanism and
-// the baseline of the same day and seed.
+// summary describes how the score on a site changes without a mechanism. It compares pairs of
+// trials: a trial without the mechanism, and the baseline of the same day and seed.
 type summary struct {
-	mechanism, site     string
-	pairs               int
+	mechanism, site string
+	// pairs is the number of pairs.
+	pairs int
+	// mean is the mean score difference of the pairs, and standardError its standard error.
 	mean, standardError float64
 	// newViolations are the rules that were violated without the mechanism but not in the
 	// baseline of the same pair.
 	newViolations []string
 }
 
-// summaries compares the trials of each mechanism with their baselines. It leaves out trials
-// whose baseline is missing.
+// summaries returns a summary for each mechanism and site, in the order of their names. It leaves
+// out trials whose baseline is missing.
 func (r *results) summaries() []summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,8 +135,8 @@
 	return out
 }
 
-// meanAndStandardError returns the mean of values and its standard error, which is 0 for a
-// single value.
+// meanAndStandardError returns the mean of values and the standard error of the mean. The standard
+// error of a single value is 0.
 func meanAndStandardError(d []float64) (mean, standardError float64) {
 	for _, x := range d {
 		mean += x / float64(len(d))
@@ -146,6 +151,7 @@
 	return mean, math.Sqrt(sum / float64(len(d)-1) / float64(len(d)))
 }
 
+// String returns the summary as a row of a Markdown table.
 func (s *summary) String() string {
 	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", s.mechanism, s.site, s.pairs, s.mean, s.standardError, strings.Join(s.newViolations, " "))
 }
@@ -159,8 +165,8 @@
 }
 
 // TestResultsResumeAfterTruncatedLine guards against an interrupted run that cannot be resumed
-// because the last line of its file is truncated, and against differences between trials that
-// are not a pair.
+// because the last line of its file is truncated. It also guards against summaries that compare
+// trials of different days, seeds or sites.
 func TestResultsResumeAfterTruncatedLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out.jsonl")
 	r, err := openResults(path)
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -24,7 +24,8 @@
 // baseline is the mechanism name of trials with the unchanged source.
 const baseline = ""
 
-// envList returns the comma-separated values of an environment variable, or of a default.
+// envList returns the comma-separated values of an environment variable. If the variable is not
+// set or empty, it returns the comma-separated values of fallback.
 func envList(name, fallback string) []string {
 	text := os.Getenv(name)
 	if text == "" {
@@ -60,7 +61,8 @@
 	Violations map[string]any `json:"breaks"`
 }
 
-// runTrial replays a day with the source in a scratch copy.
+// runTrial runs the benchmark program bench, which replays the day of a trial with the source in the
+// scratch copy dir. site is the path of the site file.
 func runTrial(ctx context.Context, bench, dir, site string, k trialKey) (trialResult, error) {
 	file := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
 	why := "ablation: the code as it is"
@@ -86,8 +88,8 @@
 	return result, nil
 }
 
-// journalFiles returns the paths of the files in the journal of a copy, relative to the
-// journal.
+// journalFiles returns the paths of the files in the journal directory of a scratch copy, relative
+// to the journal directory.
 func journalFiles(dir string) ([]string, error) {
 	root := filepath.Join(dir, "journal")
 	var out []string
@@ -102,9 +104,9 @@
 	return out, err
 }
 
-// copyNewJournalFiles copies the files that trials added to the journal of a scratch copy
-// (entries and the sources that they name) to a directory. It overwrites earlier copies,
-// because an entry may have been copied while its trial was still running.
+// copyNewJournalFiles copies the files that trials have added to the journal of a scratch copy to
+// a directory. These files are journal entries and the sources that the entries name. Earlier
+// copies are overwritten, because an entry may have been copied while its trial was running.
 func copyNewJournalFiles(c scratchCopy, to string) error {
 	names, err := journalFiles(c.dir)
 	if err != nil {
@@ -132,8 +134,8 @@
 // dayNamePattern matches the name of a day in a site file.
 var dayNamePattern = regexp.MustCompile(`(?m)^\[\[day\]\]\nname = "([^"]+)"`)
 
-// dayNames returns the days of a site file to replay: those in ABLATION_DAYS, or else all whose
-// names do not begin with quiet.
+// dayNames returns the names of the days of a site file to replay: the days in ABLATION_DAYS. If
+// ABLATION_DAYS is empty, it returns all days whose names do not begin with quiet.
 func dayNames(site string) ([]string, error) {
 	if selectedDays := envList("ABLATION_DAYS", ""); len(selectedDays) > 0 {
 		return selectedDays, nil
@@ -151,8 +153,9 @@
 	return out, nil
 }
 
-// planTrials returns the trials to run, and the site files by site. The trials of one day and
-// seed follow each other, so that each runs at about the same time as its baseline.
+// planTrials returns the trials to run, and the path of each site file by the name of the site. The
+// trials of one day and seed follow each other, so that each trial runs at about the same time as
+// its baseline.
 func planTrials(sites []string) ([]trialKey, map[string]string, error) {
 	files := make(map[string]string)
 	names := []string{baseline}
@@ -181,8 +184,9 @@
 	return out, files, nil
 }
 
-// scratchCopy is a clone of the repository.
+// scratchCopy is a clone of the repository, with the edits of one mechanism.
 type scratchCopy struct {
+	// dir is the root directory of the clone.
 	dir string
 	// initialJournal holds the files of the copy's journal before any trial.
 	initialJournal []string
@@ -190,12 +194,13 @@
 
 // scratchCopies creates scratch copies, one for each mechanism.
 type scratchCopies struct {
-	mu          sync.Mutex
+	mu sync.Mutex
+	// dir is the directory in which the scratch copies are created.
 	dir         string
 	byMechanism map[string]scratchCopy
 }
 
-// forMechanism returns the scratch copy with a mechanism disabled.
+// forMechanism returns the scratch copy in which a mechanism is disabled, and creates it if needed.
 func (c *scratchCopies) forMechanism(ctx context.Context, name string) (scratchCopy, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -27,13 +27,17 @@
 )
 
 const (
-	callerPort            = 7000
-	peerPort              = 7001
-	adminPort             = 7002
-	slots                 = 6
-	conditionTimeout      = 30 * time.Second
+	callerPort = 7000
+	peerPort   = 7001
+	adminPort  = 7002
+	// slots is the number of slots of every upstream.
+	slots = 6
+	// conditionTimeout is how long await waits for a condition.
+	conditionTimeout = 30 * time.Second
+	// conditionPollInterval is the time between two checks of a condition.
 	conditionPollInterval = 20 * time.Millisecond
-	announceInterval      = 300 * time.Millisecond
+	// announceInterval is the time between two announcements of an upstream.
+	announceInterval = 300 * time.Millisecond
 )
 
 var zones = []string{"odense-hal-a", "odense-hal-b", "svendborg-lager"}
@@ -66,8 +70,8 @@
 	announcers           sync.WaitGroup
 }
 
-// startCluster starts a daemon and an upstream for each instance of a service. services
-// holds the number of upstreams by service.
+// startCluster starts a cluster with one VM for each upstream. services holds the number
+// of upstreams by service.
 func startCluster(t testing.TB, services map[string]int) *cluster {
 	t.Helper()
 	if testing.Short() {
@@ -101,6 +105,7 @@
 	return c
 }
 
+// close ends the announcements and kills all daemons.
 func (c *cluster) close() {
 	c.stopAnnouncing()
 	c.announcers.Wait()
@@ -109,7 +114,7 @@
 	}
 }
 
-// startLog serves the log over HTTP.
+// startLog serves the log over HTTP and counts the requests.
 func (c *cluster) startLog() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
@@ -157,8 +162,8 @@
 	return path
 }
 
-// start starts the daemon process. Its log goes to a file, which is printed if a
-// condition of await does not become true.
+// start starts the daemon process. The log of the daemon goes to a file. await prints the
+// file if its condition does not become true.
 func (v *vm) start() {
 	v.t.Helper()
 	stderr, err := os.CreateTemp(v.t.TempDir(), "stderr")
@@ -212,8 +217,8 @@
 	}
 }
 
-// status returns the status page of the daemon, and false if the daemon does not
-// respond.
+// status returns the status that the daemon reports on its status page, and false if the
+// daemon does not respond.
 func (v *vm) status() (daemon.Status, bool) {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + v.adminAddress() + "/status")
@@ -233,8 +238,8 @@
 	return uint64(s.Version), ok
 }
 
-// usableUpstreams returns the number of upstreams that the daemon knows and that do
-// not drain.
+// usableUpstreams returns the number of upstreams that the daemon knows, without the
+// upstreams that drain.
 func (v *vm) usableUpstreams() int {
 	s, _ := v.status()
 	n := 0
@@ -257,7 +262,7 @@
 	return uint64(res.Version)
 }
 
-// awaitVersion waits until a configuration version, or a newer one, is in force at every
+// awaitVersion waits until a configuration version or a newer version is in force at every
 // daemon.
 func (c *cluster) awaitVersion(version uint64) {
 	c.t.Helper()
@@ -269,7 +274,8 @@
 	}
 }
 
-// await waits until a condition holds. The timeout only ends a test that would hang.
+// await waits until a condition holds. It fails the test after conditionTimeout, which is
+// long enough that only a test that would hang reaches it.
 func (c *cluster) await(what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -29,8 +29,8 @@
 	valid bool
 	// connectionFailed is set if an established connection to the daemon failed.
 	connectionFailed bool
-	// notConnected is set if no connection to the daemon could be established, so that
-	// nothing was sent.
+	// notConnected is set if no connection to the daemon could be established. The request
+	// was then not sent.
 	notConnected bool
 	// err is the error of the HTTP client if there was no response.
 	err error
@@ -40,7 +40,7 @@
 type requestRecord struct {
 	name       string
 	idempotent bool
-	// key is the idempotency key, empty for none.
+	// key is the idempotency key. It is empty if the request has none.
 	key     string
 	results []attemptResult
 }
@@ -62,7 +62,8 @@
 type history struct {
 	mu      sync.Mutex
 	records []*requestRecord
-	serial  int
+	// serial is the last number that nextSerial returned.
+	serial int
 }
 
 func (h *history) add(r *requestRecord) {
@@ -71,6 +72,7 @@
 	h.records = append(h.records, r)
 }
 
+// nextSerial returns an unused number for the name of a request.
 func (h *history) nextSerial() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +80,7 @@
 	return h.serial
 }
 
-// count returns the number of records that match.
+// count returns the number of records for which match returns true.
 func (h *history) count(match func(*requestRecord) bool) int {
 	n := 0
 	for _, r := range h.records {
@@ -90,15 +92,19 @@
 }
 
 const (
-	workers     = 16
+	// workers is the number of goroutines that send requests at the same time.
+	workers = 16
+	// maxAttempts is the number of attempts that a caller makes to send a request.
 	maxAttempts = 3
+	// callTimeout is how long a caller waits for the response to an attempt.
 	callTimeout = 4 * time.Second
 )
 
 // requestKinds are the kinds of requests from which sendRequests draws at random.
 var requestKinds = []struct {
 	service, method, path string
-	keyed                 bool
+	// keyed is set if the requests have an idempotency key.
+	keyed bool
 }{
 	{"returdesk", http.MethodGet, "/parcels/1", false},
 	{"sporarkiv", http.MethodGet, "/returns/1", false},
@@ -106,8 +112,8 @@
 	{"returdesk", http.MethodPost, "/release/2", true},
 }
 
-// sendRequests sends n requests to the daemons of the VMs that target returns and adds
-// their records to a history.
+// sendRequests sends n requests and adds their records to a history. target chooses the VM
+// to whose daemon the first attempt of a request is sent.
 func (c *cluster) sendRequests(h *history, n int, target func(*rand.Rand) *vm) {
 	var wg sync.WaitGroup
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workers}}
@@ -125,8 +131,8 @@
 
 func (c *cluster) anyVM(rng *rand.Rand) *vm { return c.vms[rng.IntN(len(c.vms))] }
 
-// sendWithRetries sends one request. If an attempt fails and a retry is safe, it tries
-// another daemon, with up to maxAttempts attempts.
+// sendWithRetries sends one request and returns its record. If an attempt fails and a retry
+// is safe, it sends the request to another daemon. It makes up to maxAttempts attempts.
 func (c *cluster) sendWithRetries(h *history, client *http.Client, rng *rand.Rand, target func(*rand.Rand) *vm) *requestRecord {
 	m := requestKinds[rng.IntN(len(requestKinds))]
 	r := &requestRecord{name: fmt.Sprintf("r%d", h.nextSerial()), idempotent: m.method == http.MethodGet}
@@ -183,8 +189,9 @@
 	return a
 }
 
-// resultOfError returns the result of an attempt without a response. It distinguishes
-// a connection that could not be established from one that failed later.
+// resultOfError returns the result of an attempt without a response, from the error of the
+// HTTP client. It distinguishes a connection that could not be established from a
+// connection that failed later.
 func resultOfError(err error) attemptResult {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -227,8 +234,8 @@
 	}
 }
 
-// failureReasons counts the requests without the outcome answered, by the result of the
-// last attempt.
+// failureReasons counts the requests whose last attempt did not have the outcome answered.
+// The keys describe the result of the last attempt.
 func (h *history) failureReasons() map[string]int {
 	reasons := make(map[string]int)
 	for _, r := range h.records {
@@ -243,7 +250,7 @@
 // must have the outcome answered, with one exception: a non-idempotent request without
 // an idempotency key on a keep-alive connection that the daemon closed at the same
 // moment. HTTP/1.1 does not tell the caller whether such a request ran, so the caller
-// may not retry. The request must not have run, or else the drain aborted it in flight.
+// may not retry. The request must not have run: if it ran, the drain has aborted it.
 func (c *cluster) checkDrainLosesNothing(records []*requestRecord) {
 	c.t.Helper()
 	runs := c.executions()
--- a/proctest/idle_test.go
+++ b/proctest/idle_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// maxIdleBytes bounds the resident memory of an idle daemon. It is the target for a
-// deployment of full size.
+// maxIdleBytes bounds the resident memory of an idle daemon. The bound is the target for a
+// daemon in a deployment of full size.
 const maxIdleBytes = 32 << 20
 
-// clockTicks is the number of clock ticks a second in which /proc reports processor
-// time. Linux fixes it at 100 for user space.
+// clockTicks is the number of clock ticks a second. /proc reports processor time in clock
+// ticks. Linux fixes their number at 100 for user space.
 const clockTicks = 100
 
 // residentBytes returns the resident memory of the daemon's process.
@@ -44,6 +44,7 @@
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", v.cmd.Process.Pid))
 	require.NoError(v.t, err)
 	f := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
+	// The indexes of the user time and the system time after the name of the command.
 	const user, system = 11, 12
 	ticks := 0
 	for _, i := range []int{user, system} {
@@ -54,7 +55,7 @@
 	return time.Duration(ticks) * time.Second / clockTicks
 }
 
-// sumCounter returns the sum of a counter over all label values.
+// sumCounter returns the sum of a counter of the daemon's metrics over all label values.
 func (v *vm) sumCounter(name string) float64 {
 	v.t.Helper()
 	resp, err := http.Get("http://" + v.adminAddress() + "/metrics")
@@ -97,8 +98,8 @@
 	}
 }
 
-// reportIdleCost reports the usage of processor, memory, peer traffic and log requests
-// over a period.
+// reportIdleCost measures for a period and reports the processor time and the peer traffic of
+// a daemon, the requests to the log, and the largest resident memory of a daemon.
 func (c *cluster) reportIdleCost(b *testing.B, period time.Duration) {
 	cpu, bytes := c.totalUsage()
 	reads, appends := c.logReads.Load(), c.logAppends.Load()
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// documents returns a configuration with the same deadline for all services.
+// documents returns the documents of a configuration with the same deadline for all services.
 func documents(deadline string) []policy.Document {
 	service := json.RawMessage(`{"deadline":"` + deadline + `"}`)
 	return []policy.Document{
@@ -23,15 +23,16 @@
 	}
 }
 
-// The numbers of requests during one fault. There are fewer while a daemon is paused,
-// because callers of the paused daemon wait until their timeout.
 const (
+	// phaseRequests is the number of requests that are sent during one fault.
 	phaseRequests = 480
+	// pauseRequests is the number of requests that are sent while a daemon is paused. It is
+	// smaller because callers of the paused daemon wait until their timeout.
 	pauseRequests = 160
 )
 
 // TestInvariantsUnderProcessFaults kills, pauses and drains daemons and makes the log
-// unavailable while callers send requests, and checks the invariants from the history.
+// unavailable while callers send requests. Then it checks the invariants with the history.
 func TestInvariantsUnderProcessFaults(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 6, "sporarkiv": 6})
 	first := c.publish(documents("3s"))
@@ -92,7 +93,8 @@
 	c.checkInvariants(t, h)
 }
 
-// withFault calls fault while callers send n requests, and waits for the requests.
+// withFault calls fault while callers send n requests, waits for the requests, and logs how
+// many requests of the history were answered.
 func (c *cluster) withFault(h *history, n int, fault func()) {
 	done := make(chan struct{})
 	go func() {
@@ -107,8 +109,8 @@
 func isAnswered(r *requestRecord) bool { return r.last().kind == outcome.Answered }
 
 // awaitServing waits until every daemon knows all upstreams and serves requests for
-// both services. A daemon that knows only one upstream would correctly have none left
-// when that upstream drains.
+// both services. A daemon that knows only one upstream would correctly refuse requests
+// when that upstream drains, and the test would fail.
 func (c *cluster) awaitServing(h *history) {
 	c.t.Helper()
 	for _, v := range c.vms {
