--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -137,18 +137,18 @@
 
 // meanAndStandardError returns the mean of values and the standard error of the mean. The standard
 // error of a single value is 0.
-func meanAndStandardError(d []float64) (mean, standardError float64) {
-	for _, x := range d {
-		mean += x / float64(len(d))
+func meanAndStandardError(values []float64) (mean, standardError float64) {
+	for _, x := range values {
+		mean += x / float64(len(values))
 	}
-	if len(d) < 2 {
+	if len(values) < 2 {
 		return mean, 0
 	}
 	var sum float64
-	for _, x := range d {
+	for _, x := range values {
 		sum += (x - mean) * (x - mean)
 	}
-	return mean, math.Sqrt(sum / float64(len(d)-1) / float64(len(d)))
+	return mean, math.Sqrt(sum / float64(len(values)-1) / float64(len(values)))
 }
 
 // String returns the summary as a row of a Markdown table.
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -91,13 +91,13 @@
 // journalFiles returns the paths of the files in the journal directory of a scratch copy, relative
 // to the journal directory.
 func journalFiles(dir string) ([]string, error) {
-	root := filepath.Join(dir, "journal")
+	journalDir := filepath.Join(dir, "journal")
 	var out []string
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(journalDir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
 		}
-		name, err := filepath.Rel(root, path)
+		name, err := filepath.Rel(journalDir, path)
 		out = append(out, name)
 		return err
 	})
@@ -107,7 +107,7 @@
 // copyNewJournalFiles copies the files that trials have added to the journal of a scratch copy to
 // a directory. These files are journal entries and the sources that the entries name. Earlier
 // copies are overwritten, because an entry may have been copied while its trial was running.
-func copyNewJournalFiles(c scratchCopy, to string) error {
+func copyNewJournalFiles(c scratchCopy, targetDir string) error {
 	names, err := journalFiles(c.dir)
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		target := filepath.Join(to, name)
+		target := filepath.Join(targetDir, name)
 		if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
 			return err
 		}
@@ -159,9 +159,9 @@
 func planTrials(sites []string) ([]trialKey, map[string]string, error) {
 	files := make(map[string]string)
 	names := []string{baseline}
-	only := envList("ABLATION_ONLY", "")
+	selectedMechanisms := envList("ABLATION_ONLY", "")
 	for _, m := range mechanisms {
-		if len(only) == 0 || slices.Contains(only, m.name) {
+		if len(selectedMechanisms) == 0 || slices.Contains(selectedMechanisms, m.name) {
 			names = append(names, m.name)
 		}
 	}
@@ -290,8 +290,8 @@
 // TestNewJournalFilesAreCopied guards against lost journal entries of trials, and against copies
 // of entries that were in the journal before.
 func TestNewJournalFilesAreCopied(t *testing.T) {
-	dir, targetDir := t.TempDir(), t.TempDir()
-	to := filepath.Join(targetDir, "journal")
+	dir, parentDir := t.TempDir(), t.TempDir()
+	targetDir := filepath.Join(parentDir, "journal")
 	write := func(name, text string) {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "journal", name), []byte(text), 0o600))
 	}
@@ -302,16 +302,16 @@
 	require.NoError(t, err)
 	c := scratchCopy{dir: dir, initialJournal: initial}
 	write("new.json", "begun")
-	require.NoError(t, copyNewJournalFiles(c, to))
+	require.NoError(t, copyNewJournalFiles(c, targetDir))
 	write("new.json", "ended")
 	write("blobs/new.txt", "new")
-	require.NoError(t, copyNewJournalFiles(c, to))
+	require.NoError(t, copyNewJournalFiles(c, targetDir))
 
-	names, err := journalFiles(targetDir)
+	names, err := journalFiles(parentDir)
 	require.NoError(t, err)
 	copied := make(map[string]string)
 	for _, name := range names {
-		text, err := os.ReadFile(filepath.Join(to, name))
+		text, err := os.ReadFile(filepath.Join(targetDir, name))
 		require.NoError(t, err)
 		copied[filepath.ToSlash(name)] = string(text)
 	}
--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -26,8 +26,8 @@
 type sourceFile struct {
 	path string
 	// pkg is the slash-separated path of the file's directory, relative to root.
-	pkg  string
-	test bool
+	pkg    string
+	isTest bool
 	// imports holds the import paths.
 	imports []string
 	// lines is the number of lines.
@@ -56,10 +56,10 @@
 		if err != nil {
 			return err
 		}
-		s := sourceFile{path: path, test: strings.HasSuffix(path, "_test.go"), lines: bytes.Count(data, []byte("\n"))}
+		s := sourceFile{path: path, isTest: strings.HasSuffix(path, "_test.go"), lines: bytes.Count(data, []byte("\n"))}
 		s.pkg = strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), root+"/")
-		for _, i := range f.Imports {
-			p, err := strconv.Unquote(i.Path.Value)
+		for _, spec := range f.Imports {
+			p, err := strconv.Unquote(spec.Path.Value)
 			if err != nil {
 				return err
 			}
@@ -78,14 +78,14 @@
 // concurrency.
 func TestCoreImports(t *testing.T) {
 	for _, s := range sourceFiles(t) {
-		if s.test || !strings.HasPrefix(s.pkg, "core/") {
+		if s.isTest || !strings.HasPrefix(s.pkg, "core/") {
 			continue
 		}
-		for _, i := range s.imports {
-			allowed := isStandard(i) || strings.HasPrefix(i, corePath) || i == "github.com/cespare/xxhash/v2"
-			require.True(t, allowed, "%s imports %s", s.path, i)
-			banned := i == "net" || i == "net/http" || i == "os" || i == "sync" || i == "context"
-			require.False(t, banned, "%s imports %s: core must not do I/O or start goroutines", s.path, i)
+		for _, imported := range s.imports {
+			allowed := isStandard(imported) || strings.HasPrefix(imported, corePath) || imported == "github.com/cespare/xxhash/v2"
+			require.True(t, allowed, "%s imports %s", s.path, imported)
+			banned := imported == "net" || imported == "net/http" || imported == "os" || imported == "sync" || imported == "context"
+			require.False(t, banned, "%s imports %s: core must not do I/O or start goroutines", s.path, imported)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 // all components and connects them through interfaces.
 func TestComponentsDoNotImportEachOther(t *testing.T) {
 	for _, s := range sourceFiles(t) {
-		if s.test {
+		if s.isTest {
 			continue
 		}
 		for _, pkg := range forbiddenImports[s.pkg] {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -79,34 +79,34 @@
 	if err := json.Unmarshal(documents, &docs); err != nil {
 		return nil, err
 	}
-	c, err := local.Start(ctx, local.Options{Zones: zones, Services: services, Documents: docs})
+	deployment, err := local.Start(ctx, local.Options{Zones: zones, Services: services, Documents: docs})
 	if err != nil {
 		return nil, err
 	}
-	defer c.Stop()
-	plan, err := loadPlan(c, d)
+	defer deployment.Stop()
+	plan, err := loadPlan(deployment, d)
 	if err != nil {
 		return nil, err
 	}
-	callers := newObserver()
-	before, startedAt := measuringSlotTime(c), time.Now()
-	loadResult, err := load.Run(ctx, plan, load.Options{Observe: callers.observe})
+	obs := newObserver()
+	before, startedAt := measuringSlotTime(deployment), time.Now()
+	loadResult, err := load.Run(ctx, plan, load.Options{Observe: obs.observe})
 	if err != nil {
 		return nil, err
 	}
-	res := newResult(loadResult, measuringShares(c, before, time.Since(startedAt)))
-	res.Violations = append(res.Violations, res.checkVersions(c)...)
-	c.Stop()
-	res.Violations = append(res.Violations, callers.violations(executions(c))...)
+	res := newResult(loadResult, measuringShares(deployment, before, time.Since(startedAt)))
+	res.Violations = append(res.Violations, res.checkVersions(deployment)...)
+	deployment.Stop()
+	res.Violations = append(res.Violations, obs.violations(executions(deployment))...)
 	return res, nil
 }
 
 // measuringSlotTime returns, for each upstream, the slot time that the daemons have used
 // to measure its load. Slot time is the time during which requests occupy slots, summed
 // over the slots.
-func measuringSlotTime(c *local.Deployment) map[model.UpstreamID]time.Duration {
+func measuringSlotTime(deployment *local.Deployment) map[model.UpstreamID]time.Duration {
 	all := make(map[model.UpstreamID]time.Duration)
-	for _, n := range c.Nodes {
+	for _, n := range deployment.Nodes {
 		maps.Copy(all, n.Daemon.Guard.MeasuringSlotTime())
 	}
 	return all
@@ -115,12 +115,12 @@
 // measuringShares returns, for each service, the share of its slot time that load
 // measurements used during a run. before is the result of measuringSlotTime at the start
 // of the run, and elapsed is the time since then.
-func measuringShares(c *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
+func measuringShares(deployment *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
 	slotTime := make(map[model.ServiceName]time.Duration)
-	now := measuringSlotTime(c)
-	for _, n := range c.Nodes {
+	after := measuringSlotTime(deployment)
+	for _, n := range deployment.Nodes {
 		id := model.UpstreamID(n.Upstream.ID)
-		slotTime[model.ServiceName(n.Upstream.Service)] += now[id] - before[id]
+		slotTime[model.ServiceName(n.Upstream.Service)] += after[id] - before[id]
 	}
 	out := make(map[model.ServiceName]float64)
 	for _, s := range services {
@@ -130,9 +130,9 @@
 }
 
 // executions returns the number of executions of each request at all upstreams.
-func executions(c *local.Deployment) map[string]int {
+func executions(deployment *local.Deployment) map[string]int {
 	all := make(map[string]int)
-	for _, n := range c.Nodes {
+	for _, n := range deployment.Nodes {
 		for name, runs := range n.Upstream.Runs() {
 			all[name] += runs
 		}
--- a/demo/plan.go
+++ b/demo/plan.go
@@ -40,9 +40,9 @@
 const maxInFlight = 4096
 
 // loadPlan returns the plan of a load of duration d, with all daemons of a deployment as targets.
-func loadPlan(c *local.Deployment, d time.Duration) (load.Plan, error) {
+func loadPlan(deployment *local.Deployment, d time.Duration) (load.Plan, error) {
 	p := load.Plan{Duration: policy.Duration(d), Seed: 1, MaxInFlight: maxInFlight, Sources: sources}
-	for _, n := range c.Nodes {
+	for _, n := range deployment.Nodes {
 		p.Targets = append(p.Targets, load.Target{
 			Address: n.Daemon.CallerAddress(),
 			Zone:    n.Daemon.Status().Zone,
--- a/demo/result.go
+++ b/demo/result.go
@@ -28,14 +28,14 @@
 	VersionInForce model.Version `json:"version_in_force"`
 }
 
-// newResult returns the results of a load, with a violation for each wrong answer. measuring
-// is the result of measuringShares.
-func newResult(loadResult *load.Result, measuring map[model.ServiceName]float64) *Result {
+// newResult returns the results of a load, with a violation for each wrong answer. shares is
+// the result of measuringShares.
+func newResult(loadResult *load.Result, shares map[model.ServiceName]float64) *Result {
 	r := &Result{Total: loadResult.Total, Violations: []string{}}
 	r.Total.Series = nil
 	for _, g := range loadResult.Groups {
 		g.Series = nil
-		r.Groups = append(r.Groups, GroupResult{Stats: g, MeasuringShare: measuring[g.Service]})
+		r.Groups = append(r.Groups, GroupResult{Stats: g, MeasuringShare: shares[g.Service]})
 	}
 	for _, request := range loadResult.WrongAnswers {
 		r.Violations = append(r.Violations, "wrong answer to request "+request)
@@ -48,9 +48,9 @@
 
 // checkVersions sets VersionInForce to the configuration version in force at the first
 // daemon. It returns a violation for each daemon that has another version or none in force.
-func (r *Result) checkVersions(c *local.Deployment) []string {
+func (r *Result) checkVersions(deployment *local.Deployment) []string {
 	var out []string
-	for i, n := range c.Nodes {
+	for i, n := range deployment.Nodes {
 		s := n.Daemon.Status()
 		if i == 0 {
 			r.VersionInForce = s.Version
--- a/edits/edits_test.go
+++ b/edits/edits_test.go
@@ -12,9 +12,9 @@
 	root := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(root, "a"), []byte("one two three two"), 0o600))
 	for name, c := range map[string]struct {
-		edits []Edit
-		want  string
-		count int
+		edits     []Edit
+		want      string
+		wantCount int
 	}{
 		"single edit":       {[]Edit{{"a", "one", "1"}}, "1 two three two", 0},
 		"edits in sequence": {[]Edit{{"a", "one two", "two"}, {"a", "two three", "3"}}, "3 two", 0},
@@ -26,7 +26,7 @@
 			if c.want == "" {
 				var e *CountError
 				require.ErrorAs(t, err, &e)
-				require.Equal(t, c.count, e.Count)
+				require.Equal(t, c.wantCount, e.Count)
 				require.Contains(t, e.Error(), c.edits[0].Old)
 				return
 			}
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -67,8 +67,8 @@
 	settings settings.Settings
 	// stop stops the daemon gracefully.
 	stop context.CancelFunc
-	// done receives the error of daemon.Serve when the daemon has stopped.
-	done chan error
+	// serveErr receives the error of daemon.Serve when the daemon has stopped.
+	serveErr chan error
 }
 
 // Deployment is a running deployment. Stop ends it.
@@ -82,9 +82,9 @@
 	// ctx ends when the deployment is stopped. Restarted daemons run until then.
 	ctx context.Context
 	// logHTTP serves Log.
-	logHTTP *http.Server
-	cancel  context.CancelFunc
-	stop    sync.Once
+	logHTTP  *http.Server
+	cancel   context.CancelFunc
+	stopOnce sync.Once
 }
 
 // Start starts a deployment, publishes its documents and waits until the documents
@@ -106,12 +106,12 @@
 }
 
 // Stop stops all daemons and upstreams. Further calls do nothing.
-func (d *Deployment) Stop() { d.stop.Do(d.shutdown) }
+func (d *Deployment) Stop() { d.stopOnce.Do(d.shutdown) }
 
 func (d *Deployment) shutdown() {
 	d.cancel()
 	for _, n := range d.Nodes {
-		<-n.done
+		<-n.serveErr
 	}
 	for _, n := range d.Nodes {
 		_ = n.Upstream.Close()
@@ -152,12 +152,12 @@
 
 // startNode starts the upstream of a service with index i and its daemon, and announces
 // the upstream to the daemon.
-func (d *Deployment) startNode(ctx context.Context, s Service, i int) error {
-	up, err := standin.Start(fmt.Sprintf("%s-%d", s.Name, i+1), string(s.Name), s.Slots)
+func (d *Deployment) startNode(ctx context.Context, s Service, index int) error {
+	up, err := standin.Start(fmt.Sprintf("%s-%d", s.Name, index+1), string(s.Name), s.Slots)
 	if err != nil {
 		return err
 	}
-	n := &Node{Upstream: up, settings: d.settingsForZone(d.opts.Zones[i%len(d.opts.Zones)])}
+	n := &Node{Upstream: up, settings: d.settingsForZone(d.opts.Zones[index%len(d.opts.Zones)])}
 	if err := n.startDaemon(ctx, d.opts.Logger); err != nil {
 		_ = up.Close()
 		return err
@@ -173,8 +173,8 @@
 		return err
 	}
 	ctx, n.stop = context.WithCancel(ctx)
-	n.Daemon, n.done = newDaemon, make(chan error, 1)
-	go func(done chan<- error) { done <- newDaemon.Serve(ctx) }(n.done)
+	n.Daemon, n.serveErr = newDaemon, make(chan error, 1)
+	go func(serveErr chan<- error) { serveErr <- newDaemon.Serve(ctx) }(n.serveErr)
 	return nil
 }
 
@@ -189,16 +189,16 @@
 		Admin:   n.Daemon.AdminAddress(),
 	}
 	n.stop()
-	stopped := <-n.done
+	stopErr := <-n.serveErr
 	n.settings.Listen = listen
 	if err := n.startDaemon(d.ctx, d.opts.Logger); err != nil {
-		n.done <- err // Stop receives a value from n.done.
-		return errors.Join(stopped, err)
+		n.serveErr <- err // Stop receives a value from n.serveErr.
+		return errors.Join(stopErr, err)
 	}
 	if err := n.Upstream.Announce(ctx, n.Daemon.AdminAddress(), 1, false); err != nil {
-		return errors.Join(stopped, err)
+		return errors.Join(stopErr, err)
 	}
-	return errors.Join(stopped, d.awaitReady(ctx))
+	return errors.Join(stopErr, d.awaitReady(ctx))
 }
 
 func (d *Deployment) settingsForZone(zone model.AvailabilityZone) settings.Settings {
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -44,14 +44,14 @@
 
 // vm is one VM: a daemon process, and its upstream, which runs in the test process.
 type vm struct {
-	t        testing.TB
-	ip       string
-	zone     string
-	binary   string
-	settings string
-	upstream *standin.Upstream
-	cmd      *exec.Cmd
-	stderr   *os.File
+	t            testing.TB
+	ip           string
+	zone         string
+	binary       string
+	settingsPath string
+	upstream     *standin.Upstream
+	cmd          *exec.Cmd
+	stderr       *os.File
 	// draining makes the announcements report that the upstream drains.
 	draining atomic.Bool
 }
@@ -91,7 +91,7 @@
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = up.Close() })
 			v.upstream = up
-			v.settings = c.writeSettings(v)
+			v.settingsPath = c.writeSettings(v)
 			v.start()
 			c.vms = append(c.vms, v)
 		}
@@ -169,7 +169,7 @@
 	stderr, err := os.CreateTemp(v.t.TempDir(), "stderr")
 	require.NoError(v.t, err)
 	v.stderr = stderr
-	v.cmd = exec.Command(v.binary, "--settings", v.settings)
+	v.cmd = exec.Command(v.binary, "--settings", v.settingsPath)
 	v.cmd.Stderr = stderr
 	require.NoError(v.t, v.cmd.Start())
 }
@@ -207,8 +207,8 @@
 // context ends.
 func (v *vm) keepAnnouncing(ctx context.Context) {
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, announceInterval)
-		_ = v.upstream.Announce(call, v.adminAddress(), 1, v.draining.Load())
+		announceCtx, cancel := context.WithTimeout(ctx, announceInterval)
+		_ = v.upstream.Announce(announceCtx, v.adminAddress(), 1, v.draining.Load())
 		cancel()
 		select {
 		case <-ctx.Done():
@@ -276,7 +276,7 @@
 
 // await waits until a condition holds. It fails the test after conditionTimeout, which is
 // long enough that only a test that would hang reaches it.
-func (c *cluster) await(what string, condition func() bool) {
+func (c *cluster) await(description string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
@@ -284,7 +284,7 @@
 			for _, v := range c.vms {
 				c.t.Logf("%s:\n%s", v.upstream.ID, v.logOutput())
 			}
-			require.FailNow(c.t, "condition did not become true", what)
+			require.FailNow(c.t, "condition did not become true", description)
 		}
 		time.Sleep(conditionPollInterval)
 	}
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -100,8 +100,8 @@
 	callTimeout = 4 * time.Second
 )
 
-// requestKinds are the kinds of requests from which sendRequests draws at random.
-var requestKinds = []struct {
+// requestTemplates are the requests from which sendRequests draws at random.
+var requestTemplates = []struct {
 	service, method, path string
 	// keyed is set if the requests have an idempotency key.
 	keyed bool
@@ -134,9 +134,9 @@
 // sendWithRetries sends one request and returns its record. If an attempt fails and a retry
 // is safe, it sends the request to another daemon. It makes up to maxAttempts attempts.
 func (c *cluster) sendWithRetries(h *history, client *http.Client, rng *rand.Rand, target func(*rand.Rand) *vm) *requestRecord {
-	m := requestKinds[rng.IntN(len(requestKinds))]
-	r := &requestRecord{name: fmt.Sprintf("r%d", h.nextSerial()), idempotent: m.method == http.MethodGet}
-	if m.keyed {
+	template := requestTemplates[rng.IntN(len(requestTemplates))]
+	r := &requestRecord{name: fmt.Sprintf("r%d", h.nextSerial()), idempotent: template.method == http.MethodGet}
+	if template.keyed {
 		r.key = uuid.Must(uuid.NewV7()).String()
 	}
 	var lastVM *vm
@@ -146,7 +146,7 @@
 			v = c.anyVM(rng)
 		}
 		lastVM = v
-		a := sendAttempt(client, "http://"+v.callerAddress()+m.path, m.service, m.method, r)
+		a := sendAttempt(client, "http://"+v.callerAddress()+template.path, template.service, template.method, r)
 		r.results = append(r.results, a)
 		mayRetry := r.idempotent || r.key != "" || a.notConnected || (a.kind == outcome.NotRun && !a.connectionFailed)
 		if a.kind == outcome.Answered || !mayRetry {
--- a/proctest/idle_test.go
+++ b/proctest/idle_test.go
@@ -44,10 +44,10 @@
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", v.cmd.Process.Pid))
 	require.NoError(v.t, err)
 	f := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
-	// The indexes of the user time and the system time after the name of the command.
-	const user, system = 11, 12
+	// The indexes of the user time and the system time in the fields after the command's name.
+	const userTimeIndex, systemTimeIndex = 11, 12
 	ticks := 0
-	for _, i := range []int{user, system} {
+	for _, i := range []int{userTimeIndex, systemTimeIndex} {
 		n, err := strconv.Atoi(f[i])
 		require.NoError(v.t, err)
 		ticks += n
@@ -108,15 +108,15 @@
 	cpuAfter, bytesAfter := c.totalUsage()
 	elapsed := time.Since(start).Seconds()
 	daemonSeconds := elapsed * float64(len(c.vms))
-	var rss int64
+	var maxRSS int64
 	for _, v := range c.vms {
-		rss = max(rss, v.residentBytes())
+		maxRSS = max(maxRSS, v.residentBytes())
 	}
 	b.ReportMetric((cpuAfter-cpu).Seconds()/daemonSeconds*100, "%core")
 	b.ReportMetric((bytesAfter-bytes)/daemonSeconds, "peerB/s")
 	b.ReportMetric(float64(c.logReads.Load()-reads)/elapsed, "reads/s")
 	b.ReportMetric(float64(c.logAppends.Load()-appends)/elapsed, "appends/s")
-	b.ReportMetric(float64(rss)/(1<<20), "maxMiB")
+	b.ReportMetric(float64(maxRSS)/(1<<20), "maxMiB")
 }
 
 // totalUsage returns the processor time and the bytes of peer traffic of all daemons.
--- a/standin/run.go
+++ b/standin/run.go
@@ -20,19 +20,19 @@
 
 // Run announces the upstream to the daemon at an admin address and repeats the
 // announcement every second until the context ends. After a failed announcement it
-// calls failed with the error and continues. When the context has ended, Run
+// calls announceFailed with the error and continues. When the context has ended, Run
 // announces that the upstream drains, waits for executing requests, and closes the
 // upstream. It returns the errors of these last steps.
-func (u *Upstream) Run(ctx context.Context, admin string, incarnation uint64, failed func(error)) error {
+func (u *Upstream) Run(ctx context.Context, adminAddress string, incarnation uint64, announceFailed func(error)) error {
 	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	for {
-		if err := u.Announce(ctx, admin, incarnation, false); err != nil && ctx.Err() == nil {
-			failed(err)
+		if err := u.Announce(ctx, adminAddress, incarnation, false); err != nil && ctx.Err() == nil {
+			announceFailed(err)
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(u.drain(admin, incarnation), u.Close())
+			return errors.Join(u.drain(adminAddress, incarnation), u.Close())
 		case <-tick.C:
 		}
 	}
@@ -40,13 +40,13 @@
 
 // drain announces that the upstream drains and waits for the executing requests. It
 // returns errRequestsRunning after drainTimeout.
-func (u *Upstream) drain(admin string, incarnation uint64) error {
+func (u *Upstream) drain(adminAddress string, incarnation uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	if err := u.Announce(ctx, admin, incarnation, true); err != nil {
+	if err := u.Announce(ctx, adminAddress, incarnation, true); err != nil {
 		return err
 	}
-	for len(u.slots) > 0 {
+	for len(u.executing) > 0 {
 		select {
 		case <-ctx.Done():
 			return errRequestsRunning
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -40,10 +40,10 @@
 	// Slots is the number of requests that may execute at once.
 	Slots int
 
-	// slots holds an element for each executing request. Its capacity is Slots.
-	slots    chan struct{}
-	listener net.Listener
-	server   *http.Server
+	// executing holds an element for each executing request. Its capacity is Slots.
+	executing chan struct{}
+	listener  net.Listener
+	server    *http.Server
 
 	mu sync.Mutex
 	// runs counts the executions by request name.
@@ -58,9 +58,9 @@
 	}
 	u := &Upstream{
 		ID: id, Service: service, Slots: slots,
-		slots:    make(chan struct{}, slots),
-		listener: ln,
-		runs:     make(map[string]int),
+		executing: make(chan struct{}, slots),
+		listener:  ln,
+		runs:      make(map[string]int),
 	}
 	u.server = &http.Server{Handler: u}
 	go func() { _ = u.server.Serve(ln) }()
@@ -89,16 +89,16 @@
 // request ends early without a response.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == LoadPath {
-		_, _ = fmt.Fprintf(w, `{"running": %d}`, len(u.slots))
+		_, _ = fmt.Fprintf(w, `{"running": %d}`, len(u.executing))
 		return
 	}
 	name := r.Header.Get(HeaderRequest)
 	select {
-	case u.slots <- struct{}{}:
+	case u.executing <- struct{}{}:
 	case <-r.Context().Done():
 		return
 	}
-	defer func() { <-u.slots }()
+	defer func() { <-u.executing }()
 	u.countRun(name)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -147,7 +147,7 @@
 // Announce registers the upstream with the daemon at an admin address, or renews its
 // registration. With draining it tells the daemon to send no new requests to the
 // upstream. Any response but status 204 is an error.
-func (u *Upstream) Announce(ctx context.Context, admin string, incarnation uint64, draining bool) error {
+func (u *Upstream) Announce(ctx context.Context, adminAddress string, incarnation uint64, draining bool) error {
 	body, err := json.Marshal(map[string]any{
 		"service": u.Service, "address": u.Address(), "slots": u.Slots,
 		"incarnation": incarnation, "draining": draining, "load_path": LoadPath,
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	url := "http://" + admin + "/v1/upstreams/" + u.ID
+	url := "http://" + adminAddress + "/v1/upstreams/" + u.ID
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
 		return err
