--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -64,15 +64,15 @@
 // runTrial runs the benchmark program bench, which replays the day of a trial with the source in the
 // scratch copy dir. site is the path of the site file.
 func runTrial(ctx context.Context, bench, dir, site string, k trialKey) (trialResult, error) {
-	file := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
+	reportPath := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
 	why := "ablation: the code as it is"
 	if k.mechanism != baseline {
 		why = "trial of the ablation, off: " + k.mechanism
 	}
-	cmd := exec.CommandContext(ctx, bench, "run", site, k.day, "--seed", k.seed, "--no-cpu", "--report", file, "--why", why)
+	cmd := exec.CommandContext(ctx, bench, "run", site, k.day, "--seed", k.seed, "--no-cpu", "--report", reportPath, "--why", why)
 	cmd.Dir = dir
 	out, runErr := cmd.CombinedOutput()
-	text, err := os.ReadFile(file)
+	text, err := os.ReadFile(reportPath)
 	if err != nil {
 		return trialResult{}, fmt.Errorf("%w: %s", runErr, out)
 	}
@@ -232,12 +232,12 @@
 	if bench == "" {
 		t.Skip("takes hours; see the package's documentation")
 	}
-	out := os.Getenv("ABLATION_OUT")
-	if out == "" {
-		out = filepath.Join(os.TempDir(), "ablation.jsonl")
+	resultsPath := os.Getenv("ABLATION_OUT")
+	if resultsPath == "" {
+		resultsPath = filepath.Join(os.TempDir(), "ablation.jsonl")
 	}
-	journal := os.Getenv("ABLATION_JOURNAL")
-	finished, err := openResults(out)
+	journalDir := os.Getenv("ABLATION_JOURNAL")
+	finished, err := openResults(resultsPath)
 	require.NoError(t, err)
 	trials, siteFiles, err := planTrials(envList("ABLATION_SITES", ""))
 	require.NoError(t, err)
@@ -262,10 +262,10 @@
 				if err := finished.add(result); err != nil {
 					t.Errorf("%+v: %v", k, err)
 				}
-				if journal == "" {
+				if journalDir == "" {
 					continue
 				}
-				if err := copyNewJournalFiles(scratch, journal); err != nil {
+				if err := copyNewJournalFiles(scratch, journalDir); err != nil {
 					t.Errorf("%+v: %v", k, err)
 				}
 			}
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -35,8 +35,8 @@
 // unavailable while callers send requests. Then it checks the invariants with the history.
 func TestInvariantsUnderProcessFaults(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 6, "sporarkiv": 6})
-	first := c.publish(documents("3s"))
-	c.awaitVersion(first)
+	firstVersion := c.publish(documents("3s"))
+	c.awaitVersion(firstVersion)
 	h := &history{}
 	c.awaitServing(h)
 
@@ -49,13 +49,13 @@
 	c.withFault(h, phaseRequests, func() { require.Zero(t, c.vms[3].stop(), c.vms[3].logOutput()) })
 	c.checkDrainLosesNothing(h.records[recordsBefore:])
 	c.vms[3].start()
-	c.awaitVersion(first)
+	c.awaitVersion(firstVersion)
 	c.awaitServing(h)
 
 	t.Log("daemon killed and restarted")
 	c.withFault(h, phaseRequests, func() { c.vms[0].kill() })
 	c.vms[0].start()
-	c.awaitVersion(first)
+	c.awaitVersion(firstVersion)
 
 	t.Log("daemon paused and resumed")
 	c.withFault(h, pauseRequests, func() { c.vms[1].signal(syscall.SIGSTOP) })
@@ -66,9 +66,9 @@
 	c.withFault(h, phaseRequests, func() { c.vms[2].kill() })
 	c.logDown.Store(false)
 	c.vms[2].start()
-	second := c.publish(documents("4s"))
-	require.Greater(t, second, first)
-	c.awaitVersion(second)
+	secondVersion := c.publish(documents("4s"))
+	require.Greater(t, secondVersion, firstVersion)
+	c.awaitVersion(secondVersion)
 	c.sendRequests(h, phaseRequests, c.anyVM)
 	c.checkInvariants(t, h)
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -14,14 +14,14 @@
 	drainAllowance = 2 * time.Second
 	// maxConfigDelay is how long a daemon may take to put a published configuration in force.
 	maxConfigDelay = 2 * time.Second
-	// quietPeriod is the time since the last unplanned fault after which all checks apply.
-	// Before that, checks are skipped that an unplanned fault alone may violate.
+	// quietPeriod is how long some checks are skipped after an unplanned fault. They are the
+	// checks that such a fault may violate.
 	quietPeriod = 3 * time.Second
 	// retryBudgetWindow is the length of the windows in which retries are counted. A window
 	// starts at every retry.
 	retryBudgetWindow = 10 * time.Second
-	// retryBudgetRatio is the number of retries that a window may have for each request. The
-	// requests of the window are counted, and those of the half window before it.
+	// retryBudgetRatio is the number of retries that a window may have for each request.
+	// Requests sent in the window or in the half window before it count.
 	retryBudgetRatio = 0.2
 	// retryBudgetSlack is the number of further retries that a window may have.
 	retryBudgetSlack = 40.0
@@ -79,11 +79,11 @@
 
 const (
 	// quarantineThreshold is the number of crashes that one request may cause before it is
-	// quarantined. All daemons must have quarantined the request quietPeriod after the last
+	// quarantined. All daemons must quarantine the request within quietPeriod after the last
 	// of these crashes.
 	quarantineThreshold = 3
-	// maxLateCrashes is the number of crashes that a request may still cause by attempts
-	// that are sent after this quietPeriod.
+	// maxLateCrashes is the number of crashes that attempts of the request may still cause
+	// if they are sent after this time.
 	maxLateCrashes = 3
 	// poisonAttemptPrefix starts the attempt ids of requests that crash upstreams.
 	poisonAttemptPrefix = "poison-"
@@ -127,8 +127,8 @@
 	c.sendTimes = append(c.sendTimes, now)
 }
 
-// RequestStarted records that an upstream has started a request, and checks that it was allowed
-// to. It implements platformtest.Observer.
+// RequestStarted records that an upstream has started a request, and checks that the request was
+// allowed to run there. It implements platformtest.Observer.
 func (c *checker) RequestStarted(u *platformtest.Upstream, attempt, caller string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,9 +190,9 @@
 	}
 }
 
-// resetCrashCounts sets the crash counts to 0 if safetyOnly is set, that is, if they are bounded
-// by maxCrashes. It is called when all daemons are killed at once: daemons keep the quarantine
-// only in memory, so it is lost.
+// resetCrashCounts sets the crash counts that are checked against maxCrashes to 0. Without
+// safetyOnly there are none, and it does nothing. It is called when all daemons are killed at
+// once: daemons keep the quarantine only in memory, so the quarantine is lost.
 func (c *checker) resetCrashCounts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// relay copies data from src to dst until src is closed. It applies the mode of client, which is
-// the connection from the client and thus src or dst. toClient tells that dst is client.
+// relay copies data from src to dst until src is closed, and injects the current fault. client is
+// the connection from the client. It is dst if toClient is set, and else src.
 func (p *proxy) relay(dst, src, client net.Conn, toClient bool) {
 	buf := make([]byte, copyBufferBytes)
 	for {
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -39,18 +39,19 @@
 	process *exec.Cmd
 	// incarnation counts the starts of the process.
 	incarnation int
-	// stopping is set from a SIGTERM to the process until the next start. Like killed, it
-	// tells that an exit of the process is no violation.
+	// stopping is set from a SIGTERM to the process until the next start. An exit of the
+	// process in this time is no violation.
 	stopping bool
 	// stoppedAt is when the last SIGTERM was sent.
 	stoppedAt time.Time
 	// startedTime is when the process was started last.
 	startedTime time.Time
-	// killed is set from a SIGKILL to the process until the next start.
+	// killed is set from a SIGKILL to the process until the next start. An exit of the
+	// process in this time is no violation.
 	killed bool
 	// noRestart is set when no further process may be started.
 	noRestart bool
-	// exitErr receives the exit error of the last process, after which no other is started.
+	// exitErr receives the exit error of the last process, when no other will be started.
 	exitErr chan error
 	// disturbedUntil is the end of the last unplanned fault that affects the VM.
 	disturbedUntil time.Time
