--- a/soak/plan.go
+++ b/soak/plan.go
@@ -76,10 +76,10 @@
 	// never responds, and slow responds late. lost executes appends without a response.
 	// late executes appends late and without a response. forget loses the operator's records.
 	kindStore: {"busy", "many", "silent", "slow", "lost", "late", "forget"},
-	// The upstream executes requests in all modes except shed, which rejects requests without
-	// execution. lose closes the connection without a response. err responds with status 500.
-	// hang never responds. cut truncates responses. double sends a second response. slow
-	// takes ten times as long. untold omits the load from responses.
+	// In mode shed the upstream rejects requests without execution. In all other modes it
+	// executes requests. lose closes the connection without a response. err responds with
+	// status 500. hang never responds. cut truncates responses. double sends a second
+	// response. slow takes ten times as long. untold omits the load from responses.
 	kindUpstream: {"lose", "shed", "err", "hang", "cut", "double", "slow", "untold"},
 	// The upstream restarts with the same id or with a new id.
 	kindCrash: {"same-id", "new-id"}, kindDrain: {"-"}, kindConfig: {"-"}, kindInvalidRecords: {"-"}, kindPoison: {"-"}, kindKillAll: {"-"},
@@ -190,7 +190,7 @@
 
 // ReadPlan parses a plan. The first line is "soak SEED VMS LENGTH", with the length in
 // milliseconds. Each further line is a fault as Fault.String returns it. Empty lines and lines
-// that begin with # are skipped. The error is a *PlanError if a line is invalid or missing.
+// that begin with # are skipped. The error is a *PlanError if a line is invalid or there is no plan.
 func ReadPlan(r io.Reader) (Plan, error) {
 	var p Plan
 	s := bufio.NewScanner(r)
--- a/soak/run.go
+++ b/soak/run.go
@@ -39,8 +39,8 @@
 // Result holds the violations that a soak found and its numbers of requests.
 type Result struct {
 	Violations []string
-	Requests   int // the requests sent by callers, without probes
-	Served     int // the requests of callers that were answered with status 200
+	Requests   int // the requests sent by callers, without probes and poison
+	Served     int // the number of these requests that were answered with status 200
 }
 
 const (
@@ -51,13 +51,13 @@
 	// longRequestDeadline is the deadline of the requests that run for seconds.
 	longRequestDeadline = 30 * time.Second
 	defaultRate         = 10 // the default of Options.Rate
-	// defaultTotalRate is how many requests a second 8 cores can serve beside a hundred daemons.
+	// defaultTotalRate is the requests a second that 8 cores can serve while a hundred daemons run.
 	defaultTotalRate = 480
 	// minServedShare is the share of the requests in recoveryWindow that must be served.
 	minServedShare        = 0.95
 	recoveryWindow        = 5 * time.Second // the last part of a plan, in which recovery is checked
-	unsafeRequestInterval = 3               // one request in so many is not idempotent
-	longRequestInterval   = 40              // one request in so many is not idempotent and runs for seconds
+	unsafeRequestInterval = 3               // one in this many requests is not idempotent
+	longRequestInterval   = 40              // one in this many requests is not idempotent and runs for seconds
 	// distinctPaths is the number of paths under /safe/, and also the number under /unsafe/.
 	distinctPaths = 2000
 	// configCheckInterval is the time between two checks of a daemon's configuration.
