--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -24,7 +24,8 @@
 // baseline is the mechanism name of trials with the unchanged source.
 const baseline = ""
 
-// envList returns the comma-separated values of an environment variable, or of a default.
+// envList returns the comma-separated values of an environment variable. If the variable is not
+// set or empty, it returns the comma-separated values of fallback.
 func envList(name, fallback string) []string {
 	text := os.Getenv(name)
 	if text == "" {
@@ -60,17 +61,18 @@
 	Violations map[string]any `json:"breaks"`
 }
 
-// runTrial replays a day with the source in a scratch copy.
+// runTrial runs the benchmark program bench, which replays the day of a trial with the source in the
+// scratch copy dir. site is the path of the site file.
 func runTrial(ctx context.Context, bench, dir, site string, k trialKey) (trialResult, error) {
-	file := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
+	reportPath := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
 	why := "ablation: the code as it is"
 	if k.mechanism != baseline {
 		why = "trial of the ablation, off: " + k.mechanism
 	}
-	cmd := exec.CommandContext(ctx, bench, "run", site, k.day, "--seed", k.seed, "--no-cpu", "--report", file, "--why", why)
+	cmd := exec.CommandContext(ctx, bench, "run", site, k.day, "--seed", k.seed, "--no-cpu", "--report", reportPath, "--why", why)
 	cmd.Dir = dir
 	out, runErr := cmd.CombinedOutput()
-	text, err := os.ReadFile(file)
+	text, err := os.ReadFile(reportPath)
 	if err != nil {
 		return trialResult{}, fmt.Errorf("%w: %s", runErr, out)
 	}
@@ -86,26 +88,26 @@
 	return result, nil
 }
 
-// journalFiles returns the paths of the files in the journal of a copy, relative to the
-// journal.
+// journalFiles returns the paths of the files in the journal directory of a scratch copy, relative
+// to the journal directory.
 func journalFiles(dir string) ([]string, error) {
-	root := filepath.Join(dir, "journal")
+	journalDir := filepath.Join(dir, "journal")
 	var out []string
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(journalDir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
 		}
-		name, err := filepath.Rel(root, path)
+		name, err := filepath.Rel(journalDir, path)
 		out = append(out, name)
 		return err
 	})
 	return out, err
 }
 
-// copyNewJournalFiles copies the files that trials added to the journal of a scratch copy
-// (entries and the sources that they name) to a directory. It overwrites earlier copies,
-// because an entry may have been copied while its trial was still running.
-func copyNewJournalFiles(c scratchCopy, to string) error {
+// copyNewJournalFiles copies the files that trials have added to the journal of a scratch copy to
+// a directory. These files are journal entries and the sources that the entries name. Earlier
+// copies are overwritten, because an entry may have been copied while its trial was running.
+func copyNewJournalFiles(c scratchCopy, targetDir string) error {
 	names, err := journalFiles(c.dir)
 	if err != nil {
 		return err
@@ -118,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		target := filepath.Join(to, name)
+		target := filepath.Join(targetDir, name)
 		if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
 			return err
 		}
@@ -132,8 +134,8 @@
 // dayNamePattern matches the name of a day in a site file.
 var dayNamePattern = regexp.MustCompile(`(?m)^\[\[day\]\]\nname = "([^"]+)"`)
 
-// dayNames returns the days of a site file to replay: those in ABLATION_DAYS, or else all whose
-// names do not begin with quiet.
+// dayNames returns the names of the days of a site file to replay: the days in ABLATION_DAYS. If
+// ABLATION_DAYS is empty, it returns all days whose names do not begin with quiet.
 func dayNames(site string) ([]string, error) {
 	if selectedDays := envList("ABLATION_DAYS", ""); len(selectedDays) > 0 {
 		return selectedDays, nil
@@ -151,14 +153,15 @@
 	return out, nil
 }
 
-// planTrials returns the trials to run, and the site files by site. The trials of one day and
-// seed follow each other, so that each runs at about the same time as its baseline.
+// planTrials returns the trials to run, and the path of each site file by the name of the site. The
+// trials of one day and seed follow each other, so that each trial runs at about the same time as
+// its baseline.
 func planTrials(sites []string) ([]trialKey, map[string]string, error) {
 	files := make(map[string]string)
 	names := []string{baseline}
-	only := envList("ABLATION_ONLY", "")
+	selectedMechanisms := envList("ABLATION_ONLY", "")
 	for _, m := range mechanisms {
-		if len(only) == 0 || slices.Contains(only, m.name) {
+		if len(selectedMechanisms) == 0 || slices.Contains(selectedMechanisms, m.name) {
 			names = append(names, m.name)
 		}
 	}
@@ -181,8 +184,9 @@
 	return out, files, nil
 }
 
-// scratchCopy is a clone of the repository.
+// scratchCopy is a clone of the repository, with the edits of one mechanism.
 type scratchCopy struct {
+	// dir is the root directory of the clone.
 	dir string
 	// initialJournal holds the files of the copy's journal before any trial.
 	initialJournal []string
@@ -190,12 +194,13 @@
 
 // scratchCopies creates scratch copies, one for each mechanism.
 type scratchCopies struct {
-	mu          sync.Mutex
+	mu sync.Mutex
+	// dir is the directory in which the scratch copies are created.
 	dir         string
 	byMechanism map[string]scratchCopy
 }
 
-// forMechanism returns the scratch copy with a mechanism disabled.
+// forMechanism returns the scratch copy in which a mechanism is disabled, and creates it if needed.
 func (c *scratchCopies) forMechanism(ctx context.Context, name string) (scratchCopy, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,12 +232,12 @@
 	if bench == "" {
 		t.Skip("takes hours; see the package's documentation")
 	}
-	out := os.Getenv("ABLATION_OUT")
-	if out == "" {
-		out = filepath.Join(os.TempDir(), "ablation.jsonl")
+	resultsPath := os.Getenv("ABLATION_OUT")
+	if resultsPath == "" {
+		resultsPath = filepath.Join(os.TempDir(), "ablation.jsonl")
 	}
-	journal := os.Getenv("ABLATION_JOURNAL")
-	finished, err := openResults(out)
+	journalDir := os.Getenv("ABLATION_JOURNAL")
+	finished, err := openResults(resultsPath)
 	require.NoError(t, err)
 	trials, siteFiles, err := planTrials(envList("ABLATION_SITES", ""))
 	require.NoError(t, err)
@@ -257,10 +262,10 @@
 				if err := finished.add(result); err != nil {
 					t.Errorf("%+v: %v", k, err)
 				}
-				if journal == "" {
+				if journalDir == "" {
 					continue
 				}
-				if err := copyNewJournalFiles(scratch, journal); err != nil {
+				if err := copyNewJournalFiles(scratch, journalDir); err != nil {
 					t.Errorf("%+v: %v", k, err)
 				}
 			}
@@ -285,8 +290,8 @@
 // TestNewJournalFilesAreCopied guards against lost journal entries of trials, and against copies
 // of entries that were in the journal before.
 func TestNewJournalFilesAreCopied(t *testing.T) {
-	dir, targetDir := t.TempDir(), t.TempDir()
-	to := filepath.Join(targetDir, "journal")
+	dir, parentDir := t.TempDir(), t.TempDir()
+	targetDir := filepath.Join(parentDir, "journal")
 	write := func(name, text string) {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "journal", name), []byte(text), 0o600))
 	}
@@ -297,16 +302,16 @@
 	require.NoError(t, err)
 	c := scratchCopy{dir: dir, initialJournal: initial}
 	write("new.json", "begun")
-	require.NoError(t, copyNewJournalFiles(c, to))
+	require.NoError(t, copyNewJournalFiles(c, targetDir))
 	write("new.json", "ended")
 	write("blobs/new.txt", "new")
-	require.NoError(t, copyNewJournalFiles(c, to))
+	require.NoError(t, copyNewJournalFiles(c, targetDir))
 
-	names, err := journalFiles(targetDir)
+	names, err := journalFiles(parentDir)
 	require.NoError(t, err)
 	copied := make(map[string]string)
 	for _, name := range names {
-		text, err := os.ReadFile(filepath.Join(to, name))
+		text, err := os.ReadFile(filepath.Join(targetDir, name))
 		require.NoError(t, err)
 		copied[filepath.ToSlash(name)] = string(text)
 	}
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -27,27 +27,31 @@
 )
 
 const (
-	callerPort            = 7000
-	peerPort              = 7001
-	adminPort             = 7002
-	slots                 = 6
-	conditionTimeout      = 30 * time.Second
+	callerPort = 7000
+	peerPort   = 7001
+	adminPort  = 7002
+	// slots is the number of slots of every upstream.
+	slots = 6
+	// conditionTimeout is how long await waits for a condition.
+	conditionTimeout = 30 * time.Second
+	// conditionPollInterval is the time between two checks of a condition.
 	conditionPollInterval = 20 * time.Millisecond
-	announceInterval      = 300 * time.Millisecond
+	// announceInterval is the time between two announcements of an upstream.
+	announceInterval = 300 * time.Millisecond
 )
 
 var zones = []string{"odense-hal-a", "odense-hal-b", "svendborg-lager"}
 
 // vm is one VM: a daemon process, and its upstream, which runs in the test process.
 type vm struct {
-	t        testing.TB
-	ip       string
-	zone     string
-	binary   string
-	settings string
-	upstream *standin.Upstream
-	cmd      *exec.Cmd
-	stderr   *os.File
+	t            testing.TB
+	ip           string
+	zone         string
+	binary       string
+	settingsPath string
+	upstream     *standin.Upstream
+	cmd          *exec.Cmd
+	stderr       *os.File
 	// draining makes the announcements report that the upstream drains.
 	draining atomic.Bool
 }
@@ -66,8 +70,8 @@
 	announcers           sync.WaitGroup
 }
 
-// startCluster starts a daemon and an upstream for each instance of a service. services
-// holds the number of upstreams by service.
+// startCluster starts a cluster with one VM for each upstream. services holds the number
+// of upstreams by service.
 func startCluster(t testing.TB, services map[string]int) *cluster {
 	t.Helper()
 	if testing.Short() {
@@ -87,7 +91,7 @@
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = up.Close() })
 			v.upstream = up
-			v.settings = c.writeSettings(v)
+			v.settingsPath = c.writeSettings(v)
 			v.start()
 			c.vms = append(c.vms, v)
 		}
@@ -101,6 +105,7 @@
 	return c
 }
 
+// close ends the announcements and kills all daemons.
 func (c *cluster) close() {
 	c.stopAnnouncing()
 	c.announcers.Wait()
@@ -109,7 +114,7 @@
 	}
 }
 
-// startLog serves the log over HTTP.
+// startLog serves the log over HTTP and counts the requests.
 func (c *cluster) startLog() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
@@ -157,14 +162,14 @@
 	return path
 }
 
-// start starts the daemon process. Its log goes to a file, which is printed if a
-// condition of await does not become true.
+// start starts the daemon process. The log of the daemon goes to a file. await prints the
+// file if its condition does not become true.
 func (v *vm) start() {
 	v.t.Helper()
 	stderr, err := os.CreateTemp(v.t.TempDir(), "stderr")
 	require.NoError(v.t, err)
 	v.stderr = stderr
-	v.cmd = exec.Command(v.binary, "--settings", v.settings)
+	v.cmd = exec.Command(v.binary, "--settings", v.settingsPath)
 	v.cmd.Stderr = stderr
 	require.NoError(v.t, v.cmd.Start())
 }
@@ -202,8 +207,8 @@
 // context ends.
 func (v *vm) keepAnnouncing(ctx context.Context) {
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, announceInterval)
-		_ = v.upstream.Announce(call, v.adminAddress(), 1, v.draining.Load())
+		announceCtx, cancel := context.WithTimeout(ctx, announceInterval)
+		_ = v.upstream.Announce(announceCtx, v.adminAddress(), 1, v.draining.Load())
 		cancel()
 		select {
 		case <-ctx.Done():
@@ -212,8 +217,8 @@
 	}
 }
 
-// status returns the status page of the daemon, and false if the daemon does not
-// respond.
+// status returns the status that the daemon reports on its status page, and false if the
+// daemon does not respond.
 func (v *vm) status() (daemon.Status, bool) {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + v.adminAddress() + "/status")
@@ -233,8 +238,8 @@
 	return uint64(s.Version), ok
 }
 
-// usableUpstreams returns the number of upstreams that the daemon knows and that do
-// not drain.
+// usableUpstreams returns the number of upstreams that the daemon knows, without the
+// upstreams that drain.
 func (v *vm) usableUpstreams() int {
 	s, _ := v.status()
 	n := 0
@@ -257,7 +262,7 @@
 	return uint64(res.Version)
 }
 
-// awaitVersion waits until a configuration version, or a newer one, is in force at every
+// awaitVersion waits until a configuration version or a newer version is in force at every
 // daemon.
 func (c *cluster) awaitVersion(version uint64) {
 	c.t.Helper()
@@ -269,8 +274,9 @@
 	}
 }
 
-// await waits until a condition holds. The timeout only ends a test that would hang.
-func (c *cluster) await(what string, condition func() bool) {
+// await waits until a condition holds. It fails the test after conditionTimeout, which is
+// long enough that only a test that would hang reaches it.
+func (c *cluster) await(description string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
@@ -278,7 +284,7 @@
 			for _, v := range c.vms {
 				c.t.Logf("%s:\n%s", v.upstream.ID, v.logOutput())
 			}
-			require.FailNow(c.t, "condition did not become true", what)
+			require.FailNow(c.t, "condition did not become true", description)
 		}
 		time.Sleep(conditionPollInterval)
 	}
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// documents returns a configuration with the same deadline for all services.
+// documents returns the documents of a configuration with the same deadline for all services.
 func documents(deadline string) []policy.Document {
 	service := json.RawMessage(`{"deadline":"` + deadline + `"}`)
 	return []policy.Document{
@@ -23,19 +23,20 @@
 	}
 }
 
-// The numbers of requests during one fault. There are fewer while a daemon is paused,
-// because callers of the paused daemon wait until their timeout.
 const (
+	// phaseRequests is the number of requests that are sent during one fault.
 	phaseRequests = 480
+	// pauseRequests is the number of requests that are sent while a daemon is paused. It is
+	// smaller because callers of the paused daemon wait until their timeout.
 	pauseRequests = 160
 )
 
 // TestInvariantsUnderProcessFaults kills, pauses and drains daemons and makes the log
-// unavailable while callers send requests, and checks the invariants from the history.
+// unavailable while callers send requests. Then it checks the invariants with the history.
 func TestInvariantsUnderProcessFaults(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 6, "sporarkiv": 6})
-	first := c.publish(documents("3s"))
-	c.awaitVersion(first)
+	firstVersion := c.publish(documents("3s"))
+	c.awaitVersion(firstVersion)
 	h := &history{}
 	c.awaitServing(h)
 
@@ -48,13 +49,13 @@
 	c.withFault(h, phaseRequests, func() { require.Zero(t, c.vms[3].stop(), c.vms[3].logOutput()) })
 	c.checkDrainLosesNothing(h.records[recordsBefore:])
 	c.vms[3].start()
-	c.awaitVersion(first)
+	c.awaitVersion(firstVersion)
 	c.awaitServing(h)
 
 	t.Log("daemon killed and restarted")
 	c.withFault(h, phaseRequests, func() { c.vms[0].kill() })
 	c.vms[0].start()
-	c.awaitVersion(first)
+	c.awaitVersion(firstVersion)
 
 	t.Log("daemon paused and resumed")
 	c.withFault(h, pauseRequests, func() { c.vms[1].signal(syscall.SIGSTOP) })
@@ -65,9 +66,9 @@
 	c.withFault(h, phaseRequests, func() { c.vms[2].kill() })
 	c.logDown.Store(false)
 	c.vms[2].start()
-	second := c.publish(documents("4s"))
-	require.Greater(t, second, first)
-	c.awaitVersion(second)
+	secondVersion := c.publish(documents("4s"))
+	require.Greater(t, secondVersion, firstVersion)
+	c.awaitVersion(secondVersion)
 	c.sendRequests(h, phaseRequests, c.anyVM)
 	c.checkInvariants(t, h)
 }
@@ -92,7 +93,8 @@
 	c.checkInvariants(t, h)
 }
 
-// withFault calls fault while callers send n requests, and waits for the requests.
+// withFault calls fault while callers send n requests, waits for the requests, and logs how
+// many requests of the history were answered.
 func (c *cluster) withFault(h *history, n int, fault func()) {
 	done := make(chan struct{})
 	go func() {
@@ -107,8 +109,8 @@
 func isAnswered(r *requestRecord) bool { return r.last().kind == outcome.Answered }
 
 // awaitServing waits until every daemon knows all upstreams and serves requests for
-// both services. A daemon that knows only one upstream would correctly have none left
-// when that upstream drains.
+// both services. A daemon that knows only one upstream would correctly refuse requests
+// when that upstream drains, and the test would fail.
 func (c *cluster) awaitServing(h *history) {
 	c.t.Helper()
 	for _, v := range c.vms {
--- a/soak/check.go
+++ b/soak/check.go
@@ -12,40 +12,46 @@
 const (
 	// drainAllowance is how long after an acknowledged drain a request may still start.
 	drainAllowance = 2 * time.Second
-	// maxConfigDelay is how long after its publication a configuration may take to be in
-	// force at a daemon.
+	// maxConfigDelay is how long a daemon may take to put a published configuration in force.
 	maxConfigDelay = 2 * time.Second
-	// quietPeriod is how long VMs must have been without unplanned faults before checks
-	// apply that unplanned faults may violate.
+	// quietPeriod is how long some checks are skipped after an unplanned fault. They are the
+	// checks that such a fault may violate.
 	quietPeriod = 3 * time.Second
-	// In each period of retryBudgetWindow that starts with a retry, retries may not exceed
-	// retryBudgetRatio of the requests plus retryBudgetSlack. The requests of the half window
-	// before the period count too.
+	// retryBudgetWindow is the length of the windows in which retries are counted. A window
+	// starts at every retry.
 	retryBudgetWindow = 10 * time.Second
-	retryBudgetRatio  = 0.2
-	retryBudgetSlack  = 40.0
-	// maxViolations bounds the violations that are recorded.
+	// retryBudgetRatio is the number of retries that a window may have for each request.
+	// Requests sent in the window or in the half window before it count.
+	retryBudgetRatio = 0.2
+	// retryBudgetSlack is the number of further retries that a window may have.
+	retryBudgetSlack = 40.0
+	// maxViolations is the maximum number of violations that are recorded.
 	maxViolations = 20
 )
 
-// requestRecord is the history of a request that a caller sent once, with one attempt id.
+// requestRecord records what happened to one attempt of a caller to send a request. Each
+// attempt has its own attempt id.
 type requestRecord struct {
-	sentAt          time.Time
-	unsafe          bool
-	service         string
-	executions      int
+	sentAt time.Time
+	// unsafe is set if the request is not idempotent.
+	unsafe bool
+	// callerService is the service of the caller.
+	callerService string
+	// executions is the number of times that upstreams started the request.
+	executions int
+	// toldNotExecuted is set when the response tells the caller that the request did not run.
 	toldNotExecuted bool
-	// crashKey identifies a request that crashes upstreams and is sent with many attempt ids.
-	// It is empty for all other requests.
+	// crashKey identifies a request that crashes upstreams. Such a request is sent with many
+	// attempt ids. For all other requests crashKey is empty.
 	crashKey string
 	// undisturbed reports whether the VM of the request's daemon has been without
-	// unplanned faults for quietPeriod. It is set together with crashKey.
+	// unplanned faults for quietPeriod. It is nil if crashKey is empty.
 	undisturbed func() bool
 }
 
 // checker checks what callers and upstreams observe against the guarantees of the system.
 type checker struct {
-	// safetyOnly skips the checks that depend on the speed of the machine.
+	// safetyOnly turns off the checks that depend on the speed of the machine.
 	safetyOnly bool
 
 	mu sync.Mutex
@@ -72,15 +78,18 @@
 }
 
 const (
-	// quarantineThreshold is the number of crashes after which a request must be
-	// quarantined at every daemon within quietPeriod. Later attempts of the request may
-	// cause at most maxLateCrashes.
+	// quarantineThreshold is the number of crashes that one request may cause before it is
+	// quarantined. All daemons must quarantine the request within quietPeriod after the last
+	// of these crashes.
 	quarantineThreshold = 3
-	maxLateCrashes      = 3
+	// maxLateCrashes is the number of crashes that attempts of the request may still cause
+	// if they are sent after this time.
+	maxLateCrashes = 3
+	// poisonAttemptPrefix starts the attempt ids of requests that crash upstreams.
 	poisonAttemptPrefix = "poison-"
-	// maxCrashes bounds the crashes caused by one request on a machine of any speed. At a
-	// load average of 90 on 8 cores there are 8 to 10 crashes, and 21 to 23 without a
-	// quarantine.
+	// maxCrashes is the number of crashes that one request may cause on a machine of any
+	// speed. It is checked only if safetyOnly is set. At a load average of 90 on 8 cores a
+	// request causes 8 to 10 crashes, and 21 to 23 without a quarantine.
 	maxCrashes = 16
 )
 
@@ -88,14 +97,14 @@
 	return &checker{requests: make(map[string]*requestRecord), drainedAt: make(map[string]time.Time), crashes: make(map[string]*crashCount)}
 }
 
-// addViolationLocked records a violation. c.mu is held.
+// addViolationLocked records a violation. The caller must hold c.mu.
 func (c *checker) addViolationLocked(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// addViolation records a violation found outside the checker.
+// addViolation records a violation that was found by code outside the checker.
 func (c *checker) addViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,16 +118,17 @@
 	return append([]string(nil), c.violations...)
 }
 
-// recordSent records a request that is about to be sent.
+// recordSent records an attempt that is about to be sent by a caller of a service.
 func (c *checker) recordSent(attempt, service string, unsafe bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.requests[attempt] = &requestRecord{sentAt: now, unsafe: unsafe, service: service}
+	c.requests[attempt] = &requestRecord{sentAt: now, unsafe: unsafe, callerService: service}
 	c.sendTimes = append(c.sendTimes, now)
 }
 
-// RequestStarted implements platformtest.Observer.
+// RequestStarted records that an upstream has started a request, and checks that the request was
+// allowed to run there. It implements platformtest.Observer.
 func (c *checker) RequestStarted(u *platformtest.Upstream, attempt, caller string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,16 +150,16 @@
 	if rec.crashKey != "" {
 		c.recordCrash(rec)
 	}
-	if caller != rec.service {
-		c.addViolationLocked("caller: %s was sent by service %s and reached the upstream as sent by %s", attempt, rec.service, caller)
+	if caller != rec.callerService {
+		c.addViolationLocked("caller: %s was sent by service %s and reached the upstream as sent by %s", attempt, rec.callerService, caller)
 	}
 	if at, ok := c.drainedAt[u.Incarnation()]; ok && time.Since(at) > drainAllowance {
 		c.addViolationLocked("drain: %s ran at %s %s after the drain was acknowledged", attempt, u.ID(), time.Since(at).Round(time.Millisecond))
 	}
 }
 
-// recordPoison records that a request crashes upstreams. Attempts with the same key belong to
-// one request.
+// recordPoison records that the request of an attempt crashes upstreams. Attempts with the same
+// key belong to one request. undisturbed is stored in the record of the attempt.
 func (c *checker) recordPoison(attempt, key string, undisturbed func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,36 +169,38 @@
 	}
 }
 
-// recordCrash counts one crash caused by a request and checks the bounds. c.mu is held.
+// recordCrash counts one crash that a request has caused and checks the bounds on crashes. The
+// caller must hold c.mu.
 func (c *checker) recordCrash(rec *requestRecord) {
-	k := c.crashes[rec.crashKey]
-	k.total++
+	count := c.crashes[rec.crashKey]
+	count.total++
 	if c.safetyOnly {
-		if k.total == maxCrashes+1 {
+		if count.total == maxCrashes+1 {
 			c.addViolationLocked("poison: a request crashed upstreams more than %d times", maxCrashes)
 		}
 		return
 	}
 	switch {
-	case k.total == quarantineThreshold:
-		k.thresholdAt = time.Now()
-	case k.total > quarantineThreshold && rec.sentAt.Sub(k.thresholdAt) > quietPeriod && rec.undisturbed():
-		if k.late++; k.late == maxLateCrashes+1 {
-			c.addViolationLocked("poison: a request still crashed upstreams %s after its third crash, %d crashes in total", rec.sentAt.Sub(k.thresholdAt).Round(time.Millisecond), k.total)
+	case count.total == quarantineThreshold:
+		count.thresholdAt = time.Now()
+	case count.total > quarantineThreshold && rec.sentAt.Sub(count.thresholdAt) > quietPeriod && rec.undisturbed():
+		if count.late++; count.late == maxLateCrashes+1 {
+			c.addViolationLocked("poison: a request still crashed upstreams %s after its third crash, %d crashes in total", rec.sentAt.Sub(count.thresholdAt).Round(time.Millisecond), count.total)
 		}
 	}
 }
 
-// resetCrashCounts restarts the counts that are bounded by maxCrashes. It is called when all
-// daemons are killed at once: they keep the quarantine in memory only, so it is lost.
+// resetCrashCounts sets the crash counts that are checked against maxCrashes to 0. Without
+// safetyOnly there are none, and it does nothing. It is called when all daemons are killed at
+// once: daemons keep the quarantine only in memory, so the quarantine is lost.
 func (c *checker) resetCrashCounts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.safetyOnly {
 		return
 	}
-	for _, k := range c.crashes {
-		k.total = 0
+	for _, count := range c.crashes {
+		count.total = 0
 	}
 }
 
@@ -235,20 +247,20 @@
 	}
 }
 
-// checkRetryBudget checks that the repeated executions in every window stay within the
-// retry budget.
+// checkRetryBudget checks the retry budget in every window of retryBudgetWindow. It counts
+// repeated executions of idempotent requests as retries.
 func (c *checker) checkRetryBudget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, from := range c.repeatTimes {
+	for _, windowStart := range c.repeatTimes {
 		repeats, requests := 0.0, 0.0
 		for _, t := range c.repeatTimes {
-			if !t.Before(from) && t.Sub(from) < retryBudgetWindow {
+			if !t.Before(windowStart) && t.Sub(windowStart) < retryBudgetWindow {
 				repeats++
 			}
 		}
 		for _, t := range c.sendTimes {
-			if d := t.Sub(from); d > -retryBudgetWindow/2 && d < retryBudgetWindow {
+			if d := t.Sub(windowStart); d > -retryBudgetWindow/2 && d < retryBudgetWindow {
 				requests++
 			}
 		}
--- a/standin/run.go
+++ b/standin/run.go
@@ -7,9 +7,11 @@
 )
 
 const (
+	// announceInterval is the time between two announcements of an upstream.
 	announceInterval = time.Second
 	// drainTimeout bounds the wait for executing requests at the end of Run.
-	drainTimeout      = 30 * time.Second
+	drainTimeout = 30 * time.Second
+	// drainPollInterval is the time between two checks for executing requests.
 	drainPollInterval = 20 * time.Millisecond
 )
 
@@ -17,32 +19,34 @@
 var errRequestsRunning = errors.New("requests still running at the end of the drain timeout")
 
 // Run announces the upstream to the daemon at an admin address and repeats the
-// announcement regularly until the context ends. Then it announces that the
-// upstream drains, waits for executing requests, and closes the upstream. After a
-// failed announcement it calls failed and continues.
-func (u *Upstream) Run(ctx context.Context, admin string, incarnation uint64, failed func(error)) error {
+// announcement every second until the context ends. After a failed announcement it
+// calls announceFailed with the error and continues. When the context has ended, Run
+// announces that the upstream drains, waits for executing requests, and closes the
+// upstream. It returns the errors of these last steps.
+func (u *Upstream) Run(ctx context.Context, adminAddress string, incarnation uint64, announceFailed func(error)) error {
 	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	for {
-		if err := u.Announce(ctx, admin, incarnation, false); err != nil && ctx.Err() == nil {
-			failed(err)
+		if err := u.Announce(ctx, adminAddress, incarnation, false); err != nil && ctx.Err() == nil {
+			announceFailed(err)
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(u.drain(admin, incarnation), u.Close())
+			return errors.Join(u.drain(adminAddress, incarnation), u.Close())
 		case <-tick.C:
 		}
 	}
 }
 
-// drain announces that the upstream drains and waits for the executing requests.
-func (u *Upstream) drain(admin string, incarnation uint64) error {
+// drain announces that the upstream drains and waits for the executing requests. It
+// returns errRequestsRunning after drainTimeout.
+func (u *Upstream) drain(adminAddress string, incarnation uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	if err := u.Announce(ctx, admin, incarnation, true); err != nil {
+	if err := u.Announce(ctx, adminAddress, incarnation, true); err != nil {
 		return err
 	}
-	for len(u.slots) > 0 {
+	for len(u.executing) > 0 {
 		select {
 		case <-ctx.Done():
 			return errRequestsRunning
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -15,14 +15,17 @@
 
 // Request headers that control an Upstream.
 const (
-	// HeaderServiceTime is the service time of the request, as a Go duration.
+	// HeaderServiceTime holds the service time of the request, as a Go duration. The
+	// service time is how long the upstream takes to execute the request.
 	HeaderServiceTime = "X-Cost"
-	// HeaderRequest is the name of the request. The response has the same header.
+	// HeaderRequest holds the name that the caller gives to the request. The upstream
+	// copies the header to the response and counts executions by this name.
 	HeaderRequest = "X-Request"
-	// HeaderExtraBytes is the number of zero bytes to append to the response body.
+	// HeaderExtraBytes holds the number of zero bytes to append to the response body.
 	HeaderExtraBytes = "X-Answer-Bytes"
 )
 
+// defaultServiceTime is the service time of a request without a valid HeaderServiceTime.
 const defaultServiceTime = time.Millisecond
 
 // LoadPath is the path at which an Upstream reports its load.
@@ -30,22 +33,24 @@
 
 // Upstream is a stand-in upstream that listens on a loopback address.
 type Upstream struct {
-	ID      string
+	// ID is the id under which the upstream announces itself.
+	ID string
+	// Service is the name of the service to which the upstream belongs.
 	Service string
 	// Slots is the number of requests that may execute at once.
 	Slots int
 
-	// slots holds an element for each executing request.
-	slots    chan struct{}
-	listener net.Listener
-	server   *http.Server
+	// executing holds an element for each executing request. Its capacity is Slots.
+	executing chan struct{}
+	listener  net.Listener
+	server    *http.Server
 
 	mu sync.Mutex
 	// runs counts the executions by request name.
 	runs map[string]int
 }
 
-// Start starts an upstream on a loopback port.
+// Start starts an upstream on a loopback port. It does not announce the upstream.
 func Start(id, service string, slots int) (*Upstream, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,9 +58,9 @@
 	}
 	u := &Upstream{
 		ID: id, Service: service, Slots: slots,
-		slots:    make(chan struct{}, slots),
-		listener: ln,
-		runs:     make(map[string]int),
+		executing: make(chan struct{}, slots),
+		listener:  ln,
+		runs:      make(map[string]int),
 	}
 	u.server = &http.Server{Handler: u}
 	go func() { _ = u.server.Serve(ln) }()
@@ -68,7 +73,7 @@
 // Close closes the listener and all connections.
 func (u *Upstream) Close() error { return u.server.Close() }
 
-// Runs returns the number of executions of each request by its name.
+// Runs returns the number of executions of each request, by the name in HeaderRequest.
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -84,16 +89,16 @@
 // request ends early without a response.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == LoadPath {
-		_, _ = fmt.Fprintf(w, `{"running": %d}`, len(u.slots))
+		_, _ = fmt.Fprintf(w, `{"running": %d}`, len(u.executing))
 		return
 	}
 	name := r.Header.Get(HeaderRequest)
 	select {
-	case u.slots <- struct{}{}:
+	case u.executing <- struct{}{}:
 	case <-r.Context().Done():
 		return
 	}
-	defer func() { <-u.slots }()
+	defer func() { <-u.executing }()
 	u.countRun(name)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -111,8 +116,8 @@
 	}
 }
 
-// maxCountedRequests bounds the number of names whose executions are counted. Further
-// names are ignored.
+// maxCountedRequests is the number of request names whose executions are counted.
+// Executions under further names are not counted.
 const maxCountedRequests = 1 << 20
 
 func (u *Upstream) countRun(name string) {
@@ -140,8 +145,9 @@
 }
 
 // Announce registers the upstream with the daemon at an admin address, or renews its
-// registration.
-func (u *Upstream) Announce(ctx context.Context, admin string, incarnation uint64, draining bool) error {
+// registration. With draining it tells the daemon to send no new requests to the
+// upstream. Any response but status 204 is an error.
+func (u *Upstream) Announce(ctx context.Context, adminAddress string, incarnation uint64, draining bool) error {
 	body, err := json.Marshal(map[string]any{
 		"service": u.Service, "address": u.Address(), "slots": u.Slots,
 		"incarnation": incarnation, "draining": draining, "load_path": LoadPath,
@@ -149,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	url := "http://" + admin + "/v1/upstreams/" + u.ID
+	url := "http://" + adminAddress + "/v1/upstreams/" + u.ID
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
 		return err
