--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -15,8 +15,8 @@
 // time per call of Plan.
 func BenchmarkGrants(b *testing.B) {
 	const (
-		virtual = 10 * time.Minute
-		tick    = time.Second
+		simulatedTime = 10 * time.Minute
+		tick          = time.Second
 	)
 	for _, n := range []int{10, 100, 500, 1000, 1700} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -27,7 +27,7 @@
 				planners := newPlanners(n)
 				offset := uint64(0)
 				start := Stamp(1_700_000_000_000)
-				for now := start; now < start+Stamp(virtual.Milliseconds()); now += Stamp(tick.Milliseconds()) {
+				for now := start; now < start+Stamp(simulatedTime.Milliseconds()); now += Stamp(tick.Milliseconds()) {
 					for _, p := range planners {
 						planCalls++
 						if g := p.Plan(l, now); g != nil {
@@ -40,8 +40,8 @@
 					}
 				}
 			}
-			b.ReportMetric(float64(appends)/virtual.Seconds(), "appends/s")
-			b.ReportMetric(float64(bytes)/virtual.Seconds(), "bytes/s")
+			b.ReportMetric(float64(appends)/simulatedTime.Seconds(), "appends/s")
+			b.ReportMetric(float64(bytes)/simulatedTime.Seconds(), "bytes/s")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(planCalls), "ns/plan")
 		})
 	}
@@ -65,8 +65,8 @@
 // an answer of 200 bytes.
 func BenchmarkMemory(b *testing.B) {
 	const claims = 50_000
-	for _, body := range []int{0, 200} {
-		b.Run(fmt.Sprintf("answer=%d", body), func(b *testing.B) {
+	for _, answerSize := range []int{0, 200} {
+		b.Run(fmt.Sprintf("answer=%d", answerSize), func(b *testing.B) {
 			l := ledgerOwnedBy(self, 1<<40)
 			var before, after runtime.MemStats
 			for b.Loop() {
@@ -77,8 +77,8 @@
 					r := newRequest(Stamp(i), i, "sorter-1")
 					table.Begin(l, r)
 					var a *Answer
-					if body > 0 {
-						a = &Answer{Status: 200, Body: make([]byte, body), Header: map[string][]string{"Content-Type": {"application/json"}}}
+					if answerSize > 0 {
+						a = &Answer{Status: 200, Body: make([]byte, answerSize), Header: map[string][]string{"Content-Type": {"application/json"}}}
 					}
 					table.Finish(r.ID, outcome.Answered, a)
 				}
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -36,11 +36,12 @@
 }
 
 const (
-	// renewDivisor sets when the first candidate renews a range: when the grant
-	// length divided by renewDivisor is left.
+	// renewDivisor sets when the first candidate renews a range. It does so when the
+	// time left of the last grant is the grant length divided by renewDivisor.
 	renewDivisor = 2
-	// rankDelayDivisor sets how much longer each further candidate waits: the grant
-	// length divided by rankDelayDivisor.
+	// rankDelayDivisor sets how much longer each candidate waits before it renews a
+	// range than the candidate ranked before it. The difference is the grant length
+	// divided by rankDelayDivisor.
 	rankDelayDivisor = 8
 	// startupDivisor sets the length of a Planner's startup phase, and of the grants
 	// that it requests during that phase. Both are the full grant length divided by
@@ -66,20 +67,20 @@
 		hashes[i] = xxhash.Sum64String(string(d))
 		isCandidate = isCandidate || d == p.self.Daemon
 	}
-	own := xxhash.Sum64String(string(p.self.Daemon))
+	selfHash := xxhash.Sum64String(string(p.self.Daemon))
 	for r := range p.ranks {
 		p.ranks[r] = notCandidate
 		if isCandidate {
-			p.ranks[r] = rankOf(own, hashes, uint64(r))
+			p.ranks[r] = rankOf(selfHash, hashes, uint64(r))
 		}
 	}
 }
 
 // rankOf returns the rank of a candidate for a range: the number of candidates that
-// have a higher hash score. The argument own is the hash of the candidate's id, and
-// hashes are the hashes of all candidates' ids.
-func rankOf(own uint64, hashes []uint64, r uint64) uint16 {
-	score := mix(own ^ mix(r))
+// have a higher hash score. candidateHash is the hash of the candidate's ID. hashes are
+// the hashes of the IDs of all candidates.
+func rankOf(candidateHash uint64, hashes []uint64, r uint64) uint16 {
+	score := mix(candidateHash ^ mix(r))
 	rank := 0
 	for _, h := range hashes {
 		if mix(h^mix(r)) > score {
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -66,13 +66,13 @@
 	require.True(t, ok)
 	require.Equal(t, "x", single.Address)
 	const draws = 8000
-	all, remote := newMembers(5, 30), 0
+	all, remoteDraws := newMembers(5, 30), 0
 	for range draws {
 		if m, _ := selector.AntiEntropyPeer(all); m.Zone != selector.Zone {
-			remote++
+			remoteDraws++
 		}
 	}
-	require.InDelta(t, crossZoneShare, float64(remote)/draws, 0.02)
+	require.InDelta(t, crossZoneShare, float64(remoteDraws)/draws, 0.02)
 }
 
 func TestAntiEntropyTimer(t *testing.T) {
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -32,11 +32,11 @@
 	shrinkRatio = 1.5
 	// growRatio is the value of the same ratio below which the limit is raised.
 	growRatio = 1.2
-	// shrinkAfter is the number of consecutive windows above shrinkRatio that lower the
-	// limit.
+	// shrinkAfter is the number of consecutive windows after which the limit is lowered if
+	// the ratio is above shrinkRatio in each of them.
 	shrinkAfter = 2
-	// growAfter is the number of windows between growRatio and shrinkRatio that raise the
-	// limit. A limit lowered by mistake thus rises again.
+	// growAfter is the number of windows with a ratio between growRatio and shrinkRatio
+	// after which the limit is raised. A limit lowered by mistake thus rises again.
 	growAfter = 8
 	// meanWeight makes the recent mean slot time cover about 32 requests.
 	meanWeight = 1.0 / 32
@@ -73,10 +73,12 @@
 	// probeRemaining counts the samples that the current probe still needs. It is 0 if no
 	// probe is running.
 	probeRemaining int
-	// contendedWindows counts consecutive windows above shrinkRatio.
+	// contendedWindows counts consecutive windows whose ratio is above shrinkRatio.
 	contendedWindows int
-	// stableWindows counts windows between growRatio and shrinkRatio. A window below
-	// growRatio sets it to growAfter, so that the limit is raised at once.
+	// stableWindows counts the windows whose ratio is between growRatio and shrinkRatio.
+	// They need not be consecutive. A window whose ratio is below growRatio sets
+	// stableWindows to growAfter, so that the limit is raised at once. The count restarts
+	// whenever the limit is changed.
 	stableWindows int
 }
 
@@ -167,9 +169,9 @@
 	l.adjustLimit()
 }
 
-// adjustLimit lowers the limit after shrinkAfter consecutive contended windows. It raises
-// the limit after one window below growRatio, or after growAfter windows between growRatio
-// and shrinkRatio.
+// adjustLimit lowers the limit after shrinkAfter consecutive windows with a ratio above
+// shrinkRatio. It raises the limit after one window with a ratio below growRatio, or after
+// growAfter windows with a ratio between growRatio and shrinkRatio.
 func (l *Limiter) adjustLimit() {
 	switch {
 	case l.contendedWindows >= shrinkAfter:
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -223,11 +223,11 @@
 		chosen, alternative = bestLocal, best
 	}
 	chosen.candidate.inFlight++
-	age := now.Sub(chosen.candidate.loadAt)
+	loadAge := now.Sub(chosen.candidate.loadAt)
 	if !chosen.candidate.hasLoad {
-		age = math.MaxInt64
+		loadAge = math.MaxInt64
 	}
-	return Choice{Upstream: chosen.candidate.upstream, Expected: chosen.expected, Alternative: alternative.expected, Age: age}, true
+	return Choice{Upstream: chosen.candidate.upstream, Expected: chosen.expected, Alternative: alternative.expected, Age: loadAge}, true
 }
 
 // scoredCandidate is a candidate for a request, with its score.
--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -29,12 +29,12 @@
 // it returns all of them, sorted, and a nil Set.
 func Compile(docs []Document) (*Set, []Problem) {
 	c := &compiler{set: &Set{
-		services:      make(map[model.ServiceName]*Service),
-		hosts:         make(map[string]model.ServiceName),
-		callers:       make(map[model.CallerName]Caller),
-		tokens:        make(map[[sha256.Size]byte]Caller),
-		certificates:  make(map[string]Caller),
-		serviceLabels: make(map[model.ServiceName]model.Labels),
+		services:             make(map[model.ServiceName]*Service),
+		hosts:                make(map[string]model.ServiceName),
+		callers:              make(map[model.CallerName]Caller),
+		callersByToken:       make(map[[sha256.Size]byte]Caller),
+		callersByCertificate: make(map[string]Caller),
+		serviceLabels:        make(map[model.ServiceName]model.Labels),
 	}}
 	sorted := slices.Clone(docs)
 	slices.SortStableFunc(sorted, func(a, b Document) int { return cmp.Compare(a.Key(), b.Key()) })
@@ -156,22 +156,22 @@
 			continue
 		}
 		key := [sha256.Size]byte(digest)
-		if owner, taken := c.set.tokens[key]; taken && owner.Name != caller.Name {
+		if owner, taken := c.set.callersByToken[key]; taken && owner.Name != caller.Name {
 			c.addProblem(d, path, h, "already belongs to caller "+string(owner.Name))
 			continue
 		}
-		c.set.tokens[key] = caller
+		c.set.callersByToken[key] = caller
 	}
 	for i, name := range spec.CertificateNames {
 		path := fmt.Sprintf("spec.certificate_names[%d]", i)
-		owner, taken := c.set.certificates[name]
+		owner, taken := c.set.callersByCertificate[name]
 		switch {
 		case name == "":
 			c.addProblem(d, path, name, "must not be empty")
 		case taken && owner.Name != caller.Name:
 			c.addProblem(d, path, name, "already belongs to caller "+string(owner.Name))
 		default:
-			c.set.certificates[name] = caller
+			c.set.callersByCertificate[name] = caller
 		}
 	}
 }
--- a/core/policy/selector.go
+++ b/core/policy/selector.go
@@ -157,8 +157,9 @@
 	return term{}, fmt.Errorf("term %q: unknown operator %q, want in or notin", s, fields[1])
 }
 
-// newTerm returns a term, or an error that quotes text when the key or a value is
-// invalid.
+// newTerm returns the term with the given key, operation and values. It returns an
+// error if the key or a value is invalid. text is the source text of the term and is
+// quoted in the error message.
 func newTerm(text, key string, op operation, values ...string) (term, error) {
 	t := term{key: strings.TrimSpace(key), op: op}
 	if !validLabelKey(t.key) {
--- a/core/policy/set.go
+++ b/core/policy/set.go
@@ -20,13 +20,13 @@
 // Set is a compiled configuration. It is immutable.
 type Set struct {
 	services map[model.ServiceName]*Service
-	// hosts holds the service of each host. The host names are in lower case.
+	// hosts maps each host name, in lower case, to its service.
 	hosts   map[string]model.ServiceName
 	callers map[model.CallerName]Caller
-	// tokens holds callers by the SHA-256 digest of their bearer tokens.
-	tokens map[[sha256.Size]byte]Caller
-	// certificates holds callers by the subject name of their certificate.
-	certificates map[string]Caller
+	// callersByToken maps the SHA-256 digest of each bearer token to its caller.
+	callersByToken map[[sha256.Size]byte]Caller
+	// callersByCertificate maps the subject name of each certificate to its caller.
+	callersByCertificate map[string]Caller
 	// policies is sorted by priority, highest first, then by name.
 	policies []sharingPolicy
 	// serviceLabels holds the labels of each service.
@@ -77,13 +77,13 @@
 
 // CallerByToken returns the caller that a bearer token belongs to.
 func (s *Set) CallerByToken(token string) (Caller, bool) {
-	c, ok := s.tokens[sha256.Sum256([]byte(token))]
+	c, ok := s.callersByToken[sha256.Sum256([]byte(token))]
 	return c, ok
 }
 
 // CallerByCertificate returns the caller that a certificate subject name belongs
 // to.
 func (s *Set) CallerByCertificate(name string) (Caller, bool) {
-	c, ok := s.certificates[name]
+	c, ok := s.callersByCertificate[name]
 	return c, ok
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -99,8 +99,8 @@
 	Caller      model.CallerName  `json:"caller"`
 	// Request is method and target, truncated to maxRequestBytes.
 	Request string `json:"request"`
-	// Crashes are the crashes during which the request was running since it was
-	// last cleared. Only the oldest maxCrashes are kept.
+	// Crashes are the crashes after ClearedAt during which the request was
+	// running. Only the oldest maxCrashes are kept.
 	Crashes []CrashReport `json:"deaths,omitempty"`
 	// ClearedAt is when the request last got a complete response or was released
 	// by an operator, in Unix milliseconds. Crashes up to ClearedAt do not count.
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// maxRecords is the maximum number of records in a Table. A full Table
-	// evicts a record, preferably of a request that was never quarantined. Among
-	// these, it evicts the record with the fewest crashes, and of several such
-	// records the one whose last update is the oldest. Records under quarantine
-	// are never evicted. A full Table that contains only records under quarantine
-	// accepts no others.
+	// maxRecords is the maximum number of records in a Table. A full Table evicts
+	// the least important record (see comparePriority) to accept a new one.
+	// Records of requests that were never quarantined are evicted first. Of
+	// these, the record with the fewest crashes is evicted first. Of several
+	// records with equally few crashes, the one whose last update is the oldest
+	// is evicted first. Records under quarantine are never evicted. A full Table
+	// that contains only records under quarantine accepts no others.
 	maxRecords = 1024
 	// maxCrashes is the maximum number of crashes stored per request.
 	maxCrashes = 4
@@ -213,9 +214,9 @@
 }
 
 // unattributed returns the crashes of a record that may count against its request.
-// It leaves out the crashes that are recorded for another request of the same
-// service that is already under quarantine: such crashes are attributed to that
-// request.
+// It leaves out every crash that is also in the record of another request of the
+// same service if that request is already under quarantine. Such a crash is
+// attributed to that other request.
 func (t *Table) unattributed(now int64, in Record) []CrashReport {
 	var out []CrashReport
 	for _, c := range in.Crashes {
@@ -242,7 +243,7 @@
 		r.QuarantinedAt, r.Until, changed = in.QuarantinedAt, in.Until, true
 	}
 	for _, c := range in.Crashes {
-		i := slices.IndexFunc(r.Crashes, func(own CrashReport) bool { return own.Crash == c.Crash })
+		i := slices.IndexFunc(r.Crashes, func(stored CrashReport) bool { return stored.Crash == c.Crash })
 		switch {
 		case i >= 0 && c.At > r.Crashes[i].At:
 			r.Crashes[i].At, changed = c.At, true
@@ -261,8 +262,9 @@
 	return len(r.Crashes) < maxCrashes || c.compare(slices.MaxFunc(r.Crashes, CrashReport.compare)) < 0
 }
 
-// add adds to the table an empty record for the same request as the given record,
-// and returns it. It returns nil if the table is full and nothing can be evicted.
+// add creates a record for the same request as in and returns it. The new record
+// has no crashes yet. add returns nil if the table is full and nothing can be
+// evicted.
 func (t *Table) add(now int64, in Record) *Record {
 	if len(t.records) >= maxRecords && !t.evict(now, &in) {
 		return nil
@@ -292,7 +294,7 @@
 
 // quarantine quarantines a request together with the other requests that ran
 // during all of its crashes. If these are more than maxQuarantinedTogether
-// requests in total, quarantine does nothing: the crashes do not tell which
+// requests in total, quarantine does nothing. The crashes then do not tell which
 // request is the cause, and most of the requests would be refused by mistake.
 func (t *Table) quarantine(r *Record) {
 	rule := t.opts.Rule(r.Service)
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -29,8 +29,7 @@
 	// lastLoadReplyAt is when the last reply that carried a load was received. Only the
 	// upstream's daemon sends loads, so the upstream's zone was reachable at that time.
 	lastLoadReplyAt model.Instant
-	// rampEnd is the instant from which the upstream may use its full capacity. See
-	// rampFraction.
+	// rampEnd is when the upstream may first use its full capacity. See rampFraction.
 	rampEnd     model.Instant
 	queueShares queueShares
 	health
@@ -141,12 +140,12 @@
 }
 
 const (
-	// stuckUnanswered is the number of unanswered requests from which an upstream may
-	// count as stuck. The silence must also be long enough; see stuckSilence.
+	// stuckUnanswered is the lowest number of unanswered requests at which an upstream
+	// can count as stuck. The silence must also be long enough; see stuckSilence.
 	stuckUnanswered = 2
 	// stuckSilence is the longest silence that is expected of an upstream, in typical
 	// service times and in addition to the round trip. An upstream that is silent for
-	// longer counts as stuck if stuckUnanswered requests are unanswered.
+	// longer counts as stuck if at least stuckUnanswered requests are unanswered.
 	stuckSilence = 4
 )
 
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -26,17 +26,18 @@
 	// penalty. The fuller an upstream is, the likelier its last slot is taken before the
 	// request arrives.
 	occupancyCost = 0.2
-	// jitter bounds the random part of a score, in typical service times. It spreads
-	// the requests of entries that see the same upstream idle.
+	// jitter is the upper bound of the random part of a score, in typical service times.
+	// Without the random part, entries that know the same upstream to be idle would all
+	// choose it at the same time.
 	jitter = 0.05
 	// maxRejectionRTT is the longest round trip at which a request gets a queue timeout of
 	// zero, as a share of the typical service time. Over a longer round trip, a rejection
 	// would cost too much time.
 	maxRejectionRTT = 0.25
-	// saturation is the number of requests, as a multiple of the limit, from which an
-	// upstream counts as saturated. A request placed at a saturated upstream may wait
-	// there until its deadline. As the best upstream was chosen, all others are about as
-	// full, and rejections would only cost round trips.
+	// saturation is a multiple of an upstream's limit. An upstream with at least that many
+	// requests counts as saturated. A request placed at a saturated upstream may wait
+	// there until its deadline. A rejection would only cost a round trip: since the best
+	// upstream was chosen, all others are about as full.
 	saturation = 2
 	// defaultServiceTime is the typical service time assumed until one is known, in
 	// nanoseconds.
--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -16,15 +16,15 @@
 	slowerFactor = 1.25
 	// slowerMargin is added to the bound for SlowerHere.
 	slowerMargin = 10 * time.Millisecond
-	// usefulShare is the share of the time until its deadline that a request may take if
+	// deadlineShare is the share of the time until its deadline that a request may take if
 	// it cannot meet its target. Beyond that, its caller is better off retrying later.
-	usefulShare = 0.5
-	// urgentUsefulShare replaces usefulShare for requests of all ranks but the last. Nested
-	// calls are an example: their parent fails without them. Refusing a nested call wastes
-	// the work already done for its parent. The larger share increased the value of the
-	// completed requests by a tenth in a mesh whose nested calls were short of slots. There,
-	// parents took 60 ms and nested calls 15 ms.
-	urgentUsefulShare = 0.85
+	deadlineShare = 0.5
+	// urgentDeadlineShare replaces deadlineShare for requests of all ranks but the last.
+	// Nested calls are an example: their parent fails without them. Refusing a nested call
+	// wastes the work already done for its parent. The larger share increased the value of
+	// the completed requests by a tenth in a mesh whose nested calls were short of slots.
+	// There, parents took 60 ms and nested calls 15 ms.
+	urgentDeadlineShare = 0.85
 )
 
 // Arrival is a request that arrives at an upstream's guard.
@@ -33,7 +33,8 @@
 	Rank int
 	// Kind identifies the route of the request; see Item.Kind.
 	Kind Kind
-	// Urgent is set if the request's rank comes before the last one.
+	// Urgent is set if some route has a lower priority than the request, that is, if the
+	// request does not have the last rank.
 	Urgent bool
 	// ServiceTime is the usual service time of the request.
 	ServiceTime time.Duration
@@ -76,9 +77,9 @@
 	if a.Alternative > 0 && expected > time.Duration(slowerFactor*float64(a.Alternative))+slowerMargin {
 		return Item{}, SlowerHere, expected
 	}
-	share := usefulShare
+	share := deadlineShare
 	if a.Urgent {
-		share = urgentUsefulShare
+		share = urgentDeadlineShare
 	}
 	usefulTime := max(a.UntilTarget, time.Duration(share*float64(a.UntilDeadline)))
 	if q.running >= q.limit && expected > usefulTime {
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -43,9 +43,9 @@
 	Target model.Instant
 	// Deadline is when the request must complete.
 	Deadline model.Instant
-	// UsefulUntil is when the request must complete to be worth waiting for. A request
-	// that would complete later runs only if a slot is free at once. Zero means that only
-	// Deadline counts.
+	// UsefulUntil is the latest completion time at which the request is still worth the
+	// wait. A request that would complete later runs only if a slot is free at once. Zero
+	// means that only Deadline counts.
 	UsefulUntil model.Instant
 	// WaitUntil is when the queue timeout of the request expires. If the request has not
 	// started by then, the guard rejects it, so that its entry can choose another
@@ -71,16 +71,16 @@
 	TooLate
 )
 
-// Decision is one request that leaves the queue, and the reason.
+// Decision identifies a request that leaves the queue, and says why it leaves.
 type Decision struct {
 	ID     uint64
 	Reason DequeueReason
 }
 
 const (
-	// lastRankInterval is the number of starts of which one goes to the last rank, even if
-	// requests of lower ranks wait. With one in eight, seven eighths of the capacity follow
-	// the regular order of ranks.
+	// lastRankInterval sets how often the last rank comes first. One of every
+	// lastRankInterval starts goes to it, even if requests of lower ranks wait. With one in
+	// eight, seven eighths of the capacity follow the regular order of ranks.
 	lastRankInterval = 8
 )
 
@@ -178,8 +178,10 @@
 	return q.dequeue(best, Start), true
 }
 
-// NextWakeup returns the next instant at which Next may return a request even if no
-// request arrives or ends before. Zero means that there is no such instant.
+// NextWakeup returns when Next must be called again after it has returned false. Before
+// that instant, no request leaves the queue unless a request arrives or ends. Zero means
+// that no request is waiting. slowdown is the current service time relative to the usual
+// one.
 func (q *Queue) NextWakeup(slowdown float64) model.Instant {
 	var wakeup model.Instant
 	for i := range q.items {
@@ -257,7 +259,7 @@
 	return end.Add(-scaled(i.ServiceTime, slowdown))
 }
 
-// dequeue removes the i-th waiting request and returns the decision about it.
+// dequeue removes the i-th waiting request and returns its ID with the given reason.
 func (q *Queue) dequeue(i int, reason DequeueReason) Decision {
 	d := Decision{ID: q.items[i].ID, Reason: reason}
 	q.removeAt(i)
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -13,7 +13,6 @@
 // at returns the instant ms milliseconds after the origin.
 func at(ms int) model.Instant { return model.Instant(0).Add(time.Duration(ms) * time.Millisecond) }
 
-// ms is one millisecond.
 const ms = time.Millisecond
 
 // newItem returns a request that arrived at 0 and has a deadline of one second. Its
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -11,8 +11,8 @@
 	// HeartbeatInterval is the time between two heartbeats of a watcher if nothing
 	// changes.
 	HeartbeatInterval = 400 * time.Millisecond
-	// heartbeatTimeout is the time after its last heartbeat from which a daemon no longer
-	// counts as a watcher.
+	// heartbeatTimeout is the time after a daemon's last heartbeat. When it has passed, the
+	// daemon no longer counts as a watcher.
 	heartbeatTimeout = 3 * HeartbeatInterval
 	// meanVolunteers is the mean number of volunteers in a cell each time its daemons find
 	// that there are too few watchers.
@@ -82,16 +82,16 @@
 func (e *Elector) SetMembers(zoneMembers []string, zones int) {
 	ordered := slices.Clone(zoneMembers)
 	slices.Sort(ordered)
-	cells := max((len(ordered)+maxCellSize-1)/maxCellSize, 1)
+	cellCount := max((len(ordered)+maxCellSize-1)/maxCellSize, 1)
 	position, ok := slices.BinarySearch(ordered, e.self)
 	if !ok {
 		e.cell, e.wantedWatchers = []string{e.self}, 1
 		return
 	}
-	size := (len(ordered) + cells - 1) / cells
+	size := (len(ordered) + cellCount - 1) / cellCount
 	first := position / size * size
 	e.cell = ordered[first:min(first+size, len(ordered))]
-	totalCells := cells * max(zones, 1)
+	totalCells := cellCount * max(zones, 1)
 	e.wantedWatchers = (minWatchers + totalCells - 1) / totalCells
 	for address := range e.heartbeats {
 		if !slices.Contains(e.cell, address) {
