--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -10,12 +10,12 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// attempt sends the request to an upstream that is not in tried and returns the
-// response and the upstream. A guard may reject a request that does not start
-// within its queue timeout. A rejected request did not run, so attempt sends it to
-// the next upstream that the router chooses. attempt reports false when the router
-// finds no upstream for the request. The parameter attempt is the number of the attempt,
-// from 0.
+// attempt sends the request to an upstream that is not in tried. It returns the
+// response and the upstream. The parameter attempt is the number of the attempt, from 0.
+//
+// A guard may reject a request that does not start within its queue timeout. A rejected
+// request did not run, so it is sent to the next upstream that the router chooses. The
+// result is false when the router finds no upstream for the request.
 func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, attempt int) (*wire.Result, model.UpstreamID, bool) {
 	for rejections := req.initialRejections(); ; rejections++ {
 		choice, ok := e.opts.Routers.Place(req.modelRequest(attempt), tried, rejections)
--- a/entry/remote.go
+++ b/entry/remote.go
@@ -15,8 +15,9 @@
 	Client *hop.Client
 	// Secret authenticates this daemon to the others.
 	Secret string
-	// OnUnreachable is called with the ID of a daemon when a call to this daemon
-	// failed before the call's context ended. It may be nil.
+	// OnUnreachable is called with the ID of another daemon when a call to that
+	// daemon failed. It is not called if the context of the call had ended.
+	// OnUnreachable may be nil.
 	OnUnreachable func(model.DaemonID)
 }
 
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -152,5 +152,5 @@
 		panic(err)
 	}
 	s.router, s.policy, s.upstreamsLoaded = router, policy, false
-	s.counters.exported = routing.Stats{}
+	s.counters.lastStats = routing.Stats{}
 }
--- a/entry/routing_counters.go
+++ b/entry/routing_counters.go
@@ -9,9 +9,9 @@
 
 // routingCounters exports the statistics of a router as counters.
 type routingCounters struct {
-	// exported holds the statistics as of the last update. Each counter below counts
-	// the field of routing.Stats with the same name.
-	exported                          routing.Stats
+	// lastStats holds the statistics as of the last update. Each counter below
+	// exports the field of routing.Stats with the same name.
+	lastStats                         routing.Stats
 	picks, rejections, crossZone      tally.Counter
 	ejections, panics                 tally.Counter
 	hedges, hedgesRefused, noUpstream tally.Counter
@@ -33,8 +33,8 @@
 
 // update adds the increase of each statistic since the last update to its counter.
 func (c *routingCounters) update(stats routing.Stats) {
-	last := c.exported
-	c.exported = stats
+	last := c.lastStats
+	c.lastStats = stats
 	addTo(c.picks, stats.Picks-last.Picks)
 	addTo(c.rejections, stats.Rejections-last.Rejections)
 	addTo(c.crossZone, stats.CrossZone-last.CrossZone)
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -17,7 +17,9 @@
 )
 
 // DefaultMeasuringBudget is the share of each upstream's slot time that may be spent
-// on polling load reports, at a service whose configuration sets no share.
+// on polling load reports. It applies to services whose configuration sets no share.
+// Slot time is time multiplied by slots: an upstream with six slots has six seconds of
+// slot time in each second.
 const DefaultMeasuringBudget = 0.005
 
 const (
@@ -160,8 +162,8 @@
 
 var errNoRunningCount = errors.New("load report has no valid number of running requests")
 
-// fetch fetches a report and returns the report and the cost of the poll. The slot
-// time is missing from the cost; poll adds the slot time.
+// fetch fetches a load report. It returns the report and the cost of the poll. The cost
+// lacks the slot time, which poll adds.
 func (p *poller) fetch(ctx context.Context, url string) (measure.Report, measure.Cost, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -203,9 +203,9 @@
 // response. It calls r.OnInformational for each informational (1xx) response
 // before the final one.
 func (c *pooledConn) readResponse(r *PoolRequest) (*http.Response, error) {
-	defer c.headLimit.clearLimit()
+	defer c.headLimiter.clearLimit()
 	for {
-		c.headLimit.setLimit(defaultMaxHeaderBytes)
+		c.headLimiter.setLimit(defaultMaxHeaderBytes)
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
@@ -219,7 +219,8 @@
 	}
 }
 
-// readBody reads the whole body and closes it.
+// readBody reads and closes the body. It returns errBodyTooLarge if the body
+// exceeds maxResponseBody.
 func readBody(resp *http.Response) ([]byte, error) {
 	defer func() { _ = resp.Body.Close() }()
 	var buf bytes.Buffer
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -152,7 +152,7 @@
 		p.opts.OnDial()
 	}
 	limiter := &headLimiter{source: conn}
-	return &pooledConn{conn: conn, headLimit: limiter, reader: bufio.NewReaderSize(limiter, bufferSize), idleTimeout: p.opts.IdleTimeout}, nil
+	return &pooledConn{conn: conn, headLimiter: limiter, reader: bufio.NewReaderSize(limiter, bufferSize), idleTimeout: p.opts.IdleTimeout}, nil
 }
 
 // reserve reports whether a connection may be opened. If so, it counts the
@@ -229,9 +229,9 @@
 // pooledConn is one connection of a Pool.
 type pooledConn struct {
 	conn net.Conn
-	// reader reads from headLimit.
-	reader    *bufio.Reader
-	headLimit *headLimiter
+	// reader reads from headLimiter, which reads from conn.
+	reader      *bufio.Reader
+	headLimiter *headLimiter
 	// requests counts the requests sent on the connection.
 	requests int
 	// wroteBytes is set once a byte of the current request was written.
--- a/peer/client.go
+++ b/peer/client.go
@@ -51,7 +51,7 @@
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 		options: []connect.ClientOption{
-			connect.WithInterceptors(authenticate(secret)),
+			connect.WithInterceptors(authInterceptor(secret)),
 			connect.WithReadMaxBytes(maxMessageBytes),
 			// Gzip is turned off. Messages are small and compact already; a gzip
 			// writer for each would cost more than the rest of a round.
--- a/peer/service.go
+++ b/peer/service.go
@@ -29,7 +29,7 @@
 // the secret.
 func Handler(s *Service, secret string) http.Handler {
 	_, h := peerv1connect.NewPeerServiceHandler(connectAdapter{s},
-		connect.WithInterceptors(authenticate(secret)),
+		connect.WithInterceptors(authInterceptor(secret)),
 		connect.WithReadMaxBytes(maxMessageBytes))
 	return h
 }
@@ -39,9 +39,9 @@
 	errUnimplemented   = errors.New("message not implemented by this daemon")
 )
 
-// authenticate returns an interceptor for clients and servers. It adds the secret
-// to messages sent, and rejects received messages without the secret.
-func authenticate(secret string) connect.UnaryInterceptorFunc {
+// authInterceptor returns an interceptor for clients and servers. It adds the
+// secret to messages sent, and rejects received messages without the secret.
+func authInterceptor(secret string) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			if req.Spec().IsClient {
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -44,8 +44,8 @@
 	Rank int
 	// Kind identifies the route of the request in the queue of the guard.
 	Kind slots.Kind
-	// ServiceTime is how long requests of the route usually run in an upstream with slowdown 1.
-	// The slowdown of an upstream is its service time relative to the usual one.
+	// ServiceTime is how long requests of the route usually run in an upstream with slowdown 1,
+	// that is one that is as fast as usual. An upstream with slowdown 2 takes twice as long.
 	ServiceTime time.Duration
 	// TimeToTarget is the time left until the target latency of the route, zero if the route has
 	// none.
@@ -75,7 +75,8 @@
 	Body   []byte
 	// Load is the load of the upstream as its guard sees it, nil if unknown.
 	Load *placement.Load
-	// ServiceTime is how long the upstream would have taken for the request at slowdown 1.
+	// ServiceTime is how long the request would have run if the upstream had been as fast as
+	// usual, that is with slowdown 1.
 	ServiceTime time.Duration
 	// CallsPerRun is the recent average number of requests to other services that the
 	// upstream sends while it serves one request.
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -104,8 +104,8 @@
 	c.changed = make(chan struct{})
 }
 
-// recheckWaiters makes every waitFor check its condition again. It is called after a change
-// outside the configuration that a condition depends on.
+// recheckWaiters makes every waitFor check its condition again. A condition may depend on state
+// outside the configuration. recheckWaiters is called after such state has changed.
 func (c *configuration) recheckWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -57,8 +57,9 @@
 	ready atomic.Bool
 	// stopping is set when draining begins.
 	stopping atomic.Bool
-	// storeUnreachableSince is the model.Instant since which no daemon of the cell (see package
-	// watch) has reached the configuration store. Zero means that some daemon reaches it.
+	// storeUnreachableSince is the model.Instant since which no daemon of the cell has reached
+	// the configuration store. A cell is a group of daemons of one zone, a few of which watch
+	// the store; see package watch. Zero means that some daemon of the cell reaches the store.
 	storeUnreachableSince atomic.Int64
 	inFlight              inFlightRequests
 	// aborting is closed when draining is over, at the latest graceMargin before the end of the
@@ -234,7 +235,7 @@
 	// daemon. After the wait, it asks the local upstream for its identity.
 	discoveryWait = 500 * time.Millisecond
 	// readinessWait bounds how long a starting daemon waits for the first exchange with another
-	// daemon. After the wait, it reports itself ready.
+	// daemon. After the wait, it is ready as soon as a configuration is in force.
 	readinessWait = 1500 * time.Millisecond
 	// restartBackoff is the pause before a component that keeps failing is restarted.
 	restartBackoff = time.Second
@@ -273,6 +274,7 @@
 // Serve runs the daemon until the context ends. It then drains the requests in flight within
 // the grace period.
 func (d *Daemon) Serve(ctx context.Context) error {
+	// The components must keep running while the daemon drains, so serveCtx outlives ctx.
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	d.peers.ctx = serveCtx
@@ -365,9 +367,9 @@
 	return deadline
 }
 
-// awaitIdle waits until minDrainTime has passed and no request is in flight, but at most until
-// drainEnd. After that, the daemon forwards no request, because the connection of the request
-// would be closed without a response.
+// awaitIdle waits until minDrainTime has passed and no request is in flight. It waits until
+// drainEnd at the latest. When it returns, the daemon has stopped forwarding requests. The
+// connection of a request that is forwarded later would be closed without a response.
 func (d *Daemon) awaitIdle(began, drainEnd time.Time) {
 	for time.Now().Before(drainEnd) {
 		if time.Until(drainEnd) < queueFlushMargin {
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -47,7 +47,8 @@
 
 // queryReply is the reply to a pendingQuery.
 type queryReply struct {
-	// key identifies the queried upstream.
+	// key identifies the queried upstream. For a pushed record, it is the address of the
+	// receiver.
 	key  string
 	load placement.Load
 	// roundTrip is the time from the query to the reply.
@@ -82,7 +83,8 @@
 	kindDigest = 9
 	// kindSummary replies to a digest with a summary of the buckets that differ.
 	kindSummary = 10
-	// kindRecordRequest requests records by the hashes of their addresses.
+	// kindRecordRequest requests the records of daemons. Its body holds the hashes of their
+	// addresses.
 	kindRecordRequest = 11
 	// kindMissingRecords carries records that the receiver lacks or has in an older version.
 	kindMissingRecords = 12
@@ -95,7 +97,7 @@
 	// maxDatagramBytes bounds a datagram so that it fits an Ethernet frame. A record that
 	// does not fit is sent over a connection.
 	maxDatagramBytes = 1400
-	// maxDatagramBody bounds what follows the header.
+	// maxDatagramBody bounds the length of the body, which follows the header.
 	maxDatagramBody = maxDatagramBytes - datagramHeaderBytes
 )
 
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -306,7 +306,8 @@
 	}
 }
 
-// retriesLeft returns the smallest number of retries that the budget of any service allows.
+// retriesLeft returns how many retries the most exhausted budget of a service still allows. It
+// returns 0 if no request has been sent to any service.
 func (e *entry) retriesLeft() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -345,7 +346,7 @@
 const (
 	// defaultServiceTime is assumed for a route without a known service time.
 	defaultServiceTime = 50 * time.Millisecond
-	// serviceTimeWeight makes the mean cover about 16 requests.
+	// serviceTimeWeight is the weight of one request in the mean, which covers about 16 requests.
 	serviceTimeWeight = 1.0 / 16
 	// maxServiceTimes limits the number of routes whose service time is kept.
 	maxServiceTimes = 4096
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -25,10 +25,10 @@
 	directoryWait = time.Second
 )
 
-// configFollower keeps the configuration up to date. A watcher reads the configuration from the
-// store. Any other daemon gets new versions from the watchers of its cell (see package watch).
-// While no watcher of the cell reaches the store, a daemon gets new versions from any other
-// daemon.
+// configFollower keeps the configuration up to date. The daemons of a zone are divided into
+// cells (see package watch). A few daemons of each cell, the watchers, read the configuration
+// from the store. The other daemons get new versions from the watchers of their cell. While no
+// watcher of the cell reaches the store, a daemon gets new versions from any other daemon.
 type configFollower struct {
 	d *Daemon
 	// peerSelector picks the peers for configuration polls and for anti-entropy rounds.
@@ -69,7 +69,8 @@
 // Receive implements ConfigConsumer.
 func (f *configFollower) Receive(raw []byte, from string) bool { return f.d.config.apply(raw, from) }
 
-// AwaitTurn implements ConfigConsumer.
+// AwaitTurn implements ConfigConsumer. It returns once this daemon watches the store, or when the
+// context ends.
 func (f *configFollower) AwaitTurn(ctx context.Context) error {
 	f.mu.Lock()
 	watchStarted := f.watchStarted
@@ -140,6 +141,7 @@
 // another daemon for its configuration now.
 func (f *configFollower) updateWatching() (pollDue bool) {
 	now := f.d.now()
+	// addresses are the daemons of the local zone. zones is the number of all zones.
 	addresses, zones, generation := f.d.peers.zoneMembers(f.generation)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -23,9 +23,9 @@
 	maxUndelivered = 6
 	// maxAttemptsPerRequest limits the attempts of a request regardless of its route.
 	maxAttemptsPerRequest = 64
-	// upstreamRefusedRetryAfter is the Retry-After value for a request that upstreams refused,
-	// although their guards kept them below their concurrency limits. Such refusals are
-	// short-lived.
+	// upstreamRefusedRetryAfter is the Retry-After value for a request that upstreams refused.
+	// The guards had kept these upstreams below their concurrency limits. Refusals below the
+	// limit are short-lived.
 	upstreamRefusedRetryAfter = 50 * time.Millisecond
 )
 
@@ -380,5 +380,6 @@
 	return refuse(outcome.ReasonNoUpstream, noUpstreamRetryAfter)
 }
 
-// jittered returns d with a random jitter.
+// jittered returns a random duration around d, at most 25% shorter or longer. Callers that are
+// refused at the same moment thus get different Retry-After values.
 func jittered(d time.Duration) time.Duration { return retry.JitteredRetryAfter(d, rand.Float64()) }
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -84,7 +84,8 @@
 	return err
 }
 
-// list reads all directory entries.
+// list reads all directory entries and adds their daemons to the known ones. It also notes
+// whether the entry of this daemon is among them.
 func (j *joiner) list(ctx context.Context) error {
 	list, err := j.d.opts.Directory.List(ctx)
 	if err != nil {
--- a/sidecar/keepalive_test.go
+++ b/sidecar/keepalive_test.go
@@ -130,7 +130,8 @@
 type keepAliveCaller struct {
 	address string
 	sent    *atomic.Int64
-	// unanswered counts the requests that were written completely but got no response.
+	// unanswered counts the requests that could not be written or got no complete response. A
+	// request whose response the caller did not read is not counted.
 	unanswered *atomic.Int64
 	lastError  *atomic.Value
 }
@@ -148,8 +149,9 @@
 	}
 }
 
-// useConnection sends requests over a connection until the daemon announces that it closes the
-// connection, or until the caller wants to close it.
+// useConnection sends requests over a connection, one after the other. It returns when the
+// context ends, a request fails, or the daemon announces that it closes the connection. After
+// one in 50 requests, it returns without reading the response, like a caller that disconnects.
 func (c *keepAliveCaller) useConnection(ctx context.Context, conn net.Conn, name string) {
 	in := bufio.NewReader(conn)
 	for ctx.Err() == nil {
@@ -188,7 +190,8 @@
 	}
 }
 
-// sendRandomDatagrams sends invalid datagrams until the context ends.
+// sendRandomDatagrams sends datagrams of random length and content until the context ends. Most
+// of them are invalid.
 func sendRandomDatagrams(ctx context.Context, address string) {
 	conn, err := net.Dial("udp4", address)
 	if err != nil {
--- a/sidecar/loadquery.go
+++ b/sidecar/loadquery.go
@@ -118,7 +118,9 @@
 	a.transmit(query.messageFor(up).appendTo(a.header(kindLoadQuery, id)), recipient)
 }
 
-// collectReplies adds the replies that arrive before the timeout expires.
+// collectReplies waits for the replies to the queries with the given ids and stores them in
+// replies by upstream key. When the timeout of the query expires first, collectReplies returns,
+// and later replies are passed to onLate.
 func (a *datagrams) collectReplies(incoming <-chan queryReply, ids []uint32, replies map[string]queryReply, query loadQuery) {
 	if len(ids) == 0 {
 		return
--- a/sidecar/options.go
+++ b/sidecar/options.go
@@ -32,7 +32,8 @@
 	Directory Directory
 	Decisions *decision.Log
 	Scope     tally.Scope
-	// Metrics serves the metrics endpoint. Nil disables it.
+	// Metrics handles the requests to Addresses.Metrics. It is not used if that address is
+	// empty.
 	Metrics http.Handler
 	// Logger receives the log lines of requests and components. It must not block if nobody
 	// reads its output.
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -86,8 +86,9 @@
 }
 
 // TestLocalRecordSurvivesClockSetBack gives a peer a record of the daemon with an incarnation in
-// the future. That happens if the daemon restarts after its clock, which was ahead, has been set
-// back. Later records of the daemon must still supersede the record.
+// the future. A peer holds such a record if the daemon started while its clock was ahead. The
+// clock is then set back and the daemon restarts. Its later records must still supersede the
+// record.
 func TestLocalRecordSurvivesClockSetBack(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -133,8 +134,8 @@
 }
 
 // TestNewVersionsSpread applies a new version of the configuration at one of several daemons.
-// All others must get it without any requests. The messages that belong to requests carry the
-// version too, and would hide a failure.
+// All others must get it. The test sends no requests, because load queries and the results of
+// calls carry the version too and would hide a failure.
 func TestNewVersionsSpread(t *testing.T) {
 	const daemons = 4
 	s := newStore(documentOf(1, "a"))
@@ -152,8 +153,8 @@
 }
 
 // TestPlannedRestartWithStoreDown stops a daemon as planned and starts it again, both while the
-// store is down. No daemon calls it, because its record says that it has stopped. The other daemons must
-// reconnect to it on their own.
+// store is down. No daemon calls it, because its record says that it has stopped. The other
+// daemons must reconnect to it on their own.
 func TestPlannedRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -57,7 +57,8 @@
 }
 
 // TestCrashingRequestIsQuarantined guards against a request that crashes one upstream after
-// another. The same request is sent repeatedly, over different daemons.
+// another. The same request is sent repeatedly, over different daemons. After
+// quarantineThreshold crashes, both daemons must refuse it.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	callers := []*member{startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")}
@@ -112,9 +113,10 @@
 	return lifecycle.Incarnation{ID: "u", Born: born}
 }
 
-// TestCrashReportsLatestBurst checks which lost runs are reported when the report of a new
-// incarnation reveals a crash. Only the runs that were lost shortly before this report are
-// passed to onCrash. Earlier runs and those of other incarnations are not.
+// TestCrashReportsLatestBurst checks which lost runs are reported as running during a crash. A
+// crash of incarnation 1 is revealed by the report of a new incarnation. The latest burst of
+// incarnation 1 must be reported once, without the run that was lost long before. Runs of
+// incarnation 2 must be reported only when the upstream has stopped listening.
 func TestCrashReportsLatestBurst(t *testing.T) {
 	var now model.Instant
 	var reported []string
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -43,8 +43,9 @@
 	p.schedulePush(other)
 }
 
-// verifyReachable sends the local record to a daemon that did not reply to a load query. The
-// exchange shows whether only a datagram was lost or the daemon is unreachable.
+// verifyReachable checks whether a daemon that did not reply to a load query is reachable. It
+// pushes the local record to the daemon. If the push succeeds, only a datagram was lost. If it
+// fails, the daemon is marked as unreachable. A daemon is checked at most once in verifyInterval.
 func (p *peers) verifyReachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// retryBudgetMargin is the share of the budget that is used. The rest covers two errors of
-	// the estimate. First, the executions that fail and are retried are mostly those that send
-	// requests to other services. A retry therefore causes more nested requests than the average
-	// execution. Second, daemons that crash lose their counts.
+	// retryBudgetMargin is the share of the budget that is used. The rest covers two errors in
+	// the counts. First, a retry is charged for as many nested requests as an average execution
+	// sends. A retry causes more, because the executions that fail and are retried are mostly those
+	// that send requests to other services. Second, daemons that crash lose their counts.
 	retryBudgetMargin = 0.75
 )
 
@@ -120,7 +120,7 @@
 	return s.callsPerRun
 }
 
-// otherServices returns all services except s that requests have been sent to.
+// otherServices returns the states of the services to which requests have been sent, except s.
 func (e *entry) otherServices(s *serviceState) []*serviceState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,7 +141,7 @@
 	r.window.Charge(now, n)
 }
 
-// span returns the time span to which the budget applies.
+// span returns RetryBudget.Span, the length of the sliding window in which retries are limited.
 func (r *retryLimiter) span() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -22,9 +22,9 @@
 	// that must not run twice. An upstream that has closed an idle connection resets it on the
 	// next request. It is then unknown whether the request ran.
 	maxIdleNonIdempotent = time.Second
-	// noLoadRecheckInterval is how long no health check is sent to obtain the load of an
-	// upstream after it responded without reporting its load. Most such upstreams never report
-	// it, and each health check is one more request to them.
+	// noLoadRecheckInterval is the pause in health checks after an upstream responded without
+	// reporting its load. It applies to the health checks that serve to obtain the load. Most
+	// such upstreams never report it, and each health check is one more request to them.
 	noLoadRecheckInterval = 10 * time.Second
 	// failingRate is the failure rate at which the upstream is logged as failing.
 	failingRate = 0.5
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -16,11 +16,12 @@
 	// ackTimeout is how long another daemon may take to acknowledge a call. It covers a round
 	// trip between regions, acknowledgeAfter, and a scheduling delay.
 	ackTimeout = 120 * time.Millisecond
-	// outcomeQueryFactor determines when the outcome of an attempt that must not run twice is
-	// queried over a new connection. The query is sent if there is no result after
-	// outcomeQueryFactor times the expected time plus outcomeQueryMargin.
+	// outcomeQueryFactor and outcomeQueryMargin determine when the outcome of an attempt that
+	// must not run twice is queried over a new connection. The query is sent if there is no
+	// result after the query delay. The query delay is outcomeQueryFactor times the expected
+	// time plus outcomeQueryMargin.
 	outcomeQueryFactor = 3
-	// outcomeQueryMargin is the constant part of this delay.
+	// outcomeQueryMargin is the constant part of the query delay.
 	outcomeQueryMargin = 250 * time.Millisecond
 	// outcomeQueryRetryDelay is the pause after an outcome query that did not reach the guard.
 	// Then the query is repeated.
@@ -116,7 +117,7 @@
 
 // sendNonIdempotent sends a call that must not run twice. It queries the outcome over a new
 // connection in three cases: the connection breaks, the call is not acknowledged within
-// ackTimeout, or there is no result for long.
+// ackTimeout, or there is no result after the query delay (see outcomeQueryFactor).
 func (e *entry) sendNonIdempotent(ctx context.Context, pool *hop.Pool, attempt *attemptState, c *Call) *Result {
 	type reply struct {
 		result *Result
