--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -17,7 +17,7 @@
 
 // trialResult is the result of one trial.
 type trialResult struct {
-	// Mechanism is the disabled mechanism, empty for the baseline.
+	// Mechanism is the disabled mechanism. It is empty for the baseline.
 	Mechanism string `json:"mechanism"`
 	// Site is the name of the site file without its extension.
 	Site string `json:"site"`
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -24,8 +24,8 @@
 // baseline is the mechanism name of trials with the unchanged source.
 const baseline = ""
 
-// envList returns the comma-separated values of an environment variable. If the variable is not
-// set or empty, it returns the comma-separated values of fallback.
+// envList returns the comma-separated values of an environment variable. If the variable is unset
+// or empty, it returns the comma-separated values of fallback.
 func envList(name, fallback string) []string {
 	text := os.Getenv(name)
 	if text == "" {
@@ -184,7 +184,8 @@
 	return out, files, nil
 }
 
-// scratchCopy is a clone of the repository, with the edits of one mechanism.
+// scratchCopy is a clone of the repository. The edits of one mechanism are applied to it, or none
+// for the baseline.
 type scratchCopy struct {
 	// dir is the root directory of the clone.
 	dir string
@@ -192,7 +193,7 @@
 	initialJournal []string
 }
 
-// scratchCopies creates scratch copies, one for each mechanism.
+// scratchCopies creates scratch copies, one for each mechanism and one for the baseline.
 type scratchCopies struct {
 	mu sync.Mutex
 	// dir is the directory in which the scratch copies are created.
@@ -201,6 +202,7 @@
 }
 
 // forMechanism returns the scratch copy in which a mechanism is disabled, and creates it if needed.
+// The copy for the baseline is unchanged.
 func (c *scratchCopies) forMechanism(ctx context.Context, name string) (scratchCopy, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -74,8 +74,8 @@
 }
 
 // TestCoreImports checks that the packages of core import only each other, xxhash and the
-// standard library. They must not import the packages of the standard library for I/O and
-// concurrency.
+// standard library. It also checks that they do not import net, net/http, os, sync and
+// context: core must not do I/O or start goroutines.
 func TestCoreImports(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.isTest || !strings.HasPrefix(s.pkg, "core/") {
@@ -151,8 +151,8 @@
 }
 
 // TestPlatformNamesOnlyInPlatformPackage checks that names of the users' platform occur only
-// in package platform, which translates them. Only the daemon's
-// command may import package platform.
+// in package platform, which translates them. Only the daemon's command may import package
+// platform.
 func TestPlatformNamesOnlyInPlatformPackage(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.pkg == "platform" || s.pkg == "platform/platformtest" || s.pkg == "architecture" {
--- a/demo/observer.go
+++ b/demo/observer.go
@@ -32,7 +32,8 @@
 }
 
 // violations compares the recorded outcomes with the number of executions of each
-// request, by its name. It returns a sorted message for each violation of an invariant.
+// request, by its name. It returns a sorted list with a message for each violation of
+// an invariant.
 func (o *observer) violations(executions map[string]int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/demo/result.go
+++ b/demo/result.go
@@ -24,12 +24,14 @@
 	Total  load.Stats    `json:"total"`
 	// Violations lists the invariants that did not hold.
 	Violations []string `json:"violations"`
-	// VersionInForce is the configuration version in force in every zone.
+	// VersionInForce is the configuration version in force at the first daemon. If another
+	// daemon has a different version in force, there is a violation.
 	VersionInForce model.Version `json:"version_in_force"`
 }
 
-// newResult returns the results of a load, with a violation for each wrong answer. shares is
-// the result of measuringShares.
+// newResult returns the results of a load. There is a violation for each wrong answer that the
+// load lists, and one with the number of further wrong answers. shares is the result of
+// measuringShares.
 func newResult(loadResult *load.Result, shares map[model.ServiceName]float64) *Result {
 	r := &Result{Total: loadResult.Total, Violations: []string{}}
 	r.Total.Series = nil
--- a/latency/histogram.go
+++ b/latency/histogram.go
@@ -32,7 +32,8 @@
 	return &Histogram{hdr: hdrhistogram.New(minUs, maxUs, significantDigits)}
 }
 
-// Record adds a duration. Durations outside the recorded range are recorded as its nearest limit.
+// Record adds a duration. A duration below minUs is recorded as minUs, and a duration above maxUs
+// as maxUs.
 func (h *Histogram) Record(d time.Duration) {
 	// RecordValue fails only for values out of range, and this value is in range.
 	_ = h.hdr.RecordValue(min(max(d.Microseconds(), minUs), maxUs))
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -192,7 +192,7 @@
 	stopErr := <-n.serveErr
 	n.settings.Listen = listen
 	if err := n.startDaemon(d.ctx, d.opts.Logger); err != nil {
-		n.serveErr <- err // Stop receives a value from n.serveErr.
+		n.serveErr <- err // Stop waits for a value from n.serveErr.
 		return errors.Join(stopErr, err)
 	}
 	if err := n.Upstream.Announce(ctx, n.Daemon.AdminAddress(), 1, false); err != nil {
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -112,8 +112,8 @@
 	{"returdesk", http.MethodPost, "/release/2", true},
 }
 
-// sendRequests sends n requests and adds their records to a history. target chooses the VM
-// to whose daemon the first attempt of a request is sent.
+// sendRequests sends n requests and adds their records to a history. n must be a multiple of
+// workers. target chooses the VM to whose daemon an attempt is sent, see sendWithRetries.
 func (c *cluster) sendRequests(h *history, n int, target func(*rand.Rand) *vm) {
 	var wg sync.WaitGroup
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workers}}
@@ -133,6 +133,8 @@
 
 // sendWithRetries sends one request and returns its record. If an attempt fails and a retry
 // is safe, it sends the request to another daemon. It makes up to maxAttempts attempts.
+// target chooses the VM of each attempt. If it chooses the VM of the previous attempt,
+// another VM is drawn at random.
 func (c *cluster) sendWithRetries(h *history, client *http.Client, rng *rand.Rand, target func(*rand.Rand) *vm) *requestRecord {
 	template := requestTemplates[rng.IntN(len(requestTemplates))]
 	r := &requestRecord{name: fmt.Sprintf("r%d", h.nextSerial()), idempotent: template.method == http.MethodGet}
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -109,13 +109,14 @@
 func isAnswered(r *requestRecord) bool { return r.last().kind == outcome.Answered }
 
 // awaitServing waits until every daemon knows all upstreams and serves requests for
-// both services. A daemon that knows only one upstream would correctly refuse requests
-// when that upstream drains, and the test would fail.
+// both services. A daemon that knows only one upstream of a service would correctly
+// refuse requests when that upstream drains, and a test of drains would fail.
 func (c *cluster) awaitServing(h *history) {
 	c.t.Helper()
 	for _, v := range c.vms {
 		c.await(v.upstream.ID+" knows all upstreams", func() bool { return v.usableUpstreams() == len(c.vms) })
 		c.await(v.upstream.ID+" serves requests", func() bool {
+			// The serial keeps the names of these requests different from those in h.
 			warmUp := &history{serial: h.nextSerial() * 1_000_000}
 			c.sendRequests(warmUp, workers, func(*rand.Rand) *vm { return v })
 			return warmUp.count(func(r *requestRecord) bool { return !isAnswered(r) }) == 0
--- a/soak/check.go
+++ b/soak/check.go
@@ -14,8 +14,8 @@
 	drainAllowance = 2 * time.Second
 	// maxConfigDelay is how long a daemon may take to put a published configuration in force.
 	maxConfigDelay = 2 * time.Second
-	// quietPeriod is how long some checks are skipped after an unplanned fault. They are the
-	// checks that such a fault may violate.
+	// quietPeriod is how long some checks are still skipped after the end of an unplanned
+	// fault. These checks could fail because of the fault.
 	quietPeriod = 3 * time.Second
 	// retryBudgetWindow is the length of the windows in which retries are counted. A window
 	// starts at every retry.
@@ -44,8 +44,8 @@
 	// crashKey identifies a request that crashes upstreams. Such a request is sent with many
 	// attempt ids. For all other requests crashKey is empty.
 	crashKey string
-	// undisturbed reports whether the VM of the request's daemon has been without
-	// unplanned faults for quietPeriod. It is nil if crashKey is empty.
+	// undisturbed reports whether the VM of the daemon to which the attempt was sent has been
+	// without unplanned faults for quietPeriod. It is nil if crashKey is empty.
 	undisturbed func() bool
 }
 
@@ -82,8 +82,9 @@
 	// quarantined. All daemons must quarantine the request within quietPeriod after the last
 	// of these crashes.
 	quarantineThreshold = 3
-	// maxLateCrashes is the number of crashes that attempts of the request may still cause
-	// if they are sent after this time.
+	// maxLateCrashes is the number of crashes that one request may cause although it should be
+	// quarantined. An attempt counts if it is sent more than quietPeriod after the crash that
+	// reaches quarantineThreshold. It does not count if its VM is disturbed by an unplanned fault.
 	maxLateCrashes = 3
 	// poisonAttemptPrefix starts the attempt ids of requests that crash upstreams.
 	poisonAttemptPrefix = "poison-"
@@ -190,9 +191,9 @@
 	}
 }
 
-// resetCrashCounts sets the crash counts that are checked against maxCrashes to 0. Without
-// safetyOnly there are none, and it does nothing. It is called when all daemons are killed at
-// once: daemons keep the quarantine only in memory, so the quarantine is lost.
+// resetCrashCounts sets the crash counts that are checked against maxCrashes to 0. It does nothing
+// if safetyOnly is not set, because maxCrashes is not checked then. It is called when all daemons
+// are killed at once: daemons keep the quarantine only in memory, so the quarantine is lost.
 func (c *checker) resetCrashCounts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -247,8 +248,8 @@
 	}
 }
 
-// checkRetryBudget checks the retry budget in every window of retryBudgetWindow. It counts
-// repeated executions of idempotent requests as retries.
+// checkRetryBudget checks the retry budget in every window and records at most one violation. It
+// counts repeated executions of idempotent requests as retries.
 func (c *checker) checkRetryBudget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// minVMsPerService is the number of VMs that must remain in a service when a VM changes to the
-// other service. Fewer VMs would not have enough capacity for the callers of eight VMs.
+// minVMsPerService is the minimum number of VMs that must remain in a service when a VM changes to
+// the other service. Fewer VMs would not have enough capacity for the callers of eight VMs.
 const minVMsPerService = 3
 
 // poisonInterval is the time between two attempts of a request that crashes upstreams.
--- a/soak/metrics.go
+++ b/soak/metrics.go
@@ -20,7 +20,8 @@
 	return true
 }
 
-// getPage returns the body of a page; the caller closes it. Any status but 200 is an error.
+// getPage returns the body of a page. The caller must close the body. Any status but 200 is an
+// error.
 func getPage(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -15,7 +15,8 @@
 	"github.com/dottereltiller/dottereltiller/edits"
 )
 
-// mutant is a variant of the daemon with a deliberate bug, which the checker must find.
+// mutant is a variant of the daemon with a deliberate bug, as in mutation testing. The checker must
+// find the bug.
 type mutant struct {
 	// edits insert the bug by replacing text of source files. Each old text must occur exactly
 	// once in its file.
@@ -189,7 +190,8 @@
 			require.NoError(t, err, string(out))
 			p, err := ReadPlan(strings.NewReader(m.plan))
 			require.NoError(t, err)
-			// The seed determines the loopback addresses, so parallel runs use different seeds.
+			// The seed determines which loopback network is tried first. Parallel runs use
+			// different seeds, so that they start with different networks.
 			p.Seed += uint64(i)
 			r, err := Run(t.Context(), p, Options{Binary: binary, Dir: dir})
 			require.NoError(t, err)
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -32,8 +32,8 @@
 
 // Plan describes a soak run completely, so that it can be replayed.
 type Plan struct {
-	// Seed determines the loopback addresses of the run. RandomPlan also draws the faults
-	// from it.
+	// Seed determines which loopback network the run tries first. RandomPlan also draws the
+	// faults from it.
 	Seed uint64
 	// VMs is the number of VMs.
 	VMs int
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -80,7 +80,8 @@
 	_ = c.Close()
 }
 
-// modeOf returns the mode that applies to a connection, or to datagrams if c is nil.
+// modeOf returns the mode that applies to a connection. If c is nil, it returns the mode that
+// applies to datagrams and to new connections.
 func (p *proxy) modeOf(c net.Conn) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/run.go
+++ b/soak/run.go
@@ -51,7 +51,7 @@
 	// longRequestDeadline is the deadline of the requests that run for seconds.
 	longRequestDeadline = 30 * time.Second
 	defaultRate         = 10 // the default of Options.Rate
-	// defaultTotalRate is the requests a second that 8 cores can serve while a hundred daemons run.
+	// defaultTotalRate is how many requests a second 8 cores can serve while a hundred daemons run.
 	defaultTotalRate = 480
 	// minServedShare is the share of the requests in recoveryWindow that must be served.
 	minServedShare        = 0.95
@@ -74,7 +74,7 @@
 	vms    []*vm
 	// loopbackNet is the number of the loopback network that the soak uses.
 	loopbackNet int
-	startedAt   time.Time    // the start of the callers
+	startedAt   time.Time    // when the callers were started
 	lastID      atomic.Int64 // the number in the last upstream id, see newID
 	// mu guards version and publishedAt, which belong to the newest configuration.
 	mu            sync.Mutex
@@ -174,7 +174,8 @@
 	return nil
 }
 
-// awaitServing waits until each daemon serves a request. After servingTimeout it adds a violation.
+// awaitServing waits until each daemon serves a request after the last fault. After servingTimeout
+// it adds a violation. It returns an error only if ctx ends.
 func (h *harness) awaitServing(ctx context.Context) error {
 	end := time.Now().Add(servingTimeout)
 	for _, m := range h.vms {
@@ -247,7 +248,7 @@
 	}
 }
 
-// runCallers sends requests to one daemon until ctx ends, and then waits for the responses.
+// runCallers sends requests to one daemon at Options.Rate until ctx ends, and awaits the responses.
 func (h *harness) runCallers(ctx context.Context, m *vm) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -67,7 +67,7 @@
 	portPeerProxy, portUpstreamProxy, portStoreProxy                 = 7760, 8247, 8342
 )
 
-// newVM creates a VM and starts its proxies, but not its daemon and its upstream. The VM with the
+// newVM creates a VM and starts its proxies. It does not start the daemon and the upstream. The VM with the
 // given number has the address ip. groups is the number of groups, see groupCount.
 func newVM(number, groups int, ip, dir, binary, store string, check *checker) (*vm, error) {
 	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
@@ -233,8 +233,8 @@
 	graceTailDivisor = 6
 )
 
-// ranUntilGraceEnd reports whether a stopping daemon may have aborted a request that was sent at
-// the given time and ends now. The request must have been sent at most maxArrivalAfterStop after
+// ranUntilGraceEnd reports whether a stopping daemon was allowed to abort a request that was sent
+// at the given time and ends now. The request must have been sent at most maxArrivalAfterStop after
 // the SIGTERM. It must still run in the last part of the grace period, see graceTailDivisor. The
 // daemon could not have waited for the response to such a request.
 func (m *vm) ranUntilGraceEnd(sentAt time.Time) bool {
@@ -243,7 +243,8 @@
 	return !m.stoppedAt.IsZero() && sentAt.Sub(m.stoppedAt) <= maxArrivalAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
 }
 
-// disturb records that an unplanned fault affects the VM for the duration d from now.
+// disturb records that an unplanned fault affects the VM for the duration d from now. It does not
+// shorten an earlier fault.
 func (m *vm) disturb(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -109,7 +109,7 @@
 		if err != nil {
 			return
 		}
-		s := f.countRequest()
+		s := f.scriptForRequest()
 		if !s.SkipBody {
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
@@ -125,8 +125,8 @@
 	}
 }
 
-// countRequest counts a request and returns the current script.
-func (f *FaultyUpstream) countRequest() Script {
+// scriptForRequest counts a request and returns the script to use for it.
+func (f *FaultyUpstream) scriptForRequest() Script {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests++
