--- a/cmd/dottereltillerd/logreader_test.go
+++ b/cmd/dottereltillerd/logreader_test.go
@@ -25,10 +25,10 @@
 	require.NoError(t, err)
 	ip, _, err := net.SplitHostPort(address)
 	require.NoError(t, err)
-	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
+	addressWithPort := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	vm := platformtest.VM{
-		Name: "vm-1", IP: ip, Zone: "z", Service: "a", Outbound: at(8141), Ready: at(8140), Control: at(8146),
-		Upstream: at(8147), Store: at(8342), InternalPort: 7660, Advertised: at(7660), Bootstrap: true,
+		Name: "vm-1", IP: ip, Zone: "z", Service: "a", Outbound: addressWithPort(8141), Ready: addressWithPort(8140), Control: addressWithPort(8146),
+		Upstream: addressWithPort(8147), Store: addressWithPort(8342), InternalPort: 7660, Advertised: addressWithPort(7660), Bootstrap: true,
 		GraceS: 1, RetryBudgetRatio: 0.2, RetryBudgetSlack: 10, RetryBudgetWindowS: 10,
 	}
 	path := writeSettings(t, vm.Settings())
@@ -63,12 +63,12 @@
 func TestDaemonStopsWithClosedStderr(t *testing.T) {
 	cmd := exec.Command(program, "--settings", writeSettings(t, `{`+validSettings+`,
 		"listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"}}`))
-	out, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
-	awaitLine(t, bufio.NewReader(out), "daemon started")
-	require.NoError(t, out.Close())
+	awaitLine(t, bufio.NewReader(stderr), "daemon started")
+	require.NoError(t, stderr.Close())
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, cmd.Wait())
 }
--- a/cmd/internal/hangup/early_nocgo.go
+++ b/cmd/internal/hangup/early_nocgo.go
@@ -2,6 +2,6 @@
 
 package hangup
 
-// restore does nothing. Without the constructor in early_cgo.go, signal.Reset already restores the
-// inherited action.
+// restore does nothing. In this build, nothing changes the action of SIGHUP before the Go runtime
+// starts, so signal.Reset already restores the inherited action.
 func restore() {}
--- a/controltest/network.go
+++ b/controltest/network.go
@@ -101,17 +101,17 @@
 
 // Exchange implements peer.Transport.
 func (e Endpoint) Exchange(ctx context.Context, to model.DaemonID, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
-	s, err := e.deliver(ctx, to, proto.Size(req))
+	s, err := e.transmitRequest(ctx, to, proto.Size(req))
 	if err != nil {
 		return nil, err
 	}
 	resp := s.Exchanger.Handle(req)
-	return resp, e.respond(ctx, to, proto.Size(resp))
+	return resp, e.transmitResponse(ctx, to, proto.Size(resp))
 }
 
 // Ping implements membership.Pinger.
 func (e Endpoint) Ping(ctx context.Context, to model.DaemonID, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
-	s, err := e.deliver(ctx, to, proto.Size(req))
+	s, err := e.transmitRequest(ctx, to, proto.Size(req))
 	if err != nil {
 		return nil, err
 	}
@@ -119,14 +119,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return resp, e.respond(ctx, to, proto.Size(resp))
+	return resp, e.transmitResponse(ctx, to, proto.Size(resp))
 }
 
-// deliver carries a request of size bytes to a daemon and returns the daemon's
-// service. If the request is dropped or one of the two daemons is unresponsive,
-// deliver blocks until the context ends, and returns the error of the context.
-// Otherwise it returns ErrUnreachable if the receiver is not attached.
-func (e Endpoint) deliver(ctx context.Context, to model.DaemonID, size int) (*peer.Service, error) {
+// transmitRequest simulates the transmission of a request of size bytes to a daemon.
+// It returns the service of that daemon, which the caller then calls. If the request
+// is dropped or one of the two daemons is unresponsive, transmitRequest blocks until
+// the context ends, and returns the error of the context. Otherwise it returns
+// ErrUnreachable if the receiver is not attached.
+func (e Endpoint) transmitRequest(ctx context.Context, to model.DaemonID, size int) (*peer.Service, error) {
 	if err := sleep(ctx, e.delay(to)); err != nil {
 		return nil, err
 	}
@@ -147,9 +148,10 @@
 	return s, nil
 }
 
-// respond carries a response of size bytes back from a daemon. If the response is
-// dropped, it blocks until the context ends, and returns the error of the context.
-func (e Endpoint) respond(ctx context.Context, from model.DaemonID, size int) error {
+// transmitResponse simulates the transmission of a response of size bytes from a
+// daemon. If the response is dropped, transmitResponse blocks until the context ends,
+// and returns the error of the context.
+func (e Endpoint) transmitResponse(ctx context.Context, from model.DaemonID, size int) error {
 	n := e.network
 	n.mu.Lock()
 	n.bytes += size
--- a/daemon/admin_test.go
+++ b/daemon/admin_test.go
@@ -12,7 +12,7 @@
 
 // TestChangesAreAllowedOnlyFromThisVM sends requests from another host, from loopback
 // and from the VM's own address. The other host may read but must not change anything.
-// Requests from loopback and from the own address must be allowed to make changes.
+// Requests from loopback and from the VM's own address must be allowed to make changes.
 func TestChangesAreAllowedOnlyFromThisVM(t *testing.T) {
 	d, _ := startDaemon(t, testSettings())
 	h := d.adminHandler()
--- a/daemon/docs_test.go
+++ b/daemon/docs_test.go
@@ -39,7 +39,7 @@
 		}
 		return missingNames
 	}
-	for end := time.Now().Add(waitLimit); len(missing()) > 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(waitLimit); len(missing()) > 0 && time.Now().Before(deadline); {
 		time.Sleep(100 * time.Millisecond)
 	}
 	require.Empty(t, missing())
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -26,7 +26,7 @@
 	defer server.Close()
 	log := &recordlog.Batcher{Log: recordlog.NewRateLimitedLog(recordlog.NewClient(strings.TrimPrefix(server.URL, "http://")))}
 	s := New(Options{Self: "127.0.0.1:1", Log: log})
-	s.ledger.Apply(0, grantAllTo(s.self))
+	s.ledger.Apply(0, fullGrant(s.self))
 	for name, claim := range map[string]func(claims.Key){
 		"owner": func(k claims.Key) {
 			s.mu.Lock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// grantAllTo grants all timestamps of all ranges to an owner.
-func grantAllTo(o claims.Owner) claims.Record {
+// fullGrant returns a record that grants all timestamps of all ranges to an owner.
+func fullGrant(o claims.Owner) claims.Record {
 	grant := &claims.Grant{Owner: o, Until: claims.MaxStamp}
 	for r := range claims.Range(claims.DefaultRanges) {
 		grant.Extensions = append(grant.Extensions, claims.Extension{Range: r})
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -36,10 +36,10 @@
 	return claims.NewKey(timestamp, random)
 }
 
-// candidateTimestamps returns the timestamps that a new key may have, the preferred
-// one first. That is the current timestamp. If it is beyond all grants,
-// candidateTimestamps adds up to four of the last granted timestamps, but none
-// that is older than half of the retention. s.mu is held.
+// candidateTimestamps returns the timestamps that a new key may have. The first and
+// preferred one is the current timestamp. If all grants end before the current
+// timestamp, candidateTimestamps adds up to maxPastTimestamps granted ones, newest
+// first. It adds none that is older than half of the retention. s.mu is held.
 func (s *Service) candidateTimestamps(now claims.Stamp) []claims.Stamp {
 	timestamps := []claims.Stamp{now}
 	oldest := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
@@ -52,11 +52,12 @@
 		return timestamps
 	}
 	// The ends of the grants of different ranges are at most half a grant
-	// duration apart.
+	// duration apart. The timestamps are a quarter of a grant duration apart, so that
+	// some of them are granted in every range.
 	grantDuration := claims.Stamp(s.opts.GrantDuration.Milliseconds())
-	const steps = 4
-	for i := range claims.Stamp(steps) {
-		if offset := 1 + i*grantDuration/steps; furthest > offset+oldest {
+	const maxPastTimestamps = 4
+	for i := range claims.Stamp(maxPastTimestamps) {
+		if offset := 1 + i*grantDuration/maxPastTimestamps; furthest > offset+oldest {
 			timestamps = append(timestamps, furthest-offset)
 		}
 	}
--- a/owner/service.go
+++ b/owner/service.go
@@ -37,13 +37,15 @@
 	// only by Serve.
 	candidates []model.DaemonID
 
-	// readLock is a lock that is held during a read of the grants. Unlike with
-	// a mutex, a context can end the wait for it. It guards positioned,
-	// fromOldest, searchWindow and lastRead.
+	// readLock is held during a read of the grants. It guards positioned,
+	// fromOldest, searchWindow and lastRead. It is a channel instead of a mutex, so
+	// that a context can end the wait for it.
 	readLock chan struct{}
-	// positioned is set once the ledger is at the offset where reading starts.
+	// positioned is set while the ledger is at the offset of the next record to
+	// read. It is unset before the first read, and when the search for a checkpoint
+	// has to start again.
 	positioned bool
-	// fromOldest is set if reading starts at the oldest record that the log
+	// fromOldest is set if that search started at the oldest record that the log
 	// keeps.
 	fromOldest bool
 	// searchWindow is the number of newest records in which this daemon searches
@@ -117,8 +119,8 @@
 
 // Serve reads and renews grants until the context ends.
 func (s *Service) Serve(ctx context.Context) error {
-	tick := time.NewTicker(s.opts.PollInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(s.opts.PollInterval)
+	defer ticker.Stop()
 	for {
 		s.refreshCandidates()
 		// If shouldRead is false, no grant or checkpoint is due.
@@ -130,7 +132,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -140,17 +142,21 @@
 	return claims.Stamp(max(0, s.opts.WallClock().UnixMilli()))
 }
 
-// readsPerGrant is the number of reads of the grants in one grant duration. The
-// ledger may lag behind the log by the time between two reads. Grants extend
-// further than that into the future, so the ledger usually still names the owner
-// of a current key. If it names none, the request causes a read.
+// readsPerGrant is the number of reads of the grants in one grant duration. Between
+// two reads, the ledger may lag behind the log. Grants extend further into the future
+// than the next read, so the ledger usually still names the owner of a current key.
+// If the ledger names no owner, the request causes a read.
 const readsPerGrant = 6
 
-// shouldRead reports whether the grants have to be read, so that a daemon need not
-// read the log in every interval. They have to be read until a read has reached
-// the end of the log and the ledger is complete. Later they have to be read if
-// the last read was long ago. They also have to be read if a record seems due for
-// an append, because another daemon may have appended it meanwhile.
+// shouldRead reports whether the grants have to be read. If not, the daemon saves a
+// read of the log in this poll interval. The grants have to be read in these cases:
+//   - No read has reached the end of the log yet.
+//   - The ledger is incomplete.
+//   - A record seems due for an append. Another daemon may have appended it meanwhile.
+//   - The last read ended at least 1/readsPerGrant of a grant duration ago.
+//
+// If the context ends before the time of the last read is known, shouldRead returns
+// false.
 func (s *Service) shouldRead(ctx context.Context) bool {
 	if !s.caughtUp.Load() || !s.ledgerComplete() || len(s.dueRecords()) > 0 {
 		return true
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -10,16 +10,17 @@
 
 // The kinds of messages between daemons that communicate by datagrams. The first
 // byte of each message is its kind. The values are part of the wire format and
-// must not change; not all of them are initials of the names.
+// must not change. Some of them are not the initials of the names.
 //
-// Anti-entropy starts with a digest message. If the receiver's table has another
-// digest, the receiver replies with summaries. The receiver of a summary sends
-// the records that the sender lacks, and requests the records that it lacks
-// itself. So the traffic is proportional to the difference of the tables.
+// Anti-entropy starts with a digest message, which holds the checksum of the
+// sender's table. If the receiver's table has another checksum, the receiver replies
+// with summaries of its table. The receiver of a summary sends the records that the
+// other daemon lacks, and requests the records that it lacks itself. So only records
+// that differ are sent.
 const (
-	// kindDigest is a message with the digest of the sender's whole table.
+	// kindDigest is a message with the checksum of the sender's whole table.
 	kindDigest = 'o'
-	// kindInSync is the reply that both tables have the same digest.
+	// kindInSync is the reply that both tables have the same checksum.
 	kindInSync = 'a'
 	// kindSummary is a message that describes the records in one range of
 	// fingerprints. It holds the prefixes of the first and the last fingerprint
@@ -57,10 +58,12 @@
 	return binary.BigEndian.AppendUint64([]byte{kindDigest}, s.checksum())
 }
 
-// NextPush returns a message of at most limit bytes with changed records, the
-// most important first, and marks these records as sent. It returns nil if no
-// record has changed since it was sent. newCrash reports whether RecordCrash was
-// called since the last push.
+// NextPush returns a message of at most limit bytes with changed records, and marks
+// these records as sent. Records with the latest quarantine come first, then those
+// with the most crashes, then the most recently updated ones. The message is nil if
+// no record has changed since it was sent, or if the first record does not fit.
+// newCrash reports whether RecordCrash was called since NextPush last returned a
+// message. It is false if the message is nil.
 func (s *Store) NextPush(limit int) (message []byte, newCrash bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +103,9 @@
 	return nil, false
 }
 
-// handleDigest returns the replies to a digest: the message that the tables are
-// equal, or summaries of this daemon's table. It ignores a malformed digest.
+// handleDigest returns the replies to a digest message. If the tables have the same
+// checksum, the only reply says so. Otherwise the replies are summaries of this
+// daemon's table. A malformed digest message gets no reply.
 func (s *Store) handleDigest(digest []byte, limit int) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,10 +157,10 @@
 	return records
 }
 
-// handleSummary returns the replies to a summary. It sends the records of the
-// range that the peer lacks, and requests those that this daemon lacks. A record
-// that has different hashes at the two daemons is both sent and requested. A
-// malformed summary is ignored.
+// handleSummary returns the replies to a summary. They hold the records of the range
+// that the peer lacks, and a request for those that this daemon lacks. A record that
+// has different hashes at the two daemons is both sent and requested. A malformed
+// summary gets no reply.
 func (s *Store) handleSummary(body []byte, limit int) [][]byte {
 	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%summaryEntryBytes != 0 {
 		return nil
@@ -168,29 +172,30 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var missingAtPeer []quarantine.Record
+	var recordsToSend []quarantine.Record
 	for _, r := range s.table.List() {
 		p := prefixOf(r.Fingerprint)
 		if bytes.Compare(p[:], first[:]) < 0 || bytes.Compare(p[:], last[:]) > 0 {
 			continue
 		}
 		if sum, ok := peerSums[p]; !ok || sum != uint32(r.Sum()) {
-			missingAtPeer = append(missingAtPeer, r)
+			recordsToSend = append(recordsToSend, r)
 		} else {
 			delete(peerSums, p)
 		}
 	}
 	// peerSums now holds only the records that this daemon lacks or has with
 	// another hash.
-	out := recordMessages(missingAtPeer, limit)
+	out := recordMessages(recordsToSend, limit)
 	if request := recordRequest(peerSums, limit); request != nil {
 		out = append(out, request)
 	}
 	return out
 }
 
-// recordRequest returns a request of at most limit bytes for the records whose
-// fingerprint prefixes are the keys of wanted, or nil if wanted is empty.
+// recordRequest returns a request for the records whose fingerprint prefixes are the
+// keys of wanted. It leaves out the prefixes that do not fit into limit bytes. It
+// returns nil if wanted is empty.
 func recordRequest(wanted map[fingerprintPrefix]uint32, limit int) []byte {
 	if len(wanted) == 0 {
 		return nil
@@ -205,8 +210,8 @@
 	return m
 }
 
-// handleRecordRequest returns messages with the requested records. It ignores a
-// malformed request.
+// handleRecordRequest returns messages with the requested records. A malformed
+// request gets no reply.
 func (s *Store) handleRecordRequest(body []byte, limit int) [][]byte {
 	if len(body)%prefixBytes != 0 {
 		return nil
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -88,8 +88,8 @@
 // HasRecords reports whether any request is suspected or quarantined.
 func (s *Store) HasRecords() bool { return s.nonEmpty.Load() }
 
-// RefusedFor returns for how much longer a request is refused. The second
-// result is false if it is not refused.
+// RefusedFor returns for how much longer a request is refused, and counts the
+// refusal. The second result is false if the request is not refused.
 func (s *Store) RefusedFor(f quarantine.Fingerprint) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,6 +145,7 @@
 	return out
 }
 
+// tickInterval is the time between two evaluations of the table.
 const tickInterval = 100 * time.Millisecond
 
 // Serve quarantines requests and deletes expired records until the context ends.
--- a/recordlog/client.go
+++ b/recordlog/client.go
@@ -16,14 +16,18 @@
 
 // Client accesses the log over HTTP. It is safe for concurrent use.
 type Client struct {
+	// base is the URL prefix of all streams.
 	base string
 	http *http.Client
 }
 
 const (
-	clientTimeout    = 2 * time.Second
+	// clientTimeout bounds a call. It also bounds the setup of a connection.
+	clientTimeout = 2 * time.Second
+	// maxResponseBytes bounds the part of a response that is read.
 	maxResponseBytes = 8 << 20
-	clientIdleConns  = 4
+	// clientIdleConns bounds the idle connections that are kept open.
+	clientIdleConns = 4
 )
 
 // NewClient returns a Client for the log at an address (host:port).
@@ -65,7 +69,7 @@
 	if err != nil {
 		return 0, &AppendError{Stream: stream, Uncertain: !isDialError(err), Err: err}
 	}
-	defer closeBody(resp.Body)
+	defer drainAndClose(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		return 0, &AppendError{
 			Stream:    stream,
@@ -91,7 +95,7 @@
 	if err != nil {
 		return Batch{}, fmt.Errorf("read %s: %w", stream, err)
 	}
-	defer closeBody(resp.Body)
+	defer drainAndClose(resp.Body)
 	var out Batch
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -120,7 +124,9 @@
 	return json.NewDecoder(io.LimitReader(r, maxResponseBytes)).Decode(v)
 }
 
-func closeBody(b io.ReadCloser) {
+// drainAndClose reads the rest of a response body, up to maxResponseBytes, and closes
+// the body. The connection can be reused only if the body was read to its end.
+func drainAndClose(b io.ReadCloser) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(b, maxResponseBytes))
 	_ = b.Close()
 }
--- a/why/unanswered.go
+++ b/why/unanswered.go
@@ -126,8 +126,9 @@
 	return out
 }
 
-// WriteText writes as text the number of requests for each ExecutionCount, then the
-// requests.
+// WriteText writes the requests as text. The first lines are the number of requests in
+// total and for each ExecutionCount. One line for each request follows. The last line is
+// the number of unreadable lines, if there are any.
 func (u *UnansweredRequests) WriteText(w io.Writer) error {
 	requestCounts := make(map[ExecutionCount]int)
 	for _, r := range u.Requests {
