--- a/core/gossip/anti_entropy_timer.go
+++ b/core/gossip/anti_entropy_timer.go
@@ -20,29 +20,29 @@
 // AntiEntropyTimer determines when to compare digests with another daemon. It is not
 // safe for concurrent use.
 type AntiEntropyTimer struct {
-	// agreements counts the comparisons without a difference since the last Reset.
-	agreements int
-	// lastComparison is when the last comparison took place. Zero means never.
-	lastComparison model.Instant
+	// agreementCount counts the comparisons without a difference since the last Reset.
+	agreementCount int
+	// lastComparisonAt is when the last comparison took place. Zero means never.
+	lastComparisonAt model.Instant
 }
 
 // Due reports whether a comparison is due. If so, it records that the comparison takes
 // place now.
 func (t *AntiEntropyTimer) Due(now model.Instant) bool {
 	interval := shortInterval
-	if t.agreements >= requiredAgreements {
+	if t.agreementCount >= requiredAgreements {
 		interval = longInterval
 	}
-	if t.lastComparison != 0 && now.Sub(t.lastComparison) < interval {
+	if t.lastComparisonAt != 0 && now.Sub(t.lastComparisonAt) < interval {
 		return false
 	}
-	t.lastComparison = now
+	t.lastComparisonAt = now
 	return true
 }
 
 // RecordAgreement records a comparison that found no difference.
-func (t *AntiEntropyTimer) RecordAgreement() { t.agreements++ }
+func (t *AntiEntropyTimer) RecordAgreement() { t.agreementCount++ }
 
 // Reset restores the short interval. It is called after a change of the state, and when
 // other daemons may have missed an update.
-func (t *AntiEntropyTimer) Reset() { t.agreements = 0 }
+func (t *AntiEntropyTimer) Reset() { t.agreementCount = 0 }
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -12,10 +12,10 @@
 )
 
 // newMembers returns the given number of daemons in each of the zones z0, z1 and so on.
-func newMembers(zones, perZone int) []Member {
+func newMembers(zoneCount, membersPerZone int) []Member {
 	var out []Member
-	for z := range zones {
-		for i := range perZone {
+	for z := range zoneCount {
+		for i := range membersPerZone {
 			out = append(out, Member{Address: fmt.Sprint(z, "-", i), Zone: model.AvailabilityZone(fmt.Sprint("z", z))})
 		}
 	}
@@ -28,9 +28,9 @@
 		members  []Member
 		isOrigin bool
 		// local is the number of selected daemons in the local zone.
-		local int
-		// minRemote and maxRemote bound the number of selected daemons in other zones.
-		minRemote, maxRemote int
+		localCount int
+		// minRemoteCount and maxRemoteCount bound the number of selected daemons in other zones.
+		minRemoteCount, maxRemoteCount int
 	}{
 		"forwarded":           {newMembers(5, 30), false, fanOut, 0, 1},
 		"origin":              {newMembers(5, 30), true, fanOut, 4, 4},
@@ -42,17 +42,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 100 {
-				local, seen := 0, make(map[Member]bool)
+				localCount, seen := 0, make(map[Member]bool)
 				for _, m := range selector.PushTargets(c.members, c.isOrigin) {
 					require.False(t, seen[m], "each member is selected at most once")
 					seen[m] = true
 					if m.Zone == selector.Zone {
-						local++
+						localCount++
 					}
 				}
-				require.Equal(t, c.local, local)
-				require.GreaterOrEqual(t, len(seen)-local, c.minRemote)
-				require.LessOrEqual(t, len(seen)-local, c.maxRemote)
+				require.Equal(t, c.localCount, localCount)
+				require.GreaterOrEqual(t, len(seen)-localCount, c.minRemoteCount)
+				require.LessOrEqual(t, len(seen)-localCount, c.maxRemoteCount)
 			}
 		})
 	}
@@ -62,20 +62,20 @@
 	selector := PeerSelector{Zone: "z0", RandIntN: rand.New(rand.NewPCG(1, 1)).IntN}
 	_, ok := selector.AntiEntropyPeer(nil)
 	require.False(t, ok)
-	single, ok := selector.AntiEntropyPeer([]Member{{Address: "x", Zone: "z1"}})
+	onlyMember, ok := selector.AntiEntropyPeer([]Member{{Address: "x", Zone: "z1"}})
 	require.True(t, ok)
-	require.Equal(t, "x", single.Address)
+	require.Equal(t, "x", onlyMember.Address)
 	const draws = 8000
-	all, remoteDraws := newMembers(5, 30), 0
+	members, remoteDraws := newMembers(5, 30), 0
 	for range draws {
-		if m, _ := selector.AntiEntropyPeer(all); m.Zone != selector.Zone {
+		if m, _ := selector.AntiEntropyPeer(members); m.Zone != selector.Zone {
 			remoteDraws++
 		}
 	}
 	require.InDelta(t, crossZoneShare, float64(remoteDraws)/draws, 0.02)
 }
 
-func TestAntiEntropyTimer(t *testing.T) {
+func TestAntiEntropyTimerSlowsDownAfterAgreements(t *testing.T) {
 	var timer AntiEntropyTimer
 	now := model.Instant(0).Add(time.Second)
 	require.True(t, timer.Due(now))
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -20,38 +20,38 @@
 	// windowSize is the number of samples at the limit on which one decision is based.
 	// These samples are called a window.
 	windowSize = 256
-	// uncontendedSize is the number of uncontended samples that are kept.
-	uncontendedSize = 128
-	// minUncontended is the number of uncontended samples that a decision needs.
-	minUncontended = 64
+	// uncontendedRingSize is the number of uncontended samples that are kept.
+	uncontendedRingSize = 128
+	// minUncontendedSamples is the number of uncontended samples that a decision needs.
+	minUncontendedSamples = 64
 	// comparedQuantile is the quantile of the slot times that is compared between samples
 	// at the limit and uncontended samples.
 	comparedQuantile = 0.1
-	// shrinkRatio is the ratio above which the limit is lowered (see shrinkAfter). The
+	// shrinkRatio is the ratio above which the limit is lowered (see shrinkAfterWindows). The
 	// ratio is the slot time at the limit divided by the uncontended slot time.
 	shrinkRatio = 1.5
 	// growRatio is the value of the same ratio below which the limit is raised.
 	growRatio = 1.2
-	// shrinkAfter is the number of consecutive windows after which the limit is lowered if
+	// shrinkAfterWindows is the number of consecutive windows after which the limit is lowered if
 	// the ratio is above shrinkRatio in each of them.
-	shrinkAfter = 2
-	// growAfter is the number of windows with a ratio between growRatio and shrinkRatio
+	shrinkAfterWindows = 2
+	// growAfterWindows is the number of windows with a ratio between growRatio and shrinkRatio
 	// after which the limit is raised. A limit lowered by mistake thus rises again.
-	growAfter = 8
-	// meanWeight makes the recent mean slot time cover about 32 requests.
-	meanWeight = 1.0 / 32
-	// longTermWeight makes the long-term mean slot time cover about 2048 requests.
-	longTermWeight = 1.0 / 2048
+	growAfterWindows = 8
+	// recentMeanWeight makes the recent mean slot time cover about 32 requests.
+	recentMeanWeight = 1.0 / 32
+	// longTermMeanWeight makes the long-term mean slot time cover about 2048 requests.
+	longTermMeanWeight = 1.0 / 2048
 	// slowedRatio is the ratio of the recent mean to the long-term mean above which
 	// requests count as slowed.
 	slowedRatio = 1.5
 	// failureWeight makes the failure rate cover about 8 requests.
 	failureWeight = 1.0 / 8
-	// probeEvery is the number of windows without an uncontended sample after which a
+	// probeAfterWindows is the number of windows without an uncontended sample after which a
 	// probe begins: requests run at half the limit.
-	probeEvery = 32
-	// probeLength is the number of uncontended samples that end a probe.
-	probeLength = 32
+	probeAfterWindows = 32
+	// probeSamples is the number of uncontended samples that end a probe.
+	probeSamples = 32
 )
 
 // Limiter holds the concurrency limit for one incarnation of an upstream. It is not
@@ -60,26 +60,26 @@
 	opts        Options
 	limit       int
 	uncontended ring
-	// atLimit holds the slot times of the current window, in nanoseconds. Its first
+	// atLimitSamples holds the slot times of the current window, in nanoseconds. Its first
 	// atLimitCount elements are in use.
-	atLimit      [windowSize]float64
-	atLimitCount int
-	recentMean   mean
-	longTermMean mean
-	failureRate  float64
-	// windowsWithoutUncontended counts the windows since the last uncontended sample or
+	atLimitSamples [windowSize]float64
+	atLimitCount   int
+	recentMean     mean
+	longTermMean   mean
+	failureRate    float64
+	// windowCountSinceUncontended counts the windows since the last uncontended sample or
 	// the start of the last probe.
-	windowsWithoutUncontended int
-	// probeRemaining counts the samples that the current probe still needs. It is 0 if no
+	windowCountSinceUncontended int
+	// probeSamplesLeft counts the samples that the current probe still needs. It is 0 if no
 	// probe is running.
-	probeRemaining int
-	// contendedWindows counts consecutive windows whose ratio is above shrinkRatio.
-	contendedWindows int
-	// stableWindows counts the windows whose ratio is between growRatio and shrinkRatio.
+	probeSamplesLeft int
+	// contendedWindowCount counts consecutive windows whose ratio is above shrinkRatio.
+	contendedWindowCount int
+	// stableWindowCount counts the windows whose ratio is between growRatio and shrinkRatio.
 	// They need not be consecutive. A window whose ratio is below growRatio sets
-	// stableWindows to growAfter, so that the limit is raised at once. The count restarts
+	// stableWindowCount to growAfterWindows, so that the limit is raised at once. The count restarts
 	// whenever the limit is changed.
-	stableWindows int
+	stableWindowCount int
 }
 
 // New returns a Limiter whose initial limit is the announced number of slots.
@@ -94,7 +94,7 @@
 // Limit returns the number of requests that may run concurrently, at least 1. During a
 // probe it is half of the usual number.
 func (l *Limiter) Limit() int {
-	if l.probeRemaining > 0 {
+	if l.probeSamplesLeft > 0 {
 		return max(l.limit/2, 1)
 	}
 	return l.limit
@@ -107,18 +107,18 @@
 	if failed || slotTime <= 0 {
 		return
 	}
-	l.recentMean.add(float64(slotTime), meanWeight)
-	l.longTermMean.add(float64(slotTime), longTermWeight)
+	l.recentMean.add(float64(slotTime), recentMeanWeight)
+	l.longTermMean.add(float64(slotTime), longTermMeanWeight)
 	if running <= (l.limit+1)/2 {
 		l.uncontended.add(float64(slotTime))
-		l.windowsWithoutUncontended = 0
-		l.probeRemaining = max(l.probeRemaining-1, 0)
+		l.windowCountSinceUncontended = 0
+		l.probeSamplesLeft = max(l.probeSamplesLeft-1, 0)
 		return
 	}
-	if running < l.limit || l.probeRemaining > 0 {
+	if running < l.limit || l.probeSamplesLeft > 0 {
 		return
 	}
-	l.atLimit[l.atLimitCount] = float64(slotTime)
+	l.atLimitSamples[l.atLimitCount] = float64(slotTime)
 	l.atLimitCount++
 	if l.atLimitCount == windowSize {
 		l.evaluateWindow()
@@ -147,39 +147,39 @@
 
 // evaluateWindow adjusts the limit after a full window of samples at the limit.
 func (l *Limiter) evaluateWindow() {
-	atLimit := lowQuantile(l.atLimit[:])
+	atLimitQuantile := lowQuantile(l.atLimitSamples[:])
 	l.atLimitCount = 0
-	l.windowsWithoutUncontended++
-	if l.windowsWithoutUncontended >= probeEvery && l.limit > 1 {
-		l.windowsWithoutUncontended, l.probeRemaining = 0, probeLength
+	l.windowCountSinceUncontended++
+	if l.windowCountSinceUncontended >= probeAfterWindows && l.limit > 1 {
+		l.windowCountSinceUncontended, l.probeSamplesLeft = 0, probeSamples
 	}
-	if l.uncontended.n < minUncontended {
+	if l.uncontended.n < minUncontendedSamples {
 		return
 	}
-	ratio := atLimit / l.uncontended.lowQuantile()
+	ratio := atLimitQuantile / l.uncontended.lowQuantile()
 	switch {
 	case ratio > shrinkRatio:
-		l.contendedWindows++
+		l.contendedWindowCount++
 	case ratio < growRatio:
-		l.contendedWindows, l.stableWindows = 0, growAfter
+		l.contendedWindowCount, l.stableWindowCount = 0, growAfterWindows
 	default:
-		l.contendedWindows = 0
-		l.stableWindows++
+		l.contendedWindowCount = 0
+		l.stableWindowCount++
 	}
 	l.adjustLimit()
 }
 
-// adjustLimit lowers the limit after shrinkAfter consecutive windows with a ratio above
+// adjustLimit lowers the limit after shrinkAfterWindows consecutive windows with a ratio above
 // shrinkRatio. It raises the limit after one window with a ratio below growRatio, or after
-// growAfter windows with a ratio between growRatio and shrinkRatio.
+// growAfterWindows windows with a ratio between growRatio and shrinkRatio.
 func (l *Limiter) adjustLimit() {
 	switch {
-	case l.contendedWindows >= shrinkAfter:
+	case l.contendedWindowCount >= shrinkAfterWindows:
 		l.limit = max(l.limit-1, 1)
-		l.contendedWindows, l.stableWindows = 0, 0
-	case l.stableWindows >= growAfter:
+		l.contendedWindowCount, l.stableWindowCount = 0, 0
+	case l.stableWindowCount >= growAfterWindows:
 		l.limit = min(l.limit+1, l.opts.Max)
-		l.stableWindows = 0
+		l.stableWindowCount = 0
 	}
 }
 
@@ -191,7 +191,7 @@
 
 // ring holds the latest uncontended slot times, in nanoseconds.
 type ring struct {
-	samples [uncontendedSize]float64
+	samples [uncontendedRingSize]float64
 	// next is the index at which the next slot time is stored.
 	next int
 	// n is the number of stored slot times.
@@ -201,8 +201,8 @@
 // add stores a slot time. If the ring is full, the oldest slot time is overwritten.
 func (r *ring) add(x float64) {
 	r.samples[r.next] = x
-	r.next = (r.next + 1) % uncontendedSize
-	r.n = min(r.n+1, uncontendedSize)
+	r.next = (r.next + 1) % uncontendedRingSize
+	r.n = min(r.n+1, uncontendedRingSize)
 }
 
 // lowQuantile returns the comparedQuantile of the stored slot times.
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -34,25 +34,25 @@
 
 func TestLimiterFindsTheUpstreamsCapacity(t *testing.T) {
 	cases := map[string]struct {
-		upstream  sharedUpstream
-		max       int
-		low, high int
+		upstream           sharedUpstream
+		optionsMax         int
+		minLimit, maxLimit int
 	}{
-		"announced slots are correct":  {upstream: sharedUpstream{capacity: 6, slowdown: 1}, low: 6, high: 6},
-		"announces twice its capacity": {upstream: sharedUpstream{capacity: 3, slowdown: 1}, low: 2, high: 5},
-		"straggler keeps its limit":    {upstream: sharedUpstream{capacity: 6, slowdown: 8}, low: 6, high: 6},
-		"announces too few slots":      {upstream: sharedUpstream{capacity: 12, slowdown: 1}, max: 12, low: 10, high: 12},
-		"one slot":                     {upstream: sharedUpstream{capacity: 1, slowdown: 1}, low: 1, high: 4},
+		"announced slots are correct":  {upstream: sharedUpstream{capacity: 6, slowdown: 1}, minLimit: 6, maxLimit: 6},
+		"announces twice its capacity": {upstream: sharedUpstream{capacity: 3, slowdown: 1}, minLimit: 2, maxLimit: 5},
+		"straggler keeps its limit":    {upstream: sharedUpstream{capacity: 6, slowdown: 8}, minLimit: 6, maxLimit: 6},
+		"announces too few slots":      {upstream: sharedUpstream{capacity: 12, slowdown: 1}, optionsMax: 12, minLimit: 10, maxLimit: 12},
+		"one slot":                     {upstream: sharedUpstream{capacity: 1, slowdown: 1}, minLimit: 1, maxLimit: 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			l := New(Options{Slots: 6, Max: tc.max})
+			l := New(Options{Slots: 6, Max: tc.optionsMax})
 			simulate(l, tc.upstream, 50_000, rng)
 			for range 100 {
 				simulate(l, tc.upstream, 64, rng)
-				assert.LessOrEqual(t, l.limit, tc.high)
-				assert.GreaterOrEqual(t, l.limit, tc.low)
+				assert.LessOrEqual(t, l.limit, tc.maxLimit)
+				assert.GreaterOrEqual(t, l.limit, tc.minLimit)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 func TestSurgeOfCostlyRequestsKeepsTheLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	l := New(Options{Slots: 6})
-	lowest := 6
+	lowestLimit := 6
 	for i := range 200_000 {
 		running, costlyShare := 1+i%3, 0.05
 		if i%64 >= 16 {
@@ -72,25 +72,25 @@
 			slotTime *= 10
 		}
 		l.Observe(model.Instant(i), time.Duration(slotTime), running, false)
-		lowest = min(lowest, l.limit)
+		lowestLimit = min(lowestLimit, l.limit)
 	}
-	assert.GreaterOrEqual(t, lowest, 5)
+	assert.GreaterOrEqual(t, lowestLimit, 5)
 }
 
 func TestLimiterProbesRarelyUnderFullLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	l := New(Options{Slots: 6})
-	const requests = 200_000
-	probing := 0
-	for i := range requests {
+	const requestCount = 200_000
+	probingCount := 0
+	for i := range requestCount {
 		if l.Limit() < 6 {
-			probing++
+			probingCount++
 		}
 		slotTime := 2e6 * math.Exp(0.6*rng.NormFloat64())
 		l.Observe(model.Instant(i), time.Duration(slotTime), l.Limit(), false)
 	}
-	assert.Positive(t, probing)
-	assert.Less(t, probing, requests/100)
+	assert.Positive(t, probingCount)
+	assert.Less(t, probingCount, requestCount/100)
 }
 
 func TestLimitRisesWhenTheUpstreamRecovers(t *testing.T) {
--- a/core/measure/budget.go
+++ b/core/measure/budget.go
@@ -51,12 +51,12 @@
 	// reserved is the sum of the pending reservations. tokens plus reserved never
 	// exceed the burst. Otherwise slot time returned by a late Settle could be spent in
 	// addition to a full burst.
-	reserved   time.Duration
-	refilledAt model.Instant
+	reservedTime time.Duration
+	refilledAt   model.Instant
 	// charged is the slot time charged so far, including pending reservations.
-	charged time.Duration
+	chargedTime time.Duration
 	// refused counts the measurements that the budget did not allow.
-	refused uint64
+	refusalCount uint64
 }
 
 // Reservation is the slot time reserved for a measurement.
@@ -92,12 +92,12 @@
 	b.refill(now)
 	slotTime := b.slotTime(maxCost)
 	if slotTime > b.tokens || b.opts.Share == 0 {
-		b.refused++
+		b.refusalCount++
 		return Reservation{}, false
 	}
 	b.tokens -= slotTime
-	b.reserved += slotTime
-	b.charged += slotTime
+	b.reservedTime += slotTime
+	b.chargedTime += slotTime
 	return Reservation{slotTime: slotTime, pending: true}, true
 }
 
@@ -111,8 +111,8 @@
 	r.pending = false
 	b.refill(now)
 	unused := r.slotTime - min(b.slotTime(cost), r.slotTime)
-	b.charged -= unused
-	b.reserved -= r.slotTime
+	b.chargedTime -= unused
+	b.reservedTime -= r.slotTime
 	b.tokens += unused
 }
 
@@ -123,10 +123,10 @@
 }
 
 // Spent returns the slot time charged so far, including pending reservations.
-func (b *Budget) Spent() time.Duration { return b.charged }
+func (b *Budget) Spent() time.Duration { return b.chargedTime }
 
 // Refused returns the number of measurements that the budget did not allow.
-func (b *Budget) Refused() uint64 { return b.refused }
+func (b *Budget) Refused() uint64 { return b.refusalCount }
 
 // Burst returns the slot time that may be charged at once.
 func (b *Budget) Burst() time.Duration { return b.opts.Burst }
@@ -145,6 +145,6 @@
 	}
 	earned := float64(now.Sub(b.refilledAt)) * b.opts.Share * float64(b.opts.Slots)
 	b.refilledAt = now
-	capacity := float64(b.opts.Burst - b.reserved)
+	capacity := float64(b.opts.Burst - b.reservedTime)
 	b.tokens = time.Duration(min(float64(b.tokens)+earned, capacity))
 }
--- a/core/measure/measure_test.go
+++ b/core/measure/measure_test.go
@@ -16,8 +16,8 @@
 
 // charge is the charge for one measurement.
 type charge struct {
-	// at is when the measurement began.
-	at model.Instant
+	// beganAt is when the measurement began.
+	beganAt model.Instant
 	// slotTime is the slot time charged, which Settle may reduce.
 	slotTime    time.Duration
 	reservation *Reservation
@@ -45,9 +45,9 @@
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(50*ms)).Draw(t, "wait")))
 			if len(charges) > 0 && rapid.Bool().Draw(t, "settle") {
 				c := charges[rapid.IntRange(0, len(charges)-1).Draw(t, "which")]
-				before := b.Spent()
+				spentBefore := b.Spent()
 				b.Settle(now, c.reservation, drawCost(t))
-				c.slotTime -= before - b.Spent()
+				c.slotTime -= spentBefore - b.Spent()
 				continue
 			}
 			maxCost := drawCost(t)
@@ -56,17 +56,17 @@
 			}
 		}
 		for i := range charges {
-			sum := time.Duration(0)
+			totalCharged := time.Duration(0)
 			for _, c := range charges[i:] {
-				sum += c.slotTime
-				budget := float64(c.at.Sub(charges[i].at)) * share * float64(slots)
-				require.LessOrEqual(t, float64(sum), budget+float64(b.Burst())+1)
+				totalCharged += c.slotTime
+				allowed := float64(c.beganAt.Sub(charges[i].beganAt)) * share * float64(slots)
+				require.LessOrEqual(t, float64(totalCharged), allowed+float64(b.Burst())+1)
 			}
 		}
 	})
 }
 
-func TestBudget(t *testing.T) {
+func TestBudgetReservesSettlesAndRefills(t *testing.T) {
 	b := NewBudget(0, Options{Share: 0.01, Slots: 6, Burst: 11 * ms})
 	r, ok := b.Reserve(0, Cost{SlotTime: 9 * ms, Connections: 1, Bytes: 1000})
 	require.True(t, ok, "9 ms, a connection of 1 ms and 10 µs of bytes fit into the burst")
@@ -87,12 +87,12 @@
 	assert.False(t, ok, "a budget of 0 forbids measuring")
 }
 
-func TestTrust(t *testing.T) {
+func TestTrustComparesReportsWithObservations(t *testing.T) {
 	cases := map[string]struct {
-		report   Report
-		observed Observation
-		external int
-		counts   Counts
+		report           Report
+		observed         Observation
+		externalRequests int
+		counts           Counts
 	}{
 		"late but correct":                     {Report{Running: 3}, Observation{MinRunning: 2, MaxRunning: 5}, 0, Counts{Agreed: 100}},
 		"reports too few":                      {Report{Running: 0}, Observation{MinRunning: 4, MaxRunning: 6}, 0, Counts{Contradicted: 100}},
@@ -106,7 +106,7 @@
 			for range 100 {
 				trust.Observe(tc.report, tc.observed)
 			}
-			assert.Equal(t, tc.external, trust.ExternalRequests(6))
+			assert.Equal(t, tc.externalRequests, trust.ExternalRequests(6))
 			assert.Equal(t, tc.counts, trust.Counts())
 		})
 	}
@@ -119,26 +119,26 @@
 	assert.Equal(t, 100*ms, s.Next(50, false))
 }
 
-func TestMonitor(t *testing.T) {
+func TestMonitorPollsWithinTheBudget(t *testing.T) {
 	m := NewMonitor(0, Options{Share: 0.01, Slots: 6})
 	_, ok := m.BeginPoll(0, Cost{SlotTime: ms})
 	assert.False(t, ok, "no poll is due yet")
-	at := m.NextPoll()
+	pollAt := m.NextPoll()
 	m.SetRunning(2)
 	m.SetRunning(5)
-	r, ok := m.BeginPoll(at, Cost{SlotTime: 2 * ms})
+	r, ok := m.BeginPoll(pollAt, Cost{SlotTime: 2 * ms})
 	require.True(t, ok)
-	m.PollSucceeded(at, &r, Cost{SlotTime: ms}, Report{Running: 7}, true)
+	m.PollSucceeded(pollAt, &r, Cost{SlotTime: ms}, Report{Running: 7}, true)
 	assert.Equal(t, ms, m.Spent())
 	load := m.Annotate(model.Load{Running: 5, Limit: 6})
 	assert.EqualValues(t, 6, load.Running, "two requests from elsewhere, weighted by a trust of 0.6")
-	assert.Less(t, m.NextPoll().Sub(at), time.Second, "a report that differs shortens the interval")
+	assert.Less(t, m.NextPoll().Sub(pollAt), time.Second, "a report that differs shortens the interval")
 
-	at = m.NextPoll()
-	r, _ = m.BeginPoll(at, Cost{SlotTime: 2 * ms})
-	m.PollFailed(at, &r, Cost{SlotTime: 2 * ms})
+	pollAt = m.NextPoll()
+	r, _ = m.BeginPoll(pollAt, Cost{SlotTime: 2 * ms})
+	m.PollFailed(pollAt, &r, Cost{SlotTime: 2 * ms})
 	assert.Equal(t, 3*ms, m.Spent())
-	m.SetShare(at, 0)
+	m.SetShare(pollAt, 0)
 	_, ok = m.BeginPoll(m.NextPoll(), Cost{SlotTime: ms})
 	assert.False(t, ok)
 	assert.EqualValues(t, 1, m.Refused())
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -29,8 +29,8 @@
 }
 
 const (
-	// initialTrust is the trust before the first report.
-	initialTrust = 0.5
+	// initialWeight is the trust before the first report.
+	initialWeight = 0.5
 	// agreementGain is added to the trust after a report that agrees.
 	agreementGain = 0.1
 	// contradictedFactor multiplies the trust after a contradicted report.
@@ -46,31 +46,31 @@
 // create a Trust. It is not safe for concurrent use.
 type Trust struct {
 	// trust is the weight of a report, from 0 to 1.
-	trust float64
-	// external is the number of requests from elsewhere in the last report, or 0 if
+	weight float64
+	// externalRequests is the number of requests from elsewhere in the last report, or 0 if
 	// that report was not credible.
-	external float64
-	counts   Counts
+	externalRequests float64
+	counts           Counts
 }
 
 // NewTrust returns a Trust that gives reports a weight of one half.
-func NewTrust() *Trust { return &Trust{trust: initialTrust} }
+func NewTrust() *Trust { return &Trust{weight: initialWeight} }
 
 // Observe compares a report with an observation and updates the weight of reports.
 func (t *Trust) Observe(r Report, observed Observation) {
 	external := max(r.Running-observed.MaxRunning, 0)
-	t.external = 0
+	t.externalRequests = 0
 	switch {
 	case r.Running < observed.MinRunning:
 		t.counts.Contradicted++
-		t.trust *= contradictedFactor
+		t.weight *= contradictedFactor
 	case external > 0 && !observed.Slowed:
 		t.counts.Unsupported++
-		t.trust *= unsupportedFactor
+		t.weight *= unsupportedFactor
 	default:
 		t.counts.Agreed++
-		t.trust = min(t.trust+agreementGain, 1)
-		t.external = float64(external)
+		t.weight = min(t.weight+agreementGain, 1)
+		t.externalRequests = float64(external)
 	}
 }
 
@@ -86,4 +86,4 @@
 
 // Discrepancy returns by how many requests the last report exceeded the observation,
 // multiplied by the weight of reports. It is 0 if the last report was not credible.
-func (t *Trust) Discrepancy() float64 { return t.external * t.trust }
+func (t *Trust) Discrepancy() float64 { return t.externalRequests * t.weight }
--- a/core/outcome/reason.go
+++ b/core/outcome/reason.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// detailTexts describes each reason in a sentence for the caller.
-var detailTexts = map[Reason]string{
+// detailByReason describes each reason in a sentence for the caller.
+var detailByReason = map[Reason]string{
 	ReasonNoService:        "No service has this name or host.",
 	ReasonNoUpstream:       "No upstream of the service may take the request now.",
 	ReasonUnauthenticated:  "The credentials or the call token are not valid.",
@@ -42,7 +42,7 @@
 }
 
 // Detail describes the reason in a sentence. It is empty for ReasonNone.
-func (r Reason) Detail() string { return detailTexts[r] }
+func (r Reason) Detail() string { return detailByReason[r] }
 
 // Reasons returns all reasons except ReasonNone, sorted.
-func Reasons() []Reason { return slices.Sorted(maps.Keys(detailTexts)) }
+func Reasons() []Reason { return slices.Sorted(maps.Keys(detailByReason)) }
--- a/core/placement/failure_rate.go
+++ b/core/placement/failure_rate.go
@@ -24,13 +24,13 @@
 	// rate is the failure rate at the instant at.
 	rate float64
 	// at is when the last result was recorded.
-	at model.Instant
+	setAt model.Instant
 }
 
 // Record records the result of a request.
 func (f *FailureRate) Record(now model.Instant, failed bool) {
 	f.rate = f.At(now)
-	f.at = now
+	f.setAt = now
 	sample := 0.0
 	if failed {
 		sample = 1
@@ -39,7 +39,7 @@
 }
 
 // At returns the failure rate at the given instant, from 0 to 1.
-func (f *FailureRate) At(now model.Instant) float64 { return f.rate * failureDecay(now.Sub(f.at)) }
+func (f *FailureRate) At(now model.Instant) float64 { return f.rate * failureDecay(now.Sub(f.setAt)) }
 
 // failureDecay returns the fraction, from 0 to 1, that is left of a failure rate of the
 // given age.
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -83,16 +83,16 @@
 	upstream Upstream
 	// load is the latest reported load. It is not set while hasLoad is false.
 	load Load
-	// loadAt is when load was reported.
-	loadAt  model.Instant
-	hasLoad bool
+	// loadReceivedAt is when load was reported.
+	loadReceivedAt model.Instant
+	hasLoad        bool
 	// inFlight counts this entry's unfinished requests at the upstream.
 	inFlight int
 	// inFlightAtLoad is the value that inFlight had when load was reported.
 	inFlightAtLoad int
-	// meanOthers is the moving average of the number of requests that other entries
+	// meanOtherRequests is the moving average of the number of requests that other entries
 	// have at the upstream.
-	meanOthers float64
+	meanOtherRequests float64
 	// unreachableUntil is the end of the period in which the upstream is avoided
 	// because it could not be reached.
 	unreachableUntil model.Instant
@@ -100,11 +100,11 @@
 
 // slowdown returns the slowdown to expect of the upstream now. mean is the mean slowdown
 // of the service.
-func (c *candidate) slowdown(now model.Instant, mean float64) float64 {
-	slowdown := mean
+func (c *candidate) slowdown(now model.Instant, meanSlowdown float64) float64 {
+	slowdown := meanSlowdown
 	if c.hasLoad && c.load.Slowdown > 0 {
-		weight := loadDecay(now.Sub(c.loadAt) + c.load.SlowdownAge)
-		slowdown = mean + (c.load.Slowdown-mean)*weight
+		weight := loadDecay(now.Sub(c.loadReceivedAt) + c.load.SlowdownAge)
+		slowdown = meanSlowdown + (c.load.Slowdown-meanSlowdown)*weight
 	}
 	if c.upstream.ColdUntil > now {
 		slowdown = max(slowdown, coldSlowdown)
@@ -114,14 +114,14 @@
 
 // expectedRequests estimates how many requests are at the upstream now. This entry's own
 // requests are known exactly. The number of other entries' requests decays from the last
-// reported value towards meanOthers. It counts as 0 until a load has been reported.
+// reported value towards meanOtherRequests. It counts as 0 until a load has been reported.
 func (c *candidate) expectedRequests(now model.Instant) int {
 	if !c.hasLoad {
 		return c.inFlight
 	}
-	weight := loadDecay(now.Sub(c.loadAt))
-	othersAtLoad := max(float64(c.load.Running+c.load.Waiting-c.inFlightAtLoad), 0)
-	return c.inFlight + int(math.Round(c.meanOthers+(othersAtLoad-c.meanOthers)*weight))
+	weight := loadDecay(now.Sub(c.loadReceivedAt))
+	otherRequestsAtLoad := max(float64(c.load.Running+c.load.Waiting-c.inFlightAtLoad), 0)
+	return c.inFlight + int(math.Round(c.meanOtherRequests+(otherRequestsAtLoad-c.meanOtherRequests)*weight))
 }
 
 // limit returns the concurrency limit of the upstream.
@@ -137,5 +137,5 @@
 	if !c.hasLoad {
 		return 0
 	}
-	return c.load.FailureRate * failureDecay(now.Sub(c.loadAt))
+	return c.load.FailureRate * failureDecay(now.Sub(c.loadReceivedAt))
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -126,23 +126,23 @@
 // meet the target. The zone in the local region must be chosen, although its upstream is a
 // little slower. Choice.Alternative, which the guard is sent, must include the round trip.
 func TestRoundTripTimeCounts(t *testing.T) {
-	const near, far = 3 * time.Millisecond, 45 * time.Millisecond
+	const nearRTT, farRTT = 3 * time.Millisecond, 45 * time.Millisecond
 	p := newPlacer("local", "region", "abroad")
 	p.UpdateLoad(at(0), "a", Load{Running: 4, Waiting: 30, Limit: 4, Slowdown: 1})
 	p.UpdateLoad(at(0), "b", idle(1.25))
 	p.UpdateLoad(at(0), "c", idle(1))
 	require.Equal(t, "c", choose(t, p, at(0)).Upstream.Key, "before the round-trip times are known")
 	p.Done(at(0), "c", nil)
-	p.ObserveRTT("b", near)
-	p.ObserveRTT("c", far)
-	beyond := p.ZonesBeyondRTT(10 * time.Millisecond)
-	require.False(t, beyond["local"])
-	require.False(t, beyond["region"])
-	require.True(t, beyond["abroad"])
+	p.ObserveRTT("b", nearRTT)
+	p.ObserveRTT("c", farRTT)
+	beyondZones := p.ZonesBeyondRTT(10 * time.Millisecond)
+	require.False(t, beyondZones["local"])
+	require.False(t, beyondZones["region"])
+	require.True(t, beyondZones["abroad"])
 	c := choose(t, p, at(0))
 	require.Equal(t, "b", c.Upstream.Key)
-	require.Equal(t, time.Duration(1.25*float64(serviceTime))+near, c.Expected)
-	require.Equal(t, serviceTime+far, c.Alternative)
+	require.Equal(t, time.Duration(1.25*float64(serviceTime))+nearRTT, c.Expected)
+	require.Equal(t, serviceTime+farRTT, c.Alternative)
 }
 
 // TestShortestRoundTripCounts checks that load replies delayed by a busy processor do
@@ -150,8 +150,8 @@
 func TestShortestRoundTripCounts(t *testing.T) {
 	p := newPlacer("local")
 	p.UpdateLoad(at(0), "a", idle(1))
-	for _, took := range []time.Duration{40, 20, 30} {
-		p.ObserveRTT("a", took*time.Millisecond)
+	for _, rtt := range []time.Duration{40, 20, 30} {
+		p.ObserveRTT("a", rtt*time.Millisecond)
 	}
 	require.InDelta(t, 20, roundTripMS(t, p), 0.5)
 	for range 500 {
@@ -289,19 +289,19 @@
 // TestMissesDeadline checks that a request is refused that would miss its deadline on
 // every upstream. Slots are free, so a guard would accept the request.
 func TestMissesDeadline(t *testing.T) {
-	const slowdown, left = 20, time.Second
+	const slowdown, untilDeadline = 20, time.Second
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(slowdown))
 	p.UpdateLoad(at(0), "b", idle(slowdown))
 	c := choose(t, p, at(1))
-	require.True(t, c.MissesDeadline(left))
+	require.True(t, c.MissesDeadline(untilDeadline))
 	require.False(t, c.MissesDeadline(slowdown*2*serviceTime))
 
 	c = choose(t, p, at(100))
-	require.False(t, c.MissesDeadline(left), "the loads are too old")
+	require.False(t, c.MissesDeadline(untilDeadline), "the loads are too old")
 
 	p.UpdateLoad(at(200), "a", idle(slowdown))
 	p.UpdateLoad(at(200), "b", idle(1))
 	c = choose(t, p, at(201))
-	require.False(t, c.MissesDeadline(left), "one upstream is fast")
+	require.False(t, c.MissesDeadline(untilDeadline), "one upstream is fast")
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -57,8 +57,8 @@
 	// follows a lasting increase within a few hundred load queries. A loaded entry sends
 	// that many in less than a second.
 	rttSmoothing = 64
-	// othersWeight makes candidate.meanOthers cover about 8 loads.
-	othersWeight = 1.0 / 8
+	// otherRequestsWeight makes candidate.meanOtherRequests cover about 8 loads.
+	otherRequestsWeight = 1.0 / 8
 )
 
 // Request describes a request that needs an upstream.
@@ -107,13 +107,13 @@
 type Placer struct {
 	opts Options
 	// candidates holds the candidates by Upstream.Key.
-	candidates map[string]*candidate
+	candidatesByKey map[string]*candidate
 	// order holds the same candidates in the order in which SetUpstreams was given them.
-	order []*candidate
+	candidates []*candidate
 	// meanSlowdown is the mean slowdown of the service.
 	meanSlowdown float64
-	// roundTrips holds the round-trip time to the guards of each zone.
-	roundTrips map[model.AvailabilityZone]time.Duration
+	// rttByZone holds the round-trip time to the guards of each zone.
+	rttByZone map[model.AvailabilityZone]time.Duration
 }
 
 // New returns a Placer without upstreams.
@@ -124,33 +124,33 @@
 	if opts.Rand == nil {
 		opts.Rand = rand.Float64
 	}
-	return &Placer{opts: opts, candidates: make(map[string]*candidate), meanSlowdown: initialSlowdown, roundTrips: make(map[model.AvailabilityZone]time.Duration)}
+	return &Placer{opts: opts, candidatesByKey: make(map[string]*candidate), meanSlowdown: initialSlowdown, rttByZone: make(map[model.AvailabilityZone]time.Duration)}
 }
 
 // SetUpstreams replaces the candidates. What is known about candidates that remain is kept.
 func (p *Placer) SetUpstreams(ups []Upstream) {
-	candidates := make(map[string]*candidate, len(ups))
-	p.order = p.order[:0]
+	candidatesByKey := make(map[string]*candidate, len(ups))
+	p.candidates = p.candidates[:0]
 	for _, up := range ups {
-		c := p.candidates[up.Key]
+		c := p.candidatesByKey[up.Key]
 		if c == nil {
 			c = &candidate{}
 		}
 		c.upstream = up
-		candidates[up.Key] = c
-		p.order = append(p.order, c)
+		candidatesByKey[up.Key] = c
+		p.candidates = append(p.candidates, c)
 	}
-	p.candidates = candidates
+	p.candidatesByKey = candidatesByKey
 }
 
 // Len returns the number of candidates.
-func (p *Placer) Len() int { return len(p.order) }
+func (p *Placer) Len() int { return len(p.candidates) }
 
 // Outstanding returns the number of requests that Choose has placed and for which Done
 // has not been called yet.
 func (p *Placer) Outstanding() int {
 	n := 0
-	for _, c := range p.order {
+	for _, c := range p.candidates {
 		n += c.inFlight
 	}
 	return n
@@ -159,18 +159,18 @@
 // MeanSlowdown returns the mean slowdown of the service.
 func (p *Placer) MeanSlowdown() float64 { return p.meanSlowdown }
 
-// QueryTargets returns up to n upstreams to which to send a load query. If local is set,
-// they are upstreams of the local zone, otherwise of other zones. Upstreams whose load is
+// QueryTargets returns up to n upstreams to which to send a load query. If inLocalZone is set,
+// they are upstreams of the inLocalZone zone, otherwise of other zones. Upstreams whose load is
 // younger than maxAge are left out, and so are unreachable, stopping and excluded ones. If
 // more than n remain, the result holds the n-1 with the shortest expected times (increased
 // at random, see queryJitter) and one that is drawn at random from the others.
-func (p *Placer) QueryTargets(now model.Instant, req Request, local bool, maxAge time.Duration, n int) []Upstream {
+func (p *Placer) QueryTargets(now model.Instant, req Request, inLocalZone bool, maxAge time.Duration, n int) []Upstream {
 	var stale []scoredCandidate
-	for _, c := range p.order {
-		if (c.upstream.Zone == p.opts.Zone) != local || !preferredOnly.allows(c, now) {
+	for _, c := range p.candidates {
+		if (c.upstream.Zone == p.opts.Zone) != inLocalZone || !preferredOnly.allows(c, now) {
 			continue
 		}
-		if req.Exclude != nil && req.Exclude(c.upstream) || c.hasLoad && now.Sub(c.loadAt) < maxAge {
+		if req.Exclude != nil && req.Exclude(c.upstream) || c.hasLoad && now.Sub(c.loadReceivedAt) < maxAge {
 			continue
 		}
 		t := p.expected(now, req, c)
@@ -202,7 +202,7 @@
 
 // UpdateLoad records the load of an upstream.
 func (p *Placer) UpdateLoad(now model.Instant, key string, load Load) {
-	if c := p.candidates[key]; c != nil {
+	if c := p.candidatesByKey[key]; c != nil {
 		p.updateLoad(now, c, load)
 	}
 }
@@ -223,7 +223,7 @@
 		chosen, alternative = bestLocal, best
 	}
 	chosen.candidate.inFlight++
-	loadAge := now.Sub(chosen.candidate.loadAt)
+	loadAge := now.Sub(chosen.candidate.loadReceivedAt)
 	if !chosen.candidate.hasLoad {
 		loadAge = math.MaxInt64
 	}
@@ -270,7 +270,7 @@
 // findBest returns the best candidate, the second best, and the best candidate of the
 // local zone. The candidate field of a result is nil if there is no such candidate.
 func (p *Placer) findBest(now model.Instant, req Request, e eligibility) (best, second, bestLocal scoredCandidate) {
-	for _, c := range p.order {
+	for _, c := range p.candidates {
 		if !e.allows(c, now) {
 			continue
 		}
@@ -299,44 +299,44 @@
 // expected returns the time until the request would complete at an upstream, including
 // the round trip to its zone.
 func (p *Placer) expected(now model.Instant, req Request, c *candidate) time.Duration {
-	return p.roundTrips[c.upstream.Zone] + ExpectedTime(req.ServiceTime, c.slowdown(now, p.meanSlowdown), c.expectedRequests(now), c.limit(), c.failureRate(now))
+	return p.rttByZone[c.upstream.Zone] + ExpectedTime(req.ServiceTime, c.slowdown(now, p.meanSlowdown), c.expectedRequests(now), c.limit(), c.failureRate(now))
 }
 
 // ObserveRTT records took, the round-trip time of a load query to the guard of an
 // upstream. If took is longer than the stored time, the stored time rises only a little,
 // because took may include a wait for a CPU.
-func (p *Placer) ObserveRTT(key string, took time.Duration) {
-	c := p.candidates[key]
+func (p *Placer) ObserveRTT(key string, rtt time.Duration) {
+	c := p.candidatesByKey[key]
 	if c == nil {
 		return
 	}
-	rtt, known := p.roundTrips[c.upstream.Zone]
-	if known && took > rtt {
-		took = rtt + (took-rtt)/rttSmoothing
+	storedRTT, known := p.rttByZone[c.upstream.Zone]
+	if known && rtt > storedRTT {
+		rtt = storedRTT + (rtt-storedRTT)/rttSmoothing
 	}
-	p.roundTrips[c.upstream.Zone] = took
+	p.rttByZone[c.upstream.Zone] = rtt
 }
 
 // ZonesBeyondRTT returns the zones whose round-trip time is longer than rtt. It returns
 // nil if there are none, which is the usual case.
 func (p *Placer) ZonesBeyondRTT(rtt time.Duration) map[model.AvailabilityZone]bool {
-	var far map[model.AvailabilityZone]bool
-	for z, zoneRTT := range p.roundTrips {
+	var beyond map[model.AvailabilityZone]bool
+	for z, zoneRTT := range p.rttByZone {
 		if zoneRTT <= rtt {
 			continue
 		}
-		if far == nil {
-			far = make(map[model.AvailabilityZone]bool)
+		if beyond == nil {
+			beyond = make(map[model.AvailabilityZone]bool)
 		}
-		far[z] = true
+		beyond[z] = true
 	}
-	return far
+	return beyond
 }
 
 // Done records the end of a request that Choose has placed. load is nil if the guard
 // reported none.
 func (p *Placer) Done(now model.Instant, key string, load *Load) {
-	c := p.candidates[key]
+	c := p.candidatesByKey[key]
 	if c == nil {
 		return
 	}
@@ -350,10 +350,10 @@
 // updateLoad records the load of an upstream. It also ends the pause that MarkUnreachable
 // began, since an upstream whose guard reports a load is reachable.
 func (p *Placer) updateLoad(now model.Instant, c *candidate, load Load) {
-	c.load, c.loadAt, c.hasLoad, c.inFlightAtLoad = load, now, true, c.inFlight
+	c.load, c.loadReceivedAt, c.hasLoad, c.inFlightAtLoad = load, now, true, c.inFlight
 	c.unreachableUntil = 0
-	others := max(float64(load.Running+load.Waiting-c.inFlight), 0)
-	c.meanOthers += (others - c.meanOthers) * othersWeight
+	otherRequests := max(float64(load.Running+load.Waiting-c.inFlight), 0)
+	c.meanOtherRequests += (otherRequests - c.meanOtherRequests) * otherRequestsWeight
 	if load.Slowdown > 0 {
 		p.meanSlowdown += (load.Slowdown - p.meanSlowdown) * meanSlowdownWeight
 	}
@@ -362,7 +362,7 @@
 // MarkUnreachable records that an upstream could not be reached. For unreachablePause,
 // the upstream is chosen only if there is no other candidate.
 func (p *Placer) MarkUnreachable(now model.Instant, key string) {
-	if c := p.candidates[key]; c != nil {
+	if c := p.candidatesByKey[key]; c != nil {
 		c.unreachableUntil = now.Add(unreachablePause)
 	}
 }
--- a/core/retry/backoff.go
+++ b/core/retry/backoff.go
@@ -17,11 +17,11 @@
 // doubles with each retry (full jitter). random is a number from 0 to below 1. Backoff
 // returns false if the wait would take more than a quarter of the remaining time, or if
 // no time remains.
-func Backoff(retryNumber int, remaining time.Duration, random float64) (time.Duration, bool) {
+func Backoff(retryNumber int, remaining time.Duration, randomFraction float64) (time.Duration, bool) {
 	bound := maxBackoff
 	if shift := retryNumber - 1; shift < 10 {
 		bound = min(backoffBase<<max(shift, 0), maxBackoff)
 	}
-	wait := time.Duration(random * float64(bound))
+	wait := time.Duration(randomFraction * float64(bound))
 	return wait, remaining > 0 && wait <= remaining/remainingDivisor
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -12,8 +12,8 @@
 	initialTokens = 10
 	// maxTokens is the capacity of the token bucket.
 	maxTokens = 50
-	// halfLife is the age at which an attempt has half its weight in the failure rate.
-	halfLife = time.Second
+	// attemptsHalfLife is the age at which an attempt has half its weight in the failure rate.
+	attemptsHalfLife = time.Second
 	// maxFailureRate is the share of recent attempts that may fail. While more fail,
 	// retries are disabled.
 	maxFailureRate = 0.5
@@ -58,12 +58,12 @@
 // safe for concurrent use.
 type Budget struct {
 	// share is the number of tokens that each request adds.
-	share  float64
-	tokens float64
-	// attempts counts recent attempts. The count is halved every halfLife.
-	attempts float64
-	// failures counts recent failed attempts. The count is also halved every halfLife.
-	failures float64
+	tokensPerRequest float64
+	tokens           float64
+	// attempts counts recent attempts. The count is halved every attemptsHalfLife.
+	attemptCount float64
+	// failures counts recent failed attempts. The count is also halved every attemptsHalfLife.
+	failureCount float64
 	// decayedAt is the instant up to which attempts and failures have been decayed.
 	decayedAt model.Instant
 }
@@ -78,7 +78,7 @@
 
 // SetShare changes the share of requests that may be retried. Zero forbids retries.
 func (b *Budget) SetShare(share float64) {
-	b.share = share
+	b.tokensPerRequest = share
 	if share <= 0 {
 		b.tokens = 0
 	}
@@ -86,14 +86,14 @@
 
 // CountRequest counts a new request and adds a fraction of a token for it (see SetShare).
 // The caller must not count retries with CountRequest.
-func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.share, maxTokens) }
+func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.tokensPerRequest, maxTokens) }
 
 // CountAttempt counts an attempt, which may be a retry, and whether it failed.
 func (b *Budget) CountAttempt(now model.Instant, failed bool) {
 	b.decay(now)
-	b.attempts++
+	b.attemptCount++
 	if failed {
-		b.failures++
+		b.failureCount++
 	}
 }
 
@@ -101,7 +101,7 @@
 // Allowed, BudgetExhausted or TooManyFailures.
 func (b *Budget) Allow(now model.Instant) Decision {
 	b.decay(now)
-	if b.attempts >= minAttempts && b.failures > maxFailureRate*b.attempts {
+	if b.attemptCount >= minAttempts && b.failureCount > maxFailureRate*b.attemptCount {
 		return TooManyFailures
 	}
 	if b.tokens < 1 {
@@ -116,8 +116,8 @@
 	if now <= b.decayedAt {
 		return
 	}
-	remaining := math.Exp2(-float64(now.Sub(b.decayedAt)) / float64(halfLife))
-	b.attempts *= remaining
-	b.failures *= remaining
+	decayFactor := math.Exp2(-float64(now.Sub(b.decayedAt)) / float64(attemptsHalfLife))
+	b.attemptCount *= decayFactor
+	b.failureCount *= decayFactor
 	b.decayedAt = now
 }
--- a/core/retry/retry_after.go
+++ b/core/retry/retry_after.go
@@ -10,6 +10,6 @@
 // time around mean. When upstreams are lost or a burst arrives, many callers are refused
 // at the same moment. Without jitter they would all retry at the same moment and be
 // refused again. random is a number from 0 to below 1.
-func JitteredRetryAfter(mean time.Duration, random float64) time.Duration {
-	return time.Duration(float64(mean) * (1 - retryAfterJitter/2 + retryAfterJitter*random))
+func JitteredRetryAfter(mean time.Duration, randomFraction float64) time.Duration {
+	return time.Duration(float64(mean) * (1 - retryAfterJitter/2 + retryAfterJitter*randomFraction))
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -18,20 +18,20 @@
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		failureRate := rapid.Float64Range(0, 1).Draw(t, "failing")
 		b := NewBudget(share)
-		requests, retries := 0.0, 0.0
+		requestCount, retryCount := 0.0, 0.0
 		for i := range rapid.IntRange(1, 2000).Draw(t, "requests") {
 			now := model.Instant(i) * model.Instant(time.Millisecond)
 			b.CountRequest()
-			requests++
+			requestCount++
 			failed := rapid.Float64Range(0, 1).Draw(t, "outcome") < failureRate
 			b.CountAttempt(now, failed)
 			for failed && b.Allow(now) == Allowed {
-				retries++
+				retryCount++
 				failed = false
 				b.CountAttempt(now, failed)
 			}
 		}
-		require.LessOrEqual(t, retries, share*requests+initialTokens)
+		require.LessOrEqual(t, retryCount, share*requestCount+initialTokens)
 	})
 }
 
@@ -64,12 +64,12 @@
 
 func TestBackoff(t *testing.T) {
 	tests := []struct {
-		name        string
-		retryNumber int
-		remaining   time.Duration
-		random      float64
-		wait        time.Duration
-		ok          bool
+		name           string
+		retryNumber    int
+		remaining      time.Duration
+		randomFraction float64
+		wait           time.Duration
+		ok             bool
 	}{
 		{"first", 1, time.Second, 0.5, time.Millisecond, true},
 		{"third", 3, time.Second, 0.5, 4 * time.Millisecond, true},
@@ -80,7 +80,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			wait, ok := Backoff(tt.retryNumber, tt.remaining, tt.random)
+			wait, ok := Backoff(tt.retryNumber, tt.remaining, tt.randomFraction)
 			require.Equal(t, tt.wait, wait)
 			require.Equal(t, tt.ok, ok)
 		})
@@ -91,8 +91,8 @@
 // times, distributed around the mean.
 func TestRetryAfterIsJittered(t *testing.T) {
 	const mean = 100 * time.Millisecond
-	first, last := JitteredRetryAfter(mean, 0), JitteredRetryAfter(mean, 0.999)
-	require.Less(t, first, mean*4/5)
-	require.Greater(t, last, mean*6/5)
+	shortest, longest := JitteredRetryAfter(mean, 0), JitteredRetryAfter(mean, 0.999)
+	require.Less(t, shortest, mean*4/5)
+	require.Greater(t, longest, mean*6/5)
 	require.Equal(t, mean, JitteredRetryAfter(mean, 0.5))
 }
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -23,11 +23,11 @@
 	share       float64
 	bucketWidth time.Duration
 	// bucket is the number of the current bucket, counted from the origin of time.
-	bucket int64
+	currentBucket int64
 	// requests counts the requests in each bucket. See index for the current bucket.
-	requests [windowBuckets + 1]float64
+	requestCounts [windowBuckets + 1]float64
 	// retries counts the retries in each bucket.
-	retries [windowBuckets + 1]float64
+	retryCounts [windowBuckets + 1]float64
 }
 
 // NewWindowBudget returns a WindowBudget over the given span. slack is this daemon's share
@@ -45,20 +45,20 @@
 // CountRequest counts the first attempt at a request.
 func (w *WindowBudget) CountRequest(now model.Instant) {
 	w.advance(now)
-	w.requests[w.index()]++
+	w.requestCounts[w.index()]++
 }
 
 // Remaining returns how many retries the budget still allows.
 func (w *WindowBudget) Remaining(now model.Instant) float64 {
 	w.advance(now)
-	requests, retries := 0.0, 0.0
-	for i := range w.requests {
-		requests += w.requests[i]
-		retries += w.retries[i]
+	requestCount, retryCount := 0.0, 0.0
+	for i := range w.requestCounts {
+		requestCount += w.requestCounts[i]
+		retryCount += w.retryCounts[i]
 	}
 	// The oldest bucket is partly outside the span, so its requests no longer count.
-	requests -= w.requests[(w.index()+1)%(windowBuckets+1)]
-	return w.share*(w.ratio*requests+w.slack) - retries
+	requestCount -= w.requestCounts[(w.index()+1)%(windowBuckets+1)]
+	return w.share*(w.ratio*requestCount+w.slack) - retryCount
 }
 
 // Take counts n retries if the budget allows them, and returns false otherwise.
@@ -74,22 +74,22 @@
 // retries to the budget.
 func (w *WindowBudget) Charge(now model.Instant, n float64) {
 	w.advance(now)
-	w.retries[w.index()] += n
+	w.retryCounts[w.index()] += n
 }
 
 // index returns the position of the current bucket in the arrays.
-func (w *WindowBudget) index() int { return int(w.bucket % (windowBuckets + 1)) }
+func (w *WindowBudget) index() int { return int(w.currentBucket % (windowBuckets + 1)) }
 
 // advance makes the bucket that contains now the current bucket. It clears that bucket and
 // the buckets that were skipped.
 func (w *WindowBudget) advance(now model.Instant) {
-	current := int64(now) / int64(w.bucketWidth)
-	if current <= w.bucket {
+	newBucket := int64(now) / int64(w.bucketWidth)
+	if newBucket <= w.currentBucket {
 		return
 	}
-	for i := max(w.bucket+1, current-windowBuckets); i <= current; i++ {
-		w.requests[i%(windowBuckets+1)] = 0
-		w.retries[i%(windowBuckets+1)] = 0
+	for i := max(w.currentBucket+1, newBucket-windowBuckets); i <= newBucket; i++ {
+		w.requestCounts[i%(windowBuckets+1)] = 0
+		w.retryCounts[i%(windowBuckets+1)] = 0
 	}
-	w.bucket = current
+	w.currentBucket = newBucket
 }
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-func TestWindowRemaining(t *testing.T) {
+func TestWindowBudgetCountsRetriesWithinTheSpan(t *testing.T) {
 	w := NewWindowBudget(10*time.Second, 0.2, 5)
 	now := model.Instant(0).Add(time.Minute)
 	require.InDelta(t, 5, w.Remaining(now), 1e-9)
@@ -36,16 +36,16 @@
 		slack = 60.0
 	)
 	rapid.Check(t, func(t *rapid.T) {
-		daemons := rapid.IntRange(1, 6).Draw(t, "daemons")
-		budgets := make([]*WindowBudget, daemons)
+		daemonCount := rapid.IntRange(1, 6).Draw(t, "daemons")
+		budgets := make([]*WindowBudget, daemonCount)
 		for i := range budgets {
-			budgets[i] = NewWindowBudget(span, ratio, slack/float64(daemons))
+			budgets[i] = NewWindowBudget(span, ratio, slack/float64(daemonCount))
 		}
 		var requests, retries []model.Instant
 		now := model.Instant(0)
 		for range 400 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
-			w := budgets[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
+			w := budgets[rapid.IntRange(0, daemonCount-1).Draw(t, "daemon")]
 			if rapid.Bool().Draw(t, "request") {
 				w.CountRequest(now)
 				requests = append(requests, now)
@@ -62,10 +62,10 @@
 			return n
 		}
 		for _, end := range retries {
-			from := end.Add(-span)
+			start := end.Add(-span)
 			// A request may count for up to one bucket width longer than the span.
-			allowed := ratio*countBetween(requests, from.Add(-span/windowBuckets), end) + slack
-			require.LessOrEqual(t, countBetween(retries, from, end), allowed+1e-6)
+			allowed := ratio*countBetween(requests, start.Add(-span/windowBuckets), end) + slack
+			require.LessOrEqual(t, countBetween(retries, start, end), allowed+1e-6)
 		}
 	})
 }
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -12,16 +12,16 @@
 	oneWayDelay time.Duration
 	// load is the latest load received. It is not set while hasLoad is false.
 	load model.Load
-	// loadAt is when load was received.
-	loadAt  model.Instant
-	hasLoad bool
+	// loadReceivedAt is when load was received.
+	loadReceivedAt model.Instant
+	hasLoad        bool
 	// inFlight counts this entry's unfinished requests at the upstream.
 	inFlight int32
 	// inFlightAtLoad is the value that inFlight had when load was received.
 	inFlightAtLoad int32
 	// unanswered counts the requests sent since the last reply. All requests that were
 	// already in flight at that reply count as one request together.
-	unanswered int32
+	unansweredCount int32
 	// silentSince is when the wait for the next reply began. If requests were in flight
 	// at the last reply, it is the time of that reply. Otherwise it is the time at which
 	// the next request was sent.
@@ -43,15 +43,15 @@
 	// medianServiceTime estimates the median of the upstreams' mean service times, in
 	// nanoseconds.
 	medianServiceTime float64
-	// meanOthersPerSlot is the mean number of requests per slot that other entries have
+	// meanOtherRequestsPerSlot is the mean number of requests per slot that other entries have
 	// at an upstream.
-	meanOthersPerSlot float64
+	meanOtherRequestsPerSlot float64
 	// ejectedCount counts the upstreams that are ejected because of failed requests.
 	ejectedCount int
 	// unreachableCount counts the upstreams that are ejected because a connection attempt
 	// failed.
 	unreachableCount int
-	// healthyCount counts the upstreams whose failure rate is below healthyBelow.
+	// healthyCount counts the upstreams whose failure rate is below healthyFailureRate.
 	healthyCount int
 	// placingGroup is the group of the request that is being placed. It is empty while
 	// no request is being placed.
@@ -59,9 +59,9 @@
 }
 
 const (
-	// othersWeight is the weight of a new value in the moving average
-	// pool.meanOthersPerSlot.
-	othersWeight = 1.0 / 64
+	// otherRequestsWeight is the weight of a new value in the moving average
+	// pool.meanOtherRequestsPerSlot.
+	otherRequestsWeight = 1.0 / 64
 	// medianStep is the relative change of pool.medianServiceTime for each new value.
 	medianStep = 0.01
 )
@@ -69,7 +69,7 @@
 // observe updates the statistics with the new load of a candidate.
 func (p *pool) observe(c *candidate) {
 	perSlot := c.otherRequests() / float64(c.limit())
-	p.meanOthersPerSlot += (perSlot - p.meanOthersPerSlot) * othersWeight
+	p.meanOtherRequestsPerSlot += (perSlot - p.meanOtherRequestsPerSlot) * otherRequestsWeight
 	serviceTime := float64(c.load.ServiceTime)
 	switch {
 	case serviceTime == 0:
@@ -108,34 +108,34 @@
 // a request sent there can confirm that. Of the requests beyond saturation, only those
 // that delay the request being placed are included (see requestsAheadOf).
 func (c *candidate) estimatedRequests(now model.Instant, p *pool) float64 {
-	meanOthers := min(p.meanOthersPerSlot, 1) * float64(c.limit())
+	meanOtherRequests := min(p.meanOtherRequestsPerSlot, 1) * float64(c.limit())
 	if !c.hasLoad {
-		return meanOthers + float64(c.inFlight)
+		return meanOtherRequests + float64(c.inFlight)
 	}
-	age := float64(max(now.Sub(c.loadAt), 0))
+	age := float64(max(now.Sub(c.loadReceivedAt), 0))
 	weight := 1.0
 	if p.medianServiceTime > 0 {
 		weight = 1 / (1 + age/(loadHalfLife*p.medianServiceTime))
 	}
-	return c.requestsAheadOf(float64(c.inFlight)+meanOthers+(c.otherRequests()-meanOthers)*weight, p.placingGroup)
+	return c.requestsAheadOf(float64(c.inFlight)+meanOtherRequests+(c.otherRequests()-meanOtherRequests)*weight, p.placingGroup)
 }
 
 // recordSent counts a request that is sent to the upstream.
 func (c *candidate) recordSent(now model.Instant) {
 	c.inFlight++
-	if c.unanswered == 0 {
+	if c.unansweredCount == 0 {
 		c.silentSince = now
 	}
-	c.unanswered++
+	c.unansweredCount++
 }
 
 // recordReply counts a reply from the upstream.
 func (c *candidate) recordReply(now model.Instant) {
 	c.inFlight = max(c.inFlight-1, 0)
-	c.unanswered = 0
+	c.unansweredCount = 0
 	c.silentSince = now
 	if c.inFlight > 0 {
-		c.unanswered = 1
+		c.unansweredCount = 1
 	}
 }
 
@@ -153,7 +153,7 @@
 // expected time. It returns 0 for an upstream that is not stuck. Excess silence reveals a
 // slow upstream, a paused daemon or a broken link before any reply can.
 func (c *candidate) excessSilence(now model.Instant, p *pool) float64 {
-	if c.unanswered < stuckUnanswered {
+	if c.unansweredCount < stuckUnanswered {
 		return 0
 	}
 	expected := 2*float64(c.oneWayDelay) + stuckSilence*p.typicalServiceTime()
@@ -181,7 +181,7 @@
 	if ratio < stragglerRatio {
 		return 1
 	}
-	age := float64(max(now.Sub(c.loadAt), 0))
+	age := float64(max(now.Sub(c.loadReceivedAt), 0))
 	return 1 + (ratio-1)/(1+age/float64(stragglerHalfLife))
 }
 
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -30,43 +30,43 @@
 	// Without the random part, entries that know the same upstream to be idle would all
 	// choose it at the same time.
 	jitter = 0.05
-	// maxRejectionRTT is the longest round trip at which a request gets a queue timeout of
+	// maxRejectionRTTShare is the longest round trip at which a request gets a queue timeout of
 	// zero, as a share of the typical service time. Over a longer round trip, a rejection
 	// would cost too much time.
-	maxRejectionRTT = 0.25
+	maxRejectionRTTShare = 0.25
 	// saturation is a multiple of an upstream's limit. An upstream with at least that many
 	// requests counts as saturated. A request placed at a saturated upstream may wait
 	// there until its deadline. A rejection would only cost a round trip: since the best
 	// upstream was chosen, all others are about as full.
-	saturation = 2
+	saturationFactor = 2
 	// defaultServiceTime is the typical service time assumed until one is known, in
 	// nanoseconds.
 	defaultServiceTime = 2e6
 )
 
-func (p *expectedCompletion) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
-	s := search{r: r, now: now, exclude: exclude, panicking: panicking}
+func (p *expectedCompletion) choose(r *Router, now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate {
+	s := search{r: r, now: now, exclude: exclude, ignoreEjections: ignoreEjections}
 	if len(r.candidates) <= maxFullScan {
 		for _, c := range r.candidates {
 			s.consider(c)
 		}
 		return s.best
 	}
-	s.sample(r.local, localSampleSize)
-	s.sample(r.remote, remoteSampleSize)
+	s.sample(r.localCandidates, localSampleSize)
+	s.sample(r.remoteCandidates, remoteSampleSize)
 	if s.best == nil {
-		return r.randomUsable(now, exclude, panicking)
+		return r.randomUsable(now, exclude, ignoreEjections)
 	}
 	return s.best
 }
 
-// queueTimeout returns zero if the round trip is at most maxRejectionRTT and the chosen
+// queueTimeout returns zero if the round trip is at most maxRejectionRTTShare and the chosen
 // upstream is not saturated. Otherwise it returns WaitForDeadline.
-func (p *expectedCompletion) queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration {
-	if 2*float64(c.oneWayDelay) > maxRejectionRTT*r.pool.typicalServiceTime() {
+func (p *expectedCompletion) queueTimeout(r *Router, now model.Instant, c *candidate, rejectionCount int) time.Duration {
+	if 2*float64(c.oneWayDelay) > maxRejectionRTTShare*r.pool.typicalServiceTime() {
 		return WaitForDeadline
 	}
-	if c.estimatedRequests(now, &r.pool) >= saturation*float64(c.limit()) {
+	if c.estimatedRequests(now, &r.pool) >= saturationFactor*float64(c.limit()) {
 		return WaitForDeadline
 	}
 	return 0
@@ -85,12 +85,12 @@
 
 // search finds the candidate with the lowest score.
 type search struct {
-	r         *Router
-	now       model.Instant
-	exclude   []model.UpstreamID
-	panicking bool
-	best      *candidate
-	bestScore float64
+	r               *Router
+	now             model.Instant
+	exclude         []model.UpstreamID
+	ignoreEjections bool
+	best            *candidate
+	bestScore       float64
 }
 
 // sample scores n random candidates, which are drawn with replacement. If there are at
@@ -109,7 +109,7 @@
 
 // consider keeps the candidate if it is usable and its score is the lowest so far.
 func (s *search) consider(c *candidate) {
-	if !c.usable(s.now, s.exclude, s.panicking) {
+	if !c.usable(s.now, s.exclude, s.ignoreEjections) {
 		return
 	}
 	score := s.r.score(s.now, c)
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -11,11 +11,11 @@
 	// failureWeight is the weight of a new result in the moving average
 	// health.failureRate.
 	failureWeight = 1.0 / 4
-	// ejectThreshold is the failure rate above which an upstream is ejected, provided
+	// ejectionFailureRate is the failure rate above which an upstream is ejected, provided
 	// that enough others are healthy (see minHealthyShare).
-	ejectThreshold = 0.5
-	// healthyBelow is the failure rate below which an upstream counts as healthy.
-	healthyBelow = 0.25
+	ejectionFailureRate = 0.5
+	// healthyFailureRate is the failure rate below which an upstream counts as healthy.
+	healthyFailureRate = 0.25
 	// minHealthyShare is the share of the pool that must be healthy for an ejection. A
 	// kind of request that fails on every upstream leaves none of them healthy and
 	// therefore ejects none.
@@ -36,7 +36,7 @@
 // health tracks the results of recent attempts at one upstream.
 type health struct {
 	failureRate float64
-	// unhealthy is set if failureRate is at least healthyBelow.
+	// unhealthy is set if failureRate is at least healthyFailureRate.
 	unhealthy bool
 	ejected   bool
 	// ejectionTime is the duration of the latest ejection. It is 0 while the upstream is
@@ -97,7 +97,7 @@
 		r.restore(c)
 	case c.ejected:
 		r.eject(now, c)
-	case c.failureRate > ejectThreshold && float64(r.pool.healthyCount) >= minHealthyShare*float64(len(r.candidates)):
+	case c.failureRate > ejectionFailureRate && float64(r.pool.healthyCount) >= minHealthyShare*float64(len(r.candidates)):
 		r.eject(now, c)
 	}
 }
@@ -185,7 +185,7 @@
 // updateHealthyCount updates the candidate's unhealthy field and the pool's number of
 // healthy upstreams.
 func (r *Router) updateHealthyCount(c *candidate) {
-	unhealthy := c.failureRate >= healthyBelow
+	unhealthy := c.failureRate >= healthyFailureRate
 	if unhealthy == c.unhealthy {
 		return
 	}
@@ -197,12 +197,12 @@
 	}
 }
 
-// panicking reports whether so many upstreams are ejected that the others would be
-// overloaded. In that case the caller ignores the ejections, and panicking counts the
+// ignoreEjections reports whether so many upstreams are ejected that the others would be
+// overloaded. In that case the caller ignores the ejections, and ignoreEjections counts the
 // placement in Stats.Panics.
-func (r *Router) panicking() bool {
-	reachable := len(r.candidates) - r.pool.unreachableCount
-	if r.pool.ejectedCount == 0 || float64(r.pool.ejectedCount) <= panicThreshold*float64(reachable) {
+func (r *Router) checkPanicMode() bool {
+	reachableCount := len(r.candidates) - r.pool.unreachableCount
+	if r.pool.ejectedCount == 0 || float64(r.pool.ejectedCount) <= panicThreshold*float64(reachableCount) {
 		return false
 	}
 	r.stats.Panics++
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -33,9 +33,9 @@
 // hedging holds the latency estimates and the hedge budget.
 type hedging struct {
 	// estimates holds the estimates of up to maxHedgeGroups groups.
-	estimates map[model.GroupName]*quantileEstimate
+	estimatesByGroup map[model.GroupName]*quantileEstimate
 	// shared is the estimate of the groups that have none of their own.
-	shared quantileEstimate
+	sharedEstimate quantileEstimate
 	// tokens is the number of hedges that the budget allows now.
 	tokens float64
 }
@@ -86,8 +86,8 @@
 //   - The first upstream is not slow, so the delay is due to the request itself.
 //   - The hedge budget is used up.
 //   - No other upstream is usable.
-func (r *Router) Hedge(now model.Instant, first model.UpstreamID, sentAt model.Instant, exclude []model.UpstreamID) (Choice, bool) {
-	if !r.upstreamSlow(now, first, sentAt) {
+func (r *Router) Hedge(now model.Instant, firstUpstream model.UpstreamID, sentAt model.Instant, exclude []model.UpstreamID) (Choice, bool) {
+	if !r.upstreamSlow(now, firstUpstream, sentAt) {
 		return Choice{}, false
 	}
 	if r.hedging.tokens < 1 {
@@ -130,27 +130,27 @@
 	if reply.Hedge || reply.Failed || reply.Outcome.Kind != outcome.Answered && !cancelled {
 		return
 	}
-	r.hedging.estimateToUpdate(reply.Group).add(float64(reply.Latency))
+	r.hedging.ensureEstimate(reply.Group).add(float64(reply.Latency))
 }
 
 // estimate returns the latency estimate to use for a group.
 func (h *hedging) estimate(g model.GroupName) *quantileEstimate {
-	if q := h.estimates[g]; q != nil {
+	if q := h.estimatesByGroup[g]; q != nil {
 		return q
 	}
-	return &h.shared
+	return &h.sharedEstimate
 }
 
-// estimateToUpdate returns the group's own estimate, creating it if necessary. It
+// ensureEstimate returns the group's own estimate, creating it if necessary. It
 // returns the shared estimate if there are too many groups.
-func (h *hedging) estimateToUpdate(g model.GroupName) *quantileEstimate {
-	if q := h.estimates[g]; q != nil {
+func (h *hedging) ensureEstimate(g model.GroupName) *quantileEstimate {
+	if q := h.estimatesByGroup[g]; q != nil {
 		return q
 	}
-	if len(h.estimates) >= maxHedgeGroups {
-		return &h.shared
+	if len(h.estimatesByGroup) >= maxHedgeGroups {
+		return &h.sharedEstimate
 	}
 	q := &quantileEstimate{}
-	h.estimates[g] = q
+	h.estimatesByGroup[g] = q
 	return q
 }
--- a/core/routing/least_outstanding.go
+++ b/core/routing/least_outstanding.go
@@ -7,7 +7,7 @@
 // picked.
 type leastOutstanding struct{ waitsAtUpstream }
 
-func (leastOutstanding) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
+func (leastOutstanding) choose(r *Router, now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate {
 	n := len(r.candidates)
 	if n == 0 {
 		return nil
@@ -16,7 +16,7 @@
 	var best *candidate
 	for i := range min(n, maxScan) {
 		c := r.candidates[(start+i)%n]
-		if !c.usable(now, exclude, panicking) {
+		if !c.usable(now, exclude, ignoreEjections) {
 			continue
 		}
 		if best == nil || c.inFlight < best.inFlight {
@@ -24,7 +24,7 @@
 		}
 	}
 	if best == nil {
-		return r.randomUsable(now, exclude, panicking)
+		return r.randomUsable(now, exclude, ignoreEjections)
 	}
 	return best
 }
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -62,12 +62,12 @@
 // policy picks the upstream for a request and decides how long the request may wait
 // there.
 type policy interface {
-	// choose returns a usable candidate, or nil if there is none. If panicking is set,
+	// choose returns a usable candidate, or nil if there is none. If ignoreEjections is set,
 	// ejected candidates are usable too.
-	choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate
+	choose(r *Router, now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate
 	// queueTimeout returns how long a request may wait at the chosen candidate.
 	// rejections is the number of times that guards have rejected the request so far.
-	queueTimeout(r *Router, now model.Instant, c *candidate, rejections int) time.Duration
+	queueTimeout(r *Router, now model.Instant, c *candidate, rejectionCount int) time.Duration
 	// hedges reports whether the policy sends slow idempotent requests to a second
 	// upstream.
 	hedges() bool
--- a/core/routing/queue_share.go
+++ b/core/routing/queue_share.go
@@ -33,7 +33,7 @@
 // them are counted, since routing should avoid queueing altogether. Beyond saturation, only
 // those are counted that would start before the group's next request.
 func (c *candidate) requestsAheadOf(requests float64, g model.GroupName) float64 {
-	saturated := saturation * float64(c.limit())
+	saturated := saturationFactor * float64(c.limit())
 	if requests <= saturated {
 		return requests
 	}
--- a/core/routing/round_robin.go
+++ b/core/routing/round_robin.go
@@ -5,15 +5,15 @@
 // roundRobin picks the usable upstreams in turn.
 type roundRobin struct {
 	waitsAtUpstream
-	next int
+	nextIndex int
 }
 
-func (p *roundRobin) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
+func (p *roundRobin) choose(r *Router, now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate {
 	n := len(r.candidates)
 	for range n {
-		c := r.candidates[p.next%n]
-		p.next = (p.next + 1) % n
-		if c.usable(now, exclude, panicking) {
+		c := r.candidates[p.nextIndex%n]
+		p.nextIndex = (p.nextIndex + 1) % n
+		if c.usable(now, exclude, ignoreEjections) {
 			return c
 		}
 	}
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -74,13 +74,13 @@
 	rng        *rand.Rand
 	candidates []*candidate
 	// local holds the candidates in the entry's zone.
-	local []*candidate
+	localCandidates []*candidate
 	// remote holds the candidates in other zones.
-	remote  []*candidate
-	byID    map[model.UpstreamID]*candidate
-	pool    pool
-	hedging hedging
-	stats   Stats
+	remoteCandidates []*candidate
+	byID             map[model.UpstreamID]*candidate
+	pool             pool
+	hedging          hedging
+	stats            Stats
 	// hadUpstreams is set once SetUpstreams has been called with at least one upstream.
 	// Upstreams that join later ramp up.
 	hadUpstreams bool
@@ -104,7 +104,7 @@
 		policy:  p,
 		rng:     rand.New(rand.NewPCG(opts.Seed, opts.Seed+1)),
 		byID:    make(map[model.UpstreamID]*candidate),
-		hedging: hedging{estimates: make(map[model.GroupName]*quantileEstimate)},
+		hedging: hedging{estimatesByGroup: make(map[model.GroupName]*quantileEstimate)},
 	}, nil
 }
 
@@ -115,16 +115,16 @@
 // as long as the incarnation of the upstream stays the same.
 func (r *Router) SetUpstreams(now model.Instant, ups []model.Upstream) {
 	byID := make(map[model.UpstreamID]*candidate, len(ups))
-	r.candidates, r.local, r.remote = r.candidates[:0], r.local[:0], r.remote[:0]
+	r.candidates, r.localCandidates, r.remoteCandidates = r.candidates[:0], r.localCandidates[:0], r.remoteCandidates[:0]
 	r.pool.ejectedCount, r.pool.unreachableCount, r.pool.healthyCount = 0, 0, 0
 	for _, u := range ups {
 		c := r.candidateFor(now, u)
 		byID[u.ID] = c
 		r.candidates = append(r.candidates, c)
 		if u.Zone == r.opts.Zone {
-			r.local = append(r.local, c)
+			r.localCandidates = append(r.localCandidates, c)
 		} else {
-			r.remote = append(r.remote, c)
+			r.remoteCandidates = append(r.remoteCandidates, c)
 		}
 		r.countEjected(c, 1)
 		if !c.unhealthy {
@@ -146,12 +146,12 @@
 		}
 	}
 	c.upstream = u
-	c.oneWayDelay = r.delay(u)
+	c.oneWayDelay = r.oneWayDelay(u)
 	return c
 }
 
 // delay returns the one-way delay to the upstream (see Options.ZoneDelay).
-func (r *Router) delay(u model.Upstream) time.Duration {
+func (r *Router) oneWayDelay(u model.Upstream) time.Duration {
 	if u.Daemon == r.opts.Self && u.Daemon != "" {
 		return 0
 	}
@@ -179,7 +179,7 @@
 // exclude are not chosen. rejections is the number of times that guards have rejected
 // the request so far (see Choice.Rejected). Place returns false if no upstream is
 // usable. Every call that returns true must be followed by one call of Done.
-func (r *Router) Place(now model.Instant, req model.Request, exclude []model.UpstreamID, rejections int) (Choice, bool) {
+func (r *Router) Place(now model.Instant, req model.Request, exclude []model.UpstreamID, rejectionCount int) (Choice, bool) {
 	r.pool.placingGroup = req.Group
 	defer func() { r.pool.placingGroup = "" }()
 	c := r.choose(now, exclude)
@@ -188,11 +188,11 @@
 		return Choice{}, false
 	}
 	queueTimeout := WaitForDeadline
-	if rejections < MaxRejections {
-		queueTimeout = r.policy.queueTimeout(r, now, c, rejections)
+	if rejectionCount < MaxRejections {
+		queueTimeout = r.policy.queueTimeout(r, now, c, rejectionCount)
 	}
 	r.stats.Picks++
-	if rejections == 0 {
+	if rejectionCount == 0 {
 		r.addHedgeTokens()
 	}
 	if c.upstream.Zone != r.opts.Zone {
@@ -205,7 +205,7 @@
 // choose asks the policy for a candidate. Ejected candidates are considered too if too
 // many are ejected or no other candidate is usable.
 func (r *Router) choose(now model.Instant, exclude []model.UpstreamID) *candidate {
-	if r.panicking() {
+	if r.checkPanicMode() {
 		return r.policy.choose(r, now, exclude, true)
 	}
 	c := r.policy.choose(r, now, exclude, false)
@@ -241,19 +241,19 @@
 		return
 	}
 	c.load = load
-	c.loadAt = now
+	c.loadReceivedAt = now
 	c.inFlightAtLoad = c.inFlight
 	c.hasLoad = true
 	r.pool.observe(c)
 }
 
-// usable reports whether the candidate may be sent a request. If panicking is set,
+// usable reports whether the candidate may be sent a request. If ignoreEjections is set,
 // ejections are ignored.
-func (c *candidate) usable(now model.Instant, exclude []model.UpstreamID, panicking bool) bool {
+func (c *candidate) usable(now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) bool {
 	if c.upstream.Draining || c.load.Draining {
 		return false
 	}
-	if c.ejected && !panicking && !c.allowsTrial(now) {
+	if c.ejected && !ignoreEjections && !c.allowsTrial(now) {
 		return false
 	}
 	for _, id := range exclude {
@@ -268,21 +268,21 @@
 const randomTries = 8
 
 // randomUsable returns a random usable candidate, or nil if there is none.
-func (r *Router) randomUsable(now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
+func (r *Router) randomUsable(now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate {
 	n := len(r.candidates)
 	if n == 0 {
 		return nil
 	}
 	for range randomTries {
 		c := r.candidates[r.rng.IntN(n)]
-		if c.usable(now, exclude, panicking) {
+		if c.usable(now, exclude, ignoreEjections) {
 			return c
 		}
 	}
 	start := r.rng.IntN(n)
 	for i := range n {
 		c := r.candidates[(start+i)%n]
-		if c.usable(now, exclude, panicking) {
+		if c.usable(now, exclude, ignoreEjections) {
 			return c
 		}
 	}
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -32,11 +32,11 @@
 }
 
 // newRouter returns a Router of an entry in zone a, with the named policy and n upstreams.
-func newRouter(t testing.TB, name string, n int) *Router {
+func newRouter(t testing.TB, policyName string, upstreamCount int) *Router {
 	t.Helper()
-	r, err := New(Options{Policy: name, Zone: "a", Seed: 1})
+	r, err := New(Options{Policy: policyName, Zone: "a", Seed: 1})
 	require.NoError(t, err)
-	r.SetUpstreams(0, newUpstreams(n))
+	r.SetUpstreams(0, newUpstreams(upstreamCount))
 	return r
 }
 
@@ -172,8 +172,8 @@
 
 func TestRequestWaitsAfterMaxRejections(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 3)
-	for rejections := range MaxRejections {
-		c, ok := r.Place(0, model.Request{}, nil, rejections)
+	for rejectionCount := range MaxRejections {
+		c, ok := r.Place(0, model.Request{}, nil, rejectionCount)
 		require.True(t, ok)
 		assert.Equal(t, model.AvailabilityZone("a"), c.Upstream.Zone)
 		assert.Zero(t, c.QueueTimeout)
@@ -190,13 +190,13 @@
 
 func TestCrossesZonesWhenTheLocalQueueIsLong(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 3)
-	full := model.Load{Running: 6, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: 1}
-	r.Observe(0, "s-1", full)
+	fullLoad := model.Load{Running: 6, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: 1}
+	r.Observe(0, "s-1", fullLoad)
 	c, _ := r.Place(0, model.Request{}, nil, MaxRejections)
 	assert.Equal(t, model.UpstreamID("s-1"), c.Upstream.ID, "a wait of 0.33 ms is shorter than the round trip to another zone")
 	r.Done(0, c.Upstream.ID, Reply{})
-	full.Waiting, full.Seq = 20, 2
-	r.Observe(0, "s-1", full)
+	fullLoad.Waiting, fullLoad.Seq = 20, 2
+	r.Observe(0, "s-1", fullLoad)
 	c, _ = r.Place(0, model.Request{}, nil, MaxRejections)
 	assert.NotEqual(t, model.UpstreamID("s-1"), c.Upstream.ID)
 	assert.Equal(t, WaitForDeadline, c.QueueTimeout, "a rejection would cost a round trip between zones")
@@ -228,8 +228,8 @@
 
 func TestUnknownPolicyErrorListsPolicies(t *testing.T) {
 	_, err := New(Options{Policy: "fastest"})
-	var unknown *UnknownPolicyError
-	require.ErrorAs(t, err, &unknown)
+	var policyErr *UnknownPolicyError
+	require.ErrorAs(t, err, &policyErr)
 	assert.Contains(t, err.Error(), ExpectedCompletion)
 }
 
@@ -243,8 +243,8 @@
 		_, ok := r.Place(0, model.Request{}, exclude, MaxRejections)
 		require.True(t, ok)
 	}
-	place := func(at model.Instant) model.UpstreamID {
-		c, ok := r.Place(at, model.Request{}, nil, MaxRejections)
+	place := func(now model.Instant) model.UpstreamID {
+		c, ok := r.Place(now, model.Request{}, nil, MaxRejections)
 		require.True(t, ok)
 		return c.Upstream.ID
 	}
@@ -309,17 +309,17 @@
 	r.Done(now, "s-1", answeredReply(model.Load{Limit: 6, Seq: 1 << 20}))
 	_, ok = r.Hedge(now, "s-1", now-ms, nil)
 	assert.False(t, ok, "s-1 has replied since, so only the request takes long")
-	hedged := 0
+	hedgeCount := 0
 	for range 100 {
 		c, ok := r.Hedge(now, "s-1", now+ms, []model.UpstreamID{"s-1"})
 		if !ok {
 			break
 		}
-		hedged++
+		hedgeCount++
 		assert.NotEqual(t, model.UpstreamID("s-1"), c.Upstream.ID)
 		assert.Zero(t, c.QueueTimeout, "a hedge only uses a free slot")
 	}
-	assert.Equal(t, hedgeBurst, hedged)
+	assert.Equal(t, hedgeBurst, hedgeCount)
 	assert.EqualValues(t, 1, r.Stats().HedgesRefused)
 }
 
@@ -330,7 +330,7 @@
 		reply.Group = model.GroupName(fmt.Sprint("g", i))
 		r.Done(0, "s-1", reply)
 	}
-	assert.Len(t, r.hedging.estimates, maxHedgeGroups)
+	assert.Len(t, r.hedging.estimatesByGroup, maxHedgeGroups)
 }
 
 func TestStragglerIsTriedAgainAfterItsLoadAges(t *testing.T) {
--- a/core/routing/two_choices.go
+++ b/core/routing/two_choices.go
@@ -6,8 +6,8 @@
 // the latest reported number of requests and this entry's own requests in flight.
 type twoChoices struct{ waitsAtUpstream }
 
-func (twoChoices) choose(r *Router, now model.Instant, exclude []model.UpstreamID, panicking bool) *candidate {
-	a, b := r.randomUsable(now, exclude, panicking), r.randomUsable(now, exclude, panicking)
+func (twoChoices) choose(r *Router, now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate {
+	a, b := r.randomUsable(now, exclude, ignoreEjections), r.randomUsable(now, exclude, ignoreEjections)
 	if a == nil || b == nil {
 		return a
 	}
--- a/core/slots/shares.go
+++ b/core/slots/shares.go
@@ -12,24 +12,24 @@
 type fairShares struct {
 	// virtualTime is the start tag of the request that was started last.
 	virtualTime time.Duration
-	// finishTags holds the tags of the kinds whose tags are greater than virtualTime. The
+	// finishTagByKind holds the tags of the kinds whose tags are greater than virtualTime. The
 	// tag of all other kinds is virtualTime.
-	finishTags map[Kind]time.Duration
+	finishTagByKind map[Kind]time.Duration
 }
 
 // startTag returns the tag with which the next request of a kind would start.
-func (s *fairShares) startTag(k Kind) time.Duration { return max(s.virtualTime, s.finishTags[k]) }
+func (s *fairShares) startTag(k Kind) time.Duration { return max(s.virtualTime, s.finishTagByKind[k]) }
 
 // charge advances the tag of a kind when one of its requests starts.
 func (s *fairShares) charge(k Kind, serviceTime time.Duration) {
 	s.virtualTime = s.startTag(k)
-	if s.finishTags == nil {
-		s.finishTags = make(map[Kind]time.Duration)
+	if s.finishTagByKind == nil {
+		s.finishTagByKind = make(map[Kind]time.Duration)
 	}
-	s.finishTags[k] = s.virtualTime + serviceTime
-	for other, finishTag := range s.finishTags {
+	s.finishTagByKind[k] = s.virtualTime + serviceTime
+	for kind, finishTag := range s.finishTagByKind {
 		if finishTag <= s.virtualTime {
-			delete(s.finishTags, other)
+			delete(s.finishTagByKind, kind)
 		}
 	}
 }
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -158,10 +158,10 @@
 func (q *Queue) Next(now model.Instant, slowdown float64) (Decision, bool) {
 	for i := range q.items {
 		it := &q.items[i]
-		if now.Add(scaled(it.ServiceTime, slowdown)/2) >= it.Deadline {
+		if now.Add(scale(it.ServiceTime, slowdown)/2) >= it.Deadline {
 			return q.dequeue(i, DeadlineUnreachable), true
 		}
-		if q.running >= q.limit && it.UsefulUntil != 0 && now.Add(scaled(it.ServiceTime, slowdown)) > it.UsefulUntil {
+		if q.running >= q.limit && it.UsefulUntil != 0 && now.Add(scale(it.ServiceTime, slowdown)) > it.UsefulUntil {
 			return q.dequeue(i, TooLate), true
 		}
 		if it.WaitUntil != 0 && now >= it.WaitUntil && q.running >= q.limit {
@@ -186,12 +186,12 @@
 	var wakeup model.Instant
 	for i := range q.items {
 		it := &q.items[i]
-		leaveBy := it.Deadline.Add(-scaled(it.ServiceTime, slowdown) / 2)
+		leaveBy := it.Deadline.Add(-scale(it.ServiceTime, slowdown) / 2)
 		if it.WaitUntil != 0 {
 			leaveBy = min(leaveBy, it.WaitUntil)
 		}
 		if it.UsefulUntil != 0 {
-			leaveBy = min(leaveBy, it.UsefulUntil.Add(-scaled(it.ServiceTime, slowdown)))
+			leaveBy = min(leaveBy, it.UsefulUntil.Add(-scale(it.ServiceTime, slowdown)))
 		}
 		if wakeup == 0 || leaveBy < wakeup {
 			wakeup = leaveBy
@@ -210,8 +210,8 @@
 	return shares
 }
 
-// scaled multiplies a duration by a factor.
-func scaled(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
+// scale multiplies a duration by a factor.
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
 
 // nextIndex returns the index of the request to start next.
 func (q *Queue) nextIndex(now model.Instant, slowdown float64) int {
@@ -224,7 +224,7 @@
 			if a.Rank > b.Rank == lastRankFirst {
 				best = i
 			}
-		case q.before(a, b, now, slowdown):
+		case q.startsBefore(a, b, now, slowdown):
 			best = i
 		}
 	}
@@ -232,7 +232,7 @@
 }
 
 // before reports whether a starts before b, which has the same rank.
-func (q *Queue) before(a, b *Item, now model.Instant, slowdown float64) bool {
+func (q *Queue) startsBefore(a, b *Item, now model.Instant, slowdown float64) bool {
 	aStart, bStart := a.latestStart(slowdown), b.latestStart(slowdown)
 	aLate, bLate := aStart < now, bStart < now
 	shares := q.sharesOf(a.Rank)
@@ -252,11 +252,11 @@
 // latestStart returns the last instant at which the request can start and still meet
 // its target, or its deadline if it has no target.
 func (i *Item) latestStart(slowdown float64) model.Instant {
-	end := i.Target
-	if end == 0 {
-		end = i.Deadline
+	completeBy := i.Target
+	if completeBy == 0 {
+		completeBy = i.Deadline
 	}
-	return end.Add(-scaled(i.ServiceTime, slowdown))
+	return completeBy.Add(-scale(i.ServiceTime, slowdown))
 }
 
 // dequeue removes the i-th waiting request and returns its ID with the given reason.
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -21,9 +21,9 @@
 	return Item{ID: id, Rank: rank, ServiceTime: time.Duration(serviceTime) * ms, Target: at(target), Deadline: at(1000), UsefulUntil: at(1000)}
 }
 
-// startOrder starts all waiting requests, one at a time, and returns their IDs in
+// startAll starts all waiting requests, one at a time, and returns their IDs in
 // order.
-func startOrder(t *testing.T, q *Queue, now model.Instant) []uint64 {
+func startAll(t *testing.T, q *Queue, now model.Instant) []uint64 {
 	t.Helper()
 	var out []uint64
 	for q.Waiting() > 0 {
@@ -50,7 +50,7 @@
 			for _, i := range c.items {
 				q.Add(i)
 			}
-			require.Equal(t, c.want, startOrder(t, q, at(0)))
+			require.Equal(t, c.want, startAll(t, q, at(0)))
 		})
 	}
 }
@@ -68,11 +68,11 @@
 		q.Add(i)
 	}
 	for i := uint64(4); i < 40; i++ {
-		next := newItem(i, 0, 10, 500)
-		next.Arrived = at(1)
-		q.Add(next)
+		urgent := newItem(i, 0, 10, 500)
+		urgent.Arrived = at(1)
+		q.Add(urgent)
 	}
-	order := startOrder(t, q, at(2))
+	order := startAll(t, q, at(2))
 	for turn, id := range []uint64{3, 2, 1} {
 		require.Equal(t, id, order[(turn+1)*lastRankInterval-1])
 	}
@@ -83,10 +83,10 @@
 // its requests run out, although newer requests usually start first. If the requests of a
 // kind take longer, fewer of them start.
 func TestKindsShareWorkEqually(t *testing.T) {
-	const frequent, rare = 1, 2
+	const frequentKind, rareKind = 1, 2
 	for name, c := range map[string]struct {
 		serviceTime int
-		turns       []int
+		wantTurns   []int
 	}{
 		"equal service times":                        {10, []int{1, 3, 5}},
 		"three times the service time of the others": {30, []int{1, 5, 9}},
@@ -95,22 +95,22 @@
 			q := New(1)
 			for i := range uint64(30) {
 				it := newItem(100+i, 1, 10, 900)
-				it.Kind, it.Arrived = frequent, at(1)
+				it.Kind, it.Arrived = frequentKind, at(1)
 				q.Add(it)
 			}
 			for i := range uint64(3) {
 				it := newItem(i, 1, c.serviceTime, 900)
-				it.Kind = rare
+				it.Kind = rareKind
 				q.Add(it)
 			}
 			require.Equal(t, 2, q.Ahead(1, 9), "one of each kind runs before a third kind that has none waiting")
 			var got []int
-			for turn, id := range startOrder(t, q, at(2)) {
+			for turn, id := range startAll(t, q, at(2)) {
 				if id < 100 {
 					got = append(got, turn)
 				}
 			}
-			require.Equal(t, c.turns, got)
+			require.Equal(t, c.wantTurns, got)
 		})
 	}
 }
@@ -123,37 +123,37 @@
 		it := newItem(i, 1, 10, 900)
 		it.Kind = 1
 		q.Add(it)
-		startOrder(t, q, at(0))
+		startAll(t, q, at(0))
 	}
 	for i := range uint64(8) {
 		it := newItem(100+i, 1, 10, 900)
 		it.Kind = Kind(1 + i%2)
 		q.Add(it)
 	}
-	order := startOrder(t, q, at(0))
+	order := startAll(t, q, at(0))
 	for turn := 0; turn < len(order); turn += 2 {
 		require.NotEqual(t, order[turn]%2, order[turn+1]%2, "the kinds alternate: %v", order)
 	}
-	require.LessOrEqual(t, len(q.sharesOf(1).finishTags), 2, "only kinds ahead of the virtual time are stored")
+	require.LessOrEqual(t, len(q.sharesOf(1).finishTagByKind), 2, "only kinds ahead of the virtual time are stored")
 }
 
 // TestNewestFirstMeetsTargetsUnderOverload has twice as many requests as there is
 // capacity for. Each request that is started must meet its target. If the oldest request
 // started first, each would start too late.
 func TestNewestFirstMeetsTargetsUnderOverload(t *testing.T) {
-	const interval, serviceTime, target, requests = 10, 20, 100, 200
+	const interval, serviceTime, target, requestCount = 10, 20, 100, 200
 	q := New(1)
-	inTime, served := 0, 0
+	inTimeCount, startedCount := 0, 0
 	busyUntil := at(0)
-	arrived := map[uint64]model.Instant{}
-	for n := range requests {
+	arrivedByID := map[uint64]model.Instant{}
+	for n := range requestCount {
 		now := at(n * interval)
 		item := newItem(uint64(n+1), 0, serviceTime, n*interval+target)
 		item.Arrived, item.Deadline, item.UsefulUntil = now, now.Add(3*target*ms), now.Add(3*target*ms)
 		q.Add(item)
-		arrived[item.ID] = now
+		arrivedByID[item.ID] = now
 		for busyUntil <= now {
-			if served > 0 {
+			if startedCount > 0 {
 				q.Finish()
 			}
 			d, ok := q.Next(now, 1)
@@ -163,15 +163,15 @@
 			if !ok {
 				break
 			}
-			served++
+			startedCount++
 			busyUntil = now.Add(serviceTime * ms)
-			if busyUntil.Sub(arrived[d.ID]) <= target*ms {
-				inTime++
+			if busyUntil.Sub(arrivedByID[d.ID]) <= target*ms {
+				inTimeCount++
 			}
 		}
 	}
-	require.Equal(t, requests/2, served, "there is capacity for half of the requests")
-	require.Equal(t, served, inTime)
+	require.Equal(t, requestCount/2, startedCount, "there is capacity for half of the requests")
+	require.Equal(t, startedCount, inTimeCount)
 }
 
 func TestLimitBoundsRunningRequests(t *testing.T) {
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -45,11 +45,11 @@
 	// randFloat returns random numbers from 0 to below 1.
 	randFloat func() float64
 	// cell holds the sorted addresses of the daemons in the cell, including this one.
-	cell []string
-	// wantedWatchers is how many daemons of the cell should watch.
-	wantedWatchers int
+	cellAddresses []string
+	// wantedWatcherCount is how many daemons of the cell should watch.
+	wantedWatcherCount int
 	// heartbeats holds the last heartbeat of each other daemon of the cell, by address.
-	heartbeats map[string]heartbeat
+	heartbeatByAddress map[string]heartbeat
 	// volunteerFrom is when this daemon may first volunteer. After its start, the daemon
 	// first waits for heartbeats of the existing watchers.
 	volunteerFrom model.Instant
@@ -62,49 +62,49 @@
 	failingSince model.Instant
 	// yieldUntil is when this daemon may watch again after it has yielded.
 	yieldUntil model.Instant
-	// lastHeartbeat is when this daemon sent its last heartbeat. Zero means that the next
+	// lastHeartbeatAt is when this daemon sent its last heartbeat. Zero means that the next
 	// heartbeat is due now.
-	lastHeartbeat model.Instant
+	lastHeartbeatAt model.Instant
 }
 
 // New returns the Elector of the daemon with the address self. now is the start of the
 // daemon. randFloat returns random numbers from 0 to below 1.
 func New(self string, now model.Instant, randFloat func() float64) *Elector {
 	return &Elector{
-		self: self, randFloat: randFloat, cell: []string{self}, wantedWatchers: 1,
-		heartbeats: make(map[string]heartbeat), volunteerFrom: now.Add(heartbeatTimeout),
+		self: self, randFloat: randFloat, cellAddresses: []string{self}, wantedWatcherCount: 1,
+		heartbeatByAddress: make(map[string]heartbeat), volunteerFrom: now.Add(heartbeatTimeout),
 	}
 }
 
 // SetMembers sets the members of the local zone and the number of zones. zoneMembers are
 // the addresses of the daemons that are reachable and not about to stop, including this
 // one.
-func (e *Elector) SetMembers(zoneMembers []string, zones int) {
-	ordered := slices.Clone(zoneMembers)
-	slices.Sort(ordered)
-	cellCount := max((len(ordered)+maxCellSize-1)/maxCellSize, 1)
-	position, ok := slices.BinarySearch(ordered, e.self)
+func (e *Elector) SetMembers(zoneMembers []string, zoneCount int) {
+	sortedMembers := slices.Clone(zoneMembers)
+	slices.Sort(sortedMembers)
+	cellCount := max((len(sortedMembers)+maxCellSize-1)/maxCellSize, 1)
+	position, ok := slices.BinarySearch(sortedMembers, e.self)
 	if !ok {
-		e.cell, e.wantedWatchers = []string{e.self}, 1
+		e.cellAddresses, e.wantedWatcherCount = []string{e.self}, 1
 		return
 	}
-	size := (len(ordered) + cellCount - 1) / cellCount
-	first := position / size * size
-	e.cell = ordered[first:min(first+size, len(ordered))]
-	totalCells := cellCount * max(zones, 1)
-	e.wantedWatchers = (minWatchers + totalCells - 1) / totalCells
-	for address := range e.heartbeats {
-		if !slices.Contains(e.cell, address) {
-			delete(e.heartbeats, address)
+	cellSize := (len(sortedMembers) + cellCount - 1) / cellCount
+	cellStart := position / cellSize * cellSize
+	e.cellAddresses = sortedMembers[cellStart:min(cellStart+cellSize, len(sortedMembers))]
+	totalCellCount := cellCount * max(zoneCount, 1)
+	e.wantedWatcherCount = (minWatchers + totalCellCount - 1) / totalCellCount
+	for address := range e.heartbeatByAddress {
+		if !slices.Contains(e.cellAddresses, address) {
+			delete(e.heartbeatByAddress, address)
 		}
 	}
 }
 
 // RecordHeartbeat records a heartbeat received from the daemon with the address from.
 // reachesStore is set if that daemon reaches the store.
-func (e *Elector) RecordHeartbeat(now model.Instant, from string, reachesStore bool) {
-	if from != e.self && slices.Contains(e.cell, from) {
-		e.heartbeats[from] = heartbeat{receivedAt: now, reachesStore: reachesStore}
+func (e *Elector) RecordHeartbeat(now model.Instant, sender string, reachesStore bool) {
+	if sender != e.self && slices.Contains(e.cellAddresses, sender) {
+		e.heartbeatByAddress[sender] = heartbeat{receivedAt: now, reachesStore: reachesStore}
 	}
 }
 
@@ -122,15 +122,15 @@
 
 // TriggerHeartbeat makes the next heartbeat due at once. It is called when there is a new
 // version, or when the store has become reachable or unreachable.
-func (e *Elector) TriggerHeartbeat() { e.lastHeartbeat = 0 }
+func (e *Elector) TriggerHeartbeat() { e.lastHeartbeatAt = 0 }
 
 // HeartbeatDue reports whether a heartbeat is due. If so, it records that the heartbeat is
 // sent now.
 func (e *Elector) HeartbeatDue(now model.Instant) bool {
-	if !e.watching || e.lastHeartbeat != 0 && now.Sub(e.lastHeartbeat) < HeartbeatInterval {
+	if !e.watching || e.lastHeartbeatAt != 0 && now.Sub(e.lastHeartbeatAt) < HeartbeatInterval {
 		return false
 	}
-	e.lastHeartbeat = now
+	e.lastHeartbeatAt = now
 	return true
 }
 
@@ -138,63 +138,63 @@
 // be called several times a second.
 func (e *Elector) UpdateWatching(now model.Instant) bool {
 	wasWatching := e.watching
-	e.watching = e.shouldWatch(now)
+	e.watching = e.decideWatching(now)
 	if e.watching && !wasWatching {
-		e.reachesStore, e.failingSince, e.lastHeartbeat = false, now, 0
+		e.reachesStore, e.failingSince, e.lastHeartbeatAt = false, now, 0
 	}
 	return e.watching
 }
 
-// shouldWatch decides whether this daemon watches the store. A watcher stops when enough
+// decideWatching decides whether this daemon watches the store. A watcher stops when enough
 // daemons before it in the cell reach the store, or when it yields. Otherwise the first
 // daemons of the cell always watch. The other daemons volunteer at random while there are
 // too few watchers.
-func (e *Elector) shouldWatch(now model.Instant) bool {
+func (e *Elector) decideWatching(now model.Instant) bool {
 	if now < e.yieldUntil {
 		return false
 	}
 	if e.watching && e.shouldYield(now) {
-		turns := (len(e.cell) + maxConcurrentTries - 1) / maxConcurrentTries
-		e.yieldUntil = now.Add(min(time.Duration(turns-1)*yieldAfter, maxYield))
+		turnCount := (len(e.cellAddresses) + maxConcurrentTries - 1) / maxConcurrentTries
+		e.yieldUntil = now.Add(min(time.Duration(turnCount-1)*yieldAfter, maxYield))
 		return false
 	}
-	earlier, reaching, trying := e.countWatchers(now)
-	position := slices.Index(e.cell, e.self)
+	earlierCount, reachingCount, tryingCount := e.countWatchers(now)
+	position := slices.Index(e.cellAddresses, e.self)
 	switch {
-	case earlier >= e.wantedWatchers:
+	case earlierCount >= e.wantedWatcherCount:
 		return false
-	case position < e.wantedWatchers || e.watching:
+	case position < e.wantedWatcherCount || e.watching:
 		return true
-	case reaching >= e.wantedWatchers || trying >= maxConcurrentTries || now < e.volunteerFrom:
+	case reachingCount >= e.wantedWatcherCount || tryingCount >= maxConcurrentTries || now < e.volunteerFrom:
 		return false
 	default:
-		return e.randFloat()*float64(len(e.cell)) < meanVolunteers
+		return e.randFloat()*float64(len(e.cellAddresses)) < meanVolunteers
 	}
 }
 
 // shouldYield reports whether this daemon has tried to reach the store for long enough
 // and there are other daemons that could try.
 func (e *Elector) shouldYield(now model.Instant) bool {
-	return !e.reachesStore && now.Sub(e.failingSince) >= yieldAfter && len(e.cell) > maxConcurrentTries
+	return !e.reachesStore && now.Sub(e.failingSince) >= yieldAfter && len(e.cellAddresses) > maxConcurrentTries
 }
 
-// countWatchers counts the other watchers by their latest heartbeats. reaching is the number
-// of watchers that reach the store. earlier is how many of these come before this daemon in
-// the cell. trying is the number of watchers that do not reach the store.
-func (e *Elector) countWatchers(now model.Instant) (earlier, reaching, trying int) {
-	for address, hb := range e.heartbeats {
+// countWatchers counts the other watchers by their latest heartbeats. reachingCount is the number
+// of watchers that reach the store. earlierCount is how many of these come before this daemon in
+// the cell. tryingCount is the number of watchers that do not reach the store.
+func (e *Elector) countWatchers(now model.Instant) (earlierCount, reachingCount, tryingCount int) {
+	for address, hb := range e.heartbeatByAddress {
 		switch {
 		case now.Sub(hb.receivedAt) >= heartbeatTimeout:
 		case !hb.reachesStore:
-			trying++
+			tryingCount++
 		default:
-			reaching++
+			reachingCount++
 			if address < e.self {
-				earlier++
+				earlierCount++
 			}
 		}
 	}
-	return earlier, reaching, trying
+	return earlierCount, reachingCount, tryingCount
 }
 
 // StoreUnreachable reports whether no daemon of the cell, including this one, is known to
@@ -203,8 +203,8 @@
 	if e.watching && e.reachesStore {
 		return false
 	}
-	_, reaching, _ := e.countWatchers(now)
-	return reaching == 0
+	_, reachingCount, _ := e.countWatchers(now)
+	return reachingCount == 0
 }
 
 // ReachesStore reports whether this daemon watches the store and reaches it.
@@ -212,8 +212,8 @@
 
 // CellPeers returns the other daemons of the cell, to which heartbeats are sent.
 func (e *Elector) CellPeers() []string {
-	out := make([]string, 0, len(e.cell))
-	for _, address := range e.cell {
+	out := make([]string, 0, len(e.cellAddresses))
+	for _, address := range e.cellAddresses {
 		if address != e.self {
 			out = append(out, address)
 		}
--- a/core/watch/elector_test.go
+++ b/core/watch/elector_test.go
@@ -77,8 +77,8 @@
 // heartbeats. No version may be delayed until the next heartbeat.
 func TestVersionsAreForwardedImmediately(t *testing.T) {
 	const (
-		versions = 20
-		pause    = 3 * time.Second / 7
+		versionCount = 20
+		pause        = 3 * time.Second / 7
 		// maxDelay covers a read of the store, a heartbeat, a fetch and the remaining
 		// hops.
 		maxDelay = 5 * step
@@ -86,7 +86,7 @@
 	for _, n := range fleetSizes {
 		f := newFleet(n)
 		f.advance(5 * time.Second)
-		for range versions {
+		for range versionCount {
 			f.advance(pause)
 			require.LessOrEqual(t, f.publishAndWait(t), maxDelay, "%d daemons", n)
 		}
@@ -137,18 +137,18 @@
 		unavailableCalls = 4 * maxConcurrentTries * seconds
 	)
 	for _, n := range fleetSizes {
-		cells := zones * ((n/zones + maxCellSize - 1) / maxCellSize)
+		cellCount := zoneCount * ((n/zoneCount + maxCellSize - 1) / maxCellSize)
 		f := newFleet(n)
 		f.advance(2 * time.Second)
-		f.storeCalls = 0
+		f.storeCallCount = 0
 		f.advance(seconds * time.Second)
-		require.LessOrEqual(t, f.storeCalls, cells*normalCalls, "%d daemons", n)
-		require.Len(t, f.watchers(), cells, "%d daemons", n)
+		require.LessOrEqual(t, f.storeCallCount, cellCount*normalCalls, "%d daemons", n)
+		require.Len(t, f.watchers(), cellCount, "%d daemons", n)
 		f.storeServes = func(*daemon) bool { return false }
-		f.storeCalls = 0
+		f.storeCallCount = 0
 		f.advance(seconds * time.Second)
-		require.LessOrEqual(t, f.storeCalls, cells*unavailableCalls, "%d daemons, store unavailable", n)
-		t.Logf("%d daemons: %d cells, %d calls while the store is unavailable", n, cells, f.storeCalls)
+		require.LessOrEqual(t, f.storeCallCount, cellCount*unavailableCalls, "%d daemons, store unavailable", n)
+		t.Logf("%d daemons: %d cells, %d calls while the store is unavailable", n, cellCount, f.storeCallCount)
 	}
 }
 
@@ -162,7 +162,7 @@
 		f.advance(seconds * time.Second)
 		for _, d := range f.daemons {
 			maxSent := maxCellSize * (int(seconds*time.Second/HeartbeatInterval) + 3)
-			require.LessOrEqual(t, d.heartbeatsSent, maxSent, "%d daemons", n)
+			require.LessOrEqual(t, d.sentHeartbeatCount, maxSent, "%d daemons", n)
 		}
 	}
 }
@@ -192,10 +192,10 @@
 	first := f.daemons[0]
 	first.down = true
 	f.advance(5 * time.Second)
-	require.Len(t, f.watchers(), zones)
+	require.Len(t, f.watchers(), zoneCount)
 	first.start()
 	f.updateMembers()
 	f.advance(5 * time.Second)
 	require.True(t, first.elector.watching)
-	require.Len(t, f.watchers(), zones)
+	require.Len(t, f.watchers(), zoneCount)
 }
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -19,13 +19,13 @@
 	pollWait = 1500 * time.Millisecond
 	// readTimeout is how long a daemon waits for the response to a read.
 	readTimeout = 2900 * time.Millisecond
-	// minRetry is the delay after the first failed read. The delay doubles with each
+	// minRetryDelay is the delay after the first failed read. The delay doubles with each
 	// further failed read.
-	minRetry = 100 * time.Millisecond
-	// maxRetry is the longest delay after a failed read.
-	maxRetry = time.Second
+	minRetryDelay = 100 * time.Millisecond
+	// maxRetryDelay is the longest delay after a failed read.
+	maxRetryDelay = time.Second
 	// zones is the number of availability zones.
-	zones = 5
+	zoneCount = 5
 )
 
 // fleet simulates daemons that watch a store, in virtual time. A message arrives in the
@@ -41,11 +41,11 @@
 	storeServes func(*daemon) bool
 	// storeHangs reports whether the store accepts a daemon's reads but never responds.
 	storeHangs func(*daemon) bool
-	// storeCalls counts the reads that daemons have started.
-	storeCalls int
-	// inTransit holds a function for each message sent in the last step. The function
+	// storeCallCount counts the reads that daemons have started.
+	storeCallCount int
+	// deliveries holds a function for each message sent in the last step. The function
 	// delivers the message.
-	inTransit []func()
+	deliveries []func()
 }
 
 // daemon is a simulated daemon.
@@ -68,8 +68,8 @@
 	// hung is set if the pending read gets no response.
 	hung bool
 	// retryDelay is the delay after the next failed read.
-	retryDelay     time.Duration
-	heartbeatsSent int
+	retryDelay         time.Duration
+	sentHeartbeatCount int
 }
 
 // newFleet returns n running daemons, spread over all zones.
@@ -79,7 +79,7 @@
 		storeServes: func(*daemon) bool { return true }, storeHangs: func(*daemon) bool { return false },
 	}
 	for i := range n {
-		d := &daemon{fleet: f, name: fmt.Sprintf("d%04d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
+		d := &daemon{fleet: f, name: fmt.Sprintf("d%04d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zoneCount))}
 		d.start()
 		f.daemons = append(f.daemons, d)
 		f.byName[d.name] = d
@@ -90,7 +90,7 @@
 
 // start starts or restarts the daemon without any state.
 func (d *daemon) start() {
-	*d = daemon{fleet: d.fleet, name: d.name, zone: d.zone, elector: New(d.name, d.fleet.now, d.fleet.rng.Float64), retryDelay: minRetry}
+	*d = daemon{fleet: d.fleet, name: d.name, zone: d.zone, elector: New(d.name, d.fleet.now, d.fleet.rng.Float64), retryDelay: minRetryDelay}
 }
 
 // updateMembers tells all daemons which members of their zones are reachable.
@@ -102,7 +102,7 @@
 				zone = append(zone, o.name)
 			}
 		}
-		d.elector.SetMembers(zone, zones)
+		d.elector.SetMembers(zone, zoneCount)
 	}
 }
 
@@ -110,7 +110,7 @@
 // partitioned.
 func (f *fleet) send(from, to *daemon, deliver func()) {
 	if !from.down && !from.partitioned && !to.partitioned {
-		f.inTransit = append(f.inTransit, func() {
+		f.deliveries = append(f.deliveries, func() {
 			if !to.down {
 				deliver()
 			}
@@ -122,9 +122,9 @@
 func (f *fleet) advance(duration time.Duration) {
 	for end := f.now.Add(duration); f.now < end; {
 		f.now = f.now.Add(step)
-		due := f.inTransit
-		f.inTransit = nil
-		for _, deliver := range due {
+		dueDeliveries := f.deliveries
+		f.deliveries = nil
+		for _, deliver := range dueDeliveries {
 			deliver()
 		}
 		for _, d := range f.daemons {
@@ -158,7 +158,7 @@
 	reachesStore := d.elector.ReachesStore()
 	for _, other := range d.elector.CellPeers() {
 		to := d.fleet.byName[other]
-		d.heartbeatsSent++
+		d.sentHeartbeatCount++
 		d.fleet.send(d, to, func() {
 			to.elector.RecordHeartbeat(to.fleet.now, d.name, reachesStore)
 			to.applyVersion(d.version)
@@ -168,7 +168,7 @@
 
 // startRead starts a read of the store.
 func (d *daemon) startRead() {
-	d.fleet.storeCalls++
+	d.fleet.storeCallCount++
 	d.hung = d.fleet.storeHangs(d)
 	if !d.hung && !d.fleet.storeServes(d) {
 		d.failRead()
@@ -183,7 +183,7 @@
 // failRead records a failed read and schedules the next one.
 func (d *daemon) failRead() {
 	d.nextReadAt = d.fleet.now.Add(d.retryDelay)
-	d.retryDelay = min(2*d.retryDelay, maxRetry)
+	d.retryDelay = min(2*d.retryDelay, maxRetryDelay)
 	d.recordStoreCall(false)
 }
 
@@ -204,7 +204,7 @@
 		d.reading = false
 		d.failRead()
 	case d.fleet.version > d.version || d.fleet.now >= d.readUntil:
-		d.reading, d.retryDelay = false, minRetry
+		d.reading, d.retryDelay = false, minRetryDelay
 		d.applyVersion(d.fleet.version)
 		d.recordStoreCall(true)
 	}
