--- a/core/gossip/anti_entropy_timer.go
+++ b/core/gossip/anti_entropy_timer.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// shortInterval is the time between two comparisons while some daemon may lack an
-	// update.
+	// shortInterval is the time between two comparisons of digests while some daemon may lack
+	// an update. A digest summarizes the state of a daemon.
 	shortInterval = time.Second
 	// longInterval is the time between two comparisons while all daemons seem to agree.
 	longInterval = 10 * time.Second
-	// requiredAgreements is the number of consecutive comparisons without a difference
-	// after which longInterval is used.
+	// requiredAgreements is the number of comparisons without a difference, since the last
+	// Reset, after which longInterval is used.
 	requiredAgreements = 3
 )
 
@@ -22,7 +22,7 @@
 type AntiEntropyTimer struct {
 	// agreementCount counts the comparisons without a difference since the last Reset.
 	agreementCount int
-	// lastComparisonAt is when the last comparison took place. Zero means never.
+	// lastComparisonAt is when Due last returned true. Zero means never.
 	lastComparisonAt model.Instant
 }
 
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -11,7 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// newMembers returns the given number of daemons in each of the zones z0, z1 and so on.
+// newMembers returns membersPerZone daemons in each of zoneCount zones, which are named z0, z1
+// and so on.
 func newMembers(zoneCount, membersPerZone int) []Member {
 	var out []Member
 	for z := range zoneCount {
@@ -22,14 +23,17 @@
 	return out
 }
 
+// TestPushTargets checks how many daemons of the local zone and of other zones an update is
+// pushed to, for an update of the daemon itself (origin) and one that it forwards.
 func TestPushTargets(t *testing.T) {
 	selector := PeerSelector{Zone: "z0", RandIntN: rand.New(rand.NewPCG(1, 1)).IntN}
 	for name, c := range map[string]struct {
 		members  []Member
 		isOrigin bool
-		// local is the number of selected daemons in the local zone.
+		// localCount is the number of selected daemons in the local zone.
 		localCount int
-		// minRemoteCount and maxRemoteCount bound the number of selected daemons in other zones.
+		// minRemoteCount and maxRemoteCount bound the number of selected daemons in other
+		// zones.
 		minRemoteCount, maxRemoteCount int
 	}{
 		"forwarded":           {newMembers(5, 30), false, fanOut, 0, 1},
@@ -58,6 +62,8 @@
 	}
 }
 
+// TestAntiEntropyPeer checks that a daemon of another zone is selected if the local zone has
+// none, and otherwise with a probability of crossZoneShare.
 func TestAntiEntropyPeer(t *testing.T) {
 	selector := PeerSelector{Zone: "z0", RandIntN: rand.New(rand.NewPCG(1, 1)).IntN}
 	_, ok := selector.AntiEntropyPeer(nil)
@@ -75,6 +81,8 @@
 	require.InDelta(t, crossZoneShare, float64(remoteDraws)/draws, 0.02)
 }
 
+// TestAntiEntropyTimerSlowsDownAfterAgreements checks that the interval between comparisons is
+// short at first, long after requiredAgreements agreements, and short again after Reset.
 func TestAntiEntropyTimerSlowsDownAfterAgreements(t *testing.T) {
 	var timer AntiEntropyTimer
 	now := model.Instant(0).Add(time.Second)
--- a/core/gossip/peer_selector.go
+++ b/core/gossip/peer_selector.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// fanOut is the number of daemons to which each daemon sends a new update. The push
-	// then reaches all but 2% of the daemons.
+	// fanOut is the number of daemons of its own zone to which each daemon sends a new update.
+	// With this number, the push reaches all but 2% of the daemons.
 	fanOut = 4
-	// maxPushZones bounds the number of other zones to which a daemon sends its own
-	// updates.
+	// maxPushZones bounds the number of other zones to which a daemon sends an update that
+	// originates at it.
 	maxPushZones = 8
 	// crossZoneShare is the probability that a daemon selects a daemon of another zone,
 	// either to push an update or to compare digests.
@@ -32,8 +32,8 @@
 	RandIntN func(n int) int
 }
 
-// PushTargets returns the daemons to which to send an update. isOrigin is set if the update
-// originates at this daemon.
+// PushTargets returns the daemons to which to send an update. members are all other daemons.
+// isOrigin is set if the update originates at this daemon.
 func (s PeerSelector) PushTargets(members []Member, isOrigin bool) []Member {
 	local, remote := s.splitByZone(members)
 	out := s.sample(local, fanOut)
@@ -50,8 +50,8 @@
 	return out
 }
 
-// AntiEntropyPeer returns the daemon with which to compare digests. It returns false if
-// there is none.
+// AntiEntropyPeer returns the daemon with which to compare digests, chosen at random from
+// members. It returns false if members is empty.
 func (s PeerSelector) AntiEntropyPeer(members []Member) (Member, bool) {
 	candidates, remote := s.splitByZone(members)
 	if len(candidates) == 0 || len(remote) > 0 && s.chooseCrossZone() {
@@ -78,7 +78,7 @@
 	return local, remote
 }
 
-// sample returns up to n random members. It reorders the given slice.
+// sample returns up to n different random members. It reorders members.
 func (s PeerSelector) sample(members []Member, n int) []Member {
 	n = min(n, len(members))
 	for i := range n {
@@ -101,7 +101,7 @@
 	return out
 }
 
-// appendNew appends the members that out does not contain yet.
+// appendNew appends those members of more that out does not contain yet.
 func appendNew(out, more []Member) []Member {
 	for _, m := range more {
 		if !slices.Contains(out, m) {
--- a/core/invariant/invariant.go
+++ b/core/invariant/invariant.go
@@ -6,7 +6,7 @@
 type Broken struct {
 	// Name identifies the invariant, for example "admission: running at most limit".
 	Name string
-	// Detail describes what was found instead.
+	// Detail describes the state that breaks the invariant.
 	Detail string
 }
 
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -20,7 +20,9 @@
 	// windowSize is the number of samples at the limit on which one decision is based.
 	// These samples are called a window.
 	windowSize = 256
-	// uncontendedRingSize is the number of uncontended samples that are kept.
+	// uncontendedRingSize is the number of uncontended samples that are kept. A sample is the
+	// slot time of one successful request. It is uncontended if at most half of the limit
+	// (rounded up) was running when the request ended.
 	uncontendedRingSize = 128
 	// minUncontendedSamples is the number of uncontended samples that a decision needs.
 	minUncontendedSamples = 64
@@ -28,12 +30,14 @@
 	// at the limit and uncontended samples.
 	comparedQuantile = 0.1
 	// shrinkRatio is the ratio above which the limit is lowered (see shrinkAfterWindows). The
-	// ratio is the slot time at the limit divided by the uncontended slot time.
+	// ratio is the comparedQuantile of the samples at the limit divided by that of the
+	// uncontended samples.
 	shrinkRatio = 1.5
-	// growRatio is the value of the same ratio below which the limit is raised.
+	// growRatio is the ratio, as defined at shrinkRatio, below which the limit is raised at
+	// once.
 	growRatio = 1.2
-	// shrinkAfterWindows is the number of consecutive windows after which the limit is lowered if
-	// the ratio is above shrinkRatio in each of them.
+	// shrinkAfterWindows is the number of consecutive windows after which the limit is lowered
+	// if the ratio is above shrinkRatio in each of them.
 	shrinkAfterWindows = 2
 	// growAfterWindows is the number of windows with a ratio between growRatio and shrinkRatio
 	// after which the limit is raised. A limit lowered by mistake thus rises again.
@@ -45,20 +49,24 @@
 	// slowedRatio is the ratio of the recent mean to the long-term mean above which
 	// requests count as slowed.
 	slowedRatio = 1.5
-	// failureWeight makes the failure rate cover about 8 requests.
+	// failureWeight is the weight of one request in the failure rate, a moving average. The
+	// failure rate thus covers about 8 requests.
 	failureWeight = 1.0 / 8
 	// probeAfterWindows is the number of windows without an uncontended sample after which a
-	// probe begins: requests run at half the limit.
+	// probe begins. During a probe, Limit returns half of the limit, so that requests run
+	// uncontended.
 	probeAfterWindows = 32
-	// probeSamples is the number of uncontended samples that end a probe.
+	// probeSamples is the number of uncontended samples after which a probe ends.
 	probeSamples = 32
 )
 
 // Limiter holds the concurrency limit for one incarnation of an upstream. It is not
 // safe for concurrent use.
 type Limiter struct {
-	opts        Options
-	limit       int
+	opts Options
+	// limit is the current limit outside of probes.
+	limit int
+	// uncontended holds the latest uncontended samples.
 	uncontended ring
 	// atLimitSamples holds the slot times of the current window, in nanoseconds. Its first
 	// atLimitCount elements are in use.
@@ -67,18 +75,19 @@
 	recentMean     mean
 	longTermMean   mean
 	failureRate    float64
-	// windowCountSinceUncontended counts the windows since the last uncontended sample or
-	// the start of the last probe.
+	// windowCountSinceUncontended counts the windows since the last uncontended sample or the
+	// start of the last probe.
 	windowCountSinceUncontended int
 	// probeSamplesLeft counts the samples that the current probe still needs. It is 0 if no
 	// probe is running.
 	probeSamplesLeft int
-	// contendedWindowCount counts consecutive windows whose ratio is above shrinkRatio.
+	// contendedWindowCount counts consecutive windows whose ratio (see the constant
+	// shrinkRatio) is above shrinkRatio.
 	contendedWindowCount int
 	// stableWindowCount counts the windows whose ratio is between growRatio and shrinkRatio.
 	// They need not be consecutive. A window whose ratio is below growRatio sets
-	// stableWindowCount to growAfterWindows, so that the limit is raised at once. The count restarts
-	// whenever the limit is changed.
+	// stableWindowCount to growAfterWindows, so that the limit is raised at once. The count
+	// restarts whenever the limit is changed.
 	stableWindowCount int
 }
 
@@ -91,8 +100,8 @@
 	return &Limiter{opts: opts, limit: min(opts.Slots, opts.Max)}
 }
 
-// Limit returns the number of requests that may run concurrently, at least 1. During a
-// probe it is half of the usual number.
+// Limit returns the number of requests that may run concurrently, at least 1. During a probe,
+// the number is half of the limit that applies otherwise.
 func (l *Limiter) Limit() int {
 	if l.probeSamplesLeft > 0 {
 		return max(l.limit/2, 1)
@@ -100,8 +109,9 @@
 	return l.limit
 }
 
-// Observe records a request that held a slot for slotTime. running is the number of
-// requests that were running when the request ended, including itself.
+// Observe records a request that held a slot for slotTime. running is the number of requests
+// that were running when the request ended, including itself. A failed request counts only
+// towards the failure rate.
 func (l *Limiter) Observe(now model.Instant, slotTime time.Duration, running int, failed bool) {
 	l.observeFailure(failed)
 	if failed || slotTime <= 0 {
@@ -125,7 +135,8 @@
 	}
 }
 
-// Annotate returns the load with the mean slot time and the failure rate filled in.
+// Annotate returns load with ServiceTime set to the recent mean slot time, and FailureRate to
+// the failure rate.
 func (l *Limiter) Annotate(load model.Load) model.Load {
 	load.ServiceTime = time.Duration(l.recentMean.value)
 	load.FailureRate = float32(l.failureRate)
@@ -145,7 +156,9 @@
 	l.failureRate += (failure - l.failureRate) * failureWeight
 }
 
-// evaluateWindow adjusts the limit after a full window of samples at the limit.
+// evaluateWindow adjusts the limit after a full window of samples at the limit. It does not
+// adjust the limit if there are fewer than minUncontendedSamples uncontended samples. It also
+// begins a probe if one is due (see probeAfterWindows).
 func (l *Limiter) evaluateWindow() {
 	atLimitQuantile := lowQuantile(l.atLimitSamples[:])
 	l.atLimitCount = 0
@@ -218,8 +231,8 @@
 	n int
 }
 
-// add updates the mean with the value x. weight is the weight of x once enough values have
-// been added.
+// add updates the mean with the value x. weight is the weight of x once 1/weight values have
+// been added. Until then, the mean is the arithmetic mean of all values.
 func (m *mean) add(x, weight float64) {
 	m.n++
 	m.value += (x - m.value) * max(1/float64(m.n), weight)
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -11,8 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// sharedUpstream is a simulated upstream that runs up to capacity requests at full speed.
-// If more requests run, all of them slow down in proportion.
+// sharedUpstream is a simulated upstream that runs up to capacity requests at full speed. If
+// more requests run, all of them take longer, by the factor running/capacity.
 type sharedUpstream struct {
 	capacity float64
 	// slowdown is a factor by which all requests take longer, whatever their number.
@@ -58,6 +58,9 @@
 	}
 }
 
+// TestSurgeOfCostlyRequestsKeepsTheLimit has phases of 48 requests at the limit, of which about
+// 40% take ten times as long as the others. In between, only 1 to 3 requests run at a time, and
+// 5% take longer. The upstream has no contention, so the limit must not fall by more than one.
 func TestSurgeOfCostlyRequestsKeepsTheLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	l := New(Options{Slots: 6})
@@ -77,6 +80,8 @@
 	assert.GreaterOrEqual(t, lowestLimit, 5)
 }
 
+// TestLimiterProbesRarelyUnderFullLoad has requests always run at the limit. Probes must occur,
+// but fewer than 1% of the requests may be affected.
 func TestLimiterProbesRarelyUnderFullLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	l := New(Options{Slots: 6})
--- a/core/measure/budget.go
+++ b/core/measure/budget.go
@@ -8,7 +8,7 @@
 
 // Cost is the load that a measurement puts on an upstream.
 type Cost struct {
-	// SlotTime is the time for which polls and probes occupy the upstream.
+	// SlotTime is the time for which polls and probes occupy a slot of the upstream.
 	SlotTime time.Duration
 	// Connections counts the connections opened for measuring.
 	Connections int
@@ -26,8 +26,8 @@
 
 // Options configure a Budget.
 type Options struct {
-	// Share is the share of the upstream's slot time that measuring may take, from 0 to
-	// 1. Zero forbids measuring.
+	// Share is the share of the upstream's slot time that measuring may take, from 0 to 1. The
+	// slot time of a period is its length times Slots. Zero forbids measuring.
 	Share float64
 	// Slots is the announced number of slots, at least 1.
 	Slots int
@@ -46,16 +46,18 @@
 // Budget is the measuring budget of one upstream for one service: a token bucket of
 // slot time. It is not safe for concurrent use.
 type Budget struct {
-	opts   Options
+	opts Options
+	// tokens is the slot time that can be reserved now.
 	tokens time.Duration
-	// reserved is the sum of the pending reservations. tokens plus reserved never
+	// reservedTime is the sum of the pending reservations. tokens plus reservedTime never
 	// exceed the burst. Otherwise slot time returned by a late Settle could be spent in
 	// addition to a full burst.
 	reservedTime time.Duration
-	refilledAt   model.Instant
-	// charged is the slot time charged so far, including pending reservations.
+	// refilledAt is when tokens were last added.
+	refilledAt model.Instant
+	// chargedTime is the slot time charged so far, including pending reservations.
 	chargedTime time.Duration
-	// refused counts the measurements that the budget did not allow.
+	// refusalCount counts the measurements that the budget did not allow.
 	refusalCount uint64
 }
 
@@ -101,9 +103,9 @@
 	return Reservation{slotTime: slotTime, pending: true}, true
 }
 
-// Settle replaces a reservation by the actual cost of the measurement. A cost above the
-// reservation counts as the reserved cost, since the caller bounds the measurement by
-// its reservation. Settling a reservation again has no effect.
+// Settle replaces a reservation by the actual cost of the measurement and returns the unused
+// slot time to the budget. A cost above the reservation counts as the reserved cost, since the
+// caller bounds the measurement by its reservation. Settling a reservation again has no effect.
 func (b *Budget) Settle(now model.Instant, r *Reservation, cost Cost) {
 	if !r.pending {
 		return
@@ -138,7 +140,8 @@
 		time.Duration(max(c.Bytes, 0))*b.opts.Prices.Byte
 }
 
-// refill adds the tokens earned since the last call.
+// refill adds the tokens earned since the last call, up to the burst minus the pending
+// reservations.
 func (b *Budget) refill(now model.Instant) {
 	if now <= b.refilledAt {
 		return
--- a/core/measure/doc.go
+++ b/core/measure/doc.go
@@ -3,13 +3,14 @@
 //
 // # Budget
 //
-// Each upstream of a service has a Budget. Everything that measuring takes from the
-// upstream is converted to slot time and charged to the Budget: the time for which a poll
-// or probe occupies the upstream, the connections opened, and the bytes transferred. The
-// largest possible cost is reserved before a measurement, so that a slow response
-// cannot exceed the budget. The unused part is returned afterwards. The budget is a share
-// of the upstream's capacity and a hard limit: within any time window, the charges are at
-// most that share of the window's slot time plus one burst.
+// Each upstream of a service has a Budget. Everything that measuring takes from the upstream is
+// converted to slot time and charged to the Budget: the time for which a poll or probe occupies
+// the upstream, the connections opened, and the bytes transferred. The largest possible cost is
+// reserved before a measurement, so that a slow response cannot exceed the budget. The unused
+// part is returned afterwards. The budget is a share of the upstream's capacity and a hard
+// limit: within any time window, the charges are at most that share of the window's slot time
+// (its length times the number of slots) plus one burst, the slot time that may be charged at
+// once.
 //
 // # Trust
 //
@@ -24,7 +25,7 @@
 //
 // # Schedule
 //
-// A Schedule polls seldom while reports and observations agree, and often while they
+// A Schedule makes polls rare while reports and observations agree, and frequent while they
 // differ. The budget is thus spent where a report is most informative.
 //
 // A Monitor combines a Budget, a Trust and a Schedule for one upstream.
--- a/core/measure/measure_test.go
+++ b/core/measure/measure_test.go
@@ -14,7 +14,7 @@
 // ms is one millisecond.
 const ms = time.Millisecond
 
-// charge is the charge for one measurement.
+// charge is what a Budget has charged for one measurement.
 type charge struct {
 	// beganAt is when the measurement began.
 	beganAt model.Instant
@@ -32,8 +32,9 @@
 	}
 }
 
-// TestNoWindowExceedsTheBudget draws random sequences of reservations and settlements. It
-// checks the charges of every time window that begins and ends with a reservation.
+// TestNoWindowExceedsTheBudget draws random sequences of reservations and settlements. In every
+// time window that begins and ends with a reservation, the charges must not exceed the share of
+// the window's slot time plus one burst.
 func TestNoWindowExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 0.2).Draw(t, "share")
@@ -87,6 +88,8 @@
 	assert.False(t, ok, "a budget of 0 forbids measuring")
 }
 
+// TestTrustComparesReportsWithObservations repeats each observation 100 times. It checks how
+// the reports are counted, and how many requests from elsewhere are assumed.
 func TestTrustComparesReportsWithObservations(t *testing.T) {
 	cases := map[string]struct {
 		report           Report
--- a/core/measure/monitor.go
+++ b/core/measure/monitor.go
@@ -6,13 +6,15 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Monitor measures one upstream for one service. It decides, within the budget, when to
-// poll the upstream for a load report. It also decides how much a report adds to the load
-// that the guard knows exactly. A Monitor is not safe for concurrent use.
+// Monitor measures one upstream for one service. It decides, within the budget, when to poll
+// the upstream for a load report. It also decides how many requests from elsewhere are added,
+// because of a report, to the load that the guard knows exactly. A Monitor is not safe for
+// concurrent use.
 type Monitor struct {
 	budget   *Budget
 	trust    *Trust
 	schedule Schedule
+	// nextPoll is when the next poll is due.
 	nextPoll model.Instant
 	// currentWindow covers the time since the last report. A new report may be late, so the
 	// report is compared with currentWindow and previousWindow.
@@ -23,7 +25,8 @@
 	running int
 }
 
-// runningRange is the lowest and highest number of requests running during a window.
+// runningRange is the lowest and highest number of the guard's requests that ran at the same
+// time during a window.
 type runningRange struct{ lowest, highest int }
 
 // NewMonitor returns a Monitor whose first poll is due after the longest interval of
@@ -45,8 +48,9 @@
 func (m *Monitor) NextPoll() model.Instant { return m.nextPoll }
 
 // BeginPoll reserves slot time for maxCost, the largest possible cost of a poll. It returns
-// false if no poll is due yet, or if the budget does not allow a poll. In the second case
-// the next poll is due after the longest interval of the schedule.
+// false if no poll is due yet, or if the budget does not allow a poll. If a poll is due, the
+// next one is due after the longest interval of the schedule, whether or not the budget allows
+// this one. PollSucceeded may make the next poll due earlier.
 func (m *Monitor) BeginPoll(now model.Instant, maxCost Cost) (Reservation, bool) {
 	if now < m.nextPoll {
 		return Reservation{}, false
@@ -55,8 +59,9 @@
 	return m.budget.Reserve(now, maxCost)
 }
 
-// PollSucceeded records the report that a poll returned and the actual cost of the poll.
-// slowed is set if recent requests have taken clearly longer than usual.
+// PollSucceeded records the report that a poll returned and the actual cost of the poll. slowed
+// is set if recent requests have taken clearly longer than usual. PollSucceeded also schedules
+// the next poll.
 func (m *Monitor) PollSucceeded(now model.Instant, r *Reservation, cost Cost, report Report, slowed bool) {
 	m.budget.Settle(now, r, cost)
 	m.trust.Observe(report, Observation{
@@ -77,7 +82,8 @@
 // SetShare changes the share of slot time that measuring may take from now on.
 func (m *Monitor) SetShare(now model.Instant, share float64) { m.budget.SetShare(now, share) }
 
-// Annotate returns load with the result of Trust.ExternalRequests added to Running.
+// Annotate returns load with the assumed number of requests from elsewhere (see
+// Trust.ExternalRequests) added to Running.
 func (m *Monitor) Annotate(load model.Load) model.Load {
 	load.Running += int32(m.trust.ExternalRequests(int(load.Limit)))
 	return load
@@ -89,5 +95,6 @@
 // Refused returns the number of polls that the budget did not allow.
 func (m *Monitor) Refused() uint64 { return m.budget.Refused() }
 
-// Counts returns the results of comparing reports with observations.
+// Counts returns how many reports agreed with, contradicted or were not supported by the
+// observations.
 func (m *Monitor) Counts() Counts { return m.trust.Counts() }
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -17,38 +17,39 @@
 	Slowed bool
 }
 
-// Counts are the results of comparing reports with observations.
+// Counts counts the reports by the result of comparing them with observations.
 type Counts struct {
 	// Agreed counts reports that are consistent with the observation.
 	Agreed uint64
 	// Contradicted counts reports of fewer requests than were certainly running.
 	Contradicted uint64
-	// Unsupported counts reports of additional requests from elsewhere that came while
-	// the guard's own requests were not slowed down.
+	// Unsupported counts reports of more requests than the guard had running, if the guard's
+	// own requests were not slowed down at that time.
 	Unsupported uint64
 }
 
 const (
-	// initialWeight is the trust before the first report.
+	// initialWeight is the weight of reports (see Trust) before the first report.
 	initialWeight = 0.5
-	// agreementGain is added to the trust after a report that agrees.
+	// agreementGain is added to the weight after a report that agrees with the observation.
 	agreementGain = 0.1
-	// contradictedFactor multiplies the trust after a contradicted report.
+	// contradictedFactor is the factor by which a contradicted report reduces the weight.
 	contradictedFactor = 0.5
-	// unsupportedFactor multiplies the trust after an unsupported report.
+	// unsupportedFactor is the factor by which an unsupported report reduces the weight.
 	unsupportedFactor = 0.8
 	// maxExternalShare is the largest share of the slots that can count as occupied by
 	// requests from elsewhere. A false report thus never makes an upstream look full.
 	maxExternalShare = 0.5
 )
 
-// Trust tracks how far the load reports of one upstream can be trusted. Use NewTrust to
-// create a Trust. It is not safe for concurrent use.
+// Trust tracks how far the load reports of one upstream can be trusted. It expresses the trust
+// as a weight of reports, from 0 to 1. Use NewTrust to create a Trust. A Trust is not safe for
+// concurrent use.
 type Trust struct {
-	// trust is the weight of a report, from 0 to 1.
+	// weight is the weight of a report, from 0 to 1.
 	weight float64
 	// externalRequests is the number of requests from elsewhere in the last report, or 0 if
-	// that report was not credible.
+	// that report was contradicted or unsupported (see Counts).
 	externalRequests float64
 	counts           Counts
 }
@@ -74,9 +75,9 @@
 	}
 }
 
-// ExternalRequests returns how many requests from elsewhere the upstream is assumed to be
-// running. slots is the number of slots of the upstream, which bounds the result (see
-// maxExternalShare).
+// ExternalRequests returns how many requests from elsewhere, that is, not from the guard, the
+// upstream is assumed to be running. slots is the number of slots of the upstream, which bounds
+// the result (see maxExternalShare).
 func (t *Trust) ExternalRequests(slots int) int {
 	return int(min(t.Discrepancy(), maxExternalShare*float64(slots)))
 }
@@ -84,6 +85,7 @@
 // Counts returns the results of the comparisons so far.
 func (t *Trust) Counts() Counts { return t.counts }
 
-// Discrepancy returns by how many requests the last report exceeded the observation,
-// multiplied by the weight of reports. It is 0 if the last report was not credible.
+// Discrepancy returns by how many requests the last report exceeded the observation, multiplied
+// by the weight of reports. It is 0 if the last report was contradicted or unsupported (see
+// Counts).
 func (t *Trust) Discrepancy() float64 { return t.externalRequests * t.weight }
--- a/core/model/model.go
+++ b/core/model/model.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Instant is a reading of a monotonic clock, in nanoseconds since an arbitrary origin
-// that the process has chosen. The zero value is the origin.
+// Instant is a reading of a monotonic clock, in nanoseconds since an arbitrary origin chosen by
+// the process. The zero value is the origin.
 type Instant int64
 
 // Add returns the instant that is d later than i.
@@ -52,10 +52,11 @@
 	Service     ServiceName
 	Incarnation Incarnation
 	Zone        AvailabilityZone
-	// Daemon is the daemon whose guard is in front of the upstream. Requests to the
-	// upstream are sent to that daemon.
+	// Daemon is the daemon whose guard, the proxy in front of the upstream, limits the
+	// upstream's requests. Requests to the upstream are sent to that daemon.
 	Daemon DaemonID
-	// Slots is the announced number of concurrent requests, at least 1.
+	// Slots is the number of requests that the upstream, as it has announced, can run
+	// concurrently. It is at least 1.
 	Slots  int
 	Labels Labels
 	// Draining is set once the upstream has announced that it is about to stop serving.
@@ -82,7 +83,7 @@
 	Limit int32
 	// ServiceTime is the recent mean service time of a request in the upstream.
 	ServiceTime time.Duration
-	// FailureRate is the recent failure rate, from 0 to 1.
+	// FailureRate is the share of recent requests that failed, from 0 to 1.
 	FailureRate float32
 	// Draining is set if the upstream accepts no new requests.
 	Draining bool
@@ -94,9 +95,10 @@
 
 // Request holds the properties of a request that the decision packages use.
 type Request struct {
-	Service    ServiceName
-	Group      GroupName
-	Caller     CallerName
+	Service ServiceName
+	Group   GroupName
+	Caller  CallerName
+	// Idempotent is set if running the request twice does no harm.
 	Idempotent bool
 	// Deadline is the instant after which the response is useless to the caller.
 	Deadline Instant
--- a/core/outcome/after_test.go
+++ b/core/outcome/after_test.go
@@ -6,6 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// TestNotRunAfterUnknownStaysUnknown checks that a refusal does not hide that an earlier
+// attempt may have run the request. In all other cases, the outcome of the last attempt counts.
 func TestNotRunAfterUnknownStaysUnknown(t *testing.T) {
 	lost := UnknownBecause(ReasonConnectionLost)
 	refused := NotRunBecause(ReasonQueueFull)
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -13,7 +13,7 @@
 	Answered
 )
 
-// String returns the name used in the response header and in reports.
+// String returns the name that the response header Dottereltiller-Outcome and reports use.
 func (k Kind) String() string {
 	switch k {
 	case NotRun:
@@ -89,13 +89,13 @@
 	RetryAfter time.Duration
 }
 
-// NotRunBecause returns the outcome NotRun, of a request that provably did not run.
+// NotRunBecause returns the Outcome of a request that provably did not run, for reason r.
 func NotRunBecause(r Reason) Outcome { return Outcome{Kind: NotRun, Reason: r} }
 
-// UnknownBecause returns the outcome Unknown, of a request that may or may not have run.
+// UnknownBecause returns the Outcome of a request that may or may not have run, for reason r.
 func UnknownBecause(r Reason) Outcome { return Outcome{Kind: Unknown, Reason: r} }
 
-// Done returns the outcome Answered, of a request with a complete response.
+// Done returns the Outcome of a request whose complete response was received.
 func Done() Outcome { return Outcome{Kind: Answered} }
 
 // RetryElsewhere reports whether an immediate attempt at another upstream may succeed.
@@ -111,8 +111,9 @@
 	}
 }
 
-// FreeToRetry reports whether the attempt put no load on any upstream and failed only
-// because the upstream was chosen from outdated information.
+// FreeToRetry reports whether the attempt put no load on any upstream and failed only because
+// the upstream was chosen from outdated information. A retry after such an attempt needs no
+// retry budget.
 func (o Outcome) FreeToRetry() bool {
 	return o.Kind == NotRun && (o.Reason == ReasonDraining || o.Reason == ReasonWithdrawn)
 }
@@ -130,10 +131,10 @@
 	}
 }
 
-// After returns the outcome of a request. earlier is the outcome of its previous attempts
-// together, and o the outcome of its last attempt. The result is o, with one exception: if
-// earlier is Unknown and o is NotRun, the result is earlier. An earlier attempt may have
-// run the request in that case.
+// After returns the outcome of a request after an attempt with outcome o. earlier is the
+// outcome of the request before that attempt. The result is o, with one exception: if o is
+// NotRun and earlier is Unknown, the result is earlier, since an earlier attempt may have run
+// the request.
 func (o Outcome) After(earlier Outcome) Outcome {
 	if o.Kind == NotRun && earlier.Kind == Unknown {
 		return earlier
--- a/core/outcome/reason.go
+++ b/core/outcome/reason.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// detailByReason describes each reason in a sentence for the caller.
+// detailByReason holds, for each reason except ReasonNone, a sentence that explains the reason
+// to the caller.
 var detailByReason = map[Reason]string{
 	ReasonNoService:        "No service has this name or host.",
 	ReasonNoUpstream:       "No upstream of the service may take the request now.",
@@ -41,7 +42,7 @@
 	ReasonUpgradeForbidden: "Changing to another protocol is not supported.",
 }
 
-// Detail describes the reason in a sentence. It is empty for ReasonNone.
+// Detail explains the reason in a sentence. It returns an empty string for ReasonNone.
 func (r Reason) Detail() string { return detailByReason[r] }
 
 // Reasons returns all reasons except ReasonNone, sorted.
--- a/core/outcome/reason_test.go
+++ b/core/outcome/reason_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEveryReasonHasADetail reads the constants from the source code, so that it also
+// TestEveryReasonHasADetail checks that each constant of type Reason has a detail and that
+// there are no other details. It reads the constants from the source code, so that it also
 // covers constants added later.
 func TestEveryReasonHasADetail(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "outcome.go", nil, 0)
@@ -53,8 +54,9 @@
 	}
 }
 
-// TestNoRetryWhereAnotherUpstreamCannotHelp guards against retry storms: a request that
-// would fail on every upstream must not be retried.
+// TestNoRetryWhereAnotherUpstreamCannotHelp guards against retry storms: a request that would
+// fail on every upstream must not be retried. It also checks that a retry after an attempt that
+// may have run is not free (see Outcome.FreeToRetry).
 func TestNoRetryWhereAnotherUpstreamCannotHelp(t *testing.T) {
 	for _, r := range []Reason{
 		ReasonDeadline, ReasonCancelled, ReasonQuarantined, ReasonCeiling, ReasonForbidden,
--- a/core/placement/failure_rate.go
+++ b/core/placement/failure_rate.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// failureWeight makes the failure rate cover about 8 requests.
+	// failureWeight is the weight of one request in the failure rate, a moving average. The
+	// failure rate thus covers about 8 requests.
 	failureWeight = 1.0 / 8
 	// failureHalfLife is the time in which a failure rate halves. An upstream that fails
 	// every request is tried again after three half-lives. While the upstream keeps
@@ -17,13 +18,13 @@
 	failureHalfLife = 2 * time.Second
 )
 
-// FailureRate is the recent failure rate of an upstream. It decays with time. Otherwise an
-// upstream that gets no requests because it has failed would never be tried again. The
-// zero value is a failure rate of 0.
+// FailureRate is the share of recent requests to an upstream that failed. It decays with time.
+// Without the decay, an upstream that gets no requests because it has failed would never be
+// tried again. The zero value is a failure rate of 0.
 type FailureRate struct {
-	// rate is the failure rate at the instant at.
+	// rate is the failure rate at the instant setAt.
 	rate float64
-	// at is when the last result was recorded.
+	// setAt is when the last result was recorded.
 	setAt model.Instant
 }
 
@@ -38,7 +39,7 @@
 	f.rate += (sample - f.rate) * failureWeight
 }
 
-// At returns the failure rate at the given instant, from 0 to 1.
+// At returns the failure rate at the instant now, from 0 to 1.
 func (f *FailureRate) At(now model.Instant) float64 { return f.rate * failureDecay(now.Sub(f.setAt)) }
 
 // failureDecay returns the fraction, from 0 to 1, that is left of a failure rate of the
--- a/core/placement/load.go
+++ b/core/placement/load.go
@@ -15,23 +15,24 @@
 	Waiting int
 	// Limit is how many requests the guard lets run concurrently.
 	Limit int
-	// Slowdown is the service time relative to the usual one, which is 1. Zero means
-	// unknown.
+	// Slowdown is the current service time divided by the usual service time, so 1 is the usual
+	// speed. Zero means unknown.
 	Slowdown float64
 	// SlowdownAge is how old Slowdown already was when the guard reported the Load.
 	SlowdownAge time.Duration
-	// FailureRate is the recent failure rate, from 0 to 1.
+	// FailureRate is the share of recent requests that failed, from 0 to 1.
 	FailureRate float64
 }
 
 const (
-	// loadHalfLife is the age at which a reported slowdown or number of requests has half
-	// its weight. The other processes on a shared VM start and stop working a few times a
-	// second.
+	// loadHalfLife is the age at which a reported slowdown or number of requests has half its
+	// weight. It is short because the other processes on a shared VM start and stop working a
+	// few times a second.
 	loadHalfLife = 150 * time.Millisecond
 	// initialSlowdown is the mean slowdown assumed before any has been reported.
 	initialSlowdown = 1.5
-	// meanSlowdownWeight makes the mean slowdown of a service cover about 64 responses.
+	// meanSlowdownWeight is the weight of one reported slowdown in the mean slowdown of a
+	// service. The mean thus covers about 64 responses.
 	meanSlowdownWeight = 1.0 / 64
 	// coldSlowdown is the lowest slowdown assumed for an upstream that has just started
 	// (see Upstream.ColdUntil). The caches of such an upstream are still filling, and its
@@ -41,17 +42,18 @@
 	// An upstream that fails every request therefore still gets a trial request now and
 	// then, which shows when it has recovered.
 	maxFailureRate = 0.95
-	// maxUtilization is the share of its slots that an upstream may fill. Servers slow
-	// down near saturation.
+	// maxUtilization is the share of its slots that an upstream with 3 or more slots stays
+	// below by default (see DefaultLimit). Servers slow down near saturation.
 	maxUtilization = 0.8
-	// saturatedSlowdown is the slowdown of an upstream whose slots are all busy. The
-	// value was recorded on services with 6 slots.
+	// saturatedSlowdown is the slowdown of an upstream whose slots are all busy. The value was
+	// recorded on services with 6 slots. DefaultLimit uses it for any number of slots.
 	saturatedSlowdown = 1.7
 )
 
-// DefaultLimit returns the concurrency limit with which an upstream has the highest
-// throughput, given only its number of slots. With 2 slots, filling both gives more
-// throughput than staying below saturation; with 3 or more slots it does not.
+// DefaultLimit returns the concurrency limit with which an upstream has the highest throughput,
+// as far as this can be told from its number of slots. The limit is at least 1. With 2 slots,
+// filling both gives more throughput than staying below saturation; with 3 or more slots it
+// does not.
 func DefaultLimit(slots int) int {
 	reduced := int(math.Ceil(float64(slots)*maxUtilization)) - 1
 	if float64(slots)/saturatedSlowdown > float64(reduced) {
@@ -61,9 +63,9 @@
 }
 
 // ExpectedTime returns the time until a request is expected to complete at an upstream.
-// serviceTime is the usual service time of the request, and ahead the number of requests
-// that are already there. slowdown, limit and failureRate are the estimates for the
-// upstream.
+// serviceTime is the usual service time of the request. ahead is the number of requests at the
+// upstream that run now or start before the request. slowdown, limit and failureRate are the
+// estimates for the upstream; limit must be at least 1.
 func ExpectedTime(serviceTime time.Duration, slowdown float64, ahead, limit int, failureRate float64) time.Duration {
 	runTime := float64(serviceTime) * slowdown
 	wait := 0.0
@@ -83,23 +85,24 @@
 	upstream Upstream
 	// load is the latest reported load. It is not set while hasLoad is false.
 	load Load
-	// loadReceivedAt is when load was reported.
+	// loadReceivedAt is when load was received.
 	loadReceivedAt model.Instant
-	hasLoad        bool
+	// hasLoad is set once a load has been received.
+	hasLoad bool
 	// inFlight counts this entry's unfinished requests at the upstream.
 	inFlight int
-	// inFlightAtLoad is the value that inFlight had when load was reported.
+	// inFlightAtLoad is the value that inFlight had when load was received.
 	inFlightAtLoad int
-	// meanOtherRequests is the moving average of the number of requests that other entries
-	// have at the upstream.
+	// meanOtherRequests is the moving average of the number of requests that other entries have
+	// at the upstream. It is updated with each load.
 	meanOtherRequests float64
 	// unreachableUntil is the end of the period in which the upstream is avoided
 	// because it could not be reached.
 	unreachableUntil model.Instant
 }
 
-// slowdown returns the slowdown to expect of the upstream now. mean is the mean slowdown
-// of the service.
+// slowdown returns the slowdown to expect of the upstream now. meanSlowdown is the mean
+// slowdown of the service.
 func (c *candidate) slowdown(now model.Instant, meanSlowdown float64) float64 {
 	slowdown := meanSlowdown
 	if c.hasLoad && c.load.Slowdown > 0 {
@@ -114,7 +117,8 @@
 
 // expectedRequests estimates how many requests are at the upstream now. This entry's own
 // requests are known exactly. The number of other entries' requests decays from the last
-// reported value towards meanOtherRequests. It counts as 0 until a load has been reported.
+// reported value towards meanOtherRequests. Other entries' requests count as 0 until a load has
+// been received.
 func (c *candidate) expectedRequests(now model.Instant) int {
 	if !c.hasLoad {
 		return c.inFlight
@@ -132,7 +136,8 @@
 	return DefaultLimit(c.upstream.Slots)
 }
 
-// failureRate returns the failure rate to expect of the upstream now.
+// failureRate returns the failure rate to expect of the upstream now. It is 0 until a load has
+// been received.
 func (c *candidate) failureRate(now model.Instant) float64 {
 	if !c.hasLoad {
 		return 0
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// TestSlowUpstreamIsAvoided covers upstreams that share a VM: at any moment a quarter
-// of them are four times slower than usual, each for some hundred milliseconds.
+// TestSlowUpstreamIsAvoided covers upstreams that share a VM: at any moment a quarter of them
+// are four times slower than usual, each for some hundred milliseconds. Of two idle upstreams,
+// the one that is not slow must be chosen.
 func TestSlowUpstreamIsAvoided(t *testing.T) {
 	p := newPlacer("local", "local")
 	p.UpdateLoad(at(0), "a", idle(4))
@@ -122,9 +123,10 @@
 	require.Equal(t, "a", c.Upstream.Key, "a gain of 20 ms is less than the cross-zone penalty")
 }
 
-// TestRoundTripTimeCounts covers deployments over several regions. Two remote zones would
-// meet the target. The zone in the local region must be chosen, although its upstream is a
-// little slower. Choice.Alternative, which the guard is sent, must include the round trip.
+// TestRoundTripTimeCounts covers deployments over several regions. Two remote zones would meet
+// the target. Once the round-trip times are known, the zone in the local region must be chosen,
+// although its upstream is a little slower. Choice.Alternative, which the guard is sent, must
+// include the round trip.
 func TestRoundTripTimeCounts(t *testing.T) {
 	const nearRTT, farRTT = 3 * time.Millisecond, 45 * time.Millisecond
 	p := newPlacer("local", "region", "abroad")
@@ -213,6 +215,8 @@
 	require.False(t, ok)
 }
 
+// TestQueryTargets checks the number and the zones of the upstreams that are queried. Upstreams
+// with a recent load and unreachable ones must be left out.
 func TestQueryTargets(t *testing.T) {
 	p := newPlacer("local", "local", "local", "other", "other")
 	p.UpdateLoad(at(0), "a", idle(1))
@@ -264,9 +268,9 @@
 	require.Equal(t, "a", choose(t, p, at(4)).Upstream.Key, "there is no other upstream")
 }
 
-// TestMissesTarget covers a burst that fills a service. Guards have rejected the request
-// for lack of capacity, and the request is expected to miss its target at the next guard
-// as well.
+// TestMissesTarget covers a burst that fills a service. Guards have rejected the request for
+// lack of capacity. The request must then be refused if it is expected to miss its target at
+// the next guard as well.
 func TestMissesTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		fullGuards       int
@@ -286,8 +290,9 @@
 	}
 }
 
-// TestMissesDeadline checks that a request is refused that would miss its deadline on
-// every upstream. Slots are free, so a guard would accept the request.
+// TestMissesDeadline checks that a request is refused that would miss its deadline on every
+// upstream, provided that the loads are recent. Slots are free, so a guard would accept the
+// request.
 func TestMissesDeadline(t *testing.T) {
 	const slowdown, untilDeadline = 20, time.Second
 	p := newPlacer("local", "local")
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -10,18 +10,19 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Upstream describes a candidate.
+// Upstream describes an upstream that a Placer can choose, also called a candidate.
 type Upstream struct {
 	// Key identifies the incarnation of the upstream.
 	Key string
 	// Daemon is the daemon whose guard is in front of the upstream.
 	Daemon model.DaemonID
 	Zone   model.AvailabilityZone
-	Slots  int
+	// Slots is the announced number of slots.
+	Slots int
 	// ColdUntil is the expected end of the slow phase after the start of the upstream.
 	ColdUntil model.Instant
-	// Stopping is set if the upstream's daemon is about to stop. The upstream still
-	// serves requests, but is chosen only if no other can be.
+	// Stopping is set if the upstream's daemon is about to stop. The upstream still serves
+	// requests, but is chosen only if no other reachable upstream can be.
 	Stopping bool
 }
 
@@ -29,21 +30,22 @@
 type Options struct {
 	// Zone is the availability zone of this entry.
 	Zone model.AvailabilityZone
-	// CrossZonePenalty is the time by which an upstream in another zone must be faster
-	// to be chosen. Default: DefaultCrossZonePenalty.
+	// CrossZonePenalty is the time by which a request must be expected to complete sooner in
+	// another zone than in the local zone for the other zone to be chosen. Default:
+	// DefaultCrossZonePenalty.
 	CrossZonePenalty time.Duration
 	// Rand returns random numbers from 0 to below 1. Default: rand.Float64.
 	Rand func() float64
 }
 
 const (
-	// DefaultCrossZonePenalty is a few round trips between zones. Callers gain nothing
-	// from a request to another zone that saves less.
+	// DefaultCrossZonePenalty is a few round trips between zones. Callers gain nothing from a
+	// request to another zone that saves less time than the penalty.
 	DefaultCrossZonePenalty = 40 * time.Millisecond
-	// targetShare is a share of the target latency. An upstream of the local zone that is
-	// expected to respond within this share is chosen over those of other zones.
+	// targetShare is a share of the target latency. If an upstream of the local zone is
+	// expected to respond within this share, no upstream of another zone is chosen.
 	targetShare = 0.85
-	// jitter is the largest share by which an expected time is randomly increased. It
+	// jitter is the largest random increase of an expected time, as a share of that time. It
 	// spreads the requests of entries that know the same loads.
 	jitter = 0.1
 	// unreachablePause is how long an upstream is avoided after it could not be
@@ -57,7 +59,8 @@
 	// follows a lasting increase within a few hundred load queries. A loaded entry sends
 	// that many in less than a second.
 	rttSmoothing = 64
-	// otherRequestsWeight makes candidate.meanOtherRequests cover about 8 loads.
+	// otherRequestsWeight is the weight of one load in candidate.meanOtherRequests, which thus
+	// covers about 8 loads.
 	otherRequestsWeight = 1.0 / 8
 )
 
@@ -77,7 +80,7 @@
 	// Expected is the time until the request is expected to complete at Upstream.
 	Expected time.Duration
 	// Alternative is the time until the request is expected to complete at the best other
-	// upstream. It is zero if there is no other.
+	// upstream. It is zero if there is no other usable upstream.
 	Alternative time.Duration
 	// Age is the age of the load from which Expected was calculated. It is math.MaxInt64
 	// if no load is known.
@@ -85,20 +88,21 @@
 }
 
 // MissesTarget reports whether a request should be refused rather than sent to the chosen
-// upstream. Two conditions must hold: at least one guard has rejected the request for lack
-// of capacity, and the chosen upstream is expected to miss the target. There, the request
-// would take a slot from requests that can still meet their targets. Its caller is better
-// off retrying later. fullGuards is the number of rejections for lack of capacity. left is the
-// time until the target, or zero if there is none.
+// upstream. Two conditions must hold: at least one guard has rejected the request for lack of
+// capacity, and the chosen upstream is expected to miss the target. At the chosen upstream, the
+// request would take a slot from requests that can still meet their targets. The caller of the
+// refused request is better off retrying later. fullGuards is the number of rejections for lack
+// of capacity. left is the time until the target. It is zero if the request has no target, and
+// negative if the target has already been missed.
 func (c *Choice) MissesTarget(fullGuards int, left time.Duration) bool {
 	return fullGuards > 0 && left != 0 && c.Expected > left
 }
 
-// MissesDeadline reports whether a request should be refused because it is expected to miss
-// its deadline on every upstream. Two conditions must hold: the request would miss its
-// deadline on the chosen upstream, and the load of that upstream is recent. A guard with a
-// free slot would accept the request although it cannot complete in time. left is the time
-// until the deadline.
+// MissesDeadline reports whether a request should be refused because it is expected to miss its
+// deadline on every upstream. Two conditions must hold: the request would miss its deadline on
+// the chosen upstream, and the load of that upstream is recent (see maxRefusalAge). A guard
+// with a free slot would accept the request although it cannot complete in time. left is the
+// time until the deadline.
 func (c *Choice) MissesDeadline(left time.Duration) bool {
 	return c.Age < maxRefusalAge && c.Expected > left
 }
@@ -106,9 +110,10 @@
 // Placer chooses among the upstreams of one service. It is not safe for concurrent use.
 type Placer struct {
 	opts Options
-	// candidates holds the candidates by Upstream.Key.
+	// candidatesByKey holds the candidates by Upstream.Key.
 	candidatesByKey map[string]*candidate
-	// order holds the same candidates in the order in which SetUpstreams was given them.
+	// candidates holds the same candidates in the order in which they were passed to
+	// SetUpstreams.
 	candidates []*candidate
 	// meanSlowdown is the mean slowdown of the service.
 	meanSlowdown float64
@@ -127,7 +132,8 @@
 	return &Placer{opts: opts, candidatesByKey: make(map[string]*candidate), meanSlowdown: initialSlowdown, rttByZone: make(map[model.AvailabilityZone]time.Duration)}
 }
 
-// SetUpstreams replaces the candidates. What is known about candidates that remain is kept.
+// SetUpstreams replaces the candidates. The Placer keeps what it knows about an upstream whose
+// Key was already among the candidates.
 func (p *Placer) SetUpstreams(ups []Upstream) {
 	candidatesByKey := make(map[string]*candidate, len(ups))
 	p.candidates = p.candidates[:0]
@@ -160,10 +166,10 @@
 func (p *Placer) MeanSlowdown() float64 { return p.meanSlowdown }
 
 // QueryTargets returns up to n upstreams to which to send a load query. If inLocalZone is set,
-// they are upstreams of the inLocalZone zone, otherwise of other zones. Upstreams whose load is
-// younger than maxAge are left out, and so are unreachable, stopping and excluded ones. If
-// more than n remain, the result holds the n-1 with the shortest expected times (increased
-// at random, see queryJitter) and one that is drawn at random from the others.
+// they are upstreams of the local zone, otherwise of other zones. Upstreams whose load is
+// younger than maxAge are left out, and so are unreachable, stopping and excluded ones. If more
+// than n remain, the result holds the n-1 with the shortest expected times (increased at
+// random, see queryJitter) and one that is drawn at random from the others.
 func (p *Placer) QueryTargets(now model.Instant, req Request, inLocalZone bool, maxAge time.Duration, n int) []Upstream {
 	var stale []scoredCandidate
 	for _, c := range p.candidates {
@@ -200,16 +206,17 @@
 	return req.Target <= 0 || bestLocal.expected < time.Duration(targetShare*float64(req.Target))
 }
 
-// UpdateLoad records the load of an upstream.
+// UpdateLoad records the load of the upstream with the given key. It does nothing if the
+// upstream is not a candidate.
 func (p *Placer) UpdateLoad(now model.Instant, key string, load Load) {
 	if c := p.candidatesByKey[key]; c != nil {
 		p.updateLoad(now, c, load)
 	}
 }
 
-// Choose returns the upstream for a request and counts the request as sent. Every call
-// that returns true must be followed by one call of Done. Choose returns false if every
-// candidate is excluded.
+// Choose returns the upstream for a request and counts the request as sent. Every call that
+// returns true must be followed by one call of Done. Choose returns false if there is no
+// candidate or Request.Exclude excludes all of them.
 func (p *Placer) Choose(now model.Instant, req Request) (Choice, bool) {
 	var best, second, bestLocal scoredCandidate
 	for e := preferredOnly; e <= includeUnreachable && best.candidate == nil; e++ {
@@ -296,15 +303,16 @@
 	return best, second, bestLocal
 }
 
-// expected returns the time until the request would complete at an upstream, including
+// expected returns the expected time until the request completes at the candidate, including
 // the round trip to its zone.
 func (p *Placer) expected(now model.Instant, req Request, c *candidate) time.Duration {
 	return p.rttByZone[c.upstream.Zone] + ExpectedTime(req.ServiceTime, c.slowdown(now, p.meanSlowdown), c.expectedRequests(now), c.limit(), c.failureRate(now))
 }
 
-// ObserveRTT records took, the round-trip time of a load query to the guard of an
-// upstream. If took is longer than the stored time, the stored time rises only a little,
-// because took may include a wait for a CPU.
+// ObserveRTT records rtt, the round-trip time of a load query to the guard of the upstream with
+// the given key. If rtt is longer than the time stored for the upstream's zone, the stored time
+// rises only a little, because rtt may include a wait for a CPU. ObserveRTT does nothing if the
+// upstream is not a candidate.
 func (p *Placer) ObserveRTT(key string, rtt time.Duration) {
 	c := p.candidatesByKey[key]
 	if c == nil {
@@ -317,7 +325,7 @@
 	p.rttByZone[c.upstream.Zone] = rtt
 }
 
-// ZonesBeyondRTT returns the zones whose round-trip time is longer than rtt. It returns
+// ZonesBeyondRTT returns the set of zones whose round-trip time is longer than rtt. It returns
 // nil if there are none, which is the usual case.
 func (p *Placer) ZonesBeyondRTT(rtt time.Duration) map[model.AvailabilityZone]bool {
 	var beyond map[model.AvailabilityZone]bool
@@ -333,8 +341,9 @@
 	return beyond
 }
 
-// Done records the end of a request that Choose has placed. load is nil if the guard
-// reported none.
+// Done records the end of a request that Choose has placed at the upstream with the given key.
+// load is nil if the guard reported none. Done does nothing if the upstream is no longer a
+// candidate.
 func (p *Placer) Done(now model.Instant, key string, load *Load) {
 	c := p.candidatesByKey[key]
 	if c == nil {
@@ -359,8 +368,8 @@
 	}
 }
 
-// MarkUnreachable records that an upstream could not be reached. For unreachablePause,
-// the upstream is chosen only if there is no other candidate.
+// MarkUnreachable records that an upstream could not be reached. For unreachablePause, the
+// upstream is chosen only if no reachable candidate can be.
 func (p *Placer) MarkUnreachable(now model.Instant, key string) {
 	if c := p.candidatesByKey[key]; c != nil {
 		c.unreachableUntil = now.Add(unreachablePause)
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// initialTokens is the number of tokens in a new Budget.
+	// initialTokens is the number of tokens in a new Budget. Each retry takes one token.
 	initialTokens = 10
-	// maxTokens is the capacity of the token bucket.
+	// maxTokens is the largest number of tokens that can be saved up.
 	maxTokens = 50
 	// attemptsHalfLife is the age at which an attempt has half its weight in the failure rate.
 	attemptsHalfLife = time.Second
-	// maxFailureRate is the share of recent attempts that may fail. While more fail,
-	// retries are disabled.
+	// maxFailureRate is the largest share of recent attempts that may have failed for retries
+	// to be allowed.
 	maxFailureRate = 0.5
-	// minAttempts is the number of recent attempts needed to compare their failures with
-	// maxFailureRate.
+	// minAttempts is the lowest number of recent attempts at which their failure rate is
+	// compared with maxFailureRate. With fewer, the failure rate does not disable retries.
 	minAttempts = 20
 )
 
@@ -31,7 +31,8 @@
 	Allowed Decision = iota + 1
 	// BudgetExhausted means that the budget has no token left.
 	BudgetExhausted
-	// TooManyFailures means that too many of the recent attempts failed.
+	// TooManyFailures means that more than half of the recent attempts failed (see
+	// maxFailureRate).
 	TooManyFailures
 	// DeadlineTooClose means that Backoff has returned false because too little time
 	// remains until the deadline. Allow never returns this value.
@@ -57,14 +58,16 @@
 // Budget limits the retries of one service at one entry with a token bucket. It is not
 // safe for concurrent use.
 type Budget struct {
-	// share is the number of tokens that each request adds.
+	// tokensPerRequest is the number of tokens that each request adds.
 	tokensPerRequest float64
-	tokens           float64
-	// attempts counts recent attempts. The count is halved every attemptsHalfLife.
+	// tokens is the number of retries that the budget allows now.
+	tokens float64
+	// attemptCount counts recent attempts. The count is halved every attemptsHalfLife.
 	attemptCount float64
-	// failures counts recent failed attempts. The count is also halved every attemptsHalfLife.
+	// failureCount counts recent failed attempts. The count is also halved every
+	// attemptsHalfLife.
 	failureCount float64
-	// decayedAt is the instant up to which attempts and failures have been decayed.
+	// decayedAt is the instant up to which attemptCount and failureCount have been decayed.
 	decayedAt model.Instant
 }
 
@@ -76,7 +79,8 @@
 	return b
 }
 
-// SetShare changes the share of requests that may be retried. Zero forbids retries.
+// SetShare changes the share of requests that may be retried. Zero forbids retries and discards
+// the saved tokens.
 func (b *Budget) SetShare(share float64) {
 	b.tokensPerRequest = share
 	if share <= 0 {
@@ -111,7 +115,7 @@
 	return Allowed
 }
 
-// decay reduces attempts and failures according to the time since the last decay.
+// decay reduces attemptCount and failureCount according to the time since the last decay.
 func (b *Budget) decay(now model.Instant) {
 	if now <= b.decayedAt {
 		return
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -35,6 +35,8 @@
 	})
 }
 
+// TestNoRetriesWhileMostAttemptsFail checks that retries are disabled once all of minAttempts
+// attempts have failed, but not earlier. They must be allowed again once the failures are old.
 func TestNoRetriesWhileMostAttemptsFail(t *testing.T) {
 	b := NewBudget(1)
 	now := model.Instant(0)
@@ -87,8 +89,9 @@
 	}
 }
 
-// TestRetryAfterIsJittered checks that callers refused together get different retry
-// times, distributed around the mean.
+// TestRetryAfterIsJittered checks that callers refused together get different retry times. The
+// times must range from less than 80% to more than 120% of the mean, with the mean in the
+// middle.
 func TestRetryAfterIsJittered(t *testing.T) {
 	const mean = 100 * time.Millisecond
 	shortest, longest := JitteredRetryAfter(mean, 0), JitteredRetryAfter(mean, 0.999)
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -12,26 +12,31 @@
 const windowBuckets = 10
 
 // WindowBudget is one daemon's share of a retry budget that all daemons share. The budget
-// bounds the retries in any time window of a given length, the span. It allows ratio times
-// the number of requests in the window, plus a slack. Each daemon counts its own requests
-// and gets an equal share of the slack. The daemons together thus stay within the budget
-// without communicating. A WindowBudget is not safe for concurrent use.
+// bounds the retries in any time window of a given length, the span. It allows, in each window,
+// ratio times the number of requests in the window, plus a fixed number, the slack. Each daemon
+// counts its own requests and gets an equal share of the slack. The daemons together thus stay
+// within the budget without communicating. A WindowBudget is not safe for concurrent use.
 type WindowBudget struct {
+	// ratio is the number of retries that each request in the window allows.
 	ratio float64
+	// slack is this daemon's share of the retries allowed in addition.
 	slack float64
 	// share is the fraction of the budget that may be used.
-	share       float64
+	share float64
+	// bucketWidth is the length of time that one bucket covers.
 	bucketWidth time.Duration
-	// bucket is the number of the current bucket, counted from the origin of time.
+	// currentBucket is the number of the bucket that contains the current time. Bucket 0 begins
+	// at Instant 0.
 	currentBucket int64
-	// requests counts the requests in each bucket. See index for the current bucket.
+	// requestCounts holds the number of requests in each bucket. The method index returns the
+	// position of the current bucket.
 	requestCounts [windowBuckets + 1]float64
-	// retries counts the retries in each bucket.
+	// retryCounts holds the number of retries in each bucket, in the same order.
 	retryCounts [windowBuckets + 1]float64
 }
 
-// NewWindowBudget returns a WindowBudget over the given span. slack is this daemon's share
-// of the slack.
+// NewWindowBudget returns a WindowBudget over the given span. ratio is the number of retries
+// that each request allows. slack is this daemon's share of the slack.
 func NewWindowBudget(span time.Duration, ratio, slack float64) *WindowBudget {
 	return &WindowBudget{ratio: ratio, slack: slack, share: 1, bucketWidth: max(span/windowBuckets, time.Millisecond)}
 }
@@ -48,7 +53,8 @@
 	w.requestCounts[w.index()]++
 }
 
-// Remaining returns how many retries the budget still allows.
+// Remaining returns how many retries the budget still allows. It is negative if more retries
+// were charged than the budget allows now.
 func (w *WindowBudget) Remaining(now model.Instant) float64 {
 	w.advance(now)
 	requestCount, retryCount := 0.0, 0.0
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -10,6 +10,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// TestWindowBudgetCountsRetriesWithinTheSpan checks the number of remaining retries after
+// requests, after taken and returned retries, and before and after the span has passed.
 func TestWindowBudgetCountsRetriesWithinTheSpan(t *testing.T) {
 	w := NewWindowBudget(10*time.Second, 0.2, 5)
 	now := model.Instant(0).Add(time.Minute)
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -10,11 +10,12 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// poolSizes are the numbers of upstreams to test, from a small service to a large
-// fleet.
+// poolSizes are the numbers of upstreams with which placement is tested, from a small service
+// to a large fleet.
 var poolSizes = []int{6, 22, 100, 1700}
 
-// placeAndReply places one request and records a successful reply.
+// placeAndReply places one request and records a successful reply with the given load. It
+// records nothing if no upstream is usable.
 func placeAndReply(r *Router, now model.Instant, load model.Load) {
 	c, ok := r.Place(now, model.Request{}, nil, 0)
 	if ok {
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -8,18 +8,20 @@
 
 // candidate is what one entry knows about one upstream.
 type candidate struct {
-	upstream    model.Upstream
+	upstream model.Upstream
+	// oneWayDelay is the network delay from this entry to the upstream's guard.
 	oneWayDelay time.Duration
 	// load is the latest load received. It is not set while hasLoad is false.
 	load model.Load
 	// loadReceivedAt is when load was received.
 	loadReceivedAt model.Instant
-	hasLoad        bool
+	// hasLoad is set once a load has been received.
+	hasLoad bool
 	// inFlight counts this entry's unfinished requests at the upstream.
 	inFlight int32
 	// inFlightAtLoad is the value that inFlight had when load was received.
 	inFlightAtLoad int32
-	// unanswered counts the requests sent since the last reply. All requests that were
+	// unansweredCount counts the requests sent since the last reply. All requests that were
 	// already in flight at that reply count as one request together.
 	unansweredCount int32
 	// silentSince is when the wait for the next reply began. If requests were in flight
@@ -30,15 +32,18 @@
 	// upstream's daemon sends loads, so the upstream's zone was reachable at that time.
 	lastLoadReplyAt model.Instant
 	// rampEnd is when the upstream may first use its full capacity. See rampFraction.
-	rampEnd     model.Instant
+	rampEnd model.Instant
+	// queueShares estimates how many of the waiting requests delay a request of a group.
 	queueShares queueShares
 	health
 }
 
-// longAgo is earlier than any instant that the Router compares with it.
+// longAgo is an instant before the start of the process. It stands for "never" in
+// candidate.lastLoadReplyAt.
 const longAgo = model.Instant(-1 << 62)
 
-// pool holds the statistics over all candidates.
+// pool holds statistics over all candidates of a Router, and the group of the request that is
+// being placed.
 type pool struct {
 	// medianServiceTime estimates the median of the upstreams' mean service times, in
 	// nanoseconds.
@@ -59,10 +64,11 @@
 }
 
 const (
-	// otherRequestsWeight is the weight of a new value in the moving average
+	// otherRequestsWeight is the weight of a new load in the moving average
 	// pool.meanOtherRequestsPerSlot.
 	otherRequestsWeight = 1.0 / 64
-	// medianStep is the relative change of pool.medianServiceTime for each new value.
+	// medianStep is the relative change of pool.medianServiceTime for each mean service time
+	// that an upstream reports.
 	medianStep = 0.01
 )
 
@@ -96,17 +102,17 @@
 	return float64(max(c.load.Running+c.load.Waiting-c.inFlightAtLoad, 0))
 }
 
-// loadHalfLife is the age at which a load has half its weight in the estimated number of
-// other entries' requests. The unit is the typical service time.
+// loadHalfLife is the age at which a load has half its weight in the estimated number of other
+// entries' requests. The unit is the typical service time (see pool.typicalServiceTime).
 const loadHalfLife = 2
 
-// estimatedRequests estimates how many requests are at the upstream now. This entry's
-// own requests are known exactly. The number of requests of other entries decays from
-// the last reported value towards the mean over all upstreams. That mean is capped at the
-// limit of the upstream, which corresponds to a full upstream without a queue. The reason
-// for the cap: an upstream that all entries have stopped using is probably idle, and only
-// a request sent there can confirm that. Of the requests beyond saturation, only those
-// that delay the request being placed are included (see requestsAheadOf).
+// estimatedRequests estimates how many requests are at the upstream now. This entry's own
+// requests are known exactly. The number of requests of other entries decays from the last
+// reported value towards the mean over all upstreams. That mean is capped at the limit of the
+// upstream, which corresponds to a full upstream without a queue. The reason for the cap: an
+// upstream that all entries have stopped using is probably idle, and only a request sent there
+// can confirm that. Of the requests beyond saturation (see saturationFactor), only those that
+// delay the request being placed are included (see requestsAheadOf).
 func (c *candidate) estimatedRequests(now model.Instant, p *pool) float64 {
 	meanOtherRequests := min(p.meanOtherRequestsPerSlot, 1) * float64(c.limit())
 	if !c.hasLoad {
@@ -129,7 +135,8 @@
 	c.unansweredCount++
 }
 
-// recordReply counts a reply from the upstream.
+// recordReply records that a reply from the upstream was received: one request is no longer in
+// flight, and the silence ends.
 func (c *candidate) recordReply(now model.Instant) {
 	c.inFlight = max(c.inFlight-1, 0)
 	c.unansweredCount = 0
@@ -160,9 +167,9 @@
 	return max(float64(now.Sub(c.silentSince))-expected, 0)
 }
 
-// stragglerRatio is the lowest ratio of an upstream's service time to the median at
-// which the upstream counts as a straggler. A lower ratio is attributed to the mix of
-// requests.
+// stragglerRatio is the lowest ratio of an upstream's service time to the median
+// (pool.medianServiceTime) at which the upstream counts as a straggler. A lower ratio is
+// attributed to the mix of requests.
 const stragglerRatio = 2
 
 // stragglerHalfLife is the age of a load at which the excess service time of a
@@ -170,9 +177,9 @@
 // would never be tried again.
 const stragglerHalfLife = 250 * time.Millisecond
 
-// slowdown returns the ratio of the upstream's service time to the median. The excess of
-// the ratio over 1 decays with the age of the load. slowdown returns 1 for an upstream that
-// is not a straggler.
+// slowdown returns the ratio of the upstream's service time to the median over all upstreams.
+// The excess of the ratio over 1 decays with the age of the load. slowdown returns 1 for an
+// upstream that is not a straggler.
 func (c *candidate) slowdown(now model.Instant, p *pool) float64 {
 	if p.medianServiceTime == 0 {
 		return 1
@@ -185,8 +192,9 @@
 	return 1 + (ratio-1)/(1+age/float64(stragglerHalfLife))
 }
 
-// rampFraction returns the fraction of its capacity that a newly joined upstream may
-// use now. ramp is the time that a new upstream takes to reach its full capacity.
+// rampFraction returns the fraction of its capacity that the upstream may use now. The fraction
+// rises linearly from 0 to 1 after the upstream has joined, but is never below minRampFraction.
+// ramp is the time after which the upstream may use its full capacity.
 func (c *candidate) rampFraction(now model.Instant, ramp time.Duration) float64 {
 	if now >= c.rampEnd {
 		return 1
--- a/core/routing/expected_completion.go
+++ b/core/routing/expected_completion.go
@@ -6,11 +6,11 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// expectedCompletion picks the upstream where the request is expected to complete
-// first. The estimate adds the round trip, the wait for a slot, the slowdown of the
-// upstream and the time for which it has been unexpectedly silent. The queue timeout of a
-// request that may still be rejected is zero (see the package comment), except in the cases
-// described at queueTimeout.
+// expectedCompletion picks the upstream where the request is expected to complete first. The
+// expected time is the sum of the round trip, the wait for a slot, the slowdown of the upstream
+// and the time for which it has been unexpectedly silent. The queue timeout of a request that
+// may still be rejected is zero (see the package comment), except in the cases described at
+// queueTimeout.
 type expectedCompletion struct{}
 
 const (
@@ -31,13 +31,13 @@
 	// choose it at the same time.
 	jitter = 0.05
 	// maxRejectionRTTShare is the longest round trip at which a request gets a queue timeout of
-	// zero, as a share of the typical service time. Over a longer round trip, a rejection
-	// would cost too much time.
+	// zero, as a share of the typical service time. Over a longer round trip, a rejection would
+	// cost too much time.
 	maxRejectionRTTShare = 0.25
-	// saturation is a multiple of an upstream's limit. An upstream with at least that many
-	// requests counts as saturated. A request placed at a saturated upstream may wait
-	// there until its deadline. A rejection would only cost a round trip: since the best
-	// upstream was chosen, all others are about as full.
+	// saturationFactor is a multiple of an upstream's limit. An upstream at which the number of
+	// requests is at least that multiple of the limit counts as saturated. A request placed at
+	// a saturated upstream may wait there until its deadline. A rejection would only cost a
+	// round trip: since the best upstream was chosen, all others are about as full.
 	saturationFactor = 2
 	// defaultServiceTime is the typical service time assumed until one is known, in
 	// nanoseconds.
@@ -60,8 +60,8 @@
 	return s.best
 }
 
-// queueTimeout returns zero if the round trip is at most maxRejectionRTTShare and the chosen
-// upstream is not saturated. Otherwise it returns WaitForDeadline.
+// queueTimeout returns zero if the round trip is at most maxRejectionRTTShare of the typical
+// service time and the chosen upstream is not saturated. Otherwise it returns WaitForDeadline.
 func (p *expectedCompletion) queueTimeout(r *Router, now model.Instant, c *candidate, rejectionCount int) time.Duration {
 	if 2*float64(c.oneWayDelay) > maxRejectionRTTShare*r.pool.typicalServiceTime() {
 		return WaitForDeadline
@@ -93,8 +93,8 @@
 	bestScore       float64
 }
 
-// sample scores n random candidates, which are drawn with replacement. If there are at
-// most n candidates, it scores each of them once.
+// sample passes n random candidates, drawn with replacement, to consider. If there are at most
+// n candidates, it passes each of them once.
 func (s *search) sample(candidates []*candidate, n int) {
 	if len(candidates) <= n {
 		for _, c := range candidates {
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -11,8 +11,8 @@
 	// failureWeight is the weight of a new result in the moving average
 	// health.failureRate.
 	failureWeight = 1.0 / 4
-	// ejectionFailureRate is the failure rate above which an upstream is ejected, provided
-	// that enough others are healthy (see minHealthyShare).
+	// ejectionFailureRate is the failure rate above which an upstream is ejected, provided that
+	// enough others are healthy (see minHealthyShare).
 	ejectionFailureRate = 0.5
 	// healthyFailureRate is the failure rate below which an upstream counts as healthy.
 	healthyFailureRate = 0.25
@@ -21,7 +21,7 @@
 	// therefore ejects none.
 	minHealthyShare = 1.0 / 3
 	// baseEjectionTime is the length of the first ejection. The length doubles with each
-	// consecutive ejection.
+	// consecutive ejection, up to maxEjectionTime.
 	baseEjectionTime = 200 * time.Millisecond
 	// maxEjectionTime is the longest ejection.
 	maxEjectionTime = 10 * time.Second
@@ -35,18 +35,21 @@
 
 // health tracks the results of recent attempts at one upstream.
 type health struct {
+	// failureRate is a moving average of the results, from 0 (success) to 1 (failure).
 	failureRate float64
 	// unhealthy is set if failureRate is at least healthyFailureRate.
 	unhealthy bool
-	ejected   bool
+	// ejected is set while the upstream gets no requests, apart from trial requests and in
+	// panic mode.
+	ejected bool
 	// ejectionTime is the duration of the latest ejection. It is 0 while the upstream is
 	// not ejected.
 	ejectionTime time.Duration
 	// trialAt is the instant from which a trial request is allowed.
 	trialAt model.Instant
-	// unreachable is set if the upstream is ejected because a connection attempt failed.
-	// Requests sent to an unreachable upstream would not relieve an overloaded pool, so
-	// such upstreams do not count towards panic mode.
+	// unreachable is set if the upstream is ejected because a connection attempt to it, or to
+	// another upstream of its zone, failed. Requests sent to an unreachable upstream would not
+	// relieve an overloaded pool, so such upstreams do not count towards panic mode.
 	unreachable bool
 }
 
@@ -76,7 +79,8 @@
 }
 
 // updateHealth updates the health of an upstream after a reply. It ejects an upstream that
-// fails while others do not, and ends the ejection after a successful attempt.
+// fails while others do not, and ends the ejection after a successful attempt. A reply that is
+// not conclusive changes only lastLoadReplyAt.
 func (r *Router) updateHealth(now model.Instant, c *candidate, reply Reply) {
 	if reply.HasLoad {
 		c.lastLoadReplyAt = now
@@ -102,9 +106,10 @@
 	}
 }
 
-// eject ejects the upstream. Each consecutive ejection lasts twice as long, up to
-// maxEjectionTime. eject does nothing if the upstream is ejected and its trial request is
-// not due yet.
+// eject ejects the upstream: it gets no requests, apart from one trial request at a time once
+// c.ejectionTime has passed. Each consecutive ejection lasts twice as long, up to
+// maxEjectionTime. eject does nothing if the upstream is ejected and its trial request is not
+// due yet.
 func (r *Router) eject(now model.Instant, c *candidate) {
 	if c.ejected && now < c.trialAt {
 		return
@@ -152,7 +157,8 @@
 // attempt ejects all of its upstreams.
 const zoneReplyTimeout = 40 * time.Millisecond
 
-// setEjected changes the ejection state of a candidate and updates the pool's counters.
+// setEjected changes the ejection state of a candidate. It also updates the pool's counters and
+// Stats.Ejections.
 func (r *Router) setEjected(c *candidate, ejected, unreachable bool) {
 	if ejected && !c.ejected {
 		r.stats.Ejections++
@@ -174,7 +180,7 @@
 	}
 }
 
-// restore ends the ejection of a candidate and clears its failure rate.
+// restore ends the ejection of a candidate and sets its failure rate to 0.
 func (r *Router) restore(c *candidate) {
 	r.setEjected(c, false, false)
 	c.ejectionTime = 0
@@ -197,9 +203,9 @@
 	}
 }
 
-// ignoreEjections reports whether so many upstreams are ejected that the others would be
-// overloaded. In that case the caller ignores the ejections, and ignoreEjections counts the
-// placement in Stats.Panics.
+// checkPanicMode reports whether so many upstreams are ejected that the others would be
+// overloaded (see panicThreshold). In that case the caller ignores the ejections, and
+// checkPanicMode counts the placement in Stats.Panics.
 func (r *Router) checkPanicMode() bool {
 	reachableCount := len(r.candidates) - r.pool.unreachableCount
 	if r.pool.ejectedCount == 0 || float64(r.pool.ejectedCount) <= panicThreshold*float64(reachableCount) {
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// hedgeQuantile is a quantile of the latencies of a group. A request of the group that
-	// takes longer is hedged: a second copy of it is sent to another upstream.
+	// hedgeQuantile is a quantile of the latencies of a group of callers. A request of the
+	// group that takes longer than the quantile is hedged: a second copy of it is sent to
+	// another upstream.
 	hedgeQuantile = 0.98
 	// quantileStep is the relative step by which the quantile estimate falls. The step
 	// up is larger by the factor hedgeQuantile/(1-hedgeQuantile), so that the estimate
@@ -23,18 +24,19 @@
 	maxHedgeGroups = 64
 	// hedgeBurst is the largest number of hedges that can be saved up in the budget.
 	hedgeBurst = 20
-	// minHedgeDelay is the shortest hedge delay, in typical service times.
+	// minHedgeDelay is the shortest time before a request is hedged, in typical service times
+	// (see pool.typicalServiceTime).
 	minHedgeDelay = 2
 )
 
-// defaultHedgeBudget is the default of Options.HedgeBudget.
+// defaultHedgeBudget is the default of Options.HedgeBudget, in hedges per request.
 const defaultHedgeBudget = 0.02
 
 // hedging holds the latency estimates and the hedge budget.
 type hedging struct {
-	// estimates holds the estimates of up to maxHedgeGroups groups.
+	// estimatesByGroup holds the estimates of up to maxHedgeGroups groups.
 	estimatesByGroup map[model.GroupName]*quantileEstimate
-	// shared is the estimate of the groups that have none of their own.
+	// sharedEstimate is the estimate of the groups that have none of their own.
 	sharedEstimate quantileEstimate
 	// tokens is the number of hedges that the budget allows now.
 	tokens float64
@@ -76,11 +78,11 @@
 	return time.Duration(max(q.value, minHedgeDelay*r.pool.typicalServiceTime())), true
 }
 
-// Hedge chooses the upstream for the second copy of a request and counts that copy as
-// sent. The caller must have waited for HedgeDelay without a response to the first copy.
-// first is the upstream of the first copy, and sentAt is the instant at which that copy was
-// sent. Upstreams in exclude are not chosen, because they already have the request. The
-// queue timeout of the second copy is zero, so the second copy only uses a free slot.
+// Hedge chooses the upstream for the second copy of a request and counts that copy as sent. The
+// caller must have waited for HedgeDelay without a response to the first copy. firstUpstream is
+// the upstream of the first copy, and sentAt is the instant at which that copy was sent.
+// Upstreams in exclude are not chosen, because they already have the request. The queue timeout
+// of the second copy is zero, so the second copy only uses a free slot.
 //
 // Hedge returns false in each of these cases:
 //   - The first upstream is not slow, so the delay is due to the request itself.
@@ -133,7 +135,7 @@
 	r.hedging.ensureEstimate(reply.Group).add(float64(reply.Latency))
 }
 
-// estimate returns the latency estimate to use for a group.
+// estimate returns the latency estimate of a group: its own, or else the shared one.
 func (h *hedging) estimate(g model.GroupName) *quantileEstimate {
 	if q := h.estimatesByGroup[g]; q != nil {
 		return q
@@ -141,8 +143,8 @@
 	return &h.sharedEstimate
 }
 
-// ensureEstimate returns the group's own estimate, creating it if necessary. It
-// returns the shared estimate if there are too many groups.
+// ensureEstimate returns the group's own estimate, creating it if necessary. It returns the
+// shared estimate if there are too many groups.
 func (h *hedging) ensureEstimate(g model.GroupName) *quantileEstimate {
 	if q := h.estimatesByGroup[g]; q != nil {
 		return q
--- a/core/routing/least_outstanding.go
+++ b/core/routing/least_outstanding.go
@@ -2,9 +2,9 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// leastOutstanding picks the upstream with the fewest in-flight requests of this entry.
-// The scan starts at a random candidate. Among equals, the first scanned candidate is
-// picked.
+// leastOutstanding picks the upstream with the fewest in-flight requests of this entry. The
+// scan starts at a random candidate. Among equals, the first scanned candidate is picked. If
+// none of the scanned candidates is usable, any usable one is picked at random.
 type leastOutstanding struct{ waitsAtUpstream }
 
 func (leastOutstanding) choose(r *Router, now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate {
@@ -29,5 +29,5 @@
 	return best
 }
 
-// maxScan bounds the number of candidates that are compared for one request.
+// maxScan bounds the number of candidates that leastOutstanding compares for one request.
 const maxScan = 64
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -17,7 +17,7 @@
 	Random             = "random"
 )
 
-// Names returns the names of all routing policies. The default policy is first.
+// Names returns the names of all routing policies. The default policy comes first.
 func Names() []string {
 	return []string{ExpectedCompletion, TwoChoices, LeastOutstanding, RoundRobin, Random}
 }
@@ -48,7 +48,7 @@
 // DefaultZoneDelay is the one-way delay assumed for zones that Options.ZoneDelay omits.
 const DefaultZoneDelay = time.Millisecond
 
-// defaultRamp is the default of Options.Ramp.
+// defaultRamp is the default of Options.Ramp, the time in which a new upstream ramps up.
 const defaultRamp = 2 * time.Second
 
 // UnknownPolicyError is returned by New for a policy name that does not exist.
@@ -65,15 +65,16 @@
 	// choose returns a usable candidate, or nil if there is none. If ignoreEjections is set,
 	// ejected candidates are usable too.
 	choose(r *Router, now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate
-	// queueTimeout returns how long a request may wait at the chosen candidate.
-	// rejections is the number of times that guards have rejected the request so far.
+	// queueTimeout returns how long a request may wait at the chosen candidate. rejectionCount
+	// is the number of times that guards have rejected the request so far.
 	queueTimeout(r *Router, now model.Instant, c *candidate, rejectionCount int) time.Duration
 	// hedges reports whether the policy sends slow idempotent requests to a second
 	// upstream.
 	hedges() bool
 }
 
-// newPolicy returns the policy with the given name.
+// newPolicy returns the policy with the given name. An empty name stands for
+// ExpectedCompletion. For any other unknown name, newPolicy returns an *UnknownPolicyError.
 func newPolicy(name string) (policy, error) {
 	switch name {
 	case "", ExpectedCompletion:
--- a/core/routing/queue_share.go
+++ b/core/routing/queue_share.go
@@ -28,10 +28,10 @@
 	c.queueShares[g] = min(float64(load.Ahead)/float64(load.Waiting), 1)
 }
 
-// requestsAheadOf returns how many requests are assumed to be ahead of a new request of
-// group g. requests is the number of requests at the upstream. Up to saturation, all of
-// them are counted, since routing should avoid queueing altogether. Beyond saturation, only
-// those are counted that would start before the group's next request.
+// requestsAheadOf returns how many requests are assumed to be ahead of a new request of group
+// g. requests is the number of requests at the upstream. Up to saturation (see
+// saturationFactor), all of them are counted, since routing should avoid queueing altogether.
+// Beyond saturation, only those are counted that would start before the group's next request.
 func (c *candidate) requestsAheadOf(requests float64, g model.GroupName) float64 {
 	saturated := saturationFactor * float64(c.limit())
 	if requests <= saturated {
--- a/core/routing/round_robin.go
+++ b/core/routing/round_robin.go
@@ -5,6 +5,7 @@
 // roundRobin picks the usable upstreams in turn.
 type roundRobin struct {
 	waitsAtUpstream
+	// nextIndex is the index in Router.candidates at which the next search begins.
 	nextIndex int
 }
 
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -49,9 +49,10 @@
 type Stats struct {
 	// Picks counts placements. A request is placed again after each rejection.
 	Picks uint64
-	// Rejections counts placements that the guard rejected.
+	// Rejections counts placements after which the guard withdrew the request from its queue,
+	// usually because its queue timeout had expired.
 	Rejections uint64
-	// CrossZone counts placements in another zone.
+	// CrossZone counts placements in another zone than the entry's.
 	CrossZone uint64
 	// Ejections counts ejections of upstreams.
 	Ejections uint64
@@ -69,13 +70,14 @@
 // Router chooses among the upstreams of one service on behalf of one entry. It is not
 // safe for concurrent use.
 type Router struct {
-	opts       Options
-	policy     policy
-	rng        *rand.Rand
+	opts   Options
+	policy policy
+	rng    *rand.Rand
+	// candidates holds all candidates in the order in which they were passed to SetUpstreams.
 	candidates []*candidate
-	// local holds the candidates in the entry's zone.
+	// localCandidates holds the candidates in the entry's zone.
 	localCandidates []*candidate
-	// remote holds the candidates in other zones.
+	// remoteCandidates holds the candidates in other zones.
 	remoteCandidates []*candidate
 	byID             map[model.UpstreamID]*candidate
 	pool             pool
@@ -135,8 +137,9 @@
 	r.hadUpstreams = r.hadUpstreams || len(ups) > 0
 }
 
-// candidateFor returns the existing candidate of the upstream's incarnation, or a new
-// one. A new candidate ramps up if the Router has had upstreams before.
+// candidateFor returns the existing candidate of the upstream's incarnation, with its upstream
+// and its one-way delay updated. If there is none, candidateFor returns a new candidate. A new
+// candidate ramps up if the Router has had upstreams before.
 func (r *Router) candidateFor(now model.Instant, u model.Upstream) *candidate {
 	c := r.byID[u.ID]
 	if c == nil || c.upstream.Incarnation != u.Incarnation {
@@ -150,7 +153,7 @@
 	return c
 }
 
-// delay returns the one-way delay to the upstream (see Options.ZoneDelay).
+// oneWayDelay returns the one-way delay to the upstream (see Options.ZoneDelay).
 func (r *Router) oneWayDelay(u model.Upstream) time.Duration {
 	if u.Daemon == r.opts.Self && u.Daemon != "" {
 		return 0
@@ -164,21 +167,21 @@
 	return DefaultZoneDelay
 }
 
-// Pick is like Place, but returns only the upstream. The request may wait there until
-// its deadline.
+// Pick is like Place, but returns only the upstream. The request may wait in that upstream's
+// queue until its deadline.
 func (r *Router) Pick(now model.Instant, req model.Request, exclude []model.UpstreamID) (model.Upstream, bool) {
 	c, ok := r.Place(now, req, exclude, MaxRejections)
 	return c.Upstream, ok
 }
 
-// MaxRejections is how many times guards may reject a request. After that, the request
-// waits in the queue of the next upstream to which it is sent.
+// MaxRejections is how many times guards may reject a request. After MaxRejections rejections,
+// the request waits in the queue of the next upstream to which it is sent.
 const MaxRejections = 3
 
-// Place chooses the upstream for a request and counts the request as sent. Upstreams in
-// exclude are not chosen. rejections is the number of times that guards have rejected
-// the request so far (see Choice.Rejected). Place returns false if no upstream is
-// usable. Every call that returns true must be followed by one call of Done.
+// Place chooses the upstream for a request and counts the request as sent. Upstreams in exclude
+// are not chosen. rejectionCount is the number of times that guards have rejected the request
+// so far (see Choice.Rejected). Place returns false if no upstream is usable. Every call that
+// returns true must be followed by one call of Done.
 func (r *Router) Place(now model.Instant, req model.Request, exclude []model.UpstreamID, rejectionCount int) (Choice, bool) {
 	r.pool.placingGroup = req.Group
 	defer func() { r.pool.placingGroup = "" }()
@@ -215,7 +218,8 @@
 	return c
 }
 
-// Done records the result of an attempt at an upstream.
+// Done records the result of an attempt at an upstream. It does nothing if the upstream is no
+// longer a candidate.
 func (r *Router) Done(now model.Instant, id model.UpstreamID, reply Reply) {
 	c := r.byID[id]
 	if c == nil {
@@ -234,7 +238,8 @@
 }
 
 // Observe records a load that was received from a probe or a peer. Loads in replies are
-// recorded by Done. A load that is older than the known one is ignored.
+// recorded by Done. Observe ignores a load that is older than the known one, and loads of
+// upstreams that are not candidates.
 func (r *Router) Observe(now model.Instant, id model.UpstreamID, load model.Load) {
 	c := r.byID[id]
 	if c == nil || load.Seq < c.load.Seq {
@@ -264,7 +269,8 @@
 	return true
 }
 
-// randomTries is the number of random candidates that are tried before a scan of all.
+// randomTries is the number of random candidates that randomUsable tries before it scans all
+// candidates.
 const randomTries = 8
 
 // randomUsable returns a random usable candidate, or nil if there is none.
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -31,7 +31,8 @@
 	return ups
 }
 
-// newRouter returns a Router of an entry in zone a, with the named policy and n upstreams.
+// newRouter returns a Router of an entry in zone a, with the policy policyName and
+// upstreamCount upstreams.
 func newRouter(t testing.TB, policyName string, upstreamCount int) *Router {
 	t.Helper()
 	r, err := New(Options{Policy: policyName, Zone: "a", Seed: 1})
@@ -136,6 +137,8 @@
 	assert.Len(t, got, 6)
 }
 
+// TestPanicModeIgnoresEjections has four of six upstreams fail all requests. Ejections must
+// then be ignored, so that the failing upstreams still get requests.
 func TestPanicModeIgnoresEjections(t *testing.T) {
 	r := newRouter(t, RoundRobin, 6)
 	failing := map[model.UpstreamID]bool{"s-1": true, "s-2": true, "s-3": true, "s-4": true}
@@ -188,6 +191,9 @@
 	assert.EqualValues(t, MaxRejections, r.Stats().Rejections)
 }
 
+// TestCrossesZonesWhenTheLocalQueueIsLong has the only upstream of the local zone first full
+// with an empty queue, and then with a queue of 20 requests. Only then must a request go to
+// another zone, where it waits until its deadline instead of being rejected.
 func TestCrossesZonesWhenTheLocalQueueIsLong(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 3)
 	fullLoad := model.Load{Running: 6, Limit: 6, ServiceTime: 2 * time.Millisecond, Seq: 1}
@@ -287,6 +293,9 @@
 	}
 }
 
+// TestHedgeNeedsSlowUpstreamAndBudget checks the hedge delay and its preconditions. It then
+// checks that a request is hedged only if its upstream is slow, and only until the budget is
+// used up.
 func TestHedgeNeedsSlowUpstreamAndBudget(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 3)
 	req := model.Request{Group: "g", Idempotent: true}
@@ -333,6 +342,8 @@
 	assert.Len(t, r.hedging.estimatesByGroup, maxHedgeGroups)
 }
 
+// TestStragglerIsTriedAgainAfterItsLoadAges has s-1 report a service time 2.5 times that of the
+// others. After 2 s without a new load, s-1 must be chosen over upstreams with long queues.
 func TestStragglerIsTriedAgainAfterItsLoadAges(t *testing.T) {
 	r := newRouter(t, ExpectedCompletion, 6)
 	for _, up := range newUpstreams(6) {
--- a/core/slots/admit.go
+++ b/core/slots/admit.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// slowerFactor is part of the bound above which a request is rejected as SlowerHere.
-	// The bound is slowerFactor times the expected time at the best other upstream, plus
-	// slowerMargin. A small advantage of the other upstream is not enough: the rejection
-	// costs a round trip, and the load of the other upstream is older than the load known
-	// here.
+	// slowerFactor is part of the bound above which a request is rejected as SlowerHere. The
+	// bound on its expected time at this upstream is slowerFactor times its expected time at
+	// the best other upstream, plus slowerMargin. A small advantage of the other upstream is
+	// not enough: the rejection costs a round trip, and the load of the other upstream is older
+	// than the load known here.
 	slowerFactor = 1.25
 	// slowerMargin is added to the bound for SlowerHere.
 	slowerMargin = 10 * time.Millisecond
-	// deadlineShare is the share of the time until its deadline that a request may take if
-	// it cannot meet its target. Beyond that, its caller is better off retrying later.
+	// deadlineShare is the share of the time until its deadline that a request may take if it
+	// cannot meet its target. If it is expected to take longer and no slot is free, it is
+	// rejected as Full, because its caller is better off retrying later.
 	deadlineShare = 0.5
-	// urgentDeadlineShare replaces deadlineShare for requests of all ranks but the last.
-	// Nested calls are an example: their parent fails without them. Refusing a nested call
-	// wastes the work already done for its parent. The larger share increased the value of
-	// the completed requests by a tenth in a mesh whose nested calls were short of slots.
-	// There, parents took 60 ms and nested calls 15 ms.
+	// urgentDeadlineShare replaces deadlineShare for requests of all ranks but the last. Nested
+	// calls are an example: their parent fails without them. Refusing a nested call wastes the
+	// work already done for its parent. The larger share increased the value of the completed
+	// requests by a tenth in a mesh whose nested calls were short of slots. In that mesh,
+	// parents took 60 ms and nested calls 15 ms.
 	urgentDeadlineShare = 0.85
 )
 
@@ -38,21 +39,21 @@
 	Urgent bool
 	// ServiceTime is the usual service time of the request.
 	ServiceTime time.Duration
-	// UntilTarget is the time left until the target of the request. It is zero if the
-	// request has no target.
+	// UntilTarget is the time left until the target of the request. It is zero if the request
+	// has no target, and negative if the target has already been missed.
 	UntilTarget time.Duration
 	// UntilDeadline is the time left until the deadline of the request.
 	UntilDeadline time.Duration
-	// Alternative is the expected time until the request would complete at another
-	// upstream. Zero means that no other upstream can take it.
+	// Alternative is the expected time until the request would complete at the best other
+	// upstream. Zero means that no other upstream can take the request.
 	Alternative time.Duration
 }
 
 // Performance is the current speed and reliability of the upstream.
 type Performance struct {
-	// Slowdown is the service time relative to the usual one, which is 1.
+	// Slowdown is the current service time divided by the usual service time.
 	Slowdown float64
-	// FailureRate is the recent failure rate, from 0 to 1.
+	// FailureRate is the share of recent requests that failed, from 0 to 1.
 	FailureRate float64
 }
 
@@ -69,9 +70,9 @@
 	Full
 )
 
-// Admit decides whether a request may enter the queue. If it may, Admit returns the Item
-// that the caller must pass to Add. The duration is the expected time until the request
-// completes.
+// Admit decides whether a request may enter the queue. If it may, Admit returns the Item that
+// the caller must pass to Add after setting its ID. In every case, the duration is the expected
+// time until the request would complete here.
 func (q *Queue) Admit(now model.Instant, a Arrival, p Performance) (Item, Admission, time.Duration) {
 	expected := placement.ExpectedTime(a.ServiceTime, p.Slowdown, q.Ahead(a.Rank, a.Kind), q.limit, p.FailureRate)
 	if a.Alternative > 0 && expected > time.Duration(slowerFactor*float64(a.Alternative))+slowerMargin {
--- a/core/slots/admit_test.go
+++ b/core/slots/admit_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestAdmit has a request arrive at a queue with the given numbers of running and waiting
+// requests. It checks the decision, the expected time and the item for an admitted request.
 func TestAdmit(t *testing.T) {
 	arrival := func(change func(*Arrival)) Arrival {
 		a := Arrival{Rank: 1, ServiceTime: 100 * ms, UntilTarget: 300 * ms, UntilDeadline: 1000 * ms}
--- a/core/slots/shares.go
+++ b/core/slots/shares.go
@@ -6,14 +6,14 @@
 type Kind uint16
 
 // fairShares gives all kinds of requests of one rank equal shares of the service time by
-// start-time fair queueing (SFQ). Starting a request advances the tag of its kind by the
-// request's usual service time. The kind with the lowest tag starts next. A kind earns no
-// credit while it has no waiting requests.
+// start-time fair queueing (SFQ). Each kind has a tag, a point in virtual time. Starting a
+// request advances the tag of its kind by the request's usual service time. The kind with the
+// lowest tag starts next. A kind earns no credit while it has no waiting requests.
 type fairShares struct {
 	// virtualTime is the start tag of the request that was started last.
 	virtualTime time.Duration
 	// finishTagByKind holds the tags of the kinds whose tags are greater than virtualTime. The
-	// tag of all other kinds is virtualTime.
+	// tag of each other kind is virtualTime.
 	finishTagByKind map[Kind]time.Duration
 }
 
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -16,9 +16,9 @@
 // refused early. Among the requests that can no longer meet their targets, the one that
 // should have started earliest comes first.
 //
-// To prevent starvation, every eighth start goes to the last rank. A request that can
-// no longer complete before its deadline is refused at once. Its response would come too
-// late for its caller.
+// To prevent starvation, every eighth start goes to the last rank, the highest rank of which a
+// request is waiting. A request that can no longer complete before its deadline is refused at
+// once. Its response would come too late for its caller.
 package slots
 
 import (
@@ -29,6 +29,7 @@
 
 // Item is a waiting request.
 type Item struct {
+	// ID identifies the request within the queue.
 	ID uint64
 	// Rank is the priority of the request; 0 starts first.
 	Rank int
@@ -43,8 +44,8 @@
 	Target model.Instant
 	// Deadline is when the request must complete.
 	Deadline model.Instant
-	// UsefulUntil is the latest completion time at which the request is still worth the
-	// wait. A request that would complete later runs only if a slot is free at once. Zero
+	// UsefulUntil is the latest completion time at which the request is still worth the wait. A
+	// request that would complete later runs only if a slot is free when Next is called. Zero
 	// means that only Deadline counts.
 	UsefulUntil model.Instant
 	// WaitUntil is when the queue timeout of the request expires. If the request has not
@@ -78,20 +79,24 @@
 }
 
 const (
-	// lastRankInterval sets how often the last rank comes first. One of every
-	// lastRankInterval starts goes to it, even if requests of lower ranks wait. With one in
-	// eight, seven eighths of the capacity follow the regular order of ranks.
+	// lastRankInterval sets how often the last rank comes first. One of every lastRankInterval
+	// starts goes to the last rank, even if requests of lower ranks wait. With one in eight,
+	// seven eighths of the capacity follow the regular order of ranks.
 	lastRankInterval = 8
 )
 
 // Queue holds the requests that wait for one upstream, and counts those that are
 // running. It is not safe for concurrent use.
 type Queue struct {
-	limit   int
+	// limit is how many requests may run concurrently.
+	limit int
+	// running counts the requests that have started and not ended.
 	running int
 	// starts counts the requests started so far.
-	starts       int
-	items        []Item
+	starts int
+	// items holds the waiting requests in the order in which they were added.
+	items []Item
+	// sharesByRank holds the service time shares of the kinds of requests of each rank.
 	sharesByRank map[int]*fairShares
 }
 
@@ -152,9 +157,10 @@
 // Finish records that a running request has ended.
 func (q *Queue) Finish() { q.running = max(q.running-1, 0) }
 
-// Next removes a request that leaves the queue now: it starts, or it must not wait any
-// longer. Next returns the request and the reason, or false if no request leaves now.
-// slowdown is the current service time relative to the usual one.
+// Next removes a request that leaves the queue now: it starts, or it must not wait any longer.
+// Next returns the request and the reason, or false if no request leaves now. The caller must
+// call Finish when a started request ends. slowdown is the current service time divided by the
+// usual service time.
 func (q *Queue) Next(now model.Instant, slowdown float64) (Decision, bool) {
 	for i := range q.items {
 		it := &q.items[i]
@@ -178,10 +184,9 @@
 	return q.dequeue(best, Start), true
 }
 
-// NextWakeup returns when Next must be called again after it has returned false. Before
-// that instant, no request leaves the queue unless a request arrives or ends. Zero means
-// that no request is waiting. slowdown is the current service time relative to the usual
-// one.
+// NextWakeup returns when Next must be called again after it has returned false. Before that
+// instant, no request leaves the queue unless a request arrives or ends. Zero means that no
+// request is waiting. slowdown is the current service time divided by the usual service time.
 func (q *Queue) NextWakeup(slowdown float64) model.Instant {
 	var wakeup model.Instant
 	for i := range q.items {
@@ -213,7 +218,8 @@
 // scale multiplies a duration by a factor.
 func scale(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
 
-// nextIndex returns the index of the request to start next.
+// nextIndex returns the index of the waiting request to start next. At least one request must
+// be waiting.
 func (q *Queue) nextIndex(now model.Instant, slowdown float64) int {
 	lastRankFirst := q.starts%lastRankInterval == lastRankInterval-1
 	best := 0
@@ -231,7 +237,7 @@
 	return best
 }
 
-// before reports whether a starts before b, which has the same rank.
+// startsBefore reports whether a starts before b. The two must have the same rank.
 func (q *Queue) startsBefore(a, b *Item, now model.Instant, slowdown float64) bool {
 	aStart, bStart := a.latestStart(slowdown), b.latestStart(slowdown)
 	aLate, bLate := aStart < now, bStart < now
@@ -249,8 +255,8 @@
 	}
 }
 
-// latestStart returns the last instant at which the request can start and still meet
-// its target, or its deadline if it has no target.
+// latestStart returns the last instant at which the request can start and still meet its
+// target. For a request without a target, the deadline counts instead.
 func (i *Item) latestStart(slowdown float64) model.Instant {
 	completeBy := i.Target
 	if completeBy == 0 {
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -13,16 +13,17 @@
 // at returns the instant ms milliseconds after the origin.
 func at(ms int) model.Instant { return model.Instant(0).Add(time.Duration(ms) * time.Millisecond) }
 
+// ms is one millisecond.
 const ms = time.Millisecond
 
-// newItem returns a request that arrived at 0 and has a deadline of one second. Its
-// service time and target are in milliseconds.
+// newItem returns a request that arrived at instant 0, has its deadline at one second and is
+// useful until then. serviceTime and target are in milliseconds.
 func newItem(id uint64, rank int, serviceTime, target int) Item {
 	return Item{ID: id, Rank: rank, ServiceTime: time.Duration(serviceTime) * ms, Target: at(target), Deadline: at(1000), UsefulUntil: at(1000)}
 }
 
-// startAll starts all waiting requests, one at a time, and returns their IDs in
-// order.
+// startAll starts and finishes all waiting requests, one at a time, and returns their IDs in
+// the order in which they started.
 func startAll(t *testing.T, q *Queue, now model.Instant) []uint64 {
 	t.Helper()
 	var out []uint64
@@ -174,6 +175,9 @@
 	require.Equal(t, startedCount, inTimeCount)
 }
 
+// TestLimitBoundsRunningRequests has three requests arrive at a queue with a limit of two. The
+// third must start only after one has finished. Until then, Ahead must count the running
+// requests, and the waiting one only for a new request of the same rank.
 func TestLimitBoundsRunningRequests(t *testing.T) {
 	q := New(2)
 	for i := range uint64(3) {
@@ -194,6 +198,9 @@
 	require.True(t, ok)
 }
 
+// TestDequeueReasons has a request wait for a busy slot until it must not wait any longer. It
+// checks the reason, that NextWakeup is not too late, and that the request still waits 2 ms
+// before NextWakeup.
 func TestDequeueReasons(t *testing.T) {
 	newBusyQueue := func(item Item) *Queue {
 		q := New(1)
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -11,13 +11,12 @@
 	// HeartbeatInterval is the time between two heartbeats of a watcher if nothing
 	// changes.
 	HeartbeatInterval = 400 * time.Millisecond
-	// heartbeatTimeout is the time after a daemon's last heartbeat. When it has passed, the
-	// daemon no longer counts as a watcher.
+	// heartbeatTimeout is how long after its last heartbeat a daemon still counts as a watcher.
 	heartbeatTimeout = 3 * HeartbeatInterval
 	// meanVolunteers is the mean number of volunteers in a cell each time its daemons find
 	// that there are too few watchers.
 	meanVolunteers = 2
-	// minWatchers is the lowest number of watchers in all zones together.
+	// minWatchers is the lowest number of daemons that should watch, in all zones together.
 	minWatchers = 3
 	// maxConcurrentTries is how many daemons of a cell may try to reach the store at the
 	// same time without success.
@@ -34,26 +33,28 @@
 // heartbeat is the last heartbeat received from another daemon.
 type heartbeat struct {
 	receivedAt model.Instant
-	// reachesStore is set if that daemon reaches the store.
+	// reachesStore is set if the heartbeat said that its sender reaches the store.
 	reachesStore bool
 }
 
 // Elector decides whether a daemon watches the store, from what it knows about the other
 // watchers of its cell. It is not safe for concurrent use.
 type Elector struct {
+	// self is the address of this daemon.
 	self string
 	// randFloat returns random numbers from 0 to below 1.
 	randFloat func() float64
-	// cell holds the sorted addresses of the daemons in the cell, including this one.
+	// cellAddresses holds the sorted addresses of the daemons in the cell, including this one.
 	cellAddresses []string
 	// wantedWatcherCount is how many daemons of the cell should watch.
 	wantedWatcherCount int
-	// heartbeats holds the last heartbeat of each other daemon of the cell, by address.
+	// heartbeatByAddress holds the last heartbeat of each other daemon of the cell.
 	heartbeatByAddress map[string]heartbeat
 	// volunteerFrom is when this daemon may first volunteer. After its start, the daemon
 	// first waits for heartbeats of the existing watchers.
 	volunteerFrom model.Instant
 
+	// watching is the last decision of UpdateWatching.
 	watching bool
 	// reachesStore is set if this daemon's last call to the store succeeded.
 	reachesStore bool
@@ -76,9 +77,9 @@
 	}
 }
 
-// SetMembers sets the members of the local zone and the number of zones. zoneMembers are
-// the addresses of the daemons that are reachable and not about to stop, including this
-// one.
+// SetMembers sets the members of the local zone and the number of zones. zoneMembers are the
+// addresses of the zone's daemons that are reachable and not about to stop, including this one.
+// If this daemon is missing, it forms a cell of its own.
 func (e *Elector) SetMembers(zoneMembers []string, zoneCount int) {
 	sortedMembers := slices.Clone(zoneMembers)
 	slices.Sort(sortedMembers)
@@ -100,8 +101,9 @@
 	}
 }
 
-// RecordHeartbeat records a heartbeat received from the daemon with the address from.
-// reachesStore is set if that daemon reaches the store.
+// RecordHeartbeat records a heartbeat received from the daemon with the address sender.
+// reachesStore is set if that daemon reaches the store. Heartbeats from daemons outside the
+// cell are ignored.
 func (e *Elector) RecordHeartbeat(now model.Instant, sender string, reachesStore bool) {
 	if sender != e.self && slices.Contains(e.cellAddresses, sender) {
 		e.heartbeatByAddress[sender] = heartbeat{receivedAt: now, reachesStore: reachesStore}
@@ -121,7 +123,7 @@
 }
 
 // TriggerHeartbeat makes the next heartbeat due at once. It is called when there is a new
-// version, or when the store has become reachable or unreachable.
+// version of the configuration, or when the store has become reachable or unreachable.
 func (e *Elector) TriggerHeartbeat() { e.lastHeartbeatAt = 0 }
 
 // HeartbeatDue reports whether a heartbeat is due. If so, it records that the heartbeat is
@@ -146,9 +148,9 @@
 }
 
 // decideWatching decides whether this daemon watches the store. A watcher stops when enough
-// daemons before it in the cell reach the store, or when it yields. Otherwise the first
-// daemons of the cell always watch. The other daemons volunteer at random while there are
-// too few watchers.
+// daemons before it in the cell reach the store, or when it yields. Otherwise the first daemons
+// of the cell always watch. The other daemons volunteer at random while there are too few
+// watchers. decideWatching sets yieldUntil if the daemon yields.
 func (e *Elector) decideWatching(now model.Instant) bool {
 	if now < e.yieldUntil {
 		return false
@@ -178,9 +180,9 @@
 	return !e.reachesStore && now.Sub(e.failingSince) >= yieldAfter && len(e.cellAddresses) > maxConcurrentTries
 }
 
-// countWatchers counts the other watchers by their latest heartbeats. reachingCount is the number
-// of watchers that reach the store. earlierCount is how many of these come before this daemon in
-// the cell. tryingCount is the number of watchers that do not reach the store.
+// countWatchers counts the other watchers by their latest heartbeats. reachingCount is the
+// number of watchers that reach the store. earlierCount is how many of these come before this
+// daemon in the cell. tryingCount is the number of watchers that do not reach the store.
 func (e *Elector) countWatchers(now model.Instant) (earlierCount, reachingCount, tryingCount int) {
 	for address, hb := range e.heartbeatByAddress {
 		switch {
--- a/core/watch/elector_test.go
+++ b/core/watch/elector_test.go
@@ -8,10 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleetSizes are a small fleet, the size today, and the size expected within two years.
+// fleetSizes are the numbers of daemons in a small fleet, in the fleet of today, and in the
+// fleet expected within two years.
 var fleetSizes = []int{10, 300, 1700}
 
-// maxPropagation is the longest time allowed until all daemons have a new version.
+// maxPropagation is the longest time allowed until all daemons have a new version of the
+// configuration.
 const maxPropagation = 2 * time.Second
 
 // TestVersionsReachAllDaemons publishes a version after a disturbance. All daemons must get
@@ -123,13 +125,13 @@
 	require.Equal(t, f.version, isolated.version)
 }
 
-// TestStoreCallsAreBounded bounds the calls per cell, both normally and while the store
-// is unavailable.
+// TestStoreCallsAreBounded bounds the calls to the store per cell, both normally and while the
+// store is unavailable. Normally, one daemon of each cell must watch.
 func TestStoreCallsAreBounded(t *testing.T) {
 	const (
 		seconds = 30
-		// normalCalls is the largest number of calls of one watcher in the given number of
-		// seconds, including one more at the start.
+		// normalCalls is the largest number of calls that one watcher may make in the given
+		// number of seconds, including one at the start and one in reserve.
 		normalCalls = int(seconds*time.Second/pollWait) + 2
 		// unavailableCalls is the largest number of calls of a cell while the store is
 		// unavailable. It covers the daemons that may try at the same time, and the shorter
@@ -167,8 +169,9 @@
 	}
 }
 
-// TestDaemonsTakeTurnsTryingTheStore has the store serve only one daemon of a cell.
-// That daemon must get its turn.
+// TestDaemonsTakeTurnsTryingTheStore has the store serve only one daemon of a cell. That daemon
+// must get its turn within a minute, and all daemons must then get a new version within
+// maxPropagation.
 func TestDaemonsTakeTurnsTryingTheStore(t *testing.T) {
 	f := newFleet(300)
 	f.advance(5 * time.Second)
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -24,7 +24,7 @@
 	minRetryDelay = 100 * time.Millisecond
 	// maxRetryDelay is the longest delay after a failed read.
 	maxRetryDelay = time.Second
-	// zones is the number of availability zones.
+	// zoneCount is the number of availability zones.
 	zoneCount = 5
 )
 
@@ -41,10 +41,10 @@
 	storeServes func(*daemon) bool
 	// storeHangs reports whether the store accepts a daemon's reads but never responds.
 	storeHangs func(*daemon) bool
-	// storeCallCount counts the reads that daemons have started.
+	// storeCallCount counts the reads that daemons have started, including rejected ones.
 	storeCallCount int
-	// deliveries holds a function for each message sent in the last step. The function
-	// delivers the message.
+	// deliveries holds a function for each message that was sent and has not arrived yet. The
+	// function delivers the message.
 	deliveries []func()
 }
 
@@ -65,7 +65,7 @@
 	readUntil model.Instant
 	// reading is set while a read is pending.
 	reading bool
-	// hung is set if the pending read gets no response.
+	// hung is set if the pending read will get no response.
 	hung bool
 	// retryDelay is the delay after the next failed read.
 	retryDelay         time.Duration
@@ -106,8 +106,8 @@
 	}
 }
 
-// send delivers a message in the next step, unless one of the daemons is down or
-// partitioned.
+// send has a message delivered in the next step. The message is lost if the sender is down, if
+// either daemon is partitioned, or if the receiver is down when the message arrives.
 func (f *fleet) send(from, to *daemon, deliver func()) {
 	if !from.down && !from.partitioned && !to.partitioned {
 		f.deliveries = append(f.deliveries, func() {
@@ -135,7 +135,7 @@
 	}
 }
 
-// tick does what a daemon does in each step.
+// tick does what a running daemon does in each step of the simulation.
 func (d *daemon) tick() {
 	now := d.fleet.now
 	if d.reading {
@@ -193,7 +193,8 @@
 	d.sendHeartbeat()
 }
 
-// checkRead ends the pending read if it has failed, timed out or found a new version.
+// checkRead ends the pending read if it has failed, timed out, found a new version or waited
+// for pollWait.
 func (d *daemon) checkRead() {
 	switch {
 	case d.hung && d.fleet.now >= d.readUntil:
@@ -210,7 +211,8 @@
 	}
 }
 
-// applyVersion puts a version into force and forwards it.
+// applyVersion puts a version into force and forwards it. Versions that are not newer than the
+// one in force are ignored.
 func (d *daemon) applyVersion(version int) {
 	if version <= d.version {
 		return
