--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -94,7 +94,7 @@
 // trials: a trial without the mechanism, and the baseline of the same day and seed.
 type summary struct {
 	mechanism, site string
-	// pairs is the number of pairs.
+	// pairs is the number of pairs compared.
 	pairs int
 	// mean is the mean score difference of the pairs, and standardError its standard error.
 	mean, standardError float64
--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -151,8 +151,8 @@
 }
 
 // TestPlatformNamesOnlyInPlatformPackage checks that names of the users' platform occur only
-// in package platform, which translates them. Only the daemon's
-// command may import package platform.
+// in package platform, which translates them. Only the daemon's command may import package
+// platform.
 func TestPlatformNamesOnlyInPlatformPackage(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.pkg == "platform" || s.pkg == "platform/platformtest" || s.pkg == "architecture" {
--- a/bench/forward.go
+++ b/bench/forward.go
@@ -34,7 +34,8 @@
 // forwarded by two daemons. The entry of the first daemon accepts a request and forwards
 // it. The guard of the second daemon passes the request to the upstream.
 type ForwardResult struct {
-	// Calls counts the answered requests of both paths.
+	// Calls counts the requests of both paths that succeeded: the status was 200 and the
+	// response complete.
 	Calls int64 `json:"calls"`
 	// Failed counts the other requests of both paths.
 	Failed int64 `json:"failed"`
--- a/bench/state.go
+++ b/bench/state.go
@@ -23,9 +23,9 @@
 	changeSizes   = []int{500, 1000, 2000, 4000}
 )
 
-// stateMeasurements returns measurements of the memory and the CPU time that the
-// packages for membership, routing and configuration use. One more measures the size of
-// encoded membership events. They need no daemons.
+// stateMeasurements returns the measurements that need no daemons. They measure the memory
+// and the CPU time that the packages for membership, routing and configuration use. The
+// last one measures the size of encoded membership events.
 func stateMeasurements() []measurement {
 	return []measurement{
 		{"membership view", "bytes", "upstream", upstreamSizes, directoryBytes},
@@ -85,7 +85,7 @@
 	return ups
 }
 
-// directoryBytes returns the memory that a directory of n upstreams uses.
+// directoryBytes returns the memory that a membership directory of n upstreams uses.
 func directoryBytes(_ context.Context, n int) (float64, error) {
 	return heapBytes(func() any {
 		d := member.NewDirectory()
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -112,9 +112,9 @@
 	return all
 }
 
-// measuringShares returns, for each service, the share of its slot time that load
-// measurements used during a run. before is the result of measuringSlotTime at the start
-// of the run, and elapsed is the time since then.
+// measuringShares returns, for each service, the slot time that load measurements used
+// during a run, as a share of the service's capacity. before is the result of
+// measuringSlotTime at the start of the run, and elapsed is the time since then.
 func measuringShares(deployment *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
 	slotTime := make(map[model.ServiceName]time.Duration)
 	after := measuringSlotTime(deployment)
--- a/demo/result.go
+++ b/demo/result.go
@@ -13,8 +13,8 @@
 // GroupResult holds the results of one group of callers at one service.
 type GroupResult struct {
 	load.Stats
-	// MeasuringShare is the share of the service's slot time that load measurements
-	// used.
+	// MeasuringShare is the slot time that load measurements used, as a share of the
+	// service's capacity. The capacity is the number of slots times the length of the run.
 	MeasuringShare float64 `json:"measuring_share"`
 }
 
--- a/load/result.go
+++ b/load/result.go
@@ -64,7 +64,8 @@
 	Held int64 `json:"held"`
 	// Wrong counts the responses that failed the check of Source.Verify.
 	Wrong int64 `json:"wrong"`
-	// WrongAnswers describes the first wrong responses.
+	// WrongAnswers describes the first of the responses counted in Wrong, at most
+	// maxWrongAnswers.
 	WrongAnswers []string `json:"wrong_answers,omitempty"`
 }
 
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// startNode starts the upstream of a service with index i and its daemon, and announces
-// the upstream to the daemon.
+// startNode starts an upstream of a service and its daemon, and announces the upstream to
+// the daemon. index is the number of the upstream in the service, from 0.
 func (d *Deployment) startNode(ctx context.Context, s Service, index int) error {
 	up, err := standin.Start(fmt.Sprintf("%s-%d", s.Name, index+1), string(s.Name), s.Slots)
 	if err != nil {
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -47,8 +47,8 @@
 
 func (r *requestRecord) last() attemptResult { return r.results[len(r.results)-1] }
 
-// hasUnknownOutcome reports whether any attempt ended without proof that the request ran
-// or that it did not run.
+// hasUnknownOutcome reports whether the caller cannot tell for at least one attempt whether
+// the request ran.
 func (r *requestRecord) hasUnknownOutcome() bool {
 	for _, a := range r.results {
 		if a.connectionFailed || a.kind == outcome.Unknown {
--- a/replay/generate.go
+++ b/replay/generate.go
@@ -96,7 +96,7 @@
 	return out.Flush()
 }
 
-// Events generates the trace.
+// Events generates the trace. It returns the faults and the requests in order of time.
 func (g *Generator) Events() []Event {
 	events := slices.Clone(g.Faults)
 	stream := uint64(0)
@@ -150,7 +150,8 @@
 	}
 }
 
-// cost draws a request's cost, in microseconds, from the log-normal distribution.
+// cost draws the cost of a request, in microseconds, from the log-normal distribution
+// with mean meanCost.
 func (p requestProfile) cost(rng *rand.Rand) int64 {
 	median := float64(p.meanCost.Microseconds()) / math.Exp(p.sigma*p.sigma/2)
 	return max(int64(median*math.Exp(p.sigma*rng.NormFloat64())), 1)
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -31,7 +31,7 @@
 	localDelayTicks  = 1                       // one-way delay to a guard in the entry's zone
 	remoteDelayTicks = 2                       // one-way delay to a guard in another zone
 	remoteQueryTicks = 3                       // round-trip time of load queries to other zones
-	meshServiceTime  = 160 * time.Millisecond  // median
+	meshServiceTime  = 160 * time.Millisecond  // median at the usual speed
 	meshTarget       = 500 * time.Millisecond  // time in which a request should be served
 	meshDeadline     = 1200 * time.Millisecond // time after which a request is given up
 	meshLengthTicks  = 20_000                  // time in which requests arrive
@@ -41,20 +41,17 @@
 
 // workload describes the load on a mesh and the disturbances of its upstreams.
 type workload struct {
-	rate       float64 // requests a second over all entries
-	slots      int     // slots of each upstream
-	noiseShare float64 // share of time that an upstream has a noisy neighbour
-	// restartedUpstreams is the number of upstreams that restart after five seconds.
-	restartedUpstreams int
-	hideSlowdown       bool // guards and entries cannot measure how slow upstreams are
+	rate               float64 // requests a second over all entries
+	slots              int     // slots of each upstream
+	noiseShare         float64 // share of time that an upstream has a noisy neighbour
+	restartedUpstreams int     // number of upstreams that restart after five seconds
+	hideSlowdown       bool    // guards and entries cannot measure how slow upstreams are
 	// upstreamQueue is the length of the queue in an upstream itself. When all slots
 	// and this queue are full, the upstream resets the connection of a new request.
 	upstreamQueue int
-	zoneSize      int // upstreams in each zone. Default: upstreamsPerZone
-	burst         int // additional requests in one tick every burstPeriodTicks
-	// callerRetries is the number of times that a refused caller retries, each time
-	// after the Retry-After value.
-	callerRetries int
+	zoneSize      int  // upstreams in each zone. Default: upstreamsPerZone
+	burst         int  // additional requests in one tick every burstPeriodTicks
+	callerRetries int  // retries of a refused caller, each after the Retry-After value
 	noJitter      bool // Retry-After values have no jitter
 	// recorded, if set, is the service of a recorded day. Its rates, upstreams and
 	// request kinds replace the usual ones.
@@ -68,8 +65,7 @@
 	usePlacement routingPolicy = iota // the production policy
 	useRandom
 	useLeastOutstanding
-	// useLeastOutstandingWithoutGuards sends requests directly to the upstreams.
-	useLeastOutstandingWithoutGuards
+	useLeastOutstandingWithoutGuards // sends requests directly to the upstreams
 )
 
 // meshNode is a daemon, with an entry and a guard, and its upstream.
@@ -173,16 +169,15 @@
 	return ups
 }
 
-// drawSpeeds draws the speed of an upstream at each tick. The upstream has a noisy
-// neighbour for the given share of time. Otherwise its speed is 1. The result covers
-// twice the given ticks, because requests may complete after the last arrival.
-func drawSpeeds(rng *rand.Rand, share float64, ticks int) []float64 {
+// drawSpeeds draws the speed of an upstream at each tick. It is 1 without a noisy neighbour.
+// The result covers twice the given ticks, as requests may complete after the last arrival.
+func drawSpeeds(rng *rand.Rand, noiseShare float64, ticks int) []float64 {
 	out := make([]float64, 2*ticks)
 	phase, speed := rng.IntN(noisePeriodTicks), 1.0
 	for i := range out {
 		if (i+phase)%noisePeriodTicks == 0 {
 			speed = 1
-			if rng.Float64() < share {
+			if rng.Float64() < noiseShare {
 				speed = 1 / noiseSlowdown
 			}
 		}
@@ -191,8 +186,7 @@
 	return out
 }
 
-// simulate runs the workload and returns the share of requests served within their
-// target.
+// simulate runs the workload and returns the share of requests served within their target.
 func (m *mesh) simulate() float64 {
 	const restartTick = 5000
 	for m.tick = 0; m.tick < m.lengthTicks+int(meshDeadline/tickLength); m.tick++ {
@@ -223,14 +217,15 @@
 	return float64(m.inTime) / float64(m.sent)
 }
 
-// arrivals draws the number of requests in this tick from a Poisson distribution.
+// arrivals draws the number of requests in this tick from a Poisson distribution. It counts
+// random factors until their product falls to threshold (Knuth's algorithm).
 func (m *mesh) arrivals() int {
 	rate := m.rate
 	if m.recorded != nil {
 		rate = m.recorded.rateAtTick(m.tick)
 	}
-	n, limit := 0, math.Exp(-rate*tickLength.Seconds())
-	for p := m.rng.Float64(); p > limit; p *= m.rng.Float64() {
+	n, threshold := 0, math.Exp(-rate*tickLength.Seconds())
+	for product := m.rng.Float64(); product > threshold; product *= m.rng.Float64() {
 		n++
 	}
 	return n
@@ -245,8 +240,7 @@
 	m.updateUpstreams()
 }
 
-// updateAvailability stops upstreams whose speed fell to 0. It starts upstreams whose
-// speed rose from 0.
+// updateAvailability stops upstreams whose speed fell to 0 and starts those whose speed rose.
 func (m *mesh) updateAvailability() {
 	changed := false
 	for _, n := range m.nodes {
@@ -391,8 +385,8 @@
 }
 
 // load returns the load that a guard reports. If the guard's last measurement of its
-// upstream's slowdown is too old, load first measures the slowdown anew. If hideSlowdown
-// is set, load never measures it and reports the initial slowdown, 1, as new.
+// upstream's slowdown is too old, load first measures the slowdown again. If hideSlowdown
+// is set, load never measures it. It then reports the initial slowdown, 1, with age 0.
 func (m *mesh) load(n *meshNode) placement.Load {
 	if m.hideSlowdown {
 		n.slowdownMeasuredAt = m.now
--- a/replay/noisy_upstreams_test.go
+++ b/replay/noisy_upstreams_test.go
@@ -26,16 +26,17 @@
 		for range m.arrivals() {
 			sent++
 			kind, serviceSeconds := m.drawRequest()
-			node, slot, end := -1, -1, m.tick+int(kind.target/tickLength)+1
+			// The initial bestEnd is the first tick after the target of the request.
+			bestNode, bestSlot, bestEnd := -1, -1, m.tick+int(kind.target/tickLength)+1
 			for i := range m.nodes {
 				for s := range freeAt[i] {
-					if e := m.nodes[i].finishTick(max(freeAt[i][s], m.tick), end, serviceSeconds); e < end {
-						node, slot, end = i, s, e
+					if end := m.nodes[i].finishTick(max(freeAt[i][s], m.tick), bestEnd, serviceSeconds); end < bestEnd {
+						bestNode, bestSlot, bestEnd = i, s, end
 					}
 				}
 			}
-			if node >= 0 {
-				freeAt[node][slot] = end
+			if bestNode >= 0 {
+				freeAt[bestNode][bestSlot] = bestEnd
 				inTime++
 			}
 		}
@@ -74,8 +75,8 @@
 		"many slots, no noise":              {workload{rate: 400, slots: 20}, 0.999},
 	} {
 		t.Run(name, func(t *testing.T) {
-			// tolerance is the difference that random variation makes between two
-			// policies that are equally good.
+			// Random variation makes the shares of two equally good policies differ by
+			// up to tolerance.
 			const seeds, tolerance = 3, 0.002
 			var production, random, leastOutstanding, central float64
 			for seed := range uint64(seeds) {
@@ -101,9 +102,9 @@
 func TestNoResetsWhenFull(t *testing.T) {
 	for name, c := range map[string]struct {
 		workload
-		// minResetsWithoutGuards is the least share of requests whose connections
-		// the upstreams reset in the mesh without guards.
-		minResetsWithoutGuards float64
+		// minResetShare is the minimum share of requests whose connections the
+		// upstreams reset in the mesh without guards.
+		minResetShare float64
 	}{
 		"load equal to capacity":      {workload{rate: 250, slots: 6, noiseShare: 0.25, upstreamQueue: 12}, 0.15},
 		"load 1.5 times the capacity": {workload{rate: 375, slots: 6, noiseShare: 0.25, upstreamQueue: 12}, 0.4},
@@ -112,12 +113,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			withGuards, withoutGuards := newMesh(c.workload, usePlacement, 1), newMesh(c.workload, useLeastOutstandingWithoutGuards, 1)
-			shareWith, shareWithout := withGuards.simulate(), withoutGuards.simulate()
-			resets := float64(withoutGuards.resets) / float64(withoutGuards.sent)
-			t.Logf("share within target: %.3f; without guards %.3f, and %.3f reset", shareWith, shareWithout, resets)
+			shareWithGuards, shareWithoutGuards := withGuards.simulate(), withoutGuards.simulate()
+			resetShare := float64(withoutGuards.resets) / float64(withoutGuards.sent)
+			t.Logf("share within target: %.3f; without guards %.3f, and %.3f reset", shareWithGuards, shareWithoutGuards, resetShare)
 			require.Zero(t, withGuards.resets)
-			require.Greater(t, resets, c.minResetsWithoutGuards)
-			require.Greater(t, shareWith, shareWithout)
+			require.Greater(t, resetShare, c.minResetShare)
+			require.Greater(t, shareWithGuards, shareWithoutGuards)
 		})
 	}
 }
--- a/replay/result.go
+++ b/replay/result.go
@@ -30,10 +30,10 @@
 	// SlotTimeShare is the group's share of the slot time that its service used.
 	// Slot time is the time for which requests occupy slots of upstreams.
 	SlotTimeShare float64 `json:"slot_time_share"`
-	// MeasuringShare is the share of the service's capacity that requesting load
-	// reports took. The capacity is the number of slots times the length of the
-	// trace. All groups of a service have the same value. The total covers all
-	// services.
+	// MeasuringShare is the slot time charged for load reports, as a share of the
+	// service's capacity. The capacity is the number of slots times the length of
+	// the trace. All groups of a service have the same value. In Result.Total, the
+	// value covers all services.
 	MeasuringShare float64 `json:"measuring_share"`
 	// Ideal is the latency of one central queue with perfect knowledge and no
 	// network.
@@ -141,8 +141,8 @@
 	return stats
 }
 
-// measuringShare returns the share of the guards' capacity that requesting load
-// reports took.
+// measuringShare returns the slot time that the guards charged for load reports, as a
+// share of the capacity of their upstreams.
 func (s *simulation) measuringShare(guards []*guard) float64 {
 	spent, slots := time.Duration(0), 0
 	for _, g := range guards {
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -29,9 +29,9 @@
 	entries       []*entry
 	guardsByName  map[string]*guard
 	entriesByZone map[model.AvailabilityZone][]*entry
-	// nextEntry counts the requests of each zone so far. The count selects the entry
+	// requestsByZone counts the requests of each zone so far. The count selects the entry
 	// for the zone's next request, so that entries take turns.
-	nextEntry        map[model.AvailabilityZone]int
+	requestsByZone   map[model.AvailabilityZone]int
 	services         map[model.ServiceName]*service
 	partitionedZones map[model.AvailabilityZone]bool
 	logDown          bool
@@ -78,7 +78,7 @@
 		rng:              rand.New(rand.NewPCG(opts.Seed, seedStream)),
 		guardsByName:     make(map[string]*guard),
 		entriesByZone:    make(map[model.AvailabilityZone][]*entry),
-		nextEntry:        make(map[model.AvailabilityZone]int),
+		requestsByZone:   make(map[model.AvailabilityZone]int),
 		services:         make(map[model.ServiceName]*service),
 		partitionedZones: make(map[model.AvailabilityZone]bool),
 		collector:        newCollector(),
@@ -185,8 +185,8 @@
 	if len(entries) == 0 {
 		entries = s.entries
 	}
-	entry := entries[s.nextEntry[e.Zone]%len(entries)]
-	s.nextEntry[e.Zone]++
+	entry := entries[s.requestsByZone[e.Zone]%len(entries)]
+	s.requestsByZone[e.Zone]++
 	req := &request{event: e, entry: entry, arrivedAt: s.now, outcomeSoFar: outcome.NotRunBecause(outcome.ReasonNoUpstream)}
 	a := &attempt{req: req}
 	s.dispatch(task{kind: taskRequestArrival, daemon: entry.index, attempt: a})
@@ -268,8 +268,8 @@
 	s.schedule(membershipDelay, s.updateRouters)
 }
 
-// membershipDelay is the time from a membership change to its arrival at the
-// entries through the log.
+// membershipDelay is the time from a membership change until the routers receive it.
+// In production the routers receive it through the membership log.
 const membershipDelay = 250 * time.Millisecond
 
 // upstreams returns the current state of the service's upstreams.
--- a/replay/topology.go
+++ b/replay/topology.go
@@ -49,8 +49,8 @@
 	ReportLag policy.Duration `json:"report_lag,omitempty"`
 	// ReportCost is the slot time that one load report takes. Default: 0s.
 	ReportCost policy.Duration `json:"report_cost,omitempty"`
-	// MeasuringBudget is the share of the slots' time that requesting load
-	// reports (measuring) may take, from 0 to 1. Zero disables measuring.
+	// MeasuringBudget limits the cost of load reports. It is the share of the slots'
+	// time that they may take, from 0 to 1. Zero disables load reports.
 	MeasuringBudget float64 `json:"measuring_budget"`
 	// Groups holds the weights of the groups. A group that is not listed has
 	// weight 1.
--- a/replay/zone_size_test.go
+++ b/replay/zone_size_test.go
@@ -18,9 +18,9 @@
 				w := workload{rate: ratePerUpstream * float64(meshZones*perZone), slots: 6, noiseShare: 0.25, zoneSize: perZone}
 				return newMesh(w, usePlacement, 1).simulate()
 			}
-			small, large := simulate(few), simulate(many)
-			t.Logf("share within target: %.3f with %d upstreams in a zone, %.3f with %d", small, few, large, many)
-			require.GreaterOrEqual(t, large, small)
+			smallZoneShare, largeZoneShare := simulate(few), simulate(many)
+			t.Logf("share within target: %.3f with %d upstreams in a zone, %.3f with %d", smallZoneShare, few, largeZoneShare, many)
+			require.GreaterOrEqual(t, largeZoneShare, smallZoneShare)
 		})
 	}
 }
--- a/report/read.go
+++ b/report/read.go
@@ -16,7 +16,7 @@
 // Result holds the part of a result file that is drawn. A load run or a replay writes
 // this file.
 type Result struct {
-	// Label names the result in legends.
+	// Label names the result in the legends, titles and file names of plots.
 	Label  string  `json:"-"`
 	Groups []Stats `json:"groups"`
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -15,13 +15,13 @@
 	// maxConfigDelay is how long a daemon may take to put a published configuration in force.
 	maxConfigDelay = 2 * time.Second
 	// quietPeriod is how long some checks are skipped after an unplanned fault. They are the
-	// checks that such a fault may violate.
+	// checks that may fail because of such a fault.
 	quietPeriod = 3 * time.Second
 	// retryBudgetWindow is the length of the windows in which retries are counted. A window
 	// starts at every retry.
 	retryBudgetWindow = 10 * time.Second
 	// retryBudgetRatio is the number of retries that a window may have for each request.
-	// Requests sent in the window or in the half window before it count.
+	// The requests that count are sent in the window or up to half its length before it.
 	retryBudgetRatio = 0.2
 	// retryBudgetSlack is the number of further retries that a window may have.
 	retryBudgetSlack = 40.0
@@ -82,8 +82,9 @@
 	// quarantined. All daemons must quarantine the request within quietPeriod after the last
 	// of these crashes.
 	quarantineThreshold = 3
-	// maxLateCrashes is the number of crashes that attempts of the request may still cause
-	// if they are sent after this time.
+	// maxLateCrashes is the number of late crashes that the request may cause. A crash is
+	// late if its attempt was sent to an undisturbed VM more than quietPeriod after the
+	// number of crashes reached quarantineThreshold.
 	maxLateCrashes = 3
 	// poisonAttemptPrefix starts the attempt ids of requests that crash upstreams.
 	poisonAttemptPrefix = "poison-"
@@ -159,7 +160,7 @@
 }
 
 // recordPoison records that the request of an attempt crashes upstreams. Attempts with the same
-// key belong to one request. undisturbed is stored in the record of the attempt.
+// key belong to one request. undisturbed is described at requestRecord.undisturbed.
 func (c *checker) recordPoison(attempt, key string, undisturbed func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +191,8 @@
 	}
 }
 
-// resetCrashCounts sets the crash counts that are checked against maxCrashes to 0. Without
-// safetyOnly there are none, and it does nothing. It is called when all daemons are killed at
+// resetCrashCounts sets the crash counts to 0 if they are checked against maxCrashes. Without
+// safetyOnly they are not, and it does nothing. It is called when all daemons are killed at
 // once: daemons keep the quarantine only in memory, so the quarantine is lost.
 func (c *checker) resetCrashCounts() {
 	c.mu.Lock()
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -198,7 +198,7 @@
 }
 
 // minVMsPerService is the number of VMs that must remain in a service when a VM changes to the
-// other service. Fewer VMs would not have enough capacity for the callers of eight VMs.
+// other service. In a run with eight VMs, fewer VMs could not serve the requests of all callers.
 const minVMsPerService = 3
 
 // poisonInterval is the time between two attempts of a request that crashes upstreams.
--- a/soak/start.go
+++ b/soak/start.go
@@ -12,7 +12,8 @@
 // process, and startIgnoringHangup changes the ignored signals during a start.
 var startMutex sync.Mutex
 
-// startDefault starts a program with the current signal dispositions of this process.
+// startDefault starts a program that ignores only the signals that this process usually ignores.
+// It waits for a running startIgnoringHangup, which makes this process ignore SIGHUP as well.
 func startDefault(cmd *exec.Cmd) error {
 	startMutex.Lock()
 	defer startMutex.Unlock()
@@ -32,9 +33,9 @@
 	return cmd.Start()
 }
 
-// hangupChannel returns a channel for signal.Notify. A SIGHUP on the channel ends this process.
-// The channel replaces the default action of SIGHUP: neither signal.Reset nor signal.Stop restores
-// that action after signal.Ignore.
+// hangupChannel returns a channel for signal.Notify. A SIGHUP on the channel ends this process, as
+// the default action of SIGHUP does. After signal.Ignore, neither signal.Reset nor signal.Stop
+// restores the default action.
 var hangupChannel = sync.OnceValue(func() chan<- os.Signal {
 	c := make(chan os.Signal, 1)
 	go func() {
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -224,9 +224,9 @@
 }
 
 const (
-	// maxArrivalAfterStop is the longest time between a SIGTERM and the sending of a request
-	// that the stopping daemon may still abort at the end of its grace period.
-	maxArrivalAfterStop = 3 * time.Second
+	// maxSendDelayAfterStop is the longest time from a SIGTERM until a caller sends a request
+	// that the stopping daemon may abort at the end of its grace period.
+	maxSendDelayAfterStop = 3 * time.Second
 	// graceTailDivisor gives the length of the last part of the grace period: the grace
 	// period divided by graceTailDivisor. A stopping daemon may abort requests that still run
 	// in this part.
@@ -234,13 +234,13 @@
 )
 
 // ranUntilGraceEnd reports whether a stopping daemon may have aborted a request that was sent at
-// the given time and ends now. The request must have been sent at most maxArrivalAfterStop after
+// the given time and ends now. The request must have been sent at most maxSendDelayAfterStop after
 // the SIGTERM. It must still run in the last part of the grace period, see graceTailDivisor. The
 // daemon could not have waited for the response to such a request.
 func (m *vm) ranUntilGraceEnd(sentAt time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.stoppedAt.IsZero() && sentAt.Sub(m.stoppedAt) <= maxArrivalAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
+	return !m.stoppedAt.IsZero() && sentAt.Sub(m.stoppedAt) <= maxSendDelayAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
 }
 
 // disturb records that an unplanned fault affects the VM for the duration d from now.
