--- a/soak/check.go
+++ b/soak/check.go
@@ -21,7 +21,7 @@
 	// starts at every retry.
 	retryBudgetWindow = 10 * time.Second
 	// retryBudgetRatio is the number of retries that a window may have for each request.
-	// Requests sent in the window or in the half window before it count.
+	// The requests that count are sent in the window or up to half its length before it.
 	retryBudgetRatio = 0.2
 	// retryBudgetSlack is the number of further retries that a window may have.
 	retryBudgetSlack = 40.0
@@ -82,9 +82,9 @@
 	// quarantined. All daemons must quarantine the request within quietPeriod after the last
 	// of these crashes.
 	quarantineThreshold = 3
-	// maxLateCrashes is the number of crashes that one request may cause although it should be
-	// quarantined. An attempt counts if it is sent more than quietPeriod after the crash that
-	// reaches quarantineThreshold. It does not count if its VM is disturbed by an unplanned fault.
+	// maxLateCrashes is the number of late crashes that the request may cause. A crash is
+	// late if its attempt was sent to an undisturbed VM more than quietPeriod after the
+	// number of crashes reached quarantineThreshold.
 	maxLateCrashes = 3
 	// poisonAttemptPrefix starts the attempt ids of requests that crash upstreams.
 	poisonAttemptPrefix = "poison-"
@@ -160,7 +160,7 @@
 }
 
 // recordPoison records that the request of an attempt crashes upstreams. Attempts with the same
-// key belong to one request. undisturbed is stored in the record of the attempt.
+// key belong to one request. undisturbed is described at requestRecord.undisturbed.
 func (c *checker) recordPoison(attempt, key string, undisturbed func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
