--- a/sidecar/attempts.go
+++ b/sidecar/attempts.go
@@ -127,7 +127,9 @@
 
 // cancelOrAwait returns the result of an attempt. It cancels an attempt that has not started or
 // has not arrived yet. If the attempt is running, it waits until the attempt or the context
-// ends. timeLeft is the time that the attempt had until its deadline when it was sent.
+// ends. If an attempt that is missing from the table may have been evicted, or the table is full,
+// it returns an unknown outcome. timeLeft is the time that the attempt had until its deadline
+// when it was sent.
 func (t *attemptTable) cancelOrAwait(ctx context.Context, key string, timeLeft time.Duration) *Result {
 	t.mu.Lock()
 	a := t.byKey[key]
--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -19,6 +19,8 @@
 	return newAttemptTable(func() model.Instant { return *now }), now
 }
 
+// TestResolveAttempt checks the reply to an outcome query in each state of an attempt. An attempt
+// that the reply reports as not run must not start later.
 func TestResolveAttempt(t *testing.T) {
 	done := &Result{Outcome: outcome.Done(), Status: 200}
 	for name, c := range map[string]struct {
@@ -53,6 +55,8 @@
 	}
 }
 
+// TestResolveWaitsForRunningAttempt checks that an outcome query waits for the end of a running
+// attempt. If its context ends first, the outcome is unknown.
 func TestResolveWaitsForRunningAttempt(t *testing.T) {
 	table, _ := newTestAttempts()
 	attempt, _ := table.register("k", time.Second)
@@ -168,7 +172,7 @@
 }
 
 // TestCancelledAttemptNeverStarts interleaves starts and cancellations of an attempt in
-// random order.
+// random order. An attempt that was reported as not run must never start.
 func TestCancelledAttemptNeverStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, _ := newTestAttempts()
--- a/sidecar/bodies.go
+++ b/sidecar/bodies.go
@@ -16,7 +16,8 @@
 	used atomic.Int64
 }
 
-// defaultBodyBytes is the limit, in bytes, if Options.MaxBodyBytes is not set.
+// defaultBodyBytes is the limit for all bodies together, in bytes, if Options.MaxBodyBytes is not
+// set.
 const defaultBodyBytes = 64 << 20
 
 func newBodyLimiter(limit int64) *bodyLimiter {
@@ -65,8 +66,8 @@
 	}
 }
 
-// limitedReader reads a body from source and accounts for its memory. Read fails when the limit
-// is exceeded.
+// limitedReader reads a body from source and accounts for its memory. Read returns
+// errBodyTooLarge or errBodyMemoryExhausted when the limit is exceeded.
 type limitedReader struct {
 	*bufferedBody
 	source io.Reader
--- a/sidecar/bodies_test.go
+++ b/sidecar/bodies_test.go
@@ -10,6 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestBodyMemoryIsLimited reads bodies until their memory is exhausted. A body that is rejected,
+// too large or cut off by an error must take no memory afterwards.
 func TestBodyMemoryIsLimited(t *testing.T) {
 	b := newBodyLimiter(10)
 	first, err := b.read(strings.NewReader("123456"))
@@ -30,7 +32,9 @@
 }
 
 // TestRequestsBeyondBodyMemoryAreRefused exhausts the body memory of the caller's daemon, then
-// that of the upstream's daemon.
+// that of the upstream's daemon. Each time, the request must be refused without having run. A
+// body that alone exceeds the limit is refused as too large. Once memory is free, requests must
+// be served, and their memory must be released.
 func TestRequestsBeyondBodyMemoryAreRefused(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -37,8 +37,10 @@
 	// Service is the service of the chosen upstream.
 	Service model.ServiceName
 	// Caller is the service of the upstream on the VM of the sender.
-	Caller     model.ServiceName
-	Upstream   lifecycle.Incarnation
+	Caller model.ServiceName
+	// Upstream is the incarnation of the chosen upstream.
+	Upstream lifecycle.Incarnation
+	// Idempotent reports whether the request may run more than once.
 	Idempotent bool
 	// Rank is the priority rank of the route in the queue of the guard; 0 starts first.
 	Rank int
@@ -105,7 +107,8 @@
 // callFieldCount is the number of fields of an encoded call.
 const callFieldCount = 13
 
-// encode returns the fields of the call that are not part of the HTTP request itself.
+// encode returns the fields of the call that are not part of the HTTP request itself, separated
+// by spaces.
 func (c *Call) encode() string {
 	return fmt.Sprintf("%s %d %s %s %s %d %t %d %d %d %d %d %d",
 		c.ID, c.AttemptIndex, c.Service, c.Caller, c.Upstream.ID, c.Upstream.Born, c.Idempotent, c.Rank,
@@ -154,7 +157,8 @@
 // resultFieldCount is the number of fields of an encoded result.
 const resultFieldCount = 11
 
-// encode returns the fields of the result that are not part of the HTTP response itself.
+// encode returns the fields of the result that are not part of the HTTP response itself,
+// separated by spaces.
 func (r *Result) encode() string {
 	load := placement.Load{}
 	if r.Load != nil {
@@ -169,8 +173,8 @@
 		int(load.Slowdown*ratioScale), load.SlowdownAge.Milliseconds(), int(load.FailureRate*ratioScale), int(r.CallsPerRun*ratioScale), r.ServiceTime.Microseconds(), r.Version)
 }
 
-// ratioScale is the factor by which ratios are multiplied before they are encoded as
-// integers.
+// ratioScale is the factor by which slowdowns, failure rates and calls per run are multiplied
+// before they are encoded as integers.
 const ratioScale = 100
 
 // decodeResult parses the output of Result.encode. It returns a *FieldError if the input is
--- a/sidecar/call_test.go
+++ b/sidecar/call_test.go
@@ -37,6 +37,7 @@
 	})
 }
 
+// TestInvalidCallEncodings checks that decodeCall returns a *FieldError for invalid input.
 func TestInvalidCallEncodings(t *testing.T) {
 	validEncoding := (&Call{ID: "r1", Service: "a", Upstream: lifecycle.Incarnation{ID: "i-1"}}).encode()
 	fields := func(change func(f []string)) string {
--- a/sidecar/callsperrun.go
+++ b/sidecar/callsperrun.go
@@ -19,7 +19,8 @@
 	assumedCallsPerRun = 1
 )
 
-// countRun counts a request that the local upstream runs. g.mu is held.
+// countRun counts a request that the local upstream runs. It halves the counts of runs and calls
+// at maxRunCount. g.mu is held.
 func (g *guard) countRun() {
 	if g.runCount++; g.runCount >= maxRunCount {
 		g.runCount, g.callCount = g.runCount/2, g.callCount/2
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -32,6 +32,7 @@
 	return float64(m.HeapAlloc)
 }
 
+// BenchmarkPeers measures the memory and the size of a sync message per known daemon.
 func BenchmarkPeers(b *testing.B) {
 	for _, n := range []int{100, 400, 1700} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -57,6 +58,7 @@
 	}
 }
 
+// BenchmarkChoose measures the choice of an upstream among n candidates with known loads.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{6, 22, 64, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -92,6 +94,7 @@
 	return doc
 }
 
+// BenchmarkConfiguration measures the memory per route of a route table.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, n := range []int{100, 400, 1600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -14,7 +14,8 @@
 	// upstream as well. The request is hedged when it has taken longer than hedgeFactor times
 	// its expected time plus hedgeMargin.
 	hedgeFactor = 1.4
-	// hedgeMargin is the constant part of the delay, with hedgeFactor and with lateHedgeFactor.
+	// hedgeMargin is the constant part of the delay before a hedge. It is added both with
+	// hedgeFactor and with lateHedgeFactor.
 	hedgeMargin = 15 * time.Millisecond
 	// lateHedgeFactor replaces hedgeFactor when a hedge is considered for the second
 	// time. By then the request can no longer meet its target latency, and its upstream
@@ -22,8 +23,9 @@
 	lateHedgeFactor = 4
 )
 
-// chooseUpstream chooses the upstream for the next attempt. It returns the attempt, which is not
-// started yet. It returns false if there is no candidate or all candidates are excluded.
+// chooseUpstream queries the loads of candidates and chooses the upstream for the next attempt.
+// It returns the attempt, which is not started yet. It returns false if there is no candidate or
+// all candidates are excluded.
 func (f *forwarder) chooseUpstream(now model.Instant) (*attemptState, bool) {
 	req := placement.Request{
 		ServiceTime: f.serviceTime,
@@ -98,8 +100,9 @@
 	}
 }
 
-// hedge sends an idempotent request to a second upstream. It does so only if that upstream is
-// expected to respond in time and the retry budget allows it. Normally, in time means within the
+// hedge sends an idempotent request to a second upstream. It does so only if exactly one attempt
+// is in flight, the second upstream is expected to respond in time, and both maxAttempts and the
+// retry budget allow another attempt. Normally, in time means within the
 // target latency. If the route has no target, or the first hedge timer has fired already, it
 // means within the deadline.
 func (f *forwarder) hedge() {
--- a/sidecar/correction_test.go
+++ b/sidecar/correction_test.go
@@ -38,6 +38,8 @@
 	}
 }
 
+// TestWrongUpstreamStateIsCorrected corrupts what a guard knows of its upstream. Within
+// maxCorrectionTime, status reports and the passing of time must correct it.
 func TestWrongUpstreamStateIsCorrected(t *testing.T) {
 	for name, c := range map[string]struct {
 		corrupt func(g *guard)
@@ -173,7 +175,8 @@
 
 // TestUnreachableDaemonsAreRetried guards against daemons that stay unreachable after two
 // regions were disconnected for minutes. No daemon restarts and announces itself afterwards, so
-// each must keep trying to reach the others.
+// each must keep trying to reach the others. A daemon that stays unreachable for hours must be
+// removed.
 func TestUnreachableDaemonsAreRetried(t *testing.T) {
 	var now model.Instant
 	p := newPeers(Record{Address: "own", Incarnation: 1, Sequence: 1}, func() model.Instant { return now }, nil)
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -87,8 +87,9 @@
 	}
 }
 
-// recordResponse notes that the upstream responded, so it was running at that time. The
-// response may come from a new incarnation that has not reported yet.
+// recordResponse notes that the upstream responded, so it was running at that time. Only the
+// first response after a series of lost runs is stored. The response may come from a new
+// incarnation that has not reported yet.
 func (c *crashDetector) recordResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +144,7 @@
 }
 
 // removeRuns removes all lost runs of an incarnation. It returns the runs of the burst that pick
-// selects.
+// selects, or nil if the incarnation has no lost runs.
 func (c *crashDetector) removeRuns(i lifecycle.Incarnation, pick func([]burst) burst) []lostRun {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -24,26 +24,27 @@
 const (
 	// defaultDeadline applies if neither the caller nor the route sets a deadline.
 	defaultDeadline = 30 * time.Second
-	// defaultMaxBody limits request bodies, in bytes, if the configuration does not.
+	// defaultMaxBody limits the body of one request, in bytes, if the configuration does not.
 	defaultMaxBody = 64 << 20
 	// notReadyRetryAfter is the Retry-After value while no configuration has been loaded.
 	notReadyRetryAfter = 300 * time.Millisecond
-	// noUpstreamRetryAfter is the Retry-After value while no upstream is known. An
-	// upstream that starts reports within a second or two.
+	// noUpstreamRetryAfter is the Retry-After value while no upstream is known or while the
+	// daemon stops. An upstream that starts reports within a second or two.
 	noUpstreamRetryAfter = 500 * time.Millisecond
-	// minRetryAfter is the least Retry-After value while all upstreams are at capacity, or
-	// the memory for bodies is exhausted.
+	// minRetryAfter is the least Retry-After value, before it is jittered, while all upstreams
+	// are at capacity or the memory for bodies is exhausted.
 	minRetryAfter = 100 * time.Millisecond
 )
 
 // request is a caller's request and the state of its forwarding.
 type request struct {
 	httpRequest *http.Request
-	id          string
-	route       *route.Route
-	routeTable  *route.Table
-	service     model.ServiceName
-	body        []byte
+	// id is the caller's id of the request.
+	id         string
+	route      *route.Route
+	routeTable *route.Table
+	service    model.ServiceName
+	body       []byte
 	// buffer holds the body and accounts for its memory.
 	buffer    *bufferedBody
 	startedAt model.Instant
@@ -61,7 +62,7 @@
 	expectedTime time.Duration
 	// upstreamKey is the key of the upstream that was chosen last.
 	upstreamKey string
-	// cachedFingerprint is computed when it is first needed.
+	// cachedFingerprint is the result of the first call of fingerprint, nil before that call.
 	cachedFingerprint *quarantine.Fingerprint
 }
 
@@ -122,8 +123,8 @@
 	e.respond(w, req, e.forward(req))
 }
 
-// matchRoute finds the route, the service and the deadline of a request. It returns nil, or the
-// result with which the request is refused.
+// matchRoute finds the route, the service and the deadline of a request and stores them in req.
+// It returns nil, or the result with which the request is refused.
 func (e *entry) matchRoute(req *request, attempt Attempt) *Result {
 	table := e.daemon.config.table()
 	if table == nil {
@@ -152,8 +153,7 @@
 	return nil
 }
 
-// refuse returns a result that says that the request has not run and may be retried after
-// retryAfter.
+// refuse returns the result of a request that has not run and may be retried after retryAfter.
 func refuse(r outcome.Reason, retryAfter time.Duration) *Result {
 	result := notRunResult(r)
 	result.Outcome.RetryAfter = retryAfter
@@ -204,7 +204,7 @@
 	}
 }
 
-// respond sends the response to the caller and logs how the request ended.
+// respond sends the response to the caller. It also logs and counts how the request ended.
 func (e *entry) respond(w http.ResponseWriter, req *request, result *Result) {
 	elapsed := e.daemon.now().Sub(req.startedAt)
 	routeName := "none"
@@ -242,14 +242,14 @@
 	e.logOutcome(kind, req, routeName, result, status, elapsed)
 }
 
-// formatSeconds formats a duration for the Retry-After header, as seconds with a
-// fraction.
+// formatSeconds formats a Retry-After value as seconds with three decimals, at least 0.001.
 func formatSeconds(d time.Duration) string {
 	const digits, bits = 3, 64
 	return strconv.FormatFloat(math.Max(d.Seconds(), 0.001), 'f', digits, bits)
 }
 
-// logOutcome logs the outcome of a request. Of the answered requests, it logs only a sample.
+// logOutcome logs the outcome of a request. Of the answered requests, it logs only a sample and
+// those whose connection this daemon has closed.
 func (e *entry) logOutcome(k decision.Kind, req *request, routeName string, result *Result, status int, elapsed time.Duration) {
 	if k == decision.Answered && !req.connectionClosed() && !e.daemon.opts.Decisions.Sampled(req.id) {
 		return
@@ -265,19 +265,18 @@
 
 // serviceState is the state that the entry keeps for one service. mu protects all fields.
 type serviceState struct {
-	mu        sync.Mutex
-	placer    *placement.Placer
+	mu     sync.Mutex
+	placer *placement.Placer
+	// endpoints holds the endpoint of each candidate, by upstream key.
 	endpoints map[string]endpoint
-	// responded holds the keys of the candidates whose guards have replied to a load
-	// query.
+	// responded holds the keys of the candidates whose guards have replied to a load query.
 	responded map[string]bool
-	// candidatesGeneration is the generation of the records from which the candidates
-	// were taken.
+	// candidatesGeneration is peers.currentGeneration at the last update of the candidates.
 	candidatesGeneration uint64
 	candidatesLoaded     bool
 	retryLimiter         *retryLimiter
 	// callsPerRun is the average number of requests to other services that an upstream of
-	// this service sends while it serves one request.
+	// this service sends while it serves one request, as last reported by a guard.
 	callsPerRun float64
 }
 
@@ -306,8 +305,8 @@
 	}
 }
 
-// retriesLeft returns how many retries the most exhausted budget of a service still allows. It
-// returns 0 if no request has been sent to any service.
+// retriesLeft returns the smallest number of retries that the retry budget of any service still
+// allows. It returns 0 if no request has been sent to any service.
 func (e *entry) retriesLeft() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -320,8 +319,8 @@
 	return left
 }
 
-// refreshCandidates updates the candidates of a service if the records or the reachability of
-// daemons have changed since the last update. s.mu is held.
+// refreshCandidates updates the candidates of a service and removes all others from s.responded
+// if the records or the reachability of daemons have changed since the last update. s.mu is held.
 func (e *entry) refreshCandidates(s *serviceState, name model.ServiceName) {
 	generation := e.daemon.peers.currentGeneration()
 	if s.candidatesLoaded && generation == s.candidatesGeneration {
@@ -346,19 +345,20 @@
 const (
 	// defaultServiceTime is assumed for a route without a known service time.
 	defaultServiceTime = 50 * time.Millisecond
-	// serviceTimeWeight is the weight of one request in the mean, which covers about 16 requests.
+	// serviceTimeWeight is the weight of the newest request in the mean of about 16 requests.
 	serviceTimeWeight = 1.0 / 16
-	// maxServiceTimes limits the number of routes whose service time is kept.
+	// maxServiceTimes limits the kept service times. All are discarded before one more is added.
 	maxServiceTimes = 4096
 	// serviceTimeMaxAge is how long after its last update a service time is used unchanged.
 	// Upstreams may have been slow when the service time was measured. It may then exceed the
 	// deadline of every later request. If all these requests were refused as too long, no
 	// response would ever correct the service time.
 	serviceTimeMaxAge = time.Second
-	// staleServiceTimeShare limits an older service time to this share of the time left for a
-	// request. Requests are then sent, and their responses correct the service time.
+	// staleServiceTimeShare limits a service time older than serviceTimeMaxAge to this share of the
+	// time left for a request. Requests are then sent, and their responses correct the service time.
 	staleServiceTimeShare = 1.0 / 3
-	// staleFactor limits an older mean to this multiple of the next measured service time.
+	// staleFactor limits a mean that is older than serviceTimeMaxAge to this multiple of the next
+	// measured service time, before that is included in the mean.
 	staleFactor = 2
 )
 
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// maxUndelivered is how many attempts may fail to reach an upstream before the
-	// request is refused.
+	// maxUndelivered is how many attempts of a request may fail to reach an upstream. After one
+	// more, no further attempt is started.
 	maxUndelivered = 6
 	// maxAttemptsPerRequest limits the attempts of a request regardless of its route.
 	maxAttemptsPerRequest = 64
@@ -62,8 +62,10 @@
 	entry        *entry
 	request      *request
 	serviceState *serviceState
-	serviceTime  time.Duration
-	results      chan attemptResult
+	// serviceTime is the service time that is assumed for the request.
+	serviceTime time.Duration
+	// results receives the result of each attempt.
+	results chan attemptResult
 	// unacknowledged receives the attempts that were not acknowledged in time.
 	unacknowledged chan *attemptState
 	inFlight       []*attemptState
@@ -73,7 +75,8 @@
 	mayHaveRun bool
 	// deliveredCount counts the attempts that reached an upstream or may have reached one.
 	deliveredCount int
-	startedCount   int
+	// startedCount counts the attempts that were started.
+	startedCount int
 	// undeliveredCount counts the attempts that ended without reaching an upstream.
 	undeliveredCount int
 	// queueFullCount counts the attempts that guards rejected for lack of capacity, that is with
@@ -85,11 +88,11 @@
 	lateHedgeScheduled bool
 }
 
-// maxAttempts returns the largest number of upstreams that the request may be sent to.
+// maxAttempts returns how many attempts of the request may reach an upstream.
 func (r *request) maxAttempts() int { return min(r.route.MaxAttempts, maxAttemptsPerRequest) }
 
 // forward sends a request to upstreams until one has responded or no further attempt is
-// allowed.
+// allowed. It returns the result of the request.
 func (e *entry) forward(req *request) *Result {
 	s := e.serviceStateOf(req.service)
 	s.retryLimiter.countRequest(req.startedAt)
@@ -108,7 +111,9 @@
 	return f.waitForResult()
 }
 
-// waitForResult waits for results until the request has ended, and returns its result.
+// waitForResult waits for the results of attempts until the request has ended, and returns the
+// result of the request. Meanwhile, it hedges the request when a hedge timer fires or an attempt
+// is not acknowledged in time.
 func (f *forwarder) waitForResult() *Result {
 	timer := time.NewTimer(f.hedgeDelay(hedgeFactor))
 	defer timer.Stop()
@@ -147,6 +152,7 @@
 }
 
 // hedgeDelay returns the time until the oldest attempt in flight may be hedged, at least 1 ms.
+// factor is hedgeFactor or lateHedgeFactor.
 func (f *forwarder) hedgeDelay(factor float64) time.Duration {
 	due := f.inFlight[0].sentAt.Add(time.Duration(factor*float64(f.inFlight[0].choice.Expected)) + hedgeMargin)
 	return max(due.Sub(f.entry.daemon.now()), time.Millisecond)
@@ -162,7 +168,8 @@
 }
 
 // shutdownResult returns the result of a request that has an attempt in flight when the daemon
-// ends. If the result of an attempt has arrived already, it is used.
+// ends. If the result of an attempt has arrived already and ends the request, shutdownResult
+// returns it.
 func (f *forwarder) shutdownResult() *Result {
 	select {
 	case finished := <-f.results:
@@ -192,7 +199,7 @@
 	return unknownResult(reason)
 }
 
-// cancelAll cancels the attempts in flight.
+// cancelAll cancels the attempts in flight and tells the placer that they have ended.
 func (f *forwarder) cancelAll() {
 	for _, attempt := range f.inFlight {
 		attempt.cancel()
@@ -244,7 +251,8 @@
 }
 
 // recordResult updates the state of the upstream, the service time of the route and the counts
-// of the request from the result of an attempt.
+// of the request from the result of an attempt. It refunds the retry charge of an attempt that
+// did not reach an upstream.
 func (f *forwarder) recordResult(attempt *attemptState, result *Result) {
 	now := f.entry.daemon.now()
 	f.serviceState.mu.Lock()
@@ -363,7 +371,9 @@
 	}, extra...)...)
 }
 
-// finalResult returns the result of the request when no further attempt is allowed.
+// finalResult returns the result of the request when no further attempt is allowed. This is
+// an earlier response of an upstream, or else an unknown outcome if an attempt may have run, or
+// else a refusal.
 func (f *forwarder) finalResult() *Result {
 	if f.bestFailure != nil && (f.mayHaveRun || f.bestFailure.Outcome.Kind == outcome.Answered) {
 		if f.bestFailure.Outcome.Kind == outcome.NotRun {
--- a/sidecar/guard.go
+++ b/sidecar/guard.go
@@ -40,6 +40,7 @@
 	isUrgent func(rank int) bool
 	// onPanic is called with the recovered value after a panic while a request was served.
 	onPanic func(component, requestID string, v any)
+	// service is the service that the local upstream belongs to.
 	service model.ServiceName
 	metrics *metrics
 
@@ -102,8 +103,9 @@
 	return hop.NewPool(g.opts.Addresses.Upstream, hop.PoolOptions{OnDial: g.metrics.countUpstreamConn})
 }
 
-// handleReport applies a status report of the upstream and returns its effect. cause says in the
-// log where the report came from.
+// handleReport applies a status report of the upstream and returns its effect. If the report
+// shows that a new incarnation has replaced a ready one, the previous incarnation has crashed, and
+// handleReport passes it to the crash detector. cause says in the log where the report came from.
 func (g *guard) handleReport(r lifecycle.Report, cause string) lifecycle.Effect {
 	g.mu.Lock()
 	previous := g.tracker.Current()
@@ -135,8 +137,8 @@
 	return effect
 }
 
-// restoreDeparted marks incarnations as departed that have departed according to the records of
-// other daemons.
+// restoreDeparted marks as departed the incarnations that the records of other daemons list as
+// departed.
 func (g *guard) restoreDeparted(departed []lifecycle.Incarnation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -150,8 +152,9 @@
 		slog.String("state", r.State.String()), slog.String("cause", cause))
 }
 
-// applyReport sets the concurrency limit from the newest report. If a new incarnation has
-// started, it also resets what the guard knows of the upstream. g.mu is held.
+// applyReport sets the concurrency limit from the newest report, which had the given effect on
+// the tracker. If a new incarnation has started, applyReport also replaces the connection pool
+// and resets slowdownReported and the failure rate. g.mu is held.
 func (g *guard) applyReport(effect lifecycle.Effect) {
 	if effect != lifecycle.Started && effect != lifecycle.Changed {
 		return
@@ -293,7 +296,8 @@
 	return a.ID == b.ID && (a.Born == b.Born || a.Born == 0 || b.Born == 0)
 }
 
-// logRejection counts and logs the rejection of a call.
+// logRejection counts and logs the rejection of a call. expectedTime is how long the call was
+// expected to take here, zero for a call that was rejected while it waited.
 func (g *guard) logRejection(c *Call, reason string, expectedTime time.Duration) {
 	g.metrics.rejected.Inc(1)
 	g.mu.Lock()
@@ -323,7 +327,7 @@
 }
 
 // dequeueResult returns nil if a call left the queue to start. Otherwise it returns the result
-// of the rejection.
+// of the rejection, and logs the rejection unless its reason is the deadline.
 func (g *guard) dequeueResult(c *Call, reason slots.DequeueReason) *Result {
 	switch reason {
 	case slots.Start:
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -8,8 +8,9 @@
 	"github.com/dottereltiller/dottereltiller/core/placement"
 )
 
-// withLoad returns a copy of the result with the load of the upstream and the version of
-// the configuration. The load is omitted if the call was meant for another upstream.
+// withLoad returns a copy of the result with the load of the upstream, the calls per run and the
+// version of the configuration. If the call was meant for another upstream, only the version is
+// set.
 func (g *guard) withLoad(result *Result) *Result {
 	out := *result
 	out.Version = g.configVersion()
@@ -34,14 +35,16 @@
 const (
 	// slowdownMaxAge is how long a slowdown that the upstream reported is used unchanged.
 	slowdownMaxAge = time.Second
-	// slowdownHalfLife is the time in which the difference of an older slowdown from 1 halves.
+	// slowdownHalfLife is the time in which a slowdown that is older than slowdownMaxAge moves
+	// halfway to 1.
 	// Without this decay, a slowdown that causes every call to be rejected would never be
 	// corrected, because no response would report a new one.
 	slowdownHalfLife = 500 * time.Millisecond
 )
 
-// currentSlowdown returns the service time of the upstream relative to the usual one, as last
-// reported and decayed since then. g.mu is held.
+// currentSlowdown returns the slowdown of the upstream, that is its service time divided by its
+// usual service time. This is the latest reported value, which decays towards 1 once it is older
+// than slowdownMaxAge. g.mu is held.
 func (g *guard) currentSlowdown() float64 {
 	pastMaxAge := g.now().Sub(g.slowdownAt) - slowdownMaxAge
 	if pastMaxAge <= 0 {
--- a/sidecar/guardstop.go
+++ b/sidecar/guardstop.go
@@ -8,8 +8,8 @@
 	"github.com/dottereltiller/dottereltiller/core/slots"
 )
 
-// setStopDeadline sets when the stopping daemon ends. From now on the guard rejects calls that
-// may not finish before the deadline.
+// setStopDeadline sets when the stopping daemon ends at the latest. Once the deadline
+// is set, the guard rejects calls that might still be running at the deadline.
 func (g *guard) setStopDeadline(deadline model.Instant) {
 	g.mu.Lock()
 	g.stopDeadline = deadline
@@ -20,8 +20,8 @@
 // duration. A stopping daemon does not start a request that it might have to abort.
 const maxDurationFactor = 3
 
-// endsBeforeStop reports whether a call is sure to end before the daemon does. g.mu is
-// held.
+// endsBeforeStop reports whether a call will end before the daemon does, even if it takes the
+// longest duration that is assumed (see maxDurationFactor). g.mu is held.
 func (g *guard) endsBeforeStop(c *Call) bool { return g.spareTime(c.ServiceTime, c.Deadline) >= 0 }
 
 // spareTime returns the time between the latest possible end of a request and the end of the
@@ -35,9 +35,9 @@
 	return g.stopDeadline.Sub(g.now()) - maxDuration
 }
 
-// refuseIfTooLong returns a refusal for a request that may not finish before the daemon ends.
-// The Retry-After value is the time until the daemon has been replaced. For any other request,
-// it returns nil.
+// refuseIfTooLong returns a refusal for a request that might still be running when the daemon
+// ends. The Retry-After value is the time until a new daemon has presumably replaced this one.
+// For any other request, refuseIfTooLong returns nil.
 func (g *guard) refuseIfTooLong(serviceTime, timeLeft time.Duration) *Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/sidecar/healthcheck.go
+++ b/sidecar/healthcheck.go
@@ -43,7 +43,8 @@
 }
 
 // checkHealth sends a health check to the upstream and records the load from the response. It
-// returns true if the upstream responded with status 200.
+// returns what the upstream reported in the headers, and true if the status is 200. Without a
+// path for health checks or without a response, it returns false.
 func (g *guard) checkHealth(timeout time.Duration) (ResponseInfo, bool) {
 	path := g.healthPath()
 	if path == "" {
@@ -65,7 +66,8 @@
 }
 
 // discoverUpstream identifies the running upstream by a health check. A daemon that starts after
-// its upstream then need not wait for the next status report.
+// its upstream then need not wait for the next status report. If a status report has
+// arrived first, the health response does not replace it.
 func (g *guard) discoverUpstream() {
 	r, healthy := g.checkHealth(startHealthCheckTimeout)
 	if !healthy || r.Instance == "" {
--- a/sidecar/keepalive_test.go
+++ b/sidecar/keepalive_test.go
@@ -265,7 +265,8 @@
 	}
 }
 
-// changeReports reports changing states, slots and incarnations of an upstream.
+// changeReports reports changing states, slots and incarnations of an upstream until the context
+// ends.
 func changeReports(ctx context.Context, m *member, id string) {
 	for born := int64(2); ctx.Err() == nil; born++ {
 		for seq := uint64(1); seq < 4; seq++ {
@@ -283,7 +284,8 @@
 	}
 }
 
-// changeConfiguration publishes versions with different limits and retry budgets.
+// changeConfiguration publishes configurations with random idle timeouts, attempt limits and
+// target latencies, and sets random retry budgets, until the context ends.
 func changeConfiguration(ctx context.Context, s *store, members []*member) {
 	for version := model.Version(2); ctx.Err() == nil; version++ {
 		doc := documentOf(version, "a")
--- a/sidecar/loadquery.go
+++ b/sidecar/loadquery.go
@@ -33,7 +33,7 @@
 	upstreams []placement.Upstream
 	// rank is the rank of the request for which an upstream is to be chosen.
 	rank int
-	// kind is the kind of that request.
+	// kind identifies the route of that request.
 	kind slots.Kind
 	// timeout limits the wait for replies.
 	timeout time.Duration
@@ -41,8 +41,8 @@
 	// lateReplyWindow.
 	onLate func(queryReply)
 	// tooFar reports whether the reply about an upstream cannot arrive within the timeout, for
-	// instance from another region. The query does not wait for such a reply but passes it to
-	// onLate.
+	// instance because the upstream is in another region. queryLoads does not wait for such a
+	// reply. When the reply arrives, it is passed to onLate.
 	tooFar func(placement.Upstream) bool
 }
 
@@ -186,8 +186,9 @@
 	maxUint8  = 1<<8 - 1
 )
 
-// appendLoad appends an encoded load to b: five 16-bit numbers, the failure rate in hundredths,
-// and two reserved bytes.
+// appendLoad appends an encoded load to b. Running, Waiting, Limit, the slowdown in hundredths
+// and its age in milliseconds take 16 bits each. A byte for the failure rate in hundredths and
+// two reserved bytes follow. Numbers that do not fit are replaced by the largest that does.
 func appendLoad(b []byte, l placement.Load) []byte {
 	for _, n := range []int{l.Running, l.Waiting, l.Limit, int(l.Slowdown * ratioScale), int(l.SlowdownAge.Milliseconds())} {
 		b = binary.BigEndian.AppendUint16(b, uint16(min(max(n, 0), maxUint16)))
--- a/sidecar/panics.go
+++ b/sidecar/panics.go
@@ -24,7 +24,8 @@
 	})
 }
 
-// recordPanic logs and counts a panic that happened while a request was served.
+// recordPanic logs and counts a panic that happened while a request was served. component names
+// the server in whose handler it happened, or is attemptComponent. v is the recovered value.
 func (d *Daemon) recordPanic(component, requestID string, v any) {
 	d.metrics.panics.Inc(1)
 	d.opts.Decisions.Write(decision.Aborted, requestID, slog.String("part", component),
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -72,7 +72,7 @@
 }
 
 // check returns the result with which a quarantined request is refused, and nil for any other
-// request. Crashes that other daemons report after the check affect only further attempts of the
+// request. Crashes that other daemons report after the check affect only later attempts of the
 // request.
 func (q *crashQuarantine) check(req *request) *Result {
 	if !q.store.HasRecords() {
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -109,6 +109,7 @@
 	require.False(t, b.quarantine.store.HasRecords())
 }
 
+// incarnation returns the incarnation of the upstream "u" with the given start time.
 func incarnation(born int64) lifecycle.Incarnation {
 	return lifecycle.Incarnation{ID: "u", Born: born}
 }
@@ -210,6 +211,7 @@
 	require.Equal(t, []string{"crashed", "concurrent"}, reported)
 }
 
+// TestLostRunsAreLimited checks that the crash detector keeps at most maxLostRuns lost runs.
 func TestLostRunsAreLimited(t *testing.T) {
 	up := newUpstream(t, "u")
 	c := &crashDetector{address: up.address(), now: func() model.Instant { return 0 }, onCrash: func(lostRun) {}}
--- a/sidecar/reach.go
+++ b/sidecar/reach.go
@@ -16,8 +16,8 @@
 // stop.
 var errStopped = errors.New("stopped as planned")
 
-// longestUnreachable returns the longest time for which a peer that is unreachable now has been
-// unreachable. It returns zero if all peers are reachable.
+// longestUnreachable returns how long the unreachable peers have been unreachable, as the maximum
+// over these peers. It returns zero if all peers are reachable.
 func (p *peers) longestUnreachable() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,14 +57,16 @@
 	p.schedulePush(other)
 }
 
-// markUnreachable marks a peer as unreachable. p.mu is held.
+// markUnreachable marks a peer as unreachable, so that its upstream is no longer a candidate. It
+// logs err as the reason. p.mu is held.
 func (p *peers) markUnreachable(other *peer, err error) {
 	other.unreachable, other.unreachableSince = true, p.now()
 	p.generation++
 	p.decisions.Write(decision.PeerUnreachable, "", slog.String("peer", other.record.Address), slog.String("error", err.Error()))
 }
 
-// markReachable marks a peer as reachable again. p.mu is held.
+// markReachable marks an unreachable peer as reachable again, logs this and calls onReachable.
+// It does nothing if the peer is reachable already. p.mu is held.
 func (p *peers) markReachable(other *peer) {
 	if !other.unreachable {
 		return
--- a/sidecar/receive.go
+++ b/sidecar/receive.go
@@ -10,6 +10,7 @@
 
 // datagram is a received datagram.
 type datagram struct {
+	// id is chosen by the sender of a query. The reply has the same id.
 	id uint32
 	// version is the version of the configuration in force at the sender.
 	version model.Version
@@ -49,14 +50,16 @@
 	}
 }
 
-// handleLoadQuery replies with the load of the local upstream.
+// handleLoadQuery replies with the load of the local upstream. A query of the wrong length is
+// ignored.
 func (a *datagrams) handleLoadQuery(m datagram) {
 	if len(m.raw) == loadQueryBytes {
 		go a.sendLoad(m.id, decodeLoadQuery(m.raw), m.sender)
 	}
 }
 
-// handleLoadReply passes a load reply to the query that waits for it.
+// handleLoadReply passes a load reply to the query that waits for it. A reply of the wrong length
+// is ignored.
 func (a *datagrams) handleLoadReply(m datagram) {
 	if len(m.raw) == loadReplyBytes {
 		a.deliverReply(m.id, decodeLoad(m.raw), m.version)
@@ -64,7 +67,8 @@
 }
 
 // handleHeartbeat records the heartbeat of a daemon that watches the store of the configuration.
-// The body is a byte, 1 if the sender reaches the store, and the address of the sender.
+// The body is a byte, 1 if the sender reaches the store, and the address of the sender. An empty
+// body is ignored.
 func (a *datagrams) handleHeartbeat(m datagram) {
 	body := m.body()
 	if len(body) == 0 {
@@ -93,6 +97,7 @@
 }
 
 // handleRecordPush stores the record that another daemon sent about itself, and acknowledges it.
+// A datagram that does not hold exactly one record with an address is ignored.
 // An outdated record is not acknowledged. Its sender then sends it over a connection, and learns
 // from the reply that its clock was set back. New records from remote zones are relayed in the
 // local zone.
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -21,7 +21,9 @@
 type retryLimiter struct {
 	mu     sync.Mutex
 	budget RetryBudget
-	slack  float64
+	// slack is the part of budget.Slack that is used, for all daemons together.
+	slack float64
+	// window counts the requests and the retries of the last budget.Span.
 	window *retry.WindowBudget
 }
 
@@ -65,7 +67,7 @@
 // budgetShareAfterStarts returns the share of the budget that may be used while startedFraction
 // of the daemons have started recently. Before the restarts, all daemons may have used
 // retryBudgetMargin of the budget. Those that restarted have lost their counts. What they use
-// again must fit into the rest of the budget. If up to a third of the daemons restart, the share
+// again must fit into the rest of the budget. If up to a third of the daemons restart, the result
 // stays 1.
 func budgetShareAfterStarts(startedFraction float64) float64 {
 	return min(1, (1/retryBudgetMargin-1)/startedFraction)
--- a/sidecar/retries_test.go
+++ b/sidecar/retries_test.go
@@ -17,6 +17,7 @@
 	a := startReady(t, s, "a", "a1")
 	caller, callee := a.entry.serviceStateOf("caller"), a.entry.serviceStateOf("callee")
 	caller.callsPerRun = 4
+	// If the daemon had just started, it could use only a part of the budget.
 	a.peers.local.Incarnation -= time.Hour.Milliseconds()
 	now := a.now()
 	takenCount := 0
@@ -40,6 +41,7 @@
 	a := startReady(t, s, "a", "a1")
 	caller, callee := a.entry.serviceStateOf("caller"), a.entry.serviceStateOf("callee")
 	now := a.now()
+	// If the daemon had just started, it could use only a part of the budget.
 	a.peers.local.Incarnation -= time.Hour.Milliseconds()
 	require.True(t, callee.retryLimiter.tryCharge(now, 0, 1, 0))
 	before := callee.retryLimiter.remaining(now)
@@ -58,7 +60,8 @@
 }
 
 // TestRetriesWhileCallsPerRunChanges takes retries while the number of nested calls is
-// updated concurrently. The race detector checks that the value is read under its lock.
+// updated concurrently. The race detector checks that the number is read under its lock. The
+// retries must not increase the remaining budget of the called service.
 func TestRetriesWhileCallsPerRunChanges(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -22,11 +22,12 @@
 	// that must not run twice. An upstream that has closed an idle connection resets it on the
 	// next request. It is then unknown whether the request ran.
 	maxIdleNonIdempotent = time.Second
-	// noLoadRecheckInterval is the pause in health checks after an upstream responded without
-	// reporting its load. It applies to the health checks that serve to obtain the load. Most
-	// such upstreams never report it, and each health check is one more request to them.
+	// noLoadRecheckInterval is how long the guard waits after a response without a load before
+	// it sends a health check to obtain the load. Most upstreams that omit their load never
+	// report it, and each health check is one more request to them.
 	noLoadRecheckInterval = 10 * time.Second
-	// failingRate is the failure rate at which the upstream is logged as failing.
+	// failingRate is the failure rate (see placement.FailureRate) at which the upstream is logged
+	// as failing.
 	failingRate = 0.5
 	// recoveredRate is the failure rate at which a failing upstream is logged as recovered. It
 	// is lower than failingRate so that random fluctuation does not cause many log entries.
@@ -36,8 +37,9 @@
 	minTimeLeft = 2 * time.Millisecond
 )
 
-// runCall sends a call to the upstream and stores the result. It does not send a call that was
-// cancelled or whose deadline is too close. arrivedAt is when the call arrived.
+// runCall sends a call to the upstream and stores the result in attempt. It does not send a call
+// that was cancelled, whose sender has disconnected or whose deadline is too close. At the end,
+// it frees the slot of the call for waiting calls. arrivedAt is when the call arrived.
 func (g *guard) runCall(ctx context.Context, c *Call, attempt *attempt, arrivedAt model.Instant) *Result {
 	timeLeft := c.Deadline - g.now().Sub(arrivedAt)
 	result := notRunResult(outcome.ReasonDeadline)
@@ -57,8 +59,9 @@
 }
 
 // sendToUpstream sends a call to the upstream and returns the result. It updates the metrics,
-// the failure rate and the state of the upstream. timeLeft is the time until the deadline of the
-// call. waited is the time since the call arrived.
+// the failure rate, the state of the upstream and the crash detector, and logs the execution.
+// timeLeft is the time until the deadline of the call. waited is the time from the arrival of
+// the call until now.
 func (g *guard) sendToUpstream(ctx context.Context, c *Call, timeLeft, waited time.Duration) *Result {
 	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
@@ -98,7 +101,8 @@
 }
 
 // serviceTimeOf returns how long an execution that took the given duration would have taken at
-// slowdown 1. If the upstream does not report its slowdown, it returns the duration unchanged.
+// slowdown 1, that is in an upstream that is as fast as usual. If the upstream does not
+// report its slowdown, serviceTimeOf returns the duration unchanged.
 func (g *guard) serviceTimeOf(duration time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +128,8 @@
 }
 
 // interpretResponse returns the result of a call, given the response or the error. If there is a
-// response, info holds what the upstream reported in its headers.
+// response, info holds what the upstream reported in its headers. interpretResponse stores the
+// load from info, and calls handleWrongUpstream if a different upstream responded.
 func (g *guard) interpretResponse(ctx context.Context, c *Call, info ResponseInfo, reply *hop.PoolResponse, err error) *Result {
 	var requestErr *hop.RequestError
 	if errors.As(err, &requestErr) {
@@ -155,7 +160,9 @@
 }
 
 // handleWrongUpstream is called when a different upstream, with the id respondingID, has
-// responded at the address of the local upstream. It marks the expected upstream as departed.
+// responded at the address of the local upstream. It marks the expected upstream as departed,
+// unless the call was meant for an upstream that has been replaced already, or respondingID is
+// the id of the current upstream.
 func (g *guard) handleWrongUpstream(c *Call, respondingID model.UpstreamID) {
 	g.mu.Lock()
 	current := g.tracker.Current()
@@ -169,7 +176,8 @@
 	g.logUpstreamState(current, "address taken by "+string(respondingID))
 }
 
-// recordLoad stores the load that the upstream reported. l is nil if it reported none.
+// recordLoad stores the load that the upstream reported. If it reported none, l is nil, and the
+// next health check is postponed, unless an earlier response had a slowdown.
 func (g *guard) recordLoad(l *UpstreamLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -192,7 +200,7 @@
 func (g *guard) loadUnreported() bool { return !g.slowdownReported && g.now() < g.nextHealthCheck }
 
 // recordOutcome updates the failure rate of the upstream. It logs when the upstream starts to
-// fail and when it recovers. Cancelled calls are ignored.
+// fail and when it recovers. A call with an unknown outcome is ignored if it was cancelled.
 func (g *guard) recordOutcome(ctx context.Context, result *Result) {
 	failed := false
 	switch {
@@ -213,13 +221,15 @@
 	}
 }
 
-// logFailureChange logs that the upstream is failing or has recovered. g.mu is held.
+// logFailureChange logs that the upstream is failing or has recovered, and sets failingLogged
+// accordingly. g.mu is held.
 func (g *guard) logFailureChange(k decision.Kind, rate float64) {
 	g.failingLogged = k == decision.UpstreamFailing
 	g.opts.Decisions.Write(k, "", slog.String("upstream", string(g.tracker.Current().ID)), slog.Float64("failing", rate))
 }
 
-// logRun logs the execution of a call. Of the successful executions, it logs only a sample.
+// logRun logs the execution of a call. Of the executions that succeeded, that is with a status
+// below 500, it logs only a sample. running is the number of running calls at its start.
 func (g *guard) logRun(c *Call, result *Result, err error, waited, duration time.Duration, running int) {
 	attrs := []slog.Attr{slog.String("upstream", string(c.Upstream.ID)), slog.Int("status", result.Status), slog.Int64("ran_ms", duration.Milliseconds())}
 	if result.Outcome.Kind == outcome.Answered && result.Status < http.StatusInternalServerError {
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -14,21 +14,22 @@
 
 const (
 	// ackTimeout is how long another daemon may take to acknowledge a call. It covers a round
-	// trip between regions, acknowledgeAfter, and a scheduling delay.
+	// trip between regions, the wait of acknowledgeAfter at the other daemon, and a scheduling
+	// delay.
 	ackTimeout = 120 * time.Millisecond
 	// outcomeQueryFactor and outcomeQueryMargin determine when the outcome of an attempt that
 	// must not run twice is queried over a new connection. The query is sent if there is no
 	// result after the query delay. The query delay is outcomeQueryFactor times the expected
-	// time plus outcomeQueryMargin.
+	// time of the attempt plus outcomeQueryMargin.
 	outcomeQueryFactor = 3
 	// outcomeQueryMargin is the constant part of the query delay.
 	outcomeQueryMargin = 250 * time.Millisecond
-	// outcomeQueryRetryDelay is the pause after an outcome query that did not reach the guard.
-	// Then the query is repeated.
+	// outcomeQueryRetryDelay is the pause before an outcome query that did not reach the guard
+	// is repeated.
 	outcomeQueryRetryDelay = 250 * time.Millisecond
 )
 
-// startAttempt sends an attempt in the background.
+// startAttempt sends an attempt in the background. Its result goes to f.results.
 func (f *forwarder) startAttempt(attempt *attemptState) {
 	ctx, cancel := context.WithCancel(f.request.ctx)
 	now := f.entry.daemon.now()
@@ -92,8 +93,9 @@
 	return e.sendNonIdempotent(ctx, pool, attempt, c)
 }
 
-// sendOnConnection sends a call over a pooled connection. It returns false if the
-// connection broke after the call may have been sent.
+// sendOnConnection sends a call over a connection of the pool. It returns false if the
+// connection broke after the call may have been sent. If a new connection fails, it marks the
+// daemon as unreachable.
 func (e *entry) sendOnConnection(ctx context.Context, pool *hop.Pool, attempt *attemptState, c *Call) (*Result, bool) {
 	h := endToEndHeaders(c.Header)
 	h.Set(callHeader, c.encode())
@@ -192,7 +194,7 @@
 // the attempt. Later, dropExpiredProof returns an unknown outcome instead.
 //
 // sentAt is when the call was sent, by bootClock. The deadline of the call cannot replace this
-// check, because its clock stops while this VM is suspended.
+// check, because the clock by which the deadline is measured stops while this VM is suspended.
 func (e *entry) dropExpiredProof(result *Result, sentAt time.Duration, c *Call) *Result {
 	if result.Outcome.Kind == outcome.NotRun && e.bootClock()-sentAt > retentionPeriod(c.Deadline) {
 		return unknownResult(outcome.ReasonConnectionLost)
@@ -201,8 +203,8 @@
 }
 
 // queryOutcome sends an outcome query to the guard of an attempt. The guard cancels the call if
-// it has not started, and returns the outcome. queryOutcome returns false if the guard was not
-// reached.
+// it has not started, and waits for its end if it is running. Then the guard returns the
+// outcome. queryOutcome returns false if the guard was not reached.
 func (e *entry) queryOutcome(ctx context.Context, pool *hop.Pool, attempt *attemptState, c *Call) (*Result, bool) {
 	e.daemon.metrics.resolved.Inc(1)
 	result, reached := sendResolveRequest(ctx, pool, resolveRequest{key: c.Key(), incarnation: attempt.endpoint.daemonIncarnation, timeLeft: c.Deadline})
--- a/sidecar/stopping_test.go
+++ b/sidecar/stopping_test.go
@@ -114,7 +114,8 @@
 }
 
 // TestStoppingDaemonRefusesLongRequests sends a long request to a stopping daemon. Such a
-// request may arrive on a connection that was opened before the stop.
+// request may arrive on a connection that was opened before the stop. The daemon must refuse it
+// with a Retry-After value, and still serve short requests.
 func TestStoppingDaemonRefusesLongRequests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, _ := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
--- a/sidecar/traffic.go
+++ b/sidecar/traffic.go
@@ -32,9 +32,9 @@
 // controlTraffic counts the bytes of control messages between daemons by kind. Calls are not
 // included. Messages over HTTP are counted without headers, by the daemon that serves them.
 type controlTraffic struct {
-	// datagrams holds a counter for each kind of datagram.
+	// datagrams holds the counters of datagrams, by kind.
 	datagrams map[byte]byteCounter
-	// messages holds a counter for each path of a control message over HTTP.
+	// messages holds the counters of control messages over HTTP, by path.
 	messages map[string]byteCounter
 }
 
@@ -74,7 +74,7 @@
 }
 
 // countMessage counts an HTTP control message. It returns a ResponseWriter that counts the
-// response.
+// response. A request with any other path is not counted, and w is returned unchanged.
 func (t *controlTraffic) countMessage(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	c, ok := t.messages[r.URL.Path]
 	if !ok {
--- a/sidecar/unanswered_test.go
+++ b/sidecar/unanswered_test.go
@@ -68,6 +68,7 @@
 	reader *bufio.Reader
 }
 
+// dialCallers opens a connection to the address at which a daemon accepts callers.
 func dialCallers(t *testing.T, m *member) *callerConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", m.opts.Addresses.Callers)
@@ -127,8 +128,8 @@
 	return m, l, caller
 }
 
-// TestAbortedRequestsAreLogged closes the servers of a daemon while a request is in
-// flight.
+// TestAbortedRequestsAreLogged closes the server for callers while a request is in flight. The
+// daemon must log the request once, as failed with a closed connection, and count it.
 func TestAbortedRequestsAreLogged(t *testing.T) {
 	m, l, caller := startWithRunningRequest(t)
 	m.callerServer.close()
@@ -219,7 +220,8 @@
 }
 
 // TestRequestsAfterTheEndOfAStopAreRefused sends a request to a daemon that accepts no
-// more requests but has not closed its connections yet.
+// more requests but has not closed its connections yet. The daemon must refuse the request with
+// a Retry-After value and not forward it.
 func TestRequestsAfterTheEndOfAStopAreRefused(t *testing.T) {
 	m := joinWithLog(t, newStore(documentOf(1, "a")), "a1", &logRecorder{})
 	caller := dialCallers(t, m)
@@ -273,7 +275,8 @@
 func (panickingCodec) WriteRequestInfo(http.Header, RequestInfo) { panic("broken") }
 
 // TestPanicEndsOnlyItsRequest guards against a panic outside the HTTP handlers that ends
-// the process, and with it all requests in flight.
+// the process, and with it all requests in flight. The request must fail, the panic must be
+// logged, and the slot of the request must be released.
 func TestPanicEndsOnlyItsRequest(t *testing.T) {
 	for name, entryService := range map[string]model.ServiceName{"local upstream": "b", "upstream of another daemon": "a"} {
 		t.Run(name, func(t *testing.T) {
