--- a/sidecar/attempts.go
+++ b/sidecar/attempts.go
@@ -100,7 +100,8 @@
 }
 
 // evict removes the expired attempts. While the table is full, it also removes the attempts
-// closest to expiry. t.mu is held.
+// closest to expiry. An attempt that must stay (see canEvict) gets a later expiry instead. t.mu
+// is held.
 func (t *attemptTable) evict() {
 	now := t.now()
 	for len(t.byExpiry) > 0 {
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -17,6 +17,7 @@
 // the address of the upstream any longer, or a new incarnation reports although the previous one
 // had not deregistered. crashDetector is safe for concurrent use.
 type crashDetector struct {
+	// address is the address at which the upstream listens.
 	address string
 	now     func() model.Instant
 	// onCrash is called with each request that was running during a crash.
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -71,7 +71,7 @@
 	inFlight       []*attemptState
 	// excluded holds the keys of upstreams that are excluded from further attempts.
 	excluded map[string]bool
-	// mayHaveRun is set when an attempt has run or may have run.
+	// mayHaveRun is set once any attempt of the request has run or may have run.
 	mayHaveRun bool
 	// deliveredCount counts the attempts that reached an upstream or may have reached one.
 	deliveredCount int
--- a/sidecar/unanswered_test.go
+++ b/sidecar/unanswered_test.go
@@ -195,7 +195,8 @@
 }
 
 // TestRunningRequestsAreAnsweredAtTheEndOfTheGracePeriod guards against callers that get
-// no response because their requests run longer than a stopping daemon.
+// no response because their requests run longer than a stopping daemon. The status must be 502,
+// which says that the request may have run.
 func TestRunningRequestsAreAnsweredAtTheEndOfTheGracePeriod(t *testing.T) {
 	for _, upstreamService := range []string{"a", "b"} {
 		t.Run("upstream of service "+upstreamService, func(t *testing.T) {
