--- a/core/calltoken/token.go
+++ b/core/calltoken/token.go
@@ -11,7 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// MaxDepth is the maximum depth of nested calls.
+// MaxDepth is the maximum number of calls in a chain, including the outermost call.
+// The entry refuses a nested call whose token has a Depth of MaxDepth or more.
 const MaxDepth = 16
 
 // Token holds the properties that a nested call inherits from its parent call.
@@ -42,8 +43,9 @@
 	macBytes = 16
 	// maxLength is the maximum length of an encoded token in bytes.
 	maxLength = 1024
-	// keyLabel separates the signing key from other keys derived from the same
-	// secret.
+	// keyLabel is hashed together with the shared secret to derive the signing key.
+	// Keys that are derived from the same secret with other labels therefore differ
+	// from the signing key.
 	keyLabel = "dottereltiller call token"
 )
 
--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -7,7 +7,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Key identifies a ceiling.
+// Key identifies a ceiling: the limits of one group on requests to one service.
 type Key struct {
 	Service model.ServiceName
 	Group   model.GroupName
@@ -36,21 +36,21 @@
 	// initialPeriod begins when the reported demand of a daemon rises above zero.
 	// Reports of other daemons may still be on their way during this period.
 	initialPeriod = 3 * time.Second
-	// reportThreshold is the change of demand, relative to the reported demand,
-	// above which a daemon sends a new report.
+	// reportThreshold is the change of demand above which a daemon sends a new
+	// report, as a fraction of the demand in its previous report.
 	reportThreshold = 0.1
 	// reportInterval is the longest time between two reports of a daemon that has
 	// demand.
 	reportInterval = 3 * time.Second
-	// idleDemand is the demand in requests per second below which a daemon
-	// reports no demand.
+	// idleDemand is the demand in requests per second below which a daemon counts
+	// its demand as zero.
 	idleDemand = 0.01
 	// retryAfter is the wait time returned with a refused request.
 	retryAfter = time.Second
 )
 
-// Ceiling enforces one daemon's share of a ceiling. It is not safe for
-// concurrent use.
+// Ceiling enforces one daemon's share of the Limits that one group has for one
+// service. It is not safe for concurrent use.
 type Ceiling struct {
 	// key is the hash of the ceiling's Key.
 	key     uint64
@@ -73,10 +73,12 @@
 	lastRefill model.Instant
 
 	// demandSince is when the reported demand last rose above zero.
-	demandSince    model.Instant
+	demandSince model.Instant
+	// reportedDemand is the demand in this daemon's last report.
 	reportedDemand float64
-	reportedAt     model.Instant
-	hasReported    bool
+	// reportedAt is the time of this daemon's last report.
+	reportedAt  model.Instant
+	hasReported bool
 }
 
 // New returns a Ceiling for the daemon self. The argument key is the hash of the
@@ -116,7 +118,8 @@
 // Release ends a request that TryAcquire has admitted.
 func (c *Ceiling) Release() { c.inFlight-- }
 
-// Share returns this daemon's share of the rate and of the concurrency.
+// Share returns this daemon's shares of the limits: its requests per second and its
+// maximum number of requests in flight.
 func (c *Ceiling) Share() (rate float64, slots int) { return c.rate, c.slots }
 
 // Tick updates the demand and the shares. It must be called several times per
@@ -133,10 +136,12 @@
 	return r, due
 }
 
-// Merge stores the report of another daemon. It returns false if it does not store
-// the report. It ignores reports with an invalid demand, reports that name this
-// daemon itself, and reports that are not newer than the stored one. When reports
-// of maxDaemons daemons are stored, it also ignores reports of further daemons.
+// Merge stores the report of another daemon for this ceiling; it does not check the
+// report's Key. It returns false if it does not store the report. It ignores a report
+// whose demand is negative, infinite or NaN, a report that names this daemon itself,
+// and a report that is not newer than the stored report of the same daemon. When
+// reports of maxDaemons daemons are stored, it also ignores reports of all other
+// daemons.
 func (c *Ceiling) Merge(now model.Instant, r Report) bool {
 	if r.Daemon == c.self || !(r.Demand >= 0) || math.IsInf(float64(r.Demand), 0) {
 		return false
@@ -156,7 +161,8 @@
 	return out
 }
 
-// updateDemand adds the arrivals since the last tick to the moving average.
+// updateDemand adds the arrivals since the last tick to the moving average of demand.
+// It sets an average below idleDemand to zero.
 func (c *Ceiling) updateDemand(now model.Instant) {
 	elapsed := now.Sub(c.lastTick)
 	if elapsed <= 0 {
@@ -173,8 +179,8 @@
 
 // nextReport returns this daemon's report and true if a report is due. While the
 // daemon has demand, a report is due when the demand has changed by more than
-// reportThreshold, and when the last report is reportInterval old. When the demand
-// ends, the daemon sends a single report of zero.
+// reportThreshold since the last report, and when the last report is reportInterval
+// old. When the demand ends, the daemon sends a single report with a demand of zero.
 func (c *Ceiling) nextReport(now model.Instant, timestamp uint64) (Report, bool) {
 	changed := math.Abs(c.demand-c.reportedDemand) > reportThreshold*max(c.reportedDemand, idleDemand)
 	overdue := c.demand > 0 && now.Sub(c.reportedAt) >= reportInterval
@@ -193,7 +199,8 @@
 	return Report{Key: c.key, Daemon: c.self, Demand: float32(c.reportedDemand), Stamp: timestamp}, true
 }
 
-// updateShares computes this daemon's shares from the reports.
+// updateShares computes this daemon's shares from the reports. During initialPeriod
+// and without demand, the shares are those set by initialShare.
 func (c *Ceiling) updateShares() {
 	own := 0.0
 	if r, ok := c.reports.byDaemon[c.self]; ok {
--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -110,9 +110,10 @@
 	}
 }
 
-// TestRateCeilingError checks how far the admitted rate of twelve daemons is from
-// the ceiling. It checks the steady state, and the time in which all demand moves
-// from three daemons to six others.
+// TestRateCeilingError limits how far the rate that twelve daemons admit together may
+// be from the ceiling. While demand is steady, the error must be at most 5%. While all
+// demand moves from three daemons to six others, the rate must not exceed the ceiling
+// by more than 25%.
 func TestRateCeilingError(t *testing.T) {
 	const ceiling = 600
 	f := newFleet(12, Limits{Rate: ceiling})
@@ -138,6 +139,9 @@
 	}
 }
 
+// TestConcurrencyCeilingError limits how far the requests in flight at twelve daemons
+// may exceed a ceiling: by half until all reports have spread, and not at all
+// afterwards. The ceiling must then also be used up, except for one slot.
 func TestConcurrencyCeilingError(t *testing.T) {
 	const ceiling = 10
 	f := newFleet(12, Limits{Concurrency: ceiling})
@@ -179,6 +183,8 @@
 	})
 }
 
+// TestSilentDaemonIsExcluded removes one of three daemons with equal demand. When its
+// last report has expired, the two others must divide its share between them.
 func TestSilentDaemonIsExcluded(t *testing.T) {
 	f := newFleet(3, Limits{Rate: 300})
 	f.demand = []float64{300, 300, 300}
--- a/core/ceiling/reports.go
+++ b/core/ceiling/reports.go
@@ -65,7 +65,7 @@
 }
 
 // expire marks reports older than expireAfter as expired, and deletes those older
-// than deleteAfter. Reports of self never expire.
+// than deleteAfter. The report of the daemon self never expires.
 func (t *reportTable) expire(now model.Instant, self Daemon) {
 	for d, report := range t.byDaemon {
 		age := now.Sub(report.receivedAt)
@@ -91,11 +91,13 @@
 	return sum
 }
 
-// slotsOf returns the slots of one daemon when all slots are divided among the
-// daemons in proportion to demand. It uses the largest-remainder method. Each
-// daemon first gets its exact share rounded down. The slots that remain go to the
-// daemons with the largest remainders. Daemons that hold the same reports
-// therefore compute slots that add up to total.
+// slotsOf divides total slots among the daemons with unexpired reports, in proportion
+// to their demand, and returns the slots of the daemon self. It uses the
+// largest-remainder method. Each daemon first gets its exact share rounded down. The
+// slots that are left over go to the daemons with the largest remainders, one each;
+// of equal remainders, the daemon with the smaller identifier gets the slot. The
+// slots that daemons with the same reports compute therefore add up to total. slotsOf
+// returns 0 if no daemon has demand or if there is no unexpired report of self.
 func (t *reportTable) slotsOf(self Daemon, total int) int {
 	type share struct {
 		daemon    Daemon
--- a/core/claims/answer.go
+++ b/core/claims/answer.go
@@ -52,7 +52,8 @@
 }
 
 // retain stores the answer of a claim and evicts older answers to stay within the
-// limits. It reports whether the answer is still stored after that.
+// limits. It returns false if the answer is not stored in the end, because it exceeds
+// a limit by itself or was the one to be evicted.
 func (ac *answerCache) retain(c *claim, a *Answer) bool {
 	size := a.Size()
 	if size > ac.groupLimit || size > ac.totalLimit {
--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -11,8 +11,8 @@
 )
 
 // BenchmarkGrants simulates the grant renewals of many daemons for ten minutes of
-// virtual time. It reports the appends and bytes per second on the log, and the
-// time per call of Plan.
+// virtual time. It reports the records and the bytes that are appended to the log per
+// second of virtual time, and the real time per call of Plan.
 func BenchmarkGrants(b *testing.B) {
 	const (
 		simulatedTime = 10 * time.Minute
--- a/core/claims/codec.go
+++ b/core/claims/codec.go
@@ -17,11 +17,12 @@
 	kindTransfer   = 2
 	kindCheckpoint = 3
 
-	// maxItems is the maximum length of each list in a record.
+	// maxItems is the maximum length of each list and each string in a record.
 	maxItems = 1 << 16
 )
 
-// Encode returns the versioned binary encoding of the record.
+// Encode returns the versioned binary encoding of the record. It panics if no field
+// of the record is set.
 func (r Record) Encode() []byte {
 	var w writer
 	w.byte(recordVersion)
@@ -42,7 +43,8 @@
 	return w.b
 }
 
-// DecodeRecord decodes a record encoded by Encode.
+// DecodeRecord decodes a record encoded by Encode. For any other input it returns
+// ErrRecord.
 func DecodeRecord(b []byte) (Record, error) {
 	r := reader{b: b}
 	if r.byte() != recordVersion {
@@ -153,8 +155,9 @@
 	return v
 }
 
-// count reads the length of the list that follows in the input. Each item takes at
-// least one byte, so a length larger than the remaining input is malformed.
+// count reads the length of the list or string that follows in the input. Each item
+// takes at least one byte, so a length larger than the remaining input is malformed.
+// For a malformed length, count sets failed and returns 0.
 func (r *reader) count() int {
 	n := r.uint()
 	if n > maxItems || n > uint64(len(r.b)) {
--- a/core/claims/doc.go
+++ b/core/claims/doc.go
@@ -9,8 +9,10 @@
 // frontier. If two daemons request the same Range, the daemon whose Grant is first
 // on the log gets it. All daemons that apply the log agree on the owner.
 //
-// An owner is one incarnation of a daemon. Each daemon builds a Ledger from the
-// log. An owner accepts a key only if its Ledger shows that it owns the interval
+// An owner is one incarnation of a daemon, that is, one run of its process. Each
+// daemon builds a Ledger from the log. For each key that an owner accepts, it stores a
+// claim: the record that the key was used, and the outcome of its request. An owner
+// accepts a key only if its Ledger shows that it owns the interval
 // that contains the key's timestamp. This check reads no clock, so a pause, a
 // delayed packet or a lost reply cannot lead to two owners that accept the same
 // key.
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -34,7 +34,8 @@
 
 // earlier describes an earlier owner whose claims a table holds.
 type earlier struct {
-	// Floor is the timestamp below which claims may have been deleted.
+	// Floor is the timestamp below which claims of the earlier owner may have been
+	// deleted.
 	Floor Stamp
 	// Until is the end of the earlier owner's last interval. When the table's own
 	// floor reaches Until, the table forgets the earlier owner, because all keys of
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -118,7 +118,8 @@
 	}
 }
 
-// Skip advances past an unreadable record.
+// Skip advances Next past the unreadable record at an offset. Like Apply, it does
+// nothing if the offset is not Next.
 func (l *Ledger) Skip(offset uint64) { l.Apply(offset, Record{}) }
 
 // restore replaces the state with a checkpoint and sets Next to the checkpoint's
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -190,8 +190,8 @@
 	w.eventCounts["crash"]++
 }
 
-// poll applies a few log records. It resets the ledger if the log has been trimmed
-// beyond its next record.
+// poll applies up to six log records to the ledger of a node. If the log no longer
+// keeps the ledger's next record, poll resets the ledger.
 func (w *world) poll(n *node) {
 	for range 1 + w.rng.IntN(6) {
 		next := int(n.ledger.Next())
@@ -211,7 +211,7 @@
 	}
 }
 
-// proposeGrant requests one or both ranges. The record may reach the log much later or never.
+// proposeGrant requests each range with probability 2/3. Its record may reach the log late or never.
 func (w *world) proposeGrant(n *node) {
 	if !n.ledger.Complete() || n.table.IsSealed() {
 		return
@@ -274,7 +274,7 @@
 	}
 }
 
-// arrive submits the key to the target's table. It returns true if the submission has ended.
+// arrive submits the key to the table of the target. It returns true if the submission has ended.
 func (w *world) arrive(s *submission) bool {
 	s.node = w.nodes[s.target[0]-'a']
 	decision, _ := s.node.table.Begin(s.node.ledger, Request{ID: ID{Key: w.keys[s.key]}})
@@ -315,7 +315,7 @@
 	return false
 }
 
-// finish records a random outcome for a request that has run.
+// finish records a random outcome for a request that has run, unless its node has crashed.
 func (w *world) finish(s *submission) {
 	if !w.isAlive(s.node) {
 		return
@@ -334,7 +334,7 @@
 	}
 }
 
-// drain seals a daemon and sends its table to a successor.
+// drain seals a node's table and sends the contents to a random other node, or to none.
 func (w *world) drain(n *node) {
 	n.table.Seal()
 	parts, err := n.table.Export(n.ledger)
@@ -368,7 +368,7 @@
 	}
 }
 
-// appendTransfer requests the append of a transfer to the successor that has imported the claims.
+// appendTransfer requests an append of a transfer from a sealed node to the importer of its claims.
 // To model a faulty daemon, the transfer sometimes names an owner that has not imported them.
 func (w *world) appendTransfer(n *node) {
 	if !n.table.IsSealed() {
@@ -385,7 +385,7 @@
 	}
 }
 
-// checkpoint requests the append of a checkpoint.
+// checkpoint requests an append of a checkpoint of the node's ledger, if the ledger is complete.
 func (w *world) checkpoint(n *node) {
 	if n.ledger.Complete() {
 		w.pendingAppends = append(w.pendingAppends, Record{Checkpoint: n.ledger.Checkpoint()})
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -14,12 +14,12 @@
 // causes a second execution of a request.
 //
 // The candidates of a range are ranked by rendezvous hashing. The first candidate
-// extends the range when half of the grant length is left. Each further candidate
-// waits an eighth of the grant length longer than the candidate before it. If a
-// candidate crashes, the next candidate therefore takes over without failure
-// detection. A range that was already due for renewal when the Planner started,
-// for example because its last grant had ended, is treated as if it became due at
-// the start.
+// extends the range when the time until the range's frontier is half of the grant
+// length. Each other candidate waits an eighth of the grant length longer than the
+// candidate ranked before it. If a candidate crashes, the next candidate therefore
+// takes over without failure detection. A range that was already due for renewal
+// when the Planner started, for example because its last grant had ended, is treated
+// as if it became due at the start.
 //
 // A Planner has a startup phase, which lasts one sixteenth of the grant length.
 // During this phase it requests grants of only a sixteenth of the full length. The
@@ -31,13 +31,14 @@
 	fullLength Stamp
 	// ranks holds the rank of this daemon among the candidates of each range.
 	ranks []uint16
-	// startedAt is the time of the first call to Plan, or zero before it.
+	// startedAt is the time of the first call to Plan with a complete Ledger, or zero
+	// before that call.
 	startedAt Stamp
 }
 
 const (
-	// renewDivisor sets when the first candidate renews a range. It does so when the
-	// time left of the last grant is the grant length divided by renewDivisor.
+	// renewDivisor sets when the first candidate renews a range: when the time until
+	// the range's frontier is less than the grant length divided by renewDivisor.
 	renewDivisor = 2
 	// rankDelayDivisor sets how much longer each candidate waits before it renews a
 	// range than the candidate ranked before it. The difference is the grant length
@@ -59,7 +60,8 @@
 	return p
 }
 
-// SetCandidates sets the daemons that may own ranges and ranks them.
+// SetCandidates sets the daemons that may own ranges, and computes the rank of this
+// daemon among them for each range.
 func (p *Planner) SetCandidates(daemons []model.DaemonID) {
 	isCandidate := false
 	hashes := make([]uint64, len(daemons))
@@ -98,7 +100,8 @@
 	return x ^ x>>31
 }
 
-// Plan returns the Grant to append now, or nil if none is needed.
+// Plan returns the Grant that the owner must append to the log now. It returns nil if
+// no Grant is needed or if the Ledger is incomplete.
 func (p *Planner) Plan(l *Ledger, now Stamp) *Grant {
 	if !l.Complete() {
 		return nil
--- a/core/claims/record.go
+++ b/core/claims/record.go
@@ -10,16 +10,18 @@
 	Incarnation uint64
 }
 
-// Extension requests the extension of one range from its frontier.
+// Extension is the part of a Grant that concerns one range. It requests the
+// timestamps of the range from the frontier, which is the end of the range's last
+// interval, up to, but not including, the Grant's Until.
 type Extension struct {
 	Range Range
 	// Base is the frontier of the range as known to the requester.
 	Base Stamp
 }
 
-// Grant requests timestamps for an owner. In each listed range it requests the
-// timestamps from the frontier up to, but not including, Until. An extension whose
-// Base is not the current frontier is ignored. The other extensions still apply.
+// Grant requests the timestamps of its Extensions for an owner. An extension whose
+// Base is not the current frontier of its range is ignored. The other extensions of
+// the Grant still apply.
 type Grant struct {
 	Owner      Owner
 	Until      Stamp
@@ -45,11 +47,13 @@
 type RangeState struct {
 	// Frontier is the end of the last interval.
 	Frontier Stamp
-	// Intervals are the intervals that are kept, in ascending order.
+	// Intervals are the last intervals of the range, at most maxIntervals, in
+	// ascending order.
 	Intervals []Interval
 }
 
-// Interval is a contiguous interval of timestamps with one owner.
+// Interval is a sequence of consecutive timestamps of one range that have the same
+// owner.
 type Interval struct {
 	// From is the first timestamp of the interval.
 	From Stamp
--- a/core/claims/record_test.go
+++ b/core/claims/record_test.go
@@ -43,6 +43,8 @@
 	return Record{Checkpoint: c}
 }
 
+// TestRecordCodecRoundTrip encodes and decodes random records. It also checks that
+// DecodeRecord rejects an encoding that was cut at a random position.
 func TestRecordCodecRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRecord(t)
--- a/core/claims/schedules_test.go
+++ b/core/claims/schedules_test.go
@@ -15,9 +15,11 @@
 	firstSeed = flag.Uint64("claims.seed", 1, "seed of the first schedule")
 )
 
-// exploreAll runs up to count schedules, with consecutive seeds from first on, and
-// stops when a schedule violates an invariant. It returns the seed and the violation
-// of this schedule, and how often each event occurred in all schedules.
+// exploreAll runs up to count schedules in parallel, with consecutive seeds from first
+// on. When a schedule violates an invariant, exploreAll starts no other schedule. It
+// returns the seed and the violation of that schedule, and how often each event
+// occurred in all schedules. If several of the schedules that ran in parallel violate
+// an invariant, it returns the one with the smallest seed.
 func exploreAll(first uint64, count int, m mutation) (uint64, string, map[string]int) {
 	var (
 		next           atomic.Int64
@@ -53,6 +55,8 @@
 	return seed, firstViolation, total
 }
 
+// TestSchedulesRunEachKeyAtMostOnce explores random schedules. None may violate an
+// invariant, and each of the listed events must occur at least once.
 func TestSchedulesRunEachKeyAtMostOnce(t *testing.T) {
 	seed, violation, eventCounts := exploreAll(*firstSeed, *schedules, noMutation)
 	require.Empty(t, violation, "seed %d", seed)
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -233,9 +233,9 @@
 	return floor, true
 }
 
-// decisionFor returns the decision on a further submission of the claim's key. The
-// argument is the digest of the submitted request. For Replay it also returns the
-// retained answer.
+// decisionFor returns the decision on another submission of the key that has the
+// claim. The argument is the digest of the submitted request. For Replay, decisionFor
+// also returns the retained answer.
 func (c *claim) decisionFor(d Digest) (Decision, *Answer) {
 	switch {
 	case c.digest != d:
@@ -251,9 +251,11 @@
 	}
 }
 
-// Finish records the outcome of a request for which Begin returned Run. If the
-// request certainly did not run, its claim is deleted, so that a retry can run the
-// request. The answer is nil if there is none or if it is too large to retain.
+// Finish records the outcome of a request for which Begin returned Run. If the kind of
+// outcome is NotRun, the request certainly did not run. Its claim is then deleted, so
+// that a retry can run the request. Any kind other than NotRun and Answered counts as
+// an unknown outcome. The answer is nil if there is none or if it is too large to
+// retain. Finish does nothing if the claim has been deleted or has an outcome already.
 func (t *Table) Finish(id ID, kind outcome.Kind, a *Answer) {
 	c := t.claims[id]
 	if c == nil || c.state != running {
@@ -276,7 +278,9 @@
 }
 
 // Expire deletes the claims with timestamps below floor. From then on, Begin returns
-// Expired instead of Run or Full for keys with such timestamps.
+// Expired instead of Run or Full for keys with such timestamps. Expire also forgets
+// the earlier owners whose intervals end at or below floor. It does nothing if floor
+// is not higher than in an earlier call.
 func (t *Table) Expire(floor Stamp) {
 	if floor <= t.floor {
 		return
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -24,12 +24,15 @@
 	Comment string `json:"comment,omitempty"`
 	// UnixMilli is the operator's wall clock in Unix milliseconds. It is kept only
 	// for the history of changes.
-	UnixMilli int64                           `json:"unix_ms,omitempty"`
-	Put       map[DocumentKey]json.RawMessage `json:"put,omitempty"`
-	Delete    []DocumentKey                   `json:"delete,omitempty"`
+	UnixMilli int64 `json:"unix_ms,omitempty"`
+	// Put holds the documents to create or replace.
+	Put map[DocumentKey]json.RawMessage `json:"put,omitempty"`
+	// Delete holds the keys of the documents to delete. A key that is also in Put is
+	// not deleted.
+	Delete []DocumentKey `json:"delete,omitempty"`
 }
 
-// Decision is the decision on a log record.
+// Decision says whether a log record changed the configuration and, if not, why.
 type Decision uint8
 
 // The decisions.
@@ -39,11 +42,11 @@
 	// Superseded means that the base of the change is older than the current
 	// version.
 	Superseded
-	// Duplicate means that one of the last changes, accepted or not, had the same
-	// ID (see State.IDs).
+	// Duplicate means that one of the last maxIDs changes, accepted or not, had the
+	// same ID (see State.IDs).
 	Duplicate
-	// Invalid means that the documents of the change do not compile, that its
-	// base does not exist yet, or that the configuration would become too large.
+	// Invalid means that the Validator rejected the documents of the change, that its
+	// base version does not exist yet, or that the configuration would exceed MaxState.
 	Invalid
 	// Ignored means that the record is a checkpoint or is unreadable.
 	Ignored
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -93,7 +93,8 @@
 // Delta returns an update for the daemon that sent the digest, in at most limit
 // bytes. The update holds the records that follow the records of that daemon. If
 // these are no longer kept, or not even one of them fits, the update is a chunk of a
-// checkpoint. Delta returns nil if the daemon lacks nothing or its state conflicts.
+// checkpoint. Delta returns nil if the daemon lacks nothing, its state conflicts, its
+// digest is malformed, or not even a chunk of one byte fits.
 func (m *StateMachine) Delta(peerDigest []byte, limit int) []byte {
 	d, ok := parseStateDigest(peerDigest)
 	if !ok || d.next >= m.state.Next || m.Conflicts(peerDigest) {
@@ -172,7 +173,8 @@
 )
 
 // ApplyDelta applies a delta and returns the results of the records that it
-// applied. It skips records whose offset is not that of the next record to apply.
+// applied. A chunk of a checkpoint has no results. ApplyDelta skips records whose
+// offset is not that of the next record to apply.
 // It returns an error if the delta is malformed, or if the delta completes a
 // checkpoint that cannot be read or conflicts with the current state.
 func (m *StateMachine) ApplyDelta(delta []byte) ([]Result, error) {
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -111,12 +111,13 @@
 	return checkpoints[key]
 }
 
-// action is a change of the model's state, by which a history grows by one step.
+// action is one step of a history. It changes the state of the model.
 type action struct {
 	name string
 	do   func(*world)
 }
 
+// actions returns all actions that the exploration tries in each state of the model.
 func actions() []action {
 	var out []action
 	add := func(name string, do func(*world)) { out = append(out, action{name, do}) }
@@ -162,7 +163,7 @@
 // check compares each daemon with the expected state at its offset. It also checks
 // that the version and the next offset of a daemon are not lower than before the
 // last action. The argument restarted is set if the last action restarted daemon 1.
-// Daemon 1 is then exempt from the second check.
+// The version and the offset of daemon 1 may then decrease.
 func (w *world) check(before *world, restarted bool) error {
 	for i, d := range w.daemons {
 		if d.Next() > uint64(len(w.log)) {
@@ -179,7 +180,9 @@
 	return nil
 }
 
-// key returns a string that is equal for equivalent states of the model.
+// key returns a string by which the exploration recognizes a state of the model that it
+// has already reached. It covers the log, the writer's checkpoint, and each daemon's
+// digest and first recent offset.
 func (w *world) key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d|%d|%x|", len(w.log), w.oldest, hashID(string(w.writerCheckpoint)))
--- a/core/config/record.go
+++ b/core/config/record.go
@@ -25,10 +25,11 @@
 // String returns the first 12 hex digits, for display.
 func (d Digest) String() string { return fmt.Sprintf("%x", d[:6]) }
 
-// MarshalText implements encoding.TextMarshaler.
+// MarshalText implements encoding.TextMarshaler. It returns all 64 hex digits.
 func (d Digest) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%x", d[:]), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns a *RecordError if the
+// text is not a digest in hex digits.
 func (d *Digest) UnmarshalText(text []byte) error {
 	var raw []byte
 	if _, err := fmt.Sscanf(string(text), "%x", &raw); err != nil || len(raw) != len(d) {
@@ -84,8 +85,9 @@
 	return append(record, payload...), digest
 }
 
-// parseRecord verifies the header of a record and returns the kind, the payload
-// and the digest of the payload.
+// parseRecord verifies the header of a record, including the digest of the payload. It
+// returns the kind of the payload, the payload and its digest. All its errors are of
+// type *RecordError.
 func parseRecord(record []byte) (kind byte, payload []byte, d Digest, err error) {
 	if len(record) < headerSize || record[0] != recordMagic {
 		return 0, nil, d, &RecordError{Problem: "not a config record"}
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -23,13 +23,15 @@
 	// Author is the author of the change that created this version.
 	Author    string                          `json:"author"`
 	Documents map[DocumentKey]json.RawMessage `json:"documents"`
-	// IDs are the hashes of the ids of the last changes, oldest first.
+	// IDs are the hashes of the IDs of the last changes, accepted or not, the oldest
+	// first. It holds at most maxIDs hashes.
 	IDs []uint64 `json:"ids"`
 }
 
-// maxIDs is the maximum length of State.IDs. A change that is repeated after more
-// than maxIDs other changes is no longer recognized as a duplicate. The repeated
-// change is still not accepted again, because its base is no longer current.
+// maxIDs is the maximum length of State.IDs. A change that is repeated after at least
+// maxIDs other changes is no longer recognized as a duplicate. If the change was
+// accepted the first time, it is still not accepted again, because its base is no
+// longer the current version.
 const maxIDs = 128
 
 func (s State) clone() State {
@@ -68,8 +70,9 @@
 	return record, nil
 }
 
-// maxUncompressedCheckpoint is the maximum size of a decompressed checkpoint. It
-// allows for the escaping of the documents, the ids and the other fields.
+// maxUncompressedCheckpoint is the maximum size of a decompressed checkpoint in bytes.
+// It is larger than MaxState, because a checkpoint also holds IDs and other fields,
+// and because escaping lengthens the documents.
 const maxUncompressedCheckpoint = 4 * MaxState
 
 // ReadCheckpoint decodes the state in a checkpoint record. It returns false if the
--- a/core/config/statemachine_test.go
+++ b/core/config/statemachine_test.go
@@ -140,9 +140,10 @@
 	require.Nil(t, a.Delta(b.Digest(), 1<<20))
 }
 
-// TestDeltasConverge exchanges deltas between three daemons in random order and
-// with random size limits, while the first daemon applies the log. At the end all
-// daemons must have the state of the first.
+// TestDeltasConverge exchanges deltas between three daemons in random order and with
+// random size limits, while the first daemon applies the log. At the end, the first
+// daemon sends each daemon the deltas that it still lacks. All daemons must then have
+// the state of the first.
 func TestDeltasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*StateMachine{NewStateMachine(nil), NewStateMachine(nil), NewStateMachine(nil)}
@@ -179,8 +180,9 @@
 	return delta
 }
 
-// exchangeRandomDelta sends a delta from one random daemon to another. The version
-// of the receiver must not decrease.
+// exchangeRandomDelta sends a delta from one random daemon to another. If it draws the
+// same daemon twice, it sends nothing. The delta must stay within the drawn limit, and
+// the version of the receiver must not decrease.
 func exchangeRandomDelta(t *rapid.T, daemons []*StateMachine) {
 	from, to := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to")
 	limit := rapid.SampledFrom([]int{100, 1000, 3000}).Draw(t, "limit")
@@ -207,7 +209,7 @@
 	})
 }
 
-// BenchmarkApplyRecord applies 10,000 changes to 77 services.
+// BenchmarkApplyRecord applies 10,000 changes to 77 services per iteration.
 func BenchmarkApplyRecord(b *testing.B) {
 	const changes, services = 10_000, 77
 	records := make([][]byte, changes)
--- a/core/lifecycle/lifecycle_test.go
+++ b/core/lifecycle/lifecycle_test.go
@@ -91,9 +91,9 @@
 	require.Equal(t, Draining, tr.Current().State)
 }
 
-// TestOrderDoesNotMatter observes the reports of two incarnations in random
-// order, some of them twice, and expects the last state of the newer
-// incarnation.
+// TestOrderDoesNotMatter observes the reports of two incarnations in random order,
+// some of them several times. The Tracker must end with the newer incarnation, in the
+// state of that incarnation's last report.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Report
--- a/core/member/codec.go
+++ b/core/member/codec.go
@@ -109,8 +109,8 @@
 	return r, nil
 }
 
-// decoder decodes records. After malformed input, failed is set and all further
-// reads return zero values.
+// decoder decodes records. After malformed input, failed is set and all later reads
+// return zero values.
 type decoder struct {
 	rest []byte
 	// strings holds the distinct strings decoded so far.
--- a/core/member/delta.go
+++ b/core/member/delta.go
@@ -30,7 +30,8 @@
 }
 
 // Delta returns encoded records that the sender of a digest may lack, in at most
-// limit bytes. It returns nil if there are no such records or none of them fits.
+// limit bytes. It returns nil if there are no such records, if none of them fits, or
+// if the digest does not have the right length.
 //
 // If not all records fit, a quarter of the selected records are the newest ones. The
 // others rotate through the remaining records from call to call. The rotation is
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -178,7 +178,8 @@
 	return true
 }
 
-// remove deletes an event and the state derived from it.
+// remove deletes an event and the state derived from it. If the event was the last one
+// of a daemon's upstreams, remove also deletes the liveness record of that daemon.
 func (d *Directory) remove(e Event) {
 	u := e.Upstream
 	d.events.remove(u.ID)
@@ -194,9 +195,9 @@
 }
 
 // isOldTombstone reports whether the event is a tombstone (the event of an
-// upstream that has left) older than half of TombstoneRetention. Other daemons
-// will delete such a tombstone soon. If this daemon stored a tombstone that it does not
-// hold, it would only take longer until no daemon holds the tombstone.
+// upstream that has left) older than half of TombstoneRetention. The daemons that hold
+// such a tombstone will delete it soon. A daemon that does not hold the tombstone does
+// not store it, because it would then only take longer until no daemon holds it.
 func (d *Directory) isOldTombstone(e Event) bool {
 	return e.State == Left && d.wallSeconds > 0 && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention/2
 }
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -101,7 +101,8 @@
 	d.generation++
 }
 
-// sweepInterval is the interval between scans of all records.
+// sweepInterval is the minimum time between two scans of all records by Tick. A scan
+// finds upstreams to mark as left and tombstones to delete.
 const sweepInterval = 5 * time.Second
 
 // Tick sets the current time, as a monotonic clock reading and in Unix seconds. It
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -80,7 +80,7 @@
 	// Suspect daemons did not respond, neither directly nor through other
 	// daemons.
 	Suspect
-	// Dead daemons stayed suspect for SuspicionTimeout.
+	// Dead daemons stayed suspect for Options.SuspicionTimeout.
 	Dead
 )
 
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -175,7 +175,8 @@
 	require.Empty(t, d.remainingState())
 }
 
-// remainingState lists the entries left in the directory's maps.
+// remainingState lists the entries of the maps that must be empty when the directory
+// holds no upstreams.
 func (d *Directory) remainingState() []string {
 	var out []string
 	for id := range d.suspectedSince {
--- a/core/quarantine/codec.go
+++ b/core/quarantine/codec.go
@@ -14,8 +14,9 @@
 var ErrRecord = errors.New("quarantine records cannot be read")
 
 // Append appends the encoding of the record to b and returns the result. The
-// encoding consists of the fingerprint, service, caller and request, the crashes,
-// and the times. Numbers are encoded as varints and strings with a length prefix.
+// encoding consists of the fingerprint, service, caller and request, the number of
+// crashes, the crashes, and the times ClearedAt, QuarantinedAt and Until. Numbers are
+// encoded as varints and strings with a length prefix.
 // Equal records have equal encodings.
 func (r *Record) Append(b []byte) []byte {
 	b = append(b, r.Fingerprint[:]...)
@@ -55,8 +56,8 @@
 	return out, nil
 }
 
-// decoder decodes records. After malformed input, failed is set and all further
-// reads return zero values.
+// decoder decodes records. After malformed input, failed is set and all later reads
+// return zero values.
 type decoder struct {
 	rest   []byte
 	failed bool
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -140,9 +140,10 @@
 	return false
 }
 
-// comparePriority orders records from the most to the least important: first by
-// the latest quarantine, then by the number of crashes, then by the latest
-// update.
+// comparePriority orders records from the most to the least important. A record with a
+// later QuarantinedAt is more important. Of equal ones, the record with more crashes is
+// more important, then the one with the later update. The fingerprint decides between
+// records that are equal in all of these.
 func (r *Record) comparePriority(o *Record) int {
 	return cmp.Or(cmp.Compare(o.QuarantinedAt, r.QuarantinedAt), cmp.Compare(len(o.Crashes), len(r.Crashes)),
 		cmp.Compare(o.lastUpdate(), r.lastUpdate()), slices.Compare(r.Fingerprint[:], o.Fingerprint[:]))
@@ -154,8 +155,9 @@
 	return c
 }
 
-// expired reports whether the record can be deleted. That is the case when its
-// retention and its quarantine have both ended.
+// expired reports whether the record can be deleted at the given time, in Unix
+// milliseconds: retention must have passed since its last update, and its quarantine
+// must have ended.
 func (r *Record) expired(now int64) bool {
 	return max(r.lastUpdate()+retention.Milliseconds(), r.Until) < now
 }
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -86,8 +86,8 @@
 }
 
 // Evaluate quarantines the requests that were running during enough crashes, once
-// reportDelay has passed since the last of them. It must be called several times
-// per second.
+// reportDelay has passed since the last update of their records. It must be called
+// several times per second.
 func (t *Table) Evaluate(now int64) {
 	var candidates []*Record
 	for _, r := range t.records {
@@ -134,8 +134,8 @@
 	return true
 }
 
-// clear removes the crashes of a record up to the given time. If QuarantinedAt is
-// not later than that time, clear also lifts the quarantine.
+// clear sets ClearedAt of a record to the given time and removes the crashes up to that
+// time. If QuarantinedAt is not later than that time, the quarantine is thereby lifted.
 func (t *Table) clear(at int64, r *Record) {
 	r.ClearedAt = at
 	r.pruneCleared()
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -26,7 +26,8 @@
 }
 
 // crashDuring records that upstream n crashed while running the targets, and
-// evaluates the table just before and at the end of reportDelay.
+// evaluates the table just before and at the end of reportDelay. It panics if a request
+// is quarantined before the end.
 func crashDuring(t *Table, now int64, n int, targets ...string) {
 	for _, target := range targets {
 		t.RecordCrash(now, FingerprintOf(request(target)), request(target), crash(n))
@@ -121,8 +122,8 @@
 }
 
 // TestMergeOrderDoesNotMatter merges the same records into two tables in different
-// orders, and merges them into the second table twice. Both tables must then
-// refuse the same requests.
+// orders, and merges them into the second table twice. The tables then exchange their
+// records before and after both are evaluated. Both must refuse the same requests.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 50 {
