--- a/core/calltoken/token.go
+++ b/core/calltoken/token.go
@@ -87,14 +87,14 @@
 // Verify checks the signature of an encoded token and returns the decoded token.
 // The token must have been signed with the same secret. Verify does not check the
 // deadline. All its errors are of type *Error.
-func (s *Signer) Verify(text string) (Token, error) {
+func (s *Signer) Verify(encoded string) (Token, error) {
 	if s == nil {
 		return Token{}, &Error{Reason: "no shared secret configured"}
 	}
-	if len(text) > maxLength {
+	if len(encoded) > maxLength {
 		return Token{}, &Error{Reason: "too long"}
 	}
-	b, err := base64.RawURLEncoding.Strict().DecodeString(text)
+	b, err := base64.RawURLEncoding.Strict().DecodeString(encoded)
 	if err != nil || len(b) < macBytes {
 		return Token{}, &Error{Reason: "not a token"}
 	}
@@ -119,8 +119,8 @@
 	}
 	r := reader{rest: b[2:]}
 	t := Token{Depth: int(b[1])}
-	t.Deadline = time.UnixMicro(r.number())
-	t.TimeLeft = time.Duration(r.number()) * time.Microsecond
+	t.Deadline = time.UnixMicro(r.varint())
+	t.TimeLeft = time.Duration(r.varint()) * time.Microsecond
 	t.Caller = model.CallerName(r.text())
 	t.Group = model.GroupName(r.text())
 	if r.failed || len(r.rest) > 0 {
@@ -141,7 +141,7 @@
 	failed bool
 }
 
-func (r *reader) number() int64 {
+func (r *reader) varint() int64 {
 	v, n := binary.Varint(r.rest)
 	if n <= 0 {
 		r.failed = true
--- a/core/calltoken/token_test.go
+++ b/core/calltoken/token_test.go
@@ -35,14 +35,14 @@
 	s := NewSigner("secret")
 	text := s.Sign(sampleToken())
 	for i := range text {
-		changed := []byte(text)
-		changed[i] ^= 1
-		_, err := s.Verify(string(changed))
+		altered := []byte(text)
+		altered[i] ^= 1
+		_, err := s.Verify(string(altered))
 		require.Error(t, err, "character %d", i)
 	}
 }
 
-func TestVerifyRejects(t *testing.T) {
+func TestVerifyRejectsInvalidTokens(t *testing.T) {
 	s := NewSigner("secret")
 	tests := []struct {
 		name, text, want string
--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -65,10 +65,10 @@
 	inFlight int
 	lastTick model.Instant
 
-	// rate and slots are this daemon's shares of the limits.
-	rate  float64
-	slots int
-	// tokens is the fill level of the token bucket that enforces rate.
+	// rateShare and slotShare are this daemon's shares of the limits.
+	rateShare float64
+	slotShare int
+	// tokens is the fill level of the token bucket that enforces rateShare.
 	tokens     float64
 	lastRefill model.Instant
 
@@ -86,7 +86,7 @@
 func New(now model.Instant, key uint64, self Daemon, limits Limits) *Ceiling {
 	c := &Ceiling{key: key, self: self, reports: reportTable{byDaemon: make(map[Daemon]receivedReport)}, lastTick: now, lastRefill: now}
 	c.SetLimits(limits)
-	c.tokens = max(1, c.rate*burstTime.Seconds())
+	c.tokens = max(1, c.rateShare*burstTime.Seconds())
 	return c
 }
 
@@ -102,7 +102,7 @@
 func (c *Ceiling) TryAcquire(now model.Instant) (time.Duration, bool) {
 	c.arrivals++
 	c.refill(now)
-	if c.limits.Concurrency > 0 && c.inFlight >= c.slots {
+	if c.limits.Concurrency > 0 && c.inFlight >= c.slotShare {
 		return retryAfter, false
 	}
 	if c.limits.Rate > 0 {
@@ -120,7 +120,7 @@
 
 // Share returns this daemon's shares of the limits: its requests per second and its
 // maximum number of requests in flight.
-func (c *Ceiling) Share() (rate float64, slots int) { return c.rate, c.slots }
+func (c *Ceiling) Share() (rate float64, slots int) { return c.rateShare, c.slotShare }
 
 // Tick updates the demand and the shares. It must be called several times per
 // second. When a report to the other daemons is due, Tick returns the report and
@@ -169,8 +169,8 @@
 		return
 	}
 	retained := math.Exp2(-float64(elapsed) / float64(demandHalfLife))
-	rate := float64(c.arrivals) / elapsed.Seconds()
-	c.demand = retained*c.demand + (1-retained)*rate
+	arrivalRate := float64(c.arrivals) / elapsed.Seconds()
+	c.demand = retained*c.demand + (1-retained)*arrivalRate
 	if c.demand < idleDemand {
 		c.demand = 0
 	}
@@ -202,18 +202,18 @@
 // updateShares computes this daemon's shares from the reports. During initialPeriod
 // and without demand, the shares are those set by initialShare.
 func (c *Ceiling) updateShares() {
-	own := 0.0
+	ownDemand := 0.0
 	if r, ok := c.reports.byDaemon[c.self]; ok {
-		own = float64(r.Demand)
+		ownDemand = float64(r.Demand)
 	}
-	others := c.reports.demandOfOthers(c.self)
-	if own == 0 || c.lastTick.Sub(c.demandSince) < initialPeriod {
-		c.rate = c.limits.Rate * initialShare
-		c.slots = max(1, int(float64(c.limits.Concurrency)*initialShare))
+	demandOfOthers := c.reports.demandOfOthers(c.self)
+	if ownDemand == 0 || c.lastTick.Sub(c.demandSince) < initialPeriod {
+		c.rateShare = c.limits.Rate * initialShare
+		c.slotShare = max(1, int(float64(c.limits.Concurrency)*initialShare))
 		return
 	}
-	c.rate = c.limits.Rate * max(own/(own+others), initialShare)
-	c.slots = c.reports.slotsOf(c.self, c.limits.Concurrency)
+	c.rateShare = c.limits.Rate * max(ownDemand/(ownDemand+demandOfOthers), initialShare)
+	c.slotShare = c.reports.slotsOf(c.self, c.limits.Concurrency)
 }
 
 // refill adds the tokens for the time since the last refill.
@@ -222,6 +222,6 @@
 	if elapsed <= 0 {
 		return
 	}
-	c.tokens = min(c.tokens+c.rate*elapsed.Seconds(), max(1, c.rate*burstTime.Seconds()))
+	c.tokens = min(c.tokens+c.rateShare*elapsed.Seconds(), max(1, c.rateShare*burstTime.Seconds()))
 	c.lastRefill = now
 }
--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -22,16 +22,16 @@
 	rng     *rand.Rand
 	now     model.Instant
 	daemons []*Ceiling
-	// demand is the number of requests per second that arrive at each daemon.
-	demand []float64
+	// demandPerDaemon is the number of requests per second that arrive at each daemon.
+	demandPerDaemon []float64
 	// pendingArrivals holds, for each daemon, the fraction of a request that is
 	// carried over to the next step.
 	pendingArrivals []float64
 	// holdTime is the duration of each request.
 	holdTime    time.Duration
 	completions []completion
-	// admitted is the number of admitted requests in each second.
-	admitted []int
+	// admittedPerSecond is the number of admitted requests in each second.
+	admittedPerSecond []int
 	// inFlight is the number of requests in flight at all daemons.
 	inFlight    int
 	maxInFlight int
@@ -39,12 +39,12 @@
 
 // completion is the end of an admitted request.
 type completion struct {
-	at     model.Instant
+	endsAt model.Instant
 	daemon *Ceiling
 }
 
 func newFleet(n int, limits Limits) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(5, 6)), demand: make([]float64, n), pendingArrivals: make([]float64, n)}
+	f := &fleet{rng: rand.New(rand.NewPCG(5, 6)), demandPerDaemon: make([]float64, n), pendingArrivals: make([]float64, n)}
 	for i := range n {
 		f.daemons = append(f.daemons, New(0, 1, Daemon(i+1), limits))
 	}
@@ -74,23 +74,23 @@
 
 // arrive lets the requests of one step arrive at daemon i.
 func (f *fleet) arrive(i int, c *Ceiling, step time.Duration) {
-	for f.pendingArrivals[i] += f.demand[i] * step.Seconds(); f.pendingArrivals[i] >= 1; f.pendingArrivals[i]-- {
+	for f.pendingArrivals[i] += f.demandPerDaemon[i] * step.Seconds(); f.pendingArrivals[i] >= 1; f.pendingArrivals[i]-- {
 		if _, ok := c.TryAcquire(f.now); !ok {
 			continue
 		}
 		second := int((f.now - 1) / model.Instant(time.Second))
-		for len(f.admitted) <= second {
-			f.admitted = append(f.admitted, 0)
+		for len(f.admittedPerSecond) <= second {
+			f.admittedPerSecond = append(f.admittedPerSecond, 0)
 		}
-		f.admitted[second]++
+		f.admittedPerSecond[second]++
 		f.inFlight++
-		f.completions = append(f.completions, completion{at: f.now.Add(f.holdTime), daemon: c})
+		f.completions = append(f.completions, completion{endsAt: f.now.Add(f.holdTime), daemon: c})
 	}
 }
 
 // complete ends the requests whose holdTime has passed.
 func (f *fleet) complete() {
-	for len(f.completions) > 0 && f.completions[0].at <= f.now {
+	for len(f.completions) > 0 && f.completions[0].endsAt <= f.now {
 		f.completions[0].daemon.Release()
 		f.completions = f.completions[1:]
 		f.inFlight--
@@ -100,11 +100,11 @@
 // gossip exchanges reports between each daemon and one random peer.
 func (f *fleet) gossip() {
 	for i, c := range f.daemons {
-		other := f.daemons[(i+1+f.rng.IntN(len(f.daemons)-1))%len(f.daemons)]
+		peer := f.daemons[(i+1+f.rng.IntN(len(f.daemons)-1))%len(f.daemons)]
 		for _, r := range c.Reports() {
-			other.Merge(f.now, r)
+			peer.Merge(f.now, r)
 		}
-		for _, r := range other.Reports() {
+		for _, r := range peer.Reports() {
 			c.Merge(f.now, r)
 		}
 	}
@@ -118,23 +118,23 @@
 	const ceiling = 600
 	f := newFleet(12, Limits{Rate: ceiling})
 	for i := range 3 {
-		f.demand[i] = 400 * float64(i+1)
+		f.demandPerDaemon[i] = 400 * float64(i+1)
 	}
 	f.run(12 * time.Second)
-	for _, n := range f.admitted[6:] {
+	for _, n := range f.admittedPerSecond[6:] {
 		require.InDelta(t, ceiling, n, 0.05*ceiling, "steady")
 	}
-	clear(f.demand)
+	clear(f.demandPerDaemon)
 	for i := 6; i < 12; i++ {
-		f.demand[i] = 400
+		f.demandPerDaemon[i] = 400
 	}
 	f.run(12 * time.Second)
-	moving := f.admitted[12:18]
-	t.Logf("admitted per second with a ceiling of %d: %v while demand moves, %v afterwards", ceiling, moving, f.admitted[18:])
-	for _, n := range moving {
+	admittedWhileMoving := f.admittedPerSecond[12:18]
+	t.Logf("admitted per second with a ceiling of %d: %v while demand moves, %v afterwards", ceiling, admittedWhileMoving, f.admittedPerSecond[18:])
+	for _, n := range admittedWhileMoving {
 		require.LessOrEqual(t, float64(n), 1.25*ceiling, "while demand moves")
 	}
-	for _, n := range f.admitted[18:] {
+	for _, n := range f.admittedPerSecond[18:] {
 		require.InDelta(t, ceiling, n, 0.05*ceiling, "steady again")
 	}
 }
@@ -147,14 +147,14 @@
 	f := newFleet(12, Limits{Concurrency: ceiling})
 	f.holdTime = 50 * time.Millisecond
 	for i := range 6 {
-		f.demand[i] = 200
+		f.demandPerDaemon[i] = 200
 	}
 	f.run(8 * time.Second)
-	maxBefore := f.maxInFlight
+	maxAtStart := f.maxInFlight
 	f.maxInFlight = 0
 	f.run(8 * time.Second)
-	t.Logf("maximum in flight with a ceiling of %d: %d in the first 8 seconds, %d afterwards", ceiling, maxBefore, f.maxInFlight)
-	require.LessOrEqual(t, 2*maxBefore, 3*ceiling, "before all reports have spread")
+	t.Logf("maximum in flight with a ceiling of %d: %d in the first 8 seconds, %d afterwards", ceiling, maxAtStart, f.maxInFlight)
+	require.LessOrEqual(t, 2*maxAtStart, 3*ceiling, "before all reports have spread")
 	require.LessOrEqual(t, f.maxInFlight, ceiling, "steady: above the ceiling")
 	require.GreaterOrEqual(t, f.maxInFlight, ceiling-1, "steady: ceiling not used up")
 }
@@ -164,7 +164,7 @@
 // daemon has demand.
 func TestSlotSharesSumToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		total := rapid.IntRange(0, 500).Draw(t, "slots")
+		totalSlots := rapid.IntRange(0, 500).Draw(t, "slots")
 		demands := rapid.SliceOfN(rapid.Float32Range(0, 1e6), 1, 30).Draw(t, "demands")
 		table := reportTable{byDaemon: make(map[Daemon]receivedReport)}
 		anyDemand := false
@@ -172,14 +172,14 @@
 			table.merge(0, Report{Daemon: Daemon(i), Demand: d, Stamp: 1})
 			anyDemand = anyDemand || d > 0
 		}
-		sum := 0
+		slotSum := 0
 		for i := range demands {
-			sum += table.slotsOf(Daemon(i), total)
+			slotSum += table.slotsOf(Daemon(i), totalSlots)
 		}
 		if !anyDemand {
-			total = 0
+			totalSlots = 0
 		}
-		require.Equal(t, total, sum)
+		require.Equal(t, totalSlots, slotSum)
 	})
 }
 
@@ -187,11 +187,11 @@
 // last report has expired, the two others must divide its share between them.
 func TestSilentDaemonIsExcluded(t *testing.T) {
 	f := newFleet(3, Limits{Rate: 300})
-	f.demand = []float64{300, 300, 300}
+	f.demandPerDaemon = []float64{300, 300, 300}
 	f.run(6 * time.Second)
 	rate, _ := f.daemons[0].Share()
 	require.InDelta(t, 100, rate, 5)
-	f.daemons, f.demand = f.daemons[:2], f.demand[:2]
+	f.daemons, f.demandPerDaemon = f.daemons[:2], f.demandPerDaemon[:2]
 	f.run(15 * time.Second)
 	rate, _ = f.daemons[0].Share()
 	require.InDelta(t, 150, rate, 5)
--- a/core/ceiling/reports.go
+++ b/core/ceiling/reports.go
@@ -91,18 +91,18 @@
 	return sum
 }
 
-// slotsOf divides total slots among the daemons with unexpired reports, in proportion
+// slotsOf divides totalSlots among the daemons with unexpired reports, in proportion
 // to their demand, and returns the slots of the daemon self. It uses the
 // largest-remainder method. Each daemon first gets its exact share rounded down. The
 // slots that are left over go to the daemons with the largest remainders, one each;
 // of equal remainders, the daemon with the smaller identifier gets the slot. The
-// slots that daemons with the same reports compute therefore add up to total. slotsOf
-// returns 0 if no daemon has demand or if there is no unexpired report of self.
-func (t *reportTable) slotsOf(self Daemon, total int) int {
+// slots that daemons with the same reports compute therefore add up to totalSlots.
+// slotsOf returns 0 if no daemon has demand or if there is no unexpired report of self.
+func (t *reportTable) slotsOf(self Daemon, totalSlots int) int {
 	type share struct {
-		daemon    Daemon
-		whole     int
-		remainder float64
+		daemon     Daemon
+		wholeSlots int
+		remainder  float64
 	}
 	sum := 0.0
 	for _, report := range t.byDaemon {
@@ -114,14 +114,14 @@
 		return 0
 	}
 	shares := make([]share, 0, len(t.byDaemon))
-	remaining := total
+	leftoverSlots := totalSlots
 	for d, report := range t.byDaemon {
 		if report.expired {
 			continue
 		}
-		exact := float64(total) * float64(report.Demand) / sum
-		shares = append(shares, share{daemon: d, whole: int(exact), remainder: exact - float64(int(exact))})
-		remaining -= int(exact)
+		exact := float64(totalSlots) * float64(report.Demand) / sum
+		shares = append(shares, share{daemon: d, wholeSlots: int(exact), remainder: exact - float64(int(exact))})
+		leftoverSlots -= int(exact)
 	}
 	slices.SortFunc(shares, func(a, b share) int {
 		return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(a.daemon, b.daemon))
@@ -130,10 +130,10 @@
 		if s.daemon != self {
 			continue
 		}
-		if i < remaining {
-			return s.whole + 1
+		if i < leftoverSlots {
+			return s.wholeSlots + 1
 		}
-		return s.whole
+		return s.wholeSlots
 	}
 	return 0
 }
--- a/core/claims/answer.go
+++ b/core/claims/answer.go
@@ -32,11 +32,12 @@
 // answerCache holds the retained answers of one table. It limits the total size
 // per group and of all groups, and evicts the oldest answers of a group first.
 type answerCache struct {
-	// groupLimit and totalLimit are in bytes.
-	groupLimit int
-	totalLimit int
-	usedBytes  int
-	groups     map[model.GroupName]*groupAnswers
+	// maxGroupBytes and maxTotalBytes are the maximum sizes of the answers of one group
+	// and of all groups.
+	maxGroupBytes  int
+	maxTotalBytes  int
+	usedBytes      int
+	answersByGroup map[model.GroupName]*groupAnswers
 }
 
 // groupAnswers holds the claims of one group that have retained answers, in the
@@ -47,8 +48,8 @@
 	claims    []*claim
 }
 
-func newAnswerCache(groupLimit, totalLimit int) *answerCache {
-	return &answerCache{groupLimit: groupLimit, totalLimit: totalLimit, groups: make(map[model.GroupName]*groupAnswers)}
+func newAnswerCache(maxGroupBytes, maxTotalBytes int) *answerCache {
+	return &answerCache{maxGroupBytes: maxGroupBytes, maxTotalBytes: maxTotalBytes, answersByGroup: make(map[model.GroupName]*groupAnswers)}
 }
 
 // retain stores the answer of a claim and evicts older answers to stay within the
@@ -56,23 +57,23 @@
 // a limit by itself or was the one to be evicted.
 func (ac *answerCache) retain(c *claim, a *Answer) bool {
 	size := a.Size()
-	if size > ac.groupLimit || size > ac.totalLimit {
+	if size > ac.maxGroupBytes || size > ac.maxTotalBytes {
 		return false
 	}
-	g := ac.groups[c.group]
+	g := ac.answersByGroup[c.group]
 	if g == nil {
 		g = &groupAnswers{}
-		ac.groups[c.group] = g
+		ac.answersByGroup[c.group] = g
 	}
 	c.answer = a
-	c.size = size
+	c.answerSize = size
 	g.claims = append(g.claims, c)
 	g.usedBytes += size
 	ac.usedBytes += size
-	for g.usedBytes > ac.groupLimit {
+	for g.usedBytes > ac.maxGroupBytes {
 		ac.evictOldest(c.group)
 	}
-	for ac.usedBytes > ac.totalLimit {
+	for ac.usedBytes > ac.maxTotalBytes {
 		ac.evictOldest(ac.largestGroup())
 	}
 	return c.answer != nil
@@ -84,14 +85,14 @@
 		return
 	}
 	c.answer = nil
-	ac.groups[c.group].usedBytes -= c.size
-	ac.usedBytes -= c.size
+	ac.answersByGroup[c.group].usedBytes -= c.answerSize
+	ac.usedBytes -= c.answerSize
 	ac.prune(c.group)
 }
 
 // evictOldest removes the oldest answer of a group.
 func (ac *answerCache) evictOldest(name model.GroupName) {
-	g := ac.groups[name]
+	g := ac.answersByGroup[name]
 	for len(g.claims) > 0 {
 		c := g.claims[0]
 		g.claims = g.claims[1:]
@@ -99,8 +100,8 @@
 			continue
 		}
 		c.answer = nil
-		g.usedBytes -= c.size
-		ac.usedBytes -= c.size
+		g.usedBytes -= c.answerSize
+		ac.usedBytes -= c.answerSize
 		break
 	}
 	ac.prune(name)
@@ -109,24 +110,24 @@
 // prune removes claims without an answer from the head of a group's list, and
 // removes the group if its list becomes empty.
 func (ac *answerCache) prune(name model.GroupName) {
-	g := ac.groups[name]
+	g := ac.answersByGroup[name]
 	for len(g.claims) > 0 && g.claims[0].answer == nil {
 		g.claims = g.claims[1:]
 	}
 	if len(g.claims) == 0 {
-		delete(ac.groups, name)
+		delete(ac.answersByGroup, name)
 	}
 }
 
 // largestGroup returns the group whose answers use the most bytes. If several
 // groups use the most, it returns the first of them in the order of names.
 func (ac *answerCache) largestGroup() model.GroupName {
-	var name model.GroupName
-	most := -1
-	for n, g := range ac.groups {
-		if g.usedBytes > most || g.usedBytes == most && n < name {
-			name, most = n, g.usedBytes
+	var largest model.GroupName
+	largestBytes := -1
+	for n, g := range ac.answersByGroup {
+		if g.usedBytes > largestBytes || g.usedBytes == largestBytes && n < largest {
+			largest, largestBytes = n, g.usedBytes
 		}
 	}
-	return name
+	return largest
 }
--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -20,9 +20,9 @@
 	)
 	for _, n := range []int{10, 100, 500, 1000, 1700} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
-			var appends, bytes, planCalls int
+			var appendCount, appendedBytes, planCalls int
 			for b.Loop() {
-				appends, bytes, planCalls = 0, 0, 0
+				appendCount, appendedBytes, planCalls = 0, 0, 0
 				l := NewLedger(DefaultRanges, 0)
 				planners := newPlanners(n)
 				offset := uint64(0)
@@ -32,16 +32,16 @@
 						planCalls++
 						if g := p.Plan(l, now); g != nil {
 							r := Record{Grant: g}
-							appends++
-							bytes += len(r.Encode())
+							appendCount++
+							appendedBytes += len(r.Encode())
 							l.Apply(offset, r)
 							offset++
 						}
 					}
 				}
 			}
-			b.ReportMetric(float64(appends)/simulatedTime.Seconds(), "appends/s")
-			b.ReportMetric(float64(bytes)/simulatedTime.Seconds(), "bytes/s")
+			b.ReportMetric(float64(appendCount)/simulatedTime.Seconds(), "appends/s")
+			b.ReportMetric(float64(appendedBytes)/simulatedTime.Seconds(), "bytes/s")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(planCalls), "ns/plan")
 		})
 	}
@@ -64,7 +64,7 @@
 // BenchmarkMemory reports the memory per claim without a retained answer and with
 // an answer of 200 bytes.
 func BenchmarkMemory(b *testing.B) {
-	const claims = 50_000
+	const claimCount = 50_000
 	for _, answerSize := range []int{0, 200} {
 		b.Run(fmt.Sprintf("answer=%d", answerSize), func(b *testing.B) {
 			l := ledgerOwnedBy(self, 1<<40)
@@ -72,8 +72,8 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				table := NewTable(self, Limits{Claims: claims, GroupClaims: claims, AnswerBytes: 1 << 30})
-				for i := range claims {
+				table := NewTable(self, Limits{Claims: claimCount, GroupClaims: claimCount, AnswerBytes: 1 << 30})
+				for i := range claimCount {
 					r := newRequest(Stamp(i), i, "sorter-1")
 					table.Begin(l, r)
 					var a *Answer
@@ -86,7 +86,7 @@
 				runtime.ReadMemStats(&after)
 				runtime.KeepAlive(table)
 			}
-			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/claims, "B/claim")
+			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/claimCount, "B/claim")
 		})
 	}
 }
@@ -100,9 +100,9 @@
 			l.Apply(l.Next(), Record{Grant: g})
 		}
 	}
-	size := 0
+	encodedSize := 0
 	for b.Loop() {
-		size = len(Record{Checkpoint: l.Checkpoint()}.Encode())
+		encodedSize = len(Record{Checkpoint: l.Checkpoint()}.Encode())
 	}
-	b.ReportMetric(float64(size), "bytes")
+	b.ReportMetric(float64(encodedSize), "bytes")
 }
--- a/core/claims/codec.go
+++ b/core/claims/codec.go
@@ -90,7 +90,7 @@
 
 func (w *writer) checkpoint(c *Checkpoint) {
 	w.uint(c.Offset)
-	owners, index := ownersOf(c)
+	owners, indexByOwner := ownersOf(c)
 	w.uint(uint64(len(owners)))
 	for _, o := range owners {
 		w.owner(o)
@@ -102,7 +102,7 @@
 		for _, i := range s.Intervals {
 			w.uint(uint64(i.From))
 			w.uint(uint64(i.Until))
-			w.uint(uint64(index[i.Owner]))
+			w.uint(uint64(indexByOwner[i.Owner]))
 			w.uint(uint64(len(i.PriorOwners)))
 			for _, incarnation := range i.PriorOwners {
 				w.uint(incarnation)
@@ -115,16 +115,16 @@
 // the index of each owner in this list.
 func ownersOf(c *Checkpoint) ([]Owner, map[Owner]int) {
 	var owners []Owner
-	index := make(map[Owner]int)
+	indexByOwner := make(map[Owner]int)
 	for _, s := range c.Ranges {
 		for _, i := range s.Intervals {
-			if _, ok := index[i.Owner]; !ok {
-				index[i.Owner] = len(owners)
+			if _, ok := indexByOwner[i.Owner]; !ok {
+				indexByOwner[i.Owner] = len(owners)
 				owners = append(owners, i.Owner)
 			}
 		}
 	}
-	return owners, index
+	return owners, indexByOwner
 }
 
 // reader decodes the fields of a record. When the input is malformed, failed is set
@@ -178,12 +178,12 @@
 	g := &Grant{Owner: r.owner(), Until: Stamp(r.uint())}
 	for range r.count() {
 		e := Extension{Range: Range(r.uint())}
-		span := Stamp(r.uint())
-		if span > g.Until {
+		length := Stamp(r.uint())
+		if length > g.Until {
 			r.failed = true
 			return g
 		}
-		e.Base = g.Until - span
+		e.Base = g.Until - length
 		g.Extensions = append(g.Extensions, e)
 	}
 	return g
@@ -207,12 +207,12 @@
 
 func (r *reader) interval(owners []Owner) Interval {
 	i := Interval{From: Stamp(r.uint()), Until: Stamp(r.uint())}
-	owner := r.uint()
-	if owner >= uint64(len(owners)) {
+	ownerIndex := r.uint()
+	if ownerIndex >= uint64(len(owners)) {
 		r.failed = true
 		return i
 	}
-	i.Owner = owners[owner]
+	i.Owner = owners[ownerIndex]
 	for range r.count() {
 		i.PriorOwners = append(i.PriorOwners, r.uint())
 	}
--- a/core/claims/handover.go
+++ b/core/claims/handover.go
@@ -13,8 +13,8 @@
 
 const (
 	handoverVersion = 1
-	// partBytes is the approximate maximum size of one part of a handover.
-	partBytes = 1 << 20
+	// maxPartBytes is the approximate maximum size of one part of a handover.
+	maxPartBytes = 1 << 20
 	// claimBytes is the approximate size of a claim without its answer.
 	claimBytes = 128
 )
@@ -68,14 +68,14 @@
 	}
 	var parts [][]byte
 	h := handover{Version: handoverVersion}
-	size := 0
+	partSize := 0
 	for _, c := range t.byStamp {
 		if c.state == running && t.mutation == omitRunningClaims {
 			continue
 		}
 		h.Claims = append(h.Claims, c.export())
-		size += claimBytes + c.size
-		if size < partBytes {
+		partSize += claimBytes + c.answerSize
+		if partSize < maxPartBytes {
 			continue
 		}
 		part, err := h.encode()
@@ -83,11 +83,11 @@
 			return nil, err
 		}
 		parts = append(parts, part)
-		h.Claims, size = h.Claims[:0], 0
+		h.Claims, partSize = h.Claims[:0], 0
 	}
 	h.Lives = t.exportOwners(l)
-	last, err := h.encode()
-	return append(parts, last), err
+	lastPart, err := h.encode()
+	return append(parts, lastPart), err
 }
 
 // export returns the claim in the form used by a handover.
@@ -136,16 +136,16 @@
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&h); err != nil {
 		return errors.Join(ErrHandover, err)
 	}
-	full := len(t.claims)+len(h.Claims) > t.limits.Claims || len(t.priorOwners)+len(h.Lives) > maxPriorOwners
-	if h.Version != handoverVersion || t.sealed || full {
+	overLimit := len(t.claimsByID)+len(h.Claims) > t.limits.Claims || len(t.priorOwners)+len(h.Lives) > maxPriorOwners
+	if h.Version != handoverVersion || t.sealed || overLimit {
 		return ErrHandover
 	}
 	for _, hc := range h.Claims {
 		t.importClaim(hc)
 	}
 	for incarnation, e := range h.Lives {
-		known := t.priorOwners[incarnation]
-		t.priorOwners[incarnation] = earlier{Floor: max(e.Floor, known.Floor), Until: max(e.Until, known.Until)}
+		stored := t.priorOwners[incarnation]
+		t.priorOwners[incarnation] = earlier{Floor: max(e.Floor, stored.Floor), Until: max(e.Until, stored.Until)}
 	}
 	return nil
 }
@@ -153,7 +153,7 @@
 // importClaim adds a claim from a handover unless the key already has a claim.
 func (t *Table) importClaim(hc handedClaim) {
 	id := ID{Caller: hc.Caller, Key: hc.Key}
-	if t.claims[id] != nil {
+	if t.claimsByID[id] != nil {
 		return
 	}
 	c := &claim{id: id, group: hc.Group, digest: hc.Digest, state: outcomeUnknown}
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -232,15 +232,15 @@
 // OwnedUntil returns the end of the last interval that an incarnation owns, or
 // zero if it owns none.
 func (l *Ledger) OwnedUntil(incarnation uint64) Stamp {
-	var end Stamp
+	var latestUntil Stamp
 	for i := range l.ranges {
 		for _, interval := range l.ranges[i].Intervals {
 			if interval.Owner.Incarnation == incarnation {
-				end = max(end, interval.Until)
+				latestUntil = max(latestUntil, interval.Until)
 			}
 		}
 	}
-	return end
+	return latestUntil
 }
 
 func (s RangeState) clone() RangeState {
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -14,14 +14,14 @@
 // owner is a separate action, so a pause can occur between any two steps. Log
 // appends, submissions and handovers are delayed, lost and reordered at random.
 const (
-	modelDaemons = 4
-	modelRanges  = 2
-	modelKeys    = 10
-	modelSteps   = 160
+	modelDaemonCount = 4
+	modelRangeCount  = 2
+	modelKeyCount    = 10
+	modelStepCount   = 160
 	// modelMaxGrant is how far a grant may reach beyond the largest frontier of its ranges.
 	modelMaxGrant = 8
-	// modelStamps is the number of different timestamps that keys may have.
-	modelStamps = 40
+	// modelStampCount is the number of different timestamps that keys may have.
+	modelStampCount = 40
 )
 
 // applyUnloggedGrants makes a daemon apply a grant as soon as the daemon requests
@@ -72,19 +72,19 @@
 	profile  profile
 	mutation mutation
 	log      []Record
-	// oldest is the offset of the oldest record that the log keeps.
-	oldest int
+	// oldestOffset is the offset of the oldest record that the log keeps.
+	oldestOffset int
 	// pendingAppends are the records on the way to the log.
 	pendingAppends []Record
-	nodes          [modelDaemons]*node
-	keys           [modelKeys]Key
-	// runs counts the executions of each key.
-	runs        [modelKeys]int
+	nodes          [modelDaemonCount]*node
+	keys           [modelKeyCount]Key
+	// runsPerKey counts the executions of each key.
+	runsPerKey  [modelKeyCount]int
 	submissions []submission
 	handovers   []pendingHandover
-	// incarnations is the number of incarnations started so far.
-	incarnations uint64
-	eventCounts  map[string]int
+	// incarnationCount is the number of incarnations started so far.
+	incarnationCount uint64
+	eventCounts      map[string]int
 	// violation describes the first violated invariant, or is empty.
 	violation string
 }
@@ -99,9 +99,9 @@
 		var random [10]byte
 		random[9] = byte(i)
 		random[8] = byte(w.rng.IntN(256))
-		w.keys[i] = NewKey(Stamp(w.rng.IntN(modelStamps)), random)
+		w.keys[i] = NewKey(Stamp(w.rng.IntN(modelStampCount)), random)
 	}
-	w.grantInitialStamps(w.nodes[w.rng.IntN(modelDaemons)])
+	w.grantInitialStamps(w.nodes[w.rng.IntN(modelDaemonCount)])
 	return w
 }
 
@@ -109,7 +109,7 @@
 // violated, or an empty string.
 func explore(seed uint64, m mutation, eventCounts map[string]int) string {
 	w := newWorld(seed, m, eventCounts)
-	for step := 0; step < modelSteps && w.violation == ""; step++ {
+	for step := 0; step < modelStepCount && w.violation == ""; step++ {
 		w.step()
 	}
 	return w.violation
@@ -118,8 +118,8 @@
 // grantInitialStamps grants the lower half of the timestamps to one node. Some keys
 // can therefore run from the beginning of a schedule.
 func (w *world) grantInitialStamps(n *node) {
-	g := &Grant{Owner: n.table.Self(), Until: modelStamps / 2}
-	for r := range Range(modelRanges) {
+	g := &Grant{Owner: n.table.Self(), Until: modelStampCount / 2}
+	for r := range Range(modelRangeCount) {
 		g.Extensions = append(g.Extensions, Extension{Range: r})
 	}
 	w.log = append(w.log, Record{Grant: g})
@@ -130,9 +130,9 @@
 
 // start starts a new incarnation of daemon i.
 func (w *world) start(i int) {
-	w.incarnations++
-	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Incarnation: w.incarnations}
-	n := &node{ledger: NewLedger(modelRanges, uint64(w.oldest)), table: NewTable(self, Limits{Claims: 3, GroupClaims: 3})}
+	w.incarnationCount++
+	self := Owner{Daemon: model.DaemonID(rune('a' + i)), Incarnation: w.incarnationCount}
+	n := &node{ledger: NewLedger(modelRangeCount, uint64(w.oldestOffset)), table: NewTable(self, Limits{Claims: 3, GroupClaims: 3})}
 	n.ledger.mutation = w.mutation
 	n.table.mutation = w.mutation
 	w.nodes[i] = n
@@ -141,24 +141,24 @@
 // profile holds the probability of each action in percent. An action is a method of world.
 type profile struct {
 	poll, proposeGrant, deliverAppend, submit, advance, drain, deliverHandover, appendTransfer, crash, checkpoint, trim int
-	// keys is the number of keys in use.
-	keys int
+	// keyCount is the number of keys in use.
+	keyCount int
 }
 
 // profiles are the profiles in use. Each makes different failures likely. The seed of a
 // schedule selects the profile.
 var profiles = [...]profile{
-	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keys: modelKeys},
-	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keys: 2},
-	{poll: 30, proposeGrant: 8, deliverAppend: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keys: 4},
+	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keyCount: modelKeyCount},
+	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keyCount: 2},
+	{poll: 30, proposeGrant: 8, deliverAppend: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keyCount: 4},
 }
 
 // step performs a random action on a random node. Some actions ignore the node. If it draws none
 // of the actions in the profile, step expires claims of the node.
 func (w *world) step() {
-	i := w.rng.IntN(modelDaemons)
+	i := w.rng.IntN(modelDaemonCount)
 	n := w.nodes[i]
-	k := w.rng.IntN(100)
+	drawn := w.rng.IntN(100)
 	for _, a := range []struct {
 		percent int
 		perform func(*node)
@@ -175,13 +175,13 @@
 		{w.profile.checkpoint, w.checkpoint},
 		{w.profile.trim, w.trim},
 	} {
-		if k < a.percent {
+		if drawn < a.percent {
 			a.perform(n)
 			return
 		}
-		k -= a.percent
+		drawn -= a.percent
 	}
-	n.table.Expire(Stamp(w.rng.IntN(modelStamps / 2)))
+	n.table.Expire(Stamp(w.rng.IntN(modelStampCount / 2)))
 }
 
 // crash replaces a node with a new incarnation of its daemon.
@@ -195,8 +195,8 @@
 func (w *world) poll(n *node) {
 	for range 1 + w.rng.IntN(6) {
 		next := int(n.ledger.Next())
-		if next < w.oldest {
-			n.ledger.Reset(uint64(w.oldest))
+		if next < w.oldestOffset {
+			n.ledger.Reset(uint64(w.oldestOffset))
 			w.eventCounts["reset"]++
 			continue
 		}
@@ -217,7 +217,7 @@
 		return
 	}
 	g := &Grant{Owner: n.table.Self()}
-	for r := range Range(modelRanges) {
+	for r := range Range(modelRangeCount) {
 		frontier, _ := n.ledger.Frontier(r)
 		if w.rng.IntN(3) > 0 {
 			g.Extensions = append(g.Extensions, Extension{Range: r, Base: frontier})
@@ -244,12 +244,12 @@
 
 // submit submits a key at an entry. The entry finds the owner in its ledger, which may be outdated.
 func (w *world) submit(n *node) {
-	k := w.rng.IntN(w.profile.keys)
-	interval, ownership := n.ledger.Lookup(w.keys[k].Range(modelRanges), w.keys[k].Stamp())
+	keyIndex := w.rng.IntN(w.profile.keyCount)
+	interval, ownership := n.ledger.Lookup(w.keys[keyIndex].Range(modelRangeCount), w.keys[keyIndex].Stamp())
 	if ownership != Owned {
 		return
 	}
-	w.submissions = append(w.submissions, submission{key: k, target: interval.Owner.Daemon})
+	w.submissions = append(w.submissions, submission{key: keyIndex, target: interval.Owner.Daemon})
 }
 
 // advance performs the next step of one random submission. The arrival at the
@@ -286,8 +286,8 @@
 	case Full:
 		w.reportNotRun(s.key)
 	case Replay, AnswerGone:
-		if w.runs[s.key] != 1 {
-			w.violation = fmt.Sprintf("key %d replayed after %d runs", s.key, w.runs[s.key])
+		if w.runsPerKey[s.key] != 1 {
+			w.violation = fmt.Sprintf("key %d replayed after %d runs", s.key, w.runsPerKey[s.key])
 		}
 	}
 	return true
@@ -307,9 +307,9 @@
 		w.reportNotRun(s.key)
 		return true
 	}
-	w.runs[s.key]++
-	if w.runs[s.key] > 1 {
-		w.violation = fmt.Sprintf("key %d ran %d times", s.key, w.runs[s.key])
+	w.runsPerKey[s.key]++
+	if w.runsPerKey[s.key] > 1 {
+		w.violation = fmt.Sprintf("key %d ran %d times", s.key, w.runsPerKey[s.key])
 	}
 	s.phase = afterSend
 	return false
@@ -329,8 +329,8 @@
 
 // reportNotRun checks that a key that is reported as not run has indeed never run.
 func (w *world) reportNotRun(key int) {
-	if w.runs[key] != 0 {
-		w.violation = fmt.Sprintf("key %d reported as not run after %d runs", key, w.runs[key])
+	if w.runsPerKey[key] != 0 {
+		w.violation = fmt.Sprintf("key %d reported as not run after %d runs", key, w.runsPerKey[key])
 	}
 }
 
@@ -342,7 +342,7 @@
 		w.violation = err.Error()
 		return
 	}
-	to := w.nodes[w.rng.IntN(modelDaemons)]
+	to := w.nodes[w.rng.IntN(modelDaemonCount)]
 	if to != n {
 		w.handovers = append(w.handovers, pendingHandover{from: n, to: to.table.Self(), parts: parts})
 	}
@@ -376,7 +376,7 @@
 	}
 	to := n.successor
 	if to == nil && w.rng.IntN(3) == 0 {
-		o := w.nodes[w.rng.IntN(modelDaemons)].table.Self()
+		o := w.nodes[w.rng.IntN(modelDaemonCount)].table.Self()
 		to = &o
 	}
 	if to != nil && *to != n.table.Self() {
@@ -394,7 +394,7 @@
 
 // trim removes a random number of the oldest records from the log.
 func (w *world) trim(*node) {
-	if kept := len(w.log) - w.oldest; kept > 0 {
-		w.oldest += w.rng.IntN(kept + 1)
+	if kept := len(w.log) - w.oldestOffset; kept > 0 {
+		w.oldestOffset += w.rng.IntN(kept + 1)
 	}
 }
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -52,10 +52,11 @@
 	notCandidate = 1<<16 - 1
 )
 
-// NewPlanner returns a Planner for an owner. The grant argument is the full length
-// of a grant. Until SetCandidates is called, Plan returns nil.
-func NewPlanner(self Owner, ranges int, grant time.Duration) *Planner {
-	p := &Planner{self: self, fullLength: Stamp(grant.Milliseconds()), ranks: make([]uint16, ranges)}
+// NewPlanner returns a Planner for an owner and a number of ranges. The grantLength
+// argument is the full length of a grant. Until SetCandidates is called, Plan returns
+// nil.
+func NewPlanner(self Owner, ranges int, grantLength time.Duration) *Planner {
+	p := &Planner{self: self, fullLength: Stamp(grantLength.Milliseconds()), ranks: make([]uint16, ranges)}
 	p.SetCandidates(nil)
 	return p
 }
@@ -63,16 +64,16 @@
 // SetCandidates sets the daemons that may own ranges, and computes the rank of this
 // daemon among them for each range.
 func (p *Planner) SetCandidates(daemons []model.DaemonID) {
-	isCandidate := false
+	selfIsCandidate := false
 	hashes := make([]uint64, len(daemons))
 	for i, d := range daemons {
 		hashes[i] = xxhash.Sum64String(string(d))
-		isCandidate = isCandidate || d == p.self.Daemon
+		selfIsCandidate = selfIsCandidate || d == p.self.Daemon
 	}
 	selfHash := xxhash.Sum64String(string(p.self.Daemon))
 	for r := range p.ranks {
 		p.ranks[r] = notCandidate
-		if isCandidate {
+		if selfIsCandidate {
 			p.ranks[r] = rankOf(selfHash, hashes, uint64(r))
 		}
 	}
@@ -118,11 +119,11 @@
 	due := false
 	for r := range p.ranks {
 		frontier, _ := l.Frontier(Range(r))
-		end := max(frontier, assumedEnd)
-		if frontier >= g.Until || !isDue(p.ranks[r], length, end, now, true) {
+		intervalEnd := max(frontier, assumedEnd)
+		if frontier >= g.Until || !isDue(p.ranks[r], length, intervalEnd, now, true) {
 			continue
 		}
-		due = due || isDue(p.ranks[r], length, end, now, false)
+		due = due || isDue(p.ranks[r], length, intervalEnd, now, false)
 		g.Extensions = append(g.Extensions, Extension{Range: Range(r), Base: frontier})
 	}
 	if !due {
@@ -133,24 +134,25 @@
 
 // lengthAt returns the length of a grant that is requested at the given time.
 func (p *Planner) lengthAt(now Stamp) Stamp {
-	if startup := p.fullLength / startupDivisor; now < p.startedAt+startup {
-		return startup
+	if startupLength := p.fullLength / startupDivisor; now < p.startedAt+startupLength {
+		return startupLength
 	}
 	return p.fullLength
 }
 
-// isDue reports whether a candidate should extend a range now. The last interval of
-// the range ends at end, and length is the length of the grant. If early is set, the
-// range is due an eighth of the length sooner for the first candidate. One record
-// then renews several ranges that become due at nearly the same time.
-func isDue(rank uint16, length, end, now Stamp, early bool) bool {
+// isDue reports whether the candidate with the given rank should extend a range now.
+// The last interval of the range ends at intervalEnd, and length is the length of the
+// grant. If early is set, the range is due an eighth of the length sooner for the first
+// candidate. One record then renews several ranges that become due at nearly the same
+// time.
+func isDue(rank uint16, length, intervalEnd, now Stamp, early bool) bool {
 	if rank == notCandidate {
 		return false
 	}
-	wait := int64(rank)
+	rankDelays := int64(rank)
 	if early && rank == 0 {
-		wait = -1
+		rankDelays = -1
 	}
-	lead := int64(length)/renewDivisor - wait*int64(length)/rankDelayDivisor
-	return int64(end)-int64(now) < lead
+	leadTime := int64(length)/renewDivisor - rankDelays*int64(length)/rankDelayDivisor
+	return int64(intervalEnd)-int64(now) < leadTime
 }
--- a/core/claims/record_test.go
+++ b/core/claims/record_test.go
@@ -78,13 +78,13 @@
 }
 
 func TestParseKey(t *testing.T) {
-	const good = "0192f0c1-7b3a-7cc0-8a11-0123456789ab"
+	const validText = "0192f0c1-7b3a-7cc0-8a11-0123456789ab"
 	for name, tc := range map[string]struct {
 		text string
 		err  error
 	}{
-		"bare":              {good, nil},
-		"quoted":            {`"` + good + `"`, nil},
+		"bare":              {validText, nil},
+		"quoted":            {`"` + validText + `"`, nil},
 		"upper case":        {"0192F0C1-7B3A-7CC0-8A11-0123456789AB", nil},
 		"version 4":         {"0192f0c1-7b3a-4cc0-8a11-0123456789ab", ErrKeyInvalid},
 		"other variant":     {"0192f0c1-7b3a-7cc0-0a11-0123456789ab", ErrKeyInvalid},
@@ -92,14 +92,14 @@
 		"hyphens elsewhere": {"0192f0c17-b3a-7cc0-8a11-0123456789ab", ErrKeyInvalid},
 		"five hyphens":      {"0192f0c1-7b3a-7cc0-8a11-01234567-9ab", ErrKeyInvalid},
 		"not hex":           {"0192f0c1-7b3a-7cc0-8a11-0123456789ax", ErrKeyInvalid},
-		"half quoted":       {`"` + good, ErrKeyInvalid},
+		"half quoted":       {`"` + validText, ErrKeyInvalid},
 		"empty":             {"", ErrKeyInvalid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k, err := ParseKey(tc.text)
 			require.ErrorIs(t, err, tc.err)
 			if tc.err == nil {
-				require.Equal(t, good, k.String())
+				require.Equal(t, validText, k.String())
 				require.EqualValues(t, 0x0192f0c17b3a, k.Stamp())
 			}
 		})
--- a/core/claims/schedules_test.go
+++ b/core/claims/schedules_test.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	schedules = flag.Int("claims.schedules", 20_000, "number of random schedules to explore")
-	firstSeed = flag.Uint64("claims.seed", 1, "seed of the first schedule")
+	scheduleCount = flag.Int("claims.schedules", 20_000, "number of random schedules to explore")
+	firstSeed     = flag.Uint64("claims.seed", 1, "seed of the first schedule")
 )
 
 // exploreAll runs up to count schedules in parallel, with consecutive seeds from first
@@ -22,17 +22,17 @@
 // an invariant, it returns the one with the smallest seed.
 func exploreAll(first uint64, count int, m mutation) (uint64, string, map[string]int) {
 	var (
-		next           atomic.Int64
+		nextIndex      atomic.Int64
 		mu             sync.Mutex
 		wg             sync.WaitGroup
-		total          = make(map[string]int)
+		totalCounts    = make(map[string]int)
 		seed           uint64
 		firstViolation string
 	)
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			eventCounts := make(map[string]int)
-			for i := next.Add(1) - 1; i < int64(count); i = next.Add(1) - 1 {
+			for i := nextIndex.Add(1) - 1; i < int64(count); i = nextIndex.Add(1) - 1 {
 				violation := explore(first+uint64(i), m, eventCounts)
 				if violation == "" {
 					continue
@@ -42,23 +42,23 @@
 					seed, firstViolation = s, violation
 				}
 				mu.Unlock()
-				next.Store(int64(count))
+				nextIndex.Store(int64(count))
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			for k, v := range eventCounts {
-				total[k] += v
+				totalCounts[k] += v
 			}
 		})
 	}
 	wg.Wait()
-	return seed, firstViolation, total
+	return seed, firstViolation, totalCounts
 }
 
 // TestSchedulesRunEachKeyAtMostOnce explores random schedules. None may violate an
 // invariant, and each of the listed events must occur at least once.
 func TestSchedulesRunEachKeyAtMostOnce(t *testing.T) {
-	seed, violation, eventCounts := exploreAll(*firstSeed, *schedules, noMutation)
+	seed, violation, eventCounts := exploreAll(*firstSeed, *scheduleCount, noMutation)
 	require.Empty(t, violation, "seed %d", seed)
 	for _, event := range []string{
 		"run", "in-progress", "replay", "outcome-unknown", "expired", "full", "sealed",
@@ -66,7 +66,7 @@
 	} {
 		require.Positive(t, eventCounts[event], "event %s never occurred", event)
 	}
-	t.Logf("%d schedules from seed %d: %v", *schedules, *firstSeed, eventCounts)
+	t.Logf("%d schedules from seed %d: %v", *scheduleCount, *firstSeed, eventCounts)
 }
 
 // TestRegressionSchedules runs the schedules that have found a fault in the past.
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -125,18 +125,18 @@
 	state  state
 	// answer is the retained answer, or nil.
 	answer *Answer
-	// size is the size of the answer in bytes.
-	size int
+	// answerSize is the size of the answer in bytes.
+	answerSize int
 	// heapIndex is the claim's index in Table.byStamp.
 	heapIndex int
 }
 
 // Table holds the claims of one owner. It is not safe for concurrent use.
 type Table struct {
-	self    Owner
-	limits  Limits
-	claims  map[ID]*claim
-	byStamp stampHeap
+	self       Owner
+	limits     Limits
+	claimsByID map[ID]*claim
+	byStamp    stampHeap
 	// claimsPerGroup is the number of claims of each group.
 	claimsPerGroup map[model.GroupName]int
 	answers        *answerCache
@@ -155,7 +155,7 @@
 	return &Table{
 		self:           self,
 		limits:         limits,
-		claims:         make(map[ID]*claim),
+		claimsByID:     make(map[ID]*claim),
 		claimsPerGroup: make(map[model.GroupName]int),
 		answers:        newAnswerCache(limits.GroupAnswerBytes, limits.AnswerBytes),
 		priorOwners:    make(map[uint64]earlier),
@@ -166,7 +166,7 @@
 func (t *Table) Self() Owner { return t.self }
 
 // Len returns the number of claims.
-func (t *Table) Len() int { return len(t.claims) }
+func (t *Table) Len() int { return len(t.claimsByID) }
 
 // AnswerBytes returns the total size of the retained answers in bytes.
 func (t *Table) AnswerBytes() int { return t.answers.usedBytes }
@@ -190,13 +190,13 @@
 	if !ok {
 		return OwnerLost, nil
 	}
-	if c := t.claims[r.ID]; c != nil {
+	if c := t.claimsByID[r.ID]; c != nil {
 		return c.decisionFor(r.Digest)
 	}
 	if stamp < floor {
 		return Expired, nil
 	}
-	if len(t.claims) >= t.limits.Claims || t.claimsPerGroup[r.Group] >= t.limits.GroupClaims {
+	if len(t.claimsByID) >= t.limits.Claims || t.claimsPerGroup[r.Group] >= t.limits.GroupClaims {
 		return Full, nil
 	}
 	t.insert(&claim{id: r.ID, group: r.Group, digest: r.Digest})
@@ -257,7 +257,7 @@
 // an unknown outcome. The answer is nil if there is none or if it is too large to
 // retain. Finish does nothing if the claim has been deleted or has an outcome already.
 func (t *Table) Finish(id ID, kind outcome.Kind, a *Answer) {
-	c := t.claims[id]
+	c := t.claimsByID[id]
 	if c == nil || c.state != running {
 		return
 	}
@@ -297,13 +297,13 @@
 }
 
 func (t *Table) insert(c *claim) {
-	t.claims[c.id] = c
+	t.claimsByID[c.id] = c
 	t.claimsPerGroup[c.group]++
 	heap.Push(&t.byStamp, c)
 }
 
 func (t *Table) remove(c *claim) {
-	delete(t.claims, c.id)
+	delete(t.claimsByID, c.id)
 	heap.Remove(&t.byStamp, c.heapIndex)
 	t.answers.discard(c)
 	t.claimsPerGroup[c.group]--
--- a/core/claims/table_test.go
+++ b/core/claims/table_test.go
@@ -39,9 +39,9 @@
 	require.Equal(t, Replay, decision)
 	require.Equal(t, "released", string(a.Body))
 
-	changed := r
-	changed.Digest[0]++
-	require.Equal(t, Mismatch, begin(changed))
+	differentRequest := r
+	differentRequest.Digest[0]++
+	require.Equal(t, Mismatch, begin(differentRequest))
 	require.Equal(t, Run, begin(newRequest(50, 1, "sorter-2")), "the same key of another caller is independent")
 	require.Equal(t, NotOwner, begin(newRequest(100, 1, "sorter-1")), "timestamp beyond the grant")
 	table.Expire(51)
@@ -73,15 +73,15 @@
 		decisions[decision]++
 	}
 	require.Equal(t, map[Decision]int{Run: 2, Full: 3}, decisions)
-	other := newRequest(50, 9, "")
-	other.Group = "members"
-	decision, _ := table.Begin(l, other)
+	otherGroupRequest := newRequest(50, 9, "")
+	otherGroupRequest.Group = "members"
+	decision, _ := table.Begin(l, otherGroupRequest)
 	require.Equal(t, Run, decision, "a full group leaves capacity for other groups")
 }
 
 func TestTableEvictsAnswersOfLargestGroup(t *testing.T) {
 	l, table := ledgerOwnedBy(self, 100), NewTable(self, Limits{AnswerBytes: 1000, GroupAnswerBytes: 800})
-	run := func(n, size int, g model.GroupName) Request {
+	runRequest := func(n, size int, g model.GroupName) Request {
 		r := newRequest(50, n, "")
 		r.Group = g
 		decision, _ := table.Begin(l, r)
@@ -90,24 +90,24 @@
 		require.LessOrEqual(t, table.AnswerBytes(), 1000)
 		return r
 	}
-	first, second := run(1, 350, "searches"), run(2, 350, "searches")
-	sorter := run(3, 350, "sorters")
-	for r, want := range map[*Request]Decision{&first: AnswerGone, &second: Replay, &sorter: Replay} {
+	oldestRequest, newerRequest := runRequest(1, 350, "searches"), runRequest(2, 350, "searches")
+	sorterRequest := runRequest(3, 350, "sorters")
+	for r, want := range map[*Request]Decision{&oldestRequest: AnswerGone, &newerRequest: Replay, &sorterRequest: Replay} {
 		decision, _ := table.Begin(l, *r)
 		require.Equal(t, want, decision)
 	}
-	large := run(4, 801, "sorters")
-	decision, _ := table.Begin(l, large)
+	largeRequest := runRequest(4, 801, "sorters")
+	decision, _ := table.Begin(l, largeRequest)
 	require.Equal(t, AnswerGone, decision)
 }
 
 func TestHandoverTransfersClaimsAndAnswers(t *testing.T) {
 	successor := Owner{Daemon: "127.0.0.1:7002", Incarnation: 12}
 	l, from, to := ledgerOwnedBy(self, 100), NewTable(self, Limits{}), NewTable(successor, Limits{})
-	answeredRequest, inFlight, neverSubmitted := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
+	answeredRequest, inFlightRequest, unsubmittedRequest := newRequest(50, 1, "a"), newRequest(51, 2, "a"), newRequest(52, 3, "a")
 	from.Begin(l, answeredRequest)
 	from.Finish(answeredRequest.ID, outcome.Answered, &Answer{Status: 200, Body: []byte("paid")})
-	from.Begin(l, inFlight)
+	from.Begin(l, inFlightRequest)
 	from.Expire(40)
 	from.Seal()
 	parts, err := from.Export(l)
@@ -123,11 +123,11 @@
 	decision, a := to.Begin(l, answeredRequest)
 	require.Equal(t, Replay, decision)
 	require.Equal(t, "paid", string(a.Body))
-	decision, _ = to.Begin(l, inFlight)
+	decision, _ = to.Begin(l, inFlightRequest)
 	require.Equal(t, OutcomeUnknown, decision)
 	decision, _ = to.Begin(l, newRequest(39, 4, "a"))
 	require.Equal(t, Expired, decision, "the earlier owner may have deleted the claim")
-	decision, _ = to.Begin(l, neverSubmitted)
+	decision, _ = to.Begin(l, unsubmittedRequest)
 	require.Equal(t, Run, decision)
 }
 
@@ -162,21 +162,21 @@
 	from.Seal()
 	parts, err := from.Export(l)
 	require.NoError(t, err)
-	data := parts[0]
-	small := NewTable(Owner{Incarnation: 12}, Limits{Claims: 2})
-	sealed := NewTable(Owner{Incarnation: 13}, Limits{})
-	sealed.Seal()
-	for name, table := range map[string]*Table{"no capacity": small, "sealed": sealed} {
+	part := parts[0]
+	smallTable := NewTable(Owner{Incarnation: 12}, Limits{Claims: 2})
+	sealedTable := NewTable(Owner{Incarnation: 13}, Limits{})
+	sealedTable.Seal()
+	for name, table := range map[string]*Table{"no capacity": smallTable, "sealed": sealedTable} {
 		t.Run(name, func(t *testing.T) {
-			require.ErrorIs(t, table.Import(data), ErrHandover)
+			require.ErrorIs(t, table.Import(part), ErrHandover)
 			require.Zero(t, table.Len())
 		})
 	}
-	unsealed := NewTable(Owner{Incarnation: 14}, Limits{})
-	for cut := range len(data) - 1 {
-		require.ErrorIs(t, unsealed.Import(data[:cut]), ErrHandover, "cut at %d", cut)
+	usableTable := NewTable(Owner{Incarnation: 14}, Limits{})
+	for cut := range len(part) - 1 {
+		require.ErrorIs(t, usableTable.Import(part[:cut]), ErrHandover, "cut at %d", cut)
 	}
-	require.Zero(t, unsealed.Len())
+	require.Zero(t, usableTable.Len())
 }
 
 func TestPlannerCoversRangesOfSilentOwner(t *testing.T) {
@@ -191,8 +191,8 @@
 		planners[d].SetCandidates(daemons)
 	}
 	appends := 0
-	run := func(alive []model.DaemonID, d time.Duration) {
-		for end := now + Stamp(d.Milliseconds()); now < end; now += 200 {
+	runPlanners := func(alive []model.DaemonID, d time.Duration) {
+		for until := now + Stamp(d.Milliseconds()); now < until; now += 200 {
 			for _, id := range alive {
 				if g := planners[id].Plan(l, now); g != nil {
 					l.Apply(offset, Record{Grant: g})
@@ -202,22 +202,22 @@
 			}
 		}
 	}
-	ownedRanges := func() map[model.DaemonID]int {
-		owned := map[model.DaemonID]int{}
+	rangesPerOwner := func() map[model.DaemonID]int {
+		counts := map[model.DaemonID]int{}
 		for r := range Range(64) {
 			interval, ownership := l.Lookup(r, now)
 			require.Equal(t, Owned, ownership, "range %d has no owner", r)
-			owned[interval.Owner.Daemon]++
+			counts[interval.Owner.Daemon]++
 		}
-		return owned
+		return counts
 	}
-	run(daemons, time.Second)
-	require.Len(t, ownedRanges(), 3)
+	runPlanners(daemons, time.Second)
+	require.Len(t, rangesPerOwner(), 3)
 	appends = 0
-	run(daemons, 10*time.Minute)
+	runPlanners(daemons, 10*time.Minute)
 	require.LessOrEqual(t, appends, 3*21, "each owner renews all its ranges with one record per half of the grant length")
-	run(daemons[:2], 2*time.Minute)
-	require.Len(t, ownedRanges(), 2, "other daemons take over the ranges of a silent owner without a gap")
+	runPlanners(daemons[:2], 2*time.Minute)
+	require.Len(t, rangesPerOwner(), 2, "other daemons take over the ranges of a silent owner without a gap")
 }
 
 // TestPlannerStartedFirstLeavesRangesToOthers guards against a daemon that owns
@@ -244,13 +244,13 @@
 		plan(first, now)
 		plan(second, now)
 	}
-	owned := map[model.DaemonID]int{}
+	rangesPerOwner := map[model.DaemonID]int{}
 	for r := range Range(64) {
 		interval, ownership := l.Lookup(r, 1_010_000)
 		require.Equal(t, Owned, ownership, "range %d", r)
-		owned[interval.Owner.Daemon]++
+		rangesPerOwner[interval.Owner.Daemon]++
 	}
-	require.Greater(t, owned["b:1"], 16, "%v", owned)
+	require.Greater(t, rangesPerOwner["b:1"], 16, "%v", rangesPerOwner)
 }
 
 func TestPlannerRequestsNothingWhenNotCandidate(t *testing.T) {
@@ -266,10 +266,10 @@
 }
 
 func BenchmarkBegin(b *testing.B) {
-	for _, size := range []int{1_000, 60_000} {
-		b.Run(fmt.Sprintf("claims=%d", size), func(b *testing.B) {
-			l, table := ledgerOwnedBy(self, 1<<40), NewTable(self, Limits{GroupClaims: size + 1, Claims: size + 1})
-			for i := range size {
+	for _, claimCount := range []int{1_000, 60_000} {
+		b.Run(fmt.Sprintf("claims=%d", claimCount), func(b *testing.B) {
+			l, table := ledgerOwnedBy(self, 1<<40), NewTable(self, Limits{GroupClaims: claimCount + 1, Claims: claimCount + 1})
+			for i := range claimCount {
 				r := newRequest(Stamp(i), i, "sorter-1")
 				table.Begin(l, r)
 				table.Finish(r.ID, outcome.Answered, nil)
@@ -278,7 +278,7 @@
 			i := 0
 			for b.Loop() {
 				i++
-				r := newRequest(Stamp(size+i), i, "sorter-1")
+				r := newRequest(Stamp(claimCount+i), i, "sorter-1")
 				table.Begin(l, r)
 				table.Finish(r.ID, outcome.NotRun, nil)
 			}
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -43,8 +43,8 @@
 // stateDigest summarizes the state of a StateMachine. From this summary, another
 // daemon determines which records the StateMachine lacks.
 type stateDigest struct {
-	next    uint64
-	version uint64
+	nextOffset uint64
+	version    uint64
 	// chain is the prefix of the head of the hash chain.
 	chain [chainPrefixSize]byte
 	// partialID is the id of the checkpoint that the StateMachine is receiving.
@@ -68,7 +68,7 @@
 	if len(b) != digestSize {
 		return stateDigest{}, false
 	}
-	d := stateDigest{next: binary.BigEndian.Uint64(b), version: binary.BigEndian.Uint64(b[8:])}
+	d := stateDigest{nextOffset: binary.BigEndian.Uint64(b), version: binary.BigEndian.Uint64(b[8:])}
 	copy(d.chain[:], b[16:])
 	d.partialID = binary.BigEndian.Uint64(b[16+chainPrefixSize:])
 	d.partialBytes = binary.BigEndian.Uint64(b[24+chainPrefixSize:])
@@ -80,13 +80,13 @@
 // hash chain at that offset is not known here.
 func (m *StateMachine) Conflicts(peerDigest []byte) bool {
 	d, ok := parseStateDigest(peerDigest)
-	if !ok || d.next > m.state.Next {
+	if !ok || d.nextOffset > m.state.Next {
 		return false
 	}
-	if d.next == m.state.Next {
+	if d.nextOffset == m.state.Next {
 		return d.chain != [chainPrefixSize]byte(m.state.Chain[:chainPrefixSize])
 	}
-	records, ok := m.recent.startingAt(d.next)
+	records, ok := m.recent.startingAt(d.nextOffset)
 	return ok && d.chain != [chainPrefixSize]byte(records[0].chainBefore[:chainPrefixSize])
 }
 
@@ -97,11 +97,11 @@
 // digest is malformed, or not even a chunk of one byte fits.
 func (m *StateMachine) Delta(peerDigest []byte, limit int) []byte {
 	d, ok := parseStateDigest(peerDigest)
-	if !ok || d.next >= m.state.Next || m.Conflicts(peerDigest) {
+	if !ok || d.nextOffset >= m.state.Next || m.Conflicts(peerDigest) {
 		return nil
 	}
-	if records, ok := m.recent.startingAt(d.next); ok {
-		if delta := encodeRecords(d.next, records, limit); delta != nil {
+	if records, ok := m.recent.startingAt(d.nextOffset); ok {
+		if delta := encodeRecords(d.nextOffset, records, limit); delta != nil {
 			return delta
 		}
 	}
@@ -110,8 +110,8 @@
 
 // encodeRecords returns a delta with as many records as fit into limit bytes, or
 // nil if not even one fits.
-func encodeRecords(first uint64, records []recentRecord, limit int) []byte {
-	b := append([]byte{deltaRecords}, binary.BigEndian.AppendUint64(nil, first)...)
+func encodeRecords(firstOffset uint64, records []recentRecord, limit int) []byte {
+	b := append([]byte{deltaRecords}, binary.BigEndian.AppendUint64(nil, firstOffset)...)
 	for _, r := range records {
 		if len(b)+lengthPrefixSize+len(r.data) > limit {
 			break
@@ -129,20 +129,20 @@
 // the digest needs. The chunk begins after the bytes that the sender has already
 // received.
 func (m *StateMachine) nextChunk(d stateDigest, limit int) []byte {
-	data := m.checkpointFor(d.next)
+	data := m.checkpointFor(d.nextOffset)
 	if data == nil || limit <= chunkHeaderSize {
 		return nil
 	}
 	id := xxhash.Sum64(data)
-	var start uint64
+	var chunkOffset uint64
 	if d.partialID == id && d.partialBytes < uint64(len(data)) {
-		start = d.partialBytes
+		chunkOffset = d.partialBytes
 	}
 	b := []byte{deltaChunk}
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = binary.BigEndian.AppendUint64(b, uint64(len(data)))
-	b = binary.BigEndian.AppendUint64(b, start)
-	rest := data[start:]
+	b = binary.BigEndian.AppendUint64(b, chunkOffset)
+	rest := data[chunkOffset:]
 	return append(b, rest[:min(len(rest), limit-chunkHeaderSize)]...)
 }
 
@@ -151,10 +151,10 @@
 // that checkpoint is ahead of the daemon and the records that follow it are still
 // kept. Otherwise it first replaces the cached checkpoint with one of the current
 // state.
-func (m *StateMachine) checkpointFor(next uint64) []byte {
-	_, canContinue := m.recent.startingAt(m.cached.state.Next)
-	canContinue = canContinue || m.cached.state.Next == m.state.Next
-	if m.cached.state.Next <= next || !canContinue {
+func (m *StateMachine) checkpointFor(nextOffset uint64) []byte {
+	_, laterRecordsKept := m.recent.startingAt(m.cached.state.Next)
+	laterRecordsKept = laterRecordsKept || m.cached.state.Next == m.state.Next
+	if m.cached.state.Next <= nextOffset || !laterRecordsKept {
 		m.cached = cachedCheckpoint{state: m.state.clone()}
 	}
 	if m.cached.encoded == nil {
@@ -168,8 +168,8 @@
 }
 
 var (
-	errDelta = errors.New("config delta cannot be read")
-	errChunk = errors.New("config checkpoint cannot be read")
+	errDelta      = errors.New("config delta cannot be read")
+	errCheckpoint = errors.New("config checkpoint cannot be read")
 )
 
 // ApplyDelta applies a delta and returns the results of the records that it
@@ -193,13 +193,13 @@
 
 // applyRecords applies a delta of kind deltaRecords.
 func (m *StateMachine) applyRecords(delta []byte) ([]Result, error) {
-	first, records, err := decodeRecords(delta)
+	firstOffset, records, err := decodeRecords(delta)
 	if err != nil {
 		return nil, err
 	}
 	var out []Result
 	for i, r := range records {
-		if res := m.ApplyRecord(first+uint64(i), r); res.Decision != OutOfOrder {
+		if res := m.ApplyRecord(firstOffset+uint64(i), r); res.Decision != OutOfOrder {
 			out = append(out, res)
 		}
 	}
@@ -207,11 +207,11 @@
 }
 
 // decodeRecords returns the records of a delta and the offset of the first one.
-func decodeRecords(delta []byte) (first uint64, records [][]byte, err error) {
+func decodeRecords(delta []byte) (firstOffset uint64, records [][]byte, err error) {
 	if len(delta) < recordsHeaderSize {
 		return 0, nil, errDelta
 	}
-	first = binary.BigEndian.Uint64(delta[1:])
+	firstOffset = binary.BigEndian.Uint64(delta[1:])
 	for rest := delta[recordsHeaderSize:]; len(rest) > 0; {
 		if len(rest) < lengthPrefixSize {
 			return 0, nil, errDelta
@@ -224,7 +224,7 @@
 		records = append(records, append([]byte(nil), rest[:n]...))
 		rest = rest[n:]
 	}
-	return first, records, nil
+	return firstOffset, records, nil
 }
 
 // applyChunk adds a chunk to the partial checkpoint. When the checkpoint is
@@ -237,15 +237,15 @@
 	}
 	id := binary.BigEndian.Uint64(delta[1:])
 	size := binary.BigEndian.Uint64(delta[9:])
-	start := binary.BigEndian.Uint64(delta[17:])
+	chunkOffset := binary.BigEndian.Uint64(delta[17:])
 	chunk := delta[chunkHeaderSize:]
-	if size > maxUncompressedCheckpoint || start > size || uint64(len(chunk)) > size-start {
+	if size > maxUncompressedCheckpoint || chunkOffset > size || uint64(len(chunk)) > size-chunkOffset {
 		return errDelta
 	}
-	if start == 0 && (m.partial.id != id || m.partial.size != size) {
+	if chunkOffset == 0 && (m.partial.id != id || m.partial.size != size) {
 		m.partial = partialCheckpoint{id: id, size: size}
 	}
-	if m.partial.id != id || m.partial.size != size || start != uint64(len(m.partial.data)) {
+	if m.partial.id != id || m.partial.size != size || chunkOffset != uint64(len(m.partial.data)) {
 		return nil
 	}
 	m.partial.data = append(m.partial.data, chunk...)
@@ -256,7 +256,7 @@
 	m.partial = partialCheckpoint{}
 	s, ok := ReadCheckpoint(data)
 	if !ok {
-		return errChunk
+		return errCheckpoint
 	}
 	if err := m.Adopt(s); err != nil && !errors.Is(err, ErrStale) {
 		return err
--- a/core/config/model_test.go
+++ b/core/config/model_test.go
@@ -21,18 +21,18 @@
 // restart.
 type world struct {
 	log [][]byte
-	// oldest is the offset of the oldest record that the log keeps.
-	oldest int
+	// oldestOffset is the offset of the oldest record that the log keeps.
+	oldestOffset int
 	// writerCheckpoint is the encoded checkpoint that the paused writer will append.
 	writerCheckpoint []byte
 	// writerState is the state that writerCheckpoint contains.
 	writerState State
 	daemons     [2]*StateMachine
-	// expected holds the expected state after each prefix of the log. The index is
+	// expectedStates holds the expected state after each prefix of the log. The index is
 	// the length of the prefix.
-	expected []expectedState
-	// steps are the names of the actions that led to this state.
-	steps []string
+	expectedStates []expectedState
+	// actionNames are the names of the actions that led to this state.
+	actionNames []string
 }
 
 // expectedState is the state that the rules of the package prescribe. The model
@@ -47,7 +47,7 @@
 
 func (w *world) clone() *world {
 	c := *w
-	c.log, c.expected, c.steps = slices.Clone(w.log), slices.Clone(w.expected), slices.Clone(w.steps)
+	c.log, c.expectedStates, c.actionNames = slices.Clone(w.log), slices.Clone(w.expectedStates), slices.Clone(w.actionNames)
 	for i, d := range w.daemons {
 		m := *d
 		m.state = d.state.clone()
@@ -61,7 +61,7 @@
 // append appends a record to the log and computes the expected state after it. The
 // id is empty for a record that is not a change.
 func (w *world) append(record []byte, id string, base model.Version) {
-	s := w.expected[len(w.expected)-1]
+	s := w.expectedStates[len(w.expectedStates)-1]
 	if id != "" && !strings.Contains(s.seenIDs, id) {
 		s.seenIDs += id
 		if base == s.version {
@@ -70,7 +70,7 @@
 		}
 	}
 	w.log = append(w.log, record)
-	w.expected = append(w.expected, s)
+	w.expectedStates = append(w.expectedStates, s)
 }
 
 // appendChange encodes a change and appends it to the log.
@@ -85,36 +85,36 @@
 // readLog applies all records on the log to a daemon. If the log no longer keeps the
 // daemon's next record, readLog first restores a checkpoint.
 func (w *world) readLog(m *StateMachine) {
-	if m.NeedsCheckpoint(uint64(w.oldest)) {
-		for o := w.oldest; o < len(w.log); o++ {
-			if m.RestoreCheckpoint(uint64(o), uint64(w.oldest), w.log[o]) {
+	if m.NeedsCheckpoint(uint64(w.oldestOffset)) {
+		for o := w.oldestOffset; o < len(w.log); o++ {
+			if m.RestoreCheckpoint(uint64(o), uint64(w.oldestOffset), w.log[o]) {
 				break
 			}
 		}
 	}
-	for o := max(int(m.Next()), w.oldest); o < len(w.log); o++ {
+	for o := max(int(m.Next()), w.oldestOffset); o < len(w.log); o++ {
 		m.ApplyRecord(uint64(o), w.log[o])
 	}
 }
 
-// checkpoints caches encoded checkpoints, to speed up the exploration. The
-// exploration reaches only a few different states.
-var checkpoints = map[string][]byte{}
+// checkpointsByState caches encoded checkpoints, to speed up the exploration. The
+// exploration reaches only a few different states. The keys describe the states.
+var checkpointsByState = map[string][]byte{}
 
 // encodeCheckpoint returns the encoded checkpoint of a state, from the cache if
 // possible.
 func encodeCheckpoint(s State) []byte {
 	key := fmt.Sprintf("%d %x %v", s.Next, s.Chain, s.IDs)
-	if checkpoints[key] == nil {
-		checkpoints[key], _ = s.Checkpoint()
+	if checkpointsByState[key] == nil {
+		checkpointsByState[key], _ = s.Checkpoint()
 	}
-	return checkpoints[key]
+	return checkpointsByState[key]
 }
 
 // action is one step of a history. It changes the state of the model.
 type action struct {
-	name string
-	do   func(*world)
+	name    string
+	perform func(*world)
 }
 
 // actions returns all actions that the exploration tries in each state of the model.
@@ -125,7 +125,7 @@
 		add(fmt.Sprint("change on ", base), func(w *world) { w.appendChange(fmt.Sprintf("<%d>", len(w.log)), base) })
 	}
 	add("repeat the first record", func(w *world) {
-		if len(w.log) > 0 && w.oldest == 0 {
+		if len(w.log) > 0 && w.oldestOffset == 0 {
 			kind, payload, _, _ := parseRecord(w.log[0])
 			if c, err := decodeChange(payload); kind == kindChange && err == nil {
 				w.append(w.log[0], c.ID, c.Base)
@@ -141,7 +141,7 @@
 			w.append(w.writerCheckpoint, "", 0)
 		}
 	})
-	add("log trims all but the last", func(w *world) { w.oldest = max(w.oldest, len(w.log)-1) })
+	add("log trims all but the last", func(w *world) { w.oldestOffset = max(w.oldestOffset, len(w.log)-1) })
 	for i := range 2 {
 		add(fmt.Sprint("read ", i), func(w *world) { w.readLog(w.daemons[i]) })
 		add(fmt.Sprint("send delta to ", i), func(w *world) {
@@ -164,16 +164,16 @@
 // that the version and the next offset of a daemon are not lower than before the
 // last action. The argument restarted is set if the last action restarted daemon 1.
 // The version and the offset of daemon 1 may then decrease.
-func (w *world) check(before *world, restarted bool) error {
+func (w *world) check(previous *world, restarted bool) error {
 	for i, d := range w.daemons {
 		if d.Next() > uint64(len(w.log)) {
 			return fmt.Errorf("daemon %d has applied more records than the log holds", i)
 		}
-		s := w.expected[d.Next()]
+		s := w.expectedStates[d.Next()]
 		if d.Version() != s.version || d.state.ChangeID != s.lastAccepted {
 			return fmt.Errorf("daemon %d at offset %d has version %d of %s, want %d of %s", i, d.Next(), d.Version(), d.state.ChangeID, s.version, s.lastAccepted)
 		}
-		if old := before.daemons[i]; !(restarted && i == 1) && (d.Version() < old.Version() || d.Next() < old.Next()) {
+		if old := previous.daemons[i]; !(restarted && i == 1) && (d.Version() < old.Version() || d.Next() < old.Next()) {
 			return fmt.Errorf("daemon %d went back from %d to %d", i, old.Version(), d.Version())
 		}
 	}
@@ -185,12 +185,12 @@
 // digest and first recent offset.
 func (w *world) key() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d|%d|%x|", len(w.log), w.oldest, hashID(string(w.writerCheckpoint)))
+	fmt.Fprintf(&b, "%d|%d|%x|", len(w.log), w.oldestOffset, hashID(string(w.writerCheckpoint)))
 	for _, r := range w.log {
 		fmt.Fprintf(&b, "%x,", hashID(string(r)))
 	}
 	for _, d := range w.daemons {
-		fmt.Fprintf(&b, "|%x %d", d.Digest(), d.recent.first)
+		fmt.Fprintf(&b, "|%x %d", d.Digest(), d.recent.firstOffset)
 	}
 	return b.String()
 }
@@ -201,30 +201,30 @@
 // TestShortHistoriesMatchSpecification explores all histories of up to modelDepth
 // actions, breadth first, and checks every state reached.
 func TestShortHistoriesMatchSpecification(t *testing.T) {
-	first := &world{expected: make([]expectedState, 1), daemons: [2]*StateMachine{NewStateMachine(nil), NewStateMachine(nil)}}
-	seen := map[string]bool{first.key(): true}
-	level := []*world{first}
-	acts := actions()
-	versions := map[model.Version]bool{}
+	initial := &world{expectedStates: make([]expectedState, 1), daemons: [2]*StateMachine{NewStateMachine(nil), NewStateMachine(nil)}}
+	seen := map[string]bool{initial.key(): true}
+	level := []*world{initial}
+	allActions := actions()
+	reachedVersions := map[model.Version]bool{}
 	for range modelDepth {
 		var next []*world
 		for _, w := range level {
-			for _, a := range acts {
-				n := w.clone()
-				a.do(n)
-				n.steps = append(n.steps, a.name)
-				require.NoError(t, n.check(w, a.name == "restart 1"), "after %v", n.steps)
-				versions[n.daemons[1].Version()] = true
-				if k := n.key(); !seen[k] {
+			for _, a := range allActions {
+				successor := w.clone()
+				a.perform(successor)
+				successor.actionNames = append(successor.actionNames, a.name)
+				require.NoError(t, successor.check(w, a.name == "restart 1"), "after %v", successor.actionNames)
+				reachedVersions[successor.daemons[1].Version()] = true
+				if k := successor.key(); !seen[k] {
 					seen[k] = true
-					next = append(next, n)
+					next = append(next, successor)
 				}
 			}
 		}
 		level = next
 	}
 	t.Logf("explored %d states", len(seen))
-	require.Len(t, versions, 4, "versions 0 to 3 are reached")
+	require.Len(t, reachedVersions, 4, "versions 0 to 3 are reached")
 }
 
 // TestModelDetectsMissingChecks removes one check at a time from the source. For
--- a/core/config/recent.go
+++ b/core/config/recent.go
@@ -3,11 +3,11 @@
 // recordBuffer is a bounded buffer of the last applied records. Deltas for other
 // daemons are made from these records.
 type recordBuffer struct {
-	// first is the offset of records[0].
-	first   uint64
-	records []recentRecord
-	// bytes is the total size of the records.
-	bytes int
+	// firstOffset is the offset of records[0].
+	firstOffset uint64
+	records     []recentRecord
+	// totalBytes is the total size of the records.
+	totalBytes int
 }
 
 // recentRecord is an applied record. The data of an ignored record is empty.
@@ -25,25 +25,25 @@
 // add appends a record and removes the oldest ones beyond the limits.
 func (r *recordBuffer) add(offset uint64, data []byte, chainBefore Digest) {
 	if len(r.records) == 0 {
-		r.first = offset
+		r.firstOffset = offset
 	}
 	r.records = append(r.records, recentRecord{data: data, chainBefore: chainBefore})
-	r.bytes += len(data)
-	for len(r.records) > maxRecentRecords || r.bytes > maxRecentBytes {
-		r.bytes -= len(r.records[0].data)
+	r.totalBytes += len(data)
+	for len(r.records) > maxRecentRecords || r.totalBytes > maxRecentBytes {
+		r.totalBytes -= len(r.records[0].data)
 		r.records[0] = recentRecord{}
 		r.records = r.records[1:]
-		r.first++
+		r.firstOffset++
 	}
 }
 
 // startingAt returns the records from the given offset on. It returns false if the
 // buffer does not contain the record at that offset.
 func (r *recordBuffer) startingAt(offset uint64) ([]recentRecord, bool) {
-	if len(r.records) == 0 || offset < r.first {
+	if len(r.records) == 0 || offset < r.firstOffset {
 		return nil, false
 	}
-	skip := offset - r.first
+	skip := offset - r.firstOffset
 	if skip >= uint64(len(r.records)) {
 		return nil, false
 	}
--- a/core/config/statemachine_test.go
+++ b/core/config/statemachine_test.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-func put(key, text string) map[DocumentKey]json.RawMessage {
+func oneDocument(key, text string) map[DocumentKey]json.RawMessage {
 	return map[DocumentKey]json.RawMessage{DocumentKey(key): json.RawMessage(text)}
 }
 
@@ -36,24 +36,24 @@
 }
 
 func TestDecisionForEachChange(t *testing.T) {
-	first := Change{ID: "1", Put: put("Service/a", `"x"`)}
-	large := json.RawMessage(`"` + strings.Repeat("x", MaxChange-200) + `"`)
-	tooLarge := []Change{}
+	firstChange := Change{ID: "1", Put: oneDocument("Service/a", `"x"`)}
+	largeDocument := json.RawMessage(`"` + strings.Repeat("x", MaxChange-200) + `"`)
+	changesOverMaxState := []Change{}
 	for i := range MaxState/MaxChange + 1 {
-		tooLarge = append(tooLarge, Change{ID: fmt.Sprint("l", i), Base: model.Version(i), Put: map[DocumentKey]json.RawMessage{DocumentKey(fmt.Sprint("Service/", i)): large}})
+		changesOverMaxState = append(changesOverMaxState, Change{ID: fmt.Sprint("l", i), Base: model.Version(i), Put: map[DocumentKey]json.RawMessage{DocumentKey(fmt.Sprint("Service/", i)): largeDocument}})
 	}
 	for name, c := range map[string]struct {
 		changes []Change
 		want    []Decision
 		version model.Version
 	}{
-		"first":                   {[]Change{first}, []Decision{Accepted}, 1},
-		"concurrent":              {[]Change{first, {ID: "2", Put: put("Service/a", `"y"`)}}, []Decision{Accepted, Superseded}, 1},
-		"sequential":              {[]Change{first, {ID: "2", Base: 1}}, []Decision{Accepted, Accepted}, 2},
-		"repeated":                {[]Change{first, first, {ID: "2", Base: 1}, first}, []Decision{Accepted, Duplicate, Accepted, Duplicate}, 2},
-		"base does not exist yet": {[]Change{{ID: "2", Base: 1}, first, {ID: "2", Base: 1}}, []Decision{Invalid, Accepted, Duplicate}, 1},
-		"documents do not parse":  {[]Change{{ID: "1", Put: put("Service/a", `"bad"`)}, {ID: "2"}}, []Decision{Invalid, Accepted}, 1},
-		"too large":               {tooLarge, []Decision{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
+		"first":                   {[]Change{firstChange}, []Decision{Accepted}, 1},
+		"concurrent":              {[]Change{firstChange, {ID: "2", Put: oneDocument("Service/a", `"y"`)}}, []Decision{Accepted, Superseded}, 1},
+		"sequential":              {[]Change{firstChange, {ID: "2", Base: 1}}, []Decision{Accepted, Accepted}, 2},
+		"repeated":                {[]Change{firstChange, firstChange, {ID: "2", Base: 1}, firstChange}, []Decision{Accepted, Duplicate, Accepted, Duplicate}, 2},
+		"base does not exist yet": {[]Change{{ID: "2", Base: 1}, firstChange, {ID: "2", Base: 1}}, []Decision{Invalid, Accepted, Duplicate}, 1},
+		"documents do not parse":  {[]Change{{ID: "1", Put: oneDocument("Service/a", `"bad"`)}, {ID: "2"}}, []Decision{Invalid, Accepted}, 1},
+		"too large":               {changesOverMaxState, []Decision{Accepted, Accepted, Accepted, Accepted, Invalid}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := NewStateMachine(rejectBad)
@@ -69,35 +69,35 @@
 }
 
 func TestDamagedRecordsAreIgnored(t *testing.T) {
-	good := record(t, Change{ID: "1"})
-	damaged := append([]byte(nil), good...)
-	damaged[len(damaged)-1] ^= 1
-	unknownCodec := append([]byte(nil), good...)
-	unknownCodec[1] = 9
+	validRecord := record(t, Change{ID: "1"})
+	damagedRecord := append([]byte(nil), validRecord...)
+	damagedRecord[len(damagedRecord)-1] ^= 1
+	unknownCodecRecord := append([]byte(nil), validRecord...)
+	unknownCodecRecord[1] = 9
 	m := NewStateMachine(nil)
-	for i, r := range [][]byte{nil, []byte("{}"), damaged, unknownCodec} {
+	for i, r := range [][]byte{nil, []byte("{}"), damagedRecord, unknownCodecRecord} {
 		res := m.ApplyRecord(uint64(i), r)
 		require.Equal(t, Ignored, res.Decision)
 		require.Error(t, res.Problem)
 	}
-	require.Equal(t, OutOfOrder, m.ApplyRecord(9, good).Decision)
-	require.Equal(t, Accepted, m.ApplyRecord(4, good).Decision)
+	require.Equal(t, OutOfOrder, m.ApplyRecord(9, validRecord).Decision)
+	require.Equal(t, Accepted, m.ApplyRecord(4, validRecord).Decision)
 }
 
 func TestStateIsAdoptedOnlyIfNewer(t *testing.T) {
 	m := NewStateMachine(nil)
 	m.ApplyRecord(0, record(t, Change{ID: "1"}))
 	m.ApplyRecord(1, record(t, Change{ID: "2", Base: 1}))
-	ahead := m.State()
-	ahead.Next = 9
-	otherChain := ahead
-	otherChain.Chain[0] ^= 1
-	lowerVersion := ahead
-	lowerVersion.Version = 1
+	newerState := m.State()
+	newerState.Next = 9
+	otherChainState := newerState
+	otherChainState.Chain[0] ^= 1
+	lowerVersionState := newerState
+	lowerVersionState.Version = 1
 	require.ErrorIs(t, m.Adopt(m.State()), ErrStale)
-	require.ErrorIs(t, m.Adopt(otherChain), ErrConflict)
-	require.ErrorIs(t, m.Adopt(lowerVersion), ErrConflict)
-	require.NoError(t, m.Adopt(ahead))
+	require.ErrorIs(t, m.Adopt(otherChainState), ErrConflict)
+	require.ErrorIs(t, m.Adopt(lowerVersionState), ErrConflict)
+	require.NoError(t, m.Adopt(newerState))
 	require.EqualValues(t, 9, m.Next())
 }
 
@@ -106,26 +106,26 @@
 	writer.ApplyRecord(0, record(t, Change{ID: "1"}))
 	lateCheckpoint, err := writer.State().Checkpoint()
 	require.NoError(t, err)
-	fresh := NewStateMachine(nil)
-	require.True(t, fresh.NeedsCheckpoint(2))
-	require.False(t, fresh.RestoreCheckpoint(5, 2, lateCheckpoint), "the log no longer keeps record 1")
-	require.False(t, fresh.RestoreCheckpoint(0, 0, lateCheckpoint), "the state is ahead of the offset of the checkpoint record")
-	require.True(t, fresh.RestoreCheckpoint(5, 1, lateCheckpoint))
-	require.EqualValues(t, 1, fresh.Version())
+	reader := NewStateMachine(nil)
+	require.True(t, reader.NeedsCheckpoint(2))
+	require.False(t, reader.RestoreCheckpoint(5, 2, lateCheckpoint), "the log no longer keeps record 1")
+	require.False(t, reader.RestoreCheckpoint(0, 0, lateCheckpoint), "the state is ahead of the offset of the checkpoint record")
+	require.True(t, reader.RestoreCheckpoint(5, 1, lateCheckpoint))
+	require.EqualValues(t, 1, reader.Version())
 }
 
 func TestReadCheckpointDetectsDamage(t *testing.T) {
 	m := NewStateMachine(nil)
-	m.ApplyRecord(0, record(t, Change{ID: "1", Put: put("Service/a", `"x"`)}))
+	m.ApplyRecord(0, record(t, Change{ID: "1", Put: oneDocument("Service/a", `"x"`)}))
 	data, err := m.State().Checkpoint()
 	require.NoError(t, err)
 	s, ok := ReadCheckpoint(data)
 	require.True(t, ok)
 	require.Equal(t, m.State(), s)
 	for i := range data {
-		damaged := append([]byte(nil), data...)
-		damaged[i] ^= 0x40
-		_, ok := ReadCheckpoint(damaged)
+		damagedCheckpoint := append([]byte(nil), data...)
+		damagedCheckpoint[i] ^= 0x40
+		_, ok := ReadCheckpoint(damagedCheckpoint)
 		require.False(t, ok, "byte %d", i)
 	}
 }
@@ -133,7 +133,7 @@
 func TestConflictIsDetectedAndNoDeltaSent(t *testing.T) {
 	a, b := NewStateMachine(nil), NewStateMachine(rejectBad)
 	for _, m := range []*StateMachine{a, b} {
-		m.ApplyRecord(0, record(t, Change{ID: "1", Put: put("Service/a", `"bad"`)}))
+		m.ApplyRecord(0, record(t, Change{ID: "1", Put: oneDocument("Service/a", `"bad"`)}))
 	}
 	a.ApplyRecord(1, record(t, Change{ID: "2", Base: 1}))
 	require.True(t, a.Conflicts(b.Digest()))
@@ -147,12 +147,12 @@
 func TestDeltasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*StateMachine{NewStateMachine(nil), NewStateMachine(nil), NewStateMachine(nil)}
-		n := rapid.IntRange(1, 400).Draw(t, "records")
-		size := rapid.IntRange(1, 600).Draw(t, "size")
-		text := `"` + strings.Repeat("v", size) + `"`
-		for i := range n {
+		recordCount := rapid.IntRange(1, 400).Draw(t, "records")
+		textSize := rapid.IntRange(1, 600).Draw(t, "size")
+		text := `"` + strings.Repeat("v", textSize) + `"`
+		for i := range recordCount {
 			base := model.Version(max(0, int(daemons[0].Version())-rapid.IntRange(0, 1).Draw(t, "late")))
-			r, _, err := EncodeChange(Change{ID: fmt.Sprint(i), Base: base, Put: put(fmt.Sprint("Service/", i%40), text)})
+			r, _, err := EncodeChange(Change{ID: fmt.Sprint(i), Base: base, Put: oneDocument(fmt.Sprint("Service/", i%40), text)})
 			require.NoError(t, err)
 			daemons[0].ApplyRecord(uint64(i), r)
 			if i%7 == 0 {
@@ -211,13 +211,13 @@
 
 // BenchmarkApplyRecord applies 10,000 changes to 77 services per iteration.
 func BenchmarkApplyRecord(b *testing.B) {
-	const changes, services = 10_000, 77
-	records := make([][]byte, changes)
-	bytes := 0
+	const changeCount, serviceCount = 10_000, 77
+	records := make([][]byte, changeCount)
+	totalBytes := 0
 	for i := range records {
-		doc := fmt.Sprintf(`{"kind":"Service","name":"s%d","labels":{"mesh":"fyn"},"spec":{"deadline":"%dms"}}`, i%services, 100+i)
-		records[i] = record(b, Change{ID: fmt.Sprint("change-", i), Base: model.Version(i), Author: "operator", Put: put(fmt.Sprint("Service/s", i%services), doc)})
-		bytes += len(records[i])
+		doc := fmt.Sprintf(`{"kind":"Service","name":"s%d","labels":{"mesh":"fyn"},"spec":{"deadline":"%dms"}}`, i%serviceCount, 100+i)
+		records[i] = record(b, Change{ID: fmt.Sprint("change-", i), Base: model.Version(i), Author: "operator", Put: oneDocument(fmt.Sprint("Service/s", i%serviceCount), doc)})
+		totalBytes += len(records[i])
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -225,9 +225,9 @@
 		for i, r := range records {
 			m.ApplyRecord(uint64(i), r)
 		}
-		if m.Version() != changes {
+		if m.Version() != changeCount {
 			b.Fatal(m.Version())
 		}
 	}
-	b.ReportMetric(float64(bytes)/changes, "bytes/change")
+	b.ReportMetric(float64(totalBytes)/changeCount, "bytes/change")
 }
--- a/core/lifecycle/lifecycle_test.go
+++ b/core/lifecycle/lifecycle_test.go
@@ -13,7 +13,7 @@
 	return Report{Incarnation: Incarnation{ID: model.UpstreamID(id), Born: born}, Sequence: seq, State: s, Slots: 1}
 }
 
-func TestObserve(t *testing.T) {
+func TestNewestReportOfNewestIncarnationWins(t *testing.T) {
 	type step struct {
 		r    Report
 		want Effect
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestLeave(t *testing.T) {
+func TestLeaveEndsOnlyTheNamedIncarnation(t *testing.T) {
 	var tr Tracker
 	tr.Observe(report("a", 1, 1, Ready))
 	require.Equal(t, Stale, tr.Leave(Incarnation{ID: "z", Born: 1}), "another upstream")
@@ -76,11 +76,11 @@
 	require.Equal(t, Ready, tr.Current().State)
 }
 
-// TestRestore guards against an upstream that becomes ready again after it has
-// left. Its daemon is killed right after it acknowledged the leave, and the
-// restarted daemon knows of the leave only from other daemons. It must restore the
-// departed incarnations that they have stored.
-func TestRestore(t *testing.T) {
+// TestRestoredIncarnationNeverBecomesReady guards against an upstream that becomes
+// ready again after it has left. Its daemon is killed right after the daemon
+// acknowledged the leave. The restarted daemon knows of the leave only from other
+// daemons, so it must restore the departed incarnations that they have stored.
+func TestRestoredIncarnationNeverBecomesReady(t *testing.T) {
 	var tr Tracker
 	tr.Restore([]Incarnation{{ID: "a", Born: 1}})
 	require.Equal(t, Stale, tr.Observe(report("a", 1, 5, Ready)))
@@ -96,20 +96,20 @@
 // state of that incarnation's last report.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []Report
+		var reports []Report
 		for born := int64(1); born <= 2; born++ {
-			last := rapid.Uint64Range(1, 5).Draw(t, "last")
-			drainFrom := rapid.Uint64Range(1, 7).Draw(t, "drain from")
-			for seq := uint64(1); seq <= last; seq++ {
+			lastSeq := rapid.Uint64Range(1, 5).Draw(t, "last")
+			firstDrainingSeq := rapid.Uint64Range(1, 7).Draw(t, "drain from")
+			for seq := uint64(1); seq <= lastSeq; seq++ {
 				state := Ready
-				if seq >= drainFrom {
+				if seq >= firstDrainingSeq {
 					state = Draining
 				}
-				all = append(all, report("a", born, seq, state))
+				reports = append(reports, report("a", born, seq, state))
 			}
 		}
-		want := all[len(all)-1]
-		order := rapid.Permutation(append(all, rapid.SliceOf(rapid.SampledFrom(all)).Draw(t, "again")...)).Draw(t, "order")
+		want := reports[len(reports)-1]
+		order := rapid.Permutation(append(reports, rapid.SliceOf(rapid.SampledFrom(reports)).Draw(t, "again")...)).Draw(t, "order")
 		var tr Tracker
 		for _, r := range order {
 			tr.Observe(r)
--- a/core/member/codec.go
+++ b/core/member/codec.go
@@ -27,7 +27,7 @@
 
 // Encode returns the binary encoding of the records.
 func (r Records) Encode() []byte {
-	w := encoder{buf: []byte{codecVersion}, indexes: make(map[string]uint64)}
+	w := encoder{buf: []byte{codecVersion}, indexByString: make(map[string]uint64)}
 	w.number(uint64(len(r.Events)))
 	for _, e := range r.Events {
 		w.event(e)
@@ -43,18 +43,18 @@
 
 type encoder struct {
 	buf []byte
-	// indexes holds the index of each distinct string encoded so far.
-	indexes map[string]uint64
+	// indexByString holds the index of each distinct string encoded so far.
+	indexByString map[string]uint64
 }
 
 func (w *encoder) number(n uint64) { w.buf = binary.AppendUvarint(w.buf, n) }
 
 func (w *encoder) text(s string) {
-	if index, ok := w.indexes[s]; ok {
+	if index, ok := w.indexByString[s]; ok {
 		w.number(index)
 		return
 	}
-	w.indexes[s] = uint64(len(w.indexes) + 1)
+	w.indexByString[s] = uint64(len(w.indexByString) + 1)
 	w.number(0)
 	w.number(uint64(len(s)))
 	w.buf = append(w.buf, s...)
--- a/core/member/delta.go
+++ b/core/member/delta.go
@@ -30,22 +30,22 @@
 }
 
 // Delta returns encoded records that the sender of a digest may lack, in at most
-// limit bytes. It returns nil if there are no such records, if none of them fits, or
+// maxBytes. It returns nil if there are no such records, if none of them fits, or
 // if the digest does not have the right length.
 //
 // If not all records fit, a quarter of the selected records are the newest ones. The
 // others rotate through the remaining records from call to call. The rotation is
 // needed because a bucket differs until its last record has arrived. If Delta
 // selected only the newest records, every call would send the same records again.
-func (d *Directory) Delta(digest []byte, limit int) []byte {
+func (d *Directory) Delta(digest []byte, maxBytes int) []byte {
 	if len(digest) != 2*tableDigestSize {
 		return nil
 	}
 	events := d.events.differing(digest[:tableDigestSize])
 	liveness := d.liveness.differing(digest[tableDigestSize:])
-	for n := max(1, limit/typicalRecordBytes); n > 0 && len(events)+len(liveness) > 0; n /= 2 {
+	for n := max(1, maxBytes/typicalRecordBytes); n > 0 && len(events)+len(liveness) > 0; n /= 2 {
 		r := Records{Events: selectRotating(events, n, d.deltaCursor), Liveness: selectRotating(liveness, n, d.deltaCursor)}
-		if data := r.Encode(); len(data) <= limit {
+		if data := r.Encode(); len(data) <= maxBytes {
 			d.deltaCursor += n
 			return data
 		}
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -52,15 +52,15 @@
 	suspectedSince map[model.DaemonID]model.Instant
 	// deadSince holds the time at which each dead daemon became dead.
 	deadSince map[model.DaemonID]model.Instant
-	// announced holds the events that Self announced, except for upstreams that
+	// announcedEvents holds the events that Self announced, except for upstreams that
 	// have left.
-	announced map[model.UpstreamID]Event
+	announcedEvents map[model.UpstreamID]Event
 	// upstreamsPerDaemon counts the upstreams held for each daemon. No state is
 	// kept for daemons without upstreams.
 	upstreamsPerDaemon map[model.DaemonID]int
-	// unlogged holds the upstreams whose stored event has not yet been read from
-	// the log. The value is the time at which the event arrived.
-	unlogged map[model.UpstreamID]model.Instant
+	// unloggedSince holds the upstreams whose stored event has not yet been read from
+	// the log. The value is the time at which that event arrived.
+	unloggedSince map[model.UpstreamID]model.Instant
 	// incarnation is the current incarnation number of Self.
 	incarnation model.Incarnation
 	// now is the monotonic time passed to the last Tick.
@@ -71,8 +71,8 @@
 	started bool
 	// startedAt is the time of the first Tick.
 	startedAt model.Instant
-	// lastSweep is when all records were last scanned.
-	lastSweep model.Instant
+	// lastSweepAt is when all records were last scanned.
+	lastSweepAt model.Instant
 	// deltaCursor is the index at which the next Delta continues its rotation
 	// through records that do not fit into one delta.
 	deltaCursor int
@@ -112,9 +112,9 @@
 		services:           make(map[model.ServiceName]*service),
 		suspectedSince:     make(map[model.DaemonID]model.Instant),
 		deadSince:          make(map[model.DaemonID]model.Instant),
-		announced:          make(map[model.UpstreamID]Event),
+		announcedEvents:    make(map[model.UpstreamID]Event),
 		upstreamsPerDaemon: make(map[model.DaemonID]int),
-		unlogged:           make(map[model.UpstreamID]model.Instant),
+		unloggedSince:      make(map[model.UpstreamID]model.Instant),
 		incarnation:        o.Incarnation,
 	}
 }
@@ -134,14 +134,14 @@
 	e.Unix = d.wallSeconds
 	if old, ok := d.events.get(e.Upstream.ID); ok && old.Upstream.Incarnation == e.Upstream.Incarnation {
 		e.Epoch = old.Epoch
-		if _, announced := d.announced[e.Upstream.ID]; !announced && old.State > e.State {
+		if _, announced := d.announcedEvents[e.Upstream.ID]; !announced && old.State > e.State {
 			e.Epoch++
 		}
 	}
 	if e.State == Left {
-		delete(d.announced, e.Upstream.ID)
+		delete(d.announcedEvents, e.Upstream.ID)
 	} else {
-		d.announced[e.Upstream.ID] = e
+		d.announcedEvents[e.Upstream.ID] = e
 	}
 	applied := d.Apply(e)
 	if d.opts.Self != "" && d.upstreamsPerDaemon[d.opts.Self] > 0 {
@@ -155,7 +155,7 @@
 // ignores the event of an unknown upstream if the event is an old tombstone, or if the
 // Directory is full and holds no upstream that has left.
 func (d *Directory) Apply(e Event) bool {
-	if !e.valid() {
+	if !e.isValid() {
 		return false
 	}
 	old, known := d.events.get(e.Upstream.ID)
@@ -171,7 +171,7 @@
 	}
 	d.events.set(e.Upstream.ID, e)
 	d.upstreamsPerDaemon[e.Upstream.Daemon]++
-	d.unlogged[e.Upstream.ID] = d.now
+	d.unloggedSince[e.Upstream.ID] = d.now
 	d.index(e)
 	d.generation++
 	d.refute(e)
@@ -184,7 +184,7 @@
 	u := e.Upstream
 	d.events.remove(u.ID)
 	d.unindex(e)
-	delete(d.unlogged, u.ID)
+	delete(d.unloggedSince, u.ID)
 	if d.upstreamsPerDaemon[u.Daemon]--; d.upstreamsPerDaemon[u.Daemon] > 0 {
 		return
 	}
@@ -227,14 +227,14 @@
 // the same incarnation. refute applies the announced event again with a higher
 // epoch.
 func (d *Directory) refute(e Event) {
-	own, ok := d.announced[e.Upstream.ID]
-	if !ok || !e.overrides(own) || own.Upstream.Incarnation != e.Upstream.Incarnation {
+	announcedEvent, ok := d.announcedEvents[e.Upstream.ID]
+	if !ok || !e.overrides(announcedEvent) || announcedEvent.Upstream.Incarnation != e.Upstream.Incarnation {
 		return
 	}
-	own.Epoch = e.Epoch + 1
-	own.Unix = d.wallSeconds
-	d.announced[e.Upstream.ID] = own
-	d.Apply(own)
+	announcedEvent.Epoch = e.Epoch + 1
+	announcedEvent.Unix = d.wallSeconds
+	d.announcedEvents[e.Upstream.ID] = announcedEvent
+	d.Apply(announcedEvent)
 }
 
 // index adds an upstream to the index of its service unless it has left.
@@ -304,16 +304,16 @@
 func (d *Directory) Logged(e Event) {
 	stored, ok := d.events.get(e.Upstream.ID)
 	if ok && !stored.overrides(e) {
-		delete(d.unlogged, e.Upstream.ID)
+		delete(d.unloggedSince, e.Upstream.ID)
 	}
 }
 
 // Unlogged returns the stored events that have not yet been read from the log and
-// that arrived at least age ago. They are ordered by upstream ID.
-func (d *Directory) Unlogged(age time.Duration) []Event {
+// that arrived at least minAge ago. They are ordered by upstream ID.
+func (d *Directory) Unlogged(minAge time.Duration) []Event {
 	var out []Event
-	for id, since := range d.unlogged {
-		if e, ok := d.events.get(id); ok && d.now.Sub(since) >= age {
+	for id, since := range d.unloggedSince {
+		if e, ok := d.events.get(id); ok && d.now.Sub(since) >= minAge {
 			out = append(out, e)
 		}
 	}
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -44,7 +44,7 @@
 // ignores records of daemons without upstreams. It refutes a record that reports
 // Self as suspect or dead: Self gets a higher incarnation number.
 func (d *Directory) ApplyLiveness(l Liveness) bool {
-	if !l.valid() {
+	if !l.isValid() {
 		return false
 	}
 	if l.Daemon == d.opts.Self && d.opts.Self != "" {
@@ -116,8 +116,8 @@
 	}
 	d.now, d.wallSeconds = now, unix
 	changed := d.expireSuspicions()
-	if now.Sub(d.lastSweep) >= sweepInterval {
-		d.lastSweep = now
+	if now.Sub(d.lastSweepAt) >= sweepInterval {
+		d.lastSweepAt = now
 		changed = d.expireDeadDaemons() || changed
 		changed = d.markUnannouncedLeft() || changed
 		d.deleteOldTombstones()
@@ -169,7 +169,7 @@
 	}
 	changed := false
 	for _, e := range d.events.all() {
-		_, announced := d.announced[e.Upstream.ID]
+		_, announced := d.announcedEvents[e.Upstream.ID]
 		if e.Upstream.Daemon != d.opts.Self || announced || e.State == Left {
 			continue
 		}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -53,9 +53,9 @@
 	maxSlots = 1 << 20
 )
 
-// valid reports whether an event received from outside is complete and within
+// isValid reports whether an event received from outside is complete and within
 // the limits.
-func (e Event) valid() bool {
+func (e Event) isValid() bool {
 	u := e.Upstream
 	for _, name := range []string{string(u.ID), string(u.Service), string(u.Daemon)} {
 		if name == "" || len(name) > maxNameBytes {
@@ -99,6 +99,6 @@
 	return l.Health > other.Health
 }
 
-func (l Liveness) valid() bool {
+func (l Liveness) isValid() bool {
 	return l.Daemon != "" && len(l.Daemon) <= maxNameBytes && l.Health >= Alive && l.Health <= Dead
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -20,9 +20,9 @@
 	}}
 }
 
-func ids(ups []model.Upstream) []string {
+func ids(upstreams []model.Upstream) []string {
 	var out []string
-	for _, u := range ups {
+	for _, u := range upstreams {
 		out = append(out, string(u.ID))
 	}
 	return out
@@ -188,7 +188,7 @@
 	for id := range d.liveness.rows {
 		out = append(out, "liveness "+string(id))
 	}
-	for id := range d.unlogged {
+	for id := range d.unloggedSince {
 		out = append(out, "unlogged "+string(id))
 	}
 	for s := range d.services {
@@ -227,9 +227,9 @@
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := NewDirectory(), NewDirectory(), NewDirectory()
-		n := rapid.IntRange(1, 300).Draw(t, "events")
+		eventCount := rapid.IntRange(1, 300).Draw(t, "events")
 		var events []Event
-		for range n {
+		for range eventCount {
 			e := event(fmt.Sprint("u", rapid.IntRange(0, 60).Draw(t, "id")), "d", model.Incarnation(rapid.IntRange(1, 3).Draw(t, "inc")),
 				State(rapid.IntRange(1, 3).Draw(t, "state")))
 			e.Epoch = uint64(rapid.IntRange(0, 2).Draw(t, "epoch"))
@@ -238,8 +238,8 @@
 		for _, e := range events {
 			a.Apply(e)
 		}
-		rng := rand.New(rand.NewPCG(uint64(n), 1))
-		rng.Shuffle(n, func(i, j int) { events[i], events[j] = events[j], events[i] })
+		rng := rand.New(rand.NewPCG(uint64(eventCount), 1))
+		rng.Shuffle(eventCount, func(i, j int) { events[i], events[j] = events[j], events[i] })
 		for _, e := range events {
 			b.Apply(e)
 		}
@@ -271,12 +271,12 @@
 }
 
 func TestDecodeRejectsDamagedRecords(t *testing.T) {
-	good := Records{Events: []Event{event("a", "d", 1, Joined)}}.Encode()
-	for n := range good {
-		_, err := Decode(good[:n])
+	validEncoding := Records{Events: []Event{event("a", "d", 1, Joined)}}.Encode()
+	for n := range validEncoding {
+		_, err := Decode(validEncoding[:n])
 		require.ErrorIs(t, err, ErrRecords, "cut to %d bytes", n)
 	}
-	for _, data := range [][]byte{{9}, append(good, 0), {codecVersion, 0xff, 0xff, 0xff, 0xff, 0x0f}, {codecVersion, 1, 5}} {
+	for _, data := range [][]byte{{9}, append(validEncoding, 0), {codecVersion, 0xff, 0xff, 0xff, 0xff, 0x0f}, {codecVersion, 1, 5}} {
 		_, err := Decode(data)
 		require.ErrorIs(t, err, ErrRecords, "%x", data)
 	}
@@ -301,24 +301,24 @@
 	for i := range 200 {
 		all = append(all, model.Upstream{ID: model.UpstreamID(fmt.Sprintf("u%03d", i))})
 	}
-	selections := map[model.UpstreamID]int{}
-	const daemons, n = 400, 20
-	for i := range daemons {
+	selectionsPerUpstream := map[model.UpstreamID]int{}
+	const daemonCount, subsetSize = 400, 20
+	for i := range daemonCount {
 		self := model.DaemonID(fmt.Sprint("d", i))
-		full := Subset(self, all, n)
-		require.Len(t, full, n)
-		require.True(t, slices.IsSortedFunc(full, func(a, b model.Upstream) int { return slices.Compare([]byte(a.ID), []byte(b.ID)) }))
-		fewer := Subset(self, all[:199], n)
+		subset := Subset(self, all, subsetSize)
+		require.Len(t, subset, subsetSize)
+		require.True(t, slices.IsSortedFunc(subset, func(a, b model.Upstream) int { return slices.Compare([]byte(a.ID), []byte(b.ID)) }))
+		subsetWithoutLast := Subset(self, all[:199], subsetSize)
 		kept := 0
-		for _, u := range full {
-			selections[u.ID]++
-			if slices.ContainsFunc(fewer, func(v model.Upstream) bool { return v.ID == u.ID }) {
+		for _, u := range subset {
+			selectionsPerUpstream[u.ID]++
+			if slices.ContainsFunc(subsetWithoutLast, func(v model.Upstream) bool { return v.ID == u.ID }) {
 				kept++
 			}
 		}
-		require.GreaterOrEqual(t, kept, n-1)
+		require.GreaterOrEqual(t, kept, subsetSize-1)
 	}
-	for id, count := range selections {
-		require.InDelta(t, daemons*n/200, count, daemons*n/200*0.7, "%s", id)
+	for id, count := range selectionsPerUpstream {
+		require.InDelta(t, daemonCount*subsetSize/200, count, daemonCount*subsetSize/200*0.7, "%s", id)
 	}
 }
--- a/core/member/subset.go
+++ b/core/member/subset.go
@@ -17,27 +17,27 @@
 	if n <= 0 || len(all) <= n {
 		return all
 	}
-	type ranked struct {
+	type candidate struct {
 		hash  uint64
 		index int
 	}
-	ranks := make([]ranked, len(all))
+	candidates := make([]candidate, len(all))
 	for i, u := range all {
-		ranks[i] = ranked{hash: xxhash.Sum64String(string(self) + "\x00" + string(u.ID)), index: i}
+		candidates[i] = candidate{hash: xxhash.Sum64String(string(self) + "\x00" + string(u.ID)), index: i}
 	}
-	slices.SortFunc(ranks, func(a, b ranked) int {
+	slices.SortFunc(candidates, func(a, b candidate) int {
 		if a.hash < b.hash {
 			return -1
 		}
 		return 1
 	})
-	chosen := make([]int, n)
-	for i := range chosen {
-		chosen[i] = ranks[i].index
+	chosenIndexes := make([]int, n)
+	for i := range chosenIndexes {
+		chosenIndexes[i] = candidates[i].index
 	}
-	slices.Sort(chosen)
+	slices.Sort(chosenIndexes)
 	out := make([]model.Upstream, n)
-	for i, index := range chosen {
+	for i, index := range chosenIndexes {
 		out[i] = all[index]
 	}
 	return out
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// buckets is the number of hash buckets of a table.
-const buckets = 32
+// bucketCount is the number of hash buckets of a table.
+const bucketCount = 32
 
 // table is a map of records that maintains a hash of each bucket of records. The
 // hash of a bucket is the XOR of the hashes of its records.
@@ -17,8 +17,8 @@
 	rows map[K]row[V]
 	// hashOf returns the hash of a record.
 	hashOf func(V) uint64
-	// hashes holds the hash of each bucket.
-	hashes [buckets]uint64
+	// bucketHashes holds the hash of each bucket.
+	bucketHashes [bucketCount]uint64
 	// seq is the number of calls to set so far.
 	seq uint64
 }
@@ -33,7 +33,7 @@
 	return table[K, V]{rows: make(map[K]row[V]), hashOf: hashOf}
 }
 
-func bucketOf[K ~string](k K) int { return int(xxhash.Sum64String(string(k)) % buckets) }
+func bucketOf[K ~string](k K) int { return int(xxhash.Sum64String(string(k)) % bucketCount) }
 
 func (t *table[K, V]) len() int { return len(t.rows) }
 
@@ -46,12 +46,12 @@
 	t.remove(k)
 	t.seq++
 	t.rows[k] = row[V]{record: v, seq: t.seq}
-	t.hashes[bucketOf(k)] ^= t.hashOf(v)
+	t.bucketHashes[bucketOf(k)] ^= t.hashOf(v)
 }
 
 func (t *table[K, V]) remove(k K) {
 	if old, ok := t.rows[k]; ok {
-		t.hashes[bucketOf(k)] ^= t.hashOf(old.record)
+		t.bucketHashes[bucketOf(k)] ^= t.hashOf(old.record)
 		delete(t.rows, k)
 	}
 }
@@ -70,25 +70,25 @@
 
 // appendDigest appends the bucket hashes to b.
 func (t *table[K, V]) appendDigest(b []byte) []byte {
-	for _, h := range t.hashes {
+	for _, h := range t.bucketHashes {
 		b = binary.BigEndian.AppendUint64(b, h)
 	}
 	return b
 }
 
 // tableDigestSize is the length of a table's digest in bytes.
-const tableDigestSize = buckets * 8
+const tableDigestSize = bucketCount * 8
 
 // differing returns the records of all buckets whose hash differs from the
 // digest, the newest first.
 func (t *table[K, V]) differing(digest []byte) []V {
-	var differ [buckets]bool
-	for i, h := range t.hashes {
-		differ[i] = binary.BigEndian.Uint64(digest[i*8:]) != h
+	var bucketDiffers [bucketCount]bool
+	for i, h := range t.bucketHashes {
+		bucketDiffers[i] = binary.BigEndian.Uint64(digest[i*8:]) != h
 	}
 	var rows []row[V]
 	for k, r := range t.rows {
-		if differ[bucketOf(k)] {
+		if bucketDiffers[bucketOf(k)] {
 			rows = append(rows, r)
 		}
 	}
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -33,18 +33,18 @@
 // request with the same fingerprint.
 func FingerprintOf(r Request) Fingerprint {
 	h := sha256.New()
-	part := func(b []byte) {
+	writeField := func(b []byte) {
 		var n [8]byte
 		binary.BigEndian.PutUint64(n[:], uint64(len(b)))
 		h.Write(n[:])
 		h.Write(b)
 	}
-	part([]byte(r.Service))
-	part([]byte(r.Caller))
-	part([]byte(r.Method))
-	part([]byte(r.Target))
-	part(binary.BigEndian.AppendUint64(nil, uint64(r.Length)))
-	part(r.Body)
+	writeField([]byte(r.Service))
+	writeField([]byte(r.Caller))
+	writeField([]byte(r.Method))
+	writeField([]byte(r.Target))
+	writeField(binary.BigEndian.AppendUint64(nil, uint64(r.Length)))
+	writeField(r.Body)
 	return Fingerprint(h.Sum(nil)[:16])
 }
 
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -136,8 +136,8 @@
 
 // clear sets ClearedAt of a record to the given time and removes the crashes up to that
 // time. If QuarantinedAt is not later than that time, the quarantine is thereby lifted.
-func (t *Table) clear(at int64, r *Record) {
-	r.ClearedAt = at
+func (t *Table) clear(clearedAt int64, r *Record) {
+	r.ClearedAt = clearedAt
 	r.pruneCleared()
 	t.markChanged(r)
 }
@@ -205,7 +205,7 @@
 			return false
 		}
 	}
-	in.Crashes = t.unattributed(now, in)
+	in.Crashes = t.unattributedCrashes(now, in)
 	if !r.mergeFrom(in) {
 		return false
 	}
@@ -213,11 +213,11 @@
 	return true
 }
 
-// unattributed returns the crashes of a record that may count against its request.
+// unattributedCrashes returns the crashes of a record that may count against its request.
 // It leaves out every crash that is also in the record of another request of the
 // same service if that request is already under quarantine. Such a crash is
 // attributed to that other request.
-func (t *Table) unattributed(now int64, in Record) []CrashReport {
+func (t *Table) unattributedCrashes(now int64, in Record) []CrashReport {
 	var out []CrashReport
 	for _, c := range in.Crashes {
 		attributed := false
@@ -279,16 +279,16 @@
 // deletes nothing and returns false. The full tables of all daemons therefore hold
 // the same records.
 func (t *Table) evict(now int64, in *Record) bool {
-	var least *Record
+	var leastImportant *Record
 	for _, r := range t.records {
-		if !r.Refused(now) && (least == nil || r.comparePriority(least) > 0) {
-			least = r
+		if !r.Refused(now) && (leastImportant == nil || r.comparePriority(leastImportant) > 0) {
+			leastImportant = r
 		}
 	}
-	if least == nil || in.comparePriority(least) > 0 {
+	if leastImportant == nil || in.comparePriority(leastImportant) > 0 {
 		return false
 	}
-	t.remove(least.Fingerprint)
+	t.remove(leastImportant.Fingerprint)
 	return true
 }
 
@@ -298,24 +298,24 @@
 // request is the cause, and most of the requests would be refused by mistake.
 func (t *Table) quarantine(r *Record) {
 	rule := t.opts.Rule(r.Service)
-	suspected := t.inSameCrashes(r)
-	if len(suspected) > maxQuarantinedTogether {
+	suspectedRequests := t.requestsInAllCrashesOf(r)
+	if len(suspectedRequests) > maxQuarantinedTogether {
 		return
 	}
 	crashes := slices.Clone(r.Crashes)
-	for _, s := range suspected {
+	for _, s := range suspectedRequests {
 		for _, c := range s.Crashes {
 			s.QuarantinedAt = max(s.QuarantinedAt, c.At)
 		}
 		s.Until = s.QuarantinedAt + rule.Duration.Milliseconds()
 		t.markChanged(s)
 	}
-	t.removeCrashes(r.Service, crashes, suspected)
+	t.removeCrashes(r.Service, crashes, suspectedRequests)
 }
 
-// inSameCrashes returns the requests of the service, including r itself, that ran
+// requestsInAllCrashesOf returns the requests of the service, including r itself, that ran
 // during every crash of r.
-func (t *Table) inSameCrashes(r *Record) []*Record {
+func (t *Table) requestsInAllCrashesOf(r *Record) []*Record {
 	var out []*Record
 	for _, o := range t.records {
 		if o.Service != r.Service {
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -67,8 +67,8 @@
 // quarantined because it crashes upstreams at intervals shorter than reportDelay.
 func TestRapidCrashesDoNotDelayQuarantine(t *testing.T) {
 	table := newTable()
-	const interval, crashes = 100, 30
-	for i := range crashes {
+	const interval, crashCount = 100, 30
+	for i := range crashCount {
 		now := int64(1000 + i*interval)
 		table.RecordCrash(now, FingerprintOf(request("/crash")), request("/crash"), crash(i))
 		table.Evaluate(now)
@@ -90,10 +90,10 @@
 
 func TestSharedCrashesQuarantineNothingUntilDistinguished(t *testing.T) {
 	table := newTable()
-	all := []string{"/crash", "/a", "/b", "/c", "/d"}
-	crashDuring(table, 1000, 1, all...)
-	crashDuring(table, 2000, 2, all...)
-	for _, target := range all {
+	targets := []string{"/crash", "/a", "/b", "/c", "/d"}
+	crashDuring(table, 1000, 1, targets...)
+	crashDuring(table, 2000, 2, targets...)
+	for _, target := range targets {
 		require.False(t, refused(table, 2000, target), target)
 	}
 	crashDuring(table, 3000, 3, "/crash", "/d")
@@ -102,22 +102,22 @@
 }
 
 func TestReleaseOverridesOlderRecords(t *testing.T) {
-	table, other := newTable(), newTable()
+	table, peerTable := newTable(), newTable()
 	crashDuring(table, 1000, 1, "/crash")
 	crashDuring(table, 2000, 2, "/crash")
 	for _, r := range table.List() {
-		other.Merge(2000, r)
+		peerTable.Merge(2000, r)
 	}
-	require.True(t, refused(other, 2000, "/crash"))
+	require.True(t, refused(peerTable, 2000, "/crash"))
 	require.True(t, table.Release(3000, FingerprintOf(request("/crash"))))
-	for _, r := range other.List() {
+	for _, r := range peerTable.List() {
 		table.Merge(3001, r)
 	}
 	require.False(t, refused(table, 3001, "/crash"), "an older record does not undo the release")
 	for _, r := range table.List() {
-		other.Merge(3002, r)
+		peerTable.Merge(3002, r)
 	}
-	require.False(t, refused(other, 3002, "/crash"))
+	require.False(t, refused(peerTable, 3002, "/crash"))
 	require.False(t, table.Release(3000, FingerprintOf(request("/unknown"))))
 }
 
