--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -206,13 +206,13 @@
 	if r, ok := c.reports.byDaemon[c.self]; ok {
 		ownDemand = float64(r.Demand)
 	}
-	demandOfOthers := c.reports.demandOfOthers(c.self)
+	othersDemand := c.reports.demandOfOthers(c.self)
 	if ownDemand == 0 || c.lastTick.Sub(c.demandSince) < initialPeriod {
 		c.rateShare = c.limits.Rate * initialShare
 		c.slotShare = max(1, int(float64(c.limits.Concurrency)*initialShare))
 		return
 	}
-	c.rateShare = c.limits.Rate * max(ownDemand/(ownDemand+demandOfOthers), initialShare)
+	c.rateShare = c.limits.Rate * max(ownDemand/(ownDemand+othersDemand), initialShare)
 	c.slotShare = c.reports.slotsOf(c.self, c.limits.Concurrency)
 }
 
--- a/core/claims/key.go
+++ b/core/claims/key.go
@@ -77,8 +77,8 @@
 	return Stamp(binary.BigEndian.Uint64(b[:]))
 }
 
-// Range returns the range of the key when there are n ranges.
-func (k Key) Range(n int) Range { return Range(xxhash.Sum64(k[:]) % uint64(n)) }
+// Range returns the range of the key when there are rangeCount ranges.
+func (k Key) Range(rangeCount int) Range { return Range(xxhash.Sum64(k[:]) % uint64(rangeCount)) }
 
 // String returns the key in the 36-character UUID form.
 func (k Key) String() string {
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -70,8 +70,8 @@
 // offset of the oldest record that the log keeps. If oldest is 0, the Ledger starts
 // with empty ranges. Otherwise the Ledger is usable only after it has read a
 // Checkpoint.
-func NewLedger(ranges int, oldest uint64) *Ledger {
-	l := &Ledger{ranges: make([]RangeState, ranges)}
+func NewLedger(rangeCount int, oldest uint64) *Ledger {
+	l := &Ledger{ranges: make([]RangeState, rangeCount)}
 	l.Reset(oldest)
 	return l
 }
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -55,8 +55,8 @@
 // NewPlanner returns a Planner for an owner and a number of ranges. The grantLength
 // argument is the full length of a grant. Until SetCandidates is called, Plan returns
 // nil.
-func NewPlanner(self Owner, ranges int, grantLength time.Duration) *Planner {
-	p := &Planner{self: self, fullLength: Stamp(grantLength.Milliseconds()), ranks: make([]uint16, ranges)}
+func NewPlanner(self Owner, rangeCount int, grantLength time.Duration) *Planner {
+	p := &Planner{self: self, fullLength: Stamp(grantLength.Milliseconds()), ranks: make([]uint16, rangeCount)}
 	p.SetCandidates(nil)
 	return p
 }
