--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -145,8 +145,7 @@
 	keyCount int
 }
 
-// profiles are the profiles in use. Each makes different failures likely. The seed of a
-// schedule selects the profile.
+// profiles holds the profiles in use. Each makes different failures likely. A schedule's seed selects one.
 var profiles = [...]profile{
 	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keyCount: modelKeyCount},
 	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keyCount: 2},
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -39,7 +39,8 @@
 	OwnerLost
 	// Expired means that claims with this timestamp may have been deleted.
 	Expired
-	// Full means that the limit on claims is reached. The request was not run.
+	// Full means that the limit on the claims of the table or of the group is
+	// reached. The request was not run.
 	Full
 	// Run means that this is the first submission and the request must be run.
 	Run
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -72,7 +72,8 @@
 	Change *Change
 	// Version is the current version after the record.
 	Version model.Version
-	// Problem is the reason why a change is invalid or a record was ignored.
+	// Problem is the reason why a change is Invalid or an unreadable record was
+	// Ignored. Otherwise it is nil.
 	Problem error
 }
 
--- a/core/config/recent.go
+++ b/core/config/recent.go
@@ -22,7 +22,8 @@
 	maxRecentBytes   = 512 << 10
 )
 
-// add appends a record and removes the oldest ones beyond the limits.
+// add appends a record. It then removes the oldest records until the buffer is within
+// maxRecentRecords and maxRecentBytes.
 func (r *recordBuffer) add(offset uint64, data []byte, chainBefore Digest) {
 	if len(r.records) == 0 {
 		r.firstOffset = offset
--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -98,8 +98,8 @@
 type Tracker struct {
 	// current is the newest report.
 	current Report
-	// departed holds the incarnations that Departed returns, in the order in
-	// which they were added.
+	// departed holds the incarnations that have left, started to drain, or were
+	// replaced by a newer incarnation, in the order in which they were added.
 	departed []Incarnation
 }
 
@@ -109,6 +109,7 @@
 
 // Observe applies a report and returns its effect. It ignores a stale report.
 func (t *Tracker) Observe(r Report) Effect {
+	// An incarnation that has departed can only still become Gone.
 	if t.hasDeparted(r.Incarnation) && r.State < Gone {
 		return Stale
 	}
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -222,10 +222,10 @@
 	return true
 }
 
-// refute overrides an event with a state that Self did not announce for its own
-// upstream. Such an event takes precedence over the event that Self announced for
-// the same incarnation. refute applies the announced event again with a higher
-// epoch.
+// refute checks an event that was just applied. If the event takes precedence over
+// the event that Self announced for the same upstream and incarnation, other daemons
+// hold a state that Self did not announce. refute then applies the announced event
+// again with a higher epoch, which overrides that state.
 func (d *Directory) refute(e Event) {
 	announcedEvent, ok := d.announcedEvents[e.Upstream.ID]
 	if !ok || !e.overrides(announcedEvent) || announcedEvent.Upstream.Incarnation != e.Upstream.Incarnation {
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -6,8 +6,8 @@
 // A request is identified by its Fingerprint: a hash of service, caller, method,
 // target and body. When an upstream crashes, every request that was running on
 // it becomes a suspected request for that crash. A request that was running
-// during enough distinct crashes is quarantined: for a time, all daemons refuse
-// requests with its fingerprint.
+// during enough distinct crashes (Rule.Crashes) is quarantined: for the time
+// Rule.Duration, all daemons refuse requests with its fingerprint.
 //
 // Requests that only happened to run at the same time as the cause of a crash
 // must not be quarantined. Three rules protect them. First, a suspected request
