--- a/core/calltoken/token.go
+++ b/core/calltoken/token.go
@@ -11,7 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// MaxDepth is the maximum depth of nested calls.
+// MaxDepth is the maximum number of calls in a chain, including the outermost call.
+// The entry refuses a nested call whose token has a Depth of MaxDepth or more.
 const MaxDepth = 16
 
 // Token holds the properties that a nested call inherits from its parent call.
@@ -42,8 +43,9 @@
 	macBytes = 16
 	// maxLength is the maximum length of an encoded token in bytes.
 	maxLength = 1024
-	// keyLabel separates the signing key from other keys derived from the same
-	// secret.
+	// keyLabel is hashed together with the shared secret to derive the signing key.
+	// Keys that are derived from the same secret with other labels therefore differ
+	// from the signing key.
 	keyLabel = "dottereltiller call token"
 )
 
@@ -85,14 +87,14 @@
 // Verify checks the signature of an encoded token and returns the decoded token.
 // The token must have been signed with the same secret. Verify does not check the
 // deadline. All its errors are of type *Error.
-func (s *Signer) Verify(text string) (Token, error) {
+func (s *Signer) Verify(encoded string) (Token, error) {
 	if s == nil {
 		return Token{}, &Error{Reason: "no shared secret configured"}
 	}
-	if len(text) > maxLength {
+	if len(encoded) > maxLength {
 		return Token{}, &Error{Reason: "too long"}
 	}
-	b, err := base64.RawURLEncoding.Strict().DecodeString(text)
+	b, err := base64.RawURLEncoding.Strict().DecodeString(encoded)
 	if err != nil || len(b) < macBytes {
 		return Token{}, &Error{Reason: "not a token"}
 	}
@@ -117,8 +119,8 @@
 	}
 	r := reader{rest: b[2:]}
 	t := Token{Depth: int(b[1])}
-	t.Deadline = time.UnixMicro(r.number())
-	t.TimeLeft = time.Duration(r.number()) * time.Microsecond
+	t.Deadline = time.UnixMicro(r.varint())
+	t.TimeLeft = time.Duration(r.varint()) * time.Microsecond
 	t.Caller = model.CallerName(r.text())
 	t.Group = model.GroupName(r.text())
 	if r.failed || len(r.rest) > 0 {
@@ -139,7 +141,7 @@
 	failed bool
 }
 
-func (r *reader) number() int64 {
+func (r *reader) varint() int64 {
 	v, n := binary.Varint(r.rest)
 	if n <= 0 {
 		r.failed = true
--- a/core/ceiling/ceiling.go
+++ b/core/ceiling/ceiling.go
@@ -7,7 +7,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// Key identifies a ceiling.
+// Key identifies a ceiling: the limits of one group on requests to one service.
 type Key struct {
 	Service model.ServiceName
 	Group   model.GroupName
@@ -36,21 +36,21 @@
 	// initialPeriod begins when the reported demand of a daemon rises above zero.
 	// Reports of other daemons may still be on their way during this period.
 	initialPeriod = 3 * time.Second
-	// reportThreshold is the change of demand, relative to the reported demand,
-	// above which a daemon sends a new report.
+	// reportThreshold is the change of demand above which a daemon sends a new
+	// report, as a fraction of the demand in its previous report.
 	reportThreshold = 0.1
 	// reportInterval is the longest time between two reports of a daemon that has
 	// demand.
 	reportInterval = 3 * time.Second
-	// idleDemand is the demand in requests per second below which a daemon
-	// reports no demand.
+	// idleDemand is the demand in requests per second below which a daemon counts
+	// its demand as zero.
 	idleDemand = 0.01
 	// retryAfter is the wait time returned with a refused request.
 	retryAfter = time.Second
 )
 
-// Ceiling enforces one daemon's share of a ceiling. It is not safe for
-// concurrent use.
+// Ceiling enforces one daemon's share of the Limits that one group has for one
+// service. It is not safe for concurrent use.
 type Ceiling struct {
 	// key is the hash of the ceiling's Key.
 	key     uint64
@@ -65,18 +65,20 @@
 	inFlight int
 	lastTick model.Instant
 
-	// rate and slots are this daemon's shares of the limits.
-	rate  float64
-	slots int
-	// tokens is the fill level of the token bucket that enforces rate.
+	// rateShare and slotShare are this daemon's shares of the limits.
+	rateShare float64
+	slotShare int
+	// tokens is the fill level of the token bucket that enforces rateShare.
 	tokens     float64
 	lastRefill model.Instant
 
 	// demandSince is when the reported demand last rose above zero.
-	demandSince    model.Instant
+	demandSince model.Instant
+	// reportedDemand is the demand in this daemon's last report.
 	reportedDemand float64
-	reportedAt     model.Instant
-	hasReported    bool
+	// reportedAt is the time of this daemon's last report.
+	reportedAt  model.Instant
+	hasReported bool
 }
 
 // New returns a Ceiling for the daemon self. The argument key is the hash of the
@@ -84,7 +86,7 @@
 func New(now model.Instant, key uint64, self Daemon, limits Limits) *Ceiling {
 	c := &Ceiling{key: key, self: self, reports: reportTable{byDaemon: make(map[Daemon]receivedReport)}, lastTick: now, lastRefill: now}
 	c.SetLimits(limits)
-	c.tokens = max(1, c.rate*burstTime.Seconds())
+	c.tokens = max(1, c.rateShare*burstTime.Seconds())
 	return c
 }
 
@@ -100,7 +102,7 @@
 func (c *Ceiling) TryAcquire(now model.Instant) (time.Duration, bool) {
 	c.arrivals++
 	c.refill(now)
-	if c.limits.Concurrency > 0 && c.inFlight >= c.slots {
+	if c.limits.Concurrency > 0 && c.inFlight >= c.slotShare {
 		return retryAfter, false
 	}
 	if c.limits.Rate > 0 {
@@ -116,8 +118,9 @@
 // Release ends a request that TryAcquire has admitted.
 func (c *Ceiling) Release() { c.inFlight-- }
 
-// Share returns this daemon's share of the rate and of the concurrency.
-func (c *Ceiling) Share() (rate float64, slots int) { return c.rate, c.slots }
+// Share returns this daemon's shares of the limits: its requests per second and its
+// maximum number of requests in flight.
+func (c *Ceiling) Share() (rate float64, slots int) { return c.rateShare, c.slotShare }
 
 // Tick updates the demand and the shares. It must be called several times per
 // second. When a report to the other daemons is due, Tick returns the report and
@@ -133,10 +136,12 @@
 	return r, due
 }
 
-// Merge stores the report of another daemon. It returns false if it does not store
-// the report. It ignores reports with an invalid demand, reports that name this
-// daemon itself, and reports that are not newer than the stored one. When reports
-// of maxDaemons daemons are stored, it also ignores reports of further daemons.
+// Merge stores the report of another daemon for this ceiling; it does not check the
+// report's Key. It returns false if it does not store the report. It ignores a report
+// whose demand is negative, infinite or NaN, a report that names this daemon itself,
+// and a report that is not newer than the stored report of the same daemon. When
+// reports of maxDaemons daemons are stored, it also ignores reports of all other
+// daemons.
 func (c *Ceiling) Merge(now model.Instant, r Report) bool {
 	if r.Daemon == c.self || !(r.Demand >= 0) || math.IsInf(float64(r.Demand), 0) {
 		return false
@@ -156,15 +161,16 @@
 	return out
 }
 
-// updateDemand adds the arrivals since the last tick to the moving average.
+// updateDemand adds the arrivals since the last tick to the moving average of demand.
+// It sets an average below idleDemand to zero.
 func (c *Ceiling) updateDemand(now model.Instant) {
 	elapsed := now.Sub(c.lastTick)
 	if elapsed <= 0 {
 		return
 	}
 	retained := math.Exp2(-float64(elapsed) / float64(demandHalfLife))
-	rate := float64(c.arrivals) / elapsed.Seconds()
-	c.demand = retained*c.demand + (1-retained)*rate
+	arrivalRate := float64(c.arrivals) / elapsed.Seconds()
+	c.demand = retained*c.demand + (1-retained)*arrivalRate
 	if c.demand < idleDemand {
 		c.demand = 0
 	}
@@ -173,8 +179,8 @@
 
 // nextReport returns this daemon's report and true if a report is due. While the
 // daemon has demand, a report is due when the demand has changed by more than
-// reportThreshold, and when the last report is reportInterval old. When the demand
-// ends, the daemon sends a single report of zero.
+// reportThreshold since the last report, and when the last report is reportInterval
+// old. When the demand ends, the daemon sends a single report with a demand of zero.
 func (c *Ceiling) nextReport(now model.Instant, timestamp uint64) (Report, bool) {
 	changed := math.Abs(c.demand-c.reportedDemand) > reportThreshold*max(c.reportedDemand, idleDemand)
 	overdue := c.demand > 0 && now.Sub(c.reportedAt) >= reportInterval
@@ -193,20 +199,21 @@
 	return Report{Key: c.key, Daemon: c.self, Demand: float32(c.reportedDemand), Stamp: timestamp}, true
 }
 
-// updateShares computes this daemon's shares from the reports.
+// updateShares computes this daemon's shares from the reports. During initialPeriod
+// and without demand, the shares are those set by initialShare.
 func (c *Ceiling) updateShares() {
-	own := 0.0
+	ownDemand := 0.0
 	if r, ok := c.reports.byDaemon[c.self]; ok {
-		own = float64(r.Demand)
+		ownDemand = float64(r.Demand)
 	}
-	others := c.reports.demandOfOthers(c.self)
-	if own == 0 || c.lastTick.Sub(c.demandSince) < initialPeriod {
-		c.rate = c.limits.Rate * initialShare
-		c.slots = max(1, int(float64(c.limits.Concurrency)*initialShare))
+	othersDemand := c.reports.demandOfOthers(c.self)
+	if ownDemand == 0 || c.lastTick.Sub(c.demandSince) < initialPeriod {
+		c.rateShare = c.limits.Rate * initialShare
+		c.slotShare = max(1, int(float64(c.limits.Concurrency)*initialShare))
 		return
 	}
-	c.rate = c.limits.Rate * max(own/(own+others), initialShare)
-	c.slots = c.reports.slotsOf(c.self, c.limits.Concurrency)
+	c.rateShare = c.limits.Rate * max(ownDemand/(ownDemand+othersDemand), initialShare)
+	c.slotShare = c.reports.slotsOf(c.self, c.limits.Concurrency)
 }
 
 // refill adds the tokens for the time since the last refill.
@@ -215,6 +222,6 @@
 	if elapsed <= 0 {
 		return
 	}
-	c.tokens = min(c.tokens+c.rate*elapsed.Seconds(), max(1, c.rate*burstTime.Seconds()))
+	c.tokens = min(c.tokens+c.rateShare*elapsed.Seconds(), max(1, c.rateShare*burstTime.Seconds()))
 	c.lastRefill = now
 }
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -70,8 +70,8 @@
 // offset of the oldest record that the log keeps. If oldest is 0, the Ledger starts
 // with empty ranges. Otherwise the Ledger is usable only after it has read a
 // Checkpoint.
-func NewLedger(ranges int, oldest uint64) *Ledger {
-	l := &Ledger{ranges: make([]RangeState, ranges)}
+func NewLedger(rangeCount int, oldest uint64) *Ledger {
+	l := &Ledger{ranges: make([]RangeState, rangeCount)}
 	l.Reset(oldest)
 	return l
 }
@@ -118,7 +118,8 @@
 	}
 }
 
-// Skip advances past an unreadable record.
+// Skip advances Next past the unreadable record at an offset. Like Apply, it does
+// nothing if the offset is not Next.
 func (l *Ledger) Skip(offset uint64) { l.Apply(offset, Record{}) }
 
 // restore replaces the state with a checkpoint and sets Next to the checkpoint's
@@ -231,15 +232,15 @@
 // OwnedUntil returns the end of the last interval that an incarnation owns, or
 // zero if it owns none.
 func (l *Ledger) OwnedUntil(incarnation uint64) Stamp {
-	var end Stamp
+	var latestUntil Stamp
 	for i := range l.ranges {
 		for _, interval := range l.ranges[i].Intervals {
 			if interval.Owner.Incarnation == incarnation {
-				end = max(end, interval.Until)
+				latestUntil = max(latestUntil, interval.Until)
 			}
 		}
 	}
-	return end
+	return latestUntil
 }
 
 func (s RangeState) clone() RangeState {
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -14,12 +14,12 @@
 // causes a second execution of a request.
 //
 // The candidates of a range are ranked by rendezvous hashing. The first candidate
-// extends the range when half of the grant length is left. Each further candidate
-// waits an eighth of the grant length longer than the candidate before it. If a
-// candidate crashes, the next candidate therefore takes over without failure
-// detection. A range that was already due for renewal when the Planner started,
-// for example because its last grant had ended, is treated as if it became due at
-// the start.
+// extends the range when the time until the range's frontier is half of the grant
+// length. Each other candidate waits an eighth of the grant length longer than the
+// candidate ranked before it. If a candidate crashes, the next candidate therefore
+// takes over without failure detection. A range that was already due for renewal
+// when the Planner started, for example because its last grant had ended, is treated
+// as if it became due at the start.
 //
 // A Planner has a startup phase, which lasts one sixteenth of the grant length.
 // During this phase it requests grants of only a sixteenth of the full length. The
@@ -31,13 +31,14 @@
 	fullLength Stamp
 	// ranks holds the rank of this daemon among the candidates of each range.
 	ranks []uint16
-	// startedAt is the time of the first call to Plan, or zero before it.
+	// startedAt is the time of the first call to Plan with a complete Ledger, or zero
+	// before that call.
 	startedAt Stamp
 }
 
 const (
-	// renewDivisor sets when the first candidate renews a range. It does so when the
-	// time left of the last grant is the grant length divided by renewDivisor.
+	// renewDivisor sets when the first candidate renews a range: when the time until
+	// the range's frontier is less than the grant length divided by renewDivisor.
 	renewDivisor = 2
 	// rankDelayDivisor sets how much longer each candidate waits before it renews a
 	// range than the candidate ranked before it. The difference is the grant length
@@ -51,26 +52,28 @@
 	notCandidate = 1<<16 - 1
 )
 
-// NewPlanner returns a Planner for an owner. The grant argument is the full length
-// of a grant. Until SetCandidates is called, Plan returns nil.
-func NewPlanner(self Owner, ranges int, grant time.Duration) *Planner {
-	p := &Planner{self: self, fullLength: Stamp(grant.Milliseconds()), ranks: make([]uint16, ranges)}
+// NewPlanner returns a Planner for an owner and a number of ranges. The grantLength
+// argument is the full length of a grant. Until SetCandidates is called, Plan returns
+// nil.
+func NewPlanner(self Owner, rangeCount int, grantLength time.Duration) *Planner {
+	p := &Planner{self: self, fullLength: Stamp(grantLength.Milliseconds()), ranks: make([]uint16, rangeCount)}
 	p.SetCandidates(nil)
 	return p
 }
 
-// SetCandidates sets the daemons that may own ranges and ranks them.
+// SetCandidates sets the daemons that may own ranges, and computes the rank of this
+// daemon among them for each range.
 func (p *Planner) SetCandidates(daemons []model.DaemonID) {
-	isCandidate := false
+	selfIsCandidate := false
 	hashes := make([]uint64, len(daemons))
 	for i, d := range daemons {
 		hashes[i] = xxhash.Sum64String(string(d))
-		isCandidate = isCandidate || d == p.self.Daemon
+		selfIsCandidate = selfIsCandidate || d == p.self.Daemon
 	}
 	selfHash := xxhash.Sum64String(string(p.self.Daemon))
 	for r := range p.ranks {
 		p.ranks[r] = notCandidate
-		if isCandidate {
+		if selfIsCandidate {
 			p.ranks[r] = rankOf(selfHash, hashes, uint64(r))
 		}
 	}
@@ -98,7 +101,8 @@
 	return x ^ x>>31
 }
 
-// Plan returns the Grant to append now, or nil if none is needed.
+// Plan returns the Grant that the owner must append to the log now. It returns nil if
+// no Grant is needed or if the Ledger is incomplete.
 func (p *Planner) Plan(l *Ledger, now Stamp) *Grant {
 	if !l.Complete() {
 		return nil
@@ -115,11 +119,11 @@
 	due := false
 	for r := range p.ranks {
 		frontier, _ := l.Frontier(Range(r))
-		end := max(frontier, assumedEnd)
-		if frontier >= g.Until || !isDue(p.ranks[r], length, end, now, true) {
+		intervalEnd := max(frontier, assumedEnd)
+		if frontier >= g.Until || !isDue(p.ranks[r], length, intervalEnd, now, true) {
 			continue
 		}
-		due = due || isDue(p.ranks[r], length, end, now, false)
+		due = due || isDue(p.ranks[r], length, intervalEnd, now, false)
 		g.Extensions = append(g.Extensions, Extension{Range: Range(r), Base: frontier})
 	}
 	if !due {
@@ -130,24 +134,25 @@
 
 // lengthAt returns the length of a grant that is requested at the given time.
 func (p *Planner) lengthAt(now Stamp) Stamp {
-	if startup := p.fullLength / startupDivisor; now < p.startedAt+startup {
-		return startup
+	if startupLength := p.fullLength / startupDivisor; now < p.startedAt+startupLength {
+		return startupLength
 	}
 	return p.fullLength
 }
 
-// isDue reports whether a candidate should extend a range now. The last interval of
-// the range ends at end, and length is the length of the grant. If early is set, the
-// range is due an eighth of the length sooner for the first candidate. One record
-// then renews several ranges that become due at nearly the same time.
-func isDue(rank uint16, length, end, now Stamp, early bool) bool {
+// isDue reports whether the candidate with the given rank should extend a range now.
+// The last interval of the range ends at intervalEnd, and length is the length of the
+// grant. If early is set, the range is due an eighth of the length sooner for the first
+// candidate. One record then renews several ranges that become due at nearly the same
+// time.
+func isDue(rank uint16, length, intervalEnd, now Stamp, early bool) bool {
 	if rank == notCandidate {
 		return false
 	}
-	wait := int64(rank)
+	rankDelays := int64(rank)
 	if early && rank == 0 {
-		wait = -1
+		rankDelays = -1
 	}
-	lead := int64(length)/renewDivisor - wait*int64(length)/rankDelayDivisor
-	return int64(end)-int64(now) < lead
+	leadTime := int64(length)/renewDivisor - rankDelays*int64(length)/rankDelayDivisor
+	return int64(intervalEnd)-int64(now) < leadTime
 }
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -39,7 +39,8 @@
 	OwnerLost
 	// Expired means that claims with this timestamp may have been deleted.
 	Expired
-	// Full means that the limit on claims is reached. The request was not run.
+	// Full means that the limit on the claims of the table or of the group is
+	// reached. The request was not run.
 	Full
 	// Run means that this is the first submission and the request must be run.
 	Run
@@ -125,18 +126,18 @@
 	state  state
 	// answer is the retained answer, or nil.
 	answer *Answer
-	// size is the size of the answer in bytes.
-	size int
+	// answerSize is the size of the answer in bytes.
+	answerSize int
 	// heapIndex is the claim's index in Table.byStamp.
 	heapIndex int
 }
 
 // Table holds the claims of one owner. It is not safe for concurrent use.
 type Table struct {
-	self    Owner
-	limits  Limits
-	claims  map[ID]*claim
-	byStamp stampHeap
+	self       Owner
+	limits     Limits
+	claimsByID map[ID]*claim
+	byStamp    stampHeap
 	// claimsPerGroup is the number of claims of each group.
 	claimsPerGroup map[model.GroupName]int
 	answers        *answerCache
@@ -155,7 +156,7 @@
 	return &Table{
 		self:           self,
 		limits:         limits,
-		claims:         make(map[ID]*claim),
+		claimsByID:     make(map[ID]*claim),
 		claimsPerGroup: make(map[model.GroupName]int),
 		answers:        newAnswerCache(limits.GroupAnswerBytes, limits.AnswerBytes),
 		priorOwners:    make(map[uint64]earlier),
@@ -166,7 +167,7 @@
 func (t *Table) Self() Owner { return t.self }
 
 // Len returns the number of claims.
-func (t *Table) Len() int { return len(t.claims) }
+func (t *Table) Len() int { return len(t.claimsByID) }
 
 // AnswerBytes returns the total size of the retained answers in bytes.
 func (t *Table) AnswerBytes() int { return t.answers.usedBytes }
@@ -190,13 +191,13 @@
 	if !ok {
 		return OwnerLost, nil
 	}
-	if c := t.claims[r.ID]; c != nil {
+	if c := t.claimsByID[r.ID]; c != nil {
 		return c.decisionFor(r.Digest)
 	}
 	if stamp < floor {
 		return Expired, nil
 	}
-	if len(t.claims) >= t.limits.Claims || t.claimsPerGroup[r.Group] >= t.limits.GroupClaims {
+	if len(t.claimsByID) >= t.limits.Claims || t.claimsPerGroup[r.Group] >= t.limits.GroupClaims {
 		return Full, nil
 	}
 	t.insert(&claim{id: r.ID, group: r.Group, digest: r.Digest})
@@ -233,9 +234,9 @@
 	return floor, true
 }
 
-// decisionFor returns the decision on a further submission of the claim's key. The
-// argument is the digest of the submitted request. For Replay it also returns the
-// retained answer.
+// decisionFor returns the decision on another submission of the key that has the
+// claim. The argument is the digest of the submitted request. For Replay, decisionFor
+// also returns the retained answer.
 func (c *claim) decisionFor(d Digest) (Decision, *Answer) {
 	switch {
 	case c.digest != d:
@@ -251,11 +252,13 @@
 	}
 }
 
-// Finish records the outcome of a request for which Begin returned Run. If the
-// request certainly did not run, its claim is deleted, so that a retry can run the
-// request. The answer is nil if there is none or if it is too large to retain.
+// Finish records the outcome of a request for which Begin returned Run. If the kind of
+// outcome is NotRun, the request certainly did not run. Its claim is then deleted, so
+// that a retry can run the request. Any kind other than NotRun and Answered counts as
+// an unknown outcome. The answer is nil if there is none or if it is too large to
+// retain. Finish does nothing if the claim has been deleted or has an outcome already.
 func (t *Table) Finish(id ID, kind outcome.Kind, a *Answer) {
-	c := t.claims[id]
+	c := t.claimsByID[id]
 	if c == nil || c.state != running {
 		return
 	}
@@ -276,7 +279,9 @@
 }
 
 // Expire deletes the claims with timestamps below floor. From then on, Begin returns
-// Expired instead of Run or Full for keys with such timestamps.
+// Expired instead of Run or Full for keys with such timestamps. Expire also forgets
+// the earlier owners whose intervals end at or below floor. It does nothing if floor
+// is not higher than in an earlier call.
 func (t *Table) Expire(floor Stamp) {
 	if floor <= t.floor {
 		return
@@ -293,13 +298,13 @@
 }
 
 func (t *Table) insert(c *claim) {
-	t.claims[c.id] = c
+	t.claimsByID[c.id] = c
 	t.claimsPerGroup[c.group]++
 	heap.Push(&t.byStamp, c)
 }
 
 func (t *Table) remove(c *claim) {
-	delete(t.claims, c.id)
+	delete(t.claimsByID, c.id)
 	heap.Remove(&t.byStamp, c.heapIndex)
 	t.answers.discard(c)
 	t.claimsPerGroup[c.group]--
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -33,18 +33,18 @@
 // request with the same fingerprint.
 func FingerprintOf(r Request) Fingerprint {
 	h := sha256.New()
-	part := func(b []byte) {
+	writeField := func(b []byte) {
 		var n [8]byte
 		binary.BigEndian.PutUint64(n[:], uint64(len(b)))
 		h.Write(n[:])
 		h.Write(b)
 	}
-	part([]byte(r.Service))
-	part([]byte(r.Caller))
-	part([]byte(r.Method))
-	part([]byte(r.Target))
-	part(binary.BigEndian.AppendUint64(nil, uint64(r.Length)))
-	part(r.Body)
+	writeField([]byte(r.Service))
+	writeField([]byte(r.Caller))
+	writeField([]byte(r.Method))
+	writeField([]byte(r.Target))
+	writeField(binary.BigEndian.AppendUint64(nil, uint64(r.Length)))
+	writeField(r.Body)
 	return Fingerprint(h.Sum(nil)[:16])
 }
 
@@ -140,9 +140,10 @@
 	return false
 }
 
-// comparePriority orders records from the most to the least important: first by
-// the latest quarantine, then by the number of crashes, then by the latest
-// update.
+// comparePriority orders records from the most to the least important. A record with a
+// later QuarantinedAt is more important. Of equal ones, the record with more crashes is
+// more important, then the one with the later update. The fingerprint decides between
+// records that are equal in all of these.
 func (r *Record) comparePriority(o *Record) int {
 	return cmp.Or(cmp.Compare(o.QuarantinedAt, r.QuarantinedAt), cmp.Compare(len(o.Crashes), len(r.Crashes)),
 		cmp.Compare(o.lastUpdate(), r.lastUpdate()), slices.Compare(r.Fingerprint[:], o.Fingerprint[:]))
@@ -154,8 +155,9 @@
 	return c
 }
 
-// expired reports whether the record can be deleted. That is the case when its
-// retention and its quarantine have both ended.
+// expired reports whether the record can be deleted at the given time, in Unix
+// milliseconds: retention must have passed since its last update, and its quarantine
+// must have ended.
 func (r *Record) expired(now int64) bool {
 	return max(r.lastUpdate()+retention.Milliseconds(), r.Until) < now
 }
