--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -84,17 +84,17 @@
 		return
 	}
 	records := a.d.peers.records()
-	var differing []int
+	var differingBuckets []int
 	for i, sum := range digestOf(records) {
 		if sum != binary.BigEndian.Uint32(body[i*bucketHashBytes:]) {
-			differing = append(differing, i)
+			differingBuckets = append(differingBuckets, i)
 		}
 	}
-	if len(differing) == 0 {
+	if len(differingBuckets) == 0 {
 		return
 	}
-	rand.Shuffle(len(differing), func(i, j int) { differing[i], differing[j] = differing[j], differing[i] })
-	a.d.datagrams.sendOneWay(kindSummary, sender, newSummary(records, differing).encode())
+	rand.Shuffle(len(differingBuckets), func(i, j int) { differingBuckets[i], differingBuckets[j] = differingBuckets[j], differingBuckets[i] })
+	a.d.datagrams.sendOneWay(kindSummary, sender, newSummary(records, differingBuckets).encode())
 }
 
 // receiveSummary compares a summary from another daemon with the records held here. It sends
@@ -104,24 +104,24 @@
 	if !ok {
 		return
 	}
-	newer, wanted := s.diff(a.d.peers.records())
-	a.sendRecords(sender, newer)
-	if len(wanted) > 0 {
-		a.d.datagrams.sendOneWay(kindRecordRequest, sender, encodeRecordRequest(wanted))
+	newerRecords, wantedHashes := s.diff(a.d.peers.records())
+	a.sendRecords(sender, newerRecords)
+	if len(wantedHashes) > 0 {
+		a.d.datagrams.sendOneWay(kindRecordRequest, sender, encodeRecordRequest(wantedHashes))
 	}
 }
 
 // sendRequestedRecords sends the records that another daemon requested. The body of the request
 // holds the hashes of their addresses.
 func (a *antiEntropy) sendRequestedRecords(sender string, body []byte) {
-	requested := decodeRecordRequest(body)
-	var found []Record
+	requestedHashes := decodeRecordRequest(body)
+	var foundRecords []Record
 	for _, r := range a.d.peers.records() {
-		if requested[addressHash(r.Address)] {
-			found = append(found, r)
+		if requestedHashes[addressHash(r.Address)] {
+			foundRecords = append(foundRecords, r)
 		}
 	}
-	a.sendRecords(sender, found)
+	a.sendRecords(sender, foundRecords)
 }
 
 // sendRecords sends records to a daemon that lacks them or holds older ones.
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -53,11 +53,11 @@
 
 // replaceBootstrapPeer is called when a peer that was to be asked for all records cannot be
 // reached. It chooses another peer to ask, preferably of the local zone. The caller holds p.mu.
-func (p *peers) replaceBootstrapPeer(failed *peer) {
-	failed.needsFullSync = false
+func (p *peers) replaceBootstrapPeer(failedPeer *peer) {
+	failedPeer.needsFullSync = false
 	var replacement *peer
 	for _, q := range p.others {
-		if q.unreachable || q.needsFullSync || q == failed {
+		if q.unreachable || q.needsFullSync || q == failedPeer {
 			continue
 		}
 		if replacement == nil || p.zoneDistance(q.record.Zone) < p.zoneDistance(replacement.record.Zone) {
@@ -70,12 +70,12 @@
 	}
 }
 
-// addPeer adds a daemon to the known ones. The first bootstrapPeers daemons added are asked for
+// addPeer adds a daemon to the known ones. The first numBootstrapPeers daemons added are asked for
 // all records. They may come from the directory or from a peer, because the directory may be
 // unavailable. The caller holds p.mu.
 func (p *peers) addPeer(r Record) *peer {
 	q := &peer{record: r, pool: newPeerPool(r.Address)}
-	q.needsFullSync = p.fullSyncCount < bootstrapPeers
+	q.needsFullSync = p.fullSyncCount < numBootstrapPeers
 	if q.needsFullSync {
 		p.fullSyncCount++
 	}
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -38,27 +38,27 @@
 // TestBootstrapPeersAreInLocalZone starts many daemons with the same directory. Each must ask
 // daemons of its own zone for all records, and the load must be spread over them.
 func TestBootstrapPeersAreInLocalZone(t *testing.T) {
-	const daemons, zones, starts = 300, 5, 200
-	var list []DirectoryEntry
-	zoneOf := make(map[string]model.AvailabilityZone)
-	for i := range daemons {
-		e := DirectoryEntry{Address: fmt.Sprint("d", i), Zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
-		list, zoneOf[e.Address] = append(list, e), e.Zone
+	const numDaemons, numZones, numStarts = 300, 5, 200
+	var entries []DirectoryEntry
+	zoneByAddress := make(map[string]model.AvailabilityZone)
+	for i := range numDaemons {
+		e := DirectoryEntry{Address: fmt.Sprint("d", i), Zone: model.AvailabilityZone(fmt.Sprint("z", i%numZones))}
+		entries, zoneByAddress[e.Address] = append(entries, e), e.Zone
 	}
-	selections := make(map[string]int)
-	for range starts {
+	selectionCountByAddress := make(map[string]int)
+	for range numStarts {
 		p := isolatedPeers(t, "z3")
-		p.addDirectoryEntries(list)
+		p.addDirectoryEntries(entries)
 		selected := p.pendingFullSyncs()
-		require.Len(t, selected, bootstrapPeers)
+		require.Len(t, selected, numBootstrapPeers)
 		for _, address := range selected {
-			require.EqualValues(t, "z3", zoneOf[address])
-			selections[address]++
+			require.EqualValues(t, "z3", zoneByAddress[address])
+			selectionCountByAddress[address]++
 		}
 	}
-	const fair = starts * bootstrapPeers / (daemons / zones)
-	for address, n := range selections {
-		require.Less(t, n, 5*fair, address)
+	const meanSelections = numStarts * numBootstrapPeers / (numDaemons / numZones)
+	for address, n := range selectionCountByAddress {
+		require.Less(t, n, 5*meanSelections, address)
 	}
 }
 
@@ -67,7 +67,7 @@
 func TestUnreachableBootstrapPeerIsReplaced(t *testing.T) {
 	p := isolatedPeers(t, "z")
 	p.addDirectoryEntries([]DirectoryEntry{{Address: "gone1", Zone: "z"}, {Address: "gone2", Zone: "z"}, {Address: "there", Zone: "far"}})
-	for range bootstrapPeers {
+	for range numBootstrapPeers {
 		for _, address := range p.pendingFullSyncs() {
 			if address != "there" {
 				p.recordFailedExchange(p.others[address], errStoreDown)
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -42,7 +42,7 @@
 				for i := range records {
 					records[i] = recordOf(i + 1)
 				}
-				p.fullSyncCount = bootstrapPeers
+				p.fullSyncCount = numBootstrapPeers
 				p.merge(records)
 				records = nil
 				b.ReportMetric((heapBytes()-before)/float64(n), "heap-B/daemon")
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -15,8 +15,8 @@
 
 // activeConfig is the configuration in force and the time at which it took effect.
 type activeConfig struct {
-	table *route.Table
-	since time.Time
+	table        *route.Table
+	inForceSince time.Time
 }
 
 // configuration holds the newest configuration seen. Its version never decreases: a document
@@ -48,10 +48,10 @@
 	return nil
 }
 
-// age returns how long the configuration has been in force, zero if there is none.
-func (c *configuration) age() time.Duration {
+// timeInForce returns how long the configuration has been in force, zero if there is none.
+func (c *configuration) timeInForce() time.Duration {
 	if active := c.current.Load(); active != nil {
-		return time.Since(active.since)
+		return time.Since(active.inForceSince)
 	}
 	return 0
 }
@@ -88,7 +88,7 @@
 		return true
 	}
 	c.history.add(doc.Version, raw)
-	c.current.Store(&activeConfig{table: table, since: time.Now()})
+	c.current.Store(&activeConfig{table: table, inForceSince: time.Now()})
 	c.decisions.Write(decision.ConfigInForce, "", slog.Uint64("version", uint64(doc.Version)),
 		slog.Uint64("previous", uint64(previous)), slog.Int("routes", table.NumRoutes()), slog.String("from", origin))
 	for _, f := range c.onChange {
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -103,7 +103,7 @@
 	d.guard.crashes.onCrash = d.quarantine.recordCrash
 	d.entry = newEntry(d)
 	if err := d.listen(); err != nil {
-		d.closeServers()
+		d.closeSockets()
 		return nil, err
 	}
 	return d, nil
@@ -177,7 +177,7 @@
 	return nil
 }
 
-func (d *Daemon) closeServers() {
+func (d *Daemon) closeSockets() {
 	for _, s := range d.servers {
 		s.close()
 	}
@@ -222,10 +222,10 @@
 // announceState copies the state of the local upstream into the local record and announces the
 // record.
 func (d *Daemon) announceState() {
-	current, departed := d.guard.reportAndDeparted()
+	currentReport, departed := d.guard.reportAndDeparted()
 	d.peers.updateLocal(func(r *Record) {
-		r.Service, r.Upstream, r.State, r.Slots = current.Service, current.Incarnation, current.State, current.Slots
-		r.ColdMS = current.WarmupLeft.Milliseconds()
+		r.Service, r.Upstream, r.State, r.Slots = currentReport.Service, currentReport.Incarnation, currentReport.State, currentReport.Slots
+		r.ColdMS = currentReport.WarmupLeft.Milliseconds()
 		r.Departed = departed[max(len(departed)-maxDeparted, 0):]
 	})
 }
@@ -299,7 +299,7 @@
 	}
 	deadline := d.drain()
 	stop()
-	d.closeServers()
+	d.closeSockets()
 	<-supervisorErr
 	// Some requests were aborted by closing their connections without a response. Their handlers
 	// still write log lines.
@@ -344,14 +344,14 @@
 // drain announces that the daemon is stopping and waits for the requests in flight. It aborts
 // those that remain when draining is over. It returns the end of the grace period.
 func (d *Daemon) drain() (deadline time.Time) {
-	began := time.Now()
-	deadline = began.Add(d.tunables.Load().GracePeriod)
+	drainStart := time.Now()
+	deadline = drainStart.Add(d.tunables.Load().GracePeriod)
 	drainEnd := deadline.Add(-graceMargin)
-	d.guard.setStopDeadline(d.now().Add(drainEnd.Sub(began)))
+	d.guard.setStopDeadline(d.now().Add(drainEnd.Sub(drainStart)))
 	d.stopping.Store(true)
 	d.opts.Decisions.Write(decision.Stopping, "", slog.Int("in_flight", d.inFlight.count()))
-	current, _ := d.guard.reportAndDeparted()
-	if current.State == lifecycle.Gone {
+	currentReport, _ := d.guard.reportAndDeparted()
+	if currentReport.State == lifecycle.Gone {
 		ctx, cancel := context.WithTimeout(context.Background(), syncTimeout)
 		go func() {
 			defer cancel()
@@ -359,8 +359,8 @@
 		}()
 	}
 	d.peers.updateLocal(func(r *Record) { r.Stopping = true })
-	d.awaitIdle(began, drainEnd)
-	d.opts.Decisions.Write(decision.Stopped, "", slog.Int("in_flight", d.inFlight.count()), slog.Int64("took_ms", time.Since(began).Milliseconds()))
+	d.awaitIdle(drainStart, drainEnd)
+	d.opts.Decisions.Write(decision.Stopped, "", slog.Int("in_flight", d.inFlight.count()), slog.Int64("took_ms", time.Since(drainStart).Milliseconds()))
 	close(d.aborting)
 	time.Sleep(min(refusalPeriod, time.Until(deadline)))
 	d.awaitResponses(deadline.Add(-connectionCloseMargin))
@@ -370,12 +370,12 @@
 // awaitIdle waits until minDrainTime has passed and no request is in flight. It waits until
 // drainEnd at the latest. When it returns, the daemon has stopped forwarding requests. The
 // connection of a request that is forwarded later would be closed without a response.
-func (d *Daemon) awaitIdle(began, drainEnd time.Time) {
+func (d *Daemon) awaitIdle(drainStart, drainEnd time.Time) {
 	for time.Now().Before(drainEnd) {
 		if time.Until(drainEnd) < queueFlushMargin {
 			d.guard.stopAdmitting()
 		}
-		if time.Since(began) > minDrainTime {
+		if time.Since(drainStart) > minDrainTime {
 			d.callerServer.stopAccepting()
 			if d.stopForwardingIfIdle() {
 				return
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -32,13 +32,13 @@
 	require.Equal(t, "answer of b1", text)
 	require.Equal(t, "seal of b1", resp.Header.Get("T-Seal"))
 	require.Empty(t, resp.Header.Get(callHeader))
-	seen := b.upstream.requests()
-	require.Len(t, seen, 1)
-	require.Equal(t, "/unsafe/x%2Fy?q=%20", seen[0].RequestURI)
-	require.Equal(t, "a", seen[0].Header.Get("T-Caller"))
-	require.Equal(t, "b1", seen[0].Header.Get("T-Expect"))
+	received := b.upstream.requests()
+	require.Len(t, received, 1)
+	require.Equal(t, "/unsafe/x%2Fy?q=%20", received[0].RequestURI)
+	require.Equal(t, "a", received[0].Header.Get("T-Caller"))
+	require.Equal(t, "b1", received[0].Header.Get("T-Expect"))
 	require.Equal(t, []string{"body"}, b.upstream.bodies)
-	require.Empty(t, seen[0].Header.Get(callHeader))
+	require.Empty(t, received[0].Header.Get(callHeader))
 }
 
 // TestCallerCannotForgeItsService sends headers that only daemons may set. The upstream must
@@ -58,9 +58,9 @@
 	require.Equal(t, "a", a.upstream.requests()[0].Header.Get("T-Caller"))
 }
 
-// TestRefusalStatus checks how requests are refused without a configuration, without an
+// TestRefusalStatusDependsOnCause checks how requests are refused without a configuration, without an
 // upstream and without a route.
-func TestRefusalStatus(t *testing.T) {
+func TestRefusalStatusDependsOnCause(t *testing.T) {
 	s := newStore(route.Document{})
 	up := newUpstream(t, "a1")
 	o := optionsFor(t, s, up, "a")
@@ -131,7 +131,7 @@
 // TestIdempotentIsRetried has one of two upstreams lose or spoil every response. Idempotent
 // requests must be retried at the other upstream.
 func TestIdempotentIsRetried(t *testing.T) {
-	for name, faulty := range map[string]func(http.ResponseWriter, *http.Request){
+	for name, faultyHandler := range map[string]func(http.ResponseWriter, *http.Request){
 		"closes connection": hangUp,
 		"fails":             func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
 		"no seal":           func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "without a seal") },
@@ -144,7 +144,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := startWithFaultyUpstream(t, faulty)
+			a := startWithFaultyUpstream(t, faultyHandler)
 			for range 6 {
 				status, text := a.get(t, "/safe/")
 				require.Equal(t, http.StatusOK, status)
@@ -156,7 +156,7 @@
 
 // startWithFaultyUpstream returns a daemon of service a that knows two upstreams of service
 // b, of which only b2 works.
-func startWithFaultyUpstream(t *testing.T, faulty http.HandlerFunc) *member {
+func startWithFaultyUpstream(t *testing.T, faultyHandler http.HandlerFunc) *member {
 	t.Helper()
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -164,7 +164,7 @@
 	startReady(t, s, "b", "b2")
 	a.waitForCandidates(t, "b", 2)
 	a.allowRetries()
-	b1.upstream.setHandler(faulty)
+	b1.upstream.setHandler(faultyHandler)
 	return a
 }
 
@@ -197,14 +197,14 @@
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	b1.upstream.setHandler(fail)
 	b2.upstream.setHandler(fail)
-	const requests = 60
-	for range requests {
+	const numRequests = 60
+	for range numRequests {
 		status, _ := a.get(t, "/safe/")
 		require.Equal(t, http.StatusInternalServerError, status, "the upstream's own response is delivered")
 	}
 	sent := len(b1.upstream.requests()) + len(b2.upstream.requests())
-	require.Greater(t, sent, requests)
-	require.LessOrEqual(t, float64(sent-requests), 0.2*requests+50/3.0, "three daemons share the slack")
+	require.Greater(t, sent, numRequests)
+	require.LessOrEqual(t, float64(sent-numRequests), 0.2*numRequests+50/3.0, "three daemons share the slack")
 }
 
 // withTimeout sets the timeout of all routes of a document.
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -36,14 +36,14 @@
 	require.NoError(t, err)
 	defer func() { _ = remote.Close() }()
 	up := placement.Upstream{Key: "far", Daemon: model.DaemonID(remote.LocalAddr().String())}
-	late := make(chan placement.Load, 1)
+	lateLoads := make(chan placement.Load, 1)
 	replies := d.datagrams.queryLoads(loadQuery{
 		upstreams: []placement.Upstream{up}, rank: 2, kind: 7, timeout: timeout,
 		tooFar: func(placement.Upstream) bool { return tooFar },
 		onLate: func(q queryReply) {
 			require.Equal(t, "far", q.key)
 			require.Positive(t, q.roundTrip)
-			late <- q.load
+			lateLoads <- q.load
 		},
 	})
 	require.Empty(t, replies)
@@ -60,8 +60,8 @@
 		_, err = remote.WriteToUDPAddrPort(appendLoad(reply[:datagramHeaderBytes:datagramHeaderBytes], want), sender)
 		require.NoError(t, err)
 	}
-	require.Equal(t, want, <-late)
-	require.Empty(t, late, "a duplicate reply is ignored")
+	require.Equal(t, want, <-lateLoads)
+	require.Empty(t, lateLoads, "a duplicate reply is ignored")
 }
 
 // TestDistantGuardsAreNotMarkedSilent queries a guard that does not reply within the timeout. If
--- a/sidecar/finallog_test.go
+++ b/sidecar/finallog_test.go
@@ -18,9 +18,9 @@
 // soon as its guard rejects new work, callers send requests on connections that are still open.
 // Some of these requests are forwarded to the other daemon and run there. They must be answered.
 func TestRequestsDuringFinalLogFlushAreAnswered(t *testing.T) {
-	const conns, runTime = 20, 150 * time.Millisecond
+	const numConns, runTime = 20, 150 * time.Millisecond
 	s := newStore(documentOf(1, "a"))
-	other := startReady(t, s, "a", "b1")
+	peerMember := startReady(t, s, "a", "b1")
 	o := optionsFor(t, s, newUpstream(t, "a1"), "a")
 	o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(newStalledWriter(t), nil)})
 	d := startDaemon(t, o, s)
@@ -28,14 +28,14 @@
 	d.waitForCandidates(t, "a", 2)
 
 	var callers []*callerConn
-	for i := range conns {
+	for i := range numConns {
 		caller := dialCallers(t, d)
 		caller.send(t, fmt.Sprint("first-", i))
 		_, err := caller.readResponse()
 		require.NoError(t, err)
 		callers = append(callers, caller)
 	}
-	other.upstream.setHandler(func(w http.ResponseWriter, _ *http.Request) {
+	peerMember.upstream.setHandler(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(runTime)
 		respondOK(w, "b1")
 	})
@@ -57,13 +57,13 @@
 		})
 	}
 	wg.Wait()
-	lost := 0
-	for _, r := range other.upstream.requests() {
+	numLost := 0
+	for _, r := range peerMember.upstream.requests() {
 		if id := r.Header.Get("T-Id"); strings.HasPrefix(id, "second-") {
 			if _, ok := unanswered.Load(id); ok {
-				lost++
+				numLost++
 			}
 		}
 	}
-	require.Zero(t, lost, "of %d requests ran and got no response", conns)
+	require.Zero(t, numLost, "of %d requests ran and got no response", numConns)
 }
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -25,9 +25,9 @@
 // waitLimit bounds the wait for a condition.
 const waitLimit = 20 * time.Second
 
-func eventually(t testing.TB, what string, condition func() bool) {
+func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, condition, waitLimit, 2*time.Millisecond, what)
+	require.Eventually(t, condition, waitLimit, 2*time.Millisecond, description)
 }
 
 // testCodec implements HeaderCodec with headers named T-*.
@@ -65,17 +65,17 @@
 
 // store is an in-memory configuration store and directory.
 type store struct {
-	mu      sync.Mutex
-	doc     route.Document
-	entries map[string]DirectoryEntry
-	changed chan struct{}
-	down    bool
+	mu               sync.Mutex
+	doc              route.Document
+	entriesByAddress map[string]DirectoryEntry
+	changed          chan struct{}
+	down             bool
 	// announcements counts the calls of Announce.
 	announcements int
 }
 
 func newStore(doc route.Document) *store {
-	return &store{doc: doc, entries: make(map[string]DirectoryEntry), changed: make(chan struct{})}
+	return &store{doc: doc, entriesByAddress: make(map[string]DirectoryEntry), changed: make(chan struct{})}
 }
 
 func (s *store) publish(doc route.Document) {
@@ -165,7 +165,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries[e.Address] = e
+	s.entriesByAddress[e.Address] = e
 	s.announcements++
 	return nil
 }
@@ -177,7 +177,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []DirectoryEntry
-	for _, e := range s.entries {
+	for _, e := range s.entriesByAddress {
 		out = append(out, e)
 	}
 	return out, nil
@@ -186,7 +186,7 @@
 func (s *store) Remove(_ context.Context, address string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.entries, address)
+	delete(s.entriesByAddress, address)
 	return nil
 }
 
@@ -353,14 +353,14 @@
 // documentOf returns a configuration that routes /safe/ (idempotent) and /unsafe/ to a
 // service.
 func documentOf(version model.Version, service model.ServiceName) route.Document {
-	r := func(name string, idempotent bool) route.Route {
+	newRoute := func(name string, idempotent bool) route.Route {
 		return route.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Idempotent: idempotent, MaxAttempts: 2,
 			Timeout: 5 * time.Second, TargetLatency: time.Second, Split: []route.WeightedService{{Service: service, Weight: 1}},
 		}
 	}
 	return route.Document{
-		Version: version, Routes: []route.Route{r("safe", true), r("unsafe", false)},
+		Version: version, Routes: []route.Route{newRoute("safe", true), newRoute("unsafe", false)},
 		Services: []route.Service{{Name: service, HealthPath: "/health"}},
 	}
 }
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -67,7 +67,9 @@
 }
 
 // Receive implements ConfigConsumer.
-func (f *configFollower) Receive(raw []byte, from string) bool { return f.d.config.apply(raw, from) }
+func (f *configFollower) Receive(raw []byte, origin string) bool {
+	return f.d.config.apply(raw, origin)
+}
 
 // AwaitTurn implements ConfigConsumer. It returns once this daemon watches the store, or when the
 // context ends.
@@ -141,13 +143,13 @@
 // another daemon for its configuration now.
 func (f *configFollower) updateWatching() (pollDue bool) {
 	now := f.d.now()
-	// addresses are the daemons of the local zone. zones is the number of all zones.
-	addresses, zones, generation := f.d.peers.zoneMembers(f.generation)
+	// addresses are the daemons of the local zone. numZones is the number of all numZones.
+	addresses, numZones, generation := f.d.peers.zoneMembers(f.generation)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if generation != f.generation {
 		f.generation = generation
-		f.elector.SetMembers(addresses, zones)
+		f.elector.SetMembers(addresses, numZones)
 	}
 	isWatching := f.elector.UpdateWatching(now) && !f.d.stopping.Load()
 	switch {
@@ -160,9 +162,9 @@
 		f.isWatching = isWatching
 		f.d.opts.Decisions.Write(decision.StoreWatched, "", slog.Bool("watches", isWatching), slog.Int("cell", len(f.elector.CellPeers())+1))
 	}
-	unreachable := f.elector.StoreUnreachable(now)
-	f.recordStoreState(now, unreachable)
-	pollDue = unreachable && now.Sub(f.lastPeerPoll) >= peerPollInterval
+	storeUnreachable := f.elector.StoreUnreachable(now)
+	f.recordStoreState(now, storeUnreachable)
+	pollDue = storeUnreachable && now.Sub(f.lastPeerPoll) >= peerPollInterval
 	if pollDue {
 		f.lastPeerPoll = now
 	}
@@ -171,8 +173,8 @@
 
 // recordStoreState records whether a daemon of the cell reaches the store. If none does, it keeps
 // the time at which that began.
-func (f *configFollower) recordStoreState(now model.Instant, unreachable bool) {
-	if !unreachable {
+func (f *configFollower) recordStoreState(now model.Instant, storeUnreachable bool) {
+	if !storeUnreachable {
 		f.d.storeUnreachableSince.Store(0)
 		return
 	}
@@ -186,9 +188,9 @@
 		f.mu.Unlock()
 		return
 	}
-	reachesStore, others := f.elector.ReachesStore(), f.elector.CellPeers()
+	reachesStore, cellPeers := f.elector.ReachesStore(), f.elector.CellPeers()
 	f.mu.Unlock()
-	for _, address := range others {
+	for _, address := range cellPeers {
 		f.d.datagrams.sendHeartbeat(address, reachesStore)
 	}
 }
--- a/sidecar/follow_test.go
+++ b/sidecar/follow_test.go
@@ -8,9 +8,9 @@
 )
 
 // watchers returns the members that watch the store.
-func watchers(all []*member) []*member {
+func watchers(members []*member) []*member {
 	var out []*member
-	for _, m := range all {
+	for _, m := range members {
 		if m.follower.watchesStore() {
 			out = append(out, m)
 		}
@@ -22,18 +22,18 @@
 // end, others must take over.
 func TestFewDaemonsWatchStore(t *testing.T) {
 	const (
-		daemons = 7
-		wanted  = 3
+		numDaemons     = 7
+		wantedWatchers = 3
 	)
 	s := newStore(documentOf(1, "a"))
 	var all []*member
-	for i := range daemons {
+	for i := range numDaemons {
 		all = append(all, startReady(t, s, "a", fmt.Sprint("a", i)))
 	}
 	for _, m := range all {
-		m.waitForCandidates(t, "a", daemons)
+		m.waitForCandidates(t, "a", numDaemons)
 	}
-	eventually(t, "three daemons watch", func() bool { return len(watchers(all)) == wanted })
+	eventually(t, "three daemons watch", func() bool { return len(watchers(all)) == wantedWatchers })
 	var survivors []*member
 	for _, m := range all {
 		if m.follower.watchesStore() {
@@ -46,7 +46,7 @@
 	for _, m := range survivors {
 		eventually(t, "the new version", func() bool { return m.config.version() == 2 })
 	}
-	eventually(t, "other daemons take over", func() bool { return len(watchers(survivors)) == wanted })
+	eventually(t, "other daemons take over", func() bool { return len(watchers(survivors)) == wantedWatchers })
 }
 
 // TestRestartKeepsDirectoryEntry restarts a daemon that has an entry in the directory. The
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -16,20 +16,20 @@
 	o.Source = &source{store: newStore(documentOf(1, "a"))}
 	d, err := New(o)
 	require.NoError(f, err)
-	f.Cleanup(d.closeServers)
+	f.Cleanup(d.closeSockets)
 	d.Report(readyReport("a1", 1, 1, "a"))
-	others := []Record{
+	otherRecords := []Record{
 		{Address: "127.0.0.1:9", Incarnation: 1, Sequence: 1, Zone: "y", Service: "a", State: lifecycle.Ready, Slots: 6},
 		{Address: o.Addresses.Peers, Incarnation: 1 << 60, Sequence: 1, Zone: "z", Departed: []lifecycle.Incarnation{{ID: "a1", Born: 1}}},
 	}
-	bodies := map[byte][]byte{
+	bodyByKind := map[byte][]byte{
 		kindLoadQuery: make([]byte, 5), kindLoadReply: make([]byte, 13), kindRecordAck: nil, kindVersion: []byte("127.0.0.1:9"),
-		kindRecordPush: packRecords(others[:1])[0], kindRelayedRecords: packRecords(others)[0], kindMissingRecords: packRecords(others)[0],
-		kindHeartbeat: append([]byte{1}, "127.0.0.1:9"...), kindDigest: digestOf(others).encode(),
-		kindSummary:       newSummary(others, []int{0, 1, 2, bucketOf(others[0].Address)}).encode(),
+		kindRecordPush: packRecords(otherRecords[:1])[0], kindRelayedRecords: packRecords(otherRecords)[0], kindMissingRecords: packRecords(otherRecords)[0],
+		kindHeartbeat: append([]byte{1}, "127.0.0.1:9"...), kindDigest: digestOf(otherRecords).encode(),
+		kindSummary:       newSummary(otherRecords, []int{0, 1, 2, bucketOf(otherRecords[0].Address)}).encode(),
 		kindRecordRequest: encodeRecordRequest([]uint32{1, addressHash(o.Addresses.Peers)}), kindSuspects: d.quarantine.store.DigestMessage(),
 	}
-	for kind, body := range bodies {
+	for kind, body := range bodyByKind {
 		f.Add(append(append([]byte{kind}, make([]byte, datagramHeaderBytes-1)...), body...))
 	}
 	for _, message := range []string{"s", "w", "r", "a"} {
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -20,7 +20,7 @@
 		{"ready", "1 while requests are taken", func() float64 { return boolToFloat(d.ready.Load() && !d.stopping.Load()) }},
 		{"in_flight", "requests of local callers in hand", func() float64 { return float64(d.inFlight.count()) }},
 		{"config_version", "version of the configuration in force", func() float64 { return float64(d.config.version()) }},
-		{"config_age_seconds", "how long the configuration has been in force", func() float64 { return d.config.age().Seconds() }},
+		{"config_age_seconds", "how long the configuration has been in force", func() float64 { return d.config.timeInForce().Seconds() }},
 		{"config_source_watched", "1 while this daemon watches the store of the configuration", func() float64 { return boolToFloat(d.follower.watchesStore()) }},
 		{"config_source_lost", "1 while no daemon of the cell reaches the store of the configuration", func() float64 { return boolToFloat(d.storeUnreachableFor() > 0) }},
 		{"config_source_lost_seconds", "for how long none has", func() float64 { return d.storeUnreachableFor().Seconds() }},
@@ -35,8 +35,8 @@
 		{"upstream_failing", "recent share of failed runs", func() float64 { return d.guard.currentLoad().FailureRate }},
 		{"upstream_calls_per_run", "calls to other services for each run of late", d.guard.currentCallsPerRun},
 		{"upstream_ready", "1 while the own upstream takes requests", func() float64 {
-			current, _ := d.guard.reportAndDeparted()
-			return boolToFloat(current.State == lifecycle.Ready)
+			currentReport, _ := d.guard.reportAndDeparted()
+			return boolToFloat(currentReport.State == lifecycle.Ready)
 		}},
 		{"resends_left", "re-sends that the tightest budget holds", d.entry.retriesLeft},
 	}
--- a/sidecar/idledaemons_test.go
+++ b/sidecar/idledaemons_test.go
@@ -20,18 +20,18 @@
 // requests, after their start-up traffic has settled.
 func BenchmarkIdleDaemons(b *testing.B) {
 	const settleTime, interval = 8 * time.Second, 10 * time.Second
-	for _, daemons := range []int{10, 40} {
-		b.Run(fmt.Sprint(daemons, " daemons"), func(b *testing.B) {
+	for _, numDaemons := range []int{10, 40} {
+		b.Run(fmt.Sprint(numDaemons, " daemons"), func(b *testing.B) {
 			s := newStore(documentOf(1, "a"))
 			var all []*member
-			for i := range daemons {
+			for i := range numDaemons {
 				all = append(all, startReady(b, s, "a", fmt.Sprint("a", i)))
 			}
 			time.Sleep(settleTime)
 			for b.Loop() {
 				cpuBefore, sentBefore := cpuTime(b), controlBytes(all, "", "sent")
 				time.Sleep(interval)
-				daemonSeconds := interval.Seconds() * float64(daemons)
+				daemonSeconds := interval.Seconds() * float64(numDaemons)
 				b.ReportMetric(100*(cpuTime(b)-cpuBefore).Seconds()/daemonSeconds, "%core/daemon")
 				b.ReportMetric(float64(controlBytes(all, "", "sent")-sentBefore)/daemonSeconds, "B/s/daemon")
 			}
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -39,13 +39,13 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { j.discoverUpstream(ctx) })
 	wg.Go(func() { j.becomeReady(ctx) })
-	wg.Go(func() { j.announce(ctx) })
+	wg.Go(func() { j.announceWithRetries(ctx) })
 	wg.Wait()
 	return suture.ErrDoNotRestart
 }
 
-// announce repeats announceAndList until it succeeds.
-func (j *joiner) announce(ctx context.Context) {
+// announceWithRetries repeats announceAndList until it succeeds.
+func (j *joiner) announceWithRetries(ctx context.Context) {
 	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxSyncBackoff}
 	for {
 		err := j.announceAndList(ctx)
@@ -70,7 +70,7 @@
 func (j *joiner) announceAndList(ctx context.Context) error {
 	var err error
 	if !j.hasEntry && !j.d.opts.Bootstrap {
-		err = j.list(ctx)
+		err = j.listEntries(ctx)
 	}
 	if !j.hasEntry {
 		self := j.d.peers.localRecord()
@@ -79,23 +79,23 @@
 		err = announceErr
 	}
 	if !j.hasListed && (j.hasEntry || j.d.opts.Bootstrap) {
-		err = errors.Join(err, j.list(ctx))
+		err = errors.Join(err, j.listEntries(ctx))
 	}
 	return err
 }
 
-// list reads all directory entries and adds their daemons to the known ones. It also notes
+// listEntries reads all directory entries and adds their daemons to the known ones. It also notes
 // whether the entry of this daemon is among them.
-func (j *joiner) list(ctx context.Context) error {
-	list, err := j.d.opts.Directory.List(ctx)
+func (j *joiner) listEntries(ctx context.Context) error {
+	entries, err := j.d.opts.Directory.List(ctx)
 	if err != nil {
 		return err
 	}
 	j.hasListed = true
-	for _, e := range list {
+	for _, e := range entries {
 		j.hasEntry = j.hasEntry || e.Address == j.d.opts.Addresses.Peers
 	}
-	j.d.peers.addDirectoryEntries(list)
+	j.d.peers.addDirectoryEntries(entries)
 	return nil
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	j.d.guard.discoverUpstream()
-	if current, _ := j.d.guard.reportAndDeparted(); current.State != lifecycle.Unknown {
+	if currentReport, _ := j.d.guard.reportAndDeparted(); currentReport.State != lifecycle.Unknown {
 		j.d.announceState()
 	}
 }
--- a/sidecar/massstart_test.go
+++ b/sidecar/massstart_test.go
@@ -16,7 +16,7 @@
 // anti-entropy rounds have become rare.
 func BenchmarkMassStart(b *testing.B) {
 	const (
-		zones = 5
+		numZones = 5
 		// reportDelay is how long after its start an upstream reports.
 		reportDelay = 200 * time.Millisecond
 		// settleTime is how long traffic is counted after all daemons know each other.
@@ -32,7 +32,7 @@
 					wg.Go(func() {
 						id := fmt.Sprint("u", i)
 						o := optionsFor(b, s, newUpstream(b, id), "b")
-						o.Zone = model.AvailabilityZone(fmt.Sprint("z", i%zones))
+						o.Zone = model.AvailabilityZone(fmt.Sprint("z", i%numZones))
 						members[i] = startDaemon(b, o, s)
 						time.Sleep(reportDelay)
 						members[i].Report(readyReport(id, 1, 1, "b"))
@@ -43,14 +43,14 @@
 					m.waitForCandidates(b, "b", n)
 				}
 				time.Sleep(settleTime)
-				names := slices.Concat(slices.Collect(maps.Values(datagramNames)), slices.Collect(maps.Values(pathNames)))
-				total := int64(0)
-				for _, kind := range names {
+				kinds := slices.Concat(slices.Collect(maps.Values(datagramNames)), slices.Collect(maps.Values(pathNames)))
+				totalSent := int64(0)
+				for _, kind := range kinds {
 					sent := controlBytes(members, kind, "sent") / int64(n)
 					b.ReportMetric(float64(sent), kind+"-B")
-					total += sent
+					totalSent += sent
 				}
-				b.ReportMetric(float64(total), "all-B")
+				b.ReportMetric(float64(totalSent), "all-B")
 				for _, m := range members {
 					wg.Go(m.stop)
 				}
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -21,26 +21,26 @@
 // Start times are those of the daemons' own clocks. A daemon whose clock is ahead by more than
 // the span counts as started long ago. A daemon that is in the directory but whose record has
 // not been received counts as just started, unless it is unreachable.
-func (p *peers) daemonsAndStartedShare(span time.Duration) (daemons int, share float64) {
+func (p *peers) daemonsAndStartedShare(span time.Duration) (numDaemons int, startedShare float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	windowStart := time.Now().Add(-span).UnixMilli()
 	recentlyStarted := 0
-	count := func(r *Record) {
+	countIfRecent := func(r *Record) {
 		if r.Incarnation > windowStart && r.Incarnation <= windowStart+2*span.Milliseconds() {
 			recentlyStarted++
 		}
 	}
-	count(&p.local)
+	countIfRecent(&p.local)
 	for _, q := range p.others {
 		if q.record.Sequence == 0 && !q.unreachable {
 			recentlyStarted++
 			continue
 		}
-		count(&q.record)
+		countIfRecent(&q.record)
 	}
-	daemons = len(p.others) + 1
-	return daemons, float64(recentlyStarted) / float64(daemons)
+	numDaemons = len(p.others) + 1
+	return numDaemons, float64(recentlyStarted) / float64(numDaemons)
 }
 
 // reachableMembers returns the other daemons that are reachable.
@@ -61,7 +61,7 @@
 // generation, and the number of zones in which any daemon is reachable and not stopping. The
 // local zone always counts. If lastGeneration is still current, it returns no addresses and 0 for
 // the number of zones.
-func (p *peers) zoneMembers(lastGeneration uint64) (addresses []string, zones int, current uint64) {
+func (p *peers) zoneMembers(lastGeneration uint64) (addresses []string, numZones int, currentGeneration uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.generation == lastGeneration {
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -250,8 +250,8 @@
 
 // call passes a call from the entry of another daemon to the guard, and responds with the
 // result.
-func (p peerHandler) call(w http.ResponseWriter, r *http.Request, encoded string) {
-	c, err := decodeCall(encoded)
+func (p peerHandler) call(w http.ResponseWriter, r *http.Request, encodedCall string) {
+	c, err := decodeCall(encodedCall)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -269,16 +269,16 @@
 	writePeerResult(w, r.Method, p.runAcknowledged(w, c.ID, func() *Result { return p.d.guard.Do(r.Context(), c) }))
 }
 
-// acknowledgeAfter is how long a call may take before its arrival is acknowledged to the sender.
+// acknowledgeDelay is how long a call may take before its arrival is acknowledged to the sender.
 // A sender that receives no acknowledgement within ackTimeout considers the link broken.
-const acknowledgeAfter = 10 * time.Millisecond
+const acknowledgeDelay = 10 * time.Millisecond
 
-// runAcknowledged runs do and returns its result. If do takes longer than acknowledgeAfter,
+// runAcknowledged runs do and returns its result. If do takes longer than acknowledgeDelay,
 // runAcknowledged first sends an informational response (status 102).
 func (p peerHandler) runAcknowledged(w http.ResponseWriter, requestID string, do func() *Result) *Result {
 	done := make(chan *Result, 1)
 	go func() { done <- recoverPanic(requestID, p.d.recordPanic, do) }()
-	timer := time.NewTimer(acknowledgeAfter)
+	timer := time.NewTimer(acknowledgeDelay)
 	defer timer.Stop()
 	select {
 	case result := <-done:
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -44,10 +44,10 @@
 	stageChoose = "choose"
 	// stageSend lasts from the start of an attempt until its result arrives.
 	stageSend = "send"
-	// stageGuard is the wait in the queue of the guard.
-	stageGuard = "guard_wait"
-	// stageUpstream is the execution in the upstream.
-	stageUpstream = "upstream_run"
+	// stageGuardWait is the wait in the queue of the guard.
+	stageGuardWait = "guard_wait"
+	// stageUpstreamRun is the execution in the upstream.
+	stageUpstreamRun = "upstream_run"
 	// stageLoadAge is not a stage, but it is recorded in the same histograms. It is the age of
 	// the load values by which the upstream was chosen.
 	stageLoadAge = "load_age"
@@ -97,7 +97,7 @@
 type timerKey struct{ name, service, route string }
 
 func newTimers(scope tally.Scope) *timers {
-	return telemetry.NewBoundedMetrics(maxTimers, timerKey.other, func(k timerKey) tally.Timer {
+	return telemetry.NewBoundedMetrics(maxTimers, timerKey.overflowKey, func(k timerKey) tally.Timer {
 		tags := map[string]string{"service": k.service}
 		if k.route != "" {
 			tags["route"] = k.route
@@ -106,8 +106,8 @@
 	})
 }
 
-// other returns the key of the histogram that is shared once the set is full.
-func (k timerKey) other() timerKey {
+// overflowKey returns the key of the histogram that is shared once the set is full.
+func (k timerKey) overflowKey() timerKey {
 	const other = "other"
 	k.service = other
 	if k.route != "" {
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -33,7 +33,7 @@
 		require.Equal(t, 1, counts[stage+" b "], "%s: %v", stage, counts)
 	}
 	counts = timerCounts(b.scope)
-	for _, stage := range []string{stageGuard, stageUpstream} {
+	for _, stage := range []string{stageGuardWait, stageUpstreamRun} {
 		require.Equal(t, 1, counts[stage+" b "], "%s: %v", stage, counts)
 	}
 }
@@ -49,7 +49,7 @@
 	require.Equal(t, 2*maxTimers, counts["latency other other"])
 }
 
-func TestAgeGauges(t *testing.T) {
+func TestOutageGaugesFollowReachability(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
 	a.waitForCandidates(t, "b", 1)
@@ -76,9 +76,9 @@
 
 // controlBytes sums the bytes that members counted for a kind of message in one direction. An
 // empty kind means all kinds.
-func controlBytes(all []*member, kind, direction string) int64 {
+func controlBytes(members []*member, kind, direction string) int64 {
 	var n int64
-	for _, m := range all {
+	for _, m := range members {
 		for _, c := range m.scope.Snapshot().Counters() {
 			tags := c.Tags()
 			if c.Name() == "control_bytes" && (kind == "" || tags["kind"] == kind) && tags["direction"] == direction {
--- a/sidecar/pack_test.go
+++ b/sidecar/pack_test.go
@@ -31,8 +31,8 @@
 // TestPackedRecordsAreCompressed bounds the packed size of records relative to their JSON.
 func TestPackedRecordsAreCompressed(t *testing.T) {
 	for name, c := range map[string]struct {
-		records int
-		share   float64
+		numRecords int
+		maxRatio   float64
 	}{
 		"one record":            {1, 0.62},
 		"nine records":          {9, 0.50},
@@ -40,21 +40,21 @@
 		"three hundred records": {300, 0.45},
 	} {
 		t.Run(name, func(t *testing.T) {
-			records := sampleRecords(c.records)
-			plain, packed := 0, 0
+			records := sampleRecords(c.numRecords)
+			plainBytes, packedBytes := 0, 0
 			for i := range records {
 				b, err := json.Marshal(&records[i])
 				require.NoError(t, err)
-				plain += len(b)
+				plainBytes += len(b)
 			}
 			var got []Record
 			for _, body := range packRecords(records) {
 				require.LessOrEqual(t, len(body), maxDatagramBody)
-				packed += len(body)
+				packedBytes += len(body)
 				got = append(got, unpackRecords(body)...)
 			}
 			require.Equal(t, records, got)
-			require.LessOrEqual(t, float64(packed), c.share*float64(plain), "%d of %d bytes", packed, plain)
+			require.LessOrEqual(t, float64(packedBytes), c.maxRatio*float64(plainBytes), "%d of %d bytes", packedBytes, plainBytes)
 		})
 	}
 }
@@ -81,9 +81,9 @@
 func TestUnpackToleratesCorruptData(t *testing.T) {
 	body := packRecords(sampleRecords(5))[0]
 	rapid.Check(t, func(t *rapid.T) {
-		received := append([]byte(nil), body...)
-		received[rapid.IntRange(0, len(body)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
-		unpackRecords(received[:rapid.IntRange(0, len(body)).Draw(t, "length")])
+		corrupted := append([]byte(nil), body...)
+		corrupted[rapid.IntRange(0, len(body)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
+		unpackRecords(corrupted[:rapid.IntRange(0, len(body)).Draw(t, "length")])
 	})
 	require.Equal(t, sampleRecords(5), unpackRecords(body))
 }
--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -29,22 +29,22 @@
 type readyLogLimiter struct {
 	// windowStart is when the current window began.
 	windowStart model.Instant
-	// lines is how many upstreams got a line of their own in the current window.
-	lines int
-	// unlogged counts the upstreams that got no line of their own. One summary line will cover
+	// lineCount is how many upstreams got a line of their own in the current window.
+	lineCount int
+	// unloggedCount counts the upstreams that got no line of their own. One summary line will cover
 	// them.
-	unlogged int
+	unloggedCount int
 }
 
 // allow reports whether an upstream gets a log line of its own.
 func (l *readyLogLimiter) allow(now model.Instant) bool {
 	if now.Sub(l.windowStart) >= readyLogWindow {
-		l.windowStart, l.lines = now, 0
+		l.windowStart, l.lineCount = now, 0
 	}
-	if l.lines >= maxReadyLines {
+	if l.lineCount >= maxReadyLines {
 		return false
 	}
-	l.lines++
+	l.lineCount++
 	return true
 }
 
@@ -54,8 +54,8 @@
 func (p *peers) logPeerState(previous, current *Record) {
 	firstReady := previous.Upstream == (lifecycle.Incarnation{}) && current.State == lifecycle.Ready && !current.Stopping
 	if firstReady && !p.readyLog.allow(p.now()) {
-		p.readyLog.unlogged++
-		if p.readyLog.unlogged == 1 {
+		p.readyLog.unloggedCount++
+		if p.readyLog.unloggedCount == 1 {
 			time.AfterFunc(readyLogWindow, p.logReadySummary)
 		}
 		return
@@ -71,20 +71,20 @@
 func (p *peers) logReadySummary() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ready := 0
-	var unknown []string
+	numReady := 0
+	var unknownPeers []string
 	for address, q := range p.others {
 		switch {
 		case q.record.Upstream == (lifecycle.Incarnation{}):
-			unknown = append(unknown, address)
+			unknownPeers = append(unknownPeers, address)
 		case q.record.State == lifecycle.Ready:
-			ready++
+			numReady++
 		}
 	}
-	numUnknown := len(unknown)
-	slices.Sort(unknown)
-	unknown = unknown[:min(numUnknown, maxNamedPeers)]
-	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.readyLog.unlogged), slog.Int("ready", ready),
-		slog.Int("peers", len(p.others)), slog.Int("unheard", numUnknown), slog.String("missing", strings.Join(unknown, " ")))
-	p.readyLog.unlogged = 0
+	numUnknown := len(unknownPeers)
+	slices.Sort(unknownPeers)
+	unknownPeers = unknownPeers[:min(numUnknown, maxNamedPeers)]
+	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.readyLog.unloggedCount), slog.Int("ready", numReady),
+		slog.Int("peers", len(p.others)), slog.Int("unheard", numUnknown), slog.String("missing", strings.Join(unknownPeers, " ")))
+	p.readyLog.unloggedCount = 0
 }
--- a/sidecar/peerlog_test.go
+++ b/sidecar/peerlog_test.go
@@ -20,15 +20,15 @@
 // loggedPeers holds the peers of one daemon and the log lines written about them.
 type loggedPeers struct {
 	*peers
-	out bytes.Buffer
-	log *decision.Log
+	logOutput bytes.Buffer
+	log       *decision.Log
 }
 
 // newLoggedPeers returns the peers of a daemon that knows no other daemon. Its clock is the
 // virtual time of the bubble.
 func newLoggedPeers() *loggedPeers {
 	l := &loggedPeers{}
-	l.log = decision.New(decision.Options{Handler: slog.NewJSONHandler(&l.out, nil)})
+	l.log = decision.New(decision.Options{Handler: slog.NewJSONHandler(&l.logOutput, nil)})
 	began := time.Now()
 	l.peers = newPeers(Record{Address: "own", Incarnation: 1, Sequence: 1}, func() model.Instant { return model.Instant(time.Since(began)) }, l.log)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -42,7 +42,7 @@
 	t.Helper()
 	l.log.Close(time.Second)
 	out := map[decision.Kind][]map[string]any{}
-	for d := json.NewDecoder(&l.out); d.More(); {
+	for d := json.NewDecoder(&l.logOutput); d.More(); {
 		var line map[string]any
 		require.NoError(t, d.Decode(&line))
 		kind := decision.Kind(line["msg"].(string))
@@ -65,30 +65,30 @@
 // the number of daemons. When a whole deployment started, each daemon logged a line about every
 // other one.
 func TestMassStartLogsFewLines(t *testing.T) {
-	for _, daemons := range []int{10, 100, 295, 1700} {
+	for _, numDaemons := range []int{10, 100, 295, 1700} {
 		bubble.Run(t, func(t *testing.T) {
 			l := newLoggedPeers()
 			const startDuration = 500 * time.Millisecond
 			for _, s := range []lifecycle.State{lifecycle.Unknown, lifecycle.Ready} {
-				for n := range daemons - 1 {
+				for n := range numDaemons - 1 {
 					l.merge(stateRecords(n, uint64(s)+1, s))
-					time.Sleep(startDuration / time.Duration(daemons))
+					time.Sleep(startDuration / time.Duration(numDaemons))
 				}
 			}
 			time.Sleep(2 * readyLogWindow)
 			lines := l.closeAndRead(t)
-			individual := min(daemons-1, maxReadyLines)
-			require.Len(t, lines[decision.PeerState], individual, daemons)
-			rest := daemons - 1 - individual
-			if rest == 0 {
+			numIndividual := min(numDaemons-1, maxReadyLines)
+			require.Len(t, lines[decision.PeerState], numIndividual, numDaemons)
+			numSummarized := numDaemons - 1 - numIndividual
+			if numSummarized == 0 {
 				require.Empty(t, lines[decision.PeersLearned])
 				return
 			}
 			require.Len(t, lines[decision.PeersLearned], 1)
 			line := lines[decision.PeersLearned][0]
-			require.EqualValues(t, rest, line["learned"])
-			require.EqualValues(t, daemons-1, line["ready"])
-			require.EqualValues(t, daemons-1, line["peers"])
+			require.EqualValues(t, numSummarized, line["learned"])
+			require.EqualValues(t, numDaemons-1, line["ready"])
+			require.EqualValues(t, numDaemons-1, line["peers"])
 			require.Zero(t, line["unheard"])
 		})
 	}
@@ -127,19 +127,19 @@
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
 				l := newLoggedPeers()
-				const daemons = 100
-				for n := range daemons {
+				const numDaemons = 100
+				for n := range numDaemons {
 					l.merge(stateRecords(n, 1, lifecycle.Ready))
 				}
 				time.Sleep(2 * readyLogWindow)
-				for n := range daemons {
+				for n := range numDaemons {
 					r := stateRecords(n, 2, lifecycle.Ready)
 					change(&r[0])
 					l.merge(r)
 				}
 				time.Sleep(2 * readyLogWindow)
 				lines := l.closeAndRead(t)
-				require.Len(t, lines[decision.PeerState], maxReadyLines+daemons)
+				require.Len(t, lines[decision.PeerState], maxReadyLines+numDaemons)
 				require.Len(t, lines[decision.PeersLearned], 1)
 			})
 		})
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -82,17 +82,17 @@
 	// because two regions that lose their connection for minutes have no other way to find each
 	// other. No daemon restarts in that case, and so none announces itself again.
 	unreachableSyncBackoff = 15 * time.Second
-	// removeAfter is how long an unreachable daemon is retried before its record is removed.
-	removeAfter = time.Hour
-	// restartCheckers is how many daemons, on average, try to reach a daemon that stopped as
+	// removalDelay is how long an unreachable daemon is retried before its record is removed.
+	removalDelay = time.Hour
+	// numRestartCheckers is how many daemons, on average, try to reach a daemon that stopped as
 	// planned. That daemon may restart while the store is unavailable. It then knows no other
 	// daemon.
-	restartCheckers = 3
+	numRestartCheckers = 3
 	// restartCheckDelay is the time between the announcement of a planned stop and the first
 	// attempt to reach the daemon again.
 	restartCheckDelay = 2500 * time.Millisecond
-	// bootstrapPeers is how many daemons a starting daemon asks for all records.
-	bootstrapPeers = 2
+	// numBootstrapPeers is how many daemons a starting daemon asks for all records.
+	numBootstrapPeers = 2
 	// relaysPerZone is how many daemons of each remote zone a change is pushed to. They relay
 	// the change inside their zone.
 	relaysPerZone = 2
@@ -190,15 +190,15 @@
 // The caller holds p.mu.
 func (p *peers) announceToAll() {
 	p.announced = true
-	relays := make(map[model.AvailabilityZone]int)
+	relayCountByZone := make(map[model.AvailabilityZone]int)
 	// Map iteration starts at a random element, so the relays vary.
 	for _, q := range p.others {
 		zone := q.record.Zone
 		switch {
 		case zone == p.local.Zone:
 			p.schedulePush(q)
-		case !q.unreachable && !q.record.Stopping && relays[zone] < relaysPerZone:
-			relays[zone]++
+		case !q.unreachable && !q.record.Stopping && relayCountByZone[zone] < relaysPerZone:
+			relayCountByZone[zone]++
 			p.schedulePush(q)
 		}
 	}
@@ -245,7 +245,7 @@
 func (p *peers) merge(records []Record) []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var newer []Record
+	var newerRecords []Record
 	for i := range records {
 		r := &records[i]
 		switch {
@@ -253,10 +253,10 @@
 		case r.Address == p.local.Address:
 			p.mergeLocal(r)
 		case p.mergePeer(r):
-			newer = append(newer, *r)
+			newerRecords = append(newerRecords, *r)
 		}
 	}
-	return newer
+	return newerRecords
 }
 
 // mergeLocal merges a record of this daemon that another daemon holds. The record may come from
@@ -303,7 +303,7 @@
 		q.pool = newPeerPool(r.Address)
 		p.scheduleFirstExchange(q)
 	}
-	if r.Stopping && !wasStopping && r.State != lifecycle.Gone && p.random()*float64(len(p.others)) < restartCheckers {
+	if r.Stopping && !wasStopping && r.State != lifecycle.Gone && p.random()*float64(len(p.others)) < numRestartCheckers {
 		time.AfterFunc(restartCheckDelay, func() { p.reportUnreachable(r.Address, errStopped) })
 	}
 	if stateChanged {
@@ -321,13 +321,13 @@
 	if p.predecessor.Upstream.ID == i.ID && p.predecessor.Slots > 0 {
 		return p.predecessor.Slots
 	}
-	largest := 0
+	largestSlots := 0
 	for _, q := range p.others {
 		if q.record.Service == p.local.Service {
-			largest = max(largest, q.record.Slots)
+			largestSlots = max(largestSlots, q.record.Slots)
 		}
 	}
-	return largest
+	return largestSlots
 }
 
 // records returns all records held, the local one first.
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -94,10 +94,10 @@
 	a := startReady(t, s, "a", "a1")
 	b := startReady(t, s, "b", "b1")
 	a.waitForCandidates(t, "b", 1)
-	ahead := b.peers.localRecord()
-	ahead.Incarnation += int64(time.Hour / time.Millisecond)
-	ahead.State = lifecycle.Draining
-	a.peers.merge([]Record{ahead})
+	recordAhead := b.peers.localRecord()
+	recordAhead.Incarnation += int64(time.Hour / time.Millisecond)
+	recordAhead.State = lifecycle.Draining
+	a.peers.merge([]Record{recordAhead})
 	a.waitForCandidates(t, "b", 0)
 	b.Report(readyReport("b1", 1, 2, "b"))
 	b.peers.updateLocal(func(*Record) {})
@@ -127,9 +127,9 @@
 	a.waitForCandidates(t, "a", 2)
 	b.waitForCandidates(t, "a", 2)
 	require.True(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, a.peers.localRecord()))
-	old := a.peers.localRecord()
-	old.Incarnation--
-	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, old), "an older record is not acknowledged")
+	olderRecord := a.peers.localRecord()
+	olderRecord.Incarnation--
+	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, olderRecord), "an older record is not acknowledged")
 	require.False(t, a.datagrams.pushRecord(unusedAddress(t), a.peers.localRecord()), "nothing listens there")
 }
 
@@ -137,14 +137,14 @@
 // All others must get it. The test sends no requests, because load queries and the results of
 // calls carry the version too and would hide a failure.
 func TestNewVersionsSpread(t *testing.T) {
-	const daemons = 4
+	const numDaemons = 4
 	s := newStore(documentOf(1, "a"))
 	var all []*member
-	for i := range daemons {
+	for i := range numDaemons {
 		all = append(all, startReady(t, s, "a", fmt.Sprint("a", i)))
 	}
 	for _, m := range all {
-		m.waitForCandidates(t, "a", daemons)
+		m.waitForCandidates(t, "a", numDaemons)
 	}
 	all[0].config.apply(encodeDocument(documentOf(2, "a")), "test")
 	for _, m := range all {
@@ -169,8 +169,8 @@
 	a.waitForCandidates(t, "b", 1)
 }
 
-// TestDaemonsAndStartedShare checks the number of daemons and the share of recently started ones.
-func TestDaemonsAndStartedShare(t *testing.T) {
+// TestOnlyRecentlyStartedDaemonsCount checks the number of daemons and the share of recently started ones.
+func TestOnlyRecentlyStartedDaemonsCount(t *testing.T) {
 	const (
 		span = 10 * time.Second
 		// onlyListed stands for the age of a daemon that is in the directory but whose record
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -24,19 +24,19 @@
 	send func(address string, body []byte)
 
 	mu sync.Mutex
-	// pending holds the records that wait to be relayed, by the address of their daemon.
-	pending map[string]Record
+	// pendingByAddress holds the records that wait to be relayed, by the address of their daemon.
+	pendingByAddress map[string]Record
 }
 
 // add schedules a record to be relayed.
 func (r *relay) add(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.pending == nil {
-		r.pending = make(map[string]Record)
+	if r.pendingByAddress == nil {
+		r.pendingByAddress = make(map[string]Record)
 		time.AfterFunc(relayDelay+rand.N(relayJitter), r.flush)
 	}
-	r.pending[rec.Address] = rec
+	r.pendingByAddress[rec.Address] = rec
 }
 
 // dropRelayed drops pending records that another daemon of the zone has just relayed. A pending
@@ -46,8 +46,8 @@
 	defer r.mu.Unlock()
 	for i := range records {
 		rec := &records[i]
-		if waiting, ok := r.pending[rec.Address]; ok && !waiting.supersedes(rec) {
-			delete(r.pending, rec.Address)
+		if pendingRecord, ok := r.pendingByAddress[rec.Address]; ok && !pendingRecord.supersedes(rec) {
+			delete(r.pendingByAddress, rec.Address)
 		}
 	}
 }
@@ -55,8 +55,8 @@
 // flush sends the pending records to all daemons of the local zone.
 func (r *relay) flush() {
 	r.mu.Lock()
-	pending := r.pending
-	r.pending = nil
+	pending := r.pendingByAddress
+	r.pendingByAddress = nil
 	r.mu.Unlock()
 	records := make([]Record, 0, len(pending))
 	for _, rec := range pending {
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -31,20 +31,20 @@
 // TestChangesReachOtherZones announces a change. Only some daemons of the other zone receive
 // the push, but all must learn of the change.
 func TestChangesReachOtherZones(t *testing.T) {
-	const perZone = 4
+	const daemonsPerZone = 4
 	s := newStore(documentOf(1, "b"))
 	var all []*member
 	for _, zone := range []model.AvailabilityZone{"x", "y"} {
-		for i := range perZone {
+		for i := range daemonsPerZone {
 			all = append(all, startInZone(t, s, zone, "b", fmt.Sprint(zone, i)))
 		}
 	}
 	for _, m := range all {
-		m.waitForCandidates(t, "b", 2*perZone)
+		m.waitForCandidates(t, "b", 2*daemonsPerZone)
 	}
 	all[0].Leave(lifecycle.Incarnation{ID: "x0", Born: 1})
 	for _, m := range all {
-		m.waitForCandidates(t, "b", 2*perZone-1)
+		m.waitForCandidates(t, "b", 2*daemonsPerZone-1)
 	}
 }
 
@@ -56,40 +56,40 @@
 	for _, m := range []*member{a, b, c} {
 		m.waitForCandidates(t, "b", 3)
 	}
-	changed := a.peers.localRecord()
-	changed.Sequence += 5
-	changed.State = lifecycle.Draining
-	b.peers.merge([]Record{changed}) // only b learns of it
+	changedRecord := a.peers.localRecord()
+	changedRecord.Sequence += 5
+	changedRecord.State = lifecycle.Draining
+	b.peers.merge([]Record{changedRecord}) // only b learns of it
 	c.waitForCandidates(t, "b", 2)
 }
 
 // pushCounts counts the pushes of a record by the zone of the receiver.
 type pushCounts struct {
-	mu     sync.Mutex
-	byZone map[string]int
+	mu          sync.Mutex
+	countByZone map[string]int
 }
 
 func (c *pushCounts) count(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.byZone[zone]
+	return c.countByZone[zone]
 }
 
 // TestAnnouncementsGrowWithZones changes the record of one daemon. The record must be pushed to
 // all daemons of the local zone. In each remote zone, the number of pushes must be the same
 // whatever the size of the deployment.
 func TestAnnouncementsGrowWithZones(t *testing.T) {
-	const zones = 5
-	zoneOf := func(i int) string { return fmt.Sprint("z", i%zones) }
+	const numZones = 5
+	zoneOf := func(i int) string { return fmt.Sprint("z", i%numZones) }
 	for _, n := range []int{10, 100, 300, 1000} {
 		t.Run(fmt.Sprint(n, " daemons"), func(t *testing.T) {
-			pushes := &pushCounts{byZone: make(map[string]int)}
+			pushes := &pushCounts{countByZone: make(map[string]int)}
 			now := func() model.Instant { return 0 }
 			p := newPeers(Record{Address: "d0", Incarnation: 1, Sequence: 1, Zone: model.AvailabilityZone(zoneOf(0))}, now, decision.New(decision.Options{Handler: slog.DiscardHandler}))
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			p.ctx = ctx
-			p.fullSyncCount = bootstrapPeers
+			p.fullSyncCount = numBootstrapPeers
 			zoneByAddress := make(map[string]string)
 			for i := 1; i < n; i++ {
 				r := Record{Address: fmt.Sprint("d", i), Incarnation: 1, Sequence: 1, Zone: model.AvailabilityZone(zoneOf(i))}
@@ -99,14 +99,14 @@
 			p.pushByDatagram = func(address string, _ Record) bool {
 				pushes.mu.Lock()
 				defer pushes.mu.Unlock()
-				pushes.byZone[zoneByAddress[address]]++
+				pushes.countByZone[zoneByAddress[address]]++
 				return true
 			}
 			p.updateLocal(func(r *Record) { r.State = lifecycle.Draining })
-			zonePeers := (n+zones-1)/zones - 1
-			eventually(t, "all daemons of the local zone", func() bool { return pushes.count(zoneOf(0)) == zonePeers })
-			for z := 1; z < zones; z++ {
-				eventually(t, "relays of a remote zone", func() bool { return pushes.count(zoneOf(z)) == min(relaysPerZone, n/zones) })
+			numZonePeers := (n+numZones-1)/numZones - 1
+			eventually(t, "all daemons of the local zone", func() bool { return pushes.count(zoneOf(0)) == numZonePeers })
+			for z := 1; z < numZones; z++ {
+				eventually(t, "relays of a remote zone", func() bool { return pushes.count(zoneOf(z)) == min(relaysPerZone, n/numZones) })
 			}
 		})
 	}
@@ -114,35 +114,35 @@
 
 // TestRelayPacksRecords checks that records relayed at the same time share datagrams.
 func TestRelayPacksRecords(t *testing.T) {
-	const records = 60
+	const numRecords = 60
 	var mu sync.Mutex
-	got := make(map[string]map[string]bool)
-	messages := 0
+	receivedByAddress := make(map[string]map[string]bool)
+	numDatagrams := 0
 	r := &relay{
 		zonePeers: func() []string { return []string{"a", "b"} },
 		send: func(address string, body []byte) {
 			mu.Lock()
 			defer mu.Unlock()
-			messages++
-			if got[address] == nil {
-				got[address] = make(map[string]bool)
+			numDatagrams++
+			if receivedByAddress[address] == nil {
+				receivedByAddress[address] = make(map[string]bool)
 			}
 			for _, rec := range unpackRecords(body) {
-				got[address][rec.Address] = true
+				receivedByAddress[address][rec.Address] = true
 			}
 		},
 	}
-	for i := range records {
+	for i := range numRecords {
 		r.add(Record{Address: fmt.Sprint("10.0.0.", i, ":7000"), Incarnation: 1, Sequence: 2, Zone: "far", Service: "s", State: lifecycle.Ready})
 	}
 	eventually(t, "all records arrive", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(got["a"]) == records && len(got["b"]) == records
+		return len(receivedByAddress["a"]) == numRecords && len(receivedByAddress["b"]) == numRecords
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	require.LessOrEqual(t, messages, 2*records/5)
+	require.LessOrEqual(t, numDatagrams, 2*numRecords/5)
 }
 
 // TestEqualRecordsHaveEqualDigests checks that two daemons with equal records have equal
@@ -153,9 +153,9 @@
 	a.waitForCandidates(t, "b", 2)
 	b.waitForCandidates(t, "b", 2)
 	eventually(t, "equal records", func() bool { return a.peers.digest() == b.peers.digest() })
-	changed := a.peers.digest()
-	changed[3]++
-	require.NotEqual(t, changed, b.peers.digest())
+	changedDigest := a.peers.digest()
+	changedDigest[3]++
+	require.NotEqual(t, changedDigest, b.peers.digest())
 	require.Empty(t, unpackRecords([]byte("{broken")))
 }
 
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -84,8 +84,8 @@
 	duration := g.now().Sub(start)
 	result := g.interpretResponse(ctx, c, info, reply, err)
 	result.ServiceTime = g.serviceTimeOf(duration)
-	g.metrics.recordStage(stageGuard, c.Service, waited)
-	g.metrics.recordStage(stageUpstream, c.Service, duration)
+	g.metrics.recordStage(stageGuardWait, c.Service, waited)
+	g.metrics.recordStage(stageUpstreamRun, c.Service, duration)
 	g.recordOutcome(ctx, result)
 	if err == nil {
 		g.crashes.recordResponse()
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -14,7 +14,7 @@
 
 const (
 	// ackTimeout is how long another daemon may take to acknowledge a call. It covers a round
-	// trip between regions, acknowledgeAfter, and a scheduling delay.
+	// trip between regions, acknowledgeDelay, and a scheduling delay.
 	ackTimeout = 120 * time.Millisecond
 	// outcomeQueryFactor and outcomeQueryMargin determine when the outcome of an attempt that
 	// must not run twice is queried over a new connection. The query is sent if there is no
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -35,13 +35,13 @@
 	listener net.Listener
 
 	mu sync.Mutex
-	// idle holds the idle connections.
-	idle map[net.Conn]*idleConn
+	// idleConns holds the idle connections.
+	idleConns map[net.Conn]*idleConn
 	// limits are the limits advertised to callers. They may change while the server runs.
 	limits route.Limits
-	// active holds the connections whose request has been read and whose response has not
+	// activeConns holds the connections whose request has been read and whose response has not
 	// been written completely.
-	active map[net.Conn]struct{}
+	activeConns map[net.Conn]struct{}
 }
 
 // idleConn is an idle connection and the timer that closes it.
@@ -51,7 +51,7 @@
 }
 
 func newServer(name string, h http.Handler) *server {
-	s := &server{name: name, idle: make(map[net.Conn]*idleConn), active: make(map[net.Conn]struct{})}
+	s := &server{name: name, idleConns: make(map[net.Conn]*idleConn), activeConns: make(map[net.Conn]struct{})}
 	s.http = &http.Server{
 		Handler:                      inbound.AbortClosed(h),
 		ReadHeaderTimeout:            defaultHeaderTimeout,
@@ -81,7 +81,7 @@
 	if !longer {
 		return
 	}
-	for c, i := range s.idle {
+	for c, i := range s.idleConns {
 		i.timer.Stop()
 		s.scheduleClose(c, i.idleSince)
 	}
@@ -92,14 +92,14 @@
 func (s *server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := s.idle[c]; i != nil {
+	if i := s.idleConns[c]; i != nil {
 		i.timer.Stop()
-		delete(s.idle, c)
+		delete(s.idleConns, c)
 	}
-	delete(s.active, c)
+	delete(s.activeConns, c)
 	switch {
 	case st == http.StateActive:
-		s.active[c] = struct{}{}
+		s.activeConns[c] = struct{}{}
 	case st == http.StateIdle && s.limits.IdleTimeout > 0:
 		s.scheduleClose(c, time.Now())
 	}
@@ -109,14 +109,14 @@
 func (s *server) scheduleClose(c net.Conn, idleSince time.Time) {
 	i := &idleConn{idleSince: idleSince}
 	i.timer = time.AfterFunc(time.Until(idleSince.Add(s.limits.IdleTimeout+idleCloseDelay)), func() { s.closeIdle(c, i) })
-	s.idle[c] = i
+	s.idleConns[c] = i
 }
 
 // numActiveConns returns the number of connections that wait for a response.
 func (s *server) numActiveConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.active)
+	return len(s.activeConns)
 }
 
 // closeIdle closes a connection whose idle timer has fired. It does nothing if the connection
@@ -124,8 +124,8 @@
 func (s *server) closeIdle(c net.Conn, expected *idleConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.idle[c] == expected {
-		delete(s.idle, c)
+	if s.idleConns[c] == expected {
+		delete(s.idleConns, c)
 		_ = c.Close()
 	}
 }
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -32,8 +32,8 @@
 			bubble.Run(t, func(t *testing.T) {
 				s := newServer("callers", http.NotFoundHandler())
 				s.setLimits(route.Limits{IdleTimeout: c.before})
-				conn, other := net.Pipe()
-				defer func() { _ = other.Close() }()
+				conn, clientEnd := net.Pipe()
+				defer func() { _ = clientEnd.Close() }()
 				s.trackConn(conn, http.StateActive)
 				s.trackConn(conn, http.StateIdle)
 				time.Sleep(4 * time.Second)
@@ -54,10 +54,10 @@
 	t.Helper()
 	s := newServer("callers", http.NotFoundHandler())
 	s.setLimits(route.Limits{IdleTimeout: time.Hour})
-	conn, other := net.Pipe()
-	t.Cleanup(func() { _ = other.Close() })
+	conn, clientEnd := net.Pipe()
+	t.Cleanup(func() { _ = clientEnd.Close() })
 	s.trackConn(conn, http.StateIdle)
-	return s, conn, s.idle[conn]
+	return s, conn, s.idleConns[conn]
 }
 
 // TestIdleTimersCloseNoConnectionInUse guards against a forwarded request that gets no response
@@ -71,23 +71,23 @@
 	s.trackConn(conn, http.StateIdle)
 	s.closeIdle(conn, idle)
 	require.NoError(t, conn.SetDeadline(time.Time{}), "the connection has been used since the timer was set")
-	s.closeIdle(conn, s.idle[conn])
+	s.closeIdle(conn, s.idleConns[conn])
 	require.Error(t, conn.SetDeadline(time.Time{}), "the connection is closed")
 }
 
 // acceptConn opens a connection. It returns the context of requests on the connection, and both
 // of its ends.
-func acceptConn(t *testing.T) (ctx context.Context, conn, other net.Conn) {
+func acceptConn(t *testing.T) (ctx context.Context, conn, clientConn net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
-	other, err = net.Dial("tcp", ln.Addr().String())
+	clientConn, err = net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	conn, err = inbound.NewListener(ln).Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { _, _ = conn.Close(), other.Close() })
-	return inbound.ConnContext(t.Context(), conn), conn, other
+	t.Cleanup(func() { _, _ = conn.Close(), clientConn.Close() })
+	return inbound.ConnContext(t.Context(), conn), conn, clientConn
 }
 
 func safeRequest(ctx context.Context) *http.Request {
--- a/sidecar/summary.go
+++ b/sidecar/summary.go
@@ -18,8 +18,8 @@
 type summary struct {
 	// bucketSet has a bit for each bucket. The bit is set if the summary covers the bucket.
 	bucketSet uint32
-	// entries holds the versions of the records, by the hash of the address.
-	entries map[uint32]recordVersion
+	// versionsByHash holds the versions of the records, by the hash of the address.
+	versionsByHash map[uint32]recordVersion
 }
 
 // recordVersion is the version of a record. It orders the records of one daemon.
@@ -41,23 +41,23 @@
 // newSummary returns a summary of as many of the wanted buckets as fit a datagram. The first
 // bucket is always covered. If it is too large for a datagram, some of its entries are left out.
 // The receiver then sends the records of these entries, although this daemon already has them.
-func newSummary(records []Record, wanted []int) *summary {
-	byBucket := make(map[int][]*Record)
+func newSummary(records []Record, wantedBuckets []int) *summary {
+	recordsByBucket := make(map[int][]*Record)
 	for i := range records {
 		if r := &records[i]; r.inDigest() {
 			bucket := bucketOf(r.Address)
-			byBucket[bucket] = append(byBucket[bucket], r)
+			recordsByBucket[bucket] = append(recordsByBucket[bucket], r)
 		}
 	}
-	s := &summary{entries: make(map[uint32]recordVersion)}
-	for _, bucket := range wanted {
-		if s.bucketSet != 0 && len(s.entries)+len(byBucket[bucket]) > maxSummaryEntries {
+	s := &summary{versionsByHash: make(map[uint32]recordVersion)}
+	for _, bucket := range wantedBuckets {
+		if s.bucketSet != 0 && len(s.versionsByHash)+len(recordsByBucket[bucket]) > maxSummaryEntries {
 			continue
 		}
 		s.bucketSet |= 1 << bucket
-		for _, r := range byBucket[bucket] {
-			if len(s.entries) < maxSummaryEntries {
-				s.entries[addressHash(r.Address)] = recordVersionOf(r)
+		for _, r := range recordsByBucket[bucket] {
+			if len(s.versionsByHash) < maxSummaryEntries {
+				s.versionsByHash[addressHash(r.Address)] = recordVersionOf(r)
 			}
 		}
 	}
@@ -67,8 +67,8 @@
 // diff compares a summary from another daemon with the records held here. It returns the records
 // that are newer here or missing there. It also returns the address hashes of the records that
 // are newer there or missing here.
-func (s *summary) diff(records []Record) (newer []Record, wanted []uint32) {
-	localVersions := make(map[uint32]recordVersion, len(s.entries))
+func (s *summary) diff(records []Record) (newerRecords []Record, wantedHashes []uint32) {
+	localVersions := make(map[uint32]recordVersion, len(s.versionsByHash))
 	for i := range records {
 		r := &records[i]
 		if !r.inDigest() || s.bucketSet&(1<<bucketOf(r.Address)) == 0 {
@@ -76,22 +76,22 @@
 		}
 		hash := addressHash(r.Address)
 		localVersions[hash] = recordVersionOf(r)
-		if remoteVersion, ok := s.entries[hash]; !ok || recordVersionOf(r).supersedes(remoteVersion) {
-			newer = append(newer, *r)
+		if remoteVersion, ok := s.versionsByHash[hash]; !ok || recordVersionOf(r).supersedes(remoteVersion) {
+			newerRecords = append(newerRecords, *r)
 		}
 	}
-	for hash, remoteVersion := range s.entries {
+	for hash, remoteVersion := range s.versionsByHash {
 		if localVersion, ok := localVersions[hash]; !ok || remoteVersion.supersedes(localVersion) {
-			wanted = append(wanted, hash)
+			wantedHashes = append(wantedHashes, hash)
 		}
 	}
-	return newer, wanted
+	return newerRecords, wantedHashes
 }
 
 func (s *summary) encode() []byte {
-	b := make([]byte, 0, bucketHashBytes+len(s.entries)*summaryEntryBytes)
+	b := make([]byte, 0, bucketHashBytes+len(s.versionsByHash)*summaryEntryBytes)
 	b = binary.BigEndian.AppendUint32(b, s.bucketSet)
-	for hash, version := range s.entries {
+	for hash, version := range s.versionsByHash {
 		b = binary.BigEndian.AppendUint32(b, hash)
 		b = binary.BigEndian.AppendUint64(b, uint64(version.incarnation))
 		b = binary.BigEndian.AppendUint64(b, version.sequence)
@@ -104,9 +104,9 @@
 	if len(b) < bucketHashBytes || (len(b)-bucketHashBytes)%summaryEntryBytes != 0 {
 		return nil, false
 	}
-	s := &summary{bucketSet: binary.BigEndian.Uint32(b), entries: make(map[uint32]recordVersion)}
+	s := &summary{bucketSet: binary.BigEndian.Uint32(b), versionsByHash: make(map[uint32]recordVersion)}
 	for b = b[bucketHashBytes:]; len(b) > 0; b = b[summaryEntryBytes:] {
-		s.entries[binary.BigEndian.Uint32(b)] = recordVersion{
+		s.versionsByHash[binary.BigEndian.Uint32(b)] = recordVersion{
 			incarnation: int64(binary.BigEndian.Uint64(b[4:])),
 			sequence:    binary.BigEndian.Uint64(b[12:]),
 		}
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -33,16 +33,16 @@
 // merge packs records into datagram bodies, unpacks and merges them, and returns the bytes of
 // the datagrams.
 func (t recordTable) merge(records []Record) int {
-	bytes := 0
+	numBytes := 0
 	for _, b := range packRecords(records) {
-		bytes += datagramHeaderBytes + len(b)
+		numBytes += datagramHeaderBytes + len(b)
 		for _, r := range unpackRecords(b) {
 			if held, ok := t[r.Address]; !ok || r.supersedes(&held) {
 				t[r.Address] = r
 			}
 		}
 	}
-	return bytes
+	return numBytes
 }
 
 // reconcile runs one anti-entropy round between two tables, as antiEntropy does between daemons.
@@ -50,7 +50,7 @@
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
 	responderDigest, initiatorDigest := digestOf(responder.records()), digestOf(initiator.records())
-	bytes := datagramHeaderBytes + len(initiatorDigest.encode())
+	numBytes := datagramHeaderBytes + len(initiatorDigest.encode())
 	var differing []int
 	for i := range initiatorDigest {
 		if initiatorDigest[i] != responderDigest[i] {
@@ -58,17 +58,17 @@
 		}
 	}
 	if len(differing) == 0 {
-		return bytes
+		return numBytes
 	}
-	message := newSummary(responder.records(), differing).encode()
-	require.LessOrEqual(t, len(message), maxDatagramBody)
-	s, ok := decodeSummary(message)
+	summaryBody := newSummary(responder.records(), differing).encode()
+	require.LessOrEqual(t, len(summaryBody), maxDatagramBody)
+	s, ok := decodeSummary(summaryBody)
 	require.True(t, ok)
 	newer, wanted := s.diff(initiator.records())
-	bytes += datagramHeaderBytes + len(message) + responder.merge(newer)
+	numBytes += datagramHeaderBytes + len(summaryBody) + responder.merge(newer)
 	request := encodeRecordRequest(wanted)
 	if len(request) > 0 {
-		bytes += datagramHeaderBytes + len(request)
+		numBytes += datagramHeaderBytes + len(request)
 	}
 	var requested []Record
 	for _, r := range responder.records() {
@@ -76,7 +76,7 @@
 			requested = append(requested, r)
 		}
 	}
-	return bytes + initiator.merge(requested)
+	return numBytes + initiator.merge(requested)
 }
 
 // TestAntiEntropyCostIsBounded changes one record among many. It bounds the bytes that two
@@ -105,16 +105,16 @@
 // TestTablesConverge starts with tables that have only one record in common, as after a start of
 // all daemons at once. Repeated rounds must make all tables equal.
 func TestTablesConverge(t *testing.T) {
-	const daemons, rounds = 60, 12
+	const numDaemons, numRounds = 60, 12
 	rng := rand.New(rand.NewPCG(1, 2))
-	records := sampleRecords(daemons)
-	tables := make([]recordTable, daemons)
+	records := sampleRecords(numDaemons)
+	tables := make([]recordTable, numDaemons)
 	for i := range tables {
 		tables[i] = newRecordTable([]Record{records[0], records[i]})
 	}
-	for range rounds {
+	for range numRounds {
 		for i := range tables {
-			reconcile(t, tables[i], tables[rng.IntN(daemons)])
+			reconcile(t, tables[i], tables[rng.IntN(numDaemons)])
 		}
 	}
 	for i := range tables {
@@ -128,9 +128,9 @@
 	const n = 4000
 	records := sampleRecords(n)
 	a, b := newRecordTable(records), newRecordTable(records)
-	changed := records[n/2]
-	changed.Sequence++
-	a[changed.Address] = changed
+	changedRecord := records[n/2]
+	changedRecord.Sequence++
+	a[changedRecord.Address] = changedRecord
 	for range 50 {
 		reconcile(t, a, b)
 		reconcile(t, b, a)
@@ -143,7 +143,7 @@
 func TestGoneDaemonsAreNotInSummary(t *testing.T) {
 	records := sampleRecords(3)
 	records[1].Stopping, records[1].State = true, lifecycle.Gone
-	require.Len(t, newSummary(records, []int{bucketOf(records[1].Address)}).entries, len(newSummary(append(records[:1:1], records[2]), []int{bucketOf(records[1].Address)}).entries))
+	require.Len(t, newSummary(records, []int{bucketOf(records[1].Address)}).versionsByHash, len(newSummary(append(records[:1:1], records[2]), []int{bucketOf(records[1].Address)}).versionsByHash))
 	newer, wanted := (&summary{bucketSet: ^uint32(0)}).diff(records)
 	require.Len(t, newer, 2)
 	require.Empty(t, wanted)
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -70,7 +70,7 @@
 
 // recordFailedExchange records a failed exchange. It returns whether to retry, and the maximum
 // of the backoff before the retry. Two kinds of peers are removed instead: a stopping peer whose
-// upstream is gone, and a peer that has been unreachable for removeAfter.
+// upstream is gone, and a peer that has been unreachable for removalDelay.
 func (p *peers) recordFailedExchange(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +84,7 @@
 	gone := q.record.Stopping && q.record.State == lifecycle.Gone
 	unreachableFor := p.now().Sub(q.unreachableSince)
 	switch {
-	case gone || unreachableFor >= removeAfter:
+	case gone || unreachableFor >= removalDelay:
 		delete(p.others, q.record.Address)
 		q.pool.Close()
 		q.syncing = false
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// keptVersions is how many documents are kept, including the one in force. Deltas can start
+	// maxKeptVersions is how many documents are kept, including the one in force. Deltas can start
 	// from any of them.
-	keptVersions = 4
+	maxKeptVersions = 4
 	// maxPlainDocumentBytes is the size up to which a document is sent as it is. For a document
 	// of that size, computing a delta would cost more processor time than the saved bytes are
 	// worth.
@@ -57,7 +57,7 @@
 		v.documents[n-1].deltas = nil
 	}
 	v.documents = append(v.documents, storedDocument{version: version, raw: raw, deltas: make(map[model.Version][]byte)})
-	if len(v.documents) > keptVersions {
+	if len(v.documents) > maxKeptVersions {
 		v.documents = slices.Delete(v.documents, 0, 1)
 	}
 }
@@ -177,8 +177,8 @@
 // config responds with the document in force. It responds with a delta instead (status 226, RFC
 // 3229) if the request states a version and the delta saves bytes.
 func (p peerHandler) config(w http.ResponseWriter, r *http.Request) {
-	versions := &p.d.config.history
-	raw := versions.newest()
+	history := &p.d.config.history
+	raw := history.newest()
 	if raw == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -193,8 +193,8 @@
 
 // deltaFromParam returns the delta from the version stated in a heldVersionParam. It returns nil
 // if there is no delta or the version is not a number.
-func (p peerHandler) deltaFromParam(version string) []byte {
-	heldVersion, err := strconv.ParseUint(version, 10, 64)
+func (p peerHandler) deltaFromParam(param string) []byte {
+	heldVersion, err := strconv.ParseUint(param, 10, 64)
 	if err != nil {
 		return nil
 	}
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -51,12 +51,12 @@
 }
 
 // serveVersions serves the documents of a configuration as a daemon does. It adds the bytes sent
-// to *sent.
-func serveVersions(t *testing.T, c *configuration, sent *int) *hop.Pool {
+// to *sentBytes.
+func serveVersions(t *testing.T, c *configuration, sentBytes *int) *hop.Pool {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
 		peerHandler{&Daemon{config: c}}.config(rec, r)
-		*sent += rec.Body.Len()
+		*sentBytes += rec.Body.Len()
 		w.WriteHeader(rec.Code)
 		_, _ = io.Copy(w, rec.Body)
 	}))
@@ -68,7 +68,7 @@
 
 // TestFetchTransfersDelta has a daemon fetch version 9 and bounds the bytes transferred.
 func TestFetchTransfersDelta(t *testing.T) {
-	const newest, compressed = 9, 25_000
+	const newest, compressedBytes = 9, 25_000
 	for name, c := range map[string]struct {
 		heldVersion int
 		conflicting bool
@@ -76,13 +76,13 @@
 	}{
 		"one version behind":                    {heldVersion: 8, maxBytes: 200},
 		"three versions behind":                 {heldVersion: 6, maxBytes: 300},
-		"further behind than versions are kept": {heldVersion: 5, maxBytes: compressed},
-		"nothing in force":                      {heldVersion: 0, maxBytes: compressed},
-		"different document of that version":    {heldVersion: 8, conflicting: true, maxBytes: compressed + 500},
+		"further behind than versions are kept": {heldVersion: 5, maxBytes: compressedBytes},
+		"nothing in force":                      {heldVersion: 0, maxBytes: compressedBytes},
+		"different document of that version":    {heldVersion: 8, conflicting: true, maxBytes: compressedBytes + 500},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var sent int
-			pool := serveVersions(t, configWithVersions(newest), &sent)
+			var sentBytes int
+			pool := serveVersions(t, configWithVersions(newest), &sentBytes)
 			config := configWithVersions(c.heldVersion)
 			if c.conflicting {
 				config = configWithVersions(0)
@@ -91,7 +91,7 @@
 			raw, err := config.fetch(t.Context(), pool, "test")
 			require.NoError(t, err)
 			require.True(t, bytes.Equal(largeDocument(newest), raw))
-			require.LessOrEqual(t, sent, c.maxBytes)
+			require.LessOrEqual(t, sentBytes, c.maxBytes)
 		})
 	}
 }
@@ -111,7 +111,7 @@
 // TestKeptVersionsAreBounded brings more versions into force than are kept.
 func TestKeptVersionsAreBounded(t *testing.T) {
 	c := configWithVersions(100)
-	require.Len(t, c.history.documents, keptVersions)
+	require.Len(t, c.history.documents, maxKeptVersions)
 	require.NotNil(t, c.history.document(100))
-	require.Nil(t, c.history.document(100-keptVersions))
+	require.Nil(t, c.history.document(100-maxKeptVersions))
 }
