--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	// digestBuckets is the number of buckets in a digest. A hash of a daemon's address selects
-	// the bucket of its record.
+	// digestBuckets is the number of buckets in a digest. Each bucket holds some of the records: a
+	// hash of a daemon's address selects the bucket of the daemon's record.
 	digestBuckets = 32
-	// bucketHashBytes is the encoded size of the hash of one bucket. The bucket set of a summary
-	// has the same size.
+	// bucketHashBytes is the encoded size of the hash of one bucket. The field bucketSet of a
+	// summary has the same size.
 	bucketHashBytes = 4
 	// roundTick is how often a daemon checks whether the next anti-entropy round is due.
 	roundTick = 500 * time.Millisecond
 )
 
-// antiEntropy runs the anti-entropy protocol. In each round it compares the records held here
-// with those of one other daemon. A daemon that missed a change learns of it in this way.
+// antiEntropy runs the anti-entropy protocol. In each round, two daemons compare the records that
+// they hold. A daemon that missed a change of a record learns of the change in this way.
 //
-// A round has three steps. The initiator sends a digest. The responder replies with a summary of
-// the buckets that differ. The initiator then sends the records that are newer on its side and
-// requests those that are newer on the other side.
+// A round has up to four steps. The initiator sends a digest of its records. The responder replies
+// with a summary of the buckets that differ, if any do. The initiator then sends the records that
+// are newer on its side and requests those that are newer on the other side. The responder sends
+// the requested records.
 type antiEntropy struct {
 	d *Daemon
 
@@ -55,9 +56,9 @@
 	}
 }
 
-// due reports whether to start a round now. If a round starts, due counts it in advance as a
-// round that finds no difference. If this daemon receives newer records after that, speedUp
-// resets the count.
+// due reports whether to start a round now. If so, due counts the round in advance as one that
+// finds no difference. If the round makes this daemon receive newer records, speedUp resets the
+// count.
 func (a *antiEntropy) due() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,8 +69,9 @@
 	return due
 }
 
-// speedUp shortens the interval between rounds until several rounds in a row find no difference.
-// It is called after newer records were received, and when a peer is reachable again.
+// speedUp shortens the interval between rounds. The interval stays short until several rounds in
+// a row find no difference. speedUp is called when records have been received that are newer than
+// those held, and when a peer is reachable again.
 func (a *antiEntropy) speedUp() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,8 +79,9 @@
 }
 
 // receiveDigest compares a digest from another daemon with the records held here. It replies
-// with a summary of the buckets that differ. The buckets are in random order, because the
-// summary may not have room for all of them.
+// with a summary of the buckets that differ. The buckets are taken in random order, because the
+// summary may not have room for all of them. A digest of the wrong length is ignored, and a digest
+// without a difference gets no reply.
 func (a *antiEntropy) receiveDigest(sender string, body []byte) {
 	if len(body) != digestBuckets*bucketHashBytes {
 		return
@@ -98,7 +101,8 @@
 }
 
 // receiveSummary compares a summary from another daemon with the records held here. It sends
-// that daemon the records that are newer here, and requests those that are newer there.
+// that daemon the records that are newer here, and requests those that are newer there. A
+// malformed summary is ignored.
 func (a *antiEntropy) receiveSummary(sender string, body []byte) {
 	s, ok := decodeSummary(body)
 	if !ok {
@@ -112,7 +116,7 @@
 }
 
 // sendRequestedRecords sends the records that another daemon requested. The body of the request
-// holds the hashes of their addresses.
+// holds the address hashes of these records.
 func (a *antiEntropy) sendRequestedRecords(sender string, body []byte) {
 	requestedHashes := decodeRecordRequest(body)
 	var foundRecords []Record
@@ -124,7 +128,7 @@
 	a.sendRecords(sender, foundRecords)
 }
 
-// sendRecords sends records to a daemon that lacks them or holds older ones.
+// sendRecords sends records to a daemon that lacks them or holds older versions of them.
 func (a *antiEntropy) sendRecords(recipient string, records []Record) {
 	for _, b := range packRecords(records) {
 		a.d.datagrams.sendOneWay(kindMissingRecords, recipient, b)
@@ -151,12 +155,12 @@
 
 // inDigest reports whether a record takes part in anti-entropy. The record of a stopping daemon
 // whose upstream is gone does not, because daemons drop such a record at different times. A
-// record with the sequence number 0 does not either: it stands for a daemon whose own record has
-// not been received.
+// record with the sequence number 0 does not either: it is a placeholder for a daemon that is
+// known, but whose record has not been received.
 func (r *Record) inDigest() bool { return r.Sequence > 0 && !(r.Stopping && r.State == lifecycle.Gone) }
 
 // digestHash returns the hash of the address, the incarnation and the sequence number of a
-// record.
+// record. The digest combines these hashes.
 func (r *Record) digestHash() uint32 {
 	b := append(make([]byte, 0, len(r.Address)+2*binary.MaxVarintLen64), r.Address...)
 	b = binary.AppendVarint(b, r.Incarnation)
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -8,22 +8,25 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// scheduleFirstExchange schedules the first exchange with a new peer. If the peer is to be asked
-// for all records, the exchange is a request for them. Otherwise it is a push of the local
-// record.
+// scheduleFirstExchange schedules the first exchange with a peer that is new or has restarted. If
+// the peer is to be asked for all of its records, the exchange is a request for them. Otherwise,
+// it is a push of the local record.
 //
 // A peer of a remote zone gets no push: it learns of this daemon from the daemons that this
-// daemon asks for all records. Until the local record has been announced once, pushes wait. A
-// start then takes one message per peer instead of two. The caller holds p.mu.
+// daemon asks for all records. Nor is a push scheduled here before the local record has been
+// announced for the first time, as that announcement reaches the peer anyway. A start then takes
+// one message per peer instead of two. The caller holds p.mu.
 func (p *peers) scheduleFirstExchange(q *peer) {
 	if q.needsFullSync || p.announced && q.record.Zone == p.local.Zone {
 		p.schedulePush(q)
 	}
 }
 
-// addDirectoryEntries adds the daemons that the directory lists. Daemons of the local zone come
-// first. The order is random otherwise. The first daemons added are asked for all records: that
-// traffic should not cross zones, and starting daemons should not all choose the same few peers.
+// addDirectoryEntries adds the daemons that the directory lists, those of the local zone first and
+// otherwise in random order. The order matters, because the first numBootstrapPeers daemons added
+// are asked for all of their records. That traffic should not cross zones, and starting daemons
+// should not all choose the same few peers. Daemons that are already known are skipped. If no other
+// daemon is known afterwards, firstContact is closed, as there is no exchange to wait for.
 func (p *peers) addDirectoryEntries(entries []DirectoryEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +55,8 @@
 }
 
 // replaceBootstrapPeer is called when a peer that was to be asked for all records cannot be
-// reached. It chooses another peer to ask, preferably of the local zone. The caller holds p.mu.
+// reached. It chooses another peer to ask, preferably of the local zone. If no other reachable
+// peer is left, none is asked instead. The caller holds p.mu.
 func (p *peers) replaceBootstrapPeer(failedPeer *peer) {
 	failedPeer.needsFullSync = false
 	var replacement *peer
@@ -70,9 +74,9 @@
 	}
 }
 
-// addPeer adds a daemon to the known ones. The first numBootstrapPeers daemons added are asked for
-// all records. They may come from the directory or from a peer, because the directory may be
-// unavailable. The caller holds p.mu.
+// addPeer adds the daemon of record r to the known daemons. The first numBootstrapPeers daemons
+// added are marked to be asked for all records. They may come from the directory or from a peer,
+// because the directory may be unavailable. The caller holds p.mu.
 func (p *peers) addPeer(r Record) *peer {
 	q := &peer{record: r, pool: newPeerPool(r.Address)}
 	q.needsFullSync = p.fullSyncCount < numBootstrapPeers
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// pendingFullSyncs returns the peers that are still to be asked for all records.
+// pendingFullSyncs returns the addresses of the peers that are still to be asked for all records.
 func (p *peers) pendingFullSyncs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,8 +25,8 @@
 	return out
 }
 
-// isolatedPeers returns the peers of a daemon whose context is cancelled, so that no exchange
-// starts.
+// isolatedPeers returns the peers of a daemon of a zone. Their context is cancelled, so that no
+// exchange starts.
 func isolatedPeers(t *testing.T, zone model.AvailabilityZone) *peers {
 	p := newPeers(Record{Address: "self", Zone: zone}, func() model.Instant { return 1 }, decision.New(decision.Options{Handler: slog.DiscardHandler}))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -36,7 +36,8 @@
 }
 
 // TestBootstrapPeersAreInLocalZone starts many daemons with the same directory. Each must ask
-// daemons of its own zone for all records, and the load must be spread over them.
+// daemons of its own zone for all records. The requests must be spread over the daemons of the
+// zone: none may be chosen five times as often as the mean.
 func TestBootstrapPeersAreInLocalZone(t *testing.T) {
 	const numDaemons, numZones, numStarts = 300, 5, 200
 	var entries []DirectoryEntry
--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -19,20 +19,22 @@
 	inForceSince time.Time
 }
 
-// configuration holds the newest configuration seen. Its version never decreases: a document
-// that is older, missing or invalid changes nothing. It is safe for concurrent use.
+// configuration holds the newest valid configuration seen, which is the one in force. The version
+// in force never decreases: a document that is older, missing or invalid changes nothing. It is
+// safe for concurrent use.
 type configuration struct {
 	source    Source
 	decisions *decision.Log
 	current   atomic.Pointer[activeConfig]
 	// history holds the newest documents, for computing deltas.
 	history documentHistory
-	// mu serializes changes and guards changed.
+	// mu serializes changes of the configuration and guards the field changed.
 	mu sync.Mutex
-	// onChange holds the functions that are called when a table takes effect. They are called
-	// with mu held.
+	// onChange holds the functions that are called when a routing table takes effect. They are
+	// called with mu held. The slice does not change once the daemon runs.
 	onChange []func(*route.Table)
-	// changed is closed and replaced at each change.
+	// changed is closed, which wakes every waitFor, and replaced. That happens at each change of
+	// the configuration and at each call of recheckWaiters.
 	changed chan struct{}
 }
 
@@ -64,9 +66,10 @@
 	return 0
 }
 
-// apply puts a document into force if it is newer than the configuration in force. It reports
-// whether the document is valid. Of a document that is not newer, it checks only the encoding.
-// origin names the origin of the document in log lines.
+// apply puts a document into force if it is valid and newer than the configuration in force. It
+// reports whether the document is valid. An invalid document is logged. Of a document that is not
+// newer, apply checks only that it can be decoded. origin names the origin of the document in log
+// lines.
 func (c *configuration) apply(raw []byte, origin string) bool {
 	doc, err := c.source.Decode(raw)
 	if err == nil && doc.Version <= c.version() {
@@ -104,8 +107,8 @@
 	c.changed = make(chan struct{})
 }
 
-// recheckWaiters makes every waitFor check its condition again. A condition may depend on state
-// outside the configuration. recheckWaiters is called after such state has changed.
+// recheckWaiters makes every waitFor check its condition again. It is called after a change of
+// state outside the configuration, such as the Tunables, on which a condition may depend.
 func (c *configuration) recheckWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,18 +143,19 @@
 	fetchJitter = 100 * time.Millisecond
 )
 
-// onWatcherVersion is called with the version that a watcher of the store announced. A version
-// newer than the one in force is fetched from the watcher after a random delay.
+// onWatcherVersion is called with the version that the daemon at address announced, which watches
+// the configuration store. If the version is newer than the one in force, it is fetched from that
+// daemon after a random delay.
 func (d *Daemon) onWatcherVersion(address string, v model.Version) {
 	if v > d.config.version() {
 		time.AfterFunc(rand.N(fetchJitter), func() { d.startFetch(address, v) })
 	}
 }
 
-// onPeerVersion is called with the version that another daemon announced. A version newer than
-// the one in force is fetched from that daemon. The fetch starts at once if the daemon is in the
-// local zone or no configuration is in force yet. Otherwise it starts after
-// remoteZoneFetchDelay.
+// onPeerVersion is called with the version that the daemon at address has in force. If the version
+// is newer than the one in force here, it is fetched from that daemon. If the daemon is in a remote
+// zone and a configuration is already in force here, the fetch starts after remoteZoneFetchDelay.
+// Otherwise it starts at once.
 func (d *Daemon) onPeerVersion(address string, v model.Version) {
 	if v <= d.config.version() {
 		return
@@ -163,8 +167,9 @@
 	d.startFetch(address, v)
 }
 
-// startFetch starts to fetch a version from a daemon. It does nothing if that version or a newer
-// one is in force, or if another fetch is running.
+// startFetch starts to fetch version v of the configuration from a daemon and to apply it. It does
+// nothing if that version or a newer one is in force, or if another fetch is running. If the fetch
+// fails, the daemon is marked as unreachable.
 func (d *Daemon) startFetch(address string, v model.Version) {
 	if v <= d.config.version() || !d.fetching.CompareAndSwap(false, true) {
 		return
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -19,17 +19,17 @@
 
 // Registry receives what the local upstream reports about itself.
 type Registry interface {
-	// Report records a state report of the upstream and returns what it changed. A stale report
-	// changes nothing.
+	// Report records a state report of the upstream and returns what the report changed. A stale
+	// report changes nothing.
 	Report(r lifecycle.Report) lifecycle.Effect
 	// Leave records the final deregistration of an incarnation of the upstream and returns what
-	// it changed.
+	// the deregistration changed.
 	Leave(i lifecycle.Incarnation) lifecycle.Effect
-	// ReportRejected logs a report that could not be parsed.
+	// ReportRejected logs that a report of the upstream named id could not be parsed.
 	ReportRejected(id string, err error)
 }
 
-// Daemon is a sidecar. New creates it and Serve runs it.
+// Daemon is the daemon that the package comment describes. New creates it and Serve runs it.
 type Daemon struct {
 	opts        Options
 	tunables    atomic.Pointer[Tunables]
@@ -63,11 +63,12 @@
 	storeUnreachableSince atomic.Int64
 	inFlight              inFlightRequests
 	// aborting is closed when draining is over, at the latest graceMargin before the end of the
-	// grace period. Requests still in flight are then aborted.
+	// grace period (Tunables.GracePeriod). Requests still in flight are then aborted.
 	aborting chan struct{}
 }
 
-// New binds the listen addresses and returns a Daemon that Serve can run.
+// New binds the listen addresses and returns a Daemon for Serve to run. If an address cannot be
+// bound, New closes those already bound and returns the error.
 func New(o Options) (*Daemon, error) {
 	if o.Addresses.PeerBind == "" {
 		o.Addresses.PeerBind = o.Addresses.Peers
@@ -115,8 +116,7 @@
 // service.
 func (d *Daemon) service() model.ServiceName { return d.tunables.Load().Service }
 
-// Reconfigure replaces the options that may change at runtime. They apply from the next
-// request on.
+// Reconfigure replaces the Tunables. The new values apply from the next request on.
 func (d *Daemon) Reconfigure(t Tunables) {
 	d.tunables.Store(&t)
 	d.entry.setRetryBudget(t.Retries)
@@ -138,7 +138,9 @@
 	return s.HealthPath
 }
 
-// listen binds all addresses and creates the servers for them.
+// listen binds the listen addresses and creates the servers for them. An empty address is not
+// bound. listen also opens the socket for datagrams and registers the functions that are called
+// when the configuration changes.
 func (d *Daemon) listen() error {
 	addresses := d.opts.Addresses
 	d.callerServer = newServer("callers", d.reportPanics("callers", d.entry))
@@ -177,6 +179,7 @@
 	return nil
 }
 
+// closeSockets closes all listeners, connections and the socket for datagrams.
 func (d *Daemon) closeSockets() {
 	for _, s := range d.servers {
 		s.close()
@@ -186,6 +189,8 @@
 	}
 }
 
+// serveReady answers the readiness check: status 200 if the daemon is ready and not stopping, 503
+// otherwise. Paths other than Options.ReadyPath get 404.
 func (d *Daemon) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != d.opts.ReadyPath {
 		w.WriteHeader(http.StatusNotFound)
@@ -234,18 +239,19 @@
 	// discoveryWait bounds how long a starting daemon waits for the first exchange with another
 	// daemon. After the wait, it asks the local upstream for its identity.
 	discoveryWait = 500 * time.Millisecond
-	// readinessWait bounds how long a starting daemon waits for the first exchange with another
-	// daemon. After the wait, it is ready as soon as a configuration is in force.
+	// readinessWait bounds another wait of a starting daemon for the first exchange with another
+	// daemon. After this wait, it is ready as soon as a configuration is in force.
 	readinessWait = 1500 * time.Millisecond
 	// restartBackoff is the pause before a component that keeps failing is restarted.
 	restartBackoff = time.Second
-	// minDrainTime is how long a stopping daemon continues to accept requests. Callers poll
-	// its readiness once a second and leave after two failures.
+	// minDrainTime is how long a stopping daemon continues to accept requests, even if none is in
+	// flight. Callers poll its readiness once a second and leave after two failed polls.
 	minDrainTime = 2200 * time.Millisecond
 	// graceMargin is the part of the grace period that is reserved for shutting down after
 	// draining.
 	graceMargin = 400 * time.Millisecond
-	// drainPollInterval is how often a stopping daemon checks whether it has drained.
+	// drainPollInterval is how often a stopping daemon checks whether all requests in flight have
+	// ended.
 	drainPollInterval = 25 * time.Millisecond
 	// queueFlushMargin is how long before the end of draining a stopping daemon rejects the
 	// requests that wait for the local upstream. Their senders then learn in time that the
@@ -256,12 +262,12 @@
 	componentStopTimeout = 150 * time.Millisecond
 	// logFlushTimeout bounds the wait for log lines to be written at the end.
 	logFlushTimeout = 100 * time.Millisecond
-	// refusalPeriod is the time between the end of forwarding and the closing of the
-	// connections. Requests that arrive in this time are refused. Their senders then learn that
-	// the requests have not run.
+	// refusalPeriod is how long the daemon waits, after it has stopped forwarding and if the grace
+	// period allows, before it may close the connections. Requests that arrive in this time are
+	// refused. Their senders then learn that the requests have not run.
 	refusalPeriod = 50 * time.Millisecond
-	// closedConnLogWait bounds the wait for the log lines of requests whose connections were
-	// closed without a response.
+	// closedConnLogWait bounds the wait, after all connections have been closed, for the log
+	// lines of requests that got no response.
 	closedConnLogWait = 20 * time.Millisecond
 	// connectionCloseMargin is how long before the end of the grace period the daemon stops
 	// waiting for responses to be written.
@@ -271,8 +277,9 @@
 	responsePollInterval = time.Millisecond
 )
 
-// Serve runs the daemon until the context ends. It then drains the requests in flight within
-// the grace period.
+// Serve runs the daemon until the context ends. It then lets the requests in flight end, for as
+// long as the grace period allows, and closes the connections and the log. It returns an error if
+// the supervisor that runs the components of the daemon ends first.
 func (d *Daemon) Serve(ctx context.Context) error {
 	// The components must keep running while the daemon drains, so serveCtx outlives ctx.
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -333,16 +340,18 @@
 	}
 }
 
-// logSupervisorEvent logs the failure of a component. It does not log that a component stops too
-// slowly.
+// logSupervisorEvent logs an event of the supervisor, such as the failure of a component. It does
+// not log that a component stops too slowly.
 func (d *Daemon) logSupervisorEvent(e suture.Event) {
 	if d.opts.Logger != nil && e.Type() != suture.EventTypeStopTimeout {
 		d.opts.Logger.Error("component failed", "event", e.String())
 	}
 }
 
-// drain announces that the daemon is stopping and waits for the requests in flight. It aborts
-// those that remain when draining is over. It returns the end of the grace period.
+// drain announces that the daemon is stopping and waits for the requests in flight, until
+// graceMargin before the end of the grace period at the latest. It then aborts those that remain.
+// If the local upstream is gone, it also removes the daemon's entry from the directory. It returns
+// the end of the grace period.
 func (d *Daemon) drain() (deadline time.Time) {
 	drainStart := time.Now()
 	deadline = drainStart.Add(d.tunables.Load().GracePeriod)
@@ -367,9 +376,10 @@
 	return deadline
 }
 
-// awaitIdle waits until minDrainTime has passed and no request is in flight. It waits until
-// drainEnd at the latest. When it returns, the daemon has stopped forwarding requests. The
-// connection of a request that is forwarded later would be closed without a response.
+// awaitIdle waits until minDrainTime has passed since drainStart and no request is in flight, but
+// until drainEnd at the latest. After minDrainTime, it accepts no more connections of callers.
+// From queueFlushMargin before drainEnd on, it rejects the requests that wait for the local
+// upstream. When it returns, the daemon has stopped forwarding requests.
 func (d *Daemon) awaitIdle(drainStart, drainEnd time.Time) {
 	for time.Now().Before(drainEnd) {
 		if time.Until(drainEnd) < queueFlushMargin {
@@ -383,6 +393,7 @@
 		}
 		time.Sleep(drainPollInterval)
 	}
+	// The connection of a request that is forwarded later would be closed without a response.
 	d.inFlight.close()
 	d.guard.stopAdmitting()
 }
--- a/sidecar/daemon_test.go
+++ b/sidecar/daemon_test.go
@@ -41,8 +41,8 @@
 	require.Empty(t, received[0].Header.Get(callHeader))
 }
 
-// TestCallerCannotForgeItsService sends headers that only daemons may set. The upstream must
-// receive the true service of the caller.
+// TestCallerCannotForgeItsService sends a request with headers that only daemons may set. The
+// upstream must receive the true service of the caller in the caller header.
 func TestCallerCannotForgeItsService(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a := startReady(t, s, "a", "a1")
@@ -58,8 +58,8 @@
 	require.Equal(t, "a", a.upstream.requests()[0].Header.Get("T-Caller"))
 }
 
-// TestRefusalStatusDependsOnCause checks how requests are refused without a configuration, without an
-// upstream and without a route.
+// TestRefusalStatusDependsOnCause sends requests without a configuration, without an upstream and
+// without a route. They must be refused with status 503, 503 and 404.
 func TestRefusalStatusDependsOnCause(t *testing.T) {
 	s := newStore(route.Document{})
 	up := newUpstream(t, "a1")
@@ -207,7 +207,7 @@
 	require.LessOrEqual(t, float64(sent-numRequests), 0.2*numRequests+50/3.0, "three daemons share the slack")
 }
 
-// withTimeout sets the timeout of all routes of a document.
+// withTimeout sets the timeout of all routes of a document and returns the document.
 func withTimeout(doc route.Document, d time.Duration) route.Document {
 	for i := range doc.Routes {
 		doc.Routes[i].Timeout = d
@@ -215,8 +215,9 @@
 	return doc
 }
 
-// TestRouteTimeoutCancelsRun checks that the timeout of a route ends the request and cancels
-// it at the upstream.
+// TestRouteTimeoutCancelsRun runs a request for longer than the timeout of its route. The caller
+// must get status 504, and the request must be cancelled at the upstream. The upstream must have
+// received the timeout as the deadline, less at most 5 ms.
 func TestRouteTimeoutCancelsRun(t *testing.T) {
 	s := newStore(withTimeout(documentOf(1, "b"), 100*time.Millisecond))
 	b := startReady(t, s, "b", "b1")
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -19,10 +19,10 @@
 // pushed record waits for a reply. Senders of other kinds do not wait. A lost datagram costs
 // only the wait for its reply.
 //
-// Every datagram starts with a header: its kind, an id that the reply repeats, and the version
-// of the configuration in force at the sender. A daemon that cannot reach the store learns of a
-// newer version from the header. The body depends on the kind. It is described at the kind
-// constants.
+// Every datagram starts with a header: its kind (1 byte), an id that the reply repeats (4 bytes),
+// and the version of the configuration in force at the sender (8 bytes). A daemon that cannot
+// reach the configuration store learns of a newer version from the header. The body depends on
+// the kind. The kind constants describe it.
 type datagrams struct {
 	d    *Daemon
 	conn *net.UDPConn
@@ -37,31 +37,34 @@
 	// key identifies the queried upstream. For a pushed record, it is the address of the
 	// receiver.
 	key string
-	// address is the daemon that the query was sent to.
+	// address is the address of the daemon that the query or the record was sent to.
 	address string
-	sent    model.Instant
-	// replies receives the reply. If replies is nil, onLate is called with the reply instead.
+	// sent is when register was called, just before sending.
+	sent model.Instant
+	// replies receives the reply. Its buffer has room for it. If replies is nil, the sender does
+	// not wait for the reply, and onLate is called with it instead.
 	replies chan<- queryReply
 	onLate  func(queryReply)
 }
 
 // queryReply is the reply to a pendingQuery.
 type queryReply struct {
-	// key identifies the queried upstream. For a pushed record, it is the address of the
-	// receiver.
-	key  string
+	// key is the key of the pendingQuery.
+	key string
+	// load is the load of the queried upstream. It is empty for a pushed record.
 	load placement.Load
-	// roundTrip is the time from the query to the reply.
+	// roundTrip is the time from sending the query to receiving the reply.
 	roundTrip time.Duration
 }
 
 const (
-	// kindLoadQuery queries the load of an upstream. Its body holds the rank and the kind of a
-	// request and a hash that identifies the upstream.
+	// kindLoadQuery queries the load of an upstream on behalf of a request that may be sent to
+	// it. The body holds the rank of the request (its place in the order of priorities), the kind
+	// of the request and a hash that identifies the upstream.
 	kindLoadQuery = 1
-	// kindLoadReply replies to a load query with the load of the upstream. Of the waiting
-	// requests, it counts only those that would be served before the request that the query
-	// describes.
+	// kindLoadReply replies to a load query with the load of the upstream. Of the requests that
+	// wait for the upstream, the load counts only those that would be served before the request
+	// that the query describes.
 	kindLoadReply = 2
 	// kindRecordPush pushes one packed record.
 	kindRecordPush = 3
@@ -70,16 +73,16 @@
 	// kindVersion announces a new version of the configuration. Its body is the address of the
 	// daemon to fetch the version from.
 	kindVersion = 5
-	// kindSuspects carries a message of package quarantine. The message is about requests that
-	// are suspected of crashing upstreams.
+	// kindSuspects carries a message of package core/quarantine about requests that are suspected
+	// of crashing upstreams.
 	kindSuspects = 6
-	// kindHeartbeat is sent by a daemon that watches the store. The body starts with one byte: 1
-	// if the daemon reaches the store and 0 if not. The daemon's address follows.
+	// kindHeartbeat is sent by a daemon that watches the configuration store. The body starts with
+	// one byte: 1 if the sender reaches the store and 0 if not. The sender's address follows.
 	kindHeartbeat = 7
 	// kindRelayedRecords carries records of daemons of remote zones. It is sent inside a zone,
 	// by a daemon that relays the records.
 	kindRelayedRecords = 8
-	// kindDigest carries a digest of all records.
+	// kindDigest carries a digest of all records that the sender holds. See antiEntropy.
 	kindDigest = 9
 	// kindSummary replies to a digest with a summary of the buckets that differ.
 	kindSummary = 10
@@ -88,7 +91,8 @@
 	kindRecordRequest = 11
 	// kindMissingRecords carries records that the receiver lacks or has in an older version.
 	kindMissingRecords = 12
-	// datagramHeaderBytes is the length of the header.
+
+	// datagramHeaderBytes is the length of the header, which every datagram starts with.
 	datagramHeaderBytes = 13
 	// loadQueryBytes is the length of a kindLoadQuery datagram, header included.
 	loadQueryBytes = datagramHeaderBytes + 5
@@ -135,8 +139,8 @@
 
 func (a *datagrams) close() { _ = a.conn.Close() }
 
-// announceVersion announces the version in force to some of the other daemons. Each of them
-// announces the version in turn.
+// announceVersion announces the version of the configuration in force to some of the other
+// daemons. Each of them announces the version in turn once it has put it into force.
 func (a *datagrams) announceVersion() {
 	for _, m := range a.d.follower.peerSelector.PushTargets(a.d.peers.reachableMembers(), false) {
 		a.sendOneWay(kindVersion, m.Address, []byte(a.d.opts.Addresses.Peers))
@@ -144,7 +148,7 @@
 }
 
 // sendHeartbeat sends a heartbeat to a daemon. The heartbeat says that this daemon watches the
-// store, and whether it reaches the store.
+// configuration store, and whether it reaches the store.
 func (a *datagrams) sendHeartbeat(address string, reachesStore bool) {
 	body := []byte{0}
 	if reachesStore {
@@ -153,7 +157,8 @@
 	a.sendOneWay(kindHeartbeat, address, append(body, a.d.opts.Addresses.Peers...))
 }
 
-// sendOneWay sends a datagram that needs no reply. The datagram may be lost.
+// sendOneWay sends a datagram and waits for no reply. The datagram may be lost. It is not sent if
+// the address is not of the form IP:port.
 func (a *datagrams) sendOneWay(kind byte, address string, body []byte) {
 	if recipient, err := netip.ParseAddrPort(address); err == nil {
 		a.transmit(append(a.header(kind, 0), body...), recipient)
@@ -174,7 +179,7 @@
 }
 
 const (
-	// pushAttempts is how often a record is pushed by datagram before it is sent over a
+	// pushAttempts is how many times a record is pushed by datagram before it is sent over a
 	// connection.
 	pushAttempts = 2
 	// pushAckTimeout bounds the wait for each acknowledgement. It allows for a round trip
@@ -182,7 +187,8 @@
 	pushAckTimeout = 100 * time.Millisecond
 )
 
-// pushRecord sends a record to a daemon and reports whether the daemon acknowledged it.
+// pushRecord sends a record to a daemon by datagram, up to pushAttempts times, and reports whether
+// the daemon acknowledged it. A record that does not fit a datagram is not sent.
 func (a *datagrams) pushRecord(address string, r Record) bool {
 	recipient, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -208,7 +214,8 @@
 	return false
 }
 
-// register stores a query until its reply arrives, and returns its id.
+// register stores a query until its reply arrives or cancel drops it. It returns the id of the
+// query.
 func (a *datagrams) register(q pendingQuery) uint32 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -218,7 +225,7 @@
 	return a.nextID
 }
 
-// cancel drops the queries with the given ids that got no reply.
+// cancel drops those of the queries with the given ids that have got no reply.
 func (a *datagrams) cancel(ids []uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sidecar/datagrams_test.go
+++ b/sidecar/datagrams_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestLateLoadRepliesAreRecorded queries the load of a guard that is further away than the
-// timeout allows, for example in another region. The caller goes on without the load. When the
-// reply arrives, the load must be recorded.
+// timeout allows, for example in another region. queryLoads must return without the load. When
+// the reply arrives, its load must be passed to onLate, once even if the reply is repeated.
 func TestLateLoadRepliesAreRecorded(t *testing.T) {
 	for name, c := range map[string]struct {
 		timeout time.Duration
@@ -28,8 +28,8 @@
 	}
 }
 
-// queryDistantGuard queries the load of a guard that replies only after queryLoads has returned.
-// The guard then replies twice.
+// queryDistantGuard queries the load of a guard that replies only after queryLoads has returned,
+// and then replies twice. It checks the contents of the query and that onLate gets one reply.
 func queryDistantGuard(t *testing.T, timeout time.Duration, tooFar bool) {
 	d := startReady(t, newStore(documentOf(1, "a")), "a", "a1")
 	remote, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -65,8 +65,8 @@
 }
 
 // TestDistantGuardsAreNotMarkedSilent queries a guard that does not reply within the timeout. If
-// the guard is known to be too far away to reply in time, it must be queried again. If it should
-// have replied, it must not be queried again.
+// its measured round-trip time is too long for a reply in time, the guard must stay among those
+// queried for the next request. If it should have replied, it must not.
 func TestDistantGuardsAreNotMarkedSilent(t *testing.T) {
 	for name, c := range map[string]struct {
 		roundTrip time.Duration
--- a/sidecar/finallog_test.go
+++ b/sidecar/finallog_test.go
@@ -14,9 +14,10 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// TestRequestsDuringFinalLogFlushAreAnswered stops a daemon whose log output nobody reads. As
-// soon as its guard rejects new work, callers send requests on connections that are still open.
-// Some of these requests are forwarded to the other daemon and run there. They must be answered.
+// TestRequestsDuringFinalLogFlushAreAnswered stops a daemon whose log output nobody reads, so that
+// writing its last log lines takes as long as it may. As soon as its guard rejects new requests,
+// callers send requests on connections that are still open. Some of these requests are forwarded
+// to the other daemon and run there. All requests that run must be answered.
 func TestRequestsDuringFinalLogFlushAreAnswered(t *testing.T) {
 	const numConns, runTime = 20, 150 * time.Millisecond
 	s := newStore(documentOf(1, "a"))
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -22,9 +22,9 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// waitLimit bounds the wait for a condition.
-const waitLimit = 20 * time.Second
+const waitLimit = 20 * time.Second // for a condition, see eventually
 
+// eventually waits until the condition holds. It fails the test after waitLimit.
 func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, waitLimit, 2*time.Millisecond, description)
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// documents maps the raw form of each document to the document. The raw form consists only of
-// the version and a pointer.
+// documents maps the raw form that encodeDocument made to the document. The raw form consists only
+// of the version and a pointer.
 var documents sync.Map
 
 func encodeDocument(doc route.Document) []byte {
@@ -194,9 +194,9 @@
 type upstream struct {
 	id     string
 	server *httptest.Server
-	// omitsLoad suppresses the load header. It does not change.
+	// omitsLoad suppresses the load header. It is not changed while requests run.
 	omitsLoad bool
-	// mu guards the fields below.
+	// mu guards the fields that follow it.
 	mu sync.Mutex
 	// handler serves requests. Nil means respondOK.
 	handler  func(w http.ResponseWriter, r *http.Request)
@@ -315,6 +315,7 @@
 	}
 }
 
+// startDaemon starts a daemon and waits until it is ready. The daemon is killed after the test.
 func startDaemon(t testing.TB, o Options, s *store) *member {
 	t.Helper()
 	m := &member{source: &source{store: s}, scope: tally.NewTestScope("", nil)}
@@ -350,8 +351,7 @@
 	})
 }
 
-// documentOf returns a configuration that routes /safe/ (idempotent) and /unsafe/ to a
-// service.
+// documentOf returns a configuration that routes /safe/ (idempotent) and /unsafe/ to a service.
 func documentOf(version model.Version, service model.ServiceName) route.Document {
 	newRoute := func(name string, idempotent bool) route.Route {
 		return route.Route{
@@ -367,7 +367,7 @@
 
 var lastRequestID atomic.Int64
 
-// sendRequest sends a request to the daemon's address for callers.
+// sendRequest sends a request to the daemon's address for callers. It returns response and body.
 func (m *member) sendRequest(t *testing.T, method, path, body string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+m.opts.Addresses.Callers+path, nil)
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// electionTick is how often a daemon checks whether it should watch the store.
+	// electionTick is how often a daemon checks whether it should watch the configuration store.
 	electionTick = 100 * time.Millisecond
 	// peerPollInterval is how often another daemon is asked for its configuration while no
 	// watcher of the cell reaches the store. The interval is short because a change must be in
@@ -26,18 +26,20 @@
 )
 
 // configFollower keeps the configuration up to date. The daemons of a zone are divided into
-// cells (see package watch). A few daemons of each cell, the watchers, read the configuration
+// cells (see package core/watch). A few daemons of each cell, the watchers, read the configuration
 // from the store. The other daemons get new versions from the watchers of their cell. While no
-// watcher of the cell reaches the store, a daemon gets new versions from any other daemon.
+// watcher of the cell reaches the store, a daemon also polls other daemons, of any cell, for new
+// versions.
 type configFollower struct {
 	d *Daemon
 	// peerSelector picks the peers for configuration polls and for anti-entropy rounds.
 	peerSelector gossip.PeerSelector
 
 	mu sync.Mutex
-	// elector decides whether this daemon watches the store.
+	// elector decides whether this daemon watches the configuration store.
 	elector *watch.Elector
-	// generation is the value of peers.generation when the members of elector were last set.
+	// generation is the value that peers.generation had when the daemons among which elector
+	// chooses were last set.
 	generation uint64
 	// watchStarted is closed when this daemon starts to watch the store. It is replaced when the
 	// daemon stops watching.
@@ -71,8 +73,8 @@
 	return f.d.config.apply(raw, origin)
 }
 
-// AwaitTurn implements ConfigConsumer. It returns once this daemon watches the store, or when the
-// context ends.
+// AwaitTurn implements ConfigConsumer. It returns nil once this daemon watches the store, or an
+// error when the context ends.
 func (f *configFollower) AwaitTurn(ctx context.Context) error {
 	f.mu.Lock()
 	watchStarted := f.watchStarted
@@ -85,7 +87,8 @@
 	}
 }
 
-// StoreReachable implements ConfigConsumer.
+// StoreReachable implements ConfigConsumer. If ok differs from that of the previous call, and this
+// daemon watches the store, it sends a heartbeat at once.
 func (f *configFollower) StoreReachable(ok bool) {
 	f.mu.Lock()
 	f.elector.RecordStoreCall(f.d.now(), ok)
@@ -93,7 +96,8 @@
 	f.sendHeartbeats()
 }
 
-// announceVersion sends a heartbeat at once. The header of the heartbeat holds the new
+// announceVersion is called when a new version of the configuration is in force. If this
+// daemon watches the store, it sends a heartbeat at once. The header of the heartbeat holds the new
 // version.
 func (f *configFollower) announceVersion() {
 	f.mu.Lock()
@@ -109,15 +113,16 @@
 	return f.isWatching
 }
 
-// receiveHeartbeat records the heartbeat of a watcher.
+// receiveHeartbeat records the heartbeat of another daemon that watches the store.
 func (f *configFollower) receiveHeartbeat(address string, reachesStore bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.elector.RecordHeartbeat(f.d.now(), address, reachesStore)
 }
 
-// watchLoop repeatedly decides whether this daemon watches the store, sends heartbeats, and
-// polls another daemon while no watcher reaches the store.
+// watchLoop repeatedly decides whether this daemon watches the store, sends heartbeats, and polls
+// other daemons while no watcher of the cell reaches the store. It starts once the directory has
+// been read, or after directoryWait.
 func (f *configFollower) watchLoop(ctx context.Context) {
 	select {
 	case <-f.d.peers.directoryRead:
@@ -139,11 +144,12 @@
 	}
 }
 
-// updateWatching decides whether this daemon watches the store. It reports whether to poll
-// another daemon for its configuration now.
+// updateWatching decides whether this daemon watches the store, and records whether a daemon of
+// the cell reaches it. It reports whether to poll another daemon for its configuration now.
 func (f *configFollower) updateWatching() (pollDue bool) {
 	now := f.d.now()
-	// addresses are the daemons of the local zone. numZones is the number of all numZones.
+	// addresses are the daemons of the local zone. numZones counts all zones. Both are set only if
+	// the generation has changed.
 	addresses, numZones, generation := f.d.peers.zoneMembers(f.generation)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,8 +201,9 @@
 	}
 }
 
-// pollPeer exchanges records with one other daemon. If that daemon has a newer configuration,
-// this daemon fetches it.
+// pollPeer exchanges local records and configuration versions with one other reachable daemon. If
+// that daemon has a newer configuration, this daemon fetches it. If that daemon cannot be reached,
+// it is marked as unreachable.
 func (f *configFollower) pollPeer(ctx context.Context) {
 	m, ok := f.peerSelector.AntiEntropyPeer(f.d.peers.reachableMembers())
 	if !ok {
--- a/sidecar/follow_test.go
+++ b/sidecar/follow_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestFewDaemonsWatchStore checks that three daemons of a zone watch the store. When these three
-// end, others must take over.
+// TestFewDaemonsWatchStore checks that three of seven daemons of a zone watch the store. When these
+// three end, the others must still get a new version, and three of them must start to watch.
 func TestFewDaemonsWatchStore(t *testing.T) {
 	const (
 		numDaemons     = 7
--- a/sidecar/fuzz_test.go
+++ b/sidecar/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/dottereltiller/dottereltiller/core/lifecycle"
 )
 
-// FuzzDatagrams passes arbitrary datagrams to a daemon.
+// FuzzDatagrams passes arbitrary datagrams to a daemon, which must not panic.
 func FuzzDatagrams(f *testing.F) {
 	o := optionsFor(f, newStore(documentOf(1, "a")), newUpstream(f, "a1"), "a")
 	o.Source = &source{store: newStore(documentOf(1, "a"))}
@@ -46,8 +46,8 @@
 	})
 }
 
-// FuzzFields decodes arbitrary strings as calls and results. A decoded result must be decodable
-// again after encoding.
+// FuzzFields decodes arbitrary strings as calls and results, the two encoded values of callHeader.
+// A result that was decoded and encoded again must still be decodable.
 func FuzzFields(f *testing.F) {
 	f.Add((&Call{ID: "r1", Service: "a", Caller: "b", Upstream: lifecycle.Incarnation{ID: "a1"}}).encode())
 	f.Add(unknownResult("connection-lost").encode())
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// storeUnreachableFor returns for how long no daemon of the cell has reached the configuration
-// store. It returns zero if one does.
+// storeUnreachableFor returns for how long no daemon of the cell (see storeUnreachableSince) has
+// reached the configuration store. It returns zero if one does.
 func (d *Daemon) storeUnreachableFor() time.Duration {
 	if since := d.storeUnreachableSince.Load(); since != 0 {
 		return d.now().Sub(model.Instant(since))
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -15,8 +15,9 @@
 	"github.com/dottereltiller/dottereltiller/pause"
 )
 
-// maxAnnounceBackoff bounds the pause between two attempts to write the directory entry once
-// other daemons are known. From then on, only daemons that start later need the entry.
+// maxAnnounceBackoff bounds the pause between two runs of announceAndList once other daemons are
+// known. From then on, only daemons that start later need the directory entry of this daemon. Until
+// then, maxSyncBackoff bounds the pause.
 const maxAnnounceBackoff = 5 * time.Second
 
 // joiner writes the directory entry of this daemon, finds the other daemons, and marks this
@@ -26,15 +27,15 @@
 	// hasEntry is set once the directory holds the entry of this daemon.
 	hasEntry bool
 	// hasListed is set once all directory entries have been read. It is reset when this daemon
-	// tries to write its own entry: the entries are then read again.
+	// tries to write its own entry, because the entries must be read again after the write.
 	hasListed bool
 }
 
 // String implements fmt.Stringer. The supervisor logs this name.
 func (j *joiner) String() string { return "joiner" }
 
-// Serve joins once. It returns when the daemon is ready, its entry is written and
-// discoverUpstream has ended. It is not restarted.
+// Serve runs the joiner once. It returns when the daemon is ready, its directory entry is written,
+// the other entries have been read and discoverUpstream has ended. It is not restarted.
 func (j *joiner) Serve(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { j.discoverUpstream(ctx) })
@@ -44,7 +45,8 @@
 	return suture.ErrDoNotRestart
 }
 
-// announceWithRetries repeats announceAndList until it succeeds.
+// announceWithRetries repeats announceAndList until it succeeds, with a backoff. After the first
+// attempt, successful or not, it closes peers.directoryRead.
 func (j *joiner) announceWithRetries(ctx context.Context) {
 	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxSyncBackoff}
 	for {
@@ -63,10 +65,13 @@
 	}
 }
 
-// announceAndList writes the directory entry of this daemon unless it is there, and then reads
-// all entries. In this order, the later of two daemons that start together is certain to see the
-// earlier one. An entry that the previous incarnation wrote is still valid. After a failure, the
-// next call resumes at the step that failed.
+// announceAndList writes the directory entry of this daemon and then reads all entries. In this
+// order, of two daemons that start together, the one that writes its entry later is certain to
+// read the entry of the other.
+//
+// Except at the first start of the whole system, the entries are also read before the write. If
+// they include an entry of this daemon, which its previous incarnation wrote, that entry is still
+// valid and is not written again. After a failure, announceWithRetries calls announceAndList again.
 func (j *joiner) announceAndList(ctx context.Context) error {
 	var err error
 	if !j.hasEntry && !j.d.opts.Bootstrap {
@@ -84,8 +89,8 @@
 	return err
 }
 
-// listEntries reads all directory entries and adds their daemons to the known ones. It also notes
-// whether the entry of this daemon is among them.
+// listEntries reads all directory entries and adds their daemons to the known daemons. It also
+// sets hasEntry if the entry of this daemon is among them.
 func (j *joiner) listEntries(ctx context.Context) error {
 	entries, err := j.d.opts.Directory.List(ctx)
 	if err != nil {
@@ -100,9 +105,10 @@
 }
 
 // discoverUpstream asks the local upstream for its identity. The answer is dropped if the
-// upstream has reported by then. Nothing is asked if the whole system starts for the first time.
-// discoverUpstream first waits for an exchange with another daemon, because records of other
-// daemons state whether the upstream was leaving.
+// upstream has reported before it arrives. At the first start of the whole system, nothing is
+// asked. discoverUpstream first waits for an exchange with another daemon, because the records that
+// other daemons hold state whether the upstream was leaving before this daemon restarted. It then
+// waits until the configuration states a health path.
 func (j *joiner) discoverUpstream(ctx context.Context) {
 	if j.d.opts.Bootstrap {
 		return
@@ -126,9 +132,10 @@
 	}
 }
 
-// becomeReady marks the daemon as ready once a configuration is in force. Before that, it waits
-// for the first exchange with another daemon, at most for readinessWait. It also schedules the
-// announcement of the local record, in case no change of the record announces it earlier.
+// becomeReady waits for the first exchange with another daemon, at most for readinessWait, and
+// then marks the daemon as ready as soon as a configuration is in force. After the exchange or the
+// wait, it also schedules the first announcement of the local record for readinessWait later. The
+// announcement is left out if a change of the record has announced it earlier.
 func (j *joiner) becomeReady(ctx context.Context) {
 	j.awaitFirstContact(ctx, readinessWait)
 	time.AfterFunc(readinessWait, j.d.peers.announceOnce)
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -15,11 +15,11 @@
 	return len(p.others) + 1
 }
 
-// daemonsAndStartedShare returns the number of known daemons, this one included, and the share
-// of them that started within the span.
+// daemonsAndStartedShare returns the number of known daemons, this one included, and which share
+// of them, from 0 to 1, started within the span that ends now.
 //
-// Start times are those of the daemons' own clocks. A daemon whose clock is ahead by more than
-// the span counts as started long ago. A daemon that is in the directory but whose record has
+// Each daemon states its start time by its own clock. A daemon whose stated start is in the future
+// by more than the span counts as started long ago. A daemon that is known but whose record has
 // not been received counts as just started, unless it is unreachable.
 func (p *peers) daemonsAndStartedShare(span time.Duration) (numDaemons int, startedShare float64) {
 	p.mu.Lock()
@@ -57,10 +57,10 @@
 }
 
 // zoneMembers returns the addresses of the daemons of the local zone that are reachable and not
-// stopping. This daemon is included, unless it is stopping. zoneMembers also returns the current
-// generation, and the number of zones in which any daemon is reachable and not stopping. The
-// local zone always counts. If lastGeneration is still current, it returns no addresses and 0 for
-// the number of zones.
+// stopping. This daemon is included, unless it is stopping. zoneMembers also returns the number of
+// zones in which any daemon is reachable and not stopping, the local zone always included, and the
+// current value of peers.generation. If that still equals lastGeneration, zoneMembers returns no
+// addresses and 0 for the number of zones.
 func (p *peers) zoneMembers(lastGeneration uint64) (addresses []string, numZones int, currentGeneration uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	return addresses, len(zoneSet), p.generation
 }
 
-// zonePeers returns the other daemons of the local zone that are reachable.
+// zonePeers returns the addresses of the other daemons of the local zone that are reachable.
 func (p *peers) zonePeers() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,11 +96,11 @@
 	return out
 }
 
-// inRemoteZone reports whether a daemon is known to be in a remote zone.
+// inRemoteZone reports whether a daemon is known and in a zone other than the local one.
 func (p *peers) inRemoteZone(address string) bool {
 	r, ok := p.recordOf(address)
 	return ok && r.Zone != p.local.Zone
 }
 
-// randomInt returns a random number from 0 to n-1.
+// randomInt returns a random integer from 0 to n-1.
 func randomInt(n int) int { return rand.IntN(n) }
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -16,8 +16,8 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// The paths of requests between daemons. Calls use the path of the caller's request instead, and
-// are recognized by callHeader.
+// The paths of requests between daemons. A call, which is a caller's request that one daemon
+// forwards to another, keeps the path of the caller's request. Calls are recognized by callHeader.
 const (
 	pathSync    = "/sync"
 	pathResolve = "/settle"
@@ -30,18 +30,20 @@
 	From Record `json:"f"`
 	// WantAll requests all records of the receiver.
 	WantAll bool `json:"w,omitempty"`
-	// Records holds further records that the sender has.
+	// Records holds records other than From. Only replies have them.
 	Records []Record `json:"k,omitempty"`
 	// Version is the version of the configuration in force at the sender.
 	Version model.Version `json:"v"`
 }
 
 const (
-	// maxSyncBytes bounds a syncMessage: 300 bytes per record for several thousand daemons.
+	// maxSyncBytes bounds a received syncMessage. It allows for 300 bytes per record and several
+	// thousand daemons.
 	maxSyncBytes = 4 << 20
 )
 
-// StatusError is a response of another daemon with an unexpected status.
+// StatusError reports that another daemon responded to a request for Path with an unexpected HTTP
+// status.
 type StatusError struct {
 	Path   string
 	Status int
@@ -50,8 +52,9 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: answered %d", e.Path, e.Status) }
 
-// sendSync sends a message and returns the reply. The error is a *hop.RequestError if the daemon
-// was not reached. It is a *StatusError if the daemon responded with a status other than 200.
+// sendSync sends a message and returns the reply. The error is a *hop.RequestError if no complete
+// response was received, and a *StatusError if the daemon responded with a status other than 200.
+// Other errors come from encoding the message or decoding the reply.
 func sendSync(ctx context.Context, pool *hop.Pool, m syncMessage) (reply syncMessage, err error) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -67,8 +70,8 @@
 	return reply, json.Unmarshal(r.Body, &reply)
 }
 
-// readMessage decodes a JSON request body of at most maxBytes into m. If that fails, it responds
-// with status 400 and returns false.
+// readMessage decodes a JSON request body into m. It reads at most maxBytes of the body. If the
+// body is malformed, or is cut off by that limit, it responds with status 400 and returns false.
 func readMessage(w http.ResponseWriter, r *http.Request, maxBytes int64, m any) bool {
 	err := json.NewDecoder(io.LimitReader(r.Body, maxBytes)).Decode(m)
 	if err != nil {
@@ -77,7 +80,7 @@
 	return err == nil
 }
 
-// writeMessage responds with a message in JSON.
+// writeMessage responds with a message in JSON, or with status 500 if it cannot be encoded.
 func writeMessage(w http.ResponseWriter, m any) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -90,8 +93,8 @@
 // peerHost is the Host header of requests between daemons. Receivers ignore it.
 const peerHost = "-"
 
-// requestPeer sends a request to another daemon and returns the response, whatever its
-// status. It takes at most syncTimeout. The error is a *hop.RequestError.
+// requestPeer sends a request to another daemon and returns the response, whatever its status. It
+// takes at most syncTimeout. The error, if any, is a *hop.RequestError.
 func requestPeer(ctx context.Context, pool *hop.Pool, method, path string, body []byte) (*hop.PoolResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -104,7 +107,7 @@
 	key string
 	// incarnation is the incarnation of the daemon that the attempt was sent to.
 	incarnation int64
-	// timeLeft is the time that the attempt had until its deadline when the attempt was sent.
+	// timeLeft is the time that was left until the deadline of the attempt when it was sent.
 	timeLeft time.Duration
 }
 
@@ -124,7 +127,8 @@
 	return v.Encode()
 }
 
-// decodeResolveRequest decodes what resolveRequest.encode returned.
+// decodeResolveRequest decodes a URL query that resolveRequest.encode made. It returns an error if
+// a number is missing or malformed.
 func decodeResolveRequest(v url.Values) (resolveRequest, error) {
 	values, err := parseInts(v.Get(resolveIncarnationParam), v.Get(resolveTimeLeftParam))
 	if err != nil {
@@ -133,13 +137,15 @@
 	return resolveRequest{key: v.Get(resolveKeyParam), incarnation: values[0], timeLeft: time.Duration(values[1]) * time.Millisecond}, nil
 }
 
-// resolveArrivalTimeout is how long a resolveRequest may go without a sign that it has arrived.
-// After that, the request is abandoned, as its connection may never deliver anything.
+// resolveArrivalTimeout is how long the sender of a resolveRequest waits for a sign that the
+// request has arrived: an informational response (status 102) or the response itself. The sender
+// then abandons the request, as its connection may never deliver anything.
 const resolveArrivalTimeout = 500 * time.Millisecond
 
 // sendResolveRequest asks a guard over a new connection for the final outcome of an attempt. The
-// guard cancels the attempt if it has not started. sendResolveRequest returns the result of the
-// attempt. It returns false if the guard was not reached or its response was lost.
+// guard cancels the attempt if the attempt has not started. sendResolveRequest returns the result
+// of the attempt and true. If the guard was not reached or its response was lost, it returns a
+// result with an unknown outcome and false.
 func sendResolveRequest(ctx context.Context, pool *hop.Pool, q resolveRequest) (*Result, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -155,8 +161,8 @@
 	return resultFromReply(r), true
 }
 
-// resultFromReply decodes the result of a call from the response of another daemon. If that
-// fails, the outcome is unknown.
+// resultFromReply decodes the result of a call from the response of another daemon. If the
+// callHeader of the response is missing or malformed, the result has an unknown outcome.
 func resultFromReply(r *hop.PoolResponse) *Result {
 	result, err := decodeResult(r.Header.Get(callHeader))
 	if err != nil {
@@ -166,7 +172,8 @@
 	return result
 }
 
-// writePeerResult responds to another daemon with the result of a call.
+// writePeerResult responds to another daemon with the result of a call. If the upstream has not
+// answered, the response has status 503 and no body, and callHeader holds the outcome.
 func writePeerResult(w http.ResponseWriter, method string, result *Result) {
 	h := w.Header()
 	if result.Outcome.Kind != outcome.Answered {
@@ -193,7 +200,8 @@
 	}
 }
 
-// writeResponse writes the status and the body of a result, and sets the Content-Length.
+// writeResponse writes the status and the body of a result. It sets the Content-Length if the
+// response may have a body. The response to a HEAD request has none.
 func writeResponse(w http.ResponseWriter, method string, result *Result) {
 	if method != http.MethodHead && bodyAllowed(result.Status) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(result.Body)))
@@ -231,8 +239,9 @@
 	}
 }
 
-// resolve responds with the final outcome of an attempt. If the attempt was sent to a previous
-// daemon at this address, it responds that the outcome is unknown.
+// resolve responds to a resolveRequest with the final outcome of the attempt. If the attempt was
+// sent to a previous daemon at this address, it responds that the outcome is unknown. It responds
+// with status 400 to a malformed request.
 func (p peerHandler) resolve(w http.ResponseWriter, r *http.Request) {
 	q, err := decodeResolveRequest(r.URL.Query())
 	if err != nil {
@@ -248,8 +257,9 @@
 	}))
 }
 
-// call passes a call from the entry of another daemon to the guard, and responds with the
-// result.
+// call passes a call from the entry of another daemon to the guard, and responds with the result.
+// If there is no memory for the request body, it responds that the call has not run. If the body
+// cannot be read, it closes the connection. It responds with status 400 to a malformed callHeader.
 func (p peerHandler) call(w http.ResponseWriter, r *http.Request, encodedCall string) {
 	c, err := decodeCall(encodedCall)
 	if err != nil {
@@ -269,12 +279,14 @@
 	writePeerResult(w, r.Method, p.runAcknowledged(w, c.ID, func() *Result { return p.d.guard.Do(r.Context(), c) }))
 }
 
-// acknowledgeDelay is how long a call may take before its arrival is acknowledged to the sender.
-// A sender that receives no acknowledgement within ackTimeout considers the link broken.
+// acknowledgeDelay is how long a request from another daemon may take before its arrival is
+// acknowledged. A sender of a call that gets neither an acknowledgement nor a response within
+// ackTimeout considers the connection broken.
 const acknowledgeDelay = 10 * time.Millisecond
 
 // runAcknowledged runs do and returns its result. If do takes longer than acknowledgeDelay,
-// runAcknowledged first sends an informational response (status 102).
+// runAcknowledged first sends an informational response (status 102). requestID names the request
+// in the log line of a panic.
 func (p peerHandler) runAcknowledged(w http.ResponseWriter, requestID string, do func() *Result) *Result {
 	done := make(chan *Result, 1)
 	go func() { done <- recoverPanic(requestID, p.d.recordPanic, do) }()
@@ -290,10 +302,10 @@
 }
 
 // sync merges the records of a syncMessage and replies. If the sender is in a remote zone and
-// its own record is new here, that record is relayed inside the local zone.
+// its record is newer than the one held here, that record is relayed inside the local zone.
 //
-// The reply holds the local record and the record of the sender that was held here before. If
-// the sender wants all records, the reply also holds all others.
+// The reply holds the local record. If a record of the sender was held here before the merge, the
+// reply holds that one too. If the sender wants all records, the reply also holds all others.
 func (p peerHandler) sync(w http.ResponseWriter, r *http.Request) {
 	var m syncMessage
 	if !readMessage(w, r, maxSyncBytes, &m) {
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -27,14 +27,14 @@
 	// responded.
 	closedUnanswered tally.Counter
 	// panics counts panics while requests were served, in handlers and in the goroutines that
-	// they start.
+	// handlers start.
 	panics   tally.Counter
 	outcomes *telemetry.OutcomeCounter
 	traffic  *controlTraffic
 
-	// latencies holds a histogram for each route.
+	// latencies holds a histogram of the durations of requests for each route.
 	latencies *timers
-	// stages holds a histogram for each service and stage of a request.
+	// stages holds a histogram for each pair of a service and a stage of a request.
 	stages *timers
 }
 
@@ -44,17 +44,18 @@
 	stageChoose = "choose"
 	// stageSend lasts from the start of an attempt until its result arrives.
 	stageSend = "send"
-	// stageGuardWait is the wait in the queue of the guard.
+	// stageGuardWait lasts while a request is in the queue of the guard.
 	stageGuardWait = "guard_wait"
-	// stageUpstreamRun is the execution in the upstream.
+	// stageUpstreamRun lasts while a request runs in the upstream.
 	stageUpstreamRun = "upstream_run"
 	// stageLoadAge is not a stage, but it is recorded in the same histograms. It is the age of
 	// the load values by which the upstream was chosen.
 	stageLoadAge = "load_age"
 )
 
-// maxTimers bounds the number of histograms in a set. Once a set is full, all further
-// combinations of labels share one histogram for each name.
+// maxTimers bounds the number of histograms in a set, not counting the shared ones. Once a set is
+// full, all new combinations of service and route share one histogram for each name. See
+// overflowKey.
 const maxTimers = 256
 
 func newMetrics(scope tally.Scope) *metrics {
@@ -106,7 +107,7 @@
 	})
 }
 
-// overflowKey returns the key of the histogram that is shared once the set is full.
+// overflowKey returns the key of the histogram that k shares with other keys once the set is full.
 func (k timerKey) overflowKey() timerKey {
 	const other = "other"
 	k.service = other
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -21,6 +21,8 @@
 	return out
 }
 
+// TestRequestStagesAreTimed sends one request. The daemon that received it from the caller and the
+// daemon of the upstream must each record one value for each of their stages.
 func TestRequestStagesAreTimed(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
@@ -38,6 +40,8 @@
 	}
 }
 
+// TestHistogramsAreBounded records the latencies of more routes than maxTimers. The remaining
+// routes must share one histogram.
 func TestHistogramsAreBounded(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	m := newMetrics(scope)
@@ -49,6 +53,9 @@
 	require.Equal(t, 2*maxTimers, counts["latency other other"])
 }
 
+// TestOutageGaugesFollowReachability makes the store and then a peer unreachable. The gauges of how
+// long each has been unreachable must be zero before and positive afterwards. The gauge of the
+// store must be zero again once the store is back. The age of the configuration must be positive.
 func TestOutageGaugesFollowReachability(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
@@ -89,8 +96,8 @@
 	return n
 }
 
-// TestControlTrafficIsCountedByKind checks the traffic counters of daemons that serve no
-// requests.
+// TestControlTrafficIsCountedByKind runs two daemons that serve no requests. They must count bytes
+// of exchanges, heartbeats and digests in both directions, and no bytes of load queries.
 func TestControlTrafficIsCountedByKind(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
@@ -105,8 +112,8 @@
 	require.Zero(t, counted("load_question", "sent"))
 }
 
-// TestDatagramKindsAreNamed checks that every kind of datagram with a receiver has a name in
-// the metrics.
+// TestDatagramKindsAreNamed checks that every kind of datagram that has a handler, and no other,
+// has a name in the metrics.
 func TestDatagramKindsAreNamed(t *testing.T) {
 	for kind := range datagramHandlers {
 		require.Contains(t, datagramNames, kind)
--- a/sidecar/options.go
+++ b/sidecar/options.go
@@ -17,7 +17,7 @@
 type Options struct {
 	Addresses Addresses
 	Zone      model.AvailabilityZone
-	// Bootstrap marks the first start of the whole system. No other daemon can then hold state
+	// Bootstrap is set at the first start of the whole system, when no other daemon can hold state
 	// from an earlier start.
 	Bootstrap bool
 	Tunables
@@ -32,8 +32,7 @@
 	Directory Directory
 	Decisions *decision.Log
 	Scope     tally.Scope
-	// Metrics handles the requests to Addresses.Metrics. It is not used if that address is
-	// empty.
+	// Metrics handles the requests to Addresses.Metrics. It is not used if that address is empty.
 	Metrics http.Handler
 	// Logger receives the log lines of requests and components. It must not block if nobody
 	// reads its output.
@@ -44,7 +43,8 @@
 type Tunables struct {
 	// Service is the service of the local upstream, and therefore of the callers on this VM.
 	Service model.ServiceName
-	// Retries bounds retries and hedges, summed over all daemons.
+	// Retries bounds the retries and hedges of all daemons together. A hedge is a second attempt
+	// that is sent while the first is still running.
 	Retries RetryBudget
 	// GracePeriod is the time from the stop signal to the end of the process.
 	GracePeriod time.Duration
@@ -58,21 +58,21 @@
 	// Peers is the address at which other daemons reach this one. It also identifies this
 	// daemon among them.
 	Peers string
-	// PeerBind is the address to listen on for other daemons, if it differs from Peers. Empty
-	// means Peers.
+	// PeerBind is the address that the daemon binds for other daemons, if it differs from Peers.
+	// Empty means Peers.
 	PeerBind string
 	// Control accepts the reports of the upstream.
 	Control string
 	// Ready serves the readiness check.
 	Ready string
-	// Metrics serves the metrics endpoint. Empty disables it.
+	// Metrics serves the metrics. Empty means that they are not served.
 	Metrics string
 	// Upstream is the address of the local upstream.
 	Upstream string
 }
 
-// RetryBudget bounds the retries to a service. Within any Span, there are at most Ratio times as
-// many retries as requests, plus Slack.
+// RetryBudget bounds the retries and hedges of requests to a service. Within any period of length
+// Span, their number is at most Ratio times the number of requests, plus Slack.
 type RetryBudget struct {
 	Ratio float64
 	Slack float64
@@ -97,14 +97,14 @@
 type Attempt struct {
 	// ID identifies this attempt of the caller. It is unique.
 	ID string
-	// Deadline is how long the caller waits. Zero means that it is not stated.
+	// Deadline is how long the caller waits for the response. Zero means that it is not stated.
 	Deadline time.Duration
 }
 
 // RequestInfo holds the values that a daemon sends to an upstream in the headers of a request.
 type RequestInfo struct {
 	ID string
-	// Deadline is the remaining time.
+	// Deadline is the time that remains for the request.
 	Deadline time.Duration
 	// Caller is the service on whose VM the request originated.
 	Caller model.ServiceName
@@ -114,7 +114,7 @@
 
 // ResponseInfo holds what the headers of an upstream's response state.
 type ResponseInfo struct {
-	// ID is the attempt that the response belongs to. Empty means not stated.
+	// ID identifies the attempt that the response belongs to. Empty means not stated.
 	ID string
 	// NotRun is set if the upstream has not run the request.
 	NotRun bool
@@ -135,8 +135,8 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is the current service time divided by the usual one: 1 means as fast as usual.
-	// Zero means not reported.
+	// Slowdown is the current service time (how long a request runs in the upstream) divided by
+	// the usual service time: 1 means as fast as usual. Zero means not reported.
 	Slowdown float64
 }
 
@@ -148,7 +148,8 @@
 	// StoreReachable is called after each call to the store. ok states whether that call
 	// succeeded.
 	StoreReachable(ok bool)
-	// AwaitTurn blocks until this daemon is elected to read from the store.
+	// AwaitTurn blocks until this daemon is elected to read from the store. It returns an error if
+	// the context ends first.
 	AwaitTurn(ctx context.Context) error
 }
 
@@ -157,7 +158,7 @@
 	// Watch passes every document that it reads to the consumer until the context ends. It calls
 	// AwaitTurn before each call to the store, and StoreReachable after it.
 	Watch(ctx context.Context, c ConfigConsumer) error
-	// Decode parses a document.
+	// Decode parses a document as Watch passes it to the consumer.
 	Decode(raw []byte) (route.Document, error)
 }
 
@@ -165,9 +166,9 @@
 type Directory interface {
 	// Announce writes the entry of this daemon.
 	Announce(ctx context.Context, e DirectoryEntry) error
-	// List returns all entries that can be parsed.
+	// List returns all entries. It leaves out entries that cannot be parsed.
 	List(ctx context.Context) ([]DirectoryEntry, error)
-	// Remove deletes the entry of this daemon.
+	// Remove deletes the entry of the daemon at an address.
 	Remove(ctx context.Context, address string) error
 }
 
--- a/sidecar/pack.go
+++ b/sidecar/pack.go
@@ -9,7 +9,7 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// maxUnpackedBytes bounds the decompressed records of one datagram, in bytes of JSON.
+// maxUnpackedBytes bounds how many bytes of JSON are decompressed from one datagram.
 const maxUnpackedBytes = 64 << 10
 
 // packDictionary is the preset compression dictionary. It holds text that records have in
@@ -17,8 +17,8 @@
 var packDictionary = []byte(`.example","d":[{"id":"i-","born":177,"x":true` +
 	`{"a":"10.0.0.1:7420","i":1770000000000,"n":1,"z":"","s":"","u":{"ID":"i-","Born":1770000000000},"st":2,"sl":6,"c":3000}`)
 
-// packRecords encodes records as a sequence of JSON values, compresses them (RFC 1951), and
-// splits them into datagram bodies. A record that does not fit any datagram is left out. Such a
+// packRecords encodes records as sequences of JSON values that are compressed (RFC 1951), each of
+// which fits one datagram body. A record that alone does not fit a datagram is left out. Such a
 // record is exchanged over connections only.
 func packRecords(records []Record) [][]byte {
 	if len(records) == 0 {
@@ -50,8 +50,8 @@
 // inflaterPool reuses decompressors, which are large.
 var inflaterPool = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), packDictionary) }}
 
-// unpackRecords decodes a body that packRecords made. It returns the records before the first
-// error.
+// unpackRecords decodes a datagram body that packRecords made. It returns the records that precede
+// the first malformed or truncated one.
 func unpackRecords(body []byte) []Record {
 	r := inflaterPool.Get().(io.Reader)
 	defer inflaterPool.Put(r)
--- a/sidecar/pack_test.go
+++ b/sidecar/pack_test.go
@@ -28,7 +28,8 @@
 	return out
 }
 
-// TestPackedRecordsAreCompressed bounds the packed size of records relative to their JSON.
+// TestPackedRecordsAreCompressed packs and unpacks records. It bounds the ratio of their packed size
+// to the size of their JSON. Unpacking must return the same records.
 func TestPackedRecordsAreCompressed(t *testing.T) {
 	for name, c := range map[string]struct {
 		numRecords int
@@ -76,8 +77,8 @@
 	require.Empty(t, packRecords(nil))
 }
 
-// TestUnpackToleratesCorruptData checks that unpacking corrupted or truncated bodies does not
-// panic and does not disturb later unpacking.
+// TestUnpackToleratesCorruptData checks that unpacking a corrupted or truncated body does not
+// panic. An intact body must still unpack correctly afterwards, although decompressors are reused.
 func TestUnpackToleratesCorruptData(t *testing.T) {
 	body := packRecords(sampleRecords(5))[0]
 	rapid.Check(t, func(t *rapid.T) {
--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// maxReadyLines is how many upstreams get a log line of their own in each readyLogWindow
-	// when their first report says that they are ready. Without the limit, the start of a whole
-	// deployment would log a line for every pair of daemons. These lines would only repeat what
-	// the daemon of each upstream logs itself.
+	// maxReadyLines is how many upstreams whose first report says that they are ready get a log
+	// line of their own in each readyLogWindow. Without the limit, the start of a whole deployment
+	// would log a line for every pair of daemons. These lines would only repeat what the daemon of
+	// each upstream logs itself.
 	maxReadyLines = 16
-	// readyLogWindow is the period to which maxReadyLines applies. A summary line is written one
-	// such period after the first upstream that got no line of its own.
+	// readyLogWindow is the period to which maxReadyLines applies. When an upstream is the first
+	// to get no line of its own, a summary line follows after one such period.
 	readyLogWindow = time.Second
-	// maxNamedPeers bounds the daemons that one log line names.
+	// maxNamedPeers is how many daemons a summary line names at most.
 	maxNamedPeers = 16
 )
 
@@ -31,12 +31,12 @@
 	windowStart model.Instant
 	// lineCount is how many upstreams got a line of their own in the current window.
 	lineCount int
-	// unloggedCount counts the upstreams that got no line of their own. One summary line will cover
-	// them.
+	// unloggedCount counts the upstreams that have got no line of their own since the previous
+	// summary line. The next one will cover them.
 	unloggedCount int
 }
 
-// allow reports whether an upstream gets a log line of its own.
+// allow reports whether an upstream gets a log line of its own, and counts that line.
 func (l *readyLogLimiter) allow(now model.Instant) bool {
 	if now.Sub(l.windowStart) >= readyLogWindow {
 		l.windowStart, l.lineCount = now, 0
@@ -48,9 +48,9 @@
 	return true
 }
 
-// logPeerState logs a change in the state of a peer or of its upstream. The first report that an
-// upstream is ready may go into a summary line. Every other change gets a line of its own. The
-// caller holds p.mu.
+// logPeerState logs a change in the state of a peer or of its upstream. If the peer had no known
+// upstream before and the upstream is now ready, a summary line may cover the change. Every other
+// change gets a line of its own. The caller holds p.mu.
 func (p *peers) logPeerState(previous, current *Record) {
 	firstReady := previous.Upstream == (lifecycle.Incarnation{}) && current.State == lifecycle.Ready && !current.Stopping
 	if firstReady && !p.readyLog.allow(p.now()) {
@@ -66,8 +66,8 @@
 }
 
 // logReadySummary writes one summary line for the upstreams that got no line of their own. The
-// line names the peers whose upstreams are still unknown, at most maxNamedPeers. Every other
-// upstream either has a line of its own that states its state, or is ready.
+// line names the peers whose upstreams are still unknown, at most maxNamedPeers of them. Every
+// other upstream either is ready or has had a line of its own with its state.
 func (p *peers) logReadySummary() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/peerlog_test.go
+++ b/sidecar/peerlog_test.go
@@ -25,7 +25,7 @@
 }
 
 // newLoggedPeers returns the peers of a daemon that knows no other daemon. Its clock is the
-// virtual time of the bubble.
+// virtual time of the bubble in which the test runs (see package bubble). No exchange starts.
 func newLoggedPeers() *loggedPeers {
 	l := &loggedPeers{}
 	l.log = decision.New(decision.Options{Handler: slog.NewJSONHandler(&l.logOutput, nil)})
@@ -37,7 +37,7 @@
 	return l
 }
 
-// closeAndRead closes the log and returns its lines by kind.
+// closeAndRead closes the log and returns its lines by kind, each decoded from JSON.
 func (l *loggedPeers) closeAndRead(t *testing.T) map[decision.Kind][]map[string]any {
 	t.Helper()
 	l.log.Close(time.Second)
@@ -51,8 +51,8 @@
 	return out
 }
 
-// stateRecords returns a single record: that of peer n, with an upstream in state s. For the
-// state Unknown, the record names no upstream.
+// stateRecords returns a slice with one record, as merge takes it: the record of peer n, whose
+// upstream is in state s. For the state Unknown, the record names no upstream.
 func stateRecords(n int, sequence uint64, s lifecycle.State) []Record {
 	r := Record{Address: fmt.Sprintf("d%03d", n), Incarnation: 1, Sequence: sequence, State: s}
 	if s != lifecycle.Unknown {
@@ -63,7 +63,7 @@
 
 // TestMassStartLogsFewLines guards against a number of log lines that grows with the square of
 // the number of daemons. When a whole deployment started, each daemon logged a line about every
-// other one.
+// other daemon. Now, maxReadyLines upstreams get a line each, and one summary line covers the rest.
 func TestMassStartLogsFewLines(t *testing.T) {
 	for _, numDaemons := range []int{10, 100, 295, 1700} {
 		bubble.Run(t, func(t *testing.T) {
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -14,9 +14,13 @@
 )
 
 // Record is the state that a daemon announces about itself and its upstream. Only that daemon
-// writes it. Of two records of a daemon, the one with the higher (Incarnation, Sequence)
-// supersedes the other. The local record is the record of the daemon itself.
+// writes it. Of two records of a daemon, the one with the higher Incarnation supersedes the other.
+// If the incarnations are equal, it is the one with the higher Sequence. The local record is the
+// record that a daemon writes about itself.
 type Record struct {
+	// Address is the address at which other daemons reach the daemon. Incarnation is when the
+	// daemon started, in Unix milliseconds, or a higher number if its clock was set back. Sequence
+	// counts the changes of the record.
 	Address     string                 `json:"a"`
 	Incarnation int64                  `json:"i"`
 	Sequence    uint64                 `json:"n"`
@@ -26,11 +30,11 @@
 	Upstream lifecycle.Incarnation `json:"u,omitzero"`
 	State    lifecycle.State       `json:"st,omitempty"`
 	Slots    int                   `json:"sl,omitempty"`
-	// ColdMS is how many more milliseconds the upstream is expected to be slow because it has
-	// just started.
+	// ColdMS is for how many milliseconds, from the announcement of State on, the upstream is
+	// expected to be slow because it has just started.
 	ColdMS int64 `json:"c,omitempty"`
-	// Stopping is set while the daemon is about to stop. The daemon still accepts calls, for the
-	// case that no other daemon can.
+	// Stopping is set once the daemon is about to stop. Until it stops, it still accepts calls, for
+	// the case that no other daemon can.
 	Stopping bool `json:"x,omitempty"`
 	// Departed holds incarnations of the daemon's upstream that have left, started to drain or
 	// were replaced. It holds only the newest of those that lifecycle.Tracker.Departed returns.
@@ -58,34 +62,34 @@
 	syncing bool
 	// needsFullSync is set while the peer is to be asked for all of its records.
 	needsFullSync bool
-	// verifiedAt is when the peer was last contacted because it had not replied to a load
-	// query.
+	// verifiedAt is when verifyReachable last contacted the peer, because the peer had not replied
+	// to a load query. Zero means never.
 	verifiedAt model.Instant
 	// unreachable is set while the peer cannot be reached.
 	unreachable bool
-	// unreachableSince is when the peer became unreachable.
+	// unreachableSince is when the peer last became unreachable.
 	unreachableSince model.Instant
 }
 
 const (
 	// syncTimeout bounds one request to another daemon.
 	syncTimeout = 1500 * time.Millisecond
-	// minSyncBackoff is the shortest backoff after a failed exchange.
+	// minSyncBackoff is the shortest pause between a failed exchange and the next attempt.
 	minSyncBackoff = 100 * time.Millisecond
-	// maxSyncBackoff is the longest backoff after a failed exchange in the first
-	// fastRetryPeriod. A daemon that restarts is back within one or two seconds.
+	// maxSyncBackoff is the longest such pause in the first fastRetryPeriod for which a daemon is
+	// unreachable. A daemon that restarts is back within one or two seconds.
 	maxSyncBackoff = 2 * time.Second
 	// fastRetryPeriod is how long an unreachable daemon is retried with a backoff of at most
 	// maxSyncBackoff.
 	fastRetryPeriod = time.Minute
-	// unreachableSyncBackoff bounds the backoff after fastRetryPeriod. Retries must go on,
-	// because two regions that lose their connection for minutes have no other way to find each
-	// other. No daemon restarts in that case, and so none announces itself again.
+	// unreachableSyncBackoff is the longest such pause after fastRetryPeriod. Retries must go on,
+	// because daemons of two regions that lose their connection for minutes have no other way to
+	// find each other. No daemon restarts in that case, and so none announces itself again.
 	unreachableSyncBackoff = 15 * time.Second
 	// removalDelay is how long an unreachable daemon is retried before its record is removed.
 	removalDelay = time.Hour
 	// numRestartCheckers is how many daemons, on average, try to reach a daemon that stopped as
-	// planned. That daemon may restart while the store is unavailable. It then knows no other
+	// planned. That daemon may restart while the directory is unavailable. It then knows no other
 	// daemon.
 	numRestartCheckers = 3
 	// restartCheckDelay is the time between the announcement of a planned stop and the first
@@ -93,13 +97,14 @@
 	restartCheckDelay = 2500 * time.Millisecond
 	// numBootstrapPeers is how many daemons a starting daemon asks for all records.
 	numBootstrapPeers = 2
-	// relaysPerZone is how many daemons of each remote zone a change is pushed to. They relay
-	// the change inside their zone.
+	// relaysPerZone is how many daemons of each remote zone a change of the local record is pushed
+	// to. They relay the change inside their zone.
 	relaysPerZone = 2
 	// peerIdleTimeout is how long idle connections between daemons are kept.
 	peerIdleTimeout = 20 * time.Second
-	// peerDialTimeout bounds connecting to a daemon. It allows for a few round trips between
-	// regions. A daemon that is cut off from the network does not respond at all.
+	// peerDialTimeout bounds the time to connect to a daemon. It allows for a few round trips
+	// between regions. Without it, connecting to a daemon that is cut off from the network would
+	// take far longer, as such a daemon does not respond at all.
 	peerDialTimeout = 150 * time.Millisecond
 )
 
@@ -110,7 +115,7 @@
 	decisions *decision.Log
 	// configVersion returns the version of the configuration in force.
 	configVersion func() model.Version
-	// onVersion is called with the configuration version that a daemon has.
+	// onVersion is called with the version of the configuration that a daemon has in force.
 	onVersion func(address string, v model.Version)
 	// pushByDatagram sends a record to a daemon without a connection, and reports whether the
 	// daemon acknowledged it.
@@ -119,8 +124,8 @@
 	onReachable func()
 	// onFullSync is called when a daemon has returned all of its records.
 	onFullSync func(address string)
-	// restoreDeparted is called with departed incarnations of the local upstream that another
-	// daemon has on record.
+	// restoreDeparted is called with departed incarnations of the local upstream (see
+	// Record.Departed) that another daemon holds in a record of this daemon.
 	restoreDeparted func([]lifecycle.Incarnation)
 
 	// random returns a random number in [0, 1).
@@ -129,12 +134,12 @@
 	mu sync.Mutex
 	// local is the record of this daemon.
 	local Record
-	// predecessor is the record that other daemons hold of the previous daemon at this address.
+	// predecessor is the newest record received of the previous daemon at this address.
 	predecessor Record
 	// others holds the other daemons by address.
 	others map[string]*peer
-	// generation counts the changes to the records held, the local one included, and to the set
-	// of reachable peers.
+	// generation counts the changes to the records held, the local record included, and to the
+	// set of reachable peers.
 	generation uint64
 	// fullSyncCount counts the peers that addPeer has chosen to be asked for all records.
 	fullSyncCount int
@@ -213,9 +218,10 @@
 	}
 }
 
-// handleSyncRequest is called when another daemon has started an exchange. The reply carries the
-// local record, which makes a push to that daemon unnecessary. A push is due only if this daemon
-// still needs a full sync from that daemon.
+// handleSyncRequest is called when the daemon at address has started an exchange, and marks that
+// daemon as reachable. The reply carries the local record, so no push to that daemon is due any
+// more. If that daemon is still to be asked for all of its records, the exchange for that stays
+// due.
 func (p *peers) handleSyncRequest(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,7 +233,8 @@
 	p.markReachable(q)
 }
 
-// schedulePush schedules a push of the local record to a peer. The caller holds p.mu.
+// schedulePush schedules a push of the local record to a peer, together with the request for all
+// records if that is due. The caller holds p.mu.
 func (p *peers) schedulePush(q *peer) {
 	q.pushDue = true
 	if q.syncing || p.ctx.Err() != nil {
@@ -259,10 +266,11 @@
 	return newerRecords
 }
 
-// mergeLocal merges a record of this daemon that another daemon holds. The record may come from
-// a previous incarnation of this daemon. If the incarnation of the record is higher than the
-// current one, the clock of the previous incarnation was ahead. This daemon then raises its own
-// incarnation above that of the record. The caller holds p.mu.
+// mergeLocal merges a record of this daemon that another daemon holds. A previous daemon at this
+// address may have written it. If the incarnation of the record is higher than that of this
+// daemon, the clock of the previous daemon was ahead. This daemon then raises its own incarnation
+// above that of the record and announces its record. Departed incarnations in the record are
+// passed to restoreDeparted. The caller holds p.mu.
 func (p *peers) mergeLocal(held *Record) {
 	if held.Incarnation > p.local.Incarnation {
 		p.local.Incarnation = held.Incarnation + 1
@@ -312,9 +320,10 @@
 	return true
 }
 
-// inferSlots infers the slots of an upstream of this VM that does not report them. It returns
-// the number that the upstream reported to the previous daemon at this address. If that is
-// unknown, it returns the largest number among upstreams of the service. Zero means unknown.
+// inferSlots infers the number of slots (requests that may run at once) of an upstream of this VM
+// that does not report them. It returns the number that the upstream reported to the previous
+// daemon at this address. If that is unknown, it returns the largest number among other upstreams
+// of the same service. Zero means that neither is known.
 func (p *peers) inferSlots(i lifecycle.Incarnation) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -330,7 +339,8 @@
 	return largestSlots
 }
 
-// records returns all records held, the local one first.
+// records returns all records held, the local record first. Daemons whose record has not been
+// received are left out.
 func (p *peers) records() []Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -343,7 +353,8 @@
 	return records
 }
 
-// recordOf returns the record of another daemon, and whether that daemon is known.
+// recordOf returns the record of another daemon, and whether that daemon is known. The Sequence of
+// the record is 0 if the record has not been received yet.
 func (p *peers) recordOf(address string) (Record, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -13,8 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestLeavingUpstreamIsAnnounced checks that other daemons no longer choose an upstream that
-// leaves.
+// TestLeavingUpstreamIsAnnounced has an upstream leave while the store is down. Another daemon must
+// no longer have it as a candidate.
 func TestLeavingUpstreamIsAnnounced(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -120,7 +120,8 @@
 	})
 }
 
-// TestRecordsArePushedByDatagram pushes records without a connection.
+// TestRecordsArePushedByDatagram pushes records by datagram. A current record must be acknowledged,
+// an outdated one must not, and a push to an address without a daemon must fail.
 func TestRecordsArePushedByDatagram(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
@@ -153,8 +154,8 @@
 }
 
 // TestPlannedRestartWithStoreDown stops a daemon as planned and starts it again, both while the
-// store is down. No daemon calls it, because its record says that it has stopped. The other
-// daemons must reconnect to it on their own.
+// store is down. No daemon sends it calls, because its record says that it is stopping. The other
+// daemon must reconnect to it on its own.
 func TestPlannedRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -169,7 +170,8 @@
 	a.waitForCandidates(t, "b", 1)
 }
 
-// TestOnlyRecentlyStartedDaemonsCount checks the number of daemons and the share of recently started ones.
+// TestOnlyRecentlyStartedDaemonsCount checks the number of known daemons, and which share of them
+// counts as recently started.
 func TestOnlyRecentlyStartedDaemonsCount(t *testing.T) {
 	const (
 		span = 10 * time.Second
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// relayDelay is how long a record waits for others, so that they share a datagram.
+	// relayDelay is how long a record waits for other records, so that they share a datagram.
 	relayDelay = 20 * time.Millisecond
-	// relayJitter bounds the random delay on top of relayDelay. Of the relays of a zone, the one
-	// whose delay ends first sends the record. The others then drop it.
+	// relayJitter bounds a random delay that is added to relayDelay. Of the daemons that received
+	// a record to relay in a zone, the one whose delay ends first sends it. The others then drop it
+	// (see dropRelayed).
 	relayJitter = 80 * time.Millisecond
 )
 
@@ -28,7 +29,7 @@
 	pendingByAddress map[string]Record
 }
 
-// add schedules a record to be relayed.
+// add schedules a record to be relayed. It replaces a pending record of the same daemon.
 func (r *relay) add(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,7 +53,7 @@
 	}
 }
 
-// flush sends the pending records to all daemons of the local zone.
+// flush sends the pending records to all reachable daemons of the local zone.
 func (r *relay) flush() {
 	r.mu.Lock()
 	pending := r.pendingByAddress
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -28,8 +28,8 @@
 	return m
 }
 
-// TestChangesReachOtherZones announces a change. Only some daemons of the other zone receive
-// the push, but all must learn of the change.
+// TestChangesReachOtherZones has an upstream leave. Its daemon pushes the change to only some
+// daemons of the other zone, but all must learn of it.
 func TestChangesReachOtherZones(t *testing.T) {
 	const daemonsPerZone = 4
 	s := newStore(documentOf(1, "b"))
@@ -63,7 +63,7 @@
 	c.waitForCandidates(t, "b", 2)
 }
 
-// pushCounts counts the pushes of a record by the zone of the receiver.
+// pushCounts counts pushes of the local record by the zone of the receiver.
 type pushCounts struct {
 	mu          sync.Mutex
 	countByZone map[string]int
@@ -76,8 +76,8 @@
 }
 
 // TestAnnouncementsGrowWithZones changes the record of one daemon. The record must be pushed to
-// all daemons of the local zone. In each remote zone, the number of pushes must be the same
-// whatever the size of the deployment.
+// all other daemons of the local zone. In each remote zone, it must be pushed to relaysPerZone
+// daemons, whatever the size of the deployment.
 func TestAnnouncementsGrowWithZones(t *testing.T) {
 	const numZones = 5
 	zoneOf := func(i int) string { return fmt.Sprint("z", i%numZones) }
@@ -112,7 +112,8 @@
 	}
 }
 
-// TestRelayPacksRecords checks that records relayed at the same time share datagrams.
+// TestRelayPacksRecords relays many records at the same time to two daemons. All must arrive, at
+// least five records to a datagram on average.
 func TestRelayPacksRecords(t *testing.T) {
 	const numRecords = 60
 	var mu sync.Mutex
@@ -145,8 +146,8 @@
 	require.LessOrEqual(t, numDatagrams, 2*numRecords/5)
 }
 
-// TestEqualRecordsHaveEqualDigests checks that two daemons with equal records have equal
-// digests. A round between them then ends after the digest, and no records are sent.
+// TestEqualRecordsHaveEqualDigests checks that two daemons get equal digests once they hold equal
+// records. An anti-entropy round between them then ends after the digest, and no records are sent.
 func TestEqualRecordsHaveEqualDigests(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "b", "b1"), startReady(t, s, "b", "b2")
@@ -159,8 +160,9 @@
 	require.Empty(t, unpackRecords([]byte("{broken")))
 }
 
-// TestRelaySkipsRecordsSentByAnother has another relay of the zone send a record first. The
-// record must not be sent again, unless the relayed one is older.
+// TestRelaySkipsRecordsSentByAnother has another daemon of the zone relay a record while a record
+// of the same daemon is pending here. The pending record must not be sent, unless it is newer than
+// the relayed one.
 func TestRelaySkipsRecordsSentByAnother(t *testing.T) {
 	const seq = 5
 	for name, c := range map[string]struct {
--- a/sidecar/replaced_test.go
+++ b/sidecar/replaced_test.go
@@ -47,9 +47,10 @@
 	}
 }
 
-// TestReplacedDaemonYieldsUnknownOutcome replaces the VM of a guard. The daemon that has the
-// address afterwards has never received the call. Its statement that the call has not run proves
-// nothing.
+// TestReplacedDaemonYieldsUnknownOutcome asks for the outcome of an attempt after the daemon that
+// it was sent to has been replaced by another one at the same address. The new daemon has never
+// received the call, so its statement that the call has not run would prove nothing. The outcome
+// must be unknown. Without the replacement, the outcome must be that the call has not run.
 func TestReplacedDaemonYieldsUnknownOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		replace bool
@@ -73,8 +74,9 @@
 	}
 }
 
-// TestLoadIsOfTheQueriedUpstream replaces the VM of a guard. The load of the new upstream
-// must not be attributed to the previous one.
+// TestLoadIsOfTheQueriedUpstream replaces the daemon and the upstream at an address. The load of the
+// new upstream must not be attributed to the previous upstream, neither by a load query nor by the
+// result of a call.
 func TestLoadIsOfTheQueriedUpstream(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -24,7 +24,8 @@
 	// another limit.
 	defaultHeaderTimeout = 10 * time.Second
 	// idleCloseDelay is how much longer than the idle timeout an idle connection of a caller is
-	// kept. A request sent just before the timeout then arrives before the close.
+	// kept. A request that the caller sends just before the timeout then arrives before the
+	// connection is closed.
 	idleCloseDelay = time.Second
 )
 
@@ -35,9 +36,10 @@
 	listener net.Listener
 
 	mu sync.Mutex
-	// idleConns holds the idle connections.
+	// idleConns holds the idle connections that are to be closed after the idle timeout.
 	idleConns map[net.Conn]*idleConn
-	// limits are the limits advertised to callers. They may change while the server runs.
+	// limits are the limits advertised to callers. They may change while the server runs. Zero
+	// until setLimits is called: idle connections are then kept open.
 	limits route.Limits
 	// activeConns holds the connections whose request has been read and whose response has not
 	// been written completely.
@@ -66,13 +68,13 @@
 	return s
 }
 
-// noIdleTimeout disables the idle timeout of http.Server, which cannot change while the
-// server runs. trackConn closes idle connections instead.
+// noIdleTimeout is so long that it in effect disables the idle timeout of http.Server, which cannot
+// change while the server runs. trackConn has idle connections closed instead.
 const noIdleTimeout = 24 * time.Hour
 
-// setLimits sets the limits that are advertised to callers. Callers go by the newest value that
-// they know. A longer idle timeout therefore also applies to connections that are idle already.
-// A shorter one does not, because some callers may not know it yet.
+// setLimits sets the limits that are advertised to callers. Callers go by the newest idle timeout
+// that they know. A timeout longer than the previous one therefore also applies to connections
+// that are idle already. A shorter one does not, because some callers may not know it yet.
 func (s *server) setLimits(l route.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +89,8 @@
 	}
 }
 
-// trackConn tracks the states of connections, and closes those that stay idle for longer than
-// the idle timeout. It is the ConnState hook of http.Server.
+// trackConn tracks the states of connections, and sets and stops the timers that close idle
+// connections. It is the ConnState hook of http.Server.
 func (s *server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +107,8 @@
 	}
 }
 
-// scheduleClose starts the timer that closes an idle connection. The caller holds s.mu.
+// scheduleClose starts the timer that closes an idle connection, idleCloseDelay after the idle
+// timeout. The caller holds s.mu.
 func (s *server) scheduleClose(c net.Conn, idleSince time.Time) {
 	i := &idleConn{idleSince: idleSince}
 	i.timer = time.AfterFunc(time.Until(idleSince.Add(s.limits.IdleTimeout+idleCloseDelay)), func() { s.closeIdle(c, i) })
@@ -119,8 +122,8 @@
 	return len(s.activeConns)
 }
 
-// closeIdle closes a connection whose idle timer has fired. It does nothing if the connection
-// has been in use since the timer was set.
+// closeIdle closes a connection whose idle timer has fired. expected is the idleConn that the timer
+// belongs to. closeIdle does nothing if the connection is no longer idle or has a newer timer.
 func (s *server) closeIdle(c net.Conn, expected *idleConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/sidecar/server_test.go
+++ b/sidecar/server_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestIdleTimeoutChangeAppliesToIdleConnections changes the idle timeout while a connection is
-// idle. A longer timeout must apply to the connection, a shorter one must not.
+// idle. The connection must be closed after the longer of the old and the new timeout.
 func TestIdleTimeoutChangeAppliesToIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after time.Duration
@@ -61,8 +61,8 @@
 }
 
 // TestIdleTimersCloseNoConnectionInUse guards against a forwarded request that gets no response
-// because its connection is closed. That happens if the idle timer of the connection is due and
-// fires only after the request has been read.
+// because its connection is closed. That happens if the idle timer of the connection expires just
+// when the request has been read, too late to be stopped.
 func TestIdleTimersCloseNoConnectionInUse(t *testing.T) {
 	s, conn, idle := newServerWithIdleConn(t)
 	s.trackConn(conn, http.StateActive)
@@ -75,8 +75,8 @@
 	require.Error(t, conn.SetDeadline(time.Time{}), "the connection is closed")
 }
 
-// acceptConn opens a connection. It returns the context of requests on the connection, and both
-// of its ends.
+// acceptConn opens a connection. It returns the context of requests on the connection, the end
+// that the server accepted, and the end of the client.
 func acceptConn(t *testing.T) (ctx context.Context, conn, clientConn net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/sidecar/stalledlog_test.go
+++ b/sidecar/stalledlog_test.go
@@ -42,7 +42,7 @@
 	for i := range quarantineThreshold {
 		m.quarantine.store.RecordCrash(core.FingerprintOf(r), r, core.Crash{Upstream: "a9", Incarnation: model.Incarnation(i)})
 	}
-	// The quarantine evaluates crashes within half a second.
+	// Within half a second, the daemon evaluates the crashes and quarantines the request.
 	time.Sleep(time.Second)
 	done := make(chan int, 1)
 	go func() {
--- a/sidecar/summary.go
+++ b/sidecar/summary.go
@@ -3,7 +3,8 @@
 import "encoding/binary"
 
 const (
-	// summaryEntryBytes is the encoded size of an entry of a summary.
+	// summaryEntryBytes is the encoded size of an entry of a summary: an address hash, an
+	// incarnation and a sequence number.
 	summaryEntryBytes = 4 + 8 + 8
 	// addressHashBytes is the encoded size of an address hash in a record request.
 	addressHashBytes = 4
@@ -18,7 +19,7 @@
 type summary struct {
 	// bucketSet has a bit for each bucket. The bit is set if the summary covers the bucket.
 	bucketSet uint32
-	// versionsByHash holds the versions of the records, by the hash of the address.
+	// versionsByHash holds the versions of the records, by the hash of the daemon's address.
 	versionsByHash map[uint32]recordVersion
 }
 
@@ -38,9 +39,10 @@
 	return v.sequence > old.sequence
 }
 
-// newSummary returns a summary of as many of the wanted buckets as fit a datagram. The first
-// bucket is always covered. If it is too large for a datagram, some of its entries are left out.
-// The receiver then sends the records of these entries, although this daemon already has them.
+// newSummary returns a summary of those records that are in the wanted buckets. It covers as many
+// of these buckets as fit a datagram, in the given order. The first bucket is always covered. If
+// it alone is too large for a datagram, some of its entries are left out. The receiver then sends
+// the records of these entries, although this daemon already has them.
 func newSummary(records []Record, wantedBuckets []int) *summary {
 	recordsByBucket := make(map[int][]*Record)
 	for i := range records {
@@ -64,9 +66,9 @@
 	return s
 }
 
-// diff compares a summary from another daemon with the records held here. It returns the records
-// that are newer here or missing there. It also returns the address hashes of the records that
-// are newer there or missing here.
+// diff compares a summary from another daemon with the records held here, in the buckets that the
+// summary covers. It returns the records that are newer here or missing there. It also returns the
+// address hashes of the records that are newer there or missing here.
 func (s *summary) diff(records []Record) (newerRecords []Record, wantedHashes []uint32) {
 	localVersions := make(map[uint32]recordVersion, len(s.versionsByHash))
 	for i := range records {
@@ -88,6 +90,7 @@
 	return newerRecords, wantedHashes
 }
 
+// encode returns the summary as the body of a datagram: bucketSet, followed by the entries.
 func (s *summary) encode() []byte {
 	b := make([]byte, 0, bucketHashBytes+len(s.versionsByHash)*summaryEntryBytes)
 	b = binary.BigEndian.AppendUint32(b, s.bucketSet)
@@ -99,7 +102,8 @@
 	return b
 }
 
-// decodeSummary decodes a summary and reports whether it is well-formed.
+// decodeSummary decodes what summary.encode returned. It returns false if the length is not that of
+// a bucket set and whole entries.
 func decodeSummary(b []byte) (*summary, bool) {
 	if len(b) < bucketHashBytes || (len(b)-bucketHashBytes)%summaryEntryBytes != 0 {
 		return nil, false
@@ -114,8 +118,8 @@
 	return s, true
 }
 
-// encodeRecordRequest encodes a request for the records with these address hashes. It leaves out
-// hashes that do not fit a datagram.
+// encodeRecordRequest encodes a request for the records with the given address hashes. It leaves
+// out the hashes that no longer fit the datagram.
 func encodeRecordRequest(hashes []uint32) []byte {
 	hashes = hashes[:min(len(hashes), maxRequestedHashes)]
 	b := make([]byte, 0, len(hashes)*addressHashBytes)
@@ -125,7 +129,8 @@
 	return b
 }
 
-// decodeRecordRequest returns the set of requested address hashes.
+// decodeRecordRequest returns the set of requested address hashes. An incomplete hash at the end is
+// ignored.
 func decodeRecordRequest(b []byte) map[uint32]bool {
 	out := make(map[uint32]bool)
 	for ; len(b) >= addressHashBytes; b = b[addressHashBytes:] {
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -11,7 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/core/lifecycle"
 )
 
-// recordTable holds the records of one daemon, by address.
+// recordTable holds the records that one daemon holds, by the address of the daemon that each
+// describes.
 type recordTable map[string]Record
 
 func newRecordTable(records []Record) recordTable {
@@ -30,8 +31,8 @@
 	return out
 }
 
-// merge packs records into datagram bodies, unpacks and merges them, and returns the bytes of
-// the datagrams.
+// merge packs records into datagram bodies, unpacks these, and merges the records into the table.
+// It returns how many bytes the datagrams have.
 func (t recordTable) merge(records []Record) int {
 	numBytes := 0
 	for _, b := range packRecords(records) {
@@ -46,7 +47,7 @@
 }
 
 // reconcile runs one anti-entropy round between two tables, as antiEntropy does between daemons.
-// It returns the bytes of all datagrams.
+// It returns how many bytes all datagrams of the round have.
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
 	responderDigest, initiatorDigest := digestOf(responder.records()), digestOf(initiator.records())
@@ -79,9 +80,9 @@
 	return numBytes + initiator.merge(requested)
 }
 
-// TestAntiEntropyCostIsBounded changes one record among many. It bounds the bytes that two
-// daemons exchange until they agree. The bound is about the size of a digest plus the summary of
-// one bucket.
+// TestAntiEntropyCostIsBounded has one record among many differ between two daemons. One round must
+// make them agree, and the bytes that they exchange are bounded. The bound is about the size of a
+// digest plus the summary of one bucket. A second round must cost no more than a digest.
 func TestAntiEntropyCostIsBounded(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 1000, 1700} {
 		for name, change := range map[string]func(a, b recordTable, r Record){
@@ -103,7 +104,8 @@
 }
 
 // TestTablesConverge starts with tables that have only one record in common, as after a start of
-// all daemons at once. Repeated rounds must make all tables equal.
+// all daemons at once. Each daemon runs twelve anti-entropy rounds with randomly chosen daemons.
+// All tables must then be equal.
 func TestTablesConverge(t *testing.T) {
 	const numDaemons, numRounds = 60, 12
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -122,8 +124,8 @@
 	}
 }
 
-// TestTruncatedSummariesConverge uses buckets whose summaries fit no datagram. Repeated rounds
-// must still make the tables equal.
+// TestTruncatedSummariesConverge has so many records that even the summary of a single bucket does
+// not fit a datagram. Repeated rounds must still make two tables equal that differ in one record.
 func TestTruncatedSummariesConverge(t *testing.T) {
 	const n = 4000
 	records := sampleRecords(n)
@@ -138,8 +140,8 @@
 	require.Equal(t, a, b)
 }
 
-// TestGoneDaemonsAreNotInSummary compares tables of which only one still holds the record of
-// a daemon that is gone.
+// TestGoneDaemonsAreNotInSummary has a record of a stopping daemon whose upstream is gone. Neither
+// a summary nor the comparison with an empty summary may include it.
 func TestGoneDaemonsAreNotInSummary(t *testing.T) {
 	records := sampleRecords(3)
 	records[1].Stopping, records[1].State = true, lifecycle.Gone
@@ -149,7 +151,8 @@
 	require.Empty(t, wanted)
 }
 
-// TestDecodeSummaryToleratesAnyBytes decodes arbitrary bytes.
+// TestDecodeSummaryToleratesAnyBytes decodes arbitrary bytes as a record request and as a summary,
+// and compares the summary with records. None of this may panic.
 func TestDecodeSummaryToleratesAnyBytes(t *testing.T) {
 	records := sampleRecords(10)
 	rapid.Check(t, func(t *rapid.T) {
--- a/sidecar/sync.go
+++ b/sidecar/sync.go
@@ -8,9 +8,9 @@
 )
 
 // syncLoop pushes the local record to a peer, with retries, until the peer has the current local
-// record. It pushes by datagram first. If the datagram is not acknowledged, it uses a
-// connection. If the peer is to be asked for all records, it sends no datagram and uses a
-// connection at once.
+// record or is given up. It pushes the record by datagram first. If no datagram is acknowledged, it
+// exchanges records over a connection. If the peer is to be asked for all of its records, syncLoop
+// uses a connection at once.
 func (p *peers) syncLoop(q *peer) {
 	backoff := pause.Backoff{Min: minSyncBackoff, Max: maxSyncBackoff}
 	for {
@@ -41,7 +41,7 @@
 			return
 		}
 		backoff.Max = maxBackoff
-		// The error is ignored: the loop checks the context itself.
+		// Wait fails only when the context ends, which the loop checks itself.
 		_ = backoff.Wait(p.ctx)
 	}
 }
@@ -53,7 +53,9 @@
 	p.markReachable(q)
 }
 
-// recordExchange marks a peer as reachable after an exchange and merges the reply.
+// recordExchange marks a peer as reachable after an exchange over a connection, merges the records
+// of the reply and passes on the configuration version in it. If the exchange was a request for
+// all records, that request is no longer due.
 func (p *peers) recordExchange(q *peer, address string, reply syncMessage) {
 	p.mu.Lock()
 	p.markReachable(q)
@@ -68,8 +70,9 @@
 	p.firstContactOnce.Do(func() { close(p.firstContact) })
 }
 
-// recordFailedExchange records a failed exchange. It returns whether to retry, and the maximum
-// of the backoff before the retry. Two kinds of peers are removed instead: a stopping peer whose
+// recordFailedExchange marks a peer as unreachable after a failed exchange. If the peer was to be
+// asked for all records, another peer is chosen for that. It returns whether to retry, and the
+// longest pause before the retry. Two kinds of peers are removed instead: a stopping peer whose
 // upstream is gone, and a peer that has been unreachable for removalDelay.
 func (p *peers) recordFailedExchange(q *peer, err error) (retry bool, maxBackoff time.Duration) {
 	p.mu.Lock()
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -18,31 +18,32 @@
 )
 
 const (
-	// maxKeptVersions is how many documents are kept, including the one in force. Deltas can start
-	// from any of them.
+	// maxKeptVersions is how many documents are kept at most, the one in force included. Another
+	// daemon that has one of them in force can be sent a delta.
 	maxKeptVersions = 4
 	// maxPlainDocumentBytes is the size up to which a document is sent as it is. For a document
 	// of that size, computing a delta would cost more processor time than the saved bytes are
 	// worth.
 	maxPlainDocumentBytes = 1 << 10
-	// maxDocumentBytes bounds a document that is restored from a delta.
+	// maxDocumentBytes bounds a document that is restored from a delta. A larger one is an error.
 	maxDocumentBytes = 16 << 20
 	// heldVersionParam is the query parameter with the version that the requesting daemon has in
 	// force.
 	heldVersionParam = "have"
 )
 
-// storedDocument is a version of the configuration as it was read from the store.
+// storedDocument is a version of the configuration, byte by byte as it was read from the store.
 type storedDocument struct {
 	version model.Version
 	raw     []byte
-	// deltas caches the deltas to this document. The key is the version that the delta starts
-	// from. The delta from version 0 is the compressed document.
+	// deltas caches the deltas to this document, by the version that each starts from. The delta
+	// from version 0 is the compressed document. A nil delta means that it would save no bytes.
 	deltas map[model.Version][]byte
 }
 
-// documentHistory keeps the newest documents. A daemon that has one of them can be sent a delta.
-// The zero value is empty. It is safe for concurrent use.
+// documentHistory keeps the documents that came into force last, at most maxKeptVersions. A daemon
+// that has one of them in force can be sent a delta. The zero value is an empty history. It is safe
+// for concurrent use.
 type documentHistory struct {
 	mu sync.Mutex
 	// documents are sorted by ascending version.
@@ -92,8 +93,8 @@
 // deltaFrom returns the delta from a version to the document in force. If the version is not
 // kept, the delta starts from the empty document.
 //
-// A nil delta means that the document itself is to be sent. It is nil if the document is small,
-// if the delta is no smaller, or if there is no document.
+// The delta is nil if the document itself is to be sent, because the document is small or the delta
+// is no smaller than the document. It is also nil if there is no document.
 func (v *documentHistory) deltaFrom(version model.Version) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -122,9 +123,10 @@
 	return d, nil
 }
 
-// fetch returns the document that another daemon has in force. If that daemon keeps the version
-// in force here, only a delta is transferred. The error is a *hop.RequestError, a *StatusError
-// or a *DeltaError.
+// fetch returns the document that the daemon at address has in force. If that daemon keeps the
+// version in force here, only the delta from that version is transferred. If the document cannot
+// be restored from the delta, fetch requests it again without stating a version held. The error,
+// if any, is a *hop.RequestError, a *StatusError or a *DeltaError.
 func (c *configuration) fetch(ctx context.Context, pool *hop.Pool, address string) ([]byte, error) {
 	heldVersion := c.version()
 	base := c.history.document(heldVersion)
@@ -132,13 +134,13 @@
 	if err == nil || base == nil || !errors.As(err, new(*DeltaError)) {
 		return raw, err
 	}
-	// The other daemon holds a different document under the same version.
+	// The other daemon probably holds a different document under the same version.
 	c.decisions.Write(decision.ConfigRefused, "", slog.Uint64("version", uint64(heldVersion)),
 		slog.Uint64("in_force", uint64(heldVersion)), slog.String("from", address), slog.String("error", err.Error()))
 	return fetchSince(ctx, pool, 0, nil)
 }
 
-// DeltaError reports a delta from which the document could not be restored.
+// DeltaError reports that a document could not be restored from a delta.
 type DeltaError struct {
 	// From is the version that the delta starts from.
 	From model.Version
@@ -151,8 +153,9 @@
 // Unwrap returns the cause of the failure.
 func (e *DeltaError) Unwrap() error { return e.Err }
 
-// fetchSince requests the document in force from a daemon. base is the document of
-// heldVersion, or nil if this daemon does not hold that version.
+// fetchSince requests the document that a daemon has in force, or the delta from heldVersion to
+// it, and returns the document. base is the document of heldVersion, or nil if this daemon does
+// not hold that version.
 func fetchSince(ctx context.Context, pool *hop.Pool, heldVersion model.Version, base []byte) ([]byte, error) {
 	query := url.Values{heldVersionParam: {strconv.FormatUint(uint64(heldVersion), 10)}}
 	path := pathConfig + "?" + query.Encode()
@@ -175,7 +178,8 @@
 }
 
 // config responds with the document in force. It responds with a delta instead (status 226, RFC
-// 3229) if the request states a version and the delta saves bytes.
+// 3229) if the request states a version and a delta is worth sending (see deltaFrom). If no
+// configuration is in force, it responds with status 404.
 func (p peerHandler) config(w http.ResponseWriter, r *http.Request) {
 	history := &p.d.config.history
 	raw := history.newest()
@@ -191,8 +195,9 @@
 	_, _ = w.Write(raw)
 }
 
-// deltaFromParam returns the delta from the version stated in a heldVersionParam. It returns nil
-// if there is no delta or the version is not a number.
+// deltaFromParam returns the delta from the version that param, the value of heldVersionParam,
+// states. It returns nil if there is no delta to send, if param is not a number, or if computing
+// the delta fails, which is logged.
 func (p peerHandler) deltaFromParam(param string) []byte {
 	heldVersion, err := strconv.ParseUint(param, 10, 64)
 	if err != nil {
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -16,8 +16,8 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// largeDocument returns a document of about a hundred kilobytes. The documents of two
-// versions differ in the version number and in one additional line each.
+// largeDocument returns a document of about a hundred kilobytes. The documents of two versions
+// differ in the version number and in one extra line that each has.
 func largeDocument(version int) []byte {
 	const routes = 2000
 	var b strings.Builder
@@ -31,7 +31,8 @@
 	return []byte(b.String())
 }
 
-// versionSource decodes the documents that largeDocument returns.
+// versionSource decodes the documents that largeDocument returns. Its routes are those of
+// documentOf.
 type versionSource struct{ Source }
 
 func (versionSource) Decode(raw []byte) (route.Document, error) {
@@ -50,8 +51,8 @@
 	return c
 }
 
-// serveVersions serves the documents of a configuration as a daemon does. It adds the bytes sent
-// to *sentBytes.
+// serveVersions serves the documents of a configuration as a daemon does, and returns a connection
+// pool to the server. It adds the bytes of each response body to *sentBytes.
 func serveVersions(t *testing.T, c *configuration, sentBytes *int) *hop.Pool {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
@@ -66,7 +67,8 @@
 	return pool
 }
 
-// TestFetchTransfersDelta has a daemon fetch version 9 and bounds the bytes transferred.
+// TestFetchTransfersDelta has a daemon fetch version 9 and bounds the bytes transferred. The bound
+// is low only if the daemon has a version in force from which the other daemon can make a delta.
 func TestFetchTransfersDelta(t *testing.T) {
 	const newest, compressedBytes = 9, 25_000
 	for name, c := range map[string]struct {
@@ -96,8 +98,8 @@
 	}
 }
 
-// TestSmallDocumentsAreSentWhole checks that no delta is computed for a document of a few
-// bytes.
+// TestSmallDocumentsAreSentWhole checks that no delta is computed for a document of a few bytes,
+// although the version that the delta would start from is kept.
 func TestSmallDocumentsAreSentWhole(t *testing.T) {
 	var v documentHistory
 	v.add(1, []byte("one"))
@@ -108,7 +110,8 @@
 	require.Equal(t, "two", string(v.newest()))
 }
 
-// TestKeptVersionsAreBounded brings more versions into force than are kept.
+// TestKeptVersionsAreBounded brings more versions into force than maxKeptVersions. Only the newest
+// ones may be kept.
 func TestKeptVersionsAreBounded(t *testing.T) {
 	c := configWithVersions(100)
 	require.Len(t, c.history.documents, maxKeptVersions)
