--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -69,9 +69,7 @@
 }
 
 // Receive implements ConfigConsumer.
-func (f *configFollower) Receive(raw []byte, origin string) bool {
-	return f.d.config.apply(raw, origin)
-}
+func (f *configFollower) Receive(raw []byte, from string) bool { return f.d.config.apply(raw, from) }
 
 // AwaitTurn implements ConfigConsumer. It returns nil once this daemon watches the store, or an
 // error when the context ends.
