--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -20,8 +20,8 @@
 }
 
 // configuration holds the newest valid configuration seen, which is the one in force. The version
-// in force never decreases: a document that is older, missing or invalid changes nothing. It is
-// safe for concurrent use.
+// in force never decreases: a document that is older, missing or invalid changes nothing.
+// configuration is safe for concurrent use.
 type configuration struct {
 	source    Source
 	decisions *decision.Log
@@ -67,9 +67,9 @@
 }
 
 // apply puts a document into force if it is valid and newer than the configuration in force. It
-// reports whether the document is valid. An invalid document is logged. Of a document that is not
-// newer, apply checks only that it can be decoded. origin names the origin of the document in log
-// lines.
+// reports whether the document is valid. It logs the change, or why the document is invalid. Of a
+// document that is not newer, apply checks only that it can be decoded. origin names the origin of
+// the document in log lines.
 func (c *configuration) apply(raw []byte, origin string) bool {
 	doc, err := c.source.Decode(raw)
 	if err == nil && doc.Version <= c.version() {
@@ -143,19 +143,19 @@
 	fetchJitter = 100 * time.Millisecond
 )
 
-// onWatcherVersion is called with the version that the daemon at address announced, which watches
-// the configuration store. If the version is newer than the one in force, it is fetched from that
-// daemon after a random delay.
+// onWatcherVersion is called when the daemon at address, which watches the configuration store, has
+// announced version v. If v is newer than the version in force here, it is fetched from that daemon
+// after a random delay.
 func (d *Daemon) onWatcherVersion(address string, v model.Version) {
 	if v > d.config.version() {
 		time.AfterFunc(rand.N(fetchJitter), func() { d.startFetch(address, v) })
 	}
 }
 
-// onPeerVersion is called with the version that the daemon at address has in force. If the version
-// is newer than the one in force here, it is fetched from that daemon. If the daemon is in a remote
-// zone and a configuration is already in force here, the fetch starts after remoteZoneFetchDelay.
-// Otherwise it starts at once.
+// onPeerVersion is called when the daemon at address has stated that it has version v in force. If v
+// is newer than the version in force here, it is fetched from that daemon. If the daemon is in a
+// remote zone and a configuration is already in force here, the fetch starts after
+// remoteZoneFetchDelay. Otherwise it starts at once.
 func (d *Daemon) onPeerVersion(address string, v model.Version) {
 	if v <= d.config.version() {
 		return
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -239,8 +239,8 @@
 	// discoveryWait bounds how long a starting daemon waits for the first exchange with another
 	// daemon. After the wait, it asks the local upstream for its identity.
 	discoveryWait = 500 * time.Millisecond
-	// readinessWait bounds another wait of a starting daemon for the first exchange with another
-	// daemon. After this wait, it is ready as soon as a configuration is in force.
+	// readinessWait bounds a separate wait, at the same time, for the same exchange. After it, the
+	// starting daemon is ready as soon as a configuration is in force.
 	readinessWait = 1500 * time.Millisecond
 	// restartBackoff is the pause before a component that keeps failing is restarted.
 	restartBackoff = time.Second
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -225,7 +225,7 @@
 	return a.nextID
 }
 
-// cancel drops those of the queries with the given ids that have got no reply.
+// cancel drops the queries with the given ids. A query that has got its reply is gone already.
 func (a *datagrams) cancel(ids []uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -143,7 +143,7 @@
 }
 
 // updateWatching decides whether this daemon watches the store, and records whether a daemon of
-// the cell reaches it. It reports whether to poll another daemon for its configuration now.
+// the cell reaches the store. It reports whether to poll another daemon for its configuration now.
 func (f *configFollower) updateWatching() (pollDue bool) {
 	now := f.d.now()
 	// addresses are the daemons of the local zone. numZones counts all zones. Both are set only if
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -30,7 +30,7 @@
 	From Record `json:"f"`
 	// WantAll requests all records of the receiver.
 	WantAll bool `json:"w,omitempty"`
-	// Records holds records other than From. Only replies have them.
+	// Records holds records that the sender holds, From not included. Only replies have any.
 	Records []Record `json:"k,omitempty"`
 	// Version is the version of the configuration in force at the sender.
 	Version model.Version `json:"v"`
--- a/sidecar/peers.go
+++ b/sidecar/peers.go
@@ -74,7 +74,8 @@
 const (
 	// syncTimeout bounds one request to another daemon.
 	syncTimeout = 1500 * time.Millisecond
-	// minSyncBackoff is the shortest pause between a failed exchange and the next attempt.
+	// minSyncBackoff bounds the pause between a first failed exchange and the next attempt. The
+	// bound doubles with each further failure.
 	minSyncBackoff = 100 * time.Millisecond
 	// maxSyncBackoff is the longest such pause in the first fastRetryPeriod for which a daemon is
 	// unreachable. A daemon that restarts is back within one or two seconds.
