--- a/sidecar/antientropy.go
+++ b/sidecar/antientropy.go
@@ -88,8 +88,8 @@
 	}
 	records := a.d.peers.records()
 	var differingBuckets []int
-	for i, sum := range digestOf(records) {
-		if sum != binary.BigEndian.Uint32(body[i*bucketHashBytes:]) {
+	for i, bucketHash := range digestOf(records) {
+		if bucketHash != binary.BigEndian.Uint32(body[i*bucketHashBytes:]) {
 			differingBuckets = append(differingBuckets, i)
 		}
 	}
@@ -141,8 +141,8 @@
 // encode returns the digest as the body of a datagram.
 func (d digest) encode() []byte {
 	b := make([]byte, 0, digestBuckets*bucketHashBytes)
-	for _, sum := range d {
-		b = binary.BigEndian.AppendUint32(b, sum)
+	for _, bucketHash := range d {
+		b = binary.BigEndian.AppendUint32(b, bucketHash)
 	}
 	return b
 }
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -50,9 +50,9 @@
 	for range numStarts {
 		p := isolatedPeers(t, "z3")
 		p.addDirectoryEntries(entries)
-		selected := p.pendingFullSyncs()
-		require.Len(t, selected, numBootstrapPeers)
-		for _, address := range selected {
+		selectedAddresses := p.pendingFullSyncs()
+		require.Len(t, selectedAddresses, numBootstrapPeers)
+		for _, address := range selectedAddresses {
 			require.EqualValues(t, "z3", zoneByAddress[address])
 			selectionCountByAddress[address]++
 		}
--- a/sidecar/finallog_test.go
+++ b/sidecar/finallog_test.go
@@ -46,14 +46,14 @@
 		defer d.guard.mu.Unlock()
 		return d.guard.closed
 	})
-	var unanswered sync.Map
+	var unansweredIDs sync.Map
 	var wg sync.WaitGroup
 	for i, caller := range callers {
 		id := fmt.Sprint("second-", i)
 		caller.send(t, id)
 		wg.Go(func() {
 			if _, err := caller.readResponse(); err != nil {
-				unanswered.Store(id, true)
+				unansweredIDs.Store(id, true)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	numLost := 0
 	for _, r := range peerMember.upstream.requests() {
 		if id := r.Header.Get("T-Id"); strings.HasPrefix(id, "second-") {
-			if _, ok := unanswered.Load(id); ok {
+			if _, ok := unansweredIDs.Load(id); ok {
 				numLost++
 			}
 		}
--- a/sidecar/follow_test.go
+++ b/sidecar/follow_test.go
@@ -26,16 +26,16 @@
 		wantedWatchers = 3
 	)
 	s := newStore(documentOf(1, "a"))
-	var all []*member
+	var members []*member
 	for i := range numDaemons {
-		all = append(all, startReady(t, s, "a", fmt.Sprint("a", i)))
+		members = append(members, startReady(t, s, "a", fmt.Sprint("a", i)))
 	}
-	for _, m := range all {
+	for _, m := range members {
 		m.waitForCandidates(t, "a", numDaemons)
 	}
-	eventually(t, "three daemons watch", func() bool { return len(watchers(all)) == wantedWatchers })
+	eventually(t, "three daemons watch", func() bool { return len(watchers(members)) == wantedWatchers })
 	var survivors []*member
-	for _, m := range all {
+	for _, m := range members {
 		if m.follower.watchesStore() {
 			m.kill()
 		} else {
--- a/sidecar/idledaemons_test.go
+++ b/sidecar/idledaemons_test.go
@@ -23,17 +23,17 @@
 	for _, numDaemons := range []int{10, 40} {
 		b.Run(fmt.Sprint(numDaemons, " daemons"), func(b *testing.B) {
 			s := newStore(documentOf(1, "a"))
-			var all []*member
+			var members []*member
 			for i := range numDaemons {
-				all = append(all, startReady(b, s, "a", fmt.Sprint("a", i)))
+				members = append(members, startReady(b, s, "a", fmt.Sprint("a", i)))
 			}
 			time.Sleep(settleTime)
 			for b.Loop() {
-				cpuBefore, sentBefore := cpuTime(b), controlBytes(all, "", "sent")
+				cpuBefore, sentBefore := cpuTime(b), controlBytes(members, "", "sent")
 				time.Sleep(interval)
 				daemonSeconds := interval.Seconds() * float64(numDaemons)
 				b.ReportMetric(100*(cpuTime(b)-cpuBefore).Seconds()/daemonSeconds, "%core/daemon")
-				b.ReportMetric(float64(controlBytes(all, "", "sent")-sentBefore)/daemonSeconds, "B/s/daemon")
+				b.ReportMetric(float64(controlBytes(members, "", "sent")-sentBefore)/daemonSeconds, "B/s/daemon")
 			}
 		})
 	}
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -130,11 +130,11 @@
 // decodeResolveRequest decodes a URL query that resolveRequest.encode made. It returns an error if
 // a number is missing or malformed.
 func decodeResolveRequest(v url.Values) (resolveRequest, error) {
-	values, err := parseInts(v.Get(resolveIncarnationParam), v.Get(resolveTimeLeftParam))
+	ints, err := parseInts(v.Get(resolveIncarnationParam), v.Get(resolveTimeLeftParam))
 	if err != nil {
 		return resolveRequest{}, err
 	}
-	return resolveRequest{key: v.Get(resolveKeyParam), incarnation: values[0], timeLeft: time.Duration(values[1]) * time.Millisecond}, nil
+	return resolveRequest{key: v.Get(resolveKeyParam), incarnation: ints[0], timeLeft: time.Duration(ints[1]) * time.Millisecond}, nil
 }
 
 // resolveArrivalTimeout is how long the sender of a resolveRequest waits for a sign that the
@@ -311,7 +311,7 @@
 	if !readMessage(w, r, maxSyncBytes, &m) {
 		return
 	}
-	previous, _ := p.d.peers.recordOf(m.From.Address)
+	heldRecord, _ := p.d.peers.recordOf(m.From.Address)
 	for _, newer := range p.d.peers.merge(append([]Record{m.From}, m.Records...)) {
 		if newer.Address == m.From.Address && newer.Zone != p.d.opts.Zone {
 			p.d.relay.add(newer)
@@ -320,9 +320,9 @@
 	p.d.peers.handleSyncRequest(m.From.Address)
 	p.d.onPeerVersion(m.From.Address, m.Version)
 	reply := syncMessage{From: p.d.peers.localRecord(), Version: p.d.config.version()}
-	if previous.Sequence > 0 {
+	if heldRecord.Sequence > 0 {
 		// The sender may have restarted and lost its state.
-		reply.Records = append(reply.Records, previous)
+		reply.Records = append(reply.Records, heldRecord)
 	}
 	if m.WantAll {
 		reply.Records = append(reply.Records, p.d.peers.records()[1:]...)
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -140,15 +140,15 @@
 func TestNewVersionsSpread(t *testing.T) {
 	const numDaemons = 4
 	s := newStore(documentOf(1, "a"))
-	var all []*member
+	var members []*member
 	for i := range numDaemons {
-		all = append(all, startReady(t, s, "a", fmt.Sprint("a", i)))
+		members = append(members, startReady(t, s, "a", fmt.Sprint("a", i)))
 	}
-	for _, m := range all {
+	for _, m := range members {
 		m.waitForCandidates(t, "a", numDaemons)
 	}
-	all[0].config.apply(encodeDocument(documentOf(2, "a")), "test")
-	for _, m := range all {
+	members[0].config.apply(encodeDocument(documentOf(2, "a")), "test")
+	for _, m := range members {
 		eventually(t, "the new version is in force", func() bool { return m.config.version() == 2 })
 	}
 }
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -33,17 +33,17 @@
 func TestChangesReachOtherZones(t *testing.T) {
 	const daemonsPerZone = 4
 	s := newStore(documentOf(1, "b"))
-	var all []*member
+	var members []*member
 	for _, zone := range []model.AvailabilityZone{"x", "y"} {
 		for i := range daemonsPerZone {
-			all = append(all, startInZone(t, s, zone, "b", fmt.Sprint(zone, i)))
+			members = append(members, startInZone(t, s, zone, "b", fmt.Sprint(zone, i)))
 		}
 	}
-	for _, m := range all {
+	for _, m := range members {
 		m.waitForCandidates(t, "b", 2*daemonsPerZone)
 	}
-	all[0].Leave(lifecycle.Incarnation{ID: "x0", Born: 1})
-	for _, m := range all {
+	members[0].Leave(lifecycle.Incarnation{ID: "x0", Born: 1})
+	for _, m := range members {
 		m.waitForCandidates(t, "b", 2*daemonsPerZone-1)
 	}
 }
--- a/sidecar/server.go
+++ b/sidecar/server.go
@@ -110,9 +110,9 @@
 // scheduleClose starts the timer that closes an idle connection, idleCloseDelay after the idle
 // timeout. The caller holds s.mu.
 func (s *server) scheduleClose(c net.Conn, idleSince time.Time) {
-	i := &idleConn{idleSince: idleSince}
-	i.timer = time.AfterFunc(time.Until(idleSince.Add(s.limits.IdleTimeout+idleCloseDelay)), func() { s.closeIdle(c, i) })
-	s.idleConns[c] = i
+	idle := &idleConn{idleSince: idleSince}
+	idle.timer = time.AfterFunc(time.Until(idleSince.Add(s.limits.IdleTimeout+idleCloseDelay)), func() { s.closeIdle(c, idle) })
+	s.idleConns[c] = idle
 }
 
 // numActiveConns returns the number of connections that wait for a response.
--- a/sidecar/versions.go
+++ b/sidecar/versions.go
@@ -109,18 +109,18 @@
 	if base == nil {
 		version = 0
 	}
-	if d, ok := newest.deltas[version]; ok {
-		return d, nil
+	if cachedDelta, ok := newest.deltas[version]; ok {
+		return cachedDelta, nil
 	}
-	d, err := delta.Encode(base, newest.raw)
+	encodedDelta, err := delta.Encode(base, newest.raw)
 	if err != nil {
 		return nil, err
 	}
-	if len(d) >= len(newest.raw) {
-		d = nil
+	if len(encodedDelta) >= len(newest.raw) {
+		encodedDelta = nil
 	}
-	newest.deltas[version] = d
-	return d, nil
+	newest.deltas[version] = encodedDelta
+	return encodedDelta, nil
 }
 
 // fetch returns the document that the daemon at address has in force. If that daemon keeps the
