--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -43,7 +43,7 @@
 				for i := range records {
 					records[i] = recordOf(i + 1)
 				}
-				p.fullSyncCount = bootstrapPeers
+				p.fullSyncCount = numBootstrapPeers
 				p.merge(records)
 				records = nil
 				b.ReportMetric((heapBytes()-bytesBefore)/float64(n), "heap-B/daemon")
--- a/sidecar/finallog_test.go
+++ b/sidecar/finallog_test.go
@@ -14,13 +14,14 @@
 	"github.com/dottereltiller/dottereltiller/decision"
 )
 
-// TestRequestsDuringFinalLogFlushAreAnswered stops a daemon whose log output nobody reads. As
-// soon as its guard rejects new work, callers send requests on connections that are still open.
-// Some of these requests are forwarded to the other daemon and run there. They must be answered.
+// TestRequestsDuringFinalLogFlushAreAnswered stops a daemon whose log output nobody reads, so that
+// writing its last log lines takes as long as it may. As soon as its guard rejects new requests,
+// callers send requests on connections that are still open. Some of these requests are forwarded
+// to the other daemon and run there. All requests that run must be answered.
 func TestRequestsDuringFinalLogFlushAreAnswered(t *testing.T) {
-	const conns, runTime = 20, 150 * time.Millisecond
+	const numConns, runTime = 20, 150 * time.Millisecond
 	s := newStore(documentOf(1, "a"))
-	other := startReady(t, s, "a", "b1")
+	peerMember := startReady(t, s, "a", "b1")
 	o := optionsFor(t, s, newUpstream(t, "a1"), "a")
 	o.Decisions = decision.New(decision.Options{Handler: slog.NewJSONHandler(newStalledWriter(t), nil)})
 	d := startDaemon(t, o, s)
@@ -28,14 +29,14 @@
 	d.waitForCandidates(t, "a", 2)
 
 	var callers []*callerConn
-	for i := range conns {
+	for i := range numConns {
 		caller := dialCallers(t, d)
 		caller.send(t, fmt.Sprint("first-", i))
 		_, err := caller.readResponse()
 		require.NoError(t, err)
 		callers = append(callers, caller)
 	}
-	other.upstream.setHandler(func(w http.ResponseWriter, _ *http.Request) {
+	peerMember.upstream.setHandler(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(runTime)
 		respondOK(w, "b1")
 	})
@@ -45,25 +46,25 @@
 		defer d.guard.mu.Unlock()
 		return d.guard.closed
 	})
-	var unanswered sync.Map
+	var unansweredIDs sync.Map
 	var wg sync.WaitGroup
 	for i, caller := range callers {
 		id := fmt.Sprint("second-", i)
 		caller.send(t, id)
 		wg.Go(func() {
 			if _, err := caller.readResponse(); err != nil {
-				unanswered.Store(id, true)
+				unansweredIDs.Store(id, true)
 			}
 		})
 	}
 	wg.Wait()
-	lost := 0
-	for _, r := range other.upstream.requests() {
+	numLost := 0
+	for _, r := range peerMember.upstream.requests() {
 		if id := r.Header.Get("T-Id"); strings.HasPrefix(id, "second-") {
-			if _, ok := unanswered.Load(id); ok {
-				lost++
+			if _, ok := unansweredIDs.Load(id); ok {
+				numLost++
 			}
 		}
 	}
-	require.Zero(t, lost, "of %d requests ran and got no response", conns)
+	require.Zero(t, numLost, "of %d requests ran and got no response", numConns)
 }
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// electionTick is how often a daemon checks whether it should watch the store.
+	// electionTick is how often a daemon checks whether it should watch the configuration store.
 	electionTick = 100 * time.Millisecond
 	// peerPollInterval is how often another daemon is asked for its configuration while no
 	// watcher of the cell reaches the store. The interval is short because a change must be in
@@ -26,18 +26,20 @@
 )
 
 // configFollower keeps the configuration up to date. The daemons of a zone are divided into
-// cells (see package watch). A few daemons of each cell, the watchers, read the configuration
+// cells (see package core/watch). A few daemons of each cell, the watchers, read the configuration
 // from the store. The other daemons get new versions from the watchers of their cell. While no
-// watcher of the cell reaches the store, a daemon gets new versions from any other daemon.
+// watcher of the cell reaches the store, a daemon also polls other daemons, of any cell, for new
+// versions.
 type configFollower struct {
 	d *Daemon
 	// peerSelector picks the peers for configuration polls and for anti-entropy rounds.
 	peerSelector gossip.PeerSelector
 
 	mu sync.Mutex
-	// elector decides whether this daemon watches the store.
+	// elector decides whether this daemon watches the configuration store.
 	elector *watch.Elector
-	// generation is the value of peers.generation when the members of elector were last set.
+	// generation is the value that peers.generation had when the daemons among which elector
+	// chooses were last set.
 	generation uint64
 	// watchStarted is closed when this daemon starts to watch the store. It is replaced when the
 	// daemon stops watching.
@@ -69,8 +71,8 @@
 // Receive implements ConfigConsumer.
 func (f *configFollower) Receive(raw []byte, from string) bool { return f.d.config.apply(raw, from) }
 
-// AwaitTurn implements ConfigConsumer. It returns once this daemon watches the store, or when the
-// context ends.
+// AwaitTurn implements ConfigConsumer. It returns nil once this daemon watches the store, or an
+// error when the context ends.
 func (f *configFollower) AwaitTurn(ctx context.Context) error {
 	f.mu.Lock()
 	watchStarted := f.watchStarted
@@ -83,7 +85,8 @@
 	}
 }
 
-// StoreReachable implements ConfigConsumer.
+// StoreReachable implements ConfigConsumer. If ok differs from that of the previous call, and this
+// daemon watches the store, it sends a heartbeat at once.
 func (f *configFollower) StoreReachable(ok bool) {
 	f.mu.Lock()
 	f.elector.RecordStoreCall(f.d.now(), ok)
@@ -91,7 +94,8 @@
 	f.sendHeartbeats()
 }
 
-// announceVersion sends a heartbeat at once. The header of the heartbeat holds the new
+// announceVersion is called when a new version of the configuration is in force. If this
+// daemon watches the store, it sends a heartbeat at once. The header of the heartbeat holds the new
 // version.
 func (f *configFollower) announceVersion() {
 	f.mu.Lock()
@@ -107,15 +111,16 @@
 	return f.isWatching
 }
 
-// receiveHeartbeat records the heartbeat of a watcher.
+// receiveHeartbeat records the heartbeat of another daemon that watches the store.
 func (f *configFollower) receiveHeartbeat(address string, reachesStore bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.elector.RecordHeartbeat(f.d.now(), address, reachesStore)
 }
 
-// watchLoop repeatedly decides whether this daemon watches the store, sends heartbeats, and
-// polls another daemon while no watcher reaches the store.
+// watchLoop repeatedly decides whether this daemon watches the store, sends heartbeats, and polls
+// other daemons while no watcher of the cell reaches the store. It starts once the directory has
+// been read, or after directoryWait.
 func (f *configFollower) watchLoop(ctx context.Context) {
 	select {
 	case <-f.d.peers.directoryRead:
@@ -137,17 +142,18 @@
 	}
 }
 
-// updateWatching decides whether this daemon watches the store. It reports whether to poll
-// another daemon for its configuration now.
+// updateWatching decides whether this daemon watches the store, and records whether a daemon of
+// the cell reaches the store. It reports whether to poll another daemon for its configuration now.
 func (f *configFollower) updateWatching() (pollDue bool) {
 	now := f.d.now()
-	// addresses are the daemons of the local zone. zones is the number of all zones.
-	addresses, zones, generation := f.d.peers.zoneMembers(f.generation)
+	// addresses are the daemons of the local zone. numZones counts all zones. Both are set only if
+	// the generation has changed.
+	addresses, numZones, generation := f.d.peers.zoneMembers(f.generation)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if generation != f.generation {
 		f.generation = generation
-		f.elector.SetMembers(addresses, zones)
+		f.elector.SetMembers(addresses, numZones)
 	}
 	isWatching := f.elector.UpdateWatching(now) && !f.d.stopping.Load()
 	switch {
@@ -160,9 +166,9 @@
 		f.isWatching = isWatching
 		f.d.opts.Decisions.Write(decision.StoreWatched, "", slog.Bool("watches", isWatching), slog.Int("cell", len(f.elector.CellPeers())+1))
 	}
-	unreachable := f.elector.StoreUnreachable(now)
-	f.recordStoreState(now, unreachable)
-	pollDue = unreachable && now.Sub(f.lastPeerPoll) >= peerPollInterval
+	storeUnreachable := f.elector.StoreUnreachable(now)
+	f.recordStoreState(now, storeUnreachable)
+	pollDue = storeUnreachable && now.Sub(f.lastPeerPoll) >= peerPollInterval
 	if pollDue {
 		f.lastPeerPoll = now
 	}
@@ -171,8 +177,8 @@
 
 // recordStoreState records whether a daemon of the cell reaches the store. If none does, it keeps
 // the time at which that began.
-func (f *configFollower) recordStoreState(now model.Instant, unreachable bool) {
-	if !unreachable {
+func (f *configFollower) recordStoreState(now model.Instant, storeUnreachable bool) {
+	if !storeUnreachable {
 		f.d.storeUnreachableSince.Store(0)
 		return
 	}
@@ -186,15 +192,16 @@
 		f.mu.Unlock()
 		return
 	}
-	reachesStore, others := f.elector.ReachesStore(), f.elector.CellPeers()
+	reachesStore, cellPeers := f.elector.ReachesStore(), f.elector.CellPeers()
 	f.mu.Unlock()
-	for _, address := range others {
+	for _, address := range cellPeers {
 		f.d.datagrams.sendHeartbeat(address, reachesStore)
 	}
 }
 
-// pollPeer exchanges records with one other daemon. If that daemon has a newer configuration,
-// this daemon fetches it.
+// pollPeer exchanges local records and configuration versions with one other reachable daemon. If
+// that daemon has a newer configuration, this daemon fetches it. If that daemon cannot be reached,
+// it is marked as unreachable.
 func (f *configFollower) pollPeer(ctx context.Context) {
 	m, ok := f.peerSelector.AntiEntropyPeer(f.d.peers.reachableMembers())
 	if !ok {
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -21,6 +21,8 @@
 	return out
 }
 
+// TestRequestStagesAreTimed sends one request. The daemon that received it from the caller and the
+// daemon of the upstream must each record one value for each of their stages.
 func TestRequestStagesAreTimed(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
@@ -33,11 +35,13 @@
 		require.Equal(t, 1, counts[stage+" b "], "%s: %v", stage, counts)
 	}
 	counts = timerCounts(b.scope)
-	for _, stage := range []string{stageGuard, stageUpstream} {
+	for _, stage := range []string{stageGuardWait, stageUpstreamRun} {
 		require.Equal(t, 1, counts[stage+" b "], "%s: %v", stage, counts)
 	}
 }
 
+// TestHistogramsAreBounded records the latencies of more routes than maxTimers. The remaining
+// routes must share one histogram.
 func TestHistogramsAreBounded(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	m := newMetrics(scope)
@@ -49,7 +53,10 @@
 	require.Equal(t, 2*maxTimers, counts["latency other other"])
 }
 
-func TestAgeGauges(t *testing.T) {
+// TestOutageGaugesFollowReachability makes the store and then a peer unreachable. The gauges of how
+// long each has been unreachable must be zero before and positive afterwards. The gauge of the
+// store must be zero again once the store is back. The age of the configuration must be positive.
+func TestOutageGaugesFollowReachability(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "b", "b1")
 	a.waitForCandidates(t, "b", 1)
@@ -76,9 +83,9 @@
 
 // controlBytes sums the bytes that members counted for a kind of message in one direction. An
 // empty kind means all kinds.
-func controlBytes(all []*member, kind, direction string) int64 {
+func controlBytes(members []*member, kind, direction string) int64 {
 	var n int64
-	for _, m := range all {
+	for _, m := range members {
 		for _, c := range m.scope.Snapshot().Counters() {
 			tags := c.Tags()
 			if c.Name() == "control_bytes" && (kind == "" || tags["kind"] == kind) && tags["direction"] == direction {
@@ -89,8 +96,8 @@
 	return n
 }
 
-// TestControlTrafficIsCountedByKind checks the traffic counters of daemons that serve no
-// requests.
+// TestControlTrafficIsCountedByKind runs two daemons that serve no requests. They must count bytes
+// of exchanges, heartbeats and digests in both directions, and no bytes of load queries.
 func TestControlTrafficIsCountedByKind(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
@@ -105,8 +112,8 @@
 	require.Zero(t, counted("load_question", "sent"))
 }
 
-// TestDatagramKindsAreNamed checks that every kind of datagram with a receiver has a name in
-// the metrics.
+// TestDatagramKindsAreNamed checks that every kind of datagram that has a handler, and no other,
+// has a name in the metrics.
 func TestDatagramKindsAreNamed(t *testing.T) {
 	for kind := range handlerByKind {
 		require.Contains(t, datagramNameByKind, kind)
--- a/sidecar/pack_test.go
+++ b/sidecar/pack_test.go
@@ -28,11 +28,12 @@
 	return out
 }
 
-// TestPackedRecordsAreCompressed bounds the packed size of records relative to their JSON.
+// TestPackedRecordsAreCompressed packs and unpacks records. It bounds the ratio of their packed size
+// to the size of their JSON. Unpacking must return the same records.
 func TestPackedRecordsAreCompressed(t *testing.T) {
 	for name, c := range map[string]struct {
-		records int
-		share   float64
+		numRecords int
+		maxRatio   float64
 	}{
 		"one record":            {1, 0.62},
 		"nine records":          {9, 0.50},
@@ -40,21 +41,21 @@
 		"three hundred records": {300, 0.45},
 	} {
 		t.Run(name, func(t *testing.T) {
-			records := sampleRecords(c.records)
-			plain, packed := 0, 0
+			records := sampleRecords(c.numRecords)
+			plainBytes, packedBytes := 0, 0
 			for i := range records {
 				b, err := json.Marshal(&records[i])
 				require.NoError(t, err)
-				plain += len(b)
+				plainBytes += len(b)
 			}
 			var got []Record
 			for _, body := range packRecords(records) {
 				require.LessOrEqual(t, len(body), maxDatagramBody)
-				packed += len(body)
+				packedBytes += len(body)
 				got = append(got, unpackRecords(body)...)
 			}
 			require.Equal(t, records, got)
-			require.LessOrEqual(t, float64(packed), c.share*float64(plain), "%d of %d bytes", packed, plain)
+			require.LessOrEqual(t, float64(packedBytes), c.maxRatio*float64(plainBytes), "%d of %d bytes", packedBytes, plainBytes)
 		})
 	}
 }
@@ -76,14 +77,14 @@
 	require.Empty(t, packRecords(nil))
 }
 
-// TestUnpackToleratesCorruptData checks that unpacking corrupted or truncated bodies does not
-// panic and does not disturb later unpacking.
+// TestUnpackToleratesCorruptData checks that unpacking a corrupted or truncated body does not
+// panic. An intact body must still unpack correctly afterwards, although decompressors are reused.
 func TestUnpackToleratesCorruptData(t *testing.T) {
 	body := packRecords(sampleRecords(5))[0]
 	rapid.Check(t, func(t *rapid.T) {
-		received := append([]byte(nil), body...)
-		received[rapid.IntRange(0, len(body)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
-		unpackRecords(received[:rapid.IntRange(0, len(body)).Draw(t, "length")])
+		corrupted := append([]byte(nil), body...)
+		corrupted[rapid.IntRange(0, len(body)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
+		unpackRecords(corrupted[:rapid.IntRange(0, len(body)).Draw(t, "length")])
 	})
 	require.Equal(t, sampleRecords(5), unpackRecords(body))
 }
--- a/sidecar/peerlog.go
+++ b/sidecar/peerlog.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// maxReadyLines is how many upstreams get a log line of their own in each readyLogWindow
-	// when their first report says that they are ready. Without the limit, the start of a whole
-	// deployment would log a line for every pair of daemons. These lines would only repeat what
-	// the daemon of each upstream logs itself.
+	// maxReadyLines is how many upstreams whose first report says that they are ready get a log
+	// line of their own in each readyLogWindow. Without the limit, the start of a whole deployment
+	// would log a line for every pair of daemons. These lines would only repeat what the daemon of
+	// each upstream logs itself.
 	maxReadyLines = 16
-	// readyLogWindow is the period to which maxReadyLines applies. A summary line is written one
-	// such period after the first upstream that got no line of its own.
+	// readyLogWindow is the period to which maxReadyLines applies. When an upstream is the first
+	// to get no line of its own, a summary line follows after one such period.
 	readyLogWindow = time.Second
-	// maxNamedPeers bounds the daemons that one log line names.
+	// maxNamedPeers is how many daemons a summary line names at most.
 	maxNamedPeers = 16
 )
 
@@ -29,33 +29,33 @@
 type readyLogLimiter struct {
 	// windowStart is when the current window began.
 	windowStart model.Instant
-	// lines is how many upstreams got a line of their own in the current window.
-	lines int
-	// unlogged counts the upstreams that got no line of their own. One summary line will cover
-	// them.
-	unlogged int
+	// lineCount is how many upstreams got a line of their own in the current window.
+	lineCount int
+	// unloggedCount counts the upstreams that have got no line of their own since the previous
+	// summary line. The next one will cover them.
+	unloggedCount int
 }
 
-// allow reports whether an upstream gets a log line of its own.
+// allow reports whether an upstream gets a log line of its own, and counts that line.
 func (l *readyLogLimiter) allow(now model.Instant) bool {
 	if now.Sub(l.windowStart) >= readyLogWindow {
-		l.windowStart, l.lines = now, 0
+		l.windowStart, l.lineCount = now, 0
 	}
-	if l.lines >= maxReadyLines {
+	if l.lineCount >= maxReadyLines {
 		return false
 	}
-	l.lines++
+	l.lineCount++
 	return true
 }
 
-// logPeerState logs a change in the state of a peer or of its upstream. The first report that an
-// upstream is ready may go into a summary line. Every other change gets a line of its own. The
-// caller holds p.mu.
+// logPeerState logs a change in the state of a peer or of its upstream. If the peer had no known
+// upstream before and the upstream is now ready, a summary line may cover the change. Every other
+// change gets a line of its own. The caller holds p.mu.
 func (p *peers) logPeerState(previous, current *Record) {
 	firstReady := previous.Upstream == (lifecycle.Incarnation{}) && current.State == lifecycle.Ready && !current.Stopping
 	if firstReady && !p.readyLog.allow(p.now()) {
-		p.readyLog.unlogged++
-		if p.readyLog.unlogged == 1 {
+		p.readyLog.unloggedCount++
+		if p.readyLog.unloggedCount == 1 {
 			time.AfterFunc(readyLogWindow, p.logReadySummary)
 		}
 		return
@@ -66,25 +66,25 @@
 }
 
 // logReadySummary writes one summary line for the upstreams that got no line of their own. The
-// line names the peers whose upstreams are still unknown, at most maxNamedPeers. Every other
-// upstream either has a line of its own that states its state, or is ready.
+// line names the peers whose upstreams are still unknown, at most maxNamedPeers of them. Every
+// other upstream either is ready or has had a line of its own with its state.
 func (p *peers) logReadySummary() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ready := 0
-	var unknown []string
+	numReady := 0
+	var unknownPeers []string
 	for address, q := range p.others {
 		switch {
 		case q.record.Upstream == (lifecycle.Incarnation{}):
-			unknown = append(unknown, address)
+			unknownPeers = append(unknownPeers, address)
 		case q.record.State == lifecycle.Ready:
-			ready++
+			numReady++
 		}
 	}
-	numUnknown := len(unknown)
-	slices.Sort(unknown)
-	unknown = unknown[:min(numUnknown, maxNamedPeers)]
-	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.readyLog.unlogged), slog.Int("ready", ready),
-		slog.Int("peers", len(p.others)), slog.Int("unheard", numUnknown), slog.String("missing", strings.Join(unknown, " ")))
-	p.readyLog.unlogged = 0
+	numUnknown := len(unknownPeers)
+	slices.Sort(unknownPeers)
+	unknownPeers = unknownPeers[:min(numUnknown, maxNamedPeers)]
+	p.decisions.Write(decision.PeersLearned, "", slog.Int("learned", p.readyLog.unloggedCount), slog.Int("ready", numReady),
+		slog.Int("peers", len(p.others)), slog.Int("unheard", numUnknown), slog.String("missing", strings.Join(unknownPeers, " ")))
+	p.readyLog.unloggedCount = 0
 }
--- a/sidecar/peers_test.go
+++ b/sidecar/peers_test.go
@@ -13,8 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/core/route"
 )
 
-// TestLeavingUpstreamIsAnnounced checks that other daemons no longer choose an upstream that
-// leaves.
+// TestLeavingUpstreamIsAnnounced has an upstream leave while the store is down. Another daemon must
+// no longer have it as a candidate.
 func TestLeavingUpstreamIsAnnounced(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -94,10 +94,10 @@
 	a := startReady(t, s, "a", "a1")
 	b := startReady(t, s, "b", "b1")
 	a.waitForCandidates(t, "b", 1)
-	ahead := b.peers.localRecord()
-	ahead.Incarnation += int64(time.Hour / time.Millisecond)
-	ahead.State = lifecycle.Draining
-	a.peers.merge([]Record{ahead})
+	recordAhead := b.peers.localRecord()
+	recordAhead.Incarnation += int64(time.Hour / time.Millisecond)
+	recordAhead.State = lifecycle.Draining
+	a.peers.merge([]Record{recordAhead})
 	a.waitForCandidates(t, "b", 0)
 	b.Report(readyReport("b1", 1, 2, "b"))
 	b.peers.updateLocal(func(*Record) {})
@@ -120,16 +120,17 @@
 	})
 }
 
-// TestRecordsArePushedByDatagram pushes records without a connection.
+// TestRecordsArePushedByDatagram pushes records by datagram. A current record must be acknowledged,
+// an outdated one must not, and a push to an address without a daemon must fail.
 func TestRecordsArePushedByDatagram(t *testing.T) {
 	s := newStore(documentOf(1, "a"))
 	a, b := startReady(t, s, "a", "a1"), startReady(t, s, "a", "a2")
 	a.waitForCandidates(t, "a", 2)
 	b.waitForCandidates(t, "a", 2)
 	require.True(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, a.peers.localRecord()))
-	old := a.peers.localRecord()
-	old.Incarnation--
-	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, old), "an older record is not acknowledged")
+	olderRecord := a.peers.localRecord()
+	olderRecord.Incarnation--
+	require.False(t, a.datagrams.pushRecord(b.opts.Addresses.Peers, olderRecord), "an older record is not acknowledged")
 	require.False(t, a.datagrams.pushRecord(unusedAddress(t), a.peers.localRecord()), "nothing listens there")
 }
 
@@ -137,24 +138,24 @@
 // All others must get it. The test sends no requests, because load queries and the results of
 // calls carry the version too and would hide a failure.
 func TestNewVersionsSpread(t *testing.T) {
-	const daemons = 4
+	const numDaemons = 4
 	s := newStore(documentOf(1, "a"))
-	var all []*member
-	for i := range daemons {
-		all = append(all, startReady(t, s, "a", fmt.Sprint("a", i)))
+	var members []*member
+	for i := range numDaemons {
+		members = append(members, startReady(t, s, "a", fmt.Sprint("a", i)))
 	}
-	for _, m := range all {
-		m.waitForCandidates(t, "a", daemons)
+	for _, m := range members {
+		m.waitForCandidates(t, "a", numDaemons)
 	}
-	all[0].config.apply(encodeDocument(documentOf(2, "a")), "test")
-	for _, m := range all {
+	members[0].config.apply(encodeDocument(documentOf(2, "a")), "test")
+	for _, m := range members {
 		eventually(t, "the new version is in force", func() bool { return m.config.version() == 2 })
 	}
 }
 
 // TestPlannedRestartWithStoreDown stops a daemon as planned and starts it again, both while the
-// store is down. No daemon calls it, because its record says that it has stopped. The other
-// daemons must reconnect to it on their own.
+// store is down. No daemon sends it calls, because its record says that it is stopping. The other
+// daemon must reconnect to it on its own.
 func TestPlannedRestartWithStoreDown(t *testing.T) {
 	s := newStore(documentOf(1, "b"))
 	a := startReady(t, s, "a", "a1")
@@ -169,8 +170,9 @@
 	a.waitForCandidates(t, "b", 1)
 }
 
-// TestDaemonsAndStartedShare checks the number of daemons and the share of recently started ones.
-func TestDaemonsAndStartedShare(t *testing.T) {
+// TestOnlyRecentlyStartedDaemonsCount checks the number of known daemons, and which share of them
+// counts as recently started.
+func TestOnlyRecentlyStartedDaemonsCount(t *testing.T) {
 	const (
 		span = 10 * time.Second
 		// onlyListed stands for the age of a daemon that is in the directory but whose record
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -14,7 +14,7 @@
 
 const (
 	// ackTimeout is how long another daemon may take to acknowledge a call. It covers a round
-	// trip between regions, the wait of acknowledgeAfter at the other daemon, and a scheduling
+	// trip between regions, the wait of acknowledgeDelay at the other daemon, and a scheduling
 	// delay.
 	ackTimeout = 120 * time.Millisecond
 	// outcomeQueryFactor and outcomeQueryMargin determine when the outcome of an attempt that
--- a/sidecar/summary_test.go
+++ b/sidecar/summary_test.go
@@ -11,7 +11,8 @@
 	"github.com/dottereltiller/dottereltiller/core/lifecycle"
 )
 
-// recordTable holds the records of one daemon, by address.
+// recordTable holds the records that one daemon holds, by the address of the daemon that each
+// describes.
 type recordTable map[string]Record
 
 func newRecordTable(records []Record) recordTable {
@@ -30,27 +31,27 @@
 	return out
 }
 
-// merge packs records into datagram bodies, unpacks and merges them, and returns the bytes of
-// the datagrams.
+// merge packs records into datagram bodies, unpacks these, and merges the records into the table.
+// It returns how many bytes the datagrams have.
 func (t recordTable) merge(records []Record) int {
-	bytes := 0
+	numBytes := 0
 	for _, b := range packRecords(records) {
-		bytes += datagramHeaderBytes + len(b)
+		numBytes += datagramHeaderBytes + len(b)
 		for _, r := range unpackRecords(b) {
 			if held, ok := t[r.Address]; !ok || r.supersedes(&held) {
 				t[r.Address] = r
 			}
 		}
 	}
-	return bytes
+	return numBytes
 }
 
 // reconcile runs one anti-entropy round between two tables, as antiEntropy does between daemons.
-// It returns the bytes of all datagrams.
+// It returns how many bytes all datagrams of the round have.
 func reconcile(t *testing.T, initiator, responder recordTable) int {
 	t.Helper()
 	responderDigest, initiatorDigest := digestOf(responder.records()), digestOf(initiator.records())
-	bytes := datagramHeaderBytes + len(initiatorDigest.encode())
+	numBytes := datagramHeaderBytes + len(initiatorDigest.encode())
 	var differing []int
 	for i := range initiatorDigest {
 		if initiatorDigest[i] != responderDigest[i] {
@@ -58,17 +59,17 @@
 		}
 	}
 	if len(differing) == 0 {
-		return bytes
+		return numBytes
 	}
-	message := newSummary(responder.records(), differing).encode()
-	require.LessOrEqual(t, len(message), maxDatagramBody)
-	s, ok := decodeSummary(message)
+	summaryBody := newSummary(responder.records(), differing).encode()
+	require.LessOrEqual(t, len(summaryBody), maxDatagramBody)
+	s, ok := decodeSummary(summaryBody)
 	require.True(t, ok)
 	newer, wanted := s.diff(initiator.records())
-	bytes += datagramHeaderBytes + len(message) + responder.merge(newer)
+	numBytes += datagramHeaderBytes + len(summaryBody) + responder.merge(newer)
 	request := encodeRecordRequest(wanted)
 	if len(request) > 0 {
-		bytes += datagramHeaderBytes + len(request)
+		numBytes += datagramHeaderBytes + len(request)
 	}
 	var requested []Record
 	for _, r := range responder.records() {
@@ -76,12 +77,12 @@
 			requested = append(requested, r)
 		}
 	}
-	return bytes + initiator.merge(requested)
+	return numBytes + initiator.merge(requested)
 }
 
-// TestAntiEntropyCostIsBounded changes one record among many. It bounds the bytes that two
-// daemons exchange until they agree. The bound is about the size of a digest plus the summary of
-// one bucket.
+// TestAntiEntropyCostIsBounded has one record among many differ between two daemons. One round must
+// make them agree, and the bytes that they exchange are bounded. The bound is about the size of a
+// digest plus the summary of one bucket. A second round must cost no more than a digest.
 func TestAntiEntropyCostIsBounded(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 1000, 1700} {
 		for name, change := range map[string]func(a, b recordTable, r Record){
@@ -103,18 +104,19 @@
 }
 
 // TestTablesConverge starts with tables that have only one record in common, as after a start of
-// all daemons at once. Repeated rounds must make all tables equal.
+// all daemons at once. Each daemon runs twelve anti-entropy rounds with randomly chosen daemons.
+// All tables must then be equal.
 func TestTablesConverge(t *testing.T) {
-	const daemons, rounds = 60, 12
+	const numDaemons, numRounds = 60, 12
 	rng := rand.New(rand.NewPCG(1, 2))
-	records := sampleRecords(daemons)
-	tables := make([]recordTable, daemons)
+	records := sampleRecords(numDaemons)
+	tables := make([]recordTable, numDaemons)
 	for i := range tables {
 		tables[i] = newRecordTable([]Record{records[0], records[i]})
 	}
-	for range rounds {
+	for range numRounds {
 		for i := range tables {
-			reconcile(t, tables[i], tables[rng.IntN(daemons)])
+			reconcile(t, tables[i], tables[rng.IntN(numDaemons)])
 		}
 	}
 	for i := range tables {
@@ -122,15 +124,15 @@
 	}
 }
 
-// TestTruncatedSummariesConverge uses buckets whose summaries fit no datagram. Repeated rounds
-// must still make the tables equal.
+// TestTruncatedSummariesConverge has so many records that even the summary of a single bucket does
+// not fit a datagram. Repeated rounds must still make two tables equal that differ in one record.
 func TestTruncatedSummariesConverge(t *testing.T) {
 	const n = 4000
 	records := sampleRecords(n)
 	a, b := newRecordTable(records), newRecordTable(records)
-	changed := records[n/2]
-	changed.Sequence++
-	a[changed.Address] = changed
+	changedRecord := records[n/2]
+	changedRecord.Sequence++
+	a[changedRecord.Address] = changedRecord
 	for range 50 {
 		reconcile(t, a, b)
 		reconcile(t, b, a)
@@ -138,18 +140,19 @@
 	require.Equal(t, a, b)
 }
 
-// TestGoneDaemonsAreNotInSummary compares tables of which only one still holds the record of
-// a daemon that is gone.
+// TestGoneDaemonsAreNotInSummary has a record of a stopping daemon whose upstream is gone. Neither
+// a summary nor the comparison with an empty summary may include it.
 func TestGoneDaemonsAreNotInSummary(t *testing.T) {
 	records := sampleRecords(3)
 	records[1].Stopping, records[1].State = true, lifecycle.Gone
-	require.Len(t, newSummary(records, []int{bucketOf(records[1].Address)}).entries, len(newSummary(append(records[:1:1], records[2]), []int{bucketOf(records[1].Address)}).entries))
+	require.Len(t, newSummary(records, []int{bucketOf(records[1].Address)}).versionsByHash, len(newSummary(append(records[:1:1], records[2]), []int{bucketOf(records[1].Address)}).versionsByHash))
 	newer, wanted := (&summary{bucketSet: ^uint32(0)}).diff(records)
 	require.Len(t, newer, 2)
 	require.Empty(t, wanted)
 }
 
-// TestDecodeSummaryToleratesAnyBytes decodes arbitrary bytes.
+// TestDecodeSummaryToleratesAnyBytes decodes arbitrary bytes as a record request and as a summary,
+// and compares the summary with records. None of this may panic.
 func TestDecodeSummaryToleratesAnyBytes(t *testing.T) {
 	records := sampleRecords(10)
 	rapid.Check(t, func(t *rapid.T) {
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -16,8 +16,8 @@
 	"github.com/dottereltiller/dottereltiller/hop"
 )
 
-// largeDocument returns a document of about a hundred kilobytes. The documents of two
-// versions differ in the version number and in one additional line each.
+// largeDocument returns a document of about a hundred kilobytes. The documents of two versions
+// differ in the version number and in one extra line that each has.
 func largeDocument(version int) []byte {
 	const routes = 2000
 	var b strings.Builder
@@ -31,7 +31,8 @@
 	return []byte(b.String())
 }
 
-// versionSource decodes the documents that largeDocument returns.
+// versionSource decodes the documents that largeDocument returns. Its routes are those of
+// documentOf.
 type versionSource struct{ Source }
 
 func (versionSource) Decode(raw []byte) (route.Document, error) {
@@ -50,13 +51,13 @@
 	return c
 }
 
-// serveVersions serves the documents of a configuration as a daemon does. It adds the bytes sent
-// to *sent.
-func serveVersions(t *testing.T, c *configuration, sent *int) *hop.Pool {
+// serveVersions serves the documents of a configuration as a daemon does, and returns a connection
+// pool to the server. It adds the bytes of each response body to *sentBytes.
+func serveVersions(t *testing.T, c *configuration, sentBytes *int) *hop.Pool {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
 		peerHandler{&Daemon{config: c}}.config(rec, r)
-		*sent += rec.Body.Len()
+		*sentBytes += rec.Body.Len()
 		w.WriteHeader(rec.Code)
 		_, _ = io.Copy(w, rec.Body)
 	}))
@@ -66,9 +67,10 @@
 	return pool
 }
 
-// TestFetchTransfersDelta has a daemon fetch version 9 and bounds the bytes transferred.
+// TestFetchTransfersDelta has a daemon fetch version 9 and bounds the bytes transferred. The bound
+// is low only if the daemon has a version in force from which the other daemon can make a delta.
 func TestFetchTransfersDelta(t *testing.T) {
-	const newest, compressed = 9, 25_000
+	const newest, compressedBytes = 9, 25_000
 	for name, c := range map[string]struct {
 		heldVersion int
 		conflicting bool
@@ -76,13 +78,13 @@
 	}{
 		"one version behind":                    {heldVersion: 8, maxBytes: 200},
 		"three versions behind":                 {heldVersion: 6, maxBytes: 300},
-		"further behind than versions are kept": {heldVersion: 5, maxBytes: compressed},
-		"nothing in force":                      {heldVersion: 0, maxBytes: compressed},
-		"different document of that version":    {heldVersion: 8, conflicting: true, maxBytes: compressed + 500},
+		"further behind than versions are kept": {heldVersion: 5, maxBytes: compressedBytes},
+		"nothing in force":                      {heldVersion: 0, maxBytes: compressedBytes},
+		"different document of that version":    {heldVersion: 8, conflicting: true, maxBytes: compressedBytes + 500},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var sent int
-			pool := serveVersions(t, configWithVersions(newest), &sent)
+			var sentBytes int
+			pool := serveVersions(t, configWithVersions(newest), &sentBytes)
 			config := configWithVersions(c.heldVersion)
 			if c.conflicting {
 				config = configWithVersions(0)
@@ -91,13 +93,13 @@
 			raw, err := config.fetch(t.Context(), pool, "test")
 			require.NoError(t, err)
 			require.True(t, bytes.Equal(largeDocument(newest), raw))
-			require.LessOrEqual(t, sent, c.maxBytes)
+			require.LessOrEqual(t, sentBytes, c.maxBytes)
 		})
 	}
 }
 
-// TestSmallDocumentsAreSentWhole checks that no delta is computed for a document of a few
-// bytes.
+// TestSmallDocumentsAreSentWhole checks that no delta is computed for a document of a few bytes,
+// although the version that the delta would start from is kept.
 func TestSmallDocumentsAreSentWhole(t *testing.T) {
 	var v documentHistory
 	v.add(1, []byte("one"))
@@ -108,10 +110,11 @@
 	require.Equal(t, "two", string(v.newest()))
 }
 
-// TestKeptVersionsAreBounded brings more versions into force than are kept.
+// TestKeptVersionsAreBounded brings more versions into force than maxKeptVersions. Only the newest
+// ones may be kept.
 func TestKeptVersionsAreBounded(t *testing.T) {
 	c := configWithVersions(100)
-	require.Len(t, c.history.documents, keptVersions)
+	require.Len(t, c.history.documents, maxKeptVersions)
 	require.NotNil(t, c.history.document(100))
-	require.Nil(t, c.history.document(100-keptVersions))
+	require.Nil(t, c.history.document(100-maxKeptVersions))
 }
