--- a/daemon/admin_test.go
+++ b/daemon/admin_test.go
@@ -19,8 +19,8 @@
 	status := func(method, path, remoteAddr string) int {
 		r := httptest.NewRequest(method, path, nil)
 		r.RemoteAddr = remoteAddr
-		ownAddr := &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 8082}
-		r = r.WithContext(context.WithValue(r.Context(), http.LocalAddrContextKey, ownAddr))
+		vmAddr := &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 8082}
+		r = r.WithContext(context.WithValue(r.Context(), http.LocalAddrContextKey, vmAddr))
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
 		return w.Code
--- a/daemon/announce.go
+++ b/daemon/announce.go
@@ -101,10 +101,10 @@
 // authentication, so changes are allowed only from this VM. This does not restrict
 // upstreams, since they announce themselves to the daemon on their own VM.
 func (d *Daemon) requireSameVM(next http.Handler) http.Handler {
-	refused := d.scope("admin").Tagged(map[string]string{"reason": "not-this-vm"}).Counter("refused")
+	refusedCounter := d.scope("admin").Tagged(map[string]string{"reason": "not-this-vm"}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !isFromThisVM(r) {
-			refused.Inc(1)
+			refusedCounter.Inc(1)
 			http.Error(w, "this address is read-only except for requests from this VM", http.StatusForbidden)
 			return
 		}
--- a/daemon/caller_errors_test.go
+++ b/daemon/caller_errors_test.go
@@ -17,7 +17,7 @@
 // a new user. The response and the metrics must state the reason, and no request may
 // reach the upstream.
 func TestCallerErrorsAreReportedAndCounted(t *testing.T) {
-	d := startSingle(t, func(s *settings.Settings) { s.Callers.MaxBodyBytes = 100 })
+	d := startSingleDaemon(t, func(s *settings.Settings) { s.Callers.MaxBodyBytes = 100 })
 	daemon := d.Nodes[0].Daemon
 	cases := map[string]struct {
 		host, header, value, body string
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -25,18 +25,18 @@
   {"kind": "SharingPolicy", "name": "fyn", "spec": {"services": "mesh=fyn", "groups": [
     {"name": "sorters", "callers": "role=sorter", "weight": 1}], "default_group": "sorters"}}]`
 
-// startSingle starts a deployment of one daemon with one upstream of the service
+// startSingleDaemon starts a deployment of one daemon with one upstream of the service
 // returdesk.
-func startSingle(t *testing.T, modifySettings func(*settings.Settings)) *local.Deployment {
+func startSingleDaemon(t *testing.T, modifySettings func(*settings.Settings)) *local.Deployment {
 	t.Helper()
 	return startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, modifySettings)
 }
 
-func startDeployment(t *testing.T, zones []model.AvailabilityZone, upstreams int, modifySettings func(*settings.Settings)) *local.Deployment {
+func startDeployment(t *testing.T, zones []model.AvailabilityZone, upstreamCount int, modifySettings func(*settings.Settings)) *local.Deployment {
 	t.Helper()
 	d, err := local.Start(t.Context(), local.Options{
 		Zones:     zones,
-		Services:  []local.Service{{Name: "returdesk", Upstreams: upstreams, Slots: 6}},
+		Services:  []local.Service{{Name: "returdesk", Upstreams: upstreamCount, Slots: 6}},
 		Documents: parseDocuments(t),
 		Settings:  modifySettings,
 	})
@@ -74,7 +74,7 @@
 // chunked encoding. The daemon then answers the first request and closes the connection.
 // The second request must never reach the upstream.
 func TestMalformedRequestsAreRefused(t *testing.T) {
-	d := startSingle(t, nil)
+	d := startSingleDaemon(t, nil)
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Request: smuggled\r\n\r\n"
 	for name, c := range map[string]struct{ head, body, status string }{
 		"two lengths":            {"Content-Length: 3\r\nContent-Length: 4\r\n", "abcd", "400"},
@@ -104,18 +104,18 @@
 }
 
 func TestHeadersAndBodiesOverTheLimitAreRefused(t *testing.T) {
-	d := startSingle(t, func(s *settings.Settings) {
+	d := startSingleDaemon(t, func(s *settings.Settings) {
 		s.Callers.MaxHeaderBytes = 8 << 10
 		s.Callers.MaxBodyBytes = 1 << 10
 	})
 	url := "http://" + d.Nodes[0].Daemon.CallerAddress()
 	for name, c := range map[string]struct {
-		header int
-		body   io.Reader
-		status int
+		headerBytes int
+		body        io.Reader
+		status      int
 	}{
-		"within the limits":           {header: 1 << 10, body: strings.NewReader(strings.Repeat("x", 1<<10)), status: 200},
-		"header too large":            {header: 16 << 10, status: 431},
+		"within the limits":           {headerBytes: 1 << 10, body: strings.NewReader(strings.Repeat("x", 1<<10)), status: 200},
+		"header too large":            {headerBytes: 16 << 10, status: 431},
 		"body with Content-Length":    {body: strings.NewReader(strings.Repeat("x", 2<<10)), status: 413},
 		"body without Content-Length": {body: io.MultiReader(strings.NewReader(strings.Repeat("x", 2<<10))), status: 413},
 	} {
@@ -123,7 +123,7 @@
 			req, err := http.NewRequest(http.MethodPut, url, c.body)
 			require.NoError(t, err)
 			req.Host = "returdesk.fyn"
-			req.Header.Set("X-Long", strings.Repeat("h", c.header))
+			req.Header.Set("X-Long", strings.Repeat("h", c.headerBytes))
 			resp, err := http.DefaultClient.Do(req)
 			require.NoError(t, err)
 			_ = resp.Body.Close()
@@ -138,7 +138,7 @@
 // and close each connection after the stall timeout. The servers for peers and admin must
 // do the same.
 func TestRequestOfACallerThatStopsSendingIsAborted(t *testing.T) {
-	d := startSingle(t, setShortStallTimeout)
+	d := startSingleDaemon(t, setShortStallTimeout)
 	for host, status := range map[string]string{"returdesk.fyn": "400", "nobody.fyn": "404"} {
 		t.Run(host, func(t *testing.T) {
 			conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
@@ -168,14 +168,14 @@
 // than the socket buffers and does not read it. The request must be aborted after the
 // stall timeout, which frees its slot at the upstream.
 func TestRequestOfACallerThatStopsReadingIsAborted(t *testing.T) {
-	d := startSingle(t, setShortStallTimeout)
+	d := startSingleDaemon(t, setShortStallTimeout)
 	n := d.Nodes[0]
 	conn := dial(t, n.Daemon.CallerAddress())
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Answer-Bytes: 67108864\r\n\r\n")
 	require.NoError(t, err)
-	running := func() int32 { return n.Daemon.Guard.Loads("")["returdesk-1"].Running }
-	require.Eventually(t, func() bool { return running() == 1 }, waitLimit, time.Millisecond)
-	require.Eventually(t, func() bool { return running() == 0 }, waitLimit, time.Millisecond)
+	runningCount := func() int32 { return n.Daemon.Guard.Loads("")["returdesk-1"].Running }
+	require.Eventually(t, func() bool { return runningCount() == 1 }, waitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return runningCount() == 0 }, waitLimit, time.Millisecond)
 	receivedBytes, err := io.Copy(io.Discard, conn)
 	require.Less(t, receivedBytes, int64(64<<20))
 	if err == nil {
@@ -192,7 +192,7 @@
 // time in which the caller makes no progress in sending the request or receiving the
 // response.
 func TestARequestMayRunLongerThanTheStallTimeout(t *testing.T) {
-	d := startSingle(t, setShortStallTimeout)
+	d := startSingleDaemon(t, setShortStallTimeout)
 	for _, http2 := range []bool{false, true} {
 		client := newClient(t, http2)
 		req, err := http.NewRequest(http.MethodPut, "http://"+d.Nodes[0].Daemon.CallerAddress(), strings.NewReader("body"))
@@ -221,7 +221,7 @@
 // Each runs longer than the stall timeout. A deadline set for one request must not abort
 // the next request.
 func TestDeadlinesDoNotCarryOverOnAConnection(t *testing.T) {
-	d := startSingle(t, setShortStallTimeout)
+	d := startSingleDaemon(t, setShortStallTimeout)
 	conn := dial(t, d.Nodes[0].Daemon.CallerAddress())
 	reader := bufio.NewReader(conn)
 	for range 3 {
@@ -238,7 +238,7 @@
 // TestConnectionsOverTheLimitAreClosed opens one connection more than the limit. The
 // daemon must close the extra connection and keep serving the others.
 func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
-	d := startSingle(t, func(s *settings.Settings) { s.Callers.MaxConnections = 2 })
+	d := startSingleDaemon(t, func(s *settings.Settings) { s.Callers.MaxConnections = 2 })
 	address := d.Nodes[0].Daemon.CallerAddress()
 	requestSucceeds := func(conn net.Conn) bool {
 		_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\n\r\n")
@@ -265,15 +265,15 @@
 // upstream runs the request. The slot at the upstream must come free long before the
 // request's deadline.
 func TestCancelledRequestEndsAtTheUpstream(t *testing.T) {
-	d := startSingle(t, nil)
+	d := startSingleDaemon(t, nil)
 	n := d.Nodes[0]
 	conn := dial(t, n.Daemon.CallerAddress())
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: returdesk.fyn\r\nX-Cost: 1h\r\nDottereltiller-Timeout: 1h\r\n\r\n")
 	require.NoError(t, err)
-	running := func() int32 { return n.Daemon.Guard.Loads("")["returdesk-1"].Running }
-	require.Eventually(t, func() bool { return running() == 1 }, waitLimit, time.Millisecond)
+	runningCount := func() int32 { return n.Daemon.Guard.Loads("")["returdesk-1"].Running }
+	require.Eventually(t, func() bool { return runningCount() == 1 }, waitLimit, time.Millisecond)
 	require.NoError(t, conn.Close())
-	require.Eventually(t, func() bool { return running() == 0 }, serviceDeadline/2, time.Millisecond)
+	require.Eventually(t, func() bool { return runningCount() == 0 }, serviceDeadline/2, time.Millisecond)
 }
 
 // serviceDeadline is the deadline of the service returdesk in documentsJSON.
@@ -284,9 +284,9 @@
 func TestShutdownWaitsForRequestsInFlight(t *testing.T) {
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
 	d := startDeployment(t, zones, 2, nil)
-	const requests = 8
-	statuses := make(chan int, requests)
-	for i := range requests {
+	const requestCount = 8
+	statuses := make(chan int, requestCount)
+	for i := range requestCount {
 		go func() {
 			client := newClient(t, i%2 == 0)
 			req, _ := http.NewRequest(http.MethodGet, "http://"+d.Nodes[i%2].Daemon.CallerAddress(), nil)
@@ -306,7 +306,7 @@
 			statuses <- resp.StatusCode
 		}()
 	}
-	running := func() (n int32) {
+	runningCount := func() (n int32) {
 		for _, node := range d.Nodes {
 			for _, l := range node.Daemon.Guard.Loads("") {
 				n += l.Running
@@ -314,9 +314,9 @@
 		}
 		return n
 	}
-	require.Eventually(t, func() bool { return running() == requests }, waitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return runningCount() == requestCount }, waitLimit, time.Millisecond)
 	d.Stop()
-	for range requests {
+	for range requestCount {
 		require.Equal(t, http.StatusOK, <-statuses)
 	}
 }
--- a/daemon/ceiling.go
+++ b/daemon/ceiling.go
@@ -17,15 +17,15 @@
 
 // ceilingsOf returns the ceilings that are configured for the groups of all services.
 func ceilingsOf(set *policy.Set) map[core.Key]core.Limits {
-	limits := make(map[core.Key]core.Limits)
+	limitsByKey := make(map[core.Key]core.Limits)
 	for _, name := range set.Services() {
 		svc, _ := set.Service(name)
 		for _, g := range svc.Groups {
 			if g.RatePerSecond > 0 || g.Concurrency > 0 {
 				key := core.Key{Service: name, Group: g.Name}
-				limits[key] = core.Limits{Rate: g.RatePerSecond, Concurrency: g.Concurrency}
+				limitsByKey[key] = core.Limits{Rate: g.RatePerSecond, Concurrency: g.Concurrency}
 			}
 		}
 	}
-	return limits
+	return limitsByKey
 }
--- a/daemon/conns_test.go
+++ b/daemon/conns_test.go
@@ -51,10 +51,10 @@
 		name: "callers", listener: ln, maxConnections: 1,
 		handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { forwarded <- struct{}{} }),
 	})
-	originalHandler, requestRead := s.http.Handler, make(chan struct{})
-	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	originalHandler, requestRead := s.httpServer.Handler, make(chan struct{})
+	s.httpServer.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer close(requestRead)
-		require.NoError(t, s.http.Close())
+		require.NoError(t, s.httpServer.Close())
 		originalHandler.ServeHTTP(w, r)
 	})
 	go func() { _ = s.Serve(t.Context()) }()
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// membershipReadIntervals is the number of log polling intervals between two
+	// intervalsPerMembershipRead is the number of log polling intervals between two
 	// reads of the membership stream. The configuration stream is read at every
 	// interval. The membership stream is read less often, since peers report
 	// membership changes before the log does.
-	membershipReadIntervals = 5
+	intervalsPerMembershipRead = 5
 	// drainNoticeTimeout limits the gossip round in which a stopping daemon reports
 	// its draining upstreams.
 	drainNoticeTimeout = time.Second
@@ -57,7 +57,7 @@
 		Zone:           d.settings.Zone,
 		Log:            d.Log,
 		Pinger:         d.PeerClient,
-		Interval:       membershipReadIntervals * interval,
+		Interval:       intervalsPerMembershipRead * interval,
 		IsLogReader:    d.readsLogOften,
 		OnUpdate:       triggerRound,
 		OnLeaseExpired: func(id model.UpstreamID) { d.Guard.Drain(id) },
@@ -118,14 +118,14 @@
 // peer service. The handlers of both kinds authenticate the other daemon by the peer
 // secret.
 func (d *Daemon) peerHandler() http.Handler {
-	control := peer.Handler(d.PeerService, d.settings.Peers.Secret)
-	calls := d.callHandler()
+	controlHandler := peer.Handler(d.PeerService, d.settings.Peers.Secret)
+	callHandler := d.callHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(wire.HeaderDestination) == "" {
-			control.ServeHTTP(w, r)
+			controlHandler.ServeHTTP(w, r)
 			return
 		}
-		calls.ServeHTTP(w, r)
+		callHandler.ServeHTTP(w, r)
 	})
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -71,13 +71,13 @@
 	// peerTLS is nil if daemons call each other in plaintext.
 	peerTLS *identity.Credentials
 
-	supervisor *supervisorTree
-	peerLn     net.Listener
-	callerLn   net.Listener
-	adminLn    net.Listener
-	callers    *server
-	peers      *server
-	admin      *server
+	supervisor   *supervisorTree
+	peerLn       net.Listener
+	callerLn     net.Listener
+	adminLn      net.Listener
+	callerServer *server
+	peerServer   *server
+	adminServer  *server
 
 	// stopping is set when a shutdown begins.
 	stopping atomic.Bool
@@ -141,7 +141,7 @@
 	})
 	d.buildServers()
 	d.supervisor.Add(&gauges{daemon: d, scope: d.Metrics.Scope})
-	for _, c := range []component{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callers, d.peers, d.admin} {
+	for _, c := range []component{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callerServer, d.peerServer, d.adminServer} {
 		d.supervisor.Add(c)
 	}
 	return d, nil
@@ -163,18 +163,18 @@
 func (d *Daemon) Serve(ctx context.Context) error {
 	defer d.releaseResources()
 	runCtx, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
-	stopped := d.supervisor.root.ServeBackground(runCtx)
+	supervisorStopped := d.supervisor.root.ServeBackground(runCtx)
 	d.logger.Info("daemon started", "id", d.ID(), "zone", d.settings.Zone,
 		"callers", d.CallerAddress(), "admin", d.AdminAddress())
 	var err error
 	select {
-	case violation := <-d.supervisor.fatal:
+	case violation := <-d.supervisor.fatalErrs:
 		err = violation
 	case <-ctx.Done():
 		err = d.shutdown(runCtx)
 	}
 	stopComponents()
-	<-stopped
+	<-supervisorStopped
 	return err
 }
 
@@ -184,7 +184,7 @@
 	for _, f := range d.afterStop {
 		f()
 	}
-	for _, s := range []*server{d.callers, d.peers, d.admin} {
+	for _, s := range []*server{d.callerServer, d.peerServer, d.adminServer} {
 		s.close()
 	}
 	_ = d.Metrics.Close()
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -61,11 +61,11 @@
 }
 
 func TestAddressInUseIsNamedInTheError(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	takenListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = takenListener.Close() }()
 	s := testSettings()
-	s.Listen.Admin = taken.Addr().String()
+	s.Listen.Admin = takenListener.Addr().String()
 
 	_, err = New(s, discardLogger())
 
--- a/daemon/docs_test.go
+++ b/daemon/docs_test.go
@@ -16,10 +16,10 @@
 func TestDocumentedMetricsExist(t *testing.T) {
 	text, err := os.ReadFile("../docs/OPERATORS.md")
 	require.NoError(t, err)
-	names := regexp.MustCompile("`((?:dottereltiller|process)_[a-z_]+)`").FindAllStringSubmatch(string(text), -1)
-	require.Greater(t, len(names), 20)
+	nameMatches := regexp.MustCompile("`((?:dottereltiller|process)_[a-z_]+)`").FindAllStringSubmatch(string(text), -1)
+	require.Greater(t, len(nameMatches), 20)
 
-	d := startSingle(t, nil)
+	d := startSingleDaemon(t, nil)
 	daemon := d.Nodes[0].Daemon
 	for _, host := range []string{"returdesk.fyn", "nobody.fyn"} {
 		req, err := http.NewRequest(http.MethodGet, "http://"+daemon.CallerAddress(), nil)
@@ -29,18 +29,18 @@
 		require.NoError(t, err)
 		_ = resp.Body.Close()
 	}
-	missing := func() []string {
+	missingMetrics := func() []string {
 		metrics := fetchMetrics(t, daemon.AdminAddress())
 		var missingNames []string
-		for _, name := range names {
-			if !strings.Contains(metrics, "# TYPE "+name[1]+" ") {
-				missingNames = append(missingNames, name[1])
+		for _, match := range nameMatches {
+			if !strings.Contains(metrics, "# TYPE "+match[1]+" ") {
+				missingNames = append(missingNames, match[1])
 			}
 		}
 		return missingNames
 	}
-	for deadline := time.Now().Add(waitLimit); len(missing()) > 0 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(waitLimit); len(missingMetrics()) > 0 && time.Now().Before(deadline); {
 		time.Sleep(100 * time.Millisecond)
 	}
-	require.Empty(t, missing())
+	require.Empty(t, missingMetrics())
 }
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -54,28 +54,28 @@
 		case <-ctx.Done():
 		}
 	}()
-	d.callers.tracker.draining.Store(true)
-	d.peers.tracker.draining.Store(true)
+	d.callerServer.tracker.draining.Store(true)
+	d.peerServer.tracker.draining.Store(true)
 	for _, f := range d.beforeStop {
 		f(ctx)
 	}
-	stopped := make(chan error, 2)
-	for _, s := range []*server{d.callers, d.peers} {
-		go func() { stopped <- s.shutdown(ctx) }()
+	shutdownResults := make(chan error, 2)
+	for _, s := range []*server{d.callerServer, d.peerServer} {
+		go func() { shutdownResults <- s.shutdown(ctx) }()
 	}
-	firstErr, secondErr := <-stopped, <-stopped
+	firstErr, secondErr := <-shutdownResults, <-shutdownResults
 	if firstErr == nil && secondErr == nil {
 		return nil
 	}
-	aborted := &AbortedRequestsError{
-		CallerRequests: int(d.callers.tracker.inFlight.Load()),
-		PeerCalls:      int(d.peers.tracker.inFlight.Load()),
+	abortedErr := &AbortedRequestsError{
+		CallerRequests: int(d.callerServer.tracker.inFlight.Load()),
+		PeerCalls:      int(d.peerServer.tracker.inFlight.Load()),
 		KeyedRequests:  d.Owner.RunningCount(),
 		Waited:         time.Since(startedAt),
 	}
-	_ = d.callers.http.Close()
-	_ = d.peers.http.Close()
-	return aborted
+	_ = d.callerServer.httpServer.Close()
+	_ = d.peerServer.httpServer.Close()
+	return abortedErr
 }
 
 // handOverKeysAndDrain hands over this daemon's idempotency keys to other daemons while
@@ -92,8 +92,8 @@
 	}()
 	drainCtx, cancel := context.WithTimeout(ctx, time.Duration(d.settings.Process.DrainTime))
 	defer cancel()
-	d.peers.tracker.waitUntilClosed(drainCtx)
-	d.callers.tracker.waitUntilClosed(drainCtx)
+	d.peerServer.tracker.waitUntilClosed(drainCtx)
+	d.callerServer.tracker.waitUntilClosed(drainCtx)
 	<-handoverEnded
 }
 
@@ -101,9 +101,9 @@
 // the outcome "not run", once the daemon is draining. The entries that sent these calls
 // then pick other upstreams. Calls in flight are not affected.
 func (d *Daemon) rejectWhileDraining(next http.Handler) http.Handler {
-	rejected := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
+	rejectedCounter := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !d.peers.tracker.draining.Load() {
+		if !d.peerServer.tracker.draining.Load() {
 			next.ServeHTTP(w, r)
 			return
 		}
@@ -112,7 +112,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		rejected.Inc(1)
+		rejectedCounter.Inc(1)
 		wire.WriteResult(w, wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)), c.ID)
 	})
 }
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -47,11 +47,11 @@
 	s.Process.DrainTime = policy.Duration(100 * time.Millisecond)
 	newDaemon, err := daemon.New(s, d.Logger())
 	require.NoError(t, err)
-	faulty, err := standin.StartFaultyUpstream()
+	faultyUpstream, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = faulty.Close() })
-	faulty.SetScript(standin.Script{Hang: true})
-	return newDaemon, faulty
+	t.Cleanup(func() { _ = faultyUpstream.Close() })
+	faultyUpstream.SetScript(standin.Script{Hang: true})
+	return newDaemon, faultyUpstream
 }
 
 // TestStopWaitsForRequestsUntilAborted stops a daemon while a request hangs at its upstream.
@@ -59,11 +59,11 @@
 // the request as aborted.
 func TestStopWaitsForRequestsUntilAborted(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a"}, 1, nil)
-	drainingDaemon, faulty := newDaemonWithHangingUpstream(t, d)
+	drainingDaemon, faultyUpstream := newDaemonWithHangingUpstream(t, d)
 	stop, done := serveInBackground(t, drainingDaemon)
 	require.NoError(t, d.Nodes[0].Upstream.Announce(t.Context(), d.Nodes[0].Daemon.AdminAddress(), 1, true))
 	code, body := putAnnouncement(t, drainingDaemon.AdminAddress(), "faulty",
-		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, faulty.Address()))
+		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, faultyUpstream.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
 	require.Eventually(t, func() bool {
 		ups, _ := drainingDaemon.Members.Upstreams("returdesk")
@@ -72,7 +72,7 @@
 
 	responses := make(chan callerResponse, 1)
 	go func() { responses <- sendRequest(t, drainingDaemon.CallerAddress(), http.MethodPost, "release") }()
-	require.Eventually(t, func() bool { return faulty.Requests() == 1 }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return faultyUpstream.Requests() == 1 }, waitLimit, pollInterval)
 	stop()
 	require.Eventually(t, func() bool {
 		resp, err := http.Get("http://" + drainingDaemon.AdminAddress() + "/readyz")
@@ -88,10 +88,10 @@
 	case <-time.After(200 * time.Millisecond):
 	}
 	drainingDaemon.AbortDrain()
-	var aborted *daemon.AbortedRequestsError
-	require.ErrorAs(t, <-done, &aborted)
-	require.Equal(t, 1, aborted.CallerRequests)
-	require.Zero(t, aborted.KeyedRequests)
+	var abortedErr *daemon.AbortedRequestsError
+	require.ErrorAs(t, <-done, &abortedErr)
+	require.Equal(t, 1, abortedErr.CallerRequests)
+	require.Zero(t, abortedErr.KeyedRequests)
 	got := <-responses
 	require.True(t, got.err != nil || got.outcome == outcome.Unknown, "%+v", got)
 }
@@ -114,8 +114,8 @@
 	failures []string
 }
 
-// fail records a failure. It keeps only the first 10.
-func (r *restartLoad) fail(format string, args ...any) {
+// recordFailure records a failure. It keeps only the first 10.
+func (r *restartLoad) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.failures) < 10 {
@@ -124,9 +124,9 @@
 }
 
 // pickDaemon returns the index of a daemon that is not draining.
-func (r *restartLoad) pickDaemon(addresses []string) int {
+func (r *restartLoad) pickDaemon(callerAddresses []string) int {
 	for {
-		i := int(r.nextDaemon.Add(1)) % len(addresses)
+		i := int(r.nextDaemon.Add(1)) % len(callerAddresses)
 		if !r.draining[i].Load() {
 			return i
 		}
@@ -150,14 +150,14 @@
 	return callerResponse{status: resp.StatusCode, outcome: kind, body: string(text), header: resp.Header}, err
 }
 
-// worker sends requests until ctx is done. Workload 0 is GET requests. Workload 1 is POST
+// sendUntilDone sends requests until ctx is done. Workload 0 is GET requests. Workload 1 is POST
 // requests with an idempotency key. Workload 2 is POST requests without a key.
-func (r *restartLoad) worker(ctx context.Context, workload int, addresses []string) {
+func (r *restartLoad) sendUntilDone(ctx context.Context, workload int, callerAddresses []string) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		i := r.pickDaemon(addresses)
-		url := "http://" + addresses[i]
+		i := r.pickDaemon(callerAddresses)
+		url := "http://" + callerAddresses[i]
 		name := fmt.Sprintf("%d-%d", workload, r.nextName.Add(1))
 		method, key := http.MethodPost, ""
 		switch workload {
@@ -168,7 +168,7 @@
 			got, err := r.send(client, i, req)
 			var issued struct{ Key string }
 			if err != nil || json.Unmarshal([]byte(got.body), &issued) != nil {
-				r.fail("no key: %v %q", err, got.body)
+				r.recordFailure("no key: %v %q", err, got.body)
 				continue
 			}
 			key = issued.Key
@@ -180,7 +180,7 @@
 		}
 		got, err := r.send(client, i, req)
 		if err != nil || got.outcome != outcome.Answered || got.body != name+" "+name {
-			r.fail("request %s through daemon %d: %v %s %s %q", name, i, err, got.outcome, got.header.Get(wire.HeaderReason), got.body)
+			r.recordFailure("request %s through daemon %d: %v %s %s %q", name, i, err, got.outcome, got.header.Get(wire.HeaderReason), got.body)
 		}
 		r.finishedRequests.Add(1)
 	}
@@ -196,30 +196,30 @@
 		s.Keys.Grant = policy.Duration(5 * time.Second)
 	})
 	r := &restartLoad{deployment: d, draining: make([]atomic.Bool, len(d.Nodes))}
-	var addresses []string
+	var callerAddresses []string
 	for _, n := range d.Nodes {
-		addresses = append(addresses, n.Daemon.CallerAddress())
+		callerAddresses = append(callerAddresses, n.Daemon.CallerAddress())
 	}
 	require.Eventually(t, func() bool {
-		owned := 0
+		ownedRanges := 0
 		for _, n := range d.Nodes {
-			owned += n.Daemon.Owner.Counts().Ranges
+			ownedRanges += n.Daemon.Owner.Counts().Ranges
 		}
-		return owned == 1024
+		return ownedRanges == 1024
 	}, waitLimit, pollInterval, "every key range must have an owner")
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for i := range 6 {
-		wg.Go(func() { r.worker(ctx, i%3, addresses) })
+		wg.Go(func() { r.sendUntilDone(ctx, i%3, callerAddresses) })
 	}
 	for i, n := range d.Nodes {
-		before := r.finishedRequests.Load()
-		require.Eventually(t, func() bool { return r.finishedRequests.Load() > before+100 }, waitLimit, pollInterval)
+		finishedBefore := r.finishedRequests.Load()
+		require.Eventually(t, func() bool { return r.finishedRequests.Load() > finishedBefore+100 }, waitLimit, pollInterval)
 		require.NoError(t, d.Restart(t.Context(), n))
 		r.draining[i].Store(false)
 	}
-	before := r.finishedRequests.Load()
-	require.Eventually(t, func() bool { return r.finishedRequests.Load() > before+100 }, waitLimit, pollInterval)
+	finishedBefore := r.finishedRequests.Load()
+	require.Eventually(t, func() bool { return r.finishedRequests.Load() > finishedBefore+100 }, waitLimit, pollInterval)
 	stop()
 	wg.Wait()
 	require.Empty(t, r.failures)
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -26,7 +26,7 @@
 // buildOwner sets up the component that owns idempotency keys. The entry is built
 // later, so Execute reads d.Entry only when a request with a key arrives.
 func (d *Daemon) buildOwner(client *hop.Client) {
-	keys := d.settings.Keys
+	keySettings := d.settings.Keys
 	d.Owner = owner.New(owner.Options{
 		Self:             d.ID(),
 		Log:              d.Log,
@@ -35,12 +35,12 @@
 		Client:           client,
 		PeerSecret:       d.settings.Peers.Secret,
 		Messenger:        owner.PeerMessenger{Client: d.PeerClient},
-		GrantDuration:    time.Duration(keys.Grant),
-		Retention:        time.Duration(keys.Retention),
-		PollInterval:     min(maxGrantCheckInterval, time.Duration(keys.Grant)/minChecksPerGrant),
-		MaxBodyBytes:     keys.MaxBodyBytes,
-		MaxResponseBytes: keys.MaxAnswerBytes,
-		Limits:           claims.Limits{Claims: keys.MaxClaims, AnswerBytes: keys.MaxAnswersBytes},
+		GrantDuration:    time.Duration(keySettings.Grant),
+		Retention:        time.Duration(keySettings.Retention),
+		PollInterval:     min(maxGrantCheckInterval, time.Duration(keySettings.Grant)/minChecksPerGrant),
+		MaxBodyBytes:     keySettings.MaxBodyBytes,
+		MaxResponseBytes: keySettings.MaxAnswerBytes,
+		Limits:           claims.Limits{Claims: keySettings.MaxClaims, AnswerBytes: keySettings.MaxAnswersBytes},
 		Scope:            d.scope("keys"),
 		Logger:           d.logger,
 	})
--- a/daemon/keys_test.go
+++ b/daemon/keys_test.go
@@ -63,9 +63,9 @@
 // first must be marked as replayed. The cases send keys or bodies that must be refused.
 func TestKeyedRequestsRunOnceOverHTTP(t *testing.T) {
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 3, nil)
-	addresses := []string{d.Nodes[0].Daemon.CallerAddress(), d.Nodes[1].Daemon.CallerAddress(), d.Nodes[2].Daemon.CallerAddress()}
-	key := obtainKey(t, addresses[0])
-	for i, a := range append(addresses, addresses...) {
+	callerAddresses := []string{d.Nodes[0].Daemon.CallerAddress(), d.Nodes[1].Daemon.CallerAddress(), d.Nodes[2].Daemon.CallerAddress()}
+	key := obtainKey(t, callerAddresses[0])
+	for i, a := range append(callerAddresses, callerAddresses...) {
 		got := postKeyed(t, a, `"`+key+`"`, "once", "release 1")
 		require.Equal(t, http.StatusOK, got.status, got.body)
 		require.Equal(t, "once release 1", got.body)
@@ -80,10 +80,10 @@
 		"not a UUIDv7":    {"42", "release 1", "key-invalid", http.StatusBadRequest, outcome.NotRun},
 		"too old":         {"0180f0c1-7b3a-7cc0-8a11-0123456789ab", "release 1", "key-expired", http.StatusGone, outcome.Unknown},
 		"from the future": {"f192f0c1-7b3a-7cc0-8a11-0123456789ab", "release 1", "key-not-owned", http.StatusServiceUnavailable, outcome.Unknown},
-		"body too large":  {obtainKey(t, addresses[1]), strings.Repeat("x", 300<<10), "too-large", http.StatusRequestEntityTooLarge, outcome.NotRun},
+		"body too large":  {obtainKey(t, callerAddresses[1]), strings.Repeat("x", 300<<10), "too-large", http.StatusRequestEntityTooLarge, outcome.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := postKeyed(t, addresses[1], tc.key, "other", tc.body)
+			got := postKeyed(t, callerAddresses[1], tc.key, "other", tc.body)
 			require.Equal(t, tc.reason, got.header.Get(wire.HeaderReason))
 			require.Equal(t, tc.status, got.status)
 			require.Equal(t, tc.outcome, got.outcome)
@@ -103,14 +103,14 @@
 func requireDocumentedMetrics(t *testing.T, page string, d *local.Deployment) {
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
-	names := regexp.MustCompile("`(dottereltiller_[a-z_]+)").FindAllStringSubmatch(string(text), -1)
-	require.NotEmpty(t, names)
-	for _, name := range names {
+	nameMatches := regexp.MustCompile("`(dottereltiller_[a-z_]+)").FindAllStringSubmatch(string(text), -1)
+	require.NotEmpty(t, nameMatches)
+	for _, match := range nameMatches {
 		require.Eventually(t, func() bool {
 			return slices.ContainsFunc(d.Nodes, func(n *local.Node) bool {
-				return strings.Contains(fetchMetrics(t, n.Daemon.AdminAddress()), "# TYPE "+name[1]+" ")
+				return strings.Contains(fetchMetrics(t, n.Daemon.AdminAddress()), "# TYPE "+match[1]+" ")
 			})
-		}, waitLimit, 100*time.Millisecond, name[1])
+		}, waitLimit, 100*time.Millisecond, match[1])
 	}
 }
 
@@ -129,11 +129,11 @@
 	})
 	for _, keyed := range []bool{false, true} {
 		b.Run(map[bool]string{false: "plain", true: "keyed"}[keyed], func(b *testing.B) {
-			hist := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-			i := 0
+			latencyHist := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+			requestCount := 0
 			for b.Loop() {
-				a := d.Nodes[i%3].Daemon.CallerAddress()
-				i++
+				a := d.Nodes[requestCount%3].Daemon.CallerAddress()
+				requestCount++
 				key := ""
 				if keyed {
 					b.StopTimer()
@@ -142,13 +142,13 @@
 				}
 				startedAt := time.Now()
 				got := postKeyed(b, a, key, "bench", "x")
-				_ = hist.RecordValue(time.Since(startedAt).Microseconds())
+				_ = latencyHist.RecordValue(time.Since(startedAt).Microseconds())
 				if got.outcome != outcome.Answered {
 					b.Fatalf("not answered: %+v", got)
 				}
 			}
-			b.ReportMetric(float64(hist.ValueAtQuantile(50)), "p50-us")
-			b.ReportMetric(float64(hist.ValueAtQuantile(99)), "p99-us")
+			b.ReportMetric(float64(latencyHist.ValueAtQuantile(50)), "p50-us")
+			b.ReportMetric(float64(latencyHist.ValueAtQuantile(99)), "p99-us")
 		})
 	}
 }
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -28,7 +28,7 @@
 // listen binds the listeners for callers, peers and admin. If one address cannot be
 // bound, listen closes the listeners already bound and returns a *ListenError.
 func (d *Daemon) listen() error {
-	var bound []net.Listener
+	var boundListeners []net.Listener
 	for _, l := range []struct {
 		path     string
 		address  string
@@ -40,12 +40,12 @@
 	} {
 		ln, err := net.Listen("tcp", l.address)
 		if err != nil {
-			for _, b := range bound {
+			for _, b := range boundListeners {
 				_ = b.Close()
 			}
 			return &ListenError{Path: l.path, Address: l.address, Err: err}
 		}
-		bound = append(bound, ln)
+		boundListeners = append(boundListeners, ln)
 		*l.listener = ln
 	}
 	return nil
@@ -66,9 +66,9 @@
 
 // buildServers sets up the servers for callers, peers and admin.
 func (d *Daemon) buildServers() {
-	limits := d.settings.Callers
-	stallTimeout := time.Duration(limits.StallTimeout)
-	callers := &stallLimiter{
+	callerSettings := d.settings.Callers
+	stallTimeout := time.Duration(callerSettings.StallTimeout)
+	callerHandler := &stallLimiter{
 		timeout: stallTimeout,
 		stalls:  d.scope("callers").Counter("stalls"),
 		next:    d.serveKeys(d.tracer.Handler("entry", d.Entry)),
@@ -77,33 +77,33 @@
 	}
 	// A caller that reads slowly makes its entry read slowly from this daemon. The
 	// longer timeout here lets that entry abort the caller's request first.
-	peers := &stallLimiter{
+	peerHandler := &stallLimiter{
 		timeout: peerStallFactor * stallTimeout,
 		stalls:  d.scope("peers").Counter("stalls"),
 		next:    d.peerHandler(),
 	}
-	admin := &stallLimiter{
+	adminHandler := &stallLimiter{
 		timeout: stallTimeout,
 		stalls:  d.scope("admin").Counter("stalls"),
 		next:    d.adminHandler(),
 	}
-	d.callers = newServer(serverOptions{
+	d.callerServer = newServer(serverOptions{
 		name:           "callers",
 		listener:       d.callerLn,
-		handler:        d.supervisor.recoverPanics("callers", callers),
-		headerTimeout:  time.Duration(limits.HeaderTimeout),
-		idleTimeout:    time.Duration(limits.IdleTimeout),
-		maxHeaderBytes: limits.MaxHeaderBytes,
+		handler:        d.supervisor.recoverPanics("callers", callerHandler),
+		headerTimeout:  time.Duration(callerSettings.HeaderTimeout),
+		idleTimeout:    time.Duration(callerSettings.IdleTimeout),
+		maxHeaderBytes: callerSettings.MaxHeaderBytes,
 		tls:            d.callerTLS.CallerServerConfig(),
 		http2:          true,
 		connErrors:     d.scope("callers").Counter("connection_errors"),
-		maxConnections: limits.MaxConnections,
+		maxConnections: callerSettings.MaxConnections,
 		refusedConns:   d.scope("callers").Counter("connections_refused"),
 	})
-	d.peers = newServer(serverOptions{
+	d.peerServer = newServer(serverOptions{
 		name:           "peers",
 		listener:       d.peerLn,
-		handler:        d.supervisor.recoverPanics("peers", peers),
+		handler:        d.supervisor.recoverPanics("peers", peerHandler),
 		headerTimeout:  peerHeaderTimeout,
 		idleTimeout:    peerIdleTimeout,
 		maxHeaderBytes: maxPeerHeaderBytes,
@@ -113,10 +113,10 @@
 		maxConnections: maxPeerConnections,
 		refusedConns:   d.scope("peers").Counter("connections_refused"),
 	})
-	d.admin = newServer(serverOptions{
+	d.adminServer = newServer(serverOptions{
 		name:           "admin",
 		listener:       d.adminLn,
-		handler:        d.supervisor.recoverPanics("admin", admin),
+		handler:        d.supervisor.recoverPanics("admin", adminHandler),
 		headerTimeout:  peerHeaderTimeout,
 		idleTimeout:    peerIdleTimeout,
 		maxHeaderBytes: maxPeerHeaderBytes,
@@ -129,7 +129,7 @@
 // callHandler returns a handler for calls of other daemons. It authenticates the daemon
 // by the peer secret and passes the call to the guard or the owner.
 func (d *Daemon) callHandler() http.Handler {
-	calls := map[string]http.Handler{
+	handlersByDestination := map[string]http.Handler{
 		wire.DestinationGuard: d.rejectWhileDraining(d.tracer.Handler("guard", d.Guard)),
 		wire.DestinationOwner: d.tracer.Handler("owner", d.Owner),
 	}
@@ -139,7 +139,7 @@
 			http.Error(w, "peer not authenticated", http.StatusUnauthorized)
 			return
 		}
-		h := calls[r.Header.Get(wire.HeaderDestination)]
+		h := handlersByDestination[r.Header.Get(wire.HeaderDestination)]
 		if h == nil {
 			http.Error(w, "unknown destination component", http.StatusBadRequest)
 			return
--- a/daemon/quickstart_test.go
+++ b/daemon/quickstart_test.go
@@ -20,17 +20,17 @@
 	"github.com/dottereltiller/dottereltiller/telemetry"
 )
 
-const quickstart = "../examples/quickstart/"
+const quickstartDir = "../examples/quickstart/"
 
 // TestTheQuickStartWorks follows the quick start in docs/OPERATORS.md with the files in
 // examples/quickstart, except that it uses free ports.
 func TestTheQuickStartWorks(t *testing.T) {
-	log := httptest.NewServer(recordlog.Handler(&recordlog.Memory{}))
-	defer log.Close()
-	s, err := settings.Load(quickstart + "daemon.json")
+	logServer := httptest.NewServer(recordlog.Handler(&recordlog.Memory{}))
+	defer logServer.Close()
+	s, err := settings.Load(quickstartDir + "daemon.json")
 	require.NoError(t, err)
 	s.Listen = settings.Listen{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Admin: "127.0.0.1:0"}
-	s.Log.Address = log.Listener.Addr().String()
+	s.Log.Address = logServer.Listener.Addr().String()
 	d, err := daemon.New(s, telemetry.NewLogger(os.Stderr, "text", 12))
 	require.NoError(t, err)
 	daemonCtx, stopDaemon := context.WithCancel(context.Background())
@@ -43,7 +43,7 @@
 	go func() { upstreamStopped <- up.Run(ctx, d.AdminAddress(), 1, func(err error) { t.Log(err) }) }()
 
 	var docs []policy.Document
-	data, err := os.ReadFile(quickstart + "documents.json")
+	data, err := os.ReadFile(quickstartDir + "documents.json")
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(data, &docs))
 	_, err = operator.Publish(ctx, recordlog.NewClient(s.Log.Address), "test", docs)
@@ -54,7 +54,7 @@
 	}
 	require.Eventually(t, ready, waitLimit, 5*time.Millisecond)
 
-	plan, err := load.LoadPlan(quickstart + "load.json")
+	plan, err := load.LoadPlan(quickstartDir + "load.json")
 	require.NoError(t, err)
 	plan.Targets[0].Address = d.CallerAddress()
 	plan.Duration = policy.Duration(300 * time.Millisecond)
@@ -66,8 +66,8 @@
 
 	stopUpstream()
 	require.NoError(t, <-upstreamStopped, "the upstream must drain without an error")
-	drained, _ := d.Members.Upstreams("returdesk")
-	require.True(t, len(drained) == 0 || drained[0].Draining)
+	upstreamsAfterStop, _ := d.Members.Upstreams("returdesk")
+	require.True(t, len(upstreamsAfterStop) == 0 || upstreamsAfterStop[0].Draining)
 	stopDaemon()
 	require.NoError(t, <-daemonStopped, "the daemon must shut down without an error")
 }
--- a/daemon/response_test.go
+++ b/daemon/response_test.go
@@ -27,25 +27,25 @@
 func startWithFaultyUpstream(t *testing.T) (*local.Deployment, *standin.FaultyUpstream) {
 	t.Helper()
 	d := startDeployment(t, []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}, 2, nil)
-	faulty, err := standin.StartFaultyUpstream()
+	faultyUpstream, err := standin.StartFaultyUpstream()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = faulty.Close() })
+	t.Cleanup(func() { _ = faultyUpstream.Close() })
 	ctx := t.Context()
 	for i, n := range d.Nodes {
 		require.NoError(t, n.Upstream.Announce(ctx, n.Daemon.AdminAddress(), 1, true), i)
 	}
 	code, body := putAnnouncement(t, d.Nodes[1].Daemon.AdminAddress(), "faulty",
-		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, faulty.Address()))
+		fmt.Sprintf(`{"service": "returdesk", "address": %q, "slots": 8, "incarnation": 1}`, faultyUpstream.Address()))
 	require.Equal(t, http.StatusNoContent, code, body)
-	faulty.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), CutAfter: -1})
+	faultyUpstream.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), CutAfter: -1})
 	for _, n := range d.Nodes {
 		require.Eventually(t, func() bool {
-			before := faulty.Requests()
+			requestsBefore := faultyUpstream.Requests()
 			got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodGet, "")
-			return got.outcome == outcome.Answered && faulty.Requests() == before+1
+			return got.outcome == outcome.Answered && faultyUpstream.Requests() == requestsBefore+1
 		}, waitLimit, pollInterval)
 	}
-	return d, faulty
+	return d, faultyUpstream
 }
 
 func putAnnouncement(t *testing.T, adminAddress, id, body string) (int, string) {
@@ -103,20 +103,20 @@
 // through two. The caller must see an error or the outcome "unknown". The request must not
 // be sent twice.
 func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
-	d, faulty := startWithFaultyUpstream(t)
+	d, faultyUpstream := startWithFaultyUpstream(t)
 	for name, response := range completeResponses {
 		for _, n := range d.Nodes {
 			t.Run(fmt.Sprintf("%s/%s", name, n.Upstream.ID), func(t *testing.T) {
-				for cut := range len(response) {
-					faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: cut, Reset: cut%2 == 0})
-					before := faulty.Requests()
+				for cutAfter := range len(response) {
+					faultyUpstream.SetScript(standin.Script{Response: []byte(response), CutAfter: cutAfter, Reset: cutAfter%2 == 0})
+					requestsBefore := faultyUpstream.Requests()
 					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					if got.err == nil {
-						require.Equal(t, outcome.Unknown, got.outcome, "cut after %d bytes: %+v", cut, got)
+						require.Equal(t, outcome.Unknown, got.outcome, "cut after %d bytes: %+v", cutAfter, got)
 					}
-					require.Equal(t, before+1, faulty.Requests(), "the request must be sent exactly once")
+					require.Equal(t, requestsBefore+1, faultyUpstream.Requests(), "the request must be sent exactly once")
 				}
-				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
+				faultyUpstream.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
 				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				require.NoError(t, got.err)
 				require.Equal(t, outcome.Answered, got.outcome)
@@ -132,7 +132,7 @@
 // TestSurplusResponseNeverReachesTheNextRequest has the upstream send more bytes than
 // one response. The surplus bytes must not become the response to the next request.
 func TestSurplusResponseNeverReachesTheNextRequest(t *testing.T) {
-	d, faulty := startWithFaultyUpstream(t)
+	d, faultyUpstream := startWithFaultyUpstream(t)
 	for name, response := range map[string]string{
 		"two responses":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo",
 		"surplus bytes":                          "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none and more",
@@ -140,9 +140,9 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
+				faultyUpstream.SetScript(standin.Script{Response: []byte(response), CutAfter: -1})
 				sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
-				faulty.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), CutAfter: -1})
+				faultyUpstream.SetScript(standin.Script{Response: []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"), CutAfter: -1})
 				for range 3 {
 					got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 					require.NoError(t, got.err)
@@ -156,7 +156,7 @@
 }
 
 func TestAmbiguousResponsesAreNotForwarded(t *testing.T) {
-	d, faulty := startWithFaultyUpstream(t)
+	d, faultyUpstream := startWithFaultyUpstream(t)
 	for name, response := range map[string]string{
 		"two lengths":       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
 		"signed length":     "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
@@ -169,7 +169,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				faulty.SetScript(standin.Script{Response: []byte(response), CutAfter: len(response)})
+				faultyUpstream.SetScript(standin.Script{Response: []byte(response), CutAfter: len(response)})
 				got := sendRequest(t, n.Daemon.CallerAddress(), http.MethodPost, "release")
 				if got.err == nil {
 					require.Equal(t, outcome.Unknown, got.outcome, "%+v", got)
@@ -183,10 +183,10 @@
 // upstream. The daemon must release the connection to the upstream and the slot.
 // TestMain checks that no goroutine is left over.
 func TestCancelledCallReleasesConnectionAndSlot(t *testing.T) {
-	d, faulty := startWithFaultyUpstream(t)
-	faulty.SetScript(standin.Script{Hang: true})
+	d, faultyUpstream := startWithFaultyUpstream(t)
+	faultyUpstream.SetScript(standin.Script{Hang: true})
 	for _, n := range d.Nodes {
-		before := faulty.Requests()
+		requestsBefore := faultyUpstream.Requests()
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() {
@@ -195,19 +195,19 @@
 			_, err := http.DefaultTransport.RoundTrip(req)
 			done <- err
 		}()
-		require.Eventually(t, func() bool { return faulty.Requests() == before+1 }, waitLimit, pollInterval)
+		require.Eventually(t, func() bool { return faultyUpstream.Requests() == requestsBefore+1 }, waitLimit, pollInterval)
 		cancel()
 		require.ErrorIs(t, <-done, context.Canceled)
 		require.Eventually(t, func() bool {
-			return faulty.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
+			return faultyUpstream.Conns() == 0 && d.Nodes[1].Daemon.Guard.Loads("")["faulty"].Running == 0
 		}, waitLimit, pollInterval, "connection and slot must be released")
 	}
 }
 
 func TestUpgradesOtherThanH2CAreRefused(t *testing.T) {
-	d, faulty := startWithFaultyUpstream(t)
+	d, faultyUpstream := startWithFaultyUpstream(t)
 	for upgrade, status := range map[string]int{"websocket": http.StatusNotImplemented, "h2c": http.StatusOK, "h2c, foo/1": http.StatusNotImplemented} {
-		before := faulty.Requests()
+		requestsBefore := faultyUpstream.Requests()
 		req, err := http.NewRequest(http.MethodGet, "http://"+d.Nodes[0].Daemon.CallerAddress()+"/x", nil)
 		require.NoError(t, err)
 		req.Host = "returdesk.fyn"
@@ -219,13 +219,13 @@
 		require.Equal(t, status, resp.StatusCode, upgrade)
 		if status != http.StatusOK {
 			require.Equal(t, outcome.NotRun.String(), resp.Header.Get(wire.HeaderOutcome))
-			require.Equal(t, before, faulty.Requests())
+			require.Equal(t, requestsBefore, faultyUpstream.Requests())
 		}
 	}
 }
 
-func TestResponsesWithoutBody(t *testing.T) {
-	d, faulty := startWithFaultyUpstream(t)
+func TestResponsesWithoutBodyAreForwarded(t *testing.T) {
+	d, faultyUpstream := startWithFaultyUpstream(t)
 	for name, tc := range map[string]struct {
 		method, response, length string
 		status                   int
@@ -237,7 +237,7 @@
 	} {
 		for _, n := range d.Nodes {
 			t.Run(name+"/"+n.Upstream.ID, func(t *testing.T) {
-				faulty.SetScript(standin.Script{Response: []byte(tc.response), CutAfter: -1})
+				faultyUpstream.SetScript(standin.Script{Response: []byte(tc.response), CutAfter: -1})
 				for range 2 {
 					got := sendRequest(t, n.Daemon.CallerAddress(), tc.method, "")
 					require.NoError(t, got.err)
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -60,10 +60,10 @@
 // server is an HTTP server as a supervised component. When it is restarted after a
 // failure, it listens on the same address again.
 type server struct {
-	options serverOptions
-	address string
-	http    *http.Server
-	tracker *connTracker
+	options    serverOptions
+	address    string
+	httpServer *http.Server
+	tracker    *connTracker
 
 	mu sync.Mutex
 	// listener is the listener for the first run. It is nil once Serve has used it.
@@ -83,7 +83,7 @@
 		tracker:  tracker,
 		address:  o.listener.Addr().String(),
 		listener: o.listener,
-		http: &http.Server{
+		httpServer: &http.Server{
 			Handler:           inbound.AbortClosed(tracker.countInFlight(o.handler)),
 			ReadHeaderTimeout: o.headerTimeout,
 			IdleTimeout:       o.idleTimeout,
@@ -104,17 +104,17 @@
 // context is done, it closes all connections. In both cases it returns
 // suture.ErrDoNotRestart.
 func (s *server) Serve(ctx context.Context) error {
-	ln, err := s.takeListener()
+	ln, err := s.takeOrOpenListener()
 	if err != nil {
 		return err
 	}
-	stop := context.AfterFunc(ctx, func() { _ = s.http.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = s.httpServer.Close() })
 	defer stop()
 	ln = inbound.NewListener(ln)
 	if s.options.tls != nil {
-		err = s.http.ServeTLS(ln, "", "")
+		err = s.httpServer.ServeTLS(ln, "", "")
 	} else {
-		err = s.http.Serve(ln)
+		err = s.httpServer.Serve(ln)
 	}
 	if errors.Is(err, http.ErrServerClosed) {
 		return suture.ErrDoNotRestart
@@ -128,7 +128,7 @@
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
-	return s.tracker.shutdown(ctx, s.http)
+	return s.tracker.shutdown(ctx, s.httpServer)
 }
 
 // close closes the listener of a server that was never run.
@@ -140,10 +140,10 @@
 	}
 }
 
-// takeListener returns the listener from serverOptions on the first call. Later calls
-// return a new listener on the same address. After shutdown, takeListener returns
+// takeOrOpenListener returns the listener from serverOptions on the first call. Later calls
+// return a new listener on the same address. After shutdown, takeOrOpenListener returns
 // suture.ErrDoNotRestart.
-func (s *server) takeListener() (net.Listener, error) {
+func (s *server) takeOrOpenListener() (net.Listener, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopping {
@@ -168,17 +168,17 @@
 
 // limitConnections returns a ConnState hook that closes new connections while
 // maxOpen connections are open.
-func limitConnections(maxOpen int, refused tally.Counter) func(net.Conn, http.ConnState) {
-	var open atomic.Int64
+func limitConnections(maxOpen int, refusedConns tally.Counter) func(net.Conn, http.ConnState) {
+	var openCount atomic.Int64
 	return func(conn net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
-			if open.Add(1) > int64(maxOpen) {
-				refused.Inc(1)
+			if openCount.Add(1) > int64(maxOpen) {
+				refusedConns.Inc(1)
 				_ = conn.Close()
 			}
 		case http.StateClosed, http.StateHijacked:
-			open.Add(-1)
+			openCount.Add(-1)
 		}
 	}
 }
--- a/daemon/stall.go
+++ b/daemon/stall.go
@@ -26,10 +26,10 @@
 
 // ServeHTTP implements http.Handler.
 func (l *stallLimiter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	limited := &limitedWriter{ResponseWriter: w, limiter: l, control: http.NewResponseController(w)}
+	limited := &limitedWriter{ResponseWriter: w, limiter: l, controller: http.NewResponseController(w)}
 	// Clear the deadline that the previous request on this connection set. That
 	// deadline would abort this request.
-	_ = limited.control.SetWriteDeadline(time.Time{})
+	_ = limited.controller.SetWriteDeadline(time.Time{})
 	if l.closeChunked && r.ProtoMajor == 1 && len(r.TransferEncoding) > 0 {
 		// When a request has both Transfer-Encoding: chunked and Content-Length,
 		// net/http ignores the length and hides the conflict. The bytes after such
@@ -56,21 +56,21 @@
 // is one timeout from the start of the write. See extendDeadline for the exception.
 type limitedWriter struct {
 	http.ResponseWriter
-	limiter *stallLimiter
-	control *http.ResponseController
+	limiter    *stallLimiter
+	controller *http.ResponseController
 	// body is nil when the request has none.
 	body *limitedBody
 }
 
 // WriteHeader implements http.ResponseWriter.
 func (w *limitedWriter) WriteHeader(status int) {
-	w.extendDeadline()
+	w.extendDeadlines()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
 func (w *limitedWriter) Write(p []byte) (int, error) {
-	w.extendDeadline()
+	w.extendDeadlines()
 	n, err := w.ResponseWriter.Write(p)
 	w.limiter.countTimeout(err)
 	return n, err
@@ -79,8 +79,8 @@
 // FlushError flushes the response with the deadline of a write. http.ResponseController
 // calls it.
 func (w *limitedWriter) FlushError() error {
-	w.extendDeadline()
-	err := w.control.Flush()
+	w.extendDeadlines()
+	err := w.controller.Flush()
 	w.limiter.countTimeout(err)
 	return err
 }
@@ -92,12 +92,12 @@
 // handler has not read the request body to its end, the deadline is two timeouts from now.
 // net/http then reads the rest of the body before the first write, and that read may take
 // up to one timeout itself.
-func (w *limitedWriter) extendDeadline() {
+func (w *limitedWriter) extendDeadlines() {
 	timeout := w.limiter.timeout
-	if w.body != nil && w.body.extendDeadline() {
+	if w.body != nil && w.body.extendReadDeadline() {
 		timeout *= 2
 	}
-	_ = w.control.SetWriteDeadline(time.Now().Add(timeout))
+	_ = w.controller.SetWriteDeadline(time.Now().Add(timeout))
 }
 
 // limitedBody sets a deadline before every read of the request body. The deadline is one
@@ -114,10 +114,10 @@
 // Read implements io.Reader. At the end of the body it clears the read deadline.
 // Otherwise the deadline would cancel a request that runs longer than the timeout.
 func (b *limitedBody) Read(p []byte) (int, error) {
-	b.extendDeadline()
+	b.extendReadDeadline()
 	n, err := b.body.Read(p)
 	if err != nil {
-		b.markEnded(err)
+		b.handleReadError(err)
 	}
 	return n, err
 }
@@ -127,19 +127,19 @@
 
 // extendDeadline sets the deadline of the next read and returns true. Once the body has
 // ended, it sets no deadline and returns false.
-func (b *limitedBody) extendDeadline() bool {
+func (b *limitedBody) extendReadDeadline() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
 		return false
 	}
-	_ = b.writer.control.SetReadDeadline(time.Now().Add(b.writer.limiter.timeout))
+	_ = b.writer.controller.SetReadDeadline(time.Now().Add(b.writer.limiter.timeout))
 	return true
 }
 
-// markEnded records that a read returned err, which is io.EOF or another error. It counts
+// handleReadError records that a read returned err, which is io.EOF or another error. It counts
 // a stall if err reports an exceeded deadline. At io.EOF it clears the read deadline.
-func (b *limitedBody) markEnded(err error) {
+func (b *limitedBody) handleReadError(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
@@ -148,6 +148,6 @@
 	b.ended = true
 	b.writer.limiter.countTimeout(err)
 	if err == io.EOF {
-		_ = b.writer.control.SetReadDeadline(time.Time{})
+		_ = b.writer.controller.SetReadDeadline(time.Time{})
 	}
 }
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -33,8 +33,8 @@
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	// file is the path of cert in PEM form.
-	file string
+	// certPath is the path of cert in PEM form.
+	certPath string
 }
 
 func newCertAuthority(t *testing.T) *certAuthority {
@@ -46,7 +46,7 @@
 	a.key = newPrivateKey(t)
 	der := createCertificate(t, template, template, a.key, a.key)
 	a.cert, _ = x509.ParseCertificate(der)
-	a.file = a.writePEM("authority.pem", "CERTIFICATE", der)
+	a.certPath = a.writePEM("authority.pem", "CERTIFICATE", der)
 	return a
 }
 
@@ -86,7 +86,7 @@
 	return settings.TLS{
 		Certificate: a.writePEM(commonName+".pem", "CERTIFICATE", der),
 		Key:         a.writePEM(commonName+".key", "EC PRIVATE KEY", keyDER),
-		Authority:   a.file,
+		Authority:   a.certPath,
 	}
 }
 
@@ -111,14 +111,14 @@
 // A known certificate name and no certificate must be accepted. An unknown name and a
 // certificate of another authority must be refused.
 func TestCallersAuthenticateByCertificate(t *testing.T) {
-	trusted, untrusted := newCertAuthority(t), newCertAuthority(t)
-	d := startSingle(t, func(s *settings.Settings) { s.Callers.TLS = trusted.issue("daemon") })
+	trustedCA, untrustedCA := newCertAuthority(t), newCertAuthority(t)
+	d := startSingleDaemon(t, func(s *settings.Settings) { s.Callers.TLS = trustedCA.issue("daemon") })
 	url := "https://" + d.Nodes[0].Daemon.CallerAddress()
 	requestStatus := func(clientCert settings.TLS) (int, error) {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
 		require.NoError(t, err)
 		req.Host = "returdesk.fyn"
-		resp, err := trusted.newHTTPClient(clientCert).Do(req)
+		resp, err := trustedCA.newHTTPClient(clientCert).Do(req)
 		if err != nil {
 			return 0, err
 		}
@@ -127,27 +127,27 @@
 		return resp.StatusCode, nil
 	}
 
-	code, err := requestStatus(trusted.issue("sorter"))
+	code, err := requestStatus(trustedCA.issue("sorter"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code)
 	code, err = requestStatus(settings.TLS{})
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code, "an anonymous caller gets the default group")
-	code, err = requestStatus(trusted.issue("stranger"))
+	code, err = requestStatus(trustedCA.issue("stranger"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusUnauthorized, code)
 	plan := load.Plan{
 		Targets:  []load.Target{{Address: d.Nodes[0].Daemon.CallerAddress()}},
 		Duration: policy.Duration(200 * time.Millisecond),
 		Sources:  []load.Source{{Service: "returdesk", Rate: 100, Verify: true}},
-		TLS:      trusted.issue("sorter"),
+		TLS:      trustedCA.issue("sorter"),
 	}
 	require.NoError(t, plan.Check())
 	res, err := load.Run(t.Context(), plan, load.Options{})
 	require.NoError(t, err)
 	require.Positive(t, res.Total.Answered)
 	require.Equal(t, res.Total.Requests, res.Total.Answered)
-	_, err = requestStatus(untrusted.issue("sorter"))
+	_, err = requestStatus(untrustedCA.issue("sorter"))
 	require.Error(t, err, "a certificate of another authority must not be accepted")
 }
 
@@ -155,9 +155,9 @@
 // forward requests to each other. A daemon must not accept a peer without a certificate,
 // and a peer must not accept a daemon whose certificate is from another authority.
 func TestDaemonsAuthenticateEachOther(t *testing.T) {
-	trusted, untrusted := newCertAuthority(t), newCertAuthority(t)
+	trustedCA, untrustedCA := newCertAuthority(t), newCertAuthority(t)
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
-	d := startDeployment(t, zones, 2, func(s *settings.Settings) { s.Peers.TLS = trusted.issue(string(s.Zone)) })
+	d := startDeployment(t, zones, 2, func(s *settings.Settings) { s.Peers.TLS = trustedCA.issue(string(s.Zone)) })
 
 	for range 20 {
 		req, err := http.NewRequest(http.MethodGet, "http://"+d.Nodes[0].Daemon.CallerAddress(), nil)
@@ -188,7 +188,7 @@
 		_, err = conn.Read(make([]byte, 1))
 	}
 	require.ErrorContains(t, err, "certificate required")
-	untrustedPeer, err := identity.Load("peers.tls", untrusted.issue("stranger"))
+	untrustedPeer, err := identity.Load("peers.tls", untrustedCA.issue("stranger"))
 	require.NoError(t, err)
 	_, err = untrustedPeer.PeerDialer(waitLimit)(t.Context(), "tcp", peerAddress)
 	require.ErrorContains(t, err, "unknown authority")
@@ -196,16 +196,16 @@
 
 func TestUnusableFileIsNamedInTheError(t *testing.T) {
 	a := newCertAuthority(t)
-	valid := a.issue("daemon")
+	validTLS := a.issue("daemon")
 	for name, c := range map[string]struct {
 		files settings.TLS
 		want  string
 	}{
-		"no certificate":             {settings.TLS{Certificate: "absent.pem", Key: valid.Key}, `callers.tls.certificate: open absent.pem: no such file or directory (got "absent.pem")`},
-		"no key":                     {settings.TLS{Certificate: valid.Certificate, Key: "absent.key"}, `callers.tls.key: open absent.key: no such file or directory (got "absent.key")`},
-		"no authority":               {settings.TLS{Certificate: valid.Certificate, Key: valid.Key, Authority: "absent"}, `callers.tls.authority: open absent: no such file or directory (got "absent")`},
-		"key as authority":           {settings.TLS{Certificate: valid.Certificate, Key: valid.Key, Authority: valid.Key}, `callers.tls.authority: no certificate in PEM form`},
-		"key of another certificate": {settings.TLS{Certificate: valid.Certificate, Key: a.issue("other").Key}, `callers.tls.certificate: tls: private key does not match public key`},
+		"no certificate":             {settings.TLS{Certificate: "absent.pem", Key: validTLS.Key}, `callers.tls.certificate: open absent.pem: no such file or directory (got "absent.pem")`},
+		"no key":                     {settings.TLS{Certificate: validTLS.Certificate, Key: "absent.key"}, `callers.tls.key: open absent.key: no such file or directory (got "absent.key")`},
+		"no authority":               {settings.TLS{Certificate: validTLS.Certificate, Key: validTLS.Key, Authority: "absent"}, `callers.tls.authority: open absent: no such file or directory (got "absent")`},
+		"key as authority":           {settings.TLS{Certificate: validTLS.Certificate, Key: validTLS.Key, Authority: validTLS.Key}, `callers.tls.authority: no certificate in PEM form`},
+		"key of another certificate": {settings.TLS{Certificate: validTLS.Certificate, Key: a.issue("other").Key}, `callers.tls.certificate: tls: private key does not match public key`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings.Defaults()
--- a/daemon/tracing_test.go
+++ b/daemon/tracing_test.go
@@ -20,8 +20,8 @@
 	zones := []model.AvailabilityZone{"odense-hal-a", "odense-hal-b"}
 	d := startDeployment(t, zones, 2, func(s *settings.Settings) { s.Tracing.Sample = 1 })
 	for _, n := range d.Nodes {
-		for _, other := range d.Nodes {
-			other.Daemon.Guard.Drain("returdesk-1")
+		for _, node := range d.Nodes {
+			node.Daemon.Guard.Drain("returdesk-1")
 		}
 		req, err := http.NewRequest(http.MethodGet, "http://"+n.Daemon.CallerAddress()+"/parcels", nil)
 		require.NoError(t, err)
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -66,10 +66,10 @@
 // Dump returns the error, the stack of the goroutine that detected the violation, and
 // the stacks of all goroutines.
 func (e *InvariantError) Dump() string {
-	const maxStacks = 1 << 20
-	all := make([]byte, maxStacks)
-	all = all[:runtime.Stack(all, true)]
-	return fmt.Sprintf("%s\n\n%s\nall goroutines:\n%s", e.Error(), e.Stack, all)
+	const maxStackBytes = 1 << 20
+	allStacks := make([]byte, maxStackBytes)
+	allStacks = allStacks[:runtime.Stack(allStacks, true)]
+	return fmt.Sprintf("%s\n\n%s\nall goroutines:\n%s", e.Error(), e.Stack, allStacks)
 }
 
 // supervisorTree supervises the components of a daemon. Each component has its own
@@ -79,15 +79,15 @@
 	root   *suture.Supervisor
 	logger *slog.Logger
 	scope  tally.Scope
-	// fatal holds the first error passed to reportFatal.
-	fatal chan *InvariantError
+	// fatalErrs holds the first error passed to reportFatal.
+	fatalErrs chan *InvariantError
 
 	mu         sync.Mutex
 	components []*supervisedComponent
 }
 
 func newSupervisorTree(name string, logger *slog.Logger, scope tally.Scope) *supervisorTree {
-	t := &supervisorTree{logger: logger, scope: scope, fatal: make(chan *InvariantError, 1)}
+	t := &supervisorTree{logger: logger, scope: scope, fatalErrs: make(chan *InvariantError, 1)}
 	t.root = suture.New(name, suture.Spec{Timeout: stopTimeout, EventHook: t.logEvent})
 	return t
 }
@@ -125,7 +125,7 @@
 // first error is kept.
 func (t *supervisorTree) reportFatal(e *InvariantError) {
 	select {
-	case t.fatal <- e:
+	case t.fatalErrs <- e:
 	default:
 	}
 }
@@ -184,9 +184,9 @@
 	if errors.Is(err, suture.ErrDoNotRestart) {
 		return err
 	}
-	var broken *InvariantError
-	if errors.As(err, &broken) {
-		s.tree.reportFatal(broken)
+	var invariantErr *InvariantError
+	if errors.As(err, &invariantErr) {
+		s.tree.reportFatal(invariantErr)
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -235,9 +235,9 @@
 
 func (t *supervisorTree) handlePanic(name string, panics tally.Counter, v any) {
 	err := panicError(name, v)
-	var broken *InvariantError
-	if errors.As(err, &broken) {
-		t.reportFatal(broken)
+	var invariantErr *InvariantError
+	if errors.As(err, &invariantErr) {
+		t.reportFatal(invariantErr)
 		return
 	}
 	panics.Inc(1)
--- a/daemon/tree_test.go
+++ b/daemon/tree_test.go
@@ -26,7 +26,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	leaked := goleak.Find()
-	for end := time.Now().Add(waitLimit); leaked != nil && time.Now().Before(end); {
+	for deadline := time.Now().Add(waitLimit); leaked != nil && time.Now().Before(deadline); {
 		leaked = goleak.Find()
 	}
 	if leaked != nil {
@@ -40,10 +40,10 @@
 
 // flakyComponent is a component that fails a given number of times.
 type flakyComponent struct {
-	// failures are called in order, one at each start. A start after the last one
+	// failingRuns are called in order, one at each start. A start after the last one
 	// runs until the context is done.
-	failures []func() error
-	starts   atomic.Int64
+	failingRuns []func() error
+	starts      atomic.Int64
 	// running is closed when the component runs without failing.
 	running chan struct{}
 }
@@ -52,8 +52,8 @@
 
 func (c *flakyComponent) Serve(ctx context.Context) error {
 	n := int(c.starts.Add(1)) - 1
-	if n < len(c.failures) {
-		return c.failures[n]()
+	if n < len(c.failingRuns) {
+		return c.failingRuns[n]()
 	}
 	close(c.running)
 	<-ctx.Done()
@@ -61,7 +61,7 @@
 }
 
 func TestFailedComponentIsRestartedAndCounted(t *testing.T) {
-	c := &flakyComponent{running: make(chan struct{}), failures: []func() error{
+	c := &flakyComponent{running: make(chan struct{}), failingRuns: []func() error{
 		func() error { return errors.New("first") },
 		func() error { panic("second") },
 	}}
@@ -82,22 +82,22 @@
 	require.Contains(t, status[0].LastError, "panic: second")
 }
 
-func TestABrokenInvariantIsNotRestarted(t *testing.T) {
-	c := &flakyComponent{running: make(chan struct{}), failures: []func() error{
+func TestComponentThatViolatesAnInvariantIsNotRestarted(t *testing.T) {
+	c := &flakyComponent{running: make(chan struct{}), failingRuns: []func() error{
 		func() error { invariant.Violated("running at most limit", "%d > %d", 7, 6); return nil },
 	}}
 	tr := newSupervisorTree("test", discardLogger(), tally.NoopScope)
 	tr.Add(c)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := tr.root.ServeBackground(ctx)
-	broken := <-tr.fatal
+	invariantErr := <-tr.fatalErrs
 	cancel()
 	<-done
 
 	require.EqualValues(t, 1, c.starts.Load())
-	require.EqualError(t, broken, `flaky: broken invariant "running at most limit": 7 > 6`)
-	require.Contains(t, broken.Dump(), "tree_test.go")
-	require.Contains(t, broken.Dump(), "all goroutines:")
+	require.EqualError(t, invariantErr, `flaky: broken invariant "running at most limit": 7 > 6`)
+	require.Contains(t, invariantErr.Dump(), "tree_test.go")
+	require.Contains(t, invariantErr.Dump(), "all goroutines:")
 }
 
 func TestHandlerPanicEndsOnlyItsRequest(t *testing.T) {
@@ -124,8 +124,8 @@
 	require.Zero(t, panicCount())
 	requireAborted("/panic")
 	require.EqualValues(t, 1, panicCount())
-	require.Empty(t, tr.fatal)
+	require.Empty(t, tr.fatalErrs)
 	requireAborted("/broken")
 	require.EqualValues(t, 1, panicCount())
-	require.Equal(t, "a name", (<-tr.fatal).Broken.Name)
+	require.Equal(t, "a name", (<-tr.fatalErrs).Broken.Name)
 }
--- a/daemon/zones.go
+++ b/daemon/zones.go
@@ -40,11 +40,11 @@
 // queryZones asks a random sample of the daemons in each zone for their configuration
 // version in force.
 func (d *Daemon) queryZones(ctx context.Context) []versionReply {
-	queried := peer.SamplePerZone(d.Members.Peers(), maxQueriedPerZone, uint64(time.Now().UnixNano()))
-	replies := make([]versionReply, len(queried))
+	sampledPeers := peer.SamplePerZone(d.Members.Peers(), maxQueriedPerZone, uint64(time.Now().UnixNano()))
+	replies := make([]versionReply, len(sampledPeers))
 	semaphore := make(chan struct{}, maxParallelQueries)
 	var wg sync.WaitGroup
-	for i, p := range queried {
+	for i, p := range sampledPeers {
 		semaphore <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-semaphore }()
@@ -80,21 +80,21 @@
 
 // summarizeZones returns the status of each zone from the replies, sorted by zone name.
 func summarizeZones(replies []versionReply) []operator.ZoneStatus {
-	var newest model.Version
+	var newestVersion model.Version
 	for _, reply := range replies {
-		newest = max(newest, reply.version)
+		newestVersion = max(newestVersion, reply.version)
 	}
-	byZone := make(map[model.AvailabilityZone]*operator.ZoneStatus)
+	statusByZone := make(map[model.AvailabilityZone]*operator.ZoneStatus)
 	for _, reply := range replies {
-		z := byZone[reply.peer.Zone]
+		z := statusByZone[reply.peer.Zone]
 		if z == nil {
 			z = &operator.ZoneStatus{Zone: reply.peer.Zone}
-			byZone[reply.peer.Zone] = z
+			statusByZone[reply.peer.Zone] = z
 		}
-		addReply(z, reply, newest)
+		addReply(z, reply, newestVersion)
 	}
-	out := make([]operator.ZoneStatus, 0, len(byZone))
-	for _, z := range byZone {
+	out := make([]operator.ZoneStatus, 0, len(statusByZone))
+	for _, z := range statusByZone {
 		out = append(out, *z)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Zone < out[j].Zone })
--- a/decision/count.go
+++ b/decision/count.go
@@ -15,7 +15,7 @@
 // decisionCounters counts decisions by kind and reason, including decisions whose log lines
 // are dropped. It is safe for concurrent use.
 type decisionCounters struct {
-	byKey *telemetry.BoundedMetrics[counterKey, tally.Counter]
+	countersByKey *telemetry.BoundedMetrics[counterKey, tally.Counter]
 }
 
 // counterKey identifies one counter.
@@ -32,7 +32,7 @@
 	newCounter := func(k counterKey) tally.Counter {
 		return scope.Tagged(map[string]string{"kind": string(k.kind), "reason": k.reason}).Counter("decisions")
 	}
-	return &decisionCounters{byKey: telemetry.NewBoundedMetrics(maxCounters, withoutReason, newCounter)}
+	return &decisionCounters{countersByKey: telemetry.NewBoundedMetrics(maxCounters, withoutReason, newCounter)}
 }
 
 // reasonKey is the name of the attribute that holds the reason of a decision.
@@ -48,5 +48,5 @@
 			break
 		}
 	}
-	c.byKey.Get(key).Inc(1)
+	c.countersByKey.Get(key).Inc(1)
 }
--- a/decision/log.go
+++ b/decision/log.go
@@ -38,16 +38,16 @@
 	burstSeconds = 5
 	// dropReportInterval is the minimum time between two lines that report dropped lines.
 	dropReportInterval = time.Second
-	// troubleReserve is the fraction of the burst that is reserved for trouble lines. Plain
+	// troubleReserveFraction is the fraction of the burst that is reserved for trouble lines. Plain
 	// lines may not use it.
-	troubleReserve = 0.5
+	troubleReserveFraction = 0.5
 )
 
 // Log writes decision lines. It is safe for concurrent use. A nil Log drops every line.
 type Log struct {
-	opts     Options
-	counters *decisionCounters
-	classes  map[Kind]Class
+	opts        Options
+	counters    *decisionCounters
+	classByKind map[Kind]Class
 	// lines is the queue of lines to be written.
 	lines chan queuedLine
 	// done is closed when all queued lines have been written after Close.
@@ -59,8 +59,8 @@
 	// tokens is the number of lines that the rate limit allowed at tokensUpdatedAt.
 	tokens          float64
 	tokensUpdatedAt time.Time
-	// dropped counts the dropped lines of each class since dropsReportedAt.
-	dropped [State + 1]int64
+	// droppedByClass counts the dropped lines of each class since dropsReportedAt.
+	droppedByClass [State + 1]int64
 	// dropsReportedAt is the time of the last line that reported dropped lines.
 	dropsReportedAt time.Time
 	// totalDropped counts the lines dropped since the start.
@@ -90,14 +90,14 @@
 	l := &Log{
 		opts:            o,
 		counters:        newDecisionCounters(o.Scope),
-		classes:         make(map[Kind]Class),
+		classByKind:     make(map[Kind]Class),
 		lines:           make(chan queuedLine, o.BufferLines),
 		done:            make(chan struct{}),
 		tokens:          o.LinesPerSecond * burstSeconds,
 		tokensUpdatedAt: o.Now(),
 	}
 	for _, d := range Declarations() {
-		l.classes[d.Kind] = d.Class
+		l.classByKind[d.Kind] = d.Class
 	}
 	go l.writeLines()
 	return l
@@ -124,7 +124,7 @@
 		return
 	}
 	l.counters.add(k, attrs)
-	class := l.classes[k]
+	class := l.classByKind[k]
 	if class == Plain && !l.Sampled(request) {
 		return
 	}
@@ -151,7 +151,7 @@
 	}
 	minTokens := 1.0
 	if c == Plain {
-		minTokens = maxTokens * troubleReserve
+		minTokens = maxTokens * troubleReserveFraction
 	}
 	if l.tokens < minTokens {
 		return false
@@ -164,16 +164,16 @@
 // if there are any. It does nothing while more than half of the queue is in use, or within
 // dropReportInterval of the last such line. l.mu is held.
 func (l *Log) reportDropped(now time.Time) {
-	if l.dropped == [State + 1]int64{} || len(l.lines) > cap(l.lines)/2 || now.Sub(l.dropsReportedAt) < dropReportInterval {
+	if l.droppedByClass == [State + 1]int64{} || len(l.lines) > cap(l.lines)/2 || now.Sub(l.dropsReportedAt) < dropReportInterval {
 		return
 	}
 	l.dropsReportedAt = now
 	attrs := []slog.Attr{
-		slog.Int64("plain", l.dropped[Plain]),
-		slog.Int64("trouble", l.dropped[Trouble]),
-		slog.Int64("state", l.dropped[State]),
+		slog.Int64("plain", l.droppedByClass[Plain]),
+		slog.Int64("trouble", l.droppedByClass[Trouble]),
+		slog.Int64("state", l.droppedByClass[State]),
 	}
-	l.dropped = [State + 1]int64{}
+	l.droppedByClass = [State + 1]int64{}
 	l.enqueue(State, newRecord(now, LinesDropped, State, "", attrs), l.opts.Handler)
 }
 
@@ -188,7 +188,7 @@
 
 // countDropped counts a dropped line of class c. l.mu is held.
 func (l *Log) countDropped(c Class) {
-	l.dropped[c]++
+	l.droppedByClass[c]++
 	l.totalDropped++
 }
 
--- a/decision/log_test.go
+++ b/decision/log_test.go
@@ -22,7 +22,7 @@
 	now time.Time
 }
 
-func (c *clock) current() time.Time {
+func (c *clock) currentTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
@@ -66,27 +66,27 @@
 // fake clock.
 func newTestLog(o Options) (*Log, *lockedBuffer, *clock) {
 	b, c := &lockedBuffer{}, &clock{now: time.Unix(1000, 0)}
-	o.Handler, o.Now = slog.NewJSONHandler(b, nil), c.current
+	o.Handler, o.Now = slog.NewJSONHandler(b, nil), c.currentTime
 	return New(o), b, c
 }
 
 func TestPlainLinesAreSampledByRequest(t *testing.T) {
 	l, b, c := newTestLog(Options{SampleOneIn: 4})
-	other := New(Options{Handler: slog.DiscardHandler, SampleOneIn: 4})
-	defer other.Close(time.Second)
-	kept := 0
+	secondLog := New(Options{Handler: slog.DiscardHandler, SampleOneIn: 4})
+	defer secondLog.Close(time.Second)
+	sampledCount := 0
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
-		require.Equal(t, l.Sampled(id), other.Sampled(id), "all daemons keep the same requests")
+		require.Equal(t, l.Sampled(id), secondLog.Sampled(id), "all daemons keep the same requests")
 		if l.Sampled(id) {
-			kept++
+			sampledCount++
 		}
 		l.Write(Answered, id)
 		c.advance(time.Second)
 	}
 	l.Close(time.Second)
-	require.Equal(t, kept, b.countByKind(t)[string(Answered)])
-	require.InDelta(t, 25, kept, 15)
+	require.Equal(t, sampledCount, b.countByKind(t)[string(Answered)])
+	require.InDelta(t, 25, sampledCount, 15)
 }
 
 // TestPlainLinesAreDroppedFirst writes ten times the lines that the rate limit allows.
@@ -132,7 +132,7 @@
 	require.Equal(t, 1, b.countByKind(t)[string(LinesDropped)])
 }
 
-func TestWriteAfterCloseAndToNilLog(t *testing.T) {
+func TestClosedLogAndNilLogDropLines(t *testing.T) {
 	var nilLog *Log
 	nilLog.Write(Answered, "x")
 	nilLog.Close(0)
@@ -150,12 +150,12 @@
 func TestEveryKindIsDeclaredAndUsed(t *testing.T) {
 	text, err := os.ReadFile("kinds.go")
 	require.NoError(t, err)
-	names := regexp.MustCompile(`(?m)^\t(\w+)\s+Kind = "`).FindAllStringSubmatch(string(text), -1)
-	require.Len(t, Declarations(), len(names))
-	seen := map[Kind]bool{}
+	constMatches := regexp.MustCompile(`(?m)^\t(\w+)\s+Kind = "`).FindAllStringSubmatch(string(text), -1)
+	require.Len(t, Declarations(), len(constMatches))
+	declared := map[Kind]bool{}
 	for _, d := range Declarations() {
-		require.False(t, seen[d.Kind], d.Kind)
-		seen[d.Kind] = true
+		require.False(t, declared[d.Kind], d.Kind)
+		declared[d.Kind] = true
 		require.NotEmpty(t, d.Description)
 		require.NotEmpty(t, d.Fields)
 	}
@@ -172,8 +172,8 @@
 			code.Write(data)
 		}
 	}
-	for _, n := range names {
-		require.Regexp(t, `\b(decision\.)?`+n[1]+`\b`, code.String(), "%s is written nowhere", n[1])
+	for _, match := range constMatches {
+		require.Regexp(t, `\b(decision\.)?`+match[1]+`\b`, code.String(), "%s is written nowhere", match[1])
 	}
 }
 
--- a/why/unanswered.go
+++ b/why/unanswered.go
@@ -130,16 +130,16 @@
 // total and for each ExecutionCount. One line for each request follows. The last line is
 // the number of unreadable lines, if there are any.
 func (u *UnansweredRequests) WriteText(w io.Writer) error {
-	requestCounts := make(map[ExecutionCount]int)
+	countByExecutions := make(map[ExecutionCount]int)
 	for _, r := range u.Requests {
-		requestCounts[r.Executions]++
+		countByExecutions[r.Executions]++
 	}
 	_, err := fmt.Fprintf(w, "upstream %s: %d requests that must not run twice got no answer there\n", u.Upstream, len(u.Requests))
 	if err != nil {
 		return err
 	}
 	for _, c := range []ExecutionCount{NotAtAll, Once, AtMostOnce, PerhapsTwice} {
-		if _, err := fmt.Fprintf(w, "%6d ran %s\n", requestCounts[c], c); err != nil {
+		if _, err := fmt.Fprintf(w, "%6d ran %s\n", countByExecutions[c], c); err != nil {
 			return err
 		}
 	}
--- a/why/unanswered_test.go
+++ b/why/unanswered_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnansweredRequests reads lines of several daemons about requests at upstream u1, which
+// TestUnansweredRequestsAreListedWithTheirExecutions reads lines of several daemons about requests at upstream u1, which
 // crashed while it ran some of them. Each request id names its case.
-func TestUnansweredRequests(t *testing.T) {
+func TestUnansweredRequestsAreListedWithTheirExecutions(t *testing.T) {
 	const log = `{"time":"2026-01-01T00:00:01Z","msg":"run failed","daemon":"g","request":"unsafe","upstream":"u1","outcome":"unknown","reason":"connection-lost","status":0,"idempotent":false}
 {"time":"2026-01-01T00:00:01.1Z","msg":"request failed","daemon":"a","request":"unsafe","upstream":"10.0.0.1:7 u1","status":502,"idempotent":false}
 {"time":"2026-01-01T00:00:02Z","msg":"request failed","daemon":"b","request":"guard gone","upstream":"10.0.0.1:7 u1","status":502,"idempotent":false}
@@ -27,13 +27,13 @@
 	require.NoError(t, l.Read("x", strings.NewReader(log)))
 	l.Sort()
 	got := l.Unanswered("u1")
-	executions := make(map[string]ExecutionCount)
+	executionsByRequest := make(map[string]ExecutionCount)
 	for _, r := range got.Requests {
-		executions[r.Request] = r.Executions
+		executionsByRequest[r.Request] = r.Executions
 	}
 	require.Equal(t, map[string]ExecutionCount{
 		"unsafe": AtMostOnce, "guard gone": AtMostOnce, "entry gone": AtMostOnce, "twice": PerhapsTwice, "late answer": Once,
-	}, executions)
+	}, executionsByRequest)
 	require.Equal(t, "502", got.Requests[0].CallerStatus)
 	require.Equal(t, "a", got.Requests[0].Entry)
 	require.Equal(t, []string{"u1", "u2"}, got.Requests[3].Upstreams)
--- a/why/why_test.go
+++ b/why/why_test.go
@@ -50,7 +50,7 @@
 	return out
 }
 
-func TestRequestTimeline(t *testing.T) {
+func TestRequestTimelineIncludesRelatedStateChanges(t *testing.T) {
 	timeline := readTestLogs(t).RequestTimeline("r1")
 	require.Equal(t, []string{
 		"a: configuration in force", "a: peer state", "b: request given back", "b: run failed", "a: request failed",
@@ -70,7 +70,7 @@
 	require.Contains(t, jsonText.String(), `"about":"request r1"`)
 }
 
-func TestTimelineOfUnknownRequest(t *testing.T) {
+func TestTimelineOfUnknownRequestIsEmpty(t *testing.T) {
 	timeline := readTestLogs(t).RequestTimeline("no-such-request")
 	require.Empty(t, timeline.Events)
 	var text bytes.Buffer
@@ -78,11 +78,11 @@
 	require.Contains(t, text.String(), "not found in the logs")
 }
 
-func TestUpstreamTimeline(t *testing.T) {
+func TestUpstreamTimelineIncludesStateChangesAndFailedRuns(t *testing.T) {
 	require.Equal(t, []string{"a: peer state", "b: run failed"}, daemonsAndKinds(readTestLogs(t).UpstreamTimeline("u2")))
 }
 
-func TestConfigurationTimeline(t *testing.T) {
+func TestConfigurationTimelineIncludesLaterVersions(t *testing.T) {
 	l := readTestLogs(t)
 	require.Equal(t, []string{"a: configuration in force", "b: configuration in force"}, daemonsAndKinds(l.ConfigurationTimeline(3)), "a later version counts")
 	require.Equal(t, []string{"b: configuration in force"}, daemonsAndKinds(l.ConfigurationTimeline(5)))
