--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -63,6 +63,8 @@
 	return Health{OK: len(reasons) == 0, NotReadyReasons: reasons}
 }
 
+// writeJSON writes a response with the given status and the JSON form of v as its body. It
+// ignores errors, since the caller may have closed the connection.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -35,8 +35,8 @@
 
 // buildControl sets up the control plane of the daemon: the configuration store, the
 // membership registry, and the exchanger that gossips their state with other daemons.
-// The other build methods register further topics on d.Exchanger and handlers on
-// d.PeerService before Serve starts.
+// Before Serve starts, buildQuarantine and buildCeilings register their own topics on
+// d.Exchanger, and buildOwner registers its handler on d.PeerService.
 func (d *Daemon) buildControl() {
 	client := recordlog.NewClient(d.settings.Log.Address)
 	d.Log = recordlog.NewRateLimitedLog(&recordlog.Batcher{Log: client})
@@ -119,8 +119,8 @@
 // peerHandler returns the handler of the peer address. Requests with the header
 // wire.HeaderDestination are calls for the guard or for the owner, the component that
 // runs requests with idempotency keys. All other requests are control messages for the
-// peer service. The handlers of both kinds authenticate the other daemon by the peer
-// secret.
+// peer service. The handlers of the calls and of the control messages authenticate the
+// other daemon by the peer secret.
 func (d *Daemon) peerHandler() http.Handler {
 	controlHandler := peer.Handler(d.PeerService, d.settings.Peers.Secret)
 	callHandler := d.callHandler()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -30,8 +30,7 @@
 	"github.com/dottereltiller/dottereltiller/trace"
 )
 
-// Daemon is a daemon with all its components. Create one with New and run it with
-// Serve.
+// Daemon holds the components of one daemon. Create a Daemon with New and run it with Serve.
 type Daemon struct {
 	settings  settings.Settings
 	logger    *slog.Logger
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -10,9 +10,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// AbortedRequestsError is returned by Serve when a shutdown aborted requests in
-// flight. A shutdown does so when settings.Process.ShutdownTimeout has expired or
-// AbortDrain is called. The command dottereltillerd calls AbortDrain at a second signal.
+// AbortedRequestsError is returned by Serve when a shutdown aborted requests in flight. A
+// shutdown aborts them when settings.Process.ShutdownTimeout has expired or AbortDrain is
+// called. The command dottereltillerd calls AbortDrain at the second signal to stop.
 type AbortedRequestsError struct {
 	// CallerRequests is the number of aborted requests of callers.
 	CallerRequests int
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -43,7 +43,8 @@
 	// FailureRate is the fraction of the recent requests at the upstream that failed,
 	// from 0 to 1.
 	FailureRate float32 `json:"failing"`
-	Draining    bool    `json:"draining"`
+	// Draining is true if the upstream gets no new requests.
+	Draining bool `json:"draining"`
 }
 
 // loadStatuses converts the loads that the guard reports into the form of /status.
@@ -73,8 +74,10 @@
 
 // GroupStatus is one group of a service.
 type GroupStatus struct {
-	Name   model.GroupName `json:"name"`
-	Weight float64         `json:"weight"`
+	Name model.GroupName `json:"name"`
+	// Weight is the group's share of slot time relative to the weights of the service's
+	// other groups.
+	Weight float64 `json:"weight"`
 }
 
 // UpstreamStatus is one upstream in the daemon's membership view.
--- a/decision/kinds.go
+++ b/decision/kinds.go
@@ -21,7 +21,7 @@
 
 // The kinds of decisions. Their values must not change, since package why also parses the
 // logs of earlier builds, and operators search logs for the values. Some values therefore
-// differ from the names of their constants.
+// differ from the names of their constants. See Declarations for the meaning of each kind.
 const (
 	Answered          Kind = "request answered"
 	Refused           Kind = "request refused"
