--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -64,7 +64,7 @@
 }
 
 // writeJSON writes a response with the given status and the JSON form of v as its body. It
-// ignores errors, since the caller may have closed the connection.
+// ignores errors.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -12,6 +12,8 @@
 // guard. The entry accepts the requests of callers, picks an upstream for each
 // request and forwards the request to the guard of that upstream. The guard is the
 // proxy in front of the upstream of its own VM and limits the upstream's concurrency.
+// The store of which they speak is the platform's metadata store. It holds the
+// configuration and the records by which daemons find each other.
 //
 // Writing never blocks. Lines are queued in a buffer of fixed length. Lines that do
 // not fit are dropped and counted, and a later line reports the counts.
