--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -30,8 +30,7 @@
 	"github.com/dottereltiller/dottereltiller/trace"
 )
 
-// Daemon is a daemon with all its components. Create one with New and run it with
-// Serve.
+// Daemon holds the components of one daemon. Create a Daemon with New and run it with Serve.
 type Daemon struct {
 	settings  settings.Settings
 	logger    *slog.Logger
@@ -40,8 +39,9 @@
 	// Metrics holds the daemon's metrics. Each component uses a sub-scope of its
 	// Scope.
 	Metrics *telemetry.Metrics
-	// Log is the client of the platform's log, to which all daemons append. The
-	// client limits this daemon to its share of the total append rate.
+	// Log is the client of the platform's log, to which all daemons append. With
+	// n daemons, the client limits the append rate of this daemon to an nth of the rate
+	// that is allowed for all daemons together, and to a fixed maximum.
 	Log *recordlog.RateLimitedLog
 	// Config holds the configuration in force.
 	Config *configuration.Store
@@ -71,20 +71,20 @@
 	// peerTLS is nil if daemons call each other in plaintext.
 	peerTLS *identity.Credentials
 
-	supervisor *supervisorTree
-	peerLn     net.Listener
-	callerLn   net.Listener
-	adminLn    net.Listener
-	callers    *server
-	peers      *server
-	admin      *server
+	supervisor   *supervisorTree
+	peerLn       net.Listener
+	callerLn     net.Listener
+	adminLn      net.Listener
+	callerServer *server
+	peerServer   *server
+	adminServer  *server
 
 	// stopping is set when a shutdown begins.
 	stopping atomic.Bool
 	// drainAborted is closed when a shutdown must not wait any longer for requests
 	// in flight.
 	drainAborted chan struct{}
-	// abortOnce closes drainAborted.
+	// abortOnce makes sure that drainAborted is closed only once.
 	abortOnce sync.Once
 	// beforeStop holds functions that a shutdown calls, in order, before it closes
 	// the listeners for callers and peers.
@@ -141,7 +141,7 @@
 	})
 	d.buildServers()
 	d.supervisor.Add(&gauges{daemon: d, scope: d.Metrics.Scope})
-	for _, c := range []component{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callers, d.peers, d.admin} {
+	for _, c := range []component{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callerServer, d.peerServer, d.adminServer} {
 		d.supervisor.Add(c)
 	}
 	return d, nil
@@ -163,18 +163,18 @@
 func (d *Daemon) Serve(ctx context.Context) error {
 	defer d.releaseResources()
 	runCtx, stopComponents := context.WithCancel(context.WithoutCancel(ctx))
-	stopped := d.supervisor.root.ServeBackground(runCtx)
+	supervisorStopped := d.supervisor.root.ServeBackground(runCtx)
 	d.logger.Info("daemon started", "id", d.ID(), "zone", d.settings.Zone,
 		"callers", d.CallerAddress(), "admin", d.AdminAddress())
 	var err error
 	select {
-	case violation := <-d.supervisor.fatal:
+	case violation := <-d.supervisor.fatalErrs:
 		err = violation
 	case <-ctx.Done():
 		err = d.shutdown(runCtx)
 	}
 	stopComponents()
-	<-stopped
+	<-supervisorStopped
 	return err
 }
 
@@ -184,7 +184,7 @@
 	for _, f := range d.afterStop {
 		f()
 	}
-	for _, s := range []*server{d.callers, d.peers, d.admin} {
+	for _, s := range []*server{d.callerServer, d.peerServer, d.adminServer} {
 		s.close()
 	}
 	_ = d.Metrics.Close()
@@ -194,14 +194,14 @@
 func (d *Daemon) Close() { d.releaseResources() }
 
 // LibraryLogWriter returns a writer for the standard logger, to which libraries log. The
-// writer counts the lines and discards them. Clients can cause such lines at will, so the
-// lines must not reach the daemon's log.
+// writer counts the lines and discards them. Clients can provoke any number of such lines,
+// so the lines must not reach the daemon's log.
 func (d *Daemon) LibraryLogWriter() io.Writer {
 	return lineCounter{d.scope("process").Counter("library_lines")}
 }
 
-// scope returns the metrics scope of a component. Its metrics are named
-// "dottereltiller_<component>_...".
+// scope returns the metrics scope of a component. The names of the metrics in this scope
+// have the form "dottereltiller_<component>_...".
 func (d *Daemon) scope(component string) tally.Scope { return d.Metrics.Scope.SubScope(component) }
 
 // now returns the time since New was called. The components use it as their clock.
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -10,9 +10,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// AbortedRequestsError is returned by Serve when a shutdown aborted requests in
-// flight. A shutdown does so when settings.Process.ShutdownTimeout has expired or
-// AbortDrain is called. The command dottereltillerd calls AbortDrain at a second signal.
+// AbortedRequestsError is returned by Serve when a shutdown aborted requests in flight. A
+// shutdown aborts them when settings.Process.ShutdownTimeout has expired or AbortDrain is
+// called. The command dottereltillerd calls AbortDrain at the second signal to stop.
 type AbortedRequestsError struct {
 	// CallerRequests is the number of aborted requests of callers.
 	CallerRequests int
@@ -21,7 +21,7 @@
 	// KeyedRequests is the number of aborted requests with an idempotency key that
 	// this daemon was running as the owner of the key. Their outcome is unknown.
 	KeyedRequests int
-	// Waited is how long the shutdown had lasted before it aborted the requests.
+	// Waited is the time from the start of the shutdown until it aborted the requests.
 	Waited time.Duration
 }
 
@@ -54,34 +54,34 @@
 		case <-ctx.Done():
 		}
 	}()
-	d.callers.tracker.draining.Store(true)
-	d.peers.tracker.draining.Store(true)
+	d.callerServer.tracker.draining.Store(true)
+	d.peerServer.tracker.draining.Store(true)
 	for _, f := range d.beforeStop {
 		f(ctx)
 	}
-	stopped := make(chan error, 2)
-	for _, s := range []*server{d.callers, d.peers} {
-		go func() { stopped <- s.shutdown(ctx) }()
+	shutdownResults := make(chan error, 2)
+	for _, s := range []*server{d.callerServer, d.peerServer} {
+		go func() { shutdownResults <- s.shutdown(ctx) }()
 	}
-	firstErr, secondErr := <-stopped, <-stopped
+	firstErr, secondErr := <-shutdownResults, <-shutdownResults
 	if firstErr == nil && secondErr == nil {
 		return nil
 	}
-	aborted := &AbortedRequestsError{
-		CallerRequests: int(d.callers.tracker.inFlight.Load()),
-		PeerCalls:      int(d.peers.tracker.inFlight.Load()),
+	abortedErr := &AbortedRequestsError{
+		CallerRequests: int(d.callerServer.tracker.inFlight.Load()),
+		PeerCalls:      int(d.peerServer.tracker.inFlight.Load()),
 		KeyedRequests:  d.Owner.RunningCount(),
 		Waited:         time.Since(startedAt),
 	}
-	_ = d.callers.http.Close()
-	_ = d.peers.http.Close()
-	return aborted
+	_ = d.callerServer.httpServer.Close()
+	_ = d.peerServer.httpServer.Close()
+	return abortedErr
 }
 
 // handOverKeysAndDrain hands over this daemon's idempotency keys to other daemons while
-// the daemon still serves. Meanwhile it waits until callers and other daemons have closed
-// their connections, for at most process.drain_time. It returns when both the handover
-// and this wait have ended.
+// the daemon still serves. At the same time it waits until callers and other daemons have
+// closed their connections, for at most process.drain_time. It returns when both the
+// handover and the wait for the connections have ended. A failed handover is only logged.
 func (d *Daemon) handOverKeysAndDrain(ctx context.Context) {
 	handoverEnded := make(chan struct{})
 	go func() {
@@ -92,18 +92,19 @@
 	}()
 	drainCtx, cancel := context.WithTimeout(ctx, time.Duration(d.settings.Process.DrainTime))
 	defer cancel()
-	d.peers.tracker.waitUntilClosed(drainCtx)
-	d.callers.tracker.waitUntilClosed(drainCtx)
+	d.peerServer.tracker.waitUntilClosed(drainCtx)
+	d.callerServer.tracker.waitUntilClosed(drainCtx)
 	<-handoverEnded
 }
 
 // rejectWhileDraining rejects calls from other daemons for this VM's upstreams, with
 // the outcome "not run", once the daemon is draining. The entries that sent these calls
-// then pick other upstreams. Calls in flight are not affected.
+// then pick other upstreams. Calls in flight are not affected. A call that cannot be parsed
+// gets the status 400.
 func (d *Daemon) rejectWhileDraining(next http.Handler) http.Handler {
-	rejected := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
+	rejectedCounter := d.scope("peers").Tagged(map[string]string{"reason": string(outcome.ReasonDraining)}).Counter("refused")
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !d.peers.tracker.draining.Load() {
+		if !d.peerServer.tracker.draining.Load() {
 			next.ServeHTTP(w, r)
 			return
 		}
@@ -112,7 +113,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		rejected.Inc(1)
+		rejectedCounter.Inc(1)
 		wire.WriteResult(w, wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)), c.ID)
 	})
 }
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -19,14 +19,15 @@
 
 // maxGrantCheckInterval is the longest time between two checks of the grants. A grant
 // makes a daemon the owner of a range of idempotency keys for a limited time. Each check
-// decides whether grants must be read or renewed. Grants are valid for far longer
-// (settings field keys.grant), so the checks need not be frequent.
+// decides whether grants must be read or renewed. Grants are valid for much longer than one
+// second (settings field keys.grant), so the checks need not be frequent.
 const maxGrantCheckInterval = time.Second
 
-// buildOwner sets up the component that owns idempotency keys. The entry is built
-// later, so Execute reads d.Entry only when a request with a key arrives.
+// buildOwner sets up the component that owns idempotency keys, and registers it at the
+// peer service for handovers of keys. The entry is built after the owner, so Execute
+// reads d.Entry only when a request with a key arrives.
 func (d *Daemon) buildOwner(client *hop.Client) {
-	keys := d.settings.Keys
+	keySettings := d.settings.Keys
 	d.Owner = owner.New(owner.Options{
 		Self:             d.ID(),
 		Log:              d.Log,
@@ -35,12 +36,12 @@
 		Client:           client,
 		PeerSecret:       d.settings.Peers.Secret,
 		Messenger:        owner.PeerMessenger{Client: d.PeerClient},
-		GrantDuration:    time.Duration(keys.Grant),
-		Retention:        time.Duration(keys.Retention),
-		PollInterval:     min(maxGrantCheckInterval, time.Duration(keys.Grant)/minChecksPerGrant),
-		MaxBodyBytes:     keys.MaxBodyBytes,
-		MaxResponseBytes: keys.MaxAnswerBytes,
-		Limits:           claims.Limits{Claims: keys.MaxClaims, AnswerBytes: keys.MaxAnswersBytes},
+		GrantDuration:    time.Duration(keySettings.Grant),
+		Retention:        time.Duration(keySettings.Retention),
+		PollInterval:     min(maxGrantCheckInterval, time.Duration(keySettings.Grant)/minChecksPerGrant),
+		MaxBodyBytes:     keySettings.MaxBodyBytes,
+		MaxResponseBytes: keySettings.MaxAnswerBytes,
+		Limits:           claims.Limits{Claims: keySettings.MaxClaims, AnswerBytes: keySettings.MaxAnswersBytes},
 		Scope:            d.scope("keys"),
 		Logger:           d.logger,
 	})
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -11,7 +11,7 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// ListenError reports an address of the settings on which the daemon cannot listen.
+// ListenError is the error of a daemon that cannot listen on an address in its settings.
 type ListenError struct {
 	// Path is the JSON path of the setting with the address.
 	Path    string
@@ -28,7 +28,7 @@
 // listen binds the listeners for callers, peers and admin. If one address cannot be
 // bound, listen closes the listeners already bound and returns a *ListenError.
 func (d *Daemon) listen() error {
-	var bound []net.Listener
+	var boundListeners []net.Listener
 	for _, l := range []struct {
 		path     string
 		address  string
@@ -40,12 +40,12 @@
 	} {
 		ln, err := net.Listen("tcp", l.address)
 		if err != nil {
-			for _, b := range bound {
+			for _, b := range boundListeners {
 				_ = b.Close()
 			}
 			return &ListenError{Path: l.path, Address: l.address, Err: err}
 		}
-		bound = append(bound, ln)
+		boundListeners = append(boundListeners, ln)
 		*l.listener = ln
 	}
 	return nil
@@ -66,44 +66,45 @@
 
 // buildServers sets up the servers for callers, peers and admin.
 func (d *Daemon) buildServers() {
-	limits := d.settings.Callers
-	stallTimeout := time.Duration(limits.StallTimeout)
-	callers := &stallLimiter{
+	callerSettings := d.settings.Callers
+	stallTimeout := time.Duration(callerSettings.StallTimeout)
+	callerHandler := &stallLimiter{
 		timeout: stallTimeout,
 		stalls:  d.scope("callers").Counter("stalls"),
 		next:    d.serveKeys(d.tracer.Handler("entry", d.Entry)),
 
 		closeChunked: true,
 	}
-	// A caller that reads slowly makes its entry read slowly from this daemon. The
-	// longer timeout here lets that entry abort the caller's request first.
-	peers := &stallLimiter{
+	// If a caller reads slowly, the daemon that accepted its request also reads slowly
+	// from this daemon. The longer timeout for peers lets that daemon abort the
+	// caller's request before this daemon aborts the forwarded call.
+	peerHandler := &stallLimiter{
 		timeout: peerStallFactor * stallTimeout,
 		stalls:  d.scope("peers").Counter("stalls"),
 		next:    d.peerHandler(),
 	}
-	admin := &stallLimiter{
+	adminHandler := &stallLimiter{
 		timeout: stallTimeout,
 		stalls:  d.scope("admin").Counter("stalls"),
 		next:    d.adminHandler(),
 	}
-	d.callers = newServer(serverOptions{
+	d.callerServer = newServer(serverOptions{
 		name:           "callers",
 		listener:       d.callerLn,
-		handler:        d.supervisor.recoverPanics("callers", callers),
-		headerTimeout:  time.Duration(limits.HeaderTimeout),
-		idleTimeout:    time.Duration(limits.IdleTimeout),
-		maxHeaderBytes: limits.MaxHeaderBytes,
+		handler:        d.supervisor.recoverPanics("callers", callerHandler),
+		headerTimeout:  time.Duration(callerSettings.HeaderTimeout),
+		idleTimeout:    time.Duration(callerSettings.IdleTimeout),
+		maxHeaderBytes: callerSettings.MaxHeaderBytes,
 		tls:            d.callerTLS.CallerServerConfig(),
 		http2:          true,
 		connErrors:     d.scope("callers").Counter("connection_errors"),
-		maxConnections: limits.MaxConnections,
+		maxConnections: callerSettings.MaxConnections,
 		refusedConns:   d.scope("callers").Counter("connections_refused"),
 	})
-	d.peers = newServer(serverOptions{
+	d.peerServer = newServer(serverOptions{
 		name:           "peers",
 		listener:       d.peerLn,
-		handler:        d.supervisor.recoverPanics("peers", peers),
+		handler:        d.supervisor.recoverPanics("peers", peerHandler),
 		headerTimeout:  peerHeaderTimeout,
 		idleTimeout:    peerIdleTimeout,
 		maxHeaderBytes: maxPeerHeaderBytes,
@@ -113,10 +114,10 @@
 		maxConnections: maxPeerConnections,
 		refusedConns:   d.scope("peers").Counter("connections_refused"),
 	})
-	d.admin = newServer(serverOptions{
+	d.adminServer = newServer(serverOptions{
 		name:           "admin",
 		listener:       d.adminLn,
-		handler:        d.supervisor.recoverPanics("admin", admin),
+		handler:        d.supervisor.recoverPanics("admin", adminHandler),
 		headerTimeout:  peerHeaderTimeout,
 		idleTimeout:    peerIdleTimeout,
 		maxHeaderBytes: maxPeerHeaderBytes,
@@ -126,10 +127,11 @@
 	})
 }
 
-// callHandler returns a handler for calls of other daemons. It authenticates the daemon
-// by the peer secret and passes the call to the guard or the owner.
+// callHandler returns a handler for calls of other daemons. It authenticates the calling
+// daemon by the peer secret and passes the call to the guard or the owner. It responds 401
+// if the secret is wrong and 400 if the destination is neither of the two.
 func (d *Daemon) callHandler() http.Handler {
-	calls := map[string]http.Handler{
+	handlersByDestination := map[string]http.Handler{
 		wire.DestinationGuard: d.rejectWhileDraining(d.tracer.Handler("guard", d.Guard)),
 		wire.DestinationOwner: d.tracer.Handler("owner", d.Owner),
 	}
@@ -139,7 +141,7 @@
 			http.Error(w, "peer not authenticated", http.StatusUnauthorized)
 			return
 		}
-		h := calls[r.Header.Get(wire.HeaderDestination)]
+		h := handlersByDestination[r.Header.Get(wire.HeaderDestination)]
 		if h == nil {
 			http.Error(w, "unknown destination component", http.StatusBadRequest)
 			return
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -18,16 +18,19 @@
 )
 
 const (
+	// peerDialTimeout bounds the time to connect to another daemon.
 	peerDialTimeout = time.Second
-	// peerHeaderTimeout bounds reading a request header, at the servers for peers
-	// and admin.
+	// peerHeaderTimeout bounds the time to read a request header at the servers for
+	// peers and admin.
 	peerHeaderTimeout = 5 * time.Second
 	// peerIdleTimeout is how long the servers for peers and admin keep an idle
 	// connection open.
 	peerIdleTimeout = 90 * time.Second
-	// maxPeerHeaderBytes bounds a request header, at the servers for peers and admin.
+	// maxPeerHeaderBytes bounds the size of a request header at the servers for peers
+	// and admin.
 	maxPeerHeaderBytes = 128 << 10
-	// peerStallFactor multiplies callers.stall_timeout for calls of other daemons.
+	// peerStallFactor is the stall timeout for calls of other daemons as a multiple of
+	// the setting callers.stall_timeout, which applies to requests of callers.
 	peerStallFactor = 2
 	// maxPeerConnections bounds the open connections of the server for peers.
 	maxPeerConnections = 16 << 10
@@ -52,26 +55,28 @@
 	tls *tls.Config
 	// connErrors counts errors that net/http logs, such as failed TLS handshakes.
 	connErrors tally.Counter
-	// http2 enables HTTP/2 besides HTTP/1.1. Without TLS, clients can use HTTP/2
-	// only with prior knowledge.
+	// http2 enables HTTP/2 besides HTTP/1.1. Without TLS there is no negotiation, so
+	// only clients that start with the HTTP/2 preface use it ("prior knowledge" in
+	// RFC 9113 section 3.3).
 	http2 bool
 }
 
 // server is an HTTP server as a supervised component. When it is restarted after a
 // failure, it listens on the same address again.
 type server struct {
-	options serverOptions
-	address string
-	http    *http.Server
-	tracker *connTracker
+	options    serverOptions
+	address    string
+	httpServer *http.Server
+	tracker    *connTracker
 
 	mu sync.Mutex
-	// listener is the listener for the first run. It is nil once Serve has used it.
+	// listener is the listener for the first call of Serve, which sets it to nil.
 	listener net.Listener
 	// stopping is set when shutdown is called. Serve then does not listen again.
 	stopping bool
 }
 
+// newServer returns a server that serves on o.listener once its Serve method is called.
 func newServer(o serverOptions) *server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -83,7 +88,7 @@
 		tracker:  tracker,
 		address:  o.listener.Addr().String(),
 		listener: o.listener,
-		http: &http.Server{
+		httpServer: &http.Server{
 			Handler:           inbound.AbortClosed(tracker.countInFlight(o.handler)),
 			ReadHeaderTimeout: o.headerTimeout,
 			IdleTimeout:       o.idleTimeout,
@@ -102,19 +107,20 @@
 
 // Serve accepts connections until shutdown is called or the context is done. When the
 // context is done, it closes all connections. In both cases it returns
-// suture.ErrDoNotRestart.
+// suture.ErrDoNotRestart. If the listener fails, Serve returns the error, and the
+// supervisor calls Serve again.
 func (s *server) Serve(ctx context.Context) error {
-	ln, err := s.takeListener()
+	ln, err := s.takeOrOpenListener()
 	if err != nil {
 		return err
 	}
-	stop := context.AfterFunc(ctx, func() { _ = s.http.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = s.httpServer.Close() })
 	defer stop()
 	ln = inbound.NewListener(ln)
 	if s.options.tls != nil {
-		err = s.http.ServeTLS(ln, "", "")
+		err = s.httpServer.ServeTLS(ln, "", "")
 	} else {
-		err = s.http.Serve(ln)
+		err = s.httpServer.Serve(ln)
 	}
 	if errors.Is(err, http.ErrServerClosed) {
 		return suture.ErrDoNotRestart
@@ -128,7 +134,7 @@
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
-	return s.tracker.shutdown(ctx, s.http)
+	return s.tracker.shutdown(ctx, s.httpServer)
 }
 
 // close closes the listener of a server that was never run.
@@ -140,10 +146,10 @@
 	}
 }
 
-// takeListener returns the listener from serverOptions on the first call. Later calls
-// return a new listener on the same address. After shutdown, takeListener returns
+// takeOrOpenListener returns the listener from serverOptions on the first call. Later calls
+// return a new listener on the same address. After shutdown, takeOrOpenListener returns
 // suture.ErrDoNotRestart.
-func (s *server) takeListener() (net.Listener, error) {
+func (s *server) takeOrOpenListener() (net.Listener, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopping {
@@ -157,7 +163,8 @@
 	return net.Listen("tcp", s.address)
 }
 
-// lineCounter is the writer of a logger. It counts the lines and discards them.
+// lineCounter is a writer for a log.Logger, which calls Write once for each log line.
+// lineCounter counts the lines and discards them.
 type lineCounter struct{ lines tally.Counter }
 
 // Write implements io.Writer.
@@ -166,19 +173,19 @@
 	return len(p), nil
 }
 
-// limitConnections returns a ConnState hook that closes new connections while
+// limitConnections returns a ConnState hook that closes and counts new connections while
 // maxOpen connections are open.
-func limitConnections(maxOpen int, refused tally.Counter) func(net.Conn, http.ConnState) {
-	var open atomic.Int64
+func limitConnections(maxOpen int, refusedConns tally.Counter) func(net.Conn, http.ConnState) {
+	var openCount atomic.Int64
 	return func(conn net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
-			if open.Add(1) > int64(maxOpen) {
-				refused.Inc(1)
+			if openCount.Add(1) > int64(maxOpen) {
+				refusedConns.Inc(1)
 				_ = conn.Close()
 			}
 		case http.StateClosed, http.StateHijacked:
-			open.Add(-1)
+			openCount.Add(-1)
 		}
 	}
 }
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -34,9 +34,11 @@
 
 const (
 	// restartThreshold is the number of recent failures up to which a component is
-	// restarted at once. Above it, the restart waits for restartBackoff.
+	// restarted at once.
 	restartThreshold = 3
-	restartBackoff   = 2 * time.Second
+	// restartBackoff is the delay of a restart after more than restartThreshold recent
+	// failures.
+	restartBackoff = 2 * time.Second
 	// restartDecay is the half-life of the number of recent failures.
 	restartDecay = 10 * time.Second
 	// stopTimeout is how long a supervisor waits for its component to stop.
@@ -66,10 +68,10 @@
 // Dump returns the error, the stack of the goroutine that detected the violation, and
 // the stacks of all goroutines.
 func (e *InvariantError) Dump() string {
-	const maxStacks = 1 << 20
-	all := make([]byte, maxStacks)
-	all = all[:runtime.Stack(all, true)]
-	return fmt.Sprintf("%s\n\n%s\nall goroutines:\n%s", e.Error(), e.Stack, all)
+	const maxStackBytes = 1 << 20
+	allStacks := make([]byte, maxStackBytes)
+	allStacks = allStacks[:runtime.Stack(allStacks, true)]
+	return fmt.Sprintf("%s\n\n%s\nall goroutines:\n%s", e.Error(), e.Stack, allStacks)
 }
 
 // supervisorTree supervises the components of a daemon. Each component has its own
@@ -79,15 +81,15 @@
 	root   *suture.Supervisor
 	logger *slog.Logger
 	scope  tally.Scope
-	// fatal holds the first error passed to reportFatal.
-	fatal chan *InvariantError
+	// fatalErrs holds the first error passed to reportFatal.
+	fatalErrs chan *InvariantError
 
 	mu         sync.Mutex
 	components []*supervisedComponent
 }
 
 func newSupervisorTree(name string, logger *slog.Logger, scope tally.Scope) *supervisorTree {
-	t := &supervisorTree{logger: logger, scope: scope, fatal: make(chan *InvariantError, 1)}
+	t := &supervisorTree{logger: logger, scope: scope, fatalErrs: make(chan *InvariantError, 1)}
 	t.root = suture.New(name, suture.Spec{Timeout: stopTimeout, EventHook: t.logEvent})
 	return t
 }
@@ -125,7 +127,7 @@
 // first error is kept.
 func (t *supervisorTree) reportFatal(e *InvariantError) {
 	select {
-	case t.fatal <- e:
+	case t.fatalErrs <- e:
 	default:
 	}
 }
@@ -160,11 +162,11 @@
 type supervisedComponent struct {
 	component component
 	tree      *supervisorTree
-	// restarts is the metric with the same count as failures.
+	// restarts is the metric that is incremented together with failures.
 	restarts tally.Counter
 
-	// failures counts the failures and is reported in /status. The supervisor restarts
-	// the component after each failure.
+	// failures counts the failures. Since the supervisor restarts the component after
+	// each failure, /status reports this count as the number of restarts.
 	failures atomic.Int64
 	// lastError is the first line of the last failure's error message.
 	lastError atomic.Pointer[string]
@@ -184,9 +186,9 @@
 	if errors.Is(err, suture.ErrDoNotRestart) {
 		return err
 	}
-	var broken *InvariantError
-	if errors.As(err, &broken) {
-		s.tree.reportFatal(broken)
+	var invariantErr *InvariantError
+	if errors.As(err, &invariantErr) {
+		s.tree.reportFatal(invariantErr)
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -194,6 +196,8 @@
 	return err
 }
 
+// recordFailure logs and counts a failure of the component and stores the first line of its
+// error message. err is nil if the component returned without an error.
 func (s *supervisedComponent) recordFailure(err error) {
 	message := "returned without an error"
 	if err != nil {
@@ -206,6 +210,7 @@
 	s.tree.logger.Error("component failed", "part", s.String(), "error", message)
 }
 
+// serveRecoveringPanics runs the component once and returns a panic as an error.
 func (s *supervisedComponent) serveRecoveringPanics(ctx context.Context) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -233,11 +238,13 @@
 	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlePanic(name, panics, v) })
 }
 
+// handlePanic counts and logs a panic value of the handler with the given name. For a
+// violated invariant, it makes the daemon stop instead.
 func (t *supervisorTree) handlePanic(name string, panics tally.Counter, v any) {
 	err := panicError(name, v)
-	var broken *InvariantError
-	if errors.As(err, &broken) {
-		t.reportFatal(broken)
+	var invariantErr *InvariantError
+	if errors.As(err, &invariantErr) {
+		t.reportFatal(invariantErr)
 		return
 	}
 	panics.Inc(1)
--- a/daemon/tree_test.go
+++ b/daemon/tree_test.go
@@ -20,13 +20,13 @@
 	"github.com/dottereltiller/dottereltiller/core/invariant"
 )
 
-// TestMain fails when goroutines are left over. net/http keeps a connection open for
-// half a second after it has rejected a request body. A call of goleak retries for less
-// time than that, so TestMain calls goleak repeatedly.
+// TestMain fails if goroutines are left over after the tests. net/http keeps a connection
+// open for half a second after it has rejected a request body. One call of goleak.Find
+// retries for less than half a second, so TestMain calls it for up to waitLimit.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	leaked := goleak.Find()
-	for end := time.Now().Add(waitLimit); leaked != nil && time.Now().Before(end); {
+	for deadline := time.Now().Add(waitLimit); leaked != nil && time.Now().Before(deadline); {
 		leaked = goleak.Find()
 	}
 	if leaked != nil {
@@ -40,11 +40,11 @@
 
 // flakyComponent is a component that fails a given number of times.
 type flakyComponent struct {
-	// failures are called in order, one at each start. A start after the last one
-	// runs until the context is done.
-	failures []func() error
-	starts   atomic.Int64
-	// running is closed when the component runs without failing.
+	// failingRuns holds one function for each of the first starts, which calls it and
+	// returns its result. Later starts run until the context is done.
+	failingRuns []func() error
+	starts      atomic.Int64
+	// running is closed at the first start that does not fail.
 	running chan struct{}
 }
 
@@ -52,16 +52,18 @@
 
 func (c *flakyComponent) Serve(ctx context.Context) error {
 	n := int(c.starts.Add(1)) - 1
-	if n < len(c.failures) {
-		return c.failures[n]()
+	if n < len(c.failingRuns) {
+		return c.failingRuns[n]()
 	}
 	close(c.running)
 	<-ctx.Done()
 	return ctx.Err()
 }
 
+// TestFailedComponentIsRestartedAndCounted runs a component that first returns an error, then
+// panics and then keeps running. Both failures must be counted.
 func TestFailedComponentIsRestartedAndCounted(t *testing.T) {
-	c := &flakyComponent{running: make(chan struct{}), failures: []func() error{
+	c := &flakyComponent{running: make(chan struct{}), failingRuns: []func() error{
 		func() error { return errors.New("first") },
 		func() error { panic("second") },
 	}}
@@ -82,24 +84,30 @@
 	require.Contains(t, status[0].LastError, "panic: second")
 }
 
-func TestABrokenInvariantIsNotRestarted(t *testing.T) {
-	c := &flakyComponent{running: make(chan struct{}), failures: []func() error{
+// TestComponentThatViolatesAnInvariantIsNotRestarted runs a component that violates an
+// invariant. It must not be started again, and the violation must be reported as fatal with
+// the stacks of all goroutines.
+func TestComponentThatViolatesAnInvariantIsNotRestarted(t *testing.T) {
+	c := &flakyComponent{running: make(chan struct{}), failingRuns: []func() error{
 		func() error { invariant.Violated("running at most limit", "%d > %d", 7, 6); return nil },
 	}}
 	tr := newSupervisorTree("test", discardLogger(), tally.NoopScope)
 	tr.Add(c)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := tr.root.ServeBackground(ctx)
-	broken := <-tr.fatal
+	invariantErr := <-tr.fatalErrs
 	cancel()
 	<-done
 
 	require.EqualValues(t, 1, c.starts.Load())
-	require.EqualError(t, broken, `flaky: broken invariant "running at most limit": 7 > 6`)
-	require.Contains(t, broken.Dump(), "tree_test.go")
-	require.Contains(t, broken.Dump(), "all goroutines:")
+	require.EqualError(t, invariantErr, `flaky: broken invariant "running at most limit": 7 > 6`)
+	require.Contains(t, invariantErr.Dump(), "tree_test.go")
+	require.Contains(t, invariantErr.Dump(), "all goroutines:")
 }
 
+// TestHandlerPanicEndsOnlyItsRequest serves requests whose handler panics. Each panic must
+// abort its request. Only a panic with an ordinary value must be counted, and only a
+// violated invariant must be reported as fatal.
 func TestHandlerPanicEndsOnlyItsRequest(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	tr := newSupervisorTree("test", discardLogger(), scope)
@@ -124,8 +132,8 @@
 	require.Zero(t, panicCount())
 	requireAborted("/panic")
 	require.EqualValues(t, 1, panicCount())
-	require.Empty(t, tr.fatal)
+	require.Empty(t, tr.fatalErrs)
 	requireAborted("/broken")
 	require.EqualValues(t, 1, panicCount())
-	require.Equal(t, "a name", (<-tr.fatal).Broken.Name)
+	require.Equal(t, "a name", (<-tr.fatalErrs).Broken.Name)
 }
--- a/decision/log.go
+++ b/decision/log.go
@@ -14,8 +14,8 @@
 type Options struct {
 	// Handler writes the lines.
 	Handler slog.Handler
-	// SampleOneIn sets which share of requests is sampled: one in SampleOneIn. Plain lines
-	// about other requests are not written. Default: 16.
+	// SampleOneIn sets how many requests are sampled: on average one in SampleOneIn. Plain
+	// lines about requests that are not sampled are not written. Default: 16.
 	SampleOneIn uint32
 	// LinesPerSecond limits the rate of plain and trouble lines together. Default: 40.
 	LinesPerSecond float64
@@ -38,16 +38,16 @@
 	burstSeconds = 5
 	// dropReportInterval is the minimum time between two lines that report dropped lines.
 	dropReportInterval = time.Second
-	// troubleReserve is the fraction of the burst that is reserved for trouble lines. Plain
-	// lines may not use it.
-	troubleReserve = 0.5
+	// troubleReserveFraction is the fraction of the burst size that is reserved for trouble
+	// lines. Plain lines are dropped when less than this reserve is left.
+	troubleReserveFraction = 0.5
 )
 
 // Log writes decision lines. It is safe for concurrent use. A nil Log drops every line.
 type Log struct {
-	opts     Options
-	counters *decisionCounters
-	classes  map[Kind]Class
+	opts        Options
+	counters    *decisionCounters
+	classByKind map[Kind]Class
 	// lines is the queue of lines to be written.
 	lines chan queuedLine
 	// done is closed when all queued lines have been written after Close.
@@ -59,11 +59,12 @@
 	// tokens is the number of lines that the rate limit allowed at tokensUpdatedAt.
 	tokens          float64
 	tokensUpdatedAt time.Time
-	// dropped counts the dropped lines of each class since dropsReportedAt.
-	dropped [State + 1]int64
+	// droppedByClass counts the dropped lines of each class since dropsReportedAt.
+	droppedByClass [State + 1]int64
 	// dropsReportedAt is the time of the last line that reported dropped lines.
 	dropsReportedAt time.Time
-	// totalDropped counts the lines dropped since the start.
+	// totalDropped counts the lines dropped since New, without plain lines of requests
+	// that are not sampled.
 	totalDropped int64
 }
 
@@ -90,22 +91,22 @@
 	l := &Log{
 		opts:            o,
 		counters:        newDecisionCounters(o.Scope),
-		classes:         make(map[Kind]Class),
+		classByKind:     make(map[Kind]Class),
 		lines:           make(chan queuedLine, o.BufferLines),
 		done:            make(chan struct{}),
 		tokens:          o.LinesPerSecond * burstSeconds,
 		tokensUpdatedAt: o.Now(),
 	}
 	for _, d := range Declarations() {
-		l.classes[d.Kind] = d.Class
+		l.classByKind[d.Kind] = d.Class
 	}
 	go l.writeLines()
 	return l
 }
 
 // Sampled reports whether plain lines about the request with this id are kept. If not,
-// callers can skip building such lines. The counters do not include a decision for which
-// Write is not called.
+// callers can skip building such lines. A caller that therefore does not call Write also
+// leaves the decision out of the counters. A nil Log samples no request.
 func (l *Log) Sampled(request string) bool {
 	if l == nil {
 		return false
@@ -118,13 +119,13 @@
 // Write counts a decision of kind k and queues its line. It drops plain lines of requests
 // that are not sampled. It also drops plain and trouble lines beyond the rate limit. A line
 // of any class is dropped if the queue is full or the Log is closed. request is the id of
-// the request that the decision is about, or empty if there is none.
+// the request that the decision is about. It is empty if the decision is not about a request.
 func (l *Log) Write(k Kind, request string, attrs ...slog.Attr) {
 	if l == nil {
 		return
 	}
 	l.counters.add(k, attrs)
-	class := l.classes[k]
+	class := l.classByKind[k]
 	if class == Plain && !l.Sampled(request) {
 		return
 	}
@@ -151,7 +152,7 @@
 	}
 	minTokens := 1.0
 	if c == Plain {
-		minTokens = maxTokens * troubleReserve
+		minTokens = maxTokens * troubleReserveFraction
 	}
 	if l.tokens < minTokens {
 		return false
@@ -164,16 +165,16 @@
 // if there are any. It does nothing while more than half of the queue is in use, or within
 // dropReportInterval of the last such line. l.mu is held.
 func (l *Log) reportDropped(now time.Time) {
-	if l.dropped == [State + 1]int64{} || len(l.lines) > cap(l.lines)/2 || now.Sub(l.dropsReportedAt) < dropReportInterval {
+	if l.droppedByClass == [State + 1]int64{} || len(l.lines) > cap(l.lines)/2 || now.Sub(l.dropsReportedAt) < dropReportInterval {
 		return
 	}
 	l.dropsReportedAt = now
 	attrs := []slog.Attr{
-		slog.Int64("plain", l.dropped[Plain]),
-		slog.Int64("trouble", l.dropped[Trouble]),
-		slog.Int64("state", l.dropped[State]),
+		slog.Int64("plain", l.droppedByClass[Plain]),
+		slog.Int64("trouble", l.droppedByClass[Trouble]),
+		slog.Int64("state", l.droppedByClass[State]),
 	}
-	l.dropped = [State + 1]int64{}
+	l.droppedByClass = [State + 1]int64{}
 	l.enqueue(State, newRecord(now, LinesDropped, State, "", attrs), l.opts.Handler)
 }
 
@@ -188,12 +189,12 @@
 
 // countDropped counts a dropped line of class c. l.mu is held.
 func (l *Log) countDropped(c Class) {
-	l.dropped[c]++
+	l.droppedByClass[c]++
 	l.totalDropped++
 }
 
-// Dropped returns how many lines were dropped since the start. It does not count the
-// plain lines of requests that are not sampled.
+// Dropped returns how many lines were dropped since New returned the Log. It does not count
+// the plain lines of requests that are not sampled.
 func (l *Log) Dropped() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,7 +225,7 @@
 }
 
 // Close makes the Log drop all further lines. It waits until the queued lines are written
-// or the timeout expires.
+// or the timeout expires. Close may be called repeatedly and on a nil Log.
 func (l *Log) Close(timeout time.Duration) {
 	if l == nil {
 		return
