--- a/bench/control.go
+++ b/bench/control.go
@@ -11,9 +11,9 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// daemonSizes are the numbers of daemons with which idleCPU is measured. They are small
+// daemonCounts are the numbers of daemons with which idleCPU is measured. They are small
 // enough for one process to run that many daemons.
-var daemonSizes = []int{32, 48, 64, 96}
+var daemonCounts = []int{32, 48, 64, 96}
 
 const (
 	// settleTime is the time between the start of a deployment and the measurement.
@@ -25,7 +25,7 @@
 // daemonMeasurements returns the measurements that need running daemons.
 func daemonMeasurements() []measurement {
 	return []measurement{
-		{"control of one daemon at rest", "us of CPU a second", "daemon", daemonSizes, idleCPU},
+		{"control of one daemon at rest", "us of CPU a second", "daemon", daemonCounts, idleCPU},
 	}
 }
 
@@ -40,11 +40,11 @@
 	if err := sleep(ctx, settleTime); err != nil {
 		return 0, err
 	}
-	before, start := processCPU(), time.Now()
+	cpuBefore, start := processCPU(), time.Now()
 	if err := sleep(ctx, measuringTime); err != nil {
 		return 0, err
 	}
-	used := processCPU() - before
+	used := processCPU() - cpuBefore
 	return used.Seconds() / time.Since(start).Seconds() / float64(n) * 1e6, nil
 }
 
@@ -58,8 +58,8 @@
 	}
 	for i := 0; i < n; i += upstreamsPerService {
 		name := string(upstream(i / upstreamsPerService).Service)
-		size := min(upstreamsPerService, n-i)
-		opts.Services = append(opts.Services, local.Service{Name: model.ServiceName(name), Upstreams: size, Slots: 6})
+		upstreamCount := min(upstreamsPerService, n-i)
+		opts.Services = append(opts.Services, local.Service{Name: model.ServiceName(name), Upstreams: upstreamCount, Slots: 6})
 		opts.Documents = append(opts.Documents, policy.Document{Kind: policy.KindService, Name: name, Spec: []byte(`{}`)})
 	}
 	opts.Documents = append(opts.Documents, policy.Document{Kind: policy.KindSharingPolicy, Name: "all", Spec: []byte(
--- a/bench/forward_test.go
+++ b/bench/forward_test.go
@@ -32,13 +32,13 @@
 // whole process per request.
 func benchmarkCalls(b *testing.B, client *loadClient) {
 	b.ReportAllocs()
-	before := processCPU()
+	cpuBefore := processCPU()
 	for b.Loop() {
 		if err := client.call(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64((processCPU()-before).Microseconds())/float64(b.N), "cpu-us/op")
+	b.ReportMetric(float64((processCPU()-cpuBefore).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
 // BenchmarkDirect sends requests directly to an upstream, one at a time.
@@ -57,7 +57,7 @@
 // sync.Pools.
 const maxForwardAllocs = 500
 
-func TestForwardAllocations(t *testing.T) {
+func TestForwardingStaysWithinAllocationLimit(t *testing.T) {
 	d, err := startTwoDaemons(t.Context())
 	require.NoError(t, err)
 	defer d.Stop()
--- a/bench/slope.go
+++ b/bench/slope.go
@@ -75,13 +75,13 @@
 
 // maxFitError computes FitError from the points and the line.
 func (s *Slope) maxFitError() float64 {
-	var worst, largest float64
+	var maxError, maxValue float64
 	for _, p := range s.Points {
-		worst = math.Max(worst, math.Abs(p.Value-s.At(float64(p.Size))))
-		largest = math.Max(largest, math.Abs(p.Value))
+		maxError = math.Max(maxError, math.Abs(p.Value-s.At(float64(p.Size))))
+		maxValue = math.Max(maxValue, math.Abs(p.Value))
 	}
-	if largest == 0 {
+	if maxValue == 0 {
 		return 0
 	}
-	return worst / largest
+	return maxError / maxValue
 }
--- a/bench/slope_test.go
+++ b/bench/slope_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFitSlope(t *testing.T) {
+func TestFitSlopeFindsLineAndFitError(t *testing.T) {
 	cases := map[string]struct {
 		value            func(n int) float64
 		slope, intercept float64
--- a/bench/state.go
+++ b/bench/state.go
@@ -18,9 +18,9 @@
 // Sizes of the measurements. docs/CAPACITY.md gives values for larger sizes, which it
 // extrapolates from the slopes.
 var (
-	upstreamSizes = []int{100, 200, 400, 800}
-	documentSizes = []int{100, 200, 400, 800}
-	changeSizes   = []int{500, 1000, 2000, 4000}
+	upstreamCounts = []int{100, 200, 400, 800}
+	documentCounts = []int{100, 200, 400, 800}
+	changeCounts   = []int{500, 1000, 2000, 4000}
 )
 
 // stateMeasurements returns the measurements that need no daemons. They measure the memory
@@ -28,13 +28,13 @@
 // last one measures the size of encoded membership events.
 func stateMeasurements() []measurement {
 	return []measurement{
-		{"membership view", "bytes", "upstream", upstreamSizes, directoryBytes},
-		{"router of one service", "bytes", "upstream", upstreamSizes, routerBytes},
-		{"routing decision", "ns", "upstream", upstreamSizes, decisionTime},
-		{"configuration in force", "bytes", "document", documentSizes, configurationBytes},
-		{"compiling the configuration", "us", "document", documentSizes, compileTime},
-		{"folding changes", "us", "change", changeSizes, applyTime},
-		{"membership event on the wire", "bytes", "event", upstreamSizes, eventBytes},
+		{"membership view", "bytes", "upstream", upstreamCounts, directoryBytes},
+		{"router of one service", "bytes", "upstream", upstreamCounts, routerBytes},
+		{"routing decision", "ns", "upstream", upstreamCounts, decisionTime},
+		{"configuration in force", "bytes", "document", documentCounts, configurationBytes},
+		{"compiling the configuration", "us", "document", documentCounts, compileTime},
+		{"folding changes", "us", "change", changeCounts, applyTime},
+		{"membership event on the wire", "bytes", "event", upstreamCounts, eventBytes},
 	}
 }
 
@@ -43,10 +43,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := f()
+	value := f()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
@@ -196,7 +196,7 @@
 // applyTime returns the time in microseconds that it takes to apply n configuration
 // changes to a new state machine.
 func applyTime(_ context.Context, n int) (float64, error) {
-	raw, err := json.Marshal(document(0))
+	encodedDocument, err := json.Marshal(document(0))
 	if err != nil {
 		return 0, err
 	}
@@ -205,7 +205,7 @@
 		records[i], _, err = config.EncodeChange(config.Change{
 			ID:   fmt.Sprintf("change-%d", i),
 			Base: model.Version(i),
-			Put:  map[config.DocumentKey]json.RawMessage{config.DocumentKey(document(0).Key()): raw},
+			Put:  map[config.DocumentKey]json.RawMessage{config.DocumentKey(document(0).Key()): encodedDocument},
 		})
 		if err != nil {
 			return 0, err
--- a/load/collector.go
+++ b/load/collector.go
@@ -44,7 +44,7 @@
 	total        *groupCollector
 	groups       map[groupKey]*groupCollector
 	sendLag      *latency.Histogram
-	held         int64    // requests that waited because of Plan.MaxInFlight
+	heldCount    int64    // requests that waited because of Plan.MaxInFlight
 	wrongAnswers []string // descriptions of the first wrong responses
 	wrongCount   int64    // all wrong responses
 }
@@ -81,7 +81,7 @@
 func (c *collector) countHeld() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held++
+	c.heldCount++
 }
 
 func (c *collector) add(s sample) {
@@ -130,8 +130,8 @@
 func (g *groupCollector) pointAt(due time.Duration) *pointCollector {
 	index := int(due / pointInterval)
 	for len(g.points) <= index {
-		at := int64(len(g.points)) * pointInterval.Milliseconds()
-		g.points = append(g.points, &pointCollector{Point: Point{AtMs: at}, latency: latency.NewHistogram()})
+		startMs := int64(len(g.points)) * pointInterval.Milliseconds()
+		g.points = append(g.points, &pointCollector{Point: Point{AtMs: startMs}, latency: latency.NewHistogram()})
 	}
 	return g.points[index]
 }
@@ -164,7 +164,7 @@
 		Total:        c.total.summarize(c.total.slotTime),
 		Groups:       []Stats{},
 		SendLagP99Us: c.sendLag.Percentiles().P99,
-		Held:         c.held,
+		Held:         c.heldCount,
 		Wrong:        c.wrongCount,
 		WrongAnswers: c.wrongAnswers,
 	}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -42,11 +42,11 @@
 // latency of every request due during the stall. A closed-loop load generator would
 // measure only one slow request.
 func TestStallCountsForEveryRequestDue(t *testing.T) {
-	for name, limit := range map[string]int{"4096 requests in flight": 4096, "1 request in flight": 1} {
+	for name, maxInFlight := range map[string]int{"4096 requests in flight": 4096, "1 request in flight": 1} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Run(t, func(t *testing.T) {
 				p := testPlan(200, 10*time.Second)
-				p.MaxInFlight = limit
+				p.MaxInFlight = maxInFlight
 				require.NoError(t, p.Check())
 				start := time.Now()
 				res, err := Run(t.Context(), p, Options{Sender: senderFunc(func(context.Context, *Request) Reply {
@@ -64,33 +64,33 @@
 				require.Less(t, res.Total.P50, int64(5_000))
 				require.Len(t, res.Groups[0].Series, 10)
 				require.Greater(t, res.Groups[0].Series[4].P50, int64(300_000))
-				require.Equal(t, limit == 1, res.Held > 0)
+				require.Equal(t, maxInFlight == 1, res.Held > 0)
 			})
 		})
 	}
 }
 
 func TestEqualSeedsSendAtEqualTimes(t *testing.T) {
-	record := func(seed uint64) string {
+	recordTrace := func(seed uint64) string {
 		var out bytes.Buffer
 		bubble.Run(t, func(t *testing.T) {
 			p := testPlan(500, time.Second)
 			p.Seed = seed
 			require.NoError(t, p.Check())
-			rec := &Recorder{}
-			_, err := Run(t.Context(), p, Options{Recorder: rec, Sender: senderFunc(func(context.Context, *Request) Reply {
+			recorder := &Recorder{}
+			_, err := Run(t.Context(), p, Options{Recorder: recorder, Sender: senderFunc(func(context.Context, *Request) Reply {
 				time.Sleep(time.Millisecond)
 				return Reply{Kind: outcome.Answered}
 			})})
 			require.NoError(t, err)
-			require.NoError(t, rec.Write(&out))
+			require.NoError(t, recorder.Write(&out))
 		})
 		return out.String()
 	}
-	first := record(1)
-	require.Equal(t, first, record(1))
-	require.NotEqual(t, first, record(2))
-	events, err := replay.ReadTrace(strings.NewReader(first))
+	trace := recordTrace(1)
+	require.Equal(t, trace, recordTrace(1))
+	require.NotEqual(t, trace, recordTrace(2))
+	events, err := replay.ReadTrace(strings.NewReader(trace))
 	require.NoError(t, err)
 	require.InDelta(t, 500, len(events), 80)
 	require.EqualValues(t, 1000, events[0].CostUs)
@@ -101,12 +101,12 @@
 	bubble.Run(t, func(t *testing.T) {
 		p := testPlan(100, 3*time.Second)
 		require.NoError(t, p.Check())
-		var n atomic.Int64
-		var reports atomic.Int64
+		var sendCount atomic.Int64
+		var progressCalls atomic.Int64
 		res, err := Run(t.Context(), p, Options{
-			Progress: func(Progress) { reports.Add(1) },
+			Progress: func(Progress) { progressCalls.Add(1) },
 			Sender: senderFunc(func(context.Context, *Request) Reply {
-				switch n.Add(1) % 4 {
+				switch sendCount.Add(1) % 4 {
 				case 0:
 					return Reply{Kind: outcome.NotRun, Reason: "queue-full"}
 				case 1:
@@ -125,7 +125,7 @@
 		require.InDelta(t, stats.Requests/4, res.Wrong, 2)
 		require.Len(t, res.WrongAnswers, maxWrongAnswers)
 		require.InDelta(t, 1, stats.SlotTimeShare, 1e-9)
-		require.EqualValues(t, 2, reports.Load())
+		require.EqualValues(t, 2, progressCalls.Load())
 	})
 }
 
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestHTTPSender sends requests to a server that responds like a daemon with a
+// TestHTTPSenderSendsHeadersAndReadsOutcomes sends requests to a server that responds like a daemon with a
 // stand-in upstream.
-func TestHTTPSender(t *testing.T) {
+func TestHTTPSenderSendsHeadersAndReadsOutcomes(t *testing.T) {
 	var received []*http.Request
 	daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		received = append(received, r)
--- a/load/run.go
+++ b/load/run.go
@@ -65,12 +65,12 @@
 		inFlight:  make(chan struct{}, p.MaxInFlight),
 	}
 	stop := r.reportProgress(ctx)
-	var sources sync.WaitGroup
+	var sourcesWG sync.WaitGroup
 	for i := range p.Sources {
-		sources.Go(func() { r.runSource(ctx, i) })
+		sourcesWG.Go(func() { r.runSource(ctx, i) })
 	}
-	sources.Wait()
-	r.requests.Wait()
+	sourcesWG.Wait()
+	r.requestsWG.Wait()
 	stop()
 	return r.collector.result(p), nil
 }
@@ -83,36 +83,36 @@
 	collector *collector
 	// inFlight holds one element for each request in flight. Its capacity limits
 	// their number.
-	inFlight chan struct{}
-	requests sync.WaitGroup
+	inFlight   chan struct{}
+	requestsWG sync.WaitGroup
 }
 
 // runSource sends the requests of one source, each at the time when it is due. The
 // index is the position of the source in the plan.
-func (r *run) runSource(ctx context.Context, index int) {
-	s := &r.plan.Sources[index]
-	random := rand.New(rand.NewPCG(r.plan.Seed, uint64(index)))
+func (r *run) runSource(ctx context.Context, sourceIndex int) {
+	s := &r.plan.Sources[sourceIndex]
+	rng := rand.New(rand.NewPCG(r.plan.Seed, uint64(sourceIndex)))
 	due := time.Duration(0)
 	for n := 0; ; n++ {
-		due += time.Duration(random.ExpFloat64() / s.Rate * float64(time.Second))
+		due += time.Duration(rng.ExpFloat64() / s.Rate * float64(time.Second))
 		if due >= time.Duration(r.plan.Duration) || !sleepUntil(ctx, r.start.Add(due)) {
 			return
 		}
-		req := r.newRequest(s, index, n, due)
+		req := r.newRequest(s, sourceIndex, n, due)
 		if !r.acquire(ctx) {
 			return
 		}
-		r.requests.Go(func() { r.send(ctx, req) })
+		r.requestsWG.Go(func() { r.send(ctx, req) })
 	}
 }
 
 // newRequest returns the n-th request of a source, counted from 0. The requests of a
 // source go to the targets in turn.
-func (r *run) newRequest(s *Source, index, n int, due time.Duration) *Request {
+func (r *run) newRequest(s *Source, sourceIndex, n int, due time.Duration) *Request {
 	req := &Request{
 		Source: s,
-		Name:   strconv.Itoa(index) + "-" + strconv.Itoa(n),
-		Target: r.plan.Targets[(index+n)%len(r.plan.Targets)],
+		Name:   strconv.Itoa(sourceIndex) + "-" + strconv.Itoa(n),
+		Target: r.plan.Targets[(sourceIndex+n)%len(r.plan.Targets)],
 		Due:    r.start.Add(due),
 	}
 	if s.Keyed {
@@ -162,8 +162,8 @@
 
 // sleepUntil waits until the given time. It returns false if the context is
 // cancelled first.
-func sleepUntil(ctx context.Context, at time.Time) bool {
-	timer := time.NewTimer(time.Until(at))
+func sleepUntil(ctx context.Context, wakeTime time.Time) bool {
+	timer := time.NewTimer(time.Until(wakeTime))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -30,11 +30,11 @@
 		for _, scenario := range benchmarkScenarios {
 			benchPolicies(b, name+"/"+scenario, topology, scenario)
 		}
-		delayed := loadTopology(b, name)
-		for i := range delayed.Services {
-			delayed.Services[i].ReportLag = delayedReportLag
+		delayedTopology := loadTopology(b, name)
+		for i := range delayedTopology.Services {
+			delayedTopology.Services[i].ReportLag = delayedReportLag
 		}
-		benchPolicies(b, name+"/steady-85-late-reports", delayed, "steady-85")
+		benchPolicies(b, name+"/steady-85-late-reports", delayedTopology, "steady-85")
 	}
 }
 
--- a/replay/entry.go
+++ b/replay/entry.go
@@ -14,8 +14,8 @@
 	sim   *simulation
 	index int // position in simulation.entries; simulation.guards has the same order
 	zone  model.AvailabilityZone
-	// routers holds one router for each service.
-	routers map[model.ServiceName]*routing.Router
+	// routersByService holds one router for each service.
+	routersByService map[model.ServiceName]*routing.Router
 }
 
 // request is a request of the trace and the state of its attempts.
@@ -26,15 +26,15 @@
 	// outcomeSoFar is the combined outcome of the attempts in tried. It is NotRun
 	// while tried is empty.
 	outcomeSoFar outcome.Outcome
-	// tried lists the upstreams of the finished attempts. It leaves out the attempts
+	// triedUpstreams lists the upstreams of the finished attempts. It leaves out the attempts
 	// counted in rejections. It also leaves out hedges that failed while the other
 	// attempt was in flight.
-	tried []model.UpstreamID
-	// rejections counts the attempts that a guard rejected, that is, returned
+	triedUpstreams []model.UpstreamID
+	// rejectionCount counts the attempts that a guard rejected, that is, returned
 	// unexecuted. Hedges are not counted.
-	rejections int
-	// executions counts the executions of the request at any upstream.
-	executions int
+	rejectionCount int
+	// executionCount counts the executions of the request at all upstreams together.
+	executionCount int
 	// inFlight holds the attempts without a reply so far.
 	inFlight []*attempt
 	// completed is set when the caller has its response. Attempts may still be in
@@ -55,8 +55,8 @@
 	isHedge   bool
 	sentAt    model.Instant
 	startedAt model.Instant
-	running   bool // in the upstream
-	waiting   bool // in the guard's queue
+	isRunning bool // in the upstream
+	isWaiting bool // in the guard's queue
 	// generation increases when a crash or a cancellation ends the execution
 	// early. Tasks that were scheduled for an earlier generation are ignored.
 	generation uint32
@@ -68,13 +68,13 @@
 const maxAttempts = 3
 
 func newEntry(s *simulation, index int, g *guard) (*entry, error) {
-	e := &entry{sim: s, index: index, zone: g.upstream.Zone, routers: make(map[model.ServiceName]*routing.Router)}
+	e := &entry{sim: s, index: index, zone: g.upstream.Zone, routersByService: make(map[model.ServiceName]*routing.Router)}
 	for _, svc := range s.topology.Services {
 		r, err := routing.New(s.routingOptions(index, e.zone, g.upstream.Daemon))
 		if err != nil {
 			return nil, err
 		}
-		e.routers[svc.Name] = r
+		e.routersByService[svc.Name] = r
 	}
 	return e, nil
 }
@@ -82,7 +82,7 @@
 // place sends the request to the upstream that the router chooses. If the router
 // has no upstream left to try, place completes the request with outcomeSoFar.
 func (e *entry) place(req *request) {
-	choice, ok := e.routers[req.event.Service].Place(e.sim.now, req.model(), req.tried, req.rejections)
+	choice, ok := e.routersByService[req.event.Service].Place(e.sim.now, req.routingRequest(), req.triedUpstreams, req.rejectionCount)
 	if !ok {
 		e.complete(req, req.outcomeSoFar)
 		return
@@ -106,10 +106,10 @@
 	req.inFlight = append(req.inFlight, a)
 	if s.partitioned(e.index, a.guard.index) {
 		a.reply = routing.Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)}
-		s.queue.add(task{at: s.now.Add(connectTimeout), kind: taskReply, daemon: e.index, attempt: a})
+		s.queue.add(task{dueAt: s.now.Add(connectTimeout), kind: taskReply, daemonIndex: e.index, attempt: a})
 		return a
 	}
-	s.queue.add(task{at: s.now.Add(s.delay(e.index, a.guard.index)), kind: taskAttemptArrival, daemon: a.guard.index, attempt: a})
+	s.queue.add(task{dueAt: s.now.Add(s.delay(e.index, a.guard.index)), kind: taskAttemptArrival, daemonIndex: a.guard.index, attempt: a})
 	return a
 }
 
@@ -130,23 +130,23 @@
 	e.sim.removeAttempt(a)
 	a.reply.Latency = e.sim.now.Sub(a.sentAt)
 	a.reply.Group, a.reply.Hedge = req.event.Group, a.isHedge
-	e.routers[req.event.Service].Done(e.sim.now, a.guard.upstream.ID, a.reply)
+	e.routersByService[req.event.Service].Done(e.sim.now, a.guard.upstream.ID, a.reply)
 	o := a.reply.Outcome
 	failed := o.Kind != outcome.Answered || a.reply.Failed
 	if req.completed || failed && a.isHedge && len(req.inFlight) > 0 {
 		return
 	}
 	if a.choice.Rejected(o) && !a.isHedge {
-		req.rejections++
+		req.rejectionCount++
 		e.place(req)
 		return
 	}
-	req.tried = append(req.tried, a.guard.upstream.ID)
+	req.triedUpstreams = append(req.triedUpstreams, a.guard.upstream.ID)
 	req.outcomeSoFar = o.After(req.outcomeSoFar)
 	if failed && len(req.inFlight) > 0 {
 		return
 	}
-	if failed && len(req.tried) < maxAttempts && o.MayRetry(req.event.Idempotent) && e.sim.now < req.deadline() {
+	if failed && len(req.triedUpstreams) < maxAttempts && o.MayRetry(req.event.Idempotent) && e.sim.now < req.deadline() {
 		e.place(req)
 		return
 	}
@@ -159,26 +159,26 @@
 	req.completed = true
 	e.cancel(req)
 	latency := e.sim.now.Sub(req.arrivedAt)
-	limit := req.deadline().Sub(req.arrivedAt)
-	if latency > limit && o.Kind == outcome.Answered {
+	timeout := req.deadline().Sub(req.arrivedAt)
+	if latency > timeout && o.Kind == outcome.Answered {
 		o = outcome.UnknownBecause(outcome.ReasonDeadline)
 	}
-	e.sim.collector.add(req, o, min(latency, limit))
+	e.sim.collector.add(req, o, min(latency, timeout))
 }
 
 func (req *request) deadline() model.Instant {
 	return req.arrivedAt.Add(time.Duration(req.event.DeadlineMs) * time.Millisecond)
 }
 
-// model returns the request in the form that the routers and the admission
+// routingRequest returns the request in the form that the routers and the admission
 // controllers take.
-func (req *request) model() model.Request {
+func (req *request) routingRequest() model.Request {
 	return model.Request{
 		Service:    req.event.Service,
 		Group:      req.event.Group,
 		Caller:     req.event.Caller,
 		Idempotent: req.event.Idempotent,
 		Deadline:   req.deadline(),
-		Attempt:    len(req.tried),
+		Attempt:    len(req.triedUpstreams),
 	}
 }
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -9,9 +9,9 @@
 // startFault applies the fault of a trace event and schedules its end.
 func (s *simulation) startFault(e *Event) {
 	duration := time.Duration(e.ForMs) * time.Millisecond
-	end := s.applyFault(e, duration)
-	if duration > 0 && end != nil {
-		s.schedule(duration, end)
+	endFault := s.applyFault(e, duration)
+	if duration > 0 && endFault != nil {
+		s.schedule(duration, endFault)
 	}
 }
 
@@ -24,10 +24,10 @@
 		return s.restoreLog
 	case PartitionZone:
 		zone := model.AvailabilityZone(e.Target)
-		s.partitionedZones[zone] = true
-		return func() { delete(s.partitionedZones, zone) }
+		s.isPartitionedByZone[zone] = true
+		return func() { delete(s.isPartitionedByZone, zone) }
 	case Recover:
-		s.recover(e.Target)
+		s.endFaults(e.Target)
 		return nil
 	}
 	return s.guardsByName[e.Target].applyFault(e, duration)
@@ -36,30 +36,30 @@
 // restoreLog ends LogDown and makes the announcements that were held back during it.
 func (s *simulation) restoreLog() {
 	s.logDown = false
-	held := s.heldAnnouncements
+	announcements := s.heldAnnouncements
 	s.heldAnnouncements = nil
-	for _, announce := range held {
+	for _, announce := range announcements {
 		announce()
 	}
 }
 
-// recover ends the faults of the target, a zone or an upstream. An empty target would
+// endFaults ends the faults of the target, a zone or an upstream. An empty target would
 // end LogDown, but checkEvents allows no Recover without a target.
-func (s *simulation) recover(target string) {
-	delete(s.partitionedZones, model.AvailabilityZone(target))
+func (s *simulation) endFaults(target string) {
+	delete(s.isPartitionedByZone, model.AvailabilityZone(target))
 	if target == "" {
 		s.restoreLog()
 		return
 	}
 	if g := s.guardsByName[target]; g != nil {
-		g.recover()
+		g.endFaults()
 	}
 }
 
 // applyFault applies a fault to the guard or its upstream and returns the
 // function that ends it. The function is nil if the fault ends by itself.
 func (g *guard) applyFault(e *Event, duration time.Duration) func() {
-	f := &g.fake.faults
+	f := &g.simulatedUpstream.faults
 	now := g.sim.now
 	switch e.Fault {
 	case Straggle:
@@ -79,8 +79,8 @@
 		g.sim.announceMembership()
 		return g.restart
 	case Crash:
-		g.fake.crashed = true
-		g.fake.connections = 0
+		g.simulatedUpstream.crashed = true
+		g.simulatedUpstream.connectionCount = 0
 		g.crashRunning()
 		return g.restart
 	case PauseDaemon:
@@ -96,11 +96,11 @@
 // forever is an instant after the end of every trace.
 const forever = model.Instant(1 << 62)
 
-// recover ends every fault of the upstream and of its daemon. After a crash or
+// endFaults ends every fault of the upstream and of its daemon. After a crash or
 // a drain the upstream restarts as a new incarnation.
-func (g *guard) recover() {
-	mustRestart := g.fake.crashed || g.upstream.Draining
-	g.fake.faults = faultState{straggleFactor: 1, reportedLoadFactor: 1}
+func (g *guard) endFaults() {
+	mustRestart := g.simulatedUpstream.crashed || g.upstream.Draining
+	g.simulatedUpstream.faults = faultState{straggleFactor: 1, reportedLoadFactor: 1}
 	g.pausedUntil = 0
 	if mustRestart {
 		g.restart()
--- a/replay/formats_test.go
+++ b/replay/formats_test.go
@@ -23,7 +23,7 @@
 
 const validRequest = `{"at_us":5,"caller":"sorter-1","group":"sorters","service":"returdesk","cost_us":1800,"idempotent":true,"deadline_ms":500,"key":"optional","zone":"odense-hal-a"}`
 
-func TestReadTrace(t *testing.T) {
+func TestReadTraceReturnsErrorsForInvalidLines(t *testing.T) {
 	cases := map[string]struct {
 		lines string
 		// want is a part of the expected error. It is empty for a valid trace.
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestReadTopology(t *testing.T) {
+func TestReadTopologyReturnsErrorsForInvalidFiles(t *testing.T) {
 	valid, err := os.ReadFile("../testdata/replay/kalahari.topology.json")
 	require.NoError(t, err)
 	// Each case replaces old by new in a valid topology. want is a part of the
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestTraceNamesUnknownTargets checks that Run returns an error for a trace that
+// TestRunReturnsErrorForUnknownTargets checks that Run returns an error for a trace that
 // names a service, a zone or an upstream that the topology does not have.
-func TestTraceNamesUnknownTargets(t *testing.T) {
+func TestRunReturnsErrorForUnknownTargets(t *testing.T) {
 	topology := loadTopology(t, "cooperative")
 	for _, line := range []string{
 		strings.Replace(validRequest, "returdesk", "returdisk", 1),
--- a/replay/generate.go
+++ b/replay/generate.go
@@ -86,14 +86,14 @@
 
 // Write generates the trace as JSON lines.
 func (g *Generator) Write(w io.Writer) error {
-	out := bufio.NewWriter(w)
-	enc := json.NewEncoder(out)
+	buffered := bufio.NewWriter(w)
+	enc := json.NewEncoder(buffered)
 	for _, e := range g.Events() {
 		if err := enc.Encode(e); err != nil {
 			return err
 		}
 	}
-	return out.Flush()
+	return buffered.Flush()
 }
 
 // Events generates the trace. It returns the faults and the requests in order of time.
@@ -131,14 +131,14 @@
 	if rate <= 0 {
 		return events
 	}
-	at := start.Seconds()
+	atSeconds := start.Seconds()
 	for {
-		at += rng.ExpFloat64() / rate
-		if at >= end.Seconds() {
+		atSeconds += rng.ExpFloat64() / rate
+		if atSeconds >= end.Seconds() {
 			return events
 		}
 		events = append(events, Event{
-			AtUs:       int64(at * 1e6),
+			AtUs:       int64(atSeconds * 1e6),
 			Caller:     model.CallerName(fmt.Sprintf("%s-%d", group, 1+rng.IntN(p.callers))),
 			Group:      group,
 			Service:    s.Name,
@@ -180,7 +180,7 @@
 
 // Scenarios returns all scenarios.
 func Scenarios() []Scenario {
-	list := []Scenario{
+	scenarios := []Scenario{
 		{Name: "steady-70", Load: 0.70, Duration: scenarioDuration},
 		{Name: "steady-85", Load: 0.85, Duration: scenarioDuration},
 		{Name: "steady-95", Load: 0.95, Duration: scenarioDuration},
@@ -193,15 +193,15 @@
 		}},
 	}
 	for _, f := range []Fault{Straggle, Drain, FailFast, ColdStart, Crash, Misreport, PartitionZone, LogDown, PauseDaemon} {
-		list = append(list, faultScenario(f))
+		scenarios = append(scenarios, faultScenario(f))
 	}
 	for _, pair := range [][]Fault{
 		{Straggle, Drain}, {FailFast, Crash}, {Crash, LogDown}, {PartitionZone, LogDown},
 		{Straggle, Misreport}, {PauseDaemon, Drain},
 	} {
-		list = append(list, faultScenario(pair...))
+		scenarios = append(scenarios, faultScenario(pair...))
 	}
-	return list
+	return scenarios
 }
 
 const (
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -14,19 +14,19 @@
 // guard simulates the guard of one daemon: the production admission control and
 // concurrency limiter in front of a simulated upstream.
 type guard struct {
-	sim         *simulation
-	index       int // position in simulation.guards; simulation.entries has the same order
-	upstream    model.Upstream
-	spec        *Service
-	controller  *admission.Controller
-	limiter     *limit.Limiter
-	monitor     *measure.Monitor
-	attempts    map[admission.ID]*attempt // waiting and running attempts
-	effects     []admission.Effect        // reused buffer for the controller's return values
-	running     int                       // number of running attempts
-	pollCount   int
-	pausedUntil model.Instant // the daemon is paused until then
-	fake        fakeUpstream
+	sim               *simulation
+	index             int // position in simulation.guards; simulation.entries has the same order
+	upstream          model.Upstream
+	spec              *Service
+	controller        *admission.Controller
+	limiter           *limit.Limiter
+	monitor           *measure.Monitor
+	attemptsByID      map[admission.ID]*attempt // waiting and running attempts
+	effects           []admission.Effect        // reused buffer for the controller's return values
+	runningCount      int                       // number of running attempts
+	pollCount         int
+	pausedUntil       model.Instant // the daemon is paused until then
+	simulatedUpstream fakeUpstream
 }
 
 func newGuard(s *simulation, index int, spec *Service, u Upstream, name string) *guard {
@@ -42,8 +42,8 @@
 			Daemon:      model.DaemonID(name),
 			Slots:       u.Slots,
 		},
-		attempts: make(map[admission.ID]*attempt),
-		fake:     newFakeUpstream(u, spec),
+		attemptsByID:      make(map[admission.ID]*attempt),
+		simulatedUpstream: newFakeUpstream(u, spec),
 	}
 	g.monitor = measure.NewMonitor(0, measure.Options{
 		Share:  spec.MeasuringBudget,
@@ -61,11 +61,11 @@
 	g.controller = admission.New(admission.Options{Slots: g.upstream.Slots, Limiter: g.limiter})
 	groups := make([]admission.Group, 0, len(g.spec.Groups))
 	for _, group := range g.spec.Groups {
-		bound := group.QueueBound
-		if bound == 0 {
-			bound = defaultQueueBound
+		queueBound := group.QueueBound
+		if queueBound == 0 {
+			queueBound = defaultQueueBound
 		}
-		groups = append(groups, admission.Group{Name: group.Name, Weight: group.Weight, QueueBound: bound})
+		groups = append(groups, admission.Group{Name: group.Name, Weight: group.Weight, QueueBound: queueBound})
 	}
 	g.controller.Configure(g.sim.now, groups)
 }
@@ -79,11 +79,11 @@
 	}
 	now := g.sim.now
 	id := admission.ID(a.id)
-	g.attempts[id] = a
-	a.waiting = true
-	g.effects = g.controller.Arrive(now, admission.Arrival{ID: id, Request: a.req.model()}, g.effects[:0])
+	g.attemptsByID[id] = a
+	a.isWaiting = true
+	g.effects = g.controller.Arrive(now, admission.Arrival{ID: id, Request: a.req.routingRequest()}, g.effects[:0])
 	g.applyEffects()
-	if !a.waiting {
+	if !a.isWaiting {
 		return
 	}
 	if a.choice.QueueTimeout == 0 {
@@ -94,7 +94,7 @@
 	if a.choice.QueueTimeout > 0 {
 		expiresAt = min(expiresAt, now.Add(a.choice.QueueTimeout))
 	}
-	g.sim.queue.add(task{at: max(expiresAt, now), kind: taskExpire, daemon: g.index, attempt: a, generation: a.generation})
+	g.sim.queue.add(task{dueAt: max(expiresAt, now), kind: taskExpire, daemonIndex: g.index, attempt: a, generation: a.generation})
 }
 
 // reject returns a waiting attempt to its entry unexecuted. It is called when
@@ -103,8 +103,8 @@
 	if !g.controller.Withdraw(g.sim.now, admission.ID(a.id)) {
 		return
 	}
-	a.waiting = false
-	delete(g.attempts, admission.ID(a.id))
+	a.isWaiting = false
+	delete(g.attemptsByID, admission.ID(a.id))
 	g.sendReply(a, outcome.NotRunBecause(outcome.ReasonWithdrawn), false)
 }
 
@@ -113,7 +113,7 @@
 // refuse all expired attempts. It ignores attempts that no longer wait and tasks of an
 // earlier generation.
 func (g *guard) expire(a *attempt, generation uint32) {
-	if !a.waiting || a.generation != generation {
+	if !a.isWaiting || a.generation != generation {
 		return
 	}
 	if g.sim.now < a.req.deadline() {
@@ -130,13 +130,13 @@
 	effects := g.effects
 	g.effects = nil
 	for _, e := range effects {
-		a := g.attempts[e.ID]
+		a := g.attemptsByID[e.ID]
 		if a == nil {
 			continue
 		}
-		a.waiting = false
+		a.isWaiting = false
 		if e.Kind == admission.Refuse {
-			delete(g.attempts, e.ID)
+			delete(g.attemptsByID, e.ID)
 			g.sendReply(a, e.Outcome, false)
 			continue
 		}
@@ -149,29 +149,29 @@
 // of the execution.
 func (g *guard) start(a *attempt) {
 	now := g.sim.now
-	a.startedAt, a.running = now, true
-	g.running++
-	g.monitor.SetRunning(g.running)
-	took, o, failed := g.fake.run(now, a)
+	a.startedAt, a.isRunning = now, true
+	g.runningCount++
+	g.monitor.SetRunning(g.runningCount)
+	took, o, failed := g.simulatedUpstream.run(now, a)
 	a.reply = routing.Reply{Outcome: o, Failed: failed}
 	if o.Kind != outcome.NotRun {
-		a.req.executions++
+		a.req.executionCount++
 	}
-	g.sim.queue.add(task{at: now.Add(took), kind: taskFinish, daemon: g.index, attempt: a, generation: a.generation})
+	g.sim.queue.add(task{dueAt: now.Add(took), kind: taskFinish, daemonIndex: g.index, attempt: a, generation: a.generation})
 }
 
 // finish ends an execution, frees its slot and replies to the entry. It ignores
 // tasks of an earlier generation.
 func (g *guard) finish(a *attempt, generation uint32) {
-	if !a.running || a.generation != generation {
+	if !a.isRunning || a.generation != generation {
 		return
 	}
 	now := g.sim.now
-	a.running = false
-	g.running--
-	g.monitor.SetRunning(g.running)
-	g.fake.release(now)
-	delete(g.attempts, admission.ID(a.id))
+	a.isRunning = false
+	g.runningCount--
+	g.monitor.SetRunning(g.runningCount)
+	g.simulatedUpstream.release(now)
+	delete(g.attemptsByID, admission.ID(a.id))
 	res := admission.Result{Outcome: a.reply.Outcome, SlotTime: now.Sub(a.startedAt), Failed: a.reply.Failed}
 	g.sim.collector.addSlotTime(a.req, res.SlotTime)
 	g.effects = g.controller.Finish(now, admission.ID(a.id), res, g.effects[:0])
@@ -183,14 +183,14 @@
 // Over a partitioned link the entry sees a lost connection instead.
 func (g *guard) sendReply(a *attempt, o outcome.Outcome, failed bool) {
 	s := g.sim
-	a.reply = routing.Reply{Outcome: o, Failed: failed, Load: g.loadFor(a.req.model().Group), HasLoad: true}
-	entry := a.req.entry.index
-	d := s.delay(g.index, entry)
-	if s.partitioned(g.index, entry) {
+	a.reply = routing.Reply{Outcome: o, Failed: failed, Load: g.loadFor(a.req.routingRequest().Group), HasLoad: true}
+	entryIndex := a.req.entry.index
+	delay := s.delay(g.index, entryIndex)
+	if s.partitioned(g.index, entryIndex) {
 		a.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonConnectionLost)}
-		d = connectTimeout
+		delay = connectTimeout
 	}
-	s.queue.add(task{at: s.now.Add(d), kind: taskReply, daemon: entry, attempt: a})
+	s.queue.add(task{dueAt: s.now.Add(delay), kind: taskReply, daemonIndex: entryIndex, attempt: a})
 }
 
 // loadFor returns the load that the guard reports for a group.
@@ -201,13 +201,13 @@
 // crashRunning ends every running attempt with an unknown outcome, as a crash of
 // the upstream does.
 func (g *guard) crashRunning() {
-	for _, a := range g.attemptsByID() {
-		if !a.running {
+	for _, a := range g.sortedAttempts() {
+		if !a.isRunning {
 			continue
 		}
 		a.generation++
 		a.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonUpstreamCrashed), Failed: true}
-		g.sim.queue.add(task{at: g.sim.now, kind: taskFinish, daemon: g.index, attempt: a, generation: a.generation})
+		g.sim.queue.add(task{dueAt: g.sim.now, kind: taskFinish, daemonIndex: g.index, attempt: a, generation: a.generation})
 	}
 }
 
@@ -227,7 +227,7 @@
 	g.sim.schedule(time.Nanosecond, func() {
 		g.upstream.Incarnation++
 		g.upstream.Draining = false
-		g.fake.crashed = false
+		g.simulatedUpstream.crashed = false
 		g.reset()
 		g.sim.announceMembership()
 	})
--- a/replay/hedge.go
+++ b/replay/hedge.go
@@ -12,12 +12,12 @@
 // upstream, sent when the first has taken as long as the router's hedge delay.
 // scheduleHedge does nothing if the router does not hedge.
 func (e *entry) scheduleHedge(a *attempt) {
-	router := e.routers[a.req.event.Service]
-	delay, ok := router.HedgeDelay(a.req.model())
+	router := e.routersByService[a.req.event.Service]
+	delay, ok := router.HedgeDelay(a.req.routingRequest())
 	if !ok {
 		return
 	}
-	e.sim.queue.add(task{at: e.sim.now.Add(delay), kind: taskHedge, daemon: e.index, attempt: a})
+	e.sim.queue.add(task{dueAt: e.sim.now.Add(delay), kind: taskHedge, daemonIndex: e.index, attempt: a})
 }
 
 // hedge sends the request to a second upstream if the given attempt is still
@@ -27,8 +27,8 @@
 	if req.completed || len(req.inFlight) != 1 || req.inFlight[0] != a {
 		return
 	}
-	exclude := append(slices.Clone(req.tried), a.guard.upstream.ID)
-	choice, ok := e.routers[req.event.Service].Hedge(e.sim.now, a.guard.upstream.ID, a.sentAt, exclude)
+	exclude := append(slices.Clone(req.triedUpstreams), a.guard.upstream.ID)
+	choice, ok := e.routersByService[req.event.Service].Hedge(e.sim.now, a.guard.upstream.ID, a.sentAt, exclude)
 	if !ok {
 		return
 	}
@@ -43,27 +43,27 @@
 		if s.partitioned(e.index, a.guard.index) {
 			continue
 		}
-		s.queue.add(task{at: s.now.Add(s.delay(e.index, a.guard.index)), kind: taskCancel, daemon: a.guard.index, attempt: a})
+		s.queue.add(task{dueAt: s.now.Add(s.delay(e.index, a.guard.index)), kind: taskCancel, daemonIndex: a.guard.index, attempt: a})
 	}
 }
 
 // removeAttempt removes an attempt from its request's attempts in flight. It is
 // called when the reply to the attempt has arrived.
 func (s *simulation) removeAttempt(a *attempt) {
-	a.req.inFlight = slices.DeleteFunc(a.req.inFlight, func(other *attempt) bool { return other == a })
+	a.req.inFlight = slices.DeleteFunc(a.req.inFlight, func(inFlight *attempt) bool { return inFlight == a })
 }
 
 // cancel withdraws a waiting attempt. It ends a running attempt with an unknown
 // outcome, as an upstream that supports cancellation does.
 func (g *guard) cancel(a *attempt) {
 	switch {
-	case a.waiting:
+	case a.isWaiting:
 		if g.controller.Withdraw(g.sim.now, admission.ID(a.id)) {
-			a.waiting = false
-			delete(g.attempts, admission.ID(a.id))
+			a.isWaiting = false
+			delete(g.attemptsByID, admission.ID(a.id))
 			g.sendReply(a, outcome.NotRunBecause(outcome.ReasonCancelled), false)
 		}
-	case a.running:
+	case a.isRunning:
 		a.generation++
 		a.reply = routing.Reply{Outcome: outcome.UnknownBecause(outcome.ReasonCancelled)}
 		g.finish(a, a.generation)
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -15,7 +15,7 @@
 // when the fault begins. From then on it knows how long the fault lasts.
 func addIdealBound(t *Topology, events []Event, r *Result) {
 	total := latency.NewHistogram()
-	groups := make(map[groupKey]*latency.Histogram)
+	histogramsByGroup := make(map[groupKey]*latency.Histogram)
 	central := newCentralQueue(t)
 	for i := range events {
 		e := &events[i]
@@ -25,23 +25,23 @@
 		}
 		d := central.assign(e)
 		k := groupKey{e.Service, e.Group}
-		if groups[k] == nil {
-			groups[k] = latency.NewHistogram()
+		if histogramsByGroup[k] == nil {
+			histogramsByGroup[k] = latency.NewHistogram()
 		}
-		groups[k].Record(d)
+		histogramsByGroup[k].Record(d)
 		total.Record(d)
 	}
 	r.Total.Ideal = total.Percentiles()
 	for i := range r.Groups {
 		stats := &r.Groups[i]
-		stats.Ideal = groups[groupKey{stats.Service, stats.Group}].Percentiles()
+		stats.Ideal = histogramsByGroup[groupKey{stats.Service, stats.Group}].Percentiles()
 	}
 }
 
 // centralQueue simulates one central queue for each service.
 type centralQueue struct {
-	servers       map[model.ServiceName][]*server
-	serversByName map[string]*server
+	serversByService map[model.ServiceName][]*server
+	serversByName    map[string]*server
 }
 
 // server is an upstream of the central queue.
@@ -57,7 +57,7 @@
 }
 
 func newCentralQueue(t *Topology) *centralQueue {
-	c := &centralQueue{servers: make(map[model.ServiceName][]*server), serversByName: make(map[string]*server)}
+	c := &centralQueue{serversByService: make(map[model.ServiceName][]*server), serversByName: make(map[string]*server)}
 	for i := range t.Services {
 		s := &t.Services[i]
 		for j, u := range s.Upstreams {
@@ -66,7 +66,7 @@
 				slots = u.RealSlots
 			}
 			sv := &server{freeAt: make(instantHeap, slots), faults: faultState{straggleFactor: 1}}
-			c.servers[s.Name] = append(c.servers[s.Name], sv)
+			c.serversByService[s.Name] = append(c.serversByService[s.Name], sv)
 			c.serversByName[upstreamName(s.Name, j)] = sv
 		}
 	}
@@ -80,7 +80,7 @@
 	cost := time.Duration(e.CostUs) * time.Microsecond
 	var best *server
 	var bestEnd model.Instant
-	for _, s := range c.servers[e.Service] {
+	for _, s := range c.serversByService[e.Service] {
 		start := max(now, s.freeAt[0], s.unavailableUntil)
 		end := start.Add(time.Duration(float64(cost) * s.slowdown(start)))
 		if best == nil || end < bestEnd {
@@ -94,12 +94,12 @@
 
 // slowdown returns the factor on the service time of a request that starts at
 // the given instant.
-func (s *server) slowdown(at model.Instant) float64 {
+func (s *server) slowdown(start model.Instant) float64 {
 	f := s.faults
-	if at >= s.straggleUntil {
+	if start >= s.straggleUntil {
 		f.straggleFactor = 1
 	}
-	return f.slowdown(at)
+	return f.slowdown(start)
 }
 
 // applyFault applies a fault to its target. It ignores faults that do not change how
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -32,7 +32,7 @@
 	}
 	m.lastRequestID++
 	item.ID = m.lastRequestID
-	n.waiting[item.ID] = r
+	n.waitingByID[item.ID] = r
 	n.queue.Add(item)
 	m.startWaiting(n)
 }
@@ -45,10 +45,10 @@
 	l := m.load(n)
 	m.schedule(localDelayTicks, func() {
 		m.attemptDone(r, n, &l)
-		r.rejectedBy[n.key] = true
-		r.rejections++
+		r.isRejectedByKey[n.key] = true
+		r.rejectionCount++
 		if full {
-			r.fullGuards++
+			r.fullGuardCount++
 		}
 		m.place(r)
 	})
@@ -60,7 +60,7 @@
 	if m.policy == usePlacement {
 		r.entry.placer.Done(m.now, n.key, l)
 	}
-	r.entry.outstanding[n]--
+	r.entry.outstandingByNode[n]--
 }
 
 // startWaiting removes requests from a guard's queue as long as the queue returns
@@ -71,8 +71,8 @@
 		if !ok {
 			return
 		}
-		r := n.waiting[d.ID]
-		delete(n.waiting, d.ID)
+		r := n.waitingByID[d.ID]
+		delete(n.waitingByID, d.ID)
 		switch d.Reason {
 		case slots.Start:
 			m.start(n, r)
@@ -89,7 +89,7 @@
 // slots and its own queue are full.
 func (m *mesh) start(n *meshNode, r *meshRequest) {
 	if len(n.running) >= n.slots+m.upstreamQueue {
-		m.resets++
+		m.resetCount++
 		m.attemptDone(r, n, nil)
 		return
 	}
@@ -112,7 +112,7 @@
 			kept = append(kept, r)
 			continue
 		}
-		if r.remaining -= speed * tickLength.Seconds(); r.remaining > 0 {
+		if r.remainingSeconds -= speed * tickLength.Seconds(); r.remainingSeconds > 0 {
 			kept = append(kept, r)
 			continue
 		}
@@ -133,8 +133,8 @@
 	m.attemptDone(r, r.guard, &l)
 	switch took := m.now.Sub(r.arrivedAt); {
 	case took <= r.target:
-		m.inTime++
+		m.inTimeCount++
 	default:
-		m.late++
+		m.lateCount++
 	}
 }
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -21,22 +21,22 @@
 // when most slots are busy. They are also slow for some time after a start.
 
 const (
-	tickLength       = time.Millisecond
-	noisePeriodTicks = 300                     // time between the ticks at which a noisy neighbour may start or stop
-	noiseSlowdown    = 4.0                     // factor on service times while a noisy neighbour runs
-	kneeUtilization  = 0.8                     // share of busy slots from which an upstream slows down
-	kneeSlowdown     = 1.7                     // factor on service times at kneeUtilization and above
-	coldTicks        = 3000                    // time after its start for which an upstream is slow
-	coldSlowdown     = 2.0                     // factor on service times during coldTicks
-	localDelayTicks  = 1                       // one-way delay to a guard in the entry's zone
-	remoteDelayTicks = 2                       // one-way delay to a guard in another zone
-	remoteQueryTicks = 3                       // round-trip time of load queries to other zones
-	meshServiceTime  = 160 * time.Millisecond  // median at the usual speed
-	meshTarget       = 500 * time.Millisecond  // time in which a request should be served
-	meshDeadline     = 1200 * time.Millisecond // time after which a request is given up
-	meshLengthTicks  = 20_000                  // time in which requests arrive
-	meshZones        = 3
-	upstreamsPerZone = 4
+	tickLength            = time.Millisecond
+	noisePeriodTicks      = 300                     // time between the ticks at which a noisy neighbour may start or stop
+	noiseSlowdown         = 4.0                     // factor on service times while a noisy neighbour runs
+	kneeUtilization       = 0.8                     // share of busy slots from which an upstream slows down
+	kneeSlowdown          = 1.7                     // factor on service times at kneeUtilization and above
+	coldTicks             = 3000                    // time after its start for which an upstream is slow
+	coldSlowdown          = 2.0                     // factor on service times during coldTicks
+	localDelayTicks       = 1                       // one-way delay to a guard in the entry's zone
+	remoteDelayTicks      = 2                       // one-way delay to a guard in another zone
+	remoteQueryTicks      = 3                       // round-trip time of load queries to other zones
+	meshMedianServiceTime = 160 * time.Millisecond  // median at the usual speed
+	meshTarget            = 500 * time.Millisecond  // time in which a request should be served
+	meshDeadline          = 1200 * time.Millisecond // time after which a request is given up
+	meshLengthTicks       = 20_000                  // time in which requests arrive
+	meshZoneCount         = 3
+	upstreamsPerZone      = 4
 )
 
 // workload describes the load on a mesh and the disturbances of its upstreams.
@@ -48,11 +48,11 @@
 	hideSlowdown       bool    // guards and entries cannot measure how slow upstreams are
 	// upstreamQueue is the length of the queue in an upstream itself. When all slots
 	// and this queue are full, the upstream resets the connection of a new request.
-	upstreamQueue int
-	zoneSize      int  // upstreams in each zone. Default: upstreamsPerZone
-	burst         int  // additional requests in one tick every burstPeriodTicks
-	callerRetries int  // retries of a refused caller, each after the Retry-After value
-	noJitter      bool // Retry-After values have no jitter
+	upstreamQueue    int
+	upstreamsInZone  int  // upstreams in each zone. Default: upstreamsPerZone
+	burstSize        int  // additional requests in one tick every burstPeriodTicks
+	maxCallerRetries int  // retries of a refused caller, each after the Retry-After value
+	noJitter         bool // Retry-After values have no jitter
 	// recorded, if set, is the service of a recorded day. Its rates, upstreams and
 	// request kinds replace the usual ones.
 	recorded *recordedService
@@ -80,57 +80,57 @@
 	slots              int
 	coldUntil          model.Instant
 	down               bool
-	outstanding        map[*meshNode]int       // requests in flight from this entry to each node
+	outstandingByNode  map[*meshNode]int       // requests in flight from this entry to each node
 	running            []*meshRequest          // in the upstream, including its own queue
-	waiting            map[uint64]*meshRequest // in the guard's queue, by ID
+	waitingByID        map[uint64]*meshRequest // in the guard's queue, by ID
 }
 
 // meshRequest is a request on its way through the mesh.
 type meshRequest struct {
 	requestKind
-	entry, guard *meshNode
-	arrivedAt    model.Instant
-	remaining    float64 // service time left, in seconds at speed 1
-	rejections   int
-	fullGuards   int             // rejections by guards whose queue was too long
-	rejectedBy   map[string]bool // keys of the nodes whose guards rejected the request
-	retries      int             // number of retries of the caller so far
+	entry, guard     *meshNode
+	arrivedAt        model.Instant
+	remainingSeconds float64 // service time left, in seconds at speed 1
+	rejectionCount   int
+	fullGuardCount   int             // rejections by guards whose queue was too long
+	isRejectedByKey  map[string]bool // keys of the nodes whose guards rejected the request
+	retryCount       int             // number of retries of the caller so far
 }
 
 // mesh is the state of one simulation.
 type mesh struct {
 	workload
-	policy        routingPolicy
-	rng           *rand.Rand
-	kinds         []requestKind
-	now           model.Instant
-	tick          int // ticks since the start
-	lengthTicks   int // ticks in which requests arrive
-	nodes         []*meshNode
-	scheduled     map[int][]func() // functions to call, by tick
-	lastRequestID uint64
-	sent          int // requests, without retries of callers
-	inTime        int // served within their target
-	late          int // served after their target
-	refused       int // refusals, including those of callers' retries
-	resets        int // connections reset by upstreams
+	policy          routingPolicy
+	rng             *rand.Rand
+	kinds           []requestKind
+	now             model.Instant
+	tick            int // ticks since the start
+	lengthTicks     int // ticks in which requests arrive
+	nodes           []*meshNode
+	scheduledByTick map[int][]func() // functions to call, by tick
+	lastRequestID   uint64
+	sentCount       int // requests, without retries of callers
+	inTimeCount     int // served within their target
+	lateCount       int // served after their target
+	refusalCount    int // refusals, including those of callers' retries
+	resetCount      int // connections reset by upstreams
 }
 
 // newMesh returns a mesh before its first tick. Equal arguments give equal simulations.
 func newMesh(w workload, policy routingPolicy, seed uint64) *mesh {
 	m := &mesh{
-		workload: w, policy: policy, rng: rand.New(rand.NewPCG(seed, 0)), scheduled: map[int][]func(){},
+		workload: w, policy: policy, rng: rand.New(rand.NewPCG(seed, 0)), scheduledByTick: map[int][]func(){},
 		kinds: defaultKinds(), lengthTicks: meshLengthTicks,
 	}
 	noiseRNG := rand.New(rand.NewPCG(seed, 1))
 	if w.recorded != nil {
-		m.kinds, m.lengthTicks = w.recorded.kinds(), w.recorded.ticks()
+		m.kinds, m.lengthTicks = w.recorded.kinds(), w.recorded.lengthTicks()
 		for _, u := range w.recorded.Upstreams {
 			m.addNode(u.Zone, u.applyDowntime(drawSpeeds(noiseRNG, w.noiseShare, m.lengthTicks)))
 		}
 	} else {
-		for z := range meshZones {
-			for range cmp.Or(w.zoneSize, upstreamsPerZone) {
+		for z := range meshZoneCount {
+			for range cmp.Or(w.upstreamsInZone, upstreamsPerZone) {
 				m.addNode(model.AvailabilityZone(rune('a'+z)), drawSpeeds(noiseRNG, w.noiseShare, m.lengthTicks))
 			}
 		}
@@ -144,7 +144,7 @@
 	n := &meshNode{
 		key: fmt.Sprint(zone, len(m.nodes)), zone: zone, speeds: speeds,
 		slots: m.slots, queue: slots.New(placement.DefaultLimit(m.slots)), slowdown: 1,
-		outstanding: map[*meshNode]int{}, waiting: map[uint64]*meshRequest{},
+		outstandingByNode: map[*meshNode]int{}, waitingByID: map[uint64]*meshRequest{},
 	}
 	n.placer = placement.New(placement.Options{Zone: zone, Rand: m.rng.Float64})
 	m.nodes = append(m.nodes, n)
@@ -172,18 +172,18 @@
 // drawSpeeds draws the speed of an upstream at each tick. It is 1 without a noisy neighbour.
 // The result covers twice the given ticks, as requests may complete after the last arrival.
 func drawSpeeds(rng *rand.Rand, noiseShare float64, ticks int) []float64 {
-	out := make([]float64, 2*ticks)
-	phase, speed := rng.IntN(noisePeriodTicks), 1.0
-	for i := range out {
-		if (i+phase)%noisePeriodTicks == 0 {
+	speeds := make([]float64, 2*ticks)
+	phaseTicks, speed := rng.IntN(noisePeriodTicks), 1.0
+	for i := range speeds {
+		if (i+phaseTicks)%noisePeriodTicks == 0 {
 			speed = 1
 			if rng.Float64() < noiseShare {
 				speed = 1 / noiseSlowdown
 			}
 		}
-		out[i] = speed
+		speeds[i] = speed
 	}
-	return out
+	return speeds
 }
 
 // simulate runs the workload and returns the share of requests served within their target.
@@ -194,10 +194,10 @@
 		if m.tick == restartTick {
 			m.restart()
 		}
-		for _, f := range m.scheduled[m.tick] {
+		for _, f := range m.scheduledByTick[m.tick] {
 			f()
 		}
-		delete(m.scheduled, m.tick)
+		delete(m.scheduledByTick, m.tick)
 		m.updateAvailability()
 		for _, n := range m.nodes {
 			m.runUpstream(n)
@@ -205,21 +205,21 @@
 		if m.tick >= m.lengthTicks {
 			continue
 		}
-		for range m.arrivals() {
+		for range m.drawArrivalCount() {
 			m.arrive()
 		}
 		if m.tick%burstPeriodTicks == burstPeriodTicks/2 {
-			for range m.burst {
+			for range m.burstSize {
 				m.arrive()
 			}
 		}
 	}
-	return float64(m.inTime) / float64(m.sent)
+	return float64(m.inTimeCount) / float64(m.sentCount)
 }
 
-// arrivals draws the number of requests in this tick from a Poisson distribution. It counts
+// drawArrivalCount draws the number of requests in this tick from a Poisson distribution. It counts
 // random factors until their product falls to threshold (Knuth's algorithm).
-func (m *mesh) arrivals() int {
+func (m *mesh) drawArrivalCount() int {
 	rate := m.rate
 	if m.recorded != nil {
 		rate = m.recorded.rateAtTick(m.tick)
@@ -260,41 +260,41 @@
 	for _, r := range n.running {
 		n.queue.Finish()
 		m.attemptDone(r, n, nil)
-		m.refused++
+		m.refusalCount++
 	}
 	n.running = nil
-	for _, id := range slices.Sorted(maps.Keys(n.waiting)) {
+	for _, id := range slices.Sorted(maps.Keys(n.waitingByID)) {
 		n.queue.Remove(id)
-		m.reject(n.waiting[id], false)
+		m.reject(n.waitingByID[id], false)
 	}
-	clear(n.waiting)
+	clear(n.waitingByID)
 }
 
 // schedule calls f after the given number of ticks.
 func (m *mesh) schedule(ticks int, f func()) {
-	m.scheduled[m.tick+ticks] = append(m.scheduled[m.tick+ticks], f)
+	m.scheduledByTick[m.tick+ticks] = append(m.scheduledByTick[m.tick+ticks], f)
 }
 
 // arrive creates a request at a random entry and places it.
 func (m *mesh) arrive() {
-	r := &meshRequest{entry: m.nodes[m.rng.IntN(len(m.nodes))], arrivedAt: m.now, rejectedBy: map[string]bool{}}
-	r.requestKind, r.remaining = m.drawRequest()
-	m.sent++
+	r := &meshRequest{entry: m.nodes[m.rng.IntN(len(m.nodes))], arrivedAt: m.now, isRejectedByKey: map[string]bool{}}
+	r.requestKind, r.remainingSeconds = m.drawRequest()
+	m.sentCount++
 	m.place(r)
 }
 
 // place chooses a guard for a request and sends it there, or refuses the request.
 func (m *mesh) place(r *meshRequest) {
 	if m.now.Sub(r.arrivedAt) >= r.deadline {
-		m.refused++
+		m.refusalCount++
 		return
 	}
-	if r.fullGuards >= placement.MaxFullGuards {
+	if r.fullGuardCount >= placement.MaxFullGuards {
 		m.refuse(r)
 		return
 	}
-	if len(r.rejectedBy) == len(m.nodes) {
-		clear(r.rejectedBy)
+	if len(r.isRejectedByKey) == len(m.nodes) {
+		clear(r.isRejectedByKey)
 	}
 	chosen, alternative, ticks, ok := m.choose(r)
 	if !ok {
@@ -323,16 +323,16 @@
 	case useLeastOutstanding, useLeastOutstandingWithoutGuards:
 		chosen = m.nodes[m.rng.IntN(len(m.nodes))]
 		for _, n := range m.nodes {
-			if r.entry.outstanding[n] < r.entry.outstanding[chosen] {
+			if r.entry.outstandingByNode[n] < r.entry.outstandingByNode[chosen] {
 				chosen = n
 			}
 		}
-		r.entry.outstanding[chosen]++
+		r.entry.outstandingByNode[chosen]++
 		return chosen, 0, 0, true
 	}
 	req := placement.Request{
 		ServiceTime: m.expectedServiceTime(r), Target: r.target - m.now.Sub(r.arrivedAt),
-		Exclude: func(u placement.Upstream) bool { return r.rejectedBy[u.Key] },
+		Exclude: func(u placement.Upstream) bool { return r.isRejectedByKey[u.Key] },
 	}
 	p := r.entry.placer
 	m.queryLoads(p, req, r.rank, true, placement.MaxLocalQueries)
@@ -345,14 +345,14 @@
 		return nil, 0, 0, false
 	}
 	took := m.now.Sub(r.arrivedAt)
-	if c.MissesDeadline(r.deadline-took) || c.MissesTarget(r.fullGuards, r.target-took) {
+	if c.MissesDeadline(r.deadline-took) || c.MissesTarget(r.fullGuardCount, r.target-took) {
 		p.Done(m.now, c.Upstream.Key, nil)
 		return nil, 0, 0, false
 	}
-	if r.rejections < placement.MaxRejections {
+	if r.rejectionCount < placement.MaxRejections {
 		alternative = c.Alternative
 	}
-	return m.node(c.Upstream.Key), alternative, ticks, true
+	return m.nodeByKey(c.Upstream.Key), alternative, ticks, true
 }
 
 // expectedServiceTime returns the service time that daemons expect of a request. If
@@ -364,7 +364,7 @@
 	return r.serviceTime
 }
 
-func (m *mesh) node(key string) *meshNode {
+func (m *mesh) nodeByKey(key string) *meshNode {
 	for _, n := range m.nodes {
 		if n.key == key {
 			return n
@@ -377,7 +377,7 @@
 // the entry's zone if local is set, and in other zones otherwise.
 func (m *mesh) queryLoads(p *placement.Placer, req placement.Request, rank int, local bool, limit int) {
 	for _, up := range p.QueryTargets(m.now, req, local, placement.MaxLoadAge, limit) {
-		n := m.node(up.Key)
+		n := m.nodeByKey(up.Key)
 		l := m.load(n)
 		l.Waiting = max(n.queue.Ahead(rank, 0)-l.Running, 0)
 		p.UpdateLoad(m.now, up.Key, l)
--- a/replay/noisy_upstreams_test.go
+++ b/replay/noisy_upstreams_test.go
@@ -21,10 +21,10 @@
 	for i := range freeAt {
 		freeAt[i] = make([]int, placement.DefaultLimit(w.slots))
 	}
-	inTime, sent := 0, 0
+	inTimeCount, sentCount := 0, 0
 	for m.tick = 0; m.tick < m.lengthTicks; m.tick++ {
-		for range m.arrivals() {
-			sent++
+		for range m.drawArrivalCount() {
+			sentCount++
 			kind, serviceSeconds := m.drawRequest()
 			// The initial bestEnd is the first tick after the target of the request.
 			bestNode, bestSlot, bestEnd := -1, -1, m.tick+int(kind.target/tickLength)+1
@@ -37,22 +37,22 @@
 			}
 			if bestNode >= 0 {
 				freeAt[bestNode][bestSlot] = bestEnd
-				inTime++
+				inTimeCount++
 			}
 		}
 	}
-	return float64(inTime) / float64(sent)
+	return float64(inTimeCount) / float64(sentCount)
 }
 
 // finishTick returns the tick at which a request with the given service time ends if it
 // starts at tick start. It returns limit if the request does not end before limit.
-func (n *meshNode) finishTick(start, limit int, serviceSeconds float64) int {
-	for t := start; t < limit && t < len(n.speeds); t++ {
+func (n *meshNode) finishTick(startTick, limitTick int, serviceSeconds float64) int {
+	for t := startTick; t < limitTick && t < len(n.speeds); t++ {
 		if serviceSeconds -= n.speeds[t] * tickLength.Seconds(); serviceSeconds <= 0 {
 			return t
 		}
 	}
-	return limit
+	return limitTick
 }
 
 // TestNoisyUpstreams checks the share of requests within their target for several
@@ -114,9 +114,9 @@
 		t.Run(name, func(t *testing.T) {
 			withGuards, withoutGuards := newMesh(c.workload, usePlacement, 1), newMesh(c.workload, useLeastOutstandingWithoutGuards, 1)
 			shareWithGuards, shareWithoutGuards := withGuards.simulate(), withoutGuards.simulate()
-			resetShare := float64(withoutGuards.resets) / float64(withoutGuards.sent)
+			resetShare := float64(withoutGuards.resetCount) / float64(withoutGuards.sentCount)
 			t.Logf("share within target: %.3f; without guards %.3f, and %.3f reset", shareWithGuards, shareWithoutGuards, resetShare)
-			require.Zero(t, withGuards.resets)
+			require.Zero(t, withGuards.resetCount)
 			require.Greater(t, resetShare, c.minResetShare)
 			require.Greater(t, shareWithGuards, shareWithoutGuards)
 		})
--- a/replay/outcomes_test.go
+++ b/replay/outcomes_test.go
@@ -103,11 +103,11 @@
 			t.Parallel()
 			topology := loadTopology(t, "kalahari")
 			events := generateEvents(t, topology, name, 1)
-			result := mustRun(t, topology, events, Options{Seed: 1}).Total
+			defaultTotal := mustRun(t, topology, events, Options{Seed: 1}).Total
 			for _, baseline := range routing.Names()[1:] {
-				other := mustRun(t, topology, events, Options{Routing: baseline, Seed: 1}).Total
-				assert.LessOrEqual(t, ratio(result.P99, other.P99), tieTolerance, "p99 against %s", baseline)
-				assert.LessOrEqual(t, ratio(result.P999, other.P999), tieTolerance, "p99.9 against %s", baseline)
+				baselineTotal := mustRun(t, topology, events, Options{Routing: baseline, Seed: 1}).Total
+				assert.LessOrEqual(t, ratio(defaultTotal.P99, baselineTotal.P99), tieTolerance, "p99 against %s", baseline)
+				assert.LessOrEqual(t, ratio(defaultTotal.P999, baselineTotal.P999), tieTolerance, "p99.9 against %s", baseline)
 			}
 		})
 	}
--- a/replay/poll.go
+++ b/replay/poll.go
@@ -18,7 +18,7 @@
 // it schedules the next poll. Polling stops at the end of the trace.
 func (g *guard) poll() {
 	s := g.sim
-	if s.now > s.end {
+	if s.now > s.lastEventAt {
 		return
 	}
 	cost := time.Duration(g.spec.ReportCost)
@@ -27,9 +27,9 @@
 		s.schedule(g.monitor.NextPoll().Sub(s.now), g.poll)
 		return
 	}
-	g.fake.adjustRunning(s.now, 1)
+	g.simulatedUpstream.adjustRunning(s.now, 1)
 	s.schedule(cost, func() {
-		g.fake.adjustRunning(s.now, -1)
+		g.simulatedUpstream.adjustRunning(s.now, -1)
 		g.finishPoll(&r, measure.Cost{SlotTime: cost, Connections: g.openPollConnections(), Bytes: pollBytes})
 		s.schedule(g.monitor.NextPoll().Sub(s.now), g.poll)
 	})
@@ -39,11 +39,11 @@
 // upstream is down after a crash or the daemon is paused.
 func (g *guard) finishPoll(r *measure.Reservation, cost measure.Cost) {
 	now := g.sim.now
-	if g.fake.crashed || g.pausedUntil > now {
+	if g.simulatedUpstream.crashed || g.pausedUntil > now {
 		g.monitor.PollFailed(now, r, cost)
 		return
 	}
-	report := measure.Report{Running: g.fake.reportedRunning(now)}
+	report := measure.Report{Running: g.simulatedUpstream.reportedRunning(now)}
 	g.monitor.PollSucceeded(now, r, cost, report, g.limiter.Slowed())
 }
 
--- a/replay/queue.go
+++ b/replay/queue.go
@@ -9,13 +9,13 @@
 // task is a scheduled step of the simulation. Tasks due at the same instant run
 // in the order in which they were scheduled.
 type task struct {
-	at model.Instant
+	dueAt model.Instant
 	// sequence numbers the tasks in the order in which they were scheduled.
 	sequence uint64
 	kind     taskKind
-	// daemon is the index of the daemon that the task runs on, or noDaemon.
-	daemon  int
-	attempt *attempt
+	// daemonIndex is the index of the daemonIndex that the task runs on, or noDaemon.
+	daemonIndex int
+	attempt     *attempt
 	// generation is the attempt's generation when the task was scheduled. If the
 	// attempt's generation has changed since, taskFinish and taskExpire are ignored.
 	generation uint32
@@ -53,8 +53,8 @@
 
 func (h taskHeap) Len() int { return len(h) }
 func (h taskHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].dueAt != h[j].dueAt {
+		return h[i].dueAt < h[j].dueAt
 	}
 	return h[i].sequence < h[j].sequence
 }
@@ -73,16 +73,16 @@
 type taskQueue struct {
 	tasks        taskHeap
 	lastSequence uint64
-	// free holds memory of popped tasks, for reuse.
-	free []*task
+	// reusableTasks holds memory of popped tasks, for reuse.
+	reusableTasks []*task
 }
 
 func (q *taskQueue) add(t task) {
 	q.lastSequence++
 	t.sequence = q.lastSequence
 	var p *task
-	if n := len(q.free); n > 0 {
-		p, q.free = q.free[n-1], q.free[:n-1]
+	if n := len(q.reusableTasks); n > 0 {
+		p, q.reusableTasks = q.reusableTasks[n-1], q.reusableTasks[:n-1]
 	} else {
 		p = new(task)
 	}
@@ -95,7 +95,7 @@
 	if len(q.tasks) == 0 {
 		return 0, false
 	}
-	return q.tasks[0].at, true
+	return q.tasks[0].dueAt, true
 }
 
 // pop removes the next task and returns it.
@@ -103,6 +103,6 @@
 	p := heap.Pop(&q.tasks).(*task)
 	t := *p
 	*p = task{}
-	q.free = append(q.free, p)
+	q.reusableTasks = append(q.reusableTasks, p)
 	return t
 }
--- a/replay/recorded_test.go
+++ b/replay/recorded_test.go
@@ -58,8 +58,8 @@
 
 const ticksPerSecond = int(time.Second / tickLength)
 
-// ticks returns the length of the day in ticks.
-func (s *recordedService) ticks() int { return len(s.day.Rates) * s.day.WindowS * ticksPerSecond }
+// lengthTicks returns the length of the day in lengthTicks.
+func (s *recordedService) lengthTicks() int { return len(s.day.Rates) * s.day.WindowS * ticksPerSecond }
 
 // rateAtTick returns the number of requests a second that the service receives at a tick.
 func (s *recordedService) rateAtTick(t int) float64 {
@@ -86,17 +86,17 @@
 // down. For coldTicks after each start, the speeds are divided by coldSlowdown. This does
 // not apply to upstreams that were already up at the start of the day.
 func (u *recordedUpstream) applyDowntime(speeds []float64) []float64 {
-	out := make([]float64, len(speeds))
+	adjusted := make([]float64, len(speeds))
 	for _, up := range u.Up {
 		startTick, stopTick := int(up[0]*float64(ticksPerSecond)), int(up[1]*float64(ticksPerSecond))
-		for t := startTick; t < min(stopTick, len(out)); t++ {
-			out[t] = speeds[t]
+		for t := startTick; t < min(stopTick, len(adjusted)); t++ {
+			adjusted[t] = speeds[t]
 			if startTick > 0 && t < startTick+coldTicks {
-				out[t] /= coldSlowdown
+				adjusted[t] /= coldSlowdown
 			}
 		}
 	}
-	return out
+	return adjusted
 }
 
 // readDay reads a recording.
@@ -144,7 +144,7 @@
 				w := workload{slots: s.Slots, noiseShare: s.Noise, recorded: s}
 				m := newMesh(w, usePlacement, 1)
 				share := m.simulate()
-				sent := float64(m.sent)
+				sent := float64(m.sentCount)
 				inTime, inTimeCentral, total = inTime+share*sent, inTimeCentral+centralQueueShare(w, 1)*sent, total+sent
 			}
 			t.Logf("share within target: %.3f, central queue %.3f", inTime/total, inTimeCentral/total)
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -136,15 +136,15 @@
 	g.Duration = 1200 * time.Millisecond
 	events := g.Events()
 	for _, name := range routing.Names() {
-		first, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
+		firstResult, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
 		require.NoError(t, err)
-		second, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
+		secondResult, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
 		require.NoError(t, err)
-		assert.Equal(t, string(first), string(second), name)
+		assert.Equal(t, string(firstResult), string(secondResult), name)
 	}
 }
 
-func TestUnknownPolicy(t *testing.T) {
+func TestRunReturnsErrorForUnknownPolicy(t *testing.T) {
 	_, err := Run(singleZoneTopology(Upstream{Slots: 1}), []Event{newRequestEvent(0, 1)}, Options{Routing: "best"})
 	var unknown *routing.UnknownPolicyError
 	require.ErrorAs(t, err, &unknown)
--- a/replay/request_kinds_test.go
+++ b/replay/request_kinds_test.go
@@ -18,21 +18,21 @@
 // requests have rank 0, which is served first, and 70% rank 1.
 func defaultKinds() []requestKind {
 	return []requestKind{
-		{share: 0.3, serviceTime: meshServiceTime, target: meshTarget, deadline: meshDeadline, rank: 0},
-		{share: 0.7, serviceTime: meshServiceTime, target: meshTarget, deadline: meshDeadline, rank: 1},
+		{share: 0.3, serviceTime: meshMedianServiceTime, target: meshTarget, deadline: meshDeadline, rank: 0},
+		{share: 0.7, serviceTime: meshMedianServiceTime, target: meshTarget, deadline: meshDeadline, rank: 1},
 	}
 }
 
 // drawRequest draws the kind and the service time of a request. The service time is in
 // seconds at usual speed and has a log-normal distribution.
 func (m *mesh) drawRequest() (requestKind, float64) {
-	total := 0.0
+	shareSum := 0.0
 	for _, k := range m.kinds {
-		total += k.share
+		shareSum += k.share
 	}
-	at, kind := m.rng.Float64()*total, m.kinds[len(m.kinds)-1]
+	draw, kind := m.rng.Float64()*shareSum, m.kinds[len(m.kinds)-1]
 	for _, k := range m.kinds {
-		if at -= k.share; at < 0 {
+		if draw -= k.share; draw < 0 {
 			kind = k
 			break
 		}
--- a/replay/result.go
+++ b/replay/result.go
@@ -97,7 +97,7 @@
 
 func (g *groupCollector) add(req *request, o outcome.Outcome, latency time.Duration) {
 	g.Requests++
-	if !req.event.Idempotent && req.executions > 1 {
+	if !req.event.Idempotent && req.executionCount > 1 {
 		g.RunsTwice++
 	}
 	switch o.Kind {
@@ -121,7 +121,7 @@
 	r.Total.MeasuringShare = s.measuringShare(s.guards)
 	for k, g := range c.groups {
 		stats := g.summarize(serviceSlotTime[k.service])
-		stats.MeasuringShare = s.measuringShare(s.services[k.service].guards)
+		stats.MeasuringShare = s.measuringShare(s.servicesByName[k.service].guards)
 		r.Groups = append(r.Groups, stats)
 	}
 	slices.SortFunc(r.Groups, func(a, b Stats) int {
@@ -149,8 +149,8 @@
 		spent += g.monitor.Spent()
 		slots += g.upstream.Slots
 	}
-	if s.end <= 0 {
+	if s.lastEventAt <= 0 {
 		return 0
 	}
-	return float64(spent) / (float64(slots) * float64(s.end))
+	return float64(spent) / (float64(slots) * float64(s.lastEventAt))
 }
--- a/replay/retry_after_test.go
+++ b/replay/retry_after_test.go
@@ -19,20 +19,20 @@
 // refuse refuses a request. If the caller has retries left, the caller sends the request
 // again after the Retry-After value.
 func (m *mesh) refuse(r *meshRequest) {
-	m.refused++
-	if r.retries >= m.callerRetries {
+	m.refusalCount++
+	if r.retryCount >= m.maxCallerRetries {
 		return
 	}
-	retryAfter, random := max(r.serviceTime, minRetryAfter), m.rng.Float64()
+	retryAfter, jitterRandom := max(r.serviceTime, minRetryAfter), m.rng.Float64()
 	if !m.noJitter {
-		retryAfter = retry.JitteredRetryAfter(retryAfter, random)
+		retryAfter = retry.JitteredRetryAfter(retryAfter, jitterRandom)
 	}
-	retried := &meshRequest{
-		requestKind: r.requestKind, entry: r.entry, remaining: r.remaining, rejectedBy: map[string]bool{}, retries: r.retries + 1,
+	retryRequest := &meshRequest{
+		requestKind: r.requestKind, entry: r.entry, remainingSeconds: r.remainingSeconds, isRejectedByKey: map[string]bool{}, retryCount: r.retryCount + 1,
 	}
 	m.schedule(int(retryAfter/tickLength), func() {
-		retried.arrivedAt = m.now
-		m.place(retried)
+		retryRequest.arrivedAt = m.now
+		m.place(retryRequest)
 	})
 }
 
@@ -43,17 +43,17 @@
 func TestRetryAfterJitterSpreadsBursts(t *testing.T) {
 	const seeds, retries = 8, 3
 	for name, w := range map[string]workload{
-		"large burst, almost no other load": {rate: 1, slots: 6, noiseShare: 0.25, burst: 400, callerRetries: retries},
-		"large burst, normal load":          {rate: 100, slots: 6, noiseShare: 0.25, burst: 400, callerRetries: retries},
-		"small burst, normal load":          {rate: 100, slots: 6, noiseShare: 0.25, burst: 200, callerRetries: retries},
+		"large burst, almost no other load": {rate: 1, slots: 6, noiseShare: 0.25, burstSize: 400, maxCallerRetries: retries},
+		"large burst, normal load":          {rate: 100, slots: 6, noiseShare: 0.25, burstSize: 400, maxCallerRetries: retries},
+		"small burst, normal load":          {rate: 100, slots: 6, noiseShare: 0.25, burstSize: 200, maxCallerRetries: retries},
 	} {
 		t.Run(name, func(t *testing.T) {
-			unjittered := w
-			unjittered.noJitter = true
+			unjitteredWorkload := w
+			unjitteredWorkload.noJitter = true
 			var withJitter, withoutJitter float64
 			for seed := range uint64(seeds) {
 				withJitter += newMesh(w, usePlacement, seed).simulate() / seeds
-				withoutJitter += newMesh(unjittered, usePlacement, seed).simulate() / seeds
+				withoutJitter += newMesh(unjitteredWorkload, usePlacement, seed).simulate() / seeds
 			}
 			t.Logf("share within target: %.3f with jitter, %.3f without", withJitter, withoutJitter)
 			require.Greater(t, withJitter, withoutJitter)
--- a/replay/sim.go
+++ b/replay/sim.go
@@ -31,17 +31,17 @@
 	entriesByZone map[model.AvailabilityZone][]*entry
 	// requestsByZone counts the requests of each zone so far. The count selects the entry
 	// for the zone's next request, so that entries take turns.
-	requestsByZone   map[model.AvailabilityZone]int
-	services         map[model.ServiceName]*service
-	partitionedZones map[model.AvailabilityZone]bool
-	logDown          bool
+	requestsByZone      map[model.AvailabilityZone]int
+	servicesByName      map[model.ServiceName]*service
+	isPartitionedByZone map[model.AvailabilityZone]bool
+	logDown             bool
 	// heldAnnouncements holds the announcements that wait for the end of LogDown.
 	heldAnnouncements []func()
 	// lastAttemptID is the ID of the newest attempt.
 	lastAttemptID uint64
-	// end is the instant of the trace's last event.
-	end       model.Instant
-	collector *collector
+	// lastEventAt is the instant of the trace's last event.
+	lastEventAt model.Instant
+	collector   *collector
 }
 
 // service is a service of the topology with its guards.
@@ -73,15 +73,15 @@
 
 func newSimulation(t *Topology, opts Options) (*simulation, error) {
 	s := &simulation{
-		topology:         t,
-		opts:             opts,
-		rng:              rand.New(rand.NewPCG(opts.Seed, seedStream)),
-		guardsByName:     make(map[string]*guard),
-		entriesByZone:    make(map[model.AvailabilityZone][]*entry),
-		requestsByZone:   make(map[model.AvailabilityZone]int),
-		services:         make(map[model.ServiceName]*service),
-		partitionedZones: make(map[model.AvailabilityZone]bool),
-		collector:        newCollector(),
+		topology:            t,
+		opts:                opts,
+		rng:                 rand.New(rand.NewPCG(opts.Seed, seedStream)),
+		guardsByName:        make(map[string]*guard),
+		entriesByZone:       make(map[model.AvailabilityZone][]*entry),
+		requestsByZone:      make(map[model.AvailabilityZone]int),
+		servicesByName:      make(map[model.ServiceName]*service),
+		isPartitionedByZone: make(map[model.AvailabilityZone]bool),
+		collector:           newCollector(),
 	}
 	for i := range t.Services {
 		s.addService(&t.Services[i])
@@ -105,7 +105,7 @@
 
 func (s *simulation) addService(spec *Service) {
 	svc := &service{spec: spec}
-	s.services[spec.Name] = svc
+	s.servicesByName[spec.Name] = svc
 	for i, u := range spec.Upstreams {
 		g := newGuard(s, len(s.guards), spec, u, upstreamName(spec.Name, i))
 		s.guards = append(s.guards, g)
@@ -136,7 +136,7 @@
 			}
 		case !s.topology.hasZone(e.Zone):
 			return &FieldError{"zone", e.Zone, "the topology has no such zone"}
-		case s.services[e.Service] == nil:
+		case s.servicesByName[e.Service] == nil:
 			return &FieldError{"service", e.Service, "the topology has no such service"}
 		}
 	}
@@ -146,14 +146,14 @@
 // run simulates the events of the trace and the tasks that they cause, in the
 // order of their virtual time.
 func (s *simulation) run(events []Event) {
-	s.end = instant(events[len(events)-1].AtUs)
+	s.lastEventAt = instant(events[len(events)-1].AtUs)
 	for _, g := range s.guards {
 		s.schedule(g.monitor.NextPoll().Sub(0), g.poll)
 	}
 	i := 0
 	for {
-		at, pending := s.queue.nextInstant()
-		if i < len(events) && (!pending || instant(events[i].AtUs) <= at) {
+		nextAt, pending := s.queue.nextInstant()
+		if i < len(events) && (!pending || instant(events[i].AtUs) <= nextAt) {
 			s.now = instant(events[i].AtUs)
 			s.processEvent(&events[i])
 			i++
@@ -163,7 +163,7 @@
 			return
 		}
 		t := s.queue.pop()
-		s.now = t.at
+		s.now = t.dueAt
 		s.dispatch(t)
 	}
 }
@@ -189,16 +189,16 @@
 	s.requestsByZone[e.Zone]++
 	req := &request{event: e, entry: entry, arrivedAt: s.now, outcomeSoFar: outcome.NotRunBecause(outcome.ReasonNoUpstream)}
 	a := &attempt{req: req}
-	s.dispatch(task{kind: taskRequestArrival, daemon: entry.index, attempt: a})
+	s.dispatch(task{kind: taskRequestArrival, daemonIndex: entry.index, attempt: a})
 }
 
 // dispatch runs a task. If the task's daemon is paused, dispatch reschedules the
 // task to the end of the pause instead. Tasks of kind taskFunc are never
 // rescheduled.
 func (s *simulation) dispatch(t task) {
-	if t.daemon != noDaemon && t.kind != taskFunc {
-		if until := s.guards[t.daemon].pausedUntil; until > s.now {
-			t.at = until
+	if t.daemonIndex != noDaemon && t.kind != taskFunc {
+		if until := s.guards[t.daemonIndex].pausedUntil; until > s.now {
+			t.dueAt = until
 			s.queue.add(t)
 			return
 		}
@@ -225,7 +225,7 @@
 
 // schedule calls run after the given virtual duration, even if a daemon is paused.
 func (s *simulation) schedule(d time.Duration, run func()) {
-	s.queue.add(task{at: s.now.Add(d), kind: taskFunc, daemon: noDaemon, run: run})
+	s.queue.add(task{dueAt: s.now.Add(d), kind: taskFunc, daemonIndex: noDaemon, run: run})
 }
 
 // delay returns the one-way network delay between two daemons, given by their indexes.
@@ -245,15 +245,15 @@
 // indexes.
 func (s *simulation) partitioned(a, b int) bool {
 	za, zb := s.guards[a].upstream.Zone, s.guards[b].upstream.Zone
-	return za != zb && (s.partitionedZones[za] || s.partitionedZones[zb])
+	return za != zb && (s.isPartitionedByZone[za] || s.isPartitionedByZone[zb])
 }
 
 // updateRouters passes the current upstreams of each service to all routers, as the
 // membership log does in production.
 func (s *simulation) updateRouters() {
 	for _, e := range s.entries {
-		for name, svc := range s.services {
-			e.routers[name].SetUpstreams(s.now, svc.upstreams())
+		for name, svc := range s.servicesByName {
+			e.routersByService[name].SetUpstreams(s.now, svc.upstreams())
 		}
 	}
 }
--- a/replay/topology.go
+++ b/replay/topology.go
@@ -153,13 +153,13 @@
 // position but quote a text of the input. For these it returns the offset of the
 // first occurrence of the text.
 func errorOffset(data []byte, e *decodeError) int64 {
-	var syntax *json.SyntaxError
-	if errors.As(e.cause, &syntax) {
-		return syntax.Offset
+	var syntaxErr *json.SyntaxError
+	if errors.As(e.cause, &syntaxErr) {
+		return syntaxErr.Offset
 	}
-	var mismatch *json.UnmarshalTypeError
-	if errors.As(e.cause, &mismatch) {
-		return mismatch.Offset
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(e.cause, &typeErr) {
+		return typeErr.Offset
 	}
 	if i := bytes.Index(data, []byte(offendingText(e.cause))); i > 0 {
 		return int64(i)
@@ -188,13 +188,13 @@
 	if len(t.Services) == 0 {
 		return &FieldError{"services", "none", "want at least one"}
 	}
-	names := make(map[model.ServiceName]bool)
+	seenNames := make(map[model.ServiceName]bool)
 	for i, s := range t.Services {
 		path := fmt.Sprintf("services[%d]", i)
-		if s.Name == "" || names[s.Name] {
+		if s.Name == "" || seenNames[s.Name] {
 			return &FieldError{path + ".name", fmt.Sprintf("%q", s.Name), "want a name, each once"}
 		}
-		names[s.Name] = true
+		seenNames[s.Name] = true
 		if err := t.checkService(path, s); err != nil {
 			return err
 		}
@@ -234,8 +234,8 @@
 }
 
 func (t *Topology) hasZone(z model.AvailabilityZone) bool {
-	for _, known := range t.Zones {
-		if known == z {
+	for _, zone := range t.Zones {
+		if zone == z {
 			return true
 		}
 	}
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -103,26 +103,26 @@
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	names := make(interner)
 	var events []Event
-	line := 0
+	lineNumber := 0
 	previousAtUs := int64(0)
 	for scanner.Scan() {
-		line++
+		lineNumber++
 		if len(scanner.Bytes()) == 0 {
 			continue
 		}
 		var e Event
 		if err := decodeStrict(scanner.Bytes(), &e); err != nil {
-			return nil, &LineError{Line: line, Err: err.cause}
+			return nil, &LineError{Line: lineNumber, Err: err.cause}
 		}
 		if err := e.check(previousAtUs); err != nil {
-			return nil, &LineError{Line: line, Err: err}
+			return nil, &LineError{Line: lineNumber, Err: err}
 		}
 		previousAtUs = e.AtUs
 		names.intern(&e)
 		events = append(events, e)
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, &LineError{Line: line + 1, Err: err}
+		return nil, &LineError{Line: lineNumber + 1, Err: err}
 	}
 	if len(events) == 0 {
 		return nil, errNoEvents
@@ -188,8 +188,8 @@
 
 // canonical returns the shared copy of a string.
 func (n interner) canonical(s string) string {
-	if kept, ok := n[s]; ok {
-		return kept
+	if shared, ok := n[s]; ok {
+		return shared
 	}
 	n[s] = s
 	return s
--- a/replay/upstream.go
+++ b/replay/upstream.go
@@ -16,21 +16,21 @@
 	spec *Service
 	// realSlots is the number of requests that run without slowing each other
 	// down.
-	realSlots   int
-	running     int // requests and load reports being executed
-	connections int // open connections; Crash closes all of them
-	faults      faultState
-	crashed     bool
-	// history holds the numbers of running requests over at least the past
+	realSlots       int
+	runningCount    int // requests and load reports being executed
+	connectionCount int // open connections; Crash closes all of them
+	faults          faultState
+	crashed         bool
+	// runningHistory holds the numbers of running requests over at least the past
 	// ReportLag, oldest first. Load reports are computed from it.
-	history []runningSample
+	runningHistory []runningSample
 }
 
 // runningSample is the number of running requests from the instant at until the
 // instant of the next sample.
 type runningSample struct {
-	at      model.Instant
-	running int
+	at           model.Instant
+	runningCount int
 }
 
 // faultState holds the current faults that affect service times, failures and
@@ -75,7 +75,7 @@
 		return failureTime, outcome.NotRunBecause(outcome.ReasonUpstreamRefused), true
 	}
 	took := time.Duration(a.req.event.CostUs) * time.Microsecond
-	overload := max(1, float64(f.running)/float64(f.realSlots))
+	overload := max(1, float64(f.runningCount)/float64(f.realSlots))
 	took = time.Duration(float64(took) * overload * f.faults.slowdown(now))
 	return took + f.openConnection(), outcome.Done(), false
 }
@@ -86,8 +86,8 @@
 // adjustRunning adds delta to the number of running requests and records it in
 // the history.
 func (f *fakeUpstream) adjustRunning(now model.Instant, delta int) {
-	f.running += delta
-	f.history = append(f.history, runningSample{now, f.running})
+	f.runningCount += delta
+	f.runningHistory = append(f.runningHistory, runningSample{now, f.runningCount})
 	f.trimHistory(now)
 }
 
@@ -96,12 +96,12 @@
 // does nothing until such samples are more than half of the history.
 func (f *fakeUpstream) trimHistory(now model.Instant) {
 	reportedAt := now.Add(-time.Duration(f.spec.ReportLag))
-	old := 0
-	for old+1 < len(f.history) && f.history[old+1].at <= reportedAt {
-		old++
+	dropCount := 0
+	for dropCount+1 < len(f.runningHistory) && f.runningHistory[dropCount+1].at <= reportedAt {
+		dropCount++
 	}
-	if old > len(f.history)/2 {
-		f.history = append(f.history[:0], f.history[old:]...)
+	if dropCount > len(f.runningHistory)/2 {
+		f.runningHistory = append(f.runningHistory[:0], f.runningHistory[dropCount:]...)
 	}
 }
 
@@ -110,11 +110,11 @@
 func (f *fakeUpstream) reportedRunning(now model.Instant) int {
 	reportedAt := now.Add(-time.Duration(f.spec.ReportLag))
 	running := 0
-	for _, sample := range f.history {
+	for _, sample := range f.runningHistory {
 		if sample.at > reportedAt {
 			break
 		}
-		running = sample.running
+		running = sample.runningCount
 	}
 	return int(math.Round(float64(running) * f.faults.reportedLoadFactor))
 }
@@ -122,10 +122,10 @@
 // openConnection opens a connection if none is idle and the limit allows another. It
 // returns the time that opening takes, or 0 if no connection is opened.
 func (f *fakeUpstream) openConnection() time.Duration {
-	if f.running <= f.connections || f.connections >= f.spec.Connections {
+	if f.runningCount <= f.connectionCount || f.connectionCount >= f.spec.Connections {
 		return 0
 	}
-	f.connections++
+	f.connectionCount++
 	return time.Duration(f.spec.ConnectionCost)
 }
 
@@ -139,11 +139,11 @@
 	return factor
 }
 
-// attemptsByID returns the guard's attempts sorted by id, so that results do not
+// sortedAttempts returns the guard's attempts sorted by id, so that results do not
 // depend on the iteration order of the map.
-func (g *guard) attemptsByID() []*attempt {
-	attempts := make([]*attempt, 0, len(g.attempts))
-	for _, a := range g.attempts {
+func (g *guard) sortedAttempts() []*attempt {
+	attempts := make([]*attempt, 0, len(g.attemptsByID))
+	for _, a := range g.attemptsByID {
 		attempts = append(attempts, a)
 	}
 	slices.SortFunc(attempts, func(x, y *attempt) int { return cmp.Compare(x.id, y.id) })
--- a/replay/zone_size_test.go
+++ b/replay/zone_size_test.go
@@ -15,7 +15,7 @@
 	for name, ratePerUpstream := range map[string]float64{"normal load": 7, "heavy load": 14} {
 		t.Run(name, func(t *testing.T) {
 			simulate := func(perZone int) float64 {
-				w := workload{rate: ratePerUpstream * float64(meshZones*perZone), slots: 6, noiseShare: 0.25, zoneSize: perZone}
+				w := workload{rate: ratePerUpstream * float64(meshZoneCount*perZone), slots: 6, noiseShare: 0.25, upstreamsInZone: perZone}
 				return newMesh(w, usePlacement, 1).simulate()
 			}
 			smallZoneShare, largeZoneShare := simulate(few), simulate(many)
--- a/report/draw.go
+++ b/report/draw.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	width  = 18 * vg.Centimeter
-	height = 10 * vg.Centimeter
+	plotWidth  = 18 * vg.Centimeter
+	plotHeight = 10 * vg.Centimeter
 )
 
 // Draw writes the plots of the results to a directory, which it creates if needed,
@@ -49,28 +49,28 @@
 			}
 		}
 	}
-	return w.files, nil
+	return w.paths, nil
 }
 
 // plotWriter saves plots and collects the paths of their files.
 type plotWriter struct {
 	dir    string
 	format string
-	files  []string
+	paths  []string
 }
 
 // save writes a plot to a file. The name of the file consists of the parts, joined by
 // hyphens. save returns err if err is not nil. It does nothing if p is nil.
-func (w *plotWriter) save(p *plot.Plot, err error, parts ...string) error {
+func (w *plotWriter) save(p *plot.Plot, err error, nameParts ...string) error {
 	if err != nil || p == nil {
 		return err
 	}
-	name := fileName(strings.Join(parts, "-")) + "." + w.format
+	name := fileName(strings.Join(nameParts, "-")) + "." + w.format
 	path := filepath.Join(w.dir, name)
-	if err := p.Save(width, height, path); err != nil {
+	if err := p.Save(plotWidth, plotHeight, path); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	w.files = append(w.files, path)
+	w.paths = append(w.paths, path)
 	return nil
 }
 
--- a/report/plots.go
+++ b/report/plots.go
@@ -11,11 +11,11 @@
 )
 
 // newPlot returns a plot with a grid and its legend at the top.
-func newPlot(title, x, y string) *plot.Plot {
+func newPlot(title, xLabel, yLabel string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
-	p.X.Label.Text = x
-	p.Y.Label.Text = y
+	p.X.Label.Text = xLabel
+	p.Y.Label.Text = yLabel
 	p.Title.Padding = padding
 	p.Legend.Top = true
 	p.Legend.XOffs = -padding
@@ -44,13 +44,13 @@
 
 // addLine adds a line and its legend entry. The colour and the dashes depend on n, the
 // number of lines before it.
-func addLine(p *plot.Plot, points plotter.XYs, n int, label string) error {
+func addLine(p *plot.Plot, points plotter.XYs, lineIndex int, label string) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
 		return err
 	}
-	line.Color = plotutil.Color(n)
-	line.Dashes = plotutil.Dashes(n / len(plotutil.DefaultColors))
+	line.Color = plotutil.Color(lineIndex)
+	line.Dashes = plotutil.Dashes(lineIndex / len(plotutil.DefaultColors))
 	p.Add(line)
 	p.Legend.Add(label, line)
 	return nil
@@ -135,7 +135,7 @@
 func sharePlot(r Result, s model.ServiceName) (*plot.Plot, error) {
 	p := newPlot(string(s)+": share of slot time, "+r.Label, "s", "%")
 	p.Y.Min, p.Y.Max = 0, 100
-	totals := slotTimes(r, s)
+	totalUsByStartMs := slotTimeByStartMs(r, s)
 	lineCount := 0
 	for _, stats := range r.Groups {
 		if stats.Service != s || len(stats.Series) == 0 {
@@ -143,8 +143,8 @@
 		}
 		var points plotter.XYs
 		for _, point := range stats.Series {
-			if total := totals[point.AtMs]; total > 0 {
-				points = append(points, plotter.XY{X: startSeconds(point), Y: 100 * float64(point.SlotTimeUs) / float64(total)})
+			if totalUs := totalUsByStartMs[point.AtMs]; totalUs > 0 {
+				points = append(points, plotter.XY{X: startSeconds(point), Y: 100 * float64(point.SlotTimeUs) / float64(totalUs)})
 			}
 		}
 		if len(points) == 0 {
@@ -161,17 +161,17 @@
 	return p, nil
 }
 
-// slotTimes returns the slot time of a service, summed over its groups, for each point
+// slotTimeByStartMs returns the slot time of a service, summed over its groups, for each point
 // of the series. The keys are the values of Point.AtMs. The unit is microseconds.
-func slotTimes(r Result, s model.ServiceName) map[int64]int64 {
-	totals := make(map[int64]int64)
+func slotTimeByStartMs(r Result, s model.ServiceName) map[int64]int64 {
+	totalUsByStartMs := make(map[int64]int64)
 	for _, stats := range r.Groups {
 		if stats.Service != s {
 			continue
 		}
 		for _, point := range stats.Series {
-			totals[point.AtMs] += point.SlotTimeUs
+			totalUsByStartMs[point.AtMs] += point.SlotTimeUs
 		}
 	}
-	return totals
+	return totalUsByStartMs
 }
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -41,14 +41,14 @@
 }
 
 func TestDrawLoadAndReplayResults(t *testing.T) {
-	replayed := replay.Stats{Service: "returdesk", Group: "sorters"}
-	replayed.Latency = replay.Latency{P50: 1, P99: 2, P999: 3, Max: 4}
-	replayed.Ideal = replay.Latency{P50: 1, P99: 1, P999: 2, Max: 2}
+	replayStats := replay.Stats{Service: "returdesk", Group: "sorters"}
+	replayStats.Latency = replay.Latency{P50: 1, P99: 2, P999: 3, Max: 4}
+	replayStats.Ideal = replay.Latency{P50: 1, P99: 1, P999: 2, Max: 2}
 	var results []Result
 	for _, c := range []struct{ file, label string }{
 		{writeJSON(t, "random.json", loadResult(9000)), ""},
 		{writeJSON(t, "new.json", loadResult(2000)), "expected completion"},
-		{writeJSON(t, "replayed.json", replay.Result{Groups: []replay.Stats{replayed}}), ""},
+		{writeJSON(t, "replayed.json", replay.Result{Groups: []replay.Stats{replayStats}}), ""},
 	} {
 		r, err := Read(c.file, c.label)
 		require.NoError(t, err)
@@ -58,12 +58,12 @@
 	require.EqualValues(t, 2, results[2].Groups[0].Ideal.P999)
 
 	dir := t.TempDir()
-	files, err := Draw(results, dir, FormatSVG)
+	paths, err := Draw(results, dir, FormatSVG)
 	require.NoError(t, err)
-	var names []string
-	for _, f := range files {
-		names = append(names, filepath.Base(f))
-		data, err := os.ReadFile(f)
+	var fileNames []string
+	for _, path := range paths {
+		fileNames = append(fileNames, filepath.Base(path))
+		data, err := os.ReadFile(path)
 		require.NoError(t, err)
 		require.Contains(t, string(data), "</svg>")
 	}
@@ -72,13 +72,13 @@
 		"percentiles-sporarkiv-gmembers.svg", "latency-sporarkiv-gmembers.svg",
 		"percentiles-sporarkiv-gsearches.svg", "latency-sporarkiv-gsearches.svg",
 		"share-sporarkiv-random.svg", "share-sporarkiv-expected-completion.svg",
-	}, names)
+	}, fileNames)
 	data, err := os.ReadFile(filepath.Join(dir, "percentiles-returdesk-sorters.svg"))
 	require.NoError(t, err)
 	require.Contains(t, string(data), "replayed (bound)")
 }
 
-func TestReadInvalidFiles(t *testing.T) {
+func TestReadReturnsErrorsForInvalidFiles(t *testing.T) {
 	_, err := Read(filepath.Join(t.TempDir(), "absent.json"), "")
 	require.ErrorIs(t, err, os.ErrNotExist)
 	_, err = Read(writeJSON(t, "other.json", map[string]int{"a": 1}), "")
