--- a/replay/sim.go
+++ b/replay/sim.go
@@ -29,9 +29,9 @@
 	entries       []*entry
 	guardsByName  map[string]*guard
 	entriesByZone map[model.AvailabilityZone][]*entry
-	// requestsByZone counts the requests of each zone so far. The count selects the entry
+	// requestCountByZone counts the requests of each zone so far. The count selects the entry
 	// for the zone's next request, so that entries take turns.
-	requestsByZone      map[model.AvailabilityZone]int
+	requestCountByZone  map[model.AvailabilityZone]int
 	servicesByName      map[model.ServiceName]*service
 	isPartitionedByZone map[model.AvailabilityZone]bool
 	logDown             bool
@@ -78,7 +78,7 @@
 		rng:                 rand.New(rand.NewPCG(opts.Seed, seedStream)),
 		guardsByName:        make(map[string]*guard),
 		entriesByZone:       make(map[model.AvailabilityZone][]*entry),
-		requestsByZone:      make(map[model.AvailabilityZone]int),
+		requestCountByZone:  make(map[model.AvailabilityZone]int),
 		servicesByName:      make(map[model.ServiceName]*service),
 		isPartitionedByZone: make(map[model.AvailabilityZone]bool),
 		collector:           newCollector(),
@@ -185,8 +185,8 @@
 	if len(entries) == 0 {
 		entries = s.entries
 	}
-	entry := entries[s.requestsByZone[e.Zone]%len(entries)]
-	s.requestsByZone[e.Zone]++
+	entry := entries[s.requestCountByZone[e.Zone]%len(entries)]
+	s.requestCountByZone[e.Zone]++
 	req := &request{event: e, entry: entry, arrivedAt: s.now, outcomeSoFar: outcome.NotRunBecause(outcome.ReasonNoUpstream)}
 	a := &attempt{req: req}
 	s.dispatch(task{kind: taskRequestArrival, daemonIndex: entry.index, attempt: a})
