--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -32,7 +32,8 @@
 	return slopes, nil
 }
 
-// PrintSlopes writes the slopes as the table of docs/CAPACITY.md.
+// PrintSlopes writes the slopes as a Markdown table, as docs/CAPACITY.md shows it. The
+// column "fit error" is FitError in percent.
 func PrintSlopes(w io.Writer, slopes []Slope) error {
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	_, _ = fmt.Fprintln(t, "| measured\t| unit\t| slope\t| per\t| intercept\t| fit error\t|")
--- a/bench/control.go
+++ b/bench/control.go
@@ -11,14 +11,15 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// daemonCounts are the numbers of daemons with which idleCPU is measured. They are small
-// enough for one process to run that many daemons.
+// daemonCounts are the numbers of daemons for which idleCPU is measured. They are small
+// enough to run all the daemons of a measurement in one process.
 var daemonCounts = []int{32, 48, 64, 96}
 
 const (
-	// settleTime is the time between the start of a deployment and the measurement.
+	// settleTime is the time between the start of the daemons and the start of the
+	// measurement.
 	settleTime = 2 * time.Second
-	// measuringTime is the duration of the measurement.
+	// measuringTime is the time over which the CPU time is measured.
 	measuringTime = 5 * time.Second
 )
 
@@ -30,7 +31,8 @@
 }
 
 // idleCPU runs n daemons without load. It returns the mean CPU time that one daemon uses
-// per second, in microseconds. The CPU time of the stand-in upstreams is included.
+// per second, in microseconds. The CPU time of the stand-in upstreams,
+// the test servers behind the daemons, is included.
 func idleCPU(ctx context.Context, n int) (float64, error) {
 	d, err := startDaemons(ctx, n)
 	if err != nil {
@@ -49,7 +51,7 @@
 }
 
 // startDaemons starts n daemons in five zones. Each daemon has one upstream, and eight
-// upstreams form a service.
+// upstreams form a service. The last service has fewer if n is not a multiple of eight.
 func startDaemons(ctx context.Context, n int) (*local.Deployment, error) {
 	const upstreamsPerService = 8
 	opts := local.Options{
--- a/bench/forward.go
+++ b/bench/forward.go
@@ -24,7 +24,7 @@
 	// Rate is the number of requests a second on each of the two paths, direct and
 	// forwarded. Default: 1000.
 	Rate int
-	// Duration is the time during which requests are sent. Default: 5s.
+	// Duration is the length of the measurement, without warmUpTime. Default: 5s.
 	Duration time.Duration
 	// Cost is the service time of a request at the upstream. Default: 1ms.
 	Cost time.Duration
@@ -65,7 +65,9 @@
 )
 
 // Forward measures the latency of both paths, direct and forwarded, at the same
-// time. It returns an error if the daemons do not start or the context ends early.
+// time. While it runs, the process uses the default garbage collection setting of daemons.
+// Forward returns an error if the daemons do not start or if the context ends before the
+// measurement does.
 func Forward(ctx context.Context, opts ForwardOptions) (ForwardResult, error) {
 	opts = opts.withDefaults()
 	defer debug.SetGCPercent(debug.SetGCPercent(settings.Defaults().Process.GCPercent))
@@ -113,7 +115,7 @@
 	})
 }
 
-// runBoth runs two clients at the same time.
+// runBoth runs two clients at the same time, each with the given rate for duration d.
 func runBoth(ctx context.Context, a, b *loadClient, rate int, d time.Duration) {
 	var wg sync.WaitGroup
 	wg.Go(func() { a.run(ctx, rate, d) })
@@ -139,7 +141,7 @@
 
 // loadClient sends requests to one address at a constant rate. It is an open-loop
 // client: it does not wait for earlier requests to complete. It records the time from
-// sending each request to the end of its response.
+// sending a request to the end of the response. Failed requests are only counted.
 type loadClient struct {
 	url    string
 	cost   string
@@ -171,7 +173,7 @@
 }
 
 // run sends requests at the given rate for the given duration and waits for the
-// responses.
+// responses. It stops sending early if the context ends.
 func (c *loadClient) run(ctx context.Context, rate int, d time.Duration) {
 	var wg sync.WaitGroup
 	start := time.Now()
@@ -220,7 +222,7 @@
 	return err
 }
 
-// PrintForward writes the result of Forward as a table.
+// PrintForward writes the result of Forward as a table of latencies in milliseconds.
 func PrintForward(w io.Writer, r ForwardResult) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(t, "%d calls, %d failed\tp50 ms\tp99 ms\tp99.9 ms\t\n", r.Calls, r.Failed)
--- a/bench/forward_test.go
+++ b/bench/forward_test.go
@@ -16,7 +16,7 @@
 	require.Positive(t, res.Forwarded.P50)
 }
 
-// BenchmarkForward sends requests to an upstream through two daemons, one at a time.
+// BenchmarkForward sends one request at a time to an upstream, through two daemons.
 // The reported allocations include those of the client, both daemons and the
 // upstream.
 func BenchmarkForward(b *testing.B) {
@@ -28,8 +28,8 @@
 	benchmarkCalls(b, client)
 }
 
-// benchmarkCalls sends one request at a time. It also reports the CPU time of the
-// whole process per request.
+// benchmarkCalls sends one request at a time. It reports the allocations and the CPU time
+// of the whole process per request.
 func benchmarkCalls(b *testing.B, client *loadClient) {
 	b.ReportAllocs()
 	cpuBefore := processCPU()
@@ -41,7 +41,7 @@
 	b.ReportMetric(float64((processCPU()-cpuBefore).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-// BenchmarkDirect sends requests directly to an upstream, one at a time.
+// BenchmarkDirect sends one request at a time directly to an upstream.
 func BenchmarkDirect(b *testing.B) {
 	d, err := startTwoDaemons(b.Context())
 	require.NoError(b, err)
@@ -52,8 +52,8 @@
 }
 
 // maxForwardAllocs is the maximum number of allocations per forwarded request in the
-// client, both daemons and the upstream together. A typical value is 357. The difference
-// allows for the daemons' background work and for the race detector, which empties
+// client, both daemons and the upstream together. A typical value is 357. The margin above
+// 357 allows for the daemons' background work and for the race detector, which empties
 // sync.Pools.
 const maxForwardAllocs = 500
 
--- a/bench/slope.go
+++ b/bench/slope.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Point is the value measured at one size.
+// Point is a value measured at one size, for example the memory used by 100 upstreams.
 type Point struct {
 	Size  int     `json:"size"`
 	Value float64 `json:"value"`
@@ -23,8 +23,8 @@
 	Slope float64 `json:"slope"`
 	// Intercept is the line's value at size 0.
 	Intercept float64 `json:"intercept"`
-	// FitError is the largest difference between a point and the line, divided by
-	// the largest value.
+	// FitError is the largest distance of a measured value from the line, divided by
+	// the largest absolute measured value.
 	FitError float64 `json:"fit_error"`
 	Points   []Point `json:"points"`
 }
@@ -37,7 +37,7 @@
 type measurement struct {
 	name, unit, per string
 	sizes           []int
-	// run returns the value at one size.
+	// run measures the value at one size and returns it.
 	run func(ctx context.Context, size int) (float64, error)
 }
 
@@ -55,7 +55,7 @@
 	return s, nil
 }
 
-// fit computes the line from the points by least squares.
+// fit sets Slope, Intercept and FitError from Points. The line is the least-squares fit.
 func (s *Slope) fit() {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(s.Points))
@@ -73,7 +73,8 @@
 	s.FitError = s.maxFitError()
 }
 
-// maxFitError computes FitError from the points and the line.
+// maxFitError computes FitError from the points and the line. It returns 0 if all
+// measured values are 0.
 func (s *Slope) maxFitError() float64 {
 	var maxError, maxValue float64
 	for _, p := range s.Points {
--- a/bench/slope_test.go
+++ b/bench/slope_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestFitSlopeFindsLineAndFitError checks that the fit of points on a line is exact, and that
+// FitError is more than 5% for points on a parabola.
 func TestFitSlopeFindsLineAndFitError(t *testing.T) {
 	cases := map[string]struct {
 		value            func(n int) float64
--- a/bench/state.go
+++ b/bench/state.go
@@ -15,8 +15,8 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
-// Sizes of the measurements. docs/CAPACITY.md gives values for larger sizes, which it
-// extrapolates from the slopes.
+// Numbers of upstreams, documents and changes for which values are measured.
+// docs/CAPACITY.md extrapolates from the slopes to larger numbers.
 var (
 	upstreamCounts = []int{100, 200, 400, 800}
 	documentCounts = []int{100, 200, 400, 800}
@@ -24,8 +24,8 @@
 )
 
 // stateMeasurements returns the measurements that need no daemons. They measure the memory
-// and the CPU time that the packages for membership, routing and configuration use. The
-// last one measures the size of encoded membership events.
+// and the CPU time that the packages for membership, routing and configuration use, and
+// the size of encoded membership events.
 func stateMeasurements() []measurement {
 	return []measurement{
 		{"membership view", "bytes", "upstream", upstreamCounts, directoryBytes},
@@ -38,7 +38,7 @@
 	}
 }
 
-// heapBytes returns the number of heap bytes that the value returned by f occupies.
+// heapBytes calls f and returns the number of heap bytes that the result of f occupies.
 func heapBytes(f func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/load/collector.go
+++ b/load/collector.go
@@ -15,7 +15,7 @@
 	// pointInterval is the time that one point of a series covers.
 	pointInterval = time.Second
 	// maxWrongAnswers is the maximum number of wrong responses that a result
-	// describes. Further ones are only counted.
+	// describes. All other wrong responses are only counted.
 	maxWrongAnswers = 10
 )
 
@@ -49,7 +49,7 @@
 	wrongCount   int64    // all wrong responses
 }
 
-// groupCollector accumulates the samples of one group.
+// groupCollector accumulates the samples of one group, or of all groups for the total.
 type groupCollector struct {
 	stats    Stats
 	latency  *latency.Histogram
@@ -57,7 +57,7 @@
 	points   []*pointCollector // one for each pointInterval since the start of the run
 }
 
-// pointCollector accumulates the samples of the requests due in one interval.
+// pointCollector accumulates the samples of the requests due in one pointInterval.
 type pointCollector struct {
 	Point
 	latency *latency.Histogram
@@ -177,8 +177,8 @@
 	return r
 }
 
-// summarize computes the results of the group. The argument is the slot time of
-// the whole service.
+// summarize computes the results of the group. serviceSlotTime is the slot time of the
+// whole service. For the total, it is the slot time of all services.
 func (g *groupCollector) summarize(serviceSlotTime time.Duration) Stats {
 	stats := g.stats
 	stats.Latency = g.latency.Percentiles()
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -70,6 +70,8 @@
 	}
 }
 
+// TestEqualSeedsSendAtEqualTimes checks that runs with equal seeds record equal traces, that
+// another seed gives another trace, and that package replay can read a recorded trace.
 func TestEqualSeedsSendAtEqualTimes(t *testing.T) {
 	recordTrace := func(seed uint64) string {
 		var out bytes.Buffer
@@ -129,6 +131,8 @@
 	})
 }
 
+// TestCancelledRunReturnsPartialResult cancels a run in which two requests, the maximum, are
+// in flight. Run must return at once, and the result must hold these two requests only.
 func TestCancelledRunReturnsPartialResult(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		p := testPlan(100, time.Hour)
@@ -169,8 +173,10 @@
 	}
 }
 
-// TestHTTPSenderSendsHeadersAndReadsOutcomes sends requests to a server that responds like a daemon with a
-// stand-in upstream.
+// TestHTTPSenderSendsHeadersAndReadsOutcomes sends requests to a server that responds like
+// a daemon with a stand-in upstream. It checks the headers of a request. It also checks
+// the Reply to a correct response, to a response to another request, to a truncated one, to
+// one with outcome not run, to one without an outcome, and to a failed connection.
 func TestHTTPSenderSendsHeadersAndReadsOutcomes(t *testing.T) {
 	var received []*http.Request
 	daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/load/plan.go
+++ b/load/plan.go
@@ -23,8 +23,8 @@
 	Duration policy.Duration `json:"duration"`
 	// Seed seeds the random times at which requests are due.
 	Seed uint64 `json:"seed"`
-	// MaxInFlight is the maximum number of requests in flight. Further requests
-	// wait until another request completes. Default: 4096.
+	// MaxInFlight is the maximum number of requests in flight. A request that is due
+	// while that many are in flight waits until one completes. Default: 4096.
 	MaxInFlight int `json:"max_in_flight"`
 	// Sources are the streams of requests, which run at the same time.
 	Sources []Source `json:"sources"`
--- a/load/result.go
+++ b/load/result.go
@@ -21,13 +21,15 @@
 	Service  model.ServiceName `json:"service,omitempty"`
 	Group    model.GroupName   `json:"group,omitempty"`
 	Requests int64             `json:"requests"`
-	Answered int64             `json:"answered"`
-	NotRun   int64             `json:"not_run"`
-	Unknown  int64             `json:"unknown"`
+	// Answered, NotRun and Unknown count the requests by outcome. NotRun means that
+	// the request certainly was not executed, Unknown that it may have been.
+	Answered int64 `json:"answered"`
+	NotRun   int64 `json:"not_run"`
+	Unknown  int64 `json:"unknown"`
 	// Reasons counts, by reason, the requests that were not answered.
 	Reasons map[string]int64 `json:"reasons,omitempty"`
-	// Latency covers answered requests only. It is measured from the time at
-	// which they were due.
+	// Latency covers answered requests only. It is measured from the time when a
+	// request was due to the end of its response.
 	Latency
 	// SlotTimeShare is the group's share of the slot time of its service. Slot
 	// time is the time for which requests occupy slots of upstreams. The share is
@@ -40,7 +42,8 @@
 // Point holds the results of the requests that were due in one second.
 type Point struct {
 	// AtMs is the start of the second, in milliseconds since the start of the run.
-	AtMs     int64 `json:"at_ms"`
+	AtMs int64 `json:"at_ms"`
+	// Answered, NotRun and Unknown count the requests by outcome.
 	Answered int64 `json:"answered"`
 	NotRun   int64 `json:"not_run"`
 	Unknown  int64 `json:"unknown"`
@@ -64,8 +67,8 @@
 	Held int64 `json:"held"`
 	// Wrong counts the responses that failed the check of Source.Verify.
 	Wrong int64 `json:"wrong"`
-	// WrongAnswers describes the first of the responses counted in Wrong, at most
-	// maxWrongAnswers.
+	// WrongAnswers describes the first maxWrongAnswers of the responses that Wrong
+	// counts.
 	WrongAnswers []string `json:"wrong_answers,omitempty"`
 }
 
@@ -74,6 +77,7 @@
 	Elapsed time.Duration
 	// Requests counts the completed requests, whatever their outcome.
 	Requests int64
+	// Answered, NotRun and Unknown count the completed requests by outcome.
 	Answered int64
 	NotRun   int64
 	Unknown  int64
--- a/load/run.go
+++ b/load/run.go
@@ -16,7 +16,7 @@
 	// Name identifies the request within the run.
 	Name   string
 	Target Target
-	// Due is the time at which the plan wants the request to be sent.
+	// Due is the time for which the plan schedules the request. It can be sent later.
 	Due time.Time
 	// Key is the idempotency key, if any.
 	Key string
@@ -38,7 +38,7 @@
 	// Observe, if set, is called with every completed request. It must be safe
 	// for concurrent use.
 	Observe func(*Request, Reply)
-	// Recorder, if set, records the requests.
+	// Recorder, if set, records every completed request.
 	Recorder *Recorder
 }
 
@@ -87,8 +87,8 @@
 	requestsWG sync.WaitGroup
 }
 
-// runSource sends the requests of one source, each at the time when it is due. The
-// index is the position of the source in the plan.
+// runSource sends the requests of one source, each at the time when it is due.
+// sourceIndex is the position of the source in Plan.Sources.
 func (r *run) runSource(ctx context.Context, sourceIndex int) {
 	s := &r.plan.Sources[sourceIndex]
 	rng := rand.New(rand.NewPCG(r.plan.Seed, uint64(sourceIndex)))
@@ -173,7 +173,8 @@
 	}
 }
 
-// reportProgress calls Options.Progress every progressInterval until stop is called.
+// reportProgress calls Options.Progress, if set, every progressInterval until stop is
+// called or the context is cancelled.
 func (r *run) reportProgress(ctx context.Context) (stop func()) {
 	if r.opts.Progress == nil {
 		return func() {}
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -38,6 +38,7 @@
 	}
 }
 
+// benchPolicies runs one sub-benchmark for each routing policy.
 func benchPolicies(b *testing.B, name string, topology *Topology, scenario string) {
 	s, ok := FindScenario(scenario)
 	if !ok {
--- a/replay/doc.go
+++ b/replay/doc.go
@@ -3,8 +3,8 @@
 //
 // Each simulated daemon has an entry and a guard. The entry accepts callers'
 // requests, picks an upstream and forwards the request to the guard of that
-// upstream. The guard is the proxy in front of the daemon's own upstream and
-// enforces its concurrency limit.
+// upstream. The guard is the proxy in front of the daemon's own upstream. It limits
+// the number of requests that this upstream executes at once.
 //
 // The following parts are the production code:
 //
--- a/replay/entry.go
+++ b/replay/entry.go
@@ -23,12 +23,12 @@
 	event     *Event
 	entry     *entry
 	arrivedAt model.Instant
-	// outcomeSoFar is the combined outcome of the attempts in tried. It is NotRun
-	// while tried is empty.
+	// outcomeSoFar is the combined outcome of the attempts in triedUpstreams. It is
+	// NotRun while triedUpstreams is empty.
 	outcomeSoFar outcome.Outcome
-	// triedUpstreams lists the upstreams of the finished attempts. It leaves out the attempts
-	// counted in rejections. It also leaves out hedges that failed while the other
-	// attempt was in flight.
+	// triedUpstreams lists the upstreams of the finished attempts. It leaves out the
+	// attempts that rejectionCount counts. It also leaves out hedges that failed while
+	// another attempt at the request was in flight.
 	triedUpstreams []model.UpstreamID
 	// rejectionCount counts the attempts that a guard rejected, that is, returned
 	// unexecuted. Hedges are not counted.
@@ -60,11 +60,13 @@
 	// generation increases when a crash or a cancellation ends the execution
 	// early. Tasks that were scheduled for an earlier generation are ignored.
 	generation uint32
-	reply      routing.Reply
+	// reply holds the result of the execution until the guard replies. From then on it
+	// holds the reply that the entry receives.
+	reply routing.Reply
 }
 
 // maxAttempts is the number of attempts after which a failed request is not retried.
-// Only the attempts in request.tried count, so rejected attempts do not.
+// Only the attempts in request.triedUpstreams count, so rejected attempts do not.
 const maxAttempts = 3
 
 func newEntry(s *simulation, index int, g *guard) (*entry, error) {
@@ -91,7 +93,8 @@
 	e.scheduleHedge(a)
 }
 
-// send starts an attempt at the chosen upstream.
+// send starts an attempt at the chosen upstream. If a partition separates the entry from
+// the guard of this upstream, the attempt fails after connectTimeout with outcome NotRun.
 func (e *entry) send(req *request, choice routing.Choice) *attempt {
 	s := e.sim
 	s.lastAttemptID++
@@ -113,16 +116,16 @@
 	return a
 }
 
-// connectTimeout is how long an entry waits for a connection to a zone that is
-// partitioned off. It is also the time after which an entry detects that a
-// connection is lost.
+// connectTimeout is how long an entry waits for a new connection across a zone partition.
+// It is also the time after which an entry detects that a partition has broken an open
+// connection.
 const connectTimeout = 50 * time.Millisecond
 
 // handleReply processes the reply to an attempt. If a guard rejected the attempt, the
 // request is placed again. A rejected hedge is treated as a failed attempt instead.
 //
-// After a failed attempt, the request is retried if that is safe, maxAttempts is not
-// reached and the deadline has not passed. Otherwise the request is completed. While
+// After a failed attempt, the request is retried if Outcome.MayRetry allows it, maxAttempts
+// is not reached and the deadline has not passed. Otherwise the request is completed. While
 // another attempt at the request is in flight, a failed attempt neither retries nor
 // completes the request. The reply to the other attempt decides.
 func (e *entry) handleReply(a *attempt) {
@@ -153,8 +156,9 @@
 	e.complete(req, req.outcomeSoFar)
 }
 
-// complete records the outcome that the caller receives and cancels the
-// attempts still in flight. An answer after the deadline is recorded as unknown.
+// complete records the outcome and the latency that the caller observes, and cancels the
+// attempts still in flight. The caller stops waiting at the deadline, so a later answer is
+// recorded as unknown and the latency is capped at the deadline.
 func (e *entry) complete(req *request, o outcome.Outcome) {
 	req.completed = true
 	e.cancel(req)
--- a/replay/formats_test.go
+++ b/replay/formats_test.go
@@ -106,6 +106,7 @@
 	}
 }
 
+// TestGeneratedTraceRoundTrip checks that ReadTrace returns the events that a Generator wrote.
 func TestGeneratedTraceRoundTrip(t *testing.T) {
 	topology := loadTopology(t, "cooperative")
 	scenario, ok := FindScenario("straggle+drain")
--- a/replay/generate.go
+++ b/replay/generate.go
@@ -20,7 +20,8 @@
 type Generator struct {
 	// Topology is the deployment that receives the requests.
 	Topology *Topology
-	// Load is the offered load of every service as a share of its slots.
+	// Load is the offered load of every service: the mean number of slots that its
+	// requests need, as a share of the service's slots.
 	Load float64
 	// Duration is the length of the trace.
 	Duration time.Duration
@@ -84,7 +85,7 @@
 	return requestProfile{1 / float64(len(s.Groups)), 2 * time.Millisecond, 0.6, 0, 2 * time.Second, 10}
 }
 
-// Write generates the trace as JSON lines.
+// Write generates the trace and writes it as JSON lines.
 func (g *Generator) Write(w io.Writer) error {
 	buffered := bufio.NewWriter(w)
 	enc := json.NewEncoder(buffered)
@@ -124,8 +125,8 @@
 	return events
 }
 
-// appendArrivals appends requests with Poisson arrivals between start and end. Their
-// offered load is the given share of the service's slots.
+// appendArrivals appends requests with Poisson arrivals between start and end. load is
+// their offered load as a share of the service's slots.
 func (g *Generator) appendArrivals(events []Event, rng *rand.Rand, s *Service, group model.GroupName, p requestProfile, load float64, start, end time.Duration) []Event {
 	rate := load * float64(totalSlots(s)) / p.meanCost.Seconds()
 	if rate <= 0 {
@@ -178,7 +179,7 @@
 	Faults []Fault
 }
 
-// Scenarios returns all scenarios.
+// Scenarios returns the predefined scenarios.
 func Scenarios() []Scenario {
 	scenarios := []Scenario{
 		{Name: "steady-70", Load: 0.70, Duration: scenarioDuration},
@@ -208,9 +209,11 @@
 	scenarioDuration = 3 * time.Second
 	// faultLoad is the load in scenarios with faults. When one upstream fails, the
 	// others can still carry this load.
-	faultLoad       = 0.70
-	faultStart      = time.Second
-	faultDuration   = 1500 * time.Millisecond
+	faultLoad     = 0.70
+	faultStart    = time.Second
+	faultDuration = 1500 * time.Millisecond
+	// slowdownFactor is Event.Factor of Straggle and ColdStart, and misreportFactor
+	// that of Misreport.
 	slowdownFactor  = 8
 	misreportFactor = 0.1
 )
@@ -225,8 +228,8 @@
 	return Scenario{Name: strings.Join(names, "+"), Load: faultLoad, Duration: scenarioDuration, Faults: faults}
 }
 
-// Generator returns the scenario's generator for a topology. Faults that begin
-// together affect different upstreams of the topology's first service.
+// Generator returns the scenario's generator for a topology. Faults of upstreams affect
+// different upstreams of the topology's first service. PartitionZone affects the last zone.
 func (s Scenario) Generator(t *Topology, seed uint64) *Generator {
 	g := &Generator{Topology: t, Load: s.Load, Duration: s.Duration, Surges: s.Surges, Seed: seed}
 	for i, f := range s.Faults {
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -25,7 +25,7 @@
 	effects           []admission.Effect        // reused buffer for the controller's return values
 	runningCount      int                       // number of running attempts
 	pollCount         int
-	pausedUntil       model.Instant // the daemon is paused until then
+	pausedUntil       model.Instant // the daemon is paused until this instant
 	simulatedUpstream fakeUpstream
 }
 
@@ -70,8 +70,10 @@
 	g.controller.Configure(g.sim.now, groups)
 }
 
-// arrive submits an attempt to the admission controller. If the attempt was meant
-// for an earlier incarnation of the upstream, it is returned unexecuted.
+// arrive submits an attempt to the admission controller. If the attempt was meant for
+// another incarnation of the upstream, arrive returns it unexecuted to the entry. An
+// attempt that has to wait is rejected at once if its queue timeout is 0. Otherwise arrive
+// schedules the end of its wait, at the queue timeout or the deadline.
 func (g *guard) arrive(a *attempt) {
 	if a.incarnation != g.upstream.Incarnation {
 		g.sendReply(a, outcome.NotRunBecause(outcome.ReasonNoUpstream), false)
@@ -98,7 +100,7 @@
 }
 
 // reject returns a waiting attempt to its entry unexecuted. It is called when
-// the queue timeout has expired. If that timeout is 0, it is called on arrival.
+// the queue timeout has expired, or on arrival if this timeout is 0.
 func (g *guard) reject(a *attempt) {
 	if !g.controller.Withdraw(g.sim.now, admission.ID(a.id)) {
 		return
@@ -160,8 +162,8 @@
 	g.sim.queue.add(task{dueAt: now.Add(took), kind: taskFinish, daemonIndex: g.index, attempt: a, generation: a.generation})
 }
 
-// finish ends an execution, frees its slot and replies to the entry. It ignores
-// tasks of an earlier generation.
+// finish ends an execution, frees its slot and replies to the entry. Waiting attempts can
+// then start. finish ignores tasks of an earlier generation.
 func (g *guard) finish(a *attempt, generation uint32) {
 	if !a.isRunning || a.generation != generation {
 		return
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -50,9 +50,9 @@
 	// earliest instant first.
 	freeAt instantHeap
 	faults faultState
-	// unavailableUntil is the end of the last FailFast, Drain or Crash.
+	// unavailableUntil is the end of the latest FailFast, Drain or Crash.
 	unavailableUntil model.Instant
-	// straggleUntil is the end of the last Straggle.
+	// straggleUntil is the end of the latest Straggle.
 	straggleUntil model.Instant
 }
 
@@ -139,7 +139,8 @@
 // does not change.
 func (h *instantHeap) Push(x any) { *h = append(*h, x.(model.Instant)) }
 
-// Pop implements heap.Interface. It is never called, for the same reason.
+// Pop implements heap.Interface. It is never called, as the number of slots does not
+// change.
 func (h *instantHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -123,11 +123,12 @@
 	m.startWaiting(n)
 }
 
-// meanNoisyServiceTime is the mean service time of requests with the usual noise.
+// meanNoisyServiceTime is about the mean service time of requests when noisy neighbours run
+// a quarter of the time (noiseShare 0.25, as in most tests).
 const meanNoisyServiceTime = 210 * time.Millisecond
 
-// recordFinish reports a served request to its entry and counts the request as in time
-// or late.
+// recordFinish reports a served request to its entry. It counts the request as in time if
+// it was served within its target, and as late otherwise.
 func (m *mesh) recordFinish(r *meshRequest) {
 	l := m.load(r.guard)
 	m.attemptDone(r, r.guard, &l)
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -53,8 +53,8 @@
 	burstSize        int  // additional requests in one tick every burstPeriodTicks
 	maxCallerRetries int  // retries of a refused caller, each after the Retry-After value
 	noJitter         bool // Retry-After values have no jitter
-	// recorded, if set, is the service of a recorded day. Its rates, upstreams and
-	// request kinds replace the usual ones.
+	// recorded, if set, is a service of a recorded day. Its rates, upstreams and request
+	// kinds are used instead of rate, upstreamsInZone and defaultKinds.
 	recorded *recordedService
 }
 
@@ -76,7 +76,7 @@
 	placer             *placement.Placer
 	queue              *slots.Queue
 	slowdown           float64       // factor on service times, last measured by the guard
-	slowdownMeasuredAt model.Instant // time of that measurement
+	slowdownMeasuredAt model.Instant // when the guard measured slowdown
 	slots              int
 	coldUntil          model.Instant
 	down               bool
@@ -93,7 +93,7 @@
 	remainingSeconds float64 // service time left, in seconds at speed 1
 	rejectionCount   int
 	fullGuardCount   int             // rejections by guards whose queue was too long
-	isRejectedByKey  map[string]bool // keys of the nodes whose guards rejected the request
+	isRejectedByKey  map[string]bool // true for each node whose guard rejected the request
 	retryCount       int             // number of retries of the caller so far
 }
 
@@ -110,8 +110,8 @@
 	scheduledByTick map[int][]func() // functions to call, by tick
 	lastRequestID   uint64
 	sentCount       int // requests, without retries of callers
-	inTimeCount     int // served within their target
-	lateCount       int // served after their target
+	inTimeCount     int // requests served within their target
+	lateCount       int // requests served after their target
 	refusalCount    int // refusals, including those of callers' retries
 	resetCount      int // connections reset by upstreams
 }
@@ -217,8 +217,8 @@
 	return float64(m.inTimeCount) / float64(m.sentCount)
 }
 
-// drawArrivalCount draws the number of requests in this tick from a Poisson distribution. It counts
-// random factors until their product falls to threshold (Knuth's algorithm).
+// drawArrivalCount draws the number of requests in this tick from a Poisson distribution. It
+// counts random factors until their product falls to threshold (Knuth's algorithm).
 func (m *mesh) drawArrivalCount() int {
 	rate := m.rate
 	if m.recorded != nil {
--- a/replay/noisy_upstreams_test.go
+++ b/replay/noisy_upstreams_test.go
@@ -45,7 +45,7 @@
 }
 
 // finishTick returns the tick at which a request with the given service time ends if it
-// starts at tick start. It returns limit if the request does not end before limit.
+// starts at startTick. It returns limitTick if the request does not end before limitTick.
 func (n *meshNode) finishTick(startTick, limitTick int, serviceSeconds float64) int {
 	for t := startTick; t < limitTick && t < len(n.speeds); t++ {
 		if serviceSeconds -= n.speeds[t] * tickLength.Seconds(); serviceSeconds <= 0 {
--- a/replay/outcomes_test.go
+++ b/replay/outcomes_test.go
@@ -54,8 +54,10 @@
 
 func ratio(a, b int64) float64 { return float64(a) / float64(b) }
 
-// TestExpectedOutcomes checks the results of the default routing policy against
-// the bounds in testdata/replay. A replay is deterministic, so the test does not pass
+// TestExpectedOutcomes checks the results of the default routing policy against the
+// bounds in testdata/replay. It also checks that every request has an outcome, that no
+// non-idempotent request ran twice, and that load reports kept to the measuring budget. A
+// replay is deterministic, so the test does not pass
 // or fail by chance.
 func TestExpectedOutcomes(t *testing.T) {
 	for _, want := range readExpectedOutcomes(t) {
--- a/replay/poll.go
+++ b/replay/poll.go
@@ -9,7 +9,7 @@
 const (
 	// pollBytes is the size of a poll's request and response together.
 	pollBytes = 400
-	// pollReserveFactor is the slot time that is reserved for a poll, as a
+	// pollReserveFactor is the slot time that is reserved before a poll starts, as a
 	// multiple of Service.ReportCost.
 	pollReserveFactor = 4
 )
--- a/replay/queue.go
+++ b/replay/queue.go
@@ -13,7 +13,7 @@
 	// sequence numbers the tasks in the order in which they were scheduled.
 	sequence uint64
 	kind     taskKind
-	// daemonIndex is the index of the daemonIndex that the task runs on, or noDaemon.
+	// daemonIndex is the index of the daemon that the task runs on, or noDaemon.
 	daemonIndex int
 	attempt     *attempt
 	// generation is the attempt's generation when the task was scheduled. If the
@@ -73,7 +73,7 @@
 type taskQueue struct {
 	tasks        taskHeap
 	lastSequence uint64
-	// reusableTasks holds memory of popped tasks, for reuse.
+	// reusableTasks holds the memory of popped tasks for later tasks.
 	reusableTasks []*task
 }
 
--- a/replay/recorded_test.go
+++ b/replay/recorded_test.go
@@ -46,7 +46,8 @@
 type recordedKind struct {
 	// Share is the number of requests of this kind for each request counted in
 	// recordedDay.Rates. The shares of all kinds need not add up to 1.
-	Share         float64 `json:"share"`
+	Share float64 `json:"share"`
+	// ServiceTimeMs is the median service time at the usual speed.
 	ServiceTimeMs float64 `json:"work_ms"`
 	// TargetMs is the time in which a request should be served.
 	TargetMs float64 `json:"target_ms"`
@@ -58,7 +59,7 @@
 
 const ticksPerSecond = int(time.Second / tickLength)
 
-// lengthTicks returns the length of the day in lengthTicks.
+// lengthTicks returns the length of the day in ticks.
 func (s *recordedService) lengthTicks() int { return len(s.day.Rates) * s.day.WindowS * ticksPerSecond }
 
 // rateAtTick returns the number of requests a second that the service receives at a tick.
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -38,6 +38,8 @@
 	return r
 }
 
+// TestRunSmallTraces checks the outcomes, the latencies and the ideal bound for traces of one
+// or two requests, for which the exact values are known.
 func TestRunSmallTraces(t *testing.T) {
 	cases := map[string]struct {
 		topology *Topology
@@ -103,6 +105,8 @@
 	assert.InEpsilon(t, want, got, 0.001)
 }
 
+// TestCrashedUpstreamRestartsAsNewIncarnation checks that a crash ends the running request
+// with an unknown outcome, and that the restarted upstream answers a later request.
 func TestCrashedUpstreamRestartsAsNewIncarnation(t *testing.T) {
 	events := []Event{
 		newRequestEvent(0, 5000),
--- a/replay/result.go
+++ b/replay/result.go
@@ -19,9 +19,11 @@
 	Service  model.ServiceName `json:"service,omitempty"`
 	Group    model.GroupName   `json:"group,omitempty"`
 	Requests int64             `json:"requests"`
-	Answered int64             `json:"answered"`
-	NotRun   int64             `json:"not_run"`
-	Unknown  int64             `json:"unknown"`
+	// Answered, NotRun and Unknown count the requests by outcome. NotRun means that
+	// the request certainly was not executed, Unknown that it may have been.
+	Answered int64 `json:"answered"`
+	NotRun   int64 `json:"not_run"`
+	Unknown  int64 `json:"unknown"`
 	// RunsTwice counts non-idempotent requests that ran more than once.
 	RunsTwice int64 `json:"runs_twice"`
 	// Latency is measured at the entry, from the arrival of a request to its
@@ -130,8 +132,8 @@
 	return r
 }
 
-// summarize returns the results of the group. The argument is the slot time of
-// the whole service.
+// summarize returns the results of the group. serviceSlotTime is the slot time of the
+// whole service. For the total, it is the slot time of all services.
 func (g *groupCollector) summarize(serviceSlotTime time.Duration) Stats {
 	stats := g.Stats
 	stats.Latency = g.latency.Percentiles()
@@ -142,7 +144,7 @@
 }
 
 // measuringShare returns the slot time that the guards charged for load reports, as a
-// share of the capacity of their upstreams.
+// share of the capacity of their upstreams. It returns 0 if the trace has length 0.
 func (s *simulation) measuringShare(guards []*guard) float64 {
 	spent, slots := time.Duration(0), 0
 	for _, g := range guards {
--- a/replay/topology.go
+++ b/replay/topology.go
@@ -52,8 +52,8 @@
 	// MeasuringBudget limits the cost of load reports. It is the share of the slots'
 	// time that they may take, from 0 to 1. Zero disables load reports.
 	MeasuringBudget float64 `json:"measuring_budget"`
-	// Groups holds the weights of the groups. A group that is not listed has
-	// weight 1.
+	// Groups holds the weights and the queue bounds of the groups. A group that is not
+	// listed has weight 1.
 	Groups []Group `json:"groups"`
 }
 
@@ -106,7 +106,8 @@
 	return fmt.Sprintf("%s: got %v, %s", e.Field, e.Value, e.Message)
 }
 
-// ReadTopology reads and checks a topology. An unknown field is an error.
+// ReadTopology reads and checks a topology. It returns a *LineError if the JSON cannot be
+// decoded or has an unknown field, and a *FieldError if a decoded value is invalid.
 func ReadTopology(r io.Reader) (*Topology, error) {
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -149,9 +150,10 @@
 	return 1 + bytes.Count(data[:offset], []byte("\n"))
 }
 
-// errorOffset returns the offset at which decoding failed. Some errors hold no
-// position but quote a text of the input. For these it returns the offset of the
-// first occurrence of the text.
+// errorOffset returns the offset at which decoding failed. If the error holds no offset,
+// errorOffset searches the input for the field name or value that the error message quotes,
+// and returns the offset of the first occurrence. If there is none, it returns the offset
+// at which the decoder stopped.
 func errorOffset(data []byte, e *decodeError) int64 {
 	var syntaxErr *json.SyntaxError
 	if errors.As(e.cause, &syntaxErr) {
@@ -167,8 +169,8 @@
 	return e.offset
 }
 
-// offendingText returns the field name or the value that the message of a
-// decoding error quotes.
+// offendingText returns the field name or the duration that the message of a decoding
+// error quotes. It returns any other message as it is.
 func offendingText(err error) string {
 	text := err.Error()
 	if field, ok := strings.CutPrefix(text, "json: unknown field "); ok {
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -30,7 +30,7 @@
 	// Crash ends all running requests and refuses connections. When the fault
 	// ends, the upstream restarts as a new incarnation.
 	Crash Fault = "crash"
-	// Recover ends every fault of the target at once.
+	// Recover immediately ends every fault of the target.
 	Recover Fault = "recover"
 	// Misreport multiplies the load in the upstream's load reports by
 	// Event.Factor.
@@ -130,8 +130,8 @@
 	return events, nil
 }
 
-// check fills in defaults and returns the first error in an event. previousAtUs is
-// the time of the event before it.
+// check fills in defaults and returns the first error in an event. previousAtUs is AtUs
+// of the previous event of the trace.
 func (e *Event) check(previousAtUs int64) error {
 	if e.AtUs < previousAtUs {
 		return &FieldError{"at_us", e.AtUs, fmt.Sprintf("want at least %d, the time of the line before", previousAtUs)}
--- a/replay/upstream.go
+++ b/replay/upstream.go
@@ -106,7 +106,8 @@
 }
 
 // reportedRunning returns the number of running requests that a load report
-// contains. It is the number of ReportLag ago, multiplied by the factor of Misreport.
+// contains. It is the number that were running ReportLag ago, multiplied by the factor
+// of Misreport.
 func (f *fakeUpstream) reportedRunning(now model.Instant) int {
 	reportedAt := now.Add(-time.Duration(f.spec.ReportLag))
 	running := 0
@@ -119,8 +120,8 @@
 	return int(math.Round(float64(running) * f.faults.reportedLoadFactor))
 }
 
-// openConnection opens a connection if none is idle and the limit allows another. It
-// returns the time that opening takes, or 0 if no connection is opened.
+// openConnection opens a connection if none is idle and fewer than Service.Connections are
+// open. It returns the time that opening takes, or 0 if no connection is opened.
 func (f *fakeUpstream) openConnection() time.Duration {
 	if f.runningCount <= f.connectionCount || f.connectionCount >= f.spec.Connections {
 		return 0
--- a/report/draw.go
+++ b/report/draw.go
@@ -60,7 +60,8 @@
 }
 
 // save writes a plot to a file. The name of the file consists of the parts, joined by
-// hyphens. save returns err if err is not nil. It does nothing if p is nil.
+// hyphens. err is the error from drawing the plot. save returns err if it is not nil. If p
+// is nil, save does nothing.
 func (w *plotWriter) save(p *plot.Plot, err error, nameParts ...string) error {
 	if err != nil || p == nil {
 		return err
--- a/report/plots.go
+++ b/report/plots.go
@@ -42,8 +42,8 @@
 	p.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 }
 
-// addLine adds a line and its legend entry. The colour and the dashes depend on n, the
-// number of lines before it.
+// addLine adds a line and its legend entry. lineIndex is the number of lines that the plot
+// already has. It determines the colour and the dashes.
 func addLine(p *plot.Plot, points plotter.XYs, lineIndex int, label string) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
@@ -58,7 +58,7 @@
 
 // percentilesPlot draws p50, p99, p99.9 and the maximum of a group's latency. Each
 // result gets a line, and a second line for its ideal bound if it has one. The plot is
-// nil if there is nothing to draw.
+// nil if no result has latencies for the group.
 func percentilesPlot(results []Result, k groupKey) (*plot.Plot, error) {
 	p := newPlot(k.String()+": latency", "", "ms")
 	p.NominalX("p50", "p99", "p99.9", "max")
@@ -161,8 +161,8 @@
 	return p, nil
 }
 
-// slotTimeByStartMs returns the slot time of a service, summed over its groups, for each point
-// of the series. The keys are the values of Point.AtMs. The unit is microseconds.
+// slotTimeByStartMs returns the slot time of a service, summed over its groups, in
+// microseconds for each point of the series. The keys are the values of Point.AtMs.
 func slotTimeByStartMs(r Result, s model.ServiceName) map[int64]int64 {
 	totalUsByStartMs := make(map[int64]int64)
 	for _, stats := range r.Groups {
--- a/report/read.go
+++ b/report/read.go
@@ -13,8 +13,8 @@
 	"github.com/dottereltiller/dottereltiller/load"
 )
 
-// Result holds the part of a result file that is drawn. A load run or a replay writes
-// this file.
+// Result holds the part of a result file that is drawn. Load runs and replays write result
+// files.
 type Result struct {
 	// Label names the result in the legends, titles and file names of plots.
 	Label  string  `json:"-"`
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -40,6 +40,9 @@
 	return load.Result{Groups: []load.Stats{groupStats("members", 80), groupStats("searches", 20)}}
 }
 
+// TestDrawLoadAndReplayResults reads two results of load runs and one of a replay. It checks
+// their labels and the names of the plots. Only the replay has no time series, so it gets no
+// plots over time. Only the replay has an ideal bound, which its plot must show.
 func TestDrawLoadAndReplayResults(t *testing.T) {
 	replayStats := replay.Stats{Service: "returdesk", Group: "sorters"}
 	replayStats.Latency = replay.Latency{P50: 1, P99: 2, P999: 3, Max: 4}
