--- a/bench/control.go
+++ b/bench/control.go
@@ -11,26 +11,28 @@
 	"github.com/dottereltiller/dottereltiller/settings"
 )
 
-// daemonSizes are the numbers of daemons with which idleCPU is measured. They are small
-// enough for one process to run that many daemons.
-var daemonSizes = []int{32, 48, 64, 96}
+// daemonCounts are the numbers of daemons for which idleCPU is measured. They are small
+// enough to run all the daemons of a measurement in one process.
+var daemonCounts = []int{32, 48, 64, 96}
 
 const (
-	// settleTime is the time between the start of a deployment and the measurement.
+	// settleTime is the time between the start of the daemons and the start of the
+	// measurement.
 	settleTime = 2 * time.Second
-	// measuringTime is the duration of the measurement.
+	// measuringTime is the time over which the CPU time is measured.
 	measuringTime = 5 * time.Second
 )
 
 // daemonMeasurements returns the measurements that need running daemons.
 func daemonMeasurements() []measurement {
 	return []measurement{
-		{"control of one daemon at rest", "us of CPU a second", "daemon", daemonSizes, idleCPU},
+		{"control of one daemon at rest", "us of CPU a second", "daemon", daemonCounts, idleCPU},
 	}
 }
 
 // idleCPU runs n daemons without load. It returns the mean CPU time that one daemon uses
-// per second, in microseconds. The CPU time of the stand-in upstreams is included.
+// per second, in microseconds. The CPU time of the stand-in upstreams,
+// the test servers behind the daemons, is included.
 func idleCPU(ctx context.Context, n int) (float64, error) {
 	d, err := startDaemons(ctx, n)
 	if err != nil {
@@ -40,16 +42,16 @@
 	if err := sleep(ctx, settleTime); err != nil {
 		return 0, err
 	}
-	before, start := processCPU(), time.Now()
+	cpuBefore, start := processCPU(), time.Now()
 	if err := sleep(ctx, measuringTime); err != nil {
 		return 0, err
 	}
-	used := processCPU() - before
+	used := processCPU() - cpuBefore
 	return used.Seconds() / time.Since(start).Seconds() / float64(n) * 1e6, nil
 }
 
 // startDaemons starts n daemons in five zones. Each daemon has one upstream, and eight
-// upstreams form a service.
+// upstreams form a service. The last service has fewer if n is not a multiple of eight.
 func startDaemons(ctx context.Context, n int) (*local.Deployment, error) {
 	const upstreamsPerService = 8
 	opts := local.Options{
@@ -58,8 +60,8 @@
 	}
 	for i := 0; i < n; i += upstreamsPerService {
 		name := string(upstream(i / upstreamsPerService).Service)
-		size := min(upstreamsPerService, n-i)
-		opts.Services = append(opts.Services, local.Service{Name: model.ServiceName(name), Upstreams: size, Slots: 6})
+		upstreamCount := min(upstreamsPerService, n-i)
+		opts.Services = append(opts.Services, local.Service{Name: model.ServiceName(name), Upstreams: upstreamCount, Slots: 6})
 		opts.Documents = append(opts.Documents, policy.Document{Kind: policy.KindService, Name: name, Spec: []byte(`{}`)})
 	}
 	opts.Documents = append(opts.Documents, policy.Document{Kind: policy.KindSharingPolicy, Name: "all", Spec: []byte(
--- a/bench/slope_test.go
+++ b/bench/slope_test.go
@@ -7,7 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFitSlope(t *testing.T) {
+// TestFitSlopeFindsLineAndFitError checks that the fit of points on a line is exact, and that
+// FitError is more than 5% for points on a parabola.
+func TestFitSlopeFindsLineAndFitError(t *testing.T) {
 	cases := map[string]struct {
 		value            func(n int) float64
 		slope, intercept float64
--- a/load/collector.go
+++ b/load/collector.go
@@ -15,7 +15,7 @@
 	// pointInterval is the time that one point of a series covers.
 	pointInterval = time.Second
 	// maxWrongAnswers is the maximum number of wrong responses that a result
-	// describes. Further ones are only counted.
+	// describes. All other wrong responses are only counted.
 	maxWrongAnswers = 10
 )
 
@@ -44,12 +44,12 @@
 	total        *groupCollector
 	groups       map[groupKey]*groupCollector
 	sendLag      *latency.Histogram
-	held         int64    // requests that waited because of Plan.MaxInFlight
+	heldCount    int64    // requests that waited because of Plan.MaxInFlight
 	wrongAnswers []string // descriptions of the first wrong responses
 	wrongCount   int64    // all wrong responses
 }
 
-// groupCollector accumulates the samples of one group.
+// groupCollector accumulates the samples of one group, or of all groups for the total.
 type groupCollector struct {
 	stats    Stats
 	latency  *latency.Histogram
@@ -57,7 +57,7 @@
 	points   []*pointCollector // one for each pointInterval since the start of the run
 }
 
-// pointCollector accumulates the samples of the requests due in one interval.
+// pointCollector accumulates the samples of the requests due in one pointInterval.
 type pointCollector struct {
 	Point
 	latency *latency.Histogram
@@ -81,7 +81,7 @@
 func (c *collector) countHeld() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held++
+	c.heldCount++
 }
 
 func (c *collector) add(s sample) {
@@ -130,8 +130,8 @@
 func (g *groupCollector) pointAt(due time.Duration) *pointCollector {
 	index := int(due / pointInterval)
 	for len(g.points) <= index {
-		at := int64(len(g.points)) * pointInterval.Milliseconds()
-		g.points = append(g.points, &pointCollector{Point: Point{AtMs: at}, latency: latency.NewHistogram()})
+		startMs := int64(len(g.points)) * pointInterval.Milliseconds()
+		g.points = append(g.points, &pointCollector{Point: Point{AtMs: startMs}, latency: latency.NewHistogram()})
 	}
 	return g.points[index]
 }
@@ -164,7 +164,7 @@
 		Total:        c.total.summarize(c.total.slotTime),
 		Groups:       []Stats{},
 		SendLagP99Us: c.sendLag.Percentiles().P99,
-		Held:         c.held,
+		Held:         c.heldCount,
 		Wrong:        c.wrongCount,
 		WrongAnswers: c.wrongAnswers,
 	}
@@ -177,8 +177,8 @@
 	return r
 }
 
-// summarize computes the results of the group. The argument is the slot time of
-// the whole service.
+// summarize computes the results of the group. serviceSlotTime is the slot time of the
+// whole service. For the total, it is the slot time of all services.
 func (g *groupCollector) summarize(serviceSlotTime time.Duration) Stats {
 	stats := g.stats
 	stats.Latency = g.latency.Percentiles()
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -30,14 +30,15 @@
 		for _, scenario := range benchmarkScenarios {
 			benchPolicies(b, name+"/"+scenario, topology, scenario)
 		}
-		delayed := loadTopology(b, name)
-		for i := range delayed.Services {
-			delayed.Services[i].ReportLag = delayedReportLag
+		delayedTopology := loadTopology(b, name)
+		for i := range delayedTopology.Services {
+			delayedTopology.Services[i].ReportLag = delayedReportLag
 		}
-		benchPolicies(b, name+"/steady-85-late-reports", delayed, "steady-85")
+		benchPolicies(b, name+"/steady-85-late-reports", delayedTopology, "steady-85")
 	}
 }
 
+// benchPolicies runs one sub-benchmark for each routing policy.
 func benchPolicies(b *testing.B, name string, topology *Topology, scenario string) {
 	s, ok := FindScenario(scenario)
 	if !ok {
--- a/replay/outcomes_test.go
+++ b/replay/outcomes_test.go
@@ -54,8 +54,10 @@
 
 func ratio(a, b int64) float64 { return float64(a) / float64(b) }
 
-// TestExpectedOutcomes checks the results of the default routing policy against
-// the bounds in testdata/replay. A replay is deterministic, so the test does not pass
+// TestExpectedOutcomes checks the results of the default routing policy against the
+// bounds in testdata/replay. It also checks that every request has an outcome, that no
+// non-idempotent request ran twice, and that load reports kept to the measuring budget. A
+// replay is deterministic, so the test does not pass
 // or fail by chance.
 func TestExpectedOutcomes(t *testing.T) {
 	for _, want := range readExpectedOutcomes(t) {
@@ -103,11 +105,11 @@
 			t.Parallel()
 			topology := loadTopology(t, "kalahari")
 			events := generateEvents(t, topology, name, 1)
-			result := mustRun(t, topology, events, Options{Seed: 1}).Total
+			defaultTotal := mustRun(t, topology, events, Options{Seed: 1}).Total
 			for _, baseline := range routing.Names()[1:] {
-				other := mustRun(t, topology, events, Options{Routing: baseline, Seed: 1}).Total
-				assert.LessOrEqual(t, ratio(result.P99, other.P99), tieTolerance, "p99 against %s", baseline)
-				assert.LessOrEqual(t, ratio(result.P999, other.P999), tieTolerance, "p99.9 against %s", baseline)
+				baselineTotal := mustRun(t, topology, events, Options{Routing: baseline, Seed: 1}).Total
+				assert.LessOrEqual(t, ratio(defaultTotal.P99, baselineTotal.P99), tieTolerance, "p99 against %s", baseline)
+				assert.LessOrEqual(t, ratio(defaultTotal.P999, baselineTotal.P999), tieTolerance, "p99.9 against %s", baseline)
 			}
 		})
 	}
--- a/replay/recorded_test.go
+++ b/replay/recorded_test.go
@@ -46,7 +46,8 @@
 type recordedKind struct {
 	// Share is the number of requests of this kind for each request counted in
 	// recordedDay.Rates. The shares of all kinds need not add up to 1.
-	Share         float64 `json:"share"`
+	Share float64 `json:"share"`
+	// ServiceTimeMs is the median service time at the usual speed.
 	ServiceTimeMs float64 `json:"work_ms"`
 	// TargetMs is the time in which a request should be served.
 	TargetMs float64 `json:"target_ms"`
@@ -58,8 +59,8 @@
 
 const ticksPerSecond = int(time.Second / tickLength)
 
-// ticks returns the length of the day in ticks.
-func (s *recordedService) ticks() int { return len(s.day.Rates) * s.day.WindowS * ticksPerSecond }
+// lengthTicks returns the length of the day in ticks.
+func (s *recordedService) lengthTicks() int { return len(s.day.Rates) * s.day.WindowS * ticksPerSecond }
 
 // rateAtTick returns the number of requests a second that the service receives at a tick.
 func (s *recordedService) rateAtTick(t int) float64 {
@@ -86,17 +87,17 @@
 // down. For coldTicks after each start, the speeds are divided by coldSlowdown. This does
 // not apply to upstreams that were already up at the start of the day.
 func (u *recordedUpstream) applyDowntime(speeds []float64) []float64 {
-	out := make([]float64, len(speeds))
+	adjusted := make([]float64, len(speeds))
 	for _, up := range u.Up {
 		startTick, stopTick := int(up[0]*float64(ticksPerSecond)), int(up[1]*float64(ticksPerSecond))
-		for t := startTick; t < min(stopTick, len(out)); t++ {
-			out[t] = speeds[t]
+		for t := startTick; t < min(stopTick, len(adjusted)); t++ {
+			adjusted[t] = speeds[t]
 			if startTick > 0 && t < startTick+coldTicks {
-				out[t] /= coldSlowdown
+				adjusted[t] /= coldSlowdown
 			}
 		}
 	}
-	return out
+	return adjusted
 }
 
 // readDay reads a recording.
@@ -144,7 +145,7 @@
 				w := workload{slots: s.Slots, noiseShare: s.Noise, recorded: s}
 				m := newMesh(w, usePlacement, 1)
 				share := m.simulate()
-				sent := float64(m.sent)
+				sent := float64(m.sentCount)
 				inTime, inTimeCentral, total = inTime+share*sent, inTimeCentral+centralQueueShare(w, 1)*sent, total+sent
 			}
 			t.Logf("share within target: %.3f, central queue %.3f", inTime/total, inTimeCentral/total)
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -38,6 +38,8 @@
 	return r
 }
 
+// TestRunSmallTraces checks the outcomes, the latencies and the ideal bound for traces of one
+// or two requests, for which the exact values are known.
 func TestRunSmallTraces(t *testing.T) {
 	cases := map[string]struct {
 		topology *Topology
@@ -103,6 +105,8 @@
 	assert.InEpsilon(t, want, got, 0.001)
 }
 
+// TestCrashedUpstreamRestartsAsNewIncarnation checks that a crash ends the running request
+// with an unknown outcome, and that the restarted upstream answers a later request.
 func TestCrashedUpstreamRestartsAsNewIncarnation(t *testing.T) {
 	events := []Event{
 		newRequestEvent(0, 5000),
@@ -136,15 +140,15 @@
 	g.Duration = 1200 * time.Millisecond
 	events := g.Events()
 	for _, name := range routing.Names() {
-		first, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
+		firstResult, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
 		require.NoError(t, err)
-		second, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
+		secondResult, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
 		require.NoError(t, err)
-		assert.Equal(t, string(first), string(second), name)
+		assert.Equal(t, string(firstResult), string(secondResult), name)
 	}
 }
 
-func TestUnknownPolicy(t *testing.T) {
+func TestRunReturnsErrorForUnknownPolicy(t *testing.T) {
 	_, err := Run(singleZoneTopology(Upstream{Slots: 1}), []Event{newRequestEvent(0, 1)}, Options{Routing: "best"})
 	var unknown *routing.UnknownPolicyError
 	require.ErrorAs(t, err, &unknown)
--- a/replay/topology.go
+++ b/replay/topology.go
@@ -52,8 +52,8 @@
 	// MeasuringBudget limits the cost of load reports. It is the share of the slots'
 	// time that they may take, from 0 to 1. Zero disables load reports.
 	MeasuringBudget float64 `json:"measuring_budget"`
-	// Groups holds the weights of the groups. A group that is not listed has
-	// weight 1.
+	// Groups holds the weights and the queue bounds of the groups. A group that is not
+	// listed has weight 1.
 	Groups []Group `json:"groups"`
 }
 
@@ -106,7 +106,8 @@
 	return fmt.Sprintf("%s: got %v, %s", e.Field, e.Value, e.Message)
 }
 
-// ReadTopology reads and checks a topology. An unknown field is an error.
+// ReadTopology reads and checks a topology. It returns a *LineError if the JSON cannot be
+// decoded or has an unknown field, and a *FieldError if a decoded value is invalid.
 func ReadTopology(r io.Reader) (*Topology, error) {
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -149,17 +150,18 @@
 	return 1 + bytes.Count(data[:offset], []byte("\n"))
 }
 
-// errorOffset returns the offset at which decoding failed. Some errors hold no
-// position but quote a text of the input. For these it returns the offset of the
-// first occurrence of the text.
+// errorOffset returns the offset at which decoding failed. If the error holds no offset,
+// errorOffset searches the input for the field name or value that the error message quotes,
+// and returns the offset of the first occurrence. If there is none, it returns the offset
+// at which the decoder stopped.
 func errorOffset(data []byte, e *decodeError) int64 {
-	var syntax *json.SyntaxError
-	if errors.As(e.cause, &syntax) {
-		return syntax.Offset
+	var syntaxErr *json.SyntaxError
+	if errors.As(e.cause, &syntaxErr) {
+		return syntaxErr.Offset
 	}
-	var mismatch *json.UnmarshalTypeError
-	if errors.As(e.cause, &mismatch) {
-		return mismatch.Offset
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(e.cause, &typeErr) {
+		return typeErr.Offset
 	}
 	if i := bytes.Index(data, []byte(offendingText(e.cause))); i > 0 {
 		return int64(i)
@@ -167,8 +169,8 @@
 	return e.offset
 }
 
-// offendingText returns the field name or the value that the message of a
-// decoding error quotes.
+// offendingText returns the field name or the duration that the message of a decoding
+// error quotes. It returns any other message as it is.
 func offendingText(err error) string {
 	text := err.Error()
 	if field, ok := strings.CutPrefix(text, "json: unknown field "); ok {
@@ -188,13 +190,13 @@
 	if len(t.Services) == 0 {
 		return &FieldError{"services", "none", "want at least one"}
 	}
-	names := make(map[model.ServiceName]bool)
+	seenNames := make(map[model.ServiceName]bool)
 	for i, s := range t.Services {
 		path := fmt.Sprintf("services[%d]", i)
-		if s.Name == "" || names[s.Name] {
+		if s.Name == "" || seenNames[s.Name] {
 			return &FieldError{path + ".name", fmt.Sprintf("%q", s.Name), "want a name, each once"}
 		}
-		names[s.Name] = true
+		seenNames[s.Name] = true
 		if err := t.checkService(path, s); err != nil {
 			return err
 		}
@@ -234,8 +236,8 @@
 }
 
 func (t *Topology) hasZone(z model.AvailabilityZone) bool {
-	for _, known := range t.Zones {
-		if known == z {
+	for _, zone := range t.Zones {
+		if zone == z {
 			return true
 		}
 	}
