--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -28,7 +28,7 @@
 	tests := []struct {
 		name    string
 		prepare func(c *Controller)
-		arrive  Arrival
+		arrival Arrival
 		want    map[ID]outcome.Reason
 	}{
 		{"deadline of zero", nil, arrival(9, "a", 0), map[ID]outcome.Reason{9: outcome.ReasonDeadline}},
@@ -73,7 +73,7 @@
 			if tt.prepare != nil {
 				tt.prepare(c)
 			}
-			require.Equal(t, tt.want, reasonsByID(c.Arrive(0, tt.arrive, nil)))
+			require.Equal(t, tt.want, reasonsByID(c.Arrive(0, tt.arrival, nil)))
 		})
 	}
 }
@@ -129,18 +129,18 @@
 }
 
 func TestLimiterBoundsRunningRequests(t *testing.T) {
-	l := &adjustableLimiter{limit: 2}
-	c := New(Options{Slots: 6, Limiter: l})
+	limiter := &adjustableLimiter{limit: 2}
+	c := New(Options{Slots: 6, Limiter: limiter})
 	for id := ID(1); id <= 5; id++ {
 		c.Arrive(0, arrival(id, "a", 99*ms), nil)
 	}
 	require.EqualValues(t, 2, c.Load(0).Running)
-	l.limit = 3
+	limiter.limit = 3
 	require.Len(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, nil), 2, "a higher limit lets two requests start")
-	l.limit = 0
+	limiter.limit = 0
 	require.Empty(t, c.Finish(ms, 2, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, nil))
 	require.EqualValues(t, 1, c.Load(ms).Limit, "the limit is at least one")
-	require.Equal(t, []int{2, 3}, l.observedRunning)
+	require.Equal(t, []int{2, 3}, limiter.observedRunning)
 }
 
 func TestControllerDoesNotAllocate(t *testing.T) {
--- a/core/admission/observe_test.go
+++ b/core/admission/observe_test.go
@@ -19,7 +19,7 @@
 	l.observedSlotTimes = append(l.observedSlotTimes, slotTime)
 }
 
-func TestLimiterIgnoresCancelledRequests(t *testing.T) {
+func TestLimiterDoesNotObserveCancelledRequests(t *testing.T) {
 	limiter := &recordingLimiter{}
 	c := New(Options{Slots: 4, Limiter: limiter})
 	results := []Result{
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -23,14 +23,14 @@
 		group: "g", caller: "c", slotTime: exponential(overloadSlotTime), interval: interval,
 		timeout: overloadTimeout, stopAt: overloadSeconds * time.Second,
 	})
-	t.Logf("%vx: %d in time, refused %v", multiple, sum(sim.inTimeByWindow["g"]), sim.refused["g"])
+	t.Logf("%vx: %d in time, refused %v", multiple, sum(sim.inTimeByWindow["g"]), sim.refusalCounts["g"])
 	return sum(sim.inTimeByWindow["g"])
 }
 
 func TestGoodputUnderOverload(t *testing.T) {
-	base := goodput(t, 1)
+	goodputAtCapacity := goodput(t, 1)
 	for _, multiple := range []float64{2, 5, 20} {
-		require.GreaterOrEqual(t, float64(goodput(t, multiple)), 0.95*float64(base), "at %vx", multiple)
+		require.GreaterOrEqual(t, float64(goodput(t, multiple)), 0.95*float64(goodputAtCapacity), "at %vx", multiple)
 	}
 }
 
@@ -50,8 +50,8 @@
 	baseline.run(after)
 	sim := newSimulator(t, overloadSlots, Options{}, groups...)
 	sim.run(burst, after)
-	require.Empty(t, sim.refused["after"])
-	baselineP99, afterBurstP99 := quantile(baseline.latency["after"], 0.99), quantile(sim.latency["after"], 0.99)
+	require.Empty(t, sim.refusalCounts["after"])
+	baselineP99, afterBurstP99 := quantile(baseline.latenciesByGroup["after"], 0.99), quantile(sim.latenciesByGroup["after"], 0.99)
 	t.Logf("p99 %v without a burst, %v after one", baselineP99, afterBurstP99)
 	require.Less(t, float64(afterBurstP99), 1.25*float64(baselineP99))
 }
@@ -71,8 +71,8 @@
 	alone.run(victim)
 	withOverload := newSimulator(t, overloadSlots, Options{}, groups...)
 	withOverload.run(victim, overloading)
-	aloneP99, withOverloadP99 := quantile(alone.latency["victim"], 0.99), quantile(withOverload.latency["victim"], 0.99)
+	aloneP99, withOverloadP99 := quantile(alone.latenciesByGroup["victim"], 0.99), quantile(withOverload.latenciesByGroup["victim"], 0.99)
 	t.Logf("victim's p99 %v alone, %v beside the overloading group, ratio %.3f", aloneP99, withOverloadP99, float64(withOverloadP99)/float64(aloneP99))
-	require.Empty(t, withOverload.refused["victim"])
+	require.Empty(t, withOverload.refusalCounts["victim"])
 	require.LessOrEqual(t, float64(withOverloadP99), 1.1*float64(aloneP99))
 }
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -19,8 +19,8 @@
 // TestShareWithinFivePercent generates groups that are always backlogged and
 // checks that each gets its weighted share of the slot time in every second.
 func TestShareWithinFivePercent(t *testing.T) {
-	worst := 0.0
-	defer func() { t.Logf("largest deviation of a share in one second: %.2f%%", 100*worst) }()
+	largestDeviation := 0.0
+	defer func() { t.Logf("largest deviation of a share in one second: %.2f%%", 100*largestDeviation) }()
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(6, 8).Draw(t, "slots")
 		weights := rapid.SliceOfN(rapid.IntRange(1, 4), 2, 4).Draw(t, "weights")
@@ -39,10 +39,10 @@
 			if rapid.Bool().Draw(t, "varied") {
 				slotTime = exponential(meanSlotTime)
 			}
-			callers := rapid.IntRange(1, 3).Draw(t, "callers")
+			callerCount := rapid.IntRange(1, 3).Draw(t, "callers")
 			// Each group offers 1.4 times its share.
-			interval := float64(meanSlotTime) * float64(callers) * totalWeight / (1.4 * float64(slots*w))
-			for c := range callers {
+			interval := float64(meanSlotTime) * float64(callerCount) * totalWeight / (1.4 * float64(slots*w))
+			for c := range callerCount {
 				workloads = append(workloads, workload{
 					group: name, caller: model.CallerName(fmt.Sprint(name, c)), slotTime: slotTime,
 					interval: time.Duration(interval), timeout: longTimeout, stopAt: seconds * time.Second,
@@ -55,14 +55,14 @@
 		// backlogged.
 		for second := 1; second < seconds; second++ {
 			for _, g := range groups {
-				want := float64(slots) * window.Seconds() * g.Weight / totalWeight
+				want := float64(slots) * windowLength.Seconds() * g.Weight / totalWeight
 				got := sim.slotTimeByWindow[g.Name][second].Seconds()
-				worst = max(worst, math.Abs(got/want-1))
+				largestDeviation = max(largestDeviation, math.Abs(got/want-1))
 				require.InEpsilon(t, want, got, 0.05, "group %s in second %d", g.Name, second)
 			}
 		}
 		for _, g := range groups {
-			require.Equal(t, sim.totalSlotTime[g.Name], sim.controller.Charged(g.Name), "charges of %s", g.Name)
+			require.Equal(t, sim.slotTimeByGroup[g.Name], sim.controller.Charged(g.Name), "charges of %s", g.Name)
 		}
 	})
 }
@@ -81,7 +81,7 @@
 		heavy.group, light.group = "heavy", "light"
 		sim.run(heavy, light)
 		for second := range 2 {
-			share := sim.slotTimeByWindow["light"][second].Seconds() / (4 * window.Seconds())
+			share := sim.slotTimeByWindow["light"][second].Seconds() / (4 * windowLength.Seconds())
 			require.GreaterOrEqual(t, share, 0.009, "second %d", second)
 			require.LessOrEqual(t, share, 0.012, "second %d", second)
 		}
@@ -90,12 +90,12 @@
 
 func TestWeightZeroRunsOnlyWhenNothingElseWaits(t *testing.T) {
 	sim := newSimulator(t, 2, Options{}, Group{Name: "paid", Weight: 1}, Group{Name: "free", Weight: 0})
-	busy := workload{group: "paid", slotTime: constant(time.Millisecond), interval: 400 * time.Microsecond, timeout: time.Second, stopAt: time.Second}
+	paid := workload{group: "paid", slotTime: constant(time.Millisecond), interval: 400 * time.Microsecond, timeout: time.Second, stopAt: time.Second}
 	free := workload{group: "free", slotTime: constant(time.Millisecond), interval: 3 * time.Millisecond, timeout: 300 * time.Millisecond, stopAt: 3 * time.Second}
-	sim.run(busy, free)
+	sim.run(paid, free)
 	require.Less(t, sim.slotTimeByWindow["free"][0], 20*time.Millisecond, "while the other group is backlogged")
 	require.Greater(t, sim.slotTimeByWindow["free"][2], 300*time.Millisecond, "alone")
-	require.Positive(t, sim.refused["free"][outcome.ReasonDeadline])
+	require.Positive(t, sim.refusalCounts["free"][outcome.ReasonDeadline])
 }
 
 // TestCallersOfOneGroupShareEqually runs two callers of one group. The heavy caller
--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -42,19 +42,19 @@
 
 // job is one simulated request.
 type job struct {
-	id       ID
-	workload *workload
-	slotTime time.Duration
-	arrived  model.Instant
-	deadline model.Instant
-	started  model.Instant
-	running  bool
-	ended    bool
+	id        ID
+	workload  *workload
+	slotTime  time.Duration
+	arrivedAt model.Instant
+	deadline  model.Instant
+	startedAt model.Instant
+	running   bool
+	ended     bool
 }
 
 // event is the arrival or the end of a job.
 type event struct {
-	at model.Instant
+	instant model.Instant
 	// seq orders events of the same instant.
 	seq uint64
 	job *job
@@ -67,8 +67,8 @@
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].instant != h[j].instant {
+		return h[i].instant < h[j].instant
 	}
 	return h[i].seq < h[j].seq
 }
@@ -102,18 +102,18 @@
 	// slotTimeByWindow holds the slot time that each group used in each window.
 	slotTimeByWindow map[model.GroupName][]time.Duration
 	slotTimeByCaller map[model.CallerName]time.Duration
-	// latency holds the latencies of the requests that ended by their deadline.
-	latency map[model.GroupName][]time.Duration
+	// latenciesByGroup holds the latencies of the requests that ended by their deadline.
+	latenciesByGroup map[model.GroupName][]time.Duration
 	// inTimeByWindow holds for each group and window the number of requests that
 	// ended by their deadline.
 	inTimeByWindow map[model.GroupName][]int
-	// refused holds the number of refused requests by group and reason.
-	refused       map[model.GroupName]map[outcome.Reason]int
-	totalSlotTime map[model.GroupName]time.Duration
+	// refusalCounts holds the number of refused requests by group and reason.
+	refusalCounts   map[model.GroupName]map[outcome.Reason]int
+	slotTimeByGroup map[model.GroupName]time.Duration
 }
 
-// window is the period over which slot time and goodput are counted.
-const window = time.Second
+// windowLength is the period over which slot time and goodput are counted.
+const windowLength = time.Second
 
 func newSimulator(t require.TestingT, slots int, opts Options, groups ...Group) *simulator {
 	opts.Slots = slots
@@ -122,10 +122,10 @@
 		jobs:             make(map[ID]*job),
 		slotTimeByWindow: make(map[model.GroupName][]time.Duration),
 		slotTimeByCaller: make(map[model.CallerName]time.Duration),
-		latency:          make(map[model.GroupName][]time.Duration),
+		latenciesByGroup: make(map[model.GroupName][]time.Duration),
 		inTimeByWindow:   make(map[model.GroupName][]int),
-		refused:          make(map[model.GroupName]map[outcome.Reason]int),
-		totalSlotTime:    make(map[model.GroupName]time.Duration),
+		refusalCounts:    make(map[model.GroupName]map[outcome.Reason]int),
+		slotTimeByGroup:  make(map[model.GroupName]time.Duration),
 	}
 	for _, g := range groups {
 		sim.hasMaxRunning = sim.hasMaxRunning || g.MaxRunning > 0
@@ -134,18 +134,18 @@
 	return sim
 }
 
-func (s *simulator) schedule(at model.Instant, j *job, isEnd bool) {
+func (s *simulator) schedule(instant model.Instant, j *job, isEnd bool) {
 	s.lastSeq++
-	heap.Push(&s.events, event{at: at, seq: s.lastSeq, job: j, isEnd: isEnd})
+	heap.Push(&s.events, event{instant: instant, seq: s.lastSeq, job: j, isEnd: isEnd})
 }
 
 func (s *simulator) scheduleArrivals(w *workload) {
 	for t := w.startAt; t < w.stopAt; t += w.interval {
 		s.nextID++
-		j := &job{id: s.nextID, workload: w, slotTime: w.slotTime(s.rng), arrived: model.Instant(t)}
-		j.deadline = j.arrived.Add(w.timeout)
+		j := &job{id: s.nextID, workload: w, slotTime: w.slotTime(s.rng), arrivedAt: model.Instant(t)}
+		j.deadline = j.arrivedAt.Add(w.timeout)
 		s.jobs[j.id] = j
-		s.schedule(j.arrived, j, false)
+		s.schedule(j.arrivedAt, j, false)
 	}
 }
 
@@ -156,7 +156,7 @@
 	}
 	for s.events.Len() > 0 {
 		e := heap.Pop(&s.events).(event)
-		s.now = e.at
+		s.now = e.instant
 		if e.isEnd {
 			s.finishJob(e.job)
 		} else {
@@ -182,14 +182,14 @@
 
 func (s *simulator) finishJob(j *job) {
 	group := j.workload.group
-	slotTime := s.now.Sub(j.started)
-	s.addSlotTime(group, j.started, s.now)
+	slotTime := s.now.Sub(j.startedAt)
+	s.addSlotTime(group, j.startedAt, s.now)
 	s.slotTimeByCaller[j.workload.caller] += slotTime
-	s.totalSlotTime[group] += slotTime
+	s.slotTimeByGroup[group] += slotTime
 	j.ended = true
 	if s.now <= j.deadline {
-		s.latency[group] = append(s.latency[group], s.now.Sub(j.arrived))
-		s.inTimeByWindow[group] = addAt(s.inTimeByWindow[group], int(s.now/model.Instant(window)), 1)
+		s.latenciesByGroup[group] = append(s.latenciesByGroup[group], s.now.Sub(j.arrivedAt))
+		s.inTimeByWindow[group] = addAt(s.inTimeByWindow[group], int(s.now/model.Instant(windowLength)), 1)
 	}
 	s.effects = s.controller.Finish(s.now, j.id, Result{Outcome: outcome.Done(), SlotTime: slotTime}, s.effects[:0])
 }
@@ -205,13 +205,13 @@
 				require.Fail(s.t, "refused with an outcome other than not run", "request %d: %+v", e.ID, e.Outcome)
 			}
 			j.ended = true
-			if s.refused[j.workload.group] == nil {
-				s.refused[j.workload.group] = make(map[outcome.Reason]int)
+			if s.refusalCounts[j.workload.group] == nil {
+				s.refusalCounts[j.workload.group] = make(map[outcome.Reason]int)
 			}
-			s.refused[j.workload.group][e.Outcome.Reason]++
+			s.refusalCounts[j.workload.group][e.Outcome.Reason]++
 			continue
 		}
-		j.running, j.started = true, s.now
+		j.running, j.startedAt = true, s.now
 		// The upstream aborts a request that still runs at its deadline.
 		s.schedule(min(s.now.Add(j.slotTime), max(j.deadline, s.now)), j, true)
 		if s.now.Add(j.slotTime) > j.deadline {
@@ -224,9 +224,9 @@
 // that the run spans.
 func (s *simulator) addSlotTime(group model.GroupName, start, end model.Instant) {
 	for start < end {
-		index := start / model.Instant(window)
-		partEnd := min(end, (index+1)*model.Instant(window))
-		s.slotTimeByWindow[group] = addAt(s.slotTimeByWindow[group], int(index), partEnd.Sub(start))
+		windowIndex := start / model.Instant(windowLength)
+		partEnd := min(end, (windowIndex+1)*model.Instant(windowLength))
+		s.slotTimeByWindow[group] = addAt(s.slotTimeByWindow[group], int(windowIndex), partEnd.Sub(start))
 		start = partEnd
 	}
 }
@@ -240,13 +240,13 @@
 	return s
 }
 
-func quantile(d []time.Duration, q float64) time.Duration {
-	if len(d) == 0 {
+func quantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	s := append([]time.Duration(nil), d...)
-	sort.Slice(s, func(i, j int) bool { return s[i] < s[j] })
-	return s[int(q*float64(len(s)-1))]
+	sorted := append([]time.Duration(nil), durations...)
+	sort.Slice(sorted, func(i, j int) bool { return sorted[i] < sorted[j] })
+	return sorted[int(q*float64(len(sorted)-1))]
 }
 
 func sum[T int | time.Duration](s []T) T {
--- a/core/admission/surge_test.go
+++ b/core/admission/surge_test.go
@@ -72,11 +72,11 @@
 			withSurge := newSimulator(t, 6, Options{}, tt.groups...)
 			withSurge.run(append([]workload{tt.victim}, tt.surge...)...)
 			group := tt.victim.group
-			baselineP99, surgeP99 := quantile(baseline.latency[group], 0.99), quantile(withSurge.latency[group], 0.99)
+			baselineP99, surgeP99 := quantile(baseline.latenciesByGroup[group], 0.99), quantile(withSurge.latenciesByGroup[group], 0.99)
 			t.Logf("p99 %v alone, %v with the surge: %.3f", baselineP99, surgeP99, float64(surgeP99)/float64(baselineP99))
-			require.Empty(t, withSurge.refused[group], "no request of the victim is refused")
+			require.Empty(t, withSurge.refusalCounts[group], "no request of the victim is refused")
 			require.LessOrEqual(t, float64(surgeP99), tt.maxRatio*float64(baselineP99))
-			require.Positive(t, withSurge.totalSlotTime[tt.surge[0].group], "some requests of the surge run too")
+			require.Positive(t, withSurge.slotTimeByGroup[tt.surge[0].group], "some requests of the surge run too")
 		})
 	}
 }
@@ -104,10 +104,10 @@
 		sim.run(workload{group: "g", caller: "c", slotTime: exponential(overloadSlotTime), interval: interval, timeout: 6 * overloadSlotTime, stopAt: overloadSeconds * time.Second})
 		return sum(sim.inTimeByWindow["g"])
 	}
-	base := goodputAt(1)
+	goodputAtCapacity := goodputAt(1)
 	for _, multiple := range []float64{2, 5} {
 		got := goodputAt(multiple)
-		t.Logf("%vx: %d in time, %d at 1x", multiple, got, base)
-		require.GreaterOrEqual(t, float64(got), 0.95*float64(base), "at %vx", multiple)
+		t.Logf("%vx: %d in time, %d at 1x", multiple, got, goodputAtCapacity)
+		require.GreaterOrEqual(t, float64(got), 0.95*float64(goodputAtCapacity), "at %vx", multiple)
 	}
 }
--- a/core/fairqueue/charge.go
+++ b/core/fairqueue/charge.go
@@ -95,7 +95,7 @@
 // start marks an entry as running and charges the mean slot time of its group.
 func (q *Queue) start(now model.Instant, e *entry) {
 	e.running = true
-	e.started = now
+	e.startedAt = now
 	e.caller.running++
 	e.caller.group.running++
 	q.running++
@@ -150,11 +150,11 @@
 // the ended requests of all groups. When no request has ended at all, the estimate
 // is initialEstimate.
 func (q *Queue) Estimate(name model.GroupName) Estimate {
-	if g := q.findGroup(name); g != nil && g.slotTime.hasSample {
-		return g.slotTime.estimate()
+	if g := q.findGroup(name); g != nil && g.slotTimeEstimator.hasSample {
+		return g.slotTimeEstimator.estimate()
 	}
-	if q.slotTime.hasSample {
-		est := q.slotTime.estimate()
+	if q.slotTimeEstimator.hasSample {
+		est := q.slotTimeEstimator.estimate()
 		est.Known = false
 		return est
 	}
@@ -163,7 +163,7 @@
 
 // MeanSlotTime returns the recent mean slot time over all groups. It returns 0 when
 // no request has ended yet.
-func (q *Queue) MeanSlotTime() time.Duration { return time.Duration(q.slotTime.mean) }
+func (q *Queue) MeanSlotTime() time.Duration { return time.Duration(q.slotTimeEstimator.mean) }
 
 // EstimateAhead estimates how many of the waiting requests would start before a
 // new request of the given group. These are all waiting requests of the group
@@ -181,8 +181,8 @@
 	if ownWaiting > 0 {
 		otherWeight = max(otherWeight-weight, 0)
 	}
-	othersAhead := min(float64(q.foreground.waiting-ownWaiting), float64(ownWaiting+1)*otherWeight/weight)
-	return ownWaiting + int(math.Round(othersAhead))
+	otherWaitingAhead := min(float64(q.foreground.waiting-ownWaiting), float64(ownWaiting+1)*otherWeight/weight)
+	return ownWaiting + int(math.Round(otherWaitingAhead))
 }
 
 // EstimateWait estimates how long a new request would wait at an upstream with the
@@ -200,14 +200,14 @@
 	if c := g.callers[callerName]; c != nil {
 		rounds = c.waiting + 1
 	}
-	ahead := min(g.waiting, rounds*g.byVirtualTime.len())
-	share := g.weight / g.class.weight
+	waitingAhead := min(g.waiting, rounds*g.byVirtualTime.len())
+	slotTimeShare := g.weight / g.class.weight
 	if !g.ready() {
-		share = g.weight / (g.class.weight + g.weight)
+		slotTimeShare = g.weight / (g.class.weight + g.weight)
 	}
 	if g.maxRunning > 0 {
-		share = min(share, float64(g.maxRunning)/float64(max(slots, 1)))
+		slotTimeShare = min(slotTimeShare, float64(g.maxRunning)/float64(max(slots, 1)))
 	}
-	slotTimeAhead := float64(ahead) * float64(q.Estimate(name).Mean) / share
+	slotTimeAhead := float64(waitingAhead) * float64(q.Estimate(name).Mean) / slotTimeShare
 	return time.Duration(slotTimeAhead / float64(max(slots, 1)))
 }
--- a/core/fairqueue/estimate.go
+++ b/core/fairqueue/estimate.go
@@ -22,14 +22,14 @@
 	mean          float64 // in nanoseconds
 	meanDeviation float64 // in nanoseconds
 	hasSample     bool
-	// updated is the instant of the last sample.
-	updated model.Instant
+	// updatedAt is the instant of the last sample.
+	updatedAt model.Instant
 }
 
 // observe adds the slot time of a request that ended at the instant now.
 func (e *estimator) observe(now model.Instant, slotTime time.Duration) {
 	sample := float64(slotTime)
-	e.updated = now
+	e.updatedAt = now
 	if !e.hasSample {
 		// The deviation starts at half of the first sample, as in RFC 6298.
 		e.mean, e.meanDeviation, e.hasSample = sample, sample/2, true
@@ -60,7 +60,7 @@
 	return Estimate{
 		Mean:    time.Duration(e.mean),
 		Upper:   time.Duration(e.mean + upperDeviations*e.meanDeviation),
-		Updated: e.updated,
+		Updated: e.updatedAt,
 		Known:   e.hasSample,
 	}
 }
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -17,8 +17,8 @@
 	// deadlineIndex is the position in Queue.byDeadline while the request waits.
 	deadlineIndex int
 
-	running bool
-	started model.Instant
+	running   bool
+	startedAt model.Instant
 	// charged is the slot time charged for the request so far.
 	charged time.Duration
 	// nextChargeIndex is the position in Queue.byNextCharge while the request
@@ -28,7 +28,7 @@
 
 // nextCharge returns the instant at which the request will have run for as long as
 // it has been charged for. The request must be charged again then.
-func (e *entry) nextCharge() model.Instant { return e.started.Add(e.charged) }
+func (e *entry) nextCharge() model.Instant { return e.startedAt.Add(e.charged) }
 
 // caller is the queue of one caller within a group.
 type caller struct {
@@ -130,8 +130,8 @@
 	waiting int
 	// running is the number of running requests.
 	running int
-	// slotTime estimates the slot time of the group's requests.
-	slotTime estimator
+	// slotTimeEstimator estimates the slot time of the group's requests.
+	slotTimeEstimator estimator
 	// charged is the slot time charged to the group so far.
 	charged time.Duration
 }
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -27,13 +27,13 @@
 	// MinWeightRatio is the smallest effective weight of a group with a weight
 	// above zero, as a fraction of the largest weight.
 	MinWeightRatio = 0.01
-	// maxUnconfigured is the largest number of groups without a GroupConfig.
+	// maxUnconfiguredGroups is the largest number of groups without a GroupConfig.
 	// Further such groups are treated as one group, the overflow group.
-	maxUnconfigured = 64
+	maxUnconfiguredGroups = 64
 )
 
 // overflowGroup holds the requests of unconfigured groups beyond
-// maxUnconfigured.
+// maxUnconfiguredGroups.
 const overflowGroup model.GroupName = ""
 
 // Configure replaces the configuration of all groups. Waiting requests keep
@@ -64,14 +64,14 @@
 		g.maxRunning = config.MaxRunning
 		q.setConfig(g, weight, config.QueueBound)
 	}
-	q.unconfigured = 0
+	q.unconfiguredCount = 0
 	for name, g := range q.groups {
 		switch {
 		case g.configured:
 		case g.waiting == 0 && g.running == 0:
 			delete(q.groups, name)
 		default:
-			q.unconfigured++
+			q.unconfiguredCount++
 			g.maxRunning = 0
 			q.setConfig(g, minWeight, 0)
 		}
@@ -85,11 +85,11 @@
 // setConfig sets the effective weight and the queue bound of a group. A weight of 0
 // moves the group to the background class. A bound of 0 or below means
 // Options.QueueBound.
-func (q *Queue) setConfig(g *group, weight float64, bound int) {
-	if bound <= 0 {
-		bound = q.opts.QueueBound
+func (q *Queue) setConfig(g *group, weight float64, queueBound int) {
+	if queueBound <= 0 {
+		queueBound = q.opts.QueueBound
 	}
-	g.queueBound = bound
+	g.queueBound = queueBound
 	class := q.foreground
 	if weight == 0 {
 		class, weight = q.background, 1
@@ -123,7 +123,7 @@
 	if g := q.groups[name]; g != nil {
 		return g
 	}
-	if q.unconfigured >= maxUnconfigured {
+	if q.unconfiguredCount >= maxUnconfiguredGroups {
 		return q.groups[overflowGroup]
 	}
 	return nil
@@ -135,13 +135,13 @@
 	if g := q.groups[name]; g != nil {
 		return g
 	}
-	if q.unconfigured >= maxUnconfigured {
+	if q.unconfiguredCount >= maxUnconfiguredGroups {
 		name = overflowGroup
 		if g := q.groups[name]; g != nil {
 			return g
 		}
 	}
-	q.unconfigured++
+	q.unconfiguredCount++
 	return q.addGroup(name)
 }
 
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -22,8 +22,8 @@
 type Queue struct {
 	opts   Options
 	groups map[model.GroupName]*group
-	// unconfigured is the number of groups without a GroupConfig.
-	unconfigured int
+	// unconfiguredCount is the number of groups without a GroupConfig.
+	unconfiguredCount int
 
 	// foreground holds the groups with a weight above zero.
 	foreground *priorityClass
@@ -45,8 +45,8 @@
 	running int
 	// lastSeq is the last sequence number given to a caller or group.
 	lastSeq uint64
-	// slotTime estimates the slot time of the requests of all groups.
-	slotTime estimator
+	// slotTimeEstimator estimates the slot time of the requests of all groups.
+	slotTimeEstimator estimator
 	// minWeight is the smallest effective weight of the configured groups. It is
 	// also the weight of groups without a GroupConfig.
 	minWeight float64
@@ -138,8 +138,8 @@
 		return false
 	}
 	slotTime = max(slotTime, 0)
-	e.caller.group.slotTime.observe(now, slotTime)
-	q.slotTime.observe(now, slotTime)
+	e.caller.group.slotTimeEstimator.observe(now, slotTime)
+	q.slotTimeEstimator.observe(now, slotTime)
 	q.finish(e, slotTime)
 	return true
 }
--- a/core/fairqueue/queue_test.go
+++ b/core/fairqueue/queue_test.go
@@ -20,8 +20,8 @@
 		q := New(Options{})
 		waiting := make(map[ID]Item)
 		running := make(map[ID]Item)
-		lastStarted := make(map[string]ID)
-		slotTime := make(map[model.GroupName]time.Duration)
+		lastStartedByCaller := make(map[string]ID)
+		slotTimeByGroup := make(map[model.GroupName]time.Duration)
 		var now model.Instant
 		var lastID ID
 		nameIndex := rapid.IntRange(0, 3)
@@ -49,8 +49,8 @@
 				}
 				require.Equal(t, waiting[item.ID], item)
 				callerKey := string(item.Group) + "/" + string(item.Caller)
-				require.Greater(t, item.ID, lastStarted[callerKey], "out of order")
-				lastStarted[callerKey] = item.ID
+				require.Greater(t, item.ID, lastStartedByCaller[callerKey], "out of order")
+				lastStartedByCaller[callerKey] = item.ID
 				removeWaiting(item.ID)
 				running[item.ID] = item
 			},
@@ -59,7 +59,7 @@
 					duration := time.Duration(rapid.IntRange(0, 5000).Draw(t, "used"))
 					require.True(t, q.Done(now, id, duration))
 					require.False(t, q.Done(now, id, duration), "twice")
-					slotTime[item.Group] += duration
+					slotTimeByGroup[item.Group] += duration
 					delete(running, id)
 					return
 				}
@@ -107,16 +107,16 @@
 					configs = append(configs, GroupConfig{Group: model.GroupName(fmt.Sprint("g", i)), Weight: weight})
 				}
 				q.Configure(configs)
-				clear(slotTime) // Configure resets groups without requests
+				clear(slotTimeByGroup) // Configure resets groups without requests
 				for i := range 4 {
 					g := model.GroupName(fmt.Sprint("g", i))
-					slotTime[g] = q.Charged(g) - runningCharges(q, g)
+					slotTimeByGroup[g] = q.Charged(g) - runningCharges(q, g)
 				}
 			},
 			"": func(t *rapid.T) {
 				require.Equal(t, len(waiting), q.Len())
 				require.Equal(t, len(running), q.Running())
-				for g, duration := range slotTime {
+				for g, duration := range slotTimeByGroup {
 					require.Equal(t, duration, q.Charged(g)-runningCharges(q, g), "charges of %s", g)
 				}
 			},
@@ -139,11 +139,11 @@
 func TestUnconfiguredGroupsAreBounded(t *testing.T) {
 	q := New(Options{})
 	q.Configure([]GroupConfig{{Group: "named", Weight: 1}})
-	for i := range 10 * maxUnconfigured {
+	for i := range 10 * maxUnconfiguredGroups {
 		q.Push(Item{ID: ID(i + 1), Group: model.GroupName(fmt.Sprint("made-up-", i)), Deadline: 1})
 	}
-	require.Len(t, q.groups, maxUnconfigured+2, "the configured group, maxUnconfigured others and the overflow group")
-	require.Equal(t, 10*maxUnconfigured, q.Len())
+	require.Len(t, q.groups, maxUnconfiguredGroups+2, "the configured group, maxUnconfigured others and the overflow group")
+	require.Equal(t, 10*maxUnconfiguredGroups, q.Len())
 	q.Push(Item{ID: 1 << 20, Group: "named", Deadline: 1})
 	require.False(t, q.OverBound("named"))
 	require.True(t, q.OverBound("made-up-600"), "the bound applies to the overflow group as a whole")
@@ -166,20 +166,20 @@
 // BenchmarkPushPopDone measures one request from Push to Done in a queue in
 // which every group has waiting requests.
 func BenchmarkPushPopDone(b *testing.B) {
-	for _, groups := range []int{1, 10, 100, 1000} {
-		b.Run(fmt.Sprint("groups=", groups), func(b *testing.B) {
+	for _, groupCount := range []int{1, 10, 100, 1000} {
+		b.Run(fmt.Sprint("groups=", groupCount), func(b *testing.B) {
 			q := New(Options{})
 			var configs []GroupConfig
-			for i := range groups {
+			for i := range groupCount {
 				configs = append(configs, GroupConfig{Group: model.GroupName(fmt.Sprint("g", i)), Weight: float64(i%7 + 1)})
 			}
 			q.Configure(configs)
 			id, now := ID(0), model.Instant(0)
 			push := func() {
 				id++
-				q.Push(Item{ID: id, Group: configs[int(id)%groups].Group, Caller: "c", Deadline: now + 1e9})
+				q.Push(Item{ID: id, Group: configs[int(id)%groupCount].Group, Caller: "c", Deadline: now + 1e9})
 			}
-			for range 4 * groups {
+			for range 4 * groupCount {
 				push()
 			}
 			b.ReportAllocs()
--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -29,12 +29,12 @@
 // it returns all of them, sorted, and a nil Set.
 func Compile(docs []Document) (*Set, []Problem) {
 	c := &compiler{set: &Set{
-		services:             make(map[model.ServiceName]*Service),
-		hosts:                make(map[string]model.ServiceName),
-		callers:              make(map[model.CallerName]Caller),
-		callersByToken:       make(map[[sha256.Size]byte]Caller),
-		callersByCertificate: make(map[string]Caller),
-		serviceLabels:        make(map[model.ServiceName]model.Labels),
+		services:            make(map[model.ServiceName]*Service),
+		serviceByHost:       make(map[string]model.ServiceName),
+		callers:             make(map[model.CallerName]Caller),
+		callerByToken:       make(map[[sha256.Size]byte]Caller),
+		callerByCertificate: make(map[string]Caller),
+		labelsByService:     make(map[model.ServiceName]model.Labels),
 	}}
 	sorted := slices.Clone(docs)
 	slices.SortStableFunc(sorted, func(a, b Document) int { return cmp.Compare(a.Key(), b.Key()) })
@@ -119,7 +119,7 @@
 		svc.Timeout = defaultTimeout
 	}
 	c.set.services[svc.Name] = svc
-	c.set.serviceLabels[svc.Name] = d.Labels
+	c.set.labelsByService[svc.Name] = d.Labels
 	c.addHost(d, "name", d.Name)
 	for i, h := range spec.Hosts {
 		c.addHost(d, fmt.Sprintf("spec.hosts[%d]", i), h)
@@ -130,14 +130,14 @@
 // path of the host in the document.
 func (c *compiler) addHost(d Document, path, host string) {
 	key := strings.ToLower(host)
-	owner, taken := c.set.hosts[key]
+	owner, taken := c.set.serviceByHost[key]
 	switch {
 	case key == "":
 		c.addProblem(d, path, host, "must not be empty")
 	case taken && owner != model.ServiceName(d.Name):
 		c.addProblem(d, path, host, "already names service "+string(owner))
 	default:
-		c.set.hosts[key] = model.ServiceName(d.Name)
+		c.set.serviceByHost[key] = model.ServiceName(d.Name)
 	}
 }
 
@@ -156,22 +156,22 @@
 			continue
 		}
 		key := [sha256.Size]byte(digest)
-		if owner, taken := c.set.callersByToken[key]; taken && owner.Name != caller.Name {
+		if owner, taken := c.set.callerByToken[key]; taken && owner.Name != caller.Name {
 			c.addProblem(d, path, h, "already belongs to caller "+string(owner.Name))
 			continue
 		}
-		c.set.callersByToken[key] = caller
+		c.set.callerByToken[key] = caller
 	}
 	for i, name := range spec.CertificateNames {
 		path := fmt.Sprintf("spec.certificate_names[%d]", i)
-		owner, taken := c.set.callersByCertificate[name]
+		owner, taken := c.set.callerByCertificate[name]
 		switch {
 		case name == "":
 			c.addProblem(d, path, name, "must not be empty")
 		case taken && owner.Name != caller.Name:
 			c.addProblem(d, path, name, "already belongs to caller "+string(owner.Name))
 		default:
-			c.set.callersByCertificate[name] = caller
+			c.set.callerByCertificate[name] = caller
 		}
 	}
 }
--- a/core/policy/explain.go
+++ b/core/policy/explain.go
@@ -74,31 +74,31 @@
 	e.Group, _ = svc.GroupOf(c)
 	e.Groups = svc.explainGroups(c.Labels, e.Group)
 	e.Deadline = svc.TimeoutOf(e.Group)
-	total := 0.0
+	totalWeight := 0.0
 	for _, g := range svc.Groups {
-		total += g.Weight
+		totalWeight += g.Weight
 		if g.Name == e.Group {
 			e.Share = g.Weight
 		}
 	}
-	if total > 0 {
-		e.Share /= total
+	if totalWeight > 0 {
+		e.Share /= totalWeight
 	}
 	return e, nil
 }
 
 func (s *Set) explainPolicies(service model.ServiceName) []PolicyStep {
 	var steps []PolicyStep
-	winner := ""
+	appliedPolicy := ""
 	for _, p := range s.policies {
 		step := PolicyStep{Name: p.name, Priority: p.spec.Priority}
-		switch unmatched := p.services.firstUnmatched(s.serviceLabels[service]); {
+		switch unmatched := p.serviceSelector.firstUnmatched(s.labelsByService[service]); {
 		case unmatched != nil:
 			step.Why = fmt.Sprintf("does not select the service: %s does not hold", unmatched)
-		case winner != "":
-			step.Why = fmt.Sprintf("selects the service, but %s comes first", winner)
+		case appliedPolicy != "":
+			step.Why = fmt.Sprintf("selects the service, but %s comes first", appliedPolicy)
 		default:
-			step.Wins, winner = true, p.name
+			step.Wins, appliedPolicy = true, p.name
 			step.Why = "first by priority, then name, that selects the service"
 		}
 		steps = append(steps, step)
@@ -111,13 +111,13 @@
 	var steps []GroupStep
 	for i, g := range s.Groups {
 		step := GroupStep{Name: g.Name, Wins: g.Name == group}
-		unmatched := s.selectors[i].firstUnmatched(labels)
+		unmatched := s.groupSelectors[i].firstUnmatched(labels)
 		switch {
 		case int32(i)+1 == matchedIndex:
 			step.Why = fmt.Sprintf("first group whose selector %q holds", g.Callers)
 		case step.Wins:
 			step.Why = "default group, as no selector holds"
-		case s.selectors[i].Empty():
+		case s.groupSelectors[i].Empty():
 			step.Why = "selects nobody"
 		case unmatched != nil:
 			step.Why = fmt.Sprintf("%s does not hold", unmatched)
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -127,7 +127,7 @@
 	}, paths)
 }
 
-func TestParse(t *testing.T) {
+func TestParseReportsUnknownFieldsAndWrongTypes(t *testing.T) {
 	docs, problems := Parse([]byte(`[{"kind":"Caller","name":"a","spec":{}},{"kind":"Caller","name":"b","lables":{},"labels":{"x":1},"spec":{}}]`))
 	require.Len(t, docs, 2)
 	require.Equal(t, []Problem{
@@ -138,7 +138,7 @@
 	require.Len(t, problems, 1, "not JSON at all")
 }
 
-func TestExplain(t *testing.T) {
+func TestExplainGivesReasonsForPolicyAndGroup(t *testing.T) {
 	set, problems := Compile(exampleDocuments())
 	require.Empty(t, problems)
 	e, err := set.Explain("bench", "sporarkiv")
--- a/core/policy/service.go
+++ b/core/policy/service.go
@@ -32,8 +32,8 @@
 
 	spec         ServiceSpec
 	defaultGroup model.GroupName
-	// selectors holds the parsed GroupSpec.Callers of each group in Groups.
-	selectors       []Selector
+	// groupSelectors holds the parsed GroupSpec.Callers of each group in Groups.
+	groupSelectors  []Selector
 	deadlineClasses map[string]Duration
 	// groupCache holds the result of matchIndex for each caller, at the index
 	// Caller.cacheIndex. The value is 0 until the group of the caller has been
@@ -57,11 +57,11 @@
 	if c.cacheIndex >= len(s.groupCache) {
 		return s.GroupByLabels(c.Labels)
 	}
-	cached := &s.groupCache[c.cacheIndex]
-	index := cached.Load()
+	cachedIndex := &s.groupCache[c.cacheIndex]
+	index := cachedIndex.Load()
 	if index == 0 {
 		index = s.matchIndex(c.Labels)
-		cached.Store(index)
+		cachedIndex.Store(index)
 	}
 	return s.groupAt(index)
 }
@@ -88,7 +88,7 @@
 // matchIndex returns one plus the index of the first group whose selector matches
 // the labels. It returns noGroup when no selector matches.
 func (s *Service) matchIndex(labels model.Labels) int32 {
-	for i, sel := range s.selectors {
+	for i, sel := range s.groupSelectors {
 		if !sel.Empty() && sel.Matches(labels) {
 			return int32(i) + 1
 		}
--- a/core/policy/set.go
+++ b/core/policy/set.go
@@ -20,17 +20,17 @@
 // Set is a compiled configuration. It is immutable.
 type Set struct {
 	services map[model.ServiceName]*Service
-	// hosts maps each host name, in lower case, to its service.
-	hosts   map[string]model.ServiceName
-	callers map[model.CallerName]Caller
-	// callersByToken maps the SHA-256 digest of each bearer token to its caller.
-	callersByToken map[[sha256.Size]byte]Caller
-	// callersByCertificate maps the subject name of each certificate to its caller.
-	callersByCertificate map[string]Caller
+	// serviceByHost maps each host name, in lower case, to its service.
+	serviceByHost map[string]model.ServiceName
+	callers       map[model.CallerName]Caller
+	// callerByToken maps the SHA-256 digest of each bearer token to its caller.
+	callerByToken map[[sha256.Size]byte]Caller
+	// callerByCertificate maps the subject name of each certificate to its caller.
+	callerByCertificate map[string]Caller
 	// policies is sorted by priority, highest first, then by name.
 	policies []sharingPolicy
-	// serviceLabels holds the labels of each service.
-	serviceLabels map[model.ServiceName]model.Labels
+	// labelsByService holds the labels of each service.
+	labelsByService map[model.ServiceName]model.Labels
 }
 
 // Service returns the service with the given name.
@@ -65,7 +65,7 @@
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	n, ok := s.hosts[strings.ToLower(host)]
+	n, ok := s.serviceByHost[strings.ToLower(host)]
 	return n, ok
 }
 
@@ -77,13 +77,13 @@
 
 // CallerByToken returns the caller that a bearer token belongs to.
 func (s *Set) CallerByToken(token string) (Caller, bool) {
-	c, ok := s.callersByToken[sha256.Sum256([]byte(token))]
+	c, ok := s.callerByToken[sha256.Sum256([]byte(token))]
 	return c, ok
 }
 
 // CallerByCertificate returns the caller that a certificate subject name belongs
 // to.
 func (s *Set) CallerByCertificate(name string) (Caller, bool) {
-	c, ok := s.callersByCertificate[name]
+	c, ok := s.callerByCertificate[name]
 	return c, ok
 }
--- a/core/policy/sharing.go
+++ b/core/policy/sharing.go
@@ -15,10 +15,10 @@
 type sharingPolicy struct {
 	name string
 	spec SharingPolicySpec
-	// services selects the services that the policy may apply to.
-	services Selector
-	// selectors holds the parsed GroupSpec.Callers of each group.
-	selectors []Selector
+	// serviceSelector selects the services that the policy may apply to.
+	serviceSelector Selector
+	// groupSelectors holds the parsed GroupSpec.Callers of each group.
+	groupSelectors []Selector
 }
 
 func (c *compiler) addPolicy(d Document) {
@@ -27,16 +27,16 @@
 		return
 	}
 	p := sharingPolicy{name: d.Name, spec: spec}
-	p.services = c.parseSelector(d, "spec.services", spec.Services)
+	p.serviceSelector = c.parseSelector(d, "spec.services", spec.Services)
 	c.checkShare(d, "spec.measuring_budget", spec.MeasuringBudget)
 	c.checkShare(d, "spec.retry_share", spec.RetryShare)
 	c.checkQuarantine(d, spec.Quarantine)
-	for name, class := range spec.DeadlineClasses {
-		if class <= 0 {
-			c.addProblem(d, "spec.deadline_classes."+name, time.Duration(class).String(), "must be above 0")
+	for name, deadline := range spec.DeadlineClasses {
+		if deadline <= 0 {
+			c.addProblem(d, "spec.deadline_classes."+name, time.Duration(deadline).String(), "must be above 0")
 		}
 	}
-	p.selectors = c.checkGroups(d, spec)
+	p.groupSelectors = c.checkGroups(d, spec)
 	c.set.policies = append(c.set.policies, p)
 }
 
@@ -121,7 +121,7 @@
 		return cmp.Or(cmp.Compare(b.spec.Priority, a.spec.Priority), cmp.Compare(a.name, b.name))
 	})
 	for name, svc := range c.set.services {
-		i := slices.IndexFunc(c.set.policies, func(p sharingPolicy) bool { return p.services.Matches(c.set.serviceLabels[name]) })
+		i := slices.IndexFunc(c.set.policies, func(p sharingPolicy) bool { return p.serviceSelector.Matches(c.set.labelsByService[name]) })
 		if i >= 0 {
 			svc.applyPolicy(c.set.policies[i])
 		}
@@ -132,7 +132,7 @@
 	s.Policy = p.name
 	s.Groups = p.spec.Groups
 	s.defaultGroup = p.spec.DefaultGroup
-	s.selectors = p.selectors
+	s.groupSelectors = p.groupSelectors
 	s.deadlineClasses = p.spec.DeadlineClasses
 	if s.MeasuringBudget == nil {
 		s.MeasuringBudget = p.spec.MeasuringBudget
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -17,7 +17,7 @@
 	return Route{Name: name, Host: host, Prefix: prefix, MaxAttempts: 2, Split: splitTo("s")}
 }
 
-func TestLookup(t *testing.T) {
+func TestLookupMatchesHostThenLongestPrefix(t *testing.T) {
 	table, err := New(Document{Version: 3, Routes: []Route{
 		newRoute("short", "a.example", "/x/"),
 		newRoute("long", "a.example", "/x/y/"),
@@ -87,13 +87,13 @@
 			t.Skip("no weight")
 		}
 		var splitter Splitter
-		picks := map[model.ServiceName]float64{}
+		pickCounts := map[model.ServiceName]float64{}
 		for n := 1; n <= 200; n++ {
-			picks[splitter.Pick(&r)]++
+			pickCounts[splitter.Pick(&r)]++
 			for _, service := range r.Split {
-				require.InDelta(t, float64(n)*service.Weight/totalWeight, picks[service.Service], float64(len(weights))-1+1e-6)
+				require.InDelta(t, float64(n)*service.Weight/totalWeight, pickCounts[service.Service], float64(len(weights))-1+1e-6)
 				if service.Weight == 0 {
-					require.Zero(t, picks[service.Service])
+					require.Zero(t, pickCounts[service.Service])
 				}
 			}
 		}
@@ -103,9 +103,9 @@
 func TestSplitStateSurvivesNewVersion(t *testing.T) {
 	var splitter Splitter
 	split := []WeightedService{{"a", 50}, {"b", 50}}
-	first := splitter.Pick(&Route{Name: "r", Split: split})
-	second := splitter.Pick(&Route{Name: "r", Split: []WeightedService{{"a", 50}, {"b", 50}}})
-	require.NotEqual(t, first, second)
+	firstPick := splitter.Pick(&Route{Name: "r", Split: split})
+	secondPick := splitter.Pick(&Route{Name: "r", Split: []WeightedService{{"a", 50}, {"b", 50}}})
+	require.NotEqual(t, firstPick, secondPick)
 }
 
 func TestAboveLowestPriority(t *testing.T) {
--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -10,9 +10,9 @@
 // route's traffic split by smooth weighted round robin. It is not safe for
 // concurrent use. The zero value is ready to use.
 type Splitter struct {
-	// states holds the state of each route with more than one service, by the
+	// stateByRoute holds the state of each route with more than one service, by the
 	// name of the route.
-	states map[string]*splitState
+	stateByRoute map[string]*splitState
 }
 
 // splitState is the state of smooth weighted round robin over one split.
@@ -58,13 +58,13 @@
 // state returns the state of the route's split, or a new state if the split has
 // changed.
 func (s *Splitter) state(r *Route) *splitState {
-	if s.states == nil || len(s.states) > maxStates {
-		s.states = make(map[string]*splitState)
+	if s.stateByRoute == nil || len(s.stateByRoute) > maxStates {
+		s.stateByRoute = make(map[string]*splitState)
 	}
-	state := s.states[r.Name]
+	state := s.stateByRoute[r.Name]
 	if state == nil || !slices.Equal(state.split, r.Split) {
 		state = &splitState{split: r.Split, currentWeights: make([]float64, len(r.Split))}
-		s.states[r.Name] = state
+		s.stateByRoute[r.Name] = state
 	}
 	return state
 }
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -11,35 +11,35 @@
 // Table is a validated configuration, indexed for lookups.
 type Table struct {
 	doc Document
-	// hosts holds the routes of each normalized host, longest prefix first.
-	hosts    map[string][]*Route
-	services map[model.ServiceName]*Service
-	// lastRank is the largest rank of any route. Requests of this rank are served
+	// routesByHost holds the routes of each normalized host, longest prefix first.
+	routesByHost  map[string][]*Route
+	serviceByName map[model.ServiceName]*Service
+	// largestRank is the largest rank of any route. Requests of this rank are served
 	// last.
-	lastRank int
+	largestRank int
 }
 
 // New checks a configuration and returns its Table. The error for an invalid
 // configuration is an *Error.
 func New(doc Document) (*Table, error) {
 	t := &Table{
-		doc:      doc,
-		hosts:    make(map[string][]*Route),
-		services: make(map[model.ServiceName]*Service, len(doc.Services)),
+		doc:           doc,
+		routesByHost:  make(map[string][]*Route),
+		serviceByName: make(map[model.ServiceName]*Service, len(doc.Services)),
 	}
 	for i := range doc.Services {
-		t.services[doc.Services[i].Name] = &t.doc.Services[i]
+		t.serviceByName[doc.Services[i].Name] = &t.doc.Services[i]
 	}
 	for i := range doc.Routes {
 		r := &t.doc.Routes[i]
 		if err := r.validate(doc.Version); err != nil {
 			return nil, err
 		}
-		t.lastRank = max(t.lastRank, r.Rank)
+		t.largestRank = max(t.largestRank, r.Rank)
 		host := normalizeHost(r.Host)
-		t.hosts[host] = append(t.hosts[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return t, nil
@@ -56,11 +56,11 @@
 
 // AboveLowestPriority reports whether rank has a higher priority than the largest
 // rank of any route, that is whether rank is the smaller number.
-func (t *Table) AboveLowestPriority(rank int) bool { return rank < t.lastRank }
+func (t *Table) AboveLowestPriority(rank int) bool { return rank < t.largestRank }
 
 // Service returns the configuration of a service.
 func (t *Table) Service(name model.ServiceName) (*Service, bool) {
-	s, ok := t.services[name]
+	s, ok := t.serviceByName[name]
 	return s, ok
 }
 
@@ -68,7 +68,7 @@
 // route with the longest prefix that the path starts with. Paths are case-sensitive.
 // Lookup reports false when no route matches.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
-	for _, r := range t.hosts[normalizeHost(host)] {
+	for _, r := range t.routesByHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -59,8 +59,8 @@
 	defaultRetryAfter = time.Second
 )
 
-// problemTitles holds the problem title of each kind of outcome other than Answered.
-var problemTitles = map[outcome.Kind]string{
+// problemTitleByKind holds the problem title of each kind of outcome other than Answered.
+var problemTitleByKind = map[outcome.Kind]string{
 	outcome.NotRun:  "The request did not run",
 	outcome.Unknown: "It is not known whether the request ran",
 }
@@ -69,7 +69,7 @@
 func writeProblem(w http.ResponseWriter, o outcome.Outcome) {
 	p := problem{
 		Type:       problemTypePrefix + string(o.Reason),
-		Title:      problemTitles[o.Kind],
+		Title:      problemTitleByKind[o.Kind],
 		Status:     statusOf(o),
 		Detail:     o.Reason.Detail(),
 		Outcome:    o.Kind.String(),
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestWriteProblem(t *testing.T) {
+func TestWriteProblemSetsStatusHeadersAndBody(t *testing.T) {
 	tests := []struct {
 		name       string
 		outcome    outcome.Outcome
--- a/entry/classify.go
+++ b/entry/classify.go
@@ -13,15 +13,15 @@
 // classify determines the service, caller, group and deadline of a request, and reads
 // its body. When the request must be refused, classify returns only an outcome.
 func (e *Entry) classify(w http.ResponseWriter, r *http.Request) (*request, *outcome.Outcome) {
-	inForce := e.opts.Config()
-	if inForce == nil {
+	config := e.opts.Config()
+	if config == nil {
 		return nil, refusedBecause(outcome.ReasonNotReady)
 	}
-	svc, ok := serviceOf(inForce.Set, r)
+	svc, ok := serviceOf(config.Set, r)
 	if !ok {
 		return nil, refusedBecause(outcome.ReasonNoService)
 	}
-	requester, reason := e.requesterOf(inForce.Set, r)
+	requester, reason := e.requesterOf(config.Set, r)
 	if reason != outcome.ReasonNone {
 		return nil, refusedBecause(reason)
 	}
@@ -76,16 +76,16 @@
 // timeoutOf returns the timeout of a request. This is the value of its timeout header,
 // but at most limit. Without this header it is limit. timeoutOf reports false when the
 // header is invalid.
-func timeoutOf(r *http.Request, limit time.Duration) (time.Duration, bool) {
+func timeoutOf(r *http.Request, maxTimeout time.Duration) (time.Duration, bool) {
 	s := r.Header.Get(wire.HeaderTimeout)
 	if s == "" {
-		return limit, true
+		return maxTimeout, true
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil || d <= 0 {
 		return 0, false
 	}
-	return min(d, limit), true
+	return min(d, maxTimeout), true
 }
 
 // idempotentOf reports whether a request may run more than once. The request's
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -154,29 +154,29 @@
 	releaseCeiling func()
 	// cachedFingerprint holds the result of fingerprint.
 	cachedFingerprint lazyFingerprint
-	// crashes counts the upstreams that crashed while they ran the request.
-	crashes int
+	// crashCount counts the upstreams that crashed while they ran the request.
+	crashCount int
 }
 
 // forward sends the request to one upstream after another until the request is
 // answered or no further retry is allowed. It returns the last response.
 func (e *Entry) forward(ctx context.Context, req *request) *wire.Result {
 	var tried []model.UpstreamID
-	last := wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoUpstream))
+	lastResponse := wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoUpstream))
 	e.retryBudgets.countRequest(req.service)
 	for attempt := 0; ; attempt++ {
-		if o, refused := e.quarantined(req); refused {
-			return wire.NoResponse(o.After(last.Outcome))
+		if o, refused := e.checkQuarantine(req); refused {
+			return wire.NoResponse(o.After(lastResponse.Outcome))
 		}
 		response, upstream, ok := e.attempt(ctx, req, tried, attempt)
 		if !ok {
-			return last
+			return lastResponse
 		}
 		tried = append(tried, upstream)
 		e.retryBudgets.countAttempt(req.service, response)
-		response.Outcome, last = response.Outcome.After(last.Outcome), response
+		response.Outcome, lastResponse = response.Outcome.After(lastResponse.Outcome), response
 		if !e.waitForRetry(ctx, req, response, attempt) {
-			return last
+			return lastResponse
 		}
 		_ = response.Body.Close()
 	}
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -61,12 +61,12 @@
 // cancelled, for example because the first attempt has ended. It also returns nil when
 // the router does not allow a hedge, for example because the hedge budget is exhausted;
 // see routing.Router.Hedge.
-func (e *Entry) sendHedge(ctx context.Context, req *request, first routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Result {
+func (e *Entry) sendHedge(ctx context.Context, req *request, firstChoice routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Result {
 	if ctx.Err() != nil {
 		return nil
 	}
-	exclude := append([]model.UpstreamID{first.Upstream.ID}, tried...)
-	choice, ok := e.opts.Routers.Hedge(first.Upstream, sentAt, exclude)
+	exclude := append([]model.UpstreamID{firstChoice.Upstream.ID}, tried...)
+	choice, ok := e.opts.Routers.Hedge(firstChoice.Upstream, sentAt, exclude)
 	if !ok {
 		return nil
 	}
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -21,22 +21,22 @@
 // forwarderWithStuckUpstream answers each call after a millisecond, except calls
 // to the stuck upstream, which do not return until they are cancelled.
 type forwarderWithStuckUpstream struct {
-	mu            sync.Mutex
-	stuckUpstream model.UpstreamID
-	calls         map[model.UpstreamID]int
-	cancelled     int
+	mu              sync.Mutex
+	stuckUpstream   model.UpstreamID
+	callsByUpstream map[model.UpstreamID]int
+	cancelledCount  int
 }
 
 func (f *forwarderWithStuckUpstream) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	f.mu.Lock()
-	f.calls[c.Upstream]++
-	seq, stuck := uint64(f.calls[c.Upstream]), c.Upstream == f.stuckUpstream
+	f.callsByUpstream[c.Upstream]++
+	seq, stuck := uint64(f.callsByUpstream[c.Upstream]), c.Upstream == f.stuckUpstream
 	f.mu.Unlock()
 	if stuck {
 		<-ctx.Done()
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.cancelled++
+		f.cancelledCount++
 		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonCancelled))
 	}
 	time.Sleep(time.Millisecond)
@@ -76,35 +76,35 @@
 
 func TestStuckIdempotentRequestIsHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		f := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
+		f := &forwarderWithStuckUpstream{callsByUpstream: make(map[model.UpstreamID]int)}
 		e, req := newWarmEntry(f, true)
 		f.stuckUpstream = "s-1"
-		callsBefore := f.calls["s-1"]
+		callsBefore := f.callsByUpstream["s-1"]
 		for range 10 {
 			response, _, ok := e.attempt(context.Background(), req, nil, 0)
 			assert.True(t, ok)
 			assert.Equal(t, outcome.Answered, response.Outcome.Kind)
 			assert.NoError(t, response.Body.Close())
 		}
-		assert.Greater(t, f.calls["s-1"], callsBefore, "the stuck upstream was tried")
-		assert.Equal(t, f.calls["s-1"]-callsBefore, f.cancelled, "every stuck call was cancelled")
+		assert.Greater(t, f.callsByUpstream["s-1"], callsBefore, "the stuck upstream was tried")
+		assert.Equal(t, f.callsByUpstream["s-1"]-callsBefore, f.cancelledCount, "every stuck call was cancelled")
 	})
 }
 
 func TestNonIdempotentRequestIsNeverHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		f := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
+		f := &forwarderWithStuckUpstream{callsByUpstream: make(map[model.UpstreamID]int)}
 		e, req := newWarmEntry(f, false)
-		callsBefore := f.calls["s-1"] + f.calls["s-2"]
+		callsBefore := f.callsByUpstream["s-1"] + f.callsByUpstream["s-2"]
 		f.stuckUpstream = "s-1"
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		sent := 0
-		for f.cancelled == 0 {
+		sentCount := 0
+		for f.cancelledCount == 0 {
 			response, _, _ := e.attempt(ctx, req, nil, 0)
 			_ = response.Body.Close()
-			sent++
+			sentCount++
 		}
-		assert.Equal(t, callsBefore+sent, f.calls["s-1"]+f.calls["s-2"], "one call for each request")
+		assert.Equal(t, callsBefore+sentCount, f.callsByUpstream["s-1"]+f.callsByUpstream["s-2"], "one call for each request")
 	})
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -56,20 +56,20 @@
 	return e.opts.Keyed.Submit(ctx, c, body)
 }
 
-// readAll returns the complete body and ReasonNone. When the body is longer than limit
+// readAll returns the complete body and ReasonNone. When the body is longer than maxBytes
 // bytes or cannot be read, readAll returns the reason to refuse the request.
-func (b *body) readAll(limit int64) ([]byte, outcome.Reason) {
-	if b.length > limit {
+func (b *body) readAll(maxBytes int64) ([]byte, outcome.Reason) {
+	if b.length > maxBytes {
 		return nil, outcome.ReasonTooLarge
 	}
 	if b.stream == nil {
 		return b.data, outcome.ReasonNone
 	}
-	data, err := io.ReadAll(io.LimitReader(b.stream, limit+1))
+	data, err := io.ReadAll(io.LimitReader(b.stream, maxBytes+1))
 	switch {
 	case err != nil:
 		return nil, bodyErrorReason(err)
-	case int64(len(data)) > limit:
+	case int64(len(data)) > maxBytes:
 		return nil, outcome.ReasonTooLarge
 	default:
 		return data, outcome.ReasonNone
@@ -89,11 +89,11 @@
 // as a request that the caller has sent to this entry. This daemon must own the key,
 // and must have claimed the key for the call; see package claims.
 func (e *Entry) ForwardKeyed(ctx context.Context, c *wire.Call) *wire.Result {
-	inForce := e.opts.Config()
-	if inForce == nil {
+	config := e.opts.Config()
+	if config == nil {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNotReady))
 	}
-	svc, ok := inForce.Set.Service(c.Service)
+	svc, ok := config.Set.Service(c.Service)
 	if !ok {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoService))
 	}
--- a/entry/nested.go
+++ b/entry/nested.go
@@ -56,9 +56,9 @@
 
 // capTimeout returns the timeout of the request. The timeout of a nested call is
 // capped by the time that the outer request has left.
-func (r requester) capTimeout(requested time.Duration) time.Duration {
+func (r requester) capTimeout(timeout time.Duration) time.Duration {
 	if r.nested {
-		return min(requested, r.remaining)
+		return min(timeout, r.remaining)
 	}
-	return requested
+	return timeout
 }
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -37,8 +37,8 @@
 	timeouts []time.Duration
 	// groups holds the groups of all calls to upstreams.
 	groups []model.GroupName
-	// attempts is the number of calls to the last service.
-	attempts atomic.Int64
+	// attemptCount is the number of calls to the last service.
+	attemptCount atomic.Int64
 }
 
 // chainTimeout is the deadline setting of every service of a serviceChain.
@@ -56,7 +56,7 @@
 	}
 	set, problems := policy.Compile(docs)
 	require.Empty(t, problems)
-	inForce := &configuration.InForce{Version: 1, Set: set}
+	config := &configuration.InForce{Version: 1, Set: set}
 	var clock atomic.Int64
 	now := func() model.Instant { return model.Instant(clock.Add(int64(10 * time.Microsecond))) }
 	view := staticView{
@@ -66,7 +66,7 @@
 	}
 	c.entry = New(Options{
 		Now:     now,
-		Config:  func() *configuration.InForce { return inForce },
+		Config:  func() *configuration.InForce { return config },
 		Routers: NewRouters(view, now, routing.Options{Zone: "a", Seed: 1}),
 		Local:   c,
 		Self:    "self",
@@ -87,7 +87,7 @@
 	_, err := fmt.Sscanf(string(call.Service), "s%d", &index)
 	require.NoError(c.t, err)
 	if index == c.length-1 {
-		c.attempts.Add(1)
+		c.attemptCount.Add(1)
 		return c.lastService(call)
 	}
 	token := c.tokens.Sign(calltoken.Token{
@@ -135,15 +135,15 @@
 	c := newServiceChain(t, calltoken.MaxDepth, fail)
 	w := c.send(0, nil)
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
-	require.LessOrEqual(t, c.attempts.Load(), int64(maxAttempts), "only one layer may retry")
+	require.LessOrEqual(t, c.attemptCount.Load(), int64(maxAttempts), "only one layer may retry")
 
-	const requests = 500
-	for range requests {
+	const requestCount = 500
+	for range requestCount {
 		c.send(0, nil)
 	}
-	amplification := float64(c.attempts.Load()) / (requests + 1)
+	amplification := float64(c.attemptCount.Load()) / (requestCount + 1)
 	t.Logf("amplification at depth 16: %.3f attempts per request", amplification)
-	require.LessOrEqual(t, amplification, 1.1+10.0/requests)
+	require.LessOrEqual(t, amplification, 1.1+10.0/requestCount)
 }
 
 func TestNestedCallsInheritDeadlineAndGroup(t *testing.T) {
@@ -161,7 +161,7 @@
 
 func TestInvalidNestedCallsAreRefused(t *testing.T) {
 	c := newServiceChain(t, 1, respondOK)
-	otherSecret := calltoken.NewSigner("other").Sign(calltoken.Token{Caller: "bench", Depth: 1, Deadline: time.Now().Add(time.Minute), TimeLeft: time.Minute})
+	tokenOfOtherSecret := calltoken.NewSigner("other").Sign(calltoken.Token{Caller: "bench", Depth: 1, Deadline: time.Now().Add(time.Minute), TimeLeft: time.Minute})
 	tests := []struct {
 		name    string
 		headers map[string]string
@@ -170,7 +170,7 @@
 	}{
 		{"token of wrong format", map[string]string{wire.HeaderCallToken: "sorters"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
 		{"empty token", map[string]string{wire.HeaderCallToken: ""}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
-		{"token signed with another secret", map[string]string{wire.HeaderCallToken: otherSecret}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
+		{"token signed with another secret", map[string]string{wire.HeaderCallToken: tokenOfOtherSecret}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
 		{"too deep", c.benchTokenHeader(calltoken.MaxDepth, time.Second), http.StatusBadRequest, outcome.ReasonDepth},
 		{"past its deadline", c.benchTokenHeader(1, -time.Second), http.StatusGatewayTimeout, outcome.ReasonDeadline},
 		{"bad credentials without a token", map[string]string{"Authorization": "Bearer x"}, http.StatusUnauthorized, outcome.ReasonUnauthenticated},
@@ -186,7 +186,7 @@
 			require.Equal(t, "not-run", w.Header().Get(wire.HeaderOutcome))
 		})
 	}
-	require.Zero(t, c.attempts.Load(), "no refused call reached an upstream")
+	require.Zero(t, c.attemptCount.Load(), "no refused call reached an upstream")
 }
 
 func TestHugeTimeoutIsCapped(t *testing.T) {
@@ -200,9 +200,9 @@
 // group with these headers.
 func TestForgedGroupHeadersAreIgnored(t *testing.T) {
 	c := newServiceChain(t, 1, respondOK)
-	forged := map[string]string{wire.HeaderGroup: "sorters", "Dottereltiller-Hop-Group": "sorters", "Dottereltiller-Hop-Caller": "bench"}
+	forgedHeaders := map[string]string{wire.HeaderGroup: "sorters", "Dottereltiller-Hop-Group": "sorters", "Dottereltiller-Hop-Caller": "bench"}
 	for range 100 {
-		require.Equal(t, http.StatusOK, c.send(0, forged).Code)
+		require.Equal(t, http.StatusOK, c.send(0, forgedHeaders).Code)
 	}
 	for _, g := range c.groups {
 		require.EqualValues(t, "rest", g)
@@ -228,11 +228,11 @@
 		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonConnectionLost))
 	}
 	c := newServiceChain(t, 1, loseConnection)
-	const requests = 1000
-	for range requests {
+	const requestCount = 1000
+	for range requestCount {
 		require.Equal(t, http.StatusBadGateway, c.send(0, nil).Code)
 	}
-	retries := c.attempts.Load() - requests
-	t.Logf("%d retries for %d failing requests", retries, requests)
-	require.LessOrEqual(t, retries, int64(20), "retries are off while most attempts fail")
+	retryCount := c.attemptCount.Load() - requestCount
+	t.Logf("%d retries for %d failing requests", retryCount, requestCount)
+	require.LessOrEqual(t, retryCount, int64(20), "retries are off while most attempts fail")
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -49,9 +49,9 @@
 	return r.cachedFingerprint.value
 }
 
-// quarantined reports whether the request is refused because it is quarantined. If
+// checkQuarantine reports whether the request is refused because it is quarantined. If
 // so, it returns the outcome of the request.
-func (e *Entry) quarantined(req *request) (outcome.Outcome, bool) {
+func (e *Entry) checkQuarantine(req *request) (outcome.Outcome, bool) {
 	if e.opts.Quarantine == nil || !e.opts.Quarantine.HasRecords() {
 		return outcome.Outcome{}, false
 	}
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -14,21 +14,23 @@
 
 // quarantineStub is a Quarantine that refuses a request after two crashes.
 type quarantineStub struct {
-	crashes  map[quarantine.Fingerprint][]quarantine.Crash
-	answered []quarantine.Fingerprint
+	crashesByFingerprint map[quarantine.Fingerprint][]quarantine.Crash
+	answeredFingerprints []quarantine.Fingerprint
 }
 
-func (q *quarantineStub) HasRecords() bool { return len(q.crashes) > 0 }
+func (q *quarantineStub) HasRecords() bool { return len(q.crashesByFingerprint) > 0 }
 
 func (q *quarantineStub) RefusedFor(f quarantine.Fingerprint) (time.Duration, bool) {
-	return 90 * time.Second, len(q.crashes[f]) >= 2
+	return 90 * time.Second, len(q.crashesByFingerprint[f]) >= 2
 }
 
 func (q *quarantineStub) RecordCrash(f quarantine.Fingerprint, _ quarantine.Request, crash quarantine.Crash) {
-	q.crashes[f] = append(q.crashes[f], crash)
+	q.crashesByFingerprint[f] = append(q.crashesByFingerprint[f], crash)
 }
 
-func (q *quarantineStub) RecordResponse(f quarantine.Fingerprint) { q.answered = append(q.answered, f) }
+func (q *quarantineStub) RecordResponse(f quarantine.Fingerprint) {
+	q.answeredFingerprints = append(q.answeredFingerprints, f)
+}
 
 func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	crashing := true
@@ -38,15 +40,15 @@
 		}
 		return respondOK(call)
 	})
-	stub := &quarantineStub{crashes: make(map[quarantine.Fingerprint][]quarantine.Crash)}
+	stub := &quarantineStub{crashesByFingerprint: make(map[quarantine.Fingerprint][]quarantine.Crash)}
 	c.entry.opts.Quarantine = stub
 	w := c.send(0, nil)
 	require.Equal(t, "unknown", w.Header().Get(wire.HeaderOutcome))
 	require.EqualValues(t, outcome.ReasonUpstreamCrashed, w.Header().Get(wire.HeaderReason))
-	require.EqualValues(t, 2, c.attempts.Load())
+	require.EqualValues(t, 2, c.attemptCount.Load())
 
 	w = c.send(0, nil)
-	require.EqualValues(t, 2, c.attempts.Load(), "a retry by the caller is refused without an attempt")
+	require.EqualValues(t, 2, c.attemptCount.Load(), "a retry by the caller is refused without an attempt")
 	require.Equal(t, "not-run", w.Header().Get(wire.HeaderOutcome))
 	require.EqualValues(t, outcome.ReasonQuarantined, w.Header().Get(wire.HeaderReason))
 	require.Equal(t, "90", w.Header().Get("Retry-After"))
@@ -56,5 +58,5 @@
 		"the fingerprint does not cover the headers")
 	c.path = "/other"
 	require.Equal(t, http.StatusOK, c.send(0, nil).Code)
-	require.Len(t, stub.answered, 1, "a complete response is reported to the quarantine")
+	require.Len(t, stub.answeredFingerprints, 1, "a complete response is reported to the quarantine")
 }
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -21,8 +21,8 @@
 // use.
 type retryBudgets struct {
 	now func() model.Instant
-	// decisionCounters holds the counter of each decision on a retry.
-	decisionCounters map[retry.Decision]tally.Counter
+	// counterByDecision holds the counter of each decision on a retry.
+	counterByDecision map[retry.Decision]tally.Counter
 
 	mu sync.Mutex
 	// budgets holds the retry budget of each service that has received requests.
@@ -32,13 +32,13 @@
 
 func newRetryBudgets(now func() model.Instant, scope tally.Scope) *retryBudgets {
 	r := &retryBudgets{
-		now:              now,
-		decisionCounters: make(map[retry.Decision]tally.Counter),
-		budgets:          make(map[model.ServiceName]*retry.Budget),
+		now:               now,
+		counterByDecision: make(map[retry.Decision]tally.Counter),
+		budgets:           make(map[model.ServiceName]*retry.Budget),
 	}
 	scope = telemetry.OrNoop(scope)
 	for _, decision := range []retry.Decision{retry.Allowed, retry.BudgetExhausted, retry.TooManyFailures, retry.DeadlineTooClose} {
-		r.decisionCounters[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
+		r.counterByDecision[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
 	}
 	return r
 }
@@ -80,7 +80,7 @@
 		decision = r.budgets[req.service.Name].Allow(r.now())
 		r.mu.Unlock()
 	}
-	r.decisionCounters[decision].Inc(1)
+	r.counterByDecision[decision].Inc(1)
 	return wait, decision == retry.Allowed
 }
 
@@ -96,8 +96,8 @@
 	if response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
 		// One retry after a crash is allowed: the request may crash a second
 		// upstream, but not a third.
-		req.crashes++
-		if req.crashes > 1 {
+		req.crashCount++
+		if req.crashCount > 1 {
 			return false
 		}
 	}
--- a/entry/routers_test.go
+++ b/entry/routers_test.go
@@ -25,11 +25,11 @@
 		assert.True(t, ok)
 		return c.Upstream
 	}
-	var order []model.UpstreamID
+	var chosenIDs []model.UpstreamID
 	for range 4 {
-		order = append(order, place().ID)
+		chosenIDs = append(chosenIDs, place().ID)
 	}
-	assert.Equal(t, []model.UpstreamID{"s-1", "s-2", "s-1", "s-2"}, order)
+	assert.Equal(t, []model.UpstreamID{"s-1", "s-2", "s-1", "s-2"}, chosenIDs)
 
 	policyName = "no-such-policy"
 	up := place()
--- a/entry/upgrade.go
+++ b/entry/upgrade.go
@@ -11,8 +11,8 @@
 // ignored, as RFC 9110 allows.
 func requestsUpgrade(r *http.Request) bool {
 	for _, line := range r.Header["Upgrade"] {
-		for name := range strings.SplitSeq(line, ",") {
-			if !strings.EqualFold(strings.TrimSpace(name), "h2c") {
+		for protocol := range strings.SplitSeq(line, ",") {
+			if !strings.EqualFold(strings.TrimSpace(protocol), "h2c") {
 				return true
 			}
 		}
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -112,9 +112,9 @@
 	if u.polling {
 		return measure.Reservation{}, false
 	}
-	refusedBefore := u.monitor.Refused()
+	refusalsBefore := u.monitor.Refused()
 	reservation, ok := u.monitor.BeginPoll(u.now(), maxPollCost)
-	if u.monitor.Refused() != refusedBefore {
+	if u.monitor.Refused() != refusalsBefore {
 		p.countPoll("over-budget")
 	}
 	u.polling = ok
@@ -136,9 +136,9 @@
 		p.countPoll("failed")
 		return
 	}
-	before := u.monitor.Counts()
+	countsBefore := u.monitor.Counts()
 	u.monitor.PollSucceeded(now, reservation, cost, report, u.limiter.Slowed())
-	p.countPoll(pollResult(before, u.monitor.Counts()))
+	p.countPoll(pollResult(countsBefore, u.monitor.Counts()))
 }
 
 // pollResult returns the result of a successful poll as a value of the metric tag
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -23,9 +23,9 @@
 // is the number of requests that the upstream received.
 func pollOnce(t *testing.T, budget float64, status int, body string) (result string, requestCount int32, g *Guard) {
 	t.Helper()
-	var received atomic.Int32
+	var receivedRequests atomic.Int32
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		received.Add(1)
+		receivedRequests.Add(1)
 		assert.Equal(t, "/load", r.URL.Path)
 		w.WriteHeader(status)
 		_, _ = fmt.Fprint(w, body)
@@ -43,7 +43,7 @@
 	up := model.Upstream{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6}
 	g.Attach(membership.LocalUpstream{Upstream: up, Address: upstream.Listener.Addr().String(), LoadPath: "/load"})
 	g.startDuePolls(context.Background())
-	assert.Zero(t, received.Load(), "no poll is due yet")
+	assert.Zero(t, receivedRequests.Load(), "no poll is due yet")
 	now.Store(int64(time.Minute))
 	g.startDuePolls(context.Background())
 	require.Eventually(t, func() bool {
@@ -55,16 +55,16 @@
 		}
 		return false
 	}, time.Minute, time.Millisecond)
-	return result, received.Load(), g
+	return result, receivedRequests.Load(), g
 }
 
-func TestPoll(t *testing.T) {
+func TestPollCountsResultAndChargesSlotTime(t *testing.T) {
 	cases := map[string]struct {
-		budget       float64
-		status       int
-		body         string
-		want         string
-		requestCount int32
+		budget           float64
+		status           int
+		body             string
+		wantResult       string
+		wantRequestCount int32
 	}{
 		"report agrees":    {0.01, 200, `{"running": 0, "other": true}`, "agreed", 1},
 		"report too high":  {0.01, 200, `{"running": 60}`, "unsupported", 1},
@@ -79,10 +79,10 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			result, requestCount, g := pollOnce(t, tc.budget, tc.status, tc.body)
-			assert.Equal(t, tc.want, result)
-			assert.Equal(t, tc.requestCount, requestCount)
+			assert.Equal(t, tc.wantResult, result)
+			assert.Equal(t, tc.wantRequestCount, requestCount)
 			slotTime := g.MeasuringSlotTime()["s-1"]
-			assert.Equal(t, tc.requestCount > 0, slotTime > 0)
+			assert.Equal(t, tc.wantRequestCount > 0, slotTime > 0)
 			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "at most one burst of the budget")
 			assert.Zero(t, g.Loads("s")["s-1"].Running, "a report that the observed load does not support adds no running requests")
 		})
--- a/guard/queue_timeout_test.go
+++ b/guard/queue_timeout_test.go
@@ -20,13 +20,13 @@
 
 // newBusyGuard returns a guard for an upstream whose only slot is taken until
 // release is called. The upstream sends the path of each request that it receives to
-// the channel executed.
-func newBusyGuard(t *testing.T) (g *Guard, executed chan string, release func()) {
+// the channel executedPaths.
+func newBusyGuard(t *testing.T) (g *Guard, executedPaths chan string, release func()) {
 	t.Helper()
-	executed = make(chan string, 10)
+	executedPaths = make(chan string, 10)
 	unblock := make(chan struct{})
 	upstream := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		executed <- r.URL.Path
+		executedPaths <- r.URL.Path
 		<-unblock
 	}))
 	t.Cleanup(upstream.Close)
@@ -42,8 +42,8 @@
 		defer close(done)
 		_, _ = io.Copy(io.Discard, g.Do(context.Background(), newCall("/first")).Body)
 	}()
-	require.Equal(t, "/first", <-executed)
-	return g, executed, func() {
+	require.Equal(t, "/first", <-executedPaths)
+	return g, executedPaths, func() {
 		close(unblock)
 		<-done
 	}
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -39,33 +39,33 @@
 // any buffer. Before the deadline, the test neither reads nor closes the body of the
 // response. After the deadline, the slot must be free for the next call.
 func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
-	const large = 32 << 20
-	cancelled := make(chan struct{})
+	const largeBodyBytes = 32 << 20
+	requestCancelled := make(chan struct{})
 	g := newGuardWithUpstream(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/large" {
 			return
 		}
 		go func() {
 			<-r.Context().Done()
-			close(cancelled)
+			close(requestCancelled)
 		}()
 		chunk := make([]byte, 64<<10)
-		for range large / len(chunk) {
+		for range largeBodyBytes / len(chunk) {
 			if _, err := w.Write(chunk); err != nil {
 				return
 			}
 		}
 	}))
-	slow := newCall("/large")
-	slow.Timeout = 300 * time.Millisecond
-	slowResponse := g.Do(context.Background(), slow)
+	slowCall := newCall("/large")
+	slowCall.Timeout = 300 * time.Millisecond
+	slowResponse := g.Do(context.Background(), slowCall)
 	require.Equal(t, outcome.Answered, slowResponse.Outcome.Kind)
-	next := newCall("/next")
-	next.Timeout = 10 * time.Second
-	nextResponse := g.Do(context.Background(), next)
+	nextCall := newCall("/next")
+	nextCall.Timeout = 10 * time.Second
+	nextResponse := g.Do(context.Background(), nextCall)
 	require.Equal(t, outcome.Answered, nextResponse.Outcome.Kind, "%+v", nextResponse.Outcome)
 	require.NoError(t, nextResponse.Body.Close())
-	<-cancelled
+	<-requestCancelled
 	_, err := io.Copy(io.Discard, slowResponse.Body)
 	require.Error(t, err, "a truncated response must not look complete")
 	require.NoError(t, slowResponse.Body.Close())
@@ -103,15 +103,15 @@
 }
 
 func TestUpstreamReceivesTokenForNestedCalls(t *testing.T) {
-	got := make(chan string, 1)
+	tokenHeaders := make(chan string, 1)
 	g := newGuardWithUpstream(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		got <- r.Header.Get(wire.HeaderCallToken)
+		tokenHeaders <- r.Header.Get(wire.HeaderCallToken)
 	}))
 	c := newCall("/")
 	c.Caller, c.Group, c.Depth, c.Timeout = "bench", "sorters", 4, time.Minute
 	c.Header.Set(wire.HeaderCallToken, "from outside")
 	require.NoError(t, g.Do(context.Background(), c).Body.Close())
-	token, err := calltoken.NewSigner("secret").Verify(<-got)
+	token, err := calltoken.NewSigner("secret").Verify(<-tokenHeaders)
 	require.NoError(t, err)
 	require.EqualValues(t, "bench", token.Caller)
 	require.EqualValues(t, "sorters", token.Group)
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -262,8 +262,8 @@
 	wire.StripInternalHeaders(h)
 	wire.StripHopByHopHeaders(h)
 	trace.Inject(ctx, h)
-	if end, ok := ctx.Deadline(); ok {
-		remaining := time.Until(end)
+	if deadline, ok := ctx.Deadline(); ok {
+		remaining := time.Until(deadline)
 		h.Set(wire.HeaderTimeout, remaining.Round(time.Microsecond).String())
 		u.setToken(h, c, remaining)
 	}
