--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -7,7 +7,7 @@
 	"github.com/dottereltiller/dottereltiller/core/outcome"
 )
 
-// ID identifies one request in a Controller. The caller never reuses an ID.
+// ID identifies one request in a Controller. No two requests may have the same ID.
 type ID uint64
 
 // Arrival is a request that is passed to Controller.Arrive.
@@ -23,7 +23,7 @@
 const (
 	// Start sends the request to the upstream now.
 	Start EffectKind = iota + 1
-	// Refuse answers the request with Effect.Outcome. The request did not run.
+	// Refuse refuses the request with Effect.Outcome. The request did not run.
 	Refuse
 )
 
@@ -49,9 +49,11 @@
 // callers that share the upstream's slots with other groups by weight.
 type Group struct {
 	Name model.GroupName
-	// Weight is the group's share of slot time relative to the other groups. Groups
-	// of weight 0 come last. Their requests start only when no group with a weight
-	// above 0 has a request that may start.
+	// Weight is proportional to the slot time that the group gets while all groups have
+	// waiting requests. Slot time is the time that requests hold slots. Groups of weight
+	// 0 come last. Their requests start only when no group with a weight above 0 has a
+	// request that may start. Very small weights count as more; see
+	// fairqueue.MinWeightRatio.
 	Weight float64
 	// QueueBound is the largest number of waiting requests of the group.
 	QueueBound int
@@ -64,10 +66,10 @@
 type Limiter interface {
 	// Limit returns the number of requests that may run at once, at least 1.
 	Limit() int
-	// Observe records the end of a request. slotTime is how long the request held
-	// its slot. running is the number of requests that were running just before
-	// the end, including the ended one. Observe is not called for a request that
-	// was cut short without a failure, for example because the caller cancelled
-	// it. The slot time of such a request is not representative.
+	// Observe records the end of a request. slotTime is how long the request held its
+	// slot. running is the number of requests that were running just before this request
+	// ended, including this request. Observe is not called for a request that was cut
+	// short without a failure, for example because the caller cancelled it. The slot time
+	// of such a request is not representative.
 	Observe(now model.Instant, slotTime time.Duration, running int, failed bool)
 }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -25,6 +25,8 @@
 }
 
 const (
+	// defaultQueueBound and defaultTotalBound are the defaults of
+	// Options.QueueBound and Options.TotalBound.
 	defaultQueueBound = 128
 	defaultTotalBound = 1024
 	// estimateMaxAge is the largest age of a group's slot time estimate at which
@@ -119,9 +121,9 @@
 	return c.startWaiting(now, effects)
 }
 
-// Withdraw removes a waiting request from the queue. It reports false when the
-// request does not wait. If Withdraw reports true, the request did not run, and no
-// later call returns an effect for the request.
+// Withdraw removes a waiting request from the queue. It reports false when the request is
+// not waiting. If Withdraw reports true, the request did not run, and no later call
+// returns an effect for the request.
 func (c *Controller) Withdraw(now model.Instant, id ID) bool {
 	if !c.queue.Remove(fairqueue.ID(id)) {
 		return false
@@ -130,7 +132,8 @@
 	return true
 }
 
-// Expire refuses every waiting request whose deadline has passed.
+// Expire refuses every waiting request whose deadline has passed. It appends the
+// resulting effects to the given slice and returns the slice.
 func (c *Controller) Expire(now model.Instant, effects []Effect) []Effect {
 	for {
 		id, ok := c.queue.RemoveExpired(now)
@@ -143,7 +146,8 @@
 }
 
 // Drain refuses all waiting requests and every later arrival. These requests did
-// not run. Running requests are not affected.
+// not run. Running requests are not affected. Drain appends the resulting effects to the
+// given slice and returns the slice.
 func (c *Controller) Drain(now model.Instant, effects []Effect) []Effect {
 	c.draining = true
 	c.seq++
@@ -156,7 +160,7 @@
 	}
 }
 
-// LoadFor returns the current load. Its Ahead is the estimated number of waiting
+// LoadFor returns the current load. Load.Ahead is the estimated number of waiting
 // requests that would start before a new request of the given group.
 func (c *Controller) LoadFor(now model.Instant, group model.GroupName) model.Load {
 	load := c.Load(now)
@@ -164,7 +168,7 @@
 	return load
 }
 
-// Load returns the current load. Its Ahead is the number of all waiting requests.
+// Load returns the current load. Load.Ahead is the number of all waiting requests.
 func (c *Controller) Load(now model.Instant) model.Load {
 	return model.Load{
 		Running:     int32(c.queue.Running()),
@@ -183,7 +187,7 @@
 func (c *Controller) limit() int { return max(c.limiter.Limit(), 1) }
 
 // startWaiting refuses expired requests and starts waiting requests while slots
-// are free.
+// are free. It refuses a request that cannotEndInTime reports, instead of starting it.
 func (c *Controller) startWaiting(now model.Instant, effects []Effect) []Effect {
 	effects = c.Expire(now, effects)
 	for c.queue.Running() < c.limit() {
--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -12,10 +12,13 @@
 
 const ms = model.Instant(time.Millisecond)
 
+// arrival returns the arrival of a request whose caller has the same name as its group.
 func arrival(id ID, group model.GroupName, deadline model.Instant) Arrival {
 	return Arrival{ID: id, Request: model.Request{Group: group, Caller: model.CallerName(group), Deadline: deadline}}
 }
 
+// reasonsByID returns the reason of each refusal by the ID of the request. The reason of
+// a request that starts is ReasonNone.
 func reasonsByID(effects []Effect) map[ID]outcome.Reason {
 	reasons := make(map[ID]outcome.Reason)
 	for _, e := range effects {
@@ -24,6 +27,9 @@
 	return reasons
 }
 
+// TestArriveRefuses lets one request arrive at a controller with one slot, at most two
+// waiting requests of a group, and at most three waiting requests in all. The wanted
+// reasons are those of the effects of this arrival.
 func TestArriveRefuses(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -79,7 +85,8 @@
 }
 
 // TestArriveRefusesRequestThatCannotMeetItsDeadline lets the controller observe a slot
-// time of 10 ms and queues ten requests ahead of the arriving one.
+// time of 10 ms and queues ten requests ahead of the arriving one. The arriving request
+// must be refused when its deadline is 50 ms away, and must wait when it is 290 ms away.
 func TestArriveRefusesRequestThatCannotMeetItsDeadline(t *testing.T) {
 	c := New(Options{Slots: 1})
 	c.Arrive(0, arrival(1, "a", 1000*ms), nil)
@@ -143,6 +150,8 @@
 	require.Equal(t, []int{2, 3}, limiter.observedRunning)
 }
 
+// TestControllerDoesNotAllocate checks that arrivals and ends of requests allocate no
+// memory once the queue has reached its working size.
 func TestControllerDoesNotAllocate(t *testing.T) {
 	c := New(Options{Slots: 2})
 	c.Configure(0, []Group{{Name: "a", Weight: 2}, {Name: "b", Weight: 1}})
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -27,6 +27,8 @@
 	return sum(sim.inTimeByWindow["g"])
 }
 
+// TestGoodputUnderOverload offers several multiples of the upstream's capacity. The
+// goodput must stay at 95% or more of the goodput at exactly the capacity.
 func TestGoodputUnderOverload(t *testing.T) {
 	goodputAtCapacity := goodput(t, 1)
 	for _, multiple := range []float64{2, 5, 20} {
@@ -57,8 +59,9 @@
 }
 
 // TestGroupIsIsolatedFromOverloadOfAnother measures the latency of a group that
-// stays within its share. It compares a run of this group alone with a run in which
-// a second group offers ten times the capacity of the upstream.
+// stays within its share of the slot time. It compares a run of this group alone with a
+// run in which a second group offers ten times the capacity of the upstream. The second
+// group may raise the p99 latency of the first group by at most 10%.
 func TestGroupIsIsolatedFromOverloadOfAnother(t *testing.T) {
 	groups := []Group{{Name: "victim", Weight: 8}, {Name: "overloading", Weight: 1}}
 	victim := workload{
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -17,7 +17,8 @@
 const longTimeout = time.Hour
 
 // TestShareWithinFivePercent generates groups that are always backlogged and
-// checks that each gets its weighted share of the slot time in every second.
+// checks that each gets its weighted share of the slot time in every second after the
+// first. It also checks that each group is charged exactly the slot time that it used.
 func TestShareWithinFivePercent(t *testing.T) {
 	largestDeviation := 0.0
 	defer func() { t.Logf("largest deviation of a share in one second: %.2f%%", 100*largestDeviation) }()
@@ -88,6 +89,10 @@
 	})
 }
 
+// TestWeightZeroRunsOnlyWhenNothingElseWaits runs a group of weight zero beside a group
+// that is backlogged for one second. In this second the group of weight zero must get
+// almost no slot time, and some of its requests must be refused at their deadlines. In
+// the third second, when it is alone, it must get slot time.
 func TestWeightZeroRunsOnlyWhenNothingElseWaits(t *testing.T) {
 	sim := newSimulator(t, 2, Options{}, Group{Name: "paid", Weight: 1}, Group{Name: "free", Weight: 0})
 	paid := workload{group: "paid", slotTime: constant(time.Millisecond), interval: 400 * time.Microsecond, timeout: time.Second, stopAt: time.Second}
--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// job is one simulated request.
+// job is one simulated request. slotTime is the time that the request needs a slot for.
 type job struct {
 	id        ID
 	workload  *workload
@@ -240,6 +240,7 @@
 	return s
 }
 
+// quantile returns the q-quantile of the durations, or 0 when there are none.
 func quantile(durations []time.Duration, q float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
--- a/core/fairqueue/flow.go
+++ b/core/fairqueue/flow.go
@@ -35,7 +35,9 @@
 	name  model.CallerName
 	group *group
 
-	// virtualTime is the slot time charged to the caller, in nanoseconds.
+	// virtualTime is the slot time charged to the caller, in nanoseconds. It is
+	// raised to the system virtual time of the group when the caller gets its first
+	// waiting request.
 	virtualTime float64
 	// virtualTimeIndex is the position in group.byVirtualTime.
 	virtualTimeIndex int
@@ -100,7 +102,9 @@
 	// maxRunning is GroupConfig.MaxRunning.
 	maxRunning int
 
-	// virtualTime is the slot time charged to the group divided by its weight.
+	// virtualTime is the slot time charged to the group, in nanoseconds, divided by
+	// the weight. It is raised to the system virtual time of the class when the
+	// group becomes ready.
 	virtualTime float64
 	// readyIndex is the position in priorityClass.ready while one of the group's
 	// requests may start, and notInHeap otherwise.
@@ -119,7 +123,8 @@
 	// byLength holds the callers with waiting requests, most waiting requests
 	// first.
 	byLength indexHeap[*caller]
-	// systemVirtualTime is the virtual time of the caller served last.
+	// systemVirtualTime is the virtual time of the caller served last. It never
+	// decreases.
 	systemVirtualTime float64
 	// idleHead and idleTail are the ends of the idle list; see caller.idleNext.
 	idleHead  *caller
@@ -168,7 +173,8 @@
 	// ready holds the groups with a request that may start, lowest virtual time
 	// first.
 	ready indexHeap[*group]
-	// systemVirtualTime is the virtual time of the group served last.
+	// systemVirtualTime is the virtual time of the group served last. It never
+	// decreases.
 	systemVirtualTime float64
 	// weight is the sum of the weights of the groups in the ready heap.
 	weight float64
@@ -194,7 +200,7 @@
 
 // add puts a group into the ready heap. It raises the group's virtual time to the
 // system virtual time if the group's is lower. The group therefore gets no credit
-// for the time before.
+// for the time during which it was not in the heap.
 func (c *priorityClass) add(g *group, seq uint64) {
 	g.virtualTime = max(g.virtualTime, c.systemVirtualTime)
 	g.seq = seq
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -9,10 +9,10 @@
 // GroupConfig is the configuration of one group.
 type GroupConfig struct {
 	Group model.GroupName
-	// Weight is the group's share of slot time relative to the other groups. A
-	// weight of zero or below puts the group into the background class. Its
-	// requests start only when no group of the foreground class has a request that
-	// may start.
+	// Weight is proportional to the slot time that the group gets while all groups have
+	// waiting requests. A weight of zero or below puts the group into the background
+	// class. Its requests start only when no group of the foreground class has a request
+	// that may start. Very small weights count as more; see MinWeightRatio.
 	Weight float64
 	// QueueBound is the largest number of waiting requests. Default:
 	// Options.QueueBound.
@@ -38,7 +38,8 @@
 
 // Configure replaces the configuration of all groups. Waiting requests keep
 // their order within their group. Groups without a GroupConfig get the smallest
-// weight of the configured groups.
+// effective weight of the configured groups. Those of them that have no waiting or
+// running requests are removed.
 func (q *Queue) Configure(groups []GroupConfig) {
 	maxWeight := 0.0
 	for _, config := range groups {
@@ -83,7 +84,7 @@
 func validWeight(weight float64) bool { return weight > 0 && !math.IsInf(weight, 0) }
 
 // setConfig sets the effective weight and the queue bound of a group. A weight of 0
-// moves the group to the background class. A bound of 0 or below means
+// moves the group to the background class. A queueBound of 0 or below means
 // Options.QueueBound.
 func (q *Queue) setConfig(g *group, weight float64, queueBound int) {
 	if queueBound <= 0 {
@@ -109,6 +110,7 @@
 	}
 }
 
+// addGroup adds a group with the settings of a group without a GroupConfig.
 func (q *Queue) addGroup(name model.GroupName) *group {
 	g := newGroup(name)
 	g.class, g.weight, g.queueBound = q.foreground, q.minWeight, q.opts.QueueBound
@@ -145,6 +147,8 @@
 	return q.addGroup(name)
 }
 
+// findOrAddCaller returns the caller of the given name in a group, and adds it if it is
+// missing.
 func (q *Queue) findOrAddCaller(g *group, name model.CallerName) *caller {
 	if c := g.callers[name]; c != nil {
 		return c
--- a/core/fairqueue/heap.go
+++ b/core/fairqueue/heap.go
@@ -7,7 +7,9 @@
 // element, so that an element can be moved or removed in O(log n).
 type indexHeap[T any] struct {
 	items []T
-	less  func(a, b T) bool
+	// less reports whether a comes before b.
+	less func(a, b T) bool
+	// index returns a pointer to the position that an element stores.
 	index func(T) *int
 }
 
--- a/core/fairqueue/idle.go
+++ b/core/fairqueue/idle.go
@@ -8,7 +8,9 @@
 
 // releaseIfIdle frees a caller that has no requests left. A caller whose virtual
 // time is ahead of the group's system virtual time is kept in the idle list.
-// Otherwise a caller could reset its charges by going idle.
+// Otherwise a caller could reset its charges by going idle. releaseIfIdle also frees
+// callers from the head of the idle list until the list has at most maxIdleCallers
+// callers and the virtual time of its head is ahead of the system virtual time.
 func (q *Queue) releaseIfIdle(c *caller) {
 	g := c.group
 	if c.waiting > 0 || c.running > 0 || c.inIdleList {
@@ -26,6 +28,7 @@
 	}
 }
 
+// freeCaller removes a caller from its group and keeps the struct for reuse.
 func (q *Queue) freeCaller(c *caller) {
 	delete(c.group.callers, c.name)
 	*c = caller{virtualTimeIndex: notInHeap, lengthIndex: notInHeap}
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -6,7 +6,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// ID identifies one request in a Queue. The caller never reuses an ID.
+// ID identifies one request in a Queue. No two requests may have the same ID.
 type ID uint64
 
 // Item is a request as it is passed to Push and returned by Pop.
@@ -145,7 +145,7 @@
 }
 
 // CancelStart ends a request that Pop returned but that was not run. It undoes the
-// charge for the request.
+// charge for the request. It does nothing when no running request has this ID.
 func (q *Queue) CancelStart(id ID) {
 	if e := q.entries[id]; e != nil && e.running {
 		q.finish(e, 0)
@@ -180,16 +180,16 @@
 	return q.discard(q.byDeadline.top()), true
 }
 
-// OverBound reports whether a group has more waiting requests than its bound.
+// OverBound reports whether a group has more waiting requests than its queue bound.
 func (q *Queue) OverBound(name model.GroupName) bool {
 	g := q.findGroup(name)
 	return g != nil && g.waiting > g.queueBound
 }
 
-// DropOldest selects the group's caller with the most waiting requests, and removes
-// the oldest of these. The caller that sends most therefore loses a request, and its
-// oldest request usually has the least time left. DropOldest reports false when the
-// group has no waiting requests.
+// DropOldest selects the group's caller with the most waiting requests, and removes the
+// oldest of these. The caller that sends most therefore loses a request, and its oldest
+// request usually has the least time left until its deadline. DropOldest reports false
+// when the group has no waiting requests.
 func (q *Queue) DropOldest(name model.GroupName) (ID, bool) {
 	g := q.findGroup(name)
 	if g == nil || g.waiting == 0 {
--- a/core/fairqueue/queue_test.go
+++ b/core/fairqueue/queue_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestQueueAgainstModel compares the queue with a simple model under random
-// operations. Each pushed request must be popped, removed or dropped exactly once.
+// operations. Each pushed request must be popped, removed, dropped or expired at most once.
 // The requests of one caller must start in the order in which they were pushed. The
 // charges of ended requests must equal the slot time that they used.
 func TestQueueAgainstModel(t *testing.T) {
@@ -136,6 +136,9 @@
 	return d
 }
 
+// TestUnconfiguredGroupsAreBounded pushes requests of ten times as many unconfigured
+// groups as the queue keeps. The requests of the surplus groups must be kept in the
+// overflow group, whose queue bound applies to all of them together.
 func TestUnconfiguredGroupsAreBounded(t *testing.T) {
 	q := New(Options{})
 	q.Configure([]GroupConfig{{Group: "named", Weight: 1}})
@@ -149,6 +152,8 @@
 	require.True(t, q.OverBound("made-up-600"), "the bound applies to the overflow group as a whole")
 }
 
+// TestIdleCallersAreBounded makes four times as many callers idle as the queue keeps, all
+// with charges ahead of the system virtual time.
 func TestIdleCallersAreBounded(t *testing.T) {
 	q := New(Options{})
 	for i := range ID(4 * maxIdleCallers) {
--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -16,6 +16,8 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
+// The defaults of the fields of ServiceSpec and SharingPolicySpec, and the largest length
+// of the name of a document.
 const (
 	defaultTimeout            = 10 * time.Second
 	defaultQueueBound         = 128
@@ -126,8 +128,9 @@
 	}
 }
 
-// addHost maps a host to the service that the document declares. path is the JSON
-// path of the host in the document.
+// addHost maps a host to the service that the document declares. Case is ignored. path is
+// the JSON path of the host in the document. addHost records a problem when the host is
+// empty or already belongs to another service.
 func (c *compiler) addHost(d Document, path, host string) {
 	key := strings.ToLower(host)
 	owner, taken := c.set.serviceByHost[key]
@@ -176,7 +179,7 @@
 	}
 }
 
-// checkShare records a problem when a value is set and not between 0 and 1.
+// checkShare records a problem when a value is not nil and not between 0 and 1.
 func (c *compiler) checkShare(d Document, path string, v *float64) {
 	if v != nil && !(*v >= 0 && *v <= 1) {
 		c.addProblem(d, path, fmt.Sprint(*v), "want 0 to 1")
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -106,9 +106,11 @@
 	// Callers is a Selector for the labels of callers. Here, an empty selector
 	// selects no caller. It is allowed only for the default group.
 	Callers string `json:"callers"`
-	// Weight is the group's share of slot time relative to the other groups, at
-	// least 0. Groups of weight 0 come last. Their requests start only when no
-	// group with a weight above 0 has a request that may start.
+	// Weight is proportional to the slot time that the group gets while all groups have
+	// waiting requests. Slot time is the time that requests hold the slots of an
+	// upstream. The weight is at least 0. Groups of weight 0 come last. Their requests
+	// start only when no group with a weight above 0 has a request that may start. Very
+	// small weights count as more; see fairqueue.MinWeightRatio.
 	Weight float64 `json:"weight"`
 	// QueueBound is the largest number of the group's requests that wait at one
 	// upstream. Default: 128.
@@ -121,8 +123,8 @@
 	// this class is the longest time that a request of the group may take. It is
 	// also the timeout of requests that set none. Default: the service's deadline.
 	DeadlineClass string `json:"deadline_class,omitempty"`
-	// RatePerSecond limits the rate of the group's requests over all daemons.
-	// Zero means no limit.
+	// RatePerSecond limits the rate of the group's requests over all daemons, in
+	// requests per second. Zero means no limit.
 	RatePerSecond float64 `json:"rate_per_second,omitempty"`
 	// Concurrency limits the number of the group's requests in flight over all
 	// daemons. Zero means no limit.
--- a/core/policy/parse.go
+++ b/core/policy/parse.go
@@ -7,7 +7,8 @@
 
 // Parse decodes the contents of a file that holds one document or a list of
 // documents. It returns a problem for each unknown field and each value of the wrong
-// type. It does not look into the specs of the documents, which Compile checks.
+// type. For data that is not valid JSON it returns a problem with an empty JSON path.
+// It does not look into the specs of the documents, which Compile checks.
 func Parse(data []byte) ([]Document, []Problem) {
 	var items []json.RawMessage
 	if json.Unmarshal(data, &items) != nil {
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -13,6 +13,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// newDocument returns a document with labels in the form "key=value,key=value".
 func newDocument(kind, name, labels, spec string) Document {
 	d := Document{Kind: kind, Name: name, Spec: json.RawMessage(spec)}
 	if labels != "" {
@@ -42,6 +43,8 @@
 	}
 }
 
+// TestCompileResolvesOverlapsIndependentlyOfOrder compiles the example documents in random
+// orders. Each time, the same policy and group must apply.
 func TestCompileResolvesOverlapsIndependentlyOfOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
@@ -69,6 +72,8 @@
 	}
 }
 
+// TestCompileReportsProblems compiles documents that together have one problem. Compile
+// must report exactly this problem and return no Set.
 func TestCompileReportsProblems(t *testing.T) {
 	policyWith := func(spec string) Document { return newDocument(KindSharingPolicy, "p", "", spec) }
 	policyWithGroupFields := func(fields string) Document {
@@ -175,6 +180,8 @@
 	require.Zero(t, testing.AllocsPerRun(100, func() { svc.GroupOf(c) }))
 }
 
+// BenchmarkGroupOf compares a lookup in the cache ("remembered") with a lookup that
+// matches the selectors of 1000 groups ("matched").
 func BenchmarkGroupOf(b *testing.B) {
 	docs := []Document{newDocument(KindService, "s", "", `{}`), newDocument(KindCaller, "c", "team=t999", `{}`)}
 	groups := make([]string, 0, 1000)
--- a/core/policy/problem.go
+++ b/core/policy/problem.go
@@ -8,7 +8,7 @@
 
 // Problem is an error found in a document.
 type Problem struct {
-	// Document is the document's key.
+	// Document is the key of the document, "kind/name"; see Document.Key.
 	Document string
 	// Path is the JSON path of the field, such as "spec.groups[1].weight".
 	Path string
--- a/core/policy/selector_test.go
+++ b/core/policy/selector_test.go
@@ -53,6 +53,8 @@
 	}
 }
 
+// FuzzParseSelector checks that each term of a valid selector is unchanged after it has
+// been formatted and parsed again.
 func FuzzParseSelector(f *testing.F) {
 	f.Add("role=sorter,hall in (a,b),!x")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/core/policy/service.go
+++ b/core/policy/service.go
@@ -76,8 +76,9 @@
 	return s.Groups[i], true
 }
 
-// TimeoutOf returns the longest time that a request of a group may take. This is
-// the deadline of the group's deadline class, or else that of the service.
+// TimeoutOf returns the longest time that a request of a group may take. This is the
+// deadline of the group's deadline class. For a group without a deadline class it is the
+// timeout of the service.
 func (s *Service) TimeoutOf(name model.GroupName) time.Duration {
 	if g, ok := s.GroupSpec(name); ok && g.DeadlineClass != "" {
 		return time.Duration(s.deadlineClasses[g.DeadlineClass])
@@ -105,7 +106,8 @@
 	return s.defaultGroup, s.defaultGroup != ""
 }
 
-// Idempotent reports whether a request may run more than once.
+// Idempotent reports whether a request with the given method and path may run more than
+// once; see ServiceSpec.NonIdempotent.
 func (s *Service) Idempotent(method, path string) bool {
 	if routeMatches(s.spec.NonIdempotent, method, path) {
 		return false
--- a/core/route/document.go
+++ b/core/route/document.go
@@ -81,7 +81,8 @@
 	return fmt.Sprintf("configuration %s: route %q: %s: %s", e.Version, e.Route, e.Field, e.Problem)
 }
 
-// validate returns an *Error for the first invalid field of the route, or nil.
+// validate returns an *Error for the first invalid field of the route, or nil. It reports
+// a negative TargetLatency as field "timeout".
 func (r *Route) validate(version model.Version) error {
 	newError := func(field, problem string) error {
 		return &Error{Version: version, Route: r.Name, Field: field, Problem: problem}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -9,6 +9,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
+// splitTo returns a traffic split with a single service.
 func splitTo(service model.ServiceName) []WeightedService {
 	return []WeightedService{{Service: service, Weight: 1}}
 }
@@ -100,6 +101,8 @@
 	})
 }
 
+// TestSplitStateSurvivesNewVersion picks twice from a route whose split is replaced by an
+// equal split in between. The round robin must continue, so the picks must differ.
 func TestSplitStateSurvivesNewVersion(t *testing.T) {
 	var splitter Splitter
 	split := []WeightedService{{"a", 50}, {"b", 50}}
--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -22,19 +22,19 @@
 	currentWeights []float64
 }
 
-// maxStates is the largest number of states that a Splitter keeps. When there are
-// more, all states are reset. Due to a reset, the number of requests that a service
-// gets changes by at most one request in a split between two services. In a split
-// between n services it changes by at most n-1 requests. These are the largest
-// deviations from the share at any time; see Pick.
+// maxStates bounds the states that a Splitter keeps. When it has more, the next call of
+// Pick resets all states. A reset changes the number of requests that a service gets by at
+// most one in a split between two services, and by at most n-1 in a split between n
+// services. These are the largest deviations from the service's share of the requests at
+// any time; see Pick.
 const maxStates = 4096
 
 // Pick returns the service for the next request of a route. It first adds the weight
 // of each service to the current weight of the service. It then picks the service
 // with the largest current weight, and subtracts the sum of all weights from this
 // current weight. In a split between two services, the number of requests that a
-// service has got never differs from its share by more than one. In a split between
-// n services, it never differs by more than n-1.
+// service has got never differs by more than one from its share, by weight, of the
+// requests so far. In a split between n services, it never differs by more than n-1.
 func (s *Splitter) Pick(r *Route) model.ServiceName {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -19,8 +19,8 @@
 	largestRank int
 }
 
-// New checks a configuration and returns its Table. The error for an invalid
-// configuration is an *Error.
+// New checks a configuration and returns its Table. If a route is invalid, New returns an
+// *Error for the first invalid route.
 func New(doc Document) (*Table, error) {
 	t := &Table{
 		doc:           doc,
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -12,9 +12,10 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// writeResponse writes the response to the caller. When the upstream's body is
-// truncated, writeResponse aborts the connection to the caller. Otherwise the caller
-// could take the truncated response for a complete one.
+// writeResponse writes the response to the caller and closes the response's body. For
+// an outcome other than Answered it writes a problem response. When the upstream's body
+// is truncated, writeResponse aborts the connection to the caller, so that the caller
+// does not take the truncated response for a complete one.
 func writeResponse(w http.ResponseWriter, response *wire.Result) {
 	defer func() { _ = response.Body.Close() }()
 	if response.Outcome.Kind != outcome.Answered {
@@ -53,9 +54,10 @@
 }
 
 const (
+	// problemTypePrefix precedes the reason in the type URI of a problem.
 	problemTypePrefix = "https://dottereltiller.example/problems/"
-	// defaultRetryAfter is the Retry-After value of responses with status 429 or 503
-	// whose outcome holds no value.
+	// defaultRetryAfter is the Retry-After value of a response with status 429 or 503
+	// whose outcome sets no RetryAfter.
 	defaultRetryAfter = time.Second
 )
 
@@ -87,8 +89,8 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// retryAfterSeconds returns the Retry-After value in whole seconds, rounded up. It
-// returns 0 when the response gets no such header.
+// retryAfterSeconds returns the value of the Retry-After header in whole seconds,
+// rounded up. It returns 0 when the response must have no such header.
 func retryAfterSeconds(o outcome.Outcome) int {
 	retryAfter := o.RetryAfter
 	if status := statusOf(o); retryAfter <= 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
@@ -98,7 +100,8 @@
 }
 
 // statusByReason holds the HTTP status of the reasons whose status does not depend on
-// the kind of the outcome; see statusOf. Most of them are more specific than 502 and 503.
+// the kind of the outcome. Most of these statuses are more specific than 502 and 503,
+// the statuses of all other reasons; see statusOf.
 var statusByReason = map[outcome.Reason]int{
 	outcome.ReasonNoService:        http.StatusNotFound,
 	outcome.ReasonUnauthenticated:  http.StatusUnauthorized,
@@ -120,9 +123,9 @@
 	outcome.ReasonKeyMismatch:      http.StatusUnprocessableEntity,
 }
 
-// statusOf returns the HTTP status for an outcome other than Answered. This is the
-// status of its reason in statusByReason. For other reasons it is 503 when the request
-// did not run, and 502 when the request may have run.
+// statusOf returns the HTTP status for an outcome other than Answered. If statusByReason
+// has a status for the reason of the outcome, statusOf returns that status. Otherwise it
+// returns 503 when the request did not run, and 502 when the request may have run.
 func statusOf(o outcome.Outcome) int {
 	if status, ok := statusByReason[o.Reason]; ok {
 		return status
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -11,11 +11,13 @@
 )
 
 // attempt sends the request to an upstream that is not in tried. It returns the
-// response and the upstream. The parameter attempt is the number of the attempt, from 0.
+// response and the ID of the upstream. The parameter attempt is the number of the
+// attempt, from 0.
 //
-// A guard may reject a request that does not start within its queue timeout. A rejected
-// request did not run, so it is sent to the next upstream that the router chooses. The
-// result is false when the router finds no upstream for the request.
+// A guard rejects a request that does not start within the queue timeout that the router
+// has chosen for the request. A rejected request did not run, so attempt sends it to the
+// next upstream that the router chooses, unless ctx has ended. The boolean result is
+// false when the router finds no upstream for the request.
 func (e *Entry) attempt(ctx context.Context, req *request, tried []model.UpstreamID, attempt int) (*wire.Result, model.UpstreamID, bool) {
 	for rejections := req.initialRejections(); ; rejections++ {
 		choice, ok := e.opts.Routers.Place(req.modelRequest(attempt), tried, rejections)
@@ -30,9 +32,10 @@
 	}
 }
 
-// initialRejections returns the number of rejections at which an attempt starts to
-// count. For a body that cannot be replayed, this is the maximum: such a request can
-// be sent only once. It must wait at the first guard instead of being rejected.
+// initialRejections returns the number of rejections that the router is told at the
+// start of an attempt. It is 0 for a body that can be replayed. A request with any other
+// body can be sent only once, so it must wait at the first guard instead of being
+// rejected. For such a request the number is routing.MaxRejections.
 func (r *request) initialRejections() int {
 	if r.body.replayable() {
 		return 0
@@ -40,9 +43,10 @@
 	return routing.MaxRejections
 }
 
-// sendOnce sends the request to the chosen upstream and reports the result to
-// the router. hedge says whether the request is sent as a hedge, that is as a second
-// copy of a request whose response is late.
+// sendOnce sends the request to the chosen upstream once. It reports the result to the
+// router and the metrics, and a crash of the upstream to the quarantine. hedge says
+// whether the request is sent as a hedge, that is as a second copy of a request whose
+// response is late.
 func (e *Entry) sendOnce(ctx context.Context, req *request, choice routing.Choice, attempt int, hedge bool) *wire.Result {
 	upstream := choice.Upstream
 	call := req.call(upstream, attempt)
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -58,6 +58,8 @@
 	return response, ok
 }
 
+// TestRejectedRequestTriesOtherUpstreamsAndThenWaits has every guard reject the request. After
+// routing.MaxRejections rejections, the request must be sent without a queue timeout.
 func TestRejectedRequestTriesOtherUpstreamsAndThenWaits(t *testing.T) {
 	g := &rejectingGuard{}
 	response, ok := attemptOnce(g, &body{data: []byte("x"), length: 1})
--- a/entry/body.go
+++ b/entry/body.go
@@ -20,8 +20,10 @@
 	length int64
 }
 
-// readBody reads a body whose Content-Length is length, -1 when unknown. It returns
-// ReasonNone, or the reason for which the request must be refused.
+// readBody returns the body of a request. It buffers a body of at most
+// maxReplayableBody bytes; a larger body is streamed. length is the Content-Length, -1
+// when unknown. When the body cannot be read, readBody returns nil and the reason for
+// which the request must be refused. Otherwise the reason is ReasonNone.
 func readBody(r io.Reader, length int64) (*body, outcome.Reason) {
 	if length == 0 {
 		return &body{}, outcome.ReasonNone
--- a/entry/classify.go
+++ b/entry/classify.go
@@ -11,7 +11,8 @@
 )
 
 // classify determines the service, caller, group and deadline of a request, and reads
-// its body. When the request must be refused, classify returns only an outcome.
+// its body. When the request must be refused, classify returns a nil request and the
+// outcome of the refusal. Otherwise the outcome is nil.
 func (e *Entry) classify(w http.ResponseWriter, r *http.Request) (*request, *outcome.Outcome) {
 	config := e.opts.Config()
 	if config == nil {
@@ -54,6 +55,7 @@
 	return req, nil
 }
 
+// refusedBecause returns the outcome of a request that is refused for the given reason.
 func refusedBecause(r outcome.Reason) *outcome.Outcome {
 	o := outcome.NotRunBecause(r)
 	return &o
@@ -73,9 +75,9 @@
 	return set.Service(name)
 }
 
-// timeoutOf returns the timeout of a request. This is the value of its timeout header,
-// but at most limit. Without this header it is limit. timeoutOf reports false when the
-// header is invalid.
+// timeoutOf returns the timeout of a request: the value of its timeout header, but at
+// most maxTimeout. Without this header it returns maxTimeout. timeoutOf reports false
+// when the value of the header is not a duration above zero.
 func timeoutOf(r *http.Request, maxTimeout time.Duration) (time.Duration, bool) {
 	s := r.Header.Get(wire.HeaderTimeout)
 	if s == "" {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -30,7 +30,7 @@
 	// Config returns the configuration in force. It returns nil until a first
 	// configuration has been loaded.
 	Config func() *configuration.InForce
-	// Routers chooses upstreams.
+	// Routers chooses the upstream of each attempt.
 	Routers *Routers
 	// Local forwards calls to the guard of this daemon.
 	Local Forwarder
@@ -69,6 +69,7 @@
 }
 
 const (
+	// defaultMaxBody is the default of Options.MaxBody, in bytes.
 	defaultMaxBody = 8 << 20
 	// maxAttempts is the largest number of attempts for one request.
 	maxAttempts = 3
@@ -147,7 +148,8 @@
 	timeout    time.Duration
 	deadline   model.Instant
 	body       *body
-	// depth is the nesting depth: the number of calls that led to this request.
+	// depth is the number of nested calls that led to this request, including the
+	// request itself if it is a nested call. It is 0 for any other request.
 	depth int
 	// releaseCeiling is the release function that Ceilings.TryAcquire returned. It
 	// is nil when no ceilings are enforced or the request was refused.
@@ -159,7 +161,10 @@
 }
 
 // forward sends the request to one upstream after another until the request is
-// answered or no further retry is allowed. It returns the last response.
+// answered or no further retry is allowed. It returns the last response. When the router
+// finds no upstream for the first attempt, this is a response without a body whose
+// outcome has ReasonNoUpstream. A request that is quarantined is refused before the
+// next attempt.
 func (e *Entry) forward(ctx context.Context, req *request) *wire.Result {
 	var tried []model.UpstreamID
 	lastResponse := wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoUpstream))
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -57,10 +57,11 @@
 	return firstResponse.CancelOnClose(cancelFirst)
 }
 
-// sendHedge sends the request to a second upstream. It returns nil when ctx has been
-// cancelled, for example because the first attempt has ended. It also returns nil when
-// the router does not allow a hedge, for example because the hedge budget is exhausted;
-// see routing.Router.Hedge.
+// sendHedge sends the request to a second upstream. firstChoice is the choice of the first
+// attempt, which was sent at sentAt. The second upstream is neither the first one nor an
+// upstream in tried. sendHedge returns nil when ctx has been cancelled, for example
+// because the first attempt has ended. It also returns nil when the router does not allow
+// a hedge, for example because the hedge budget is exhausted; see routing.Router.Hedge.
 func (e *Entry) sendHedge(ctx context.Context, req *request, firstChoice routing.Choice, sentAt model.Instant, tried []model.UpstreamID, attempt int) *wire.Result {
 	if ctx.Err() != nil {
 		return nil
@@ -79,7 +80,7 @@
 	return response != nil && response.Outcome.Kind == outcome.Answered && response.Status < http.StatusInternalServerError
 }
 
-// closeHedge closes the response of a hedge that is no longer needed.
+// closeHedge waits for the response of a hedge that is no longer needed, and closes it.
 func closeHedge(hedgeResult <-chan *wire.Result) {
 	if response := <-hedgeResult; response != nil {
 		_ = response.Body.Close()
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -47,7 +47,7 @@
 }
 
 // newWarmEntry returns an entry with two upstreams and a request to send. The entry's
-// router has already learned the usual latency of both upstreams.
+// router has already learned the usual latency of both upstreams from 1000 requests.
 func newWarmEntry(f *forwarderWithStuckUpstream, idempotent bool) (*Entry, *request) {
 	origin := time.Now()
 	now := func() model.Instant { return model.Instant(time.Since(origin)) }
@@ -74,6 +74,9 @@
 	return e, req
 }
 
+// TestStuckIdempotentRequestIsHedged sends idempotent requests while one upstream does not
+// answer. Each request must be answered by the other upstream, and each call to the stuck
+// upstream must be cancelled.
 func TestStuckIdempotentRequestIsHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		f := &forwarderWithStuckUpstream{callsByUpstream: make(map[model.UpstreamID]int)}
@@ -91,6 +94,9 @@
 	})
 }
 
+// TestNonIdempotentRequestIsNeverHedged sends non-idempotent requests until one has been
+// sent to the stuck upstream and has run into its deadline. Each request must have been
+// sent to one upstream only.
 func TestNonIdempotentRequestIsNeverHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		f := &forwarderWithStuckUpstream{callsByUpstream: make(map[model.UpstreamID]int)}
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -22,6 +22,7 @@
 	Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result
 }
 
+// defaultMaxKeyedBody is the default of Options.MaxKeyedBody, in bytes.
 const defaultMaxKeyedBody = 256 << 10
 
 // forwardOrSubmit forwards a request and returns the response. A non-idempotent request
@@ -34,8 +35,9 @@
 	return e.submitKeyed(ctx, req)
 }
 
-// submitKeyed checks the idempotency key of a request and forwards the request to
-// the daemon that owns the key.
+// submitKeyed forwards a request to the daemon that owns the idempotency key of the
+// request. It refuses a request with an invalid key or more than one key, and a request
+// whose body is larger than Options.MaxKeyedBody or cannot be read.
 func (e *Entry) submitKeyed(ctx context.Context, req *request) *wire.Result {
 	if e.opts.Keyed == nil {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNotReady))
@@ -76,7 +78,8 @@
 	}
 }
 
-// bufferBody reads r completely and returns a body that can be replayed.
+// bufferBody reads r completely and returns a body that can be replayed. If r is nil, the
+// body is empty.
 func bufferBody(r io.Reader) (*body, error) {
 	if r == nil {
 		return &body{}, nil
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -16,7 +16,7 @@
 	refused *telemetry.OutcomeCounter
 	// attempts counts the outcomes of attempts, including hedges.
 	attempts *telemetry.OutcomeCounter
-	// groups holds the metrics of classified requests.
+	// groups holds the metrics of classified requests by service and group.
 	groups *telemetry.BoundedMetrics[groupKey, *groupMetrics]
 }
 
--- a/entry/nested.go
+++ b/entry/nested.go
@@ -14,7 +14,8 @@
 // requester identifies the caller on whose behalf a request is made.
 type requester struct {
 	caller policy.Caller
-	// depth is the nesting depth: the number of calls that led to this request.
+	// depth is the number of nested calls that led to this request, including the
+	// request itself if it is a nested call. It is 0 for any other request.
 	depth int
 	// nested is set when the request has a call token.
 	nested bool
@@ -54,8 +55,8 @@
 	return result, outcome.ReasonNone
 }
 
-// capTimeout returns the timeout of the request. The timeout of a nested call is
-// capped by the time that the outer request has left.
+// capTimeout caps the timeout of a nested call at the time that is left until the
+// deadline in its call token. It returns any other timeout unchanged.
 func (r requester) capTimeout(timeout time.Duration) time.Duration {
 	if r.nested {
 		return min(timeout, r.remaining)
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -127,7 +127,9 @@
 }
 
 // TestFailureAtDepthSixteenIsNotAmplified makes the deepest of sixteen services
-// unreachable. If every layer retried, one request would cause 3^16 attempts.
+// unreachable. If every layer retried, one request would cause 3^16 attempts. One request
+// may cause at most maxAttempts attempts. Over many requests there may be at most 1.1
+// attempts per request, plus ten attempts in all.
 func TestFailureAtDepthSixteenIsNotAmplified(t *testing.T) {
 	fail := func(*wire.Call) *wire.Result {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonConnect))
@@ -222,7 +224,8 @@
 }
 
 // TestRetriesStopWhenAllUpstreamsFail sends requests to upstreams that all fail
-// immediately. Retries must stop, since they would only add load.
+// immediately. Retries must stop, since they would only add load. At most 20 retries are
+// allowed for all requests together.
 func TestRetriesStopWhenAllUpstreamsFail(t *testing.T) {
 	loseConnection := func(*wire.Call) *wire.Result {
 		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonConnectionLost))
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -15,7 +15,8 @@
 // quarantineStub is a Quarantine that refuses a request after two crashes.
 type quarantineStub struct {
 	crashesByFingerprint map[quarantine.Fingerprint][]quarantine.Crash
-	answeredFingerprints []quarantine.Fingerprint
+	// answered holds the fingerprints that were passed to RecordResponse.
+	answered []quarantine.Fingerprint
 }
 
 func (q *quarantineStub) HasRecords() bool { return len(q.crashesByFingerprint) > 0 }
@@ -28,10 +29,11 @@
 	q.crashesByFingerprint[f] = append(q.crashesByFingerprint[f], crash)
 }
 
-func (q *quarantineStub) RecordResponse(f quarantine.Fingerprint) {
-	q.answeredFingerprints = append(q.answeredFingerprints, f)
-}
+func (q *quarantineStub) RecordResponse(f quarantine.Fingerprint) { q.answered = append(q.answered, f) }
 
+// TestRequestCrashesAtMostTwoUpstreams sends a request that crashes its upstream. It must
+// be retried once. From then on it must be refused, also with other headers, while a
+// request with another path must be answered.
 func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	crashing := true
 	c := newServiceChain(t, 1, func(call *wire.Call) *wire.Result {
@@ -58,5 +60,5 @@
 		"the fingerprint does not cover the headers")
 	c.path = "/other"
 	require.Equal(t, http.StatusOK, c.send(0, nil).Code)
-	require.Len(t, stub.answeredFingerprints, 1, "a complete response is reported to the quarantine")
+	require.Len(t, stub.answered, 1, "a complete response is reported to the quarantine")
 }
--- a/entry/remote.go
+++ b/entry/remote.go
@@ -13,7 +13,7 @@
 // Remote forwards calls to the guards of other daemons.
 type Remote struct {
 	Client *hop.Client
-	// Secret authenticates this daemon to the others.
+	// Secret authenticates this daemon to the other daemons.
 	Secret string
 	// OnUnreachable is called with the ID of another daemon when a call to that
 	// daemon failed. It is not called if the context of the call had ended.
@@ -24,6 +24,7 @@
 // To returns the Forwarder for the guard of a daemon.
 func (r *Remote) To(d model.DaemonID) Forwarder { return remoteGuard{remote: r, daemon: d} }
 
+// remoteGuard is the Forwarder for the guard of one other daemon.
 type remoteGuard struct {
 	remote *Remote
 	daemon model.DaemonID
@@ -58,8 +59,8 @@
 	return response
 }
 
-// readErrorOutcome returns the outcome of a call whose response could not be
-// read.
+// readErrorOutcome returns the outcome of a call whose response could not be read. A
+// response to another call counts as a lost connection.
 func readErrorOutcome(err error) outcome.Outcome {
 	if errors.Is(err, wire.ErrIDMismatch) {
 		return outcome.UnknownBecause(outcome.ReasonConnectionLost)
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -56,8 +56,8 @@
 	b.CountRequest()
 }
 
-// countAttempt counts an attempt as failed or not failed. countRequest must have been
-// called for the service before.
+// countAttempt counts an attempt with the given response as failed or not failed. It may
+// be called only after countRequest has been called for the service.
 func (r *retryBudgets) countAttempt(s *policy.Service, response *wire.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,6 +66,7 @@
 }
 
 // backoff returns how long to wait before a retry, and whether the retry is allowed.
+// retryNumber is 1 for the first retry of the request.
 // o is the outcome of the attempt before the retry. If o.FreeToRetry reports true, the
 // attempt put no load on any upstream. The retry then needs no budget and is allowed
 // until the deadline.
@@ -85,7 +86,8 @@
 }
 
 // waitForRetry reports whether the request should be retried after an attempt with the
-// given response. If so, it returns only after the backoff.
+// given response. If so, it returns only after the backoff. If ctx ends during the
+// backoff, it reports false. attempt is the number of the attempt, from 0.
 func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Result, attempt int) bool {
 	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.RetryElsewhere() {
 		return false
--- a/entry/routers.go
+++ b/entry/routers.go
@@ -12,7 +12,8 @@
 
 // View is the part of the membership view that Routers needs.
 type View interface {
-	// Upstreams returns the upstreams of a service and the current generation.
+	// Upstreams returns the upstreams of a service and the generation of the view
+	// that they come from.
 	Upstreams(model.ServiceName) ([]model.Upstream, uint64)
 	// Generation returns a number that changes whenever any upstream changes.
 	Generation() uint64
@@ -37,7 +38,8 @@
 type serviceRouter struct {
 	mu     sync.Mutex
 	router *routing.Router
-	// policy is the name of the routing policy. It is empty for the default policy.
+	// policy is the name of the routing policy. It is empty for the policy of
+	// Routers.opts.
 	policy string
 	// generation is the generation of the view that the router's upstreams come
 	// from. It is valid when upstreamsLoaded is set.
@@ -61,8 +63,8 @@
 }
 
 // SetPolicySource sets the function that returns the name of a service's routing
-// policy. An empty name means the default policy. SetPolicySource must be called
-// before the first request.
+// policy. An empty name means the policy that was given to NewRouters. SetPolicySource
+// must be called before the first request.
 func (r *Routers) SetPolicySource(policyOf func(model.ServiceName) string) { r.policyOf = policyOf }
 
 // SetMetricsScope sets the scope of the routing metrics. It must be called before
@@ -99,7 +101,8 @@
 	return s.router.Hedge(r.now(), first.ID, sentAt, exclude)
 }
 
-// Done records the result of an attempt.
+// Done reports the result of an attempt to the router of the upstream's service, and
+// updates the routing metrics.
 func (r *Routers) Done(upstream model.Upstream, reply routing.Reply) {
 	s := r.routerFor(upstream.Service)
 	s.mu.Lock()
@@ -136,8 +139,9 @@
 	s.upstreamsLoaded = true
 }
 
-// rebuild replaces the router by a new router with the named policy. An unknown name
-// means the default policy, but the checks of the configuration exclude this case.
+// rebuild replaces s.router by a new router with the named policy. An empty name means
+// the policy of r.opts. An unknown name means the default policy of package routing, but
+// the checks of the configuration reject unknown names.
 func (s *serviceRouter) rebuild(r *Routers, policy string) {
 	opts := r.opts
 	if policy != "" {
--- a/entry/routers_test.go
+++ b/entry/routers_test.go
@@ -10,6 +10,9 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
+// TestRoutersUseTheServicesPolicy checks that the upstreams are chosen by the service's
+// routing policy. After a change to an unknown policy, a new router must be used, and its
+// statistics must start at zero.
 func TestRoutersUseTheServicesPolicy(t *testing.T) {
 	view := staticView{
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6},
--- a/guard/body.go
+++ b/guard/body.go
@@ -10,8 +10,9 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// slotReleasingBody is a response body that releases the upstream's slot. It does so
-// once the body has been read completely or closed, or the call's context has ended.
+// slotReleasingBody is a response body that releases the slot that the call holds at
+// the upstream. It does so when the body has been read completely, reading has failed, the
+// body has been closed, or the call's context has ended, whichever is first.
 type slotReleasingBody struct {
 	body io.ReadCloser
 	// releaseSlot releases the slot. o is the outcome of the call, and failed says
@@ -71,7 +72,9 @@
 
 // bufferSmallResponse reads the body of a response into memory when the length of the
 // body is known and at most maxBufferedResponse. It returns the response with the
-// buffered body. Other responses are returned unchanged.
+// buffered body. If the body cannot be read completely, bufferSmallResponse returns a
+// response without a body whose outcome is unknown. It returns a response with a larger
+// body or a body of unknown length unchanged.
 func bufferSmallResponse(response *wire.Result) *wire.Result {
 	if response.ContentLength < 0 || response.ContentLength > maxBufferedResponse {
 		return response
--- a/guard/crash.go
+++ b/guard/crash.go
@@ -17,7 +17,7 @@
 // whether the upstream has crashed. After a crash, nothing listens at the upstream's
 // address any more, so a new connection is refused. If it is refused, detectCrash
 // changes the reason of the outcome to ReasonUpstreamCrashed. The kind of the outcome
-// stays unknown. Any other outcome is returned unchanged.
+// stays unknown. In all other cases detectCrash returns the outcome unchanged.
 func (u *upstreamProxy) detectCrash(o outcome.Outcome) outcome.Outcome {
 	if o.Kind != outcome.Unknown || o.Reason != outcome.ReasonConnectionLost {
 		return o
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -26,8 +26,8 @@
 	// Hop configures the connections to upstreams.
 	Hop hop.Options
 	// MeasuringBudget returns, for a service, the share of each upstream's slot time
-	// that may be spent on polling the upstream's load report. Nil means
-	// DefaultMeasuringBudget for all services.
+	// (time multiplied by slots) that may be spent on polling the upstream's load
+	// report. Nil means DefaultMeasuringBudget for all services.
 	MeasuringBudget func(model.ServiceName) float64
 	// Tokens signs the call tokens that upstreams pass on in nested calls. A nested
 	// call is a request that an upstream makes while it serves a call. Nil means no
@@ -86,8 +86,8 @@
 	}
 }
 
-// Drain refuses the waiting calls to an upstream and all further calls. Running
-// calls are not affected.
+// Drain refuses the waiting calls to an upstream and all calls that arrive later.
+// Running calls are not affected. Drain does nothing when no such upstream is attached.
 func (g *Guard) Drain(id model.UpstreamID) {
 	if u := g.upstream(id); u != nil {
 		u.drain()
--- a/guard/http.go
+++ b/guard/http.go
@@ -6,7 +6,8 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// ServeHTTP implements http.Handler for calls from the entries of other daemons.
+// ServeHTTP implements http.Handler for calls from the entries of other daemons. It
+// responds with status 400 to a request that is not a valid call.
 func (g *Guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.ReadCall(r)
 	if err != nil {
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -26,12 +26,15 @@
 	// pollTimeout bounds the duration of a poll, and thus the slot time that the
 	// poll can take.
 	pollTimeout = 10 * time.Millisecond
-	// maxReportBytes is the largest size of a load report.
+	// maxReportBytes is the largest size of a load report, and of the header of the
+	// response that contains it. Only the first maxReportBytes of a larger report
+	// are read.
 	maxReportBytes = 4 << 10
 	// pollOverheadBytes is the assumed size of everything that a poll transfers
 	// besides the load report.
 	pollOverheadBytes = 512
-	// maxReportedRunning caps the number of running requests in a report.
+	// maxReportedRunning caps the number of running requests in a report. A larger
+	// number is replaced by it.
 	maxReportedRunning = 1 << 20
 )
 
@@ -40,7 +43,7 @@
 var maxPollCost = measure.Cost{SlotTime: pollTimeout, Connections: 2, Bytes: maxReportBytes + pollOverheadBytes}
 
 // loadReport is the body of an upstream's load report, the upstream's own statement of
-// its load. Other fields are ignored.
+// its load. JSON fields other than "running" are ignored.
 type loadReport struct {
 	// Running is the number of requests that run in the upstream. It is nil when
 	// the report has no such field.
@@ -102,7 +105,8 @@
 
 // reservePoll reserves the largest possible cost of a poll in the measuring budget.
 // It reports false when no poll is due, when a poll is running, or when the budget is
-// exhausted. It also reports false when the upstream has no load report.
+// exhausted. It also reports false when the upstream has no load report. An exhausted
+// budget is counted as the poll result "over-budget".
 func (u *upstreamProxy) reservePoll(p *poller) (measure.Reservation, bool) {
 	if u.upstream.LoadPath == "" {
 		return measure.Reservation{}, false
@@ -143,7 +147,8 @@
 
 // pollResult returns the result of a successful poll as a value of the metric tag
 // "result". before and after are the monitor's counts before and after it received the
-// report.
+// report. The result is "contradicted" or "unsupported" when the corresponding count has
+// changed, and "agreed" otherwise.
 func pollResult(before, after measure.Counts) string {
 	switch {
 	case after.Contradicted != before.Contradicted:
@@ -194,6 +199,8 @@
 	return report, cost, err
 }
 
+// parseReport decodes a load report. It returns an error when data is not valid JSON, or
+// when the number of running requests is missing or negative.
 func parseReport(data []byte) (measure.Report, error) {
 	var report loadReport
 	if err := json.Unmarshal(data, &report); err != nil {
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -18,7 +18,8 @@
 	"github.com/dottereltiller/dottereltiller/membership"
 )
 
-// pollOnce polls an upstream that responds with the given status and body. result is
+// pollOnce polls an upstream that responds with the given status and body. budget is the
+// measuring budget, the share of slot time that polls may take. result is
 // the value of the metric tag "result" under which the poll was counted. requestCount
 // is the number of requests that the upstream received.
 func pollOnce(t *testing.T, budget float64, status int, body string) (result string, requestCount int32, g *Guard) {
@@ -58,6 +59,9 @@
 	return result, receivedRequests.Load(), g
 }
 
+// TestPollCountsResultAndChargesSlotTime checks under which result each kind of response
+// is counted. Slot time must be charged exactly when a request was sent. None of the
+// reports may change the number of running requests.
 func TestPollCountsResultAndChargesSlotTime(t *testing.T) {
 	cases := map[string]struct {
 		budget           float64
--- a/guard/queue_timeout_test.go
+++ b/guard/queue_timeout_test.go
@@ -20,7 +20,8 @@
 
 // newBusyGuard returns a guard for an upstream whose only slot is taken until
 // release is called. The upstream sends the path of each request that it receives to
-// the channel executedPaths.
+// the channel executedPaths. newBusyGuard has already received the path of the request that
+// holds the slot.
 func newBusyGuard(t *testing.T) (g *Guard, executedPaths chan string, release func()) {
 	t.Helper()
 	executedPaths = make(chan string, 10)
@@ -56,6 +57,9 @@
 	}
 }
 
+// TestCallIsWithdrawnAfterQueueTimeout sends two calls while the only slot is taken: one
+// with a queue timeout of zero, one with a short queue timeout. Both must be withdrawn,
+// and neither may reach the upstream.
 func TestCallIsWithdrawnAfterQueueTimeout(t *testing.T) {
 	g, executed, release := newBusyGuard(t)
 	for name, queueTimeout := range map[string]time.Duration{"at once": 0, "after a wait": time.Millisecond} {
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -37,7 +37,8 @@
 
 // TestSlowReaderReleasesSlotAtDeadline receives a response that is too large for
 // any buffer. Before the deadline, the test neither reads nor closes the body of the
-// response. After the deadline, the slot must be free for the next call.
+// response. After the deadline, the slot must be free for the next call, the request to
+// the upstream must be cancelled, and reading the rest of the body must fail.
 func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
 	const largeBodyBytes = 32 << 20
 	requestCancelled := make(chan struct{})
@@ -102,6 +103,8 @@
 	}
 }
 
+// TestUpstreamReceivesTokenForNestedCalls checks that the guard replaces the token in the
+// header of a call by a token for nested calls, which are one level deeper than the call.
 func TestUpstreamReceivesTokenForNestedCalls(t *testing.T) {
 	tokenHeaders := make(chan string, 1)
 	g := newGuardWithUpstream(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -36,8 +36,8 @@
 	// refuses the call is sent to this channel.
 	pending map[admission.ID]chan admission.Effect
 	nextID  admission.ID
-	// effects holds the effects that the controller returned last. The slice is
-	// reused.
+	// effects holds the effects that the last call of the controller returned. An
+	// effect says that a call starts or is refused. The slice is reused.
 	effects []admission.Effect
 }
 
@@ -199,8 +199,8 @@
 	return u.monitor.Annotate(u.limiter.Annotate(u.controller.Load(u.now())))
 }
 
-// withLoad adds the upstream's load to a response. The load is computed for the
-// group of the call; see admission.Controller.LoadFor.
+// withLoad adds the upstream's load to a response. group is the group of the call, on
+// which the number of requests ahead depends; see admission.Controller.LoadFor.
 func (u *upstreamProxy) withLoad(response *wire.Result, group model.GroupName) *wire.Result {
 	u.mu.Lock()
 	defer u.mu.Unlock()
