--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -42,18 +42,18 @@
 // run without the burst.
 func TestRecoveryAfterBurst(t *testing.T) {
 	groups := []Group{{Name: "burst", Weight: 1}, {Name: "after", Weight: 1}}
-	after := workload{
+	afterBurst := workload{
 		group: "after", slotTime: exponential(overloadSlotTime), interval: overloadSlotTime / overloadSlots * 10 / 6,
 		timeout: overloadTimeout, startAt: 4 * time.Second, stopAt: 8 * time.Second,
 	}
-	burst := after
+	burst := afterBurst
 	burst.group, burst.interval, burst.startAt, burst.stopAt = "burst", overloadSlotTime/overloadSlots/5, 0, 3*time.Second
-	baseline := newSimulator(t, overloadSlots, Options{}, groups...)
-	baseline.run(after)
+	baselineSim := newSimulator(t, overloadSlots, Options{}, groups...)
+	baselineSim.run(afterBurst)
 	sim := newSimulator(t, overloadSlots, Options{}, groups...)
-	sim.run(burst, after)
+	sim.run(burst, afterBurst)
 	require.Empty(t, sim.refusalCounts["after"])
-	baselineP99, afterBurstP99 := quantile(baseline.latenciesByGroup["after"], 0.99), quantile(sim.latenciesByGroup["after"], 0.99)
+	baselineP99, afterBurstP99 := quantile(baselineSim.latenciesByGroup["after"], 0.99), quantile(sim.latenciesByGroup["after"], 0.99)
 	t.Logf("p99 %v without a burst, %v after one", baselineP99, afterBurstP99)
 	require.Less(t, float64(afterBurstP99), 1.25*float64(baselineP99))
 }
@@ -70,12 +70,12 @@
 	}
 	overloading := victim
 	overloading.group, overloading.caller, overloading.interval = "overloading", "n", overloadSlotTime/overloadSlots/10
-	alone := newSimulator(t, overloadSlots, Options{}, groups...)
-	alone.run(victim)
-	withOverload := newSimulator(t, overloadSlots, Options{}, groups...)
-	withOverload.run(victim, overloading)
-	aloneP99, withOverloadP99 := quantile(alone.latenciesByGroup["victim"], 0.99), quantile(withOverload.latenciesByGroup["victim"], 0.99)
+	aloneSim := newSimulator(t, overloadSlots, Options{}, groups...)
+	aloneSim.run(victim)
+	withOverloadSim := newSimulator(t, overloadSlots, Options{}, groups...)
+	withOverloadSim.run(victim, overloading)
+	aloneP99, withOverloadP99 := quantile(aloneSim.latenciesByGroup["victim"], 0.99), quantile(withOverloadSim.latenciesByGroup["victim"], 0.99)
 	t.Logf("victim's p99 %v alone, %v beside the overloading group, ratio %.3f", aloneP99, withOverloadP99, float64(withOverloadP99)/float64(aloneP99))
-	require.Empty(t, withOverload.refusalCounts["victim"])
+	require.Empty(t, withOverloadSim.refusalCounts["victim"])
 	require.LessOrEqual(t, float64(withOverloadP99), 1.1*float64(aloneP99))
 }
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -77,8 +77,8 @@
 		heavyWeight := rapid.Float64Range(1, 1e9).Draw(t, "weight")
 		groups := []Group{{Name: "heavy", Weight: heavyWeight}, {Name: "light", Weight: 1e-9}}
 		sim := newSimulator(t, 4, Options{}, groups...)
-		base := workload{slotTime: constant(2 * time.Millisecond), interval: 400 * time.Microsecond, timeout: longTimeout, stopAt: 2 * time.Second}
-		heavy, light := base, base
+		baseWorkload := workload{slotTime: constant(2 * time.Millisecond), interval: 400 * time.Microsecond, timeout: longTimeout, stopAt: 2 * time.Second}
+		heavy, light := baseWorkload, baseWorkload
 		heavy.group, light.group = "heavy", "light"
 		sim.run(heavy, light)
 		for second := range 2 {
@@ -108,8 +108,8 @@
 // must get the same slot time.
 func TestCallersOfOneGroupShareEqually(t *testing.T) {
 	sim := newSimulator(t, 4, Options{}, Group{Name: "g", Weight: 1, QueueBound: 200})
-	base := workload{group: "g", slotTime: constant(2 * time.Millisecond), interval: 800 * time.Microsecond, timeout: longTimeout, stopAt: 4 * time.Second}
-	light, heavy := base, base
+	baseWorkload := workload{group: "g", slotTime: constant(2 * time.Millisecond), interval: 800 * time.Microsecond, timeout: longTimeout, stopAt: 4 * time.Second}
+	light, heavy := baseWorkload, baseWorkload
 	light.caller, heavy.caller = "light", "heavy"
 	heavy.interval, heavy.slotTime = 80*time.Microsecond, constant(5*time.Millisecond)
 	sim.run(light, heavy)
--- a/core/admission/surge_test.go
+++ b/core/admission/surge_test.go
@@ -67,16 +67,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			baseline := newSimulator(t, 6, Options{}, tt.groups...)
-			baseline.run(tt.victim)
-			withSurge := newSimulator(t, 6, Options{}, tt.groups...)
-			withSurge.run(append([]workload{tt.victim}, tt.surge...)...)
+			baselineSim := newSimulator(t, 6, Options{}, tt.groups...)
+			baselineSim.run(tt.victim)
+			withSurgeSim := newSimulator(t, 6, Options{}, tt.groups...)
+			withSurgeSim.run(append([]workload{tt.victim}, tt.surge...)...)
 			group := tt.victim.group
-			baselineP99, surgeP99 := quantile(baseline.latenciesByGroup[group], 0.99), quantile(withSurge.latenciesByGroup[group], 0.99)
+			baselineP99, surgeP99 := quantile(baselineSim.latenciesByGroup[group], 0.99), quantile(withSurgeSim.latenciesByGroup[group], 0.99)
 			t.Logf("p99 %v alone, %v with the surge: %.3f", baselineP99, surgeP99, float64(surgeP99)/float64(baselineP99))
-			require.Empty(t, withSurge.refusalCounts[group], "no request of the victim is refused")
+			require.Empty(t, withSurgeSim.refusalCounts[group], "no request of the victim is refused")
 			require.LessOrEqual(t, float64(surgeP99), tt.maxRatio*float64(baselineP99))
-			require.Positive(t, withSurge.slotTimeByGroup[tt.surge[0].group], "some requests of the surge run too")
+			require.Positive(t, withSurgeSim.slotTimeByGroup[tt.surge[0].group], "some requests of the surge run too")
 		})
 	}
 }
--- a/core/fairqueue/heap.go
+++ b/core/fairqueue/heap.go
@@ -29,13 +29,13 @@
 	if i == notInHeap {
 		return
 	}
-	last := len(h.items) - 1
-	h.swap(i, last)
+	lastIndex := len(h.items) - 1
+	h.swap(i, lastIndex)
 	var zero T
-	h.items[last] = zero
-	h.items = h.items[:last]
+	h.items[lastIndex] = zero
+	h.items = h.items[:lastIndex]
 	*h.index(x) = notInHeap
-	if i < last {
+	if i < lastIndex {
 		h.restore(i)
 	}
 }
@@ -69,7 +69,7 @@
 // siftDown moves the element at i towards the leaves until the heap order holds
 // and reports whether it moved.
 func (h *indexHeap[T]) siftDown(i int) bool {
-	start := i
+	startIndex := i
 	for {
 		child := 2*i + 1
 		if child >= len(h.items) {
@@ -84,7 +84,7 @@
 		h.swap(i, child)
 		i = child
 	}
-	return i > start
+	return i > startIndex
 }
 
 func (h *indexHeap[T]) swap(i, j int) {
--- a/core/fairqueue/queue_test.go
+++ b/core/fairqueue/queue_test.go
@@ -210,28 +210,28 @@
 		q.Push(Item{ID: 100 + i, Group: "limited", Deadline: 1})
 		q.Push(Item{ID: 200 + i, Group: "free", Deadline: 1})
 	}
-	var startedLimited []ID
+	var startedLimitedIDs []ID
 	pop := func() bool {
 		item, ok := q.Pop(0)
 		if ok && item.Group == "limited" {
-			startedLimited = append(startedLimited, item.ID)
+			startedLimitedIDs = append(startedLimitedIDs, item.ID)
 		}
 		return ok
 	}
 	for range 10 {
 		require.True(t, pop())
 	}
-	require.Len(t, startedLimited, 2)
+	require.Len(t, startedLimitedIDs, 2)
 	configure(3)
 	for pop() {
 	}
-	require.Len(t, startedLimited, 3, "the free group has no requests left, and one more limited request runs")
+	require.Len(t, startedLimitedIDs, 3, "the free group has no requests left, and one more limited request runs")
 	require.Equal(t, 17, q.Len())
-	for ended := 0; ended < len(startedLimited); ended++ {
-		require.True(t, q.Done(0, startedLimited[ended], time.Millisecond))
+	for ended := 0; ended < len(startedLimitedIDs); ended++ {
+		require.True(t, q.Done(0, startedLimitedIDs[ended], time.Millisecond))
 		pop()
 	}
-	require.Len(t, startedLimited, 20, "each request that ends lets the next one start")
+	require.Len(t, startedLimitedIDs, 20, "each request that ends lets the next one start")
 	require.Zero(t, q.Len())
 }
 
--- a/core/policy/strict.go
+++ b/core/policy/strict.go
@@ -79,13 +79,13 @@
 }
 
 func (s strictChecker) checkMap(path string, raw json.RawMessage, t reflect.Type) {
-	var items map[string]json.RawMessage
-	if json.Unmarshal(raw, &items) != nil {
+	var values map[string]json.RawMessage
+	if json.Unmarshal(raw, &values) != nil {
 		s.report(path, oneLine(raw), "want an object")
 		return
 	}
-	for _, name := range sortedKeys(items) {
-		s.check(joinPath(path, name), items[name], t.Elem())
+	for _, name := range sortedKeys(values) {
+		s.check(joinPath(path, name), values[name], t.Elem())
 	}
 }
 
--- a/core/route/splitter.go
+++ b/core/route/splitter.go
@@ -45,14 +45,14 @@
 		totalWeight += service.Weight
 		state.currentWeights[i] += service.Weight
 	}
-	best := 0
+	bestIndex := 0
 	for i := range state.currentWeights {
-		if state.currentWeights[i] > state.currentWeights[best] {
-			best = i
+		if state.currentWeights[i] > state.currentWeights[bestIndex] {
+			bestIndex = i
 		}
 	}
-	state.currentWeights[best] -= totalWeight
-	return r.Split[best].Service
+	state.currentWeights[bestIndex] -= totalWeight
+	return r.Split[bestIndex].Service
 }
 
 // state returns the state of the route's split, or a new state if the split has
