--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -134,11 +134,13 @@
 	return sim
 }
 
+// schedule adds the arrival or the end of a job to the events.
 func (s *simulator) schedule(instant model.Instant, j *job, isEnd bool) {
 	s.lastSeq++
 	heap.Push(&s.events, event{instant: instant, seq: s.lastSeq, job: j, isEnd: isEnd})
 }
 
+// scheduleArrivals creates the jobs of a workload and schedules their arrivals.
 func (s *simulator) scheduleArrivals(w *workload) {
 	for t := w.startAt; t < w.stopAt; t += w.interval {
 		s.nextID++
@@ -180,6 +182,8 @@
 	s.effects = s.controller.Arrive(s.now, Arrival{ID: j.id, Request: req}, s.effects[:0])
 }
 
+// finishJob records the slot time and latency of a running job, and reports the end of the
+// job to the controller.
 func (s *simulator) finishJob(j *job) {
 	group := j.workload.group
 	slotTime := s.now.Sub(j.startedAt)
@@ -194,6 +198,8 @@
 	s.effects = s.controller.Finish(s.now, j.id, Result{Outcome: outcome.Done(), SlotTime: slotTime}, s.effects[:0])
 }
 
+// applyEffects starts or refuses the jobs of the current effects. It fails the test when a
+// job gets a second effect, or is refused with an outcome other than not run.
 func (s *simulator) applyEffects() {
 	for _, e := range s.effects {
 		j := s.jobs[e.ID]
--- a/core/policy/explain.go
+++ b/core/policy/explain.go
@@ -87,6 +87,7 @@
 	return e, nil
 }
 
+// explainPolicies says for each sharing policy whether it applies to the service and why.
 func (s *Set) explainPolicies(service model.ServiceName) []PolicyStep {
 	var steps []PolicyStep
 	appliedPolicy := ""
@@ -106,6 +107,8 @@
 	return steps
 }
 
+// explainGroups says for each group of the service whether it is the group of a caller with
+// the given labels and why. group is the caller's group, empty when the caller is refused.
 func (s *Service) explainGroups(labels model.Labels, group model.GroupName) []GroupStep {
 	matchedIndex := s.matchIndex(labels)
 	var steps []GroupStep
--- a/core/policy/selector.go
+++ b/core/policy/selector.go
@@ -128,6 +128,7 @@
 	return append(parts, s[start:])
 }
 
+// parseTerm parses one term of a selector, without the spaces around it.
 func parseTerm(s string) (term, error) {
 	if key, ok := strings.CutPrefix(s, "!"); ok {
 		return newTerm(s, key, opNotExists)
--- a/core/policy/sharing.go
+++ b/core/policy/sharing.go
@@ -128,6 +128,8 @@
 	}
 }
 
+// applyPolicy sets the fields of the service that its sharing policy determines. The
+// service's own measuring budget, if set, takes precedence over that of the policy.
 func (s *Service) applyPolicy(p sharingPolicy) {
 	s.Policy = p.name
 	s.Groups = p.spec.Groups
--- a/core/policy/strict.go
+++ b/core/policy/strict.go
@@ -38,6 +38,7 @@
 	}
 }
 
+// checkScalar reports the value at path when it cannot be decoded into type t.
 func (s strictChecker) checkScalar(path string, raw json.RawMessage, t reflect.Type) {
 	err := json.Unmarshal(raw, reflect.New(t).Interface())
 	if err == nil {
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -172,6 +172,7 @@
 	u.dispatch()
 }
 
+// drain refuses the waiting calls and all calls that arrive later.
 func (u *upstreamProxy) drain() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -179,6 +180,7 @@
 	u.dispatch()
 }
 
+// expire refuses the waiting calls whose deadline has passed.
 func (u *upstreamProxy) expire() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -186,6 +188,8 @@
 	u.dispatch()
 }
 
+// configure replaces the configuration of the groups and the measuring budget, which is a
+// share of the upstream's slot time.
 func (u *upstreamProxy) configure(groups []admission.Group, measuringBudget float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
