--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -12,10 +12,13 @@
 
 const ms = model.Instant(time.Millisecond)
 
+// arrival returns the arrival of a request whose caller has the same name as its group.
 func arrival(id ID, group model.GroupName, deadline model.Instant) Arrival {
 	return Arrival{ID: id, Request: model.Request{Group: group, Caller: model.CallerName(group), Deadline: deadline}}
 }
 
+// reasonsByID returns the reason of each refusal by the ID of the request. The reason of
+// a request that starts is ReasonNone.
 func reasonsByID(effects []Effect) map[ID]outcome.Reason {
 	reasons := make(map[ID]outcome.Reason)
 	for _, e := range effects {
@@ -24,11 +27,14 @@
 	return reasons
 }
 
+// TestArriveRefuses lets one request arrive at a controller with one slot, at most two
+// waiting requests of a group, and at most three waiting requests in all. The wanted
+// reasons are those of the effects of this arrival.
 func TestArriveRefuses(t *testing.T) {
 	tests := []struct {
 		name    string
 		prepare func(c *Controller)
-		arrive  Arrival
+		arrival Arrival
 		want    map[ID]outcome.Reason
 	}{
 		{"deadline of zero", nil, arrival(9, "a", 0), map[ID]outcome.Reason{9: outcome.ReasonDeadline}},
@@ -73,13 +79,14 @@
 			if tt.prepare != nil {
 				tt.prepare(c)
 			}
-			require.Equal(t, tt.want, reasonsByID(c.Arrive(0, tt.arrive, nil)))
+			require.Equal(t, tt.want, reasonsByID(c.Arrive(0, tt.arrival, nil)))
 		})
 	}
 }
 
 // TestArriveRefusesRequestThatCannotMeetItsDeadline lets the controller observe a slot
-// time of 10 ms and queues ten requests ahead of the arriving one.
+// time of 10 ms and queues ten requests ahead of the arriving one. The arriving request
+// must be refused when its deadline is 50 ms away, and must wait when it is 290 ms away.
 func TestArriveRefusesRequestThatCannotMeetItsDeadline(t *testing.T) {
 	c := New(Options{Slots: 1})
 	c.Arrive(0, arrival(1, "a", 1000*ms), nil)
@@ -129,20 +136,22 @@
 }
 
 func TestLimiterBoundsRunningRequests(t *testing.T) {
-	l := &adjustableLimiter{limit: 2}
-	c := New(Options{Slots: 6, Limiter: l})
+	limiter := &adjustableLimiter{limit: 2}
+	c := New(Options{Slots: 6, Limiter: limiter})
 	for id := ID(1); id <= 5; id++ {
 		c.Arrive(0, arrival(id, "a", 99*ms), nil)
 	}
 	require.EqualValues(t, 2, c.Load(0).Running)
-	l.limit = 3
+	limiter.limit = 3
 	require.Len(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, nil), 2, "a higher limit lets two requests start")
-	l.limit = 0
+	limiter.limit = 0
 	require.Empty(t, c.Finish(ms, 2, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, nil))
 	require.EqualValues(t, 1, c.Load(ms).Limit, "the limit is at least one")
-	require.Equal(t, []int{2, 3}, l.observedRunning)
+	require.Equal(t, []int{2, 3}, limiter.observedRunning)
 }
 
+// TestControllerDoesNotAllocate checks that arrivals and ends of requests allocate no
+// memory once the queue has reached its working size.
 func TestControllerDoesNotAllocate(t *testing.T) {
 	c := New(Options{Slots: 2})
 	c.Configure(0, []Group{{Name: "a", Weight: 2}, {Name: "b", Weight: 1}})
--- a/core/admission/overload_test.go
+++ b/core/admission/overload_test.go
@@ -23,14 +23,16 @@
 		group: "g", caller: "c", slotTime: exponential(overloadSlotTime), interval: interval,
 		timeout: overloadTimeout, stopAt: overloadSeconds * time.Second,
 	})
-	t.Logf("%vx: %d in time, refused %v", multiple, sum(sim.inTimeByWindow["g"]), sim.refused["g"])
+	t.Logf("%vx: %d in time, refused %v", multiple, sum(sim.inTimeByWindow["g"]), sim.refusalCounts["g"])
 	return sum(sim.inTimeByWindow["g"])
 }
 
+// TestGoodputUnderOverload offers several multiples of the upstream's capacity. The
+// goodput must stay at 95% or more of the goodput at exactly the capacity.
 func TestGoodputUnderOverload(t *testing.T) {
-	base := goodput(t, 1)
+	goodputAtCapacity := goodput(t, 1)
 	for _, multiple := range []float64{2, 5, 20} {
-		require.GreaterOrEqual(t, float64(goodput(t, multiple)), 0.95*float64(base), "at %vx", multiple)
+		require.GreaterOrEqual(t, float64(goodput(t, multiple)), 0.95*float64(goodputAtCapacity), "at %vx", multiple)
 	}
 }
 
@@ -40,25 +42,26 @@
 // run without the burst.
 func TestRecoveryAfterBurst(t *testing.T) {
 	groups := []Group{{Name: "burst", Weight: 1}, {Name: "after", Weight: 1}}
-	after := workload{
+	afterBurst := workload{
 		group: "after", slotTime: exponential(overloadSlotTime), interval: overloadSlotTime / overloadSlots * 10 / 6,
 		timeout: overloadTimeout, startAt: 4 * time.Second, stopAt: 8 * time.Second,
 	}
-	burst := after
+	burst := afterBurst
 	burst.group, burst.interval, burst.startAt, burst.stopAt = "burst", overloadSlotTime/overloadSlots/5, 0, 3*time.Second
-	baseline := newSimulator(t, overloadSlots, Options{}, groups...)
-	baseline.run(after)
+	baselineSim := newSimulator(t, overloadSlots, Options{}, groups...)
+	baselineSim.run(afterBurst)
 	sim := newSimulator(t, overloadSlots, Options{}, groups...)
-	sim.run(burst, after)
-	require.Empty(t, sim.refused["after"])
-	baselineP99, afterBurstP99 := quantile(baseline.latency["after"], 0.99), quantile(sim.latency["after"], 0.99)
+	sim.run(burst, afterBurst)
+	require.Empty(t, sim.refusalCounts["after"])
+	baselineP99, afterBurstP99 := quantile(baselineSim.latenciesByGroup["after"], 0.99), quantile(sim.latenciesByGroup["after"], 0.99)
 	t.Logf("p99 %v without a burst, %v after one", baselineP99, afterBurstP99)
 	require.Less(t, float64(afterBurstP99), 1.25*float64(baselineP99))
 }
 
 // TestGroupIsIsolatedFromOverloadOfAnother measures the latency of a group that
-// stays within its share. It compares a run of this group alone with a run in which
-// a second group offers ten times the capacity of the upstream.
+// stays within its share of the slot time. It compares a run of this group alone with a
+// run in which a second group offers ten times the capacity of the upstream. The second
+// group may raise the p99 latency of the first group by at most 10%.
 func TestGroupIsIsolatedFromOverloadOfAnother(t *testing.T) {
 	groups := []Group{{Name: "victim", Weight: 8}, {Name: "overloading", Weight: 1}}
 	victim := workload{
@@ -67,12 +70,12 @@
 	}
 	overloading := victim
 	overloading.group, overloading.caller, overloading.interval = "overloading", "n", overloadSlotTime/overloadSlots/10
-	alone := newSimulator(t, overloadSlots, Options{}, groups...)
-	alone.run(victim)
-	withOverload := newSimulator(t, overloadSlots, Options{}, groups...)
-	withOverload.run(victim, overloading)
-	aloneP99, withOverloadP99 := quantile(alone.latency["victim"], 0.99), quantile(withOverload.latency["victim"], 0.99)
+	aloneSim := newSimulator(t, overloadSlots, Options{}, groups...)
+	aloneSim.run(victim)
+	withOverloadSim := newSimulator(t, overloadSlots, Options{}, groups...)
+	withOverloadSim.run(victim, overloading)
+	aloneP99, withOverloadP99 := quantile(aloneSim.latenciesByGroup["victim"], 0.99), quantile(withOverloadSim.latenciesByGroup["victim"], 0.99)
 	t.Logf("victim's p99 %v alone, %v beside the overloading group, ratio %.3f", aloneP99, withOverloadP99, float64(withOverloadP99)/float64(aloneP99))
-	require.Empty(t, withOverload.refused["victim"])
+	require.Empty(t, withOverloadSim.refusalCounts["victim"])
 	require.LessOrEqual(t, float64(withOverloadP99), 1.1*float64(aloneP99))
 }
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -9,10 +9,10 @@
 // GroupConfig is the configuration of one group.
 type GroupConfig struct {
 	Group model.GroupName
-	// Weight is the group's share of slot time relative to the other groups. A
-	// weight of zero or below puts the group into the background class. Its
-	// requests start only when no group of the foreground class has a request that
-	// may start.
+	// Weight is proportional to the slot time that the group gets while all groups have
+	// waiting requests. A weight of zero or below puts the group into the background
+	// class. Its requests start only when no group of the foreground class has a request
+	// that may start. Very small weights count as more; see MinWeightRatio.
 	Weight float64
 	// QueueBound is the largest number of waiting requests. Default:
 	// Options.QueueBound.
@@ -27,18 +27,19 @@
 	// MinWeightRatio is the smallest effective weight of a group with a weight
 	// above zero, as a fraction of the largest weight.
 	MinWeightRatio = 0.01
-	// maxUnconfigured is the largest number of groups without a GroupConfig.
+	// maxUnconfiguredGroups is the largest number of groups without a GroupConfig.
 	// Further such groups are treated as one group, the overflow group.
-	maxUnconfigured = 64
+	maxUnconfiguredGroups = 64
 )
 
 // overflowGroup holds the requests of unconfigured groups beyond
-// maxUnconfigured.
+// maxUnconfiguredGroups.
 const overflowGroup model.GroupName = ""
 
 // Configure replaces the configuration of all groups. Waiting requests keep
 // their order within their group. Groups without a GroupConfig get the smallest
-// weight of the configured groups.
+// effective weight of the configured groups. Those of them that have no waiting or
+// running requests are removed.
 func (q *Queue) Configure(groups []GroupConfig) {
 	maxWeight := 0.0
 	for _, config := range groups {
@@ -64,14 +65,14 @@
 		g.maxRunning = config.MaxRunning
 		q.setConfig(g, weight, config.QueueBound)
 	}
-	q.unconfigured = 0
+	q.unconfiguredCount = 0
 	for name, g := range q.groups {
 		switch {
 		case g.configured:
 		case g.waiting == 0 && g.running == 0:
 			delete(q.groups, name)
 		default:
-			q.unconfigured++
+			q.unconfiguredCount++
 			g.maxRunning = 0
 			q.setConfig(g, minWeight, 0)
 		}
@@ -83,13 +84,13 @@
 func validWeight(weight float64) bool { return weight > 0 && !math.IsInf(weight, 0) }
 
 // setConfig sets the effective weight and the queue bound of a group. A weight of 0
-// moves the group to the background class. A bound of 0 or below means
+// moves the group to the background class. A queueBound of 0 or below means
 // Options.QueueBound.
-func (q *Queue) setConfig(g *group, weight float64, bound int) {
-	if bound <= 0 {
-		bound = q.opts.QueueBound
+func (q *Queue) setConfig(g *group, weight float64, queueBound int) {
+	if queueBound <= 0 {
+		queueBound = q.opts.QueueBound
 	}
-	g.queueBound = bound
+	g.queueBound = queueBound
 	class := q.foreground
 	if weight == 0 {
 		class, weight = q.background, 1
@@ -109,6 +110,7 @@
 	}
 }
 
+// addGroup adds a group with the settings of a group without a GroupConfig.
 func (q *Queue) addGroup(name model.GroupName) *group {
 	g := newGroup(name)
 	g.class, g.weight, g.queueBound = q.foreground, q.minWeight, q.opts.QueueBound
@@ -123,7 +125,7 @@
 	if g := q.groups[name]; g != nil {
 		return g
 	}
-	if q.unconfigured >= maxUnconfigured {
+	if q.unconfiguredCount >= maxUnconfiguredGroups {
 		return q.groups[overflowGroup]
 	}
 	return nil
@@ -135,16 +137,18 @@
 	if g := q.groups[name]; g != nil {
 		return g
 	}
-	if q.unconfigured >= maxUnconfigured {
+	if q.unconfiguredCount >= maxUnconfiguredGroups {
 		name = overflowGroup
 		if g := q.groups[name]; g != nil {
 			return g
 		}
 	}
-	q.unconfigured++
+	q.unconfiguredCount++
 	return q.addGroup(name)
 }
 
+// findOrAddCaller returns the caller of the given name in a group, and adds it if it is
+// missing.
 func (q *Queue) findOrAddCaller(g *group, name model.CallerName) *caller {
 	if c := g.callers[name]; c != nil {
 		return c
--- a/core/fairqueue/queue.go
+++ b/core/fairqueue/queue.go
@@ -6,7 +6,7 @@
 	"github.com/dottereltiller/dottereltiller/core/model"
 )
 
-// ID identifies one request in a Queue. The caller never reuses an ID.
+// ID identifies one request in a Queue. No two requests may have the same ID.
 type ID uint64
 
 // Item is a request as it is passed to Push and returned by Pop.
@@ -22,8 +22,8 @@
 type Queue struct {
 	opts   Options
 	groups map[model.GroupName]*group
-	// unconfigured is the number of groups without a GroupConfig.
-	unconfigured int
+	// unconfiguredCount is the number of groups without a GroupConfig.
+	unconfiguredCount int
 
 	// foreground holds the groups with a weight above zero.
 	foreground *priorityClass
@@ -45,8 +45,8 @@
 	running int
 	// lastSeq is the last sequence number given to a caller or group.
 	lastSeq uint64
-	// slotTime estimates the slot time of the requests of all groups.
-	slotTime estimator
+	// slotTimeEstimator estimates the slot time of the requests of all groups.
+	slotTimeEstimator estimator
 	// minWeight is the smallest effective weight of the configured groups. It is
 	// also the weight of groups without a GroupConfig.
 	minWeight float64
@@ -138,14 +138,14 @@
 		return false
 	}
 	slotTime = max(slotTime, 0)
-	e.caller.group.slotTime.observe(now, slotTime)
-	q.slotTime.observe(now, slotTime)
+	e.caller.group.slotTimeEstimator.observe(now, slotTime)
+	q.slotTimeEstimator.observe(now, slotTime)
 	q.finish(e, slotTime)
 	return true
 }
 
 // CancelStart ends a request that Pop returned but that was not run. It undoes the
-// charge for the request.
+// charge for the request. It does nothing when no running request has this ID.
 func (q *Queue) CancelStart(id ID) {
 	if e := q.entries[id]; e != nil && e.running {
 		q.finish(e, 0)
@@ -180,16 +180,16 @@
 	return q.discard(q.byDeadline.top()), true
 }
 
-// OverBound reports whether a group has more waiting requests than its bound.
+// OverBound reports whether a group has more waiting requests than its queue bound.
 func (q *Queue) OverBound(name model.GroupName) bool {
 	g := q.findGroup(name)
 	return g != nil && g.waiting > g.queueBound
 }
 
-// DropOldest selects the group's caller with the most waiting requests, and removes
-// the oldest of these. The caller that sends most therefore loses a request, and its
-// oldest request usually has the least time left. DropOldest reports false when the
-// group has no waiting requests.
+// DropOldest selects the group's caller with the most waiting requests, and removes the
+// oldest of these. The caller that sends most therefore loses a request, and its oldest
+// request usually has the least time left until its deadline. DropOldest reports false
+// when the group has no waiting requests.
 func (q *Queue) DropOldest(name model.GroupName) (ID, bool) {
 	g := q.findGroup(name)
 	if g == nil || g.waiting == 0 {
--- a/core/fairqueue/queue_test.go
+++ b/core/fairqueue/queue_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestQueueAgainstModel compares the queue with a simple model under random
-// operations. Each pushed request must be popped, removed or dropped exactly once.
+// operations. Each pushed request must be popped, removed, dropped or expired at most once.
 // The requests of one caller must start in the order in which they were pushed. The
 // charges of ended requests must equal the slot time that they used.
 func TestQueueAgainstModel(t *testing.T) {
@@ -20,8 +20,8 @@
 		q := New(Options{})
 		waiting := make(map[ID]Item)
 		running := make(map[ID]Item)
-		lastStarted := make(map[string]ID)
-		slotTime := make(map[model.GroupName]time.Duration)
+		lastStartedByCaller := make(map[string]ID)
+		slotTimeByGroup := make(map[model.GroupName]time.Duration)
 		var now model.Instant
 		var lastID ID
 		nameIndex := rapid.IntRange(0, 3)
@@ -49,8 +49,8 @@
 				}
 				require.Equal(t, waiting[item.ID], item)
 				callerKey := string(item.Group) + "/" + string(item.Caller)
-				require.Greater(t, item.ID, lastStarted[callerKey], "out of order")
-				lastStarted[callerKey] = item.ID
+				require.Greater(t, item.ID, lastStartedByCaller[callerKey], "out of order")
+				lastStartedByCaller[callerKey] = item.ID
 				removeWaiting(item.ID)
 				running[item.ID] = item
 			},
@@ -59,7 +59,7 @@
 					duration := time.Duration(rapid.IntRange(0, 5000).Draw(t, "used"))
 					require.True(t, q.Done(now, id, duration))
 					require.False(t, q.Done(now, id, duration), "twice")
-					slotTime[item.Group] += duration
+					slotTimeByGroup[item.Group] += duration
 					delete(running, id)
 					return
 				}
@@ -107,16 +107,16 @@
 					configs = append(configs, GroupConfig{Group: model.GroupName(fmt.Sprint("g", i)), Weight: weight})
 				}
 				q.Configure(configs)
-				clear(slotTime) // Configure resets groups without requests
+				clear(slotTimeByGroup) // Configure resets groups without requests
 				for i := range 4 {
 					g := model.GroupName(fmt.Sprint("g", i))
-					slotTime[g] = q.Charged(g) - runningCharges(q, g)
+					slotTimeByGroup[g] = q.Charged(g) - runningCharges(q, g)
 				}
 			},
 			"": func(t *rapid.T) {
 				require.Equal(t, len(waiting), q.Len())
 				require.Equal(t, len(running), q.Running())
-				for g, duration := range slotTime {
+				for g, duration := range slotTimeByGroup {
 					require.Equal(t, duration, q.Charged(g)-runningCharges(q, g), "charges of %s", g)
 				}
 			},
@@ -136,19 +136,24 @@
 	return d
 }
 
+// TestUnconfiguredGroupsAreBounded pushes requests of ten times as many unconfigured
+// groups as the queue keeps. The requests of the surplus groups must be kept in the
+// overflow group, whose queue bound applies to all of them together.
 func TestUnconfiguredGroupsAreBounded(t *testing.T) {
 	q := New(Options{})
 	q.Configure([]GroupConfig{{Group: "named", Weight: 1}})
-	for i := range 10 * maxUnconfigured {
+	for i := range 10 * maxUnconfiguredGroups {
 		q.Push(Item{ID: ID(i + 1), Group: model.GroupName(fmt.Sprint("made-up-", i)), Deadline: 1})
 	}
-	require.Len(t, q.groups, maxUnconfigured+2, "the configured group, maxUnconfigured others and the overflow group")
-	require.Equal(t, 10*maxUnconfigured, q.Len())
+	require.Len(t, q.groups, maxUnconfiguredGroups+2, "the configured group, maxUnconfigured others and the overflow group")
+	require.Equal(t, 10*maxUnconfiguredGroups, q.Len())
 	q.Push(Item{ID: 1 << 20, Group: "named", Deadline: 1})
 	require.False(t, q.OverBound("named"))
 	require.True(t, q.OverBound("made-up-600"), "the bound applies to the overflow group as a whole")
 }
 
+// TestIdleCallersAreBounded makes four times as many callers idle as the queue keeps, all
+// with charges ahead of the system virtual time.
 func TestIdleCallersAreBounded(t *testing.T) {
 	q := New(Options{})
 	for i := range ID(4 * maxIdleCallers) {
@@ -166,20 +171,20 @@
 // BenchmarkPushPopDone measures one request from Push to Done in a queue in
 // which every group has waiting requests.
 func BenchmarkPushPopDone(b *testing.B) {
-	for _, groups := range []int{1, 10, 100, 1000} {
-		b.Run(fmt.Sprint("groups=", groups), func(b *testing.B) {
+	for _, groupCount := range []int{1, 10, 100, 1000} {
+		b.Run(fmt.Sprint("groups=", groupCount), func(b *testing.B) {
 			q := New(Options{})
 			var configs []GroupConfig
-			for i := range groups {
+			for i := range groupCount {
 				configs = append(configs, GroupConfig{Group: model.GroupName(fmt.Sprint("g", i)), Weight: float64(i%7 + 1)})
 			}
 			q.Configure(configs)
 			id, now := ID(0), model.Instant(0)
 			push := func() {
 				id++
-				q.Push(Item{ID: id, Group: configs[int(id)%groups].Group, Caller: "c", Deadline: now + 1e9})
+				q.Push(Item{ID: id, Group: configs[int(id)%groupCount].Group, Caller: "c", Deadline: now + 1e9})
 			}
-			for range 4 * groups {
+			for range 4 * groupCount {
 				push()
 			}
 			b.ReportAllocs()
@@ -205,28 +210,28 @@
 		q.Push(Item{ID: 100 + i, Group: "limited", Deadline: 1})
 		q.Push(Item{ID: 200 + i, Group: "free", Deadline: 1})
 	}
-	var startedLimited []ID
+	var startedLimitedIDs []ID
 	pop := func() bool {
 		item, ok := q.Pop(0)
 		if ok && item.Group == "limited" {
-			startedLimited = append(startedLimited, item.ID)
+			startedLimitedIDs = append(startedLimitedIDs, item.ID)
 		}
 		return ok
 	}
 	for range 10 {
 		require.True(t, pop())
 	}
-	require.Len(t, startedLimited, 2)
+	require.Len(t, startedLimitedIDs, 2)
 	configure(3)
 	for pop() {
 	}
-	require.Len(t, startedLimited, 3, "the free group has no requests left, and one more limited request runs")
+	require.Len(t, startedLimitedIDs, 3, "the free group has no requests left, and one more limited request runs")
 	require.Equal(t, 17, q.Len())
-	for ended := 0; ended < len(startedLimited); ended++ {
-		require.True(t, q.Done(0, startedLimited[ended], time.Millisecond))
+	for ended := 0; ended < len(startedLimitedIDs); ended++ {
+		require.True(t, q.Done(0, startedLimitedIDs[ended], time.Millisecond))
 		pop()
 	}
-	require.Len(t, startedLimited, 20, "each request that ends lets the next one start")
+	require.Len(t, startedLimitedIDs, 20, "each request that ends lets the next one start")
 	require.Zero(t, q.Len())
 }
 
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -21,22 +21,22 @@
 // forwarderWithStuckUpstream answers each call after a millisecond, except calls
 // to the stuck upstream, which do not return until they are cancelled.
 type forwarderWithStuckUpstream struct {
-	mu            sync.Mutex
-	stuckUpstream model.UpstreamID
-	calls         map[model.UpstreamID]int
-	cancelled     int
+	mu              sync.Mutex
+	stuckUpstream   model.UpstreamID
+	callsByUpstream map[model.UpstreamID]int
+	cancelledCount  int
 }
 
 func (f *forwarderWithStuckUpstream) Do(ctx context.Context, c *wire.Call) *wire.Result {
 	f.mu.Lock()
-	f.calls[c.Upstream]++
-	seq, stuck := uint64(f.calls[c.Upstream]), c.Upstream == f.stuckUpstream
+	f.callsByUpstream[c.Upstream]++
+	seq, stuck := uint64(f.callsByUpstream[c.Upstream]), c.Upstream == f.stuckUpstream
 	f.mu.Unlock()
 	if stuck {
 		<-ctx.Done()
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.cancelled++
+		f.cancelledCount++
 		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonCancelled))
 	}
 	time.Sleep(time.Millisecond)
@@ -47,7 +47,7 @@
 }
 
 // newWarmEntry returns an entry with two upstreams and a request to send. The entry's
-// router has already learned the usual latency of both upstreams.
+// router has already learned the usual latency of both upstreams from 1000 requests.
 func newWarmEntry(f *forwarderWithStuckUpstream, idempotent bool) (*Entry, *request) {
 	origin := time.Now()
 	now := func() model.Instant { return model.Instant(time.Since(origin)) }
@@ -74,37 +74,43 @@
 	return e, req
 }
 
+// TestStuckIdempotentRequestIsHedged sends idempotent requests while one upstream does not
+// answer. Each request must be answered by the other upstream, and each call to the stuck
+// upstream must be cancelled.
 func TestStuckIdempotentRequestIsHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		f := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
+		f := &forwarderWithStuckUpstream{callsByUpstream: make(map[model.UpstreamID]int)}
 		e, req := newWarmEntry(f, true)
 		f.stuckUpstream = "s-1"
-		callsBefore := f.calls["s-1"]
+		callsBefore := f.callsByUpstream["s-1"]
 		for range 10 {
 			response, _, ok := e.attempt(context.Background(), req, nil, 0)
 			assert.True(t, ok)
 			assert.Equal(t, outcome.Answered, response.Outcome.Kind)
 			assert.NoError(t, response.Body.Close())
 		}
-		assert.Greater(t, f.calls["s-1"], callsBefore, "the stuck upstream was tried")
-		assert.Equal(t, f.calls["s-1"]-callsBefore, f.cancelled, "every stuck call was cancelled")
+		assert.Greater(t, f.callsByUpstream["s-1"], callsBefore, "the stuck upstream was tried")
+		assert.Equal(t, f.callsByUpstream["s-1"]-callsBefore, f.cancelledCount, "every stuck call was cancelled")
 	})
 }
 
+// TestNonIdempotentRequestIsNeverHedged sends non-idempotent requests until one has been
+// sent to the stuck upstream and has run into its deadline. Each request must have been
+// sent to one upstream only.
 func TestNonIdempotentRequestIsNeverHedged(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		f := &forwarderWithStuckUpstream{calls: make(map[model.UpstreamID]int)}
+		f := &forwarderWithStuckUpstream{callsByUpstream: make(map[model.UpstreamID]int)}
 		e, req := newWarmEntry(f, false)
-		callsBefore := f.calls["s-1"] + f.calls["s-2"]
+		callsBefore := f.callsByUpstream["s-1"] + f.callsByUpstream["s-2"]
 		f.stuckUpstream = "s-1"
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		sent := 0
-		for f.cancelled == 0 {
+		sentCount := 0
+		for f.cancelledCount == 0 {
 			response, _, _ := e.attempt(ctx, req, nil, 0)
 			_ = response.Body.Close()
-			sent++
+			sentCount++
 		}
-		assert.Equal(t, callsBefore+sent, f.calls["s-1"]+f.calls["s-2"], "one call for each request")
+		assert.Equal(t, callsBefore+sentCount, f.callsByUpstream["s-1"]+f.callsByUpstream["s-2"], "one call for each request")
 	})
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -22,6 +22,7 @@
 	Submit(ctx context.Context, c *wire.Call, body []byte) *wire.Result
 }
 
+// defaultMaxKeyedBody is the default of Options.MaxKeyedBody, in bytes.
 const defaultMaxKeyedBody = 256 << 10
 
 // forwardOrSubmit forwards a request and returns the response. A non-idempotent request
@@ -34,8 +35,9 @@
 	return e.submitKeyed(ctx, req)
 }
 
-// submitKeyed checks the idempotency key of a request and forwards the request to
-// the daemon that owns the key.
+// submitKeyed forwards a request to the daemon that owns the idempotency key of the
+// request. It refuses a request with an invalid key or more than one key, and a request
+// whose body is larger than Options.MaxKeyedBody or cannot be read.
 func (e *Entry) submitKeyed(ctx context.Context, req *request) *wire.Result {
 	if e.opts.Keyed == nil {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNotReady))
@@ -56,27 +58,28 @@
 	return e.opts.Keyed.Submit(ctx, c, body)
 }
 
-// readAll returns the complete body and ReasonNone. When the body is longer than limit
+// readAll returns the complete body and ReasonNone. When the body is longer than maxBytes
 // bytes or cannot be read, readAll returns the reason to refuse the request.
-func (b *body) readAll(limit int64) ([]byte, outcome.Reason) {
-	if b.length > limit {
+func (b *body) readAll(maxBytes int64) ([]byte, outcome.Reason) {
+	if b.length > maxBytes {
 		return nil, outcome.ReasonTooLarge
 	}
 	if b.stream == nil {
 		return b.data, outcome.ReasonNone
 	}
-	data, err := io.ReadAll(io.LimitReader(b.stream, limit+1))
+	data, err := io.ReadAll(io.LimitReader(b.stream, maxBytes+1))
 	switch {
 	case err != nil:
 		return nil, bodyErrorReason(err)
-	case int64(len(data)) > limit:
+	case int64(len(data)) > maxBytes:
 		return nil, outcome.ReasonTooLarge
 	default:
 		return data, outcome.ReasonNone
 	}
 }
 
-// bufferBody reads r completely and returns a body that can be replayed.
+// bufferBody reads r completely and returns a body that can be replayed. If r is nil, the
+// body is empty.
 func bufferBody(r io.Reader) (*body, error) {
 	if r == nil {
 		return &body{}, nil
@@ -89,11 +92,11 @@
 // as a request that the caller has sent to this entry. This daemon must own the key,
 // and must have claimed the key for the call; see package claims.
 func (e *Entry) ForwardKeyed(ctx context.Context, c *wire.Call) *wire.Result {
-	inForce := e.opts.Config()
-	if inForce == nil {
+	config := e.opts.Config()
+	if config == nil {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNotReady))
 	}
-	svc, ok := inForce.Set.Service(c.Service)
+	svc, ok := config.Set.Service(c.Service)
 	if !ok {
 		return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonNoService))
 	}
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -14,22 +14,26 @@
 
 // quarantineStub is a Quarantine that refuses a request after two crashes.
 type quarantineStub struct {
-	crashes  map[quarantine.Fingerprint][]quarantine.Crash
+	crashesByFingerprint map[quarantine.Fingerprint][]quarantine.Crash
+	// answered holds the fingerprints that were passed to RecordResponse.
 	answered []quarantine.Fingerprint
 }
 
-func (q *quarantineStub) HasRecords() bool { return len(q.crashes) > 0 }
+func (q *quarantineStub) HasRecords() bool { return len(q.crashesByFingerprint) > 0 }
 
 func (q *quarantineStub) RefusedFor(f quarantine.Fingerprint) (time.Duration, bool) {
-	return 90 * time.Second, len(q.crashes[f]) >= 2
+	return 90 * time.Second, len(q.crashesByFingerprint[f]) >= 2
 }
 
 func (q *quarantineStub) RecordCrash(f quarantine.Fingerprint, _ quarantine.Request, crash quarantine.Crash) {
-	q.crashes[f] = append(q.crashes[f], crash)
+	q.crashesByFingerprint[f] = append(q.crashesByFingerprint[f], crash)
 }
 
 func (q *quarantineStub) RecordResponse(f quarantine.Fingerprint) { q.answered = append(q.answered, f) }
 
+// TestRequestCrashesAtMostTwoUpstreams sends a request that crashes its upstream. It must
+// be retried once. From then on it must be refused, also with other headers, while a
+// request with another path must be answered.
 func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	crashing := true
 	c := newServiceChain(t, 1, func(call *wire.Call) *wire.Result {
@@ -38,15 +42,15 @@
 		}
 		return respondOK(call)
 	})
-	stub := &quarantineStub{crashes: make(map[quarantine.Fingerprint][]quarantine.Crash)}
+	stub := &quarantineStub{crashesByFingerprint: make(map[quarantine.Fingerprint][]quarantine.Crash)}
 	c.entry.opts.Quarantine = stub
 	w := c.send(0, nil)
 	require.Equal(t, "unknown", w.Header().Get(wire.HeaderOutcome))
 	require.EqualValues(t, outcome.ReasonUpstreamCrashed, w.Header().Get(wire.HeaderReason))
-	require.EqualValues(t, 2, c.attempts.Load())
+	require.EqualValues(t, 2, c.attemptCount.Load())
 
 	w = c.send(0, nil)
-	require.EqualValues(t, 2, c.attempts.Load(), "a retry by the caller is refused without an attempt")
+	require.EqualValues(t, 2, c.attemptCount.Load(), "a retry by the caller is refused without an attempt")
 	require.Equal(t, "not-run", w.Header().Get(wire.HeaderOutcome))
 	require.EqualValues(t, outcome.ReasonQuarantined, w.Header().Get(wire.HeaderReason))
 	require.Equal(t, "90", w.Header().Get("Retry-After"))
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -21,8 +21,8 @@
 // use.
 type retryBudgets struct {
 	now func() model.Instant
-	// decisionCounters holds the counter of each decision on a retry.
-	decisionCounters map[retry.Decision]tally.Counter
+	// counterByDecision holds the counter of each decision on a retry.
+	counterByDecision map[retry.Decision]tally.Counter
 
 	mu sync.Mutex
 	// budgets holds the retry budget of each service that has received requests.
@@ -32,13 +32,13 @@
 
 func newRetryBudgets(now func() model.Instant, scope tally.Scope) *retryBudgets {
 	r := &retryBudgets{
-		now:              now,
-		decisionCounters: make(map[retry.Decision]tally.Counter),
-		budgets:          make(map[model.ServiceName]*retry.Budget),
+		now:               now,
+		counterByDecision: make(map[retry.Decision]tally.Counter),
+		budgets:           make(map[model.ServiceName]*retry.Budget),
 	}
 	scope = telemetry.OrNoop(scope)
 	for _, decision := range []retry.Decision{retry.Allowed, retry.BudgetExhausted, retry.TooManyFailures, retry.DeadlineTooClose} {
-		r.decisionCounters[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
+		r.counterByDecision[decision] = scope.Tagged(map[string]string{"verdict": decision.String()}).Counter("retries")
 	}
 	return r
 }
@@ -56,8 +56,8 @@
 	b.CountRequest()
 }
 
-// countAttempt counts an attempt as failed or not failed. countRequest must have been
-// called for the service before.
+// countAttempt counts an attempt with the given response as failed or not failed. It may
+// be called only after countRequest has been called for the service.
 func (r *retryBudgets) countAttempt(s *policy.Service, response *wire.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,6 +66,7 @@
 }
 
 // backoff returns how long to wait before a retry, and whether the retry is allowed.
+// retryNumber is 1 for the first retry of the request.
 // o is the outcome of the attempt before the retry. If o.FreeToRetry reports true, the
 // attempt put no load on any upstream. The retry then needs no budget and is allowed
 // until the deadline.
@@ -80,12 +81,13 @@
 		decision = r.budgets[req.service.Name].Allow(r.now())
 		r.mu.Unlock()
 	}
-	r.decisionCounters[decision].Inc(1)
+	r.counterByDecision[decision].Inc(1)
 	return wait, decision == retry.Allowed
 }
 
 // waitForRetry reports whether the request should be retried after an attempt with the
-// given response. If so, it returns only after the backoff.
+// given response. If so, it returns only after the backoff. If ctx ends during the
+// backoff, it reports false. attempt is the number of the attempt, from 0.
 func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Result, attempt int) bool {
 	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.RetryElsewhere() {
 		return false
@@ -96,8 +98,8 @@
 	if response.Outcome.Reason == outcome.ReasonUpstreamCrashed {
 		// One retry after a crash is allowed: the request may crash a second
 		// upstream, but not a third.
-		req.crashes++
-		if req.crashes > 1 {
+		req.crashCount++
+		if req.crashCount > 1 {
 			return false
 		}
 	}
--- a/entry/routers_test.go
+++ b/entry/routers_test.go
@@ -10,6 +10,9 @@
 	"github.com/dottereltiller/dottereltiller/core/routing"
 )
 
+// TestRoutersUseTheServicesPolicy checks that the upstreams are chosen by the service's
+// routing policy. After a change to an unknown policy, a new router must be used, and its
+// statistics must start at zero.
 func TestRoutersUseTheServicesPolicy(t *testing.T) {
 	view := staticView{
 		{ID: "s-1", Service: "s", Incarnation: 1, Slots: 6},
@@ -25,11 +28,11 @@
 		assert.True(t, ok)
 		return c.Upstream
 	}
-	var order []model.UpstreamID
+	var chosenIDs []model.UpstreamID
 	for range 4 {
-		order = append(order, place().ID)
+		chosenIDs = append(chosenIDs, place().ID)
 	}
-	assert.Equal(t, []model.UpstreamID{"s-1", "s-2", "s-1", "s-2"}, order)
+	assert.Equal(t, []model.UpstreamID{"s-1", "s-2", "s-1", "s-2"}, chosenIDs)
 
 	policyName = "no-such-policy"
 	up := place()
--- a/guard/queue_timeout_test.go
+++ b/guard/queue_timeout_test.go
@@ -20,13 +20,14 @@
 
 // newBusyGuard returns a guard for an upstream whose only slot is taken until
 // release is called. The upstream sends the path of each request that it receives to
-// the channel executed.
-func newBusyGuard(t *testing.T) (g *Guard, executed chan string, release func()) {
+// the channel executedPaths. newBusyGuard has already received the path of the request that
+// holds the slot.
+func newBusyGuard(t *testing.T) (g *Guard, executedPaths chan string, release func()) {
 	t.Helper()
-	executed = make(chan string, 10)
+	executedPaths = make(chan string, 10)
 	unblock := make(chan struct{})
 	upstream := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		executed <- r.URL.Path
+		executedPaths <- r.URL.Path
 		<-unblock
 	}))
 	t.Cleanup(upstream.Close)
@@ -42,8 +43,8 @@
 		defer close(done)
 		_, _ = io.Copy(io.Discard, g.Do(context.Background(), newCall("/first")).Body)
 	}()
-	require.Equal(t, "/first", <-executed)
-	return g, executed, func() {
+	require.Equal(t, "/first", <-executedPaths)
+	return g, executedPaths, func() {
 		close(unblock)
 		<-done
 	}
@@ -56,6 +57,9 @@
 	}
 }
 
+// TestCallIsWithdrawnAfterQueueTimeout sends two calls while the only slot is taken: one
+// with a queue timeout of zero, one with a short queue timeout. Both must be withdrawn,
+// and neither may reach the upstream.
 func TestCallIsWithdrawnAfterQueueTimeout(t *testing.T) {
 	g, executed, release := newBusyGuard(t)
 	for name, queueTimeout := range map[string]time.Duration{"at once": 0, "after a wait": time.Millisecond} {
--- a/guard/upstream_proxy.go
+++ b/guard/upstream_proxy.go
@@ -36,8 +36,8 @@
 	// refuses the call is sent to this channel.
 	pending map[admission.ID]chan admission.Effect
 	nextID  admission.ID
-	// effects holds the effects that the controller returned last. The slice is
-	// reused.
+	// effects holds the effects that the last call of the controller returned. An
+	// effect says that a call starts or is refused. The slice is reused.
 	effects []admission.Effect
 }
 
@@ -172,6 +172,7 @@
 	u.dispatch()
 }
 
+// drain refuses the waiting calls and all calls that arrive later.
 func (u *upstreamProxy) drain() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -179,6 +180,7 @@
 	u.dispatch()
 }
 
+// expire refuses the waiting calls whose deadline has passed.
 func (u *upstreamProxy) expire() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -186,6 +188,8 @@
 	u.dispatch()
 }
 
+// configure replaces the configuration of the groups and the measuring budget, which is a
+// share of the upstream's slot time.
 func (u *upstreamProxy) configure(groups []admission.Group, measuringBudget float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -199,8 +203,8 @@
 	return u.monitor.Annotate(u.limiter.Annotate(u.controller.Load(u.now())))
 }
 
-// withLoad adds the upstream's load to a response. The load is computed for the
-// group of the call; see admission.Controller.LoadFor.
+// withLoad adds the upstream's load to a response. group is the group of the call, on
+// which the number of requests ahead depends; see admission.Controller.LoadFor.
 func (u *upstreamProxy) withLoad(response *wire.Result, group model.GroupName) *wire.Result {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -262,8 +266,8 @@
 	wire.StripInternalHeaders(h)
 	wire.StripHopByHopHeaders(h)
 	trace.Inject(ctx, h)
-	if end, ok := ctx.Deadline(); ok {
-		remaining := time.Until(end)
+	if deadline, ok := ctx.Deadline(); ok {
+		remaining := time.Until(deadline)
 		h.Set(wire.HeaderTimeout, remaining.Round(time.Microsecond).String())
 		u.setToken(h, c, remaining)
 	}
