--- a/cmd/dottereltiller/logflags.go
+++ b/cmd/dottereltiller/logflags.go
@@ -74,8 +74,8 @@
 	return docs, checkDuplicates(docs)
 }
 
-// expandPath returns the *.json files of a directory, or path itself if it is not a
-// directory.
+// expandPath returns the *.json files of a directory, or path itself if it is not a directory. It
+// returns an error if path does not exist.
 func expandPath(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil || !info.IsDir() {
@@ -86,6 +86,7 @@
 	return files, err
 }
 
+// parseFile parses the documents in a file. If several are invalid, it returns only the first problem.
 func parseFile(path string) ([]policy.Document, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/dottereltiller/publish.go
+++ b/cmd/dottereltiller/publish.go
@@ -75,8 +75,9 @@
 	return c.await(ctx, res.Version)
 }
 
-// printResult prints the result of a proposal. err is the error of the proposal;
-// printResult returns it.
+// printResult prints the result of a proposal. err is the error of the proposal, or nil. printResult
+// returns err. If another change superseded the proposal, it prints the differences to the current
+// version first.
 func printResult(res operator.Result, err error) error {
 	var superseded *operator.SupersededError
 	if errors.As(err, &superseded) {
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -21,7 +21,9 @@
 
 // TestSIGHUPBeforeTheRuntimeStarts sends SIGHUP to daemons whose Go runtime may not have installed
 // its signal handlers yet. Until they are installed, the process must ignore SIGHUP, because the
-// default action would end the process.
+// default action would end the process. Each daemon must exit with exitcode.Usage, because its settings
+// are invalid. At least one daemon must have ignored SIGHUP when it was first observed; otherwise the
+// test has checked nothing.
 func TestSIGHUPBeforeTheRuntimeStarts(t *testing.T) {
 	const starts = 200
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
--- a/cmd/internal/hangup/hangup.go
+++ b/cmd/internal/hangup/hangup.go
@@ -1,6 +1,6 @@
 // Package hangup catches SIGHUP from the start of the process on. On the platform, SIGHUP
-// requests a reload of the settings. Its default action would end a process that does not
-// catch it yet.
+// requests a reload of the settings. The default action of SIGHUP would end a process that does not
+// catch SIGHUP yet.
 //
 // The Go runtime can catch a signal only after the runtime has started. A program built with cgo
 // ignores SIGHUP from before the start of the runtime until the runtime catches the signal.
@@ -22,9 +22,9 @@
 	return c
 }
 
-// RestoreInherited stops catching SIGHUP and restores the action that the process inherited when
-// it was started. This is either the default action, which ends the process, or to ignore the
-// signal.
+// RestoreInherited stops catching SIGHUP and restores the action that the process inherited when it
+// was started. The inherited action is either the default action, which ends the process, or to
+// ignore the signal.
 func RestoreInherited() {
 	signal.Reset(syscall.SIGHUP)
 	restore()
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -17,7 +17,8 @@
 type Documents map[config.DocumentKey]json.RawMessage
 
 // Merge returns the documents in before together with docs. A document in docs replaces the one
-// in before with the same key. If prune is true, Merge returns only docs.
+// in before with the same key. If prune is true, Merge returns only docs. It returns an error if a
+// document cannot be encoded as JSON.
 func Merge(before Documents, docs []policy.Document, prune bool) (Documents, error) {
 	after := make(Documents)
 	if !prune {
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -22,7 +22,7 @@
 // configuration does not compile.
 type InvalidError struct{ Problem error }
 
-// Error names the first problem.
+// Error names the problem.
 func (e *InvalidError) Error() string { return fmt.Sprintf("invalid: %v", e.Problem) }
 
 // Unwrap returns the problem.
@@ -79,7 +79,7 @@
 	Zones []ZoneStatus
 }
 
-// Error names the zones in which the version is not yet in force at every daemon.
+// Error names the zones in which the version may not be in force yet at some queried daemon.
 func (e *LaggingError) Error() string {
 	text := fmt.Sprintf("version %d is accepted but not yet in force everywhere:", e.Version)
 	for _, z := range e.Zones {
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -47,8 +47,8 @@
 	return string(c)
 }
 
-// WriteAssignments prints a table with the policy of each service and the group of each
-// caller at that service.
+// WriteAssignments prints a table with the policy of each service and the group of each caller at that
+// service. For each service, the last row is for callers without credentials.
 func WriteAssignments(w io.Writer, set *policy.Set) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "service\tpolicy\tcaller\tgroup\tshare when all are busy")
--- a/operator/linearizable_test.go
+++ b/operator/linearizable_test.go
@@ -51,8 +51,9 @@
 }
 
 // TestProposalsAreLinearizable lets operators publish concurrently on a log that loses
-// replies, duplicates appends and is sometimes unavailable. The results of all proposals
-// must be consistent with a single order of the changes.
+// replies, duplicates appends and is sometimes unavailable. The results of all proposals must be
+// consistent with a single order of the changes, as modelled by versionRegister. Some proposals must
+// be accepted and some superseded.
 func TestProposalsAreLinearizable(t *testing.T) {
 	for seed := range 5 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -88,8 +89,9 @@
 	}
 }
 
-// proposeOnCurrent reads the current version and proposes a change based on it. Changes of other
-// operators may be accepted between the read and the proposal.
+// proposeOnCurrent reads the current version and proposes a change based on that version. Changes of
+// other operators may be accepted between the read and the proposal. client is the number of the
+// operator, and i is the number of the operator's proposal; they make the document unique.
 func proposeOnCurrent(ctx context.Context, log recordlog.Log, client, i int) porcupine.Operation {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -123,6 +123,8 @@
 	return u.Log.Read(ctx, stream, from, limit)
 }
 
+// TestFailedAppendIsNotReportedAsUnknown checks that Propose retries appends that certainly failed, and
+// returns another error than *UnknownError if they all fail.
 func TestFailedAppendIsNotReportedAsUnknown(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		log := &failingAppends{Log: &recordlog.Memory{}}
@@ -147,6 +149,8 @@
 	return 0, &recordlog.AppendError{Err: errors.New("refused")}
 }
 
+// TestTrimmedLogNeedsCheckpoint checks that a trimmed log can be read only if it holds a checkpoint that
+// covers the trimmed records.
 func TestTrimmedLogNeedsCheckpoint(t *testing.T) {
 	log := &recordlog.Memory{}
 	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
@@ -163,6 +167,9 @@
 	require.EqualValues(t, 2, res.Version)
 }
 
+// TestStartOverNeedsTrimmedLogWithoutCheckpoint checks that StartOver fails while the configuration can
+// be read from the log, and for version zero. After a trim without a checkpoint it must succeed, and
+// the next change must get the version after the given one.
 func TestStartOverNeedsTrimmedLogWithoutCheckpoint(t *testing.T) {
 	log := &recordlog.Memory{}
 	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
@@ -188,6 +195,8 @@
 	require.Equal(t, "Service/a\n-   \"y\": 2\n+   \"y\": 3\nService/gone\n- 1\n", b.String())
 }
 
+// TestAwaitNamesLaggingZones checks that Await polls until the version is in force in every zone, and
+// returns a *LaggingError if the context ends first.
 func TestAwaitNamesLaggingZones(t *testing.T) {
 	var queries atomic.Int32
 	zones := []ZoneStatus{{Zone: "a", Asked: 2, Answered: 2, Oldest: 1, Newest: 2}, {Zone: "b", Asked: 1, Answered: 1, Oldest: 2, Newest: 2}}
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -131,7 +131,9 @@
 
 // appendAndReadBack appends a change to the log and reads the log, and repeats both until it finds
 // the change there. It may append the change more than once; only the first record counts. If the
-// context ends first and an append may have taken effect, it returns an *UnknownError.
+// context ends first and an append may have taken effect, it returns an *UnknownError. If the context
+// ends first and no append took effect, it returns the errors of the most recent append and read. If
+// the change cannot be encoded, it returns an *InvalidError.
 func appendAndReadBack(ctx context.Context, v *View, c config.Change) (HistoryEntry, error) {
 	record, _, err := config.EncodeChange(c)
 	if err != nil {
@@ -187,8 +189,9 @@
 	return out
 }
 
-// Rollback proposes the documents of an earlier version as a new version. It overwrites the
-// Documents and Prune of p.
+// Rollback proposes the documents of an earlier version as a new version. It overwrites the Documents
+// and Prune of p. It returns an error if the log does not hold the change that made the earlier version,
+// or an error of Propose.
 func Rollback(ctx context.Context, log recordlog.Log, version model.Version, p Proposal) (Result, error) {
 	earlier, err := StateAt(ctx, log, version)
 	if err != nil {
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -16,13 +16,13 @@
 
 const (
 	quarantinePath = "/v1/quarantine"
-	// maxAdminResponse is the maximum length of a response body in bytes.
+	// maxAdminResponse is the maximum length of a response body in bytes. Longer bodies are cut off.
 	maxAdminResponse = 4 << 20
 )
 
 // ListQuarantined returns the requests that a daemon lists in its quarantine: those suspected of
-// crashing upstreams, those refused because they crash upstreams, and those cleared since. admin is
-// the admin address of the daemon.
+// crashing upstreams, those refused because they crash upstreams, and those cleared of the suspicion.
+// admin is the admin address of the daemon.
 func ListQuarantined(ctx context.Context, admin string) ([]quarantine.ListedRecord, error) {
 	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return records, nil
 }
 
-// ReleaseQuarantined removes the request with a fingerprint from the quarantine. It calls the
-// daemon at an admin address, which relays the release to the other daemons. A daemon accepts
+// ReleaseQuarantined removes the request with fingerprint f from the quarantine. It calls the daemon
+// at the address admin, which relays the release to the other daemons. A daemon accepts
 // this call only from its own VM.
 func ReleaseQuarantined(ctx context.Context, admin string, f core.Fingerprint) error {
 	_, err := callAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
--- a/operator/status.go
+++ b/operator/status.go
@@ -26,8 +26,8 @@
 	Silent []model.DaemonID `json:"silent,omitempty"`
 }
 
-// Lags reports whether v may not be in force yet at some queried daemon: the daemon serves an
-// older version than v, or did not respond.
+// Lags reports whether v may not be in force yet at some queried daemon. That is the case if a daemon
+// serves an older version than v, or if a daemon did not respond.
 func (z ZoneStatus) Lags(v model.Version) bool { return z.Oldest < v || z.Answered < z.Asked }
 
 // pollInterval is the time between two queries of Await.
@@ -41,7 +41,8 @@
 }
 
 // Await polls the daemon at an admin address until a version is in force in every zone. It
-// returns a *LaggingError with the last status if the context ends first.
+// returns a *LaggingError with the result of the most recent successful query if the context ends
+// first.
 func Await(ctx context.Context, address string, v model.Version) error {
 	var last []ZoneStatus
 	for {
