--- a/cmd/dottereltiller/docs_test.go
+++ b/cmd/dottereltiller/docs_test.go
@@ -71,10 +71,10 @@
 // TestDocumentedCommandsParse checks that the commands in the documentation use existing
 // subcommands and flags.
 func TestDocumentedCommandsParse(t *testing.T) {
-	found := 0
+	commandCount := 0
 	for page, lines := range commandsInPages(t) {
 		for _, line := range lines {
-			found++
+			commandCount++
 			var a args
 			p, err := arg.NewParser(arg.Config{Program: "dottereltiller"}, &a)
 			require.NoError(t, err)
@@ -85,7 +85,7 @@
 			require.NoError(t, err, "%s: dottereltiller %s", page, line)
 		}
 	}
-	require.Positive(t, found)
+	require.Positive(t, commandCount)
 }
 
 // TestDocumentedFilesExist checks that the commands in the documentation use only existing files
--- a/cmd/dottereltiller/history.go
+++ b/cmd/dottereltiller/history.go
@@ -36,9 +36,9 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "offset\tverdict\tversion\tbase\ttime\tauthor\tput\tdeleted\tchange\tcomment")
 	for _, e := range entries {
-		at := time.UnixMilli(e.Change.UnixMilli).UTC().Format(time.RFC3339)
+		changeTime := time.UnixMilli(e.Change.UnixMilli).UTC().Format(time.RFC3339)
 		_, _ = fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n", e.Offset, e.Decision, e.Version, e.Change.Base,
-			at, e.Change.Author, len(e.Change.Put), len(e.Change.Delete), e.Change.ID, e.Change.Comment)
+			changeTime, e.Change.Author, len(e.Change.Put), len(e.Change.Delete), e.Change.ID, e.Change.Comment)
 	}
 	return t.Flush()
 }
--- a/cmd/dottereltiller/logflags.go
+++ b/cmd/dottereltiller/logflags.go
@@ -101,12 +101,12 @@
 
 // checkDuplicates returns an error if two documents have the same key.
 func checkDuplicates(docs []policy.Document) error {
-	seen := make(map[string]bool)
+	seenKeys := make(map[string]bool)
 	for _, d := range docs {
-		if seen[d.Key()] {
+		if seenKeys[d.Key()] {
 			return usageError{fmt.Errorf("document %s is defined more than once", d.Key())}
 		}
-		seen[d.Key()] = true
+		seenKeys[d.Key()] = true
 	}
 	return nil
 }
--- a/cmd/dottereltiller/trace.go
+++ b/cmd/dottereltiller/trace.go
@@ -21,19 +21,19 @@
 // not respond, it prints an error to standard error. It fails only if none responds.
 func (c *traceCmd) run(ctx context.Context) error {
 	var records []trace.Record
-	var failed []error
-	for _, admin := range c.Admin {
-		r, err := trace.Fetch(ctx, admin)
+	var fetchErrors []error
+	for _, address := range c.Admin {
+		r, err := trace.Fetch(ctx, address)
 		if err != nil {
-			failed = append(failed, err)
+			fetchErrors = append(fetchErrors, err)
 			continue
 		}
 		records = append(records, r...)
 	}
-	for _, err := range failed {
+	for _, err := range fetchErrors {
 		fmt.Fprintln(os.Stderr, "dottereltiller:", err)
 	}
-	if len(failed) == len(c.Admin) {
+	if len(fetchErrors) == len(c.Admin) {
 		return errors.New("no daemon responded")
 	}
 	return c.print(trace.FilterByTraceID(records, c.TraceID))
--- a/cmd/dottereltillerd/early_test.go
+++ b/cmd/dottereltillerd/early_test.go
@@ -65,7 +65,7 @@
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
 	defer func() { _ = f.Close() }()
-	const hangup = 1 << (syscall.SIGHUP - 1)
+	const hangupMask = 1 << (syscall.SIGHUP - 1)
 	ended := false
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		name, value, _ := strings.Cut(lines.Text(), ":")
@@ -76,8 +76,8 @@
 		case "SigIgn", "SigCgt":
 			mask, err := strconv.ParseUint(value, 16, 64)
 			require.NoError(t, err)
-			ignored = ignored || name == "SigIgn" && mask&hangup != 0
-			caught = caught || name == "SigCgt" && mask&hangup != 0
+			ignored = ignored || name == "SigIgn" && mask&hangupMask != 0
+			caught = caught || name == "SigCgt" && mask&hangupMask != 0
 		}
 	}
 	return ignored, caught || ended
--- a/cmd/dottereltillerd/hangup_test.go
+++ b/cmd/dottereltillerd/hangup_test.go
@@ -61,7 +61,7 @@
 	for name, ignored := range map[string]bool{"started as usual": false, "started with SIGHUP ignored": true} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.Command(program, "--settings", path)
-			out, err := cmd.StderrPipe()
+			stderr, err := cmd.StderrPipe()
 			require.NoError(t, err)
 			if ignored {
 				signal.Ignore(syscall.SIGHUP)
@@ -73,7 +73,7 @@
 			signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 			require.NoError(t, err)
 			defer time.AfterFunc(killTimeout, func() { _ = cmd.Process.Kill() }).Stop()
-			awaitLine(t, bufio.NewReader(out), "daemon started")
+			awaitLine(t, bufio.NewReader(stderr), "daemon started")
 			require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 			if ignored {
 				require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
--- a/cmd/dottereltillerd/main_test.go
+++ b/cmd/dottereltillerd/main_test.go
@@ -64,13 +64,13 @@
 // TestStartupErrors checks the exit code and the error message for common mistakes in flags and
 // settings. Valid flags and settings must be accepted.
 func TestStartupErrors(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	usedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = usedListener.Close() }()
 	for name, c := range map[string]struct {
-		args []string
-		code int
-		want string
+		args       []string
+		wantCode   int
+		wantStderr string
 	}{
 		"no settings":                   {nil, 2, "no settings file: set --settings or DOTTERELTILLER_SETTINGS"},
 		"unknown flag":                  {[]string{"--setings", "d.json"}, 2, "unknown argument --setings"},
@@ -78,15 +78,15 @@
 		"misspelled field":              {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
 		"misspelled field with --check": {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`, "zoen": "a"}`)}, 2, `zoen: no such field (got "a")`},
 		"no certificate":                {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`, "callers": {"tls": {"certificate": "c", "key": "k"}}}`)}, 2, `callers.tls.certificate: open c: no such file or directory (got "c")`},
-		"address in use":                {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "listen": {"callers": "`+taken.Addr().String()+`"}}`)}, 1, "listen.callers: listen tcp " + taken.Addr().String() + ": bind: address already in use"},
+		"address in use":                {[]string{"--settings", writeSettings(t, `{`+validSettings+`, "listen": {"callers": "`+usedListener.Addr().String()+`"}}`)}, 1, "listen.callers: listen tcp " + usedListener.Addr().String() + ": bind: address already in use"},
 		"valid":                         {[]string{"--check", "--settings", writeSettings(t, `{`+validSettings+`}`)}, 0, ""},
 		"quick start example":           {[]string{"--check", "--settings", "../../examples/quickstart/daemon.json"}, 0, ""},
 		"version printed":               {[]string{"--version"}, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			code, _, stderr := runProgram(t, c.args...)
-			require.Equal(t, c.code, code, stderr)
-			require.Contains(t, stderr, c.want)
+			require.Equal(t, c.wantCode, code, stderr)
+			require.Contains(t, stderr, c.wantStderr)
 		})
 	}
 }
--- a/cmd/dottereltillerd/stop_test.go
+++ b/cmd/dottereltillerd/stop_test.go
@@ -21,11 +21,11 @@
 	cmd := exec.Command(program, "--settings", writeSettings(t, `{`+validSettings+`,
 		"listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "admin": "127.0.0.1:0"},
 		"process": {"shutdown_timeout": "60s", "drain_time": "0s"}}`))
-	out, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
-	lines := bufio.NewReader(out)
+	lines := bufio.NewReader(stderr)
 	peerAddress := awaitLine(t, lines, "daemon started")["id"].(string)
 
 	conn, err := net.Dial("tcp", peerAddress)
@@ -34,18 +34,18 @@
 	_, err = fmt.Fprint(conn, "POST /dottereltiller.peer.v1.PeerService/Ping HTTP/1.1\r\nHost: d\r\n"+
 		"Content-Type: application/proto\r\nExpect: 100-continue\r\nContent-Length: 100\r\n\r\n")
 	require.NoError(t, err)
-	status, err := bufio.NewReader(conn).ReadString('\n')
+	statusLine, err := bufio.NewReader(conn).ReadString('\n')
 	require.NoError(t, err)
-	require.Contains(t, status, "100", "the handler reads the message")
+	require.Contains(t, statusLine, "100", "the handler reads the message")
 
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	awaitLine(t, lines, "daemon stopping")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-	rest, err := io.ReadAll(lines)
+	remainingLog, err := io.ReadAll(lines)
 	require.NoError(t, err)
 	_ = cmd.Wait()
-	require.Equal(t, 1, cmd.ProcessState.ExitCode(), "%s: %s", cmd.ProcessState, rest)
-	require.Contains(t, string(rest), "abandoned 0 of callers, 1 calls of other daemons, 0 keyed runs")
+	require.Equal(t, 1, cmd.ProcessState.ExitCode(), "%s: %s", cmd.ProcessState, remainingLog)
+	require.Contains(t, string(remainingLog), "abandoned 0 of callers, 1 calls of other daemons, 0 keyed runs")
 }
 
 // awaitLine reads log lines until one contains msg. It returns the fields of that line.
--- a/operator/examples_test.go
+++ b/operator/examples_test.go
@@ -14,7 +14,7 @@
 // one caller's group in each.
 func TestExamplesAreValid(t *testing.T) {
 	// For each deployment: a caller, a service and the group that the caller must belong to.
-	for deployment, want := range map[string][3]string{
+	for deployment, assignment := range map[string][3]string{
 		"fyn":    {"archive-search", "returdesk", "searches"},
 		"hardap": {"season-report", "sheds", "reports"},
 	} {
@@ -30,9 +30,9 @@
 			}
 			set, err := Check(files)
 			require.NoError(t, err)
-			e, err := set.Explain(model.CallerName(want[0]), model.ServiceName(want[1]))
+			e, err := set.Explain(model.CallerName(assignment[0]), model.ServiceName(assignment[1]))
 			require.NoError(t, err)
-			require.EqualValues(t, want[2], e.Group)
+			require.EqualValues(t, assignment[2], e.Group)
 		})
 	}
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -65,11 +65,11 @@
 	res, err := Rollback(t.Context(), log, 1, Proposal{})
 	require.NoError(t, err)
 	require.EqualValues(t, 3, res.Version)
-	first, err := StateAt(t.Context(), log, 1)
+	state1, err := StateAt(t.Context(), log, 1)
 	require.NoError(t, err)
-	third, err := StateAt(t.Context(), log, 3)
+	state3, err := StateAt(t.Context(), log, 3)
 	require.NoError(t, err)
-	require.Equal(t, first.Documents, third.Documents)
+	require.Equal(t, state1.Documents, state3.Documents)
 	_, err = Rollback(t.Context(), log, 9, Proposal{})
 	require.ErrorContains(t, err, "version 9 is not on the log")
 }
@@ -78,7 +78,7 @@
 	for name, c := range map[string]struct {
 		proposal             Proposal
 		readsFailAfterAppend bool
-		want                 int
+		wantCode             int
 	}{
 		"superseded":   {Proposal{Base: 1, Documents: []policy.Document{serviceDocument("a", "3s")}}, false, ExitSuperseded},
 		"invalid":      {Proposal{Documents: []policy.Document{serviceDocument("a", "3 hours")}}, false, ExitInvalid},
@@ -98,7 +98,7 @@
 				_, err := Propose(ctx, log, c.proposal)
 				var coded interface{ ExitCode() int }
 				require.ErrorAs(t, err, &coded)
-				require.Equal(t, c.want, coded.ExitCode(), "%v", err)
+				require.Equal(t, c.wantCode, coded.ExitCode(), "%v", err)
 			})
 		})
 	}
@@ -149,8 +149,8 @@
 	return 0, &recordlog.AppendError{Err: errors.New("refused")}
 }
 
-// TestTrimmedLogNeedsCheckpoint checks that a trimmed log can be read only if it holds a checkpoint that
-// covers the trimmed records.
+// TestTrimmedLogNeedsCheckpoint checks that a trimmed log can be read only if it holds a
+// checkpoint that covers the trimmed records.
 func TestTrimmedLogNeedsCheckpoint(t *testing.T) {
 	log := &recordlog.Memory{}
 	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
@@ -187,7 +187,7 @@
 	require.Len(t, res.Differences, 1)
 }
 
-func TestWriteDiff(t *testing.T) {
+func TestWriteDiffPrintsRemovedAndAddedLines(t *testing.T) {
 	var b bytes.Buffer
 	WriteDiff(&b, Diff(
 		Documents{"Service/a": json.RawMessage(`{"x":1,"y":2}`), "Service/gone": json.RawMessage(`1`)},
@@ -195,9 +195,9 @@
 	require.Equal(t, "Service/a\n-   \"y\": 2\n+   \"y\": 3\nService/gone\n- 1\n", b.String())
 }
 
-// TestAwaitNamesLaggingZones checks that Await polls until the version is in force in every zone, and
+// TestAwaitPollsUntilVersionIsInForce checks that Await polls until the version is in force in every zone, and
 // returns a *LaggingError if the context ends first.
-func TestAwaitNamesLaggingZones(t *testing.T) {
+func TestAwaitPollsUntilVersionIsInForce(t *testing.T) {
 	var queries atomic.Int32
 	zones := []ZoneStatus{{Zone: "a", Asked: 2, Answered: 2, Oldest: 1, Newest: 2}, {Zone: "b", Asked: 1, Answered: 1, Oldest: 2, Newest: 2}}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -190,8 +190,8 @@
 }
 
 // Rollback proposes the documents of an earlier version as a new version. It overwrites the Documents
-// and Prune of p. It returns an error if the log does not hold the change that made the earlier version,
-// or an error of Propose.
+// and Prune of p. It returns an error if the log does not hold the change that made the earlier
+// version, or an error of Propose.
 func Rollback(ctx context.Context, log recordlog.Log, version model.Version, p Proposal) (Result, error) {
 	earlier, err := StateAt(ctx, log, version)
 	if err != nil {
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -16,8 +16,8 @@
 
 const (
 	quarantinePath = "/v1/quarantine"
-	// maxAdminResponse is the maximum length of a response body in bytes. Longer bodies are cut off.
-	maxAdminResponse = 4 << 20
+	// maxAdminResponseBytes is the maximum length of a response body in bytes. Longer bodies are cut off.
+	maxAdminResponseBytes = 4 << 20
 )
 
 // ListQuarantined returns the requests that a daemon lists in its quarantine: those suspected of
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminResponse))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminResponseBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/operator/startover.go
+++ b/operator/startover.go
@@ -34,12 +34,12 @@
 	if !errors.Is(err, ErrNoCheckpoint) {
 		return err
 	}
-	end, err := endOfLog(ctx, log)
+	endOffset, err := endOfLog(ctx, log)
 	if err != nil {
 		return err
 	}
 	state := config.State{
-		Version: version, Next: uint64(end), ChangeID: "start-over",
+		Version: version, Next: uint64(endOffset), ChangeID: "start-over",
 		Documents: make(map[config.DocumentKey]json.RawMessage),
 	}
 	record, err := state.Checkpoint()
--- a/operator/status.go
+++ b/operator/status.go
@@ -44,18 +44,18 @@
 // returns a *LaggingError with the result of the most recent successful query if the context ends
 // first.
 func Await(ctx context.Context, address string, v model.Version) error {
-	var last []ZoneStatus
+	var latestZones []ZoneStatus
 	for {
 		zones, err := Zones(ctx, address)
 		if err == nil {
-			last = zones
+			latestZones = zones
 			if inForce(zones, v) {
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return &LaggingError{Version: v, Zones: last}
+			return &LaggingError{Version: v, Zones: latestZones}
 		case <-time.After(pollInterval):
 		}
 	}
--- a/operator/view.go
+++ b/operator/view.go
@@ -102,8 +102,8 @@
 // restoreCheckpoint restores the state machine from the first checkpoint at or after oldest
 // that covers all records before oldest. It returns ErrNoCheckpoint if there is none.
 func (v *View) restoreCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
-	for from := oldest; ; {
-		batch, err := v.log.Read(ctx, recordlog.StreamConfig, from, maxRecordsPerRead)
+	for offset := oldest; ; {
+		batch, err := v.log.Read(ctx, recordlog.StreamConfig, offset, maxRecordsPerRead)
 		if err != nil {
 			return err
 		}
@@ -111,9 +111,9 @@
 			if v.stateMachine.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 				return nil
 			}
-			from = r.Offset + 1
+			offset = r.Offset + 1
 		}
-		if from >= batch.Next {
+		if offset >= batch.Next {
 			return ErrNoCheckpoint
 		}
 	}
