--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -195,8 +195,8 @@
 	require.Equal(t, "Service/a\n-   \"y\": 2\n+   \"y\": 3\nService/gone\n- 1\n", b.String())
 }
 
-// TestAwaitPollsUntilVersionIsInForce checks that Await polls until the version is in force in every zone, and
-// returns a *LaggingError if the context ends first.
+// TestAwaitPollsUntilVersionIsInForce checks that Await polls until the version is in force in
+// every zone, and returns a *LaggingError if the context ends first.
 func TestAwaitPollsUntilVersionIsInForce(t *testing.T) {
 	var queries atomic.Int32
 	zones := []ZoneStatus{{Zone: "a", Asked: 2, Answered: 2, Oldest: 1, Newest: 2}, {Zone: "b", Asked: 1, Answered: 1, Oldest: 2, Newest: 2}}
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -16,7 +16,8 @@
 
 const (
 	quarantinePath = "/v1/quarantine"
-	// maxAdminResponseBytes is the maximum length of a response body in bytes. Longer bodies are cut off.
+	// maxAdminResponseBytes is the maximum length of a response body in bytes. Longer bodies are cut
+	// off.
 	maxAdminResponseBytes = 4 << 20
 )
 
@@ -77,7 +78,9 @@
 	return body, nil
 }
 
-// WriteQuarantined prints a table of the requests in the quarantine.
+// WriteQuarantined prints a table of the requests in the quarantine. The column "deaths" is the number
+// of crashes recorded for the request. The column "until" is the end of the quarantine of a
+// refused request.
 func WriteQuarantined(w io.Writer, records []quarantine.ListedRecord) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "fingerprint\tstate\tservice\tcaller\tdeaths\tuntil\trequest")
