--- a/cmd/dottereltiller/history.go
+++ b/cmd/dottereltiller/history.go
@@ -43,7 +43,8 @@
 	return t.Flush()
 }
 
-// filterByID returns the entries of the change with an id.
+// filterByID returns the entries of the change with an id. There are several if the change was appended
+// more than once.
 func filterByID(entries []operator.HistoryEntry, id string) []operator.HistoryEntry {
 	var out []operator.HistoryEntry
 	for _, e := range entries {
--- a/operator/view.go
+++ b/operator/view.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// apply applies a record to the state machine. If the record holds a change, apply adds it to the
-// history.
+// apply applies a record to the state machine. If the record holds a change, apply adds the change to
+// the history. If the change made keepVersion, apply also sets keptState.
 func (v *View) apply(r recordlog.Record) {
 	res := v.stateMachine.ApplyRecord(uint64(r.Offset), r.Data)
 	if res.Change != nil {
