--- a/cmd/dottereltiller/history.go
+++ b/cmd/dottereltiller/history.go
@@ -36,14 +36,15 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "offset\tverdict\tversion\tbase\ttime\tauthor\tput\tdeleted\tchange\tcomment")
 	for _, e := range entries {
-		at := time.UnixMilli(e.Change.UnixMilli).UTC().Format(time.RFC3339)
+		changeTime := time.UnixMilli(e.Change.UnixMilli).UTC().Format(time.RFC3339)
 		_, _ = fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n", e.Offset, e.Decision, e.Version, e.Change.Base,
-			at, e.Change.Author, len(e.Change.Put), len(e.Change.Delete), e.Change.ID, e.Change.Comment)
+			changeTime, e.Change.Author, len(e.Change.Put), len(e.Change.Delete), e.Change.ID, e.Change.Comment)
 	}
 	return t.Flush()
 }
 
-// filterByID returns the entries of the change with an id.
+// filterByID returns the entries of the change with an id. There are several if the change was appended
+// more than once.
 func filterByID(entries []operator.HistoryEntry, id string) []operator.HistoryEntry {
 	var out []operator.HistoryEntry
 	for _, e := range entries {
--- a/cmd/dottereltiller/logflags.go
+++ b/cmd/dottereltiller/logflags.go
@@ -74,8 +74,8 @@
 	return docs, checkDuplicates(docs)
 }
 
-// expandPath returns the *.json files of a directory, or path itself if it is not a
-// directory.
+// expandPath returns the *.json files of a directory, or path itself if it is not a directory. It
+// returns an error if path does not exist.
 func expandPath(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil || !info.IsDir() {
@@ -86,6 +86,7 @@
 	return files, err
 }
 
+// parseFile parses the documents in a file. If several are invalid, it returns only the first problem.
 func parseFile(path string) ([]policy.Document, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -100,12 +101,12 @@
 
 // checkDuplicates returns an error if two documents have the same key.
 func checkDuplicates(docs []policy.Document) error {
-	seen := make(map[string]bool)
+	seenKeys := make(map[string]bool)
 	for _, d := range docs {
-		if seen[d.Key()] {
+		if seenKeys[d.Key()] {
 			return usageError{fmt.Errorf("document %s is defined more than once", d.Key())}
 		}
-		seen[d.Key()] = true
+		seenKeys[d.Key()] = true
 	}
 	return nil
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -65,11 +65,11 @@
 	res, err := Rollback(t.Context(), log, 1, Proposal{})
 	require.NoError(t, err)
 	require.EqualValues(t, 3, res.Version)
-	first, err := StateAt(t.Context(), log, 1)
+	state1, err := StateAt(t.Context(), log, 1)
 	require.NoError(t, err)
-	third, err := StateAt(t.Context(), log, 3)
+	state3, err := StateAt(t.Context(), log, 3)
 	require.NoError(t, err)
-	require.Equal(t, first.Documents, third.Documents)
+	require.Equal(t, state1.Documents, state3.Documents)
 	_, err = Rollback(t.Context(), log, 9, Proposal{})
 	require.ErrorContains(t, err, "version 9 is not on the log")
 }
@@ -78,7 +78,7 @@
 	for name, c := range map[string]struct {
 		proposal             Proposal
 		readsFailAfterAppend bool
-		want                 int
+		wantCode             int
 	}{
 		"superseded":   {Proposal{Base: 1, Documents: []policy.Document{serviceDocument("a", "3s")}}, false, ExitSuperseded},
 		"invalid":      {Proposal{Documents: []policy.Document{serviceDocument("a", "3 hours")}}, false, ExitInvalid},
@@ -98,7 +98,7 @@
 				_, err := Propose(ctx, log, c.proposal)
 				var coded interface{ ExitCode() int }
 				require.ErrorAs(t, err, &coded)
-				require.Equal(t, c.want, coded.ExitCode(), "%v", err)
+				require.Equal(t, c.wantCode, coded.ExitCode(), "%v", err)
 			})
 		})
 	}
@@ -123,6 +123,8 @@
 	return u.Log.Read(ctx, stream, from, limit)
 }
 
+// TestFailedAppendIsNotReportedAsUnknown checks that Propose retries appends that certainly failed, and
+// returns another error than *UnknownError if they all fail.
 func TestFailedAppendIsNotReportedAsUnknown(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		log := &failingAppends{Log: &recordlog.Memory{}}
@@ -147,6 +149,8 @@
 	return 0, &recordlog.AppendError{Err: errors.New("refused")}
 }
 
+// TestTrimmedLogNeedsCheckpoint checks that a trimmed log can be read only if it holds a
+// checkpoint that covers the trimmed records.
 func TestTrimmedLogNeedsCheckpoint(t *testing.T) {
 	log := &recordlog.Memory{}
 	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
@@ -163,6 +167,9 @@
 	require.EqualValues(t, 2, res.Version)
 }
 
+// TestStartOverNeedsTrimmedLogWithoutCheckpoint checks that StartOver fails while the configuration can
+// be read from the log, and for version zero. After a trim without a checkpoint it must succeed, and
+// the next change must get the version after the given one.
 func TestStartOverNeedsTrimmedLogWithoutCheckpoint(t *testing.T) {
 	log := &recordlog.Memory{}
 	propose(t, log, Proposal{Documents: []policy.Document{serviceDocument("a", "1s")}})
@@ -180,7 +187,7 @@
 	require.Len(t, res.Differences, 1)
 }
 
-func TestWriteDiff(t *testing.T) {
+func TestWriteDiffPrintsRemovedAndAddedLines(t *testing.T) {
 	var b bytes.Buffer
 	WriteDiff(&b, Diff(
 		Documents{"Service/a": json.RawMessage(`{"x":1,"y":2}`), "Service/gone": json.RawMessage(`1`)},
@@ -188,7 +195,9 @@
 	require.Equal(t, "Service/a\n-   \"y\": 2\n+   \"y\": 3\nService/gone\n- 1\n", b.String())
 }
 
-func TestAwaitNamesLaggingZones(t *testing.T) {
+// TestAwaitPollsUntilVersionIsInForce checks that Await polls until the version is in force in
+// every zone, and returns a *LaggingError if the context ends first.
+func TestAwaitPollsUntilVersionIsInForce(t *testing.T) {
 	var queries atomic.Int32
 	zones := []ZoneStatus{{Zone: "a", Asked: 2, Answered: 2, Oldest: 1, Newest: 2}, {Zone: "b", Asked: 1, Answered: 1, Oldest: 2, Newest: 2}}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -16,13 +16,14 @@
 
 const (
 	quarantinePath = "/v1/quarantine"
-	// maxAdminResponse is the maximum length of a response body in bytes.
-	maxAdminResponse = 4 << 20
+	// maxAdminResponseBytes is the maximum length of a response body in bytes. Longer bodies are cut
+	// off.
+	maxAdminResponseBytes = 4 << 20
 )
 
 // ListQuarantined returns the requests that a daemon lists in its quarantine: those suspected of
-// crashing upstreams, those refused because they crash upstreams, and those cleared since. admin is
-// the admin address of the daemon.
+// crashing upstreams, those refused because they crash upstreams, and those cleared of the suspicion.
+// admin is the admin address of the daemon.
 func ListQuarantined(ctx context.Context, admin string) ([]quarantine.ListedRecord, error) {
 	body, err := callAdmin(ctx, http.MethodGet, "http://"+admin+quarantinePath)
 	if err != nil {
@@ -35,8 +36,8 @@
 	return records, nil
 }
 
-// ReleaseQuarantined removes the request with a fingerprint from the quarantine. It calls the
-// daemon at an admin address, which relays the release to the other daemons. A daemon accepts
+// ReleaseQuarantined removes the request with fingerprint f from the quarantine. It calls the daemon
+// at the address admin, which relays the release to the other daemons. A daemon accepts
 // this call only from its own VM.
 func ReleaseQuarantined(ctx context.Context, admin string, f core.Fingerprint) error {
 	_, err := callAdmin(ctx, http.MethodDelete, "http://"+admin+quarantinePath+"/"+f.String())
@@ -67,7 +68,7 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminResponse))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminResponseBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +78,9 @@
 	return body, nil
 }
 
-// WriteQuarantined prints a table of the requests in the quarantine.
+// WriteQuarantined prints a table of the requests in the quarantine. The column "deaths" is the number
+// of crashes recorded for the request. The column "until" is the end of the quarantine of a
+// refused request.
 func WriteQuarantined(w io.Writer, records []quarantine.ListedRecord) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "fingerprint\tstate\tservice\tcaller\tdeaths\tuntil\trequest")
