--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -18,7 +18,9 @@
 }
 
 // disabledBy returns a mechanism and the edits that disable it.
-func disabledBy(name string, list ...edits.Edit) mechanism { return mechanism{name: name, edits: list} }
+func disabledBy(name string, changes ...edits.Edit) mechanism {
+	return mechanism{name: name, edits: changes}
+}
 
 // coveredBy sets the covering test of a mechanism.
 func coveredBy(test string, m mechanism) mechanism {
@@ -78,11 +80,11 @@
 
 // TestEditsApply guards against edits that no longer apply to the source.
 func TestEditsApply(t *testing.T) {
-	seen := make(map[string]bool)
+	seenNames := make(map[string]bool)
 	for _, m := range mechanisms {
 		t.Run(m.name, func(t *testing.T) {
-			require.False(t, seen[m.name])
-			seen[m.name] = true
+			require.False(t, seenNames[m.name])
+			seenNames[m.name] = true
 			_, err := edits.Apply(root, m.edits)
 			require.NoError(t, err)
 		})
--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -109,25 +109,25 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	type key struct{ mechanism, site string }
-	diffs := make(map[key][]float64)
-	newViolations := make(map[key][]string)
+	diffsByKey := make(map[key][]float64)
+	newViolationsByKey := make(map[key][]string)
 	for trial, result := range r.byKey {
-		base, ok := r.byKey[trialKey{baseline, trial.site, trial.day, trial.seed}]
+		baselineResult, ok := r.byKey[trialKey{baseline, trial.site, trial.day, trial.seed}]
 		if trial.mechanism == baseline || !ok {
 			continue
 		}
 		k := key{trial.mechanism, trial.site}
-		diffs[k] = append(diffs[k], result.Score-base.Score)
+		diffsByKey[k] = append(diffsByKey[k], result.Score-baselineResult.Score)
 		for _, rule := range result.Violations {
-			if !slices.Contains(base.Violations, rule) && !slices.Contains(newViolations[k], rule) {
-				newViolations[k] = append(newViolations[k], rule)
+			if !slices.Contains(baselineResult.Violations, rule) && !slices.Contains(newViolationsByKey[k], rule) {
+				newViolationsByKey[k] = append(newViolationsByKey[k], rule)
 			}
 		}
 	}
 	var out []summary
-	for k, d := range diffs {
+	for k, d := range diffsByKey {
 		mean, standardError := meanAndStandardError(d)
-		out = append(out, summary{mechanism: k.mechanism, site: k.site, pairs: len(d), mean: mean, standardError: standardError, newViolations: newViolations[k]})
+		out = append(out, summary{mechanism: k.mechanism, site: k.site, pairs: len(d), mean: mean, standardError: standardError, newViolations: newViolationsByKey[k]})
 	}
 	slices.SortFunc(out, func(a, b summary) int {
 		return strings.Compare(a.mechanism+"\x00"+a.site, b.mechanism+"\x00"+b.site)
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -35,7 +35,7 @@
 }
 
 // cloneWithEdits clones the last commit into a directory and applies edits.
-func cloneWithEdits(ctx context.Context, dir string, list []edits.Edit) error {
+func cloneWithEdits(ctx context.Context, dir string, changes []edits.Edit) error {
 	source, err := filepath.Abs(root)
 	if err != nil {
 		return err
@@ -43,11 +43,11 @@
 	if out, err := exec.CommandContext(ctx, "git", "clone", "-q", source, dir).CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
-	changed, err := edits.Apply(dir, list)
+	textByFile, err := edits.Apply(dir, changes)
 	if err != nil {
 		return err
 	}
-	for file, text := range changed {
+	for file, text := range textByFile {
 		if err := os.WriteFile(filepath.Join(dir, file), []byte(text), 0o600); err != nil {
 			return err
 		}
@@ -62,14 +62,14 @@
 }
 
 // runTrial runs the benchmark program bench, which replays the day of a trial with the source in the
-// scratch copy dir. site is the path of the site file.
-func runTrial(ctx context.Context, bench, dir, site string, k trialKey) (trialResult, error) {
+// scratch copy dir. sitePath is the path of the site file.
+func runTrial(ctx context.Context, bench, dir, sitePath string, k trialKey) (trialResult, error) {
 	reportPath := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
 	why := "ablation: the code as it is"
 	if k.mechanism != baseline {
 		why = "trial of the ablation, off: " + k.mechanism
 	}
-	cmd := exec.CommandContext(ctx, bench, "run", site, k.day, "--seed", k.seed, "--no-cpu", "--report", reportPath, "--why", why)
+	cmd := exec.CommandContext(ctx, bench, "run", sitePath, k.day, "--seed", k.seed, "--no-cpu", "--report", reportPath, "--why", why)
 	cmd.Dir = dir
 	out, runErr := cmd.CombinedOutput()
 	text, err := os.ReadFile(reportPath)
@@ -92,16 +92,16 @@
 // to the journal directory.
 func journalFiles(dir string) ([]string, error) {
 	journalDir := filepath.Join(dir, "journal")
-	var out []string
+	var names []string
 	err := filepath.WalkDir(journalDir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
 		}
 		name, err := filepath.Rel(journalDir, path)
-		out = append(out, name)
+		names = append(names, name)
 		return err
 	})
-	return out, err
+	return names, err
 }
 
 // copyNewJournalFiles copies the files that trials have added to the journal of a scratch copy to
@@ -136,11 +136,11 @@
 
 // dayNames returns the names of the days of a site file to replay: the days in ABLATION_DAYS. If
 // ABLATION_DAYS is empty, it returns all days whose names do not begin with quiet.
-func dayNames(site string) ([]string, error) {
+func dayNames(sitePath string) ([]string, error) {
 	if selectedDays := envList("ABLATION_DAYS", ""); len(selectedDays) > 0 {
 		return selectedDays, nil
 	}
-	text, err := os.ReadFile(site)
+	text, err := os.ReadFile(sitePath)
 	if err != nil {
 		return nil, err
 	}
@@ -156,32 +156,32 @@
 // planTrials returns the trials to run, and the path of each site file by the name of the site. The
 // trials of one day and seed follow each other, so that each trial runs at about the same time as
 // its baseline.
-func planTrials(sites []string) ([]trialKey, map[string]string, error) {
-	files := make(map[string]string)
-	names := []string{baseline}
+func planTrials(sitePaths []string) ([]trialKey, map[string]string, error) {
+	fileBySite := make(map[string]string)
+	mechanismNames := []string{baseline}
 	selectedMechanisms := envList("ABLATION_ONLY", "")
 	for _, m := range mechanisms {
 		if len(selectedMechanisms) == 0 || slices.Contains(selectedMechanisms, m.name) {
-			names = append(names, m.name)
+			mechanismNames = append(mechanismNames, m.name)
 		}
 	}
 	var out []trialKey
-	for _, file := range sites {
-		site := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
-		files[site] = file
-		days, err := dayNames(file)
+	for _, sitePath := range sitePaths {
+		site := strings.TrimSuffix(filepath.Base(sitePath), filepath.Ext(sitePath))
+		fileBySite[site] = sitePath
+		days, err := dayNames(sitePath)
 		if err != nil {
 			return nil, nil, err
 		}
 		for _, seed := range envList("ABLATION_SEEDS", "11,12") {
 			for _, day := range days {
-				for _, name := range names {
+				for _, name := range mechanismNames {
 					out = append(out, trialKey{name, site, day, seed})
 				}
 			}
 		}
 	}
-	return out, files, nil
+	return out, fileBySite, nil
 }
 
 // scratchCopy is a clone of the repository. The edits of one mechanism are applied to it, or none
@@ -241,14 +241,14 @@
 	journalDir := os.Getenv("ABLATION_JOURNAL")
 	finished, err := openResults(resultsPath)
 	require.NoError(t, err)
-	trials, siteFiles, err := planTrials(envList("ABLATION_SITES", ""))
+	trials, fileBySite, err := planTrials(envList("ABLATION_SITES", ""))
 	require.NoError(t, err)
-	jobs, err := strconv.Atoi(envList("ABLATION_JOBS", "4")[0])
+	jobCount, err := strconv.Atoi(envList("ABLATION_JOBS", "4")[0])
 	require.NoError(t, err)
 	copies := &scratchCopies{dir: t.TempDir(), byMechanism: make(map[string]scratchCopy)}
 	startedAt, queue := time.Now(), make(chan trialKey)
 	var wg sync.WaitGroup
-	for range jobs {
+	for range jobCount {
 		wg.Go(func() {
 			for k := range queue {
 				scratch, err := copies.forMechanism(t.Context(), k.mechanism)
@@ -256,7 +256,7 @@
 					t.Errorf("%+v: %v", k, err)
 					continue
 				}
-				result, err := runTrial(t.Context(), bench, scratch.dir, siteFiles[k.site], k)
+				result, err := runTrial(t.Context(), bench, scratch.dir, fileBySite[k.site], k)
 				if err != nil {
 					t.Errorf("%+v: %v", k, err)
 					continue
@@ -311,11 +311,11 @@
 
 	names, err := journalFiles(parentDir)
 	require.NoError(t, err)
-	copied := make(map[string]string)
+	textByName := make(map[string]string)
 	for _, name := range names {
 		text, err := os.ReadFile(filepath.Join(targetDir, name))
 		require.NoError(t, err)
-		copied[filepath.ToSlash(name)] = string(text)
+		textByName[filepath.ToSlash(name)] = string(text)
 	}
-	require.Equal(t, map[string]string{"new.json": "ended", "blobs/new.txt": "new"}, copied)
+	require.Equal(t, map[string]string{"new.json": "ended", "blobs/new.txt": "new"}, textByName)
 }
--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -30,8 +30,8 @@
 	isTest bool
 	// imports holds the import paths.
 	imports []string
-	// lines is the number of lines.
-	lines int
+	// lineCount is the number of lines.
+	lineCount int
 }
 
 // sourceFiles returns all Go files of the workspace except generated protocol code.
@@ -56,14 +56,14 @@
 		if err != nil {
 			return err
 		}
-		s := sourceFile{path: path, isTest: strings.HasSuffix(path, "_test.go"), lines: bytes.Count(data, []byte("\n"))}
+		s := sourceFile{path: path, isTest: strings.HasSuffix(path, "_test.go"), lineCount: bytes.Count(data, []byte("\n"))}
 		s.pkg = strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), root+"/")
 		for _, spec := range f.Imports {
-			p, err := strconv.Unquote(spec.Path.Value)
+			importPath, err := strconv.Unquote(spec.Path.Value)
 			if err != nil {
 				return err
 			}
-			s.imports = append(s.imports, p)
+			s.imports = append(s.imports, importPath)
 		}
 		out = append(out, s)
 		return nil
@@ -73,10 +73,10 @@
 	return out
 }
 
-// TestCoreImports checks that the packages of core import only each other, xxhash and the
+// TestCoreImportsOnlyAllowedPackages checks that the packages of core import only each other, xxhash and the
 // standard library. It also checks that they do not import net, net/http, os, sync and
 // context: core must not do I/O or start goroutines.
-func TestCoreImports(t *testing.T) {
+func TestCoreImportsOnlyAllowedPackages(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.isTest || !strings.HasPrefix(s.pkg, "core/") {
 			continue
@@ -120,10 +120,10 @@
 	}
 }
 
-// TestFileLength checks that no file is longer than maxLines.
-func TestFileLength(t *testing.T) {
+// TestNoFileExceedsMaxLines checks that no file is longer than maxLines.
+func TestNoFileExceedsMaxLines(t *testing.T) {
 	for _, s := range sourceFiles(t) {
-		require.LessOrEqual(t, s.lines, maxLines, s.path)
+		require.LessOrEqual(t, s.lineCount, maxLines, s.path)
 	}
 }
 
@@ -138,8 +138,8 @@
 // isStandard reports whether an import path belongs to the standard library: the first
 // element of any other path contains a dot.
 func isStandard(path string) bool {
-	first, _, _ := strings.Cut(path, "/")
-	return !strings.Contains(first, ".")
+	firstElement, _, _ := strings.Cut(path, "/")
+	return !strings.Contains(firstElement, ".")
 }
 
 // platformNames are names of headers, fields and paths that the users' platform defines.
--- a/bubble/bubble.go
+++ b/bubble/bubble.go
@@ -20,7 +20,7 @@
 // calls must not run in parallel.
 func Run(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
-	processors := runtime.GOMAXPROCS(1)
-	defer runtime.GOMAXPROCS(processors)
+	previousProcs := runtime.GOMAXPROCS(1)
+	defer runtime.GOMAXPROCS(previousProcs)
 	synctest.Test(t, f)
 }
--- a/bubble/bubble_test.go
+++ b/bubble/bubble_test.go
@@ -32,10 +32,10 @@
 	})
 }
 
-func TestProcessorsAreRestored(t *testing.T) {
-	before := runtime.GOMAXPROCS(0)
+func TestRunRestoresGOMAXPROCS(t *testing.T) {
+	procsBefore := runtime.GOMAXPROCS(0)
 	bubble.Run(t, func(t *testing.T) {
 		require.Equal(t, 1, runtime.GOMAXPROCS(0))
 	})
-	require.Equal(t, before, runtime.GOMAXPROCS(0))
+	require.Equal(t, procsBefore, runtime.GOMAXPROCS(0))
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -16,7 +16,7 @@
 )
 
 //go:embed documents.json
-var documents []byte
+var documentsJSON []byte
 
 // The availability zones and services of the demonstration.
 var (
@@ -76,7 +76,7 @@
 // invariants.
 func runLoad(ctx context.Context, d time.Duration) (*Result, error) {
 	var docs []policy.Document
-	if err := json.Unmarshal(documents, &docs); err != nil {
+	if err := json.Unmarshal(documentsJSON, &docs); err != nil {
 		return nil, err
 	}
 	deployment, err := local.Start(ctx, local.Options{Zones: zones, Services: services, Documents: docs})
@@ -89,12 +89,12 @@
 		return nil, err
 	}
 	obs := newObserver()
-	before, startedAt := measuringSlotTime(deployment), time.Now()
+	slotTimeBefore, startedAt := measuringSlotTime(deployment), time.Now()
 	loadResult, err := load.Run(ctx, plan, load.Options{Observe: obs.observe})
 	if err != nil {
 		return nil, err
 	}
-	res := newResult(loadResult, measuringShares(deployment, before, time.Since(startedAt)))
+	res := newResult(loadResult, measuringShares(deployment, slotTimeBefore, time.Since(startedAt)))
 	res.Violations = append(res.Violations, res.checkVersions(deployment)...)
 	deployment.Stop()
 	res.Violations = append(res.Violations, obs.violations(executions(deployment))...)
@@ -105,37 +105,37 @@
 // to measure its load. Slot time is the time during which requests occupy slots, summed
 // over the slots.
 func measuringSlotTime(deployment *local.Deployment) map[model.UpstreamID]time.Duration {
-	all := make(map[model.UpstreamID]time.Duration)
+	slotTimeByUpstream := make(map[model.UpstreamID]time.Duration)
 	for _, n := range deployment.Nodes {
-		maps.Copy(all, n.Daemon.Guard.MeasuringSlotTime())
+		maps.Copy(slotTimeByUpstream, n.Daemon.Guard.MeasuringSlotTime())
 	}
-	return all
+	return slotTimeByUpstream
 }
 
 // measuringShares returns, for each service, the slot time that load measurements used
 // during a run, as a share of the service's capacity. before is the result of
 // measuringSlotTime at the start of the run, and elapsed is the time since then.
-func measuringShares(deployment *local.Deployment, before map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
-	slotTime := make(map[model.ServiceName]time.Duration)
-	after := measuringSlotTime(deployment)
+func measuringShares(deployment *local.Deployment, slotTimeBefore map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
+	slotTimeByService := make(map[model.ServiceName]time.Duration)
+	slotTimeAfter := measuringSlotTime(deployment)
 	for _, n := range deployment.Nodes {
 		id := model.UpstreamID(n.Upstream.ID)
-		slotTime[model.ServiceName(n.Upstream.Service)] += after[id] - before[id]
+		slotTimeByService[model.ServiceName(n.Upstream.Service)] += slotTimeAfter[id] - slotTimeBefore[id]
 	}
-	out := make(map[model.ServiceName]float64)
+	shareByService := make(map[model.ServiceName]float64)
 	for _, s := range services {
-		out[s.Name] = slotTime[s.Name].Seconds() / (elapsed.Seconds() * float64(s.Upstreams*s.Slots))
+		shareByService[s.Name] = slotTimeByService[s.Name].Seconds() / (elapsed.Seconds() * float64(s.Upstreams*s.Slots))
 	}
-	return out
+	return shareByService
 }
 
 // executions returns the number of executions of each request at all upstreams.
 func executions(deployment *local.Deployment) map[string]int {
-	all := make(map[string]int)
+	runsByRequest := make(map[string]int)
 	for _, n := range deployment.Nodes {
 		for name, runs := range n.Upstream.Runs() {
-			all[name] += runs
+			runsByRequest[name] += runs
 		}
 	}
-	return all
+	return runsByRequest
 }
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestRunHoldsItsInvariants(t *testing.T) {
+func TestRunFindsNoViolations(t *testing.T) {
 	var out bytes.Buffer
 	require.NoError(t, Run(t.Context(), &out, Options{JSON: true, Duration: 300 * time.Millisecond}))
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
@@ -40,7 +40,7 @@
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-func TestViolationsAreFound(t *testing.T) {
+func TestObserverFindsViolations(t *testing.T) {
 	o := newObserver()
 	observe := func(name, method string, kind outcome.Kind) {
 		o.observe(&load.Request{Name: name, Source: &load.Source{Method: method}}, load.Reply{Kind: kind})
--- a/demo/observer.go
+++ b/demo/observer.go
@@ -34,22 +34,22 @@
 // violations compares the recorded outcomes with the number of executions of each
 // request, by its name. It returns a sorted list with a message for each violation of
 // an invariant.
-func (o *observer) violations(executions map[string]int) []string {
+func (o *observer) violations(runsByRequest map[string]int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
-	for name, got := range o.outcomes {
-		count := executions[name]
+	for name, received := range o.outcomes {
+		runs := runsByRequest[name]
 		switch {
-		case !got.idempotent && count > 1:
-			out = append(out, fmt.Sprintf("non-idempotent request %s ran %d times", name, count))
-		case got.kind == outcome.NotRun && count > 0:
+		case !received.idempotent && runs > 1:
+			out = append(out, fmt.Sprintf("non-idempotent request %s ran %d times", name, runs))
+		case received.kind == outcome.NotRun && runs > 0:
 			out = append(out, fmt.Sprintf("request %s ran although its caller was told it did not", name))
-		case got.kind == outcome.Answered && count == 0:
+		case received.kind == outcome.Answered && runs == 0:
 			out = append(out, fmt.Sprintf("request %s was answered but never ran", name))
 		}
 	}
-	for name := range executions {
+	for name := range runsByRequest {
 		if _, ok := o.outcomes[name]; !ok {
 			out = append(out, fmt.Sprintf("request %s ran but was never sent", name))
 		}
--- a/demo/result.go
+++ b/demo/result.go
@@ -32,12 +32,12 @@
 // newResult returns the results of a load. There is a violation for each wrong answer that the
 // load lists, and one with the number of further wrong answers. shares is the result of
 // measuringShares.
-func newResult(loadResult *load.Result, shares map[model.ServiceName]float64) *Result {
+func newResult(loadResult *load.Result, shareByService map[model.ServiceName]float64) *Result {
 	r := &Result{Total: loadResult.Total, Violations: []string{}}
 	r.Total.Series = nil
 	for _, g := range loadResult.Groups {
 		g.Series = nil
-		r.Groups = append(r.Groups, GroupResult{Stats: g, MeasuringShare: shares[g.Service]})
+		r.Groups = append(r.Groups, GroupResult{Stats: g, MeasuringShare: shareByService[g.Service]})
 	}
 	for _, request := range loadResult.WrongAnswers {
 		r.Violations = append(r.Violations, "wrong answer to request "+request)
--- a/edits/edits.go
+++ b/edits/edits.go
@@ -37,9 +37,9 @@
 // write the files. Edits of the same file are applied in order. The error is a *CountError if
 // the old text of an edit does not occur exactly once.
 func Apply(root string, edits []Edit) (map[string]string, error) {
-	out := make(map[string]string)
+	textByFile := make(map[string]string)
 	for _, e := range edits {
-		text, ok := out[e.File]
+		text, ok := textByFile[e.File]
 		if !ok {
 			source, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(e.File)))
 			if err != nil {
@@ -50,7 +50,7 @@
 		if n := strings.Count(text, e.Old); n != 1 {
 			return nil, &CountError{Edit: e, Count: n}
 		}
-		out[e.File] = strings.Replace(text, e.Old, e.New, 1)
+		textByFile[e.File] = strings.Replace(text, e.Old, e.New, 1)
 	}
-	return out, nil
+	return textByFile, nil
 }
--- a/edits/edits_test.go
+++ b/edits/edits_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestApply(t *testing.T) {
+func TestApplyRequiresOneOccurrence(t *testing.T) {
 	root := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(root, "a"), []byte("one two three two"), 0o600))
 	for name, c := range map[string]struct {
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -30,8 +30,8 @@
 	callerPort = 7000
 	peerPort   = 7001
 	adminPort  = 7002
-	// slots is the number of slots of every upstream.
-	slots = 6
+	// slotsPerUpstream is the number of slots of every upstream.
+	slotsPerUpstream = 6
 	// conditionTimeout is how long await waits for a condition.
 	conditionTimeout = 30 * time.Second
 	// conditionPollInterval is the time between two checks of a condition.
@@ -62,8 +62,8 @@
 	vms []*vm
 	log *recordlog.Memory
 	// logDown makes the log respond to every request with status 503.
-	logDown atomic.Bool
-	logAddr string
+	logDown    atomic.Bool
+	logAddress string
 	// logReads and logAppends count the requests to the log.
 	logReads, logAppends atomic.Int64
 	stopAnnouncing       context.CancelFunc
@@ -72,7 +72,7 @@
 
 // startCluster starts a cluster with one VM for each upstream. services holds the number
 // of upstreams by service.
-func startCluster(t testing.TB, services map[string]int) *cluster {
+func startCluster(t testing.TB, upstreamCounts map[string]int) *cluster {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts processes; not in short runs")
@@ -80,14 +80,14 @@
 	c := &cluster{t: t, log: &recordlog.Memory{}}
 	c.startLog()
 	binary := buildDaemon(t)
-	network, err := loopback.OwnNetwork()
+	networkNumber, err := loopback.OwnNetwork()
 	require.NoError(t, err)
 	n := 0
 	for _, service := range []string{"returdesk", "sporarkiv"} {
-		for i := range services[service] {
+		for i := range upstreamCounts[service] {
 			n++
-			v := &vm{t: t, ip: fmt.Sprintf("127.%d.%d.%d", network, i%len(zones)+1, n), zone: zones[i%len(zones)], binary: binary}
-			up, err := standin.Start(fmt.Sprintf("%s-%d", service, i+1), service, slots)
+			v := &vm{t: t, ip: fmt.Sprintf("127.%d.%d.%d", networkNumber, i%len(zones)+1, n), zone: zones[i%len(zones)], binary: binary}
+			up, err := standin.Start(fmt.Sprintf("%s-%d", service, i+1), service, slotsPerUpstream)
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = up.Close() })
 			v.upstream = up
@@ -118,7 +118,7 @@
 func (c *cluster) startLog() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
-	c.logAddr = ln.Addr().String()
+	c.logAddress = ln.Addr().String()
 	handler := recordlog.Handler(c.log)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
@@ -153,7 +153,7 @@
 		"listen": map[string]string{
 			"callers": address(callerPort), "peers": address(peerPort), "admin": address(adminPort),
 		},
-		"log":   map[string]string{"address": c.logAddr},
+		"log":   map[string]string{"address": c.logAddress},
 		"peers": map[string]string{"secret": "0123456789abcdef0123456789abcdef"},
 	})
 	require.NoError(c.t, err)
@@ -256,7 +256,7 @@
 // publish publishes configuration documents and returns the accepted version.
 func (c *cluster) publish(docs []policy.Document) uint64 {
 	c.t.Helper()
-	res, err := operator.Publish(c.t.Context(), recordlog.NewClient(c.logAddr), "proctest", docs)
+	res, err := operator.Publish(c.t.Context(), recordlog.NewClient(c.logAddress), "proctest", docs)
 	require.NoError(c.t, err)
 	require.Equal(c.t, config.Accepted, res.Decision)
 	return uint64(res.Version)
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -92,8 +92,8 @@
 }
 
 const (
-	// workers is the number of goroutines that send requests at the same time.
-	workers = 16
+	// workerCount is the number of goroutines that send requests at the same time.
+	workerCount = 16
 	// maxAttempts is the number of attempts that a caller makes to send a request.
 	maxAttempts = 3
 	// callTimeout is how long a caller waits for the response to an attempt.
@@ -116,11 +116,11 @@
 // workers. target chooses the VM to whose daemon an attempt is sent, see sendWithRetries.
 func (c *cluster) sendRequests(h *history, n int, target func(*rand.Rand) *vm) {
 	var wg sync.WaitGroup
-	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workers}}
-	for w := range workers {
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workerCount}}
+	for w := range workerCount {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(w), uint64(n)))
-			for range n / workers {
+			for range n / workerCount {
 				h.add(c.sendWithRetries(h, client, rng, target))
 			}
 		})
@@ -204,20 +204,20 @@
 
 // executions returns the number of executions of each request at all upstreams.
 func (c *cluster) executions() map[string]int {
-	total := make(map[string]int)
+	runsByRequest := make(map[string]int)
 	for _, v := range c.vms {
 		for name, n := range v.upstream.Runs() {
-			total[name] += n
+			runsByRequest[name] += n
 		}
 	}
-	return total
+	return runsByRequest
 }
 
 // checkInvariants checks the results in a history against the executions at the
 // upstreams.
 func (c *cluster) checkInvariants(t *testing.T, h *history) {
 	t.Helper()
-	runs := c.executions()
+	runsByRequest := c.executions()
 	for _, r := range h.records {
 		for _, a := range r.results {
 			if !a.connectionFailed {
@@ -225,13 +225,13 @@
 			}
 		}
 		if !r.idempotent {
-			require.LessOrEqual(t, runs[r.name], 1, "request %s (key %q) ran more than once: %+v", r.name, r.key, r.results)
+			require.LessOrEqual(t, runsByRequest[r.name], 1, "request %s (key %q) ran more than once: %+v", r.name, r.key, r.results)
 		}
 		if r.last().kind == outcome.Answered {
-			require.GreaterOrEqual(t, runs[r.name], 1, "request %s: answered but never ran", r.name)
+			require.GreaterOrEqual(t, runsByRequest[r.name], 1, "request %s: answered but never ran", r.name)
 		}
 		if !r.hasUnknownOutcome() && r.last().kind == outcome.NotRun {
-			require.Zero(t, runs[r.name], "request %s: reported as not run but ran: %+v", r.name, r.results)
+			require.Zero(t, runsByRequest[r.name], "request %s: reported as not run but ran: %+v", r.name, r.results)
 		}
 	}
 }
@@ -239,13 +239,13 @@
 // failureReasons counts the requests whose last attempt did not have the outcome answered.
 // The keys describe the result of the last attempt.
 func (h *history) failureReasons() map[string]int {
-	reasons := make(map[string]int)
+	countByReason := make(map[string]int)
 	for _, r := range h.records {
 		if a := r.last(); a.kind != outcome.Answered {
-			reasons[fmt.Sprintf("%s %s connectionFailed=%t notConnected=%t %v", a.kind, a.reason, a.connectionFailed, a.notConnected, a.err)]++
+			countByReason[fmt.Sprintf("%s %s connectionFailed=%t notConnected=%t %v", a.kind, a.reason, a.connectionFailed, a.notConnected, a.err)]++
 		}
 	}
-	return reasons
+	return countByReason
 }
 
 // checkDrainLosesNothing checks the requests that were sent while daemons drained. Each
@@ -255,13 +255,13 @@
 // may not retry. The request must not have run: if it ran, the drain has aborted it.
 func (c *cluster) checkDrainLosesNothing(records []*requestRecord) {
 	c.t.Helper()
-	runs := c.executions()
+	runsByRequest := c.executions()
 	for _, r := range records {
 		if isAnswered(r) {
 			continue
 		}
 		closedWhileSending := r.last().connectionFailed && !r.idempotent && r.key == ""
 		require.True(c.t, closedWhileSending, "request %s (key %q) failed while a daemon drained: %+v", r.name, r.key, r.results)
-		require.Zero(c.t, runs[r.name], "request %s was aborted while it ran: %+v", r.name, r.results)
+		require.Zero(c.t, runsByRequest[r.name], "request %s was aborted while it ran: %+v", r.name, r.results)
 	}
 }
--- a/proctest/idle_test.go
+++ b/proctest/idle_test.go
@@ -74,8 +74,8 @@
 	return total
 }
 
-// TestIdleDaemonMemory checks the resident memory of daemons without requests.
-func TestIdleDaemonMemory(t *testing.T) {
+// TestIdleDaemonMemoryIsBounded checks the resident memory of daemons without requests.
+func TestIdleDaemonMemoryIsBounded(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 3})
 	c.awaitVersion(c.publish(documents("3s")))
 	for _, v := range c.vms {
@@ -101,21 +101,21 @@
 // reportIdleCost measures for a period and reports the processor time and the peer traffic of
 // a daemon, the requests to the log, and the largest resident memory of a daemon.
 func (c *cluster) reportIdleCost(b *testing.B, period time.Duration) {
-	cpu, bytes := c.totalUsage()
-	reads, appends := c.logReads.Load(), c.logAppends.Load()
-	start := time.Now()
+	cpuBefore, bytesBefore := c.totalUsage()
+	readsBefore, appendsBefore := c.logReads.Load(), c.logAppends.Load()
+	startedAt := time.Now()
 	time.Sleep(period)
 	cpuAfter, bytesAfter := c.totalUsage()
-	elapsed := time.Since(start).Seconds()
+	elapsed := time.Since(startedAt).Seconds()
 	daemonSeconds := elapsed * float64(len(c.vms))
 	var maxRSS int64
 	for _, v := range c.vms {
 		maxRSS = max(maxRSS, v.residentBytes())
 	}
-	b.ReportMetric((cpuAfter-cpu).Seconds()/daemonSeconds*100, "%core")
-	b.ReportMetric((bytesAfter-bytes)/daemonSeconds, "peerB/s")
-	b.ReportMetric(float64(c.logReads.Load()-reads)/elapsed, "reads/s")
-	b.ReportMetric(float64(c.logAppends.Load()-appends)/elapsed, "appends/s")
+	b.ReportMetric((cpuAfter-cpuBefore).Seconds()/daemonSeconds*100, "%core")
+	b.ReportMetric((bytesAfter-bytesBefore)/daemonSeconds, "peerB/s")
+	b.ReportMetric(float64(c.logReads.Load()-readsBefore)/elapsed, "reads/s")
+	b.ReportMetric(float64(c.logAppends.Load()-appendsBefore)/elapsed, "appends/s")
 	b.ReportMetric(float64(maxRSS)/(1<<20), "maxMiB")
 }
 
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -24,11 +24,11 @@
 }
 
 const (
-	// phaseRequests is the number of requests that are sent during one fault.
-	phaseRequests = 480
-	// pauseRequests is the number of requests that are sent while a daemon is paused. It is
+	// requestsPerPhase is the number of requests that are sent during one fault.
+	requestsPerPhase = 480
+	// requestsDuringPause is the number of requests that are sent while a daemon is paused. It is
 	// smaller because callers of the paused daemon wait until their timeout.
-	pauseRequests = 160
+	requestsDuringPause = 160
 )
 
 // TestInvariantsUnderProcessFaults kills, pauses and drains daemons and makes the log
@@ -41,35 +41,35 @@
 	c.awaitServing(h)
 
 	t.Log("no fault")
-	c.sendRequests(h, phaseRequests, c.anyVM)
+	c.sendRequests(h, requestsPerPhase, c.anyVM)
 	require.Zero(t, h.count(func(r *requestRecord) bool { return !isAnswered(r) }), "a request failed without a fault")
 
 	t.Log("daemon drained and restarted")
 	recordsBefore := len(h.records)
-	c.withFault(h, phaseRequests, func() { require.Zero(t, c.vms[3].stop(), c.vms[3].logOutput()) })
+	c.withFault(h, requestsPerPhase, func() { require.Zero(t, c.vms[3].stop(), c.vms[3].logOutput()) })
 	c.checkDrainLosesNothing(h.records[recordsBefore:])
 	c.vms[3].start()
 	c.awaitVersion(firstVersion)
 	c.awaitServing(h)
 
 	t.Log("daemon killed and restarted")
-	c.withFault(h, phaseRequests, func() { c.vms[0].kill() })
+	c.withFault(h, requestsPerPhase, func() { c.vms[0].kill() })
 	c.vms[0].start()
 	c.awaitVersion(firstVersion)
 
 	t.Log("daemon paused and resumed")
-	c.withFault(h, pauseRequests, func() { c.vms[1].signal(syscall.SIGSTOP) })
+	c.withFault(h, requestsDuringPause, func() { c.vms[1].signal(syscall.SIGSTOP) })
 	c.vms[1].signal(syscall.SIGCONT)
 
 	t.Log("daemon killed while the log is unavailable and restarted, then a new version")
 	c.logDown.Store(true)
-	c.withFault(h, phaseRequests, func() { c.vms[2].kill() })
+	c.withFault(h, requestsPerPhase, func() { c.vms[2].kill() })
 	c.logDown.Store(false)
 	c.vms[2].start()
 	secondVersion := c.publish(documents("4s"))
 	require.Greater(t, secondVersion, firstVersion)
 	c.awaitVersion(secondVersion)
-	c.sendRequests(h, phaseRequests, c.anyVM)
+	c.sendRequests(h, requestsPerPhase, c.anyVM)
 	c.checkInvariants(t, h)
 }
 
@@ -84,11 +84,11 @@
 	drained.draining.Store(true)
 	c.await("the draining upstream receives no new requests", func() bool {
 		runsBefore := len(drained.upstream.Runs())
-		c.sendRequests(h, phaseRequests/4, c.anyVM)
+		c.sendRequests(h, requestsPerPhase/4, c.anyVM)
 		return len(drained.upstream.Runs()) == runsBefore
 	})
 	runsBefore := len(drained.upstream.Runs())
-	c.sendRequests(h, phaseRequests, c.anyVM)
+	c.sendRequests(h, requestsPerPhase, c.anyVM)
 	require.Len(t, drained.upstream.Runs(), runsBefore, "new requests to the drained upstream")
 	c.checkInvariants(t, h)
 }
@@ -118,7 +118,7 @@
 		c.await(v.upstream.ID+" serves requests", func() bool {
 			// The serial keeps the names of these requests different from those in h.
 			warmUp := &history{serial: h.nextSerial() * 1_000_000}
-			c.sendRequests(warmUp, workers, func(*rand.Rand) *vm { return v })
+			c.sendRequests(warmUp, workerCount, func(*rand.Rand) *vm { return v })
 			return warmUp.count(func(r *requestRecord) bool { return !isAnswered(r) }) == 0
 		})
 	}
@@ -133,7 +133,7 @@
 	h := &history{}
 	c.awaitServing(h)
 	for _, v := range c.vms {
-		c.withFault(h, phaseRequests, func() { require.Zero(t, v.stop(), v.logOutput()) })
+		c.withFault(h, requestsPerPhase, func() { require.Zero(t, v.stop(), v.logOutput()) })
 		v.start()
 		c.awaitVersion(version)
 		c.awaitServing(h)
--- a/soak/check.go
+++ b/soak/check.go
@@ -33,8 +33,8 @@
 // attempt has its own attempt id.
 type requestRecord struct {
 	sentAt time.Time
-	// unsafe is set if the request is not idempotent.
-	unsafe bool
+	// nonIdempotent is set if the request must not be executed more than once.
+	nonIdempotent bool
 	// callerService is the service of the caller.
 	callerService string
 	// executions is the number of times that upstreams started the request.
@@ -55,17 +55,17 @@
 	safetyOnly bool
 
 	mu sync.Mutex
-	// requests holds the records by attempt id.
-	requests map[string]*requestRecord
+	// recordsByAttempt holds the records by attempt id.
+	recordsByAttempt map[string]*requestRecord
 	// repeatTimes are the times of the repeated executions of idempotent requests.
 	repeatTimes []time.Time
 	// sendTimes are the times at which callers sent requests.
 	sendTimes []time.Time
-	// drainedAt holds the times of acknowledged drains by upstream incarnation.
-	drainedAt map[string]time.Time
-	// crashes holds the crash counts by crashKey.
-	crashes    map[string]*crashCount
-	violations []string
+	// drainTimes holds the times of acknowledged drains by upstream incarnation.
+	drainTimes map[string]time.Time
+	// crashCounts holds the crash counts by crashKey.
+	crashCounts map[string]*crashCount
+	violations  []string
 }
 
 // crashCount counts the crashes caused by one request.
@@ -95,7 +95,7 @@
 )
 
 func newChecker() *checker {
-	return &checker{requests: make(map[string]*requestRecord), drainedAt: make(map[string]time.Time), crashes: make(map[string]*crashCount)}
+	return &checker{recordsByAttempt: make(map[string]*requestRecord), drainTimes: make(map[string]time.Time), crashCounts: make(map[string]*crashCount)}
 }
 
 // addViolationLocked records a violation. The caller must hold c.mu.
@@ -120,11 +120,11 @@
 }
 
 // recordSent records an attempt that is about to be sent by a caller of a service.
-func (c *checker) recordSent(attempt, service string, unsafe bool) {
+func (c *checker) recordSent(attempt, service string, nonIdempotent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.requests[attempt] = &requestRecord{sentAt: now, unsafe: unsafe, callerService: service}
+	c.recordsByAttempt[attempt] = &requestRecord{sentAt: now, nonIdempotent: nonIdempotent, callerService: service}
 	c.sendTimes = append(c.sendTimes, now)
 }
 
@@ -133,19 +133,19 @@
 func (c *checker) RequestStarted(u *platformtest.Upstream, attempt, caller string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rec := c.requests[attempt]
+	rec := c.recordsByAttempt[attempt]
 	if rec == nil {
 		c.addViolationLocked("unasked: %s ran at %s and was never sent", attempt, u.ID())
 		return
 	}
 	rec.executions++
 	switch {
-	case rec.executions > 1 && rec.unsafe:
+	case rec.executions > 1 && rec.nonIdempotent:
 		c.addViolationLocked("twice: non-idempotent request %s ran %d times, the last time at %s", attempt, rec.executions, u.ID())
 	case rec.executions > 1:
 		c.repeatTimes = append(c.repeatTimes, time.Now())
 	}
-	if rec.toldNotExecuted && rec.unsafe {
+	if rec.toldNotExecuted && rec.nonIdempotent {
 		c.addViolationLocked("promise: %s ran at %s after its caller was told that it was not executed", attempt, u.ID())
 	}
 	if rec.crashKey != "" {
@@ -154,8 +154,8 @@
 	if caller != rec.callerService {
 		c.addViolationLocked("caller: %s was sent by service %s and reached the upstream as sent by %s", attempt, rec.callerService, caller)
 	}
-	if at, ok := c.drainedAt[u.Incarnation()]; ok && time.Since(at) > drainAllowance {
-		c.addViolationLocked("drain: %s ran at %s %s after the drain was acknowledged", attempt, u.ID(), time.Since(at).Round(time.Millisecond))
+	if drainedAt, ok := c.drainTimes[u.Incarnation()]; ok && time.Since(drainedAt) > drainAllowance {
+		c.addViolationLocked("drain: %s ran at %s %s after the drain was acknowledged", attempt, u.ID(), time.Since(drainedAt).Round(time.Millisecond))
 	}
 }
 
@@ -164,16 +164,16 @@
 func (c *checker) recordPoison(attempt, key string, undisturbed func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests[attempt].crashKey, c.requests[attempt].undisturbed = key, undisturbed
-	if c.crashes[key] == nil {
-		c.crashes[key] = &crashCount{}
+	c.recordsByAttempt[attempt].crashKey, c.recordsByAttempt[attempt].undisturbed = key, undisturbed
+	if c.crashCounts[key] == nil {
+		c.crashCounts[key] = &crashCount{}
 	}
 }
 
 // recordCrash counts one crash that a request has caused and checks the bounds on crashes. The
 // caller must hold c.mu.
 func (c *checker) recordCrash(rec *requestRecord) {
-	count := c.crashes[rec.crashKey]
+	count := c.crashCounts[rec.crashKey]
 	count.total++
 	if c.safetyOnly {
 		if count.total == maxCrashes+1 {
@@ -200,7 +200,7 @@
 	if !c.safetyOnly {
 		return
 	}
-	for _, count := range c.crashes {
+	for _, count := range c.crashCounts {
 		count.total = 0
 	}
 }
@@ -210,14 +210,14 @@
 func (c *checker) recordDrain(incarnation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drainedAt[incarnation] = time.Now()
+	c.drainTimes[incarnation] = time.Now()
 }
 
 // wasExecuted reports whether a request has run at least once.
 func (c *checker) wasExecuted(attempt string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rec := c.requests[attempt]
+	rec := c.recordsByAttempt[attempt]
 	return rec != nil && rec.executions > 0
 }
 
@@ -225,7 +225,7 @@
 func (c *checker) checkResponse(attempt string, r platformtest.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rec := c.requests[attempt]
+	rec := c.recordsByAttempt[attempt]
 	body, seal := platformtest.ResponseBody(attempt)
 	switch {
 	case r.Status >= 200 && r.Status < 300:
@@ -237,7 +237,7 @@
 		}
 	case r.NotExecuted():
 		rec.toldNotExecuted = true
-		if rec.unsafe && rec.executions > 0 {
+		if rec.nonIdempotent && rec.executions > 0 {
 			c.addViolationLocked("promise: %s got status %d (not executed) although it ran", attempt, r.Status)
 		}
 		if r.Status == 503 && r.RetryAfter <= 0 {
@@ -254,19 +254,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, windowStart := range c.repeatTimes {
-		repeats, requests := 0.0, 0.0
+		repeatCount, requestCount := 0.0, 0.0
 		for _, t := range c.repeatTimes {
 			if !t.Before(windowStart) && t.Sub(windowStart) < retryBudgetWindow {
-				repeats++
+				repeatCount++
 			}
 		}
 		for _, t := range c.sendTimes {
 			if d := t.Sub(windowStart); d > -retryBudgetWindow/2 && d < retryBudgetWindow {
-				requests++
+				requestCount++
 			}
 		}
-		if repeats > retryBudgetRatio*requests+retryBudgetSlack {
-			c.addViolationLocked("budget: %.0f repeated executions for %.0f requests in one window", repeats, requests)
+		if repeatCount > retryBudgetRatio*requestCount+retryBudgetSlack {
+			c.addViolationLocked("budget: %.0f repeated executions for %.0f requests in one window", repeatCount, requestCount)
 			return
 		}
 	}
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -181,16 +181,16 @@
 // otherService returns the service of the VM's group to which the VM does not belong. If fewer
 // than minVMsPerService VMs would remain in the current service, it returns the current service.
 func (h *harness) otherService(m *vm) string {
-	current, remaining := m.service(), 0
+	currentService, remainingVMs := m.service(), 0
 	for _, x := range h.vms {
-		if x != m && x.group == m.group && x.service() == current {
-			remaining++
+		if x != m && x.group == m.group && x.service() == currentService {
+			remainingVMs++
 		}
 	}
 	switch {
-	case remaining < minVMsPerService:
-		return current
-	case current == serviceOf(m.group, 0):
+	case remainingVMs < minVMsPerService:
+		return currentService
+	case currentService == serviceOf(m.group, 0):
 		return serviceOf(m.group, 1)
 	default:
 		return serviceOf(m.group, 0)
--- a/soak/metrics.go
+++ b/soak/metrics.go
@@ -64,8 +64,8 @@
 	return 0, lines.Err()
 }
 
-func containsAll(s string, parts []string) bool {
-	for _, p := range parts {
+func containsAll(s string, substrings []string) bool {
+	for _, p := range substrings {
 		if !strings.Contains(s, p) {
 			return false
 		}
--- a/soak/metrics_test.go
+++ b/soak/metrics_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFindCounter(t *testing.T) {
+func TestFindCounterReturnsFirstMatchingSeries(t *testing.T) {
 	const text = `# TYPE x counter
 xy{kind="a"} 1
 x{direction="sent",kind="a"} 2
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -155,16 +155,16 @@
 func writeOverlay(t *testing.T, m mutant) string {
 	t.Helper()
 	dir := t.TempDir()
-	changed, err := edits.Apply(root, m.edits)
+	textByFile, err := edits.Apply(root, m.edits)
 	require.NoError(t, err)
-	replacements := map[string]string{}
-	for file, text := range changed {
+	replacementByOriginal := map[string]string{}
+	for file, text := range textByFile {
 		original, err := filepath.Abs(filepath.Join(root, file))
 		require.NoError(t, err)
-		replacements[original] = filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
-		require.NoError(t, os.WriteFile(replacements[original], []byte(text), 0o600))
+		replacementByOriginal[original] = filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
+		require.NoError(t, os.WriteFile(replacementByOriginal[original], []byte(text), 0o600))
 	}
-	text, err := json.Marshal(map[string]any{"Replace": replacements})
+	text, err := json.Marshal(map[string]any{"Replace": replacementByOriginal})
 	require.NoError(t, err)
 	path := filepath.Join(dir, "overlay.json")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -42,14 +42,14 @@
 		n, err := sender.Read(make([]byte, datagramBufferBytes))
 		return err == nil && n == len("hello")
 	}
-	first := startEcho()
+	firstEcho := startEcho()
 	require.Eventually(t, answered, 10*time.Second, time.Millisecond)
-	require.NoError(t, first.Close())
+	require.NoError(t, firstEcho.Close())
 	for range 3 {
 		require.False(t, answered())
 	}
-	second := startEcho()
-	t.Cleanup(func() { _ = second.Close() })
+	secondEcho := startEcho()
+	t.Cleanup(func() { _ = secondEcho.Close() })
 	require.Eventually(t, answered, 10*time.Second, time.Millisecond)
 }
 
--- a/soak/run.go
+++ b/soak/run.go
@@ -162,10 +162,10 @@
 
 // awaitReady waits until all daemons are ready. After startTimeout it returns errNotReady.
 func (h *harness) awaitReady(ctx context.Context) error {
-	end := time.Now().Add(startTimeout)
+	deadline := time.Now().Add(startTimeout)
 	for _, m := range h.vms {
 		for !isReady(ctx, m) {
-			if time.Now().After(end) || ctx.Err() != nil {
+			if time.Now().After(deadline) || ctx.Err() != nil {
 				return errNotReady
 			}
 			time.Sleep(restartDelay / 10)
@@ -177,7 +177,7 @@
 // awaitServing waits until each daemon serves a request after the last fault. After servingTimeout
 // it adds a violation. It returns an error only if ctx ends.
 func (h *harness) awaitServing(ctx context.Context) error {
-	end := time.Now().Add(servingTimeout)
+	deadline := time.Now().Add(servingTimeout)
 	for _, m := range h.vms {
 		for i := 0; ; i++ {
 			attempt := fmt.Sprintf("probe-last-%s-%d", m.config.Name, i)
@@ -189,7 +189,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				h.check.addViolation("recovery: %s does not serve requests", m.config.Name)
 				return nil
 			}
@@ -270,20 +270,20 @@
 		return
 	}
 	n := h.requests.Add(1)
-	unsafe, path, timeout := n%unsafeRequestInterval == 0, fmt.Sprintf("/safe/x%d", n%distinctPaths), requestDeadline
+	nonIdempotent, path, timeout := n%unsafeRequestInterval == 0, fmt.Sprintf("/safe/x%d", n%distinctPaths), requestDeadline
 	switch {
 	case n%longRequestInterval == 0:
-		unsafe, path, timeout = true, platformtest.LongPath+"x", longRequestDeadline
-	case unsafe:
+		nonIdempotent, path, timeout = true, platformtest.LongPath+"x", longRequestDeadline
+	case nonIdempotent:
 		path = fmt.Sprintf("/unsafe/x%d", n%distinctPaths)
 	}
 	attempt := fmt.Sprintf("r%d", n)
-	h.check.recordSent(attempt, m.service(), unsafe)
+	h.check.recordSent(attempt, m.service(), nonIdempotent)
 	undisturbedBefore := h.undisturbed()
 	incarnationBefore, stoppingOrExitedBefore := m.processState()
 	sentAt := time.Now()
 	inRecoveryWindow := sentAt.Sub(h.startedAt) > h.plan.Length-recoveryWindow
-	r, err := m.caller.Send(context.Background(), path, attempt, unsafe, timeout)
+	r, err := m.caller.Send(context.Background(), path, attempt, nonIdempotent, timeout)
 	incarnation, stoppingOrExited := m.processState()
 	if undisturbedBefore && h.undisturbed() && h.check.wasExecuted(attempt) {
 		switch {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -21,9 +21,9 @@
 		var text bytes.Buffer
 		_, err := p.WriteTo(&text)
 		require.NoError(t, err)
-		again, err := ReadPlan(strings.NewReader("# a comment\n" + text.String()))
+		parsed, err := ReadPlan(strings.NewReader("# a comment\n" + text.String()))
 		require.NoError(t, err)
-		require.Equal(t, p, again)
+		require.Equal(t, p, parsed)
 		for _, f := range p.Faults {
 			require.LessOrEqual(t, f.At+f.Duration, p.Length-faultFreeEnd)
 			require.True(t, f.At >= p.Length/plannedOnlyDivisor || plannedKinds[f.Kind], "the first part has planned faults only")
@@ -52,7 +52,7 @@
 // TestShrinkFindsFailingFaults shrinks a plan of many faults to the two that make it fail.
 func TestShrinkFindsFailingFaults(t *testing.T) {
 	p := RandomPlan(1, 5, 2*time.Minute)
-	a, b := p.Faults[7], p.Faults[len(p.Faults)-3]
+	firstFault, secondFault := p.Faults[7], p.Faults[len(p.Faults)-3]
 	contains := func(p Plan, f Fault) bool {
 		for _, x := range p.Faults {
 			if x == f {
@@ -61,14 +61,14 @@
 		}
 		return false
 	}
-	got := Shrink(p, func(p Plan) bool { return contains(p, a) && contains(p, b) })
-	require.Equal(t, []Fault{a, b}, got.Faults)
+	got := Shrink(p, func(p Plan) bool { return contains(p, firstFault) && contains(p, secondFault) })
+	require.Equal(t, []Fault{firstFault, secondFault}, got.Faults)
 }
 
 // TestCheckerFindsViolations guards against a checker that misses one kind of violation.
 func TestCheckerFindsViolations(t *testing.T) {
 	body, seal := platformtest.ResponseBody("x")
-	good := platformtest.Result{Status: 200, Body: body, Seal: seal, Attempt: "x"}
+	complete := platformtest.Result{Status: 200, Body: body, Seal: seal, Attempt: "x"}
 	up := &platformtest.Upstream{}
 	for name, c := range map[string]struct {
 		steps func(c *checker)
@@ -78,7 +78,7 @@
 		"no violation": {func(c *checker) {
 			c.recordSent("x", "a", true)
 			c.RequestStarted(up, "x", "a")
-			c.checkResponse("x", good)
+			c.checkResponse("x", complete)
 		}, ""},
 		"idempotent request runs twice": {func(c *checker) {
 			c.recordSent("x", "a", false)
@@ -105,11 +105,11 @@
 		"truncated response": {func(c *checker) {
 			c.recordSent("x", "a", false)
 			c.RequestStarted(up, "x", "a")
-			bad := good
-			bad.Body = body[:4]
-			c.checkResponse("x", bad)
+			truncated := complete
+			truncated.Body = body[:4]
+			c.checkResponse("x", truncated)
 		}, "mixed"},
-		"response without execution": {func(c *checker) { c.recordSent("x", "a", false); c.checkResponse("x", good) }, "mixed"},
+		"response without execution": {func(c *checker) { c.recordSent("x", "a", false); c.checkResponse("x", complete) }, "mixed"},
 		"route not found": {func(c *checker) {
 			c.recordSent("x", "a", false)
 			c.checkResponse("x", platformtest.Result{Status: 404})
@@ -120,7 +120,7 @@
 		}, "advice"},
 		"request after a drain": {func(c *checker) {
 			c.recordSent("x", "a", false)
-			c.drainedAt[up.Incarnation()] = time.Now().Add(-2 * drainAllowance)
+			c.drainTimes[up.Incarnation()] = time.Now().Add(-2 * drainAllowance)
 			c.RequestStarted(up, "x", "a")
 		}, "drain"},
 		"retry budget exceeded": {func(c *checker) {
@@ -185,13 +185,13 @@
 		for range crashes {
 			c.recordSent("p", "a", false)
 			c.recordPoison("p", "key", func() bool { return true })
-			c.requests["p"].sentAt = time.Now().Add(time.Hour)
-			c.recordCrash(c.requests["p"])
+			c.recordsByAttempt["p"].sentAt = time.Now().Add(time.Hour)
+			c.recordCrash(c.recordsByAttempt["p"])
 		}
 		require.Len(t, c.allViolations(), want, crashes)
 		c.resetCrashCounts()
 		for range maxCrashes {
-			c.recordCrash(c.requests["p"])
+			c.recordCrash(c.recordsByAttempt["p"])
 		}
 		require.Len(t, c.allViolations(), want, "the count restarts after all daemons were killed")
 	}
--- a/soak/start_test.go
+++ b/soak/start_test.go
@@ -26,8 +26,8 @@
 		{"default after ignoring hangup", startDefault, syscall.SIGHUP},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			const starts = 20
-			for range starts {
+			const startCount = 20
+			for range startCount {
 				// sleep installs no signal handlers.
 				cmd := exec.Command("sleep", "60")
 				require.NoError(t, c.start(cmd))
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -69,12 +69,12 @@
 
 // newVM creates a VM and starts its proxies. It does not start the daemon and the upstream. The VM with the
 // given number has the address ip. groups is the number of groups, see groupCount.
-func newVM(number, groups int, ip, dir, binary, store string, check *checker) (*vm, error) {
+func newVM(number, groupTotal int, ip, dir, binary, storeAddress string, check *checker) (*vm, error) {
 	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
-	const zones = 3
-	group := number % groups
+	const zoneCount = 3
+	group := number % groupTotal
 	m := &vm{group: group, check: check, binary: binary, exitErr: make(chan error, 1), config: platformtest.VM{
-		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groups%zones), Service: serviceOf(group, number/groups%2),
+		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groupTotal%zoneCount), Service: serviceOf(group, number/groupTotal%2),
 		Outbound: addressAt(portOutbound), Ready: addressAt(portReady), Control: addressAt(portControl), Upstream: addressAt(portUpstreamProxy), Store: addressAt(portStoreProxy),
 		InternalPort: portInternal, Advertised: addressAt(portPeerProxy), Bootstrap: true,
 		GraceS: gracePeriod.Seconds(), RetryBudgetRatio: retryBudgetRatio, RetryBudgetSlack: retryBudgetSlack, RetryBudgetWindowS: retryBudgetWindow.Seconds(),
@@ -90,7 +90,7 @@
 	}{
 		{&m.peerProxy, addressAt(portPeerProxy), addressAt(portInternal)},
 		{&m.upstreamProxy, addressAt(portUpstreamProxy), addressAt(portUpstream)},
-		{&m.storeProxy, addressAt(portStoreProxy), store},
+		{&m.storeProxy, addressAt(portStoreProxy), storeAddress},
 	} {
 		if *x.field, err = newProxy(x.address, x.target); err != nil {
 			return nil, err
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -31,10 +31,10 @@
 type FaultyUpstream struct {
 	listener net.Listener
 
-	mu       sync.Mutex
-	script   Script
-	requests int
-	conns    map[net.Conn]struct{}
+	mu           sync.Mutex
+	script       Script
+	requestCount int
+	conns        map[net.Conn]struct{}
 }
 
 // StartFaultyUpstream starts a FaultyUpstream on a loopback port.
@@ -62,7 +62,7 @@
 func (f *FaultyUpstream) Requests() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.requests
+	return f.requestCount
 }
 
 // Conns returns the number of open connections.
@@ -109,7 +109,7 @@
 		if err != nil {
 			return
 		}
-		s := f.scriptForRequest()
+		s := f.countRequest()
 		if !s.SkipBody {
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
@@ -125,11 +125,11 @@
 	}
 }
 
-// scriptForRequest counts a request and returns the script to use for it.
-func (f *FaultyUpstream) scriptForRequest() Script {
+// countRequest counts a request and returns the script to use for it.
+func (f *FaultyUpstream) countRequest() Script {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.requests++
+	f.requestCount++
 	return f.script
 }
 
--- a/standin/run.go
+++ b/standin/run.go
@@ -20,15 +20,15 @@
 
 // Run announces the upstream to the daemon at an admin address and repeats the
 // announcement every second until the context ends. After a failed announcement it
-// calls announceFailed with the error and continues. When the context has ended, Run
+// calls onAnnounceError with the error and continues. When the context has ended, Run
 // announces that the upstream drains, waits for executing requests, and closes the
 // upstream. It returns the errors of these last steps.
-func (u *Upstream) Run(ctx context.Context, adminAddress string, incarnation uint64, announceFailed func(error)) error {
+func (u *Upstream) Run(ctx context.Context, adminAddress string, incarnation uint64, onAnnounceError func(error)) error {
 	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	for {
 		if err := u.Announce(ctx, adminAddress, incarnation, false); err != nil && ctx.Err() == nil {
-			announceFailed(err)
+			onAnnounceError(err)
 		}
 		select {
 		case <-ctx.Done():
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -77,11 +77,11 @@
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := make(map[string]int, len(u.runs))
+	runsByRequest := make(map[string]int, len(u.runs))
 	for k, v := range u.runs {
-		out[k] = v
+		runsByRequest[k] = v
 	}
-	return out
+	return runsByRequest
 }
 
 // ServeHTTP executes one request: it waits for a slot, holds the slot for the time
