--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -17,12 +17,12 @@
 	coveringTest string
 }
 
-// disabledBy returns a mechanism and the edits that disable it.
+// disabledBy returns a mechanism with a name, which the given changes of the source disable.
 func disabledBy(name string, changes ...edits.Edit) mechanism {
 	return mechanism{name: name, edits: changes}
 }
 
-// coveredBy sets the covering test of a mechanism.
+// coveredBy returns a mechanism with its covering test set.
 func coveredBy(test string, m mechanism) mechanism {
 	m.coveringTest = test
 	return m
@@ -41,10 +41,11 @@
 )
 
 var (
-	// noLocalQueries removes the load queries to the local zone. A load query asks a daemon for
-	// the load of its upstream before a request is sent.
+	// noLocalQueries removes the load queries to the local zone (the zone of the daemon that sends
+	// the request). A load query asks a daemon for the load of its upstream before a request is
+	// sent.
 	noLocalQueries = edits.New(choose, "f.queryLoads(req, true, placement.MaxLocalQueries, localZoneTimeout)", "_ = localZoneTimeout")
-	// noRemoteQueries removes the load queries to the other zones.
+	// noRemoteQueries removes the load queries to all zones but the local zone.
 	noRemoteQueries = edits.New(choose, "		f.queryLoads(req, false, placement.MaxRemoteQueries, remoteZoneTimeout)\n", "		_ = remoteZoneTimeout\n")
 )
 
@@ -78,7 +79,8 @@
 // root is the root directory of the repository.
 const root = ".."
 
-// TestEditsApply guards against edits that no longer apply to the source.
+// TestEditsApply guards against edits that no longer apply to the source, and against two
+// mechanisms with the same name.
 func TestEditsApply(t *testing.T) {
 	seenNames := make(map[string]bool)
 	for _, m := range mechanisms {
--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -21,6 +21,7 @@
 	Mechanism string `json:"mechanism"`
 	// Site is the name of the site file without its extension.
 	Site string `json:"site"`
+	// Day is the name of the replayed day in the site file.
 	Day  string `json:"day"`
 	Seed string `json:"seed"`
 	// Score is the credit of the day minus the costs, as the benchmark program computes it.
@@ -37,13 +38,14 @@
 // results holds the trial results of a file and appends new ones to it. It is safe for
 // concurrent use.
 type results struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// path is the path of the file.
 	path  string
 	byKey map[trialKey]trialResult
 }
 
 // openResults reads the results of earlier runs from a file. If the file does not exist, there are
-// none.
+// no results. Lines that are not valid JSON are skipped.
 func openResults(path string) (*results, error) {
 	r := &results{path: path, byKey: make(map[trialKey]trialResult)}
 	f, err := os.Open(path)
@@ -65,6 +67,7 @@
 	return r, s.Err()
 }
 
+// contains reports whether the file holds the result of a trial.
 func (r *results) contains(k trialKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,13 +101,13 @@
 	pairs int
 	// mean is the mean score difference of the pairs, and standardError its standard error.
 	mean, standardError float64
-	// newViolations are the rules that were violated without the mechanism but not in the
-	// baseline of the same pair.
+	// newViolations are the names of the rules that, in at least one pair, were violated without
+	// the mechanism but not in the baseline.
 	newViolations []string
 }
 
-// summaries returns a summary for each mechanism and site, in the order of their names. It leaves
-// out trials whose baseline is missing.
+// summaries returns a summary for each mechanism and site, ordered by mechanism and then by site.
+// It leaves out trials whose baseline is missing.
 func (r *results) summaries() []summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -34,7 +34,8 @@
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' })
 }
 
-// cloneWithEdits clones the last commit into a directory and applies edits.
+// cloneWithEdits clones the last commit of the repository into a directory and applies changes to
+// the clone.
 func cloneWithEdits(ctx context.Context, dir string, changes []edits.Edit) error {
 	source, err := filepath.Abs(root)
 	if err != nil {
@@ -57,12 +58,14 @@
 
 // trialReport is the report of the benchmark program on one day.
 type trialReport struct {
-	Score      float64        `json:"G"`
+	Score float64 `json:"G"`
+	// Violations has an entry for each violated rule, by the name of the rule.
 	Violations map[string]any `json:"breaks"`
 }
 
-// runTrial runs the benchmark program bench, which replays the day of a trial with the source in the
-// scratch copy dir. sitePath is the path of the site file.
+// runTrial runs the benchmark program bench, which replays the day of a trial with the source in
+// the scratch copy dir. sitePath is the path of the site file. If the program has written its
+// report, its exit status is ignored.
 func runTrial(ctx context.Context, bench, dir, sitePath string, k trialKey) (trialResult, error) {
 	reportPath := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
 	why := "ablation: the code as it is"
@@ -105,8 +108,9 @@
 }
 
 // copyNewJournalFiles copies the files that trials have added to the journal of a scratch copy to
-// a directory. These files are journal entries and the sources that the entries name. Earlier
-// copies are overwritten, because an entry may have been copied while its trial was running.
+// targetDir. These files are journal entries and the sources that the entries name. Files that were
+// copied earlier are overwritten, because an entry may have been copied while its trial was
+// running.
 func copyNewJournalFiles(c scratchCopy, targetDir string) error {
 	names, err := journalFiles(c.dir)
 	if err != nil {
@@ -134,8 +138,8 @@
 // dayNamePattern matches the name of a day in a site file.
 var dayNamePattern = regexp.MustCompile(`(?m)^\[\[day\]\]\nname = "([^"]+)"`)
 
-// dayNames returns the names of the days of a site file to replay: the days in ABLATION_DAYS. If
-// ABLATION_DAYS is empty, it returns all days whose names do not begin with quiet.
+// dayNames returns the names of the days to replay. These are the days in ABLATION_DAYS or, if
+// ABLATION_DAYS is empty, all days of the site file whose names do not begin with quiet.
 func dayNames(sitePath string) ([]string, error) {
 	if selectedDays := envList("ABLATION_DAYS", ""); len(selectedDays) > 0 {
 		return selectedDays, nil
@@ -197,7 +201,8 @@
 type scratchCopies struct {
 	mu sync.Mutex
 	// dir is the directory in which the scratch copies are created.
-	dir         string
+	dir string
+	// byMechanism holds the copies created so far, by the name of the mechanism.
 	byMechanism map[string]scratchCopy
 }
 
@@ -289,8 +294,8 @@
 	}
 }
 
-// TestNewJournalFilesAreCopied guards against lost journal entries of trials, and against copies
-// of entries that were in the journal before.
+// TestNewJournalFilesAreCopied guards against lost or outdated copies of journal entries of trials,
+// and against copies of entries that were in the journal before the trials.
 func TestNewJournalFilesAreCopied(t *testing.T) {
 	dir, parentDir := t.TempDir(), t.TempDir()
 	targetDir := filepath.Join(parentDir, "journal")
--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -19,7 +19,8 @@
 	root       = ".."
 	modulePath = "github.com/dottereltiller/dottereltiller/"
 	corePath   = modulePath + "core/"
-	maxLines   = 400
+	// maxLines is the maximum number of lines of a Go file.
+	maxLines = 400
 )
 
 // sourceFile is one Go file of the workspace.
@@ -34,7 +35,8 @@
 	lineCount int
 }
 
-// sourceFiles returns all Go files of the workspace except generated protocol code.
+// sourceFiles returns all Go files of the workspace except those below directories named proto,
+// which hold generated code, and those below hidden directories.
 func sourceFiles(t *testing.T) []sourceFile {
 	t.Helper()
 	var out []sourceFile
@@ -73,9 +75,9 @@
 	return out
 }
 
-// TestCoreImportsOnlyAllowedPackages checks that the packages of core import only each other, xxhash and the
-// standard library. It also checks that they do not import net, net/http, os, sync and
-// context: core must not do I/O or start goroutines.
+// TestCoreImportsOnlyAllowedPackages checks that the packages of core import only each other,
+// xxhash and the standard library. It also checks that they do not import net, net/http, os, sync
+// and context: core must not do I/O or start goroutines. Tests of core may import anything.
 func TestCoreImportsOnlyAllowedPackages(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.isTest || !strings.HasPrefix(s.pkg, "core/") {
@@ -90,8 +92,8 @@
 	}
 }
 
-// forbiddenImports holds, for each package, the packages that it must not import. These rules
-// keep the components of the daemon independent of each other.
+// forbiddenImports holds, for each package, the packages that it must not import. Both are paths
+// relative to root. These rules keep the components of the daemon independent of each other.
 var forbiddenImports = map[string][]string{
 	"wire":          {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer"},
 	"hop":           {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer", "wire"},
--- a/bubble/bubble_test.go
+++ b/bubble/bubble_test.go
@@ -11,10 +11,10 @@
 	"github.com/dottereltiller/dottereltiller/bubble"
 )
 
-// TestOverdueTimersFireInManyGoroutines guards against crashes of the race
-// detector. The tickers expire while their goroutines sleep, so they fire in the
-// receiving goroutines. With more than one processor the race detector then ends
-// the process: "ThreadSanitizer: CHECK failed", or a segmentation fault in SlotLock.
+// TestOverdueTimersFireInManyGoroutines guards against crashes of the race detector. The tickers
+// expire while their goroutines sleep, so they fire in the receiving goroutines. If these ran on
+// more than one processor, the race detector would end the process: "ThreadSanitizer: CHECK
+// failed", or a segmentation fault in SlotLock.
 func TestOverdueTimersFireInManyGoroutines(t *testing.T) {
 	bubble.Run(t, func(*testing.T) {
 		var wg sync.WaitGroup
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -15,6 +15,8 @@
 	"github.com/dottereltiller/dottereltiller/local"
 )
 
+// documentsJSON holds the configuration documents of the demonstration, as a JSON array.
+//
 //go:embed documents.json
 var documentsJSON []byte
 
@@ -29,12 +31,14 @@
 
 // Options configure a run.
 type Options struct {
-	// JSON prints the result as one JSON object on the last line, after the table.
+	// JSON makes Run print the result a second time, as one JSON object on the last line after the
+	// table.
 	JSON bool
-	// Duration is how long requests are sent. Default: 3s.
+	// Duration is how long requests are sent. The default is 3s.
 	Duration time.Duration
 }
 
+// defaultDuration is the default of Options.Duration.
 const defaultDuration = 3 * time.Second
 
 // ViolationError reports the violations of invariants that a run has found.
@@ -42,14 +46,14 @@
 	Violations []string
 }
 
-// Error returns the number of violations and the first one.
+// Error returns the number of violations and the first violation. Violations must not be empty.
 func (e *ViolationError) Error() string {
 	return fmt.Sprintf("%d violations of invariants, such as: %s", len(e.Violations), e.Violations[0])
 }
 
-// Run runs the demonstration and prints a table of results to w. It returns an error if
-// the deployment could not be started or the context ended. The error is a
-// *ViolationError if an invariant did not hold.
+// Run runs the demonstration and prints a table of results to w. It returns an error if the
+// deployment could not be started, w failed or the context ended. If an invariant did not hold, the
+// error is a *ViolationError.
 func Run(ctx context.Context, w io.Writer, opts Options) error {
 	if opts.Duration <= 0 {
 		opts.Duration = defaultDuration
@@ -72,8 +76,8 @@
 	return ctx.Err()
 }
 
-// runLoad starts the deployment, sends the load, stops the deployment and checks the
-// invariants.
+// runLoad starts the deployment, sends requests for the duration d, stops the deployment and checks
+// the invariants. The returned result lists the violations.
 func runLoad(ctx context.Context, d time.Duration) (*Result, error) {
 	var docs []policy.Document
 	if err := json.Unmarshal(documentsJSON, &docs); err != nil {
@@ -101,8 +105,8 @@
 	return res, nil
 }
 
-// measuringSlotTime returns, for each upstream, the slot time that the daemons have used
-// to measure its load. Slot time is the time during which requests occupy slots, summed
+// measuringSlotTime returns, for each upstream, the slot time that the daemons have used so far to
+// poll the upstream's load report. Slot time is the time during which requests occupy slots, summed
 // over the slots.
 func measuringSlotTime(deployment *local.Deployment) map[model.UpstreamID]time.Duration {
 	slotTimeByUpstream := make(map[model.UpstreamID]time.Duration)
@@ -112,9 +116,10 @@
 	return slotTimeByUpstream
 }
 
-// measuringShares returns, for each service, the slot time that load measurements used
-// during a run, as a share of the service's capacity. before is the result of
-// measuringSlotTime at the start of the run, and elapsed is the time since then.
+// measuringShares returns, for each service, the slot time that the polls of load reports used
+// during a run, as a share of the service's capacity: the number of its slots times elapsed.
+// slotTimeBefore is the result of measuringSlotTime at the start of the run, and elapsed is the
+// time since the start of the run.
 func measuringShares(deployment *local.Deployment, slotTimeBefore map[model.UpstreamID]time.Duration, elapsed time.Duration) map[model.ServiceName]float64 {
 	slotTimeByService := make(map[model.ServiceName]time.Duration)
 	slotTimeAfter := measuringSlotTime(deployment)
@@ -129,7 +134,7 @@
 	return shareByService
 }
 
-// executions returns the number of executions of each request at all upstreams.
+// executions returns the number of executions of each request, summed over all upstreams.
 func executions(deployment *local.Deployment) map[string]int {
 	runsByRequest := make(map[string]int)
 	for _, n := range deployment.Nodes {
--- a/demo/observer.go
+++ b/demo/observer.go
@@ -12,7 +12,8 @@
 
 // observer records the outcome of each request as its caller received it.
 type observer struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// outcomes holds the outcomes by request name.
 	outcomes map[string]callerOutcome
 }
 
@@ -31,9 +32,9 @@
 	o.outcomes[r.Name] = callerOutcome{kind: reply.Kind, idempotent: r.Method != http.MethodPost}
 }
 
-// violations compares the recorded outcomes with the number of executions of each
-// request, by its name. It returns a sorted list with a message for each violation of
-// an invariant.
+// violations compares the recorded outcomes with runsByRequest, which holds the number of
+// executions by request name. It returns a sorted list with a message for each violation of an
+// invariant.
 func (o *observer) violations(runsByRequest map[string]int) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/demo/plan.go
+++ b/demo/plan.go
@@ -9,8 +9,8 @@
 	"github.com/dottereltiller/dottereltiller/local"
 )
 
-// sources are the request streams of the groups. The group named searches needs more slots
-// than service sporarkiv has: 2,000 requests a second of 20 ms need 40 slots, and the service
+// sources are the request streams of the groups of callers. The group named searches needs more
+// slots than service sporarkiv has: 2,000 requests a second of 20 ms need 40 slots, and the service
 // has 36. The searches must not slow down the requests of the group named members to the same
 // service.
 var sources = []load.Source{
@@ -36,7 +36,8 @@
 	},
 }
 
-// maxInFlight is the maximum number of requests in flight from all sources.
+// maxInFlight is the maximum number of requests of all sources together that are in flight (sent
+// and not yet answered).
 const maxInFlight = 4096
 
 // loadPlan returns the plan of a load of duration d, with all daemons of a deployment as targets.
--- a/demo/result.go
+++ b/demo/result.go
@@ -13,8 +13,9 @@
 // GroupResult holds the results of one group of callers at one service.
 type GroupResult struct {
 	load.Stats
-	// MeasuringShare is the slot time that load measurements used, as a share of the
-	// service's capacity. The capacity is the number of slots times the length of the run.
+	// MeasuringShare is the slot time that the daemons' polls of load reports used at the service,
+	// as a share of the service's capacity. The capacity is the number of slots times the length of
+	// the run.
 	MeasuringShare float64 `json:"measuring_share"`
 }
 
@@ -29,9 +30,10 @@
 	VersionInForce model.Version `json:"version_in_force"`
 }
 
-// newResult returns the results of a load. There is a violation for each wrong answer that the
-// load lists, and one with the number of further wrong answers. shares is the result of
-// measuringShares.
+// newResult returns the results of a load. A wrong answer is a response that is incomplete or does
+// not belong to its request. The result has a violation for each wrong answer in
+// loadResult.WrongAnswers, and one violation with the number of wrong answers not listed there.
+// shareByService is the result of measuringShares.
 func newResult(loadResult *load.Result, shareByService map[model.ServiceName]float64) *Result {
 	r := &Result{Total: loadResult.Total, Violations: []string{}}
 	r.Total.Series = nil
@@ -64,7 +66,8 @@
 	return out
 }
 
-// print writes the results as a table, and then whether the invariants hold.
+// print writes the results as a table, and after the table whether all invariants hold or the
+// number of violations.
 func (r *Result) print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, "service\tgroup\tanswered\tnot run\tunknown\tp50 ms\tp99 ms\tp99.9 ms\tslot time\tmeasuring\t")
--- a/edits/edits.go
+++ b/edits/edits.go
@@ -24,7 +24,8 @@
 
 // CountError reports that the text to replace does not occur exactly once in its file.
 type CountError struct {
-	Edit  Edit
+	Edit Edit
+	// Count is the number of occurrences of Edit.Old.
 	Count int
 }
 
@@ -33,9 +34,10 @@
 	return fmt.Sprintf("%s: %q occurs %d times, want once", e.Edit.File, e.Edit.Old, e.Count)
 }
 
-// Apply returns the edited text of every file that the edits change, by Edit.File. It does not
-// write the files. Edits of the same file are applied in order. The error is a *CountError if
-// the old text of an edit does not occur exactly once.
+// Apply returns the edited text of every file that the edits change, by Edit.File. root is the
+// directory to which Edit.File is relative. Apply does not write the files. Edits of the same file
+// are applied in order. The error is a *CountError if the old text of an edit does not occur exactly
+// once after the preceding edits.
 func Apply(root string, edits []Edit) (map[string]string, error) {
 	textByFile := make(map[string]string)
 	for _, e := range edits {
--- a/latency/histogram.go
+++ b/latency/histogram.go
@@ -8,6 +8,7 @@
 
 const (
 	// minUs and maxUs are the shortest and the longest recorded duration in microseconds.
+	// significantDigits is the precision of a recorded duration, in significant decimal digits.
 	minUs             = 1
 	maxUs             = int64(2 * time.Hour / time.Microsecond)
 	significantDigits = 3
@@ -35,7 +36,7 @@
 // Record adds a duration. A duration below minUs is recorded as minUs, and a duration above maxUs
 // as maxUs.
 func (h *Histogram) Record(d time.Duration) {
-	// RecordValue fails only for values out of range, and this value is in range.
+	// RecordValue fails only for values out of range, and min and max keep the value in range.
 	_ = h.hdr.RecordValue(min(max(d.Microseconds(), minUs), maxUs))
 }
 
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -25,7 +25,7 @@
 const (
 	// readyTimeout bounds the wait until all daemons are ready.
 	readyTimeout = 10 * time.Second
-	// pollInterval is the time between two checks whether all daemons are ready.
+	// pollInterval is the time between two calls of ready by awaitReady.
 	pollInterval = 20 * time.Millisecond
 
 	// defaultLogInterval is the default of Options.LogInterval.
@@ -82,7 +82,8 @@
 	// ctx ends when the deployment is stopped. Restarted daemons run until then.
 	ctx context.Context
 	// logHTTP serves Log.
-	logHTTP  *http.Server
+	logHTTP *http.Server
+	// cancel ends ctx.
 	cancel   context.CancelFunc
 	stopOnce sync.Once
 }
@@ -105,9 +106,11 @@
 	return d, nil
 }
 
-// Stop stops all daemons and upstreams. Further calls do nothing.
+// Stop stops all daemons, all upstreams and the server of the log, and waits for the daemons. All
+// calls but the first have no effect.
 func (d *Deployment) Stop() { d.stopOnce.Do(d.shutdown) }
 
+// shutdown does the work of Stop.
 func (d *Deployment) shutdown() {
 	d.cancel()
 	for _, n := range d.Nodes {
@@ -121,6 +124,8 @@
 	}
 }
 
+// start starts the server of the log, the upstreams and the daemons, publishes the documents and
+// waits until the deployment is ready.
 func (d *Deployment) start(ctx context.Context) error {
 	if err := d.startLog(); err != nil {
 		return err
@@ -201,6 +206,8 @@
 	return errors.Join(stopErr, d.awaitReady(ctx))
 }
 
+// settingsForZone returns the settings of a daemon in a zone, after Options.Settings has changed
+// them. Port 0 in the listen addresses lets the system choose free ports.
 func (d *Deployment) settingsForZone(zone model.AvailabilityZone) settings.Settings {
 	s := settings.Defaults()
 	s.Zone = zone
@@ -214,6 +221,7 @@
 	return s
 }
 
+// publish publishes the documents of the options. It returns an error if they are not accepted.
 func (d *Deployment) publish(ctx context.Context) error {
 	res, err := operator.Publish(ctx, recordlog.NewClient(d.LogAddress), "local", d.opts.Documents)
 	if err != nil {
@@ -225,6 +233,8 @@
 	return nil
 }
 
+// awaitReady waits until ready returns true. It returns an error if ctx ends or readyTimeout
+// passes.
 func (d *Deployment) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -64,14 +64,15 @@
 	// logDown makes the log respond to every request with status 503.
 	logDown    atomic.Bool
 	logAddress string
-	// logReads and logAppends count the requests to the log.
+	// logReads and logAppends count the read and append requests to the log, also those that arrive
+	// while logDown is set.
 	logReads, logAppends atomic.Int64
 	stopAnnouncing       context.CancelFunc
 	announcers           sync.WaitGroup
 }
 
-// startCluster starts a cluster with one VM for each upstream. services holds the number
-// of upstreams by service.
+// startCluster starts a cluster with one VM for each upstream. upstreamCounts holds the number of
+// upstreams by service, which must be returdesk or sporarkiv. Short test runs skip the test.
 func startCluster(t testing.TB, upstreamCounts map[string]int) *cluster {
 	t.Helper()
 	if testing.Short() {
@@ -114,7 +115,8 @@
 	}
 }
 
-// startLog serves the log over HTTP and counts the requests.
+// startLog serves the log over HTTP and counts the requests. While logDown is set, it responds with
+// status 503.
 func (c *cluster) startLog() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
@@ -162,8 +164,8 @@
 	return path
 }
 
-// start starts the daemon process. The log of the daemon goes to a file. await prints the
-// file if its condition does not become true.
+// start starts the daemon process. The log of the daemon goes to a temporary file, which await
+// prints if its condition does not become true in time.
 func (v *vm) start() {
 	v.t.Helper()
 	stderr, err := os.CreateTemp(v.t.TempDir(), "stderr")
@@ -176,7 +178,7 @@
 
 func (v *vm) signal(s syscall.Signal) { require.NoError(v.t, v.cmd.Process.Signal(s)) }
 
-// kill kills the daemon process.
+// kill kills the daemon process with SIGKILL and waits until it has exited.
 func (v *vm) kill() {
 	_ = v.cmd.Process.Kill()
 	_ = v.cmd.Wait()
@@ -191,7 +193,7 @@
 	return v.cmd.ProcessState.ExitCode()
 }
 
-// logOutput returns the log of the daemon process.
+// logOutput returns the log of the daemon process, or the text of the error if it cannot be read.
 func (v *vm) logOutput() string {
 	data, err := os.ReadFile(v.stderr.Name())
 	if err != nil {
@@ -238,8 +240,8 @@
 	return uint64(s.Version), ok
 }
 
-// usableUpstreams returns the number of upstreams that the daemon knows, without the
-// upstreams that drain.
+// usableUpstreams returns the number of upstreams of all services that the daemon knows, without
+// the upstreams that drain. It returns 0 if the daemon does not respond.
 func (v *vm) usableUpstreams() int {
 	s, _ := v.status()
 	n := 0
@@ -274,8 +276,8 @@
 	}
 }
 
-// await waits until a condition holds. It fails the test after conditionTimeout, which is
-// long enough that only a test that would hang reaches it.
+// await waits until a condition holds. After conditionTimeout it prints the logs of all daemons and
+// fails the test. conditionTimeout is so long that only a test that would hang reaches it.
 func (c *cluster) await(description string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -22,17 +22,20 @@
 
 // attemptResult is the result of one attempt of a request, as the caller received it.
 type attemptResult struct {
+	// kind and reason are the outcome that the daemon reported. If notConnected is set, kind is
+	// outcome.NotRun.
 	kind   outcome.Kind
 	reason string
 	// valid is false if a response was incomplete, belonged to another request or did not
 	// state its outcome.
 	valid bool
-	// connectionFailed is set if an established connection to the daemon failed.
+	// connectionFailed is set if an established connection to the daemon failed or the response did
+	// not arrive within callTimeout.
 	connectionFailed bool
 	// notConnected is set if no connection to the daemon could be established. The request
 	// was then not sent.
 	notConnected bool
-	// err is the error of the HTTP client if there was no response.
+	// err is the error of the HTTP client if there was no complete response.
 	err error
 }
 
@@ -45,6 +48,7 @@
 	results []attemptResult
 }
 
+// last returns the result of the last attempt.
 func (r *requestRecord) last() attemptResult { return r.results[len(r.results)-1] }
 
 // hasUnknownOutcome reports whether the caller cannot tell for at least one attempt whether
@@ -103,7 +107,7 @@
 // requestTemplates are the requests from which sendRequests draws at random.
 var requestTemplates = []struct {
 	service, method, path string
-	// keyed is set if the requests have an idempotency key.
+	// keyed is set if each request has an idempotency key.
 	keyed bool
 }{
 	{"returdesk", http.MethodGet, "/parcels/1", false},
@@ -112,8 +116,9 @@
 	{"returdesk", http.MethodPost, "/release/2", true},
 }
 
-// sendRequests sends n requests and adds their records to a history. n must be a multiple of
-// workers. target chooses the VM to whose daemon an attempt is sent, see sendWithRetries.
+// sendRequests sends n requests from workerCount goroutines and adds their records to a history. n
+// must be a multiple of workerCount. target chooses the VM to whose daemon an attempt is sent, see
+// sendWithRetries.
 func (c *cluster) sendRequests(h *history, n int, target func(*rand.Rand) *vm) {
 	var wg sync.WaitGroup
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workerCount}}
@@ -202,7 +207,7 @@
 	return attemptResult{connectionFailed: true, err: err}
 }
 
-// executions returns the number of executions of each request at all upstreams.
+// executions returns the number of executions of each request, summed over all upstreams.
 func (c *cluster) executions() map[string]int {
 	runsByRequest := make(map[string]int)
 	for _, v := range c.vms {
@@ -236,8 +241,8 @@
 	}
 }
 
-// failureReasons counts the requests whose last attempt did not have the outcome answered.
-// The keys describe the result of the last attempt.
+// failureReasons counts the requests whose last attempt did not have the outcome answered. Each key
+// of the returned map describes the result of the last attempt.
 func (h *history) failureReasons() map[string]int {
 	countByReason := make(map[string]int)
 	for _, r := range h.records {
@@ -248,11 +253,11 @@
 	return countByReason
 }
 
-// checkDrainLosesNothing checks the requests that were sent while daemons drained. Each
-// must have the outcome answered, with one exception: a non-idempotent request without
-// an idempotency key on a keep-alive connection that the daemon closed at the same
-// moment. HTTP/1.1 does not tell the caller whether such a request ran, so the caller
-// may not retry. The request must not have run: if it ran, the drain has aborted it.
+// checkDrainLosesNothing checks the requests that were sent while daemons drained. Each must have
+// the outcome answered, with one exception: a non-idempotent request without an idempotency key on
+// a keep-alive connection that the daemon closed at the same moment. HTTP/1.1 does not tell the
+// caller whether such a request ran, so the caller may not retry. But such a request must not have
+// run: if it had, the drain would have aborted it.
 func (c *cluster) checkDrainLosesNothing(records []*requestRecord) {
 	c.t.Helper()
 	runsByRequest := c.executions()
--- a/proctest/idle_test.go
+++ b/proctest/idle_test.go
@@ -74,7 +74,8 @@
 	return total
 }
 
-// TestIdleDaemonMemoryIsBounded checks the resident memory of daemons without requests.
+// TestIdleDaemonMemoryIsBounded checks that the resident memory of daemons without requests stays
+// below maxIdleBytes.
 func TestIdleDaemonMemoryIsBounded(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 3})
 	c.awaitVersion(c.publish(documents("3s")))
@@ -83,8 +84,8 @@
 	}
 }
 
-// BenchmarkIdleDaemon reports the resource usage of one daemon without requests, for
-// several numbers of daemons.
+// BenchmarkIdleDaemon reports the resource usage per daemon without requests, for deployments of
+// several sizes.
 func BenchmarkIdleDaemon(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -98,8 +99,8 @@
 	}
 }
 
-// reportIdleCost measures for a period and reports the processor time and the peer traffic of
-// a daemon, the requests to the log, and the largest resident memory of a daemon.
+// reportIdleCost measures for a period. It reports the mean processor time and peer traffic of a
+// daemon, the requests of all daemons to the log, and the largest resident memory of a daemon.
 func (c *cluster) reportIdleCost(b *testing.B, period time.Duration) {
 	cpuBefore, bytesBefore := c.totalUsage()
 	readsBefore, appendsBefore := c.logReads.Load(), c.logAppends.Load()
@@ -119,7 +120,8 @@
 	b.ReportMetric(float64(maxRSS)/(1<<20), "maxMiB")
 }
 
-// totalUsage returns the processor time and the bytes of peer traffic of all daemons.
+// totalUsage returns the processor time and the bytes of peer traffic, each summed over all
+// daemons.
 func (c *cluster) totalUsage() (cpu time.Duration, bytes float64) {
 	for _, v := range c.vms {
 		cpu += v.cpuTime()
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -12,7 +12,7 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// documents returns the documents of a configuration with the same deadline for all services.
+// documents returns the documents of a configuration. deadline is the deadline of all services.
 func documents(deadline string) []policy.Document {
 	service := json.RawMessage(`{"deadline":"` + deadline + `"}`)
 	return []policy.Document{
@@ -24,10 +24,11 @@
 }
 
 const (
-	// requestsPerPhase is the number of requests that are sent during one fault.
+	// requestsPerPhase is the number of requests that are sent in one phase of a test, for example
+	// during one fault.
 	requestsPerPhase = 480
 	// requestsDuringPause is the number of requests that are sent while a daemon is paused. It is
-	// smaller because callers of the paused daemon wait until their timeout.
+	// smaller than requestsPerPhase because callers of the paused daemon wait until their timeout.
 	requestsDuringPause = 160
 )
 
@@ -73,8 +74,8 @@
 	c.checkInvariants(t, h)
 }
 
-// TestDrainingUpstreamReceivesNoNewRequests guards against requests to an upstream that
-// has announced that it drains.
+// TestDrainingUpstreamReceivesNoNewRequests guards against daemons that still send new requests to
+// an upstream some time after it has announced that it drains.
 func TestDrainingUpstreamReceivesNoNewRequests(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 1})
 	c.awaitVersion(c.publish(documents("3s")))
@@ -116,7 +117,8 @@
 	for _, v := range c.vms {
 		c.await(v.upstream.ID+" knows all upstreams", func() bool { return v.usableUpstreams() == len(c.vms) })
 		c.await(v.upstream.ID+" serves requests", func() bool {
-			// The serial keeps the names of these requests different from those in h.
+			// The start value of serial keeps the names of these requests different from those in
+			// h.
 			warmUp := &history{serial: h.nextSerial() * 1_000_000}
 			c.sendRequests(warmUp, workerCount, func(*rand.Rand) *vm { return v })
 			return warmUp.count(func(r *requestRecord) bool { return !isAnswered(r) }) == 0
@@ -124,8 +126,8 @@
 	}
 }
 
-// TestRollingRestartLosesNoRequests drains and restarts every daemon in turn while
-// callers send requests.
+// TestRollingRestartLosesNoRequests drains and restarts every daemon in turn while callers send
+// requests. It expects that no request is lost, and checks the invariants.
 func TestRollingRestartLosesNoRequests(t *testing.T) {
 	c := startCluster(t, map[string]int{"returdesk": 3, "sporarkiv": 3})
 	version := c.publish(documents("3s"))
--- a/soak/check.go
+++ b/soak/check.go
@@ -10,22 +10,25 @@
 )
 
 const (
-	// drainAllowance is how long after an acknowledged drain a request may still start.
+	// drainAllowance is how long after the acknowledgement of an upstream's drain a request may
+	// still start at the upstream.
 	drainAllowance = 2 * time.Second
 	// maxConfigDelay is how long a daemon may take to put a published configuration in force.
 	maxConfigDelay = 2 * time.Second
-	// quietPeriod is how long some checks are still skipped after the end of an unplanned
-	// fault. These checks could fail because of the fault.
+	// quietPeriod is how long after the end of an unplanned fault the checks that the fault could
+	// make fail are still skipped.
 	quietPeriod = 3 * time.Second
-	// retryBudgetWindow is the length of the windows in which retries are counted. A window
-	// starts at every retry.
+	// retryBudgetWindow is the length of the windows in which retries are counted. Each retry
+	// starts one of these windows, so windows overlap.
 	retryBudgetWindow = 10 * time.Second
-	// retryBudgetRatio is the number of retries that a window may have for each request.
-	// The requests that count are sent in the window or up to half its length before it.
+	// retryBudgetRatio is the number of retries that a window may have for each request that was
+	// sent in the window or up to half of retryBudgetWindow before its start.
 	retryBudgetRatio = 0.2
-	// retryBudgetSlack is the number of further retries that a window may have.
+	// retryBudgetSlack is the number of retries that a window may have in addition to those that
+	// retryBudgetRatio allows.
 	retryBudgetSlack = 40.0
-	// maxViolations is the maximum number of violations that are recorded.
+	// maxViolations is the maximum number of violations that are recorded. Violations beyond this
+	// number are dropped.
 	maxViolations = 20
 )
 
@@ -45,7 +48,8 @@
 	// attempt ids. For all other requests crashKey is empty.
 	crashKey string
 	// undisturbed reports whether the VM of the daemon to which the attempt was sent has been
-	// without unplanned faults for quietPeriod. It is nil if crashKey is empty.
+	// without unplanned faults for quietPeriod at the time of the call. It is nil if crashKey is
+	// empty.
 	undisturbed func() bool
 }
 
@@ -73,7 +77,7 @@
 	total int
 	// thresholdAt is when the total reached quarantineThreshold.
 	thresholdAt time.Time
-	// late counts the crashes that the quarantine should have prevented.
+	// late counts the crashes that the quarantine should have prevented, see maxLateCrashes.
 	late int
 }
 
@@ -82,9 +86,9 @@
 	// quarantined. All daemons must quarantine the request within quietPeriod after the last
 	// of these crashes.
 	quarantineThreshold = 3
-	// maxLateCrashes is the number of late crashes that the request may cause. A crash is
-	// late if its attempt was sent to an undisturbed VM more than quietPeriod after the
-	// number of crashes reached quarantineThreshold.
+	// maxLateCrashes is the number of late crashes that one request may cause. A crash is late if
+	// its attempt was sent to an undisturbed VM more than quietPeriod after the number of crashes
+	// reached quarantineThreshold.
 	maxLateCrashes = 3
 	// poisonAttemptPrefix starts the attempt ids of requests that crash upstreams.
 	poisonAttemptPrefix = "poison-"
@@ -98,7 +102,8 @@
 	return &checker{recordsByAttempt: make(map[string]*requestRecord), drainTimes: make(map[string]time.Time), crashCounts: make(map[string]*crashCount)}
 }
 
-// addViolationLocked records a violation. The caller must hold c.mu.
+// addViolationLocked records a violation, unless maxViolations are recorded already. The caller
+// must hold c.mu.
 func (c *checker) addViolationLocked(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
@@ -213,7 +218,8 @@
 	c.drainTimes[incarnation] = time.Now()
 }
 
-// wasExecuted reports whether a request has run at least once.
+// wasExecuted reports whether the request of an attempt has run at least once under this attempt
+// id.
 func (c *checker) wasExecuted(attempt string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,7 +227,8 @@
 	return rec != nil && rec.executions > 0
 }
 
-// checkResponse checks the response to an attempt.
+// checkResponse checks the response to an attempt. It also records in the request's record whether
+// the response tells the caller that the request did not run.
 func (c *checker) checkResponse(attempt string, r platformtest.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -248,8 +255,8 @@
 	}
 }
 
-// checkRetryBudget checks the retry budget in every window and records at most one violation. It
-// counts repeated executions of idempotent requests as retries.
+// checkRetryBudget checks the retry budget in every window and records at most one violation. The
+// repeated executions of idempotent requests count as the retries.
 func (c *checker) checkRetryBudget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/control.go
+++ b/soak/control.go
@@ -11,14 +11,16 @@
 	// upstreams. In a deployment of 1,700 daemons, all control traffic of a daemon must stay
 	// below this rate.
 	maxQuarantineBytesPerSecond = 19_000.0
-	// maxQuarantineBurstBytes is the number of further bytes that a daemon may send. They
-	// suffice for an anti-entropy exchange (a comparison of the records with a peer) at the
-	// start of a daemon that has run only for a short time.
+	// maxQuarantineBurstBytes is the number of bytes that a daemon may send in addition to those
+	// that maxQuarantineBytesPerSecond allows for its uptime. They suffice for an anti-entropy
+	// exchange (a comparison of the records with a peer) at the start of a daemon that has run only
+	// for a short time.
 	maxQuarantineBurstBytes = 12 * 1400.0
 )
 
-// checkControlTraffic checks how many bytes of quarantine records each daemon has sent. It reads
-// the number from the metrics of the daemon.
+// checkControlTraffic checks how many bytes of quarantine records each daemon has sent since its
+// last start. It reads the number from the metrics of the daemon. Metrics that cannot be read are a
+// violation.
 func (h *harness) checkControlTraffic(ctx context.Context) {
 	for _, m := range h.vms {
 		sent, err := readCounter(ctx, m.metricsURL(), "dottereltiller_control_bytes", `direction="sent"`, `kind="suspects"`)
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -16,20 +16,22 @@
 }
 
 // storeFaults maps the mode of a store fault to the fault of the stand-in store. It does not hold
-// mode forget, which injectStoreFault implements itself.
+// mode forget, which injectStoreFault implements without a fault of the stand-in store.
 var storeFaults = map[string]platformtest.StoreFault{
 	"busy": platformtest.StoreUnavailable, "many": platformtest.StoreRateLimited, "silent": platformtest.StoreHangs,
 	"slow": platformtest.StoreSlow, "lost": platformtest.StoreLosesReplies, "late": platformtest.StoreAppendsLate,
 }
 
-// partialFailureShare is the share of requests that fail at a single faulty upstream.
+// partialFailureShare is the share of an upstream's requests that fail if the fault concerns only
+// this upstream.
 const partialFailureShare = 0.4
 
 // plannedKinds are the kinds of faults that must not lose requests: operations that operators
 // plan, and invalid records in the store. Faults of all other kinds are unplanned.
 var plannedKinds = map[string]bool{kindTerm: true, kindReload: true, kindConfig: true, kindDrain: true, kindInvalidRecords: true}
 
-// inject injects one fault and removes it after the duration of the fault.
+// inject injects one fault, waits for the duration of the fault and removes it. A fault without a
+// lasting effect, such as a kill, ends at once. Poison is sent until the plan ends.
 func (h *harness) inject(f Fault) {
 	var m *vm
 	if f.VM > 0 {
@@ -86,7 +88,7 @@
 	}
 }
 
-// restartAllowance is the time that a process needs to start after a fault.
+// restartAllowance is the time that a process is given to start again after a fault.
 const restartAllowance = 2 * time.Second
 
 // withProxyMode sets the mode of a proxy for the duration of a fault.
@@ -127,8 +129,8 @@
 	}
 }
 
-// crashUpstream crashes an upstream and restarts it after the duration of the fault. In mode
-// new-id the upstream restarts with a new id.
+// crashUpstream crashes the upstream of a VM and restarts it after the duration of the fault. In
+// mode new-id the upstream restarts with a new id.
 func (h *harness) crashUpstream(m *vm, f Fault) {
 	id := m.upstream.ID()
 	m.upstream.Crash()
@@ -139,8 +141,8 @@
 	_ = m.upstream.Start(id)
 }
 
-// drainUpstream drains an upstream and then replaces it by a new one. It leaves the upstream alone
-// if another fault has restarted it in the meantime.
+// drainUpstream drains the upstream of a VM. After drainAllowance and the duration of the fault, it
+// replaces the upstream by a new one, unless another fault has restarted the upstream meanwhile.
 func (h *harness) drainUpstream(m *vm, f Fault) {
 	incarnation := m.upstream.Incarnation()
 	if m.upstream.Drain() {
@@ -154,12 +156,14 @@
 	_ = m.upstream.Start(h.newID(f.VM))
 }
 
-// callerStopDelay is how long replaceVM waits between stopping the callers of a VM and killing it.
+// callerStopDelay is how long replaceVM waits between stopping the callers of a VM and killing its
+// daemon.
 const callerStopDelay = 200 * time.Millisecond
 
-// replaceVM kills a VM and starts a new VM at the same address. The new VM belongs to the service
-// that otherService returns. In mode gone, connections to the old VM break. In mode dark, the
-// network drops the peer traffic of the VM, so that peers see no connection error.
+// replaceVM kills the daemon and the upstream of a VM and starts new ones at the same addresses, as
+// a new VM. The new VM belongs to the service that otherService returns. If the VM is already being
+// replaced, replaceVM does nothing. In mode gone, connections to the old VM break. In mode dark,
+// the network drops the peer traffic of the VM, so that peers see no connection error.
 func (h *harness) replaceVM(m *vm, f Fault) {
 	if !m.replacing.CompareAndSwap(false, true) {
 		return
--- a/soak/metrics.go
+++ b/soak/metrics.go
@@ -50,8 +50,9 @@
 	return findCounter(body, name, labels)
 }
 
-// findCounter reads metrics in the Prometheus text format. It returns the value of the first
-// series that has the name and all the labels, or 0 if there is no such series.
+// findCounter reads metrics in the Prometheus text format. It returns the value of the first series
+// that has the name, at least one label and all the given labels, which are written as key="value".
+// It returns 0 if there is no such series, and an error if the value is malformed.
 func findCounter(r io.Reader, name string, labels []string) (float64, error) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -64,6 +65,7 @@
 	return 0, lines.Err()
 }
 
+// containsAll reports whether s contains all substrings.
 func containsAll(s string, substrings []string) bool {
 	for _, p := range substrings {
 		if !strings.Contains(s, p) {
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -21,14 +21,15 @@
 	// edits insert the bug by replacing text of source files. Each old text must occur exactly
 	// once in its file.
 	edits []edits.Edit
-	// plan is written by hand and holds the faults under which the bug shows.
+	// plan holds the faults under which the bug shows, in the text format of ReadPlan. It is
+	// written by hand.
 	plan string
 	// wantViolation is the kind of violation that the checker must record. The kind is the
 	// text before the first colon of a violation.
 	wantViolation string
 }
 
-// The plans of the mutants, in the text format of ReadPlan.
+// The plans of the mutants, in the text format of ReadPlan. planHeader is their first line.
 const (
 	planHeader           = "soak 950 8 30000\n"
 	planDrains           = planHeader + "3000 drain 1 - 300\n3500 drain 2 - 300\n4000 drain 3 - 300\n9000 drain 4 - 300\n"
@@ -47,6 +48,7 @@
 	planNewConfigs       = planHeader + "3000 store 0 silent 3000\n9000 config 0 - 300\n13000 config 0 - 300\n17000 config 0 - 300\n"
 )
 
+// mutants holds the mutants by a description of their bug.
 var mutants = map[string]mutant{
 	"drained upstreams receive requests": {
 		edits: []edits.Edit{edits.New("platform/reports.go", `"draining": lifecycle.Draining}`, `"draining": lifecycle.Ready}`)},
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -12,7 +12,7 @@
 
 // Fault is one fault injection of a plan.
 type Fault struct {
-	// At is the time from the start of the traffic.
+	// At is the time from the start of the callers to the injection of the fault.
 	At time.Duration
 	// Kind is the kind of fault.
 	Kind string
@@ -21,7 +21,8 @@
 	VM int
 	// Mode is the variant of the fault, one of the faultModes of its kind.
 	Mode string
-	// Duration is how long the fault lasts.
+	// Duration is how long the fault lasts. A fault without a lasting effect, such as a kill, ends
+	// at once.
 	Duration time.Duration
 }
 
@@ -66,15 +67,16 @@
 // faultModes lists the modes of each kind. A dash stands for the only mode of a kind.
 var faultModes = map[string][]string{
 	kindKill: {"-"}, kindTerm: {"-"}, kindPause: {"-"}, kindReload: {"-"},
-	// The modes of all proxies: delay and trickle slow connections down. reset resets
-	// connections and drops datagrams. silent drops all traffic. half drops the traffic from
-	// the target to the client.
+	// The modes of all proxies: delay and trickle slow TCP connections down. reset resets TCP
+	// connections and drops datagrams to the target. silent drops all traffic. half drops the
+	// traffic from the target to the client.
 	kindPeerProxy:     {"delay", "reset", "silent", "half", "trickle"},
 	kindUpstreamProxy: {"delay", "reset", "silent"},
 	kindStoreProxy:    {"reset", "silent", "half"},
-	// The store responds with status 503 in mode busy and with 429 in mode many. silent
-	// never responds, and slow responds late. lost executes appends without a response.
-	// late executes appends late and without a response. forget loses the operator's records.
+	// The store responds with status 503 in mode busy and with 429 in mode many. In mode silent it
+	// never responds, and in mode slow it responds late. In mode lost it executes appends but sends
+	// no response. In mode late it also executes them late. In mode forget it loses the operator's
+	// records.
 	kindStore: {"busy", "many", "silent", "slow", "lost", "late", "forget"},
 	// In mode shed the upstream rejects requests without execution. In all other modes it
 	// executes requests. lose closes the connection without a response. err responds with
@@ -116,9 +118,9 @@
 	minFaultDuration = 300 * time.Millisecond
 	// maxFaultDuration is the longest duration that is drawn for a fault.
 	maxFaultDuration = 4 * time.Second
-	// plannedOnlyDivisor gives the length of the first part of a plan, which has only faults
-	// of plannedKinds: the length of the plan divided by plannedOnlyDivisor. Whether planned
-	// faults lose requests cannot be checked while unplanned faults are injected.
+	// plannedOnlyDivisor determines the first part of a plan, which has only faults of
+	// plannedKinds. Its length is the length of the plan divided by plannedOnlyDivisor. Whether
+	// planned faults lose requests cannot be checked while unplanned faults are injected.
 	plannedOnlyDivisor = 3
 )
 
@@ -143,8 +145,8 @@
 	}
 }
 
-// drawKind draws a kind of fault according to kindWeights. With plannedOnly it draws only from
-// plannedKinds.
+// drawKind draws a kind of fault according to kindWeights. If plannedOnly is set, it draws again
+// until the kind is one of plannedKinds.
 func drawKind(rng *rand.Rand, plannedOnly bool) string {
 	for {
 		total := 0
@@ -179,7 +181,7 @@
 type PlanError struct {
 	// Line is the number of the line, from 1. It is 0 if there is no plan.
 	Line int
-	// Text is the text of the line.
+	// Text is the text of the line, or "no plan" if there is no plan.
 	Text string
 }
 
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -21,8 +21,9 @@
 	mode string
 	// conns holds the open connections to clients and to the target.
 	conns map[net.Conn]bool
-	// silenced holds connections that carry no more data, also after the mode has changed.
-	// They were open when the mode became silent, or have lost data in mode silent or half.
+	// silenced holds the connections on which the proxy forwards no more data, also after the mode
+	// has changed: those that were open when the mode became silent, and those on which data was
+	// dropped in mode silent or half.
 	silenced map[net.Conn]bool
 	// udpConns holds a socket to the target for each sender of datagrams, by its address.
 	udpConns map[string]net.Conn
@@ -57,7 +58,8 @@
 	return p, nil
 }
 
-// setMode sets the fault to inject. The empty mode forwards all traffic.
+// setMode sets the fault to inject and applies modes reset and silent to the open connections. In
+// the empty mode the proxy forwards all traffic except on silenced connections.
 func (p *proxy) setMode(mode string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,6 +100,7 @@
 	p.setMode("reset")
 }
 
+// accept serves each new TCP connection in a goroutine until the proxy is closed.
 func (p *proxy) accept() {
 	for {
 		c, err := p.tcp.Accept()
@@ -128,7 +131,8 @@
 	wg.Wait()
 }
 
-// track adds two connections to the open connections if open is set, and else removes them.
+// track adds the connections of a client and to the target to p.conns if open is set. Else it
+// removes both from p.conns and p.silenced.
 func (p *proxy) track(in, out net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,12 +202,14 @@
 const (
 	// datagramBufferBytes is larger than any datagram of a daemon.
 	datagramBufferBytes = 2 << 10
-	// udpIdleTimeout is how long the socket for a sender stays open without a reply. The
-	// timeout limits the open sockets: with a hundred daemons each proxy has a hundred senders.
+	// udpIdleTimeout is how long the socket for a sender stays open without a reply. The timeout
+	// limits the number of open sockets: with a hundred daemons, the proxy of each daemon has a
+	// hundred senders.
 	udpIdleTimeout = 3 * time.Second
 )
 
-// relayDatagrams forwards datagrams to the target, with one socket for each sender.
+// relayDatagrams forwards datagrams to the target, with one socket for each sender, until the proxy
+// is closed. In modes silent and reset it drops them.
 func (p *proxy) relayDatagrams() {
 	buf := make([]byte, datagramBufferBytes)
 	for {
@@ -238,8 +244,9 @@
 	return out
 }
 
-// relayReplies forwards replies of the target to a sender of datagrams. After udpIdleTimeout
-// without a reply, or if the target is not listening, it closes the socket and returns.
+// relayReplies forwards replies of the target to a sender of datagrams. In modes silent and half it
+// drops them. key is the key of the socket in p.udpConns. After udpIdleTimeout without a reply, or
+// if the target is not listening, it closes the socket and returns.
 func (p *proxy) relayReplies(out net.Conn, key string, sender *net.UDPAddr) {
 	defer func() {
 		p.mu.Lock()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProxyRelaysDatagramsAfterTargetRestart guards against a proxy whose socket for a sender
-// stays unusable after the target has been down.
+// TestProxyRelaysDatagramsAfterTargetRestart guards against a proxy whose socket for a sender of
+// datagrams stays unusable after the target has not been listening for a while.
 func TestProxyRelaysDatagramsAfterTargetRestart(t *testing.T) {
 	const address, target = "127.99.0.1:7760", "127.99.0.1:7660"
 	p, err := newProxy(address, target)
--- a/soak/run.go
+++ b/soak/run.go
@@ -25,18 +25,18 @@
 	Binary string
 	// Dir is the directory for the settings and logs of the daemons.
 	Dir string
-	// Out receives a line for each injected fault. Nil discards them.
+	// Out receives a line for each injected fault. If it is nil, the lines are discarded.
 	Out io.Writer
 	// SafetyOnly skips the checks that depend on the speed of the machine: how soon a configuration
 	// is in force, how many requests are served at the end, and how soon requests that crash
 	// upstreams are refused. The number of crashes that such a request causes is checked instead.
 	SafetyOnly bool
-	// Rate is the number of requests a second that the callers of one VM send. The default is
-	// 10. It is less if the callers of all VMs together would send more than 480.
+	// Rate is the number of requests a second that the callers of one VM send. The default is 10,
+	// or less (at least 1) if the callers of all VMs together would send more than 480 a second.
 	Rate int
 }
 
-// Result holds the violations that a soak found and its numbers of requests.
+// Result holds the violations that a soak found and how many requests its callers sent.
 type Result struct {
 	Violations []string
 	Requests   int // the requests sent by callers, without probes and poison
@@ -47,13 +47,13 @@
 	gracePeriod     = 5 * time.Second         // the time that a daemon has to exit after SIGTERM
 	startTimeout    = 60 * time.Second        // the time until all daemons must be ready
 	servingTimeout  = 60 * time.Second        // the time until all daemons must serve requests at the end
-	requestDeadline = 2500 * time.Millisecond // the deadline of requests that run for a short time
-	// longRequestDeadline is the deadline of the requests that run for seconds.
+	requestDeadline = 2500 * time.Millisecond // the deadline of all requests but the long ones
+	// longRequestDeadline is the deadline of the long requests, which run for seconds.
 	longRequestDeadline = 30 * time.Second
 	defaultRate         = 10 // the default of Options.Rate
 	// defaultTotalRate is how many requests a second 8 cores can serve while a hundred daemons run.
 	defaultTotalRate = 480
-	// minServedShare is the share of the requests in recoveryWindow that must be served.
+	// minServedShare is the share of the requests sent in recoveryWindow that must be served.
 	minServedShare        = 0.95
 	recoveryWindow        = 5 * time.Second // the last part of a plan, in which recovery is checked
 	unsafeRequestInterval = 3               // one in this many requests is not idempotent
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// awaitServing waits until each daemon serves a request after the last fault. After servingTimeout
-// it adds a violation. It returns an error only if ctx ends.
+// awaitServing waits until each daemon serves a request. It is called after the last fault. After
+// servingTimeout it adds a violation. It returns an error only if ctx ends.
 func (h *harness) awaitServing(ctx context.Context) error {
 	deadline := time.Now().Add(servingTimeout)
 	for _, m := range h.vms {
@@ -224,7 +224,7 @@
 	return h.version, h.publishedAt
 }
 
-// executePlan sends requests for the length of the plan and injects its faults meanwhile.
+// executePlan sends requests and injects faults for the length of the plan, then checks recovery.
 func (h *harness) executePlan(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, h.plan.Length)
 	defer cancel()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,6 +14,9 @@
 	"github.com/dottereltiller/dottereltiller/platform/platformtest"
 )
 
+// TestPlanRoundTrip checks that a written plan is read back unchanged. It also checks that a seed
+// always draws the same plan, that the end of a plan has no faults, and that its first part has
+// only planned faults.
 func TestPlanRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		p := RandomPlan(seed, 5, time.Minute)
@@ -72,7 +75,8 @@
 	up := &platformtest.Upstream{}
 	for name, c := range map[string]struct {
 		steps func(c *checker)
-		// want is the kind of the expected violation. It is empty if none is expected.
+		// want is the kind of the expected violation: its text before the first colon. It is empty
+		// if no violation is expected.
 		want string
 	}{
 		"no violation": {func(c *checker) {
@@ -144,8 +148,8 @@
 	}
 }
 
-// TestSoak runs a short random plan and every plan in testdata against real daemons. Each plan in
-// testdata has failed before.
+// TestSoak runs a short random plan and every plan in testdata/soak against real daemons, and
+// expects no violations. Each plan in testdata/soak once led to a violation.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -177,7 +181,7 @@
 
 // TestCheckerBoundsCrashesWithSafetyOnly guards against a checker that does not notice a missing
 // quarantine on a slow machine. With safetyOnly there are no time bounds, so the checker must bound
-// the number of crashes that one request causes.
+// the number of crashes that one request causes. The count must restart at resetCrashCounts.
 func TestCheckerBoundsCrashesWithSafetyOnly(t *testing.T) {
 	for crashes, want := range map[int]int{maxCrashes: 0, maxCrashes + 1: 1, maxCrashes + 5: 1} {
 		c := newChecker()
--- a/soak/start.go
+++ b/soak/start.go
@@ -20,8 +20,8 @@
 	return cmd.Start()
 }
 
-// startIgnoringHangup starts a program that ignores SIGHUP until it installs its own handler. A
-// reload fault may send SIGHUP to a daemon that has just been restarted and has no handler
+// startIgnoringHangup starts a program that ignores SIGHUP until it installs its own handler.
+// Without this, a reload fault could end a daemon that has just been restarted and has no handler
 // yet. While the program starts, this process ignores SIGHUP too, so a SIGHUP to it is lost.
 func startIgnoringHangup(cmd *exec.Cmd) error {
 	startMutex.Lock()
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -42,18 +42,20 @@
 	// stopping is set from a SIGTERM to the process until the next start. An exit of the
 	// process in this time is no violation.
 	stopping bool
-	// stoppedAt is when the last SIGTERM was sent.
+	// stoppedAt is the time at which stopping was last set.
 	stoppedAt time.Time
 	// startedTime is when the process was started last.
 	startedTime time.Time
-	// killed is set from a SIGKILL to the process until the next start. An exit of the
-	// process in this time is no violation.
+	// killed is set from a SIGKILL to the process until the next start, and if the process must be
+	// restarted because the VM was replaced during its start. An exit of the process in this time
+	// is no violation.
 	killed bool
 	// noRestart is set when no further process may be started.
 	noRestart bool
-	// exitErr receives the exit error of the last process, when no other will be started.
+	// exitErr receives the exit error of the last process, after which no process is started.
 	exitErr chan error
-	// disturbedUntil is the end of the last unplanned fault that affects the VM.
+	// disturbedUntil is the latest end of the unplanned faults that affect the VM, plus
+	// restartAllowance.
 	disturbedUntil time.Time
 }
 
@@ -67,8 +69,10 @@
 	portPeerProxy, portUpstreamProxy, portStoreProxy                 = 7760, 8247, 8342
 )
 
-// newVM creates a VM and starts its proxies. It does not start the daemon and the upstream. The VM with the
-// given number has the address ip. groups is the number of groups, see groupCount.
+// newVM creates a VM and starts its proxies. It starts neither the daemon nor the upstream. number
+// is the number of the VM, from 1, and ip its IP address. groupTotal is the number of groups, see
+// groupCount. dir is the directory for the settings and the log of the daemon, and storeAddress the
+// address of the store.
 func newVM(number, groupTotal int, ip, dir, binary, storeAddress string, check *checker) (*vm, error) {
 	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zoneCount = 3
@@ -116,7 +120,8 @@
 // serviceOf returns the name of one of the two services of a group, by its number 0 or 1.
 func serviceOf(group, n int) string { return string(rune('a' + 2*group + n)) }
 
-// start starts the daemon. When the daemon exits, it is restarted unless noRestart is set.
+// start writes the settings file of the daemon and starts the daemon. When the daemon exits, it is
+// restarted unless noRestart is set.
 func (m *vm) start() error {
 	m.mu.Lock()
 	text, service := m.config.Settings(), m.config.Service
@@ -140,7 +145,7 @@
 	m.process, m.stopping, m.killed, m.startedTime = cmd, false, false, time.Now()
 	m.incarnation++
 	if m.config.Service != service {
-		// The VM was replaced during the start. The next start uses the new settings.
+		// The VM was replaced during the start. The next start uses the settings of the new VM.
 		m.killed = true
 		_ = cmd.Process.Kill()
 	}
@@ -150,8 +155,8 @@
 }
 
 // awaitExit waits until the process exits. An exit without a SIGTERM or SIGKILL from the test is a
-// violation. Then awaitExit starts the daemon again. If noRestart is set or the start fails, it
-// sends the exit error of the process to exitErr instead.
+// violation. After restartDelay awaitExit starts the daemon again. If noRestart is set or the start
+// fails, it sends the exit error of the process to exitErr instead.
 func (m *vm) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	m.mu.Lock()
@@ -201,7 +206,7 @@
 	m.upstream.SetService(service)
 }
 
-// signal sends a signal to the process if it is running.
+// signal sends a signal to the process if it is running, and records a SIGTERM or SIGKILL.
 func (m *vm) signal(s syscall.Signal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -227,24 +232,24 @@
 	// maxSendDelayAfterStop is the longest time from a SIGTERM until a caller sends a request
 	// that the stopping daemon may abort at the end of its grace period.
 	maxSendDelayAfterStop = 3 * time.Second
-	// graceTailDivisor gives the length of the last part of the grace period: the grace
-	// period divided by graceTailDivisor. A stopping daemon may abort requests that still run
-	// in this part.
+	// graceTailDivisor determines the last part of the grace period, in which a stopping daemon may
+	// abort requests that still run. The length of this part is the grace period divided by
+	// graceTailDivisor.
 	graceTailDivisor = 6
 )
 
 // ranUntilGraceEnd reports whether a stopping daemon may have aborted a request that was sent at
 // the given time and ends now. The request must have been sent at most maxSendDelayAfterStop after
 // the SIGTERM. It must still run in the last part of the grace period, see graceTailDivisor. The
-// daemon could not have waited for the response to such a request.
+// daemon could not have waited for the response to such a request within its grace period.
 func (m *vm) ranUntilGraceEnd(sentAt time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.stoppedAt.IsZero() && sentAt.Sub(m.stoppedAt) <= maxSendDelayAfterStop && time.Since(m.stoppedAt) >= gracePeriod-gracePeriod/graceTailDivisor
 }
 
-// disturb records that an unplanned fault affects the VM for the duration d from now. It does not
-// shorten an earlier fault.
+// disturb records that an unplanned fault affects the VM for the duration d from now. If an earlier
+// unplanned fault affects the VM for longer, disturb changes nothing.
 func (m *vm) disturb(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -260,8 +265,8 @@
 	return time.Since(m.disturbedUntil) > quietPeriod
 }
 
-// stopForGood prevents further starts and sends a signal to the running process. It resumes a
-// paused process first.
+// stopForGood prevents all later starts of the daemon and sends a signal to the running process.
+// Before the signal it resumes the process, which may be paused.
 func (m *vm) stopForGood(s syscall.Signal) {
 	m.mu.Lock()
 	m.noRestart = true
@@ -274,7 +279,8 @@
 	m.signal(s)
 }
 
-// close stops the upstream and the proxies of the VM and closes its log file.
+// close stops the upstream and the proxies of the VM and closes its log file. It does not stop the
+// daemon.
 func (m *vm) close() {
 	m.upstream.Crash()
 	for _, p := range []*proxy{m.peerProxy, m.upstreamProxy, m.storeProxy} {
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -83,6 +83,7 @@
 	return err
 }
 
+// accept serves each new connection in a goroutine until the listener is closed.
 func (f *FaultyUpstream) accept() {
 	for {
 		conn, err := f.listener.Accept()
@@ -96,6 +97,8 @@
 	}
 }
 
+// serve responds to the requests of a connection in turn, each with the script that is set when the
+// request's header has been read, and closes the connection at the end.
 func (f *FaultyUpstream) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
@@ -125,7 +128,7 @@
 	}
 }
 
-// countRequest counts a request and returns the script to use for it.
+// countRequest adds a request to requestCount and returns the script to use for the request.
 func (f *FaultyUpstream) countRequest() Script {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,7 +136,8 @@
 	return f.script
 }
 
-// writeTo sends the scripted response and reports whether the connection stays open.
+// writeTo sends the scripted response. It returns false if the caller must close the connection:
+// after a cut response or a failed write.
 func (s Script) writeTo(conn net.Conn) bool {
 	if s.CutAfter < 0 || s.CutAfter > len(s.Response) {
 		_, err := conn.Write(s.Response)
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -15,20 +15,23 @@
 
 // Request headers that control an Upstream.
 const (
-	// HeaderServiceTime holds the service time of the request, as a Go duration. The
-	// service time is how long the upstream takes to execute the request.
+	// HeaderServiceTime holds the service time of the request, as a Go duration. The service time
+	// is how long the upstream takes to execute the request. If the value is missing or malformed,
+	// the service time is defaultServiceTime.
 	HeaderServiceTime = "X-Cost"
 	// HeaderRequest holds the name that the caller gives to the request. The upstream
 	// copies the header to the response and counts executions by this name.
 	HeaderRequest = "X-Request"
-	// HeaderExtraBytes holds the number of zero bytes to append to the response body.
+	// HeaderExtraBytes holds the number of zero bytes to append to the response body. A missing,
+	// malformed or negative value appends none.
 	HeaderExtraBytes = "X-Answer-Bytes"
 )
 
 // defaultServiceTime is the service time of a request without a valid HeaderServiceTime.
 const defaultServiceTime = time.Millisecond
 
-// LoadPath is the path at which an Upstream reports its load.
+// LoadPath is the path at which an Upstream reports its load: a JSON object with the number of
+// executing requests.
 const LoadPath = "/standin/load"
 
 // Upstream is a stand-in upstream that listens on a loopback address.
@@ -40,7 +43,7 @@
 	// Slots is the number of requests that may execute at once.
 	Slots int
 
-	// executing holds an element for each executing request. Its capacity is Slots.
+	// executing holds an element for each executing request. The capacity of the channel is Slots.
 	executing chan struct{}
 	listener  net.Listener
 	server    *http.Server
@@ -84,9 +87,10 @@
 	return runsByRequest
 }
 
-// ServeHTTP executes one request: it waits for a slot, holds the slot for the time
-// in HeaderServiceTime, and responds with the request's name and body. A cancelled
-// request ends early without a response.
+// ServeHTTP executes one request: it waits for a slot, holds the slot while it reads the body and
+// for the time in HeaderServiceTime, and responds with the request's name and body. A request that
+// is cancelled or whose body cannot be read ends early, without the name and the body. A request to
+// LoadPath needs no slot and is not counted.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == LoadPath {
 		_, _ = fmt.Fprintf(w, `{"running": %d}`, len(u.executing))
@@ -116,10 +120,11 @@
 	}
 }
 
-// maxCountedRequests is the number of request names whose executions are counted.
-// Executions under further names are not counted.
+// maxCountedRequests is the number of request names whose executions are counted. When this number
+// is reached, executions under new names are not counted.
 const maxCountedRequests = 1 << 20
 
+// countRun counts one execution of the request with the given name.
 func (u *Upstream) countRun(name string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -128,6 +133,8 @@
 	}
 }
 
+// serviceTimeOf returns the service time in HeaderServiceTime, or defaultServiceTime if the value
+// is missing or malformed.
 func serviceTimeOf(r *http.Request) time.Duration {
 	serviceTime, err := time.ParseDuration(r.Header.Get(HeaderServiceTime))
 	if err != nil {
@@ -144,9 +151,10 @@
 	return len(p), nil
 }
 
-// Announce registers the upstream with the daemon at an admin address, or renews its
-// registration. With draining it tells the daemon to send no new requests to the
-// upstream. Any response but status 204 is an error.
+// Announce registers the upstream with the daemon at an admin address, or renews its registration.
+// incarnation is the number of this run of the upstream, which rises with every restart. If
+// draining is set, the announcement tells the daemon to send no new requests to the upstream. Any
+// response but status 204 is an error.
 func (u *Upstream) Announce(ctx context.Context, adminAddress string, incarnation uint64, draining bool) error {
 	body, err := json.Marshal(map[string]any{
 		"service": u.Service, "address": u.Address(), "slots": u.Slots,
