--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -17,10 +17,8 @@
 	coveringTest string
 }
 
-// disabledBy returns a mechanism with a name, which the given changes of the source disable.
-func disabledBy(name string, changes ...edits.Edit) mechanism {
-	return mechanism{name: name, edits: changes}
-}
+// disabledBy returns a mechanism with the given name, which the edits in list disable.
+func disabledBy(name string, list ...edits.Edit) mechanism { return mechanism{name: name, edits: list} }
 
 // coveredBy returns a mechanism with its covering test set.
 func coveredBy(test string, m mechanism) mechanism {
--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -159,6 +159,8 @@
 	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", s.mechanism, s.site, s.pairs, s.mean, s.standardError, strings.Join(s.newViolations, " "))
 }
 
+// TestMeanAndStandardError checks both values for a known sample, and that the standard error of a
+// single value is 0.
 func TestMeanAndStandardError(t *testing.T) {
 	mean, standardError := meanAndStandardError([]float64{1, 2, 3})
 	require.InDelta(t, 2, mean, 1e-9)
--- a/bubble/bubble_test.go
+++ b/bubble/bubble_test.go
@@ -32,6 +32,8 @@
 	})
 }
 
+// TestRunRestoresGOMAXPROCS checks that GOMAXPROCS is 1 during Run and has its previous value after
+// Run.
 func TestRunRestoresGOMAXPROCS(t *testing.T) {
 	procsBefore := runtime.GOMAXPROCS(0)
 	bubble.Run(t, func(t *testing.T) {
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -17,6 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// TestRunFindsNoViolations checks the JSON result of a short run: each group has answered requests,
+// every request has an outcome, and the polls of load reports use less than 5% of the capacity.
 func TestRunFindsNoViolations(t *testing.T) {
 	var out bytes.Buffer
 	require.NoError(t, Run(t.Context(), &out, Options{JSON: true, Duration: 300 * time.Millisecond}))
@@ -33,6 +35,8 @@
 	require.EqualValues(t, 1, res.VersionInForce)
 }
 
+// TestCancelledRunReportsNoViolations checks that Run returns the error of its context if the
+// context ends during the run.
 func TestCancelledRunReportsNoViolations(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
@@ -40,6 +44,8 @@
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
+// TestObserverFindsViolations guards against violations that the observer misses, and against
+// allowed behaviour that it reports, such as a repeated execution of an idempotent request.
 func TestObserverFindsViolations(t *testing.T) {
 	o := newObserver()
 	observe := func(name, method string, kind outcome.Kind) {
--- a/edits/edits_test.go
+++ b/edits/edits_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestApplyRequiresOneOccurrence also checks that later edits see the text that earlier edits of
+// the same file have produced, and that a missing file is an error.
 func TestApplyRequiresOneOccurrence(t *testing.T) {
 	root := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(root, "a"), []byte("one two three two"), 0o600))
--- a/local/deployment.go
+++ b/local/deployment.go
@@ -64,10 +64,11 @@
 	Daemon   *daemon.Daemon
 	Upstream *standin.Upstream
 
+	// settings are the settings of the daemon. Restart sets their listen addresses.
 	settings settings.Settings
 	// stop stops the daemon gracefully.
 	stop context.CancelFunc
-	// serveErr receives the error of daemon.Serve when the daemon has stopped.
+	// serveErr receives the result of daemon.Serve, which may be nil, when the daemon has stopped.
 	serveErr chan error
 }
 
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -27,6 +27,8 @@
 )
 
 const (
+	// callerPort, peerPort and adminPort are the ports at which each daemon serves callers, other
+	// daemons and administration.
 	callerPort = 7000
 	peerPort   = 7001
 	adminPort  = 7002
@@ -40,18 +42,21 @@
 	announceInterval = 300 * time.Millisecond
 )
 
+// zones are the availability zones, to which the VMs of a service are assigned in turn.
 var zones = []string{"odense-hal-a", "odense-hal-b", "svendborg-lager"}
 
 // vm is one VM: a daemon process, and its upstream, which runs in the test process.
 type vm struct {
-	t            testing.TB
-	ip           string
-	zone         string
+	t    testing.TB
+	ip   string
+	zone string
+	// binary is the path of the daemon's executable.
 	binary       string
 	settingsPath string
 	upstream     *standin.Upstream
-	cmd          *exec.Cmd
-	stderr       *os.File
+	// cmd is the daemon process that was started last, and stderr the file with its log.
+	cmd    *exec.Cmd
+	stderr *os.File
 	// draining makes the announcements report that the upstream drains.
 	draining atomic.Bool
 }
@@ -60,6 +65,7 @@
 type cluster struct {
 	t   testing.TB
 	vms []*vm
+	// log is the record log from which the daemons read configurations. It is served at logAddress.
 	log *recordlog.Memory
 	// logDown makes the log respond to every request with status 503.
 	logDown    atomic.Bool
--- a/soak/metrics_test.go
+++ b/soak/metrics_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestFindCounterReturnsFirstMatchingSeries also checks that a series whose name only begins with
+// the given name does not match, and that the value is 0 if no series matches.
 func TestFindCounterReturnsFirstMatchingSeries(t *testing.T) {
 	const text = `# TYPE x counter
 xy{kind="a"} 1
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -13,8 +13,9 @@
 	address string
 	// target is the address to which the proxy forwards.
 	target string
-	tcp    net.Listener
-	udp    *net.UDPConn
+	// tcp and udp are the sockets at address.
+	tcp net.Listener
+	udp *net.UDPConn
 
 	mu sync.Mutex
 	// mode is the injected fault, one of the modes of proxies in faultModes, or empty.
@@ -36,10 +37,12 @@
 	trickleChunkBytes = 16
 	// trickleInterval is the pause of mode trickle after each piece.
 	trickleInterval = 5 * time.Millisecond
+	// copyBufferBytes is the size of the buffer for one direction of a TCP connection.
 	copyBufferBytes = 32 << 10
 )
 
-// newProxy starts a proxy that listens at an address for TCP connections and UDP datagrams.
+// newProxy starts a proxy that listens at an address for TCP connections and UDP datagrams and
+// forwards them to target.
 func newProxy(address, target string) (*proxy, error) {
 	p := &proxy{address: address, target: target, conns: make(map[net.Conn]bool), silenced: make(map[net.Conn]bool), udpConns: make(map[string]net.Conn)}
 	var err error
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestShrinkFindsFailingFaults shrinks a plan of many faults to the two that make it fail.
+// TestShrinkFindsFailingFaults checks that Shrink reduces a plan of many faults to the two faults
+// that together make the plan fail.
 func TestShrinkFindsFailingFaults(t *testing.T) {
 	p := RandomPlan(1, 5, 2*time.Minute)
 	firstFault, secondFault := p.Faults[7], p.Faults[len(p.Faults)-3]
@@ -68,7 +69,8 @@
 	require.Equal(t, []Fault{firstFault, secondFault}, got.Faults)
 }
 
-// TestCheckerFindsViolations guards against a checker that misses one kind of violation.
+// TestCheckerFindsViolations guards against a checker that misses a kind of violation, and against
+// one that reports violations of allowed behaviour.
 func TestCheckerFindsViolations(t *testing.T) {
 	body, seal := platformtest.ResponseBody("x")
 	complete := platformtest.Result{Status: 200, Body: body, Seal: seal, Attempt: "x"}
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -20,7 +20,8 @@
 	// config holds the addresses and settings. config.Service changes when the VM is replaced.
 	config platformtest.VM
 	// group is the number of the VM's group, see groupCount.
-	group         int
+	group int
+	// binary is the path of the daemon's executable.
 	binary        string
 	settingsPath  string
 	check         *checker
@@ -29,7 +30,8 @@
 	peerProxy     *proxy
 	upstreamProxy *proxy
 	storeProxy    *proxy
-	caller        platformtest.Caller
+	// caller sends requests to the daemon.
+	caller platformtest.Caller
 
 	// replacing is set while the VM is being replaced. Callers send it no requests meanwhile.
 	replacing atomic.Bool
@@ -39,8 +41,8 @@
 	process *exec.Cmd
 	// incarnation counts the starts of the process.
 	incarnation int
-	// stopping is set from a SIGTERM to the process until the next start. An exit of the
-	// process in this time is no violation.
+	// stopping is set from a SIGTERM to the process until the next start of a process. An exit of
+	// the process in this time is no violation.
 	stopping bool
 	// stoppedAt is the time at which stopping was last set.
 	stoppedAt time.Time
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -31,10 +31,12 @@
 type FaultyUpstream struct {
 	listener net.Listener
 
-	mu           sync.Mutex
+	mu sync.Mutex
+	// script is the script for the following requests.
 	script       Script
 	requestCount int
-	conns        map[net.Conn]struct{}
+	// conns holds the open connections.
+	conns map[net.Conn]struct{}
 }
 
 // StartFaultyUpstream starts a FaultyUpstream on a loopback port.
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -49,7 +49,7 @@
 	server    *http.Server
 
 	mu sync.Mutex
-	// runs counts the executions by request name.
+	// runs holds the number of executions by request name.
 	runs map[string]int
 }
 
