--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -97,8 +97,8 @@
 // trials: a trial without the mechanism, and the baseline of the same day and seed.
 type summary struct {
 	mechanism, site string
-	// pairs is the number of pairs compared.
-	pairs int
+	// pairCount is the number of pairs compared.
+	pairCount int
 	// mean is the mean score difference of the pairs, and standardError its standard error.
 	mean, standardError float64
 	// newViolations are the names of the rules that, in at least one pair, were violated without
@@ -130,7 +130,7 @@
 	var out []summary
 	for k, d := range diffsByKey {
 		mean, standardError := meanAndStandardError(d)
-		out = append(out, summary{mechanism: k.mechanism, site: k.site, pairs: len(d), mean: mean, standardError: standardError, newViolations: newViolationsByKey[k]})
+		out = append(out, summary{mechanism: k.mechanism, site: k.site, pairCount: len(d), mean: mean, standardError: standardError, newViolations: newViolationsByKey[k]})
 	}
 	slices.SortFunc(out, func(a, b summary) int {
 		return strings.Compare(a.mechanism+"\x00"+a.site, b.mechanism+"\x00"+b.site)
@@ -156,7 +156,7 @@
 
 // String returns the summary as a row of a Markdown table.
 func (s *summary) String() string {
-	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", s.mechanism, s.site, s.pairs, s.mean, s.standardError, strings.Join(s.newViolations, " "))
+	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", s.mechanism, s.site, s.pairCount, s.mean, s.standardError, strings.Join(s.newViolations, " "))
 }
 
 // TestMeanAndStandardError checks both values for a known sample, and that the standard error of a
