--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -17,10 +17,10 @@
 	coveringTest string
 }
 
-// disabledBy returns a mechanism and the edits that disable it.
+// disabledBy returns a mechanism with the given name, which the edits in list disable.
 func disabledBy(name string, list ...edits.Edit) mechanism { return mechanism{name: name, edits: list} }
 
-// coveredBy sets the covering test of a mechanism.
+// coveredBy returns a mechanism with its covering test set.
 func coveredBy(test string, m mechanism) mechanism {
 	m.coveringTest = test
 	return m
@@ -39,10 +39,11 @@
 )
 
 var (
-	// noLocalQueries removes the load queries to the local zone. A load query asks a daemon for
-	// the load of its upstream before a request is sent.
+	// noLocalQueries removes the load queries to the local zone (the zone of the daemon that sends
+	// the request). A load query asks a daemon for the load of its upstream before a request is
+	// sent.
 	noLocalQueries = edits.New(choose, "f.queryLoads(req, true, placement.MaxLocalQueries, localZoneTimeout)", "_ = localZoneTimeout")
-	// noRemoteQueries removes the load queries to the other zones.
+	// noRemoteQueries removes the load queries to all zones but the local zone.
 	noRemoteQueries = edits.New(choose, "		f.queryLoads(req, false, placement.MaxRemoteQueries, remoteZoneTimeout)\n", "		_ = remoteZoneTimeout\n")
 )
 
@@ -76,13 +77,14 @@
 // root is the root directory of the repository.
 const root = ".."
 
-// TestEditsApply guards against edits that no longer apply to the source.
+// TestEditsApply guards against edits that no longer apply to the source, and against two
+// mechanisms with the same name.
 func TestEditsApply(t *testing.T) {
-	seen := make(map[string]bool)
+	seenNames := make(map[string]bool)
 	for _, m := range mechanisms {
 		t.Run(m.name, func(t *testing.T) {
-			require.False(t, seen[m.name])
-			seen[m.name] = true
+			require.False(t, seenNames[m.name])
+			seenNames[m.name] = true
 			_, err := edits.Apply(root, m.edits)
 			require.NoError(t, err)
 		})
--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -21,6 +21,7 @@
 	Mechanism string `json:"mechanism"`
 	// Site is the name of the site file without its extension.
 	Site string `json:"site"`
+	// Day is the name of the replayed day in the site file.
 	Day  string `json:"day"`
 	Seed string `json:"seed"`
 	// Score is the credit of the day minus the costs, as the benchmark program computes it.
@@ -37,13 +38,14 @@
 // results holds the trial results of a file and appends new ones to it. It is safe for
 // concurrent use.
 type results struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// path is the path of the file.
 	path  string
 	byKey map[trialKey]trialResult
 }
 
 // openResults reads the results of earlier runs from a file. If the file does not exist, there are
-// none.
+// no results. Lines that are not valid JSON are skipped.
 func openResults(path string) (*results, error) {
 	r := &results{path: path, byKey: make(map[trialKey]trialResult)}
 	f, err := os.Open(path)
@@ -65,6 +67,7 @@
 	return r, s.Err()
 }
 
+// contains reports whether the file holds the result of a trial.
 func (r *results) contains(k trialKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,40 +97,40 @@
 // trials: a trial without the mechanism, and the baseline of the same day and seed.
 type summary struct {
 	mechanism, site string
-	// pairs is the number of pairs compared.
-	pairs int
+	// pairCount is the number of pairs compared.
+	pairCount int
 	// mean is the mean score difference of the pairs, and standardError its standard error.
 	mean, standardError float64
-	// newViolations are the rules that were violated without the mechanism but not in the
-	// baseline of the same pair.
+	// newViolations are the names of the rules that, in at least one pair, were violated without
+	// the mechanism but not in the baseline.
 	newViolations []string
 }
 
-// summaries returns a summary for each mechanism and site, in the order of their names. It leaves
-// out trials whose baseline is missing.
+// summaries returns a summary for each mechanism and site, ordered by mechanism and then by site.
+// It leaves out trials whose baseline is missing.
 func (r *results) summaries() []summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	type key struct{ mechanism, site string }
-	diffs := make(map[key][]float64)
-	newViolations := make(map[key][]string)
+	diffsByKey := make(map[key][]float64)
+	newViolationsByKey := make(map[key][]string)
 	for trial, result := range r.byKey {
-		base, ok := r.byKey[trialKey{baseline, trial.site, trial.day, trial.seed}]
+		baselineResult, ok := r.byKey[trialKey{baseline, trial.site, trial.day, trial.seed}]
 		if trial.mechanism == baseline || !ok {
 			continue
 		}
 		k := key{trial.mechanism, trial.site}
-		diffs[k] = append(diffs[k], result.Score-base.Score)
+		diffsByKey[k] = append(diffsByKey[k], result.Score-baselineResult.Score)
 		for _, rule := range result.Violations {
-			if !slices.Contains(base.Violations, rule) && !slices.Contains(newViolations[k], rule) {
-				newViolations[k] = append(newViolations[k], rule)
+			if !slices.Contains(baselineResult.Violations, rule) && !slices.Contains(newViolationsByKey[k], rule) {
+				newViolationsByKey[k] = append(newViolationsByKey[k], rule)
 			}
 		}
 	}
 	var out []summary
-	for k, d := range diffs {
+	for k, d := range diffsByKey {
 		mean, standardError := meanAndStandardError(d)
-		out = append(out, summary{mechanism: k.mechanism, site: k.site, pairs: len(d), mean: mean, standardError: standardError, newViolations: newViolations[k]})
+		out = append(out, summary{mechanism: k.mechanism, site: k.site, pairCount: len(d), mean: mean, standardError: standardError, newViolations: newViolationsByKey[k]})
 	}
 	slices.SortFunc(out, func(a, b summary) int {
 		return strings.Compare(a.mechanism+"\x00"+a.site, b.mechanism+"\x00"+b.site)
@@ -153,9 +156,11 @@
 
 // String returns the summary as a row of a Markdown table.
 func (s *summary) String() string {
-	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", s.mechanism, s.site, s.pairs, s.mean, s.standardError, strings.Join(s.newViolations, " "))
+	return fmt.Sprintf("| %s | %s | %d | %+.4f ± %.4f | %s |", s.mechanism, s.site, s.pairCount, s.mean, s.standardError, strings.Join(s.newViolations, " "))
 }
 
+// TestMeanAndStandardError checks both values for a known sample, and that the standard error of a
+// single value is 0.
 func TestMeanAndStandardError(t *testing.T) {
 	mean, standardError := meanAndStandardError([]float64{1, 2, 3})
 	require.InDelta(t, 2, mean, 1e-9)
--- a/architecture/architecture_test.go
+++ b/architecture/architecture_test.go
@@ -19,7 +19,8 @@
 	root       = ".."
 	modulePath = "github.com/dottereltiller/dottereltiller/"
 	corePath   = modulePath + "core/"
-	maxLines   = 400
+	// maxLines is the maximum number of lines of a Go file.
+	maxLines = 400
 )
 
 // sourceFile is one Go file of the workspace.
@@ -30,11 +31,12 @@
 	isTest bool
 	// imports holds the import paths.
 	imports []string
-	// lines is the number of lines.
-	lines int
+	// lineCount is the number of lines.
+	lineCount int
 }
 
-// sourceFiles returns all Go files of the workspace except generated protocol code.
+// sourceFiles returns all Go files of the workspace except those below directories named proto,
+// which hold generated code, and those below hidden directories.
 func sourceFiles(t *testing.T) []sourceFile {
 	t.Helper()
 	var out []sourceFile
@@ -56,14 +58,14 @@
 		if err != nil {
 			return err
 		}
-		s := sourceFile{path: path, isTest: strings.HasSuffix(path, "_test.go"), lines: bytes.Count(data, []byte("\n"))}
+		s := sourceFile{path: path, isTest: strings.HasSuffix(path, "_test.go"), lineCount: bytes.Count(data, []byte("\n"))}
 		s.pkg = strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), root+"/")
 		for _, spec := range f.Imports {
-			p, err := strconv.Unquote(spec.Path.Value)
+			importPath, err := strconv.Unquote(spec.Path.Value)
 			if err != nil {
 				return err
 			}
-			s.imports = append(s.imports, p)
+			s.imports = append(s.imports, importPath)
 		}
 		out = append(out, s)
 		return nil
@@ -73,10 +75,10 @@
 	return out
 }
 
-// TestCoreImports checks that the packages of core import only each other, xxhash and the
-// standard library. It also checks that they do not import net, net/http, os, sync and
-// context: core must not do I/O or start goroutines.
-func TestCoreImports(t *testing.T) {
+// TestCoreImportsOnlyAllowedPackages checks that the packages of core import only each other,
+// xxhash and the standard library. It also checks that they do not import net, net/http, os, sync
+// and context: core must not do I/O or start goroutines. Tests of core may import anything.
+func TestCoreImportsOnlyAllowedPackages(t *testing.T) {
 	for _, s := range sourceFiles(t) {
 		if s.isTest || !strings.HasPrefix(s.pkg, "core/") {
 			continue
@@ -90,8 +92,8 @@
 	}
 }
 
-// forbiddenImports holds, for each package, the packages that it must not import. These rules
-// keep the components of the daemon independent of each other.
+// forbiddenImports holds, for each package, the packages that it must not import. Both are paths
+// relative to root. These rules keep the components of the daemon independent of each other.
 var forbiddenImports = map[string][]string{
 	"wire":          {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer"},
 	"hop":           {"entry", "guard", "owner", "daemon", "membership", "configuration", "peer", "wire"},
@@ -120,10 +122,10 @@
 	}
 }
 
-// TestFileLength checks that no file is longer than maxLines.
-func TestFileLength(t *testing.T) {
+// TestNoFileExceedsMaxLines checks that no file is longer than maxLines.
+func TestNoFileExceedsMaxLines(t *testing.T) {
 	for _, s := range sourceFiles(t) {
-		require.LessOrEqual(t, s.lines, maxLines, s.path)
+		require.LessOrEqual(t, s.lineCount, maxLines, s.path)
 	}
 }
 
@@ -138,8 +140,8 @@
 // isStandard reports whether an import path belongs to the standard library: the first
 // element of any other path contains a dot.
 func isStandard(path string) bool {
-	first, _, _ := strings.Cut(path, "/")
-	return !strings.Contains(first, ".")
+	firstElement, _, _ := strings.Cut(path, "/")
+	return !strings.Contains(firstElement, ".")
 }
 
 // platformNames are names of headers, fields and paths that the users' platform defines.
--- a/bubble/bubble_test.go
+++ b/bubble/bubble_test.go
@@ -11,10 +11,10 @@
 	"github.com/dottereltiller/dottereltiller/bubble"
 )
 
-// TestOverdueTimersFireInManyGoroutines guards against crashes of the race
-// detector. The tickers expire while their goroutines sleep, so they fire in the
-// receiving goroutines. With more than one processor the race detector then ends
-// the process: "ThreadSanitizer: CHECK failed", or a segmentation fault in SlotLock.
+// TestOverdueTimersFireInManyGoroutines guards against crashes of the race detector. The tickers
+// expire while their goroutines sleep, so they fire in the receiving goroutines. If these ran on
+// more than one processor, the race detector would end the process: "ThreadSanitizer: CHECK
+// failed", or a segmentation fault in SlotLock.
 func TestOverdueTimersFireInManyGoroutines(t *testing.T) {
 	bubble.Run(t, func(*testing.T) {
 		var wg sync.WaitGroup
@@ -32,10 +32,12 @@
 	})
 }
 
-func TestProcessorsAreRestored(t *testing.T) {
-	before := runtime.GOMAXPROCS(0)
+// TestRunRestoresGOMAXPROCS checks that GOMAXPROCS is 1 during Run and has its previous value after
+// Run.
+func TestRunRestoresGOMAXPROCS(t *testing.T) {
+	procsBefore := runtime.GOMAXPROCS(0)
 	bubble.Run(t, func(t *testing.T) {
 		require.Equal(t, 1, runtime.GOMAXPROCS(0))
 	})
-	require.Equal(t, before, runtime.GOMAXPROCS(0))
+	require.Equal(t, procsBefore, runtime.GOMAXPROCS(0))
 }
--- a/edits/edits.go
+++ b/edits/edits.go
@@ -24,7 +24,8 @@
 
 // CountError reports that the text to replace does not occur exactly once in its file.
 type CountError struct {
-	Edit  Edit
+	Edit Edit
+	// Count is the number of occurrences of Edit.Old.
 	Count int
 }
 
@@ -33,13 +34,14 @@
 	return fmt.Sprintf("%s: %q occurs %d times, want once", e.Edit.File, e.Edit.Old, e.Count)
 }
 
-// Apply returns the edited text of every file that the edits change, by Edit.File. It does not
-// write the files. Edits of the same file are applied in order. The error is a *CountError if
-// the old text of an edit does not occur exactly once.
+// Apply returns the edited text of every file that the edits change, by Edit.File. root is the
+// directory to which Edit.File is relative. Apply does not write the files. Edits of the same file
+// are applied in order. The error is a *CountError if the old text of an edit does not occur exactly
+// once after the preceding edits.
 func Apply(root string, edits []Edit) (map[string]string, error) {
-	out := make(map[string]string)
+	textByFile := make(map[string]string)
 	for _, e := range edits {
-		text, ok := out[e.File]
+		text, ok := textByFile[e.File]
 		if !ok {
 			source, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(e.File)))
 			if err != nil {
@@ -50,7 +52,7 @@
 		if n := strings.Count(text, e.Old); n != 1 {
 			return nil, &CountError{Edit: e, Count: n}
 		}
-		out[e.File] = strings.Replace(text, e.Old, e.New, 1)
+		textByFile[e.File] = strings.Replace(text, e.Old, e.New, 1)
 	}
-	return out, nil
+	return textByFile, nil
 }
--- a/proctest/cluster_test.go
+++ b/proctest/cluster_test.go
@@ -27,11 +27,13 @@
 )
 
 const (
+	// callerPort, peerPort and adminPort are the ports at which each daemon serves callers, other
+	// daemons and administration.
 	callerPort = 7000
 	peerPort   = 7001
 	adminPort  = 7002
-	// slots is the number of slots of every upstream.
-	slots = 6
+	// slotsPerUpstream is the number of slots of every upstream.
+	slotsPerUpstream = 6
 	// conditionTimeout is how long await waits for a condition.
 	conditionTimeout = 30 * time.Second
 	// conditionPollInterval is the time between two checks of a condition.
@@ -40,18 +42,21 @@
 	announceInterval = 300 * time.Millisecond
 )
 
+// zones are the availability zones, to which the VMs of a service are assigned in turn.
 var zones = []string{"odense-hal-a", "odense-hal-b", "svendborg-lager"}
 
 // vm is one VM: a daemon process, and its upstream, which runs in the test process.
 type vm struct {
-	t            testing.TB
-	ip           string
-	zone         string
+	t    testing.TB
+	ip   string
+	zone string
+	// binary is the path of the daemon's executable.
 	binary       string
 	settingsPath string
 	upstream     *standin.Upstream
-	cmd          *exec.Cmd
-	stderr       *os.File
+	// cmd is the daemon process that was started last, and stderr the file with its log.
+	cmd    *exec.Cmd
+	stderr *os.File
 	// draining makes the announcements report that the upstream drains.
 	draining atomic.Bool
 }
@@ -60,19 +65,21 @@
 type cluster struct {
 	t   testing.TB
 	vms []*vm
+	// log is the record log from which the daemons read configurations. It is served at logAddress.
 	log *recordlog.Memory
 	// logDown makes the log respond to every request with status 503.
-	logDown atomic.Bool
-	logAddr string
-	// logReads and logAppends count the requests to the log.
+	logDown    atomic.Bool
+	logAddress string
+	// logReads and logAppends count the read and append requests to the log, also those that arrive
+	// while logDown is set.
 	logReads, logAppends atomic.Int64
 	stopAnnouncing       context.CancelFunc
 	announcers           sync.WaitGroup
 }
 
-// startCluster starts a cluster with one VM for each upstream. services holds the number
-// of upstreams by service.
-func startCluster(t testing.TB, services map[string]int) *cluster {
+// startCluster starts a cluster with one VM for each upstream. upstreamCounts holds the number of
+// upstreams by service, which must be returdesk or sporarkiv. Short test runs skip the test.
+func startCluster(t testing.TB, upstreamCounts map[string]int) *cluster {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts processes; not in short runs")
@@ -80,14 +87,14 @@
 	c := &cluster{t: t, log: &recordlog.Memory{}}
 	c.startLog()
 	binary := buildDaemon(t)
-	network, err := loopback.OwnNetwork()
+	networkNumber, err := loopback.OwnNetwork()
 	require.NoError(t, err)
 	n := 0
 	for _, service := range []string{"returdesk", "sporarkiv"} {
-		for i := range services[service] {
+		for i := range upstreamCounts[service] {
 			n++
-			v := &vm{t: t, ip: fmt.Sprintf("127.%d.%d.%d", network, i%len(zones)+1, n), zone: zones[i%len(zones)], binary: binary}
-			up, err := standin.Start(fmt.Sprintf("%s-%d", service, i+1), service, slots)
+			v := &vm{t: t, ip: fmt.Sprintf("127.%d.%d.%d", networkNumber, i%len(zones)+1, n), zone: zones[i%len(zones)], binary: binary}
+			up, err := standin.Start(fmt.Sprintf("%s-%d", service, i+1), service, slotsPerUpstream)
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = up.Close() })
 			v.upstream = up
@@ -114,11 +121,12 @@
 	}
 }
 
-// startLog serves the log over HTTP and counts the requests.
+// startLog serves the log over HTTP and counts the requests. While logDown is set, it responds with
+// status 503.
 func (c *cluster) startLog() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
-	c.logAddr = ln.Addr().String()
+	c.logAddress = ln.Addr().String()
 	handler := recordlog.Handler(c.log)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
@@ -153,7 +161,7 @@
 		"listen": map[string]string{
 			"callers": address(callerPort), "peers": address(peerPort), "admin": address(adminPort),
 		},
-		"log":   map[string]string{"address": c.logAddr},
+		"log":   map[string]string{"address": c.logAddress},
 		"peers": map[string]string{"secret": "0123456789abcdef0123456789abcdef"},
 	})
 	require.NoError(c.t, err)
@@ -162,8 +170,8 @@
 	return path
 }
 
-// start starts the daemon process. The log of the daemon goes to a file. await prints the
-// file if its condition does not become true.
+// start starts the daemon process. The log of the daemon goes to a temporary file, which await
+// prints if its condition does not become true in time.
 func (v *vm) start() {
 	v.t.Helper()
 	stderr, err := os.CreateTemp(v.t.TempDir(), "stderr")
@@ -176,7 +184,7 @@
 
 func (v *vm) signal(s syscall.Signal) { require.NoError(v.t, v.cmd.Process.Signal(s)) }
 
-// kill kills the daemon process.
+// kill kills the daemon process with SIGKILL and waits until it has exited.
 func (v *vm) kill() {
 	_ = v.cmd.Process.Kill()
 	_ = v.cmd.Wait()
@@ -191,7 +199,7 @@
 	return v.cmd.ProcessState.ExitCode()
 }
 
-// logOutput returns the log of the daemon process.
+// logOutput returns the log of the daemon process, or the text of the error if it cannot be read.
 func (v *vm) logOutput() string {
 	data, err := os.ReadFile(v.stderr.Name())
 	if err != nil {
@@ -238,8 +246,8 @@
 	return uint64(s.Version), ok
 }
 
-// usableUpstreams returns the number of upstreams that the daemon knows, without the
-// upstreams that drain.
+// usableUpstreams returns the number of upstreams of all services that the daemon knows, without
+// the upstreams that drain. It returns 0 if the daemon does not respond.
 func (v *vm) usableUpstreams() int {
 	s, _ := v.status()
 	n := 0
@@ -256,7 +264,7 @@
 // publish publishes configuration documents and returns the accepted version.
 func (c *cluster) publish(docs []policy.Document) uint64 {
 	c.t.Helper()
-	res, err := operator.Publish(c.t.Context(), recordlog.NewClient(c.logAddr), "proctest", docs)
+	res, err := operator.Publish(c.t.Context(), recordlog.NewClient(c.logAddress), "proctest", docs)
 	require.NoError(c.t, err)
 	require.Equal(c.t, config.Accepted, res.Decision)
 	return uint64(res.Version)
@@ -274,8 +282,8 @@
 	}
 }
 
-// await waits until a condition holds. It fails the test after conditionTimeout, which is
-// long enough that only a test that would hang reaches it.
+// await waits until a condition holds. After conditionTimeout it prints the logs of all daemons and
+// fails the test. conditionTimeout is so long that only a test that would hang reaches it.
 func (c *cluster) await(description string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -21,14 +21,15 @@
 	// edits insert the bug by replacing text of source files. Each old text must occur exactly
 	// once in its file.
 	edits []edits.Edit
-	// plan is written by hand and holds the faults under which the bug shows.
+	// plan holds the faults under which the bug shows, in the text format of ReadPlan. It is
+	// written by hand.
 	plan string
 	// wantViolation is the kind of violation that the checker must record. The kind is the
 	// text before the first colon of a violation.
 	wantViolation string
 }
 
-// The plans of the mutants, in the text format of ReadPlan.
+// The plans of the mutants, in the text format of ReadPlan. planHeader is their first line.
 const (
 	planHeader           = "soak 950 8 30000\n"
 	planDrains           = planHeader + "3000 drain 1 - 300\n3500 drain 2 - 300\n4000 drain 3 - 300\n9000 drain 4 - 300\n"
@@ -47,6 +48,7 @@
 	planNewConfigs       = planHeader + "3000 store 0 silent 3000\n9000 config 0 - 300\n13000 config 0 - 300\n17000 config 0 - 300\n"
 )
 
+// mutants holds the mutants by a description of their bug.
 var mutants = map[string]mutant{
 	"drained upstreams receive requests": {
 		edits: []edits.Edit{edits.New("platform/reports.go", `"draining": lifecycle.Draining}`, `"draining": lifecycle.Ready}`)},
@@ -155,16 +157,16 @@
 func writeOverlay(t *testing.T, m mutant) string {
 	t.Helper()
 	dir := t.TempDir()
-	changed, err := edits.Apply(root, m.edits)
+	textByFile, err := edits.Apply(root, m.edits)
 	require.NoError(t, err)
-	replacements := map[string]string{}
-	for file, text := range changed {
+	replacementByOriginal := map[string]string{}
+	for file, text := range textByFile {
 		original, err := filepath.Abs(filepath.Join(root, file))
 		require.NoError(t, err)
-		replacements[original] = filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
-		require.NoError(t, os.WriteFile(replacements[original], []byte(text), 0o600))
+		replacementByOriginal[original] = filepath.Join(dir, strings.ReplaceAll(file, "/", "_"))
+		require.NoError(t, os.WriteFile(replacementByOriginal[original], []byte(text), 0o600))
 	}
-	text, err := json.Marshal(map[string]any{"Replace": replacements})
+	text, err := json.Marshal(map[string]any{"Replace": replacementByOriginal})
 	require.NoError(t, err)
 	path := filepath.Join(dir, "overlay.json")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProxyRelaysDatagramsAfterTargetRestart guards against a proxy whose socket for a sender
-// stays unusable after the target has been down.
+// TestProxyRelaysDatagramsAfterTargetRestart guards against a proxy whose socket for a sender of
+// datagrams stays unusable after the target has not been listening for a while.
 func TestProxyRelaysDatagramsAfterTargetRestart(t *testing.T) {
 	const address, target = "127.99.0.1:7760", "127.99.0.1:7660"
 	p, err := newProxy(address, target)
@@ -42,14 +42,14 @@
 		n, err := sender.Read(make([]byte, datagramBufferBytes))
 		return err == nil && n == len("hello")
 	}
-	first := startEcho()
+	firstEcho := startEcho()
 	require.Eventually(t, answered, 10*time.Second, time.Millisecond)
-	require.NoError(t, first.Close())
+	require.NoError(t, firstEcho.Close())
 	for range 3 {
 		require.False(t, answered())
 	}
-	second := startEcho()
-	t.Cleanup(func() { _ = second.Close() })
+	secondEcho := startEcho()
+	t.Cleanup(func() { _ = secondEcho.Close() })
 	require.Eventually(t, answered, 10*time.Second, time.Millisecond)
 }
 
--- a/soak/start_test.go
+++ b/soak/start_test.go
@@ -10,8 +10,10 @@
 )
 
 // TestHangupBeforeHandlerIsInstalled guards against a reload (SIGHUP) that ends a daemon which has
-// just been restarted. Only restarts ignore SIGHUP. If first starts ignored SIGHUP as well, a
-// daemon that never installs a handler would go unnoticed.
+// just been restarted. The test starts a program that installs no handler: SIGHUP must end the program
+// after startDefault and not after startIgnoringHangup. Afterwards the test process must not ignore
+// SIGHUP. Only restarts ignore SIGHUP. If first starts ignored SIGHUP as well, a daemon that never
+// installs a handler would go unnoticed.
 func TestHangupBeforeHandlerIsInstalled(t *testing.T) {
 	if signal.Ignored(syscall.SIGHUP) {
 		t.Skip("the test itself was started with SIGHUP ignored")
@@ -26,8 +28,8 @@
 		{"default after ignoring hangup", startDefault, syscall.SIGHUP},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			const starts = 20
-			for range starts {
+			const startCount = 20
+			for range startCount {
 				// sleep installs no signal handlers.
 				cmd := exec.Command("sleep", "60")
 				require.NoError(t, c.start(cmd))
--- a/standin/faulty.go
+++ b/standin/faulty.go
@@ -31,10 +31,12 @@
 type FaultyUpstream struct {
 	listener net.Listener
 
-	mu       sync.Mutex
-	script   Script
-	requests int
-	conns    map[net.Conn]struct{}
+	mu sync.Mutex
+	// script is the script for the following requests.
+	script       Script
+	requestCount int
+	// conns holds the open connections.
+	conns map[net.Conn]struct{}
 }
 
 // StartFaultyUpstream starts a FaultyUpstream on a loopback port.
@@ -62,7 +64,7 @@
 func (f *FaultyUpstream) Requests() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.requests
+	return f.requestCount
 }
 
 // Conns returns the number of open connections.
@@ -83,6 +85,7 @@
 	return err
 }
 
+// accept serves each new connection in a goroutine until the listener is closed.
 func (f *FaultyUpstream) accept() {
 	for {
 		conn, err := f.listener.Accept()
@@ -96,6 +99,8 @@
 	}
 }
 
+// serve responds to the requests of a connection in turn, each with the script that is set when the
+// request's header has been read, and closes the connection at the end.
 func (f *FaultyUpstream) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
@@ -109,7 +114,7 @@
 		if err != nil {
 			return
 		}
-		s := f.scriptForRequest()
+		s := f.countRequest()
 		if !s.SkipBody {
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
@@ -125,15 +130,16 @@
 	}
 }
 
-// scriptForRequest counts a request and returns the script to use for it.
-func (f *FaultyUpstream) scriptForRequest() Script {
+// countRequest adds a request to requestCount and returns the script to use for the request.
+func (f *FaultyUpstream) countRequest() Script {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.requests++
+	f.requestCount++
 	return f.script
 }
 
-// writeTo sends the scripted response and reports whether the connection stays open.
+// writeTo sends the scripted response. It returns false if the caller must close the connection:
+// after a cut response or a failed write.
 func (s Script) writeTo(conn net.Conn) bool {
 	if s.CutAfter < 0 || s.CutAfter > len(s.Response) {
 		_, err := conn.Write(s.Response)
