--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -90,7 +90,7 @@
 func TestArriveRefusesRequestThatCannotMeetItsDeadline(t *testing.T) {
 	c := New(Options{Slots: 1})
 	c.Arrive(0, arrival(1, "a", 1000*ms), nil)
-	c.Finish(10*ms, 1, Result{Outcome: outcome.Done(), SlotTime: 10 * time.Millisecond}, nil)
+	c.Finish(10*ms, 1, Result{Outcome: outcome.ResponseComplete(), SlotTime: 10 * time.Millisecond}, nil)
 	for id := ID(2); id < 13; id++ {
 		c.Arrive(10*ms, arrival(id, "a", 10_000*ms), nil)
 	}
@@ -108,8 +108,8 @@
 	require.False(t, c.Withdraw(0, 1), "running")
 	require.True(t, c.Withdraw(0, 2))
 	require.False(t, c.Withdraw(0, 2), "already withdrawn")
-	require.Empty(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, nil))
-	require.Empty(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, nil), "a second end is ignored")
+	require.Empty(t, c.Finish(ms, 1, Result{Outcome: outcome.ResponseComplete(), SlotTime: time.Millisecond}, nil))
+	require.Empty(t, c.Finish(ms, 1, Result{Outcome: outcome.ResponseComplete(), SlotTime: time.Millisecond}, nil), "a second end is ignored")
 }
 
 func TestExpireAndDrainRefuseAsNotRun(t *testing.T) {
@@ -143,9 +143,9 @@
 	}
 	require.EqualValues(t, 2, c.Load(0).Running)
 	limiter.limit = 3
-	require.Len(t, c.Finish(ms, 1, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, nil), 2, "a higher limit lets two requests start")
+	require.Len(t, c.Finish(ms, 1, Result{Outcome: outcome.ResponseComplete(), SlotTime: time.Millisecond}, nil), 2, "a higher limit lets two requests start")
 	limiter.limit = 0
-	require.Empty(t, c.Finish(ms, 2, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, nil))
+	require.Empty(t, c.Finish(ms, 2, Result{Outcome: outcome.ResponseComplete(), SlotTime: time.Millisecond}, nil))
 	require.EqualValues(t, 1, c.Load(ms).Limit, "the limit is at least one")
 	require.Equal(t, []int{2, 3}, limiter.observedRunning)
 }
@@ -166,8 +166,8 @@
 		}
 		effects = c.Arrive(now, Arrival{ID: id, Request: model.Request{Group: group, Caller: "c", Deadline: now + 500*ms}}, effects[:0])
 		if id > 10 {
-			effects = c.Finish(now, id-10, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, effects[:0])
-			effects = c.Finish(now, id-9, Result{Outcome: outcome.Done(), SlotTime: time.Millisecond}, effects[:0])
+			effects = c.Finish(now, id-10, Result{Outcome: outcome.ResponseComplete(), SlotTime: time.Millisecond}, effects[:0])
+			effects = c.Finish(now, id-9, Result{Outcome: outcome.ResponseComplete(), SlotTime: time.Millisecond}, effects[:0])
 		}
 	}
 	for range 2000 {
--- a/core/admission/observe_test.go
+++ b/core/admission/observe_test.go
@@ -23,7 +23,7 @@
 	limiter := &recordingLimiter{}
 	c := New(Options{Slots: 4, Limiter: limiter})
 	results := []Result{
-		{Outcome: outcome.Done(), SlotTime: 1},
+		{Outcome: outcome.ResponseComplete(), SlotTime: 1},
 		{Outcome: outcome.UnknownBecause(outcome.ReasonCancelled), SlotTime: 2},
 		{Outcome: outcome.UnknownBecause(outcome.ReasonConnectionLost), SlotTime: 3, Failed: true},
 	}
--- a/core/admission/simulator_test.go
+++ b/core/admission/simulator_test.go
@@ -195,7 +195,7 @@
 		s.latenciesByGroup[group] = append(s.latenciesByGroup[group], s.now.Sub(j.arrivedAt))
 		s.inTimeByWindow[group] = addAt(s.inTimeByWindow[group], int(s.now/model.Instant(windowLength)), 1)
 	}
-	s.effects = s.controller.Finish(s.now, j.id, Result{Outcome: outcome.Done(), SlotTime: slotTime}, s.effects[:0])
+	s.effects = s.controller.Finish(s.now, j.id, Result{Outcome: outcome.ResponseComplete(), SlotTime: slotTime}, s.effects[:0])
 }
 
 // applyEffects starts or refuses the jobs of the current effects. It fails the test when a
--- a/core/outcome/after_test.go
+++ b/core/outcome/after_test.go
@@ -13,6 +13,6 @@
 	refused := NotRunBecause(ReasonQueueFull)
 	assert.Equal(t, lost, refused.After(lost))
 	assert.Equal(t, refused, refused.After(NotRunBecause(ReasonConnect)))
-	assert.Equal(t, Done(), Done().After(lost))
+	assert.Equal(t, ResponseComplete(), ResponseComplete().After(lost))
 	assert.Equal(t, lost, lost.After(refused))
 }
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -95,12 +95,12 @@
 // UnknownBecause returns the Outcome of a request that may or may not have run, for reason r.
 func UnknownBecause(r Reason) Outcome { return Outcome{Kind: Unknown, Reason: r} }
 
-// Done returns the Outcome of a request whose complete response was received.
-func Done() Outcome { return Outcome{Kind: Answered} }
+// ResponseComplete returns the Outcome of a request whose complete response was received.
+func ResponseComplete() Outcome { return Outcome{Kind: Answered} }
 
-// RetryElsewhere reports whether an immediate attempt at another upstream may succeed.
+// MaySucceedElsewhere reports whether an immediate attempt at another upstream may succeed.
 // MayRetry reports whether such an attempt is safe.
-func (o Outcome) RetryElsewhere() bool {
+func (o Outcome) MaySucceedElsewhere() bool {
 	switch o.Reason {
 	case ReasonNoUpstream, ReasonQueueFull, ReasonShed, ReasonDraining, ReasonWithdrawn,
 		ReasonUpstreamRefused, ReasonConnect, ReasonConnectionLost, ReasonTruncated,
@@ -111,10 +111,10 @@
 	}
 }
 
-// FreeToRetry reports whether the attempt put no load on any upstream and failed only because
+// NeedsNoRetryBudget reports whether the attempt put no load on any upstream and failed only because
 // the upstream was chosen from outdated information. A retry after such an attempt needs no
 // retry budget.
-func (o Outcome) FreeToRetry() bool {
+func (o Outcome) NeedsNoRetryBudget() bool {
 	return o.Kind == NotRun && (o.Reason == ReasonDraining || o.Reason == ReasonWithdrawn)
 }
 
--- a/core/outcome/reason_test.go
+++ b/core/outcome/reason_test.go
@@ -44,7 +44,7 @@
 		{"not run", NotRunBecause(ReasonDraining), false, true},
 		{"unknown and idempotent", UnknownBecause(ReasonConnectionLost), true, true},
 		{"unknown and not idempotent", UnknownBecause(ReasonConnectionLost), false, false},
-		{"answered", Done(), true, false},
+		{"answered", ResponseComplete(), true, false},
 		{"zero value", Outcome{}, false, false},
 	}
 	for _, tt := range tests {
@@ -56,13 +56,13 @@
 
 // TestNoRetryWhereAnotherUpstreamCannotHelp guards against retry storms: a request that would
 // fail on every upstream must not be retried. It also checks that a retry after an attempt that
-// may have run is not free (see Outcome.FreeToRetry).
+// may have run is not free (see Outcome.NeedsNoRetryBudget).
 func TestNoRetryWhereAnotherUpstreamCannotHelp(t *testing.T) {
 	for _, r := range []Reason{
 		ReasonDeadline, ReasonCancelled, ReasonQuarantined, ReasonCeiling, ReasonForbidden,
 		ReasonBadRequest, ReasonKeyMismatch, ReasonDepth, ReasonNone,
 	} {
-		require.False(t, NotRunBecause(r).RetryElsewhere(), r)
+		require.False(t, NotRunBecause(r).MaySucceedElsewhere(), r)
 	}
-	require.False(t, UnknownBecause(ReasonDraining).FreeToRetry(), "an attempt that may have run is not free")
+	require.False(t, UnknownBecause(ReasonDraining).NeedsNoRetryBudget(), "an attempt that may have run is not free")
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -82,9 +82,9 @@
 	// Alternative is the time until the request is expected to complete at the best other
 	// upstream. It is zero if there is no other usable upstream.
 	Alternative time.Duration
-	// Age is the age of the load from which Expected was calculated. It is math.MaxInt64
+	// LoadAge is the age of the load from which Expected was calculated. It is math.MaxInt64
 	// if no load is known.
-	Age time.Duration
+	LoadAge time.Duration
 }
 
 // MissesTarget reports whether a request should be refused rather than sent to the chosen
@@ -104,7 +104,7 @@
 // with a free slot would accept the request although it cannot complete in time. left is the
 // time until the deadline.
 func (c *Choice) MissesDeadline(left time.Duration) bool {
-	return c.Age < maxRefusalAge && c.Expected > left
+	return c.LoadAge < maxRefusalAge && c.Expected > left
 }
 
 // Placer chooses among the upstreams of one service. It is not safe for concurrent use.
@@ -234,7 +234,7 @@
 	if !chosen.candidate.hasLoad {
 		loadAge = math.MaxInt64
 	}
-	return Choice{Upstream: chosen.candidate.upstream, Expected: chosen.expected, Alternative: alternative.expected, Age: loadAge}, true
+	return Choice{Upstream: chosen.candidate.upstream, Expected: chosen.expected, Alternative: alternative.expected, LoadAge: loadAge}, true
 }
 
 // scoredCandidate is a candidate for a request, with its score.
--- a/core/policy/compile.go
+++ b/core/policy/compile.go
@@ -111,8 +111,8 @@
 		spec:            spec,
 	}
 	c.checkShare(d, "spec.measuring_budget", spec.MeasuringBudget)
-	if spec.Routing != "" && !slices.Contains(routing.Names(), spec.Routing) {
-		c.addProblem(d, "spec.routing", spec.Routing, "want one of "+strings.Join(routing.Names(), ", "))
+	if spec.Routing != "" && !slices.Contains(routing.PolicyNames(), spec.Routing) {
+		c.addProblem(d, "spec.routing", spec.Routing, "want one of "+strings.Join(routing.PolicyNames(), ", "))
 	}
 	if svc.Timeout < 0 {
 		c.addProblem(d, "spec.deadline", svc.Timeout.String(), "must not be negative")
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -67,8 +67,8 @@
 	return w.share*(w.ratio*requestCount+w.slack) - retryCount
 }
 
-// Take counts n retries if the budget allows them, and returns false otherwise.
-func (w *WindowBudget) Take(now model.Instant, n float64) bool {
+// TryCharge counts n retries if the budget allows them, and returns false otherwise.
+func (w *WindowBudget) TryCharge(now model.Instant, n float64) bool {
 	if w.Remaining(now) < n {
 		return false
 	}
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -20,12 +20,12 @@
 		w.CountRequest(now)
 	}
 	require.InDelta(t, 7, w.Remaining(now), 1e-9)
-	require.True(t, w.Take(now, 7))
-	require.False(t, w.Take(now, 1))
+	require.True(t, w.TryCharge(now, 7))
+	require.False(t, w.TryCharge(now, 1))
 	w.Charge(now, -1)
-	require.True(t, w.Take(now, 1), "a retry that reached no upstream is returned to the budget")
-	require.False(t, w.Take(now.Add(9*time.Second), 1))
-	require.True(t, w.Take(now.Add(12*time.Second), 5), "the span has passed")
+	require.True(t, w.TryCharge(now, 1), "a retry that reached no upstream is returned to the budget")
+	require.False(t, w.TryCharge(now.Add(9*time.Second), 1))
+	require.True(t, w.TryCharge(now.Add(12*time.Second), 5), "the span has passed")
 }
 
 // TestWindowsTogetherStayWithinTheBudget has several daemons take retries at random
@@ -51,7 +51,7 @@
 			if rapid.Bool().Draw(t, "request") {
 				w.CountRequest(now)
 				requests = append(requests, now)
-			} else if w.Take(now, 1) {
+			} else if w.TryCharge(now, 1) {
 				retries = append(retries, now)
 			}
 		}
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestPlacementDoesNotAllocate(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range PolicyNames() {
 		for _, n := range poolSizes {
 			r := newRouter(t, name, n)
 			load := warmUp(r, model.Load{Running: 3, Limit: 6, ServiceTime: 2 * time.Millisecond})
@@ -48,7 +48,7 @@
 }
 
 func BenchmarkPlacement(b *testing.B) {
-	for _, name := range Names() {
+	for _, name := range PolicyNames() {
 		for _, n := range poolSizes {
 			b.Run(fmt.Sprintf("%s/upstreams=%d", name, n), func(b *testing.B) {
 				r := newRouter(b, name, n)
--- a/core/routing/doc.go
+++ b/core/routing/doc.go
@@ -3,7 +3,7 @@
 // A Router belongs to one entry (the proxy that receives requests from callers) and one
 // service. For each upstream, the Router stores the latest reported load, the number of
 // requests in flight there from this entry, and the results of recent attempts. A policy (see
-// Names) picks among the upstreams. The Router skips draining upstreams and those that the
+// PolicyNames) picks among the upstreams. The Router skips draining upstreams and those that the
 // caller excludes. It ejects upstreams that fail while others do not (outlier ejection), and
 // skips ejected upstreams too. When more than half of the reachable upstreams are ejected, the
 // Router ignores the ejections. The remaining upstreams would otherwise be overloaded.
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -17,8 +17,8 @@
 	Random             = "random"
 )
 
-// Names returns the names of all routing policies. The default policy comes first.
-func Names() []string {
+// PolicyNames returns the names of all routing policies. The default policy comes first.
+func PolicyNames() []string {
 	return []string{ExpectedCompletion, TwoChoices, LeastOutstanding, RoundRobin, Random}
 }
 
@@ -56,7 +56,7 @@
 
 // Error names the unknown policy and lists the existing ones.
 func (e *UnknownPolicyError) Error() string {
-	return fmt.Sprintf("unknown routing policy %q, want one of %s", e.Name, strings.Join(Names(), ", "))
+	return fmt.Sprintf("unknown routing policy %q, want one of %s", e.Name, strings.Join(PolicyNames(), ", "))
 }
 
 // policy picks the upstream for a request and decides how long the request may wait
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -43,7 +43,7 @@
 
 // answeredReply returns the reply to a successful request.
 func answeredReply(load model.Load) Reply {
-	return Reply{Outcome: outcome.Done(), Load: load, HasLoad: true}
+	return Reply{Outcome: outcome.ResponseComplete(), Load: load, HasLoad: true}
 }
 
 // refusedReply returns the reply to a request that the upstream refused.
@@ -68,7 +68,7 @@
 }
 
 func TestEveryPolicySkipsExcludedAndDraining(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range PolicyNames() {
 		t.Run(name, func(t *testing.T) {
 			r := newRouter(t, name, 3)
 			_, ok := r.Pick(0, model.Request{}, []model.UpstreamID{"s-1", "s-2", "s-3"})
@@ -99,7 +99,7 @@
 // upstream replies faster than the others and therefore looks idle. Without ejection, it
 // would attract most of the requests.
 func TestFastFailingUpstreamIsEjected(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range PolicyNames() {
 		t.Run(name, func(t *testing.T) {
 			r := newRouter(t, name, 6)
 			got := countPlacements(r, 0, 2000, func(id model.UpstreamID) Reply {
@@ -132,7 +132,7 @@
 
 func TestFailuresOnAllUpstreamsEjectNone(t *testing.T) {
 	r := newRouter(t, RoundRobin, 6)
-	countPlacements(r, 0, 600, func(model.UpstreamID) Reply { return Reply{Outcome: outcome.Done(), Failed: true} })
+	countPlacements(r, 0, 600, func(model.UpstreamID) Reply { return Reply{Outcome: outcome.ResponseComplete(), Failed: true} })
 	got := countPlacements(r, 0, 60, func(model.UpstreamID) Reply { return answeredReply(model.Load{}) })
 	assert.Len(t, got, 6)
 }
@@ -283,7 +283,7 @@
 }
 
 func TestUnreachableUpstreamsAreTriedWhenNoneIsLeft(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range PolicyNames() {
 		r := newRouter(t, name, 3)
 		for _, up := range newUpstreams(3) {
 			r.Done(0, up.ID, Reply{Outcome: outcome.NotRunBecause(outcome.ReasonConnect)})
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -72,8 +72,8 @@
 	TooLate
 )
 
-// Decision identifies a request that leaves the queue, and says why it leaves.
-type Decision struct {
+// Dequeued identifies a request that leaves the queue, and says why it leaves.
+type Dequeued struct {
 	ID     uint64
 	Reason DequeueReason
 }
@@ -161,7 +161,7 @@
 // Next returns the request and the reason, or false if no request leaves now. The caller must
 // call Finish when a started request ends. slowdown is the current service time divided by the
 // usual service time.
-func (q *Queue) Next(now model.Instant, slowdown float64) (Decision, bool) {
+func (q *Queue) Next(now model.Instant, slowdown float64) (Dequeued, bool) {
 	for i := range q.items {
 		it := &q.items[i]
 		if now.Add(scale(it.ServiceTime, slowdown)/2) >= it.Deadline {
@@ -175,7 +175,7 @@
 		}
 	}
 	if q.running >= q.limit || len(q.items) == 0 {
-		return Decision{}, false
+		return Dequeued{}, false
 	}
 	best := q.nextIndex(now, slowdown)
 	q.running++
@@ -266,8 +266,8 @@
 }
 
 // dequeue removes the i-th waiting request and returns its ID with the given reason.
-func (q *Queue) dequeue(i int, reason DequeueReason) Decision {
-	d := Decision{ID: q.items[i].ID, Reason: reason}
+func (q *Queue) dequeue(i int, reason DequeueReason) Dequeued {
+	d := Dequeued{ID: q.items[i].ID, Reason: reason}
 	q.removeAt(i)
 	return d
 }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -230,7 +230,7 @@
 			require.False(t, early)
 			d, ok := q.Next(at(c.now), c.slowdown)
 			require.True(t, ok)
-			require.Equal(t, Decision{ID: 1, Reason: c.want}, d)
+			require.Equal(t, Dequeued{ID: 1, Reason: c.want}, d)
 		})
 	}
 }
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -41,7 +41,7 @@
 		s.Gauge("limit").Update(float64(load.Limit))
 		s.Gauge("failing").Update(float64(load.FailureRate))
 	}
-	for id, slotTime := range g.daemon.Guard.MeasuringSlotTime() {
+	for id, slotTime := range g.daemon.Guard.PollSlotTime() {
 		s := g.scope.SubScope("guard").Tagged(map[string]string{"upstream": string(id)})
 		s.Gauge("measuring_seconds").Update(slotTime.Seconds())
 	}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -111,7 +111,7 @@
 func measuringSlotTime(deployment *local.Deployment) map[model.UpstreamID]time.Duration {
 	slotTimeByUpstream := make(map[model.UpstreamID]time.Duration)
 	for _, n := range deployment.Nodes {
-		maps.Copy(slotTimeByUpstream, n.Daemon.Guard.MeasuringSlotTime())
+		maps.Copy(slotTimeByUpstream, n.Daemon.Guard.PollSlotTime())
 	}
 	return slotTimeByUpstream
 }
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -68,7 +68,7 @@
 // that the daemon had set them. It could conclude that a request that did run had
 // not run.
 func TestDaemonHeadersFromUpstreamAreStripped(t *testing.T) {
-	response := wire.NoResponse(outcome.Done())
+	response := wire.NoResponse(outcome.ResponseComplete())
 	response.Status = http.StatusServiceUnavailable
 	response.Header = http.Header{
 		wire.HeaderOutcome: {"not-run"}, wire.HeaderReason: {"draining"},
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -27,7 +27,7 @@
 
 func (g *rejectingGuard) Do(_ context.Context, c *wire.Call) *wire.Result {
 	g.calls = append(g.calls, c)
-	response := wire.NoResponse(outcome.Done())
+	response := wire.NoResponse(outcome.ResponseComplete())
 	if c.HasQueueTimeout {
 		response = wire.NoResponse(outcome.NotRunBecause(outcome.ReasonWithdrawn))
 	}
--- a/entry/hedge_test.go
+++ b/entry/hedge_test.go
@@ -40,7 +40,7 @@
 		return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonCancelled))
 	}
 	time.Sleep(time.Millisecond)
-	response := wire.NoResponse(outcome.Done())
+	response := wire.NoResponse(outcome.ResponseComplete())
 	response.Status, response.HasLoad = http.StatusOK, true
 	response.Load = model.Load{Limit: 6, ServiceTime: time.Millisecond, Seq: seq}
 	return response
--- a/entry/nested_test.go
+++ b/entry/nested_test.go
@@ -95,7 +95,7 @@
 		Deadline: time.Now().Add(call.Timeout), TimeLeft: call.Timeout,
 	})
 	w := c.send(index+1, map[string]string{wire.HeaderCallToken: token})
-	response := wire.NoResponse(outcome.Done())
+	response := wire.NoResponse(outcome.ResponseComplete())
 	response.Status, response.Header = w.Code, w.Header()
 	return response
 }
@@ -114,7 +114,7 @@
 
 // respondOK is a last service that answers with status 200.
 func respondOK(*wire.Call) *wire.Result {
-	response := wire.NoResponse(outcome.Done())
+	response := wire.NoResponse(outcome.ResponseComplete())
 	response.Status, response.Header = http.StatusOK, make(http.Header)
 	return response
 }
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -67,11 +67,11 @@
 
 // backoff returns how long to wait before a retry, and whether the retry is allowed.
 // retryNumber is 1 for the first retry of the request.
-// o is the outcome of the attempt before the retry. If o.FreeToRetry reports true, the
+// o is the outcome of the attempt before the retry. If o.NeedsNoRetryBudget reports true, the
 // attempt put no load on any upstream. The retry then needs no budget and is allowed
 // until the deadline.
 func (r *retryBudgets) backoff(req *request, retryNumber int, o outcome.Outcome) (time.Duration, bool) {
-	if o.FreeToRetry() {
+	if o.NeedsNoRetryBudget() {
 		return 0, req.deadline > r.now()
 	}
 	wait, ok := retry.Backoff(retryNumber, req.deadline.Sub(r.now()), rand.Float64())
@@ -89,7 +89,7 @@
 // given response. If so, it returns only after the backoff. If ctx ends during the
 // backoff, it reports false. attempt is the number of the attempt, from 0.
 func (e *Entry) waitForRetry(ctx context.Context, req *request, response *wire.Result, attempt int) bool {
-	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.RetryElsewhere() {
+	if attempt+1 >= maxAttempts || !response.Outcome.MayRetry(req.idempotent) || !response.Outcome.MaySucceedElsewhere() {
 		return false
 	}
 	if !req.body.replayable() || ctx.Err() != nil {
--- a/guard/body.go
+++ b/guard/body.go
@@ -39,7 +39,7 @@
 	n, err := b.body.Read(p)
 	switch {
 	case err == io.EOF:
-		b.finish(outcome.Done())
+		b.finish(outcome.ResponseComplete())
 	case err != nil:
 		b.finish(outcome.UnknownBecause(outcome.ReasonTruncated))
 	}
--- a/guard/poll.go
+++ b/guard/poll.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// MeasuringSlotTime returns, for each upstream, the slot time that has been spent so
+// PollSlotTime returns, for each upstream, the slot time that has been spent so
 // far on polling the upstream's load report.
-func (g *Guard) MeasuringSlotTime() map[model.UpstreamID]time.Duration {
+func (g *Guard) PollSlotTime() map[model.UpstreamID]time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	slotTime := make(map[model.UpstreamID]time.Duration, len(g.upstreams))
--- a/guard/poll_test.go
+++ b/guard/poll_test.go
@@ -85,7 +85,7 @@
 			result, requestCount, g := pollOnce(t, tc.budget, tc.status, tc.body)
 			assert.Equal(t, tc.wantResult, result)
 			assert.Equal(t, tc.wantRequestCount, requestCount)
-			slotTime := g.MeasuringSlotTime()["s-1"]
+			slotTime := g.PollSlotTime()["s-1"]
 			assert.Equal(t, tc.wantRequestCount > 0, slotTime > 0)
 			assert.LessOrEqual(t, slotTime, 20*time.Millisecond, "at most one burst of the budget")
 			assert.Zero(t, g.Loads("s")["s-1"].Running, "a report that the observed load does not support adds no running requests")
--- a/guard/slow_test.go
+++ b/guard/slow_test.go
@@ -82,9 +82,9 @@
 	}{
 		{"503 with the refusal header", 503, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
 		{"429 with the refusal header", 429, wire.RefusedBeforeStart, outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.ReasonUpstreamRefused, RetryAfter: 7 * time.Second}},
-		{"503 without the refusal header", 503, "", outcome.Done()},
-		{"500 with the refusal header", 500, wire.RefusedBeforeStart, outcome.Done()},
-		{"refusal header with another value", 503, "yes", outcome.Done()},
+		{"503 without the refusal header", 503, "", outcome.ResponseComplete()},
+		{"500 with the refusal header", 500, wire.RefusedBeforeStart, outcome.ResponseComplete()},
+		{"refusal header with another value", 503, "yes", outcome.ResponseComplete()},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/hop/client.go
+++ b/hop/client.go
@@ -153,7 +153,7 @@
 		_ = resp.Body.Close()
 		return nil, outcome.NotRunBecause(outcome.ReasonConnectionLost), errUnsolicited
 	}
-	return resp, outcome.Done(), nil
+	return resp, outcome.ResponseComplete(), nil
 }
 
 // CloseIdle closes the idle connections.
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -67,7 +67,7 @@
 	if err == nil && int64(len(head)) <= s.opts.MaxResponseBytes {
 		_ = result.Body.Close()
 		cancel()
-		s.recordOutcome(id, e, outcome.Done(), &claims.Answer{Status: result.Status, Header: result.Header, Body: head, Trailer: result.Trailer})
+		s.recordOutcome(id, e, outcome.ResponseComplete(), &claims.Answer{Status: result.Status, Header: result.Header, Body: head, Trailer: result.Trailer})
 		close(e.ready)
 		return
 	}
@@ -131,7 +131,7 @@
 	n, err := b.Reader.Read(p)
 	switch {
 	case errors.Is(err, io.EOF):
-		b.once.Do(func() { b.onEnd(outcome.Done()) })
+		b.once.Do(func() { b.onEnd(outcome.ResponseComplete()) })
 	case err != nil:
 		b.once.Do(func() { b.onEnd(outcome.UnknownBecause(outcome.ReasonTruncated)) })
 	}
@@ -157,7 +157,7 @@
 		h.Set(wire.HeaderReplayed, strconv.FormatBool(true))
 	}
 	return &wire.Result{
-		Outcome:       outcome.Done(),
+		Outcome:       outcome.ResponseComplete(),
 		Status:        retained.Status,
 		Header:        h,
 		Body:          io.NopCloser(bytes.NewReader(retained.Body)),
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -195,7 +195,7 @@
 }
 
 func textResult(s string) *wire.Result {
-	return &wire.Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(s)), ContentLength: int64(len(s))}
+	return &wire.Result{Outcome: outcome.ResponseComplete(), Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(s)), ContentLength: int64(len(s))}
 }
 
 // submitResult is the result of a submission as the caller sees it.
@@ -247,7 +247,7 @@
 		wg.Wait()
 		replayed := 0
 		for _, r := range results {
-			require.Equal(t, outcome.Done(), r.outcome)
+			require.Equal(t, outcome.ResponseComplete(), r.outcome)
 			require.Equal(t, "done "+key.String(), r.body)
 			if r.replayed {
 				replayed++
@@ -316,7 +316,7 @@
 	}{
 		"a request that was not run can be retried": {
 			first: func() *wire.Result { return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)) },
-			want:  outcome.NotRunBecause(outcome.ReasonDraining), second: outcome.Done(), runs: 2,
+			want:  outcome.NotRunBecause(outcome.ReasonDraining), second: outcome.ResponseComplete(), runs: 2,
 		},
 		"an unknown outcome stays unknown": {
 			first: func() *wire.Result { return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonConnectionLost)) },
@@ -324,7 +324,7 @@
 		},
 		"a large response is not retained": {
 			first: func() *wire.Result { return textResult(strings.Repeat("x", 4<<10)) },
-			want:  outcome.Done(), second: outcome.UnknownBecause(outcome.ReasonKeyAnswerGone), runs: 1,
+			want:  outcome.ResponseComplete(), second: outcome.UnknownBecause(outcome.ReasonKeyAnswerGone), runs: 1,
 		},
 		"a truncated response": {
 			first: func() *wire.Result {
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -45,7 +45,7 @@
 		b.Fatal(scenario)
 	}
 	events := s.Generator(topology, 1).Events()
-	for _, p := range routing.Names() {
+	for _, p := range routing.PolicyNames() {
 		b.Run(name+"/"+p, func(b *testing.B) {
 			var r *Result
 			for b.Loop() {
--- a/replay/outcomes_test.go
+++ b/replay/outcomes_test.go
@@ -106,7 +106,7 @@
 			topology := loadTopology(t, "kalahari")
 			events := generateEvents(t, topology, name, 1)
 			defaultTotal := mustRun(t, topology, events, Options{Seed: 1}).Total
-			for _, baseline := range routing.Names()[1:] {
+			for _, baseline := range routing.PolicyNames()[1:] {
 				baselineTotal := mustRun(t, topology, events, Options{Routing: baseline, Seed: 1}).Total
 				assert.LessOrEqual(t, ratio(defaultTotal.P99, baselineTotal.P99), tieTolerance, "p99 against %s", baseline)
 				assert.LessOrEqual(t, ratio(defaultTotal.P999, baselineTotal.P999), tieTolerance, "p99.9 against %s", baseline)
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -139,7 +139,7 @@
 	g := scenario.Generator(topology, 1)
 	g.Duration = 1200 * time.Millisecond
 	events := g.Events()
-	for _, name := range routing.Names() {
+	for _, name := range routing.PolicyNames() {
 		firstResult, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
 		require.NoError(t, err)
 		secondResult, err := json.Marshal(mustRun(t, topology, events, Options{Routing: name, Seed: 9}))
--- a/replay/upstream.go
+++ b/replay/upstream.go
@@ -77,7 +77,7 @@
 	took := time.Duration(a.req.event.CostUs) * time.Microsecond
 	overload := max(1, float64(f.runningCount)/float64(f.realSlots))
 	took = time.Duration(float64(took) * overload * f.faults.slowdown(now))
-	return took + f.openConnection(), outcome.Done(), false
+	return took + f.openConnection(), outcome.ResponseComplete(), false
 }
 
 // release removes a request from the running requests.
--- a/settings/routing.go
+++ b/settings/routing.go
@@ -20,7 +20,7 @@
 
 func (r Routing) check(c *checker) {
 	if r.Policy != "" {
-		c.oneOf("routing.policy", r.Policy, routing.Names()...)
+		c.oneOf("routing.policy", r.Policy, routing.PolicyNames()...)
 	}
 	for zone, d := range r.ZoneDelays {
 		c.duration("routing.zone_delays."+string(zone), d, 0, time.Minute)
--- a/sidecar/abort_test.go
+++ b/sidecar/abort_test.go
@@ -94,7 +94,7 @@
 		}
 		attempt := &attemptState{cancel: cancel, sentAt: now, acknowledged: make(chan struct{})}
 		f.inFlight = []*attemptState{attempt}
-		f.results <- attemptResult{attempt: attempt, result: &Result{Outcome: outcome.Done(), Status: http.StatusOK, Header: http.Header{}, Delivered: true}}
+		f.results <- attemptResult{attempt: attempt, result: &Result{Outcome: outcome.ResponseComplete(), Status: http.StatusOK, Header: http.Header{}, Delivered: true}}
 		require.Equal(t, outcome.Answered, f.waitForResult().Outcome.Kind)
 	}
 }
--- a/sidecar/attempts_test.go
+++ b/sidecar/attempts_test.go
@@ -23,7 +23,7 @@
 // has not arrived, waits, has completed or was rejected. An attempt that the reply reports as not
 // run must not start later.
 func TestOutcomeQueryCancelsUnstartedAttempt(t *testing.T) {
-	done := &Result{Outcome: outcome.Done(), Status: 200}
+	done := &Result{Outcome: outcome.ResponseComplete(), Status: 200}
 	for name, c := range map[string]struct {
 		// setUp brings the attempt into the state in which its outcome is queried.
 		setUp func(t *testing.T, table *attemptTable)
@@ -67,7 +67,7 @@
 	require.Equal(t, outcome.Unknown, table.cancelOrAwait(ctx, "k", time.Second).Outcome.Kind, "a running attempt has no outcome yet")
 	results := make(chan *Result)
 	go func() { results <- table.cancelOrAwait(t.Context(), "k", time.Second) }()
-	attempt.finish(&Result{Outcome: outcome.Done()})
+	attempt.finish(&Result{Outcome: outcome.ResponseComplete()})
 	require.Equal(t, outcome.Answered, (<-results).Outcome.Kind)
 }
 
@@ -79,14 +79,14 @@
 	table, now := newTestAttemptTable()
 	completed, _ := table.register("first", time.Second)
 	completed.start()
-	completed.finish(&Result{Outcome: outcome.Done()})
+	completed.finish(&Result{Outcome: outcome.ResponseComplete()})
 	running, _ := table.register("runs", time.Second)
 	running.start()
 	waiting, _ := table.register("waits", time.Second)
 	for i := range 2 * maxRetainedAttempts {
 		*now = now.Add(time.Microsecond)
 		attempt, _ := table.register(fmt.Sprint(i), time.Second)
-		attempt.finish(&Result{Outcome: outcome.Done()})
+		attempt.finish(&Result{Outcome: outcome.ResponseComplete()})
 	}
 	require.LessOrEqual(t, len(table.byExpiry), maxRetainedAttempts+2, "the table is limited")
 	require.Len(t, table.byKey, len(table.byExpiry))
@@ -94,7 +94,7 @@
 	require.Equal(t, outcome.Unknown, table.cancelOrAwait(t.Context(), "never received", time.Second).Outcome.Kind)
 	require.False(t, running.cancel(), "running attempts stay in the table")
 	require.Same(t, waiting, table.byKey["waits"])
-	running.finish(&Result{Outcome: outcome.Done()})
+	running.finish(&Result{Outcome: outcome.ResponseComplete()})
 	waiting.finish(notRunResult(outcome.ReasonQueueFull))
 
 	*now = now.Add(3 * retentionPeriod(time.Second))
@@ -124,11 +124,11 @@
 			require.True(t, attempt.start())
 			for end := now.Add(c.queriedAfter); *now < end; *now = now.Add(500 * time.Millisecond) {
 				if c.endsAfter > 0 && *now >= model.Instant(c.endsAfter) {
-					attempt.finish(&Result{Outcome: outcome.Done()})
+					attempt.finish(&Result{Outcome: outcome.ResponseComplete()})
 				}
 				// Other attempts are registered all the time.
 				otherAttempt, _ := table.register(fmt.Sprint(*now), time.Second)
-				otherAttempt.finish(&Result{Outcome: outcome.Done()})
+				otherAttempt.finish(&Result{Outcome: outcome.ResponseComplete()})
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 			defer cancel()
@@ -145,7 +145,7 @@
 	require.Equal(t, outcome.NotRun, table.cancelOrAwait(t.Context(), "k", time.Minute).Outcome.Kind)
 	for i := range 2 * maxRetainedAttempts {
 		attempt, _ := table.register(fmt.Sprint(i), time.Second)
-		attempt.finish(&Result{Outcome: outcome.Done()})
+		attempt.finish(&Result{Outcome: outcome.ResponseComplete()})
 	}
 	*now = now.Add(time.Minute)
 	attempt, duplicate := table.register("k", time.Minute)
@@ -209,7 +209,7 @@
 			table, _ := newTestAttemptTable()
 			attempt, _ := table.register("k", time.Second)
 			attempt.start()
-			attempt.finish(&Result{Outcome: outcome.Done(), Body: make([]byte, c.bodyBytes)})
+			attempt.finish(&Result{Outcome: outcome.ResponseComplete(), Body: make([]byte, c.bodyBytes)})
 			attempt.discardBody(c.keepSmall)
 			require.Equal(t, c.want, table.cancelOrAwait(t.Context(), "k", time.Second).Outcome.Kind)
 		})
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -25,8 +25,8 @@
 	// Leave records the final deregistration of an incarnation of the upstream and returns what
 	// the deregistration changed.
 	Leave(i lifecycle.Incarnation) lifecycle.Effect
-	// ReportRejected logs that a report of the upstream named id could not be parsed.
-	ReportRejected(id string, err error)
+	// LogInvalidReport logs that a report of the upstream named id could not be parsed.
+	LogInvalidReport(id string, err error)
 }
 
 // Daemon is the daemon that the package comment describes. New creates it and Serve runs it.
@@ -219,8 +219,8 @@
 	return effect
 }
 
-// ReportRejected implements Registry.
-func (d *Daemon) ReportRejected(id string, err error) {
+// LogInvalidReport implements Registry.
+func (d *Daemon) LogInvalidReport(id string, err error) {
 	d.opts.Decisions.Write(decision.ReportRefused, "", slog.String("upstream", id), slog.String("error", err.Error()))
 }
 
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -132,14 +132,14 @@
 
 func (s *source) Watch(ctx context.Context, c ConfigConsumer) error {
 	for {
-		if err := c.AwaitTurn(ctx); err != nil {
+		if err := c.AwaitElection(ctx); err != nil {
 			return err
 		}
 		s.store.mu.Lock()
 		doc, changed, down := s.store.doc, s.store.changed, s.store.down || s.disconnected.Load()
 		s.store.mu.Unlock()
 		if down {
-			c.StoreReachable(false)
+			c.RecordStoreCall(false)
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -147,7 +147,7 @@
 			}
 			continue
 		}
-		c.StoreReachable(true)
+		c.RecordStoreCall(true)
 		if doc.Version > 0 {
 			c.Receive(encodeDocument(doc), "store")
 		}
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -71,9 +71,9 @@
 // Receive implements ConfigConsumer.
 func (f *configFollower) Receive(raw []byte, from string) bool { return f.d.config.apply(raw, from) }
 
-// AwaitTurn implements ConfigConsumer. It returns nil once this daemon watches the store, or an
+// AwaitElection implements ConfigConsumer. It returns nil once this daemon watches the store, or an
 // error when the context ends.
-func (f *configFollower) AwaitTurn(ctx context.Context) error {
+func (f *configFollower) AwaitElection(ctx context.Context) error {
 	f.mu.Lock()
 	watchStarted := f.watchStarted
 	f.mu.Unlock()
@@ -85,9 +85,9 @@
 	}
 }
 
-// StoreReachable implements ConfigConsumer. If ok differs from that of the previous call, and this
+// RecordStoreCall implements ConfigConsumer. If ok differs from that of the previous call, and this
 // daemon watches the store, it sends a heartbeat at once.
-func (f *configFollower) StoreReachable(ok bool) {
+func (f *configFollower) RecordStoreCall(ok bool) {
 	f.mu.Lock()
 	f.elector.RecordStoreCall(f.d.now(), ok)
 	f.mu.Unlock()
--- a/sidecar/health_test.go
+++ b/sidecar/health_test.go
@@ -71,7 +71,7 @@
 	recordOutcomes := func(status, times int) {
 		for range times {
 			now = now.Add(time.Millisecond)
-			g.recordOutcome(t.Context(), &Result{Outcome: outcome.Done(), Status: status})
+			g.recordOutcome(t.Context(), &Result{Outcome: outcome.ResponseComplete(), Status: status})
 		}
 	}
 	recordOutcomes(http.StatusOK, 20)
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -46,7 +46,7 @@
 	scope := tally.NewTestScope("", nil)
 	m := newMetrics(scope)
 	for i := range 3 * maxTimers {
-		m.recordResponse("b", fmt.Sprint("route", i), outcome.Done(), time.Millisecond)
+		m.recordResponse("b", fmt.Sprint("route", i), outcome.ResponseComplete(), time.Millisecond)
 	}
 	counts := timerCounts(scope)
 	require.Len(t, counts, maxTimers+1)
--- a/sidecar/options.go
+++ b/sidecar/options.go
@@ -145,18 +145,18 @@
 	// Receive offers a document and reports whether it is a valid configuration. origin names
 	// the origin of the document in log lines.
 	Receive(raw []byte, origin string) bool
-	// StoreReachable is called after each call to the store. ok states whether that call
+	// RecordStoreCall is called after each call to the store. ok states whether that call
 	// succeeded.
-	StoreReachable(ok bool)
-	// AwaitTurn blocks until this daemon is elected to read from the store. It returns an error if
+	RecordStoreCall(ok bool)
+	// AwaitElection blocks until this daemon is elected to read from the store. It returns an error if
 	// the context ends first.
-	AwaitTurn(ctx context.Context) error
+	AwaitElection(ctx context.Context) error
 }
 
 // Source reads the configuration from its store.
 type Source interface {
 	// Watch passes every document that it reads to the consumer until the context ends. It calls
-	// AwaitTurn before each call to the store, and StoreReachable after it.
+	// AwaitElection before each call to the store, and RecordStoreCall after it.
 	Watch(ctx context.Context, c ConfigConsumer) error
 	// Decode parses a document as Watch passes it to the consumer.
 	Decode(raw []byte) (route.Document, error)
--- a/sidecar/retries.go
+++ b/sidecar/retries.go
@@ -61,7 +61,7 @@
 	defer r.mu.Unlock()
 	r.window.SetSlack(r.slack / float64(max(daemonCount, 1)))
 	r.window.SetShare(budgetShareAfterStarts(startedFraction))
-	return r.window.Take(now, n)
+	return r.window.TryCharge(now, n)
 }
 
 // budgetShareAfterStarts returns the share of the budget that may be used while startedFraction
--- a/sidecar/run.go
+++ b/sidecar/run.go
@@ -156,7 +156,7 @@
 	case !info.Intact:
 		return unknownResult(outcome.ReasonTruncated)
 	}
-	return &Result{Outcome: outcome.Done(), Status: reply.Status, Header: endToEndHeaders(reply.Header), Body: reply.Body, Delivered: true}
+	return &Result{Outcome: outcome.ResponseComplete(), Status: reply.Status, Header: endToEndHeaders(reply.Header), Body: reply.Body, Delivered: true}
 }
 
 // handleWrongUpstream is called when a different upstream, with the id respondingID, has
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -37,7 +37,7 @@
 	if f.startedCount == 0 {
 		f.entry.daemon.metrics.recordStage(stageChoose, f.request.service, now.Sub(f.request.startedAt))
 	}
-	f.entry.daemon.metrics.recordStage(stageLoadAge, f.request.service, attempt.choice.Age)
+	f.entry.daemon.metrics.recordStage(stageLoadAge, f.request.service, attempt.choice.LoadAge)
 	f.startedCount++
 	f.inFlight = append(f.inFlight, attempt)
 	c := &Call{
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -108,9 +108,9 @@
 		h.store.PutConfig(h.configLocked())
 		return
 	}
-	h.store.Fail(storeFaults[f.Mode])
+	h.store.SetFault(storeFaults[f.Mode])
 	time.Sleep(f.Duration)
-	h.store.Fail(platformtest.StoreHealthy)
+	h.store.SetFault(platformtest.StoreHealthy)
 }
 
 // injectUpstreamFault makes the upstream of a VM fail partialFailureShare of its requests for the
@@ -121,11 +121,11 @@
 		share, affected = 1, h.vms
 	}
 	for _, m := range affected {
-		m.upstream.Fail(platformtest.UpstreamFault(f.Mode), share)
+		m.upstream.SetFault(platformtest.UpstreamFault(f.Mode), share)
 	}
 	time.Sleep(f.Duration)
 	for _, m := range affected {
-		m.upstream.Fail(platformtest.UpstreamHealthy, 0)
+		m.upstream.SetFault(platformtest.UpstreamHealthy, 0)
 	}
 }
 
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -18,7 +18,7 @@
 	c := NewOutcomeCounter(m.Scope.SubScope("entry"), "requests")
 	c.Count(outcome.NotRunBecause(outcome.ReasonQueueFull))
 	c.Count(outcome.NotRunBecause(outcome.ReasonQueueFull))
-	c.Count(outcome.Done())
+	c.Count(outcome.ResponseComplete())
 	require.NoError(t, m.Close(), "Close must report pending values")
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -93,7 +93,7 @@
 	ctx, span := Start(ctx, "attempt")
 	span.SetCallAttributes(call)
 	Inject(ctx, call.Header)
-	span.End(outcome.Done())
+	span.End(outcome.ResponseComplete())
 }
 
 func TestUntracedAttemptAllocatesNothing(t *testing.T) {
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -83,7 +83,7 @@
 		require.ErrorIs(t, err, ErrIDMismatch)
 		got, err := ReadResult(recorder.Result(), "id-1")
 		require.NoError(t, err)
-		require.Equal(t, outcome.Done(), got.Outcome)
+		require.Equal(t, outcome.ResponseComplete(), got.Outcome)
 		require.Equal(t, resp.StatusCode, got.Status)
 		body, err := io.ReadAll(got.Body)
 		require.NoError(t, err)
--- a/wire/http.go
+++ b/wire/http.go
@@ -35,7 +35,7 @@
 // Answered. The trailers are set once the body has been read to io.EOF.
 func ResultFromResponse(resp *http.Response) *Result {
 	r := &Result{
-		Outcome:       outcome.Done(),
+		Outcome:       outcome.ResponseComplete(),
 		Status:        resp.StatusCode,
 		Header:        resp.Header,
 		ContentLength: resp.ContentLength,
