--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -49,11 +49,11 @@
 // callers that share the upstream's slots with other groups by weight.
 type Group struct {
 	Name model.GroupName
-	// Weight is proportional to the slot time that the group gets while all groups have
-	// waiting requests. Slot time is the time that requests hold slots. Groups of weight
-	// 0 come last. Their requests start only when no group with a weight above 0 has a
-	// request that may start. Very small weights count as more; see
-	// fairqueue.MinWeightRatio.
+	// Weight is the group's share of slot time relative to the other groups: while all
+	// groups have waiting requests, each gets slot time in proportion to its weight.
+	// Slot time is the time that requests hold slots. Groups of weight 0 come last.
+	// Their requests start only when no group with a weight above 0 has a request that
+	// may start. Very small weights count as more; see fairqueue.MinWeightRatio.
 	Weight float64
 	// QueueBound is the largest number of waiting requests of the group.
 	QueueBound int
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -187,7 +187,8 @@
 func (c *Controller) limit() int { return max(c.limiter.Limit(), 1) }
 
 // startWaiting refuses expired requests and starts waiting requests while slots
-// are free. It refuses a request that cannotEndInTime reports, instead of starting it.
+// are free. When the turn of a request comes and cannotEndInTime returns true for it,
+// startWaiting refuses the request instead of starting it.
 func (c *Controller) startWaiting(now model.Instant, effects []Effect) []Effect {
 	effects = c.Expire(now, effects)
 	for c.queue.Running() < c.limit() {
--- a/core/claims/answer.go
+++ b/core/claims/answer.go
@@ -53,8 +53,8 @@
 }
 
 // retain stores the answer of a claim and evicts older answers to stay within the
-// limits. It returns false if the answer is not stored in the end, because it exceeds
-// a limit by itself or was the one to be evicted.
+// limits. It returns false if the answer alone exceeds a limit. It also returns false
+// if the answer was itself evicted to stay within the limits.
 func (ac *answerCache) retain(c *claim, a *Answer) bool {
 	size := a.Size()
 	if size > ac.maxGroupBytes || size > ac.maxTotalBytes {
--- a/core/fairqueue/charge.go
+++ b/core/fairqueue/charge.go
@@ -166,9 +166,9 @@
 func (q *Queue) MeanSlotTime() time.Duration { return time.Duration(q.slotTimeEstimator.mean) }
 
 // EstimateAhead estimates how many of the waiting requests would start before a
-// new request of the given group. These are all waiting requests of the group itself,
-// and the requests of the other groups that start, by the weights, until the new request
-// starts. For a group of weight zero, these are all waiting requests of all groups.
+// new request of the given group. All waiting requests of the group itself start before it.
+// How many requests of the other groups start before it follows from the weights. For a
+// group of weight zero, the result is the number of waiting requests of all groups.
 func (q *Queue) EstimateAhead(name model.GroupName) int {
 	weight, ownWaiting := q.minWeight, 0
 	if g := q.findGroup(name); g != nil {
--- a/core/fairqueue/doc.go
+++ b/core/fairqueue/doc.go
@@ -28,8 +28,8 @@
 // class has a request that may start.
 //
 // A group may have a limit on its running requests, so that the long requests
-// of one group never hold all slots. A slot stays idle while requests wait only if such
-// limits hold back all waiting requests.
+// of one group never hold all slots. While requests wait, a slot stays idle only if such
+// limits hold back all of them.
 //
 // Every operation costs O(log groups + log waiting) and allocates nothing once
 // the queue has reached its working size.
--- a/core/fairqueue/groups.go
+++ b/core/fairqueue/groups.go
@@ -9,10 +9,11 @@
 // GroupConfig is the configuration of one group.
 type GroupConfig struct {
 	Group model.GroupName
-	// Weight is proportional to the slot time that the group gets while all groups have
-	// waiting requests. A weight of zero or below puts the group into the background
-	// class. Its requests start only when no group of the foreground class has a request
-	// that may start. Very small weights count as more; see MinWeightRatio.
+	// Weight is the group's share of slot time relative to the other groups: while all
+	// groups have waiting requests, each gets slot time in proportion to its weight. A
+	// weight of zero or below puts the group into the background class. Its requests
+	// start only when no group of the foreground class has a request that may start.
+	// Very small weights count as more; see MinWeightRatio.
 	Weight float64
 	// QueueBound is the largest number of waiting requests. Default:
 	// Options.QueueBound.
--- a/core/lifecycle/lifecycle.go
+++ b/core/lifecycle/lifecycle.go
@@ -109,7 +109,7 @@
 
 // Observe applies a report and returns its effect. It ignores a stale report.
 func (t *Tracker) Observe(r Report) Effect {
-	// An incarnation that has departed can only still become Gone.
+	// Once an incarnation has departed, only the state Gone is accepted for it.
 	if t.hasDeparted(r.Incarnation) && r.State < Gone {
 		return Stale
 	}
--- a/core/measure/trust.go
+++ b/core/measure/trust.go
@@ -33,9 +33,9 @@
 	initialWeight = 0.5
 	// agreementGain is added to the weight after a report that agrees with the observation.
 	agreementGain = 0.1
-	// contradictedFactor is the factor by which a contradicted report reduces the weight.
+	// contradictedFactor is what the weight is multiplied by after a contradicted report.
 	contradictedFactor = 0.5
-	// unsupportedFactor is the factor by which an unsupported report reduces the weight.
+	// unsupportedFactor is what the weight is multiplied by after an unsupported report.
 	unsupportedFactor = 0.8
 	// maxExternalShare is the largest share of the slots that can count as occupied by
 	// requests from elsewhere. A false report thus never makes an upstream look full.
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -197,7 +197,7 @@
 // isOldTombstone reports whether the event is a tombstone (the event of an
 // upstream that has left) older than half of TombstoneRetention. The daemons that hold
 // such a tombstone will delete it soon. A daemon that does not hold the tombstone does
-// not store it, because it would then only take longer until no daemon holds it.
+// not store it: storing it would only delay the time when no daemon holds it any more.
 func (d *Directory) isOldTombstone(e Event) bool {
 	return e.State == Left && d.wallSeconds > 0 && time.Duration(d.wallSeconds-e.Unix)*time.Second > d.opts.TombstoneRetention/2
 }
--- a/core/policy/document.go
+++ b/core/policy/document.go
@@ -106,11 +106,12 @@
 	// Callers is a Selector for the labels of callers. Here, an empty selector
 	// selects no caller. It is allowed only for the default group.
 	Callers string `json:"callers"`
-	// Weight is proportional to the slot time that the group gets while all groups have
-	// waiting requests. Slot time is the time that requests hold the slots of an
-	// upstream. The weight is at least 0. Groups of weight 0 come last. Their requests
-	// start only when no group with a weight above 0 has a request that may start. Very
-	// small weights count as more; see fairqueue.MinWeightRatio.
+	// Weight is the group's share of slot time relative to the other groups: while all
+	// groups have waiting requests, each gets slot time in proportion to its weight.
+	// Slot time is the time that requests hold the slots of an upstream. The weight is
+	// at least 0. Groups of weight 0 come last. Their requests start only when no group
+	// with a weight above 0 has a request that may start. Very small weights count as
+	// more; see fairqueue.MinWeightRatio.
 	Weight float64 `json:"weight"`
 	// QueueBound is the largest number of the group's requests that wait at one
 	// upstream. Default: 128.
--- a/core/routing/candidate.go
+++ b/core/routing/candidate.go
@@ -135,8 +135,8 @@
 	c.unansweredCount++
 }
 
-// recordReply records that a reply from the upstream was received: one request is no longer in
-// flight, and the silence ends.
+// recordReply records that a reply from the upstream was received. One request is then no longer
+// in flight. If other requests are still in flight, a new silence begins now.
 func (c *candidate) recordReply(now model.Instant) {
 	c.inFlight = max(c.inFlight-1, 0)
 	c.unansweredCount = 0
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -49,8 +49,8 @@
 type Stats struct {
 	// Picks counts placements. A request is placed again after each rejection.
 	Picks uint64
-	// Rejections counts placements after which the guard withdrew the request from its queue,
-	// usually because its queue timeout had expired.
+	// Rejections counts placements after which the guard withdrew the request from the queue.
+	// The usual cause is that the queue timeout had expired.
 	Rejections uint64
 	// CrossZone counts placements in another zone than the entry's.
 	CrossZone uint64
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -16,9 +16,9 @@
 // refused early. Among the requests that can no longer meet their targets, the one that
 // should have started earliest comes first.
 //
-// To prevent starvation, every eighth start goes to the last rank, the highest rank of which a
-// request is waiting. A request that can no longer complete before its deadline is refused at
-// once. Its response would come too late for its caller.
+// To prevent starvation, every eighth start goes to the last rank. This is the largest rank
+// among the waiting requests. A request that can no longer complete before its deadline is
+// refused at once. Its response would come too late for its caller.
 package slots
 
 import (
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -100,8 +100,8 @@
 }
 
 // statusByReason holds the HTTP status of the reasons whose status does not depend on
-// the kind of the outcome. Most of these statuses are more specific than 502 and 503,
-// the statuses of all other reasons; see statusOf.
+// the kind of the outcome. All other reasons have status 502 or 503 (see statusOf). Most
+// of the statuses here are more specific than these two.
 var statusByReason = map[outcome.Reason]int{
 	outcome.ReasonNoService:        http.StatusNotFound,
 	outcome.ReasonUnauthenticated:  http.StatusUnauthorized,
