--- a/core/claims/doc.go
+++ b/core/claims/doc.go
@@ -12,10 +12,9 @@
 // An owner is one incarnation of a daemon, that is, one run of its process. Each
 // daemon builds a Ledger from the log. For each key that an owner accepts, it stores a
 // claim: the record that the key was used, and the outcome of its request. An owner
-// accepts a key only if its Ledger shows that it owns the interval
-// that contains the key's timestamp. This check reads no clock, so a pause, a
-// delayed packet or a lost reply cannot lead to two owners that accept the same
-// key.
+// accepts a key only if its Ledger shows that it owns the interval that contains the
+// key's timestamp. This check reads no clock, so a pause, a delayed packet or a lost
+// reply cannot lead to two owners that accept the same key.
 //
 // An interval is never taken away from its owner. Only the owner can pass the
 // interval on: it seals its Table, hands its claims over to a successor and appends
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -30,7 +30,7 @@
 	// at the limit and uncontended samples.
 	comparedQuantile = 0.1
 	// shrinkRatio is the ratio above which the limit is lowered (see shrinkAfterWindows). The
-	// ratio is the comparedQuantile of the samples at the limit divided by that of the
+	// ratio is the quantile comparedQuantile of the samples at the limit divided by that of the
 	// uncontended samples.
 	shrinkRatio = 1.5
 	// growRatio is the ratio, as defined at shrinkRatio, below which the limit is raised at
@@ -196,7 +196,7 @@
 	}
 }
 
-// lowQuantile returns the comparedQuantile of the samples. It sorts samples in place.
+// lowQuantile returns the quantile comparedQuantile of the samples. It sorts samples in place.
 func lowQuantile(samples []float64) float64 {
 	slices.Sort(samples)
 	return samples[int(comparedQuantile*float64(len(samples)))]
@@ -218,7 +218,7 @@
 	r.n = min(r.n+1, uncontendedRingSize)
 }
 
-// lowQuantile returns the comparedQuantile of the stored slot times.
+// lowQuantile returns the quantile comparedQuantile of the stored slot times.
 func (r *ring) lowQuantile() float64 {
 	sorted := r.samples
 	return lowQuantile(sorted[:r.n])
--- a/core/routing/hedge.go
+++ b/core/routing/hedge.go
@@ -42,7 +42,7 @@
 	tokens float64
 }
 
-// quantileEstimate is a running estimate of the hedgeQuantile of the latencies added to
+// quantileEstimate is a running estimate of the quantile hedgeQuantile of the latencies added to
 // it, in nanoseconds.
 type quantileEstimate struct {
 	value float64
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -40,7 +40,7 @@
 }
 
 // Rejected reports whether the guard rejected the request, without running it, because
-// its queue timeout had expired. o is the outcome of the attempt.
+// the queue timeout had expired. o is the outcome of the attempt.
 func (c Choice) Rejected(o outcome.Outcome) bool {
 	return c.QueueTimeout >= 0 && o.Kind == outcome.NotRun && o.Reason == outcome.ReasonWithdrawn
 }
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -66,10 +66,9 @@
 }
 
 // backoff returns how long to wait before a retry, and whether the retry is allowed.
-// retryNumber is 1 for the first retry of the request.
-// o is the outcome of the attempt before the retry. If o.FreeToRetry reports true, the
-// attempt put no load on any upstream. The retry then needs no budget and is allowed
-// until the deadline.
+// retryNumber is 1 for the first retry of the request. o is the outcome of the attempt
+// before the retry. If o.FreeToRetry reports true, the attempt put no load on any
+// upstream. The retry then needs no budget and is allowed until the deadline.
 func (r *retryBudgets) backoff(req *request, retryNumber int, o outcome.Outcome) (time.Duration, bool) {
 	if o.FreeToRetry() {
 		return 0, req.deadline > r.now()
