--- a/cmd/internal/hangup/early_cgo.go
+++ b/cmd/internal/hangup/early_cgo.go
@@ -18,6 +18,6 @@
 */
 import "C"
 
-// restore restores the inherited action of SIGHUP. signal.Reset cannot do this. It restores the
-// action that the runtime found when it started, which ignore_hangup had already set to "ignore".
+// restore restores the inherited action of SIGHUP. signal.Reset cannot do this, because it restores
+// the action that the runtime found when it started. ignore_hangup had already set that to "ignore".
 func restore() { C.restore_hangup() }
--- a/daemon/stall.go
+++ b/daemon/stall.go
@@ -92,7 +92,8 @@
 // extendDeadlines sets the deadline of the next write to one timeout from now. If the
 // handler has not read the request body to its end, net/http reads the rest of the body
 // before the first write. extendDeadlines then sets the read deadline to one timeout from
-// now, and the write deadline to two timeouts from now.
+// now. It sets the write deadline to two timeouts from now, because that read may take up
+// to one timeout itself.
 func (w *limitedWriter) extendDeadlines() {
 	timeout := w.limiter.timeout
 	if w.body != nil && w.body.extendReadDeadline() {
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -73,7 +73,7 @@
 // arrive submits an attempt to the admission controller. If the attempt was meant for
 // another incarnation of the upstream, arrive returns it unexecuted to the entry. An
 // attempt that has to wait is rejected at once if its queue timeout is 0. Otherwise arrive
-// schedules the end of its wait, at the queue timeout or the deadline.
+// schedules the end of its wait, at the queue timeout or the deadline, whichever is earlier.
 func (g *guard) arrive(a *attempt) {
 	if a.incarnation != g.upstream.Incarnation {
 		g.sendReply(a, outcome.NotRunBecause(outcome.ReasonNoUpstream), false)
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -169,8 +169,9 @@
 	return ups
 }
 
-// drawSpeeds draws the speed of an upstream at each tick. It is 1 without a noisy neighbour.
-// The result covers twice the given ticks, as requests may complete after the last arrival.
+// drawSpeeds draws the speed of an upstream at each tick. The upstream has a noisy neighbour
+// for noiseShare of the time, on average. Otherwise its speed is 1. The result covers twice
+// the given ticks, as requests may complete after the last arrival.
 func drawSpeeds(rng *rand.Rand, noiseShare float64, ticks int) []float64 {
 	speeds := make([]float64, 2*ticks)
 	phaseTicks, speed := rng.IntN(noisePeriodTicks), 1.0
--- a/sidecar/choose.go
+++ b/sidecar/choose.go
@@ -102,9 +102,8 @@
 
 // hedge sends an idempotent request to a second upstream. It does so only if exactly one attempt
 // is in flight, the second upstream is expected to respond in time, and both maxAttempts and the
-// retry budget allow another attempt. Normally, in time means within the
-// target latency. If the route has no target, or the first hedge timer has fired already, it
-// means within the deadline.
+// retry budget allow another attempt. Normally, in time means within the target latency. If the
+// route has no target, or the first hedge timer has fired already, it means within the deadline.
 func (f *forwarder) hedge() {
 	if !f.request.route.Idempotent || len(f.inFlight) != 1 || f.deliveredCount+1 >= f.request.maxAttempts() {
 		return
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -29,7 +29,8 @@
 	ReportRejected(id string, err error)
 }
 
-// Daemon is the daemon that the package comment describes. New creates it and Serve runs it.
+// Daemon holds the entry, the guard and the other components of the daemon of one VM. New creates
+// it and Serve runs it.
 type Daemon struct {
 	opts        Options
 	tunables    atomic.Pointer[Tunables]
@@ -239,8 +240,9 @@
 	// discoveryWait bounds how long a starting daemon waits for the first exchange with another
 	// daemon. After the wait, it asks the local upstream for its identity.
 	discoveryWait = 500 * time.Millisecond
-	// readinessWait bounds a separate wait, at the same time, for the same exchange. After it, the
-	// starting daemon is ready as soon as a configuration is in force.
+	// readinessWait bounds how long a starting daemon that has had no exchange with another daemon
+	// is not ready. After the first exchange or this time, the daemon is ready as soon as a
+	// configuration is in force.
 	readinessWait = 1500 * time.Millisecond
 	// restartBackoff is the pause before a component that keeps failing is restarted.
 	restartBackoff = time.Second
@@ -262,9 +264,9 @@
 	componentStopTimeout = 150 * time.Millisecond
 	// logFlushTimeout bounds the wait for log lines to be written at the end.
 	logFlushTimeout = 100 * time.Millisecond
-	// refusalPeriod is how long the daemon waits, after it has stopped forwarding and if the grace
-	// period allows, before it may close the connections. Requests that arrive in this time are
-	// refused. Their senders then learn that the requests have not run.
+	// refusalPeriod is the shortest time between the end of forwarding and the closing of the
+	// connections. It is cut short at the end of the grace period. Requests that arrive in this
+	// time are refused. Their senders then learn that the requests have not run.
 	refusalPeriod = 50 * time.Millisecond
 	// closedConnLogWait bounds the wait, after all connections have been closed, for the log
 	// lines of requests that got no response.
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -319,8 +319,9 @@
 	return left
 }
 
-// refreshCandidates updates the candidates of a service and removes all others from s.responded
-// if the records or the reachability of daemons have changed since the last update. s.mu is held.
+// refreshCandidates updates the candidates of a service if the records or the reachability of
+// daemons have changed since the last update. It then removes the keys of former candidates from
+// s.responded. s.mu is held.
 func (e *entry) refreshCandidates(s *serviceState, name model.ServiceName) {
 	generation := e.daemon.peers.currentGeneration()
 	if s.candidatesLoaded && generation == s.candidatesGeneration {
@@ -345,9 +346,11 @@
 const (
 	// defaultServiceTime is assumed for a route without a known service time.
 	defaultServiceTime = 50 * time.Millisecond
-	// serviceTimeWeight is the weight of the newest request in the mean of about 16 requests.
+	// serviceTimeWeight is the weight of the newest request in the mean service time of a route.
+	// The mean covers about 16 requests.
 	serviceTimeWeight = 1.0 / 16
-	// maxServiceTimes limits the kept service times. All are discarded before one more is added.
+	// maxServiceTimes limits the number of routes whose service time is kept. All service times are
+	// discarded before that of one more route is added.
 	maxServiceTimes = 4096
 	// serviceTimeMaxAge is how long after its last update a service time is used unchanged.
 	// Upstreams may have been slow when the service time was measured. It may then exceed the
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -36,9 +36,8 @@
 	// slowdownMaxAge is how long a slowdown that the upstream reported is used unchanged.
 	slowdownMaxAge = time.Second
 	// slowdownHalfLife is the time in which a slowdown that is older than slowdownMaxAge moves
-	// halfway to 1.
-	// Without this decay, a slowdown that causes every call to be rejected would never be
-	// corrected, because no response would report a new one.
+	// halfway to 1. Without this decay, a slowdown that causes every call to be rejected would
+	// never be corrected, because no response would report a new one.
 	slowdownHalfLife = 500 * time.Millisecond
 )
 
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -72,6 +72,7 @@
 // Except at the first start of the whole system, the entries are also read before the write. If
 // they include an entry of this daemon, which its previous incarnation wrote, that entry is still
 // valid and is not written again. After a failure, announceWithRetries calls announceAndList again.
+// If the write has succeeded by then, only the reading is repeated.
 func (j *joiner) announceAndList(ctx context.Context) error {
 	var err error
 	if !j.hasEntry && !j.d.opts.Bootstrap {
