--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -240,9 +240,9 @@
 	// discoveryWait bounds how long a starting daemon waits for the first exchange with another
 	// daemon. After the wait, it asks the local upstream for its identity.
 	discoveryWait = 500 * time.Millisecond
-	// readinessWait bounds how long a starting daemon that has had no exchange with another daemon
-	// is not ready. After the first exchange or this time, the daemon is ready as soon as a
-	// configuration is in force.
+	// readinessWait bounds how long a starting daemon waits for the first exchange with another
+	// daemon before it becomes ready. This wait begins at the same time as that of discoveryWait.
+	// After it, the daemon is ready as soon as a configuration is in force.
 	readinessWait = 1500 * time.Millisecond
 	// restartBackoff is the pause before a component that keeps failing is restarted.
 	restartBackoff = time.Second
