--- a/admin/admin.go
+++ b/admin/admin.go
@@ -14,7 +14,8 @@
 const (
 	// timeout bounds one request with its response.
 	timeout = 5 * time.Second
-	// maxResponseBytes bounds the body of a response.
+	// maxResponseBytes bounds the part of a response body that is read. A longer
+	// JSON value fails to decode.
 	maxResponseBytes = 64 << 20
 )
 
@@ -27,7 +28,7 @@
 }
 
 // Get requests a path at a daemon's admin address (host:port) and decodes the
-// JSON response into v.
+// JSON response into v. A status other than 200 is an error.
 func Get(ctx context.Context, address, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -29,6 +29,8 @@
 	return []byte(b.String())
 }
 
+// TestEncodeApply checks that Apply restores the target from each delta, and that
+// the delta of a small change is small.
 func TestEncodeApply(t *testing.T) {
 	const routeCount = 1600
 	for name, c := range map[string]struct {
@@ -79,9 +81,9 @@
 	require.ErrorIs(t, err, ErrTooLarge)
 }
 
-// TestCorruptDeltaNeverYieldsWrongDocument applies deltas in which a byte is
-// changed and the end is cut off. The result must be an error or the document
-// that was encoded. A delta cut to no bytes is not checked, because Apply returns
+// TestCorruptDeltaNeverYieldsWrongDocument applies deltas in which one byte is
+// changed and any number of bytes, possibly none, is cut off at the end. The result
+// must be an error or the document that was encoded. A delta cut to no bytes is not checked, because Apply returns
 // an empty document for it.
 func TestCorruptDeltaNeverYieldsWrongDocument(t *testing.T) {
 	base, target := routesDocument(1, 50, nil), routesDocument(2, 50, map[int]string{3: "other"})
@@ -98,8 +100,8 @@
 	})
 }
 
-// BenchmarkDelta encodes and applies the change of one route. It does the same
-// with a whole document, for a receiver without a base.
+// BenchmarkDelta encodes and applies the change of one route and, for a receiver
+// without a base, the whole document.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{120, 1600} {
 		base, target := routesDocument(1, n, nil), routesDocument(2, n, map[int]string{n / 2: "other"})
--- a/exitcode/exitcode.go
+++ b/exitcode/exitcode.go
@@ -7,7 +7,8 @@
 
 // Exit codes. Success is 0.
 const (
-	// Failure stands for any error whose type has no ExitCode method.
+	// Failure stands for any error that neither has an ExitCode method nor wraps an
+	// error with one.
 	Failure = 1
 	// Usage stands for an invalid flag, argument, settings file or input file.
 	Usage = 2
--- a/hop/client.go
+++ b/hop/client.go
@@ -16,7 +16,8 @@
 
 // Options configure a Client.
 type Options struct {
-	// MaxConns limits the connections to one address. Default: 256.
+	// MaxConns limits the connections to one address. An attempt waits while all
+	// of them are in use. Default: 256.
 	MaxConns int
 	// MaxIdleConns limits the idle connections to one address. Default: 32.
 	MaxIdleConns int
@@ -26,9 +27,11 @@
 	// Dial connects to an address and does the TLS handshake, if any. Default:
 	// plain TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialTimeout limits the time to connect. Default: 1s.
+	// DialTimeout limits the time to connect with the default Dial. It has no
+	// effect if Dial is set. Default: 1s.
 	DialTimeout time.Duration
-	// MaxHeaderBytes limits the size of response headers. Default: 64 KiB.
+	// MaxHeaderBytes limits the size of the headers of one response. The attempt
+	// fails if they are larger. Default: 64 KiB.
 	MaxHeaderBytes int64
 }
 
@@ -38,7 +41,9 @@
 	defaultIdleTimeout    = 30 * time.Second
 	defaultDialTimeout    = time.Second
 	defaultMaxHeaderBytes = 64 << 10
-	bufferSize            = 4 << 10
+	// bufferSize is the size in bytes of a buffer for reading from or writing to
+	// a connection.
+	bufferSize = 4 << 10
 )
 
 // Client sends attempts to any number of addresses. An attempt is one try to
@@ -117,7 +122,7 @@
 
 // Do sends the attempt once. On success it returns the response and the outcome
 // Answered; the caller must close the response body. On failure the outcome is
-// NotRun if no byte was written, and Unknown otherwise.
+// NotRun if no byte of the attempt was written, and Unknown otherwise.
 func (c *Client) Do(ctx context.Context, r Request) (*http.Response, outcome.Outcome, error) {
 	target, err := url.ParseRequestURI(r.Target)
 	if err != nil {
@@ -201,6 +206,7 @@
 	return outcome.UnknownBecause(reason)
 }
 
+// reasonOf returns the outcome reason for an error of the Transport.
 func reasonOf(err error) outcome.Reason {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
--- a/hop/conn.go
+++ b/hop/conn.go
@@ -81,7 +81,8 @@
 	return true
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It fails with errSealed on a sealed connection, and
+// when the check for unread bytes seals the connection.
 func (c *countingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -21,13 +21,14 @@
 	Header http.Header
 	Body   []byte
 	// MaxIdleTime limits how long the connection used for the request may have
-	// been idle. Zero allows any idle connection that the Pool still keeps. A
-	// negative value requires a new connection.
+	// been idle. With zero, only the idle timeout of the Pool limits it. A negative
+	// value requires a new connection.
 	MaxIdleTime time.Duration
 	// Accept reports whether a response belongs to this request. Other
 	// responses are read and discarded. Nil accepts every response.
 	Accept func(*http.Response) bool
-	// OnInformational, if set, is called for each informational (1xx) response.
+	// OnInformational, if set, is called for each informational (1xx) response
+	// other than 101 (Switching Protocols).
 	OnInformational func()
 }
 
@@ -128,6 +129,8 @@
 		c.reusable = false
 	}
 	if !stop() {
+		// The context has ended, so the function passed to AfterFunc closes the
+		// connection.
 		c.reusable = false
 	}
 	return resp, nil
@@ -145,8 +148,8 @@
 
 // send writes the request. It writes a body larger than maxInlineBody in the
 // background. The channel receives the result of writing the body: nil when the
-// whole request is written, or an error. The second result is the error of the
-// bytes that send writes before it returns.
+// whole request is written, or an error. The error that send returns concerns only
+// the writes that it does before it returns.
 func (c *pooledConn) send(r *PoolRequest) (<-chan error, error) {
 	writeDone := make(chan error, 1)
 	head := r.encodeHead()
@@ -199,9 +202,9 @@
 	return nil, errNoMatchingResponse
 }
 
-// readResponse reads the status line and the headers of the next final
-// response. It calls r.OnInformational for each informational (1xx) response
-// before the final one.
+// readResponse reads the status line and the headers of the next final response.
+// A response with status 101 (Switching Protocols) counts as final. For each
+// earlier informational (1xx) response it calls r.OnInformational.
 func (c *pooledConn) readResponse(r *PoolRequest) (*http.Response, error) {
 	defer c.headLimiter.clearLimit()
 	for {
@@ -246,8 +249,8 @@
 	}
 }
 
-// parseKeepAlive returns the timeout parameter of a Keep-Alive header. It
-// reports false if the header has no valid timeout.
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header, which is a
+// whole number of seconds. It reports false if the header has no valid timeout.
 func parseKeepAlive(header string) (time.Duration, bool) {
 	for _, field := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -16,13 +16,15 @@
 type PoolOptions struct {
 	// DialTimeout limits the time to connect. Default: 1s.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept. A timeout that the
-	// server announces in a Keep-Alive header takes its place. Default: 8s.
+	// IdleTimeout is the idle timeout of a connection, unless the server announces
+	// another one in a Keep-Alive header. A connection is reused only during the
+	// first 70% of its idle timeout. Default: 8s.
 	IdleTimeout time.Duration
 	// TCPUserTimeout is how long sent bytes may stay unacknowledged before the
 	// connection is closed. Default: 1500ms.
 	TCPUserTimeout time.Duration
-	// MaxConns limits the open connections. Zero means no limit.
+	// MaxConns limits the open connections. Do fails while all of them are in use.
+	// Zero means no limit.
 	MaxConns int
 	// OnDial, if set, is called for each new connection.
 	OnDial func()
@@ -106,7 +108,9 @@
 	return resp, err
 }
 
-// get returns an idle connection that is still usable, or a new connection.
+// get returns an idle connection that can be reused, or else a new connection.
+// The values of maxIdle are those of PoolRequest.MaxIdleTime. Each idle connection
+// that get finds unusable is closed.
 func (p *Pool) get(ctx context.Context, maxIdle time.Duration) (*pooledConn, error) {
 	for maxIdle >= 0 {
 		c := p.popIdle()
@@ -174,7 +178,8 @@
 }
 
 // put returns a connection to the pool, or closes it if it cannot be reused.
-// The argument ok tells whether the last exchange on it succeeded.
+// The argument ok tells whether the exchange that has just ended on the connection
+// succeeded.
 func (p *Pool) put(c *pooledConn, ok bool) {
 	c.idleSince = time.Now()
 	if !ok || !c.reusable || c.unmatched || c.reader.Buffered() > 0 {
@@ -300,7 +305,8 @@
 // clearLimit removes the limit.
 func (h *headLimiter) clearLimit() { h.limited = false }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It fails with errHeadersTooLarge once the limit is
+// used up.
 func (h *headLimiter) Read(p []byte) (int, error) {
 	if !h.limited {
 		return h.source.Read(p)
--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -59,8 +59,8 @@
 	return s.accepted
 }
 
-// readRequestID reads one request and returns its Id header, or an empty string
-// when the connection is closed.
+// readRequestID reads one request and returns its Id header. It returns an empty
+// string when no request can be read, as on a closed connection.
 func readRequestID(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -75,7 +75,8 @@
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// echoIDs responds to every request with its Id.
+// echoIDs responds to every request with the Id of the request, until the
+// connection is closed.
 func echoIDs(c net.Conn, r *bufio.Reader) {
 	for id := readRequestID(r); id != ""; id = readRequestID(r) {
 		writeResponse(c, id, "body of "+id)
@@ -113,7 +114,7 @@
 	for name, c := range map[string]struct {
 		// first handles the first connection.
 		first func(c net.Conn, r *bufio.Reader)
-		// conns is the number of connections that two requests use.
+		// conns is the number of connections that the two requests use together.
 		conns int
 	}{
 		"second response at once": {func(c net.Conn, r *bufio.Reader) {
@@ -244,6 +245,8 @@
 	require.Equal(t, 2, s.connections())
 }
 
+// TestPoolMaxIdleTime checks that a request reuses a connection only if that was
+// idle for at most MaxIdleTime, and never if MaxIdleTime is negative.
 func TestPoolMaxIdleTime(t *testing.T) {
 	s := startScriptedServer(t, echoIDs)
 	p := NewPool(s.address, PoolOptions{})
@@ -316,6 +319,8 @@
 	require.Equal(t, 2, s.connections())
 }
 
+// TestPoolMaxConns checks that a request fails at once while another one uses the
+// only connection that MaxConns allows.
 func TestPoolMaxConns(t *testing.T) {
 	s := startScriptedServer(t, func(c net.Conn, r *bufio.Reader) { readRequestID(r); waitForClose(c) })
 	p := NewPool(s.address, PoolOptions{MaxConns: 1})
--- a/hop/replay.go
+++ b/hop/replay.go
@@ -49,7 +49,8 @@
 }
 
 // setReplayable sets the body of a request as an ordinary client does, so that
-// the Transport can retry the request. It is used if Client.unprotected is set.
+// the Transport can retry the request. It sets no body unless the given one is a
+// *bytes.Reader. It is used only if Client.unprotected is set.
 func setReplayable(req *http.Request, body io.Reader) {
 	reader, ok := body.(*bytes.Reader)
 	if !ok {
--- a/hop/replay_test.go
+++ b/hop/replay_test.go
@@ -23,8 +23,8 @@
 	// received holds the requests for paths other than /warm, each with its
 	// body.
 	received []*http.Request
-	// drop drops a connection. Before that it may write the first byte of a
-	// response.
+	// drop closes or resets the connection of a request for another path than
+	// /warm.
 	drop func(net.Conn)
 }
 
@@ -83,8 +83,8 @@
 }
 
 // sendToDroppingServer sends one attempt over a reused connection, because the
-// Transport retries only there. It returns the requests that the server
-// received.
+// Transport retries only there. It checks that the outcome is Unknown, and returns
+// the requests that the server received, except that for /warm.
 func sendToDroppingServer(t *testing.T, c *Client, drop func(net.Conn), method string, body []byte) []*http.Request {
 	d := startDroppingServer(t, drop)
 	address := d.listener.Addr().String()
@@ -145,8 +145,9 @@
 	}
 }
 
-// TestContentLengthOfEmptyBody checks that requests without a body have a
-// Content-Length exactly if their method requires one.
+// TestContentLengthOfEmptyBody checks that a request without a body has a
+// Content-Length if and only if its method requires one, and never a
+// Transfer-Encoding.
 func TestContentLengthOfEmptyBody(t *testing.T) {
 	for method, want := range map[string]struct {
 		contentLength    string
--- a/hop/unsolicited_test.go
+++ b/hop/unsolicited_test.go
@@ -49,7 +49,8 @@
 // response that was left over from an earlier attempt on the same connection.
 // The Transport itself drops a connection with unread bytes, unless the next
 // attempt is sent before the Transport has noticed the bytes. The test therefore
-// needs many attempts.
+// needs many attempts. It also checks that the protection is needed: without it, an
+// attempt gets such a response in one of at most 100 rounds.
 func TestUnsolicitedResponseIsNotDelivered(t *testing.T) {
 	const attempts, rounds = 800, 100
 	require.Zero(t, countUnsolicited(t, NewClient(Options{}), attempts))
--- a/identity/caller.go
+++ b/identity/caller.go
@@ -8,7 +8,8 @@
 	"github.com/dottereltiller/dottereltiller/core/policy"
 )
 
-// CallerStore looks up callers by their credentials.
+// CallerStore looks up callers by their credentials. Its methods report false if
+// there is no such caller.
 type CallerStore interface {
 	// CallerByToken returns the caller to which a bearer token was issued.
 	CallerByToken(token string) (policy.Caller, bool)
--- a/identity/credentials.go
+++ b/identity/credentials.go
@@ -103,8 +103,8 @@
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // PeerDialer returns a function that connects to other daemons, with a timeout for
-// each connection. The other daemon's certificate must contain the IP address that
-// is dialed.
+// the dialing of each connection. The function uses plaintext if c is nil. With TLS,
+// the other daemon's certificate must contain the IP address that is dialed.
 func (c *Credentials) PeerDialer(timeout time.Duration) DialFunc {
 	dialer := &net.Dialer{Timeout: timeout}
 	if c == nil {
@@ -119,7 +119,7 @@
 }
 
 // CallerDialer returns a function with which a caller connects to daemons, with a
-// timeout for each connection. The function uses TLS when files names a
+// timeout for the dialing of each connection. The function uses TLS when files names a
 // certificate authority, otherwise plaintext. With TLS it sends the certificate
 // in files, if any, as client certificate. The path is the JSON path of files in
 // the settings, for error messages.
--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -53,7 +53,8 @@
 }
 
 // ClosedByServer reports whether the server has closed the connection of the
-// request with the given context. net/http itself reports the close only after
+// request with the given context. It returns false for a connection that no
+// listener of NewListener accepted. net/http itself reports the close only after
 // the handler has returned.
 func ClosedByServer(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*trackedConn)
@@ -61,8 +62,10 @@
 }
 
 // ClosedByClient reports whether the client has closed the connection of the
-// request with the given context. net/http cancels the context only after one
-// of its goroutines has read the close, which takes long on a busy processor.
+// request with the given context. It returns false for a connection that no
+// listener of NewListener accepted, and true if the state of the connection cannot
+// be read. net/http cancels the context only after one of its goroutines has read
+// the close, which takes long on a busy processor.
 func ClosedByClient(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*trackedConn)
 	if !ok {
--- a/inbound/conn_test.go
+++ b/inbound/conn_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// acceptConn opens a connection. It returns the client's end, and the context
-// that a request on the server's end has.
+// acceptConn opens a connection. It returns the context of a request that arrives
+// on the connection, and the client's end.
 func acceptConn(t *testing.T) (context.Context, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,8 +85,8 @@
 	require.False(t, ClosedByClient(t.Context()), "the context holds no connection")
 }
 
-// TestUntrackedConnectionsCountAsOpen checks contexts without a connection and
-// with one that no tracking listener accepted.
+// TestUntrackedConnectionsCountAsOpen calls ClosedByServer with a context without a
+// connection, and with a context whose connection no trackingListener accepted.
 func TestUntrackedConnectionsCountAsOpen(t *testing.T) {
 	require.False(t, ClosedByServer(t.Context()))
 	a, b := net.Pipe()
--- a/inbound/handler.go
+++ b/inbound/handler.go
@@ -15,8 +15,9 @@
 }
 
 // ReportPanics returns a handler that calls next. If next panics, the handler
-// calls onPanic before net/http closes the connection. It does not report
-// http.ErrAbortHandler, with which a handler closes the connection on purpose.
+// calls onPanic with the request and the panic value, and then has net/http close
+// the connection. It does not report http.ErrAbortHandler, with which a handler
+// closes the connection on purpose.
 func ReportPanics(next http.Handler, onPanic func(r *http.Request, v any)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -20,7 +20,8 @@
 // ErrNoFreeNetwork is returned when every network is in use.
 var ErrNoFreeNetwork = errors.New("loopback: all networks are in use")
 
-// ListenFirstFree listens in the first free one of n networks. It returns the
+// ListenFirstFree listens in the first free one of n networks. A network is free
+// if nobody listens on its address. ListenFirstFree returns the
 // listener and the number of that network, from 0 to n-1. It tries the networks
 // in order, beginning with number start modulo n. The function address returns
 // the address to listen on in a network. The error is ErrNoFreeNetwork or an
@@ -59,7 +60,8 @@
 }
 
 // OwnNetwork returns N of the network 127.N.0.0/16 of this process. The first
-// call claims the network; N is from 20 to 99. All tests share these networks.
+// call claims the network; N is from 20 to 99. All test processes claim theirs from
+// these 80 networks.
 // The error is that of ClaimNetwork.
 var OwnNetwork = sync.OnceValues(func() (int, error) {
 	const first, networks = 20, 80
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestClaimedNetworksDiffer claims several networks out of many.
+// TestClaimedNetworksDiffer claims 4 of 54 networks. They must differ from each
+// other.
 func TestClaimedNetworksDiffer(t *testing.T) {
 	const first, networks, claimed = 200, 54, 4
 	seen := map[int]bool{}
@@ -23,7 +24,8 @@
 	}
 }
 
-// TestAllNetworksInUse listens in every network, then once more. The addresses
+// TestAllNetworksInUse listens in every network. The next call must return
+// ErrNoFreeNetwork. The addresses
 // depend on the process ID, so that the test can run in several processes at
 // once.
 func TestAllNetworksInUse(t *testing.T) {
@@ -54,7 +56,8 @@
 	require.Equal(t, first, again)
 }
 
-// TestUnusedAddressesDiffer gets so many addresses that their third byte changes
+// TestUnusedAddressesDiffer checks that UnusedAddress returns different addresses,
+// and that nobody listens on them. It gets so many that their third byte changes
 // too.
 func TestUnusedAddressesDiffer(t *testing.T) {
 	const addresses = 600
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -7,17 +7,18 @@
 )
 
 // Backoff computes the wait before each retry of a call that keeps failing. The
-// zero value is ready to use and starts at DefaultMin. It is not safe for
+// zero value is ready to use and has the default bounds. A Backoff is not safe for
 // concurrent use.
 type Backoff struct {
-	// Min and Max bound the wait. Defaults: DefaultMin (100ms) and DefaultMax
-	// (3s).
+	// Min is the upper bound of the first wait, and Max that of every wait. A wait
+	// is at least half of its upper bound. Defaults: DefaultMin (100ms) and
+	// DefaultMax (3s).
 	Min, Max time.Duration
 	// failures counts the failures since the last success.
 	failures int
 }
 
-// Default bounds of the wait.
+// Defaults of Backoff.Min and Backoff.Max.
 const (
 	DefaultMin = 100 * time.Millisecond
 	DefaultMax = 3 * time.Second
--- a/peer/choose.go
+++ b/peer/choose.go
@@ -53,7 +53,8 @@
 }
 
 // chooseUnreachable returns a random unreachable peer with
-// unreachableProbability, otherwise none. e.mu is held.
+// unreachableProbability, otherwise none. The caller holds
+// e.mu.
 func (e *Exchanger) chooseUnreachable() []Peer {
 	if e.opts.Unreachable == nil || e.rng.Float64() >= unreachableProbability {
 		return nil
@@ -67,7 +68,8 @@
 
 // updateNeighbours chooses the neighbours again if the list of peers has
 // changed. If the list contains no other daemon, the neighbours are chosen from
-// the bootstrap peers. e.mu is held.
+// the bootstrap peers. The caller holds
+// e.mu.
 func (e *Exchanger) updateNeighbours(peers []Peer) {
 	if e.neighbours.chosenFrom != nil && sameSlice(e.neighbours.chosenFrom, peers) {
 		return
@@ -110,7 +112,7 @@
 	return slices.Clip(peers[:min(n, len(peers))])
 }
 
-// hashPair hashes the names of two daemons.
+// hashPair hashes the names of two daemons. Their order matters.
 func hashPair(a, b model.DaemonID) uint64 {
 	return xxhash.Sum64String(string(a) + "\x00" + string(b))
 }
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -98,10 +98,11 @@
 	byteBudget *rate.Limiter
 	// triggerLimiter limits the rate of triggered rounds.
 	triggerLimiter *rate.Limiter
-	// triggered holds a value while a triggered round is requested.
+	// triggered holds a value from the request for a triggered round until Serve
+	// takes the request.
 	triggered chan struct{}
 	metrics   metrics
-	// totalBytes is the result of TotalBytes.
+	// totalBytes counts the bytes of rounds; see TotalBytes.
 	totalBytes atomic.Int64
 
 	mu     sync.Mutex
@@ -110,7 +111,7 @@
 	// topicNames are the keys of topics in the order of registration.
 	topicNames []string
 	neighbours neighbours
-	// lastRound is the result of LastRound.
+	// lastRound is the time of the last successful round; see LastRound.
 	lastRound time.Time
 }
 
@@ -167,8 +168,9 @@
 	e.topicNames = append(e.topicNames, t.Name())
 }
 
-// TriggerRound requests a round at once, for an update that must not wait for
-// the next regular round.
+// TriggerRound requests a triggered round, for an update that must not wait for the
+// next regular round. The round starts after triggerDelay, unless the rate limit of
+// triggered rounds is exceeded. A request has no effect while another is pending.
 func (e *Exchanger) TriggerRound() {
 	select {
 	case e.triggered <- struct{}{}:
@@ -177,7 +179,7 @@
 }
 
 // LastRound returns the time of the last successful round, started by this
-// daemon or by a peer. It is zero before the first.
+// daemon or by a peer. It is zero before the first successful round.
 func (e *Exchanger) LastRound() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -188,7 +190,7 @@
 // estimate of the HTTP headers.
 func (e *Exchanger) TotalBytes() int64 { return e.totalBytes.Load() }
 
-// Serve runs rounds until the context ends.
+// Serve runs rounds until the context ends, and returns the error of the context.
 func (e *Exchanger) Serve(ctx context.Context) error {
 	timer := time.NewTimer(e.jitteredInterval())
 	defer timer.Stop()
--- a/peer/round.go
+++ b/peer/round.go
@@ -144,7 +144,7 @@
 
 // deltas returns the deltas that a peer with the given digests lacks. Each delta
 // is limited to MaxDeltaBytes and to the rest of the byte budget, but may always
-// have minDeltaBytes.
+// have minDeltaBytes. Topics that this daemon does not know are skipped.
 func (e *Exchanger) deltas(digests []*peerv1.TopicMessage) []*peerv1.TopicMessage {
 	var messages []*peerv1.TopicMessage
 	for _, m := range limitTopics(digests) {
@@ -164,7 +164,8 @@
 	return messages
 }
 
-// apply applies a peer's deltas. If a delta changes the digest of its topic, apply
+// apply applies a peer's deltas. It skips unknown topics, and counts and logs the
+// deltas that a topic rejects. If a delta changes the digest of its topic, apply
 // triggers a round, which forwards the update.
 func (e *Exchanger) apply(messages []*peerv1.TopicMessage) {
 	changed := false
--- a/settings/checker.go
+++ b/settings/checker.go
@@ -23,12 +23,14 @@
 	return c.firstError
 }
 
+// fail records an invalid field, unless an earlier one is recorded already.
 func (c *checker) fail(path, value, message string) {
 	if c.firstError == nil {
 		c.firstError = &FieldError{Path: path, Value: value, Message: message}
 	}
 }
 
+// required checks that a value is not empty.
 func (c *checker) required(path, value string) {
 	if value == "" {
 		c.fail(path, strconv.Quote(value), "must be set")
@@ -52,12 +54,14 @@
 	}
 }
 
+// duration checks that d is from low to high.
 func (c *checker) duration(path string, d policy.Duration, low, high time.Duration) {
 	if v := time.Duration(d); v < low || v > high {
 		c.fail(path, strconv.Quote(v.String()), "must be from "+low.String()+" to "+high.String())
 	}
 }
 
+// number checks that v is from low to high.
 func (c *checker) number(path string, v, low, high int64) {
 	if v < low || v > high {
 		message := "must be from " + strconv.FormatInt(low, 10) + " to " + strconv.FormatInt(high, 10)
@@ -65,6 +69,7 @@
 	}
 }
 
+// oneOf checks that a value is one of the allowed values.
 func (c *checker) oneOf(path, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
 		c.fail(path, strconv.Quote(value), "must be one of "+strings.Join(allowed, ", "))
--- a/settings/network.go
+++ b/settings/network.go
@@ -143,7 +143,8 @@
 	Bootstrap []string `json:"first,omitempty"`
 	// AllowPlaintext permits plaintext on an address that is not loopback.
 	AllowPlaintext bool `json:"allow_plaintext"`
-	// TLS is mutual between daemons, so it requires an authority.
+	// TLS is for the connections between daemons. Each side verifies the
+	// certificate of the other, so TLS must name an authority.
 	TLS TLS `json:"tls"`
 }
 
--- a/settings/routing.go
+++ b/settings/routing.go
@@ -11,7 +11,7 @@
 // Routing configures how this daemon picks upstreams.
 type Routing struct {
 	// Policy is the name of the routing policy for services whose configuration
-	// names none. Empty means the default of package routing.
+	// names none. Empty means the default of package core/routing.
 	Policy string `json:"policy"`
 	// ZoneDelays are the one-way network delays to other availability zones.
 	// A zone that is not listed has the delay routing.DefaultZoneDelay.
@@ -27,7 +27,7 @@
 	}
 }
 
-// Delays returns ZoneDelays converted for routing.Options.
+// Delays returns ZoneDelays as values of type time.Duration, for routing.Options.
 func (r Routing) Delays() map[model.AvailabilityZone]time.Duration {
 	out := make(map[model.AvailabilityZone]time.Duration, len(r.ZoneDelays))
 	for zone, d := range r.ZoneDelays {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -83,5 +83,6 @@
 	return c.result()
 }
 
-// JSON returns the settings as indented JSON, which Parse accepts.
+// JSON returns the settings as indented JSON. Parse accepts the JSON if the settings
+// are valid.
 func (s Settings) JSON() ([]byte, error) { return json.MarshalIndent(s, "", "  ") }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// requiredFields sets the required fields that have no default.
 const requiredFields = `"zone": "odense-hal-a", "log": {"address": "127.0.0.1:9000"}, "peers": {"secret": "s"}`
 
 func TestParseNamesTheWrongField(t *testing.T) {
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -72,8 +72,10 @@
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-// decodeValue decodes raw, the JSON value at path, into v. Fields of nested
-// structs are checked one by one.
+// decodeValue decodes raw, the JSON value at path, into v. It decodes structs and
+// lists of structs field by field, so that it finds unknown and duplicate fields in
+// them. It decodes all other values as a whole, also those of a type with an
+// UnmarshalJSON method.
 func decodeValue(path string, raw json.RawMessage, v reflect.Value) error {
 	hasUnmarshaler := reflect.PointerTo(v.Type()).Implements(unmarshalerType)
 	switch {
@@ -88,7 +90,7 @@
 	}
 }
 
-// decodeLeaf decodes a value as a whole with json.Unmarshal.
+// decodeLeaf decodes a value as a whole with json.Unmarshal. It rejects null.
 func decodeLeaf(path string, raw json.RawMessage, v reflect.Value) error {
 	if string(raw) == "null" {
 		return &FieldError{Path: path, Value: "null", Message: "want " + describeType(v.Type())}
--- a/trace/span.go
+++ b/trace/span.go
@@ -53,7 +53,8 @@
 	)
 }
 
-// End records an outcome on the span and ends it.
+// End records an outcome on the span and ends the span. An outcome other than
+// Answered also sets the span's status to Error.
 func (s Span) End(o outcome.Outcome) {
 	if s.span == nil {
 		return
@@ -76,6 +77,7 @@
 // TracedGuard records a span around each call to the guard in the same process.
 // Tracer.Handler records the span for a call from another daemon.
 type TracedGuard struct {
+	// Next is the guard.
 	Next Forwarder
 }
 
--- a/trace/tracer.go
+++ b/trace/tracer.go
@@ -55,7 +55,7 @@
 	tracer   oteltrace.Tracer
 }
 
-// New returns a Tracer, or nil when SampleRatio is 0. Call Shutdown to stop it.
+// New returns a Tracer, or nil when SampleRatio is not positive. Call Shutdown to stop it.
 func New(ctx context.Context, o Options) (*Tracer, error) {
 	if o.SampleRatio <= 0 {
 		return nil, nil
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -18,7 +18,8 @@
 )
 
 // FuzzReadCall parses arbitrary requests as calls of another daemon. It encodes
-// and decodes each accepted call again; the result must equal the call.
+// and decodes each accepted call again; apart from the body, the result must equal
+// the call.
 func FuzzReadCall(f *testing.F) {
 	f.Add("POST /release?a=b HTTP/1.1\r\nHost: h\r\nDottereltiller-Hop-Id: 1\r\nDottereltiller-Hop-Timeout-Us: 5\r\nContent-Length: 1\r\n\r\nx")
 	f.Add("GET / HTTP/1.1\r\nHost: h\r\nDottereltiller-Hop-Id: 1\r\nDottereltiller-Hop-Attempt: 99999999999999999999\r\n\r\n")
--- a/wire/header.go
+++ b/wire/header.go
@@ -230,7 +230,8 @@
 const numLoadFields = 8
 
 // formatLoad encodes a load as the space-separated fields "running waiting
-// limit service_us failure_rate draining seq ahead".
+// limit service_us failure_rate draining seq ahead". They are the fields of
+// model.Load in that order; service_us is the service time in microseconds.
 func formatLoad(l model.Load) string {
 	b := make([]byte, 0, 64)
 	b = strconv.AppendInt(b, int64(l.Running), 10)
@@ -295,7 +296,8 @@
 	err    error
 }
 
-// uint returns the value of a header as a number, or 0 if the header is absent.
+// uint returns the value of a header as a number, or 0 if the header is absent. An
+// invalid value sets p.err.
 func (p *headerParser) uint(name string) uint64 {
 	s := p.header.Get(name)
 	if s == "" {
@@ -311,8 +313,9 @@
 // maxDuration is the longest duration accepted from another daemon.
 const maxDuration = 24 * time.Hour
 
-// duration returns the value of a header, which is a number of units. It returns
-// 0 if the header is absent or invalid.
+// duration returns the value of a header, which is a number of units. It returns 0
+// if the header is absent. It returns 0 and sets p.err if the value is invalid or
+// longer than maxDuration.
 func (p *headerParser) duration(name string, unit time.Duration) time.Duration {
 	n := p.uint(name)
 	if n > uint64(maxDuration/unit) {
--- a/wire/http.go
+++ b/wire/http.go
@@ -11,7 +11,8 @@
 )
 
 // WriteResult writes a result as the response to the daemon that sent the call,
-// and closes the result's body. The id is that of the Call. If the body cannot
+// and closes the result's body. The id is that of the Call. A result whose outcome
+// is not Answered becomes a response with status 503 and no body. If the body cannot
 // be copied, WriteResult aborts the connection. The other daemon then sees that
 // the response is truncated.
 func WriteResult(w http.ResponseWriter, r *Result, id string) {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -50,10 +50,11 @@
 	Depth int
 	// Key is the caller's idempotency key, or empty if the request has none.
 	Key string
-	// Timeout is the time left until the deadline when the call was sent.
+	// Timeout is the time that was left until the deadline of the request when the
+	// call was sent.
 	Timeout time.Duration
 	// QueueTimeout is the longest time that the call may wait in the guard's
-	// queue. A call that has not started by then is rejected with outcome
+	// queue. A call that has not started within that time is rejected with outcome
 	// NotRun and reason "withdrawn". With 0, a call that cannot start at once is
 	// rejected.
 	QueueTimeout time.Duration
