--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -64,11 +64,11 @@
 	base, target := routesDocument(1, 100, nil), routesDocument(2, 100, nil)
 	d, err := Encode(base, target)
 	require.NoError(t, err)
-	for name, other := range map[string][]byte{
+	for name, wrongBase := range map[string][]byte{
 		"another version": routesDocument(3, 100, nil),
 		"none":            nil,
 	} {
-		_, err := Apply(other, d, maxDocumentSize)
+		_, err := Apply(wrongBase, d, maxDocumentSize)
 		require.Error(t, err, name)
 	}
 }
@@ -83,16 +83,16 @@
 
 // TestCorruptDeltaNeverYieldsWrongDocument applies deltas in which one byte is
 // changed and any number of bytes, possibly none, is cut off at the end. The result
-// must be an error or the document that was encoded. A delta cut to no bytes is not checked, because Apply returns
-// an empty document for it.
+// must be an error or the document that was encoded. A delta cut to no bytes is not
+// checked, because Apply returns an empty document for it.
 func TestCorruptDeltaNeverYieldsWrongDocument(t *testing.T) {
 	base, target := routesDocument(1, 50, nil), routesDocument(2, 50, map[int]string{3: "other"})
 	d, err := Encode(base, target)
 	require.NoError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
 		received := bytes.Clone(d)
-		flippedIndex := rapid.IntRange(0, len(d)-1).Draw(t, "at")
-		received[flippedIndex] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
+		changedIndex := rapid.IntRange(0, len(d)-1).Draw(t, "at")
+		received[changedIndex] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped"))
 		received = received[:rapid.IntRange(0, len(d)).Draw(t, "length")]
 		if got, err := Apply(base, received, maxDocumentSize); err == nil && len(received) > 0 {
 			require.True(t, bytes.Equal(target, got))
@@ -108,14 +108,14 @@
 		for name, receiverBase := range map[string][]byte{"change": base, "whole": nil} {
 			d, err := Encode(receiverBase, target)
 			require.NoError(b, err)
-			size := fmt.Sprintf("%s of %d B in %d B", name, len(target), len(d))
-			b.Run("encode/"+size, func(b *testing.B) {
+			label := fmt.Sprintf("%s of %d B in %d B", name, len(target), len(d))
+			b.Run("encode/"+label, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					_, _ = Encode(receiverBase, target)
 				}
 			})
-			b.Run("apply/"+size, func(b *testing.B) {
+			b.Run("apply/"+label, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					_, _ = Apply(receiverBase, d, maxDocumentSize)
--- a/hop/client.go
+++ b/hop/client.go
@@ -133,8 +133,8 @@
 	}
 	target.Scheme = "http"
 	target.Host = r.Address
-	conn := attemptConn{unprotected: c.unprotected}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: conn.gotConn})
+	attempt := attemptConn{unprotected: c.unprotected}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: attempt.gotConn})
 	req := (&http.Request{
 		Method:        r.Method,
 		URL:           target,
@@ -152,9 +152,9 @@
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		return nil, conn.outcomeOf(err), err
+		return nil, attempt.outcomeOf(err), err
 	}
-	if conn.responseIsUnsolicited() {
+	if attempt.responseIsUnsolicited() {
 		_ = resp.Body.Close()
 		return nil, outcome.NotRunBecause(outcome.ReasonConnectionLost), errUnsolicited
 	}
--- a/hop/conn.go
+++ b/hop/conn.go
@@ -32,8 +32,8 @@
 	reading atomic.Bool
 
 	mu sync.Mutex
-	// written is the number of bytes written so far.
-	written int64
+	// writtenBytes is the number of bytes written so far.
+	writtenBytes int64
 	// sealed makes all further writes fail.
 	sealed bool
 	// checkUnread makes the next write check for unread bytes.
@@ -94,7 +94,7 @@
 		return 0, errSealed
 	}
 	n, err := c.Conn.Write(p)
-	c.written += int64(n)
+	c.writtenBytes += int64(n)
 	return n, err
 }
 
@@ -104,7 +104,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.checkUnread = reused
-	return c.written
+	return c.writtenBytes
 }
 
 // sealIfUnsent seals the connection if no byte was written since beginAttempt
@@ -113,7 +113,7 @@
 func (c *countingConn) sealIfUnsent(writtenBefore int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.written != writtenBefore {
+	if c.writtenBytes != writtenBefore {
 		return false
 	}
 	c.sealed = true
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -68,15 +68,15 @@
 func (e *RequestError) Unwrap() error { return e.Err }
 
 const (
-	// maxResponseBody limits the response body held in memory, in bytes.
-	maxResponseBody = 16 << 20
-	// maxUnmatched is the number of responses to other requests that are
+	// maxResponseBodyBytes limits the response body held in memory, in bytes.
+	maxResponseBodyBytes = 16 << 20
+	// maxUnmatchedResponses is the number of responses to other requests that are
 	// discarded before the connection is closed.
-	maxUnmatched = 3
-	// maxInlineBody is the size, in bytes, of the largest body that is written
+	maxUnmatchedResponses = 3
+	// maxInlineBodyBytes is the size, in bytes, of the largest body that is written
 	// before the response is read. A larger body is written while the response
 	// is read, so that a response that arrives early is noticed.
-	maxInlineBody = 2 << 10
+	maxInlineBodyBytes = 2 << 10
 )
 
 var (
@@ -110,8 +110,8 @@
 func (c *pooledConn) exchange(ctx context.Context, r *PoolRequest) (*PoolResponse, error) {
 	stop := context.AfterFunc(ctx, func() { c.close() })
 	defer stop()
-	failure := &RequestError{Reused: c.requests > 0}
-	c.requests++
+	failure := &RequestError{Reused: c.requestCount > 0}
+	c.requestCount++
 	writeDone, err := c.send(r)
 	failure.Sent = c.wroteBytes
 	if err != nil {
@@ -146,14 +146,14 @@
 	return e
 }
 
-// send writes the request. It writes a body larger than maxInlineBody in the
+// send writes the request. It writes a body larger than maxInlineBodyBytes in the
 // background. The channel receives the result of writing the body: nil when the
 // whole request is written, or an error. The error that send returns concerns only
 // the writes that it does before it returns.
 func (c *pooledConn) send(r *PoolRequest) (<-chan error, error) {
 	writeDone := make(chan error, 1)
 	head := r.encodeHead()
-	if len(r.Body) <= maxInlineBody {
+	if len(r.Body) <= maxInlineBodyBytes {
 		err := c.write(append(head, r.Body...))
 		writeDone <- err
 		return writeDone, err
@@ -179,7 +179,7 @@
 // one. It sets failure.ResponseStarted once the headers of that response are
 // received.
 func (c *pooledConn) receive(r *PoolRequest, failure *RequestError) (*PoolResponse, error) {
-	for range maxUnmatched {
+	for range maxUnmatchedResponses {
 		resp, err := c.readResponse(r)
 		if err != nil {
 			return nil, err
@@ -194,7 +194,7 @@
 		if matches {
 			return &PoolResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 		}
-		c.unmatched = true
+		c.gotUnmatchedResponse = true
 		if !c.reusable {
 			break
 		}
@@ -223,17 +223,17 @@
 }
 
 // readBody reads and closes the body. It returns errBodyTooLarge if the body
-// exceeds maxResponseBody.
+// exceeds maxResponseBodyBytes.
 func readBody(resp *http.Response) ([]byte, error) {
 	defer func() { _ = resp.Body.Close() }()
 	var buf bytes.Buffer
-	if n := resp.ContentLength; n > 0 && n <= maxResponseBody {
+	if n := resp.ContentLength; n > 0 && n <= maxResponseBodyBytes {
 		buf.Grow(int(n))
 	}
-	if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBody+1)); err != nil {
+	if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBodyBytes+1)); err != nil {
 		return nil, err
 	}
-	if buf.Len() > maxResponseBody {
+	if buf.Len() > maxResponseBodyBytes {
 		return nil, errBodyTooLarge
 	}
 	return buf.Bytes(), nil
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -182,7 +182,7 @@
 // succeeded.
 func (p *Pool) put(c *pooledConn, ok bool) {
 	c.idleSince = time.Now()
-	if !ok || !c.reusable || c.unmatched || c.reader.Buffered() > 0 {
+	if !ok || !c.reusable || c.gotUnmatchedResponse || c.reader.Buffered() > 0 {
 		p.discard(c)
 		return
 	}
@@ -237,14 +237,15 @@
 	// reader reads from headLimiter, which reads from conn.
 	reader      *bufio.Reader
 	headLimiter *headLimiter
-	// requests counts the requests sent on the connection.
-	requests int
+	// requestCount is the number of requests sent on the connection.
+	requestCount int
 	// wroteBytes is set once a byte of the current request was written.
 	wroteBytes bool
 	// reusable is set after a response that leaves the connection open.
 	reusable bool
-	// unmatched is set after a response that does not belong to the request.
-	unmatched bool
+	// gotUnmatchedResponse is set after a response that does not belong to the
+	// request.
+	gotUnmatchedResponse bool
 	// idleTimeout is the timeout that the server announced, or else
 	// PoolOptions.IdleTimeout.
 	idleTimeout time.Duration
--- a/hop/pool_test.go
+++ b/hop/pool_test.go
@@ -19,9 +19,9 @@
 
 // scriptedServer is a test server with a handler per connection.
 type scriptedServer struct {
-	address  string
-	mu       sync.Mutex
-	accepted int
+	address       string
+	mu            sync.Mutex
+	acceptedCount int
 }
 
 // startScriptedServer starts a server that handles its first connection with
@@ -40,8 +40,8 @@
 				return
 			}
 			s.mu.Lock()
-			handle := handlers[min(s.accepted, len(handlers)-1)]
-			s.accepted++
+			handle := handlers[min(s.acceptedCount, len(handlers)-1)]
+			s.acceptedCount++
 			s.mu.Unlock()
 			go func() {
 				defer func() { _ = c.Close() }()
@@ -52,11 +52,11 @@
 	return s
 }
 
-// connections returns the number of connections accepted.
-func (s *scriptedServer) connections() int {
+// connectionCount returns the number of connections accepted so far.
+func (s *scriptedServer) connectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.accepted
+	return s.acceptedCount
 }
 
 // readRequestID reads one request and returns its Id header. It returns an empty
@@ -104,7 +104,7 @@
 		require.NoError(t, err)
 		require.Equal(t, "body of "+id, string(resp.Body))
 	}
-	require.Equal(t, 1, s.connections())
+	require.Equal(t, 1, s.connectionCount())
 }
 
 // TestPoolMatchesResponsesToRequests has the first connection deliver a second
@@ -112,10 +112,11 @@
 // The next request must still get its own response.
 func TestPoolMatchesResponsesToRequests(t *testing.T) {
 	for name, c := range map[string]struct {
-		// first handles the first connection.
-		first func(c net.Conn, r *bufio.Reader)
-		// conns is the number of connections that the two requests use together.
-		conns int
+		// handleFirstConn handles the first connection.
+		handleFirstConn func(c net.Conn, r *bufio.Reader)
+		// wantConnections is the number of connections that the two requests use
+		// together.
+		wantConnections int
 	}{
 		"second response at once": {func(c net.Conn, r *bufio.Reader) {
 			readRequestID(r)
@@ -145,7 +146,7 @@
 		}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startScriptedServer(t, c.first, echoIDs)
+			s := startScriptedServer(t, c.handleFirstConn, echoIDs)
 			p := NewPool(s.address, PoolOptions{})
 			defer p.Close()
 			_, err := p.Do(t.Context(), requestWithID("1"))
@@ -154,7 +155,7 @@
 			resp, err := p.Do(t.Context(), requestWithID("2"))
 			require.NoError(t, err)
 			require.Equal(t, "2", resp.Header.Get("Id"))
-			require.Equal(t, c.conns, s.connections())
+			require.Equal(t, c.wantConnections, s.connectionCount())
 		})
 	}
 }
@@ -162,7 +163,7 @@
 // waitForReadable waits until the server has sent data on the idle connection or
 // has closed it, at most for 100ms.
 func waitForReadable(p *Pool) {
-	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(100 * time.Millisecond); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		wouldBlock := len(p.idle) > 0 && p.idle[0].readWouldBlock()
 		p.mu.Unlock()
@@ -177,8 +178,8 @@
 // was not sent may be reported to the caller as not run.
 func TestPoolReportsProgressOfFailedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		handle                func(c net.Conn, r *bufio.Reader)
-		sent, responseStarted bool
+		handle                        func(c net.Conn, r *bufio.Reader)
+		wantSent, wantResponseStarted bool
 	}{
 		"closed without a response": {func(_ net.Conn, r *bufio.Reader) { readRequestID(r) }, true, false},
 		"closed within the body": {func(c net.Conn, r *bufio.Reader) {
@@ -210,9 +211,9 @@
 			_, err := p.Do(t.Context(), requestWithID("1"))
 			var failure *RequestError
 			require.ErrorAs(t, err, &failure)
-			require.Equal(t, c.sent, failure.Sent)
-			require.Equal(t, c.responseStarted, failure.ResponseStarted)
-			require.Equal(t, 1, s.connections(), "the request must be sent once")
+			require.Equal(t, c.wantSent, failure.Sent)
+			require.Equal(t, c.wantResponseStarted, failure.ResponseStarted)
+			require.Equal(t, 1, s.connectionCount(), "the request must be sent once")
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
@@ -242,12 +243,13 @@
 	waitForReadable(p)
 	_, err = p.Do(t.Context(), requestWithID("2"))
 	require.NoError(t, err)
-	require.Equal(t, 2, s.connections())
+	require.Equal(t, 2, s.connectionCount())
 }
 
-// TestPoolMaxIdleTime checks that a request reuses a connection only if that was
-// idle for at most MaxIdleTime, and never if MaxIdleTime is negative.
-func TestPoolMaxIdleTime(t *testing.T) {
+// TestPoolReusesConnectionOnlyWithinMaxIdleTime checks that a request reuses a
+// connection only if that was idle for at most MaxIdleTime, and never if
+// MaxIdleTime is negative.
+func TestPoolReusesConnectionOnlyWithinMaxIdleTime(t *testing.T) {
 	s := startScriptedServer(t, echoIDs)
 	p := NewPool(s.address, PoolOptions{})
 	defer p.Close()
@@ -259,12 +261,12 @@
 	}
 	do(0)
 	do(time.Hour)
-	require.Equal(t, 1, s.connections())
+	require.Equal(t, 1, s.connectionCount())
 	time.Sleep(2 * time.Millisecond)
 	do(time.Nanosecond)
-	require.Equal(t, 2, s.connections(), "the connection was idle for too long")
+	require.Equal(t, 2, s.connectionCount(), "the connection was idle for too long")
 	do(-1)
-	require.Equal(t, 3, s.connections(), "a new connection was required")
+	require.Equal(t, 3, s.connectionCount(), "a new connection was required")
 }
 
 func TestParseKeepAlive(t *testing.T) {
@@ -316,18 +318,18 @@
 	require.Equal(t, "early", string(resp.Body))
 	_, err = p.Do(t.Context(), requestWithID("2"))
 	require.NoError(t, err)
-	require.Equal(t, 2, s.connections())
+	require.Equal(t, 2, s.connectionCount())
 }
 
-// TestPoolMaxConns checks that a request fails at once while another one uses the
-// only connection that MaxConns allows.
-func TestPoolMaxConns(t *testing.T) {
+// TestPoolFailsAtMaxConns checks that a request fails at once while another one uses
+// the only connection that MaxConns allows.
+func TestPoolFailsAtMaxConns(t *testing.T) {
 	s := startScriptedServer(t, func(c net.Conn, r *bufio.Reader) { readRequestID(r); waitForClose(c) })
 	p := NewPool(s.address, PoolOptions{MaxConns: 1})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _, _ = p.Do(ctx, requestWithID("1")) }()
-	require.Eventually(t, func() bool { return s.connections() == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.connectionCount() == 1 }, 5*time.Second, time.Millisecond)
 	_, err := p.Do(t.Context(), requestWithID("2"))
 	require.ErrorIs(t, err, errPoolFull)
 	cancel()
@@ -362,7 +364,7 @@
 		id := fmt.Sprint("r", i)
 		resp, err := p.Do(t.Context(), PoolRequest{
 			Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {id}},
-			Body: make([]byte, maxInlineBody+1+i),
+			Body: make([]byte, maxInlineBodyBytes+1+i),
 		})
 		require.NoError(t, err)
 		require.Equal(t, "body of "+id, string(resp.Body))
@@ -373,7 +375,7 @@
 // has sent maxSent bytes. The Pool must close the connection well before.
 func TestEndlessHeadersAreRejected(t *testing.T) {
 	const maxSent = 64 << 20
-	sent := make(chan int, 1)
+	sentBytes := make(chan int, 1)
 	s := startScriptedServer(t, func(c net.Conn, r *bufio.Reader) {
 		readRequestID(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
@@ -385,7 +387,7 @@
 			}
 			n += len(line)
 		}
-		sent <- n
+		sentBytes <- n
 	})
 	p := NewPool(s.address, PoolOptions{})
 	defer p.Close()
@@ -393,5 +395,5 @@
 	defer cancel()
 	_, err := p.Do(ctx, PoolRequest{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{"Id": {"r1"}}})
 	require.Error(t, err)
-	require.Less(t, <-sent, maxSent/4, "header bytes sent before the connection was closed")
+	require.Less(t, <-sentBytes, maxSent/4, "header bytes sent before the connection was closed")
 }
--- a/hop/replay.go
+++ b/hop/replay.go
@@ -13,10 +13,10 @@
 // these headers.
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// lowercaseNames maps each of the idempotencyHeaders to a spelling that the
+// lowercaseNameByHeader maps each of the idempotencyHeaders to a spelling that the
 // Transport does not recognize. Servers recognize the spelling, because they
 // compare header names without regard to case.
-var lowercaseNames = map[string]string{
+var lowercaseNameByHeader = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
@@ -28,7 +28,7 @@
 	for _, name := range idempotencyHeaders {
 		if values, ok := req.Header[name]; ok {
 			delete(req.Header, name)
-			req.Header[lowercaseNames[name]] = values
+			req.Header[lowercaseNameByHeader[name]] = values
 		}
 	}
 	switch {
--- a/hop/replay_test.go
+++ b/hop/replay_test.go
@@ -47,9 +47,9 @@
 
 func (d *droppingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestUnsupportedMethods(t *testing.T) {
+func TestUnsupportedMethodsAreNotSent(t *testing.T) {
 	c := NewClient(Options{})
 	for _, method := range []string{http.MethodTrace, http.MethodConnect} {
 		_, o, err := c.Do(t.Context(), Request{Address: "127.0.0.1:1", Method: method, Target: "/"})
--- a/identity/caller.go
+++ b/identity/caller.go
@@ -25,22 +25,22 @@
 // certificate is unknown, the Authorization header is malformed, or token and
 // certificate belong to different callers.
 func AuthenticateCaller(callers CallerStore, r *http.Request) (policy.Caller, bool) {
-	byCertificate, hasCertificate, ok := callerByCertificate(callers, r)
+	certificateCaller, hasCertificate, ok := callerByCertificate(callers, r)
 	if !ok {
 		return policy.Caller{}, false
 	}
 	authorization := r.Header["Authorization"]
 	if len(authorization) == 0 {
-		return byCertificate, true
+		return certificateCaller, true
 	}
 	if len(authorization) > 1 || len(authorization[0]) < len(bearerPrefix) || !strings.EqualFold(authorization[0][:len(bearerPrefix)], bearerPrefix) {
 		return policy.Caller{}, false
 	}
-	byToken, ok := callers.CallerByToken(authorization[0][len(bearerPrefix):])
-	if !ok || hasCertificate && byToken.Name != byCertificate.Name {
+	tokenCaller, ok := callers.CallerByToken(authorization[0][len(bearerPrefix):])
+	if !ok || hasCertificate && tokenCaller.Name != certificateCaller.Name {
 		return policy.Caller{}, false
 	}
-	return byToken, true
+	return tokenCaller, true
 }
 
 // callerByCertificate returns the caller to which the verified client certificate
--- a/identity/caller_test.go
+++ b/identity/caller_test.go
@@ -36,24 +36,24 @@
 		commonName    string
 		dnsNames      []string
 		unverified    bool
-		want          string
-		refused       bool
+		wantName      string
+		wantRefused   bool
 	}{
 		"no credentials":                       {},
-		"known token":                          {authorization: []string{"Bearer sorting-bench"}, want: "sorting-bench"},
-		"scheme in lower case":                 {authorization: []string{"bearer sorting-bench"}, want: "sorting-bench"},
-		"unknown token":                        {authorization: []string{"Bearer x"}, refused: true},
-		"empty token":                          {authorization: []string{"Bearer "}, refused: true},
-		"empty header":                         {authorization: []string{""}, refused: true},
-		"other scheme":                         {authorization: []string{"Basic sorting-bench"}, refused: true},
-		"two tokens":                           {authorization: []string{"Bearer sorting-bench", "Bearer member-portal"}, refused: true},
-		"known certificate":                    {commonName: "sorting-bench", want: "sorting-bench"},
-		"known DNS name":                       {commonName: "x", dnsNames: []string{"member-portal"}, want: "member-portal"},
-		"unknown certificate":                  {commonName: "x", refused: true},
+		"known token":                          {authorization: []string{"Bearer sorting-bench"}, wantName: "sorting-bench"},
+		"scheme in lower case":                 {authorization: []string{"bearer sorting-bench"}, wantName: "sorting-bench"},
+		"unknown token":                        {authorization: []string{"Bearer x"}, wantRefused: true},
+		"empty token":                          {authorization: []string{"Bearer "}, wantRefused: true},
+		"empty header":                         {authorization: []string{""}, wantRefused: true},
+		"other scheme":                         {authorization: []string{"Basic sorting-bench"}, wantRefused: true},
+		"two tokens":                           {authorization: []string{"Bearer sorting-bench", "Bearer member-portal"}, wantRefused: true},
+		"known certificate":                    {commonName: "sorting-bench", wantName: "sorting-bench"},
+		"known DNS name":                       {commonName: "x", dnsNames: []string{"member-portal"}, wantName: "member-portal"},
+		"unknown certificate":                  {commonName: "x", wantRefused: true},
 		"certificate not verified":             {commonName: "sorting-bench", unverified: true},
-		"token and certificate of one caller":  {authorization: []string{"Bearer sorting-bench"}, commonName: "sorting-bench", want: "sorting-bench"},
-		"token and certificate of two callers": {authorization: []string{"Bearer sorting-bench"}, commonName: "member-portal", refused: true},
-		"known token, unknown certificate":     {authorization: []string{"Bearer sorting-bench"}, commonName: "x", refused: true},
+		"token and certificate of one caller":  {authorization: []string{"Bearer sorting-bench"}, commonName: "sorting-bench", wantName: "sorting-bench"},
+		"token and certificate of two callers": {authorization: []string{"Bearer sorting-bench"}, commonName: "member-portal", wantRefused: true},
+		"known token, unknown certificate":     {authorization: []string{"Bearer sorting-bench"}, commonName: "x", wantRefused: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := httptest.NewRequest(http.MethodGet, "/", nil)
@@ -68,8 +68,8 @@
 				}
 			}
 			got, ok := AuthenticateCaller(callers, r)
-			require.Equal(t, !c.refused, ok)
-			require.Equal(t, c.want, string(got.Name))
+			require.Equal(t, !c.wantRefused, ok)
+			require.Equal(t, c.wantName, string(got.Name))
 		})
 	}
 }
--- a/inbound/conn_test.go
+++ b/inbound/conn_test.go
@@ -63,8 +63,8 @@
 
 func TestClosedByClient(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*net.TCPConn) error
-		want bool
+		action func(*net.TCPConn) error
+		want   bool
 	}{
 		"open":          {func(*net.TCPConn) error { return nil }, false},
 		"bytes to read": {func(c *net.TCPConn) error { _, err := c.Write([]byte("x")); return err }, false},
@@ -74,7 +74,7 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, client := acceptConn(t)
 			require.False(t, ClosedByClient(ctx))
-			require.NoError(t, c.do(client))
+			require.NoError(t, c.action(client))
 			if c.want {
 				require.Eventually(t, func() bool { return ClosedByClient(ctx) }, time.Minute, time.Millisecond)
 			} else {
--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -23,15 +23,15 @@
 // ListenFirstFree listens in the first free one of n networks. A network is free
 // if nobody listens on its address. ListenFirstFree returns the
 // listener and the number of that network, from 0 to n-1. It tries the networks
-// in order, beginning with number start modulo n. The function address returns
+// in order, beginning with number startIndex modulo n. The function address returns
 // the address to listen on in a network. The error is ErrNoFreeNetwork or an
 // error of net.Listen.
-func ListenFirstFree(start uint64, n int, address func(number int) string) (net.Listener, int, error) {
+func ListenFirstFree(startIndex uint64, n int, address func(networkIndex int) string) (net.Listener, int, error) {
 	for i := range uint64(n) {
-		number := int((start + i) % uint64(n))
-		ln, err := net.Listen("tcp", address(number))
+		networkIndex := int((startIndex + i) % uint64(n))
+		ln, err := net.Listen("tcp", address(networkIndex))
 		if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
-			return ln, number, err
+			return ln, networkIndex, err
 		}
 	}
 	return nil, 0, ErrNoFreeNetwork
@@ -49,14 +49,14 @@
 // from first to first+n-1, and returns its N. The error is that of
 // ListenFirstFree. ClaimNetwork is not safe for concurrent use.
 func ClaimNetwork(first, n int) (int, error) {
-	ln, number, err := ListenFirstFree(uint64(os.Getpid()), n, func(number int) string {
-		return fmt.Sprintf("127.%d.255.254:%d", first+number, claimPort)
+	ln, networkIndex, err := ListenFirstFree(uint64(os.Getpid()), n, func(networkIndex int) string {
+		return fmt.Sprintf("127.%d.255.254:%d", first+networkIndex, claimPort)
 	})
 	if err != nil {
 		return 0, err
 	}
 	claimListeners = append(claimListeners, ln)
-	return first + number, nil
+	return first + networkIndex, nil
 }
 
 // OwnNetwork returns N of the network 127.N.0.0/16 of this process. The first
@@ -64,8 +64,8 @@
 // these 80 networks.
 // The error is that of ClaimNetwork.
 var OwnNetwork = sync.OnceValues(func() (int, error) {
-	const first, networks = 20, 80
-	return ClaimNetwork(first, networks)
+	const first, networkCount = 20, 80
+	return ClaimNetwork(first, networkCount)
 })
 
 // addressCount counts the addresses returned by UnusedAddress.
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -32,14 +32,14 @@
 // bound starts at Min and doubles with each failure, up to Max. If rng is nil,
 // the global random source is used.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
-	low, high := b.Min, b.Max
-	if low <= 0 {
-		low = DefaultMin
+	minBound, maxBound := b.Min, b.Max
+	if minBound <= 0 {
+		minBound = DefaultMin
 	}
-	if high <= 0 {
-		high = DefaultMax
+	if maxBound <= 0 {
+		maxBound = DefaultMax
 	}
-	bound := min(low<<min(b.failures, maxDoublings), high)
+	bound := min(minBound<<min(b.failures, maxDoublings), maxBound)
 	b.failures++
 	int64N := rand.Int64N
 	if rng != nil {
--- a/pause/pause_test.go
+++ b/pause/pause_test.go
@@ -24,9 +24,9 @@
 	require.LessOrEqual(t, backoff.Next(rng), 100*time.Millisecond)
 }
 
-// TestBackoffWait checks that Wait sleeps for at least half of its upper bound, and
-// returns the error of a context that has ended.
-func TestBackoffWait(t *testing.T) {
+// TestBackoffWaitSleepsUnlessContextEnds checks that Wait sleeps for at least half
+// of its upper bound, and returns the error of a context that has ended.
+func TestBackoffWaitSleepsUnlessContextEnds(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		backoff := Backoff{Min: time.Second, Max: time.Second}
 		start := time.Now()
--- a/peer/choose.go
+++ b/peer/choose.go
@@ -25,9 +25,9 @@
 type neighbours struct {
 	// chosenFrom is the list of peers that the neighbours were chosen from.
 	chosenFrom []Peer
-	// local holds the neighbours in this daemon's availability zone, remote those
-	// in other zones.
-	local, remote []Peer
+	// localPeers holds the neighbours in this daemon's availability zone,
+	// remotePeers those in other zones.
+	localPeers, remotePeers []Peer
 }
 
 // choosePeers returns up to n random neighbours. The first is a local neighbour,
@@ -38,16 +38,16 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.updateNeighbours(peers)
-	local, remote := slices.Clone(e.neighbours.local), slices.Clone(e.neighbours.remote)
+	localCandidates, remoteCandidates := slices.Clone(e.neighbours.localPeers), slices.Clone(e.neighbours.remotePeers)
 	var chosen []Peer
-	for len(chosen) < n && len(local)+len(remote) > 0 {
-		candidates := &remote
-		if len(remote) == 0 || len(chosen) == 0 && len(local) > 0 {
-			candidates = &local
+	for len(chosen) < n && len(localCandidates)+len(remoteCandidates) > 0 {
+		zoneCandidates := &remoteCandidates
+		if len(remoteCandidates) == 0 || len(chosen) == 0 && len(localCandidates) > 0 {
+			zoneCandidates = &localCandidates
 		}
-		i := e.rng.IntN(len(*candidates))
-		chosen = append(chosen, (*candidates)[i])
-		*candidates = slices.Delete(*candidates, i, i+1)
+		i := e.rng.IntN(len(*zoneCandidates))
+		chosen = append(chosen, (*zoneCandidates)[i])
+		*zoneCandidates = slices.Delete(*zoneCandidates, i, i+1)
 	}
 	return append(chosen, e.chooseUnreachable()...)
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	e.neighbours = e.chooseNeighbours(peers)
-	if len(e.neighbours.local)+len(e.neighbours.remote) == 0 {
+	if len(e.neighbours.localPeers)+len(e.neighbours.remotePeers) == 0 {
 		e.neighbours = e.chooseNeighbours(e.opts.BootstrapPeers)
 	}
 	e.neighbours.chosenFrom = peers
@@ -94,13 +94,13 @@
 		switch {
 		case p.ID == e.opts.Self:
 		case p.Zone == e.opts.Zone:
-			n.local = append(n.local, p)
+			n.localPeers = append(n.localPeers, p)
 		default:
-			n.remote = append(n.remote, p)
+			n.remotePeers = append(n.remotePeers, p)
 		}
 	}
-	n.local = e.peersWithHighestHash(n.local, maxLocalNeighbours)
-	n.remote = e.peersWithHighestHash(n.remote, maxRemoteNeighbours)
+	n.localPeers = e.peersWithHighestHash(n.localPeers, maxLocalNeighbours)
+	n.remotePeers = e.peersWithHighestHash(n.remotePeers, maxRemoteNeighbours)
 	return n
 }
 
--- a/peer/exchanger_test.go
+++ b/peer/exchanger_test.go
@@ -60,13 +60,13 @@
 // network connects exchangers in one process. It delays every request. One
 // availability zone can be isolated from the others.
 type network struct {
-	mu           sync.Mutex
-	delay        time.Duration
-	nodes        map[model.DaemonID]*Exchanger
-	zones        map[model.DaemonID]model.AvailabilityZone
-	isolatedZone model.AvailabilityZone
-	// requests counts the requests sent.
-	requests int
+	mu             sync.Mutex
+	delay          time.Duration
+	exchangersByID map[model.DaemonID]*Exchanger
+	zonesByID      map[model.DaemonID]model.AvailabilityZone
+	isolatedZone   model.AvailabilityZone
+	// requestCount is the number of requests sent.
+	requestCount int
 }
 
 // endpoint is the Transport of one daemon.
@@ -77,9 +77,9 @@
 
 func (e endpoint) Exchange(ctx context.Context, to model.DaemonID, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	e.net.mu.Lock()
-	e.net.requests++
-	node := e.net.nodes[to]
-	fromZone, toZone := e.net.zones[e.from], e.net.zones[to]
+	e.net.requestCount++
+	node := e.net.exchangersByID[to]
+	fromZone, toZone := e.net.zonesByID[e.from], e.net.zonesByID[to]
 	isolated := fromZone != toZone && (fromZone == e.net.isolatedZone || toZone == e.net.isolatedZone)
 	e.net.mu.Unlock()
 	time.Sleep(e.net.delay)
@@ -100,12 +100,12 @@
 // startNetwork starts size exchangers in five zones, each with a maxValueTopic.
 func startNetwork(t *testing.T, ctx context.Context, size int) (*network, []*maxValueTopic) {
 	t.Helper()
-	n := &network{delay: time.Millisecond, nodes: map[model.DaemonID]*Exchanger{}, zones: map[model.DaemonID]model.AvailabilityZone{}}
+	n := &network{delay: time.Millisecond, exchangersByID: map[model.DaemonID]*Exchanger{}, zonesByID: map[model.DaemonID]model.AvailabilityZone{}}
 	var peers []Peer
 	for i := range size {
 		p := Peer{ID: model.DaemonID(fmt.Sprint("d", i)), Zone: model.AvailabilityZone(fmt.Sprint("z", i%5))}
 		peers = append(peers, p)
-		n.zones[p.ID] = p.Zone
+		n.zonesByID[p.ID] = p.Zone
 	}
 	topics := make([]*maxValueTopic, size)
 	for i, p := range peers {
@@ -113,9 +113,9 @@
 			Transport: endpoint{n, p.ID}, Seed: uint64(i)})
 		topics[i] = &maxValueTopic{}
 		e.Register(topics[i])
-		n.nodes[p.ID] = e
+		n.exchangersByID[p.ID] = e
 	}
-	for _, e := range n.nodes {
+	for _, e := range n.exchangersByID {
 		go func() { _ = e.Serve(ctx) }()
 	}
 	return n, topics
@@ -151,7 +151,7 @@
 				n, topics := startNetwork(t, ctx, size)
 				time.Sleep(5 * time.Second)
 				require.NoError(t, topics[0].Apply([]byte{7}))
-				n.nodes["d0"].TriggerRound()
+				n.exchangersByID["d0"].TriggerRound()
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
 				require.Equal(t, size, countWithValue(topics, 7))
@@ -166,7 +166,7 @@
 		n, topics := startNetwork(t, ctx, 50)
 		n.isolateZone("z1")
 		require.NoError(t, topics[0].Apply([]byte{7}))
-		n.nodes["d0"].TriggerRound()
+		n.exchangersByID["d0"].TriggerRound()
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
 		require.Equal(t, 40, countWithValue(topics, 7), "only the zones that are not isolated have the update")
@@ -183,13 +183,13 @@
 		n, _ := startNetwork(t, ctx, 10)
 		const seconds = 10
 		for range seconds * 100 {
-			n.nodes["d0"].TriggerRound()
+			n.exchangersByID["d0"].TriggerRound()
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
 		triggeredRequests := (triggeredRoundsPerSecond*seconds + triggeredRoundsBurst + 1) * defaultTriggeredFanout
 		regularRequests := 10 * (seconds + 3) * defaultFanout * 5 / 4
-		require.LessOrEqual(t, n.requests, triggeredRequests+regularRequests)
+		require.LessOrEqual(t, n.requestCount, triggeredRequests+regularRequests)
 	})
 }
 
@@ -215,17 +215,17 @@
 
 func TestExhaustedByteBudgetLimitsRoundToOnePeer(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		n := &network{nodes: map[model.DaemonID]*Exchanger{}, zones: map[model.DaemonID]model.AvailabilityZone{}}
+		n := &network{exchangersByID: map[model.DaemonID]*Exchanger{}, zonesByID: map[model.DaemonID]model.AvailabilityZone{}}
 		peers := []Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 		for _, p := range peers {
-			n.nodes[p.ID] = NewExchanger(Options{Self: p.ID})
+			n.exchangersByID[p.ID] = NewExchanger(Options{Self: p.ID})
 		}
 		e := NewExchanger(Options{Self: "x", BurstBytes: 1000, BytesPerSecond: 1, Transport: endpoint{n, "x"}, Peers: func() []Peer { return peers }})
 		e.Register(&maxValueTopic{})
 		e.Round(t.Context(), 3)
-		require.Equal(t, 3, n.requests)
+		require.Equal(t, 3, n.requestCount)
 		e.Round(t.Context(), 3)
-		require.Equal(t, 4, n.requests)
+		require.Equal(t, 4, n.requestCount)
 	})
 }
 
@@ -292,17 +292,17 @@
 	to := model.DaemonID(strings.TrimPrefix(srv.URL, "http://"))
 	req := &peerv1.ExchangeRequest{Topics: []*peerv1.TopicMessage{{Topic: "max", Delta: []byte{4}}}}
 
-	unauthorized := NewClient("other")
-	defer unauthorized.Close()
-	_, err := unauthorized.Exchange(t.Context(), to, req)
+	unauthorizedClient := NewClient("other")
+	defer unauthorizedClient.Close()
+	_, err := unauthorizedClient.Exchange(t.Context(), to, req)
 	require.Equal(t, connect.CodeUnauthenticated, connect.CodeOf(err))
 	require.Equal(t, []byte{0}, topic.Digest())
 
-	authorized := NewClient("secret")
-	defer authorized.Close()
-	_, err = authorized.Exchange(t.Context(), to, req)
+	authorizedClient := NewClient("secret")
+	defer authorizedClient.Close()
+	_, err = authorizedClient.Exchange(t.Context(), to, req)
 	require.NoError(t, err)
 	require.Equal(t, []byte{4}, topic.Digest())
-	_, err = authorized.Ping(t.Context(), to, &peerv1.PingRequest{})
+	_, err = authorizedClient.Ping(t.Context(), to, &peerv1.PingRequest{})
 	require.Equal(t, connect.CodeUnimplemented, connect.CodeOf(err), "no Ping function is set")
 }
--- a/peer/reader.go
+++ b/peer/reader.go
@@ -43,12 +43,12 @@
 // The seed determines which peers of a zone are chosen and in which order.
 func SamplePerZone(peers []Peer, n int, seed uint64) []Peer {
 	sorted := slices.Clone(peers)
-	key := func(p Peer) uint64 { return xxhash.Sum64String(string(p.ID)) ^ seed }
+	sortKey := func(p Peer) uint64 { return xxhash.Sum64String(string(p.ID)) ^ seed }
 	slices.SortFunc(sorted, func(a, b Peer) int {
 		if c := strings.Compare(string(a.Zone), string(b.Zone)); c != 0 {
 			return c
 		}
-		return compareUint(key(a), key(b))
+		return compareUint(sortKey(a), sortKey(b))
 	})
 	var sample []Peer
 	count := 0
--- a/peer/round.go
+++ b/peer/round.go
@@ -37,25 +37,25 @@
 		return
 	}
 	var wg sync.WaitGroup
-	first := make(chan struct{})
+	firstDone := make(chan struct{})
 	wg.Go(func() {
-		defer close(first)
+		defer close(firstDone)
 		e.exchange(ctx, peers[0])
 	})
-	e.awaitFirst(ctx, first)
+	e.awaitFirstPeer(ctx, firstDone)
 	for _, p := range peers[1:] {
 		wg.Go(func() { e.exchange(ctx, p) })
 	}
 	wg.Wait()
 }
 
-// awaitFirst waits until the exchange with the first peer has ended, at most
+// awaitFirstPeer waits until the exchange with the first peer has ended, at most
 // for firstPeerWait.
-func (e *Exchanger) awaitFirst(ctx context.Context, first <-chan struct{}) {
+func (e *Exchanger) awaitFirstPeer(ctx context.Context, firstDone <-chan struct{}) {
 	timer := time.NewTimer(firstPeerWait)
 	defer timer.Stop()
 	select {
-	case <-first:
+	case <-firstDone:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/peer/service.go
+++ b/peer/service.go
@@ -48,8 +48,8 @@
 				req.Header().Set(wire.HeaderAuth, secret)
 				return next(ctx, req)
 			}
-			given := req.Header().Get(wire.HeaderAuth)
-			if subtle.ConstantTimeCompare([]byte(given), []byte(secret)) != 1 {
+			receivedSecret := req.Header().Get(wire.HeaderAuth)
+			if subtle.ConstantTimeCompare([]byte(receivedSecret), []byte(secret)) != 1 {
 				return nil, connect.NewError(connect.CodeUnauthenticated, errUnauthenticated)
 			}
 			return next(ctx, req)
--- a/settings/docs_test.go
+++ b/settings/docs_test.go
@@ -21,18 +21,18 @@
 func TestTheReferenceListsEveryFieldWithItsDefault(t *testing.T) {
 	text, err := os.ReadFile("../docs/SETTINGS.md")
 	require.NoError(t, err)
-	documented := make(map[string]string)
+	documentedDefaults := make(map[string]string)
 	for _, m := range tableRow.FindAllStringSubmatch(string(text), -1) {
-		require.NotContains(t, documented, m[1], "listed twice")
-		documented[m[1]] = m[2]
+		require.NotContains(t, documentedDefaults, m[1], "listed twice")
+		documentedDefaults[m[1]] = m[2]
 	}
-	actual := make(map[string]string)
-	collectDefaults(t, "", reflect.ValueOf(Defaults()), actual)
-	for path, value := range actual {
-		require.Equal(t, value, documented[path], "docs/SETTINGS.md must have a row for %s with its default", path)
+	actualDefaults := make(map[string]string)
+	collectDefaults(t, "", reflect.ValueOf(Defaults()), actualDefaults)
+	for path, value := range actualDefaults {
+		require.Equal(t, value, documentedDefaults[path], "docs/SETTINGS.md must have a row for %s with its default", path)
 	}
-	for path := range documented {
-		require.Contains(t, actual, path, "docs/SETTINGS.md lists a field that does not exist")
+	for path := range documentedDefaults {
+		require.Contains(t, actualDefaults, path, "docs/SETTINGS.md lists a field that does not exist")
 	}
 }
 
--- a/soak/mutants_test.go
+++ b/soak/mutants_test.go
@@ -54,7 +54,7 @@
 	},
 	"responses to other requests are accepted": {
 		edits: []edits.Edit{
-			edits.New("hop/pool.go", "|| c.unmatched || c.reader.Buffered() > 0", ""),
+			edits.New("hop/pool.go", "|| c.gotUnmatchedResponse || c.reader.Buffered() > 0", ""),
 			edits.New("sidecar/run.go", "return r.ID == c.ID || r.ID == \"\" && (r.NotRun || r.Misdirected)", "return r.ID != \"\" || c.ID != \"\""),
 		},
 		plan: planDoubledResponses, wantViolation: "mixed",
@@ -80,7 +80,7 @@
 		plan:  planReloads, wantViolation: "unanswered",
 	},
 	"truncated responses are delivered": {
-		edits: []edits.Edit{edits.New("hop/exchange.go", "if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBody+1)); err != nil {\n		return nil, err\n	}", "_, _ = io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBody+1))")},
+		edits: []edits.Edit{edits.New("hop/exchange.go", "if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBodyBytes+1)); err != nil {\n		return nil, err\n	}", "_, _ = io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBodyBytes+1))")},
 		plan:  planCutResponses, wantViolation: "mixed",
 	},
 	"requests that crash upstreams are served": {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -40,7 +40,9 @@
 	require.Zero(t, testing.AllocsPerRun(100, func() { c.Count(outcome.NotRunBecause("1")) }))
 }
 
-func TestLoggerFormats(t *testing.T) {
+// TestLoggerAppliesFormatAndLevel checks that lines below the level are not written,
+// and that the others are written in the given format.
+func TestLoggerAppliesFormatAndLevel(t *testing.T) {
 	var out bytes.Buffer
 	NewLogger(&out, FormatText, slog.LevelWarn).Info("hidden")
 	require.Empty(t, out.String())
--- a/trace/render.go
+++ b/trace/render.go
@@ -29,13 +29,13 @@
 // Duration returns the time from the start of the first root to the end of the root
 // that ended last.
 func (t *Tree) Duration() time.Duration {
-	var end time.Time
+	var lastEnd time.Time
 	for _, r := range t.Roots {
-		if e := r.Start.Add(r.elapsed()); e.After(end) {
-			end = e
+		if rootEnd := r.Start.Add(r.elapsed()); rootEnd.After(lastEnd) {
+			lastEnd = rootEnd
 		}
 	}
-	return end.Sub(t.Roots[0].Start)
+	return lastEnd.Sub(t.Roots[0].Start)
 }
 
 func (r Record) elapsed() time.Duration { return time.Duration(r.DurationUs) * time.Microsecond }
@@ -49,25 +49,26 @@
 // Complete trees come first, then incomplete ones; both are sorted by duration,
 // longest first.
 func BuildTrees(records []Record) []*Tree {
-	nodes := make(map[string]*Node, len(records))
+	// The keys of nodesByID are a trace ID followed by a span ID.
+	nodesByID := make(map[string]*Node, len(records))
 	for _, r := range records {
-		nodes[r.TraceID+r.SpanID] = &Node{Record: r}
+		nodesByID[r.TraceID+r.SpanID] = &Node{Record: r}
 	}
-	trees := make(map[string]*Tree)
-	for _, n := range nodes {
-		if parent := nodes[n.TraceID+n.ParentID]; parent != nil && n.ParentID != "" {
+	treesByTraceID := make(map[string]*Tree)
+	for _, n := range nodesByID {
+		if parent := nodesByID[n.TraceID+n.ParentID]; parent != nil && n.ParentID != "" {
 			parent.Children = append(parent.Children, n)
 			continue
 		}
-		t := trees[n.TraceID]
+		t := treesByTraceID[n.TraceID]
 		if t == nil {
 			t = &Tree{TraceID: n.TraceID}
-			trees[n.TraceID] = t
+			treesByTraceID[n.TraceID] = t
 		}
 		t.Roots = append(t.Roots, n)
 	}
-	out := make([]*Tree, 0, len(trees))
-	for _, t := range trees {
+	out := make([]*Tree, 0, len(treesByTraceID))
+	for _, t := range treesByTraceID {
 		sortNodes(t.Roots)
 		out = append(out, t)
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -73,8 +73,8 @@
 
 func TestCallersSamplingDecisionIsKept(t *testing.T) {
 	tr := newTracer(t, Options{SampleRatio: 1, RecentSpans: 8})
-	unsampled := sampledTraceparent[:len(sampledTraceparent)-1] + "0"
-	forwarded := serveTraced(tr, unsampled)
+	unsampledTraceparent := sampledTraceparent[:len(sampledTraceparent)-1] + "0"
+	forwarded := serveTraced(tr, unsampledTraceparent)
 	require.Empty(t, tr.Recent.Records())
 	require.Equal(t, sampledTraceparent[:35], forwarded[:35], "the trace ID must be forwarded")
 	require.Equal(t, "00", forwarded[len(forwarded)-2:])
@@ -130,9 +130,9 @@
 }
 
 func TestSpansAreExportedByOTLP(t *testing.T) {
-	posted := make(chan string, 8)
+	receivedRequests := make(chan string, 8)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		posted <- r.Method + " " + r.URL.Path + " " + r.Header.Get("Content-Type")
+		receivedRequests <- r.Method + " " + r.URL.Path + " " + r.Header.Get("Content-Type")
 	}))
 	defer collector.Close()
 	tr, err := New(t.Context(), Options{
@@ -141,7 +141,7 @@
 	require.NoError(t, err)
 	serveTraced(tr, "")
 	require.NoError(t, tr.Shutdown(t.Context()))
-	require.Equal(t, "POST /v1/traces application/x-protobuf", <-posted)
+	require.Equal(t, "POST /v1/traces application/x-protobuf", <-receivedRequests)
 	http.DefaultClient.CloseIdleConnections()
 }
 
@@ -155,9 +155,9 @@
 		ids += rec.SpanID
 	}
 	require.Equal(t, "234", ids)
-	empty := NewRing(0)
-	empty.Add(Record{})
-	require.Empty(t, empty.Records())
+	zeroSizeRing := NewRing(0)
+	zeroSizeRing.Add(Record{})
+	require.Empty(t, zeroSizeRing.Records())
 }
 
 func TestPrintShowsTheTreeInOrder(t *testing.T) {
--- a/wire/header.go
+++ b/wire/header.go
@@ -231,7 +231,7 @@
 
 // formatLoad encodes a load as the space-separated fields "running waiting
 // limit service_us failure_rate draining seq ahead". They are the fields of
-// model.Load in that order; service_us is the service time in microseconds.
+// model.Load; service_us is the service time in microseconds.
 func formatLoad(l model.Load) string {
 	b := make([]byte, 0, 64)
 	b = strconv.AppendInt(b, int64(l.Running), 10)
