--- a/settings/checker.go
+++ b/settings/checker.go
@@ -30,17 +30,17 @@
 	}
 }
 
-// required checks that a value is not empty.
-func (c *checker) required(path, value string) {
+// checkNotEmpty checks that a value is not empty.
+func (c *checker) checkNotEmpty(path, value string) {
 	if value == "" {
 		c.fail(path, strconv.Quote(value), "must be set")
 	}
 }
 
-// address checks that a value is host:port, where the host is an IP address or
+// checkAddress checks that a value is host:port, where the host is an IP address or
 // empty.
-func (c *checker) address(path, value string) {
-	c.required(path, value)
+func (c *checker) checkAddress(path, value string) {
+	c.checkNotEmpty(path, value)
 	host, port, err := net.SplitHostPort(value)
 	if err != nil {
 		c.fail(path, strconv.Quote(value), `want host:port such as "127.0.0.1:8080"`)
@@ -54,23 +54,23 @@
 	}
 }
 
-// duration checks that d is from low to high.
-func (c *checker) duration(path string, d policy.Duration, low, high time.Duration) {
+// checkDuration checks that d is from low to high.
+func (c *checker) checkDuration(path string, d policy.Duration, low, high time.Duration) {
 	if v := time.Duration(d); v < low || v > high {
 		c.fail(path, strconv.Quote(v.String()), "must be from "+low.String()+" to "+high.String())
 	}
 }
 
-// number checks that v is from low to high.
-func (c *checker) number(path string, v, low, high int64) {
+// checkNumber checks that v is from low to high.
+func (c *checker) checkNumber(path string, v, low, high int64) {
 	if v < low || v > high {
 		message := "must be from " + strconv.FormatInt(low, 10) + " to " + strconv.FormatInt(high, 10)
 		c.fail(path, strconv.FormatInt(v, 10), message)
 	}
 }
 
-// oneOf checks that a value is one of the allowed values.
-func (c *checker) oneOf(path, value string, allowed ...string) {
+// checkOneOf checks that a value is one of the allowed values.
+func (c *checker) checkOneOf(path, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
 		c.fail(path, strconv.Quote(value), "must be one of "+strings.Join(allowed, ", "))
 	}
--- a/settings/keys.go
+++ b/settings/keys.go
@@ -51,10 +51,10 @@
 }
 
 func (k Keys) check(c *checker) {
-	c.duration("keys.grant", k.Grant, time.Second, maxTimeout)
-	c.duration("keys.retention", k.Retention, time.Second, maxRetention)
-	c.number("keys.max_claims", int64(k.MaxClaims), 1, 1<<24)
-	c.number("keys.max_answers_bytes", int64(k.MaxAnswersBytes), 0, 1<<30)
-	c.number("keys.max_answer_bytes", k.MaxAnswerBytes, 1, 1<<24)
-	c.number("keys.max_body_bytes", k.MaxBodyBytes, 1, 1<<24)
+	c.checkDuration("keys.grant", k.Grant, time.Second, maxTimeout)
+	c.checkDuration("keys.retention", k.Retention, time.Second, maxRetention)
+	c.checkNumber("keys.max_claims", int64(k.MaxClaims), 1, 1<<24)
+	c.checkNumber("keys.max_answers_bytes", int64(k.MaxAnswersBytes), 0, 1<<30)
+	c.checkNumber("keys.max_answer_bytes", k.MaxAnswerBytes, 1, 1<<24)
+	c.checkNumber("keys.max_body_bytes", k.MaxBodyBytes, 1, 1<<24)
 }
--- a/settings/network.go
+++ b/settings/network.go
@@ -25,9 +25,9 @@
 }
 
 func (l Listen) check(c *checker) {
-	c.address("listen.callers", l.Callers)
-	c.address("listen.peers", l.Peers)
-	c.address("listen.admin", l.Admin)
+	c.checkAddress("listen.callers", l.Callers)
+	c.checkAddress("listen.peers", l.Peers)
+	c.checkAddress("listen.admin", l.Admin)
 }
 
 // Log configures access to the platform's append-only log, which holds the
@@ -48,8 +48,8 @@
 func defaultLog() Log { return Log{Interval: policy.Duration(defaultLogInterval)} }
 
 func (l Log) check(c *checker) {
-	c.address("log.address", l.Address)
-	c.duration("log.interval", l.Interval, minLogInterval, maxLogInterval)
+	c.checkAddress("log.address", l.Address)
+	c.checkDuration("log.interval", l.Interval, minLogInterval, maxLogInterval)
 }
 
 // TLS holds the names of files in PEM format. The files are read once, at the
@@ -71,8 +71,8 @@
 	if !t.Enabled() {
 		return
 	}
-	c.required(path+".certificate", t.Certificate)
-	c.required(path+".key", t.Key)
+	c.checkNotEmpty(path+".certificate", t.Certificate)
+	c.checkNotEmpty(path+".key", t.Key)
 }
 
 // Callers holds the limits for callers and the TLS files of their listener.
@@ -121,12 +121,12 @@
 }
 
 func (s Callers) check(c *checker, l Listen) {
-	c.number("callers.max_connections", int64(s.MaxConnections), 1, 1<<20)
-	c.number("callers.max_header_bytes", int64(s.MaxHeaderBytes), 4<<10, 1<<20)
-	c.number("callers.max_body_bytes", s.MaxBodyBytes, 0, 1<<40)
-	c.duration("callers.header_timeout", s.HeaderTimeout, minTimeout, maxTimeout)
-	c.duration("callers.stall_timeout", s.StallTimeout, minTimeout, maxTimeout)
-	c.duration("callers.idle_timeout", s.IdleTimeout, minTimeout, maxTimeout)
+	c.checkNumber("callers.max_connections", int64(s.MaxConnections), 1, 1<<20)
+	c.checkNumber("callers.max_header_bytes", int64(s.MaxHeaderBytes), 4<<10, 1<<20)
+	c.checkNumber("callers.max_body_bytes", s.MaxBodyBytes, 0, 1<<40)
+	c.checkDuration("callers.header_timeout", s.HeaderTimeout, minTimeout, maxTimeout)
+	c.checkDuration("callers.stall_timeout", s.StallTimeout, minTimeout, maxTimeout)
+	c.checkDuration("callers.idle_timeout", s.IdleTimeout, minTimeout, maxTimeout)
 	s.TLS.check(c, "callers.tls")
 	if !s.TLS.Enabled() && !s.AllowPlaintext && !isLoopback(l.Callers) {
 		c.fail("callers.allow_plaintext", "false",
@@ -149,13 +149,13 @@
 }
 
 func (p Peers) check(c *checker, l Listen) {
-	c.required("peers.secret", p.Secret)
+	c.checkNotEmpty("peers.secret", p.Secret)
 	for i, a := range p.Bootstrap {
-		c.address("peers.first["+strconv.Itoa(i)+"]", a)
+		c.checkAddress("peers.first["+strconv.Itoa(i)+"]", a)
 	}
 	p.TLS.check(c, "peers.tls")
 	if p.TLS.Enabled() {
-		c.required("peers.tls.authority", p.TLS.Authority)
+		c.checkNotEmpty("peers.tls.authority", p.TLS.Authority)
 	}
 	if !p.TLS.Enabled() && !p.AllowPlaintext && !isLoopback(l.Peers) {
 		c.fail("peers.allow_plaintext", "false",
--- a/settings/process.go
+++ b/settings/process.go
@@ -44,10 +44,10 @@
 }
 
 func (p Process) check(c *checker) {
-	c.duration("process.shutdown_timeout", p.ShutdownTimeout, minTimeout, maxTimeout)
-	c.duration("process.drain_time", p.DrainTime, 0, maxTimeout)
-	c.number("process.memory_limit_bytes", p.MemoryLimitBytes, 0, 1<<40)
-	c.number("process.gc_percent", int64(p.GCPercent), minGCPercent, maxGCPercent)
+	c.checkDuration("process.shutdown_timeout", p.ShutdownTimeout, minTimeout, maxTimeout)
+	c.checkDuration("process.drain_time", p.DrainTime, 0, maxTimeout)
+	c.checkNumber("process.memory_limit_bytes", p.MemoryLimitBytes, 0, 1<<40)
+	c.checkNumber("process.gc_percent", int64(p.GCPercent), minGCPercent, maxGCPercent)
 }
 
 // Logging configures the log on standard error.
@@ -62,8 +62,8 @@
 func defaultLogging() Logging { return Logging{Format: "json", Level: "info"} }
 
 func (l Logging) check(c *checker) {
-	c.oneOf("logging.format", l.Format, "json", "text")
-	c.oneOf("logging.level", l.Level, "debug", "info", "warn", "error")
+	c.checkOneOf("logging.format", l.Format, "json", "text")
+	c.checkOneOf("logging.level", l.Level, "debug", "info", "warn", "error")
 }
 
 // SlogLevel returns Level as a slog.Level, or slog.LevelInfo if Level is not valid.
@@ -99,12 +99,12 @@
 func defaultTracing() Tracing { return Tracing{Exporter: "none", Keep: defaultKeepSpans} }
 
 func (t Tracing) check(c *checker) {
-	c.oneOf("tracing.exporter", t.Exporter, "none", "stdout", "otlp")
+	c.checkOneOf("tracing.exporter", t.Exporter, "none", "stdout", "otlp")
 	if t.Exporter == "otlp" {
-		c.address("tracing.endpoint", t.Endpoint)
+		c.checkAddress("tracing.endpoint", t.Endpoint)
 	}
 	if t.Sample < 0 || t.Sample > 1 {
 		c.fail("tracing.sample", strconv.FormatFloat(t.Sample, 'g', -1, 64), "must be from 0 to 1")
 	}
-	c.number("tracing.keep", int64(t.Keep), 0, maxKeepSpans)
+	c.checkNumber("tracing.keep", int64(t.Keep), 0, maxKeepSpans)
 }
--- a/settings/routing.go
+++ b/settings/routing.go
@@ -20,10 +20,10 @@
 
 func (r Routing) check(c *checker) {
 	if r.Policy != "" {
-		c.oneOf("routing.policy", r.Policy, routing.Names()...)
+		c.checkOneOf("routing.policy", r.Policy, routing.Names()...)
 	}
 	for zone, d := range r.ZoneDelays {
-		c.duration("routing.zone_delays."+string(zone), d, 0, time.Minute)
+		c.checkDuration("routing.zone_delays."+string(zone), d, 0, time.Minute)
 	}
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -69,7 +69,7 @@
 // Check returns a *FieldError for the first invalid field, nil when all are valid.
 func (s Settings) Check() error {
 	c := &checker{}
-	c.required("zone", string(s.Zone))
+	c.checkNotEmpty("zone", string(s.Zone))
 	s.Listen.check(c)
 	s.Log.check(c)
 	s.Callers.check(c, s.Listen)
