--- a/hop/doc.go
+++ b/hop/doc.go
@@ -13,6 +13,7 @@
 // later.
 //
 // The Transport never retries an attempt on its own, for two reasons. Bodies
-// cannot be rewound. The name of an Idempotency-Key header is sent in a spelling
-// that the Transport does not recognize as permission to retry.
+// cannot be rewound. The names of the headers Idempotency-Key and
+// X-Idempotency-Key are sent in a spelling that the Transport does not recognize as
+// permission to retry.
 package hop
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -18,6 +18,8 @@
 	// Target is the request target in origin form, sent byte for byte.
 	Target string
 	Host   string
+	// Header holds the headers. Their names are sent as spelled. The Pool itself
+	// adds Host and, where it is needed, Content-Length.
 	Header http.Header
 	Body   []byte
 	// MaxIdleTime limits how long the connection used for the request may have
@@ -86,7 +88,8 @@
 	errHeadersTooLarge    = errors.New("response headers are too large")
 )
 
-// encodeHead returns the request line and the headers.
+// encodeHead returns the request line and the headers. It adds Content-Length if the
+// request has a body or if the method expects one (POST, PUT or PATCH).
 func (r *PoolRequest) encodeHead() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -46,7 +46,7 @@
 	OnResult func(Peer, error)
 	// BootstrapPeers are used as long as Peers returns no other daemon.
 	BootstrapPeers []Peer
-	// Transport reaches the peers.
+	// Transport sends the messages of rounds to the peers.
 	Transport Transport
 	// Interval is the mean time between two regular rounds. Default: 1s.
 	Interval time.Duration
--- a/peer/exchanger_test.go
+++ b/peer/exchanger_test.go
@@ -160,6 +160,9 @@
 	}
 }
 
+// TestIsolatedZoneCatchesUp isolates one zone of five for 20 seconds, in which an
+// update spreads through the others. The zone must have the update four seconds
+// after the isolation ends.
 func TestIsolatedZoneCatchesUp(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx := testContext(t)
@@ -177,6 +180,9 @@
 	})
 }
 
+// TestTriggeredRoundsAreLimited triggers a round every 10ms for ten seconds. The
+// requests sent by all daemons must stay within what the rate limit of triggered
+// rounds and the regular rounds allow.
 func TestTriggeredRoundsAreLimited(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx := testContext(t)
@@ -213,6 +219,8 @@
 	})
 }
 
+// TestExhaustedByteBudgetLimitsRoundToOnePeer runs a round that uses up the byte
+// budget. The next round must contact one peer instead of three.
 func TestExhaustedByteBudgetLimitsRoundToOnePeer(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		n := &network{exchangersByID: map[model.DaemonID]*Exchanger{}, zonesByID: map[model.DaemonID]model.AvailabilityZone{}}
@@ -283,6 +291,8 @@
 	require.InDelta(t, messageOverhead, overhead, messageOverhead*0.15)
 }
 
+// TestServiceAuthenticatesPeers checks that a message with a wrong secret is rejected
+// and changes nothing, and that one with the right secret is handled.
 func TestServiceAuthenticatesPeers(t *testing.T) {
 	e := NewExchanger(Options{})
 	topic := &maxValueTopic{}
--- a/trace/ring.go
+++ b/trace/ring.go
@@ -17,9 +17,10 @@
 	ParentID string `json:"parent_id,omitempty"`
 	Name     string `json:"name"`
 	// Daemon and Zone identify the daemon that recorded the span.
-	Daemon     string            `json:"daemon"`
-	Zone       string            `json:"zone"`
-	Start      time.Time         `json:"start"`
+	Daemon string    `json:"daemon"`
+	Zone   string    `json:"zone"`
+	Start  time.Time `json:"start"`
+	// DurationUs is the duration in microseconds.
 	DurationUs int64             `json:"duration_us"`
 	Attributes map[string]string `json:"attributes,omitempty"`
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -71,6 +71,9 @@
 	require.Equal(t, "1", attempt.Attributes["attempt"])
 }
 
+// TestCallersSamplingDecisionIsKept sends a traceparent header without the sampled
+// flag. No span may be recorded, and the forwarded header must keep the trace ID and
+// the cleared flag.
 func TestCallersSamplingDecisionIsKept(t *testing.T) {
 	tr := newTracer(t, Options{SampleRatio: 1, RecentSpans: 8})
 	unsampledTraceparent := sampledTraceparent[:len(sampledTraceparent)-1] + "0"
