--- a/delta/delta.go
+++ b/delta/delta.go
@@ -68,8 +68,8 @@
 // base document. The ID is never 0, because 0 means that there is no dictionary.
 func documentID(document []byte) uint32 { return max(uint32(xxhash.Sum64(document)), 1) }
 
-// windowSize returns the Zstandard window size for size bytes of base and
-// target. It is a power of two within the limits of Zstandard.
+// windowSize returns the Zstandard window size for a base and a target that together
+// have size bytes. It is a power of two within the limits of Zstandard.
 func windowSize(size int) int {
 	return min(max(1<<bits.Len(uint(size)), zstd.MinWindowSize), zstd.MaxWindowSize)
 }
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 )
 
+// maxDocumentSize is the size limit that the tests pass to Apply, in bytes.
 const maxDocumentSize = 4 << 20
 
 // routesDocument returns a document that starts with its version and lists n
--- a/settings/checker.go
+++ b/settings/checker.go
@@ -38,7 +38,7 @@
 }
 
 // checkAddress checks that a value is host:port, where the host is an IP address or
-// empty.
+// empty and the port is from 0 to 65535.
 func (c *checker) checkAddress(path, value string) {
 	c.checkNotEmpty(path, value)
 	host, port, err := net.SplitHostPort(value)
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -61,6 +61,8 @@
 	return decodeValue("", raw, reflect.ValueOf(v).Elem())
 }
 
+// syntaxMessage returns the message for data that is not JSON. It contains the line
+// number if err is a *json.SyntaxError.
 func syntaxMessage(data []byte, err error) string {
 	var syntaxErr *json.SyntaxError
 	if !errors.As(err, &syntaxErr) {
@@ -106,6 +108,8 @@
 	return &FieldError{Path: path, Value: string(raw), Message: err.Error()}
 }
 
+// decodeStruct decodes a JSON object into the struct v. It rejects unknown and
+// duplicate fields.
 func decodeStruct(path string, raw json.RawMessage, v reflect.Value) error {
 	fields := fieldsByName(v)
 	seen := make(map[string]bool)
@@ -139,6 +143,7 @@
 	return nil
 }
 
+// decodeSlice decodes a JSON list into v, a slice of structs.
 func decodeSlice(path string, raw json.RawMessage, v reflect.Value) error {
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil {
--- a/trace/handler.go
+++ b/trace/handler.go
@@ -31,7 +31,8 @@
 	return out
 }
 
-// Fetch reads the recent records of a daemon from its admin address (host:port).
+// Fetch reads the records that a daemon holds in Tracer.Recent from the admin
+// address (host:port) of the daemon.
 func Fetch(ctx context.Context, address string) ([]Record, error) {
 	var records []Record
 	err := admin.Get(ctx, address, "/traces", &records)
--- a/wire/header.go
+++ b/wire/header.go
@@ -26,7 +26,7 @@
 	HeaderIdempotent = "Dottereltiller-Idempotent"
 	// HeaderOutcome is the outcome kind of a response to a caller.
 	HeaderOutcome = "Dottereltiller-Outcome"
-	// HeaderReason is the reason for the outcome.
+	// HeaderReason is the reason for the outcome in HeaderOutcome.
 	HeaderReason = "Dottereltiller-Reason"
 	// HeaderCallToken carries a signed token from the guard to the upstream. The
 	// upstream passes the token on in the requests that it sends while it
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -88,8 +88,8 @@
 	HasLoad bool
 }
 
-// CancelOnClose makes the Close method of the body call cancel too. It returns
-// the result.
+// CancelOnClose makes the Close method of the body call cancel too. It changes r
+// and returns it.
 func (r *Result) CancelOnClose(cancel context.CancelFunc) *Result {
 	r.Body = &cancelingBody{ReadCloser: r.Body, cancel: cancel}
 	return r
