--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -23,7 +23,7 @@
 	Header http.Header
 	Body   []byte
 	// MaxIdleTime limits how long the connection used for the request may have
-	// been idle. With zero, only the idle timeout of the Pool limits it. A negative
+	// been idle. With zero, only the connection's idle timeout limits it. A negative
 	// value requires a new connection.
 	MaxIdleTime time.Duration
 	// Accept reports whether a response belongs to this request. Other
--- a/identity/credentials.go
+++ b/identity/credentials.go
@@ -119,10 +119,10 @@
 }
 
 // CallerDialer returns a function with which a caller connects to daemons, with a
-// timeout for the dialing of each connection. The function uses TLS when files names a
-// certificate authority, otherwise plaintext. With TLS it sends the certificate
-// in files, if any, as client certificate. The path is the JSON path of files in
-// the settings, for error messages.
+// timeout for the dialing of each connection. The function uses TLS when files
+// names a certificate authority, otherwise plaintext. With TLS it sends the
+// certificate in files, if any, as client certificate. The path is the JSON path
+// of files in the settings, for error messages.
 func CallerDialer(path string, files settings.TLS, timeout time.Duration) (DialFunc, error) {
 	dialer := &net.Dialer{Timeout: timeout}
 	if files.Authority == "" {
--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -21,11 +21,10 @@
 var ErrNoFreeNetwork = errors.New("loopback: all networks are in use")
 
 // ListenFirstFree listens in the first free one of n networks. A network is free
-// if nobody listens on its address. ListenFirstFree returns the
-// listener and the number of that network, from 0 to n-1. It tries the networks
-// in order, beginning with number startIndex modulo n. The function address returns
-// the address to listen on in a network. The error is ErrNoFreeNetwork or an
-// error of net.Listen.
+// if nobody listens on its address. ListenFirstFree returns the listener and the
+// number of that network, from 0 to n-1. It tries the networks in order, beginning
+// with number startIndex modulo n. The function address returns the address to
+// listen on in a network. The error is ErrNoFreeNetwork or an error of net.Listen.
 func ListenFirstFree(startIndex uint64, n int, address func(networkIndex int) string) (net.Listener, int, error) {
 	for i := range uint64(n) {
 		networkIndex := int((startIndex + i) % uint64(n))
--- a/loopback/loopback_test.go
+++ b/loopback/loopback_test.go
@@ -25,9 +25,8 @@
 }
 
 // TestListenFirstFreeFailsWhenAllNetworksAreInUse listens in every network. The
-// next call must return ErrNoFreeNetwork. The addresses
-// depend on the process ID, so that the test can run in several processes at
-// once.
+// next call must return ErrNoFreeNetwork. The addresses depend on the process ID,
+// so that the test can run in several processes at once.
 func TestListenFirstFreeFailsWhenAllNetworksAreInUse(t *testing.T) {
 	const first, networkCount, hostsPerSubnet = 250, 4, 250
 	pid := os.Getpid()
--- a/peer/choose.go
+++ b/peer/choose.go
@@ -52,9 +52,8 @@
 	return append(chosen, e.chooseUnreachable()...)
 }
 
-// chooseUnreachable returns a random unreachable peer with
-// unreachableProbability, otherwise none. The caller holds
-// e.mu.
+// chooseUnreachable returns a random unreachable peer with unreachableProbability,
+// otherwise none. The caller holds e.mu.
 func (e *Exchanger) chooseUnreachable() []Peer {
 	if e.opts.Unreachable == nil || e.rng.Float64() >= unreachableProbability {
 		return nil
@@ -66,10 +65,9 @@
 	return []Peer{unreachable[e.rng.IntN(len(unreachable))]}
 }
 
-// updateNeighbours chooses the neighbours again if the list of peers has
-// changed. If the list contains no other daemon, the neighbours are chosen from
-// the bootstrap peers. The caller holds
-// e.mu.
+// updateNeighbours chooses the neighbours again if the list of peers has changed.
+// If the list contains no other daemon, the neighbours are chosen from the
+// bootstrap peers. The caller holds e.mu.
 func (e *Exchanger) updateNeighbours(peers []Peer) {
 	if e.neighbours.chosenFrom != nil && sameSlice(e.neighbours.chosenFrom, peers) {
 		return
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -4,9 +4,9 @@
 
 // metrics counts the rounds and deltas by result, and the bytes of rounds.
 type metrics struct {
-	// rounds and roundsFailed count the exchanges with single peers that succeeded
-	// and that failed. roundsLimited counts the rounds that were limited to one neighbour because
-	// the byte budget was exhausted.
+	// rounds and roundsFailed count the exchanges with single peers that succeeded and
+	// that failed. roundsLimited counts the rounds that were limited to one neighbour
+	// because the byte budget was exhausted.
 	rounds, roundsFailed, roundsLimited tally.Counter
 	// deltasLimited counts the deltas that were limited to minDeltaBytes because
 	// the byte budget was exhausted.
