--- a/hop/doc.go
+++ b/hop/doc.go
@@ -3,8 +3,9 @@
 // executed it.
 //
 // A Client sends to many addresses and streams bodies. A Pool holds the
-// connections to one address and buffers bodies in memory. A Pool also checks
-// whether a response belongs to the request, and discards one that does not.
+// connections to one address and buffers bodies in memory. If PoolRequest.Accept
+// is set, a Pool also checks whether a response belongs to the request, and
+// discards one that does not.
 //
 // A Client wraps a net/http Transport whose connections count the bytes
 // written. If no byte of a failed attempt was written, the attempt provably did
@@ -12,6 +13,7 @@
 // later.
 //
 // The Transport never retries an attempt on its own, for two reasons. Bodies
-// cannot be rewound. The name of an Idempotency-Key header is sent in a spelling
-// that the Transport does not recognize as permission to retry.
+// cannot be rewound. The names of the headers Idempotency-Key and
+// X-Idempotency-Key are sent in a spelling that the Transport does not recognize as
+// permission to retry.
 package hop
--- a/hop/exchange.go
+++ b/hop/exchange.go
@@ -18,16 +18,19 @@
 	// Target is the request target in origin form, sent byte for byte.
 	Target string
 	Host   string
+	// Header holds the headers. Their names are sent as spelled. The Pool itself
+	// adds Host and, where it is needed, Content-Length.
 	Header http.Header
 	Body   []byte
 	// MaxIdleTime limits how long the connection used for the request may have
-	// been idle. Zero allows any idle connection that the Pool still keeps. A
-	// negative value requires a new connection.
+	// been idle. With zero, only the connection's idle timeout limits it. A negative
+	// value requires a new connection.
 	MaxIdleTime time.Duration
 	// Accept reports whether a response belongs to this request. Other
 	// responses are read and discarded. Nil accepts every response.
 	Accept func(*http.Response) bool
-	// OnInformational, if set, is called for each informational (1xx) response.
+	// OnInformational, if set, is called for each informational (1xx) response
+	// other than 101 (Switching Protocols).
 	OnInformational func()
 }
 
@@ -67,15 +70,15 @@
 func (e *RequestError) Unwrap() error { return e.Err }
 
 const (
-	// maxResponseBody limits the response body held in memory, in bytes.
-	maxResponseBody = 16 << 20
-	// maxUnmatched is the number of responses to other requests that are
+	// maxResponseBodyBytes limits the response body held in memory, in bytes.
+	maxResponseBodyBytes = 16 << 20
+	// maxUnmatchedResponses is the number of responses to other requests that are
 	// discarded before the connection is closed.
-	maxUnmatched = 3
-	// maxInlineBody is the size, in bytes, of the largest body that is written
+	maxUnmatchedResponses = 3
+	// maxInlineBodyBytes is the size, in bytes, of the largest body that is written
 	// before the response is read. A larger body is written while the response
 	// is read, so that a response that arrives early is noticed.
-	maxInlineBody = 2 << 10
+	maxInlineBodyBytes = 2 << 10
 )
 
 var (
@@ -85,7 +88,8 @@
 	errHeadersTooLarge    = errors.New("response headers are too large")
 )
 
-// encodeHead returns the request line and the headers.
+// encodeHead returns the request line and the headers. It adds Content-Length if the
+// request has a body or if the method expects one (POST, PUT or PATCH).
 func (r *PoolRequest) encodeHead() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
@@ -109,8 +113,8 @@
 func (c *pooledConn) exchange(ctx context.Context, r *PoolRequest) (*PoolResponse, error) {
 	stop := context.AfterFunc(ctx, func() { c.close() })
 	defer stop()
-	failure := &RequestError{Reused: c.requests > 0}
-	c.requests++
+	failure := &RequestError{Reused: c.requestCount > 0}
+	c.requestCount++
 	writeDone, err := c.send(r)
 	failure.Sent = c.wroteBytes
 	if err != nil {
@@ -128,6 +132,8 @@
 		c.reusable = false
 	}
 	if !stop() {
+		// The context has ended, so the function passed to AfterFunc closes the
+		// connection.
 		c.reusable = false
 	}
 	return resp, nil
@@ -143,14 +149,14 @@
 	return e
 }
 
-// send writes the request. It writes a body larger than maxInlineBody in the
+// send writes the request. It writes a body larger than maxInlineBodyBytes in the
 // background. The channel receives the result of writing the body: nil when the
-// whole request is written, or an error. The second result is the error of the
-// bytes that send writes before it returns.
+// whole request is written, or an error. The error that send returns concerns only
+// the writes that it does before it returns.
 func (c *pooledConn) send(r *PoolRequest) (<-chan error, error) {
 	writeDone := make(chan error, 1)
 	head := r.encodeHead()
-	if len(r.Body) <= maxInlineBody {
+	if len(r.Body) <= maxInlineBodyBytes {
 		err := c.write(append(head, r.Body...))
 		writeDone <- err
 		return writeDone, err
@@ -176,7 +182,7 @@
 // one. It sets failure.ResponseStarted once the headers of that response are
 // received.
 func (c *pooledConn) receive(r *PoolRequest, failure *RequestError) (*PoolResponse, error) {
-	for range maxUnmatched {
+	for range maxUnmatchedResponses {
 		resp, err := c.readResponse(r)
 		if err != nil {
 			return nil, err
@@ -191,7 +197,7 @@
 		if matches {
 			return &PoolResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 		}
-		c.unmatched = true
+		c.gotUnmatchedResponse = true
 		if !c.reusable {
 			break
 		}
@@ -199,9 +205,9 @@
 	return nil, errNoMatchingResponse
 }
 
-// readResponse reads the status line and the headers of the next final
-// response. It calls r.OnInformational for each informational (1xx) response
-// before the final one.
+// readResponse reads the status line and the headers of the next final response.
+// A response with status 101 (Switching Protocols) counts as final. For each
+// earlier informational (1xx) response it calls r.OnInformational.
 func (c *pooledConn) readResponse(r *PoolRequest) (*http.Response, error) {
 	defer c.headLimiter.clearLimit()
 	for {
@@ -220,17 +226,17 @@
 }
 
 // readBody reads and closes the body. It returns errBodyTooLarge if the body
-// exceeds maxResponseBody.
+// exceeds maxResponseBodyBytes.
 func readBody(resp *http.Response) ([]byte, error) {
 	defer func() { _ = resp.Body.Close() }()
 	var buf bytes.Buffer
-	if n := resp.ContentLength; n > 0 && n <= maxResponseBody {
+	if n := resp.ContentLength; n > 0 && n <= maxResponseBodyBytes {
 		buf.Grow(int(n))
 	}
-	if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBody+1)); err != nil {
+	if _, err := io.Copy(&buf, io.LimitReader(resp.Body, maxResponseBodyBytes+1)); err != nil {
 		return nil, err
 	}
-	if buf.Len() > maxResponseBody {
+	if buf.Len() > maxResponseBodyBytes {
 		return nil, errBodyTooLarge
 	}
 	return buf.Bytes(), nil
@@ -246,8 +252,8 @@
 	}
 }
 
-// parseKeepAlive returns the timeout parameter of a Keep-Alive header. It
-// reports false if the header has no valid timeout.
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header, which is a
+// whole number of seconds. It reports false if the header has no valid timeout.
 func parseKeepAlive(header string) (time.Duration, bool) {
 	for _, field := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/hop/replay.go
+++ b/hop/replay.go
@@ -13,10 +13,10 @@
 // these headers.
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// lowercaseNames maps each of the idempotencyHeaders to a spelling that the
+// lowercaseNameByHeader maps each of the idempotencyHeaders to a spelling that the
 // Transport does not recognize. Servers recognize the spelling, because they
 // compare header names without regard to case.
-var lowercaseNames = map[string]string{
+var lowercaseNameByHeader = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
@@ -28,7 +28,7 @@
 	for _, name := range idempotencyHeaders {
 		if values, ok := req.Header[name]; ok {
 			delete(req.Header, name)
-			req.Header[lowercaseNames[name]] = values
+			req.Header[lowercaseNameByHeader[name]] = values
 		}
 	}
 	switch {
@@ -49,7 +49,8 @@
 }
 
 // setReplayable sets the body of a request as an ordinary client does, so that
-// the Transport can retry the request. It is used if Client.unprotected is set.
+// the Transport can retry the request. It sets no body unless the given one is a
+// *bytes.Reader. It is used only if Client.unprotected is set.
 func setReplayable(req *http.Request, body io.Reader) {
 	reader, ok := body.(*bytes.Reader)
 	if !ok {
--- a/inbound/conn_test.go
+++ b/inbound/conn_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// acceptConn opens a connection. It returns the client's end, and the context
-// that a request on the server's end has.
+// acceptConn opens a connection. It returns the context of a request that arrives
+// on the connection, and the client's end.
 func acceptConn(t *testing.T) (context.Context, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,8 +63,8 @@
 
 func TestClosedByClient(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*net.TCPConn) error
-		want bool
+		action func(*net.TCPConn) error
+		want   bool
 	}{
 		"open":          {func(*net.TCPConn) error { return nil }, false},
 		"bytes to read": {func(c *net.TCPConn) error { _, err := c.Write([]byte("x")); return err }, false},
@@ -74,7 +74,7 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, client := acceptConn(t)
 			require.False(t, ClosedByClient(ctx))
-			require.NoError(t, c.do(client))
+			require.NoError(t, c.action(client))
 			if c.want {
 				require.Eventually(t, func() bool { return ClosedByClient(ctx) }, time.Minute, time.Millisecond)
 			} else {
@@ -85,8 +85,8 @@
 	require.False(t, ClosedByClient(t.Context()), "the context holds no connection")
 }
 
-// TestUntrackedConnectionsCountAsOpen checks contexts without a connection and
-// with one that no tracking listener accepted.
+// TestUntrackedConnectionsCountAsOpen calls ClosedByServer with a context without a
+// connection, and with a context whose connection no trackingListener accepted.
 func TestUntrackedConnectionsCountAsOpen(t *testing.T) {
 	require.False(t, ClosedByServer(t.Context()))
 	a, b := net.Pipe()
--- a/peer/round.go
+++ b/peer/round.go
@@ -37,25 +37,25 @@
 		return
 	}
 	var wg sync.WaitGroup
-	first := make(chan struct{})
+	firstDone := make(chan struct{})
 	wg.Go(func() {
-		defer close(first)
+		defer close(firstDone)
 		e.exchange(ctx, peers[0])
 	})
-	e.awaitFirst(ctx, first)
+	e.awaitFirstPeer(ctx, firstDone)
 	for _, p := range peers[1:] {
 		wg.Go(func() { e.exchange(ctx, p) })
 	}
 	wg.Wait()
 }
 
-// awaitFirst waits until the exchange with the first peer has ended, at most
+// awaitFirstPeer waits until the exchange with the first peer has ended, at most
 // for firstPeerWait.
-func (e *Exchanger) awaitFirst(ctx context.Context, first <-chan struct{}) {
+func (e *Exchanger) awaitFirstPeer(ctx context.Context, firstDone <-chan struct{}) {
 	timer := time.NewTimer(firstPeerWait)
 	defer timer.Stop()
 	select {
-	case <-first:
+	case <-firstDone:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -144,7 +144,7 @@
 
 // deltas returns the deltas that a peer with the given digests lacks. Each delta
 // is limited to MaxDeltaBytes and to the rest of the byte budget, but may always
-// have minDeltaBytes.
+// have minDeltaBytes. Topics that this daemon does not know are skipped.
 func (e *Exchanger) deltas(digests []*peerv1.TopicMessage) []*peerv1.TopicMessage {
 	var messages []*peerv1.TopicMessage
 	for _, m := range limitTopics(digests) {
@@ -164,7 +164,8 @@
 	return messages
 }
 
-// apply applies a peer's deltas. If a delta changes the digest of its topic, apply
+// apply applies a peer's deltas. It skips unknown topics, and counts and logs the
+// deltas that a topic rejects. If a delta changes the digest of its topic, apply
 // triggers a round, which forwards the update.
 func (e *Exchanger) apply(messages []*peerv1.TopicMessage) {
 	changed := false
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -69,7 +69,7 @@
 // Check returns a *FieldError for the first invalid field, nil when all are valid.
 func (s Settings) Check() error {
 	c := &checker{}
-	c.required("zone", string(s.Zone))
+	c.checkNotEmpty("zone", string(s.Zone))
 	s.Listen.check(c)
 	s.Log.check(c)
 	s.Callers.check(c, s.Listen)
@@ -83,5 +83,6 @@
 	return c.result()
 }
 
-// JSON returns the settings as indented JSON, which Parse accepts.
+// JSON returns the settings as indented JSON. Parse accepts the JSON if the settings
+// are valid.
 func (s Settings) JSON() ([]byte, error) { return json.MarshalIndent(s, "", "  ") }
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -61,6 +61,8 @@
 	return decodeValue("", raw, reflect.ValueOf(v).Elem())
 }
 
+// syntaxMessage returns the message for data that is not JSON. It contains the line
+// number if err is a *json.SyntaxError.
 func syntaxMessage(data []byte, err error) string {
 	var syntaxErr *json.SyntaxError
 	if !errors.As(err, &syntaxErr) {
@@ -72,8 +74,10 @@
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-// decodeValue decodes raw, the JSON value at path, into v. Fields of nested
-// structs are checked one by one.
+// decodeValue decodes raw, the JSON value at path, into v. It decodes structs and
+// lists of structs field by field, so that it finds unknown and duplicate fields in
+// them. It decodes all other values as a whole, also those of a type with an
+// UnmarshalJSON method.
 func decodeValue(path string, raw json.RawMessage, v reflect.Value) error {
 	hasUnmarshaler := reflect.PointerTo(v.Type()).Implements(unmarshalerType)
 	switch {
@@ -88,7 +92,7 @@
 	}
 }
 
-// decodeLeaf decodes a value as a whole with json.Unmarshal.
+// decodeLeaf decodes a value as a whole with json.Unmarshal. It rejects null.
 func decodeLeaf(path string, raw json.RawMessage, v reflect.Value) error {
 	if string(raw) == "null" {
 		return &FieldError{Path: path, Value: "null", Message: "want " + describeType(v.Type())}
@@ -104,6 +108,8 @@
 	return &FieldError{Path: path, Value: string(raw), Message: err.Error()}
 }
 
+// decodeStruct decodes a JSON object into the struct v. It rejects unknown and
+// duplicate fields.
 func decodeStruct(path string, raw json.RawMessage, v reflect.Value) error {
 	fields := fieldsByName(v)
 	seen := make(map[string]bool)
@@ -137,6 +143,7 @@
 	return nil
 }
 
+// decodeSlice decodes a JSON list into v, a slice of structs.
 func decodeSlice(path string, raw json.RawMessage, v reflect.Value) error {
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil {
--- a/trace/span.go
+++ b/trace/span.go
@@ -31,8 +31,8 @@
 	return ctx, Span{span: span}
 }
 
-// Inject sets the traceparent header to the span in ctx. It leaves the headers
-// unchanged when ctx has no span.
+// Inject sets the traceparent header to the trace ID and span ID of the span in
+// ctx and its sampled flag. It leaves the headers unchanged when ctx has no span.
 func Inject(ctx context.Context, h http.Header) {
 	if oteltrace.SpanContextFromContext(ctx).IsValid() {
 		propagator.Inject(ctx, propagation.HeaderCarrier(h))
@@ -53,7 +53,8 @@
 	)
 }
 
-// End records an outcome on the span and ends it.
+// End records an outcome on the span and ends the span. An outcome other than
+// Answered also sets the span's status to Error.
 func (s Span) End(o outcome.Outcome) {
 	if s.span == nil {
 		return
@@ -76,6 +77,7 @@
 // TracedGuard records a span around each call to the guard in the same process.
 // Tracer.Handler records the span for a call from another daemon.
 type TracedGuard struct {
+	// Next is the guard.
 	Next Forwarder
 }
 
