--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -30,21 +30,23 @@
 // Store enforces a daemon's shares of the ceilings. It is safe for concurrent
 // use.
 type Store struct {
-	opts     Options
-	self     ceiling.Daemon
+	opts Options
+	// self is the hash of Options.Self that identifies this daemon in reports.
+	self ceiling.Daemon
+	// refusals counts the requests that TryAcquire refused.
 	refusals tally.Counter
 	// unreadableDeltas counts deltas from peers that cannot be decoded.
 	unreadableDeltas tally.Counter
 
 	mu       sync.Mutex
 	ceilings map[ceiling.Key]*ceiling.Ceiling
-	// byHash holds the same ceilings by the keyHash of their key.
+	// byHash holds the ceilings of the field ceilings by the keyHash of their key.
 	byHash map[uint64]*ceiling.Ceiling
 	// recent holds the reports that are relayed to other daemons. A report is
-	// removed after relayPeriod.
+	// removed relayPeriod after this daemon made or received it.
 	recent map[reportKey]recentReport
-	// deltaCount counts the non-empty results of Delta. It determines with which
-	// report the next result starts.
+	// deltaCount counts the non-empty results of Delta. It determines the report
+	// with which the next result starts.
 	deltaCount uint64
 }
 
@@ -55,6 +57,7 @@
 	daemon      ceiling.Daemon
 }
 
+// recentReport is a report that is still relayed.
 type recentReport struct {
 	ceiling.Report
 	// addedAt is when this daemon made or received the report.
@@ -78,8 +81,9 @@
 	}
 }
 
-// Configure replaces the ceilings in force. A ceiling that was in force before
-// keeps its counts and the reports that it received.
+// Configure replaces the ceilings in force by ceilings with the given limits. A
+// ceiling whose key was already in force keeps its counts and the reports that it
+// received.
 func (s *Store) Configure(limits map[ceiling.Key]ceiling.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,9 +101,10 @@
 	}
 }
 
-// TryAcquire admits a request of a group at a service, or refuses it. If ok is
-// true, the request is admitted, and release must be called when it has ended.
-// Otherwise wait is the Retry-After value for the caller.
+// TryAcquire admits or refuses a request of a group to a service. If ok is true,
+// the request is admitted, and release must be called once when the request has
+// ended. Otherwise release is nil and wait is the Retry-After value for the caller.
+// A request without a ceiling is always admitted.
 func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (release func(), wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,6 +125,7 @@
 
 func noRelease() {}
 
+// tickInterval is the time between two updates of the shares.
 const tickInterval = 250 * time.Millisecond
 
 // Serve keeps the shares up to date until the context ends.
@@ -130,8 +136,9 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "ceiling" }
 
-// tick updates the shares, adds the reports of this daemon that are due to recent,
-// and removes old reports from it.
+// tick updates the shares and adds this daemon's due reports to s.recent. It removes
+// the reports from s.recent that are older than relayPeriod or whose ceiling is no
+// longer in force.
 func (s *Store) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ceiling/store_test.go
+++ b/ceiling/store_test.go
@@ -33,9 +33,10 @@
 	return f
 }
 
-// runSecond simulates one second. Every store receives the given number of
-// requests, one after the other, then exchanges deltas of at most limit bytes
-// with its neighbour. runSecond returns how many requests all stores admitted.
+// runSecond simulates one second, in which every store receives the given number of
+// requests, spread evenly. At the end of the second, neighbouring stores exchange
+// deltas of at most limit bytes. runSecond returns the number of requests admitted by
+// all stores together.
 func (f *fleet) runSecond(t *testing.T, requests, limit int) int {
 	admitted := 0
 	for range 4 {
--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -19,23 +19,23 @@
 	// relayPeriod is how long a daemon relays a report after it made or received
 	// the report.
 	relayPeriod = 5 * time.Second
-	// reportBytes is the encoded length of a report: key, daemon, demand and
-	// timestamp.
+	// reportBytes is the encoded length of a report: the hash of the ceiling's
+	// key, the hash of the daemon ID, the demand and the timestamp.
 	reportBytes = 8 + 8 + 4 + 8
 	// fibonacciMultiplier is 2^64 divided by the golden ratio, rounded to an odd
 	// number. Its successive multiples are spread evenly (Fibonacci hashing).
 	fibonacciMultiplier = 0x9E3779B97F4A7C15
 )
 
-// errPartialReport is returned for a delta whose length is no multiple of the
-// length of a report.
+// errPartialReport is returned for a delta whose length is not a multiple of
+// reportBytes.
 var errPartialReport = errors.New("ceiling: length of delta is not a multiple of the report length")
 
 // Name implements peer.Topic.
 func (*Store) Name() string { return "ceiling" }
 
-// Digest implements peer.Topic. It returns nil while there is no recent report
-// to relay.
+// Digest implements peer.Topic. It returns a checksum of the reports in s.recent, or
+// nil if there are none.
 func (s *Store) Digest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,9 +49,10 @@
 	return binary.BigEndian.AppendUint64(nil, sum)
 }
 
-// Delta implements peer.Topic. It returns recent reports, at most limit bytes.
-// Each call starts at another report. So all reports are relayed over several
-// rounds, even if they do not all fit into one delta.
+// Delta implements peer.Topic. It returns reports of s.recent in at most limit
+// bytes, or nil if the peer's digest equals the digest of this daemon. If the reports
+// do not all fit into one delta, the first report varies from call to call, so that
+// all of them are relayed over several exchange rounds.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
@@ -69,9 +70,10 @@
 	if n == 0 {
 		return nil
 	}
-	// The starts of successive calls are spread evenly over the reports. If the
-	// start moved by one report a call, it could synchronize with the peers'
-	// calls. A peer could then get the same few reports every time.
+	// The start indexes of successive calls are spread evenly over the reports. If
+	// the start index grew by one with each call, it could synchronize with the
+	// order in which the peers exchange with this daemon. A peer could then get the
+	// same few reports every time.
 	s.deltaCount++
 	start := int((s.deltaCount * fibonacciMultiplier) >> 33 % uint64(len(reports)))
 	out := make([]byte, 0, n*reportBytes)
@@ -82,8 +84,9 @@
 }
 
 // Apply implements peer.Topic. It ignores reports on ceilings that are not in
-// force at this daemon. It returns errPartialReport for a delta of the wrong
-// length.
+// force at this daemon, and reports that Ceiling.Merge does not store. For a delta
+// whose length is not a multiple of reportBytes it returns errPartialReport and
+// applies nothing.
 func (s *Store) Apply(delta []byte) error {
 	if len(delta)%reportBytes != 0 {
 		s.unreadableDeltas.Inc(1)
--- a/configuration/documents.go
+++ b/configuration/documents.go
@@ -13,10 +13,10 @@
 // documents in the same way as every daemon does.
 func NewStateMachine() *config.StateMachine { return config.NewStateMachine(validate) }
 
-// validate checks each document on its own. It need not check the documents in
-// combination: the operator's command compiled the whole configuration before it
-// proposed the change. A change is accepted only if the configuration has not
-// changed since.
+// validate checks each document on its own and returns the error of the first
+// invalid one. It need not check the documents in combination: the operator's command
+// compiled the whole configuration before it proposed the change, and the change is
+// accepted only if the configuration has not changed since that compilation.
 func validate(documents map[config.DocumentKey]json.RawMessage) error {
 	keys := make([]config.DocumentKey, 0, len(documents))
 	for k := range documents {
@@ -31,6 +31,8 @@
 	return nil
 }
 
+// validateDocument requires that a document can be decoded, is stored under its own key,
+// and compiles when it is the only document.
 func validateDocument(k config.DocumentKey, raw json.RawMessage) error {
 	var d policy.Document
 	if err := json.Unmarshal(raw, &d); err != nil {
@@ -45,7 +47,7 @@
 	return nil
 }
 
-// Documents returns the documents of a state, ordered by key. It leaves out
+// Documents returns the decoded documents of a state, ordered by key. It leaves out
 // documents that cannot be decoded.
 func Documents(s config.State) []policy.Document {
 	docs := make([]policy.Document, 0, len(s.Documents))
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -25,8 +25,9 @@
 // fleet is a number of daemons. Each consists only of a configuration store and an
 // exchanger.
 type fleet struct {
-	t       testing.TB
-	ctx     context.Context
+	t   testing.TB
+	ctx context.Context
+	// memory holds the records of log, without the faults that log injects.
 	memory  *recordlog.Memory
 	log     *recordlog.FaultyLog
 	network *controltest.Network
@@ -39,7 +40,8 @@
 	// inForceAt holds, for each version and node, when the node first put the
 	// version in force.
 	inForceAt map[model.Version]map[model.DaemonID]time.Time
-	// chains holds the hash chain of each version. All nodes must have the same.
+	// chains holds the hash chain of each version, which must be the same at all
+	// nodes.
 	chains map[model.Version]string
 }
 
@@ -104,8 +106,9 @@
 	go func() { _ = exchanger.Serve(ctx) }()
 }
 
-// recordInForce records that a node put a version in force. It requires that all
-// nodes have the same hash chain for the version.
+// recordInForce records that a node put version v in force. status is the status of the
+// node's store at that time. If status shows v, recordInForce requires that the hash
+// chain of v is the same as at the other nodes. status may already show a newer version.
 func (f *fleet) recordInForce(id model.DaemonID, v model.Version, status configuration.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,6 +127,7 @@
 	f.chains[v] = status.Chain
 }
 
+// kill stops a node and makes it unreachable for the other nodes.
 func (f *fleet) kill(n *node) {
 	n.cancel()
 	f.network.Attach(n.Peer, nil)
@@ -146,7 +150,8 @@
 	}
 }
 
-// publish publishes a new document and requires that it is accepted.
+// publish publishes a new document with the given name and requires that the change is
+// accepted.
 func (f *fleet) publish(name string) operator.Result {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.ctx, time.Minute)
@@ -156,14 +161,15 @@
 	return res
 }
 
-// proposal returns a proposal that adds a document with a name.
+// proposal returns a proposal that adds a service document with the given name.
 func proposal(name string) operator.Proposal {
 	return operator.Proposal{Author: "op-" + name, Comment: "add " + name, Documents: []policy.Document{
 		{Kind: policy.KindService, Name: name, Spec: json.RawMessage(`{"deadline":"2s"}`)}}}
 }
 
-// delays returns the time from start until each node put a version in force, in
-// ascending order. It omits nodes that have not put the version in force.
+// delays returns, for each node, the time from start until the node first put a version
+// in force. The delays are in ascending order. Nodes that have not put the version in
+// force are omitted.
 func (f *fleet) delays(v model.Version, start time.Time) []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +181,7 @@
 	return out
 }
 
-// countInForce returns the number of nodes at which a version is in force.
+// countInForce returns the number of nodes at which a version is in force now.
 func (f *fleet) countInForce(v model.Version) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -186,6 +192,7 @@
 	return count
 }
 
+// percentile returns the p-quantile of durations in ascending order; p is from 0 to 1.
 func percentile(sorted []time.Duration, p float64) time.Duration {
 	return sorted[min(len(sorted)-1, int(float64(len(sorted))*p))]
 }
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -11,7 +11,8 @@
 
 // Serve reads the log repeatedly until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
-	// The random delay keeps daemons that start together from reading together.
+	// The random delay prevents daemons that start together from reading the log at
+	// the same time.
 	timer := time.NewTimer(time.Duration(s.rng.Int64N(int64(s.opts.Interval))))
 	defer timer.Stop()
 	for {
@@ -28,8 +29,8 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "configuration" }
 
-// Poll reads the log once to its end. A log reader then appends a checkpoint if
-// one is due.
+// Poll reads the log once to its end. If the read succeeds and this daemon is a log
+// reader, Poll then appends a checkpoint if one is due.
 func (s *Store) Poll(ctx context.Context) {
 	err := s.readToEnd(ctx)
 	if ctx.Err() != nil {
@@ -45,10 +46,10 @@
 // log fails.
 const maxReaderBackoff = 2 * time.Second
 
-// nextDelay returns the time until the next read. After a failed read it grows by
-// exponential backoff. Otherwise it is Interval or IdleInterval, shortened at
-// random by up to a quarter. IdleInterval applies to a daemon that has caught up
-// and is not a log reader.
+// nextDelay returns the time until the next read. After a failed read the delay grows
+// by exponential backoff. Otherwise it is IdleInterval for a daemon that has caught
+// up and is not a log reader, and Interval for any other daemon, in both cases
+// shortened at random by up to a quarter.
 func (s *Store) nextDelay() time.Duration {
 	s.mu.Lock()
 	caughtUp, failing := s.status.CaughtUp, s.status.LogError != ""
@@ -91,15 +92,17 @@
 	s.status.CaughtUp = true
 }
 
-// errLogTruncated is returned when the log ends before the last record that has
-// been applied. Either the log has lost records, or it is another log.
+// errLogTruncated is returned when the log ends before the last record that this
+// daemon has applied. Either the log has lost records, or it has been replaced by
+// another log.
 var errLogTruncated = errors.New("the log ends before the records that have been applied")
 
 // errMissingRecords is returned when the log has dropped records that this daemon
-// has not applied, and no checkpoint on the log covers them.
+// has not applied, and the log holds no checkpoint whose state includes them.
 var errMissingRecords = errors.New("the log no longer keeps the next records, and has no checkpoint that covers them")
 
-// readToEnd applies all records up to the end of the log.
+// readToEnd applies all records up to the end of the log. If the log has dropped the
+// next record to apply, it first restores the state from a checkpoint on the log.
 func (s *Store) readToEnd(ctx context.Context) error {
 	for {
 		from := s.nextOffset()
@@ -136,9 +139,11 @@
 }
 
 // recoverFromCheckpoint is called when the log has dropped the next record to
-// apply. It searches the log for a checkpoint that covers the dropped records,
-// and restores the state from it. If there is no such checkpoint, it returns
-// errMissingRecords; then only peers can send the missing records.
+// apply. oldest is the oldest offset that the log still keeps. recoverFromCheckpoint
+// searches the log from oldest on for a checkpoint whose state includes all dropped
+// records, and restores the state from that checkpoint. If there is no such
+// checkpoint, it returns errMissingRecords; the missing records can then come only
+// from peers.
 func (s *Store) recoverFromCheckpoint(ctx context.Context, oldest recordlog.Offset) error {
 	for from := oldest; ; {
 		batch, err := s.readBatch(ctx, uint64(from))
@@ -159,13 +164,14 @@
 }
 
 // adoptCheckpoint restores the state from a record if the record is a checkpoint
-// that covers all records before oldest. It reports whether the search for a
-// checkpoint is over.
+// whose state includes all records before oldest. It returns true if the search for a
+// checkpoint is over: the state has been restored, or peers have sent the dropped
+// records during the search.
 func (s *Store) adoptCheckpoint(r recordlog.Record, oldest recordlog.Offset) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.machine.NeedsCheckpoint(uint64(oldest)) {
-		return true // a peer has sent the records meanwhile
+		return true // peers have sent the dropped records during the search
 	}
 	if !s.machine.RestoreCheckpoint(uint64(r.Offset), uint64(oldest), r.Data) {
 		return false
@@ -174,7 +180,8 @@
 	return true
 }
 
-// applyBatch applies records read from the log.
+// applyBatch applies records read from the log. If the state machine has advanced, it
+// puts the new state in force and calls OnUpdate.
 func (s *Store) applyBatch(batch recordlog.Batch) {
 	before := s.nextOffset()
 	s.mu.Lock()
@@ -201,19 +208,20 @@
 	}
 }
 
-// scheduleCheckpoint stores the offset of a checkpoint on the log, and sets
-// checkpointDue to a random time. That time is at least half of
-// CheckpointInterval and at most all of it from now. s.mu is held.
+// scheduleCheckpoint sets lastCheckpoint to the offset of a checkpoint on the log. It
+// sets checkpointDue to a random time between half a CheckpointInterval and a full
+// CheckpointInterval from now. s.mu is held.
 func (s *Store) scheduleCheckpoint(offset uint64) {
 	interval := s.opts.CheckpointInterval
 	s.lastCheckpoint = offset
 	s.checkpointDue = time.Now().Add(interval/2 + time.Duration(s.rng.Int64N(int64(interval/2)+1)))
 }
 
-// appendDueCheckpoint appends the state as a checkpoint if checkpointDue has
-// passed or checkpointRecords records have followed the last checkpoint. The log
-// reader with the earliest checkpointDue appends it. The other log readers read
-// that checkpoint and append none themselves.
+// appendDueCheckpoint appends the state as a checkpoint if checkpointDue has passed or
+// checkpointRecords records have been appended after the newest checkpoint. Usually only
+// the log reader with the earliest checkpointDue appends one: the other log readers read
+// its checkpoint and reschedule their own. Nothing is appended while there is no
+// accepted change.
 func (s *Store) appendDueCheckpoint(ctx context.Context) {
 	s.mu.Lock()
 	state := s.machine.State()
--- a/configuration/metrics.go
+++ b/configuration/metrics.go
@@ -6,20 +6,24 @@
 	"github.com/dottereltiller/dottereltiller/core/config"
 )
 
+// metrics are the counters and gauges of a Store.
 type metrics struct {
 	// reads counts the reads that reached the end of the log.
-	reads       tally.Counter
+	reads tally.Counter
+	// readsFailed counts the reads that ended with an error.
 	readsFailed tally.Counter
 	// checkpointsAdopted counts the checkpoints from which the state was
 	// restored.
 	checkpointsAdopted tally.Counter
 	// checkpointsAppended counts the checkpoints that this daemon appended.
 	checkpointsAppended tally.Counter
-	checkpointsFailed   tally.Counter
-	// conflicts counts the digests of peers that applied the same records but
-	// have another state.
+	// checkpointsFailed counts the checkpoints whose append failed.
+	checkpointsFailed tally.Counter
+	// conflicts counts the digests received from peers that applied the same records
+	// as this daemon but have another state.
 	conflicts tally.Counter
-	// compileErrors counts the accepted versions that do not compile.
+	// compileErrors counts the accepted versions that do not compile. A version with
+	// the same problem as the version before it is not counted again.
 	compileErrors tally.Counter
 	// version is the version in force.
 	version tally.Gauge
--- a/configuration/store.go
+++ b/configuration/store.go
@@ -19,7 +19,8 @@
 // InForce is the configuration that the data path uses. It is immutable.
 type InForce struct {
 	Version model.Version
-	Set     *policy.Set
+	// Set holds the compiled documents of Version.
+	Set *policy.Set
 }
 
 // Options configure a Store.
@@ -32,8 +33,8 @@
 	// IdleInterval is the time between two reads by a daemon that receives
 	// updates from its peers. Default: 15s.
 	IdleInterval time.Duration
-	// CheckpointInterval is the longest time between two checkpoints. It must
-	// be well below the retention of the log. Default: 10min.
+	// CheckpointInterval is the longest time after a checkpoint until the next one
+	// is due. It must be well below the retention of the log. Default: 10min.
 	CheckpointInterval time.Duration
 	// IsLogReader reports whether this daemon reads the log at Interval rather
 	// than IdleInterval. Nil means that this daemon is always a log reader.
@@ -53,12 +54,13 @@
 	defaultInterval           = 200 * time.Millisecond
 	defaultIdleInterval       = 15 * time.Second
 	defaultCheckpointInterval = 10 * time.Minute
-	// checkpointRecords is the number of records after the last checkpoint at
-	// which the next one is due, regardless of the time.
+	// checkpointRecords is the number of records after which a new checkpoint is
+	// due, counted from the newest checkpoint and regardless of the time.
 	checkpointRecords = 1024
 	// readLimit is the maximum number of records in one read.
 	readLimit = 1024
-	// readTimeout bounds a read, and the append of a checkpoint.
+	// readTimeout bounds each single read of the log, and each append of a
+	// checkpoint.
 	readTimeout = 5 * time.Second
 )
 
@@ -91,7 +93,8 @@
 // Status describes the state of a Store.
 type Status struct {
 	Version model.Version `json:"version"`
-	// ChangeID and Author identify the change that produced Version.
+	// ChangeID is the ID of the change that produced Version, and Author the
+	// operator who proposed the change.
 	ChangeID string `json:"change_id,omitempty"`
 	Author   string `json:"author,omitempty"`
 	// Next is the offset of the first record of the config stream that has not
@@ -109,8 +112,8 @@
 	// CompileError is the reason why the newest accepted version does not
 	// compile. It is empty if that version compiles.
 	CompileError string `json:"unusable,omitempty"`
-	// Conflict is set once a peer has applied the same records but has another
-	// state.
+	// Conflict is set once this daemon has received the digest of a peer that
+	// applied the same records but has another state. It is never unset.
 	Conflict bool `json:"conflict,omitempty"`
 }
 
@@ -173,8 +176,10 @@
 	return s.machine.State()
 }
 
-// putInForce compiles the documents of the current state. If they compile, it
-// makes them the configuration in force and calls the listeners.
+// putInForce compiles the documents of the current state if the state has a newer
+// version than the configuration in force. If the documents compile, putInForce makes
+// them the configuration in force and calls the listeners. Otherwise the previous
+// configuration stays in force, and the status shows the first problem.
 func (s *Store) putInForce() {
 	s.notifyMu.Lock()
 	defer s.notifyMu.Unlock()
@@ -197,8 +202,9 @@
 	}
 }
 
-// setCompileError records why the newest accepted version does not compile. An
-// empty problem means that it compiles.
+// setCompileError records in the status why version v, the newest accepted one, does
+// not compile. An empty problem means that v compiles. A problem that differs from the
+// recorded one is also counted and logged.
 func (s *Store) setCompileError(v model.Version, problem string) {
 	s.mu.Lock()
 	changed := s.status.CompileError != problem
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -19,7 +19,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// runWithFleet runs a test on a fleet in virtual time.
+// runWithFleet starts a fleet of size daemons in virtual time, runs a test on it, and
+// stops it.
 func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -132,8 +133,9 @@
 		f.publish("second")
 		time.Sleep(10 * time.Second)
 		f.memory.Trim(recordlog.StreamConfig, 2)
-		// This is the checkpoint of a daemon that was paused between encoding
-		// and appending it. It does not cover all of the trimmed records.
+		// staleCheckpoint stands for the checkpoint of a daemon that was paused
+		// after it had encoded the checkpoint and before it appended it. The state
+		// of staleCheckpoint does not include all of the trimmed records.
 		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{staleCheckpoint})
 		require.NoError(t, err)
 
@@ -147,8 +149,8 @@
 		fresh.Poll(t.Context())
 		require.True(t, fresh.Status().CaughtUp)
 
-		// A new daemon needs no peer once the log has a checkpoint that covers
-		// the dropped records.
+		// A new daemon needs no peer once the log has a checkpoint whose state
+		// includes the dropped records.
 		time.Sleep(2 * time.Minute)
 		withoutPeers := configuration.NewStore(configuration.Options{Log: f.log})
 		withoutPeers.Poll(t.Context())
@@ -176,7 +178,7 @@
 	require.Contains(t, s.Status().LogError, "ends before")
 }
 
-// replaceableLog is a Log that a test can replace by another one.
+// replaceableLog forwards to its Log field, which a test can set to another log.
 type replaceableLog struct{ recordlog.Log }
 
 func TestConcurrentProposalsReportTheWinner(t *testing.T) {
@@ -308,8 +310,8 @@
 	require.Equal(t, config.Invalid, view.Entries()[1].Decision)
 }
 
-// BenchmarkApplyRecords applies 10,000 changes over 77 services with the
-// validation that daemons use.
+// BenchmarkApplyRecords measures how long a state machine that validates like a daemon
+// takes to apply 10,000 changes, which replace the documents of 77 services in turn.
 func BenchmarkApplyRecords(b *testing.B) {
 	const changes, services = 10_000, 77
 	records := make([][]byte, changes)
--- a/configuration/topic.go
+++ b/configuration/topic.go
@@ -13,15 +13,17 @@
 // Name implements peer.Topic.
 func (t Topic) Name() string { return TopicName }
 
-// Digest implements peer.Topic.
+// Digest implements peer.Topic. It returns a summary of the state that Delta of a peer
+// compares with the peer's own state.
 func (t Topic) Digest() []byte {
 	t.store.mu.Lock()
 	defer t.store.mu.Unlock()
 	return t.store.machine.Digest()
 }
 
-// Delta implements peer.Topic. If the digest shows that the peer has another state
-// after the same records, Delta records the conflict and returns nil.
+// Delta implements peer.Topic. It returns what the peer with the given digest lacks, in
+// at most limit bytes. If the digest shows that the peer has another state after the
+// same records, Delta records the conflict and returns nil.
 func (t Topic) Delta(digest []byte, limit int) []byte {
 	s := t.store
 	s.mu.Lock()
@@ -33,7 +35,9 @@
 	return s.machine.Delta(digest, limit)
 }
 
-// Apply implements peer.Topic. It returns an error if the delta cannot be applied.
+// Apply implements peer.Topic. It applies the records or the part of a checkpoint in a
+// delta, and puts the new state in force. It returns an error if the delta is malformed
+// or completes a checkpoint that cannot be applied.
 func (t Topic) Apply(delta []byte) error {
 	s := t.store
 	s.mu.Lock()
--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -19,7 +19,8 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// publish publishes a new version and returns it with the time of its acceptance.
+// publish publishes change number i, which sets the deadline of one of 77 services. It
+// returns the version that the change produced and the time of the change's acceptance.
 func (f *fleet) publish(t *testing.T, i int) (model.Version, time.Time) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(f.ctx, time.Minute)
@@ -31,7 +32,8 @@
 }
 
 // delays returns, for each daemon, the time from the acceptance of a version until
-// the daemon put the version in force. It requires that all daemons have done so.
+// the daemon put the version in force. It requires that all daemons have put the
+// version in force.
 func (f *fleet) delays(t *testing.T, v model.Version, accepted time.Time) []time.Duration {
 	t.Helper()
 	f.mu.Lock()
@@ -60,9 +62,10 @@
 	maxTimeUntilInForce = 3 * time.Second
 )
 
-// TestIdleCost measures the cost of the control plane while nothing changes. It
-// counts the bytes of exchange rounds, including message headers. Each message
-// counts twice: at the daemon that starts the round and at the responder.
+// TestIdleCost measures the cost of the control plane while nothing changes, and
+// requires that the bytes of exchange rounds, the reads and the appends stay within the
+// bounds above. The bytes include message headers. Each message counts twice: at the
+// daemon that starts the round and at the responder. CPU time is only logged.
 func TestIdleCost(t *testing.T) {
 	for _, size := range []int{10, 30, mediumFleet, largestFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -95,8 +98,9 @@
 	return total
 }
 
-// TestTimeUntilInForce measures the time from the acceptance of a change until
-// each daemon has put the change in force.
+// TestTimeUntilInForce measures the time from the acceptance of a change until each
+// daemon has put the change in force, without faults and with faults of the log. It
+// requires that the 99th percentile and the maximum stay within bounds.
 func TestTimeUntilInForce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -163,14 +167,17 @@
 	return 5 * time.Millisecond
 }
 
+// percentile returns the p-quantile of durations in ascending order, rounded to
+// milliseconds; p is from 0 to 1.
 func percentile(sorted []time.Duration, p float64) time.Duration {
 	return sorted[min(len(sorted)-1, int(float64(len(sorted))*p))].Round(time.Millisecond)
 }
 
-// TestRecoveryAfterAMassRestart restarts five sixths of the daemons. It measures
-// how long it takes until all daemons have the configuration and see all
-// upstreams again. A restarted daemon knows no peers. While the log is down, it
-// depends on the remaining daemons to contact it.
+// TestRecoveryAfterAMassRestart restarts five sixths of the daemons. It requires that
+// all daemons have the configuration and see all upstreams again within a bound, and
+// that there are fewer appends than half of the restarted daemons. A restarted daemon
+// knows no peers. While the log is down, the restarted daemon depends on the daemons
+// that were not restarted to contact it.
 func TestRecoveryAfterAMassRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults recordlog.Faults
@@ -213,8 +220,8 @@
 	return true
 }
 
-// TestDrainingReachesEveryDaemon measures, while the log is down, how long it
-// takes until all daemons know that an upstream is draining.
+// TestDrainingReachesEveryDaemon requires that, while the log is down, all daemons know
+// within two seconds that an upstream is draining, and logs the measured times.
 func TestDrainingReachesEveryDaemon(t *testing.T) {
 	for _, size := range []int{10, mediumFleet, largestFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -235,9 +242,9 @@
 	}
 }
 
-// TestDeadDaemonIsRemovedEverywhere stops a daemon and measures how long it takes
-// until all others consider it dead. Then it restarts the daemon and measures
-// how long it takes until all daemons see its upstream again.
+// TestDeadDaemonIsRemovedEverywhere stops a daemon and requires that all others consider
+// it dead within 15 seconds. Then it restarts the daemon and requires that all daemons
+// see the daemon's upstream again within 15 seconds.
 func TestDeadDaemonIsRemovedEverywhere(t *testing.T) {
 	for _, size := range []int{10, mediumFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -122,7 +122,8 @@
 	return true
 }
 
-// waitFor polls until a condition holds, and returns how long that took.
+// waitFor polls until a condition holds, and returns how long that took. It fails the
+// test if the condition does not hold within the given time.
 func (f *fleet) waitFor(t *testing.T, within time.Duration, condition func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -133,8 +134,8 @@
 	return time.Since(start)
 }
 
-// runWithFleet starts a fleet in virtual time and runs a test on it once every
-// daemon sees all upstreams.
+// runWithFleet starts a fleet in virtual time, waits until every daemon sees all
+// upstreams and then 30 seconds more, and runs a test on the fleet.
 func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/controltest/log.go
+++ b/controltest/log.go
@@ -9,12 +9,12 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// LogConnection is the connection of one daemon to the log. It can be
-// interrupted, and counts reads and appends.
+// LogConnection is the connection of one daemon to the log. It counts the daemon's
+// reads and appends, and can be interrupted.
 type LogConnection struct {
 	Log recordlog.Log
-	// Reads and Appends count the operations, including failed ones. Several
-	// connections may share the counters.
+	// Reads counts the reads and Appends the appends, each including failed ones.
+	// Several connections may share the counters.
 	Reads, Appends *atomic.Int64
 
 	mu           sync.Mutex
@@ -28,9 +28,10 @@
 	l.disconnected = disconnected
 }
 
-// waitReachable returns nil at once while the connection is up. While the
-// connection is interrupted, it returns ErrUnreachable after a timeout, like a
-// request that gets no response.
+// waitReachable returns nil at once if the connection is up. If the connection is
+// interrupted, it waits for a timeout, like a request that gets no response, and
+// returns ErrUnreachable. If the context ends first, it returns the error of the
+// context.
 func (l *LogConnection) waitReachable(ctx context.Context) error {
 	const timeout = 2 * time.Second
 	l.mu.Lock()
--- a/controltest/network.go
+++ b/controltest/network.go
@@ -20,22 +20,26 @@
 // Network carries control messages between in-process daemons. It is safe for
 // concurrent use.
 type Network struct {
-	// Delay is the one-way delay within an availability zone. Between zones the
-	// delay is twice that.
+	// Delay is the one-way delay of a message within an availability zone. Between
+	// zones the one-way delay is twice as long.
 	Delay time.Duration
 
 	mu sync.Mutex
-	// services holds the service of each daemon, nil if it is unreachable.
-	services     map[model.DaemonID]*peer.Service
-	zones        map[model.DaemonID]model.AvailabilityZone
-	partitioned  map[model.AvailabilityZone]bool
+	// services holds the service of each daemon, nil if the daemon is unreachable.
+	services map[model.DaemonID]*peer.Service
+	// zones holds the zone of each daemon that was ever attached.
+	zones map[model.DaemonID]model.AvailabilityZone
+	// partitioned is true for the zones that are separated from all other zones.
+	partitioned map[model.AvailabilityZone]bool
+	// unresponsive is true for the daemons that never respond.
 	unresponsive map[model.DaemonID]bool
-	// blocked holds the pairs of sender and receiver between which messages
+	// blocked is true for the pairs of sender and receiver between which messages
 	// are dropped.
 	blocked map[[2]model.DaemonID]bool
-	// messages counts requests.
+	// messages counts the requests, including dropped ones. Responses are not
+	// counted.
 	messages int
-	// bytes counts the bytes of requests and responses.
+	// bytes is the total size of all requests and responses.
 	bytes int
 }
 
@@ -74,7 +78,8 @@
 	n.unresponsive[d] = unresponsive
 }
 
-// SetBlocked drops messages from one daemon to another, in this direction only.
+// SetBlocked starts or stops dropping the messages from one daemon to another. Messages
+// in the opposite direction are not affected.
 func (n *Network) SetBlocked(from, to model.DaemonID, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,7 +176,7 @@
 	return za != zb && (n.partitioned[za] || n.partitioned[zb])
 }
 
-// delay returns the one-way delay between this daemon and another.
+// delay returns the one-way delay between the daemon of the Endpoint and another one.
 func (e Endpoint) delay(to model.DaemonID) time.Duration {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
--- a/controltest/norace_test.go
+++ b/controltest/norace_test.go
@@ -8,6 +8,6 @@
 	// largestFleet is the number of daemons in the largest fleet.
 	largestFleet = 300
 	// samples is the number of delays that TestTimeUntilInForce measures in each
-	// case.
+	// case. Each change yields one delay per daemon.
 	samples = 1000
 )
--- a/membership/check.go
+++ b/membership/check.go
@@ -19,20 +19,21 @@
 const (
 	// pingTimeout bounds a direct ping.
 	pingTimeout = 500 * time.Millisecond
-	// indirectPingTimeout bounds a ping that is sent through another daemon.
+	// indirectPingTimeout bounds all indirect pings of a liveness check together.
 	indirectPingTimeout = 1200 * time.Millisecond
 	// maxIndirectPings is the maximum number of helpers in a liveness check. A
 	// helper is a daemon that is asked to ping the daemon under check.
 	maxIndirectPings = 3
-	// maxChecks bounds the concurrent liveness checks. Beyond it, a check of
-	// another daemon is not started until that daemon is reported unreachable
-	// again.
+	// maxChecks bounds the concurrent liveness checks. While maxChecks checks are
+	// running, a report that another daemon is unreachable is ignored. A later report
+	// can start the check of that daemon.
 	maxChecks = 4
 )
 
 // runningChecks is the set of daemons whose liveness is being checked.
 type runningChecks struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// daemons is true for each daemon that is being checked.
 	daemons map[model.DaemonID]bool
 }
 
@@ -58,8 +59,9 @@
 }
 
 // ReportUnreachable reports that an exchange round or a call could not reach a
-// daemon. If the daemon is considered alive, it starts a liveness check in the
-// background.
+// daemon. It starts a liveness check of the daemon in the background, unless the daemon
+// is this one, is already suspect or dead, or is being checked. It also starts none
+// while maxChecks checks are running, or if there is no Pinger.
 func (r *Registry) ReportUnreachable(d model.DaemonID) {
 	if r.opts.Pinger == nil || d == r.opts.Self || r.Health(d) != member.Alive || !r.checks.begin(d) {
 		return
@@ -70,9 +72,10 @@
 	}()
 }
 
-// checkLiveness pings a daemon directly, then through helpers. It marks the daemon
-// as suspect if the daemon responds to none of these pings. If no helper responds
-// either, the check is inconclusive and changes nothing.
+// checkLiveness pings a daemon directly and, if there is no response, through helpers.
+// If a helper responds but none reaches the daemon, it marks the daemon as suspect. If
+// helpers were asked and none of them responds, the check is inconclusive and changes
+// nothing.
 func (r *Registry) checkLiveness(ctx context.Context, d model.DaemonID) {
 	if r.pingDirectly(ctx, d) {
 		r.metrics.checksDirect.Inc(1)
@@ -89,7 +92,8 @@
 	}
 }
 
-// markSuspect marks a daemon as suspect and relays the suspicion to peers.
+// markSuspect marks a daemon as suspect. If the daemon was considered alive, markSuspect
+// also calls OnUpdate, which relays the suspicion to peers.
 func (r *Registry) markSuspect(d model.DaemonID) {
 	r.mu.Lock()
 	changed := r.directory.Suspect(d)
@@ -102,8 +106,8 @@
 	r.opts.OnUpdate()
 }
 
-// pingDirectly pings a daemon from this daemon. It reports whether the daemon
-// responds.
+// pingDirectly pings a daemon from this daemon and reports whether the daemon responds
+// that it is alive. If so, pingDirectly records the incarnation in the response.
 func (r *Registry) pingDirectly(ctx context.Context, d model.DaemonID) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -119,8 +123,8 @@
 
 // pingIndirectly asks helpers to ping d. responded reports whether any helper
 // responded. alive reports whether a helper reached d. If there are no helpers,
-// responded is true and alive is false, so that the failed direct ping alone
-// makes d suspect.
+// responded is true and alive is false, so that the failed direct ping is sufficient
+// to make d suspect.
 func (r *Registry) pingIndirectly(ctx context.Context, d model.DaemonID) (responded, alive bool) {
 	helpers := r.chooseHelpers(d)
 	if len(helpers) == 0 {
@@ -148,9 +152,10 @@
 	return responded, false
 }
 
-// chooseHelpers chooses live daemons at random as helpers for indirect pings of d.
-// If possible, all helpers are in other availability zones. So if the local zone
-// is cut off, no helper responds and no daemon is suspected.
+// chooseHelpers chooses up to maxIndirectPings live daemons at random as helpers for
+// indirect pings of d. All helpers are in other availability zones than this daemon,
+// unless no live daemon is known there. So if this daemon's zone is cut off from the
+// others, no helper responds and no daemon is suspected.
 func (r *Registry) chooseHelpers(d model.DaemonID) []model.DaemonID {
 	var local, remote []model.DaemonID
 	for _, p := range r.Peers() {
@@ -182,6 +187,7 @@
 
 // HandlePing responds to a ping. If the request names another daemon as its
 // target, this daemon pings the target and responds whether the target is alive.
+// Otherwise it responds that it is alive itself, with its incarnation.
 func (r *Registry) HandlePing(ctx context.Context, req *peerv1.PingRequest) (*peerv1.PingResponse, error) {
 	if target := model.DaemonID(req.GetTarget()); target != "" && target != r.opts.Self {
 		return &peerv1.PingResponse{Alive: r.opts.Pinger != nil && r.pingDirectly(ctx, target)}, nil
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -22,7 +22,8 @@
 
 // fleet is a number of daemons, each with one upstream of service "s".
 type fleet struct {
-	ctx     context.Context
+	ctx context.Context
+	// memory holds the records of log, without the faults that log injects.
 	memory  *recordlog.Memory
 	log     *recordlog.FaultyLog
 	network *controltest.Network
@@ -55,6 +56,7 @@
 	return f
 }
 
+// add adds a node with the given daemon ID and zone, without starting it.
 func (f *fleet) add(id string, z model.AvailabilityZone) *node {
 	n := &node{Peer: peer.Peer{ID: model.DaemonID(id), Zone: z},
 		logConn: &controltest.LogConnection{Log: f.log, Reads: &f.reads, Appends: &f.appends}}
@@ -147,8 +149,9 @@
 	return count
 }
 
-// waitFor polls until a condition holds, and returns how long that took. what
-// describes the condition in the failure message.
+// waitFor polls until a condition holds, and returns how long that took. It fails the
+// test if the condition does not hold within the given time. what describes the
+// condition in the failure message.
 func (f *fleet) waitFor(t *testing.T, within time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -195,7 +198,7 @@
 	}
 }
 
-// countHealth counts the nodes in whose view a daemon has the given health.
+// countHealth counts the nodes in whose view daemon d has health h.
 func countHealth(nodes []*node, d model.DaemonID, h member.Health) int {
 	count := 0
 	for _, n := range nodes {
@@ -206,8 +209,8 @@
 	return count
 }
 
-// countDistinctDigests returns how many different digests the nodes have. The
-// number is 1 if all views are equal.
+// countDistinctDigests returns the number of different digests among all nodes. The
+// number is 1 if all nodes have the same view.
 func (f *fleet) countDistinctDigests() int {
 	seen := map[string]bool{}
 	for _, n := range f.nodes {
@@ -216,6 +219,7 @@
 	return len(seen)
 }
 
+// joinIDs returns the IDs of upstreams, in order, as one string.
 func joinIDs(ups []model.Upstream) string {
 	var b strings.Builder
 	for _, u := range ups {
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -20,17 +20,19 @@
 	maxReaderBackoff = 4 * time.Second
 	// maxEventsPerRecord bounds the events in one record of the log.
 	maxEventsPerRecord = 500
-	// writerDelay is the age at which the writer of a zone appends an event. The
-	// delay lets several events share a batch.
+	// writerDelay is the age at which the writer, the daemon that appends the events
+	// of its zone, appends an event. The delay lets several events share a batch.
 	writerDelay = time.Second
 	// fallbackDelay is the age at which a daemon that is not the writer appends
 	// an event of its own upstreams, if the event is still missing from the log.
 	fallbackDelay = 20 * time.Second
 )
 
-// serveLog calls syncLog repeatedly until the context ends.
+// serveLog calls syncLog repeatedly until the context ends. Then it returns the error of
+// the context.
 func (r *Registry) serveLog(ctx context.Context) error {
-	// The random delay keeps daemons that start together from reading together.
+	// The random delay prevents daemons that start together from reading the log at
+	// the same time.
 	timer := time.NewTimer(r.startDelay())
 	defer timer.Stop()
 	for {
@@ -54,8 +56,8 @@
 	return time.Duration(r.rng.Int64N(int64(r.opts.Interval)))
 }
 
-// syncLog reads the log to its end, then appends the events that are missing
-// from it.
+// syncLog reads the log to its end. If the read succeeds, syncLog then appends the events
+// that are missing from the log. It logs when the log starts to fail or works again.
 func (r *Registry) syncLog(ctx context.Context) error {
 	err := r.readToEnd(ctx)
 	if err == nil {
@@ -68,10 +70,10 @@
 	return err
 }
 
-// nextDelay returns the time until the log is read again, after a read that ended
-// with err. After an error the delay grows by exponential backoff. Otherwise it
-// is Interval for a log reader and IdleInterval for any other daemon, shortened
-// at random by up to a quarter.
+// nextDelay returns the time until the next syncLog, after one that returned err. It
+// counts err if err is not nil. After an error the delay grows by exponential backoff.
+// Otherwise it is Interval for a log reader and IdleInterval for any other daemon, in
+// both cases shortened at random by up to a quarter.
 func (r *Registry) nextDelay(err error) time.Duration {
 	isReader := r.opts.IsLogReader()
 	r.mu.Lock()
@@ -93,8 +95,8 @@
 }
 
 // readToEnd applies the records up to the end of the log. It skips records that
-// the log has dropped. The events in them were appended again later, or peers
-// relay them.
+// the log has dropped: the events in these records were appended again later, or are
+// relayed by peers.
 func (r *Registry) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
@@ -122,8 +124,9 @@
 	}
 }
 
-// applyRecord applies one record of the log. It returns the number of events
-// that were newer than those known before.
+// applyRecord applies the events in one record of the log. It returns the number of
+// events that took effect because they were new or newer than the stored ones. A record
+// that cannot be decoded is counted and ignored, and so is the liveness in a record.
 func (r *Registry) applyRecord(record []byte) int {
 	records, err := member.Decode(record)
 	if err != nil {
@@ -140,9 +143,8 @@
 	return applied
 }
 
-// appendMissing appends events that are missing from the log. The writer of a
-// zone appends the events of its zone. Any other daemon appends the events of
-// its own upstreams, in case the writer does not.
+// appendMissing appends the events that dueEvents returns, in records of at most
+// maxEventsPerRecord events. It stops at the first error.
 func (r *Registry) appendMissing(ctx context.Context) error {
 	events := r.dueEvents()
 	for len(events) > 0 {
@@ -155,9 +157,12 @@
 	return nil
 }
 
-// dueEvents returns the events that this daemon has to append now. If this daemon
-// is the writer of its zone and checkpointDue has passed, these are all events of
-// the zone, and dueEvents schedules the next checkpoint.
+// dueEvents returns the events that this daemon has to append to the log now. The writer
+// of a zone appends the events of its zone that have been missing for writerDelay. If
+// checkpointDue has passed, the writer instead appends the latest events of all
+// upstreams of its zone, and dueEvents schedules the next checkpoint. Any other daemon
+// appends the events of its own upstreams that have been missing for fallbackDelay, in
+// case the writer does not.
 func (r *Registry) dueEvents() []member.Event {
 	isWriter := r.isWriter()
 	r.mu.Lock()
@@ -178,8 +183,9 @@
 	return local
 }
 
-// isWriter reports whether this daemon is the writer of its zone, which appends
-// the events of the zone. A daemon that knows no peers is a writer.
+// isWriter reports whether this daemon is the writer of its zone: the one with rank 0
+// among the daemons of the zone. A daemon that knows no peers considers itself the
+// writer.
 func (r *Registry) isWriter() bool {
 	return peer.RendezvousRank(r.opts.Self, r.opts.Zone, r.Peers()) == 0
 }
@@ -195,15 +201,15 @@
 	return out
 }
 
-// scheduleCheckpoint sets checkpointDue to a random time. That time is at least half
-// of CheckpointInterval and at most all of it from now.
+// scheduleCheckpoint sets checkpointDue to a random time between half a
+// CheckpointInterval and a full CheckpointInterval from now.
 func (r *Registry) scheduleCheckpoint() {
 	interval := r.opts.CheckpointInterval
 	r.checkpointDue = time.Now().Add(interval/2 + time.Duration(r.rng.Int64N(int64(interval/2)+1)))
 }
 
-// appendEvents appends events to the log as one record. An event may be on the log
-// twice. So the caller may repeat an append that possibly took effect.
+// appendEvents appends events to the log as one record. A second copy of an event on the
+// log has no effect. So the caller may repeat an append that possibly took effect.
 func (r *Registry) appendEvents(ctx context.Context, events []member.Event) error {
 	record := member.Records{Events: events}.Encode()
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -16,11 +16,11 @@
 	expiresAt time.Time
 }
 
-// Announce applies an event of a local upstream. duration is the duration of the
-// upstream's lease. If it is positive, the upstream has to renew the lease by
-// another announcement before the lease expires. The Registry marks an upstream
-// that does not do so as left. If duration is zero or negative, the lease never
-// expires.
+// Announce applies an event of a local upstream. If the event changes the view, Announce
+// also calls OnUpdate. duration is the duration of the upstream's lease. If duration is
+// positive, the upstream has to renew the lease by another announcement before the lease
+// expires; otherwise the Registry marks the upstream as left. If duration is zero or
+// negative, the lease never expires. An event with state Left ends the lease.
 func (r *Registry) Announce(e member.Event, duration time.Duration) {
 	r.mu.Lock()
 	if e.State == member.Left {
@@ -36,8 +36,8 @@
 	}
 }
 
-// DrainAll announces that every local upstream is draining. It is called before
-// this daemon stops.
+// DrainAll announces that every local upstream is draining, and renews the leases. It is
+// called before this daemon stops.
 func (r *Registry) DrainAll() {
 	r.mu.RLock()
 	leases := make([]lease, 0, len(r.leases))
@@ -52,8 +52,9 @@
 }
 
 // expireLeases marks the upstreams whose lease has expired as left, and returns
-// their IDs. If this process was paused, expireLeases first extends every lease
-// by the pause, because no renewal could be received meanwhile. r.mu is held.
+// their IDs. If this process was paused since the last tick for longer than
+// tickInterval, expireLeases first extends every lease by the length of the pause,
+// because no renewal could be received during the pause. r.mu is held.
 func (r *Registry) expireLeases(now time.Time) []model.UpstreamID {
 	pause := now.Sub(r.lastTick) - tickInterval
 	paused := !r.lastTick.IsZero() && pause > tickInterval
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -2,6 +2,7 @@
 
 import "github.com/uber-go/tally/v4"
 
+// metrics are the counters and gauges of a Registry.
 type metrics struct {
 	// changedAnnouncements counts the announcements that changed the view.
 	changedAnnouncements tally.Counter
@@ -15,14 +16,15 @@
 	// checksIndirect counts the liveness checks in which a helper reached the
 	// daemon.
 	checksIndirect tally.Counter
-	// checksInconclusive counts the liveness checks in which no helper
-	// responded.
+	// checksInconclusive counts the liveness checks in which neither the daemon nor
+	// any helper responded.
 	checksInconclusive tally.Counter
 	// appends counts the appends to the log.
 	appends tally.Counter
 	// appendedEvents counts the events that were appended to the log.
 	appendedEvents tally.Counter
-	// logFailures counts the failed reads of the log and appends to it.
+	// logFailures counts the calls of syncLog in which a read of the log or an append
+	// to it failed.
 	logFailures tally.Counter
 	// unreadableRecords counts the records of the log that cannot be decoded.
 	unreadableRecords tally.Counter
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -26,7 +26,7 @@
 	// connects to it.
 	Address string
 	// LoadPath is the HTTP path at which the upstream reports its load. Empty
-	// means that it does not report any.
+	// means that the upstream does not report its load.
 	LoadPath string
 }
 
@@ -46,9 +46,9 @@
 	// IdleInterval is the time between two reads by a daemon that receives
 	// updates from its peers. Default: 30s.
 	IdleInterval time.Duration
-	// CheckpointInterval is the longest time after which all events of a zone
-	// are appended again. It must be well below the retention of the log.
-	// Default: 10min.
+	// CheckpointInterval is the longest time after which the latest events of all
+	// upstreams of a zone are due to be appended again. It must be well below the
+	// retention of the log. Default: 10min.
 	CheckpointInterval time.Duration
 	// IsLogReader reports whether this daemon reads the log at Interval rather
 	// than IdleInterval. Nil means that this daemon is always a log reader.
@@ -82,7 +82,8 @@
 	defaultIdleInterval       = 30 * time.Second
 	defaultCheckpointInterval = 10 * time.Minute
 	defaultMaxUpstreams       = 64
-	tickInterval              = 500 * time.Millisecond
+	// tickInterval is the time between two calls of Registry.tick.
+	tickInterval = 500 * time.Millisecond
 )
 
 // Registry holds the membership view: the upstreams and daemons that this daemon
@@ -95,13 +96,18 @@
 	// daemonCount is the number last passed to OnDaemonCount.
 	daemonCount atomic.Int64
 
-	mu          sync.RWMutex
-	rng         *rand.Rand
-	directory   *member.Directory
-	leases      map[model.UpstreamID]lease
-	lastTick    time.Time
+	// mu guards the fields from rng to subsets.
+	mu        sync.RWMutex
+	rng       *rand.Rand
+	directory *member.Directory
+	// leases holds the leases of the local upstreams.
+	leases map[model.UpstreamID]lease
+	// lastTick is when expireLeases was last called.
+	lastTick time.Time
+	// cachedPeers holds the last result of listPeers.
 	cachedPeers peerLists
-	subsets     map[model.ServiceName]subset
+	// subsets holds, for each service, the last result of Upstreams.
+	subsets map[model.ServiceName]subset
 
 	// The fields below are used only by the goroutine of serveLog.
 
@@ -109,16 +115,15 @@
 	// applied.
 	nextOffset recordlog.Offset
 	backoff    pause.Backoff
-	// checkpointDue is when the writer of the zone appends all events of the
-	// zone again.
+	// checkpointDue is when this daemon, if it is the writer of its zone, appends the
+	// latest events of all upstreams of the zone again.
 	checkpointDue time.Time
-	// logFailing reports whether the last read of the log or append to it
-	// failed.
+	// logFailing is set if the last syncLog failed.
 	logFailing bool
 }
 
-// peerLists lists the daemons in the view at a generation. The generation of the
-// view increases with every change.
+// peerLists lists the daemons in the view at one generation of the view. The generation
+// is a number that increases with every change of the view.
 type peerLists struct {
 	generation  uint64
 	alive, dead []peer.Peer
@@ -212,17 +217,17 @@
 	return r.directory.Generation()
 }
 
-// Peers returns the daemons of the upstreams in the view, except the daemons that
-// are considered dead. The slice is shared and must not be modified.
+// Peers returns the daemons of the upstreams in the view that have not left, except the
+// daemons that are considered dead. The slice is shared and must not be modified.
 func (r *Registry) Peers() []peer.Peer { return r.currentPeerLists().alive }
 
-// DeadPeers returns the daemons that are considered dead. A daemon has to contact
-// one of them occasionally: after a partition has healed, its two sides find each
-// other again in this way.
+// DeadPeers returns the daemons that are considered dead and have upstreams that have not
+// left. This daemon has to contact one of them occasionally: only in this way do the two
+// sides of a partition find each other again after the partition has healed.
 func (r *Registry) DeadPeers() []peer.Peer { return r.currentPeerLists().dead }
 
-// currentPeerLists returns the lists of the current generation from the cache, or
-// rebuilds them.
+// currentPeerLists returns the lists of the current generation. It rebuilds them if the
+// cached lists are of another generation.
 func (r *Registry) currentPeerLists() peerLists {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -253,7 +258,8 @@
 	return lists
 }
 
-// reportDaemonCount calls OnDaemonCount if the number of daemons has changed.
+// reportDaemonCount calls OnDaemonCount if the number of daemons, alive or dead, has
+// changed.
 func (r *Registry) reportDaemonCount() {
 	lists := r.currentPeerLists()
 	n := len(lists.alive) + len(lists.dead)
@@ -287,6 +293,8 @@
 // String names the service in the supervisor tree.
 func (r *Registry) String() string { return "membership" }
 
+// serveTicks calls tick at every tickInterval until the context ends, and OnUpdate if there
+// are changes to relay.
 func (r *Registry) serveTicks(ctx context.Context) error {
 	return interval.Run(ctx, tickInterval, func() {
 		if r.tick() {
@@ -295,8 +303,8 @@
 	})
 }
 
-// tick advances failure detection and expires leases. It reports whether there
-// are changes to relay to peers.
+// tick advances failure detection, expires leases, and calls OnDaemonCount and
+// OnLeaseExpired as needed. It reports whether there are changes to relay to peers.
 func (r *Registry) tick() bool {
 	r.mu.Lock()
 	now := time.Now()
--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -60,10 +60,10 @@
 		after, _ := f.network.Traffic()
 		f.waitFor(t, 3*time.Second, "all views agree", func() bool { return f.countDistinctDigests() == 1 })
 		require.Equal(t, 40*40, f.countEligible(f.nodes, "s"))
-		// The bound covers 40 daemons over 5 s. A regular round contacts 2
-		// peers. A triggered round contacts 5 peers. A daemon starts at most 2
-		// triggered rounds a second after a burst of 4. Each exchange takes at
-		// most 2 messages.
+		// The bound is for 40 daemons over 5 s. In each of 7 regular rounds a daemon
+		// contacts 2 peers. In each triggered round it contacts 5 peers. A daemon
+		// starts at most 2 triggered rounds a second, after a burst of 4, plus 1
+		// more. An exchange with a peer takes at most 2 messages.
 		require.Less(t, after-before, 40*2*(2*7+5*(2*5+4+1)))
 	})
 }
@@ -143,8 +143,9 @@
 		}
 		setSplit(true)
 		time.Sleep(5 * time.Minute)
-		// Each side considers half of the upstreams dead. Dead upstreams are
-		// excluded unless they are more than half of the upstreams of a service.
+		// Each side considers the daemons of half of the upstreams dead. Upstreams of
+		// dead daemons are excluded unless they are more than half of the upstreams
+		// of a service.
 		require.Equal(t, 40*20, f.countEligible(f.nodes, "s"))
 		oneSide[0].announce(member.Left, 0)
 		setSplit(false)
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -14,11 +14,11 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// BenchmarkClaim compares two ways to claim a key: in the table of its owner, and by
-// an append to the log for each claim. The in-memory log responds at once. So the
-// second case measures batching and the append limit of one daemon. That limit is
-// 20 a second if there are few daemons, and 300 a second for all daemons
-// together.
+// BenchmarkClaim compares two ways to claim a key: in the table of the key's owner (case
+// "owner"), and by an append to the log for each claim (case "log"). The in-memory log
+// responds at once. So the case "log" measures batching and the append rate limit of one
+// daemon: 20 appends a second if there are few daemons, otherwise the daemon's share of
+// 300 appends a second.
 func BenchmarkClaim(b *testing.B) {
 	const workers = 64
 	memory := &recordlog.Memory{}
@@ -63,7 +63,7 @@
 	}
 }
 
-// fullGrant returns a record that grants all timestamps of all ranges to an owner.
+// fullGrant returns a record that grants all timestamps of all key ranges to an owner.
 func fullGrant(o claims.Owner) claims.Record {
 	grant := &claims.Grant{Owner: o, Until: claims.MaxStamp}
 	for r := range claims.Range(claims.DefaultRanges) {
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -15,34 +15,37 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// ErrNoSuccessor is returned when no daemon accepted the claims.
+// ErrNoSuccessor is returned when no other daemon accepted the claims of a draining
+// daemon.
 var ErrNoSuccessor = errors.New("no daemon accepted the claims; the outcome of their keys will be unknown")
 
 const (
-	// executionWaitDivisor sets how long a drain waits for executions in
-	// flight: the time to the deadline of the drain divided by
-	// executionWaitDivisor. If an execution has not finished by then, its claim
-	// is handed over with an unknown outcome.
+	// executionWaitDivisor determines how long a drain waits for executions in
+	// flight: for the time to the deadline of the drain, divided by
+	// executionWaitDivisor. If an execution has not finished when the wait ends, its
+	// claim is handed over with an unknown outcome.
 	executionWaitDivisor = 2
-	// maxSuccessors bounds the daemons that are asked to accept the claims.
+	// maxSuccessors bounds the number of daemons that are asked to accept the
+	// claims.
 	maxSuccessors = 8
-	// transferPollInterval is the time between two attempts to append the
-	// transfer.
+	// transferPollInterval is the pause between two attempts to append the
+	// transfer, the record that makes the successor the owner.
 	transferPollInterval = 10 * time.Millisecond
 	// messageTimeout bounds one handover message.
 	messageTimeout = 2 * time.Second
 	// transferTimeout bounds the wait for the transfer to be on the log. If the
-	// daemon stops while the log is down, the transfer is missing from the log.
-	// The outcome of the claims is then "unknown".
+	// transfer does not get onto the log, for example because the log is down, the
+	// outcome of the claimed requests is "unknown" once the daemon has stopped.
 	transferTimeout = 5 * time.Second
 )
 
-// Drain gives up the ownership of keys. It accepts no more submissions, waits for
+// Drain gives up the ownership of keys. It stops accepting submissions, waits for
 // executions in flight, hands the claims over to a successor and records the
 // transfer on the log. It returns ErrNoSuccessor if no daemon accepts the claims,
-// and the error of the context if the transfer does not get onto the log in time.
-// The daemon must keep serving requests until Drain returns, so that other
-// daemons learn that the keys have moved. Drain may be called only once.
+// and the error of the context if the transfer does not get onto the log in time. If
+// this daemon owns no keys, Drain returns nil without a handover. The daemon must keep
+// serving requests until Drain returns, so that other daemons learn that the keys are
+// moving. Drain may be called only once.
 func (s *Service) Drain(ctx context.Context) error {
 	s.sealTable()
 	s.awaitExecutions(ctx)
@@ -71,24 +74,24 @@
 	s.table.Seal()
 }
 
-// ownedUntil returns the end of the timestamps that are granted to this
-// incarnation. It returns 0 if none are granted.
+// ownedUntil returns the end of the last interval of timestamps that is granted to this
+// incarnation of the owner, or 0 if none is granted.
 func (s *Service) ownedUntil() claims.Stamp {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.OwnedUntil(s.self.Incarnation)
 }
 
-// ownsNothing reports whether, according to the whole log, this incarnation
-// owns no keys.
+// ownsNothing reports whether the ledger is complete and shows that this incarnation
+// of the owner owns no keys.
 func (s *Service) ownsNothing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Complete() && s.ledger.OwnedUntil(s.self.Incarnation) == 0
 }
 
-// awaitExecutions waits for the executions in flight. It waits for at most the
-// time to the deadline of ctx divided by executionWaitDivisor.
+// awaitExecutions waits until the executions in flight are done. If ctx has a deadline,
+// it waits for at most the time to that deadline divided by executionWaitDivisor.
 func (s *Service) awaitExecutions(ctx context.Context) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
@@ -146,9 +149,10 @@
 	return claims.Owner{}, ErrNoSuccessor
 }
 
-// sendClaimsTo sends the chunks of the encoded claims to one incarnation of a daemon
-// and returns that incarnation. The first message has no claims and only asks for
-// the incarnation.
+// sendClaimsTo sends the chunks of the encoded claims to a daemon and returns the
+// incarnation of the owner that accepted them all. The first message has no claims: it
+// asks for the incarnation, which the messages with claims then require. If the daemon
+// rejects a message, sendClaimsTo returns claims.ErrHandover.
 func (s *Service) sendClaimsTo(ctx context.Context, d model.DaemonID, chunks [][]byte) (uint64, error) {
 	incarnation := uint64(0)
 	for _, chunk := range append([][]byte{nil}, chunks...) {
@@ -170,10 +174,10 @@
 	return s.opts.Messenger.HandOver(ctx, d, req)
 }
 
-// appendTransfer appends the transfer repeatedly until a read of the log shows it,
-// for at most transferTimeout. So it also repeats an append whose response was
-// lost. A second transfer on the log has no effect, because no ownership is left
-// to transfer.
+// appendTransfer appends the transfer repeatedly, for at most transferTimeout, until a
+// read of the log shows that this incarnation owns no keys. So it also repeats an append
+// whose response was lost. A second copy of the transfer on the log has no effect,
+// because no ownership is left to transfer.
 func (s *Service) appendTransfer(ctx context.Context, successor claims.Owner) error {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -192,9 +196,10 @@
 	return nil
 }
 
-// HandOver imports the claims of another daemon that is draining. For a request
-// without claims it only returns the incarnation of this owner and whether this
-// owner accepts claims.
+// HandOver imports the claims of another daemon that is draining. It does not accept the
+// claims if the request names another incarnation than that of this owner, or if the
+// claims cannot be imported. For a request without claims it only returns the
+// incarnation of this owner and whether this owner accepts claims.
 func (s *Service) HandOver(_ context.Context, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
 	resp := &peerv1.HandOverResponse{Life: s.self.Incarnation}
 	s.mu.Lock()
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -21,26 +21,28 @@
 	ready chan struct{}
 	// done is closed once the outcome is recorded in the claim.
 	done chan struct{}
-	// outcome is set before done is closed.
+	// outcome is the outcome of the execution. It is set before done is closed.
 	outcome outcome.Outcome
 	// retained is the response for retries. It is nil if there is no response
 	// or the response is too large to retain. It is set before done is closed.
 	retained *claims.Answer
-	// streamed is a response that is too large to retain. It is streamed to the
-	// first submission. It is set before ready is closed, and nil for other
-	// results.
+	// streamed is a response that is too large to retain and is streamed to the
+	// first submission instead. It is set before ready is closed. It is nil if the
+	// response is not too large, if there is none, or if the first submission has
+	// stopped waiting.
 	streamed *wire.Result
 
 	mu sync.Mutex
 	// abandoned is set when the first submission has stopped waiting.
 	abandoned bool
-	// accepted is set when the first submission has to receive streamed.
+	// accepted is set when the first submission was still waiting for the streamed
+	// response. It then has to receive and close that response.
 	accepted bool
 }
 
-// startExecution starts the execution of a claimed request. The execution
-// continues if the caller disconnects, because later submissions of the key need
-// the outcome too. s.mu is held.
+// startExecution starts the execution of a claimed request, for at most c.Timeout. The
+// execution continues if the caller disconnects, because later submissions of the key
+// need the outcome too. s.mu is held.
 func (s *Service) startExecution(ctx context.Context, id claims.ID, c *wire.Call) *execution {
 	e := &execution{ready: make(chan struct{}), done: make(chan struct{})}
 	s.executions[id] = e
@@ -52,9 +54,11 @@
 	return e
 }
 
-// complete finishes an execution with its result. A response that is too large to
-// retain is streamed to the first submission. The execution then ends when the
-// response has been read.
+// complete records the result of an execution, so that the submissions that wait for it
+// can receive it. A response that is too large to retain is streamed to the first
+// submission, and the execution ends when the response has been read or closed. If the
+// first submission has stopped waiting or the response cannot be read, the outcome is
+// unknown.
 func (s *Service) complete(id claims.ID, e *execution, result *wire.Result, cancel context.CancelFunc) {
 	if result.Outcome.Kind != outcome.Answered {
 		_ = result.Body.Close()
@@ -85,8 +89,8 @@
 	close(e.ready)
 }
 
-// offerStreamed reports whether the first submission is still waiting. If it is,
-// the first submission receives the streamed response and must close it.
+// offerStreamed reports whether the first submission is still waiting. If so, it sets
+// accepted: the first submission must then receive the streamed response and close it.
 func (e *execution) offerStreamed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,8 +98,8 @@
 	return e.accepted
 }
 
-// abandon records that the first submission stops waiting. It returns false if
-// the first submission must not stop, because it has to receive and close the
+// abandon records that the first submission wants to stop waiting. It returns false if
+// the first submission must go on waiting, because it has to receive and close the
 // streamed response.
 func (e *execution) abandon() bool {
 	e.mu.Lock()
@@ -104,8 +108,8 @@
 	return !e.accepted
 }
 
-// recordOutcome records the outcome and the retained response of an execution in
-// the claim of its key.
+// recordOutcome records the outcome and the retained response of an execution in the
+// claim of its key and in e, then closes e.done. The execution is no longer in flight.
 func (s *Service) recordOutcome(id claims.ID, e *execution, o outcome.Outcome, retained *claims.Answer) {
 	s.mu.Lock()
 	s.table.Finish(id, o.Kind, retained)
@@ -125,8 +129,8 @@
 	once  sync.Once
 }
 
-// Read implements io.Reader. At the end of the response it ends the execution with
-// outcome answered, on an error with outcome unknown.
+// Read implements io.Reader. At the end of the response it ends the execution with the
+// outcome answered. On an error it ends the execution with the outcome unknown.
 func (b *streamedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	switch {
@@ -138,8 +142,8 @@
 	return n, err
 }
 
-// Close closes the body. If the response has not been read to its end, the
-// outcome is unknown.
+// Close closes the body. If the response has not been read to its end, Close ends the
+// execution with the outcome unknown.
 func (b *streamedBody) Close() error {
 	err := b.body.Close()
 	b.once.Do(func() { b.onEnd(outcome.UnknownBecause(outcome.ReasonTruncated)) })
@@ -147,7 +151,8 @@
 }
 
 // replayResponse returns a retained response as a result. If replayed is set, the
-// result has the header that marks a replayed response.
+// result has wire.HeaderReplayed, which tells the caller that the response is that of an
+// earlier submission.
 func replayResponse(retained *claims.Answer, replayed bool) *wire.Result {
 	h := http.Header(maps.Clone(retained.Header))
 	if h == nil {
--- a/owner/ledger.go
+++ b/owner/ledger.go
@@ -12,25 +12,26 @@
 const (
 	// readLimit is the maximum number of records in one read.
 	readLimit = 1024
-	// minReadInterval is the minimum time between the last read and a read that
-	// a request causes. Without it, submissions with arbitrary keys could flood
-	// the log with reads.
+	// minReadInterval is the minimum time from the end of a read to the start of a
+	// read that a submission causes. Without this minimum, submissions with
+	// arbitrary keys could flood the log with reads.
 	minReadInterval = 50 * time.Millisecond
 	// readTimeout bounds a read of the grants up to the end of the log.
 	readTimeout = 2 * time.Second
 )
 
 // refresh brings the ledger up to date with the log. It reads the grants, unless
-// another read began after this call and has completed. So concurrent calls share
-// reads.
+// another read that began after the start of this call has completed. So concurrent
+// calls share reads. refresh returns without a read if the context ends first.
 func (s *Service) refresh(ctx context.Context) {
 	readsBefore := s.readCount.Load()
 	if !s.lockReads(ctx) {
 		return
 	}
 	defer s.unlockReads()
-	// The first read that completes may have begun before this call. Only if two
-	// reads have completed since, the second certainly began after it.
+	// The first read that completes during this call may have begun before this
+	// call. Reads do not overlap, so the second one certainly began after the start
+	// of this call.
 	const requiredReads = 2
 	if s.readCount.Load() >= readsBefore+requiredReads {
 		return
@@ -45,7 +46,8 @@
 	s.readToEnd(ctx)
 }
 
-// readGrants applies the grants up to the end of the log.
+// readGrants reads the grants stream to the end of the log. It does nothing if the
+// context ends before s.readLock is acquired.
 func (s *Service) readGrants(ctx context.Context) {
 	if !s.lockReads(ctx) {
 		return
@@ -66,8 +68,8 @@
 
 func (s *Service) unlockReads() { <-s.readLock }
 
-// readToEnd applies the grants up to the end of the log, and stops at the first
-// error. s.readLock is held.
+// readToEnd applies the records of the grants stream to the ledger up to the end of the
+// log. It stops at the first error, which it counts. s.readLock is held.
 func (s *Service) readToEnd(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -87,8 +89,11 @@
 }
 
 // readBatch applies one batch of records and reports whether there may be more to
-// read. At the end of the log, if the ledger is still incomplete, it enlarges the
-// search window and starts the search for a checkpoint again. s.readLock is held.
+// read. If the ledger has no position in the log, readBatch only calls seekCheckpoint. If
+// the log has dropped the next record, it starts the search for a checkpoint again. If
+// the ledger is still incomplete at the end of the log, and the search did not start at
+// the oldest record, readBatch enlarges the search window and starts the search again.
+// s.readLock is held.
 func (s *Service) readBatch(ctx context.Context) (bool, error) {
 	if !s.positioned {
 		return true, s.seekCheckpoint(ctx)
@@ -130,9 +135,9 @@
 )
 
 // seekCheckpoint resets the ledger to the offset searchWindow records before the
-// end of the log. So a new daemon need not read all records that the log keeps.
-// If the log keeps fewer records, the offset is that of the oldest one.
-// s.readLock is held.
+// end of the log, so that a new daemon need not read all records that the log keeps.
+// If the log keeps fewer than searchWindow records, the offset is that of the oldest
+// record. s.readLock is held.
 func (s *Service) seekCheckpoint(ctx context.Context) error {
 	oldest := recordlog.Offset(0)
 	batch, err := s.opts.Log.Read(ctx, recordlog.StreamGrants, oldest, 1)
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -11,16 +11,20 @@
 type metrics struct {
 	scope tally.Scope
 	// appended counts the appended grants and checkpoints.
-	appended     tally.Counter
+	appended tally.Counter
+	// appendFailed counts the failed appends of grants, checkpoints and transfers.
 	appendFailed tally.Counter
-	readFailed   tally.Counter
+	// readFailed counts the reads of the grants that ended with an error.
+	readFailed tally.Counter
 	// trimmedReads counts the reads of records that the log no longer keeps.
 	trimmedReads tally.Counter
 	// unreadableRecords counts the records that cannot be decoded.
 	unreadableRecords tally.Counter
-	// resubmitted counts the retries by the routing side.
-	resubmitted    tally.Counter
-	handedOver     tally.Counter
+	// resubmitted counts the retries of submissions by the routing side.
+	resubmitted tally.Counter
+	// handedOver counts the drains that handed the claims over.
+	handedOver tally.Counter
+	// handoverFailed counts the drains that failed to do so.
 	handoverFailed tally.Counter
 	// claims is the number of claims in the table.
 	claims tally.Gauge
@@ -49,7 +53,8 @@
 	m.scope.Tagged(map[string]string{"verdict": v.String()}).Counter("submissions").Inc(1)
 }
 
-// countUnresolved counts a submission without a final outcome by its reason.
+// countUnresolved counts, by its reason, a submission for which the routing side got no
+// final outcome.
 func (m metrics) countUnresolved(r outcome.Reason) {
 	m.scope.Tagged(map[string]string{"reason": string(r)}).Counter("unsettled").Inc(1)
 }
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -10,11 +10,11 @@
 // timestamp in search of a key with a live owner.
 const maxKeyAttempts = 64
 
-// NewKey returns a new key whose owner is considered alive. The timestamp of the
-// key is the current time. If the grants end before the current time because the
-// log is down, the timestamp is one of the last that the grants cover. The second
-// result is false if NewKey found no such key. The returned key is valid all the
-// same, but may have no owner that is alive.
+// NewKey returns a new key whose owner is considered alive, and true. The timestamp of
+// the key is the current time. If all grants end before the current time, for example
+// because the log is down, the timestamp is one of the newest that the grants cover. If
+// NewKey finds no such key, it returns a key with the current time and false. That key
+// is valid, but its owner may be lost or unknown.
 func (s *Service) NewKey() (claims.Key, bool) {
 	now := s.currentTimestamp()
 	s.mu.Lock()
@@ -29,17 +29,17 @@
 	return randomKey(now), false
 }
 
-// randomKey returns a random key with a timestamp.
+// randomKey returns a key with the given timestamp that is random otherwise.
 func randomKey(timestamp claims.Stamp) claims.Key {
 	var random [10]byte
 	_, _ = rand.Read(random[:])
 	return claims.NewKey(timestamp, random)
 }
 
-// candidateTimestamps returns the timestamps that a new key may have. The first and
-// preferred one is the current timestamp. If all grants end before the current
-// timestamp, candidateTimestamps adds up to maxPastTimestamps granted ones, newest
-// first. It adds none that is older than half of the retention. s.mu is held.
+// candidateTimestamps returns the timestamps that a new key may have, in order of
+// preference. The first one is now. If no grant extends beyond now, candidateTimestamps
+// adds up to maxPastTimestamps earlier timestamps that are granted in some range, newest
+// first. It adds none that is older than half of Options.Retention. s.mu is held.
 func (s *Service) candidateTimestamps(now claims.Stamp) []claims.Stamp {
 	timestamps := []claims.Stamp{now}
 	oldest := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
@@ -52,8 +52,8 @@
 		return timestamps
 	}
 	// The ends of the grants of different ranges are at most half a grant
-	// duration apart. The timestamps are a quarter of a grant duration apart, so that
-	// some of them are granted in every range.
+	// duration apart. The added timestamps are a quarter of a grant duration apart,
+	// so that some of them are granted in every range.
 	grantDuration := claims.Stamp(s.opts.GrantDuration.Milliseconds())
 	const maxPastTimestamps = 4
 	for i := range claims.Stamp(maxPastTimestamps) {
@@ -64,8 +64,8 @@
 	return timestamps
 }
 
-// hasLiveOwner reports whether a key has an owner that is considered alive.
-// s.mu is held.
+// hasLiveOwner reports whether a key has an owner that is considered alive: the owner is
+// not suspected, and is not this daemon while this daemon drains. s.mu is held.
 func (s *Service) hasLiveOwner(k claims.Key) bool {
 	interval, ownership := s.ledger.Lookup(k.Range(s.opts.Ranges), k.Stamp())
 	if ownership != claims.Owned {
--- a/owner/options.go
+++ b/owner/options.go
@@ -43,25 +43,26 @@
 	// availability and retention, never how often a key is executed. Default:
 	// time.Now.
 	WallClock func() time.Time
-	// GrantDuration is how far beyond the current time a grant extends.
+	// GrantDuration is how far beyond the time at which it is made a grant extends.
 	// Default: 60s.
 	GrantDuration time.Duration
 	// Retention is how long a claim is kept after the timestamp of its key.
 	// Default: 10m.
 	Retention time.Duration
 	// PollInterval is the time between two checks whether the grants have to be
-	// read or renewed. Default: 1s.
+	// read from the log or renewed. Default: 1s.
 	PollInterval time.Duration
-	// CheckpointInterval is the longest time between two checkpoints on the
-	// log. It must be well below the retention of the log. Default: 5m.
+	// CheckpointInterval is the time after a checkpoint on the log after which the
+	// next one is due. It must be well below the retention of the log. Default: 5m.
 	CheckpointInterval time.Duration
 	// Ranges is the number of key ranges. It must be the same in all daemons.
 	// Default: claims.DefaultRanges.
 	Ranges int
-	// MaxBodyBytes bounds the body of a keyed request. Default: 256 KiB.
+	// MaxBodyBytes bounds the body of a keyed request. A request with a larger body
+	// is not run. Default: 256 KiB.
 	MaxBodyBytes int64
-	// MaxResponseBytes bounds the body of a response that is retained. Default:
-	// 64 KiB.
+	// MaxResponseBytes bounds the body of a response that is retained for retries. A
+	// larger response is streamed to the first submission only. Default: 64 KiB.
 	MaxResponseBytes int64
 	// Limits bound the number of claims and the total size of retained
 	// responses.
@@ -102,6 +103,7 @@
 	return o
 }
 
+// setDefault sets v to d if v is zero or negative.
 func setDefault[T int | int64 | time.Duration](v *T, d T) {
 	if *v <= 0 {
 		*v = d
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -42,7 +42,8 @@
 	mu sync.Mutex
 	// executions counts the executions of each key.
 	executions map[string]int
-	// handler acts as the upstream. Nil means an upstream that responds at once.
+	// handler acts as the upstream. Nil means an upstream that counts the execution
+	// and responds at once with "done" and the key.
 	handler func(c *wire.Call) *wire.Result
 }
 
@@ -56,8 +57,8 @@
 	done   chan struct{}
 }
 
-// deploy starts n daemons whose grants last for a duration, and waits until all
-// ranges have owners.
+// deploy starts n daemons whose grants last for grantDuration, and waits until every
+// daemon knows the owners of all key ranges.
 func deploy(t *testing.T, n int, grantDuration time.Duration) *deployment {
 	d := &deployment{t: t, memory: &recordlog.Memory{}, grantDuration: grantDuration, executions: make(map[string]int)}
 	d.log = recordlog.NewFaultyLog(d.memory)
@@ -158,7 +159,7 @@
 	return nil, errors.New("no such daemon")
 }
 
-// execute executes a claimed request by the handler.
+// execute implements Options.Execute by a call of d.handler.
 func (d *deployment) execute(_ context.Context, c *wire.Call) *wire.Result {
 	d.mu.Lock()
 	handler := d.handler
@@ -206,8 +207,8 @@
 	err      error
 }
 
-// submit submits a request with a key and a body through the node and reads the
-// whole response.
+// submit submits a request with a key and a body through the node, with a timeout, and
+// reads the whole response.
 func (n *testNode) submit(key claims.Key, caller model.CallerName, body string, timeout time.Duration) submitResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/owner/route.go
+++ b/owner/route.go
@@ -15,12 +15,12 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryTimeouts are the times after which the routing side stops retrying a
-// submission.
+// retryTimeouts are the times since the start of Submit after which the routing side
+// stops retrying a submission.
 type retryTimeouts struct {
 	// ownerUnreachable applies if the owner is unreachable or responds that it
-	// does not own the key. When it has passed, the outcome of the submission
-	// is unknown with outcome.ReasonKeyOwnerLost.
+	// does not own the key. When this time has passed, the outcome of the
+	// submission is unknown with outcome.ReasonKeyOwnerLost.
 	ownerUnreachable time.Duration
 	// unassigned applies if the ledger names no owner, because the timestamp of
 	// the key is beyond all grants or the ledger is incomplete.
@@ -94,7 +94,8 @@
 )
 
 // giveUp returns the result of a submission for which no final outcome arrived in
-// time. reason is the reason of the last attempt.
+// time. If the key is owned and the context has not ended, giveUp also makes the owner o
+// suspected. reason is the reason in the outcome of the last attempt.
 func (s *Service) giveUp(ctx context.Context, o claims.Owner, ownership claims.Ownership, reason outcome.Reason) *wire.Result {
 	switch {
 	case ctx.Err() != nil:
@@ -107,8 +108,8 @@
 	}
 }
 
-// unresolved returns and counts the result of a submission without a final outcome:
-// unknown, with a reason.
+// unresolved counts a submission without a final outcome, and returns its result: the
+// outcome is unknown, with the given reason.
 func (s *Service) unresolved(r outcome.Reason) *wire.Result {
 	s.metrics.countUnresolved(r)
 	o := outcome.Outcome{Kind: outcome.Unknown, Reason: r}
@@ -126,7 +127,8 @@
 	return s.ledger.Lookup(key.Range(s.opts.Ranges), key.Stamp())
 }
 
-// submitTo sends one submission to an owner, which may be this daemon.
+// submitTo sends one submission to an owner, which may be in this daemon. The submission
+// is a copy of c with an ID of its own, the given body and the time that ctx leaves.
 func (s *Service) submitTo(ctx context.Context, o claims.Owner, c *wire.Call, body []byte) *wire.Result {
 	submission := *c
 	submission.ID = uuid.NewString()
@@ -145,9 +147,9 @@
 	return s.submitRemote(ctx, o.Daemon, &submission)
 }
 
-// submitRemote sends a submission to an owner in another daemon. It reads a small
-// response completely before it returns. So the submission can be retried if the
-// response is truncated.
+// submitRemote sends a submission to an owner in another daemon. It reads a response that
+// is small enough to be retained completely before it returns. If such a response is
+// truncated, the result is that of an unreachable owner, so that Submit retries.
 func (s *Service) submitRemote(ctx context.Context, to model.DaemonID, c *wire.Call) *wire.Result {
 	c.SetInternalHeaders(c.Header)
 	c.Header.Set(wire.HeaderDestination, wire.DestinationOwner)
@@ -191,8 +193,8 @@
 }
 
 // retryTimeout returns for how long Submit retries an owner that does not respond.
-// For a suspected owner it is 0: Submit then tries only once more, after a refresh
-// of the grants.
+// For a suspected owner the time is 0, so that Submit tries only once more, after a
+// refresh of the ledger.
 func (s *Service) retryTimeout(incarnation uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,8 +205,8 @@
 }
 
 // suspectOwner remembers that an owner could not be reached, so that NewKey
-// returns no keys of that owner. It forgets suspicions that are older than
-// GrantDuration. If maxSuspectedOwners are remembered, it adds none.
+// returns no keys of that owner. It first forgets suspicions that are older than
+// GrantDuration. If maxSuspectedOwners suspicions are left, it adds none.
 func (s *Service) suspectOwner(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/owner/service.go
+++ b/owner/service.go
@@ -21,14 +21,20 @@
 	// retryTimeouts may be changed by tests before the first call.
 	retryTimeouts retryTimeouts
 
-	mu         sync.Mutex
-	ledger     *claims.Ledger
-	table      *claims.Table
+	// mu guards the fields from ledger to lastCheckpointRead.
+	mu sync.Mutex
+	// ledger holds the owners of all keys, according to the records read from the
+	// log.
+	ledger *claims.Ledger
+	// table holds the claims of this owner.
+	table *claims.Table
+	// executions holds the executions in flight.
 	executions map[claims.ID]*execution
 	// suspectedOwners holds the incarnations of the owners that were found
 	// unreachable, and when.
 	suspectedOwners map[uint64]time.Time
-	// lastCheckpointRead is when a checkpoint was last read from the log.
+	// lastCheckpointRead is when a checkpoint was last read from the log. Before the
+	// first one it is the time of New.
 	lastCheckpointRead time.Time
 
 	// planner decides when to append a grant. It is used only by Serve.
@@ -45,8 +51,8 @@
 	// read. It is unset before the first read, and when the search for a checkpoint
 	// has to start again.
 	positioned bool
-	// fromOldest is set if that search started at the oldest record that the log
-	// keeps.
+	// fromOldest is set if the search for a checkpoint started at the oldest record
+	// that the log keeps.
 	fromOldest bool
 	// searchWindow is the number of newest records in which this daemon searches
 	// for a checkpoint.
@@ -117,13 +123,14 @@
 // String names the service in the supervisor tree.
 func (s *Service) String() string { return "owner" }
 
-// Serve reads and renews grants until the context ends.
+// Serve reads and renews grants, appends checkpoints and removes expired claims until
+// the context ends.
 func (s *Service) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(s.opts.PollInterval)
 	defer ticker.Stop()
 	for {
 		s.refreshCandidates()
-		// If shouldRead is false, no grant or checkpoint is due.
+		// If shouldRead returns false, no grant or checkpoint is due either.
 		if s.shouldRead(ctx) {
 			s.readGrants(ctx)
 			s.renew(ctx)
@@ -143,16 +150,17 @@
 }
 
 // readsPerGrant is the number of reads of the grants in one grant duration. Between
-// two reads, the ledger may lag behind the log. Grants extend further into the future
-// than the next read, so the ledger usually still names the owner of a current key.
-// If the ledger names no owner, the request causes a read.
+// two reads, the ledger may lag behind the log. The grants in the ledger extend beyond
+// the time of the next read, so the ledger usually still names the owner of a key with
+// the current timestamp. If the ledger names no owner, the submission causes a read.
 const readsPerGrant = 6
 
-// shouldRead reports whether the grants have to be read. If not, the daemon saves a
-// read of the log in this poll interval. The grants have to be read in these cases:
+// shouldRead reports whether the grants have to be read in this poll interval, which is
+// so in these cases:
 //   - No read has reached the end of the log yet.
 //   - The ledger is incomplete.
-//   - A record seems due for an append. Another daemon may have appended it meanwhile.
+//   - A grant or a checkpoint seems due to be appended. The read shows whether another
+//     daemon has appended a record that makes it unnecessary.
 //   - The last read ended at least 1/readsPerGrant of a grant duration ago.
 //
 // If the context ends before the time of the last read is known, shouldRead returns
@@ -174,8 +182,9 @@
 	return s.ledger.Complete()
 }
 
-// renew appends a grant and a checkpoint if they are due. After each append it reads
-// the log, because only a read shows whether the append took effect.
+// renew appends a grant and a checkpoint, each if it is due. It appends nothing until a
+// read has reached the end of the log. After each successful append it reads the log,
+// because only a read shows whether the record took effect.
 func (s *Service) renew(ctx context.Context) {
 	if !s.caughtUp.Load() {
 		return
@@ -191,7 +200,9 @@
 	}
 }
 
-// dueRecords returns the records that are due to be appended.
+// dueRecords returns the grant and the checkpoint that this daemon has to append now, as
+// far as they are due. It returns none if the claim table is sealed or the ledger is
+// incomplete.
 func (s *Service) dueRecords() []claims.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,7 +221,8 @@
 	return out
 }
 
-// refreshCandidates passes the candidates to the planner if they have changed.
+// refreshCandidates passes the daemons that may own keys to the planner if they have
+// changed since the last call.
 func (s *Service) refreshCandidates() {
 	candidates := s.opts.Candidates()
 	slices.Sort(candidates)
@@ -220,7 +232,9 @@
 	}
 }
 
-// expire removes the claims whose retention has ended.
+// expire removes the claims whose retention has ended, and updates the gauges of the
+// claim table. It does nothing if the wall clock is wrong and shows a time no later than
+// the Unix epoch plus the retention.
 func (s *Service) expire() {
 	now := s.currentTimestamp()
 	retention := claims.Stamp(s.opts.Retention.Milliseconds())
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -14,13 +14,15 @@
 	"github.com/dottereltiller/dottereltiller/wire"
 )
 
-// retryAfter is the Retry-After value of a response if a later retry may succeed.
-// That is the case if the execution of the key is in progress, the outcome cannot
-// be known yet, or the claim table is full.
+// retryAfter is the Retry-After value of a response if a later retry may succeed: the
+// execution is in progress, the key has no known owner yet, the deadline has passed, or
+// the claim table is full.
 const retryAfter = time.Second
 
-// handleSubmission decides on a submission as the owner of its key. It executes the
-// request or waits for an earlier execution if necessary, and returns the result.
+// handleSubmission decides on a submission as the owner of its key. It starts the
+// execution of the request or waits for an earlier one if necessary, and returns the
+// result. A submission with an invalid key, or a body that is too large or cannot be
+// read, is not run.
 func (s *Service) handleSubmission(ctx context.Context, c *wire.Call) *wire.Result {
 	key, err := claims.ParseKey(c.Key)
 	if err != nil {
@@ -84,8 +86,9 @@
 	return result
 }
 
-// awaitFirst waits for an execution and returns its result to the first
-// submission, which started the execution.
+// awaitFirst waits for an execution on behalf of the submission that started it, and
+// returns the result. If the context ends first, the outcome is unknown, unless a
+// streamed response has to be received.
 func awaitFirst(ctx context.Context, e *execution) *wire.Result {
 	select {
 	case <-e.ready:
@@ -102,11 +105,13 @@
 }
 
 // maxWaitPercent is the percentage of its timeout for which a later submission
-// waits for the execution. The rest is left for the response to the caller.
+// waits for the execution. The rest of the timeout is left for the response to the
+// caller.
 const maxWaitPercent = 90
 
 // awaitEarlier waits for an execution that an earlier submission started, and
-// returns its result. If the wait takes too long, the outcome is unknown.
+// returns its result. If the execution takes longer than maxWaitPercent of the timeout
+// or the context ends, the outcome is unknown.
 func awaitEarlier(ctx context.Context, e *execution, timeout time.Duration) *wire.Result {
 	timer := time.NewTimer(timeout * maxWaitPercent / 100)
 	defer timer.Stop()
@@ -136,9 +141,9 @@
 	return outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonKeyInProgress, RetryAfter: retryAfter}
 }
 
-// outcomeOf returns the outcome of a submission that by decision d is not executed
-// and gets no response. Only claims.Full proves that the key has not been
-// executed.
+// outcomeOf returns the outcome of a submission for which decision d means that it is
+// neither executed nor gets a retained response. Only for claims.Full is the outcome
+// "not run", because only this decision proves that the request has not been executed.
 func outcomeOf(d claims.Decision) outcome.Outcome {
 	switch d {
 	case claims.Full:
@@ -160,8 +165,9 @@
 	}
 }
 
-// readBody reads a body of at most limit bytes. It returns the reason if the body
-// is larger or cannot be read, otherwise outcome.ReasonNone.
+// readBody reads a body of at most limit bytes; r may be nil. It returns
+// outcome.ReasonTooLarge if the body is larger, outcome.ReasonBadRequest if the body
+// cannot be read, and otherwise outcome.ReasonNone.
 func readBody(r io.Reader, limit int64) ([]byte, outcome.Reason) {
 	if r == nil {
 		return nil, outcome.ReasonNone
@@ -188,7 +194,8 @@
 	return claims.Digest(h.Sum(nil))
 }
 
-// ServeHTTP handles submissions from other daemons.
+// ServeHTTP handles submissions from other daemons. It responds with status 400 to a
+// request that wire.ReadCall cannot read.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.ReadCall(r)
 	if err != nil {
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -10,13 +10,13 @@
 
 // The kinds of messages between daemons that communicate by datagrams. The first
 // byte of each message is its kind. The values are part of the wire format and
-// must not change. Some of them are not the initials of the names.
+// must not change. Not every value is the initial of its name.
 //
-// Anti-entropy starts with a digest message, which holds the checksum of the
-// sender's table. If the receiver's table has another checksum, the receiver replies
-// with summaries of its table. The receiver of a summary sends the records that the
-// other daemon lacks, and requests the records that it lacks itself. So only records
-// that differ are sent.
+// Anti-entropy, the comparison of two daemons' tables, starts with a digest message,
+// which holds the checksum of the sender's table. If the receiver's table has another
+// checksum, the receiver replies with summaries of its table. The receiver of a summary
+// sends the records that the sender of the summary lacks, and requests the records that
+// it lacks itself. So only records that differ are sent.
 const (
 	// kindDigest is a message with the checksum of the sender's whole table.
 	kindDigest = 'o'
@@ -29,11 +29,12 @@
 	// kindRecordRequest is a message with the fingerprint prefixes of the
 	// records that the sender requests.
 	kindRecordRequest = 'w'
-	// kindRecords is a message with records.
+	// kindRecords is a message with encoded records.
 	kindRecords = 'r'
 )
 
 const (
+	// digestBytes is the length of the body of a digest message.
 	digestBytes = 8
 	// prefixBytes is the length of the prefix by which summaries and record
 	// requests identify a fingerprint.
@@ -41,7 +42,7 @@
 	// summaryEntryBytes is the length of a fingerprint prefix and a record hash.
 	summaryEntryBytes = prefixBytes + 4
 	// maxRecordMessages is the largest number of messages with records in reply
-	// to one message. The remaining records follow in later rounds.
+	// to one message. The remaining records follow in later comparisons.
 	maxRecordMessages = 4
 )
 
@@ -58,12 +59,12 @@
 	return binary.BigEndian.AppendUint64([]byte{kindDigest}, s.checksum())
 }
 
-// NextPush returns a message of at most limit bytes with changed records, and marks
-// these records as sent. Records with the latest quarantine come first, then those
-// with the most crashes, then the most recently updated ones. The message is nil if
-// no record has changed since it was sent, or if the first record does not fit.
-// newCrash reports whether RecordCrash was called since NextPush last returned a
-// message. It is false if the message is nil.
+// NextPush returns a message of at most limit bytes with the records that have changed
+// since they were last sent, and marks the records in the message as sent. Records with
+// the latest quarantine come first, then those with the most crashes, then the most
+// recently updated ones. The message is nil if there is no changed record, or if the
+// first one does not fit. newCrash reports whether RecordCrash was called since NextPush
+// last returned a message that was not nil. newCrash is false if message is nil.
 func (s *Store) NextPush(limit int) (message []byte, newCrash bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +82,8 @@
 
 // Receive applies a message from another daemon and returns the replies, each of
 // at most limit bytes. inSync reports whether the message says that the tables
-// of both daemons are equal.
+// of both daemons are equal. A message that is empty, of an unknown kind or malformed
+// changes nothing and gets no reply.
 func (s *Store) Receive(message []byte, limit int) (replies [][]byte, inSync bool) {
 	if len(message) == 0 {
 		return nil, false
@@ -104,8 +106,8 @@
 }
 
 // handleDigest returns the replies to a digest message. If the tables have the same
-// checksum, the only reply says so. Otherwise the replies are summaries of this
-// daemon's table. A malformed digest message gets no reply.
+// checksum, the only reply is of kindInSync. Otherwise the replies are summaries of
+// this daemon's table. A malformed digest message gets no reply.
 func (s *Store) handleDigest(digest []byte, limit int) [][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,6 +145,8 @@
 	}
 }
 
+// appendSummaryEntry appends the fingerprint prefix and the truncated hash of a record to
+// the message m.
 func appendSummaryEntry(m []byte, r *quarantine.Record) []byte {
 	p := prefixOf(r.Fingerprint)
 	return binary.BigEndian.AppendUint32(append(m, p[:]...), uint32(r.Sum()))
@@ -157,10 +161,10 @@
 	return records
 }
 
-// handleSummary returns the replies to a summary. They hold the records of the range
-// that the peer lacks, and a request for those that this daemon lacks. A record that
-// has different hashes at the two daemons is both sent and requested. A malformed
-// summary gets no reply.
+// handleSummary returns the replies to a summary. The replies hold the records in the
+// range of the summary that the peer lacks, and a request for the records that this
+// daemon lacks. A record that has different hashes at the two daemons is both sent and
+// requested. A malformed summary gets no reply.
 func (s *Store) handleSummary(body []byte, limit int) [][]byte {
 	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%summaryEntryBytes != 0 {
 		return nil
@@ -226,8 +230,8 @@
 	return recordMessages(records, limit)
 }
 
-// recordMessages returns messages of at most limit bytes with the records. After
-// maxRecordMessages messages it leaves out the remaining records.
+// recordMessages returns up to maxRecordMessages messages of at most limit bytes with
+// the records. It leaves out the records that do not fit into these messages.
 func recordMessages(records []quarantine.Record, limit int) [][]byte {
 	var out [][]byte
 	for len(records) > 0 && len(out) < maxRecordMessages {
@@ -241,8 +245,9 @@
 	return out
 }
 
-// appendRecords appends as many records to the message m as fit into limit bytes.
-// It returns the extended message and the number of records appended.
+// appendRecords appends records to the message m, in order, until the next record would
+// make m longer than limit bytes. It returns the extended message and the number of
+// records appended.
 func appendRecords(m []byte, records []quarantine.Record, limit int) ([]byte, int) {
 	for i := range records {
 		extended := records[i].Append(m)
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -16,26 +16,29 @@
 // Gossip exchanges the records of a Store with the other daemons by datagrams.
 // It is safe for concurrent use.
 type Gossip struct {
-	Store    *Store
+	Store *Store
+	// Selector selects the daemons to which messages are sent.
 	Selector gossip.PeerSelector
-	// Members returns the daemons that can be reached.
+	// Members returns the other daemons that can be reached.
 	Members func() []gossip.Member
 	// Send sends a message to an address. Messages may be lost.
 	Send func(address string, message []byte)
 	// MaxMessageBytes bounds the length of a message.
 	MaxMessageBytes int
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// timer decides when to send a digest.
 	timer gossip.AntiEntropyTimer
 	// version is the version of the table at the last Tick. If the version has
-	// changed at the next Tick, timer is reset.
+	// changed at the next Tick, timer is reset to its short interval.
 	version uint64
-	// lastPush is when records were last pushed. Zero means never.
+	// lastPush is when records were last pushed. Zero means that the next push need
+	// not wait.
 	lastPush model.Instant
 }
 
-// Tick sends the messages that are due. The caller must call it several times a
-// second, and also whenever the Store calls Options.OnUpdate.
+// Tick sends changed records and a digest if they are due. The caller must call it
+// several times a second, and also whenever the Store calls Options.OnUpdate.
 func (g *Gossip) Tick(now model.Instant) {
 	if g.pushDue(now) {
 		g.push()
@@ -75,7 +78,8 @@
 }
 
 // antiEntropyDue reports whether a digest has to be sent now. If the table has
-// changed since the last call, it first returns to the short interval.
+// changed since the last call, antiEntropyDue first resets the timer to its short
+// interval.
 func (g *Gossip) antiEntropyDue(now model.Instant) bool {
 	version := g.Store.Version()
 	g.mu.Lock()
@@ -87,9 +91,9 @@
 	return g.timer.Due(now)
 }
 
-// ResetAntiEntropy returns to the short anti-entropy interval. The caller uses it
-// when other daemons may have missed records, for example after they were
-// unreachable.
+// ResetAntiEntropy resets the anti-entropy timer to its short interval. It is to be
+// called when this daemon or others may have missed records, for example after they
+// were unreachable.
 func (g *Gossip) ResetAntiEntropy() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -30,9 +30,9 @@
 	inTransit []datagram
 	// crossZoneBytes is the number of bytes sent between zones.
 	crossZoneBytes int
-	// sentBytes is the number of bytes sent by all daemons.
+	// sentBytes is the number of bytes sent by all daemons together.
 	sentBytes int
-	// maxSentBytes is the number of bytes sent by the daemon that sent most.
+	// maxSentBytes is the number of bytes sent by the daemon that sent the most.
 	maxSentBytes int
 }
 
@@ -96,6 +96,8 @@
 	return d.others
 }
 
+// send counts the bytes of a message and puts the message in transit, unless it is lost
+// or crosses the boundary of the partitioned zone.
 func (network *testNetwork) send(from, to *testDaemon, message []byte) {
 	from.sentBytes += len(message)
 	network.sentBytes += len(message)
@@ -109,8 +111,9 @@
 	}
 }
 
-// advance advances the clock step by step. In each step it delivers the messages
-// of the step before and calls Tick of every daemon.
+// advance advances the clock by d, step by step. In each step it delivers the messages
+// that were sent in the previous step, then calls Tick of every daemon. Every 100 ms it
+// also evaluates the tables.
 func (network *testNetwork) advance(d time.Duration) {
 	for end := network.now.Add(d); network.now.Before(end); {
 		network.now = network.now.Add(step)
@@ -135,8 +138,8 @@
 	}
 }
 
-// countRefusing returns how many daemons of a zone refuse a request. An empty zone
-// means all zones.
+// countRefusing returns how many daemons of a zone refuse the request with a target. An
+// empty zone means all zones.
 func (network *testNetwork) countRefusing(target string, zone model.AvailabilityZone) int {
 	n := 0
 	for _, d := range network.daemons {
@@ -147,8 +150,8 @@
 	return n
 }
 
-// crashThreeUpstreams records three crashes of upstreams by one request, one a
-// second. The daemons that record them are stride positions apart.
+// crashThreeUpstreams records that one request crashed three upstreams, one every
+// second. The indexes of the daemons that record the crashes differ by stride.
 func (network *testNetwork) crashThreeUpstreams(target string, stride int) {
 	for i := range 3 {
 		network.daemons[(stride*i+1)%len(network.daemons)].Store.recordTestCrash(target, i)
@@ -156,9 +159,9 @@
 	}
 }
 
-// crashManyUpstreams crashes many upstreams at once, each while it runs several
-// requests. All of these requests receive a response from another upstream 500 ms
-// later. That shows that they did not cause the crashes.
+// crashManyUpstreams crashes many upstreams at once, each while it runs four requests
+// that no other upstream runs. 500 ms later each of these requests receives a response
+// from another upstream, which shows that the request did not cause the crash.
 func (network *testNetwork) crashManyUpstreams(upstreams int) {
 	const requests = 4
 	for i := range upstreams {
@@ -200,8 +203,8 @@
 }
 
 // TestReconnectedZoneLearnsOfQuarantine quarantines a request while a zone is
-// partitioned from the others. Once reconnected, the zone must refuse the
-// request within two seconds.
+// partitioned from the others. The daemons of the zone must not refuse the request
+// until the zone is reconnected, and must then refuse it within two seconds.
 func TestReconnectedZoneLearnsOfQuarantine(t *testing.T) {
 	const daemons = 100
 	network := newTestNetwork(daemons)
@@ -217,9 +220,10 @@
 	require.Equal(t, daemons, network.countRefusing("/crashing", ""))
 }
 
-// TestBytesSentGrowWithChanges crashes many upstreams at once. The bytes that a
-// daemon sends must stay bounded, and the bytes between zones must grow with
-// the number of zones and records rather than daemons.
+// TestBytesSentGrowWithChanges crashes the same number of upstreams at once in networks
+// of 10 to 1,000 daemons. No daemon may send more than its budget. The bytes sent
+// between zones must be fewer for each of 1,000 daemons than for each of 10 daemons,
+// because they depend on the numbers of zones and records.
 func TestBytesSentGrowWithChanges(t *testing.T) {
 	const (
 		upstreams = 30
@@ -244,9 +248,9 @@
 func TestDaemonsInSyncSendLittle(t *testing.T) {
 	const (
 		daemons = 100
-		// maxIdleBytes bounds the bytes that all daemons send in ten seconds.
-		// Each daemon sends one digest and receives one reply that the tables
-		// are equal. The sum is doubled for random variation.
+		// maxIdleBytes bounds the bytes that all daemons together send in ten
+		// seconds. On average, each daemon sends one digest and one reply that the
+		// tables are equal. The sum is doubled to allow for random variation.
 		maxIdleBytes = 2 * daemons * (1 + digestBytes + 1)
 	)
 	network := newTestNetwork(daemons)
@@ -262,7 +266,8 @@
 }
 
 // TestNewDaemonLearnsOfQuarantine starts a daemon that sends its digest to one
-// other daemon. It must refuse the quarantined request 100 ms later.
+// other daemon. 100 ms later the new daemon must refuse the quarantined request, like
+// all others.
 func TestNewDaemonLearnsOfQuarantine(t *testing.T) {
 	network := newTestNetwork(20)
 	network.crashThreeUpstreams("/crashing", 7)
@@ -273,8 +278,9 @@
 	require.Equal(t, 21, network.countRefusing("/crashing", ""))
 }
 
-// TestFullTablesConverge records more crashes than a table holds. The daemons must
-// still keep the same records, and then send almost nothing.
+// TestFullTablesConverge records crashes by more requests than a table holds. All daemons
+// must end up with the same records, and must then send fewer than 1,000 bytes together
+// in ten seconds.
 func TestFullTablesConverge(t *testing.T) {
 	network := newTestNetwork(5)
 	for i := range 1200 {
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -33,8 +33,10 @@
 // Store is a daemon's table of suspected and quarantined requests. It is safe
 // for concurrent use.
 type Store struct {
-	opts     Options
-	crashes  tally.Counter
+	opts Options
+	// crashes counts the calls of RecordCrash.
+	crashes tally.Counter
+	// refusals counts the requests that RefusedFor found to be refused.
 	refusals tally.Counter
 	// unreadableDeltas counts deltas from peers that cannot be decoded.
 	unreadableDeltas tally.Counter
@@ -44,15 +46,17 @@
 
 	mu    sync.Mutex
 	table *quarantine.Table
-	// loggedRefused holds the requests that were refused when logChanges was
+	// loggedRefused is true for the requests that were refused when logChanges was
 	// last called.
 	loggedRefused map[quarantine.Fingerprint]bool
-	// deltaStart is the index of the record at which the next Delta starts.
+	// deltaStart is the index, in the list of all records, of the record at which
+	// the next delta starts.
 	deltaStart int
 	// cachedChecksum is the checksum of the table at version checksumVersion.
 	cachedChecksum  uint64
 	checksumVersion uint64
-	// newCrash is set if RecordCrash was called since the last push.
+	// newCrash is set if RecordCrash was called since NextPush last returned a
+	// message.
 	newCrash bool
 }
 
@@ -132,7 +136,7 @@
 	Refused bool `json:"refused"`
 }
 
-// List returns all records, newest first.
+// List returns all records, the most recently updated first.
 func (s *Store) List() []ListedRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,8 +171,9 @@
 	s.table.Expire(now)
 }
 
-// update calls f with s.mu held, to change the table. If f has changed it, update
-// logs new and ended quarantines and calls OnUpdate.
+// update calls f with s.mu held; f may change the table and gets the time in Unix
+// milliseconds. If the table has changed, update logs the quarantines that have begun or
+// ended, and calls OnUpdate without holding s.mu.
 func (s *Store) update(f func(now int64)) {
 	s.mu.Lock()
 	before := s.table.Version()
--- a/quarantine/store_test.go
+++ b/quarantine/store_test.go
@@ -30,8 +30,8 @@
 	return f
 }
 
-// advance advances the clock, then exchanges deltas of at most limit bytes between
-// neighbouring stores.
+// advance advances the clock, exchanges deltas of at most limit bytes between
+// neighbouring stores, then evaluates the tables of all stores.
 func (f *fleet) advance(t *testing.T, d time.Duration, limit int) {
 	f.now = f.now.Add(d)
 	for i := range f.stores {
@@ -48,7 +48,8 @@
 	return quarantine.Request{Service: "s", Caller: "c", Method: "GET", Target: target}
 }
 
-// recordTestCrash records that an upstream crashed while it ran a request.
+// recordTestCrash records that the upstream with the given number crashed while it ran
+// the request with the given target.
 func (s *Store) recordTestCrash(target string, upstream int) {
 	r := newRequest(target)
 	s.RecordCrash(quarantine.FingerprintOf(r), r, quarantine.Crash{Upstream: model.UpstreamID(fmt.Sprint("s-", upstream)), Incarnation: 1})
@@ -59,9 +60,10 @@
 	return ok
 }
 
-// TestCrashingRequestThroughDifferentDaemonsIsQuarantined sends a request that
-// crashes upstreams through a different daemon each time. Every daemon must
-// refuse it within a second of the second crash.
+// TestCrashingRequestThroughDifferentDaemonsIsQuarantined records two crashes by the same
+// request at two different daemons. Every daemon must refuse the request within a second
+// of the second crash, but not a request that ran during only one crash. When one daemon
+// releases the request, every daemon must admit it again.
 func TestCrashingRequestThroughDifferentDaemonsIsQuarantined(t *testing.T) {
 	f := newFleet(4)
 	f.stores[0].recordTestCrash("/crashing", 1)
--- a/quarantine/topic.go
+++ b/quarantine/topic.go
@@ -14,7 +14,8 @@
 // Name implements peer.Topic.
 func (*Store) Name() string { return "quarantine" }
 
-// Digest implements peer.Topic. It returns nil while the table is empty.
+// Digest implements peer.Topic. It returns the checksum of the table, or nil while the
+// table is empty.
 func (s *Store) Digest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +26,7 @@
 }
 
 // checksum returns the XOR of the hashes of all records. Tables with the same
-// records have the same checksum; that of an empty table is zero. s.mu is held.
+// records have the same checksum. An empty table has the checksum zero. s.mu is held.
 func (s *Store) checksum() uint64 {
 	if v := s.table.Version(); s.checksumVersion != v {
 		s.checksumVersion, s.cachedChecksum = v, 0
@@ -36,9 +37,10 @@
 	return s.cachedChecksum
 }
 
-// Delta implements peer.Topic. If the peer's digest differs from that of this
-// daemon, Delta returns records, newest first, of at most limit bytes. If they
-// do not all fit, the next call starts with the first record left out.
+// Delta implements peer.Topic. If the peer's digest differs from the digest of this
+// daemon, Delta returns records in at most limit bytes, the most recently updated first.
+// If not all records fit, the next call starts with the first record left out and wraps
+// around. Delta returns nil if the digests are equal or the table is empty.
 func (s *Store) Delta(digest []byte, limit int) []byte {
 	if bytes.Equal(digest, s.Digest()) {
 		return nil
@@ -55,7 +57,8 @@
 	return out
 }
 
-// Apply implements peer.Topic. It returns an error if the delta cannot be decoded.
+// Apply implements peer.Topic. It merges the records of a delta into the table. If the
+// delta cannot be decoded, Apply returns an error and changes nothing.
 func (s *Store) Apply(delta []byte) error {
 	records, err := quarantine.Decode(delta)
 	if err != nil {
--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Batcher is a Log that merges appends to the same stream that arrive within
-// Window into one append. It is safe for concurrent use.
+// Batcher is a Log that merges appends to the same stream into one append if they
+// arrive within Window. It is safe for concurrent use.
 type Batcher struct {
+	// Log receives the merged appends. Reads go to it unchanged.
 	Log
 	// Window is how long the first append of a batch waits for others to be
 	// merged with it. Default: 10ms.
@@ -16,7 +17,8 @@
 	// Timeout is the time limit of a merged append. Default: 3s.
 	Timeout time.Duration
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// pending holds, for each stream, the batch that still accepts records.
 	pending map[string]*pendingBatch
 }
 
@@ -26,7 +28,8 @@
 	// maxBatchRecords is the largest number of records in a batch of several
 	// appends. A single append with more records forms a batch of its own.
 	maxBatchRecords = 256
-	// maxBatchBytes is the size above which a batch accepts no further append.
+	// maxBatchBytes is the total size of records above which a batch accepts no more
+	// appends. The append that exceeds this size still belongs to the batch.
 	maxBatchBytes = 1 << 20
 )
 
@@ -37,16 +40,16 @@
 	bytes int
 	// done is closed when the merged append has ended.
 	done chan struct{}
-	// firstOffset is the offset of the first record. It is set before done is
-	// closed.
+	// firstOffset is the offset of records[0] in the stream. It is set before done
+	// is closed.
 	firstOffset Offset
 	// err is the error of the merged append. It is set before done is closed.
 	err error
 }
 
-// Append implements Log. If the context ends before the merged append does,
-// Append returns an AppendError with Uncertain set, because the records may
-// still be appended.
+// Append implements Log. It waits until the merged append has ended. If the context
+// ends first, Append returns an AppendError with Uncertain set, because the merged
+// append is not cancelled and may still take effect.
 func (b *Batcher) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	joined, index := b.enqueue(stream, records)
 	select {
@@ -57,9 +60,9 @@
 	}
 }
 
-// enqueue adds the records to the pending batch of the stream. If there is none or
-// it has no room, it starts a new batch. It returns the batch and the index of
-// records[0] in it.
+// enqueue adds the records to the pending batch of the stream. If there is no pending
+// batch or it is too large, enqueue starts a new one and its flush. It returns the batch
+// and the index of records[0] in the batch.
 func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,7 +83,9 @@
 	return current, index
 }
 
-// flush waits for Window, then appends the records of the batch to the log.
+// flush waits for Window, then appends the records of the batch to the log, sets the
+// result of the batch and closes done. From the end of Window on, the batch accepts no
+// more records.
 func (b *Batcher) flush(stream string, current *pendingBatch) {
 	window, timeout := b.Window, b.Timeout
 	if window <= 0 {
--- a/recordlog/client.go
+++ b/recordlog/client.go
@@ -22,11 +22,13 @@
 }
 
 const (
-	// clientTimeout bounds a call. It also bounds the setup of a connection.
+	// clientTimeout bounds a call, including the reading of the response. It also
+	// bounds the setup of a connection.
 	clientTimeout = 2 * time.Second
-	// maxResponseBytes bounds the part of a response that is read.
+	// maxResponseBytes bounds the part of a response body that is decoded. A longer
+	// body causes a decoding error.
 	maxResponseBytes = 8 << 20
-	// clientIdleConns bounds the idle connections that are kept open.
+	// clientIdleConns bounds the idle connections to the log that are kept open.
 	clientIdleConns = 4
 )
 
@@ -55,7 +57,10 @@
 	First Offset `json:"first"`
 }
 
-// Append implements Log.
+// Append implements Log. In the AppendError that it returns, Uncertain is not set if the
+// request was certainly not sent, or if the log rejected it with a status below 500.
+// Uncertain is set in all other cases, also if the response to a successful append
+// cannot be decoded.
 func (c *Client) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	body, err := json.Marshal(appendRequest{Records: records})
 	if err != nil {
@@ -84,7 +89,7 @@
 	return out.First, nil
 }
 
-// Read implements Log.
+// Read implements Log. Status 410 (Gone) becomes a TrimmedError.
 func (c *Client) Read(ctx context.Context, stream string, from Offset, limit int) (Batch, error) {
 	q := url.Values{"from": {strconv.FormatUint(uint64(from), 10)}, "limit": {strconv.Itoa(limit)}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(stream)+"?"+q.Encode(), nil)
@@ -111,15 +116,17 @@
 	}
 }
 
-// isDialError reports whether err is a failure to connect. In that case the
+// isDialError reports whether err is a failure to connect. After such a failure, the
 // request has certainly not been sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
+// url returns the URL of the records of a stream.
 func (c *Client) url(stream string) string { return c.base + url.PathEscape(stream) + "/records" }
 
+// decode decodes a JSON response body of at most maxResponseBytes into v.
 func decode(r io.Reader, v any) error {
 	return json.NewDecoder(io.LimitReader(r, maxResponseBytes)).Decode(v)
 }
--- a/recordlog/faults.go
+++ b/recordlog/faults.go
@@ -10,13 +10,15 @@
 // FaultyLog is a Log that injects the faults that the platform's log service is
 // known for. The faults can be changed at any time.
 type FaultyLog struct {
+	// Log is the log into which the faults are injected.
 	Log
-	mu     sync.Mutex
+	mu sync.Mutex
+	// faults are the faults to inject into the next operation.
 	faults Faults
 }
 
-// Faults are the faults that a FaultyLog injects. The zero value of each field
-// means that the log does not have this fault.
+// Faults are the faults that a FaultyLog injects. The zero value of a field means that
+// the fault described by the field is not injected.
 type Faults struct {
 	// Down makes every append and read fail without effect.
 	Down bool `json:"down"`
@@ -26,7 +28,7 @@
 	// effect but return an error.
 	LoseReplies int `json:"lose_replies"`
 	// Duplicate is the number of appends, from the next one on, that take
-	// effect twice. A proxy that retries requests causes this fault.
+	// effect twice, as if a proxy had repeated the request.
 	Duplicate int `json:"duplicate"`
 }
 
@@ -48,7 +50,8 @@
 	f.faults = faults
 }
 
-// Append implements Log.
+// Append implements Log. It returns the offset of the first copy if the append takes
+// effect twice.
 func (f *FaultyLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	faults := f.consumeFaults(true)
 	if err := faults.inject(ctx); err != nil {
@@ -73,8 +76,9 @@
 	return f.Log.Read(ctx, stream, from, limit)
 }
 
-// consumeFaults returns the faults for the next operation. If that is an append
-// and the log is up, consumeFaults decrements LoseReplies and Duplicate.
+// consumeFaults returns the faults for the next operation. If that operation is an
+// append and the log is up, consumeFaults then decrements the LoseReplies and Duplicate
+// that are left for later appends, down to zero.
 func (f *FaultyLog) consumeFaults(isAppend bool) Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,7 +90,8 @@
 	return faults
 }
 
-// inject waits for Latency, then returns ErrDown if the log is down.
+// inject waits for Latency, then returns ErrDown if Down is set. If the context ends
+// during the wait, it returns the error of the context.
 func (f Faults) inject(ctx context.Context) error {
 	if f.Latency > 0 {
 		select {
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -15,18 +15,19 @@
 }
 
 const (
-	// MaxSystemAppendsPerSecond bounds the appends of all daemons together.
+	// MaxSystemAppendsPerSecond bounds the rate of appends of all daemons together.
 	MaxSystemAppendsPerSecond = 300
-	// maxDaemonAppendsPerSecond is the upper limit for a single daemon. It
-	// applies if there are only a few daemons, whose equal shares would be larger.
+	// maxDaemonAppendsPerSecond bounds the append rate of a single daemon. It takes
+	// effect if there are so few daemons that an equal share of
+	// MaxSystemAppendsPerSecond would be larger.
 	maxDaemonAppendsPerSecond = 20
-	// appendBurst is the number of appends that a daemon may make at once after
-	// a pause.
+	// appendBurst is the number of appends that a daemon may make at once if it has
+	// made none for a while.
 	appendBurst = 8
 )
 
 // ErrRateLimited is wrapped in the error of an append that was not made because
-// the rate limit would have delayed it beyond the end of its context.
+// the rate limit would have delayed the append beyond the end of its context.
 var ErrRateLimited = errors.New("append rate limit reached")
 
 // NewRateLimitedLog returns a RateLimitedLog with the limit that applies if this
@@ -44,9 +45,10 @@
 }
 
 // Append implements Log. It waits until the rate limit admits the append. If the
-// context ends first, Append returns an AppendError that wraps ErrRateLimited. If
-// the deadline of the context would pass first, Append returns that error without
-// waiting. Uncertain is not set, because the records have not been appended.
+// context ends during the wait, Append returns an AppendError that wraps
+// ErrRateLimited. If the wait would last longer than the deadline of the context,
+// Append returns the same error without waiting. In both cases Uncertain is not set,
+// because the records have not been appended.
 func (l *RateLimitedLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	if err := l.limiter.Wait(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: errors.Join(ErrRateLimited, err)}
--- a/recordlog/log.go
+++ b/recordlog/log.go
@@ -14,8 +14,8 @@
 	StreamConfig = "config"
 	// StreamMembership holds the events of upstreams: joined, draining, left.
 	StreamMembership = "membership"
-	// StreamGrants holds the grants by which daemons own idempotency keys, and
-	// transfers and checkpoints of them.
+	// StreamGrants holds the grants by which daemons own idempotency keys,
+	// transfers of that ownership, and checkpoints of its state.
 	StreamGrants = "grants"
 )
 
@@ -49,7 +49,7 @@
 // AppendError is the error of a failed append.
 type AppendError struct {
 	Stream string
-	// Uncertain is set if the records may have been appended all the same.
+	// Uncertain is set if the records may have been appended despite the error.
 	Uncertain bool
 	Err       error
 }
@@ -70,6 +70,7 @@
 // keeps.
 type TrimmedError struct {
 	Stream string
+	// Oldest is the oldest offset that the log still keeps.
 	Oldest Offset
 }
 
--- a/recordlog/memory.go
+++ b/recordlog/memory.go
@@ -18,6 +18,7 @@
 }
 
 type memoryStream struct {
+	// oldest is the offset of records[0], or of the next record if records is empty.
 	oldest  Offset
 	records []memoryRecord
 }
@@ -69,7 +70,7 @@
 	}
 }
 
-// expire drops the records that are older than Retention. m.mu is held.
+// expire drops the records of s that are older than Retention. m.mu is held.
 func (m *Memory) expire(s *memoryStream) {
 	if m.Retention <= 0 {
 		return
@@ -81,8 +82,8 @@
 	}
 }
 
-// stream returns the stream with a name, and creates it if there is none. m.mu is
-// held.
+// stream returns the stream with the given name, and creates it if it does not exist.
+// m.mu is held.
 func (m *Memory) stream(name string) *memoryStream {
 	if m.streams == nil {
 		m.streams = make(map[string]*memoryStream)
--- a/recordlog/server.go
+++ b/recordlog/server.go
@@ -10,9 +10,11 @@
 )
 
 const (
-	// maxAppendBytes bounds the body of an append request.
+	// maxAppendBytes bounds the body of an append request and of a request to set
+	// faults. A larger body is answered with status 400.
 	maxAppendBytes = 4 << 20
-	// maxReadRecords bounds the records in the response to a read.
+	// maxReadRecords bounds the records in the response to a read. It also replaces
+	// a limit parameter that is missing, invalid or larger.
 	maxReadRecords = 4096
 )
 
@@ -25,9 +27,9 @@
 	return r
 }
 
-// FaultHandler returns a handler that serves a log whose faults can be set. A PUT
-// of a JSON-encoded Faults to /v1/faults sets them. All other requests go to
-// Handler.
+// FaultHandler serves a FaultyLog like Handler. In addition, a PUT request to /v1/faults
+// with JSON-encoded Faults replaces the faults that the log injects. If the body cannot
+// be decoded or has an unknown field, the response has status 400 and the faults stay.
 func FaultHandler(log *FaultyLog) http.Handler {
 	r := chi.NewRouter()
 	r.Mount("/", Handler(log))
