--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -31,8 +31,8 @@
 // use.
 type Store struct {
 	opts Options
-	// self is the hash of Options.Self that identifies this daemon in reports.
-	self ceiling.Daemon
+	// selfHash is the hash of Options.Self that identifies this daemon in reports.
+	selfHash ceiling.Daemon
 	// refusals counts the requests that TryAcquire refused.
 	refusals tally.Counter
 	// unreadableDeltas counts deltas from peers that cannot be decoded.
@@ -40,11 +40,11 @@
 
 	mu       sync.Mutex
 	ceilings map[ceiling.Key]*ceiling.Ceiling
-	// byHash holds the ceilings of the field ceilings by the keyHash of their key.
-	byHash map[uint64]*ceiling.Ceiling
-	// recent holds the reports that are relayed to other daemons. A report is
+	// ceilingByHash holds the same ceilings as the map ceilings, by keyHash.
+	ceilingByHash map[uint64]*ceiling.Ceiling
+	// recentReports holds the reports that are relayed to other daemons. A report is
 	// removed relayPeriod after this daemon made or received it.
-	recent map[reportKey]recentReport
+	recentReports map[reportKey]recentReport
 	// deltaCount counts the non-empty results of Delta. It determines the report
 	// with which the next result starts.
 	deltaCount uint64
@@ -72,12 +72,12 @@
 	scope := telemetry.OrNoop(opts.Scope)
 	return &Store{
 		opts:             opts,
-		self:             ceiling.Daemon(xxhash.Sum64String(string(opts.Self))),
+		selfHash:         ceiling.Daemon(xxhash.Sum64String(string(opts.Self))),
 		refusals:         scope.Counter("refusals"),
 		unreadableDeltas: scope.Counter("reports_unread"),
 		ceilings:         make(map[ceiling.Key]*ceiling.Ceiling),
-		byHash:           make(map[uint64]*ceiling.Ceiling),
-		recent:           make(map[reportKey]recentReport),
+		ceilingByHash:    make(map[uint64]*ceiling.Ceiling),
+		recentReports:    make(map[reportKey]recentReport),
 	}
 }
 
@@ -89,15 +89,15 @@
 	defer s.mu.Unlock()
 	old := s.ceilings
 	s.ceilings = make(map[ceiling.Key]*ceiling.Ceiling, len(limits))
-	clear(s.byHash)
+	clear(s.ceilingByHash)
 	for k, l := range limits {
 		hash := keyHash(k)
 		c := old[k]
 		if c == nil {
-			c = ceiling.New(s.opts.Now(), hash, s.self, l)
+			c = ceiling.New(s.opts.Now(), hash, s.selfHash, l)
 		}
 		c.SetLimits(l)
-		s.ceilings[k], s.byHash[hash] = c, c
+		s.ceilings[k], s.ceilingByHash[hash] = c, c
 	}
 }
 
@@ -105,16 +105,16 @@
 // the request is admitted, and release must be called once when the request has
 // ended. Otherwise release is nil and wait is the Retry-After value for the caller.
 // A request without a ceiling is always admitted.
-func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (release func(), wait time.Duration, ok bool) {
+func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (release func(), retryAfter time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.ceilings[ceiling.Key{Service: service, Group: group}]
 	if c == nil {
 		return noRelease, 0, true
 	}
-	if wait, ok = c.TryAcquire(s.opts.Now()); !ok {
+	if retryAfter, ok = c.TryAcquire(s.opts.Now()); !ok {
 		s.refusals.Inc(1)
-		return nil, wait, false
+		return nil, retryAfter, false
 	}
 	return func() {
 		s.mu.Lock()
@@ -136,8 +136,8 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "ceiling" }
 
-// tick updates the shares and adds this daemon's due reports to s.recent. It removes
-// the reports from s.recent that are older than relayPeriod or whose ceiling is no
+// tick updates the shares and adds this daemon's due reports to s.recentReports. It removes
+// the reports from s.recentReports that are older than relayPeriod or whose ceiling is no
 // longer in force.
 func (s *Store) tick() {
 	s.mu.Lock()
@@ -145,12 +145,12 @@
 	now, timestamp := s.opts.Now(), uint64(s.opts.WallClock().UnixMilli())
 	for _, c := range s.ceilings {
 		if r, due := c.Tick(now, timestamp); due {
-			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
+			s.recentReports[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
 		}
 	}
-	for k, r := range s.recent {
-		if now.Sub(r.addedAt) > relayPeriod || s.byHash[k.ceilingHash] == nil {
-			delete(s.recent, k)
+	for k, r := range s.recentReports {
+		if now.Sub(r.addedAt) > relayPeriod || s.ceilingByHash[k.ceilingHash] == nil {
+			delete(s.recentReports, k)
 		}
 	}
 }
--- a/ceiling/store_test.go
+++ b/ceiling/store_test.go
@@ -35,13 +35,13 @@
 
 // runSecond simulates one second, in which every store receives the given number of
 // requests, spread evenly. At the end of the second, neighbouring stores exchange
-// deltas of at most limit bytes. runSecond returns the number of requests admitted by
+// deltas of at most maxDeltaBytes. runSecond returns the number of requests admitted by
 // all stores together.
-func (f *fleet) runSecond(t *testing.T, requests, limit int) int {
+func (f *fleet) runSecond(t *testing.T, requestsPerStore, maxDeltaBytes int) int {
 	admitted := 0
 	for range 4 {
-		for range requests / 4 {
-			f.now = f.now.Add(time.Second / time.Duration(requests))
+		for range requestsPerStore / 4 {
+			f.now = f.now.Add(time.Second / time.Duration(requestsPerStore))
 			for _, s := range f.stores {
 				if release, _, ok := s.TryAcquire("s", "g"); ok {
 					admitted++
@@ -55,13 +55,13 @@
 	}
 	for i := range f.stores {
 		a, b := f.stores[i], f.stores[(i+1)%len(f.stores)]
-		require.NoError(t, b.Apply(a.Delta(b.Digest(), limit)))
-		require.NoError(t, a.Apply(b.Delta(a.Digest(), limit)))
+		require.NoError(t, b.Apply(a.Delta(b.Digest(), maxDeltaBytes)))
+		require.NoError(t, a.Apply(b.Delta(a.Digest(), maxDeltaBytes)))
 	}
 	return admitted
 }
 
-func TestStoresShareARate(t *testing.T) {
+func TestStoresTogetherKeepRateLimit(t *testing.T) {
 	f := newFleet(4, ceiling.Limits{Rate: 100})
 	for range 8 {
 		f.runSecond(t, 200, 4096)
@@ -100,5 +100,5 @@
 	s := newFleet(1, ceiling.Limits{Rate: 1}).stores[0]
 	require.ErrorIs(t, s.Apply(make([]byte, reportBytes+1)), errPartialReport)
 	require.NoError(t, s.Apply(make([]byte, reportBytes)), "a report on an unknown ceiling is ignored")
-	require.Empty(t, s.recent)
+	require.Empty(t, s.recentReports)
 }
--- a/ceiling/topic.go
+++ b/ceiling/topic.go
@@ -34,22 +34,22 @@
 // Name implements peer.Topic.
 func (*Store) Name() string { return "ceiling" }
 
-// Digest implements peer.Topic. It returns a checksum of the reports in s.recent, or
+// Digest implements peer.Topic. It returns a checksum of the reports in s.recentReports, or
 // nil if there are none.
 func (s *Store) Digest() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.recent) == 0 {
+	if len(s.recentReports) == 0 {
 		return nil
 	}
-	var sum uint64
-	for _, r := range s.recent {
-		sum ^= (r.Key ^ uint64(r.Daemon)) * (2*r.Stamp + 1)
+	var checksum uint64
+	for _, r := range s.recentReports {
+		checksum ^= (r.Key ^ uint64(r.Daemon)) * (2*r.Stamp + 1)
 	}
-	return binary.BigEndian.AppendUint64(nil, sum)
+	return binary.BigEndian.AppendUint64(nil, checksum)
 }
 
-// Delta implements peer.Topic. It returns reports of s.recent in at most limit
+// Delta implements peer.Topic. It returns reports of s.recentReports in at most limit
 // bytes, or nil if the peer's digest equals the digest of this daemon. If the reports
 // do not all fit into one delta, the first report varies from call to call, so that
 // all of them are relayed over several exchange rounds.
@@ -59,8 +59,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reports := make([]recentReport, 0, len(s.recent))
-	for _, r := range s.recent {
+	reports := make([]recentReport, 0, len(s.recentReports))
+	for _, r := range s.recentReports {
 		reports = append(reports, r)
 	}
 	slices.SortFunc(reports, func(a, b recentReport) int {
@@ -97,9 +97,9 @@
 	now := s.opts.Now()
 	for b := range slices.Chunk(delta, reportBytes) {
 		r := readReport(b)
-		c := s.byHash[r.Key]
+		c := s.ceilingByHash[r.Key]
 		if c != nil && c.Merge(now, r) {
-			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
+			s.recentReports[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
 		}
 	}
 	return nil
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -28,21 +28,21 @@
 	t   testing.TB
 	ctx context.Context
 	// memory holds the records of log, without the faults that log injects.
-	memory  *recordlog.Memory
-	log     *recordlog.FaultyLog
-	network *controltest.Network
-	peers   []peer.Peer
-	nodes   []*node
-	reads   atomic.Int64
-	appends atomic.Int64
+	memory     *recordlog.Memory
+	log        *recordlog.FaultyLog
+	network    *controltest.Network
+	peers      []peer.Peer
+	nodes      []*node
+	logReads   atomic.Int64
+	logAppends atomic.Int64
 
 	mu sync.Mutex
 	// inForceAt holds, for each version and node, when the node first put the
 	// version in force.
 	inForceAt map[model.Version]map[model.DaemonID]time.Time
-	// chains holds the hash chain of each version, which must be the same at all
+	// chainByVersion holds the hash chain of each version, which must be the same at all
 	// nodes.
-	chains map[model.Version]string
+	chainByVersion map[model.Version]string
 }
 
 type node struct {
@@ -53,17 +53,17 @@
 	incarnation uint64
 }
 
-const zones = 5
+const zoneCount = 5
 
-func startFleet(t testing.TB, ctx context.Context, size int) *fleet {
+func startFleet(t testing.TB, ctx context.Context, nodeCount int) *fleet {
 	f := &fleet{t: t, ctx: ctx, memory: &recordlog.Memory{}, network: controltest.NewNetwork(500 * time.Microsecond),
-		inForceAt: map[model.Version]map[model.DaemonID]time.Time{}, chains: map[model.Version]string{}}
+		inForceAt: map[model.Version]map[model.DaemonID]time.Time{}, chainByVersion: map[model.Version]string{}}
 	f.log = recordlog.NewFaultyLog(f.memory)
-	for i := range size {
-		f.peers = append(f.peers, peer.Peer{ID: model.DaemonID(fmt.Sprint("d", i)), Zone: zone(i % zones)})
+	for i := range nodeCount {
+		f.peers = append(f.peers, peer.Peer{ID: model.DaemonID(fmt.Sprint("d", i)), Zone: zone(i % zoneCount)})
 	}
 	for _, p := range f.peers {
-		n := &node{Peer: p, logConn: &controltest.LogConnection{Log: f.log, Reads: &f.reads, Appends: &f.appends}}
+		n := &node{Peer: p, logConn: &controltest.LogConnection{Log: f.log, Reads: &f.logReads, Appends: &f.logAppends}}
 		f.nodes = append(f.nodes, n)
 		f.start(n)
 	}
@@ -121,10 +121,10 @@
 	if status.Version != v {
 		return
 	}
-	if f.chains[v] != "" && f.chains[v] != status.Chain {
+	if f.chainByVersion[v] != "" && f.chainByVersion[v] != status.Chain {
 		f.t.Errorf("two changes were accepted as version %d", v)
 	}
-	f.chains[v] = status.Chain
+	f.chainByVersion[v] = status.Chain
 }
 
 // kill stops a node and makes it unreachable for the other nodes.
@@ -167,15 +167,15 @@
 		{Kind: policy.KindService, Name: name, Spec: json.RawMessage(`{"deadline":"2s"}`)}}}
 }
 
-// delays returns, for each node, the time from start until the node first put a version
+// delays returns, for each node, the time from startTime until the node first put a version
 // in force. The delays are in ascending order. Nodes that have not put the version in
 // force are omitted.
-func (f *fleet) delays(v model.Version, start time.Time) []time.Duration {
+func (f *fleet) delays(v model.Version, startTime time.Time) []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []time.Duration
-	for _, at := range f.inForceAt[v] {
-		out = append(out, at.Sub(start))
+	for _, inForceTime := range f.inForceAt[v] {
+		out = append(out, inForceTime.Sub(startTime))
 	}
 	slices.Sort(out)
 	return out
--- a/configuration/follow.go
+++ b/configuration/follow.go
@@ -54,17 +54,17 @@
 	s.mu.Lock()
 	caughtUp, failing := s.status.CaughtUp, s.status.LogError != ""
 	s.mu.Unlock()
-	isReader := s.opts.IsLogReader()
+	isLogReader := s.opts.IsLogReader()
 	if failing {
 		s.backoff.Min, s.backoff.Max = s.opts.Interval, s.opts.IdleInterval
-		if isReader {
+		if isLogReader {
 			s.backoff.Max = maxReaderBackoff
 		}
 		return s.backoff.Next(s.rng)
 	}
 	s.backoff.Reset()
 	delay := s.opts.Interval
-	if caughtUp && !isReader {
+	if caughtUp && !isLogReader {
 		delay = s.opts.IdleInterval
 	}
 	return delay - time.Duration(s.rng.Int64N(int64(delay)/4+1))
@@ -183,7 +183,7 @@
 // applyBatch applies records read from the log. If the state machine has advanced, it
 // puts the new state in force and calls OnUpdate.
 func (s *Store) applyBatch(batch recordlog.Batch) {
-	before := s.nextOffset()
+	nextBefore := s.nextOffset()
 	s.mu.Lock()
 	for _, r := range batch.Records {
 		result := s.machine.ApplyRecord(uint64(r.Offset), r.Data)
@@ -192,7 +192,7 @@
 			s.scheduleCheckpoint(uint64(r.Offset))
 		}
 	}
-	changed := s.machine.Next() != before
+	changed := s.machine.Next() != nextBefore
 	s.mu.Unlock()
 	if changed {
 		s.putInForce()
@@ -208,27 +208,27 @@
 	}
 }
 
-// scheduleCheckpoint sets lastCheckpoint to the offset of a checkpoint on the log. It
-// sets checkpointDue to a random time between half a CheckpointInterval and a full
+// scheduleCheckpoint sets lastCheckpointOffset to the offset of a checkpoint on the log. It
+// sets checkpointDueAt to a random time between half a CheckpointInterval and a full
 // CheckpointInterval from now. s.mu is held.
 func (s *Store) scheduleCheckpoint(offset uint64) {
 	interval := s.opts.CheckpointInterval
-	s.lastCheckpoint = offset
-	s.checkpointDue = time.Now().Add(interval/2 + time.Duration(s.rng.Int64N(int64(interval/2)+1)))
+	s.lastCheckpointOffset = offset
+	s.checkpointDueAt = time.Now().Add(interval/2 + time.Duration(s.rng.Int64N(int64(interval/2)+1)))
 }
 
-// appendDueCheckpoint appends the state as a checkpoint if checkpointDue has passed or
+// appendDueCheckpoint appends the state as a checkpoint if checkpointDueAt has passed or
 // checkpointRecords records have been appended after the newest checkpoint. Usually only
-// the log reader with the earliest checkpointDue appends one: the other log readers read
+// the log reader with the earliest checkpointDueAt appends one: the other log readers read
 // its checkpoint and reschedule their own. Nothing is appended while there is no
 // accepted change.
 func (s *Store) appendDueCheckpoint(ctx context.Context) {
 	s.mu.Lock()
 	state := s.machine.State()
-	due := time.Now().After(s.checkpointDue)
-	recordsSince := state.Next - min(state.Next, s.lastCheckpoint)
+	due := time.Now().After(s.checkpointDueAt)
+	recordsSinceCheckpoint := state.Next - min(state.Next, s.lastCheckpointOffset)
 	s.mu.Unlock()
-	if state.Version == 0 || !due && recordsSince < checkpointRecords {
+	if state.Version == 0 || !due && recordsSinceCheckpoint < checkpointRecords {
 		return
 	}
 	record, err := state.Checkpoint()
--- a/configuration/metrics.go
+++ b/configuration/metrics.go
@@ -36,13 +36,13 @@
 		s = tally.NoopScope
 	}
 	s = s.SubScope("config")
-	result := func(r string) tally.Scope { return s.Tagged(map[string]string{"result": r}) }
+	withResult := func(r string) tally.Scope { return s.Tagged(map[string]string{"result": r}) }
 	m := metrics{
-		reads:               result("done").Counter("reads"),
-		readsFailed:         result("failed").Counter("reads"),
+		reads:               withResult("done").Counter("reads"),
+		readsFailed:         withResult("failed").Counter("reads"),
 		checkpointsAdopted:  s.Counter("checkpoints_adopted"),
-		checkpointsAppended: result("done").Counter("checkpoints"),
-		checkpointsFailed:   result("failed").Counter("checkpoints"),
+		checkpointsAppended: withResult("done").Counter("checkpoints"),
+		checkpointsFailed:   withResult("failed").Counter("checkpoints"),
 		conflicts:           s.Counter("conflicts"),
 		compileErrors:       s.Counter("versions_unusable"),
 		version:             s.Gauge("version"),
--- a/configuration/store.go
+++ b/configuration/store.go
@@ -82,12 +82,12 @@
 	mu      sync.Mutex
 	machine *config.StateMachine
 	status  Status
-	// lastCheckpoint is the offset of the newest checkpoint read from the log.
-	lastCheckpoint uint64
-	// checkpointDue is when this daemon appends the next checkpoint. It is set
+	// lastCheckpointOffset is the offset of the newest checkpoint read from the log.
+	lastCheckpointOffset uint64
+	// checkpointDueAt is when this daemon appends the next checkpoint. It is set
 	// to a random time after each checkpoint, so that the log readers do not
 	// append at the same time.
-	checkpointDue time.Time
+	checkpointDueAt time.Time
 }
 
 // Status describes the state of a Store.
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -21,10 +21,10 @@
 
 // runWithFleet starts a fleet of size daemons in virtual time, runs a test on it, and
 // stops it.
-func runWithFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
+func runWithFleet(t *testing.T, nodeCount int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := startFleet(t, ctx, size)
+		f := startFleet(t, ctx, nodeCount)
 		test(t, f)
 		cancel()
 		time.Sleep(10 * time.Second)
@@ -36,16 +36,17 @@
 	const size = 60
 	for name, c := range map[string]struct {
 		fault func(f *fleet)
-		// daemons is the number of daemons at which the change must be in force.
-		daemons int
-		within  time.Duration
+		// wantDaemonCount is the number of daemons at which the change must be in
+		// force after maxDelay.
+		wantDaemonCount int
+		maxDelay        time.Duration
 	}{
 		"healthy":                    {func(*fleet) {}, size, time.Second},
 		"log slow":                   {func(f *fleet) { f.log.SetFaults(recordlog.Faults{Latency: time.Second}) }, size, 3 * time.Second},
 		"zone disconnected from log": {func(f *fleet) { f.disconnectLog(zone(1), true) }, size, 3 * time.Second},
 		"zone partitioned":           {func(f *fleet) { f.partitionZone(zone(1), true) }, size * 4 / 5, 3 * time.Second},
 		"all but one zone disconnected from log": {func(f *fleet) {
-			for i := range zones - 1 {
+			for i := range zoneCount - 1 {
 				f.disconnectLog(zone(i), true)
 			}
 		}, size, 3 * time.Second},
@@ -57,11 +58,11 @@
 				c.fault(f)
 				time.Sleep(20 * time.Second)
 				res := f.publish("second")
-				accepted := time.Now()
-				time.Sleep(c.within)
+				acceptedAt := time.Now()
+				time.Sleep(c.maxDelay)
 				synctest.Wait()
-				require.Equal(t, c.daemons, f.countInForce(res.Version))
-				require.LessOrEqual(t, percentile(f.delays(res.Version, accepted), 1), c.within)
+				require.Equal(t, c.wantDaemonCount, f.countInForce(res.Version))
+				require.LessOrEqual(t, percentile(f.delays(res.Version, acceptedAt), 1), c.maxDelay)
 			})
 		})
 	}
@@ -139,15 +140,15 @@
 		_, err = f.log.Append(t.Context(), recordlog.StreamConfig, [][]byte{staleCheckpoint})
 		require.NoError(t, err)
 
-		fresh := configuration.NewStore(configuration.Options{Log: f.log, IsLogReader: func() bool { return false }})
-		fresh.Poll(t.Context())
-		require.Nil(t, fresh.Current(), "a checkpoint that does not cover the dropped records must not be restored")
-		require.False(t, fresh.Status().CaughtUp)
-		topic, peerTopic := fresh.Topic(), f.nodes[0].store.Topic()
+		newStore := configuration.NewStore(configuration.Options{Log: f.log, IsLogReader: func() bool { return false }})
+		newStore.Poll(t.Context())
+		require.Nil(t, newStore.Current(), "a checkpoint that does not cover the dropped records must not be restored")
+		require.False(t, newStore.Status().CaughtUp)
+		topic, peerTopic := newStore.Topic(), f.nodes[0].store.Topic()
 		require.NoError(t, topic.Apply(peerTopic.Delta(topic.Digest(), 1<<20)))
-		require.EqualValues(t, 2, fresh.Current().Version)
-		fresh.Poll(t.Context())
-		require.True(t, fresh.Status().CaughtUp)
+		require.EqualValues(t, 2, newStore.Current().Version)
+		newStore.Poll(t.Context())
+		require.True(t, newStore.Status().CaughtUp)
 
 		// A new daemon needs no peer once the log has a checkpoint whose state
 		// includes the dropped records.
@@ -232,11 +233,11 @@
 			runWithFleet(t, 30, func(t *testing.T, f *fleet) {
 				rng := newRand(seed)
 				var staleCheckpoint []byte
-				var staleNext uint64
+				var staleNextOffset uint64
 				faults := []func(on bool){
 					func(on bool) { f.log.SetFaults(recordlog.Faults{Down: on}) },
 					func(on bool) { f.log.SetFaults(recordlog.Faults{LoseReplies: 3, Duplicate: 2}) },
-					func(on bool) { f.partitionZone(zone(int(seed)%zones), on) },
+					func(on bool) { f.partitionZone(zone(int(seed)%zoneCount), on) },
 					func(on bool) { f.disconnectLog(zone(3), on) },
 					func(bool) { n := f.nodes[rng.IntN(30)]; f.kill(n); f.start(n) },
 					func(on bool) { f.network.SetUnresponsive(f.nodes[4].ID, on) },
@@ -244,10 +245,10 @@
 						if on {
 							state := f.nodes[0].store.State()
 							staleCheckpoint, _ = state.Checkpoint()
-							staleNext = state.Next
+							staleNextOffset = state.Next
 							return
 						}
-						if staleNext > 0 {
+						if staleNextOffset > 0 {
 							_, _ = f.memory.Append(f.ctx, recordlog.StreamConfig, [][]byte{staleCheckpoint})
 						}
 					},
@@ -259,21 +260,21 @@
 				}
 				f.publish("start")
 				time.Sleep(5 * time.Second)
-				var publishing sync.WaitGroup
+				var pendingProposals sync.WaitGroup
 				for round := range 12 {
-					first, second := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
-					first(true)
-					second(true)
-					publishing.Go(func() {
+					firstFault, secondFault := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
+					firstFault(true)
+					secondFault(true)
+					pendingProposals.Go(func() {
 						ctx, cancel := context.WithTimeout(f.ctx, 8*time.Second)
 						defer cancel()
 						_, _ = operator.Propose(ctx, f.log, proposal(fmt.Sprint("s", seed, "-", round)))
 					})
 					time.Sleep(time.Duration(1+rng.IntN(10)) * time.Second)
-					first(false)
-					second(false)
+					firstFault(false)
+					secondFault(false)
 				}
-				publishing.Wait()
+				pendingProposals.Wait()
 				f.log.SetFaults(recordlog.Faults{})
 				time.Sleep(40 * time.Second)
 				synctest.Wait()
@@ -292,9 +293,9 @@
 
 func TestInvalidDocumentsAreNeverAccepted(t *testing.T) {
 	log := &recordlog.Memory{}
-	unknownField := config.Change{ID: "x", Put: map[config.DocumentKey]json.RawMessage{"Service/a": json.RawMessage(`{"kind":"Service","name":"a","spec":{"dead_line":"2s"}}`)}}
-	misnamed := config.Change{ID: "y", Put: map[config.DocumentKey]json.RawMessage{"Service/b": json.RawMessage(`{"kind":"Service","name":"a","spec":{}}`)}}
-	for _, c := range []config.Change{unknownField, misnamed} {
+	unknownFieldChange := config.Change{ID: "x", Put: map[config.DocumentKey]json.RawMessage{"Service/a": json.RawMessage(`{"kind":"Service","name":"a","spec":{"dead_line":"2s"}}`)}}
+	misnamedChange := config.Change{ID: "y", Put: map[config.DocumentKey]json.RawMessage{"Service/b": json.RawMessage(`{"kind":"Service","name":"a","spec":{}}`)}}
+	for _, c := range []config.Change{unknownFieldChange, misnamedChange} {
 		record, _, err := config.EncodeChange(c)
 		require.NoError(t, err)
 		_, err = log.Append(t.Context(), recordlog.StreamConfig, [][]byte{record})
--- a/controltest/cost_test.go
+++ b/controltest/cost_test.go
@@ -34,14 +34,14 @@
 // delays returns, for each daemon, the time from the acceptance of a version until
 // the daemon put the version in force. It requires that all daemons have put the
 // version in force.
-func (f *fleet) delays(t *testing.T, v model.Version, accepted time.Time) []time.Duration {
+func (f *fleet) delays(t *testing.T, v model.Version, acceptedAt time.Time) []time.Duration {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	require.Equal(t, len(f.nodes), len(f.inForceAt[v]), "daemons with version %d", v)
 	var out []time.Duration
-	for _, at := range f.inForceAt[v] {
-		out = append(out, at.Sub(accepted))
+	for _, inForceTime := range f.inForceAt[v] {
+		out = append(out, inForceTime.Sub(acceptedAt))
 	}
 	return out
 }
@@ -67,7 +67,7 @@
 // bounds above. The bytes include message headers. Each message counts twice: at the
 // daemon that starts the round and at the responder. CPU time is only logged.
 func TestIdleCost(t *testing.T) {
-	for _, size := range []int{10, 30, mediumFleet, largestFleet} {
+	for _, size := range []int{10, 30, mediumFleetSize, largestFleetSize} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				const seconds = 60
@@ -76,11 +76,11 @@
 				readsBefore, appendsBefore, bytesBefore := f.logReads.Load(), f.logAppends.Load(), f.exchangedBytes()
 				time.Sleep(seconds * time.Second)
 				messagesAfter, _ := f.network.Traffic()
-				perDaemon := float64(seconds * size)
+				daemonSeconds := float64(seconds * size)
 				t.Logf("%d daemons, a second: %.0f bytes and %.2f messages a daemon, %.1f reads and %.2f appends in all; %.0f us of CPU a daemon",
-					size, float64(f.exchangedBytes()-bytesBefore)/perDaemon, float64(messagesAfter-messagesBefore)/perDaemon, float64(f.logReads.Load()-readsBefore)/seconds,
-					float64(f.logAppends.Load()-appendsBefore)/seconds, float64((cpuTime(t)-cpuBefore).Microseconds())/perDaemon)
-				require.Less(t, float64(f.exchangedBytes()-bytesBefore)/perDaemon, float64(maxBytesPerSecond))
+					size, float64(f.exchangedBytes()-bytesBefore)/daemonSeconds, float64(messagesAfter-messagesBefore)/daemonSeconds, float64(f.logReads.Load()-readsBefore)/seconds,
+					float64(f.logAppends.Load()-appendsBefore)/seconds, float64((cpuTime(t)-cpuBefore).Microseconds())/daemonSeconds)
+				require.Less(t, float64(f.exchangedBytes()-bytesBefore)/daemonSeconds, float64(maxBytesPerSecond))
 				require.Less(t, (f.logReads.Load()-readsBefore)/seconds, int64(maxReadsPerSecond))
 				require.Less(t, (f.logAppends.Load()-appendsBefore)/seconds, int64(maxAppendsPerSecond))
 			})
@@ -106,31 +106,31 @@
 		name  string
 		size  int
 		fault func(f *fleet, on bool)
-		// within bounds the 99th percentile of the times. maxTimeUntilInForce
+		// maxP99 bounds the 99th percentile of the times. maxTimeUntilInForce
 		// bounds their maximum.
-		within time.Duration
+		maxP99 time.Duration
 	}{
 		{"healthy", 10, func(*fleet, bool) {}, time.Second},
-		{"healthy", mediumFleet, func(*fleet, bool) {}, time.Second},
-		{"healthy", largestFleet, func(*fleet, bool) {}, time.Second},
-		{"log responds after 1 s", mediumFleet, func(f *fleet, on bool) {
+		{"healthy", mediumFleetSize, func(*fleet, bool) {}, time.Second},
+		{"healthy", largestFleetSize, func(*fleet, bool) {}, time.Second},
+		{"log responds after 1 s", mediumFleetSize, func(f *fleet, on bool) {
 			f.log.SetFaults(recordlog.Faults{Latency: logLatency(on, time.Second)})
 		}, 3 * time.Second},
-		{"log down 100 ms after the change", mediumFleet, func(f *fleet, on bool) {
+		{"log down 100 ms after the change", mediumFleetSize, func(f *fleet, on bool) {
 			f.log.SetFaults(recordlog.Faults{Latency: logLatency(false, 0), Down: on})
 		}, 3 * time.Second},
-		{"one zone disconnected from the log", mediumFleet, func(f *fleet, on bool) { f.disconnectLog(zone(1), on) }, 3 * time.Second},
+		{"one zone disconnected from the log", mediumFleetSize, func(f *fleet, on bool) { f.disconnectLog(zone(1), on) }, 3 * time.Second},
 	} {
 		t.Run(fmt.Sprint(c.name, " ", c.size), func(t *testing.T) {
 			runWithFleet(t, c.size, func(t *testing.T, f *fleet) {
 				var allDelays []time.Duration
 				logGoesDown := c.name == "log down 100 ms after the change"
-				for i := range samples / c.size {
+				for i := range samplesPerCase / c.size {
 					if !logGoesDown {
 						c.fault(f, true)
 					}
 					time.Sleep(time.Duration(4000+37*i) * time.Millisecond)
-					v, accepted := f.publish(t, i)
+					v, acceptedAt := f.publish(t, i)
 					if logGoesDown {
 						time.Sleep(100 * time.Millisecond)
 						c.fault(f, true)
@@ -138,23 +138,23 @@
 					time.Sleep(maxTimeUntilInForce)
 					synctest.Wait()
 					c.fault(f, false)
-					if logGoesDown && len(f.timesInForce(v)) == 0 {
+					if logGoesDown && len(f.inForceTimes(v)) == 0 {
 						continue // no daemon had read the change before the log went down
 					}
-					allDelays = append(allDelays, f.delays(t, v, accepted)...)
+					allDelays = append(allDelays, f.delays(t, v, acceptedAt)...)
 				}
 				slices.Sort(allDelays)
 				require.NotEmpty(t, allDelays)
 				t.Logf("%s, %d daemons, %d samples: p50 %v, p99 %v, max %v", c.name, c.size, len(allDelays),
 					percentile(allDelays, 0.5), percentile(allDelays, 0.99), allDelays[len(allDelays)-1])
-				require.LessOrEqual(t, percentile(allDelays, 0.99), c.within)
+				require.LessOrEqual(t, percentile(allDelays, 0.99), c.maxP99)
 				require.LessOrEqual(t, allDelays[len(allDelays)-1], maxTimeUntilInForce)
 			})
 		})
 	}
 }
 
-func (f *fleet) timesInForce(v model.Version) []time.Time {
+func (f *fleet) inForceTimes(v model.Version) []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.inForceAt[v]
@@ -187,25 +187,25 @@
 		"log down": {recordlog.Faults{Down: true}, 20 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runWithFleet(t, largestFleet, func(t *testing.T, f *fleet) {
+			runWithFleet(t, largestFleetSize, func(t *testing.T, f *fleet) {
 				v, _ := f.publish(t, 1)
 				time.Sleep(5 * time.Second)
-				restarted := largestFleet * 5 / 6
-				for i := range restarted {
+				restartedCount := largestFleetSize * 5 / 6
+				for i := range restartedCount {
 					f.kill(i)
 				}
 				time.Sleep(time.Second)
 				f.log.SetFaults(c.faults)
 				readsBefore, appendsBefore := f.logReads.Load(), f.logAppends.Load()
-				survivorBytesBefore := f.exchangedBytesOf(f.nodes[restarted:])
-				for i := range restarted {
+				survivorBytesBefore := f.exchangedBytesOf(f.nodes[restartedCount:])
+				for i := range restartedCount {
 					f.start(i)
 				}
-				recovery := f.waitFor(t, c.within, func() bool { return f.allAtVersion(v) && f.allUpstreamsSeenByAll() })
+				recoveryTime := f.waitFor(t, c.within, func() bool { return f.allAtVersion(v) && f.allUpstreamsSeenByAll() })
 				t.Logf("%s, %d of %d daemons restarted: recovered after %v with %d reads and %d appends, %d KB a restarted daemon, %d KB a survivor",
-					name, restarted, largestFleet, recovery, f.logReads.Load()-readsBefore, f.logAppends.Load()-appendsBefore,
-					f.exchangedBytesOf(f.nodes[:restarted])/int64(restarted)/1024, (f.exchangedBytesOf(f.nodes[restarted:])-survivorBytesBefore)/int64(largestFleet-restarted)/1024)
-				require.Less(t, f.logAppends.Load()-appendsBefore, int64(restarted/2), "events are appended in batches")
+					name, restartedCount, largestFleetSize, recoveryTime, f.logReads.Load()-readsBefore, f.logAppends.Load()-appendsBefore,
+					f.exchangedBytesOf(f.nodes[:restartedCount])/int64(restartedCount)/1024, (f.exchangedBytesOf(f.nodes[restartedCount:])-survivorBytesBefore)/int64(largestFleetSize-restartedCount)/1024)
+				require.Less(t, f.logAppends.Load()-appendsBefore, int64(restartedCount/2), "events are appended in batches")
 			})
 		})
 	}
@@ -223,7 +223,7 @@
 // TestDrainingReachesEveryDaemon requires that, while the log is down, all daemons know
 // within two seconds that an upstream is draining, and logs the measured times.
 func TestDrainingReachesEveryDaemon(t *testing.T) {
-	for _, size := range []int{10, mediumFleet, largestFleet} {
+	for _, size := range []int{10, mediumFleetSize, largestFleetSize} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runWithFleet(t, size, func(t *testing.T, f *fleet) {
 				f.log.SetFaults(recordlog.Faults{Down: true})
@@ -231,9 +231,9 @@
 				for i := range 5 {
 					time.Sleep(3 * time.Second)
 					upstreams, _ := f.nodes[i].registry.Upstreams("s")
-					local := upstreams[slices.IndexFunc(upstreams, func(v model.Upstream) bool { return v.Daemon == f.nodes[i].ID })]
-					f.nodes[i].registry.Announce(member.Event{Upstream: local, State: member.Draining}, 0)
-					propagationTimes = append(propagationTimes, f.waitFor(t, 2*time.Second, func() bool { return f.countDraining(local.ID) == size }))
+					localUpstream := upstreams[slices.IndexFunc(upstreams, func(v model.Upstream) bool { return v.Daemon == f.nodes[i].ID })]
+					f.nodes[i].registry.Announce(member.Event{Upstream: localUpstream, State: member.Draining}, 0)
+					propagationTimes = append(propagationTimes, f.waitFor(t, 2*time.Second, func() bool { return f.countDraining(localUpstream.ID) == size }))
 				}
 				slices.Sort(propagationTimes)
 				t.Logf("%d daemons: known to all daemons after %v at best, %v at worst", size, propagationTimes[0], propagationTimes[len(propagationTimes)-1])
@@ -246,13 +246,13 @@
 // it dead within 15 seconds. Then it restarts the daemon and requires that all daemons
 // see the daemon's upstream again within 15 seconds.
 func TestDeadDaemonIsRemovedEverywhere(t *testing.T) {
-	for _, size := range []int{10, mediumFleet} {
+	for _, size := range []int{10, mediumFleetSize} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runWithFleet(t, size, func(t *testing.T, f *fleet) {
-				dead := f.nodes[size-1]
+				killed := f.nodes[size-1]
 				f.kill(size - 1)
 				survivors := &fleet{nodes: f.nodes[:size-1]}
-				removalDelay := f.waitFor(t, 15*time.Second, func() bool { return survivors.countConsideringDead(dead.ID) == size-1 })
+				removalDelay := f.waitFor(t, 15*time.Second, func() bool { return survivors.countConsideringDead(killed.ID) == size-1 })
 				f.start(size - 1)
 				rejoinDelay := f.waitFor(t, 15*time.Second, f.allUpstreamsSeenByAll)
 				t.Logf("%d daemons: considered dead everywhere after %v, seen everywhere %v after its restart", size, removalDelay, rejoinDelay)
--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -46,9 +46,11 @@
 	incarnation uint64
 }
 
-const zones = 5
+const zoneCount = 5
 
-func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("zone-", i%zones)) }
+func zone(i int) model.AvailabilityZone {
+	return model.AvailabilityZone(fmt.Sprint("zone-", i%zoneCount))
+}
 
 func newFleet(ctx context.Context, size int) *fleet {
 	f := &fleet{ctx: ctx, network: controltest.NewNetwork(500 * time.Microsecond), inForceAt: map[model.Version][]time.Time{}}
--- a/controltest/network.go
+++ b/controltest/network.go
@@ -25,33 +25,33 @@
 	Delay time.Duration
 
 	mu sync.Mutex
-	// services holds the service of each daemon, nil if the daemon is unreachable.
-	services map[model.DaemonID]*peer.Service
-	// zones holds the zone of each daemon that was ever attached.
-	zones map[model.DaemonID]model.AvailabilityZone
-	// partitioned is true for the zones that are separated from all other zones.
-	partitioned map[model.AvailabilityZone]bool
-	// unresponsive is true for the daemons that never respond.
-	unresponsive map[model.DaemonID]bool
-	// blocked is true for the pairs of sender and receiver between which messages
+	// serviceByDaemon holds the service of each daemon, nil if the daemon is unreachable.
+	serviceByDaemon map[model.DaemonID]*peer.Service
+	// zoneByDaemon holds the zone of each daemon that was ever attached.
+	zoneByDaemon map[model.DaemonID]model.AvailabilityZone
+	// partitionedZones is true for the zones that are separated from all other zones.
+	partitionedZones map[model.AvailabilityZone]bool
+	// unresponsiveDaemons is true for the daemons that never respond.
+	unresponsiveDaemons map[model.DaemonID]bool
+	// blockedPairs is true for the pairs of sender and receiver between which messages
 	// are dropped.
-	blocked map[[2]model.DaemonID]bool
-	// messages counts the requests, including dropped ones. Responses are not
+	blockedPairs map[[2]model.DaemonID]bool
+	// messageCount counts the requests, including dropped ones. Responses are not
 	// counted.
-	messages int
-	// bytes is the total size of all requests and responses.
-	bytes int
+	messageCount int
+	// totalBytes is the total size of all requests and responses.
+	totalBytes int
 }
 
 // NewNetwork returns a Network without daemons.
 func NewNetwork(delay time.Duration) *Network {
 	return &Network{
-		Delay:        delay,
-		services:     make(map[model.DaemonID]*peer.Service),
-		zones:        make(map[model.DaemonID]model.AvailabilityZone),
-		partitioned:  make(map[model.AvailabilityZone]bool),
-		unresponsive: make(map[model.DaemonID]bool),
-		blocked:      make(map[[2]model.DaemonID]bool),
+		Delay:               delay,
+		serviceByDaemon:     make(map[model.DaemonID]*peer.Service),
+		zoneByDaemon:        make(map[model.DaemonID]model.AvailabilityZone),
+		partitionedZones:    make(map[model.AvailabilityZone]bool),
+		unresponsiveDaemons: make(map[model.DaemonID]bool),
+		blockedPairs:        make(map[[2]model.DaemonID]bool),
 	}
 }
 
@@ -60,14 +60,14 @@
 func (n *Network) Attach(p peer.Peer, s *peer.Service) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.services[p.ID], n.zones[p.ID] = s, p.Zone
+	n.serviceByDaemon[p.ID], n.zoneByDaemon[p.ID] = s, p.Zone
 }
 
 // SetPartitioned separates a zone from all other zones, or reconnects it.
 func (n *Network) SetPartitioned(z model.AvailabilityZone, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned[z] = partitioned
+	n.partitionedZones[z] = partitioned
 }
 
 // SetUnresponsive makes a daemon accept messages without ever responding, as
@@ -75,7 +75,7 @@
 func (n *Network) SetUnresponsive(d model.DaemonID, unresponsive bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.unresponsive[d] = unresponsive
+	n.unresponsiveDaemons[d] = unresponsive
 }
 
 // SetBlocked starts or stops dropping the messages from one daemon to another. Messages
@@ -83,7 +83,7 @@
 func (n *Network) SetBlocked(from, to model.DaemonID, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.blocked[[2]model.DaemonID{from, to}] = blocked
+	n.blockedPairs[[2]model.DaemonID{from, to}] = blocked
 }
 
 // Traffic returns the traffic since the network was created. messages is the
@@ -92,7 +92,7 @@
 func (n *Network) Traffic() (messages, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.messages, n.bytes
+	return n.messageCount, n.totalBytes
 }
 
 // Endpoint returns the Endpoint through which one daemon sends messages.
@@ -138,10 +138,10 @@
 	}
 	n := e.network
 	n.mu.Lock()
-	n.messages++
-	n.bytes += size
-	s, unresponsive := n.services[to], n.unresponsive[to] || n.unresponsive[e.self]
-	dropped := n.separated(e.self, to) || n.blocked[[2]model.DaemonID{e.self, to}]
+	n.messageCount++
+	n.totalBytes += size
+	s, unresponsive := n.serviceByDaemon[to], n.unresponsiveDaemons[to] || n.unresponsiveDaemons[e.self]
+	dropped := n.separated(e.self, to) || n.blockedPairs[[2]model.DaemonID{e.self, to}]
 	n.mu.Unlock()
 	if unresponsive || dropped {
 		<-ctx.Done()
@@ -159,8 +159,8 @@
 func (e Endpoint) transmitResponse(ctx context.Context, from model.DaemonID, size int) error {
 	n := e.network
 	n.mu.Lock()
-	n.bytes += size
-	dropped := n.blocked[[2]model.DaemonID{from, e.self}]
+	n.totalBytes += size
+	dropped := n.blockedPairs[[2]model.DaemonID{from, e.self}]
 	n.mu.Unlock()
 	if dropped {
 		<-ctx.Done()
@@ -172,15 +172,15 @@
 // separated reports whether two daemons are on different sides of a partition.
 // n.mu is held.
 func (n *Network) separated(a, b model.DaemonID) bool {
-	za, zb := n.zones[a], n.zones[b]
-	return za != zb && (n.partitioned[za] || n.partitioned[zb])
+	za, zb := n.zoneByDaemon[a], n.zoneByDaemon[b]
+	return za != zb && (n.partitionedZones[za] || n.partitionedZones[zb])
 }
 
 // delay returns the one-way delay between the daemon of the Endpoint and another one.
 func (e Endpoint) delay(to model.DaemonID) time.Duration {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
-	if e.network.zones[e.self] != e.network.zones[to] {
+	if e.network.zoneByDaemon[e.self] != e.network.zoneByDaemon[to] {
 		return 2 * e.network.Delay
 	}
 	return e.network.Delay
--- a/membership/check.go
+++ b/membership/check.go
@@ -157,24 +157,24 @@
 // unless no live daemon is known there. So if this daemon's zone is cut off from the
 // others, no helper responds and no daemon is suspected.
 func (r *Registry) chooseHelpers(d model.DaemonID) []model.DaemonID {
-	var local, remote []model.DaemonID
+	var localDaemons, remoteDaemons []model.DaemonID
 	for _, p := range r.Peers() {
 		if p.ID == d || p.ID == r.opts.Self || r.Health(p.ID) != member.Alive {
 			continue
 		}
 		if p.Zone == r.opts.Zone {
-			local = append(local, p.ID)
+			localDaemons = append(localDaemons, p.ID)
 			continue
 		}
-		remote = append(remote, p.ID)
+		remoteDaemons = append(remoteDaemons, p.ID)
 	}
-	if len(remote) == 0 {
-		remote = local
+	if len(remoteDaemons) == 0 {
+		remoteDaemons = localDaemons
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rng.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
-	return remote[:min(len(remote), maxIndirectPings)]
+	r.rng.Shuffle(len(remoteDaemons), func(i, j int) { remoteDaemons[i], remoteDaemons[j] = remoteDaemons[j], remoteDaemons[i] })
+	return remoteDaemons[:min(len(remoteDaemons), maxIndirectPings)]
 }
 
 // RecordExchange is called after an exchange with a peer. If the exchange failed,
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -24,42 +24,42 @@
 type fleet struct {
 	ctx context.Context
 	// memory holds the records of log, without the faults that log injects.
-	memory  *recordlog.Memory
-	log     *recordlog.FaultyLog
-	network *controltest.Network
-	nodes   []*node
-	reads   atomic.Int64
-	appends atomic.Int64
+	memory     *recordlog.Memory
+	log        *recordlog.FaultyLog
+	network    *controltest.Network
+	nodes      []*node
+	logReads   atomic.Int64
+	logAppends atomic.Int64
 }
 
 type node struct {
 	peer.Peer
-	upstream       model.Upstream
-	registry       *membership.Registry
-	bootstrapPeers []peer.Peer
-	logConn        *controltest.LogConnection
-	cancel         context.CancelFunc
-	incarnation    uint64
-	expiredLeases  atomic.Int32
+	upstream          model.Upstream
+	registry          *membership.Registry
+	bootstrapPeers    []peer.Peer
+	logConn           *controltest.LogConnection
+	cancel            context.CancelFunc
+	incarnation       uint64
+	expiredLeaseCount atomic.Int32
 }
 
-const zones = 5
+const zoneCount = 5
 
 func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("z", i)) }
 
-func newFleet(ctx context.Context, size int) *fleet {
+func newFleet(ctx context.Context, nodeCount int) *fleet {
 	f := &fleet{ctx: ctx, memory: &recordlog.Memory{}, network: controltest.NewNetwork(500 * time.Microsecond)}
 	f.log = recordlog.NewFaultyLog(f.memory)
-	for i := range size {
-		f.add(fmt.Sprint("d", i), zone(i%zones))
+	for i := range nodeCount {
+		f.addNode(fmt.Sprint("d", i), zone(i%zoneCount))
 	}
 	return f
 }
 
-// add adds a node with the given daemon ID and zone, without starting it.
-func (f *fleet) add(id string, z model.AvailabilityZone) *node {
+// addNode adds a node with the given daemon ID and zone, without starting it.
+func (f *fleet) addNode(id string, z model.AvailabilityZone) *node {
 	n := &node{Peer: peer.Peer{ID: model.DaemonID(id), Zone: z},
-		logConn: &controltest.LogConnection{Log: f.log, Reads: &f.reads, Appends: &f.appends}}
+		logConn: &controltest.LogConnection{Log: f.log, Reads: &f.logReads, Appends: &f.logAppends}}
 	n.upstream = model.Upstream{ID: model.UpstreamID("u" + id), Service: "s", Zone: z, Daemon: n.ID, Slots: 6}
 	f.nodes = append(f.nodes, n)
 	return n
@@ -85,7 +85,7 @@
 			return time.Since(exchanger.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, registry.Peers())
 		},
 		OnUpdate:       func() { exchanger.TriggerRound() },
-		OnLeaseExpired: func(model.UpstreamID) { n.expiredLeases.Add(1) },
+		OnLeaseExpired: func(model.UpstreamID) { n.expiredLeaseCount.Add(1) },
 	})
 	exchanger = peer.NewExchanger(peer.Options{Self: n.ID, Zone: n.Zone, Seed: seed, Transport: endpoint, BootstrapPeers: n.bootstrapPeers,
 		Peers: registry.Peers, Unreachable: registry.DeadPeers, OnResult: registry.RecordExchange})
@@ -179,7 +179,7 @@
 	return out
 }
 
-func (f *fleet) inZone(z model.AvailabilityZone) []*node {
+func (f *fleet) nodesInZone(z model.AvailabilityZone) []*node {
 	var out []*node
 	for _, n := range f.nodes {
 		if n.Zone == z {
@@ -193,7 +193,7 @@
 // reconnects it.
 func (f *fleet) partitionZone(z model.AvailabilityZone, partitioned bool) {
 	f.network.SetPartitioned(z, partitioned)
-	for _, n := range f.inZone(z) {
+	for _, n := range f.nodesInZone(z) {
 		n.logConn.SetDisconnected(partitioned)
 	}
 }
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -75,20 +75,20 @@
 // Otherwise it is Interval for a log reader and IdleInterval for any other daemon, in
 // both cases shortened at random by up to a quarter.
 func (r *Registry) nextDelay(err error) time.Duration {
-	isReader := r.opts.IsLogReader()
+	isLogReader := r.opts.IsLogReader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
 		r.metrics.logFailures.Inc(1)
 		r.backoff.Max = r.opts.IdleInterval
-		if isReader {
+		if isLogReader {
 			r.backoff.Max = maxReaderBackoff
 		}
 		return r.backoff.Next(r.rng)
 	}
 	r.backoff.Reset()
 	delay := r.opts.Interval
-	if !isReader {
+	if !isLogReader {
 		delay = r.opts.IdleInterval
 	}
 	return delay - time.Duration(r.rng.Int64N(int64(delay)/4+1))
@@ -110,12 +110,12 @@
 		if err != nil {
 			return err
 		}
-		changes := 0
+		changeCount := 0
 		for _, rec := range batch.Records {
-			changes += r.applyRecord(rec.Data)
+			changeCount += r.applyRecord(rec.Data)
 			r.nextOffset = rec.Offset + 1
 		}
-		if changes > 0 {
+		if changeCount > 0 {
 			r.opts.OnUpdate()
 		}
 		if r.nextOffset >= batch.Next {
@@ -136,11 +136,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	records.Liveness = nil
-	applied := r.directory.ApplyAll(records)
+	appliedCount := r.directory.ApplyAll(records)
 	for _, e := range records.Events {
 		r.directory.Logged(e)
 	}
-	return applied
+	return appliedCount
 }
 
 // appendMissing appends the events that dueEvents returns, in records of at most
@@ -159,7 +159,7 @@
 
 // dueEvents returns the events that this daemon has to append to the log now. The writer
 // of a zone appends the events of its zone that have been missing for writerDelay. If
-// checkpointDue has passed, the writer instead appends the latest events of all
+// checkpointDueAt has passed, the writer instead appends the latest events of all
 // upstreams of its zone, and dueEvents schedules the next checkpoint. Any other daemon
 // appends the events of its own upstreams that have been missing for fallbackDelay, in
 // case the writer does not.
@@ -167,20 +167,20 @@
 	isWriter := r.isWriter()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if isWriter && time.Now().After(r.checkpointDue) {
+	if isWriter && time.Now().After(r.checkpointDueAt) {
 		r.scheduleCheckpoint()
 		return r.inLocalZone(r.directory.Events())
 	}
 	if isWriter {
 		return r.inLocalZone(r.directory.Unlogged(writerDelay))
 	}
-	var local []member.Event
+	var localEvents []member.Event
 	for _, e := range r.directory.Unlogged(fallbackDelay) {
 		if e.Upstream.Daemon == r.opts.Self {
-			local = append(local, e)
+			localEvents = append(localEvents, e)
 		}
 	}
-	return local
+	return localEvents
 }
 
 // isWriter reports whether this daemon is the writer of its zone: the one with rank 0
@@ -201,11 +201,11 @@
 	return out
 }
 
-// scheduleCheckpoint sets checkpointDue to a random time between half a
+// scheduleCheckpoint sets checkpointDueAt to a random time between half a
 // CheckpointInterval and a full CheckpointInterval from now.
 func (r *Registry) scheduleCheckpoint() {
 	interval := r.opts.CheckpointInterval
-	r.checkpointDue = time.Now().Add(interval/2 + time.Duration(r.rng.Int64N(int64(interval/2)+1)))
+	r.checkpointDueAt = time.Now().Add(interval/2 + time.Duration(r.rng.Int64N(int64(interval/2)+1)))
 }
 
 // appendEvents appends events to the log as one record. A second copy of an event on the
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -24,9 +24,9 @@
 func (r *Registry) Announce(e member.Event, duration time.Duration) {
 	r.mu.Lock()
 	if e.State == member.Left {
-		delete(r.leases, e.Upstream.ID)
+		delete(r.leaseByUpstream, e.Upstream.ID)
 	} else {
-		r.leases[e.Upstream.ID] = lease{event: e, duration: duration, expiresAt: time.Now().Add(duration)}
+		r.leaseByUpstream[e.Upstream.ID] = lease{event: e, duration: duration, expiresAt: time.Now().Add(duration)}
 	}
 	changed := r.directory.Announce(e)
 	r.mu.Unlock()
@@ -40,8 +40,8 @@
 // called before this daemon stops.
 func (r *Registry) DrainAll() {
 	r.mu.RLock()
-	leases := make([]lease, 0, len(r.leases))
-	for _, l := range r.leases {
+	leases := make([]lease, 0, len(r.leaseByUpstream))
+	for _, l := range r.leaseByUpstream {
 		leases = append(leases, l)
 	}
 	r.mu.RUnlock()
@@ -56,23 +56,23 @@
 // tickInterval, expireLeases first extends every lease by the length of the pause,
 // because no renewal could be received during the pause. r.mu is held.
 func (r *Registry) expireLeases(now time.Time) []model.UpstreamID {
-	pause := now.Sub(r.lastTick) - tickInterval
-	paused := !r.lastTick.IsZero() && pause > tickInterval
+	pauseDuration := now.Sub(r.lastTick) - tickInterval
+	wasPaused := !r.lastTick.IsZero() && pauseDuration > tickInterval
 	r.lastTick = now
-	var expired []model.UpstreamID
-	for id, l := range r.leases {
-		if paused {
-			l.expiresAt = l.expiresAt.Add(pause)
-			r.leases[id] = l
+	var expiredIDs []model.UpstreamID
+	for id, l := range r.leaseByUpstream {
+		if wasPaused {
+			l.expiresAt = l.expiresAt.Add(pauseDuration)
+			r.leaseByUpstream[id] = l
 		}
 		if l.duration <= 0 || now.Before(l.expiresAt) {
 			continue
 		}
 		l.event.State = member.Left
 		r.directory.Announce(l.event)
-		delete(r.leases, id)
-		expired = append(expired, id)
+		delete(r.leaseByUpstream, id)
+		expiredIDs = append(expiredIDs, id)
 		r.metrics.expiredLeases.Inc(1)
 	}
-	return expired
+	return expiredIDs
 }
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -96,18 +96,18 @@
 	// daemonCount is the number last passed to OnDaemonCount.
 	daemonCount atomic.Int64
 
-	// mu guards the fields from rng to subsets.
+	// mu guards the fields from rng to subsetByService.
 	mu        sync.RWMutex
 	rng       *rand.Rand
 	directory *member.Directory
-	// leases holds the leases of the local upstreams.
-	leases map[model.UpstreamID]lease
+	// leaseByUpstream holds the leases of the local upstreams.
+	leaseByUpstream map[model.UpstreamID]lease
 	// lastTick is when expireLeases was last called.
 	lastTick time.Time
 	// cachedPeers holds the last result of listPeers.
 	cachedPeers peerLists
-	// subsets holds, for each service, the last result of Upstreams.
-	subsets map[model.ServiceName]subset
+	// subsetByService holds, for each service, the last result of Upstreams.
+	subsetByService map[model.ServiceName]subset
 
 	// The fields below are used only by the goroutine of serveLog.
 
@@ -115,9 +115,9 @@
 	// applied.
 	nextOffset recordlog.Offset
 	backoff    pause.Backoff
-	// checkpointDue is when this daemon, if it is the writer of its zone, appends the
+	// checkpointDueAt is when this daemon, if it is the writer of its zone, appends the
 	// latest events of all upstreams of the zone again.
-	checkpointDue time.Time
+	checkpointDueAt time.Time
 	// logFailing is set if the last syncLog failed.
 	logFailing bool
 }
@@ -125,8 +125,8 @@
 // peerLists lists the daemons in the view at one generation of the view. The generation
 // is a number that increases with every change of the view.
 type peerLists struct {
-	generation  uint64
-	alive, dead []peer.Peer
+	generation            uint64
+	alivePeers, deadPeers []peer.Peer
 }
 
 // subset holds the upstreams of one service that this daemon calls. It is valid
@@ -142,14 +142,14 @@
 	o.Directory.Self = o.Self
 	o.Directory.Incarnation = model.Incarnation(time.Now().UnixMilli())
 	r := &Registry{
-		opts:      o,
-		metrics:   newMetrics(o.Metrics),
-		startTime: time.Now(),
-		rng:       rand.New(rand.NewPCG(o.Seed, o.Seed+2)),
-		directory: member.New(o.Directory),
-		leases:    make(map[model.UpstreamID]lease),
-		subsets:   make(map[model.ServiceName]subset),
-		backoff:   pause.Backoff{Min: o.Interval},
+		opts:            o,
+		metrics:         newMetrics(o.Metrics),
+		startTime:       time.Now(),
+		rng:             rand.New(rand.NewPCG(o.Seed, o.Seed+2)),
+		directory:       member.New(o.Directory),
+		leaseByUpstream: make(map[model.UpstreamID]lease),
+		subsetByService: make(map[model.ServiceName]subset),
+		backoff:         pause.Backoff{Min: o.Interval},
 	}
 	r.checks.init()
 	r.tick()
@@ -197,16 +197,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	generation := r.directory.Generation()
-	cached, ok := r.subsets[s]
+	cached, ok := r.subsetByService[s]
 	if ok && cached.generation == generation {
 		return cached.upstreams, generation
 	}
 	upstreams := member.Subset(r.opts.Self, r.directory.Upstreams(s), r.opts.MaxUpstreams)
 	if len(upstreams) == 0 {
-		delete(r.subsets, s)
+		delete(r.subsetByService, s)
 		return nil, generation
 	}
-	r.subsets[s] = subset{generation: generation, upstreams: upstreams}
+	r.subsetByService[s] = subset{generation: generation, upstreams: upstreams}
 	return upstreams, generation
 }
 
@@ -219,12 +219,12 @@
 
 // Peers returns the daemons of the upstreams in the view that have not left, except the
 // daemons that are considered dead. The slice is shared and must not be modified.
-func (r *Registry) Peers() []peer.Peer { return r.currentPeerLists().alive }
+func (r *Registry) Peers() []peer.Peer { return r.currentPeerLists().alivePeers }
 
 // DeadPeers returns the daemons that are considered dead and have upstreams that have not
 // left. This daemon has to contact one of them occasionally: only in this way do the two
 // sides of a partition find each other again after the partition has healed.
-func (r *Registry) DeadPeers() []peer.Peer { return r.currentPeerLists().dead }
+func (r *Registry) DeadPeers() []peer.Peer { return r.currentPeerLists().deadPeers }
 
 // currentPeerLists returns the lists of the current generation. It rebuilds them if the
 // cached lists are of another generation.
@@ -232,7 +232,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	generation := r.directory.Generation()
-	if r.cachedPeers.alive == nil || r.cachedPeers.generation != generation {
+	if r.cachedPeers.alivePeers == nil || r.cachedPeers.generation != generation {
 		r.cachedPeers = r.listPeers(generation)
 	}
 	return r.cachedPeers
@@ -240,20 +240,20 @@
 
 // listPeers builds the peerLists of a generation from the directory. r.mu is held.
 func (r *Registry) listPeers(generation uint64) peerLists {
-	lists := peerLists{generation: generation, alive: []peer.Peer{}}
-	seen := make(map[model.DaemonID]bool)
+	lists := peerLists{generation: generation, alivePeers: []peer.Peer{}}
+	seenDaemons := make(map[model.DaemonID]bool)
 	for _, e := range r.directory.Events() {
 		u := e.Upstream
-		if e.State == member.Left || seen[u.Daemon] {
+		if e.State == member.Left || seenDaemons[u.Daemon] {
 			continue
 		}
-		seen[u.Daemon] = true
+		seenDaemons[u.Daemon] = true
 		p := peer.Peer{ID: u.Daemon, Zone: u.Zone}
 		if r.directory.Health(u.Daemon) == member.Dead {
-			lists.dead = append(lists.dead, p)
+			lists.deadPeers = append(lists.deadPeers, p)
 			continue
 		}
-		lists.alive = append(lists.alive, p)
+		lists.alivePeers = append(lists.alivePeers, p)
 	}
 	return lists
 }
@@ -262,7 +262,7 @@
 // changed.
 func (r *Registry) reportDaemonCount() {
 	lists := r.currentPeerLists()
-	n := len(lists.alive) + len(lists.dead)
+	n := len(lists.alivePeers) + len(lists.deadPeers)
 	if r.daemonCount.Swap(int64(n)) != int64(n) {
 		r.opts.OnDaemonCount(n)
 	}
@@ -309,13 +309,13 @@
 	r.mu.Lock()
 	now := time.Now()
 	changed := r.directory.Tick(model.Instant(now.Sub(r.startTime)), now.Unix())
-	expired := r.expireLeases(now)
+	expiredIDs := r.expireLeases(now)
 	r.metrics.upstreams.Update(float64(r.directory.Len()))
 	r.mu.Unlock()
 	r.reportDaemonCount()
-	for _, id := range expired {
+	for _, id := range expiredIDs {
 		r.opts.Logger.Info("upstream did not renew its lease", "upstream", id)
 		r.opts.OnLeaseExpired(id)
 	}
-	return changed || len(expired) > 0
+	return changed || len(expiredIDs) > 0
 }
--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -49,7 +49,7 @@
 
 func TestFlappingConvergesToTheLastState(t *testing.T) {
 	runWithFleet(t, 40, func(t *testing.T, f *fleet) {
-		before, _ := f.network.Traffic()
+		messagesBefore, _ := f.network.Traffic()
 		const flaps = 50
 		for range flaps {
 			f.nodes[5].announce(member.Draining, 0)
@@ -57,14 +57,14 @@
 			f.nodes[5].announce(member.Joined, 0)
 			time.Sleep(50 * time.Millisecond)
 		}
-		after, _ := f.network.Traffic()
+		messagesAfter, _ := f.network.Traffic()
 		f.waitFor(t, 3*time.Second, "all views agree", func() bool { return f.countDistinctDigests() == 1 })
 		require.Equal(t, 40*40, f.countEligible(f.nodes, "s"))
 		// The bound is for 40 daemons over 5 s. In each of 7 regular rounds a daemon
 		// contacts 2 peers. In each triggered round it contacts 5 peers. A daemon
 		// starts at most 2 triggered rounds a second, after a burst of 4, plus 1
 		// more. An exchange with a peer takes at most 2 messages.
-		require.Less(t, after-before, 40*2*(2*7+5*(2*5+4+1)))
+		require.Less(t, messagesAfter-messagesBefore, 40*2*(2*7+5*(2*5+4+1)))
 	})
 }
 
@@ -120,11 +120,11 @@
 
 func TestZonePartitionHeals(t *testing.T) {
 	runWithFleet(t, 50, func(t *testing.T, f *fleet) {
-		partitioned, others := f.inZone(zone(2)), f.allExcept(f.inZone(zone(2))...)
+		partitionedNodes, otherNodes := f.nodesInZone(zone(2)), f.allExcept(f.nodesInZone(zone(2))...)
 		f.partitionZone(zone(2), true)
-		f.waitFor(t, 30*time.Second, "other zones exclude the partitioned zone", func() bool { return f.countEligible(others, "s") == 40*40 })
+		f.waitFor(t, 30*time.Second, "other zones exclude the partitioned zone", func() bool { return f.countEligible(otherNodes, "s") == 40*40 })
 		time.Sleep(time.Minute)
-		require.Equal(t, 10*50, f.countEligible(partitioned, "s"), "the partitioned daemons consider nobody dead")
+		require.Equal(t, 10*50, f.countEligible(partitionedNodes, "s"), "the partitioned daemons consider nobody dead")
 		f.partitionZone(zone(2), false)
 		f.waitFor(t, 15*time.Second, "all daemons see all upstreams again", func() bool { return f.countEligible(f.nodes, "s") == 50*50 })
 	})
@@ -132,9 +132,9 @@
 
 func TestSplitFleetMergesAgain(t *testing.T) {
 	runWithFleet(t, 40, func(t *testing.T, f *fleet) {
-		oneSide := f.nodes[:20]
+		firstHalf := f.nodes[:20]
 		setSplit := func(split bool) {
-			for _, a := range oneSide {
+			for _, a := range firstHalf {
 				for _, b := range f.nodes[20:] {
 					f.network.SetBlocked(a.ID, b.ID, split)
 					f.network.SetBlocked(b.ID, a.ID, split)
@@ -147,7 +147,7 @@
 		// dead daemons are excluded unless they are more than half of the upstreams
 		// of a service.
 		require.Equal(t, 40*20, f.countEligible(f.nodes, "s"))
-		oneSide[0].announce(member.Left, 0)
+		firstHalf[0].announce(member.Left, 0)
 		setSplit(false)
 		f.waitFor(t, 20*time.Second, "all daemons see all upstreams again", func() bool { return f.countEligible(f.nodes, "s") == 40*39 })
 	})
@@ -160,9 +160,9 @@
 			n.renew(5 * time.Second)
 			time.Sleep(3 * time.Second)
 		}
-		require.Zero(t, n.expiredLeases.Load())
+		require.Zero(t, n.expiredLeaseCount.Load())
 		f.waitFor(t, 5*time.Second, "the upstream has left", func() bool { return f.countEligible(f.nodes, "s") == 5*4 })
-		require.EqualValues(t, 1, n.expiredLeases.Load())
+		require.EqualValues(t, 1, n.expiredLeaseCount.Load())
 		n.renew(5 * time.Second)
 		f.waitFor(t, 2*time.Second, "the upstream is back in the same incarnation", func() bool { return f.countEligible(f.nodes, "s") == 5*5 })
 	})
@@ -174,19 +174,19 @@
 			f.kill(n)
 		}
 		time.Sleep(2 * time.Second)
-		appendsBefore := f.appends.Load()
+		appendsBefore := f.logAppends.Load()
 		for _, n := range f.nodes[:120] {
 			f.start(n)
 		}
 		f.waitFor(t, 30*time.Second, "every daemon sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == 150*150 })
-		require.Less(t, f.appends.Load()-appendsBefore, int64(120), "events are appended in batches")
+		require.Less(t, f.logAppends.Load()-appendsBefore, int64(120), "events are appended in batches")
 	})
 }
 
 func TestStartWithLogDownNeedsOnlyOnePeer(t *testing.T) {
 	runWithFleet(t, 20, func(t *testing.T, f *fleet) {
 		f.log.SetFaults(recordlog.Faults{Down: true})
-		n := f.add("new", zone(0))
+		n := f.addNode("new", zone(0))
 		n.bootstrapPeers = []peer.Peer{f.nodes[11].Peer}
 		f.start(n)
 		f.waitFor(t, 6*time.Second, "every daemon sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == 21*21 })
@@ -201,11 +201,11 @@
 			time.Sleep(2 * time.Minute)
 			f.memory.Trim(recordlog.StreamMembership, b.Next)
 		}
-		fresh := membership.NewRegistry(membership.Options{Self: "x", Zone: "elsewhere", Log: f.log})
+		newRegistry := membership.NewRegistry(membership.Options{Self: "x", Zone: "elsewhere", Log: f.log})
 		ctx := t.Context()
-		go func() { _ = fresh.Serve(ctx) }()
+		go func() { _ = newRegistry.Serve(ctx) }()
 		f.waitFor(t, 5*time.Second, "the log alone is sufficient", func() bool {
-			ups, _ := fresh.Upstreams("s")
+			ups, _ := newRegistry.Upstreams("s")
 			return len(ups) == 10
 		})
 	})
@@ -217,13 +217,13 @@
 		u := model.Upstream{ID: model.UpstreamID(fmt.Sprint("u", i)), Service: "s", Incarnation: 1, Daemon: "x", Slots: 1}
 		r.Announce(member.Event{Upstream: u, State: member.Joined}, 0)
 	}
-	first, generation := r.Upstreams("s")
-	again, _ := r.Upstreams("s")
-	require.Len(t, first, 3)
-	require.Equal(t, joinIDs(first), joinIDs(again))
+	firstResult, generation := r.Upstreams("s")
+	secondResult, _ := r.Upstreams("s")
+	require.Len(t, firstResult, 3)
+	require.Equal(t, joinIDs(firstResult), joinIDs(secondResult))
 	require.Equal(t, r.Generation(), generation)
-	none, _ := r.Upstreams("other")
-	require.Empty(t, none)
+	unknownServiceResult, _ := r.Upstreams("other")
+	require.Empty(t, unknownServiceResult)
 }
 
 // TestPairsOfFaultsConvergeToOneView injects random pairs of faults while
@@ -260,12 +260,12 @@
 					},
 				}
 				for range 10 {
-					first, second := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
-					first(true)
-					second(true)
+					firstFault, secondFault := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
+					firstFault(true)
+					secondFault(true)
 					time.Sleep(time.Duration(1+rng.IntN(12)) * time.Second)
-					first(false)
-					second(false)
+					firstFault(false)
+					secondFault(false)
 				}
 				f.log.SetFaults(recordlog.Faults{})
 				f.waitFor(t, 40*time.Second, "every daemon sees all upstreams", func() bool { return f.countEligible(f.nodes, "s") == size*size })
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -134,12 +134,12 @@
 	}
 	candidates := s.opts.Candidates()
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	triedCount := 0
+	attemptCount := 0
 	for _, d := range candidates {
 		if d == s.opts.Self {
 			continue
 		}
-		if triedCount++; triedCount > maxSuccessors {
+		if attemptCount++; attemptCount > maxSuccessors {
 			break
 		}
 		if incarnation, err := s.sendClaimsTo(ctx, d, chunks); err == nil {
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -33,11 +33,11 @@
 	streamed *wire.Result
 
 	mu sync.Mutex
-	// abandoned is set when the first submission has stopped waiting.
-	abandoned bool
-	// accepted is set when the first submission was still waiting for the streamed
+	// stoppedWaiting is set when the first submission has stopped waiting.
+	stoppedWaiting bool
+	// mustReceive is set when the first submission was still waiting for the streamed
 	// response. It then has to receive and close that response.
-	accepted bool
+	mustReceive bool
 }
 
 // startExecution starts the execution of a claimed request, for at most c.Timeout. The
@@ -67,15 +67,15 @@
 		close(e.ready)
 		return
 	}
-	head, err := io.ReadAll(io.LimitReader(result.Body, s.opts.MaxResponseBytes+1))
-	if err == nil && int64(len(head)) <= s.opts.MaxResponseBytes {
+	bodyStart, err := io.ReadAll(io.LimitReader(result.Body, s.opts.MaxResponseBytes+1))
+	if err == nil && int64(len(bodyStart)) <= s.opts.MaxResponseBytes {
 		_ = result.Body.Close()
 		cancel()
-		s.recordOutcome(id, e, outcome.Done(), &claims.Answer{Status: result.Status, Header: result.Header, Body: head, Trailer: result.Trailer})
+		s.recordOutcome(id, e, outcome.Done(), &claims.Answer{Status: result.Status, Header: result.Header, Body: bodyStart, Trailer: result.Trailer})
 		close(e.ready)
 		return
 	}
-	streamed := &streamedBody{Reader: io.MultiReader(bytes.NewReader(head), result.Body), body: result.Body}
+	streamed := &streamedBody{Reader: io.MultiReader(bytes.NewReader(bodyStart), result.Body), body: result.Body}
 	streamed.onEnd = func(o outcome.Outcome) {
 		cancel()
 		s.recordOutcome(id, e, o, nil)
@@ -90,12 +90,12 @@
 }
 
 // offerStreamed reports whether the first submission is still waiting. If so, it sets
-// accepted: the first submission must then receive the streamed response and close it.
+// mustReceive: the first submission must then receive the streamed response and close it.
 func (e *execution) offerStreamed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.accepted = !e.abandoned
-	return e.accepted
+	e.mustReceive = !e.stoppedWaiting
+	return e.mustReceive
 }
 
 // abandon records that the first submission wants to stop waiting. It returns false if
@@ -104,8 +104,8 @@
 func (e *execution) abandon() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.abandoned = true
-	return !e.accepted
+	e.stoppedWaiting = true
+	return !e.mustReceive
 }
 
 // recordOutcome records the outcome and the retained response of an execution in the
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -30,7 +30,7 @@
 	crashed.restart()
 	d.waitFor("the new incarnation has read the log", func() bool { return crashed.caughtUp.Load() })
 	require.Equal(t, ownerLost, d.nodes[0].submit(usedKey, "", "x", 3*time.Second).outcome, "a new incarnation does not own the keys of the old one")
-	require.Equal(t, 1, d.executionsOf(usedKey))
+	require.Equal(t, 1, d.executionCount(usedKey))
 	for range 200 {
 		k, live := d.nodes[0].NewKey()
 		interval, _ := d.nodes[0].lookup(k)
@@ -52,8 +52,8 @@
 	require.True(t, retry.replayed, "%+v after %+v", retry, first)
 	require.Equal(t, first.body, retry.body)
 	require.Equal(t, outcome.Answered, d.nodes[1].submit(unusedKey, "", "x", testTimeout).outcome.Kind)
-	require.Equal(t, 1, d.executionsOf(usedKey))
-	require.Equal(t, 1, d.executionsOf(unusedKey))
+	require.Equal(t, 1, d.executionCount(usedKey))
+	require.Equal(t, 1, d.executionCount(unusedKey))
 	draining.restart()
 }
 
@@ -68,7 +68,7 @@
 	key := d.keyOwnedBy(d.nodes[1])
 	submitted := make(chan submitResult, 1)
 	go func() { submitted <- d.nodes[0].submit(key, "", "x", testTimeout) }()
-	d.waitFor("the execution has started", func() bool { return d.executionsOf(key) == 1 })
+	d.waitFor("the execution has started", func() bool { return d.executionCount(key) == 1 })
 	drained := make(chan error, 1)
 	go func() { drained <- d.nodes[1].Drain(context.Background()) }()
 	d.waitFor("the claim table is sealed", func() bool { d.nodes[1].mu.Lock(); defer d.nodes[1].mu.Unlock(); return d.nodes[1].table.IsSealed() })
@@ -78,7 +78,7 @@
 	retry := d.nodes[0].submit(key, "", "x", testTimeout)
 	require.Equal(t, "slow", retry.body)
 	require.True(t, retry.replayed)
-	require.Equal(t, 1, d.executionsOf(key))
+	require.Equal(t, 1, d.executionCount(key))
 }
 
 // failingMessenger is a Messenger that delivers a number of messages and fails to deliver
@@ -97,12 +97,12 @@
 }
 
 func TestInterruptedHandoverNeverRunsAKeyTwice(t *testing.T) {
-	for messages := range 3 {
-		t.Run(fmt.Sprintf("after %d messages", messages), func(t *testing.T) {
+	for deliverable := range 3 {
+		t.Run(fmt.Sprintf("after %d messages", deliverable), func(t *testing.T) {
 			d := deploy(t, 2, time.Minute)
 			draining := d.nodes[1]
 			messenger := &failingMessenger{Messenger: d}
-			messenger.remaining.Store(int64(messages))
+			messenger.remaining.Store(int64(deliverable))
 			draining.opts.Messenger = messenger
 			key := d.keyOwnedBy(draining)
 			d.nodes[0].submit(key, "", "x", testTimeout)
@@ -111,8 +111,8 @@
 			err := draining.Drain(ctx)
 			draining.kill()
 			r := d.nodes[0].submit(key, "", "x", testTimeout)
-			require.Equal(t, 1, d.executionsOf(key))
-			if messages < 2 {
+			require.Equal(t, 1, d.executionCount(key))
+			if deliverable < 2 {
 				require.ErrorIs(t, err, ErrNoSuccessor)
 				require.Equal(t, outcome.UnknownBecause(outcome.ReasonKeyOwnerLost), r.outcome)
 			} else {
@@ -134,7 +134,7 @@
 			key, live := d.nodes[0].NewKey()
 			require.True(t, live)
 			require.Equal(t, outcome.Answered, d.nodes[1].submit(key, "", "x", testTimeout).outcome.Kind)
-			require.Equal(t, 1, d.executionsOf(key))
+			require.Equal(t, 1, d.executionCount(key))
 		}
 	}
 }
@@ -167,22 +167,22 @@
 	require.Eventually(t, func() bool {
 		return d.nodes[0].submit(ungrantedKey, "", "x", testTimeout).outcome.Kind == outcome.Answered
 	}, testTimeout, 10*time.Millisecond, "the key can be executed after the outage")
-	require.Equal(t, 1, d.executionsOf(ungrantedKey))
+	require.Equal(t, 1, d.executionCount(ungrantedKey))
 }
 
 func TestNewDaemonOnTrimmedLogNeedsACheckpoint(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
-	fresh := d.nodes[1]
+	newNode := d.nodes[1]
 	key := d.keyOwnedBy(d.nodes[0])
-	fresh.kill()
+	newNode.kill()
 	d.memory.Trim(recordlog.StreamGrants, d.endOfLog())
-	fresh.restart()
-	r := fresh.submit(key, "", "x", 3*time.Second)
+	newNode.restart()
+	r := newNode.submit(key, "", "x", 3*time.Second)
 	require.Equal(t, outcome.ReasonKeyNotOwned, r.outcome.Reason, "without a checkpoint the daemon does not know the owners")
 	d.appendCheckpoint()
-	d.waitFor("the checkpoint is applied", func() bool { _, ownership := fresh.lookup(key); return ownership == claims.Owned })
-	require.Equal(t, outcome.Answered, fresh.submit(key, "", "x", testTimeout).outcome.Kind)
-	require.Equal(t, 1, d.executionsOf(key))
+	d.waitFor("the checkpoint is applied", func() bool { _, ownership := newNode.lookup(key); return ownership == claims.Owned })
+	require.Equal(t, outcome.Answered, newNode.submit(key, "", "x", testTimeout).outcome.Kind)
+	require.Equal(t, 1, d.executionCount(key))
 }
 
 // appendCheckpoint appends a checkpoint of the first node's ledger to the log.
@@ -197,14 +197,14 @@
 
 func TestCheckpointIsAppendedWhenDue(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
-	end := d.endOfLog()
+	endBefore := d.endOfLog()
 	for _, n := range d.nodes {
 		n.mu.Lock()
 		n.lastCheckpointRead = time.Now().Add(-DefaultCheckpointInterval - time.Second)
 		n.mu.Unlock()
 	}
-	d.waitFor("a checkpoint is appended", func() bool { return d.endOfLog() > end })
-	b, err := d.memory.Read(t.Context(), recordlog.StreamGrants, end, 1)
+	d.waitFor("a checkpoint is appended", func() bool { return d.endOfLog() > endBefore })
+	b, err := d.memory.Read(t.Context(), recordlog.StreamGrants, endBefore, 1)
 	require.NoError(t, err)
 	rec, err := claims.DecodeRecord(b.Records[0].Data)
 	require.NoError(t, err)
@@ -219,9 +219,9 @@
 	for name, recordsSince := range map[string]int{"in the first window": 3, "in a larger window": 60} {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t, 2, time.Minute)
-			fresh := d.nodes[1]
+			newNode := d.nodes[1]
 			key := d.keyOwnedBy(d.nodes[0])
-			fresh.kill()
+			newNode.kill()
 			for range 400 {
 				_, err := d.memory.Append(t.Context(), recordlog.StreamGrants, [][]byte{{0}})
 				require.NoError(t, err)
@@ -231,15 +231,15 @@
 				_, err := d.memory.Append(t.Context(), recordlog.StreamGrants, [][]byte{{0}})
 				require.NoError(t, err)
 			}
-			fresh.Service = New(Options{Self: fresh.id, Log: d.log, Ranges: testRanges, Candidates: d.ids})
-			fresh.searchWindow = 4
-			fresh.readGrants(t.Context())
-			_, ownership := fresh.lookup(key)
+			newNode.Service = New(Options{Self: newNode.id, Log: d.log, Ranges: testRanges, Candidates: d.ids})
+			newNode.searchWindow = 4
+			newNode.readGrants(t.Context())
+			_, ownership := newNode.lookup(key)
 			require.Equal(t, claims.Owned, ownership)
-			nextOffset := fresh.ledger.Next()
+			nextOffset := newNode.ledger.Next()
 			require.EqualValues(t, d.endOfLog(), nextOffset)
-			require.LessOrEqual(t, fresh.searchWindow, recordlog.Offset(4*windowGrowth*windowGrowth), "search window of %d records", fresh.searchWindow)
-			fresh.restart()
+			require.LessOrEqual(t, newNode.searchWindow, recordlog.Offset(4*windowGrowth*windowGrowth), "search window of %d records", newNode.searchWindow)
+			newNode.restart()
 		})
 	}
 }
@@ -255,8 +255,8 @@
 	var nodeInUse [daemons]sync.RWMutex
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	var sent atomic.Int64
-	failed := make(chan submitResult, 1)
+	var sentCount atomic.Int64
+	wrongResults := make(chan submitResult, 1)
 	for i := range 8 {
 		wg.Go(func() {
 			for turn := i; ; turn++ {
@@ -276,10 +276,10 @@
 					}
 					r := d.nodes[node].submit(key, "", "x", testTimeout)
 					nodeInUse[node].RUnlock()
-					sent.Add(1)
-					if r.outcome.Kind != outcome.Answered || r.body != "done "+key.String() || d.executionsOf(key) != 1 {
+					sentCount.Add(1)
+					if r.outcome.Kind != outcome.Answered || r.body != "done "+key.String() || d.executionCount(key) != 1 {
 						select {
-						case failed <- r:
+						case wrongResults <- r:
 						default:
 						}
 					}
@@ -288,8 +288,8 @@
 		})
 	}
 	for i, n := range d.nodes {
-		sentBefore := sent.Load()
-		d.waitFor("callers keep submitting", func() bool { return sent.Load() > sentBefore+50 })
+		sentBefore := sentCount.Load()
+		d.waitFor("callers keep submitting", func() bool { return sentCount.Load() > sentBefore+50 })
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		require.NoError(t, n.Drain(ctx))
 		cancel()
@@ -302,11 +302,11 @@
 	close(stop)
 	wg.Wait()
 	select {
-	case r := <-failed:
+	case r := <-wrongResults:
 		require.Fail(t, "a keyed request got no response or the wrong one", "%+v", r)
 	default:
 	}
-	t.Logf("%d submissions over a rolling restart of %d daemons", sent.Load(), daemons)
+	t.Logf("%d submissions over a rolling restart of %d daemons", sentCount.Load(), daemons)
 }
 
 // TestCrashUnderLoadAffectsOnlyKeysOfThatOwner stops one of four owners under load. Until
@@ -320,11 +320,11 @@
 	crashed := d.nodes[daemons-1]
 	crashedIncarnation := crashed.Incarnation()
 	stop := make(chan struct{})
-	// sent counts the submissions and unknown counts the submissions with an unknown
+	// sentCounts counts the submissions and unknownCounts counts the submissions with an unknown
 	// outcome, in index 0 for keys from daemons, in index 1 for keys generated by
 	// callers.
-	var sent, unknown [2]atomic.Int64
-	var unexpected atomic.Pointer[submitResult]
+	var sentCounts, unknownCounts [2]atomic.Int64
+	var unexpectedResult atomic.Pointer[submitResult]
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -341,19 +341,19 @@
 					key = randomKey(n.currentTimestamp())
 				}
 				r := n.submit(key, "", "x", testTimeout)
-				sent[source].Add(1)
+				sentCounts[source].Add(1)
 				interval, _ := n.lookup(key)
 				switch {
-				case r.outcome.Kind == outcome.Answered && d.executionsOf(key) == 1:
+				case r.outcome.Kind == outcome.Answered && d.executionCount(key) == 1:
 				case r.outcome.Reason == outcome.ReasonKeyOwnerLost && interval.Owner.Incarnation == crashedIncarnation:
-					unknown[source].Add(1)
+					unknownCounts[source].Add(1)
 				default:
-					unexpected.Store(&r)
+					unexpectedResult.Store(&r)
 				}
 			}
 		})
 	}
-	d.waitFor("callers submit requests", func() bool { return sent[0].Load() > 200 })
+	d.waitFor("callers submit requests", func() bool { return sentCounts[0].Load() > 200 })
 	crashed.kill()
 	d.waitFor("the ranges of the crashed owner have other owners", func() bool {
 		n := d.nodes[0]
@@ -363,8 +363,8 @@
 	})
 	close(stop)
 	wg.Wait()
-	require.Nil(t, unexpected.Load(), "%+v", unexpected.Load())
+	require.Nil(t, unexpectedResult.Load(), "%+v", unexpectedResult.Load())
 	t.Logf("unknown: %d of %d keys from daemons, %d of %d keys generated by callers",
-		unknown[0].Load(), sent[0].Load(), unknown[1].Load(), sent[1].Load())
+		unknownCounts[0].Load(), sentCounts[0].Load(), unknownCounts[1].Load(), sentCounts[1].Load())
 	crashed.restart()
 }
--- a/owner/ledger.go
+++ b/owner/ledger.go
@@ -95,7 +95,7 @@
 // the oldest record, readBatch enlarges the search window and starts the search again.
 // s.readLock is held.
 func (s *Service) readBatch(ctx context.Context) (bool, error) {
-	if !s.positioned {
+	if !s.hasPosition {
 		return true, s.seekCheckpoint(ctx)
 	}
 	s.mu.Lock()
@@ -106,7 +106,7 @@
 	if errors.As(err, &trimmed) {
 		s.metrics.trimmedReads.Inc(1)
 		s.opts.Logger.Warn("log no longer keeps the next grants, searching for a checkpoint", "next", from, "oldest", trimmed.Oldest)
-		s.positioned = false
+		s.hasPosition = false
 		return true, nil
 	}
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 	if len(batch.Records) == 0 && !s.ledger.Complete() && !s.fromOldest {
 		s.searchWindow *= windowGrowth
-		s.positioned = false
+		s.hasPosition = false
 		return true, nil
 	}
 	return len(batch.Records) > 0, nil
@@ -156,7 +156,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Reset(uint64(from))
-	s.positioned, s.fromOldest = true, from == oldest
+	s.hasPosition, s.fromOldest = true, from == oldest
 	return nil
 }
 
--- a/owner/newkey.go
+++ b/owner/newkey.go
@@ -42,13 +42,13 @@
 // first. It adds none that is older than half of Options.Retention. s.mu is held.
 func (s *Service) candidateTimestamps(now claims.Stamp) []claims.Stamp {
 	timestamps := []claims.Stamp{now}
-	oldest := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
-	var furthest claims.Stamp
+	oldestAllowed := now - min(now, claims.Stamp(s.opts.Retention.Milliseconds())/2)
+	var latestGrantEnd claims.Stamp
 	for r := range claims.Range(s.opts.Ranges) {
 		frontier, _ := s.ledger.Frontier(r)
-		furthest = max(furthest, frontier)
+		latestGrantEnd = max(latestGrantEnd, frontier)
 	}
-	if furthest > now || furthest <= oldest {
+	if latestGrantEnd > now || latestGrantEnd <= oldestAllowed {
 		return timestamps
 	}
 	// The ends of the grants of different ranges are at most half a grant
@@ -57,8 +57,8 @@
 	grantDuration := claims.Stamp(s.opts.GrantDuration.Milliseconds())
 	const maxPastTimestamps = 4
 	for i := range claims.Stamp(maxPastTimestamps) {
-		if offset := 1 + i*grantDuration/maxPastTimestamps; furthest > offset+oldest {
-			timestamps = append(timestamps, furthest-offset)
+		if offset := 1 + i*grantDuration/maxPastTimestamps; latestGrantEnd > offset+oldestAllowed {
+			timestamps = append(timestamps, latestGrantEnd-offset)
 		}
 	}
 	return timestamps
@@ -74,6 +74,6 @@
 	if interval.Owner == s.self && s.table.IsSealed() {
 		return false
 	}
-	_, suspected := s.suspectedOwners[interval.Owner.Incarnation]
+	_, suspected := s.suspectedSince[interval.Owner.Incarnation]
 	return !suspected
 }
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -40,8 +40,8 @@
 	nodes         []*testNode
 
 	mu sync.Mutex
-	// executions counts the executions of each key.
-	executions map[string]int
+	// executionCountByKey holds the number of executions of each key.
+	executionCountByKey map[string]int
 	// handler acts as the upstream. Nil means an upstream that counts the execution
 	// and responds at once with "done" and the key.
 	handler func(c *wire.Call) *wire.Result
@@ -60,7 +60,7 @@
 // deploy starts n daemons whose grants last for grantDuration, and waits until every
 // daemon knows the owners of all key ranges.
 func deploy(t *testing.T, n int, grantDuration time.Duration) *deployment {
-	d := &deployment{t: t, memory: &recordlog.Memory{}, grantDuration: grantDuration, executions: make(map[string]int)}
+	d := &deployment{t: t, memory: &recordlog.Memory{}, grantDuration: grantDuration, executionCountByKey: make(map[string]int)}
 	d.log = recordlog.NewFaultyLog(d.memory)
 	listeners := make([]net.Listener, n)
 	for i := range listeners {
@@ -175,13 +175,13 @@
 func (d *deployment) countExecution(c *wire.Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.executions[c.Key]++
+	d.executionCountByKey[c.Key]++
 }
 
-func (d *deployment) executionsOf(k claims.Key) int {
+func (d *deployment) executionCount(k claims.Key) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.executions[k.String()]
+	return d.executionCountByKey[k.String()]
 }
 
 func (d *deployment) setHandler(f func(c *wire.Call) *wire.Result) {
@@ -254,7 +254,7 @@
 				replayed++
 			}
 		}
-		require.Equal(t, 1, d.executionsOf(key))
+		require.Equal(t, 1, d.executionCount(key))
 		require.Equal(t, len(results)-1, replayed)
 	}
 }
@@ -264,9 +264,9 @@
 	key := d.keyOwnedBy(d.nodes[1])
 	require.Equal(t, outcome.Answered, d.nodes[0].submit(key, "a", "pay 1", testTimeout).outcome.Kind)
 	require.Equal(t, outcome.UnknownBecause(outcome.ReasonKeyMismatch), d.nodes[0].submit(key, "a", "pay 2", testTimeout).outcome)
-	other := d.nodes[0].submit(key, "b", "pay 1", testTimeout)
-	require.Equal(t, outcome.Answered, other.outcome.Kind)
-	require.False(t, other.replayed, "the same key of another caller is a different key")
+	otherCallerResult := d.nodes[0].submit(key, "b", "pay 1", testTimeout)
+	require.Equal(t, outcome.Answered, otherCallerResult.outcome.Kind)
+	require.False(t, otherCallerResult.replayed, "the same key of another caller is a different key")
 }
 
 func TestRetryDuringFirstExecution(t *testing.T) {
@@ -280,7 +280,7 @@
 	key := d.keyOwnedBy(d.nodes[1])
 	firstResult := make(chan submitResult, 1)
 	go func() { firstResult <- d.nodes[0].submit(key, "", "x", testTimeout) }()
-	d.waitFor("the execution has started", func() bool { return d.executionsOf(key) == 1 })
+	d.waitFor("the execution has started", func() bool { return d.executionCount(key) == 1 })
 	r := d.nodes[0].submit(key, "", "x", 100*time.Millisecond)
 	require.Equal(t, outcome.Unknown, r.outcome.Kind)
 	require.Contains(t, []outcome.Reason{outcome.ReasonKeyInProgress, outcome.ReasonDeadline}, r.outcome.Reason)
@@ -288,7 +288,7 @@
 	close(finishExecution)
 	require.Equal(t, "late", (<-firstResult).body)
 	require.Equal(t, "late", d.nodes[0].submit(key, "", "x", testTimeout).body)
-	require.Equal(t, 1, d.executionsOf(key))
+	require.Equal(t, 1, d.executionCount(key))
 }
 
 func TestExecutionContinuesAfterCallerTimeout(t *testing.T) {
@@ -304,36 +304,36 @@
 	require.Equal(t, outcome.Unknown, r.outcome.Kind)
 	close(finishExecution)
 	require.Equal(t, "kept", d.nodes[1].submit(key, "", "x", testTimeout).body)
-	require.Equal(t, 1, d.executionsOf(key))
+	require.Equal(t, 1, d.executionCount(key))
 }
 
 func TestRetryAfterEachOutcome(t *testing.T) {
 	d := deploy(t, 2, time.Minute)
 	for name, tc := range map[string]struct {
-		first  func() *wire.Result
-		want   outcome.Outcome
-		second outcome.Outcome
-		runs   int
+		firstResult    func() *wire.Result
+		wantFirst      outcome.Outcome
+		wantSecond     outcome.Outcome
+		wantExecutions int
 	}{
 		"a request that was not run can be retried": {
-			first: func() *wire.Result { return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)) },
-			want:  outcome.NotRunBecause(outcome.ReasonDraining), second: outcome.Done(), runs: 2,
+			firstResult: func() *wire.Result { return wire.NoResponse(outcome.NotRunBecause(outcome.ReasonDraining)) },
+			wantFirst:   outcome.NotRunBecause(outcome.ReasonDraining), wantSecond: outcome.Done(), wantExecutions: 2,
 		},
 		"an unknown outcome stays unknown": {
-			first: func() *wire.Result { return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonConnectionLost)) },
-			want:  outcome.UnknownBecause(outcome.ReasonConnectionLost), second: outcome.UnknownBecause(outcome.ReasonKeyOutcome), runs: 1,
+			firstResult: func() *wire.Result { return wire.NoResponse(outcome.UnknownBecause(outcome.ReasonConnectionLost)) },
+			wantFirst:   outcome.UnknownBecause(outcome.ReasonConnectionLost), wantSecond: outcome.UnknownBecause(outcome.ReasonKeyOutcome), wantExecutions: 1,
 		},
 		"a large response is not retained": {
-			first: func() *wire.Result { return textResult(strings.Repeat("x", 4<<10)) },
-			want:  outcome.Done(), second: outcome.UnknownBecause(outcome.ReasonKeyAnswerGone), runs: 1,
+			firstResult: func() *wire.Result { return textResult(strings.Repeat("x", 4<<10)) },
+			wantFirst:   outcome.Done(), wantSecond: outcome.UnknownBecause(outcome.ReasonKeyAnswerGone), wantExecutions: 1,
 		},
 		"a truncated response": {
-			first: func() *wire.Result {
+			firstResult: func() *wire.Result {
 				result := textResult("")
 				result.Body, result.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader("half"), failingReader{})), 8
 				return result
 			},
-			want: outcome.UnknownBecause(outcome.ReasonTruncated), second: outcome.UnknownBecause(outcome.ReasonKeyOutcome), runs: 1,
+			wantFirst: outcome.UnknownBecause(outcome.ReasonTruncated), wantSecond: outcome.UnknownBecause(outcome.ReasonKeyOutcome), wantExecutions: 1,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -341,15 +341,15 @@
 			d.setHandler(func(c *wire.Call) *wire.Result {
 				d.countExecution(c)
 				result := textResult("second")
-				once.Do(func() { result = tc.first() })
+				once.Do(func() { result = tc.firstResult() })
 				return result
 			})
 			key := d.keyOwnedBy(d.nodes[1])
 			r := d.nodes[0].submit(key, "", "x", testTimeout)
 			require.NoError(t, r.err)
-			require.Equal(t, tc.want, r.outcome)
-			require.Equal(t, tc.second, d.nodes[1].submit(key, "", "x", testTimeout).outcome)
-			require.Equal(t, tc.runs, d.executionsOf(key))
+			require.Equal(t, tc.wantFirst, r.outcome)
+			require.Equal(t, tc.wantSecond, d.nodes[1].submit(key, "", "x", testTimeout).outcome)
+			require.Equal(t, tc.wantExecutions, d.executionCount(key))
 		})
 	}
 }
@@ -389,7 +389,7 @@
 		t.Run(name, func(t *testing.T) {
 			key := claims.NewKey(tc.timestamp, [10]byte{9: 1})
 			require.Equal(t, tc.want, d.nodes[0].submit(key, "", tc.body, testTimeout).outcome)
-			require.Zero(t, d.executionsOf(key))
+			require.Zero(t, d.executionCount(key))
 		})
 	}
 }
--- a/owner/route.go
+++ b/owner/route.go
@@ -198,7 +198,7 @@
 func (s *Service) retryTimeout(incarnation uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, suspected := s.suspectedOwners[incarnation]; suspected {
+	if _, suspected := s.suspectedSince[incarnation]; suspected {
 		return 0
 	}
 	return s.retryTimeouts.ownerUnreachable
@@ -210,13 +210,13 @@
 func (s *Service) suspectOwner(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for suspected, since := range s.suspectedOwners {
+	for suspected, since := range s.suspectedSince {
 		if time.Since(since) > s.opts.GrantDuration {
-			delete(s.suspectedOwners, suspected)
+			delete(s.suspectedSince, suspected)
 		}
 	}
-	if len(s.suspectedOwners) < maxSuspectedOwners {
-		s.suspectedOwners[incarnation] = time.Now()
+	if len(s.suspectedSince) < maxSuspectedOwners {
+		s.suspectedSince[incarnation] = time.Now()
 	}
 }
 
@@ -224,5 +224,5 @@
 func (s *Service) clearSuspicion(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.suspectedOwners, incarnation)
+	delete(s.suspectedSince, incarnation)
 }
--- a/owner/service.go
+++ b/owner/service.go
@@ -30,9 +30,9 @@
 	table *claims.Table
 	// executions holds the executions in flight.
 	executions map[claims.ID]*execution
-	// suspectedOwners holds the incarnations of the owners that were found
-	// unreachable, and when.
-	suspectedOwners map[uint64]time.Time
+	// suspectedSince holds when an owner was last found unreachable, by the
+	// incarnation of the owner.
+	suspectedSince map[uint64]time.Time
 	// lastCheckpointRead is when a checkpoint was last read from the log. Before the
 	// first one it is the time of New.
 	lastCheckpointRead time.Time
@@ -43,14 +43,14 @@
 	// only by Serve.
 	candidates []model.DaemonID
 
-	// readLock is held during a read of the grants. It guards positioned,
+	// readLock is held during a read of the grants. It guards hasPosition,
 	// fromOldest, searchWindow and lastRead. It is a channel instead of a mutex, so
 	// that a context can end the wait for it.
 	readLock chan struct{}
-	// positioned is set while the ledger is at the offset of the next record to
+	// hasPosition is set while the ledger is at the offset of the next record to
 	// read. It is unset before the first read, and when the search for a checkpoint
 	// has to start again.
-	positioned bool
+	hasPosition bool
 	// fromOldest is set if the search for a checkpoint started at the oldest record
 	// that the log keeps.
 	fromOldest bool
@@ -77,7 +77,7 @@
 		ledger:             claims.NewLedger(o.Ranges, 0),
 		table:              claims.NewTable(self, o.Limits),
 		executions:         make(map[claims.ID]*execution),
-		suspectedOwners:    make(map[uint64]time.Time),
+		suspectedSince:     make(map[uint64]time.Time),
 		lastCheckpointRead: time.Now(),
 		readLock:           make(chan struct{}, 1),
 		searchWindow:       initialSearchWindow,
@@ -135,7 +135,7 @@
 			s.readGrants(ctx)
 			s.renew(ctx)
 		}
-		s.expire()
+		s.expireClaims()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -232,10 +232,10 @@
 	}
 }
 
-// expire removes the claims whose retention has ended, and updates the gauges of the
+// expireClaims removes the claims whose retention has ended, and updates the gauges of the
 // claim table. It does nothing if the wall clock is wrong and shows a time no later than
 // the Unix epoch plus the retention.
-func (s *Service) expire() {
+func (s *Service) expireClaims() {
 	now := s.currentTimestamp()
 	retention := claims.Stamp(s.opts.Retention.Milliseconds())
 	if now <= retention {
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -41,23 +41,23 @@
 		Group:  c.Group,
 		Digest: requestDigest(c, body),
 	}
-	begun := s.beginSubmission(ctx, req, c)
-	if begun.decision == claims.NotOwner {
+	begin := s.beginSubmission(ctx, req, c)
+	if begin.decision == claims.NotOwner {
 		// The sender may have read a grant or a transfer that this daemon has
 		// not read yet.
 		s.refresh(ctx)
-		begun = s.beginSubmission(ctx, req, c)
+		begin = s.beginSubmission(ctx, req, c)
 	}
-	s.metrics.countDecision(begun.decision)
-	switch begun.decision {
+	s.metrics.countDecision(begin.decision)
+	switch begin.decision {
 	case claims.Run:
-		return awaitFirst(ctx, begun.execution)
+		return awaitFirst(ctx, begin.execution)
 	case claims.InProgress:
-		return awaitEarlier(ctx, begun.execution, c.Timeout)
+		return awaitEarlier(ctx, begin.execution, c.Timeout)
 	case claims.Replay:
-		return replayResponse(begun.response, true)
+		return replayResponse(begin.response, true)
 	default:
-		return wire.NoResponse(outcomeOf(begun.decision))
+		return wire.NoResponse(outcomeOf(begin.decision))
 	}
 }
 
@@ -187,8 +187,8 @@
 // submissions of a key.
 func requestDigest(c *wire.Call, body []byte) claims.Digest {
 	h := sha256.New()
-	for _, part := range []string{string(c.Service), c.Method, c.Target, c.Header.Get("Content-Type")} {
-		_, _ = io.WriteString(h, strconv.Itoa(len(part))+":"+part)
+	for _, field := range []string{string(c.Service), c.Method, c.Target, c.Header.Get("Content-Type")} {
+		_, _ = io.WriteString(h, strconv.Itoa(len(field))+":"+field)
 	}
 	_, _ = h.Write(body)
 	return claims.Digest(h.Sum(nil))
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -76,7 +76,7 @@
 	if n == 0 {
 		return nil, false
 	}
-	newCrash, s.newCrash = s.newCrash, false
+	newCrash, s.hasNewCrash = s.hasNewCrash, false
 	return message, newCrash
 }
 
@@ -126,14 +126,14 @@
 	records := s.recordsByFingerprint()
 	maxEntries := (limit - 1 - 2*prefixBytes) / summaryEntryBytes
 	var out [][]byte
-	var first fingerprintPrefix
+	var firstPrefix fingerprintPrefix
 	for {
 		n := min(maxEntries, len(records))
-		last := fingerprintPrefix(bytes.Repeat([]byte{0xff}, prefixBytes))
+		lastPrefix := fingerprintPrefix(bytes.Repeat([]byte{0xff}, prefixBytes))
 		if n < len(records) {
-			last = prefixOf(records[n-1].Fingerprint)
+			lastPrefix = prefixOf(records[n-1].Fingerprint)
 		}
-		m := append(append([]byte{kindSummary}, first[:]...), last[:]...)
+		m := append(append([]byte{kindSummary}, firstPrefix[:]...), lastPrefix[:]...)
 		for i := range records[:n] {
 			m = appendSummaryEntry(m, &records[i])
 		}
@@ -141,7 +141,7 @@
 		if records = records[n:]; len(records) == 0 {
 			return out
 		}
-		first = prefixOf(records[0].Fingerprint)
+		firstPrefix = prefixOf(records[0].Fingerprint)
 	}
 }
 
@@ -169,7 +169,7 @@
 	if len(body) < 2*prefixBytes || (len(body)-2*prefixBytes)%summaryEntryBytes != 0 {
 		return nil
 	}
-	first, last := fingerprintPrefix(body[:prefixBytes]), fingerprintPrefix(body[prefixBytes:])
+	firstPrefix, lastPrefix := fingerprintPrefix(body[:prefixBytes]), fingerprintPrefix(body[prefixBytes:])
 	peerSums := make(map[fingerprintPrefix]uint32)
 	for e := range slices.Chunk(body[2*prefixBytes:], summaryEntryBytes) {
 		peerSums[fingerprintPrefix(e)] = binary.BigEndian.Uint32(e[prefixBytes:])
@@ -179,7 +179,7 @@
 	var recordsToSend []quarantine.Record
 	for _, r := range s.table.List() {
 		p := prefixOf(r.Fingerprint)
-		if bytes.Compare(p[:], first[:]) < 0 || bytes.Compare(p[:], last[:]) > 0 {
+		if bytes.Compare(p[:], firstPrefix[:]) < 0 || bytes.Compare(p[:], lastPrefix[:]) > 0 {
 			continue
 		}
 		if sum, ok := peerSums[p]; !ok || sum != uint32(r.Sum()) {
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -15,15 +15,15 @@
 )
 
 // testNetwork connects daemons of several zones that exchange records in
-// virtual time. A message arrives one step after it was sent.
+// virtual time. A message arrives one stepDuration after it was sent.
 type testNetwork struct {
-	now     time.Time
-	rng     *rand.Rand
-	daemons []*testDaemon
-	byName  map[string]*testDaemon
-	// partitioned is a zone that exchanges no messages with other zones. Empty
+	now          time.Time
+	rng          *rand.Rand
+	daemons      []*testDaemon
+	daemonByName map[string]*testDaemon
+	// partitionedZone is a zone that exchanges no messages with other zones. Empty
 	// means none.
-	partitioned model.AvailabilityZone
+	partitionedZone model.AvailabilityZone
 	// lossRate is the fraction of messages that are lost.
 	lossRate float64
 
@@ -41,8 +41,8 @@
 	name      string
 	zone      model.AvailabilityZone
 	sentBytes int
-	// others caches the result of testNetwork.others.
-	others []gossip.Member
+	// otherMembers caches the result of testNetwork.others.
+	otherMembers []gossip.Member
 }
 
 type datagram struct {
@@ -51,14 +51,14 @@
 }
 
 const (
-	step                = 20 * time.Millisecond
+	stepDuration        = 20 * time.Millisecond
 	maxTestMessageBytes = 1400
-	zones               = 5
+	zoneCount           = 5
 )
 
-func newTestNetwork(daemons int) *testNetwork {
-	network := &testNetwork{now: time.UnixMilli(1_000_000), rng: rand.New(rand.NewPCG(1, uint64(daemons))), byName: make(map[string]*testDaemon)}
-	for i := range daemons {
+func newTestNetwork(daemonCount int) *testNetwork {
+	network := &testNetwork{now: time.UnixMilli(1_000_000), rng: rand.New(rand.NewPCG(1, uint64(daemonCount))), daemonByName: make(map[string]*testDaemon)}
+	for i := range daemonCount {
 		network.addDaemon(i)
 	}
 	return network
@@ -66,7 +66,7 @@
 
 // addDaemon adds the daemon with index i.
 func (network *testNetwork) addDaemon(i int) {
-	d := &testDaemon{name: fmt.Sprint("d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
+	d := &testDaemon{name: fmt.Sprint("d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zoneCount))}
 	d.Gossip = &Gossip{
 		Store: NewStore(Options{
 			Rule:      func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Crashes: 3, Duration: time.Minute} },
@@ -76,24 +76,24 @@
 		Selector:        gossip.PeerSelector{Zone: d.zone, RandIntN: network.rng.IntN},
 		MaxMessageBytes: maxTestMessageBytes,
 		Members:         func() []gossip.Member { return network.others(d) },
-		Send:            func(to string, message []byte) { network.send(d, network.byName[to], message) },
+		Send:            func(to string, message []byte) { network.send(d, network.daemonByName[to], message) },
 	}
 	network.daemons = append(network.daemons, d)
-	network.byName[d.name] = d
+	network.daemonByName[d.name] = d
 }
 
 // others returns all daemons except d.
 func (network *testNetwork) others(d *testDaemon) []gossip.Member {
-	if len(d.others) == len(network.daemons)-1 {
-		return d.others
+	if len(d.otherMembers) == len(network.daemons)-1 {
+		return d.otherMembers
 	}
-	d.others = nil
+	d.otherMembers = nil
 	for _, o := range network.daemons {
 		if o != d {
-			d.others = append(d.others, gossip.Member{Address: o.name, Zone: o.zone})
+			d.otherMembers = append(d.otherMembers, gossip.Member{Address: o.name, Zone: o.zone})
 		}
 	}
-	return d.others
+	return d.otherMembers
 }
 
 // send counts the bytes of a message and puts the message in transit, unless it is lost
@@ -105,8 +105,8 @@
 	if from.zone != to.zone {
 		network.crossZoneBytes += len(message)
 	}
-	separated := from.zone != to.zone && (from.zone == network.partitioned || to.zone == network.partitioned)
-	if !separated && network.rng.Float64() >= network.lossRate {
+	acrossPartition := from.zone != to.zone && (from.zone == network.partitionedZone || to.zone == network.partitionedZone)
+	if !acrossPartition && network.rng.Float64() >= network.lossRate {
 		network.inTransit = append(network.inTransit, datagram{from: from, to: to, message: message})
 	}
 }
@@ -115,8 +115,8 @@
 // that were sent in the previous step, then calls Tick of every daemon. Every 100 ms it
 // also evaluates the tables.
 func (network *testNetwork) advance(d time.Duration) {
-	for end := network.now.Add(d); network.now.Before(end); {
-		network.now = network.now.Add(step)
+	for endTime := network.now.Add(d); network.now.Before(endTime); {
+		network.now = network.now.Add(stepDuration)
 		arrived := network.inTransit
 		network.inTransit = nil
 		for _, p := range arrived {
@@ -162,15 +162,15 @@
 // crashManyUpstreams crashes many upstreams at once, each while it runs four requests
 // that no other upstream runs. 500 ms later each of these requests receives a response
 // from another upstream, which shows that the request did not cause the crash.
-func (network *testNetwork) crashManyUpstreams(upstreams int) {
+func (network *testNetwork) crashManyUpstreams(upstreamCount int) {
 	const requests = 4
-	for i := range upstreams {
+	for i := range upstreamCount {
 		for j := range requests {
 			network.daemons[i%len(network.daemons)].Store.recordTestCrash(fmt.Sprintf("/crash/%d/%d", i, j), 1000+i)
 		}
 	}
 	network.advance(500 * time.Millisecond)
-	for i := range upstreams {
+	for i := range upstreamCount {
 		for j := range requests {
 			f := quarantine.FingerprintOf(newRequest(fmt.Sprintf("/crash/%d/%d", i, j)))
 			network.daemons[(3*i+j)%len(network.daemons)].Store.RecordResponse(f)
@@ -208,11 +208,11 @@
 func TestReconnectedZoneLearnsOfQuarantine(t *testing.T) {
 	const daemons = 100
 	network := newTestNetwork(daemons)
-	network.partitioned = "z0"
-	network.crashThreeUpstreams("/crashing", zones)
+	network.partitionedZone = "z0"
+	network.crashThreeUpstreams("/crashing", zoneCount)
 	network.advance(30 * time.Second)
-	require.Equal(t, daemons-daemons/zones, network.countRefusing("/crashing", ""))
-	network.partitioned = ""
+	require.Equal(t, daemons-daemons/zoneCount, network.countRefusing("/crashing", ""))
+	network.partitionedZone = ""
 	for _, d := range network.daemons {
 		d.ResetAntiEntropy() // as when the daemon reaches others again
 	}
@@ -303,7 +303,7 @@
 func TestMalformedMessagesAreIgnored(t *testing.T) {
 	s := newFleet(1).stores[0]
 	s.recordTestCrash("/crashing", 1)
-	before := s.Digest()
+	digestBefore := s.Digest()
 	for name, m := range map[string][]byte{
 		"empty": {}, "unknown kind": []byte("?xyz"), "short digest": []byte("o123"), "short summary": []byte("s123"),
 		"summary with a partial entry": append([]byte("s"), make([]byte, 2*prefixBytes+5)...), "request with a partial prefix": []byte("w123"), "truncated records": []byte("r123"),
@@ -312,5 +312,5 @@
 		require.Empty(t, replies, name)
 		require.False(t, inSync, name)
 	}
-	require.Equal(t, before, s.Digest())
+	require.Equal(t, digestBefore, s.Digest())
 }
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -55,9 +55,9 @@
 	// cachedChecksum is the checksum of the table at version checksumVersion.
 	cachedChecksum  uint64
 	checksumVersion uint64
-	// newCrash is set if RecordCrash was called since NextPush last returned a
+	// hasNewCrash is set if RecordCrash was called since NextPush last returned a
 	// message.
-	newCrash bool
+	hasNewCrash bool
 }
 
 // NewStore returns a Store with an empty table.
@@ -111,7 +111,7 @@
 	s.crashes.Inc(1)
 	s.update(func(now int64) {
 		s.table.RecordCrash(now, f, r, c)
-		s.newCrash = true
+		s.hasNewCrash = true
 	})
 }
 
@@ -123,9 +123,9 @@
 // Release ends the suspicion or quarantine of a request. It reports whether the
 // table had a record of the request.
 func (s *Store) Release(f quarantine.Fingerprint) bool {
-	known := false
-	s.update(func(now int64) { known = s.table.Release(now, f) })
-	return known
+	hadRecord := false
+	s.update(func(now int64) { hadRecord = s.table.Release(now, f) })
+	return hadRecord
 }
 
 // ListedRecord is a record of the table as listed for operators.
@@ -176,10 +176,10 @@
 // ended, and calls OnUpdate without holding s.mu.
 func (s *Store) update(f func(now int64)) {
 	s.mu.Lock()
-	before := s.table.Version()
+	versionBefore := s.table.Version()
 	now := s.now()
 	f(now)
-	changed := s.table.Version() != before
+	changed := s.table.Version() != versionBefore
 	if changed {
 		s.nonEmpty.Store(s.table.Len() > 0)
 		s.logChanges(now)
--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -18,8 +18,8 @@
 	Timeout time.Duration
 
 	mu sync.Mutex
-	// pending holds, for each stream, the batch that still accepts records.
-	pending map[string]*pendingBatch
+	// pendingByStream holds, for each stream, the batch that still accepts records.
+	pendingByStream map[string]*pendingBatch
 }
 
 const (
@@ -51,10 +51,10 @@
 // ends first, Append returns an AppendError with Uncertain set, because the merged
 // append is not cancelled and may still take effect.
 func (b *Batcher) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	joined, index := b.enqueue(stream, records)
+	batch, index := b.enqueue(stream, records)
 	select {
-	case <-joined.done:
-		return joined.firstOffset + Offset(index), joined.err
+	case <-batch.done:
+		return batch.firstOffset + Offset(index), batch.err
 	case <-ctx.Done():
 		return 0, &AppendError{Stream: stream, Uncertain: true, Err: ctx.Err()}
 	}
@@ -66,27 +66,27 @@
 func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.pending == nil {
-		b.pending = make(map[string]*pendingBatch)
+	if b.pendingByStream == nil {
+		b.pendingByStream = make(map[string]*pendingBatch)
 	}
-	current := b.pending[stream]
-	if current == nil || len(current.records)+len(records) > maxBatchRecords || current.bytes > maxBatchBytes {
-		current = &pendingBatch{done: make(chan struct{})}
-		b.pending[stream] = current
-		go b.flush(stream, current)
+	batch := b.pendingByStream[stream]
+	if batch == nil || len(batch.records)+len(records) > maxBatchRecords || batch.bytes > maxBatchBytes {
+		batch = &pendingBatch{done: make(chan struct{})}
+		b.pendingByStream[stream] = batch
+		go b.flush(stream, batch)
 	}
-	index := len(current.records)
-	current.records = append(current.records, records...)
+	index := len(batch.records)
+	batch.records = append(batch.records, records...)
 	for _, r := range records {
-		current.bytes += len(r)
+		batch.bytes += len(r)
 	}
-	return current, index
+	return batch, index
 }
 
 // flush waits for Window, then appends the records of the batch to the log, sets the
 // result of the batch and closes done. From the end of Window on, the batch accepts no
 // more records.
-func (b *Batcher) flush(stream string, current *pendingBatch) {
+func (b *Batcher) flush(stream string, batch *pendingBatch) {
 	window, timeout := b.Window, b.Timeout
 	if window <= 0 {
 		window = defaultWindow
@@ -96,13 +96,13 @@
 	}
 	time.Sleep(window)
 	b.mu.Lock()
-	if b.pending[stream] == current {
-		delete(b.pending, stream)
+	if b.pendingByStream[stream] == batch {
+		delete(b.pendingByStream, stream)
 	}
-	records := current.records
+	records := batch.records
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	current.firstOffset, current.err = b.Log.Append(ctx, stream, records)
-	close(current.done)
+	batch.firstOffset, batch.err = b.Log.Append(ctx, stream, records)
+	close(batch.done)
 }
--- a/recordlog/client.go
+++ b/recordlog/client.go
@@ -16,9 +16,9 @@
 
 // Client accesses the log over HTTP. It is safe for concurrent use.
 type Client struct {
-	// base is the URL prefix of all streams.
-	base string
-	http *http.Client
+	// baseURL is the URL prefix of all streams.
+	baseURL    string
+	httpClient *http.Client
 }
 
 const (
@@ -35,8 +35,8 @@
 // NewClient returns a Client for the log at an address (host:port).
 func NewClient(address string) *Client {
 	return &Client{
-		base: "http://" + address + "/v1/streams/",
-		http: &http.Client{
+		baseURL: "http://" + address + "/v1/streams/",
+		httpClient: &http.Client{
 			Timeout:       clientTimeout,
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 			Transport: &http.Transport{
@@ -70,7 +70,7 @@
 	if err != nil {
 		return 0, &AppendError{Stream: stream, Err: err}
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return 0, &AppendError{Stream: stream, Uncertain: !isDialError(err), Err: err}
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return Batch{}, err
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return Batch{}, fmt.Errorf("read %s: %w", stream, err)
 	}
@@ -119,12 +119,12 @@
 // isDialError reports whether err is a failure to connect. After such a failure, the
 // request has certainly not been sent.
 func isDialError(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
 // url returns the URL of the records of a stream.
-func (c *Client) url(stream string) string { return c.base + url.PathEscape(stream) + "/records" }
+func (c *Client) url(stream string) string { return c.baseURL + url.PathEscape(stream) + "/records" }
 
 // decode decodes a JSON response body of at most maxResponseBytes into v.
 func decode(r io.Reader, v any) error {
--- a/recordlog/faults.go
+++ b/recordlog/faults.go
@@ -57,14 +57,14 @@
 	if err := faults.inject(ctx); err != nil {
 		return 0, &AppendError{Stream: stream, Err: err}
 	}
-	first, err := f.Log.Append(ctx, stream, records)
+	firstOffset, err := f.Log.Append(ctx, stream, records)
 	if err == nil && faults.Duplicate > 0 {
 		_, err = f.Log.Append(ctx, stream, records)
 	}
 	if err == nil && faults.LoseReplies > 0 {
 		return 0, &AppendError{Stream: stream, Uncertain: true, Err: ErrReplyLost}
 	}
-	return first, err
+	return firstOffset, err
 }
 
 // Read implements Log.
--- a/recordlog/memory.go
+++ b/recordlog/memory.go
@@ -13,8 +13,8 @@
 	// Retention is how long records are kept. Zero means forever.
 	Retention time.Duration
 
-	mu      sync.Mutex
-	streams map[string]*memoryStream
+	mu           sync.Mutex
+	streamByName map[string]*memoryStream
 }
 
 type memoryStream struct {
@@ -32,23 +32,23 @@
 func (m *Memory) Append(_ context.Context, stream string, records [][]byte) (Offset, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.stream(stream)
-	first := s.next()
+	s := m.getOrCreateStream(stream)
+	firstOffset := s.nextOffset()
 	now := time.Now()
 	for _, r := range records {
 		s.records = append(s.records, memoryRecord{data: bytes.Clone(r), appendedAt: now})
 	}
-	m.expire(s)
-	return first, nil
+	m.dropExpired(s)
+	return firstOffset, nil
 }
 
 // Read implements Log.
 func (m *Memory) Read(_ context.Context, stream string, from Offset, limit int) (Batch, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.stream(stream)
-	m.expire(s)
-	b := Batch{Oldest: s.oldest, Next: s.next()}
+	s := m.getOrCreateStream(stream)
+	m.dropExpired(s)
+	b := Batch{Oldest: s.oldest, Next: s.nextOffset()}
 	if from < s.oldest {
 		return b, &TrimmedError{Stream: stream, Oldest: s.oldest}
 	}
@@ -62,16 +62,16 @@
 func (m *Memory) Trim(stream string, oldest Offset) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.stream(stream)
-	oldest = min(oldest, s.next())
+	s := m.getOrCreateStream(stream)
+	oldest = min(oldest, s.nextOffset())
 	if oldest > s.oldest {
 		s.records = s.records[oldest-s.oldest:]
 		s.oldest = oldest
 	}
 }
 
-// expire drops the records of s that are older than Retention. m.mu is held.
-func (m *Memory) expire(s *memoryStream) {
+// dropExpired drops the records of s that are older than Retention. m.mu is held.
+func (m *Memory) dropExpired(s *memoryStream) {
 	if m.Retention <= 0 {
 		return
 	}
@@ -82,19 +82,19 @@
 	}
 }
 
-// stream returns the stream with the given name, and creates it if it does not exist.
-// m.mu is held.
-func (m *Memory) stream(name string) *memoryStream {
-	if m.streams == nil {
-		m.streams = make(map[string]*memoryStream)
+// getOrCreateStream returns the stream with the given name, and creates it if it does
+// not exist. m.mu is held.
+func (m *Memory) getOrCreateStream(name string) *memoryStream {
+	if m.streamByName == nil {
+		m.streamByName = make(map[string]*memoryStream)
 	}
-	s := m.streams[name]
+	s := m.streamByName[name]
 	if s == nil {
 		s = &memoryStream{}
-		m.streams[name] = s
+		m.streamByName[name] = s
 	}
 	return s
 }
 
-// next returns the offset of the next record to be appended.
-func (s *memoryStream) next() Offset { return s.oldest + Offset(len(s.records)) }
+// nextOffset returns the offset of the next record to be appended.
+func (s *memoryStream) nextOffset() Offset { return s.oldest + Offset(len(s.records)) }
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -64,8 +64,8 @@
 	unusedAddress, err := loopback.UnusedAddress()
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
-		client    *Client
-		uncertain bool
+		client        *Client
+		wantUncertain bool
 	}{
 		"response lost": {newTestClient(t, Handler(lossyLog)), true},
 		"no connection": {NewClient(unusedAddress), false},
@@ -78,7 +78,7 @@
 			_, err := c.client.Append(t.Context(), "s", [][]byte{[]byte("a")})
 			var appendErr *AppendError
 			require.ErrorAs(t, err, &appendErr)
-			require.Equal(t, c.uncertain, appendErr.Uncertain, "%v", err)
+			require.Equal(t, c.wantUncertain, appendErr.Uncertain, "%v", err)
 		})
 	}
 }
@@ -153,7 +153,7 @@
 			})
 		}
 		wg.Wait()
-		require.Equal(t, 1, counting.appends)
+		require.Equal(t, 1, counting.appendCount)
 		batch, err := memory.Read(t.Context(), "s", 0, 100)
 		require.NoError(t, err)
 		for i, o := range offsets {
@@ -178,13 +178,13 @@
 func TestRateLimitedLogKeepsShareOfOneDaemon(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		memory := &Memory{}
-		limited := NewRateLimitedLog(memory)
-		limited.SetDaemonCount(1700)
+		limitedLog := NewRateLimitedLog(memory)
+		limitedLog.SetDaemonCount(1700)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
 		defer cancel()
 		var err error
 		for err == nil {
-			_, err = limited.Append(ctx, "s", [][]byte{[]byte("a")})
+			_, err = limitedLog.Append(ctx, "s", [][]byte{[]byte("a")})
 		}
 		require.ErrorIs(t, err, ErrRateLimited)
 		var appendErr *AppendError
@@ -198,10 +198,10 @@
 // countingLog wraps a Log and counts the appends to it.
 type countingLog struct {
 	Log
-	appends int
+	appendCount int
 }
 
 func (l *countingLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	l.appends++
+	l.appendCount++
 	return l.Log.Append(ctx, stream, records)
 }
