--- a/controltest/fleet_test.go
+++ b/controltest/fleet_test.go
@@ -46,11 +46,9 @@
 	incarnation uint64
 }
 
-const zoneCount = 5
+const nZones = 5
 
-func zone(i int) model.AvailabilityZone {
-	return model.AvailabilityZone(fmt.Sprint("zone-", i%zoneCount))
-}
+func zone(i int) model.AvailabilityZone { return model.AvailabilityZone(fmt.Sprint("zone-", i%nZones)) }
 
 func newFleet(ctx context.Context, size int) *fleet {
 	f := &fleet{ctx: ctx, network: controltest.NewNetwork(500 * time.Microsecond), inForceAt: map[model.Version][]time.Time{}}
--- a/owner/submission.go
+++ b/owner/submission.go
@@ -41,23 +41,23 @@
 		Group:  c.Group,
 		Digest: requestDigest(c, body),
 	}
-	begin := s.beginSubmission(ctx, req, c)
-	if begin.decision == claims.NotOwner {
+	result := s.beginSubmission(ctx, req, c)
+	if result.decision == claims.NotOwner {
 		// The sender may have read a grant or a transfer that this daemon has
 		// not read yet.
 		s.refresh(ctx)
-		begin = s.beginSubmission(ctx, req, c)
+		result = s.beginSubmission(ctx, req, c)
 	}
-	s.metrics.countDecision(begin.decision)
-	switch begin.decision {
+	s.metrics.countDecision(result.decision)
+	switch result.decision {
 	case claims.Run:
-		return awaitFirst(ctx, begin.execution)
+		return awaitFirst(ctx, result.execution)
 	case claims.InProgress:
-		return awaitEarlier(ctx, begin.execution, c.Timeout)
+		return awaitEarlier(ctx, result.execution, c.Timeout)
 	case claims.Replay:
-		return replayResponse(begin.response, true)
+		return replayResponse(result.response, true)
 	default:
-		return wire.NoResponse(outcomeOf(begin.decision))
+		return wire.NoResponse(outcomeOf(result.decision))
 	}
 }
 
