--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -30,21 +30,23 @@
 // Store enforces a daemon's shares of the ceilings. It is safe for concurrent
 // use.
 type Store struct {
-	opts     Options
-	self     ceiling.Daemon
+	opts Options
+	// selfHash is the hash of Options.Self that identifies this daemon in reports.
+	selfHash ceiling.Daemon
+	// refusals counts the requests that TryAcquire refused.
 	refusals tally.Counter
 	// unreadableDeltas counts deltas from peers that cannot be decoded.
 	unreadableDeltas tally.Counter
 
 	mu       sync.Mutex
 	ceilings map[ceiling.Key]*ceiling.Ceiling
-	// byHash holds the same ceilings by the keyHash of their key.
-	byHash map[uint64]*ceiling.Ceiling
-	// recent holds the reports that are relayed to other daemons. A report is
-	// removed after relayPeriod.
-	recent map[reportKey]recentReport
-	// deltaCount counts the non-empty results of Delta. It determines with which
-	// report the next result starts.
+	// ceilingByHash holds the same ceilings as the map ceilings, by keyHash.
+	ceilingByHash map[uint64]*ceiling.Ceiling
+	// recentReports holds the reports that are relayed to other daemons. A report is
+	// removed relayPeriod after this daemon made or received it.
+	recentReports map[reportKey]recentReport
+	// deltaCount counts the non-empty results of Delta. It determines the report
+	// with which the next result starts.
 	deltaCount uint64
 }
 
@@ -55,6 +57,7 @@
 	daemon      ceiling.Daemon
 }
 
+// recentReport is a report that is still relayed.
 type recentReport struct {
 	ceiling.Report
 	// addedAt is when this daemon made or received the report.
@@ -69,47 +72,49 @@
 	scope := telemetry.OrNoop(opts.Scope)
 	return &Store{
 		opts:             opts,
-		self:             ceiling.Daemon(xxhash.Sum64String(string(opts.Self))),
+		selfHash:         ceiling.Daemon(xxhash.Sum64String(string(opts.Self))),
 		refusals:         scope.Counter("refusals"),
 		unreadableDeltas: scope.Counter("reports_unread"),
 		ceilings:         make(map[ceiling.Key]*ceiling.Ceiling),
-		byHash:           make(map[uint64]*ceiling.Ceiling),
-		recent:           make(map[reportKey]recentReport),
+		ceilingByHash:    make(map[uint64]*ceiling.Ceiling),
+		recentReports:    make(map[reportKey]recentReport),
 	}
 }
 
-// Configure replaces the ceilings in force. A ceiling that was in force before
-// keeps its counts and the reports that it received.
+// Configure replaces the ceilings in force by ceilings with the given limits. A
+// ceiling whose key was already in force keeps its counts and the reports that it
+// received.
 func (s *Store) Configure(limits map[ceiling.Key]ceiling.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.ceilings
 	s.ceilings = make(map[ceiling.Key]*ceiling.Ceiling, len(limits))
-	clear(s.byHash)
+	clear(s.ceilingByHash)
 	for k, l := range limits {
 		hash := keyHash(k)
 		c := old[k]
 		if c == nil {
-			c = ceiling.New(s.opts.Now(), hash, s.self, l)
+			c = ceiling.New(s.opts.Now(), hash, s.selfHash, l)
 		}
 		c.SetLimits(l)
-		s.ceilings[k], s.byHash[hash] = c, c
+		s.ceilings[k], s.ceilingByHash[hash] = c, c
 	}
 }
 
-// TryAcquire admits a request of a group at a service, or refuses it. If ok is
-// true, the request is admitted, and release must be called when it has ended.
-// Otherwise wait is the Retry-After value for the caller.
-func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (release func(), wait time.Duration, ok bool) {
+// TryAcquire admits or refuses a request of a group to a service. If ok is true,
+// the request is admitted, and release must be called once when the request has
+// ended. Otherwise release is nil and wait is the Retry-After value for the caller.
+// A request without a ceiling is always admitted.
+func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (release func(), retryAfter time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.ceilings[ceiling.Key{Service: service, Group: group}]
 	if c == nil {
 		return noRelease, 0, true
 	}
-	if wait, ok = c.TryAcquire(s.opts.Now()); !ok {
+	if retryAfter, ok = c.TryAcquire(s.opts.Now()); !ok {
 		s.refusals.Inc(1)
-		return nil, wait, false
+		return nil, retryAfter, false
 	}
 	return func() {
 		s.mu.Lock()
@@ -120,6 +125,7 @@
 
 func noRelease() {}
 
+// tickInterval is the time between two updates of the shares.
 const tickInterval = 250 * time.Millisecond
 
 // Serve keeps the shares up to date until the context ends.
@@ -130,20 +136,21 @@
 // String names the service in the supervisor tree.
 func (s *Store) String() string { return "ceiling" }
 
-// tick updates the shares, adds the reports of this daemon that are due to recent,
-// and removes old reports from it.
+// tick updates the shares and adds this daemon's due reports to s.recentReports. It removes
+// the reports from s.recentReports that are older than relayPeriod or whose ceiling is no
+// longer in force.
 func (s *Store) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, timestamp := s.opts.Now(), uint64(s.opts.WallClock().UnixMilli())
 	for _, c := range s.ceilings {
 		if r, due := c.Tick(now, timestamp); due {
-			s.recent[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
+			s.recentReports[reportKey{r.Key, r.Daemon}] = recentReport{Report: r, addedAt: now}
 		}
 	}
-	for k, r := range s.recent {
-		if now.Sub(r.addedAt) > relayPeriod || s.byHash[k.ceilingHash] == nil {
-			delete(s.recent, k)
+	for k, r := range s.recentReports {
+		if now.Sub(r.addedAt) > relayPeriod || s.ceilingByHash[k.ceilingHash] == nil {
+			delete(s.recentReports, k)
 		}
 	}
 }
--- a/cmd/dottereltiller/trace.go
+++ b/cmd/dottereltiller/trace.go
@@ -23,7 +23,7 @@
 	var records []trace.Record
 	var fetchErrors []error
 	for _, address := range c.Admin {
-		r, err := trace.Fetch(ctx, address)
+		r, err := trace.FetchRecords(ctx, address)
 		if err != nil {
 			fetchErrors = append(fetchErrors, err)
 			continue
--- a/configuration/fleet_test.go
+++ b/configuration/fleet_test.go
@@ -25,22 +25,24 @@
 // fleet is a number of daemons. Each consists only of a configuration store and an
 // exchanger.
 type fleet struct {
-	t       testing.TB
-	ctx     context.Context
-	memory  *recordlog.Memory
-	log     *recordlog.FaultyLog
-	network *controltest.Network
-	peers   []peer.Peer
-	nodes   []*node
-	reads   atomic.Int64
-	appends atomic.Int64
+	t   testing.TB
+	ctx context.Context
+	// memory holds the records of log, without the faults that log injects.
+	memory     *recordlog.Memory
+	log        *recordlog.FaultyLog
+	network    *controltest.Network
+	peers      []peer.Peer
+	nodes      []*node
+	logReads   atomic.Int64
+	logAppends atomic.Int64
 
 	mu sync.Mutex
 	// inForceAt holds, for each version and node, when the node first put the
 	// version in force.
 	inForceAt map[model.Version]map[model.DaemonID]time.Time
-	// chains holds the hash chain of each version. All nodes must have the same.
-	chains map[model.Version]string
+	// chainByVersion holds the hash chain of each version, which must be the same at all
+	// nodes.
+	chainByVersion map[model.Version]string
 }
 
 type node struct {
@@ -51,17 +53,17 @@
 	incarnation uint64
 }
 
-const zones = 5
+const zoneCount = 5
 
-func startFleet(t testing.TB, ctx context.Context, size int) *fleet {
+func startFleet(t testing.TB, ctx context.Context, nodeCount int) *fleet {
 	f := &fleet{t: t, ctx: ctx, memory: &recordlog.Memory{}, network: controltest.NewNetwork(500 * time.Microsecond),
-		inForceAt: map[model.Version]map[model.DaemonID]time.Time{}, chains: map[model.Version]string{}}
+		inForceAt: map[model.Version]map[model.DaemonID]time.Time{}, chainByVersion: map[model.Version]string{}}
 	f.log = recordlog.NewFaultyLog(f.memory)
-	for i := range size {
-		f.peers = append(f.peers, peer.Peer{ID: model.DaemonID(fmt.Sprint("d", i)), Zone: zone(i % zones)})
+	for i := range nodeCount {
+		f.peers = append(f.peers, peer.Peer{ID: model.DaemonID(fmt.Sprint("d", i)), Zone: zone(i % zoneCount)})
 	}
 	for _, p := range f.peers {
-		n := &node{Peer: p, logConn: &controltest.LogConnection{Log: f.log, Reads: &f.reads, Appends: &f.appends}}
+		n := &node{Peer: p, logConn: &controltest.LogConnection{Log: f.log, Reads: &f.logReads, Appends: &f.logAppends}}
 		f.nodes = append(f.nodes, n)
 		f.start(n)
 	}
@@ -81,7 +83,7 @@
 		Log:  n.logConn,
 		Seed: seed,
 		IsLogReader: func() bool {
-			return time.Since(exchanger.LastRound()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, f.peers)
+			return time.Since(exchanger.LastRoundTime()) > 4*time.Second || peer.IsLogReader(n.ID, n.Zone, f.peers)
 		},
 		OnUpdate:           func() { exchanger.TriggerRound() },
 		CheckpointInterval: time.Minute,
@@ -104,8 +106,9 @@
 	go func() { _ = exchanger.Serve(ctx) }()
 }
 
-// recordInForce records that a node put a version in force. It requires that all
-// nodes have the same hash chain for the version.
+// recordInForce records that a node put version v in force. status is the status of the
+// node's store at that time. If status shows v, recordInForce requires that the hash
+// chain of v is the same as at the other nodes. status may already show a newer version.
 func (f *fleet) recordInForce(id model.DaemonID, v model.Version, status configuration.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,12 +121,13 @@
 	if status.Version != v {
 		return
 	}
-	if f.chains[v] != "" && f.chains[v] != status.Chain {
+	if f.chainByVersion[v] != "" && f.chainByVersion[v] != status.Chain {
 		f.t.Errorf("two changes were accepted as version %d", v)
 	}
-	f.chains[v] = status.Chain
+	f.chainByVersion[v] = status.Chain
 }
 
+// kill stops a node and makes it unreachable for the other nodes.
 func (f *fleet) kill(n *node) {
 	n.cancel()
 	f.network.Attach(n.Peer, nil)
@@ -146,7 +150,8 @@
 	}
 }
 
-// publish publishes a new document and requires that it is accepted.
+// publish publishes a new document with the given name and requires that the change is
+// accepted.
 func (f *fleet) publish(name string) operator.Result {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.ctx, time.Minute)
@@ -156,26 +161,27 @@
 	return res
 }
 
-// proposal returns a proposal that adds a document with a name.
+// proposal returns a proposal that adds a service document with the given name.
 func proposal(name string) operator.Proposal {
 	return operator.Proposal{Author: "op-" + name, Comment: "add " + name, Documents: []policy.Document{
 		{Kind: policy.KindService, Name: name, Spec: json.RawMessage(`{"deadline":"2s"}`)}}}
 }
 
-// delays returns the time from start until each node put a version in force, in
-// ascending order. It omits nodes that have not put the version in force.
-func (f *fleet) delays(v model.Version, start time.Time) []time.Duration {
+// delays returns, for each node, the time from startTime until the node first put a version
+// in force. The delays are in ascending order. Nodes that have not put the version in
+// force are omitted.
+func (f *fleet) delays(v model.Version, startTime time.Time) []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []time.Duration
-	for _, at := range f.inForceAt[v] {
-		out = append(out, at.Sub(start))
+	for _, inForceTime := range f.inForceAt[v] {
+		out = append(out, inForceTime.Sub(startTime))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// countInForce returns the number of nodes at which a version is in force.
+// countInForce returns the number of nodes at which a version is in force now.
 func (f *fleet) countInForce(v model.Version) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -186,6 +192,7 @@
 	return count
 }
 
+// percentile returns the p-quantile of durations in ascending order; p is from 0 to 1.
 func percentile(sorted []time.Duration, p float64) time.Duration {
 	return sorted[min(len(sorted)-1, int(float64(len(sorted))*p))]
 }
--- a/core/claims/bench_test.go
+++ b/core/claims/bench_test.go
@@ -23,7 +23,7 @@
 			var appendCount, appendedBytes, planCalls int
 			for b.Loop() {
 				appendCount, appendedBytes, planCalls = 0, 0, 0
-				l := NewLedger(DefaultRanges, 0)
+				l := NewLedger(DefaultRangeCount, 0)
 				planners := newPlanners(n)
 				offset := uint64(0)
 				start := Stamp(1_700_000_000_000)
@@ -55,7 +55,7 @@
 	}
 	planners := make([]*Planner, n)
 	for i, id := range ids {
-		planners[i] = NewPlanner(Owner{Daemon: id, Incarnation: uint64(i + 1)}, DefaultRanges, 60*time.Second)
+		planners[i] = NewPlanner(Owner{Daemon: id, Incarnation: uint64(i + 1)}, DefaultRangeCount, 60*time.Second)
 		planners[i].SetCandidates(ids)
 	}
 	return planners
@@ -94,7 +94,7 @@
 // BenchmarkCheckpoint reports the size of an encoded checkpoint of a Ledger in which
 // 1,700 daemons have requested grants.
 func BenchmarkCheckpoint(b *testing.B) {
-	l := NewLedger(DefaultRanges, 0)
+	l := NewLedger(DefaultRangeCount, 0)
 	for _, p := range newPlanners(1700) {
 		if g := p.Plan(l, 1_700_000_000_000); g != nil {
 			l.Apply(l.Next(), Record{Grant: g})
--- a/core/claims/key.go
+++ b/core/claims/key.go
@@ -22,9 +22,9 @@
 // determines its Range.
 type Range int
 
-// DefaultRanges is the number of ranges. All daemons of a deployment must use the
+// DefaultRangeCount is the number of ranges. All daemons of a deployment must use the
 // same number.
-const DefaultRanges = 1024
+const DefaultRangeCount = 1024
 
 // ErrKeyInvalid is returned for a key that is not a UUIDv7.
 var ErrKeyInvalid = errors.New("idempotency key is not a UUIDv7")
--- a/core/claims/ledger.go
+++ b/core/claims/ledger.go
@@ -92,12 +92,12 @@
 // Checkpoint is restored.
 func (l *Ledger) Next() uint64 { return l.next }
 
-// Complete reports whether the state includes all records below Next. It is false
+// IsComplete reports whether the state includes all records below Next. It is false
 // while the Ledger waits for a Checkpoint.
-func (l *Ledger) Complete() bool { return l.complete }
+func (l *Ledger) IsComplete() bool { return l.complete }
 
-// Ranges returns the number of ranges.
-func (l *Ledger) Ranges() int { return len(l.ranges) }
+// RangeCount returns the number of ranges.
+func (l *Ledger) RangeCount() int { return len(l.ranges) }
 
 // Apply applies the record at an offset. It ignores records at any offset other
 // than Next: earlier ones are already applied, and later ones would leave a gap.
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -202,9 +202,9 @@
 		if next >= len(w.log) {
 			return
 		}
-		complete := n.ledger.Complete()
+		complete := n.ledger.IsComplete()
 		n.ledger.Apply(uint64(next), w.log[next])
-		if !complete && n.ledger.Complete() {
+		if !complete && n.ledger.IsComplete() {
 			w.eventCounts["restored"]++
 		}
 	}
@@ -212,7 +212,7 @@
 
 // proposeGrant requests each range with probability 2/3. Its record may reach the log late or never.
 func (w *world) proposeGrant(n *node) {
-	if !n.ledger.Complete() || n.table.IsSealed() {
+	if !n.ledger.IsComplete() || n.table.IsSealed() {
 		return
 	}
 	g := &Grant{Owner: n.table.Self()}
@@ -386,7 +386,7 @@
 
 // checkpoint requests an append of a checkpoint of the node's ledger, if the ledger is complete.
 func (w *world) checkpoint(n *node) {
-	if n.ledger.Complete() {
+	if n.ledger.IsComplete() {
 		w.pendingAppends = append(w.pendingAppends, Record{Checkpoint: n.ledger.Checkpoint()})
 	}
 }
--- a/core/claims/planner.go
+++ b/core/claims/planner.go
@@ -104,7 +104,7 @@
 // Plan returns the Grant that the owner must append to the log now. It returns nil if
 // no Grant is needed or if the Ledger is incomplete.
 func (p *Planner) Plan(l *Ledger, now Stamp) *Grant {
-	if !l.Complete() {
+	if !l.IsComplete() {
 		return nil
 	}
 	if p.startedAt == 0 {
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -180,7 +180,7 @@
 		return Sealed, nil
 	}
 	stamp := r.ID.Key.Stamp()
-	interval, ownership := l.Lookup(r.ID.Key.Range(l.Ranges()), stamp)
+	interval, ownership := l.Lookup(r.ID.Key.Range(l.RangeCount()), stamp)
 	if ownership == Pruned {
 		return Expired, nil
 	}
--- a/core/member/directory.go
+++ b/core/member/directory.go
@@ -298,10 +298,10 @@
 	return live
 }
 
-// Logged records that an event was read from the log. From then on Unlogged does not
+// MarkLogged records that an event was read from the log. From then on Unlogged does not
 // return the stored event of that upstream, unless the stored event takes precedence
 // over the event from the log.
-func (d *Directory) Logged(e Event) {
+func (d *Directory) MarkLogged(e Event) {
 	stored, ok := d.events.get(e.Upstream.ID)
 	if ok && !stored.overrides(e) {
 		delete(d.unloggedSince, e.Upstream.ID)
--- a/core/member/liveness.go
+++ b/core/member/liveness.go
@@ -29,10 +29,10 @@
 	return d.ApplyLiveness(Liveness{Daemon: id, Incarnation: l.Incarnation, Health: Suspect})
 }
 
-// Answered records that a daemon responded with the given incarnation number. A
-// higher number than the known one makes the daemon alive. Answered returns false if
+// RecordResponse records that a daemon responded with the given incarnation number. A
+// higher number than the known one makes the daemon alive. RecordResponse returns false if
 // nothing changed: the number is not higher, or the daemon has no liveness record.
-func (d *Directory) Answered(id model.DaemonID, incarnation model.Incarnation) bool {
+func (d *Directory) RecordResponse(id model.DaemonID, incarnation model.Incarnation) bool {
 	l, known := d.liveness.get(id)
 	if !known || incarnation <= l.Incarnation {
 		return false
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -214,9 +214,9 @@
 	d.Apply(event("a", "d", 1, Joined))
 	d.Apply(event("b", "d", 1, Joined))
 	d.Tick(seconds(5), 6)
-	d.Logged(event("a", "d", 1, Joined))
+	d.MarkLogged(event("a", "d", 1, Joined))
 	d.Apply(event("b", "d", 1, Draining))
-	d.Logged(event("b", "d", 1, Joined))
+	d.MarkLogged(event("b", "d", 1, Joined))
 	require.Empty(t, d.Unlogged(time.Second), "the latest event of b has just arrived")
 	require.Len(t, d.Unlogged(0), 1)
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -52,7 +52,7 @@
 		Scope:       d.Metrics.Scope,
 		Logger:      d.logger,
 	})
-	d.PeerClient = peer.NewClientWithDial(d.settings.Peers.Secret, peer.Dial(d.peerDial()))
+	d.PeerClient = peer.NewClientWithDial(d.settings.Peers.Secret, peer.DialFunc(d.peerDial()))
 	d.Members = membership.NewRegistry(membership.Options{
 		Self:           d.ID(),
 		Zone:           d.settings.Zone,
@@ -100,7 +100,7 @@
 // interval. The few log readers of each availability zone always do so. Any other daemon
 // does so only while its last gossip round with a peer is older than maxRoundAge.
 func (d *Daemon) readsLogOften() bool {
-	if time.Since(d.Exchanger.LastRound()) > maxRoundAge {
+	if time.Since(d.Exchanger.LastRoundTime()) > maxRoundAge {
 		return true
 	}
 	return peer.IsLogReader(d.ID(), d.settings.Zone, d.Members.Peers())
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -15,7 +15,7 @@
 		Policy:    d.settings.Routing.Policy,
 		Zone:      d.settings.Zone,
 		Self:      d.ID(),
-		ZoneDelay: d.settings.Routing.Delays(),
+		ZoneDelay: d.settings.Routing.DelayDurations(),
 		Seed:      uint64(time.Now().UnixNano()),
 	})
 	routers.SetPolicySource(d.routingPolicy)
--- a/daemon/tracing_test.go
+++ b/daemon/tracing_test.go
@@ -39,7 +39,7 @@
 	paths := func() []string {
 		var records []trace.Record
 		for _, n := range d.Nodes {
-			r, err := trace.Fetch(t.Context(), n.Daemon.AdminAddress())
+			r, err := trace.FetchRecords(t.Context(), n.Daemon.AdminAddress())
 			require.NoError(t, err)
 			records = append(records, r...)
 		}
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -16,17 +16,17 @@
 	expiresAt time.Time
 }
 
-// Announce applies an event of a local upstream. duration is the duration of the
-// upstream's lease. If it is positive, the upstream has to renew the lease by
-// another announcement before the lease expires. The Registry marks an upstream
-// that does not do so as left. If duration is zero or negative, the lease never
-// expires.
+// Announce applies an event of a local upstream. If the event changes the view, Announce
+// also calls OnUpdate. duration is the duration of the upstream's lease. If duration is
+// positive, the upstream has to renew the lease by another announcement before the lease
+// expires; otherwise the Registry marks the upstream as left. If duration is zero or
+// negative, the lease never expires. An event with state Left ends the lease.
 func (r *Registry) Announce(e member.Event, duration time.Duration) {
 	r.mu.Lock()
 	if e.State == member.Left {
-		delete(r.leases, e.Upstream.ID)
+		delete(r.leaseByUpstream, e.Upstream.ID)
 	} else {
-		r.leases[e.Upstream.ID] = lease{event: e, duration: duration, expiresAt: time.Now().Add(duration)}
+		r.leaseByUpstream[e.Upstream.ID] = lease{event: e, duration: duration, expiresAt: time.Now().Add(duration)}
 	}
 	changed := r.directory.Announce(e)
 	r.mu.Unlock()
@@ -36,12 +36,12 @@
 	}
 }
 
-// DrainAll announces that every local upstream is draining. It is called before
-// this daemon stops.
+// DrainAll announces that every local upstream is draining, and renews the leases. It is
+// called before this daemon stops.
 func (r *Registry) DrainAll() {
 	r.mu.RLock()
-	leases := make([]lease, 0, len(r.leases))
-	for _, l := range r.leases {
+	leases := make([]lease, 0, len(r.leaseByUpstream))
+	for _, l := range r.leaseByUpstream {
 		leases = append(leases, l)
 	}
 	r.mu.RUnlock()
@@ -52,26 +52,27 @@
 }
 
 // expireLeases marks the upstreams whose lease has expired as left, and returns
-// their IDs. If this process was paused, expireLeases first extends every lease
-// by the pause, because no renewal could be received meanwhile. r.mu is held.
+// their IDs. If this process was paused since the last tick for longer than
+// tickInterval, expireLeases first extends every lease by the length of the pause,
+// because no renewal could be received during the pause. r.mu is held.
 func (r *Registry) expireLeases(now time.Time) []model.UpstreamID {
-	pause := now.Sub(r.lastTick) - tickInterval
-	paused := !r.lastTick.IsZero() && pause > tickInterval
+	pauseDuration := now.Sub(r.lastTick) - tickInterval
+	wasPaused := !r.lastTick.IsZero() && pauseDuration > tickInterval
 	r.lastTick = now
-	var expired []model.UpstreamID
-	for id, l := range r.leases {
-		if paused {
-			l.expiresAt = l.expiresAt.Add(pause)
-			r.leases[id] = l
+	var expiredIDs []model.UpstreamID
+	for id, l := range r.leaseByUpstream {
+		if wasPaused {
+			l.expiresAt = l.expiresAt.Add(pauseDuration)
+			r.leaseByUpstream[id] = l
 		}
 		if l.duration <= 0 || now.Before(l.expiresAt) {
 			continue
 		}
 		l.event.State = member.Left
 		r.directory.Announce(l.event)
-		delete(r.leases, id)
-		expired = append(expired, id)
+		delete(r.leaseByUpstream, id)
+		expiredIDs = append(expiredIDs, id)
 		r.metrics.expiredLeases.Inc(1)
 	}
-	return expired
+	return expiredIDs
 }
--- a/owner/service.go
+++ b/owner/service.go
@@ -21,14 +21,20 @@
 	// retryTimeouts may be changed by tests before the first call.
 	retryTimeouts retryTimeouts
 
-	mu         sync.Mutex
-	ledger     *claims.Ledger
-	table      *claims.Table
+	// mu guards the fields from ledger to lastCheckpointRead.
+	mu sync.Mutex
+	// ledger holds the owners of all keys, according to the records read from the
+	// log.
+	ledger *claims.Ledger
+	// table holds the claims of this owner.
+	table *claims.Table
+	// executions holds the executions in flight.
 	executions map[claims.ID]*execution
-	// suspectedOwners holds the incarnations of the owners that were found
-	// unreachable, and when.
-	suspectedOwners map[uint64]time.Time
-	// lastCheckpointRead is when a checkpoint was last read from the log.
+	// suspectedSince holds when an owner was last found unreachable, by the
+	// incarnation of the owner.
+	suspectedSince map[uint64]time.Time
+	// lastCheckpointRead is when a checkpoint was last read from the log. Before the
+	// first one it is the time of New.
 	lastCheckpointRead time.Time
 
 	// planner decides when to append a grant. It is used only by Serve.
@@ -37,16 +43,16 @@
 	// only by Serve.
 	candidates []model.DaemonID
 
-	// readLock is held during a read of the grants. It guards positioned,
+	// readLock is held during a read of the grants. It guards hasPosition,
 	// fromOldest, searchWindow and lastRead. It is a channel instead of a mutex, so
 	// that a context can end the wait for it.
 	readLock chan struct{}
-	// positioned is set while the ledger is at the offset of the next record to
+	// hasPosition is set while the ledger is at the offset of the next record to
 	// read. It is unset before the first read, and when the search for a checkpoint
 	// has to start again.
-	positioned bool
-	// fromOldest is set if that search started at the oldest record that the log
-	// keeps.
+	hasPosition bool
+	// fromOldest is set if the search for a checkpoint started at the oldest record
+	// that the log keeps.
 	fromOldest bool
 	// searchWindow is the number of newest records in which this daemon searches
 	// for a checkpoint.
@@ -71,7 +77,7 @@
 		ledger:             claims.NewLedger(o.Ranges, 0),
 		table:              claims.NewTable(self, o.Limits),
 		executions:         make(map[claims.ID]*execution),
-		suspectedOwners:    make(map[uint64]time.Time),
+		suspectedSince:     make(map[uint64]time.Time),
 		lastCheckpointRead: time.Now(),
 		readLock:           make(chan struct{}, 1),
 		searchWindow:       initialSearchWindow,
@@ -117,18 +123,19 @@
 // String names the service in the supervisor tree.
 func (s *Service) String() string { return "owner" }
 
-// Serve reads and renews grants until the context ends.
+// Serve reads and renews grants, appends checkpoints and removes expired claims until
+// the context ends.
 func (s *Service) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(s.opts.PollInterval)
 	defer ticker.Stop()
 	for {
 		s.refreshCandidates()
-		// If shouldRead is false, no grant or checkpoint is due.
+		// If shouldRead returns false, no grant or checkpoint is due either.
 		if s.shouldRead(ctx) {
 			s.readGrants(ctx)
 			s.renew(ctx)
 		}
-		s.expire()
+		s.expireClaims()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -143,16 +150,17 @@
 }
 
 // readsPerGrant is the number of reads of the grants in one grant duration. Between
-// two reads, the ledger may lag behind the log. Grants extend further into the future
-// than the next read, so the ledger usually still names the owner of a current key.
-// If the ledger names no owner, the request causes a read.
+// two reads, the ledger may lag behind the log. The grants in the ledger extend beyond
+// the time of the next read, so the ledger usually still names the owner of a key with
+// the current timestamp. If the ledger names no owner, the submission causes a read.
 const readsPerGrant = 6
 
-// shouldRead reports whether the grants have to be read. If not, the daemon saves a
-// read of the log in this poll interval. The grants have to be read in these cases:
+// shouldRead reports whether the grants have to be read in this poll interval, which is
+// so in these cases:
 //   - No read has reached the end of the log yet.
 //   - The ledger is incomplete.
-//   - A record seems due for an append. Another daemon may have appended it meanwhile.
+//   - A grant or a checkpoint seems due to be appended. The read shows whether another
+//     daemon has appended a record that makes it unnecessary.
 //   - The last read ended at least 1/readsPerGrant of a grant duration ago.
 //
 // If the context ends before the time of the last read is known, shouldRead returns
@@ -171,11 +179,12 @@
 func (s *Service) ledgerComplete() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Complete()
+	return s.ledger.IsComplete()
 }
 
-// renew appends a grant and a checkpoint if they are due. After each append it reads
-// the log, because only a read shows whether the append took effect.
+// renew appends a grant and a checkpoint, each if it is due. It appends nothing until a
+// read has reached the end of the log. After each successful append it reads the log,
+// because only a read shows whether the record took effect.
 func (s *Service) renew(ctx context.Context) {
 	if !s.caughtUp.Load() {
 		return
@@ -191,11 +200,13 @@
 	}
 }
 
-// dueRecords returns the records that are due to be appended.
+// dueRecords returns the grant and the checkpoint that this daemon has to append now, as
+// far as they are due. It returns none if the claim table is sealed or the ledger is
+// incomplete.
 func (s *Service) dueRecords() []claims.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.table.IsSealed() || !s.ledger.Complete() {
+	if s.table.IsSealed() || !s.ledger.IsComplete() {
 		return nil
 	}
 	var out []claims.Record
@@ -210,7 +221,8 @@
 	return out
 }
 
-// refreshCandidates passes the candidates to the planner if they have changed.
+// refreshCandidates passes the daemons that may own keys to the planner if they have
+// changed since the last call.
 func (s *Service) refreshCandidates() {
 	candidates := s.opts.Candidates()
 	slices.Sort(candidates)
@@ -220,8 +232,10 @@
 	}
 }
 
-// expire removes the claims whose retention has ended.
-func (s *Service) expire() {
+// expireClaims removes the claims whose retention has ended, and updates the gauges of the
+// claim table. It does nothing if the wall clock is wrong and shows a time no later than
+// the Unix epoch plus the retention.
+func (s *Service) expireClaims() {
 	now := s.currentTimestamp()
 	retention := claims.Stamp(s.opts.Retention.Milliseconds())
 	if now <= retention {
--- a/peer/client.go
+++ b/peer/client.go
@@ -26,8 +26,8 @@
 	options []connect.ClientOption
 }
 
-// Dial connects to an address and does the TLS handshake, if any.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc connects to an address and does the TLS handshake, if any.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewClient returns a Client that uses plain TCP and authenticates with the
 // secret.
@@ -37,7 +37,7 @@
 
 // NewClientWithDial returns a Client that connects with dial and authenticates
 // with the secret.
-func NewClientWithDial(secret string, dial Dial) *Client {
+func NewClientWithDial(secret string, dial DialFunc) *Client {
 	return &Client{
 		http: &http.Client{
 			Transport: &http.Transport{
--- a/peer/exchanger.go
+++ b/peer/exchanger.go
@@ -111,7 +111,7 @@
 	// topicNames are the keys of topics in the order of registration.
 	topicNames []string
 	neighbours neighbours
-	// lastRound is the time of the last successful round; see LastRound.
+	// lastRound is the time of the last successful round; see LastRoundTime.
 	lastRound time.Time
 }
 
@@ -178,9 +178,9 @@
 	}
 }
 
-// LastRound returns the time of the last successful round, started by this
+// LastRoundTime returns the time of the last successful round, started by this
 // daemon or by a peer. It is zero before the first successful round.
-func (e *Exchanger) LastRound() time.Time {
+func (e *Exchanger) LastRoundTime() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lastRound
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -15,24 +15,24 @@
 )
 
 // testNetwork connects daemons of several zones that exchange records in
-// virtual time. A message arrives one step after it was sent.
+// virtual time. A message arrives one stepDuration after it was sent.
 type testNetwork struct {
-	now     time.Time
-	rng     *rand.Rand
-	daemons []*testDaemon
-	byName  map[string]*testDaemon
-	// partitioned is a zone that exchanges no messages with other zones. Empty
+	now          time.Time
+	rng          *rand.Rand
+	daemons      []*testDaemon
+	daemonByName map[string]*testDaemon
+	// partitionedZone is a zone that exchanges no messages with other zones. Empty
 	// means none.
-	partitioned model.AvailabilityZone
+	partitionedZone model.AvailabilityZone
 	// lossRate is the fraction of messages that are lost.
 	lossRate float64
 
 	inTransit []datagram
 	// crossZoneBytes is the number of bytes sent between zones.
 	crossZoneBytes int
-	// sentBytes is the number of bytes sent by all daemons.
+	// sentBytes is the number of bytes sent by all daemons together.
 	sentBytes int
-	// maxSentBytes is the number of bytes sent by the daemon that sent most.
+	// maxSentBytes is the number of bytes sent by the daemon that sent the most.
 	maxSentBytes int
 }
 
@@ -41,8 +41,8 @@
 	name      string
 	zone      model.AvailabilityZone
 	sentBytes int
-	// others caches the result of testNetwork.others.
-	others []gossip.Member
+	// otherMembers caches the result of testNetwork.others.
+	otherMembers []gossip.Member
 }
 
 type datagram struct {
@@ -51,14 +51,14 @@
 }
 
 const (
-	step                = 20 * time.Millisecond
+	stepDuration        = 20 * time.Millisecond
 	maxTestMessageBytes = 1400
-	zones               = 5
+	zoneCount           = 5
 )
 
-func newTestNetwork(daemons int) *testNetwork {
-	network := &testNetwork{now: time.UnixMilli(1_000_000), rng: rand.New(rand.NewPCG(1, uint64(daemons))), byName: make(map[string]*testDaemon)}
-	for i := range daemons {
+func newTestNetwork(daemonCount int) *testNetwork {
+	network := &testNetwork{now: time.UnixMilli(1_000_000), rng: rand.New(rand.NewPCG(1, uint64(daemonCount))), daemonByName: make(map[string]*testDaemon)}
+	for i := range daemonCount {
 		network.addDaemon(i)
 	}
 	return network
@@ -66,7 +66,7 @@
 
 // addDaemon adds the daemon with index i.
 func (network *testNetwork) addDaemon(i int) {
-	d := &testDaemon{name: fmt.Sprint("d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zones))}
+	d := &testDaemon{name: fmt.Sprint("d", i), zone: model.AvailabilityZone(fmt.Sprint("z", i%zoneCount))}
 	d.Gossip = &Gossip{
 		Store: NewStore(Options{
 			Rule:      func(model.ServiceName) quarantine.Rule { return quarantine.Rule{Crashes: 3, Duration: time.Minute} },
@@ -76,26 +76,28 @@
 		Selector:        gossip.PeerSelector{Zone: d.zone, RandIntN: network.rng.IntN},
 		MaxMessageBytes: maxTestMessageBytes,
 		Members:         func() []gossip.Member { return network.others(d) },
-		Send:            func(to string, message []byte) { network.send(d, network.byName[to], message) },
+		Send:            func(to string, message []byte) { network.send(d, network.daemonByName[to], message) },
 	}
 	network.daemons = append(network.daemons, d)
-	network.byName[d.name] = d
+	network.daemonByName[d.name] = d
 }
 
 // others returns all daemons except d.
 func (network *testNetwork) others(d *testDaemon) []gossip.Member {
-	if len(d.others) == len(network.daemons)-1 {
-		return d.others
+	if len(d.otherMembers) == len(network.daemons)-1 {
+		return d.otherMembers
 	}
-	d.others = nil
+	d.otherMembers = nil
 	for _, o := range network.daemons {
 		if o != d {
-			d.others = append(d.others, gossip.Member{Address: o.name, Zone: o.zone})
+			d.otherMembers = append(d.otherMembers, gossip.Member{Address: o.name, Zone: o.zone})
 		}
 	}
-	return d.others
+	return d.otherMembers
 }
 
+// send counts the bytes of a message and puts the message in transit, unless it is lost
+// or crosses the boundary of the partitioned zone.
 func (network *testNetwork) send(from, to *testDaemon, message []byte) {
 	from.sentBytes += len(message)
 	network.sentBytes += len(message)
@@ -103,17 +105,18 @@
 	if from.zone != to.zone {
 		network.crossZoneBytes += len(message)
 	}
-	separated := from.zone != to.zone && (from.zone == network.partitioned || to.zone == network.partitioned)
-	if !separated && network.rng.Float64() >= network.lossRate {
+	acrossPartition := from.zone != to.zone && (from.zone == network.partitionedZone || to.zone == network.partitionedZone)
+	if !acrossPartition && network.rng.Float64() >= network.lossRate {
 		network.inTransit = append(network.inTransit, datagram{from: from, to: to, message: message})
 	}
 }
 
-// advance advances the clock step by step. In each step it delivers the messages
-// of the step before and calls Tick of every daemon.
+// advance advances the clock by d, step by step. In each step it delivers the messages
+// that were sent in the previous step, then calls Tick of every daemon. Every 100 ms it
+// also evaluates the tables.
 func (network *testNetwork) advance(d time.Duration) {
-	for end := network.now.Add(d); network.now.Before(end); {
-		network.now = network.now.Add(step)
+	for endTime := network.now.Add(d); network.now.Before(endTime); {
+		network.now = network.now.Add(stepDuration)
 		arrived := network.inTransit
 		network.inTransit = nil
 		for _, p := range arrived {
@@ -135,8 +138,8 @@
 	}
 }
 
-// countRefusing returns how many daemons of a zone refuse a request. An empty zone
-// means all zones.
+// countRefusing returns how many daemons of a zone refuse the request with a target. An
+// empty zone means all zones.
 func (network *testNetwork) countRefusing(target string, zone model.AvailabilityZone) int {
 	n := 0
 	for _, d := range network.daemons {
@@ -147,8 +150,8 @@
 	return n
 }
 
-// crashThreeUpstreams records three crashes of upstreams by one request, one a
-// second. The daemons that record them are stride positions apart.
+// crashThreeUpstreams records that one request crashed three upstreams, one every
+// second. The indexes of the daemons that record the crashes differ by stride.
 func (network *testNetwork) crashThreeUpstreams(target string, stride int) {
 	for i := range 3 {
 		network.daemons[(stride*i+1)%len(network.daemons)].Store.recordTestCrash(target, i)
@@ -156,18 +159,18 @@
 	}
 }
 
-// crashManyUpstreams crashes many upstreams at once, each while it runs several
-// requests. All of these requests receive a response from another upstream 500 ms
-// later. That shows that they did not cause the crashes.
-func (network *testNetwork) crashManyUpstreams(upstreams int) {
+// crashManyUpstreams crashes many upstreams at once, each while it runs four requests
+// that no other upstream runs. 500 ms later each of these requests receives a response
+// from another upstream, which shows that the request did not cause the crash.
+func (network *testNetwork) crashManyUpstreams(upstreamCount int) {
 	const requests = 4
-	for i := range upstreams {
+	for i := range upstreamCount {
 		for j := range requests {
 			network.daemons[i%len(network.daemons)].Store.recordTestCrash(fmt.Sprintf("/crash/%d/%d", i, j), 1000+i)
 		}
 	}
 	network.advance(500 * time.Millisecond)
-	for i := range upstreams {
+	for i := range upstreamCount {
 		for j := range requests {
 			f := quarantine.FingerprintOf(newRequest(fmt.Sprintf("/crash/%d/%d", i, j)))
 			network.daemons[(3*i+j)%len(network.daemons)].Store.RecordResponse(f)
@@ -200,16 +203,16 @@
 }
 
 // TestReconnectedZoneLearnsOfQuarantine quarantines a request while a zone is
-// partitioned from the others. Once reconnected, the zone must refuse the
-// request within two seconds.
+// partitioned from the others. The daemons of the zone must not refuse the request
+// until the zone is reconnected, and must then refuse it within two seconds.
 func TestReconnectedZoneLearnsOfQuarantine(t *testing.T) {
 	const daemons = 100
 	network := newTestNetwork(daemons)
-	network.partitioned = "z0"
-	network.crashThreeUpstreams("/crashing", zones)
+	network.partitionedZone = "z0"
+	network.crashThreeUpstreams("/crashing", zoneCount)
 	network.advance(30 * time.Second)
-	require.Equal(t, daemons-daemons/zones, network.countRefusing("/crashing", ""))
-	network.partitioned = ""
+	require.Equal(t, daemons-daemons/zoneCount, network.countRefusing("/crashing", ""))
+	network.partitionedZone = ""
 	for _, d := range network.daemons {
 		d.ResetAntiEntropy() // as when the daemon reaches others again
 	}
@@ -217,9 +220,10 @@
 	require.Equal(t, daemons, network.countRefusing("/crashing", ""))
 }
 
-// TestBytesSentGrowWithChanges crashes many upstreams at once. The bytes that a
-// daemon sends must stay bounded, and the bytes between zones must grow with
-// the number of zones and records rather than daemons.
+// TestBytesSentGrowWithChanges crashes the same number of upstreams at once in networks
+// of 10 to 1,000 daemons. No daemon may send more than its budget. The bytes sent
+// between zones must be fewer for each of 1,000 daemons than for each of 10 daemons,
+// because they depend on the numbers of zones and records.
 func TestBytesSentGrowWithChanges(t *testing.T) {
 	const (
 		upstreams = 30
@@ -244,9 +248,9 @@
 func TestDaemonsInSyncSendLittle(t *testing.T) {
 	const (
 		daemons = 100
-		// maxIdleBytes bounds the bytes that all daemons send in ten seconds.
-		// Each daemon sends one digest and receives one reply that the tables
-		// are equal. The sum is doubled for random variation.
+		// maxIdleBytes bounds the bytes that all daemons together send in ten
+		// seconds. On average, each daemon sends one digest and one reply that the
+		// tables are equal. The sum is doubled to allow for random variation.
 		maxIdleBytes = 2 * daemons * (1 + digestBytes + 1)
 	)
 	network := newTestNetwork(daemons)
@@ -262,7 +266,8 @@
 }
 
 // TestNewDaemonLearnsOfQuarantine starts a daemon that sends its digest to one
-// other daemon. It must refuse the quarantined request 100 ms later.
+// other daemon. 100 ms later the new daemon must refuse the quarantined request, like
+// all others.
 func TestNewDaemonLearnsOfQuarantine(t *testing.T) {
 	network := newTestNetwork(20)
 	network.crashThreeUpstreams("/crashing", 7)
@@ -273,8 +278,9 @@
 	require.Equal(t, 21, network.countRefusing("/crashing", ""))
 }
 
-// TestFullTablesConverge records more crashes than a table holds. The daemons must
-// still keep the same records, and then send almost nothing.
+// TestFullTablesConverge records crashes by more requests than a table holds. All daemons
+// must end up with the same records, and must then send fewer than 1,000 bytes together
+// in ten seconds.
 func TestFullTablesConverge(t *testing.T) {
 	network := newTestNetwork(5)
 	for i := range 1200 {
@@ -297,7 +303,7 @@
 func TestMalformedMessagesAreIgnored(t *testing.T) {
 	s := newFleet(1).stores[0]
 	s.recordTestCrash("/crashing", 1)
-	before := s.Digest()
+	digestBefore := s.Digest()
 	for name, m := range map[string][]byte{
 		"empty": {}, "unknown kind": []byte("?xyz"), "short digest": []byte("o123"), "short summary": []byte("s123"),
 		"summary with a partial entry": append([]byte("s"), make([]byte, 2*prefixBytes+5)...), "request with a partial prefix": []byte("w123"), "truncated records": []byte("r123"),
@@ -306,5 +312,5 @@
 		require.Empty(t, replies, name)
 		require.False(t, inSync, name)
 	}
-	require.Equal(t, before, s.Digest())
+	require.Equal(t, digestBefore, s.Digest())
 }
--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Batcher is a Log that merges appends to the same stream that arrive within
-// Window into one append. It is safe for concurrent use.
+// Batcher is a Log that merges appends to the same stream into one append if they
+// arrive within Window. It is safe for concurrent use.
 type Batcher struct {
+	// Log receives the merged appends. Reads go to it unchanged.
 	Log
 	// Window is how long the first append of a batch waits for others to be
 	// merged with it. Default: 10ms.
@@ -16,8 +17,9 @@
 	// Timeout is the time limit of a merged append. Default: 3s.
 	Timeout time.Duration
 
-	mu      sync.Mutex
-	pending map[string]*pendingBatch
+	mu sync.Mutex
+	// pendingByStream holds, for each stream, the batch that still accepts records.
+	pendingByStream map[string]*pendingBatch
 }
 
 const (
@@ -26,7 +28,8 @@
 	// maxBatchRecords is the largest number of records in a batch of several
 	// appends. A single append with more records forms a batch of its own.
 	maxBatchRecords = 256
-	// maxBatchBytes is the size above which a batch accepts no further append.
+	// maxBatchBytes is the total size of records above which a batch accepts no more
+	// appends. The append that exceeds this size still belongs to the batch.
 	maxBatchBytes = 1 << 20
 )
 
@@ -37,51 +40,53 @@
 	bytes int
 	// done is closed when the merged append has ended.
 	done chan struct{}
-	// firstOffset is the offset of the first record. It is set before done is
-	// closed.
+	// firstOffset is the offset of records[0] in the stream. It is set before done
+	// is closed.
 	firstOffset Offset
 	// err is the error of the merged append. It is set before done is closed.
 	err error
 }
 
-// Append implements Log. If the context ends before the merged append does,
-// Append returns an AppendError with Uncertain set, because the records may
-// still be appended.
+// Append implements Log. It waits until the merged append has ended. If the context
+// ends first, Append returns an AppendError with Uncertain set, because the merged
+// append is not cancelled and may still take effect.
 func (b *Batcher) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
-	joined, index := b.enqueue(stream, records)
+	batch, index := b.enqueue(stream, records)
 	select {
-	case <-joined.done:
-		return joined.firstOffset + Offset(index), joined.err
+	case <-batch.done:
+		return batch.firstOffset + Offset(index), batch.err
 	case <-ctx.Done():
 		return 0, &AppendError{Stream: stream, Uncertain: true, Err: ctx.Err()}
 	}
 }
 
-// enqueue adds the records to the pending batch of the stream. If there is none or
-// it has no room, it starts a new batch. It returns the batch and the index of
-// records[0] in it.
+// enqueue adds the records to the pending batch of the stream. If there is no pending
+// batch or it is too large, enqueue starts a new one and its flush. It returns the batch
+// and the index of records[0] in the batch.
 func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.pending == nil {
-		b.pending = make(map[string]*pendingBatch)
+	if b.pendingByStream == nil {
+		b.pendingByStream = make(map[string]*pendingBatch)
 	}
-	current := b.pending[stream]
-	if current == nil || len(current.records)+len(records) > maxBatchRecords || current.bytes > maxBatchBytes {
-		current = &pendingBatch{done: make(chan struct{})}
-		b.pending[stream] = current
-		go b.flush(stream, current)
+	batch := b.pendingByStream[stream]
+	if batch == nil || len(batch.records)+len(records) > maxBatchRecords || batch.bytes > maxBatchBytes {
+		batch = &pendingBatch{done: make(chan struct{})}
+		b.pendingByStream[stream] = batch
+		go b.flush(stream, batch)
 	}
-	index := len(current.records)
-	current.records = append(current.records, records...)
+	index := len(batch.records)
+	batch.records = append(batch.records, records...)
 	for _, r := range records {
-		current.bytes += len(r)
+		batch.bytes += len(r)
 	}
-	return current, index
+	return batch, index
 }
 
-// flush waits for Window, then appends the records of the batch to the log.
-func (b *Batcher) flush(stream string, current *pendingBatch) {
+// flush waits for Window, then appends the records of the batch to the log, sets the
+// result of the batch and closes done. From the end of Window on, the batch accepts no
+// more records.
+func (b *Batcher) flush(stream string, batch *pendingBatch) {
 	window, timeout := b.Window, b.Timeout
 	if window <= 0 {
 		window = defaultWindow
@@ -91,13 +96,13 @@
 	}
 	time.Sleep(window)
 	b.mu.Lock()
-	if b.pending[stream] == current {
-		delete(b.pending, stream)
+	if b.pendingByStream[stream] == batch {
+		delete(b.pendingByStream, stream)
 	}
-	records := current.records
+	records := batch.records
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	current.firstOffset, current.err = b.Log.Append(ctx, stream, records)
-	close(current.done)
+	batch.firstOffset, batch.err = b.Log.Append(ctx, stream, records)
+	close(batch.done)
 }
--- a/settings/routing.go
+++ b/settings/routing.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Delays returns ZoneDelays as values of type time.Duration, for routing.Options.
-func (r Routing) Delays() map[model.AvailabilityZone]time.Duration {
+// DelayDurations returns ZoneDelays as values of type time.Duration, for routing.Options.
+func (r Routing) DelayDurations() map[model.AvailabilityZone]time.Duration {
 	out := make(map[model.AvailabilityZone]time.Duration, len(r.ZoneDelays))
 	for zone, d := range r.ZoneDelays {
 		out[zone] = time.Duration(d)
--- a/trace/handler.go
+++ b/trace/handler.go
@@ -31,9 +31,9 @@
 	return out
 }
 
-// Fetch reads the records that a daemon holds in Tracer.Recent from the admin
+// FetchRecords reads the records that a daemon holds in Tracer.Recent from the admin
 // address (host:port) of the daemon.
-func Fetch(ctx context.Context, address string) ([]Record, error) {
+func FetchRecords(ctx context.Context, address string) ([]Record, error) {
 	var records []Record
 	err := admin.Get(ctx, address, "/traces", &records)
 	return records, err
