--- a/bubble/bubble.go
+++ b/bubble/bubble.go
@@ -1,13 +1,13 @@
 // Package bubble runs tests in virtual time, in a bubble: a group of goroutines with a clock of its
 // own, which advances only while all of them are blocked.
 //
-// It uses testing/synctest with GOMAXPROCS set to 1, to work around a bug: the race detector of Go
-// 1.26 keeps one context, like the one that it keeps for each goroutine, for all timers of a
-// bubble. If a channel timer expires while no goroutine is blocked on it, it fires in the goroutine
-// that receives from the timer next. Two such goroutines that run in parallel corrupt the context,
-// and the race detector crashes the process. With one processor goroutines cannot run in parallel.
-// They still interleave, and the detector still finds races, because it uses the order of events
-// and not the time.
+// It uses testing/synctest with GOMAXPROCS set to 1, to work around a bug. The race detector of Go
+// 1.26 keeps a context for each goroutine, but only one context for all timers of a bubble. If a
+// channel timer expires while no goroutine is blocked on it, it fires in the goroutine that receives
+// from the timer next. Two such goroutines that run in parallel corrupt the context, and the race
+// detector crashes the process. With one processor goroutines cannot run in parallel. They still
+// interleave, and the detector still finds races, because it uses the order of events and not the
+// time.
 package bubble
 
 import (
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -5,7 +5,11 @@
 // execute.
 //
 // The package compares the responses to callers with the executions at the upstreams to check these
-// invariants: every response is complete and belongs to its request, no request reported as not run
-// has run, no non-idempotent request ran twice, and all daemons have the same configuration version
-// in force.
+// invariants:
+//   - Every response is complete and belongs to its request.
+//   - Every answered request has run.
+//   - No request reported as not run has run.
+//   - No non-idempotent request ran more than once.
+//   - No request ran that was never sent.
+//   - All daemons have the same configuration version in force.
 package demo
--- a/hop/pool.go
+++ b/hop/pool.go
@@ -109,8 +109,8 @@
 }
 
 // get returns an idle connection that can be reused, or else a new connection.
-// The values of maxIdle are those of PoolRequest.MaxIdleTime. Each idle connection
-// that get finds unusable is closed.
+// maxIdle has the meaning of PoolRequest.MaxIdleTime. Each idle connection that get
+// finds unusable is closed.
 func (p *Pool) get(ctx context.Context, maxIdle time.Duration) (*pooledConn, error) {
 	for maxIdle >= 0 {
 		c := p.popIdle()
--- a/inbound/doc.go
+++ b/inbound/doc.go
@@ -3,9 +3,8 @@
 // the server or by the client, and it reports panics of handlers.
 //
 // A server may close a connection as idle just after it has read a request from
-// the connection. net/http does not report this close to the handler.
-// Without this package, the request would be forwarded, and its client would get no
-// response.
+// the connection. net/http does not report this close to the handler. Without this
+// package, the request would be forwarded, and its client would get no response.
 //
 // If the client closes the connection, net/http reports the close late on a busy
 // processor. Without this package, the request would be forwarded although nobody
--- a/loopback/loopback.go
+++ b/loopback/loopback.go
@@ -60,8 +60,7 @@
 
 // OwnNetwork returns N of the network 127.N.0.0/16 of this process. The first
 // call claims the network; N is from 20 to 99. All test processes claim theirs from
-// these 80 networks.
-// The error is that of ClaimNetwork.
+// these 80 networks. The error is that of ClaimNetwork.
 var OwnNetwork = sync.OnceValues(func() (int, error) {
 	const first, networkCount = 20, 80
 	return ClaimNetwork(first, networkCount)
--- a/soak/check.go
+++ b/soak/check.go
@@ -87,8 +87,9 @@
 	// of these crashes.
 	quarantineThreshold = 3
 	// maxLateCrashes is the number of late crashes that one request may cause. A crash is late if
-	// its attempt was sent to an undisturbed VM more than quietPeriod after the number of crashes
-	// reached quarantineThreshold.
+	// its attempt was sent more than quietPeriod after the number of crashes reached
+	// quarantineThreshold. The VM to which the attempt was sent must also be undisturbed when the
+	// crash is counted.
 	maxLateCrashes = 3
 	// poisonAttemptPrefix starts the attempt ids of requests that crash upstreams.
 	poisonAttemptPrefix = "poison-"
@@ -227,8 +228,8 @@
 	return rec != nil && rec.executions > 0
 }
 
-// checkResponse checks the response to an attempt. It also records in the request's record whether
-// the response tells the caller that the request did not run.
+// checkResponse checks the response to an attempt. It also records in the record of the attempt
+// if the response tells the caller that the request did not run.
 func (c *checker) checkResponse(attempt string, r platformtest.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -70,7 +70,7 @@
 }
 
 // TestCheckerFindsViolations guards against a checker that misses a kind of violation, and against
-// one that reports violations of allowed behaviour.
+// one that reports allowed behaviour as a violation.
 func TestCheckerFindsViolations(t *testing.T) {
 	body, seal := platformtest.ResponseBody("x")
 	complete := platformtest.Result{Status: 200, Body: body, Seal: seal, Attempt: "x"}
--- a/soak/start_test.go
+++ b/soak/start_test.go
@@ -10,10 +10,10 @@
 )
 
 // TestHangupBeforeHandlerIsInstalled guards against a reload (SIGHUP) that ends a daemon which has
-// just been restarted. The test starts a program that installs no handler: SIGHUP must end the program
-// after startDefault and not after startIgnoringHangup. Afterwards the test process must not ignore
-// SIGHUP. Only restarts ignore SIGHUP. If first starts ignored SIGHUP as well, a daemon that never
-// installs a handler would go unnoticed.
+// just been restarted. The test starts a program that installs no handler. SIGHUP must end the
+// program if startDefault started it, and must not end it if startIgnoringHangup did. Afterwards the
+// test process must not ignore SIGHUP. Only restarts ignore SIGHUP. If first starts ignored SIGHUP
+// as well, a daemon that never installs a handler would go unnoticed.
 func TestHangupBeforeHandlerIsInstalled(t *testing.T) {
 	if signal.Ignored(syscall.SIGHUP) {
 		t.Skip("the test itself was started with SIGHUP ignored")
--- a/trace/span.go
+++ b/trace/span.go
@@ -31,8 +31,8 @@
 	return ctx, Span{span: span}
 }
 
-// Inject sets the traceparent header to the trace ID and span ID of the span in
-// ctx and its sampled flag. It leaves the headers unchanged when ctx has no span.
+// Inject sets the traceparent header to the trace ID, the span ID and the sampled
+// flag of the span in ctx. It leaves the headers unchanged when ctx has no span.
 func Inject(ctx context.Context, h http.Header) {
 	if oteltrace.SpanContextFromContext(ctx).IsValid() {
 		propagator.Inject(ctx, propagation.HeaderCarrier(h))
