--- a/ceiling/store.go
+++ b/ceiling/store.go
@@ -103,8 +103,8 @@
 
 // TryAcquire admits or refuses a request of a group to a service. If ok is true,
 // the request is admitted, and release must be called once when the request has
-// ended. Otherwise release is nil and wait is the Retry-After value for the caller.
-// A request without a ceiling is always admitted.
+// ended. Otherwise release is nil and retryAfter is the Retry-After value for the
+// caller. A request without a ceiling is always admitted.
 func (s *Store) TryAcquire(service model.ServiceName, group model.GroupName) (release func(), retryAfter time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -19,7 +19,7 @@
 	"github.com/dottereltiller/dottereltiller/recordlog"
 )
 
-// runWithFleet starts a fleet of size daemons in virtual time, runs a test on it, and
+// runWithFleet starts a fleet of nodeCount daemons in virtual time, runs a test on it, and
 // stops it.
 func runWithFleet(t *testing.T, nodeCount int, test func(t *testing.T, f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
--- a/membership/check.go
+++ b/membership/check.go
@@ -75,7 +75,8 @@
 // checkLiveness pings a daemon directly and, if there is no response, through helpers.
 // If a helper responds but none reaches the daemon, it marks the daemon as suspect. If
 // helpers were asked and none of them responds, the check is inconclusive and changes
-// nothing.
+// nothing. If there are no helpers to ask, the failed direct ping is sufficient to mark
+// the daemon as suspect.
 func (r *Registry) checkLiveness(ctx context.Context, d model.DaemonID) {
 	if r.pingDirectly(ctx, d) {
 		r.metrics.checksDirect.Inc(1)
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -222,8 +222,8 @@
 func (r *Registry) Peers() []peer.Peer { return r.currentPeerLists().alivePeers }
 
 // DeadPeers returns the daemons that are considered dead and have upstreams that have not
-// left. This daemon has to contact one of them occasionally: only in this way do the two
-// sides of a partition find each other again after the partition has healed.
+// left. This daemon has to contact one of them occasionally: in this way the two sides of
+// a partition find each other again after the partition has healed.
 func (r *Registry) DeadPeers() []peer.Peer { return r.currentPeerLists().deadPeers }
 
 // currentPeerLists returns the lists of the current generation. It rebuilds them if the
--- a/membership/registry_test.go
+++ b/membership/registry_test.go
@@ -60,10 +60,12 @@
 		messagesAfter, _ := f.network.Traffic()
 		f.waitFor(t, 3*time.Second, "all views agree", func() bool { return f.countDistinctDigests() == 1 })
 		require.Equal(t, 40*40, f.countEligible(f.nodes, "s"))
-		// The bound is for 40 daemons over 5 s. In each of 7 regular rounds a daemon
-		// contacts 2 peers. In each triggered round it contacts 5 peers. A daemon
-		// starts at most 2 triggered rounds a second, after a burst of 4, plus 1
-		// more. An exchange with a peer takes at most 2 messages.
+		// The bound is for 40 daemons over 5 s. The regular rounds of a daemon start
+		// at least 0.8 s apart, so at most 7 start in 5 s. Each contacts 2 peers. A
+		// triggered round contacts 5 peers. The rate limit allows 2 triggered rounds a
+		// second and a burst of 4, and the bound adds 1. An exchange with a peer takes
+		// at most 2 messages. Pings count as messages too, but the bound has no term
+		// for them.
 		require.Less(t, messagesAfter-messagesBefore, 40*2*(2*7+5*(2*5+4+1)))
 	})
 }
--- a/owner/service.go
+++ b/owner/service.go
@@ -51,8 +51,8 @@
 	// read. It is unset before the first read, and when the search for a checkpoint
 	// has to start again.
 	hasPosition bool
-	// fromOldest is set if the search for a checkpoint started at the oldest record
-	// that the log keeps.
+	// fromOldest is set if the last search for a checkpoint started at the oldest
+	// record that the log then kept.
 	fromOldest bool
 	// searchWindow is the number of newest records in which this daemon searches
 	// for a checkpoint.
@@ -155,8 +155,8 @@
 // the current timestamp. If the ledger names no owner, the submission causes a read.
 const readsPerGrant = 6
 
-// shouldRead reports whether the grants have to be read in this poll interval, which is
-// so in these cases:
+// shouldRead reports whether the grants have to be read in this poll interval. If not,
+// the daemon saves a read of the log. The grants have to be read in these cases:
 //   - No read has reached the end of the log yet.
 //   - The ledger is incomplete.
 //   - A grant or a checkpoint seems due to be appended. The read shows whether another
