--- a/configuration/store.go
+++ b/configuration/store.go
@@ -30,7 +30,7 @@
 	// Interval is the time between two reads of the log by a log reader.
 	// Default: 200ms.
 	Interval time.Duration
-	// IdleInterval is the time between two reads by a daemon that receives
+	// IdleInterval is the time between two reads of the log by a daemon that receives
 	// updates from its peers. Default: 15s.
 	IdleInterval time.Duration
 	// CheckpointInterval is the longest time after a checkpoint until the next one
--- a/configuration/store_test.go
+++ b/configuration/store_test.go
@@ -57,12 +57,12 @@
 				time.Sleep(20 * time.Second)
 				c.fault(f)
 				time.Sleep(20 * time.Second)
-				res := f.publish("second")
+				published := f.publish("second")
 				acceptedAt := time.Now()
 				time.Sleep(c.maxDelay)
 				synctest.Wait()
-				require.Equal(t, c.wantDaemonCount, f.countInForce(res.Version))
-				require.LessOrEqual(t, percentile(f.delays(res.Version, acceptedAt), 1), c.maxDelay)
+				require.Equal(t, c.wantDaemonCount, f.countInForce(published.Version))
+				require.LessOrEqual(t, percentile(f.delays(published.Version, acceptedAt), 1), c.maxDelay)
 			})
 		})
 	}
@@ -72,14 +72,14 @@
 	runWithFleet(t, 60, func(t *testing.T, f *fleet) {
 		f.publish("first")
 		time.Sleep(20 * time.Second)
-		res := f.publish("second")
-		for f.countInForce(res.Version) == 0 {
+		published := f.publish("second")
+		for f.countInForce(published.Version) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		f.log.SetFaults(recordlog.Faults{Down: true})
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 60, f.countInForce(res.Version), "the daemon that had read the change relayed it")
+		require.Equal(t, 60, f.countInForce(published.Version), "the daemon that had read the change relayed it")
 	})
 }
 
@@ -89,15 +89,15 @@
 		time.Sleep(20 * time.Second)
 		f.partitionZone(zone(2), true)
 		time.Sleep(time.Minute)
-		res := f.publish("second")
+		published := f.publish("second")
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, 40, f.countInForce(res.Version))
+		require.Equal(t, 40, f.countInForce(published.Version))
 		require.Equal(t, 10, f.countInForce(1), "the partitioned zone keeps serving its version")
 		f.partitionZone(zone(2), false)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, 50, f.countInForce(res.Version))
+		require.Equal(t, 50, f.countInForce(published.Version))
 	})
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -140,7 +140,7 @@
 		MaxKeyedBody: s.Keys.MaxBodyBytes,
 	})
 	d.buildServers()
-	d.supervisor.Add(&gauges{daemon: d, scope: d.Metrics.Scope})
+	d.supervisor.Add(&gaugeUpdater{daemon: d, scope: d.Metrics.Scope})
 	for _, c := range []component{d.Config, d.Members, d.Exchanger, d.Guard, d.Owner, d.Quarantine, d.Ceilings, d.callerServer, d.peerServer, d.adminServer} {
 		d.supervisor.Add(c)
 	}
--- a/daemon/gauges.go
+++ b/daemon/gauges.go
@@ -10,25 +10,25 @@
 
 const gaugeInterval = time.Second
 
-// gauges is the component that updates the daemon's gauges.
-type gauges struct {
+// gaugeUpdater is the component that updates the daemon's gauges.
+type gaugeUpdater struct {
 	daemon *Daemon
 	scope  tally.Scope
 }
 
 // String returns the component's name.
-func (*gauges) String() string { return "gauges" }
+func (*gaugeUpdater) String() string { return "gauges" }
 
 // Serve updates the gauges at once and then every gaugeInterval, until the context
 // is done.
-func (g *gauges) Serve(ctx context.Context) error {
+func (g *gaugeUpdater) Serve(ctx context.Context) error {
 	g.report()
 	return interval.Run(ctx, gaugeInterval, g.report)
 }
 
 // report sets the gauges to the current readiness of the daemon and the current load of
 // each upstream of this VM.
-func (g *gauges) report() {
+func (g *gaugeUpdater) report() {
 	ready := 0.0
 	if g.daemon.readiness().OK {
 		ready = 1
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -49,9 +49,9 @@
 
 // loadStatuses converts the loads that the guard reports into the form of /status.
 func loadStatuses(loads map[model.UpstreamID]model.Load) map[model.UpstreamID]LoadStatus {
-	out := make(map[model.UpstreamID]LoadStatus, len(loads))
+	statuses := make(map[model.UpstreamID]LoadStatus, len(loads))
 	for id, l := range loads {
-		out[id] = LoadStatus{
+		statuses[id] = LoadStatus{
 			Running:     l.Running,
 			Waiting:     l.Waiting,
 			Limit:       l.Limit,
@@ -60,7 +60,7 @@
 			Draining:    l.Draining,
 		}
 	}
-	return out
+	return statuses
 }
 
 // ServiceStatus is one service of the configuration in force.
--- a/daemon/tree.go
+++ b/daemon/tree.go
@@ -96,7 +96,7 @@
 
 // Add adds a component to the tree.
 func (t *supervisorTree) Add(c component) {
-	s := &supervisedComponent{component: c, tree: t, restarts: t.scope.Tagged(map[string]string{"part": c.String()}).Counter("restarts")}
+	s := &supervisedComponent{component: c, tree: t, restartCounter: t.scope.Tagged(map[string]string{"part": c.String()}).Counter("restarts")}
 	t.mu.Lock()
 	t.components = append(t.components, s)
 	t.mu.Unlock()
@@ -162,8 +162,8 @@
 type supervisedComponent struct {
 	component component
 	tree      *supervisorTree
-	// restarts is the metric that is incremented together with failures.
-	restarts tally.Counter
+	// restartCounter is the metric that is incremented together with failures.
+	restartCounter tally.Counter
 
 	// failures counts the failures. Since the supervisor restarts the component after
 	// each failure, /status reports this count as the number of restarts.
@@ -206,7 +206,7 @@
 	line, _, _ := strings.Cut(message, "\n")
 	s.lastError.Store(&line)
 	s.failures.Add(1)
-	s.restarts.Inc(1)
+	s.restartCounter.Inc(1)
 	s.tree.logger.Error("component failed", "part", s.String(), "error", message)
 }
 
@@ -230,23 +230,25 @@
 	return fmt.Errorf("%s: panic: %v\n%s", component, v, stack)
 }
 
-// recoverPanics returns a handler that calls next. A panic of next aborts only the request
-// and is counted and logged. A panic with http.ErrAbortHandler also aborts the request, but
-// is neither counted nor logged. A violated invariant stops the daemon.
-func (t *supervisorTree) recoverPanics(name string, next http.Handler) http.Handler {
-	panics := t.scope.Tagged(map[string]string{"part": name}).Counter("handler_panics")
-	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlePanic(name, panics, v) })
+// recoverPanics returns a handler that calls next. component names the handler in metrics
+// and logs. A panic of next aborts only the request and is counted and logged. There are two
+// exceptions:
+//   - A panic with http.ErrAbortHandler aborts the request, but is neither counted nor logged.
+//   - A panic that reports a violated invariant stops the daemon.
+func (t *supervisorTree) recoverPanics(component string, next http.Handler) http.Handler {
+	panics := t.scope.Tagged(map[string]string{"part": component}).Counter("handler_panics")
+	return inbound.ReportPanics(next, func(_ *http.Request, v any) { t.handlePanic(component, panics, v) })
 }
 
-// handlePanic counts and logs a panic value of the handler with the given name. For a
-// violated invariant, it makes the daemon stop instead.
-func (t *supervisorTree) handlePanic(name string, panics tally.Counter, v any) {
-	err := panicError(name, v)
+// handlePanic counts and logs a panic value of the handler of the given component. If the
+// value reports a violated invariant, handlePanic makes the daemon stop instead.
+func (t *supervisorTree) handlePanic(component string, panics tally.Counter, v any) {
+	err := panicError(component, v)
 	var invariantErr *InvariantError
 	if errors.As(err, &invariantErr) {
 		t.reportFatal(invariantErr)
 		return
 	}
 	panics.Inc(1)
-	t.logger.Error("handler panicked", "part", name, "error", err.Error())
+	t.logger.Error("handler panicked", "part", component, "error", err.Error())
 }
--- a/membership/follow.go
+++ b/membership/follow.go
@@ -70,10 +70,11 @@
 	return err
 }
 
-// nextDelay returns the time until the next syncLog, after one that returned err. It
-// counts err if err is not nil. After an error the delay grows by exponential backoff.
-// Otherwise it is Interval for a log reader and IdleInterval for any other daemon, in
-// both cases shortened at random by up to a quarter.
+// nextDelay returns the time until the next call of syncLog. err is the result of the
+// previous call. If err is not nil, nextDelay counts it, and the delay grows by
+// exponential backoff. If err is nil, the delay is Interval for a log reader and
+// IdleInterval for any other daemon. Either interval is shortened at random by up to a
+// quarter.
 func (r *Registry) nextDelay(err error) time.Duration {
 	isLogReader := r.opts.IsLogReader()
 	r.mu.Lock()
--- a/membership/registry.go
+++ b/membership/registry.go
@@ -43,7 +43,7 @@
 	// Interval is the time between two reads of the log by a log reader.
 	// Default: 1s.
 	Interval time.Duration
-	// IdleInterval is the time between two reads by a daemon that receives
+	// IdleInterval is the time between two reads of the log by a daemon that receives
 	// updates from its peers. Default: 30s.
 	IdleInterval time.Duration
 	// CheckpointInterval is the longest time after which the latest events of all
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -96,9 +96,9 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 				defer cancel()
 				_, err := Propose(ctx, log, c.proposal)
-				var coded interface{ ExitCode() int }
-				require.ErrorAs(t, err, &coded)
-				require.Equal(t, c.wantCode, coded.ExitCode(), "%v", err)
+				var exitCoder interface{ ExitCode() int }
+				require.ErrorAs(t, err, &exitCoder)
+				require.Equal(t, c.wantCode, exitCoder.ExitCode(), "%v", err)
 			})
 		})
 	}
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -21,8 +21,9 @@
 type Proposal struct {
 	Author  string
 	Comment string
-	// Documents are added to the configuration. They replace documents with the same key. The
-	// published change contains only those that differ from the current version.
+	// Documents are added to the configuration. Each of them replaces the document with the same
+	// key, if there is one. The published change leaves out documents that equal those of the
+	// current version.
 	Documents []policy.Document
 	// Prune also deletes every document that is not among Documents.
 	Prune bool
--- a/operator/quarantine.go
+++ b/operator/quarantine.go
@@ -78,9 +78,9 @@
 	return body, nil
 }
 
-// WriteQuarantined prints a table of the requests in the quarantine. The column "deaths" is the number
-// of crashes recorded for the request. The column "until" is the end of the quarantine of a
-// refused request.
+// WriteQuarantined prints a table of the given records. Each row shows a request that is suspected,
+// refused or cleared. The column "deaths" is the number of crashes recorded for the request. The
+// column "until" is the end of the quarantine. It is "-" if the request is not refused.
 func WriteQuarantined(w io.Writer, records []quarantine.ListedRecord) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "fingerprint\tstate\tservice\tcaller\tdeaths\tuntil\trequest")
--- a/owner/drain.go
+++ b/owner/drain.go
@@ -55,14 +55,14 @@
 	}
 	successor, err := s.sendClaimsToSuccessor(ctx)
 	if err != nil {
-		s.metrics.handoverFailed.Inc(1)
+		s.metrics.failedHandovers.Inc(1)
 		return err
 	}
 	if err := s.appendTransfer(ctx, successor); err != nil {
-		s.metrics.handoverFailed.Inc(1)
+		s.metrics.failedHandovers.Inc(1)
 		return err
 	}
-	s.metrics.handedOver.Inc(1)
+	s.metrics.handovers.Inc(1)
 	s.opts.Logger.Info("claims handed over", "to", successor.Daemon)
 	return nil
 }
@@ -184,7 +184,7 @@
 	rec := claims.Record{Transfer: &claims.Transfer{From: s.self.Incarnation, To: successor}}
 	for !s.ownsNothing() {
 		if _, err := s.opts.Log.Append(ctx, recordlog.StreamGrants, [][]byte{rec.Encode()}); err != nil {
-			s.metrics.appendFailed.Inc(1)
+			s.metrics.failedAppends.Inc(1)
 		}
 		s.readGrants(ctx)
 		select {
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -27,9 +27,11 @@
 	// or the response is too large to retain. It is set before done is closed.
 	retained *claims.Answer
 	// streamed is a response that is too large to retain and is streamed to the
-	// first submission instead. It is set before ready is closed. It is nil if the
-	// response is not too large, if there is none, or if the first submission has
-	// stopped waiting.
+	// first submission instead. It is set before ready is closed. It is nil in these
+	// cases:
+	//   - There is no response.
+	//   - The response is small enough to retain.
+	//   - The first submission has stopped waiting.
 	streamed *wire.Result
 
 	mu sync.Mutex
--- a/owner/faults_test.go
+++ b/owner/faults_test.go
@@ -32,9 +32,9 @@
 	require.Equal(t, ownerLost, d.nodes[0].submit(usedKey, "", "x", 3*time.Second).outcome, "a new incarnation does not own the keys of the old one")
 	require.Equal(t, 1, d.executionCount(usedKey))
 	for range 200 {
-		k, live := d.nodes[0].NewKey()
+		k, hasLiveOwner := d.nodes[0].NewKey()
 		interval, _ := d.nodes[0].lookup(k)
-		require.True(t, live)
+		require.True(t, hasLiveOwner)
 		require.NotEqual(t, crashed.id, interval.Owner.Daemon, "NewKey returns no keys of a lost owner")
 	}
 }
--- a/owner/ledger.go
+++ b/owner/ledger.go
@@ -76,7 +76,7 @@
 	for {
 		more, err := s.readBatch(ctx)
 		if err != nil {
-			s.metrics.readFailed.Inc(1)
+			s.metrics.failedReads.Inc(1)
 			break
 		}
 		if !more {
--- a/owner/metrics.go
+++ b/owner/metrics.go
@@ -10,22 +10,22 @@
 // metrics are the counters and gauges of a Service.
 type metrics struct {
 	scope tally.Scope
-	// appended counts the appended grants and checkpoints.
-	appended tally.Counter
-	// appendFailed counts the failed appends of grants, checkpoints and transfers.
-	appendFailed tally.Counter
-	// readFailed counts the reads of the grants that ended with an error.
-	readFailed tally.Counter
+	// appends counts the successful appends of grants and checkpoints.
+	appends tally.Counter
+	// failedAppends counts the failed appends of grants, checkpoints and transfers.
+	failedAppends tally.Counter
+	// failedReads counts the reads of the grants that ended with an error.
+	failedReads tally.Counter
 	// trimmedReads counts the reads of records that the log no longer keeps.
 	trimmedReads tally.Counter
 	// unreadableRecords counts the records that cannot be decoded.
 	unreadableRecords tally.Counter
-	// resubmitted counts the retries of submissions by the routing side.
-	resubmitted tally.Counter
-	// handedOver counts the drains that handed the claims over.
-	handedOver tally.Counter
-	// handoverFailed counts the drains that failed to do so.
-	handoverFailed tally.Counter
+	// resubmissions counts the retries of submissions by the routing side.
+	resubmissions tally.Counter
+	// handovers counts the drains that handed the claims over.
+	handovers tally.Counter
+	// failedHandovers counts the drains that failed to hand the claims over.
+	failedHandovers tally.Counter
 	// claims is the number of claims in the table.
 	claims tally.Gauge
 	// responseBytes is the total size of the retained responses.
@@ -35,14 +35,14 @@
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
 		scope:             scope,
-		appended:          scope.Counter("appends"),
-		appendFailed:      scope.Counter("appends_failed"),
-		readFailed:        scope.Counter("reads_failed"),
+		appends:           scope.Counter("appends"),
+		failedAppends:     scope.Counter("appends_failed"),
+		failedReads:       scope.Counter("reads_failed"),
 		trimmedReads:      scope.Counter("reads_trimmed"),
 		unreadableRecords: scope.Counter("records_unreadable"),
-		resubmitted:       scope.Counter("resent_to_owner"),
-		handedOver:        scope.Counter("handovers"),
-		handoverFailed:    scope.Counter("handovers_failed"),
+		resubmissions:     scope.Counter("resent_to_owner"),
+		handovers:         scope.Counter("handovers"),
+		failedHandovers:   scope.Counter("handovers_failed"),
 		claims:            scope.Gauge("claims"),
 		responseBytes:     scope.Gauge("answer_bytes"),
 	}
--- a/owner/route.go
+++ b/owner/route.go
@@ -65,7 +65,7 @@
 		if refreshed && time.Since(start) >= timeout || ctx.Err() != nil {
 			return s.giveUp(ctx, interval.Owner, ownership, reason)
 		}
-		s.metrics.resubmitted.Inc(1)
+		s.metrics.resubmissions.Inc(1)
 		s.refresh(ctx)
 	}
 }
--- a/owner/service.go
+++ b/owner/service.go
@@ -192,10 +192,10 @@
 	for _, rec := range s.dueRecords() {
 		_, err := s.opts.Log.Append(ctx, recordlog.StreamGrants, [][]byte{rec.Encode()})
 		if err != nil {
-			s.metrics.appendFailed.Inc(1)
+			s.metrics.failedAppends.Inc(1)
 			continue
 		}
-		s.metrics.appended.Inc(1)
+		s.metrics.appends.Inc(1)
 		s.readGrants(ctx)
 	}
 }
--- a/quarantine/exchange.go
+++ b/quarantine/exchange.go
@@ -62,9 +62,10 @@
 // NextPush returns a message of at most limit bytes with the records that have changed
 // since they were last sent, and marks the records in the message as sent. Records with
 // the latest quarantine come first, then those with the most crashes, then the most
-// recently updated ones. The message is nil if there is no changed record, or if the
-// first one does not fit. newCrash reports whether RecordCrash was called since NextPush
-// last returned a message that was not nil. newCrash is false if message is nil.
+// recently updated ones. The message is nil if no record has changed, or if the first
+// changed record does not fit into limit bytes. newCrash is true for the first message
+// after a call of RecordCrash. A nil message does not count: newCrash is false, and the
+// next message reports the crash.
 func (s *Store) NextPush(limit int) (message []byte, newCrash bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,8 +215,9 @@
 	return m
 }
 
-// handleRecordRequest returns messages with the requested records. A malformed
-// request gets no reply.
+// handleRecordRequest returns up to maxRecordMessages messages of at most limit bytes
+// with the requested records. It leaves out the records that do not fit into these
+// messages. A malformed request gets no reply.
 func (s *Store) handleRecordRequest(body []byte, limit int) [][]byte {
 	if len(body)%prefixBytes != 0 {
 		return nil
--- a/recordlog/batch.go
+++ b/recordlog/batch.go
@@ -61,8 +61,8 @@
 }
 
 // enqueue adds the records to the pending batch of the stream. If there is no pending
-// batch or it is too large, enqueue starts a new one and its flush. It returns the batch
-// and the index of records[0] in the batch.
+// batch, or if the pending batch is too large, enqueue adds them to a new batch and starts
+// its flush. It returns the batch and the index of records[0] in the batch.
 func (b *Batcher) enqueue(stream string, records [][]byte) (*pendingBatch, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,9 +83,9 @@
 	return batch, index
 }
 
-// flush waits for Window, then appends the records of the batch to the log, sets the
-// result of the batch and closes done. From the end of Window on, the batch accepts no
-// more records.
+// flush waits for the duration Window. Then the batch accepts no more records. flush
+// appends the records of the batch to the log, sets the result of the batch and closes
+// done.
 func (b *Batcher) flush(stream string, batch *pendingBatch) {
 	window, timeout := b.Window, b.Timeout
 	if window <= 0 {
--- a/recordlog/limit.go
+++ b/recordlog/limit.go
@@ -46,8 +46,8 @@
 
 // Append implements Log. It waits until the rate limit admits the append. If the
 // context ends during the wait, Append returns an AppendError that wraps
-// ErrRateLimited. If the wait would last longer than the deadline of the context,
-// Append returns the same error without waiting. In both cases Uncertain is not set,
+// ErrRateLimited. If the wait would end after the deadline of the context, Append
+// returns the same error without waiting. In both cases Uncertain is not set,
 // because the records have not been appended.
 func (l *RateLimitedLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	if err := l.limiter.Wait(ctx); err != nil {
--- a/why/unanswered.go
+++ b/why/unanswered.go
@@ -21,8 +21,8 @@
 	NotAtAll ExecutionCount = "not at all"
 	// Once means that the request was answered and only one upstream may have executed it.
 	Once ExecutionCount = "once"
-	// AtMostOnce means that only one upstream may have executed the request, or none, and
-	// that the logs do not show whether it was executed.
+	// AtMostOnce means that no more than one upstream may have executed the request. The
+	// logs do not show whether it was executed.
 	AtMostOnce ExecutionCount = "at most once"
 	// PerhapsTwice means that more than one upstream may have executed the request.
 	PerhapsTwice ExecutionCount = "perhaps twice"
