--- a/ablation/results_test.go
+++ b/ablation/results_test.go
@@ -35,11 +35,11 @@
 
 func (r *trialResult) key() trialKey { return trialKey{r.Mechanism, r.Site, r.Day, r.Seed} }
 
-// results holds the trial results of a file and appends new ones to it. It is safe for
-// concurrent use.
+// results holds the trial results from a results file and appends new results to that file.
+// It is safe for concurrent use.
 type results struct {
 	mu sync.Mutex
-	// path is the path of the file.
+	// path is the path of the results file.
 	path  string
 	byKey map[trialKey]trialResult
 }
@@ -67,7 +67,7 @@
 	return r, s.Err()
 }
 
-// contains reports whether the file holds the result of a trial.
+// contains reports whether the results file holds the result of a trial.
 func (r *results) contains(k trialKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,7 +75,7 @@
 	return ok
 }
 
-// add adds a result and appends it to the file.
+// add adds a result and appends it to the results file.
 func (r *results) add(result trialResult) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ablation/trial_test.go
+++ b/ablation/trial_test.go
@@ -63,16 +63,16 @@
 	Violations map[string]any `json:"breaks"`
 }
 
-// runTrial runs the benchmark program bench, which replays the day of a trial with the source in
-// the scratch copy dir. sitePath is the path of the site file. If the program has written its
-// report, its exit status is ignored.
-func runTrial(ctx context.Context, bench, dir, sitePath string, k trialKey) (trialResult, error) {
+// runTrial runs the benchmark program at benchPath. The program replays the day of a trial with the
+// source in the scratch copy dir. sitePath is the path of the site file. If the program has written
+// its report, its exit status is ignored.
+func runTrial(ctx context.Context, benchPath, dir, sitePath string, k trialKey) (trialResult, error) {
 	reportPath := filepath.Join(dir, fmt.Sprintf("report-%s-%s-%s.json", k.site, k.day, k.seed))
 	why := "ablation: the code as it is"
 	if k.mechanism != baseline {
 		why = "trial of the ablation, off: " + k.mechanism
 	}
-	cmd := exec.CommandContext(ctx, bench, "run", sitePath, k.day, "--seed", k.seed, "--no-cpu", "--report", reportPath, "--why", why)
+	cmd := exec.CommandContext(ctx, benchPath, "run", sitePath, k.day, "--seed", k.seed, "--no-cpu", "--report", reportPath, "--why", why)
 	cmd.Dir = dir
 	out, runErr := cmd.CombinedOutput()
 	text, err := os.ReadFile(reportPath)
@@ -235,8 +235,8 @@
 // TestAblation replays every day with each mechanism disabled and prints a table of the score
 // differences. See the package documentation for its environment variables.
 func TestAblation(t *testing.T) {
-	bench := os.Getenv("ABLATION_BENCH")
-	if bench == "" {
+	benchPath := os.Getenv("ABLATION_BENCH")
+	if benchPath == "" {
 		t.Skip("takes hours; see the package's documentation")
 	}
 	resultsPath := os.Getenv("ABLATION_OUT")
@@ -261,7 +261,7 @@
 					t.Errorf("%+v: %v", k, err)
 					continue
 				}
-				result, err := runTrial(t.Context(), bench, scratch.dir, fileBySite[k.site], k)
+				result, err := runTrial(t.Context(), benchPath, scratch.dir, fileBySite[k.site], k)
 				if err != nil {
 					t.Errorf("%+v: %v", k, err)
 					continue
--- a/bench/forward.go
+++ b/bench/forward.go
@@ -190,16 +190,16 @@
 }
 
 // callAndRecord sends a request and records its latency or its failure.
-func (c *loadClient) callAndRecord(ctx context.Context, start time.Time) {
+func (c *loadClient) callAndRecord(ctx context.Context, sentAt time.Time) {
 	err := c.call(ctx)
-	took := time.Since(start)
+	callTime := time.Since(sentAt)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
 		c.failed++
 		return
 	}
-	c.latencies.Record(took)
+	c.latencies.Record(callTime)
 }
 
 // call sends one request and reads the response.
--- a/bench/state.go
+++ b/bench/state.go
@@ -109,31 +109,31 @@
 // routerBytes returns the memory that a router with n upstreams uses.
 func routerBytes(_ context.Context, n int) (float64, error) {
 	var err error
-	bytes := heapBytes(func() any {
+	size := heapBytes(func() any {
 		var r *routing.Router
 		r, err = newRouter(n)
 		return r
 	})
-	return bytes, err
+	return size, err
 }
 
 // decisionTime returns the time in nanoseconds that a router with n upstreams takes to
 // pick an upstream and to process the reply.
 func decisionTime(_ context.Context, n int) (float64, error) {
-	const calls = 20000
+	const callCount = 20000
 	r, err := newRouter(n)
 	if err != nil {
 		return 0, err
 	}
 	now := model.Instant(0)
 	req := model.Request{Service: "service-0", Deadline: 1 << 62}
-	took := minMeanDuration(calls, func() {
+	meanTime := minMeanDuration(callCount, func() {
 		now = now.Add(time.Microsecond)
 		if u, ok := r.Pick(now, req, nil); ok {
 			r.Done(now, u.ID, routing.Reply{Latency: time.Millisecond})
 		}
 	})
-	return float64(took.Nanoseconds()), nil
+	return float64(meanTime.Nanoseconds()), nil
 }
 
 // documents returns n configuration documents in the proportions of a full-size
@@ -181,8 +181,8 @@
 func compileTime(_ context.Context, n int) (float64, error) {
 	docs := documents(n)
 	var problems []policy.Problem
-	took := minMeanDuration(3, func() { _, problems = policy.Compile(docs) })
-	return float64(took.Nanoseconds()) / 1e3, firstProblem(problems)
+	meanTime := minMeanDuration(3, func() { _, problems = policy.Compile(docs) })
+	return float64(meanTime.Nanoseconds()) / 1e3, firstProblem(problems)
 }
 
 // firstProblem returns the first problem as an error, or nil if there is none.
@@ -212,7 +212,7 @@
 		}
 	}
 	var version model.Version
-	took := minMeanDuration(1, func() {
+	meanTime := minMeanDuration(1, func() {
 		machine := configuration.NewStateMachine()
 		for i, r := range records {
 			machine.ApplyRecord(uint64(i), r)
@@ -222,7 +222,7 @@
 	if version != model.Version(n) {
 		return 0, fmt.Errorf("version is %d after %d changes", version, n)
 	}
-	return float64(took.Nanoseconds()) / 1e3, nil
+	return float64(meanTime.Nanoseconds()) / 1e3, nil
 }
 
 // eventBytes returns the encoded size of n membership events.
--- a/load/result.go
+++ b/load/result.go
@@ -48,7 +48,8 @@
 	NotRun   int64 `json:"not_run"`
 	Unknown  int64 `json:"unknown"`
 	Latency
-	// SlotTimeUs is the sum of the costs of the answered requests, in microseconds.
+	// SlotTimeUs is the slot time of the answered requests, in microseconds. It is
+	// the sum of Source.Cost over these requests.
 	SlotTimeUs int64 `json:"slot_time_us"`
 }
 
--- a/load/run.go
+++ b/load/run.go
@@ -60,7 +60,7 @@
 	r := &run{
 		plan:      p,
 		opts:      o,
-		start:     time.Now(),
+		startedAt: time.Now(),
 		collector: newCollector(p),
 		inFlight:  make(chan struct{}, p.MaxInFlight),
 	}
@@ -79,7 +79,7 @@
 type run struct {
 	plan      Plan
 	opts      Options
-	start     time.Time
+	startedAt time.Time
 	collector *collector
 	// inFlight holds one element for each request in flight. Its capacity limits
 	// their number.
@@ -95,7 +95,7 @@
 	due := time.Duration(0)
 	for n := 0; ; n++ {
 		due += time.Duration(rng.ExpFloat64() / s.Rate * float64(time.Second))
-		if due >= time.Duration(r.plan.Duration) || !sleepUntil(ctx, r.start.Add(due)) {
+		if due >= time.Duration(r.plan.Duration) || !sleepUntil(ctx, r.startedAt.Add(due)) {
 			return
 		}
 		req := r.newRequest(s, sourceIndex, n, due)
@@ -113,7 +113,7 @@
 		Source: s,
 		Name:   strconv.Itoa(sourceIndex) + "-" + strconv.Itoa(n),
 		Target: r.plan.Targets[(sourceIndex+n)%len(r.plan.Targets)],
-		Due:    r.start.Add(due),
+		Due:    r.startedAt.Add(due),
 	}
 	if s.Keyed {
 		req.Key = uuid.Must(uuid.NewV7()).String()
@@ -148,7 +148,7 @@
 	r.collector.add(sample{
 		request: req,
 		reply:   reply,
-		due:     req.Due.Sub(r.start),
+		due:     req.Due.Sub(r.startedAt),
 		sendLag: sentAt.Sub(req.Due),
 		latency: completedAt.Sub(req.Due),
 	})
@@ -156,7 +156,7 @@
 		r.opts.Observe(req, reply)
 	}
 	if r.opts.Recorder != nil {
-		r.opts.Recorder.add(req, req.Due.Sub(r.start), completedAt.Sub(sentAt))
+		r.opts.Recorder.add(req, req.Due.Sub(r.startedAt), completedAt.Sub(sentAt))
 	}
 }
 
@@ -189,7 +189,7 @@
 			case <-ctx.Done():
 				return
 			case <-ticker.C:
-				r.opts.Progress(r.collector.progress(time.Since(r.start), len(r.inFlight)))
+				r.opts.Progress(r.collector.progress(time.Since(r.startedAt), len(r.inFlight)))
 			}
 		}
 	})
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -48,8 +48,8 @@
 	results []attemptResult
 }
 
-// last returns the result of the last attempt.
-func (r *requestRecord) last() attemptResult { return r.results[len(r.results)-1] }
+// lastResult returns the result of the lastResult attempt.
+func (r *requestRecord) lastResult() attemptResult { return r.results[len(r.results)-1] }
 
 // hasUnknownOutcome reports whether the caller cannot tell for at least one attempt whether
 // the request ran.
@@ -134,7 +134,7 @@
 	client.CloseIdleConnections()
 }
 
-func (c *cluster) anyVM(rng *rand.Rand) *vm { return c.vms[rng.IntN(len(c.vms))] }
+func (c *cluster) randomVM(rng *rand.Rand) *vm { return c.vms[rng.IntN(len(c.vms))] }
 
 // sendWithRetries sends one request and returns its record. If an attempt fails and a retry
 // is safe, it sends the request to another daemon. It makes up to maxAttempts attempts.
@@ -150,7 +150,7 @@
 	for range maxAttempts {
 		v := target(rng)
 		for v == lastVM && len(c.vms) > 1 {
-			v = c.anyVM(rng)
+			v = c.randomVM(rng)
 		}
 		lastVM = v
 		a := sendAttempt(client, "http://"+v.callerAddress()+template.path, template.service, template.method, r)
@@ -232,10 +232,10 @@
 		if !r.idempotent {
 			require.LessOrEqual(t, runsByRequest[r.name], 1, "request %s (key %q) ran more than once: %+v", r.name, r.key, r.results)
 		}
-		if r.last().kind == outcome.Answered {
+		if r.lastResult().kind == outcome.Answered {
 			require.GreaterOrEqual(t, runsByRequest[r.name], 1, "request %s: answered but never ran", r.name)
 		}
-		if !r.hasUnknownOutcome() && r.last().kind == outcome.NotRun {
+		if !r.hasUnknownOutcome() && r.lastResult().kind == outcome.NotRun {
 			require.Zero(t, runsByRequest[r.name], "request %s: reported as not run but ran: %+v", r.name, r.results)
 		}
 	}
@@ -246,7 +246,7 @@
 func (h *history) failureReasons() map[string]int {
 	countByReason := make(map[string]int)
 	for _, r := range h.records {
-		if a := r.last(); a.kind != outcome.Answered {
+		if a := r.lastResult(); a.kind != outcome.Answered {
 			countByReason[fmt.Sprintf("%s %s connectionFailed=%t notConnected=%t %v", a.kind, a.reason, a.connectionFailed, a.notConnected, a.err)]++
 		}
 	}
@@ -265,7 +265,7 @@
 		if isAnswered(r) {
 			continue
 		}
-		closedWhileSending := r.last().connectionFailed && !r.idempotent && r.key == ""
+		closedWhileSending := r.lastResult().connectionFailed && !r.idempotent && r.key == ""
 		require.True(c.t, closedWhileSending, "request %s (key %q) failed while a daemon drained: %+v", r.name, r.key, r.results)
 		require.Zero(c.t, runsByRequest[r.name], "request %s was aborted while it ran: %+v", r.name, r.results)
 	}
--- a/proctest/system_test.go
+++ b/proctest/system_test.go
@@ -42,7 +42,7 @@
 	c.awaitServing(h)
 
 	t.Log("no fault")
-	c.sendRequests(h, requestsPerPhase, c.anyVM)
+	c.sendRequests(h, requestsPerPhase, c.randomVM)
 	require.Zero(t, h.count(func(r *requestRecord) bool { return !isAnswered(r) }), "a request failed without a fault")
 
 	t.Log("daemon drained and restarted")
@@ -70,7 +70,7 @@
 	secondVersion := c.publish(documents("4s"))
 	require.Greater(t, secondVersion, firstVersion)
 	c.awaitVersion(secondVersion)
-	c.sendRequests(h, requestsPerPhase, c.anyVM)
+	c.sendRequests(h, requestsPerPhase, c.randomVM)
 	c.checkInvariants(t, h)
 }
 
@@ -85,11 +85,11 @@
 	drained.draining.Store(true)
 	c.await("the draining upstream receives no new requests", func() bool {
 		runsBefore := len(drained.upstream.Runs())
-		c.sendRequests(h, requestsPerPhase/4, c.anyVM)
+		c.sendRequests(h, requestsPerPhase/4, c.randomVM)
 		return len(drained.upstream.Runs()) == runsBefore
 	})
 	runsBefore := len(drained.upstream.Runs())
-	c.sendRequests(h, requestsPerPhase, c.anyVM)
+	c.sendRequests(h, requestsPerPhase, c.randomVM)
 	require.Len(t, drained.upstream.Runs(), runsBefore, "new requests to the drained upstream")
 	c.checkInvariants(t, h)
 }
@@ -100,14 +100,14 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.sendRequests(h, n, c.anyVM)
+		c.sendRequests(h, n, c.randomVM)
 	}()
 	fault()
 	<-done
 	c.t.Logf("%d of %d requests answered, others: %v", h.count(isAnswered), len(h.records), h.failureReasons())
 }
 
-func isAnswered(r *requestRecord) bool { return r.last().kind == outcome.Answered }
+func isAnswered(r *requestRecord) bool { return r.lastResult().kind == outcome.Answered }
 
 // awaitServing waits until every daemon knows all upstreams and serves requests for
 // both services. A daemon that knows only one upstream of a service would correctly
--- a/replay/guard.go
+++ b/replay/guard.go
@@ -154,12 +154,12 @@
 	a.startedAt, a.isRunning = now, true
 	g.runningCount++
 	g.monitor.SetRunning(g.runningCount)
-	took, o, failed := g.simulatedUpstream.run(now, a)
+	executionTime, o, failed := g.simulatedUpstream.run(now, a)
 	a.reply = routing.Reply{Outcome: o, Failed: failed}
 	if o.Kind != outcome.NotRun {
 		a.req.executionCount++
 	}
-	g.sim.queue.add(task{dueAt: now.Add(took), kind: taskFinish, daemonIndex: g.index, attempt: a, generation: a.generation})
+	g.sim.queue.add(task{dueAt: now.Add(executionTime), kind: taskFinish, daemonIndex: g.index, attempt: a, generation: a.generation})
 }
 
 // finish ends an execution, frees its slot and replies to the entry. Waiting attempts can
--- a/replay/ideal.go
+++ b/replay/ideal.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// instantHeap is a min-heap of instants; it implements heap.Interface.
+// instantHeap is a min-heap of instants. It implements heap.Interface.
 type instantHeap []model.Instant
 
 func (h instantHeap) Len() int           { return len(h) }
--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -14,11 +14,11 @@
 	"github.com/dottereltiller/dottereltiller/core/slots"
 )
 
-// The mesh simulates sidecar daemons, each on the VM of one upstream, in steps of one
-// tick. The entries choose upstreams with core/placement. The guards limit concurrency
-// with core/slots. The upstreams behave like recorded upstreams. Other load on the same
-// host ("noisy neighbours") changes their speed several times a second. They slow down
-// when most slots are busy. They are also slow for some time after a start.
+// The mesh simulates sidecar daemons, each on the VM of one upstream, in steps of one tick.
+// Entries choose upstreams with core/placement. Guards limit concurrency with core/slots.
+// Upstreams behave like recorded ones. Noisy neighbours, other load on the same host, change
+// an upstream's speed several times a second. An upstream is also slow while most of its
+// slots are busy, and for some time after a start.
 
 const (
 	tickLength            = time.Millisecond
@@ -139,7 +139,7 @@
 	return m
 }
 
-// addNode adds an upstream with the given speeds and its daemon.
+// addNode adds an upstream and its daemon. speeds holds the upstream's speed at each tick.
 func (m *mesh) addNode(zone model.AvailabilityZone, speeds []float64) {
 	n := &meshNode{
 		key: fmt.Sprint(zone, len(m.nodes)), zone: zone, speeds: speeds,
@@ -345,8 +345,8 @@
 	if !ok {
 		return nil, 0, 0, false
 	}
-	took := m.now.Sub(r.arrivedAt)
-	if c.MissesDeadline(r.deadline-took) || c.MissesTarget(r.fullGuardCount, r.target-took) {
+	elapsed := m.now.Sub(r.arrivedAt)
+	if c.MissesDeadline(r.deadline-elapsed) || c.MissesTarget(r.fullGuardCount, r.target-elapsed) {
 		p.Done(m.now, c.Upstream.Key, nil)
 		return nil, 0, 0, false
 	}
@@ -374,8 +374,8 @@
 	return nil
 }
 
-// queryLoads passes the loads of up to limit upstreams to an entry's placer. They are in
-// the entry's zone if local is set, and in other zones otherwise.
+// queryLoads updates a placer with the current loads of up to limit upstreams. If local is
+// set, the upstreams are in the placer's own zone, else in other zones.
 func (m *mesh) queryLoads(p *placement.Placer, req placement.Request, rank int, local bool, limit int) {
 	for _, up := range p.QueryTargets(m.now, req, local, placement.MaxLoadAge, limit) {
 		n := m.nodeByKey(up.Key)
--- a/replay/outcomes_test.go
+++ b/replay/outcomes_test.go
@@ -20,15 +20,15 @@
 	Topology string `json:"topology"`
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
-	// P99 is the bound on the p99 of all requests together.
+	// P99 is the upper bound on the p99 of all requests together.
 	P99 float64 `json:"p99"`
-	// P999 is the bound on the p99.9 of all requests together.
+	// P999 is the upper bound on the p99.9 of all requests together.
 	P999 float64 `json:"p999"`
-	// GroupP999 is the bound on the p99.9 of each group.
+	// GroupP999 is the upper bound on the p99.9 of each group.
 	GroupP999 float64 `json:"group_p999"`
-	// NotRun is the bound on the number of requests with outcome not run.
+	// NotRun is the upper bound on the number of requests with outcome NotRun.
 	NotRun int64 `json:"not_run"`
-	// Unknown is the bound on the number of requests with an unknown outcome.
+	// Unknown is the upper bound on the number of requests with outcome Unknown.
 	Unknown int64 `json:"unknown"`
 }
 
@@ -55,10 +55,10 @@
 func ratio(a, b int64) float64 { return float64(a) / float64(b) }
 
 // TestExpectedOutcomes checks the results of the default routing policy against the
-// bounds in testdata/replay. It also checks that every request has an outcome, that no
-// non-idempotent request ran twice, and that load reports kept to the measuring budget. A
-// replay is deterministic, so the test does not pass
-// or fail by chance.
+// bounds in testdata/replay/outcomes.json. It also checks that every request has an
+// outcome and that no non-idempotent request ran twice. The cost of load reports must
+// stay within each service's MeasuringBudget. A replay is deterministic, so the test does
+// not pass or fail by chance.
 func TestExpectedOutcomes(t *testing.T) {
 	for _, want := range readExpectedOutcomes(t) {
 		t.Run(want.Topology+"/"+want.Scenario, func(t *testing.T) {
--- a/soak/check.go
+++ b/soak/check.go
@@ -67,7 +67,7 @@
 	sendTimes []time.Time
 	// drainTimes holds the times of acknowledged drains by upstream incarnation.
 	drainTimes map[string]time.Time
-	// crashCounts holds the crash counts by crashKey.
+	// crashCounts holds the number of crashes that each request caused, by requestRecord.crashKey.
 	crashCounts map[string]*crashCount
 	violations  []string
 }
@@ -83,8 +83,8 @@
 
 const (
 	// quarantineThreshold is the number of crashes that one request may cause before it is
-	// quarantined. All daemons must quarantine the request within quietPeriod after the last
-	// of these crashes.
+	// quarantined. All daemons must quarantine the request within quietPeriod after its number of
+	// crashes reaches quarantineThreshold.
 	quarantineThreshold = 3
 	// maxLateCrashes is the number of late crashes that one request may cause. A crash is late if
 	// its attempt was sent to an undisturbed VM more than quietPeriod after the number of crashes
--- a/soak/control.go
+++ b/soak/control.go
@@ -25,12 +25,12 @@
 	for _, m := range h.vms {
 		sent, err := readCounter(ctx, m.metricsURL(), "dottereltiller_control_bytes", `direction="sent"`, `kind="suspects"`)
 		if err != nil {
-			h.check.addViolation("metrics: %s: %v", m.config.Name, err)
+			h.checker.addViolation("metrics: %s: %v", m.config.Name, err)
 			continue
 		}
 		uptime := time.Since(m.startedAt())
 		if sent > maxQuarantineBurstBytes+maxQuarantineBytesPerSecond*uptime.Seconds() {
-			h.check.addViolation("control: %s sent %.0f bytes of quarantine records in %s", m.config.Name, sent, uptime.Round(time.Second))
+			h.checker.addViolation("control: %s sent %.0f bytes of quarantine records in %s", m.config.Name, sent, uptime.Round(time.Second))
 		}
 	}
 }
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -78,7 +78,7 @@
 		for _, x := range h.vms {
 			x.signal(syscall.SIGKILL)
 		}
-		h.check.resetCrashCounts()
+		h.checker.resetCrashCounts()
 	case kindReplace:
 		h.replaceVM(m, f)
 	case kindInvalidRecords:
@@ -146,7 +146,7 @@
 func (h *harness) drainUpstream(m *vm, f Fault) {
 	incarnation := m.upstream.Incarnation()
 	if m.upstream.Drain() {
-		h.check.recordDrain(incarnation)
+		h.checker.recordDrain(incarnation)
 	}
 	time.Sleep(drainAllowance + f.Duration)
 	if m.upstream.Incarnation() != incarnation {
@@ -216,10 +216,10 @@
 	for n := 0; time.Since(h.startedAt) < h.plan.Length; n++ {
 		m := h.vms[n%len(h.vms)]
 		attempt := fmt.Sprintf("%s%s-%d", poisonAttemptPrefix, key, n)
-		h.check.recordSent(attempt, m.service(), false)
-		h.check.recordPoison(attempt, key, m.undisturbed)
+		h.checker.recordSent(attempt, m.service(), false)
+		h.checker.recordPoison(attempt, key, m.undisturbed)
 		if r, err := m.caller.Send(context.Background(), path, attempt, false, requestDeadline); err == nil {
-			h.check.checkResponse(attempt, r)
+			h.checker.checkResponse(attempt, r)
 		}
 		time.Sleep(poisonInterval)
 	}
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -67,9 +67,9 @@
 // faultModes lists the modes of each kind. A dash stands for the only mode of a kind.
 var faultModes = map[string][]string{
 	kindKill: {"-"}, kindTerm: {"-"}, kindPause: {"-"}, kindReload: {"-"},
-	// The modes of all proxies: delay and trickle slow TCP connections down. reset resets TCP
-	// connections and drops datagrams to the target. silent drops all traffic. half drops the
-	// traffic from the target to the client.
+	// In modes delay and trickle a proxy slows TCP connections down. In mode reset it resets
+	// TCP connections and drops datagrams to the target. In mode silent it drops all traffic.
+	// In mode half it drops the traffic from the target to the client.
 	kindPeerProxy:     {"delay", "reset", "silent", "half", "trickle"},
 	kindUpstreamProxy: {"delay", "reset", "silent"},
 	kindStoreProxy:    {"reset", "silent", "half"},
@@ -79,9 +79,10 @@
 	// records.
 	kindStore: {"busy", "many", "silent", "slow", "lost", "late", "forget"},
 	// In mode shed the upstream rejects requests without execution. In all other modes it
-	// executes requests. lose closes the connection without a response. err responds with
-	// status 500. hang never responds. cut truncates responses. double sends a second
-	// response. slow takes ten times as long. untold omits the load from responses.
+	// executes requests. In mode lose it closes the connection without a response. In mode err
+	// it responds with status 500. In mode hang it never responds. In mode cut it truncates
+	// responses. In mode double it sends a second response. In mode slow it takes ten times as
+	// long. In mode untold it omits the load from responses.
 	kindUpstream: {"lose", "shed", "err", "hang", "cut", "double", "slow", "untold"},
 	// The upstream restarts with the same id or with a new id.
 	kindCrash: {"same-id", "new-id"}, kindDrain: {"-"}, kindConfig: {"-"}, kindInvalidRecords: {"-"}, kindPoison: {"-"}, kindKillAll: {"-"},
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -22,11 +22,11 @@
 	mode string
 	// conns holds the open connections to clients and to the target.
 	conns map[net.Conn]bool
-	// silenced holds the connections on which the proxy forwards no more data, also after the mode
-	// has changed: those that were open when the mode became silent, and those on which data was
-	// dropped in mode silent or half.
+	// silenced holds the connections on which the proxy forwards no more data, even after the mode
+	// has changed. A connection is added if it is open when the mode becomes silent. It is also
+	// added when the proxy drops data on it in mode silent or half.
 	silenced map[net.Conn]bool
-	// udpConns holds a socket to the target for each sender of datagrams, by its address.
+	// udpConns holds a socket to the target for each sender of datagrams, by the sender's address.
 	udpConns map[string]net.Conn
 }
 
@@ -150,7 +150,7 @@
 }
 
 // relay copies data from src to dst until src is closed, and injects the current fault. client is
-// the connection from the client. It is dst if toClient is set, and else src.
+// the connection from the client. If toClient is set, client is dst, else it is src.
 func (p *proxy) relay(dst, src, client net.Conn, toClient bool) {
 	buf := make([]byte, copyBufferBytes)
 	for {
--- a/soak/run.go
+++ b/soak/run.go
@@ -66,12 +66,12 @@
 
 // harness is the state of a running soak.
 type harness struct {
-	plan   Plan
-	opts   Options
-	check  *checker
-	store  *platformtest.Store
-	server *http.Server // the server of the store
-	vms    []*vm
+	plan    Plan
+	opts    Options
+	checker *checker
+	store   *platformtest.Store
+	server  *http.Server // the server of the store
+	vms     []*vm
 	// loopbackNet is the number of the loopback network that the soak uses.
 	loopbackNet int
 	startedAt   time.Time    // when the callers were started
@@ -96,9 +96,9 @@
 	if o.Out == nil {
 		o.Out = io.Discard
 	}
-	h := &harness{plan: p, opts: o, check: newChecker(), store: platformtest.NewStore()}
+	h := &harness{plan: p, opts: o, checker: newChecker(), store: platformtest.NewStore()}
 	defer h.close()
-	h.check.safetyOnly = o.SafetyOnly
+	h.checker.safetyOnly = o.SafetyOnly
 	if err := h.startAll(ctx); err != nil {
 		return Result{}, err
 	}
@@ -108,8 +108,8 @@
 	}
 	h.checkControlTraffic(ctx)
 	h.stopDaemons()
-	h.check.checkRetryBudget()
-	return Result{Violations: h.check.allViolations(), Requests: int(h.requests.Load()), Served: int(h.served.Load())}, ctx.Err()
+	h.checker.checkRetryBudget()
+	return Result{Violations: h.checker.allViolations(), Requests: int(h.requests.Load()), Served: int(h.served.Load())}, ctx.Err()
 }
 
 // maxParallelSoaks is the number of loopback networks, of which each running soak uses one.
@@ -142,7 +142,7 @@
 	go func() { _ = h.server.Serve(ln) }()
 	h.publish()
 	for i := 1; i <= h.plan.VMs; i++ {
-		m, err := newVM(i, groupCount(h.plan.VMs), h.ip(i), h.opts.Dir, h.opts.Binary, storeAddress, h.check)
+		m, err := newVM(i, groupCount(h.plan.VMs), h.ip(i), h.opts.Dir, h.opts.Binary, storeAddress, h.checker)
 		if err != nil {
 			return err
 		}
@@ -181,7 +181,7 @@
 	for _, m := range h.vms {
 		for i := 0; ; i++ {
 			attempt := fmt.Sprintf("probe-last-%s-%d", m.config.Name, i)
-			h.check.recordSent(attempt, m.service(), false)
+			h.checker.recordSent(attempt, m.service(), false)
 			r, err := m.caller.Send(ctx, "/safe/x", attempt, false, requestDeadline)
 			if err == nil && r.Status == http.StatusOK {
 				break
@@ -190,7 +190,7 @@
 				return ctx.Err()
 			}
 			if time.Now().After(deadline) {
-				h.check.addViolation("recovery: %s does not serve requests", m.config.Name)
+				h.checker.addViolation("recovery: %s does not serve requests", m.config.Name)
 				return nil
 			}
 			time.Sleep(configCheckInterval)
@@ -244,7 +244,7 @@
 	}
 	wg.Wait()
 	if sent, served := h.finalRequests.Load(), h.finalServed.Load(); !h.opts.SafetyOnly && sent > 0 && float64(served) < minServedShare*float64(sent) {
-		h.check.addViolation("recovery: %d of %d requests were served at the end", served, sent)
+		h.checker.addViolation("recovery: %d of %d requests were served at the end", served, sent)
 	}
 }
 
@@ -278,23 +278,23 @@
 		path = fmt.Sprintf("/unsafe/x%d", n%distinctPaths)
 	}
 	attempt := fmt.Sprintf("r%d", n)
-	h.check.recordSent(attempt, m.service(), nonIdempotent)
+	h.checker.recordSent(attempt, m.service(), nonIdempotent)
 	undisturbedBefore := h.undisturbed()
 	incarnationBefore, stoppingOrExitedBefore := m.processState()
 	sentAt := time.Now()
 	inRecoveryWindow := sentAt.Sub(h.startedAt) > h.plan.Length-recoveryWindow
 	r, err := m.caller.Send(context.Background(), path, attempt, nonIdempotent, timeout)
 	incarnation, stoppingOrExited := m.processState()
-	if undisturbedBefore && h.undisturbed() && h.check.wasExecuted(attempt) {
+	if undisturbedBefore && h.undisturbed() && h.checker.wasExecuted(attempt) {
 		switch {
 		case stoppingOrExited && !m.ranUntilGraceEnd(sentAt) && abortedByDaemon(r, err):
-			h.check.addViolation("lost: %s ran and was aborted by a planned stop: status %d, error %v", attempt, r.Status, err)
+			h.checker.addViolation("lost: %s ran and was aborted by a planned stop: status %d, error %v", attempt, r.Status, err)
 		case err != nil && abortedByDaemon(r, err) && !stoppingOrExitedBefore && !stoppingOrExited && incarnation == incarnationBefore:
-			h.check.addViolation("unanswered: %s ran and its connection to %s was closed without a response: %v", attempt, m.config.Name, err)
+			h.checker.addViolation("unanswered: %s ran and its connection to %s was closed without a response: %v", attempt, m.config.Name, err)
 		}
 	}
 	if err == nil {
-		h.check.checkResponse(attempt, r)
+		h.checker.checkResponse(attempt, r)
 	}
 	served := err == nil && r.Status == http.StatusOK
 	if served {
@@ -308,8 +308,8 @@
 	}
 }
 
-// abortedByDaemon reports whether a daemon aborted an executing request. The daemon has then closed
-// the connection, or responded with status 502 and the reason that it drains.
+// abortedByDaemon reports whether a daemon aborted an executing request. To abort a request, it
+// closes the connection or responds with status 502 and reason outcome.ReasonDraining.
 func abortedByDaemon(r platformtest.Result, err error) bool {
 	if err != nil {
 		return !errors.Is(err, context.DeadlineExceeded)
@@ -341,17 +341,17 @@
 		overdue := time.Since(publishedAt) > maxConfigDelay && m.undisturbed()
 		incarnation, stoppingOrExited := m.processState()
 		attempt := fmt.Sprintf("probe-%s-%d", m.config.Name, i)
-		h.check.recordSent(attempt, m.service(), false)
+		h.checker.recordSent(attempt, m.service(), false)
 		r, err := m.caller.Send(ctx, fmt.Sprintf("/v%d/x", version), attempt, false, requestDeadline)
 		if incarnationAfter, _ := m.processState(); err != nil || stoppingOrExited || incarnation != incarnationAfter {
 			continue
 		}
-		h.check.checkResponse(attempt, r)
+		h.checker.checkResponse(attempt, r)
 		switch {
 		case r.Status == http.StatusNotFound && incarnation == seenIncarnation && seenVersion >= version:
-			h.check.addViolation("back: %s no longer had version %d in force", m.config.Name, version)
+			h.checker.addViolation("back: %s no longer had version %d in force", m.config.Name, version)
 		case r.Status == http.StatusNotFound && overdue && m.undisturbed() && !h.opts.SafetyOnly:
-			h.check.addViolation("late: %s did not have version %d in force %s after its publication", m.config.Name, version, time.Since(publishedAt).Round(time.Millisecond))
+			h.checker.addViolation("late: %s did not have version %d in force %s after its publication", m.config.Name, version, time.Since(publishedAt).Round(time.Millisecond))
 		case r.Status != http.StatusNotFound && r.Status != http.StatusServiceUnavailable:
 			seenVersion, seenIncarnation = version, incarnation
 		}
@@ -371,10 +371,10 @@
 		select {
 		case err := <-m.exitErr:
 			if err != nil && h.undisturbed() {
-				h.check.addViolation("stop: %s exited with %v", m.config.Name, err)
+				h.checker.addViolation("stop: %s exited with %v", m.config.Name, err)
 			}
 		case <-timeout:
-			h.check.addViolation("stop: %s was still running after its grace period", m.config.Name)
+			h.checker.addViolation("stop: %s was still running after its grace period", m.config.Name)
 			return
 		}
 	}
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -24,7 +24,7 @@
 	// binary is the path of the daemon's executable.
 	binary        string
 	settingsPath  string
-	check         *checker
+	checker       *checker
 	logFile       *os.File
 	upstream      *platformtest.Upstream
 	peerProxy     *proxy
@@ -79,7 +79,7 @@
 	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zoneCount = 3
 	group := number % groupTotal
-	m := &vm{group: group, check: check, binary: binary, exitErr: make(chan error, 1), config: platformtest.VM{
+	m := &vm{group: group, checker: check, binary: binary, exitErr: make(chan error, 1), config: platformtest.VM{
 		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groupTotal%zoneCount), Service: serviceOf(group, number/groupTotal%2),
 		Outbound: addressAt(portOutbound), Ready: addressAt(portReady), Control: addressAt(portControl), Upstream: addressAt(portUpstreamProxy), Store: addressAt(portStoreProxy),
 		InternalPort: portInternal, Advertised: addressAt(portPeerProxy), Bootstrap: true,
@@ -166,7 +166,7 @@
 	noRestart, signalled := m.noRestart, m.stopping || m.killed
 	m.mu.Unlock()
 	if !noRestart && !signalled {
-		m.check.addViolation("ended: %s exited without a signal from the test: %v", m.config.Name, err)
+		m.checker.addViolation("ended: %s exited without a signal from the test: %v", m.config.Name, err)
 	}
 	if noRestart {
 		m.exitErr <- err
