--- a/proctest/idle_test.go
+++ b/proctest/idle_test.go
@@ -122,10 +122,10 @@
 
 // totalUsage returns the processor time and the bytes of peer traffic, each summed over all
 // daemons.
-func (c *cluster) totalUsage() (cpu time.Duration, bytes float64) {
+func (c *cluster) totalUsage() (cpu time.Duration, peerBytes float64) {
 	for _, v := range c.vms {
 		cpu += v.cpuTime()
-		bytes += v.sumCounter("dottereltiller_peer_bytes")
+		peerBytes += v.sumCounter("dottereltiller_peer_bytes")
 	}
-	return cpu, bytes
+	return cpu, peerBytes
 }
--- a/replay/mesh_guard_test.go
+++ b/replay/mesh_guard_test.go
@@ -17,14 +17,14 @@
 		return
 	}
 	if m.policy == useLeastOutstandingWithoutGuards {
-		m.start(n, r)
+		m.sendToUpstream(n, r)
 		return
 	}
 	m.load(n) // updates n.slowdown if it is too old
-	took := m.now.Sub(r.arrivedAt)
+	elapsed := m.now.Sub(r.arrivedAt)
 	item, admission, _ := n.queue.Admit(m.now, slots.Arrival{
 		Rank: r.rank, Urgent: r.rank == 0, ServiceTime: m.expectedServiceTime(r), Alternative: alternative,
-		UntilTarget: max(r.target-took, 0), UntilDeadline: r.deadline - took,
+		UntilTarget: max(r.target-elapsed, 0), UntilDeadline: r.deadline - elapsed,
 	}, slots.Performance{Slowdown: n.slowdown})
 	if admission != slots.Admitted {
 		m.reject(r, admission == slots.Full)
@@ -75,7 +75,7 @@
 		delete(n.waitingByID, d.ID)
 		switch d.Reason {
 		case slots.Start:
-			m.start(n, r)
+			m.sendToUpstream(n, r)
 		case slots.DeadlineUnreachable:
 			m.attemptDone(r, n, nil)
 			m.refuse(r)
@@ -85,9 +85,9 @@
 	}
 }
 
-// start sends a request to an upstream. The upstream resets the connection if its
+// sendToUpstream sends a request to an upstream. The upstream resets the connection if its
 // slots and its own queue are full.
-func (m *mesh) start(n *meshNode, r *meshRequest) {
+func (m *mesh) sendToUpstream(n *meshNode, r *meshRequest) {
 	if len(n.running) >= n.slots+m.upstreamQueue {
 		m.resetCount++
 		m.attemptDone(r, n, nil)
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -48,9 +48,9 @@
 	stoppedAt time.Time
 	// startedTime is when the process was started last.
 	startedTime time.Time
-	// killed is set from a SIGKILL to the process until the next start, and if the process must be
-	// restarted because the VM was replaced during its start. An exit of the process in this time
-	// is no violation.
+	// killed is set from a SIGKILL to the process until the next start. It is also set if the VM was
+	// replaced while the process started, because the process must then be restarted. While killed
+	// is set, an exit of the process is no violation.
 	killed bool
 	// noRestart is set when no further process may be started.
 	noRestart bool
@@ -75,11 +75,11 @@
 // is the number of the VM, from 1, and ip its IP address. groupTotal is the number of groups, see
 // groupCount. dir is the directory for the settings and the log of the daemon, and storeAddress the
 // address of the store.
-func newVM(number, groupTotal int, ip, dir, binary, storeAddress string, check *checker) (*vm, error) {
+func newVM(number, groupTotal int, ip, dir, binary, storeAddress string, c *checker) (*vm, error) {
 	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	const zoneCount = 3
 	group := number % groupTotal
-	m := &vm{group: group, checker: check, binary: binary, exitErr: make(chan error, 1), config: platformtest.VM{
+	m := &vm{group: group, checker: c, binary: binary, exitErr: make(chan error, 1), config: platformtest.VM{
 		Name: fmt.Sprintf("vm-%d", number), IP: ip, Zone: fmt.Sprintf("z%d", number/groupTotal%zoneCount), Service: serviceOf(group, number/groupTotal%2),
 		Outbound: addressAt(portOutbound), Ready: addressAt(portReady), Control: addressAt(portControl), Upstream: addressAt(portUpstreamProxy), Store: addressAt(portStoreProxy),
 		InternalPort: portInternal, Advertised: addressAt(portPeerProxy), Bootstrap: true,
@@ -104,7 +104,7 @@
 	}
 	m.upstream = &platformtest.Upstream{
 		Service: m.config.Service, Zone: m.config.Zone, Address: addressAt(portUpstream), Reported: addressAt(portUpstreamProxy), Control: m.config.Control,
-		Slots: 6, ServiceTime: 20 * time.Millisecond, Observer: check,
+		Slots: 6, ServiceTime: 20 * time.Millisecond, Observer: c,
 	}
 	m.caller = platformtest.Caller{Address: m.config.Outbound, Service: serviceOf(group, 0), Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	return m, nil
