--- a/replay/hedge.go
+++ b/replay/hedge.go
@@ -9,8 +9,8 @@
 )
 
 // scheduleHedge schedules a hedge for an attempt. A hedge is a second attempt at
-// another upstream. It is sent if the first attempt is still in flight after the
-// router's hedge delay. scheduleHedge does nothing if the router does not hedge.
+// another upstream. It is due after the router's hedge delay. The method hedge then
+// decides whether to send it. scheduleHedge does nothing if the router does not hedge.
 func (e *entry) scheduleHedge(a *attempt) {
 	router := e.routersByService[a.req.event.Service]
 	delay, ok := router.HedgeDelay(a.req.routingRequest())
