--- a/replay/mesh_test.go
+++ b/replay/mesh_test.go
@@ -313,7 +313,6 @@
 
 // choose chooses the node to send a request to. ticks is the time spent on load queries.
 // ok is false if the request must be refused.
-//
 // alternative is the expected time to completion at the next best node, or 0 if there is
 // none. After placement.MaxRejections rejections it is 0 as well. The guard then cannot
 // reject the request because another node would be faster.
