--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -24,8 +24,8 @@
 	require.NoError(t, err)
 	for _, r := range outcome.Reasons() {
 		status := fmt.Sprint(statusOf(outcome.NotRunBecause(r)))
-		if unknown := fmt.Sprint(statusOf(outcome.UnknownBecause(r))); unknown != status {
-			status += " or " + unknown
+		if unknownStatus := fmt.Sprint(statusOf(outcome.UnknownBecause(r))); unknownStatus != status {
+			status += " or " + unknownStatus
 		}
 		row := fmt.Sprintf("| `%s` | %s | %s |", r, status, r.Detail())
 		require.Contains(t, string(page), row)
--- a/hop/client.go
+++ b/hop/client.go
@@ -169,7 +169,8 @@
 	conn atomic.Pointer[countingConn]
 	// writtenBefore is the number of bytes written to conn before the attempt.
 	writtenBefore atomic.Int64
-	unprotected   bool
+	// unprotected is a copy of Client.unprotected.
+	unprotected bool
 }
 
 // gotConn implements httptrace.ClientTrace.GotConn.
--- a/hop/conn.go
+++ b/hop/conn.go
@@ -99,7 +99,8 @@
 }
 
 // beginAttempt begins an attempt and returns the number of bytes written so
-// far. On a reused connection the next write checks for unread bytes.
+// far. On a reused connection, the next Write first checks for unread bytes,
+// which would be an unsolicited response.
 func (c *countingConn) beginAttempt(reused bool) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/peer/reader.go
+++ b/peer/reader.go
@@ -63,7 +63,7 @@
 	return sample
 }
 
-// compareUint compares two numbers as cmp.Compare does.
+// compareUint returns -1 if a is less than b, 1 if a is greater, and 0 otherwise.
 func compareUint(a, b uint64) int {
 	switch {
 	case a < b:
--- a/sidecar/bootstrap.go
+++ b/sidecar/bootstrap.go
@@ -55,8 +55,9 @@
 }
 
 // replaceBootstrapPeer is called when a peer that was to be asked for all records cannot be
-// reached. It chooses another reachable peer to ask, preferably of the local zone, if there is one
-// that is not to be asked anyway. The caller holds p.mu.
+// reached. It chooses another peer to ask, preferably of the local zone. Peers that are
+// unreachable or already chosen are left out. If no peer remains, none is chosen. The caller holds
+// p.mu.
 func (p *peers) replaceBootstrapPeer(failedPeer *peer) {
 	failedPeer.needsFullSync = false
 	var replacement *peer
--- a/sidecar/bootstrap_test.go
+++ b/sidecar/bootstrap_test.go
@@ -16,13 +16,13 @@
 func (p *peers) pendingFullSyncs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []string
+	var addresses []string
 	for address, q := range p.others {
 		if q.needsFullSync {
-			out = append(out, address)
+			addresses = append(addresses, address)
 		}
 	}
-	return out
+	return addresses
 }
 
 // isolatedPeers returns the peers of a daemon of a zone. Their context is cancelled, so that no
--- a/sidecar/call.go
+++ b/sidecar/call.go
@@ -216,15 +216,15 @@
 
 // parseInts parses decimal integers. It returns a *FieldError if a field is not an integer.
 func parseInts(fields ...string) ([]int64, error) {
-	out := make([]int64, len(fields))
+	numbers := make([]int64, len(fields))
 	for i, f := range fields {
 		n, err := strconv.ParseInt(f, 10, 64)
 		if err != nil {
 			return nil, &FieldError{Field: "number", Value: f}
 		}
-		out[i] = n
+		numbers[i] = n
 	}
-	return out, nil
+	return numbers, nil
 }
 
 // hopByHopHeaders apply to a single connection and are not forwarded.
@@ -236,14 +236,14 @@
 // endToEndHeaders returns a copy of h without hop-by-hop headers. These include the headers that
 // are named in the Connection header.
 func endToEndHeaders(h http.Header) http.Header {
-	out := h.Clone()
+	endToEnd := h.Clone()
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
-			out.Del(strings.TrimSpace(name))
+			endToEnd.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHopHeaders {
-		out.Del(name)
+		endToEnd.Del(name)
 	}
-	return out
+	return endToEnd
 }
--- a/sidecar/capacity_test.go
+++ b/sidecar/capacity_test.go
@@ -32,7 +32,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkPeers measures the memory and the size of a sync message per known daemon.
+// BenchmarkPeers measures how many bytes each known daemon takes on the heap and in a sync message.
 func BenchmarkPeers(b *testing.B) {
 	for _, n := range []int{100, 400, 1700} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/sidecar/fleet_test.go
+++ b/sidecar/fleet_test.go
@@ -176,11 +176,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []DirectoryEntry
+	var entries []DirectoryEntry
 	for _, e := range s.entriesByAddress {
-		out = append(out, e)
+		entries = append(entries, e)
 	}
-	return out, nil
+	return entries, nil
 }
 
 func (s *store) Remove(_ context.Context, address string) error {
--- a/sidecar/follow.go
+++ b/sidecar/follow.go
@@ -38,8 +38,7 @@
 	mu sync.Mutex
 	// elector decides whether this daemon watches the configuration store.
 	elector *watch.Elector
-	// generation is the value that peers.generation had when the daemons among which elector
-	// chooses were last set.
+	// generation is the value that peers.generation had at the last call of elector.SetMembers.
 	generation uint64
 	// watchStarted is closed when this daemon starts to watch the store. It is replaced when the
 	// daemon stops watching.
--- a/sidecar/follow_test.go
+++ b/sidecar/follow_test.go
@@ -9,13 +9,13 @@
 
 // watchers returns the members that watch the store.
 func watchers(members []*member) []*member {
-	var out []*member
+	var watching []*member
 	for _, m := range members {
 		if m.follower.watchesStore() {
-			out = append(out, m)
+			watching = append(watching, m)
 		}
 	}
-	return out
+	return watching
 }
 
 // TestFewDaemonsWatchStore checks that three of seven daemons of a zone watch the store. When these
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -62,7 +62,7 @@
 	entry        *entry
 	request      *request
 	serviceState *serviceState
-	// serviceTime is the service time that is assumed for the request.
+	// serviceTime is the estimate by serviceTimeOf of how long an upstream takes for the request.
 	serviceTime time.Duration
 	// results receives the result of each attempt.
 	results chan attemptResult
@@ -119,8 +119,8 @@
 	defer timer.Stop()
 	for {
 		select {
-		case finished := <-f.results:
-			if result := f.finishAttempt(finished); result != nil {
+		case finishedAttempt := <-f.results:
+			if result := f.finishAttempt(finishedAttempt); result != nil {
 				return result
 			}
 		case attempt := <-f.unacknowledged:
@@ -209,10 +209,10 @@
 
 // finishAttempt records the end of an attempt. It returns the result of the request, or nil if
 // other attempts are in flight or a new one was started.
-func (f *forwarder) finishAttempt(finished attemptResult) *Result {
-	f.cancelAndRemove(finished.attempt)
-	result := finished.result
-	f.recordResult(finished.attempt, result)
+func (f *forwarder) finishAttempt(finishedAttempt attemptResult) *Result {
+	f.cancelAndRemove(finishedAttempt.attempt)
+	result := finishedAttempt.result
+	f.recordResult(finishedAttempt.attempt, result)
 	if result.Outcome.Kind == outcome.Answered {
 		f.entry.daemon.quarantine.clearSuspicion(f.request)
 	}
@@ -220,7 +220,7 @@
 		return result
 	}
 	f.keepFailure(result)
-	f.excluded[finished.attempt.choice.Upstream.Key] = true
+	f.excluded[finishedAttempt.attempt.choice.Upstream.Key] = true
 	if len(f.inFlight) > 0 {
 		return nil
 	}
@@ -309,7 +309,7 @@
 	if f.entry.daemon.isAborting() {
 		return f.idleShutdownResult()
 	}
-	if result := f.entry.daemon.quarantine.check(f.request); result != nil {
+	if result := f.entry.daemon.quarantine.refuseIfQuarantined(f.request); result != nil {
 		if f.bestFailure == nil {
 			return result
 		}
--- a/sidecar/guardload.go
+++ b/sidecar/guardload.go
@@ -12,17 +12,17 @@
 // version of the configuration. If the call was meant for another upstream, only the version is
 // set.
 func (g *guard) withLoad(result *Result) *Result {
-	out := *result
-	out.Version = g.configVersion()
+	resultCopy := *result
+	resultCopy.Version = g.configVersion()
 	if result.Outcome.Reason == outcome.ReasonNoUpstream {
-		return &out
+		return &resultCopy
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.load()
-	out.Load = &l
-	out.CallsPerRun = g.callsPerRun()
-	return &out
+	resultCopy.Load = &l
+	resultCopy.CallsPerRun = g.callsPerRun()
+	return &resultCopy
 }
 
 // currentLoad returns the load of the upstream.
--- a/sidecar/health_test.go
+++ b/sidecar/health_test.go
@@ -43,12 +43,12 @@
 				status, _ := a.get(t, "/safe/")
 				require.Equal(t, http.StatusOK, status)
 			}
-			got := len(b1.upstream.requests())
-			t.Logf("%d of %d requests", got, requestCount)
-			require.GreaterOrEqual(t, got, c.minRequests)
+			receivedCount := len(b1.upstream.requests())
+			t.Logf("%d of %d requests", receivedCount, requestCount)
+			require.GreaterOrEqual(t, receivedCount, c.minRequests)
 			// On a busy processor the other upstream is slow at times. Its requests are then
 			// hedged, and the hedges are sent to b1.
-			require.LessOrEqual(t, got-a.hedgeCount(), c.maxRequests)
+			require.LessOrEqual(t, receivedCount-a.hedgeCount(), c.maxRequests)
 			b1.upstream.setHandler(nil)
 			require.Eventually(t, func() bool {
 				_, body := a.get(t, "/safe/")
@@ -64,8 +64,8 @@
 // TestFailingAndRecoveryAreLoggedOnce checks that the log has one entry when an upstream
 // starts to fail and one when it recovers, regardless of the number of requests.
 func TestFailingAndRecoveryAreLoggedOnce(t *testing.T) {
-	var out bytes.Buffer
-	decisions := decision.New(decision.Options{Handler: slog.NewJSONHandler(&out, nil)})
+	var logOutput bytes.Buffer
+	decisions := decision.New(decision.Options{Handler: slog.NewJSONHandler(&logOutput, nil)})
 	var now model.Instant
 	g := newGuard(&Options{Decisions: decisions}, func() model.Instant { return now }, newMetrics(nil))
 	recordOutcomes := func(status, times int) {
@@ -78,7 +78,7 @@
 	recordOutcomes(http.StatusInternalServerError, 30)
 	recordOutcomes(http.StatusOK, 50)
 	decisions.Close(time.Second)
-	require.Equal(t, 1, strings.Count(out.String(), string(decision.UpstreamFailing)))
-	require.Equal(t, 1, strings.Count(out.String(), string(decision.UpstreamRecovered)))
-	require.Less(t, strings.Index(out.String(), string(decision.UpstreamFailing)), strings.Index(out.String(), string(decision.UpstreamRecovered)))
+	require.Equal(t, 1, strings.Count(logOutput.String(), string(decision.UpstreamFailing)))
+	require.Equal(t, 1, strings.Count(logOutput.String(), string(decision.UpstreamRecovered)))
+	require.Less(t, strings.Index(logOutput.String(), string(decision.UpstreamFailing)), strings.Index(logOutput.String(), string(decision.UpstreamRecovered)))
 }
--- a/sidecar/join.go
+++ b/sidecar/join.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// announceAndList writes the directory entry of this daemon and then reads all entries. In this
-// order, of two daemons that start together, the one that writes its entry later is certain to
-// read the entry of the other.
+// announceAndList writes the directory entry of this daemon and then reads all entries. The order
+// matters when two daemons start together: the one that writes its entry later is certain to read
+// the entry of the other.
 //
 // Except at the first start of the whole system, the entries are also read before the write. If
 // they include an entry of this daemon, which its previous incarnation wrote, that entry is still
@@ -107,9 +107,9 @@
 
 // discoverUpstream asks the local upstream for its identity. The answer is dropped if the
 // upstream has reported before it arrives. At the first start of the whole system, nothing is
-// asked. discoverUpstream first waits for an exchange with another daemon, because the records that
-// other daemons hold state whether the upstream was leaving before this daemon restarted. It then
-// waits until the configuration states a health path.
+// asked. discoverUpstream first waits for an exchange with another daemon: the records of the other
+// daemons tell whether the upstream was leaving before this daemon restarted. It then waits until
+// the configuration states a health path.
 func (j *joiner) discoverUpstream(ctx context.Context) {
 	if j.d.opts.Bootstrap {
 		return
@@ -133,10 +133,10 @@
 	}
 }
 
-// becomeReady waits for the first exchange with another daemon, at most for readinessWait, and
-// then marks the daemon as ready as soon as a configuration is in force. After the exchange or the
-// wait, it also schedules the first announcement of the local record for readinessWait later. The
-// announcement is left out if a change of the record has announced it earlier.
+// becomeReady waits for the first exchange with another daemon, at most for readinessWait. It
+// then starts a timer of readinessWait for the first announcement of the local record. The timer
+// has no effect if a change of the record has caused an announcement before. Finally, becomeReady
+// waits until a configuration is in force, and marks the daemon as ready.
 func (j *joiner) becomeReady(ctx context.Context) {
 	j.awaitFirstContact(ctx, readinessWait)
 	time.AfterFunc(readinessWait, j.d.peers.announceOnce)
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -47,13 +47,13 @@
 func (p *peers) reachableMembers() []gossip.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]gossip.Member, 0, len(p.others))
+	members := make([]gossip.Member, 0, len(p.others))
 	for address, q := range p.others {
 		if !q.unreachable {
-			out = append(out, gossip.Member{Address: address, Zone: q.record.Zone})
+			members = append(members, gossip.Member{Address: address, Zone: q.record.Zone})
 		}
 	}
-	return out
+	return members
 }
 
 // zoneMembers returns the addresses of the daemons of the local zone that are reachable and not
@@ -87,13 +87,13 @@
 func (p *peers) zonePeers() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []string
+	var addresses []string
 	for address, q := range p.others {
 		if !q.unreachable && q.record.Zone == p.local.Zone {
-			out = append(out, address)
+			addresses = append(addresses, address)
 		}
 	}
-	return out
+	return addresses
 }
 
 // inRemoteZone reports whether a daemon is known and in a zone other than the local one.
--- a/sidecar/metrics_test.go
+++ b/sidecar/metrics_test.go
@@ -14,11 +14,11 @@
 
 // timerCounts returns the number of values in each histogram, by name and tags.
 func timerCounts(s tally.TestScope) map[string]int {
-	out := map[string]int{}
+	countByTimer := map[string]int{}
 	for _, t := range s.Snapshot().Timers() {
-		out[fmt.Sprint(t.Name(), " ", t.Tags()["service"], " ", t.Tags()["route"])] += len(t.Values())
+		countByTimer[fmt.Sprint(t.Name(), " ", t.Tags()["service"], " ", t.Tags()["route"])] += len(t.Values())
 	}
-	return out
+	return countByTimer
 }
 
 // TestRequestStagesAreTimed sends one request. The daemon that received it from the caller and the
--- a/sidecar/pack.go
+++ b/sidecar/pack.go
@@ -36,15 +36,15 @@
 }
 
 func deflateRecords(records []Record) ([]byte, error) {
-	var plain, out bytes.Buffer
+	var plain, compressed bytes.Buffer
 	encoder := json.NewEncoder(&plain)
 	for i := range records {
 		if err := encoder.Encode(&records[i]); err != nil {
 			return nil, err
 		}
 	}
-	err := flate.StatelessDeflate(&out, plain.Bytes(), true, packDictionary)
-	return out.Bytes(), err
+	err := flate.StatelessDeflate(&compressed, plain.Bytes(), true, packDictionary)
+	return compressed.Bytes(), err
 }
 
 // inflaterPool reuses decompressors, which are large.
@@ -58,13 +58,13 @@
 	if r.(flate.Resetter).Reset(bytes.NewReader(body), packDictionary) != nil {
 		return nil
 	}
-	var out []Record
+	var records []Record
 	d := json.NewDecoder(io.LimitReader(r, maxUnpackedBytes))
 	for {
 		var rec Record
 		if d.Decode(&rec) != nil {
-			return out
+			return records
 		}
-		out = append(out, rec)
+		records = append(records, rec)
 	}
 }
--- a/sidecar/pack_test.go
+++ b/sidecar/pack_test.go
@@ -48,13 +48,13 @@
 				require.NoError(t, err)
 				plainBytes += len(b)
 			}
-			var got []Record
+			var unpacked []Record
 			for _, body := range packRecords(records) {
 				require.LessOrEqual(t, len(body), maxDatagramBody)
 				packedBytes += len(body)
-				got = append(got, unpackRecords(body)...)
+				unpacked = append(unpacked, unpackRecords(body)...)
 			}
-			require.Equal(t, records, got)
+			require.Equal(t, records, unpacked)
 			require.LessOrEqual(t, float64(packedBytes), c.maxRatio*float64(plainBytes), "%d of %d bytes", packedBytes, plainBytes)
 		})
 	}
@@ -69,11 +69,11 @@
 		fmt.Fprintf(&longName, "%x", i*2654435761)
 	}
 	records[7].Service = model.ServiceName(longName.String())
-	var got []Record
+	var unpacked []Record
 	for _, body := range packRecords(records) {
-		got = append(got, unpackRecords(body)...)
+		unpacked = append(unpacked, unpackRecords(body)...)
 	}
-	require.Len(t, got, len(records)-1)
+	require.Len(t, unpacked, len(records)-1)
 	require.Empty(t, packRecords(nil))
 }
 
--- a/sidecar/peerlog_test.go
+++ b/sidecar/peerlog_test.go
@@ -41,14 +41,14 @@
 func (l *loggedPeers) closeAndRead(t *testing.T) map[decision.Kind][]map[string]any {
 	t.Helper()
 	l.log.Close(time.Second)
-	out := map[decision.Kind][]map[string]any{}
+	linesByKind := map[decision.Kind][]map[string]any{}
 	for d := json.NewDecoder(&l.logOutput); d.More(); {
 		var line map[string]any
 		require.NoError(t, d.Decode(&line))
 		kind := decision.Kind(line["msg"].(string))
-		out[kind] = append(out[kind], line)
+		linesByKind[kind] = append(linesByKind[kind], line)
 	}
-	return out
+	return linesByKind
 }
 
 // stateRecords returns a slice with one record, as merge takes it: the record of peer n, whose
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -71,10 +71,9 @@
 	})
 }
 
-// check returns the result with which a quarantined request is refused, and nil for any other
-// request. Crashes that other daemons report after the check affect only later attempts of the
-// request.
-func (q *crashQuarantine) check(req *request) *Result {
+// refuseIfQuarantined returns the refusal of a quarantined request, and nil for any other request.
+// Crashes that other daemons report after the call affect only later attempts of the request.
+func (q *crashQuarantine) refuseIfQuarantined(req *request) *Result {
 	if !q.store.HasRecords() {
 		return nil
 	}
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -151,8 +151,8 @@
 		lossSteps []int
 		// responseSteps holds the times of the responses, in steps.
 		responseSteps []int
-		// want holds the times of the lost runs to be reported, in steps.
-		want []int
+		// wantLossSteps holds the times of the lost runs to be reported, in steps.
+		wantLossSteps []int
 	}{
 		"losses over seven steps":            {[]int{1, 2, 3, 4, 5, 6, 7, 8}, nil, []int{1, 2, 3, 4, 5, 6, 7, 8}},
 		"losses before and after a response": {[]int{1, 2, 4, 5}, []int{3}, []int{4, 5}},
@@ -180,7 +180,7 @@
 				}
 			}
 			crashes.reportCrash(incarnation(1))
-			require.Equal(t, c.want, reported)
+			require.Equal(t, c.wantLossSteps, reported)
 		})
 	}
 }
--- a/sidecar/replaced_test.go
+++ b/sidecar/replaced_test.go
@@ -68,8 +68,8 @@
 				replaceDaemon(t, s, b, "c1")
 			}
 			call := &Call{ID: "x", Method: http.MethodPost, Service: "b", Deadline: time.Minute}
-			got, _ := a.entry.queryOutcome(t.Context(), a.peers.pool(attempt.endpoint.address), attempt, call)
-			require.Equal(t, c.want, got.Outcome.Kind)
+			result, _ := a.entry.queryOutcome(t.Context(), a.peers.pool(attempt.endpoint.address), attempt, call)
+			require.Equal(t, c.want, result.Outcome.Kind)
 		})
 	}
 }
--- a/sidecar/send.go
+++ b/sidecar/send.go
@@ -158,19 +158,19 @@
 	}
 	for broken := false; ; {
 		select {
-		case got := <-directReplies:
-			if got.complete || guardReached || ctx.Err() != nil {
-				return got.result
+		case directReply := <-directReplies:
+			if directReply.complete || guardReached || ctx.Err() != nil {
+				return directReply.result
 			}
 			broken = true
 			startQuery()
-		case got := <-queryReplies:
-			if got.result.Outcome.Kind != outcome.Unknown || broken {
-				return got.result
+		case queryReply := <-queryReplies:
+			if queryReply.result.Outcome.Kind != outcome.Unknown || broken {
+				return queryReply.result
 			}
 			// The result may still arrive over the first connection. If the guard was not
 			// reached, it may be unreachable only for a moment, so the query is repeated.
-			if guardReached = got.complete; !guardReached {
+			if guardReached = queryReply.complete; !guardReached {
 				querying = false
 				queryTimer.Reset(outcomeQueryRetryDelay)
 			}
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -31,8 +31,8 @@
 	return []byte(b.String())
 }
 
-// versionSource decodes the documents that largeDocument returns. Its routes are those of
-// documentOf.
+// versionSource decodes the documents that largeDocument returns. It reads only the version
+// number from them, and takes the routes from documentOf.
 type versionSource struct{ Source }
 
 func (versionSource) Decode(raw []byte) (route.Document, error) {
@@ -72,21 +72,21 @@
 func TestFetchTransfersDelta(t *testing.T) {
 	const newest, compressedBytes = 9, 25_000
 	for name, c := range map[string]struct {
-		heldVersion int
-		conflicting bool
-		maxBytes    int
+		heldVersion          int
+		hasDifferentDocument bool
+		maxBytes             int
 	}{
 		"one version behind":                    {heldVersion: 8, maxBytes: 200},
 		"three versions behind":                 {heldVersion: 6, maxBytes: 300},
 		"further behind than versions are kept": {heldVersion: 5, maxBytes: compressedBytes},
 		"nothing in force":                      {heldVersion: 0, maxBytes: compressedBytes},
-		"different document of that version":    {heldVersion: 8, conflicting: true, maxBytes: compressedBytes + 500},
+		"different document of that version":    {heldVersion: 8, hasDifferentDocument: true, maxBytes: compressedBytes + 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sentBytes int
 			pool := serveVersions(t, configWithVersions(newest), &sentBytes)
 			config := configWithVersions(c.heldVersion)
-			if c.conflicting {
+			if c.hasDifferentDocument {
 				config = configWithVersions(0)
 				config.apply(append(largeDocument(c.heldVersion), "something else\n"...), "test")
 			}
--- a/trace/tracer.go
+++ b/trace/tracer.go
@@ -40,7 +40,7 @@
 	// header that are traced. If a request has the header, the sampled flag in it
 	// decides. 0 turns tracing off for all requests, with or without the header.
 	SampleRatio float64
-	// RecentSpans is the number of spans that Tracer.Recent holds.
+	// RecentSpans is the largest number of spans that Tracer.Recent holds.
 	RecentSpans int
 }
 
