--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -19,8 +19,7 @@
 
 // Registry receives what the local upstream reports about itself.
 type Registry interface {
-	// Report records a state report of the upstream and returns what the report changed. A stale
-	// report changes nothing.
+	// Report records a state report of the upstream and returns what changed: nothing if stale.
 	Report(r lifecycle.Report) lifecycle.Effect
 	// Leave records the final deregistration of an incarnation of the upstream and returns what
 	// the deregistration changed.
--- a/sidecar/entry.go
+++ b/sidecar/entry.go
@@ -160,8 +160,7 @@
 	return result
 }
 
-// readBody buffers the body of a request. It returns nil, or the result with which the request
-// is refused.
+// readBody buffers the body of a request. It returns nil, or the result that refuses the request.
 func (e *entry) readBody(w http.ResponseWriter, req *request) *Result {
 	limit := req.routeTable.Limits().BodyBytes
 	if limit <= 0 {
@@ -365,8 +364,7 @@
 	staleMeanFactor = 2
 )
 
-// serviceTimeOf returns the service time to assume for a request of a route. timeLeft is the
-// time until the deadline of the request.
+// serviceTimeOf returns the service time to assume for a request with timeLeft to its deadline.
 func (e *entry) serviceTimeOf(routeName string, timeLeft time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
