--- a/ablation/mechanisms_test.go
+++ b/ablation/mechanisms_test.go
@@ -66,7 +66,7 @@
 	coveredBy("sidecar TestRetriesAreChargedForNestedCalls", disabledBy("calls in the budget", edits.New(retries, "for _, o := range e.serviceStatesExcept(s) {", "for _, o := range e.serviceStatesExcept(s)[:0] {"))),
 	disabledBy("the budget's margin", edits.New(retries, "usableBudgetShare = 0.75", "usableBudgetShare = 0.999")),
 	coveredBy("core/placement TestMissesDeadline", disabledBy("early refusal", edits.New(parameters, "maxRefusalAge = 30 * time.Millisecond", "maxRefusalAge = 0 * time.Millisecond"))),
-	disabledBy("refusal after a full guard", edits.New(placer, "return fullGuards > 0 && left != 0 && c.Expected > left", "return fullGuards > 99 && left != 0 && c.Expected > left")),
+	disabledBy("refusal after a full guard", edits.New(placer, "return capacityRejections > 0 && left != 0 && c.Expected > left", "return capacityRejections > 99 && left != 0 && c.Expected > left")),
 	disabledBy("the urgent's longer wait", edits.New(admit, "share = urgentDeadlineShare", "share = deadlineShare + 0*urgentDeadlineShare")),
 	coveredBy("replay TestRetryAfterJitterSpreadsBursts", disabledBy("the spread of advice", edits.New("core/retry/retry_after.go", "retryAfterJitter = 0.5", "retryAfterJitter = 0.0"))),
 	coveredBy("sidecar TestCrashingRequestIsQuarantined", disabledBy("quarantine", edits.New("sidecar/quarantine.go", "	if !q.store.HasRecords() {\n		return nil\n	}\n	remaining", "	if q.store != nil {\n		return nil\n	}\n	remaining"))),
--- a/core/admission/share_test.go
+++ b/core/admission/share_test.go
@@ -52,14 +52,14 @@
 		}
 		sim := newSimulator(t, slots, Options{TotalBound: 1 << 20}, groups...)
 		sim.run(workloads...)
-		// The queues fill during the first second. From then on every group is
+		// The queues fill during the first second, which is window 0. From then on every group is
 		// backlogged.
-		for second := 1; second < seconds; second++ {
+		for windowIndex := 1; windowIndex < seconds; windowIndex++ {
 			for _, g := range groups {
 				want := float64(slots) * windowLength.Seconds() * g.Weight / totalWeight
-				got := sim.slotTimeByWindow[g.Name][second].Seconds()
+				got := sim.slotTimeByWindow[g.Name][windowIndex].Seconds()
 				largestDeviation = max(largestDeviation, math.Abs(got/want-1))
-				require.InEpsilon(t, want, got, 0.05, "group %s in second %d", g.Name, second)
+				require.InEpsilon(t, want, got, 0.05, "group %s in second %d", g.Name, windowIndex)
 			}
 		}
 		for _, g := range groups {
--- a/core/ceiling/ceiling_test.go
+++ b/core/ceiling/ceiling_test.go
@@ -33,8 +33,9 @@
 	// admittedPerSecond is the number of admitted requests in each second.
 	admittedPerSecond []int
 	// inFlight is the number of requests in flight at all daemons.
-	inFlight    int
-	maxInFlight int
+	inFlight int
+	// peakInFlight is the highest value of inFlight since the test last reset it.
+	peakInFlight int
 }
 
 // completion is the end of an admitted request.
@@ -60,7 +61,7 @@
 		for i, c := range f.daemons {
 			f.arrive(i, c, step)
 		}
-		f.maxInFlight = max(f.maxInFlight, f.inFlight)
+		f.peakInFlight = max(f.peakInFlight, f.inFlight)
 		if f.now%model.Instant(tickInterval) == 0 {
 			for _, c := range f.daemons {
 				c.Tick(f.now, uint64(f.now/1e6))
@@ -150,13 +151,13 @@
 		f.demandPerDaemon[i] = 200
 	}
 	f.run(8 * time.Second)
-	maxAtStart := f.maxInFlight
-	f.maxInFlight = 0
+	peakAtStart := f.peakInFlight
+	f.peakInFlight = 0
 	f.run(8 * time.Second)
-	t.Logf("maximum in flight with a ceiling of %d: %d in the first 8 seconds, %d afterwards", ceiling, maxAtStart, f.maxInFlight)
-	require.LessOrEqual(t, 2*maxAtStart, 3*ceiling, "before all reports have spread")
-	require.LessOrEqual(t, f.maxInFlight, ceiling, "steady: above the ceiling")
-	require.GreaterOrEqual(t, f.maxInFlight, ceiling-1, "steady: ceiling not used up")
+	t.Logf("maximum in flight with a ceiling of %d: %d in the first 8 seconds, %d afterwards", ceiling, peakAtStart, f.peakInFlight)
+	require.LessOrEqual(t, 2*peakAtStart, 3*ceiling, "before all reports have spread")
+	require.LessOrEqual(t, f.peakInFlight, ceiling, "steady: above the ceiling")
+	require.GreaterOrEqual(t, f.peakInFlight, ceiling-1, "steady: ceiling not used up")
 }
 
 // TestSlotSharesSumToTotal divides a random number of slots among daemons with
--- a/core/claims/model_test.go
+++ b/core/claims/model_test.go
@@ -140,16 +140,16 @@
 
 // profile holds the probability of each action in percent. An action is a method of world.
 type profile struct {
-	poll, proposeGrant, deliverAppend, submit, advance, drain, deliverHandover, appendTransfer, crash, checkpoint, trim int
+	poll, proposeGrant, writeOrLoseAppend, submit, advance, drain, deliverHandover, appendTransfer, crash, checkpoint, trim int
 	// keyCount is the number of keys in use.
 	keyCount int
 }
 
 // profiles holds the profiles in use. Each makes different failures likely. A schedule's seed selects one.
 var profiles = [...]profile{
-	{poll: 22, proposeGrant: 8, deliverAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keyCount: modelKeyCount},
-	{poll: 28, proposeGrant: 6, deliverAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keyCount: 2},
-	{poll: 30, proposeGrant: 8, deliverAppend: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keyCount: 4},
+	{poll: 22, proposeGrant: 8, writeOrLoseAppend: 12, submit: 18, advance: 23, drain: 3, deliverHandover: 5, appendTransfer: 2, crash: 1, checkpoint: 3, trim: 2, keyCount: modelKeyCount},
+	{poll: 28, proposeGrant: 6, writeOrLoseAppend: 16, submit: 18, advance: 17, drain: 3, deliverHandover: 6, appendTransfer: 4, crash: 1, keyCount: 2},
+	{poll: 30, proposeGrant: 8, writeOrLoseAppend: 16, submit: 16, advance: 16, crash: 1, checkpoint: 9, trim: 3, keyCount: 4},
 }
 
 // step performs a random action on a random node. Some actions ignore the node. If it draws none
@@ -164,7 +164,7 @@
 	}{
 		{w.profile.poll, w.poll},
 		{w.profile.proposeGrant, w.proposeGrant},
-		{w.profile.deliverAppend, w.deliverAppend},
+		{w.profile.writeOrLoseAppend, w.writeOrLoseAppend},
 		{w.profile.submit, w.submit},
 		{w.profile.advance, w.advance},
 		{w.profile.drain, w.drain},
@@ -229,8 +229,8 @@
 	w.pendingAppends = append(w.pendingAppends, Record{Grant: g})
 }
 
-// deliverAppend writes one of the pending appends to the log, or loses it.
-func (w *world) deliverAppend(*node) {
+// writeOrLoseAppend writes one of the pending appends to the log, or loses it.
+func (w *world) writeOrLoseAppend(*node) {
 	if len(w.pendingAppends) == 0 {
 		return
 	}
@@ -283,7 +283,7 @@
 		s.phase = beforeSend
 		return false
 	case Full:
-		w.reportNotRun(s.key)
+		w.checkNotRun(s.key)
 	case Replay, AnswerGone:
 		if w.runsPerKey[s.key] != 1 {
 			w.violation = fmt.Sprintf("key %d replayed after %d runs", s.key, w.runsPerKey[s.key])
@@ -303,7 +303,7 @@
 	}
 	if w.rng.IntN(4) == 0 {
 		s.node.table.Finish(ID{Key: w.keys[s.key]}, outcome.NotRun, nil)
-		w.reportNotRun(s.key)
+		w.checkNotRun(s.key)
 		return true
 	}
 	w.runsPerKey[s.key]++
@@ -326,8 +326,8 @@
 	s.node.table.Finish(ID{Key: w.keys[s.key]}, kind, &Answer{Status: 200})
 }
 
-// reportNotRun checks that a key that is reported as not run has indeed never run.
-func (w *world) reportNotRun(key int) {
+// checkNotRun checks that a key that is reported as not run has indeed never run.
+func (w *world) checkNotRun(key int) {
 	if w.runsPerKey[key] != 0 {
 		w.violation = fmt.Sprintf("key %d reported as not run after %d runs", key, w.runsPerKey[key])
 	}
--- a/core/claims/table.go
+++ b/core/claims/table.go
@@ -137,7 +137,7 @@
 	self       Owner
 	limits     Limits
 	claimsByID map[ID]*claim
-	byStamp    stampHeap
+	byStamp    claimHeap
 	// claimsPerGroup is the number of claims of each group.
 	claimsPerGroup map[model.GroupName]int
 	answers        *answerCache
@@ -313,31 +313,31 @@
 	}
 }
 
-// stampHeap is a min-heap of claims, ordered by the timestamps of their keys.
-type stampHeap []*claim
+// claimHeap is a min-heap of claims, ordered by the timestamps of their keys.
+type claimHeap []*claim
 
 // Len implements heap.Interface.
-func (h stampHeap) Len() int { return len(h) }
+func (h claimHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h stampHeap) Less(i, j int) bool { return h[i].id.Key.Stamp() < h[j].id.Key.Stamp() }
+func (h claimHeap) Less(i, j int) bool { return h[i].id.Key.Stamp() < h[j].id.Key.Stamp() }
 
 // Swap implements heap.Interface.
-func (h stampHeap) Swap(i, j int) {
+func (h claimHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex = i
 	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
-func (h *stampHeap) Push(x any) {
+func (h *claimHeap) Push(x any) {
 	c := x.(*claim)
 	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
 
 // Pop implements heap.Interface.
-func (h *stampHeap) Pop() any {
+func (h *claimHeap) Pop() any {
 	old := *h
 	c := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -216,7 +216,7 @@
 }
 
 // TestQueryTargets checks the number and the zones of the upstreams that are queried. Upstreams
-// with a recent load and unreachable ones must be left out.
+// whose last load report is recent must be left out, and so must unreachable upstreams.
 func TestQueryTargets(t *testing.T) {
 	p := newPlacer("local", "local", "local", "other", "other")
 	p.UpdateLoad(at(0), "a", idle(1))
@@ -273,9 +273,9 @@
 // the next guard as well.
 func TestMissesTarget(t *testing.T) {
 	for name, c := range map[string]struct {
-		fullGuards       int
-		expected, target time.Duration
-		want             bool
+		capacityRejections int
+		expected, target   time.Duration
+		want               bool
 	}{
 		"no guard was full":                  {0, time.Second, 100 * time.Millisecond, false},
 		"another upstream is fast enough":    {1, 50 * time.Millisecond, 100 * time.Millisecond, false},
@@ -285,7 +285,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			choice := Choice{Expected: c.expected}
-			require.Equal(t, c.want, choice.MissesTarget(c.fullGuards, c.target))
+			require.Equal(t, c.want, choice.MissesTarget(c.capacityRejections, c.target))
 		})
 	}
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -22,7 +22,7 @@
 	// ColdUntil is the expected end of the slow phase after the start of the upstream.
 	ColdUntil model.Instant
 	// Stopping is set if the upstream's daemon is about to stop. The upstream still serves
-	// requests, but is chosen only if no other reachable upstream can be.
+	// requests, but is chosen only if all other upstreams are stopping, unreachable or excluded.
 	Stopping bool
 }
 
@@ -94,8 +94,8 @@
 // refused request is better off retrying later. fullGuards is the number of rejections for lack
 // of capacity. left is the time until the target. It is zero if the request has no target, and
 // negative if the target has already been missed.
-func (c *Choice) MissesTarget(fullGuards int, left time.Duration) bool {
-	return fullGuards > 0 && left != 0 && c.Expected > left
+func (c *Choice) MissesTarget(capacityRejections int, left time.Duration) bool {
+	return capacityRejections > 0 && left != 0 && c.Expected > left
 }
 
 // MissesDeadline reports whether a request should be refused because it is expected to miss its
@@ -368,8 +368,9 @@
 	}
 }
 
-// MarkUnreachable records that an upstream could not be reached. For unreachablePause, the
-// upstream is chosen only if no reachable candidate can be.
+// MarkUnreachable records that the upstream with the given key could not be reached. During
+// the following unreachablePause, the upstream is chosen only if there is no reachable candidate
+// to choose.
 func (p *Placer) MarkUnreachable(now model.Instant, key string) {
 	if c := p.candidatesByKey[key]; c != nil {
 		c.unreachableUntil = now.Add(unreachablePause)
--- a/core/policy/service.go
+++ b/core/policy/service.go
@@ -36,8 +36,8 @@
 	groupSelectors  []Selector
 	deadlineClasses map[string]Duration
 	// groupCache holds the result of matchIndex for each caller, at the index
-	// Caller.cacheIndex. The value is 0 until the group of the caller has been
-	// looked up.
+	// Caller.cacheIndex. The value is 0 until GroupOf is first called for the
+	// caller.
 	groupCache []atomic.Int32
 }
 
@@ -51,8 +51,8 @@
 	return s.groupAt(s.matchIndex(labels))
 }
 
-// GroupOf returns the group of a caller of the same Set at the service, as
-// GroupByLabels does. It caches the result.
+// GroupOf returns the result of GroupByLabels for the caller's labels. The caller must
+// come from the same Set as the service. GroupOf caches the result for each caller.
 func (s *Service) GroupOf(c Caller) (model.GroupName, bool) {
 	if c.cacheIndex >= len(s.groupCache) {
 		return s.GroupByLabels(c.Labels)
--- a/core/routing/least_outstanding.go
+++ b/core/routing/least_outstanding.go
@@ -2,9 +2,10 @@
 
 import "github.com/dottereltiller/dottereltiller/core/model"
 
-// leastOutstanding picks the upstream with the fewest in-flight requests of this entry. The
-// scan starts at a random candidate. Among equals, the first scanned candidate is picked. If
-// none of the scanned candidates is usable, any usable one is picked at random.
+// leastOutstanding compares up to maxScan consecutive candidates, starting at a random one. It
+// picks the usable candidate with the fewest in-flight requests of this entry. If several have
+// the fewest, it picks the first of them. If none of the compared candidates is usable, it picks
+// a random usable one from all candidates.
 type leastOutstanding struct{ waitsAtUpstream }
 
 func (leastOutstanding) choose(r *Router, now model.Instant, exclude []model.UpstreamID, ignoreEjections bool) *candidate {
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -55,16 +55,16 @@
 // each upstream received. reply returns the reply of the given upstream, which Done
 // records before the next request is placed.
 func countPlacements(r *Router, now model.Instant, n int, reply func(model.UpstreamID) Reply) map[model.UpstreamID]int {
-	got := make(map[model.UpstreamID]int)
+	countByUpstream := make(map[model.UpstreamID]int)
 	for range n {
 		c, ok := r.Place(now, model.Request{}, nil, 0)
 		if !ok {
 			continue
 		}
-		got[c.Upstream.ID]++
+		countByUpstream[c.Upstream.ID]++
 		r.Done(now, c.Upstream.ID, reply(c.Upstream.ID))
 	}
-	return got
+	return countByUpstream
 }
 
 func TestEveryPolicySkipsExcludedAndDraining(t *testing.T) {
--- a/core/slots/admit_test.go
+++ b/core/slots/admit_test.go
@@ -39,12 +39,12 @@
 			for range c.running {
 				q.Next(0, 1)
 			}
-			it, got, expected := q.Admit(at(5), c.arrival, c.performance)
+			item, got, expected := q.Admit(at(5), c.arrival, c.performance)
 			require.Equal(t, c.want, got)
 			require.Equal(t, c.expected, expected)
 			if got == Admitted {
-				require.Equal(t, at(5).Add(c.arrival.UntilTarget), it.Target)
-				require.Equal(t, at(5).Add(c.arrival.UntilDeadline), it.Deadline)
+				require.Equal(t, at(5).Add(c.arrival.UntilTarget), item.Target)
+				require.Equal(t, at(5).Add(c.arrival.UntilDeadline), item.Deadline)
 			}
 		})
 	}
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -126,11 +126,11 @@
 	n := q.running
 	waitingByKind := map[Kind]int{}
 	for i := range q.items {
-		switch it := &q.items[i]; {
-		case it.Rank < rank:
+		switch item := &q.items[i]; {
+		case item.Rank < rank:
 			n++
-		case it.Rank == rank:
-			waitingByKind[it.Kind]++
+		case item.Rank == rank:
+			waitingByKind[item.Kind]++
 		}
 	}
 	for _, waiting := range waitingByKind {
@@ -163,14 +163,14 @@
 // usual service time.
 func (q *Queue) Next(now model.Instant, slowdown float64) (Dequeued, bool) {
 	for i := range q.items {
-		it := &q.items[i]
-		if now.Add(scale(it.ServiceTime, slowdown)/2) >= it.Deadline {
+		item := &q.items[i]
+		if now.Add(scale(item.ServiceTime, slowdown)/2) >= item.Deadline {
 			return q.dequeue(i, DeadlineUnreachable), true
 		}
-		if q.running >= q.limit && it.UsefulUntil != 0 && now.Add(scale(it.ServiceTime, slowdown)) > it.UsefulUntil {
+		if q.running >= q.limit && item.UsefulUntil != 0 && now.Add(scale(item.ServiceTime, slowdown)) > item.UsefulUntil {
 			return q.dequeue(i, TooLate), true
 		}
-		if it.WaitUntil != 0 && now >= it.WaitUntil && q.running >= q.limit {
+		if item.WaitUntil != 0 && now >= item.WaitUntil && q.running >= q.limit {
 			return q.dequeue(i, QueueTimeoutExpired), true
 		}
 	}
@@ -190,13 +190,13 @@
 func (q *Queue) NextWakeup(slowdown float64) model.Instant {
 	var wakeup model.Instant
 	for i := range q.items {
-		it := &q.items[i]
-		leaveBy := it.Deadline.Add(-scale(it.ServiceTime, slowdown) / 2)
-		if it.WaitUntil != 0 {
-			leaveBy = min(leaveBy, it.WaitUntil)
+		item := &q.items[i]
+		leaveBy := item.Deadline.Add(-scale(item.ServiceTime, slowdown) / 2)
+		if item.WaitUntil != 0 {
+			leaveBy = min(leaveBy, item.WaitUntil)
 		}
-		if it.UsefulUntil != 0 {
-			leaveBy = min(leaveBy, it.UsefulUntil.Add(-scale(it.ServiceTime, slowdown)))
+		if item.UsefulUntil != 0 {
+			leaveBy = min(leaveBy, item.UsefulUntil.Add(-scale(item.ServiceTime, slowdown)))
 		}
 		if wakeup == 0 || leaveBy < wakeup {
 			wakeup = leaveBy
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -26,15 +26,15 @@
 // the order in which they started.
 func startAll(t *testing.T, q *Queue, now model.Instant) []uint64 {
 	t.Helper()
-	var out []uint64
+	var startedIDs []uint64
 	for q.Waiting() > 0 {
 		d, ok := q.Next(now, 1)
 		require.True(t, ok)
 		require.Equal(t, Start, d.Reason)
-		out = append(out, d.ID)
+		startedIDs = append(startedIDs, d.ID)
 		q.Finish()
 	}
-	return out
+	return startedIDs
 }
 
 func TestStartOrder(t *testing.T) {
@@ -95,14 +95,14 @@
 		t.Run(name, func(t *testing.T) {
 			q := New(1)
 			for i := range uint64(30) {
-				it := newItem(100+i, 1, 10, 900)
-				it.Kind, it.Arrived = frequentKind, at(1)
-				q.Add(it)
+				item := newItem(100+i, 1, 10, 900)
+				item.Kind, item.Arrived = frequentKind, at(1)
+				q.Add(item)
 			}
 			for i := range uint64(3) {
-				it := newItem(i, 1, c.serviceTime, 900)
-				it.Kind = rareKind
-				q.Add(it)
+				item := newItem(i, 1, c.serviceTime, 900)
+				item.Kind = rareKind
+				q.Add(item)
 			}
 			require.Equal(t, 2, q.Ahead(1, 9), "one of each kind runs before a third kind that has none waiting")
 			var got []int
@@ -121,15 +121,15 @@
 func TestIdleKindEarnsNoCredit(t *testing.T) {
 	q := New(1)
 	for i := range uint64(50) {
-		it := newItem(i, 1, 10, 900)
-		it.Kind = 1
-		q.Add(it)
+		item := newItem(i, 1, 10, 900)
+		item.Kind = 1
+		q.Add(item)
 		startAll(t, q, at(0))
 	}
 	for i := range uint64(8) {
-		it := newItem(100+i, 1, 10, 900)
-		it.Kind = Kind(1 + i%2)
-		q.Add(it)
+		item := newItem(100+i, 1, 10, 900)
+		item.Kind = Kind(1 + i%2)
+		q.Add(item)
 	}
 	order := startAll(t, q, at(0))
 	for turn := 0; turn < len(order); turn += 2 {
--- a/core/watch/elector.go
+++ b/core/watch/elector.go
@@ -37,8 +37,9 @@
 	reachesStore bool
 }
 
-// Elector decides whether a daemon watches the store, from what it knows about the other
-// watchers of its cell. It is not safe for concurrent use.
+// Elector decides whether a daemon watches the store. The decision depends on the heartbeats of
+// the other watchers in the daemon's cell. A cell is a group of at most maxCellSize daemons of
+// one zone. An Elector is not safe for concurrent use.
 type Elector struct {
 	// self is the address of this daemon.
 	self string
@@ -79,7 +80,7 @@
 
 // SetMembers sets the members of the local zone and the number of zones. zoneMembers are the
 // addresses of the zone's daemons that are reachable and not about to stop, including this one.
-// If this daemon is missing, it forms a cell of its own.
+// If zoneMembers does not contain this daemon, the cell consists of this daemon alone.
 func (e *Elector) SetMembers(zoneMembers []string, zoneCount int) {
 	sortedMembers := slices.Clone(zoneMembers)
 	slices.Sort(sortedMembers)
@@ -147,10 +148,11 @@
 	return e.watching
 }
 
-// decideWatching decides whether this daemon watches the store. A watcher stops when enough
-// daemons before it in the cell reach the store, or when it yields. Otherwise the first daemons
-// of the cell always watch. The other daemons volunteer at random while there are too few
-// watchers. decideWatching sets yieldUntil if the daemon yields.
+// decideWatching decides whether this daemon watches the store. A watcher stops when it
+// yields. It also stops when at least wantedWatcherCount watchers with lower addresses reach the
+// store. Otherwise it continues, and the first wantedWatcherCount daemons of the cell start. The
+// other daemons volunteer at random while there are too few watchers. decideWatching sets
+// yieldUntil if the daemon yields.
 func (e *Elector) decideWatching(now model.Instant) bool {
 	if now < e.yieldUntil {
 		return false
@@ -180,9 +182,10 @@
 	return !e.reachesStore && now.Sub(e.failingSince) >= yieldAfter && len(e.cellAddresses) > maxConcurrentTries
 }
 
-// countWatchers counts the other watchers by their latest heartbeats. reachingCount is the
-// number of watchers that reach the store. earlierCount is how many of these come before this
-// daemon in the cell. tryingCount is the number of watchers that do not reach the store.
+// countWatchers counts the other watchers of the cell by their latest heartbeats.
+// reachingCount is the number of watchers that reach the store. earlierCount is the number of
+// watchers that reach the store and have a lower address than this daemon. tryingCount is the
+// number of watchers that try to reach the store but do not reach it.
 func (e *Elector) countWatchers(now model.Instant) (earlierCount, reachingCount, tryingCount int) {
 	for address, hb := range e.heartbeatByAddress {
 		switch {
@@ -214,11 +217,11 @@
 
 // CellPeers returns the other daemons of the cell, to which heartbeats are sent.
 func (e *Elector) CellPeers() []string {
-	out := make([]string, 0, len(e.cellAddresses))
+	peers := make([]string, 0, len(e.cellAddresses))
 	for _, address := range e.cellAddresses {
 		if address != e.self {
-			out = append(out, address)
+			peers = append(peers, address)
 		}
 	}
-	return out
+	return peers
 }
--- a/core/watch/fleet_test.go
+++ b/core/watch/fleet_test.go
@@ -234,13 +234,13 @@
 
 // watchers returns the running daemons that watch the store.
 func (f *fleet) watchers() []*daemon {
-	var out []*daemon
+	var watchers []*daemon
 	for _, d := range f.daemons {
 		if !d.down && d.elector.watching {
-			out = append(out, d)
+			watchers = append(watchers, d)
 		}
 	}
-	return out
+	return watchers
 }
 
 // countOutdated returns the number of daemons that run, are not partitioned and do not
