--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -91,8 +91,8 @@
 // upstream. Two conditions must hold: at least one guard has rejected the request for lack of
 // capacity, and the chosen upstream is expected to miss the target. At the chosen upstream, the
 // request would take a slot from requests that can still meet their targets. The caller of the
-// refused request is better off retrying later. fullGuards is the number of rejections for lack
-// of capacity. left is the time until the target. It is zero if the request has no target, and
+// refused request is better off retrying later. capacityRejections is the number of rejections for
+// lack of capacity. left is the time until the target. It is zero if the request has no target, and
 // negative if the target has already been missed.
 func (c *Choice) MissesTarget(capacityRejections int, left time.Duration) bool {
 	return capacityRejections > 0 && left != 0 && c.Expected > left
--- a/proctest/history_test.go
+++ b/proctest/history_test.go
@@ -48,7 +48,7 @@
 	results []attemptResult
 }
 
-// lastResult returns the result of the lastResult attempt.
+// lastResult returns the result of the last attempt.
 func (r *requestRecord) lastResult() attemptResult { return r.results[len(r.results)-1] }
 
 // hasUnknownOutcome reports whether the caller cannot tell for at least one attempt whether
--- a/sidecar/correction_test.go
+++ b/sidecar/correction_test.go
@@ -85,8 +85,10 @@
 	}
 }
 
-// wouldDrop reports whether the queue would drop an ordinary call because the call cannot end
-// before its deadline.
+// wouldDrop reports whether the queue would drop the call of newCall with the reason
+// slots.DeadlineUnreachable. As in slots.Queue.Next, the expected service time is the usual service
+// time multiplied by the slowdown. Half of it is compared with the time until the deadline. A call
+// may run faster than expected, so it is dropped only if even half of the expected time is too long.
 func (g *guard) wouldDrop() bool {
 	c := newCall()
 	g.mu.Lock()
--- a/sidecar/datagrams.go
+++ b/sidecar/datagrams.go
@@ -84,7 +84,9 @@
 	kindRelayedRecords = 8
 	// kindDigest carries a digest of all records that the sender holds. See antiEntropy.
 	kindDigest = 9
-	// kindSummary replies to a digest with a summary of the buckets that differ.
+	// kindSummary replies to a digest. A digest divides the records into buckets by a hash of the
+	// daemon's address, and holds one hash for each bucket. The body is a summary of the records
+	// in buckets whose hashes differ between the two daemons.
 	kindSummary = 10
 	// kindRecordRequest requests the records of daemons. Its body holds the hashes of their
 	// addresses.
--- a/sidecar/messages.go
+++ b/sidecar/messages.go
@@ -37,8 +37,9 @@
 }
 
 const (
-	// maxSyncBytes bounds a received syncMessage. It allows for 300 bytes per record and several
-	// thousand daemons.
+	// maxSyncBytes bounds the body of a sync request, in bytes. It does not bound replies. Daemons
+	// send only their own record in a request, so requests are far smaller than this limit. The
+	// limit has room for the records of several thousand daemons at 300 bytes each.
 	maxSyncBytes = 4 << 20
 )
 
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -74,9 +74,9 @@
 	kindUpstreamProxy: {"delay", "reset", "silent"},
 	kindStoreProxy:    {"reset", "silent", "half"},
 	// The store responds with status 503 in mode busy and with 429 in mode many. In mode silent it
-	// never responds, and in mode slow it responds late. In mode lost it executes appends but sends
-	// no response. In mode late it also executes them late. In mode forget it loses the operator's
-	// records.
+	// never responds, and in mode slow it responds late. In mode lost it executes appends at once
+	// but never responds to them. In mode late it executes appends after a delay and never responds
+	// to them. In mode forget it loses the operator's records.
 	kindStore: {"busy", "many", "silent", "slow", "lost", "late", "forget"},
 	// In mode shed the upstream rejects requests without execution. In all other modes it
 	// executes requests. In mode lose it closes the connection without a response. In mode err
